--- a/crates/peers/src/tests.rs
+++ b/crates/peers/src/tests.rs
@@ -1,5 +1,7 @@
 //! Frames of liars, and of chance: only from inside can they be made whole.
 
+mod formats;
+
 use std::time::Duration;
 
 use proptest::prelude::*;
--- /dev/null
+++ b/crates/peers/src/tests/formats.rs
@@ -0,0 +1,78 @@
+//! Datagrams of each kind, byte for byte as recorded in `tests/formats`.
+
+#[path = "../../tests/formats/hex.rs"]
+mod hex;
+
+use hex::{assert_recorded, recorded};
+
+use crate::frame::{Body, Frame, PIECE, PIECES, Piece, Said};
+use crate::{Channel, Life, Member};
+
+const SENDER: Member = Member(0x0102);
+const RECEIVER: Member = Member(0x0304);
+
+/// One datagram of each kind, by the name of its recorded bytes. `fragment` fills every fragment but the
+/// last.
+fn datagrams(fragment: &[u8]) -> Vec<(&'static str, Frame<'_>)> {
+    let frame = |body| Frame {
+        from: Life(0x1122_3344),
+        to: Life(0x5566_7788),
+        sequence: 0x01_0203_0405,
+        body,
+    };
+    let first_contact = Frame {
+        to: Life(0),
+        sequence: 0,
+        ..frame(Body::Hello { ask: 0xa1a2_a3a4, answer: 0, known: false })
+    };
+    let message = |channel, word| Said { channel, word };
+    let fragment_of = |channel, back, index, count| Piece { channel, back, index, count };
+    vec![
+        ("handshake_first_contact", first_contact),
+        (
+            "handshake_challenge_and_response",
+            frame(Body::Hello { ask: 0xa1a2_a3a4, answer: 0xb1b2_b3b4, known: false }),
+        ),
+        (
+            "handshake_response_to_confirmed",
+            frame(Body::Hello { ask: 0, answer: 0xb1b2_b3b4, known: true }),
+        ),
+        ("message_padded", frame(Body::Words(vec![message(Channel::Log, b"x")]))),
+        ("message_empty", frame(Body::Words(vec![message(Channel::Council, b"")]))),
+        ("message_long", frame(Body::Words(vec![message(Channel::Sessions, &fragment[..200])]))),
+        (
+            "messages_on_each_channel",
+            frame(Body::Words(vec![
+                message(Channel::Council, b"consensus"),
+                message(Channel::Log, b"log"),
+                message(Channel::Leases, b"leases"),
+                message(Channel::Sessions, b"sessions"),
+                message(Channel::Lists, b"lists"),
+            ])),
+        ),
+        (
+            "fragment_first",
+            frame(Body::Piece(fragment_of(Channel::Lists, 0, 0, PIECES as u8), fragment)),
+        ),
+        ("fragment_last", frame(Body::Piece(fragment_of(Channel::Leases, 0x0203, 2, 3), b"end"))),
+        (
+            "retransmission_request",
+            frame(Body::Missing { word: 0x0102_0304, which: 1 << 88 | 0b1011 }),
+        ),
+    ]
+}
+
+#[test]
+fn datagrams_have_their_recorded_bytes() {
+    let fragment = [0x5a; PIECE];
+    let encoded = |(name, frame): (_, Frame<'_>)| (name, frame.encode(SENDER, RECEIVER));
+    assert_recorded(datagrams(&fragment).into_iter().map(encoded));
+}
+
+#[test]
+fn recorded_datagrams_are_read_as_what_they_were() {
+    let fragment = [0x5a; PIECE];
+    for (name, frame) in datagrams(&fragment) {
+        assert_eq!(Frame::decode(SENDER, RECEIVER, &recorded(name)), Ok(frame), "{name}");
+    }
+}
--- /dev/null
+++ b/crates/peers/tests/formats.rs
@@ -0,0 +1,100 @@
+//! What of this package leaves a process outside of datagrams' heads, as literal text and recorded bytes:
+//! values in messages, and what the admin API shows. Datagrams are in `src/tests/formats.rs`.
+
+use std::fmt::Debug;
+
+use hollowpaddle_peers::{
+    Channel, Counts, DATAGRAM, Delivered, Dropped, Heard, Held, LONGEST_WORD, Life, Member,
+    ONE_DATAGRAM, Sent, VERSION, Words, decode, encode,
+};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+
+fn assert_encoding<T>(value: T, bytes: &[u8])
+where
+    T: Serialize + DeserializeOwned + PartialEq + Debug,
+{
+    assert_eq!(encode(&value), bytes, "{value:?}");
+    assert_eq!(decode(bytes), Ok(value));
+}
+
+#[test]
+fn values_within_messages_have_their_bytes() {
+    assert_encoding(Member(300), &[0xac, 0x02]);
+    assert_encoding(Life(0x0102_0304), &[0x84, 0x86, 0x88, 0x08]);
+    assert_encoding(Channel::Council, &[0]);
+    assert_encoding(Channel::Log, &[1]);
+    assert_encoding(Channel::Leases, &[2]);
+    assert_encoding(Channel::Sessions, &[3]);
+    assert_encoding(Channel::Lists, &[4]);
+    assert!(decode::<Channel>(&[5]).is_err(), "no other channel");
+}
+
+#[test]
+fn bounds_that_both_ends_rely_on_are_the_same() {
+    assert_eq!((VERSION, DATAGRAM, ONE_DATAGRAM, LONGEST_WORD), (1, 256, 233, 20_480));
+}
+
+fn counts() -> Counts {
+    Counts {
+        sent: Sent {
+            datagrams: 1,
+            bytes: 2,
+            hellos: 3,
+            pieces: 4,
+            pieces_again: 5,
+            asks: 6,
+            hellos_held_back: 7,
+            pieces_refused: 8,
+        },
+        heard: Heard {
+            hellos: 11,
+            words: 12,
+            pieces: 13,
+            pieces_again: 14,
+            asks: 15,
+            stale_nonces: 16,
+            lives: 17,
+        },
+        dropped: Dropped {
+            strange: 21,
+            too_long: 22,
+            version: 23,
+            torn: 24,
+            unreadable: 25,
+            unconfirmed: 26,
+            former_life: 27,
+            copy: 28,
+            late: 29,
+        },
+        words: Words {
+            said: 31,
+            nowhere: 32,
+            too_long: 33,
+            no_room: 34,
+            no_tokens: 35,
+            waited_in_vain: 36,
+            former_life: 37,
+            used_up: 38,
+        },
+        delivered: Delivered { words: 41, pieces_given_up: 42 },
+    }
+}
+
+#[test]
+fn counters_have_their_json_keys() {
+    let sent = r#""sent":{"datagrams":1,"bytes":2,"hellos":3,"pieces":4,"pieces_again":5,"asks":6,"hellos_held_back":7,"pieces_refused":8}"#;
+    let heard = r#""heard":{"hellos":11,"words":12,"pieces":13,"pieces_again":14,"asks":15,"stale_nonces":16,"lives":17}"#;
+    let dropped = r#""dropped":{"strange":21,"too_long":22,"version":23,"torn":24,"unreadable":25,"unconfirmed":26,"former_life":27,"copy":28,"late":29}"#;
+    let words = r#""words":{"said":31,"nowhere":32,"too_long":33,"no_room":34,"no_tokens":35,"waited_in_vain":36,"former_life":37,"used_up":38}"#;
+    let delivered = r#""delivered":{"words":41,"pieces_given_up":42}"#;
+    let expected = format!("{{{sent},{heard},{dropped},{words},{delivered}}}");
+    assert_eq!(serde_json::to_string(&counts()).expect("plain numbers"), expected);
+}
+
+#[test]
+fn held_bytes_have_their_json_keys() {
+    let held = Held { incoming: 1, outgoing: 2, queued: 3, waiting: 4 };
+    let expected = r#"{"incoming":1,"outgoing":2,"queued":3,"waiting":4}"#;
+    assert_eq!(serde_json::to_string(&held).expect("plain numbers"), expected);
+}
--- /dev/null
+++ b/crates/peers/tests/formats/hex.rs
@@ -0,0 +1,31 @@
+//! Recorded bytes of a format: hexadecimal text files beside this one, in the package whose test reads them.
+
+use std::fs;
+use std::path::Path;
+
+/// The bytes that stand in `tests/formats/NAME.hex`; white space in it says nothing.
+pub fn recorded(name: &str) -> Vec<u8> {
+    let file = format!("tests/formats/{name}.hex");
+    let text = fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join(&file))
+        .unwrap_or_else(|cause| panic!("{file}: {cause}"));
+    let digits: Vec<u32> = text
+        .chars()
+        .filter(|digit| !digit.is_whitespace())
+        .map(|digit| digit.to_digit(16).unwrap_or_else(|| panic!("{file}: {digit:?}")))
+        .collect();
+    digits.chunks(2).map(|pair| (pair[0] << 4 | pair[1]) as u8).collect()
+}
+
+/// Compares each case with its recorded bytes, and names all that differ.
+pub fn assert_recorded<'a>(cases: impl IntoIterator<Item = (&'a str, Vec<u8>)>) {
+    let changed: Vec<String> = cases
+        .into_iter()
+        .filter(|(name, bytes)| recorded(name) != *bytes)
+        .map(|(name, bytes)| format!("{name}: {}", to_hex(&bytes)))
+        .collect();
+    assert!(changed.is_empty(), "these forms have changed, to:\n{}", changed.join("\n"));
+}
+
+fn to_hex(bytes: &[u8]) -> String {
+    bytes.iter().map(|byte| format!("{byte:02x}")).collect()
+}
