--- /dev/null
+++ b/crates/council/tests/formats.rs
@@ -0,0 +1,368 @@
+//! What of this package leaves a process, byte for byte as recorded in `tests/formats`: messages, a voter's
+//! log and the names of its files, snapshots, and strings that the admin API shows.
+
+#[path = "../../peers/tests/formats/hex.rs"]
+mod hex;
+
+use std::collections::BTreeSet;
+use std::fs;
+use std::path::Path;
+use std::time::Duration;
+
+use hex::{assert_all_recorded, assert_recorded, recorded};
+use hollowpaddle_council::{
+    Base, COUNCIL_MAX, Counts, Directory, Durable, ENTRY_MAX, Entry, FILE_MAX, Hello, Index, Learn,
+    Learned, Learner, LearnerSettings, Log, Members, Outcome, PART, Part, ProposalId, Record,
+    SNAPSHOT_MAX, Say, Standing, State, Store, StoreError, VERSION, View, WORD_MAX, What, Word,
+};
+use hollowpaddle_faultpoints::{Fault, Kind, Plan, Points};
+use hollowpaddle_peers::{Channel, Life, Member, decode, encode};
+
+const CLUSTER: u64 = 0x1122_3344_5566_7788;
+const VOTER: Member = Member(300);
+
+fn view() -> View {
+    View { epoch: 2, number: 700, leader: Member(5) }
+}
+
+fn last_normal_view() -> View {
+    View { epoch: 2, number: 600, leader: Member(4) }
+}
+
+fn incarnations() -> Counts {
+    Counts::from([(Member(4), 1), (Member(300), 900)])
+}
+
+fn voters() -> Members {
+    let list = BTreeSet::from([Member(4), Member(5), Member(300)]);
+    Members { list, coming: Some(Member(6)), since: 1000 }
+}
+
+fn proposal(number: u64) -> ProposalId {
+    ProposalId { by: Member(7), life: Life(0x0102_0304), number }
+}
+
+fn command(number: u64) -> Entry {
+    Entry { id: proposal(number), what: What::Bytes(b"command".to_vec()) }
+}
+
+/// One entry of each kind.
+fn entries() -> Vec<Entry> {
+    let replace = What::Remove { out: Member(4), then: Some(Member(6)) };
+    let remove = What::Remove { out: Member(5), then: None };
+    vec![
+        command(1),
+        Entry { id: proposal(2), what: replace },
+        Entry { id: proposal(3), what: What::Add(Member(6)) },
+        Entry { id: proposal(4), what: remove },
+    ]
+}
+
+fn entries_part() -> Part {
+    Part::Entries { first: 1001, entries: entries() }
+}
+
+fn snapshot_part() -> Part {
+    Part::Chunk { op: 1000, len: 3000, sum: 0xa1a2_a3a4, offset: 400, bytes: b"chunk".to_vec() }
+}
+
+fn snapshot() -> Base {
+    let ids = vec![(proposal(8), 999), (proposal(9), 1000)];
+    Base { op: 1000, members: voters(), ids, state: b"state".to_vec() }
+}
+
+fn heartbeat(standing: Standing) -> Say {
+    Say::Hello(Hello {
+        standing,
+        leads: true,
+        free: false,
+        heard: BTreeSet::from([Member(4), Member(300)]),
+        op: 1001,
+        commit: 1002,
+        written: 1003,
+        round: 1004,
+        members: voters(),
+    })
+}
+
+/// One message of each kind, by the name of its recorded bytes.
+fn messages() -> Vec<(&'static str, Word)> {
+    let (nonce, at, members) = (0x0102_0304_0506_0708, Index::new(2, 1001), voters());
+    let told = Say::Told {
+        nonce,
+        at: 1001,
+        standing: Standing::Changing,
+        own: 1002,
+        written: 1003,
+        commit: 1004,
+        members: voters(),
+    };
+    let news = |part| Say::News { at, leader: Some(Member(5)), members: voters(), age: 1002, part };
+    let answer = |outcome, leader| Say::Answer { id: proposal(1), outcome, leader };
+    let bodies = vec![
+        ("heartbeat_without_vote", heartbeat(Standing::Outside)),
+        ("heartbeat_state_lost", heartbeat(Standing::Blank)),
+        ("heartbeat_recovering", heartbeat(Standing::Waking)),
+        ("heartbeat_view_change", heartbeat(Standing::Changing)),
+        ("heartbeat_normal", heartbeat(Standing::Normal)),
+        ("heartbeat_disk_failed", heartbeat(Standing::Mute)),
+        ("prepare", Say::Prepare { first: 1001, entries: entries(), commit: 1000 }),
+        ("prepare_ok", Say::Ok { op: 1001, round: 1002 }),
+        ("start_view_change", Say::Begin { founding: false, members: None }),
+        ("start_epoch", Say::Begin { founding: true, members: Some(members.clone()) }),
+        (
+            "do_view_change",
+            Say::Join { last: last_normal_view(), op: 1001, commit: 1000, blank: true },
+        ),
+        ("state_transfer_request", Say::Fetch { from: 1001, offset: 1002 }),
+        ("state_transfer_entries", Say::Part(entries_part())),
+        ("state_transfer_snapshot_chunk", Say::Part(snapshot_part())),
+        ("status_request", Say::Ask { nonce, at: 1001 }),
+        ("status_response", told),
+        ("recovery", Say::Recover { nonce }),
+        ("recovery_response", Say::Recovered { nonce, op: 1001, leads: true }),
+        ("proposal", Say::Propose { id: proposal(1), what: Some(command(1).what) }),
+        ("proposal_query", Say::Propose { id: proposal(1), what: None }),
+        ("learner_status_request", Say::AskCopy { nonce }),
+        ("learner_status_response", Say::Copy { nonce, at, members }),
+        ("learner_state_transfer_request", Say::FetchCopy { from: 1001, offset: 1002 }),
+        ("learner_poll", Say::Follow { at, offset: 1001, sum: 0xa1a2_a3a4 }),
+        ("learner_update_empty", news(None)),
+        ("learner_update_entries", news(Some(entries_part()))),
+        ("learner_update_snapshot_chunk", news(Some(snapshot_part()))),
+        ("learner_chunk_request", Say::Piece { offset: 1001, sum: 0xa1a2_a3a4 }),
+        ("proposal_committed", answer(Some(Outcome::Committed(at)), None)),
+        ("proposal_rejected", answer(Some(Outcome::Never), Some(Member(5)))),
+        ("proposal_unknown", answer(Some(Outcome::Unknown), Some(Member(5)))),
+        ("proposal_redirected", answer(None, Some(Member(5)))),
+    ];
+    let message = |say| Word { view: view(), counts: incarnations(), say };
+    bodies.into_iter().map(|(name, say)| (name, message(say))).collect()
+}
+
+#[test]
+fn messages_have_their_recorded_bytes() {
+    let encoded = |(name, word): (_, Word)| (name, word.encode().expect("short"));
+    assert_recorded(messages().into_iter().map(encoded));
+}
+
+#[test]
+fn recorded_messages_are_read_as_what_they_were() {
+    for (name, word) in messages() {
+        assert_eq!(Word::decode(&recorded(name)), Ok(word), "{name}");
+    }
+}
+
+#[test]
+fn messages_go_to_the_voter_or_to_the_learner() {
+    let to_learner = [
+        "learner_status_request",
+        "learner_state_transfer_request",
+        "learner_poll",
+        "learner_update_empty",
+        "learner_update_entries",
+        "learner_update_snapshot_chunk",
+        "learner_chunk_request",
+        "proposal_committed",
+        "proposal_rejected",
+        "proposal_unknown",
+        "proposal_redirected",
+    ];
+    for (name, word) in messages() {
+        let channel = if to_learner.contains(&name) { Channel::Log } else { Channel::Council };
+        assert_eq!(word.say.channel(), channel, "{name}");
+    }
+}
+
+/// One record of each kind, by the name of its recorded bytes, in an order in which a voter may write them.
+fn records() -> Vec<(&'static str, Record)> {
+    let (view, last, counts) = (view(), last_normal_view(), incarnations());
+    let complete = Record::Whole {
+        view: last,
+        last,
+        counts: counts.clone(),
+        commit: 997,
+        base: Base { op: 996, ..snapshot() },
+        start: 996,
+        entries: entries(),
+    };
+    let view_entries = vec![command(11), command(12)];
+    vec![
+        ("record_complete_state", complete),
+        ("record_entries", Record::Entries { first: 1001, entries: entries() }),
+        ("record_snapshot", Record::Snapshot(snapshot())),
+        ("record_promise", Record::Promise { view, last, counts: counts.clone() }),
+        (
+            "record_view_start",
+            Record::Turn { view, last: view, counts, first: 1003, entries: view_entries },
+        ),
+        ("record_commit", Record::Commit { commit: 1004 }),
+    ]
+}
+
+/// What these records amount to.
+fn state() -> State {
+    let log_entries = [&entries()[..], &entries()[..2], &[command(11), command(12)]].concat();
+    let mut log = Log::with(Base { op: 996, ..snapshot() }, 996, log_entries);
+    log.rebase(snapshot());
+    State { view: view(), last: view(), counts: incarnations(), commit: 1004, log }
+}
+
+#[test]
+fn records_have_their_recorded_bytes() {
+    assert_recorded(records().into_iter().map(|(name, record)| (name, encode(&record))));
+}
+
+#[test]
+fn recorded_records_are_read_as_what_they_were() {
+    for (name, record) in records() {
+        assert_eq!(decode(&recorded(name)), Ok(record), "{name}");
+    }
+}
+
+fn open(directory: &Path, points: Points) -> Result<(Store, Durable), StoreError> {
+    let disk = Directory::open(directory).expect("a directory of its own");
+    let (store, found) = Store::open(disk, points, CLUSTER, VOTER)?;
+    assert!(found.doubt.is_none() || found.durable == Durable::default(), "{:?}", found.doubt);
+    Ok((store, found.durable))
+}
+
+fn files(directory: &Path) -> Vec<String> {
+    let entries = fs::read_dir(directory).expect("readable");
+    let name = |entry: fs::DirEntry| entry.file_name().to_string_lossy().into_owned();
+    let mut names: Vec<String> = entries.map(|entry| name(entry.expect("readable"))).collect();
+    names.sort();
+    names
+}
+
+#[test]
+fn a_voter_s_log_has_its_recorded_bytes() {
+    let directory = tempfile::tempdir().expect("made");
+    let (mut store, _) = open(directory.path(), Points::none()).expect("new");
+    let read_log = || fs::read(directory.path().join("council.log")).expect("its log");
+    let empty = read_log();
+    for (number, (_, record)) in (41..).zip(records()) {
+        store.append(number, &record).expect("written");
+    }
+    store.sync().expect("synced");
+    assert_eq!(files(directory.path()), ["council.log"]);
+    assert_recorded([("voter_log_empty", empty), ("voter_log", read_log())]);
+}
+
+#[test]
+fn a_recorded_voter_s_log_is_read_as_what_it_was() {
+    let directory = tempfile::tempdir().expect("made");
+    fs::write(directory.path().join("council.log"), recorded("voter_log")).expect("written");
+    let (_, durable) = open(directory.path(), Points::none()).expect("readable");
+    assert_eq!(durable, Durable { written: 46, state: Some(state()) });
+    let log = durable.state.expect("read").log;
+    assert_eq!((log.base(), log.start(), log.op()), (&snapshot(), 996, 1004));
+}
+
+#[test]
+fn a_log_being_rewritten_and_one_set_aside_have_their_names() {
+    let rewritten = tempfile::tempdir().expect("made");
+    let points = Points::armed(Plan::counting());
+    open(tempfile::tempdir().expect("made").path(), points.clone()).expect("new");
+    let passed = points.passed();
+    let rename = passed.iter().find(|point| point.kind == Kind::Rename).expect("a rename");
+    let failing = Points::armed(Plan::one(rename.number, Fault::Io));
+    assert!(open(rewritten.path(), failing).is_err());
+    assert_eq!(files(rewritten.path()), ["council.new"]);
+
+    let damaged = tempfile::tempdir().expect("made");
+    fs::write(damaged.path().join("council.log"), b"something else").expect("written");
+    open(damaged.path(), Points::none()).expect("set aside");
+    assert_eq!(files(damaged.path()), ["council.aside", "council.log"]);
+}
+
+#[test]
+fn a_snapshot_has_its_recorded_bytes_and_is_read_as_what_it_was() {
+    assert_recorded([("snapshot", encode(&snapshot()))]);
+    assert_eq!(decode(&recorded("snapshot")), Ok(snapshot()));
+}
+
+fn learner(now: Duration, voter: Member) -> Learner {
+    Learner::new(now, LearnerSettings { me: Member(7), council: vec![voter], bank: 400, seed: 1 })
+}
+
+/// A learner keeps its copy in memory; these are the bytes in which it hands it to a voter.
+#[test]
+fn a_learner_s_copy_has_its_recorded_bytes() {
+    let (voter, now) = (Member(4), Duration::ZERO);
+    let mut learner = learner(now, voter);
+    let mut actions = Vec::new();
+    let reset = Learn::Reset { index: Index::new(2, 1000), base: snapshot() };
+    learner.handle(now, reset, &mut actions);
+    let index = Index::new(2, 1001);
+    learner.handle(now, Learn::Committed { index, entry: command(1) }, &mut actions);
+    actions.clear();
+    for from in [0, 1001] {
+        let say = Say::FetchCopy { from, offset: 0 };
+        let word = Word { view: view(), counts: incarnations(), say };
+        learner.handle(now, Learn::Word { from: voter, life: Life(1), word }, &mut actions);
+    }
+    let sent: Vec<Vec<u8>> = actions
+        .into_iter()
+        .filter_map(|action| match action {
+            Learned::Send { word, .. } => Some(word.encode().expect("short")),
+            _ => None,
+        })
+        .collect();
+    let names = ["learner_copy_snapshot", "learner_copy_entries"];
+    assert_eq!(sent.len(), names.len());
+    assert_recorded(names.into_iter().zip(sent));
+}
+
+#[test]
+fn a_recorded_learner_s_copy_is_read_as_what_it_was() {
+    let (voter, now) = (Member(4), Duration::ZERO);
+    let mut learner = learner(now, voter);
+    let mut actions = Vec::new();
+    learner.handle(now, Learn::Tick, &mut actions);
+    for (name, op) in [("learner_copy_snapshot", 1000), ("learner_copy_entries", 1001)] {
+        let Ok(Word { say: Say::Part(part), .. }) = Word::decode(&recorded(name)) else {
+            panic!("{name} is a part of a log");
+        };
+        let at = Index::new(2, op);
+        let say =
+            Say::News { at, leader: Some(voter), members: voters(), age: 0, part: Some(part) };
+        let word = Word { view: view(), counts: incarnations(), say };
+        learner.handle(now, Learn::Word { from: voter, life: Life(1), word }, &mut actions);
+    }
+    let reset = Learned::Reset { index: Index::new(2, 1000), state: snapshot().state };
+    let committed = Learned::Committed { index: Index::new(2, 1001), entry: command(1) };
+    assert!(actions.contains(&reset) && actions.contains(&committed), "{actions:?}");
+}
+
+#[test]
+fn strings_of_the_admin_api_are_as_they_were() {
+    let standings = [
+        (Standing::Outside, "outside"),
+        (Standing::Blank, "blank"),
+        (Standing::Waking, "waking"),
+        (Standing::Changing, "changing"),
+        (Standing::Normal, "normal"),
+        (Standing::Mute, "mute"),
+    ];
+    for (standing, shown) in standings {
+        assert_eq!(format!("{standing:?}").to_lowercase(), shown);
+    }
+    assert_eq!(Index::new(2, 1001).to_string(), "2.1001");
+}
+
+#[test]
+fn bounds_that_both_ends_rely_on_are_the_same() {
+    assert_eq!((COUNCIL_MAX, ENTRY_MAX, PART), (16, 16_384, 16_384));
+    assert_eq!((WORD_MAX, SNAPSHOT_MAX), (20_480, 2_097_152));
+    assert_eq!((VERSION, FILE_MAX), (1, 67_108_864));
+}
+
+#[test]
+fn every_recorded_form_is_compared() {
+    let (messages, records) = (messages(), records());
+    let named = messages.iter().map(|(name, _)| *name).chain(records.iter().map(|(name, _)| *name));
+    let logs = ["voter_log_empty", "voter_log"];
+    let copies = ["snapshot", "learner_copy_snapshot", "learner_copy_entries"];
+    assert_all_recorded(named.chain(logs).chain(copies));
+}
--- a/crates/peers/src/tests/formats.rs
+++ b/crates/peers/src/tests/formats.rs
@@ -3,7 +3,7 @@
 #[path = "../../tests/formats/hex.rs"]
 mod hex;
 
-use hex::{assert_recorded, recorded};
+use hex::{assert_all_recorded, assert_recorded, recorded};
 
 use crate::frame::{Body, Frame, PIECE, PIECES, Piece, Said};
 use crate::{Channel, Life, Member};
@@ -76,3 +76,8 @@
         assert_eq!(Frame::decode(SENDER, RECEIVER, &recorded(name)), Ok(frame), "{name}");
     }
 }
+
+#[test]
+fn every_recorded_datagram_is_compared() {
+    assert_all_recorded(datagrams(&[0; PIECE]).iter().map(|(name, _)| *name));
+}
--- a/crates/peers/tests/formats/hex.rs
+++ b/crates/peers/tests/formats/hex.rs
@@ -1,5 +1,6 @@
 //! Recorded bytes of a format: hexadecimal text files beside this one, in the package whose test reads them.
 
+use std::collections::BTreeSet;
 use std::fs;
 use std::path::Path;
 
@@ -26,6 +27,17 @@
     assert!(changed.is_empty(), "these forms have changed, to:\n{}", changed.join("\n"));
 }
 
+/// Whether these are the names of all recorded bytes: a case that is lost from a table is found by its file.
+pub fn assert_all_recorded<'a>(names: impl IntoIterator<Item = &'a str>) {
+    let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/formats");
+    let recorded: BTreeSet<String> = fs::read_dir(directory)
+        .expect("the directory of this file")
+        .map(|entry| entry.expect("readable").file_name().to_string_lossy().into_owned())
+        .filter_map(|file| file.strip_suffix(".hex").map(str::to_string))
+        .collect();
+    assert_eq!(names.into_iter().map(str::to_string).collect::<BTreeSet<_>>(), recorded);
+}
+
 fn to_hex(bytes: &[u8]) -> String {
     bytes.iter().map(|byte| format!("{byte:02x}")).collect()
 }
