--- /dev/null
+++ b/crates/revision/tests/formats.rs
@@ -0,0 +1,470 @@
+//! Pins what this package writes to other balancers, the log, the disk and the admin API. The expected text is data under
+//! `tests/formats/` or a literal here, never computed: a rename in the code must leave all of it as it is.
+
+mod common;
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::fmt::Debug;
+
+use common::{ask, book, next, rollback, without};
+use hollowpaddle_peers::{Life, Member};
+use hollowpaddle_revision::book::{Book, Refusal};
+use hollowpaddle_revision::charter::{Charter, CharterError};
+use hollowpaddle_revision::difference::Difference;
+use hollowpaddle_revision::document::Document;
+use hollowpaddle_revision::entry::{Ask, Entry, Id};
+use hollowpaddle_revision::fleet::{ClassFacts, Facts, Group, Misfit};
+use hollowpaddle_revision::history::{Answer, Fate, Origin};
+use hollowpaddle_revision::lists::{ListWord, Stop};
+use hollowpaddle_revision::trial::{Trial, Why};
+use hollowpaddle_revision::words::{No, Stage, Word};
+use serde::Serialize;
+use serde::de::DeserializeOwned;
+
+type Cases<T> = Vec<(&'static str, T)>;
+
+/// Checks each value against its line in `data` (`case: bytes in hex`), reads that line back, and accepts no line more.
+fn assert_bytes<T: Debug + PartialEq>(
+    data: &str,
+    cases: &Cases<T>,
+    write: impl Fn(&T) -> Vec<u8>,
+    read: impl Fn(&[u8]) -> T,
+) {
+    let hex = |bytes: Vec<u8>| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
+    let written = cases.iter().map(|(case, value)| format!("{case}: {}", hex(write(value))));
+    assert_eq!(written.collect::<Vec<_>>(), data.lines().collect::<Vec<_>>());
+    for (line, (case, value)) in data.lines().zip(cases) {
+        let digits = line.rsplit_once(": ").expect("`case: hex`").1;
+        let byte = |at| u8::from_str_radix(&digits[at..at + 2], 16).expect("two digits");
+        let bytes: Vec<u8> = (0..digits.len()).step_by(2).map(byte).collect();
+        assert_eq!(read(&bytes), *value, "{case}");
+    }
+}
+
+/// The same for values that stand inside the log or a snapshot.
+fn assert_parts<T: Debug + PartialEq + Serialize + DeserializeOwned>(data: &str, cases: &Cases<T>) {
+    let write = |value: &T| postcard::to_stdvec(value).unwrap();
+    assert_bytes(data, cases, write, |bytes| postcard::from_bytes(bytes).unwrap());
+}
+
+fn assert_text<T>(cases: &Cases<T>, print: impl Fn(&T) -> String) {
+    let printed: Vec<String> = cases.iter().map(|(_, value)| print(value)).collect();
+    let expected: Vec<&str> = cases.iter().map(|(text, _)| *text).collect();
+    assert_eq!(printed, expected);
+}
+
+/// One that names each part of the fleet.
+fn document() -> Document {
+    let json = include_str!("formats/document.json");
+    Document::from_json(json.as_bytes()).unwrap()
+}
+
+fn charter() -> Charter {
+    Charter { pods: BTreeSet::from([1, 300]), except: BTreeSet::from(["u7".into()]), attempts: 2 }
+}
+
+fn facts() -> Facts {
+    Facts {
+        sites: vec!["bilbao".into()],
+        load: vec![1300],
+        flavours: vec!["m1".into(), "m2".into()],
+        groups: vec![Group { pod: 300, site: 0, flavour: 1, upstreams: 4, room: 500 }],
+        classes: vec![ClassFacts { name: "log".into(), sites: vec![0], flavours: vec![] }],
+        named: BTreeMap::from([("u7".into(), (300, 0))]),
+    }
+}
+
+fn proposal(trial: Option<Trial>) -> Box<Ask> {
+    Box::new(Ask { id: Id(0x2832), base: Some(11), trial, forced: true, facts: facts() })
+}
+
+const TRIAL: Trial = Trial { seconds: 60, fall: 100 };
+const GENERATION: Stage = Stage { epoch: 1, index: 300 };
+
+fn lease_messages() -> Cases<Word> {
+    let (asked, confirmed) = (1_000_000, Stage { epoch: 1, index: 299 });
+    let here = [0, 9].into_iter().map(Member).collect();
+    let renew = |charter| Word::Renew { asked, stage: GENERATION, confirmed, here, charter };
+    let no = |why| Word::No { to: Life(7), asked, stage: GENERATION, why };
+    vec![
+        ("renew_lease", renew(None)),
+        ("renew_lease_during_fallback_change", renew(Some((GENERATION, here)))),
+        ("leave_parent", Word::Left { confirmed }),
+        ("grant_lease", Word::Grant { to: Life(7), asked, stage: GENERATION, length: 2_000_000 }),
+        ("deny_other_generation", no(No::Stage)),
+        ("deny_no_lease", no(No::Lease)),
+        ("deny_full", no(No::Full)),
+    ]
+}
+
+fn list_messages() -> Cases<ListWord> {
+    let stop = |name: &str, ended| Stop { name: name.into(), version: 41, ended };
+    vec![
+        ("version", ListWord { version: 300, stops: vec![] }),
+        (
+            "draining_and_gone",
+            ListWord { version: 300, stops: vec![stop("u7", false), stop("u8", true)] },
+        ),
+    ]
+}
+
+fn log_entries() -> Cases<Entry> {
+    let document = Box::new(document());
+    vec![
+        ("propose", Entry::Propose(proposal(None), document.clone())),
+        ("propose_canary", Entry::Propose(proposal(Some(TRIAL)), document)),
+        ("rollback", Entry::Rollback(proposal(None), 3)),
+        ("generation_confirmed", Entry::Step(300)),
+        ("change_fallback", Entry::Charter(Id(0x2832), charter(), Box::new(facts()))),
+        ("fallback_confirmed", Entry::CharterConfirmed(300)),
+        ("confirm_canary", Entry::Confirm(Id(0x2832), 11)),
+        ("take_back_unconfirmed", Entry::TakeBack(11, Why::NotConfirmed)),
+        ("take_back_after_fall", Entry::TakeBack(11, Why::WorthFell(300))),
+        ("node_dead", Entry::Dead(Id(0x2832), Member(300))),
+        ("node_alive", Entry::Alive(Id(0x2832), Member(300))),
+    ]
+}
+
+fn origins() -> Cases<Origin> {
+    vec![
+        ("founding", Origin::Founding),
+        ("proposed(id(10290))", Origin::Proposed(Id(0x2832))),
+        ("rollback(id(10290), 3)", Origin::Rollback(Id(0x2832), 3)),
+        ("takenback(11, notconfirmed)", Origin::TakenBack(11, Why::NotConfirmed)),
+        ("takenback(11, worthfell(300))", Origin::TakenBack(11, Why::WorthFell(300))),
+    ]
+}
+
+fn fates() -> Cases<Fate> {
+    vec![
+        ("waits", Fate::Waits),
+        ("narrow", Fate::Narrow),
+        ("inforce", Fate::InForce),
+        ("was(11)", Fate::Was(11)),
+        ("never(300)", Fate::Never(300)),
+    ]
+}
+
+fn misfits() -> Cases<Misfit> {
+    let (what, name) = ("pod".to_string(), "300".to_string());
+    vec![
+        (
+            "there is no pod `300` now; expected names of the list: correct it, or force it",
+            Misfit::Unknown { what: what.clone(), name },
+        ),
+        (
+            "class `log` would have no pod; expected one at least: leave one in, or force it",
+            Misfit::NoPod { class: "log".into() },
+        ),
+        (
+            "site `bilbao` has a load of 1300 and would have room for 1000 (thousandths of work a second); \
+             leave more in, or force it",
+            Misfit::NoRoom { site: "bilbao".into(), load: 1300, room: 1000 },
+        ),
+        (
+            "it forbids pod, which the charter allows; take that out of the charter first",
+            Misfit::Charter { what: what.clone() },
+        ),
+        (
+            "the fleet's facts can't be: pod; the proposer's build is at fault",
+            Misfit::Facts { what },
+        ),
+    ]
+}
+
+fn charter_errors() -> Cases<CharterError> {
+    let (field, found, expected) = ("attempts".into(), "4".into(), "1 to 3".into());
+    vec![
+        (
+            "checking the charter: `attempts` is 4; expected 1 to 3",
+            CharterError::Field { field, found, expected },
+        ),
+        (
+            "the charter leaves out pod 1, which is bedrock; expected all of it: keep that",
+            CharterError::Bedrock { what: "pod 1".into() },
+        ),
+    ]
+}
+
+/// Those that hold one of the errors above stand for it by one of its variants.
+fn refusals() -> Cases<Refusal> {
+    let (misfit, charter) = (misfits().remove(1), charter_errors().remove(1));
+    vec![
+        (
+            "made against revision 3, after which 4 came; the newest is 300: look at that and propose again",
+            Refusal::Lost { base: 3, first: 4, newest: 300 },
+        ),
+        (
+            "revision 3 is not kept; expected one of 4 to 300",
+            Refusal::Unknown { number: 3, oldest: 4, newest: 300 },
+        ),
+        ("the document's error", Refusal::Document("the document's error".into())),
+        (misfit.0, Refusal::Misfit(misfit.1)),
+        (
+            "a trial of 60 s and 100 thousandths; expected 1 to 3600 and 1 to 1000",
+            Refusal::Trial(TRIAL),
+        ),
+        (
+            "revision 3 is not on trial; it was taken back, replaced, or had none",
+            Refusal::NotOnTrial { number: 3 },
+        ),
+        (charter.0, Refusal::Charter(charter.1)),
+        (
+            "another charter is on its way since entry 300; wait until everyone has confirmed it, \
+             or give the old one again to withdraw it",
+            Refusal::Changing { since: 300 },
+        ),
+        ("there is no balancer 300 in a bank of 5", Refusal::NoMember { member: 300, members: 5 }),
+    ]
+}
+
+/// A state in which each stored field differs from its usual value, by entries 1 to 13.
+fn busy_book() -> Book {
+    let mut book = book();
+    let on_trial = |id| Ask { trial: Some(TRIAL), ..ask(id, None) };
+    let canary = |id| Entry::Propose(Box::new(on_trial(id)), Box::new(without(&[3])));
+    let mut to = book.standing().charter.as_ref().clone();
+    to.attempts = 2;
+    for entry in [
+        common::propose(1, Some(0), document_that_fits()),
+        Entry::Charter(Id(2), to, Box::new(common::facts())),
+        Entry::Step(1),
+        Entry::Step(3),
+        canary(5),
+        Entry::Step(4),
+        Entry::TakeBack(5, Why::NotConfirmed),
+        canary(8),
+        Entry::TakeBack(8, Why::WorthFell(300)),
+        Entry::Dead(Id(10), Member(3)),
+        common::propose(11, Some(3), without(&[2])),
+        rollback(12, None, 1),
+        canary(13),
+    ] {
+        next(&mut book, &entry);
+    }
+    book
+}
+
+fn document_that_fits() -> Document {
+    Document { attempts: 2, eldest_list: 41, ..without(&[2]) }
+}
+
+#[test]
+fn lease_messages_keep_their_bytes() {
+    let read = |bytes: &[u8]| Word::from_bytes(bytes).unwrap();
+    assert_bytes(
+        include_str!("formats/lease_messages.txt"),
+        &lease_messages(),
+        Word::to_bytes,
+        read,
+    );
+}
+
+#[test]
+fn list_messages_keep_their_bytes() {
+    let read = |bytes: &[u8]| ListWord::from_bytes(bytes).unwrap();
+    assert_bytes(
+        include_str!("formats/list_messages.txt"),
+        &list_messages(),
+        ListWord::to_bytes,
+        read,
+    );
+}
+
+#[test]
+fn log_entries_keep_their_bytes() {
+    let write = |entry: &Entry| entry.to_bytes().unwrap();
+    let read = |bytes: &[u8]| Entry::from_bytes(bytes).unwrap();
+    assert_bytes(include_str!("formats/log_entries.txt"), &log_entries(), write, read);
+}
+
+#[test]
+fn snapshots_keep_their_bytes() {
+    let mut confirmed = busy_book();
+    next(&mut confirmed, &Entry::CharterConfirmed(4));
+    let cases =
+        vec![("bootstrap", book()), ("busy", busy_book()), ("fallback_confirmed", confirmed)];
+    let write = |book: &Book| book.image().unwrap();
+    let read = |bytes: &[u8]| Book::from_image(bytes).unwrap();
+    assert_bytes(include_str!("formats/snapshots.txt"), &cases, write, read);
+}
+
+#[test]
+fn parts_of_snapshots_keep_their_bytes() {
+    assert_parts(include_str!("formats/origins.txt"), &origins());
+    assert_parts(include_str!("formats/fates.txt"), &fates());
+    assert_parts(include_str!("formats/refusals.txt"), &refusals());
+    assert_parts(include_str!("formats/misfits.txt"), &misfits());
+    assert_parts(include_str!("formats/charter_errors.txt"), &charter_errors());
+    let answers = vec![
+        ("done", Answer { index: 300, outcome: Ok(11) }),
+        ("rejected", Answer { index: 300, outcome: Err(Refusal::NotOnTrial { number: 3 }) }),
+    ];
+    assert_parts(include_str!("formats/answers.txt"), &answers);
+}
+
+#[test]
+fn admin_api_prints_origins_fates_and_errors_as_before() {
+    assert_text(&origins(), |origin| format!("{origin:?}").to_lowercase());
+    assert_text(&fates(), |fate| format!("{fate:?}").to_lowercase());
+    assert_text(&refusals(), ToString::to_string);
+    assert_text(&misfits(), ToString::to_string);
+    assert_text(&charter_errors(), ToString::to_string);
+}
+
+#[test]
+fn documents_keep_their_json() {
+    let json = include_str!("formats/document.json");
+    assert_eq!(serde_json::to_string(&document()).unwrap(), json.trim_end());
+    let text = "{\"out\":{\"upstreams\":[],\"pods\":[],\"flavours\":[],\"sites\":[]},\
+                \"weights\":{\"upstreams\":{},\"pods\":{},\"flavours\":{},\"sites\":{}},\
+                \"kept\":{},\"attempts\":3,\"times\":4.0,\"balancers\":null,\"sessions\":{},\"eldest_list\":0}";
+    assert_eq!(Document::from_json(b"{}").unwrap(), Document::default());
+    assert_eq!(serde_json::to_string(&Document::default()).unwrap(), text);
+}
+
+#[test]
+fn stored_and_posted_fallback_policies_keep_their_json() {
+    let text = r#"{"pods":[1,300],"except":["u7"],"attempts":2}"#;
+    assert_eq!(serde_json::to_string(&charter()).unwrap(), text);
+    assert_eq!(serde_json::from_str::<Charter>(text).unwrap(), charter());
+    let short: Charter = serde_json::from_str(r#"{"pods":[1],"attempts":1}"#).unwrap();
+    assert_eq!(short, Charter { pods: BTreeSet::from([1]), except: BTreeSet::new(), attempts: 1 });
+    let text = r#"{"epoch":1,"index":300}"#;
+    assert_eq!(serde_json::to_string(&GENERATION).unwrap(), text);
+    assert_eq!(serde_json::from_str::<Stage>(text).unwrap(), GENERATION);
+}
+
+#[test]
+fn posted_canary_terms_keep_their_json() {
+    let text = r#"{"seconds":60,"fall":100}"#;
+    assert_eq!(serde_json::to_string(&TRIAL).unwrap(), text);
+    assert_eq!(serde_json::from_str::<Trial>(text).unwrap(), TRIAL);
+}
+
+#[test]
+fn dry_runs_keep_their_json() {
+    let found: Vec<Misfit> =
+        misfits().into_iter().map(|(_, misfit)| misfit).skip(1).take(1).collect();
+    let written =
+        |from, to| serde_json::to_string(&Difference::of(from, to, &found)).unwrap() + "\n";
+    let (usual, changed) = (Document::default(), document());
+    assert_eq!(written(&usual, &changed), include_str!("formats/dry_run.json"));
+    assert_eq!(written(&changed, &usual), include_str!("formats/dry_run_back.json"));
+}
+
+/// The errors of the admin API name keys: as users wrote them, not as fields are called here.
+#[test]
+fn errors_about_posted_documents_name_the_keys_as_before() {
+    for line in include_str!("formats/document_errors.txt").lines() {
+        let (json, text) = line.split_once(" => ").expect("`JSON => error`");
+        assert_eq!(Document::from_json(json.as_bytes()).unwrap_err().to_string(), text, "{json}");
+    }
+}
+
+#[test]
+fn errors_about_long_lists_name_the_keys_as_before() {
+    let names =
+        |more: &str| (0..513).map(|n| format!("\"{n}\"{more}")).collect::<Vec<_>>().join(",");
+    let (list, map, sessions) = (names("").replace('"', ""), names(":1"), names(":600"));
+    let strings = names("");
+    let kept = names(":[1]");
+    let cases = [
+        (
+            format!(r#"{{"out":{{"upstreams":[{strings}]}}}}"#),
+            "`out.upstreams` is 513 long; expected 512 at most",
+        ),
+        (
+            format!(r#"{{"out":{{"pods":[{list}]}}}}"#),
+            "`out.pods` is 513 long; expected 512 at most",
+        ),
+        (
+            format!(r#"{{"out":{{"flavours":[{strings}]}}}}"#),
+            "`out.flavours` is 513 long; expected 64 at most",
+        ),
+        (
+            format!(r#"{{"out":{{"sites":[{strings}]}}}}"#),
+            "`out.sites` is 513 long; expected 64 at most",
+        ),
+        (
+            format!(r#"{{"weights":{{"upstreams":{{{map}}}}}}}"#),
+            "`weights.upstreams` is 513 long; expected 512 at most",
+        ),
+        (
+            format!(r#"{{"weights":{{"pods":{{{map}}}}}}}"#),
+            "`weights.pods` is 513 long; expected 512 at most",
+        ),
+        (
+            format!(r#"{{"weights":{{"flavours":{{{map}}}}}}}"#),
+            "`weights.flavours` is 513 long; expected 64 at most",
+        ),
+        (
+            format!(r#"{{"weights":{{"sites":{{{map}}}}}}}"#),
+            "`weights.sites` is 513 long; expected 64 at most",
+        ),
+        (format!(r#"{{"kept":{{{kept}}}}}"#), "`kept` is 513 long; expected 64 at most"),
+        (format!(r#"{{"kept":{{"log":[{list}]}}}}"#), "`kept` is 513 long; expected 512 at most"),
+        (
+            format!(r#"{{"sessions":{{{sessions}}}}}"#),
+            "`sessions` is 513 long; expected 64 at most",
+        ),
+    ];
+    for (json, text) in cases {
+        let error = Document::from_json(json.as_bytes()).unwrap_err().to_string();
+        assert_eq!(error, format!("checking the document: {text}"));
+    }
+}
+
+#[test]
+fn errors_about_posted_fallback_policies_and_canary_terms_name_the_keys_as_before() {
+    let fallback = [
+        (
+            r#"{"pods":[1],"attempts":1,"pod":[1]}"#,
+            "unknown field `pod`, expected one of `pods`, `except`, `attempts` at line 1 column 30",
+        ),
+        (r#"{"attempts":1}"#, "missing field `pods` at line 1 column 14"),
+        (r#"{"pods":[1]}"#, "missing field `attempts` at line 1 column 12"),
+    ];
+    for (json, text) in fallback {
+        assert_eq!(serde_json::from_str::<Charter>(json).unwrap_err().to_string(), text, "{json}");
+    }
+    let terms = [
+        (
+            r#"{"minutes":1}"#,
+            "unknown field `minutes`, expected `seconds` or `fall` at line 1 column 10",
+        ),
+        (r#"{"fall":100}"#, "missing field `seconds` at line 1 column 12"),
+        (r#"{"seconds":60}"#, "missing field `fall` at line 1 column 14"),
+    ];
+    for (json, text) in terms {
+        assert_eq!(serde_json::from_str::<Trial>(json).unwrap_err().to_string(), text, "{json}");
+    }
+    let wide = |attempts, pods| Charter { attempts, pods, except: BTreeSet::new() };
+    let none = BTreeSet::new();
+    let checks = [
+        (wide(4, none.clone()), "checking the charter: `attempts` is 4; expected 1 to 3"),
+        (
+            wide(1, (0..513).collect()),
+            "checking the charter: `pods` is 513 long; expected 512 at most",
+        ),
+        (
+            Charter { except: BTreeSet::from([String::new()]), ..wide(1, none.clone()) },
+            "checking the charter: `except` is a name that can't be; expected names of 1 to 64 bytes",
+        ),
+        (
+            Charter { except: (0..513).map(|n| n.to_string()).collect(), ..wide(1, none.clone()) },
+            "checking the charter: `except` is 513 long; expected 512 at most",
+        ),
+        (
+            wide(1, none),
+            "the charter leaves out pod 1, which is bedrock; expected all of it: keep that",
+        ),
+        (
+            wide(1, charter().pods),
+            "the charter leaves out 2 attempts, which is bedrock; expected all of it: keep that",
+        ),
+    ];
+    for (policy, text) in checks {
+        assert_eq!(policy.check(&charter()).unwrap_err().to_string(), text);
+    }
+}
