--- a/crates/revision/tests/formats.rs
+++ b/crates/revision/tests/formats.rs
@@ -5,17 +5,19 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt::Debug;
+use std::sync::Arc;
 
 use common::{ask, book, next, rollback, without};
 use hollowpaddle_peers::{Life, Member};
 use hollowpaddle_revision::book::{Book, Refusal};
-use hollowpaddle_revision::charter::{Charter, CharterError};
+use hollowpaddle_revision::charter::{Charter, CharterError, Floor};
 use hollowpaddle_revision::difference::Difference;
 use hollowpaddle_revision::document::Document;
 use hollowpaddle_revision::entry::{Ask, Entry, Id};
 use hollowpaddle_revision::fleet::{ClassFacts, Facts, Group, Misfit};
 use hollowpaddle_revision::history::{Answer, Fate, Origin};
 use hollowpaddle_revision::lists::{ListWord, Stop};
+use hollowpaddle_revision::rules::Rules;
 use hollowpaddle_revision::trial::{Trial, Why};
 use hollowpaddle_revision::words::{No, Stage, Word};
 use serde::Serialize;
@@ -468,3 +470,51 @@
         assert_eq!(policy.check(&charter()).unwrap_err().to_string(), text);
     }
 }
+
+/// Every balancer derives them from the settings: a build that chose others would disagree with its peers.
+#[test]
+fn usual_fallback_policies_keep_their_pods() {
+    let sites = [("bilbao", 0..9), ("oviedo", 100..104)];
+    let sites = sites.into_iter().map(|(site, pods)| (site.to_string(), pods.collect())).collect();
+    let pods = |policy: Charter| policy.pods.into_iter().collect::<Vec<u32>>();
+    assert_eq!(pods(Charter::third(&sites, 1)), [3, 4, 6, 102, 103]);
+    assert_eq!(pods(Charter::bedrock(&sites)), [3, 103]);
+}
+
+#[test]
+fn conflicts_with_the_fallback_policy_and_the_fleet_keep_their_words() {
+    let facts = Facts { sites: vec!["oviedo".into()], ..facts() };
+    let conflicts = |document: Document, pods: &[u32], attempts| -> Vec<String> {
+        let policy = Charter { pods: pods.iter().copied().collect(), attempts, ..charter() };
+        let policy = Charter { except: BTreeSet::new(), ..policy };
+        let rules = Rules::of(document, Arc::new(Floor::of(policy)));
+        facts.misfits(&rules).iter().map(ToString::to_string).collect()
+    };
+    let forbidden = conflicts(document(), &[3, 7, 300], 3);
+    let expected = [
+        "pod 3",
+        "pod 300",
+        "class `log` at pod 7",
+        "3 attempts",
+        "site `oviedo` with its pod 300",
+        "flavour `m2` in pod 300",
+        "upstream `u7`",
+    ]
+    .map(|what| {
+        format!("it forbids {what}, which the charter allows; take that out of the charter first")
+    });
+    assert_eq!(forbidden[..expected.len()], expected);
+    for (json, unknown) in [
+        (r#"{"out":{"upstreams":["u9"]}}"#, "upstream `u9`"),
+        (r#"{"out":{"pods":[9]}}"#, "pod `9`"),
+        (r#"{"out":{"flavours":["m9"]}}"#, "flavour `m9`"),
+        (r#"{"out":{"sites":["lugo"]}}"#, "site `lugo`"),
+        (r#"{"sessions":{"sync":600}}"#, "class `sync`"),
+    ] {
+        let document = Document::from_json(json.as_bytes()).unwrap();
+        let text = format!(
+            "there is no {unknown} now; expected names of the list: correct it, or force it"
+        );
+        assert_eq!(conflicts(document, &[], 1)[0], text);
+    }
+}
