--- a/crates/sessions/src/words.rs
+++ b/crates/sessions/src/words.rs
@@ -136,6 +136,9 @@
     Ok(read)
 }
 
+#[cfg(test)]
+mod formats;
+
 #[cfg(test)]
 mod tests {
     use proptest::prelude::*;
