--- /dev/null
+++ b/crates/day/tests/formats.rs
@@ -0,0 +1,298 @@
+//! The trace of a run and the scenarios that a run is drawn from, exactly as they are written and read.
+
+use std::time::Duration;
+
+use hollowpaddle_day::plan::Plan;
+use hollowpaddle_day::record::{At, Fate, Line, Phase, Resources, Seen, digest, write_trace};
+use hollowpaddle_day::scenario::{
+    Bank, Clients, Expect, Kind, ListService, Load, Repeats, RuleBook, Rules, Scenario, Shape,
+    Vans, Verb,
+};
+use serde_json::json;
+
+const TRACE: &str = include_str!("formats/trace.jsonl");
+/// SHA-256 of the file with the trace.
+const TRACE_DIGEST: &str = "3bc9f10d36004092a17557ad048f6cbece11d502ef18b2c5c23e25ee75b4ca32";
+const EVERY_KEY: &str = include_str!("formats/every-key.toml");
+const CLOSED_LOOP: &str = include_str!("formats/closed-loop.toml");
+
+/// One event of each kind, in the order in which the type lists them.
+fn events() -> Vec<Seen> {
+    vec![
+        Seen::Sent { request: 1, balancer: 2, start: 3, class: 4, again: true },
+        Seen::Unreachable { request: 6, balancer: 7 },
+        Seen::Answered { request: 8, status: 9, attempt: Some(11), retry_after_ms: Some(13) },
+        Seen::Broken { request: 14, begun: true },
+        Seen::Extra { balancer: 16, request: Some(18), bytes: 19 },
+        Seen::Left { request: 20 },
+        Seen::GaveUp { request: 21 },
+        Seen::Attempt {
+            attempt: 22,
+            request: 23,
+            node: 24,
+            balancer: 25,
+            start: 26,
+            first: At(27),
+            dark: true,
+            work_ms: 29.5,
+        },
+        Seen::Ran { attempt: 30 },
+        Seen::Ended { attempt: 31, fate: Fate::Served },
+        Seen::Closed { attempt: 33 },
+        Seen::Linked { node: 34, balancer: 35 },
+        Seen::Partial { node: 36, balancer: 37 },
+        Seen::Stranger { node: 38, balancer: 39, what: "text-40".into() },
+        Seen::Up { node: 41, full: 42.5, cold_from: 43.5, cold_ms: 44.5 },
+        Seen::Warmth { node: 45, share: 46.5 },
+        Seen::Tipped { node: 47 },
+        Seen::Down { node: 48 },
+        Seen::Listed { node: 49, phase: Phase::Serving, since: At(51) },
+        Seen::Told { balancer: 52, node: 53, phase: Phase::Serving, since: At(55), revision: 56 },
+        Seen::Called { balancer: 57 },
+        Seen::Asked { balancer: 58, watch: 59 },
+        Seen::Unheard { balancer: 60, watch: Some(62) },
+        Seen::Started { balancer: 63, start: 64 },
+        Seen::Ready { balancer: 65, start: 66 },
+        Seen::Killed { balancer: 67, start: 68 },
+        Seen::Stopping { balancer: 69, start: 70 },
+        Seen::Paused { balancer: 71, start: 72 },
+        Seen::Resumed { balancer: 73, start: 74 },
+        Seen::Stored { balancer: 75, files: 76 },
+        Seen::Datagram { from: 77, to: 78, bytes: 79, copies: 80 },
+        Seen::Said {
+            call: 81,
+            tries: 82,
+            balancer: 83,
+            verb: Verb::Revision,
+            id: Some("text-86".into()),
+            member: Some(88),
+        },
+        Seen::Heard {
+            call: 89,
+            balancer: 90,
+            verb: Verb::Revision,
+            status: Some(93),
+            number: Some(95),
+            everywhere: true,
+            why: Some("text-98".into()),
+        },
+        Seen::Stands {
+            balancer: 99,
+            start: 100,
+            asked: At(101),
+            revision: 102,
+            towards: Some(104),
+            newest: 105,
+            held: true,
+            unconfirmed: true,
+            charter: vec![108, 109],
+            except: vec!["text-109".into()],
+            awaited: true,
+            leader: Some(112),
+            epoch: 113,
+        },
+        Seen::Revision {
+            balancer: 114,
+            start: 115,
+            epoch: 116,
+            number: 117,
+            document: json!({"attempts": 2}),
+        },
+        Seen::CutOff { balancer: 119, begins: true },
+        Seen::Exited { balancer: 121, start: 122, code: Some(124) },
+        Seen::Fault { fault: 125, begins: true },
+    ]
+}
+
+/// The time of the first line; each later one is a microsecond later.
+const FIRST_LINE: u64 = 1000;
+
+fn trace() -> Vec<Line> {
+    let times = FIRST_LINE..;
+    times.zip(events()).map(|(at, seen)| Line { at: At(at), seen }).collect()
+}
+
+fn written(lines: &[Line]) -> String {
+    let mut text = Vec::new();
+    write_trace(lines, &mut text).expect("written to memory");
+    String::from_utf8(text).expect("UTF-8")
+}
+
+#[test]
+fn trace_is_written_byte_for_byte() {
+    for (written, expected) in written(&trace()).lines().zip(TRACE.lines()) {
+        assert_eq!(written, expected);
+    }
+    assert_eq!(written(&trace()), TRACE);
+    assert_eq!(digest(&trace()), TRACE_DIGEST);
+}
+
+#[test]
+fn values_that_a_trace_enumerates_keep_their_names() {
+    for (fate, name) in [
+        (Fate::Served, "served"),
+        (Fate::Dropped, "dropped"),
+        (Fate::Error, "error"),
+        (Fate::TurnedAway, "turned-away"),
+        (Fate::Spoilt, "spoilt"),
+        (Fate::Died, "died"),
+        (Fate::Abandoned, "abandoned"),
+    ] {
+        assert_eq!(json!(fate), name);
+    }
+    for (phase, name) in
+        [(Phase::Serving, "SERVING"), (Phase::Draining, "DRAINING"), (Phase::Deleted, "DELETED")]
+    {
+        assert_eq!((json!(phase), phase.word()), (json!(name), name));
+    }
+    for (verb, name) in [
+        (Verb::Revision, "revision"),
+        (Verb::Rollback, "rollback"),
+        (Verb::Cordon, "cordon"),
+        (Verb::Uncordon, "uncordon"),
+        (Verb::Charter, "charter"),
+        (Verb::Dead, "dead"),
+        (Verb::Alive, "alive"),
+        (Verb::Replace, "replace"),
+    ] {
+        assert_eq!(json!(verb), name);
+    }
+}
+
+#[test]
+fn missing_values_and_resources_keep_their_form() {
+    let unanswered =
+        Seen::Answered { request: 1, status: 503, attempt: None, retry_after_ms: None };
+    assert_eq!(
+        written(&[Line { at: At(5), seen: unanswered }]),
+        "{\"at\":5,\"saw\":\"answered\",\"request\":1,\"status\":503,\"attempt\":null,\"retry_after_ms\":null}\n"
+    );
+    let resources = Resources { memory_kib: 1, descriptors: 2, cpu_ms: 3 };
+    assert_eq!(json!(resources), json!({"memory_kib": 1, "descriptors": 2, "cpu_ms": 3}));
+}
+
+#[test]
+fn scenarios_with_every_key_are_drawn_to_the_same_plan() {
+    for (text, seed, plan_digest) in [
+        (EVERY_KEY, 1, "9c9254eae40fbcd7791daba92740ae3e3c3d5a437bbfcfa51e2089799743a5ef"),
+        (CLOSED_LOOP, 1, "ca7625e828f77a5547d5a85a4b6275d613dc7468db3d59fd08394b8baa5ac493"),
+    ] {
+        let scenario = Scenario::read("scenario.toml", text).expect("every key is known");
+        assert_eq!(Plan::draw(&scenario, seed).digest(), plan_digest, "{}", scenario.name);
+    }
+}
+
+fn ms(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
+}
+
+/// The parts of the scenario with every key of which the plan holds little or nothing.
+#[test]
+fn every_key_is_read_into_the_field_that_it_names() {
+    let scenario = Scenario::read("scenario.toml", EVERY_KEY).expect("every key is known");
+    let small = Kind {
+        name: "small".into(),
+        share: 2.0,
+        cores: 2,
+        speed: 1.5,
+        speed_cv: 0.2,
+        slots: 7,
+        queue: 3,
+        crowding_from: 1.4,
+        crowding_loss: 0.6,
+        cold_from: 0.3,
+        cold: ms(16_000),
+        connections: 43,
+        handshake_ms: 5.0,
+        error_rate: 0.01,
+    };
+    let book = RuleBook {
+        off: false,
+        council: vec![0, 1, 2],
+        charter: Some(vec![0, 1]),
+        bedrock: Some(vec![0]),
+        look: ms(150),
+    };
+    let balancers = Bank {
+        count: 4,
+        memory_mb: 256,
+        sockets: 2048,
+        notice: ms(3_000),
+        subset: Some((5.0, 10)),
+        peers: true,
+        keeps_state: true,
+        book,
+    };
+    let repeats = Repeats { share: 0.5, most: 3, heed: false, wait: ms(300), marked: false };
+    let clients = Clients { leave_share: 0.05, connections: 200, repeats };
+    let load = Load { of_capacity: 0.1, shape: Shape::Wave, swing: 0.4, closed: None };
+    let list = ListService {
+        asked: false,
+        notice: ms(2_000),
+        silent_notice: ms(7_000),
+        add: ms(2_000),
+        period: ms(400),
+        call: ms(30),
+        call_timeout: ms(900),
+        report_period: ms(200),
+        report_delay: ms(70),
+        report_noise: 0.2,
+    };
+    let rules = Rules {
+        max_attempts: 2,
+        drain_grace: ms(400),
+        fall_multiple: 3.0,
+        tip_after: ms(1_500),
+        ask_every: ms(9_000),
+        max_retry_after: ms(1_800),
+        connect_timeout: ms(200),
+        keepalive: ms(4_000),
+    };
+    let expect = Expect {
+        full_service: Some(ms(10_000)),
+        connects_times: Some(3.0),
+        list_calls_times: Some(4.0),
+        attempts_times: Some(1.5),
+        datagrams_times: Some(2.0),
+        crowd_share: Some(0.5),
+        stale: Some(1),
+        service: Some(0.9),
+        ran_twice: Some(2),
+        at_their_pod: Some(0.8),
+        contradiction: Some(ms(3_000)),
+        in_force: Some(ms(4_000)),
+    };
+    let vans = Vans {
+        count: 20,
+        stranger_work_ms: 3.0,
+        forgotten: ms(500_000),
+        move_share: 0.5,
+        moves_at: ms(10_000),
+        moves_over: ms(5_000),
+        back_after: Some(ms(20_000)),
+        again_share: 0.3,
+        again_within: ms(1_500),
+        again_after: ms(200),
+    };
+    assert_eq!(scenario.fleet.kinds[0], small);
+    assert_eq!(
+        (scenario.fleet.same_zone, scenario.fleet.cross_zone),
+        (Duration::from_micros(500), ms(8))
+    );
+    assert_eq!(scenario.bank, balancers);
+    assert_eq!(scenario.clients, clients);
+    assert_eq!(scenario.load, load);
+    assert_eq!(scenario.list, list);
+    assert_eq!(scenario.rules, rules);
+    assert_eq!(scenario.expect, expect);
+    assert_eq!(scenario.vans, Some(vans));
+}
+
+#[test]
+fn every_kind_of_fault_is_read_under_its_own_name() {
+    let scenario = Scenario::read("scenario.toml", EVERY_KEY).expect("every key is known");
+    let kinds: Vec<&str> = EVERY_KEY.lines().filter_map(|l| l.strip_prefix("kind = ")).collect();
+    let names: Vec<String> =
+        scenario.faults.iter().map(|fault| format!("\"{}\"", fault.kind.name())).collect();
+    assert_eq!(names, kinds);
+}
