--- a/crates/council/tests/agreement.rs
+++ b/crates/consensus/tests/agreement.rs
@@ -20,7 +20,7 @@
         let down = |w: &World, but: u16| {
             let forgot = |n: &world::Node| {
                 n.council.as_ref().is_none_or(|c| {
-                    use hollowpaddle_council::Standing::{Blank, Mute, Waking};
+                    use hollowpaddle_consensus::Standing::{Blank, Mute, Waking};
                     matches!(c.standing(), Blank | Mute | Waking)
                 })
             };
@@ -96,7 +96,7 @@
     days(from.map_or(0..2000, |s: u64| s..s + 1));
 }
 
-/// `cargo test --release -p hollowpaddle-council --test agreement -- --ignored`.
+/// `cargo test --release -p hollowpaddle-consensus --test agreement -- --ignored`.
 #[test]
 #[ignore = "minutes; run it by name after a change of the machine"]
 fn many_more_days() {
--- a/crates/council/tests/formats.rs
+++ b/crates/consensus/tests/formats.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use hex::{assert_all_recorded, assert_recorded, recorded};
-use hollowpaddle_council::{
+use hollowpaddle_consensus::{
     Base, COUNCIL_MAX, Counts, Directory, Durable, ENTRY_MAX, Entry, FILE_MAX, Hello, Index, Learn,
     Learned, Learner, LearnerSettings, Log, Members, Outcome, PART, Part, ProposalId, Record,
     SNAPSHOT_MAX, Say, Standing, State, Store, StoreError, VERSION, View, WORD_MAX, What, Word,
--- a/crates/council/tests/leaders.rs
+++ b/crates/consensus/tests/leaders.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use hollowpaddle_council::ProposalId;
+use hollowpaddle_consensus::ProposalId;
 use world::{World, ms};
 
 /// A bank of five that leads, with a share of words lost.
--- a/crates/council/tests/learners.rs
+++ b/crates/consensus/tests/learners.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use hollowpaddle_council::{Index, Learn, Outcome, ProposalId, Standing};
+use hollowpaddle_consensus::{Index, Learn, Outcome, ProposalId, Standing};
 use hollowpaddle_peers::{Life, Member};
 use world::{App, World, ms};
 
@@ -194,7 +194,7 @@
         world.crash(dead);
         world.for_ms(300);
         let id = ProposalId { by: Member(1), life: Life(9), number: seed };
-        let replace = hollowpaddle_council::Operators::Replace {
+        let replace = hollowpaddle_consensus::Operators::Replace {
             id,
             out: Member(dead),
             then: Some(Member(3)),
@@ -202,7 +202,7 @@
         // The one that is asked answers as a leader or not at all.
         for _ in 0..20 {
             let leader = world.leader().unwrap_or(leader);
-            world.event(leader, hollowpaddle_council::Event::Operators(replace.clone()));
+            world.event(leader, hollowpaddle_consensus::Event::Operators(replace.clone()));
             world.for_ms(200);
         }
         world.for_ms(2500);
@@ -243,7 +243,7 @@
     let members = [21, 28, 1].map(Member).to_vec();
     world.event(
         21,
-        hollowpaddle_council::Event::Operators(hollowpaddle_council::Operators::Restore {
+        hollowpaddle_consensus::Event::Operators(hollowpaddle_consensus::Operators::Restore {
             members,
         }),
     );
--- a/crates/council/tests/lives.rs
+++ b/crates/consensus/tests/lives.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeSet;
 
-use hollowpaddle_council::{
+use hollowpaddle_consensus::{
     Action, Council, Counts, Event, Hello, Say, Standing, View, What, Word,
 };
 use hollowpaddle_peers::{Life, Member};
@@ -95,7 +95,7 @@
     let (mut one, others) = Alone::of(3, true);
     let (a, view) = (others[0], one.council.view());
     let committed = one.council.committed().op();
-    let id = hollowpaddle_council::ProposalId::default();
+    let id = hollowpaddle_consensus::ProposalId::default();
     let propose = |id| Say::Propose { id, what: Some(What::Bytes(vec![1])) };
     one.hear(Member(0), View::default(), &[], propose(id));
     let b = *one.council.members().list.iter().find(|m| **m != a && **m != view.leader).expect("b");
--- a/crates/council/tests/store.rs
+++ b/crates/consensus/tests/store.rs
@@ -4,7 +4,7 @@
 
 use std::collections::BTreeSet;
 
-use hollowpaddle_council::{
+use hollowpaddle_consensus::{
     Base, Counts, Doubt, Durable, Entry, ProposalId, Record, Store, StoreError, View, What,
 };
 use hollowpaddle_faultpoints::{Fault, Kind, Plan, Points};
--- a/crates/council/tests/words.rs
+++ b/crates/consensus/tests/words.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use hollowpaddle_council::{
+use hollowpaddle_consensus::{
     Action, Council, Counts, Event, Learn, Learner, LearnerSettings, Members, Outcome, Part,
     ProposalId, Say, Settings, View, WORD_MAX, What, Word, WordError, default_council, order,
     parent,
@@ -69,7 +69,9 @@
     let told: Vec<_> = actions
         .iter()
         .filter_map(|a| match a {
-            hollowpaddle_council::Learned::Answered { id, outcome } => Some((id.number, *outcome)),
+            hollowpaddle_consensus::Learned::Answered { id, outcome } => {
+                Some((id.number, *outcome))
+            }
             _ => None,
         })
         .collect();
@@ -162,7 +164,7 @@
 
 #[test]
 fn a_learner_goes_back_to_no_lesser_epoch_and_tells_the_leader_of_its_own() {
-    use hollowpaddle_council::{Base, Entry, Index, Learned};
+    use hollowpaddle_consensus::{Base, Entry, Index, Learned};
     let settings = LearnerSettings { me: Member(3), council: vec![Member(0)], bank: 4, seed: 1 };
     let mut learner = Learner::new(ms(0), settings);
     let mut actions = Vec::new();
--- a/crates/council/tests/world/mod.rs
+++ b/crates/consensus/tests/world/mod.rs
@@ -8,7 +8,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use hollowpaddle_council::{
+use hollowpaddle_consensus::{
     Action, Council, Disk, Durable, Entry, Event, Index, Learn, Learned, Learner, LearnerSettings,
     Members, Outcome, ProposalId, Say, Settings, Standing, Store, StoreError, View, What, Word,
 };
--- a/crates/gateway/src/bank/durable.rs
+++ b/crates/gateway/src/bank/durable.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use hollowpaddle_council::{self as council, Durable, Record, StoreError};
+use hollowpaddle_consensus::{self as council, Durable, Record, StoreError};
 use hollowpaddle_faultpoints::{Fault, Kind, Points};
 use hollowpaddle_peers::Member;
 use hollowpaddle_revision::charter::Charter;
--- a/crates/gateway/src/bank/machine.rs
+++ b/crates/gateway/src/bank/machine.rs
@@ -8,8 +8,8 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use hollowpaddle_council as council;
-use hollowpaddle_council::{Council, Durable, Learn, Learned, Learner, LearnerSettings};
+use hollowpaddle_consensus as council;
+use hollowpaddle_consensus::{Council, Durable, Learn, Learned, Learner, LearnerSettings};
 use hollowpaddle_peers as peers;
 use hollowpaddle_peers::{Life, Member, Wire};
 use hollowpaddle_revision::book::{Book, Founding};
--- a/crates/gateway/src/bank/machine/between.rs
+++ b/crates/gateway/src/bank/machine/between.rs
@@ -1,6 +1,6 @@
 //! What one of a balancer's machines has for another, or for the shell.
 
-use hollowpaddle_council::{self as council, Learn, Learned, Say, What};
+use hollowpaddle_consensus::{self as council, Learn, Learned, Say, What};
 use hollowpaddle_peers::{self as peers, Channel, How, Member};
 use hollowpaddle_revision::book::Book;
 use hollowpaddle_revision::lists::ListWord;
--- a/crates/gateway/src/bank/machine/calls.rs
+++ b/crates/gateway/src/bank/machine/calls.rs
@@ -1,6 +1,6 @@
 //! Calls from a door that wait for an answer: from the proposal to the book's word on it.
 
-use hollowpaddle_council::{self as council, Learn};
+use hollowpaddle_consensus::{self as council, Learn};
 use hollowpaddle_revision::book::Refusal;
 use hollowpaddle_revision::entry::{Entry, Id};
 
--- a/crates/gateway/src/bank/mod.rs
+++ b/crates/gateway/src/bank/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollowpaddle_council::{Durable, default_council};
+use hollowpaddle_consensus::{Durable, default_council};
 use hollowpaddle_faultpoints::Points;
 use hollowpaddle_peers::{Life, Member};
 use hollowpaddle_revision::book::Founding;
--- a/crates/gateway/src/bank/shell.rs
+++ b/crates/gateway/src/bank/shell.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollowpaddle_council::Record;
+use hollowpaddle_consensus::Record;
 use hollowpaddle_faultpoints::{Fault, Kind, Points};
 use hollowpaddle_net::{DATAGRAM, Datagrams, Network, receive};
 use hollowpaddle_peers::Member;
--- a/crates/models/src/agreement.rs
+++ b/crates/models/src/agreement.rs
@@ -8,7 +8,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use hollowpaddle_council::{
+use hollowpaddle_consensus::{
     Action as Act, Council, Durable, Entry, Event, Index, Outcome, ProposalId, Record, Say,
     Settings, Standing, View, What, Word,
 };
--- a/crates/models/src/world.rs
+++ b/crates/models/src/world.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::Duration;
 
-use hollowpaddle_council::Durable;
-use hollowpaddle_council::Standing;
+use hollowpaddle_consensus::Durable;
+use hollowpaddle_consensus::Standing;
 use hollowpaddle_gateway::bank::machine::{Action, Answer, Event, Machine, Setup};
 use hollowpaddle_peers::{Life, Member};
 use hollowpaddle_revision::book::Founding;
@@ -54,7 +54,7 @@
 impl Plan {
     /// One without faults, and the usual council.
     pub fn whole(seed: u64, size: u16) -> Self {
-        let council = hollowpaddle_council::default_council(size).iter().map(|m| m.0).collect();
+        let council = hollowpaddle_consensus::default_council(size).iter().map(|m| m.0).collect();
         Self {
             seed,
             size,
