--- a/crates/gateway/src/kept.rs
+++ b/crates/gateway/src/kept.rs
@@ -1,14 +1,14 @@
 //! What a balancer keeps for its next start, and what it goes on from at this one. Believed is what
-//! `hollowpaddle_comeback` says, stored is what `hollowpaddle_snapshot` does; here they meet the engine.
+//! `hollowpaddle_recovery` says, stored is what `hollowpaddle_snapshot` does; here they meet the engine.
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollowpaddle_comeback::{Belief, SETTLED, Starts, Way, What, belief};
 use hollowpaddle_operations::{Copied, Words};
 use hollowpaddle_policy::learned::Learned;
+use hollowpaddle_recovery::{Belief, SETTLED, Starts, Way, What, belief};
 use hollowpaddle_snapshot::{Found, Saver, Status};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use tokio::time::{Instant, sleep};
--- a/crates/gateway/src/restored_list.rs
+++ b/crates/gateway/src/restored_list.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use hollowpaddle_comeback::{Belief, What, belief};
+use hollowpaddle_recovery::{Belief, What, belief};
 use rustc_hash::FxHashSet;
 
 use crate::members::{List, Phase};
--- a/crates/comeback/tests/beliefs.rs
+++ b/crates/recovery/tests/beliefs.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hollowpaddle_comeback::{Belief, What, belief, oldest};
+use hollowpaddle_recovery::{Belief, What, belief, oldest};
 
 const MS: Duration = Duration::from_millis(1);
 
--- a/crates/comeback/tests/formats.rs
+++ b/crates/recovery/tests/formats.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hollowpaddle_comeback::{Starts, Way};
+use hollowpaddle_recovery::{Starts, Way};
 
 const FIRST_START: Duration = Duration::from_millis(1_786_000_000_123);
 const SECOND_START: Duration = Duration::from_millis(1_786_000_001_000);
--- a/crates/comeback/tests/loops.rs
+++ b/crates/recovery/tests/loops.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hollowpaddle_comeback::{MANY, REMEMBERED, SETTLED, Starts, TOO_MANY, WINDOW, Way};
+use hollowpaddle_recovery::{MANY, REMEMBERED, SETTLED, Starts, TOO_MANY, WINDOW, Way};
 use proptest::prelude::*;
 
 const NOON: Duration = Duration::from_secs(1_786_000_000);
