--- a/crates/ctl/src/in_process.rs
+++ b/crates/ctl/src/in_process.rs
@@ -10,7 +10,7 @@
 use hollowpaddle_faultpoints::Points;
 use hollowpaddle_gateway::bank;
 use hollowpaddle_gateway::{Config, Keep, Kept, Operating, Provided, serve};
-use hollowpaddle_operations::Store;
+use hollowpaddle_operator_commands::Store;
 use hollowpaddle_policy::settings::stable_hash;
 use hollowpaddle_rehearsal::bank::{Control, Launch, LaunchError, Launcher, Running};
 use hollowpaddle_rehearsal::frozen::Frozen;
--- a/crates/gateway/src/kept.rs
+++ b/crates/gateway/src/kept.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollowpaddle_operations::{Copied, Words};
+use hollowpaddle_operator_commands::{Copied, Words};
 use hollowpaddle_policy::learned::Learned;
 use hollowpaddle_recovery::{Belief, SETTLED, Starts, Way, What, belief};
 use hollowpaddle_snapshot::{Found, Saver, Status};
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -1,5 +1,5 @@
 //! The operators' door: reads their calls, keeps what they say where the next process finds it, and has the balancer
-//! do it. What a call means is in `hollowpaddle_operations`; how the balancer does it is its own.
+//! do it. What a call means is in `hollowpaddle_operator_commands`; how the balancer does it is its own.
 
 use std::cell::{Cell, RefCell};
 use std::collections::{BTreeSet, VecDeque};
@@ -9,8 +9,8 @@
 
 use bytes::Bytes;
 use hollowpaddle_net::{Listener, accept};
-use hollowpaddle_operations::call::BODY_LIMIT;
-use hollowpaddle_operations::{Call, Copied, Said, Started, Store, StoreError, Words};
+use hollowpaddle_operator_commands::call::BODY_LIMIT;
+use hollowpaddle_operator_commands::{Call, Copied, Said, Started, Store, StoreError, Words};
 use hollowpaddle_policy::learned::Learned;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use hollowpaddle_net::{Listener, Network};
-use hollowpaddle_operations::{Copied, Words};
+use hollowpaddle_operator_commands::{Copied, Words};
 use hollowpaddle_policy::learned::Learned;
 use hollowpaddle_revision::fleet::ClassFacts;
 use tokio::sync::{mpsc, oneshot};
--- a/crates/operations/tests/formats.rs
+++ b/crates/operator-commands/tests/formats.rs
@@ -4,7 +4,7 @@
 use std::fs;
 use std::path::Path;
 
-use hollowpaddle_operations::{Call, Copied, Said, Store, StoreError, Words};
+use hollowpaddle_operator_commands::{Call, Copied, Said, Store, StoreError, Words};
 
 const FULL_STATE: &str = include_str!("formats/operator-state.json");
 const EMPTY_STATE: &str = r#"{"cordoned":[],"quiesced":false,"starts":0,"processes":{}}"#;
--- a/crates/operations/tests/store.rs
+++ b/crates/operator-commands/tests/store.rs
@@ -2,7 +2,7 @@
 
 use std::fs;
 
-use hollowpaddle_operations::{Store, StoreError};
+use hollowpaddle_operator_commands::{Store, StoreError};
 
 fn dir() -> tempfile::TempDir {
     tempfile::tempdir().expect("a directory")
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -15,7 +15,7 @@
 use hollowpaddle_gateway::config::BankConfig;
 use hollowpaddle_gateway::{Config, Kept, Operating, Provided, serve};
 use hollowpaddle_net::{Listener, Network, Tcp};
-use hollowpaddle_operations::Store;
+use hollowpaddle_operator_commands::Store;
 use hollowpaddle_snapshot::{Directory, Saver, Status};
 use tokio::signal::unix::{SignalKind, signal};
 use tokio::sync::mpsc;
