--- a/crates/consensus/src/council.rs
+++ b/crates/consensus/src/council.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use hollowpaddle_peers::{Life, Member};
+use hollowpaddle_peer_transport::{Life, Member};
 
 use crate::log::{Base, Log, Transfer};
 use crate::record::{Durable, Record};
@@ -406,7 +406,9 @@
     }
 
     fn say(&mut self, to: Member, word: Word, actions: &mut Vec<Action>) {
-        if to == self.settings.me && word.say.channel() == hollowpaddle_peers::Channel::Council {
+        if to == self.settings.me
+            && word.say.channel() == hollowpaddle_peer_transport::Channel::Council
+        {
             self.own.push_back(word);
         } else {
             actions.push(Action::Send { to, word });
--- a/crates/consensus/src/learner.rs
+++ b/crates/consensus/src/learner.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hollowpaddle_peers::{Life, Member};
+use hollowpaddle_peer_transport::{Life, Member};
 
 use crate::log::{Base, Blob, Log};
 use crate::normal::SNAPSHOT_EVERY;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollowpaddle_peers::Member;
+use hollowpaddle_peer_transport::Member;
 use serde::{Deserialize, Serialize};
 
 use crate::words::{Entry, Members, PART, Part, ProposalId, SNAPSHOT_MAX, View};
--- a/crates/consensus/src/normal.rs
+++ b/crates/consensus/src/normal.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use hollowpaddle_peers::{Life, Member};
+use hollowpaddle_peer_transport::{Life, Member};
 
 use crate::council::{Action, Council};
 use crate::record::Record;
--- a/crates/consensus/src/store.rs
+++ b/crates/consensus/src/store.rs
@@ -14,7 +14,7 @@
 use std::io::{self, ErrorKind};
 
 use hollowpaddle_faultpoints::{Fault, Kind, Points};
-use hollowpaddle_peers::Member;
+use hollowpaddle_peer_transport::Member;
 
 use crate::disk::Disk;
 use crate::record::{Durable, Record};
--- a/crates/consensus/src/tree.rs
+++ b/crates/consensus/src/tree.rs
@@ -1,7 +1,7 @@
 //! Who learns from whom: a tree with the leader at its root and eight children at most, the same at
 //! everybody that knows the leader and the council.
 
-use hollowpaddle_peers::Member;
+use hollowpaddle_peer_transport::Member;
 
 use crate::words::Members;
 
--- a/crates/consensus/src/views.rs
+++ b/crates/consensus/src/views.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hollowpaddle_peers::Member;
+use hollowpaddle_peer_transport::Member;
 
 use crate::council::{Action, Council, DEAF, Founding, Joined, Lead, PATIENCE, Peer, ROUND};
 use crate::log::{Log, Transfer};
--- a/crates/consensus/src/waking.rs
+++ b/crates/consensus/src/waking.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hollowpaddle_peers::Member;
+use hollowpaddle_peer_transport::Member;
 
 use crate::council::{Action, Council, Founding, Lead, PATIENCE, ROUND};
 use crate::log::{Base, Log, Transfer};
--- a/crates/consensus/src/words.rs
+++ b/crates/consensus/src/words.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use hollowpaddle_peers::{Channel, Life, Member};
+use hollowpaddle_peer_transport::{Channel, Life, Member};
 use serde::{Deserialize, Serialize};
 
 /// Longest entry, in bytes. Longer ones are refused at the door: every voter and learner holds hundreds.
--- a/crates/consensus/tests/formats.rs
+++ b/crates/consensus/tests/formats.rs
@@ -1,7 +1,7 @@
 //! What of this package leaves a process, byte for byte as recorded in `tests/formats`: messages, a voter's
 //! log and the names of its files, snapshots, and strings that the admin API shows.
 
-#[path = "../../peers/tests/formats/hex.rs"]
+#[path = "../../peer-transport/tests/formats/hex.rs"]
 mod hex;
 
 use std::collections::BTreeSet;
@@ -16,7 +16,7 @@
     SNAPSHOT_MAX, Say, Standing, State, Store, StoreError, VERSION, View, WORD_MAX, What, Word,
 };
 use hollowpaddle_faultpoints::{Fault, Kind, Plan, Points};
-use hollowpaddle_peers::{Channel, Life, Member, decode, encode};
+use hollowpaddle_peer_transport::{Channel, Life, Member, decode, encode};
 
 const CLUSTER: u64 = 0x1122_3344_5566_7788;
 const VOTER: Member = Member(300);
--- a/crates/consensus/tests/learners.rs
+++ b/crates/consensus/tests/learners.rs
@@ -3,7 +3,7 @@
 mod world;
 
 use hollowpaddle_consensus::{Index, Learn, Outcome, ProposalId, Standing};
-use hollowpaddle_peers::{Life, Member};
+use hollowpaddle_peer_transport::{Life, Member};
 use world::{App, World, ms};
 
 const FIVE: [u16; 5] = [0, 7, 14, 21, 28];
--- a/crates/consensus/tests/lives.rs
+++ b/crates/consensus/tests/lives.rs
@@ -7,7 +7,7 @@
 use hollowpaddle_consensus::{
     Action, Council, Counts, Event, Hello, Say, Standing, View, What, Word,
 };
-use hollowpaddle_peers::{Life, Member};
+use hollowpaddle_peer_transport::{Life, Member};
 use world::{World, ms};
 
 /// One member on its own, to which words are brought by hand.
--- a/crates/consensus/tests/store.rs
+++ b/crates/consensus/tests/store.rs
@@ -8,7 +8,7 @@
     Base, Counts, Doubt, Durable, Entry, ProposalId, Record, Store, StoreError, View, What,
 };
 use hollowpaddle_faultpoints::{Fault, Kind, Plan, Points};
-use hollowpaddle_peers::{Life, Member};
+use hollowpaddle_peer_transport::{Life, Member};
 use world::{Played, World, ms};
 
 fn entry(number: u64, length: usize) -> Entry {
--- a/crates/consensus/tests/words.rs
+++ b/crates/consensus/tests/words.rs
@@ -7,7 +7,7 @@
     ProposalId, Say, Settings, View, WORD_MAX, What, Word, WordError, default_council, order,
     parent,
 };
-use hollowpaddle_peers::{Life, Member};
+use hollowpaddle_peer_transport::{Life, Member};
 use proptest::prelude::*;
 use world::{World, ms};
 
--- a/crates/consensus/tests/world/mod.rs
+++ b/crates/consensus/tests/world/mod.rs
@@ -13,7 +13,7 @@
     Members, Outcome, ProposalId, Say, Settings, Standing, Store, StoreError, View, What, Word,
 };
 use hollowpaddle_faultpoints::Points;
-use hollowpaddle_peers::{Channel, Life, Member};
+use hollowpaddle_peer_transport::{Channel, Life, Member};
 use oorandom::Rand64;
 
 pub const fn ms(ms: u64) -> Duration {
--- a/crates/gateway/src/bank/door.rs
+++ b/crates/gateway/src/bank/door.rs
@@ -3,7 +3,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use hollowpaddle_peers::Member;
+use hollowpaddle_peer_transport::Member;
 use hollowpaddle_revision::book::{Book, Refusal};
 use hollowpaddle_revision::charter::Charter;
 use hollowpaddle_revision::document::Document;
--- a/crates/gateway/src/bank/machine.rs
+++ b/crates/gateway/src/bank/machine.rs
@@ -10,8 +10,8 @@
 
 use hollowpaddle_consensus as council;
 use hollowpaddle_consensus::{Council, Durable, Learn, Learned, Learner, LearnerSettings};
-use hollowpaddle_peers as peers;
-use hollowpaddle_peers::{Life, Member, Wire};
+use hollowpaddle_peer_transport as peers;
+use hollowpaddle_peer_transport::{Life, Member, Wire};
 use hollowpaddle_revision::book::{Book, Founding};
 use hollowpaddle_revision::charter::Charter;
 use hollowpaddle_revision::entry::{Entry, Id};
--- a/crates/gateway/src/bank/machine/between.rs
+++ b/crates/gateway/src/bank/machine/between.rs
@@ -1,7 +1,7 @@
 //! What one of a balancer's machines has for another, or for the shell.
 
 use hollowpaddle_consensus::{self as council, Learn, Learned, Say, What};
-use hollowpaddle_peers::{self as peers, Channel, How, Member};
+use hollowpaddle_peer_transport::{self as peers, Channel, How, Member};
 use hollowpaddle_revision::book::Book;
 use hollowpaddle_revision::lists::ListWord;
 use hollowpaddle_revision::{leases, lists};
--- a/crates/gateway/src/bank/mod.rs
+++ b/crates/gateway/src/bank/mod.rs
@@ -13,7 +13,7 @@
 
 use hollowpaddle_consensus::{Durable, default_council};
 use hollowpaddle_faultpoints::Points;
-use hollowpaddle_peers::{Life, Member};
+use hollowpaddle_peer_transport::{Life, Member};
 use hollowpaddle_revision::book::Founding;
 use hollowpaddle_revision::charter::Charter;
 use hollowpaddle_revision::document::Document;
--- a/crates/gateway/src/bank/shell.rs
+++ b/crates/gateway/src/bank/shell.rs
@@ -9,7 +9,7 @@
 use hollowpaddle_consensus::Record;
 use hollowpaddle_faultpoints::{Fault, Kind, Points};
 use hollowpaddle_net::{DATAGRAM, Datagrams, Network, receive};
-use hollowpaddle_peers::Member;
+use hollowpaddle_peer_transport::Member;
 use hollowpaddle_revision::charter::Charter;
 use hollowpaddle_revision::entry::{Entry, Id};
 use hollowpaddle_revision::fleet::Facts;
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use hollowpaddle_peers::Member;
+use hollowpaddle_peer_transport::Member;
 use hollowpaddle_policy::settings::Facts;
 use hollowpaddle_subset::Size;
 use serde::Deserialize;
--- a/crates/models/src/agreement.rs
+++ b/crates/models/src/agreement.rs
@@ -12,7 +12,7 @@
     Action as Act, Council, Durable, Entry, Event, Index, Outcome, ProposalId, Record, Say,
     Settings, Standing, View, What, Word,
 };
-use hollowpaddle_peers::{Life, Member};
+use hollowpaddle_peer_transport::{Life, Member};
 use stateright::{Chooser, Model, Property};
 
 /// How many are in it.
@@ -209,7 +209,7 @@
             }
             return;
         }
-        if to.0 >= MEMBERS || word.say.channel() != hollowpaddle_peers::Channel::Council {
+        if to.0 >= MEMBERS || word.say.channel() != hollowpaddle_peer_transport::Channel::Council {
             return;
         }
         if matches!(word.say, Say::Hello(_) | Say::Ask { .. } | Say::Told { .. }) {
--- a/crates/models/src/day.rs
+++ b/crates/models/src/day.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hollowpaddle_peers::Member;
+use hollowpaddle_peer_transport::Member;
 use hollowpaddle_revision::charter::Charter;
 use hollowpaddle_revision::document::Document;
 use hollowpaddle_revision::entry::{Entry, Id};
--- a/crates/models/src/figures.rs
+++ b/crates/models/src/figures.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use hollowpaddle_peers::Member;
+use hollowpaddle_peer_transport::Member;
 use hollowpaddle_revision::document::Document;
 use hollowpaddle_revision::entry::Id;
 
--- a/crates/models/src/holding.rs
+++ b/crates/models/src/holding.rs
@@ -7,7 +7,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use hollowpaddle_peers::{Life, Member};
+use hollowpaddle_peer_transport::{Life, Member};
 use hollowpaddle_revision::book::{Book, Founding};
 use hollowpaddle_revision::charter::Charter;
 use hollowpaddle_revision::document::Document;
--- a/crates/models/src/world.rs
+++ b/crates/models/src/world.rs
@@ -8,7 +8,7 @@
 use hollowpaddle_consensus::Durable;
 use hollowpaddle_consensus::Standing;
 use hollowpaddle_gateway::bank::machine::{Action, Answer, Event, Machine, Setup};
-use hollowpaddle_peers::{Life, Member};
+use hollowpaddle_peer_transport::{Life, Member};
 use hollowpaddle_revision::book::Founding;
 use hollowpaddle_revision::charter::Charter;
 use hollowpaddle_revision::document::Document;
--- a/crates/models/tests/findings.rs
+++ b/crates/models/tests/findings.rs
@@ -4,7 +4,9 @@
 use std::time::Duration;
 
 use hollowpaddle_models::world::{Plan, World, ms};
-use hollowpaddle_peers::{Action, Budget, Channel, Config, Event, How, Life, Member, Wire};
+use hollowpaddle_peer_transport::{
+    Action, Budget, Channel, Config, Event, How, Life, Member, Wire,
+};
 
 fn wire(me: u16, life: u32) -> Wire {
     let config =
--- a/crates/peers/tests/bounds.rs
+++ b/crates/peer-transport/tests/bounds.rs
@@ -4,7 +4,9 @@
 
 use std::time::Duration;
 
-use hollowpaddle_peers::{Budget, ConfigError, Event, Held, How, LONGEST_WORD, Life, Member, Wire};
+use hollowpaddle_peer_transport::{
+    Budget, ConfigError, Event, Held, How, LONGEST_WORD, Life, Member, Wire,
+};
 use net::{Net, Weather, config, ms};
 
 /// Everybody knows everybody.
@@ -171,7 +173,7 @@
             let word = vec![0; 40];
             let send = Event::Send {
                 to,
-                channel: hollowpaddle_peers::Channel::Log,
+                channel: hollowpaddle_peer_transport::Channel::Log,
                 word,
                 how: How::Urgent,
             };
@@ -214,7 +216,7 @@
 
 #[test]
 fn a_wire_that_cant_be_is_an_error_that_says_why() {
-    let not = |change: fn(&mut hollowpaddle_peers::Config)| {
+    let not = |change: fn(&mut hollowpaddle_peer_transport::Config)| {
         let mut config = config(0, 3, 1);
         change(&mut config);
         Wire::new(config).err()
--- a/crates/peers/tests/formats.rs
+++ b/crates/peer-transport/tests/formats.rs
@@ -3,7 +3,7 @@
 
 use std::fmt::Debug;
 
-use hollowpaddle_peers::{
+use hollowpaddle_peer_transport::{
     Channel, Counts, DATAGRAM, Delivered, Dropped, Heard, Held, LONGEST_WORD, Life, Member,
     ONE_DATAGRAM, Sent, VERSION, Words, decode, encode,
 };
--- a/crates/peers/tests/net/mod.rs
+++ b/crates/peer-transport/tests/net/mod.rs
@@ -5,7 +5,9 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use hollowpaddle_peers::{Action, Channel, Config, Counts, Event, How, Life, Member, Wire};
+use hollowpaddle_peer_transport::{
+    Action, Channel, Config, Counts, Event, How, Life, Member, Wire,
+};
 use oorandom::Rand64;
 
 pub fn ms(ms: u64) -> Duration {
@@ -168,7 +170,7 @@
     }
 
     fn pass(&mut self, from: Member, to: Member, bytes: Vec<u8>) {
-        assert!(bytes.len() <= hollowpaddle_peers::DATAGRAM);
+        assert!(bytes.len() <= hollowpaddle_peer_transport::DATAGRAM);
         self.transmitted.push((self.now, from, to, bytes.len()));
         if self.weather.replays > 0.0 {
             self.every.push((from, to, bytes.clone()));
--- a/crates/peers/tests/network.rs
+++ b/crates/peer-transport/tests/network.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use hollowpaddle_peers::{Event, How, LONGEST_WORD, Member, ONE_DATAGRAM};
+use hollowpaddle_peer_transport::{Event, How, LONGEST_WORD, Member, ONE_DATAGRAM};
 use net::{Net, Weather, ms};
 
 const HOWS: [How; 3] = [How::Urgent, How::Usual, How::Bulk];
@@ -39,7 +39,7 @@
     judge(0..60);
 }
 
-/// By hand: `cargo test -p hollowpaddle-peers --test network -- --ignored`. The last run found nothing.
+/// By hand: `cargo test -p hollowpaddle-peer-transport --test network -- --ignored`. The last run found nothing.
 #[test]
 #[ignore = "43 s: 5,000 days"]
 fn and_so_it_is_on_five_thousand_more_days() {
--- a/crates/revision/src/book.rs
+++ b/crates/revision/src/book.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use hollowpaddle_peers::Member;
+use hollowpaddle_peer_transport::Member;
 use serde::{Deserialize, Serialize};
 
 use crate::charter::{Charter, CharterError, Floor};
--- a/crates/revision/src/children.rs
+++ b/crates/revision/src/children.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hollowpaddle_peers::{Life, Member};
+use hollowpaddle_peer_transport::{Life, Member};
 
 use crate::members::Members;
 use crate::words::Stage;
--- a/crates/revision/src/entry.rs
+++ b/crates/revision/src/entry.rs
@@ -1,6 +1,6 @@
 //! What stands in the log: entries in bytes, read back without trust. What they come to is the book's to say.
 
-use hollowpaddle_peers::Member;
+use hollowpaddle_peer_transport::Member;
 use serde::{Deserialize, Serialize};
 
 use crate::charter::Charter;
--- a/crates/revision/src/leases.rs
+++ b/crates/revision/src/leases.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollowpaddle_peers::{Life, Member};
+use hollowpaddle_peer_transport::{Life, Member};
 
 use crate::book::Standing;
 use crate::charter::Charter;
--- a/crates/revision/src/lists.rs
+++ b/crates/revision/src/lists.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use hollowpaddle_peers::Member;
+use hollowpaddle_peer_transport::Member;
 use serde::{Deserialize, Serialize};
 
 use crate::document::LONGEST_NAME;
--- a/crates/revision/src/members.rs
+++ b/crates/revision/src/members.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use hollowpaddle_peers::Member;
+use hollowpaddle_peer_transport::Member;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 /// Balancers of a bank at most: a set of so many takes 64 bytes, and a word holds two.
--- a/crates/revision/src/seen.rs
+++ b/crates/revision/src/seen.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use hollowpaddle_peers::Member;
+use hollowpaddle_peer_transport::Member;
 
 use crate::leases::Leases;
 use crate::members::Members;
--- a/crates/revision/src/words.rs
+++ b/crates/revision/src/words.rs
@@ -1,6 +1,6 @@
 //! What balancers say to each other about leases and stages; who acts on it is in `leases`.
 
-use hollowpaddle_peers::Life;
+use hollowpaddle_peer_transport::Life;
 use serde::{Deserialize, Serialize};
 
 use crate::members::Members;
--- a/crates/revision/tests/banks.rs
+++ b/crates/revision/tests/banks.rs
@@ -6,7 +6,7 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use hollowpaddle_peers::Member;
+use hollowpaddle_peer_transport::Member;
 use hollowpaddle_revision::charter::Charter;
 use hollowpaddle_revision::entry::{Entry, Id};
 use sim::oracle::Found;
--- a/crates/revision/tests/books.rs
+++ b/crates/revision/tests/books.rs
@@ -3,7 +3,7 @@
 mod common;
 
 use common::{ask, book, facts, founding, next, open, propose, rollback, settle, without};
-use hollowpaddle_peers::Member;
+use hollowpaddle_peer_transport::Member;
 use hollowpaddle_revision::book::{Book, Refusal};
 use hollowpaddle_revision::charter::Charter;
 use hollowpaddle_revision::document::Document;
--- a/crates/revision/tests/formats.rs
+++ b/crates/revision/tests/formats.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 
 use common::{ask, book, next, rollback, without};
-use hollowpaddle_peers::{Life, Member};
+use hollowpaddle_peer_transport::{Life, Member};
 use hollowpaddle_revision::book::{Book, Refusal};
 use hollowpaddle_revision::charter::{Charter, CharterError, Floor};
 use hollowpaddle_revision::difference::Difference;
--- a/crates/revision/tests/leases.rs
+++ b/crates/revision/tests/leases.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use common::{ask, book, founding, next, place, propose, without};
-use hollowpaddle_peers::{Life, Member};
+use hollowpaddle_peer_transport::{Life, Member};
 use hollowpaddle_revision::book::Book;
 use hollowpaddle_revision::charter::Charter;
 use hollowpaddle_revision::entry::{Entry, Id};
--- a/crates/revision/tests/lists.rs
+++ b/crates/revision/tests/lists.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hollowpaddle_peers::Member;
+use hollowpaddle_peer_transport::Member;
 use hollowpaddle_revision::lists::{Action, Event, ListWord, Lists, Phase, Stop};
 use hollowpaddle_revision::words::LONGEST_WORD;
 use proptest::prelude::*;
--- a/crates/revision/tests/sim/mod.rs
+++ b/crates/revision/tests/sim/mod.rs
@@ -8,7 +8,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollowpaddle_peers::{Life, Member};
+use hollowpaddle_peer_transport::{Life, Member};
 use hollowpaddle_revision::book::{Book, Standing};
 use hollowpaddle_revision::charter::Charter;
 use hollowpaddle_revision::document::Document;
--- a/crates/sessions/src/asker.rs
+++ b/crates/sessions/src/asker.rs
@@ -1,7 +1,7 @@
 //! Requests of one balancer: who is asked where they go, how long, and what is done without an answer. Also
 //! what this balancer itself sent, which it can tell when a home is lost.
 
-use hollowpaddle_peers::Member;
+use hollowpaddle_peer_transport::Member;
 
 use crate::machine::{MINE, Out, PERMIT_MS, Sessions, Timer, millis, outside};
 use crate::store::{Note, State, ms, tick, tick_up};
--- a/crates/sessions/src/home.rs
+++ b/crates/sessions/src/home.rs
@@ -14,7 +14,7 @@
 
 use std::collections::BTreeSet;
 
-use hollowpaddle_peers::Member;
+use hollowpaddle_peer_transport::Member;
 
 use crate::machine::{AGAIN, Out, PERMIT_MS, Sessions, Timer, millis};
 use crate::store::{NO_POD, Note, State, ms, tick, tick_up};
--- a/crates/sessions/src/lib.rs
+++ b/crates/sessions/src/lib.rs
@@ -52,7 +52,7 @@
 
 use std::time::Duration;
 
-use hollowpaddle_peers::{Life, Member};
+use hollowpaddle_peer_transport::{Life, Member};
 use serde::{Deserialize, Serialize};
 
 pub use hash::{Weighed, pod_of};
--- a/crates/sessions/src/machine.rs
+++ b/crates/sessions/src/machine.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use hollowpaddle_peers::Member;
+use hollowpaddle_peer_transport::Member;
 
 use crate::asker::{Copied, Pending, Placed};
 use crate::home::{Finding, Leaving};
--- a/crates/sessions/src/store.rs
+++ b/crates/sessions/src/store.rs
@@ -6,7 +6,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hollowpaddle_peers::Member;
+use hollowpaddle_peer_transport::Member;
 
 use crate::words::{Estate, KeyWord};
 use crate::{Epoch, Key, Pod, Sid};
--- a/crates/sessions/src/table.rs
+++ b/crates/sessions/src/table.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hollowpaddle_peers::Member;
+use hollowpaddle_peer_transport::Member;
 
 use crate::hash::{Among, draw};
 use crate::{Seat, Sid, Site};
--- a/crates/sessions/src/turn.rs
+++ b/crates/sessions/src/turn.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use hollowpaddle_peers::Member;
+use hollowpaddle_peer_transport::Member;
 
 use crate::machine::{AGAIN, Out, Sessions, Timer};
 use crate::store::{State, ms};
--- a/crates/sessions/tests/memory.rs
+++ b/crates/sessions/tests/memory.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use hollowpaddle_peers::{Life, Member};
+use hollowpaddle_peer_transport::{Life, Member};
 use hollowpaddle_sessions::{
     Action, Config, Effect, Event, Key, Pod, Ran, Seat, Sessions, Sid, Site, Verdict, Weighed, Why,
 };
