--- a/crates/consensus/src/store.rs
+++ b/crates/consensus/src/store.rs
@@ -13,7 +13,7 @@
 
 use std::io::{self, ErrorKind};
 
-use hollowpaddle_faultpoints::{Fault, Kind, Points};
+use hollowpaddle_failpoints::{Fault, Kind, Points};
 use hollowpaddle_peer_transport::Member;
 
 use crate::disk::Disk;
--- a/crates/consensus/tests/formats.rs
+++ b/crates/consensus/tests/formats.rs
@@ -15,7 +15,7 @@
     Learned, Learner, LearnerSettings, Log, Members, Outcome, PART, Part, ProposalId, Record,
     SNAPSHOT_MAX, Say, Standing, State, Store, StoreError, VERSION, View, WORD_MAX, What, Word,
 };
-use hollowpaddle_faultpoints::{Fault, Kind, Plan, Points};
+use hollowpaddle_failpoints::{Fault, Kind, Plan, Points};
 use hollowpaddle_peer_transport::{Channel, Life, Member, decode, encode};
 
 const CLUSTER: u64 = 0x1122_3344_5566_7788;
--- a/crates/consensus/tests/store.rs
+++ b/crates/consensus/tests/store.rs
@@ -7,7 +7,7 @@
 use hollowpaddle_consensus::{
     Base, Counts, Doubt, Durable, Entry, ProposalId, Record, Store, StoreError, View, What,
 };
-use hollowpaddle_faultpoints::{Fault, Kind, Plan, Points};
+use hollowpaddle_failpoints::{Fault, Kind, Plan, Points};
 use hollowpaddle_peer_transport::{Life, Member};
 use world::{Played, World, ms};
 
--- a/crates/consensus/tests/world/mod.rs
+++ b/crates/consensus/tests/world/mod.rs
@@ -12,7 +12,7 @@
     Action, Council, Disk, Durable, Entry, Event, Index, Learn, Learned, Learner, LearnerSettings,
     Members, Outcome, ProposalId, Say, Settings, Standing, Store, StoreError, View, What, Word,
 };
-use hollowpaddle_faultpoints::Points;
+use hollowpaddle_failpoints::Points;
 use hollowpaddle_peer_transport::{Channel, Life, Member};
 use oorandom::Rand64;
 
--- a/crates/ctl/src/in_process.rs
+++ b/crates/ctl/src/in_process.rs
@@ -7,7 +7,7 @@
 use std::sync::atomic::{AtomicBool, Ordering};
 use std::time::Duration;
 
-use hollowpaddle_faultpoints::Points;
+use hollowpaddle_failpoints::Points;
 use hollowpaddle_gateway::bank;
 use hollowpaddle_gateway::{Config, Keep, Kept, Operating, Provided, serve};
 use hollowpaddle_operator_commands::Store;
--- a/crates/faultpoints/tests/disarmed.rs
+++ b/crates/failpoints/tests/disarmed.rs
@@ -23,8 +23,8 @@
 }
 
 /// All ways from the points' features up to whoever asks for them.
-const POINTS: [&str; 2] = ["-i", "hollowpaddle-faultpoints"];
-const ARMED: &str = "hollowpaddle-faultpoints feature \"armed\"";
+const POINTS: [&str; 2] = ["-i", "hollowpaddle-failpoints"];
+const ARMED: &str = "hollowpaddle-failpoints feature \"armed\"";
 
 #[test]
 fn no_dependency_but_those_of_tests_arms_the_points() {
@@ -41,9 +41,9 @@
         "-e",
         "all,features",
         "-p",
-        "hollowpaddle-faultpoints",
+        "hollowpaddle-failpoints",
         "-i",
-        "hollowpaddle-faultpoints",
+        "hollowpaddle-failpoints",
     ]);
     assert!(tested.is_some_and(|text| text.contains(ARMED)), "its own tests are armed");
 }
@@ -56,7 +56,7 @@
         "-p",
         "hollowpaddle",
         "-i",
-        "hollowpaddle-faultpoints",
+        "hollowpaddle-failpoints",
     ]);
     assert!(
         tested.is_some_and(|text| text.contains(ARMED)),
--- a/crates/faultpoints/tests/disk.rs
+++ b/crates/failpoints/tests/disk.rs
@@ -2,8 +2,8 @@
 
 use std::collections::BTreeMap;
 
-use hollowpaddle_faultpoints::disk::{Disk, Left};
-use hollowpaddle_faultpoints::{Fault, Kind, Plan, Points};
+use hollowpaddle_failpoints::disk::{Disk, Left};
+use hollowpaddle_failpoints::{Fault, Kind, Plan, Points};
 use proptest::prelude::*;
 
 fn read(disk: &Disk, name: &str) -> Option<String> {
@@ -182,8 +182,7 @@
 #[test]
 fn the_names_of_points_are_the_owners() {
     let points = Points::armed(Plan::counting());
-    let names =
-        hollowpaddle_faultpoints::disk::Names { sync: "council.sync", ..Default::default() };
+    let names = hollowpaddle_failpoints::disk::Names { sync: "council.sync", ..Default::default() };
     let disk = Disk::with_names(&points, names);
     disk.write("a", b"x").expect("room");
     disk.sync("a").expect("there");
--- a/crates/faultpoints/tests/formats.rs
+++ b/crates/failpoints/tests/formats.rs
@@ -4,7 +4,7 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use hollowpaddle_faultpoints::{
+use hollowpaddle_failpoints::{
     Fault, Finding, Kind, Lasts, Passed, Plan, Points, Report, Saw, Settings, Strike, VARIABLE,
     read_trace,
 };
--- a/crates/faultpoints/tests/in_turn.rs
+++ b/crates/failpoints/tests/in_turn.rs
@@ -3,8 +3,8 @@
 use std::cell::{Cell, RefCell};
 use std::collections::BTreeSet;
 
-use hollowpaddle_faultpoints::disk::{Disk, Left};
-use hollowpaddle_faultpoints::{Fault, InTurn, Kind, Points, Report, Saw, each_in_turn};
+use hollowpaddle_failpoints::disk::{Disk, Left};
+use hollowpaddle_failpoints::{Fault, InTurn, Kind, Points, Report, Saw, each_in_turn};
 
 /// Appends numbers to a file, and says yes to each once it is kept; or before, where it is broken.
 fn log(points: &Points, yes_before_sync: bool) -> Result<(), String> {
--- a/crates/faultpoints/tests/processes.rs
+++ b/crates/failpoints/tests/processes.rs
@@ -6,7 +6,7 @@
 use std::time::{Duration, Instant};
 use std::{env, fs, thread};
 
-use hollowpaddle_faultpoints::{Fault, Kind, Lasts, Plan, Points, Settings, VARIABLE, read_trace};
+use hollowpaddle_failpoints::{Fault, Kind, Lasts, Plan, Points, Settings, VARIABLE, read_trace};
 use proptest::prelude::*;
 
 /// Tells the test's own program, started once more, what to do.
--- a/crates/gateway/src/bank/durable.rs
+++ b/crates/gateway/src/bank/durable.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hollowpaddle_consensus::{self as council, Durable, Record, StoreError};
-use hollowpaddle_faultpoints::{Fault, Kind, Points};
+use hollowpaddle_failpoints::{Fault, Kind, Points};
 use hollowpaddle_peer_transport::Member;
 use hollowpaddle_revision::charter::Charter;
 use hollowpaddle_revision::words::Stage;
--- a/crates/gateway/src/bank/mod.rs
+++ b/crates/gateway/src/bank/mod.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use hollowpaddle_consensus::{Durable, default_council};
-use hollowpaddle_faultpoints::Points;
+use hollowpaddle_failpoints::Points;
 use hollowpaddle_peer_transport::{Life, Member};
 use hollowpaddle_revision::book::Founding;
 use hollowpaddle_revision::charter::Charter;
--- a/crates/gateway/src/bank/shell.rs
+++ b/crates/gateway/src/bank/shell.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use hollowpaddle_consensus::Record;
-use hollowpaddle_faultpoints::{Fault, Kind, Points};
+use hollowpaddle_failpoints::{Fault, Kind, Points};
 use hollowpaddle_net::{DATAGRAM, Datagrams, Network, receive};
 use hollowpaddle_peer_transport::Member;
 use hollowpaddle_revision::charter::Charter;
--- a/crates/hollow/src/workers.rs
+++ b/crates/hollow/src/workers.rs
@@ -11,7 +11,7 @@
 use std::thread::JoinHandle;
 use std::time::Duration;
 
-use hollowpaddle_faultpoints::Points;
+use hollowpaddle_failpoints::Points;
 use hollowpaddle_gateway::bank;
 use hollowpaddle_gateway::{Config, ConfigError, Provided, ServeError, serve};
 use hollowpaddle_net::{Listener, Network, Tcp};
--- a/crates/peer-transport/src/through.rs
+++ b/crates/peer-transport/src/through.rs
@@ -1,7 +1,7 @@
 //! What a fault does to a datagram on its way through a shell: the daemon and the simulated network carry it
 //! out alike.
 
-use hollowpaddle_faultpoints::{Fault, Kind, Points};
+use hollowpaddle_failpoints::{Fault, Kind, Points};
 
 /// What becomes of a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -38,7 +38,7 @@
 
 #[cfg(test)]
 mod tests {
-    use hollowpaddle_faultpoints::Plan;
+    use hollowpaddle_failpoints::Plan;
 
     use super::*;
 
--- a/crates/sessions/tests/sim/mod.rs
+++ b/crates/sessions/tests/sim/mod.rs
@@ -6,7 +6,7 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::Duration;
 
-use hollowpaddle_faultpoints::{Fault, Kind, Points};
+use hollowpaddle_failpoints::{Fault, Kind, Points};
 use hollowpaddle_peer_transport::{Life, Member};
 use hollowpaddle_sessions::{
     Action, Config, Effect, Epoch, Event, Key, Pod, Ran, Seat, Sessions, Sid, Site, Verdict,
--- a/crates/sessions/tests/steps.rs
+++ b/crates/sessions/tests/steps.rs
@@ -3,7 +3,7 @@
 
 mod sim;
 
-use hollowpaddle_faultpoints::{Fault, Points};
+use hollowpaddle_failpoints::{Fault, Points};
 use sim::{Day, Found, World};
 
 /// Presses one key at one site, at the other, at both at once, and back; then a new one each.
@@ -55,7 +55,7 @@
     for seed in 1..=3 {
         for k in 1..=steps {
             for fault in [Fault::Lose, Fault::Copy, Fault::Crash, Fault::Pause] {
-                let plan = hollowpaddle_faultpoints::Plan::one(k, fault);
+                let plan = hollowpaddle_failpoints::Plan::one(k, fault);
                 let (found, _) = scenario(Points::armed(plan), None, seed);
                 judge(&found, &format!("seed {seed}, {fault:?} at step {k}"));
                 runs += 1;
@@ -76,7 +76,7 @@
         let faults = [Fault::Lose, Fault::Copy, Fault::Crash, Fault::Pause];
         let mut one = || (rng.rand_range(1..steps), faults[rng.rand_range(0..4) as usize]);
         let ((j, f), (k, g)) = (one(), one());
-        let plan = hollowpaddle_faultpoints::Plan::one(j, f).and(k, g);
+        let plan = hollowpaddle_failpoints::Plan::one(j, f).and(k, g);
         let (found, _) = scenario(Points::armed(plan), None, 1 + n % 3);
         judge(&found, &format!("{f:?} at {j} and {g:?} at {k}, seed {}", 1 + n % 3));
     }
--- a/crates/snapshot/tests/kills.rs
+++ b/crates/snapshot/tests/kills.rs
@@ -9,8 +9,8 @@
 use std::process::{Command, Stdio};
 use std::time::Duration;
 
-use hollowpaddle_faultpoints::disk::{self, Left, Names};
-use hollowpaddle_faultpoints::{Fault, InTurn, Kind, Passed, Points, Report, VARIABLE};
+use hollowpaddle_failpoints::disk::{self, Left, Names};
+use hollowpaddle_failpoints::{Fault, InTurn, Kind, Passed, Points, Report, VARIABLE};
 use hollowpaddle_snapshot::{Directory, Disk, Snapshot, Store};
 
 const NOW: Duration = Duration::from_secs(1_786_000_000);
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -10,7 +10,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hollowpaddle_faultpoints::Points;
+use hollowpaddle_failpoints::Points;
 use hollowpaddle_gateway::bank::{self, Link, Shell, Stored};
 use hollowpaddle_gateway::config::BankConfig;
 use hollowpaddle_gateway::{Config, Kept, Operating, Provided, serve};
