--- a/crates/order/tests/models.rs
+++ b/crates/ordered-collections/tests/models.rs
@@ -2,11 +2,11 @@
 
 use std::collections::BTreeMap;
 
-use hollowpaddle_order::ring::{Place, Ring};
-use hollowpaddle_order::timers::Timers;
-use hollowpaddle_order::total::Total;
-use hollowpaddle_order::tournament::{Key, TournamentTree};
-use hollowpaddle_order::waiting::Waiting;
+use hollowpaddle_ordered_collections::ring::{Place, Ring};
+use hollowpaddle_ordered_collections::timers::Timers;
+use hollowpaddle_ordered_collections::total::Total;
+use hollowpaddle_ordered_collections::tournament::{Key, TournamentTree};
+use hollowpaddle_ordered_collections::waiting::Waiting;
 use proptest::prelude::*;
 
 fn key() -> impl Strategy<Value = Key> {
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -5,7 +5,7 @@
 
 use std::sync::Arc;
 
-use hollowpaddle_order::tournament::Key;
+use hollowpaddle_ordered_collections::tournament::Key;
 use oorandom::Rand64;
 
 use crate::asking::Asking;
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -4,8 +4,8 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-use hollowpaddle_order::tournament::{Key, TournamentTree};
-use hollowpaddle_order::waiting::{Turn, Waiting};
+use hollowpaddle_ordered_collections::tournament::{Key, TournamentTree};
+use hollowpaddle_ordered_collections::waiting::{Turn, Waiting};
 use rustc_hash::FxHashMap;
 
 use crate::interface::*;
--- a/crates/policy/src/rooms.rs
+++ b/crates/policy/src/rooms.rs
@@ -3,7 +3,7 @@
 
 use std::hint::black_box;
 
-use hollowpaddle_order::tournament::{Key, TournamentTree};
+use hollowpaddle_ordered_collections::tournament::{Key, TournamentTree};
 use rustc_hash::FxHashMap;
 
 use crate::interface::{Class, Settings};
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -1,8 +1,8 @@
 //! Plain records that the policy keeps of requests and of sets of upstreams. No decision is made here;
 //! see [`crate::policy`].
 
-use hollowpaddle_order::total::Total;
-use hollowpaddle_order::waiting::Turn;
+use hollowpaddle_ordered_collections::total::Total;
+use hollowpaddle_ordered_collections::waiting::Turn;
 
 use crate::interface::*;
 use crate::policy::MOST_LANES;
--- a/crates/policy/src/upstreams.rs
+++ b/crates/policy/src/upstreams.rs
@@ -5,9 +5,9 @@
 use std::ops::Range;
 use std::sync::Arc;
 
-use hollowpaddle_order::ring::{Place, Ring};
-use hollowpaddle_order::timers::Timers;
-use hollowpaddle_order::tournament::Key;
+use hollowpaddle_ordered_collections::ring::{Place, Ring};
+use hollowpaddle_ordered_collections::timers::Timers;
+use hollowpaddle_ordered_collections::tournament::Key;
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use crate::breakers::ClassBreakers;
--- a/crates/policy/tests/scanning/policy.rs
+++ b/crates/policy/tests/scanning/policy.rs
@@ -25,7 +25,7 @@
 use oorandom::Rand64;
 use rustc_hash::{FxHashMap, FxHashSet};
 
-use hollowpaddle_order::total::Total;
+use hollowpaddle_ordered_collections::total::Total;
 use hollowpaddle_policy::asking::Asking;
 use hollowpaddle_policy::interface::*;
 
