--- a/crates/day/src/scenario/mod.rs
+++ b/crates/day/src/scenario/mod.rs
@@ -11,8 +11,8 @@
 
 use std::time::Duration;
 
-pub use hollowpaddle_fields::{Problem, Problems};
 pub use hollowpaddle_links::Trouble;
+pub use hollowpaddle_toml_fields::{Problem, Problems};
 
 /// A whole scenario. Every time is a length; work is in milliseconds of one core of speed 1.
 #[derive(Clone, Debug, PartialEq)]
--- a/crates/day/src/scenario/read.rs
+++ b/crates/day/src/scenario/read.rs
@@ -3,7 +3,7 @@
 use std::ops::RangeInclusive;
 use std::time::Duration;
 
-use hollowpaddle_fields::{File, Problems, Table};
+use hollowpaddle_toml_fields::{File, Problems, Table};
 use toml::de::DeTable;
 
 use super::*;
@@ -18,7 +18,7 @@
 const ONE: RangeInclusive<f64> = 0.0..=1.0;
 
 pub fn read(name: &str, text: &str) -> Result<Scenario, Problems> {
-    hollowpaddle_fields::read(name, text, scenario)
+    hollowpaddle_toml_fields::read(name, text, scenario)
 }
 
 fn scenario<'f, 'a>(file: &'f File<'a>, table: &'f DeTable<'a>) -> Scenario {
--- a/crates/day/src/scenario/vans.rs
+++ b/crates/day/src/scenario/vans.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use hollowpaddle_fields::Table;
+use hollowpaddle_toml_fields::Table;
 
 use super::Fleet;
 
--- a/crates/load/src/profile.rs
+++ b/crates/load/src/profile.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hollowpaddle_fields::{File, Problems, Table};
+use hollowpaddle_toml_fields::{File, Problems, Table};
 use toml::de::DeTable;
 
 use crate::schedule::{Rates, Spacing};
@@ -99,7 +99,7 @@
     /// # Errors
     /// Everything that is wrong with it, each with its line, in the order of the file.
     pub fn read(file: &str, text: &str) -> Result<Self, Problems> {
-        hollowpaddle_fields::read(file, text, profile)
+        hollowpaddle_toml_fields::read(file, text, profile)
     }
 
     /// The longest that a client waits.
