--- a/crates/judge/src/bank/contradiction.rs
+++ b/crates/judge/src/bank/contradiction.rs
@@ -4,7 +4,7 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use hollowpaddle_day::record::{At, Seen};
+use hollowpaddle_scenario::record::{At, Seen};
 use rustc_hash::FxHashMap;
 use serde::Serialize;
 
--- a/crates/judge/src/bank/in_force.rs
+++ b/crates/judge/src/bank/in_force.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use hollowpaddle_day::record::At;
+use hollowpaddle_scenario::record::At;
 use serde::Serialize;
 
 use super::seconds;
--- a/crates/judge/src/bank/mod.rs
+++ b/crates/judge/src/bank/mod.rs
@@ -30,8 +30,8 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hollowpaddle_day::record::{At, Played, Seen};
-use hollowpaddle_day::scenario::Expect;
+use hollowpaddle_scenario::record::{At, Played, Seen};
+use hollowpaddle_scenario::scenario::Expect;
 use serde::Serialize;
 
 pub use contradiction::Contradiction;
--- a/crates/judge/src/bank/words.rs
+++ b/crates/judge/src/bank/words.rs
@@ -3,9 +3,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hollowpaddle_day::plan::Machine;
-use hollowpaddle_day::record::{At, Seen};
-use hollowpaddle_day::scenario::{FaultKind, Scenario, Verb};
+use hollowpaddle_scenario::plan::Machine;
+use hollowpaddle_scenario::record::{At, Seen};
+use hollowpaddle_scenario::scenario::{FaultKind, Scenario, Verb};
 use serde_json::Value;
 
 use crate::Case;
--- a/crates/judge/src/cold.rs
+++ b/crates/judge/src/cold.rs
@@ -7,8 +7,8 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use super::{Breach, Case, Finding, micros};
-use hollowpaddle_day::record::{At, Line, Phase, Seen};
-use hollowpaddle_day::scenario::{borne, pressing};
+use hollowpaddle_scenario::record::{At, Line, Phase, Seen};
+use hollowpaddle_scenario::scenario::{borne, pressing};
 
 /// Of the work that pushed it over, so much must come from balancers that were told of its start.
 const TOLD_SHARE: f64 = 2.0 / 3.0;
--- a/crates/judge/src/drains.rs
+++ b/crates/judge/src/drains.rs
@@ -3,8 +3,8 @@
 use rustc_hash::FxHashMap;
 
 use super::{Breach, Case, Finding, micros};
-use hollowpaddle_day::record::{At, Phase, Seen};
-use hollowpaddle_day::scenario::FaultKind;
+use hollowpaddle_scenario::record::{At, Phase, Seen};
+use hollowpaddle_scenario::scenario::FaultKind;
 
 /// A change counts as told so long after the list had it and could be reached, in microseconds, whatever calls failed,
 /// were refused or given up.
@@ -134,7 +134,7 @@
                      gone",
                     first.ms_since(told)
                 );
-                let of = |l: &&hollowpaddle_day::record::Line| match &l.seen {
+                let of = |l: &&hollowpaddle_scenario::record::Line| match &l.seen {
                     Seen::Told { balancer: b, node: n, .. } => (b, n) == (balancer, node),
                     Seen::Attempt { attempt: a, .. } => a == attempt,
                     _ => false,
--- a/crates/judge/src/fleet/crowd.rs
+++ b/crates/judge/src/fleet/crowd.rs
@@ -1,8 +1,8 @@
 //! Crowd: refusals while a node that could have taken the request stood idle. Nobody harms anybody here; each balancer
 //! guards its own small part of the room, and chance fills one part while the next stands empty.
 
-use hollowpaddle_day::record::{At, Fate, Phase, Seen};
-use hollowpaddle_day::scenario::FaultKind;
+use hollowpaddle_scenario::record::{At, Fate, Phase, Seen};
+use hollowpaddle_scenario::scenario::FaultKind;
 use rustc_hash::{FxHashMap, FxHashSet};
 use serde::Serialize;
 
--- a/crates/judge/src/fleet/expect.rs
+++ b/crates/judge/src/fleet/expect.rs
@@ -1,6 +1,6 @@
 //! What a scenario expects, held against the account.
 
-use hollowpaddle_day::scenario::Expect;
+use hollowpaddle_scenario::scenario::Expect;
 
 use super::Account;
 
--- a/crates/judge/src/fleet/full_service.rs
+++ b/crates/judge/src/fleet/full_service.rs
@@ -8,9 +8,9 @@
 
 use serde::Serialize;
 
-use hollowpaddle_day::plan::Act;
-use hollowpaddle_day::record::Seen;
-use hollowpaddle_day::scenario::FaultKind;
+use hollowpaddle_scenario::plan::Act;
+use hollowpaddle_scenario::record::Seen;
+use hollowpaddle_scenario::scenario::FaultKind;
 
 use super::{Run, STEP_S, is_load};
 use crate::service::asked;
@@ -159,7 +159,7 @@
 
 /// When a balancer was first ready after a time.
 fn ready(run: &Run, balancer: usize, after: f64) -> Option<f64> {
-    let at = |l: &hollowpaddle_day::record::Line| match l.seen {
+    let at = |l: &hollowpaddle_scenario::record::Line| match l.seen {
         Seen::Ready { balancer: b, .. } if b == balancer => Some(run.seconds(l.at)),
         _ => None,
     };
--- a/crates/judge/src/fleet/mod.rs
+++ b/crates/judge/src/fleet/mod.rs
@@ -13,8 +13,8 @@
 mod stale;
 mod stampede;
 
-use hollowpaddle_day::record::{At, Played};
-use hollowpaddle_day::scenario::FaultKind;
+use hollowpaddle_scenario::record::{At, Played};
+use hollowpaddle_scenario::scenario::FaultKind;
 use serde::Serialize;
 
 use crate::Case;
--- a/crates/judge/src/fleet/stale.rs
+++ b/crates/judge/src/fleet/stale.rs
@@ -1,7 +1,7 @@
 //! Stale: sends to a node that the list had said takes nothing new. Those that the balancer itself had been told of
 //! (within the grace of rule 3 they break nothing), and those of which the list knew and it had not been told.
 
-use hollowpaddle_day::record::{At, Phase, Seen};
+use hollowpaddle_scenario::record::{At, Phase, Seen};
 use rustc_hash::FxHashMap;
 use serde::Serialize;
 
--- a/crates/judge/src/fleet/stampede.rs
+++ b/crates/judge/src/fleet/stampede.rs
@@ -2,7 +2,7 @@
 //! percentile of the twin's seconds.
 
 use hdrhistogram::Histogram;
-use hollowpaddle_day::record::Seen;
+use hollowpaddle_scenario::record::Seen;
 use rustc_hash::FxHashMap;
 use serde::Serialize;
 
--- a/crates/judge/src/floors.rs
+++ b/crates/judge/src/floors.rs
@@ -13,8 +13,8 @@
 
 use super::Case;
 use super::service::{Asked, How, asked};
-use hollowpaddle_day::record::{At, Seen};
-use hollowpaddle_day::scenario::{Effect, FaultKind};
+use hollowpaddle_scenario::record::{At, Seen};
+use hollowpaddle_scenario::scenario::{Effect, FaultKind};
 
 /// Of what can be had, over the day and in a class.
 const HALF: f64 = 0.5;
--- a/crates/judge/src/lib.rs
+++ b/crates/judge/src/lib.rs
@@ -18,9 +18,9 @@
 
 use serde::Serialize;
 
-use hollowpaddle_day::plan::Plan;
-use hollowpaddle_day::record::{At, Line, Seen};
-use hollowpaddle_day::scenario::Scenario;
+use hollowpaddle_scenario::plan::Plan;
+use hollowpaddle_scenario::record::{At, Line, Seen};
+use hollowpaddle_scenario::scenario::Scenario;
 
 pub use floors::Floor;
 pub use service::{ClassService, Counts, Service};
--- a/crates/judge/src/report.rs
+++ b/crates/judge/src/report.rs
@@ -8,8 +8,8 @@
 use crate::bank::{self, Bank};
 use crate::fleet::{Account, account};
 use crate::{Breach, Exactness, Finding, Floor, Service, Sessions, Verdict, judge};
-use hollowpaddle_day::record::{Line, Played, Resources, Seen, digest};
-use hollowpaddle_day::scenario::Expect;
+use hollowpaddle_scenario::record::{Line, Played, Resources, Seen, digest};
+use hollowpaddle_scenario::scenario::Expect;
 
 /// Version of the JSON form. It changes when a field changes its name or meaning, not when one is added.
 pub const VERSION: u32 = 1;
--- a/crates/judge/src/requests.rs
+++ b/crates/judge/src/requests.rs
@@ -5,8 +5,8 @@
 use rustc_hash::FxHashMap;
 
 use super::{Breach, Case, Finding, micros};
-use hollowpaddle_day::record::{At, Fate, Line, Seen};
-use hollowpaddle_day::scenario::{Effect, Group};
+use hollowpaddle_scenario::record::{At, Fate, Line, Seen};
+use hollowpaddle_scenario::scenario::{Effect, Group};
 
 /// One attempt, as its node saw it.
 #[derive(Clone, Debug)]
--- a/crates/judge/src/service.rs
+++ b/crates/judge/src/service.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use super::Case;
-use hollowpaddle_day::record::{At, Seen};
+use hollowpaddle_scenario::record::{At, Seen};
 
 /// Width of the stretch that the worst one is sought among, in seconds.
 const STRETCH: usize = 10;
@@ -211,7 +211,7 @@
     for line in case.trace {
         match &line.seen {
             Seen::Attempt { .. } => counts.attempts += 1,
-            Seen::Ended { fate: hollowpaddle_day::record::Fate::TurnedAway, .. } => {
+            Seen::Ended { fate: hollowpaddle_scenario::record::Fate::TurnedAway, .. } => {
                 counts.turned_away += 1;
             }
             _ => {}
--- a/crates/judge/src/sessions.rs
+++ b/crates/judge/src/sessions.rs
@@ -7,8 +7,8 @@
 use serde::Serialize;
 
 use super::Case;
-use hollowpaddle_day::record::{At, Seen};
-use hollowpaddle_day::scenario::Effect;
+use hollowpaddle_scenario::record::{At, Seen};
+use hollowpaddle_scenario::scenario::Effect;
 
 /// So many effects that ran in several pods are told in full.
 const TOLD: usize = 20;
--- a/crates/judge/tests/bank.rs
+++ b/crates/judge/tests/bank.rs
@@ -1,9 +1,9 @@
 //! Contradictions, answers and times in force, on accounts written by hand.
 
-use hollowpaddle_day::plan::Plan;
-use hollowpaddle_day::record::{At, Line, Played, Seen};
-use hollowpaddle_day::scenario::{Scenario, Verb};
 use hollowpaddle_judge::bank::{self, Bank};
+use hollowpaddle_scenario::plan::Plan;
+use hollowpaddle_scenario::record::{At, Line, Played, Seen};
+use hollowpaddle_scenario::scenario::{Scenario, Verb};
 use serde_json::json;
 
 /// Zones a and b alternate: nodes 0 and 2 are pod 0, 4 and 6 pod 2, 1 and 3 pod 1, 5 and 7 pod 3.
--- a/crates/judge/tests/fleet.rs
+++ b/crates/judge/tests/fleet.rs
@@ -1,10 +1,10 @@
 //! The account of a bank on traces written by hand: each figure where it is known beforehand.
 
-use hollowpaddle_day::plan::Plan;
-use hollowpaddle_day::record::{At, Fate, Line, Phase, Played, Seen};
-use hollowpaddle_day::scenario::Scenario;
 use hollowpaddle_judge::fleet::Account;
 use hollowpaddle_judge::report::Report;
+use hollowpaddle_scenario::plan::Plan;
+use hollowpaddle_scenario::record::{At, Fate, Line, Phase, Played, Seen};
+use hollowpaddle_scenario::scenario::Scenario;
 
 const DAY: &str = r#"
 name = "by hand"
--- a/crates/judge/tests/formats.rs
+++ b/crates/judge/tests/formats.rs
@@ -2,13 +2,13 @@
 
 use std::collections::BTreeMap;
 
-use hollowpaddle_day::record::{At, Line, Resources, Seen};
 use hollowpaddle_judge::bank::{Bank, Change, Contradiction, InForce, Moment};
 use hollowpaddle_judge::fleet::{Account, Crowd, Episode, Peak, Rush, Stale, StaleSends};
 use hollowpaddle_judge::report::{Report, VERSION};
 use hollowpaddle_judge::{
     Breach, ClassService, Counts, Finding, Floor, Run, Service, Sessions, Twice,
 };
+use hollowpaddle_scenario::record::{At, Line, Resources, Seen};
 use serde_json::{Value, json};
 
 const REPORT: &str = include_str!("formats/report.json");
--- a/crates/judge/tests/rules.rs
+++ b/crates/judge/tests/rules.rs
@@ -2,10 +2,10 @@
 
 use std::time::Duration;
 
-use hollowpaddle_day::plan::Plan;
-use hollowpaddle_day::record::{At, Fate, Line, Phase, Seen};
-use hollowpaddle_day::scenario::Scenario;
 use hollowpaddle_judge::{Breach, Exactness, judge};
+use hollowpaddle_scenario::plan::Plan;
+use hollowpaddle_scenario::record::{At, Fate, Line, Phase, Seen};
+use hollowpaddle_scenario::scenario::Scenario;
 
 const DAY: &str = r#"
 name = "by hand"
--- a/crates/judge/tests/sessions.rs
+++ b/crates/judge/tests/sessions.rs
@@ -1,9 +1,9 @@
 //! The account of vans, on traces written by hand.
 
-use hollowpaddle_day::plan::Plan;
-use hollowpaddle_day::record::{At, Fate, Line, Seen};
-use hollowpaddle_day::scenario::Scenario;
 use hollowpaddle_judge::{Exactness, Sessions, judge};
+use hollowpaddle_scenario::plan::Plan;
+use hollowpaddle_scenario::record::{At, Fate, Line, Seen};
+use hollowpaddle_scenario::scenario::Scenario;
 
 const DAY: &str = r#"
 name = "by hand"
@@ -77,7 +77,7 @@
 /// So many requests of one van, of a class.
 fn of_one_van(class: usize, count: usize) -> Vec<u32> {
     let (_, plan) = drawn();
-    let mine = |(n, a): (usize, &hollowpaddle_day::plan::Arrival)| {
+    let mine = |(n, a): (usize, &hollowpaddle_scenario::plan::Arrival)| {
         let is_mine = a.class == class && a.van.is_some_and(|v| v.0 == 0) && a.first as usize == n;
         is_mine.then_some(n as u32)
     };
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -8,8 +8,8 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub use hollowpaddle_day::{book, plan, record, scenario};
 pub use hollowpaddle_judge::{self as judge, report};
+pub use hollowpaddle_scenario::{book, plan, record, scenario};
 
 pub mod bank;
 pub mod clients;
--- a/crates/day/tests/formats.rs
+++ b/crates/scenario/tests/formats.rs
@@ -2,9 +2,9 @@
 
 use std::time::Duration;
 
-use hollowpaddle_day::plan::Plan;
-use hollowpaddle_day::record::{At, Fate, Line, Phase, Resources, Seen, digest, write_trace};
-use hollowpaddle_day::scenario::{
+use hollowpaddle_scenario::plan::Plan;
+use hollowpaddle_scenario::record::{At, Fate, Line, Phase, Resources, Seen, digest, write_trace};
+use hollowpaddle_scenario::scenario::{
     Bank, Clients, Expect, Kind, ListService, Load, Repeats, RuleBook, Rules, Scenario, Shape,
     Vans, Verb,
 };
--- a/crates/day/tests/scenarios.rs
+++ b/crates/scenario/tests/scenarios.rs
@@ -1,8 +1,8 @@
 //! Scenario files and plans: every mistake is told with its line, and a plan is a pure function.
 
-use hollowpaddle_day::book::{Call, Doing, Planned};
-use hollowpaddle_day::plan::Plan;
-use hollowpaddle_day::scenario::{Scenario, Verb};
+use hollowpaddle_scenario::book::{Call, Doing, Planned};
+use hollowpaddle_scenario::plan::Plan;
+use hollowpaddle_scenario::scenario::{Scenario, Verb};
 use proptest::prelude::*;
 
 const SOUND: &str = r#"name = "sound"
@@ -206,7 +206,7 @@
         |kind: &str, more: &str| format!("\n[[faults]]\nkind = \"{kind}\"\nstart_s = 4\n{more}\n");
     let acts = |faults: &str| {
         let scenario = Scenario::read("day.toml", &format!("{bank}{faults}")).expect("sound");
-        let of = |a: &hollowpaddle_day::plan::Act| a.fault >= 3;
+        let of = |a: &hollowpaddle_scenario::plan::Act| a.fault >= 3;
         Plan::draw(&scenario, 7).acts.into_iter().filter(of).collect::<Vec<_>>()
     };
     let zone = acts(&fault("balancer-pause", "length_s = 2\nzone = \"b\""));
--- a/crates/day/tests/vans.rs
+++ b/crates/scenario/tests/vans.rs
@@ -3,8 +3,8 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use hollowpaddle_day::plan::Plan;
-use hollowpaddle_day::scenario::{Effect, Scenario};
+use hollowpaddle_scenario::plan::Plan;
+use hollowpaddle_scenario::scenario::{Effect, Scenario};
 
 const DAY: &str = r#"name = "vans"
 length_s = 20
