--- a/crates/judge/tests/bank.rs
+++ b/crates/checker/tests/bank.rs
@@ -1,6 +1,6 @@
 //! Contradictions, answers and times in force, on accounts written by hand.
 
-use hollowpaddle_judge::bank::{self, Bank};
+use hollowpaddle_checker::bank::{self, Bank};
 use hollowpaddle_scenario::plan::Plan;
 use hollowpaddle_scenario::record::{At, Line, Played, Seen};
 use hollowpaddle_scenario::scenario::{Scenario, Verb};
--- a/crates/judge/tests/fleet.rs
+++ b/crates/checker/tests/fleet.rs
@@ -1,7 +1,7 @@
 //! The account of a bank on traces written by hand: each figure where it is known beforehand.
 
-use hollowpaddle_judge::fleet::Account;
-use hollowpaddle_judge::report::Report;
+use hollowpaddle_checker::fleet::Account;
+use hollowpaddle_checker::report::Report;
 use hollowpaddle_scenario::plan::Plan;
 use hollowpaddle_scenario::record::{At, Fate, Line, Phase, Played, Seen};
 use hollowpaddle_scenario::scenario::Scenario;
--- a/crates/judge/tests/formats.rs
+++ b/crates/checker/tests/formats.rs
@@ -2,10 +2,10 @@
 
 use std::collections::BTreeMap;
 
-use hollowpaddle_judge::bank::{Bank, Change, Contradiction, InForce, Moment};
-use hollowpaddle_judge::fleet::{Account, Crowd, Episode, Peak, Rush, Stale, StaleSends};
-use hollowpaddle_judge::report::{Report, VERSION};
-use hollowpaddle_judge::{
+use hollowpaddle_checker::bank::{Bank, Change, Contradiction, InForce, Moment};
+use hollowpaddle_checker::fleet::{Account, Crowd, Episode, Peak, Rush, Stale, StaleSends};
+use hollowpaddle_checker::report::{Report, VERSION};
+use hollowpaddle_checker::{
     Breach, ClassService, Counts, Finding, Floor, Run, Service, Sessions, Twice,
 };
 use hollowpaddle_scenario::record::{At, Line, Resources, Seen};
--- a/crates/judge/tests/rules.rs
+++ b/crates/checker/tests/rules.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hollowpaddle_judge::{Breach, Exactness, judge};
+use hollowpaddle_checker::{Breach, Exactness, judge};
 use hollowpaddle_scenario::plan::Plan;
 use hollowpaddle_scenario::record::{At, Fate, Line, Phase, Seen};
 use hollowpaddle_scenario::scenario::Scenario;
--- a/crates/judge/tests/sessions.rs
+++ b/crates/checker/tests/sessions.rs
@@ -1,6 +1,6 @@
 //! The account of vans, on traces written by hand.
 
-use hollowpaddle_judge::{Exactness, Sessions, judge};
+use hollowpaddle_checker::{Exactness, Sessions, judge};
 use hollowpaddle_scenario::plan::Plan;
 use hollowpaddle_scenario::record::{At, Fate, Line, Seen};
 use hollowpaddle_scenario::scenario::Scenario;
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -8,7 +8,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub use hollowpaddle_judge::{self as judge, report};
+pub use hollowpaddle_checker::{self as judge, report};
 pub use hollowpaddle_scenario::{book, plan, record, scenario};
 
 pub mod bank;
