--- a/crates/models/src/bin/bank-figures.rs
+++ b/crates/model-checks/src/bin/bank-figures.rs
@@ -1,12 +1,12 @@
-//! Prints the figures of a whole bank: `cargo run --release -p hollowpaddle-models --bin bank-figures [SIZE...]`. Seeds 1 to 5;
+//! Prints the figures of a whole bank: `cargo run --release -p hollowpaddle-model-checks --bin bank-figures [SIZE...]`. Seeds 1 to 5;
 //! the median and the worst of all runs of a row.
 
 use std::time::Duration;
 
-use hollowpaddle_models::figures::{
+use hollowpaddle_model_checks::figures::{
     agreed, catch_up, load, new_leader, ruin, sent, settled, spread,
 };
-use hollowpaddle_models::world::{Plan, ms};
+use hollowpaddle_model_checks::world::{Plan, ms};
 
 const SEEDS: std::ops::RangeInclusive<u64> = 1..=5;
 
@@ -102,7 +102,7 @@
     for size in &sizes {
         for loss in [0.0, 0.1] {
             let Some(mut world) = settled(plan(1, *size, loss)) else { continue };
-            let row = |when: &str, l: hollowpaddle_models::figures::Load| {
+            let row = |when: &str, l: hollowpaddle_model_checks::figures::Load| {
                 let three = |a: [f64; 3]| format!("{:.1}, {:.1}, {:.0}", a[0], a[1], a[2]);
                 println!(
                     "| {size} | {} % | {when} | {} | {} |",
--- a/crates/models/src/bin/change-limits.rs
+++ b/crates/model-checks/src/bin/change-limits.rs
@@ -1,9 +1,9 @@
 //! Prints what becomes of one configuration change in a fleet of this size, as a line of JSON, in virtual time:
-//! `cargo run --release -p hollowpaddle-models --bin change-limits -- CLASSES MACHINE_TYPES GROUPS`.
+//! `cargo run --release -p hollowpaddle-model-checks --bin change-limits -- CLASSES MACHINE_TYPES GROUPS`.
 
 use std::process::ExitCode;
 
-use hollowpaddle_models::change_limits::{FleetSize, propose_with};
+use hollowpaddle_model_checks::change_limits::{FleetSize, propose_with};
 
 const USAGE: &str = "usage: change-limits CLASSES MACHINE_TYPES GROUPS";
 
--- a/crates/models/src/bin/control-plane-figures.rs
+++ b/crates/model-checks/src/bin/control-plane-figures.rs
@@ -1,9 +1,9 @@
 //! Prints the cost of the control plane at one size as a line of JSON, in virtual time:
-//! `cargo run --release -p hollowpaddle-models --bin control-plane-figures -- BALANCERS LOSS_PERCENT SEED`.
+//! `cargo run --release -p hollowpaddle-model-checks --bin control-plane-figures -- BALANCERS LOSS_PERCENT SEED`.
 
 use std::process::ExitCode;
 
-use hollowpaddle_models::control_plane::{Scenario, measure};
+use hollowpaddle_model_checks::control_plane::{Scenario, measure};
 
 const USAGE: &str = "usage: control-plane-figures BALANCERS LOSS_PERCENT SEED";
 
--- a/crates/models/tests/change_limits.rs
+++ b/crates/model-checks/tests/change_limits.rs
@@ -1,6 +1,6 @@
 //! A change is accepted up to the stated bounds of a fleet, and refused with a reason beyond.
 
-use hollowpaddle_models::change_limits::{FleetSize, Outcome, propose_with};
+use hollowpaddle_model_checks::change_limits::{FleetSize, Outcome, propose_with};
 use hollowpaddle_revision::document::MOST_NAMES;
 use hollowpaddle_revision::fleet::MOST_GROUPS;
 
--- a/crates/models/tests/checked.rs
+++ b/crates/model-checks/tests/checked.rs
@@ -2,7 +2,7 @@
 
 use std::time::{Duration, Instant};
 
-use hollowpaddle_models::{agreement, holding};
+use hollowpaddle_model_checks::{agreement, holding};
 use stateright::{Checker, Model, Property};
 
 /// Explores breadth first until so many states are generated. What it came to is printed.
--- a/crates/models/tests/control_plane.rs
+++ b/crates/model-checks/tests/control_plane.rs
@@ -1,6 +1,6 @@
 //! The figures of the control plane at one size are consistent with each other.
 
-use hollowpaddle_models::control_plane::{Scenario, measure};
+use hollowpaddle_model_checks::control_plane::{Scenario, measure};
 
 #[test]
 fn figures_of_a_small_cluster_are_consistent() {
--- a/crates/models/tests/days.rs
+++ b/crates/model-checks/tests/days.rs
@@ -1,6 +1,6 @@
 //! Drawn days of small banks: what is agreed, what is answered, what is acted on.
 
-use hollowpaddle_models::day::{Day, play};
+use hollowpaddle_model_checks::day::{Day, play};
 use std::time::Duration;
 
 /// Plays them on three threads, and says what they came to.
@@ -75,7 +75,7 @@
     check(range(150));
 }
 
-/// `cargo test --release -p hollowpaddle-models --test days -- --ignored --nocapture`
+/// `cargo test --release -p hollowpaddle-model-checks --test days -- --ignored --nocapture`
 #[test]
 #[ignore = "minutes: run it by name after a change of any machine; `SEED` and `DAYS` choose others"]
 fn ten_thousand_days() {
--- a/crates/models/tests/figures.rs
+++ b/crates/model-checks/tests/figures.rs
@@ -2,8 +2,8 @@
 
 use std::time::Duration;
 
-use hollowpaddle_models::figures::{catch_up, load, new_leader, ruin, settled, spread};
-use hollowpaddle_models::world::{Plan, ms};
+use hollowpaddle_model_checks::figures::{catch_up, load, new_leader, ruin, settled, spread};
+use hollowpaddle_model_checks::world::{Plan, ms};
 
 #[test]
 fn a_small_bank_is_as_fast_as_is_said() {
--- a/crates/models/tests/findings.rs
+++ b/crates/model-checks/tests/findings.rs
@@ -3,7 +3,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hollowpaddle_models::world::{Plan, World, ms};
+use hollowpaddle_model_checks::world::{Plan, World, ms};
 use hollowpaddle_peer_transport::{
     Action, Budget, Channel, Config, Event, How, Life, Member, Wire,
 };
@@ -99,7 +99,7 @@
     let mut least = 300;
     for _ in 0..20 {
         world.run(ms(500));
-        least = least.min(hollowpaddle_models::figures::share_leased(&world));
+        least = least.min(hollowpaddle_model_checks::figures::share_leased(&world));
     }
     assert!(least >= 297, "{least} of 300 hold a lease in the worst moment of 10 s");
 }
