--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -12,7 +12,7 @@
 use std::thread::{self, JoinHandle};
 use std::time::Instant;
 
-use hollowpaddle_links::Rule;
+use hollowpaddle_link_faults::Rule;
 use serde_json::Value;
 use tokio::sync::mpsc::{UnboundedSender, unbounded_channel};
 use tokio::task::LocalSet;
--- a/crates/rehearsal/src/peers.rs
+++ b/crates/rehearsal/src/peers.rs
@@ -9,7 +9,7 @@
 use std::rc::{Rc, Weak};
 use std::time::Duration;
 
-use hollowpaddle_links::{Does, Links, Rule, Set};
+use hollowpaddle_link_faults::{Does, Links, Rule, Set};
 use hollowpaddle_net::{DATAGRAM, Datagrams};
 use hollowpaddle_simnet::{Datagram, Fabric};
 use tokio::task::{AbortHandle, spawn_local};
--- a/crates/scenario/src/scenario/mod.rs
+++ b/crates/scenario/src/scenario/mod.rs
@@ -11,7 +11,7 @@
 
 use std::time::Duration;
 
-pub use hollowpaddle_links::Trouble;
+pub use hollowpaddle_link_faults::Trouble;
 pub use hollowpaddle_toml_fields::{Problem, Problems};
 
 /// A whole scenario. Every time is a length; work is in milliseconds of one core of speed 1.
--- a/crates/simnet/src/lib.rs
+++ b/crates/simnet/src/lib.rs
@@ -1,7 +1,7 @@
 //! A network inside one process, under the runtime's clock: TCP as far as programs can tell by what their
 //! calls return. With a paused clock on one thread the same calls give the same run, byte for byte.
 //!
-//! Datagrams go by [`Fabric::route_datagrams`], which may lose, delay, double and change them; `hollowpaddle_links` is a
+//! Datagrams go by [`Fabric::route_datagrams`], which may lose, delay, double and change them; `hollowpaddle_link_faults` is a
 //! machine that does.
 //!
 //! What it does not show: the kernel's buffers are one bounded queue a direction, descriptors cost nothing,
--- a/tests/fleet/bank.rs
+++ b/tests/fleet/bank.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, Instant};
 
 use crate::start;
-use hollowpaddle_links::{Does, Rule};
+use hollowpaddle_link_faults::{Does, Rule};
 use hollowpaddle_rehearsal::fleet::{Fleet, until};
 use hollowpaddle_rehearsal::scripted::*;
 use serde_json::{Value, json};
