--- a/crates/soak/src/balancer.rs
+++ b/crates/soak/src/balancer.rs
@@ -6,7 +6,7 @@
 use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
-use hollowpaddle_shim::Shim;
+use hollowpaddle_syscall_faults::Shim;
 use tokio::io::{AsyncBufReadExt, AsyncWriteExt, BufReader};
 use tokio::process::{Child, Command};
 use tokio::time::{Instant, sleep, timeout};
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hollowpaddle_shim::{Errno, Fault};
+use hollowpaddle_syscall_faults::{Errno, Fault};
 use tokio::time::{Instant, sleep};
 
 use crate::balancer::Balancer;
--- a/tests/node/main.rs
+++ b/tests/node/main.rs
@@ -14,7 +14,7 @@
 mod watches;
 
 use hollowpaddle_rehearsal::scripted::Node;
-use hollowpaddle_shim::Shim;
+use hollowpaddle_syscall_faults::Shim;
 use serde_json::Value;
 
 const NODE: &str = env!("CARGO_BIN_EXE_hollowpaddle");
--- a/tests/node/stopping.rs
+++ b/tests/node/stopping.rs
@@ -8,7 +8,7 @@
 
 use crate::{start, start_with};
 use hollowpaddle_rehearsal::scripted::*;
-use hollowpaddle_shim::{Errno, Fault, Shim};
+use hollowpaddle_syscall_faults::{Errno, Fault, Shim};
 use serde_json::json;
 
 const READY: &str = "GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n";
--- a/tests/node/system_calls.rs
+++ b/tests/node/system_calls.rs
@@ -5,7 +5,7 @@
 
 use crate::start_with;
 use hollowpaddle_rehearsal::scripted::*;
-use hollowpaddle_shim::{Errno, Fault, Shim};
+use hollowpaddle_syscall_faults::{Errno, Fault, Shim};
 use serde_json::json;
 
 fn shim() -> Shim {
