--- a/crates/hollow/measure-daemon.sh
+++ b/crates/scale-harness/measure-daemon.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Measures one daemon at all points of docs/CAPACITY.md, each twice, and prints a line of JSON for each. Takes about
-# a quarter of an hour. Usage: crates/hollow/measure-daemon.sh DAEMON-FIGURES DAEMON > daemon.jsonl
+# a quarter of an hour. Usage: crates/scale-harness/measure-daemon.sh DAEMON-FIGURES DAEMON > daemon.jsonl
 set -euo pipefail
 figures=$1
 daemon=$2
--- a/crates/hollow/src/bin/daemon-figures.rs
+++ b/crates/scale-harness/src/bin/daemon-figures.rs
@@ -7,8 +7,8 @@
 use std::time::Duration;
 
 use clap::Parser;
-use hollowpaddle_hollow::fleet::{Fleet, SubsetConfig, TARGET_REGIONS, TARGET_ZONES};
-use hollowpaddle_hollow::measure::{LoadPlan, Plan, run};
+use hollowpaddle_scale_harness::fleet::{Fleet, SubsetConfig, TARGET_REGIONS, TARGET_ZONES};
+use hollowpaddle_scale_harness::measure::{LoadPlan, Plan, run};
 
 /// Measures one daemon on loopback and prints one line of JSON.
 #[derive(Parser)]
--- a/crates/hollow/src/bin/fit-line.rs
+++ b/crates/scale-harness/src/bin/fit-line.rs
@@ -7,7 +7,7 @@
 use std::io::{BufRead, stdin};
 use std::process::ExitCode;
 
-use hollowpaddle_hollow::fit::{Line, Point};
+use hollowpaddle_scale_harness::fit::{Line, Point};
 use serde_json::{Value, json};
 
 const USAGE: &str = "usage: fit-line COUNT VALUE [BUDGET] [FIELD=VALUE]... < FILE";
--- a/crates/hollow/src/bin/hollow.rs
+++ b/crates/scale-harness/src/bin/hollow.rs
@@ -6,10 +6,10 @@
 use std::time::Duration;
 
 use clap::{Args, Parser, Subcommand};
-use hollowpaddle_hollow::cluster::{HarnessError, Options};
-use hollowpaddle_hollow::fleet::{Fleet, SubsetConfig};
-use hollowpaddle_hollow::processes::play_real;
-use hollowpaddle_hollow::runs::Run;
+use hollowpaddle_scale_harness::cluster::{HarnessError, Options};
+use hollowpaddle_scale_harness::fleet::{Fleet, SubsetConfig};
+use hollowpaddle_scale_harness::processes::play_real;
+use hollowpaddle_scale_harness::runs::Run;
 use serde::Serialize;
 use tokio::task::LocalSet;
 
--- a/crates/hollow/tests/discovery.rs
+++ b/crates/scale-harness/tests/discovery.rs
@@ -4,8 +4,8 @@
 use std::net::{SocketAddr, TcpStream};
 use std::time::Duration;
 
-use hollowpaddle_hollow::discovery::{Discovery, Mode};
-use hollowpaddle_hollow::fleet::{Fleet, ListEntry, Phase};
+use hollowpaddle_scale_harness::discovery::{Discovery, Mode};
+use hollowpaddle_scale_harness::fleet::{Fleet, ListEntry, Phase};
 use serde_json::Value;
 
 /// Longest wait for anything that has to happen.
--- a/crates/hollow/tests/fit.rs
+++ b/crates/scale-harness/tests/fit.rs
@@ -1,6 +1,6 @@
 //! The line of least squares.
 
-use hollowpaddle_hollow::fit::{FitError, Line, Point};
+use hollowpaddle_scale_harness::fit::{FitError, Line, Point};
 
 fn points(all: &[(f64, f64)]) -> Vec<Point> {
     all.iter().map(|&(count, value)| Point { count, value }).collect()
--- a/crates/hollow/tests/fleet.rs
+++ b/crates/scale-harness/tests/fleet.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 
 use hollowpaddle_gateway::Config;
-use hollowpaddle_hollow::fleet::{
+use hollowpaddle_scale_harness::fleet::{
     BalancerConfig, Fleet, UPSTREAMS_PER_RACK, UPSTREAMS_PER_SERVICE,
 };
 
--- a/crates/hollow/tests/measure.rs
+++ b/crates/scale-harness/tests/measure.rs
@@ -3,8 +3,8 @@
 use std::path::PathBuf;
 use std::time::Duration;
 
-use hollowpaddle_hollow::fleet::Fleet;
-use hollowpaddle_hollow::measure::{Figures, LoadPlan, MeasureError, Plan, run};
+use hollowpaddle_scale_harness::fleet::Fleet;
+use hollowpaddle_scale_harness::measure::{Figures, LoadPlan, MeasureError, Plan, run};
 
 /// Services of the small fleet, thirty upstreams each.
 const SERVICES: usize = 2;
@@ -15,7 +15,10 @@
 fn program() -> PathBuf {
     let figures = PathBuf::from(env!("CARGO_BIN_EXE_daemon-figures"));
     let program = figures.with_file_name("examples").join("daemon");
-    assert!(program.exists(), "run `cargo test -p hollowpaddle-hollow`, which builds {program:?}");
+    assert!(
+        program.exists(),
+        "run `cargo test -p hollowpaddle-scale-harness`, which builds {program:?}"
+    );
     program
 }
 
--- a/crates/hollow/tests/not_linked.rs
+++ b/crates/scale-harness/tests/not_linked.rs
@@ -22,5 +22,5 @@
 fn daemon_does_not_depend_on_the_harness() {
     let packages = packages_of_the_daemon();
     assert!(packages.contains("hollowpaddle-gateway"), "{packages}");
-    assert!(!packages.contains("hollowpaddle-hollow"), "{packages}");
+    assert!(!packages.contains("hollowpaddle-scale-harness"), "{packages}");
 }
--- a/crates/hollow/tests/slopes.rs
+++ b/crates/scale-harness/tests/slopes.rs
@@ -3,12 +3,12 @@
 
 use std::time::Duration;
 
-use hollowpaddle_hollow::canary::ProbeAnswer;
-use hollowpaddle_hollow::cluster::{HollowCluster, Mark, Options};
-use hollowpaddle_hollow::fleet::{DRAIN_GRACE_MS, Fleet};
-use hollowpaddle_hollow::prober::InForce;
-use hollowpaddle_hollow::runs::Run;
-use hollowpaddle_hollow::spread::Spread;
+use hollowpaddle_scale_harness::canary::ProbeAnswer;
+use hollowpaddle_scale_harness::cluster::{HollowCluster, Mark, Options};
+use hollowpaddle_scale_harness::fleet::{DRAIN_GRACE_MS, Fleet};
+use hollowpaddle_scale_harness::prober::InForce;
+use hollowpaddle_scale_harness::runs::Run;
+use hollowpaddle_scale_harness::spread::Spread;
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
--- a/tests/fleet/scale.rs
+++ b/tests/fleet/scale.rs
@@ -3,11 +3,11 @@
 use std::path::Path;
 use std::time::{Duration, Instant};
 
-use hollowpaddle_hollow::canary::ProbeAnswer;
-use hollowpaddle_hollow::discovery::Mode;
-use hollowpaddle_hollow::fleet::{DRAIN_GRACE_MS, Fleet, ListEntry, Phase};
-use hollowpaddle_hollow::prober::Rotation;
-use hollowpaddle_hollow::processes::RealCluster;
+use hollowpaddle_scale_harness::canary::ProbeAnswer;
+use hollowpaddle_scale_harness::discovery::Mode;
+use hollowpaddle_scale_harness::fleet::{DRAIN_GRACE_MS, Fleet, ListEntry, Phase};
+use hollowpaddle_scale_harness::prober::Rotation;
+use hollowpaddle_scale_harness::processes::RealCluster;
 use tokio::task::LocalSet;
 use tokio::time::sleep;
 
