--- a/crates/benchlink/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -17,7 +17,7 @@
     match run() {
         Ok(()) => ExitCode::SUCCESS,
         Err(message) => {
-            eprintln!("hollowpaddle-benchlink: {message}");
+            eprintln!("hollowpaddle-simulator-adapter: {message}");
             ExitCode::FAILURE
         }
     }
--- a/crates/benchlink/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 
 fn drill(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_hollowpaddle-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_hollowpaddle-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
--- a/crates/benchlink/tests/formats.rs
+++ b/crates/simulator-adapter/tests/formats.rs
@@ -15,7 +15,7 @@
 const OUTPUT: &str = include_str!("formats/output.jsonl");
 
 fn run(input: &str) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_hollowpaddle-benchlink"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_hollowpaddle-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
