--- a/crates/consensus/src/learner.rs
+++ b/crates/consensus/src/learner.rs
@@ -5,15 +5,15 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hollowpaddle_peer_transport::{Life, Member};
+use hollowpaddle_peer_transport::{Incarnation, NodeId};
 
 use crate::log::{Base, Blob, Log};
-use crate::normal::SNAPSHOT_EVERY;
-use crate::tree::{CHILDREN, order, parent};
-use crate::words::{
-    Counts, ENTRY_MAX, Entry, Index, Members, Outcome, Part, ProposalId, SNAPSHOT_MAX, Say, View,
-    What, Word,
+use crate::message::{
+    Counts, ENTRY_MAX, Entry, Index, Members, Message, Outcome, Part, ProposalId, SNAPSHOT_MAX,
+    Say, View, What,
 };
+use crate::replication::SNAPSHOT_EVERY;
+use crate::tree::{CHILDREN, order, parent};
 
 /// How often a learner asks its source.
 pub const FOLLOW: Duration = Duration::from_millis(300);
@@ -40,11 +40,11 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LearnerSettings {
     /// Who it is.
-    pub me: Member,
+    pub node_id: NodeId,
     /// The council of the settings.
-    pub council: Vec<Member>,
+    pub voters: Vec<NodeId>,
     /// How many balancers there are.
-    pub bank: u16,
+    pub cluster: u16,
     /// For its chance.
     pub seed: u64,
 }
@@ -55,13 +55,13 @@
     /// Time has passed: at least every 50 ms.
     Tick,
     /// A word came, whose channel is `Log`.
-    Word {
+    Message {
         /// Who said it.
-        from: Member,
+        from: NodeId,
         /// Which process of it.
-        life: Life,
+        incarnation: Incarnation,
         /// What.
-        word: Word,
+        message: Message,
     },
     /// The council's machine of this process told [`crate::Action::Committed`].
     Committed {
@@ -79,7 +79,7 @@
     },
     /// Whom the council's machine of this process hears lead ([`crate::Council::leader`]), whenever that
     /// changes.
-    Leader(Option<Member>),
+    Leader(Option<NodeId>),
     /// What the machine above made of the log up to an entry. Best at the same entries everywhere (every
     /// 1,024): then copies are alike, and one can be fetched from several.
     Snapshot {
@@ -96,7 +96,7 @@
         bytes: Vec<u8>,
     },
     /// Leases, which go the same way, want another source than this one: it takes no more, or has given none.
-    Elsewhere(Member),
+    Elsewhere(NodeId),
     /// What became of a proposal whose answer did not come?
     Ask {
         /// Which.
@@ -110,9 +110,9 @@
     /// A word to another member; to this one's own council, if its channel is `Council`.
     Send {
         /// To whom.
-        to: Member,
+        to: NodeId,
         /// What.
-        word: Word,
+        message: Message,
     },
     /// An entry is committed. Each is told once a life and epoch, in order and without a gap.
     Committed {
@@ -130,11 +130,11 @@
         state: Vec<u8>,
     },
     /// From whom it learns now; leases go the same way. `None`: it is the root, or looks for one.
-    Source(Option<Member>),
+    Source(Option<NodeId>),
     /// A child has the log up to an entry: [`crate::Event::Copied`] of this process's council.
     Copied {
         /// Which.
-        by: Member,
+        by: NodeId,
         /// The entry.
         index: Index,
     },
@@ -174,13 +174,13 @@
     log: Log,
     members: Members,
     /// The leader, as told.
-    leader: Option<Member>,
+    leader: Option<NodeId>,
     /// The own council hears it.
     own: bool,
     /// When the leader led, as far as the source knew.
     led: Option<Duration>,
-    order: Vec<Member>,
-    source: Option<Member>,
+    order: Vec<NodeId>,
+    source: Option<NodeId>,
     /// Sources that did not do, since the tree's.
     attempt: u32,
     since: Duration,
@@ -192,7 +192,7 @@
     /// The epoch of the snapshot that is being fetched.
     blob_epoch: u32,
     turn: usize,
-    children: BTreeMap<Member, Child>,
+    children: BTreeMap<NodeId, Child>,
     parts: u32,
     parts_since: Duration,
     underway: BTreeMap<ProposalId, Underway>,
@@ -202,7 +202,7 @@
 impl Learner {
     /// One that knows nothing yet.
     pub fn new(now: Duration, settings: LearnerSettings) -> Self {
-        let members = Members::of(settings.council.iter().copied());
+        let members = Members::of(settings.voters.iter().copied());
         let mut learner = Self {
             now,
             chance: settings.seed ^ 0x1EA4_0000,
@@ -211,7 +211,7 @@
             leader: None,
             own: false,
             led: None,
-            order: order(settings.bank, &members, None),
+            order: order(settings.cluster, &members, None),
             members,
             source: None,
             attempt: 0,
@@ -238,7 +238,9 @@
         self.now = self.now.max(now);
         match event {
             Learn::Tick => self.tick(actions),
-            Learn::Word { from, life: _, word } => self.word(from, word, actions),
+            Learn::Message { from, incarnation: _, message } => {
+                self.message(from, message, actions)
+            }
             Learn::Committed { index, entry } => {
                 if index.epoch() == self.epoch && self.apply(index.op(), entry, actions) {
                     self.push(index.op(), actions);
@@ -281,15 +283,15 @@
         Index::new(self.epoch, self.log.op())
     }
     /// From whom it learns.
-    pub fn source(&self) -> Option<Member> {
+    pub fn source(&self) -> Option<NodeId> {
         self.source
     }
     /// Who learns from it.
-    pub fn children(&self) -> impl Iterator<Item = Member> {
+    pub fn children(&self) -> impl Iterator<Item = NodeId> {
         self.children.keys().copied()
     }
     /// The leader, as far as it was told.
-    pub fn leader(&self) -> Option<Member> {
+    pub fn leader(&self) -> Option<NodeId> {
         self.leader
     }
     /// Who votes, as far as it has learned.
@@ -305,9 +307,9 @@
         (self.chance >> 33) as usize % below.max(1)
     }
 
-    fn send(&self, to: Member, say: Say, actions: &mut Vec<Learned>) {
+    fn send(&self, to: NodeId, say: Say, actions: &mut Vec<Learned>) {
         let view = View { epoch: self.epoch, ..View::default() };
-        actions.push(Learned::Send { to, word: Word { view, counts: Counts::new(), say } });
+        actions.push(Learned::Send { to, message: Message { view, counts: Counts::new(), say } });
     }
 
     // What it learns.
@@ -350,7 +352,7 @@
     /// Tells the children that are not further than the entry before this one.
     fn push(&mut self, first: u64, actions: &mut Vec<Learned>) {
         let ready = Index::new(self.epoch, first - 1);
-        let children: Vec<Member> = self
+        let children: Vec<NodeId> = self
             .children
             .iter()
             .filter(|(_, c)| c.at >= ready)
@@ -370,7 +372,7 @@
         let lacks = |c: &Child| {
             c.at.epoch() == at.epoch() && c.at < at && now.saturating_sub(c.pushed) >= AGAIN
         };
-        let late: Vec<(Member, u64)> = self
+        let late: Vec<(NodeId, u64)> = self
             .children
             .iter()
             .filter(|(_, c)| lacks(c))
@@ -403,7 +405,7 @@
         if self.own { 0 } else { age }
     }
 
-    fn news(&self, to: Member, part: Option<Part>, actions: &mut Vec<Learned>) {
+    fn news(&self, to: NodeId, part: Option<Part>, actions: &mut Vec<Learned>) {
         let (at, leader, members, age) = (self.at(), self.leader, self.members.clone(), self.age());
         self.send(to, Say::News { at, leader, members, age, part }, actions);
     }
@@ -411,13 +413,13 @@
     // From whom.
 
     fn new_order(&mut self, actions: &mut Vec<Learned>) {
-        self.order = order(self.settings.bank, &self.members, self.leader);
+        self.order = order(self.settings.cluster, &self.members, self.leader);
         if self.attempt == 0 {
             self.take_source(self.tree_source(), actions);
         }
     }
 
-    fn learn_leader(&mut self, leader: Option<Member>, actions: &mut Vec<Learned>) {
+    fn learn_leader(&mut self, leader: Option<NodeId>, actions: &mut Vec<Learned>) {
         if leader.is_some() && leader != self.leader {
             self.leader = leader;
             self.attempt = 0;
@@ -426,14 +428,14 @@
     }
 
     fn place(&self) -> usize {
-        self.order.iter().position(|m| *m == self.settings.me).unwrap_or(self.order.len())
+        self.order.iter().position(|m| *m == self.settings.node_id).unwrap_or(self.order.len())
     }
 
-    fn tree_source(&self) -> Option<Member> {
+    fn tree_source(&self) -> Option<NodeId> {
         parent(&self.order, self.place())
     }
 
-    fn take_source(&mut self, source: Option<Member>, actions: &mut Vec<Learned>) {
+    fn take_source(&mut self, source: Option<NodeId>, actions: &mut Vec<Learned>) {
         if source != self.source {
             self.source = source;
             (self.heard, self.since) = (self.now, self.now);
@@ -446,13 +448,13 @@
     fn change_source(&mut self, actions: &mut Vec<Learned>) {
         self.attempt = self.attempt.saturating_add(1);
         let nearer = self.place().max(self.members.list.len()).min(self.order.len());
-        let (me, old) = (self.settings.me, self.source);
-        let fit: Vec<Member> = self
+        let (node_id, old) = (self.settings.node_id, self.source);
+        let fit: Vec<NodeId> = self
             .order
             .iter()
             .take(nearer)
             .copied()
-            .filter(|m| *m != me && Some(*m) != old && !self.children.contains_key(m))
+            .filter(|m| *m != node_id && Some(*m) != old && !self.children.contains_key(m))
             .collect();
         let next = fit.get(self.draw(fit.len())).copied().or(old);
         (self.heard, self.since) = (self.now, self.now);
@@ -460,7 +462,7 @@
     }
 
     fn look_at_source(&mut self, actions: &mut Vec<Learned>) {
-        let root = self.own && self.leader == Some(self.settings.me);
+        let root = self.own && self.leader == Some(self.settings.node_id);
         if root {
             self.attempt = 0;
             self.take_source(None, actions);
@@ -519,8 +521,8 @@
 
     // Words.
 
-    fn word(&mut self, from: Member, word: Word, actions: &mut Vec<Learned>) {
-        match word.say {
+    fn message(&mut self, from: NodeId, message: Message, actions: &mut Vec<Learned>) {
+        match message.say {
             Say::Follow { at, offset, sum } => self.on_follow(from, at, offset, sum, actions),
             Say::News { at, leader, members, age, part } => {
                 self.on_news(from, at, leader, &members, age, part, actions);
@@ -546,14 +548,14 @@
 
     fn on_follow(
         &mut self,
-        from: Member,
+        from: NodeId,
         at: Index,
         offset: u32,
         sum: u32,
         actions: &mut Vec<Learned>,
     ) {
         let full = self.children.len() >= CHILDREN + GUESTS;
-        if full && !self.children.contains_key(&from) || from == self.settings.me {
+        if full && !self.children.contains_key(&from) || from == self.settings.node_id {
             return;
         }
         let pushed = self.now;
@@ -574,9 +576,9 @@
     #[expect(clippy::too_many_arguments, reason = "each is a field of the word")]
     fn on_news(
         &mut self,
-        from: Member,
+        from: NodeId,
         at: Index,
-        leader: Option<Member>,
+        leader: Option<NodeId>,
         members: &Members,
         age: u32,
         part: Option<Part>,
@@ -645,14 +647,14 @@
 
     /// Asks one that is not the source for the next bytes, in turn with it: a snapshot comes from several.
     fn ask_another(&mut self, actions: &mut Vec<Learned>) -> bool {
-        let (me, source) = (self.settings.me, self.source);
+        let (node_id, source) = (self.settings.node_id, self.source);
         let nearer = self.place().max(self.members.list.len()).min(self.order.len());
-        let others: Vec<Member> = self
+        let others: Vec<NodeId> = self
             .order
             .iter()
             .take(nearer)
             .copied()
-            .filter(|m| *m != me && Some(*m) != source)
+            .filter(|m| *m != node_id && Some(*m) != source)
             .collect();
         self.turn = self.turn.wrapping_add(1);
         let Some(other) = others.get(self.turn % others.len().max(1)).copied() else {
@@ -680,8 +682,8 @@
     }
 
     /// To the leader, or to a voter that may know it.
-    fn bring(&mut self, id: ProposalId, to: Option<Member>, actions: &mut Vec<Learned>) {
-        let voters: Vec<Member> = self.members.list.iter().copied().collect();
+    fn bring(&mut self, id: ProposalId, to: Option<NodeId>, actions: &mut Vec<Learned>) {
+        let voters: Vec<NodeId> = self.members.list.iter().copied().collect();
         let any = voters.get(self.draw(voters.len())).copied();
         let Some(underway) = self.underway.get_mut(&id) else { return };
         // A leader that did not answer once may lead no longer.
@@ -697,10 +699,10 @@
 
     fn on_answer(
         &mut self,
-        from: Member,
+        from: NodeId,
         id: ProposalId,
         outcome: Option<Outcome>,
-        leader: Option<Member>,
+        leader: Option<NodeId>,
         actions: &mut Vec<Learned>,
     ) {
         if !self.underway.contains_key(&id) {
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -39,32 +39,32 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod council;
-mod disk;
 mod learner;
 mod log;
-mod normal;
-mod record;
+mod log_file;
+mod log_record;
+mod message;
+mod recovery;
+mod replica;
+mod replication;
 mod store;
 mod tree;
-mod views;
-mod waking;
-mod words;
+mod view_change;
 
-pub use council::{
-    Action, Council, DEAF, Event, LOST, Operators, ROUND, Settings, default_council,
-};
-pub use disk::{Directory, Disk};
 pub use learner::{
     ANSWER, FOLLOW, Learn, Learned, Learner, LearnerSettings, PARTS, PROPOSALS, SILENT, STALE,
 };
 pub use log::{Base, IDS, KEPT, LOG_BYTES, LOG_MAX, Log};
-pub use normal::{SNAPSHOT_EVERY, UNDERWAY};
-pub use record::{Durable, Record, State};
+pub use log_file::{Directory, Disk};
+pub use log_record::{Durable, Record, State};
+pub use message::{
+    COUNCIL_MAX, Counts, ENTRY_MAX, Entry, Hello, Index, MAX_MESSAGE_BYTES, Members, Message,
+    MessageError, Outcome, PART, Part, ProposalId, SNAPSHOT_MAX, Say, Standing, View, What,
+};
+pub use recovery::{DIRECTORY, GATHER, LIVED};
+pub use replica::{
+    Action, Council, DEAF, Event, LOST, Operators, ROUND, Settings, default_council,
+};
+pub use replication::{SNAPSHOT_EVERY, UNDERWAY};
 pub use store::{COMPACT, Doubt, FILE_MAX, Found, Store, StoreError, VERSION};
 pub use tree::{CHILDREN, order, parent};
-pub use waking::{DIRECTORY, GATHER, LIVED};
-pub use words::{
-    COUNCIL_MAX, Counts, ENTRY_MAX, Entry, Hello, Index, Members, Outcome, PART, Part, ProposalId,
-    SNAPSHOT_MAX, Say, Standing, View, WORD_MAX, What, Word, WordError,
-};
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -5,10 +5,10 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollowpaddle_peer_transport::Member;
+use hollowpaddle_peer_transport::NodeId;
 use serde::{Deserialize, Serialize};
 
-use crate::words::{Entry, Members, PART, Part, ProposalId, SNAPSHOT_MAX, View};
+use crate::message::{Entry, Members, PART, Part, ProposalId, SNAPSHOT_MAX, View};
 
 /// Entries kept behind a snapshot, so that one a little behind needs entries and not the snapshot.
 pub const KEPT: u64 = 256;
@@ -169,7 +169,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Transfer {
     /// From whom.
-    pub source: Member,
+    pub source: NodeId,
     /// The view that it is fetched for.
     pub view: View,
     /// The last entry that is needed.
@@ -231,7 +231,7 @@
 
 impl Transfer {
     /// From a source, for a view: entries from `from` to `target`, or a snapshot and entries.
-    pub fn new(source: Member, view: View, from: u64, target: u64) -> Self {
+    pub fn new(source: NodeId, view: View, from: u64, target: u64) -> Self {
         Self {
             source,
             view,
--- a/crates/consensus/src/record.rs
+++ b/crates/consensus/src/log_record.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::log::{Base, Log};
-use crate::words::{Counts, Entry, View};
+use crate::message::{Counts, Entry, View};
 
 /// One thing that is to survive the process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/crates/consensus/src/words.rs
+++ b/crates/consensus/src/message.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
 
-use hollowpaddle_peer_transport::{Channel, Life, Member};
+use hollowpaddle_peer_transport::{Channel, Incarnation, NodeId};
 use serde::{Deserialize, Serialize};
 
 /// Longest entry, in bytes. Longer ones are refused at the door: every voter and learner holds hundreds.
@@ -13,7 +13,7 @@
 /// datagrams.
 pub const PART: usize = 16 << 10;
 /// Longest word, in bytes, as written.
-pub const WORD_MAX: usize = 20 << 10;
+pub const MAX_MESSAGE_BYTES: usize = 20 << 10;
 /// Longest snapshot with what the council adds to it, in bytes. Without a bound a broken sender fills the
 /// memory of whoever puts it together.
 pub const SNAPSHOT_MAX: usize = 2 << 20;
@@ -61,7 +61,7 @@
     /// Changes of leader, as whoever began this one knew them.
     pub number: u32,
     /// Who leads it, and settles which of two that began alike is the greater.
-    pub leader: Member,
+    pub leader: NodeId,
 }
 
 /// Names a proposal for good: repeats of it become one entry.
@@ -70,9 +70,9 @@
 )]
 pub struct ProposalId {
     /// At whose door it was proposed.
-    pub by: Member,
+    pub by: NodeId,
     /// By which process of it.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// Counted there.
     pub number: u64,
 }
@@ -81,20 +81,20 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Members {
     /// Those that vote.
-    pub list: BTreeSet<Member>,
+    pub list: BTreeSet<NodeId>,
     /// Comes in next, for one that went out.
-    pub coming: Option<Member>,
+    pub coming: Option<NodeId>,
     /// Number of the entry that made it so; 0: the settings.
     pub since: u64,
 }
 
 impl Members {
     /// The council that the settings name.
-    pub fn of(list: impl IntoIterator<Item = Member>) -> Self {
+    pub fn of(list: impl IntoIterator<Item = NodeId>) -> Self {
         Self { list: list.into_iter().take(COUNCIL_MAX).collect(), coming: None, since: 0 }
     }
     /// Whether one votes, or comes next.
-    pub fn has(&self, member: Member) -> bool {
+    pub fn has(&self, member: NodeId) -> bool {
         self.list.contains(&member) || self.coming == Some(member)
     }
     /// How many are a majority.
@@ -102,7 +102,7 @@
         self.list.len() / 2 + 1
     }
     /// Whether these are one.
-    pub fn is_majority<'a>(&self, of: impl IntoIterator<Item = &'a Member>) -> bool {
+    pub fn is_majority<'a>(&self, of: impl IntoIterator<Item = &'a NodeId>) -> bool {
         of.into_iter().filter(|m| self.list.contains(m)).count() >= self.majority()
     }
     /// After the entry with this number.
@@ -132,12 +132,12 @@
     /// A member votes no longer, and another one is to come for it.
     Remove {
         /// Who goes.
-        out: Member,
+        out: NodeId,
         /// Who comes.
-        then: Option<Member>,
+        then: Option<NodeId>,
     },
     /// One more votes.
-    Add(Member),
+    Add(NodeId),
 }
 
 /// One entry of the log.
@@ -157,7 +157,7 @@
 }
 
 /// Counts of members' lives within the group: the crash vector of Michael et al. (2017).
-pub type Counts = BTreeMap<Member, u32>;
+pub type Counts = BTreeMap<NodeId, u32>;
 
 /// What became of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -223,7 +223,7 @@
     /// It hears no leader that leads.
     pub free: bool,
     /// Whom it hears.
-    pub heard: BTreeSet<Member>,
+    pub heard: BTreeSet<NodeId>,
     /// Last entry of its log.
     pub op: u64,
     /// Last one committed that it knows of.
@@ -365,7 +365,7 @@
         /// Last entry that the sender has.
         at: Index,
         /// The leader, as far as it is known.
-        leader: Option<Member>,
+        leader: Option<NodeId>,
         /// Who votes.
         members: Members,
         /// How long ago the leader led, as far as the sender and those it learns from know (ms).
@@ -387,7 +387,7 @@
         /// `None`: ask the leader.
         outcome: Option<Outcome>,
         /// The leader, as far as it is known.
-        leader: Option<Member>,
+        leader: Option<NodeId>,
     },
 }
 
@@ -401,7 +401,7 @@
             | Self::News { .. }
             | Self::Piece { .. }
             | Self::Answer { .. } => Channel::Log,
-            _ => Channel::Council,
+            _ => Channel::Consensus,
         }
     }
     /// Whether it is a promise of the life that said it: dropped once a later life is known.
@@ -422,7 +422,7 @@
 
 /// One word.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Word {
+pub struct Message {
     /// The sender's view. Of a learner: its epoch.
     pub view: View,
     /// Lives that the sender knows of, its own too.
@@ -433,9 +433,9 @@
 
 /// Bytes that are no word.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum WordError {
+pub enum MessageError {
     /// Longer than any word.
-    #[error("reading a word: {found} bytes, where {WORD_MAX} are the most; drop it")]
+    #[error("reading a word: {found} bytes, where {MAX_MESSAGE_BYTES} are the most; drop it")]
     TooLong {
         /// As found.
         found: usize,
@@ -456,15 +456,15 @@
     Unbounded,
 }
 
-impl Word {
+impl Message {
     /// As it goes on the wire.
     ///
     /// # Errors
-    /// It is longer than [`WORD_MAX`]: the machines make no such word.
-    pub fn encode(&self) -> Result<Vec<u8>, WordError> {
-        let bytes = postcard::to_stdvec(self).map_err(WordError::Damaged)?;
-        if bytes.len() > WORD_MAX {
-            return Err(WordError::TooLong { found: bytes.len() });
+    /// It is longer than [`MAX_MESSAGE_BYTES`]: the machines make no such word.
+    pub fn encode(&self) -> Result<Vec<u8>, MessageError> {
+        let bytes = postcard::to_stdvec(self).map_err(MessageError::Damaged)?;
+        if bytes.len() > MAX_MESSAGE_BYTES {
+            return Err(MessageError::TooLong { found: bytes.len() });
         }
         Ok(bytes)
     }
@@ -473,16 +473,16 @@
     ///
     /// # Errors
     /// It is none: too long, damaged, with bytes behind it, or with a set beyond its bound.
-    pub fn decode(bytes: &[u8]) -> Result<Self, WordError> {
-        if bytes.len() > WORD_MAX {
-            return Err(WordError::TooLong { found: bytes.len() });
+    pub fn decode(bytes: &[u8]) -> Result<Self, MessageError> {
+        if bytes.len() > MAX_MESSAGE_BYTES {
+            return Err(MessageError::TooLong { found: bytes.len() });
         }
-        let (word, rest): (Self, _) =
-            postcard::take_from_bytes(bytes).map_err(WordError::Damaged)?;
+        let (message, rest): (Self, _) =
+            postcard::take_from_bytes(bytes).map_err(MessageError::Damaged)?;
         if !rest.is_empty() {
-            return Err(WordError::Trailing { found: rest.len() });
+            return Err(MessageError::Trailing { found: rest.len() });
         }
-        if word.is_bounded() { Ok(word) } else { Err(WordError::Unbounded) }
+        if message.is_bounded() { Ok(message) } else { Err(MessageError::Unbounded) }
     }
 
     fn is_bounded(&self) -> bool {
--- a/crates/consensus/src/waking.rs
+++ b/crates/consensus/src/recovery.rs
@@ -4,11 +4,11 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hollowpaddle_peer_transport::Member;
+use hollowpaddle_peer_transport::NodeId;
 
-use crate::council::{Action, Council, Founding, Lead, PATIENCE, ROUND};
 use crate::log::{Base, Log, Transfer};
-use crate::words::{Counts, Index, Members, Say, Standing, View};
+use crate::message::{Counts, Index, Members, Say, Standing, View};
+use crate::replica::{Action, Council, Founding, Lead, PATIENCE, ROUND};
 
 /// A directory is gone on from only when nobody could tell what stands within so long.
 pub const DIRECTORY: Duration = Duration::from_millis(500);
@@ -53,13 +53,13 @@
     directory: bool,
     began: Duration,
     due: Duration,
-    told: BTreeMap<Member, Told>,
+    told: BTreeMap<NodeId, Told>,
     /// Which start of a member said first that it has forgotten, and when.
-    blank: BTreeMap<Member, (u64, Duration)>,
+    blank: BTreeMap<NodeId, (u64, Duration)>,
     /// The life that it has begun, and when.
     begun: Option<(u32, Duration)>,
-    recovered: BTreeMap<Member, (View, u64, bool, u32)>,
-    copies: Option<(Index, Member)>,
+    recovered: BTreeMap<NodeId, (View, u64, bool, u32)>,
+    copies: Option<(Index, NodeId)>,
     cursor: u16,
 }
 
@@ -78,13 +78,13 @@
         } else {
             self.blank = false;
         }
-        if !self.members.list.contains(&self.settings.me) {
+        if !self.members.list.contains(&self.settings.node_id) {
             self.standing = Standing::Outside;
             self.waking = None;
             return;
         }
         self.standing = if directory { Standing::Waking } else { Standing::Blank };
-        let nonce = self.draw(u64::MAX) ^ u64::from(self.settings.life.0) << 32;
+        let nonce = self.draw(u64::MAX) ^ u64::from(self.settings.incarnation.0) << 32;
         self.waking = Some(Waking {
             nonce,
             directory,
@@ -110,10 +110,10 @@
             waking.recovered.clear();
         }
         if !waking.directory && begun.is_none() {
-            let (from, bank) = (waking.cursor, self.settings.bank);
-            let until = from.saturating_add(COPIES_A_ROUND).min(bank);
-            waking.cursor = if until >= bank { 0 } else { until };
-            for member in (from..until).map(Member) {
+            let (from, cluster) = (waking.cursor, self.settings.cluster);
+            let until = from.saturating_add(COPIES_A_ROUND).min(cluster);
+            waking.cursor = if until >= cluster { 0 } else { until };
+            for member in (from..until).map(NodeId) {
                 self.send(member, Say::AskCopy { nonce }, actions);
             }
         }
@@ -126,8 +126,8 @@
     }
 
     fn decide(&mut self, actions: &mut Vec<Action>) {
-        let (now, me) = (self.now, self.settings.me);
-        let mine = self.counts.get(&me).copied().unwrap_or(0);
+        let (now, node_id) = (self.now, self.settings.node_id);
+        let mine = self.counts.get(&node_id).copied().unwrap_or(0);
         let Some(waking) = &mut self.waking else { return };
         let told = &waking.told;
         let members = &self.members;
@@ -142,7 +142,7 @@
                 let count =
                     told.values().map(|t| t.count).max().unwrap_or(0).max(mine).saturating_add(1);
                 waking.begun = Some((count, now));
-                self.counts.insert(me, count);
+                self.counts.insert(node_id, count);
                 let nonce = waking.nonce;
                 self.send_council(&Say::Recover { nonce }, actions);
                 return;
@@ -153,15 +153,18 @@
             let waited = waking
                 .begun
                 .map_or(long(waking.began, DIRECTORY), |(_, since)| long(since, GATHER));
-            if waited && self.transfer.is_none() && members.is_majority(told.keys().chain([&me])) {
-                let lives = told.values().any(|t| t.count > mine);
+            if waited
+                && self.transfer.is_none()
+                && members.is_majority(told.keys().chain([&node_id]))
+            {
+                let incarnations = told.values().any(|t| t.count > mine);
                 let records = told.values().any(|t| t.written > self.written);
                 if records {
                     self.forget(
                         "the others know of more records: an old copy, or a sync lied",
                         actions,
                     );
-                } else if lives {
+                } else if incarnations {
                     self.forget("the others know a later life, which wrote nothing down", actions);
                 } else {
                     self.rejoin(actions);
@@ -189,26 +192,26 @@
     /// epoch before is over, since nobody can learn from a majority what stands. Each is asked again after
     /// the last of them was first heard to have forgotten.
     fn consider_founding(&mut self, actions: &mut Vec<Action>) {
-        let (now, me) = (self.now, self.settings.me);
+        let (now, node_id) = (self.now, self.settings.node_id);
         let Some(waking) = &self.waking else { return };
-        let is_blank = |m: &&Member| {
+        let is_blank = |m: &&NodeId| {
             let told = waking.told.get(*m);
             told.is_some_and(|t| {
                 t.standing == Standing::Blank && now.saturating_sub(t.heard) < PATIENCE
             })
         };
-        let first = |m: &Member| waking.blank.get(m).map(|(_, at)| *at);
-        let blank: Vec<Member> = self.members.list.iter().filter(is_blank).copied().collect();
+        let first = |m: &NodeId| waking.blank.get(m).map(|(_, at)| *at);
+        let blank: Vec<NodeId> = self.members.list.iter().filter(is_blank).copied().collect();
         let last = blank.iter().filter_map(first).max().unwrap_or(waking.began).max(waking.began);
-        let still = |m: &&Member| {
+        let still = |m: &&NodeId| {
             waking.told.get(*m).is_some_and(|t| Duration::from_millis(t.at) >= last)
                 && waking.blank.get(*m).map(|(own, _)| *own) == waking.told.get(*m).map(|t| t.own)
         };
-        let sure: Vec<Member> = blank.iter().filter(still).copied().collect();
+        let sure: Vec<NodeId> = blank.iter().filter(still).copied().collect();
         if self.members.list.len().saturating_sub(sure.len()) > self.members.majority() {
             return;
         }
-        let before = sure.iter().filter(|m| **m < me).count() as u32;
+        let before = sure.iter().filter(|m| **m < node_id).count() as u32;
         if now.saturating_sub(last) < LIVED + TURN * before {
             return;
         }
@@ -225,14 +228,14 @@
         actions: &mut Vec<Action>,
     ) {
         let epoch = above.saturating_add(1 + self.draw(EPOCHS) as u32);
-        self.begin(View { epoch, number: 1, leader: self.settings.me }, founding, actions);
+        self.begin(View { epoch, number: 1, leader: self.settings.node_id }, founding, actions);
     }
 
     /// Operators say that a majority is gone for good.
-    pub(crate) fn restore(&mut self, members: &[Member], actions: &mut Vec<Action>) {
+    pub(crate) fn restore(&mut self, members: &[NodeId], actions: &mut Vec<Action>) {
         if self.standing == Standing::Mute
             || members.is_empty()
-            || !members.contains(&self.settings.me)
+            || !members.contains(&self.settings.node_id)
         {
             return;
         }
@@ -248,15 +251,15 @@
 
     /// One that has forgotten joins a founding only after it has asked a majority itself, and none of them
     /// knew of more.
-    pub(crate) fn may_join_founding(&self, founder: Member, view: View) -> bool {
+    pub(crate) fn may_join_founding(&self, founder: NodeId, view: View) -> bool {
         let Some(waking) = &self.waking else { return self.blank };
         let told = &waking.told;
         let asked = self.now.saturating_sub(waking.began) >= ASKED && waking.begun.is_none();
-        let knows = self.members.is_majority(told.keys().chain([&self.settings.me]));
+        let knows = self.members.is_majority(told.keys().chain([&self.settings.node_id]));
         asked && knows && told.contains_key(&founder) && told.values().all(|t| t.view < view)
     }
 
-    pub(crate) fn on_ask(&mut self, from: Member, nonce: u64, at: u64, actions: &mut Vec<Action>) {
+    pub(crate) fn on_ask(&mut self, from: NodeId, nonce: u64, at: u64, actions: &mut Vec<Action>) {
         // Who asks has started anew: what it joined before it forgot is not joined.
         if self.joins.get(&from).is_some_and(|j| j.blank) {
             self.joins.remove(&from);
@@ -265,7 +268,7 @@
             nonce,
             at,
             standing: self.shown(),
-            own: u64::from(self.settings.life.0),
+            own: u64::from(self.settings.incarnation.0),
             written: self.peers.get(&from).map_or(0, |p| p.written),
             commit: self.commit,
             members: self.members.clone(),
@@ -273,7 +276,7 @@
         self.send(from, told, actions);
     }
 
-    pub(crate) fn on_told(&mut self, from: Member, nonce: u64, told: Told, members: Members) {
+    pub(crate) fn on_told(&mut self, from: NodeId, nonce: u64, told: Told, members: Members) {
         let asked = self.waking.as_ref().is_some_and(|w| w.nonce == nonce);
         if !asked || !self.members.list.contains(&from) {
             return;
@@ -304,7 +307,7 @@
     fn learn_members(&mut self, members: &Members) {
         if self.blank && members.since > self.members.since && !members.list.is_empty() {
             self.members = members.clone();
-            if !self.members.list.contains(&self.settings.me) {
+            if !self.members.list.contains(&self.settings.node_id) {
                 self.standing = Standing::Outside;
                 self.waking = None;
             }
@@ -313,7 +316,7 @@
 
     pub(crate) fn on_copy(
         &mut self,
-        from: Member,
+        from: NodeId,
         nonce: u64,
         at: Index,
         members: Members,
@@ -334,7 +337,7 @@
         self.learn_members(&members);
     }
 
-    pub(crate) fn on_recover(&mut self, from: Member, nonce: u64, actions: &mut Vec<Action>) {
+    pub(crate) fn on_recover(&mut self, from: NodeId, nonce: u64, actions: &mut Vec<Action>) {
         // One that is between two views can't say what stands.
         if self.standing != Standing::Normal || !self.members.list.contains(&from) {
             return;
@@ -354,7 +357,7 @@
     #[expect(clippy::too_many_arguments, reason = "each is a field of the word")]
     pub(crate) fn on_recovered(
         &mut self,
-        from: Member,
+        from: NodeId,
         nonce: u64,
         view: View,
         op: u64,
@@ -362,7 +365,7 @@
         count: u32,
         actions: &mut Vec<Action>,
     ) {
-        let known = self.members.list.contains(&from) && from != self.settings.me;
+        let known = self.members.list.contains(&from) && from != self.settings.node_id;
         let Some(waking) =
             self.waking.as_mut().filter(|w| w.nonce == nonce && w.begun.is_some() && known)
         else {
--- a/crates/consensus/src/council.rs
+++ b/crates/consensus/src/replica.rs
@@ -4,14 +4,14 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use hollowpaddle_peer_transport::{Life, Member};
+use hollowpaddle_peer_transport::{Incarnation, NodeId};
 
 use crate::log::{Base, Log, Transfer};
-use crate::record::{Durable, Record};
-use crate::waking::Waking;
-use crate::words::{
-    Counts, Entry, Hello, Index, Members, ProposalId, Say, Standing, View, What, Word,
+use crate::log_record::{Durable, Record};
+use crate::message::{
+    Counts, Entry, Hello, Index, Members, Message, ProposalId, Say, Standing, View, What,
 };
+use crate::recovery::Waking;
 
 /// How often a member says that it is there, and a leader begins a round.
 pub const ROUND: Duration = Duration::from_millis(100);
@@ -31,13 +31,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Settings {
     /// Who it is.
-    pub me: Member,
+    pub node_id: NodeId,
     /// This process of it.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// The council of the settings, believed as long as nobody tells of a later one.
-    pub council: Vec<Member>,
+    pub voters: Vec<NodeId>,
     /// How many balancers there are: whom to ask for copies.
-    pub bank: u16,
+    pub cluster: u16,
     /// There is a state directory: what is said waits for [`Event::Persisted`].
     pub directory: bool,
     /// Learners outside the council that have an entry before a yes is said, as far as such are there.
@@ -49,10 +49,10 @@
 
 /// Who is in the council of a bank of so many by default: 5 of up to 100, 7 beyond, evenly over the
 /// numbers. The settings can name others.
-pub fn default_council(bank: u16) -> Vec<Member> {
-    let seats = if bank > 100 { 7 } else { 5.min(bank) };
+pub fn default_council(cluster: u16) -> Vec<NodeId> {
+    let seats = if cluster > 100 { 7 } else { 5.min(cluster) };
     (0..seats)
-        .map(|seat| Member((u32::from(seat) * u32::from(bank) / u32::from(seats.max(1))) as u16))
+        .map(|seat| NodeId((u32::from(seat) * u32::from(cluster) / u32::from(seats.max(1))) as u16))
         .collect()
 }
 
@@ -64,16 +64,16 @@
         /// Names it.
         id: ProposalId,
         /// Who goes.
-        out: Member,
+        out: NodeId,
         /// Who comes.
-        then: Option<Member>,
+        then: Option<NodeId>,
     },
     /// This member founds an epoch with these voters on the best copy that they have: a majority is gone
     /// for good. Said where a majority is only cut off, the log parts in two; the greater epoch wins when
     /// they meet.
     Restore {
         /// Who votes from now on.
-        members: Vec<Member>,
+        members: Vec<NodeId>,
     },
 }
 
@@ -83,13 +83,13 @@
     /// Time has passed: at least every 25 ms.
     Tick,
     /// A word came, whose channel is `Council`.
-    Word {
+    Message {
         /// Who said it.
-        from: Member,
+        from: NodeId,
         /// Which process of it.
-        life: Life,
+        incarnation: Incarnation,
         /// What.
-        word: Word,
+        message: Message,
     },
     /// The records up to this number are on disk, and survive the machine's end.
     Persisted {
@@ -113,7 +113,7 @@
     /// A learner outside the council has the log up to an entry.
     Copied {
         /// Which.
-        by: Member,
+        by: NodeId,
         /// The entry.
         index: Index,
     },
@@ -127,9 +127,9 @@
     /// A word to another member; to itself, if its channel is `Log`.
     Send {
         /// To whom.
-        to: Member,
+        to: NodeId,
         /// What.
-        word: Word,
+        message: Message,
     },
     /// A record is to be written and synced, in the order of the numbers.
     Persist {
@@ -198,7 +198,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Founding {
     /// Best copy of a learner, and whose.
-    pub copy: Option<(Index, Member)>,
+    pub copy: Option<(Index, NodeId)>,
     /// Operators named the voters.
     pub restore: bool,
     /// When it began.
@@ -214,9 +214,9 @@
     pub round: u32,
     pub rounds: VecDeque<(u32, Duration)>,
     /// What each member has kept, and when the latest round that it answered began.
-    pub acks: BTreeMap<Member, (u64, Option<Duration>)>,
+    pub acks: BTreeMap<NodeId, (u64, Option<Duration>)>,
     /// Who waits for which proposal.
-    pub waiting: BTreeMap<ProposalId, BTreeSet<Member>>,
+    pub waiting: BTreeMap<ProposalId, BTreeSet<NodeId>>,
 }
 
 /// A voter.
@@ -238,10 +238,10 @@
     pub(crate) ids: BTreeMap<ProposalId, u64>,
     /// The last entry that was told.
     pub(crate) told: Option<Index>,
-    pub(crate) peers: BTreeMap<Member, Peer>,
+    pub(crate) peers: BTreeMap<NodeId, Peer>,
     /// Greatest number of a view of this epoch that it heard of.
     pub(crate) seen: u32,
-    pub(crate) joins: BTreeMap<Member, Joined>,
+    pub(crate) joins: BTreeMap<NodeId, Joined>,
     pub(crate) founding: Option<Founding>,
     pub(crate) lead: Option<Lead>,
     pub(crate) transfer: Option<Transfer>,
@@ -251,20 +251,20 @@
     pub(crate) free_since: Option<Duration>,
     pub(crate) hello_due: Duration,
     pub(crate) waking: Option<Waking>,
-    pub(crate) copied: BTreeMap<Member, (Index, Duration)>,
+    pub(crate) copied: BTreeMap<NodeId, (Index, Duration)>,
     pub(crate) asked_snapshot: u64,
     /// Lives that the directory names.
     pub(crate) kept: Option<Counts>,
     pub(crate) written: u64,
     issued: u64,
-    held: VecDeque<(u64, Member, Word)>,
-    own: VecDeque<Word>,
+    held: VecDeque<(u64, NodeId, Message)>,
+    own: VecDeque<Message>,
 }
 
 impl Council {
     /// A member that starts, with what its directory held, if it has one and that could be read.
     pub fn new(now: Duration, settings: Settings, found: Option<Durable>) -> Self {
-        let members = Members::of(settings.council.iter().copied());
+        let members = Members::of(settings.voters.iter().copied());
         let base = Base { members: members.clone(), ..Base::default() };
         let mut council = Self {
             now,
@@ -323,7 +323,9 @@
         self.look_at_lead(actions);
         match event {
             Event::Tick => self.tick(actions),
-            Event::Word { from, life: _, word } => self.word(from, word, actions),
+            Event::Message { from, incarnation: _, message } => {
+                self.message(from, message, actions)
+            }
             Event::Persisted { upto } => self.persisted(upto, actions),
             Event::DiskFailed { cause: _ } => self.disk_failed(actions),
             Event::DiskWell => self.disk_well(actions),
@@ -335,12 +337,12 @@
                 self.answer_waiting(actions);
             }
             Event::Operators(Operators::Replace { id, out, then }) => {
-                self.propose(self.settings.me, id, Some(What::Remove { out, then }), actions);
+                self.propose(self.settings.node_id, id, Some(What::Remove { out, then }), actions);
             }
             Event::Operators(Operators::Restore { members }) => self.restore(&members, actions),
         }
-        while let Some(word) = self.own.pop_front() {
-            self.word(self.settings.me, word, actions);
+        while let Some(message) = self.own.pop_front() {
+            self.message(self.settings.node_id, message, actions);
         }
     }
 
@@ -361,9 +363,9 @@
         self.view
     }
     /// The leader, as far as it hears it.
-    pub fn leader(&self) -> Option<Member> {
+    pub fn leader(&self) -> Option<NodeId> {
         if self.lead.is_some() {
-            return Some(self.settings.me);
+            return Some(self.settings.node_id);
         }
         let led = self.standing == Standing::Normal && !self.is_free();
         led.then_some(self.view.leader)
@@ -393,32 +395,32 @@
 
     /// Says something, once the disk has all that was to be written before. Nothing that this member ever
     /// says rests on what it could forget.
-    pub(crate) fn send(&mut self, to: Member, say: Say, actions: &mut Vec<Action>) {
-        let word = Word { view: self.view, counts: self.counts.clone(), say };
+    pub(crate) fn send(&mut self, to: NodeId, say: Say, actions: &mut Vec<Action>) {
+        let message = Message { view: self.view, counts: self.counts.clone(), say };
         if self.issued > self.written && self.standing != Standing::Mute {
             if self.held.len() >= HELD_MAX {
                 self.held.pop_front();
             }
-            self.held.push_back((self.issued, to, word));
+            self.held.push_back((self.issued, to, message));
         } else {
-            self.say(to, word, actions);
+            self.say(to, message, actions);
         }
     }
 
-    fn say(&mut self, to: Member, word: Word, actions: &mut Vec<Action>) {
-        if to == self.settings.me
-            && word.say.channel() == hollowpaddle_peer_transport::Channel::Council
+    fn say(&mut self, to: NodeId, message: Message, actions: &mut Vec<Action>) {
+        if to == self.settings.node_id
+            && message.say.channel() == hollowpaddle_peer_transport::Channel::Consensus
         {
-            self.own.push_back(word);
+            self.own.push_back(message);
         } else {
-            actions.push(Action::Send { to, word });
+            actions.push(Action::Send { to, message });
         }
     }
 
     pub(crate) fn send_council(&mut self, say: &Say, actions: &mut Vec<Action>) {
         let mut all = self.members.list.clone();
         all.extend(self.members.coming);
-        all.remove(&self.settings.me);
+        all.remove(&self.settings.node_id);
         for to in all {
             self.send(to, say.clone(), actions);
         }
@@ -459,8 +461,8 @@
         }
         self.written = self.written.max(upto.min(self.issued));
         while self.held.front().is_some_and(|(need, _, _)| *need <= self.written) {
-            if let Some((_, to, word)) = self.held.pop_front() {
-                self.say(to, word, actions);
+            if let Some((_, to, message)) = self.held.pop_front() {
+                self.say(to, message, actions);
             }
         }
     }
@@ -538,7 +540,7 @@
             self.hello(actions);
             self.admit_coming(actions);
             self.answer_waiting(actions);
-            if self.standing == Standing::Changing && self.view.leader == self.settings.me {
+            if self.standing == Standing::Changing && self.view.leader == self.settings.node_id {
                 self.say_begin(actions);
                 self.try_lead(actions);
             }
@@ -572,19 +574,19 @@
         self.send_council(&Say::Hello(hello), actions);
         if round > 0 {
             let ok = Say::Ok { op: self.log.op(), round };
-            self.send(self.settings.me, ok, actions);
+            self.send(self.settings.node_id, ok, actions);
         }
     }
 
-    fn word(&mut self, from: Member, word: Word, actions: &mut Vec<Action>) {
-        let me = self.settings.me;
-        if from != me && !self.merge(from, &word, actions) {
+    fn message(&mut self, from: NodeId, message: Message, actions: &mut Vec<Action>) {
+        let node_id = self.settings.node_id;
+        if from != node_id && !self.merge(from, &message, actions) {
             return;
         }
-        if self.standing == Standing::Outside && !self.is_called(from, &word, actions) {
+        if self.standing == Standing::Outside && !self.is_called(from, &message, actions) {
             return;
         }
-        let Word { view, counts, say } = word;
+        let Message { view, counts, say } = message;
         match say {
             Say::Hello(hello) => self.on_hello(from, view, &hello, actions),
             Say::Prepare { first, entries, commit } => {
@@ -602,8 +604,8 @@
             Say::Part(part) => self.on_part(from, view, part, actions),
             Say::Ask { nonce, at } => self.on_ask(from, nonce, at, actions),
             Say::Told { nonce, at, standing, own, written, commit, members } => {
-                let count = counts.get(&me).copied().unwrap_or(0);
-                let told = crate::waking::Told {
+                let count = counts.get(&node_id).copied().unwrap_or(0);
+                let told = crate::recovery::Told {
                     at,
                     standing,
                     own,
@@ -627,19 +629,19 @@
     }
 
     /// Takes over which lives there are. Whether the word counts.
-    fn merge(&mut self, from: Member, word: &Word, actions: &mut Vec<Action>) -> bool {
-        let me = self.settings.me;
-        let theirs = word.counts.get(&from).copied().unwrap_or(0);
+    fn merge(&mut self, from: NodeId, message: &Message, actions: &mut Vec<Action>) -> bool {
+        let node_id = self.settings.node_id;
+        let theirs = message.counts.get(&from).copied().unwrap_or(0);
         let known = self.counts.get(&from).copied().unwrap_or(0);
-        if word.say.counts() && theirs < known {
+        if message.say.counts() && theirs < known {
             return false;
         }
-        let mine = self.counts.get(&me).copied().unwrap_or(0);
-        for (member, count) in &word.counts {
+        let mine = self.counts.get(&node_id).copied().unwrap_or(0);
+        for (member, count) in &message.counts {
             let room =
-                self.counts.len() < crate::words::COUNCIL_MAX || self.counts.contains_key(member);
+                self.counts.len() < crate::message::COUNCIL_MAX || self.counts.contains_key(member);
             // Only those that vote: words of others would fill the room of theirs.
-            if *member == me || !room || !self.members.has(*member) {
+            if *member == node_id || !room || !self.members.has(*member) {
                 continue;
             }
             // What the life before promised counts no longer.
@@ -652,8 +654,8 @@
             }
         }
         let sound = self.waking.is_none() && self.standing != Standing::Mute;
-        if sound && word.counts.get(&me).is_some_and(|c| *c > mine) {
-            self.counts.insert(me, word.counts.get(&me).copied().unwrap_or(0));
+        if sound && message.counts.get(&node_id).is_some_and(|c| *c > mine) {
+            self.counts.insert(node_id, message.counts.get(&node_id).copied().unwrap_or(0));
             self.forget(
                 "the others know another life of it: an old directory, or two processes",
                 actions,
@@ -664,14 +666,14 @@
     }
 
     /// One outside the council hears that it is in it, or is to be.
-    fn is_called(&mut self, from: Member, word: &Word, actions: &mut Vec<Action>) -> bool {
-        let me = self.settings.me;
-        match &word.say {
-            Say::Hello(hello) if hello.leads && hello.members.list.contains(&me) => {
+    fn is_called(&mut self, from: NodeId, message: &Message, actions: &mut Vec<Action>) -> bool {
+        let node_id = self.settings.node_id;
+        match &message.say {
+            Say::Hello(hello) if hello.leads && hello.members.list.contains(&node_id) => {
                 self.members = hello.members.clone();
                 self.forget("it is in the council from now on", actions);
             }
-            Say::Hello(hello) if hello.leads && hello.members.coming == Some(me) => {
+            Say::Hello(hello) if hello.leads && hello.members.coming == Some(node_id) => {
                 let hello = Hello {
                     standing: Standing::Outside,
                     leads: false,
--- a/crates/consensus/src/normal.rs
+++ b/crates/consensus/src/replication.rs
@@ -3,13 +3,13 @@
 
 use std::time::Duration;
 
-use hollowpaddle_peer_transport::{Life, Member};
+use hollowpaddle_peer_transport::{Incarnation, NodeId};
 
-use crate::council::{Action, Council};
-use crate::record::Record;
-use crate::words::{
+use crate::log_record::Record;
+use crate::message::{
     ENTRY_MAX, Entry, Index, Outcome, ProposalId, SNAPSHOT_MAX, Say, Standing, View, What,
 };
+use crate::replica::{Action, Council};
 
 /// Entries that are not committed yet, at most. Beyond, proposals go unanswered and are repeated: without a
 /// majority the log would grow without end.
@@ -21,12 +21,12 @@
 /// A learner that was not heard for so long is not waited for.
 const COPY_FRESH: Duration = Duration::from_millis(1500);
 /// What a change of members that nobody proposed is called by.
-const COMING: Life = Life(u32::MAX);
+const COMING: Incarnation = Incarnation(u32::MAX);
 
 impl Council {
     pub(crate) fn on_prepare(
         &mut self,
-        from: Member,
+        from: NodeId,
         view: View,
         first: u64,
         entries: Vec<Entry>,
@@ -60,7 +60,7 @@
 
     pub(crate) fn on_ok(
         &mut self,
-        from: Member,
+        from: NodeId,
         view: View,
         op: u64,
         round: u32,
@@ -125,9 +125,9 @@
         if changed {
             let members = self.members.clone();
             self.peers.retain(|m, _| members.has(*m));
-            self.counts.retain(|m, _| members.has(*m) || *m == self.settings.me);
+            self.counts.retain(|m, _| members.has(*m) || *m == self.settings.node_id);
             self.persist(Record::Commit { commit: self.commit }, actions);
-            if !self.members.list.contains(&self.settings.me) {
+            if !self.members.list.contains(&self.settings.node_id) {
                 self.give_up_lead(actions);
                 self.standing = Standing::Outside;
             }
@@ -141,7 +141,7 @@
 
     pub(crate) fn propose(
         &mut self,
-        from: Member,
+        from: NodeId,
         id: ProposalId,
         what: Option<What>,
         actions: &mut Vec<Action>,
@@ -154,13 +154,13 @@
         };
         if never || self.lead.is_none() {
             let outcome = never.then_some(Outcome::Never);
-            let leader = self.leader().filter(|l| *l != self.settings.me);
+            let leader = self.leader().filter(|l| *l != self.settings.node_id);
             self.send(from, Say::Answer { id, outcome, leader }, actions);
             return;
         }
         if !self.ids.contains_key(&id) {
             let Some(what) = what else {
-                let leader = Some(self.settings.me);
+                let leader = Some(self.settings.node_id);
                 self.send(
                     from,
                     Say::Answer { id, outcome: Some(Outcome::Unknown), leader },
@@ -220,16 +220,16 @@
         let entries = vec![entry];
         self.persist(Record::Entries { first, entries: entries.clone() }, actions);
         self.send_council(&Say::Prepare { first, entries, commit: self.commit }, actions);
-        self.send(self.settings.me, Say::Ok { op: first, round: 0 }, actions);
+        self.send(self.settings.node_id, Say::Ok { op: first, round: 0 }, actions);
     }
 
     /// Who is to come for one that went comes in, once it answers.
     pub(crate) fn admit_coming(&mut self, actions: &mut Vec<Action>) {
         let Some(coming) = self.members.coming.filter(|_| self.lead.is_some()) else { return };
-        let fresh = |p: &crate::council::Peer| self.now.saturating_sub(p.at) < crate::council::DEAF;
+        let fresh = |p: &crate::replica::Peer| self.now.saturating_sub(p.at) < crate::replica::DEAF;
         let what = What::Add(coming);
         if self.peers.get(&coming).is_some_and(fresh) && self.may_propose(&what) {
-            let id = ProposalId { by: coming, life: COMING, number: self.members.since };
+            let id = ProposalId { by: coming, incarnation: COMING, number: self.members.since };
             self.append(Entry { id, what }, actions);
         }
     }
@@ -237,7 +237,7 @@
     /// Says yes to those whose entry is committed, and is with enough learners outside the council.
     pub(crate) fn answer_waiting(&mut self, actions: &mut Vec<Action>) {
         let Some(lead) = &self.lead else { return };
-        let outside = |m: &Member| !self.members.list.contains(m);
+        let outside = |m: &NodeId| !self.members.list.contains(m);
         let fresh = |at: Duration| self.now.saturating_sub(at) < COPY_FRESH;
         let copies: Vec<Index> = self
             .copied
@@ -260,7 +260,7 @@
             if let Some(lead) = &mut self.lead {
                 lead.waiting.remove(&id);
             }
-            let leader = Some(self.settings.me);
+            let leader = Some(self.settings.node_id);
             for to in who {
                 let outcome = Some(Outcome::Committed(index));
                 self.send(to, Say::Answer { id, outcome, leader }, actions);
--- a/crates/consensus/src/store.rs
+++ b/crates/consensus/src/store.rs
@@ -14,10 +14,10 @@
 use std::io::{self, ErrorKind};
 
 use hollowpaddle_failpoints::{Fault, Kind, Points};
-use hollowpaddle_peer_transport::Member;
+use hollowpaddle_peer_transport::NodeId;
 
-use crate::disk::Disk;
-use crate::record::{Durable, Record};
+use crate::log_file::Disk;
+use crate::log_record::{Durable, Record};
 
 /// Version of the form.
 pub const VERSION: u32 = 1;
@@ -42,15 +42,15 @@
 pub enum Doubt {
     /// It is another balancer's, or of another bank.
     #[error(
-        "it is member {member}'s of bank {bank:016x}, and this is member {me}'s of bank {own:016x}"
+        "it is member {member}'s of bank {cluster:016x}, and this is member {node_id}'s of bank {own:016x}"
     )]
     Foreign {
         /// As the file says.
         member: u16,
         /// As the file says.
-        bank: u64,
+        cluster: u64,
         /// Who looks.
-        me: u16,
+        node_id: u16,
         /// Which bank looks.
         own: u64,
     },
@@ -124,8 +124,8 @@
 pub struct Store {
     disk: Box<dyn Disk>,
     points: Points,
-    bank: u64,
-    me: Member,
+    cluster: u64,
+    node_id: NodeId,
     length: u64,
     /// Number of the last record that was appended.
     last: u64,
@@ -141,23 +141,28 @@
     pub fn open(
         disk: impl Disk + 'static,
         points: Points,
-        bank: u64,
-        me: Member,
+        cluster: u64,
+        node_id: NodeId,
     ) -> Result<(Self, Found), StoreError> {
         let disk = Box::new(disk);
         let mut store =
-            Self { disk, points, bank, me, length: 0, last: 0, sound: true, pause: false };
+            Self { disk, points, cluster, node_id, length: 0, last: 0, sound: true, pause: false };
         let found = store.load()?;
         Ok((store, found))
     }
 
     /// A store whose directory could not be opened: [`Self::reset`] tries again.
-    pub fn closed(disk: impl Disk + 'static, points: Points, bank: u64, me: Member) -> Self {
+    pub fn closed(
+        disk: impl Disk + 'static,
+        points: Points,
+        cluster: u64,
+        node_id: NodeId,
+    ) -> Self {
         Self {
             disk: Box::new(disk),
             points,
-            bank,
-            me,
+            cluster,
+            node_id,
             length: 0,
             last: 0,
             sound: false,
@@ -214,8 +219,8 @@
     fn head(&self) -> Vec<u8> {
         let mut head = MAGIC.to_vec();
         head.extend(VERSION.to_le_bytes());
-        head.extend(self.bank.to_le_bytes());
-        head.extend(self.me.0.to_le_bytes());
+        head.extend(self.cluster.to_le_bytes());
+        head.extend(self.node_id.0.to_le_bytes());
         head.extend(crc32fast::hash(&head).to_le_bytes());
         head
     }
@@ -233,9 +238,14 @@
         {
             return Err(Doubt::NoHead);
         }
-        let (bank, member) = (u64_at(head, 12), u16::from_le_bytes([head[20], head[21]]));
-        if (bank, member) != (self.bank, self.me.0) {
-            return Err(Doubt::Foreign { member, bank, me: self.me.0, own: self.bank });
+        let (cluster, member) = (u64_at(head, 12), u16::from_le_bytes([head[20], head[21]]));
+        if (cluster, member) != (self.cluster, self.node_id.0) {
+            return Err(Doubt::Foreign {
+                member,
+                cluster,
+                node_id: self.node_id.0,
+                own: self.cluster,
+            });
         }
         let mut durable = Durable::default();
         let mut at = HEAD;
--- a/crates/consensus/src/views.rs
+++ b/crates/consensus/src/view_change.rs
@@ -2,13 +2,13 @@
 
 use std::time::Duration;
 
-use hollowpaddle_peer_transport::Member;
+use hollowpaddle_peer_transport::NodeId;
 
-use crate::council::{Action, Council, DEAF, Founding, Joined, Lead, PATIENCE, Peer, ROUND};
 use crate::log::{Log, Transfer};
-use crate::record::Record;
-use crate::waking::GATHER;
-use crate::words::{Hello, Index, Members, Part, Say, Standing, View, What};
+use crate::log_record::Record;
+use crate::message::{Hello, Index, Members, Part, Say, Standing, View, What};
+use crate::recovery::GATHER;
+use crate::replica::{Action, Council, DEAF, Founding, Joined, Lead, PATIENCE, Peer, ROUND};
 
 /// A founding that does not begin within so long is given up.
 const FOUNDING: Duration = Duration::from_millis(1500);
@@ -35,24 +35,28 @@
     /// A majority hears it, and it hears them; and a majority hears no leader. A member that only some
     /// hear, or that hears only some, never unseats a leader that others hear.
     fn may_lead(&self) -> bool {
-        let me = self.settings.me;
-        let connected = |(m, p): &(&Member, &Peer)| {
+        let node_id = self.settings.node_id;
+        let connected = |(m, p): &(&NodeId, &Peer)| {
             let votes = matches!(p.standing, Standing::Normal | Standing::Changing);
-            self.members.list.contains(m) && **m != me && votes && p.hears_me && self.is_fresh(p)
+            self.members.list.contains(m)
+                && **m != node_id
+                && votes
+                && p.hears_me
+                && self.is_fresh(p)
         };
         let free = self.peers.iter().filter(connected).filter(|(_, p)| p.free).map(|(m, _)| m);
-        self.members.is_majority(free.chain([&me]))
+        self.members.is_majority(free.chain([&node_id]))
     }
 
     pub(crate) fn on_hello(
         &mut self,
-        from: Member,
+        from: NodeId,
         view: View,
         hello: &Hello,
         actions: &mut Vec<Action>,
     ) {
         let out = hello.members.since > self.members.since
-            && !hello.members.list.contains(&self.settings.me);
+            && !hello.members.list.contains(&self.settings.node_id);
         if out && hello.leads && view >= self.view {
             // It was voted out while it heard nobody.
             self.members = hello.members.clone();
@@ -80,12 +84,12 @@
             at: self.now,
             view,
             standing: hello.standing,
-            hears_me: hello.heard.contains(&self.settings.me),
+            hears_me: hello.heard.contains(&self.settings.node_id),
             leads: hello.leads,
             free: hello.free,
             written,
         };
-        if self.peers.len() < 2 * crate::words::COUNCIL_MAX || self.peers.contains_key(&from) {
+        if self.peers.len() < 2 * crate::message::COUNCIL_MAX || self.peers.contains_key(&from) {
             self.peers.insert(from, peer);
         }
         if view.epoch == self.view.epoch {
@@ -124,7 +128,7 @@
             && view > self.view
             && view.epoch == self.view.epoch
             && hello.standing == Standing::Changing
-            && hello.heard.contains(&self.settings.me)
+            && hello.heard.contains(&self.settings.node_id)
             && self.now.saturating_sub(lead.since) > PATIENCE
         {
             // One that promised a later view, which never began, can't come back: bring all into one after
@@ -166,7 +170,7 @@
 
     pub(crate) fn on_fetch(
         &mut self,
-        from: Member,
+        from: NodeId,
         view: View,
         first: u64,
         offset: u32,
@@ -184,7 +188,7 @@
 
     pub(crate) fn on_part(
         &mut self,
-        from: Member,
+        from: NodeId,
         view: View,
         part: Part,
         actions: &mut Vec<Action>,
@@ -207,7 +211,7 @@
         let Some(transfer) = self.transfer.take_if(|t| t.is_whole()) else { return };
         let first = transfer.next().0;
         let view = transfer.view;
-        if self.view.leader == self.settings.me {
+        if self.view.leader == self.settings.node_id {
             // A candidate takes over the best log of those that joined it; in it, it can be told what it
             // missed.
             let best = self.best_join().map(|(_, j)| j);
@@ -301,11 +305,11 @@
             }
             return;
         }
-        let mine = self.standing == Standing::Changing && self.view.leader == self.settings.me;
+        let mine = self.standing == Standing::Changing && self.view.leader == self.settings.node_id;
         if mine && self.view.number >= self.seen || !free || self.now < self.patience {
             return;
         }
-        if self.members.list.contains(&self.settings.me) && self.may_lead() {
+        if self.members.list.contains(&self.settings.node_id) && self.may_lead() {
             self.begin_next(actions);
         }
     }
@@ -319,7 +323,7 @@
         }
         let number = self.seen.max(self.view.number).saturating_add(1);
         self.begin(
-            View { epoch: self.view.epoch, number, leader: self.settings.me },
+            View { epoch: self.view.epoch, number, leader: self.settings.node_id },
             None,
             actions,
         );
@@ -341,7 +345,7 @@
         self.joins.clear();
         self.patience = self.now + PATIENCE + Duration::from_millis(self.draw(200));
         self.persist_promise(actions);
-        self.send(self.settings.me, self.join(), actions);
+        self.send(self.settings.node_id, self.join(), actions);
         self.say_begin(actions);
     }
 
@@ -357,13 +361,13 @@
 
     pub(crate) fn on_begin(
         &mut self,
-        from: Member,
+        from: NodeId,
         view: View,
         founding: bool,
         restore: Option<Members>,
         actions: &mut Vec<Action>,
     ) {
-        if view.leader != from || from == self.settings.me || self.standing == Standing::Mute {
+        if view.leader != from || from == self.settings.node_id || self.standing == Standing::Mute {
             return;
         }
         if view.epoch == self.view.epoch {
@@ -399,17 +403,17 @@
 
     pub(crate) fn on_join(
         &mut self,
-        from: Member,
+        from: NodeId,
         view: View,
         joined: Joined,
         actions: &mut Vec<Action>,
     ) {
         let mine = view == self.view
-            && view.leader == self.settings.me
+            && view.leader == self.settings.node_id
             && self.standing == Standing::Changing;
         if mine
             && (!joined.blank || self.founding.is_some())
-            && self.joins.len() < 2 * crate::words::COUNCIL_MAX
+            && self.joins.len() < 2 * crate::message::COUNCIL_MAX
         {
             self.joins.insert(from, joined);
             self.try_lead(actions);
@@ -419,9 +423,11 @@
     /// The member with the log to go on from: of those that have not forgotten, the one that took part in
     /// the latest view, and of those the longest. Every committed entry of that epoch is in it: the
     /// majority that kept it crosses the one that joined.
-    fn best_join(&self) -> Option<(Member, Joined)> {
+    fn best_join(&self) -> Option<(NodeId, Joined)> {
         let known = self.joins.iter().filter(|(_, j)| !j.blank);
-        known.max_by_key(|(m, j)| (j.last, j.op, **m == self.settings.me)).map(|(m, j)| (*m, *j))
+        known
+            .max_by_key(|(m, j)| (j.last, j.op, **m == self.settings.node_id))
+            .map(|(m, j)| (*m, *j))
     }
 
     pub(crate) fn try_lead(&mut self, actions: &mut Vec<Action>) {
@@ -482,7 +488,7 @@
     /// A majority of those that joined comes from this view's epoch, or nobody does: then its name is new.
     fn is_of_one_epoch(&self) -> bool {
         let of_it = |j: &Joined| !j.blank && j.last.epoch == self.view.epoch;
-        let own: Vec<&Member> =
+        let own: Vec<&NodeId> =
             self.joins.iter().filter(|(_, j)| of_it(j)).map(|(m, _)| m).collect();
         own.is_empty() || self.members.is_majority(own)
     }
@@ -493,7 +499,7 @@
         same.map(|j| j.commit).max().unwrap_or(0).max(self.commit)
     }
 
-    fn has_best(&self, best: Option<(Member, Joined)>) -> bool {
+    fn has_best(&self, best: Option<(NodeId, Joined)>) -> bool {
         if let Some((at, _)) = self.founding.as_ref().and_then(|f| f.copy) {
             let known = best.map(|(_, j)| Index::new(j.last.epoch, j.commit));
             if known.is_none_or(|k| at > k) {
@@ -501,11 +507,11 @@
             }
         }
         let Some((member, best)) = best else { return true };
-        member == self.settings.me
+        member == self.settings.node_id
             || (best.last, best.op) == (self.last, self.log.op()) && !self.blank
     }
 
-    fn fetch_best(&mut self, best: Option<(Member, Joined)>, actions: &mut Vec<Action>) {
+    fn fetch_best(&mut self, best: Option<(NodeId, Joined)>, actions: &mut Vec<Action>) {
         let copy = self.founding.as_ref().and_then(|f| f.copy);
         let known = best.map(|(_, j)| Index::new(j.last.epoch, j.commit));
         let mut transfer = match (copy, best) {
--- a/crates/consensus/tests/agreement.rs
+++ b/crates/consensus/tests/agreement.rs
@@ -8,8 +8,8 @@
 fn day(seed: u64) -> World {
     let directory = seed.is_multiple_of(3);
     let size = [3, 5, 5, 4][seed as usize / 3 % 4];
-    let council: Vec<u16> = (0..size).collect();
-    let mut world = World::new(seed, size, &council, directory);
+    let voters: Vec<u16> = (0..size).collect();
+    let mut world = World::new(seed, size, &voters, directory);
     world.loss = [0.0, 0.1, 0.3][seed as usize / 12 % 3];
     world.late = seed.is_multiple_of(2);
     world.snapshots = seed % 5 < 2;
--- a/crates/consensus/tests/formats.rs
+++ b/crates/consensus/tests/formats.rs
@@ -12,34 +12,35 @@
 use hex::{assert_all_recorded, assert_recorded, recorded};
 use hollowpaddle_consensus::{
     Base, COUNCIL_MAX, Counts, Directory, Durable, ENTRY_MAX, Entry, FILE_MAX, Hello, Index, Learn,
-    Learned, Learner, LearnerSettings, Log, Members, Outcome, PART, Part, ProposalId, Record,
-    SNAPSHOT_MAX, Say, Standing, State, Store, StoreError, VERSION, View, WORD_MAX, What, Word,
+    Learned, Learner, LearnerSettings, Log, MAX_MESSAGE_BYTES, Members, Message, Outcome, PART,
+    Part, ProposalId, Record, SNAPSHOT_MAX, Say, Standing, State, Store, StoreError, VERSION, View,
+    What,
 };
 use hollowpaddle_failpoints::{Fault, Kind, Plan, Points};
-use hollowpaddle_peer_transport::{Channel, Life, Member, decode, encode};
+use hollowpaddle_peer_transport::{Channel, Incarnation, NodeId, decode, encode};
 
 const CLUSTER: u64 = 0x1122_3344_5566_7788;
-const VOTER: Member = Member(300);
+const VOTER: NodeId = NodeId(300);
 
 fn view() -> View {
-    View { epoch: 2, number: 700, leader: Member(5) }
+    View { epoch: 2, number: 700, leader: NodeId(5) }
 }
 
 fn last_normal_view() -> View {
-    View { epoch: 2, number: 600, leader: Member(4) }
+    View { epoch: 2, number: 600, leader: NodeId(4) }
 }
 
 fn incarnations() -> Counts {
-    Counts::from([(Member(4), 1), (Member(300), 900)])
+    Counts::from([(NodeId(4), 1), (NodeId(300), 900)])
 }
 
 fn voters() -> Members {
-    let list = BTreeSet::from([Member(4), Member(5), Member(300)]);
-    Members { list, coming: Some(Member(6)), since: 1000 }
+    let list = BTreeSet::from([NodeId(4), NodeId(5), NodeId(300)]);
+    Members { list, coming: Some(NodeId(6)), since: 1000 }
 }
 
 fn proposal(number: u64) -> ProposalId {
-    ProposalId { by: Member(7), life: Life(0x0102_0304), number }
+    ProposalId { by: NodeId(7), incarnation: Incarnation(0x0102_0304), number }
 }
 
 fn command(number: u64) -> Entry {
@@ -48,12 +49,12 @@
 
 /// One entry of each kind.
 fn entries() -> Vec<Entry> {
-    let replace = What::Remove { out: Member(4), then: Some(Member(6)) };
-    let remove = What::Remove { out: Member(5), then: None };
+    let replace = What::Remove { out: NodeId(4), then: Some(NodeId(6)) };
+    let remove = What::Remove { out: NodeId(5), then: None };
     vec![
         command(1),
         Entry { id: proposal(2), what: replace },
-        Entry { id: proposal(3), what: What::Add(Member(6)) },
+        Entry { id: proposal(3), what: What::Add(NodeId(6)) },
         Entry { id: proposal(4), what: remove },
     ]
 }
@@ -76,7 +77,7 @@
         standing,
         leads: true,
         free: false,
-        heard: BTreeSet::from([Member(4), Member(300)]),
+        heard: BTreeSet::from([NodeId(4), NodeId(300)]),
         op: 1001,
         commit: 1002,
         written: 1003,
@@ -86,7 +87,7 @@
 }
 
 /// One message of each kind, by the name of its recorded bytes.
-fn messages() -> Vec<(&'static str, Word)> {
+fn messages() -> Vec<(&'static str, Message)> {
     let (nonce, at, members) = (0x0102_0304_0506_0708, Index::new(2, 1001), voters());
     let told = Say::Told {
         nonce,
@@ -97,7 +98,7 @@
         commit: 1004,
         members: voters(),
     };
-    let news = |part| Say::News { at, leader: Some(Member(5)), members: voters(), age: 1002, part };
+    let news = |part| Say::News { at, leader: Some(NodeId(5)), members: voters(), age: 1002, part };
     let answer = |outcome, leader| Say::Answer { id: proposal(1), outcome, leader };
     let bodies = vec![
         ("heartbeat_without_vote", heartbeat(Standing::Outside)),
@@ -132,24 +133,24 @@
         ("learner_update_snapshot_chunk", news(Some(snapshot_part()))),
         ("learner_chunk_request", Say::Piece { offset: 1001, sum: 0xa1a2_a3a4 }),
         ("proposal_committed", answer(Some(Outcome::Committed(at)), None)),
-        ("proposal_rejected", answer(Some(Outcome::Never), Some(Member(5)))),
-        ("proposal_unknown", answer(Some(Outcome::Unknown), Some(Member(5)))),
-        ("proposal_redirected", answer(None, Some(Member(5)))),
+        ("proposal_rejected", answer(Some(Outcome::Never), Some(NodeId(5)))),
+        ("proposal_unknown", answer(Some(Outcome::Unknown), Some(NodeId(5)))),
+        ("proposal_redirected", answer(None, Some(NodeId(5)))),
     ];
-    let message = |say| Word { view: view(), counts: incarnations(), say };
+    let message = |say| Message { view: view(), counts: incarnations(), say };
     bodies.into_iter().map(|(name, say)| (name, message(say))).collect()
 }
 
 #[test]
 fn messages_have_their_recorded_bytes() {
-    let encoded = |(name, word): (_, Word)| (name, word.encode().expect("short"));
+    let encoded = |(name, message): (_, Message)| (name, message.encode().expect("short"));
     assert_recorded(messages().into_iter().map(encoded));
 }
 
 #[test]
 fn recorded_messages_are_read_as_what_they_were() {
-    for (name, word) in messages() {
-        assert_eq!(Word::decode(&recorded(name)), Ok(word), "{name}");
+    for (name, message) in messages() {
+        assert_eq!(Message::decode(&recorded(name)), Ok(message), "{name}");
     }
 }
 
@@ -168,9 +169,9 @@
         "proposal_unknown",
         "proposal_redirected",
     ];
-    for (name, word) in messages() {
-        let channel = if to_learner.contains(&name) { Channel::Log } else { Channel::Council };
-        assert_eq!(word.say.channel(), channel, "{name}");
+    for (name, message) in messages() {
+        let channel = if to_learner.contains(&name) { Channel::Log } else { Channel::Consensus };
+        assert_eq!(message.say.channel(), channel, "{name}");
     }
 }
 
@@ -282,14 +283,17 @@
     assert_eq!(decode(&recorded("snapshot")), Ok(snapshot()));
 }
 
-fn learner(now: Duration, voter: Member) -> Learner {
-    Learner::new(now, LearnerSettings { me: Member(7), council: vec![voter], bank: 400, seed: 1 })
+fn learner(now: Duration, voter: NodeId) -> Learner {
+    Learner::new(
+        now,
+        LearnerSettings { node_id: NodeId(7), voters: vec![voter], cluster: 400, seed: 1 },
+    )
 }
 
 /// A learner keeps its copy in memory; these are the bytes in which it hands it to a voter.
 #[test]
 fn a_learner_s_copy_has_its_recorded_bytes() {
-    let (voter, now) = (Member(4), Duration::ZERO);
+    let (voter, now) = (NodeId(4), Duration::ZERO);
     let mut learner = learner(now, voter);
     let mut actions = Vec::new();
     let reset = Learn::Reset { index: Index::new(2, 1000), base: snapshot() };
@@ -299,13 +303,17 @@
     actions.clear();
     for from in [0, 1001] {
         let say = Say::FetchCopy { from, offset: 0 };
-        let word = Word { view: view(), counts: incarnations(), say };
-        learner.handle(now, Learn::Word { from: voter, life: Life(1), word }, &mut actions);
+        let message = Message { view: view(), counts: incarnations(), say };
+        learner.handle(
+            now,
+            Learn::Message { from: voter, incarnation: Incarnation(1), message },
+            &mut actions,
+        );
     }
     let sent: Vec<Vec<u8>> = actions
         .into_iter()
         .filter_map(|action| match action {
-            Learned::Send { word, .. } => Some(word.encode().expect("short")),
+            Learned::Send { message, .. } => Some(message.encode().expect("short")),
             _ => None,
         })
         .collect();
@@ -316,19 +324,23 @@
 
 #[test]
 fn a_recorded_learner_s_copy_is_read_as_what_it_was() {
-    let (voter, now) = (Member(4), Duration::ZERO);
+    let (voter, now) = (NodeId(4), Duration::ZERO);
     let mut learner = learner(now, voter);
     let mut actions = Vec::new();
     learner.handle(now, Learn::Tick, &mut actions);
     for (name, op) in [("learner_copy_snapshot", 1000), ("learner_copy_entries", 1001)] {
-        let Ok(Word { say: Say::Part(part), .. }) = Word::decode(&recorded(name)) else {
+        let Ok(Message { say: Say::Part(part), .. }) = Message::decode(&recorded(name)) else {
             panic!("{name} is a part of a log");
         };
         let at = Index::new(2, op);
         let say =
             Say::News { at, leader: Some(voter), members: voters(), age: 0, part: Some(part) };
-        let word = Word { view: view(), counts: incarnations(), say };
-        learner.handle(now, Learn::Word { from: voter, life: Life(1), word }, &mut actions);
+        let message = Message { view: view(), counts: incarnations(), say };
+        learner.handle(
+            now,
+            Learn::Message { from: voter, incarnation: Incarnation(1), message },
+            &mut actions,
+        );
     }
     let reset = Learned::Reset { index: Index::new(2, 1000), state: snapshot().state };
     let committed = Learned::Committed { index: Index::new(2, 1001), entry: command(1) };
@@ -354,7 +366,7 @@
 #[test]
 fn bounds_that_both_ends_rely_on_are_the_same() {
     assert_eq!((COUNCIL_MAX, ENTRY_MAX, PART), (16, 16_384, 16_384));
-    assert_eq!((WORD_MAX, SNAPSHOT_MAX), (20_480, 2_097_152));
+    assert_eq!((MAX_MESSAGE_BYTES, SNAPSHOT_MAX), (20_480, 2_097_152));
     assert_eq!((VERSION, FILE_MAX), (1, 67_108_864));
 }
 
--- a/crates/consensus/tests/leaders.rs
+++ b/crates/consensus/tests/leaders.rs
@@ -7,8 +7,8 @@
 
 /// A bank of five that leads, with a share of words lost.
 fn settled(seed: u64, size: u16, loss: f64) -> World {
-    let council: Vec<u16> = (0..size).collect();
-    let mut world = World::new(seed, size, &council, false);
+    let voters: Vec<u16> = (0..size).collect();
+    let mut world = World::new(seed, size, &voters, false);
     world.loss = loss;
     assert!(world.await_leader(10_000).is_some(), "seed {seed}: never founded");
     world.for_ms(2500);
--- a/crates/consensus/tests/learners.rs
+++ b/crates/consensus/tests/learners.rs
@@ -3,12 +3,12 @@
 mod world;
 
 use hollowpaddle_consensus::{Index, Learn, Outcome, ProposalId, Standing};
-use hollowpaddle_peer_transport::{Life, Member};
+use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use world::{App, World, ms};
 
 const FIVE: [u16; 5] = [0, 7, 14, 21, 28];
 
-fn bank(seed: u64, size: u16, loss: f64) -> World {
+fn cluster(seed: u64, size: u16, loss: f64) -> World {
     let mut world = World::with(seed, size, &FIVE, false, true);
     world.loss = loss;
     assert!(world.await_leader(10_000).is_some(), "seed {seed}: {}", world.states());
@@ -18,7 +18,7 @@
 
 fn propose(world: &mut World, at: u16) -> ProposalId {
     world.proposed += 1;
-    let id = ProposalId { by: Member(at), life: Life(3), number: world.proposed };
+    let id = ProposalId { by: NodeId(at), incarnation: Incarnation(3), number: world.proposed };
     world.learn(at, Learn::Propose { id, bytes: vec![5; 40] });
     id
 }
@@ -48,7 +48,7 @@
     for (size, loss, bound) in
         [(36, 0.0, 300), (36, 0.1, 1000), (36, 0.3, 2000), (300, 0.0, 400), (300, 0.1, 1500)]
     {
-        let mut world = bank(4, size, loss);
+        let mut world = cluster(4, size, loss);
         let mut times = Vec::new();
         for at in 0..6 {
             let began = world.now;
@@ -73,7 +73,7 @@
 
 #[test]
 fn no_learner_has_more_than_eight_children_and_all_know_the_same_tree() {
-    let mut world = bank(5, 300, 0.0);
+    let mut world = cluster(5, 300, 0.0);
     world.for_ms(8000);
     let mut children = vec![0; 300];
     for node in &world.nodes {
@@ -88,7 +88,7 @@
 #[test]
 fn those_below_the_dead_find_another_source() {
     for seed in 0..4 {
-        let mut world = bank(seed, 80, 0.0);
+        let mut world = cluster(seed, 80, 0.0);
         let leader = world.leader().expect("settled");
         let dead: Vec<u16> =
             (0..80).filter(|m| m % 3 == 1 && !FIVE.contains(m) && *m != leader).collect();
@@ -103,7 +103,7 @@
 
 #[test]
 fn one_that_was_away_for_a_thousand_entries_catches_up_and_takes_little_at_a_time() {
-    let mut world = bank(1, 36, 0.1);
+    let mut world = cluster(1, 36, 0.1);
     world.snapshots = true;
     world.state_len = 150_000;
     world.crash(30);
@@ -136,7 +136,7 @@
 fn all_voters_forget_at_once_and_the_learners_copies_bring_the_log_back() {
     let only: Option<u64> = std::env::var("SEED").ok().and_then(|s| s.parse().ok());
     for seed in only.map_or(0..10, |s| s..s + 1) {
-        let mut world = bank(seed, 36, [0.0, 0.1][seed as usize % 2]);
+        let mut world = cluster(seed, 36, [0.0, 0.1][seed as usize % 2]);
         let ids: Vec<ProposalId> = (0..20)
             .map(|n| {
                 world.for_ms(40);
@@ -169,7 +169,7 @@
 
 #[test]
 fn all_three_hundred_are_killed_at_once() {
-    let mut world = bank(2, 300, 0.0);
+    let mut world = cluster(2, 300, 0.0);
     propose(&mut world, 9);
     world.for_ms(500);
     let epoch = copies(&world)[0].epoch;
@@ -188,16 +188,16 @@
 #[test]
 fn a_dead_member_is_replaced_and_the_new_one_counts() {
     for seed in 0..10 {
-        let mut world = bank(seed, 36, [0.0, 0.1, 0.3][seed as usize % 3]);
+        let mut world = cluster(seed, 36, [0.0, 0.1, 0.3][seed as usize % 3]);
         let leader = world.leader().expect("settled");
         let dead = *FIVE.iter().find(|m| **m != leader).expect("five");
         world.crash(dead);
         world.for_ms(300);
-        let id = ProposalId { by: Member(1), life: Life(9), number: seed };
+        let id = ProposalId { by: NodeId(1), incarnation: Incarnation(9), number: seed };
         let replace = hollowpaddle_consensus::Operators::Replace {
             id,
-            out: Member(dead),
-            then: Some(Member(3)),
+            out: NodeId(dead),
+            then: Some(NodeId(3)),
         };
         // The one that is asked answers as a leader or not at all.
         for _ in 0..20 {
@@ -209,8 +209,8 @@
         let council = world.nodes[3].council.as_ref().expect("it runs");
         assert_eq!(council.standing(), Standing::Normal, "seed {seed}: {}", world.states());
         assert!(
-            council.members().list.contains(&Member(3))
-                && !council.members().list.contains(&Member(dead))
+            council.members().list.contains(&NodeId(3))
+                && !council.members().list.contains(&NodeId(dead))
         );
         // Two of the four old ones die: with the new one there is a majority.
         let old: Vec<u16> = FIVE.iter().copied().filter(|m| *m != dead).take(2).collect();
@@ -233,14 +233,14 @@
 
 #[test]
 fn operators_go_on_without_a_majority_that_is_gone_for_good() {
-    let mut world = bank(3, 36, 0.0);
+    let mut world = cluster(3, 36, 0.0);
     let id = propose(&mut world, 9);
     world.for_ms(1000);
     assert!(world.yes.contains_key(&id));
     [0, 7, 14].iter().for_each(|m| world.crash(*m));
     world.for_ms(3000);
     assert_eq!(world.leader(), None);
-    let members = [21, 28, 1].map(Member).to_vec();
+    let members = [21, 28, 1].map(NodeId).to_vec();
     world.event(
         21,
         hollowpaddle_consensus::Event::Operators(hollowpaddle_consensus::Operators::Restore {
--- a/crates/consensus/tests/lives.rs
+++ b/crates/consensus/tests/lives.rs
@@ -5,9 +5,9 @@
 use std::collections::BTreeSet;
 
 use hollowpaddle_consensus::{
-    Action, Council, Counts, Event, Hello, Say, Standing, View, What, Word,
+    Action, Council, Counts, Event, Hello, Message, Say, Standing, View, What,
 };
-use hollowpaddle_peer_transport::{Life, Member};
+use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use world::{World, ms};
 
 /// One member on its own, to which words are brought by hand.
@@ -19,21 +19,21 @@
 
 impl Alone {
     /// A follower, or the leader, of a council of so many that has settled.
-    fn of(size: u16, leads: bool) -> (Self, Vec<Member>) {
-        let council: Vec<u16> = (0..size).collect();
-        let mut world = World::new(8, size, &council, false);
+    fn of(size: u16, leads: bool) -> (Self, Vec<NodeId>) {
+        let voters: Vec<u16> = (0..size).collect();
+        let mut world = World::new(8, size, &voters, false);
         world.run(ms(3300));
         let leader = world.leader().expect("settled");
         let one = if leads { leader } else { (leader + 1) % size };
-        let others = council.iter().filter(|m| **m != one && **m != leader);
+        let others = voters.iter().filter(|m| **m != one && **m != leader);
         let council = world.nodes[one as usize].council.clone().expect("runs");
-        let others = others.map(|m| Member(*m)).collect();
+        let others = others.map(|m| NodeId(*m)).collect();
         (Self { council, now: 3300, actions: Vec::new() }, others)
     }
-    fn hear(&mut self, from: Member, view: View, counts: &[(Member, u32)], say: Say) {
+    fn hear(&mut self, from: NodeId, view: View, counts: &[(NodeId, u32)], say: Say) {
         let counts: Counts = counts.iter().copied().collect();
-        let word = Word { view, counts, say };
-        let event = Event::Word { from, life: Life(1), word };
+        let message = Message { view, counts, say };
+        let event = Event::Message { from, incarnation: Incarnation(1), message };
         self.council.handle(ms(self.now), event, &mut self.actions);
     }
     fn tick(&mut self) {
@@ -41,7 +41,9 @@
         self.council.handle(ms(self.now), Event::Tick, &mut self.actions);
     }
     fn said(&self, which: impl Fn(&Say) -> bool) -> bool {
-        self.actions.iter().any(|a| matches!(a, Action::Send { word, .. } if which(&word.say)))
+        self.actions
+            .iter()
+            .any(|a| matches!(a, Action::Send { message, .. } if which(&message.say)))
     }
     fn leads(&self) -> bool {
         self.actions.iter().any(|a| matches!(a, Action::Leads { .. }))
@@ -49,7 +51,7 @@
 }
 
 /// A candidate for a new view of five, that others have told that they are free and hear it.
-fn candidate() -> (Alone, Vec<Member>, Say) {
+fn candidate() -> (Alone, Vec<NodeId>, Say) {
     let (mut one, others) = Alone::of(5, false);
     let (view, members) = (one.council.view(), one.council.members().clone());
     for _ in 0..60 {
@@ -97,7 +99,7 @@
     let committed = one.council.committed().op();
     let id = hollowpaddle_consensus::ProposalId::default();
     let propose = |id| Say::Propose { id, what: Some(What::Bytes(vec![1])) };
-    one.hear(Member(0), View::default(), &[], propose(id));
+    one.hear(NodeId(0), View::default(), &[], propose(id));
     let b = *one.council.members().list.iter().find(|m| **m != a && **m != view.leader).expect("b");
     one.hear(b, view, &[(a, 1)], Say::Ask { nonce: 1, at: 1 });
     one.hear(a, view, &[], Say::Ok { op: committed + 1, round: 0 });
@@ -121,15 +123,15 @@
     one.now += 100;
     one.tick();
     let nonce = one.actions.iter().find_map(|a| match a {
-        Action::Send { word, .. } => match word.say {
-            Say::Ask { nonce, .. } => Some((nonce, word.counts.clone())),
+        Action::Send { message, .. } => match message.say {
+            Say::Ask { nonce, .. } => Some((nonce, message.counts.clone())),
             _ => None,
         },
         _ => None,
     });
     let (nonce, counts) = nonce.expect("it asks");
     // Of each the life that is known: some may have started anew while the council settled.
-    let lives: Vec<(Member, u32)> = counts.into_iter().collect();
+    let incarnations: Vec<(NodeId, u32)> = counts.into_iter().collect();
     let members = one.council.members().clone();
     let told = Say::Told {
         nonce,
@@ -141,7 +143,7 @@
         members,
     };
     for from in others.iter().chain([&view.leader]) {
-        one.hear(*from, view, &lives, told.clone());
+        one.hear(*from, view, &incarnations, told.clone());
     }
     one.now += 100;
     one.tick();
@@ -149,12 +151,12 @@
     let fetches = |one: &Alone| one.said(|s| matches!(s, Say::Fetch { .. }));
     let later = View { number: view.number + 1, leader: others[0], ..view };
     let recovered = |leads| Say::Recovered { nonce, op: 0, leads };
-    one.hear(view.leader, view, &lives, recovered(true));
+    one.hear(view.leader, view, &incarnations, recovered(true));
     assert!(!fetches(&one), "one of five may not know");
-    one.hear(others[1], later, &lives, recovered(false));
-    one.hear(others[2], view, &lives, recovered(false));
+    one.hear(others[1], later, &incarnations, recovered(false));
+    one.hear(others[2], view, &incarnations, recovered(false));
     assert!(!fetches(&one), "a later view is known, and its leader has not said what stands");
-    one.hear(others[0], later, &lives, recovered(true));
+    one.hear(others[0], later, &incarnations, recovered(true));
     assert!(fetches(&one));
     assert_eq!(one.council.view(), later);
 }
@@ -165,7 +167,7 @@
     let view = one.council.view();
     (0..8).for_each(|_| one.tick());
     let round = one.actions.iter().rev().find_map(|a| match a {
-        Action::Send { word, .. } => match &word.say {
+        Action::Send { message, .. } => match &message.say {
             Say::Hello(hello) if hello.round > 0 => Some(hello.round),
             _ => None,
         },
--- a/crates/consensus/tests/words.rs
+++ b/crates/consensus/tests/messages.rs
@@ -3,22 +3,22 @@
 mod world;
 
 use hollowpaddle_consensus::{
-    Action, Council, Counts, Event, Learn, Learner, LearnerSettings, Members, Outcome, Part,
-    ProposalId, Say, Settings, View, WORD_MAX, What, Word, WordError, default_council, order,
-    parent,
+    Action, Council, Counts, Event, Learn, Learner, LearnerSettings, MAX_MESSAGE_BYTES, Members,
+    Message, MessageError, Outcome, Part, ProposalId, Say, Settings, View, What, default_council,
+    order, parent,
 };
-use hollowpaddle_peer_transport::{Life, Member};
+use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use proptest::prelude::*;
 use world::{World, ms};
 
-fn word(say: Say) -> Word {
-    Word { view: View::default(), counts: Counts::new(), say }
+fn message(say: Say) -> Message {
+    Message { view: View::default(), counts: Counts::new(), say }
 }
 
 #[test]
 fn what_is_said_often_fits_a_datagram() {
-    let council: Vec<u16> = (0..7).map(|m| m * 40).collect();
-    let mut world = World::new(3, 281, &council, true);
+    let voters: Vec<u16> = (0..7).map(|m| m * 40).collect();
+    let mut world = World::new(3, 281, &voters, true);
     world.run(ms(2500));
     for round in 0..40 {
         world.propose(world.leader().expect("leads"), vec![round; 64]);
@@ -30,7 +30,7 @@
 
 #[test]
 fn the_council_of_a_bank_is_spread_over_its_numbers() {
-    let numbers = |bank| default_council(bank).iter().map(|m| m.0).collect::<Vec<_>>();
+    let numbers = |cluster| default_council(cluster).iter().map(|m| m.0).collect::<Vec<_>>();
     assert_eq!(numbers(100), [0, 20, 40, 60, 80]);
     assert_eq!(numbers(300), [0, 42, 85, 128, 171, 214, 257]);
     assert_eq!(numbers(3), [0, 1, 2]);
@@ -40,8 +40,8 @@
 #[test]
 fn the_tree_of_three_hundred_has_three_steps() {
     let members = Members::of(default_council(300));
-    let order = order(300, &members, Some(Member(128)));
-    assert_eq!(order[0], Member(128));
+    let order = order(300, &members, Some(NodeId(128)));
+    assert_eq!(order[0], NodeId(128));
     let mut deepest = 0;
     for place in 0..300 {
         let (mut at, mut steps) = (place, 0);
@@ -57,9 +57,10 @@
 
 #[test]
 fn what_can_never_be_an_entry_is_told_so_and_nothing_else_is() {
-    let settings = LearnerSettings { me: Member(3), council: vec![Member(0)], bank: 4, seed: 1 };
+    let settings =
+        LearnerSettings { node_id: NodeId(3), voters: vec![NodeId(0)], cluster: 4, seed: 1 };
     let mut learner = Learner::new(ms(0), settings);
-    let id = |number| ProposalId { by: Member(3), life: Life(1), number };
+    let id = |number| ProposalId { by: NodeId(3), incarnation: Incarnation(1), number };
     let mut actions = Vec::new();
     learner.handle(ms(0), Learn::Propose { id: id(1), bytes: vec![0; 16_385] }, &mut actions);
     learner.handle(ms(0), Learn::Propose { id: id(2), bytes: vec![0; 16_384] }, &mut actions);
@@ -81,10 +82,10 @@
 #[test]
 fn nothing_leaves_a_member_before_its_disk_has_what_was_issued() {
     let settings = Settings {
-        me: Member(0),
-        life: Life(1),
-        council: vec![Member(0)],
-        bank: 1,
+        node_id: NodeId(0),
+        incarnation: Incarnation(1),
+        voters: vec![NodeId(0)],
+        cluster: 1,
         directory: true,
         copies: 0,
         seed: 1,
@@ -109,17 +110,17 @@
 }
 
 fn strange(from: u16, kind: u8, n: u64, m: u32, bytes: &[u8]) -> Say {
-    let id = ProposalId { by: Member(from), life: Life(m), number: n };
+    let id = ProposalId { by: NodeId(from), incarnation: Incarnation(m), number: n };
     match kind % 8 {
         0 => Say::Ok { op: n, round: m },
         1 => Say::Fetch { from: n, offset: m },
         2 => Say::Join { last: View::default(), op: n, commit: n, blank: m.is_multiple_of(2) },
         3 => Say::Part(Part::Chunk { op: n, len: m, sum: m, offset: 0, bytes: bytes.to_vec() }),
         4 => Say::Part(Part::Entries { first: n, entries: Vec::new() }),
-        5 => Say::Propose { id, what: Some(What::Remove { out: Member(from), then: None }) },
+        5 => Say::Propose { id, what: Some(What::Remove { out: NodeId(from), then: None }) },
         6 => Say::Prepare { first: n, entries: Vec::new(), commit: n },
         _ => {
-            Say::Begin { founding: m.is_multiple_of(2), members: Some(Members::of([Member(from)])) }
+            Say::Begin { founding: m.is_multiple_of(2), members: Some(Members::of([NodeId(from)])) }
         }
     }
 }
@@ -127,18 +128,18 @@
 proptest! {
     #[test]
     fn no_bytes_make_a_decoder_panic(bytes in proptest::collection::vec(any::<u8>(), 0..400)) {
-        if let Ok(word) = Word::decode(&bytes) {
-            prop_assert_eq!(Word::decode(&word.encode().expect("short")), Ok(word));
+        if let Ok(message) = Message::decode(&bytes) {
+            prop_assert_eq!(Message::decode(&message.encode().expect("short")), Ok(message));
         }
     }
 
     #[test]
     fn a_word_with_bytes_behind_it_is_refused(more in 1usize..20, nonce: u64) {
-        let mut bytes = word(Say::Ask { nonce, at: 1 }).encode().expect("short");
+        let mut bytes = message(Say::Ask { nonce, at: 1 }).encode().expect("short");
         bytes.extend(vec![0; more]);
-        prop_assert_eq!(Word::decode(&bytes), Err(WordError::Trailing { found: more }));
-        bytes.resize(WORD_MAX + 1, 0);
-        prop_assert_eq!(Word::decode(&bytes), Err(WordError::TooLong { found: WORD_MAX + 1 }));
+        prop_assert_eq!(Message::decode(&bytes), Err(MessageError::Trailing { found: more }));
+        bytes.resize(MAX_MESSAGE_BYTES + 1, 0);
+        prop_assert_eq!(Message::decode(&bytes), Err(MessageError::TooLong { found: MAX_MESSAGE_BYTES + 1 }));
     }
 
     #[test]
@@ -152,12 +153,12 @@
         let council = world.nodes[0].council.as_mut().expect("runs");
         let mut actions = Vec::new();
         for (place, (from, kind, n, m, epoch, bytes)) in words.into_iter().enumerate() {
-            let mut word = word(strange(from, kind, n, m, &bytes));
+            let mut message = message(strange(from, kind, n, m, &bytes));
             let own = council.view();
-            word.view = if n % 3 == 0 { own } else { View { epoch, number: m, leader: Member(from) } };
-            word.counts.insert(Member(from), m % 3);
+            message.view = if n % 3 == 0 { own } else { View { epoch, number: m, leader: NodeId(from) } };
+            message.counts.insert(NodeId(from), m % 3);
             let now = ms(2000 + place as u64);
-            council.handle(now, Event::Word { from: Member(from), life: Life(m), word }, &mut actions);
+            council.handle(now, Event::Message { from: NodeId(from), incarnation: Incarnation(m), message }, &mut actions);
         }
     }
 }
@@ -165,12 +166,13 @@
 #[test]
 fn a_learner_goes_back_to_no_lesser_epoch_and_tells_the_leader_of_its_own() {
     use hollowpaddle_consensus::{Base, Entry, Index, Learned};
-    let settings = LearnerSettings { me: Member(3), council: vec![Member(0)], bank: 4, seed: 1 };
+    let settings =
+        LearnerSettings { node_id: NodeId(3), voters: vec![NodeId(0)], cluster: 4, seed: 1 };
     let mut learner = Learner::new(ms(0), settings);
     let mut actions = Vec::new();
     let reset = |epoch, op| Learn::Reset {
         index: Index::new(epoch, op),
-        base: Base { op, members: Members::of([Member(0)]), ..Base::default() },
+        base: Base { op, members: Members::of([NodeId(0)]), ..Base::default() },
     };
     learner.handle(ms(0), reset(9, 4), &mut actions);
     learner.handle(ms(0), reset(5, 70), &mut actions);
@@ -185,16 +187,17 @@
     assert_eq!(learner.at(), Index::new(9, 5));
     let news = Say::News {
         at: Index::new(5, 80),
-        leader: Some(Member(0)),
-        members: Members::of([Member(0)]),
+        leader: Some(NodeId(0)),
+        members: Members::of([NodeId(0)]),
         age: 0,
         part: None,
     };
-    let event = Learn::Word { from: Member(0), life: Life(1), word: word(news) };
+    let event =
+        Learn::Message { from: NodeId(0), incarnation: Incarnation(1), message: message(news) };
     learner.handle(ms(10), event, &mut actions);
     let tells = |a: &Learned| {
-        matches!(a, Learned::Send { to: Member(0), word }
-            if matches!(word.say, Say::Copy { at, .. } if at == Index::new(9, 5)))
+        matches!(a, Learned::Send { to: NodeId(0), message }
+            if matches!(message.say, Say::Copy { at, .. } if at == Index::new(9, 5)))
     };
     assert!(actions.iter().any(tells));
 }
--- a/crates/consensus/tests/store.rs
+++ b/crates/consensus/tests/store.rs
@@ -8,17 +8,17 @@
     Base, Counts, Doubt, Durable, Entry, ProposalId, Record, Store, StoreError, View, What,
 };
 use hollowpaddle_failpoints::{Fault, Kind, Plan, Points};
-use hollowpaddle_peer_transport::{Life, Member};
+use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use world::{Played, World, ms};
 
 fn entry(number: u64, length: usize) -> Entry {
-    let id = ProposalId { by: Member(1), life: Life(1), number };
+    let id = ProposalId { by: NodeId(1), incarnation: Incarnation(1), number };
     Entry { id, what: What::Bytes(vec![number as u8; length]) }
 }
 
 /// Records as a member makes them.
 fn records() -> Vec<Record> {
-    let view = |number| View { epoch: 1, number, leader: Member(0) };
+    let view = |number| View { epoch: 1, number, leader: NodeId(0) };
     let whole = Record::Whole {
         view: view(1),
         last: view(1),
@@ -57,7 +57,7 @@
 fn write(disk: &Played, points: &Points) -> (u64, Result<(), StoreError>) {
     let mut told = 0;
     let mut run = || {
-        let (mut store, found) = Store::open(disk.clone(), points.clone(), 7, Member(1))?;
+        let (mut store, found) = Store::open(disk.clone(), points.clone(), 7, NodeId(1))?;
         let from = found.durable.written;
         for (number, record) in (1..).zip(records()).skip(from as usize) {
             store.append(number, &record)?;
@@ -99,7 +99,7 @@
                 let fine = matches!(fault, Fault::Lie | Fault::Pause);
                 assert_eq!(done.is_ok(), fine, "{fault:?} at {name}");
                 disk.end(chance * 77_777 + chance);
-                let (mut store, found) = Store::open(disk.clone(), Points::none(), 7, Member(1))
+                let (mut store, found) = Store::open(disk.clone(), Points::none(), 7, NodeId(1))
                     .expect("it is well again");
                 let what = format!("{fault:?} at point {number}, {name}, chance {chance}");
                 let written = found.durable.written;
@@ -112,7 +112,7 @@
                     store.append(number, &record).expect("well");
                 }
                 store.sync().expect("well");
-                let (_, last) = Store::open(disk, Points::none(), 7, Member(1)).expect("well");
+                let (_, last) = Store::open(disk, Points::none(), 7, NodeId(1)).expect("well");
                 assert_eq!(last.durable.state, model(records().len() as u64).state, "{what}");
             }
         }
@@ -125,13 +125,13 @@
     let disk = Played::default();
     write(&disk, &Points::none()).1.expect("written");
     let bytes = disk.copy();
-    let open = |bytes: Vec<u8>, bank, me| {
+    let open = |bytes: Vec<u8>, cluster, node_id| {
         let disk = Played::default();
         disk.put(bytes);
-        Store::open(disk, Points::none(), bank, Member(me)).expect("readable").1
+        Store::open(disk, Points::none(), cluster, NodeId(node_id)).expect("readable").1
     };
     assert!(matches!(open(bytes.clone(), 7, 2).doubt, Some(Doubt::Foreign { member: 1, .. })));
-    assert!(matches!(open(bytes.clone(), 8, 1).doubt, Some(Doubt::Foreign { bank: 7, .. })));
+    assert!(matches!(open(bytes.clone(), 8, 1).doubt, Some(Doubt::Foreign { cluster: 7, .. })));
     assert!(matches!(open(b"something else".to_vec(), 7, 1).doubt, Some(Doubt::NoHead)));
     let mut changed = bytes.clone();
     changed[50] ^= 1;
@@ -153,7 +153,7 @@
         + 1;
     let disk = Played::default();
     let armed = Points::armed(Plan::one(sync, Fault::Io));
-    let (mut store, _) = Store::open(disk, armed, 7, Member(1)).expect("opens");
+    let (mut store, _) = Store::open(disk, armed, 7, NodeId(1)).expect("opens");
     let mut failed = false;
     for (number, record) in (1..).zip(records()) {
         let done = store.append(number, &record).and_then(|()| store.sync());
@@ -177,7 +177,7 @@
             let disk = Played::default();
             disk.put(bytes.clone());
             let points = Points::armed(plan);
-            let opened = Store::open(disk.clone(), points.clone(), 7, Member(1));
+            let opened = Store::open(disk.clone(), points.clone(), 7, NodeId(1));
             (disk, points, opened.map(|(_, found)| found.durable.written))
         };
         for passed in open(Plan::counting()).1.passed() {
@@ -185,7 +185,7 @@
                 let (disk, _, _) = open(Plan::one(passed.number, *fault));
                 disk.end(passed.number);
                 let (_, found) =
-                    Store::open(disk, Points::none(), 7, Member(1)).expect("well again");
+                    Store::open(disk, Points::none(), 7, NodeId(1)).expect("well again");
                 let what = format!("{fault:?} at {}", passed.name);
                 assert_eq!(found.durable.state, model(kept).state, "{what}");
             }
--- a/crates/consensus/tests/world/mod.rs
+++ b/crates/consensus/tests/world/mod.rs
@@ -10,10 +10,10 @@
 
 use hollowpaddle_consensus::{
     Action, Council, Disk, Durable, Entry, Event, Index, Learn, Learned, Learner, LearnerSettings,
-    Members, Outcome, ProposalId, Say, Settings, Standing, Store, StoreError, View, What, Word,
+    Members, Message, Outcome, ProposalId, Say, Settings, Standing, Store, StoreError, View, What,
 };
 use hollowpaddle_failpoints::Points;
-use hollowpaddle_peer_transport::{Channel, Life, Member};
+use hollowpaddle_peer_transport::{Channel, Incarnation, NodeId};
 use oorandom::Rand64;
 
 pub const fn ms(ms: u64) -> Duration {
@@ -23,7 +23,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum What2 {
     Tick(u16, u32),
-    Word(u16, u16, u32, u32, u64),
+    Message(u16, u16, u32, u32, u64),
     Synced(u16, u32, u64),
     Start(u16),
     Well(u16, u32),
@@ -148,7 +148,7 @@
     pub learner: Option<Learner>,
     pub copy: App,
     pub source: Option<u16>,
-    pub life: u32,
+    pub incarnation: u32,
     pub started: Duration,
     pub paused: Duration,
     pub disk: Played,
@@ -166,7 +166,7 @@
     pub now: Duration,
     pub rng: Rand64,
     pub nodes: Vec<Node>,
-    pub council: Vec<Member>,
+    pub voters: Vec<NodeId>,
     pub size: u16,
     pub directory: bool,
     pub points: Points,
@@ -174,7 +174,7 @@
     pub late: bool,
     pub cuts: BTreeSet<(u16, u16)>,
     queue: BinaryHeap<Reverse<(Duration, u64, What2)>>,
-    words: BTreeMap<u64, Word>,
+    words: BTreeMap<u64, Message>,
     seq: u64,
     /// index -> id, over all members.
     pub agreed: BTreeMap<Index, (ProposalId, u64)>,
@@ -222,18 +222,18 @@
 }
 
 impl World {
-    pub fn new(seed: u64, nodes: u16, council: &[u16], directory: bool) -> Self {
-        Self::with(seed, nodes, council, directory, false)
+    pub fn new(seed: u64, nodes: u16, voters: &[u16], directory: bool) -> Self {
+        Self::with(seed, nodes, voters, directory, false)
     }
 
-    pub fn with(seed: u64, nodes: u16, council: &[u16], directory: bool, learners: bool) -> Self {
-        Self::at_points(seed, nodes, council, directory, learners, Points::none())
+    pub fn with(seed: u64, nodes: u16, voters: &[u16], directory: bool, learners: bool) -> Self {
+        Self::at_points(seed, nodes, voters, directory, learners, Points::none())
     }
 
     pub fn at_points(
         seed: u64,
         nodes: u16,
-        council: &[u16],
+        voters: &[u16],
         directory: bool,
         learners: bool,
         points: Points,
@@ -242,7 +242,7 @@
             now: Duration::ZERO,
             rng: Rand64::new(u128::from(seed)),
             nodes: Vec::new(),
-            council: council.iter().map(|m| Member(*m)).collect(),
+            voters: voters.iter().map(|m| NodeId(*m)).collect(),
             size: nodes,
             directory,
             points,
@@ -276,7 +276,7 @@
                 learner: None,
                 copy: App::default(),
                 source: None,
-                life: 0,
+                incarnation: 0,
                 started: Duration::ZERO,
                 paused: Duration::ZERO,
                 disk: Played::default(),
@@ -308,23 +308,23 @@
     pub fn start(&mut self, who: u16) {
         let (now, seed) = (self.now, self.rng.rand_u64());
         let settings = Settings {
-            me: Member(who),
-            life: Life(seed as u32),
-            council: self.council.clone(),
-            bank: self.size,
+            node_id: NodeId(who),
+            incarnation: Incarnation(seed as u32),
+            voters: self.voters.clone(),
+            cluster: self.size,
             directory: self.directory,
             copies: if self.learners { 2 } else { 0 },
             seed,
         };
         let learner = LearnerSettings {
-            me: Member(who),
-            council: self.council.clone(),
-            bank: settings.bank,
+            node_id: NodeId(who),
+            voters: self.voters.clone(),
+            cluster: settings.cluster,
             seed,
         };
         let learners = self.learners;
         let node = &mut self.nodes[who as usize];
-        node.life += 1;
+        node.incarnation += 1;
         node.started = now;
         node.paused = now;
         node.disk_fails = false;
@@ -336,14 +336,14 @@
         let mut failed = false;
         let found = self.directory.then(|| {
             let (disk, points) = (node.disk.clone(), self.points.of(u32::from(who)));
-            match Store::open(disk.clone(), points.clone(), 1, Member(who)) {
+            match Store::open(disk.clone(), points.clone(), 1, NodeId(who)) {
                 Ok((store, found)) => {
                     node.store = Some(store);
                     found.durable
                 }
                 Err(e) => {
                     failed = true;
-                    node.store = Some(Store::closed(disk, points, 1, Member(who)));
+                    node.store = Some(Store::closed(disk, points, 1, NodeId(who)));
                     if matches!(e, StoreError::Ended(_)) {
                         node.store = None;
                     }
@@ -359,11 +359,11 @@
         }
         node.learner = learners.then(|| Learner::new(Duration::ZERO, learner));
         node.council = Some(Council::new(Duration::ZERO, settings, found));
-        let life = node.life;
-        self.push(now, What2::Tick(who, life));
+        let incarnation = node.incarnation;
+        self.push(now, What2::Tick(who, incarnation));
         if failed {
             self.event(who, Event::DiskFailed { cause: "unreadable".into() });
-            self.push(now + ms(700), What2::Well(who, life));
+            self.push(now + ms(700), What2::Well(who, incarnation));
         }
     }
 
@@ -439,7 +439,7 @@
         learner.handle(now - node.started, event, &mut actions);
         for action in actions {
             match action {
-                Learned::Send { to, word } => self.send(who, to.0, word),
+                Learned::Send { to, message } => self.send(who, to.0, message),
                 Learned::Committed { index, entry } => {
                     self.agree(index, &entry);
                     let copy = &mut self.nodes[who as usize].copy;
@@ -495,15 +495,15 @@
         }
         if self.trace {
             let told = match &action {
-                Action::Send { to, word } => match &word.say {
+                Action::Send { to, message } => match &message.say {
                     Say::Begin { founding, .. } => {
-                        format!("begin {:?} {founding} to {to:?}", word.view)
+                        format!("begin {:?} {founding} to {to:?}", message.view)
                     }
                     Say::Join { .. } | Say::Recover { .. } | Say::Recovered { .. } => {
-                        format!("{:?} {:?} to {to:?}", word.view, word.say)
+                        format!("{:?} {:?} to {to:?}", message.view, message.say)
                     }
                     Say::Fetch { .. } | Say::Part(_) => {
-                        format!("{:?} {:?} to {to:?}", word.view, word.say)
+                        format!("{:?} {:?} to {to:?}", message.view, message.say)
                     }
                     _ => String::new(),
                 },
@@ -516,7 +516,7 @@
             }
         }
         match action {
-            Action::Send { to, word } => self.send(who, to.0, word),
+            Action::Send { to, message } => self.send(who, to.0, message),
             Action::Persist { number, record } => {
                 let after = ms(1 + self.below(8));
                 let node = &mut self.nodes[who as usize];
@@ -530,8 +530,8 @@
                 };
                 let paused = store.take_pause();
                 if done.is_ok() && !std::mem::replace(&mut node.syncing, true) {
-                    let life = node.life;
-                    self.push(now + after, What2::Synced(who, life, 0));
+                    let incarnation = node.incarnation;
+                    self.push(now + after, What2::Synced(who, incarnation, 0));
                 }
                 self.stored(who, done, paused);
             }
@@ -597,8 +597,8 @@
             }
             Err(_) => {
                 self.event(who, Event::DiskFailed { cause: "played".into() });
-                let life = self.nodes[who as usize].life;
-                self.push(self.now + ms(700), What2::Well(who, life));
+                let incarnation = self.nodes[who as usize].incarnation;
+                self.push(self.now + ms(700), What2::Well(who, incarnation));
             }
         }
         if paused {
@@ -606,38 +606,39 @@
         }
     }
 
-    fn send(&mut self, from: u16, to: u16, word: Word) {
+    fn send(&mut self, from: u16, to: u16, message: Message) {
         self.sent += 1;
         if self.sent.is_multiple_of(8) {
-            let bytes = word.encode().expect("every word is within its bound");
-            assert_eq!(Word::decode(&bytes).as_ref(), Ok(&word));
+            let bytes = message.encode().expect("every word is within its bound");
+            assert_eq!(Message::decode(&bytes).as_ref(), Ok(&message));
             self.longest = self.longest.max(bytes.len());
-            if matches!(word.say, Say::Hello(_) | Say::Ok { .. } | Say::Prepare { .. }) {
+            if matches!(message.say, Say::Hello(_) | Say::Ok { .. } | Say::Prepare { .. }) {
                 self.longest_frequent = self.longest_frequent.max(bytes.len());
             }
         }
         if self.cuts.contains(&(from, to)) && from != to || self.chance(self.loss) {
             return;
         }
-        if word.say.channel() == Channel::Log {
+        if message.say.channel() == Channel::Log {
             let sent = self.log_sent.entry(from).or_default();
             sent.0 += 1;
             if !self.learners {
-                if let Say::Answer { id, outcome: Some(Outcome::Committed(index)), .. } = &word.say
+                if let Say::Answer { id, outcome: Some(Outcome::Committed(index)), .. } =
+                    &message.say
                 {
                     self.said_yes(*id, *index);
                 }
                 return;
             }
-            sent.1 += word.encode().map_or(0, |b| b.len() as u64);
+            sent.1 += message.encode().map_or(0, |b| b.len() as u64);
         }
         let late = if self.late && self.chance(0.1) { self.below(300) } else { 0 };
         let after = ms(1 + self.below(12) + late);
         self.seq += 1;
         let key = self.seq;
-        self.words.insert(key, word);
-        let life = self.nodes[from as usize].life;
-        self.push(self.now + after, What2::Word(from, to, life, 0, key));
+        self.words.insert(key, message);
+        let incarnation = self.nodes[from as usize].incarnation;
+        self.push(self.now + after, What2::Message(from, to, incarnation, 0, key));
     }
 
     /// Runs until then.
@@ -656,9 +657,9 @@
                         self.start(who);
                     }
                 }
-                What2::Tick(who, life) => {
+                What2::Tick(who, incarnation) => {
                     let node = &mut self.nodes[who as usize];
-                    if node.life == life && node.council.is_some() {
+                    if node.incarnation == incarnation && node.council.is_some() {
                         if self.now >= node.paused {
                             let deaf = std::mem::take(&mut node.deaf);
                             let late = std::mem::take(&mut node.deaf_learner);
@@ -668,24 +669,24 @@
                             self.learn(who, Learn::Tick);
                             self.watch_majority();
                         }
-                        self.push(at + ms(25), What2::Tick(who, life));
+                        self.push(at + ms(25), What2::Tick(who, incarnation));
                     }
                 }
-                What2::Word(from, to, life, _, key) => {
-                    if let Some(word) = self.words.remove(&key) {
-                        let (from, life) = (Member(from), Life(life));
-                        if word.say.channel() == Channel::Log {
-                            self.learn(to, Learn::Word { from, life, word });
+                What2::Message(from, to, incarnation, _, key) => {
+                    if let Some(message) = self.words.remove(&key) {
+                        let (from, incarnation) = (NodeId(from), Incarnation(incarnation));
+                        if message.say.channel() == Channel::Log {
+                            self.learn(to, Learn::Message { from, incarnation, message });
                         } else {
-                            self.event(to, Event::Word { from, life, word });
+                            self.event(to, Event::Message { from, incarnation, message });
                         }
                     }
                 }
-                What2::Well(who, life) => {
+                What2::Well(who, incarnation) => {
                     let node = &mut self.nodes[who as usize];
                     let mute =
                         node.council.as_ref().is_some_and(|c| c.standing() == Standing::Mute);
-                    if node.life == life && mute && !node.disk_fails {
+                    if node.incarnation == incarnation && mute && !node.disk_fails {
                         let reset = node.store.as_mut().map(Store::reset);
                         if matches!(reset, Some(Ok(()))) {
                             self.event(who, Event::DiskWell);
@@ -694,9 +695,9 @@
                         }
                     }
                 }
-                What2::Synced(who, life, _) => {
+                What2::Synced(who, incarnation, _) => {
                     let node = &mut self.nodes[who as usize];
-                    if node.life != life || node.council.is_none() {
+                    if node.incarnation != incarnation || node.council.is_none() {
                         continue;
                     }
                     node.syncing = false;
@@ -722,17 +723,17 @@
 
     pub fn propose(&mut self, at: u16, bytes: Vec<u8>) -> ProposalId {
         self.proposed += 1;
-        let id = ProposalId { by: Member(at), life: Life(1), number: self.proposed };
+        let id = ProposalId { by: NodeId(at), incarnation: Incarnation(1), number: self.proposed };
         self.repeat(at, id, bytes);
         id
     }
     pub fn repeat(&mut self, at: u16, id: ProposalId, bytes: Vec<u8>) {
-        let word = Word {
+        let message = Message {
             view: View::default(),
             counts: BTreeMap::new(),
             say: Say::Propose { id, what: Some(What::Bytes(bytes)) },
         };
-        self.event(at, Event::Word { from: Member(at), life: Life(0), word });
+        self.event(at, Event::Message { from: NodeId(at), incarnation: Incarnation(0), message });
     }
 
     /// The one that leads the latest view, if a majority takes part in it.
@@ -742,7 +743,7 @@
         let takes_part = |n: &&Node| {
             n.council.as_ref().is_some_and(|c| c.view() == view && c.standing() == Standing::Normal)
         };
-        let members = Members::of(self.council.iter().copied());
+        let members = Members::of(self.voters.iter().copied());
         (self.nodes.iter().filter(takes_part).count() >= members.majority())
             .then_some(view.leader.0)
     }
@@ -759,15 +760,15 @@
     }
 
     fn watch_majority(&mut self) {
-        let blank = |m: &&Member| {
+        let blank = |m: &&NodeId| {
             let node = &self.nodes[m.0 as usize];
             match &node.council {
                 None => !self.directory || node.disk.is_small(),
                 Some(c) => matches!(c.shown(), Standing::Blank | Standing::Mute),
             }
         };
-        let knowing = self.council.len() - self.council.iter().filter(blank).count();
-        if !self.led.is_empty() && knowing * 2 <= self.council.len() {
+        let knowing = self.voters.len() - self.voters.iter().filter(blank).count();
+        if !self.led.is_empty() && knowing * 2 <= self.voters.len() {
             self.lost_majority = true;
         }
     }
@@ -782,8 +783,8 @@
             if self.nodes[who as usize].council.is_none() {
                 self.start(who);
             }
-            let life = self.nodes[who as usize].life;
-            self.push(self.now, What2::Well(who, life));
+            let incarnation = self.nodes[who as usize].incarnation;
+            self.push(self.now, What2::Well(who, incarnation));
         }
         self.for_ms(5000);
         let leader = self.leader();
@@ -802,7 +803,7 @@
         }
         assert!(self.all_alike(), "seed {seed}: logs differ at rest: {}", self.states());
         if !self.lost_majority {
-            let app: BTreeMap<ProposalId, u64> = self.nodes[self.council[0].0 as usize]
+            let app: BTreeMap<ProposalId, u64> = self.nodes[self.voters[0].0 as usize]
                 .app
                 .ids
                 .iter()
@@ -827,8 +828,8 @@
     }
 
     fn all_alike(&self) -> bool {
-        let first = &self.nodes[self.council[0].0 as usize].app;
-        self.council.iter().all(|m| self.nodes[m.0 as usize].app == *first) && !first.ids.is_empty()
+        let first = &self.nodes[self.voters[0].0 as usize].app;
+        self.voters.iter().all(|m| self.nodes[m.0 as usize].app == *first) && !first.ids.is_empty()
     }
 
     pub fn states(&self) -> String {
--- a/crates/ctl/src/in_process.rs
+++ b/crates/ctl/src/in_process.rs
@@ -8,7 +8,7 @@
 use std::time::Duration;
 
 use hollowpaddle_failpoints::Points;
-use hollowpaddle_gateway::bank;
+use hollowpaddle_gateway::cluster;
 use hollowpaddle_gateway::{Config, Keep, Kept, Operating, Provided, serve};
 use hollowpaddle_operator_commands::Store;
 use hollowpaddle_policy::settings::stable_hash;
@@ -64,16 +64,17 @@
         // Drawn by the run's seed, and another one with each start.
         let life = stable_hash(&format!("{name} {}", read.seed)) as u32;
         let points = Points::none();
-        let bank = read.bank.as_ref().map(|of| {
+        let cluster = read.cluster.as_ref().map(|of| {
             // A disk that plays tricks is the snapshot's; the bank's own is played by its tests.
             let dir = state_dir.as_ref().map(|dir| dir.join("bank"));
             let stored =
-                dir.and_then(|dir| bank::open(&dir, of.id(), of.member(), &name, &points).ok());
-            bank::join(&read, of, life, stored, points.clone())
+                dir.and_then(|dir| cluster::open(&dir, of.id(), of.member(), &name, &points).ok());
+            cluster::join(&read, of, life, stored, points.clone())
         });
-        let bank = bank.transpose().map_err(|e| fail(e.to_string()))?;
-        let (bank, shell) = bank.map_or((None, None), |(link, shell)| (Some(link), Some(shell)));
-        let provided = Provided { operating, kept: kept.transpose()?, bank };
+        let cluster = cluster.transpose().map_err(|e| fail(e.to_string()))?;
+        let (cluster, shell) =
+            cluster.map_or((None, None), |(link, shell)| (Some(link), Some(shell)));
+        let provided = Provided { operating, kept: kept.transpose()?, cluster };
         let (reload, reloads) = mpsc::unbounded_channel();
         let stop = Rc::new(Notify::new());
         let stopped = {
--- a/crates/gateway/src/bank/door.rs
+++ b/crates/gateway/src/cluster/door.rs
@@ -3,18 +3,18 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use hollowpaddle_peer_transport::Member;
-use hollowpaddle_revision::book::{Book, Refusal};
-use hollowpaddle_revision::charter::Charter;
+use hollowpaddle_peer_transport::NodeId;
+use hollowpaddle_revision::canary::Trial;
 use hollowpaddle_revision::document::Document;
 use hollowpaddle_revision::entry::{Ask as Terms, Entry, Id};
+use hollowpaddle_revision::fallback_policy::Charter;
 use hollowpaddle_revision::fleet::{ClassFacts, Facts, Group};
+use hollowpaddle_revision::policy_state::{Book, Refusal};
 use hollowpaddle_revision::rules::Place;
-use hollowpaddle_revision::trial::Trial;
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-use crate::bank::machine::{Answer, Event, Machine};
+use crate::cluster::machine::{Answer, Event, Machine};
 use crate::members::{Entry as Listed, Phase};
 
 /// A caller that asks to wait until a revision is in force everywhere waits so long, if it does not say.
@@ -30,7 +30,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub enum Ask {
     /// How the bank stands, as seen from here.
-    Bank,
+    Cluster,
     /// The newest revisions.
     Revisions,
     /// One of them, whole.
@@ -62,8 +62,8 @@
     Cordon(String, bool),
     Charter(Charter),
     Confirm(u64),
-    Dead(Member),
-    Alive(Member),
+    Dead(NodeId),
+    Alive(NodeId),
 }
 
 /// How a revision is asked for.
@@ -80,12 +80,12 @@
     /// One for another.
     Replace {
         /// Who goes.
-        out: Member,
+        out: NodeId,
         /// Who comes.
-        then: Option<Member>,
+        then: Option<NodeId>,
     },
     /// This balancer founds anew with these voters.
-    Restore(Vec<Member>),
+    Restore(Vec<NodeId>),
 }
 
 /// An answer: an HTTP status and its text.
@@ -168,7 +168,7 @@
         let no_such = || AskError::NoSuch { method: method.to_string(), path: path.to_string() };
         let parts: Vec<&str> = path.trim_start_matches("/admin/").split('/').collect();
         match (method, parts.as_slice()) {
-            ("GET", ["bank"]) => return Ok(Self::Bank),
+            ("GET", ["bank"]) => return Ok(Self::Cluster),
             ("GET", ["revisions"]) => return Ok(Self::Revisions),
             ("GET", ["revisions", "asked", id]) => return named(id).map(Self::Asked),
             ("GET", ["revisions", number]) => {
@@ -183,7 +183,7 @@
             .map_err(|e| AskError::Body(format!("`{}`: {}", e.path(), e.inner())))?;
         let lacks = |what: &str| AskError::Body(format!("`{what}` is missing"));
         let said = Said { base: body.if_revision, trial: body.trial, forced: body.force };
-        let member = || body.member.map(Member).ok_or_else(|| lacks("member"));
+        let member = || body.member.map(NodeId).ok_or_else(|| lacks("member"));
         let what = match parts.as_slice() {
             ["revisions"] => {
                 let document = body.document.as_ref().ok_or_else(|| lacks("document"))?;
@@ -199,12 +199,12 @@
             ["council", "dead"] => Wish::Dead(member()?),
             ["council", "alive"] => Wish::Alive(member()?),
             ["council", "replace"] => {
-                let out = body.out.map(Member).ok_or_else(|| lacks("out"))?;
-                return Ok(Self::Council(Council::Replace { out, then: body.then.map(Member) }));
+                let out = body.out.map(NodeId).ok_or_else(|| lacks("out"))?;
+                return Ok(Self::Council(Council::Replace { out, then: body.then.map(NodeId) }));
             }
             ["council", "restore"] => {
                 let members = body.members.as_ref().ok_or_else(|| lacks("members"))?;
-                let members = members.iter().copied().map(Member).collect();
+                let members = members.iter().copied().map(NodeId).collect();
                 return Ok(Self::Council(Council::Restore(members)));
             }
             _ => return Err(no_such()),
@@ -252,7 +252,7 @@
     ) -> Result<Event<'static>, Told> {
         let book = machine.book();
         match self {
-            Self::Bank => Err(Told::ok(bank(machine))),
+            Self::Cluster => Err(Told::ok(cluster(machine))),
             Self::Revisions => Err(Told::ok(revisions(book))),
             Self::Revision(number) => Err(revision(book, *number)),
             Self::Asked(id) => Ok(Event::Ask { ticket, id: *id }),
@@ -356,7 +356,7 @@
     }
 
     /// The charter has not let go of it yet.
-    fn waits(behind: &[(Member, Duration)]) -> Self {
+    fn waits(behind: &[(NodeId, Duration)]) -> Self {
         let behind: Vec<u16> = behind.iter().map(|(m, _)| m.0).collect();
         let why = "the charter allows it: it is put out once every member has agreed to let go of it; repeat this call, \
                    or say of those that are gone for good that they are dead";
@@ -490,7 +490,7 @@
 }
 
 /// How the bank stands, as seen from one balancer.
-fn bank(machine: &Machine) -> Value {
+fn cluster(machine: &Machine) -> Value {
     let standing = machine.book().standing();
     let council = machine.council();
     let in_force = machine.in_force();
@@ -502,7 +502,7 @@
         .collect();
     json!({
         "ok": true,
-        "member": machine.me().0,
+        "member": machine.node_id().0,
         "revision": standing.revision,
         "towards": standing.towards,
         "newest": machine.book().newest(),
--- a/crates/gateway/src/bank/durable.rs
+++ b/crates/gateway/src/cluster/durable.rs
@@ -4,15 +4,15 @@
 use std::path::Path;
 use std::time::Duration;
 
-use hollowpaddle_consensus::{self as council, Durable, Record, StoreError};
+use hollowpaddle_consensus::{self as consensus, Durable, Record, StoreError};
 use hollowpaddle_failpoints::{Fault, Kind, Points};
-use hollowpaddle_peer_transport::Member;
-use hollowpaddle_revision::charter::Charter;
-use hollowpaddle_revision::words::Stage;
+use hollowpaddle_peer_transport::NodeId;
+use hollowpaddle_revision::fallback_policy::Charter;
+use hollowpaddle_revision::message::Stage;
 use serde::{Deserialize, Serialize};
 
-use crate::bank::Stored;
-use crate::bank::shell::Durably;
+use crate::cluster::Stored;
+use crate::cluster::shell::DurableLog;
 
 /// A charter is as old as it is: its generation says whether it counts.
 const UNDATED: Duration = Duration::ZERO;
@@ -25,26 +25,30 @@
 
 /// The files.
 struct Files {
-    records: council::Store,
+    records: consensus::Store,
     charter: hollowpaddle_snapshot::Store,
     points: Points,
 }
 
-/// Opens a directory, and says what lies there. `bank` names the bank and `name` the balancer: what is another's is not
+/// Opens a directory, and says what lies there. `cluster` names the bank and `name` the balancer: what is another's is not
 /// believed, and set aside.
 ///
 /// # Errors
 /// It can't be made, in words. Then this balancer is one that forgets.
 pub fn open(
     path: &Path,
-    bank: u64,
-    me: Member,
+    cluster: u64,
+    node_id: NodeId,
     name: &str,
     points: &Points,
 ) -> Result<Stored, String> {
-    let of_council = council::Directory::open(path).map_err(|e| e.to_string())?;
-    let (records, found) = match council::Store::open(of_council.clone(), points.clone(), bank, me)
-    {
+    let of_council = consensus::Directory::open(path).map_err(|e| e.to_string())?;
+    let (records, found) = match consensus::Store::open(
+        of_council.clone(),
+        points.clone(),
+        cluster,
+        node_id,
+    ) {
         Ok((records, found)) => {
             if let Some(doubt) = &found.doubt {
                 tracing::error!(%doubt, "the council's records are set aside: this member has forgotten");
@@ -59,7 +63,7 @@
         }
         Err(cause) => {
             tracing::error!(%cause, "the council's records can't be read: this member has forgotten");
-            let closed = council::Store::closed(of_council, points.clone(), bank, me);
+            let closed = consensus::Store::closed(of_council, points.clone(), cluster, node_id);
             (closed, Durable::default())
         }
     };
@@ -72,7 +76,7 @@
     let kept = kept.snapshot.and_then(|s| serde_json::from_slice::<Kept>(&s.payload).ok());
     let files = Files { records, charter, points: points.clone() };
     Ok(Stored {
-        durably: Box::new(files),
+        durable_log: Box::new(files),
         found: Some(found),
         charter: kept.map(|k| (k.generation, k.charter)),
     })
@@ -91,7 +95,7 @@
     }
 }
 
-impl Durably for Files {
+impl DurableLog for Files {
     fn append(&mut self, number: u64, record: &Record) -> Result<(), String> {
         let done = self.records.append(number, record);
         self.done(done)
--- a/crates/gateway/src/bank/machine.rs
+++ b/crates/gateway/src/cluster/machine.rs
@@ -8,17 +8,17 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use hollowpaddle_consensus as council;
+use hollowpaddle_consensus as consensus;
 use hollowpaddle_consensus::{Council, Durable, Learn, Learned, Learner, LearnerSettings};
 use hollowpaddle_peer_transport as peers;
-use hollowpaddle_peer_transport::{Life, Member, Wire};
-use hollowpaddle_revision::book::{Book, Founding};
-use hollowpaddle_revision::charter::Charter;
+use hollowpaddle_peer_transport::{Incarnation, NodeId, Wire};
 use hollowpaddle_revision::entry::{Entry, Id};
+use hollowpaddle_revision::fallback_policy::Charter;
 use hollowpaddle_revision::in_force::InForce;
 use hollowpaddle_revision::leases::{self, Leases, Terms};
 use hollowpaddle_revision::lists::{self, Lists, Phase};
-use hollowpaddle_revision::words::Stage;
+use hollowpaddle_revision::message::Stage;
+use hollowpaddle_revision::policy_state::{Book, Founding};
 
 use calls::Call;
 
@@ -36,15 +36,15 @@
 #[derive(Clone, Debug)]
 pub struct Setup {
     /// Who it is.
-    pub me: Member,
+    pub node_id: NodeId,
     /// Balancers of the bank.
-    pub bank: u16,
+    pub cluster: u16,
     /// This process, not 0.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// Drawn at the start.
     pub seed: u64,
     /// Who votes at first.
-    pub council: Vec<Member>,
+    pub voters: Vec<NodeId>,
     /// What the log begins with.
     pub founding: Founding,
     /// What is kept to by a process that knows no charter.
@@ -67,7 +67,7 @@
     Wire(#[from] peers::ConfigError),
     /// The book.
     #[error(transparent)]
-    Book(#[from] hollowpaddle_revision::book::FoundingError),
+    Book(#[from] hollowpaddle_revision::policy_state::FoundingError),
 }
 
 /// What happens.
@@ -76,7 +76,7 @@
     /// A datagram came; from nobody of the bank, if `from` is none.
     Datagram {
         /// Whose address it came from.
-        from: Option<Member>,
+        from: Option<NodeId>,
         /// As it came.
         bytes: &'a [u8],
     },
@@ -122,16 +122,16 @@
         /// Names the call.
         ticket: u64,
         /// Who goes.
-        out: Member,
+        out: NodeId,
         /// Who comes.
-        then: Option<Member>,
+        then: Option<NodeId>,
     },
     /// This balancer founds the council anew with these voters.
     Restore {
         /// Names the call.
         ticket: u64,
         /// Who votes.
-        members: Vec<Member>,
+        members: Vec<NodeId>,
     },
 }
 
@@ -141,7 +141,7 @@
     /// A datagram is to go out.
     Transmit {
         /// To the address of this member.
-        to: Member,
+        to: NodeId,
         /// At most 256 bytes.
         bytes: Vec<u8>,
     },
@@ -159,7 +159,7 @@
         /// Its number.
         number: u64,
         /// What.
-        record: council::Record,
+        record: consensus::Record,
     },
     /// To be written and synced.
     Keep {
@@ -197,18 +197,18 @@
     learner: Learner,
     book: Book,
     /// The last entry of the log that the book knows.
-    at: council::Index,
+    at: consensus::Index,
     leases: Leases,
     lists: Lists,
     stops: Stops,
     calls: VecDeque<Call>,
     proposals: u64,
     /// Proposals of this balancer's own that the leases asked for.
-    own: BTreeSet<council::ProposalId>,
+    own: BTreeSet<consensus::ProposalId>,
     /// It leads, and when it proposed a first charter last.
     leads: bool,
     chartered: Option<Duration>,
-    leader: Option<Member>,
+    leader: Option<NodeId>,
     wire_due: Option<Duration>,
     leases_due: Option<Duration>,
     lists_due: Option<Duration>,
@@ -222,7 +222,7 @@
 /// What one machine has for another.
 enum Inner {
     Wire(peers::Action),
-    Council(council::Action),
+    Council(consensus::Action),
     Learned(Learned),
     Leases(leases::Action),
     Lists(lists::Action),
@@ -234,30 +234,32 @@
     /// # Errors
     /// It is set up as none can be.
     pub fn new(now: Duration, mut setup: Setup) -> Result<Self, SetupError> {
-        let Setup { me, bank, life, seed, .. } = setup;
+        let Setup { node_id, cluster, incarnation, seed, .. } = setup;
         let wire = Wire::new(peers::Config {
-            me,
-            members: bank,
-            life,
+            node_id,
+            members: cluster,
+            incarnation,
             seed,
             budget: peers::Budget::default(),
         })?;
         let council = Council::new(
             now,
-            council::Settings {
-                me,
-                life,
-                council: setup.council.clone(),
-                bank,
+            consensus::Settings {
+                node_id,
+                incarnation,
+                voters: setup.voters.clone(),
+                cluster,
                 directory: setup.directory,
                 copies: if setup.directory { 0 } else { 2 },
                 seed,
             },
             setup.found.take(),
         );
-        let learner =
-            Learner::new(now, LearnerSettings { me, council: setup.council.clone(), bank, seed });
-        let mut terms = Terms::usual(me, life, setup.bedrock.clone());
+        let learner = Learner::new(
+            now,
+            LearnerSettings { node_id, voters: setup.voters.clone(), cluster, seed },
+        );
+        let mut terms = Terms::usual(node_id, incarnation, setup.bedrock.clone());
         terms.stored = setup.charter.clone();
         let mut machine = Self {
             book: Book::found(setup.founding.clone())?,
@@ -269,7 +271,7 @@
             wire,
             council,
             learner,
-            at: council::Index::default(),
+            at: consensus::Index::default(),
             calls: VecDeque::new(),
             proposals: 0,
             own: BTreeSet::new(),
@@ -290,8 +292,8 @@
     }
 
     /// Who this is.
-    pub fn me(&self) -> Member {
-        self.setup.me
+    pub fn node_id(&self) -> NodeId {
+        self.setup.node_id
     }
 
     /// When something was handed in last.
@@ -335,7 +337,7 @@
     }
 
     /// Who leads the council, as far as is known here.
-    pub fn leader(&self) -> Option<Member> {
+    pub fn leader(&self) -> Option<NodeId> {
         self.leader.or(self.learner.leader())
     }
 
@@ -350,9 +352,9 @@
             // What was asked for has come: what is due again at this very moment has to be asked for again. Failure: in
             // virtual time, whose timers are of whole milliseconds, it came too soon, and nobody was ready for 30 s.
             Event::Due => self.told = None,
-            Event::Persisted(upto) => self.vote(council::Event::Persisted { upto }),
-            Event::DiskFailed(cause) => self.vote(council::Event::DiskFailed { cause }),
-            Event::DiskWell => self.vote(council::Event::DiskWell),
+            Event::Persisted(upto) => self.vote(consensus::Event::Persisted { upto }),
+            Event::DiskFailed(cause) => self.vote(consensus::Event::DiskFailed { cause }),
+            Event::DiskWell => self.vote(consensus::Event::DiskWell),
             Event::Kept(generation) => self.lease(leases::Event::Kept { generation }),
             Event::Propose { ticket, id, entry } => self.propose(ticket, id, &entry, actions),
             Event::Ask { ticket, id } => {
@@ -367,10 +369,14 @@
             Event::CountsAnew => self.list(lists::Event::CountsAnew),
             Event::Replace { ticket, out, then } => {
                 let id = self.call(ticket, None, actions);
-                self.vote(council::Event::Operators(council::Operators::Replace { id, out, then }));
+                self.vote(consensus::Event::Operators(consensus::Operators::Replace {
+                    id,
+                    out,
+                    then,
+                }));
             }
             Event::Restore { ticket, members } => {
-                self.vote(council::Event::Operators(council::Operators::Restore { members }));
+                self.vote(consensus::Event::Operators(consensus::Operators::Restore { members }));
                 actions.push(Action::Answer { ticket, answer: Answer::Stands(self.at) });
             }
         }
@@ -403,7 +409,7 @@
         }
         if self.council_due <= self.now {
             self.council_due = self.now + if self.sits() { TICK } else { 4 * TICK };
-            self.vote(council::Event::Tick);
+            self.vote(consensus::Event::Tick);
             self.charter_first();
         }
         if self.learner_due <= self.now {
@@ -425,7 +431,7 @@
         }
         self.chartered = Some(self.now);
         let proposal = self.next();
-        let id = Id(u128::from(proposal.life.0) << 96 | u128::from(proposal.number));
+        let id = Id(u128::from(proposal.incarnation.0) << 96 | u128::from(proposal.number));
         let charter = Charter::third(&self.setup.pods, 1);
         if let Ok(bytes) = Entry::Charter(id, charter, Box::default()).to_bytes() {
             self.own.insert(proposal);
@@ -434,7 +440,7 @@
     }
 
     fn sits(&self) -> bool {
-        self.council.members().has(self.setup.me)
+        self.council.members().has(self.setup.node_id)
     }
 
     fn wake(&mut self, actions: &mut Vec<Action>) {
@@ -453,7 +459,7 @@
         self.queue.extend(out.into_iter().map(Inner::Wire));
     }
 
-    fn vote(&mut self, event: council::Event) {
+    fn vote(&mut self, event: consensus::Event) {
         let mut out = Vec::new();
         self.council.handle(self.now, event, &mut out);
         self.queue.extend(out.into_iter().map(Inner::Council));
--- a/crates/gateway/src/bank/machine/between.rs
+++ b/crates/gateway/src/cluster/machine/between.rs
@@ -1,9 +1,9 @@
 //! What one of a balancer's machines has for another, or for the shell.
 
-use hollowpaddle_consensus::{self as council, Learn, Learned, Say, What};
-use hollowpaddle_peer_transport::{self as peers, Channel, How, Member};
-use hollowpaddle_revision::book::Book;
-use hollowpaddle_revision::lists::ListWord;
+use hollowpaddle_consensus::{self as consensus, Learn, Learned, Say, What};
+use hollowpaddle_peer_transport::{self as peers, Channel, How, NodeId};
+use hollowpaddle_revision::lists::ListMessage;
+use hollowpaddle_revision::policy_state::Book;
 use hollowpaddle_revision::{leases, lists};
 
 use super::{Action, Inner, Machine, Stops};
@@ -14,25 +14,27 @@
             peers::Action::Transmit { to, bytes } => actions.push(Action::Transmit { to, bytes }),
             peers::Action::WakeAt(at) => self.wire_due = Some(at),
             peers::Action::Reborn { .. } => {}
-            peers::Action::Deliver { from, life, channel, word } => match channel {
-                Channel::Council => {
-                    if let Ok(word) = council::Word::decode(&word) {
-                        self.vote(council::Event::Word { from, life, word });
+            peers::Action::Deliver { from, incarnation, channel, message } => match channel {
+                Channel::Consensus => {
+                    if let Ok(message) = consensus::Message::decode(&message) {
+                        self.vote(consensus::Event::Message { from, incarnation, message });
                     }
                 }
                 Channel::Log => {
-                    if let Ok(word) = council::Word::decode(&word) {
-                        self.learn(Learn::Word { from, life, word });
+                    if let Ok(message) = consensus::Message::decode(&message) {
+                        self.learn(Learn::Message { from, incarnation, message });
                     }
                 }
                 Channel::Leases => {
-                    if let Ok(word) = hollowpaddle_revision::words::Word::from_bytes(&word) {
-                        self.lease(leases::Event::Word { from, life, word });
+                    if let Ok(message) =
+                        hollowpaddle_revision::message::Message::from_bytes(&message)
+                    {
+                        self.lease(leases::Event::Message { from, incarnation, message });
                     }
                 }
                 Channel::Lists => {
-                    if let Ok(word) = ListWord::from_bytes(&word) {
-                        self.list(lists::Event::Word { from, word });
+                    if let Ok(message) = ListMessage::from_bytes(&message) {
+                        self.list(lists::Event::Message { from, message });
                     }
                 }
                 // Spoken by a later part of the bank.
@@ -42,54 +44,56 @@
     }
 
     /// A word of the council or the log, to another balancer or to this one's other machine.
-    pub(super) fn say(&mut self, to: Member, word: council::Word) {
-        if to == self.setup.me {
-            let (from, life) = (to, self.setup.life);
-            return match word.say.channel() {
-                Channel::Council => self.vote(council::Event::Word { from, life, word }),
-                _ => self.learn(Learn::Word { from, life, word }),
+    pub(super) fn say(&mut self, to: NodeId, message: consensus::Message) {
+        if to == self.setup.node_id {
+            let (from, incarnation) = (to, self.setup.incarnation);
+            return match message.say.channel() {
+                Channel::Consensus => {
+                    self.vote(consensus::Event::Message { from, incarnation, message })
+                }
+                _ => self.learn(Learn::Message { from, incarnation, message }),
             };
         }
-        let how = match &word.say {
+        let how = match &message.say {
             Say::Part(_) | Say::News { part: Some(_), .. } => How::Bulk,
             Say::Prepare { .. } | Say::Propose { .. } => How::Usual,
             _ => How::Urgent,
         };
-        let channel = word.say.channel();
+        let channel = message.say.channel();
         // No machine makes a word that can't be written.
-        if let Ok(word) = word.encode() {
-            self.pass(peers::Event::Send { to, channel, word, how });
+        if let Ok(message) = message.encode() {
+            self.pass(peers::Event::Send { to, channel, message, how });
         }
     }
 
-    pub(super) fn of_council(&mut self, action: council::Action, actions: &mut Vec<Action>) {
+    pub(super) fn of_council(&mut self, action: consensus::Action, actions: &mut Vec<Action>) {
         match action {
-            council::Action::Send { to, word } => self.say(to, word),
-            council::Action::Persist { number, record } => {
+            consensus::Action::Send { to, message } => self.say(to, message),
+            consensus::Action::Persist { number, record } => {
                 actions.push(Action::Persist { number, record });
             }
-            council::Action::Leads { view, since } => {
+            consensus::Action::Leads { view, since } => {
                 actions.push(Action::Tell(format!("leads the council, view {}", view.number)));
                 let from = self.council.op();
                 self.leads = true;
                 let epoch = view.epoch;
                 self.lease(leases::Event::Leads { since, epoch, from });
             }
-            council::Action::Follows => {
+            consensus::Action::Follows => {
                 self.leads = false;
                 self.lease(leases::Event::Follows);
             }
-            council::Action::Round { began } => self.lease(leases::Event::Round { began }),
-            council::Action::Committed { index, entry } => {
+            consensus::Action::Round { began } => self.lease(leases::Event::Round { began }),
+            consensus::Action::Committed { index, entry } => {
                 self.learn(Learn::Committed { index, entry });
             }
-            council::Action::Reset { index, base } => self.learn(Learn::Reset { index, base }),
-            council::Action::SnapshotWanted => {
+            consensus::Action::Reset { index, base } => self.learn(Learn::Reset { index, base }),
+            consensus::Action::SnapshotWanted => {
                 if let Some((index, bytes)) = self.image(actions) {
-                    self.vote(council::Event::Snapshot { index, bytes });
+                    self.vote(consensus::Event::Snapshot { index, bytes });
                 }
             }
-            council::Action::Forgot(why) => {
+            consensus::Action::Forgot(why) => {
                 actions.push(Action::Tell(format!("its seat in the council has forgotten: {why}")));
             }
         }
@@ -97,7 +101,7 @@
 
     pub(super) fn of_learner(&mut self, action: Learned, actions: &mut Vec<Action>) {
         match action {
-            Learned::Send { to, word } => self.say(to, word),
+            Learned::Send { to, message } => self.say(to, message),
             Learned::Committed { index, entry } => {
                 let none = Vec::new();
                 let bytes = if let What::Bytes(bytes) = &entry.what { bytes } else { &none };
@@ -120,7 +124,7 @@
                 self.applied();
             }
             Learned::Source(source) => self.lease(leases::Event::Parent(source)),
-            Learned::Copied { by, index } => self.vote(council::Event::Copied { by, index }),
+            Learned::Copied { by, index } => self.vote(consensus::Event::Copied { by, index }),
             Learned::Answered { id, outcome } => self.outcome(id, outcome, actions),
             Learned::SnapshotWanted => {
                 if let Some((index, bytes)) = self.image(actions) {
@@ -139,7 +143,7 @@
     }
 
     /// The book as bytes, and the entry up to which it is that.
-    pub(super) fn image(&self, actions: &mut Vec<Action>) -> Option<(council::Index, Vec<u8>)> {
+    pub(super) fn image(&self, actions: &mut Vec<Action>) -> Option<(consensus::Index, Vec<u8>)> {
         match self.book.image() {
             Ok(bytes) => Some((self.at, bytes)),
             Err(cause) => {
@@ -163,13 +167,13 @@
 
     pub(super) fn of_lists(&mut self, action: lists::Action, actions: &mut Vec<Action>) {
         match action {
-            lists::Action::Tell(word) => {
-                let word = word.to_bytes();
-                let neighbours: Vec<Member> =
+            lists::Action::Tell(message) => {
+                let message = message.to_bytes();
+                let neighbours: Vec<NodeId> =
                     self.learner.source().into_iter().chain(self.learner.children()).collect();
                 for to in neighbours {
-                    let (channel, how, word) = (Channel::Lists, How::Usual, word.clone());
-                    self.pass(peers::Event::Send { to, channel, word, how });
+                    let (channel, how, message) = (Channel::Lists, How::Usual, message.clone());
+                    self.pass(peers::Event::Send { to, channel, message, how });
                 }
             }
             lists::Action::Changed => {
@@ -187,9 +191,9 @@
 
     pub(super) fn of_leases(&mut self, action: leases::Action, actions: &mut Vec<Action>) {
         match action {
-            leases::Action::Send { to, word } => {
+            leases::Action::Send { to, message } => {
                 let (channel, how) = (Channel::Leases, How::Urgent);
-                self.pass(peers::Event::Send { to, channel, word: word.to_bytes(), how });
+                self.pass(peers::Event::Send { to, channel, message: message.to_bytes(), how });
             }
             leases::Action::Publish(in_force) => actions.push(Action::Publish(in_force)),
             leases::Action::Keep { generation, charter } => {
--- a/crates/gateway/src/bank/machine/calls.rs
+++ b/crates/gateway/src/cluster/machine/calls.rs
@@ -1,8 +1,8 @@
 //! Calls from a door that wait for an answer: from the proposal to the book's word on it.
 
-use hollowpaddle_consensus::{self as council, Learn};
-use hollowpaddle_revision::book::Refusal;
+use hollowpaddle_consensus::{self as consensus, Learn};
 use hollowpaddle_revision::entry::{Entry, Id};
+use hollowpaddle_revision::policy_state::Refusal;
 
 use super::{Action, CALLS, Machine};
 
@@ -12,7 +12,7 @@
     /// It stands in the log, and the book's answer to it is this: the revision's number, or why there is none.
     Answered(Result<u64, Refusal>),
     /// It stands in the log; the book has no word of its own for it.
-    Stands(council::Index),
+    Stands(consensus::Index),
     /// It stands nowhere, and never will.
     Never,
     /// Nobody who knows could be asked. It may stand, or come to.
@@ -24,16 +24,20 @@
 pub(super) struct Call {
     pub(super) ticket: u64,
     /// The proposal by which it went to the log; none, if it only asks.
-    pub(super) proposal: Option<council::ProposalId>,
+    pub(super) proposal: Option<consensus::ProposalId>,
     pub(super) id: Option<Id>,
     /// Where it stands, by the council's word: what is only applied here may still be lost with a council that forgets.
-    pub(super) index: Option<council::Index>,
+    pub(super) index: Option<consensus::Index>,
 }
 
 impl Machine {
-    pub(super) fn next(&mut self) -> council::ProposalId {
+    pub(super) fn next(&mut self) -> consensus::ProposalId {
         self.proposals += 1;
-        council::ProposalId { by: self.setup.me, life: self.setup.life, number: self.proposals }
+        consensus::ProposalId {
+            by: self.setup.node_id,
+            incarnation: self.setup.incarnation,
+            number: self.proposals,
+        }
     }
 
     pub(super) fn propose(
@@ -57,7 +61,7 @@
         ticket: u64,
         id: Option<Id>,
         actions: &mut Vec<Action>,
-    ) -> council::ProposalId {
+    ) -> consensus::ProposalId {
         let proposal = self.next();
         if self.calls.len() >= CALLS
             && let Some(call) = self.calls.pop_front()
@@ -71,22 +75,22 @@
     /// The council's word on a proposal.
     pub(super) fn outcome(
         &mut self,
-        id: council::ProposalId,
-        outcome: council::Outcome,
+        id: consensus::ProposalId,
+        outcome: consensus::Outcome,
         actions: &mut Vec<Action>,
     ) {
         if self.own.remove(&id) {
             return;
         }
         match outcome {
-            council::Outcome::Committed(index) => {
+            consensus::Outcome::Committed(index) => {
                 for call in self.calls.iter_mut().filter(|c| c.proposal == Some(id)) {
                     call.index = Some(index);
                 }
                 self.settle_all(actions);
             }
-            council::Outcome::Never | council::Outcome::Unknown => {
-                let never = outcome == council::Outcome::Never;
+            consensus::Outcome::Never | consensus::Outcome::Unknown => {
+                let never = outcome == consensus::Outcome::Never;
                 let answer = if never { Answer::Never } else { Answer::Unknown };
                 self.calls.retain(|call| {
                     let this = call.proposal == Some(id);
--- a/crates/gateway/src/bank/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -13,25 +13,25 @@
 
 use hollowpaddle_consensus::{Durable, default_council};
 use hollowpaddle_failpoints::Points;
-use hollowpaddle_peer_transport::{Life, Member};
-use hollowpaddle_revision::book::Founding;
-use hollowpaddle_revision::charter::Charter;
+use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use hollowpaddle_revision::document::Document;
+use hollowpaddle_revision::fallback_policy::Charter;
 use hollowpaddle_revision::lists::Phase;
-use hollowpaddle_revision::words::Stage;
+use hollowpaddle_revision::message::Stage;
+use hollowpaddle_revision::policy_state::Founding;
 
 use tokio::sync::mpsc;
 use tokio::time::Instant;
 
-use crate::config::{BankConfig, Config};
+use crate::config::{ClusterConfig, Config};
 
 pub use durable::open;
 pub use machine::{Machine, Setup, SetupError};
-pub use published::{Held, Published};
-pub use shell::{Call, Durably, Shell};
+pub use published::{Held, PublishedPolicy};
+pub use shell::{Call, DurableLog, Shell};
 
 /// The bank as the engine knows it: that there are rules, not where they come from.
-pub trait Rulebook {
+pub trait PolicyReader {
     /// What holds at this moment. To be asked before each send.
     fn held(&self) -> Held;
 
@@ -77,13 +77,13 @@
 /// What was published, on the clock of whoever publishes.
 #[derive(Clone)]
 pub struct Reader {
-    published: Arc<Published>,
+    published: Arc<PublishedPolicy>,
     /// When the clock began that its leases go by.
     epoch: Instant,
     lists: mpsc::UnboundedSender<Listed>,
 }
 
-impl Rulebook for Reader {
+impl PolicyReader for Reader {
     fn held(&self) -> Held {
         self.published.at(self.epoch.elapsed())
     }
@@ -96,7 +96,7 @@
 /// What a start found of what outlives a process, and where it goes on.
 pub struct Stored {
     /// Where things are kept.
-    pub durably: Box<dyn Durably + Send>,
+    pub durable_log: Box<dyn DurableLog + Send>,
     /// Of the council.
     pub found: Option<Durable>,
     /// The charter, and its generation.
@@ -104,49 +104,49 @@
 }
 
 /// Both ends of a balancer's part of the bank: what serves has the [`Link`], what runs the [`Shell`] may be another thread.
-/// `life` names this process, and is drawn at its start.
+/// `incarnation` names this process, and is drawn at its start.
 ///
 /// # Errors
 /// The configuration names no possible bank.
 pub fn join(
     config: &Config,
-    bank: &BankConfig,
-    life: u32,
+    cluster: &ClusterConfig,
+    incarnation: u32,
     stored: Option<Stored>,
     points: Points,
 ) -> Result<(Link, Shell), SetupError> {
-    let (durably, found, charter) = match stored {
-        Some(Stored { durably, found, charter }) => (Some(durably), found, charter),
+    let (durable_log, found, charter) = match stored {
+        Some(Stored { durable_log, found, charter }) => (Some(durable_log), found, charter),
         None => (None, None, None),
     };
-    let count = bank.peers.len() as u16;
+    let count = cluster.peers.len() as u16;
     let mut pods = BTreeMap::<String, BTreeSet<u32>>::new();
     for entry in &config.known.members {
         pods.entry(entry.zone.to_string()).or_default().insert(entry.cell);
     }
     let named =
         |pods: &[u32]| Charter { pods: pods.iter().copied().collect(), ..Charter::default() };
-    let stated = bank.bedrock.as_deref().unwrap_or_default();
-    let bedrock = match &bank.bedrock {
+    let stated = cluster.bedrock.as_deref().unwrap_or_default();
+    let bedrock = match &cluster.bedrock {
         None => door::usual_bedrock(&pods),
         Some(stated) => named(stated),
     };
-    let mut chartered = named(bank.charter.as_deref().unwrap_or_default());
+    let mut chartered = named(cluster.charter.as_deref().unwrap_or_default());
     chartered.pods.extend(stated);
     // With a charter that is stated the first leader has nothing to propose.
-    if bank.charter.is_some() {
+    if cluster.charter.is_some() {
         pods.clear();
     }
-    let council = match bank.council.as_slice() {
+    let voters = match cluster.voters.as_slice() {
         [] => default_council(count),
-        stated => stated.iter().copied().map(Member).collect(),
+        stated => stated.iter().copied().map(NodeId).collect(),
     };
     let setup = Setup {
-        me: bank.member(),
-        bank: count,
-        life: Life(life.max(1)),
+        node_id: cluster.member(),
+        cluster: count,
+        incarnation: Incarnation(incarnation.max(1)),
         seed: config.seed,
-        council,
+        voters,
         // The same at every balancer: nothing of it may come from lists, which differ.
         founding: Founding {
             members: count,
@@ -156,13 +156,13 @@
         },
         bedrock,
         pods,
-        directory: durably.is_some(),
+        directory: durable_log.is_some(),
         found,
         charter,
     };
     let machine = Machine::new(Duration::ZERO, setup)?;
     let epoch = Instant::now();
-    let published = Arc::new(Published::new(machine.in_force()));
+    let published = Arc::new(PublishedPolicy::new(machine.in_force()));
     let (news, told) = mpsc::unbounded_channel();
     let (calls, called) = mpsc::unbounded_channel();
     let (lists, listed) = mpsc::unbounded_channel();
@@ -170,13 +170,13 @@
     let shell = Shell {
         machine,
         epoch,
-        listen: bank.listen,
-        peers: bank.peers.clone(),
+        listen: cluster.listen,
+        peers: cluster.peers.clone(),
         published,
         news,
         calls: called,
         lists: listed,
-        durably,
+        durable_log,
         points,
     };
     Ok((Link { reader, news: told, calls }, shell))
--- a/crates/gateway/src/bank/published.rs
+++ b/crates/gateway/src/cluster/published.rs
@@ -10,7 +10,7 @@
 use hollowpaddle_revision::in_force::{InForce, View};
 use hollowpaddle_revision::rules::Rules;
 
-use crate::bank::machine::Stops;
+use crate::cluster::machine::Stops;
 
 /// What holds at a moment.
 #[derive(Clone, Debug)]
@@ -46,9 +46,9 @@
 
 /// The one value.
 #[derive(Debug)]
-pub struct Published(ArcSwap<Value>);
+pub struct PublishedPolicy(ArcSwap<Value>);
 
-impl Published {
+impl PublishedPolicy {
     /// Begins with this.
     pub fn new(in_force: InForce) -> Self {
         Self(ArcSwap::from_pointee(Value { in_force, stops: Arc::default() }))
--- a/crates/gateway/src/bank/shell.rs
+++ b/crates/gateway/src/cluster/shell.rs
@@ -9,19 +9,19 @@
 use hollowpaddle_consensus::Record;
 use hollowpaddle_failpoints::{Fault, Kind, Points};
 use hollowpaddle_net::{DATAGRAM, Datagrams, Network, receive};
-use hollowpaddle_peer_transport::Member;
-use hollowpaddle_revision::charter::Charter;
+use hollowpaddle_peer_transport::NodeId;
 use hollowpaddle_revision::entry::{Entry, Id};
+use hollowpaddle_revision::fallback_policy::Charter;
 use hollowpaddle_revision::fleet::Facts;
-use hollowpaddle_revision::words::Stage;
+use hollowpaddle_revision::message::Stage;
 use rustc_hash::FxHashMap;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::bank::door::{Ask, Told};
-use crate::bank::machine::{Action, Event, Machine};
-use crate::bank::published::Published;
-use crate::bank::{Listed, News};
+use crate::cluster::door::{Ask, Told};
+use crate::cluster::machine::{Action, Event, Machine};
+use crate::cluster::published::PublishedPolicy;
+use crate::cluster::{Listed, News};
 
 /// After a disk has failed it is looked at again so often.
 const RETRY: Duration = Duration::from_secs(1);
@@ -29,7 +29,7 @@
 const REBIND: Duration = Duration::from_millis(100);
 
 /// Where what outlives the process is written. Each call returns once it is on disk, or says why not.
-pub trait Durably {
+pub trait DurableLog {
     /// Adds a record.
     ///
     /// # Errors
@@ -76,7 +76,7 @@
     /// By number, this one too.
     pub peers: Vec<SocketAddr>,
     /// What requests read.
-    pub published: Arc<Published>,
+    pub published: Arc<PublishedPolicy>,
     /// News for the engine.
     pub news: mpsc::UnboundedSender<News>,
     /// What discovery says.
@@ -84,7 +84,7 @@
     /// Operators' calls.
     pub calls: mpsc::UnboundedReceiver<Call>,
     /// Where things are kept, if anywhere.
-    pub durably: Option<Box<dyn Durably + Send>>,
+    pub durable_log: Option<Box<dyn DurableLog + Send>>,
     /// Points at which a step can be made to fail.
     pub points: Points,
 }
@@ -100,7 +100,7 @@
 
 /// What is underway.
 struct Running {
-    members: FxHashMap<SocketAddr, Member>,
+    members: FxHashMap<SocketAddr, NodeId>,
     due: Option<Instant>,
     waiting: FxHashMap<u64, Waiting>,
     /// Answers that wait until a revision is in force everywhere.
@@ -126,7 +126,7 @@
             }
         };
         tracing::info!(peers = self.peers.len(), "one of a bank, at {}", self.listen);
-        let members = self.peers.iter().enumerate().map(|(i, a)| (*a, Member(i as u16))).collect();
+        let members = self.peers.iter().enumerate().map(|(i, a)| (*a, NodeId(i as u16))).collect();
         let mut running = Running {
             members,
             due: None,
@@ -196,7 +196,7 @@
 
     async fn received(
         &mut self,
-        from: Option<Member>,
+        from: Option<NodeId>,
         bytes: &[u8],
         running: &mut Running,
         socket: &dyn Datagrams,
@@ -219,9 +219,9 @@
             }
             // One sync for all that came of one event.
             if std::mem::take(&mut running.unsynced)
-                && let Some(durably) = &mut self.durably
+                && let Some(durable_log) = &mut self.durable_log
             {
-                next.push(match durably.sync() {
+                next.push(match durable_log.sync() {
                     Ok(upto) => Event::Persisted(upto),
                     Err(cause) => fails(cause, running),
                 });
@@ -272,7 +272,7 @@
                 None
             }
             Action::Persist { number, record } => {
-                match self.durably.as_mut()?.append(number, &record) {
+                match self.durable_log.as_mut()?.append(number, &record) {
                     Ok(()) => {
                         running.unsynced = true;
                         None
@@ -281,8 +281,8 @@
                 }
             }
             Action::Keep { generation, charter } => {
-                let durably = self.durably.as_mut()?;
-                match durably.keep(generation, &charter) {
+                let durable_log = self.durable_log.as_mut()?;
+                match durable_log.keep(generation, &charter) {
                     Ok(()) => Some(Event::Kept(generation)),
                     Err(cause) => Some(fails(cause, running)),
                 }
@@ -307,7 +307,7 @@
     }
 
     async fn heal(&mut self, running: &mut Running, socket: &dyn Datagrams) {
-        let healed = self.durably.as_mut().map(|d| d.heal());
+        let healed = self.durable_log.as_mut().map(|d| d.heal());
         match healed {
             Some(Ok(())) => {
                 tracing::info!("what the council says is kept again");
@@ -324,8 +324,9 @@
         running.tickets += 1;
         let ticket = running.tickets;
         // No two processes draw one life, and no process counts to one number twice.
-        let life = u128::from(self.machine.wire().own_life().0);
-        let id = Id(life << 96 | u128::from(self.machine.me().0) << 64 | u128::from(ticket));
+        let incarnation = u128::from(self.machine.wire().own_incarnation().0);
+        let id =
+            Id(incarnation << 96 | u128::from(self.machine.node_id().0) << 64 | u128::from(ticket));
         match ask.event(ticket, id, &facts, &self.machine) {
             Ok(event) => {
                 running.waiting.retain(|_, waiting| !waiting.reply.is_closed());
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::path::PathBuf;
 
-use hollowpaddle_peer_transport::Member;
+use hollowpaddle_peer_transport::NodeId;
 use hollowpaddle_policy::settings::Facts;
 use hollowpaddle_subset::Size;
 use serde::Deserialize;
@@ -23,7 +23,7 @@
 /// Balancers of a bank at most: their numbers go as 16 bits, and each keeps something of each other.
 const MOST_PEERS: usize = 1000;
 /// Descriptors of the bank: its socket, its thread's event queue and waker, the records, their directory.
-const RESERVED_FOR_BANK: usize = 8;
+const RESERVED_FOR_CLUSTER: usize = 8;
 /// Where the platform states no limit.
 const SOCKETS: usize = 1024;
 const MEMORY_MB: usize = 192;
@@ -153,20 +153,21 @@
 enum FileFleet {
     Word(String),
     Is(bool),
-    Said(FileBank),
+    Said(FileCluster),
 }
 
 #[derive(Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-struct FileBank {
-    council: Vec<u16>,
+struct FileCluster {
+    #[serde(rename = "council")]
+    voters: Vec<u16>,
     charter: Option<Vec<u32>>,
     bedrock: Option<Vec<u32>>,
 }
 
 /// The bank that this balancer is one of, where the platform allows balancers to talk.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub struct BankConfig {
+pub struct ClusterConfig {
     /// Where datagrams of the others arrive.
     pub listen: SocketAddr,
     /// One address for each balancer, in the order of their numbers, its own among them.
@@ -174,24 +175,24 @@
     /// Its own number.
     pub position: u16,
     /// Numbers of the first council's members; none: by the number of balancers.
-    pub council: Vec<u16>,
+    pub voters: Vec<u16>,
     /// Pods that no revision may put out; none said: a third of each site's.
     pub charter: Option<Vec<u32>>,
     /// Pods that can never be put out; none said: one of each site.
     pub bedrock: Option<Vec<u32>>,
 }
 
-impl BankConfig {
+impl ClusterConfig {
     /// Names the bank: balancers that differ in it don't believe one another's directories.
     pub fn id(&self) -> u64 {
-        let Self { peers, council, charter, bedrock, .. } = self;
-        let stated = format!("{} {council:?} {charter:?} {bedrock:?}", peers.len());
+        let Self { peers, voters, charter, bedrock, .. } = self;
+        let stated = format!("{} {voters:?} {charter:?} {bedrock:?}", peers.len());
         hollowpaddle_policy::settings::stable_hash(&stated)
     }
 
     /// This balancer in it.
-    pub fn member(&self) -> Member {
-        Member(self.position)
+    pub fn member(&self) -> NodeId {
+        NodeId(self.position)
     }
 }
 
@@ -220,7 +221,7 @@
     /// The part of the fleet that it keeps links to; all of it where none is asked for.
     pub subset: Option<Size>,
     /// The bank; none where the platform allows no words between balancers, or where they are off.
-    pub bank: Option<BankConfig>,
+    pub cluster: Option<ClusterConfig>,
 }
 
 /// How many connections each side may have.
@@ -264,7 +265,7 @@
             let is_truncated = cause.is_eof();
             ConfigError::Malformed { path, field, cause: cause.to_string(), is_truncated }
         })?;
-        let bank = bank(&file, said("LB_FLEET"))?;
+        let cluster = cluster(&file, said("LB_FLEET"))?;
         let say = |name: &str, file: String| said(name).unwrap_or(file);
         let address = |name: &'static str, value: String| {
             value.parse().map_err(|_| ConfigError::BadAddress { name, value })
@@ -294,7 +295,7 @@
                 Size { times: s.times, least: s.least, linger, ..Size::default() }
             }),
             facts: file.settings,
-            bank,
+            cluster,
         })
     }
 
@@ -304,14 +305,14 @@
     pub fn budget(&self) -> Budget {
         let door = if self.control.is_some() { RESERVED_FOR_OPERATORS } else { 0 };
         let state = if self.state_dir.is_some() { RESERVED_FOR_STATE } else { 0 };
-        let bank = if self.bank.is_some() { RESERVED_FOR_BANK } else { 0 };
-        let half = (self.sockets - RESERVED - door - state - bank) / 2;
+        let cluster = if self.cluster.is_some() { RESERVED_FOR_CLUSTER } else { 0 };
+        let half = (self.sockets - RESERVED - door - state - cluster) / 2;
         Budget { clients: half, clients_at_ease: self.sockets / 4, upstreams: half }
     }
 }
 
 /// The bank that the file speaks of, if balancers may talk and it is not off.
-fn bank(file: &File, variable: Option<String>) -> Result<Option<BankConfig>, ConfigError> {
+fn cluster(file: &File, variable: Option<String>) -> Result<Option<ClusterConfig>, ConfigError> {
     if !file.settings.policy_limits.peer_messages || file.peers.is_empty() {
         return Ok(None);
     }
@@ -321,10 +322,10 @@
         other => Err(ConfigError::BadFleet { name, value: other.to_string() }),
     };
     let (on, said) = match &file.fleet {
-        None => (true, FileBank::default()),
-        Some(FileFleet::Is(on)) => (*on, FileBank::default()),
-        Some(FileFleet::Word(w)) => (word("`fleet`", w)?, FileBank::default()),
-        Some(FileFleet::Said(bank)) => (true, bank.clone()),
+        None => (true, FileCluster::default()),
+        Some(FileFleet::Is(on)) => (*on, FileCluster::default()),
+        Some(FileFleet::Word(w)) => (word("`fleet`", w)?, FileCluster::default()),
+        Some(FileFleet::Said(cluster)) => (true, cluster.clone()),
     };
     // What the environment says holds, as it does for addresses that the file doesn't name.
     let on = variable.map_or(Ok(on), |w| word("LB_FLEET", &w))?;
@@ -341,14 +342,14 @@
     if peers.len() != balancers as usize || position >= balancers || peers.len() > MOST_PEERS {
         return Err(ConfigError::BadPeers { peers: peers.len(), balancers, position });
     }
-    let FileBank { council, charter, bedrock } = said;
-    for (i, member) in council.iter().enumerate() {
-        if usize::from(*member) >= peers.len() || council[..i].contains(member) {
+    let FileCluster { voters, charter, bedrock } = said;
+    for (i, member) in voters.iter().enumerate() {
+        if usize::from(*member) >= peers.len() || voters[..i].contains(member) {
             return Err(ConfigError::BadCouncil(*member));
         }
     }
     let position = position as u16;
-    Ok(Some(BankConfig { listen, peers, position, council, charter, bedrock }))
+    Ok(Some(ClusterConfig { listen, peers, position, voters, charter, bedrock }))
 }
 
 #[cfg(test)]
@@ -369,29 +370,29 @@
         Config::parse("config.json", file.to_string().as_bytes(), said)
     }
 
-    fn bank(change: impl Fn(&mut Value), fleet: Option<&str>) -> Option<BankConfig> {
-        parsed(change, fleet).unwrap_or_else(|e| panic!("{e}")).bank
+    fn cluster(change: impl Fn(&mut Value), fleet: Option<&str>) -> Option<ClusterConfig> {
+        parsed(change, fleet).unwrap_or_else(|e| panic!("{e}")).cluster
     }
 
     #[test]
     fn there_is_a_bank_where_balancers_may_talk_and_nobody_says_off() {
-        let told = bank(|_| {}, None).expect("a bank");
+        let told = cluster(|_| {}, None).expect("a bank");
         assert_eq!((told.position, told.peers.len(), told.listen.port()), (1, 3, 3));
         assert_eq!(
-            bank(|f| f["settings"]["PolicyLimits"]["PeerMessages"] = json!(false), None),
+            cluster(|f| f["settings"]["PolicyLimits"]["PeerMessages"] = json!(false), None),
             None
         );
-        assert_eq!(bank(|f| f["peers"] = json!([]), None), None);
+        assert_eq!(cluster(|f| f["peers"] = json!([]), None), None);
         for off in [json!("off"), json!(false)] {
-            assert_eq!(bank(|f| f["fleet"] = off.clone(), None), None);
+            assert_eq!(cluster(|f| f["fleet"] = off.clone(), None), None);
             assert!(
-                bank(|f| f["fleet"] = off.clone(), Some("on")).is_some(),
+                cluster(|f| f["fleet"] = off.clone(), Some("on")).is_some(),
                 "the environment holds"
             );
         }
-        assert_eq!(bank(|_| {}, Some("off")), None);
-        let council = bank(|f| f["fleet"] = json!({"council": [2, 0]}), None).expect("a bank");
-        assert_eq!(council.council, [2, 0]);
+        assert_eq!(cluster(|_| {}, Some("off")), None);
+        let voters = cluster(|f| f["fleet"] = json!({"council": [2, 0]}), None).expect("a bank");
+        assert_eq!(voters.voters, [2, 0]);
     }
 
     #[test]
@@ -408,10 +409,9 @@
             error(&|f| f["peers"][2] = json!("nowhere"), None).contains("peers is not an address")
         );
         assert!(error(&|f| f["settings"]["Position"] = json!(3), None).contains("number 3"));
-        for council in [json!([1, 1]), json!([3])] {
+        for voters in [json!([1, 1]), json!([3])] {
             assert!(
-                error(&|f| f["fleet"] = json!({"council": council}), None)
-                    .contains("fleet.council")
+                error(&|f| f["fleet"] = json!({"council": voters}), None).contains("fleet.council")
             );
         }
         assert!(error(&|f| f["fleet"] = json!({"counsel": [1]}), None).contains("fleet"));
@@ -420,6 +420,6 @@
             f["settings"]["PolicyLimits"]["PeerMessages"] = json!(false);
             f["peers"] = json!(["nowhere"]);
         };
-        assert_eq!(bank(silent, Some("perhaps")), None);
+        assert_eq!(cluster(silent, Some("perhaps")), None);
     }
 }
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -20,13 +20,13 @@
 use hollowpaddle_policy::learned::Learned;
 use hollowpaddle_policy::policy::Balancer;
 use hollowpaddle_revision::lists;
-use hollowpaddle_subset::{Bank, SizeError};
+use hollowpaddle_subset::{Cluster, SizeError};
 use hyper::Response;
 use rustc_hash::FxHashMap;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep_until};
 
-use crate::bank::{Held as Rules, Listed, News as BankNews, Rulebook};
+use crate::cluster::{Held as Rules, Listed, News as ClusterEvent, PolicyReader};
 use crate::config::Config;
 use crate::discovery::{News, Patience};
 use crate::freshness::Freshness;
@@ -102,7 +102,7 @@
         done: oneshot::Sender<()>,
     },
     /// The bank has news.
-    Bank(BankNews),
+    Cluster(ClusterEvent),
     /// More of a long list is due to the module.
     Part,
     /// What the module has learned.
@@ -244,7 +244,7 @@
     classes: Vec<d::Class>,
     violations: Violations,
     /// The bank, where there is one, and the rules that the module was told.
-    bank: Option<Rc<dyn Rulebook>>,
+    cluster: Option<Rc<dyn PolicyReader>>,
     kept_to: Option<Rules>,
     /// When discovery was asked last because another balancer has a newer list.
     asked_list: Option<Instant>,
@@ -279,11 +279,11 @@
         restored_list: Option<RestoredList>,
         pool: Rc<Pool>,
         network: Rc<dyn Network>,
-        bank: Option<Rc<dyn Rulebook>>,
+        cluster: Option<Rc<dyn PolicyReader>>,
     ) -> Result<(Self, Handle), EngineError> {
         let clock = Clock::new(network.unix_now());
         let mut settings = config.facts.settings();
-        settings.barring = bank.is_some();
+        settings.barring = cluster.is_some();
         // What goes out at the very end of a window may be written a hold-up later.
         let hold_up = Span(HOLD_UP.as_micros() as i64);
         settings.classes.iter_mut().for_each(|c| {
@@ -310,7 +310,7 @@
         let start_times =
             StartTimes::new(clock.start, Duration::from_micros(clock.unix_us as u64), cold);
         let max_attempts = settings.limits.max_attempts;
-        let size = Bank { balancers: settings.balancers, position: settings.position };
+        let size = Cluster { balancers: settings.balancers, position: settings.position };
         let subset = config.subset.map(|of| Subsetting::new(of, size)).transpose()?;
         let mut engine = Self {
             balancer: Balancer::new(settings, config.seed, clock.now())?,
@@ -343,7 +343,7 @@
             max_attempts,
             classes,
             violations,
-            bank,
+            cluster,
             kept_to: None,
             asked_list: None,
         };
@@ -408,8 +408,8 @@
         self.look_at_list_age();
         match note {
             // Looked at with every note.
-            Note::Bank(BankNews::Changed) => {}
-            Note::Bank(BankNews::AskList) => self.ask_list(),
+            Note::Cluster(ClusterEvent::Changed) => {}
+            Note::Cluster(ClusterEvent::AskList) => self.ask_list(),
             Note::Arrived { id, arrival, forward, reply } => {
                 self.arrived(id, arrival, forward, reply);
             }
@@ -578,7 +578,7 @@
 
     /// Other balancers are to know what the list says.
     fn tell_bank(&self, list: &List, kind: ListKind) {
-        let Some(bank) = &self.bank else { return };
+        let Some(cluster) = &self.cluster else { return };
         let whole = kind == ListKind::Whole;
         let phase = |phase| match phase {
             Phase::Serving => lists::Phase::Serving,
@@ -586,7 +586,7 @@
             Phase::Deleted => lists::Phase::Ended,
         };
         let entries = list.members.iter().map(|m| (m.id.to_string(), phase(m.phase))).collect();
-        bank.heard(Listed::List { version: list.revision, whole, entries });
+        cluster.heard(Listed::List { version: list.revision, whole, entries });
     }
 
     /// Lays over the configuration's list what was heard after it. Discovery is asked for all that it has: of changes
@@ -627,8 +627,8 @@
     /// Has the module keep to what holds now, if that is something else than before. Looked at before all else that could
     /// lead to a send: a lease may have ended while the process stood still.
     fn keep_to_rules(&mut self) {
-        let Some(bank) = &self.bank else { return };
-        let held = bank.held();
+        let Some(cluster) = &self.cluster else { return };
+        let held = cluster.held();
         if self.kept_to.as_ref().is_some_and(|kept| kept.is(&held)) {
             return;
         }
@@ -729,11 +729,11 @@
 
     /// Asks, right before an attempt goes on the wire, whether the rules that hold then allow it.
     fn permits(&self, server: ServerId, id: RequestId) -> Option<impl Fn() -> bool + use<>> {
-        let bank = self.bank.clone()?;
+        let cluster = self.cluster.clone()?;
         let class = self.requests.get(&id)?.class;
         let (place, kept) = (self.upstreams.placed(server, class), self.kept_to.clone());
         Some(move || {
-            let held = bank.held();
+            let held = cluster.held();
             let as_decided = kept.as_ref().is_some_and(|kept| kept.is(&held));
             as_decided || place.as_ref().is_some_and(|place| place.permitted(&held))
         })
--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 use super::{Arrival, Note, Reply};
-use crate::bank::News as BankNews;
+use crate::cluster::News as ClusterEvent;
 use crate::freshness::Expiry;
 use crate::invariants::Violations;
 use crate::membership::Part;
@@ -116,9 +116,9 @@
     }
 
     /// Tells the engine what is new with the bank.
-    pub fn banker(&self) -> impl Fn(BankNews) + use<> {
+    pub fn banker(&self) -> impl Fn(ClusterEvent) + use<> {
         let notes = self.notes.clone();
-        move |news| drop(notes.send(Note::Bank(news)))
+        move |news| drop(notes.send(Note::Cluster(news)))
     }
 
     /// Tells the engine where discovery is now.
--- a/crates/gateway/src/engine/list_watch.rs
+++ b/crates/gateway/src/engine/list_watch.rs
@@ -8,7 +8,7 @@
 use tokio::time::Instant;
 
 use super::{Due, Engine, Note};
-use crate::bank::Listed;
+use crate::cluster::Listed;
 use crate::discovery::{self, Ending, News, Patience};
 use crate::members::List;
 use crate::start_times::Delivery;
@@ -83,7 +83,7 @@
                 counts_anew = true;
                 self.counted_from = serial;
                 self.upstreams.count_anew();
-                self.bank.iter().for_each(|bank| bank.heard(Listed::CountsAnew));
+                self.cluster.iter().for_each(|cluster| cluster.heard(Listed::CountsAnew));
             }
             self.standing = Some(watch);
         }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -4,10 +4,10 @@
 //! what it says; only the engine touches the module.
 #![forbid(unsafe_code)]
 
-pub mod bank;
 mod bodies;
 mod clients;
 mod closing;
+pub mod cluster;
 pub mod config;
 mod connections;
 mod discovery;
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -19,7 +19,7 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 use tokio::time::Instant;
 
-use crate::bank::Held;
+use crate::cluster::Held;
 use crate::config::Config;
 use crate::engine::Place;
 use crate::members::{Entry, List, Phase};
--- a/crates/gateway/src/membership/overlay.rs
+++ b/crates/gateway/src/membership/overlay.rs
@@ -6,7 +6,7 @@
 use hollowpaddle_policy::interface as d;
 use hollowpaddle_revision::rules::Place;
 
-use crate::bank::Held;
+use crate::cluster::Held;
 
 /// Classes that [`d::Member::barred`] has bits for.
 const BARRED_BITS: usize = 64;
--- a/crates/gateway/src/membership/tests.rs
+++ b/crates/gateway/src/membership/tests.rs
@@ -1,8 +1,8 @@
 use super::*;
 
 use super::departed::REMEMBERED;
-use crate::bank::machine::Stops;
-use hollowpaddle_revision::charter::{Charter, Floor};
+use crate::cluster::machine::Stops;
+use hollowpaddle_revision::fallback_policy::{Charter, Floor};
 use hollowpaddle_revision::rules::Rules;
 use serde_json::json;
 
@@ -23,7 +23,7 @@
         known: List::default(),
         facts: serde_json::from_value(facts).expect("facts"),
         subset: None,
-        bank: None,
+        cluster: None,
     };
     let start_times = StartTimes::new(Instant::now(), Duration::ZERO, Duration::ZERO);
     Membership::new(&config, Duration::from_millis(400), start_times)
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -21,7 +21,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::bank::door::{self, Ask, Told};
+use crate::cluster::door::{self, Ask, Told};
 use crate::config::CALLERS;
 use crate::http::{HEAD_LIMIT, HEAD_LINES};
 use crate::tasks::AbortOnDrop;
@@ -300,7 +300,7 @@
             let query = head.uri.query().unwrap_or_default();
             let ask = Ask::read(head.method.as_str(), head.uri.path(), query, &body.to_bytes());
             return Ok(match ask {
-                Ok(ask) => self.banked(ask).await,
+                Ok(ask) => self.cluster_handle(ask).await,
                 Err(cause) => told(Told::unread(&cause)),
             });
         }
@@ -348,8 +348,8 @@
         }
         if self.balancer.is_banked() {
             match &call {
-                Call::Cordon(name) => return self.banked(Ask::cordon(name, true)).await,
-                Call::Uncordon(name) => return self.banked(Ask::cordon(name, false)).await,
+                Call::Cordon(name) => return self.cluster_handle(Ask::cordon(name, true)).await,
+                Call::Uncordon(name) => return self.cluster_handle(Ask::cordon(name, false)).await,
                 _ => {}
             }
         }
@@ -372,7 +372,7 @@
     }
 
     /// Has the bank answer. One of many who say the same at once is told that another was first, and looks again.
-    async fn banked(&self, ask: Ask) -> Response<Full<Bytes>> {
+    async fn cluster_handle(&self, ask: Ask) -> Response<Full<Bytes>> {
         tracing::info!(?ask, "an operator calls");
         let until = Instant::now() + LOOKS;
         loop {
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -11,9 +11,9 @@
 use hollowpaddle_revision::fleet::ClassFacts;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::bank::door::{Ask, Told, facts};
-use crate::bank::{Call, Link, Rulebook};
 use crate::clients::Front;
+use crate::cluster::door::{Ask, Told, facts};
+use crate::cluster::{Call, Link, PolicyReader};
 use crate::config::Config;
 use crate::engine::{Door, Engine, EngineError};
 use crate::kept::{Keeper, Kept, Recovered};
@@ -30,7 +30,7 @@
     /// What outlives the process.
     pub kept: Option<Kept>,
     /// What balancers agree on.
-    pub bank: Option<Link>,
+    pub cluster: Option<Link>,
 }
 
 /// Why a balancer did not serve to its end.
@@ -49,11 +49,11 @@
     engine: Door,
     front: Rc<Front>,
     keeper: Option<Rc<Keeper>>,
-    bank: Option<Banked>,
+    cluster: Option<ClusterHandle>,
 }
 
 /// How operators' calls reach the bank.
-struct Banked {
+struct ClusterHandle {
     calls: mpsc::UnboundedSender<Call>,
     classes: Vec<ClassFacts>,
 }
@@ -96,10 +96,10 @@
         }
     }
     fn is_banked(&self) -> bool {
-        self.bank.is_some()
+        self.cluster.is_some()
     }
     async fn ask(&self, ask: Ask) -> Option<Told> {
-        let bank = self.bank.as_ref()?;
+        let cluster = self.cluster.as_ref()?;
         let (mut members, mut from) = (Vec::new(), Some(0));
         while let Some(at) = from {
             let (mut part, _) = self.engine.list(at).await?;
@@ -107,7 +107,7 @@
             from = part.next;
         }
         let (reply, answer) = oneshot::channel();
-        bank.calls.send(Call { ask, facts: facts(&members, &bank.classes), reply }).ok()?;
+        cluster.calls.send(Call { ask, facts: facts(&members, &cluster.classes), reply }).ok()?;
         answer.await.ok()
     }
 }
@@ -123,7 +123,7 @@
     mut reloads: mpsc::UnboundedReceiver<Config>,
     stop: impl Future<Output = ()>,
 ) -> Result<(), ServeError> {
-    let Provided { operating, kept, bank } = provided;
+    let Provided { operating, kept, cluster } = provided;
     let budget = config.budget();
     let pool = Pool::new(budget.upstreams, &config, network.clone());
     let started = network.unix_now();
@@ -131,10 +131,11 @@
     let recovered = kept.map(|kept| Recovered::read(kept, started, &config.known, meaning));
     let (recovered, restored_list) =
         recovered.map_or((None, None), |(all, list)| (Some(all), list));
-    let banked =
-        bank.as_ref().map(|link| Banked { calls: link.calls.clone(), classes: classes(&config) });
-    let (reader, news) = bank.map_or((None, None), |link| (Some(link.reader), Some(link.news)));
-    let reader = reader.map(|r| Rc::new(r) as Rc<dyn Rulebook>);
+    let cluster_handle = cluster
+        .as_ref()
+        .map(|link| ClusterHandle { calls: link.calls.clone(), classes: classes(&config) });
+    let (reader, news) = cluster.map_or((None, None), |link| (Some(link.reader), Some(link.news)));
+    let reader = reader.map(|r| Rc::new(r) as Rc<dyn PolicyReader>);
     let (engine, handle) = Engine::new(&config, restored_list, pool, network, reader)?;
     // The engine has its own records of it; the rest of the configuration stays for as long as this serves.
     config.known = List::default();
@@ -158,8 +159,12 @@
     let keeper = recovered.map(|all| Keeper::start(all, handle.door()));
     let _keeps = keeper.clone().map(|k| AbortOnDrop(tokio::task::spawn_local(k.follow())));
     let front = Rc::new(Front::new(&config, handle, &budget));
-    let machine =
-        Machine { engine: engine_door, front: front.clone(), keeper: keeper.clone(), bank: banked };
+    let machine = Machine {
+        engine: engine_door,
+        front: front.clone(),
+        keeper: keeper.clone(),
+        cluster: cluster_handle,
+    };
     let operators = Operators::join(machine, operating.store).await;
     let _follows = AbortOnDrop(tokio::task::spawn_local(operators.clone().follow()));
     let _calls = operating.listener.map(|listener| {
--- a/crates/gateway/src/subsetting.rs
+++ b/crates/gateway/src/subsetting.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 
 use hollowpaddle_policy::interface::{ListKind, Member, ServerId, Status, Time};
-use hollowpaddle_subset::{Bank, Cell, Size, SizeError, Subset};
+use hollowpaddle_subset::{Cell, Cluster, Size, SizeError, Subset};
 use rustc_hash::{FxHashMap, FxHashSet};
 
 /// The fleet as listed, and what of it the module has been told.
@@ -34,9 +34,9 @@
     ///
     /// # Errors
     /// The size can't be.
-    pub fn new(size: Size, bank: Bank) -> Result<Self, SizeError> {
-        let balancers = bank.balancers;
-        let subset = Subset::new(size, bank)?;
+    pub fn new(size: Size, cluster: Cluster) -> Result<Self, SizeError> {
+        let balancers = cluster.balancers;
+        let subset = Subset::new(size, cluster)?;
         Ok(Self {
             subset,
             all: FxHashMap::default(),
--- a/crates/gateway/src/subsetting/tests.rs
+++ b/crates/gateway/src/subsetting/tests.rs
@@ -12,7 +12,7 @@
 
 fn subsetting() -> Subsetting {
     let size = Size { times: 1.0, least: 16, linger: 1000, well: 0.5 };
-    Subsetting::new(size, Bank { balancers: 10, position: 0 }).expect("a size")
+    Subsetting::new(size, Cluster { balancers: 10, position: 0 }).expect("a size")
 }
 
 /// What the module has after it was told.
