--- a/crates/model-checks/src/agreement.rs
+++ b/crates/model-checks/src/agreement.rs
@@ -9,10 +9,10 @@
 use std::time::Duration;
 
 use hollowpaddle_consensus::{
-    Action as Act, Council, Durable, Entry, Event, Index, Outcome, ProposalId, Record, Say,
-    Settings, Standing, View, What, Word,
+    Action as Act, Council, Durable, Entry, Event, Index, Message, Outcome, ProposalId, Record,
+    Say, Settings, Standing, View, What,
 };
-use hollowpaddle_peer_transport::{Life, Member};
+use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use stateright::{Chooser, Model, Property};
 
 /// How many are in it.
@@ -21,7 +21,7 @@
 pub const KEPT: usize = 2;
 const STEP: Duration = Duration::from_millis(250);
 /// Who proposes: none of the council.
-const CLIENT: Member = Member(9);
+const CLIENT: NodeId = NodeId(9);
 
 /// What is drawn on.
 #[derive(Clone, Debug)]
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Seat {
     council: Council,
-    life: u32,
+    incarnation: u32,
     /// The last entry that it told.
     told: Option<Index>,
     disk: Durable,
@@ -58,7 +58,7 @@
     step: u8,
     now: Duration,
     seats: Vec<Seat>,
-    net: BTreeMap<(u16, u16, u8), VecDeque<Word>>,
+    net: BTreeMap<(u16, u16, u8), VecDeque<Message>>,
     ruin: bool,
     /// The epoch of the first log.
     first: u32,
@@ -72,7 +72,7 @@
     /// Who hears whom since the last step.
     cut: Cut,
     wrong: Option<String>,
-    led: BTreeSet<Member>,
+    led: BTreeSet<NodeId>,
     returned: bool,
 }
 
@@ -146,7 +146,7 @@
 
     fn act(&mut self, at: u16, action: Act) {
         match action {
-            Act::Send { to, word } => self.said(at, to, word),
+            Act::Send { to, message } => self.said(at, to, message),
             Act::Persist { number, record } => {
                 self.seats[usize::from(at)].unsynced.push((number, record));
             }
@@ -161,7 +161,7 @@
                 self.seats[usize::from(at)].told = Some(index);
             }
             Act::Leads { view, .. } => {
-                self.led.insert(Member(at));
+                self.led.insert(NodeId(at));
                 // Whoever leads has all that a yes was said to in a view before. Of an earlier view one may lead
                 // that began late: nobody answers it.
                 let op = self.seats[usize::from(at)].council.op();
@@ -196,42 +196,44 @@
         }
     }
 
-    fn said(&mut self, from: u16, to: Member, word: Word) {
+    fn said(&mut self, from: u16, to: NodeId, message: Message) {
         if to == CLIENT {
-            if let Say::Answer { id, outcome: Some(Outcome::Committed(index)), .. } = word.say
+            if let Say::Answer { id, outcome: Some(Outcome::Committed(index)), .. } = message.say
                 && *self.yes.entry(id).or_insert(index) != index
                 && !self.ruin
             {
                 self.wrong = Some(format!("{id:?} was said to be at two places, {index} is one"));
             }
-            if let Say::Answer { id, outcome: Some(Outcome::Committed(_)), .. } = word.say {
-                self.views.entry(id).or_insert(word.view);
+            if let Say::Answer { id, outcome: Some(Outcome::Committed(_)), .. } = message.say {
+                self.views.entry(id).or_insert(message.view);
             }
             return;
         }
-        if to.0 >= MEMBERS || word.say.channel() != hollowpaddle_peer_transport::Channel::Council {
+        if to.0 >= MEMBERS
+            || message.say.channel() != hollowpaddle_peer_transport::Channel::Consensus
+        {
             return;
         }
-        if matches!(word.say, Say::Hello(_) | Say::Ask { .. } | Say::Told { .. }) {
+        if matches!(message.say, Say::Hello(_) | Say::Ask { .. } | Say::Told { .. }) {
             if self.cut.passes(from, to.0) {
-                self.hear(from, to.0, word);
+                self.hear(from, to.0, message);
             }
             return;
         }
-        let latest = matches!(word.say, Say::Ok { .. });
-        let link = self.net.entry((from, to.0, kind(&word.say))).or_default();
-        if link.contains(&word) {
+        let latest = matches!(message.say, Say::Ok { .. });
+        let link = self.net.entry((from, to.0, kind(&message.say))).or_default();
+        if link.contains(&message) {
             return;
         }
         while link.len() >= if latest { 1 } else { KEPT } {
             link.pop_front();
         }
-        link.push_back(word);
+        link.push_back(message);
     }
 
-    fn hear(&mut self, from: u16, to: u16, word: Word) {
-        let life = Life(self.seats[usize::from(from)].life);
-        self.event(to, Event::Word { from: Member(from), life, word });
+    fn hear(&mut self, from: u16, to: u16, message: Message) {
+        let incarnation = Incarnation(self.seats[usize::from(from)].incarnation);
+        self.event(to, Event::Message { from: NodeId(from), incarnation, message });
     }
 
     fn sync(&mut self, at: u16) {
@@ -260,8 +262,8 @@
             let Some(link) = self.net.iter().find(|(_, l)| !l.is_empty()).map(|(k, _)| *k) else {
                 return;
             };
-            if let Some(word) = self.net.get_mut(&link).and_then(VecDeque::pop_front) {
-                self.hear(link.0, link.1, word);
+            if let Some(message) = self.net.get_mut(&link).and_then(VecDeque::pop_front) {
+                self.hear(link.0, link.1, message);
             }
         }
     }
@@ -279,24 +281,24 @@
 #[derive(Clone, Debug)]
 pub struct Agreement(pub Bounds);
 
-fn settings(bounds: &Bounds, me: u16, life: u32) -> Settings {
+fn settings(bounds: &Bounds, node_id: u16, incarnation: u32) -> Settings {
     Settings {
-        me: Member(me),
-        life: Life(life),
-        council: (0..MEMBERS).map(Member).collect(),
-        bank: 0,
+        node_id: NodeId(node_id),
+        incarnation: Incarnation(incarnation),
+        voters: (0..MEMBERS).map(NodeId).collect(),
+        cluster: 0,
         directory: bounds.directory,
         copies: 0,
-        seed: u64::from(me) << 32 | u64::from(life),
+        seed: u64::from(node_id) << 32 | u64::from(incarnation),
     }
 }
 
 impl Agreement {
     /// One that leads, two that follow, nothing agreed yet.
     fn begun(&self) -> State {
-        let seats = (0..MEMBERS).map(|me| Seat {
-            council: Council::new(Duration::ZERO, settings(&self.0, me, 1), None),
-            life: 1,
+        let seats = (0..MEMBERS).map(|node_id| Seat {
+            council: Council::new(Duration::ZERO, settings(&self.0, node_id, 1), None),
+            incarnation: 1,
             told: None,
             disk: Durable::default(),
             unsynced: Vec::new(),
@@ -352,7 +354,7 @@
         }
         for at in 0..MEMBERS {
             let seat = &state.seats[usize::from(at)];
-            if state.asked < bounds.proposals && seat.council.leader() == Some(Member(at)) {
+            if state.asked < bounds.proposals && seat.council.leader() == Some(NodeId(at)) {
                 actions.push(Happens::Proposed(at));
             }
             if !seat.unsynced.is_empty() {
@@ -382,33 +384,37 @@
             }
             Happens::Comes(from, to, kind, place) => {
                 let words = state.net.get_mut(&(from, to, kind))?;
-                let word = words.remove(place)?;
+                let message = words.remove(place)?;
                 if words.is_empty() {
                     state.net.remove(&(from, to, kind));
                 }
-                state.hear(from, to, word);
+                state.hear(from, to, message);
             }
             Happens::Doubled(from, to, kind, place) => {
                 state.doubled += 1;
-                let word = state.net.get(&(from, to, kind))?.get(place)?.clone();
-                state.hear(from, to, word);
+                let message = state.net.get(&(from, to, kind))?.get(place)?.clone();
+                state.hear(from, to, message);
             }
             Happens::Proposed(at) => {
                 state.asked += 1;
                 let number = u64::from(state.asked);
-                let id = ProposalId { by: CLIENT, life: Life(1), number };
+                let id = ProposalId { by: CLIENT, incarnation: Incarnation(1), number };
                 let say = Say::Propose { id, what: Some(What::Bytes(vec![state.asked])) };
-                let word = Word { view: Default::default(), counts: Default::default(), say };
-                state.event(at, Event::Word { from: CLIENT, life: Life(1), word });
+                let message = Message { view: Default::default(), counts: Default::default(), say };
+                state.event(
+                    at,
+                    Event::Message { from: CLIENT, incarnation: Incarnation(1), message },
+                );
             }
             Happens::Ends(at) => {
                 state.ended += 1;
                 let seat = &mut state.seats[usize::from(at)];
-                seat.life += 1;
+                seat.incarnation += 1;
                 seat.unsynced.clear();
                 seat.told = None;
                 let found = self.0.directory.then(|| seat.disk.clone());
-                seat.council = Council::new(state.now, settings(&self.0, at, seat.life), found);
+                seat.council =
+                    Council::new(state.now, settings(&self.0, at, seat.incarnation), found);
             }
             Happens::Synced(at) => state.sync(at),
         }
@@ -455,8 +461,8 @@
         0
     }
     fn choose_action(&self, chance: &mut Self::State, _: &State, actions: &[Happens]) -> usize {
-        let word = |h: &Happens| matches!(h, Happens::Comes(..) | Happens::Synced(_));
-        let words: Vec<usize> = (0..actions.len()).filter(|i| word(&actions[*i])).collect();
+        let message = |h: &Happens| matches!(h, Happens::Comes(..) | Happens::Synced(_));
+        let words: Vec<usize> = (0..actions.len()).filter(|i| message(&actions[*i])).collect();
         if !words.is_empty() && chance.rand_range(0..4) > 0 {
             words[chance.rand_range(0..words.len() as u32) as usize]
         } else {
--- a/crates/model-checks/src/bin/bank-figures.rs
+++ b/crates/model-checks/src/bin/bank-figures.rs
@@ -1,4 +1,4 @@
-//! Prints the figures of a whole bank: `cargo run --release -p hollowpaddle-model-checks --bin bank-figures [SIZE...]`. Seeds 1 to 5;
+//! Prints the figures of a whole bank: `cargo run --release -p hollowpaddle-model-checks --bin cluster-figures [SIZE...]`. Seeds 1 to 5;
 //! the median and the worst of all runs of a row.
 
 use std::time::Duration;
--- a/crates/model-checks/src/day.rs
+++ b/crates/model-checks/src/day.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hollowpaddle_peer_transport::Member;
-use hollowpaddle_revision::charter::Charter;
+use hollowpaddle_peer_transport::NodeId;
 use hollowpaddle_revision::document::Document;
 use hollowpaddle_revision::entry::{Entry, Id};
+use hollowpaddle_revision::fallback_policy::Charter;
 use hollowpaddle_revision::history::Origin;
 
 use crate::history::{Op, Ret, Span, is_linearizable};
@@ -57,9 +57,9 @@
 /// Everything that a day draws on, of one number.
 pub fn plan(seed: u64) -> Plan {
     let size = [5, 5, 6, 7][seed as usize % 4];
-    let council = if seed.is_multiple_of(12) { vec![0, 2, 4] } else { (0..5).collect() };
+    let voters = if seed.is_multiple_of(12) { vec![0, 2, 4] } else { (0..5).collect() };
     Plan {
-        council,
+        voters,
         directory: seed / 4 % 3 == 2,
         loss: [0.0, 0.1, 0.3][seed as usize / 12 % 3],
         late: (seed / 3).is_multiple_of(2),
@@ -360,7 +360,7 @@
                     let s = m.book().standing();
                     format!(
                         "{:?}: revision {}, towards {:?}, at {}, unconfirmed {}, {:?} leads",
-                        m.me(),
+                        m.node_id(),
                         s.revision,
                         s.towards,
                         m.learner().at(),
@@ -395,7 +395,7 @@
                     _ => false,
                 };
                 if !same {
-                    let Member(at) = machine.me();
+                    let NodeId(at) = machine.node_id();
                     faults.push(format!(
                         "{at} has {kept:?} at {number}, where a yes was said to {id}"
                     ));
@@ -405,7 +405,7 @@
                 None => first = Some((machine.learner().at(), book.clone())),
                 Some((at, other)) => {
                     if machine.learner().at() == *at && book != other {
-                        faults.push(format!("{:?} has another book at {at}", machine.me()));
+                        faults.push(format!("{:?} has another book at {at}", machine.node_id()));
                     }
                 }
             }
--- a/crates/model-checks/src/figures.rs
+++ b/crates/model-checks/src/figures.rs
@@ -1,9 +1,9 @@
 //! Figures of a whole bank, virtual: from yes to in force, a new leader, catching up, datagrams and bytes, all killed at
-//! once. The bank of `bin/bank-figures`, whose table goes into the design note; a small one is a test.
+//! once. The bank of `bin/cluster-figures`, whose table goes into the design note; a small one is a test.
 
 use std::time::Duration;
 
-use hollowpaddle_peer_transport::Member;
+use hollowpaddle_peer_transport::NodeId;
 use hollowpaddle_revision::document::Document;
 use hollowpaddle_revision::entry::Id;
 
@@ -200,7 +200,7 @@
         !w.nodes.iter().any(wide)
     })?;
     let numbers: Vec<u64> = {
-        let of = |m: &hollowpaddle_gateway::bank::Machine| {
+        let of = |m: &hollowpaddle_gateway::cluster::Machine| {
             m.book().revisions().map(|(n, _)| n).collect::<Vec<u64>>()
         };
         world.nodes.iter().filter_map(|n| n.machine.as_ref()).map(of).max_by_key(Vec::len)?
@@ -224,6 +224,6 @@
 }
 
 /// Who holds a seat, for a table.
-pub fn seats(world: &World) -> Vec<Member> {
-    world.voters().into_iter().map(Member).collect()
+pub fn seats(world: &World) -> Vec<NodeId> {
+    world.voters().into_iter().map(NodeId).collect()
 }
--- a/crates/model-checks/src/history.rs
+++ b/crates/model-checks/src/history.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hollowpaddle_gateway::bank::machine::Answer;
-use hollowpaddle_revision::book::Refusal;
+use hollowpaddle_gateway::cluster::machine::Answer;
+use hollowpaddle_revision::policy_state::Refusal;
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester, SequentialSpec};
 
 /// What was done at a door.
--- a/crates/model-checks/src/holding.rs
+++ b/crates/model-checks/src/holding.rs
@@ -7,15 +7,15 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use hollowpaddle_peer_transport::{Life, Member};
-use hollowpaddle_revision::book::{Book, Founding};
-use hollowpaddle_revision::charter::Charter;
+use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use hollowpaddle_revision::document::Document;
 use hollowpaddle_revision::entry::{Entry, Id};
+use hollowpaddle_revision::fallback_policy::Charter;
 use hollowpaddle_revision::in_force::{InForce, View};
 use hollowpaddle_revision::leases::{Action as Act, Event, Leases, Terms};
+use hollowpaddle_revision::message::Message;
+use hollowpaddle_revision::policy_state::{Book, Founding};
 use hollowpaddle_revision::rules::{Place, Rules};
-use hollowpaddle_revision::words::Word;
 use stateright::{Chooser, Model, Property};
 
 const MEMBERS: u16 = 3;
@@ -47,7 +47,7 @@
     leases: Leases,
     book: Book,
     published: InForce,
-    life: u32,
+    incarnation: u32,
     born: Duration,
     /// Since when it sends what another under a lease forbids, by pod.
     since: [Option<Duration>; 5],
@@ -63,7 +63,7 @@
     leader: u16,
     /// Led before, and is not told yet.
     untold: BTreeSet<u16>,
-    net: BTreeMap<(u16, u16, u8), VecDeque<(u32, Word)>>,
+    net: BTreeMap<(u16, u16, u8), VecDeque<(u32, Message)>>,
     proposed: u8,
     led: u8,
     ended: u8,
@@ -118,30 +118,31 @@
     })
 }
 
-fn kind(word: &Word) -> u8 {
-    match word {
-        Word::Renew { .. } => 0,
-        Word::Left { .. } => 1,
-        Word::Grant { .. } => 2,
-        Word::No { .. } => 3,
+fn kind(message: &Message) -> u8 {
+    match message {
+        Message::Renew { .. } => 0,
+        Message::Left { .. } => 1,
+        Message::Grant { .. } => 2,
+        Message::No { .. } => 3,
     }
 }
 
 impl Seat {
-    fn new(me: u16, life: u32, now: Duration) -> Self {
+    fn new(node_id: u16, incarnation: u32, now: Duration) -> Self {
         let founding = Founding {
             members: MEMBERS,
             bedrock: charter(&[1]),
             charter: charter(&[1, 2]),
             document: Document::default(),
         };
-        let leases = Leases::new(Terms::usual(Member(me), Life(life), charter(&[1])));
+        let leases =
+            Leases::new(Terms::usual(NodeId(node_id), Incarnation(incarnation), charter(&[1])));
         Self {
             published: leases.in_force(),
             leases,
             // Bedrock is in the charter, and the document is the usual one.
             book: Book::found(founding).expect("a founding within all bounds"),
-            life,
+            incarnation,
             born: now,
             since: [None; 5],
         }
@@ -160,13 +161,13 @@
         self.seats[usize::from(at)].leases.handle(clock, event, &mut actions);
         for action in actions {
             match action {
-                Act::Send { to, word } => {
-                    let life = self.seats[usize::from(at)].life;
-                    let link = self.net.entry((at, to.0, kind(&word))).or_default();
+                Act::Send { to, message } => {
+                    let incarnation = self.seats[usize::from(at)].incarnation;
+                    let link = self.net.entry((at, to.0, kind(&message))).or_default();
                     if link.len() >= KEPT {
                         link.pop_front();
                     }
-                    link.push_back((life, word));
+                    link.push_back((incarnation, message));
                 }
                 Act::Publish(in_force) => self.seats[usize::from(at)].published = in_force,
                 // Without directories the charter is kept at once.
@@ -205,7 +206,7 @@
                 (2, 0) => Some(1),
                 (l, _) => Some(l),
             };
-            self.event(at, Event::Parent(parent.map(Member)));
+            self.event(at, Event::Parent(parent.map(NodeId)));
         }
     }
 
@@ -295,7 +296,7 @@
         let mut state = State {
             step: 0,
             now: Duration::ZERO,
-            seats: (0..MEMBERS).map(|me| Seat::new(me, 1, Duration::ZERO)).collect(),
+            seats: (0..MEMBERS).map(|node_id| Seat::new(node_id, 1, Duration::ZERO)).collect(),
             log: Vec::new(),
             leader: 0,
             untold: BTreeSet::new(),
@@ -319,10 +320,14 @@
         for _ in 0..10 {
             state.pass(None, true);
             while let Some(link) = state.net.keys().next().copied() {
-                for (life, word) in state.net.remove(&link).unwrap_or_default() {
+                for (incarnation, message) in state.net.remove(&link).unwrap_or_default() {
                     state.event(
                         link.1,
-                        Event::Word { from: Member(link.0), life: Life(life), word },
+                        Event::Message {
+                            from: NodeId(link.0),
+                            incarnation: Incarnation(incarnation),
+                            message,
+                        },
                     );
                 }
             }
@@ -381,13 +386,20 @@
             }
             Happens::Comes(from, to, kind, place) => {
                 let words = state.net.get_mut(&(from, to, kind))?;
-                let (life, word) = words.remove(place)?;
+                let (incarnation, message) = words.remove(place)?;
                 if words.is_empty() {
                     state.net.remove(&(from, to, kind));
                 }
                 // The wire hands over nothing of a life before the one that it knows.
-                if life == state.seats[usize::from(from)].life {
-                    state.event(to, Event::Word { from: Member(from), life: Life(life), word });
+                if incarnation == state.seats[usize::from(from)].incarnation {
+                    state.event(
+                        to,
+                        Event::Message {
+                            from: NodeId(from),
+                            incarnation: Incarnation(incarnation),
+                            message,
+                        },
+                    );
                 }
             }
             Happens::Learns(at) => state.learn(at),
@@ -412,8 +424,8 @@
             Happens::Ends(at) => {
                 state.ended += 1;
                 state.untold.remove(&at);
-                let life = state.seats[usize::from(at)].life + 1;
-                state.seats[usize::from(at)] = Seat::new(at, life, state.now);
+                let incarnation = state.seats[usize::from(at)].incarnation + 1;
+                state.seats[usize::from(at)] = Seat::new(at, incarnation, state.now);
                 let standing = Box::new(state.seats[usize::from(at)].book.standing());
                 state.event(at, Event::Applied { epoch: 1, standing });
                 state.parents();
--- a/crates/model-checks/src/judge.rs
+++ b/crates/model-checks/src/judge.rs
@@ -6,8 +6,8 @@
 use std::time::Duration;
 
 use hollowpaddle_revision::in_force::View;
+use hollowpaddle_revision::message::Stage;
 use hollowpaddle_revision::rules::{Place, Rules};
-use hollowpaddle_revision::words::Stage;
 use std::sync::Arc;
 
 use crate::world::{Node, PODS};
--- a/crates/model-checks/src/lib.rs
+++ b/crates/model-checks/src/lib.rs
@@ -7,7 +7,7 @@
 //!   `checked::leases_keep_their_holders_together_*`.
 //! - [`world`]: whole `Machine`s over a played network. [`day`] draws a day of faults of 5 to 7 of them; [`judge`] looks on,
 //!   and [`history`] asks whether one register could have answered so. Tests: `days`.
-//! - [`figures`]: what a bank of up to 300 takes, printed by `bin/bank-figures`. Tests: `figures`.
+//! - [`figures`]: what a bank of up to 300 takes, printed by `bin/cluster-figures`. Tests: `figures`.
 //! - [`control_plane`]: cost as a function of the number of balancers, printed by `bin/control-plane-figures`. Tests:
 //!   `control_plane`.
 //! - [`change_limits`]: whether a change is accepted by the size of the fleet, printed by `bin/change-limits`. Tests:
--- a/crates/model-checks/src/world.rs
+++ b/crates/model-checks/src/world.rs
@@ -7,15 +7,15 @@
 
 use hollowpaddle_consensus::Durable;
 use hollowpaddle_consensus::Standing;
-use hollowpaddle_gateway::bank::machine::{Action, Answer, Event, Machine, Setup};
-use hollowpaddle_peer_transport::{Life, Member};
-use hollowpaddle_revision::book::Founding;
-use hollowpaddle_revision::charter::Charter;
+use hollowpaddle_gateway::cluster::machine::{Action, Answer, Event, Machine, Setup};
+use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use hollowpaddle_revision::document::Document;
 use hollowpaddle_revision::entry::{Ask, Entry, Id};
+use hollowpaddle_revision::fallback_policy::Charter;
 use hollowpaddle_revision::fleet::{ClassFacts, Facts, Group};
 use hollowpaddle_revision::in_force::InForce;
-use hollowpaddle_revision::words::Stage;
+use hollowpaddle_revision::message::Stage;
+use hollowpaddle_revision::policy_state::Founding;
 use oorandom::Rand64;
 
 use crate::judge::Judge;
@@ -38,7 +38,7 @@
     /// Balancers.
     pub size: u16,
     /// Who votes at first.
-    pub council: Vec<u16>,
+    pub voters: Vec<u16>,
     /// They have directories, and are restarted with what those hold.
     pub directory: bool,
     /// Datagrams lost, 0 to 1.
@@ -54,11 +54,11 @@
 impl Plan {
     /// One without faults, and the usual council.
     pub fn whole(seed: u64, size: u16) -> Self {
-        let council = hollowpaddle_consensus::default_council(size).iter().map(|m| m.0).collect();
+        let voters = hollowpaddle_consensus::default_council(size).iter().map(|m| m.0).collect();
         Self {
             seed,
             size,
-            council,
+            voters,
             directory: false,
             loss: 0.0,
             delay: ms(14),
@@ -71,7 +71,7 @@
 #[derive(Debug, PartialEq, Eq, PartialOrd, Ord)]
 enum Happens {
     Datagram { to: u16, from: u16, bytes: Vec<u8> },
-    Due { at: u16, life: u32 },
+    Due { at: u16, incarnation: u32 },
     Start { at: u16 },
 }
 
@@ -104,7 +104,7 @@
     /// What its requests read.
     pub published: Option<InForce>,
     /// Processes so far.
-    pub life: u32,
+    pub incarnation: u32,
     /// It stands still until then.
     pub paused: Duration,
     /// What it has sent.
@@ -172,7 +172,7 @@
             .map(|_| Node {
                 machine: None,
                 published: None,
-                life: 0,
+                incarnation: 0,
                 paused: Duration::ZERO,
                 sent: Sent::default(),
                 born: Duration::ZERO,
@@ -254,7 +254,7 @@
         if node.machine.is_some() {
             return;
         }
-        node.life += 1;
+        node.incarnation += 1;
         node.born = now;
         let charter = |pods: &[u32]| Charter {
             pods: pods.iter().copied().collect(),
@@ -262,12 +262,12 @@
             ..Charter::default()
         };
         let setup = Setup {
-            me: Member(at),
-            bank: plan.size,
+            node_id: NodeId(at),
+            cluster: plan.size,
             // Lives are drawn: they don't grow.
-            life: Life((seed as u32).max(1)),
+            incarnation: Incarnation((seed as u32).max(1)),
             seed,
-            council: plan.council.iter().copied().map(Member).collect(),
+            voters: plan.voters.iter().copied().map(NodeId).collect(),
             founding: Founding {
                 members: plan.size,
                 bedrock: charter(&[1]),
@@ -314,9 +314,9 @@
         if node.machine.is_some() && node.due.is_none() {
             self.without_timer += 1;
             if let Some(after) = self.nudge {
-                let (due, life) = (self.now + after, node.life);
+                let (due, incarnation) = (self.now + after, node.incarnation);
                 self.nodes[usize::from(at)].due = Some(due);
-                self.push(due, Happens::Due { at, life });
+                self.push(due, Happens::Due { at, incarnation });
             }
         }
         self.seen(at);
@@ -333,7 +333,7 @@
     pub fn voters(&self) -> Vec<u16> {
         let known = self.nodes.iter().filter(|n| n.knows()).filter_map(|n| n.machine.as_ref());
         let latest = known.map(|m| m.council().members()).max_by_key(|m| m.since);
-        latest.map_or(self.plan.council.clone(), |m| m.list.iter().map(|m| m.0).collect())
+        latest.map_or(self.plan.voters.clone(), |m| m.list.iter().map(|m| m.0).collect())
     }
 
     fn give(&mut self, at: u16, event: Event<'_>, actions: &mut Vec<Action>) {
@@ -351,8 +351,8 @@
             Action::WakeAt(due) => {
                 let due = node.world(due).max(self.now);
                 node.due = Some(due);
-                let life = node.life;
-                self.push(due, Happens::Due { at, life });
+                let incarnation = node.incarnation;
+                self.push(due, Happens::Due { at, incarnation });
             }
             Action::Publish(in_force) => node.published = Some(in_force),
             Action::Persist { number, record } => {
@@ -456,14 +456,14 @@
     fn happen(&mut self, happens: Happens) {
         match happens {
             Happens::Start { at } => self.start(at),
-            Happens::Due { at, life } => {
+            Happens::Due { at, incarnation } => {
                 let node = &mut self.nodes[usize::from(at)];
-                if node.life != life || node.due.is_none_or(|due| due > self.now) {
+                if node.incarnation != incarnation || node.due.is_none_or(|due| due > self.now) {
                     return;
                 }
                 if node.paused > self.now {
                     let resumes = node.paused;
-                    self.push(resumes, Happens::Due { at, life });
+                    self.push(resumes, Happens::Due { at, incarnation });
                     return;
                 }
                 node.due = None;
@@ -483,7 +483,7 @@
                     return;
                 }
                 node.waiting = 0;
-                self.hand_in(to, Event::Datagram { from: Some(Member(from)), bytes: &bytes });
+                self.hand_in(to, Event::Datagram { from: Some(NodeId(from)), bytes: &bytes });
             }
         }
     }
@@ -524,11 +524,11 @@
     pub fn leader(&self) -> Option<u16> {
         let leads = |n: &&Node| {
             n.paused <= self.now
-                && n.machine.as_ref().is_some_and(|m| m.council().leader() == Some(m.me()))
+                && n.machine.as_ref().is_some_and(|m| m.council().leader() == Some(m.node_id()))
         };
         let mut all = self.nodes.iter().filter(leads).filter_map(|n| n.machine.as_ref());
         let one = all.next()?;
-        all.next().is_none().then_some(one.me().0)
+        all.next().is_none().then_some(one.node_id().0)
     }
 
     /// All links whole, everybody awake.
--- a/crates/model-checks/tests/findings.rs
+++ b/crates/model-checks/tests/findings.rs
@@ -5,12 +5,17 @@
 
 use hollowpaddle_model_checks::world::{Plan, World, ms};
 use hollowpaddle_peer_transport::{
-    Action, Budget, Channel, Config, Event, How, Life, Member, Wire,
+    Action, Budget, Channel, Config, Event, How, Incarnation, NodeId, Wire,
 };
 
-fn wire(me: u16, life: u32) -> Wire {
-    let config =
-        Config { me: Member(me), members: 2, life: Life(life), seed: 7, budget: Budget::default() };
+fn wire(node_id: u16, incarnation: u32) -> Wire {
+    let config = Config {
+        node_id: NodeId(node_id),
+        members: 2,
+        incarnation: Incarnation(incarnation),
+        seed: 7,
+        budget: Budget::default(),
+    };
     Wire::new(config).expect("a wire of two")
 }
 
@@ -38,13 +43,13 @@
             let clock = if at == 1 { now - born } else { now };
             let mut actions = Vec::new();
             if says {
-                let (to, channel) = (Member(1 - at as u16), Channel::Council);
-                let event = Event::Send { to, channel, word: vec![1; 50], how: How::Urgent };
+                let (to, channel) = (NodeId(1 - at as u16), Channel::Consensus);
+                let event = Event::Send { to, channel, message: vec![1; 50], how: How::Urgent };
                 wires[at].handle(clock, event, &mut actions);
             }
             for (_, bytes) in came.iter().filter(|c| c.0 == at) {
                 let event = match bytes {
-                    Some(bytes) => Event::Received { from: Member(1 - at as u16), bytes },
+                    Some(bytes) => Event::Received { from: NodeId(1 - at as u16), bytes },
                     None => Event::Due,
                 };
                 due[at] = if bytes.is_none() { None } else { due[at] };
@@ -66,7 +71,7 @@
                 }
             }
         }
-        if now > ms(5000) && wires[0].life(Member(1)) == Some(Life(3)) {
+        if now > ms(5000) && wires[0].incarnation(NodeId(1)) == Some(Incarnation(3)) {
             return Some(now - ms(5000));
         }
     }
--- a/crates/model-checks/tests/published.rs
+++ b/crates/model-checks/tests/published.rs
@@ -123,12 +123,12 @@
 /// The real one, with threads as they come: weak, but it is what runs.
 #[test]
 fn the_real_one_gives_whole_values_that_never_go_back() {
-    use hollowpaddle_gateway::bank::Published;
-    use hollowpaddle_revision::charter::Charter;
+    use hollowpaddle_gateway::cluster::PublishedPolicy;
     use hollowpaddle_revision::document::Document;
+    use hollowpaddle_revision::fallback_policy::Charter;
     use hollowpaddle_revision::in_force::InForce;
+    use hollowpaddle_revision::message::Stage;
     use hollowpaddle_revision::rules::Rules;
-    use hollowpaddle_revision::words::Stage;
     use std::sync::Arc;
     use std::sync::atomic::{AtomicBool, Ordering};
     use std::time::Duration;
@@ -143,7 +143,7 @@
         until: Duration::from_millis(index),
         charter: charter.clone(),
     };
-    let published = Published::new(value(0));
+    let published = PublishedPolicy::new(value(0));
     let over = AtomicBool::new(false);
     std::thread::scope(|scope| {
         for _ in 0..2 {
--- a/crates/peer-transport/src/config.rs
+++ b/crates/peer-transport/src/config.rs
@@ -1,6 +1,6 @@
 //! What a wire is set up with: who it is, and how much it may say.
 
-use crate::{DATAGRAM, Life, Member};
+use crate::{DATAGRAM, Incarnation, NodeId};
 
 /// The most members of a bank. Each costs some 400 bytes here, heard of or not.
 pub const MEMBERS: u16 = 1_024;
@@ -45,13 +45,13 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
     /// Who this is.
-    pub me: Member,
-    /// Members of the bank, this one too: they are `Member(0)` to `Member(members - 1)`.
+    pub node_id: NodeId,
+    /// Members of the bank, this one too: they are `NodeId(0)` to `NodeId(members - 1)`.
     pub members: u16,
     /// Drawn at this process's start from the system's chance, not 0. If two lives of a member in a row draw
     /// the same (one in 2^32), peers that know the first take the second for it, and drop as copies what it
     /// says until it has said as much as the first.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// Of nonces and of how long hellos wait. Drawn at the start, too: it makes nonces differ between
     /// members.
     pub seed: u64,
@@ -66,17 +66,17 @@
     #[error(
         "setting up the wire of member {}: there are {members} members; expected 1 to {MEMBERS}, this one \
          among them",
-        .me.0
+        .node_id.0
     )]
     Members {
         /// Who it is to be.
-        me: Member,
+        node_id: NodeId,
         /// Of how many.
         members: u16,
     },
     /// 0 stands for a life that is not known.
     #[error("setting up the wire: this life is 0; draw another number")]
-    Life,
+    Incarnation,
     /// Bulk is to leave half of the bucket, and some datagram must fit into the other.
     #[error(
         "setting up the wire: a budget of {datagrams} datagrams and {bytes} bytes at once, {hellos} hellos; \
@@ -96,12 +96,12 @@
 
 impl Config {
     pub(crate) fn check(&self) -> Result<(), ConfigError> {
-        let Self { me, members, life, budget, .. } = self;
-        if !(1..=MEMBERS).contains(members) || me.0 >= *members {
-            return Err(ConfigError::Members { me: *me, members: *members });
+        let Self { node_id, members, incarnation, budget, .. } = self;
+        if !(1..=MEMBERS).contains(members) || node_id.0 >= *members {
+            return Err(ConfigError::Members { node_id: *node_id, members: *members });
         }
-        if *life == Life(0) {
-            return Err(ConfigError::Life);
+        if *incarnation == Incarnation(0) {
+            return Err(ConfigError::Incarnation);
         }
         let least = 8 * DATAGRAM as u32;
         let Budget { datagrams_burst, bytes_burst, hellos_burst, .. } = *budget;
--- a/crates/peer-transport/src/counts.rs
+++ b/crates/peer-transport/src/counts.rs
@@ -56,7 +56,8 @@
     /// Hellos that answered a nonce that is not asked now.
     pub stale_nonces: u64,
     /// Times that a peer's new life was confirmed.
-    pub lives: u64,
+    #[serde(rename = "lives")]
+    pub incarnations: u64,
 }
 
 /// Datagrams that came and did not count.
@@ -75,7 +76,8 @@
     /// From a peer of which no life is confirmed yet.
     pub unconfirmed: u64,
     /// From another life of the peer than the confirmed one, or to a former one of ours.
-    pub former_life: u64,
+    #[serde(rename = "former_life")]
+    pub previous_incarnation: u64,
     /// Come before.
     pub copy: u64,
     /// So late that nobody remembers whether they came before.
@@ -98,7 +100,8 @@
     /// They waited for a peer to be there for as long as a word may.
     pub waited_in_vain: u64,
     /// They waited when their peer was found to be another life.
-    pub former_life: u64,
+    #[serde(rename = "former_life")]
+    pub previous_incarnation: u64,
     /// All sequences are used up (after 17 years of the usual budget).
     pub used_up: u64,
 }
--- a/crates/peer-transport/src/frame.rs
+++ b/crates/peer-transport/src/frame.rs
@@ -11,7 +11,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Channel, DATAGRAM, LONGEST_WORD, Life, Member};
+use crate::{Channel, DATAGRAM, Incarnation, MAX_MESSAGE_BYTES, NodeId};
 
 /// Version of the frames. One of another is dropped and counted.
 pub const VERSION: u8 = 1;
@@ -25,7 +25,7 @@
 /// Bytes of a word in each of its pieces but the last.
 pub(crate) const PIECE: usize = DATAGRAM - HEAD - 5;
 /// Pieces of the longest word.
-pub(crate) const PIECES: usize = LONGEST_WORD.div_ceil(PIECE);
+pub(crate) const PIECES: usize = MAX_MESSAGE_BYTES.div_ceil(PIECE);
 /// The last sequence. At 2,000 datagrams a second to one peer it is reached after 17 years; then nothing more
 /// is sent.
 pub(crate) const LAST: u64 = (1 << 40) - 1;
@@ -38,13 +38,13 @@
 pub(crate) struct Said<'a> {
     pub(crate) channel: Channel,
     #[serde(borrow)]
-    pub(crate) word: &'a [u8],
+    pub(crate) message: &'a [u8],
 }
 
 impl Said<'_> {
     /// Bytes that it takes in a frame.
-    pub(crate) fn length(word: usize) -> usize {
-        1 + if word < 128 { 1 } else { 2 } + word
+    pub(crate) fn length(message: usize) -> usize {
+        1 + if message < 128 { 1 } else { 2 } + message
     }
 }
 
@@ -69,13 +69,13 @@
     /// A part of a longer word.
     Piece(Piece, &'a [u8]),
     /// Pieces of this word that have not come.
-    Missing { word: u64, which: u128 },
+    Missing { message: u64, which: u128 },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Frame<'a> {
-    pub(crate) from: Life,
-    pub(crate) to: Life,
+    pub(crate) from: Incarnation,
+    pub(crate) to: Incarnation,
     /// Counts the frames from one life to one member, from 1. A hello has none of its own: it says the last
     /// one.
     pub(crate) sequence: u64,
@@ -108,7 +108,7 @@
     Some(*first)
 }
 
-fn sum(from: Member, to: Member, version: u8, rest: &[u8]) -> u32 {
+fn sum(from: NodeId, to: NodeId, version: u8, rest: &[u8]) -> u32 {
     let mut sum = crc32fast::Hasher::new();
     sum.update(&from.0.to_le_bytes());
     sum.update(&to.0.to_le_bytes());
@@ -119,7 +119,7 @@
 
 impl<'a> Frame<'a> {
     /// At most [`DATAGRAM`] bytes, for bodies within the bounds above.
-    pub(crate) fn encode(&self, from: Member, to: Member) -> Vec<u8> {
+    pub(crate) fn encode(&self, from: NodeId, to: NodeId) -> Vec<u8> {
         let mut rest = Vec::with_capacity(DATAGRAM);
         rest.push(match self.body {
             Body::Hello { .. } => 0,
@@ -139,7 +139,7 @@
                 rest.extend(crate::encode(piece));
                 rest.extend_from_slice(data);
             }
-            Body::Missing { word, which } => rest.extend(crate::encode(&(word, which))),
+            Body::Missing { message, which } => rest.extend(crate::encode(&(message, which))),
         }
         if !matches!(self.body, Body::Piece(..)) {
             rest.resize(rest.len().max(HELLO - 5), 0);
@@ -151,7 +151,7 @@
         bytes
     }
 
-    pub(crate) fn decode(from: Member, to: Member, bytes: &'a [u8]) -> Result<Self, Bad> {
+    pub(crate) fn decode(from: NodeId, to: NodeId, bytes: &'a [u8]) -> Result<Self, Bad> {
         if bytes.len() > DATAGRAM {
             return Err(Bad::TooLong);
         }
@@ -169,8 +169,8 @@
     /// Of bytes whose sum is right.
     fn whole(mut rest: &'a [u8], shortest: bool) -> Option<Self> {
         let [kind] = take(&mut rest)?;
-        let from = Life(u32::from_le_bytes(take(&mut rest)?));
-        let to = Life(u32::from_le_bytes(take(&mut rest)?));
+        let from = Incarnation(u32::from_le_bytes(take(&mut rest)?));
+        let to = Incarnation(u32::from_le_bytes(take(&mut rest)?));
         let [a, b, c, d, e] = take(&mut rest)?;
         let sequence = u64::from_le_bytes([a, b, c, d, e, 0, 0, 0]);
         // What is behind the body: zeros, and only where a frame had to be filled up.
@@ -185,8 +185,8 @@
                 // One by one, so that a count that lies reserves nothing.
                 let mut words = Vec::new();
                 for _ in 0..count {
-                    let (word, behind) = postcard::take_from_bytes(rest).ok()?;
-                    words.push(word);
+                    let (message, behind) = postcard::take_from_bytes(rest).ok()?;
+                    words.push(message);
                     rest = behind;
                 }
                 (filled(rest) && !words.is_empty()).then_some(Body::Words(words))?
@@ -196,12 +196,12 @@
                 fits(&piece, data, sequence).then_some(Body::Piece(piece, data))?
             }
             3 => {
-                let ((word, which), rest) = postcard::take_from_bytes(rest).ok()?;
-                (filled(rest) && word <= LAST).then_some(Body::Missing { word, which })?
+                let ((message, which), rest) = postcard::take_from_bytes(rest).ok()?;
+                (filled(rest) && message <= LAST).then_some(Body::Missing { message, which })?
             }
             _ => return None,
         };
-        (from != Life(0)).then_some(Self { from, to, sequence, body })
+        (from != Incarnation(0)).then_some(Self { from, to, sequence, body })
     }
 }
 
@@ -212,6 +212,6 @@
     (2..=PIECES).contains(&count)
         && index < count
         && (data.len() == PIECE || index + 1 == count && !data.is_empty())
-        && index * PIECE + data.len() <= LONGEST_WORD
+        && index * PIECE + data.len() <= MAX_MESSAGE_BYTES
         && u64::from(piece.back) < sequence
 }
--- a/crates/peer-transport/src/incoming.rs
+++ b/crates/peer-transport/src/incoming.rs
@@ -6,7 +6,7 @@
 
 use crate::frame::{PIECE, Piece};
 use crate::pace::Pace;
-use crate::{Channel, Member};
+use crate::{Channel, NodeId};
 
 /// Bytes held of all words that are not whole. For a new one the oldest word goes of the peer that holds
 /// most. Without a bound peers that send first pieces alone would take all memory; were it the oldest of all,
@@ -78,9 +78,9 @@
 /// By peer and number of the word.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Incoming {
-    partial: BTreeMap<(Member, u64), Partial>,
-    due: BTreeSet<(Duration, Member, u64)>,
-    from: BTreeMap<Member, From>,
+    partial: BTreeMap<(NodeId, u64), Partial>,
+    due: BTreeSet<(Duration, NodeId, u64)>,
+    from: BTreeMap<NodeId, From>,
     began: u64,
     held: usize,
     given_up: u64,
@@ -89,7 +89,7 @@
 impl Incoming {
     /// A new life of this peer: nothing of the one before is put together any more, and no word of it that
     /// began before this sequence.
-    pub(crate) fn begin(&mut self, from: Member, floor: u64) {
+    pub(crate) fn begin(&mut self, from: NodeId, floor: u64) {
         let all: Vec<_> =
             self.partial.range((from, 0)..=(from, u64::MAX)).map(|(which, _)| *which).collect();
         for which in all {
@@ -104,7 +104,7 @@
     pub(crate) fn piece(
         &mut self,
         now: Duration,
-        (from, number): (Member, u64),
+        (from, number): (NodeId, u64),
         piece: &Piece,
         data: &[u8],
     ) -> Came {
@@ -145,7 +145,7 @@
         Came::Whole(whole.channel, whole.bytes)
     }
 
-    fn start(&mut self, now: Duration, which: (Member, u64), piece: &Piece) {
+    fn start(&mut self, now: Duration, which: (NodeId, u64), piece: &Piece) {
         let Some(known) = self.from.get_mut(&which.0) else { return };
         let size = usize::from(piece.count) * PIECE;
         known.held += size;
@@ -159,7 +159,7 @@
         self.partial.insert(which, partial);
     }
 
-    fn set_due(&mut self, which: (Member, u64), due: Duration) {
+    fn set_due(&mut self, which: (NodeId, u64), due: Duration) {
         if let Some(partial) = self.partial.get_mut(&which) {
             self.due.remove(&(partial.due, which.0, which.1));
             partial.due = due.min(partial.begun + LONGEST);
@@ -168,7 +168,7 @@
     }
 
     /// Gives up what is oldest until there is room for so much more.
-    fn room(&mut self, from: Member, size: usize) {
+    fn room(&mut self, from: NodeId, size: usize) {
         while self.from.get(&from).is_some_and(|known| known.held + size > ROOM_OF_ONE) {
             if !self.give_up_oldest(from) {
                 return;
@@ -186,7 +186,7 @@
     }
 
     /// Gives up the oldest word of this peer, if there is any.
-    fn give_up_oldest(&mut self, of: Member) -> bool {
+    fn give_up_oldest(&mut self, of: NodeId) -> bool {
         let all = self.partial.range((of, 0)..=(of, u64::MAX));
         let oldest = all.min_by_key(|(_, partial)| partial.came).map(|(which, _)| *which);
         oldest.is_some_and(|which| {
@@ -195,12 +195,12 @@
         })
     }
 
-    fn give_up(&mut self, which: (Member, u64)) {
+    fn give_up(&mut self, which: (NodeId, u64)) {
         self.given_up += u64::from(self.end(which).is_some());
     }
 
     /// This word is over: no piece of it begins it anew.
-    fn end(&mut self, which: (Member, u64)) -> Option<Partial> {
+    fn end(&mut self, which: (NodeId, u64)) -> Option<Partial> {
         let partial = self.partial.remove(&which)?;
         self.due.remove(&(partial.due, which.0, which.1));
         self.held -= partial.bytes.len();
@@ -224,7 +224,7 @@
     }
 
     /// The words of which something is to be asked for now.
-    pub(crate) fn asks(&mut self, now: Duration) -> Vec<(Member, u64)> {
+    pub(crate) fn asks(&mut self, now: Duration) -> Vec<(NodeId, u64)> {
         let mut asks = Vec::new();
         while let Some((_, member, number)) =
             self.due.first().filter(|(due, ..)| *due <= now).copied()
@@ -247,7 +247,7 @@
     }
 
     /// What of this word has not come, if it is still put together.
-    pub(crate) fn missing(&self, from: Member, number: u64) -> Option<u128> {
+    pub(crate) fn missing(&self, from: NodeId, number: u64) -> Option<u128> {
         Some(self.partial.get(&(from, number))?.missing())
     }
 
--- a/crates/peer-transport/src/words.rs
+++ b/crates/peer-transport/src/message.rs
@@ -4,14 +4,14 @@
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
-use crate::LONGEST_WORD;
+use crate::MAX_MESSAGE_BYTES;
 
 /// Bytes that are no word of the type that was asked for.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum WordError {
+pub enum MessageError {
     /// Longer than any word may be.
     #[error(
-        "reading a word: {found} bytes, and {LONGEST_WORD} are the most; its sender must split it"
+        "reading a word: {found} bytes, and {MAX_MESSAGE_BYTES} are the most; its sender must split it"
     )]
     TooLong {
         /// Its length in bytes.
@@ -43,27 +43,27 @@
 ///
 /// Only for a type that can't be written at all: one whose own `Serialize` fails or starts a sequence without
 /// saying its length. No derived one does, whatever it holds.
-pub fn encode<T: Serialize + ?Sized>(word: &T) -> Vec<u8> {
-    postcard::to_allocvec(word)
+pub fn encode<T: Serialize + ?Sized>(message: &T) -> Vec<u8> {
+    postcard::to_allocvec(message)
         .expect("derived types say the length of what they hold, and memory is not bounded")
 }
 
-/// The word that these bytes are: all of them, and at most [`LONGEST_WORD`]. Nothing in the bytes makes it
+/// The word that these bytes are: all of them, and at most [`MAX_MESSAGE_BYTES`]. Nothing in the bytes makes it
 /// panic or reserve more than serde's cautious megabyte; a type that holds a sequence of nothing (`Vec<()>`)
 /// must not be read with it, since its length costs no bytes.
 ///
 /// # Errors
 ///
-/// [`WordError`], where they are too long, not a `T`, or a `T` and more.
-pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, WordError> {
+/// [`MessageError`], where they are too long, not a `T`, or a `T` and more.
+pub fn decode<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, MessageError> {
     let length = bytes.len();
-    if length > LONGEST_WORD {
-        return Err(WordError::TooLong { found: length });
+    if length > MAX_MESSAGE_BYTES {
+        return Err(MessageError::TooLong { found: length });
     }
     match postcard::take_from_bytes(bytes) {
-        Ok((word, [])) => Ok(word),
-        Ok((_, rest)) => Err(WordError::Trailing { length, rest: rest.len() }),
-        Err(cause) => Err(WordError::Malformed { length, cause }),
+        Ok((message, [])) => Ok(message),
+        Ok((_, rest)) => Err(MessageError::Trailing { length, rest: rest.len() }),
+        Err(cause) => Err(MessageError::Malformed { length, cause }),
     }
 }
 
@@ -72,9 +72,9 @@
     use proptest::prelude::*;
 
     use super::*;
-    use crate::{Channel, Member};
+    use crate::{Channel, NodeId};
 
-    type Word = (Channel, Vec<(Member, String)>, Option<u64>);
+    type Message = (Channel, Vec<(NodeId, String)>, Option<u64>);
 
     proptest! {
         #[test]
@@ -82,25 +82,25 @@
             members in proptest::collection::vec((any::<u16>(), ".{0,8}"), 0..8), at in any::<Option<u64>>(),
             garbage in proptest::collection::vec(any::<u8>(), 0..64),
         ) {
-            let members = members.into_iter().map(|(m, name)| (Member(m), name)).collect();
-            let word: Word = (Channel::Leases, members, at);
-            let mut bytes = encode(&word);
-            prop_assert_eq!(decode::<Word>(&bytes), Ok(word));
-            let cut = decode::<Word>(&bytes[..bytes.len() - 1]);
-            prop_assert!(matches!(cut, Err(WordError::Malformed { .. })), "cut");
+            let members = members.into_iter().map(|(m, name)| (NodeId(m), name)).collect();
+            let message: Message = (Channel::Leases, members, at);
+            let mut bytes = encode(&message);
+            prop_assert_eq!(decode::<Message>(&bytes), Ok(message));
+            let cut = decode::<Message>(&bytes[..bytes.len() - 1]);
+            prop_assert!(matches!(cut, Err(MessageError::Malformed { .. })), "cut");
             bytes.push(0);
-            let longer = decode::<Word>(&bytes);
-            prop_assert!(matches!(longer, Err(WordError::Trailing { rest: 1, .. })), "longer");
-            let _ = decode::<Word>(&garbage);
+            let longer = decode::<Message>(&bytes);
+            prop_assert!(matches!(longer, Err(MessageError::Trailing { rest: 1, .. })), "longer");
+            let _ = decode::<Message>(&garbage);
         }
     }
 
     #[test]
     fn the_longest_word_is_read_and_one_byte_more_is_not() {
-        let too_long = WordError::TooLong { found: LONGEST_WORD + 1 };
-        assert_eq!(decode::<Vec<u8>>(&vec![0; LONGEST_WORD + 1]), Err(too_long));
-        let longest = encode(&vec![7u8; LONGEST_WORD - 3]);
-        assert_eq!(longest.len(), LONGEST_WORD);
-        assert_eq!(decode(&longest), Ok(vec![7u8; LONGEST_WORD - 3]));
+        let too_long = MessageError::TooLong { found: MAX_MESSAGE_BYTES + 1 };
+        assert_eq!(decode::<Vec<u8>>(&vec![0; MAX_MESSAGE_BYTES + 1]), Err(too_long));
+        let longest = encode(&vec![7u8; MAX_MESSAGE_BYTES - 3]);
+        assert_eq!(longest.len(), MAX_MESSAGE_BYTES);
+        assert_eq!(decode(&longest), Ok(vec![7u8; MAX_MESSAGE_BYTES - 3]));
     }
 }
--- a/crates/peer-transport/src/outgoing.rs
+++ b/crates/peer-transport/src/outgoing.rs
@@ -4,7 +4,7 @@
 use std::time::Duration;
 
 use crate::frame::PIECE;
-use crate::{Channel, How, Member};
+use crate::{Channel, How, NodeId};
 
 /// For so long. A receiver gives up after as long.
 pub(crate) const KEPT: Duration = Duration::from_secs(4);
@@ -49,9 +49,9 @@
 /// By peer and number of the word.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Outgoing {
-    kept: BTreeMap<(Member, u64), Kept>,
+    kept: BTreeMap<(NodeId, u64), Kept>,
     /// In the order in which they came.
-    order: BTreeMap<u64, (Member, u64)>,
+    order: BTreeMap<u64, (NodeId, u64)>,
     came: u64,
     held: usize,
 }
@@ -61,12 +61,12 @@
 }
 
 impl Outgoing {
-    /// Keeps a word that is longer than a datagram and at most `LONGEST_WORD`. Tells how many words that had
+    /// Keeps a word that is longer than a datagram and at most `MAX_MESSAGE_BYTES`. Tells how many words that had
     /// not gone out whole had to make room, and how many pieces it has.
     pub(crate) fn keep(
         &mut self,
         now: Duration,
-        (to, number): (Member, u64),
+        (to, number): (NodeId, u64),
         (channel, how): (Channel, How),
         bytes: Vec<u8>,
     ) -> (u64, u8) {
@@ -88,7 +88,7 @@
     }
 
     /// Forgets a word; 1 if it had not gone out whole.
-    fn remove(&mut self, which: (Member, u64)) -> u64 {
+    fn remove(&mut self, which: (NodeId, u64)) -> u64 {
         let Some(kept) = self.kept.remove(&which) else { return 0 };
         self.order.remove(&kept.came);
         self.held -= kept.bytes.len();
@@ -108,14 +108,14 @@
     }
 
     /// Forgets all to this peer; how many of that had not gone out whole.
-    pub(crate) fn clear(&mut self, to: Member) -> u64 {
+    pub(crate) fn clear(&mut self, to: NodeId) -> u64 {
         let all: Vec<_> =
             self.kept.range((to, 0)..=(to, u64::MAX)).map(|(which, _)| *which).collect();
         all.into_iter().map(|which| self.remove(which)).sum()
     }
 
     /// The piece whose turn has come, if its word is still kept.
-    pub(crate) fn go(&mut self, to: Member, number: u64, index: u8) -> Option<Going> {
+    pub(crate) fn go(&mut self, to: NodeId, number: u64, index: u8) -> Option<Going> {
         let kept = self.kept.get_mut(&(to, number))?;
         let bit = 1u128.checked_shl(u32::from(index))?;
         let start = usize::from(index) * PIECE;
@@ -130,7 +130,7 @@
 
     /// A peer asks for these again: those to be put in line, how urgent they are, and how many are refused.
     /// Those that wait still are neither.
-    pub(crate) fn ask(&mut self, to: Member, number: u64, which: u128) -> (Vec<u8>, How, u64) {
+    pub(crate) fn ask(&mut self, to: NodeId, number: u64, which: u128) -> (Vec<u8>, How, u64) {
         let Some(kept) = self.kept.get_mut(&(to, number)) else {
             return (Vec::new(), How::Bulk, u64::from(which.count_ones()));
         };
@@ -151,7 +151,7 @@
     }
 
     /// There was no room in line for these.
-    pub(crate) fn not_in_line(&mut self, to: Member, number: u64, indices: &[u8]) {
+    pub(crate) fn not_in_line(&mut self, to: NodeId, number: u64, indices: &[u8]) {
         if let Some(kept) = self.kept.get_mut(&(to, number)) {
             for index in indices {
                 kept.waiting &= !1u128.checked_shl(u32::from(*index)).unwrap_or(0);
@@ -160,7 +160,7 @@
     }
 
     /// Forgets a word; 1 if it had not gone out whole.
-    pub(crate) fn give_up(&mut self, to: Member, number: u64) -> u64 {
+    pub(crate) fn give_up(&mut self, to: NodeId, number: u64) -> u64 {
         self.remove((to, number))
     }
 
--- a/crates/peer-transport/src/peer.rs
+++ b/crates/peer-transport/src/peer.rs
@@ -6,7 +6,7 @@
 use crate::chance::{Chance, Nonces};
 use crate::pace::Pace;
 use crate::window::Window;
-use crate::{Channel, How, Life};
+use crate::{Channel, How, Incarnation};
 
 /// A nonce is asked for so long; an answer that takes longer brings nothing about, so that a life which ended
 /// meanwhile is not believed for having answered before.
@@ -34,13 +34,13 @@
     pub(crate) until: Duration,
     pub(crate) channel: Channel,
     pub(crate) how: How,
-    pub(crate) word: Vec<u8>,
+    pub(crate) message: Vec<u8>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Peer {
     /// The life that answered last, of all that did.
-    pub(crate) life: Option<Life>,
+    pub(crate) incarnation: Option<Incarnation>,
     /// It has shown that it has confirmed this process's life. Words wait until then: those that overtake a
     /// hello, or follow one that is lost, would not count.
     pub(crate) knows_us: bool,
@@ -62,7 +62,7 @@
 impl Waiting {
     /// What it takes, with what lies beside the word.
     fn size(&self) -> usize {
-        64 + self.word.len()
+        64 + self.message.len()
     }
 }
 
@@ -70,7 +70,7 @@
     pub(crate) fn new() -> Self {
         let (rate, burst) = HELLOS;
         Self {
-            life: None,
+            incarnation: None,
             knows_us: false,
             window: Window::from(0),
             sequence: 0,
@@ -105,9 +105,9 @@
         is
     }
 
-    /// `life` has answered. All up to `sequence` is from before, and counts no more.
-    pub(crate) fn confirm(&mut self, life: Life, sequence: u64) {
-        self.life = Some(life);
+    /// `incarnation` has answered. All up to `sequence` is from before, and counts no more.
+    pub(crate) fn confirm(&mut self, incarnation: Incarnation, sequence: u64) {
+        self.incarnation = Some(incarnation);
         self.knows_us = false;
         self.window = Window::from(sequence);
         self.tries = 0;
@@ -115,7 +115,7 @@
 
     /// It can be talked to.
     pub(crate) fn is_open(&self) -> bool {
-        self.life.is_some() && self.knows_us
+        self.incarnation.is_some() && self.knows_us
     }
 
     /// How long the next answer is waited for.
--- a/crates/peer-transport/src/queue.rs
+++ b/crates/peer-transport/src/queue.rs
@@ -5,7 +5,7 @@
 use std::ops::Bound::{Excluded, Unbounded};
 use std::time::Duration;
 
-use crate::{Channel, How, Member};
+use crate::{Channel, How, NodeId};
 
 /// Bytes that wait at most, of each urgency. Without a bound a sender that is held back would take all
 /// memory.
@@ -17,24 +17,24 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Item {
     /// A word that goes in one datagram, and until when it is worth saying.
-    Word { channel: Channel, word: Vec<u8>, until: Duration },
+    Message { channel: Channel, message: Vec<u8>, until: Duration },
     /// A piece of a longer one of ours.
-    Piece { word: u64, index: u8 },
+    Piece { message: u64, index: u8 },
     /// To ask for what is missing of a peer's.
-    Missing { word: u64 },
+    Missing { message: u64 },
 }
 
 impl Item {
     fn size(&self) -> usize {
-        BESIDE + if let Self::Word { word, .. } = self { word.len() } else { 0 }
+        BESIDE + if let Self::Message { message, .. } = self { message.len() } else { 0 }
     }
 }
 
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 struct Line {
-    peers: BTreeMap<Member, VecDeque<Item>>,
+    peers: BTreeMap<NodeId, VecDeque<Item>>,
     /// Whose turn it was.
-    last: Member,
+    last: NodeId,
     held: usize,
 }
 
@@ -46,7 +46,7 @@
 
 impl Queue {
     /// Puts it behind all others of its urgency to that peer; `false` where there is no room.
-    pub(crate) fn push(&mut self, how: How, to: Member, item: Item) -> bool {
+    pub(crate) fn push(&mut self, how: How, to: NodeId, item: Item) -> bool {
         self.push_all(how, to, [item])
     }
 
@@ -54,7 +54,7 @@
     pub(crate) fn push_all(
         &mut self,
         how: How,
-        to: Member,
+        to: NodeId,
         items: impl IntoIterator<Item = Item>,
     ) -> bool {
         let line = &mut self.lines[how as usize];
@@ -74,7 +74,7 @@
     }
 
     /// Whose turn it is in this line.
-    pub(crate) fn turn(&mut self, how: How) -> Option<Member> {
+    pub(crate) fn turn(&mut self, how: How) -> Option<NodeId> {
         let line = &mut self.lines[how as usize];
         let after = line.peers.range((Excluded(line.last), Unbounded)).next();
         line.last = *after.or_else(|| line.peers.first_key_value())?.0;
@@ -85,7 +85,7 @@
     pub(crate) fn pop_if(
         &mut self,
         how: How,
-        to: Member,
+        to: NodeId,
         pleases: impl FnOnce(&Item) -> bool,
     ) -> Option<Item> {
         let line = &mut self.lines[how as usize];
@@ -99,12 +99,12 @@
     }
 
     /// Nothing waits for this peer any more; how many words that were.
-    pub(crate) fn clear(&mut self, to: Member) -> u64 {
+    pub(crate) fn clear(&mut self, to: NodeId) -> u64 {
         let mut words = 0;
         for line in &mut self.lines {
             for item in line.peers.remove(&to).into_iter().flatten() {
                 line.held -= item.size();
-                words += u64::from(matches!(item, Item::Word { .. }));
+                words += u64::from(matches!(item, Item::Message { .. }));
             }
         }
         words
--- a/crates/peer-transport/src/say.rs
+++ b/crates/peer-transport/src/say.rs
@@ -4,7 +4,7 @@
 use crate::frame::{Body, Frame, HEAD, LAST, ONE_DATAGRAM, Piece, Said};
 use crate::peer::{WAIT, Waiting};
 use crate::queue::Item;
-use crate::{Action, Channel, DATAGRAM, How, LONGEST_WORD, Life, Member, Wire};
+use crate::{Action, Channel, DATAGRAM, How, Incarnation, MAX_MESSAGE_BYTES, NodeId, Wire};
 
 /// Bytes that wait for all peers that have not answered yet. Without a bound 1,000 silent peers would take 24
 /// MB.
@@ -14,30 +14,31 @@
     /// A word is to be said.
     pub(crate) fn send(
         &mut self,
-        to: Member,
+        to: NodeId,
         channel: Channel,
-        word: Vec<u8>,
+        message: Vec<u8>,
         how: How,
         actions: &mut Vec<Action>,
     ) {
         let now = self.now;
         let room = WAITING.saturating_sub(self.waiting);
-        let Some(peer) = self.peers.get_mut(usize::from(to.0)).filter(|_| to != self.config.me)
+        let Some(peer) =
+            self.peers.get_mut(usize::from(to.0)).filter(|_| to != self.config.node_id)
         else {
             self.counts.words.nowhere += 1;
             return;
         };
-        if word.len() > LONGEST_WORD {
+        if message.len() > MAX_MESSAGE_BYTES {
             self.counts.words.too_long += 1;
             return;
         }
         if peer.is_open() {
-            self.line_up(to, channel, word, how);
+            self.line_up(to, channel, message, how);
             return;
         }
         let before = peer.held();
         self.counts.words.waited_in_vain += peer.prune(now);
-        if !peer.wait(Waiting { until: now + WAIT, channel, how, word }, room) {
+        if !peer.wait(Waiting { until: now + WAIT, channel, how, message }, room) {
             self.counts.words.no_room += 1;
         }
         self.waiting = self.waiting + peer.held() - before;
@@ -47,10 +48,10 @@
     }
 
     /// Puts a word in line to a peer whose life is known.
-    pub(crate) fn line_up(&mut self, to: Member, channel: Channel, word: Vec<u8>, how: How) {
-        if word.len() <= ONE_DATAGRAM {
+    pub(crate) fn line_up(&mut self, to: NodeId, channel: Channel, message: Vec<u8>, how: How) {
+        if message.len() <= ONE_DATAGRAM {
             let until = self.now + how.patience();
-            let lined_up = self.queue.push(how, to, Item::Word { channel, word, until });
+            let lined_up = self.queue.push(how, to, Item::Message { channel, message, until });
             self.counts.words.no_room += u64::from(!lined_up);
             return;
         }
@@ -58,25 +59,25 @@
             self.counts.words.used_up += 1;
             return;
         };
-        let (dropped, count) = self.outgoing.keep(self.now, (to, number), (channel, how), word);
+        let (dropped, count) = self.outgoing.keep(self.now, (to, number), (channel, how), message);
         self.counts.words.no_room += dropped;
-        let pieces = (0..count).map(|index| Item::Piece { word: number, index });
+        let pieces = (0..count).map(|index| Item::Piece { message: number, index });
         if !self.queue.push_all(how, to, pieces) {
             self.counts.words.no_room += self.outgoing.give_up(to, number);
         }
     }
 
     /// The next sequence to this member, until all are used up.
-    fn next_sequence(&mut self, to: Member) -> Option<u64> {
+    fn next_sequence(&mut self, to: NodeId) -> Option<u64> {
         let peer = self.peers.get_mut(usize::from(to.0)).filter(|peer| peer.sequence < LAST)?;
         peer.sequence += 1;
         Some(peer.sequence)
     }
 
     /// Says hello to a peer for which words wait, and sets when to do it again.
-    fn call(&mut self, to: Member, actions: &mut Vec<Action>) {
-        let life = self.life(to).unwrap_or(Life(0));
-        self.hello(to, life, 0, actions);
+    fn call(&mut self, to: NodeId, actions: &mut Vec<Action>) {
+        let incarnation = self.incarnation(to).unwrap_or(Incarnation(0));
+        self.hello(to, incarnation, 0, actions);
         let Some(peer) = self.peers.get_mut(usize::from(to.0)) else { return };
         let at = self.now + peer.patience(&mut self.chance);
         peer.again = Some(at);
@@ -85,7 +86,13 @@
 
     /// Says hello to this life: gives back what was asked (0: nothing was), and asks unless both know each
     /// other.
-    pub(crate) fn hello(&mut self, to: Member, life: Life, answer: u32, actions: &mut Vec<Action>) {
+    pub(crate) fn hello(
+        &mut self,
+        to: NodeId,
+        incarnation: Incarnation,
+        answer: u32,
+        actions: &mut Vec<Action>,
+    ) {
         let now = self.now;
         let Some(peer) = self.peers.get_mut(usize::from(to.0)) else { return };
         let may = self.tokens.ready(How::Urgent) <= now
@@ -95,11 +102,11 @@
             self.counts.sent.hellos_held_back += 1;
             return;
         }
-        let known = peer.life == Some(life);
+        let known = peer.incarnation == Some(incarnation);
         let ask = if known && peer.knows_us { 0 } else { peer.ask(now, &mut self.nonces) };
         let sequence = peer.sequence;
         self.counts.sent.hellos += 1;
-        self.transmit(to, life, sequence, Body::Hello { ask, answer, known }, actions);
+        self.transmit(to, incarnation, sequence, Body::Hello { ask, answer, known }, actions);
     }
 
     /// What is due by the clock.
@@ -119,9 +126,9 @@
                 peer.leave();
             }
         }
-        for (from, word) in self.incoming.asks(now) {
+        for (from, message) in self.incoming.asks(now) {
             // Where there is no room, it is asked for the next time.
-            self.queue.push(How::Usual, from, Item::Missing { word });
+            self.queue.push(How::Usual, from, Item::Missing { message });
         }
         while let Some(how) = self.queue.most_urgent().filter(|how| self.tokens.ready(*how) <= now)
         {
@@ -131,18 +138,20 @@
     }
 
     /// Sends what is first in this line to this peer.
-    fn next_of(&mut self, how: How, to: Member, actions: &mut Vec<Action>) {
+    fn next_of(&mut self, how: How, to: NodeId, actions: &mut Vec<Action>) {
         match self.queue.pop_if(how, to, |_| true) {
             None => {}
-            Some(Item::Word { until, .. }) if until <= self.now => self.counts.words.no_tokens += 1,
-            Some(Item::Word { channel, word, .. }) => {
-                self.together(how, to, (channel, word), actions)
+            Some(Item::Message { until, .. }) if until <= self.now => {
+                self.counts.words.no_tokens += 1
             }
-            Some(Item::Piece { word, index }) => self.piece(to, word, index, actions),
-            Some(Item::Missing { word }) => {
-                if let Some(which) = self.incoming.missing(to, word) {
+            Some(Item::Message { channel, message, .. }) => {
+                self.together(how, to, (channel, message), actions)
+            }
+            Some(Item::Piece { message, index }) => self.piece(to, message, index, actions),
+            Some(Item::Missing { message }) => {
+                if let Some(which) = self.incoming.missing(to, message) {
                     self.counts.sent.asks += 1;
-                    self.frame(to, Body::Missing { word, which }, actions);
+                    self.frame(to, Body::Missing { message, which }, actions);
                 }
             }
         }
@@ -153,28 +162,29 @@
     fn together(
         &mut self,
         how: How,
-        to: Member,
+        to: NodeId,
         first: (Channel, Vec<u8>),
         actions: &mut Vec<Action>,
     ) {
         let (now, mut length) = (self.now, HEAD + 1 + Said::length(first.1.len()));
         let mut words = vec![first];
         for line in How::ALL.into_iter().skip(how as usize) {
-            while let Some(Item::Word { channel, word, until }) =
+            while let Some(Item::Message { channel, message, until }) =
                 self.queue.pop_if(line, to, |item| {
-                    matches!(item, Item::Word { word, until, .. }
-                    if *until <= now || length + Said::length(word.len()) <= DATAGRAM)
+                    matches!(item, Item::Message { message, until, .. }
+                    if *until <= now || length + Said::length(message.len()) <= DATAGRAM)
                 })
             {
                 if until <= now {
                     self.counts.words.no_tokens += 1;
                 } else {
-                    length += Said::length(word.len());
-                    words.push((channel, word));
+                    length += Said::length(message.len());
+                    words.push((channel, message));
                 }
             }
         }
-        let said = words.iter().map(|(channel, word)| Said { channel: *channel, word }).collect();
+        let said =
+            words.iter().map(|(channel, message)| Said { channel: *channel, message }).collect();
         let count = words.len() as u64;
         match self.frame(to, Body::Words(said), actions) {
             true => self.counts.words.said += count,
@@ -182,15 +192,15 @@
         }
     }
 
-    fn piece(&mut self, to: Member, word: u64, index: u8, actions: &mut Vec<Action>) {
+    fn piece(&mut self, to: NodeId, message: u64, index: u8, actions: &mut Vec<Action>) {
         let last = self.peers.get(usize::from(to.0)).map_or(0, |peer| peer.sequence);
         // The frame's own will be one more. Only a budget of ten times the usual gets so far within a word's
         // time.
-        let Ok(back) = u16::try_from(last + 1 - word.min(last)) else {
-            self.counts.words.no_tokens += self.outgoing.give_up(to, word);
+        let Ok(back) = u16::try_from(last + 1 - message.min(last)) else {
+            self.counts.words.no_tokens += self.outgoing.give_up(to, message);
             return;
         };
-        let Some(going) = self.outgoing.go(to, word, index) else { return };
+        let Some(going) = self.outgoing.go(to, message, index) else { return };
         let piece = Piece { channel: going.channel, back, index, count: going.count };
         if self.frame(to, Body::Piece(piece, &going.data), actions) {
             self.counts.sent.pieces += 1;
@@ -201,23 +211,25 @@
 
     /// Sends a frame with a sequence of its own to the life that is known; `false` where all sequences are
     /// used up.
-    fn frame(&mut self, to: Member, body: Body<'_>, actions: &mut Vec<Action>) -> bool {
-        let life = self.life(to);
-        let (Some(life), Some(sequence)) = (life, self.next_sequence(to)) else { return false };
-        self.transmit(to, life, sequence, body, actions);
+    fn frame(&mut self, to: NodeId, body: Body<'_>, actions: &mut Vec<Action>) -> bool {
+        let incarnation = self.incarnation(to);
+        let (Some(incarnation), Some(sequence)) = (incarnation, self.next_sequence(to)) else {
+            return false;
+        };
+        self.transmit(to, incarnation, sequence, body, actions);
         true
     }
 
     fn transmit(
         &mut self,
-        to: Member,
-        life: Life,
+        to: NodeId,
+        incarnation: Incarnation,
         sequence: u64,
         body: Body<'_>,
         actions: &mut Vec<Action>,
     ) {
-        let frame = Frame { from: self.config.life, to: life, sequence, body };
-        let bytes = frame.encode(self.config.me, to);
+        let frame = Frame { from: self.config.incarnation, to: incarnation, sequence, body };
+        let bytes = frame.encode(self.config.node_id, to);
         self.tokens.take(self.now, bytes.len());
         self.counts.sent.datagrams += 1;
         self.counts.sent.bytes += bytes.len() as u64;
--- a/crates/peer-transport/src/tests.rs
+++ b/crates/peer-transport/src/tests.rs
@@ -7,21 +7,23 @@
 use proptest::prelude::*;
 
 use crate::frame::{Bad, Body, Frame, HELLO, PIECE, Piece, Said};
-use crate::{Action, Budget, Channel, Config, DATAGRAM, Event, LONGEST_WORD, Life, Member, Wire};
+use crate::{
+    Action, Budget, Channel, Config, DATAGRAM, Event, Incarnation, MAX_MESSAGE_BYTES, NodeId, Wire,
+};
 
-const ME: Member = Member(0);
-const PEER: Member = Member(1);
+const ME: NodeId = NodeId(0);
+const PEER: NodeId = NodeId(1);
 
 fn wire() -> Wire {
-    let (life, budget) = (Life(5), Budget::default());
-    Wire::new(Config { me: ME, members: 30, life, seed: 9, budget }).expect("sound")
+    let (incarnation, budget) = (Incarnation(5), Budget::default());
+    Wire::new(Config { node_id: ME, members: 30, incarnation, seed: 9, budget }).expect("sound")
 }
 
 fn hear(
     wire: &mut Wire,
     now: Duration,
-    from: Life,
-    to: Life,
+    from: Incarnation,
+    to: Incarnation,
     sequence: u64,
     body: Body<'_>,
 ) -> Vec<Action> {
@@ -48,14 +50,14 @@
 }
 
 /// Confirmed at once, as far as `sequence`.
-fn confirmed(wire: &mut Wire, now: Duration, life: Life, sequence: u64) {
-    let nonce = asked(&hear(wire, now, life, Life(0), 0, hello(1, 0)));
-    let actions = hear(wire, now, life, Life(5), sequence, hello(0, nonce));
-    assert!(actions.contains(&Action::Reborn { from: PEER, life }), "{actions:?}");
+fn confirmed(wire: &mut Wire, now: Duration, incarnation: Incarnation, sequence: u64) {
+    let nonce = asked(&hear(wire, now, incarnation, Incarnation(0), 0, hello(1, 0)));
+    let actions = hear(wire, now, incarnation, Incarnation(5), sequence, hello(0, nonce));
+    assert!(actions.contains(&Action::Reborn { from: PEER, incarnation }), "{actions:?}");
 }
 
-fn word(word: &[u8]) -> Body<'_> {
-    Body::Words(vec![Said { channel: Channel::Log, word }])
+fn message(message: &[u8]) -> Body<'_> {
+    Body::Words(vec![Said { channel: Channel::Log, message }])
 }
 
 fn any_body() -> impl Strategy<Value = (u8, u64, u64, u8, u8, Vec<u8>)> {
@@ -72,23 +74,23 @@
 fn body((kind, near, far, index, count, data): &(u8, u64, u64, u8, u8, Vec<u8>)) -> Body<'_> {
     match kind {
         0 => Body::Hello { ask: *far as u32, answer: *near as u32, known: near % 2 == 0 },
-        1 => word(data),
+        1 => message(data),
         2 => {
             let piece =
                 Piece { channel: Channel::Lists, back: *near as u16, index: *index, count: *count };
             Body::Piece(piece, data)
         }
-        _ => Body::Missing { word: *near, which: u128::from(*far) << (near % 64) },
+        _ => Body::Missing { message: *near, which: u128::from(*far) << (near % 64) },
     }
 }
 
 proptest! {
     #[test]
     fn frames_come_back_as_they_were_and_flipped_cut_or_of_others_not_at_all(
-        one in any_body(), lives in any::<(u32, u32)>(), sequence in 0..=crate::frame::LAST,
+        one in any_body(), incarnations in any::<(u32, u32)>(), sequence in 0..=crate::frame::LAST,
         flips in proptest::collection::btree_set(0..DATAGRAM * 8, 1..=4),
     ) {
-        let (from, to) = (Life(lives.0.max(1)), Life(lives.1));
+        let (from, to) = (Incarnation(incarnations.0.max(1)), Incarnation(incarnations.1));
         let frame = Frame { from, to, sequence, body: body(&one) };
         let bytes = frame.encode(PEER, ME);
         prop_assert!(bytes.len() <= DATAGRAM && (bytes.len() >= HELLO || one.0 == 2));
@@ -97,8 +99,8 @@
             // What is no piece of any word.
             Err(bad) => prop_assert_eq!((bad, one.0), (Bad::Unreadable, 2)),
         }
-        prop_assert_eq!(Frame::decode(Member(2), ME, &bytes), Err(Bad::Torn));
-        prop_assert_eq!(Frame::decode(PEER, Member(2), &bytes), Err(Bad::Torn));
+        prop_assert_eq!(Frame::decode(NodeId(2), ME, &bytes), Err(Bad::Torn));
+        prop_assert_eq!(Frame::decode(PEER, NodeId(2), &bytes), Err(Bad::Torn));
         prop_assert!(Frame::decode(PEER, ME, &bytes[..bytes.len() - 1]).is_err(), "cut");
         let mut flipped = bytes.clone();
         flips.iter().filter(|bit| *bit / 8 < bytes.len()).for_each(|bit| flipped[bit / 8] ^= 1 << (bit % 8));
@@ -130,20 +132,20 @@
         frames in proptest::collection::vec((any_body(), 1..2_000u64, 0..50u64), 1..150),
     ) {
         let mut wire = wire();
-        let (mut now, life) = (Duration::ZERO, Life(8));
-        confirmed(&mut wire, now, life, 0);
+        let (mut now, incarnation) = (Duration::ZERO, Incarnation(8));
+        confirmed(&mut wire, now, incarnation, 0);
         let mut actions = Vec::new();
         let send = Event::Send {
-            to: PEER, channel: Channel::Log, word: vec![1; LONGEST_WORD], how: crate::How::Usual,
+            to: PEER, channel: Channel::Log, message: vec![1; MAX_MESSAGE_BYTES], how: crate::How::Usual,
         };
         wire.handle(now, send, &mut actions);
         for (one, sequence, later) in &frames {
             now += Duration::from_millis(*later);
-            for action in hear(&mut wire, now, life, Life(5), *sequence, body(one)) {
+            for action in hear(&mut wire, now, incarnation, Incarnation(5), *sequence, body(one)) {
                 match action {
-                    Action::Deliver { from, life: whose, word, .. } => {
-                        prop_assert_eq!((from, whose), (PEER, life));
-                        prop_assert!(word.len() <= LONGEST_WORD);
+                    Action::Deliver { from, incarnation: whose, message, .. } => {
+                        prop_assert_eq!((from, whose), (PEER, incarnation));
+                        prop_assert!(message.len() <= MAX_MESSAGE_BYTES);
                     }
                     Action::Transmit { to, .. } => prop_assert_eq!(to, PEER),
                     Action::Reborn { .. } => prop_assert!(false, "no new life"),
@@ -160,22 +162,30 @@
 #[test]
 fn only_the_answer_to_the_nonce_that_is_asked_now_confirms_a_life() {
     let (mut wire, now) = (wire(), Duration::from_secs(1));
-    let first = asked(&hear(&mut wire, now, Life(8), Life(5), 3, word(b"who is there")));
+    let first =
+        asked(&hear(&mut wire, now, Incarnation(8), Incarnation(5), 3, message(b"who is there")));
     assert_eq!(wire.counts().dropped.unconfirmed, 1);
     assert_ne!(first, 0, "it is asked who it is");
     // A guess, an answer to a former life of ours, and the right one too late.
-    hear(&mut wire, now, Life(8), Life(5), 3, hello(0, first ^ 1));
-    hear(&mut wire, now, Life(8), Life(4), 3, hello(0, first));
-    hear(&mut wire, now + Duration::from_secs(5), Life(8), Life(5), 3, hello(0, first));
-    assert_eq!((wire.life(PEER), wire.counts().heard.stale_nonces), (None, 3));
+    hear(&mut wire, now, Incarnation(8), Incarnation(5), 3, hello(0, first ^ 1));
+    hear(&mut wire, now, Incarnation(8), Incarnation(4), 3, hello(0, first));
+    hear(
+        &mut wire,
+        now + Duration::from_secs(5),
+        Incarnation(8),
+        Incarnation(5),
+        3,
+        hello(0, first),
+    );
+    assert_eq!((wire.incarnation(PEER), wire.counts().heard.stale_nonces), (None, 3));
     let now = now + Duration::from_secs(9);
-    let second = asked(&hear(&mut wire, now, Life(8), Life(5), 4, word(b"again")));
+    let second = asked(&hear(&mut wire, now, Incarnation(8), Incarnation(5), 4, message(b"again")));
     assert!(second != 0 && second != first);
-    hear(&mut wire, now, Life(8), Life(5), 4, hello(0, second));
-    assert_eq!(wire.life(PEER), Some(Life(8)));
+    hear(&mut wire, now, Incarnation(8), Incarnation(5), 4, hello(0, second));
+    assert_eq!(wire.incarnation(PEER), Some(Incarnation(8)));
     // Once: the same answer makes no other life.
-    hear(&mut wire, now, Life(7), Life(5), 4, hello(0, second));
-    assert_eq!(wire.life(PEER), Some(Life(8)));
+    hear(&mut wire, now, Incarnation(7), Incarnation(5), 4, hello(0, second));
+    assert_eq!(wire.incarnation(PEER), Some(Incarnation(8)));
 }
 
 #[test]
@@ -183,31 +193,38 @@
     let (mut wire, now) = (wire(), Duration::ZERO);
     let delivers =
         |actions: Vec<Action>| actions.iter().any(|a| matches!(a, Action::Deliver { .. }));
-    confirmed(&mut wire, now, Life(8), 0);
-    assert!(delivers(hear(&mut wire, now, Life(8), Life(5), 1, word(b"one"))));
+    confirmed(&mut wire, now, Incarnation(8), 0);
+    assert!(delivers(hear(&mut wire, now, Incarnation(8), Incarnation(5), 1, message(b"one"))));
     let piece = |back, index| Piece { channel: Channel::Log, back, index, count: 2 };
     let first = Body::Piece(piece(1, 0), &[7; PIECE]);
-    assert!(!delivers(hear(&mut wire, now, Life(8), Life(5), 3, first)));
+    assert!(!delivers(hear(&mut wire, now, Incarnation(8), Incarnation(5), 3, first)));
     // Another process under the same name, and the first one again.
-    confirmed(&mut wire, now, Life(9), 0);
-    assert!(!delivers(hear(&mut wire, now, Life(8), Life(5), 4, word(b"late"))));
-    confirmed(&mut wire, now + Duration::from_secs(9), Life(8), 4);
-    assert!(!delivers(hear(&mut wire, now, Life(8), Life(5), 1, word(b"one"))));
+    confirmed(&mut wire, now, Incarnation(9), 0);
+    assert!(!delivers(hear(&mut wire, now, Incarnation(8), Incarnation(5), 4, message(b"late"))));
+    confirmed(&mut wire, now + Duration::from_secs(9), Incarnation(8), 4);
+    assert!(!delivers(hear(&mut wire, now, Incarnation(8), Incarnation(5), 1, message(b"one"))));
     assert_eq!(wire.counts().dropped.late, 1);
     // Word 2 began before; its pieces may have been put together then.
     for index in [0, 1] {
         let body = Body::Piece(piece(3 + u16::from(index), index), &[7; PIECE]);
-        assert!(!delivers(hear(&mut wire, now, Life(8), Life(5), 5 + u64::from(index), body)));
+        assert!(!delivers(hear(
+            &mut wire,
+            now,
+            Incarnation(8),
+            Incarnation(5),
+            5 + u64::from(index),
+            body
+        )));
     }
     assert!(!delivers(hear(
         &mut wire,
         now,
-        Life(8),
-        Life(4),
+        Incarnation(8),
+        Incarnation(4),
         9,
-        word(b"to a former life of ours")
+        message(b"to a former life of ours")
     )));
-    assert!(delivers(hear(&mut wire, now, Life(8), Life(5), 10, word(b"new"))));
+    assert!(delivers(hear(&mut wire, now, Incarnation(8), Incarnation(5), 10, message(b"new"))));
 }
 
 #[test]
@@ -218,7 +235,7 @@
         Frame::decode(
             PEER,
             ME,
-            &Frame { from: Life(8), to: Life(5), sequence, body }.encode(PEER, ME),
+            &Frame { from: Incarnation(8), to: Incarnation(5), sequence, body }.encode(PEER, ME),
         )
         .is_ok()
     };
@@ -241,18 +258,20 @@
 #[test]
 fn what_was_to_be_said_to_one_life_is_not_said_to_the_next() {
     let (mut wire, now, mut actions) = (wire(), Duration::from_secs(1), Vec::new());
-    for life in [Life(8), Life(9)] {
-        confirmed(&mut wire, now, life, 0);
-        hear(&mut wire, now, life, Life(5), 1, word(b"I know you"));
-        for word in [vec![1; 9], vec![2; 900]].into_iter().filter(|_| life == Life(8)) {
+    for incarnation in [Incarnation(8), Incarnation(9)] {
+        confirmed(&mut wire, now, incarnation, 0);
+        hear(&mut wire, now, incarnation, Incarnation(5), 1, message(b"I know you"));
+        for message in
+            [vec![1; 9], vec![2; 900]].into_iter().filter(|_| incarnation == Incarnation(8))
+        {
             let (channel, how) = (Channel::Log, crate::How::Usual);
-            wire.handle(now, Event::Send { to: PEER, channel, word, how }, &mut actions);
+            wire.handle(now, Event::Send { to: PEER, channel, message, how }, &mut actions);
         }
     }
     wire.handle(now, Event::Due, &mut actions);
     let went = actions.iter().filter(|action| matches!(action, Action::Transmit { .. })).count();
     assert_eq!(
-        (went, wire.counts().words.former_life, wire.held()),
+        (went, wire.counts().words.previous_incarnation, wire.held()),
         (0, 2, crate::Held::default())
     );
 }
@@ -260,20 +279,20 @@
 #[test]
 fn nobody_is_told_a_word_for_ever_nor_trickles_one_in_for_ever() {
     let (mut wire, mut now, mut actions) = (wire(), Duration::ZERO, Vec::new());
-    confirmed(&mut wire, now, Life(8), 0);
-    hear(&mut wire, now, Life(8), Life(5), 1, word(b"I know you"));
-    let (channel, word, how) = (Channel::Log, vec![1; LONGEST_WORD], crate::How::Usual);
-    wire.handle(now, Event::Send { to: PEER, channel, word, how }, &mut actions);
+    confirmed(&mut wire, now, Incarnation(8), 0);
+    hear(&mut wire, now, Incarnation(8), Incarnation(5), 1, message(b"I know you"));
+    let (channel, message, how) = (Channel::Log, vec![1; MAX_MESSAGE_BYTES], crate::How::Usual);
+    wire.handle(now, Event::Send { to: PEER, channel, message, how }, &mut actions);
     for step in 0..39u64 {
         now += Duration::from_millis(100);
         wire.handle(now, Event::Due, &mut actions);
         hear(
             &mut wire,
             now,
-            Life(8),
-            Life(5),
+            Incarnation(8),
+            Incarnation(5),
             2 + step,
-            Body::Missing { word: 1, which: u128::MAX },
+            Body::Missing { message: 1, which: u128::MAX },
         );
     }
     let sent = &wire.counts().sent;
@@ -285,8 +304,8 @@
         hear(
             &mut wire,
             now,
-            Life(8),
-            Life(5),
+            Incarnation(8),
+            Incarnation(5),
             101 + u64::from(step),
             Body::Piece(piece, &[7; PIECE]),
         );
@@ -298,42 +317,44 @@
 #[test]
 fn a_piece_that_comes_after_its_word_was_whole_begins_nothing() {
     let mut wire = wire();
-    confirmed(&mut wire, Duration::ZERO, Life(8), 0);
+    confirmed(&mut wire, Duration::ZERO, Incarnation(8), 0);
     let mut sequence = 0;
-    let mut say = |wire: &mut Wire, word: u64| {
+    let mut say = |wire: &mut Wire, message: u64| {
         let mut delivered = 0;
         for index in [0, 1] {
             sequence = 700.max(sequence + 1);
             let piece =
-                Piece { channel: Channel::Log, back: (sequence - word) as u16, index, count: 2 };
+                Piece { channel: Channel::Log, back: (sequence - message) as u16, index, count: 2 };
             let body = Body::Piece(piece, &[7; PIECE]);
-            let actions = hear(wire, Duration::ZERO, Life(8), Life(5), sequence, body);
+            let actions =
+                hear(wire, Duration::ZERO, Incarnation(8), Incarnation(5), sequence, body);
             delivered += actions.iter().filter(|a| matches!(a, Action::Deliver { .. })).count();
         }
         delivered
     };
     // The numbers of the last 256 are kept; of those before none counts.
-    let first: usize = (1..=600).map(|word| say(&mut wire, word)).sum();
-    let again: usize = (1..=600).map(|word| say(&mut wire, word)).sum();
+    let first: usize = (1..=600).map(|message| say(&mut wire, message)).sum();
+    let again: usize = (1..=600).map(|message| say(&mut wire, message)).sum();
     assert_eq!((first, again), (600, 0));
     assert_eq!((wire.counts().heard.pieces_again, wire.held().incoming), (1_200, 0));
 }
 
 #[test]
 fn peers_that_begin_words_without_end_keep_no_other_from_being_heard() {
-    let (mut wire, mut actions, honest) = (wire(), Vec::new(), Member(1));
-    for member in (1..30).map(Member) {
-        wire.confirm(member, Life(8), 0, &mut actions);
+    let (mut wire, mut actions, honest) = (wire(), Vec::new(), NodeId(1));
+    for member in (1..30).map(NodeId) {
+        wire.confirm(member, Incarnation(8), 0, &mut actions);
     }
     let mut piece = |from, sequence, back, index| {
         let body =
             Body::Piece(Piece { channel: Channel::Log, back, index, count: 88 }, &[7; PIECE]);
-        let bytes = Frame { from: Life(8), to: Life(5), sequence, body }.encode(from, ME);
+        let bytes =
+            Frame { from: Incarnation(8), to: Incarnation(5), sequence, body }.encode(from, ME);
         wire.handle(Duration::ZERO, Event::Received { from, bytes: &bytes }, &mut actions);
     };
     for index in 0..88 {
         piece(honest, 2 + u64::from(index), 1 + u16::from(index), index);
-        for liar in (2..30).map(Member) {
+        for liar in (2..30).map(NodeId) {
             piece(liar, 2 + u64::from(index), 1, 0);
         }
     }
@@ -349,8 +370,10 @@
         now += Duration::from_millis(1);
         // The shortest of each kind.
         let piece = Piece { channel: Channel::Log, back: 0, index: 1, count: 2 };
-        let body = [hello(i + 1, i), word(&[]), Body::Piece(piece, &[7])][i as usize % 3].clone();
-        let bytes = Frame { from: Life(i + 1), to: Life(5), sequence: 1, body }.encode(PEER, ME);
+        let body =
+            [hello(i + 1, i), message(&[]), Body::Piece(piece, &[7])][i as usize % 3].clone();
+        let bytes = Frame { from: Incarnation(i + 1), to: Incarnation(5), sequence: 1, body }
+            .encode(PEER, ME);
         let mut actions = Vec::new();
         wire.handle(now, Event::Received { from: PEER, bytes: &bytes }, &mut actions);
         said += bytes.len();
--- a/crates/peer-transport/src/tests/formats.rs
+++ b/crates/peer-transport/src/tests/formats.rs
@@ -6,26 +6,26 @@
 use hex::{assert_all_recorded, assert_recorded, recorded};
 
 use crate::frame::{Body, Frame, PIECE, PIECES, Piece, Said};
-use crate::{Channel, Life, Member};
+use crate::{Channel, Incarnation, NodeId};
 
-const SENDER: Member = Member(0x0102);
-const RECEIVER: Member = Member(0x0304);
+const SENDER: NodeId = NodeId(0x0102);
+const RECEIVER: NodeId = NodeId(0x0304);
 
 /// One datagram of each kind, by the name of its recorded bytes. `fragment` fills every fragment but the
 /// last.
 fn datagrams(fragment: &[u8]) -> Vec<(&'static str, Frame<'_>)> {
     let frame = |body| Frame {
-        from: Life(0x1122_3344),
-        to: Life(0x5566_7788),
+        from: Incarnation(0x1122_3344),
+        to: Incarnation(0x5566_7788),
         sequence: 0x01_0203_0405,
         body,
     };
     let first_contact = Frame {
-        to: Life(0),
+        to: Incarnation(0),
         sequence: 0,
         ..frame(Body::Hello { ask: 0xa1a2_a3a4, answer: 0, known: false })
     };
-    let message = |channel, word| Said { channel, word };
+    let message = |channel, message| Said { channel, message };
     let fragment_of = |channel, back, index, count| Piece { channel, back, index, count };
     vec![
         ("handshake_first_contact", first_contact),
@@ -38,12 +38,12 @@
             frame(Body::Hello { ask: 0, answer: 0xb1b2_b3b4, known: true }),
         ),
         ("message_padded", frame(Body::Words(vec![message(Channel::Log, b"x")]))),
-        ("message_empty", frame(Body::Words(vec![message(Channel::Council, b"")]))),
+        ("message_empty", frame(Body::Words(vec![message(Channel::Consensus, b"")]))),
         ("message_long", frame(Body::Words(vec![message(Channel::Sessions, &fragment[..200])]))),
         (
             "messages_on_each_channel",
             frame(Body::Words(vec![
-                message(Channel::Council, b"consensus"),
+                message(Channel::Consensus, b"consensus"),
                 message(Channel::Log, b"log"),
                 message(Channel::Leases, b"leases"),
                 message(Channel::Sessions, b"sessions"),
@@ -57,7 +57,7 @@
         ("fragment_last", frame(Body::Piece(fragment_of(Channel::Leases, 0x0203, 2, 3), b"end"))),
         (
             "retransmission_request",
-            frame(Body::Missing { word: 0x0102_0304, which: 1 << 88 | 0b1011 }),
+            frame(Body::Missing { message: 0x0102_0304, which: 1 << 88 | 0b1011 }),
         ),
     ]
 }
--- a/crates/peer-transport/src/wire.rs
+++ b/crates/peer-transport/src/wire.rs
@@ -12,9 +12,9 @@
 use crate::peer::{Peer, Waiting};
 use crate::queue::{Item, Queue};
 use crate::window::Seen;
-use crate::{Channel, Config, ConfigError, Counts, Life, Member};
+use crate::{Channel, Config, ConfigError, Counts, Incarnation, NodeId};
 #[cfg(doc)]
-use crate::{DATAGRAM, LONGEST_WORD, ONE_DATAGRAM};
+use crate::{DATAGRAM, MAX_MESSAGE_BYTES, ONE_DATAGRAM};
 
 /// How urgent a word is: who goes first, who leaves tokens to whom, and how long it is worth saying.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -43,7 +43,7 @@
     /// A datagram came from the address of this member.
     Received {
         /// Whose address in `peers` it came from.
-        from: Member,
+        from: NodeId,
         /// As it came; one that was longer than [`DATAGRAM`] with at least one byte more.
         bytes: &'a [u8],
     },
@@ -52,11 +52,11 @@
     /// A word is to be said. Nothing promises that it arrives.
     Send {
         /// To whom.
-        to: Member,
+        to: NodeId,
         /// For whom there.
         channel: Channel,
-        /// At most [`LONGEST_WORD`] bytes; up to [`ONE_DATAGRAM`] go in one datagram.
-        word: Vec<u8>,
+        /// At most [`MAX_MESSAGE_BYTES`] bytes; up to [`ONE_DATAGRAM`] go in one datagram.
+        message: Vec<u8>,
         /// How urgent it is.
         how: How,
     },
@@ -71,20 +71,20 @@
     /// than a count.
     Transmit {
         /// To the address of this member.
-        to: Member,
+        to: NodeId,
         /// What it holds.
         bytes: Vec<u8>,
     },
     /// A word has come, whole and not before.
     Deliver {
         /// Who said it.
-        from: Member,
+        from: NodeId,
         /// In which life: the one that the last [`Action::Reborn`] of this member named.
-        life: Life,
+        incarnation: Incarnation,
         /// For whom it is.
         channel: Channel,
         /// What was said.
-        word: Vec<u8>,
+        message: Vec<u8>,
     },
     /// Hand in [`Event::Due`] at this moment, or, if it is past, once all events at hand were handed in. It
     /// replaces what was asked for before.
@@ -93,9 +93,9 @@
     /// and was told is gone.
     Reborn {
         /// Who.
-        from: Member,
+        from: NodeId,
         /// The life that has just shown that it is there.
-        life: Life,
+        incarnation: Incarnation,
     },
 }
 
@@ -120,7 +120,7 @@
     /// By number.
     pub(crate) peers: Vec<Peer>,
     /// Hellos that are due.
-    pub(crate) hellos: BTreeSet<(Duration, Member)>,
+    pub(crate) hellos: BTreeSet<(Duration, NodeId)>,
     pub(crate) hello_pace: Pace,
     pub(crate) tokens: Tokens,
     pub(crate) queue: Queue,
@@ -176,13 +176,13 @@
     }
 
     /// This process's own life.
-    pub fn own_life(&self) -> Life {
-        self.config.life
+    pub fn own_incarnation(&self) -> Incarnation {
+        self.config.incarnation
     }
 
     /// The life of a member that has answered last; `None`: none has.
-    pub fn life(&self, of: Member) -> Option<Life> {
-        self.peers.get(usize::from(of.0))?.life
+    pub fn incarnation(&self, of: NodeId) -> Option<Incarnation> {
+        self.peers.get(usize::from(of.0))?.incarnation
     }
 
     /// `now` is monotonic time since the process's start; an earlier one than before counts as that one.
@@ -191,7 +191,9 @@
         match event {
             Event::Received { from, bytes } => self.received(from, bytes, actions),
             Event::Stranger => self.counts.dropped.strange += 1,
-            Event::Send { to, channel, word, how } => self.send(to, channel, word, how, actions),
+            Event::Send { to, channel, message, how } => {
+                self.send(to, channel, message, how, actions)
+            }
             Event::Due => self.due(actions),
         }
         self.counts.delivered.pieces_given_up += self.incoming.take_given_up();
@@ -208,13 +210,13 @@
         [tokens, hello, self.incoming.next_due()].into_iter().flatten().min()
     }
 
-    fn received(&mut self, from: Member, bytes: &[u8], actions: &mut Vec<Action>) {
-        let (me, mine, now) = (self.config.me, self.config.life, self.now);
-        let Some(peer) = self.peers.get_mut(usize::from(from.0)).filter(|_| from != me) else {
+    fn received(&mut self, from: NodeId, bytes: &[u8], actions: &mut Vec<Action>) {
+        let (node_id, mine, now) = (self.config.node_id, self.config.incarnation, self.now);
+        let Some(peer) = self.peers.get_mut(usize::from(from.0)).filter(|_| from != node_id) else {
             self.counts.dropped.strange += 1;
             return;
         };
-        let frame = match Frame::decode(from, me, bytes) {
+        let frame = match Frame::decode(from, node_id, bytes) {
             Ok(frame) => frame,
             Err(bad) => {
                 let dropped = &mut self.counts.dropped;
@@ -236,7 +238,7 @@
                     self.counts.heard.stale_nonces += 1;
                 }
             }
-            let is_its = self.life(from) == Some(frame.from);
+            let is_its = self.incarnation(from) == Some(frame.from);
             if is_its && known && frame.to == mine {
                 self.open(from);
             }
@@ -245,11 +247,11 @@
             }
             return;
         }
-        if peer.life != Some(frame.from) || frame.to != mine {
-            if peer.life.is_none() && frame.to == mine {
+        if peer.incarnation != Some(frame.from) || frame.to != mine {
+            if peer.incarnation.is_none() && frame.to == mine {
                 self.counts.dropped.unconfirmed += 1;
             } else {
-                self.counts.dropped.former_life += 1;
+                self.counts.dropped.previous_incarnation += 1;
             }
             // Whoever is there now is to say so; and is to learn who is here now.
             if bytes.len() >= HELLO {
@@ -269,14 +271,14 @@
     }
 
     /// A frame that counts.
-    fn heard(&mut self, from: Member, frame: &Frame<'_>, actions: &mut Vec<Action>) {
+    fn heard(&mut self, from: NodeId, frame: &Frame<'_>, actions: &mut Vec<Action>) {
         let heard = &mut self.counts.heard;
         match &frame.body {
             Body::Hello { .. } => {}
             Body::Words(words) => {
                 heard.words += 1;
-                for Said { channel, word } in words {
-                    self.deliver(from, frame.from, *channel, word.to_vec(), actions);
+                for Said { channel, message } in words {
+                    self.deliver(from, frame.from, *channel, message.to_vec(), actions);
                 }
             }
             Body::Piece(piece, data) => {
@@ -290,18 +292,19 @@
                         heard.pieces -= 1;
                         self.counts.dropped.unreadable += 1;
                     }
-                    Came::Whole(channel, word) => {
-                        self.deliver(from, frame.from, channel, word, actions)
+                    Came::Whole(channel, message) => {
+                        self.deliver(from, frame.from, channel, message, actions)
                     }
                 }
             }
-            Body::Missing { word, which } => {
+            Body::Missing { message, which } => {
                 heard.asks += 1;
-                let (again, how, refused) = self.outgoing.ask(from, *word, *which);
+                let (again, how, refused) = self.outgoing.ask(from, *message, *which);
                 self.counts.sent.pieces_refused += refused;
-                let items = again.iter().map(|index| Item::Piece { word: *word, index: *index });
+                let items =
+                    again.iter().map(|index| Item::Piece { message: *message, index: *index });
                 if !self.queue.push_all(how, from, items) {
-                    self.outgoing.not_in_line(from, *word, &again);
+                    self.outgoing.not_in_line(from, *message, &again);
                     self.counts.sent.pieces_refused += again.len() as u64;
                 }
             }
@@ -310,43 +313,44 @@
 
     fn deliver(
         &mut self,
-        from: Member,
-        life: Life,
+        from: NodeId,
+        incarnation: Incarnation,
         channel: Channel,
-        word: Vec<u8>,
+        message: Vec<u8>,
         actions: &mut Vec<Action>,
     ) {
         self.counts.delivered.words += 1;
-        actions.push(Action::Deliver { from, life, channel, word });
+        actions.push(Action::Deliver { from, incarnation, channel, message });
     }
 
     /// This life of a peer has just answered.
     pub(crate) fn confirm(
         &mut self,
-        from: Member,
-        life: Life,
+        from: NodeId,
+        incarnation: Incarnation,
         sequence: u64,
         actions: &mut Vec<Action>,
     ) {
         let Some(peer) = self.peers.get_mut(usize::from(from.0)) else { return };
-        if peer.life == Some(life) {
+        if peer.incarnation == Some(incarnation) {
             return;
         }
         // What was put together and what was to be said was with another life. Nobody knows whether it still
         // holds.
-        if peer.life.is_some() {
+        if peer.incarnation.is_some() {
             self.waiting -= peer.held();
-            self.counts.words.former_life += peer.take_waiting().len() as u64;
+            self.counts.words.previous_incarnation += peer.take_waiting().len() as u64;
         }
-        peer.confirm(life, sequence);
+        peer.confirm(incarnation, sequence);
         self.incoming.begin(from, sequence);
-        self.counts.words.former_life += self.queue.clear(from) + self.outgoing.clear(from);
-        self.counts.heard.lives += 1;
-        actions.push(Action::Reborn { from, life });
+        self.counts.words.previous_incarnation +=
+            self.queue.clear(from) + self.outgoing.clear(from);
+        self.counts.heard.incarnations += 1;
+        actions.push(Action::Reborn { from, incarnation });
     }
 
     /// A peer whose life is confirmed has shown that it has confirmed ours: what waits for it gets in line.
-    fn open(&mut self, to: Member) {
+    fn open(&mut self, to: NodeId) {
         let Some(peer) = self.peers.get_mut(usize::from(to.0)).filter(|peer| !peer.knows_us) else {
             return;
         };
@@ -356,11 +360,11 @@
         }
         peer.leave();
         self.waiting -= peer.held();
-        for Waiting { until, channel, how, word } in peer.take_waiting() {
+        for Waiting { until, channel, how, message } in peer.take_waiting() {
             if until <= self.now {
                 self.counts.words.waited_in_vain += 1;
             } else {
-                self.line_up(to, channel, word, how);
+                self.line_up(to, channel, message, how);
             }
         }
     }
--- a/crates/peer-transport/tests/bounds.rs
+++ b/crates/peer-transport/tests/bounds.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hollowpaddle_peer_transport::{
-    Budget, ConfigError, Event, Held, How, LONGEST_WORD, Life, Member, Wire,
+    Budget, ConfigError, Event, Held, How, Incarnation, MAX_MESSAGE_BYTES, NodeId, Wire,
 };
 use net::{Net, Weather, config, ms};
 
@@ -21,7 +21,7 @@
     for (at, wire) in net.wires.iter().enumerate() {
         let known = wire
             .as_ref()
-            .map_or(0, |w| (0..members).filter(|m| w.life(Member(*m)).is_some()).count());
+            .map_or(0, |w| (0..members).filter(|m| w.incarnation(NodeId(*m)).is_some()).count());
         assert_eq!(known, usize::from(members) - 1, "{at}");
     }
     net
@@ -50,21 +50,22 @@
     for seed in 0..12 {
         let mut net = acquainted(24, seed);
         net.weather = Weather { loss: 0.3, jitter_ms: 5, copies: 0.1, replays: 0.2, flips: 0.01 };
-        for other in (1..24).map(Member) {
+        for other in (1..24).map(NodeId) {
             // All silent: those known say nothing, and a new life of member 0 hears from nobody.
             if seed % 4 == 0 {
-                net.cut.insert((other, Member(0)));
+                net.cut.insert((other, NodeId(0)));
             }
         }
         let before = net.transmitted.len();
         for step in 0..300u64 {
             for other in 1..24u16 {
                 let how = [How::Urgent, How::Usual, How::Bulk][usize::from(other) % 3];
-                let length = if (step + u64::from(other)) % 8 == 0 { LONGEST_WORD } else { 100 };
+                let length =
+                    if (step + u64::from(other)) % 8 == 0 { MAX_MESSAGE_BYTES } else { 100 };
                 net.say(0, other, length, how);
                 // What they begin to hear is cut off in between: they ask for pieces, and ask again.
                 if seed % 4 == 1 && net.chance.rand_range(0..10) == 0 {
-                    let link = (Member(0), Member(other));
+                    let link = (NodeId(0), NodeId(other));
                     _ = net.cut.remove(&link) || net.cut.insert(link);
                 }
                 if seed % 4 >= 2 && net.chance.rand_range(0..20) == 0 {
@@ -85,7 +86,7 @@
             assert!(net.counts(0).words.no_tokens > 0, "it was never dry");
             // And each of the words that it was to say met one end.
             net.run(Duration::from_secs(5));
-            net.hand(Member(0), Event::Due);
+            net.hand(NodeId(0), Event::Due);
             assert_eq!(net.ended_words(0), 23 + 300 * 23, "{:?}", net.counts(0).words);
         } else {
             let hellos = net.counts(0).sent.hellos;
@@ -100,13 +101,13 @@
 #[test]
 fn bulk_and_one_peer_s_flood_keep_neither_urgent_words_nor_other_peers_waiting() {
     let mut net = acquainted(4, 1);
-    (0..40).for_each(|_| _ = net.say(0, 1, LONGEST_WORD, How::Bulk));
-    (0..40).for_each(|_| _ = net.say(0, 1, LONGEST_WORD, How::Usual));
+    (0..40).for_each(|_| _ = net.say(0, 1, MAX_MESSAGE_BYTES, How::Bulk));
+    (0..40).for_each(|_| _ = net.say(0, 1, MAX_MESSAGE_BYTES, How::Usual));
     net.run(ms(500));
     let start = net.now;
     let (urgent, other) = (net.say(0, 1, 100, How::Urgent), net.say(0, 2, 100, How::Usual));
     net.run(ms(100));
-    let took = |word| net.delivered.get(&word).map(|at| *at - start);
+    let took = |message| net.delivered.get(&message).map(|at| *at - start);
     assert!(took(urgent).is_some_and(|took| took < ms(3)), "{:?}", took(urgent));
     assert!(took(other).is_some_and(|took| took < ms(5)), "{:?}", took(other));
     within(&Budget::default(), &net, 0);
@@ -121,15 +122,15 @@
     let (mut worst, mut of_one) = (Held::default(), 0);
     for step in 0..200 {
         for other in 1..58 {
-            net.say(other, 0, LONGEST_WORD, How::Usual);
+            net.say(other, 0, MAX_MESSAGE_BYTES, How::Usual);
         }
         for _ in 0..20 {
-            net.say(0, step % 60, LONGEST_WORD, How::Bulk);
+            net.say(0, step % 60, MAX_MESSAGE_BYTES, How::Bulk);
             net.say(59, step % 59, 2_000, How::Usual);
             net.say(
                 58,
                 57,
-                LONGEST_WORD,
+                MAX_MESSAGE_BYTES,
                 [How::Urgent, How::Usual, How::Bulk][usize::from(step) % 3],
             );
         }
@@ -158,7 +159,7 @@
     // And nothing of it stays: senders keep words for 4 s, and receivers what has begun.
     net.run(Duration::from_secs(9));
     for at in 0..60 {
-        net.hand(Member(at), Event::Due);
+        net.hand(NodeId(at), Event::Due);
         let held = net.wires[usize::from(at)].as_ref().expect("up").held();
         assert_eq!(held, Held::default(), "{at}");
     }
@@ -169,12 +170,12 @@
     let (mut wire, mut now, mut actions) = (net::wire(0, 300, 1), Duration::ZERO, Vec::new());
     for step in 0..400u32 {
         now += ms(5);
-        for to in (1..300).filter(|_| step.is_multiple_of(100)).map(Member) {
-            let word = vec![0; 40];
+        for to in (1..300).filter(|_| step.is_multiple_of(100)).map(NodeId) {
+            let message = vec![0; 40];
             let send = Event::Send {
                 to,
                 channel: hollowpaddle_peer_transport::Channel::Log,
-                word,
+                message,
                 how: How::Urgent,
             };
             wire.handle(now, send, &mut actions);
@@ -196,7 +197,7 @@
         .collect();
     let open = |net: &Net| {
         let open = |(a, b): &&(u16, u16)| {
-            net.wires[usize::from(*a)].as_ref().is_some_and(|w| w.life(Member(*b)).is_some())
+            net.wires[usize::from(*a)].as_ref().is_some_and(|w| w.incarnation(NodeId(*b)).is_some())
         };
         links.iter().filter(open).count()
     };
@@ -222,8 +223,8 @@
         Wire::new(config).err()
     };
     assert_eq!(not(|_| ()), None);
-    assert!(matches!(not(|c| c.me = Member(3)), Some(ConfigError::Members { .. })));
+    assert!(matches!(not(|c| c.node_id = NodeId(3)), Some(ConfigError::Members { .. })));
     assert!(matches!(not(|c| c.members = 5_000), Some(ConfigError::Members { .. })));
-    assert_eq!(not(|c| c.life = Life(0)), Some(ConfigError::Life));
+    assert_eq!(not(|c| c.incarnation = Incarnation(0)), Some(ConfigError::Incarnation));
     assert!(matches!(not(|c| c.budget.bytes_burst = 256), Some(ConfigError::Budget { .. })));
 }
--- a/crates/peer-transport/tests/formats.rs
+++ b/crates/peer-transport/tests/formats.rs
@@ -4,8 +4,8 @@
 use std::fmt::Debug;
 
 use hollowpaddle_peer_transport::{
-    Channel, Counts, DATAGRAM, Delivered, Dropped, Heard, Held, LONGEST_WORD, Life, Member,
-    ONE_DATAGRAM, Sent, VERSION, Words, decode, encode,
+    Channel, Counts, DATAGRAM, Delivered, Dropped, Heard, Held, Incarnation, MAX_MESSAGE_BYTES,
+    NodeId, ONE_DATAGRAM, Sent, VERSION, Words, decode, encode,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -20,9 +20,9 @@
 
 #[test]
 fn values_within_messages_have_their_bytes() {
-    assert_encoding(Member(300), &[0xac, 0x02]);
-    assert_encoding(Life(0x0102_0304), &[0x84, 0x86, 0x88, 0x08]);
-    assert_encoding(Channel::Council, &[0]);
+    assert_encoding(NodeId(300), &[0xac, 0x02]);
+    assert_encoding(Incarnation(0x0102_0304), &[0x84, 0x86, 0x88, 0x08]);
+    assert_encoding(Channel::Consensus, &[0]);
     assert_encoding(Channel::Log, &[1]);
     assert_encoding(Channel::Leases, &[2]);
     assert_encoding(Channel::Sessions, &[3]);
@@ -32,7 +32,7 @@
 
 #[test]
 fn bounds_that_both_ends_rely_on_are_the_same() {
-    assert_eq!((VERSION, DATAGRAM, ONE_DATAGRAM, LONGEST_WORD), (1, 256, 233, 20_480));
+    assert_eq!((VERSION, DATAGRAM, ONE_DATAGRAM, MAX_MESSAGE_BYTES), (1, 256, 233, 20_480));
 }
 
 fn counts() -> Counts {
@@ -54,7 +54,7 @@
             pieces_again: 14,
             asks: 15,
             stale_nonces: 16,
-            lives: 17,
+            incarnations: 17,
         },
         dropped: Dropped {
             strange: 21,
@@ -63,7 +63,7 @@
             torn: 24,
             unreadable: 25,
             unconfirmed: 26,
-            former_life: 27,
+            previous_incarnation: 27,
             copy: 28,
             late: 29,
         },
@@ -74,7 +74,7 @@
             no_room: 34,
             no_tokens: 35,
             waited_in_vain: 36,
-            former_life: 37,
+            previous_incarnation: 37,
             used_up: 38,
         },
         delivered: Delivered { words: 41, pieces_given_up: 42 },
--- a/crates/peer-transport/tests/net/mod.rs
+++ b/crates/peer-transport/tests/net/mod.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use hollowpaddle_peer_transport::{
-    Action, Channel, Config, Counts, Event, How, Life, Member, Wire,
+    Action, Channel, Config, Counts, Event, How, Incarnation, NodeId, Wire,
 };
 use oorandom::Rand64;
 
@@ -14,13 +14,19 @@
     Duration::from_millis(ms)
 }
 
-pub fn config(me: u16, members: u16, life: u32) -> Config {
-    let (me, life) = (Member(me), Life(life));
-    Config { me, members, life, seed: u64::from(life.0) << 16 | 7, budget: Default::default() }
+pub fn config(node_id: u16, members: u16, incarnation: u32) -> Config {
+    let (node_id, incarnation) = (NodeId(node_id), Incarnation(incarnation));
+    Config {
+        node_id,
+        members,
+        incarnation,
+        seed: u64::from(incarnation.0) << 16 | 7,
+        budget: Default::default(),
+    }
 }
 
-pub fn wire(me: u16, members: u16, life: u32) -> Wire {
-    Wire::new(config(me, members, life)).expect("a sound configuration")
+pub fn wire(node_id: u16, members: u16, incarnation: u32) -> Wire {
+    Wire::new(config(node_id, members, incarnation)).expect("a sound configuration")
 }
 
 /// What the network does; shares from 0 to 1.
@@ -36,8 +42,8 @@
 }
 
 enum Happens {
-    Arrives { from: Member, to: Member, bytes: Vec<u8> },
-    Due { at: Member },
+    Arrives { from: NodeId, to: NodeId, bytes: Vec<u8> },
+    Due { at: NodeId },
 }
 
 pub struct Net {
@@ -45,25 +51,25 @@
     pub weather: Weather,
     pub wires: Vec<Option<Wire>>,
     /// By sender and receiver.
-    pub cut: BTreeSet<(Member, Member)>,
+    pub cut: BTreeSet<(NodeId, NodeId)>,
     pub chance: Rand64,
     /// The one timer of each.
-    wake: BTreeMap<Member, Duration>,
+    wake: BTreeMap<NodeId, Duration>,
     agenda: BTreeMap<(Duration, u64), Happens>,
     count: u64,
-    lives: u32,
-    every: Vec<(Member, Member, Vec<u8>)>,
+    incarnations: u32,
+    every: Vec<(NodeId, NodeId, Vec<u8>)>,
     /// What was said: from whom, in which life, to whom, and what;
-    said: BTreeMap<u64, (Member, Life, Member, Vec<u8>)>,
+    said: BTreeMap<u64, (NodeId, Incarnation, NodeId, Vec<u8>)>,
     /// and to which life, if one was known.
-    meant: BTreeMap<u64, Life>,
+    meant: BTreeMap<u64, Incarnation>,
     /// What was handed over, and when.
     pub delivered: BTreeMap<u64, Duration>,
     /// The life of a peer that a process was told last.
-    told: BTreeMap<(Member, Member), Life>,
+    told: BTreeMap<(NodeId, NodeId), Incarnation>,
     /// Datagrams that came to the process that is there.
-    pub came: BTreeMap<Member, u64>,
-    pub transmitted: Vec<(Duration, Member, Member, usize)>,
+    pub came: BTreeMap<NodeId, u64>,
+    pub transmitted: Vec<(Duration, NodeId, NodeId, usize)>,
     /// What processes that have ended had counted, and what was said to them and by them.
     pub ended: Vec<Counts>,
 }
@@ -79,7 +85,7 @@
             wake: BTreeMap::new(),
             agenda: BTreeMap::new(),
             count: 0,
-            lives: 0,
+            incarnations: 0,
             every: Vec::new(),
             said: BTreeMap::new(),
             meant: BTreeMap::new(),
@@ -95,35 +101,35 @@
 
     /// The process of this member ends, and another begins.
     pub fn restart(&mut self, member: u16) {
-        self.lives += 1;
+        self.incarnations += 1;
         let members = self.wires.len() as u16;
-        let fresh = wire(member, members, self.lives);
+        let fresh = wire(member, members, self.incarnations);
         self.ended
             .extend(self.wires[usize::from(member)].replace(fresh).map(|w| w.counts().clone()));
         self.told.retain(|(at, _), _| at.0 != member);
-        self.wake.remove(&Member(member));
-        self.came.remove(&Member(member));
+        self.wake.remove(&NodeId(member));
+        self.came.remove(&NodeId(member));
     }
 
     /// Says a word of so many bytes, which tells itself from all others.
     pub fn say(&mut self, from: u16, to: u16, length: usize, how: How) -> u64 {
         let id = self.said.len() as u64 + 1;
-        let mut word = id.to_le_bytes().to_vec();
-        word.extend((8..length).map(|i| (id as usize * 31 + i * 7) as u8));
-        let (from, to) = (Member(from), Member(to));
+        let mut message = id.to_le_bytes().to_vec();
+        message.extend((8..length).map(|i| (id as usize * 31 + i * 7) as u8));
+        let (from, to) = (NodeId(from), NodeId(to));
         let Some(wire) = &mut self.wires[usize::from(from.0)] else { return id };
-        let life = wire.own_life();
-        self.meant.extend(wire.life(to).map(|life| (id, life)));
-        self.said.insert(id, (from, life, to, word.clone()));
-        self.hand(from, Event::Send { to, channel: Channel::Log, word, how });
+        let incarnation = wire.own_incarnation();
+        self.meant.extend(wire.incarnation(to).map(|incarnation| (id, incarnation)));
+        self.said.insert(id, (from, incarnation, to, message.clone()));
+        self.hand(from, Event::Send { to, channel: Channel::Log, message, how });
         id
     }
 
-    pub fn hand(&mut self, at: Member, event: Event<'_>) {
+    pub fn hand(&mut self, at: NodeId, event: Event<'_>) {
         let Some(wire) = &mut self.wires[usize::from(at.0)] else { return };
         let mut actions = Vec::new();
         wire.handle(self.now, event, &mut actions);
-        let mine = wire.own_life();
+        let mine = wire.own_incarnation();
         for action in actions {
             match action {
                 Action::WakeAt(due) => {
@@ -132,20 +138,20 @@
                     self.plan(due, Happens::Due { at });
                 }
                 Action::Transmit { to, bytes } => self.pass(at, to, bytes),
-                Action::Reborn { from, life } => {
-                    self.told.insert((at, from), life);
+                Action::Reborn { from, incarnation } => {
+                    self.told.insert((at, from), incarnation);
                 }
-                Action::Deliver { from, life, channel, word } => {
-                    let id = word.first_chunk::<8>().map(|id| u64::from_le_bytes(*id));
+                Action::Deliver { from, incarnation, channel, message } => {
+                    let id = message.first_chunk::<8>().map(|id| u64::from_le_bytes(*id));
                     let id = id.expect("a word that nobody said");
                     assert_eq!(
                         self.said.get(&id),
-                        Some(&(from, life, at, word)),
+                        Some(&(from, incarnation, at, message)),
                         "as it was said, by whom"
                     );
                     assert_eq!(
                         self.told.get(&(at, from)),
-                        Some(&life),
+                        Some(&incarnation),
                         "of a life that was replaced"
                     );
                     assert_eq!(
@@ -169,7 +175,7 @@
         self.chance.rand_float() < share
     }
 
-    fn pass(&mut self, from: Member, to: Member, bytes: Vec<u8>) {
+    fn pass(&mut self, from: NodeId, to: NodeId, bytes: Vec<u8>) {
         assert!(bytes.len() <= hollowpaddle_peer_transport::DATAGRAM);
         self.transmitted.push((self.now, from, to, bytes.len()));
         if self.weather.replays > 0.0 {
@@ -219,7 +225,7 @@
     }
 
     /// All datagrams that ever went from one to the other, if the weather keeps them for replays.
-    pub fn every(&self, from: Member, to: Member) -> impl Iterator<Item = Vec<u8>> {
+    pub fn every(&self, from: NodeId, to: NodeId) -> impl Iterator<Item = Vec<u8>> {
         self.every
             .iter()
             .filter(move |(f, t, _)| (*f, *t) == (from, to))
@@ -236,8 +242,8 @@
         let (h, d) = (&counts.heard, &counts.dropped);
         let heard = h.hellos + h.words + h.pieces + h.asks;
         let dropped = d.strange + d.too_long + d.version + d.torn + d.unreadable;
-        let dropped = dropped + d.unconfirmed + d.former_life + d.copy + d.late;
-        let came = self.came.get(&Member(member)).copied().unwrap_or(0);
+        let dropped = dropped + d.unconfirmed + d.previous_incarnation + d.copy + d.late;
+        let came = self.came.get(&NodeId(member)).copied().unwrap_or(0);
         assert_eq!(heard + dropped, came, "{counts:#?}");
     }
 
@@ -250,7 +256,7 @@
             + w.no_room
             + w.no_tokens
             + w.waited_in_vain
-            + w.former_life
+            + w.previous_incarnation
             + w.used_up
     }
 }
--- a/crates/peer-transport/tests/network.rs
+++ b/crates/peer-transport/tests/network.rs
@@ -4,7 +4,7 @@
 
 use std::time::Duration;
 
-use hollowpaddle_peer_transport::{Event, How, LONGEST_WORD, Member, ONE_DATAGRAM};
+use hollowpaddle_peer_transport::{Event, How, MAX_MESSAGE_BYTES, NodeId, ONE_DATAGRAM};
 use net::{Net, Weather, ms};
 
 const HOWS: [How; 3] = [How::Urgent, How::Usual, How::Bulk];
@@ -56,7 +56,7 @@
         let all = net.ended.iter().chain((0..5).map(|m| net.counts(m)));
         let (former, copies, torn) = all.fold((0, 0, 0), |(f, c, t), counts| {
             let d = &counts.dropped;
-            (f + d.former_life, c + d.copy, t + d.torn + d.version)
+            (f + d.previous_incarnation, c + d.copy, t + d.torn + d.version)
         });
         assert!(
             former > 20 && copies > 50 && torn > 10,
@@ -82,8 +82,12 @@
         for m in 0..5 {
             let counts = net.counts(m);
             let w = &counts.words;
-            let lost =
-                w.too_long + w.no_room + w.no_tokens + w.waited_in_vain + w.former_life + w.used_up;
+            let lost = w.too_long
+                + w.no_room
+                + w.no_tokens
+                + w.waited_in_vain
+                + w.previous_incarnation
+                + w.used_up;
             assert_eq!(lost, 0, "{w:?}");
             said += w.said;
             net.each_is_counted_once(m);
@@ -107,7 +111,7 @@
         });
         let before = net.transmitted.len();
         let start = net.now;
-        let id = net.say(0, 1, LONGEST_WORD, How::Usual);
+        let id = net.say(0, 1, MAX_MESSAGE_BYTES, How::Usual);
         net.run(Duration::from_secs(5));
         cost += net.transmitted.len() - before;
         if let Some(at) = net.delivered.get(&id) {
@@ -140,26 +144,26 @@
             net.say(0, 1, 900, How::Usual);
             net.run(ms(50));
         }
-        heard.extend(net.every(Member(0), Member(1)));
+        heard.extend(net.every(NodeId(0), NodeId(1)));
         net.restart(1);
     }
-    net.cut.insert((Member(0), Member(1)));
-    net.cut.insert((Member(1), Member(0)));
+    net.cut.insert((NodeId(0), NodeId(1)));
+    net.cut.insert((NodeId(1), NodeId(0)));
     let delivered = net.delivered.len();
     for round in 0..20 {
         for i in 0..heard.len() {
             let bytes = heard[(i * 7 + round) % heard.len()].clone();
-            net.hand(Member(1), Event::Received { from: Member(0), bytes: &bytes });
+            net.hand(NodeId(1), Event::Received { from: NodeId(0), bytes: &bytes });
             net.run(ms(1));
         }
     }
     let wire = net.wires[1].as_ref().expect("up");
     assert_eq!(
-        (wire.life(Member(0)), net.delivered.len()),
+        (wire.incarnation(NodeId(0)), net.delivered.len()),
         (None, delivered),
         "a nonce was replayed"
     );
-    assert!(wire.counts().heard.stale_nonces > 0 && wire.counts().dropped.former_life > 0);
+    assert!(wire.counts().heard.stale_nonces > 0 && wire.counts().dropped.previous_incarnation > 0);
 }
 
 #[test]
@@ -172,8 +176,8 @@
         net.restart(1);
         let words = [net.say(0, 1, 50, How::Usual), net.say(1, 0, 900, How::Usual)];
         net.run(ms(30));
-        for word in words {
-            assert!(net.delivered.contains_key(&word), "seed {seed}");
+        for message in words {
+            assert!(net.delivered.contains_key(&message), "seed {seed}");
         }
     }
 }
@@ -186,9 +190,9 @@
     net.restart(1);
     net.say(0, 1, 50, How::Usual);
     net.run(ms(20));
-    let word = net.say(0, 1, 50, How::Usual);
+    let message = net.say(0, 1, 50, How::Usual);
     net.run(ms(20));
-    assert!(net.delivered.contains_key(&word));
+    assert!(net.delivered.contains_key(&message));
 }
 
 #[test]
@@ -207,6 +211,6 @@
     assert_eq!(cost(&mut net, &[ONE_DATAGRAM]), [256]);
     assert_eq!(cost(&mut net, &[20, 30, 40, 50]), [20 + 2 * 4 + 140]);
     assert_eq!(cost(&mut net, &[ONE_DATAGRAM + 1]), [256, 24 + 2]);
-    let longest = cost(&mut net, &[LONGEST_WORD]);
-    assert_eq!((longest.len(), longest.iter().sum::<usize>()), (89, LONGEST_WORD + 24 * 89));
+    let longest = cost(&mut net, &[MAX_MESSAGE_BYTES]);
+    assert_eq!((longest.len(), longest.iter().sum::<usize>()), (89, MAX_MESSAGE_BYTES + 24 * 89));
 }
--- a/crates/revision/src/children.rs
+++ b/crates/revision/src/dissemination_tree.rs
@@ -4,10 +4,10 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hollowpaddle_peer_transport::{Life, Member};
+use hollowpaddle_peer_transport::{Incarnation, NodeId};
 
-use crate::members::Members;
-use crate::words::Stage;
+use crate::message::Stage;
+use crate::node_set::Members;
 
 /// Children at most: the tree's eight, and as many that have lost their own parent, as the log's learners take them.
 /// Failure, found in played banks: such guests learned the log and got no lease, and of 300 balancers 5 to 34 kept to the
@@ -38,14 +38,14 @@
 
 /// All of them.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Children(BTreeMap<(Member, Life), Child>);
+pub(crate) struct Children(BTreeMap<(NodeId, Incarnation), Child>);
 
 impl Children {
     /// Notes what one said; `None`: there is no room for it.
     pub(crate) fn heard(
         &mut self,
         now: Duration,
-        who: (Member, Life),
+        who: (NodeId, Incarnation),
         asked: u64,
         stage: Stage,
         confirmed: Stage,
@@ -69,7 +69,7 @@
     }
 
     /// One that went elsewhere has left all older stages.
-    pub(crate) fn left_by(&mut self, who: (Member, Life), confirmed: Stage) {
+    pub(crate) fn left_by(&mut self, who: (NodeId, Incarnation), confirmed: Stage) {
         if let Some(child) = self.0.get_mut(&who) {
             child.confirmed = child.confirmed.max(confirmed);
         }
--- a/crates/revision/src/entry.rs
+++ b/crates/revision/src/entry.rs
@@ -1,12 +1,12 @@
 //! What stands in the log: entries in bytes, read back without trust. What they come to is the book's to say.
 
-use hollowpaddle_peer_transport::Member;
+use hollowpaddle_peer_transport::NodeId;
 use serde::{Deserialize, Serialize};
 
-use crate::charter::Charter;
+use crate::canary::{Trial, Why};
 use crate::document::Document;
+use crate::fallback_policy::Charter;
 use crate::fleet::Facts;
-use crate::trial::{Trial, Why};
 
 /// The longest entry, in bytes: the council's bound.
 pub const LONGEST_ENTRY: usize = 16 << 10;
@@ -50,9 +50,9 @@
     TakeBack(u64, Why),
     /// Operators say that this balancer acts on nothing any more, and won't before it has learned the book
     /// anew.
-    Dead(Id, Member),
+    Dead(Id, NodeId),
     /// It is one of the bank again.
-    Alive(Id, Member),
+    Alive(Id, NodeId),
 }
 
 /// Why bytes are no entry, or an entry no bytes.
--- a/crates/revision/src/fleet.rs
+++ b/crates/revision/src/fleet.rs
@@ -5,8 +5,8 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::charter::Floor;
 use crate::document::{Document, LONGEST_NAME, MOST_NAMES, MOST_UPSTREAMS};
+use crate::fallback_policy::Floor;
 use crate::rules::{Place, Rules};
 
 /// Groups of upstreams in the facts at most.
--- a/crates/revision/src/history.rs
+++ b/crates/revision/src/history.rs
@@ -6,10 +6,10 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::book::Refusal;
+use crate::canary::Why;
 use crate::document::Document;
 use crate::entry::Id;
-use crate::trial::Why;
+use crate::policy_state::Refusal;
 
 /// Revisions that are kept. Beyond, the oldest can't be gone back to.
 pub const MOST_REVISIONS: usize = 1000;
--- a/crates/revision/src/in_force.rs
+++ b/crates/revision/src/in_force.rs
@@ -4,8 +4,8 @@
 use std::sync::Arc;
 use std::time::Duration;
 
+use crate::message::Stage;
 use crate::rules::Rules;
-use crate::words::Stage;
 
 /// What is in force at one balancer. It is published as a whole, and never changed.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/revision/src/terms.rs
+++ b/crates/revision/src/lease_interface.rs
@@ -3,22 +3,22 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollowpaddle_peer_transport::{Life, Member};
+use hollowpaddle_peer_transport::{Incarnation, NodeId};
 
-use crate::book::Standing;
-use crate::charter::Charter;
+use crate::canary::Worth;
 use crate::entry::Entry;
+use crate::fallback_policy::Charter;
 use crate::in_force::InForce;
-use crate::trial::Worth;
-use crate::words::{Stage, Word};
+use crate::message::{Message, Stage};
+use crate::policy_state::Standing;
 
 /// This balancer and the agreed figures.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Terms {
     /// Its number.
-    pub me: Member,
+    pub node_id: NodeId,
     /// Its life: answers to another one's questions count for nothing.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// A lease, L.
     pub lease: Duration,
     /// One clock gains or loses so many thousandths against another, at most.
@@ -36,9 +36,18 @@
 
 impl Terms {
     /// With the usual figures, and nothing stored.
-    pub fn usual(me: Member, life: Life, bedrock: Charter) -> Self {
+    pub fn usual(node_id: NodeId, incarnation: Incarnation, bedrock: Charter) -> Self {
         let (lease, renewal) = (Duration::from_secs(2), Duration::from_millis(300));
-        Self { me, life, lease, drift: 10, renewal, exact: false, bedrock, stored: None }
+        Self {
+            node_id,
+            incarnation,
+            lease,
+            drift: 10,
+            renewal,
+            exact: false,
+            bedrock,
+            stored: None,
+        }
     }
 
     /// What is surely over by the time that this length is, on whichever clock.
@@ -63,15 +72,15 @@
         standing: Box<Standing>,
     },
     /// Whom to ask for leases from here on: the source of the log.
-    Parent(Option<Member>),
+    Parent(Option<NodeId>),
     /// A word from a peer, from the life that the wire has confirmed.
-    Word {
+    Message {
         /// Who says it.
-        from: Member,
+        from: NodeId,
         /// Which life of it.
-        life: Life,
+        incarnation: Incarnation,
         /// What.
-        word: Word,
+        message: Message,
     },
     /// This member leads the council.
     Leads {
@@ -107,9 +116,9 @@
     /// Says this to a peer.
     Send {
         /// To whom.
-        to: Member,
+        to: NodeId,
         /// What.
-        word: Word,
+        message: Message,
     },
     /// Requests read this from here on.
     Publish(InForce),
@@ -128,13 +137,13 @@
     /// A peer is at a later stage: the log is to be learned.
     Learn {
         /// From whom.
-        from: Member,
+        from: NodeId,
         /// What it is at.
         stage: Stage,
     },
     /// The parent has no room, or has given nothing for as long as a lease: another one is to be found.
     Elsewhere {
         /// The parent.
-        than: Member,
+        than: NodeId,
     },
 }
--- a/crates/revision/src/seen.rs
+++ b/crates/revision/src/lease_status.rs
@@ -3,11 +3,11 @@
 
 use std::time::Duration;
 
-use hollowpaddle_peer_transport::Member;
+use hollowpaddle_peer_transport::NodeId;
 
 use crate::leases::Leases;
-use crate::members::Members;
-use crate::words::Stage;
+use crate::message::Stage;
+use crate::node_set::Members;
 
 /// What the door says.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -19,9 +19,9 @@
     /// Whose word for the present charter has come, at and under this balancer.
     pub charter: Members,
     /// What it keeps to past its lease: the bedrock, as long as it does not know which charter it held.
-    pub past: std::sync::Arc<crate::charter::Charter>,
+    pub past: std::sync::Arc<crate::fallback_policy::Charter>,
     /// At the leader: who is not heard of at its stage, and since when it is that late (its clock).
-    pub behind: Vec<(Member, Duration)>,
+    pub behind: Vec<(NodeId, Duration)>,
 }
 
 impl Leases {
@@ -40,7 +40,7 @@
     pub(crate) fn note_missing(&mut self) {
         let Some((_, standing)) = &self.at else { return };
         let gone = Members::first(standing.members).without(&self.here());
-        let since = |m: Member| (m, self.missing.get(&m).copied().unwrap_or(self.now));
+        let since = |m: NodeId| (m, self.missing.get(&m).copied().unwrap_or(self.now));
         self.missing = gone.iter().map(since).collect();
     }
 }
--- a/crates/revision/src/leases.rs
+++ b/crates/revision/src/leases.rs
@@ -5,18 +5,18 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollowpaddle_peer_transport::{Life, Member};
+use hollowpaddle_peer_transport::{Incarnation, NodeId};
 
-use crate::book::Standing;
-use crate::charter::Charter;
-use crate::children::Children;
+use crate::canary::Worth;
+use crate::dissemination_tree::Children;
 use crate::entry::Entry;
+use crate::fallback_policy::Charter;
 use crate::in_force::InForce;
-use crate::members::Members;
+pub use crate::lease_interface::{Action, Event, Terms};
+use crate::message::{Message, No, Stage};
+use crate::node_set::Members;
+use crate::policy_state::Standing;
 use crate::rules::Rules;
-pub use crate::terms::{Action, Event, Terms};
-use crate::trial::Worth;
-use crate::words::{No, Stage, Word};
 
 /// No two renewals follow each other sooner: also while forty revisions a second come, words are bounded.
 const LEAST_GAP: Duration = Duration::from_millis(20);
@@ -32,7 +32,7 @@
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Parent {
-    member: Member,
+    member: NodeId,
     /// When it gave something last, or became the parent.
     fed: Duration,
 }
@@ -67,7 +67,7 @@
     pub(crate) said: (Stage, Members),
     parent: Option<Parent>,
     /// Parents before it that may still count a lease as running, and until when.
-    former: Vec<(Member, Duration)>,
+    former: Vec<(NodeId, Duration)>,
     asked: VecDeque<Duration>,
     /// There is something to say that no renewal has said.
     news: bool,
@@ -84,7 +84,7 @@
     published: Option<InForce>,
     wakes: Option<Duration>,
     /// Members that were not heard of at the present stage, since when; at the leader.
-    pub(crate) missing: BTreeMap<Member, Duration>,
+    pub(crate) missing: BTreeMap<NodeId, Duration>,
 }
 
 impl Leases {
@@ -140,7 +140,9 @@
                     self.tell();
                 }
             }
-            Event::Word { from, life, word } => self.word(from, life, word, actions),
+            Event::Message { from, incarnation, message } => {
+                self.message(from, incarnation, message, actions)
+            }
             Event::Leads { since, epoch, from } => {
                 self.lead = Some(Lead { since, from: (epoch, from), round: None });
             }
@@ -224,22 +226,28 @@
         lease.max(round).filter(|until| self.now < *until)
     }
 
-    fn word(&mut self, from: Member, life: Life, word: Word, actions: &mut Vec<Action>) {
-        match word {
-            Word::Renew { asked, stage, confirmed, here, charter } => {
+    fn message(
+        &mut self,
+        from: NodeId,
+        incarnation: Incarnation,
+        message: Message,
+        actions: &mut Vec<Action>,
+    ) {
+        match message {
+            Message::Renew { asked, stage, confirmed, here, charter } => {
                 if let Some((_, members)) =
                     charter.filter(|(generation, _)| *generation == self.said.0)
                 {
                     self.said.1.extend(&members);
                 }
-                let word = self.answer((from, life), asked, stage, confirmed, here);
-                actions.push(Action::Send { to: from, word });
+                let message = self.answer((from, incarnation), asked, stage, confirmed, here);
+                actions.push(Action::Send { to: from, message });
                 if stage > self.stage() {
                     actions.push(Action::Learn { from, stage });
                 }
             }
-            Word::Left { confirmed } => self.children.left_by((from, life), confirmed),
-            Word::Grant { to, asked, stage, length } => {
+            Message::Left { confirmed } => self.children.left_by((from, incarnation), confirmed),
+            Message::Grant { to, asked, stage, length } => {
                 let asked = Duration::from_micros(asked);
                 if !self.answered(from, to, asked) {
                     return;
@@ -269,7 +277,7 @@
                     actions.push(Action::Learn { from, stage });
                 }
             }
-            Word::No { to, asked, stage, why } => {
+            Message::No { to, asked, stage, why } => {
                 if !self.answered(from, to, Duration::from_micros(asked)) {
                     return;
                 }
@@ -287,10 +295,10 @@
     }
 
     /// Whether this is an answer to a question of this life, to the parent of now. Each is answered once.
-    fn answered(&mut self, from: Member, to: Life, asked: Duration) -> bool {
+    fn answered(&mut self, from: NodeId, to: Incarnation, asked: Duration) -> bool {
         let parent = self.parent.as_ref().is_some_and(|p| p.member == from);
         let known = self.asked.iter().position(|a| *a == asked);
-        if to != self.terms.life || !parent {
+        if to != self.terms.incarnation || !parent {
             return false;
         }
         let Some(at) = known else { return false };
@@ -303,14 +311,14 @@
 
     fn answer(
         &mut self,
-        who: (Member, Life),
+        who: (NodeId, Incarnation),
         asked: u64,
         stage: Stage,
         confirmed: Stage,
         here: Members,
-    ) -> Word {
+    ) -> Message {
         let (to, mine, until, now) = (who.1, self.stage(), self.until(), self.now);
-        let no = |why| Word::No { to, asked, stage: mine, why };
+        let no = |why| Message::No { to, asked, stage: mine, why };
         // Two that ask each other would wait for each other.
         if self.parent.as_ref().is_some_and(|p| p.member == who.0) && self.lead.is_none() {
             return no(No::Full);
@@ -324,7 +332,7 @@
         let Some(until) = until else { return no(No::Lease) };
         let left = until.saturating_sub(now);
         child.until = child.until.max(now.saturating_add(self.terms.more(left)));
-        Word::Grant { to, asked, stage, length: u64::try_from(left.as_micros()).unwrap_or(0) }
+        Message::Grant { to, asked, stage, length: u64::try_from(left.as_micros()).unwrap_or(0) }
     }
 
     /// Takes over the charter that the book says, where this process knows which one it held; keeps it, and
@@ -350,7 +358,7 @@
             self.said = (generation, Members::default());
         }
         if self.charter.0 == Some(generation) && self.kept >= Some(generation) {
-            self.said.1.insert(self.terms.me);
+            self.said.1.insert(self.terms.node_id);
         }
     }
 
@@ -368,9 +376,9 @@
     }
 
     fn tell_former(&self, actions: &mut Vec<Action>) {
-        let word = Word::Left { confirmed: self.confirmed };
+        let message = Message::Left { confirmed: self.confirmed };
         let waiting = self.former.iter().filter(|(_, until)| *until > self.now);
-        actions.extend(waiting.map(|(m, _)| Action::Send { to: *m, word: word.clone() }));
+        actions.extend(waiting.map(|(m, _)| Action::Send { to: *m, message: message.clone() }));
     }
 
     fn renew(&mut self, actions: &mut Vec<Action>) {
@@ -387,14 +395,14 @@
         }
         let stage = self.stage();
         let awaited = self.at.as_ref().is_some_and(|(_, standing)| standing.awaited);
-        let word = Word::Renew {
+        let message = Message::Renew {
             asked: micros(now),
             stage,
             confirmed: self.confirmed,
             here: self.here(),
             charter: awaited.then_some(self.said),
         };
-        actions.push(Action::Send { to, word });
+        actions.push(Action::Send { to, message });
         let fed = self.parent.as_ref().map_or(now, |p| p.fed);
         if self.at.is_some() && now > fed.saturating_add(self.terms.lease) {
             // Not again before as long.
@@ -424,7 +432,7 @@
     /// Who at and under this balancer is at its stage.
     pub(crate) fn here(&self) -> Members {
         let mut here = self.children.here(self.now, self.stage());
-        here.insert(self.terms.me);
+        here.insert(self.terms.node_id);
         here
     }
 
--- a/crates/revision/src/lib.rs
+++ b/crates/revision/src/lib.rs
@@ -49,23 +49,23 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod book;
-pub mod charter;
-mod children;
+pub mod canary;
 pub mod difference;
+mod dissemination_tree;
 pub mod document;
 pub mod entry;
+pub mod fallback_policy;
 pub mod figures;
 pub mod fleet;
 pub mod history;
-pub mod image;
 pub mod in_force;
+mod lease_interface;
+pub mod lease_status;
 pub mod leases;
 pub mod lists;
-pub mod members;
+pub mod message;
+pub mod node_set;
+pub mod policy_state;
 pub mod rules;
-pub mod seen;
-mod standing;
-mod terms;
-pub mod trial;
-pub mod words;
+pub mod snapshot;
+mod status;
--- a/crates/revision/src/lists.rs
+++ b/crates/revision/src/lists.rs
@@ -5,11 +5,11 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use hollowpaddle_peer_transport::Member;
+use hollowpaddle_peer_transport::NodeId;
 use serde::{Deserialize, Serialize};
 
 use crate::document::LONGEST_NAME;
-use crate::words::{LONGEST_WORD, WordError};
+use crate::message::{MAX_MESSAGE_BYTES, MessageError};
 
 /// Upstreams that are kept, named by the own list or by a peer: what is beyond is usable by the own list's
 /// last word, if that has one, and peers' words about it count for nothing. Four times the largest fleet.
@@ -52,14 +52,14 @@
 
 /// What one balancer tells its neighbours: it can't say of any upstream that it may be sent to.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct ListWord {
+pub struct ListMessage {
     /// The newest version of its own list.
     pub version: u64,
     /// Who stops.
     pub stops: Vec<Stop>,
 }
 
-impl ListWord {
+impl ListMessage {
     /// As bytes.
     pub fn to_bytes(&self) -> Vec<u8> {
         // Numbers and names can't fail to be written.
@@ -70,15 +70,15 @@
     ///
     /// # Errors
     /// If they are no word, too many, or something follows it.
-    pub fn from_bytes(bytes: &[u8]) -> Result<Self, WordError> {
+    pub fn from_bytes(bytes: &[u8]) -> Result<Self, MessageError> {
         let length = bytes.len();
-        let wrong = |cause: String| WordError { length, cause };
-        if length > LONGEST_WORD {
-            return Err(wrong(format!("expected {LONGEST_WORD} at most")));
+        let wrong = |cause: String| MessageError { length, cause };
+        if length > MAX_MESSAGE_BYTES {
+            return Err(wrong(format!("expected {MAX_MESSAGE_BYTES} at most")));
         }
-        let (word, rest) = postcard::take_from_bytes(bytes).map_err(|e| wrong(e.to_string()))?;
+        let (message, rest) = postcard::take_from_bytes(bytes).map_err(|e| wrong(e.to_string()))?;
         if rest.is_empty() {
-            Ok(word)
+            Ok(message)
         } else {
             Err(wrong(format!("{} more behind it", rest.len())))
         }
@@ -100,11 +100,11 @@
     /// The own discovery is another one, that counts its versions anew.
     CountsAnew,
     /// A peer says this.
-    Word {
+    Message {
         /// Who.
-        from: Member,
+        from: NodeId,
         /// What.
-        word: ListWord,
+        message: ListMessage,
     },
     /// The agreed rules say so: the eldest list that may be acted on.
     Floor(u64),
@@ -116,7 +116,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Tells all neighbours in the tree.
-    Tell(ListWord),
+    Tell(ListMessage),
     /// Who may be sent to has changed: ask [`Lists::among`].
     Changed,
     /// A peer has a newer list: the own discovery is to be asked now.
@@ -147,7 +147,7 @@
     floor: u64,
     /// By peers' words.
     stopped: BTreeMap<String, Heard>,
-    versions: BTreeMap<Member, u64>,
+    versions: BTreeMap<NodeId, u64>,
     asked: u64,
     /// To be told again, and when.
     news: VecDeque<(Duration, Stop)>,
@@ -174,18 +174,18 @@
                 self.stopped.values_mut().for_each(|h| h.version = 0);
                 self.versions.clear();
             }
-            Event::Word { from, word } => {
-                self.versions.insert(from, word.version);
-                if self.versions.len() > usize::from(crate::members::MOST_MEMBERS) {
+            Event::Message { from, message } => {
+                self.versions.insert(from, message.version);
+                if self.versions.len() > usize::from(crate::node_set::MOST_MEMBERS) {
                     self.versions.pop_last();
                 }
-                for stop in word.stops {
+                for stop in message.stops {
                     if self.heard(&stop) {
                         news.push(stop);
                     }
                 }
                 changed = !news.is_empty();
-                let newer = word.version.max(news.iter().map(|s| s.version).max().unwrap_or(0));
+                let newer = message.version.max(news.iter().map(|s| s.version).max().unwrap_or(0));
                 if newer > self.newest.max(self.asked) {
                     self.asked = newer;
                     actions.push(Action::Ask { version: newer });
@@ -311,17 +311,17 @@
         let due = self.told.is_none_or(|last| now >= last.saturating_add(EVERY));
         if due || !stops.is_empty() {
             self.told = Some(now);
-            let mut word = ListWord { version: self.newest, stops: vec![] };
+            let mut message = ListMessage { version: self.newest, stops: vec![] };
             for stop in stops {
-                word.stops.push(stop);
-                if word.to_bytes().len() > LONGEST_WORD
-                    && let Some(stop) = word.stops.pop()
+                message.stops.push(stop);
+                if message.to_bytes().len() > MAX_MESSAGE_BYTES
+                    && let Some(stop) = message.stops.pop()
                 {
-                    let next = ListWord { version: self.newest, stops: vec![stop] };
-                    actions.push(Action::Tell(std::mem::replace(&mut word, next)));
+                    let next = ListMessage { version: self.newest, stops: vec![stop] };
+                    actions.push(Action::Tell(std::mem::replace(&mut message, next)));
                 }
             }
-            actions.push(Action::Tell(word));
+            actions.push(Action::Tell(message));
         }
         let again = self.news.front().map(|(at, _)| *at);
         let next = self.told.map(|last| last.saturating_add(EVERY)).into_iter().chain(again).min();
@@ -365,7 +365,7 @@
     }
 
     /// The versions that peers have last told of.
-    pub fn versions(&self) -> impl Iterator<Item = (Member, u64)> + '_ {
+    pub fn versions(&self) -> impl Iterator<Item = (NodeId, u64)> + '_ {
         self.versions.iter().map(|(m, v)| (*m, *v))
     }
 }
--- a/crates/revision/src/words.rs
+++ b/crates/revision/src/message.rs
@@ -1,12 +1,12 @@
 //! What balancers say to each other about leases and stages; who acts on it is in `leases`.
 
-use hollowpaddle_peer_transport::Life;
+use hollowpaddle_peer_transport::Incarnation;
 use serde::{Deserialize, Serialize};
 
-use crate::members::Members;
+use crate::node_set::Members;
 
 /// The longest word, in bytes: with the wire's frame it fits a datagram of 256.
-pub const LONGEST_WORD: usize = 208;
+pub const MAX_MESSAGE_BYTES: usize = 208;
 
 /// A state of the rule book: where the log has changed what is in force. Of two the later one counts.
 #[derive(
@@ -21,7 +21,7 @@
 
 /// Up the tree, or down it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Word {
+pub enum Message {
     /// A child asks for a lease and says how far it is.
     Renew {
         /// When, by its own clock, in microseconds. The answer brings it back; nobody else reads it.
@@ -43,7 +43,7 @@
     /// A lease.
     Grant {
         /// The life that asked.
-        to: Life,
+        to: Incarnation,
         /// As it said.
         asked: u64,
         /// That the lease is for.
@@ -54,7 +54,7 @@
     /// None.
     No {
         /// The life that asked.
-        to: Life,
+        to: Incarnation,
         /// As it said.
         asked: u64,
         /// What the parent acts on.
@@ -80,15 +80,15 @@
 #[error(
     "{length} bytes are no word about leases ({cause}); a balancer of another version, or a broken one"
 )]
-pub struct WordError {
+pub struct MessageError {
     /// How many.
     pub length: usize,
     /// What was wrong.
     pub cause: String,
 }
 
-impl Word {
-    /// As bytes, [`LONGEST_WORD`] at most.
+impl Message {
+    /// As bytes, [`MAX_MESSAGE_BYTES`] at most.
     pub fn to_bytes(&self) -> Vec<u8> {
         // Words are of fixed parts and two bounded sets, which can't fail to be written.
         postcard::to_stdvec(self).unwrap_or_default()
@@ -98,15 +98,15 @@
     ///
     /// # Errors
     /// If they are no word, too many, or something follows it.
-    pub fn from_bytes(bytes: &[u8]) -> Result<Self, WordError> {
+    pub fn from_bytes(bytes: &[u8]) -> Result<Self, MessageError> {
         let length = bytes.len();
-        let wrong = |cause: String| WordError { length, cause };
-        if length > LONGEST_WORD {
-            return Err(wrong(format!("expected {LONGEST_WORD} at most")));
+        let wrong = |cause: String| MessageError { length, cause };
+        if length > MAX_MESSAGE_BYTES {
+            return Err(wrong(format!("expected {MAX_MESSAGE_BYTES} at most")));
         }
-        let (word, rest) = postcard::take_from_bytes(bytes).map_err(|e| wrong(e.to_string()))?;
+        let (message, rest) = postcard::take_from_bytes(bytes).map_err(|e| wrong(e.to_string()))?;
         if rest.is_empty() {
-            Ok(word)
+            Ok(message)
         } else {
             Err(wrong(format!("{} more behind it", rest.len())))
         }
--- a/crates/revision/src/members.rs
+++ b/crates/revision/src/node_set.rs
@@ -2,7 +2,7 @@
 
 use std::fmt;
 
-use hollowpaddle_peer_transport::Member;
+use hollowpaddle_peer_transport::NodeId;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 /// Balancers of a bank at most: a set of so many takes 64 bytes, and a word holds two.
@@ -29,25 +29,25 @@
 impl Members {
     /// The first so many.
     pub fn first(many: u16) -> Self {
-        (0..many).map(Member).collect()
+        (0..many).map(NodeId).collect()
     }
 
     /// Puts one in.
-    pub fn insert(&mut self, member: Member) {
+    pub fn insert(&mut self, member: NodeId) {
         if let Some(byte) = self.0.get_mut(usize::from(member.0 / 8)) {
             *byte |= 1 << (member.0 % 8);
         }
     }
 
     /// Takes one out.
-    pub fn remove(&mut self, member: Member) {
+    pub fn remove(&mut self, member: NodeId) {
         if let Some(byte) = self.0.get_mut(usize::from(member.0 / 8)) {
             *byte &= !(1 << (member.0 % 8));
         }
     }
 
     /// Whether one is in it.
-    pub fn contains(&self, member: Member) -> bool {
+    pub fn contains(&self, member: NodeId) -> bool {
         self.0.get(usize::from(member.0 / 8)).is_some_and(|byte| byte & (1 << (member.0 % 8)) != 0)
     }
 
@@ -74,16 +74,16 @@
     }
 
     /// In their order.
-    pub fn iter(&self) -> impl Iterator<Item = Member> + '_ {
+    pub fn iter(&self) -> impl Iterator<Item = NodeId> + '_ {
         let bytes = self.0.iter().zip(0_u16..).filter(|(byte, _)| **byte != 0);
         bytes.flat_map(|(byte, at)| {
-            (0..8).filter(move |bit| byte & (1 << bit) != 0).map(move |bit| Member(8 * at + bit))
+            (0..8).filter(move |bit| byte & (1 << bit) != 0).map(move |bit| NodeId(8 * at + bit))
         })
     }
 }
 
-impl FromIterator<Member> for Members {
-    fn from_iter<I: IntoIterator<Item = Member>>(members: I) -> Self {
+impl FromIterator<NodeId> for Members {
+    fn from_iter<I: IntoIterator<Item = NodeId>>(members: I) -> Self {
         let mut set = Self::default();
         members.into_iter().for_each(|m| set.insert(m));
         set
--- a/crates/revision/src/book.rs
+++ b/crates/revision/src/policy_state.rs
@@ -4,18 +4,18 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use hollowpaddle_peer_transport::Member;
+use hollowpaddle_peer_transport::NodeId;
 use serde::{Deserialize, Serialize};
 
-use crate::charter::{Charter, CharterError, Floor};
 use crate::difference::Difference;
 use crate::document::Document;
 use crate::entry::{Ask, Entry, Id};
+use crate::fallback_policy::{Charter, CharterError, Floor};
 use crate::fleet::{Facts, Misfit};
 use crate::history::{Answer, Fate, History, Kept, Origin};
-use crate::members::MOST_MEMBERS;
+use crate::node_set::MOST_MEMBERS;
 use crate::rules::Rules;
-pub use crate::standing::{Applied, Founding, FoundingError, OnTrial, Refusal, Standing};
+pub use crate::status::{Applied, Founding, FoundingError, OnTrial, Refusal, Standing};
 
 /// A charter on its way.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -265,7 +265,7 @@
         Ok(number)
     }
 
-    fn member(&mut self, member: Member, dead: bool) -> Result<(), Refusal> {
+    fn member(&mut self, member: NodeId, dead: bool) -> Result<(), Refusal> {
         if member.0 >= self.state.members {
             return Err(Refusal::NoMember { member: member.0, members: self.state.members });
         }
@@ -358,7 +358,7 @@
             charter: self.held.clone(),
             generation: s.generation,
             awaited: change.is_some_and(|c| c.begun && !c.confirmed),
-            dead: s.dead.iter().map(|m| Member(*m)).collect(),
+            dead: s.dead.iter().map(|m| NodeId(*m)).collect(),
             members: s.members,
             trial: s.trial.filter(|t| t.revision == s.in_force),
         }
--- a/crates/revision/src/rules.rs
+++ b/crates/revision/src/rules.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use crate::charter::{Charter, Floor};
 use crate::document::{Chosen, Document};
+use crate::fallback_policy::{Charter, Floor};
 
 /// An upstream, as far as rules are about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
--- a/crates/revision/src/image.rs
+++ b/crates/revision/src/snapshot.rs
@@ -5,11 +5,11 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::book::{Book, State};
 use crate::document::Document;
 use crate::entry::Id;
 use crate::history::{Answer, Fate, History, MOST_ANSWERS, MOST_REVISIONS, Origin};
-use crate::members::MOST_MEMBERS;
+use crate::node_set::MOST_MEMBERS;
+use crate::policy_state::{Book, State};
 
 /// The version of the form.
 const VERSION: u8 = 1;
--- a/crates/revision/src/standing.rs
+++ b/crates/revision/src/status.rs
@@ -4,13 +4,13 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::charter::{Charter, CharterError};
+use crate::canary::Trial;
 use crate::document::{Document, DocumentError};
 use crate::entry::{EntryError, Id};
+use crate::fallback_policy::{Charter, CharterError};
 use crate::fleet::Misfit;
-use crate::members::{MOST_MEMBERS, Members};
+use crate::node_set::{MOST_MEMBERS, Members};
 use crate::rules::Rules;
-use crate::trial::Trial;
 
 /// What a bank begins with: the same at every balancer, from its settings.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
--- a/crates/revision/tests/banks.rs
+++ b/crates/revision/tests/banks.rs
@@ -6,9 +6,9 @@
 use std::sync::Mutex;
 use std::sync::atomic::{AtomicU64, Ordering};
 
-use hollowpaddle_peer_transport::Member;
-use hollowpaddle_revision::charter::Charter;
+use hollowpaddle_peer_transport::NodeId;
 use hollowpaddle_revision::entry::{Entry, Id};
+use hollowpaddle_revision::fallback_policy::Charter;
 use sim::oracle::Found;
 use sim::{Broken, LIVED, MS, S, Setting, Sim};
 
@@ -127,25 +127,27 @@
     for seed in 0..20 {
         let setting =
             Setting { members: 36, fan: 8, faults: 0, rate: 0.0, length: 40 * S, ..drawn(seed) };
-        let mut bank = Sim::new(seed, setting);
-        bank.run(4 * S);
-        bank.commit_now(&common::propose(1, None, common::without(&[2])));
+        let mut cluster = Sim::new(seed, setting);
+        cluster.run(4 * S);
+        cluster.commit_now(&common::propose(1, None, common::without(&[2])));
         // The narrow step is confirmed within a second or two; the entry of the wide one has just been
         // applied by some.
-        while bank.log.last().unwrap().towards.is_some() || bank.log.last().unwrap().revision == 0 {
-            let now = bank.now;
-            bank.run(now + MS);
-            assert!(bank.now < 20 * S, "seed {seed}: no second step");
+        while cluster.log.last().unwrap().towards.is_some()
+            || cluster.log.last().unwrap().revision == 0
+        {
+            let now = cluster.now;
+            cluster.run(now + MS);
+            assert!(cluster.now < 20 * S, "seed {seed}: no second step");
         }
-        let now = bank.now;
-        bank.run(now + 20 * MS);
-        (0..36).for_each(|m| bank.kill(m));
-        let stage = bank.log.last().unwrap().stage;
-        bank.run(39 * S);
-        let (there, leased) = bank.at_stage(stage);
-        assert_eq!((there, bank.log.last().unwrap().unconfirmed), (36, false), "seed {seed}");
+        let now = cluster.now;
+        cluster.run(now + 20 * MS);
+        (0..36).for_each(|m| cluster.kill(m));
+        let stage = cluster.log.last().unwrap().stage;
+        cluster.run(39 * S);
+        let (there, leased) = cluster.at_stage(stage);
+        assert_eq!((there, cluster.log.last().unwrap().unconfirmed), (36, false), "seed {seed}");
         assert!(leased >= 30, "seed {seed}: {leased} hold leases");
-        let found = bank.finish();
+        let found = cluster.finish();
         assert!(found.contradiction <= T && found.mutual == 0, "seed {seed}: {found:?}");
     }
 }
@@ -156,10 +158,10 @@
     let worst = |wait| {
         let one = |seed: u64| {
             let setting = Setting { members: 9, faults: 0, rate: 4.0, loss: 0.0, ..drawn(seed) };
-            let mut bank = Sim::new(seed, setting);
-            bank.run(5 * S + seed * 37 * MS);
-            bank.forget(wait);
-            bank.finish()
+            let mut cluster = Sim::new(seed, setting);
+            cluster.run(5 * S + seed * 37 * MS);
+            cluster.forget(wait);
+            cluster.finish()
         };
         (0..60).map(|seed| one(seed).mutual).max()
     };
@@ -171,49 +173,55 @@
 fn charter(seed: u64, broken: Broken, then: impl Fn(&mut Sim, usize)) -> (Sim, usize) {
     let setting =
         Setting { members: 7, fan: 2, faults: 0, rate: 0.0, length: 60 * S, broken, ..drawn(seed) };
-    let mut bank = Sim::new(seed, setting);
-    bank.run(5 * S);
-    let cut = (bank.leader().unwrap() + 1) % 7;
-    bank.cut(cut);
-    bank.run(9 * S);
+    let mut cluster = Sim::new(seed, setting);
+    cluster.run(5 * S);
+    let cut = (cluster.leader().unwrap() + 1) % 7;
+    cluster.cut(cut);
+    cluster.run(9 * S);
     let smaller = Charter { pods: [0, 4].into(), ..common::founding(7).charter };
-    bank.commit_now(&Entry::Charter(Id(1), smaller, Box::default()));
-    bank.run(15 * S);
-    then(&mut bank, cut);
-    (bank, cut)
+    cluster.commit_now(&Entry::Charter(Id(1), smaller, Box::default()));
+    cluster.run(15 * S);
+    then(&mut cluster, cut);
+    (cluster, cut)
 }
 
 #[test]
 fn a_charter_waits_for_the_one_that_is_cut_off_or_for_operators_word() {
-    let awaited = |bank: &Sim| bank.log.last().unwrap().awaited;
-    let puts_out = |bank: &mut Sim, id| {
-        bank.commit_now(&common::propose(id, None, common::without(&[1])));
-        let now = bank.now;
-        bank.run(now + 10 * S);
-        bank.log.last().unwrap().revision > 0
+    let awaited = |cluster: &Sim| cluster.log.last().unwrap().awaited;
+    let puts_out = |cluster: &mut Sim, id| {
+        cluster.commit_now(&common::propose(id, None, common::without(&[1])));
+        let now = cluster.now;
+        cluster.run(now + 10 * S);
+        cluster.log.last().unwrap().revision > 0
     };
     for seed in 0..12 {
-        let (mut bank, _) = charter(seed, Broken::Nothing, |_, _| ());
-        assert!(awaited(&bank) && !puts_out(&mut bank, 2), "seed {seed}: without everybody's word");
-        bank.heal();
-        bank.run(32 * S);
-        assert!(!awaited(&bank) && puts_out(&mut bank, 3), "seed {seed}: it is back, and says so");
-        let found = bank.finish();
+        let (mut cluster, _) = charter(seed, Broken::Nothing, |_, _| ());
+        assert!(
+            awaited(&cluster) && !puts_out(&mut cluster, 2),
+            "seed {seed}: without everybody's word"
+        );
+        cluster.heal();
+        cluster.run(32 * S);
+        assert!(
+            !awaited(&cluster) && puts_out(&mut cluster, 3),
+            "seed {seed}: it is back, and says so"
+        );
+        let found = cluster.finish();
         assert!(found.contradiction <= T && found.mutual == 0, "seed {seed}: {found:?}");
 
-        let (mut bank, cut) = charter(seed, Broken::Nothing, |bank, cut| {
-            bank.kill(cut);
-            bank.commit_now(&Entry::Dead(Id(9), Member(cut as u16)));
+        let (mut cluster, cut) = charter(seed, Broken::Nothing, |cluster, cut| {
+            cluster.kill(cut);
+            cluster.commit_now(&Entry::Dead(Id(9), NodeId(cut as u16)));
         });
-        bank.run(18 * S);
+        cluster.run(18 * S);
         assert!(
-            !awaited(&bank) && puts_out(&mut bank, 2),
+            !awaited(&cluster) && puts_out(&mut cluster, 2),
             "seed {seed}: {cut} is dead, by operators' word"
         );
     }
-    let (mut bank, _) = charter(0, Broken::Charter, |_, _| ());
-    assert!(!awaited(&bank) && puts_out(&mut bank, 2));
-    assert!(bank.finish().contradiction > T, "without waiting for everybody it is caught");
+    let (mut cluster, _) = charter(0, Broken::Charter, |_, _| ());
+    assert!(!awaited(&cluster) && puts_out(&mut cluster, 2));
+    assert!(cluster.finish().contradiction > T, "without waiting for everybody it is caught");
 }
 
 /// How long from the log's yes until all act on the new rules alone, and what it costs at rest.
@@ -235,33 +243,33 @@
             tick: S,
             ..drawn(0)
         };
-        let mut bank = Sim::new(seed, setting);
-        bank.run(5 * S);
-        let (before, before_bytes) = (bank.words, bank.bytes);
+        let mut cluster = Sim::new(seed, setting);
+        cluster.run(5 * S);
+        let (before, before_bytes) = (cluster.words, cluster.bytes);
         for half in 1..=10 {
-            bank.run(5 * S + half * S / 2);
-            leased += bank.at_stage(0).1 as f64 / 10.0 / members as f64;
+            cluster.run(5 * S + half * S / 2);
+            leased += cluster.at_stage(0).1 as f64 / 10.0 / members as f64;
         }
-        words += (bank.words - before) as f64 / 5.0 / members as f64;
-        bytes += (bank.bytes - before_bytes) as f64 / (bank.words - before) as f64;
-        let yes = bank.now;
-        let index = bank.commit_now(&common::propose(1, None, common::without(&[2])));
+        words += (cluster.words - before) as f64 / 5.0 / members as f64;
+        bytes += (cluster.bytes - before_bytes) as f64 / (cluster.words - before) as f64;
+        let yes = cluster.now;
+        let index = cluster.commit_now(&common::propose(1, None, common::without(&[2])));
         let mut late = None;
         loop {
-            let now = bank.now;
-            bank.run(now + 5 * MS);
-            let last = bank.log.last().unwrap().clone();
+            let now = cluster.now;
+            cluster.run(now + 5 * MS);
+            let last = cluster.log.last().unwrap().clone();
             if last.revision == index as u64 {
-                let there = bank.at_stage(last.stage).0;
-                late = late.or((there * 100 >= members * 99).then_some(bank.now - yes));
+                let there = cluster.at_stage(last.stage).0;
+                late = late.or((there * 100 >= members * 99).then_some(cluster.now - yes));
                 if there == members {
                     break;
                 }
             }
-            assert!(bank.now - yes < 20 * S, "seed {seed}, {members} members, loss {loss}");
+            assert!(cluster.now - yes < 20 * S, "seed {seed}, {members} members, loss {loss}");
         }
         most.push(late.unwrap() / MS);
-        all.push((bank.now - yes) / MS);
+        all.push((cluster.now - yes) / MS);
     }
     most.sort_unstable();
     all.sort_unstable();
--- a/crates/revision/tests/books.rs
+++ b/crates/revision/tests/books.rs
@@ -3,14 +3,14 @@
 mod common;
 
 use common::{ask, book, facts, founding, next, open, propose, rollback, settle, without};
-use hollowpaddle_peer_transport::Member;
-use hollowpaddle_revision::book::{Book, Refusal};
-use hollowpaddle_revision::charter::Charter;
+use hollowpaddle_peer_transport::NodeId;
+use hollowpaddle_revision::canary::{Trial, Why};
 use hollowpaddle_revision::document::Document;
 use hollowpaddle_revision::entry::{Entry, Id, LONGEST_ENTRY};
+use hollowpaddle_revision::fallback_policy::Charter;
 use hollowpaddle_revision::fleet::{Facts, Misfit};
 use hollowpaddle_revision::history::{Fate, MOST_ANSWERS, MOST_REVISIONS};
-use hollowpaddle_revision::trial::{Trial, Why};
+use hollowpaddle_revision::policy_state::{Book, Refusal};
 use proptest::prelude::*;
 
 #[test]
@@ -197,11 +197,11 @@
 #[test]
 fn operators_say_who_is_dead() {
     let mut book = book();
-    next(&mut book, &Entry::Dead(Id(1), Member(3)));
-    assert!(book.standing().dead.contains(Member(3)));
-    next(&mut book, &Entry::Alive(Id(2), Member(3)));
+    next(&mut book, &Entry::Dead(Id(1), NodeId(3)));
+    assert!(book.standing().dead.contains(NodeId(3)));
+    next(&mut book, &Entry::Alive(Id(2), NodeId(3)));
     assert!(book.standing().dead.is_empty());
-    let refused = next(&mut book, &Entry::Dead(Id(3), Member(5))).answered.unwrap().1;
+    let refused = next(&mut book, &Entry::Dead(Id(3), NodeId(5))).answered.unwrap().1;
     assert_eq!(refused, Err(Refusal::NoMember { member: 5, members: 5 }));
 }
 
--- a/crates/revision/tests/common/mod.rs
+++ b/crates/revision/tests/common/mod.rs
@@ -3,11 +3,11 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hollowpaddle_revision::book::{Applied, Book, Founding};
-use hollowpaddle_revision::charter::Charter;
 use hollowpaddle_revision::document::Document;
 use hollowpaddle_revision::entry::{Ask, Entry, Id};
+use hollowpaddle_revision::fallback_policy::Charter;
 use hollowpaddle_revision::fleet::{ClassFacts, Facts, Group};
+use hollowpaddle_revision::policy_state::{Applied, Book, Founding};
 use hollowpaddle_revision::rules::Place;
 
 /// Two sites of four pods, each with two flavours of four upstreams; a third of the room is needed.
--- a/crates/revision/tests/documents.rs
+++ b/crates/revision/tests/documents.rs
@@ -6,11 +6,11 @@
 use std::sync::Arc;
 
 use common::{facts, place, without};
-use hollowpaddle_revision::charter::{Charter, Floor};
+use hollowpaddle_revision::canary::{Trial, Why, Worth};
 use hollowpaddle_revision::document::{Document, DocumentError};
+use hollowpaddle_revision::fallback_policy::{Charter, Floor};
 use hollowpaddle_revision::fleet::Misfit;
 use hollowpaddle_revision::rules::{Place, Rules};
-use hollowpaddle_revision::trial::{Trial, Why, Worth};
 use proptest::prelude::*;
 
 fn floor(pods: &[u32]) -> Arc<Floor> {
--- a/crates/revision/tests/formats.rs
+++ b/crates/revision/tests/formats.rs
@@ -8,18 +8,18 @@
 use std::sync::Arc;
 
 use common::{ask, book, next, rollback, without};
-use hollowpaddle_peer_transport::{Life, Member};
-use hollowpaddle_revision::book::{Book, Refusal};
-use hollowpaddle_revision::charter::{Charter, CharterError, Floor};
+use hollowpaddle_peer_transport::{Incarnation, NodeId};
+use hollowpaddle_revision::canary::{Trial, Why};
 use hollowpaddle_revision::difference::Difference;
 use hollowpaddle_revision::document::Document;
 use hollowpaddle_revision::entry::{Ask, Entry, Id};
+use hollowpaddle_revision::fallback_policy::{Charter, CharterError, Floor};
 use hollowpaddle_revision::fleet::{ClassFacts, Facts, Group, Misfit};
 use hollowpaddle_revision::history::{Answer, Fate, Origin};
-use hollowpaddle_revision::lists::{ListWord, Stop};
+use hollowpaddle_revision::lists::{ListMessage, Stop};
+use hollowpaddle_revision::message::{Message, No, Stage};
+use hollowpaddle_revision::policy_state::{Book, Refusal};
 use hollowpaddle_revision::rules::Rules;
-use hollowpaddle_revision::trial::{Trial, Why};
-use hollowpaddle_revision::words::{No, Stage, Word};
 use serde::Serialize;
 use serde::de::DeserializeOwned;
 
@@ -83,29 +83,32 @@
 const TRIAL: Trial = Trial { seconds: 60, fall: 100 };
 const GENERATION: Stage = Stage { epoch: 1, index: 300 };
 
-fn lease_messages() -> Cases<Word> {
+fn lease_messages() -> Cases<Message> {
     let (asked, confirmed) = (1_000_000, Stage { epoch: 1, index: 299 });
-    let here = [0, 9].into_iter().map(Member).collect();
-    let renew = |charter| Word::Renew { asked, stage: GENERATION, confirmed, here, charter };
-    let no = |why| Word::No { to: Life(7), asked, stage: GENERATION, why };
+    let here = [0, 9].into_iter().map(NodeId).collect();
+    let renew = |charter| Message::Renew { asked, stage: GENERATION, confirmed, here, charter };
+    let no = |why| Message::No { to: Incarnation(7), asked, stage: GENERATION, why };
     vec![
         ("renew_lease", renew(None)),
         ("renew_lease_during_fallback_change", renew(Some((GENERATION, here)))),
-        ("leave_parent", Word::Left { confirmed }),
-        ("grant_lease", Word::Grant { to: Life(7), asked, stage: GENERATION, length: 2_000_000 }),
+        ("leave_parent", Message::Left { confirmed }),
+        (
+            "grant_lease",
+            Message::Grant { to: Incarnation(7), asked, stage: GENERATION, length: 2_000_000 },
+        ),
         ("deny_other_generation", no(No::Stage)),
         ("deny_no_lease", no(No::Lease)),
         ("deny_full", no(No::Full)),
     ]
 }
 
-fn list_messages() -> Cases<ListWord> {
+fn list_messages() -> Cases<ListMessage> {
     let stop = |name: &str, ended| Stop { name: name.into(), version: 41, ended };
     vec![
-        ("version", ListWord { version: 300, stops: vec![] }),
+        ("version", ListMessage { version: 300, stops: vec![] }),
         (
             "draining_and_gone",
-            ListWord { version: 300, stops: vec![stop("u7", false), stop("u8", true)] },
+            ListMessage { version: 300, stops: vec![stop("u7", false), stop("u8", true)] },
         ),
     ]
 }
@@ -122,8 +125,8 @@
         ("confirm_canary", Entry::Confirm(Id(0x2832), 11)),
         ("take_back_unconfirmed", Entry::TakeBack(11, Why::NotConfirmed)),
         ("take_back_after_fall", Entry::TakeBack(11, Why::WorthFell(300))),
-        ("node_dead", Entry::Dead(Id(0x2832), Member(300))),
-        ("node_alive", Entry::Alive(Id(0x2832), Member(300))),
+        ("node_dead", Entry::Dead(Id(0x2832), NodeId(300))),
+        ("node_alive", Entry::Alive(Id(0x2832), NodeId(300))),
     ]
 }
 
@@ -237,7 +240,7 @@
         Entry::TakeBack(5, Why::NotConfirmed),
         canary(8),
         Entry::TakeBack(8, Why::WorthFell(300)),
-        Entry::Dead(Id(10), Member(3)),
+        Entry::Dead(Id(10), NodeId(3)),
         common::propose(11, Some(3), without(&[2])),
         rollback(12, None, 1),
         canary(13),
@@ -253,22 +256,22 @@
 
 #[test]
 fn lease_messages_keep_their_bytes() {
-    let read = |bytes: &[u8]| Word::from_bytes(bytes).unwrap();
+    let read = |bytes: &[u8]| Message::from_bytes(bytes).unwrap();
     assert_bytes(
         include_str!("formats/lease_messages.txt"),
         &lease_messages(),
-        Word::to_bytes,
+        Message::to_bytes,
         read,
     );
 }
 
 #[test]
 fn list_messages_keep_their_bytes() {
-    let read = |bytes: &[u8]| ListWord::from_bytes(bytes).unwrap();
+    let read = |bytes: &[u8]| ListMessage::from_bytes(bytes).unwrap();
     assert_bytes(
         include_str!("formats/list_messages.txt"),
         &list_messages(),
-        ListWord::to_bytes,
+        ListMessage::to_bytes,
         read,
     );
 }
--- a/crates/revision/tests/leases.rs
+++ b/crates/revision/tests/leases.rs
@@ -5,15 +5,15 @@
 use std::time::Duration;
 
 use common::{ask, book, founding, next, place, propose, without};
-use hollowpaddle_peer_transport::{Life, Member};
-use hollowpaddle_revision::book::Book;
-use hollowpaddle_revision::charter::Charter;
+use hollowpaddle_peer_transport::{Incarnation, NodeId};
+use hollowpaddle_revision::canary::{Trial, Why, Worth};
 use hollowpaddle_revision::entry::{Entry, Id};
+use hollowpaddle_revision::fallback_policy::Charter;
 use hollowpaddle_revision::in_force::View;
 use hollowpaddle_revision::leases::{Action, Event, Leases, Terms};
-use hollowpaddle_revision::members::Members;
-use hollowpaddle_revision::trial::{Trial, Why, Worth};
-use hollowpaddle_revision::words::{LONGEST_WORD, No, Stage, Word};
+use hollowpaddle_revision::message::{MAX_MESSAGE_BYTES, Message, No, Stage};
+use hollowpaddle_revision::node_set::Members;
+use hollowpaddle_revision::policy_state::Book;
 use proptest::prelude::*;
 
 fn ms(ms: u64) -> Duration {
@@ -32,7 +32,7 @@
 
 impl One {
     fn new(change: impl FnOnce(&mut Terms)) -> Self {
-        let mut terms = Terms::usual(Member(0), Life(7), founding(1).bedrock);
+        let mut terms = Terms::usual(NodeId(0), Incarnation(7), founding(1).bedrock);
         change(&mut terms);
         Self { leases: Leases::new(terms), did: vec![] }
     }
@@ -51,22 +51,25 @@
         self.on(now, Event::Applied { epoch: 1, standing: Box::new(book.standing()) })
     }
 
-    fn hears(&mut self, now: u64, from: u16, life: u32, word: Word) -> &mut Self {
-        self.on(now, Event::Word { from: Member(from), life: Life(life), word })
+    fn hears(&mut self, now: u64, from: u16, incarnation: u32, message: Message) -> &mut Self {
+        self.on(
+            now,
+            Event::Message { from: NodeId(from), incarnation: Incarnation(incarnation), message },
+        )
     }
 
     /// A child asks, by its own clock at `asked`; the answer.
-    fn asked(&mut self, now: u64, from: u16, life: u32, at: u64, confirmed: u64) -> Word {
-        let renew = Word::Renew {
+    fn asked(&mut self, now: u64, from: u16, incarnation: u32, at: u64, confirmed: u64) -> Message {
+        let renew = Message::Renew {
             asked: now * 1000,
             stage: stage(at),
             confirmed: stage(confirmed),
-            here: Members::from_iter([Member(from)]),
+            here: Members::from_iter([NodeId(from)]),
             charter: None,
         };
-        self.hears(now, from, life, renew);
+        self.hears(now, from, incarnation, renew);
         let to = |a: &Action| match a {
-            Action::Send { to, word } if to.0 == from => Some(word.clone()),
+            Action::Send { to, message } if to.0 == from => Some(message.clone()),
             _ => None,
         };
         self.did.iter().find_map(to).expect("each asking is answered")
@@ -74,9 +77,9 @@
 
     /// Asks its parent 1 now and is given so many milliseconds.
     fn leased(&mut self, now: u64, length: u64) -> &mut Self {
-        self.on(now, Event::Parent(Some(Member(1)))).on(now + 400, Event::Due);
-        let grant = Word::Grant {
-            to: Life(7),
+        self.on(now, Event::Parent(Some(NodeId(1)))).on(now + 400, Event::Due);
+        let grant = Message::Grant {
+            to: Incarnation(7),
             asked: (now + 400) * 1000,
             stage: self.stage(),
             length: length * 1000,
@@ -101,7 +104,7 @@
     /// What it tells its parent, if it does now.
     fn confirms(&self) -> Option<u64> {
         let told = |a: &Action| match a {
-            Action::Send { word: Word::Renew { confirmed, .. }, .. } => Some(confirmed.index),
+            Action::Send { message: Message::Renew { confirmed, .. }, .. } => Some(confirmed.index),
             _ => None,
         };
         self.did.iter().find_map(told)
@@ -125,7 +128,7 @@
     // A process that stood still for 20 s between this look and its send finds it ended when it looks again.
     assert!(matches!(in_force.at(ms(23_379)), View::Charter(_)));
     // What it gives on is what is left of its own.
-    let Word::Grant { length, .. } = one.asked(2000, 5, 1, 0, 0) else { panic!("a lease") };
+    let Message::Grant { length, .. } = one.asked(2000, 5, 1, 0, 0) else { panic!("a lease") };
     assert_eq!(length, 1_380_000);
     // Longer than a lease none is, whatever is said.
     assert_eq!(One::usual().learns(0, &book()).leased(1000, 99_000).until(), 1400 + 1980);
@@ -133,10 +136,15 @@
 
 #[test]
 fn an_answer_to_another_life_to_no_question_or_not_from_the_parent_counts_for_nothing() {
-    let grant = |to, asked| Word::Grant { to: Life(to), asked, stage: stage(0), length: 2_000_000 };
+    let grant = |to, asked| Message::Grant {
+        to: Incarnation(to),
+        asked,
+        stage: stage(0),
+        length: 2_000_000,
+    };
     for (from, to, asked) in [(1, 6, 400_000), (1, 7, 400_001), (2, 7, 400_000)] {
         let mut one = One::usual();
-        one.learns(0, &book()).on(0, Event::Parent(Some(Member(1)))).on(400, Event::Due);
+        one.learns(0, &book()).on(0, Event::Parent(Some(NodeId(1)))).on(400, Event::Due);
         one.hears(410, from, 1, grant(to, asked));
         assert_eq!(one.until(), 0, "{from} {to} {asked}");
         one.hears(420, 1, 1, grant(7, 400_000));
@@ -149,15 +157,16 @@
     let mut book = book();
     let mut one = One::usual();
     one.learns(0, &book).leased(1000, 2000);
-    assert!(matches!(one.asked(1500, 5, 1, 0, 0), Word::Grant { .. }));
+    assert!(matches!(one.asked(1500, 5, 1, 0, 0), Message::Grant { .. }));
     next(&mut book, &propose(1, None, without(&[2])));
     one.learns(1600, &book);
-    let told = Word::No { to: Life(1), asked: 1_700_000, stage: stage(1), why: No::Stage };
+    let told =
+        Message::No { to: Incarnation(1), asked: 1_700_000, stage: stage(1), why: No::Stage };
     assert_eq!(one.asked(1700, 5, 1, 0, 0), told);
     assert_eq!(one.leases.seen().here.len(), 1, "and is not counted as being here");
     // One that is ahead of it is to be learned from.
     one.asked(1800, 5, 1, 9, 9);
-    assert!(one.did.contains(&Action::Learn { from: Member(5), stage: stage(9) }));
+    assert!(one.did.contains(&Action::Learn { from: NodeId(5), stage: stage(9) }));
 }
 
 #[test]
@@ -176,13 +185,13 @@
     let mut one = One::usual();
     one.learns(0, &book()).leased(1000, 2000);
     for child in 10..26 {
-        assert!(matches!(one.asked(1500, child, 1, 0, 0), Word::Grant { .. }));
+        assert!(matches!(one.asked(1500, child, 1, 0, 0), Message::Grant { .. }));
     }
-    assert!(matches!(one.asked(1500, 26, 1, 0, 0), Word::No { why: No::Full, .. }));
+    assert!(matches!(one.asked(1500, 26, 1, 0, 0), Message::No { why: No::Full, .. }));
     for child in 10..25 {
         one.asked(2400, child, 1, 0, 0);
     }
-    assert!(matches!(one.asked(2600, 26, 1, 0, 0), Word::Grant { .. }));
+    assert!(matches!(one.asked(2600, 26, 1, 0, 0), Message::Grant { .. }));
 }
 
 #[test]
@@ -191,7 +200,7 @@
     let begin = |book: &mut Book| {
         let mut one = One::usual();
         one.learns(0, book).leased(1000, 2000);
-        assert!(matches!(one.asked(1500, 5, 1, 0, 0), Word::Grant { .. }));
+        assert!(matches!(one.asked(1500, 5, 1, 0, 0), Message::Grant { .. }));
         next(book, &propose(book.standing().index.into(), None, without(&[2])));
         one.learns(1600, book);
         assert_eq!(one.confirms(), Some(0));
@@ -202,7 +211,7 @@
         1700,
         5,
         1,
-        Word::Renew {
+        Message::Renew {
             asked: 1_700_000,
             stage: stage(1),
             confirmed: stage(1),
@@ -223,17 +232,17 @@
     assert_eq!(one.confirms(), Some(1), "its end");
     // One that goes elsewhere tells its former parent.
     let mut one = begin(&mut common::book());
-    one.on(1650, Event::Parent(Some(Member(2)))).hears(
+    one.on(1650, Event::Parent(Some(NodeId(2)))).hears(
         1700,
         5,
         1,
-        Word::Left { confirmed: stage(1) },
+        Message::Left { confirmed: stage(1) },
     );
-    let word = Word::Left { confirmed: stage(1) };
-    assert!(one.did.contains(&Action::Send { to: Member(1), word }));
+    let message = Message::Left { confirmed: stage(1) };
+    assert!(one.did.contains(&Action::Send { to: NodeId(1), message }));
     // And a child that went elsewhere says so.
     let mut one = begin(&mut common::book());
-    one.hears(1700, 5, 1, Word::Left { confirmed: stage(1) });
+    one.hears(1700, 5, 1, Message::Left { confirmed: stage(1) });
     assert_eq!(one.confirms(), Some(1));
 }
 
@@ -244,11 +253,11 @@
     one.learns(0, &book)
         .on(1000, Event::Leads { since: ms(1000), epoch: 1, from: 1 })
         .on(1050, Event::Round { began: ms(1020) });
-    assert!(matches!(one.asked(1100, 5, 1, 0, 0), Word::No { why: No::Lease, .. }));
+    assert!(matches!(one.asked(1100, 5, 1, 0, 0), Message::No { why: No::Lease, .. }));
     next(&mut book, &propose(1, None, without(&[2])));
     one.learns(1200, &book);
     assert_eq!(one.until(), 1020 + 1980);
-    assert!(matches!(one.asked(1300, 5, 1, 1, 1), Word::Grant { .. }));
+    assert!(matches!(one.asked(1300, 5, 1, 1, 1), Message::Grant { .. }));
     assert_eq!(one.on(3019, Event::Due).proposes(), None, "2020 ms since it leads");
     assert_eq!(one.on(3020, Event::Due).proposes(), Some(&Entry::Step(1)));
     // Again until it is in the log, not at each turn; never after it was told that it leads no more.
@@ -296,16 +305,21 @@
     let keeps =
         |a: &Action| matches!(a, Action::Keep { generation, .. } if *generation == stage(1));
     assert!(one.did.iter().any(keeps));
-    let word = |members: &[u16], generation| Word::Renew {
+    let message = |members: &[u16], generation| Message::Renew {
         asked: 5,
         stage: stage(1),
         confirmed: stage(1),
         here: Members::default(),
-        charter: Some((stage(generation), members.iter().map(|m| Member(*m)).collect())),
+        charter: Some((stage(generation), members.iter().map(|m| NodeId(*m)).collect())),
     };
     next(&mut book, &Entry::Step(1));
-    one.learns(3200, &book).hears(3300, 1, 1, word(&[1, 2], 1)).hears(3300, 3, 1, word(&[3, 4], 0));
-    one.hears(3400, 3, 1, word(&[3], 1)).hears(3500, 3, 1, word(&[4], 1));
+    one.learns(3200, &book).hears(3300, 1, 1, message(&[1, 2], 1)).hears(
+        3300,
+        3,
+        1,
+        message(&[3, 4], 0),
+    );
+    one.hears(3400, 3, 1, message(&[3], 1)).hears(3500, 3, 1, message(&[4], 1));
     assert_eq!(one.proposes(), None, "its own is not on disk yet");
     one.on(3600, Event::Kept { generation: stage(1) });
     assert_eq!(one.proposes(), Some(&Entry::CharterConfirmed(1)));
@@ -358,17 +372,17 @@
 fn the_longest_word_fits_a_datagram() {
     let all = Members::first(512);
     let far = Stage { epoch: u32::MAX, index: u64::MAX };
-    let word = Word::Renew {
+    let message = Message::Renew {
         asked: u64::MAX,
         stage: far,
         confirmed: far,
         here: all,
         charter: Some((far, all)),
     };
-    let bytes = word.to_bytes();
-    assert!(bytes.len() <= LONGEST_WORD, "{}", bytes.len());
-    assert_eq!(Word::from_bytes(&bytes).unwrap(), word);
-    assert!(Word::from_bytes(&[&bytes[..], &[0]].concat()).is_err());
+    let bytes = message.to_bytes();
+    assert!(bytes.len() <= MAX_MESSAGE_BYTES, "{}", bytes.len());
+    assert_eq!(Message::from_bytes(&bytes).unwrap(), message);
+    assert!(Message::from_bytes(&[&bytes[..], &[0]].concat()).is_err());
 }
 
 proptest! {
@@ -384,10 +398,10 @@
         for (bytes, from, time, kind) in all {
             let now = time % 20_000;
             last = last.max(now);
-            let word = Word::from_bytes(&bytes).ok();
-            match (kind, word) {
-                (0, Some(word)) => _ = one.hears(now, from, 1, word),
-                (1, _) => _ = one.on(now, Event::Parent(Some(Member(from)))),
+            let message = Message::from_bytes(&bytes).ok();
+            match (kind, message) {
+                (0, Some(message)) => _ = one.hears(now, from, 1, message),
+                (1, _) => _ = one.on(now, Event::Parent(Some(NodeId(from)))),
                 (2, _) => {
                     let since = ms(time % 30_000);
                     one.on(now, Event::Leads { since, epoch: 1, from: time % 3 });
@@ -408,8 +422,8 @@
 
     #[test]
     fn no_bytes_make_a_word_panic(bytes in proptest::collection::vec(any::<u8>(), 0..120)) {
-        if let Ok(word) = Word::from_bytes(&bytes) {
-            prop_assert!(Word::from_bytes(&word.to_bytes()).is_ok());
+        if let Ok(message) = Message::from_bytes(&bytes) {
+            prop_assert!(Message::from_bytes(&message.to_bytes()).is_ok());
         }
     }
 }
--- a/crates/revision/tests/lists.rs
+++ b/crates/revision/tests/lists.rs
@@ -3,9 +3,9 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hollowpaddle_peer_transport::Member;
-use hollowpaddle_revision::lists::{Action, Event, ListWord, Lists, Phase, Stop};
-use hollowpaddle_revision::words::LONGEST_WORD;
+use hollowpaddle_peer_transport::NodeId;
+use hollowpaddle_revision::lists::{Action, Event, ListMessage, Lists, Phase, Stop};
+use hollowpaddle_revision::message::MAX_MESSAGE_BYTES;
 use proptest::prelude::*;
 
 const NAMES: [&str; 4] = ["a", "b", "c", "d"];
@@ -26,8 +26,8 @@
     Stop { name: name.into(), version, ended: false }
 }
 
-fn word(version: u64, stops: Vec<Stop>) -> Event {
-    Event::Word { from: Member(1), word: ListWord { version, stops } }
+fn message(version: u64, stops: Vec<Stop>) -> Event {
+    Event::Message { from: NodeId(1), message: ListMessage { version, stops } }
 }
 
 /// `a` is in the charter.
@@ -43,19 +43,19 @@
 fn a_peer_s_word_stops_at_once_and_is_passed_on_once_and_the_own_list_s_next_word_decides() {
     let (mut lists, mut did) = (Lists::default(), vec![]);
     all(&mut lists, 5);
-    lists.handle(s(2), word(7, vec![stop("b", 7)]), &mut did);
+    lists.handle(s(2), message(7, vec![stop("b", 7)]), &mut did);
     assert_eq!(open(&lists), "acd");
     assert!(did.contains(&Action::Ask { version: 7 }) && did.contains(&Action::Changed));
     let passes =
         |did: &[Action]| did.iter().any(|a| matches!(a, Action::Tell(w) if !w.stops.is_empty()));
     assert!(passes(&did));
     did.clear();
-    lists.handle(s(2), word(7, vec![stop("b", 7)]), &mut did);
+    lists.handle(s(2), message(7, vec![stop("b", 7)]), &mut did);
     assert!(!passes(&did), "no news any more");
     // The own list, later: it is back.
     lists.handle(s(3), own(8, false, &[("b", Phase::Serving)]), &mut did);
     assert_eq!(open(&lists), "abcd");
-    lists.handle(s(3), word(7, vec![stop("b", 7)]), &mut did);
+    lists.handle(s(3), message(7, vec![stop("b", 7)]), &mut did);
     assert_eq!(open(&lists), "abcd", "late news is none");
 }
 
@@ -63,14 +63,14 @@
 fn replicas_that_disagree_stop_for_ten_seconds_and_then_each_keeps_to_its_own() {
     let (mut lists, mut did) = (Lists::default(), vec![]);
     all(&mut lists, 5);
-    lists.handle(s(2), word(5, vec![stop("b", 5)]), &mut did);
+    lists.handle(s(2), message(5, vec![stop("b", 5)]), &mut did);
     assert_eq!(open(&lists), "acd", "of one version: it stops");
     lists.handle(s(11), Event::Due, &mut did);
     assert_eq!(open(&lists), "acd");
     lists.handle(s(12), Event::Due, &mut did);
     assert_eq!(open(&lists), "abcd");
     // A discovery that never gets so far: a minute, at most.
-    lists.handle(s(20), word(9, vec![stop("c", 9)]), &mut did);
+    lists.handle(s(20), message(9, vec![stop("c", 9)]), &mut did);
     lists.handle(s(79), Event::Due, &mut did);
     assert_eq!(open(&lists), "abd");
     lists.handle(s(80), Event::Due, &mut did);
@@ -96,7 +96,7 @@
     lists.handle(s(2), Event::Floor(6), &mut did);
     assert_eq!(open(&lists), "a");
     assert!(did.contains(&Action::Changed));
-    lists.handle(s(2), word(7, vec![stop("a", 7)]), &mut did);
+    lists.handle(s(2), message(7, vec![stop("a", 7)]), &mut did);
     assert_eq!(open(&lists), "bcd", "not even that: what there is");
     lists.handle(s(3), own(6, false, &[("a", Phase::Serving)]), &mut did);
     assert_eq!(open(&lists), "bcd", "new enough, and a is stopped by a later word");
@@ -107,33 +107,34 @@
 #[test]
 fn a_drain_reaches_a_whole_bank_by_flooding_through_loss() {
     let mut rng = oorandom::Rand32::new(3);
-    let mut bank: Vec<Lists> = vec![Lists::default(); 60];
-    bank.iter_mut().for_each(|l| all(l, 5));
+    let mut cluster: Vec<Lists> = vec![Lists::default(); 60];
+    cluster.iter_mut().for_each(|l| all(l, 5));
     let mut now = s(2);
     let mut did: BTreeMap<usize, Vec<Action>> = BTreeMap::new();
-    bank[0].handle(now, own(6, false, &[("b", Phase::Drains)]), did.entry(0).or_default());
+    cluster[0].handle(now, own(6, false, &[("b", Phase::Drains)]), did.entry(0).or_default());
     for _ in 0..30 {
         for (from, actions) in std::mem::take(&mut did) {
             let words = actions
                 .into_iter()
                 .filter_map(|a| if let Action::Tell(w) = a { Some(w) } else { None });
-            for word in words {
+            for message in words {
                 let near =
                     [from.wrapping_sub(1) / 8].into_iter().chain(8 * from + 1..=8 * from + 8);
                 for to in near.filter(|to| *to < 60) {
                     if rng.rand_float() >= 0.3 {
-                        let word = Event::Word { from: Member(from as u16), word: word.clone() };
-                        bank[to].handle(now, word, did.entry(to).or_default());
+                        let message =
+                            Event::Message { from: NodeId(from as u16), message: message.clone() };
+                        cluster[to].handle(now, message, did.entry(to).or_default());
                     }
                 }
             }
         }
         now += Duration::from_millis(100);
-        for (m, lists) in bank.iter_mut().enumerate() {
+        for (m, lists) in cluster.iter_mut().enumerate() {
             lists.handle(now, Event::Due, did.entry(m).or_default());
         }
     }
-    let told = bank.iter().filter(|l| !open(l).contains('b')).count();
+    let told = cluster.iter().filter(|l| !open(l).contains('b')).count();
     assert!(told >= 58, "{told} of 60");
 }
 
@@ -159,7 +160,7 @@
                     lists.handle(now, own(version, false, &[(name, phase)]), &mut vec![]);
                 }
                 2 => {
-                    lists.handle(now, word(version, vec![stop(name, version)]), &mut vec![]);
+                    lists.handle(now, message(version, vec![stop(name, version)]), &mut vec![]);
                     let after = open(&lists);
                     let newer = model.get(name).is_some_and(|(last, _)| *last > version);
                     prop_assert!(newer || !after.contains(name), "{name} by {version}");
@@ -185,15 +186,15 @@
         }
         let mut told = std::collections::BTreeSet::new();
         for action in did {
-            if let Action::Tell(word) = action {
-                prop_assert!(word.to_bytes().len() <= LONGEST_WORD);
-                prop_assert_eq!(ListWord::from_bytes(&word.to_bytes()), Ok(word.clone()));
-                told.extend(word.stops.into_iter().map(|s| s.name));
+            if let Action::Tell(message) = action {
+                prop_assert!(message.to_bytes().len() <= MAX_MESSAGE_BYTES);
+                prop_assert_eq!(ListMessage::from_bytes(&message.to_bytes()), Ok(message.clone()));
+                told.extend(message.stops.into_iter().map(|s| s.name));
             }
         }
         prop_assert_eq!(told, names.iter().cloned().collect());
-        if let Ok(word) = ListWord::from_bytes(&bytes) {
-            lists.handle(s(3), Event::Word { from: Member(1), word }, &mut vec![]);
+        if let Ok(message) = ListMessage::from_bytes(&bytes) {
+            lists.handle(s(3), Event::Message { from: NodeId(1), message }, &mut vec![]);
         }
     }
 }
