--- a/crates/revision/tests/sim/mod.rs
+++ b/crates/revision/tests/sim/mod.rs
@@ -8,17 +8,17 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollowpaddle_peer_transport::{Life, Member};
-use hollowpaddle_revision::book::{Book, Standing};
-use hollowpaddle_revision::charter::Charter;
+use hollowpaddle_peer_transport::{Incarnation, NodeId};
+use hollowpaddle_revision::canary::Trial;
 use hollowpaddle_revision::document::Document;
 use hollowpaddle_revision::entry::{Ask, Entry, Id};
+use hollowpaddle_revision::fallback_policy::Charter;
 use hollowpaddle_revision::fleet::Facts;
 use hollowpaddle_revision::in_force::{InForce, View};
 use hollowpaddle_revision::leases::{Action, Event, Leases, Terms};
+use hollowpaddle_revision::message::{Message, Stage};
+use hollowpaddle_revision::policy_state::{Book, Standing};
 use hollowpaddle_revision::rules::{Place, Rules};
-use hollowpaddle_revision::trial::Trial;
-use hollowpaddle_revision::words::{Stage, Word};
 use oorandom::Rand64;
 
 use crate::common;
@@ -60,14 +60,14 @@
 }
 
 enum Ev {
-    Word { to: usize, from: usize, life: u32, word: Word },
-    Wake { m: usize, life: u32, at: Duration },
+    Message { to: usize, from: usize, incarnation: u32, message: Message },
+    Wake { m: usize, incarnation: u32, at: Duration },
     Learn { m: usize, upto: usize, epoch: u32 },
     Found,
     Commit { view: u32, entry: Entry },
-    Round { m: usize, life: u32, began: Duration, view: u32, answered: u64 },
-    Kept { m: usize, life: u32, generation: Stage, charter: Arc<Charter> },
-    Parent { m: usize, life: u32, parent: usize },
+    Round { m: usize, incarnation: u32, began: Duration, view: u32, answered: u64 },
+    Kept { m: usize, incarnation: u32, generation: Stage, charter: Arc<Charter> },
+    Parent { m: usize, incarnation: u32, parent: usize },
     Restart { m: usize },
     Heal,
     Fault,
@@ -79,7 +79,7 @@
 
 struct Proc {
     leases: Leases,
-    life: u32,
+    incarnation: u32,
     up: bool,
     born: u64,
     /// Its clock's microseconds in a million of real ones.
@@ -181,19 +181,19 @@
     fn proc(
         &self,
         m: usize,
-        life: u32,
+        incarnation: u32,
         rate: u64,
         disk: bool,
         stored: Option<(Stage, Charter)>,
     ) -> Proc {
         let bedrock = common::founding(1).bedrock;
-        let mut terms = Terms::usual(Member(m as u16), Life(life), bedrock);
+        let mut terms = Terms::usual(NodeId(m as u16), Incarnation(incarnation), bedrock);
         (terms.stored, terms.exact) = (stored.clone(), self.setting.exact);
         let leases = Leases::new(terms);
         Proc {
             in_force: leases.in_force(),
             leases,
-            life,
+            incarnation,
             up: true,
             born: self.now,
             rate,
@@ -262,17 +262,17 @@
     /// Whose an event is; a paused process gets it later.
     fn take(&mut self, ev: Ev) {
         let whose = match &ev {
-            Ev::Word { to, .. } => Some((*to, None)),
-            Ev::Wake { m, life, .. }
-            | Ev::Round { m, life, .. }
-            | Ev::Kept { m, life, .. }
-            | Ev::Parent { m, life, .. } => Some((*m, Some(*life))),
+            Ev::Message { to, .. } => Some((*to, None)),
+            Ev::Wake { m, incarnation, .. }
+            | Ev::Round { m, incarnation, .. }
+            | Ev::Kept { m, incarnation, .. }
+            | Ev::Parent { m, incarnation, .. } => Some((*m, Some(*incarnation))),
             Ev::Learn { m, .. } => Some((*m, None)),
             _ => None,
         };
-        if let Some((m, life)) = whose {
+        if let Some((m, incarnation)) = whose {
             let p = &self.procs[m];
-            if !p.up || life.is_some_and(|l| l != p.life) {
+            if !p.up || incarnation.is_some_and(|l| l != p.incarnation) {
                 return;
             }
             if p.paused > self.now {
@@ -281,8 +281,15 @@
             }
         }
         match ev {
-            Ev::Word { to, from, life, word } => {
-                self.tell(to, Event::Word { from: Member(from as u16), life: Life(life), word });
+            Ev::Message { to, from, incarnation, message } => {
+                self.tell(
+                    to,
+                    Event::Message {
+                        from: NodeId(from as u16),
+                        incarnation: Incarnation(incarnation),
+                        message,
+                    },
+                );
             }
             Ev::Wake { m, at, .. } => {
                 if self.procs[m].wake == at {
@@ -308,19 +315,19 @@
             Ev::Parent { m, parent, .. } => {
                 self.procs[m].parent = Some(parent);
                 let parent =
-                    (self.procs[m].leads != Some(self.view)).then_some(Member(parent as u16));
+                    (self.procs[m].leads != Some(self.view)).then_some(NodeId(parent as u16));
                 self.tell(m, Event::Parent(parent));
             }
             Ev::Restart { m } => {
                 if !self.procs[m].up {
-                    let (life, rate, disk) =
-                        (self.procs[m].life + 1, self.procs[m].rate, self.procs[m].disk);
+                    let (incarnation, rate, disk) =
+                        (self.procs[m].incarnation + 1, self.procs[m].rate, self.procs[m].disk);
                     let stored = self.procs[m].stored.clone().filter(|_| disk);
-                    self.procs[m] = self.proc(m, life, rate, disk, stored);
+                    self.procs[m] = self.proc(m, incarnation, rate, disk, stored);
                     let after = self.delay();
                     let parent =
                         self.leader.filter(|l| *l != m).unwrap_or((m + 1) % self.setting.members);
-                    self.at(after, Ev::Parent { m, life, parent });
+                    self.at(after, Ev::Parent { m, incarnation, parent });
                     self.at(after, Ev::Learn { m, upto: 0, epoch: self.epoch });
                 }
             }
@@ -336,11 +343,12 @@
     }
 
     fn tell(&mut self, m: usize, event: Event) {
-        let (now, life, mut actions) = (self.local(m), self.procs[m].life, Vec::new());
+        let (now, incarnation, mut actions) =
+            (self.local(m), self.procs[m].incarnation, Vec::new());
         self.procs[m].leases.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { to, word } => self.send(m, usize::from(to.0), word),
+                Action::Send { to, message } => self.send(m, usize::from(to.0), message),
                 Action::Publish(in_force) => {
                     let none = in_force.until == Duration::ZERO;
                     if !(self.setting.broken == Broken::Lease && none) {
@@ -350,7 +358,7 @@
                 Action::Keep { generation, charter } => {
                     let after =
                         if self.procs[m].disk { self.rng.rand_range(MS..40 * MS) } else { 0 };
-                    self.at(after, Ev::Kept { m, life, generation, charter });
+                    self.at(after, Ev::Kept { m, incarnation, generation, charter });
                 }
                 Action::WakeAt(at) => {
                     self.procs[m].wake = at;
@@ -358,7 +366,7 @@
                     let real =
                         p.born + (at.as_micros() as u64).saturating_mul(1_000_000) / p.rate + 2;
                     let after = real.saturating_sub(self.now);
-                    self.at(after, Ev::Wake { m, life, at });
+                    self.at(after, Ev::Wake { m, incarnation, at });
                 }
                 Action::Propose(entry) => {
                     let (after, view) =
@@ -375,28 +383,28 @@
                     let leads = self.rng.rand_float() < 1.0 / (1.0 + members as f64 / 10.0);
                     let parent = if leads { self.leader.unwrap_or(any) } else { any };
                     if parent != m {
-                        self.at(after, Ev::Parent { m, life, parent });
+                        self.at(after, Ev::Parent { m, incarnation, parent });
                     }
                 }
             }
         }
     }
 
-    fn send(&mut self, from: usize, to: usize, word: Word) {
+    fn send(&mut self, from: usize, to: usize, message: Message) {
         self.words += 1;
-        let bytes = word.to_bytes();
+        let bytes = message.to_bytes();
         self.bytes += bytes.len() as u64;
-        let word = Word::from_bytes(&bytes).expect("a word that was written can be read");
+        let message = Message::from_bytes(&bytes).expect("a word that was written can be read");
         if !self.reaches(from, to) {
             return;
         }
-        let life = self.procs[from].life;
+        let incarnation = self.procs[from].incarnation;
         // Copies come late: also to a later life.
         let copies = 1 + u64::from(self.rng.rand_float() < 0.03);
         for copy in 0..copies {
             if !self.lost() {
                 let after = self.delay() + copy * self.rng.rand_range(0..3 * S);
-                self.at(after, Ev::Word { to, from, life, word: word.clone() });
+                self.at(after, Ev::Message { to, from, incarnation, message: message.clone() });
             }
         }
     }
@@ -478,8 +486,8 @@
         rank.insert(0, leader);
         for r in 1..rank.len() {
             let (m, parent) = (rank[r], rank[(r - 1) / self.setting.fan]);
-            let (after, life) = (self.delay() * 3, self.procs[m].life);
-            self.at(after, Ev::Parent { m, life, parent });
+            let (after, incarnation) = (self.delay() * 3, self.procs[m].incarnation);
+            self.at(after, Ev::Parent { m, incarnation, parent });
         }
     }
 
@@ -497,10 +505,10 @@
             if view != self.view || !self.ok(m) {
                 continue;
             }
-            let (began, life) = (self.local(m), self.procs[m].life);
+            let (began, incarnation) = (self.local(m), self.procs[m].incarnation);
             let answered = self.now;
             let after = 2 * self.delay();
-            self.at(after, Ev::Round { m, life, began, view, answered });
+            self.at(after, Ev::Round { m, incarnation, began, view, answered });
         }
         let leader_ok =
             self.leader.is_some_and(|l| self.ok(l) && self.procs[l].leads == Some(self.view));
--- a/crates/scale-harness/src/workers.rs
+++ b/crates/scale-harness/src/workers.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use hollowpaddle_failpoints::Points;
-use hollowpaddle_gateway::bank;
+use hollowpaddle_gateway::cluster;
 use hollowpaddle_gateway::{Config, ConfigError, Provided, ServeError, serve};
 use hollowpaddle_net::{Listener, Network, Tcp};
 use tokio::sync::{mpsc, oneshot};
@@ -36,7 +36,7 @@
     Serve(#[from] ServeError),
     /// The cluster can't be set up.
     #[error("cluster: {0}")]
-    Cluster(#[from] bank::SetupError),
+    Cluster(#[from] cluster::SetupError),
     /// The worker thread has ended.
     #[error("a worker thread has ended")]
     Ended,
@@ -218,11 +218,11 @@
     listener: Box<dyn Listener>,
 ) -> Result<(), WorkerError> {
     let (mut provided, mut _cluster) = (Provided::default(), None);
-    if let Some(cluster) = &config.bank {
+    if let Some(cluster) = &config.cluster {
         let incarnation = config.seed as u32;
         let failpoints = Points::from_environment().map_err(|e| io::Error::other(e.to_string()))?;
-        let (link, shell) = bank::join(&config, cluster, incarnation, None, failpoints)?;
-        provided.bank = Some(link);
+        let (link, shell) = cluster::join(&config, cluster, incarnation, None, failpoints)?;
+        provided.cluster = Some(link);
         _cluster = Some(AbortOnDrop(spawn_local(shell.run(network.clone()))));
     }
     let (_reload, reloads) = mpsc::unbounded_channel();
--- a/crates/scale-harness/tests/fleet.rs
+++ b/crates/scale-harness/tests/fleet.rs
@@ -38,7 +38,7 @@
     assert_eq!(config.facts.balancers, 100);
     assert_eq!(config.facts.position, 3);
     assert_eq!(config.facts.tenants.len(), fleet.tenants);
-    assert!(config.bank.is_none());
+    assert!(config.cluster.is_none());
 }
 
 #[test]
@@ -47,7 +47,7 @@
     let peers = vec![loopback(10), loopback(11), loopback(12)];
     let text = fleet.config(&BalancerConfig { peers: Some(peers), ..balancer(1) }).to_string();
     let config = Config::parse("fleet", text.as_bytes(), |_| None).expect("a valid configuration");
-    let cluster = config.bank.expect("a cluster");
+    let cluster = config.cluster.expect("a cluster");
     assert_eq!((cluster.position, cluster.listen), (1, loopback(11)));
 }
 
--- a/crates/sessions/src/asker.rs
+++ b/crates/sessions/src/asker.rs
@@ -1,11 +1,11 @@
 //! Requests of one balancer: who is asked where they go, how long, and what is done without an answer. Also
 //! what this balancer itself sent, which it can tell when a home is lost.
 
-use hollowpaddle_peer_transport::Member;
+use hollowpaddle_peer_transport::NodeId;
 
 use crate::machine::{MINE, Out, PERMIT_MS, Sessions, Timer, millis, outside};
+use crate::message::{KeyWord, Message, Said};
 use crate::store::{Note, State, ms, tick, tick_up};
-use crate::words::{KeyWord, Said, Word};
 use crate::{Action, Effect, Epoch, Key, Pod, Ran, Sid, Verdict, Why};
 
 /// Requests that wait for a record at most. Beyond, they are placed at once as if nobody had answered.
@@ -127,7 +127,7 @@
             self.tell_witness(now, n, &pending, out);
         } else if let Some(home) = self.own_home(sid) {
             let key = if let Effect::Keyed(key) = pending.effect { Some(key) } else { None };
-            self.send(home, Word::Ask { n, sid, key, first: pending.first }, out);
+            self.send(home, Message::Ask { n, sid, key, first: pending.first }, out);
         }
         if let Some(pending) = self.pending.get_mut(&n) {
             pending.tries += 1;
@@ -205,7 +205,7 @@
         self.usable(found.0).then_some(found)
     }
 
-    pub(crate) fn on_answer(&mut self, now: u64, from: Member, n: u32, said: Said, out: &mut Out) {
+    pub(crate) fn on_answer(&mut self, now: u64, from: NodeId, n: u32, said: Said, out: &mut Out) {
         let Some(pending) = self.pending.get_mut(&n) else { return };
         if pending.rests || pending.allowed.is_some() {
             return;
@@ -216,12 +216,12 @@
                 // less.
                 let length = |ms: u64| ms - ms / 100;
                 let copied = pending.asked.saturating_add(length(u64::from(copy))).min(self.until);
-                let (sid, me) = (pending.sid, self.config.me);
-                if copy > 0 && from != me && now < copied {
+                let (sid, node_id) = (pending.sid, self.config.node_id);
+                if copy > 0 && from != node_id && now < copied {
                     self.take_copy(sid, Copied { pod, epoch, until: copied });
                 }
                 let Some(pending) = self.pending.get_mut(&n) else { return };
-                if from == me && matches!(pending.effect, Effect::Keyed(_)) {
+                if from == node_id && matches!(pending.effect, Effect::Keyed(_)) {
                     pending.allowed = Some((pod, epoch));
                     let pending = pending.clone();
                     if self.witnesses(sid).is_empty() {
@@ -271,7 +271,7 @@
         if !self.is_home(sid) {
             let (run, window) = (millis(self.config.run), millis(self.config.window));
             let free = tick_up(until.saturating_add(run).saturating_add(window));
-            let by = self.config.me;
+            let by = self.config.node_id;
             let note = Note { first: tick(pending.asked), free, ask: n, by, pod };
             if !self.keep_mine(now, sid, key, note) {
                 return self.place(id, Verdict::Refuse(Why::Full), out);
@@ -318,8 +318,8 @@
         }
     }
 
-    fn witnesses(&self, sid: Sid) -> Vec<Member> {
-        self.site().map_or(Vec::new(), |site| self.table.witnesses(sid, site, self.config.me))
+    fn witnesses(&self, sid: Sid) -> Vec<NodeId> {
+        self.site().map_or(Vec::new(), |site| self.table.witnesses(sid, site, self.config.node_id))
     }
 
     /// A home that sends by itself would be the only one to know: another balancer of the site must know,
@@ -336,24 +336,24 @@
         let all = self.witnesses(pending.sid);
         // Another one each time: one that is down must not keep this van waiting.
         if let Some(to) = all.get(pending.tries % all.len().max(1)) {
-            self.send(*to, Word::Keep { n, sid: pending.sid, note }, out);
+            self.send(*to, Message::Keep { n, sid: pending.sid, note }, out);
         }
     }
 
     pub(crate) fn on_keep(
         &mut self,
         now: u64,
-        from: Member,
+        from: NodeId,
         n: u32,
         sid: Sid,
-        word: KeyWord,
+        message: KeyWord,
         out: &mut Out,
     ) {
-        let free = tick_up(now.saturating_add(word.free_in));
+        let free = tick_up(now.saturating_add(message.free_in));
         // When it was first sent is not known here: not lately enough to be sent again.
-        let note = Note { first: 0, free, ask: 0, by: from, pod: word.pod };
-        if self.keep_mine(now, sid, word.key, note) {
-            self.send(from, Word::Kept { n }, out);
+        let note = Note { first: 0, free, ask: 0, by: from, pod: message.pod };
+        if self.keep_mine(now, sid, message.key, note) {
+            self.send(from, Message::Kept { n }, out);
         }
     }
 
@@ -420,13 +420,13 @@
         self.sent(now, id, out);
         let Some(placed) = self.placed.remove(&id) else { return };
         let (Some(key), Ran::No) = (placed.key, ran) else { return };
-        let (me, n, sid) = (self.config.me, placed.n, placed.sid);
-        if let Some(note) = self.mine.get(&(sid, key)).filter(|m| (m.by, m.ask) == (me, n)) {
+        let (node_id, n, sid) = (self.config.node_id, placed.n, placed.sid);
+        if let Some(note) = self.mine.get(&(sid, key)).filter(|m| (m.by, m.ask) == (node_id, n)) {
             self.mine_end.remove(&(note.free, sid, key));
             self.mine.remove(&(sid, key));
         }
         if let Some(home) = self.own_home(sid) {
-            self.send(home, Word::Unran { n, sid, key }, out);
+            self.send(home, Message::Unran { n, sid, key }, out);
         }
     }
 
@@ -439,7 +439,7 @@
     pub(crate) fn on_withdraw(
         &mut self,
         now: u64,
-        from: Member,
+        from: NodeId,
         sid: Sid,
         epoch: Epoch,
         out: &mut Out,
@@ -463,7 +463,7 @@
             }
         }
         if !self.outstanding(now, sid) {
-            self.send(from, Word::Withdrawn { sid, epoch }, out);
+            self.send(from, Message::Withdrawn { sid, epoch }, out);
         }
     }
 }
--- a/crates/sessions/src/home.rs
+++ b/crates/sessions/src/home.rs
@@ -14,12 +14,12 @@
 
 use std::collections::BTreeSet;
 
-use hollowpaddle_peer_transport::Member;
+use hollowpaddle_peer_transport::NodeId;
 
 use crate::machine::{AGAIN, Out, PERMIT_MS, Sessions, Timer, millis};
+use crate::message::{Estate, Message, Said};
 use crate::store::{NO_POD, Note, State, ms, tick, tick_up};
 use crate::table::goes_first;
-use crate::words::{Estate, Said, Word};
 use crate::{Epoch, Key, Pod, Seat, Sid, Site};
 
 /// Copies out and rights to send at a time, at most: those beyond wait for some to end.
@@ -32,7 +32,7 @@
 /// Somebody who wants to send.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Waiter {
-    from: Member,
+    from: NodeId,
     n: u32,
     key: Option<Key>,
     first: bool,
@@ -66,7 +66,7 @@
     pub(crate) fn on_ask(
         &mut self,
         now: u64,
-        from: Member,
+        from: NodeId,
         n: u32,
         sid: Sid,
         key: Option<Key>,
@@ -82,17 +82,17 @@
             return self.find(now, sid, Some(waiter));
         }
         let room = self.lent.len() < LENT || self.lent.contains_key(&(sid, from));
-        if from != self.config.me && !room {
+        if from != self.config.node_id && !room {
             self.lent.retain(|_, until| *until > now);
             return;
         }
         if let Some(said) = self.say(now, sid, waiter) {
-            if let (Said::Go { .. }, true) = (said, from != self.config.me) {
+            if let (Said::Go { .. }, true) = (said, from != self.config.node_id) {
                 let copy = millis(self.config.copy).max(PERMIT_MS);
                 let until = now.saturating_add(copy + copy.div_ceil(100));
                 self.lent.insert((sid, from), until);
             }
-            self.send(from, Word::Answer { n, said }, out);
+            self.send(from, Message::Answer { n, said }, out);
         }
     }
 
@@ -177,13 +177,13 @@
         let (ask, own) = (finding.ask, self.site());
         let floor = self.store.floor.max(self.store.get(sid).map_or(Epoch::default(), |r| r.epoch));
         let open = self.table.sites().filter(|s| Some(*s) != own && !finding.answered.contains(s));
-        let homes: Vec<Member> = open.filter_map(|site| self.table.home(sid, site)).collect();
+        let homes: Vec<NodeId> = open.filter_map(|site| self.table.home(sid, site)).collect();
         if homes.is_empty() {
             return self.try_own(now, sid, out);
         }
         let arrived = self.store.get(sid).is_some_and(|r| r.state == State::Arrived);
         for home in homes {
-            self.send(home, Word::Want { ask, sid, floor, arrived }, out);
+            self.send(home, Message::Want { ask, sid, floor, arrived }, out);
         }
         self.at(now.saturating_add(AGAIN), Timer::Find(sid));
     }
@@ -227,7 +227,7 @@
                 Ok(()) => self.on_ask(now, from, n, sid, key, first, out),
                 // Without a record nobody could say later where it ran.
                 Err(_) if key.is_some() => {
-                    self.send(from, Word::Answer { n, said: Said::Full }, out)
+                    self.send(from, Message::Answer { n, said: Said::Full }, out)
                 }
                 Err(_) => {}
             }
@@ -243,7 +243,7 @@
     }
 
     /// Whether a word about a van comes from its home at another site, and is for its home here.
-    fn between_homes(&self, from: Member, sid: Sid) -> Option<Seat> {
+    fn between_homes(&self, from: NodeId, sid: Sid) -> Option<Seat> {
         let seat = *self.table.seat(from)?;
         let is = Some(seat.site) != self.site() && self.table.home(sid, seat.site) == Some(from);
         (is && self.is_home(sid)).then_some(seat)
@@ -252,7 +252,7 @@
     pub(crate) fn on_want(
         &mut self,
         now: u64,
-        from: Member,
+        from: NodeId,
         ask: u32,
         sid: Sid,
         (floor, arrived): (Epoch, bool),
@@ -294,22 +294,22 @@
                 }
                 let floor = self.store.floor;
                 let estate = self.store.estate(now, sid);
-                self.send(from, Word::Nothing { ask, floor, estate }, out);
+                self.send(from, Message::Nothing { ask, floor, estate }, out);
             }
         }
     }
 
     fn withdraw(&mut self, now: u64, sid: Sid, out: &mut Out) {
         let Some(epoch) = self.store.get(sid).map(|r| r.epoch) else { return };
-        let of_it = (sid, Member(0))..=(sid, Member(u16::MAX));
-        let lent: Vec<(Member, u64)> =
+        let of_it = (sid, NodeId(0))..=(sid, NodeId(u16::MAX));
+        let lent: Vec<(NodeId, u64)> =
             self.lent.range(of_it).map(|((_, to), until)| (*to, *until)).collect();
         for (to, until) in lent {
             // One that has lost its seat may use nothing any more.
             if until <= now || self.table.seat(to).is_none() {
                 self.lent.remove(&(sid, to));
             } else {
-                self.send(to, Word::Withdraw { sid, epoch }, out);
+                self.send(to, Message::Withdraw { sid, epoch }, out);
             }
         }
     }
@@ -317,7 +317,7 @@
     pub(crate) fn on_withdrawn(
         &mut self,
         now: u64,
-        from: Member,
+        from: NodeId,
         sid: Sid,
         epoch: Epoch,
         out: &mut Out,
@@ -331,7 +331,7 @@
 
     /// Hands over once nothing is out under the old epoch.
     pub(crate) fn try_hand(&mut self, now: u64, sid: Sid, out: &mut Out) {
-        let lent = self.lent.range((sid, Member(0))..=(sid, Member(u16::MAX))).next().is_some();
+        let lent = self.lent.range((sid, NodeId(0))..=(sid, NodeId(u16::MAX))).next().is_some();
         if lent || self.outstanding(now, sid) || !self.seated(now) {
             return;
         }
@@ -339,7 +339,7 @@
         leaving.handed = true;
         let (to, ask, epoch) = (leaving.to.member, leaving.ask, leaving.epoch);
         let estate = Estate { epoch, ..self.store.estate(now, sid) };
-        self.send(to, Word::Hand { ask, estate }, out);
+        self.send(to, Message::Hand { ask, estate }, out);
     }
 
     pub(crate) fn leave_again(&mut self, now: u64, sid: Sid, out: &mut Out) {
@@ -354,7 +354,7 @@
     pub(crate) fn on_nothing(
         &mut self,
         now: u64,
-        from: Member,
+        from: NodeId,
         ask: u32,
         floor: Epoch,
         estate: &Estate,
@@ -383,21 +383,21 @@
     fn no_room(&mut self, sid: Sid, out: &mut Out) {
         let Some(finding) = self.findings.remove(&sid) else { return };
         for waiter in finding.waiters.iter().filter(|w| w.key.is_some()) {
-            self.send(waiter.from, Word::Answer { n: waiter.n, said: Said::Full }, out);
+            self.send(waiter.from, Message::Answer { n: waiter.n, said: Said::Full }, out);
         }
     }
 
     pub(crate) fn on_hand(
         &mut self,
         now: u64,
-        from: Member,
+        from: NodeId,
         ask: u32,
         estate: &Estate,
         out: &mut Out,
     ) {
         let (sid, epoch) = (estate.sid, estate.epoch);
         let record = self.store.get(sid).map(|r| (r.state, r.epoch));
-        let got = |taken| Word::Got { sid, epoch, taken };
+        let got = |taken| Message::Got { sid, epoch, taken };
         if record.is_some_and(|(_, known)| known >= epoch) {
             return self.send(from, got(true), out);
         }
@@ -432,12 +432,12 @@
 
     /// It stays the other's. A copy of that word may come later, when it would be taken: so never under this
     /// epoch.
-    fn not_taken(&mut self, to: Member, sid: Sid, epoch: Epoch, out: &mut Out) {
+    fn not_taken(&mut self, to: NodeId, sid: Sid, epoch: Epoch, out: &mut Out) {
         self.store.floor = self.store.floor.max(epoch);
-        self.send(to, Word::Got { sid, epoch, taken: false }, out);
+        self.send(to, Message::Got { sid, epoch, taken: false }, out);
     }
 
-    pub(crate) fn on_got(&mut self, now: u64, from: Member, sid: Sid, epoch: Epoch, taken: bool) {
+    pub(crate) fn on_got(&mut self, now: u64, from: NodeId, sid: Sid, epoch: Epoch, taken: bool) {
         let is = |l: &Leaving| l.handed && l.to.member == from && l.epoch == epoch;
         if !self.leaving.get(&sid).is_some_and(is) {
             return;
--- a/crates/sessions/src/lib.rs
+++ b/crates/sessions/src/lib.rs
@@ -37,7 +37,7 @@
 //! It takes for granted: the council's table leaves a seat out only after its time has passed
 //! ([`Event::Awake`]); an attempt runs within [`Config::run`] of its sending, or never; pods drop repeats for
 //! [`Config::window`] from the run on; clocks run alike within one in a hundred; the wire lets no word of a
-//! former life through. What a lying peer can do is in `docs/design/bank/sessions.md`.
+//! former life through. What a lying peer can do is in `docs/design/cluster/sessions.md`.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -45,19 +45,19 @@
 mod hash;
 mod home;
 mod machine;
+mod message;
 mod store;
 mod table;
 mod turn;
-mod words;
 
 use std::time::Duration;
 
-use hollowpaddle_peer_transport::{Life, Member};
+use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use serde::{Deserialize, Serialize};
 
 pub use hash::{Weighed, pod_of};
 pub use machine::{Counts, Sessions};
-pub use words::{Bad, LONGEST_WORD};
+pub use message::{Bad, MAX_MESSAGE_BYTES};
 
 /// A van: the hash of its cookie `sid` (PROTOCOL, 'Clients to balancers').
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -99,9 +99,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Seat {
     /// Which balancer.
-    pub member: Member,
+    pub member: NodeId,
     /// Which process of it: one that has restarted has no seat until a table names its new life.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// Where it is.
     pub site: Site,
     /// The version of the table that gave this seat; it kept it in all since. One that was left out and is
@@ -160,13 +160,13 @@
         ran: Ran,
     },
     /// A word of another balancer, of a life that the wire has confirmed.
-    Word {
+    Message {
         /// From whom.
-        from: Member,
+        from: NodeId,
         /// Which process of it.
-        life: Life,
+        incarnation: Incarnation,
         /// As it came.
-        word: Vec<u8>,
+        message: Vec<u8>,
     },
     /// The table that the council agreed on. It must hold: a table without a seat is made only after the time
     /// up to which that seat was given has passed, by the giver's clock and drift.
@@ -250,9 +250,9 @@
     /// A word to another balancer. It may be lost.
     Send {
         /// To whom.
-        to: Member,
-        /// At most [`LONGEST_WORD`] bytes; all but those of a change of the table fit a datagram.
-        word: Vec<u8>,
+        to: NodeId,
+        /// At most [`MAX_MESSAGE_BYTES`] bytes; all but those of a change of the table fit a datagram.
+        message: Vec<u8>,
     },
     /// [`Event::Due`] is wanted by then. A later one replaces it.
     WakeAt(Duration),
@@ -262,9 +262,9 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
     /// Who this is.
-    pub me: Member,
+    pub node_id: NodeId,
     /// Which process of it.
-    pub life: Life,
+    pub incarnation: Incarnation,
     /// No process of this bank can have sent a keyed request within [`Config::forgotten_after`] before this
     /// one began: the platform's very first start. When in doubt, `false`.
     pub first_start: bool,
@@ -290,10 +290,10 @@
 
 impl Config {
     /// The usual figures.
-    pub fn new(me: Member, life: Life) -> Self {
+    pub fn new(node_id: NodeId, incarnation: Incarnation) -> Self {
         Self {
-            me,
-            life,
+            node_id,
+            incarnation,
             first_start: false,
             window: Duration::from_secs(10),
             run: Duration::from_secs(3),
--- a/crates/sessions/src/machine.rs
+++ b/crates/sessions/src/machine.rs
@@ -4,14 +4,14 @@
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
-use hollowpaddle_peer_transport::Member;
+use hollowpaddle_peer_transport::NodeId;
 
 use crate::asker::{Copied, Pending, Placed};
 use crate::home::{Finding, Leaving};
+use crate::message::{Message, read, write};
 use crate::store::{NO_POD, Note, State, Store, tick};
 use crate::table::{Losses, Table};
 use crate::turn::Pull;
-use crate::words::{Word, read, write};
 use crate::{Action, Config, Epoch, Event, Key, PERMIT, Pod, Seat, Sid, Weighed, pod_of};
 
 /// A right to send, in ms.
@@ -28,7 +28,7 @@
     Ask(u32),
     Find(Sid),
     Leave(Sid),
-    Pull(Member),
+    Pull(NodeId),
 }
 
 /// What has happened so far.
@@ -59,7 +59,7 @@
 /// Where actions go, and words to oneself.
 pub(crate) struct Out<'a> {
     pub actions: &'a mut Vec<Action>,
-    pub own: VecDeque<Word>,
+    pub own: VecDeque<Message>,
 }
 
 /// The machine of one balancer.
@@ -80,7 +80,7 @@
     pub(crate) findings: BTreeMap<Sid, Finding>,
     pub(crate) waiting: VecDeque<Sid>,
     pub(crate) leaving: BTreeMap<Sid, Leaving>,
-    pub(crate) lent: BTreeMap<(Sid, Member), u64>,
+    pub(crate) lent: BTreeMap<(Sid, NodeId), u64>,
     pub(crate) copies: BTreeMap<Sid, Copied>,
     pub(crate) copies_end: BTreeSet<(u64, Sid)>,
     pub(crate) pending: BTreeMap<u32, Pending>,
@@ -92,8 +92,8 @@
     /// Keys that went out from here, under which van and where.
     pub(crate) spoken: BTreeMap<Key, (Sid, Pod, u32)>,
     pub(crate) spoken_end: BTreeSet<(u32, Key)>,
-    pub(crate) outbox: BTreeMap<Member, Vec<Sid>>,
-    pub(crate) pulls: BTreeMap<Member, Pull>,
+    pub(crate) outbox: BTreeMap<NodeId, Vec<Sid>>,
+    pub(crate) pulls: BTreeMap<NodeId, Pull>,
     timers: BTreeSet<(u64, Timer)>,
     /// The same by timer: each is set once.
     set: BTreeMap<Timer, u64>,
@@ -153,12 +153,13 @@
             }
             Event::Sent { id } => self.sent(now, id, &mut out),
             Event::Ended { id, ran } => self.ended(now, id, ran, &mut out),
-            Event::Word { from, life, word } => match read(&word) {
+            Event::Message { from, incarnation, message } => match read(&message) {
                 Err(_) => self.counts.bad += 1,
-                Ok((version, word)) => {
-                    let seated = self.table.seat(from).is_some_and(|s| s.life == life);
-                    if seated && version == self.table.version && from != self.config.me {
-                        self.word(now, from, word, &mut out);
+                Ok((version, message)) => {
+                    let seated =
+                        self.table.seat(from).is_some_and(|s| s.incarnation == incarnation);
+                    if seated && version == self.table.version && from != self.config.node_id {
+                        self.message(now, from, message, &mut out);
                     } else {
                         self.counts.astray += 1;
                     }
@@ -187,8 +188,8 @@
             // A timer that fires a little early is set anew.
             Event::Due => self.wake = None,
         }
-        while let Some(word) = out.own.pop_front() {
-            self.word(now, self.config.me, word, &mut out);
+        while let Some(message) = out.own.pop_front() {
+            self.message(now, self.config.node_id, message, &mut out);
         }
         while let Some((at, timer)) = self.timers.first().copied().filter(|(at, _)| *at <= now) {
             self.timers.remove(&(at, timer));
@@ -199,8 +200,8 @@
                 Timer::Leave(sid) => self.leave_again(now, sid, &mut out),
                 Timer::Pull(from) => self.pull_again(now, from, &mut out),
             }
-            while let Some(word) = out.own.pop_front() {
-                self.word(now, self.config.me, word, &mut out);
+            while let Some(message) = out.own.pop_front() {
+                self.message(now, self.config.node_id, message, &mut out);
             }
         }
         self.store.sweep(now);
@@ -212,28 +213,28 @@
         self.wake = next;
     }
 
-    fn word(&mut self, now: u64, from: Member, word: Word, out: &mut Out) {
+    fn message(&mut self, now: u64, from: NodeId, message: Message, out: &mut Out) {
         if !self.seated(now) {
             return;
         }
-        match word {
-            Word::Ask { n, sid, key, first } => self.on_ask(now, from, n, sid, key, first, out),
-            Word::Answer { n, said } => self.on_answer(now, from, n, said, out),
-            Word::Unran { n, sid, key } => self.store.unran(sid, key, from, n),
-            Word::Keep { n, sid, note } => self.on_keep(now, from, n, sid, note, out),
-            Word::Kept { n } => self.on_kept(now, n, out),
-            Word::Withdraw { sid, epoch } => self.on_withdraw(now, from, sid, epoch, out),
-            Word::Withdrawn { sid, epoch } => self.on_withdrawn(now, from, sid, epoch, out),
-            Word::Want { ask, sid, floor, arrived } => {
+        match message {
+            Message::Ask { n, sid, key, first } => self.on_ask(now, from, n, sid, key, first, out),
+            Message::Answer { n, said } => self.on_answer(now, from, n, said, out),
+            Message::Unran { n, sid, key } => self.store.unran(sid, key, from, n),
+            Message::Keep { n, sid, note } => self.on_keep(now, from, n, sid, note, out),
+            Message::Kept { n } => self.on_kept(now, n, out),
+            Message::Withdraw { sid, epoch } => self.on_withdraw(now, from, sid, epoch, out),
+            Message::Withdrawn { sid, epoch } => self.on_withdrawn(now, from, sid, epoch, out),
+            Message::Want { ask, sid, floor, arrived } => {
                 self.on_want(now, from, ask, sid, (floor, arrived), out);
             }
-            Word::Nothing { ask, floor, estate } => {
+            Message::Nothing { ask, floor, estate } => {
                 self.on_nothing(now, from, ask, floor, &estate, out);
             }
-            Word::Hand { ask, estate } => self.on_hand(now, from, ask, &estate, out),
-            Word::Got { sid, epoch, taken } => self.on_got(now, from, sid, epoch, taken),
-            Word::Pull { stamp, at } => self.on_pull(now, from, stamp, at, out),
-            Word::Chunk { stamp, at, estates, worst_in } => {
+            Message::Hand { ask, estate } => self.on_hand(now, from, ask, &estate, out),
+            Message::Got { sid, epoch, taken } => self.on_got(now, from, sid, epoch, taken),
+            Message::Pull { stamp, at } => self.on_pull(now, from, stamp, at, out),
+            Message::Chunk { stamp, at, estates, worst_in } => {
                 self.on_chunk(now, from, stamp, at, &estates, worst_in, out);
             }
         }
@@ -283,10 +284,10 @@
 
     /// Whether this balancer is the van's home in its own site.
     pub(crate) fn is_home(&self, sid: Sid) -> bool {
-        self.own_home(sid) == Some(self.config.me)
+        self.own_home(sid) == Some(self.config.node_id)
     }
 
-    pub(crate) fn own_home(&self, sid: Sid) -> Option<Member> {
+    pub(crate) fn own_home(&self, sid: Sid) -> Option<NodeId> {
         self.table.home(sid, self.site()?)
     }
 
@@ -310,11 +311,11 @@
         self.timers.insert((at, timer));
     }
 
-    pub(crate) fn send(&self, to: Member, word: Word, out: &mut Out) {
-        if to == self.config.me {
-            out.own.push_back(word);
+    pub(crate) fn send(&self, to: NodeId, message: Message, out: &mut Out) {
+        if to == self.config.node_id {
+            out.own.push_back(message);
         } else {
-            out.actions.push(Action::Send { to, word: write(self.table.version, &word) });
+            out.actions.push(Action::Send { to, message: write(self.table.version, &message) });
         }
     }
 }
--- a/crates/sessions/src/words.rs
+++ b/crates/sessions/src/message.rs
@@ -8,7 +8,7 @@
 
 /// No word is longer, in bytes. All but those of a change of the table, and records with more than eight keys
 /// fit a datagram.
-pub const LONGEST_WORD: usize = 1600;
+pub const MAX_MESSAGE_BYTES: usize = 1600;
 /// What a chunk holds beside its records.
 pub(crate) const CHUNK: usize = 900;
 /// Records in a chunk at most: decoding makes no longer list.
@@ -50,7 +50,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub(crate) enum Word {
+pub(crate) enum Message {
     /// To a home of the same site: where does this go?
     Ask { n: u32, sid: Sid, key: Option<Key>, first: bool },
     /// Its answer.
@@ -86,7 +86,7 @@
 pub enum Bad {
     /// Longer than any.
     #[error(
-        "a word about vans of {0} bytes was to be read; the longest has {LONGEST_WORD}: it is dropped"
+        "a word about vans of {0} bytes was to be read; the longest has {MAX_MESSAGE_BYTES}: it is dropped"
     )]
     TooLong(usize),
     /// Not one of ours, cut short, or with something behind it.
@@ -101,16 +101,17 @@
     TooMany(usize),
 }
 
-pub(crate) fn write(version: u64, word: &Word) -> Vec<u8> {
-    postcard::to_allocvec(&(version, word)).expect("words hold nothing that postcard can't write")
+pub(crate) fn write(version: u64, message: &Message) -> Vec<u8> {
+    postcard::to_allocvec(&(version, message))
+        .expect("words hold nothing that postcard can't write")
 }
 
-pub(crate) fn read(bytes: &[u8]) -> Result<(u64, Word), Bad> {
-    if bytes.len() > LONGEST_WORD {
+pub(crate) fn read(bytes: &[u8]) -> Result<(u64, Message), Bad> {
+    if bytes.len() > MAX_MESSAGE_BYTES {
         return Err(Bad::TooLong(bytes.len()));
     }
     let (mut read, rest) =
-        postcard::take_from_bytes::<(u64, Word)>(bytes).map_err(|_| Bad::Torn(0))?;
+        postcard::take_from_bytes::<(u64, Message)>(bytes).map_err(|_| Bad::Torn(0))?;
     if !rest.is_empty() {
         return Err(Bad::Torn(rest.len()));
     }
@@ -121,16 +122,16 @@
         if estate.keys.len() > KEYS { Err(Bad::TooMany(estate.keys.len())) } else { Ok(()) }
     };
     match &mut read.1 {
-        Word::Nothing { estate, .. } | Word::Hand { estate, .. } => trim(estate)?,
-        Word::Chunk { estates, worst_in, .. } => {
+        Message::Nothing { estate, .. } | Message::Hand { estate, .. } => trim(estate)?,
+        Message::Chunk { estates, worst_in, .. } => {
             if estates.len() > ESTATES {
                 return Err(Bad::TooMany(estates.len()));
             }
             estates.iter_mut().try_for_each(trim)?;
             worst_in.iter_mut().for_each(cut);
         }
-        Word::Answer { said: Said::Busy { ms }, .. } => cut(ms),
-        Word::Keep { note, .. } => cut(&mut note.free_in),
+        Message::Answer { said: Said::Busy { ms }, .. } => cut(ms),
+        Message::Keep { note, .. } => cut(&mut note.free_in),
         _ => {}
     }
     Ok(read)
@@ -155,20 +156,21 @@
             blind_in: 13_000,
             keys: vec![key; keys],
         };
-        let hand = |keys| write(1 << 20, &Word::Hand { ask: u32::MAX, estate: estate(keys) }).len();
+        let hand =
+            |keys| write(1 << 20, &Message::Hand { ask: u32::MAX, estate: estate(keys) }).len();
         assert!(hand(8) <= 200, "{}", hand(8));
-        assert!(hand(KEYS) + CHUNK <= LONGEST_WORD, "{}", hand(KEYS));
-        let bytes = write(7, &Word::Hand { ask: 1, estate: estate(2) });
-        assert!(matches!(read(&bytes), Ok((7, Word::Hand { ask: 1, .. }))));
+        assert!(hand(KEYS) + CHUNK <= MAX_MESSAGE_BYTES, "{}", hand(KEYS));
+        let bytes = write(7, &Message::Hand { ask: 1, estate: estate(2) });
+        assert!(matches!(read(&bytes), Ok((7, Message::Hand { ask: 1, .. }))));
         assert_eq!(read(&[bytes.as_slice(), &[0]].concat()), Err(Bad::Torn(1)));
-        assert_eq!(read(&[0; LONGEST_WORD + 1]), Err(Bad::TooLong(LONGEST_WORD + 1)));
+        assert_eq!(read(&[0; MAX_MESSAGE_BYTES + 1]), Err(Bad::TooLong(MAX_MESSAGE_BYTES + 1)));
     }
 
     proptest! {
         #[test]
         fn any_bytes_are_read_or_refused(bytes in proptest::collection::vec(any::<u8>(), 0..300)) {
-            if let Ok((version, word)) = read(&bytes) {
-                prop_assert!(write(version, &word).len() <= bytes.len() + 60);
+            if let Ok((version, message)) = read(&bytes) {
+                prop_assert!(write(version, &message).len() <= bytes.len() + 60);
             }
         }
     }
--- a/crates/sessions/src/words/formats.rs
+++ b/crates/sessions/src/message/formats.rs
@@ -1,7 +1,7 @@
 //! Pins the messages byte for byte. The expected bytes are data under `tests/formats/`, one case a line, never computed: a
 //! rename in the code must leave them as they are.
 
-use super::{Estate, KeyWord, Said, Word, read, write};
+use super::{Estate, KeyWord, Message, Said, read, write};
 use crate::{Epoch, Key, Pod, Sid};
 
 /// The version of the ownership table in each case.
@@ -17,32 +17,32 @@
     Estate { sid: SESSION, epoch: Epoch(7 << 32), pod: Pod(302), blind_in: 12_000, keys }
 }
 
-fn cases() -> Vec<(&'static str, Word)> {
+fn cases() -> Vec<(&'static str, Message)> {
     let (n, ask, sid, key, epoch) = (1000, 1001, SESSION, KEY, Epoch(7 << 32));
     let (stamp, at) = (1002, 128);
-    let answer = |said| Word::Answer { n, said };
+    let answer = |said| Message::Answer { n, said };
     let empty = || session_record(vec![]);
     let with_key = || session_record(vec![key_record()]);
     vec![
-        ("route_request", Word::Ask { n, sid, key: None, first: false }),
-        ("route_request_first_with_key", Word::Ask { n, sid, key: Some(key), first: true }),
+        ("route_request", Message::Ask { n, sid, key: None, first: false }),
+        ("route_request_first_with_key", Message::Ask { n, sid, key: Some(key), first: true }),
         ("route_to_pod", answer(Said::Go { pod: Pod(302), epoch, copy: 500 })),
         ("route_busy", answer(Said::Busy { ms: 400 })),
         ("route_full", answer(Said::Full)),
-        ("attempt_not_run", Word::Unran { n, sid, key }),
-        ("replicate", Word::Keep { n, sid, note: key_record() }),
-        ("replicate_ack", Word::Kept { n }),
-        ("revoke", Word::Withdraw { sid, epoch }),
-        ("revoke_ack", Word::Withdrawn { sid, epoch }),
-        ("claim_request", Word::Want { ask, sid, floor: epoch, arrived: false }),
-        ("claim_request_with_record", Word::Want { ask, sid, floor: epoch, arrived: true }),
-        ("no_record", Word::Nothing { ask, floor: Epoch(8 << 32), estate: empty() }),
-        ("transfer", Word::Hand { ask, estate: with_key() }),
-        ("transfer_accepted", Word::Got { sid, epoch, taken: true }),
-        ("transfer_rejected", Word::Got { sid, epoch, taken: false }),
-        ("fetch_records", Word::Pull { stamp, at }),
-        ("record_chunk", Word::Chunk { stamp, at, estates: vec![with_key()], worst_in: None }),
-        ("last_chunk", Word::Chunk { stamp, at, estates: vec![], worst_in: Some(11_000) }),
+        ("attempt_not_run", Message::Unran { n, sid, key }),
+        ("replicate", Message::Keep { n, sid, note: key_record() }),
+        ("replicate_ack", Message::Kept { n }),
+        ("revoke", Message::Withdraw { sid, epoch }),
+        ("revoke_ack", Message::Withdrawn { sid, epoch }),
+        ("claim_request", Message::Want { ask, sid, floor: epoch, arrived: false }),
+        ("claim_request_with_record", Message::Want { ask, sid, floor: epoch, arrived: true }),
+        ("no_record", Message::Nothing { ask, floor: Epoch(8 << 32), estate: empty() }),
+        ("transfer", Message::Hand { ask, estate: with_key() }),
+        ("transfer_accepted", Message::Got { sid, epoch, taken: true }),
+        ("transfer_rejected", Message::Got { sid, epoch, taken: false }),
+        ("fetch_records", Message::Pull { stamp, at }),
+        ("record_chunk", Message::Chunk { stamp, at, estates: vec![with_key()], worst_in: None }),
+        ("last_chunk", Message::Chunk { stamp, at, estates: vec![], worst_in: Some(11_000) }),
     ]
 }
 
--- a/crates/sessions/src/store.rs
+++ b/crates/sessions/src/store.rs
@@ -6,9 +6,9 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hollowpaddle_peer_transport::Member;
+use hollowpaddle_peer_transport::NodeId;
 
-use crate::words::{Estate, KeyWord};
+use crate::message::{Estate, KeyWord};
 use crate::{Epoch, Key, Pod, Sid};
 
 /// Keys of one van inside their windows. One that sends more in 13 s is no van, and would make words too
@@ -97,7 +97,7 @@
     /// The one asking that got the only right to send it; 0: there were several, or nobody knows.
     pub ask: u32,
     /// Whose asking that was.
-    pub by: Member,
+    pub by: NodeId,
     /// Where.
     pub pod: Pod,
 }
@@ -239,7 +239,7 @@
     }
 
     /// The one who alone had the right to send it says that it did not run.
-    pub fn unran(&mut self, sid: Sid, key: Key, by: Member, ask: u32) {
+    pub fn unran(&mut self, sid: Sid, key: Key, by: NodeId, ask: u32) {
         if self.note(sid, key).is_some_and(|n| ask != 0 && (n.by, n.ask) == (by, ask)) {
             self.keys.remove(&(sid, key));
         }
@@ -295,7 +295,7 @@
     pub fn estate(&self, now: u64, sid: Sid) -> Estate {
         let record = self.records.get(&sid);
         let left = |until: u32| ms(until).saturating_sub(now);
-        let word = |(key, note): (Key, &Note)| KeyWord {
+        let message = |(key, note): (Key, &Note)| KeyWord {
             key,
             pod: note.pod,
             first_ago: now.saturating_sub(ms(note.first)),
@@ -306,7 +306,7 @@
             epoch: record.map_or(Epoch::default(), |r| r.epoch),
             pod: record.map_or(NO_POD, |r| r.pod),
             blind_in: record.map_or(0, |r| left(r.blind)),
-            keys: self.notes(sid).filter(|(_, n)| left(n.free) > 0).map(word).collect(),
+            keys: self.notes(sid).filter(|(_, n)| left(n.free) > 0).map(message).collect(),
         }
     }
 
@@ -327,11 +327,11 @@
             }
             r.epoch = r.epoch.max(estate.epoch);
         })?;
-        for word in estate.keys.iter().filter(|k| k.free_in > 0) {
-            let free = now.saturating_add(word.free_in);
-            let first = tick(base.saturating_sub(word.first_ago));
-            let note = Note { first, free: tick_up(free), ask: 0, by: Member(0), pod: word.pod };
-            if self.add_note(now, sid, word.key, note).is_err() {
+        for message in estate.keys.iter().filter(|k| k.free_in > 0) {
+            let free = now.saturating_add(message.free_in);
+            let first = tick(base.saturating_sub(message.first_ago));
+            let note = Note { first, free: tick_up(free), ask: 0, by: NodeId(0), pod: message.pod };
+            if self.add_note(now, sid, message.key, note).is_err() {
                 blind = blind.max(free);
             }
         }
@@ -347,7 +347,7 @@
     use super::*;
 
     fn note(free: u64) -> Note {
-        Note { first: 0, free: tick_up(free), ask: 1, by: Member(1), pod: Pod(1) }
+        Note { first: 0, free: tick_up(free), ask: 1, by: NodeId(1), pod: Pod(1) }
     }
 
     #[test]
--- a/crates/sessions/src/table.rs
+++ b/crates/sessions/src/table.rs
@@ -3,7 +3,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hollowpaddle_peer_transport::Member;
+use hollowpaddle_peer_transport::NodeId;
 
 use crate::hash::{Among, draw};
 use crate::{Seat, Sid, Site};
@@ -17,12 +17,12 @@
 pub(crate) struct Table {
     pub version: u64,
     sites: BTreeMap<Site, Vec<Seat>>,
-    members: BTreeMap<Member, Seat>,
+    members: BTreeMap<NodeId, Seat>,
 }
 
 impl Table {
     pub fn new(version: u64, seats: &[Seat]) -> Self {
-        let members: BTreeMap<Member, Seat> = seats.iter().map(|s| (s.member, *s)).collect();
+        let members: BTreeMap<NodeId, Seat> = seats.iter().map(|s| (s.member, *s)).collect();
         let mut sites: BTreeMap<Site, Vec<Seat>> = BTreeMap::new();
         for seat in members.values() {
             sites.entry(seat.site).or_default().push(*seat);
@@ -35,7 +35,7 @@
         Self::new(version, &seats)
     }
 
-    pub fn seat(&self, member: Member) -> Option<&Seat> {
+    pub fn seat(&self, member: NodeId) -> Option<&Seat> {
         self.members.get(&member)
     }
 
@@ -52,20 +52,20 @@
     }
 
     /// Of two in a site, whether one is before the other as the home of a van's record.
-    pub fn before(sid: Sid, one: Member, other: Member) -> bool {
-        let place = |m: Member| (draw(Among::Homes, sid.0, m.0), m);
+    pub fn before(sid: Sid, one: NodeId, other: NodeId) -> bool {
+        let place = |m: NodeId| (draw(Among::Homes, sid.0, m.0), m);
         place(one) > place(other)
     }
 
     /// The home of a van's record in a site.
-    pub fn home(&self, sid: Sid, site: Site) -> Option<Member> {
+    pub fn home(&self, sid: Sid, site: Site) -> Option<NodeId> {
         let first = |s: &&Seat| (draw(Among::Homes, sid.0, s.member.0), s.member);
         self.of_site(site).iter().max_by_key(first).map(|s| s.member)
     }
 
     /// The others of a site in the order in which they are witnesses of what its home sends itself.
-    pub fn witnesses(&self, sid: Sid, site: Site, home: Member) -> Vec<Member> {
-        let mut all: Vec<Member> =
+    pub fn witnesses(&self, sid: Sid, site: Site, home: NodeId) -> Vec<NodeId> {
+        let mut all: Vec<NodeId> =
             self.of_site(site).iter().map(|s| s.member).filter(|m| *m != home).collect();
         all.sort_by_key(|m| std::cmp::Reverse((draw(Among::Homes, sid.0, m.0), *m)));
         all
@@ -99,9 +99,9 @@
 impl Losses {
     /// The first table that this process hears of: it has forgotten what its former life knew, and what
     /// others lost.
-    pub fn first(&mut self, now: u64, age: u64, table: &Table, me: Member) {
+    pub fn first(&mut self, now: u64, age: u64, table: &Table, node_id: NodeId) {
         self.all_until = now.saturating_add(age);
-        if let Some(seat) = table.seat(me) {
+        if let Some(seat) = table.seat(node_id) {
             let former = Seat { since: 0, ..*seat };
             self.tables.insert(table.version, table.clone());
             self.losses.push(Loss { at: now, seat: former, version: table.version });
@@ -136,7 +136,7 @@
         if self.losses.is_empty() {
             return until;
         }
-        let homes: BTreeSet<(Site, Member)> = self
+        let homes: BTreeSet<(Site, NodeId)> = self
             .tables
             .values()
             .flat_map(|t| t.sites().filter_map(move |site| Some((site, t.home(sid, site)?))))
--- a/crates/sessions/src/turn.rs
+++ b/crates/sessions/src/turn.rs
@@ -3,12 +3,12 @@
 
 use std::collections::BTreeSet;
 
-use hollowpaddle_peer_transport::Member;
+use hollowpaddle_peer_transport::NodeId;
 
 use crate::machine::{AGAIN, Out, Sessions, Timer};
+use crate::message::{CHUNK, Estate, KeyWord, Message};
 use crate::store::{State, ms};
 use crate::table::Table;
-use crate::words::{CHUNK, Estate, KeyWord, Word};
 use crate::{Epoch, Sid};
 
 /// What one other is asked for.
@@ -23,16 +23,17 @@
 impl Sessions {
     /// Another table is in force.
     pub(crate) fn turn(&mut self, now: u64, table: Table, until: u64, out: &mut Out) {
-        let me = self.config.me;
+        let node_id = self.config.node_id;
         let old = std::mem::replace(&mut self.table, table);
-        self.seat = self.table.seat(me).filter(|s| s.life == self.config.life).copied();
+        self.seat =
+            self.table.seat(node_id).filter(|s| s.incarnation == self.config.incarnation).copied();
         self.until = if self.seat.is_some() { until } else { 0 };
         // Nobody asked this balancer in between: others may own what it owned.
         let went_on = self.seat.is_some_and(|s| s.since <= old.version);
         if old.version > 0 {
             self.losses.change(now, self.age, &old, &self.table);
         } else if !self.config.first_start {
-            self.losses.first(now, self.age, &self.table, me);
+            self.losses.first(now, self.age, &self.table, node_id);
             self.fresh = Some(u64::MAX);
         }
         self.copies.clear();
@@ -42,8 +43,10 @@
         self.sort_out(now, went_on, &old);
         self.pulls.clear();
         let site = self.site();
-        let near: Vec<Member> = site
-            .map(|s| self.table.of_site(s).iter().map(|s| s.member).filter(|m| *m != me).collect())
+        let near: Vec<NodeId> = site
+            .map(|s| {
+                self.table.of_site(s).iter().map(|s| s.member).filter(|m| *m != node_id).collect()
+            })
             .unwrap_or_default();
         for from in near {
             self.pulls.insert(from, Pull { stamp: now, next: 0 });
@@ -84,15 +87,16 @@
     /// Whatever has another home now is a tomb here, and goes to that home as what is known.
     fn sort_out(&mut self, now: u64, went_on: bool, old: &Table) {
         self.outbox.clear();
-        let mut told: BTreeSet<(Member, Sid)> = BTreeSet::new();
+        let mut told: BTreeSet<(NodeId, Sid)> = BTreeSet::new();
         let mut tombs = Vec::new();
         // Of a van whose home was here only a seat that is new can be the home now: 200,000 records and 150
         // seats would otherwise stop the bank's thread for a good part of a second.
         let new = self.site().map_or(&[][..], |site| self.table.of_site(site));
-        let here = |m: Member| old.seat(m).map(|s| s.site) == self.site();
-        let new: Vec<Member> = new.iter().map(|s| s.member).filter(|m| !here(*m)).collect();
-        let went_on = went_on && here(self.config.me);
-        let stays = |sid| went_on && !new.iter().any(|m| Table::before(sid, *m, self.config.me));
+        let here = |m: NodeId| old.seat(m).map(|s| s.site) == self.site();
+        let new: Vec<NodeId> = new.iter().map(|s| s.member).filter(|m| !here(*m)).collect();
+        let went_on = went_on && here(self.config.node_id);
+        let stays =
+            |sid| went_on && !new.iter().any(|m| Table::before(sid, *m, self.config.node_id));
         for (sid, record) in self.store.sids() {
             let owned = record.state != State::Tomb;
             let nothing = if owned { stays(sid) } else { !record.is_held(now) };
@@ -103,7 +107,7 @@
                 tombs.push(sid);
                 continue;
             };
-            let own = home == self.config.me;
+            let own = home == self.config.node_id;
             if owned && !(own && went_on) && !self.leaving.contains_key(&sid) {
                 tombs.push(sid);
             }
@@ -117,14 +121,14 @@
         let mine: Vec<_> = self.mine.iter().map(|(at, note)| (*at, *note)).collect();
         for ((sid, key), note) in mine {
             match self.own_home(sid) {
-                Some(home) if home != self.config.me => {
+                Some(home) if home != self.config.node_id => {
                     told.insert((home, sid));
                 }
                 _ => {
                     let first_ago = now.saturating_sub(ms(note.first));
                     let free_in = ms(note.free).saturating_sub(now);
-                    let word = KeyWord { key, pod: note.pod, first_ago, free_in };
-                    let estate = Estate { keys: vec![word], ..Estate::nothing(sid) };
+                    let message = KeyWord { key, pod: note.pod, first_ago, free_in };
+                    let estate = Estate { keys: vec![message], ..Estate::nothing(sid) };
                     if !self.learn(now, now, &estate) {
                         self.losses.all_until = self.losses.all_until.max(ms(note.free));
                     }
@@ -136,14 +140,14 @@
         }
     }
 
-    pub(crate) fn pull_again(&mut self, now: u64, from: Member, out: &mut Out) {
+    pub(crate) fn pull_again(&mut self, now: u64, from: NodeId, out: &mut Out) {
         let Some(pull) = self.pulls.get(&from) else { return };
         let (stamp, at) = (pull.stamp, pull.next);
-        self.send(from, Word::Pull { stamp, at }, out);
+        self.send(from, Message::Pull { stamp, at }, out);
         self.at(now.saturating_add(2 * AGAIN), Timer::Pull(from));
     }
 
-    pub(crate) fn on_pull(&mut self, now: u64, from: Member, stamp: u64, at: u32, out: &mut Out) {
+    pub(crate) fn on_pull(&mut self, now: u64, from: NodeId, stamp: u64, at: u32, out: &mut Out) {
         if self.table.seat(from).map(|s| s.site) != self.site() {
             return;
         }
@@ -164,7 +168,7 @@
         let settled = self.leaving.values().all(|l| l.version == self.table.version);
         let over = estates.len() == rest.len() && settled;
         let worst_in = over.then(|| self.losses.worst(self.age).saturating_sub(now));
-        self.send(from, Word::Chunk { stamp, at, estates, worst_in }, out);
+        self.send(from, Message::Chunk { stamp, at, estates, worst_in }, out);
     }
 
     /// What this balancer knows of a van, as a former home and as a sender.
@@ -193,7 +197,7 @@
     pub(crate) fn on_chunk(
         &mut self,
         now: u64,
-        from: Member,
+        from: NodeId,
         stamp: u64,
         at: u32,
         estates: &[Estate],
@@ -253,7 +257,7 @@
 
     /// Cuts the keys to what a word holds: for those beyond, the van is blind as long as they matter.
     fn shorten(&mut self) {
-        for key in self.keys.drain(self.keys.len().min(crate::words::KEYS)..) {
+        for key in self.keys.drain(self.keys.len().min(crate::message::KEYS)..) {
             self.blind_in = self.blind_in.max(key.free_in);
         }
     }
--- a/crates/sessions/tests/bank.rs
+++ b/crates/sessions/tests/bank.rs
@@ -121,7 +121,7 @@
     }
 }
 
-/// `cargo test -p hollowpaddle-sessions --release --test bank -- --ignored`: some minutes. Found nothing
+/// `cargo test -p hollowpaddle-sessions --release --test cluster -- --ignored`: some minutes. Found nothing
 /// beyond the thousand days so far.
 #[test]
 #[ignore = "some minutes; run by hand with --ignored after a change of the protocol"]
--- a/crates/sessions/tests/cases.rs
+++ b/crates/sessions/tests/cases.rs
@@ -3,14 +3,14 @@
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
 
-use hollowpaddle_peer_transport::{Life, Member};
+use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use hollowpaddle_sessions::{
     Action, Config, Effect, Event, Key, PERMIT, Pod, Ran, Seat, Sessions, Sid, Site, Verdict,
     Weighed, Why,
 };
 
 /// Machines 0 to `each` at site 0, the next at site 1. Words take `way` ms.
-struct Bank {
+struct Cluster {
     now: u64,
     machines: BTreeMap<u16, Sessions>,
     words: VecDeque<(u64, u16, u16, Vec<u8>)>,
@@ -34,17 +34,17 @@
     Event::Pods { revision: 1 + out.len() as u64, pods: pods.collect() }
 }
 
-impl Bank {
+impl Cluster {
     fn new(each: u16, change: impl Fn(&mut Config)) -> Self {
         let mut machines = BTreeMap::new();
         for m in 0..2 * each {
-            let mut config = Config::new(Member(m), Life(1));
+            let mut config = Config::new(NodeId(m), Incarnation(1));
             config.first_start = true;
             change(&mut config);
             machines.insert(m, Sessions::new(config));
         }
         let (words, placed) = (VecDeque::new(), BTreeMap::new());
-        let mut bank = Self {
+        let mut cluster = Self {
             now: 1,
             machines,
             words,
@@ -57,14 +57,19 @@
             id: 0,
         };
         let seats: Vec<Seat> = (0..2 * each)
-            .map(|m| Seat { member: Member(m), life: Life(1), site: Site(m / each), since: 1 })
+            .map(|m| Seat {
+                member: NodeId(m),
+                incarnation: Incarnation(1),
+                site: Site(m / each),
+                since: 1,
+            })
             .collect();
         for m in 0..2 * each {
-            bank.tell(m, pods(&[]));
-            bank.tell(m, Event::Awake { version: 1, until: ms(1 << 30), seats: seats.clone() });
+            cluster.tell(m, pods(&[]));
+            cluster.tell(m, Event::Awake { version: 1, until: ms(1 << 30), seats: seats.clone() });
         }
-        bank.pass(100);
-        bank
+        cluster.pass(100);
+        cluster
     }
 
     fn tell(&mut self, m: u16, event: Event) {
@@ -76,10 +81,10 @@
                 Action::Place { id, verdict } => {
                     assert!(self.placed.insert(id, (self.now, verdict)).is_none(), "{id} twice");
                 }
-                Action::Send { to, word } => {
+                Action::Send { to, message } => {
                     self.sent += 1;
                     if !self.mute {
-                        self.words.push_back((self.now + self.way, m, to.0, word));
+                        self.words.push_back((self.now + self.way, m, to.0, message));
                     }
                 }
                 Action::WakeAt(_) => {}
@@ -92,16 +97,26 @@
         for _ in 0..time {
             self.now += 1;
             while self.words.front().is_some_and(|w| w.0 <= self.now) {
-                let Some((_, from, to, word)) = self.words.pop_front() else { break };
-                let mut lie = word.clone();
-                self.heard.push((from, to, word.clone()));
-                self.tell(to, Event::Word { from: Member(from), life: Life(1), word });
+                let Some((_, from, to, message)) = self.words.pop_front() else { break };
+                let mut lie = message.clone();
+                self.heard.push((from, to, message.clone()));
+                self.tell(
+                    to,
+                    Event::Message { from: NodeId(from), incarnation: Incarnation(1), message },
+                );
                 if let Some(rng) = self.lies.as_mut() {
                     for _ in 0..=rng.rand_range(0..3) {
                         let at = rng.rand_range(1..lie.len() as u32) as usize;
                         lie[at] = rng.rand_u32() as u8;
                     }
-                    self.tell(to, Event::Word { from: Member(from), life: Life(1), word: lie });
+                    self.tell(
+                        to,
+                        Event::Message {
+                            from: NodeId(from),
+                            incarnation: Incarnation(1),
+                            message: lie,
+                        },
+                    );
                 }
             }
             let all: Vec<u16> = self.machines.keys().copied().collect();
@@ -139,47 +154,47 @@
 
 #[test]
 fn a_key_whose_pod_is_out_goes_nowhere_else_and_new_keys_go_on() {
-    let mut bank = Bank::new(3, |_| ());
-    let Some(pod) = bank.pod(0, 7, keyed(1)) else { panic!("the first goes") };
+    let mut cluster = Cluster::new(3, |_| ());
+    let Some(pod) = cluster.pod(0, 7, keyed(1)) else { panic!("the first goes") };
     for m in 0..6 {
-        bank.tell(m, pods(&[pod.0]));
+        cluster.tell(m, pods(&[pod.0]));
     }
     for m in [0, 4, 1] {
-        assert_eq!(bank.ask(m, 7, keyed(1)), Verdict::Fail(Why::MayHaveRun), "at {m}");
+        assert_eq!(cluster.ask(m, 7, keyed(1)), Verdict::Fail(Why::MayHaveRun), "at {m}");
     }
-    let (one, other) = (bank.pod(4, 7, keyed(2)), bank.pod(1, 7, Effect::Safe));
+    let (one, other) = (cluster.pod(4, 7, keyed(2)), cluster.pod(1, 7, Effect::Safe));
     assert!(one.is_some() && one != Some(pod) && one == other, "{one:?} {other:?}");
     // It comes back: the repeat goes there and nowhere else.
     for m in 0..6 {
         let all = (0..4).map(|p| Weighed { pod: Pod(p), weight: 1000 }).collect();
-        bank.tell(m, Event::Pods { revision: 9, pods: all });
+        cluster.tell(m, Event::Pods { revision: 9, pods: all });
     }
-    assert_eq!(bank.pod(2, 7, keyed(1)), Some(pod));
-    assert_eq!(bank.pod(2, 7, keyed(3)), one, "where the van's state is now");
+    assert_eq!(cluster.pod(2, 7, keyed(1)), Some(pod));
+    assert_eq!(cluster.pod(2, 7, keyed(3)), one, "where the van's state is now");
 }
 
 #[test]
 fn a_repeat_near_the_windows_end_waits_it_out_if_its_time_allows() {
-    let mut bank = Bank::new(1, |c| (c.window, c.run) = (ms(1000), ms(100)));
-    let Some(pod) = bank.pod(0, 7, keyed(1)) else { panic!("the first goes") };
-    bank.tell(0, pods(&[pod.0]));
-    bank.tell(1, pods(&[pod.0]));
-    let (from, id) = (bank.now, bank.begin(0, 7, keyed(1)));
-    bank.pass(1500);
-    let (at, verdict) = bank.placed[&id];
+    let mut cluster = Cluster::new(1, |c| (c.window, c.run) = (ms(1000), ms(100)));
+    let Some(pod) = cluster.pod(0, 7, keyed(1)) else { panic!("the first goes") };
+    cluster.tell(0, pods(&[pod.0]));
+    cluster.tell(1, pods(&[pod.0]));
+    let (from, id) = (cluster.now, cluster.begin(0, 7, keyed(1)));
+    cluster.pass(1500);
+    let (at, verdict) = cluster.placed[&id];
     assert!(matches!(verdict, Verdict::Go { pod: other, .. } if other != pod), "{verdict:?}");
     assert!(at >= from - 40 + 1000 && at <= from + 1300, "after {} ms", at - from);
 }
 
 #[test]
 fn nobody_waits_longer_than_25_ms_or_a_twentieth_and_only_keyed_ones_are_refused() {
-    let mut bank = Bank::new(3, |_| ());
-    bank.mute = true;
+    let mut cluster = Cluster::new(3, |_| ());
+    cluster.mute = true;
     for (effect, sid) in [(Effect::Safe, 1), (Effect::Unsafe, 2), (keyed(1), 3)] {
         for m in 0..6 {
-            let (from, id) = (bank.now, bank.begin(m, sid, effect));
-            bank.pass(30);
-            let (at, verdict) = bank.placed[&id];
+            let (from, id) = (cluster.now, cluster.begin(m, sid, effect));
+            cluster.pass(30);
+            let (at, verdict) = cluster.placed[&id];
             assert!(at - from <= 25, "{effect:?} waited for {} ms", at - from);
             match verdict {
                 Verdict::Go { pod, epoch, .. } => {
@@ -193,22 +208,22 @@
         }
     }
     // A twentieth of 200 ms.
-    let (from, deadline) = (bank.now, ms(bank.now + 200));
-    bank.tell(
+    let (from, deadline) = (cluster.now, ms(cluster.now + 200));
+    cluster.tell(
         0,
         Event::Request { id: 9_999, sid: Sid(9), effect: Effect::Safe, first: false, deadline },
     );
-    bank.pass(30);
-    assert_eq!(bank.placed[&9_999].0 - from, 10);
+    cluster.pass(30);
+    assert_eq!(cluster.placed[&9_999].0 - from, 10);
 }
 
 #[test]
 fn one_key_under_two_vans_goes_to_one_pod_from_one_balancer() {
-    let mut bank = Bank::new(2, |_| ());
-    let Some(pod) = bank.pod(0, 1, keyed(5)) else { panic!("the first goes") };
+    let mut cluster = Cluster::new(2, |_| ());
+    let Some(pod) = cluster.pod(0, 1, keyed(5)) else { panic!("the first goes") };
     let mut failed = 0;
     for sid in 2..20 {
-        match bank.ask(0, sid, keyed(5)) {
+        match cluster.ask(0, sid, keyed(5)) {
             Verdict::Go { pod: other, .. } => assert_eq!(other, pod),
             other => {
                 assert_eq!(other, Verdict::Fail(Why::MayHaveRun));
@@ -221,78 +236,78 @@
 
 #[test]
 fn one_that_did_not_run_is_free_again_and_its_right_ends() {
-    let mut bank = Bank::new(2, |_| ());
-    let id = bank.begin(0, 7, keyed(1));
-    bank.pass(20);
-    let (at, Verdict::Go { pod, until, .. }) = bank.placed[&id] else { panic!("it goes") };
+    let mut cluster = Cluster::new(2, |_| ());
+    let id = cluster.begin(0, 7, keyed(1));
+    cluster.pass(20);
+    let (at, Verdict::Go { pod, until, .. }) = cluster.placed[&id] else { panic!("it goes") };
     assert!(until <= ms(at) + PERMIT);
-    bank.tell(0, Event::Ended { id, ran: Ran::No });
-    bank.pass(20);
+    cluster.tell(0, Event::Ended { id, ran: Ran::No });
+    cluster.pass(20);
     for m in 0..4 {
-        bank.tell(m, pods(&[pod.0]));
+        cluster.tell(m, pods(&[pod.0]));
     }
-    assert!(bank.pod(1, 7, keyed(1)).is_some_and(|p| p != pod), "nobody ran it");
+    assert!(cluster.pod(1, 7, keyed(1)).is_some_and(|p| p != pod), "nobody ran it");
 }
 
 #[test]
 fn without_a_seat_nothing_keyed_goes_and_everything_else_does() {
-    let mut bank = Bank::new(2, |_| ());
-    bank.pod(0, 7, keyed(1));
-    bank.now = 1 << 31;
-    assert_eq!(bank.ask(0, 7, keyed(2)), Verdict::Refuse(Why::NoSeat));
-    assert!(matches!(bank.ask(0, 7, Effect::Unsafe), Verdict::Go { epoch: None, .. }));
-    assert_eq!(bank.machines[&0].owned(ms(bank.now), Sid(7)), None);
+    let mut cluster = Cluster::new(2, |_| ());
+    cluster.pod(0, 7, keyed(1));
+    cluster.now = 1 << 31;
+    assert_eq!(cluster.ask(0, 7, keyed(2)), Verdict::Refuse(Why::NoSeat));
+    assert!(matches!(cluster.ask(0, 7, Effect::Unsafe), Verdict::Go { epoch: None, .. }));
+    assert_eq!(cluster.machines[&0].owned(ms(cluster.now), Sid(7)), None);
 }
 
 #[test]
 fn a_dead_sites_vans_are_taken_over_and_their_keys_wait_out_the_window() {
-    let mut bank = Bank::new(2, |_| ());
+    let mut cluster = Cluster::new(2, |_| ());
     let old: Vec<u64> = (0..40).collect();
     for sid in &old {
-        assert!(bank.pod(0, *sid, keyed(*sid)).is_some());
+        assert!(cluster.pod(0, *sid, keyed(*sid)).is_some());
     }
-    bank.machines.remove(&0);
-    bank.machines.remove(&1);
+    cluster.machines.remove(&0);
+    cluster.machines.remove(&1);
     assert_eq!(
-        bank.ask(2, 3, keyed(3)),
+        cluster.ask(2, 3, keyed(3)),
         Verdict::Refuse(Why::NoRecord),
         "its owner is not given up"
     );
     for m in [2, 3] {
-        bank.tell(m, Event::SiteLeaseEnded { site: Site(0), version: 2 });
+        cluster.tell(m, Event::SiteLeaseEnded { site: Site(0), version: 2 });
     }
     for sid in &old {
-        assert_eq!(bank.ask(2, *sid, keyed(*sid)), Verdict::Fail(Why::MayHaveRun));
-        assert!(bank.pod(3, *sid, Effect::Safe).is_some());
+        assert_eq!(cluster.ask(2, *sid, keyed(*sid)), Verdict::Fail(Why::MayHaveRun));
+        assert!(cluster.pod(3, *sid, Effect::Safe).is_some());
     }
-    bank.pass(15_000);
-    assert!(old.iter().all(|sid| bank.pod(2, *sid, keyed(*sid)).is_some()));
+    cluster.pass(15_000);
+    assert!(old.iter().all(|sid| cluster.pod(2, *sid, keyed(*sid)).is_some()));
 }
 
 #[test]
 fn the_morning_round_is_paced_and_the_newest_go_first() {
-    let mut bank = Bank::new(5, |_| ());
-    bank.way = 5;
-    let at = |bank: &Bank, m: u16| bank.machines[&m].moves();
+    let mut cluster = Cluster::new(5, |_| ());
+    cluster.way = 5;
+    let at = |cluster: &Cluster, m: u16| cluster.machines[&m].moves();
     let (mut most, mut words, vans) = (0, 0, 20_000u64);
     for sid in 0..vans {
         // Ten a millisecond, at any balancer of the site.
         let m = 5 + (sid % 5) as u16;
-        bank.begin(
+        cluster.begin(
             m,
             sid.wrapping_mul(0x9e37_79b9_7f4a_7c15),
             if sid % 4 == 0 { keyed(sid) } else { Effect::Safe },
         );
         if sid % 10 == 9 {
-            let before = bank.sent;
-            bank.pass(1);
-            words = words.max(bank.sent - before);
-            most = (5..10).map(|m| at(&bank, m).0).fold(most, usize::max);
+            let before = cluster.sent;
+            cluster.pass(1);
+            words = words.max(cluster.sent - before);
+            most = (5..10).map(|m| at(&cluster, m).0).fold(most, usize::max);
         }
     }
-    bank.pass(200);
+    cluster.pass(200);
     assert!(most <= 256, "{most} moves under way");
-    let went = bank
+    let went = cluster
         .placed
         .values()
         .filter(|(_, v)| matches!(v, Verdict::Go { epoch: Some(_), .. }))
@@ -300,16 +315,16 @@
     println!(
         "{went} of {vans} by their record, at most {most} moves under way at one, {words} words in 1 ms"
     );
-    assert_eq!(bank.placed.len() as u64, vans);
+    assert_eq!(cluster.placed.len() as u64, vans);
     assert!(went as u64 > vans * 9 / 10, "{went}");
     // And with far too little room: the newest are served, the eldest dropped.
-    let mut bank = Bank::new(1, |c| c.moves = 1);
-    bank.way = 5;
-    let ids: Vec<u64> = (0..6).map(|sid| bank.begin(1, sid + 100, Effect::Safe)).collect();
-    bank.pass(24);
+    let mut cluster = Cluster::new(1, |c| c.moves = 1);
+    cluster.way = 5;
+    let ids: Vec<u64> = (0..6).map(|sid| cluster.begin(1, sid + 100, Effect::Safe)).collect();
+    cluster.pass(24);
     let by_record: Vec<bool> = ids
         .iter()
-        .map(|id| matches!(bank.placed.get(id), Some((_, Verdict::Go { epoch: Some(_), .. }))))
+        .map(|id| matches!(cluster.placed.get(id), Some((_, Verdict::Go { epoch: Some(_), .. }))))
         .collect();
     assert_eq!(
         by_record,
@@ -320,18 +335,19 @@
 
 #[test]
 fn a_forgotten_record_comes_back_under_a_higher_epoch_at_either_site() {
-    let mut bank = Bank::new(1, |c| c.records = 2);
+    let mut cluster = Cluster::new(1, |c| c.records = 2);
     let epoch = |verdict| match verdict {
         Verdict::Go { epoch, .. } => epoch,
         _ => None,
     };
-    let first = epoch(bank.ask(0, 1, Effect::Safe));
+    let first = epoch(cluster.ask(0, 1, Effect::Safe));
     assert!(first.is_some());
     for sid in 2..6 {
-        assert!(epoch(bank.ask(0, sid, Effect::Safe)).is_some());
+        assert!(epoch(cluster.ask(0, sid, Effect::Safe)).is_some());
     }
-    assert!(bank.machines[&0].owned(ms(bank.now), Sid(1)).is_none(), "it was forgotten");
-    let (there, here) = (epoch(bank.ask(1, 1, Effect::Safe)), epoch(bank.ask(0, 1, Effect::Safe)));
+    assert!(cluster.machines[&0].owned(ms(cluster.now), Sid(1)).is_none(), "it was forgotten");
+    let (there, here) =
+        (epoch(cluster.ask(1, 1, Effect::Safe)), epoch(cluster.ask(0, 1, Effect::Safe)));
     assert!(first < there && there < here, "{first:?} {there:?} {here:?}");
 }
 
@@ -339,46 +355,52 @@
 fn whatever_a_peer_says_nothing_panics_and_all_requests_are_placed() {
     let mut placed = 0;
     for seed in 0..60 {
-        let mut bank = Bank::new(2, |c| c.records = 40);
-        bank.lies = Some(oorandom::Rand32::new(seed));
+        let mut cluster = Cluster::new(2, |c| c.records = 40);
+        cluster.lies = Some(oorandom::Rand32::new(seed));
         for n in 0..60 {
             let m = (n * 7 % 4) as u16;
             let effect = if n % 3 == 0 { Effect::Safe } else { keyed(n % 11) };
-            bank.begin(m, n % 9, effect);
-            bank.pass(3);
+            cluster.begin(m, n % 9, effect);
+            cluster.pass(3);
             if n == 30 {
-                let seat =
-                    |m| Seat { member: Member(m), life: Life(1), site: Site(m / 2), since: 1 };
+                let seat = |m| Seat {
+                    member: NodeId(m),
+                    incarnation: Incarnation(1),
+                    site: Site(m / 2),
+                    since: 1,
+                };
                 let seats: Vec<Seat> = (0..3).map(seat).collect();
                 for m in 0..3 {
                     let until = ms(1 << 30);
-                    bank.tell(m, Event::Awake { version: 2, until, seats: seats.clone() });
+                    cluster.tell(m, Event::Awake { version: 2, until, seats: seats.clone() });
                 }
             }
         }
-        bank.pass(2_000);
-        assert_eq!(bank.placed.len(), 60, "seed {seed}");
-        placed += bank.placed.len();
+        cluster.pass(2_000);
+        assert_eq!(cluster.placed.len(), 60, "seed {seed}");
+        placed += cluster.placed.len();
     }
     assert_eq!(placed, 3_600);
 }
 
 #[test]
 fn a_record_that_was_refused_is_not_taken_when_its_copy_comes_late() {
-    let mut bank = Bank::new(1, |c| {
+    let mut cluster = Cluster::new(1, |c| {
         (c.window, c.run) = (ms(200), ms(50));
-        c.records = if c.me == Member(1) { 1 } else { 100 };
+        c.records = if c.node_id == NodeId(1) { 1 } else { 100 };
     });
-    assert!(bank.pod(1, 2, keyed(1)).is_some(), "which fills the one");
-    assert!(bank.pod(0, 1, Effect::Safe).is_some());
-    let owns = |bank: &Bank, m: u16| bank.machines[&m].owned(ms(bank.now), Sid(1)).is_some();
-    assert!(owns(&bank, 0));
-    bank.ask(1, 1, Effect::Safe);
-    assert!(owns(&bank, 0) && !owns(&bank, 1), "there is no room for it");
-    bank.pass(1_000);
-    for (from, to, word) in bank.heard.clone().into_iter().filter(|w| w.1 == 1) {
-        bank.tell(to, Event::Word { from: Member(from), life: Life(1), word });
-        bank.words.clear();
-        assert!(!(owns(&bank, 0) && owns(&bank, 1)), "two own it");
+    assert!(cluster.pod(1, 2, keyed(1)).is_some(), "which fills the one");
+    assert!(cluster.pod(0, 1, Effect::Safe).is_some());
+    let owns =
+        |cluster: &Cluster, m: u16| cluster.machines[&m].owned(ms(cluster.now), Sid(1)).is_some();
+    assert!(owns(&cluster, 0));
+    cluster.ask(1, 1, Effect::Safe);
+    assert!(owns(&cluster, 0) && !owns(&cluster, 1), "there is no room for it");
+    cluster.pass(1_000);
+    for (from, to, message) in cluster.heard.clone().into_iter().filter(|w| w.1 == 1) {
+        cluster
+            .tell(to, Event::Message { from: NodeId(from), incarnation: Incarnation(1), message });
+        cluster.words.clear();
+        assert!(!(owns(&cluster, 0) && owns(&cluster, 1)), "two own it");
     }
 }
--- a/crates/sessions/tests/memory.rs
+++ b/crates/sessions/tests/memory.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use hollowpaddle_peer_transport::{Life, Member};
+use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use hollowpaddle_sessions::{
     Action, Config, Effect, Event, Key, Pod, Ran, Seat, Sessions, Sid, Site, Verdict, Weighed, Why,
 };
@@ -17,7 +17,7 @@
 #[test]
 fn two_hundred_thousand_records_take_32_mb_and_none_is_dropped_inside_its_window() {
     let before = resident();
-    let mut config = Config::new(Member(0), Life(1));
+    let mut config = Config::new(NodeId(0), Incarnation(1));
     config.first_start = true;
     let (records, window) = (config.records as u64, config.forgotten_after());
     let mut machine = Sessions::new(config);
@@ -25,7 +25,8 @@
     let start = Duration::from_millis(1);
     let pods = (0..4).map(|p| Weighed { pod: Pod(p), weight: 1000 }).collect();
     machine.handle(start, Event::Pods { revision: 1, pods }, &mut actions);
-    let seats = vec![Seat { member: Member(0), life: Life(1), site: Site(0), since: 1 }];
+    let seats =
+        vec![Seat { member: NodeId(0), incarnation: Incarnation(1), site: Site(0), since: 1 }];
     let until = Duration::from_secs(3600);
     machine.handle(start, Event::Awake { version: 1, until, seats }, &mut actions);
     let mut ask = |now: Duration, n: u64| -> Verdict {
--- a/crates/sessions/tests/sim/mod.rs
+++ b/crates/sessions/tests/sim/mod.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use hollowpaddle_failpoints::{Fault, Kind, Points};
-use hollowpaddle_peer_transport::{Life, Member};
+use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use hollowpaddle_sessions::{
     Action, Config, Effect, Epoch, Event, Key, Pod, Ran, Seat, Sessions, Sid, Site, Verdict,
     Weighed,
@@ -92,18 +92,18 @@
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum What {
-    Word { from: Member, life: Life, to: Member, bytes: Vec<u8> },
-    Wake { of: Member, life: Life, at: u64 },
+    Message { from: NodeId, incarnation: Incarnation, to: NodeId, bytes: Vec<u8> },
+    Wake { of: NodeId, incarnation: Incarnation, at: u64 },
     Van { van: u64 },
     Press { van: u64, key: u64, site: u16, left: u32 },
-    Sent { of: Member, life: Life, id: u64 },
-    Done { of: Member, life: Life, id: u64, ran: Ran },
+    Sent { of: NodeId, incarnation: Incarnation, id: u64 },
+    Done { of: NodeId, incarnation: Incarnation, id: u64, ran: Ran },
     Council,
-    Table { of: Member },
+    Table { of: NodeId },
     Fault,
     Mend { what: u8, which: u16 },
     Drain,
-    Pods { of: Member },
+    Pods { of: NodeId },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -125,7 +125,7 @@
 
 struct Balancer {
     site: u16,
-    life: Life,
+    incarnation: Incarnation,
     machine: Option<Sessions>,
     born: u64,
     /// Its clock runs so much faster, in ppm.
@@ -171,11 +171,11 @@
     ran: BTreeMap<u64, Vec<Ran1>>,
     /// The council's: tables by version, who is in, and up to when each seat was given (true time).
     tables: Vec<Vec<Seat>>,
-    given: BTreeMap<Member, u64>,
+    given: BTreeMap<NodeId, u64>,
     cut: bool,
     at_site: BTreeMap<u64, u16>,
     last_pod: BTreeMap<u64, u16>,
-    highest: BTreeMap<u64, (Epoch, Member)>,
+    highest: BTreeMap<u64, (Epoch, NodeId)>,
     arrived: BTreeMap<u64, (u64, u16)>,
     next_id: u64,
     next_key: u64,
@@ -195,7 +195,7 @@
                 let rate = rng.rand_range(0..8_000) as i64 - 4_000;
                 all.push(Balancer {
                     site,
-                    life: Life(1),
+                    incarnation: Incarnation(1),
                     machine: None,
                     born: 0,
                     rate,
@@ -266,8 +266,8 @@
     }
 
     fn start(&mut self, m: usize) {
-        let mut config = Config::new(Member(m as u16), self.all[m].life);
-        config.first_start = self.day.first_start && self.all[m].life == Life(1);
+        let mut config = Config::new(NodeId(m as u16), self.all[m].incarnation);
+        config.first_start = self.day.first_start && self.all[m].incarnation == Incarnation(1);
         config.window = Duration::from_micros(self.day.window);
         config.run = Duration::from_micros(self.day.run);
         let b = &mut self.all[m];
@@ -335,16 +335,16 @@
     fn act(&mut self, m: usize, action: Action) {
         match action {
             Action::WakeAt(at) => {
-                let (at, life) = (self.truth(m, at).max(self.now), self.all[m].life);
+                let (at, incarnation) = (self.truth(m, at).max(self.now), self.all[m].incarnation);
                 let after = at - self.now;
-                self.push(after, What::Wake { of: Member(m as u16), life, at });
+                self.push(after, What::Wake { of: NodeId(m as u16), incarnation, at });
             }
-            Action::Send { to, word } => self.send(m, to, word),
+            Action::Send { to, message } => self.send(m, to, message),
             Action::Place { id, verdict } => self.placed(m, id, verdict),
         }
     }
 
-    fn send(&mut self, m: usize, to: Member, bytes: Vec<u8>) {
+    fn send(&mut self, m: usize, to: NodeId, bytes: Vec<u8>) {
         self.found.words += 1;
         self.found.longest_word = self.found.longest_word.max(bytes.len());
         self.step += 1;
@@ -378,9 +378,14 @@
             if self.day.copies > 0.0 && self.chance(0.02) {
                 after += self.rng.rand_range(0..600_000);
             }
-            let from = Member(m as u16);
-            let word = What::Word { from, life: self.all[m].life, to, bytes: bytes.clone() };
-            self.push(after, word);
+            let from = NodeId(m as u16);
+            let message = What::Message {
+                from,
+                incarnation: self.all[m].incarnation,
+                to,
+                bytes: bytes.clone(),
+            };
+            self.push(after, message);
         }
     }
 
@@ -408,24 +413,27 @@
         // Keyed ones may have waited for a window's end, and whoever stood still looks late.
         let stood = self.all[m].paused >= asked.at;
         self.found.late_waits += u64::from(waited > 27_000 && asked.key.is_none() && !stood);
-        let (life, of) = (self.all[m].life, Member(m as u16));
+        let (incarnation, of) = (self.all[m].incarnation, NodeId(m as u16));
         let Some(key) = asked.key else {
-            self.push(10, What::Sent { of, life, id });
+            self.push(10, What::Sent { of, incarnation, id });
             self.found.plain += 1;
             let at = *self.last_pod.get(&asked.van).unwrap_or(&pod.0);
             self.found.at_their_pod += u64::from(at == pod.0);
             self.last_pod.insert(asked.van, pod.0);
-            self.push(30_000, What::Done { of: Member(m as u16), life, id, ran: Ran::Yes });
+            self.push(30_000, What::Done { of: NodeId(m as u16), incarnation, id, ran: Ran::Yes });
             return;
         };
         self.found.allowed += 1;
         // The shell looks at the time right before the send; between, it may stand still.
         let sent = self.now + if self.chance(0.02) { self.rng.rand_range(0..200_000) } else { 10 };
         if self.local(m, sent) >= until {
-            self.push(sent - self.now, What::Done { of: Member(m as u16), life, id, ran: Ran::No });
+            self.push(
+                sent - self.now,
+                What::Done { of: NodeId(m as u16), incarnation, id, ran: Ran::No },
+            );
             return;
         }
-        self.push(sent - self.now, What::Sent { of, life, id });
+        self.push(sent - self.now, What::Sent { of, incarnation, id });
         self.found.keyed_gone += 1;
         self.found.repeats_gone += u64::from(asked.repeat);
         let runs = match self.rng.rand_range(0..10) {
@@ -443,7 +451,7 @@
         }
         self.last_pod.insert(asked.van, pod.0);
         let after = sent - self.now + 50_000;
-        self.push(after, What::Done { of: Member(m as u16), life, id, ran });
+        self.push(after, What::Done { of: NodeId(m as u16), incarnation, id, ran });
     }
 
     /// A pod runs a key, unless it remembers it. What runs later is judged in the order of running.
@@ -506,11 +514,11 @@
                     ));
                 }
             }
-            let highest = self.highest.entry(van).or_insert((epoch, Member(m as u16)));
-            if epoch < highest.0 || (epoch == highest.0 && highest.1 != Member(m as u16)) {
+            let highest = self.highest.entry(van).or_insert((epoch, NodeId(m as u16)));
+            if epoch < highest.0 || (epoch == highest.0 && highest.1 != NodeId(m as u16)) {
                 self.found.claims.push(format!("van {van}: {epoch:?} at {m} after {highest:?}"));
             }
-            *highest = (epoch, Member(m as u16));
+            *highest = (epoch, NodeId(m as u16));
             if let Some((at, site)) = self.arrived.get(&van).copied()
                 && site == self.all[m].site
             {
@@ -553,7 +561,7 @@
         if b.machine.take().is_none() {
             return;
         }
-        b.life = Life(b.life.0 + 1);
+        b.incarnation = Incarnation(b.incarnation.0 + 1);
         b.requests.clear();
         b.claims.clear();
         let after = 20_000 + self.rng.rand_range(0..400_000);
@@ -572,23 +580,30 @@
         let version = self.tables.len() as u64;
         let mut changed = false;
         for m in 0..self.all.len() {
-            let (member, life) = (Member(m as u16), self.all[m].life);
+            let (member, incarnation) = (NodeId(m as u16), self.all[m].incarnation);
             let reached =
                 self.alive(m) && self.now >= self.all[m].paused && !self.all[m].cut_council;
             let seat = seats.iter().position(|s| s.member == member);
             let over = self.given.get(&member).is_none_or(|until| *until <= self.now);
             match seat {
                 // A former life is over as soon as the new one is heard; a silent one with its lease.
-                Some(at) if (seats[at].life != life && reached) || (!reached && over) => {
+                Some(at)
+                    if (seats[at].incarnation != incarnation && reached) || (!reached && over) =>
+                {
                     seats.remove(at);
                     changed = true;
                     if reached {
                         let site = Site(self.all[m].site);
-                        seats.push(Seat { member, life, site, since: version });
+                        seats.push(Seat { member, incarnation, site, since: version });
                     }
                 }
                 None if reached => {
-                    seats.push(Seat { member, life, site: Site(self.all[m].site), since: version });
+                    seats.push(Seat {
+                        member,
+                        incarnation,
+                        site: Site(self.all[m].site),
+                        since: version,
+                    });
                     changed = true;
                 }
                 _ => {}
@@ -598,7 +613,7 @@
             self.tables.push(seats);
             for m in 0..self.all.len() {
                 let after = self.rng.rand_range(0..60_000);
-                self.push(after, What::Table { of: Member(m as u16) });
+                self.push(after, What::Table { of: NodeId(m as u16) });
             }
         }
         for m in 0..self.all.len() {
@@ -615,10 +630,10 @@
         if !self.alive(m) || self.now < self.all[m].paused || self.all[m].cut_council {
             return;
         }
-        let (member, life) = (Member(m as u16), self.all[m].life);
+        let (member, incarnation) = (NodeId(m as u16), self.all[m].incarnation);
         let newest = self.tables.len() as u64 - 1;
         let held = self.tables.last().and_then(|t| t.iter().find(|s| s.member == member)).copied();
-        if held.is_none_or(|s| s.life != life || self.all[m].table < s.since)
+        if held.is_none_or(|s| s.incarnation != incarnation || self.all[m].table < s.since)
             && self.all[m].table > 0
         {
             return;
@@ -640,10 +655,10 @@
             return;
         }
         let seats = self.tables[version as usize].clone();
-        let (member, life) = (Member(m as u16), self.all[m].life);
+        let (member, incarnation) = (NodeId(m as u16), self.all[m].incarnation);
         let lease = Duration::from_micros(self.day.lease * 99 / 100);
         let mut until = Duration::ZERO;
-        if seats.iter().any(|s| (s.member, s.life) == (member, life)) {
+        if seats.iter().any(|s| (s.member, s.incarnation) == (member, incarnation)) {
             until = self.local(m, self.now) + lease;
             self.given.insert(member, self.now + self.day.lease * 101 / 100);
         }
@@ -691,7 +706,7 @@
         self.revisions.push(self.out.clone());
         for m in 0..self.all.len() {
             let after = self.rng.rand_range(0..300_000);
-            self.push(after, What::Pods { of: Member(m as u16) });
+            self.push(after, What::Pods { of: NodeId(m as u16) });
         }
         self.push(400_000, What::Drain);
     }
@@ -745,24 +760,24 @@
 
     fn happens(&mut self, what: What) {
         match what {
-            What::Word { from, life, to, bytes } => {
+            What::Message { from, incarnation, to, bytes } => {
                 let t = usize::from(to.0);
                 if self.now < self.all[t].paused {
                     // Sockets keep it for whoever stands still.
                     let after = self.all[t].paused - self.now + 2;
-                    return self.push(after, What::Word { from, life, to, bytes });
+                    return self.push(after, What::Message { from, incarnation, to, bytes });
                 }
                 // The wire lets no word of a former life through.
-                if self.all[usize::from(from.0)].life == life {
-                    self.tell(t, Event::Word { from, life, word: bytes });
+                if self.all[usize::from(from.0)].incarnation == incarnation {
+                    self.tell(t, Event::Message { from, incarnation, message: bytes });
                 }
             }
-            What::Wake { of, life, at } => {
+            What::Wake { of, incarnation, at } => {
                 let m = usize::from(of.0);
-                if self.all[m].life == life {
+                if self.all[m].incarnation == incarnation {
                     if self.now < self.all[m].paused {
                         let after = self.all[m].paused - self.now + 1;
-                        return self.push(after, What::Wake { of, life, at });
+                        return self.push(after, What::Wake { of, incarnation, at });
                     }
                     self.tell(m, Event::Due);
                 }
@@ -778,14 +793,14 @@
                     self.push(after, What::Press { van, key, site, left: left - 1 });
                 }
             }
-            What::Sent { of, life, id } => {
-                if self.all[usize::from(of.0)].life == life {
+            What::Sent { of, incarnation, id } => {
+                if self.all[usize::from(of.0)].incarnation == incarnation {
                     self.tell(usize::from(of.0), Event::Sent { id });
                 }
             }
-            What::Done { of, life, id, ran } => {
+            What::Done { of, incarnation, id, ran } => {
                 let m = usize::from(of.0);
-                if self.all[m].life == life {
+                if self.all[m].incarnation == incarnation {
                     self.tell(m, Event::Ended { id, ran });
                 }
             }
@@ -795,18 +810,18 @@
             What::Mend { what: 0, which } => {
                 self.start(usize::from(which));
                 let after = self.rng.rand_range(50_000..150_000);
-                self.push(after, What::Table { of: Member(which) });
+                self.push(after, What::Table { of: NodeId(which) });
             }
             What::Mend { what: 1, which } => {
-                self.push(0, What::Table { of: Member(which) });
-                self.push(0, What::Pods { of: Member(which) });
+                self.push(0, What::Table { of: NodeId(which) });
+                self.push(0, What::Pods { of: NodeId(which) });
                 self.tell(usize::from(which), Event::Due);
             }
             What::Mend { .. } => {
                 self.cut = false;
                 for m in 0..self.all.len() {
                     self.all[m].cut_council = false;
-                    self.push(1_000, What::Table { of: Member(m as u16) });
+                    self.push(1_000, What::Table { of: NodeId(m as u16) });
                 }
             }
             What::Drain => self.drain(),
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -68,7 +68,7 @@
 
 /// The bank and this balancer in it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Bank {
+pub struct Cluster {
     /// Balancers in it, this one included; at least 1.
     pub balancers: u32,
     /// This one's number, from 0.
@@ -88,7 +88,7 @@
 #[derive(Clone, Debug)]
 pub struct Subset {
     size: Size,
-    bank: Bank,
+    cluster: Cluster,
     /// Upstreams of each cell that can be sent to, by the list.
     cells: BTreeMap<Cell, usize>,
     /// Cells in the subset; until when, where they only linger.
@@ -102,7 +102,7 @@
     ///
     /// # Errors
     /// A size that can't be: see [`SizeError`].
-    pub fn new(size: Size, bank: Bank) -> Result<Self, SizeError> {
+    pub fn new(size: Size, cluster: Cluster) -> Result<Self, SizeError> {
         if !(size.times.is_finite() && size.times >= 1.0) {
             return Err(SizeError::Times(size.times));
         }
@@ -112,8 +112,8 @@
         if size.linger < 0 {
             return Err(SizeError::Linger(size.linger));
         }
-        let bank = Bank { balancers: bank.balancers.max(1), ..bank };
-        Ok(Self { size, bank, cells: BTreeMap::new(), held: FxHashMap::default(), doubled: 0 })
+        let cluster = Cluster { balancers: cluster.balancers.max(1), ..cluster };
+        Ok(Self { size, cluster, cells: BTreeMap::new(), held: FxHashMap::default(), doubled: 0 })
     }
 
     /// The cells of the whole fleet, one entry an upstream that can be sent to. Says whether the subset changed.
@@ -126,8 +126,8 @@
     }
 
     /// The bank has another size. Says whether the subset changed.
-    pub fn bank(&mut self, now: i64, balancers: u32) -> bool {
-        self.bank.balancers = balancers.max(1);
+    pub fn cluster(&mut self, now: i64, balancers: u32) -> bool {
+        self.cluster.balancers = balancers.max(1);
         self.draw(now)
     }
 
@@ -192,10 +192,10 @@
     fn arc(&self, ring: &[(u64, Cell, usize)]) -> Vec<Cell> {
         let n = ring.len();
         let all: usize = ring.iter().map(|(_, _, upstreams)| upstreams).sum();
-        let even = all as f64 / f64::from(self.bank.balancers);
+        let even = all as f64 / f64::from(self.cluster.balancers);
         let most = 2f64.powi(self.doubled.min(30) as i32);
         let enough = (even * self.size.times).max(self.size.least as f64) * most;
-        let point = (f64::from(self.bank.position) * GOLDEN).fract() * n as f64;
+        let point = (f64::from(self.cluster.position) * GOLDEN).fract() * n as f64;
         // The cell that the point lies in first, then by turns the next on the nearer side.
         let middle = point as usize % n;
         let up_first = point.fract() >= 0.5;
--- a/crates/subset/tests/subsets.rs
+++ b/crates/subset/tests/subsets.rs
@@ -2,7 +2,7 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hollowpaddle_subset::{Bank, Cell, Size, SizeError, Subset};
+use hollowpaddle_subset::{Cell, Cluster, Size, SizeError, Subset};
 use proptest::prelude::*;
 
 const SIZE: Size = Size { times: 4.0, least: 8, linger: 100, well: 0.5 };
@@ -14,7 +14,7 @@
 }
 
 fn subset(balancers: u32, position: u32, fleet: &[Cell]) -> Subset {
-    let mut subset = Subset::new(SIZE, Bank { balancers, position }).expect("a size");
+    let mut subset = Subset::new(SIZE, Cluster { balancers, position }).expect("a size");
     subset.listed(0, fleet.iter().copied());
     subset
 }
@@ -49,7 +49,7 @@
     let mut at_first = subset(5, 3, &fleet);
     let before = held(&at_first, &fleet);
     for (now, balancers) in (6..=36).enumerate() {
-        at_first.bank(now as i64, balancers);
+        at_first.cluster(now as i64, balancers);
     }
     at_first.passed(1000);
     let after = held(&at_first, &fleet);
@@ -74,7 +74,7 @@
     let fleet = fleet(1, 100, 8);
     let mut subset = subset(10, 0, &fleet);
     let before = held(&subset, &fleet);
-    assert!(!subset.bank(50, 20), "nobody is gone yet");
+    assert!(!subset.cluster(50, 20), "nobody is gone yet");
     assert_eq!(held(&subset, &fleet), before);
     assert!(!subset.passed(149));
     assert!(subset.passed(150));
@@ -86,8 +86,8 @@
     let fleet = fleet(1, 100, 8);
     let mut subset = subset(10, 0, &fleet);
     let before = held(&subset, &fleet);
-    subset.bank(0, 20);
-    subset.bank(50, 10);
+    subset.cluster(0, 20);
+    subset.cluster(50, 10);
     assert!(!subset.passed(1000));
     assert_eq!(held(&subset, &fleet), before);
 }
@@ -108,8 +108,8 @@
 
 #[test]
 fn a_size_that_cannot_be_says_what_to_write() {
-    let bank = Bank { balancers: 2, position: 0 };
-    let of = |size| Subset::new(size, bank).err();
+    let cluster = Cluster { balancers: 2, position: 0 };
+    let of = |size| Subset::new(size, cluster).err();
     assert_eq!(of(Size { times: 0.5, ..SIZE }), Some(SizeError::Times(0.5)));
     assert!(
         of(Size { times: f64::NAN, ..SIZE }).is_some_and(|e| e.to_string().contains("1 or more"))
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,8 +11,8 @@
 use std::time::Duration;
 
 use hollowpaddle_failpoints::Points;
-use hollowpaddle_gateway::bank::{self, Link, Shell, Stored};
-use hollowpaddle_gateway::config::BankConfig;
+use hollowpaddle_gateway::cluster::{self, Link, Shell, Stored};
+use hollowpaddle_gateway::config::ClusterConfig;
 use hollowpaddle_gateway::{Config, Kept, Operating, Provided, serve};
 use hollowpaddle_net::{Listener, Network, Tcp};
 use hollowpaddle_operator_commands::Store;
@@ -59,7 +59,7 @@
     let listener = listen(&config)?;
     let operating = operating(&config)?;
     let kept = kept(&config);
-    let bank = bank(&config)?;
+    let cluster = cluster(&config)?;
     // The bound address, not the wanted one: with port 0 it is the only word of where clients connect.
     let bound = listener.local_addr();
     let (reload, reloads) = mpsc::unbounded_channel();
@@ -68,7 +68,7 @@
     let stop = async move {
         term.recv().await;
     };
-    let provided = Provided { operating, kept, bank };
+    let provided = Provided { operating, kept, cluster };
     let served = serve(config, Rc::new(Tcp), listener, provided, reloads, stop).await;
     served.map_err(|e| e.to_string())
 }
@@ -148,14 +148,14 @@
 }
 
 /// This balancer's part of the bank, on a thread of its own, where balancers may talk.
-fn bank(config: &Config) -> Result<Option<Link>, String> {
-    let Some(of) = &config.bank else { return Ok(None) };
+fn cluster(config: &Config) -> Result<Option<Link>, String> {
+    let Some(of) = &config.cluster else { return Ok(None) };
     // The platform's seed is new with each start, unless two processes of one configuration overlap.
     let life = RandomState::new().hash_one(config.seed) as u32;
     let points = Points::from_environment().map_err(|e| e.to_string())?;
     let stored = stored(config, of, &points);
     let (link, shell) =
-        bank::join(config, of, life, stored, points).map_err(|e| format!("the bank: {e}"))?;
+        cluster::join(config, of, life, stored, points).map_err(|e| format!("the bank: {e}"))?;
     let started =
         std::thread::Builder::new().name("bank".to_string()).spawn(move || run_bank(shell));
     started.map_err(|e| format!("a thread for the bank: {e}"))?;
@@ -164,12 +164,12 @@
 
 /// What the bank finds in the state directory, where the platform keeps one. A balancer for which there is none, or that
 /// can't be had in time, forgets with each process; the others know what that means.
-fn stored(config: &Config, of: &BankConfig, points: &Points) -> Option<Stored> {
+fn stored(config: &Config, of: &ClusterConfig, points: &Points) -> Option<Stored> {
     let dir = config.state_dir.as_ref()?.join("bank");
     let (name, points, id, me) = (config.name.clone(), points.clone(), of.id(), of.member());
     let shown = dir.display().to_string();
     let (tell, opened) = std::sync::mpsc::channel();
-    std::thread::spawn(move || drop(tell.send(bank::open(&dir, id, me, &name, &points))));
+    std::thread::spawn(move || drop(tell.send(cluster::open(&dir, id, me, &name, &points))));
     let opened =
         opened.recv_timeout(LOAD).unwrap_or_else(|_| Err("it did not answer in time".into()));
     match opened {
