--- a/crates/consensus/src/learner.rs
+++ b/crates/consensus/src/learner.rs
@@ -1,5 +1,5 @@
 //! What every balancer runs, voters too: learns what is committed, in order, and passes it on to its
-//! children in the tree; brings proposals to the leader. Votes are `Council`'s matter, and what entries
+//! children in the tree; brings proposals to the leader. Votes are `Replica`'s matter, and what entries
 //! mean the machine above's.
 
 use std::collections::BTreeMap;
@@ -9,8 +9,8 @@
 
 use crate::log::{Base, Blob, Log};
 use crate::message::{
-    Counts, ENTRY_MAX, Entry, Index, Members, Message, Outcome, Part, ProposalId, SNAPSHOT_MAX,
-    Say, View, What,
+    ENTRY_MAX, Entry, EntryPayload, IncarnationCounts, LogIndex, Message, MessageBody, Part,
+    ProposalId, ProposalOutcome, SNAPSHOT_MAX, View, VoterSet,
 };
 use crate::replication::SNAPSHOT_EVERY;
 use crate::tree::{CHILDREN, order, parent};
@@ -38,7 +38,7 @@
 
 /// What a learner is given at its start.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct LearnerSettings {
+pub struct LearnerConfig {
     /// Who it is.
     pub node_id: NodeId,
     /// The council of the settings.
@@ -51,7 +51,7 @@
 
 /// What happens to it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Learn {
+pub enum LearnerEvent {
     /// Time has passed: at least every 50 ms.
     Tick,
     /// A word came, whose channel is `Log`.
@@ -66,25 +66,25 @@
     /// The council's machine of this process told [`crate::Action::Committed`].
     Committed {
         /// Where.
-        index: Index,
+        index: LogIndex,
         /// What.
         entry: Entry,
     },
     /// The council's machine of this process told [`crate::Action::Reset`].
     Reset {
         /// The last entry in it.
-        index: Index,
+        index: LogIndex,
         /// What stands there.
         base: Base,
     },
-    /// Whom the council's machine of this process hears lead ([`crate::Council::leader`]), whenever that
+    /// Whom the council's machine of this process hears lead ([`crate::Replica::leader`]), whenever that
     /// changes.
     Leader(Option<NodeId>),
     /// What the machine above made of the log up to an entry. Best at the same entries everywhere (every
     /// 1,024): then copies are alike, and one can be fetched from several.
     Snapshot {
         /// The entry.
-        index: Index,
+        index: LogIndex,
         /// As long as [`crate::SNAPSHOT_MAX`] less 64 KiB.
         bytes: Vec<u8>,
     },
@@ -96,7 +96,7 @@
         bytes: Vec<u8>,
     },
     /// Leases, which go the same way, want another source than this one: it takes no more, or has given none.
-    Elsewhere(NodeId),
+    ChangeSource(NodeId),
     /// What became of a proposal whose answer did not come?
     Ask {
         /// Which.
@@ -106,8 +106,8 @@
 
 /// What it wants done.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Learned {
-    /// A word to another member; to this one's own council, if its channel is `Council`.
+pub enum LearnerAction {
+    /// A word to another member; to this one's own council, if its channel is `Replica`.
     Send {
         /// To whom.
         to: NodeId,
@@ -117,7 +117,7 @@
     /// An entry is committed. Each is told once a life and epoch, in order and without a gap.
     Committed {
         /// Where.
-        index: Index,
+        index: LogIndex,
         /// What.
         entry: Entry,
     },
@@ -125,7 +125,7 @@
     /// state is that of a log without entries.
     Reset {
         /// The last entry in it.
-        index: Index,
+        index: LogIndex,
         /// The machine above's state.
         state: Vec<u8>,
     },
@@ -136,29 +136,29 @@
         /// Which.
         by: NodeId,
         /// The entry.
-        index: Index,
+        index: LogIndex,
     },
     /// What became of a proposal.
     Answered {
         /// Which.
         id: ProposalId,
         /// How.
-        outcome: Outcome,
+        outcome: ProposalOutcome,
     },
-    /// The log grows long: [`Learn::Snapshot`] is wanted.
+    /// The log grows long: [`LearnerEvent::Snapshot`] is wanted.
     SnapshotWanted,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Child {
-    at: Index,
+    at: LogIndex,
     heard: Duration,
     pushed: Duration,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Underway {
-    what: Option<What>,
+    what: Option<EntryPayload>,
     began: Duration,
     asked: Duration,
     elsewhere: u32,
@@ -167,12 +167,12 @@
 /// A learner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Learner {
-    settings: LearnerSettings,
+    settings: LearnerConfig,
     now: Duration,
     chance: u64,
     epoch: u32,
     log: Log,
-    members: Members,
+    members: VoterSet,
     /// The leader, as told.
     leader: Option<NodeId>,
     /// The own council hears it.
@@ -201,8 +201,8 @@
 
 impl Learner {
     /// One that knows nothing yet.
-    pub fn new(now: Duration, settings: LearnerSettings) -> Self {
-        let members = Members::of(settings.voters.iter().copied());
+    pub fn new(now: Duration, settings: LearnerConfig) -> Self {
+        let members = VoterSet::of(settings.voters.iter().copied());
         let mut learner = Self {
             now,
             chance: settings.seed ^ 0x1EA4_0000,
@@ -234,26 +234,26 @@
     }
 
     /// One event.
-    pub fn handle(&mut self, now: Duration, event: Learn, actions: &mut Vec<Learned>) {
+    pub fn handle(&mut self, now: Duration, event: LearnerEvent, actions: &mut Vec<LearnerAction>) {
         self.now = self.now.max(now);
         match event {
-            Learn::Tick => self.tick(actions),
-            Learn::Message { from, incarnation: _, message } => {
+            LearnerEvent::Tick => self.tick(actions),
+            LearnerEvent::Message { from, incarnation: _, message } => {
                 self.message(from, message, actions)
             }
-            Learn::Committed { index, entry } => {
+            LearnerEvent::Committed { index, entry } => {
                 if index.epoch() == self.epoch && self.apply(index.op(), entry, actions) {
                     self.push(index.op(), actions);
                 }
             }
-            Learn::Reset { index, base } => self.adopt(index.epoch(), base, actions),
-            Learn::Leader(leader) => {
+            LearnerEvent::Reset { index, base } => self.adopt(index.epoch(), base, actions),
+            LearnerEvent::Leader(leader) => {
                 self.own = leader.is_some();
                 if leader.is_some() {
                     self.learn_leader(leader, actions);
                 }
             }
-            Learn::Snapshot { index, bytes } => {
+            LearnerEvent::Snapshot { index, bytes } => {
                 let op = index.op();
                 let known =
                     index.epoch() == self.epoch && op <= self.log.op() && op > self.log.base().op;
@@ -261,26 +261,26 @@
                     self.log.rebase(self.log.base_at(op, bytes));
                 }
             }
-            Learn::Elsewhere(than) => {
+            LearnerEvent::ChangeSource(than) => {
                 // Not again at once: whoever it goes to is to have its time to answer.
                 if self.source == Some(than) && self.now.saturating_sub(self.since) >= SILENT {
                     self.change_source(actions);
                 }
             }
-            Learn::Propose { id, bytes } => {
+            LearnerEvent::Propose { id, bytes } => {
                 if bytes.len() > ENTRY_MAX {
-                    actions.push(Learned::Answered { id, outcome: Outcome::Never });
+                    actions.push(LearnerAction::Answered { id, outcome: ProposalOutcome::Never });
                 } else {
-                    self.begin(id, Some(What::Bytes(bytes)), actions);
+                    self.begin(id, Some(EntryPayload::Command(bytes)), actions);
                 }
             }
-            Learn::Ask { id } => self.begin(id, None, actions),
+            LearnerEvent::Ask { id } => self.begin(id, None, actions),
         }
     }
 
     /// The last entry that it has.
-    pub fn at(&self) -> Index {
-        Index::new(self.epoch, self.log.op())
+    pub fn at(&self) -> LogIndex {
+        LogIndex::new(self.epoch, self.log.op())
     }
     /// From whom it learns.
     pub fn source(&self) -> Option<NodeId> {
@@ -295,7 +295,7 @@
         self.leader
     }
     /// Who votes, as far as it has learned.
-    pub fn members(&self) -> &Members {
+    pub fn members(&self) -> &VoterSet {
         &self.members
     }
 
@@ -307,15 +307,18 @@
         (self.chance >> 33) as usize % below.max(1)
     }
 
-    fn send(&self, to: NodeId, say: Say, actions: &mut Vec<Learned>) {
+    fn send(&self, to: NodeId, body: MessageBody, actions: &mut Vec<LearnerAction>) {
         let view = View { epoch: self.epoch, ..View::default() };
-        actions.push(Learned::Send { to, message: Message { view, counts: Counts::new(), say } });
+        actions.push(LearnerAction::Send {
+            to,
+            message: Message { view, counts: IncarnationCounts::new(), body },
+        });
     }
 
     // What it learns.
 
     /// Takes the entry that comes next. Whether it did.
-    fn apply(&mut self, op: u64, entry: Entry, actions: &mut Vec<Learned>) -> bool {
+    fn apply(&mut self, op: u64, entry: Entry, actions: &mut Vec<LearnerAction>) -> bool {
         // Full, it waits for the machine above to give a snapshot.
         if op != self.log.op() + 1 || !self.log.has_room() {
             return false;
@@ -325,33 +328,33 @@
         if self.members.since == op {
             self.new_order(actions);
         }
-        actions.push(Learned::Committed { index: Index::new(self.epoch, op), entry });
+        actions.push(LearnerAction::Committed { index: LogIndex::new(self.epoch, op), entry });
         if op.saturating_sub(self.log.base().op.max(self.wanted)) >= SNAPSHOT_EVERY {
             self.wanted = op;
-            actions.push(Learned::SnapshotWanted);
+            actions.push(LearnerAction::SnapshotWanted);
         }
         true
     }
 
     /// Goes on from a snapshot, if it is of a later epoch, or beyond what is there.
-    fn adopt(&mut self, epoch: u32, base: Base, actions: &mut Vec<Learned>) {
-        if Index::new(epoch, base.op) <= self.at() && epoch == self.epoch || epoch < self.epoch {
+    fn adopt(&mut self, epoch: u32, base: Base, actions: &mut Vec<LearnerAction>) {
+        if LogIndex::new(epoch, base.op) <= self.at() && epoch == self.epoch || epoch < self.epoch {
             return;
         }
-        let index = Index::new(epoch, base.op);
+        let index = LogIndex::new(epoch, base.op);
         self.epoch = epoch;
         self.wanted = 0;
-        if !base.members.list.is_empty() {
+        if !base.members.voters.is_empty() {
             self.members = base.members.clone();
         }
-        actions.push(Learned::Reset { index, state: base.state.clone() });
+        actions.push(LearnerAction::Reset { index, state: base.state.clone() });
         self.log = Log::new(base);
         self.new_order(actions);
     }
 
     /// Tells the children that are not further than the entry before this one.
-    fn push(&mut self, first: u64, actions: &mut Vec<Learned>) {
-        let ready = Index::new(self.epoch, first - 1);
+    fn push(&mut self, first: u64, actions: &mut Vec<LearnerAction>) {
+        let ready = LogIndex::new(self.epoch, first - 1);
         let children: Vec<NodeId> = self
             .children
             .iter()
@@ -367,7 +370,7 @@
     }
 
     /// What was pushed and not confirmed is pushed again: of what is lost, the child can't know.
-    fn push_again(&mut self, actions: &mut Vec<Learned>) {
+    fn push_again(&mut self, actions: &mut Vec<LearnerAction>) {
         let (now, at) = (self.now, self.at());
         let lacks = |c: &Child| {
             c.at.epoch() == at.epoch() && c.at < at && now.saturating_sub(c.pushed) >= AGAIN
@@ -405,21 +408,21 @@
         if self.own { 0 } else { age }
     }
 
-    fn news(&self, to: NodeId, part: Option<Part>, actions: &mut Vec<Learned>) {
+    fn news(&self, to: NodeId, part: Option<Part>, actions: &mut Vec<LearnerAction>) {
         let (at, leader, members, age) = (self.at(), self.leader, self.members.clone(), self.age());
-        self.send(to, Say::News { at, leader, members, age, part }, actions);
+        self.send(to, MessageBody::News { at, leader, members, age, part }, actions);
     }
 
     // From whom.
 
-    fn new_order(&mut self, actions: &mut Vec<Learned>) {
+    fn new_order(&mut self, actions: &mut Vec<LearnerAction>) {
         self.order = order(self.settings.cluster, &self.members, self.leader);
         if self.attempt == 0 {
             self.take_source(self.tree_source(), actions);
         }
     }
 
-    fn learn_leader(&mut self, leader: Option<NodeId>, actions: &mut Vec<Learned>) {
+    fn learn_leader(&mut self, leader: Option<NodeId>, actions: &mut Vec<LearnerAction>) {
         if leader.is_some() && leader != self.leader {
             self.leader = leader;
             self.attempt = 0;
@@ -435,19 +438,19 @@
         parent(&self.order, self.place())
     }
 
-    fn take_source(&mut self, source: Option<NodeId>, actions: &mut Vec<Learned>) {
+    fn take_source(&mut self, source: Option<NodeId>, actions: &mut Vec<LearnerAction>) {
         if source != self.source {
             self.source = source;
             (self.heard, self.since) = (self.now, self.now);
             self.asked = None;
-            actions.push(Learned::Source(source));
+            actions.push(LearnerAction::Source(source));
         }
     }
 
     /// Another source, of those nearer to the root, by chance.
-    fn change_source(&mut self, actions: &mut Vec<Learned>) {
+    fn change_source(&mut self, actions: &mut Vec<LearnerAction>) {
         self.attempt = self.attempt.saturating_add(1);
-        let nearer = self.place().max(self.members.list.len()).min(self.order.len());
+        let nearer = self.place().max(self.members.voters.len()).min(self.order.len());
         let (node_id, old) = (self.settings.node_id, self.source);
         let fit: Vec<NodeId> = self
             .order
@@ -461,7 +464,7 @@
         self.take_source(next, actions);
     }
 
-    fn look_at_source(&mut self, actions: &mut Vec<Learned>) {
+    fn look_at_source(&mut self, actions: &mut Vec<LearnerAction>) {
         let root = self.own && self.leader == Some(self.settings.node_id);
         if root {
             self.attempt = 0;
@@ -481,7 +484,7 @@
         }
     }
 
-    fn tick(&mut self, actions: &mut Vec<Learned>) {
+    fn tick(&mut self, actions: &mut Vec<LearnerAction>) {
         let now = self.now;
         self.look_at_source(actions);
         self.children.retain(|_, c| now.saturating_sub(c.heard) < 2 * SILENT);
@@ -498,7 +501,7 @@
             .collect();
         for id in late {
             self.underway.remove(&id);
-            actions.push(Learned::Answered { id, outcome: Outcome::Unknown });
+            actions.push(LearnerAction::Answered { id, outcome: ProposalOutcome::Unknown });
         }
         let again: Vec<ProposalId> = self
             .underway
@@ -511,35 +514,38 @@
         }
     }
 
-    fn follow(&mut self, actions: &mut Vec<Learned>) {
+    fn follow(&mut self, actions: &mut Vec<LearnerAction>) {
         self.asked = Some(self.now);
         if let Some(source) = self.source {
             let (at, offset, sum) = (self.at(), self.blob.offset(), self.blob.sum());
-            self.send(source, Say::Follow { at, offset, sum }, actions);
+            self.send(source, MessageBody::Follow { at, offset, sum }, actions);
         }
     }
 
     // Words.
 
-    fn message(&mut self, from: NodeId, message: Message, actions: &mut Vec<Learned>) {
-        match message.say {
-            Say::Follow { at, offset, sum } => self.on_follow(from, at, offset, sum, actions),
-            Say::News { at, leader, members, age, part } => {
+    fn message(&mut self, from: NodeId, message: Message, actions: &mut Vec<LearnerAction>) {
+        match message.body {
+            MessageBody::Follow { at, offset, sum } => {
+                self.on_follow(from, at, offset, sum, actions)
+            }
+            MessageBody::News { at, leader, members, age, part } => {
                 self.on_news(from, at, leader, &members, age, part, actions);
             }
-            Say::Piece { offset, sum } if sum == self.log.sum() && self.has_parts() => {
+            MessageBody::Piece { offset, sum } if sum == self.log.sum() && self.has_parts() => {
                 let part = self.log.part(0, 0, offset);
                 self.news(from, Some(part), actions);
             }
-            Say::AskCopy { nonce } => {
-                let say = Say::Copy { nonce, at: self.at(), members: self.members.clone() };
-                self.send(from, say, actions);
+            MessageBody::AskCopy { nonce } => {
+                let body =
+                    MessageBody::Copy { nonce, at: self.at(), members: self.members.clone() };
+                self.send(from, body, actions);
             }
-            Say::FetchCopy { from: first, offset } if self.has_parts() => {
+            MessageBody::FetchCopy { from: first, offset } if self.has_parts() => {
                 let part = self.log.part(first, self.log.op(), offset);
-                self.send(from, Say::Part(part), actions);
+                self.send(from, MessageBody::Part(part), actions);
             }
-            Say::Answer { id, outcome, leader } => {
+            MessageBody::Answer { id, outcome, leader } => {
                 self.on_answer(from, id, outcome, leader, actions)
             }
             _ => {}
@@ -549,10 +555,10 @@
     fn on_follow(
         &mut self,
         from: NodeId,
-        at: Index,
+        at: LogIndex,
         offset: u32,
         sum: u32,
-        actions: &mut Vec<Learned>,
+        actions: &mut Vec<LearnerAction>,
     ) {
         let full = self.children.len() >= CHILDREN + GUESTS;
         if full && !self.children.contains_key(&from) || from == self.settings.node_id {
@@ -561,7 +567,7 @@
         let pushed = self.now;
         self.children.insert(from, Child { at, heard: self.now, pushed });
         if at.epoch() == self.epoch {
-            actions.push(Learned::Copied { by: from, index: at });
+            actions.push(LearnerAction::Copied { by: from, index: at });
         }
         let part = if at < self.at() && self.has_parts() {
             let first = if at.epoch() == self.epoch { at.op() + 1 } else { 0 };
@@ -577,20 +583,20 @@
     fn on_news(
         &mut self,
         from: NodeId,
-        at: Index,
+        at: LogIndex,
         leader: Option<NodeId>,
-        members: &Members,
+        members: &VoterSet,
         age: u32,
         part: Option<Part>,
-        actions: &mut Vec<Learned>,
+        actions: &mut Vec<LearnerAction>,
     ) {
         if self.source == Some(from) {
             self.heard = self.now;
             let led = self.now.checked_sub(Duration::from_millis(u64::from(age)));
             self.led = self.led.max(led);
             if !self.own && age < STALE.as_millis() as u32 {
-                // Members first: who leads counts only among them.
-                if at.epoch() > self.epoch && !members.list.is_empty() {
+                // VoterSet first: who leads counts only among them.
+                if at.epoch() > self.epoch && !members.voters.is_empty() {
                     self.members = members.clone();
                 }
                 self.learn_leader(leader, actions);
@@ -601,8 +607,8 @@
             && let Some(leader) = leader
         {
             // It goes back for nobody; the leader can go on under a greater name.
-            let say = Say::Copy { nonce: 0, at: self.at(), members: self.members.clone() };
-            self.send(leader, say, actions);
+            let body = MessageBody::Copy { nonce: 0, at: self.at(), members: self.members.clone() };
+            self.send(leader, body, actions);
         }
         let before = self.at();
         let mut helped = false;
@@ -646,9 +652,9 @@
     }
 
     /// Asks one that is not the source for the next bytes, in turn with it: a snapshot comes from several.
-    fn ask_another(&mut self, actions: &mut Vec<Learned>) -> bool {
+    fn ask_another(&mut self, actions: &mut Vec<LearnerAction>) -> bool {
         let (node_id, source) = (self.settings.node_id, self.source);
-        let nearer = self.place().max(self.members.list.len()).min(self.order.len());
+        let nearer = self.place().max(self.members.voters.len()).min(self.order.len());
         let others: Vec<NodeId> = self
             .order
             .iter()
@@ -661,19 +667,28 @@
             return false;
         };
         self.asked = Some(self.now);
-        self.send(other, Say::Piece { offset: self.blob.offset(), sum: self.blob.sum() }, actions);
+        self.send(
+            other,
+            MessageBody::Piece { offset: self.blob.offset(), sum: self.blob.sum() },
+            actions,
+        );
         true
     }
 
     // Proposals.
 
-    fn begin(&mut self, id: ProposalId, what: Option<What>, actions: &mut Vec<Learned>) {
+    fn begin(
+        &mut self,
+        id: ProposalId,
+        what: Option<EntryPayload>,
+        actions: &mut Vec<LearnerAction>,
+    ) {
         if self.underway.contains_key(&id) {
             return;
         }
         if self.underway.len() >= PROPOSALS {
             // Not a no: it may have been sent before.
-            actions.push(Learned::Answered { id, outcome: Outcome::Unknown });
+            actions.push(LearnerAction::Answered { id, outcome: ProposalOutcome::Unknown });
             return;
         }
         let underway = Underway { what, began: self.now, asked: self.now, elsewhere: 0 };
@@ -682,8 +697,8 @@
     }
 
     /// To the leader, or to a voter that may know it.
-    fn bring(&mut self, id: ProposalId, to: Option<NodeId>, actions: &mut Vec<Learned>) {
-        let voters: Vec<NodeId> = self.members.list.iter().copied().collect();
+    fn bring(&mut self, id: ProposalId, to: Option<NodeId>, actions: &mut Vec<LearnerAction>) {
+        let voters: Vec<NodeId> = self.members.voters.iter().copied().collect();
         let any = voters.get(self.draw(voters.len())).copied();
         let Some(underway) = self.underway.get_mut(&id) else { return };
         // A leader that did not answer once may lead no longer.
@@ -693,7 +708,7 @@
         let what = underway.what.clone();
         let leader = self.leader.filter(|_| !again);
         if let Some(to) = to.or(leader).or(any) {
-            self.send(to, Say::Propose { id, what }, actions);
+            self.send(to, MessageBody::Propose { id, what }, actions);
         }
     }
 
@@ -701,9 +716,9 @@
         &mut self,
         from: NodeId,
         id: ProposalId,
-        outcome: Option<Outcome>,
+        outcome: Option<ProposalOutcome>,
         leader: Option<NodeId>,
-        actions: &mut Vec<Learned>,
+        actions: &mut Vec<LearnerAction>,
     ) {
         if !self.underway.contains_key(&id) {
             return;
@@ -711,7 +726,7 @@
         match outcome {
             Some(outcome) => {
                 self.underway.remove(&id);
-                actions.push(Learned::Answered { id, outcome });
+                actions.push(LearnerAction::Answered { id, outcome });
             }
             // Told where to ask, it asks there once; a circle of such answers waits for the next round.
             None if leader.is_some() && leader != Some(from) && leader != self.leader => {
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -1,13 +1,13 @@
 //! A replicated log among a few balancers, some of which forget, and all that learn from it: viewstamped
 //! replication (Liskov, Cowling 2012) with counted lives (Michael et al. 2017) and leaders that a majority
-//! hears (OmniPaxos, 2023). Two machines without I/O, [`Council`] (a voter) and [`Learner`] (everybody),
+//! hears (OmniPaxos, 2023). Two machines without I/O, [`Replica`] (a voter) and [`Learner`] (everybody),
 //! and the [`Store`] of a voter's records. It knows no rule of routing: entries are bytes. Sockets, threads
 //! and clocks are the shell's.
 //!
 //! It holds, whoever is dead, cut off, paused, restarted or late, and whichever disk is full, lies or was
 //! changed, each with the test under `tests/` that holds it to that:
 //!
-//! 1. No two members commit different entries at one [`Index`], and each tells them in order, once
+//! 1. No two members commit different entries at one [`LogIndex`], and each tells them in order, once
 //!    (`agreement::what_is_agreed_stays_agreed`: 2,000 drawn days; 38,000 more by name).
 //! 2. A yes is in every later log, unless so many voters forget at one moment that the others are no
 //!    majority (the same). Then it is if a voter or learner that can be reached has it
@@ -52,19 +52,22 @@
 mod view_change;
 
 pub use learner::{
-    ANSWER, FOLLOW, Learn, Learned, Learner, LearnerSettings, PARTS, PROPOSALS, SILENT, STALE,
+    ANSWER, FOLLOW, Learner, LearnerAction, LearnerConfig, LearnerEvent, PARTS, PROPOSALS, SILENT,
+    STALE,
 };
 pub use log::{Base, IDS, KEPT, LOG_BYTES, LOG_MAX, Log};
 pub use log_file::{Directory, Disk};
-pub use log_record::{Durable, Record, State};
+pub use log_record::{DurableState, Record, State};
 pub use message::{
-    COUNCIL_MAX, Counts, ENTRY_MAX, Entry, Hello, Index, MAX_MESSAGE_BYTES, Members, Message,
-    MessageError, Outcome, PART, Part, ProposalId, SNAPSHOT_MAX, Say, Standing, View, What,
+    ENTRY_MAX, Entry, EntryPayload, Heartbeat, IncarnationCounts, LogIndex, MAX_MESSAGE_BYTES,
+    MAX_VOTERS, Message, MessageBody, MessageError, PART, Part, ProposalId, ProposalOutcome,
+    ReplicaStatus, SNAPSHOT_MAX, View, VoterSet,
 };
 pub use recovery::{DIRECTORY, GATHER, LIVED};
 pub use replica::{
-    Action, Council, DEAF, Event, LOST, Operators, ROUND, Settings, default_council,
+    Action, Event, HEARTBEAT_INTERVAL, OperatorCommand, PEER_TIMEOUT, QUORUM_LOSS_TIMEOUT, Replica,
+    ReplicaConfig, default_voters,
 };
 pub use replication::{SNAPSHOT_EVERY, UNDERWAY};
-pub use store::{COMPACT, Doubt, FILE_MAX, Found, Store, StoreError, VERSION};
+pub use store::{COMPACT, Corruption, FILE_MAX, Found, Store, StoreError, VERSION};
 pub use tree::{CHILDREN, order, parent};
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -8,7 +8,7 @@
 use hollowpaddle_peer_transport::NodeId;
 use serde::{Deserialize, Serialize};
 
-use crate::message::{Entry, Members, PART, Part, ProposalId, SNAPSHOT_MAX, View};
+use crate::message::{Entry, PART, Part, ProposalId, SNAPSHOT_MAX, View, VoterSet};
 
 /// Entries kept behind a snapshot, so that one a little behind needs entries and not the snapshot.
 pub const KEPT: u64 = 256;
@@ -26,7 +26,7 @@
     /// The last entry that it holds.
     pub op: u64,
     /// Who votes after it.
-    pub members: Members,
+    pub members: VoterSet,
     /// Proposals of late, and what became of them.
     pub ids: Vec<(ProposalId, u64)>,
     /// The machine above's.
@@ -110,7 +110,7 @@
         *self = Self::with(base, self.start + gone as u64, entries);
     }
     /// Who votes after this entry, of those behind the base.
-    pub fn members_at(&self, op: u64) -> Members {
+    pub fn members_at(&self, op: u64) -> VoterSet {
         let mut members = self.base.members.clone();
         for op in self.base.op + 1..=op {
             if let Some(entry) = self.get(op) {
@@ -134,10 +134,10 @@
         Base { op, members: self.members_at(op), ids, state }
     }
     /// Entries from a number on up to another, as many as a word takes.
-    pub fn some(&self, from: u64, upto: u64) -> Vec<Entry> {
+    pub fn some(&self, from: u64, through: u64) -> Vec<Entry> {
         let mut bytes = 0;
         let mut some = Vec::new();
-        for op in from..=upto {
+        for op in from..=through {
             let Some(entry) = self.get(op) else { break };
             bytes += entry.size();
             if bytes > PART && !some.is_empty() {
@@ -147,10 +147,10 @@
         }
         some
     }
-    /// What one that has all before `from` needs next, of the entries up to `upto`.
-    pub fn part(&self, from: u64, upto: u64, offset: u32) -> Part {
+    /// What one that has all before `from` needs next, of the entries up to `through`.
+    pub fn part(&self, from: u64, through: u64, offset: u32) -> Part {
         if from > self.start {
-            return Part::Entries { first: from, entries: self.some(from, upto) };
+            return Part::Entries { first: from, entries: self.some(from, through) };
         }
         let (bytes, sum) = &*self.blob;
         let at = (offset as usize).min(bytes.len());
--- a/crates/consensus/src/log_record.rs
+++ b/crates/consensus/src/log_record.rs
@@ -3,7 +3,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::log::{Base, Log};
-use crate::message::{Counts, Entry, View};
+use crate::message::{Entry, IncarnationCounts, View};
 
 /// One thing that is to survive the process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -15,7 +15,7 @@
         /// The last in which it took part.
         last: View,
         /// Lives that it knows of.
-        counts: Counts,
+        counts: IncarnationCounts,
     },
     /// Entries, in place of what was there from the first on.
     Entries {
@@ -32,7 +32,7 @@
         /// As in `Promise`.
         last: View,
         /// As in `Promise`.
-        counts: Counts,
+        counts: IncarnationCounts,
         /// As in `Entries`.
         first: u64,
         /// As in `Entries`.
@@ -53,7 +53,7 @@
         /// As in `Promise`.
         last: View,
         /// As in `Promise`.
-        counts: Counts,
+        counts: IncarnationCounts,
         /// As in `Commit`.
         commit: u64,
         /// What the log begins with.
@@ -73,7 +73,7 @@
     /// As in [`Record::Promise`].
     pub last: View,
     /// As in [`Record::Promise`].
-    pub counts: Counts,
+    pub counts: IncarnationCounts,
     /// As in [`Record::Commit`].
     pub commit: u64,
     /// The log.
@@ -82,14 +82,14 @@
 
 /// What a directory held.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Durable {
+pub struct DurableState {
     /// Number of its last record.
     pub written: u64,
     /// `None`: it is new, or not to be believed.
     pub state: Option<State>,
 }
 
-impl Durable {
+impl DurableState {
     /// One record more.
     pub fn apply(&mut self, number: u64, record: Record) {
         self.written = number;
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -18,8 +18,8 @@
 /// memory of whoever puts it together.
 pub const SNAPSHOT_MAX: usize = 2 << 20;
 /// Most members of a council, with those that are on their way in or out.
-pub const COUNCIL_MAX: usize = 16;
-/// Bits of an [`Index`] for the number in the log.
+pub const MAX_VOTERS: usize = 16;
+/// Bits of an [`LogIndex`] for the number in the log.
 const OP_BITS: u32 = 32;
 
 /// A place in the log: the epoch in which it was committed, and the number of the entry, from 1. Numbers go
@@ -28,9 +28,9 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Index(pub u64);
+pub struct LogIndex(pub u64);
 
-impl Index {
+impl LogIndex {
     /// Of an epoch and a number (under 2^32: a century at one entry a second).
     pub const fn new(epoch: u32, op: u64) -> Self {
         Self((epoch as u64) << OP_BITS | (op & ((1 << OP_BITS) - 1)))
@@ -45,7 +45,7 @@
     }
 }
 
-impl fmt::Display for Index {
+impl fmt::Display for LogIndex {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         write!(f, "{}.{}", self.epoch(), self.op())
     }
@@ -79,45 +79,45 @@
 
 /// Who votes, from the commit of the entry that said so.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Members {
+pub struct VoterSet {
     /// Those that vote.
-    pub list: BTreeSet<NodeId>,
+    pub voters: BTreeSet<NodeId>,
     /// Comes in next, for one that went out.
-    pub coming: Option<NodeId>,
+    pub joining: Option<NodeId>,
     /// Number of the entry that made it so; 0: the settings.
     pub since: u64,
 }
 
-impl Members {
+impl VoterSet {
     /// The council that the settings name.
-    pub fn of(list: impl IntoIterator<Item = NodeId>) -> Self {
-        Self { list: list.into_iter().take(COUNCIL_MAX).collect(), coming: None, since: 0 }
+    pub fn of(voters: impl IntoIterator<Item = NodeId>) -> Self {
+        Self { voters: voters.into_iter().take(MAX_VOTERS).collect(), joining: None, since: 0 }
     }
     /// Whether one votes, or comes next.
     pub fn has(&self, member: NodeId) -> bool {
-        self.list.contains(&member) || self.coming == Some(member)
+        self.voters.contains(&member) || self.joining == Some(member)
     }
     /// How many are a majority.
     pub fn majority(&self) -> usize {
-        self.list.len() / 2 + 1
+        self.voters.len() / 2 + 1
     }
     /// Whether these are one.
     pub fn is_majority<'a>(&self, of: impl IntoIterator<Item = &'a NodeId>) -> bool {
-        of.into_iter().filter(|m| self.list.contains(m)).count() >= self.majority()
+        of.into_iter().filter(|m| self.voters.contains(m)).count() >= self.majority()
     }
     /// After the entry with this number.
-    pub fn apply(&mut self, op: u64, what: &What) {
+    pub fn apply(&mut self, op: u64, what: &EntryPayload) {
         match what {
-            What::Bytes(_) => return,
-            What::Remove { out, then } => {
-                self.list.remove(out);
-                self.coming = *then;
+            EntryPayload::Command(_) => return,
+            EntryPayload::RemoveVoter { removed, replacement } => {
+                self.voters.remove(removed);
+                self.joining = *replacement;
             }
-            What::Add(member) => {
-                if self.list.len() < COUNCIL_MAX {
-                    self.list.insert(*member);
+            EntryPayload::AddVoter(member) => {
+                if self.voters.len() < MAX_VOTERS {
+                    self.voters.insert(*member);
                 }
-                self.coming = None;
+                self.joining = None;
             }
         }
         self.since = op;
@@ -126,18 +126,18 @@
 
 /// What an entry holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum What {
+pub enum EntryPayload {
     /// For the machine above: [`ENTRY_MAX`] at most.
-    Bytes(Vec<u8>),
+    Command(Vec<u8>),
     /// A member votes no longer, and another one is to come for it.
-    Remove {
+    RemoveVoter {
         /// Who goes.
-        out: NodeId,
+        removed: NodeId,
         /// Who comes.
-        then: Option<NodeId>,
+        replacement: Option<NodeId>,
     },
     /// One more votes.
-    Add(NodeId),
+    AddVoter(NodeId),
 }
 
 /// One entry of the log.
@@ -146,24 +146,24 @@
     /// The proposal that it came from.
     pub id: ProposalId,
     /// What it holds.
-    pub what: What,
+    pub what: EntryPayload,
 }
 
 impl Entry {
     /// Bytes that it takes in a word, at most.
     pub(crate) fn size(&self) -> usize {
-        32 + if let What::Bytes(bytes) = &self.what { bytes.len() } else { 0 }
+        32 + if let EntryPayload::Command(bytes) = &self.what { bytes.len() } else { 0 }
     }
 }
 
-/// Counts of members' lives within the group: the crash vector of Michael et al. (2017).
-pub type Counts = BTreeMap<NodeId, u32>;
+/// IncarnationCounts of members' lives within the group: the crash vector of Michael et al. (2017).
+pub type IncarnationCounts = BTreeMap<NodeId, u32>;
 
 /// What became of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Outcome {
+pub enum ProposalOutcome {
     /// It is an entry, for good.
-    Committed(Index),
+    Committed(LogIndex),
     /// It is none, and will never be: it is longer than [`ENTRY_MAX`], or not a change of one member that
     /// can be made.
     Never,
@@ -198,7 +198,7 @@
 
 /// How a member stands.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Standing {
+pub enum ReplicaStatus {
     /// It has no vote in this council.
     Outside,
     /// It has forgotten, and knows nothing to vote by.
@@ -215,9 +215,9 @@
 
 /// What one member tells all others every 100 ms.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Hello {
+pub struct Heartbeat {
     /// How it stands.
-    pub standing: Standing,
+    pub status: ReplicaStatus,
     /// It leads its view, and was answered by a majority lately.
     pub leads: bool,
     /// It hears no leader that leads.
@@ -230,17 +230,17 @@
     pub commit: u64,
     /// Records that it has on disk: what a directory put back can't know.
     pub written: u64,
-    /// A leader's round, to be answered with [`Say::Ok`]; 0: none.
+    /// A leader's round, to be answered with [`MessageBody::Ok`]; 0: none.
     pub round: u32,
     /// Who votes, as it knows it.
-    pub members: Members,
+    pub members: VoterSet,
 }
 
 /// What is said. Promises among these count only from the latest life that the hearer knows of their sender.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Say {
+pub enum MessageBody {
     /// Here I am.
-    Hello(Hello),
+    Heartbeat(Heartbeat),
     /// Entries of the leader's, to be kept.
     Prepare {
         /// Number of the first.
@@ -262,7 +262,7 @@
         /// It founds an epoch: a majority has forgotten, or operators said so.
         founding: bool,
         /// Whose majority founds it, where operators said so.
-        members: Option<Members>,
+        members: Option<VoterSet>,
     },
     /// The sender takes part in no view before this word's.
     Join {
@@ -298,7 +298,7 @@
         /// As asked.
         at: u64,
         /// How the answerer stands.
-        standing: Standing,
+        status: ReplicaStatus,
         /// Names the answerer's own start.
         own: u64,
         /// Records that the asker was known to have on disk.
@@ -306,7 +306,7 @@
         /// Last entry committed that the answerer knows of.
         commit: u64,
         /// Who votes.
-        members: Members,
+        members: VoterSet,
     },
     /// One that has forgotten begins this life (the word's count of the sender).
     Recover {
@@ -327,7 +327,7 @@
         /// Names it.
         id: ProposalId,
         /// Its content; `None`: only asks what became of it.
-        what: Option<What>,
+        what: Option<EntryPayload>,
     },
 
     /// Asks a learner which copy of the log it has.
@@ -340,9 +340,9 @@
         /// As asked.
         nonce: u64,
         /// The last entry that it has.
-        at: Index,
+        at: LogIndex,
         /// Who votes.
-        members: Members,
+        members: VoterSet,
     },
     /// Asks a learner for its copy.
     FetchCopy {
@@ -354,7 +354,7 @@
     /// A learner's first source, and what it has; asked every 300 ms, and after each change.
     Follow {
         /// The last entry that it has.
-        at: Index,
+        at: LogIndex,
         /// Bytes of a snapshot that it has.
         offset: u32,
         /// The snapshot that they are of.
@@ -363,11 +363,11 @@
     /// What is new, or that nothing is.
     News {
         /// Last entry that the sender has.
-        at: Index,
+        at: LogIndex,
         /// The leader, as far as it is known.
         leader: Option<NodeId>,
         /// Who votes.
-        members: Members,
+        members: VoterSet,
         /// How long ago the leader led, as far as the sender and those it learns from know (ms).
         age: u32,
         /// What the learner lacks.
@@ -385,14 +385,14 @@
         /// Which.
         id: ProposalId,
         /// `None`: ask the leader.
-        outcome: Option<Outcome>,
+        outcome: Option<ProposalOutcome>,
         /// The leader, as far as it is known.
         leader: Option<NodeId>,
     },
 }
 
-impl Say {
-    /// Which machine hears it: `Council` or `Log`.
+impl MessageBody {
+    /// Which machine hears it: `Replica` or `Log`.
     pub const fn channel(&self) -> Channel {
         match self {
             Self::AskCopy { .. }
@@ -408,7 +408,7 @@
     pub(crate) const fn counts(&self) -> bool {
         matches!(
             self,
-            Self::Hello(_)
+            Self::Heartbeat(_)
                 | Self::Prepare { .. }
                 | Self::Ok { .. }
                 | Self::Begin { .. }
@@ -426,9 +426,9 @@
     /// The sender's view. Of a learner: its epoch.
     pub view: View,
     /// Lives that the sender knows of, its own too.
-    pub counts: Counts,
+    pub counts: IncarnationCounts,
     /// What it says.
-    pub say: Say,
+    pub body: MessageBody,
 }
 
 /// Bytes that are no word.
@@ -451,7 +451,7 @@
     },
     /// A set in it is larger than any sender would make it.
     #[error(
-        "reading a word: it names more members than {COUNCIL_MAX}, or bytes beyond {PART}; drop it"
+        "reading a word: it names more members than {MAX_VOTERS}, or bytes beyond {PART}; drop it"
     )]
     Unbounded,
 }
@@ -486,15 +486,17 @@
     }
 
     fn is_bounded(&self) -> bool {
-        let few = |m: &Members| m.list.len() <= COUNCIL_MAX;
-        self.counts.len() <= COUNCIL_MAX
-            && match &self.say {
-                Say::Hello(hello) => hello.heard.len() <= COUNCIL_MAX && few(&hello.members),
-                Say::Told { members, .. }
-                | Say::Copy { members, .. }
-                | Say::News { members, .. } => few(members),
-                Say::Begin { members, .. } => members.as_ref().is_none_or(few),
-                Say::Part(Part::Chunk { bytes, .. }) => bytes.len() <= PART,
+        let few = |m: &VoterSet| m.voters.len() <= MAX_VOTERS;
+        self.counts.len() <= MAX_VOTERS
+            && match &self.body {
+                MessageBody::Heartbeat(hello) => {
+                    hello.heard.len() <= MAX_VOTERS && few(&hello.members)
+                }
+                MessageBody::Told { members, .. }
+                | MessageBody::Copy { members, .. }
+                | MessageBody::News { members, .. } => few(members),
+                MessageBody::Begin { members, .. } => members.as_ref().is_none_or(few),
+                MessageBody::Part(Part::Chunk { bytes, .. }) => bytes.len() <= PART,
                 _ => true,
             }
     }
--- a/crates/consensus/src/recovery.rs
+++ b/crates/consensus/src/recovery.rs
@@ -7,8 +7,8 @@
 use hollowpaddle_peer_transport::NodeId;
 
 use crate::log::{Base, Log, Transfer};
-use crate::message::{Counts, Index, Members, Say, Standing, View};
-use crate::replica::{Action, Council, Founding, Lead, PATIENCE, ROUND};
+use crate::message::{IncarnationCounts, LogIndex, MessageBody, ReplicaStatus, View, VoterSet};
+use crate::replica::{Action, Founding, HEARTBEAT_INTERVAL, Lead, Replica, VIEW_CHANGE_TIMEOUT};
 
 /// A directory is gone on from only when nobody could tell what stands within so long.
 pub const DIRECTORY: Duration = Duration::from_millis(500);
@@ -35,7 +35,7 @@
 pub(crate) struct Told {
     /// When it was asked, by this member's clock (ms).
     pub at: u64,
-    pub standing: Standing,
+    pub status: ReplicaStatus,
     pub own: u64,
     pub written: u64,
     pub commit: u64,
@@ -59,11 +59,11 @@
     /// The life that it has begun, and when.
     begun: Option<(u32, Duration)>,
     recovered: BTreeMap<NodeId, (View, u64, bool, u32)>,
-    copies: Option<(Index, NodeId)>,
+    copies: Option<(LogIndex, NodeId)>,
     cursor: u16,
 }
 
-impl Council {
+impl Replica {
     /// Begins a start, with what a directory held or with nothing.
     pub(crate) fn wake(&mut self, directory: bool) {
         (self.transfer, self.founding, self.lead) = (None, None, None);
@@ -78,12 +78,12 @@
         } else {
             self.blank = false;
         }
-        if !self.members.list.contains(&self.settings.node_id) {
-            self.standing = Standing::Outside;
+        if !self.members.voters.contains(&self.settings.node_id) {
+            self.status = ReplicaStatus::Outside;
             self.waking = None;
             return;
         }
-        self.standing = if directory { Standing::Waking } else { Standing::Blank };
+        self.status = if directory { ReplicaStatus::Waking } else { ReplicaStatus::Blank };
         let nonce = self.draw(u64::MAX) ^ u64::from(self.settings.incarnation.0) << 32;
         self.waking = Some(Waking {
             nonce,
@@ -102,7 +102,7 @@
     pub(crate) fn tick_waking(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let Some(waking) = self.waking.as_mut().filter(|w| now >= w.due) else { return };
-        waking.due = now + ROUND;
+        waking.due = now + HEARTBEAT_INTERVAL;
         let (nonce, begun) = (waking.nonce, waking.begun);
         if self.transfer.is_some() && now > self.patience {
             // Whom it asked is gone: what stands is asked anew.
@@ -114,13 +114,13 @@
             let until = from.saturating_add(COPIES_A_ROUND).min(cluster);
             waking.cursor = if until >= cluster { 0 } else { until };
             for member in (from..until).map(NodeId) {
-                self.send(member, Say::AskCopy { nonce }, actions);
+                self.send(member, MessageBody::AskCopy { nonce }, actions);
             }
         }
-        let ask = Say::Ask { nonce, at: now.as_millis() as u64 };
+        let ask = MessageBody::Ask { nonce, at: now.as_millis() as u64 };
         self.send_council(&ask, actions);
         if begun.is_some() && self.transfer.is_none() {
-            self.send_council(&Say::Recover { nonce }, actions);
+            self.send_council(&MessageBody::Recover { nonce }, actions);
         }
         self.decide(actions);
     }
@@ -131,11 +131,11 @@
         let Some(waking) = &mut self.waking else { return };
         let told = &waking.told;
         let members = &self.members;
-        let fresh = |t: &Told| now.saturating_sub(t.heard) < PATIENCE;
+        let fresh = |t: &Told| now.saturating_sub(t.heard) < VIEW_CHANGE_TIMEOUT;
         if waking.begun.is_none() {
-            let takes_part = |t: &&Told| t.standing == Standing::Normal && fresh(t);
+            let takes_part = |t: &&Told| t.status == ReplicaStatus::Normal && fresh(t);
             let normal =
-                members.list.iter().filter(|m| told.get(*m).as_ref().is_some_and(takes_part));
+                members.voters.iter().filter(|m| told.get(*m).as_ref().is_some_and(takes_part));
             if normal.count() >= members.majority() {
                 // A majority of the others knows all lives of this member that ever voted: this is the next
                 // one.
@@ -144,7 +144,7 @@
                 waking.begun = Some((count, now));
                 self.counts.insert(node_id, count);
                 let nonce = waking.nonce;
-                self.send_council(&Say::Recover { nonce }, actions);
+                self.send_council(&MessageBody::Recover { nonce }, actions);
                 return;
             }
         }
@@ -181,7 +181,8 @@
     fn rejoin(&mut self, actions: &mut Vec<Action>) {
         self.waking = None;
         self.blank = false;
-        self.standing = if self.view == self.last { Standing::Normal } else { Standing::Changing };
+        self.status =
+            if self.view == self.last { ReplicaStatus::Normal } else { ReplicaStatus::Changing };
         self.seen = self.view.number;
         self.patience = self.now;
         self.persist_promise(actions);
@@ -197,18 +198,19 @@
         let is_blank = |m: &&NodeId| {
             let told = waking.told.get(*m);
             told.is_some_and(|t| {
-                t.standing == Standing::Blank && now.saturating_sub(t.heard) < PATIENCE
+                t.status == ReplicaStatus::Blank
+                    && now.saturating_sub(t.heard) < VIEW_CHANGE_TIMEOUT
             })
         };
         let first = |m: &NodeId| waking.blank.get(m).map(|(_, at)| *at);
-        let blank: Vec<NodeId> = self.members.list.iter().filter(is_blank).copied().collect();
+        let blank: Vec<NodeId> = self.members.voters.iter().filter(is_blank).copied().collect();
         let last = blank.iter().filter_map(first).max().unwrap_or(waking.began).max(waking.began);
         let still = |m: &&NodeId| {
             waking.told.get(*m).is_some_and(|t| Duration::from_millis(t.at) >= last)
                 && waking.blank.get(*m).map(|(own, _)| *own) == waking.told.get(*m).map(|t| t.own)
         };
         let sure: Vec<NodeId> = blank.iter().filter(still).copied().collect();
-        if self.members.list.len().saturating_sub(sure.len()) > self.members.majority() {
+        if self.members.voters.len().saturating_sub(sure.len()) > self.members.majority() {
             return;
         }
         let before = sure.iter().filter(|m| **m < node_id).count() as u32;
@@ -233,14 +235,14 @@
 
     /// Operators say that a majority is gone for good.
     pub(crate) fn restore(&mut self, members: &[NodeId], actions: &mut Vec<Action>) {
-        if self.standing == Standing::Mute
+        if self.status == ReplicaStatus::Mute
             || members.is_empty()
             || !members.contains(&self.settings.node_id)
         {
             return;
         }
         let since = self.members.since;
-        self.members = Members { since, ..Members::of(members.iter().copied()) };
+        self.members = VoterSet { since, ..VoterSet::of(members.iter().copied()) };
         let waking = self.waking.take();
         let copy = waking.as_ref().and_then(|w| w.copies);
         let known = self.peers.values().map(|p| p.view.epoch).chain(copy.map(|c| c.0.epoch()));
@@ -264,10 +266,10 @@
         if self.joins.get(&from).is_some_and(|j| j.blank) {
             self.joins.remove(&from);
         }
-        let told = Say::Told {
+        let told = MessageBody::Told {
             nonce,
             at,
-            standing: self.shown(),
+            status: self.shown(),
             own: u64::from(self.settings.incarnation.0),
             written: self.peers.get(&from).map_or(0, |p| p.written),
             commit: self.commit,
@@ -276,9 +278,9 @@
         self.send(from, told, actions);
     }
 
-    pub(crate) fn on_told(&mut self, from: NodeId, nonce: u64, told: Told, members: Members) {
+    pub(crate) fn on_told(&mut self, from: NodeId, nonce: u64, told: Told, members: VoterSet) {
         let asked = self.waking.as_ref().is_some_and(|w| w.nonce == nonce);
-        if !asked || !self.members.list.contains(&from) {
+        if !asked || !self.members.voters.contains(&from) {
             return;
         }
         if self.blank {
@@ -292,7 +294,7 @@
         }
         waking.told.insert(from, told);
         match waking.blank.get(&from) {
-            _ if told.standing != Standing::Blank => {
+            _ if told.status != ReplicaStatus::Blank => {
                 waking.blank.remove(&from);
             }
             Some((own, _)) if *own == told.own => {}
@@ -304,11 +306,11 @@
     }
 
     /// Of two that are told the later counts. The settings' is believed only where nobody knows another.
-    fn learn_members(&mut self, members: &Members) {
-        if self.blank && members.since > self.members.since && !members.list.is_empty() {
+    fn learn_members(&mut self, members: &VoterSet) {
+        if self.blank && members.since > self.members.since && !members.voters.is_empty() {
             self.members = members.clone();
-            if !self.members.list.contains(&self.settings.node_id) {
-                self.standing = Standing::Outside;
+            if !self.members.voters.contains(&self.settings.node_id) {
+                self.status = ReplicaStatus::Outside;
                 self.waking = None;
             }
         }
@@ -318,8 +320,8 @@
         &mut self,
         from: NodeId,
         nonce: u64,
-        at: Index,
-        members: Members,
+        at: LogIndex,
+        members: VoterSet,
         actions: &mut Vec<Action>,
     ) {
         let beyond = at.epoch().saturating_sub(self.last.epoch);
@@ -331,7 +333,7 @@
             return;
         }
         let Some(waking) = self.waking.as_mut().filter(|w| w.nonce == nonce) else { return };
-        if at > Index::default() && waking.copies.is_none_or(|(best, _)| at > best) {
+        if at > LogIndex::default() && waking.copies.is_none_or(|(best, _)| at > best) {
             waking.copies = Some((at, from));
         }
         self.learn_members(&members);
@@ -339,18 +341,18 @@
 
     pub(crate) fn on_recover(&mut self, from: NodeId, nonce: u64, actions: &mut Vec<Action>) {
         // One that is between two views can't say what stands.
-        if self.standing != Standing::Normal || !self.members.list.contains(&from) {
+        if self.status != ReplicaStatus::Normal || !self.members.voters.contains(&from) {
             return;
         }
         if self.kept_counts() != Some(&self.counts) {
             self.persist_promise(actions);
             self.kept = Some(self.counts.clone());
         }
-        let say = Say::Recovered { nonce, op: self.log.op(), leads: self.lead.is_some() };
-        self.send(from, say, actions);
+        let body = MessageBody::Recovered { nonce, op: self.log.op(), leads: self.lead.is_some() };
+        self.send(from, body, actions);
     }
 
-    fn kept_counts(&self) -> Option<&Counts> {
+    fn kept_counts(&self) -> Option<&IncarnationCounts> {
         self.kept.as_ref()
     }
 
@@ -365,7 +367,7 @@
         count: u32,
         actions: &mut Vec<Action>,
     ) {
-        let known = self.members.list.contains(&from) && from != self.settings.node_id;
+        let known = self.members.voters.contains(&from) && from != self.settings.node_id;
         let Some(waking) =
             self.waking.as_mut().filter(|w| w.nonce == nonce && w.begun.is_some() && known)
         else {
@@ -384,7 +386,7 @@
         };
         self.transfer = Some(Transfer::new(view.leader, view, 0, *op));
         self.view = view;
-        self.patience = self.now + PATIENCE;
+        self.patience = self.now + VIEW_CHANGE_TIMEOUT;
         self.ask_transfer(actions);
     }
 }
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -7,29 +7,30 @@
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 
 use crate::log::{Base, Log, Transfer};
-use crate::log_record::{Durable, Record};
+use crate::log_record::{DurableState, Record};
 use crate::message::{
-    Counts, Entry, Hello, Index, Members, Message, ProposalId, Say, Standing, View, What,
+    Entry, EntryPayload, Heartbeat, IncarnationCounts, LogIndex, Message, MessageBody, ProposalId,
+    ReplicaStatus, View, VoterSet,
 };
 use crate::recovery::Waking;
 
 /// How often a member says that it is there, and a leader begins a round.
-pub const ROUND: Duration = Duration::from_millis(100);
+pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
 /// A member that was not heard for so long is not connected: four words in a row were lost.
-pub const DEAF: Duration = Duration::from_millis(450);
+pub const PEER_TIMEOUT: Duration = Duration::from_millis(450);
 /// A leader whose rounds no majority answered for so long leads no longer.
-pub const LOST: Duration = Duration::from_millis(600);
+pub const QUORUM_LOSS_TIMEOUT: Duration = Duration::from_millis(600);
 /// A view that could not begin within so long is tried again.
-pub(crate) const PATIENCE: Duration = Duration::from_millis(500);
+pub(crate) const VIEW_CHANGE_TIMEOUT: Duration = Duration::from_millis(500);
 /// Words that wait for the disk. Beyond, the oldest go unsaid, as if lost: a disk that stands still would
 /// fill the memory.
-const HELD_MAX: usize = 4096;
+const MAX_MESSAGES_AWAITING_SYNC: usize = 4096;
 /// Rounds whose beginning a leader remembers.
-const ROUNDS: usize = 16;
+const MAX_TRACKED_HEARTBEATS: usize = 16;
 
 /// What a member is given at its start.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Settings {
+pub struct ReplicaConfig {
     /// Who it is.
     pub node_id: NodeId,
     /// This process of it.
@@ -49,7 +50,7 @@
 
 /// Who is in the council of a bank of so many by default: 5 of up to 100, 7 beyond, evenly over the
 /// numbers. The settings can name others.
-pub fn default_council(cluster: u16) -> Vec<NodeId> {
+pub fn default_voters(cluster: u16) -> Vec<NodeId> {
     let seats = if cluster > 100 { 7 } else { 5.min(cluster) };
     (0..seats)
         .map(|seat| NodeId((u32::from(seat) * u32::from(cluster) / u32::from(seats.max(1))) as u16))
@@ -58,20 +59,20 @@
 
 /// What operators say.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub enum Operators {
+pub enum OperatorCommand {
     /// One member of the council for another, also for a dead one. Answered like a proposal of this id.
-    Replace {
+    ReplaceVoter {
         /// Names it.
         id: ProposalId,
         /// Who goes.
-        out: NodeId,
+        removed: NodeId,
         /// Who comes.
-        then: Option<NodeId>,
+        replacement: Option<NodeId>,
     },
     /// This member founds an epoch with these voters on the best copy that they have: a majority is gone
     /// for good. Said where a majority is only cut off, the log parts in two; the greater epoch wins when
     /// they meet.
-    Restore {
+    ForceNewEpoch {
         /// Who votes from now on.
         members: Vec<NodeId>,
     },
@@ -82,7 +83,7 @@
 pub enum Event {
     /// Time has passed: at least every 25 ms.
     Tick,
-    /// A word came, whose channel is `Council`.
+    /// A word came, whose channel is `Replica`.
     Message {
         /// Who said it.
         from: NodeId,
@@ -94,7 +95,7 @@
     /// The records up to this number are on disk, and survive the machine's end.
     Persisted {
         /// Number of the last.
-        upto: u64,
+        through: u64,
     },
     /// A record could not be written or synced.
     DiskFailed {
@@ -106,7 +107,7 @@
     /// What the machine above made of the log up to an entry.
     Snapshot {
         /// The entry.
-        index: Index,
+        index: LogIndex,
         /// As long as [`crate::SNAPSHOT_MAX`] less 64 KiB.
         bytes: Vec<u8>,
     },
@@ -115,10 +116,10 @@
         /// Which.
         by: NodeId,
         /// The entry.
-        index: Index,
+        index: LogIndex,
     },
     /// Operators said so.
-    Operators(Operators),
+    OperatorCommand(OperatorCommand),
 }
 
 /// What it wants done.
@@ -155,21 +156,21 @@
     /// An entry is committed. Each is told once a life and epoch, in order.
     Committed {
         /// Where.
-        index: Index,
+        index: LogIndex,
         /// What.
         entry: Entry,
     },
     /// Everything up to here stands as this snapshot says; what was told before counts no longer.
     Reset {
         /// The last entry in it.
-        index: Index,
+        index: LogIndex,
         /// With the machine above's state.
         base: Base,
     },
     /// The log grows long: [`Event::Snapshot`] is wanted.
     SnapshotWanted,
     /// It has forgotten, or its directory is not to be believed: why, in words.
-    Forgot(&'static str),
+    StateLost(&'static str),
 }
 
 /// What is known of another member.
@@ -177,7 +178,7 @@
 pub(crate) struct Peer {
     pub at: Duration,
     pub view: View,
-    pub standing: Standing,
+    pub status: ReplicaStatus,
     pub hears_me: bool,
     pub leads: bool,
     pub free: bool,
@@ -198,7 +199,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Founding {
     /// Best copy of a learner, and whose.
-    pub copy: Option<(Index, NodeId)>,
+    pub copy: Option<(LogIndex, NodeId)>,
     /// Operators named the voters.
     pub restore: bool,
     /// When it began.
@@ -221,23 +222,23 @@
 
 /// A voter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Council {
-    pub(crate) settings: Settings,
+pub struct Replica {
+    pub(crate) settings: ReplicaConfig,
     pub(crate) now: Duration,
     pub(crate) chance: u64,
-    pub(crate) counts: Counts,
+    pub(crate) counts: IncarnationCounts,
     pub(crate) view: View,
     /// The last view in which it took part.
     pub(crate) last: View,
-    pub(crate) standing: Standing,
+    pub(crate) status: ReplicaStatus,
     /// It has forgotten, and has not yet been told what stands.
     pub(crate) blank: bool,
     pub(crate) log: Log,
     pub(crate) commit: u64,
-    pub(crate) members: Members,
+    pub(crate) members: VoterSet,
     pub(crate) ids: BTreeMap<ProposalId, u64>,
     /// The last entry that was told.
-    pub(crate) told: Option<Index>,
+    pub(crate) told: Option<LogIndex>,
     pub(crate) peers: BTreeMap<NodeId, Peer>,
     /// Greatest number of a view of this epoch that it heard of.
     pub(crate) seen: u32,
@@ -251,28 +252,28 @@
     pub(crate) free_since: Option<Duration>,
     pub(crate) hello_due: Duration,
     pub(crate) waking: Option<Waking>,
-    pub(crate) copied: BTreeMap<NodeId, (Index, Duration)>,
+    pub(crate) copied: BTreeMap<NodeId, (LogIndex, Duration)>,
     pub(crate) asked_snapshot: u64,
     /// Lives that the directory names.
-    pub(crate) kept: Option<Counts>,
+    pub(crate) kept: Option<IncarnationCounts>,
     pub(crate) written: u64,
     issued: u64,
     held: VecDeque<(u64, NodeId, Message)>,
     own: VecDeque<Message>,
 }
 
-impl Council {
+impl Replica {
     /// A member that starts, with what its directory held, if it has one and that could be read.
-    pub fn new(now: Duration, settings: Settings, found: Option<Durable>) -> Self {
-        let members = Members::of(settings.voters.iter().copied());
+    pub fn new(now: Duration, settings: ReplicaConfig, found: Option<DurableState>) -> Self {
+        let members = VoterSet::of(settings.voters.iter().copied());
         let base = Base { members: members.clone(), ..Base::default() };
-        let mut council = Self {
+        let mut replica = Self {
             now,
             chance: settings.seed ^ 0x9E37_79B9_7F4A_7C15,
-            counts: Counts::new(),
+            counts: IncarnationCounts::new(),
             view: View::default(),
             last: View::default(),
-            standing: Standing::Blank,
+            status: ReplicaStatus::Blank,
             blank: true,
             log: Log::new(base),
             commit: 0,
@@ -299,21 +300,21 @@
             settings,
         };
         let mut directory = false;
-        if let Some(durable) = found.filter(|_| council.settings.directory) {
-            council.issued = durable.written;
-            council.written = durable.written;
+        if let Some(durable) = found.filter(|_| replica.settings.directory) {
+            replica.issued = durable.written;
+            replica.written = durable.written;
             if let Some(state) = durable.state {
                 directory = true;
-                (council.view, council.last) = (state.view, state.last);
-                council.counts = state.counts;
-                council.log = state.log;
-                council.commit = state.commit.clamp(council.log.base().op, council.log.op());
-                council.members = council.log.members_at(council.commit);
-                council.ids = council.log.ids_at(council.log.op());
+                (replica.view, replica.last) = (state.view, state.last);
+                replica.counts = state.counts;
+                replica.log = state.log;
+                replica.commit = state.commit.clamp(replica.log.base().op, replica.log.op());
+                replica.members = replica.log.members_at(replica.commit);
+                replica.ids = replica.log.ids_at(replica.log.op());
             }
         }
-        council.wake(directory);
-        council
+        replica.wake(directory);
+        replica
     }
 
     /// One event. `now` is the time since the start of the process; it does not go back.
@@ -326,7 +327,7 @@
             Event::Message { from, incarnation: _, message } => {
                 self.message(from, message, actions)
             }
-            Event::Persisted { upto } => self.persisted(upto, actions),
+            Event::Persisted { through } => self.persisted(through, actions),
             Event::DiskFailed { cause: _ } => self.disk_failed(actions),
             Event::DiskWell => self.disk_well(actions),
             Event::Snapshot { index, bytes } => self.snapshot(index, bytes, actions),
@@ -336,10 +337,17 @@
                 }
                 self.answer_waiting(actions);
             }
-            Event::Operators(Operators::Replace { id, out, then }) => {
-                self.propose(self.settings.node_id, id, Some(What::Remove { out, then }), actions);
+            Event::OperatorCommand(OperatorCommand::ReplaceVoter { id, removed, replacement }) => {
+                self.propose(
+                    self.settings.node_id,
+                    id,
+                    Some(EntryPayload::RemoveVoter { removed, replacement }),
+                    actions,
+                );
+            }
+            Event::OperatorCommand(OperatorCommand::ForceNewEpoch { members }) => {
+                self.restore(&members, actions)
             }
-            Event::Operators(Operators::Restore { members }) => self.restore(&members, actions),
         }
         while let Some(message) = self.own.pop_front() {
             self.message(self.settings.node_id, message, actions);
@@ -347,15 +355,15 @@
     }
 
     /// How it stands.
-    pub fn standing(&self) -> Standing {
-        self.standing
+    pub fn status(&self) -> ReplicaStatus {
+        self.status
     }
     /// How it stands to others: one that joined a founding, and has nothing yet, has still forgotten.
-    pub fn shown(&self) -> Standing {
-        if self.blank && self.standing == Standing::Changing {
-            Standing::Blank
+    pub fn shown(&self) -> ReplicaStatus {
+        if self.blank && self.status == ReplicaStatus::Changing {
+            ReplicaStatus::Blank
         } else {
-            self.standing
+            self.status
         }
     }
     /// The view that it takes part in, or would.
@@ -367,7 +375,7 @@
         if self.lead.is_some() {
             return Some(self.settings.node_id);
         }
-        let led = self.standing == Standing::Normal && !self.is_free();
+        let led = self.status == ReplicaStatus::Normal && !self.is_free();
         led.then_some(self.view.leader)
     }
     /// Last entry of its log, committed or not.
@@ -375,11 +383,11 @@
         self.log.op()
     }
     /// Last entry committed that it knows of.
-    pub fn committed(&self) -> Index {
-        Index::new(self.last.epoch, self.commit)
+    pub fn committed(&self) -> LogIndex {
+        LogIndex::new(self.last.epoch, self.commit)
     }
     /// Who votes.
-    pub fn members(&self) -> &Members {
+    pub fn members(&self) -> &VoterSet {
         &self.members
     }
 
@@ -395,21 +403,21 @@
 
     /// Says something, once the disk has all that was to be written before. Nothing that this member ever
     /// says rests on what it could forget.
-    pub(crate) fn send(&mut self, to: NodeId, say: Say, actions: &mut Vec<Action>) {
-        let message = Message { view: self.view, counts: self.counts.clone(), say };
-        if self.issued > self.written && self.standing != Standing::Mute {
-            if self.held.len() >= HELD_MAX {
+    pub(crate) fn send(&mut self, to: NodeId, body: MessageBody, actions: &mut Vec<Action>) {
+        let message = Message { view: self.view, counts: self.counts.clone(), body };
+        if self.issued > self.written && self.status != ReplicaStatus::Mute {
+            if self.held.len() >= MAX_MESSAGES_AWAITING_SYNC {
                 self.held.pop_front();
             }
             self.held.push_back((self.issued, to, message));
         } else {
-            self.say(to, message, actions);
+            self.body(to, message, actions);
         }
     }
 
-    fn say(&mut self, to: NodeId, message: Message, actions: &mut Vec<Action>) {
+    fn body(&mut self, to: NodeId, message: Message, actions: &mut Vec<Action>) {
         if to == self.settings.node_id
-            && message.say.channel() == hollowpaddle_peer_transport::Channel::Consensus
+            && message.body.channel() == hollowpaddle_peer_transport::Channel::Consensus
         {
             self.own.push_back(message);
         } else {
@@ -417,17 +425,17 @@
         }
     }
 
-    pub(crate) fn send_council(&mut self, say: &Say, actions: &mut Vec<Action>) {
-        let mut all = self.members.list.clone();
-        all.extend(self.members.coming);
+    pub(crate) fn send_council(&mut self, body: &MessageBody, actions: &mut Vec<Action>) {
+        let mut all = self.members.voters.clone();
+        all.extend(self.members.joining);
         all.remove(&self.settings.node_id);
         for to in all {
-            self.send(to, say.clone(), actions);
+            self.send(to, body.clone(), actions);
         }
     }
 
     pub(crate) fn persist(&mut self, record: Record, actions: &mut Vec<Action>) {
-        if self.settings.directory && self.standing != Standing::Mute {
+        if self.settings.directory && self.status != ReplicaStatus::Mute {
             self.issued += 1;
             actions.push(Action::Persist { number: self.issued, record });
         }
@@ -455,14 +463,14 @@
         self.persist(whole, actions);
     }
 
-    fn persisted(&mut self, upto: u64, actions: &mut Vec<Action>) {
-        if self.standing == Standing::Mute {
+    fn persisted(&mut self, through: u64, actions: &mut Vec<Action>) {
+        if self.status == ReplicaStatus::Mute {
             return;
         }
-        self.written = self.written.max(upto.min(self.issued));
+        self.written = self.written.max(through.min(self.issued));
         while self.held.front().is_some_and(|(need, _, _)| *need <= self.written) {
             if let Some((_, to, message)) = self.held.pop_front() {
-                self.say(to, message, actions);
+                self.body(to, message, actions);
             }
         }
     }
@@ -474,12 +482,12 @@
         self.own.clear();
         (self.transfer, self.founding, self.waking) = (None, None, None);
         self.joins.clear();
-        self.standing = Standing::Mute;
+        self.status = ReplicaStatus::Mute;
         self.hello(actions);
     }
 
     fn disk_well(&mut self, actions: &mut Vec<Action>) {
-        if self.standing != Standing::Mute {
+        if self.status != ReplicaStatus::Mute {
             return;
         }
         self.written = self.issued;
@@ -491,13 +499,13 @@
         self.give_up_lead(actions);
         self.held.clear();
         self.own.clear();
-        actions.push(Action::Forgot(why));
+        actions.push(Action::StateLost(why));
         self.wake(false);
     }
 
     /// A leader that no majority answers steps down.
     fn look_at_lead(&mut self, actions: &mut Vec<Action>) {
-        let lost = |lead: &Lead| self.now.saturating_sub(lead.answered) > LOST;
+        let lost = |lead: &Lead| self.now.saturating_sub(lead.answered) > QUORUM_LOSS_TIMEOUT;
         if self.lead.as_ref().is_some_and(lost) {
             self.give_up_lead(actions);
             self.hello(actions);
@@ -507,13 +515,13 @@
     pub(crate) fn give_up_lead(&mut self, actions: &mut Vec<Action>) {
         if self.lead.take().is_some() {
             actions.push(Action::Follows);
-            self.patience = self.now + PATIENCE;
+            self.patience = self.now + VIEW_CHANGE_TIMEOUT;
         }
     }
 
     fn tick(&mut self, actions: &mut Vec<Action>) {
         if let Some(transfer) = &self.transfer
-            && self.now.saturating_sub(transfer.asked) >= ROUND
+            && self.now.saturating_sub(transfer.asked) >= HEARTBEAT_INTERVAL
         {
             self.ask_transfer(actions);
         }
@@ -521,7 +529,7 @@
             self.tick_waking(actions);
             return;
         }
-        if self.standing == Standing::Outside {
+        if self.status == ReplicaStatus::Outside {
             return;
         }
         let free = self.is_free();
@@ -536,11 +544,11 @@
             self.free_since = None;
         }
         if self.now >= self.hello_due {
-            self.hello_due = self.now + ROUND;
+            self.hello_due = self.now + HEARTBEAT_INTERVAL;
             self.hello(actions);
             self.admit_coming(actions);
             self.answer_waiting(actions);
-            if self.standing == Standing::Changing && self.view.leader == self.settings.node_id {
+            if self.status == ReplicaStatus::Changing && self.view.leader == self.settings.node_id {
                 self.say_begin(actions);
                 self.try_lead(actions);
             }
@@ -553,27 +561,27 @@
         let round = self.lead.as_mut().map_or(0, |lead| {
             lead.round = lead.round.wrapping_add(1).max(1);
             lead.rounds.push_back((lead.round, self.now));
-            if lead.rounds.len() > ROUNDS {
+            if lead.rounds.len() > MAX_TRACKED_HEARTBEATS {
                 lead.rounds.pop_front();
             }
             lead.round
         });
-        let heard = self.peers.iter().filter(|(_, p)| self.now.saturating_sub(p.at) < DEAF);
-        let hello = Hello {
-            standing: self.shown(),
+        let heard = self.peers.iter().filter(|(_, p)| self.now.saturating_sub(p.at) < PEER_TIMEOUT);
+        let hello = Heartbeat {
+            status: self.shown(),
             leads: self.lead.is_some(),
             free: self.is_free(),
             heard: heard.map(|(m, _)| *m).filter(|m| self.members.has(*m)).collect(),
             op: self.log.op(),
             commit: self.commit,
             // Held back till then, it is on disk when it is said; a failing disk holds nothing back.
-            written: if self.standing == Standing::Mute { self.written } else { self.issued },
+            written: if self.status == ReplicaStatus::Mute { self.written } else { self.issued },
             round,
             members: self.members.clone(),
         };
-        self.send_council(&Say::Hello(hello), actions);
+        self.send_council(&MessageBody::Heartbeat(hello), actions);
         if round > 0 {
-            let ok = Say::Ok { op: self.log.op(), round };
+            let ok = MessageBody::Ok { op: self.log.op(), round };
             self.send(self.settings.node_id, ok, actions);
         }
     }
@@ -583,31 +591,33 @@
         if from != node_id && !self.merge(from, &message, actions) {
             return;
         }
-        if self.standing == Standing::Outside && !self.is_called(from, &message, actions) {
+        if self.status == ReplicaStatus::Outside && !self.is_called(from, &message, actions) {
             return;
         }
-        let Message { view, counts, say } = message;
-        match say {
-            Say::Hello(hello) => self.on_hello(from, view, &hello, actions),
-            Say::Prepare { first, entries, commit } => {
+        let Message { view, counts, body } = message;
+        match body {
+            MessageBody::Heartbeat(hello) => self.on_hello(from, view, &hello, actions),
+            MessageBody::Prepare { first, entries, commit } => {
                 self.on_prepare(from, view, first, entries, commit, actions)
             }
-            Say::Ok { op, round } => self.on_ok(from, view, op, round, actions),
-            Say::Begin { founding, members } => {
+            MessageBody::Ok { op, round } => self.on_ok(from, view, op, round, actions),
+            MessageBody::Begin { founding, members } => {
                 self.on_begin(from, view, founding, members, actions)
             }
-            Say::Join { last, op, commit, blank } => {
+            MessageBody::Join { last, op, commit, blank } => {
                 let count = counts.get(&from).copied().unwrap_or(0);
                 self.on_join(from, view, Joined { count, last, op, commit, blank }, actions);
             }
-            Say::Fetch { from: first, offset } => self.on_fetch(from, view, first, offset, actions),
-            Say::Part(part) => self.on_part(from, view, part, actions),
-            Say::Ask { nonce, at } => self.on_ask(from, nonce, at, actions),
-            Say::Told { nonce, at, standing, own, written, commit, members } => {
+            MessageBody::Fetch { from: first, offset } => {
+                self.on_fetch(from, view, first, offset, actions)
+            }
+            MessageBody::Part(part) => self.on_part(from, view, part, actions),
+            MessageBody::Ask { nonce, at } => self.on_ask(from, nonce, at, actions),
+            MessageBody::Told { nonce, at, status, own, written, commit, members } => {
                 let count = counts.get(&node_id).copied().unwrap_or(0);
                 let told = crate::recovery::Told {
                     at,
-                    standing,
+                    status,
                     own,
                     written,
                     commit,
@@ -617,13 +627,15 @@
                 };
                 self.on_told(from, nonce, told, members);
             }
-            Say::Recover { nonce } => self.on_recover(from, nonce, actions),
-            Say::Recovered { nonce, op, leads } => {
+            MessageBody::Recover { nonce } => self.on_recover(from, nonce, actions),
+            MessageBody::Recovered { nonce, op, leads } => {
                 let count = counts.get(&from).copied().unwrap_or(0);
                 self.on_recovered(from, nonce, view, op, leads, count, actions);
             }
-            Say::Propose { id, what } => self.propose(from, id, what, actions),
-            Say::Copy { nonce, at, members } => self.on_copy(from, nonce, at, members, actions),
+            MessageBody::Propose { id, what } => self.propose(from, id, what, actions),
+            MessageBody::Copy { nonce, at, members } => {
+                self.on_copy(from, nonce, at, members, actions)
+            }
             _ => {}
         }
     }
@@ -633,13 +645,13 @@
         let node_id = self.settings.node_id;
         let theirs = message.counts.get(&from).copied().unwrap_or(0);
         let known = self.counts.get(&from).copied().unwrap_or(0);
-        if message.say.counts() && theirs < known {
+        if message.body.counts() && theirs < known {
             return false;
         }
         let mine = self.counts.get(&node_id).copied().unwrap_or(0);
         for (member, count) in &message.counts {
             let room =
-                self.counts.len() < crate::message::COUNCIL_MAX || self.counts.contains_key(member);
+                self.counts.len() < crate::message::MAX_VOTERS || self.counts.contains_key(member);
             // Only those that vote: words of others would fill the room of theirs.
             if *member == node_id || !room || !self.members.has(*member) {
                 continue;
@@ -653,7 +665,7 @@
                 }
             }
         }
-        let sound = self.waking.is_none() && self.standing != Standing::Mute;
+        let sound = self.waking.is_none() && self.status != ReplicaStatus::Mute;
         if sound && message.counts.get(&node_id).is_some_and(|c| *c > mine) {
             self.counts.insert(node_id, message.counts.get(&node_id).copied().unwrap_or(0));
             self.forget(
@@ -668,14 +680,18 @@
     /// One outside the council hears that it is in it, or is to be.
     fn is_called(&mut self, from: NodeId, message: &Message, actions: &mut Vec<Action>) -> bool {
         let node_id = self.settings.node_id;
-        match &message.say {
-            Say::Hello(hello) if hello.leads && hello.members.list.contains(&node_id) => {
+        match &message.body {
+            MessageBody::Heartbeat(hello)
+                if hello.leads && hello.members.voters.contains(&node_id) =>
+            {
                 self.members = hello.members.clone();
                 self.forget("it is in the council from now on", actions);
             }
-            Say::Hello(hello) if hello.leads && hello.members.coming == Some(node_id) => {
-                let hello = Hello {
-                    standing: Standing::Outside,
+            MessageBody::Heartbeat(hello)
+                if hello.leads && hello.members.joining == Some(node_id) =>
+            {
+                let hello = Heartbeat {
+                    status: ReplicaStatus::Outside,
                     leads: false,
                     free: false,
                     heard: BTreeSet::new(),
@@ -685,9 +701,9 @@
                     round: 0,
                     members: hello.members.clone(),
                 };
-                self.send(from, Say::Hello(hello), actions);
+                self.send(from, MessageBody::Heartbeat(hello), actions);
             }
-            Say::Ask { .. } | Say::Propose { .. } => return true,
+            MessageBody::Ask { .. } | MessageBody::Propose { .. } => return true,
             _ => {}
         }
         false
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -7,9 +7,10 @@
 
 use crate::log_record::Record;
 use crate::message::{
-    ENTRY_MAX, Entry, Index, Outcome, ProposalId, SNAPSHOT_MAX, Say, Standing, View, What,
+    ENTRY_MAX, Entry, EntryPayload, LogIndex, MessageBody, ProposalId, ProposalOutcome,
+    ReplicaStatus, SNAPSHOT_MAX, View,
 };
-use crate::replica::{Action, Council};
+use crate::replica::{Action, Replica};
 
 /// Entries that are not committed yet, at most. Beyond, proposals go unanswered and are repeated: without a
 /// majority the log would grow without end.
@@ -23,7 +24,7 @@
 /// What a change of members that nobody proposed is called by.
 const COMING: Incarnation = Incarnation(u32::MAX);
 
-impl Council {
+impl Replica {
     pub(crate) fn on_prepare(
         &mut self,
         from: NodeId,
@@ -33,13 +34,13 @@
         commit: u64,
         actions: &mut Vec<Action>,
     ) {
-        let follows = self.standing == Standing::Normal && self.lead.is_none();
+        let follows = self.status == ReplicaStatus::Normal && self.lead.is_none();
         if !follows || view != self.view || from != view.leader {
             return;
         }
         let op = self.log.op();
         if first > op + 1 {
-            self.send(from, Say::Fetch { from: op + 1, offset: 0 }, actions);
+            self.send(from, MessageBody::Fetch { from: op + 1, offset: 0 }, actions);
             return;
         }
         // Of one view there is one log: what is there already is the same.
@@ -53,7 +54,7 @@
             self.persist(Record::Entries { first: op + 1, entries: new }, actions);
         }
         if self.log.op() > op || commit == 0 {
-            self.send(from, Say::Ok { op: self.log.op(), round: 0 }, actions);
+            self.send(from, MessageBody::Ok { op: self.log.op(), round: 0 }, actions);
         }
         self.commit_upto(commit, actions);
     }
@@ -66,7 +67,7 @@
         round: u32,
         actions: &mut Vec<Action>,
     ) {
-        let known = self.members.list.contains(&from);
+        let known = self.members.voters.contains(&from);
         let (last, members) = (self.log.op(), &self.members);
         let Some(lead) = self.lead.as_mut().filter(|_| view == self.view && known) else { return };
         let began = lead.rounds.iter().find(|(r, _)| *r == round).map(|(_, began)| *began);
@@ -77,7 +78,7 @@
         let mut answered: Vec<Duration> = lead
             .acks
             .iter()
-            .filter(|(m, _)| members.list.contains(m))
+            .filter(|(m, _)| members.voters.contains(m))
             .filter_map(|(_, a)| a.1)
             .collect();
         answered.sort_unstable_by(|a, b| b.cmp(a));
@@ -101,21 +102,24 @@
             self.commit_upto(next, actions);
         }
         if self.commit > before && self.lead.is_some() {
-            let say =
-                Say::Prepare { first: self.log.op() + 1, entries: Vec::new(), commit: self.commit };
-            self.send_council(&say, actions);
+            let body = MessageBody::Prepare {
+                first: self.log.op() + 1,
+                entries: Vec::new(),
+                commit: self.commit,
+            };
+            self.send_council(&body, actions);
             self.answer_waiting(actions);
         }
     }
 
     /// Everything up to here is committed, as far as it is there.
     pub(crate) fn commit_upto(&mut self, commit: u64, actions: &mut Vec<Action>) {
-        let upto = commit.min(self.log.op());
+        let through = commit.min(self.log.op());
         let mut changed = false;
-        while self.commit < upto {
+        while self.commit < through {
             self.commit += 1;
             if let Some(entry) = self.log.get(self.commit)
-                && !matches!(entry.what, What::Bytes(_))
+                && !matches!(entry.what, EntryPayload::Command(_))
             {
                 self.members.apply(self.commit, &entry.what);
                 changed = true;
@@ -127,9 +131,9 @@
             self.peers.retain(|m, _| members.has(*m));
             self.counts.retain(|m, _| members.has(*m) || *m == self.settings.node_id);
             self.persist(Record::Commit { commit: self.commit }, actions);
-            if !self.members.list.contains(&self.settings.node_id) {
+            if !self.members.voters.contains(&self.settings.node_id) {
                 self.give_up_lead(actions);
-                self.standing = Standing::Outside;
+                self.status = ReplicaStatus::Outside;
             }
         }
         if self.commit.saturating_sub(self.log.base().op.max(self.asked_snapshot)) >= SNAPSHOT_EVERY
@@ -143,19 +147,21 @@
         &mut self,
         from: NodeId,
         id: ProposalId,
-        what: Option<What>,
+        what: Option<EntryPayload>,
         actions: &mut Vec<Action>,
     ) {
         let never = match &what {
-            Some(What::Bytes(bytes)) => bytes.len() > ENTRY_MAX,
-            Some(What::Remove { out, then }) => *then == Some(*out),
-            Some(What::Add(_)) => true,
+            Some(EntryPayload::Command(bytes)) => bytes.len() > ENTRY_MAX,
+            Some(EntryPayload::RemoveVoter { removed, replacement }) => {
+                *replacement == Some(*removed)
+            }
+            Some(EntryPayload::AddVoter(_)) => true,
             None => false,
         };
         if never || self.lead.is_none() {
-            let outcome = never.then_some(Outcome::Never);
+            let outcome = never.then_some(ProposalOutcome::Never);
             let leader = self.leader().filter(|l| *l != self.settings.node_id);
-            self.send(from, Say::Answer { id, outcome, leader }, actions);
+            self.send(from, MessageBody::Answer { id, outcome, leader }, actions);
             return;
         }
         if !self.ids.contains_key(&id) {
@@ -163,7 +169,7 @@
                 let leader = Some(self.settings.node_id);
                 self.send(
                     from,
-                    Say::Answer { id, outcome: Some(Outcome::Unknown), leader },
+                    MessageBody::Answer { id, outcome: Some(ProposalOutcome::Unknown), leader },
                     actions,
                 );
                 return;
@@ -182,19 +188,19 @@
         self.answer_waiting(actions);
     }
 
-    fn may_propose(&self, what: &What) -> bool {
+    fn may_propose(&self, what: &EntryPayload) -> bool {
         let fits = match what {
-            What::Bytes(_) => true,
+            EntryPayload::Command(_) => true,
             // One at a time: two in a row could have majorities that don't cross.
-            What::Remove { out, then } => {
-                let list = &self.members.list;
+            EntryPayload::RemoveVoter { removed, replacement } => {
+                let voters = &self.members.voters;
                 self.is_settled()
-                    && list.contains(out)
-                    && list.len() > 1
-                    && then.is_none_or(|t| !list.contains(&t))
+                    && voters.contains(removed)
+                    && voters.len() > 1
+                    && replacement.is_none_or(|t| !voters.contains(&t))
             }
-            What::Add(member) => {
-                self.is_settled_but_coming() && !self.members.list.contains(member)
+            EntryPayload::AddVoter(member) => {
+                self.is_settled_but_coming() && !self.members.voters.contains(member)
             }
         };
         let underway = self.log.op() - self.commit;
@@ -203,11 +209,11 @@
 
     fn is_settled_but_coming(&self) -> bool {
         (self.commit + 1..=self.log.op())
-            .all(|op| self.log.get(op).is_none_or(|e| matches!(e.what, What::Bytes(_))))
+            .all(|op| self.log.get(op).is_none_or(|e| matches!(e.what, EntryPayload::Command(_))))
     }
 
     fn is_settled(&self) -> bool {
-        self.members.coming.is_none() && self.is_settled_but_coming()
+        self.members.joining.is_none() && self.is_settled_but_coming()
     }
 
     fn append(&mut self, entry: Entry, actions: &mut Vec<Action>) {
@@ -219,17 +225,18 @@
         self.log.push(entry.clone());
         let entries = vec![entry];
         self.persist(Record::Entries { first, entries: entries.clone() }, actions);
-        self.send_council(&Say::Prepare { first, entries, commit: self.commit }, actions);
-        self.send(self.settings.node_id, Say::Ok { op: first, round: 0 }, actions);
+        self.send_council(&MessageBody::Prepare { first, entries, commit: self.commit }, actions);
+        self.send(self.settings.node_id, MessageBody::Ok { op: first, round: 0 }, actions);
     }
 
     /// Who is to come for one that went comes in, once it answers.
     pub(crate) fn admit_coming(&mut self, actions: &mut Vec<Action>) {
-        let Some(coming) = self.members.coming.filter(|_| self.lead.is_some()) else { return };
-        let fresh = |p: &crate::replica::Peer| self.now.saturating_sub(p.at) < crate::replica::DEAF;
-        let what = What::Add(coming);
-        if self.peers.get(&coming).is_some_and(fresh) && self.may_propose(&what) {
-            let id = ProposalId { by: coming, incarnation: COMING, number: self.members.since };
+        let Some(joining) = self.members.joining.filter(|_| self.lead.is_some()) else { return };
+        let fresh =
+            |p: &crate::replica::Peer| self.now.saturating_sub(p.at) < crate::replica::PEER_TIMEOUT;
+        let what = EntryPayload::AddVoter(joining);
+        if self.peers.get(&joining).is_some_and(fresh) && self.may_propose(&what) {
+            let id = ProposalId { by: joining, incarnation: COMING, number: self.members.since };
             self.append(Entry { id, what }, actions);
         }
     }
@@ -237,9 +244,9 @@
     /// Says yes to those whose entry is committed, and is with enough learners outside the council.
     pub(crate) fn answer_waiting(&mut self, actions: &mut Vec<Action>) {
         let Some(lead) = &self.lead else { return };
-        let outside = |m: &NodeId| !self.members.list.contains(m);
+        let outside = |m: &NodeId| !self.members.voters.contains(m);
         let fresh = |at: Duration| self.now.saturating_sub(at) < COPY_FRESH;
-        let copies: Vec<Index> = self
+        let copies: Vec<LogIndex> = self
             .copied
             .iter()
             .filter(|(m, c)| outside(m) && fresh(c.1))
@@ -251,7 +258,7 @@
             let Some(op) = self.ids.get(id).copied().filter(|op| *op <= self.commit) else {
                 continue;
             };
-            let index = Index::new(self.last.epoch, op);
+            let index = LogIndex::new(self.last.epoch, op);
             if copies.iter().filter(|c| **c >= index).count() >= needed {
                 answers.push((*id, index, who.clone()));
             }
@@ -262,17 +269,18 @@
             }
             let leader = Some(self.settings.node_id);
             for to in who {
-                let outcome = Some(Outcome::Committed(index));
-                self.send(to, Say::Answer { id, outcome, leader }, actions);
+                let outcome = Some(ProposalOutcome::Committed(index));
+                self.send(to, MessageBody::Answer { id, outcome, leader }, actions);
             }
         }
     }
 
-    pub(crate) fn snapshot(&mut self, index: Index, bytes: Vec<u8>, actions: &mut Vec<Action>) {
+    pub(crate) fn snapshot(&mut self, index: LogIndex, bytes: Vec<u8>, actions: &mut Vec<Action>) {
         let op = index.op();
         let known =
             index.epoch() == self.last.epoch && op <= self.commit && op > self.log.base().op;
-        if self.standing != Standing::Normal || !known || bytes.len() > SNAPSHOT_MAX - (64 << 10) {
+        if self.status != ReplicaStatus::Normal || !known || bytes.len() > SNAPSHOT_MAX - (64 << 10)
+        {
             return;
         }
         let base = self.log.base_at(op, bytes);
--- a/crates/consensus/src/store.rs
+++ b/crates/consensus/src/store.rs
@@ -17,7 +17,7 @@
 use hollowpaddle_peer_transport::NodeId;
 
 use crate::log_file::Disk;
-use crate::log_record::{Durable, Record};
+use crate::log_record::{DurableState, Record};
 
 /// Version of the form.
 pub const VERSION: u32 = 1;
@@ -39,7 +39,7 @@
 
 /// Why a file is not believed.
 #[derive(Debug, thiserror::Error)]
-pub enum Doubt {
+pub enum Corruption {
     /// It is another balancer's, or of another bank.
     #[error(
         "it is member {member}'s of bank {cluster:016x}, and this is member {node_id}'s of bank {own:016x}"
@@ -113,9 +113,9 @@
 #[derive(Debug, Default)]
 pub struct Found {
     /// What the file says; of one that is not believed: nothing.
-    pub durable: Durable,
+    pub durable: DurableState,
     /// Why it is not believed, if so. It was set aside.
-    pub doubt: Option<Doubt>,
+    pub doubt: Option<Corruption>,
     /// Bytes of a torn tail that were cut off.
     pub torn: usize,
 }
@@ -226,28 +226,28 @@
     }
 
     /// What whole records say, and how many bytes they take with the head.
-    fn parse(&self, bytes: &[u8]) -> Result<(Durable, usize), Doubt> {
+    fn parse(&self, bytes: &[u8]) -> Result<(DurableState, usize), Corruption> {
         if bytes.len() as u64 > FILE_MAX {
-            return Err(Doubt::TooLong);
+            return Err(Corruption::TooLong);
         }
-        let head = bytes.get(..HEAD).ok_or(Doubt::NoHead)?;
+        let head = bytes.get(..HEAD).ok_or(Corruption::NoHead)?;
         let sum = u32_at(head, HEAD - 4);
         if &head[..8] != MAGIC
             || u32_at(head, 8) != VERSION
             || crc32fast::hash(&head[..HEAD - 4]) != sum
         {
-            return Err(Doubt::NoHead);
+            return Err(Corruption::NoHead);
         }
         let (cluster, member) = (u64_at(head, 12), u16::from_le_bytes([head[20], head[21]]));
         if (cluster, member) != (self.cluster, self.node_id.0) {
-            return Err(Doubt::Foreign {
+            return Err(Corruption::Foreign {
                 member,
                 cluster,
                 node_id: self.node_id.0,
                 own: self.cluster,
             });
         }
-        let mut durable = Durable::default();
+        let mut durable = DurableState::default();
         let mut at = HEAD;
         while let Some((number, record, end)) = record_at(bytes, at, durable.written) {
             durable.apply(number, record);
@@ -256,7 +256,7 @@
         // A tail that was torn has nothing behind it; what a disk changed has.
         let behind = at + 1..bytes.len().min(at + LOOKED_AT);
         if behind.into_iter().any(|at| record_at(bytes, at, durable.written).is_some()) {
-            return Err(Doubt::Damaged { at });
+            return Err(Corruption::Damaged { at });
         }
         Ok((durable, at))
     }
--- a/crates/consensus/src/tree.rs
+++ b/crates/consensus/src/tree.rs
@@ -3,7 +3,7 @@
 
 use hollowpaddle_peer_transport::NodeId;
 
-use crate::message::Members;
+use crate::message::VoterSet;
 
 /// Children of one member.
 pub const CHILDREN: usize = 8;
@@ -19,11 +19,11 @@
 /// All balancers in the tree's order: the leader, the other voters, everybody else; by a hash of their
 /// numbers, so that a site or a row of machines is no branch. The parent of place p is that of place (p -
 /// 1) / 8.
-pub fn order(cluster: u16, members: &Members, leader: Option<NodeId>) -> Vec<NodeId> {
-    let leader = leader.filter(|l| members.list.contains(l));
+pub fn order(cluster: u16, members: &VoterSet, leader: Option<NodeId>) -> Vec<NodeId> {
+    let leader = leader.filter(|l| members.voters.contains(l));
     let mut all: Vec<NodeId> = (0..cluster).map(NodeId).collect();
-    all.extend(members.list.iter().filter(|m| m.0 >= cluster));
-    all.sort_unstable_by_key(|m| (Some(*m) != leader, !members.list.contains(m), rank(*m), *m));
+    all.extend(members.voters.iter().filter(|m| m.0 >= cluster));
+    all.sort_unstable_by_key(|m| (Some(*m) != leader, !members.voters.contains(m), rank(*m), *m));
     all
 }
 
--- a/crates/consensus/src/view_change.rs
+++ b/crates/consensus/src/view_change.rs
@@ -6,22 +6,27 @@
 
 use crate::log::{Log, Transfer};
 use crate::log_record::Record;
-use crate::message::{Hello, Index, Members, Part, Say, Standing, View, What};
+use crate::message::{
+    EntryPayload, Heartbeat, LogIndex, MessageBody, Part, ReplicaStatus, View, VoterSet,
+};
 use crate::recovery::GATHER;
-use crate::replica::{Action, Council, DEAF, Founding, Joined, Lead, PATIENCE, Peer, ROUND};
+use crate::replica::{
+    Action, Founding, HEARTBEAT_INTERVAL, Joined, Lead, PEER_TIMEOUT, Peer, Replica,
+    VIEW_CHANGE_TIMEOUT,
+};
 
 /// A founding that does not begin within so long is given up.
 const FOUNDING: Duration = Duration::from_millis(1500);
 /// Who founds an epoch waits so long for those that have not yet joined.
 const AGREED: Duration = Duration::from_millis(300);
 
-impl Council {
+impl Replica {
     /// Whether it hears no leader that leads: only then it begins a view, or takes part in another's.
     pub(crate) fn is_free(&self) -> bool {
         if self.lead.is_some() {
             return false;
         }
-        if self.standing != Standing::Normal {
+        if self.status != ReplicaStatus::Normal {
             return true;
         }
         let leader = self.peers.get(&self.view.leader);
@@ -29,7 +34,7 @@
     }
 
     fn is_fresh(&self, peer: &Peer) -> bool {
-        self.now.saturating_sub(peer.at) < DEAF
+        self.now.saturating_sub(peer.at) < PEER_TIMEOUT
     }
 
     /// A majority hears it, and it hears them; and a majority hears no leader. A member that only some
@@ -37,8 +42,8 @@
     fn may_lead(&self) -> bool {
         let node_id = self.settings.node_id;
         let connected = |(m, p): &(&NodeId, &Peer)| {
-            let votes = matches!(p.standing, Standing::Normal | Standing::Changing);
-            self.members.list.contains(m)
+            let votes = matches!(p.status, ReplicaStatus::Normal | ReplicaStatus::Changing);
+            self.members.voters.contains(m)
                 && **m != node_id
                 && votes
                 && p.hears_me
@@ -52,30 +57,30 @@
         &mut self,
         from: NodeId,
         view: View,
-        hello: &Hello,
+        hello: &Heartbeat,
         actions: &mut Vec<Action>,
     ) {
         let out = hello.members.since > self.members.since
-            && !hello.members.list.contains(&self.settings.node_id);
+            && !hello.members.voters.contains(&self.settings.node_id);
         if out && hello.leads && view >= self.view {
             // It was voted out while it heard nobody.
             self.members = hello.members.clone();
             self.give_up_lead(actions);
             (self.transfer, self.founding, self.waking) = (None, None, None);
-            self.standing = Standing::Outside;
+            self.status = ReplicaStatus::Outside;
             return;
         }
         if !self.members.has(from) {
-            if self.lead.is_some() && hello.standing != Standing::Outside {
+            if self.lead.is_some() && hello.status != ReplicaStatus::Outside {
                 let members = self.members.clone();
-                let last = Hello {
+                let last = Heartbeat {
                     leads: true,
                     round: 0,
                     members,
-                    standing: self.standing,
+                    status: self.status,
                     ..hello.clone()
                 };
-                self.send(from, Say::Hello(last), actions);
+                self.send(from, MessageBody::Heartbeat(last), actions);
             }
             return;
         }
@@ -83,22 +88,22 @@
         let peer = Peer {
             at: self.now,
             view,
-            standing: hello.standing,
+            status: hello.status,
             hears_me: hello.heard.contains(&self.settings.node_id),
             leads: hello.leads,
             free: hello.free,
             written,
         };
-        if self.peers.len() < 2 * crate::message::COUNCIL_MAX || self.peers.contains_key(&from) {
+        if self.peers.len() < 2 * crate::message::MAX_VOTERS || self.peers.contains_key(&from) {
             self.peers.insert(from, peer);
         }
         if view.epoch == self.view.epoch {
             self.seen = self.seen.max(view.number);
         }
-        if !matches!(self.standing, Standing::Normal | Standing::Changing) {
+        if !matches!(self.status, ReplicaStatus::Normal | ReplicaStatus::Changing) {
             return;
         }
-        let leads = hello.leads && hello.standing == Standing::Normal && view.leader == from;
+        let leads = hello.leads && hello.status == ReplicaStatus::Normal && view.leader == from;
         if self.blank && leads && view != self.view {
             // Somebody leads: there is nothing to found. What a life before this one promised may be later
             // than that view, so it is asked for what stands like by any that has forgotten.
@@ -106,30 +111,31 @@
             return;
         }
         let long = self.free_since.is_some_and(|since| self.now.saturating_sub(since) >= GATHER);
-        let alone = self.standing == Standing::Normal && self.lead.is_none() && long;
-        let stuck = alone || self.standing == Standing::Changing && self.now > self.patience;
+        let alone = self.status == ReplicaStatus::Normal && self.lead.is_none() && long;
+        let stuck = alone || self.status == ReplicaStatus::Changing && self.now > self.patience;
         if leads && stuck && view.epoch < self.view.epoch {
             // It promised an epoch that never began, and a majority goes on without it. Whoever forgets is
             // asked to keep no promise: it comes back like one.
             self.forget("it promised an epoch that never began", actions);
             return;
         }
-        if leads && view == self.view && self.standing == Standing::Normal && self.lead.is_none() {
+        if leads && view == self.view && self.status == ReplicaStatus::Normal && self.lead.is_none()
+        {
             if hello.op > self.log.op() {
-                let fetch = Say::Fetch { from: self.log.op() + 1, offset: 0 };
+                let fetch = MessageBody::Fetch { from: self.log.op() + 1, offset: 0 };
                 self.send(from, fetch, actions);
             }
             let op = self.log.op().min(hello.op);
-            self.send(from, Say::Ok { op, round: hello.round }, actions);
+            self.send(from, MessageBody::Ok { op, round: hello.round }, actions);
             self.commit_upto(hello.commit, actions);
         } else if leads && (view > self.view || view == self.view && self.lead.is_none()) {
             self.follow(view, hello, actions);
         } else if let Some(lead) = &self.lead
             && view > self.view
             && view.epoch == self.view.epoch
-            && hello.standing == Standing::Changing
+            && hello.status == ReplicaStatus::Changing
             && hello.heard.contains(&self.settings.node_id)
-            && self.now.saturating_sub(lead.since) > PATIENCE
+            && self.now.saturating_sub(lead.since) > VIEW_CHANGE_TIMEOUT
         {
             // One that promised a later view, which never began, can't come back: bring all into one after
             // it.
@@ -138,20 +144,20 @@
     }
 
     /// Comes into a view that has begun.
-    fn follow(&mut self, view: View, hello: &Hello, actions: &mut Vec<Action>) {
+    fn follow(&mut self, view: View, hello: &Heartbeat, actions: &mut Vec<Action>) {
         if self.transfer.as_ref().is_some_and(|t| t.view == view && t.source == view.leader) {
             return;
         }
         self.give_up_lead(actions);
         self.view = view;
-        self.standing = Standing::Changing;
+        self.status = ReplicaStatus::Changing;
         (self.founding, self.waking) = (None, None);
         self.joins.clear();
         // Up to its commit every log of the epoch is the same.
         let same = !self.blank && self.last.epoch == view.epoch;
         let first = if same { self.commit + 1 } else { 0 };
         self.transfer = Some(Transfer::new(view.leader, view, first, hello.op));
-        self.patience = self.now + PATIENCE;
+        self.patience = self.now + VIEW_CHANGE_TIMEOUT;
         self.ask_transfer(actions);
         self.finish_transfer(actions);
     }
@@ -164,8 +170,12 @@
         if transfer.is_whole() {
             return;
         }
-        let say = if copy { Say::FetchCopy { from, offset } } else { Say::Fetch { from, offset } };
-        self.send(to, say, actions);
+        let body = if copy {
+            MessageBody::FetchCopy { from, offset }
+        } else {
+            MessageBody::Fetch { from, offset }
+        };
+        self.send(to, body, actions);
     }
 
     pub(crate) fn on_fetch(
@@ -176,13 +186,14 @@
         offset: u32,
         actions: &mut Vec<Action>,
     ) {
-        let votes = matches!(self.standing, Standing::Normal | Standing::Changing) && !self.blank;
+        let votes =
+            matches!(self.status, ReplicaStatus::Normal | ReplicaStatus::Changing) && !self.blank;
         if !votes || view != self.view {
             return;
         }
         match self.log.part(first, self.log.op(), offset) {
             Part::Entries { entries, .. } if entries.is_empty() => {}
-            part => self.send(from, Say::Part(part), actions),
+            part => self.send(from, MessageBody::Part(part), actions),
         }
     }
 
@@ -198,7 +209,7 @@
                 && (transfer.copy || view == transfer.view)
                 && transfer.take(part)
             {
-                self.patience = self.now + PATIENCE;
+                self.patience = self.now + VIEW_CHANGE_TIMEOUT;
                 self.ask_transfer(actions);
                 self.finish_transfer(actions);
             }
@@ -247,7 +258,7 @@
             let entries = (from..first).filter_map(|op| self.log.get(op).cloned()).collect();
             self.persist(Record::Turn { view, last, counts, first: from, entries }, actions);
         }
-        self.send(view.leader, Say::Ok { op: self.log.op(), round: 0 }, actions);
+        self.send(view.leader, MessageBody::Ok { op: self.log.op(), round: 0 }, actions);
     }
 
     /// Takes part in a view from here on, with its log.
@@ -255,7 +266,7 @@
         let fresh = self.blank || self.last.epoch != view.epoch;
         self.log = log;
         (self.view, self.last) = (view, view);
-        self.standing = Standing::Normal;
+        self.status = ReplicaStatus::Normal;
         (self.blank, self.waking, self.transfer, self.founding) = (false, None, None, None);
         self.joins.clear();
         self.seen = view.number;
@@ -271,11 +282,11 @@
     pub(crate) fn tell(&mut self, actions: &mut Vec<Action>) {
         let epoch = self.last.epoch;
         let base = self.log.base().op;
-        let goes_on = |t: &Index| t.epoch() == epoch && t.op() >= self.log.start();
+        let goes_on = |t: &LogIndex| t.epoch() == epoch && t.op() >= self.log.start();
         let mut told = match self.told.filter(goes_on) {
             Some(told) => told.op(),
             None => {
-                let index = Index::new(epoch, base);
+                let index = LogIndex::new(epoch, base);
                 actions.push(Action::Reset { index, base: self.log.base().clone() });
                 base
             }
@@ -283,15 +294,17 @@
         while told < self.commit {
             let Some(entry) = self.log.get(told + 1) else { break };
             told += 1;
-            actions
-                .push(Action::Committed { index: Index::new(epoch, told), entry: entry.clone() });
+            actions.push(Action::Committed {
+                index: LogIndex::new(epoch, told),
+                entry: entry.clone(),
+            });
         }
-        self.told = Some(Index::new(epoch, told));
+        self.told = Some(LogIndex::new(epoch, told));
     }
 
     /// Begins a view, if it hears no leader and may lead.
     pub(crate) fn consider(&mut self, free: bool, actions: &mut Vec<Action>) {
-        if !matches!(self.standing, Standing::Normal | Standing::Changing) {
+        if !matches!(self.status, ReplicaStatus::Normal | ReplicaStatus::Changing) {
             return;
         }
         if self.blank || self.founding.is_some() {
@@ -305,11 +318,12 @@
             }
             return;
         }
-        let mine = self.standing == Standing::Changing && self.view.leader == self.settings.node_id;
+        let mine =
+            self.status == ReplicaStatus::Changing && self.view.leader == self.settings.node_id;
         if mine && self.view.number >= self.seen || !free || self.now < self.patience {
             return;
         }
-        if self.members.list.contains(&self.settings.node_id) && self.may_lead() {
+        if self.members.voters.contains(&self.settings.node_id) && self.may_lead() {
             self.begin_next(actions);
         }
     }
@@ -339,11 +353,11 @@
         self.give_up_lead(actions);
         self.view = view;
         self.seen = view.number;
-        self.standing = Standing::Changing;
+        self.status = ReplicaStatus::Changing;
         (self.transfer, self.waking) = (None, None);
         self.founding = founding;
         self.joins.clear();
-        self.patience = self.now + PATIENCE + Duration::from_millis(self.draw(200));
+        self.patience = self.now + VIEW_CHANGE_TIMEOUT + Duration::from_millis(self.draw(200));
         self.persist_promise(actions);
         self.send(self.settings.node_id, self.join(), actions);
         self.say_begin(actions);
@@ -352,11 +366,16 @@
     pub(crate) fn say_begin(&mut self, actions: &mut Vec<Action>) {
         let founding = self.founding.is_some();
         let members = self.founding.as_ref().filter(|f| f.restore).map(|_| self.members.clone());
-        self.send_council(&Say::Begin { founding, members }, actions);
+        self.send_council(&MessageBody::Begin { founding, members }, actions);
     }
 
-    fn join(&self) -> Say {
-        Say::Join { last: self.last, op: self.log.op(), commit: self.commit, blank: self.blank }
+    fn join(&self) -> MessageBody {
+        MessageBody::Join {
+            last: self.last,
+            op: self.log.op(),
+            commit: self.commit,
+            blank: self.blank,
+        }
     }
 
     pub(crate) fn on_begin(
@@ -364,28 +383,31 @@
         from: NodeId,
         view: View,
         founding: bool,
-        restore: Option<Members>,
+        restore: Option<VoterSet>,
         actions: &mut Vec<Action>,
     ) {
-        if view.leader != from || from == self.settings.node_id || self.standing == Standing::Mute {
+        if view.leader != from
+            || from == self.settings.node_id
+            || self.status == ReplicaStatus::Mute
+        {
             return;
         }
         if view.epoch == self.view.epoch {
             self.seen = self.seen.max(view.number);
         }
-        if view == self.view && self.standing == Standing::Changing {
+        if view == self.view && self.status == ReplicaStatus::Changing {
             if self.transfer.is_none() {
                 self.send(from, self.join(), actions);
             }
             return;
         }
-        if view <= self.view || self.standing == Standing::Waking {
+        if view <= self.view || self.status == ReplicaStatus::Waking {
             return;
         }
         let asked = founding && (restore.is_some() || self.may_join_founding(from, view));
         let long = self.free_since.is_some_and(|since| self.now.saturating_sub(since) >= GATHER);
         let free = self.is_free() && (!founding || long);
-        let knows = self.members.list.contains(&from) && (free || from == self.view.leader);
+        let knows = self.members.voters.contains(&from) && (free || from == self.view.leader);
         let joins = if self.blank { asked } else { restore.is_some() || knows };
         if !joins {
             return;
@@ -393,10 +415,10 @@
         self.give_up_lead(actions);
         self.view = view;
         self.seen = view.number;
-        self.standing = Standing::Changing;
+        self.status = ReplicaStatus::Changing;
         (self.transfer, self.founding, self.waking) = (None, None, None);
         self.joins.clear();
-        self.patience = self.now + PATIENCE + Duration::from_millis(self.draw(200));
+        self.patience = self.now + VIEW_CHANGE_TIMEOUT + Duration::from_millis(self.draw(200));
         self.persist_promise(actions);
         self.send(from, self.join(), actions);
     }
@@ -410,10 +432,10 @@
     ) {
         let mine = view == self.view
             && view.leader == self.settings.node_id
-            && self.standing == Standing::Changing;
+            && self.status == ReplicaStatus::Changing;
         if mine
             && (!joined.blank || self.founding.is_some())
-            && self.joins.len() < 2 * crate::message::COUNCIL_MAX
+            && self.joins.len() < 2 * crate::message::MAX_VOTERS
         {
             self.joins.insert(from, joined);
             self.try_lead(actions);
@@ -446,7 +468,7 @@
         if !self.members.is_majority(self.joins.keys()) {
             return;
         }
-        let all = self.members.list.iter().all(|m| self.joins.contains_key(m));
+        let all = self.members.voters.iter().all(|m| self.joins.contains_key(m));
         let waits = |f: &Founding| !all && self.now.saturating_sub(f.begun) < AGREED;
         if self.founding.as_ref().is_some_and(waits) {
             // Any may have the one copy of an entry.
@@ -501,7 +523,7 @@
 
     fn has_best(&self, best: Option<(NodeId, Joined)>) -> bool {
         if let Some((at, _)) = self.founding.as_ref().and_then(|f| f.copy) {
-            let known = best.map(|(_, j)| Index::new(j.last.epoch, j.commit));
+            let known = best.map(|(_, j)| LogIndex::new(j.last.epoch, j.commit));
             if known.is_none_or(|k| at > k) {
                 return false;
             }
@@ -513,7 +535,7 @@
 
     fn fetch_best(&mut self, best: Option<(NodeId, Joined)>, actions: &mut Vec<Action>) {
         let copy = self.founding.as_ref().and_then(|f| f.copy);
-        let known = best.map(|(_, j)| Index::new(j.last.epoch, j.commit));
+        let known = best.map(|(_, j)| LogIndex::new(j.last.epoch, j.commit));
         let mut transfer = match (copy, best) {
             (Some((at, whose)), _) if known.is_none_or(|k| at > k) => {
                 let mut transfer = Transfer::new(whose, self.view, 0, at.op());
@@ -538,8 +560,8 @@
         let mut base = self.log.base().clone();
         base.members = self.members.clone();
         let entries = self.log.entries().iter().cloned().map(|mut entry| {
-            if !matches!(entry.what, What::Bytes(_)) {
-                entry.what = What::Bytes(Vec::new());
+            if !matches!(entry.what, EntryPayload::Command(_)) {
+                entry.what = EntryPayload::Command(Vec::new());
             }
             entry
         });
@@ -556,7 +578,7 @@
         let lead = Lead { since: self.now, answered: self.now, ..Lead::default() };
         self.lead = Some(lead);
         actions.push(Action::Leads { view: self.view, since: self.now });
-        self.hello_due = self.now + ROUND;
+        self.hello_due = self.now + HEARTBEAT_INTERVAL;
         self.hello(actions);
     }
 }
--- a/crates/consensus/tests/agreement.rs
+++ b/crates/consensus/tests/agreement.rs
@@ -19,9 +19,9 @@
         let who = world.below(u64::from(size)) as u16;
         let down = |w: &World, but: u16| {
             let forgot = |n: &world::Node| {
-                n.council.as_ref().is_none_or(|c| {
-                    use hollowpaddle_consensus::Standing::{Blank, Mute, Waking};
-                    matches!(c.standing(), Blank | Mute | Waking)
+                n.replica.as_ref().is_none_or(|c| {
+                    use hollowpaddle_consensus::ReplicaStatus::{Blank, Mute, Waking};
+                    matches!(c.status(), Blank | Mute | Waking)
                 })
             };
             w.nodes.iter().enumerate().filter(|(i, n)| *i as u16 == but || forgot(n)).count()
--- a/crates/consensus/tests/formats.rs
+++ b/crates/consensus/tests/formats.rs
@@ -11,10 +11,10 @@
 
 use hex::{assert_all_recorded, assert_recorded, recorded};
 use hollowpaddle_consensus::{
-    Base, COUNCIL_MAX, Counts, Directory, Durable, ENTRY_MAX, Entry, FILE_MAX, Hello, Index, Learn,
-    Learned, Learner, LearnerSettings, Log, MAX_MESSAGE_BYTES, Members, Message, Outcome, PART,
-    Part, ProposalId, Record, SNAPSHOT_MAX, Say, Standing, State, Store, StoreError, VERSION, View,
-    What,
+    Base, Directory, DurableState, ENTRY_MAX, Entry, EntryPayload, FILE_MAX, Heartbeat,
+    IncarnationCounts, Learner, LearnerAction, LearnerConfig, LearnerEvent, Log, LogIndex,
+    MAX_MESSAGE_BYTES, MAX_VOTERS, Message, MessageBody, PART, Part, ProposalId, ProposalOutcome,
+    Record, ReplicaStatus, SNAPSHOT_MAX, State, Store, StoreError, VERSION, View, VoterSet,
 };
 use hollowpaddle_failpoints::{Fault, Kind, Plan, Points};
 use hollowpaddle_peer_transport::{Channel, Incarnation, NodeId, decode, encode};
@@ -30,13 +30,13 @@
     View { epoch: 2, number: 600, leader: NodeId(4) }
 }
 
-fn incarnations() -> Counts {
-    Counts::from([(NodeId(4), 1), (NodeId(300), 900)])
+fn incarnations() -> IncarnationCounts {
+    IncarnationCounts::from([(NodeId(4), 1), (NodeId(300), 900)])
 }
 
-fn voters() -> Members {
-    let list = BTreeSet::from([NodeId(4), NodeId(5), NodeId(300)]);
-    Members { list, coming: Some(NodeId(6)), since: 1000 }
+fn voters() -> VoterSet {
+    let voters = BTreeSet::from([NodeId(4), NodeId(5), NodeId(300)]);
+    VoterSet { voters, joining: Some(NodeId(6)), since: 1000 }
 }
 
 fn proposal(number: u64) -> ProposalId {
@@ -44,17 +44,17 @@
 }
 
 fn command(number: u64) -> Entry {
-    Entry { id: proposal(number), what: What::Bytes(b"command".to_vec()) }
+    Entry { id: proposal(number), what: EntryPayload::Command(b"command".to_vec()) }
 }
 
 /// One entry of each kind.
 fn entries() -> Vec<Entry> {
-    let replace = What::Remove { out: NodeId(4), then: Some(NodeId(6)) };
-    let remove = What::Remove { out: NodeId(5), then: None };
+    let replace = EntryPayload::RemoveVoter { removed: NodeId(4), then: Some(NodeId(6)) };
+    let remove = EntryPayload::RemoveVoter { removed: NodeId(5), replacement: None };
     vec![
         command(1),
         Entry { id: proposal(2), what: replace },
-        Entry { id: proposal(3), what: What::Add(NodeId(6)) },
+        Entry { id: proposal(3), what: EntryPayload::AddVoter(NodeId(6)) },
         Entry { id: proposal(4), what: remove },
     ]
 }
@@ -72,9 +72,9 @@
     Base { op: 1000, members: voters(), ids, state: b"state".to_vec() }
 }
 
-fn heartbeat(standing: Standing) -> Say {
-    Say::Hello(Hello {
-        standing,
+fn heartbeat(status: ReplicaStatus) -> MessageBody {
+    MessageBody::Heartbeat(Heartbeat {
+        status,
         leads: true,
         free: false,
         heard: BTreeSet::from([NodeId(4), NodeId(300)]),
@@ -88,57 +88,63 @@
 
 /// One message of each kind, by the name of its recorded bytes.
 fn messages() -> Vec<(&'static str, Message)> {
-    let (nonce, at, members) = (0x0102_0304_0506_0708, Index::new(2, 1001), voters());
-    let told = Say::Told {
+    let (nonce, at, members) = (0x0102_0304_0506_0708, LogIndex::new(2, 1001), voters());
+    let told = MessageBody::Told {
         nonce,
         at: 1001,
-        standing: Standing::Changing,
+        status: ReplicaStatus::Changing,
         own: 1002,
         written: 1003,
         commit: 1004,
         members: voters(),
     };
-    let news = |part| Say::News { at, leader: Some(NodeId(5)), members: voters(), age: 1002, part };
-    let answer = |outcome, leader| Say::Answer { id: proposal(1), outcome, leader };
+    let news = |part| MessageBody::News {
+        at,
+        leader: Some(NodeId(5)),
+        members: voters(),
+        age: 1002,
+        part,
+    };
+    let answer = |outcome, leader| MessageBody::Answer { id: proposal(1), outcome, leader };
     let bodies = vec![
-        ("heartbeat_without_vote", heartbeat(Standing::Outside)),
-        ("heartbeat_state_lost", heartbeat(Standing::Blank)),
-        ("heartbeat_recovering", heartbeat(Standing::Waking)),
-        ("heartbeat_view_change", heartbeat(Standing::Changing)),
-        ("heartbeat_normal", heartbeat(Standing::Normal)),
-        ("heartbeat_disk_failed", heartbeat(Standing::Mute)),
-        ("prepare", Say::Prepare { first: 1001, entries: entries(), commit: 1000 }),
-        ("prepare_ok", Say::Ok { op: 1001, round: 1002 }),
-        ("start_view_change", Say::Begin { founding: false, members: None }),
-        ("start_epoch", Say::Begin { founding: true, members: Some(members.clone()) }),
+        ("heartbeat_without_vote", heartbeat(ReplicaStatus::Outside)),
+        ("heartbeat_state_lost", heartbeat(ReplicaStatus::Blank)),
+        ("heartbeat_recovering", heartbeat(ReplicaStatus::Waking)),
+        ("heartbeat_view_change", heartbeat(ReplicaStatus::Changing)),
+        ("heartbeat_normal", heartbeat(ReplicaStatus::Normal)),
+        ("heartbeat_disk_failed", heartbeat(ReplicaStatus::Mute)),
+        ("prepare", MessageBody::Prepare { first: 1001, entries: entries(), commit: 1000 }),
+        ("prepare_ok", MessageBody::Ok { op: 1001, round: 1002 }),
+        ("start_view_change", MessageBody::Begin { founding: false, members: None }),
+        ("start_epoch", MessageBody::Begin { founding: true, members: Some(members.clone()) }),
         (
             "do_view_change",
-            Say::Join { last: last_normal_view(), op: 1001, commit: 1000, blank: true },
+            MessageBody::Join { last: last_normal_view(), op: 1001, commit: 1000, blank: true },
         ),
-        ("state_transfer_request", Say::Fetch { from: 1001, offset: 1002 }),
-        ("state_transfer_entries", Say::Part(entries_part())),
-        ("state_transfer_snapshot_chunk", Say::Part(snapshot_part())),
-        ("status_request", Say::Ask { nonce, at: 1001 }),
+        ("state_transfer_request", MessageBody::Fetch { from: 1001, offset: 1002 }),
+        ("state_transfer_entries", MessageBody::Part(entries_part())),
+        ("state_transfer_snapshot_chunk", MessageBody::Part(snapshot_part())),
+        ("status_request", MessageBody::Ask { nonce, at: 1001 }),
         ("status_response", told),
-        ("recovery", Say::Recover { nonce }),
-        ("recovery_response", Say::Recovered { nonce, op: 1001, leads: true }),
-        ("proposal", Say::Propose { id: proposal(1), what: Some(command(1).what) }),
-        ("proposal_query", Say::Propose { id: proposal(1), what: None }),
-        ("learner_status_request", Say::AskCopy { nonce }),
-        ("learner_status_response", Say::Copy { nonce, at, members }),
-        ("learner_state_transfer_request", Say::FetchCopy { from: 1001, offset: 1002 }),
-        ("learner_poll", Say::Follow { at, offset: 1001, sum: 0xa1a2_a3a4 }),
+        ("recovery", MessageBody::Recover { nonce }),
+        ("recovery_response", MessageBody::Recovered { nonce, op: 1001, leads: true }),
+        ("proposal", MessageBody::Propose { id: proposal(1), what: Some(command(1).what) }),
+        ("proposal_query", MessageBody::Propose { id: proposal(1), what: None }),
+        ("learner_status_request", MessageBody::AskCopy { nonce }),
+        ("learner_status_response", MessageBody::Copy { nonce, at, members }),
+        ("learner_state_transfer_request", MessageBody::FetchCopy { from: 1001, offset: 1002 }),
+        ("learner_poll", MessageBody::Follow { at, offset: 1001, sum: 0xa1a2_a3a4 }),
         ("learner_update_empty", news(None)),
         ("learner_update_entries", news(Some(entries_part()))),
         ("learner_update_snapshot_chunk", news(Some(snapshot_part()))),
-        ("learner_chunk_request", Say::Piece { offset: 1001, sum: 0xa1a2_a3a4 }),
-        ("proposal_committed", answer(Some(Outcome::Committed(at)), None)),
-        ("proposal_rejected", answer(Some(Outcome::Never), Some(NodeId(5)))),
-        ("proposal_unknown", answer(Some(Outcome::Unknown), Some(NodeId(5)))),
+        ("learner_chunk_request", MessageBody::Piece { offset: 1001, sum: 0xa1a2_a3a4 }),
+        ("proposal_committed", answer(Some(ProposalOutcome::Committed(at)), None)),
+        ("proposal_rejected", answer(Some(ProposalOutcome::Never), Some(NodeId(5)))),
+        ("proposal_unknown", answer(Some(ProposalOutcome::Unknown), Some(NodeId(5)))),
         ("proposal_redirected", answer(None, Some(NodeId(5)))),
     ];
-    let message = |say| Message { view: view(), counts: incarnations(), say };
-    bodies.into_iter().map(|(name, say)| (name, message(say))).collect()
+    let message = |body| Message { view: view(), counts: incarnations(), body };
+    bodies.into_iter().map(|(name, body)| (name, message(body))).collect()
 }
 
 #[test]
@@ -171,7 +177,7 @@
     ];
     for (name, message) in messages() {
         let channel = if to_learner.contains(&name) { Channel::Log } else { Channel::Consensus };
-        assert_eq!(message.say.channel(), channel, "{name}");
+        assert_eq!(message.body.channel(), channel, "{name}");
     }
 }
 
@@ -221,10 +227,10 @@
     }
 }
 
-fn open(directory: &Path, points: Points) -> Result<(Store, Durable), StoreError> {
+fn open(directory: &Path, points: Points) -> Result<(Store, DurableState), StoreError> {
     let disk = Directory::open(directory).expect("a directory of its own");
     let (store, found) = Store::open(disk, points, CLUSTER, VOTER)?;
-    assert!(found.doubt.is_none() || found.durable == Durable::default(), "{:?}", found.doubt);
+    assert!(found.doubt.is_none() || found.durable == DurableState::default(), "{:?}", found.doubt);
     Ok((store, found.durable))
 }
 
@@ -255,7 +261,7 @@
     let directory = tempfile::tempdir().expect("made");
     fs::write(directory.path().join("council.log"), recorded("voter_log")).expect("written");
     let (_, durable) = open(directory.path(), Points::none()).expect("readable");
-    assert_eq!(durable, Durable { written: 46, state: Some(state()) });
+    assert_eq!(durable, DurableState { written: 46, state: Some(state()) });
     let log = durable.state.expect("read").log;
     assert_eq!((log.base(), log.start(), log.op()), (&snapshot(), 996, 1004));
 }
@@ -286,7 +292,7 @@
 fn learner(now: Duration, voter: NodeId) -> Learner {
     Learner::new(
         now,
-        LearnerSettings { node_id: NodeId(7), voters: vec![voter], cluster: 400, seed: 1 },
+        LearnerConfig { node_id: NodeId(7), voters: vec![voter], cluster: 400, seed: 1 },
     )
 }
 
@@ -296,24 +302,24 @@
     let (voter, now) = (NodeId(4), Duration::ZERO);
     let mut learner = learner(now, voter);
     let mut actions = Vec::new();
-    let reset = Learn::Reset { index: Index::new(2, 1000), base: snapshot() };
+    let reset = LearnerEvent::Reset { index: LogIndex::new(2, 1000), base: snapshot() };
     learner.handle(now, reset, &mut actions);
-    let index = Index::new(2, 1001);
-    learner.handle(now, Learn::Committed { index, entry: command(1) }, &mut actions);
+    let index = LogIndex::new(2, 1001);
+    learner.handle(now, LearnerEvent::Committed { index, entry: command(1) }, &mut actions);
     actions.clear();
     for from in [0, 1001] {
-        let say = Say::FetchCopy { from, offset: 0 };
-        let message = Message { view: view(), counts: incarnations(), say };
+        let body = MessageBody::FetchCopy { from, offset: 0 };
+        let message = Message { view: view(), counts: incarnations(), body };
         learner.handle(
             now,
-            Learn::Message { from: voter, incarnation: Incarnation(1), message },
+            LearnerEvent::Message { from: voter, incarnation: Incarnation(1), message },
             &mut actions,
         );
     }
     let sent: Vec<Vec<u8>> = actions
         .into_iter()
         .filter_map(|action| match action {
-            Learned::Send { message, .. } => Some(message.encode().expect("short")),
+            LearnerAction::Send { message, .. } => Some(message.encode().expect("short")),
             _ => None,
         })
         .collect();
@@ -327,45 +333,51 @@
     let (voter, now) = (NodeId(4), Duration::ZERO);
     let mut learner = learner(now, voter);
     let mut actions = Vec::new();
-    learner.handle(now, Learn::Tick, &mut actions);
+    learner.handle(now, LearnerEvent::Tick, &mut actions);
     for (name, op) in [("learner_copy_snapshot", 1000), ("learner_copy_entries", 1001)] {
-        let Ok(Message { say: Say::Part(part), .. }) = Message::decode(&recorded(name)) else {
+        let Ok(Message { body: MessageBody::Part(part), .. }) = Message::decode(&recorded(name))
+        else {
             panic!("{name} is a part of a log");
         };
-        let at = Index::new(2, op);
-        let say =
-            Say::News { at, leader: Some(voter), members: voters(), age: 0, part: Some(part) };
-        let message = Message { view: view(), counts: incarnations(), say };
+        let at = LogIndex::new(2, op);
+        let body = MessageBody::News {
+            at,
+            leader: Some(voter),
+            members: voters(),
+            age: 0,
+            part: Some(part),
+        };
+        let message = Message { view: view(), counts: incarnations(), body };
         learner.handle(
             now,
-            Learn::Message { from: voter, incarnation: Incarnation(1), message },
+            LearnerEvent::Message { from: voter, incarnation: Incarnation(1), message },
             &mut actions,
         );
     }
-    let reset = Learned::Reset { index: Index::new(2, 1000), state: snapshot().state };
-    let committed = Learned::Committed { index: Index::new(2, 1001), entry: command(1) };
+    let reset = LearnerAction::Reset { index: LogIndex::new(2, 1000), state: snapshot().state };
+    let committed = LearnerAction::Committed { index: LogIndex::new(2, 1001), entry: command(1) };
     assert!(actions.contains(&reset) && actions.contains(&committed), "{actions:?}");
 }
 
 #[test]
 fn strings_of_the_admin_api_are_as_they_were() {
     let standings = [
-        (Standing::Outside, "outside"),
-        (Standing::Blank, "blank"),
-        (Standing::Waking, "waking"),
-        (Standing::Changing, "changing"),
-        (Standing::Normal, "normal"),
-        (Standing::Mute, "mute"),
+        (ReplicaStatus::Outside, "outside"),
+        (ReplicaStatus::Blank, "blank"),
+        (ReplicaStatus::Waking, "waking"),
+        (ReplicaStatus::Changing, "changing"),
+        (ReplicaStatus::Normal, "normal"),
+        (ReplicaStatus::Mute, "mute"),
     ];
-    for (standing, shown) in standings {
-        assert_eq!(format!("{standing:?}").to_lowercase(), shown);
+    for (status, shown) in standings {
+        assert_eq!(format!("{status:?}").to_lowercase(), shown);
     }
-    assert_eq!(Index::new(2, 1001).to_string(), "2.1001");
+    assert_eq!(LogIndex::new(2, 1001).to_string(), "2.1001");
 }
 
 #[test]
 fn bounds_that_both_ends_rely_on_are_the_same() {
-    assert_eq!((COUNCIL_MAX, ENTRY_MAX, PART), (16, 16_384, 16_384));
+    assert_eq!((MAX_VOTERS, ENTRY_MAX, PART), (16, 16_384, 16_384));
     assert_eq!((MAX_MESSAGE_BYTES, SNAPSHOT_MAX), (20_480, 2_097_152));
     assert_eq!((VERSION, FILE_MAX), (1, 67_108_864));
 }
--- a/crates/consensus/tests/learners.rs
+++ b/crates/consensus/tests/learners.rs
@@ -2,7 +2,7 @@
 
 mod world;
 
-use hollowpaddle_consensus::{Index, Learn, Outcome, ProposalId, Standing};
+use hollowpaddle_consensus::{LearnerEvent, LogIndex, ProposalId, ProposalOutcome, ReplicaStatus};
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use world::{App, World, ms};
 
@@ -19,12 +19,12 @@
 fn propose(world: &mut World, at: u16) -> ProposalId {
     world.proposed += 1;
     let id = ProposalId { by: NodeId(at), incarnation: Incarnation(3), number: world.proposed };
-    world.learn(at, Learn::Propose { id, bytes: vec![5; 40] });
+    world.learn(at, LearnerEvent::Propose { id, bytes: vec![5; 40] });
     id
 }
 
 fn copies(world: &World) -> Vec<&App> {
-    world.nodes.iter().filter(|n| n.council.is_some()).map(|n| &n.copy).collect()
+    world.nodes.iter().filter(|n| n.replica.is_some()).map(|n| &n.copy).collect()
 }
 
 fn all_alike(world: &World) -> bool {
@@ -61,7 +61,7 @@
             times.push((world.now - began).as_millis());
             world.for_ms(2000);
             assert!(
-                matches!(world.answered.get(&id), Some(Outcome::Committed(_))),
+                matches!(world.answered.get(&id), Some(ProposalOutcome::Committed(_))),
                 "{id:?} at {size}, {loss}"
             );
         }
@@ -96,7 +96,7 @@
         world.for_ms(200);
         let id = propose(&mut world, 0);
         world.for_ms(3000);
-        assert!(matches!(world.answered.get(&id), Some(Outcome::Committed(_))));
+        assert!(matches!(world.answered.get(&id), Some(ProposalOutcome::Committed(_))));
         settle(&mut world, 5000);
     }
 }
@@ -182,7 +182,7 @@
     assert_ne!(copies(&world)[0].epoch, epoch, "what nobody remembers is another epoch");
     let id = propose(&mut world, 200);
     world.for_ms(1000);
-    assert!(matches!(world.answered.get(&id), Some(Outcome::Committed(_))));
+    assert!(matches!(world.answered.get(&id), Some(ProposalOutcome::Committed(_))));
 }
 
 #[test]
@@ -194,23 +194,23 @@
         world.crash(dead);
         world.for_ms(300);
         let id = ProposalId { by: NodeId(1), incarnation: Incarnation(9), number: seed };
-        let replace = hollowpaddle_consensus::Operators::Replace {
+        let replace = hollowpaddle_consensus::OperatorCommand::ReplaceVoter {
             id,
-            out: NodeId(dead),
-            then: Some(NodeId(3)),
+            removed: NodeId(dead),
+            replacement: Some(NodeId(3)),
         };
         // The one that is asked answers as a leader or not at all.
         for _ in 0..20 {
             let leader = world.leader().unwrap_or(leader);
-            world.event(leader, hollowpaddle_consensus::Event::Operators(replace.clone()));
+            world.event(leader, hollowpaddle_consensus::Event::OperatorCommand(replace.clone()));
             world.for_ms(200);
         }
         world.for_ms(2500);
-        let council = world.nodes[3].council.as_ref().expect("it runs");
-        assert_eq!(council.standing(), Standing::Normal, "seed {seed}: {}", world.states());
+        let replica = world.nodes[3].replica.as_ref().expect("it runs");
+        assert_eq!(replica.status(), ReplicaStatus::Normal, "seed {seed}: {}", world.states());
         assert!(
-            council.members().list.contains(&NodeId(3))
-                && !council.members().list.contains(&NodeId(dead))
+            replica.members().voters.contains(&NodeId(3))
+                && !replica.members().voters.contains(&NodeId(dead))
         );
         // Two of the four old ones die: with the new one there is a majority.
         let old: Vec<u16> = FIVE.iter().copied().filter(|m| *m != dead).take(2).collect();
@@ -219,15 +219,15 @@
         let id = propose(&mut world, 5);
         world.for_ms(3000);
         assert!(
-            matches!(world.answered.get(&id), Some(Outcome::Committed(_))),
+            matches!(world.answered.get(&id), Some(ProposalOutcome::Committed(_))),
             "seed {seed}: {}",
             world.states()
         );
         // The one that went comes back, and finds that it votes no more.
         world.start(dead);
         world.for_ms(3000);
-        let standing = world.nodes[dead as usize].council.as_ref().map(|c| c.standing());
-        assert_eq!(standing, Some(Standing::Outside), "seed {seed}: {}", world.states());
+        let status = world.nodes[dead as usize].replica.as_ref().map(|c| c.status());
+        assert_eq!(status, Some(ReplicaStatus::Outside), "seed {seed}: {}", world.states());
     }
 }
 
@@ -243,15 +243,15 @@
     let members = [21, 28, 1].map(NodeId).to_vec();
     world.event(
         21,
-        hollowpaddle_consensus::Event::Operators(hollowpaddle_consensus::Operators::Restore {
-            members,
-        }),
+        hollowpaddle_consensus::Event::OperatorCommand(
+            hollowpaddle_consensus::OperatorCommand::ForceNewEpoch { members },
+        ),
     );
     world.for_ms(4000);
     let later = propose(&mut world, 12);
     world.for_ms(2000);
     assert!(
-        matches!(world.answered.get(&later), Some(Outcome::Committed(_))),
+        matches!(world.answered.get(&later), Some(ProposalOutcome::Committed(_))),
         "{}",
         world.states()
     );
@@ -262,5 +262,5 @@
     world.for_ms(4000);
     settle(&mut world, 3000);
     let at = world.nodes[0].copy.at;
-    assert!(Index::new(world.nodes[0].copy.epoch, at) > Index::default());
+    assert!(LogIndex::new(world.nodes[0].copy.epoch, at) > LogIndex::default());
 }
--- a/crates/consensus/tests/lives.rs
+++ b/crates/consensus/tests/lives.rs
@@ -5,14 +5,15 @@
 use std::collections::BTreeSet;
 
 use hollowpaddle_consensus::{
-    Action, Council, Counts, Event, Hello, Message, Say, Standing, View, What,
+    Action, EntryPayload, Event, Heartbeat, IncarnationCounts, Message, MessageBody, Replica,
+    ReplicaStatus, View,
 };
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use world::{World, ms};
 
 /// One member on its own, to which words are brought by hand.
 struct Alone {
-    council: Council,
+    replica: Replica,
     now: u64,
     actions: Vec<Action>,
 }
@@ -26,24 +27,24 @@
         let leader = world.leader().expect("settled");
         let one = if leads { leader } else { (leader + 1) % size };
         let others = voters.iter().filter(|m| **m != one && **m != leader);
-        let council = world.nodes[one as usize].council.clone().expect("runs");
+        let replica = world.nodes[one as usize].replica.clone().expect("runs");
         let others = others.map(|m| NodeId(*m)).collect();
-        (Self { council, now: 3300, actions: Vec::new() }, others)
+        (Self { replica, now: 3300, actions: Vec::new() }, others)
     }
-    fn hear(&mut self, from: NodeId, view: View, counts: &[(NodeId, u32)], say: Say) {
-        let counts: Counts = counts.iter().copied().collect();
-        let message = Message { view, counts, say };
+    fn hear(&mut self, from: NodeId, view: View, counts: &[(NodeId, u32)], body: MessageBody) {
+        let counts: IncarnationCounts = counts.iter().copied().collect();
+        let message = Message { view, counts, body };
         let event = Event::Message { from, incarnation: Incarnation(1), message };
-        self.council.handle(ms(self.now), event, &mut self.actions);
+        self.replica.handle(ms(self.now), event, &mut self.actions);
     }
     fn tick(&mut self) {
         self.now += 25;
-        self.council.handle(ms(self.now), Event::Tick, &mut self.actions);
+        self.replica.handle(ms(self.now), Event::Tick, &mut self.actions);
     }
-    fn said(&self, which: impl Fn(&Say) -> bool) -> bool {
+    fn said(&self, which: impl Fn(&MessageBody) -> bool) -> bool {
         self.actions
             .iter()
-            .any(|a| matches!(a, Action::Send { message, .. } if which(&message.say)))
+            .any(|a| matches!(a, Action::Send { message, .. } if which(&message.body)))
     }
     fn leads(&self) -> bool {
         self.actions.iter().any(|a| matches!(a, Action::Leads { .. }))
@@ -51,28 +52,28 @@
 }
 
 /// A candidate for a new view of five, that others have told that they are free and hear it.
-fn candidate() -> (Alone, Vec<NodeId>, Say) {
+fn candidate() -> (Alone, Vec<NodeId>, MessageBody) {
     let (mut one, others) = Alone::of(5, false);
-    let (view, members) = (one.council.view(), one.council.members().clone());
+    let (view, members) = (one.replica.view(), one.replica.members().clone());
     for _ in 0..60 {
         one.tick();
         for other in &others {
-            let hello = Hello {
-                standing: Standing::Normal,
+            let hello = Heartbeat {
+                status: ReplicaStatus::Normal,
                 leads: false,
                 free: true,
-                heard: members.list.iter().copied().collect::<BTreeSet<_>>(),
+                heard: members.voters.iter().copied().collect::<BTreeSet<_>>(),
                 op: 0,
                 commit: 0,
                 written: 0,
                 round: 0,
                 members: members.clone(),
             };
-            one.hear(*other, view, &[], Say::Hello(hello));
+            one.hear(*other, view, &[], MessageBody::Heartbeat(hello));
         }
     }
-    assert!(one.said(|s| matches!(s, Say::Begin { .. })) && !one.leads());
-    let join = Say::Join { last: view, op: 0, commit: 0, blank: false };
+    assert!(one.said(|s| matches!(s, MessageBody::Begin { .. })) && !one.leads());
+    let join = MessageBody::Join { last: view, op: 0, commit: 0, blank: false };
     (one, others, join)
 }
 
@@ -80,7 +81,7 @@
 fn a_join_counts_no_longer_once_its_life_has_ended() {
     let (mut one, others, join) = candidate();
     let (a, b) = (others[0], others[1]);
-    let view = one.council.view();
+    let view = one.replica.view();
     one.hear(a, view, &[], join.clone());
     assert!(!one.leads(), "two of five");
     // Who joins now has been told of a later life of the one that joined before.
@@ -95,36 +96,37 @@
 #[test]
 fn what_an_ended_life_kept_counts_no_longer() {
     let (mut one, others) = Alone::of(3, true);
-    let (a, view) = (others[0], one.council.view());
-    let committed = one.council.committed().op();
+    let (a, view) = (others[0], one.replica.view());
+    let committed = one.replica.committed().op();
     let id = hollowpaddle_consensus::ProposalId::default();
-    let propose = |id| Say::Propose { id, what: Some(What::Bytes(vec![1])) };
+    let propose = |id| MessageBody::Propose { id, what: Some(EntryPayload::Command(vec![1])) };
     one.hear(NodeId(0), View::default(), &[], propose(id));
-    let b = *one.council.members().list.iter().find(|m| **m != a && **m != view.leader).expect("b");
-    one.hear(b, view, &[(a, 1)], Say::Ask { nonce: 1, at: 1 });
-    one.hear(a, view, &[], Say::Ok { op: committed + 1, round: 0 });
-    assert_eq!(one.council.committed().op(), committed, "who said so has forgotten it");
-    one.hear(a, view, &[(a, 1)], Say::Ok { op: committed + 1, round: 0 });
-    assert_eq!(one.council.committed().op(), committed + 1);
+    let b =
+        *one.replica.members().voters.iter().find(|m| **m != a && **m != view.leader).expect("b");
+    one.hear(b, view, &[(a, 1)], MessageBody::Ask { nonce: 1, at: 1 });
+    one.hear(a, view, &[], MessageBody::Ok { op: committed + 1, round: 0 });
+    assert_eq!(one.replica.committed().op(), committed, "who said so has forgotten it");
+    one.hear(a, view, &[(a, 1)], MessageBody::Ok { op: committed + 1, round: 0 });
+    assert_eq!(one.replica.committed().op(), committed + 1);
 }
 
 #[test]
 fn one_that_has_forgotten_takes_its_view_from_the_latest_of_a_majority_and_its_leader() {
     let (mut one, others) = Alone::of(5, false);
-    let view = one.council.view();
-    one.council.handle(
+    let view = one.replica.view();
+    one.replica.handle(
         ms(one.now),
         Event::DiskFailed { cause: "no space".to_string() },
         &mut one.actions,
     );
-    one.council.handle(ms(one.now), Event::DiskWell, &mut one.actions);
+    one.replica.handle(ms(one.now), Event::DiskWell, &mut one.actions);
     one.tick();
     one.actions.clear();
     one.now += 100;
     one.tick();
     let nonce = one.actions.iter().find_map(|a| match a {
-        Action::Send { message, .. } => match message.say {
-            Say::Ask { nonce, .. } => Some((nonce, message.counts.clone())),
+        Action::Send { message, .. } => match message.body {
+            MessageBody::Ask { nonce, .. } => Some((nonce, message.counts.clone())),
             _ => None,
         },
         _ => None,
@@ -132,11 +134,11 @@
     let (nonce, counts) = nonce.expect("it asks");
     // Of each the life that is known: some may have started anew while the council settled.
     let incarnations: Vec<(NodeId, u32)> = counts.into_iter().collect();
-    let members = one.council.members().clone();
-    let told = Say::Told {
+    let members = one.replica.members().clone();
+    let told = MessageBody::Told {
         nonce,
         at: one.now,
-        standing: Standing::Normal,
+        status: ReplicaStatus::Normal,
         own: 1,
         written: 0,
         commit: 0,
@@ -147,10 +149,10 @@
     }
     one.now += 100;
     one.tick();
-    assert!(one.said(|s| matches!(s, Say::Recover { .. })));
-    let fetches = |one: &Alone| one.said(|s| matches!(s, Say::Fetch { .. }));
+    assert!(one.said(|s| matches!(s, MessageBody::Recover { .. })));
+    let fetches = |one: &Alone| one.said(|s| matches!(s, MessageBody::Fetch { .. }));
     let later = View { number: view.number + 1, leader: others[0], ..view };
-    let recovered = |leads| Say::Recovered { nonce, op: 0, leads };
+    let recovered = |leads| MessageBody::Recovered { nonce, op: 0, leads };
     one.hear(view.leader, view, &incarnations, recovered(true));
     assert!(!fetches(&one), "one of five may not know");
     one.hear(others[1], later, &incarnations, recovered(false));
@@ -158,17 +160,17 @@
     assert!(!fetches(&one), "a later view is known, and its leader has not said what stands");
     one.hear(others[0], later, &incarnations, recovered(true));
     assert!(fetches(&one));
-    assert_eq!(one.council.view(), later);
+    assert_eq!(one.replica.view(), later);
 }
 
 #[test]
 fn a_round_is_answered_in_its_view_only() {
     let (mut one, others) = Alone::of(3, true);
-    let view = one.council.view();
+    let view = one.replica.view();
     (0..8).for_each(|_| one.tick());
     let round = one.actions.iter().rev().find_map(|a| match a {
-        Action::Send { message, .. } => match &message.say {
-            Say::Hello(hello) if hello.round > 0 => Some(hello.round),
+        Action::Send { message, .. } => match &message.body {
+            MessageBody::Heartbeat(hello) if hello.round > 0 => Some(hello.round),
             _ => None,
         },
         _ => None,
@@ -177,9 +179,9 @@
     one.actions.clear();
     let rounds = |one: &Alone| one.actions.iter().any(|a| matches!(a, Action::Round { .. }));
     for other in [View { number: view.number + 1, ..view }, View { number: 0, ..view }] {
-        one.hear(others[0], other, &[], Say::Ok { op: 0, round });
+        one.hear(others[0], other, &[], MessageBody::Ok { op: 0, round });
         assert!(!rounds(&one), "who answers is in another view");
     }
-    one.hear(others[0], view, &[], Say::Ok { op: 0, round });
+    one.hear(others[0], view, &[], MessageBody::Ok { op: 0, round });
     assert!(rounds(&one));
 }
--- a/crates/consensus/tests/messages.rs
+++ b/crates/consensus/tests/messages.rs
@@ -3,16 +3,16 @@
 mod world;
 
 use hollowpaddle_consensus::{
-    Action, Council, Counts, Event, Learn, Learner, LearnerSettings, MAX_MESSAGE_BYTES, Members,
-    Message, MessageError, Outcome, Part, ProposalId, Say, Settings, View, What, default_council,
-    order, parent,
+    Action, EntryPayload, Event, IncarnationCounts, Learner, LearnerConfig, LearnerEvent,
+    MAX_MESSAGE_BYTES, Message, MessageBody, MessageError, Part, ProposalId, ProposalOutcome,
+    Replica, ReplicaConfig, View, VoterSet, default_voters, order, parent,
 };
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use proptest::prelude::*;
 use world::{World, ms};
 
-fn message(say: Say) -> Message {
-    Message { view: View::default(), counts: Counts::new(), say }
+fn message(body: MessageBody) -> Message {
+    Message { view: View::default(), counts: IncarnationCounts::new(), body }
 }
 
 #[test]
@@ -30,7 +30,7 @@
 
 #[test]
 fn the_council_of_a_bank_is_spread_over_its_numbers() {
-    let numbers = |cluster| default_council(cluster).iter().map(|m| m.0).collect::<Vec<_>>();
+    let numbers = |cluster| default_voters(cluster).iter().map(|m| m.0).collect::<Vec<_>>();
     assert_eq!(numbers(100), [0, 20, 40, 60, 80]);
     assert_eq!(numbers(300), [0, 42, 85, 128, 171, 214, 257]);
     assert_eq!(numbers(3), [0, 1, 2]);
@@ -39,7 +39,7 @@
 
 #[test]
 fn the_tree_of_three_hundred_has_three_steps() {
-    let members = Members::of(default_council(300));
+    let members = VoterSet::of(default_voters(300));
     let order = order(300, &members, Some(NodeId(128)));
     assert_eq!(order[0], NodeId(128));
     let mut deepest = 0;
@@ -58,30 +58,38 @@
 #[test]
 fn what_can_never_be_an_entry_is_told_so_and_nothing_else_is() {
     let settings =
-        LearnerSettings { node_id: NodeId(3), voters: vec![NodeId(0)], cluster: 4, seed: 1 };
+        LearnerConfig { node_id: NodeId(3), voters: vec![NodeId(0)], cluster: 4, seed: 1 };
     let mut learner = Learner::new(ms(0), settings);
     let id = |number| ProposalId { by: NodeId(3), incarnation: Incarnation(1), number };
     let mut actions = Vec::new();
-    learner.handle(ms(0), Learn::Propose { id: id(1), bytes: vec![0; 16_385] }, &mut actions);
-    learner.handle(ms(0), Learn::Propose { id: id(2), bytes: vec![0; 16_384] }, &mut actions);
+    learner.handle(
+        ms(0),
+        LearnerEvent::Propose { id: id(1), bytes: vec![0; 16_385] },
+        &mut actions,
+    );
+    learner.handle(
+        ms(0),
+        LearnerEvent::Propose { id: id(2), bytes: vec![0; 16_384] },
+        &mut actions,
+    );
     for tick in 0..500 {
-        learner.handle(ms(tick * 25), Learn::Tick, &mut actions);
+        learner.handle(ms(tick * 25), LearnerEvent::Tick, &mut actions);
     }
     let told: Vec<_> = actions
         .iter()
         .filter_map(|a| match a {
-            hollowpaddle_consensus::Learned::Answered { id, outcome } => {
+            hollowpaddle_consensus::LearnerAction::Answered { id, outcome } => {
                 Some((id.number, *outcome))
             }
             _ => None,
         })
         .collect();
-    assert_eq!(told, [(1, Outcome::Never), (2, Outcome::Unknown)]);
+    assert_eq!(told, [(1, ProposalOutcome::Never), (2, ProposalOutcome::Unknown)]);
 }
 
 #[test]
 fn nothing_leaves_a_member_before_its_disk_has_what_was_issued() {
-    let settings = Settings {
+    let settings = ReplicaConfig {
         node_id: NodeId(0),
         incarnation: Incarnation(1),
         voters: vec![NodeId(0)],
@@ -90,38 +98,53 @@
         copies: 0,
         seed: 1,
     };
-    let mut council = Council::new(ms(0), settings, None);
+    let mut replica = Replica::new(ms(0), settings, None);
     let mut actions = Vec::new();
     let mut at = 0;
-    let mut tick = |council: &mut Council, actions: &mut Vec<Action>| {
+    let mut tick = |replica: &mut Replica, actions: &mut Vec<Action>| {
         at += 25;
-        council.handle(ms(at), Event::Tick, actions);
+        replica.handle(ms(at), Event::Tick, actions);
     };
     while !actions.iter().any(|a| matches!(a, Action::Persist { .. })) {
-        tick(&mut council, &mut actions);
+        tick(&mut replica, &mut actions);
     }
     let before = actions.len();
-    (0..40).for_each(|_| tick(&mut council, &mut actions));
+    (0..40).for_each(|_| tick(&mut replica, &mut actions));
     let leads = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Leads { .. }));
     assert!(!leads(&actions), "its own vote is not on disk");
     assert!(actions[before..].iter().all(|a| !matches!(a, Action::Send { .. })));
-    council.handle(ms(2100), Event::Persisted { upto: 1 }, &mut actions);
+    replica.handle(ms(2100), Event::Persisted { through: 1 }, &mut actions);
     assert!(leads(&actions));
 }
 
-fn strange(from: u16, kind: u8, n: u64, m: u32, bytes: &[u8]) -> Say {
+fn strange(from: u16, kind: u8, n: u64, m: u32, bytes: &[u8]) -> MessageBody {
     let id = ProposalId { by: NodeId(from), incarnation: Incarnation(m), number: n };
     match kind % 8 {
-        0 => Say::Ok { op: n, round: m },
-        1 => Say::Fetch { from: n, offset: m },
-        2 => Say::Join { last: View::default(), op: n, commit: n, blank: m.is_multiple_of(2) },
-        3 => Say::Part(Part::Chunk { op: n, len: m, sum: m, offset: 0, bytes: bytes.to_vec() }),
-        4 => Say::Part(Part::Entries { first: n, entries: Vec::new() }),
-        5 => Say::Propose { id, what: Some(What::Remove { out: NodeId(from), then: None }) },
-        6 => Say::Prepare { first: n, entries: Vec::new(), commit: n },
-        _ => {
-            Say::Begin { founding: m.is_multiple_of(2), members: Some(Members::of([NodeId(from)])) }
-        }
+        0 => MessageBody::Ok { op: n, round: m },
+        1 => MessageBody::Fetch { from: n, offset: m },
+        2 => MessageBody::Join {
+            last: View::default(),
+            op: n,
+            commit: n,
+            blank: m.is_multiple_of(2),
+        },
+        3 => MessageBody::Part(Part::Chunk {
+            op: n,
+            len: m,
+            sum: m,
+            offset: 0,
+            bytes: bytes.to_vec(),
+        }),
+        4 => MessageBody::Part(Part::Entries { first: n, entries: Vec::new() }),
+        5 => MessageBody::Propose {
+            id,
+            what: Some(EntryPayload::RemoveVoter { removed: NodeId(from), replacement: None }),
+        },
+        6 => MessageBody::Prepare { first: n, entries: Vec::new(), commit: n },
+        _ => MessageBody::Begin {
+            founding: m.is_multiple_of(2),
+            members: Some(VoterSet::of([NodeId(from)])),
+        },
     }
 }
 
@@ -135,7 +158,7 @@
 
     #[test]
     fn a_word_with_bytes_behind_it_is_refused(more in 1usize..20, nonce: u64) {
-        let mut bytes = message(Say::Ask { nonce, at: 1 }).encode().expect("short");
+        let mut bytes = message(MessageBody::Ask { nonce, at: 1 }).encode().expect("short");
         bytes.extend(vec![0; more]);
         prop_assert_eq!(Message::decode(&bytes), Err(MessageError::Trailing { found: more }));
         bytes.resize(MAX_MESSAGE_BYTES + 1, 0);
@@ -150,54 +173,65 @@
     ) {
         let mut world = World::new(1, 3, &[0, 1, 2], false);
         world.run(ms(2000));
-        let council = world.nodes[0].council.as_mut().expect("runs");
+        let replica = world.nodes[0].replica.as_mut().expect("runs");
         let mut actions = Vec::new();
         for (place, (from, kind, n, m, epoch, bytes)) in words.into_iter().enumerate() {
             let mut message = message(strange(from, kind, n, m, &bytes));
-            let own = council.view();
+            let own = replica.view();
             message.view = if n % 3 == 0 { own } else { View { epoch, number: m, leader: NodeId(from) } };
             message.counts.insert(NodeId(from), m % 3);
             let now = ms(2000 + place as u64);
-            council.handle(now, Event::Message { from: NodeId(from), incarnation: Incarnation(m), message }, &mut actions);
+            replica.handle(now, Event::Message { from: NodeId(from), incarnation: Incarnation(m), message }, &mut actions);
         }
     }
 }
 
 #[test]
 fn a_learner_goes_back_to_no_lesser_epoch_and_tells_the_leader_of_its_own() {
-    use hollowpaddle_consensus::{Base, Entry, Index, Learned};
+    use hollowpaddle_consensus::{Base, Entry, LearnerAction, LogIndex};
     let settings =
-        LearnerSettings { node_id: NodeId(3), voters: vec![NodeId(0)], cluster: 4, seed: 1 };
+        LearnerConfig { node_id: NodeId(3), voters: vec![NodeId(0)], cluster: 4, seed: 1 };
     let mut learner = Learner::new(ms(0), settings);
     let mut actions = Vec::new();
-    let reset = |epoch, op| Learn::Reset {
-        index: Index::new(epoch, op),
-        base: Base { op, members: Members::of([NodeId(0)]), ..Base::default() },
+    let reset = |epoch, op| LearnerEvent::Reset {
+        index: LogIndex::new(epoch, op),
+        base: Base { op, members: VoterSet::of([NodeId(0)]), ..Base::default() },
     };
     learner.handle(ms(0), reset(9, 4), &mut actions);
     learner.handle(ms(0), reset(5, 70), &mut actions);
-    assert_eq!(learner.at(), Index::new(9, 4));
-    let entry = Entry { id: ProposalId::default(), what: What::Bytes(vec![1]) };
+    assert_eq!(learner.at(), LogIndex::new(9, 4));
+    let entry = Entry { id: ProposalId::default(), what: EntryPayload::Command(vec![1]) };
     for (epoch, op) in [(5, 5), (9, 6), (9, 4)] {
-        let index = Index::new(epoch, op);
-        learner.handle(ms(0), Learn::Committed { index, entry: entry.clone() }, &mut actions);
-        assert_eq!(learner.at(), Index::new(9, 4), "{index} does not come next");
+        let index = LogIndex::new(epoch, op);
+        learner.handle(
+            ms(0),
+            LearnerEvent::Committed { index, entry: entry.clone() },
+            &mut actions,
+        );
+        assert_eq!(learner.at(), LogIndex::new(9, 4), "{index} does not come next");
     }
-    learner.handle(ms(0), Learn::Committed { index: Index::new(9, 5), entry }, &mut actions);
-    assert_eq!(learner.at(), Index::new(9, 5));
-    let news = Say::News {
-        at: Index::new(5, 80),
+    learner.handle(
+        ms(0),
+        LearnerEvent::Committed { index: LogIndex::new(9, 5), entry },
+        &mut actions,
+    );
+    assert_eq!(learner.at(), LogIndex::new(9, 5));
+    let news = MessageBody::News {
+        at: LogIndex::new(5, 80),
         leader: Some(NodeId(0)),
-        members: Members::of([NodeId(0)]),
+        members: VoterSet::of([NodeId(0)]),
         age: 0,
         part: None,
     };
-    let event =
-        Learn::Message { from: NodeId(0), incarnation: Incarnation(1), message: message(news) };
+    let event = LearnerEvent::Message {
+        from: NodeId(0),
+        incarnation: Incarnation(1),
+        message: message(news),
+    };
     learner.handle(ms(10), event, &mut actions);
-    let tells = |a: &Learned| {
-        matches!(a, Learned::Send { to: NodeId(0), message }
-            if matches!(message.say, Say::Copy { at, .. } if at == Index::new(9, 5)))
+    let tells = |a: &LearnerAction| {
+        matches!(a, LearnerAction::Send { to: NodeId(0), message }
+            if matches!(message.body, MessageBody::Copy { at, .. } if at == LogIndex::new(9, 5)))
     };
     assert!(actions.iter().any(tells));
 }
--- a/crates/consensus/tests/store.rs
+++ b/crates/consensus/tests/store.rs
@@ -5,7 +5,8 @@
 use std::collections::BTreeSet;
 
 use hollowpaddle_consensus::{
-    Base, Counts, Doubt, Durable, Entry, ProposalId, Record, Store, StoreError, View, What,
+    Base, Corruption, DurableState, Entry, EntryPayload, IncarnationCounts, ProposalId, Record,
+    Store, StoreError, View,
 };
 use hollowpaddle_failpoints::{Fault, Kind, Plan, Points};
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
@@ -13,7 +14,7 @@
 
 fn entry(number: u64, length: usize) -> Entry {
     let id = ProposalId { by: NodeId(1), incarnation: Incarnation(1), number };
-    Entry { id, what: What::Bytes(vec![number as u8; length]) }
+    Entry { id, what: EntryPayload::Command(vec![number as u8; length]) }
 }
 
 /// Records as a member makes them.
@@ -22,19 +23,20 @@
     let whole = Record::Whole {
         view: view(1),
         last: view(1),
-        counts: Counts::new(),
+        counts: IncarnationCounts::new(),
         commit: 0,
         base: Base::default(),
         start: 0,
         entries: Vec::new(),
     };
-    let promise = |n| Record::Promise { view: view(n), last: view(1), counts: Counts::new() };
+    let promise =
+        |n| Record::Promise { view: view(n), last: view(1), counts: IncarnationCounts::new() };
     let entries = |first| Record::Entries { first, entries: vec![entry(first, 300_000)] };
     let base = Base { op: 3, state: vec![1; 1000], ..Base::default() };
     let turn = Record::Turn {
         view: view(3),
         last: view(3),
-        counts: Counts::new(),
+        counts: IncarnationCounts::new(),
         first: 4,
         entries: vec![entry(9, 10)],
     };
@@ -72,9 +74,9 @@
     (told, done)
 }
 
-fn model(upto: u64) -> Durable {
-    let mut durable = Durable::default();
-    (1..=upto).zip(records()).for_each(|(n, r)| durable.apply(n, r));
+fn model(through: u64) -> DurableState {
+    let mut durable = DurableState::default();
+    (1..=through).zip(records()).for_each(|(n, r)| durable.apply(n, r));
     durable
 }
 
@@ -130,14 +132,17 @@
         disk.put(bytes);
         Store::open(disk, Points::none(), cluster, NodeId(node_id)).expect("readable").1
     };
-    assert!(matches!(open(bytes.clone(), 7, 2).doubt, Some(Doubt::Foreign { member: 1, .. })));
-    assert!(matches!(open(bytes.clone(), 8, 1).doubt, Some(Doubt::Foreign { cluster: 7, .. })));
-    assert!(matches!(open(b"something else".to_vec(), 7, 1).doubt, Some(Doubt::NoHead)));
+    assert!(matches!(open(bytes.clone(), 7, 2).doubt, Some(Corruption::Foreign { member: 1, .. })));
+    assert!(matches!(
+        open(bytes.clone(), 8, 1).doubt,
+        Some(Corruption::Foreign { cluster: 7, .. })
+    ));
+    assert!(matches!(open(b"something else".to_vec(), 7, 1).doubt, Some(Corruption::NoHead)));
     let mut changed = bytes.clone();
     changed[50] ^= 1;
     let found = open(changed, 7, 1);
-    assert!(matches!(found.doubt, Some(Doubt::Damaged { .. })), "{:?}", found.doubt);
-    assert_eq!(found.durable, Durable::default());
+    assert!(matches!(found.doubt, Some(Corruption::Damaged { .. })), "{:?}", found.doubt);
+    assert_eq!(found.durable, DurableState::default());
     for cut in (30..bytes.len()).step_by(997) {
         let found = open(bytes[..cut].to_vec(), 7, 1);
         assert!(found.doubt.is_none(), "a torn tail is cut off: {cut}");
--- a/crates/consensus/tests/world/mod.rs
+++ b/crates/consensus/tests/world/mod.rs
@@ -9,8 +9,9 @@
 use std::time::Duration;
 
 use hollowpaddle_consensus::{
-    Action, Council, Disk, Durable, Entry, Event, Index, Learn, Learned, Learner, LearnerSettings,
-    Members, Message, Outcome, ProposalId, Say, Settings, Standing, Store, StoreError, View, What,
+    Action, Disk, DurableState, Entry, EntryPayload, Event, Learner, LearnerAction, LearnerConfig,
+    LearnerEvent, LogIndex, Message, MessageBody, ProposalId, ProposalOutcome, Replica,
+    ReplicaConfig, ReplicaStatus, Store, StoreError, View, VoterSet,
 };
 use hollowpaddle_failpoints::Points;
 use hollowpaddle_peer_transport::{Channel, Incarnation, NodeId};
@@ -144,7 +145,7 @@
 }
 
 pub struct Node {
-    pub council: Option<Council>,
+    pub replica: Option<Replica>,
     pub learner: Option<Learner>,
     pub copy: App,
     pub source: Option<u16>,
@@ -159,7 +160,7 @@
     pub app: App,
     pub leads: Option<View>,
     pub deaf: Vec<Event>,
-    pub deaf_learner: Vec<Learn>,
+    pub deaf_learner: Vec<LearnerEvent>,
 }
 
 pub struct World {
@@ -177,8 +178,8 @@
     words: BTreeMap<u64, Message>,
     seq: u64,
     /// index -> id, over all members.
-    pub agreed: BTreeMap<Index, (ProposalId, u64)>,
-    pub yes: BTreeMap<ProposalId, Index>,
+    pub agreed: BTreeMap<LogIndex, (ProposalId, u64)>,
+    pub yes: BTreeMap<ProposalId, LogIndex>,
     pub proposed: u64,
     /// When each view began to be led, real time.
     pub led: BTreeMap<View, Duration>,
@@ -195,25 +196,25 @@
     later: Vec<(u16, Event)>,
     /// The least length of a snapshot.
     pub state_len: usize,
-    pub answered: BTreeMap<ProposalId, Outcome>,
+    pub answered: BTreeMap<ProposalId, ProposalOutcome>,
     /// Words and bytes of the log's channel, by sender.
     pub log_sent: BTreeMap<u16, (u64, u64)>,
     trace: bool,
 }
 
-fn digest(what: &What) -> u64 {
+fn digest(what: &EntryPayload) -> u64 {
     let text = format!("{what:?}");
     text.bytes().fold(1469598103934665603, |h, b| (h ^ u64::from(b)).wrapping_mul(1099511628211))
 }
 
 impl App {
-    fn take(&mut self, index: Index, entry: &Entry) {
+    fn take(&mut self, index: LogIndex, entry: &Entry) {
         assert_eq!((index.epoch(), index.op()), (self.epoch, self.at + 1), "out of order");
         self.at += 1;
         self.ids.push((index.op(), entry.id));
     }
-    fn reset(&mut self, index: Index, state: &[u8], may_go_back: bool) {
-        let before = Index::new(self.epoch, self.at);
+    fn reset(&mut self, index: LogIndex, state: &[u8], may_go_back: bool) {
+        let before = LogIndex::new(self.epoch, self.at);
         assert!(index >= before || may_go_back, "back to {index}");
         let ids = || postcard::take_from_bytes(state).unwrap().0;
         self.ids = if state.is_empty() { Vec::new() } else { ids() };
@@ -272,7 +273,7 @@
         };
         for number in 0..nodes {
             world.nodes.push(Node {
-                council: None,
+                replica: None,
                 learner: None,
                 copy: App::default(),
                 source: None,
@@ -307,7 +308,7 @@
 
     pub fn start(&mut self, who: u16) {
         let (now, seed) = (self.now, self.rng.rand_u64());
-        let settings = Settings {
+        let settings = ReplicaConfig {
             node_id: NodeId(who),
             incarnation: Incarnation(seed as u32),
             voters: self.voters.clone(),
@@ -316,7 +317,7 @@
             copies: if self.learners { 2 } else { 0 },
             seed,
         };
-        let learner = LearnerSettings {
+        let learner = LearnerConfig {
             node_id: NodeId(who),
             voters: self.voters.clone(),
             cluster: settings.cluster,
@@ -347,18 +348,18 @@
                     if matches!(e, StoreError::Ended(_)) {
                         node.store = None;
                     }
-                    Durable::default()
+                    DurableState::default()
                 }
             }
         });
         if failed && node.store.is_none() {
             // It ended as it started.
-            node.council = None;
+            node.replica = None;
             self.start_after(who, ms(300));
             return;
         }
         node.learner = learners.then(|| Learner::new(Duration::ZERO, learner));
-        node.council = Some(Council::new(Duration::ZERO, settings, found));
+        node.replica = Some(Replica::new(Duration::ZERO, settings, found));
         let incarnation = node.incarnation;
         self.push(now, What2::Tick(who, incarnation));
         if failed {
@@ -372,7 +373,7 @@
             eprintln!("{:>6} {who} crashes", self.now.as_millis());
         }
         let node = &mut self.nodes[who as usize];
-        node.council = None;
+        node.replica = None;
         node.learner = None;
         node.leads = None;
         node.store = None;
@@ -415,19 +416,19 @@
             node.deaf.push(event);
             return;
         }
-        let Some(council) = &mut node.council else { return };
+        let Some(replica) = &mut node.replica else { return };
         let mut actions = Vec::new();
-        council.handle(now - node.started, event, &mut actions);
-        let leader = council.leader();
+        replica.handle(now - node.started, event, &mut actions);
+        let leader = replica.leader();
         for action in actions {
             self.act(who, action);
         }
         if self.learners {
-            self.learn(who, Learn::Leader(leader));
+            self.learn(who, LearnerEvent::Leader(leader));
         }
     }
 
-    pub fn learn(&mut self, who: u16, event: Learn) {
+    pub fn learn(&mut self, who: u16, event: LearnerEvent) {
         let now = self.now;
         let node = &mut self.nodes[who as usize];
         if now < node.paused {
@@ -439,36 +440,36 @@
         learner.handle(now - node.started, event, &mut actions);
         for action in actions {
             match action {
-                Learned::Send { to, message } => self.send(who, to.0, message),
-                Learned::Committed { index, entry } => {
+                LearnerAction::Send { to, message } => self.send(who, to.0, message),
+                LearnerAction::Committed { index, entry } => {
                     self.agree(index, &entry);
                     let copy = &mut self.nodes[who as usize].copy;
                     copy.take(index, &entry);
                     if self.snapshots && index.op() % 64 == 0 {
                         let mut bytes = postcard::to_stdvec(&copy.ids).unwrap();
                         bytes.resize(bytes.len().max(self.state_len), 0);
-                        self.learn(who, Learn::Snapshot { index, bytes });
+                        self.learn(who, LearnerEvent::Snapshot { index, bytes });
                     }
                 }
-                Learned::Reset { index, state } => {
+                LearnerAction::Reset { index, state } => {
                     self.nodes[who as usize].copy.reset(index, &state, false);
                 }
-                Learned::Source(source) => {
+                LearnerAction::Source(source) => {
                     self.nodes[who as usize].source = source.map(|m| m.0);
                 }
-                Learned::Copied { by, index } => self.event(who, Event::Copied { by, index }),
-                Learned::Answered { id, outcome } => {
+                LearnerAction::Copied { by, index } => self.event(who, Event::Copied { by, index }),
+                LearnerAction::Answered { id, outcome } => {
                     self.answered.insert(id, outcome);
-                    if let Outcome::Committed(index) = outcome {
+                    if let ProposalOutcome::Committed(index) = outcome {
                         self.said_yes(id, index);
                     }
                 }
-                Learned::SnapshotWanted => {}
+                LearnerAction::SnapshotWanted => {}
             }
         }
     }
 
-    fn said_yes(&mut self, id: ProposalId, index: Index) {
+    fn said_yes(&mut self, id: ProposalId, index: LogIndex) {
         let before = self.yes.insert(id, index);
         let same_epoch = before.is_none_or(|b| b.epoch() != index.epoch() || b == index);
         assert!(same_epoch, "{id:?} is two entries");
@@ -476,7 +477,7 @@
         assert_eq!(there, Some(id), "yes to what is not at {index}");
     }
 
-    fn agree(&mut self, index: Index, entry: &Entry) {
+    fn agree(&mut self, index: LogIndex, entry: &Entry) {
         let said = (entry.id, digest(&entry.what));
         let known = self.agreed.entry(index).or_insert(said);
         assert_eq!(*known, said, "two entries at {index}");
@@ -495,15 +496,17 @@
         }
         if self.trace {
             let told = match &action {
-                Action::Send { to, message } => match &message.say {
-                    Say::Begin { founding, .. } => {
+                Action::Send { to, message } => match &message.body {
+                    MessageBody::Begin { founding, .. } => {
                         format!("begin {:?} {founding} to {to:?}", message.view)
                     }
-                    Say::Join { .. } | Say::Recover { .. } | Say::Recovered { .. } => {
-                        format!("{:?} {:?} to {to:?}", message.view, message.say)
+                    MessageBody::Join { .. }
+                    | MessageBody::Recover { .. }
+                    | MessageBody::Recovered { .. } => {
+                        format!("{:?} {:?} to {to:?}", message.view, message.body)
                     }
-                    Say::Fetch { .. } | Say::Part(_) => {
-                        format!("{:?} {:?} to {to:?}", message.view, message.say)
+                    MessageBody::Fetch { .. } | MessageBody::Part(_) => {
+                        format!("{:?} {:?} to {to:?}", message.view, message.body)
                     }
                     _ => String::new(),
                 },
@@ -511,8 +514,8 @@
                 other => format!("{other:?}"),
             };
             if !told.is_empty() {
-                let standing = self.nodes[who as usize].council.as_ref().map(|c| c.standing());
-                eprintln!("{:>6} {who} {standing:?}: {told:.150}", now.as_millis());
+                let status = self.nodes[who as usize].replica.as_ref().map(|c| c.status());
+                eprintln!("{:>6} {who} {status:?}: {told:.150}", now.as_millis());
             }
         }
         match action {
@@ -570,17 +573,17 @@
                     self.later.push((who, Event::Snapshot { index, bytes }));
                 }
                 if self.learners {
-                    self.learn(who, Learn::Committed { index, entry });
+                    self.learn(who, LearnerEvent::Committed { index, entry });
                 }
             }
             Action::Reset { index, base } => {
                 self.nodes[who as usize].app.reset(index, &base.state, self.lost_majority);
                 if self.learners {
-                    self.learn(who, Learn::Reset { index, base });
+                    self.learn(who, LearnerEvent::Reset { index, base });
                 }
             }
             Action::SnapshotWanted => {}
-            Action::Forgot(why) => {
+            Action::StateLost(why) => {
                 self.forgot.push(why);
                 self.watch_majority();
             }
@@ -612,19 +615,25 @@
             let bytes = message.encode().expect("every word is within its bound");
             assert_eq!(Message::decode(&bytes).as_ref(), Ok(&message));
             self.longest = self.longest.max(bytes.len());
-            if matches!(message.say, Say::Hello(_) | Say::Ok { .. } | Say::Prepare { .. }) {
+            if matches!(
+                message.body,
+                MessageBody::Heartbeat(_) | MessageBody::Ok { .. } | MessageBody::Prepare { .. }
+            ) {
                 self.longest_frequent = self.longest_frequent.max(bytes.len());
             }
         }
         if self.cuts.contains(&(from, to)) && from != to || self.chance(self.loss) {
             return;
         }
-        if message.say.channel() == Channel::Log {
+        if message.body.channel() == Channel::Log {
             let sent = self.log_sent.entry(from).or_default();
             sent.0 += 1;
             if !self.learners {
-                if let Say::Answer { id, outcome: Some(Outcome::Committed(index)), .. } =
-                    &message.say
+                if let MessageBody::Answer {
+                    id,
+                    outcome: Some(ProposalOutcome::Committed(index)),
+                    ..
+                } = &message.body
                 {
                     self.said_yes(*id, *index);
                 }
@@ -653,20 +662,20 @@
             }
             match what {
                 What2::Start(who) => {
-                    if self.nodes[who as usize].council.is_none() {
+                    if self.nodes[who as usize].replica.is_none() {
                         self.start(who);
                     }
                 }
                 What2::Tick(who, incarnation) => {
                     let node = &mut self.nodes[who as usize];
-                    if node.incarnation == incarnation && node.council.is_some() {
+                    if node.incarnation == incarnation && node.replica.is_some() {
                         if self.now >= node.paused {
                             let deaf = std::mem::take(&mut node.deaf);
                             let late = std::mem::take(&mut node.deaf_learner);
                             deaf.into_iter().for_each(|e| self.event(who, e));
                             late.into_iter().for_each(|e| self.learn(who, e));
                             self.event(who, Event::Tick);
-                            self.learn(who, Learn::Tick);
+                            self.learn(who, LearnerEvent::Tick);
                             self.watch_majority();
                         }
                         self.push(at + ms(25), What2::Tick(who, incarnation));
@@ -675,8 +684,8 @@
                 What2::Message(from, to, incarnation, _, key) => {
                     if let Some(message) = self.words.remove(&key) {
                         let (from, incarnation) = (NodeId(from), Incarnation(incarnation));
-                        if message.say.channel() == Channel::Log {
-                            self.learn(to, Learn::Message { from, incarnation, message });
+                        if message.body.channel() == Channel::Log {
+                            self.learn(to, LearnerEvent::Message { from, incarnation, message });
                         } else {
                             self.event(to, Event::Message { from, incarnation, message });
                         }
@@ -685,7 +694,7 @@
                 What2::Well(who, incarnation) => {
                     let node = &mut self.nodes[who as usize];
                     let mute =
-                        node.council.as_ref().is_some_and(|c| c.standing() == Standing::Mute);
+                        node.replica.as_ref().is_some_and(|c| c.status() == ReplicaStatus::Mute);
                     if node.incarnation == incarnation && mute && !node.disk_fails {
                         let reset = node.store.as_mut().map(Store::reset);
                         if matches!(reset, Some(Ok(()))) {
@@ -697,7 +706,7 @@
                 }
                 What2::Synced(who, incarnation, _) => {
                     let node = &mut self.nodes[who as usize];
-                    if node.incarnation != incarnation || node.council.is_none() {
+                    if node.incarnation != incarnation || node.replica.is_none() {
                         continue;
                     }
                     node.syncing = false;
@@ -707,8 +716,8 @@
                         eprintln!("{:>6} {who} synced {done:?}", at.as_millis());
                     }
                     let paused = store.take_pause();
-                    if let Ok(upto) = done {
-                        self.event(who, Event::Persisted { upto });
+                    if let Ok(through) = done {
+                        self.event(who, Event::Persisted { through });
                     }
                     self.stored(who, done.map(|_| ()), paused);
                 }
@@ -731,19 +740,21 @@
         let message = Message {
             view: View::default(),
             counts: BTreeMap::new(),
-            say: Say::Propose { id, what: Some(What::Bytes(bytes)) },
+            body: MessageBody::Propose { id, what: Some(EntryPayload::Command(bytes)) },
         };
         self.event(at, Event::Message { from: NodeId(at), incarnation: Incarnation(0), message });
     }
 
     /// The one that leads the latest view, if a majority takes part in it.
     pub fn leader(&self) -> Option<u16> {
-        let leads = |n: &&Node| n.council.is_some() && n.leads.is_some();
+        let leads = |n: &&Node| n.replica.is_some() && n.leads.is_some();
         let view = self.nodes.iter().filter(leads).filter_map(|n| n.leads).max()?;
         let takes_part = |n: &&Node| {
-            n.council.as_ref().is_some_and(|c| c.view() == view && c.standing() == Standing::Normal)
+            n.replica
+                .as_ref()
+                .is_some_and(|c| c.view() == view && c.status() == ReplicaStatus::Normal)
         };
-        let members = Members::of(self.voters.iter().copied());
+        let members = VoterSet::of(self.voters.iter().copied());
         (self.nodes.iter().filter(takes_part).count() >= members.majority())
             .then_some(view.leader.0)
     }
@@ -762,9 +773,9 @@
     fn watch_majority(&mut self) {
         let blank = |m: &&NodeId| {
             let node = &self.nodes[m.0 as usize];
-            match &node.council {
+            match &node.replica {
                 None => !self.directory || node.disk.is_small(),
-                Some(c) => matches!(c.shown(), Standing::Blank | Standing::Mute),
+                Some(c) => matches!(c.shown(), ReplicaStatus::Blank | ReplicaStatus::Mute),
             }
         };
         let knowing = self.voters.len() - self.voters.iter().filter(blank).count();
@@ -780,7 +791,7 @@
         for who in 0..self.nodes.len() as u16 {
             self.nodes[who as usize].paused = self.now;
             self.nodes[who as usize].disk_fails = false;
-            if self.nodes[who as usize].council.is_none() {
+            if self.nodes[who as usize].replica.is_none() {
                 self.start(who);
             }
             let incarnation = self.nodes[who as usize].incarnation;
@@ -833,15 +844,11 @@
     }
 
     pub fn states(&self) -> String {
-        let one = |n: &Node| match &n.council {
+        let one = |n: &Node| match &n.replica {
             None => "down".to_string(),
-            Some(c) => format!(
-                "{:?} {:?} leads {:?} at {}",
-                c.standing(),
-                c.view(),
-                n.leads,
-                c.committed()
-            ),
+            Some(c) => {
+                format!("{:?} {:?} leads {:?} at {}", c.status(), c.view(), n.leads, c.committed())
+            }
         };
         self.nodes.iter().enumerate().map(|(who, n)| format!("\n  {who}: {}", one(n))).collect()
     }
--- a/crates/gateway/src/cluster/door.rs
+++ b/crates/gateway/src/cluster/door.rs
@@ -40,7 +40,7 @@
     /// Something that is to stand in the log.
     Change(Box<Change>),
     /// Something about the council.
-    Council(Council),
+    VoterChange(VoterChange),
 }
 
 /// Something that is to stand in the log.
@@ -76,7 +76,7 @@
 
 /// What is wanted of the council.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Council {
+pub enum VoterChange {
     /// One for another.
     Replace {
         /// Who goes.
@@ -200,12 +200,15 @@
             ["council", "alive"] => Wish::Alive(member()?),
             ["council", "replace"] => {
                 let out = body.out.map(NodeId).ok_or_else(|| lacks("out"))?;
-                return Ok(Self::Council(Council::Replace { out, then: body.then.map(NodeId) }));
+                return Ok(Self::VoterChange(VoterChange::Replace {
+                    out,
+                    then: body.then.map(NodeId),
+                }));
             }
             ["council", "restore"] => {
                 let members = body.members.as_ref().ok_or_else(|| lacks("members"))?;
                 let members = members.iter().copied().map(NodeId).collect();
-                return Ok(Self::Council(Council::Restore(members)));
+                return Ok(Self::VoterChange(VoterChange::Restore(members)));
             }
             _ => return Err(no_such()),
         };
@@ -256,10 +259,10 @@
             Self::Revisions => Err(Told::ok(revisions(book))),
             Self::Revision(number) => Err(revision(book, *number)),
             Self::Asked(id) => Ok(Event::Ask { ticket, id: *id }),
-            Self::Council(Council::Replace { out, then }) => {
+            Self::VoterChange(VoterChange::Replace { out, then }) => {
                 Ok(Event::Replace { ticket, out: *out, then: *then })
             }
-            Self::Council(Council::Restore(members)) => {
+            Self::VoterChange(VoterChange::Restore(members)) => {
                 Ok(Event::Restore { ticket, members: members.clone() })
             }
             Self::Change(change) => change.event(ticket, fresh, facts, machine),
@@ -492,7 +495,7 @@
 /// How the bank stands, as seen from one balancer.
 fn cluster(machine: &Machine) -> Value {
     let standing = machine.book().standing();
-    let council = machine.council();
+    let replica = machine.replica();
     let in_force = machine.in_force();
     let seen = machine.leases().seen();
     let behind: Vec<Value> = seen
@@ -520,9 +523,9 @@
             "left_s": in_force.until.saturating_sub(machine.now()).as_secs_f64(),
         },
         "council": {
-            "members": council.members().list.iter().map(|m| m.0).collect::<Vec<_>>(),
-            "coming": council.members().coming.map(|m| m.0),
-            "standing": format!("{:?}", council.standing()).to_lowercase(),
+            "members": replica.members().voters.iter().map(|m| m.0).collect::<Vec<_>>(),
+            "coming": replica.members().joining.map(|m| m.0),
+            "standing": format!("{:?}", replica.status()).to_lowercase(),
             "leader": machine.leader().map(|m| m.0),
             "source": machine.learner().source().map(|m| m.0),
             "log": machine.learner().at().to_string(),
--- a/crates/gateway/src/cluster/durable.rs
+++ b/crates/gateway/src/cluster/durable.rs
@@ -4,7 +4,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use hollowpaddle_consensus::{self as consensus, Durable, Record, StoreError};
+use hollowpaddle_consensus::{self as consensus, DurableState, Record, StoreError};
 use hollowpaddle_failpoints::{Fault, Kind, Points};
 use hollowpaddle_peer_transport::NodeId;
 use hollowpaddle_revision::fallback_policy::Charter;
@@ -42,9 +42,9 @@
     name: &str,
     points: &Points,
 ) -> Result<Stored, String> {
-    let of_council = consensus::Directory::open(path).map_err(|e| e.to_string())?;
+    let on_replica_action = consensus::Directory::open(path).map_err(|e| e.to_string())?;
     let (records, found) = match consensus::Store::open(
-        of_council.clone(),
+        on_replica_action.clone(),
         points.clone(),
         cluster,
         node_id,
@@ -63,8 +63,9 @@
         }
         Err(cause) => {
             tracing::error!(%cause, "the council's records can't be read: this member has forgotten");
-            let closed = consensus::Store::closed(of_council, points.clone(), cluster, node_id);
-            (closed, Durable::default())
+            let closed =
+                consensus::Store::closed(on_replica_action, points.clone(), cluster, node_id);
+            (closed, DurableState::default())
         }
     };
     let directory = hollowpaddle_snapshot::Directory::open(path).map_err(|e| e.to_string())?;
--- a/crates/gateway/src/cluster/machine.rs
+++ b/crates/gateway/src/cluster/machine.rs
@@ -9,7 +9,9 @@
 use std::time::Duration;
 
 use hollowpaddle_consensus as consensus;
-use hollowpaddle_consensus::{Council, Durable, Learn, Learned, Learner, LearnerSettings};
+use hollowpaddle_consensus::{
+    DurableState, Learner, LearnerAction, LearnerConfig, LearnerEvent, Replica,
+};
 use hollowpaddle_peer_transport as peers;
 use hollowpaddle_peer_transport::{Incarnation, NodeId, Wire};
 use hollowpaddle_revision::entry::{Entry, Id};
@@ -54,7 +56,7 @@
     /// Something outlives the process: what is said waits for it.
     pub directory: bool,
     /// What was found there.
-    pub found: Option<Durable>,
+    pub found: Option<DurableState>,
     /// The charter that was found there, and its generation.
     pub charter: Option<(Stage, Charter)>,
 }
@@ -193,11 +195,11 @@
     setup: Setup,
     now: Duration,
     wire: Wire,
-    council: Council,
+    replica: Replica,
     learner: Learner,
     book: Book,
     /// The last entry of the log that the book knows.
-    at: consensus::Index,
+    at: consensus::LogIndex,
     leases: Leases,
     lists: Lists,
     stops: Stops,
@@ -212,7 +214,7 @@
     wire_due: Option<Duration>,
     leases_due: Option<Duration>,
     lists_due: Option<Duration>,
-    council_due: Duration,
+    replica_due: Duration,
     learner_due: Duration,
     told: Option<Duration>,
     /// What is still to be handed in, in its order.
@@ -222,8 +224,8 @@
 /// What one machine has for another.
 enum Inner {
     Wire(peers::Action),
-    Council(consensus::Action),
-    Learned(Learned),
+    Replica(consensus::Action),
+    LearnerAction(LearnerAction),
     Leases(leases::Action),
     Lists(lists::Action),
 }
@@ -242,9 +244,9 @@
             seed,
             budget: peers::Budget::default(),
         })?;
-        let council = Council::new(
+        let replica = Replica::new(
             now,
-            consensus::Settings {
+            consensus::ReplicaConfig {
                 node_id,
                 incarnation,
                 voters: setup.voters.clone(),
@@ -257,7 +259,7 @@
         );
         let learner = Learner::new(
             now,
-            LearnerSettings { node_id, voters: setup.voters.clone(), cluster, seed },
+            LearnerConfig { node_id, voters: setup.voters.clone(), cluster, seed },
         );
         let mut terms = Terms::usual(node_id, incarnation, setup.bedrock.clone());
         terms.stored = setup.charter.clone();
@@ -269,9 +271,9 @@
             setup,
             now,
             wire,
-            council,
+            replica,
             learner,
-            at: consensus::Index::default(),
+            at: consensus::LogIndex::default(),
             calls: VecDeque::new(),
             proposals: 0,
             own: BTreeSet::new(),
@@ -281,7 +283,7 @@
             wire_due: None,
             leases_due: None,
             lists_due: None,
-            council_due: now,
+            replica_due: now,
             learner_due: now,
             told: None,
             queue: VecDeque::new(),
@@ -322,8 +324,8 @@
     }
 
     /// This balancer's seat in the council, if it has one.
-    pub fn council(&self) -> &Council {
-        &self.council
+    pub fn replica(&self) -> &Replica {
+        &self.replica
     }
 
     /// How it learns the log.
@@ -352,7 +354,7 @@
             // What was asked for has come: what is due again at this very moment has to be asked for again. Failure: in
             // virtual time, whose timers are of whole milliseconds, it came too soon, and nobody was ready for 30 s.
             Event::Due => self.told = None,
-            Event::Persisted(upto) => self.vote(consensus::Event::Persisted { upto }),
+            Event::Persisted(through) => self.vote(consensus::Event::Persisted { through }),
             Event::DiskFailed(cause) => self.vote(consensus::Event::DiskFailed { cause }),
             Event::DiskWell => self.vote(consensus::Event::DiskWell),
             Event::Kept(generation) => self.lease(leases::Event::Kept { generation }),
@@ -369,14 +371,14 @@
             Event::CountsAnew => self.list(lists::Event::CountsAnew),
             Event::Replace { ticket, out, then } => {
                 let id = self.call(ticket, None, actions);
-                self.vote(consensus::Event::Operators(consensus::Operators::Replace {
-                    id,
-                    out,
-                    then,
-                }));
+                self.vote(consensus::Event::OperatorCommand(
+                    consensus::OperatorCommand::ReplaceVoter { id, out, then },
+                ));
             }
             Event::Restore { ticket, members } => {
-                self.vote(consensus::Event::Operators(consensus::Operators::Restore { members }));
+                self.vote(consensus::Event::OperatorCommand(
+                    consensus::OperatorCommand::ForceNewEpoch { members },
+                ));
                 actions.push(Action::Answer { ticket, answer: Answer::Stands(self.at) });
             }
         }
@@ -384,8 +386,8 @@
         while let Some(inner) = self.queue.pop_front() {
             match inner {
                 Inner::Wire(action) => self.of_wire(action, actions),
-                Inner::Council(action) => self.of_council(action, actions),
-                Inner::Learned(action) => self.of_learner(action, actions),
+                Inner::Replica(action) => self.on_replica_action(action, actions),
+                Inner::LearnerAction(action) => self.of_learner(action, actions),
                 Inner::Leases(action) => self.of_leases(action, actions),
                 Inner::Lists(action) => self.of_lists(action, actions),
             }
@@ -407,14 +409,14 @@
             self.lists_due = None;
             self.list(lists::Event::Due);
         }
-        if self.council_due <= self.now {
-            self.council_due = self.now + if self.sits() { TICK } else { 4 * TICK };
+        if self.replica_due <= self.now {
+            self.replica_due = self.now + if self.sits() { TICK } else { 4 * TICK };
             self.vote(consensus::Event::Tick);
             self.charter_first();
         }
         if self.learner_due <= self.now {
             self.learner_due = self.now + TICK_OUTSIDE;
-            self.learn(Learn::Tick);
+            self.learn(LearnerEvent::Tick);
         }
     }
 
@@ -422,7 +424,7 @@
     /// lease could send nowhere.
     fn charter_first(&mut self) {
         let late = self.chartered.is_none_or(|at| self.now.saturating_sub(at) >= CHARTER_AGAIN);
-        if !self.leads || !late || self.setup.pods.is_empty() || self.at.op() < self.council.op() {
+        if !self.leads || !late || self.setup.pods.is_empty() || self.at.op() < self.replica.op() {
             return;
         }
         let standing = self.book.standing();
@@ -435,16 +437,16 @@
         let charter = Charter::third(&self.setup.pods, 1);
         if let Ok(bytes) = Entry::Charter(id, charter, Box::default()).to_bytes() {
             self.own.insert(proposal);
-            self.learn(Learn::Propose { id: proposal, bytes });
+            self.learn(LearnerEvent::Propose { id: proposal, bytes });
         }
     }
 
     fn sits(&self) -> bool {
-        self.council.members().has(self.setup.node_id)
+        self.replica.members().has(self.setup.node_id)
     }
 
     fn wake(&mut self, actions: &mut Vec<Action>) {
-        let ticks = [Some(self.council_due), Some(self.learner_due)];
+        let ticks = [Some(self.replica_due), Some(self.learner_due)];
         let dues = ticks.into_iter().chain([self.wire_due, self.leases_due, self.lists_due]);
         let next = dues.flatten().min();
         if next != self.told {
@@ -461,19 +463,19 @@
 
     fn vote(&mut self, event: consensus::Event) {
         let mut out = Vec::new();
-        self.council.handle(self.now, event, &mut out);
-        self.queue.extend(out.into_iter().map(Inner::Council));
-        let leader = self.council.leader();
+        self.replica.handle(self.now, event, &mut out);
+        self.queue.extend(out.into_iter().map(Inner::Replica));
+        let leader = self.replica.leader();
         if leader != self.leader {
             self.leader = leader;
-            self.learn(Learn::Leader(leader));
+            self.learn(LearnerEvent::Leader(leader));
         }
     }
 
-    fn learn(&mut self, event: Learn) {
+    fn learn(&mut self, event: LearnerEvent) {
         let mut out = Vec::new();
         self.learner.handle(self.now, event, &mut out);
-        self.queue.extend(out.into_iter().map(Inner::Learned));
+        self.queue.extend(out.into_iter().map(Inner::LearnerAction));
     }
 
     fn lease(&mut self, event: leases::Event) {
