--- a/crates/gateway/src/cluster/machine/between.rs
+++ b/crates/gateway/src/cluster/machine/between.rs
@@ -1,6 +1,8 @@
 //! What one of a balancer's machines has for another, or for the shell.
 
-use hollowpaddle_consensus::{self as consensus, Learn, Learned, Say, What};
+use hollowpaddle_consensus::{
+    self as consensus, EntryPayload, LearnerAction, LearnerEvent, MessageBody,
+};
 use hollowpaddle_peer_transport::{self as peers, Channel, How, NodeId};
 use hollowpaddle_revision::lists::ListMessage;
 use hollowpaddle_revision::policy_state::Book;
@@ -22,7 +24,7 @@
                 }
                 Channel::Log => {
                     if let Ok(message) = consensus::Message::decode(&message) {
-                        self.learn(Learn::Message { from, incarnation, message });
+                        self.learn(LearnerEvent::Message { from, incarnation, message });
                     }
                 }
                 Channel::Leases => {
@@ -44,37 +46,41 @@
     }
 
     /// A word of the council or the log, to another balancer or to this one's other machine.
-    pub(super) fn say(&mut self, to: NodeId, message: consensus::Message) {
+    pub(super) fn body(&mut self, to: NodeId, message: consensus::Message) {
         if to == self.setup.node_id {
             let (from, incarnation) = (to, self.setup.incarnation);
-            return match message.say.channel() {
+            return match message.body.channel() {
                 Channel::Consensus => {
                     self.vote(consensus::Event::Message { from, incarnation, message })
                 }
-                _ => self.learn(Learn::Message { from, incarnation, message }),
+                _ => self.learn(LearnerEvent::Message { from, incarnation, message }),
             };
         }
-        let how = match &message.say {
-            Say::Part(_) | Say::News { part: Some(_), .. } => How::Bulk,
-            Say::Prepare { .. } | Say::Propose { .. } => How::Usual,
+        let how = match &message.body {
+            MessageBody::Part(_) | MessageBody::News { part: Some(_), .. } => How::Bulk,
+            MessageBody::Prepare { .. } | MessageBody::Propose { .. } => How::Usual,
             _ => How::Urgent,
         };
-        let channel = message.say.channel();
+        let channel = message.body.channel();
         // No machine makes a word that can't be written.
         if let Ok(message) = message.encode() {
             self.pass(peers::Event::Send { to, channel, message, how });
         }
     }
 
-    pub(super) fn of_council(&mut self, action: consensus::Action, actions: &mut Vec<Action>) {
+    pub(super) fn on_replica_action(
+        &mut self,
+        action: consensus::Action,
+        actions: &mut Vec<Action>,
+    ) {
         match action {
-            consensus::Action::Send { to, message } => self.say(to, message),
+            consensus::Action::Send { to, message } => self.body(to, message),
             consensus::Action::Persist { number, record } => {
                 actions.push(Action::Persist { number, record });
             }
             consensus::Action::Leads { view, since } => {
                 actions.push(Action::Tell(format!("leads the council, view {}", view.number)));
-                let from = self.council.op();
+                let from = self.replica.op();
                 self.leads = true;
                 let epoch = view.epoch;
                 self.lease(leases::Event::Leads { since, epoch, from });
@@ -85,26 +91,29 @@
             }
             consensus::Action::Round { began } => self.lease(leases::Event::Round { began }),
             consensus::Action::Committed { index, entry } => {
-                self.learn(Learn::Committed { index, entry });
+                self.learn(LearnerEvent::Committed { index, entry });
+            }
+            consensus::Action::Reset { index, base } => {
+                self.learn(LearnerEvent::Reset { index, base })
             }
-            consensus::Action::Reset { index, base } => self.learn(Learn::Reset { index, base }),
             consensus::Action::SnapshotWanted => {
                 if let Some((index, bytes)) = self.image(actions) {
                     self.vote(consensus::Event::Snapshot { index, bytes });
                 }
             }
-            consensus::Action::Forgot(why) => {
+            consensus::Action::StateLost(why) => {
                 actions.push(Action::Tell(format!("its seat in the council has forgotten: {why}")));
             }
         }
     }
 
-    pub(super) fn of_learner(&mut self, action: Learned, actions: &mut Vec<Action>) {
+    pub(super) fn of_learner(&mut self, action: LearnerAction, actions: &mut Vec<Action>) {
         match action {
-            Learned::Send { to, message } => self.say(to, message),
-            Learned::Committed { index, entry } => {
+            LearnerAction::Send { to, message } => self.body(to, message),
+            LearnerAction::Committed { index, entry } => {
                 let none = Vec::new();
-                let bytes = if let What::Bytes(bytes) = &entry.what { bytes } else { &none };
+                let bytes =
+                    if let EntryPayload::Command(bytes) = &entry.what { bytes } else { &none };
                 let applied = self.book.apply(index.op(), bytes);
                 if let Some(cause) = applied.unreadable.filter(|_| !bytes.is_empty()) {
                     actions.push(Action::Tell(format!("entry {index} of the log: {cause}")));
@@ -113,7 +122,7 @@
                 self.settle_all(actions);
                 self.applied();
             }
-            Learned::Reset { index, state } => {
+            LearnerAction::Reset { index, state } => {
                 match self.restored(&state) {
                     Ok(book) => (self.book, self.at) = (book, index),
                     Err(cause) => {
@@ -123,12 +132,14 @@
                 self.settle_all(actions);
                 self.applied();
             }
-            Learned::Source(source) => self.lease(leases::Event::Parent(source)),
-            Learned::Copied { by, index } => self.vote(consensus::Event::Copied { by, index }),
-            Learned::Answered { id, outcome } => self.outcome(id, outcome, actions),
-            Learned::SnapshotWanted => {
+            LearnerAction::Source(source) => self.lease(leases::Event::Parent(source)),
+            LearnerAction::Copied { by, index } => {
+                self.vote(consensus::Event::Copied { by, index })
+            }
+            LearnerAction::Answered { id, outcome } => self.outcome(id, outcome, actions),
+            LearnerAction::SnapshotWanted => {
                 if let Some((index, bytes)) = self.image(actions) {
-                    self.learn(Learn::Snapshot { index, bytes });
+                    self.learn(LearnerEvent::Snapshot { index, bytes });
                 }
             }
         }
@@ -143,7 +154,10 @@
     }
 
     /// The book as bytes, and the entry up to which it is that.
-    pub(super) fn image(&self, actions: &mut Vec<Action>) -> Option<(consensus::Index, Vec<u8>)> {
+    pub(super) fn image(
+        &self,
+        actions: &mut Vec<Action>,
+    ) -> Option<(consensus::LogIndex, Vec<u8>)> {
         match self.book.image() {
             Ok(bytes) => Some((self.at, bytes)),
             Err(cause) => {
@@ -209,12 +223,12 @@
                 let id = self.next();
                 if let Ok(bytes) = entry.to_bytes() {
                     self.own.insert(id);
-                    self.learn(Learn::Propose { id, bytes });
+                    self.learn(LearnerEvent::Propose { id, bytes });
                 }
             }
             // The log's own learner asks its source every 300 ms, and is told of what is new at once.
             leases::Action::Learn { .. } => {}
-            leases::Action::Elsewhere { than } => self.learn(Learn::Elsewhere(than)),
+            leases::Action::Elsewhere { than } => self.learn(LearnerEvent::ChangeSource(than)),
         }
     }
 }
--- a/crates/gateway/src/cluster/machine/calls.rs
+++ b/crates/gateway/src/cluster/machine/calls.rs
@@ -1,6 +1,6 @@
 //! Calls from a door that wait for an answer: from the proposal to the book's word on it.
 
-use hollowpaddle_consensus::{self as consensus, Learn};
+use hollowpaddle_consensus::{self as consensus, LearnerEvent};
 use hollowpaddle_revision::entry::{Entry, Id};
 use hollowpaddle_revision::policy_state::Refusal;
 
@@ -12,7 +12,7 @@
     /// It stands in the log, and the book's answer to it is this: the revision's number, or why there is none.
     Answered(Result<u64, Refusal>),
     /// It stands in the log; the book has no word of its own for it.
-    Stands(consensus::Index),
+    Stands(consensus::LogIndex),
     /// It stands nowhere, and never will.
     Never,
     /// Nobody who knows could be asked. It may stand, or come to.
@@ -27,7 +27,7 @@
     pub(super) proposal: Option<consensus::ProposalId>,
     pub(super) id: Option<Id>,
     /// Where it stands, by the council's word: what is only applied here may still be lost with a council that forgets.
-    pub(super) index: Option<consensus::Index>,
+    pub(super) index: Option<consensus::LogIndex>,
 }
 
 impl Machine {
@@ -52,7 +52,7 @@
             return;
         };
         let proposal = self.call(ticket, id, actions);
-        self.learn(Learn::Propose { id: proposal, bytes });
+        self.learn(LearnerEvent::Propose { id: proposal, bytes });
     }
 
     /// Notes a call; the name of its proposal.
@@ -76,21 +76,21 @@
     pub(super) fn outcome(
         &mut self,
         id: consensus::ProposalId,
-        outcome: consensus::Outcome,
+        outcome: consensus::ProposalOutcome,
         actions: &mut Vec<Action>,
     ) {
         if self.own.remove(&id) {
             return;
         }
         match outcome {
-            consensus::Outcome::Committed(index) => {
+            consensus::ProposalOutcome::Committed(index) => {
                 for call in self.calls.iter_mut().filter(|c| c.proposal == Some(id)) {
                     call.index = Some(index);
                 }
                 self.settle_all(actions);
             }
-            consensus::Outcome::Never | consensus::Outcome::Unknown => {
-                let never = outcome == consensus::Outcome::Never;
+            consensus::ProposalOutcome::Never | consensus::ProposalOutcome::Unknown => {
+                let never = outcome == consensus::ProposalOutcome::Never;
                 let answer = if never { Answer::Never } else { Answer::Unknown };
                 self.calls.retain(|call| {
                     let this = call.proposal == Some(id);
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -11,7 +11,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollowpaddle_consensus::{Durable, default_council};
+use hollowpaddle_consensus::{DurableState, default_voters};
 use hollowpaddle_failpoints::Points;
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use hollowpaddle_revision::document::Document;
@@ -98,7 +98,7 @@
     /// Where things are kept.
     pub durable_log: Box<dyn DurableLog + Send>,
     /// Of the council.
-    pub found: Option<Durable>,
+    pub found: Option<DurableState>,
     /// The charter, and its generation.
     pub charter: Option<(Stage, Charter)>,
 }
@@ -138,7 +138,7 @@
         pods.clear();
     }
     let voters = match cluster.voters.as_slice() {
-        [] => default_council(count),
+        [] => default_voters(count),
         stated => stated.iter().copied().map(NodeId).collect(),
     };
     let setup = Setup {
--- a/crates/gateway/src/cluster/shell.rs
+++ b/crates/gateway/src/cluster/shell.rs
@@ -222,7 +222,7 @@
                 && let Some(durable_log) = &mut self.durable_log
             {
                 next.push(match durable_log.sync() {
-                    Ok(upto) => Event::Persisted(upto),
+                    Ok(through) => Event::Persisted(through),
                     Err(cause) => fails(cause, running),
                 });
             }
--- a/crates/model-checks/src/agreement.rs
+++ b/crates/model-checks/src/agreement.rs
@@ -1,7 +1,7 @@
 //! A model of the council's very machines, for a model checker: three members, words that are lost, doubled, late and in any
 //! order, members that end and forget, or come back with what was on their disk; time in steps.
 //!
-//! What it leaves out, so that there is an end: `Hello`, `Ask` and `Told` come at once where they come at all (each step says
+//! What it leaves out, so that there is an end: `Heartbeat`, `Ask` and `Told` come at once where they come at all (each step says
 //! who hears whom); of one kind of word at most [`KEPT`] are under way from one member to another, and the oldest of more
 //! are lost; time passes in steps of 250 ms, in which each member says hello once.
 
@@ -9,8 +9,8 @@
 use std::time::Duration;
 
 use hollowpaddle_consensus::{
-    Action as Act, Council, Durable, Entry, Event, Index, Message, Outcome, ProposalId, Record,
-    Say, Settings, Standing, View, What,
+    Action as Act, DurableState, Entry, EntryPayload, Event, LogIndex, Message, MessageBody,
+    ProposalId, ProposalOutcome, Record, Replica, ReplicaConfig, ReplicaStatus, View,
 };
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use stateright::{Chooser, Model, Property};
@@ -44,11 +44,11 @@
 /// One member.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Seat {
-    council: Council,
+    replica: Replica,
     incarnation: u32,
     /// The last entry that it told.
-    told: Option<Index>,
-    disk: Durable,
+    told: Option<LogIndex>,
+    disk: DurableState,
     unsynced: Vec<(u64, Record)>,
 }
 
@@ -62,8 +62,8 @@
     ruin: bool,
     /// The epoch of the first log.
     first: u32,
-    agreed: BTreeMap<Index, ProposalId>,
-    yes: BTreeMap<ProposalId, Index>,
+    agreed: BTreeMap<LogIndex, ProposalId>,
+    yes: BTreeMap<ProposalId, LogIndex>,
     /// In which view a yes was said.
     views: BTreeMap<ProposalId, View>,
     asked: u8,
@@ -106,20 +106,20 @@
     Synced(u16),
 }
 
-fn kind(say: &Say) -> u8 {
-    match say {
-        Say::Hello(_) => 0,
-        Say::Prepare { .. } => 1,
-        Say::Ok { .. } => 2,
-        Say::Begin { .. } => 3,
-        Say::Join { .. } => 4,
-        Say::Fetch { .. } => 5,
-        Say::Part(_) => 6,
-        Say::Ask { .. } => 7,
-        Say::Told { .. } => 8,
-        Say::Recover { .. } => 9,
-        Say::Recovered { .. } => 10,
-        Say::Answer { .. } => 11,
+fn kind(body: &MessageBody) -> u8 {
+    match body {
+        MessageBody::Heartbeat(_) => 0,
+        MessageBody::Prepare { .. } => 1,
+        MessageBody::Ok { .. } => 2,
+        MessageBody::Begin { .. } => 3,
+        MessageBody::Join { .. } => 4,
+        MessageBody::Fetch { .. } => 5,
+        MessageBody::Part(_) => 6,
+        MessageBody::Ask { .. } => 7,
+        MessageBody::Told { .. } => 8,
+        MessageBody::Recover { .. } => 9,
+        MessageBody::Recovered { .. } => 10,
+        MessageBody::Answer { .. } => 11,
         _ => 12,
     }
 }
@@ -138,7 +138,7 @@
 impl State {
     fn event(&mut self, at: u16, event: Event) {
         let mut actions = Vec::new();
-        self.seats[usize::from(at)].council.handle(self.now, event, &mut actions);
+        self.seats[usize::from(at)].replica.handle(self.now, event, &mut actions);
         for action in actions {
             self.act(at, action);
         }
@@ -164,7 +164,7 @@
                 self.led.insert(NodeId(at));
                 // Whoever leads has all that a yes was said to in a view before. Of an earlier view one may lead
                 // that began late: nobody answers it.
-                let op = self.seats[usize::from(at)].council.op();
+                let op = self.seats[usize::from(at)].replica.op();
                 let later = |id| self.views.get(id).is_some_and(|said| *said < view);
                 let mut yes = self.yes.iter().filter(|(id, _)| later(*id));
                 let lacks = yes.find(|(_, p)| p.op() > op && !self.ruin);
@@ -177,7 +177,7 @@
         }
     }
 
-    fn committed(&mut self, at: u16, index: Index, entry: &Entry) {
+    fn committed(&mut self, at: u16, index: LogIndex, entry: &Entry) {
         let seat = &mut self.seats[usize::from(at)];
         let next = seat.told.map_or(1, |t| t.op() + 1);
         if index.op() != next {
@@ -198,30 +198,38 @@
 
     fn said(&mut self, from: u16, to: NodeId, message: Message) {
         if to == CLIENT {
-            if let Say::Answer { id, outcome: Some(Outcome::Committed(index)), .. } = message.say
+            if let MessageBody::Answer {
+                id, outcome: Some(ProposalOutcome::Committed(index)), ..
+            } = message.body
                 && *self.yes.entry(id).or_insert(index) != index
                 && !self.ruin
             {
                 self.wrong = Some(format!("{id:?} was said to be at two places, {index} is one"));
             }
-            if let Say::Answer { id, outcome: Some(Outcome::Committed(_)), .. } = message.say {
+            if let MessageBody::Answer {
+                id, outcome: Some(ProposalOutcome::Committed(_)), ..
+            } = message.body
+            {
                 self.views.entry(id).or_insert(message.view);
             }
             return;
         }
         if to.0 >= MEMBERS
-            || message.say.channel() != hollowpaddle_peer_transport::Channel::Consensus
+            || message.body.channel() != hollowpaddle_peer_transport::Channel::Consensus
         {
             return;
         }
-        if matches!(message.say, Say::Hello(_) | Say::Ask { .. } | Say::Told { .. }) {
+        if matches!(
+            message.body,
+            MessageBody::Heartbeat(_) | MessageBody::Ask { .. } | MessageBody::Told { .. }
+        ) {
             if self.cut.passes(from, to.0) {
                 self.hear(from, to.0, message);
             }
             return;
         }
-        let latest = matches!(message.say, Say::Ok { .. });
-        let link = self.net.entry((from, to.0, kind(&message.say))).or_default();
+        let latest = matches!(message.body, MessageBody::Ok { .. });
+        let link = self.net.entry((from, to.0, kind(&message.body))).or_default();
         if link.contains(&message) {
             return;
         }
@@ -238,19 +246,19 @@
 
     fn sync(&mut self, at: u16) {
         let seat = &mut self.seats[usize::from(at)];
-        let mut upto = None;
+        let mut through = None;
         for (number, record) in std::mem::take(&mut seat.unsynced) {
             seat.disk.apply(number, record);
-            upto = Some(number);
+            through = Some(number);
         }
-        if let Some(upto) = upto {
-            self.event(at, Event::Persisted { upto });
+        if let Some(through) = through {
+            self.event(at, Event::Persisted { through });
         }
     }
 
     fn blank(&self, at: u16) -> bool {
-        let standing = self.seats[usize::from(at)].council.shown();
-        matches!(standing, Standing::Blank | Standing::Waking | Standing::Mute)
+        let standing = self.seats[usize::from(at)].replica.shown();
+        matches!(standing, ReplicaStatus::Blank | ReplicaStatus::Waking | ReplicaStatus::Mute)
     }
 
     /// All that is under way comes, in order, until nothing is.
@@ -281,8 +289,8 @@
 #[derive(Clone, Debug)]
 pub struct Agreement(pub Bounds);
 
-fn settings(bounds: &Bounds, node_id: u16, incarnation: u32) -> Settings {
-    Settings {
+fn settings(bounds: &Bounds, node_id: u16, incarnation: u32) -> ReplicaConfig {
+    ReplicaConfig {
         node_id: NodeId(node_id),
         incarnation: Incarnation(incarnation),
         voters: (0..MEMBERS).map(NodeId).collect(),
@@ -297,10 +305,10 @@
     /// One that leads, two that follow, nothing agreed yet.
     fn begun(&self) -> State {
         let seats = (0..MEMBERS).map(|node_id| Seat {
-            council: Council::new(Duration::ZERO, settings(&self.0, node_id, 1), None),
+            replica: Replica::new(Duration::ZERO, settings(&self.0, node_id, 1), None),
             incarnation: 1,
             told: None,
-            disk: Durable::default(),
+            disk: DurableState::default(),
             unsynced: Vec::new(),
         });
         let mut state = State {
@@ -326,7 +334,7 @@
             state.settle(&self.0);
         }
         state.led.clear();
-        state.first = state.seats[0].council.view().epoch;
+        state.first = state.seats[0].replica.view().epoch;
         state
     }
 }
@@ -354,7 +362,7 @@
         }
         for at in 0..MEMBERS {
             let seat = &state.seats[usize::from(at)];
-            if state.asked < bounds.proposals && seat.council.leader() == Some(NodeId(at)) {
+            if state.asked < bounds.proposals && seat.replica.leader() == Some(NodeId(at)) {
                 actions.push(Happens::Proposed(at));
             }
             if !seat.unsynced.is_empty() {
@@ -399,8 +407,12 @@
                 state.asked += 1;
                 let number = u64::from(state.asked);
                 let id = ProposalId { by: CLIENT, incarnation: Incarnation(1), number };
-                let say = Say::Propose { id, what: Some(What::Bytes(vec![state.asked])) };
-                let message = Message { view: Default::default(), counts: Default::default(), say };
+                let body = MessageBody::Propose {
+                    id,
+                    what: Some(EntryPayload::Command(vec![state.asked])),
+                };
+                let message =
+                    Message { view: Default::default(), counts: Default::default(), body };
                 state.event(
                     at,
                     Event::Message { from: CLIENT, incarnation: Incarnation(1), message },
@@ -413,8 +425,8 @@
                 seat.unsynced.clear();
                 seat.told = None;
                 let found = self.0.directory.then(|| seat.disk.clone());
-                seat.council =
-                    Council::new(state.now, settings(&self.0, at, seat.incarnation), found);
+                seat.replica =
+                    Replica::new(state.now, settings(&self.0, at, seat.incarnation), found);
             }
             Happens::Synced(at) => state.sync(at),
         }
--- a/crates/model-checks/src/world.rs
+++ b/crates/model-checks/src/world.rs
@@ -5,8 +5,8 @@
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::Duration;
 
-use hollowpaddle_consensus::Durable;
-use hollowpaddle_consensus::Standing;
+use hollowpaddle_consensus::DurableState;
+use hollowpaddle_consensus::ReplicaStatus;
 use hollowpaddle_gateway::cluster::machine::{Action, Answer, Event, Machine, Setup};
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use hollowpaddle_revision::document::Document;
@@ -54,7 +54,7 @@
 impl Plan {
     /// One without faults, and the usual council.
     pub fn whole(seed: u64, size: u16) -> Self {
-        let voters = hollowpaddle_consensus::default_council(size).iter().map(|m| m.0).collect();
+        let voters = hollowpaddle_consensus::default_voters(size).iter().map(|m| m.0).collect();
         Self {
             seed,
             size,
@@ -78,7 +78,7 @@
 /// What outlives a process.
 #[derive(Clone, Debug, Default)]
 struct Disk {
-    council: Durable,
+    replica: DurableState,
     charter: Option<(Stage, Charter)>,
 }
 
@@ -129,8 +129,9 @@
     }
     /// Whether its seat in the council, if it has one, knows what it has promised.
     pub fn knows(&self) -> bool {
-        let blank = |s| matches!(s, Standing::Blank | Standing::Waking | Standing::Mute);
-        self.machine.as_ref().is_some_and(|m| !blank(m.council().shown()))
+        let blank =
+            |s| matches!(s, ReplicaStatus::Blank | ReplicaStatus::Waking | ReplicaStatus::Mute);
+        self.machine.as_ref().is_some_and(|m| !blank(m.replica().shown()))
     }
 }
 
@@ -277,7 +278,7 @@
             bedrock: charter(&[1]),
             pods: BTreeMap::new(),
             directory: plan.directory,
-            found: plan.directory.then(|| node.disk.council.clone()),
+            found: plan.directory.then(|| node.disk.replica.clone()),
             charter: if plan.directory { node.disk.charter.clone() } else { None },
         };
         // The plan names a possible bank: members and figures are within the bounds of each machine.
@@ -332,8 +333,8 @@
     /// Who votes, as the first of those that know says.
     pub fn voters(&self) -> Vec<u16> {
         let known = self.nodes.iter().filter(|n| n.knows()).filter_map(|n| n.machine.as_ref());
-        let latest = known.map(|m| m.council().members()).max_by_key(|m| m.since);
-        latest.map_or(self.plan.voters.clone(), |m| m.list.iter().map(|m| m.0).collect())
+        let latest = known.map(|m| m.replica().members()).max_by_key(|m| m.since);
+        latest.map_or(self.plan.voters.clone(), |m| m.voters.iter().map(|m| m.0).collect())
     }
 
     fn give(&mut self, at: u16, event: Event<'_>, actions: &mut Vec<Action>) {
@@ -356,7 +357,7 @@
             }
             Action::Publish(in_force) => node.published = Some(in_force),
             Action::Persist { number, record } => {
-                node.disk.council.apply(number, record);
+                node.disk.replica.apply(number, record);
                 return Some(Event::Persisted(number));
             }
             Action::Keep { generation, charter } => {
@@ -524,7 +525,7 @@
     pub fn leader(&self) -> Option<u16> {
         let leads = |n: &&Node| {
             n.paused <= self.now
-                && n.machine.as_ref().is_some_and(|m| m.council().leader() == Some(m.node_id()))
+                && n.machine.as_ref().is_some_and(|m| m.replica().leader() == Some(m.node_id()))
         };
         let mut all = self.nodes.iter().filter(leads).filter_map(|n| n.machine.as_ref());
         let one = all.next()?;
