--- a/crates/gateway/src/cluster/door.rs
+++ b/crates/gateway/src/cluster/door.rs
@@ -4,17 +4,17 @@
 use std::time::Duration;
 
 use hollowpaddle_peer_transport::NodeId;
-use hollowpaddle_revision::canary::Trial;
+use hollowpaddle_revision::canary::CanaryTerms;
 use hollowpaddle_revision::document::Document;
-use hollowpaddle_revision::entry::{Ask as Terms, Entry, Id};
-use hollowpaddle_revision::fallback_policy::Charter;
+use hollowpaddle_revision::entry::{CommandId, Entry, ProposalOptions};
+use hollowpaddle_revision::fallback_policy::FallbackPolicy;
 use hollowpaddle_revision::fleet::{ClassFacts, Facts, Group};
-use hollowpaddle_revision::policy_state::{Book, Refusal};
+use hollowpaddle_revision::policy_state::{PolicyState, Refusal};
 use hollowpaddle_revision::rules::Place;
 use serde::Deserialize;
 use serde_json::{Value, json};
 
-use crate::cluster::machine::{Answer, Event, Machine};
+use crate::cluster::machine::{Event, Machine, ProposalResult};
 use crate::members::{Entry as Listed, Phase};
 
 /// A caller that asks to wait until a revision is in force everywhere waits so long, if it does not say.
@@ -28,7 +28,7 @@
 
 /// What is asked.
 #[derive(Clone, Debug, PartialEq)]
-pub enum Ask {
+pub enum AdminRequest {
     /// How the bank stands, as seen from here.
     Cluster,
     /// The newest revisions.
@@ -36,7 +36,7 @@
     /// One of them, whole.
     Revision(u64),
     /// What became of a question that was asked at any door.
-    Asked(Id),
+    Asked(CommandId),
     /// Something that is to stand in the log.
     Change(Box<Change>),
     /// Something about the council.
@@ -46,21 +46,21 @@
 /// Something that is to stand in the log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
-    what: Wish,
+    what: PolicyChange,
     /// What it would change is told, and nothing is changed.
     dry: bool,
     /// Told only once it is in force everywhere, or after this time.
     wait: Option<Duration>,
     /// Named by the caller, if it is.
-    id: Option<Id>,
+    id: Option<CommandId>,
 }
 
 #[derive(Clone, Debug, PartialEq)]
-enum Wish {
-    Propose(Said, Box<Document>),
-    Rollback(Said, u64),
+enum PolicyChange {
+    Propose(RevisionOptions, Box<Document>),
+    Rollback(RevisionOptions, u64),
     Cordon(String, bool),
-    Charter(Charter),
+    FallbackPolicy(FallbackPolicy),
     Confirm(u64),
     Dead(NodeId),
     Alive(NodeId),
@@ -68,9 +68,9 @@
 
 /// How a revision is asked for.
 #[derive(Clone, Debug, PartialEq)]
-struct Said {
+struct RevisionOptions {
     base: Option<u64>,
-    trial: Option<Trial>,
+    canary: Option<CanaryTerms>,
     forced: bool,
 }
 
@@ -90,7 +90,7 @@
 
 /// An answer: an HTTP status and its text.
 #[derive(Clone, Debug, PartialEq)]
-pub struct Told {
+pub struct AdminResponse {
     /// As HTTP has it.
     pub status: u16,
     /// The text.
@@ -103,7 +103,7 @@
 
 /// A call that can't be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum AskError {
+pub enum AdminRequestError {
     /// No such place.
     #[error("there is no {method} {path}")]
     NoSuch {
@@ -127,7 +127,8 @@
     #[serde(default)]
     if_revision: Option<u64>,
     #[serde(default)]
-    trial: Option<Trial>,
+    #[serde(rename = "trial")]
+    canary: Option<CanaryTerms>,
     #[serde(default)]
     force: bool,
     #[serde(default)]
@@ -141,7 +142,8 @@
     #[serde(default)]
     revision: Option<u64>,
     #[serde(default)]
-    charter: Option<Charter>,
+    #[serde(rename = "charter")]
+    fallback_policy: Option<FallbackPolicy>,
     #[serde(default)]
     member: Option<u16>,
     #[serde(default)]
@@ -159,13 +161,19 @@
     })
 }
 
-impl Ask {
+impl AdminRequest {
     /// From a call.
     ///
     /// # Errors
     /// What of it can't be read, and what was expected.
-    pub fn read(method: &str, path: &str, query: &str, body: &[u8]) -> Result<Self, AskError> {
-        let no_such = || AskError::NoSuch { method: method.to_string(), path: path.to_string() };
+    pub fn read(
+        method: &str,
+        path: &str,
+        query: &str,
+        body: &[u8],
+    ) -> Result<Self, AdminRequestError> {
+        let no_such =
+            || AdminRequestError::NoSuch { method: method.to_string(), path: path.to_string() };
         let parts: Vec<&str> = path.trim_start_matches("/admin/").split('/').collect();
         match (method, parts.as_slice()) {
             ("GET", ["bank"]) => return Ok(Self::Cluster),
@@ -180,24 +188,29 @@
         let body = if body.is_empty() { b"{}" } else { body };
         let mut reader = serde_json::Deserializer::from_slice(body);
         let body: Body = serde_path_to_error::deserialize(&mut reader)
-            .map_err(|e| AskError::Body(format!("`{}`: {}", e.path(), e.inner())))?;
-        let lacks = |what: &str| AskError::Body(format!("`{what}` is missing"));
-        let said = Said { base: body.if_revision, trial: body.trial, forced: body.force };
+            .map_err(|e| AdminRequestError::Body(format!("`{}`: {}", e.path(), e.inner())))?;
+        let lacks = |what: &str| AdminRequestError::Body(format!("`{what}` is missing"));
+        let said =
+            RevisionOptions { base: body.if_revision, canary: body.canary, forced: body.force };
         let member = || body.member.map(NodeId).ok_or_else(|| lacks("member"));
         let what = match parts.as_slice() {
             ["revisions"] => {
                 let document = body.document.as_ref().ok_or_else(|| lacks("document"))?;
                 let document = Document::from_json(document.to_string().as_bytes())
-                    .map_err(|e| AskError::Body(e.to_string()))?;
-                Wish::Propose(said, Box::new(document))
+                    .map_err(|e| AdminRequestError::Body(e.to_string()))?;
+                PolicyChange::Propose(said, Box::new(document))
+            }
+            ["revisions", "rollback"] => {
+                PolicyChange::Rollback(said, body.to.ok_or_else(|| lacks("to"))?)
             }
-            ["revisions", "rollback"] => Wish::Rollback(said, body.to.ok_or_else(|| lacks("to"))?),
             ["revisions", "confirm"] => {
-                Wish::Confirm(body.revision.ok_or_else(|| lacks("revision"))?)
+                PolicyChange::Confirm(body.revision.ok_or_else(|| lacks("revision"))?)
             }
-            ["charter"] => Wish::Charter(body.charter.clone().ok_or_else(|| lacks("charter"))?),
-            ["council", "dead"] => Wish::Dead(member()?),
-            ["council", "alive"] => Wish::Alive(member()?),
+            ["charter"] => PolicyChange::FallbackPolicy(
+                body.fallback_policy.clone().ok_or_else(|| lacks("charter"))?,
+            ),
+            ["council", "dead"] => PolicyChange::Dead(member()?),
+            ["council", "alive"] => PolicyChange::Alive(member()?),
             ["council", "replace"] => {
                 let out = body.out.map(NodeId).ok_or_else(|| lacks("out"))?;
                 return Ok(Self::VoterChange(VoterChange::Replace {
@@ -221,7 +234,7 @@
                 Some(within)
             }
             Some(other) => {
-                return Err(AskError::Body(format!(
+                return Err(AdminRequestError::Body(format!(
                     "`wait` is {other:?}; expected `yes` or `all`"
                 )));
             }
@@ -233,13 +246,13 @@
 
     /// An upstream is to be out, or back, for all balancers.
     pub fn cordon(name: &str, out: bool) -> Self {
-        let what = Wish::Cordon(name.to_string(), out);
+        let what = PolicyChange::Cordon(name.to_string(), out);
         Self::Change(Box::new(Change { what, dry: false, wait: Some(WAIT), id: None }))
     }
 
     /// Whether it is to be asked again while it is not done yet.
     pub fn looks_again(&self) -> bool {
-        matches!(self, Self::Change(change) if matches!(change.what, Wish::Cordon(..)))
+        matches!(self, Self::Change(change) if matches!(change.what, PolicyChange::Cordon(..)))
     }
 
     /// What the machine is to be told; or, where it need not be, what the caller is.
@@ -249,16 +262,16 @@
     pub fn event(
         &self,
         ticket: u64,
-        fresh: Id,
+        fresh: CommandId,
         facts: &Facts,
         machine: &Machine,
-    ) -> Result<Event<'static>, Told> {
-        let book = machine.book();
+    ) -> Result<Event<'static>, AdminResponse> {
+        let policy = machine.policy();
         match self {
-            Self::Cluster => Err(Told::ok(cluster(machine))),
-            Self::Revisions => Err(Told::ok(revisions(book))),
-            Self::Revision(number) => Err(revision(book, *number)),
-            Self::Asked(id) => Ok(Event::Ask { ticket, id: *id }),
+            Self::Cluster => Err(AdminResponse::ok(cluster(machine))),
+            Self::Revisions => Err(AdminResponse::ok(revisions(policy))),
+            Self::Revision(number) => Err(revision(policy, *number)),
+            Self::Asked(id) => Ok(Event::QueryOutcome { ticket, id: *id }),
             Self::VoterChange(VoterChange::Replace { out, then }) => {
                 Ok(Event::Replace { ticket, out: *out, then: *then })
             }
@@ -274,47 +287,47 @@
     fn event(
         &self,
         ticket: u64,
-        fresh: Id,
+        fresh: CommandId,
         facts: &Facts,
         machine: &Machine,
-    ) -> Result<Event<'static>, Told> {
-        let book = machine.book();
+    ) -> Result<Event<'static>, AdminResponse> {
+        let policy = machine.policy();
         let id = self.id.unwrap_or(fresh);
-        let terms = |said: &Said, names: &BTreeSet<String>| {
-            let Said { base, trial, forced } = said.clone();
+        let terms = |said: &RevisionOptions, names: &BTreeSet<String>| {
+            let RevisionOptions { base, canary, forced } = said.clone();
             let mut facts = facts.clone();
             facts.named.retain(|name, _| names.contains(name));
-            Box::new(Terms { id, base, trial, forced, facts })
+            Box::new(ProposalOptions { id, base, canary, forced, facts })
         };
         let entry = match &self.what {
-            Wish::Propose(said, document) => {
+            PolicyChange::Propose(said, document) => {
                 let terms = terms(said, &names(document));
                 if self.dry {
-                    return Err(dry(book.dry_run(document, &terms.facts)));
+                    return Err(dry(policy.dry_run(document, &terms.facts)));
                 }
                 Entry::Propose(terms, document.clone())
             }
             // What the charter allows nobody can forbid: it has to let go of it first, and everybody to say so.
-            Wish::Cordon(name, true) if in_charter(book, facts, name) => {
-                let standing = book.standing();
+            PolicyChange::Cordon(name, true) if in_charter(policy, facts, name) => {
+                let status = policy.status();
                 // One charter at a time: each look that proposed one in vain would stand in the log.
-                let under_way = standing.awaited || standing.unconfirmed;
-                if under_way || standing.charter.except.contains(name) {
+                let under_way = status.awaited || status.unconfirmed;
+                if under_way || status.fallback_policy.except.contains(name) {
                     let behind = machine.leases().seen().behind;
-                    return Err(Told::waits(&behind));
+                    return Err(AdminResponse::waits(&behind));
                 }
-                let mut charter = (*standing.charter).clone();
-                charter.except.insert(name.clone());
-                firm(&charter, facts)?;
-                Entry::Charter(id, charter, Box::new(facts.clone()))
+                let mut fallback_policy = (*status.fallback_policy).clone();
+                fallback_policy.except.insert(name.clone());
+                firm(&fallback_policy, facts)?;
+                Entry::FallbackPolicy(id, fallback_policy, Box::new(facts.clone()))
             }
-            Wish::Cordon(name, out) => {
+            PolicyChange::Cordon(name, out) => {
                 // Against the newest there is here: whoever was first is not undone, the caller is told to look again.
-                let newest = book.newest();
-                let said = Said { base: Some(newest), trial: None, forced: true };
-                let mut document = match book.kept(newest) {
+                let newest = policy.newest();
+                let said = RevisionOptions { base: Some(newest), canary: None, forced: true };
+                let mut document = match policy.kept(newest) {
                     Ok(kept) => (*kept.document).clone(),
-                    Err(cause) => return Err(Told::refused(&cause)),
+                    Err(cause) => return Err(AdminResponse::refused(&cause)),
                 };
                 let changes = if *out {
                     document.out.upstreams.insert(name.clone())
@@ -322,38 +335,41 @@
                     document.out.upstreams.remove(name)
                 };
                 if !changes {
-                    return Err(Told::ok(json!({"ok": true, "revision": newest})));
+                    return Err(AdminResponse::ok(json!({"ok": true, "revision": newest})));
                 }
                 Entry::Propose(terms(&said, &names(&document)), Box::new(document))
             }
-            Wish::Rollback(said, to) => {
-                let named = book.kept(*to).map(|k| names(&k.document)).unwrap_or_default();
+            PolicyChange::Rollback(said, to) => {
+                let named = policy.kept(*to).map(|k| names(&k.document)).unwrap_or_default();
                 let terms = terms(said, &named);
                 if self.dry {
-                    return Err(dry(book.dry_rollback(*to, &terms.facts)));
+                    return Err(dry(policy.dry_rollback(*to, &terms.facts)));
                 }
                 Entry::Rollback(terms, *to)
             }
-            Wish::Charter(charter) => {
-                firm(charter, facts)?;
-                Entry::Charter(id, charter.clone(), Box::new(facts.clone()))
+            PolicyChange::FallbackPolicy(fallback_policy) => {
+                firm(fallback_policy, facts)?;
+                Entry::FallbackPolicy(id, fallback_policy.clone(), Box::new(facts.clone()))
             }
-            Wish::Confirm(number) => Entry::Confirm(id, *number),
-            Wish::Dead(member) => Entry::Dead(id, *member),
-            Wish::Alive(member) => Entry::Alive(id, *member),
+            PolicyChange::Confirm(number) => Entry::Confirm(id, *number),
+            PolicyChange::Dead(member) => Entry::Dead(id, *member),
+            PolicyChange::Alive(member) => Entry::Alive(id, *member),
         };
         if self.dry {
-            return Err(Told::bad("`dry` goes with revisions and rollbacks only"));
+            return Err(AdminResponse::bad("`dry` goes with revisions and rollbacks only"));
         }
         Ok(Event::Propose { ticket, id: Some(id), entry })
     }
 
     fn is_revision(&self) -> bool {
-        matches!(self.what, Wish::Propose(..) | Wish::Rollback(..) | Wish::Cordon(..))
+        matches!(
+            self.what,
+            PolicyChange::Propose(..) | PolicyChange::Rollback(..) | PolicyChange::Cordon(..)
+        )
     }
 }
 
-impl Told {
+impl AdminResponse {
     fn ok(text: Value) -> Self {
         Self { status: 200, text, wait: None, again: false }
     }
@@ -373,8 +389,8 @@
     }
 
     /// A call that can't be read.
-    pub fn unread(why: &AskError) -> Self {
-        let status = if matches!(why, AskError::NoSuch { .. }) { 404 } else { 400 };
+    pub fn unread(why: &AdminRequestError) -> Self {
+        let status = if matches!(why, AdminRequestError::NoSuch { .. }) { 404 } else { 400 };
         Self { status, ..Self::bad(&why.to_string()) }
     }
 
@@ -387,17 +403,22 @@
 
     /// The answer to what was asked, now that it is known what became of it. `for_charter`: what was asked for comes after
     /// what was done.
-    pub fn of(ask: &Ask, id: Id, answer: &Answer, for_charter: bool) -> Self {
+    pub fn of(
+        ask: &AdminRequest,
+        id: CommandId,
+        answer: &ProposalResult,
+        for_charter: bool,
+    ) -> Self {
         let name = format!("{:032x}", id.0);
         match answer {
             // Failure: the number of the charter's entry was handed on as a revision's, and what was asked for was not done.
-            Answer::Answered(Ok(entry)) if for_charter => {
+            ProposalResult::Answered(Ok(entry)) if for_charter => {
                 let text = json!({"ok": false, "waiting": "charter", "entry": entry, "id": name});
                 Self { status: 202, again: true, ..Self::ok(text) }
             }
-            Answer::Answered(Ok(number)) => {
+            ProposalResult::Answered(Ok(number)) => {
                 let change = match ask {
-                    Ask::Change(change) => Some(change),
+                    AdminRequest::Change(change) => Some(change),
                     _ => None,
                 };
                 let key =
@@ -407,19 +428,19 @@
                 let wait = wait.map(|within| (*number, within));
                 Self { wait, ..Self::ok(text) }
             }
-            Answer::Answered(Err(why)) => {
+            ProposalResult::Answered(Err(why)) => {
                 let mut told = Self::refused(why);
                 told.text["id"] = name.into();
                 told
             }
-            Answer::Stands(index) => {
+            ProposalResult::Stands(index) => {
                 Self::ok(json!({"ok": true, "entry": index.to_string(), "id": name}))
             }
-            Answer::Never => {
+            ProposalResult::Never => {
                 let why = "it stands nowhere and never will: too long, too many under way, or not to be done";
                 Self { status: 409, ..Self::ok(json!({"ok": false, "id": name, "error": why})) }
             }
-            Answer::Unknown => {
+            ProposalResult::Unknown => {
                 let why =
                     "nobody who knows has answered; it may stand: GET /admin/revisions/asked/ID";
                 Self { status: 504, ..Self::ok(json!({"ok": false, "id": name, "error": why})) }
@@ -429,51 +450,56 @@
 }
 
 /// 32 hexadecimal digits.
-fn named(id: &str) -> Result<Id, AskError> {
-    let wrong =
-        || AskError::Body(format!("`{id}` names no question; expected 1 to 32 hexadecimal digits"));
+fn named(id: &str) -> Result<CommandId, AdminRequestError> {
+    let wrong = || {
+        AdminRequestError::Body(format!(
+            "`{id}` names no question; expected 1 to 32 hexadecimal digits"
+        ))
+    };
     if id.is_empty() || id.len() > 32 {
         return Err(wrong());
     }
-    u128::from_str_radix(id, 16).map(Id).map_err(|_| wrong())
+    u128::from_str_radix(id, 16).map(CommandId).map_err(|_| wrong())
 }
 
 /// Whether a charter holds what a process keeps to that has forgotten it.
-fn firm(charter: &Charter, facts: &Facts) -> Result<(), Told> {
-    let mut pods = BTreeMap::<String, BTreeSet<u32>>::new();
+fn firm(fallback_policy: &FallbackPolicy, facts: &Facts) -> Result<(), AdminResponse> {
+    let mut cells = BTreeMap::<String, BTreeSet<u32>>::new();
     for group in &facts.groups {
-        let site = facts.sites.get(usize::from(group.site)).cloned().unwrap_or_default();
-        pods.entry(site).or_default().insert(group.pod);
+        let zone = facts.zones.get(usize::from(group.zone)).cloned().unwrap_or_default();
+        cells.entry(zone).or_default().insert(group.cell);
     }
-    let bedrock = usual_bedrock(&pods);
-    let out = facts.named.iter().find(|(name, (pod, _))| {
-        bedrock.pods.contains(pod)
-            && (!charter.pods.contains(pod) || charter.except.contains(*name))
+    let mandatory_fallback = default_mandatory_fallback(&cells);
+    let out = facts.named.iter().find(|(name, (cell, _))| {
+        mandatory_fallback.cells.contains(cell)
+            && (!fallback_policy.cells.contains(cell) || fallback_policy.except.contains(*name))
     });
     match out {
         None => Ok(()),
-        Some((name, (pod, _))) => {
+        Some((name, (cell, _))) => {
             let why = format!(
-                "`{name}` is in pod {pod}, which is bedrock: whoever has forgotten everything and hears nobody sends there; \
+                "`{name}` is in pod {cell}, which is bedrock: whoever has forgotten everything and hears nobody sends there; \
                  state `fleet.bedrock` in every balancer's configuration to choose others"
             );
-            Err(Told { status: 409, ..Told::bad(&why) })
+            Err(AdminResponse { status: 409, ..AdminResponse::bad(&why) })
         }
     }
 }
 
 /// Bedrock where the configuration states none: one pod of each site that has four or more, so that what can
 /// never be put out is a small part.
-pub fn usual_bedrock(pods: &BTreeMap<String, BTreeSet<u32>>) -> Charter {
-    let many = pods.iter().filter(|(_, pods)| pods.len() >= MANY_PODS);
-    Charter::bedrock(&many.map(|(site, pods)| (site.clone(), pods.clone())).collect())
+pub fn default_mandatory_fallback(cells: &BTreeMap<String, BTreeSet<u32>>) -> FallbackPolicy {
+    let many = cells.iter().filter(|(_, cells)| cells.len() >= MANY_PODS);
+    FallbackPolicy::mandatory_fallback(
+        &many.map(|(zone, cells)| (zone.clone(), cells.clone())).collect(),
+    )
 }
 
 /// Whether a charter that counts now allows sending to an upstream.
-fn in_charter(book: &Book, facts: &Facts, name: &str) -> bool {
-    let Some((pod, flavour)) = facts.named.get(name) else { return false };
-    let flavour = facts.flavours.get(usize::from(*flavour)).map_or("", |f| f);
-    book.standing().rules.floor().allows(&Place { name, pod: *pod, flavour, site: "" })
+fn in_charter(policy: &PolicyState, facts: &Facts, name: &str) -> bool {
+    let Some((cell, machine_type)) = facts.named.get(name) else { return false };
+    let machine_type = facts.machine_types.get(usize::from(*machine_type)).map_or("", |f| f);
+    policy.status().rules.floor().allows(&Place { name, cell: *cell, machine_type, zone: "" })
 }
 
 /// Upstreams that a document names.
@@ -482,19 +508,19 @@
     document.out.upstreams.iter().chain(weights).cloned().collect()
 }
 
-fn dry(result: Result<hollowpaddle_revision::difference::Difference, Refusal>) -> Told {
+fn dry(result: Result<hollowpaddle_revision::difference::Difference, Refusal>) -> AdminResponse {
     match result {
         Ok(difference) => {
             let difference = serde_json::to_value(&difference).unwrap_or_default();
-            Told::ok(json!({"ok": true, "dry": true, "changes": difference}))
+            AdminResponse::ok(json!({"ok": true, "dry": true, "changes": difference}))
         }
-        Err(why) => Told::refused(&why),
+        Err(why) => AdminResponse::refused(&why),
     }
 }
 
 /// How the bank stands, as seen from one balancer.
 fn cluster(machine: &Machine) -> Value {
-    let standing = machine.book().standing();
+    let status = machine.policy().status();
     let replica = machine.replica();
     let in_force = machine.in_force();
     let seen = machine.leases().seen();
@@ -506,18 +532,18 @@
     json!({
         "ok": true,
         "member": machine.node_id().0,
-        "revision": standing.revision,
-        "towards": standing.towards,
-        "newest": machine.book().newest(),
-        "stage": standing.stage,
-        "unconfirmed": standing.unconfirmed,
+        "revision": status.revision,
+        "towards": status.towards,
+        "newest": machine.policy().newest(),
+        "stage": status.generation,
+        "unconfirmed": status.unconfirmed,
         "here": seen.here.len(),
-        "charter_confirmed": seen.charter.len(),
+        "charter_confirmed": seen.fallback_policy.len(),
         "charter": {
-            "pods": standing.charter.pods, "except": standing.charter.except,
-            "attempts": standing.charter.attempts, "awaited": standing.awaited,
+            "pods": status.fallback_policy.cells, "except": status.fallback_policy.except,
+            "attempts": status.fallback_policy.attempts, "awaited": status.awaited,
         },
-        "past_lease": {"pods": seen.past.pods, "except": seen.past.except, "attempts": seen.past.attempts},
+        "past_lease": {"pods": seen.past.cells, "except": seen.past.except, "attempts": seen.past.attempts},
         "lease": {
             "held": machine.now() < in_force.until,
             "left_s": in_force.until.saturating_sub(machine.now()).as_secs_f64(),
@@ -530,33 +556,33 @@
             "source": machine.learner().source().map(|m| m.0),
             "log": machine.learner().at().to_string(),
         },
-        "dead": standing.dead.iter().map(|m| m.0).collect::<Vec<_>>(),
+        "dead": status.dead.iter().map(|m| m.0).collect::<Vec<_>>(),
         "behind": behind,
         "words": serde_json::to_value(machine.wire().counts()).unwrap_or_default(),
         "held_bytes": serde_json::to_value(machine.wire().held()).unwrap_or_default(),
     })
 }
 
-fn revisions(book: &Book) -> Value {
-    let all: Vec<Value> = book
+fn revisions(policy: &PolicyState) -> Value {
+    let all: Vec<Value> = policy
         .revisions()
         .rev()
         .take(LISTED)
         .map(|(number, kept)| {
-            let fate = book.fate(number).map(|f| format!("{f:?}").to_lowercase());
-            json!({"revision": number, "origin": format!("{:?}", kept.origin).to_lowercase(), "fate": fate})
+            let change_status = policy.change_status(number).map(|f| format!("{f:?}").to_lowercase());
+            json!({"revision": number, "origin": format!("{:?}", kept.origin).to_lowercase(), "fate": change_status})
         })
         .collect();
-    json!({"ok": true, "newest": book.newest(), "revisions": all})
+    json!({"ok": true, "newest": policy.newest(), "revisions": all})
 }
 
-fn revision(book: &Book, number: u64) -> Told {
-    match book.kept(number) {
-        Ok(kept) => Told::ok(json!({
+fn revision(policy: &PolicyState, number: u64) -> AdminResponse {
+    match policy.kept(number) {
+        Ok(kept) => AdminResponse::ok(json!({
             "ok": true, "revision": number,
             "document": serde_json::to_value(&*kept.document).unwrap_or_default(),
         })),
-        Err(why) => Told { status: 404, ..Told::refused(&why) },
+        Err(why) => AdminResponse { status: 404, ..AdminResponse::refused(&why) },
     }
 }
 
@@ -572,17 +598,22 @@
     };
     let mut groups = BTreeMap::<(u32, u8, u8), (u16, u32)>::new();
     for listed in members.iter().filter(|m| m.phase == Phase::Serving) {
-        let site = place(&mut facts.sites, &listed.zone);
-        let flavour = place(&mut facts.flavours, &listed.machine_type);
-        let group = groups.entry((listed.cell, site, flavour)).or_default();
+        let zone = place(&mut facts.zones, &listed.zone);
+        let machine_type = place(&mut facts.machine_types, &listed.machine_type);
+        let group = groups.entry((listed.cell, zone, machine_type)).or_default();
         group.0 = group.0.saturating_add(1);
         let size = (listed.size.clamp(0.0, 1e6) * 1000.0) as u32;
         group.1 = group.1.saturating_add(size);
-        facts.named.insert(listed.id.to_string(), (listed.cell, flavour));
+        facts.named.insert(listed.id.to_string(), (listed.cell, machine_type));
     }
-    facts.load = vec![0; facts.sites.len()];
-    let group =
-        |((pod, site, flavour), (upstreams, room))| Group { pod, site, flavour, upstreams, room };
+    facts.load = vec![0; facts.zones.len()];
+    let group = |((cell, zone, machine_type), (upstreams, capacity))| Group {
+        cell,
+        zone,
+        machine_type,
+        upstreams,
+        capacity,
+    };
     facts.groups =
         groups.into_iter().map(group).take(hollowpaddle_revision::fleet::MOST_GROUPS).collect();
     facts
--- a/crates/gateway/src/cluster/durable.rs
+++ b/crates/gateway/src/cluster/durable.rs
@@ -7,8 +7,8 @@
 use hollowpaddle_consensus::{self as consensus, DurableState, Record, StoreError};
 use hollowpaddle_failpoints::{Fault, Kind, Points};
 use hollowpaddle_peer_transport::NodeId;
-use hollowpaddle_revision::fallback_policy::Charter;
-use hollowpaddle_revision::message::Stage;
+use hollowpaddle_revision::fallback_policy::FallbackPolicy;
+use hollowpaddle_revision::message::Generation;
 use serde::{Deserialize, Serialize};
 
 use crate::cluster::Stored;
@@ -18,15 +18,17 @@
 const UNDATED: Duration = Duration::ZERO;
 
 #[derive(Serialize, Deserialize)]
-struct Kept {
-    generation: Stage,
-    charter: Charter,
+struct StoredFallbackPolicy {
+    #[serde(rename = "generation")]
+    fallback_generation: Generation,
+    #[serde(rename = "charter")]
+    fallback_policy: FallbackPolicy,
 }
 
 /// The files.
 struct Files {
     records: consensus::Store,
-    charter: hollowpaddle_snapshot::Store,
+    fallback_policy: hollowpaddle_snapshot::Store,
     points: Points,
 }
 
@@ -69,17 +71,18 @@
         }
     };
     let directory = hollowpaddle_snapshot::Directory::open(path).map_err(|e| e.to_string())?;
-    let mut charter = hollowpaddle_snapshot::Store::new(directory, name);
-    let kept = charter.load(UNDATED, UNDATED);
+    let mut fallback_policy = hollowpaddle_snapshot::Store::new(directory, name);
+    let kept = fallback_policy.load(UNDATED, UNDATED);
     for aside in &kept.aside {
         tracing::error!(file = aside.file, doubt = %aside.doubt, "the charter that was kept is not believed");
     }
-    let kept = kept.snapshot.and_then(|s| serde_json::from_slice::<Kept>(&s.payload).ok());
-    let files = Files { records, charter, points: points.clone() };
+    let kept =
+        kept.snapshot.and_then(|s| serde_json::from_slice::<StoredFallbackPolicy>(&s.payload).ok());
+    let files = Files { records, fallback_policy, points: points.clone() };
     Ok(Stored {
         durable_log: Box::new(files),
         found: Some(found),
-        charter: kept.map(|k| (k.generation, k.charter)),
+        fallback_policy: kept.map(|k| (k.fallback_generation, k.fallback_policy)),
     })
 }
 
@@ -107,13 +110,18 @@
         self.done(done)
     }
 
-    fn keep(&mut self, generation: Stage, charter: &Charter) -> Result<(), String> {
+    fn keep(
+        &mut self,
+        fallback_generation: Generation,
+        fallback_policy: &FallbackPolicy,
+    ) -> Result<(), String> {
         if let Some(fault) = self.points.meet("bank.charter", Kind::Write) {
             return Err(fault.error().map_or_else(|| format!("{fault:?}"), |e| e.to_string()));
         }
-        let kept = Kept { generation, charter: charter.clone() };
+        let kept =
+            StoredFallbackPolicy { fallback_generation, fallback_policy: fallback_policy.clone() };
         let bytes = serde_json::to_vec(&kept).map_err(|e| e.to_string())?;
-        self.charter.save(UNDATED, &bytes).map(|_| ()).map_err(|e| e.to_string())
+        self.fallback_policy.save(UNDATED, &bytes).map(|_| ()).map_err(|e| e.to_string())
     }
 
     fn heal(&mut self) -> Result<(), String> {
--- a/crates/gateway/src/cluster/machine.rs
+++ b/crates/gateway/src/cluster/machine.rs
@@ -14,17 +14,17 @@
 };
 use hollowpaddle_peer_transport as peers;
 use hollowpaddle_peer_transport::{Incarnation, NodeId, Wire};
-use hollowpaddle_revision::entry::{Entry, Id};
-use hollowpaddle_revision::fallback_policy::Charter;
+use hollowpaddle_revision::entry::{CommandId, Entry};
+use hollowpaddle_revision::fallback_policy::FallbackPolicy;
 use hollowpaddle_revision::in_force::InForce;
-use hollowpaddle_revision::leases::{self, Leases, Terms};
+use hollowpaddle_revision::leases::{self, LeaseConfig, Leases};
 use hollowpaddle_revision::lists::{self, Lists, Phase};
-use hollowpaddle_revision::message::Stage;
-use hollowpaddle_revision::policy_state::{Book, Founding};
+use hollowpaddle_revision::message::Generation;
+use hollowpaddle_revision::policy_state::{Bootstrap, PolicyState};
 
 use calls::Call;
 
-pub use calls::Answer;
+pub use calls::ProposalResult;
 
 /// How often the council's machine is told that time has passed, and how often the learner's.
 const TICK: Duration = Duration::from_millis(25);
@@ -48,17 +48,17 @@
     /// Who votes at first.
     pub voters: Vec<NodeId>,
     /// What the log begins with.
-    pub founding: Founding,
+    pub bootstrap: Bootstrap,
     /// What is kept to by a process that knows no charter.
-    pub bedrock: Charter,
+    pub mandatory_fallback: FallbackPolicy,
     /// Pods by site, as the configuration last knew them: where no charter is set, the first leader proposes a third.
-    pub pods: BTreeMap<String, BTreeSet<u32>>,
+    pub cells: BTreeMap<String, BTreeSet<u32>>,
     /// Something outlives the process: what is said waits for it.
     pub directory: bool,
     /// What was found there.
     pub found: Option<DurableState>,
     /// The charter that was found there, and its generation.
-    pub charter: Option<(Stage, Charter)>,
+    pub fallback_policy: Option<(Generation, FallbackPolicy)>,
 }
 
 /// Why there can be no such machine.
@@ -69,7 +69,7 @@
     Wire(#[from] peers::ConfigError),
     /// The book.
     #[error(transparent)]
-    Book(#[from] hollowpaddle_revision::policy_state::FoundingError),
+    PolicyState(#[from] hollowpaddle_revision::policy_state::BootstrapError),
 }
 
 /// What happens.
@@ -91,22 +91,22 @@
     /// The directory takes records again.
     DiskWell,
     /// This generation of the charter is on disk.
-    Kept(Stage),
+    FallbackPolicyPersisted(Generation),
     /// Somebody wants an entry to stand in the log; the ticket names the call.
     Propose {
         /// Names the call.
         ticket: u64,
         /// The name of the question in the book, if it has an answer there.
-        id: Option<Id>,
+        id: Option<CommandId>,
         /// What is to stand there.
         entry: Entry,
     },
     /// What became of a question that was asked at any door.
-    Ask {
+    QueryOutcome {
         /// Names the call.
         ticket: u64,
         /// Of the question.
-        id: Id,
+        id: CommandId,
     },
     /// The own discovery said this.
     Listed {
@@ -155,7 +155,7 @@
     /// the rules allow.
     Stop(Stops),
     /// A peer has a newer list: discovery is to be asked.
-    AskList,
+    RefreshList,
     /// To be written and synced, in the order of the numbers.
     Persist {
         /// Its number.
@@ -164,21 +164,21 @@
         record: consensus::Record,
     },
     /// To be written and synced.
-    Keep {
+    PersistFallbackPolicy {
         /// Its generation.
-        generation: Stage,
+        fallback_generation: Generation,
         /// The charter.
-        charter: Charter,
+        fallback_policy: FallbackPolicy,
     },
     /// A call has its answer.
-    Answer {
+    ProposalResult {
         /// Which call.
         ticket: u64,
         /// What became of it.
-        answer: Answer,
+        answer: ProposalResult,
     },
     /// Something for the log: who leads, what was forgotten.
-    Tell(String),
+    Log(String),
 }
 
 /// What peers' words say of the list.
@@ -197,7 +197,7 @@
     wire: Wire,
     replica: Replica,
     learner: Learner,
-    book: Book,
+    policy: PolicyState,
     /// The last entry of the log that the book knows.
     at: consensus::LogIndex,
     leases: Leases,
@@ -261,10 +261,10 @@
             now,
             LearnerConfig { node_id, voters: setup.voters.clone(), cluster, seed },
         );
-        let mut terms = Terms::usual(node_id, incarnation, setup.bedrock.clone());
-        terms.stored = setup.charter.clone();
+        let mut terms = LeaseConfig::usual(node_id, incarnation, setup.mandatory_fallback.clone());
+        terms.stored = setup.fallback_policy.clone();
         let mut machine = Self {
-            book: Book::found(setup.founding.clone())?,
+            policy: PolicyState::found(setup.bootstrap.clone())?,
             leases: Leases::new(terms),
             lists: Lists::default(),
             stops: Stops::default(),
@@ -314,8 +314,8 @@
     }
 
     /// The rule book.
-    pub fn book(&self) -> &Book {
-        &self.book
+    pub fn policy(&self) -> &PolicyState {
+        &self.policy
     }
 
     /// Stages, leases and who has confirmed what.
@@ -357,12 +357,15 @@
             Event::Persisted(through) => self.vote(consensus::Event::Persisted { through }),
             Event::DiskFailed(cause) => self.vote(consensus::Event::DiskFailed { cause }),
             Event::DiskWell => self.vote(consensus::Event::DiskWell),
-            Event::Kept(generation) => self.lease(leases::Event::Kept { generation }),
+            Event::FallbackPolicyPersisted(fallback_generation) => {
+                self.lease(leases::Event::FallbackPolicyPersisted { fallback_generation })
+            }
             Event::Propose { ticket, id, entry } => self.propose(ticket, id, &entry, actions),
-            Event::Ask { ticket, id } => {
+            Event::QueryOutcome { ticket, id } => {
                 let call = Call { ticket, proposal: None, id: Some(id), index: None };
                 if !self.settle(&call, actions) {
-                    actions.push(Action::Answer { ticket, answer: Answer::Unknown });
+                    actions
+                        .push(Action::ProposalResult { ticket, answer: ProposalResult::Unknown });
                 }
             }
             Event::Listed { version, whole, entries } => {
@@ -379,7 +382,10 @@
                 self.vote(consensus::Event::OperatorCommand(
                     consensus::OperatorCommand::ForceNewEpoch { members },
                 ));
-                actions.push(Action::Answer { ticket, answer: Answer::Stands(self.at) });
+                actions.push(Action::ProposalResult {
+                    ticket,
+                    answer: ProposalResult::Stands(self.at),
+                });
             }
         }
         self.time();
@@ -424,18 +430,18 @@
     /// lease could send nowhere.
     fn charter_first(&mut self) {
         let late = self.chartered.is_none_or(|at| self.now.saturating_sub(at) >= CHARTER_AGAIN);
-        if !self.leads || !late || self.setup.pods.is_empty() || self.at.op() < self.replica.op() {
+        if !self.leads || !late || self.setup.cells.is_empty() || self.at.op() < self.replica.op() {
             return;
         }
-        let standing = self.book.standing();
-        if standing.generation != 0 || !standing.charter.pods.is_empty() {
+        let status = self.policy.status();
+        if status.fallback_generation != 0 || !status.fallback_policy.cells.is_empty() {
             return;
         }
         self.chartered = Some(self.now);
         let proposal = self.next();
-        let id = Id(u128::from(proposal.incarnation.0) << 96 | u128::from(proposal.number));
-        let charter = Charter::third(&self.setup.pods, 1);
-        if let Ok(bytes) = Entry::Charter(id, charter, Box::default()).to_bytes() {
+        let id = CommandId(u128::from(proposal.incarnation.0) << 96 | u128::from(proposal.number));
+        let fallback_policy = FallbackPolicy::third(&self.setup.cells, 1);
+        if let Ok(bytes) = Entry::FallbackPolicy(id, fallback_policy, Box::default()).to_bytes() {
             self.own.insert(proposal);
             self.learn(LearnerEvent::Propose { id: proposal, bytes });
         }
--- a/crates/gateway/src/cluster/machine/between.rs
+++ b/crates/gateway/src/cluster/machine/between.rs
@@ -5,7 +5,7 @@
 };
 use hollowpaddle_peer_transport::{self as peers, Channel, How, NodeId};
 use hollowpaddle_revision::lists::ListMessage;
-use hollowpaddle_revision::policy_state::Book;
+use hollowpaddle_revision::policy_state::PolicyState;
 use hollowpaddle_revision::{leases, lists};
 
 use super::{Action, Inner, Machine, Stops};
@@ -79,7 +79,7 @@
                 actions.push(Action::Persist { number, record });
             }
             consensus::Action::Leads { view, since } => {
-                actions.push(Action::Tell(format!("leads the council, view {}", view.number)));
+                actions.push(Action::Log(format!("leads the council, view {}", view.number)));
                 let from = self.replica.op();
                 self.leads = true;
                 let epoch = view.epoch;
@@ -102,7 +102,7 @@
                 }
             }
             consensus::Action::StateLost(why) => {
-                actions.push(Action::Tell(format!("its seat in the council has forgotten: {why}")));
+                actions.push(Action::Log(format!("its seat in the council has forgotten: {why}")));
             }
         }
     }
@@ -114,9 +114,9 @@
                 let none = Vec::new();
                 let bytes =
                     if let EntryPayload::Command(bytes) = &entry.what { bytes } else { &none };
-                let applied = self.book.apply(index.op(), bytes);
+                let applied = self.policy.apply(index.op(), bytes);
                 if let Some(cause) = applied.unreadable.filter(|_| !bytes.is_empty()) {
-                    actions.push(Action::Tell(format!("entry {index} of the log: {cause}")));
+                    actions.push(Action::Log(format!("entry {index} of the log: {cause}")));
                 }
                 self.at = index;
                 self.settle_all(actions);
@@ -124,9 +124,9 @@
             }
             LearnerAction::Reset { index, state } => {
                 match self.restored(&state) {
-                    Ok(book) => (self.book, self.at) = (book, index),
+                    Ok(policy) => (self.policy, self.at) = (policy, index),
                     Err(cause) => {
-                        actions.push(Action::Tell(format!("a copy of the log at {index}: {cause}")))
+                        actions.push(Action::Log(format!("a copy of the log at {index}: {cause}")))
                     }
                 }
                 self.settle_all(actions);
@@ -146,11 +146,11 @@
     }
 
     /// A copy without content is that of a log without entries.
-    pub(super) fn restored(&self, state: &[u8]) -> Result<Book, String> {
+    pub(super) fn restored(&self, state: &[u8]) -> Result<PolicyState, String> {
         if state.is_empty() {
-            return Book::found(self.setup.founding.clone()).map_err(|e| e.to_string());
+            return PolicyState::found(self.setup.bootstrap.clone()).map_err(|e| e.to_string());
         }
-        Book::from_image(state).map_err(|e| e.to_string())
+        PolicyState::from_image(state).map_err(|e| e.to_string())
     }
 
     /// The book as bytes, and the entry up to which it is that.
@@ -158,19 +158,19 @@
         &self,
         actions: &mut Vec<Action>,
     ) -> Option<(consensus::LogIndex, Vec<u8>)> {
-        match self.book.image() {
+        match self.policy.image() {
             Ok(bytes) => Some((self.at, bytes)),
             Err(cause) => {
-                actions.push(Action::Tell(format!("no image of the rule book: {cause}")));
+                actions.push(Action::Log(format!("no image of the rule book: {cause}")));
                 None
             }
         }
     }
 
     pub(super) fn applied(&mut self) {
-        let (epoch, standing) = (self.at.epoch(), Box::new(self.book.standing()));
-        self.list(lists::Event::Floor(standing.rules.eldest_list()));
-        self.lease(leases::Event::Applied { epoch, standing });
+        let (epoch, status) = (self.at.epoch(), Box::new(self.policy.status()));
+        self.list(lists::Event::FallbackFloor(status.rules.oldest_list()));
+        self.lease(leases::Event::Applied { epoch, status });
     }
 
     pub(super) fn list(&mut self, event: lists::Event) {
@@ -198,7 +198,7 @@
                     actions.push(Action::Stop(stops));
                 }
             }
-            lists::Action::Ask { .. } => actions.push(Action::AskList),
+            lists::Action::Poll { .. } => actions.push(Action::RefreshList),
             lists::Action::WakeAt(at) => self.lists_due = Some(at),
         }
     }
@@ -210,12 +210,15 @@
                 self.pass(peers::Event::Send { to, channel, message: message.to_bytes(), how });
             }
             leases::Action::Publish(in_force) => actions.push(Action::Publish(in_force)),
-            leases::Action::Keep { generation, charter } => {
+            leases::Action::PersistFallbackPolicy { fallback_generation, fallback_policy } => {
                 if self.setup.directory {
-                    let charter = (*charter).clone();
-                    actions.push(Action::Keep { generation, charter });
+                    let fallback_policy = (*fallback_policy).clone();
+                    actions.push(Action::PersistFallbackPolicy {
+                        fallback_generation,
+                        fallback_policy,
+                    });
                 } else {
-                    self.lease(leases::Event::Kept { generation });
+                    self.lease(leases::Event::FallbackPolicyPersisted { fallback_generation });
                 }
             }
             leases::Action::WakeAt(at) => self.leases_due = Some(at),
@@ -228,7 +231,7 @@
             }
             // The log's own learner asks its source every 300 ms, and is told of what is new at once.
             leases::Action::Learn { .. } => {}
-            leases::Action::Elsewhere { than } => self.learn(LearnerEvent::ChangeSource(than)),
+            leases::Action::ChangeParent { than } => self.learn(LearnerEvent::ChangeSource(than)),
         }
     }
 }
--- a/crates/gateway/src/cluster/machine/calls.rs
+++ b/crates/gateway/src/cluster/machine/calls.rs
@@ -1,14 +1,14 @@
 //! Calls from a door that wait for an answer: from the proposal to the book's word on it.
 
 use hollowpaddle_consensus::{self as consensus, LearnerEvent};
-use hollowpaddle_revision::entry::{Entry, Id};
+use hollowpaddle_revision::entry::{CommandId, Entry};
 use hollowpaddle_revision::policy_state::Refusal;
 
 use super::{Action, CALLS, Machine};
 
 /// What became of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Answer {
+pub enum ProposalResult {
     /// It stands in the log, and the book's answer to it is this: the revision's number, or why there is none.
     Answered(Result<u64, Refusal>),
     /// It stands in the log; the book has no word of its own for it.
@@ -25,7 +25,7 @@
     pub(super) ticket: u64,
     /// The proposal by which it went to the log; none, if it only asks.
     pub(super) proposal: Option<consensus::ProposalId>,
-    pub(super) id: Option<Id>,
+    pub(super) id: Option<CommandId>,
     /// Where it stands, by the council's word: what is only applied here may still be lost with a council that forgets.
     pub(super) index: Option<consensus::LogIndex>,
 }
@@ -43,12 +43,12 @@
     pub(super) fn propose(
         &mut self,
         ticket: u64,
-        id: Option<Id>,
+        id: Option<CommandId>,
         entry: &Entry,
         actions: &mut Vec<Action>,
     ) {
         let Ok(bytes) = entry.to_bytes() else {
-            actions.push(Action::Answer { ticket, answer: Answer::Never });
+            actions.push(Action::ProposalResult { ticket, answer: ProposalResult::Never });
             return;
         };
         let proposal = self.call(ticket, id, actions);
@@ -59,14 +59,17 @@
     pub(super) fn call(
         &mut self,
         ticket: u64,
-        id: Option<Id>,
+        id: Option<CommandId>,
         actions: &mut Vec<Action>,
     ) -> consensus::ProposalId {
         let proposal = self.next();
         if self.calls.len() >= CALLS
             && let Some(call) = self.calls.pop_front()
         {
-            actions.push(Action::Answer { ticket: call.ticket, answer: Answer::Unknown });
+            actions.push(Action::ProposalResult {
+                ticket: call.ticket,
+                answer: ProposalResult::Unknown,
+            });
         }
         self.calls.push_back(Call { ticket, proposal: Some(proposal), id, index: None });
         proposal
@@ -91,12 +94,14 @@
             }
             consensus::ProposalOutcome::Never | consensus::ProposalOutcome::Unknown => {
                 let never = outcome == consensus::ProposalOutcome::Never;
-                let answer = if never { Answer::Never } else { Answer::Unknown };
+                let answer = if never { ProposalResult::Never } else { ProposalResult::Unknown };
                 self.calls.retain(|call| {
                     let this = call.proposal == Some(id);
                     if this {
-                        actions
-                            .push(Action::Answer { ticket: call.ticket, answer: answer.clone() });
+                        actions.push(Action::ProposalResult {
+                            ticket: call.ticket,
+                            answer: answer.clone(),
+                        });
                     }
                     !this
                 });
@@ -120,14 +125,14 @@
             return false;
         }
         let answer = match (call.id, call.index) {
-            (Some(id), _) => match self.book.answer(id) {
-                Some(answer) => Answer::Answered(answer.outcome.clone()),
+            (Some(id), _) => match self.policy.answer(id) {
+                Some(answer) => ProposalResult::Answered(answer.outcome.clone()),
                 None => return false,
             },
-            (None, Some(index)) => Answer::Stands(index),
+            (None, Some(index)) => ProposalResult::Stands(index),
             (None, None) => return false,
         };
-        actions.push(Action::Answer { ticket: call.ticket, answer });
+        actions.push(Action::ProposalResult { ticket: call.ticket, answer });
         true
     }
 }
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -15,10 +15,10 @@
 use hollowpaddle_failpoints::Points;
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use hollowpaddle_revision::document::Document;
-use hollowpaddle_revision::fallback_policy::Charter;
+use hollowpaddle_revision::fallback_policy::FallbackPolicy;
 use hollowpaddle_revision::lists::Phase;
-use hollowpaddle_revision::message::Stage;
-use hollowpaddle_revision::policy_state::Founding;
+use hollowpaddle_revision::message::Generation;
+use hollowpaddle_revision::policy_state::Bootstrap;
 
 use tokio::sync::mpsc;
 use tokio::time::Instant;
@@ -61,7 +61,7 @@
     /// Something else may hold than before.
     Changed,
     /// Another balancer has a newer list.
-    AskList,
+    RefreshList,
 }
 
 /// A balancer's hand on what runs elsewhere.
@@ -100,7 +100,7 @@
     /// Of the council.
     pub found: Option<DurableState>,
     /// The charter, and its generation.
-    pub charter: Option<(Stage, Charter)>,
+    pub fallback_policy: Option<(Generation, FallbackPolicy)>,
 }
 
 /// Both ends of a balancer's part of the bank: what serves has the [`Link`], what runs the [`Shell`] may be another thread.
@@ -115,27 +115,31 @@
     stored: Option<Stored>,
     points: Points,
 ) -> Result<(Link, Shell), SetupError> {
-    let (durable_log, found, charter) = match stored {
-        Some(Stored { durable_log, found, charter }) => (Some(durable_log), found, charter),
+    let (durable_log, found, fallback_policy) = match stored {
+        Some(Stored { durable_log, found, fallback_policy }) => {
+            (Some(durable_log), found, fallback_policy)
+        }
         None => (None, None, None),
     };
     let count = cluster.peers.len() as u16;
-    let mut pods = BTreeMap::<String, BTreeSet<u32>>::new();
+    let mut cells = BTreeMap::<String, BTreeSet<u32>>::new();
     for entry in &config.known.members {
-        pods.entry(entry.zone.to_string()).or_default().insert(entry.cell);
+        cells.entry(entry.zone.to_string()).or_default().insert(entry.cell);
     }
-    let named =
-        |pods: &[u32]| Charter { pods: pods.iter().copied().collect(), ..Charter::default() };
-    let stated = cluster.bedrock.as_deref().unwrap_or_default();
-    let bedrock = match &cluster.bedrock {
-        None => door::usual_bedrock(&pods),
+    let named = |cells: &[u32]| FallbackPolicy {
+        cells: cells.iter().copied().collect(),
+        ..FallbackPolicy::default()
+    };
+    let stated = cluster.mandatory_fallback.as_deref().unwrap_or_default();
+    let mandatory_fallback = match &cluster.mandatory_fallback {
+        None => door::default_mandatory_fallback(&cells),
         Some(stated) => named(stated),
     };
-    let mut chartered = named(cluster.charter.as_deref().unwrap_or_default());
-    chartered.pods.extend(stated);
+    let mut chartered = named(cluster.fallback_policy.as_deref().unwrap_or_default());
+    chartered.cells.extend(stated);
     // With a charter that is stated the first leader has nothing to propose.
-    if cluster.charter.is_some() {
-        pods.clear();
+    if cluster.fallback_policy.is_some() {
+        cells.clear();
     }
     let voters = match cluster.voters.as_slice() {
         [] => default_voters(count),
@@ -148,17 +152,17 @@
         seed: config.seed,
         voters,
         // The same at every balancer: nothing of it may come from lists, which differ.
-        founding: Founding {
+        bootstrap: Bootstrap {
             members: count,
-            bedrock: named(stated),
-            charter: chartered,
+            mandatory_fallback: named(stated),
+            fallback_policy: chartered,
             document: Document::default(),
         },
-        bedrock,
-        pods,
+        mandatory_fallback,
+        cells,
         directory: durable_log.is_some(),
         found,
-        charter,
+        fallback_policy,
     };
     let machine = Machine::new(Duration::ZERO, setup)?;
     let epoch = Instant::now();
--- a/crates/gateway/src/cluster/published.rs
+++ b/crates/gateway/src/cluster/published.rs
@@ -38,7 +38,7 @@
     fn at(&self, now: Duration) -> Held {
         let rules = match self.in_force.at(now) {
             View::Agreed(..) => &self.in_force.rules,
-            View::Charter(_) => &self.in_force.charter,
+            View::FallbackPolicy(_) => &self.in_force.fallback_policy,
         };
         Held { rules: rules.clone(), stops: self.stops.clone() }
     }
--- a/crates/gateway/src/cluster/shell.rs
+++ b/crates/gateway/src/cluster/shell.rs
@@ -10,15 +10,15 @@
 use hollowpaddle_failpoints::{Fault, Kind, Points};
 use hollowpaddle_net::{DATAGRAM, Datagrams, Network, receive};
 use hollowpaddle_peer_transport::NodeId;
-use hollowpaddle_revision::entry::{Entry, Id};
-use hollowpaddle_revision::fallback_policy::Charter;
+use hollowpaddle_revision::entry::{CommandId, Entry};
+use hollowpaddle_revision::fallback_policy::FallbackPolicy;
 use hollowpaddle_revision::fleet::Facts;
-use hollowpaddle_revision::message::Stage;
+use hollowpaddle_revision::message::Generation;
 use rustc_hash::FxHashMap;
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::cluster::door::{Ask, Told};
+use crate::cluster::door::{AdminRequest, AdminResponse};
 use crate::cluster::machine::{Action, Event, Machine};
 use crate::cluster::published::PublishedPolicy;
 use crate::cluster::{Listed, News};
@@ -46,7 +46,11 @@
     ///
     /// # Errors
     /// As above.
-    fn keep(&mut self, generation: Stage, charter: &Charter) -> Result<(), String>;
+    fn keep(
+        &mut self,
+        fallback_generation: Generation,
+        fallback_policy: &FallbackPolicy,
+    ) -> Result<(), String>;
 
     /// After a failure: makes room for a whole new record, if there is any again.
     ///
@@ -58,11 +62,11 @@
 /// A call from the operators' door.
 pub struct Call {
     /// What is wanted.
-    pub ask: Ask,
+    pub ask: AdminRequest,
     /// The fleet as this balancer has it.
     pub facts: Facts,
     /// Where the answer goes.
-    pub reply: oneshot::Sender<Told>,
+    pub reply: oneshot::Sender<AdminResponse>,
 }
 
 /// The machine, and all that it is on.
@@ -91,9 +95,9 @@
 
 /// A caller that waits for an answer.
 struct Waiting {
-    reply: oneshot::Sender<Told>,
-    ask: Ask,
-    id: Id,
+    reply: oneshot::Sender<AdminResponse>,
+    ask: AdminRequest,
+    id: CommandId,
     /// The charter comes first.
     for_charter: bool,
 }
@@ -104,7 +108,7 @@
     due: Option<Instant>,
     waiting: FxHashMap<u64, Waiting>,
     /// Answers that wait until a revision is in force everywhere.
-    until_all: Vec<(oneshot::Sender<Told>, Told, u64, Instant)>,
+    until_all: Vec<(oneshot::Sender<AdminResponse>, AdminResponse, u64, Instant)>,
     tickets: u64,
     failing: bool,
     unsynced: bool,
@@ -267,8 +271,8 @@
                 }
                 None
             }
-            Action::AskList => {
-                let _ = self.news.send(News::AskList);
+            Action::RefreshList => {
+                let _ = self.news.send(News::RefreshList);
                 None
             }
             Action::Persist { number, record } => {
@@ -280,16 +284,16 @@
                     Err(cause) => Some(fails(cause, running)),
                 }
             }
-            Action::Keep { generation, charter } => {
+            Action::PersistFallbackPolicy { fallback_generation, fallback_policy } => {
                 let durable_log = self.durable_log.as_mut()?;
-                match durable_log.keep(generation, &charter) {
-                    Ok(()) => Some(Event::Kept(generation)),
+                match durable_log.keep(fallback_generation, &fallback_policy) {
+                    Ok(()) => Some(Event::FallbackPolicyPersisted(fallback_generation)),
                     Err(cause) => Some(fails(cause, running)),
                 }
             }
-            Action::Answer { ticket, answer } => {
+            Action::ProposalResult { ticket, answer } => {
                 let Waiting { reply, ask, id, for_charter } = running.waiting.remove(&ticket)?;
-                let told = Told::of(&ask, id, &answer, for_charter);
+                let told = AdminResponse::of(&ask, id, &answer, for_charter);
                 match told.wait {
                     Some((revision, within)) => {
                         let until = Instant::now() + within;
@@ -299,7 +303,7 @@
                 }
                 None
             }
-            Action::Tell(what) => {
+            Action::Log(what) => {
                 tracing::info!("bank: {what}");
                 None
             }
@@ -325,13 +329,14 @@
         let ticket = running.tickets;
         // No two processes draw one life, and no process counts to one number twice.
         let incarnation = u128::from(self.machine.wire().own_incarnation().0);
-        let id =
-            Id(incarnation << 96 | u128::from(self.machine.node_id().0) << 64 | u128::from(ticket));
+        let id = CommandId(
+            incarnation << 96 | u128::from(self.machine.node_id().0) << 64 | u128::from(ticket),
+        );
         match ask.event(ticket, id, &facts, &self.machine) {
             Ok(event) => {
                 running.waiting.retain(|_, waiting| !waiting.reply.is_closed());
                 let for_charter = ask.looks_again()
-                    && matches!(&event, Event::Propose { entry: Entry::Charter(..), .. });
+                    && matches!(&event, Event::Propose { entry: Entry::FallbackPolicy(..), .. });
                 running.waiting.insert(ticket, Waiting { reply, ask, id, for_charter });
                 self.hand_in(event, running, socket).await;
             }
@@ -344,11 +349,10 @@
         if running.until_all.is_empty() {
             return;
         }
-        let (now, standing) = (Instant::now(), self.machine.book().standing());
+        let (now, status) = (Instant::now(), self.machine.policy().status());
         for (reply, mut told, revision, until) in std::mem::take(&mut running.until_all) {
-            let everywhere = standing.revision >= revision
-                && !standing.unconfirmed
-                && standing.towards.is_none();
+            let everywhere =
+                status.revision >= revision && !status.unconfirmed && status.towards.is_none();
             if everywhere || now >= until {
                 told.text["everywhere"] = everywhere.into();
                 let _ = reply.send(told);
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -161,8 +161,10 @@
 struct FileCluster {
     #[serde(rename = "council")]
     voters: Vec<u16>,
-    charter: Option<Vec<u32>>,
-    bedrock: Option<Vec<u32>>,
+    #[serde(rename = "charter")]
+    fallback_policy: Option<Vec<u32>>,
+    #[serde(rename = "bedrock")]
+    mandatory_fallback: Option<Vec<u32>>,
 }
 
 /// The bank that this balancer is one of, where the platform allows balancers to talk.
@@ -177,16 +179,17 @@
     /// Numbers of the first council's members; none: by the number of balancers.
     pub voters: Vec<u16>,
     /// Pods that no revision may put out; none said: a third of each site's.
-    pub charter: Option<Vec<u32>>,
+    pub fallback_policy: Option<Vec<u32>>,
     /// Pods that can never be put out; none said: one of each site.
-    pub bedrock: Option<Vec<u32>>,
+    pub mandatory_fallback: Option<Vec<u32>>,
 }
 
 impl ClusterConfig {
     /// Names the bank: balancers that differ in it don't believe one another's directories.
     pub fn id(&self) -> u64 {
-        let Self { peers, voters, charter, bedrock, .. } = self;
-        let stated = format!("{} {voters:?} {charter:?} {bedrock:?}", peers.len());
+        let Self { peers, voters, fallback_policy, mandatory_fallback, .. } = self;
+        let stated =
+            format!("{} {voters:?} {fallback_policy:?} {mandatory_fallback:?}", peers.len());
         hollowpaddle_policy::settings::stable_hash(&stated)
     }
 
@@ -342,14 +345,14 @@
     if peers.len() != balancers as usize || position >= balancers || peers.len() > MOST_PEERS {
         return Err(ConfigError::BadPeers { peers: peers.len(), balancers, position });
     }
-    let FileCluster { voters, charter, bedrock } = said;
+    let FileCluster { voters, fallback_policy, mandatory_fallback } = said;
     for (i, member) in voters.iter().enumerate() {
         if usize::from(*member) >= peers.len() || voters[..i].contains(member) {
             return Err(ConfigError::BadCouncil(*member));
         }
     }
     let position = position as u16;
-    Ok(Some(ClusterConfig { listen, peers, position, voters, charter, bedrock }))
+    Ok(Some(ClusterConfig { listen, peers, position, voters, fallback_policy, mandatory_fallback }))
 }
 
 #[cfg(test)]
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -409,7 +409,7 @@
         match note {
             // Looked at with every note.
             Note::Cluster(ClusterEvent::Changed) => {}
-            Note::Cluster(ClusterEvent::AskList) => self.ask_list(),
+            Note::Cluster(ClusterEvent::RefreshList) => self.ask_list(),
             Note::Arrived { id, arrival, forward, reply } => {
                 self.arrived(id, arrival, forward, reply);
             }
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -238,9 +238,9 @@
     fn place<'a>(&'a self, known: &'a Known) -> RulesPlace<'a> {
         RulesPlace {
             name: &known.name,
-            pod: known.listed.cell,
-            flavour: self.machine_types.name(known.listed.machine_type),
-            site: self.zones.name(known.listed.zone),
+            cell: known.listed.cell,
+            machine_type: self.machine_types.name(known.listed.machine_type),
+            zone: self.zones.name(known.listed.zone),
         }
     }
 
--- a/crates/gateway/src/membership/overlay.rs
+++ b/crates/gateway/src/membership/overlay.rs
@@ -85,9 +85,9 @@
     pub fn permitted(&self, held: &Held) -> bool {
         let place = Place {
             name: &self.name,
-            pod: self.cell,
-            flavour: &self.machine_type,
-            site: &self.zone,
+            cell: self.cell,
+            machine_type: &self.machine_type,
+            zone: &self.zone,
         };
         !held.stops.names.contains(&*self.name) && held.rules.permits(&place, &self.class)
     }
--- a/crates/gateway/src/membership/tests.rs
+++ b/crates/gateway/src/membership/tests.rs
@@ -2,7 +2,7 @@
 
 use super::departed::REMEMBERED;
 use crate::cluster::machine::Stops;
-use hollowpaddle_revision::fallback_policy::{Charter, Floor};
+use hollowpaddle_revision::fallback_policy::{FallbackFloor, FallbackPolicy};
 use hollowpaddle_revision::rules::Rules;
 use serde_json::json;
 
@@ -155,10 +155,13 @@
 }
 
 /// Rules that say this, under a charter that holds only these pods.
-fn rules(said: serde_json::Value, charter: &[u32]) -> Held {
+fn rules(said: serde_json::Value, fallback_policy: &[u32]) -> Held {
     let said = serde_json::from_value(said).expect("a document");
-    let charter = Charter { pods: charter.iter().copied().collect(), ..Charter::default() };
-    held(Rules::of(said, Arc::new(Floor::of(charter))), Stops::default())
+    let fallback_policy = FallbackPolicy {
+        cells: fallback_policy.iter().copied().collect(),
+        ..FallbackPolicy::default()
+    };
+    held(Rules::of(said, Arc::new(FallbackFloor::of(fallback_policy))), Stops::default())
 }
 
 fn held(rules: Rules, stops: Stops) -> Held {
@@ -207,9 +210,9 @@
     let mut of = membership();
     of.overlay.classes = vec!["alarm".into()];
     of.update(&in_pods(1, &[("a", 1), ("b", 2), ("c", 3)]), ListKind::Whole, Instant::now());
-    let open = |of: &mut Membership, charter: &[u32], names: &[&str], old| {
+    let open = |of: &mut Membership, fallback_policy: &[u32], names: &[&str], old| {
         let names = names.iter().map(|n| n.to_string()).collect();
-        let rules = Rules::clone(&rules(json!({}), charter).rules);
+        let rules = Rules::clone(&rules(json!({}), fallback_policy).rules);
         of.rule(held(rules, Stops { names, old }), Instant::now());
         let open = |id: &ServerId| of.targets[id].target.closed_from.get().is_none();
         let mut open: Vec<&str> =
@@ -228,18 +231,19 @@
     let mut of = membership();
     of.overlay.classes = vec!["alarm".into()];
     of.update(&in_pods(1, &[("a", 1), ("b", 2)]), ListKind::Whole, Instant::now());
-    let charter = Charter { pods: [2].into(), ..Charter::default() };
-    let told = of.rule(held(Rules::of_charter(&charter), Stops::default()), Instant::now());
+    let fallback_policy = FallbackPolicy { cells: [2].into(), ..FallbackPolicy::default() };
+    let told = of
+        .rule(held(Rules::of_fallback_policy(&fallback_policy), Stops::default()), Instant::now());
     assert_eq!(told.len(), 1);
     assert_eq!((told[0].id, told[0].status), (ServerId(0), d::Status::Draining));
     let placed = of.placed(ServerId(1), 0).expect("known");
-    assert!(placed.permitted(&held(Rules::of_charter(&charter), Stops::default())));
+    assert!(placed.permitted(&held(Rules::of_fallback_policy(&fallback_policy), Stops::default())));
     let stops = Stops { names: ["b".to_string()].into(), old: false };
     assert!(
-        !placed.permitted(&held(Rules::of_charter(&charter), stops)),
+        !placed.permitted(&held(Rules::of_fallback_policy(&fallback_policy), stops)),
         "a peer says that it drains"
     );
-    let nowhere = held(Rules::of_charter(&Charter::default()), Stops::default());
+    let nowhere = held(Rules::of_fallback_policy(&FallbackPolicy::default()), Stops::default());
     assert!(!placed.permitted(&nowhere));
 }
 
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -21,7 +21,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::cluster::door::{self, Ask, Told};
+use crate::cluster::door::{self, AdminRequest, AdminResponse};
 use crate::config::CALLERS;
 use crate::http::{HEAD_LIMIT, HEAD_LINES};
 use crate::tasks::AbortOnDrop;
@@ -79,7 +79,7 @@
     /// Whether this balancer is one of a bank that agrees on rules.
     fn is_banked(&self) -> bool;
     /// What the bank has to say to this; nothing, where there is none.
-    fn ask(&self, ask: Ask) -> impl Future<Output = Option<Told>>;
+    fn ask(&self, ask: AdminRequest) -> impl Future<Output = Option<AdminResponse>>;
 }
 
 /// The door, and what stands behind it.
@@ -298,10 +298,11 @@
         };
         if banks {
             let query = head.uri.query().unwrap_or_default();
-            let ask = Ask::read(head.method.as_str(), head.uri.path(), query, &body.to_bytes());
+            let ask =
+                AdminRequest::read(head.method.as_str(), head.uri.path(), query, &body.to_bytes());
             return Ok(match ask {
                 Ok(ask) => self.cluster_handle(ask).await,
-                Err(cause) => told(Told::unread(&cause)),
+                Err(cause) => told(AdminResponse::unread(&cause)),
             });
         }
         let call = Call::read(head.method.as_str(), head.uri.path(), &body.to_bytes());
@@ -348,8 +349,12 @@
         }
         if self.balancer.is_banked() {
             match &call {
-                Call::Cordon(name) => return self.cluster_handle(Ask::cordon(name, true)).await,
-                Call::Uncordon(name) => return self.cluster_handle(Ask::cordon(name, false)).await,
+                Call::Cordon(name) => {
+                    return self.cluster_handle(AdminRequest::cordon(name, true)).await;
+                }
+                Call::Uncordon(name) => {
+                    return self.cluster_handle(AdminRequest::cordon(name, false)).await;
+                }
                 _ => {}
             }
         }
@@ -372,13 +377,15 @@
     }
 
     /// Has the bank answer. One of many who say the same at once is told that another was first, and looks again.
-    async fn cluster_handle(&self, ask: Ask) -> Response<Full<Bytes>> {
+    async fn cluster_handle(&self, ask: AdminRequest) -> Response<Full<Bytes>> {
         tracing::info!(?ask, "an operator calls");
         let until = Instant::now() + LOOKS;
         loop {
             match self.balancer.ask(ask.clone()).await {
                 None => return word(StatusCode::NOT_FOUND, "this balancer is in no bank"),
-                Some(Told { again: true, .. }) if ask.looks_again() && Instant::now() < until => {
+                Some(AdminResponse { again: true, .. })
+                    if ask.looks_again() && Instant::now() < until =>
+                {
                     sleep(BUSY_STEP).await;
                 }
                 Some(answer) => return told(answer),
@@ -435,7 +442,7 @@
     text(status, &word)
 }
 
-fn told(Told { status, text: words, .. }: Told) -> Response<Full<Bytes>> {
+fn told(AdminResponse { status, text: words, .. }: AdminResponse) -> Response<Full<Bytes>> {
     text(StatusCode::from_u16(status).unwrap_or(StatusCode::INTERNAL_SERVER_ERROR), &words)
 }
 
@@ -483,7 +490,7 @@
         fn is_banked(&self) -> bool {
             false
         }
-        async fn ask(&self, _: Ask) -> Option<Told> {
+        async fn ask(&self, _: AdminRequest) -> Option<AdminResponse> {
             None
         }
     }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -12,7 +12,7 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::clients::Front;
-use crate::cluster::door::{Ask, Told, facts};
+use crate::cluster::door::{AdminRequest, AdminResponse, facts};
 use crate::cluster::{Call, Link, PolicyReader};
 use crate::config::Config;
 use crate::engine::{Door, Engine, EngineError};
@@ -98,7 +98,7 @@
     fn is_banked(&self) -> bool {
         self.cluster.is_some()
     }
-    async fn ask(&self, ask: Ask) -> Option<Told> {
+    async fn ask(&self, ask: AdminRequest) -> Option<AdminResponse> {
         let cluster = self.cluster.as_ref()?;
         let (mut members, mut from) = (Vec::new(), Some(0));
         while let Some(at) = from {
@@ -191,8 +191,8 @@
     services
         .map(|s| ClassFacts {
             name: s.name.clone(),
-            sites: places(&s.zones_allowed),
-            flavours: Vec::new(),
+            zones: places(&s.zones_allowed),
+            machine_types: Vec::new(),
         })
         .collect()
 }
--- a/crates/model-checks/src/change_limits.rs
+++ b/crates/model-checks/src/change_limits.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use hollowpaddle_revision::document::Document;
-use hollowpaddle_revision::entry::{Ask, Entry, Id};
+use hollowpaddle_revision::entry::{CommandId, Entry, ProposalOptions};
 use hollowpaddle_revision::fleet::{ClassFacts, Facts, Group};
 use serde::Serialize;
 
@@ -55,10 +55,11 @@
 pub fn propose_with(fleet: FleetSize) -> Option<Outcome> {
     let mut world = settled(Plan::whole(1, BALANCERS))?;
     let leader = world.leader()?;
-    let id = Id(1);
+    let id = CommandId(1);
     let mut document = Document { attempts: 3, ..Document::default() };
-    document.out.pods.insert(2);
-    let ask = Ask { id, base: None, trial: None, forced: false, facts: facts_of(fleet) };
+    document.out.cells.insert(2);
+    let ask =
+        ProposalOptions { id, base: None, canary: None, forced: false, facts: facts_of(fleet) };
     let entry = Entry::Propose(Box::new(ask), Box::new(document));
     let ticket = world.propose(leader, Some(id), entry);
     world.run(ANSWER_LIMIT);
@@ -70,19 +71,19 @@
 fn facts_of(fleet: FleetSize) -> Facts {
     let class = |number| ClassFacts {
         name: format!("service-{number}"),
-        sites: Vec::new(),
-        flavours: Vec::new(),
+        zones: Vec::new(),
+        machine_types: Vec::new(),
     };
-    let group = |pod| Group {
-        pod,
-        site: u8::from(pod > PODS / 2),
-        flavour: 0,
+    let group = |cell| Group {
+        cell,
+        zone: u8::from(cell > PODS / 2),
+        machine_type: 0,
         upstreams: GROUP_UPSTREAMS,
-        room: GROUP_CAPACITY,
+        capacity: GROUP_CAPACITY,
     };
     Facts {
         classes: (0..fleet.classes).map(class).collect(),
-        flavours: (0..fleet.machine_types).map(|number| format!("m{number}")).collect(),
+        machine_types: (0..fleet.machine_types).map(|number| format!("m{number}")).collect(),
         groups: (1..=fleet.groups).map(group).collect(),
         ..facts()
     }
--- a/crates/model-checks/src/control_plane.rs
+++ b/crates/model-checks/src/control_plane.rs
@@ -11,7 +11,7 @@
 use crate::figures::{agreed, in_force, settled, share_leased, spread};
 use crate::world::{Plan, Sent, World, propose};
 use hollowpaddle_revision::document::Document;
-use hollowpaddle_revision::entry::Id;
+use hollowpaddle_revision::entry::CommandId;
 
 /// How long the cluster is watched at rest, in virtual time.
 const REST: Duration = Duration::from_secs(20);
@@ -234,9 +234,9 @@
     let began = world.now;
     for number in BURST_QUESTIONS..BURST_QUESTIONS + BURST {
         let Some(leader) = world.leader() else { break };
-        let id = Id(u128::from(number));
+        let id = CommandId(u128::from(number));
         let mut document = Document { attempts: 3, ..Document::default() };
-        document.out.pods.insert([2, 3, 5, 6][number as usize % 4]);
+        document.out.cells.insert([2, 3, 5, 6][number as usize % 4]);
         world.propose(leader, Some(id), propose(id, None, document));
         world.run(BURST_GAP);
     }
--- a/crates/model-checks/src/day.rs
+++ b/crates/model-checks/src/day.rs
@@ -6,8 +6,8 @@
 
 use hollowpaddle_peer_transport::NodeId;
 use hollowpaddle_revision::document::Document;
-use hollowpaddle_revision::entry::{Entry, Id};
-use hollowpaddle_revision::fallback_policy::Charter;
+use hollowpaddle_revision::entry::{CommandId, Entry};
+use hollowpaddle_revision::fallback_policy::FallbackPolicy;
 use hollowpaddle_revision::history::Origin;
 
 use crate::history::{Op, Ret, Span, is_linearizable};
@@ -46,7 +46,7 @@
 
 #[derive(Clone)]
 struct Doing {
-    id: Id,
+    id: CommandId,
     base: Option<u64>,
     entry: Entry,
     from: Duration,
@@ -229,20 +229,20 @@
         }
         if self.world.below(5) == 0 && self.ids > 0 {
             let id = 1 + u128::from(self.world.below(self.ids as u64));
-            if let Some(ret) = self.world.ask(door, Id(id)).as_ref().and_then(Ret::of) {
+            if let Some(ret) = self.world.ask(door, CommandId(id)).as_ref().and_then(Ret::of) {
                 self.spans.push(Span { thread, from: now, to: now, op: Op::Asked { id }, ret });
             }
             self.clients[at].next = now + ms(50);
             return;
         }
         if self.charters && self.world.below(8) == 0 {
-            self.charter(door);
+            self.fallback_policy(door);
         }
         self.ids += 1;
-        let id = Id(self.ids);
+        let id = CommandId(self.ids);
         let Some(machine) = &self.world.nodes[usize::from(door)].machine else { return };
-        let newest = machine.book().newest();
-        let numbers: Vec<u64> = machine.book().revisions().map(|(n, _)| n).collect();
+        let newest = machine.policy().newest();
+        let numbers: Vec<u64> = machine.policy().revisions().map(|(n, _)| n).collect();
         let base = if self.world.below(4) == 0 { None } else { Some(newest) };
         let entry = if self.world.below(3) == 0 {
             let to = numbers[self.world.below(numbers.len() as u64) as usize];
@@ -258,23 +258,30 @@
     fn document(&mut self) -> Document {
         let mut document = Document::default();
         let bits = self.world.below(16);
-        let pods = [2, 3, 5, 6].into_iter().enumerate();
-        document.out.pods = pods.filter(|(n, _)| bits & 1 << n != 0).map(|(_, p)| p).collect();
+        let cells = [2, 3, 5, 6].into_iter().enumerate();
+        document.out.cells = cells.filter(|(n, _)| bits & 1 << n != 0).map(|(_, p)| p).collect();
         if self.world.below(2) == 0 {
-            let pod = 2 + self.world.below(2) as u32;
-            document.kept.insert("a".into(), [pod].into());
+            let cell = 2 + self.world.below(2) as u32;
+            document.kept.insert("a".into(), [cell].into());
         }
         document.attempts = 1 + self.world.below(3) as u8;
         document
     }
 
     /// The charter changes to another and back, beside all else: it is no operation of the register.
-    fn charter(&mut self, door: u16) {
-        let pods: Vec<u32> = if self.world.below(2) == 0 { vec![1] } else { vec![1, 4] };
-        let charter =
-            Charter { pods: pods.into_iter().collect(), attempts: 1, ..Charter::default() };
-        let id = Id(1 << 100 | u128::from(self.world.below(u64::MAX)));
-        self.world.propose(door, Some(id), Entry::Charter(id, charter, Box::new(facts())));
+    fn fallback_policy(&mut self, door: u16) {
+        let cells: Vec<u32> = if self.world.below(2) == 0 { vec![1] } else { vec![1, 4] };
+        let fallback_policy = FallbackPolicy {
+            cells: cells.into_iter().collect(),
+            attempts: 1,
+            ..FallbackPolicy::default()
+        };
+        let id = CommandId(1 << 100 | u128::from(self.world.below(u64::MAX)));
+        self.world.propose(
+            door,
+            Some(id),
+            Entry::FallbackPolicy(id, fallback_policy, Box::new(facts())),
+        );
     }
 
     /// Heals the bank, asks what became of all that was not answered, and looks whether everything is whole.
@@ -318,8 +325,8 @@
     /// A new revision is agreed and in force everywhere within 20 s.
     fn whole(&mut self, healed: Duration) {
         let mut document = Document::default();
-        document.out.pods.insert(6);
-        let id = Id(u128::MAX);
+        document.out.cells.insert(6);
+        let id = CommandId(u128::MAX);
         let entry = propose(id, None, document);
         let mut tickets = Vec::new();
         let from = self.world.now;
@@ -344,9 +351,9 @@
         let in_force = |world: &World| {
             world.nodes.iter().all(|n| {
                 n.machine.as_ref().is_some_and(|m| {
-                    let standing = m.book().standing();
+                    let status = m.policy().status();
                     let leased = n.published.as_ref().is_some_and(|p| n.clock(world.now) < p.until);
-                    standing.revision >= number && leased
+                    status.revision >= number && leased
                 })
             })
         };
@@ -357,7 +364,7 @@
             let at: Vec<String> = at
                 .iter()
                 .map(|m| {
-                    let s = m.book().standing();
+                    let s = m.policy().status();
                     format!(
                         "{:?}: revision {}, towards {:?}, at {}, unconfirmed {}, {:?} leads",
                         m.node_id(),
@@ -387,11 +394,11 @@
         let mut first = None;
         for node in &self.world.nodes {
             let Some(machine) = &node.machine else { continue };
-            let book = machine.book();
+            let policy = machine.policy();
             for (number, id) in &yes {
-                let kept = book.kept(*number).map(|k| k.origin).ok();
+                let kept = policy.kept(*number).map(|k| k.origin).ok();
                 let same = match kept {
-                    Some(Origin::Proposed(of) | Origin::Rollback(of, _)) => of == Id(*id),
+                    Some(Origin::Proposed(of) | Origin::Rollback(of, _)) => of == CommandId(*id),
                     _ => false,
                 };
                 if !same {
@@ -402,9 +409,9 @@
                 }
             }
             match &first {
-                None => first = Some((machine.learner().at(), book.clone())),
+                None => first = Some((machine.learner().at(), policy.clone())),
                 Some((at, other)) => {
-                    if machine.learner().at() == *at && book != other {
+                    if machine.learner().at() == *at && policy != other {
                         faults.push(format!("{:?} has another book at {at}", machine.node_id()));
                     }
                 }
--- a/crates/model-checks/src/figures.rs
+++ b/crates/model-checks/src/figures.rs
@@ -5,7 +5,7 @@
 
 use hollowpaddle_peer_transport::NodeId;
 use hollowpaddle_revision::document::Document;
-use hollowpaddle_revision::entry::Id;
+use hollowpaddle_revision::entry::CommandId;
 
 use crate::history::Ret;
 use crate::world::{Plan, World, ms, propose};
@@ -33,7 +33,7 @@
 
 fn document(number: u64) -> Document {
     let mut document = Document { attempts: 3, ..Document::default() };
-    document.out.pods.insert([2, 3, 5, 6][number as usize % 4]);
+    document.out.cells.insert([2, 3, 5, 6][number as usize % 4]);
     document
 }
 
@@ -41,7 +41,7 @@
 /// are down are passed over, as by whoever balances operators.
 pub fn agreed(world: &mut World, number: u64, most: Duration) -> Option<(u64, Duration)> {
     let began = world.now;
-    let id = Id(u128::from(number) + 1);
+    let id = CommandId(u128::from(number) + 1);
     let mut tickets = Vec::new();
     loop {
         let size = u64::from(world.plan.size);
@@ -68,7 +68,7 @@
 /// How many have this revision in force, both steps done, under a lease.
 pub fn in_force(world: &World, number: u64) -> usize {
     let has = |n: &&crate::world::Node| {
-        n.machine.as_ref().is_some_and(|m| m.book().standing().revision >= number)
+        n.machine.as_ref().is_some_and(|m| m.policy().status().revision >= number)
             && n.published.as_ref().is_some_and(|p| n.clock(world.now) < p.until)
     };
     world.nodes.iter().filter(has).count()
@@ -150,7 +150,7 @@
     let mut tickets = Vec::new();
     for number in 0..revisions {
         let leader = world.leader()?;
-        let id = Id(1_000_000 + u128::from(number));
+        let id = CommandId(1_000_000 + u128::from(number));
         tickets.push(world.propose(leader, Some(id), propose(id, None, document(number))));
         world.run(ms(25));
     }
@@ -168,7 +168,7 @@
     }
     let has = |w: &World| {
         let node = &w.nodes[usize::from(away)];
-        node.machine.as_ref().is_some_and(|m| m.book().standing().revision >= last)
+        node.machine.as_ref().is_some_and(|m| m.policy().status().revision >= last)
             && node.published.as_ref().is_some_and(|p| node.clock(w.now) < p.until)
     };
     world.run_while(ms(60_000), |w| !has(w))?;
@@ -193,15 +193,15 @@
     world.run_while(ms(20_000), |w| {
         let wide = |n: &crate::world::Node| {
             n.machine.as_ref().is_some_and(|m| {
-                let standing = m.book().standing();
-                standing.revision >= revision && standing.unconfirmed
+                let status = m.policy().status();
+                status.revision >= revision && status.unconfirmed
             })
         };
         !w.nodes.iter().any(wide)
     })?;
     let numbers: Vec<u64> = {
         let of = |m: &hollowpaddle_gateway::cluster::Machine| {
-            m.book().revisions().map(|(n, _)| n).collect::<Vec<u64>>()
+            m.policy().revisions().map(|(n, _)| n).collect::<Vec<u64>>()
         };
         world.nodes.iter().filter_map(|n| n.machine.as_ref()).map(of).max_by_key(Vec::len)?
     };
@@ -219,7 +219,7 @@
     let all = world.now - began;
     let (_, first_answer) = agreed(world, number + 1, ms(30_000))?;
     let machine = world.nodes.iter().find_map(|n| n.machine.as_ref())?;
-    let kept = numbers.iter().filter(|n| machine.book().kept(**n).is_ok()).count();
+    let kept = numbers.iter().filter(|n| machine.policy().kept(**n).is_ok()).count();
     Some(Ruin { leased: [near, all], revisions: [numbers.len(), kept], first_answer })
 }
 
--- a/crates/model-checks/src/history.rs
+++ b/crates/model-checks/src/history.rs
@@ -5,7 +5,7 @@
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use hollowpaddle_gateway::cluster::machine::Answer;
+use hollowpaddle_gateway::cluster::machine::ProposalResult;
 use hollowpaddle_revision::policy_state::Refusal;
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester, SequentialSpec};
 
@@ -39,12 +39,14 @@
 
 impl Ret {
     /// As a door says it; `None`: that says nothing.
-    pub fn of(answer: &Answer) -> Option<Self> {
+    pub fn of(answer: &ProposalResult) -> Option<Self> {
         match answer {
-            Answer::Answered(Ok(number)) => Some(Self::Yes(*number)),
-            Answer::Answered(Err(Refusal::Lost { newest, .. })) => Some(Self::Lost(*newest)),
-            Answer::Answered(Err(_)) | Answer::Never => Some(Self::Refused),
-            Answer::Stands(_) | Answer::Unknown => None,
+            ProposalResult::Answered(Ok(number)) => Some(Self::Yes(*number)),
+            ProposalResult::Answered(Err(Refusal::Lost { newest, .. })) => {
+                Some(Self::Lost(*newest))
+            }
+            ProposalResult::Answered(Err(_)) | ProposalResult::Never => Some(Self::Refused),
+            ProposalResult::Stands(_) | ProposalResult::Unknown => None,
         }
     }
 }
--- a/crates/model-checks/src/holding.rs
+++ b/crates/model-checks/src/holding.rs
@@ -9,12 +9,12 @@
 
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use hollowpaddle_revision::document::Document;
-use hollowpaddle_revision::entry::{Entry, Id};
-use hollowpaddle_revision::fallback_policy::Charter;
+use hollowpaddle_revision::entry::{CommandId, Entry};
+use hollowpaddle_revision::fallback_policy::FallbackPolicy;
 use hollowpaddle_revision::in_force::{InForce, View};
-use hollowpaddle_revision::leases::{Action as Act, Event, Leases, Terms};
+use hollowpaddle_revision::leases::{Action as Act, Event, LeaseConfig, Leases};
 use hollowpaddle_revision::message::Message;
-use hollowpaddle_revision::policy_state::{Book, Founding};
+use hollowpaddle_revision::policy_state::{Bootstrap, PolicyState};
 use hollowpaddle_revision::rules::{Place, Rules};
 use stateright::{Chooser, Model, Property};
 
@@ -45,7 +45,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Seat {
     leases: Leases,
-    book: Book,
+    policy: PolicyState,
     published: InForce,
     incarnation: u32,
     born: Duration,
@@ -95,26 +95,36 @@
 #[derive(Clone, Debug)]
 pub struct Holding(pub Bounds);
 
-fn charter(pods: &[u32]) -> Charter {
-    Charter { pods: pods.iter().copied().collect(), attempts: 1, ..Charter::default() }
+fn fallback_policy(cells: &[u32]) -> FallbackPolicy {
+    FallbackPolicy {
+        cells: cells.iter().copied().collect(),
+        attempts: 1,
+        ..FallbackPolicy::default()
+    }
 }
 
 fn proposal(number: u8) -> Entry {
     let mut document = Document { attempts: 3, ..Document::default() };
     match number {
-        0 => document.out.pods.extend([3]),
-        1 => document.out.pods.extend([4]),
-        2 => return Entry::Charter(Id(103), charter(&[1]), Box::new(crate::world::facts())),
-        _ => document.out.pods.extend([2, 3]),
+        0 => document.out.cells.extend([3]),
+        1 => document.out.cells.extend([4]),
+        2 => {
+            return Entry::FallbackPolicy(
+                CommandId(103),
+                fallback_policy(&[1]),
+                Box::new(crate::world::facts()),
+            );
+        }
+        _ => document.out.cells.extend([2, 3]),
     }
-    crate::world::propose(Id(100 + u128::from(number)), None, document)
+    crate::world::propose(CommandId(100 + u128::from(number)), None, document)
 }
 
 fn sends(rules: &Rules) -> u8 {
-    (1..=4).fold(0, |bits, pod| {
-        let site = if pod <= 2 { "bilbao" } else { "oviedo" };
-        let place = Place { name: "u", pod, flavour: "f", site };
-        bits | u8::from(rules.permits(&place, "a")) << pod
+    (1..=4).fold(0, |bits, cell| {
+        let zone = if cell <= 2 { "bilbao" } else { "oviedo" };
+        let place = Place { name: "u", cell, machine_type: "f", zone };
+        bits | u8::from(rules.permits(&place, "a")) << cell
     })
 }
 
@@ -123,25 +133,28 @@
         Message::Renew { .. } => 0,
         Message::Left { .. } => 1,
         Message::Grant { .. } => 2,
-        Message::No { .. } => 3,
+        Message::LeaseRejection { .. } => 3,
     }
 }
 
 impl Seat {
     fn new(node_id: u16, incarnation: u32, now: Duration) -> Self {
-        let founding = Founding {
+        let bootstrap = Bootstrap {
             members: MEMBERS,
-            bedrock: charter(&[1]),
-            charter: charter(&[1, 2]),
+            mandatory_fallback: fallback_policy(&[1]),
+            fallback_policy: fallback_policy(&[1, 2]),
             document: Document::default(),
         };
-        let leases =
-            Leases::new(Terms::usual(NodeId(node_id), Incarnation(incarnation), charter(&[1])));
+        let leases = Leases::new(LeaseConfig::usual(
+            NodeId(node_id),
+            Incarnation(incarnation),
+            fallback_policy(&[1]),
+        ));
         Self {
             published: leases.in_force(),
             leases,
             // Bedrock is in the charter, and the document is the usual one.
-            book: Book::found(founding).expect("a founding within all bounds"),
+            policy: PolicyState::found(bootstrap).expect("a founding within all bounds"),
             incarnation,
             born: now,
             since: [None; 5],
@@ -171,7 +184,9 @@
                 }
                 Act::Publish(in_force) => self.seats[usize::from(at)].published = in_force,
                 // Without directories the charter is kept at once.
-                Act::Keep { generation, .. } => self.event(at, Event::Kept { generation }),
+                Act::PersistFallbackPolicy { fallback_generation, .. } => {
+                    self.event(at, Event::FallbackPolicyPersisted { fallback_generation })
+                }
                 Act::Propose(entry) => self.enter(&entry),
                 _ => {}
             }
@@ -188,11 +203,11 @@
 
     fn learn(&mut self, at: u16) {
         let seat = &mut self.seats[usize::from(at)];
-        let next = seat.book.standing().index;
+        let next = seat.policy.status().index;
         if let Some(entry) = self.log.get(next as usize) {
-            seat.book.apply(next + 1, entry);
-            let standing = Box::new(seat.book.standing());
-            self.event(at, Event::Applied { epoch: 1, standing });
+            seat.policy.apply(next + 1, entry);
+            let status = Box::new(seat.policy.status());
+            self.event(at, Event::Applied { epoch: 1, status });
         }
     }
 
@@ -234,11 +249,11 @@
         for at in 0..MEMBERS {
             let clock = self.clock(at);
             let seat = &self.seats[usize::from(at)];
-            let standing = seat.book.standing();
-            if !standing.unconfirmed {
-                confirmed = confirmed.max(standing.stage);
+            let status = seat.policy.status();
+            if !status.unconfirmed {
+                confirmed = confirmed.max(status.generation);
             }
-            self.wide |= standing.revision > 0 && !standing.unconfirmed;
+            self.wide |= status.revision > 0 && !status.unconfirmed;
             if self.still == Some(at) {
                 continue;
             }
@@ -246,17 +261,18 @@
             let bits = sends(view.rules());
             acts.push((at, bits));
             if matches!(view, View::Agreed(..)) {
-                known.push((at, bits, seat.published.stage.index));
+                known.push((at, bits, seat.published.generation.index));
             } else {
                 self.past |= !self.log.is_empty();
             }
         }
         self.apart |= known.iter().any(|a| known.iter().any(|b| a.2 != b.2));
         let mut wrong = None;
-        for (at, bits, stage) in &known {
-            if *stage < confirmed {
-                wrong =
-                    Some(format!("{at} holds a lease at {stage}, and {confirmed} is confirmed"));
+        for (at, bits, generation) in &known {
+            if *generation < confirmed {
+                wrong = Some(format!(
+                    "{at} holds a lease at {generation}, and {confirmed} is confirmed"
+                ));
             }
             if known.iter().any(|(_, other, _)| bits & !other != 0 && other & !bits != 0) {
                 wrong = Some(format!(
@@ -269,13 +285,13 @@
             if bits & 2 == 0 {
                 wrong = Some(format!("{at} refuses bedrock"));
             }
-            for pod in 1..=4 {
-                let since = &mut self.seats[usize::from(*at)].since[pod];
-                if bits & forbidden & 1 << pod == 0 {
+            for cell in 1..=4 {
+                let since = &mut self.seats[usize::from(*at)].since[cell];
+                if bits & forbidden & 1 << cell == 0 {
                     *since = None;
                 } else if self.now - *since.get_or_insert(self.now) > BEYOND {
                     wrong =
-                        Some(format!("{at} sends to {pod} beyond a lease, which another forbids"));
+                        Some(format!("{at} sends to {cell} beyond a lease, which another forbids"));
                 }
             }
         }
@@ -311,8 +327,8 @@
             past: false,
         };
         for at in 0..MEMBERS {
-            let standing = Box::new(state.seats[usize::from(at)].book.standing());
-            state.event(at, Event::Applied { epoch: 1, standing });
+            let status = Box::new(state.seats[usize::from(at)].policy.status());
+            state.event(at, Event::Applied { epoch: 1, status });
         }
         state.event(0, Event::Leads { since: Duration::ZERO, epoch: 1, from: 0 });
         state.parents();
@@ -353,7 +369,7 @@
             }
         }
         for at in (0..MEMBERS).filter(|at| state.still != Some(*at)) {
-            let index = state.seats[usize::from(at)].book.standing().index;
+            let index = state.seats[usize::from(at)].policy.status().index;
             // Who leads learns from nobody.
             let learns = bounds.late || !state.untold.contains(&at);
             if learns && (index as usize) < state.log.len() {
@@ -426,8 +442,8 @@
                 state.untold.remove(&at);
                 let incarnation = state.seats[usize::from(at)].incarnation + 1;
                 state.seats[usize::from(at)] = Seat::new(at, incarnation, state.now);
-                let standing = Box::new(state.seats[usize::from(at)].book.standing());
-                state.event(at, Event::Applied { epoch: 1, standing });
+                let status = Box::new(state.seats[usize::from(at)].policy.status());
+                state.event(at, Event::Applied { epoch: 1, status });
                 state.parents();
             }
         }
--- a/crates/model-checks/src/judge.rs
+++ b/crates/model-checks/src/judge.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use hollowpaddle_revision::in_force::View;
-use hollowpaddle_revision::message::Stage;
+use hollowpaddle_revision::message::Generation;
 use hollowpaddle_revision::rules::{Place, Rules};
 use std::sync::Arc;
 
@@ -21,12 +21,12 @@
 /// What one may send: a bit for each pod and class, and two for attempts.
 fn sends(rules: &Rules) -> u32 {
     let mut bits = 0;
-    for pod in 1..=PODS {
-        let site = if pod <= PODS / 2 { "bilbao" } else { "oviedo" };
+    for cell in 1..=PODS {
+        let zone = if cell <= PODS / 2 { "bilbao" } else { "oviedo" };
         for (number, class) in CLASSES.iter().enumerate() {
-            let place = Place { name: "u", pod, flavour: "f", site };
+            let place = Place { name: "u", cell, machine_type: "f", zone };
             if rules.permits(&place, class) {
-                bits |= 1 << (pod as usize * CLASSES.len() + number);
+                bits |= 1 << (cell as usize * CLASSES.len() + number);
             }
         }
     }
@@ -41,7 +41,7 @@
 #[derive(Clone, Debug, Default)]
 struct Seen {
     rules: Option<(Arc<Rules>, u32)>,
-    charter: Option<(Arc<Rules>, u32)>,
+    fallback_policy: Option<(Arc<Rules>, u32)>,
     /// Up to where its book is, and the last stage that is confirmed by it.
     at: (u32, u64),
     /// Since when it sends what another forbids, by bit.
@@ -56,7 +56,7 @@
 pub struct Judge {
     seen: Vec<Seen>,
     /// The latest stage of which a book says that nobody acts on an older one.
-    confirmed: Stage,
+    confirmed: Generation,
     /// By epoch and number.
     revisions: BTreeMap<(u32, u64), Stands>,
     /// What must never be, as found.
@@ -86,7 +86,7 @@
     pub fn gone(&mut self, at: u16) {
         let seen = &mut self.seen[usize::from(at)];
         seen.since.clear();
-        (seen.rules, seen.charter, seen.at) = (None, None, (0, 0));
+        (seen.rules, seen.fallback_policy, seen.at) = (None, None, (0, 0));
     }
 
     /// Logs in which a revision was seen.
@@ -109,28 +109,29 @@
             false
         };
         let mut changed = digest(&mut seen.rules, &published.rules);
-        changed |= digest(&mut seen.charter, &published.charter);
+        changed |= digest(&mut seen.fallback_policy, &published.fallback_policy);
         let learned = machine.learner().at();
-        let book = (learned.epoch(), learned.op());
-        if seen.at != book {
+        let policy = (learned.epoch(), learned.op());
+        if seen.at != policy {
             changed = true;
-            if seen.at.0 > book.0 || seen.at.0 == book.0 && seen.at.1 > book.1 {
-                let (a, b) = (seen.at, book);
+            if seen.at.0 > policy.0 || seen.at.0 == policy.0 && seen.at.1 > policy.1 {
+                let (a, b) = (seen.at, policy);
                 self.fault(now, format!("{at} goes back from entry {a:?} to {b:?}"));
             }
             let seen = &mut self.seen[usize::from(at)];
-            let new = book.0 != seen.at.0;
+            let new = policy.0 != seen.at.0;
             let from = if new { 0 } else { seen.at.1 };
-            seen.at = book;
-            let standing = machine.book().standing();
-            if !standing.unconfirmed {
-                let stage = Stage { epoch: book.0, index: standing.stage };
-                self.confirmed = self.confirmed.max(stage);
+            seen.at = policy;
+            let status = machine.policy().status();
+            if !status.unconfirmed {
+                let generation = Generation { epoch: policy.0, index: status.generation };
+                self.confirmed = self.confirmed.max(generation);
             }
-            for (number, kept) in machine.book().revisions().rev().take_while(|(n, _)| *n > from) {
+            for (number, kept) in machine.policy().revisions().rev().take_while(|(n, _)| *n > from)
+            {
                 let stands = (number, format!("{:?} {:?}", kept.origin, kept.document));
                 let first =
-                    self.revisions.entry((book.0, number)).or_insert_with(|| stands.clone());
+                    self.revisions.entry((policy.0, number)).or_insert_with(|| stands.clone());
                 if *first != stands {
                     let what = format!(
                         "{at} has another revision {number} than others: {stands:?}, {first:?}"
@@ -144,7 +145,7 @@
 
     /// All that act at one moment.
     pub fn look(&mut self, now: Duration, nodes: &[Node]) {
-        let mut known: Vec<(u32, Stage, usize)> = Vec::new();
+        let mut known: Vec<(u32, Generation, usize)> = Vec::new();
         let mut acts: Vec<(usize, u32)> = Vec::new();
         for (at, node) in nodes.iter().enumerate() {
             let (Some(published), true) = (&node.published, node.paused <= now) else { continue };
@@ -154,11 +155,11 @@
             let seen = &self.seen[at];
             let agreed = matches!(published.at(node.clock(now)), View::Agreed(..));
             self.looks.0 += 1;
-            let of = if agreed { &seen.rules } else { &seen.charter };
+            let of = if agreed { &seen.rules } else { &seen.fallback_policy };
             let Some((_, bits)) = of else { continue };
             acts.push((at, *bits));
             if agreed {
-                known.push((*bits, published.stage, at));
+                known.push((*bits, published.generation, at));
             } else {
                 self.looks.1 += 1;
             }
@@ -166,12 +167,12 @@
         let newest = known.iter().map(|k| k.1).max().unwrap_or_default();
         let oldest = known.iter().map(|k| k.1).min().unwrap_or_default();
         self.apart += u64::from(newest != oldest);
-        for (_, stage, at) in &known {
-            if stage.epoch == self.confirmed.epoch && *stage < self.confirmed {
+        for (_, generation, at) in &known {
+            if generation.epoch == self.confirmed.epoch && *generation < self.confirmed {
                 let over = self.confirmed;
                 self.fault(
                     now,
-                    format!("{at} holds a lease at {stage:?}, and {over:?} is confirmed"),
+                    format!("{at} holds a lease at {generation:?}, and {over:?} is confirmed"),
                 );
             }
         }
--- a/crates/model-checks/src/lib.rs
+++ b/crates/model-checks/src/lib.rs
@@ -3,7 +3,7 @@
 //! - [`agreement`]: `Council` under a model checker (`stateright`): three members, words lost, doubled and in any order,
 //!   ends that forget, disks that have not synced. Tests: `checked::members_that_forget_agree_*`,
 //!   `members_with_disks_agree_*`, `where_a_majority_forgets_one_place_still_has_one_entry`.
-//! - [`holding`]: `Leases` and `Book` under the same checker: three members of two sites in a chain. Tests:
+//! - [`holding`]: `Leases` and `PolicyState` under the same checker: three members of two sites in a chain. Tests:
 //!   `checked::leases_keep_their_holders_together_*`.
 //! - [`world`]: whole `Machine`s over a played network. [`day`] draws a day of faults of 5 to 7 of them; [`judge`] looks on,
 //!   and [`history`] asks whether one register could have answered so. Tests: `days`.
--- a/crates/model-checks/src/world.rs
+++ b/crates/model-checks/src/world.rs
@@ -7,15 +7,15 @@
 
 use hollowpaddle_consensus::DurableState;
 use hollowpaddle_consensus::ReplicaStatus;
-use hollowpaddle_gateway::cluster::machine::{Action, Answer, Event, Machine, Setup};
+use hollowpaddle_gateway::cluster::machine::{Action, Event, Machine, ProposalResult, Setup};
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use hollowpaddle_revision::document::Document;
-use hollowpaddle_revision::entry::{Ask, Entry, Id};
-use hollowpaddle_revision::fallback_policy::Charter;
+use hollowpaddle_revision::entry::{CommandId, Entry, ProposalOptions};
+use hollowpaddle_revision::fallback_policy::FallbackPolicy;
 use hollowpaddle_revision::fleet::{ClassFacts, Facts, Group};
 use hollowpaddle_revision::in_force::InForce;
-use hollowpaddle_revision::message::Stage;
-use hollowpaddle_revision::policy_state::Founding;
+use hollowpaddle_revision::message::Generation;
+use hollowpaddle_revision::policy_state::Bootstrap;
 use oorandom::Rand64;
 
 use crate::judge::Judge;
@@ -79,7 +79,7 @@
 #[derive(Clone, Debug, Default)]
 struct Disk {
     replica: DurableState,
-    charter: Option<(Stage, Charter)>,
+    fallback_policy: Option<(Generation, FallbackPolicy)>,
 }
 
 /// What one balancer sent in one second, at most, and in all.
@@ -146,7 +146,7 @@
     /// Links that carry nothing, one way.
     pub cuts: BTreeSet<(u16, u16)>,
     /// Answers that came, by ticket.
-    pub answers: BTreeMap<u64, (Duration, Answer)>,
+    pub answers: BTreeMap<u64, (Duration, ProposalResult)>,
     /// Who looks on.
     pub judge: Judge,
     /// Chance, for whoever plays as well.
@@ -257,10 +257,10 @@
         }
         node.incarnation += 1;
         node.born = now;
-        let charter = |pods: &[u32]| Charter {
-            pods: pods.iter().copied().collect(),
+        let fallback_policy = |cells: &[u32]| FallbackPolicy {
+            cells: cells.iter().copied().collect(),
             attempts: 1,
-            ..Charter::default()
+            ..FallbackPolicy::default()
         };
         let setup = Setup {
             node_id: NodeId(at),
@@ -269,17 +269,17 @@
             incarnation: Incarnation((seed as u32).max(1)),
             seed,
             voters: plan.voters.iter().copied().map(NodeId).collect(),
-            founding: Founding {
+            bootstrap: Bootstrap {
                 members: plan.size,
-                bedrock: charter(&[1]),
-                charter: charter(&[1, 4]),
+                mandatory_fallback: fallback_policy(&[1]),
+                fallback_policy: fallback_policy(&[1, 4]),
                 document: Document { attempts: 3, ..Document::default() },
             },
-            bedrock: charter(&[1]),
-            pods: BTreeMap::new(),
+            mandatory_fallback: fallback_policy(&[1]),
+            cells: BTreeMap::new(),
             directory: plan.directory,
             found: plan.directory.then(|| node.disk.replica.clone()),
-            charter: if plan.directory { node.disk.charter.clone() } else { None },
+            fallback_policy: if plan.directory { node.disk.fallback_policy.clone() } else { None },
         };
         // The plan names a possible bank: members and figures are within the bounds of each machine.
         let machine = Machine::new(Duration::ZERO, setup).expect("a plan of a possible bank");
@@ -360,11 +360,11 @@
                 node.disk.replica.apply(number, record);
                 return Some(Event::Persisted(number));
             }
-            Action::Keep { generation, charter } => {
-                node.disk.charter = Some((generation, charter));
-                return Some(Event::Kept(generation));
+            Action::PersistFallbackPolicy { fallback_generation, fallback_policy } => {
+                node.disk.fallback_policy = Some((fallback_generation, fallback_policy));
+                return Some(Event::FallbackPolicyPersisted(fallback_generation));
             }
-            Action::Answer { ticket, answer } => {
+            Action::ProposalResult { ticket, answer } => {
                 let twice = self.answers.insert(ticket, (self.now, answer.clone()));
                 if let Some((_, before)) = twice {
                     self.judge.fault(
@@ -374,7 +374,7 @@
                 }
             }
             // Lists are not played here.
-            Action::Stop(_) | Action::AskList | Action::Tell(_) => {}
+            Action::Stop(_) | Action::RefreshList | Action::Log(_) => {}
         }
         None
     }
@@ -504,7 +504,7 @@
     }
 
     /// An entry is proposed at a door; the ticket.
-    pub fn propose(&mut self, at: u16, id: Option<Id>, entry: Entry) -> u64 {
+    pub fn propose(&mut self, at: u16, id: Option<CommandId>, entry: Entry) -> u64 {
         let ticket = self.ticket();
         if self.answers_at(at) {
             self.hand_in(at, Event::Propose { ticket, id, entry });
@@ -513,10 +513,10 @@
     }
 
     /// What became of a question.
-    pub fn ask(&mut self, at: u16, id: Id) -> Option<Answer> {
+    pub fn ask(&mut self, at: u16, id: CommandId) -> Option<ProposalResult> {
         let ticket = self.ticket();
         if self.answers_at(at) {
-            self.hand_in(at, Event::Ask { ticket, id });
+            self.hand_in(at, Event::QueryOutcome { ticket, id });
         }
         self.answers.get(&ticket).map(|(_, answer)| answer.clone())
     }
@@ -551,12 +551,18 @@
 
 /// The played fleet: pods 1 to 3 at `bilbao`, 4 to 6 at `oviedo`, two classes, room for all in any of them.
 pub fn facts() -> Facts {
-    let group = |pod| Group { pod, site: u8::from(pod > 3), flavour: 0, upstreams: 8, room: 1000 };
-    let class = |name: &str| ClassFacts { name: name.into(), sites: vec![], flavours: vec![] };
+    let group = |cell| Group {
+        cell,
+        zone: u8::from(cell > 3),
+        machine_type: 0,
+        upstreams: 8,
+        capacity: 1000,
+    };
+    let class = |name: &str| ClassFacts { name: name.into(), zones: vec![], machine_types: vec![] };
     Facts {
-        sites: vec!["bilbao".into(), "oviedo".into()],
+        zones: vec!["bilbao".into(), "oviedo".into()],
         load: vec![10, 10],
-        flavours: vec!["f".into()],
+        machine_types: vec!["f".into()],
         groups: (1..=PODS).map(group).collect(),
         classes: vec![class("a"), class("b")],
         named: BTreeMap::new(),
@@ -564,13 +570,13 @@
 }
 
 /// A new revision with this content.
-pub fn propose(id: Id, base: Option<u64>, document: Document) -> Entry {
-    let ask = Ask { id, base, trial: None, forced: false, facts: facts() };
+pub fn propose(id: CommandId, base: Option<u64>, document: Document) -> Entry {
+    let ask = ProposalOptions { id, base, canary: None, forced: false, facts: facts() };
     Entry::Propose(Box::new(ask), Box::new(document))
 }
 
 /// A new revision with the content of an old one.
-pub fn rollback(id: Id, base: Option<u64>, to: u64) -> Entry {
-    let ask = Ask { id, base, trial: None, forced: false, facts: facts() };
+pub fn rollback(id: CommandId, base: Option<u64>, to: u64) -> Entry {
+    let ask = ProposalOptions { id, base, canary: None, forced: false, facts: facts() };
     Entry::Rollback(Box::new(ask), to)
 }
--- a/crates/model-checks/tests/published.rs
+++ b/crates/model-checks/tests/published.rs
@@ -80,7 +80,11 @@
     builder.preemption_bound = Some(2);
     builder.check(|| {
         let freed = Arc::new(std::array::from_fn(|_| AtomicUsize::new(0)));
-        let value = |stage: usize| Value { rules: stage, until: 100 + stage, freed: freed.clone() };
+        let value = |generation: usize| Value {
+            rules: generation,
+            until: 100 + generation,
+            freed: freed.clone(),
+        };
         let place = Arc::new(P::begin(value(0)));
         let told = Arc::new(AtomicUsize::new(0));
         let readers: Vec<_> = (0..2)
@@ -99,9 +103,9 @@
                 })
             })
             .collect();
-        for stage in 1..STAGES {
-            place.put(value(stage));
-            told.store(stage, Ordering::SeqCst);
+        for generation in 1..STAGES {
+            place.put(value(generation));
+            told.store(generation, Ordering::SeqCst);
         }
         for reader in readers {
             reader.join().unwrap();
@@ -125,23 +129,23 @@
 fn the_real_one_gives_whole_values_that_never_go_back() {
     use hollowpaddle_gateway::cluster::PublishedPolicy;
     use hollowpaddle_revision::document::Document;
-    use hollowpaddle_revision::fallback_policy::Charter;
+    use hollowpaddle_revision::fallback_policy::FallbackPolicy;
     use hollowpaddle_revision::in_force::InForce;
-    use hollowpaddle_revision::message::Stage;
+    use hollowpaddle_revision::message::Generation;
     use hollowpaddle_revision::rules::Rules;
     use std::sync::Arc;
     use std::sync::atomic::{AtomicBool, Ordering};
     use std::time::Duration;
 
-    let charter = Arc::new(Rules::of_charter(&Charter::default()));
+    let fallback_policy = Arc::new(Rules::of_fallback_policy(&FallbackPolicy::default()));
     let value = |index: u64| InForce {
         rules: Arc::new(Rules::of(
-            Document { eldest_list: index, ..Document::default() },
-            charter.floor().clone(),
+            Document { oldest_list: index, ..Document::default() },
+            fallback_policy.floor().clone(),
         )),
-        stage: Stage { epoch: 1, index },
+        generation: Generation { epoch: 1, index },
         until: Duration::from_millis(index),
-        charter: charter.clone(),
+        fallback_policy: fallback_policy.clone(),
     };
     let published = PublishedPolicy::new(value(0));
     let over = AtomicBool::new(false);
@@ -151,9 +155,9 @@
                 let mut last = 0;
                 while !over.load(Ordering::Relaxed) {
                     let whole = published.in_force();
-                    let index = whole.stage.index;
+                    let index = whole.generation.index;
                     assert_eq!(whole.until, Duration::from_millis(index));
-                    assert_eq!(whole.rules.eldest_list(), index);
+                    assert_eq!(whole.rules.oldest_list(), index);
                     assert!(index >= last);
                     last = index;
                 }
--- a/crates/revision/src/canary.rs
+++ b/crates/revision/src/canary.rs
@@ -8,7 +8,7 @@
 /// On which terms a revision is on trial.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
-pub struct Trial {
+pub struct CanaryTerms {
     /// Without a confirmation for so long after it came into force it is taken back; in seconds, 1 to
     /// [`LONGEST_S`].
     pub seconds: u32,
@@ -24,7 +24,7 @@
 
 /// Worth served over the whole bank, a second, in thousandths.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub struct Worth {
+pub struct CanaryMetric {
     /// Mean over a stretch before the revision came into force.
     pub before: u64,
     /// Mean over a stretch since.
@@ -37,14 +37,14 @@
 
 /// Why a revision was taken back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Why {
+pub enum RollbackCause {
     /// Nobody confirmed it in time.
     NotConfirmed,
     /// The worth that was served fell, by so many thousandths.
     WorthFell(u16),
 }
 
-impl Trial {
+impl CanaryTerms {
     /// Whether its terms can be.
     pub fn is_possible(&self) -> bool {
         (1..=LONGEST_S).contains(&self.seconds) && (1..=1000).contains(&self.fall)
@@ -53,7 +53,7 @@
     /// Whether a revision that has been in force for `since` without a confirmation is to be taken back.
     /// Served worth counts as a share of the worth asked for. Without figures of either stretch nothing can
     /// be said of a fall: the time decides.
-    pub fn verdict(&self, since: Duration, worth: Option<Worth>) -> Option<Why> {
+    pub fn verdict(&self, since: Duration, worth: Option<CanaryMetric>) -> Option<RollbackCause> {
         if let Some(worth) = worth.filter(|_| since >= SETTLE) {
             let share = |served: u64, asked: u64| (asked > 0).then(|| served as f64 / asked as f64);
             let shares =
@@ -61,10 +61,11 @@
             if let Some((before, now)) = shares.filter(|(before, _)| *before > 0.0) {
                 let fell = (1000.0 * (1.0 - now / before)).clamp(0.0, 1000.0) as u16;
                 if fell > self.fall {
-                    return Some(Why::WorthFell(fell));
+                    return Some(RollbackCause::WorthFell(fell));
                 }
             }
         }
-        (since >= Duration::from_secs(u64::from(self.seconds))).then_some(Why::NotConfirmed)
+        (since >= Duration::from_secs(u64::from(self.seconds)))
+            .then_some(RollbackCause::NotConfirmed)
     }
 }
--- a/crates/revision/src/difference.rs
+++ b/crates/revision/src/difference.rs
@@ -39,7 +39,8 @@
     /// Sessions by class, in seconds; 0 for none.
     pub sessions: BTreeMap<String, Changed<u32>>,
     /// The eldest list.
-    pub eldest_list: Option<Changed<u64>>,
+    #[serde(rename = "eldest_list")]
+    pub oldest_list: Option<Changed<u64>>,
     /// What speaks against it in the fleet.
     pub misfits: Vec<String>,
 }
@@ -52,7 +53,10 @@
     /// From one to another.
     pub fn of(from: &Document, to: &Document, misfits: &[Misfit]) -> Self {
         let kept = |d: &Document| -> BTreeSet<(String, u32)> {
-            d.kept.iter().flat_map(|(c, pods)| pods.iter().map(move |p| (c.clone(), *p))).collect()
+            d.kept
+                .iter()
+                .flat_map(|(c, cells)| cells.iter().map(move |p| (c.clone(), *p)))
+                .collect()
         };
         let weights = |d: &Document| -> BTreeMap<String, Weight> {
             let w = &d.weights;
@@ -60,10 +64,11 @@
                 |what: &'static str, of: &BTreeMap<String, Weight>| -> Vec<(String, Weight)> {
                     of.iter().map(|(n, w)| (format!("{what} {n}"), *w)).collect()
                 };
-            let pods = w.pods.iter().map(|(p, w)| (format!("pod {p}"), *w));
-            pods.chain(named("upstream", &w.upstreams))
-                .chain(named("flavour", &w.flavours))
-                .chain(named("site", &w.sites))
+            let cells = w.cells.iter().map(|(p, w)| (format!("pod {p}"), *w));
+            cells
+                .chain(named("upstream", &w.upstreams))
+                .chain(named("flavour", &w.machine_types))
+                .chain(named("site", &w.zones))
                 .collect()
         };
         let (kept_from, kept_to) = (kept(from), kept(to));
@@ -89,7 +94,7 @@
             times: changed(from.times.number(), to.times.number()),
             balancers: changed(from.balancers, to.balancers),
             sessions: sessions.collect(),
-            eldest_list: changed(from.eldest_list, to.eldest_list),
+            oldest_list: changed(from.oldest_list, to.oldest_list),
             misfits: misfits.iter().map(ToString::to_string).collect(),
         }
     }
--- a/crates/revision/src/dissemination_tree.rs
+++ b/crates/revision/src/dissemination_tree.rs
@@ -6,8 +6,8 @@
 
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 
-use crate::message::Stage;
-use crate::node_set::Members;
+use crate::message::Generation;
+use crate::node_set::NodeSet;
 
 /// Children at most: the tree's eight, and as many that have lost their own parent, as the log's learners take them.
 /// Failure, found in played banks: such guests learned the log and got no lease, and of 300 balancers 5 to 34 kept to the
@@ -27,9 +27,9 @@
     pub(crate) asked: u64,
     /// When that was heard.
     pub(crate) heard: Duration,
-    pub(crate) stage: Stage,
-    pub(crate) confirmed: Stage,
-    pub(crate) here: Members,
+    pub(crate) generation: Generation,
+    pub(crate) confirmed: Generation,
+    pub(crate) here: NodeSet,
     /// All leases that it was given have ended by then, by the clock here.
     pub(crate) until: Duration,
     /// All that it was given of older stages than the present one.
@@ -47,9 +47,9 @@
         now: Duration,
         who: (NodeId, Incarnation),
         asked: u64,
-        stage: Stage,
-        confirmed: Stage,
-        here: Members,
+        generation: Generation,
+        confirmed: Generation,
+        here: NodeSet,
     ) -> Option<&mut Child> {
         if !self.0.contains_key(&who) {
             let others = self.0.iter().filter(|((m, _), c)| *m != who.0 && c.is_near(now)).count();
@@ -58,18 +58,20 @@
             }
         }
         let zero = Duration::ZERO;
-        let new = Child { asked, heard: now, stage, confirmed, here, until: zero, older: zero };
+        let new =
+            Child { asked, heard: now, generation, confirmed, here, until: zero, older: zero };
         let child = self.0.entry(who).or_insert(new);
         // What it confirmed stays confirmed, whichever of its words comes last.
         child.confirmed = child.confirmed.max(confirmed);
         if asked >= child.asked {
-            (child.asked, child.heard, child.stage, child.here) = (asked, now, stage, here);
+            (child.asked, child.heard, child.generation, child.here) =
+                (asked, now, generation, here);
         }
         Some(child)
     }
 
     /// One that went elsewhere has left all older stages.
-    pub(crate) fn left_by(&mut self, who: (NodeId, Incarnation), confirmed: Stage) {
+    pub(crate) fn left_by(&mut self, who: (NodeId, Incarnation), confirmed: Generation) {
         if let Some(child) = self.0.get_mut(&who) {
             child.confirmed = child.confirmed.max(confirmed);
         }
@@ -87,17 +89,17 @@
 
     /// Whether nobody under a lease that was given here acts on an older stage than this; until when one may,
     /// else.
-    pub(crate) fn left(&self, now: Duration, stage: Stage) -> Result<(), Duration> {
-        let behind = self.0.values().filter(|c| c.confirmed < stage && now <= c.older);
+    pub(crate) fn left(&self, now: Duration, generation: Generation) -> Result<(), Duration> {
+        let behind = self.0.values().filter(|c| c.confirmed < generation && now <= c.older);
         behind.map(|c| c.older).max().map_or(Ok(()), Err)
     }
 
     /// Who is there at this stage.
-    pub(crate) fn here(&self, now: Duration, stage: Stage) -> Members {
-        let mut here = Members::default();
+    pub(crate) fn here(&self, now: Duration, generation: Generation) -> NodeSet {
+        let mut here = NodeSet::default();
         self.0
             .values()
-            .filter(|c| c.stage == stage && c.is_near(now))
+            .filter(|c| c.generation == generation && c.is_near(now))
             .for_each(|c| here.extend(&c.here));
         here
     }
--- a/crates/revision/src/document.rs
+++ b/crates/revision/src/document.rs
@@ -34,11 +34,14 @@
     /// By name.
     pub upstreams: BTreeSet<String>,
     /// By number; no two sites share one.
-    pub pods: BTreeSet<u32>,
+    #[serde(rename = "pods")]
+    pub cells: BTreeSet<u32>,
     /// Kinds of machines.
-    pub flavours: BTreeSet<String>,
+    #[serde(rename = "flavours")]
+    pub machine_types: BTreeSet<String>,
     /// Localities.
-    pub sites: BTreeSet<String>,
+    #[serde(rename = "sites")]
+    pub zones: BTreeSet<String>,
 }
 
 impl Chosen {
@@ -52,9 +55,9 @@
         let less = |a: &BTreeSet<String>, b: &BTreeSet<String>| a.difference(b).cloned().collect();
         Self {
             upstreams: less(&self.upstreams, &other.upstreams),
-            pods: self.pods.difference(&other.pods).copied().collect(),
-            flavours: less(&self.flavours, &other.flavours),
-            sites: less(&self.sites, &other.sites),
+            cells: self.cells.difference(&other.cells).copied().collect(),
+            machine_types: less(&self.machine_types, &other.machine_types),
+            zones: less(&self.zones, &other.zones),
         }
     }
 
@@ -62,9 +65,9 @@
     pub fn with(&self, other: &Self) -> Self {
         let mut all = self.clone();
         all.upstreams.extend(other.upstreams.iter().cloned());
-        all.pods.extend(&other.pods);
-        all.flavours.extend(other.flavours.iter().cloned());
-        all.sites.extend(other.sites.iter().cloned());
+        all.cells.extend(&other.cells);
+        all.machine_types.extend(other.machine_types.iter().cloned());
+        all.zones.extend(other.zones.iter().cloned());
         all
     }
 }
@@ -76,11 +79,14 @@
     /// By name.
     pub upstreams: BTreeMap<String, Weight>,
     /// By number.
-    pub pods: BTreeMap<u32, Weight>,
+    #[serde(rename = "pods")]
+    pub cells: BTreeMap<u32, Weight>,
     /// Kinds of machines.
-    pub flavours: BTreeMap<String, Weight>,
+    #[serde(rename = "flavours")]
+    pub machine_types: BTreeMap<String, Weight>,
     /// Localities.
-    pub sites: BTreeMap<String, Weight>,
+    #[serde(rename = "sites")]
+    pub zones: BTreeMap<String, Weight>,
 }
 
 /// One routing revision's content.
@@ -102,7 +108,8 @@
     /// Classes that have sessions, and for how long after their last use, in seconds.
     pub sessions: BTreeMap<String, u32>,
     /// The eldest list of upstreams that may be acted on, by discovery's number.
-    pub eldest_list: u64,
+    #[serde(rename = "eldest_list")]
+    pub oldest_list: u64,
 }
 
 impl Default for Document {
@@ -116,7 +123,7 @@
             times: Times::default(),
             balancers: None,
             sessions: BTreeMap::new(),
-            eldest_list: 0,
+            oldest_list: 0,
         }
     }
 }
@@ -187,29 +194,29 @@
     /// # Errors
     /// The first field that isn't.
     pub fn check(&self) -> Result<(), DocumentError> {
-        let Self { out, weights, kept, attempts, times: _, balancers, sessions, eldest_list: _ } =
+        let Self { out, weights, kept, attempts, times: _, balancers, sessions, oldest_list: _ } =
             self;
         most("out.upstreams", out.upstreams.len(), MOST_UPSTREAMS)?;
-        most("out.pods", out.pods.len(), MOST_PODS)?;
-        most("out.flavours", out.flavours.len(), MOST_NAMES)?;
-        most("out.sites", out.sites.len(), MOST_NAMES)?;
+        most("out.pods", out.cells.len(), MOST_PODS)?;
+        most("out.flavours", out.machine_types.len(), MOST_NAMES)?;
+        most("out.sites", out.zones.len(), MOST_NAMES)?;
         most("weights.upstreams", weights.upstreams.len(), MOST_UPSTREAMS)?;
-        most("weights.pods", weights.pods.len(), MOST_PODS)?;
-        most("weights.flavours", weights.flavours.len(), MOST_NAMES)?;
-        most("weights.sites", weights.sites.len(), MOST_NAMES)?;
+        most("weights.pods", weights.cells.len(), MOST_PODS)?;
+        most("weights.flavours", weights.machine_types.len(), MOST_NAMES)?;
+        most("weights.sites", weights.zones.len(), MOST_NAMES)?;
         most("kept", kept.len(), MOST_NAMES)?;
         most("sessions", sessions.len(), MOST_NAMES)?;
         named("out.upstreams", &out.upstreams)?;
-        named("out.flavours", &out.flavours)?;
-        named("out.sites", &out.sites)?;
+        named("out.flavours", &out.machine_types)?;
+        named("out.sites", &out.zones)?;
         named("weights.upstreams", weights.upstreams.keys())?;
-        named("weights.flavours", weights.flavours.keys())?;
-        named("weights.sites", weights.sites.keys())?;
+        named("weights.flavours", weights.machine_types.keys())?;
+        named("weights.sites", weights.zones.keys())?;
         named("kept", kept.keys())?;
         named("sessions", sessions.keys())?;
-        for pods in kept.values() {
-            most("kept", pods.len(), MOST_PODS)?;
-            if pods.is_empty() {
+        for cells in kept.values() {
+            most("kept", cells.len(), MOST_PODS)?;
+            if cells.is_empty() {
                 return Err(field(
                     "kept",
                     "a class without pods",
--- a/crates/revision/src/entry.rs
+++ b/crates/revision/src/entry.rs
@@ -3,9 +3,9 @@
 use hollowpaddle_peer_transport::NodeId;
 use serde::{Deserialize, Serialize};
 
-use crate::canary::{Trial, Why};
+use crate::canary::{CanaryTerms, RollbackCause};
 use crate::document::Document;
-use crate::fallback_policy::Charter;
+use crate::fallback_policy::FallbackPolicy;
 use crate::fleet::Facts;
 
 /// The longest entry, in bytes: the council's bound.
@@ -14,17 +14,17 @@
 /// A question's name, drawn by whoever asks: 128 bits, so that no two askers draw one. The same question
 /// again gets the same answer and does nothing more.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Id(pub u128);
+pub struct CommandId(pub u128);
 
 /// What is asked of a new revision, whatever its content.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Ask {
+pub struct ProposalOptions {
     /// The question's name.
-    pub id: Id,
+    pub id: CommandId,
     /// Only if this revision is the newest (`if_revision`).
     pub base: Option<u64>,
     /// On which terms it is on trial.
-    pub trial: Option<Trial>,
+    pub canary: Option<CanaryTerms>,
     /// Also where it does not fit the fleet.
     pub forced: bool,
     /// The fleet as the council's leader knew it.
@@ -35,24 +35,24 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Entry {
     /// A new revision.
-    Propose(Box<Ask>, Box<Document>),
+    Propose(Box<ProposalOptions>, Box<Document>),
     /// A new revision with the content of a kept one.
-    Rollback(Box<Ask>, u64),
+    Rollback(Box<ProposalOptions>, u64),
     /// Nobody acts on an older stage than this one.
     Step(u64),
     /// Another charter.
-    Charter(Id, Charter, Box<Facts>),
+    FallbackPolicy(CommandId, FallbackPolicy, Box<Facts>),
     /// Every member that is not dead has said that it holds this generation of the charter.
-    CharterConfirmed(u64),
+    FallbackPolicyConfirmed(u64),
     /// The revision on trial is to stay.
-    Confirm(Id, u64),
+    Confirm(CommandId, u64),
     /// The revision on trial is taken back.
-    TakeBack(u64, Why),
+    TakeBack(u64, RollbackCause),
     /// Operators say that this balancer acts on nothing any more, and won't before it has learned the book
     /// anew.
-    Dead(Id, NodeId),
+    Dead(CommandId, NodeId),
     /// It is one of the bank again.
-    Alive(Id, NodeId),
+    Alive(CommandId, NodeId),
 }
 
 /// Why bytes are no entry, or an entry no bytes.
--- a/crates/revision/src/fleet.rs
+++ b/crates/revision/src/fleet.rs
@@ -6,7 +6,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::document::{Document, LONGEST_NAME, MOST_NAMES, MOST_UPSTREAMS};
-use crate::fallback_policy::Floor;
+use crate::fallback_policy::FallbackFloor;
 use crate::rules::{Place, Rules};
 
 /// Groups of upstreams in the facts at most.
@@ -16,15 +16,15 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Group {
     /// Their pod.
-    pub pod: u32,
-    /// Their site, by its place in [`Facts::sites`].
-    pub site: u8,
-    /// Their flavour, by its place in [`Facts::flavours`].
-    pub flavour: u8,
+    pub cell: u32,
+    /// Their site, by its place in [`Facts::zones`].
+    pub zone: u8,
+    /// Their flavour, by its place in [`Facts::machine_types`].
+    pub machine_type: u8,
     /// How many can be sent to.
     pub upstreams: u16,
     /// What they can do together, in thousandths of work a second as the module measures it.
-    pub room: u32,
+    pub capacity: u32,
 }
 
 /// A class, and where it may go by the site's own settings.
@@ -33,20 +33,20 @@
     /// Its name.
     pub name: String,
     /// Sites, by their places; empty for any.
-    pub sites: Vec<u8>,
+    pub zones: Vec<u8>,
     /// Flavours, by their places; empty for any.
-    pub flavours: Vec<u8>,
+    pub machine_types: Vec<u8>,
 }
 
 /// The fleet as the council's leader knew it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Facts {
     /// Sites by name.
-    pub sites: Vec<String>,
-    /// Load of each site at the time, in the unit of [`Group::room`].
+    pub zones: Vec<String>,
+    /// Load of each site at the time, in the unit of [`Group::capacity`].
     pub load: Vec<u32>,
     /// Flavours by name.
-    pub flavours: Vec<String>,
+    pub machine_types: Vec<String>,
     /// Who can be sent to.
     pub groups: Vec<Group>,
     /// Classes of requests.
@@ -74,20 +74,20 @@
     },
     /// What is left of a site has not the room.
     #[error(
-        "site `{site}` has a load of {load} and would have room for {room} \
+        "site `{zone}` has a load of {load} and would have room for {capacity} \
          (thousandths of work a second); leave more in, or force it"
     )]
-    NoRoom {
+    NoCapacity {
         /// Which; empty for all of them together.
-        site: String,
+        zone: String,
         /// Now.
         load: u64,
         /// That would be left.
-        room: u64,
+        capacity: u64,
     },
     /// The charter allows it. No force helps here: somebody who is cut off would act on it.
     #[error("it forbids {what}, which the charter allows; take that out of the charter first")]
-    Charter {
+    FallbackPolicy {
         /// What.
         what: String,
     },
@@ -102,7 +102,7 @@
 impl Misfit {
     /// Whether whoever forces a document gets it in spite of this.
     pub fn yields(&self) -> bool {
-        !matches!(self, Self::Charter { .. } | Self::Facts { .. })
+        !matches!(self, Self::FallbackPolicy { .. } | Self::Facts { .. })
     }
 }
 
@@ -114,24 +114,25 @@
     pub fn check(&self) -> Result<(), Misfit> {
         let wrong = |what: &str| Err(Misfit::Facts { what: what.into() });
         let long = |names: &[String]| names.iter().any(|n| n.len() > LONGEST_NAME);
-        let lengths = [self.sites.len(), self.flavours.len(), self.classes.len()];
+        let lengths = [self.zones.len(), self.machine_types.len(), self.classes.len()];
         if lengths.iter().any(|l| *l > MOST_NAMES) || self.groups.len() > MOST_GROUPS {
             return wrong("too many sites, flavours, classes or groups");
         }
-        if self.named.len() > 2 * MOST_UPSTREAMS || long(&self.sites) || long(&self.flavours) {
+        if self.named.len() > 2 * MOST_UPSTREAMS || long(&self.zones) || long(&self.machine_types) {
             return wrong("too many or too long names");
         }
-        if self.load.len() != self.sites.len() {
+        if self.load.len() != self.zones.len() {
             return wrong("loads of other sites");
         }
-        let (sites, flavours) = (self.sites.len(), self.flavours.len());
-        let place = |g: &Group| usize::from(g.site) < sites && usize::from(g.flavour) < flavours;
+        let (zones, machine_types) = (self.zones.len(), self.machine_types.len());
+        let place =
+            |g: &Group| usize::from(g.zone) < zones && usize::from(g.machine_type) < machine_types;
         if !self.groups.iter().all(place)
-            || self.named.values().any(|(_, f)| usize::from(*f) >= flavours)
+            || self.named.values().any(|(_, f)| usize::from(*f) >= machine_types)
         {
             return wrong("a group of no site or flavour");
         }
-        if self.classes.iter().any(|c| c.name.len() > LONGEST_NAME || c.sites.len() > sites) {
+        if self.classes.iter().any(|c| c.name.len() > LONGEST_NAME || c.zones.len() > zones) {
             return wrong("a class of other sites");
         }
         Ok(())
@@ -141,10 +142,12 @@
         let name = |names: &'_ [String], at: u8| -> usize {
             usize::from(at).min(names.len().saturating_sub(1))
         };
-        let site = self.sites.get(name(&self.sites, group.site)).map_or("", String::as_str);
-        let flavour =
-            self.flavours.get(name(&self.flavours, group.flavour)).map_or("", String::as_str);
-        Place { name: "", pod: group.pod, flavour, site }
+        let zone = self.zones.get(name(&self.zones, group.zone)).map_or("", String::as_str);
+        let machine_type = self
+            .machine_types
+            .get(name(&self.machine_types, group.machine_type))
+            .map_or("", String::as_str);
+        Place { name: "", cell: group.cell, machine_type, zone }
     }
 
     /// All that speaks against these rules in this fleet, the gravest first.
@@ -166,32 +169,34 @@
     }
 
     /// What the document forbids of the charter, whose word is the stronger one.
-    pub(crate) fn against_charter(&self, said: &Document, floor: &Floor) -> Vec<Misfit> {
+    pub(crate) fn against_charter(&self, said: &Document, floor: &FallbackFloor) -> Vec<Misfit> {
         let mut all = Vec::new();
-        let mut no = |what: String| all.push(Misfit::Charter { what });
-        for pod in said.out.pods.iter().filter(|p| floor.holds(**p)) {
-            no(format!("pod {pod}"));
+        let mut no = |what: String| all.push(Misfit::FallbackPolicy { what });
+        for cell in said.out.cells.iter().filter(|p| floor.holds(**p)) {
+            no(format!("pod {cell}"));
         }
-        for (class, pods) in &said.kept {
-            for pod in pods.iter().filter(|p| floor.holds(**p)) {
-                no(format!("class `{class}` at pod {pod}"));
+        for (class, cells) in &said.kept {
+            for cell in cells.iter().filter(|p| floor.holds(**p)) {
+                no(format!("class `{class}` at pod {cell}"));
             }
         }
         if said.attempts < floor.attempts() {
             no(format!("{} attempts", floor.attempts()));
         }
-        for group in self.groups.iter().filter(|g| floor.holds(g.pod)) {
+        for group in self.groups.iter().filter(|g| floor.holds(g.cell)) {
             let place = self.place(group);
-            if said.out.sites.contains(place.site) {
-                no(format!("site `{}` with its pod {}", place.site, place.pod));
+            if said.out.zones.contains(place.zone) {
+                no(format!("site `{}` with its pod {}", place.zone, place.cell));
             }
-            if said.out.flavours.contains(place.flavour) {
-                no(format!("flavour `{}` in pod {}", place.flavour, place.pod));
+            if said.out.machine_types.contains(place.machine_type) {
+                no(format!("flavour `{}` in pod {}", place.machine_type, place.cell));
             }
         }
         for name in &said.out.upstreams {
-            let pod = self.named.get(name).map(|(pod, _)| *pod);
-            if pod.is_some_and(|pod| floor.allows(&Place { name, pod, flavour: "", site: "" })) {
+            let cell = self.named.get(name).map(|(cell, _)| *cell);
+            if cell
+                .is_some_and(|cell| floor.allows(&Place { name, cell, machine_type: "", zone: "" }))
+            {
                 no(format!("upstream `{name}`"));
             }
         }
@@ -201,29 +206,32 @@
 
     fn unknown(&self, said: &Document) -> Option<Misfit> {
         let (out, w) = (&said.out, &said.weights);
-        let pods: BTreeSet<u32> = self.groups.iter().map(|g| g.pod).collect();
+        let cells: BTreeSet<u32> = self.groups.iter().map(|g| g.cell).collect();
         let no = |what: &str, name: String| Some(Misfit::Unknown { what: what.into(), name });
         let upstream =
             out.upstreams.iter().chain(w.upstreams.keys()).find(|n| !self.named.contains_key(*n));
         let kept = said.kept.values().flatten();
-        let pod = out.pods.iter().chain(w.pods.keys()).chain(kept).find(|p| !pods.contains(p));
-        let flavour =
-            out.flavours.iter().chain(w.flavours.keys()).find(|n| !self.flavours.contains(n));
-        let site = out.sites.iter().chain(w.sites.keys()).find(|n| !self.sites.contains(n));
+        let cell = out.cells.iter().chain(w.cells.keys()).chain(kept).find(|p| !cells.contains(p));
+        let machine_type = out
+            .machine_types
+            .iter()
+            .chain(w.machine_types.keys())
+            .find(|n| !self.machine_types.contains(n));
+        let zone = out.zones.iter().chain(w.zones.keys()).find(|n| !self.zones.contains(n));
         let mut classes = said.kept.keys().chain(said.sessions.keys());
         let class = classes.find(|n| !self.classes.iter().any(|c| c.name == **n));
         upstream
             .and_then(|n| no("upstream", n.clone()))
-            .or_else(|| pod.and_then(|p| no("pod", p.to_string())))
-            .or_else(|| flavour.and_then(|n| no("flavour", n.clone())))
-            .or_else(|| site.and_then(|n| no("site", n.clone())))
+            .or_else(|| cell.and_then(|p| no("pod", p.to_string())))
+            .or_else(|| machine_type.and_then(|n| no("flavour", n.clone())))
+            .or_else(|| zone.and_then(|n| no("site", n.clone())))
             .or_else(|| class.and_then(|n| no("class", n.clone())))
     }
 
     fn goes_somewhere(&self, class: &ClassFacts, rules: &Rules) -> bool {
         self.groups.iter().any(|g| {
-            (class.sites.is_empty() || class.sites.contains(&g.site))
-                && (class.flavours.is_empty() || class.flavours.contains(&g.flavour))
+            (class.zones.is_empty() || class.zones.contains(&g.zone))
+                && (class.machine_types.is_empty() || class.machine_types.contains(&g.machine_type))
                 && rules.permits(&self.place(g), &class.name)
                 && self.left(g, rules) > 0
         })
@@ -231,7 +239,7 @@
 
     /// How many of a group are not out by their own name.
     fn left(&self, group: &Group, rules: &Rules) -> u64 {
-        let of = |name: &str| self.named.get(name) == Some(&(group.pod, group.flavour));
+        let of = |name: &str| self.named.get(name) == Some(&(group.cell, group.machine_type));
         let out = |name: &str| !rules.permits(&Place { name, ..self.place(group) }, "");
         let gone = rules.said().out.upstreams.iter().filter(|n| of(n) && out(n)).count();
         u64::from(group.upstreams).saturating_sub(gone as u64)
@@ -239,33 +247,35 @@
 
     /// What a group can do under these rules. What one weighs by its own name is left out: at most it is a
     /// little less.
-    fn room(&self, group: &Group, rules: &Rules) -> u64 {
+    fn capacity(&self, group: &Group, rules: &Rules) -> u64 {
         let place = self.place(group);
         if group.upstreams == 0 || !rules.permits(&place, "") {
             return 0;
         }
         let part = self.left(group, rules) as f64 / f64::from(group.upstreams);
-        (f64::from(group.room) * rules.weight(&place) * part) as u64
+        (f64::from(group.capacity) * rules.weight(&place) * part) as u64
     }
 
     fn without_room(&self, rules: &Rules) -> Option<Misfit> {
-        let mut rooms = vec![0_u64; self.sites.len()];
+        let mut rooms = vec![0_u64; self.zones.len()];
         for group in &self.groups {
-            if let Some(room) = rooms.get_mut(usize::from(group.site)) {
-                *room += self.room(group, rules);
+            if let Some(capacity) = rooms.get_mut(usize::from(group.zone)) {
+                *capacity += self.capacity(group, rules);
             }
         }
-        let sites = self.sites.iter().zip(&self.load).zip(&rooms);
-        let one = sites
-            .filter(|((site, _), _)| !rules.said().out.sites.contains(*site))
-            .find(|((_, load), room)| u64::from(**load) > **room)
-            .map(|((site, load), room)| Misfit::NoRoom {
-                site: site.clone(),
+        let zones = self.zones.iter().zip(&self.load).zip(&rooms);
+        let one = zones
+            .filter(|((zone, _), _)| !rules.said().out.zones.contains(*zone))
+            .find(|((_, load), capacity)| u64::from(**load) > **capacity)
+            .map(|((zone, load), capacity)| Misfit::NoCapacity {
+                zone: zone.clone(),
                 load: u64::from(*load),
-                room: *room,
+                capacity: *capacity,
             });
         // What a site that is out as a whole had goes to the others.
-        let (load, room) = (self.load.iter().map(|l| u64::from(*l)).sum(), rooms.iter().sum());
-        one.or_else(|| (load > room).then(|| Misfit::NoRoom { site: String::new(), load, room }))
+        let (load, capacity) = (self.load.iter().map(|l| u64::from(*l)).sum(), rooms.iter().sum());
+        one.or_else(|| {
+            (load > capacity).then(|| Misfit::NoCapacity { zone: String::new(), load, capacity })
+        })
     }
 }
--- a/crates/revision/src/history.rs
+++ b/crates/revision/src/history.rs
@@ -6,9 +6,9 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::canary::Why;
+use crate::canary::RollbackCause;
 use crate::document::Document;
-use crate::entry::Id;
+use crate::entry::CommandId;
 use crate::policy_state::Refusal;
 
 /// Revisions that are kept. Beyond, the oldest can't be gone back to.
@@ -23,18 +23,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Origin {
     /// The bank began with it.
-    Founding,
+    Bootstrap,
     /// Somebody wrote it.
-    Proposed(Id),
+    Proposed(CommandId),
     /// Somebody went back to another.
-    Rollback(Id, u64),
+    Rollback(CommandId, u64),
     /// Another was taken back from its trial.
-    TakenBack(u64, Why),
+    TakenBack(u64, RollbackCause),
 }
 
 /// What became of a revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Fate {
+pub enum ChangeStatus {
     /// It is the next.
     Waits,
     /// The step to it is under way: what it forbids is forbidden.
@@ -49,18 +49,18 @@
 
 /// A revision that is kept.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Kept {
+pub struct RetainedRevision {
     /// Its content.
     pub document: Arc<Document>,
     /// How it came about.
     pub origin: Origin,
     /// As long as it neither was in force nor can never be: `None`.
-    pub(crate) fate: Option<Fate>,
+    pub(crate) change_status: Option<ChangeStatus>,
 }
 
 /// What was answered.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Answer {
+pub struct ProposalResult {
     /// The entry that it was about.
     pub index: u64,
     /// The number of the new revision, or of the entry's effect; or why nothing was done.
@@ -70,12 +70,12 @@
 /// Revisions and answers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct History {
-    pub(crate) kept: BTreeMap<u64, Kept>,
+    pub(crate) kept: BTreeMap<u64, RetainedRevision>,
     contents: BTreeSet<Arc<Document>>,
     /// Bytes of all contents.
     pub(crate) bytes: usize,
-    pub(crate) answers: BTreeMap<Id, Answer>,
-    pub(crate) asked: VecDeque<Id>,
+    pub(crate) answers: BTreeMap<CommandId, ProposalResult>,
+    pub(crate) asked: VecDeque<CommandId>,
 }
 
 impl History {
@@ -85,7 +85,7 @@
         number: u64,
         document: Document,
         origin: Origin,
-        fate: Option<Fate>,
+        change_status: Option<ChangeStatus>,
     ) {
         let known = self.contents.get(&document).cloned();
         let document = known.unwrap_or_else(|| {
@@ -94,7 +94,7 @@
             self.contents.insert(new.clone());
             new
         });
-        self.kept.insert(number, Kept { document, origin, fate });
+        self.kept.insert(number, RetainedRevision { document, origin, change_status });
     }
 
     /// Drops the oldest revisions beyond the bounds, but none of those that are needed still.
@@ -112,7 +112,7 @@
     }
 
     /// Keeps an answer.
-    pub(crate) fn answer(&mut self, id: Id, answer: Answer) {
+    pub(crate) fn answer(&mut self, id: CommandId, answer: ProposalResult) {
         if self.answers.insert(id, answer).is_none() {
             self.asked.push_back(id);
         }
--- a/crates/revision/src/in_force.rs
+++ b/crates/revision/src/in_force.rs
@@ -4,7 +4,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use crate::message::Stage;
+use crate::message::Generation;
 use crate::rules::Rules;
 
 /// What is in force at one balancer. It is published as a whole, and never changed.
@@ -13,20 +13,20 @@
     /// Under the lease. Past it, figures of theirs that forbid nothing (subset, weights) may go on.
     pub rules: Arc<Rules>,
     /// Their stage.
-    pub stage: Stage,
+    pub generation: Generation,
     /// The lease's end, on this process's monotonic clock.
     pub until: Duration,
     /// Past it.
-    pub charter: Arc<Rules>,
+    pub fallback_policy: Arc<Rules>,
 }
 
 /// What may be acted on at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum View<'a> {
     /// The agreed rules.
-    Agreed(&'a Rules, Stage),
+    Agreed(&'a Rules, Generation),
     /// What the charter allows, and nothing else.
-    Charter(&'a Rules),
+    FallbackPolicy(&'a Rules),
 }
 
 impl InForce {
@@ -36,9 +36,9 @@
     /// next look ends it.
     pub fn at(&self, now: Duration) -> View<'_> {
         if now < self.until {
-            View::Agreed(&self.rules, self.stage)
+            View::Agreed(&self.rules, self.generation)
         } else {
-            View::Charter(&self.charter)
+            View::FallbackPolicy(&self.fallback_policy)
         }
     }
 }
@@ -47,7 +47,7 @@
     /// The rules, whichever they are.
     pub fn rules(&self) -> &'a Rules {
         match self {
-            Self::Agreed(rules, _) | Self::Charter(rules) => rules,
+            Self::Agreed(rules, _) | Self::FallbackPolicy(rules) => rules,
         }
     }
 }
--- a/crates/revision/src/lease_interface.rs
+++ b/crates/revision/src/lease_interface.rs
@@ -5,16 +5,16 @@
 
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 
-use crate::canary::Worth;
+use crate::canary::CanaryMetric;
 use crate::entry::Entry;
-use crate::fallback_policy::Charter;
+use crate::fallback_policy::FallbackPolicy;
 use crate::in_force::InForce;
-use crate::message::{Message, Stage};
-use crate::policy_state::Standing;
+use crate::message::{Generation, Message};
+use crate::policy_state::PolicyStatus;
 
 /// This balancer and the agreed figures.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Terms {
+pub struct LeaseConfig {
     /// Its number.
     pub node_id: NodeId,
     /// Its life: answers to another one's questions count for nothing.
@@ -29,14 +29,18 @@
     /// too: see the design note for why that is as safe, and what the exact rule costs at each change.
     pub exact: bool,
     /// What can never be put out, by the settings.
-    pub bedrock: Charter,
+    pub mandatory_fallback: FallbackPolicy,
     /// The charter as the state directory keeps it, and the generation that it is of.
-    pub stored: Option<(Stage, Charter)>,
+    pub stored: Option<(Generation, FallbackPolicy)>,
 }
 
-impl Terms {
+impl LeaseConfig {
     /// With the usual figures, and nothing stored.
-    pub fn usual(node_id: NodeId, incarnation: Incarnation, bedrock: Charter) -> Self {
+    pub fn usual(
+        node_id: NodeId,
+        incarnation: Incarnation,
+        mandatory_fallback: FallbackPolicy,
+    ) -> Self {
         let (lease, renewal) = (Duration::from_secs(2), Duration::from_millis(300));
         Self {
             node_id,
@@ -45,7 +49,7 @@
             drift: 10,
             renewal,
             exact: false,
-            bedrock,
+            mandatory_fallback,
             stored: None,
         }
     }
@@ -69,7 +73,7 @@
         /// The log's epoch.
         epoch: u32,
         /// Where the book stands now.
-        standing: Box<Standing>,
+        status: Box<PolicyStatus>,
     },
     /// Whom to ask for leases from here on: the source of the log.
     Parent(Option<NodeId>),
@@ -99,13 +103,13 @@
     },
     /// It leads no more.
     Follows,
-    /// What an [`Action::Keep`] named survives the process from here on. Without a state directory: at once.
-    Kept {
+    /// What an [`Action::PersistFallbackPolicy`] named survives the process from here on. Without a state directory: at once.
+    FallbackPolicyPersisted {
         /// The charter's generation.
-        generation: Stage,
+        fallback_generation: Generation,
     },
     /// Worth served over the bank against the time before the revision in force, for trials; at the leader.
-    Worth(Option<Worth>),
+    CanaryMetric(Option<CanaryMetric>),
     /// A time that was asked for has come.
     Due,
 }
@@ -122,13 +126,13 @@
     },
     /// Requests read this from here on.
     Publish(InForce),
-    /// The charter is to be kept on disk before [`Event::Kept`] is told. It is asked for once: whoever can't
+    /// The charter is to be kept on disk before [`Event::FallbackPolicyPersisted`] is told. It is asked for once: whoever can't
     /// write now tries again until a later one is asked for.
-    Keep {
+    PersistFallbackPolicy {
         /// Its generation.
-        generation: Stage,
+        fallback_generation: Generation,
         /// It.
-        charter: Arc<Charter>,
+        fallback_policy: Arc<FallbackPolicy>,
     },
     /// Wakes this machine by [`Event::Due`] then; it takes the place of any earlier one.
     WakeAt(Duration),
@@ -139,10 +143,10 @@
         /// From whom.
         from: NodeId,
         /// What it is at.
-        stage: Stage,
+        generation: Generation,
     },
     /// The parent has no room, or has given nothing for as long as a lease: another one is to be found.
-    Elsewhere {
+    ChangeParent {
         /// The parent.
         than: NodeId,
     },
--- a/crates/revision/src/leases.rs
+++ b/crates/revision/src/leases.rs
@@ -7,15 +7,15 @@
 
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 
-use crate::canary::Worth;
+use crate::canary::CanaryMetric;
 use crate::dissemination_tree::Children;
 use crate::entry::Entry;
-use crate::fallback_policy::Charter;
+use crate::fallback_policy::FallbackPolicy;
 use crate::in_force::InForce;
-pub use crate::lease_interface::{Action, Event, Terms};
-use crate::message::{Message, No, Stage};
-use crate::node_set::Members;
-use crate::policy_state::Standing;
+pub use crate::lease_interface::{Action, Event, LeaseConfig};
+use crate::message::{Generation, LeaseRejection, Message};
+use crate::node_set::NodeSet;
+use crate::policy_state::PolicyStatus;
 use crate::rules::Rules;
 
 /// No two renewals follow each other sooner: also while forty revisions a second come, words are bounded.
@@ -48,23 +48,23 @@
 /// The machine.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Leases {
-    pub(crate) terms: Terms,
+    pub(crate) terms: LeaseConfig,
     /// The latest time it was told. Time that steps back is none.
     pub(crate) now: Duration,
     /// Its first time.
     born: Option<Duration>,
-    pub(crate) at: Option<(Stage, Standing)>,
+    pub(crate) at: Option<(Generation, PolicyStatus)>,
     /// The lease: the stage that it names, and its end.
-    lease: Option<(Stage, Duration)>,
+    lease: Option<(Generation, Duration)>,
     /// Whether it knows which charter its former lives have confirmed, or has one that they kept.
     knows: bool,
     /// What it keeps to past its lease, and the generation of that; `None` for the bedrock.
-    pub(crate) charter: (Option<Stage>, Arc<Charter>),
+    pub(crate) fallback_policy: (Option<Generation>, Arc<FallbackPolicy>),
     charter_rules: Arc<Rules>,
     /// The generation that is on disk.
-    kept: Option<Stage>,
+    kept: Option<Generation>,
     /// Who holds the charter's present generation.
-    pub(crate) said: (Stage, Members),
+    pub(crate) said: (Generation, NodeSet),
     parent: Option<Parent>,
     /// Parents before it that may still count a lease as running, and until when.
     former: Vec<(NodeId, Duration)>,
@@ -76,10 +76,10 @@
     tries: u32,
     pub(crate) children: Children,
     /// What was confirmed last.
-    confirmed: Stage,
+    confirmed: Generation,
     lead: Option<Lead>,
-    pub(crate) trial: Option<(u64, Duration)>,
-    pub(crate) worth: Option<Worth>,
+    pub(crate) canary: Option<(u64, Duration)>,
+    pub(crate) worth: Option<CanaryMetric>,
     proposed: Option<(Entry, Duration)>,
     published: Option<InForce>,
     wakes: Option<Duration>,
@@ -89,22 +89,24 @@
 
 impl Leases {
     /// Of a process that has just started: it holds to the bedrock, or to the charter that is stored.
-    pub fn new(terms: Terms) -> Self {
-        let charter = match &terms.stored {
-            Some((generation, charter)) => (Some(*generation), Arc::new(charter.clone())),
-            None => (None, Arc::new(terms.bedrock.clone())),
+    pub fn new(terms: LeaseConfig) -> Self {
+        let fallback_policy = match &terms.stored {
+            Some((fallback_generation, fallback_policy)) => {
+                (Some(*fallback_generation), Arc::new(fallback_policy.clone()))
+            }
+            None => (None, Arc::new(terms.mandatory_fallback.clone())),
         };
         Self {
-            charter_rules: Arc::new(Rules::of_charter(&charter.1)),
-            knows: charter.0.is_some(),
-            kept: charter.0,
-            charter,
+            charter_rules: Arc::new(Rules::of_fallback_policy(&fallback_policy.1)),
+            knows: fallback_policy.0.is_some(),
+            kept: fallback_policy.0,
+            fallback_policy,
             terms,
             now: Duration::ZERO,
             born: None,
             at: None,
             lease: None,
-            said: (Stage::default(), Members::default()),
+            said: (Generation::default(), NodeSet::default()),
             parent: None,
             former: Vec::new(),
             asked: VecDeque::new(),
@@ -112,9 +114,9 @@
             renewed: None,
             tries: 0,
             children: Children::default(),
-            confirmed: Stage::default(),
+            confirmed: Generation::default(),
             lead: None,
-            trial: None,
+            canary: None,
             worth: None,
             proposed: None,
             published: None,
@@ -132,7 +134,7 @@
         self.born.get_or_insert(now);
         self.children.forget(now);
         match event {
-            Event::Applied { epoch, standing } => self.applied(epoch, *standing),
+            Event::Applied { epoch, status } => self.applied(epoch, *status),
             Event::Parent(member) => {
                 if self.parent.as_ref().map(|p| p.member) != member {
                     self.part();
@@ -158,8 +160,10 @@
                 self.lead = None;
                 self.missing.clear();
             }
-            Event::Kept { generation } => self.kept = self.kept.max(Some(generation)),
-            Event::Worth(worth) => self.worth = worth,
+            Event::FallbackPolicyPersisted { fallback_generation } => {
+                self.kept = self.kept.max(Some(fallback_generation))
+            }
+            Event::CanaryMetric(worth) => self.worth = worth,
             Event::Due => {}
         }
         self.hold(actions);
@@ -170,23 +174,23 @@
         self.wake(actions);
     }
 
-    fn applied(&mut self, epoch: u32, standing: Standing) {
-        let stage = Stage { epoch, index: standing.stage };
+    fn applied(&mut self, epoch: u32, status: PolicyStatus) {
+        let generation = Generation { epoch, index: status.generation };
         let (last, index) =
-            self.at.as_ref().map_or((Stage::default(), 0), |(s, standing)| (*s, standing.index));
-        if self.at.is_some() && (stage < last || epoch == last.epoch && standing.index < index) {
+            self.at.as_ref().map_or((Generation::default(), 0), |(s, status)| (*s, status.index));
+        if self.at.is_some() && (generation < last || epoch == last.epoch && status.index < index) {
             return;
         }
-        if self.at.is_none() || stage != last {
+        if self.at.is_none() || generation != last {
             self.children.turn();
             self.tell();
             self.missing.clear();
         }
-        let trial = standing.trial.map(|t| t.revision);
-        if self.trial.map(|(revision, _)| revision) != trial {
-            self.trial = trial.map(|revision| (revision, self.now));
+        let canary = status.canary.map(|t| t.revision);
+        if self.canary.map(|(revision, _)| revision) != canary {
+            self.canary = canary.map(|revision| (revision, self.now));
         }
-        self.at = Some((stage, standing));
+        self.at = Some((generation, status));
     }
 
     /// The parent is to know at once.
@@ -206,20 +210,20 @@
         }
     }
 
-    fn stage(&self) -> Stage {
-        self.at.as_ref().map_or(Stage::default(), |(stage, _)| *stage)
+    fn generation(&self) -> Generation {
+        self.at.as_ref().map_or(Generation::default(), |(generation, _)| *generation)
     }
 
     /// Until when this balancer may act on its stage, and give leases of it.
     fn until(&self) -> Option<Duration> {
-        let (stage, standing) = self.at.as_ref()?;
+        let (generation, status) = self.at.as_ref()?;
         // What another log agreed on may not be in this one.
-        let counts = |named: Stage| {
-            if self.terms.exact { named == *stage } else { named.epoch == stage.epoch }
+        let counts = |named: Generation| {
+            if self.terms.exact { named == *generation } else { named.epoch == generation.epoch }
         };
         let lease = self.lease.filter(|(named, _)| counts(*named)).map(|(_, until)| until);
         // A leader that has not applied all that others may have acted on knows less than they do.
-        let lead = self.lead.as_ref().filter(|l| (stage.epoch, standing.index) >= l.from);
+        let lead = self.lead.as_ref().filter(|l| (generation.epoch, status.index) >= l.from);
         let round = lead
             .and_then(|l| l.round)
             .map(|began| began.saturating_add(self.terms.less(self.terms.lease)));
@@ -234,20 +238,20 @@
         actions: &mut Vec<Action>,
     ) {
         match message {
-            Message::Renew { asked, stage, confirmed, here, charter } => {
-                if let Some((_, members)) =
-                    charter.filter(|(generation, _)| *generation == self.said.0)
+            Message::Renew { asked, generation, confirmed, here, fallback_policy } => {
+                if let Some((_, members)) = fallback_policy
+                    .filter(|(fallback_generation, _)| *fallback_generation == self.said.0)
                 {
                     self.said.1.extend(&members);
                 }
-                let message = self.answer((from, incarnation), asked, stage, confirmed, here);
+                let message = self.answer((from, incarnation), asked, generation, confirmed, here);
                 actions.push(Action::Send { to: from, message });
-                if stage > self.stage() {
-                    actions.push(Action::Learn { from, stage });
+                if generation > self.generation() {
+                    actions.push(Action::Learn { from, generation });
                 }
             }
             Message::Left { confirmed } => self.children.left_by((from, incarnation), confirmed),
-            Message::Grant { to, asked, stage, length } => {
+            Message::Grant { to, asked, generation, length } => {
                 let asked = Duration::from_micros(asked);
                 if !self.answered(from, to, asked) {
                     return;
@@ -258,11 +262,14 @@
                 // Longer than a lease none is, whatever is said.
                 let length = Duration::from_micros(length).min(self.terms.lease);
                 let until = asked.saturating_add(self.terms.less(length));
-                if self.at.is_some() && stage.epoch == self.stage().epoch && stage <= self.stage() {
-                    let rank = |(named, until): (Stage, Duration)| {
+                if self.at.is_some()
+                    && generation.epoch == self.generation().epoch
+                    && generation <= self.generation()
+                {
+                    let rank = |(named, until): (Generation, Duration)| {
                         (self.terms.exact.then_some(named), until)
                     };
-                    let new = (stage, until);
+                    let new = (generation, until);
                     self.lease =
                         Some(self.lease.filter(|old| rank(*old) >= rank(new)).unwrap_or(new));
                     // It comes from a leader's round that began in this life: whatever former lives of this
@@ -272,23 +279,25 @@
                     // old charter.
                     let born = self.born.unwrap_or(self.now);
                     let late = asked >= born.saturating_add(self.terms.more(self.terms.lease));
-                    self.knows |= late && stage == self.stage();
-                } else if stage > self.stage() {
-                    actions.push(Action::Learn { from, stage });
+                    self.knows |= late && generation == self.generation();
+                } else if generation > self.generation() {
+                    actions.push(Action::Learn { from, generation });
                 }
             }
-            Message::No { to, asked, stage, why } => {
+            Message::LeaseRejection { to, asked, generation, why } => {
                 if !self.answered(from, to, Duration::from_micros(asked)) {
                     return;
                 }
-                if stage > self.stage() {
-                    actions.push(Action::Learn { from, stage });
+                if generation > self.generation() {
+                    actions.push(Action::Learn { from, generation });
                 }
                 match why {
-                    No::Full => actions.push(Action::Elsewhere { than: from }),
+                    LeaseRejection::Full => actions.push(Action::ChangeParent { than: from }),
                     // One of the two is to learn; another parent would say the same.
-                    No::Stage => self.parent.iter_mut().for_each(|p| p.fed = self.now),
-                    No::Lease => {}
+                    LeaseRejection::Generation => {
+                        self.parent.iter_mut().for_each(|p| p.fed = self.now)
+                    }
+                    LeaseRejection::Lease => {}
                 }
             }
         }
@@ -313,63 +322,74 @@
         &mut self,
         who: (NodeId, Incarnation),
         asked: u64,
-        stage: Stage,
-        confirmed: Stage,
-        here: Members,
+        generation: Generation,
+        confirmed: Generation,
+        here: NodeSet,
     ) -> Message {
-        let (to, mine, until, now) = (who.1, self.stage(), self.until(), self.now);
-        let no = |why| Message::No { to, asked, stage: mine, why };
+        let (to, mine, until, now) = (who.1, self.generation(), self.until(), self.now);
+        let no = |why| Message::LeaseRejection { to, asked, generation: mine, why };
         // Two that ask each other would wait for each other.
         if self.parent.as_ref().is_some_and(|p| p.member == who.0) && self.lead.is_none() {
-            return no(No::Full);
+            return no(LeaseRejection::Full);
         }
-        let Some(child) = self.children.heard(now, who, asked, stage, confirmed, here) else {
-            return no(No::Full);
+        let Some(child) = self.children.heard(now, who, asked, generation, confirmed, here) else {
+            return no(LeaseRejection::Full);
         };
-        if stage != mine || self.at.is_none() {
-            return no(No::Stage);
+        if generation != mine || self.at.is_none() {
+            return no(LeaseRejection::Generation);
         }
-        let Some(until) = until else { return no(No::Lease) };
+        let Some(until) = until else { return no(LeaseRejection::Lease) };
         let left = until.saturating_sub(now);
         child.until = child.until.max(now.saturating_add(self.terms.more(left)));
-        Message::Grant { to, asked, stage, length: u64::try_from(left.as_micros()).unwrap_or(0) }
+        Message::Grant {
+            to,
+            asked,
+            generation,
+            length: u64::try_from(left.as_micros()).unwrap_or(0),
+        }
     }
 
     /// Takes over the charter that the book says, where this process knows which one it held; keeps it, and
     /// says so.
     fn hold(&mut self, actions: &mut Vec<Action>) {
-        let Some((stage, standing)) = &self.at else { return };
-        let generation = Stage { epoch: stage.epoch, index: standing.generation };
+        let Some((generation, status)) = &self.at else { return };
+        let fallback_generation =
+            Generation { epoch: generation.epoch, index: status.fallback_generation };
         // A leader that has applied all that was agreed before it knows it, too.
         self.knows |= self
             .lead
             .as_ref()
-            .is_some_and(|l| l.round.is_some() && (stage.epoch, standing.index) >= l.from);
-        if self.knows && self.charter.0 < Some(generation) {
-            if self.charter.1 != standing.charter {
-                self.charter_rules = Arc::new(Rules::of_charter(&standing.charter));
+            .is_some_and(|l| l.round.is_some() && (generation.epoch, status.index) >= l.from);
+        if self.knows && self.fallback_policy.0 < Some(fallback_generation) {
+            if self.fallback_policy.1 != status.fallback_policy {
+                self.charter_rules = Arc::new(Rules::of_fallback_policy(&status.fallback_policy));
             }
-            self.charter = (Some(generation), standing.charter.clone());
-            if self.kept < Some(generation) {
-                actions.push(Action::Keep { generation, charter: standing.charter.clone() });
+            self.fallback_policy = (Some(fallback_generation), status.fallback_policy.clone());
+            if self.kept < Some(fallback_generation) {
+                actions.push(Action::PersistFallbackPolicy {
+                    fallback_generation,
+                    fallback_policy: status.fallback_policy.clone(),
+                });
             }
         }
-        if self.said.0 != generation {
-            self.said = (generation, Members::default());
+        if self.said.0 != fallback_generation {
+            self.said = (fallback_generation, NodeSet::default());
         }
-        if self.charter.0 == Some(generation) && self.kept >= Some(generation) {
+        if self.fallback_policy.0 == Some(fallback_generation)
+            && self.kept >= Some(fallback_generation)
+        {
             self.said.1.insert(self.terms.node_id);
         }
     }
 
     /// Whether nobody at or under this balancer acts on an older stage than its own.
     fn confirm(&mut self, actions: &mut Vec<Action>) {
-        let stage = self.stage();
+        let generation = self.generation();
         if self.at.is_some()
-            && self.confirmed != stage
-            && self.children.left(self.now, stage).is_ok()
+            && self.confirmed != generation
+            && self.children.left(self.now, generation).is_ok()
         {
-            self.confirmed = stage;
+            self.confirmed = generation;
             self.tell();
             self.tell_former(actions);
         }
@@ -393,14 +413,14 @@
         if self.asked.len() > MOST_ASKED {
             self.asked.pop_front();
         }
-        let stage = self.stage();
-        let awaited = self.at.as_ref().is_some_and(|(_, standing)| standing.awaited);
+        let generation = self.generation();
+        let awaited = self.at.as_ref().is_some_and(|(_, status)| status.awaited);
         let message = Message::Renew {
             asked: micros(now),
-            stage,
+            generation,
             confirmed: self.confirmed,
             here: self.here(),
-            charter: awaited.then_some(self.said),
+            fallback_policy: awaited.then_some(self.said),
         };
         actions.push(Action::Send { to, message });
         let fed = self.parent.as_ref().map_or(now, |p| p.fed);
@@ -409,7 +429,7 @@
             if let Some(parent) = &mut self.parent {
                 parent.fed = now;
             }
-            actions.push(Action::Elsewhere { than: to });
+            actions.push(Action::ChangeParent { than: to });
         }
     }
 
@@ -430,8 +450,8 @@
     }
 
     /// Who at and under this balancer is at its stage.
-    pub(crate) fn here(&self) -> Members {
-        let mut here = self.children.here(self.now, self.stage());
+    pub(crate) fn here(&self) -> NodeSet {
+        let mut here = self.children.here(self.now, self.generation());
         here.insert(self.terms.node_id);
         here
     }
@@ -451,34 +471,34 @@
     }
 
     fn due(&self) -> Option<Entry> {
-        let (stage, standing) = self.at.as_ref()?;
-        let lead = self.lead.as_ref().filter(|l| (stage.epoch, standing.index) >= l.from)?;
+        let (generation, status) = self.at.as_ref()?;
+        let lead = self.lead.as_ref().filter(|l| (generation.epoch, status.index) >= l.from)?;
         // Leases that the leader before gave, and that nobody here knows of, have ended by then.
         let others = lead.since.saturating_add(self.terms.more(self.terms.lease));
-        if standing.unconfirmed && self.confirmed == *stage && self.now >= others {
-            return Some(Entry::Step(stage.index));
+        if status.unconfirmed && self.confirmed == *generation && self.now >= others {
+            return Some(Entry::Step(generation.index));
         }
-        if let (Some(trial), Some((_, since))) = (standing.trial, self.trial)
-            && let Some(why) = trial.terms.verdict(self.now.saturating_sub(since), self.worth)
+        if let (Some(canary), Some((_, since))) = (status.canary, self.canary)
+            && let Some(why) = canary.terms.verdict(self.now.saturating_sub(since), self.worth)
         {
-            return Some(Entry::TakeBack(trial.revision, why));
+            return Some(Entry::TakeBack(canary.revision, why));
         }
-        if !standing.awaited {
+        if !status.awaited {
             return None;
         }
-        let waits = Members::first(standing.members).without(&standing.dead).without(&self.said.1);
-        waits.is_empty().then_some(Entry::CharterConfirmed(standing.generation))
+        let waits = NodeSet::first(status.members).without(&status.dead).without(&self.said.1);
+        waits.is_empty().then_some(Entry::FallbackPolicyConfirmed(status.fallback_generation))
     }
 
     /// What requests read now.
     pub fn in_force(&self) -> InForce {
         let until = self.until().unwrap_or(Duration::ZERO);
-        let rules = self.at.as_ref().map_or(&self.charter_rules, |(_, standing)| &standing.rules);
+        let rules = self.at.as_ref().map_or(&self.charter_rules, |(_, status)| &status.rules);
         InForce {
             rules: rules.clone(),
-            stage: self.stage(),
+            generation: self.generation(),
             until,
-            charter: self.charter_rules.clone(),
+            fallback_policy: self.charter_rules.clone(),
         }
     }
 
@@ -492,16 +512,16 @@
 
     fn wake(&mut self, actions: &mut Vec<Action>) {
         let past = |at: Duration| at.saturating_add(Duration::from_micros(1));
-        let children = self.children.left(self.now, self.stage()).err().map(past);
+        let children = self.children.left(self.now, self.generation()).err().map(past);
         let lead = self.lead.as_ref().and_then(|lead| {
             let others = lead.since.saturating_add(self.terms.more(self.terms.lease));
             let again =
                 self.proposed.as_ref().map(|(_, at)| past(at.saturating_add(PROPOSE_AGAIN)));
-            let trial = self.at.as_ref().and_then(|(_, s)| s.trial).zip(self.trial);
-            let trial = trial.map(|(t, (_, since))| {
+            let canary = self.at.as_ref().and_then(|(_, s)| s.canary).zip(self.canary);
+            let canary = canary.map(|(t, (_, since))| {
                 since.saturating_add(Duration::from_secs(t.terms.seconds.into()))
             });
-            [Some(others), again, trial].into_iter().flatten().filter(|at| *at > self.now).min()
+            [Some(others), again, canary].into_iter().flatten().filter(|at| *at > self.now).min()
         });
         let next = [self.renews_at(), children, lead].into_iter().flatten().min();
         if let Some(next) = next.filter(|n| self.wakes != Some(*n) || *n <= self.now) {
--- a/crates/revision/src/lib.rs
+++ b/crates/revision/src/lib.rs
@@ -1,5 +1,5 @@
 //! Routing revisions: what the bank has agreed on, who may act on it and for how long. Pure machines:
-//! [`book`] says what the log's entries mean, [`leases`] when a balancer may act on that, [`lists`] what
+//! [`policy`] says what the log's entries mean, [`leases`] when a balancer may act on that, [`lists`] what
 //! balancers tell each other about upstreams. They know no clock, file, network or thread; the log itself is
 //! the council's.
 //!
--- a/crates/revision/src/lists.rs
+++ b/crates/revision/src/lists.rs
@@ -107,7 +107,7 @@
         message: ListMessage,
     },
     /// The agreed rules say so: the eldest list that may be acted on.
-    Floor(u64),
+    FallbackFloor(u64),
     /// A time that was asked for has come.
     Due,
 }
@@ -120,7 +120,7 @@
     /// Who may be sent to has changed: ask [`Lists::among`].
     Changed,
     /// A peer has a newer list: the own discovery is to be asked now.
-    Ask {
+    Poll {
         /// The version that it has.
         version: u64,
     },
@@ -188,10 +188,10 @@
                 let newer = message.version.max(news.iter().map(|s| s.version).max().unwrap_or(0));
                 if newer > self.newest.max(self.asked) {
                     self.asked = newer;
-                    actions.push(Action::Ask { version: newer });
+                    actions.push(Action::Poll { version: newer });
                 }
             }
-            Event::Floor(floor) => self.floor = floor,
+            Event::FallbackFloor(floor) => self.floor = floor,
             Event::Due => {}
         }
         self.lapse();
@@ -264,7 +264,7 @@
             }
             _ => {}
         }
-        let room = self.stopped.len() < MOST_UPSTREAMS;
+        let capacity = self.stopped.len() < MOST_UPSTREAMS;
         let now = self.now;
         let new = Heard { version: stop.version, ended: stop.ended, at: now, matched: None };
         match self.stopped.get_mut(&stop.name) {
@@ -273,7 +273,7 @@
                 *heard = new;
                 true
             }
-            None if room => {
+            None if capacity => {
                 self.stopped.insert(stop.name.clone(), new);
                 true
             }
@@ -350,8 +350,11 @@
     pub fn among<'a>(&self, upstreams: impl IntoIterator<Item = (&'a str, bool)>) -> Vec<&'a str> {
         let open: Vec<(&str, bool)> =
             upstreams.into_iter().filter(|(name, _)| self.is_open(name)).collect();
-        let narrow = self.is_old() && open.iter().any(|(_, charter)| *charter);
-        open.into_iter().filter(|(_, charter)| *charter || !narrow).map(|(name, _)| name).collect()
+        let narrow = self.is_old() && open.iter().any(|(_, fallback_policy)| *fallback_policy);
+        open.into_iter()
+            .filter(|(_, fallback_policy)| *fallback_policy || !narrow)
+            .map(|(name, _)| name)
+            .collect()
     }
 
     /// Upstreams that peers' words stop, whatever the own list says.
--- a/crates/revision/src/message.rs
+++ b/crates/revision/src/message.rs
@@ -3,7 +3,7 @@
 use hollowpaddle_peer_transport::Incarnation;
 use serde::{Deserialize, Serialize};
 
-use crate::node_set::Members;
+use crate::node_set::NodeSet;
 
 /// The longest word, in bytes: with the wire's frame it fits a datagram of 256.
 pub const MAX_MESSAGE_BYTES: usize = 208;
@@ -12,7 +12,7 @@
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
-pub struct Stage {
+pub struct Generation {
     /// How often a bank that had forgotten its log began another from a copy.
     pub epoch: u32,
     /// The entry.
@@ -27,18 +27,18 @@
         /// When, by its own clock, in microseconds. The answer brings it back; nobody else reads it.
         asked: u64,
         /// What it acts on.
-        stage: Stage,
+        generation: Generation,
         /// Neither it nor anybody under a lease that it gave acts on an older one.
-        confirmed: Stage,
+        confirmed: Generation,
         /// Who at and under it was heard of lately, at its stage.
-        here: Members,
+        here: NodeSet,
         /// While a charter is on its way: its generation, and who at and under it holds it by their own word.
-        charter: Option<(Stage, Members)>,
+        fallback_policy: Option<(Generation, NodeSet)>,
     },
     /// To a former parent: what it may wait for. It asks for nothing, and is not answered.
     Left {
         /// Neither the sender nor anybody under a lease that it gave acts on an older one.
-        confirmed: Stage,
+        confirmed: Generation,
     },
     /// A lease.
     Grant {
@@ -47,28 +47,28 @@
         /// As it said.
         asked: u64,
         /// That the lease is for.
-        stage: Stage,
+        generation: Generation,
         /// From the asking on, in microseconds.
         length: u64,
     },
     /// None.
-    No {
+    LeaseRejection {
         /// The life that asked.
         to: Incarnation,
         /// As it said.
         asked: u64,
         /// What the parent acts on.
-        stage: Stage,
+        generation: Generation,
         /// Why.
-        why: No,
+        why: LeaseRejection,
     },
 }
 
 /// Why there is no lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum No {
+pub enum LeaseRejection {
     /// The asker is at another stage: whoever is behind is to learn.
-    Stage,
+    Generation,
     /// The parent has none itself.
     Lease,
     /// It has as many children as it takes; go elsewhere.
--- a/crates/revision/src/node_set.rs
+++ b/crates/revision/src/node_set.rs
@@ -12,21 +12,21 @@
 
 /// A set of balancers, by their numbers below [`MOST_MEMBERS`]; others are in none.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Members([u8; BYTES]);
+pub struct NodeSet([u8; BYTES]);
 
-impl Default for Members {
+impl Default for NodeSet {
     fn default() -> Self {
         Self([0; BYTES])
     }
 }
 
-impl fmt::Debug for Members {
+impl fmt::Debug for NodeSet {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_set().entries(self.iter().map(|m| m.0)).finish()
     }
 }
 
-impl Members {
+impl NodeSet {
     /// The first so many.
     pub fn first(many: u16) -> Self {
         (0..many).map(NodeId).collect()
@@ -82,7 +82,7 @@
     }
 }
 
-impl FromIterator<NodeId> for Members {
+impl FromIterator<NodeId> for NodeSet {
     fn from_iter<I: IntoIterator<Item = NodeId>>(members: I) -> Self {
         let mut set = Self::default();
         members.into_iter().for_each(|m| set.insert(m));
@@ -91,14 +91,14 @@
 }
 
 /// As bytes up to the last that is not zero.
-impl Serialize for Members {
+impl Serialize for NodeSet {
     fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
         let used = self.0.iter().rposition(|b| *b != 0).map_or(0, |last| last + 1);
         to.serialize_bytes(&self.0[..used])
     }
 }
 
-impl<'de> Deserialize<'de> for Members {
+impl<'de> Deserialize<'de> for NodeSet {
     fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
         let bytes = Vec::<u8>::deserialize(from)?;
         if bytes.len() > BYTES || bytes.last() == Some(&0) {
