--- a/crates/revision/src/policy_state.rs
+++ b/crates/revision/src/policy_state.rs
@@ -9,18 +9,18 @@
 
 use crate::difference::Difference;
 use crate::document::Document;
-use crate::entry::{Ask, Entry, Id};
-use crate::fallback_policy::{Charter, CharterError, Floor};
+use crate::entry::{CommandId, Entry, ProposalOptions};
+use crate::fallback_policy::{FallbackFloor, FallbackPolicy, FallbackPolicyError};
 use crate::fleet::{Facts, Misfit};
-use crate::history::{Answer, Fate, History, Kept, Origin};
+use crate::history::{ChangeStatus, History, Origin, ProposalResult, RetainedRevision};
 use crate::node_set::MOST_MEMBERS;
 use crate::rules::Rules;
-pub use crate::status::{Applied, Founding, FoundingError, OnTrial, Refusal, Standing};
+pub use crate::status::{Applied, Bootstrap, BootstrapError, CanaryStatus, PolicyStatus, Refusal};
 
 /// A charter on its way.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct Change {
-    pub(crate) to: Charter,
+    pub(crate) to: FallbackPolicy,
     /// When it was asked for.
     pub(crate) since: u64,
     /// What both allow is what balancers keep to; what either allows can't be forbidden.
@@ -35,67 +35,71 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct State {
     pub(crate) members: u16,
-    pub(crate) bedrock: Charter,
+    pub(crate) mandatory_fallback: FallbackPolicy,
     /// The last charter that all have agreed to.
-    pub(crate) charter: Charter,
+    pub(crate) fallback_policy: FallbackPolicy,
     pub(crate) change: Option<Change>,
-    pub(crate) generation: u64,
+    pub(crate) fallback_generation: u64,
     pub(crate) index: u64,
-    pub(crate) stage: u64,
+    pub(crate) generation: u64,
     pub(crate) unconfirmed: bool,
     pub(crate) in_force: u64,
     pub(crate) towards: Option<u64>,
     pub(crate) next: Option<u64>,
     pub(crate) newest: u64,
-    pub(crate) trial: Option<OnTrial>,
+    pub(crate) canary: Option<CanaryStatus>,
     pub(crate) dead: BTreeSet<u16>,
 }
 
 /// The rule book.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Book {
+pub struct PolicyState {
     pub(crate) state: State,
     pub(crate) history: History,
     /// Made of the state.
     rules: Arc<Rules>,
-    held: Arc<Charter>,
+    held: Arc<FallbackPolicy>,
 }
 
-impl Book {
+impl PolicyState {
     /// A bank's first.
     ///
     /// # Errors
     /// If it can't begin so.
-    pub fn found(founding: Founding) -> Result<Self, FoundingError> {
-        let Founding { members, bedrock, charter, document } = founding;
+    pub fn found(bootstrap: Bootstrap) -> Result<Self, BootstrapError> {
+        let Bootstrap { members, mandatory_fallback, fallback_policy, document } = bootstrap;
         if !(1..=MOST_MEMBERS).contains(&members) {
-            return Err(FoundingError::Members { found: members });
+            return Err(BootstrapError::NodeSet { found: members });
         }
         document.check()?;
-        bedrock.check(&Charter { pods: BTreeSet::new(), ..bedrock.clone() })?;
-        charter.check(&bedrock)?;
+        mandatory_fallback
+            .check(&FallbackPolicy { cells: BTreeSet::new(), ..mandatory_fallback.clone() })?;
+        fallback_policy.check(&mandatory_fallback)?;
         // Nothing says yet which pods those are in.
-        if let Some(name) = charter.except.difference(&bedrock.except).next() {
-            return Err(CharterError::Bedrock { what: format!("upstream `{name}`") }.into());
+        if let Some(name) = fallback_policy.except.difference(&mandatory_fallback.except).next() {
+            return Err(FallbackPolicyError::MandatoryFallback {
+                what: format!("upstream `{name}`"),
+            }
+            .into());
         }
         let state = State {
             members,
-            bedrock,
-            charter,
+            mandatory_fallback,
+            fallback_policy,
             change: None,
-            generation: 0,
+            fallback_generation: 0,
             index: 0,
-            stage: 0,
+            generation: 0,
             unconfirmed: false,
             in_force: 0,
             towards: None,
             next: None,
             newest: 0,
-            trial: None,
+            canary: None,
             dead: BTreeSet::new(),
         };
         let mut history = History::default();
-        history.keep(0, document, Origin::Founding, Some(Fate::Was(0)));
+        history.keep(0, document, Origin::Bootstrap, Some(ChangeStatus::Was(0)));
         Ok(Self::of(state, history))
     }
 
@@ -115,28 +119,28 @@
             Ok(entry) => entry,
             Err(error) => return Applied { unreadable: Some(error), ..Applied::default() },
         };
-        let stage = self.state.stage;
+        let generation = self.state.generation;
         let answered = self.take(index, entry);
         self.advance(index);
-        let changed = self.state.stage != stage;
+        let changed = self.state.generation != generation;
         if changed {
             (self.rules, self.held) = made(&self.state, &self.history);
         }
         let s = &self.state;
         let needed =
-            [Some(s.in_force), s.towards, s.next, Some(s.newest), s.trial.map(|t| t.before)];
+            [Some(s.in_force), s.towards, s.next, Some(s.newest), s.canary.map(|t| t.before)];
         self.history.compact(&needed.into_iter().flatten().collect());
-        Applied { answered, stage: changed, unreadable: None }
+        Applied { answered, generation: changed, unreadable: None }
     }
 
-    fn take(&mut self, index: u64, entry: Entry) -> Option<(Id, Result<u64, Refusal>)> {
+    fn take(&mut self, index: u64, entry: Entry) -> Option<(CommandId, Result<u64, Refusal>)> {
         let id = match &entry {
             Entry::Propose(ask, _) | Entry::Rollback(ask, _) => Some(ask.id),
-            Entry::Charter(id, ..)
+            Entry::FallbackPolicy(id, ..)
             | Entry::Confirm(id, _)
             | Entry::Dead(id, _)
             | Entry::Alive(id, _) => Some(*id),
-            Entry::Step(_) | Entry::CharterConfirmed(_) | Entry::TakeBack(..) => None,
+            Entry::Step(_) | Entry::FallbackPolicyConfirmed(_) | Entry::TakeBack(..) => None,
         };
         // A question that got into the log twice was asked once.
         if let Some(known) =
@@ -160,34 +164,36 @@
                 }
                 Err(refusal) => Err(refusal),
             },
-            Entry::Charter(_, charter, facts) => self.charter(index, charter, &facts),
+            Entry::FallbackPolicy(_, fallback_policy, facts) => {
+                self.fallback_policy(index, fallback_policy, &facts)
+            }
             Entry::Confirm(_, number) => self.confirm(number),
             Entry::Dead(_, member) => self.member(member, true).map(|()| index),
             Entry::Alive(_, member) => self.member(member, false).map(|()| index),
-            Entry::Step(stage) => {
-                self.state.unconfirmed &= stage != self.state.stage;
+            Entry::Step(generation) => {
+                self.state.unconfirmed &= generation != self.state.generation;
                 return None;
             }
-            Entry::CharterConfirmed(generation) => {
-                let current = generation == self.state.generation;
+            Entry::FallbackPolicyConfirmed(fallback_generation) => {
+                let current = fallback_generation == self.state.fallback_generation;
                 if let Some(change) = self.state.change.as_mut().filter(|c| c.begun && current) {
                     change.confirmed = true;
                 }
                 return None;
             }
             Entry::TakeBack(number, why) => {
-                if let Some(trial) = self.state.trial.filter(|t| t.revision == number)
-                    && let Ok(before) = self.kept(trial.before)
+                if let Some(canary) = self.state.canary.filter(|t| t.revision == number)
+                    && let Ok(before) = self.kept(canary.before)
                 {
                     let document = (*before.document).clone();
                     self.accept(index, document, Origin::TakenBack(number, why));
-                    self.state.trial = None;
+                    self.state.canary = None;
                 }
                 return None;
             }
         };
         let id = id?;
-        self.history.answer(id, Answer { index, outcome: outcome.clone() });
+        self.history.answer(id, ProposalResult { index, outcome: outcome.clone() });
         Some((id, outcome))
     }
 
@@ -195,7 +201,7 @@
     ///
     /// # Errors
     /// Which are.
-    pub fn kept(&self, number: u64) -> Result<&Kept, Refusal> {
+    pub fn kept(&self, number: u64) -> Result<&RetainedRevision, Refusal> {
         let edge = |n: Option<&u64>| n.copied().unwrap_or(0);
         self.history.kept.get(&number).ok_or_else(|| Refusal::Unknown {
             number,
@@ -213,9 +219,9 @@
     }
 
     /// What can't be forbidden: from the moment on at which a change of it was asked for.
-    fn floor(&self) -> Floor {
-        let to = self.state.change.as_ref().map_or(&self.state.charter, |c| &c.to);
-        Floor::either(self.state.charter.clone(), to.clone())
+    fn floor(&self) -> FallbackFloor {
+        let to = self.state.change.as_ref().map_or(&self.state.fallback_policy, |c| &c.to);
+        FallbackFloor::either(self.state.fallback_policy.clone(), to.clone())
     }
 
     fn misfits(&self, document: &Document, facts: &Facts) -> Vec<Misfit> {
@@ -225,13 +231,13 @@
     fn revise(
         &mut self,
         index: u64,
-        ask: &Ask,
+        ask: &ProposalOptions,
         document: Document,
         origin: Origin,
     ) -> Result<u64, Refusal> {
         self.base(ask.base)?;
-        if let Some(terms) = ask.trial.filter(|t| !t.is_possible()) {
-            return Err(Refusal::Trial(terms));
+        if let Some(terms) = ask.canary.filter(|t| !t.is_possible()) {
+            return Err(Refusal::CanaryTerms(terms));
         }
         let against = self.misfits(&document, &ask.facts);
         if let Some(misfit) = against.into_iter().find(|m| !(ask.forced && m.yields())) {
@@ -239,8 +245,8 @@
         }
         // Whoever builds on a revision that is on trial has accepted it, unless this one is on trial as well:
         // then both go back to what was there before either.
-        let before = self.state.trial.map_or(self.state.newest, |t| t.before);
-        self.state.trial = ask.trial.map(|terms| OnTrial { revision: index, before, terms });
+        let before = self.state.canary.map_or(self.state.newest, |t| t.before);
+        self.state.canary = ask.canary.map(|terms| CanaryStatus { revision: index, before, terms });
         self.accept(index, document, origin);
         Ok(index)
     }
@@ -251,17 +257,17 @@
         if let Some(passed_over) =
             self.state.next.replace(number).and_then(|n| self.history.kept.get_mut(&n))
         {
-            passed_over.fate = Some(Fate::Never(number));
+            passed_over.change_status = Some(ChangeStatus::Never(number));
         }
         self.state.newest = number;
     }
 
     fn confirm(&mut self, number: u64) -> Result<u64, Refusal> {
-        let on_trial = self.state.trial.is_some_and(|t| t.revision == number);
+        let on_trial = self.state.canary.is_some_and(|t| t.revision == number);
         if !on_trial {
-            return Err(Refusal::NotOnTrial { number });
+            return Err(Refusal::NotCanary { number });
         }
-        self.state.trial = None;
+        self.state.canary = None;
         Ok(number)
     }
 
@@ -277,10 +283,15 @@
         Ok(())
     }
 
-    fn charter(&mut self, index: u64, to: Charter, facts: &Facts) -> Result<u64, Refusal> {
+    fn fallback_policy(
+        &mut self,
+        index: u64,
+        to: FallbackPolicy,
+        facts: &Facts,
+    ) -> Result<u64, Refusal> {
         if let Some(change) = &mut self.state.change {
             // Given again, the old one takes the place of the new: what both allow is allowed by it.
-            if to != self.state.charter {
+            if to != self.state.fallback_policy {
                 return Err(Refusal::Changing { since: change.since });
             }
             if change.begun {
@@ -291,24 +302,27 @@
             }
             return Ok(index);
         }
-        to.check(&self.state.bedrock)?;
+        to.check(&self.state.mandatory_fallback)?;
         facts.check()?;
-        for name in to.except.difference(&self.state.charter.except) {
+        for name in to.except.difference(&self.state.fallback_policy.except) {
             // Of whom the list knows nothing, nobody can say that the bedrock doesn't hold it.
-            let pod = facts.named.get(name).map(|(pod, _)| *pod);
-            if pod.is_none_or(|pod| self.state.bedrock.pods.contains(&pod)) {
-                return Err(CharterError::Bedrock { what: format!("upstream `{name}`") }.into());
+            let cell = facts.named.get(name).map(|(cell, _)| *cell);
+            if cell.is_none_or(|cell| self.state.mandatory_fallback.cells.contains(&cell)) {
+                return Err(FallbackPolicyError::MandatoryFallback {
+                    what: format!("upstream `{name}`"),
+                }
+                .into());
             }
         }
-        let floor = Floor::of(to.clone());
+        let floor = FallbackFloor::of(to.clone());
         let s = &self.state;
-        let all = [Some(s.in_force), s.towards, s.next, Some(s.newest), s.trial.map(|t| t.before)];
+        let all = [Some(s.in_force), s.towards, s.next, Some(s.newest), s.canary.map(|t| t.before)];
         for kept in all.into_iter().flatten().filter_map(|n| self.history.kept.get(&n)) {
             if let Some(misfit) = facts.against_charter(&kept.document, &floor).into_iter().next() {
                 return Err(Refusal::Misfit(misfit));
             }
         }
-        if to != self.state.charter {
+        if to != self.state.fallback_policy {
             self.state.change =
                 Some(Change { to, since: index, begun: false, confirmed: false, withdrawn: false });
         }
@@ -325,42 +339,42 @@
         if let Some(to) = s.towards.take() {
             s.in_force = to;
             if let Some(kept) = self.history.kept.get_mut(&to) {
-                kept.fate = Some(Fate::Was(index));
+                kept.change_status = Some(ChangeStatus::Was(index));
             }
         } else if let Some(change) = s.change.as_mut().filter(|c| !c.begun) {
             change.begun = true;
-            s.generation = index;
+            s.fallback_generation = index;
         } else if let Some(change) = s.change.take_if(|c| c.confirmed) {
             if !change.withdrawn {
-                s.charter = change.to;
+                s.fallback_policy = change.to;
             }
-            s.generation = index;
+            s.fallback_generation = index;
         } else if let Some(next) = s.next.take() {
             s.towards = Some(next);
         } else {
             return;
         }
-        s.stage = index;
+        s.generation = index;
         s.unconfirmed = true;
     }
 
     /// Where it has got to.
-    pub fn standing(&self) -> Standing {
+    pub fn status(&self) -> PolicyStatus {
         let s = &self.state;
         let change = s.change.as_ref();
-        Standing {
+        PolicyStatus {
             index: s.index,
-            stage: s.stage,
+            generation: s.generation,
             unconfirmed: s.unconfirmed,
             rules: self.rules.clone(),
             revision: s.in_force,
             towards: s.towards,
-            charter: self.held.clone(),
-            generation: s.generation,
+            fallback_policy: self.held.clone(),
+            fallback_generation: s.fallback_generation,
             awaited: change.is_some_and(|c| c.begun && !c.confirmed),
             dead: s.dead.iter().map(|m| NodeId(*m)).collect(),
             members: s.members,
-            trial: s.trial.filter(|t| t.revision == s.in_force),
+            canary: s.canary.filter(|t| t.revision == s.in_force),
         }
     }
 
@@ -371,24 +385,24 @@
 
     /// What was answered to a question; `None`: it is not in the log, or more than
     /// [`MOST_ANSWERS`](crate::history::MOST_ANSWERS) came after it.
-    pub fn answer(&self, id: Id) -> Option<&Answer> {
+    pub fn answer(&self, id: CommandId) -> Option<&ProposalResult> {
         self.history.answers.get(&id)
     }
 
     /// What became of a revision that is kept.
-    pub fn fate(&self, number: u64) -> Option<Fate> {
+    pub fn change_status(&self, number: u64) -> Option<ChangeStatus> {
         let kept = self.history.kept.get(&number)?;
         let s = &self.state;
-        Some(match kept.fate {
-            _ if number == s.in_force => Fate::InForce,
-            _ if Some(number) == s.towards => Fate::Narrow,
-            Some(fate) => fate,
-            None => Fate::Waits,
+        Some(match kept.change_status {
+            _ if number == s.in_force => ChangeStatus::InForce,
+            _ if Some(number) == s.towards => ChangeStatus::Narrow,
+            Some(change_status) => change_status,
+            None => ChangeStatus::Waits,
         })
     }
 
     /// All that are kept, the oldest first.
-    pub fn revisions(&self) -> impl DoubleEndedIterator<Item = (u64, &Kept)> {
+    pub fn revisions(&self) -> impl DoubleEndedIterator<Item = (u64, &RetainedRevision)> {
         self.history.kept.iter().map(|(n, k)| (*n, k))
     }
 
@@ -412,13 +426,14 @@
 }
 
 /// The rules in force, and the charter that balancers keep to whose lease has ended.
-fn made(s: &State, history: &History) -> (Arc<Rules>, Arc<Charter>) {
+fn made(s: &State, history: &History) -> (Arc<Rules>, Arc<FallbackPolicy>) {
     let begun = s.change.as_ref().filter(|c| c.begun);
     let floor = Arc::new(match begun {
-        Some(change) => Floor::either(s.charter.clone(), change.to.clone()),
-        None => Floor::of(s.charter.clone()),
+        Some(change) => FallbackFloor::either(s.fallback_policy.clone(), change.to.clone()),
+        None => FallbackFloor::of(s.fallback_policy.clone()),
     });
-    let held = begun.map_or_else(|| s.charter.clone(), |change| s.charter.meet(&change.to));
+    let held = begun
+        .map_or_else(|| s.fallback_policy.clone(), |change| s.fallback_policy.meet(&change.to));
     // Those in force are never dropped; a snapshot that lacks them is refused.
     let said = |n: u64| history.kept.get(&n).map(|k| (*k.document).clone()).unwrap_or_default();
     let old = Rules::of(said(s.in_force), floor.clone());
--- a/crates/revision/src/rules.rs
+++ b/crates/revision/src/rules.rs
@@ -5,7 +5,7 @@
 use std::sync::Arc;
 
 use crate::document::{Chosen, Document};
-use crate::fallback_policy::{Charter, Floor};
+use crate::fallback_policy::{FallbackFloor, FallbackPolicy};
 
 /// An upstream, as far as rules are about it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -13,15 +13,15 @@
     /// Its name on the list.
     pub name: &'a str,
     /// Its pod (the list's `cell`).
-    pub pod: u32,
+    pub cell: u32,
     /// Its kind of machine.
-    pub flavour: &'a str,
+    pub machine_type: &'a str,
     /// Its site (the list's `locality`).
-    pub site: &'a str,
+    pub zone: &'a str,
 }
 
 /// A class, and the pods that it is kept from.
-type Kept = (Box<str>, Box<[u32]>);
+type RetainedRevision = (Box<str>, Box<[u32]>);
 
 /// Rules in force: they don't change, and are replaced as a whole.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -31,14 +31,14 @@
     /// Nothing is allowed beyond the charter.
     only: bool,
     /// Stronger than what is said.
-    floor: Arc<Floor>,
+    floor: Arc<FallbackFloor>,
     /// Sorted: what is out.
     upstreams: Box<[Box<str>]>,
-    pods: Box<[u32]>,
-    flavours: Box<[Box<str>]>,
-    sites: Box<[Box<str>]>,
+    cells: Box<[u32]>,
+    machine_types: Box<[Box<str>]>,
+    zones: Box<[Box<str>]>,
     /// Sorted: the class, and the pods that it is kept from.
-    kept: Box<[Kept]>,
+    kept: Box<[RetainedRevision]>,
 }
 
 fn has(names: &[Box<str>], name: &str) -> bool {
@@ -48,14 +48,14 @@
 impl Rules {
     /// Of a document, under a charter that is stronger than it: so whatever a document says of a flavour, and
     /// whatever machines join a pod later, nobody refuses what the charter allows.
-    pub fn of(said: Document, floor: Arc<Floor>) -> Self {
+    pub fn of(said: Document, floor: Arc<FallbackFloor>) -> Self {
         let names = |names: &BTreeSet<String>| names.iter().map(|n| n.as_str().into()).collect();
-        let Chosen { upstreams, pods, flavours, sites } = &said.out;
+        let Chosen { upstreams, cells, machine_types, zones } = &said.out;
         Self {
             upstreams: names(upstreams),
-            pods: pods.iter().copied().collect(),
-            flavours: names(flavours),
-            sites: names(sites),
+            cells: cells.iter().copied().collect(),
+            machine_types: names(machine_types),
+            zones: names(zones),
             kept: said
                 .kept
                 .iter()
@@ -70,9 +70,9 @@
     /// What a balancer keeps to that holds no lease: it sends to what the charter allows, with the fewest
     /// attempts, and nowhere else. All figures are the usual ones. It forbids nothing by this, it only can't
     /// know.
-    pub fn of_charter(charter: &Charter) -> Self {
-        let said = Document { attempts: charter.attempts, ..Document::default() };
-        let floor = Arc::new(Floor::of(charter.clone()));
+    pub fn of_fallback_policy(fallback_policy: &FallbackPolicy) -> Self {
+        let said = Document { attempts: fallback_policy.attempts, ..Document::default() };
+        let floor = Arc::new(FallbackFloor::of(fallback_policy.clone()));
         Self { only: true, ..Self::of(said, floor) }
     }
 
@@ -82,16 +82,16 @@
     }
 
     fn says_no(&self, place: &Place<'_>, class: &str) -> bool {
-        self.pods.binary_search(&place.pod).is_ok()
+        self.cells.binary_search(&place.cell).is_ok()
             || has(&self.upstreams, place.name)
-            || has(&self.flavours, place.flavour)
-            || has(&self.sites, place.site)
-            || self.keeps(class, place.pod)
+            || has(&self.machine_types, place.machine_type)
+            || has(&self.zones, place.zone)
+            || self.keeps(class, place.cell)
     }
 
-    fn keeps(&self, class: &str, pod: u32) -> bool {
+    fn keeps(&self, class: &str, cell: u32) -> bool {
         let found = self.kept.binary_search_by(|(c, _)| (**c).cmp(class)).ok();
-        found.is_some_and(|at| self.kept[at].1.binary_search(&pod).is_ok())
+        found.is_some_and(|at| self.kept[at].1.binary_search(&cell).is_ok())
     }
 
     /// What part of its usual weight it has, 0 to 1; it says nothing of whether it is out.
@@ -99,9 +99,9 @@
         let w = &self.said.weights;
         let parts = [
             w.upstreams.get(place.name),
-            w.pods.get(&place.pod),
-            w.flavours.get(place.flavour),
-            w.sites.get(place.site),
+            w.cells.get(&place.cell),
+            w.machine_types.get(place.machine_type),
+            w.zones.get(place.zone),
         ];
         parts.into_iter().flatten().map(|w| w.number()).product()
     }
@@ -127,8 +127,8 @@
     }
 
     /// The eldest list that may be acted on.
-    pub fn eldest_list(&self) -> u64 {
-        self.said.eldest_list
+    pub fn oldest_list(&self) -> u64 {
+        self.said.oldest_list
     }
 
     /// What is said.
@@ -137,7 +137,7 @@
     }
 
     /// What can't be forbidden.
-    pub fn floor(&self) -> &Arc<Floor> {
+    pub fn floor(&self) -> &Arc<FallbackFloor> {
         &self.floor
     }
 
@@ -146,14 +146,14 @@
     pub fn narrow(old: &Self, new: &Self) -> Self {
         let (a, b) = (&old.said, &new.said);
         let mut kept = a.kept.clone();
-        for (class, pods) in &b.kept {
-            kept.entry(class.clone()).or_default().extend(pods);
+        for (class, cells) in &b.kept {
+            kept.entry(class.clone()).or_default().extend(cells);
         }
         let said = Document {
             out: a.out.with(&b.out),
             kept,
             attempts: a.attempts.min(b.attempts),
-            eldest_list: a.eldest_list.max(b.eldest_list),
+            oldest_list: a.oldest_list.max(b.oldest_list),
             weights: a.weights.clone(),
             times: a.times,
             balancers: a.balancers,
@@ -170,27 +170,27 @@
         let one = |a: &Chosen, b: &Chosen| {
             let more = a.without(b);
             let first = |names: &BTreeSet<String>| names.first().cloned();
-            let pods = |pod: &u32| !charters || !self.floor.holds(*pod);
+            let cells = |cell: &u32| !charters || !self.floor.holds(*cell);
             None.or(first(&more.upstreams).map(Contradiction::Upstream))
-                .or(more.pods.iter().copied().find(pods).map(Contradiction::Pod))
-                .or(first(&more.flavours).map(Contradiction::Flavour))
-                .or(first(&more.sites).map(Contradiction::Site))
+                .or(more.cells.iter().copied().find(cells).map(Contradiction::Pod))
+                .or(first(&more.machine_types).map(Contradiction::Flavour))
+                .or(first(&more.zones).map(Contradiction::Site))
         };
         let of = |kept: &BTreeMap<String, BTreeSet<u32>>| -> Vec<(String, u32)> {
-            kept.iter().flat_map(|(c, pods)| pods.iter().map(move |p| (c.clone(), *p))).collect()
+            kept.iter().flat_map(|(c, cells)| cells.iter().map(move |p| (c.clone(), *p))).collect()
         };
         let kept = || {
             let (a, b) = (of(&a.kept), of(&b.kept));
             let differs =
                 a.iter().find(|k| !b.contains(k)).or_else(|| b.iter().find(|k| !a.contains(k)));
-            differs.map(|(class, pod)| Contradiction::Kept(class.clone(), *pod))
+            differs.map(|(class, cell)| Contradiction::RetainedRevision(class.clone(), *cell))
         };
         one(&a.out, &b.out)
             .or_else(|| one(&b.out, &a.out))
             .or_else(kept)
             .or_else(|| (self.attempts() != other.attempts()).then_some(Contradiction::Attempts))
-            .or_else(|| (a.eldest_list != b.eldest_list).then_some(Contradiction::List))
-            .or_else(|| (!charters).then_some(Contradiction::Charter))
+            .or_else(|| (a.oldest_list != b.oldest_list).then_some(Contradiction::List))
+            .or_else(|| (!charters).then_some(Contradiction::FallbackPolicy))
     }
 }
 
@@ -206,11 +206,11 @@
     /// A site is out.
     Site(String),
     /// A class is kept from a pod.
-    Kept(String, u32),
+    RetainedRevision(String, u32),
     /// Attempts at most.
     Attempts,
     /// The eldest list.
     List,
     /// What can't be forbidden.
-    Charter,
+    FallbackPolicy,
 }
--- a/crates/revision/src/snapshot.rs
+++ b/crates/revision/src/snapshot.rs
@@ -6,10 +6,10 @@
 use serde::{Deserialize, Serialize};
 
 use crate::document::Document;
-use crate::entry::Id;
-use crate::history::{Answer, Fate, History, MOST_ANSWERS, MOST_REVISIONS, Origin};
+use crate::entry::CommandId;
+use crate::history::{ChangeStatus, History, MOST_ANSWERS, MOST_REVISIONS, Origin, ProposalResult};
 use crate::node_set::MOST_MEMBERS;
-use crate::policy_state::{Book, State};
+use crate::policy_state::{PolicyState, State};
 
 /// The version of the form.
 const VERSION: u8 = 1;
@@ -23,9 +23,9 @@
     state: State,
     contents: Vec<Document>,
     /// Number, place of the content, origin, fate.
-    revisions: Vec<(u64, u32, Origin, Option<Fate>)>,
+    revisions: Vec<(u64, u32, Origin, Option<ChangeStatus>)>,
     /// In the order in which they were asked.
-    answers: Vec<(Id, Answer)>,
+    answers: Vec<(CommandId, ProposalResult)>,
 }
 
 /// Why bytes are no book.
@@ -47,7 +47,7 @@
     },
 }
 
-impl Book {
+impl PolicyState {
     /// As bytes.
     ///
     /// # Errors
@@ -64,7 +64,12 @@
             contents: contents.iter().map(|c| (***c).clone()).collect(),
             revisions: revisions
                 .map(|(n, k)| {
-                    (*n, places.get(&k.document).copied().unwrap_or(u32::MAX), k.origin, k.fate)
+                    (
+                        *n,
+                        places.get(&k.document).copied().unwrap_or(u32::MAX),
+                        k.origin,
+                        k.change_status,
+                    )
                 })
                 .collect(),
             answers: history
@@ -102,10 +107,10 @@
             return Err(wrong("a document that can't be"));
         }
         let mut history = History::default();
-        for (number, place, origin, fate) in revisions {
+        for (number, place, origin, change_status) in revisions {
             let content =
                 contents.get(place as usize).ok_or_else(|| wrong("a revision without content"))?;
-            history.keep(number, content.clone(), origin, fate);
+            history.keep(number, content.clone(), origin, change_status);
         }
         for (id, answer) in answers {
             history.answer(id, answer);
@@ -119,14 +124,14 @@
             state.towards,
             state.next,
             Some(state.newest),
-            state.trial.map(|t| t.before),
+            state.canary.map(|t| t.before),
         ];
         if needed.into_iter().flatten().any(|n| !history.kept.contains_key(&n)) {
             return Err(wrong("the rules in force are not in it"));
         }
         let last = history.kept.keys().next_back().copied().unwrap_or(0);
         if state.newest != last
-            || [last, state.stage, state.generation].iter().any(|n| *n > state.index)
+            || [last, state.generation, state.fallback_generation].iter().any(|n| *n > state.index)
         {
             return Err(wrong("numbers beyond the last entry"));
         }
--- a/crates/revision/src/status.rs
+++ b/crates/revision/src/status.rs
@@ -4,33 +4,33 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::canary::Trial;
+use crate::canary::CanaryTerms;
 use crate::document::{Document, DocumentError};
-use crate::entry::{EntryError, Id};
-use crate::fallback_policy::{Charter, CharterError};
+use crate::entry::{CommandId, EntryError};
+use crate::fallback_policy::{FallbackPolicy, FallbackPolicyError};
 use crate::fleet::Misfit;
-use crate::node_set::{MOST_MEMBERS, Members};
+use crate::node_set::{MOST_MEMBERS, NodeSet};
 use crate::rules::Rules;
 
 /// What a bank begins with: the same at every balancer, from its settings.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Founding {
+pub struct Bootstrap {
     /// Balancers of the bank, at most [`MOST_MEMBERS`].
     pub members: u16,
     /// What no charter can leave out.
-    pub bedrock: Charter,
+    pub mandatory_fallback: FallbackPolicy,
     /// The first charter.
-    pub charter: Charter,
+    pub fallback_policy: FallbackPolicy,
     /// The first revision's content; its number is 0.
     pub document: Document,
 }
 
 /// Why a bank can't begin so.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum FoundingError {
+pub enum BootstrapError {
     /// Nobody, or too many.
     #[error("founding a bank of {found} balancers; expected 1 to {MOST_MEMBERS}")]
-    Members {
+    NodeSet {
         /// So many.
         found: u16,
     },
@@ -39,7 +39,7 @@
     Document(#[from] DocumentError),
     /// Its charter.
     #[error("founding a bank: {0}")]
-    Charter(#[from] CharterError),
+    FallbackPolicy(#[from] FallbackPolicyError),
 }
 
 /// Why nothing was done.
@@ -76,16 +76,16 @@
     Misfit(#[from] Misfit),
     /// The terms of its trial.
     #[error("a trial of {} s and {} thousandths; expected 1 to 3600 and 1 to 1000", .0.seconds, .0.fall)]
-    Trial(Trial),
+    CanaryTerms(CanaryTerms),
     /// Nothing to confirm.
     #[error("revision {number} is not on trial; it was taken back, replaced, or had none")]
-    NotOnTrial {
+    NotCanary {
         /// Asked for.
         number: u64,
     },
     /// The charter.
     #[error("{0}")]
-    Charter(#[from] CharterError),
+    FallbackPolicy(#[from] FallbackPolicyError),
     /// A charter is on its way.
     #[error(
         "another charter is on its way since entry {since}; wait until everyone has \
@@ -110,31 +110,31 @@
 pub struct Applied {
     /// The question and its answer, if it was one. The answer to a question that was asked before is the one
     /// of then.
-    pub answered: Option<(Id, Result<u64, Refusal>)>,
+    pub answered: Option<(CommandId, Result<u64, Refusal>)>,
     /// The stage has changed.
-    pub stage: bool,
+    pub generation: bool,
     /// Why it could not be read. Nothing was done, here and everywhere.
     pub unreadable: Option<EntryError>,
 }
 
 /// A trial that is running.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct OnTrial {
+pub struct CanaryStatus {
     /// What is on trial.
     pub revision: u64,
     /// What it goes back to.
     pub before: u64,
     /// On which terms.
-    pub terms: Trial,
+    pub terms: CanaryTerms,
 }
 
 /// Where the log has got to.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Standing {
+pub struct PolicyStatus {
     /// The last entry.
     pub index: u64,
     /// The last entry that changed what is in force.
-    pub stage: u64,
+    pub generation: u64,
     /// Whether it waits for the word that nobody acts on an older one.
     pub unconfirmed: bool,
     /// What is in force.
@@ -144,15 +144,15 @@
     /// The one to which a step is under way.
     pub towards: Option<u64>,
     /// What a balancer keeps to whose lease has ended.
-    pub charter: Arc<Charter>,
+    pub fallback_policy: Arc<FallbackPolicy>,
     /// The stage that set it.
-    pub generation: u64,
+    pub fallback_generation: u64,
     /// Whether that waits for the word of every member.
     pub awaited: bool,
     /// Of whom no word is waited for.
-    pub dead: Members,
+    pub dead: NodeSet,
     /// All of the bank.
     pub members: u16,
     /// The trial of the revision in force.
-    pub trial: Option<OnTrial>,
+    pub canary: Option<CanaryStatus>,
 }
--- a/crates/revision/tests/banks.rs
+++ b/crates/revision/tests/banks.rs
@@ -7,8 +7,8 @@
 use std::sync::atomic::{AtomicU64, Ordering};
 
 use hollowpaddle_peer_transport::NodeId;
-use hollowpaddle_revision::entry::{Entry, Id};
-use hollowpaddle_revision::fallback_policy::Charter;
+use hollowpaddle_revision::entry::{CommandId, Entry};
+use hollowpaddle_revision::fallback_policy::FallbackPolicy;
 use sim::oracle::Found;
 use sim::{Broken, LIVED, MS, S, Setting, Sim};
 
@@ -142,9 +142,9 @@
         let now = cluster.now;
         cluster.run(now + 20 * MS);
         (0..36).for_each(|m| cluster.kill(m));
-        let stage = cluster.log.last().unwrap().stage;
+        let generation = cluster.log.last().unwrap().generation;
         cluster.run(39 * S);
-        let (there, leased) = cluster.at_stage(stage);
+        let (there, leased) = cluster.at_stage(generation);
         assert_eq!((there, cluster.log.last().unwrap().unconfirmed), (36, false), "seed {seed}");
         assert!(leased >= 30, "seed {seed}: {leased} hold leases");
         let found = cluster.finish();
@@ -170,7 +170,7 @@
 }
 
 /// One is cut off with the old charter while the others make it smaller. What happens next is `then`'s.
-fn charter(seed: u64, broken: Broken, then: impl Fn(&mut Sim, usize)) -> (Sim, usize) {
+fn fallback_policy(seed: u64, broken: Broken, then: impl Fn(&mut Sim, usize)) -> (Sim, usize) {
     let setting =
         Setting { members: 7, fan: 2, faults: 0, rate: 0.0, length: 60 * S, broken, ..drawn(seed) };
     let mut cluster = Sim::new(seed, setting);
@@ -178,8 +178,8 @@
     let cut = (cluster.leader().unwrap() + 1) % 7;
     cluster.cut(cut);
     cluster.run(9 * S);
-    let smaller = Charter { pods: [0, 4].into(), ..common::founding(7).charter };
-    cluster.commit_now(&Entry::Charter(Id(1), smaller, Box::default()));
+    let smaller = FallbackPolicy { cells: [0, 4].into(), ..common::bootstrap(7).fallback_policy };
+    cluster.commit_now(&Entry::FallbackPolicy(CommandId(1), smaller, Box::default()));
     cluster.run(15 * S);
     then(&mut cluster, cut);
     (cluster, cut)
@@ -195,7 +195,7 @@
         cluster.log.last().unwrap().revision > 0
     };
     for seed in 0..12 {
-        let (mut cluster, _) = charter(seed, Broken::Nothing, |_, _| ());
+        let (mut cluster, _) = fallback_policy(seed, Broken::Nothing, |_, _| ());
         assert!(
             awaited(&cluster) && !puts_out(&mut cluster, 2),
             "seed {seed}: without everybody's word"
@@ -209,9 +209,9 @@
         let found = cluster.finish();
         assert!(found.contradiction <= T && found.mutual == 0, "seed {seed}: {found:?}");
 
-        let (mut cluster, cut) = charter(seed, Broken::Nothing, |cluster, cut| {
+        let (mut cluster, cut) = fallback_policy(seed, Broken::Nothing, |cluster, cut| {
             cluster.kill(cut);
-            cluster.commit_now(&Entry::Dead(Id(9), NodeId(cut as u16)));
+            cluster.commit_now(&Entry::Dead(CommandId(9), NodeId(cut as u16)));
         });
         cluster.run(18 * S);
         assert!(
@@ -219,7 +219,7 @@
             "seed {seed}: {cut} is dead, by operators' word"
         );
     }
-    let (mut cluster, _) = charter(0, Broken::Charter, |_, _| ());
+    let (mut cluster, _) = fallback_policy(0, Broken::FallbackPolicy, |_, _| ());
     assert!(!awaited(&cluster) && puts_out(&mut cluster, 2));
     assert!(cluster.finish().contradiction > T, "without waiting for everybody it is caught");
 }
@@ -260,7 +260,7 @@
             cluster.run(now + 5 * MS);
             let last = cluster.log.last().unwrap().clone();
             if last.revision == index as u64 {
-                let there = cluster.at_stage(last.stage).0;
+                let there = cluster.at_stage(last.generation).0;
                 late = late.or((there * 100 >= members * 99).then_some(cluster.now - yes));
                 if there == members {
                     break;
--- a/crates/revision/tests/common/mod.rs
+++ b/crates/revision/tests/common/mod.rs
@@ -4,61 +4,61 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use hollowpaddle_revision::document::Document;
-use hollowpaddle_revision::entry::{Ask, Entry, Id};
-use hollowpaddle_revision::fallback_policy::Charter;
+use hollowpaddle_revision::entry::{CommandId, Entry, ProposalOptions};
+use hollowpaddle_revision::fallback_policy::FallbackPolicy;
 use hollowpaddle_revision::fleet::{ClassFacts, Facts, Group};
-use hollowpaddle_revision::policy_state::{Applied, Book, Founding};
+use hollowpaddle_revision::policy_state::{Applied, Bootstrap, PolicyState};
 use hollowpaddle_revision::rules::Place;
 
 /// Two sites of four pods, each with two flavours of four upstreams; a third of the room is needed.
 pub fn facts() -> Facts {
-    let group = |pod: u32, flavour| Group {
-        pod,
-        site: u8::from(pod >= 4),
-        flavour,
+    let group = |cell: u32, machine_type| Group {
+        cell,
+        zone: u8::from(cell >= 4),
+        machine_type,
         upstreams: 4,
-        room: 500,
+        capacity: 500,
     };
     let name = |n: &str| n.to_string();
-    let class = |n: &str| ClassFacts { name: name(n), sites: vec![], flavours: vec![] };
+    let class = |n: &str| ClassFacts { name: name(n), zones: vec![], machine_types: vec![] };
     Facts {
-        sites: vec![name("bilbao"), name("oviedo")],
+        zones: vec![name("bilbao"), name("oviedo")],
         load: vec![1300, 1300],
-        flavours: vec![name("m1"), name("m2")],
-        groups: (0..8).flat_map(|pod| [group(pod, 0), group(pod, 1)]).collect(),
+        machine_types: vec![name("m1"), name("m2")],
+        groups: (0..8).flat_map(|cell| [group(cell, 0), group(cell, 1)]).collect(),
         classes: vec![class("log"), class("sync")],
         named: BTreeMap::from([(name("u0"), (0, 0)), (name("u3"), (3, 0))]),
     }
 }
 
 /// Pods 0 and 4 are bedrock, 1 and 5 in the charter as well.
-pub fn founding(members: u16) -> Founding {
-    let charter = |pods: &[u32], attempts| Charter {
-        pods: pods.iter().copied().collect(),
+pub fn bootstrap(members: u16) -> Bootstrap {
+    let fallback_policy = |cells: &[u32], attempts| FallbackPolicy {
+        cells: cells.iter().copied().collect(),
         except: BTreeSet::new(),
         attempts,
     };
-    Founding {
+    Bootstrap {
         members,
-        bedrock: charter(&[0, 4], 1),
-        charter: charter(&[0, 1, 4, 5], 1),
+        mandatory_fallback: fallback_policy(&[0, 4], 1),
+        fallback_policy: fallback_policy(&[0, 1, 4, 5], 1),
         document: Document::default(),
     }
 }
 
-pub fn book() -> Book {
-    Book::found(founding(5)).expect("it can be founded")
+pub fn policy() -> PolicyState {
+    PolicyState::found(bootstrap(5)).expect("it can be founded")
 }
 
 /// Pods that are out.
-pub fn without(pods: &[u32]) -> Document {
+pub fn without(cells: &[u32]) -> Document {
     let mut document = Document::default();
-    document.out.pods = pods.iter().copied().collect();
+    document.out.cells = cells.iter().copied().collect();
     document
 }
 
-pub fn ask(id: u128, base: Option<u64>) -> Ask {
-    Ask { id: Id(id), base, trial: None, forced: false, facts: facts() }
+pub fn ask(id: u128, base: Option<u64>) -> ProposalOptions {
+    ProposalOptions { id: CommandId(id), base, canary: None, forced: false, facts: facts() }
 }
 
 pub fn propose(id: u128, base: Option<u64>, document: Document) -> Entry {
@@ -70,24 +70,24 @@
 }
 
 /// The next entry of the log.
-pub fn next(book: &mut Book, entry: &Entry) -> Applied {
-    let index = book.standing().index + 1;
-    book.apply(index, &entry.to_bytes().expect("short"))
+pub fn next(policy: &mut PolicyState, entry: &Entry) -> Applied {
+    let index = policy.status().index + 1;
+    policy.apply(index, &entry.to_bytes().expect("short"))
 }
 
 /// Everybody has confirmed whatever is begun, until nothing is.
-pub fn settle(book: &mut Book) {
-    while book.standing().unconfirmed {
-        let stage = book.standing().stage;
-        next(book, &Entry::Step(stage));
+pub fn settle(policy: &mut PolicyState) {
+    while policy.status().unconfirmed {
+        let generation = policy.status().generation;
+        next(policy, &Entry::Step(generation));
     }
 }
 
-pub fn place(pod: u32) -> Place<'static> {
-    Place { name: "u", pod, flavour: "m1", site: if pod < 4 { "bilbao" } else { "oviedo" } }
+pub fn place(cell: u32) -> Place<'static> {
+    Place { name: "u", cell, machine_type: "m1", zone: if cell < 4 { "bilbao" } else { "oviedo" } }
 }
 
 /// The pods that may be sent to.
-pub fn open(book: &Book) -> Vec<u32> {
-    (0..8).filter(|p| book.standing().rules.permits(&place(*p), "log")).collect()
+pub fn open(policy: &PolicyState) -> Vec<u32> {
+    (0..8).filter(|p| policy.status().rules.permits(&place(*p), "log")).collect()
 }
--- a/crates/revision/tests/documents.rs
+++ b/crates/revision/tests/documents.rs
@@ -6,16 +6,16 @@
 use std::sync::Arc;
 
 use common::{facts, place, without};
-use hollowpaddle_revision::canary::{Trial, Why, Worth};
+use hollowpaddle_revision::canary::{CanaryMetric, CanaryTerms, RollbackCause};
 use hollowpaddle_revision::document::{Document, DocumentError};
-use hollowpaddle_revision::fallback_policy::{Charter, Floor};
+use hollowpaddle_revision::fallback_policy::{FallbackFloor, FallbackPolicy};
 use hollowpaddle_revision::fleet::Misfit;
 use hollowpaddle_revision::rules::{Place, Rules};
 use proptest::prelude::*;
 
-fn floor(pods: &[u32]) -> Arc<Floor> {
-    let pods = pods.iter().copied().collect();
-    Arc::new(Floor::of(Charter { pods, except: BTreeSet::new(), attempts: 1 }))
+fn floor(cells: &[u32]) -> Arc<FallbackFloor> {
+    let cells = cells.iter().copied().collect();
+    Arc::new(FallbackFloor::of(FallbackPolicy { cells, except: BTreeSet::new(), attempts: 1 }))
 }
 
 #[test]
@@ -56,7 +56,7 @@
 #[test]
 fn nobody_refuses_what_the_charter_allows_whatever_a_document_says() {
     let mut said = without(&[1, 2]);
-    said.out.sites.insert("bilbao".into());
+    said.out.zones.insert("bilbao".into());
     said.kept.insert("log".into(), BTreeSet::from([1, 6]));
     let rules = Rules::of(said, floor(&[0, 1]));
     let open =
@@ -72,7 +72,8 @@
     assert_eq!(against(without(&[1])), []);
     // Two pods of a site out: 2000 are left for 1300; a third: 1000.
     assert_eq!(against(without(&[1, 2])), []);
-    let no_room = |site: &str, load, room| Misfit::NoRoom { site: site.into(), load, room };
+    let no_room =
+        |zone: &str, load, capacity| Misfit::NoCapacity { zone: zone.into(), load, capacity };
     assert_eq!(against(without(&[1, 2, 3])), [no_room("bilbao", 1300, 1000)]);
     assert_eq!(
         json(r#"{"weights": {"sites": {"oviedo": 0.25}}}"#),
@@ -82,65 +83,72 @@
     let unknown = |what: &str, name: &str| Misfit::Unknown { what: what.into(), name: name.into() };
     assert_eq!(json(r#"{"out": {"upstreams": ["u9"]}}"#), [unknown("upstream", "u9")]);
     assert_eq!(json(r#"{"sessions": {"mail": 5}}"#), [unknown("class", "mail")]);
-    let charter = |what: &str| Misfit::Charter { what: what.into() };
-    assert_eq!(json(r#"{"out": {"upstreams": ["u0"]}}"#), [charter("upstream `u0`")]);
-    assert!(json(r#"{"out": {"flavours": ["m2"]}}"#).contains(&charter("flavour `m2` in pod 4")));
-    assert!(json(r#"{"kept": {"log": [0]}}"#).contains(&charter("class `log` at pod 0")));
+    let fallback_policy = |what: &str| Misfit::FallbackPolicy { what: what.into() };
+    assert_eq!(json(r#"{"out": {"upstreams": ["u0"]}}"#), [fallback_policy("upstream `u0`")]);
+    assert!(
+        json(r#"{"out": {"flavours": ["m2"]}}"#)
+            .contains(&fallback_policy("flavour `m2` in pod 4"))
+    );
+    assert!(json(r#"{"kept": {"log": [0]}}"#).contains(&fallback_policy("class `log` at pod 0")));
     let mut nowhere = Document::default();
     nowhere.kept.insert("log".into(), (0..8).collect());
     let all = facts().misfits(&Rules::of(nowhere, floor(&[])));
     assert_eq!(all, [Misfit::NoPod { class: "log".into() }]);
     // A site's load goes elsewhere with it, as far as there is room.
-    let mut site = Document::default();
-    site.out.sites.insert("bilbao".into());
-    assert_eq!(facts().misfits(&Rules::of(site.clone(), floor(&[]))), []);
+    let mut zone = Document::default();
+    zone.out.zones.insert("bilbao".into());
+    assert_eq!(facts().misfits(&Rules::of(zone.clone(), floor(&[]))), []);
     let full = hollowpaddle_revision::fleet::Facts { load: vec![2500, 2500], ..facts() };
-    assert_eq!(full.misfits(&Rules::of(site, floor(&[]))), [no_room("", 5000, 4000)]);
+    assert_eq!(full.misfits(&Rules::of(zone, floor(&[]))), [no_room("", 5000, 4000)]);
 }
 
 #[test]
 fn a_third_of_each_sites_pods_is_the_charter_and_one_more_pod_moves_no_other() {
-    let sites = |n: u32| {
+    let zones = |n: u32| {
         BTreeMap::from([
             ("a".to_string(), (0..n).collect()),
             ("b".to_string(), (100..104).collect()),
         ])
     };
-    let charter = Charter::third(&sites(9), 1);
-    assert_eq!(charter.pods.len(), 3 + 2);
-    assert!(Charter::bedrock(&sites(9)).pods.is_subset(&charter.pods));
-    assert_eq!(Charter::bedrock(&sites(9)).pods.len(), 2);
+    let fallback_policy = FallbackPolicy::third(&zones(9), 1);
+    assert_eq!(fallback_policy.cells.len(), 3 + 2);
+    assert!(FallbackPolicy::mandatory_fallback(&zones(9)).cells.is_subset(&fallback_policy.cells));
+    assert_eq!(FallbackPolicy::mandatory_fallback(&zones(9)).cells.len(), 2);
     for n in 9..40 {
-        let (a, b) = (Charter::third(&sites(n), 1).pods, Charter::third(&sites(n + 1), 1).pods);
+        let (a, b) = (
+            FallbackPolicy::third(&zones(n), 1).cells,
+            FallbackPolicy::third(&zones(n + 1), 1).cells,
+        );
         assert!(a.difference(&b).count() <= 1 && b.difference(&a).count() <= 1, "{n}");
     }
 }
 
 #[test]
 fn a_trial_ends_badly_without_a_word_or_when_the_worth_falls() {
-    let trial = Trial { seconds: 60, fall: 100 };
+    let canary = CanaryTerms { seconds: 60, fall: 100 };
     let s = std::time::Duration::from_secs;
-    let worth =
-        |before, since, asked_since| Some(Worth { before, since, asked_before: 1000, asked_since });
-    assert_eq!(trial.verdict(s(59), None), None);
-    assert_eq!(trial.verdict(s(60), None), Some(Why::NotConfirmed));
-    assert_eq!(trial.verdict(s(10), worth(900, 820, 1000)), None);
-    assert_eq!(trial.verdict(s(10), worth(900, 800, 1000)), Some(Why::WorthFell(111)));
-    assert_eq!(trial.verdict(s(4), worth(900, 0, 1000)), None, "too early to say");
+    let worth = |before, since, asked_since| {
+        Some(CanaryMetric { before, since, asked_before: 1000, asked_since })
+    };
+    assert_eq!(canary.verdict(s(59), None), None);
+    assert_eq!(canary.verdict(s(60), None), Some(RollbackCause::NotConfirmed));
+    assert_eq!(canary.verdict(s(10), worth(900, 820, 1000)), None);
+    assert_eq!(canary.verdict(s(10), worth(900, 800, 1000)), Some(RollbackCause::WorthFell(111)));
+    assert_eq!(canary.verdict(s(4), worth(900, 0, 1000)), None, "too early to say");
     // Half as much was asked for, and all of it served.
-    assert_eq!(trial.verdict(s(10), worth(900, 450, 500)), None);
-    assert_eq!(trial.verdict(s(10), worth(900, 0, 0)), None);
-    assert_eq!(trial.verdict(s(10), worth(0, 0, 1000)), None);
+    assert_eq!(canary.verdict(s(10), worth(900, 450, 500)), None);
+    assert_eq!(canary.verdict(s(10), worth(900, 0, 0)), None);
+    assert_eq!(canary.verdict(s(10), worth(0, 0, 1000)), None);
 }
 
 fn documents() -> impl Strategy<Value = Document> {
-    let pods = || proptest::collection::btree_set(0_u32..8, 0..4);
-    (pods(), pods(), proptest::bool::ANY, 1_u8..=3, 0_u64..4).prop_map(
-        |(out, kept, site, attempts, eldest_list)| {
-            let mut d = Document { attempts, eldest_list, ..Document::default() };
-            d.out.pods = out;
-            if site {
-                d.out.sites.insert("oviedo".into());
+    let cells = || proptest::collection::btree_set(0_u32..8, 0..4);
+    (cells(), cells(), proptest::bool::ANY, 1_u8..=3, 0_u64..4).prop_map(
+        |(out, kept, zone, attempts, oldest_list)| {
+            let mut d = Document { attempts, oldest_list, ..Document::default() };
+            d.out.cells = out;
+            if zone {
+                d.out.zones.insert("oviedo".into());
             }
             if !kept.is_empty() {
                 d.kept.insert("log".into(), kept);
@@ -153,7 +161,7 @@
 proptest! {
     /// The model: what is sent by either, place by place.
     #[test]
-    fn narrow_allows_what_both_allow_and_nothing_else(a in documents(), b in documents(), pod in 0_u32..8) {
+    fn narrow_allows_what_both_allow_and_nothing_else(a in documents(), b in documents(), cell in 0_u32..8) {
         let (a, b) = (Rules::of(a, floor(&[0, 4])), Rules::of(b, floor(&[0, 4])));
         let narrow = Rules::narrow(&a, &b);
         for class in ["log", "sync"] {
@@ -165,12 +173,12 @@
             }
         }
         prop_assert_eq!(narrow.attempts(), a.attempts().min(b.attempts()));
-        prop_assert_eq!(narrow.eldest_list(), a.eldest_list().max(b.eldest_list()));
+        prop_assert_eq!(narrow.oldest_list(), a.oldest_list().max(b.oldest_list()));
         prop_assert_eq!(a.contradicts(&a), None);
         if a.contradicts(&b).is_none() {
             prop_assert!(narrow.contradicts(&a).is_none());
         }
-        prop_assert!(!narrow.permits(&place(pod), "log") || a.permits(&place(pod), "log"));
+        prop_assert!(!narrow.permits(&place(cell), "log") || a.permits(&place(cell), "log"));
     }
 
     #[test]
@@ -184,15 +192,15 @@
         a in (proptest::collection::btree_set(0_u32..4, 0..4), proptest::bool::ANY),
         b in (proptest::collection::btree_set(0_u32..4, 0..4), proptest::bool::ANY),
     ) {
-        let charter = |(pods, except): (BTreeSet<u32>, bool)| Charter {
-            pods, attempts: 1, except: except.then(|| "u".to_string()).into_iter().collect(),
+        let fallback_policy = |(cells, except): (BTreeSet<u32>, bool)| FallbackPolicy {
+            cells, attempts: 1, except: except.then(|| "u".to_string()).into_iter().collect(),
         };
-        let (a, b) = (charter(a), charter(b));
-        for pod in 0..4 {
+        let (a, b) = (fallback_policy(a), fallback_policy(b));
+        for cell in 0..4 {
             for name in ["u", "v"] {
-                let place = Place { name, pod, flavour: "m1", site: "a" };
+                let place = Place { name, cell, machine_type: "m1", zone: "a" };
                 let (x, y) = (a.allows(&place), b.allows(&place));
-                prop_assert_eq!(Floor::either(a.clone(), b.clone()).allows(&place), x || y);
+                prop_assert_eq!(FallbackFloor::either(a.clone(), b.clone()).allows(&place), x || y);
                 prop_assert_eq!(a.meet(&b).allows(&place), x && y);
             }
         }
--- a/crates/revision/tests/formats.rs
+++ b/crates/revision/tests/formats.rs
@@ -7,18 +7,18 @@
 use std::fmt::Debug;
 use std::sync::Arc;
 
-use common::{ask, book, next, rollback, without};
+use common::{ask, next, policy, rollback, without};
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
-use hollowpaddle_revision::canary::{Trial, Why};
+use hollowpaddle_revision::canary::{CanaryTerms, RollbackCause};
 use hollowpaddle_revision::difference::Difference;
 use hollowpaddle_revision::document::Document;
-use hollowpaddle_revision::entry::{Ask, Entry, Id};
-use hollowpaddle_revision::fallback_policy::{Charter, CharterError, Floor};
+use hollowpaddle_revision::entry::{CommandId, Entry, ProposalOptions};
+use hollowpaddle_revision::fallback_policy::{FallbackFloor, FallbackPolicy, FallbackPolicyError};
 use hollowpaddle_revision::fleet::{ClassFacts, Facts, Group, Misfit};
-use hollowpaddle_revision::history::{Answer, Fate, Origin};
+use hollowpaddle_revision::history::{ChangeStatus, Origin, ProposalResult};
 use hollowpaddle_revision::lists::{ListMessage, Stop};
-use hollowpaddle_revision::message::{Message, No, Stage};
-use hollowpaddle_revision::policy_state::{Book, Refusal};
+use hollowpaddle_revision::message::{Generation, LeaseRejection, Message};
+use hollowpaddle_revision::policy_state::{PolicyState, Refusal};
 use hollowpaddle_revision::rules::Rules;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -61,44 +61,61 @@
     Document::from_json(json.as_bytes()).unwrap()
 }
 
-fn charter() -> Charter {
-    Charter { pods: BTreeSet::from([1, 300]), except: BTreeSet::from(["u7".into()]), attempts: 2 }
+fn fallback_policy() -> FallbackPolicy {
+    FallbackPolicy {
+        cells: BTreeSet::from([1, 300]),
+        except: BTreeSet::from(["u7".into()]),
+        attempts: 2,
+    }
 }
 
 fn facts() -> Facts {
     Facts {
-        sites: vec!["bilbao".into()],
+        zones: vec!["bilbao".into()],
         load: vec![1300],
-        flavours: vec!["m1".into(), "m2".into()],
-        groups: vec![Group { pod: 300, site: 0, flavour: 1, upstreams: 4, room: 500 }],
-        classes: vec![ClassFacts { name: "log".into(), sites: vec![0], flavours: vec![] }],
+        machine_types: vec!["m1".into(), "m2".into()],
+        groups: vec![Group { cell: 300, zone: 0, machine_type: 1, upstreams: 4, capacity: 500 }],
+        classes: vec![ClassFacts { name: "log".into(), zones: vec![0], machine_types: vec![] }],
         named: BTreeMap::from([("u7".into(), (300, 0))]),
     }
 }
 
-fn proposal(trial: Option<Trial>) -> Box<Ask> {
-    Box::new(Ask { id: Id(0x2832), base: Some(11), trial, forced: true, facts: facts() })
+fn proposal(canary: Option<CanaryTerms>) -> Box<ProposalOptions> {
+    Box::new(ProposalOptions {
+        id: CommandId(0x2832),
+        base: Some(11),
+        canary,
+        forced: true,
+        facts: facts(),
+    })
 }
 
-const TRIAL: Trial = Trial { seconds: 60, fall: 100 };
-const GENERATION: Stage = Stage { epoch: 1, index: 300 };
+const TRIAL: CanaryTerms = CanaryTerms { seconds: 60, fall: 100 };
+const GENERATION: Generation = Generation { epoch: 1, index: 300 };
 
 fn lease_messages() -> Cases<Message> {
-    let (asked, confirmed) = (1_000_000, Stage { epoch: 1, index: 299 });
+    let (asked, confirmed) = (1_000_000, Generation { epoch: 1, index: 299 });
     let here = [0, 9].into_iter().map(NodeId).collect();
-    let renew = |charter| Message::Renew { asked, stage: GENERATION, confirmed, here, charter };
-    let no = |why| Message::No { to: Incarnation(7), asked, stage: GENERATION, why };
+    let renew = |fallback_policy| Message::Renew {
+        asked,
+        generation: GENERATION,
+        confirmed,
+        here,
+        fallback_policy,
+    };
+    let no =
+        |why| Message::LeaseRejection { to: Incarnation(7), asked, generation: GENERATION, why };
     vec![
         ("renew_lease", renew(None)),
         ("renew_lease_during_fallback_change", renew(Some((GENERATION, here)))),
         ("leave_parent", Message::Left { confirmed }),
         (
             "grant_lease",
-            Message::Grant { to: Incarnation(7), asked, stage: GENERATION, length: 2_000_000 },
+            Message::Grant { to: Incarnation(7), asked, generation: GENERATION, length: 2_000_000 },
         ),
-        ("deny_other_generation", no(No::Stage)),
-        ("deny_no_lease", no(No::Lease)),
-        ("deny_full", no(No::Full)),
+        ("deny_other_generation", no(LeaseRejection::Generation)),
+        ("deny_no_lease", no(LeaseRejection::Lease)),
+        ("deny_full", no(LeaseRejection::Full)),
     ]
 }
 
@@ -120,33 +137,36 @@
         ("propose_canary", Entry::Propose(proposal(Some(TRIAL)), document)),
         ("rollback", Entry::Rollback(proposal(None), 3)),
         ("generation_confirmed", Entry::Step(300)),
-        ("change_fallback", Entry::Charter(Id(0x2832), charter(), Box::new(facts()))),
-        ("fallback_confirmed", Entry::CharterConfirmed(300)),
-        ("confirm_canary", Entry::Confirm(Id(0x2832), 11)),
-        ("take_back_unconfirmed", Entry::TakeBack(11, Why::NotConfirmed)),
-        ("take_back_after_fall", Entry::TakeBack(11, Why::WorthFell(300))),
-        ("node_dead", Entry::Dead(Id(0x2832), NodeId(300))),
-        ("node_alive", Entry::Alive(Id(0x2832), NodeId(300))),
+        (
+            "change_fallback",
+            Entry::FallbackPolicy(CommandId(0x2832), fallback_policy(), Box::new(facts())),
+        ),
+        ("fallback_confirmed", Entry::FallbackPolicyConfirmed(300)),
+        ("confirm_canary", Entry::Confirm(CommandId(0x2832), 11)),
+        ("take_back_unconfirmed", Entry::TakeBack(11, RollbackCause::NotConfirmed)),
+        ("take_back_after_fall", Entry::TakeBack(11, RollbackCause::WorthFell(300))),
+        ("node_dead", Entry::Dead(CommandId(0x2832), NodeId(300))),
+        ("node_alive", Entry::Alive(CommandId(0x2832), NodeId(300))),
     ]
 }
 
 fn origins() -> Cases<Origin> {
     vec![
-        ("founding", Origin::Founding),
-        ("proposed(id(10290))", Origin::Proposed(Id(0x2832))),
-        ("rollback(id(10290), 3)", Origin::Rollback(Id(0x2832), 3)),
-        ("takenback(11, notconfirmed)", Origin::TakenBack(11, Why::NotConfirmed)),
-        ("takenback(11, worthfell(300))", Origin::TakenBack(11, Why::WorthFell(300))),
+        ("founding", Origin::Bootstrap),
+        ("proposed(id(10290))", Origin::Proposed(CommandId(0x2832))),
+        ("rollback(id(10290), 3)", Origin::Rollback(CommandId(0x2832), 3)),
+        ("takenback(11, notconfirmed)", Origin::TakenBack(11, RollbackCause::NotConfirmed)),
+        ("takenback(11, worthfell(300))", Origin::TakenBack(11, RollbackCause::WorthFell(300))),
     ]
 }
 
-fn fates() -> Cases<Fate> {
+fn fates() -> Cases<ChangeStatus> {
     vec![
-        ("waits", Fate::Waits),
-        ("narrow", Fate::Narrow),
-        ("inforce", Fate::InForce),
-        ("was(11)", Fate::Was(11)),
-        ("never(300)", Fate::Never(300)),
+        ("waits", ChangeStatus::Waits),
+        ("narrow", ChangeStatus::Narrow),
+        ("inforce", ChangeStatus::InForce),
+        ("was(11)", ChangeStatus::Was(11)),
+        ("never(300)", ChangeStatus::Never(300)),
     ]
 }
 
@@ -164,11 +184,11 @@
         (
             "site `bilbao` has a load of 1300 and would have room for 1000 (thousandths of work a second); \
              leave more in, or force it",
-            Misfit::NoRoom { site: "bilbao".into(), load: 1300, room: 1000 },
+            Misfit::NoCapacity { zone: "bilbao".into(), load: 1300, capacity: 1000 },
         ),
         (
             "it forbids pod, which the charter allows; take that out of the charter first",
-            Misfit::Charter { what: what.clone() },
+            Misfit::FallbackPolicy { what: what.clone() },
         ),
         (
             "the fleet's facts can't be: pod; the proposer's build is at fault",
@@ -177,23 +197,23 @@
     ]
 }
 
-fn charter_errors() -> Cases<CharterError> {
+fn charter_errors() -> Cases<FallbackPolicyError> {
     let (field, found, expected) = ("attempts".into(), "4".into(), "1 to 3".into());
     vec![
         (
             "checking the charter: `attempts` is 4; expected 1 to 3",
-            CharterError::Field { field, found, expected },
+            FallbackPolicyError::Field { field, found, expected },
         ),
         (
             "the charter leaves out pod 1, which is bedrock; expected all of it: keep that",
-            CharterError::Bedrock { what: "pod 1".into() },
+            FallbackPolicyError::MandatoryFallback { what: "pod 1".into() },
         ),
     ]
 }
 
 /// Those that hold one of the errors above stand for it by one of its variants.
 fn refusals() -> Cases<Refusal> {
-    let (misfit, charter) = (misfits().remove(1), charter_errors().remove(1));
+    let (misfit, fallback_policy) = (misfits().remove(1), charter_errors().remove(1));
     vec![
         (
             "made against revision 3, after which 4 came; the newest is 300: look at that and propose again",
@@ -207,13 +227,13 @@
         (misfit.0, Refusal::Misfit(misfit.1)),
         (
             "a trial of 60 s and 100 thousandths; expected 1 to 3600 and 1 to 1000",
-            Refusal::Trial(TRIAL),
+            Refusal::CanaryTerms(TRIAL),
         ),
         (
             "revision 3 is not on trial; it was taken back, replaced, or had none",
-            Refusal::NotOnTrial { number: 3 },
+            Refusal::NotCanary { number: 3 },
         ),
-        (charter.0, Refusal::Charter(charter.1)),
+        (fallback_policy.0, Refusal::FallbackPolicy(fallback_policy.1)),
         (
             "another charter is on its way since entry 300; wait until everyone has confirmed it, \
              or give the old one again to withdraw it",
@@ -224,34 +244,34 @@
 }
 
 /// A state in which each stored field differs from its usual value, by entries 1 to 13.
-fn busy_book() -> Book {
-    let mut book = book();
-    let on_trial = |id| Ask { trial: Some(TRIAL), ..ask(id, None) };
+fn busy_book() -> PolicyState {
+    let mut policy = policy();
+    let on_trial = |id| ProposalOptions { canary: Some(TRIAL), ..ask(id, None) };
     let canary = |id| Entry::Propose(Box::new(on_trial(id)), Box::new(without(&[3])));
-    let mut to = book.standing().charter.as_ref().clone();
+    let mut to = policy.status().fallback_policy.as_ref().clone();
     to.attempts = 2;
     for entry in [
         common::propose(1, Some(0), document_that_fits()),
-        Entry::Charter(Id(2), to, Box::new(common::facts())),
+        Entry::FallbackPolicy(CommandId(2), to, Box::new(common::facts())),
         Entry::Step(1),
         Entry::Step(3),
         canary(5),
         Entry::Step(4),
-        Entry::TakeBack(5, Why::NotConfirmed),
+        Entry::TakeBack(5, RollbackCause::NotConfirmed),
         canary(8),
-        Entry::TakeBack(8, Why::WorthFell(300)),
-        Entry::Dead(Id(10), NodeId(3)),
+        Entry::TakeBack(8, RollbackCause::WorthFell(300)),
+        Entry::Dead(CommandId(10), NodeId(3)),
         common::propose(11, Some(3), without(&[2])),
         rollback(12, None, 1),
         canary(13),
     ] {
-        next(&mut book, &entry);
+        next(&mut policy, &entry);
     }
-    book
+    policy
 }
 
 fn document_that_fits() -> Document {
-    Document { attempts: 2, eldest_list: 41, ..without(&[2]) }
+    Document { attempts: 2, oldest_list: 41, ..without(&[2]) }
 }
 
 #[test]
@@ -286,11 +306,11 @@
 #[test]
 fn snapshots_keep_their_bytes() {
     let mut confirmed = busy_book();
-    next(&mut confirmed, &Entry::CharterConfirmed(4));
+    next(&mut confirmed, &Entry::FallbackPolicyConfirmed(4));
     let cases =
-        vec![("bootstrap", book()), ("busy", busy_book()), ("fallback_confirmed", confirmed)];
-    let write = |book: &Book| book.image().unwrap();
-    let read = |bytes: &[u8]| Book::from_image(bytes).unwrap();
+        vec![("bootstrap", policy()), ("busy", busy_book()), ("fallback_confirmed", confirmed)];
+    let write = |policy: &PolicyState| policy.image().unwrap();
+    let read = |bytes: &[u8]| PolicyState::from_image(bytes).unwrap();
     assert_bytes(include_str!("formats/snapshots.txt"), &cases, write, read);
 }
 
@@ -302,8 +322,8 @@
     assert_parts(include_str!("formats/misfits.txt"), &misfits());
     assert_parts(include_str!("formats/charter_errors.txt"), &charter_errors());
     let answers = vec![
-        ("done", Answer { index: 300, outcome: Ok(11) }),
-        ("rejected", Answer { index: 300, outcome: Err(Refusal::NotOnTrial { number: 3 }) }),
+        ("done", ProposalResult { index: 300, outcome: Ok(11) }),
+        ("rejected", ProposalResult { index: 300, outcome: Err(Refusal::NotCanary { number: 3 }) }),
     ];
     assert_parts(include_str!("formats/answers.txt"), &answers);
 }
@@ -311,7 +331,7 @@
 #[test]
 fn admin_api_prints_origins_fates_and_errors_as_before() {
     assert_text(&origins(), |origin| format!("{origin:?}").to_lowercase());
-    assert_text(&fates(), |fate| format!("{fate:?}").to_lowercase());
+    assert_text(&fates(), |change_status| format!("{change_status:?}").to_lowercase());
     assert_text(&refusals(), ToString::to_string);
     assert_text(&misfits(), ToString::to_string);
     assert_text(&charter_errors(), ToString::to_string);
@@ -331,20 +351,23 @@
 #[test]
 fn stored_and_posted_fallback_policies_keep_their_json() {
     let text = r#"{"pods":[1,300],"except":["u7"],"attempts":2}"#;
-    assert_eq!(serde_json::to_string(&charter()).unwrap(), text);
-    assert_eq!(serde_json::from_str::<Charter>(text).unwrap(), charter());
-    let short: Charter = serde_json::from_str(r#"{"pods":[1],"attempts":1}"#).unwrap();
-    assert_eq!(short, Charter { pods: BTreeSet::from([1]), except: BTreeSet::new(), attempts: 1 });
+    assert_eq!(serde_json::to_string(&fallback_policy()).unwrap(), text);
+    assert_eq!(serde_json::from_str::<FallbackPolicy>(text).unwrap(), fallback_policy());
+    let short: FallbackPolicy = serde_json::from_str(r#"{"pods":[1],"attempts":1}"#).unwrap();
+    assert_eq!(
+        short,
+        FallbackPolicy { cells: BTreeSet::from([1]), except: BTreeSet::new(), attempts: 1 }
+    );
     let text = r#"{"epoch":1,"index":300}"#;
     assert_eq!(serde_json::to_string(&GENERATION).unwrap(), text);
-    assert_eq!(serde_json::from_str::<Stage>(text).unwrap(), GENERATION);
+    assert_eq!(serde_json::from_str::<Generation>(text).unwrap(), GENERATION);
 }
 
 #[test]
 fn posted_canary_terms_keep_their_json() {
     let text = r#"{"seconds":60,"fall":100}"#;
     assert_eq!(serde_json::to_string(&TRIAL).unwrap(), text);
-    assert_eq!(serde_json::from_str::<Trial>(text).unwrap(), TRIAL);
+    assert_eq!(serde_json::from_str::<CanaryTerms>(text).unwrap(), TRIAL);
 }
 
 #[test]
@@ -431,7 +454,11 @@
         (r#"{"pods":[1]}"#, "missing field `attempts` at line 1 column 12"),
     ];
     for (json, text) in fallback {
-        assert_eq!(serde_json::from_str::<Charter>(json).unwrap_err().to_string(), text, "{json}");
+        assert_eq!(
+            serde_json::from_str::<FallbackPolicy>(json).unwrap_err().to_string(),
+            text,
+            "{json}"
+        );
     }
     let terms = [
         (
@@ -442,9 +469,13 @@
         (r#"{"seconds":60}"#, "missing field `fall` at line 1 column 14"),
     ];
     for (json, text) in terms {
-        assert_eq!(serde_json::from_str::<Trial>(json).unwrap_err().to_string(), text, "{json}");
+        assert_eq!(
+            serde_json::from_str::<CanaryTerms>(json).unwrap_err().to_string(),
+            text,
+            "{json}"
+        );
     }
-    let wide = |attempts, pods| Charter { attempts, pods, except: BTreeSet::new() };
+    let wide = |attempts, cells| FallbackPolicy { attempts, cells, except: BTreeSet::new() };
     let none = BTreeSet::new();
     let checks = [
         (wide(4, none.clone()), "checking the charter: `attempts` is 4; expected 1 to 3"),
@@ -453,11 +484,14 @@
             "checking the charter: `pods` is 513 long; expected 512 at most",
         ),
         (
-            Charter { except: BTreeSet::from([String::new()]), ..wide(1, none.clone()) },
+            FallbackPolicy { except: BTreeSet::from([String::new()]), ..wide(1, none.clone()) },
             "checking the charter: `except` is a name that can't be; expected names of 1 to 64 bytes",
         ),
         (
-            Charter { except: (0..513).map(|n| n.to_string()).collect(), ..wide(1, none.clone()) },
+            FallbackPolicy {
+                except: (0..513).map(|n| n.to_string()).collect(),
+                ..wide(1, none.clone())
+            },
             "checking the charter: `except` is 513 long; expected 512 at most",
         ),
         (
@@ -465,32 +499,37 @@
             "the charter leaves out pod 1, which is bedrock; expected all of it: keep that",
         ),
         (
-            wide(1, charter().pods),
+            wide(1, fallback_policy().cells),
             "the charter leaves out 2 attempts, which is bedrock; expected all of it: keep that",
         ),
     ];
     for (policy, text) in checks {
-        assert_eq!(policy.check(&charter()).unwrap_err().to_string(), text);
+        assert_eq!(policy.check(&fallback_policy()).unwrap_err().to_string(), text);
     }
 }
 
 /// Every balancer derives them from the settings: a build that chose others would disagree with its peers.
 #[test]
 fn usual_fallback_policies_keep_their_pods() {
-    let sites = [("bilbao", 0..9), ("oviedo", 100..104)];
-    let sites = sites.into_iter().map(|(site, pods)| (site.to_string(), pods.collect())).collect();
-    let pods = |policy: Charter| policy.pods.into_iter().collect::<Vec<u32>>();
-    assert_eq!(pods(Charter::third(&sites, 1)), [3, 4, 6, 102, 103]);
-    assert_eq!(pods(Charter::bedrock(&sites)), [3, 103]);
+    let zones = [("bilbao", 0..9), ("oviedo", 100..104)];
+    let zones =
+        zones.into_iter().map(|(zone, cells)| (zone.to_string(), cells.collect())).collect();
+    let cells = |policy: FallbackPolicy| policy.cells.into_iter().collect::<Vec<u32>>();
+    assert_eq!(cells(FallbackPolicy::third(&zones, 1)), [3, 4, 6, 102, 103]);
+    assert_eq!(cells(FallbackPolicy::mandatory_fallback(&zones)), [3, 103]);
 }
 
 #[test]
 fn conflicts_with_the_fallback_policy_and_the_fleet_keep_their_words() {
-    let facts = Facts { sites: vec!["oviedo".into()], ..facts() };
-    let conflicts = |document: Document, pods: &[u32], attempts| -> Vec<String> {
-        let policy = Charter { pods: pods.iter().copied().collect(), attempts, ..charter() };
-        let policy = Charter { except: BTreeSet::new(), ..policy };
-        let rules = Rules::of(document, Arc::new(Floor::of(policy)));
+    let facts = Facts { zones: vec!["oviedo".into()], ..facts() };
+    let conflicts = |document: Document, cells: &[u32], attempts| -> Vec<String> {
+        let policy = FallbackPolicy {
+            cells: cells.iter().copied().collect(),
+            attempts,
+            ..fallback_policy()
+        };
+        let policy = FallbackPolicy { except: BTreeSet::new(), ..policy };
+        let rules = Rules::of(document, Arc::new(FallbackFloor::of(policy)));
         facts.misfits(&rules).iter().map(ToString::to_string).collect()
     };
     let forbidden = conflicts(document(), &[3, 7, 300], 3);
--- a/crates/revision/tests/lists.rs
+++ b/crates/revision/tests/lists.rs
@@ -45,7 +45,7 @@
     all(&mut lists, 5);
     lists.handle(s(2), message(7, vec![stop("b", 7)]), &mut did);
     assert_eq!(open(&lists), "acd");
-    assert!(did.contains(&Action::Ask { version: 7 }) && did.contains(&Action::Changed));
+    assert!(did.contains(&Action::Poll { version: 7 }) && did.contains(&Action::Changed));
     let passes =
         |did: &[Action]| did.iter().any(|a| matches!(a, Action::Tell(w) if !w.stops.is_empty()));
     assert!(passes(&did));
@@ -93,7 +93,7 @@
 fn with_a_list_older_than_the_floor_only_the_charter_s_are_used_and_never_nobody() {
     let (mut lists, mut did) = (Lists::default(), vec![]);
     all(&mut lists, 5);
-    lists.handle(s(2), Event::Floor(6), &mut did);
+    lists.handle(s(2), Event::FallbackFloor(6), &mut did);
     assert_eq!(open(&lists), "a");
     assert!(did.contains(&Action::Changed));
     lists.handle(s(2), message(7, vec![stop("a", 7)]), &mut did);
--- a/crates/revision/tests/sim/mod.rs
+++ b/crates/revision/tests/sim/mod.rs
@@ -9,15 +9,15 @@
 use std::time::Duration;
 
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
-use hollowpaddle_revision::canary::Trial;
+use hollowpaddle_revision::canary::CanaryTerms;
 use hollowpaddle_revision::document::Document;
-use hollowpaddle_revision::entry::{Ask, Entry, Id};
-use hollowpaddle_revision::fallback_policy::Charter;
+use hollowpaddle_revision::entry::{CommandId, Entry, ProposalOptions};
+use hollowpaddle_revision::fallback_policy::FallbackPolicy;
 use hollowpaddle_revision::fleet::Facts;
 use hollowpaddle_revision::in_force::{InForce, View};
-use hollowpaddle_revision::leases::{Action, Event, Leases, Terms};
-use hollowpaddle_revision::message::{Message, Stage};
-use hollowpaddle_revision::policy_state::{Book, Standing};
+use hollowpaddle_revision::leases::{Action, Event, LeaseConfig, Leases};
+use hollowpaddle_revision::message::{Generation, Message};
+use hollowpaddle_revision::policy_state::{PolicyState, PolicyStatus};
 use hollowpaddle_revision::rules::{Place, Rules};
 use oorandom::Rand64;
 
@@ -41,7 +41,7 @@
     /// Steps follow each other without anybody's confirmation.
     Confirming,
     /// A charter grows smaller without everybody's word.
-    Charter,
+    FallbackPolicy,
 }
 
 #[derive(Clone, Debug)]
@@ -60,15 +60,48 @@
 }
 
 enum Ev {
-    Message { to: usize, from: usize, incarnation: u32, message: Message },
-    Wake { m: usize, incarnation: u32, at: Duration },
-    Learn { m: usize, upto: usize, epoch: u32 },
+    Message {
+        to: usize,
+        from: usize,
+        incarnation: u32,
+        message: Message,
+    },
+    Wake {
+        m: usize,
+        incarnation: u32,
+        at: Duration,
+    },
+    Learn {
+        m: usize,
+        upto: usize,
+        epoch: u32,
+    },
     Found,
-    Commit { view: u32, entry: Entry },
-    Round { m: usize, incarnation: u32, began: Duration, view: u32, answered: u64 },
-    Kept { m: usize, incarnation: u32, generation: Stage, charter: Arc<Charter> },
-    Parent { m: usize, incarnation: u32, parent: usize },
-    Restart { m: usize },
+    Commit {
+        view: u32,
+        entry: Entry,
+    },
+    Round {
+        m: usize,
+        incarnation: u32,
+        began: Duration,
+        view: u32,
+        answered: u64,
+    },
+    RetainedRevision {
+        m: usize,
+        incarnation: u32,
+        fallback_generation: Generation,
+        fallback_policy: Arc<FallbackPolicy>,
+    },
+    Parent {
+        m: usize,
+        incarnation: u32,
+        parent: usize,
+    },
+    Restart {
+        m: usize,
+    },
     Heal,
     Fault,
     Rounds,
@@ -92,7 +125,7 @@
     wake: Duration,
     parent: Option<usize>,
     disk: bool,
-    stored: Option<(Stage, Charter)>,
+    stored: Option<(Generation, FallbackPolicy)>,
     /// It believes to lead this view.
     leads: Option<u32>,
     side: u8,
@@ -108,13 +141,13 @@
     seq: u64,
     queue: BTreeMap<(u64, u64), Ev>,
     procs: Vec<Proc>,
-    book: Book,
+    policy: PolicyState,
     epoch: u32,
     /// A majority has forgotten the log: nobody leads until it is founded anew.
     forgotten: bool,
     entries: Vec<Vec<u8>>,
     /// What each entry came to, by index.
-    pub log: Vec<Standing>,
+    pub log: Vec<PolicyStatus>,
     pub committed: Vec<u64>,
     leader: Option<usize>,
     view: u32,
@@ -131,20 +164,20 @@
 impl Sim {
     pub fn new(seed: u64, setting: Setting) -> Self {
         let members = setting.members;
-        let book = Book::found(common::founding(members as u16)).unwrap();
-        let always = [0, 4].iter().fold(1 << 16, |all, pod| all | 1 << pod | 1 << (pod + 8));
+        let policy = PolicyState::found(common::bootstrap(members as u16)).unwrap();
+        let always = [0, 4].iter().fold(1 << 16, |all, cell| all | 1 << cell | 1 << (cell + 8));
         let mut sim = Self {
             rng: Rand64::new(u128::from(seed) << 8 | 5),
             now: 0,
             seq: 0,
             queue: BTreeMap::new(),
             procs: Vec::new(),
-            log: vec![book.standing()],
+            log: vec![policy.status()],
             committed: vec![0],
             epoch: 1,
             forgotten: false,
             entries: vec![vec![]],
-            book,
+            policy,
             leader: None,
             view: 0,
             lost_since: Some(0),
@@ -184,10 +217,11 @@
         incarnation: u32,
         rate: u64,
         disk: bool,
-        stored: Option<(Stage, Charter)>,
+        stored: Option<(Generation, FallbackPolicy)>,
     ) -> Proc {
-        let bedrock = common::founding(1).bedrock;
-        let mut terms = Terms::usual(NodeId(m as u16), Incarnation(incarnation), bedrock);
+        let mandatory_fallback = common::bootstrap(1).mandatory_fallback;
+        let mut terms =
+            LeaseConfig::usual(NodeId(m as u16), Incarnation(incarnation), mandatory_fallback);
         (terms.stored, terms.exact) = (stored.clone(), self.setting.exact);
         let leases = Leases::new(terms);
         Proc {
@@ -265,7 +299,7 @@
             Ev::Message { to, .. } => Some((*to, None)),
             Ev::Wake { m, incarnation, .. }
             | Ev::Round { m, incarnation, .. }
-            | Ev::Kept { m, incarnation, .. }
+            | Ev::RetainedRevision { m, incarnation, .. }
             | Ev::Parent { m, incarnation, .. } => Some((*m, Some(*incarnation))),
             Ev::Learn { m, .. } => Some((*m, None)),
             _ => None,
@@ -306,11 +340,11 @@
                     self.tell(m, Event::Round { began });
                 }
             }
-            Ev::Kept { m, generation, charter, .. } => {
+            Ev::RetainedRevision { m, fallback_generation, fallback_policy, .. } => {
                 if self.procs[m].disk {
-                    self.procs[m].stored = Some((generation, (*charter).clone()));
+                    self.procs[m].stored = Some((fallback_generation, (*fallback_policy).clone()));
                 }
-                self.tell(m, Event::Kept { generation });
+                self.tell(m, Event::FallbackPolicyPersisted { fallback_generation });
             }
             Ev::Parent { m, parent, .. } => {
                 self.procs[m].parent = Some(parent);
@@ -355,10 +389,18 @@
                         self.procs[m].in_force = in_force;
                     }
                 }
-                Action::Keep { generation, charter } => {
+                Action::PersistFallbackPolicy { fallback_generation, fallback_policy } => {
                     let after =
                         if self.procs[m].disk { self.rng.rand_range(MS..40 * MS) } else { 0 };
-                    self.at(after, Ev::Kept { m, incarnation, generation, charter });
+                    self.at(
+                        after,
+                        Ev::RetainedRevision {
+                            m,
+                            incarnation,
+                            fallback_generation,
+                            fallback_policy,
+                        },
+                    );
                 }
                 Action::WakeAt(at) => {
                     self.procs[m].wake = at;
@@ -371,13 +413,13 @@
                 Action::Propose(entry) => {
                     let (after, view) =
                         (self.rng.rand_range(5 * MS..40 * MS), self.procs[m].leads.unwrap_or(0));
-                    if matches!(entry, Entry::CharterConfirmed(_)) {
+                    if matches!(entry, Entry::FallbackPolicyConfirmed(_)) {
                         self.charters += 1;
                     }
                     self.at(after, Ev::Commit { view, entry });
                 }
                 Action::Learn { .. } => {}
-                Action::Elsewhere { .. } => {
+                Action::ChangeParent { .. } => {
                     let (after, members) = (self.delay(), self.setting.members as u64);
                     let any = self.rng.rand_range(0..members) as usize;
                     let leads = self.rng.rand_float() < 1.0 / (1.0 + members as f64 / 10.0);
@@ -425,8 +467,8 @@
         // Whoever is far behind takes a snapshot of the end.
         let from = if upto - first > 50 { upto } else { first };
         for index in from..=upto {
-            let standing = Box::new(self.log[index].clone());
-            self.tell(m, Event::Applied { epoch, standing });
+            let status = Box::new(self.log[index].clone());
+            self.tell(m, Event::Applied { epoch, status });
         }
         for child in 0..self.setting.members {
             if self.procs[child].parent == Some(m) && self.reaches(m, child) && !self.lost() {
@@ -440,25 +482,31 @@
         let Some(leader) = self.leader.filter(|l| view == self.view && self.ok(*l)) else { return };
         let index = self.log.len() as u64;
         self.entries.push(entry.to_bytes().unwrap());
-        self.book.apply(index, &entry.to_bytes().unwrap());
-        let mut standing = self.book.standing();
-        if let Some(to) = standing.towards.filter(|_| self.setting.broken == Broken::FirstStep) {
-            let said = (*self.book.kept(to).unwrap().document).clone();
-            standing.rules = Arc::new(Rules::of(said, standing.rules.floor().clone()));
-        }
-        let early = standing.awaited.then_some(standing.generation);
-        if let Some(generation) = early.filter(|_| self.setting.broken == Broken::Charter) {
-            self.at(5 * MS, Ev::Commit { view, entry: Entry::CharterConfirmed(generation) });
-        }
-        let unconfirmed = standing.unconfirmed.then_some(standing.stage);
-        self.log.push(standing);
+        self.policy.apply(index, &entry.to_bytes().unwrap());
+        let mut status = self.policy.status();
+        if let Some(to) = status.towards.filter(|_| self.setting.broken == Broken::FirstStep) {
+            let said = (*self.policy.kept(to).unwrap().document).clone();
+            status.rules = Arc::new(Rules::of(said, status.rules.floor().clone()));
+        }
+        let early = status.awaited.then_some(status.fallback_generation);
+        if let Some(fallback_generation) =
+            early.filter(|_| self.setting.broken == Broken::FallbackPolicy)
+        {
+            self.at(
+                5 * MS,
+                Ev::Commit { view, entry: Entry::FallbackPolicyConfirmed(fallback_generation) },
+            );
+        }
+        let unconfirmed = status.unconfirmed.then_some(status.generation);
+        self.log.push(status);
         self.committed.push(self.now);
         // The leader applies what it commits first, or a little later.
         let after = if self.rng.rand_float() < 0.2 { self.rng.rand_range(0..30 * MS) } else { 0 };
         let epoch = self.epoch;
         self.at(after, Ev::Learn { m: leader, upto: index as usize, epoch });
-        if let Some(stage) = unconfirmed.filter(|_| self.setting.broken == Broken::Confirming) {
-            self.at(5 * MS, Ev::Commit { view, entry: Entry::Step(stage) });
+        if let Some(generation) = unconfirmed.filter(|_| self.setting.broken == Broken::Confirming)
+        {
+            self.at(5 * MS, Ev::Commit { view, entry: Entry::Step(generation) });
         }
     }
 
@@ -548,22 +596,32 @@
         let gap = (S as f64 / self.setting.rate * 2.0 * self.rng.rand_float()) as u64;
         self.at(gap.max(MS), Ev::Propose);
         self.asked += 1;
-        let id = Id(self.asked);
+        let id = CommandId(self.asked);
         let on_trial = self.rng.rand_range(0..8) == 0;
-        let trial = on_trial.then_some(Trial { seconds: 1 + self.asked as u32 % 4, fall: 1000 });
-        let ask = Box::new(Ask { id, base: None, trial, forced: true, facts: Facts::default() });
+        let canary =
+            on_trial.then_some(CanaryTerms { seconds: 1 + self.asked as u32 % 4, fall: 1000 });
+        let ask = Box::new(ProposalOptions {
+            id,
+            base: None,
+            canary,
+            forced: true,
+            facts: Facts::default(),
+        });
         let draw = self.rng.rand_u64();
         let entry = match draw % 20 {
             // A charter grows smaller or larger now and then.
             0 if self.rng.rand_float() * self.setting.rate < 2.0 => {
-                let pods = [1, 5, 6].into_iter().filter(|p| draw >> 8 & 1 << p != 0).chain([0, 4]);
-                let charter = Charter { pods: pods.collect(), ..common::founding(1).charter };
-                Entry::Charter(id, charter, Box::default())
+                let cells = [1, 5, 6].into_iter().filter(|p| draw >> 8 & 1 << p != 0).chain([0, 4]);
+                let fallback_policy = FallbackPolicy {
+                    cells: cells.collect(),
+                    ..common::bootstrap(1).fallback_policy
+                };
+                Entry::FallbackPolicy(id, fallback_policy, Box::default())
             }
             1..=3 => {
-                let newest = self.book.newest();
+                let newest = self.policy.newest();
                 let kept: Vec<u64> =
-                    self.book.revisions().map(|(n, _)| n).filter(|n| *n != newest).collect();
+                    self.policy.revisions().map(|(n, _)| n).filter(|n| *n != newest).collect();
                 let to = kept.get(draw as usize / 32 % kept.len().max(1)).copied().unwrap_or(0);
                 Entry::Rollback(ask, to)
             }
@@ -626,13 +684,13 @@
         let whole = self
             .log
             .iter()
-            .rposition(|s| s.stage == s.index && s.generation == s.index)
+            .rposition(|s| s.generation == s.index && s.fallback_generation == s.index)
             .unwrap_or(0);
         let whole = whole.max(self.log.iter().rposition(|s| s.awaited).unwrap_or(0));
         let length = (self.log.len() - lost.min(self.log.len() - 1)).max(whole + 1);
-        self.book = Book::found(common::founding(self.setting.members as u16)).unwrap();
+        self.policy = PolicyState::found(common::bootstrap(self.setting.members as u16)).unwrap();
         for index in 1..length {
-            self.book.apply(index as u64, &self.entries[index]);
+            self.policy.apply(index as u64, &self.entries[index]);
         }
         self.entries.truncate(length);
         self.log.truncate(length);
@@ -669,16 +727,16 @@
         if let Some((_, mask)) = self.masks.get(&key) {
             return *mask;
         }
-        let place = |pod: u32| Place {
+        let place = |cell: u32| Place {
             name: "u",
-            pod,
-            flavour: "m1",
-            site: if pod < 4 { "bilbao" } else { "oviedo" },
+            cell,
+            machine_type: "m1",
+            zone: if cell < 4 { "bilbao" } else { "oviedo" },
         };
         let mut mask = 0;
-        for pod in 0..8 {
-            mask |= u32::from(rules.permits(&place(pod), "log")) << pod;
-            mask |= u32::from(rules.permits(&place(pod), "sync")) << (pod + 8);
+        for cell in 0..8 {
+            mask |= u32::from(rules.permits(&place(cell), "log")) << cell;
+            mask |= u32::from(rules.permits(&place(cell), "sync")) << (cell + 8);
         }
         for attempts in 1..=rules.attempts() {
             mask |= 1 << (15 + attempts);
@@ -703,8 +761,8 @@
                 self.setting.broken == Broken::Lease && in_force.until > Duration::ZERO;
             let (rules, knows) = match in_force.at(now) {
                 View::Agreed(..) => (&in_force.rules, true),
-                View::Charter(_) if never_ends => (&in_force.rules, true),
-                View::Charter(_) => (&in_force.charter, false),
+                View::FallbackPolicy(_) if never_ends => (&in_force.rules, true),
+                View::FallbackPolicy(_) => (&in_force.fallback_policy, false),
             };
             acts.push(Act { sends: self.mask(rules), knows });
         }
@@ -712,8 +770,8 @@
     }
 
     /// How many are at this stage or a later one, and how many hold a lease.
-    pub fn at_stage(&self, stage: u64) -> (usize, usize) {
-        let at = |p: &&Proc| p.in_force.stage.index >= stage;
+    pub fn at_stage(&self, generation: u64) -> (usize, usize) {
+        let at = |p: &&Proc| p.in_force.generation.index >= generation;
         let members = 0..self.setting.members;
         let holds =
             |m: &usize| matches!(self.procs[*m].in_force.at(self.local(*m)), View::Agreed(..));
@@ -727,9 +785,9 @@
 
 /// Pods out, a class kept from others, attempts.
 fn drawn(draw: u64) -> Document {
-    let pods = |bits: u64| (1..8).filter(|p| *p != 4 && bits & 1 << p != 0).collect::<Vec<u32>>();
-    let mut document = common::without(&pods(draw >> 8 & draw >> 16));
-    let kept = pods(draw >> 24 & draw >> 32);
+    let cells = |bits: u64| (1..8).filter(|p| *p != 4 && bits & 1 << p != 0).collect::<Vec<u32>>();
+    let mut document = common::without(&cells(draw >> 8 & draw >> 16));
+    let kept = cells(draw >> 24 & draw >> 32);
     if !kept.is_empty() {
         document.kept.insert("log".into(), kept.into_iter().collect());
     }
