--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -7,7 +7,7 @@
 
 use bytes::Bytes;
 use hollowpaddle_net::{Network, Stream};
-use hollowpaddle_policy::asking;
+use hollowpaddle_policy::list_polling;
 use http_body_util::{BodyExt, Empty};
 use hyper::Request;
 use hyper::body::Incoming;
@@ -21,10 +21,10 @@
 
 /// A watch without a word for so long is dead, and so is a connection that has not come up, though nothing told so (a
 /// machine that is cut off sends no reset).
-pub const SILENCE: Duration = Duration::from_micros(asking::SILENCE.0 as u64);
+pub const SILENCE: Duration = Duration::from_micros(list_polling::SILENCE.0 as u64);
 
 /// How long the first call is waited for that discovery has taken.
-const CALL_PATIENCE: Duration = Duration::from_micros(asking::CALL_PATIENCE.0 as u64);
+const CALL_PATIENCE: Duration = Duration::from_micros(list_polling::CALL_PATIENCE.0 as u64);
 
 /// An error that comes sooner than this after the call began was no turn waited for in vain: discovery has turned the
 /// call away.
@@ -40,7 +40,7 @@
 impl Patience {
     /// That of the next call.
     pub fn next(&self) -> Duration {
-        CALL_PATIENCE * (1 << self.unanswered.min(asking::PATIENCE_DOUBLINGS))
+        CALL_PATIENCE * (1 << self.unanswered.min(list_polling::PATIENCE_DOUBLINGS))
     }
 
     /// Learns from the end of a call. Only where discovery is known to be crowded a call without an answer may still have
@@ -69,7 +69,7 @@
     /// No connection came up.
     Unreachable,
     /// Discovery answered at once that it does not take the call: it works, and is crowded.
-    TurnedAway,
+    ListCallRejected,
     /// Discovery took the call and then failed it, or ended a watch.
     Failed,
     /// Discovery took the call, and it was given up without an answer.
@@ -101,7 +101,7 @@
     fn ending(&self, elapsed: Duration) -> Ending {
         match self {
             Self::Connect(_) | Self::NoConnection => Ending::Unreachable,
-            Self::Status(_) if elapsed < AT_ONCE => Ending::TurnedAway,
+            Self::Status(_) if elapsed < AT_ONCE => Ending::ListCallRejected,
             Self::Unanswered(_) => Ending::Unanswered,
             Self::Status(_)
             | Self::Http(_)
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -13,7 +13,7 @@
 use std::time::Duration;
 
 use hollowpaddle_net::Network;
-use hollowpaddle_policy::interface as d;
+use hollowpaddle_policy::interface;
 use hollowpaddle_policy::interface::{
     Action, Event, ListKind, Outcome, RequestId, ServerId, Span, Time,
 };
@@ -62,7 +62,7 @@
 pub enum EngineError {
     /// The module can't work by the settings.
     #[error("settings: {0}")]
-    Settings(#[from] d::SettingsError),
+    Settings(#[from] interface::SettingsError),
     /// Nor can a subset be drawn.
     #[error("subset: {0}")]
     Subset(#[from] SizeError),
@@ -233,7 +233,7 @@
     counted_from: u64,
     /// Discovery has moved, and nothing was told from there yet: versions are those of the last one.
     elsewhere: bool,
-    must_ask: bool,
+    polls_list: bool,
     /// How old the list may be, and whether the module knows that it has expired.
     freshness: Freshness,
     list_expired: bool,
@@ -241,7 +241,7 @@
     patience: Patience,
     second_copies: bool,
     max_attempts: usize,
-    classes: Vec<d::Class>,
+    classes: Vec<interface::Class>,
     violations: Violations,
     /// The bank, where there is one, and the rules that the module was told.
     cluster: Option<Rc<dyn PolicyReader>>,
@@ -294,7 +294,7 @@
         let (own_notes, notes) = mpsc::unbounded_channel();
         let ready = Rc::new(Cell::new(false));
         let heard = Rc::new(Cell::new(false));
-        let (must_ask, second_copies) = (settings.must_ask, settings.limits.second_copies);
+        let (polls_list, second_copies) = (settings.polls_list, settings.limits.second_copies);
         let grace = Duration::from_micros(settings.rules.drain_grace.0.max(0) as u64);
         let sends_end_after = grace.saturating_sub(DRAIN_MARGIN);
         let freshness = Freshness::new(sends_end_after, Instant::now());
@@ -306,7 +306,7 @@
             list_expiry: freshness.expiry(),
             violations: violations.clone(),
         };
-        let cold = Duration::from_micros(settings.rules.cold.0.max(0) as u64);
+        let cold = Duration::from_micros(settings.rules.warm_up.0.max(0) as u64);
         let start_times =
             StartTimes::new(clock.start, Duration::from_micros(clock.unix_us as u64), cold);
         let max_attempts = settings.limits.max_attempts;
@@ -335,7 +335,7 @@
             serial: 0,
             counted_from: 0,
             elsewhere: false,
-            must_ask,
+            polls_list,
             freshness,
             list_expired: false,
             patience: Patience::default(),
@@ -352,7 +352,7 @@
             engine.lay_over(restored_list);
         }
         engine.keep_to_rules();
-        if !must_ask {
+        if !polls_list {
             engine.subscribe();
         }
         if engine.subset.is_some() {
@@ -417,7 +417,7 @@
                 let Some(held) = self.requests.get_mut(&id) else { return };
                 if held.reply.take().is_some() {
                     tracing::debug!(request = id.0, "client gone");
-                    self.tell(Event::Left(id));
+                    self.tell(Event::ClientLeft(id));
                 }
                 self.forget(id);
             }
@@ -478,14 +478,14 @@
         };
         self.timers.push(Reverse((held.backstop(), Due::Deadline(id))));
         self.requests.insert(id, held);
-        let request = d::Request {
+        let request = interface::Request {
             class: arrival.class,
             tenant: arrival.tenant,
             key: arrival.key,
             cost_guess: arrival.cost_guess,
             resent: arrival.resent,
             flows,
-            ..d::Request::new(id, arrival.class, self.clock.at(until))
+            ..interface::Request::new(id, arrival.class, self.clock.at(until))
         };
         self.tell(Event::Request(request));
     }
@@ -495,9 +495,9 @@
         let Some(held) = self.requests.get_mut(&id).filter(|h| h.reply.is_some()) else { return };
         let until = Instant::now() + held.waits;
         held.until = until - held.headroom;
-        let drop_dead = self.clock.at(held.until);
+        let send_deadline = self.clock.at(held.until);
         self.timers.push(Reverse((held.backstop(), Due::Deadline(id))));
-        self.tell(Event::Whole { request: id, drop_dead });
+        self.tell(Event::BodyReceived { request: id, send_deadline });
     }
 
     /// Guards against a request that the module still owes its answer when the client is about to give up.
@@ -508,7 +508,7 @@
         }
         if self.answer(id, Reply::Failed { late: true }) {
             tracing::warn!("answered at the deadline");
-            self.tell(Event::Left(id));
+            self.tell(Event::ClientLeft(id));
         }
         self.forget(id);
     }
@@ -543,10 +543,10 @@
             self.answer(id, Reply::Served(response));
         }
         let over = self.requests.get(&id).is_none_or(|h| h.reply.is_none());
-        let answer = d::Answer {
+        let answer = interface::Answer {
             spent,
             report: ended.report,
-            ..d::Answer::new(
+            ..interface::Answer::new(
                 id,
                 attempt,
                 server,
@@ -579,7 +579,7 @@
     /// Other balancers are to know what the list says.
     fn tell_bank(&self, list: &List, kind: ListKind) {
         let Some(cluster) = &self.cluster else { return };
-        let whole = kind == ListKind::Whole;
+        let whole = kind == ListKind::Complete;
         let phase = |phase| match phase {
             Phase::Serving => lists::Phase::Serving,
             Phase::Draining | Phase::Unknown => lists::Phase::Drains,
@@ -607,7 +607,7 @@
     }
 
     /// Tells the module what the upstreams are now, or the part of them that it knows.
-    fn listed_as(&mut self, kind: ListKind, members: Vec<d::Member>) {
+    fn listed_as(&mut self, kind: ListKind, members: Vec<interface::Member>) {
         self.ready.set(self.upstreams.any_open() && !self.list_expired);
         let now = self.clock.now();
         let list = match &mut self.subset {
@@ -635,7 +635,7 @@
         self.kept_to = Some(held.clone());
         self.balancer.attempts_at_most(self.max_attempts.min(held.rules.attempts().into()));
         let list = self.upstreams.rule(held, Instant::now());
-        let out = list.iter().filter(|m| m.status != d::Status::Live);
+        let out = list.iter().filter(|m| m.status != interface::Status::Live);
         out.for_each(|m| self.pool.close_idle(m.id));
         if !list.is_empty() {
             self.listed_as(ListKind::Aside, list);
@@ -643,7 +643,7 @@
     }
 
     /// Tells the module a part of a list. The rest follows behind whatever has come by now.
-    fn tell_part(&mut self, kind: ListKind, list: &[d::Member]) {
+    fn tell_part(&mut self, kind: ListKind, list: &[interface::Member]) {
         if self.update_queue.is_due() {
             let _ = self.own_notes.send(Note::Part);
         }
--- a/crates/gateway/src/engine/list_watch.rs
+++ b/crates/gateway/src/engine/list_watch.rs
@@ -98,7 +98,7 @@
         // What comes from another than the watch that stands says nothing of the subscription.
         let sound = self.standing.as_ref().is_some_and(|w| w.serial == serial && w.sound);
         let kind = match (sound, list.complete) {
-            (true, true) => ListKind::Whole,
+            (true, true) => ListKind::Complete,
             (true, false) => ListKind::Update,
             (false, true) => ListKind::Restored,
             (false, false) => ListKind::Aside,
@@ -120,18 +120,18 @@
 
     /// A call for the list has come to its end, and no watch vouches for it.
     fn call_ended(&mut self, call: &Watch, ending: Ending) {
-        if !self.must_ask || ending != Ending::TurnedAway {
+        if !self.polls_list || ending != Ending::ListCallRejected {
             self.unwatched(Some(call));
         }
-        if !self.must_ask {
+        if !self.polls_list {
             return;
         }
         self.freshness.call_ended(ending, call.opened, Instant::now());
         if let Some(at) = self.freshness.expiry().at() {
             self.timers.push(Reverse((at, Due::ListExpiry)));
         }
-        if ending == Ending::TurnedAway {
-            self.tell(Event::TurnedAway);
+        if ending == Ending::ListCallRejected {
+            self.tell(Event::ListCallRejected);
         }
     }
 
@@ -155,7 +155,7 @@
 
     /// No watch stands, and none is being opened; the last call for one may have failed.
     fn unwatched(&mut self, call: Option<&Watch>) {
-        if self.must_ask {
+        if self.polls_list {
             self.tell(Event::Members { kind: ListKind::Unavailable, list: &[] });
         } else {
             let at = call.map_or(Instant::now(), |call| call.opened + REWATCH);
--- a/crates/gateway/src/freshness.rs
+++ b/crates/gateway/src/freshness.rs
@@ -1,6 +1,6 @@
 //! How long the list in hand may be acted on while no watch vouches for it. Pure; asking for a newer one is the policy's.
 //!
-//! A change counts as delivered [`TOLD_AFTER`] after discovery had it and could be reached, heard or not, and from the
+//! A change counts as delivered [`LIST_PROPAGATION_BOUND`] after discovery had it and could be reached, heard or not, and from the
 //! end of the drain's grace on nothing may be sent by the old list (PROTOCOL, "Figures"). A balancer that discovery keeps
 //! turning away can miss such a change, so its list expires at that moment, and not before: while discovery can't be
 //! reached nothing counts, and the last known list is the best there is.
@@ -9,13 +9,13 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hollowpaddle_policy::asking::TOLD_AFTER;
+use hollowpaddle_policy::list_polling::LIST_PROPAGATION_BOUND;
 use tokio::time::Instant;
 
 use crate::discovery::Ending;
 
 /// From discovery's having a change to its counting as delivered.
-const DELIVERED_AFTER: Duration = Duration::from_micros(TOLD_AFTER.0 as u64);
+const DELIVERED_AFTER: Duration = Duration::from_micros(LIST_PROPAGATION_BOUND.0 as u64);
 
 /// When the list expires, shared with attempts, which look at it right before their first byte.
 #[derive(Clone, Debug, Default)]
@@ -97,7 +97,7 @@
         }
         let Some(since) = &mut self.missing_since else { return };
         match ending {
-            Ending::TurnedAway => self.is_crowded = true,
+            Ending::ListCallRejected => self.is_crowded = true,
             // Nobody was there: what changed before has not been delivered to anybody.
             Ending::Unreachable => {
                 *since = begun.max(*since);
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -13,7 +13,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollowpaddle_policy::interface as d;
+use hollowpaddle_policy::interface;
 use hollowpaddle_policy::interface::{ListKind, ServerId};
 use hollowpaddle_revision::rules::Place as RulesPlace;
 use rustc_hash::{FxHashMap, FxHashSet};
@@ -75,7 +75,7 @@
     /// What it is to the module.
     pub kind: ListKind,
     /// Who is on it, as far as it is news.
-    pub members: Vec<d::Member>,
+    pub members: Vec<interface::Member>,
     /// Upstreams that have another address now: what idles at the old one is of no use.
     pub moved: Vec<ServerId>,
 }
@@ -123,7 +123,7 @@
     }
 
     /// What the module is told of an upstream now, if it is known. One that a whole list left out is as it was before.
-    pub fn member(&self, server: ServerId) -> Option<d::Member> {
+    pub fn member(&self, server: ServerId) -> Option<interface::Member> {
         let known = self.targets.get(&server)?;
         Some(self.overlay.apply(known.member(server), &self.place(known)))
     }
@@ -150,8 +150,8 @@
             machine_type: self.machine_types.name(listed.machine_type).clone(),
             cell: listed.cell,
             phase: match listed.status {
-                d::Status::Live => Phase::Serving,
-                d::Status::Draining | d::Status::Gone => Phase::Draining,
+                interface::Status::Live => Phase::Serving,
+                interface::Status::Draining | interface::Status::Gone => Phase::Draining,
             },
             size: listed.weight,
             up_since_ms: listed.started.map_or(0.0, |(listed, _)| listed.milliseconds()),
@@ -173,7 +173,7 @@
     }
 
     /// From here on these are out by operators' hands, and no others: whom that changes, in the module's words.
-    pub fn cordon(&mut self, names: &BTreeSet<String>, now: Instant) -> Vec<d::Member> {
+    pub fn cordon(&mut self, names: &BTreeSet<String>, now: Instant) -> Vec<interface::Member> {
         let before = std::mem::replace(&mut self.overlay.cordoned, names.clone());
         let mut members = Vec::new();
         for name in before.symmetric_difference(names) {
@@ -190,7 +190,7 @@
 
     /// From here on these rules lie over lists and cordons: whom that changes, in the module's words. What they put out
     /// gets nothing more at once, also what waits for its connection.
-    pub fn rule(&mut self, held: Held, now: Instant) -> Vec<d::Member> {
+    pub fn rule(&mut self, held: Held, now: Instant) -> Vec<interface::Member> {
         let is_restricted = held.stops.old && self.is_any_in_fallback(&held);
         let policy = Policy { held: Some(held), is_restricted };
         let before = std::mem::replace(&mut self.overlay.policy, policy);
@@ -214,10 +214,10 @@
     }
 
     /// Sends to one that is not live for all end then.
-    fn open_until(&mut self, member: d::Member, until: Instant) {
+    fn open_until(&mut self, member: interface::Member, until: Instant) {
         let Some(known) = self.targets.get(&member.id) else { return };
         match member.status {
-            d::Status::Live => self.open.open(&known.target),
+            interface::Status::Live => self.open.open(&known.target),
             _ => self.open.close_by(&known.target, until),
         }
     }
@@ -263,7 +263,7 @@
         self.newest = self.newest.max(list.revision);
         let kind = match kind {
             ListKind::Restored if older => ListKind::Aside,
-            ListKind::Whole if older => ListKind::Update,
+            ListKind::Complete if older => ListKind::Update,
             kind => kind,
         };
         if older {
@@ -330,8 +330,10 @@
         let Some(member) = self.member(id) else { return };
         let Some(known) = self.targets.get(&id) else { return };
         match member.status {
-            d::Status::Live => self.open.open(&known.target),
-            d::Status::Draining | d::Status::Gone => self.open.close(&known.target, closed_from),
+            interface::Status::Live => self.open.open(&known.target),
+            interface::Status::Draining | interface::Status::Gone => {
+                self.open.close(&known.target, closed_from)
+            }
         }
         changes.members.push(member);
     }
@@ -390,9 +392,9 @@
             machine_type: self.machine_types.index(&entry.machine_type),
             cell: entry.cell,
             status: match entry.phase {
-                Phase::Serving => d::Status::Live,
-                Phase::Draining | Phase::Unknown => d::Status::Draining,
-                Phase::Deleted => d::Status::Gone,
+                Phase::Serving => interface::Status::Live,
+                Phase::Draining | Phase::Unknown => interface::Status::Draining,
+                Phase::Deleted => interface::Status::Gone,
             },
         }
     }
--- a/crates/gateway/src/membership/overlay.rs
+++ b/crates/gateway/src/membership/overlay.rs
@@ -3,12 +3,12 @@
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
-use hollowpaddle_policy::interface as d;
+use hollowpaddle_policy::interface;
 use hollowpaddle_revision::rules::Place;
 
 use crate::cluster::Held;
 
-/// Classes that [`d::Member::barred`] has bits for.
+/// Classes that [`interface::Member::barred`] has bits for.
 const BARRED_BITS: usize = 64;
 
 /// What lies over lists.
@@ -40,7 +40,7 @@
 
     /// What the module is told of an upstream that is listed so under the policy in force: one that operators have taken
     /// out drains, and so does one that the policy keeps every class from.
-    pub(super) fn apply(&self, listed: d::Member, place: &Place) -> d::Member {
+    pub(super) fn apply(&self, listed: interface::Member, place: &Place) -> interface::Member {
         self.apply_under(&self.policy, listed, place)
     }
 
@@ -48,13 +48,13 @@
     pub(super) fn apply_under(
         &self,
         policy: &Policy,
-        listed: d::Member,
+        listed: interface::Member,
         place: &Place,
-    ) -> d::Member {
+    ) -> interface::Member {
         let mut member = listed;
-        let is_live = listed.status == d::Status::Live;
+        let is_live = listed.status == interface::Status::Live;
         if is_live && self.cordoned.contains(place.name) {
-            member.status = d::Status::Draining;
+            member.status = interface::Status::Draining;
         }
         let Some(Held { rules, stops }) = &policy.held else { return member };
         let is_stopped = stops.names.contains(place.name)
@@ -63,8 +63,10 @@
         for (i, class) in self.classes.iter().enumerate().take(BARRED_BITS) {
             member.barred |= u64::from(is_barred(class)) << i;
         }
-        if member.status == d::Status::Live && (is_stopped || self.classes.iter().all(is_barred)) {
-            member.status = d::Status::Draining;
+        if member.status == interface::Status::Live
+            && (is_stopped || self.classes.iter().all(is_barred))
+        {
+            member.status = interface::Status::Draining;
         }
         member.weight *= rules.weight(place);
         member
--- a/crates/gateway/src/membership/record.rs
+++ b/crates/gateway/src/membership/record.rs
@@ -3,7 +3,7 @@
 use std::rc::Rc;
 use std::sync::Arc;
 
-use hollowpaddle_policy::interface as d;
+use hollowpaddle_policy::interface;
 use hollowpaddle_policy::interface::{ServerId, Time};
 use hollowpaddle_policy::settings::stable_hash;
 
@@ -31,13 +31,13 @@
     pub(super) zone: u32,
     pub(super) machine_type: u32,
     pub(super) cell: u32,
-    pub(super) status: d::Status,
+    pub(super) status: interface::Status,
 }
 
 impl Known {
     /// As listed, in the module's terms.
-    pub(super) fn member(&self, id: ServerId) -> d::Member {
-        d::Member {
+    pub(super) fn member(&self, id: ServerId) -> interface::Member {
+        interface::Member {
             id,
             identity: stable_hash(&self.name),
             zone: self.listed.zone,
--- a/crates/gateway/src/membership/tests.rs
+++ b/crates/gateway/src/membership/tests.rs
@@ -58,7 +58,7 @@
     let mut seen = std::collections::HashSet::new();
     for i in 0..2000 {
         // New ids at one address, gone by word or by being left out.
-        let (id, ids, targets) = told(&format!("s-{i}"), "SERVING", ListKind::Whole);
+        let (id, ids, targets) = told(&format!("s-{i}"), "SERVING", ListKind::Complete);
         assert_eq!((ids, targets), (1, 1));
         assert!(seen.insert(id.expect("a member")), "a handle is used again");
         if i % 2 == 0 {
@@ -72,7 +72,7 @@
 #[test]
 fn an_older_list_takes_back_nothing_that_a_newer_one_said() {
     let mut of = membership();
-    let (update, whole) = (ListKind::Update, ListKind::Whole);
+    let (update, whole) = (ListKind::Update, ListKind::Complete);
     let all = list(41, &[("a", "SERVING"), ("b", "SERVING"), ("c", "SERVING")]);
     assert_eq!(told(&mut of, &all, whole), (whole, 3, "a b c".into()));
     let drains = list(43, &[("a", "DRAINING"), ("b", "DELETED")]);
@@ -95,7 +95,7 @@
 #[test]
 fn a_newcomer_that_an_older_list_alone_names_comes_in_unless_it_has_left_since() {
     let mut of = membership();
-    told(&mut of, &list(10, &[("a", "SERVING")]), ListKind::Whole);
+    told(&mut of, &list(10, &[("a", "SERVING")]), ListKind::Complete);
     told(&mut of, &list(14, &[("a", "SERVING")]), ListKind::Update);
     let late = |revision| list(revision, &[("b", "SERVING")]);
     assert_eq!(told(&mut of, &late(12), ListKind::Update).2, "a b");
@@ -104,14 +104,14 @@
     // Of e the news that it is gone came before the news that it was there.
     assert_eq!(told(&mut of, &list(15, &[("e", "SERVING")]), ListKind::Update).2, "a");
     assert_eq!(told(&mut of, &late(17), ListKind::Update).2, "a b", "and came back");
-    told(&mut of, &list(20, &[("a", "SERVING")]), ListKind::Whole);
+    told(&mut of, &list(20, &[("a", "SERVING")]), ListKind::Complete);
     assert_eq!(told(&mut of, &late(19), ListKind::Update).2, "a", "left out at 20");
 }
 
 #[test]
 fn who_has_left_is_remembered_within_bounds_and_nobody_comes_back_by_being_forgotten() {
     let mut of = membership();
-    told(&mut of, &list(1, &[("a", "SERVING")]), ListKind::Whole);
+    told(&mut of, &list(1, &[("a", "SERVING")]), ListKind::Complete);
     for i in 0..3 * REMEMBERED as u64 {
         let name = format!("s-{i}");
         told(&mut of, &list(10 + 2 * i, &[(&name, "SERVING")]), ListKind::Update);
@@ -126,31 +126,31 @@
 fn whom_operators_have_taken_out_no_list_brings_back() {
     let mut of = membership();
     let both = |revision| list(revision, &[("a", "SERVING"), ("b", "SERVING")]);
-    told(&mut of, &both(1), ListKind::Whole);
+    told(&mut of, &both(1), ListKind::Complete);
     let names = |names: &[&str]| names.iter().map(|n| n.to_string()).collect::<BTreeSet<_>>();
     let out = of.cordon(&names(&["a", "not-listed-yet"]), Instant::now());
-    assert_eq!(out.iter().map(|m| m.status).collect::<Vec<_>>(), [d::Status::Draining]);
+    assert_eq!(out.iter().map(|m| m.status).collect::<Vec<_>>(), [interface::Status::Draining]);
     assert!(of.cordon(&names(&["a", "not-listed-yet"]), Instant::now()).is_empty(), "said twice");
-    assert_eq!(told(&mut of, &both(2), ListKind::Whole).2, "b");
+    assert_eq!(told(&mut of, &both(2), ListKind::Complete).2, "b");
     // Restarted meanwhile, gone and back, and one that comes later.
     told(&mut of, &list(3, &[("a", "DELETED")]), ListKind::Update);
     let back = list(4, &[("a", "SERVING"), ("not-listed-yet", "SERVING")]);
     assert_eq!(told(&mut of, &back, ListKind::Update).2, "b");
     assert!(of.has_named("a") && !of.has_named("c"));
     let back = of.cordon(&names(&[]), Instant::now());
-    assert_eq!(back.iter().map(|m| m.status).collect::<Vec<_>>(), [d::Status::Live; 2]);
+    assert_eq!(back.iter().map(|m| m.status).collect::<Vec<_>>(), [interface::Status::Live; 2]);
     assert_eq!(told(&mut of, &list(5, &[]), ListKind::Update).2, "a b not-listed-yet");
 }
 
 #[test]
 fn one_that_drains_by_the_list_drains_on_when_operators_let_it_back() {
     let mut of = membership();
-    told(&mut of, &list(1, &[("a", "SERVING"), ("b", "SERVING")]), ListKind::Whole);
+    told(&mut of, &list(1, &[("a", "SERVING"), ("b", "SERVING")]), ListKind::Complete);
     let a: BTreeSet<String> = ["a".to_string()].into();
     of.cordon(&a, Instant::now());
     told(&mut of, &list(2, &[("a", "DRAINING")]), ListKind::Update);
     let back = of.cordon(&BTreeSet::new(), Instant::now());
-    assert_eq!(back[0].status, d::Status::Draining);
+    assert_eq!(back[0].status, interface::Status::Draining);
     assert_eq!(told(&mut of, &list(3, &[]), ListKind::Update).2, "b");
 }
 
@@ -179,7 +179,7 @@
     let mut of = membership();
     of.overlay.classes = vec!["alarm".into(), "log".into()];
     let all = in_pods(1, &[("a", 1), ("b", 2), ("c", 3)]);
-    of.update(&all, ListKind::Whole, Instant::now());
+    of.update(&all, ListKind::Complete, Instant::now());
     let now = Instant::now();
     let nothing = rules(json!({}), &[]);
     assert!(of.rule(nothing.clone(), now).is_empty(), "they change nothing");
@@ -188,7 +188,7 @@
     let some = rules(said, &[]);
     let told = of.rule(some, now);
     let told: Vec<_> = told.iter().map(|m| (m.status, m.barred, m.weight)).collect();
-    let (live, out) = (d::Status::Live, d::Status::Draining);
+    let (live, out) = (interface::Status::Live, interface::Status::Draining);
     assert_eq!(told, [(out, 0b11, 1.0), (live, 0b10, 1.0), (live, 0, 0.5)]);
     let closed = |of: &Membership, id| of.targets[&ServerId(id)].target.closed_from.get();
     assert_eq!((closed(&of, 0), closed(&of, 1)), (Some(now), None));
@@ -209,7 +209,7 @@
 fn peers_words_stop_and_an_old_list_leaves_the_charter_s_upstreams_if_there_are_any() {
     let mut of = membership();
     of.overlay.classes = vec!["alarm".into()];
-    of.update(&in_pods(1, &[("a", 1), ("b", 2), ("c", 3)]), ListKind::Whole, Instant::now());
+    of.update(&in_pods(1, &[("a", 1), ("b", 2), ("c", 3)]), ListKind::Complete, Instant::now());
     let open = |of: &mut Membership, fallback_policy: &[u32], names: &[&str], old| {
         let names = names.iter().map(|n| n.to_string()).collect();
         let rules = Rules::clone(&rules(json!({}), fallback_policy).rules);
@@ -230,12 +230,12 @@
 fn past_the_lease_only_the_charter_s_pods_are_left() {
     let mut of = membership();
     of.overlay.classes = vec!["alarm".into()];
-    of.update(&in_pods(1, &[("a", 1), ("b", 2)]), ListKind::Whole, Instant::now());
+    of.update(&in_pods(1, &[("a", 1), ("b", 2)]), ListKind::Complete, Instant::now());
     let fallback_policy = FallbackPolicy { cells: [2].into(), ..FallbackPolicy::default() };
     let told = of
         .rule(held(Rules::of_fallback_policy(&fallback_policy), Stops::default()), Instant::now());
     assert_eq!(told.len(), 1);
-    assert_eq!((told[0].id, told[0].status), (ServerId(0), d::Status::Draining));
+    assert_eq!((told[0].id, told[0].status), (ServerId(0), interface::Status::Draining));
     let placed = of.placed(ServerId(1), 0).expect("known");
     assert!(placed.permitted(&held(Rules::of_fallback_policy(&fallback_policy), Stops::default())));
     let stops = Stops { names: ["b".to_string()].into(), old: false };
@@ -251,9 +251,9 @@
 fn what_an_attempt_still_looks_at_is_kept_and_stays_closed() {
     let mut of = membership();
     let named = list(1, &[("a", "SERVING")]);
-    let id = of.update(&named, ListKind::Whole, Instant::now()).members[0].id;
+    let id = of.update(&named, ListKind::Complete, Instant::now()).members[0].id;
     let out = of.target(id).expect("known");
-    of.update(&list(2, &[]), ListKind::Whole, Instant::now());
+    of.update(&list(2, &[]), ListKind::Complete, Instant::now());
     of.forget();
     assert!(out.closed_from.get().is_some() && of.target(id).is_some());
     drop(out);
@@ -264,7 +264,7 @@
 #[test]
 fn without_a_valid_address_a_drain_counts_and_a_newcomer_does_not_come_in() {
     let mut of = membership();
-    told(&mut of, &list(1, &[("a", "SERVING"), ("b", "SERVING")]), ListKind::Whole);
+    told(&mut of, &list(1, &[("a", "SERVING"), ("b", "SERVING")]), ListKind::Complete);
     let at = of.targets[&of.ids["a"]].target.address.get();
     let entry = |id, phase, address| json!({"id": id, "host_port": address, "phase": phase});
     let members = [
@@ -290,22 +290,22 @@
     assert!(!of.any_open());
     let now = Instant::now();
     let both = |revision| list(revision, &[("a", "SERVING"), ("b", "DRAINING")]);
-    of.update(&both(1), ListKind::Whole, now);
+    of.update(&both(1), ListKind::Complete, now);
     assert!(of.any_open() && agrees(&of));
     let a: BTreeSet<String> = ["a".to_string()].into();
     of.cordon(&a, now);
     assert!(!of.any_open() && agrees(&of));
     // Closed twice and opened once.
-    of.update(&both(2), ListKind::Whole, now);
+    of.update(&both(2), ListKind::Complete, now);
     of.rule(rules(json!({"out": {"upstreams": ["a"]}}), &[]), now);
     assert!(!of.any_open() && agrees(&of));
     of.cordon(&BTreeSet::new(), now);
     of.rule(rules(json!({}), &[]), now);
     assert!(of.any_open() && agrees(&of));
-    of.update(&list(3, &[]), ListKind::Whole, now);
+    of.update(&list(3, &[]), ListKind::Complete, now);
     assert!(!of.any_open() && agrees(&of));
     of.forget();
     assert!(!of.any_open() && of.targets.is_empty() && of.gone.is_empty());
-    of.update(&both(4), ListKind::Whole, now);
+    of.update(&both(4), ListKind::Complete, now);
     assert!(of.any_open() && agrees(&of));
 }
--- a/crates/gateway/src/subsetting/tests.rs
+++ b/crates/gateway/src/subsetting/tests.rs
@@ -32,7 +32,7 @@
 fn the_module_has_whole_cells_and_hears_of_every_drain_among_them() {
     let (mut of, mut has) = (subsetting(), FxHashMap::default());
     let mut all = fleet(400);
-    apply(&mut has, ListKind::Whole, &of.listed(Time(0), ListKind::Whole, &all, among(&all)));
+    apply(&mut has, ListKind::Complete, &of.listed(Time(0), ListKind::Complete, &all, among(&all)));
     assert_eq!(has.len(), 40);
     assert_eq!(of.sharers(), 1.0, "a tenth of the fleet each, of ten balancers");
     let cells: FxHashSet<u32> = has.keys().map(|id| id.0 / 8).collect();
@@ -55,7 +55,7 @@
 fn what_leaves_the_subset_is_gone_for_the_module_once_it_has_lingered() {
     let (mut of, mut has) = (subsetting(), FxHashMap::default());
     let all = fleet(400);
-    apply(&mut has, ListKind::Whole, &of.listed(Time(0), ListKind::Whole, &all, among(&all)));
+    apply(&mut has, ListKind::Complete, &of.listed(Time(0), ListKind::Complete, &all, among(&all)));
     let before: Vec<ServerId> = has.keys().copied().collect();
     // Three cells of the five are deleted: others take their part at once.
     let mut gone: Vec<Member> = all.iter().filter(|m| has.contains_key(&m.id)).copied().collect();
@@ -79,7 +79,7 @@
 fn nobody_is_named_twice_when_the_subset_changes_with_the_list() {
     let (mut of, mut has) = (subsetting(), FxHashMap::default());
     let all = fleet(80);
-    apply(&mut has, ListKind::Whole, &of.listed(Time(0), ListKind::Whole, &all, among(&all)));
+    apply(&mut has, ListKind::Complete, &of.listed(Time(0), ListKind::Complete, &all, among(&all)));
     // Ten times as many come, and the subset grows with them.
     let more: Vec<Member> = fleet(800).split_off(80);
     let told = of.listed(Time(1), ListKind::Update, &more, among(&fleet(800)));
@@ -101,8 +101,8 @@
     let (mut of, mut has) = (subsetting(), FxHashMap::default());
     apply(
         &mut has,
-        ListKind::Whole,
-        &of.listed(Time(0), ListKind::Whole, &fleet(400), among(&fleet(400))),
+        ListKind::Complete,
+        &of.listed(Time(0), ListKind::Complete, &fleet(400), among(&fleet(400))),
     );
     apply(&mut has, ListKind::Update, &of.seen(Time(1), 40, 3, among(&fleet(400))));
     assert_eq!(has.len(), 80);
--- a/crates/gateway/src/update_queue.rs
+++ b/crates/gateway/src/update_queue.rs
@@ -105,7 +105,7 @@
         }
         members.into_iter().for_each(|m| self.change(m));
         let kind = match kind {
-            ListKind::Whole | ListKind::Update => ListKind::Update,
+            ListKind::Complete | ListKind::Update => ListKind::Update,
             _ => ListKind::Aside,
         };
         Part { kind, members: self.next_part() }
--- a/crates/gateway/src/update_queue/tests.rs
+++ b/crates/gateway/src/update_queue/tests.rs
@@ -35,13 +35,13 @@
     let part = of.listed(ListKind::Restored, all(10_000), nobody);
     assert_eq!(told(&mut of, &mut has, part), 1, "nobody waits at the start");
     // The same again changes nothing, and is still a word of the watch.
-    let part = of.listed(ListKind::Whole, all(10_000), nobody);
+    let part = of.listed(ListKind::Complete, all(10_000), nobody);
     assert_eq!(part, Part { kind: ListKind::Update, members: vec![] });
     // Half are left out, and a tenth drains.
     let mut list = all(5000);
     list[..500].iter_mut().for_each(|m| m.weight = 2.0);
     list[500..1000].iter_mut().for_each(|m| m.status = Status::Draining);
-    let part = of.listed(ListKind::Whole, list.clone(), nobody);
+    let part = of.listed(ListKind::Complete, list.clone(), nobody);
     assert!(told(&mut of, &mut has, part) > 5500 / PART);
     assert_eq!(has, list.into_iter().map(|m| (m.id, m)).collect());
 }
@@ -54,7 +54,7 @@
     let mut list = all(1000);
     list.iter_mut().for_each(|m| m.weight = 2.0);
     list[990..].iter_mut().for_each(|m| m.status = Status::Draining);
-    let part = of.listed(ListKind::Whole, list, nobody);
+    let part = of.listed(ListKind::Complete, list, nobody);
     let drains = part.members.iter().filter(|m| m.status == Status::Draining).count();
     assert_eq!((part.members.len(), drains), (PART, 10));
 }
@@ -67,7 +67,7 @@
     told(&mut of, &mut has, part);
     let mut list = all(1000);
     list.iter_mut().for_each(|m| m.weight = 2.0);
-    assert_eq!(of.listed(ListKind::Whole, list, nobody).members.len(), PART);
+    assert_eq!(of.listed(ListKind::Complete, list, nobody).members.len(), PART);
     let drained = Member { status: Status::Draining, ..Member::live(ServerId(999)) };
     let part = of.listed(ListKind::Update, vec![drained], nobody);
     assert_eq!(part.members[0], drained);
@@ -84,7 +84,7 @@
     let part = of.listed(ListKind::Restored, all(1000), nobody);
     told(&mut of, &mut has, part);
     let drained = |m: Member| Member { status: Status::Draining, ..m };
-    let part = of.listed(ListKind::Whole, all(1000).into_iter().map(drained).collect(), nobody);
+    let part = of.listed(ListKind::Complete, all(1000).into_iter().map(drained).collect(), nobody);
     assert!(of.is_due());
     has.extend(part.members.into_iter().map(|m| (m.id, m)));
     // In the middle of it the last one is live again, and the first is gone.
@@ -98,7 +98,7 @@
 #[test]
 fn a_short_list_goes_over_as_it_is() {
     let mut of = UpdateQueue::default();
-    for kind in [ListKind::Restored, ListKind::Whole, ListKind::Update, ListKind::Aside] {
+    for kind in [ListKind::Restored, ListKind::Complete, ListKind::Update, ListKind::Aside] {
         let part = of.listed(kind, all(200), nobody);
         assert_eq!(part, Part { kind, members: all(200) });
     }
@@ -111,14 +111,14 @@
     let last = |id| Some(Member { zone: 3, cell: 7, ..Member::live(id) });
     let members: Vec<Member> = (0..1000).map(ServerId).filter_map(last).collect();
     of.listed(ListKind::Restored, members.clone(), last);
-    let part = of.listed(ListKind::Whole, members[..990].to_vec(), last);
+    let part = of.listed(ListKind::Complete, members[..990].to_vec(), last);
     let gone = |m: &Member| Member { status: Status::Gone, ..*m };
     let mut told = part.members;
     told.sort_unstable_by_key(|m| m.id);
     assert_eq!(told, members[990..].iter().map(gone).collect::<Vec<_>>());
     assert!(!of.is_due());
     // And once.
-    assert_eq!(of.listed(ListKind::Whole, members[..990].to_vec(), last).members, []);
+    assert_eq!(of.listed(ListKind::Complete, members[..990].to_vec(), last).members, []);
 }
 
 #[test]
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -8,7 +8,7 @@
 
 use hollowpaddle_gateway::{Config, Provided, serve};
 use hollowpaddle_net::{Network, Stream, accept};
-use hollowpaddle_policy::asking::{MARGIN, TOLD_AFTER};
+use hollowpaddle_policy::list_polling::{LIST_PROPAGATION_BOUND, MARGIN};
 use hollowpaddle_simnet::Fabric;
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -167,7 +167,7 @@
     }
 }
 
-fn config(mode: &str, ask_every: f64) -> Config {
+fn config(mode: &str, list_poll_interval: f64) -> Config {
     let text = json!({
         "seed": "8c1f30d27a5be964", "name": "n0",
         "listen": at(1).to_string(), "discovery": at(2).to_string(),
@@ -178,7 +178,7 @@
             "Services": [{"Name": "read", "Aim": 2000.0, "Deadline": 6000.0, "Effect": "retryable"}],
             "PolicyLimits": {"MaxAttempts": 3, "ConnectTimeout": 250.0, "Keepalive": 5000.0, "StreamsPerConn": 1},
             "Safety": {"Cold": 5000.0, "ColdFrom": 0.2, "FallMultiple": 3.0, "TipAfter": 1000.0,
-                "DrainGrace": GRACE.as_millis() as f64, "AnswerSlack": 20.0, "AskEvery": ask_every},
+                "DrainGrace": GRACE.as_millis() as f64, "AnswerSlack": 20.0, "AskEvery": list_poll_interval},
         },
     });
     Config::parse("a file", text.to_string().as_bytes(), |_| None).expect("sound")
@@ -224,51 +224,53 @@
 
 /// What was told in time, and obeyed within the grace.
 fn in_time() -> Duration {
-    Duration::from_micros((TOLD_AFTER.0 - MARGIN.0) as u64) + GRACE
+    Duration::from_micros((LIST_PROPAGATION_BOUND.0 - MARGIN.0) as u64) + GRACE
 }
 
 #[test]
 fn a_watch_that_falls_silent_costs_no_news_its_time() {
-    for (mode, ask_every) in
+    for (mode, list_poll_interval) in
         [("subscribe", 2000.0), ("subscribe", 600_000.0), ("automatic", 2000.0)]
     {
-        let late = worst(&format!("{mode}, asked every {ask_every} ms, silent"), |offset| {
-            last_send(config(mode, ask_every), |discovery| async move {
-                sleep(ms(WARM) + offset).await;
-                discovery.silent_before.set(discovery.opened.get());
-                discovery.drain()
-            })
-        });
-        assert!(late <= in_time(), "{mode} {ask_every}: {late:?}");
+        let late =
+            worst(&format!("{mode}, asked every {list_poll_interval} ms, silent"), |offset| {
+                last_send(config(mode, list_poll_interval), |discovery| async move {
+                    sleep(ms(WARM) + offset).await;
+                    discovery.silent_before.set(discovery.opened.get());
+                    discovery.drain()
+                })
+            });
+        assert!(late <= in_time(), "{mode} {list_poll_interval}: {late:?}");
     }
 }
 
 #[test]
 fn a_watch_that_ends_costs_no_news_its_time() {
-    for (mode, ask_every) in
+    for (mode, list_poll_interval) in
         [("subscribe", 2000.0), ("subscribe", 600_000.0), ("automatic", 2000.0)]
     {
-        let late = worst(&format!("{mode}, asked every {ask_every} ms, reset"), |offset| {
-            last_send(config(mode, ask_every), |discovery| async move {
-                sleep(ms(WARM) + offset).await;
-                discovery.reset_before.set(discovery.opened.get());
-                discovery.drain()
-            })
-        });
-        assert!(late <= in_time(), "{mode} {ask_every}: {late:?}");
+        let late =
+            worst(&format!("{mode}, asked every {list_poll_interval} ms, reset"), |offset| {
+                last_send(config(mode, list_poll_interval), |discovery| async move {
+                    sleep(ms(WARM) + offset).await;
+                    discovery.reset_before.set(discovery.opened.get());
+                    discovery.drain()
+                })
+            });
+        assert!(late <= in_time(), "{mode} {list_poll_interval}: {late:?}");
     }
 }
 
 #[test]
 fn whatever_calls_failed_or_hung_news_is_in_force_in_time_once_discovery_is_back() {
-    for ask_every in [2000.0, 600_000.0] {
+    for list_poll_interval in [2000.0, 600_000.0] {
         for (name, vanishes, refuses, mute) in [
             ("vanishes", true, false, false),
             ("refuses", false, true, false),
             ("takes calls and says nothing", false, false, true),
         ] {
-            let late = worst(&format!("asked every {ask_every} ms, {name}"), |offset| {
-                last_send(config("subscribe", ask_every), move |discovery| async move {
+            let late = worst(&format!("asked every {list_poll_interval} ms, {name}"), |offset| {
+                last_send(config("subscribe", list_poll_interval), move |discovery| async move {
                     sleep(ms(WARM)).await;
                     let before = discovery.opened.get();
                     discovery.vanished.set(vanishes);
@@ -288,7 +290,7 @@
                     discovery.drain()
                 })
             });
-            assert!(late <= in_time(), "{name} {ask_every}: {late:?}");
+            assert!(late <= in_time(), "{name} {list_poll_interval}: {late:?}");
         }
     }
 }
--- a/crates/gateway/tests/list_memory.rs
+++ b/crates/gateway/tests/list_memory.rs
@@ -104,7 +104,7 @@
 impl Holders {
     fn take(&mut self, list: &List) -> Duration {
         let begun = Instant::now();
-        let told = self.membership.update(list, ListKind::Whole, tokio::time::Instant::now());
+        let told = self.membership.update(list, ListKind::Complete, tokio::time::Instant::now());
         let last = |id| self.membership.member(id);
         let mut part = self.update_queue.listed(told.kind, told.members, last).members.len();
         let longest = begun.elapsed();
--- a/crates/policy/benches/fleet/mod.rs
+++ b/crates/policy/benches/fleet/mod.rs
@@ -62,21 +62,21 @@
 
 pub fn settings() -> Settings {
     let ms = |ms: i64| Span(ms * 1000);
-    let class = |aim: i64, effect, worth| Class {
+    let class = |latency_objective: i64, effect, priority_weight| Class {
         effect,
-        worth,
+        priority_weight,
         group: Group::Cell,
         window: ms(10_000),
-        late_worth: 0.5,
-        ..Class::safe(ms(aim), ms(aim * 5 / 2))
+        late_priority_weight: 0.5,
+        ..Class::safe(ms(latency_objective), ms(latency_objective * 5 / 2))
     };
     let mut s = Settings::basic(vec![
         class(1120, Effect::Safe, 2.0),
         class(1120, Effect::Unsafe, 5.0),
         class(740, Effect::Keyed, 8.0),
     ]);
-    s.rules.cold_from = 0.2;
-    s.rules.cold = ms(15_000);
+    s.rules.warm_up_initial_share = 0.2;
+    s.rules.warm_up = ms(15_000);
     s.rules.fall_multiple = 4.0;
     s.rules.tip_after = ms(2000);
     s
@@ -94,7 +94,7 @@
     /// How long one whole list takes.
     pub fn tell_list(&mut self, list: &[Member]) -> Duration {
         self.longest = Duration::ZERO;
-        self.tell(Event::Members { kind: ListKind::Whole, list });
+        self.tell(Event::Members { kind: ListKind::Complete, list });
         self.longest
     }
 
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -67,13 +67,13 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// An answer within this time earns the full worth.
-    pub aim: Span,
+    pub latency_objective: Span,
     /// The longest a client waits.
     pub deadline: Span,
     /// Worth of one request.
-    pub worth: f64,
+    pub priority_weight: f64,
     /// Share of the worth for an answer after the aim.
-    pub late_worth: f64,
+    pub late_priority_weight: f64,
     /// What a repeat does.
     pub effect: Effect,
     /// Who drops repeats of a keyed request.
@@ -81,7 +81,7 @@
     /// For how long they do, from the send of the first attempt that may have run.
     pub window: Span,
     /// The aim grows by this multiple of a request's own work, up to the deadline.
-    pub aim_stretch: f64,
+    pub objective_stretch: f64,
     /// The answer is a stream: [`Event::Started`] tells that it has begun.
     pub streaming: bool,
     /// Requests of such classes that share a key take turns, in the order in which they came.
@@ -128,9 +128,9 @@
 #[derive(Clone, Debug)]
 pub struct Rules {
     /// An upstream starts at this share of its capacity or more.
-    pub cold_from: f64,
+    pub warm_up_initial_share: f64,
     /// And is warm no later than this.
-    pub cold: Span,
+    pub warm_up: Span,
     /// It falls over when sent more than this many times its present capacity
     pub fall_multiple: f64,
     /// for this long.
@@ -140,7 +140,7 @@
     /// A final answer so long after the client's deadline still counts.
     pub answer_slack: Span,
     /// Where the list must be asked: the longest silence before news counts as told.
-    pub ask_every: Span,
+    pub list_poll_interval: Span,
     /// Idle connections to a draining upstream must be closed within this; zero where no rule says so.
     pub drain_close: Span,
     /// How long a key rests after an attempt of an ordered class that may still be running.
@@ -205,7 +205,7 @@
     /// How often events are delivered at most.
     pub tick: Span,
     /// The list of upstreams comes only when asked for.
-    pub must_ask: bool,
+    pub polls_list: bool,
     /// What the site allows.
     pub limits: Limits,
     /// Figures of the rules.
@@ -215,7 +215,7 @@
     /// How the service is judged.
     pub mix: ScoringMix,
     /// Worth of a request beyond its tenant's share, over its class's.
-    pub over_share_worth: f64,
+    pub over_quota_weight: f64,
     /// Worth counts by unit of work, not by request.
     pub by_work: bool,
     /// Clients mark their repeats.
@@ -231,16 +231,16 @@
 
 impl Class {
     /// A class that may be repeated freely, of worth 1, with this aim and deadline.
-    pub fn safe(aim: Span, deadline: Span) -> Self {
+    pub fn safe(latency_objective: Span, deadline: Span) -> Self {
         Self {
-            aim,
+            latency_objective,
             deadline,
-            worth: 1.0,
-            late_worth: 0.0,
+            priority_weight: 1.0,
+            late_priority_weight: 0.0,
             effect: Effect::Safe,
             group: Group::All,
             window: Span(0),
-            aim_stretch: 0.0,
+            objective_stretch: 0.0,
             streaming: false,
             in_order: false,
             zones: None,
@@ -261,7 +261,7 @@
             zones: 1,
             zone: 0,
             tick: Span(1000),
-            must_ask: false,
+            polls_list: false,
             limits: Limits {
                 max_attempts: 3,
                 second_copies: false,
@@ -274,19 +274,19 @@
                 streams_per_conn: 1,
             },
             rules: Rules {
-                cold_from: 1.0,
-                cold: Span(0),
+                warm_up_initial_share: 1.0,
+                warm_up: Span(0),
                 fall_multiple: 1.0,
                 tip_after: Span(0),
                 drain_grace: Span(0),
                 answer_slack: Span(0),
-                ask_every: Span(0),
+                list_poll_interval: Span(0),
                 drain_close: Span(0),
                 turn_gap: Span(0),
             },
             prices: Prices::default(),
             mix: ScoringMix { whole: 1.0, ..ScoringMix::default() },
-            over_share_worth: 1.0,
+            over_quota_weight: 1.0,
             by_work: false,
             marks_retry: false,
             reports: Reports::None,
@@ -302,8 +302,10 @@
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
         }
-        if let Some(i) = self.classes.iter().position(|c| c.aim.0 <= 0 || c.deadline.0 <= 0) {
-            return Err(SettingsError::BadAim(i));
+        if let Some(i) =
+            self.classes.iter().position(|c| c.latency_objective.0 <= 0 || c.deadline.0 <= 0)
+        {
+            return Err(SettingsError::InvalidLatencyObjective(i));
         }
         // Safe defaults: a zero tick or cold share would stop a clock or a cold server for ever.
         self.tick.0 = self.tick.0.max(100);
@@ -312,8 +314,9 @@
         // Where clients are given no advice, the longest that they heed is none.
         let most = if self.limits.retry_after { self.limits.max_retry_after.0.max(0) } else { 0 };
         self.limits.max_retry_after = Span(most);
-        self.rules.cold_from = self.rules.cold_from.clamp(0.01, 1.0);
-        self.rules.ask_every.0 = self.rules.ask_every.0.max(self.tick.0.saturating_mul(10));
+        self.rules.warm_up_initial_share = self.rules.warm_up_initial_share.clamp(0.01, 1.0);
+        self.rules.list_poll_interval.0 =
+            self.rules.list_poll_interval.0.max(self.tick.0.saturating_mul(10));
         Ok(self)
     }
 }
@@ -326,7 +329,7 @@
     NoClasses,
     /// An aim or deadline that no answer can meet.
     #[error("class {0} has an aim or deadline that is not above zero")]
-    BadAim(usize),
+    InvalidLatencyObjective(usize),
 }
 
 /// State of an upstream in the list.
@@ -386,7 +389,7 @@
     /// Changed entries only.
     Update,
     /// The whole list.
-    Whole,
+    Complete,
     /// The whole list as last held, perhaps out of date.
     Restored,
     /// A list call failed or the subscription broke.
@@ -415,34 +418,34 @@
     /// Hash of its routing key, if it has one.
     pub key: Option<u64>,
     /// When the client gives up.
-    pub drop_dead: Time,
+    pub send_deadline: Time,
     /// Work to expect on a yardstick core, if anyone guessed.
     pub cost_guess: Option<Span>,
     /// A client's repeat, where clients mark them.
     pub resent: bool,
     /// It changes something.
     pub write: bool,
-    /// Its body still comes while it is passed on: [`Event::Whole`] tells of its last byte. The time of its client
-    /// counts from there, and its `drop_dead` until then says when it must have been sent.
+    /// Its body still comes while it is passed on: [`Event::BodyReceived`] tells of its last byte. The time of its client
+    /// counts from there, and its `send_deadline` until then says when it must have been sent.
     pub flows: bool,
     /// The only zone and cell that it may go to: they keep the state of what it is about, or may have run it before.
-    pub pod: Option<(u32, u32)>,
+    pub sticky_cell: Option<(u32, u32)>,
 }
 
 impl Request {
     /// A request of this class without tenant, key or hint.
-    pub fn new(id: RequestId, class: usize, drop_dead: Time) -> Self {
+    pub fn new(id: RequestId, class: usize, send_deadline: Time) -> Self {
         Self {
             id,
             class,
             tenant: 0,
             key: None,
-            drop_dead,
+            send_deadline,
             cost_guess: None,
             resent: false,
             write: false,
             flows: false,
-            pod: None,
+            sticky_cell: None,
         }
     }
 }
@@ -539,24 +542,24 @@
         list: &'a [Member],
     },
     /// Discovery turned a call for the list away at once: it works, and has too many callers.
-    TurnedAway,
+    ListCallRejected,
     /// The list is too old to be acted on: until a subscription tells it anew nothing is sent, and what waits is refused.
     ListExpired,
     /// A client's request has arrived: one final answer is owed.
     Request(Request),
     /// The last byte of a request that flows has come, and is out at the upstream that it was sent to.
-    Whole {
+    BodyReceived {
         /// The request.
         request: RequestId,
         /// When the client gives up.
-        drop_dead: Time,
+        send_deadline: Time,
     },
     /// An attempt has ended.
     Answered(Answer),
     /// The answer has begun to stream: the attempt is the client's now.
     Started(RequestId),
     /// The client no longer waits; nothing is owed.
-    Left(RequestId),
+    ClientLeft(RequestId),
     /// A timer is due.
     Timer(u64),
     /// A probe has ended.
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -5,18 +5,18 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod asking;
 mod breakers;
+mod capacity;
 mod chunked;
 mod gauges;
 pub mod interface;
 pub mod learned;
+pub mod list_polling;
 mod machine_types;
 pub mod policy;
 mod queue;
 mod quotas;
 mod ranks;
-mod rooms;
 pub mod settings;
 mod state;
 pub mod tenants;
--- a/crates/policy/src/asking.rs
+++ b/crates/policy/src/list_polling.rs
@@ -1,6 +1,6 @@
 //! When discovery is asked for the list, and how the time is divided that its news may take. Pure.
 //!
-//! What discovery has to tell counts as told [`TOLD_AFTER`] after it has it and can be reached, heard or not. At worst a
+//! What discovery has to tell counts as told [`LIST_PROPAGATION_BOUND`] after it has it and can be reached, heard or not. At worst a
 //! call or a watch falls silent right before that moment: it is given up after [`SILENCE`], the next call is made within
 //! [`PAUSE`], and is answered before it would be given up in turn. [`MARGIN`] is left for the way of the list into force.
 //!
@@ -12,7 +12,7 @@
 use crate::interface::{Settings, Span, Time};
 
 /// What discovery has to tell counts as told so long after it has it (PROTOCOL, "Figures").
-pub const TOLD_AFTER: Span = Span(6_000_000);
+pub const LIST_PROPAGATION_BOUND: Span = Span(6_000_000);
 /// A call or a watch without a word for so long is dead. A watch has one every 2 s (PROTOCOL, "Discovery"); a busy moment
 /// may hold that up.
 pub const SILENCE: Span = Span(2_600_000);
@@ -25,12 +25,12 @@
 /// Most doublings of that.
 pub const PATIENCE_DOUBLINGS: u32 = 2;
 /// Longest wait for the next call, where the last one or a watch may have been silent all the while.
-pub const PAUSE: Span = Span(TOLD_AFTER.0 - MARGIN.0 - 2 * SILENCE.0);
+pub const PAUSE: Span = Span(LIST_PROPAGATION_BOUND.0 - MARGIN.0 - 2 * SILENCE.0);
 /// Longest wait after a call that failed at once. Failure: without a second one in the same time, a call that is refused
 /// in the crowd of a return costs the bound.
-const LONG_PAUSE: Span = Span((TOLD_AFTER.0 - MARGIN.0 - SILENCE.0) / 2);
+const LONG_PAUSE: Span = Span((LIST_PROPAGATION_BOUND.0 - MARGIN.0 - SILENCE.0) / 2);
 
-/// Longest first wait, as a share of `ask_every`: where asking is dear, restarts must not swamp discovery. Each failure
+/// Longest first wait, as a share of `list_poll_interval`: where asking is dear, restarts must not swamp discovery. Each failure
 /// doubles it.
 const JITTER_OF_EVERY: f64 = 0.05;
 /// Most doublings of that.
@@ -43,11 +43,11 @@
 const LEAST_PAUSE: Span = Span(50_000);
 /// The longest one is no shorter than this: a few balancers may meet many callers of other kinds.
 const LEAST_LONG_PAUSE: Span = Span(500_000);
-/// And no longer than so many times `ask_every`: a balancer that has not asked for four times that counts as told.
+/// And no longer than so many times `list_poll_interval`: a balancer that has not asked for four times that counts as told.
 const LONGEST_PAUSE_OF_EVERY: f64 = 2.0;
 /// Part of such a wait that is certain; the rest is random.
 const CERTAIN_PART: f64 = 0.5;
-/// A call unanswered for this share of `ask_every` is made again. Only a caller that gives up no calls gets there.
+/// A call unanswered for this share of `list_poll_interval` is made again. Only a caller that gives up no calls gets there.
 const AGAIN_OF_EVERY: f64 = 0.5;
 
 /// Where the list must be asked: when to ask next.
@@ -69,7 +69,7 @@
     /// Of one that starts now. `draw` is between 0 and 1, as in all that follows.
     pub fn new(settings: &Settings, now: Time, draw: f64) -> Self {
         let mut asking = Self {
-            every: settings.rules.ask_every,
+            every: settings.rules.list_poll_interval,
             balancers: f64::from(settings.balancers),
             subscribed: false,
             missing_since: now,
@@ -77,7 +77,7 @@
             asked: None,
             failures: 0,
         };
-        if settings.must_ask {
+        if settings.polls_list {
             asking.next = Some(now.plus(asking.wait(PAUSE, draw)));
         }
         asking
@@ -110,7 +110,7 @@
         self.failures = (self.failures + 1).min(DOUBLINGS);
         // Of a subscription it is not known for how long it was silent.
         let silent = self.asked.take().map_or(SILENCE, |asked| now.since(asked).min(SILENCE));
-        let left = Span(TOLD_AFTER.0 - MARGIN.0 - SILENCE.0 - silent.0);
+        let left = Span(LIST_PROPAGATION_BOUND.0 - MARGIN.0 - SILENCE.0 - silent.0);
         self.next = self.next.map(|_| now.plus(self.wait(left.min(LONG_PAUSE), draw)));
     }
 
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -8,13 +8,13 @@
 use hollowpaddle_ordered_collections::tournament::Key;
 use oorandom::Rand64;
 
-use crate::asking::Asking;
+use crate::capacity::Capacity;
 use crate::interface::*;
+use crate::list_polling::Asking;
 use crate::machine_types::Decay;
 use crate::queue::{Out, Queue};
 use crate::quotas::Quotas;
 use crate::ranks::{Figures, Ranks};
-use crate::rooms::Capacity;
 use crate::state::*;
 use crate::upstreams::{Server, Standing, Upstreams};
 
@@ -443,7 +443,7 @@
         if live {
             let mut next = [s.breaker.until, Time(i64::MAX), Time(i64::MAX)];
             if let Some(started) = s.started.filter(|_| cold.is_some()) {
-                next[1] = started.plus(self.settings.rules.cold);
+                next[1] = started.plus(self.settings.rules.warm_up);
                 next[2] = if earned { next[1] } else { self.earns_at(now, s) };
             }
             let shut = s.by_class.shut(now).map(|b| b.breaker.until);
@@ -503,7 +503,7 @@
             return;
         }
         let mut entry = Entry::new(&r, class.in_order);
-        entry.date(now, class, r.drop_dead, self.early());
+        entry.date(now, class, r.send_deadline, self.early());
         let hold_until = entry.hold_until;
         let ahead = self.queue.ahead(entry.turn);
         self.queue.insert(now, r.id, entry);
@@ -555,8 +555,8 @@
     fn refresh_admission(&mut self) {
         let (classes, mean) = (&self.settings.classes, &self.fleet.mean);
         self.ranks.refresh(|c| Figures {
-            value: classes[c].worth / mean[c].max(1.0),
-            bearable: classes[c].aim.f() * HOLD_OF_AIM - mean[c],
+            value: classes[c].priority_weight / mean[c].max(1.0),
+            bearable: classes[c].latency_objective.f() * HOLD_OF_AIM - mean[c],
         });
         self.fleet.bearable = self.ranks.least_bearable().max(0.0);
     }
@@ -590,7 +590,7 @@
     fn hold(&mut self, id: RequestId, at_head: bool) {
         let Some(e) = self.queue.get(id) else { return };
         let (class, until) = (e.class, e.hold_until);
-        let fresh = e.attempts.is_empty() && e.pod.is_none();
+        let fresh = e.attempts.is_empty() && e.sticky_cell.is_none();
         let lane = match fresh {
             true => Lane::Fresh(self.up.rooms.room_of(class)),
             false => Lane::Again(class, self.bound(e)),
@@ -674,10 +674,10 @@
     }
 
     /// The last byte of a request that flows is out: its upstream can begin, and is to blame from here on.
-    fn whole(&mut self, now: Time, id: RequestId, drop_dead: Time) {
+    fn whole(&mut self, now: Time, id: RequestId, send_deadline: Time) {
         let early = self.early();
         let Some(e) = self.queue.get_mut(id).filter(|e| e.flows) else { return };
-        e.date(now, &self.settings.classes[e.class], drop_dead, early);
+        e.date(now, &self.settings.classes[e.class], send_deadline, early);
         // What was passed on while it came is kept nowhere.
         (e.flows, e.spent) = (false, true);
         if let Some(a) = e.attempts.last_mut().filter(|a| a.fate == Fate::Out) {
@@ -714,7 +714,7 @@
     fn send_by(&self, e: &Entry) -> Time {
         let class = &self.settings.classes[e.class];
         let keyed = e.may_have_run().filter(|_| class.effect == Effect::Keyed);
-        keyed.map(|a| a.sent.plus(class.window)).fold(e.drop_dead, Time::min)
+        keyed.map(|a| a.sent.plus(class.window)).fold(e.send_deadline, Time::min)
     }
 
     /// Where it may go: to its pod; once a keyed one may have run, only to those that drop its repeats.
@@ -726,7 +726,7 @@
                 Group::Zone => Bound::Zone(s.zone),
                 Group::Cell => Bound::Cell(s.zone, s.cell),
             },
-            _ => e.pod.map_or(Bound::Any, |(zone, cell)| Bound::Cell(zone, cell)),
+            _ => e.sticky_cell.map_or(Bound::Any, |(zone, cell)| Bound::Cell(zone, cell)),
         }
     }
 
@@ -853,8 +853,8 @@
     fn overdue_at(&self, w: &Watched) -> (Time, Time) {
         let (mean, dev) = (self.fleet.mean[w.class], self.fleet.dev[w.class]);
         if mean == 0.0 {
-            let aim = w.sent.plus(self.settings.classes[w.class].aim);
-            return (aim, aim);
+            let latency_objective = w.sent.plus(self.settings.classes[w.class].latency_objective);
+            return (latency_objective, latency_objective);
         }
         let patience = mean + PATIENCE * dev;
         let left = w.hold_until.since(w.sent).f() - mean;
@@ -866,8 +866,8 @@
     pub(crate) fn reset_patience(&mut self, class: usize) {
         let (mean, dev) = (self.fleet.mean[class], self.fleet.dev[class]);
         let least = (mean + PATIENCE * dev).min(mean * LEAST_PATIENCE);
-        let aim = self.settings.classes[class].aim;
-        self.out.set_patience(class, if mean == 0.0 { aim } else { Span::of(least) });
+        let latency_objective = self.settings.classes[class].latency_objective;
+        self.out.set_patience(class, if mean == 0.0 { latency_objective } else { Span::of(least) });
     }
 
     /// Attempts that may be due leave the young ones; so many a class.
@@ -981,8 +981,9 @@
     /// Share of its capacity that a young upstream has for certain; `None` once warm.
     fn cold_share(&self, now: Time, s: &Server) -> Option<f64> {
         let (age, rules) = (now.since(s.started?), &self.settings.rules);
-        let grown = (age.f() / rules.cold.f()).max(0.0);
-        (age < rules.cold).then_some(rules.cold_from + (1.0 - rules.cold_from) * grown)
+        let grown = (age.f() / rules.warm_up.f()).max(0.0);
+        (age < rules.warm_up)
+            .then_some(rules.warm_up_initial_share + (1.0 - rules.warm_up_initial_share) * grown)
     }
 
     fn cold_allows(&self, now: Time, s: &Server) -> bool {
@@ -1043,7 +1044,7 @@
         let elapsed = now.since(std::mem::replace(&mut self.fleet.counted, now)).f();
         self.fleet.paced = self.fleet.ts;
         let window = self.settings.rules.tip_after.f().max(1.0);
-        let cold = self.settings.rules.cold.f().max(1.0);
+        let cold = self.settings.rules.warm_up.f().max(1.0);
         let (count, peak) = ((-elapsed / window).exp(), (-elapsed / cold).exp());
         self.up.kinds.refresh(Decay { count, window, peak });
     }
@@ -1084,7 +1085,7 @@
             owed: 0,
             trying: Vec::new(),
             closing: Vec::new(),
-            out: Out::new(settings.classes.iter().map(|c| c.aim)),
+            out: Out::new(settings.classes.iter().map(|c| c.latency_objective)),
             extra: 1.0,
             ranks: Ranks::new(classes, 1.0),
             fleet: Fleet {
@@ -1131,7 +1132,7 @@
         }
         match event {
             Event::Members { kind, list } => self.members(now, kind, list, out),
-            Event::TurnedAway => {
+            Event::ListCallRejected => {
                 self.ask.turned_away(now, self.rng.rand_float());
                 self.arm_ask(out);
             }
@@ -1142,8 +1143,10 @@
             }
             Event::Request(r) => self.request(now, r, out),
             Event::Answered(a) => self.outcome(now, a, out),
-            Event::Whole { request, drop_dead } => self.whole(now, request, drop_dead),
-            Event::Started(id) | Event::Left(id) => self.end(id),
+            Event::BodyReceived { request, send_deadline } => {
+                self.whole(now, request, send_deadline)
+            }
+            Event::Started(id) | Event::ClientLeft(id) => self.end(id),
             Event::Timer(token) => self.timer(now, token, out),
             Event::Probed { .. } => {}
         }
@@ -1215,7 +1218,7 @@
                 return self.arm_ask(out);
             }
             ListKind::Restored | ListKind::Aside => {}
-            ListKind::Update | ListKind::Whole => {
+            ListKind::Update | ListKind::Complete => {
                 self.ask.told();
                 self.expired = false;
             }
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -96,7 +96,8 @@
     #[serde(default)]
     pub counted_by: CountedBy,
     #[serde(default = "one")]
-    pub over_share_worth: f64,
+    #[serde(rename = "OverShareWorth")]
+    pub over_quota_weight: f64,
 }
 
 #[derive(Clone, Debug, Deserialize, Default)]
@@ -134,7 +135,8 @@
 pub struct Service {
     #[serde(default)]
     pub name: String,
-    pub aim: f64,
+    #[serde(rename = "Aim")]
+    pub latency_objective: f64,
     pub deadline: f64,
     pub effect: Effect,
     #[serde(default)]
@@ -146,7 +148,8 @@
     #[serde(default)]
     pub window: f64,
     #[serde(default)]
-    pub aim_stretch: f64,
+    #[serde(rename = "AimStretch")]
+    pub objective_stretch: f64,
     #[serde(default)]
     pub streaming: bool,
     #[serde(default)]
@@ -202,13 +205,15 @@
 #[serde(rename_all = "PascalCase")]
 pub struct Safety {
     #[serde(default)]
-    pub ask_every: f64,
+    #[serde(rename = "AskEvery")]
+    pub list_poll_interval: f64,
     #[serde(default)]
     pub drain_grace: f64,
     #[serde(default)]
     pub answer_slack: f64,
     pub cold: f64,
-    pub cold_from: f64,
+    #[serde(rename = "ColdFrom")]
+    pub warm_up_initial_share: f64,
     pub fall_multiple: f64,
     pub tip_after: f64,
     #[serde(default)]
@@ -255,10 +260,10 @@
     pub fn settings(&self) -> d::Settings {
         let facts = self;
         let class = |s: &Service| d::Class {
-            aim: span(s.aim),
+            latency_objective: span(s.latency_objective),
             deadline: span(s.deadline),
-            worth: s.importance,
-            late_worth: s.late_value,
+            priority_weight: s.importance,
+            late_priority_weight: s.late_value,
             effect: match s.effect {
                 Effect::Retryable => d::Effect::Safe,
                 Effect::Dedup => d::Effect::Keyed,
@@ -270,7 +275,7 @@
                 Group::Cell => d::Group::Cell,
             },
             window: span(s.window),
-            aim_stretch: s.aim_stretch,
+            objective_stretch: s.objective_stretch,
             streaming: s.streaming,
             in_order: s.by_arrival,
             zones: s.zones_allowed.clone(),
@@ -289,7 +294,7 @@
             zones: facts.zones.len() as u32,
             zone: facts.zone,
             tick: span(facts.tick),
-            must_ask: facts.registry_mode == RegistryMode::Subscribe,
+            polls_list: facts.registry_mode == RegistryMode::Subscribe,
             limits: d::Limits {
                 max_attempts: limits.max_attempts,
                 second_copies: limits.second_copies,
@@ -302,13 +307,13 @@
                 streams_per_conn: limits.streams_per_conn,
             },
             rules: d::Rules {
-                cold_from: facts.safety.cold_from,
-                cold: span(facts.safety.cold),
+                warm_up_initial_share: facts.safety.warm_up_initial_share,
+                warm_up: span(facts.safety.cold),
                 fall_multiple: facts.safety.fall_multiple,
                 tip_after: span(facts.safety.tip_after),
                 drain_grace: span(facts.safety.drain_grace),
                 answer_slack: span(facts.safety.answer_slack),
-                ask_every: span(facts.safety.ask_every),
+                list_poll_interval: span(facts.safety.list_poll_interval),
                 drain_close: span(facts.safety.drain_close),
                 turn_gap: span(facts.safety.turn_gap),
             },
@@ -325,7 +330,7 @@
                 worst_class: facts.scoring_mix.worst_class,
                 worst_tenant: facts.scoring_mix.worst_tenant,
             },
-            over_share_worth: facts.over_share_worth,
+            over_quota_weight: facts.over_quota_weight,
             by_work: facts.counted_by == CountedBy::Work,
             marks_retry: facts.client_habits.marks_retry,
             reports: match facts.stats.how {
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -125,7 +125,7 @@
 #[derive(Debug)]
 pub(crate) struct Entry {
     pub(crate) class: usize,
-    pub(crate) drop_dead: Time,
+    pub(crate) send_deadline: Time,
     /// When an answer stops being worth anything.
     pub(crate) worth_until: Time,
     /// When a held request must be given up.
@@ -144,7 +144,7 @@
     /// A part of its body went out and is kept nowhere: it can't be sent again.
     pub(crate) spent: bool,
     /// The only zone and cell that it may go to.
-    pub(crate) pod: Option<(u32, u32)>,
+    pub(crate) sticky_cell: Option<(u32, u32)>,
 }
 
 impl Entry {
@@ -152,9 +152,9 @@
     pub(crate) fn new(r: &Request, in_order: bool) -> Self {
         Self {
             class: r.class,
-            drop_dead: r.drop_dead,
-            worth_until: r.drop_dead,
-            hold_until: r.drop_dead,
+            send_deadline: r.send_deadline,
+            worth_until: r.send_deadline,
+            hold_until: r.send_deadline,
             held: false,
             ended: false,
             attempts: Vec::new(),
@@ -164,17 +164,17 @@
             turn: r.key.filter(|_| in_order),
             flows: r.flows,
             spent: false,
-            pod: r.pod,
+            sticky_cell: r.sticky_cell,
         }
     }
 
     /// Reckons its times anew, from its last byte on. A held request is worth holding only while its aim can be met,
     /// also where a late answer keeps some worth: else, in lasting overload, the whole queue is served late. It is
     /// given up `early`: a refusal must come while it is still harmless.
-    pub(crate) fn date(&mut self, now: Time, class: &Class, drop_dead: Time, early: Span) {
-        let aim_at = drop_dead.min(now.plus(class.aim));
-        self.drop_dead = drop_dead;
-        self.worth_until = if class.late_worth > 0.0 { drop_dead } else { aim_at };
+    pub(crate) fn date(&mut self, now: Time, class: &Class, send_deadline: Time, early: Span) {
+        let aim_at = send_deadline.min(now.plus(class.latency_objective));
+        self.send_deadline = send_deadline;
+        self.worth_until = if class.late_priority_weight > 0.0 { send_deadline } else { aim_at };
         self.hold_until = aim_at.plus(Span(-early.0));
     }
 }
@@ -207,13 +207,15 @@
 impl Settings {
     /// T_QoS: one target for all, the mean of the class aims.
     pub(crate) fn t_qos(&self) -> f64 {
-        self.classes.iter().map(|c| c.aim.f()).sum::<f64>() / self.classes.len() as f64
+        self.classes.iter().map(|c| c.latency_objective.f()).sum::<f64>()
+            / self.classes.len() as f64
     }
 
     /// How often housekeeping is due.
     pub(crate) fn sweep_every(&self) -> Span {
-        let aim = self.classes.iter().map(|c| c.aim.0).min().unwrap_or(0);
-        Span(((aim as f64 * SWEEP_OF_AIM) as i64).max(self.tick.0))
+        let latency_objective =
+            self.classes.iter().map(|c| c.latency_objective.0).min().unwrap_or(0);
+        Span(((latency_objective as f64 * SWEEP_OF_AIM) as i64).max(self.tick.0))
     }
 }
 
--- a/crates/policy/src/upstreams.rs
+++ b/crates/policy/src/upstreams.rs
@@ -11,10 +11,10 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use crate::breakers::ClassBreakers;
+use crate::capacity::{Capacity, RoomList, Rooms, ShutClass};
 use crate::chunked::Chunked;
 use crate::interface::*;
 use crate::machine_types::MachineTypes;
-use crate::rooms::{Capacity, RoomList, Rooms, ShutClass};
 use crate::state::{Bound, Breaker, Estimate};
 
 /// Points of the proxies on the ring: multiples of the golden ratio are even for any run and every n-th.
@@ -605,7 +605,7 @@
         let mut up = Upstreams::new(Arc::new(settings));
         let name = |i: u32| u64::from(i).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let member = |i| Member { zone: i % 2, identity: name(i), ..Member::live(ServerId(i)) };
-        up.list(Time(0), ListKind::Whole, &(0..n).map(member).collect::<Vec<_>>());
+        up.list(Time(0), ListKind::Complete, &(0..n).map(member).collect::<Vec<_>>());
         up
     }
 
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -109,13 +109,14 @@
 }
 
 fn settings(proxies: u32) -> Settings {
-    let class = Class { late_worth: 0.5, ..Class::safe(Span(1120 * MS), Span(2800 * MS)) };
+    let class =
+        Class { late_priority_weight: 0.5, ..Class::safe(Span(1120 * MS), Span(2800 * MS)) };
     let mut s = Settings::basic(vec![class]);
     s.balancers = proxies;
     // Sweeps are rare, so that a bank of hundreds is played within seconds.
     s.tick = Span(100 * MS);
-    s.rules.cold_from = 0.12;
-    s.rules.cold = Span(23 * SECOND);
+    s.rules.warm_up_initial_share = 0.12;
+    s.rules.warm_up = Span(23 * SECOND);
     s.rules.fall_multiple = 4.0;
     s.rules.tip_after = Span(2 * SECOND);
     s
@@ -210,8 +211,8 @@
     /// What the settings allow of its capacity so long after a start, at least.
     fn share(&self, age: i64) -> f64 {
         let rules = &self.settings.rules;
-        let grown = (age as f64 / rules.cold.f()).clamp(0.0, 1.0);
-        rules.cold_from + (1.0 - rules.cold_from) * grown
+        let grown = (age as f64 / rules.warm_up.f()).clamp(0.0, 1.0);
+        rules.warm_up_initial_share + (1.0 - rules.warm_up_initial_share) * grown
     }
 
     fn until_next(&mut self, proxy: usize) -> i64 {
@@ -232,7 +233,7 @@
     fn whole_list(&mut self, proxy: usize) {
         let up = (0..self.fleet.len()).filter(|i| self.fleet[*i].up);
         let list: Vec<Member> = up.map(|i| self.member(i, true)).collect();
-        self.tell(proxy, Event::Members { kind: ListKind::Whole, list: &list });
+        self.tell(proxy, Event::Members { kind: ListKind::Complete, list: &list });
     }
 
     fn tell(&mut self, proxy: usize, event: Event) {
@@ -259,7 +260,7 @@
     /// How long ago it started, while it is cold.
     fn cold_age(&self, upstream: usize) -> Option<i64> {
         let age = self.now - self.fleet[upstream].started?;
-        (age < self.settings.rules.cold.0).then_some(age)
+        (age < self.settings.rules.warm_up.0).then_some(age)
     }
 
     fn work(&mut self, upstream: usize) {
@@ -391,7 +392,7 @@
 
 fn play(day: Day) -> (usize, f64, f64) {
     let mut bank = Bank::new(day);
-    bank.until(BACK + day.one_by_one + bank.settings.rules.cold.0);
+    bank.until(BACK + day.one_by_one + bank.settings.rules.warm_up.0);
     let (sent, n, part) = bank.worst();
     let service = bank.cold_served as f64 / bank.cold_asked.max(1) as f64;
     println!("{day:?}: {sent} sent, N {n:.1}, {part:.2} of the bound, {service:.3} served");
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -11,14 +11,14 @@
 
 pub fn class(effect: Effect) -> Class {
     Class {
-        aim: Span(200 * MS),
+        latency_objective: Span(200 * MS),
         deadline: Span(600 * MS),
-        worth: 1.0,
-        late_worth: 0.0,
+        priority_weight: 1.0,
+        late_priority_weight: 0.0,
         effect,
         group: Group::Zone,
         window: Span(300 * MS),
-        aim_stretch: 0.0,
+        objective_stretch: 0.0,
         streaming: false,
         in_order: false,
         zones: None,
@@ -35,7 +35,7 @@
         zones: 2,
         zone: 0,
         tick: Span(MS),
-        must_ask: false,
+        polls_list: false,
         limits: Limits {
             max_attempts: 3,
             second_copies: true,
@@ -48,19 +48,19 @@
             streams_per_conn: 1,
         },
         rules: Rules {
-            cold_from: 0.2,
-            cold: Span(10_000 * MS),
+            warm_up_initial_share: 0.2,
+            warm_up: Span(10_000 * MS),
             fall_multiple: 3.0,
             tip_after: Span(1000 * MS),
             drain_grace: Span(1000 * MS),
             answer_slack: Span(20 * MS),
-            ask_every: Span(10_000 * MS),
+            list_poll_interval: Span(10_000 * MS),
             drain_close: Span(0),
             turn_gap: Span(0),
         },
         prices: Prices::default(),
         mix: ScoringMix { whole: 1.0, ..ScoringMix::default() },
-        over_share_worth: 0.1,
+        over_quota_weight: 0.1,
         by_work: false,
         marks_retry: false,
         reports: Reports::None,
@@ -97,7 +97,7 @@
     pub key: Option<u64>,
     /// Its place among all that were taken.
     pub place: usize,
-    pub drop_dead: Time,
+    pub send_deadline: Time,
     pub tries: Vec<Try>,
     pub over: bool,
 }
@@ -147,7 +147,7 @@
     }
 
     pub fn list(&mut self, kind: ListKind, list: &[Member]) {
-        if matches!(kind, ListKind::Whole | ListKind::Restored) {
+        if matches!(kind, ListKind::Complete | ListKind::Restored) {
             self.members.values_mut().for_each(|m| m.status = Status::Gone);
         }
         if kind != ListKind::Unavailable {
@@ -168,12 +168,12 @@
         self.request_until(id, class, self.now.plus(wait));
     }
 
-    pub fn request_until(&mut self, id: u64, class: usize, drop_dead: Time) {
-        self.request_of(0, id, class, drop_dead);
+    pub fn request_until(&mut self, id: u64, class: usize, send_deadline: Time) {
+        self.request_of(0, id, class, send_deadline);
     }
 
-    pub fn request_of(&mut self, tenant: usize, id: u64, class: usize, drop_dead: Time) {
-        self.request_with(tenant, id, class, drop_dead, Some(id % 5));
+    pub fn request_of(&mut self, tenant: usize, id: u64, class: usize, send_deadline: Time) {
+        self.request_with(tenant, id, class, send_deadline, Some(id % 5));
     }
 
     pub fn request_with(
@@ -181,46 +181,53 @@
         tenant: usize,
         id: u64,
         class: usize,
-        drop_dead: Time,
+        send_deadline: Time,
         key: Option<u64>,
     ) {
         let place = self.asked.len();
-        let asked = Asked { class, key, place, drop_dead, tries: vec![], over: false };
+        let asked = Asked { class, key, place, send_deadline, tries: vec![], over: false };
         assert!(self.asked.insert(id, asked).is_none(), "ids are not repeated");
-        let request = Request { tenant, key, ..Request::new(RequestId(id), class, drop_dead) };
+        let request = Request { tenant, key, ..Request::new(RequestId(id), class, send_deadline) };
         self.tell(Event::Request(request));
     }
 
     /// A request that may go to this zone and cell only.
-    pub fn request_in(&mut self, id: u64, class: usize, drop_dead: Time, pod: Option<(u32, u32)>) {
+    pub fn request_in(
+        &mut self,
+        id: u64,
+        class: usize,
+        send_deadline: Time,
+        sticky_cell: Option<(u32, u32)>,
+    ) {
         let place = self.asked.len();
-        let asked = Asked { class, key: None, place, drop_dead, tries: vec![], over: false };
+        let asked = Asked { class, key: None, place, send_deadline, tries: vec![], over: false };
         self.asked.insert(id, asked);
-        let request = Request { pod, ..Request::new(RequestId(id), class, drop_dead) };
+        let request = Request { sticky_cell, ..Request::new(RequestId(id), class, send_deadline) };
         self.tell(Event::Request(request));
     }
 
     /// A request whose body still comes.
     pub fn flows(&mut self, id: u64, class: usize) {
-        let drop_dead = self.now.plus(self.settings.classes[class].deadline);
+        let send_deadline = self.now.plus(self.settings.classes[class].deadline);
         let place = self.asked.len();
         // Its client's time has not begun.
         let never = self.now.plus(Span(i64::MAX / 4));
-        let asked = Asked { class, key: None, place, drop_dead: never, tries: vec![], over: false };
+        let asked =
+            Asked { class, key: None, place, send_deadline: never, tries: vec![], over: false };
         self.asked.insert(id, asked);
-        let request = Request { flows: true, ..Request::new(RequestId(id), class, drop_dead) };
+        let request = Request { flows: true, ..Request::new(RequestId(id), class, send_deadline) };
         self.tell(Event::Request(request));
     }
 
     /// Its last byte has come.
     pub fn whole(&mut self, id: u64) {
         let asked = self.asked.get_mut(&id).expect("a known request");
-        asked.drop_dead = self.now.plus(self.settings.classes[asked.class].deadline);
+        asked.send_deadline = self.now.plus(self.settings.classes[asked.class].deadline);
         if let Some(t) = asked.tries.last_mut() {
             t.sent = self.now;
         }
-        let drop_dead = asked.drop_dead;
-        self.tell(Event::Whole { request: RequestId(id), drop_dead });
+        let send_deadline = asked.send_deadline;
+        self.tell(Event::BodyReceived { request: RequestId(id), send_deadline });
     }
 
     /// Ends an attempt that is out; does nothing if there is none such.
@@ -254,7 +261,7 @@
         if let Some(asked) = self.asked.get_mut(&id) {
             asked.over = true;
         }
-        self.tell(Event::Left(RequestId(id)));
+        self.tell(Event::ClientLeft(RequestId(id)));
     }
 
     /// Lets time pass, firing timers; attempts end as time-outs at their request's end.
@@ -311,7 +318,7 @@
     }
 
     fn time_out(&mut self) {
-        let due = |a: &Asked| a.drop_dead <= self.now;
+        let due = |a: &Asked| a.send_deadline <= self.now;
         let late: Vec<u64> = self.asked.iter().filter(|(_, a)| due(a)).map(|(id, _)| *id).collect();
         for id in late {
             for attempt in 0..self.asked[&id].tries.len() {
@@ -359,8 +366,8 @@
     fn sent(&mut self, id: u64, server: ServerId, timeout: Span, send_by: Time) {
         let asked = &self.asked[&id];
         assert!(!asked.over, "sent {id} after its end");
-        assert!(self.now < asked.drop_dead && timeout.0 > 0);
-        assert!(self.now.plus(timeout) <= asked.drop_dead, "time-out past the client's");
+        assert!(self.now < asked.send_deadline && timeout.0 > 0);
+        assert!(self.now.plus(timeout) <= asked.send_deadline, "time-out past the client's");
         assert_eq!(self.members[&server.0].status, Status::Live, "sent to a drained upstream");
         assert!(asked.tries.len() < self.settings.limits.max_attempts);
         if !self.settings.limits.second_copies {
@@ -384,7 +391,7 @@
         let ran = asked.tries.iter().filter(|t| may_have_run(t) && class.effect == Effect::Keyed);
         let within = ran.map(|t| t.sent.plus(class.window)).all(|end| send_by <= end);
         assert!(within, "{id} may go when its repeats are dropped no more");
-        assert!(self.now < send_by && send_by <= asked.drop_dead);
+        assert!(self.now < send_by && send_by <= asked.send_deadline);
         self.check_turn_and_place(id, server);
         let sent = Try { server, sent: self.now, ended: None, ended_at: self.now };
         self.asked.get_mut(&id).expect("known").tries.push(sent);
--- a/crates/policy/tests/formats.rs
+++ b/crates/policy/tests/formats.rs
@@ -32,7 +32,7 @@
     let learned: Learned = serde_json::from_str(LEARNED).expect("readable");
     let mut world = World::new(settings());
     let started = Member { started: Some(Time(999_000_000)), ..member(1, 0) };
-    world.list(ListKind::Whole, &[member(0, 0), started]);
+    world.list(ListKind::Complete, &[member(0, 0), started]);
     world.balancer.recall(world.now, &learned).expect("fits");
     let written = serde_json::to_string(&world.balancer.learned()).expect("JSON");
     assert_eq!(written, LEARNED.trim_end());
@@ -43,14 +43,14 @@
     Settings {
         classes: vec![
             Class {
-                aim: Span(101_500),
+                latency_objective: Span(101_500),
                 deadline: Span(602_250),
-                worth: 3.5,
-                late_worth: 0.25,
+                priority_weight: 3.5,
+                late_priority_weight: 0.25,
                 effect: Effect::Keyed,
                 group: Group::Cell,
                 window: Span(703_000),
-                aim_stretch: 1.75,
+                objective_stretch: 1.75,
                 streaming: true,
                 in_order: true,
                 zones: Some(vec![0, 2]),
@@ -67,7 +67,7 @@
         zones: 3,
         zone: 1,
         tick: Span(2_500),
-        must_ask: true,
+        polls_list: true,
         limits: Limits {
             max_attempts: 4,
             second_copies: true,
@@ -80,13 +80,13 @@
             streams_per_conn: 9,
         },
         rules: Rules {
-            cold_from: 0.125,
-            cold: Span(8_004_000),
+            warm_up_initial_share: 0.125,
+            warm_up: Span(8_004_000),
             fall_multiple: 2.75,
             tip_after: Span(1_105_000),
             drain_grace: Span(1_002_000),
             answer_slack: Span(23_000),
-            ask_every: Span(10_001_000),
+            list_poll_interval: Span(10_001_000),
             drain_close: Span(56_000),
             turn_gap: Span(37_000),
         },
@@ -98,7 +98,7 @@
             late_fail: 0.05,
         },
         mix: ScoringMix { whole: 0.4, worst_window: 0.3, worst_class: 0.2, worst_tenant: 0.1 },
-        over_share_worth: 0.15,
+        over_quota_weight: 0.15,
         by_work: true,
         marks_retry: true,
         reports: Reports::Probes,
@@ -112,8 +112,8 @@
     let mut settings = Settings::basic(vec![Class::safe(Span(100_000), Span(300_000))]);
     settings.zones = 0;
     settings.limits.streams_per_conn = 0;
-    settings.rules.cold = Span(5_000_000);
-    settings.rules.cold_from = 0.25;
+    settings.rules.warm_up = Span(5_000_000);
+    settings.rules.warm_up_initial_share = 0.25;
     settings.rules.fall_multiple = 3.0;
     settings.rules.tip_after = Span(1_000_000);
     settings.mix.whole = 0.0;
@@ -164,8 +164,8 @@
     for (value, group) in [("all", Group::All), ("zone", Group::Zone), ("cell", Group::Cell)] {
         assert_eq!(read("/Services/0/Group", value).classes[0].group, group);
     }
-    for (value, must_ask) in [("automatic", false), ("subscribe", true)] {
-        assert_eq!(read("/RegistryMode", value).must_ask, must_ask);
+    for (value, polls_list) in [("automatic", false), ("subscribe", true)] {
+        assert_eq!(read("/RegistryMode", value).polls_list, polls_list);
     }
     for (value, by_work) in [("request", false), ("work", true)] {
         assert_eq!(read("/CountedBy", value).by_work, by_work);
@@ -239,7 +239,10 @@
 fn messages_for_unusable_settings_and_learned_state_keep_their_text() {
     for (error, message) in [
         (SettingsError::NoClasses, "settings name no request class"),
-        (SettingsError::BadAim(2), "class 2 has an aim or deadline that is not above zero"),
+        (
+            SettingsError::InvalidLatencyObjective(2),
+            "class 2 has an aim or deadline that is not above zero",
+        ),
     ] {
         assert_eq!(error.to_string(), message);
     }
--- a/crates/policy/tests/indexed.rs
+++ b/crates/policy/tests/indexed.rs
@@ -37,13 +37,16 @@
 }
 
 fn class(rng: &mut Rand64) -> Class {
-    let aim = pick(rng, &[60, 200, 740]);
-    let mut class = Class::safe(Span(aim * MS), Span(aim * pick(rng, &[1, 2, 3]) * MS));
+    let latency_objective = pick(rng, &[60, 200, 740]);
+    let mut class = Class::safe(
+        Span(latency_objective * MS),
+        Span(latency_objective * pick(rng, &[1, 2, 3]) * MS),
+    );
     class.effect = pick(rng, &[Effect::Safe, Effect::Keyed, Effect::Unsafe]);
     class.group = pick(rng, &[Group::All, Group::Zone, Group::Cell]);
     class.window = Span(pick(rng, &[50, 300, 10_000]) * MS);
-    class.worth = pick(rng, &[1.0, 5.0]);
-    class.late_worth = pick(rng, &[0.0, 0.5]);
+    class.priority_weight = pick(rng, &[1.0, 5.0]);
+    class.late_priority_weight = pick(rng, &[0.0, 0.5]);
     class.in_order = pick(rng, &[false, false, true]);
     class.zones = pick(rng, &[None, None, Some(vec![0]), Some(vec![1, 2])]);
     class.kinds = pick(rng, &[None, None, Some(vec![1])]);
@@ -58,16 +61,16 @@
     s.position = rng.rand_range(0..u64::from(balancers)) as u32;
     s.zones = 3;
     s.zone = rng.rand_range(0..3) as u32;
-    s.must_ask = pick(rng, &[false, true]);
+    s.polls_list = pick(rng, &[false, true]);
     s.limits.max_attempts = pick(rng, &[1, 2, 3]);
     s.limits.second_copies = pick(rng, &[false, true]);
     s.limits.retry_after = true;
     s.limits.max_retry_after = Span(300 * MS);
-    s.rules.cold_from = 0.2;
-    s.rules.cold = Span(pick(rng, &[0, 500, 5000]) * MS);
+    s.rules.warm_up_initial_share = 0.2;
+    s.rules.warm_up = Span(pick(rng, &[0, 500, 5000]) * MS);
     s.rules.fall_multiple = 3.0;
     s.rules.tip_after = Span(1000 * MS);
-    s.rules.ask_every = Span(6000 * MS);
+    s.rules.list_poll_interval = Span(6000 * MS);
     s.rules.drain_close = Span(pick(rng, &[0, 100]) * MS);
     s.rules.turn_gap = Span(pick(rng, &[0, 20]) * MS);
     s.prices.cross_zone = pick(rng, &[0.0, 0.01]);
@@ -271,7 +274,7 @@
             named = self.members.values().copied().collect();
         }
         let kind = match (whole, pick(&mut self.rng, &[true, true, false])) {
-            (true, true) => ListKind::Whole,
+            (true, true) => ListKind::Complete,
             (true, false) => ListKind::Restored,
             (false, _) => ListKind::Update,
         };
@@ -291,7 +294,7 @@
                 4..6 if !self.open.is_empty() => {
                     let id = pick(&mut self.rng, &self.open);
                     self.open.retain(|o| *o != id);
-                    self.tell(Event::Left(id));
+                    self.tell(Event::ClientLeft(id));
                 }
                 _ => self.request(),
             }
--- a/crates/policy/tests/learned.rs
+++ b/crates/policy/tests/learned.rs
@@ -52,7 +52,7 @@
     let learned = taught().balancer.learned();
     let mut new = World::new(settings());
     let young = Member { started: Some(new.now), ..member(0, 0) };
-    new.list(ListKind::Whole, &[young, member(1, 0), member(9, 0)]);
+    new.list(ListKind::Complete, &[young, member(1, 0), member(9, 0)]);
     new.balancer.recall(new.now, &learned).expect("it fits");
     assert!((limits(&new, 0).1 - limits(&new, 9).1).abs() < 1e-9, "both are as unknown ones are");
     assert!(limits(&new, 1).1 > 1.2 * limits(&new, 9).1, "faster than the mean of the fleet");
--- a/crates/policy/tests/asking/cluster.rs
+++ b/crates/policy/tests/list_polling/cluster.rs
@@ -4,8 +4,8 @@
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
-use hollowpaddle_policy::asking::{CALL_PATIENCE, SILENCE};
 use hollowpaddle_policy::interface::*;
+use hollowpaddle_policy::list_polling::{CALL_PATIENCE, SILENCE};
 use hollowpaddle_policy::policy::Balancer;
 use oorandom::Rand64;
 
@@ -41,7 +41,7 @@
     /// The caller gives this call up.
     GivenUp(usize, u64),
     /// Discovery takes no more.
-    TurnedAway(usize, u64),
+    ListCallRejected(usize, u64),
     /// It has waited too long at discovery.
     Expired(usize, u64),
     /// A watch is found silent.
@@ -79,9 +79,9 @@
 
 impl Cluster {
     /// So many balancers that start now, and ask by these settings.
-    pub fn new(n: usize, ask_every: i64, capacity: Capacity, down: Down) -> Self {
+    pub fn new(n: usize, list_poll_interval: i64, capacity: Capacity, down: Down) -> Self {
         let mut settings = Settings::basic(vec![Class::safe(Span(60 * SECOND), Span(90 * SECOND))]);
-        (settings.must_ask, settings.rules.ask_every) = (true, Span(ask_every));
+        (settings.polls_list, settings.rules.list_poll_interval) = (true, Span(list_poll_interval));
         settings.balancers = n as u32;
         let balancer =
             |i| Balancer::new(settings.clone(), i as u64, Time(0)).expect("sound settings");
@@ -143,7 +143,7 @@
         let call = self.last;
         self.call[i] = Some(call);
         match (self.up, self.down) {
-            (true, _) if self.is_full() => self.at(self.now, Due::TurnedAway(i, call)),
+            (true, _) if self.is_full() => self.at(self.now, Due::ListCallRejected(i, call)),
             (true, _) => {
                 self.queue.push_back((i, call));
                 // Who is served with the last of that time is served.
@@ -189,10 +189,10 @@
                     self.fails(i);
                 }
             }
-            Due::TurnedAway(i, call) => {
+            Due::ListCallRejected(i, call) => {
                 assert_eq!(self.call[i].take(), Some(call), "it waits for the answer");
                 self.turned_away += 1;
-                self.tell(i, Event::TurnedAway);
+                self.tell(i, Event::ListCallRejected);
             }
             Due::FoundSilent(i) if self.watch[i] => self.fails(i),
             Due::FoundSilent(_) => {}
@@ -201,7 +201,7 @@
                     Some((i, call)) if self.call[i] == Some(call) => {
                         (self.call[i], self.watch[i]) = (None, true);
                         self.told[i].push(self.now);
-                        self.tell(i, Event::Members { kind: ListKind::Whole, list: &[] });
+                        self.tell(i, Event::Members { kind: ListKind::Complete, list: &[] });
                     }
                     Some(_) => self.turns_in_vain += 1,
                     None => {}
--- a/crates/policy/tests/asking/main.rs
+++ b/crates/policy/tests/list_polling/main.rs
@@ -3,12 +3,14 @@
 mod cluster;
 mod crowded;
 
-use hollowpaddle_policy::asking::{CALL_PATIENCE, MARGIN, PAUSE, SILENCE, TOLD_AFTER};
+use hollowpaddle_policy::list_polling::{
+    CALL_PATIENCE, LIST_PROPAGATION_BOUND, MARGIN, PAUSE, SILENCE,
+};
 
 use cluster::{BEAT, Capacity, Cluster, Down, Due, MS, SECOND};
 
 /// In time is what the module has by then.
-const IN_TIME: i64 = TOLD_AFTER.0 - MARGIN.0;
+const IN_TIME: i64 = LIST_PROPAGATION_BOUND.0 - MARGIN.0;
 
 /// A discovery that nobody has to wait for long.
 fn quick(rate: i64, serves_given_up: bool) -> Capacity {
@@ -30,20 +32,20 @@
 
 #[test]
 fn the_parts_of_the_time_sum_under_it() {
-    assert_eq!(SILENCE.0 + PAUSE.0 + SILENCE.0 + MARGIN.0, TOLD_AFTER.0);
+    assert_eq!(SILENCE.0 + PAUSE.0 + SILENCE.0 + MARGIN.0, LIST_PROPAGATION_BOUND.0);
     // After a call that discovery took and never answered there is time for one more.
-    const { assert!(CALL_PATIENCE.0 + MARGIN.0 + 2 * SECOND < TOLD_AFTER.0) };
+    const { assert!(CALL_PATIENCE.0 + MARGIN.0 + 2 * SECOND < LIST_PROPAGATION_BOUND.0) };
     const { assert!(SILENCE.0 > BEAT && PAUSE.0 > 0, "a watch that beats is not silent") };
 }
 
 #[test]
 fn one_balancer_is_told_in_time_however_long_its_settings_let_it_wait() {
-    for ask_every in ASK_EVERY {
+    for list_poll_interval in ASK_EVERY {
         for down in [Down::Refuses, Down::Silent] {
             let mut worst = (0, 0);
             // Discovery comes back at another point of its calls and waits each time.
             for of in 0..400 {
-                let mut cluster = Cluster::new(1, ask_every, quick(100, true), down);
+                let mut cluster = Cluster::new(1, list_poll_interval, quick(100, true), down);
                 cluster.until(10 * SECOND + of * 7 * MS);
                 cluster.on(Due::Goes(false));
                 cluster.until(20 * SECOND + of * 61 * MS);
@@ -53,20 +55,23 @@
                 worst = worst.max((cluster.late(back)[0], of));
             }
             let late = worst.0 / MS;
-            println!("one, asked every {} ms, {down:?}: {late} ms at worst", ask_every / MS);
-            assert!(worst.0 <= IN_TIME, "{ask_every} {down:?}: {worst:?}");
+            println!(
+                "one, asked every {} ms, {down:?}: {late} ms at worst",
+                list_poll_interval / MS
+            );
+            assert!(worst.0 <= IN_TIME, "{list_poll_interval} {down:?}: {worst:?}");
         }
     }
 }
 
 #[test]
 fn three_hundred_are_told_in_time_and_do_not_swamp_discovery() {
-    for ask_every in ASK_EVERY {
+    for list_poll_interval in ASK_EVERY {
         for (down, in_vain) in [(Down::Refuses, true), (Down::Silent, true), (Down::Silent, false)]
         {
-            let mut cluster = Cluster::new(300, ask_every, quick(120, in_vain), down);
+            let mut cluster = Cluster::new(300, list_poll_interval, quick(120, in_vain), down);
             cluster.until(10 * SECOND);
-            let name = format!("300, asked every {} ms", ask_every / MS);
+            let name = format!("300, asked every {} ms", list_poll_interval / MS);
             let mut worst = shown(&format!("{name}, all start"), &cluster, 0);
             cluster.on(Due::Goes(false));
             cluster.until(18 * SECOND);
--- a/crates/policy/tests/mechanism.rs
+++ b/crates/policy/tests/mechanism.rs
@@ -102,7 +102,7 @@
     let mut w = World::new(settings());
     w.request(1, 2);
     assert!(w.out(1).is_none() && !w.refused(1));
-    w.list(ListKind::Whole, &[member(0, 0)]);
+    w.list(ListKind::Complete, &[member(0, 0)]);
     assert_eq!(w.out(1), Some(ServerId(0)));
 }
 
@@ -243,7 +243,7 @@
 fn a_class_with_a_long_aim_does_not_starve_a_short_one() {
     // Failure: the queue filled with requests of long aims until no short one could be held.
     let mut s = settings();
-    s.classes[0].aim = Span(2000 * MS);
+    s.classes[0].latency_objective = Span(2000 * MS);
     s.classes[0].deadline = Span(4000 * MS);
     let mut w = World::with_servers(s, 2);
     for id in 0..300 {
@@ -282,11 +282,11 @@
 
 #[test]
 fn asks_for_the_list_again_after_a_break() {
-    let mut w = World::new(Settings { must_ask: true, ..settings() });
+    let mut w = World::new(Settings { polls_list: true, ..settings() });
     let asked = |w: &World| w.log.iter().filter(|a| **a == Action::Subscribe).count();
     w.pass(Span(2000 * MS));
     assert_eq!(asked(&w), 1);
-    w.list(ListKind::Whole, &[member(0, 0)]);
+    w.list(ListKind::Complete, &[member(0, 0)]);
     w.pass(Span(30_000 * MS));
     assert_eq!(asked(&w), 1, "a subscription stands");
     w.list(ListKind::Unavailable, &[]);
@@ -301,10 +301,13 @@
     let none = Settings { classes: vec![], ..settings() };
     assert_eq!(Balancer::new(none, 1, Time(0)).err(), Some(SettingsError::NoClasses));
     let mut bad = settings();
-    bad.classes[1].aim = Span(0);
-    assert_eq!(Balancer::new(bad, 1, Time(0)).err(), Some(SettingsError::BadAim(1)));
+    bad.classes[1].latency_objective = Span(0);
+    assert_eq!(
+        Balancer::new(bad, 1, Time(0)).err(),
+        Some(SettingsError::InvalidLatencyObjective(1))
+    );
     let mut odd = Settings { tick: Span(0), balancers: 0, ..settings() };
-    odd.rules.cold_from = 0.0;
+    odd.rules.warm_up_initial_share = 0.0;
     let mut w = World::with_servers(odd, 1);
     w.request(1, 0);
     assert!(w.out(1).is_some());
@@ -316,7 +319,7 @@
     let mut w = World::new(settings());
     let young = |i| Member { started: Some(w.now), ..member(i, 0) };
     let list: Vec<_> = (0..4).map(young).collect();
-    w.list(ListKind::Whole, &list);
+    w.list(ListKind::Complete, &list);
     let mut served = 0;
     for id in 0..400 {
         w.request(id, 0);
@@ -607,7 +610,7 @@
 fn what_was_not_told_by_the_list_does_not_end_the_asking_for_it() {
     // Failure: operators' changes passed for the first word of the subscription, and drains went unheard.
     for (kind, asks) in [(ListKind::Aside, true), (ListKind::Update, false)] {
-        let mut w = World::new(Settings { must_ask: true, ..settings() });
+        let mut w = World::new(Settings { polls_list: true, ..settings() });
         let all = [member(0, 0), member(1, 0)];
         w.list(ListKind::Restored, &all);
         w.list(kind, &[Member { status: Status::Draining, ..all[1] }]);
--- a/crates/policy/tests/ruled.rs
+++ b/crates/policy/tests/ruled.rs
@@ -59,10 +59,10 @@
 #[test]
 fn a_request_bound_to_a_pod_goes_there_first_and_again_or_not_at_all() {
     let mut w = ruled();
-    let pod = (member(3, 1).zone, member(3, 1).cell);
+    let sticky_cell = (member(3, 1).zone, member(3, 1).cell);
     let bound = |w: &mut World, id| {
         let until = w.now.plus(w.settings.classes[0].deadline);
-        w.request_in(id, 0, until, Some(pod));
+        w.request_in(id, 0, until, Some(sticky_cell));
     };
     for id in 0..3 {
         bound(&mut w, id);
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -40,11 +40,11 @@
 #[test]
 fn a_keyed_repeat_outside_its_group_is_failed_not_refused() {
     let mut w = World::new(settings());
-    w.list(ListKind::Whole, &[member(0, 0), member(1, 1)]);
+    w.list(ListKind::Complete, &[member(0, 0), member(1, 1)]);
     w.request(1, KEYED);
     let first = w.out(1).unwrap();
     let other = member(1 - first.0, 1 - first.0);
-    w.list(ListKind::Whole, &[other]);
+    w.list(ListKind::Complete, &[other]);
     w.outcome(1, 0, Outcome::Error);
     assert!(w.failed(1), "no live upstream would drop the repeat");
 }
@@ -155,7 +155,7 @@
     s.rules.drain_close = Span(50 * MS);
     let mut w = World::with_servers(s, 2);
     (0..4).for_each(|id| w.request(id, SAFE));
-    w.list(ListKind::Whole, &[member(1, 1)]);
+    w.list(ListKind::Complete, &[member(1, 1)]);
     let closes = |w: &World| {
         w.log.iter().filter(|a| matches!(a, Action::CloseIdle { server: ServerId(0) })).count()
     };
@@ -227,7 +227,7 @@
             }
             Happening::Whole { count } => {
                 let list: Vec<_> = (0..count).map(|i| member(i, i % 2)).collect();
-                w.list(ListKind::Whole, &list);
+                w.list(ListKind::Complete, &list);
             }
             Happening::Unavailable => w.list(ListKind::Unavailable, &[]),
             Happening::StrayTimer { token } => {
@@ -247,7 +247,7 @@
     let input = (any::<[bool; 5]>(), prop::collection::vec(events(), 1..250));
     let result = runner.run(&input, |([copies, ask, order, zones, kinds], events)| {
         let mut s = settings();
-        (s.limits.second_copies, s.must_ask) = (copies, ask);
+        (s.limits.second_copies, s.polls_list) = (copies, ask);
         (s.rules.turn_gap, s.rules.drain_close) = (Span(30 * MS), Span(50 * MS));
         (s.classes[SAFE].in_order, s.classes[KEYED].in_order) = (order, order);
         s.classes[UNSAFE].zones = zones.then(|| vec![1]);
@@ -366,7 +366,7 @@
     let mut out = vec![];
     w.balancer.handle(w.now, Event::Answered(answer(39, Span(MS))), &mut out);
     w.balancer.handle(w.now, Event::Answered(answer(999, Span(MS))), &mut out);
-    w.balancer.handle(w.now, Event::Left(RequestId(999)), &mut out);
+    w.balancer.handle(w.now, Event::ClientLeft(RequestId(999)), &mut out);
     w.balancer.handle(w.now, Event::Started(RequestId(999)), &mut out);
     assert!(out.is_empty());
 }
@@ -380,7 +380,7 @@
         (0..3000).filter(|id| w.balancer.upstream(ServerId(*id), Span(MS)).is_some()).count()
     };
     for id in 2..3000 {
-        w.list(ListKind::Whole, &[member(id, 5)]);
+        w.list(ListKind::Complete, &[member(id, 5)]);
     }
     assert!(w.balancer.upstream(first, Span(MS)).is_some(), "the repeat's group is judged by it");
     assert_eq!(known(&w), 2);
--- a/crates/policy/tests/scanning/policy.rs
+++ b/crates/policy/tests/scanning/policy.rs
@@ -26,8 +26,8 @@
 use rustc_hash::{FxHashMap, FxHashSet};
 
 use hollowpaddle_ordered_collections::total::Total;
-use hollowpaddle_policy::asking::Asking;
 use hollowpaddle_policy::interface::*;
+use hollowpaddle_policy::list_polling::Asking;
 
 use super::state::*;
 
@@ -126,12 +126,14 @@
 impl Figures for Settings {
     /// T_QoS: one target for all, the mean of the class aims.
     fn t_qos(&self) -> f64 {
-        self.classes.iter().map(|c| c.aim.f()).sum::<f64>() / self.classes.len() as f64
+        self.classes.iter().map(|c| c.latency_objective.f()).sum::<f64>()
+            / self.classes.len() as f64
     }
 
     fn sweep_every(&self) -> Span {
-        let aim = self.classes.iter().map(|c| c.aim.0).min().unwrap_or(0);
-        Span(((aim as f64 * SWEEP_OF_AIM) as i64).max(self.tick.0))
+        let latency_objective =
+            self.classes.iter().map(|c| c.latency_objective.0).min().unwrap_or(0);
+        Span(((latency_objective as f64 * SWEEP_OF_AIM) as i64).max(self.tick.0))
     }
 }
 
@@ -535,13 +537,13 @@
         }
         // A held request is worth holding only while its aim can be met, also where a late answer keeps some
         // worth: else, in lasting overload, the whole queue is served late.
-        let aim_at = r.drop_dead.min(now.plus(class.aim));
-        let worth_until = if class.late_worth > 0.0 { r.drop_dead } else { aim_at };
+        let aim_at = r.send_deadline.min(now.plus(class.latency_objective));
+        let worth_until = if class.late_priority_weight > 0.0 { r.send_deadline } else { aim_at };
         // Two sweeps early: a refusal must come while it is still harmless.
         let hold_until = aim_at.plus(Span(-2 * self.settings.sweep_every().0));
         let entry = Entry {
             class: r.class,
-            drop_dead: r.drop_dead,
+            send_deadline: r.send_deadline,
             worth_until,
             hold_until,
             held: false,
@@ -592,9 +594,9 @@
     fn refresh_admission(&mut self) {
         let f = &mut self.fleet;
         let classes = &self.settings.classes;
-        let bear = |(c, m): (&Class, &f64)| c.aim.f() * HOLD_OF_AIM - m;
+        let bear = |(c, m): (&Class, &f64)| c.latency_objective.f() * HOLD_OF_AIM - m;
         f.bearable = classes.iter().zip(&f.mean).map(bear).fold(f64::MAX, f64::min).max(0.0);
-        let value = |c: usize, m: &[f64]| classes[c].worth / m[c].max(1.0);
+        let value = |c: usize, m: &[f64]| classes[c].priority_weight / m[c].max(1.0);
         for c in 0..classes.len() {
             let mine = value(c, &f.mean);
             let below = (0..classes.len()).filter(|&o| value(o, &f.mean) < mine).count();
@@ -781,7 +783,7 @@
         if s.status != Status::Live || !self.open_to(Some(e.class), s) {
             return false;
         }
-        if e.ended || now >= e.drop_dead || e.attempts.len() >= limits.max_attempts {
+        if e.ended || now >= e.send_deadline || e.attempts.len() >= limits.max_attempts {
             return false;
         }
         let there = |a: &Attempt| a.fate == Fate::Out && a.server == server;
@@ -802,7 +804,7 @@
         let class = &self.settings.classes[e.class];
         let repeat = |a: &&Attempt| a.fate != Fate::NeverRan && class.effect == Effect::Keyed;
         let ends = e.attempts.iter().filter(repeat).map(|a| a.sent.plus(class.window));
-        ends.chain([e.drop_dead]).min().unwrap_or(e.drop_dead)
+        ends.chain([e.send_deadline]).min().unwrap_or(e.send_deadline)
     }
 
     fn same_group(&self, group: Group, a: usize, b: usize) -> bool {
@@ -923,7 +925,7 @@
         let class = &self.settings.classes[e.class];
         let (mean, dev) = (self.fleet.mean[e.class], self.fleet.dev[e.class]);
         if mean == 0.0 {
-            return (a.sent.plus(class.aim), a.sent.plus(class.aim));
+            return (a.sent.plus(class.latency_objective), a.sent.plus(class.latency_objective));
         }
         let patience = mean + PATIENCE * dev;
         let left = e.hold_until.since(a.sent).f() - mean;
@@ -1034,11 +1036,11 @@
     fn cold_share(&self, now: Time, s: &Server) -> Option<f64> {
         let age = now.since(s.started?);
         let rules = &self.settings.rules;
-        if age >= rules.cold {
+        if age >= rules.warm_up {
             return None;
         }
-        let grown = (age.f() / rules.cold.f()).max(0.0);
-        Some(rules.cold_from + (1.0 - rules.cold_from) * grown)
+        let grown = (age.f() / rules.warm_up.f()).max(0.0);
+        Some(rules.warm_up_initial_share + (1.0 - rules.warm_up_initial_share) * grown)
     }
 
     fn cold_allows(&self, now: Time, s: &Server) -> bool {
@@ -1116,7 +1118,7 @@
         }
         self.fleet.paced = self.fleet.ts;
         let window = self.settings.rules.tip_after.f().max(1.0);
-        let cold = self.settings.rules.cold.f().max(1.0);
+        let cold = self.settings.rules.warm_up.f().max(1.0);
         let f = &mut self.fleet;
         let decay = (-elapsed / window).exp();
         f.warm_served.iter_mut().for_each(|w| *w *= decay);
@@ -1215,11 +1217,13 @@
             Event::Members { kind, list } => self.members(now, kind, list, out),
             Event::Request(r) => self.request(now, r, out),
             Event::Answered(a) => self.outcome(now, a, out),
-            Event::Started(id) | Event::Left(id) => self.end(id),
+            Event::Started(id) | Event::ClientLeft(id) => self.end(id),
             // It knows of no request whose body still comes.
-            Event::Whole { .. } => {}
+            Event::BodyReceived { .. } => {}
             Event::Timer(token) => self.timer(now, token, out),
-            Event::TurnedAway | Event::ListExpired => unreachable!("no crowded discovery here"),
+            Event::ListCallRejected | Event::ListExpired => {
+                unreachable!("no crowded discovery here")
+            }
             Event::Probed { .. } => {}
         }
     }
@@ -1258,7 +1262,7 @@
     }
 
     fn ask_for_list(&mut self, now: Time, out: &mut Vec<Action>) {
-        if self.settings.must_ask && self.ask.asks(now) {
+        if self.settings.polls_list && self.ask.asks(now) {
             out.push(Action::Subscribe);
             self.arm_ask(out);
         }
@@ -1276,7 +1280,7 @@
                 return self.arm_ask(out);
             }
             ListKind::Restored | ListKind::Aside => {}
-            ListKind::Update | ListKind::Whole => self.ask.told(),
+            ListKind::Update | ListKind::Complete => self.ask.told(),
         }
         let before: Vec<Status> = self.servers.iter().map(|s| s.status).collect();
         self.listed.clear();
--- a/crates/policy/tests/scanning/state.rs
+++ b/crates/policy/tests/scanning/state.rs
@@ -33,7 +33,7 @@
 #[derive(Debug)]
 pub(crate) struct Entry {
     pub(crate) class: usize,
-    pub(crate) drop_dead: Time,
+    pub(crate) send_deadline: Time,
     /// When an answer stops being worth anything.
     pub(crate) worth_until: Time,
     /// When a held request must be given up.
--- a/crates/policy/tests/service_fleet/mod.rs
+++ b/crates/policy/tests/service_fleet/mod.rs
@@ -57,14 +57,14 @@
 pub fn settings(classes: usize, tenants: usize) -> Settings {
     let class = |kind: usize| Class {
         kinds: Some(vec![kind as u32]),
-        worth: 1.0 + (kind % 7) as f64,
+        priority_weight: 1.0 + (kind % 7) as f64,
         ..Class::safe(Span(200_000), Span(1_000_000))
     };
     let mut s = Settings::basic((0..classes).map(class).collect());
     s.zones = ZONES;
     s.tenants = vec![Tenant { quota_rps: 10.0, share: 0.0 }; tenants];
-    s.rules.cold_from = 0.2;
-    s.rules.cold = Span(15_000_000);
+    s.rules.warm_up_initial_share = 0.2;
+    s.rules.warm_up = Span(15_000_000);
     s.rules.fall_multiple = 4.0;
     s.rules.tip_after = Span(2_000_000);
     s
--- a/crates/policy/tests/start.rs
+++ b/crates/policy/tests/start.rs
@@ -29,17 +29,17 @@
 }
 
 fn settings(classes: usize, balancers: u32) -> Settings {
-    let class = |aim: i64, worth| Class {
-        worth,
-        late_worth: 0.5,
-        ..Class::safe(Span(aim * MS), Span(aim * 5 / 2 * MS))
+    let class = |latency_objective: i64, priority_weight| Class {
+        priority_weight,
+        late_priority_weight: 0.5,
+        ..Class::safe(Span(latency_objective * MS), Span(latency_objective * 5 / 2 * MS))
     };
     let mut s = Settings::basic(
         [class(1120, 2.0), class(1120, 5.0), class(740, 8.0)].into_iter().take(classes).collect(),
     );
     s.balancers = balancers;
-    s.rules.cold_from = 0.2;
-    s.rules.cold = Span(15_000 * MS);
+    s.rules.warm_up_initial_share = 0.2;
+    s.rules.warm_up = Span(15_000 * MS);
     s.rules.fall_multiple = 4.0;
     s.rules.tip_after = Span(2000 * MS);
     s
@@ -53,7 +53,7 @@
         let name = |i: u32| u64::from(i).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let member = |i| Member { identity: name(i), ..Member::live(ServerId(i)) };
         let list: Vec<Member> = (0..upstreams).map(member).collect();
-        m.tell(Event::Members { kind: ListKind::Whole, list: &list });
+        m.tell(Event::Members { kind: ListKind::Complete, list: &list });
         (0..clients).for_each(|i| m.due.push(Reverse((i as i64 * 100, Due::Client))));
         m
     }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -64,12 +64,12 @@
             class: m.tier_class,
             tenant: m.party,
             key: key.map(key_hash),
-            drop_dead: time(m.drop_dead),
+            send_deadline: time(m.send_deadline),
             cost_guess: m.cost_guess.map(span),
             resent: m.resent,
             write: m.write,
             flows: false,
-            pod: None,
+            sticky_cell: None,
         };
         let name: Box<str> = m.job.as_ref().into();
         self.by_name.insert(name.clone(), self.next_job);
@@ -113,7 +113,7 @@
 
     pub fn left(&mut self, now: Time, job: &str, out: &mut Vec<u8>) {
         let Some(&handle) = self.by_name.get(job) else { return };
-        self.balancer.handle(now, Event::Left(RequestId(handle)), &mut self.actions);
+        self.balancer.handle(now, Event::ClientLeft(RequestId(handle)), &mut self.actions);
         self.jobs.entry(handle).and_modify(|j| j.over = true);
         self.flush(out);
         self.forget(handle);
@@ -141,7 +141,7 @@
         members.extend(m.lines.iter().map(|line| self.member(line)));
         let kind = match m.kind {
             wire::ListKind::Update => d::ListKind::Update,
-            wire::ListKind::Replace => d::ListKind::Whole,
+            wire::ListKind::Replace => d::ListKind::Complete,
             wire::ListKind::Restored => d::ListKind::Restored,
             wire::ListKind::Unavailable => d::ListKind::Unavailable,
         };
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -54,7 +54,8 @@
     pub party: usize,
     #[serde(borrow, default)]
     pub object: Option<Text<'a>>,
-    pub drop_dead: f64,
+    #[serde(rename = "DropDead")]
+    pub send_deadline: f64,
     #[serde(default)]
     pub cost_guess: Option<f64>,
     #[serde(default)]
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -36,8 +36,8 @@
          "CapacityHint": 1}]}})
 }
 
-fn order(who: u64, job: &str, drop_dead: f64) -> Value {
-    json!({"Order": {"Who": who, "Job": job, "TierClass": 0, "DropDead": drop_dead}})
+fn order(who: u64, job: &str, send_deadline: f64) -> Value {
+    json!({"Order": {"Who": who, "Job": job, "TierClass": 0, "DropDead": send_deadline}})
 }
 
 fn replies(output: &Output) -> Vec<Value> {
