--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -30,12 +30,12 @@
 use crate::closing::{CloseReason, close};
 use crate::config::{Budget, Config};
 use crate::connections::{Connections, Seat};
-use crate::dozes::Dozes;
 use crate::engine::{Arrival, Handle, Reply};
 use crate::flow::Flow;
 use crate::http::{HEAD_LIMIT, HEAD_LINES};
 use crate::invariants::{Invariant, Violations};
 use crate::relay::AnswerBody;
+use crate::sleepers::Sleepers;
 use crate::stream::{Cancellation, LookAhead, RawHead, Shared, Tapped};
 use crate::tasks::Word;
 use crate::upstreams::{Forward, Onward};
@@ -83,7 +83,7 @@
     connections: Rc<Connections>,
     open_ids: RefCell<FxHashSet<TenantRequest>>,
     bodies: Allowance,
-    dozes: Rc<Dozes>,
+    sleepers: Rc<Sleepers>,
     /// The process ends.
     stopping: Cell<bool>,
     /// By when all is answered, once it does.
@@ -159,7 +159,7 @@
             connections: Connections::new(budget.clients, budget.clients_at_ease),
             open_ids: RefCell::default(),
             bodies: Allowance::new(config.memory / BODIES_OF_MEMORY),
-            dozes: Rc::default(),
+            sleepers: Rc::default(),
             stopping: Cell::new(false),
             ends: Cell::new(None),
             quiesced: Cell::new(false),
@@ -210,7 +210,7 @@
     /// All requests of one connection, which is told to close by `closing`.
     async fn converse(self: Rc<Self>, io: Tapped, stream: Shared, seat: Seat, closing: Rc<Word>) {
         let known = seat.connection();
-        let raw = RawHead::new(&self.dozes);
+        let raw = RawHead::new(&self.sleepers);
         let ahead = LookAhead::default();
         let io = io.keeping(&raw, &ahead);
         let service = service_fn(|request| self.respond(request, &seat, &raw, &ahead, &stream));
--- a/crates/gateway/src/cluster/durable.rs
+++ b/crates/gateway/src/cluster/durable.rs
@@ -12,7 +12,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::cluster::Stored;
-use crate::cluster::shell::DurableLog;
+use crate::cluster::runtime::DurableLog;
 
 /// A charter is as old as it is: its generation says whether it counts.
 const UNDATED: Duration = Duration::ZERO;
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -1,11 +1,11 @@
 //! The bank as this balancer is one of it: what others have agreed on, and what they are told from here. Its machines run
 //! on a thread of their own; here is what the rest of the balancer has to do with them.
 
-pub mod door;
+pub mod admin_api;
 mod durable;
 pub mod machine;
 mod published;
-mod shell;
+mod runtime;
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -28,7 +28,7 @@
 pub use durable::open;
 pub use machine::{Machine, Setup, SetupError};
 pub use published::{Held, PublishedPolicy};
-pub use shell::{Call, DurableLog, Shell};
+pub use runtime::{Call, DurableLog, Runtime};
 
 /// The bank as the engine knows it: that there are rules, not where they come from.
 pub trait PolicyReader {
@@ -103,7 +103,7 @@
     pub fallback_policy: Option<(Generation, FallbackPolicy)>,
 }
 
-/// Both ends of a balancer's part of the bank: what serves has the [`Link`], what runs the [`Shell`] may be another thread.
+/// Both ends of a balancer's part of the bank: what serves has the [`Link`], what runs the [`Runtime`] may be another thread.
 /// `incarnation` names this process, and is drawn at its start.
 ///
 /// # Errors
@@ -114,7 +114,7 @@
     incarnation: u32,
     stored: Option<Stored>,
     points: Points,
-) -> Result<(Link, Shell), SetupError> {
+) -> Result<(Link, Runtime), SetupError> {
     let (durable_log, found, fallback_policy) = match stored {
         Some(Stored { durable_log, found, fallback_policy }) => {
             (Some(durable_log), found, fallback_policy)
@@ -132,7 +132,7 @@
     };
     let stated = cluster.mandatory_fallback.as_deref().unwrap_or_default();
     let mandatory_fallback = match &cluster.mandatory_fallback {
-        None => door::default_mandatory_fallback(&cells),
+        None => admin_api::default_mandatory_fallback(&cells),
         Some(stated) => named(stated),
     };
     let mut chartered = named(cluster.fallback_policy.as_deref().unwrap_or_default());
@@ -171,7 +171,7 @@
     let (calls, called) = mpsc::unbounded_channel();
     let (lists, listed) = mpsc::unbounded_channel();
     let reader = Reader { published: published.clone(), epoch, lists };
-    let shell = Shell {
+    let shell = Runtime {
         machine,
         epoch,
         listen: cluster.listen,
--- a/crates/gateway/src/cluster/shell.rs
+++ b/crates/gateway/src/cluster/runtime.rs
@@ -18,7 +18,7 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::cluster::door::{AdminRequest, AdminResponse};
+use crate::cluster::admin_api::{AdminRequest, AdminResponse};
 use crate::cluster::machine::{Action, Event, Machine};
 use crate::cluster::published::PublishedPolicy;
 use crate::cluster::{Listed, News};
@@ -70,7 +70,7 @@
 }
 
 /// The machine, and all that it is on.
-pub struct Shell {
+pub struct Runtime {
     /// The machine.
     pub machine: Machine,
     /// When its clock began.
@@ -117,7 +117,7 @@
     ends: Option<Instant>,
 }
 
-impl Shell {
+impl Runtime {
     /// Runs for as long as it is polled.
     pub async fn run(mut self, network: Rc<dyn Network>) {
         let mut socket = loop {
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -11,14 +11,12 @@
 pub mod config;
 mod connections;
 mod discovery;
-mod dozes;
 mod engine;
 mod flow;
 mod freshness;
 mod guard;
 mod http;
 mod invariants;
-mod kept;
 #[doc(hidden)]
 pub mod list_reader;
 pub mod members;
@@ -29,8 +27,10 @@
 mod relay;
 mod restored_list;
 mod serve;
+mod sleepers;
 #[doc(hidden)] // for the measurements in `tests/list_memory.rs`
 pub mod start_times;
+mod state_store;
 mod stream;
 mod subsetting;
 mod tasks;
@@ -40,6 +40,6 @@
 
 pub use config::{Config, ConfigError};
 pub use engine::EngineError;
-pub use kept::{Keep, Kept};
 pub use operators::Operating;
 pub use serve::{Provided, ServeError, serve};
+pub use state_store::{Keep, Kept};
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -21,7 +21,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::cluster::door::{self, AdminRequest, AdminResponse};
+use crate::cluster::admin_api::{self, AdminRequest, AdminResponse};
 use crate::config::CALLERS;
 use crate::http::{HEAD_LIMIT, HEAD_LINES};
 use crate::tasks::AbortOnDrop;
@@ -291,7 +291,7 @@
         request: Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
         let (head, body) = request.into_parts();
-        let banks = door::is_ours(head.uri.path());
+        let banks = admin_api::is_ours(head.uri.path());
         let limit = if banks { hollowpaddle_revision::document::LONGEST_JSON } else { BODY_LIMIT };
         let Ok(body) = Limited::new(body, limit).collect().await else {
             return Ok(word(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long or ends early"));
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -12,13 +12,13 @@
 use tokio::sync::{mpsc, oneshot};
 
 use crate::clients::Front;
-use crate::cluster::door::{AdminRequest, AdminResponse, facts};
+use crate::cluster::admin_api::{AdminRequest, AdminResponse, facts};
 use crate::cluster::{Call, Link, PolicyReader};
 use crate::config::Config;
 use crate::engine::{Door, Engine, EngineError};
-use crate::kept::{Keeper, Kept, Recovered};
 use crate::members::List;
 use crate::operators::{Operated, Operating, Operators};
+use crate::state_store::{Keeper, Kept, Recovered};
 use crate::tasks::AbortOnDrop;
 use crate::upstreams::Pool;
 
--- a/crates/gateway/src/dozes.rs
+++ b/crates/gateway/src/sleepers.rs
@@ -15,19 +15,19 @@
 const BEHIND: Duration = Duration::from_secs(1);
 
 /// When clients' bytes were read last, by any connection.
-pub struct Dozes {
+pub struct Sleepers {
     last: Cell<Instant>,
     /// The last stretch in which nothing was read.
     doze: Cell<Option<(Instant, Instant)>>,
 }
 
-impl Default for Dozes {
+impl Default for Sleepers {
     fn default() -> Self {
         Self { last: Cell::new(Instant::now()), doze: Cell::new(None) }
     }
 }
 
-impl Dozes {
+impl Sleepers {
     /// Something was read just now: how long it had waited for that. `told` says how long its last bytes have been
     /// there; nobody can have waited since before the last read.
     pub fn read(&self, told: impl FnOnce() -> Option<Duration>) -> Duration {
@@ -54,20 +54,20 @@
 
     #[tokio::test(start_paused = true)]
     async fn only_who_read_nothing_for_long_asks_and_for_a_while_only() {
-        let dozes = Dozes::default();
+        let sleepers = Sleepers::default();
         let told = |waited: Duration| move || Some(waited);
         let never = || -> Option<Duration> { panic!("a busy one pays nothing for this") };
         advance(100 * MS).await;
-        assert_eq!(dozes.read(never), Duration::ZERO);
+        assert_eq!(sleepers.read(never), Duration::ZERO);
         advance(3000 * MS).await;
-        assert_eq!(dozes.read(told(1200 * MS)), 1200 * MS);
+        assert_eq!(sleepers.read(told(1200 * MS)), 1200 * MS);
         advance(10 * MS).await;
-        assert_eq!(dozes.read(told(9000 * MS)), 3010 * MS, "it would have been read before");
-        assert_eq!(dozes.read(|| None), Duration::ZERO, "where nobody can tell");
+        assert_eq!(sleepers.read(told(9000 * MS)), 3010 * MS, "it would have been read before");
+        assert_eq!(sleepers.read(|| None), Duration::ZERO, "where nobody can tell");
         for _ in 0..10 {
             advance(100 * MS).await;
-            dozes.read(told(MS));
+            sleepers.read(told(MS));
         }
-        assert_eq!(dozes.read(never), Duration::ZERO);
+        assert_eq!(sleepers.read(never), Duration::ZERO);
     }
 }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -14,9 +14,9 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::Instant;
 
-use crate::dozes::Dozes;
 use crate::guard::SendGuard;
 use crate::http::{HEAD_LIMIT, HEAD_LINES};
+use crate::sleepers::Sleepers;
 
 /// So many bytes are read ahead at once.
 const CHUNK: usize = 4 << 10;
@@ -78,7 +78,7 @@
 /// The head of the message that comes on a stream, as it came. Failure: hyper drops a `Content-Length` beside a
 /// `Transfer-Encoding` without a word, and whoever hides a second request in a body sends both.
 #[derive(Clone)]
-pub struct RawHead(Rc<RefCell<Kept>>, Rc<Dozes>);
+pub struct RawHead(Rc<RefCell<Kept>>, Rc<Sleepers>);
 
 #[derive(Default)]
 struct Kept {
@@ -89,9 +89,9 @@
 }
 
 impl RawHead {
-    /// For one connection of a process whose `dozes` are known.
-    pub fn new(dozes: &Rc<Dozes>) -> Self {
-        Self(Rc::default(), dozes.clone())
+    /// For one connection of a process whose `sleepers` are known.
+    pub fn new(sleepers: &Rc<Sleepers>) -> Self {
+        Self(Rc::default(), sleepers.clone())
     }
 
     /// How long what was read last had waited to be read, because this process did not run.
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use hollowpaddle_failpoints::Points;
-use hollowpaddle_gateway::cluster::{self, Link, Shell, Stored};
+use hollowpaddle_gateway::cluster::{self, Link, Runtime, Stored};
 use hollowpaddle_gateway::config::ClusterConfig;
 use hollowpaddle_gateway::{Config, Kept, Operating, Provided, serve};
 use hollowpaddle_net::{Listener, Network, Tcp};
@@ -182,7 +182,7 @@
 }
 
 /// Runs until nobody has a hand on it any more.
-fn run_bank(shell: Shell) {
+fn run_bank(shell: Runtime) {
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
     match runtime {
         Ok(runtime) => LocalSet::new().block_on(&runtime, shell.run(Rc::new(Tcp))),
