--- a/crates/gateway/src/bank/door.rs
+++ b/crates/gateway/src/bank/door.rs
@@ -584,3 +584,6 @@
         groups.into_iter().map(group).take(hollowpaddle_revision::fleet::MOST_GROUPS).collect();
     facts
 }
+
+#[cfg(test)]
+mod tests;
--- /dev/null
+++ b/crates/gateway/src/bank/door/tests.rs
@@ -0,0 +1,39 @@
+//! The words for states in answers of the admin API, each of them.
+
+use hollowpaddle_council::Standing;
+
+use super::*;
+
+/// The image of a policy log with a revision of each origin and in each state: five revisions numbered 0, 11, 13,
+/// 17 and 19 with the same empty document. Its form knows variants by their place, not by their name.
+const IMAGE: &[u8] = &[
+    1, 1, 1, 0, 0, 1, 1, 0, 0, 1, 0, 1, 20, 19, 1, 13, 1, 17, 1, 19, 19, 0, 0, 1, 0, 0, 0, 0, 0, 0,
+    0, 0, 0, 3, 100, 0, 0, 0, 5, 0, 0, 0, 1, 3, 11, 11, 0, 1, 178, 80, 1, 4, 13, 13, 0, 2, 178, 80,
+    11, 0, 17, 0, 3, 13, 0, 0, 19, 0, 3, 13, 1, 250, 1, 0, 0,
+];
+
+/// Of `GET /admin/revisions`, the newest first.
+const REVISIONS: &str = include_str!("revisions.json");
+
+#[test]
+fn each_origin_and_state_of_a_revision_has_this_word() {
+    let book = Book::from_image(IMAGE).expect("an image");
+    let expected: Value = serde_json::from_str(REVISIONS).expect("JSON");
+    assert_eq!(revisions(&book), expected);
+}
+
+#[test]
+fn each_standing_of_a_voter_has_this_word() {
+    let words = [
+        (Standing::Outside, "outside"),
+        (Standing::Blank, "blank"),
+        (Standing::Waking, "waking"),
+        (Standing::Changing, "changing"),
+        (Standing::Normal, "normal"),
+        (Standing::Mute, "mute"),
+    ];
+    for (standing, word) in words {
+        // As `bank` writes it.
+        assert_eq!(format!("{standing:?}").to_lowercase(), word);
+    }
+}
