--- /dev/null
+++ b/crates/gateway/tests/formats/stored_files.rs
@@ -0,0 +1,43 @@
+//! Files of the cluster's part of a state directory, as an earlier build has written them.
+
+use std::fs;
+use std::path::Path;
+
+use hollowpaddle_faultpoints::Points;
+use hollowpaddle_gateway::bank::open;
+use hollowpaddle_peers::Member;
+
+/// As written by balancer `n0`, number 0 of the cluster of this identity.
+const LOG: &[u8] = include_bytes!("state/council.log");
+const FALLBACK_POLICY: &str = include_str!("state/snapshot");
+const CLUSTER_ID: u64 = 0x14ae_4031_ab1a_dfd6;
+
+#[test]
+fn stored_log_and_fallback_policy_are_read_and_written_again() {
+    let directory = tempfile::tempdir().expect("a directory");
+    fs::write(directory.path().join("council.log"), LOG).expect("written");
+    fs::write(directory.path().join("snapshot"), FALLBACK_POLICY).expect("written");
+    let points = Points::none();
+    let mut stored =
+        open(directory.path(), CLUSTER_ID, Member(0), "n0", &points).expect("a directory");
+    let found = stored.found.expect("a log");
+    assert_eq!((found.written, found.state.is_some()), (3, true));
+    let (generation, policy) = stored.charter.expect("a fallback policy");
+    assert_eq!(serde_json::to_string(&generation).expect("JSON"), r#"{"epoch":638340,"index":0}"#);
+    assert_eq!(
+        serde_json::to_string(&policy).expect("JSON"),
+        r#"{"pods":[0],"except":[],"attempts":1}"#
+    );
+    stored.durably.keep(generation, &policy).expect("written");
+    assert_eq!(payload(&directory.path().join("snapshot")), payload_of(FALLBACK_POLICY));
+    assert_eq!(fs::read(directory.path().join("council.log")).expect("a file"), LOG);
+}
+
+fn payload(path: &Path) -> String {
+    payload_of(&fs::read_to_string(path).expect("a file")).to_string()
+}
+
+/// What lies behind the first line.
+fn payload_of(text: &str) -> &str {
+    text.split_once('\n').expect("a first line").1
+}
