--- a/crates/gateway/src/bank/door/tests.rs
+++ b/crates/gateway/src/cluster/admin_api/tests.rs
@@ -1,6 +1,6 @@
 //! The words for states in answers of the admin API, each of them.
 
-use hollowpaddle_council::Standing;
+use hollowpaddle_consensus::ReplicaStatus;
 
 use super::*;
 
@@ -17,23 +17,23 @@
 
 #[test]
 fn each_origin_and_state_of_a_revision_has_this_word() {
-    let book = Book::from_image(IMAGE).expect("an image");
+    let policy = PolicyState::from_image(IMAGE).expect("an image");
     let expected: Value = serde_json::from_str(REVISIONS).expect("JSON");
-    assert_eq!(revisions(&book), expected);
+    assert_eq!(revisions(&policy), expected);
 }
 
 #[test]
-fn each_standing_of_a_voter_has_this_word() {
+fn each_status_of_a_voter_has_this_word() {
     let words = [
-        (Standing::Outside, "outside"),
-        (Standing::Blank, "blank"),
-        (Standing::Waking, "waking"),
-        (Standing::Changing, "changing"),
-        (Standing::Normal, "normal"),
-        (Standing::Mute, "mute"),
+        (ReplicaStatus::Outside, "outside"),
+        (ReplicaStatus::Blank, "blank"),
+        (ReplicaStatus::Waking, "waking"),
+        (ReplicaStatus::Changing, "changing"),
+        (ReplicaStatus::Normal, "normal"),
+        (ReplicaStatus::Mute, "mute"),
     ];
-    for (standing, word) in words {
-        // As `bank` writes it.
-        assert_eq!(format!("{standing:?}").to_lowercase(), word);
+    for (status, word) in words {
+        // As `cluster` writes it.
+        assert_eq!(status.to_string(), word);
     }
 }
--- a/crates/gateway/tests/formats/stored_files.rs
+++ b/crates/gateway/tests/formats/stored_files.rs
@@ -3,9 +3,9 @@
 use std::fs;
 use std::path::Path;
 
-use hollowpaddle_faultpoints::Points;
-use hollowpaddle_gateway::bank::open;
-use hollowpaddle_peers::Member;
+use hollowpaddle_failpoints::Points;
+use hollowpaddle_gateway::cluster::open;
+use hollowpaddle_peer_transport::NodeId;
 
 /// As written by balancer `n0`, number 0 of the cluster of this identity.
 const LOG: &[u8] = include_bytes!("state/council.log");
@@ -19,16 +19,16 @@
     fs::write(directory.path().join("snapshot"), FALLBACK_POLICY).expect("written");
     let points = Points::none();
     let mut stored =
-        open(directory.path(), CLUSTER_ID, Member(0), "n0", &points).expect("a directory");
+        open(directory.path(), CLUSTER_ID, NodeId(0), "n0", &points).expect("a directory");
     let found = stored.found.expect("a log");
     assert_eq!((found.written, found.state.is_some()), (3, true));
-    let (generation, policy) = stored.charter.expect("a fallback policy");
+    let (generation, policy) = stored.fallback_policy.expect("a fallback policy");
     assert_eq!(serde_json::to_string(&generation).expect("JSON"), r#"{"epoch":638340,"index":0}"#);
     assert_eq!(
         serde_json::to_string(&policy).expect("JSON"),
         r#"{"pods":[0],"except":[],"attempts":1}"#
     );
-    stored.durably.keep(generation, &policy).expect("written");
+    stored.durable_log.keep(generation, &policy).expect("written");
     assert_eq!(payload(&directory.path().join("snapshot")), payload_of(FALLBACK_POLICY));
     assert_eq!(fs::read(directory.path().join("council.log")).expect("a file"), LOG);
 }
