--- a/crates/checker/src/bank/mod.rs
+++ b/crates/checker/src/bank/mod.rs
@@ -40,7 +40,7 @@
 use crate::Case;
 use words::Words;
 
-/// T: the longest contradiction that a bank promises, in seconds (docs/design/bank.md).
+/// T: the longest contradiction that a bank promises, in seconds (docs/design/cluster.md).
 pub const BOUND: f64 = 3.0;
 /// Contradictions that are told in full.
 const TOLD: usize = 20;
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -451,7 +451,7 @@
 
 #[test]
 fn a_bank_of_three_hundred_pushes_no_cold_upstream_over() {
-    // Those days on which the pace alone holds them back. All others too: see docs/design/cold.md.
+    // Those days on which the pace alone holds them back. All others too: see docs/design/slow-start.md.
     let mut days = days(300, 200);
     days.retain(|day| day.greed.is_some_and(|after| after < 8 * SECOND) && day.cold >= 100);
     days.retain(|day| day.alone.is_some() || day.restarts && day.cold == 200);
--- a/crates/scale-harness/src/bin/fit-line.rs
+++ b/crates/scale-harness/src/bin/fit-slope.rs
@@ -1,5 +1,5 @@
 //! Fits a line to lines of JSON, as the measuring programs print them, and prints it as JSON:
-//! `fit-line COUNT VALUE [BUDGET] [FIELD=VALUE]... < FILE`.
+//! `fit-slope COUNT VALUE [BUDGET] [FIELD=VALUE]... < FILE`.
 //!
 //! `COUNT`, `VALUE` and `FIELD` name fields by their path (`rest.bytes_mean`). Lines that lack the count or the value,
 //! or whose field has another value than the one that is asked for, are passed over.
@@ -10,7 +10,7 @@
 use hollowpaddle_scale_harness::fit::{Line, Point};
 use serde_json::{Value, json};
 
-const USAGE: &str = "usage: fit-line COUNT VALUE [BUDGET] [FIELD=VALUE]... < FILE";
+const USAGE: &str = "usage: fit-slope COUNT VALUE [BUDGET] [FIELD=VALUE]... < FILE";
 
 /// What is asked for.
 struct Request {
@@ -75,7 +75,7 @@
             ExitCode::SUCCESS
         }
         Err(cause) => {
-            eprintln!("fit-line: {cause}");
+            eprintln!("fit-slope: {cause}");
             ExitCode::FAILURE
         }
     }
--- a/crates/scale-harness/tests/fit_line.rs
+++ b/crates/scale-harness/tests/fit_slope.rs
@@ -13,7 +13,7 @@
 "#;
 
 fn fit(arguments: &[&str]) -> Output {
-    let mut child = Command::new(env!("CARGO_BIN_EXE_fit-line"))
+    let mut child = Command::new(env!("CARGO_BIN_EXE_fit-slope"))
         .args(arguments)
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
--- a/tests/node/leaving.rs
+++ b/tests/node/leaving.rs
@@ -91,7 +91,7 @@
             let port = leaves.local_addr().expect("bound").port();
             leaves.write_all(alarm("left", 5000, "x").as_bytes()).expect("written");
             leaves.write_all(&behind).expect("written");
-            // A close is told no other than the end of one's sending: see docs/design/leaving.md.
+            // A close is told no other than the end of one's sending: see docs/design/client-disconnects.md.
             leaves.shutdown(Shutdown::Write).expect("open");
             closed(&node, port);
             if !half {
