--- a/crates/checker/src/bank/words.rs
+++ b/crates/checker/src/cluster/admin_answers.rs
@@ -4,8 +4,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use hollowpaddle_scenario::plan::Machine;
-use hollowpaddle_scenario::record::{At, Seen};
-use hollowpaddle_scenario::scenario::{FaultKind, Scenario, Verb};
+use hollowpaddle_scenario::record::{At, Observation};
+use hollowpaddle_scenario::scenario::{FaultKind, OperatorVerb, Scenario};
 use serde_json::Value;
 
 use crate::Case;
@@ -89,7 +89,7 @@
 
 /// All that doors said, and who was struck when.
 #[derive(Default)]
-pub(super) struct Words {
+pub(super) struct AdminAnswers {
     pub(super) contents: BTreeMap<Number, Content>,
     /// Numbers of which two contents were told.
     pub(super) twofold: BTreeSet<Number>,
@@ -117,7 +117,7 @@
 
 const EVER: At = At(u64::MAX);
 
-impl Words {
+impl AdminAnswers {
     /// All of a day.
     pub(super) fn of(case: &Case) -> Self {
         let count = case.scenario.bank.count;
@@ -135,21 +135,29 @@
         let mut answered: Vec<(At, usize, u64, Option<At>, bool)> = Vec::new();
         for line in case.trace {
             match &line.seen {
-                Seen::Said { call, verb, member, balancer: _, .. } => {
+                Observation::Said { call, verb, member, balancer: _, .. } => {
                     said.entry(*call).or_insert(line.at);
-                    if let Some(member) = member.filter(|m| *m < count && *verb == Verb::Dead) {
+                    if let Some(member) =
+                        member.filter(|m| *m < count && *verb == OperatorVerb::Dead)
+                    {
                         all.dead[member].push((line.at, EVER));
                     }
                 }
-                Seen::Heard {
-                    call, balancer, verb, status: Some(200), number, everywhere, ..
+                Observation::Heard {
+                    call,
+                    balancer,
+                    verb,
+                    status: Some(200),
+                    number,
+                    everywhere,
+                    ..
                 } => {
                     if let Some(number) = number.filter(|_| verb.revises()) {
                         let asked = said.get(call).copied();
                         answered.push((line.at, *balancer, number, asked, *everywhere));
                     }
                 }
-                Seen::Revision { epoch, number, document, .. } => {
+                Observation::Revision { epoch, number, document, .. } => {
                     let next = logs.len() as u32;
                     let log = *logs.entry(*epoch).or_insert(next);
                     let (content, number) = (Content::of(document), (log, *number));
@@ -160,7 +168,7 @@
                         None => drop(all.contents.insert(number, content)),
                     }
                 }
-                Seen::Stands {
+                Observation::Stands {
                     balancer,
                     start,
                     asked,
@@ -273,28 +281,32 @@
         };
         for line in case.trace {
             match &line.seen {
-                Seen::Paused { balancer, .. } => frozen[*balancer].push((line.at, EVER)),
-                Seen::Resumed { balancer, .. } => close(&mut frozen[*balancer], line.at),
-                Seen::CutOff { balancer, begins: true } => cut[*balancer].push((line.at, EVER)),
-                Seen::CutOff { balancer, begins: false } => close(&mut cut[*balancer], line.at),
-                Seen::Started { balancer, start } => {
+                Observation::Paused { balancer, .. } => frozen[*balancer].push((line.at, EVER)),
+                Observation::Resumed { balancer, .. } => close(&mut frozen[*balancer], line.at),
+                Observation::CutOff { balancer, begins: true } => {
+                    cut[*balancer].push((line.at, EVER))
+                }
+                Observation::CutOff { balancer, begins: false } => {
+                    close(&mut cut[*balancer], line.at)
+                }
+                Observation::Started { balancer, start } => {
                     self.runs.insert((*balancer, *start), (line.at, EVER));
                 }
-                Seen::Killed { balancer, start }
-                | Seen::Stopping { balancer, start }
-                | Seen::Exited { balancer, start, .. } => {
+                Observation::Killed { balancer, start }
+                | Observation::Stopping { balancer, start }
+                | Observation::Exited { balancer, start, .. } => {
                     close(&mut frozen[*balancer], line.at);
                     down[*balancer].get_or_insert(line.at);
                     if let Some(run) = self.runs.get_mut(&(*balancer, *start)) {
                         run.1 = run.1.min(line.at);
                     }
                 }
-                Seen::Ready { balancer, .. } => {
+                Observation::Ready { balancer, .. } => {
                     if let Some(from) = down[*balancer].take() {
                         self.outages[*balancer].push((from, line.at));
                     }
                 }
-                Seen::Fault { fault, begins } => {
+                Observation::Fault { fault, begins } => {
                     if !matches!(case.scenario.faults[*fault].kind, FaultKind::LinksCut { .. }) {
                         continue;
                     }
@@ -309,9 +321,11 @@
                         }
                     }
                 }
-                Seen::Heard { call, verb: Verb::Alive, status: Some(200), .. } => {
+                Observation::Heard {
+                    call, verb: OperatorVerb::Alive, status: Some(200), ..
+                } => {
                     let of = case.trace.iter().find_map(|l| match &l.seen {
-                        Seen::Said { call: c, member, .. } if c == call => *member,
+                        Observation::Said { call: c, member, .. } if c == call => *member,
                         _ => None,
                     });
                     if let Some(member) = of.filter(|m| *m < count) {
--- a/crates/checker/src/bank/contradiction.rs
+++ b/crates/checker/src/cluster/contradiction.rs
@@ -4,11 +4,11 @@
 use std::collections::BTreeMap;
 use std::fmt;
 
-use hollowpaddle_scenario::record::{At, Seen};
+use hollowpaddle_scenario::record::{At, Observation};
 use rustc_hash::FxHashMap;
 use serde::Serialize;
 
-use super::words::{Number, Words};
+use super::admin_answers::{AdminAnswers, Number};
 use super::{Bank, seconds};
 use crate::Case;
 
@@ -67,7 +67,7 @@
 }
 
 /// Each rule set's first and last word.
-fn marks(words: &Words) -> Vec<Option<(Mark, Mark)>> {
+fn marks(words: &AdminAnswers) -> Vec<Option<(Mark, Mark)>> {
     let mut marks: Vec<Option<(Mark, Mark)>> = vec![None; words.rules.len()];
     for word in words.words.iter().filter(|w| w.held) {
         let (told, asked) = ((word.told, word.balancer), (word.asked, word.balancer));
@@ -78,18 +78,25 @@
 }
 
 /// When a revision was asked for at the earliest.
-fn asked_for(words: &Words, number: Number) -> Option<At> {
+fn asked_for(words: &AdminAnswers, number: Number) -> Option<At> {
     let guess = words.known(number).map(|at| At(at.0.saturating_sub(UNSEEN)));
     words.asked_for.get(&number).copied().or(guess)
 }
 
 /// The longest one of each stretch, for each machine and class.
-pub(super) fn all(case: &Case, words: &Words, began: At, bank: &mut Bank) -> Vec<Contradiction> {
+pub(super) fn all(
+    case: &Case,
+    words: &AdminAnswers,
+    began: At,
+    bank: &mut Bank,
+) -> Vec<Contradiction> {
     let marks = marks(words);
     let mut stretches: FxHashMap<(usize, usize), Vec<Stretch>> = FxHashMap::default();
     let mut longest: BTreeMap<(usize, usize, Number), Contradiction> = BTreeMap::new();
     for line in case.trace {
-        let Seen::Attempt { request, node, balancer, first, .. } = &line.seen else { continue };
+        let Observation::Attempt { request, node, balancer, first, .. } = &line.seen else {
+            continue;
+        };
         let class = case.plan.arrivals[*request as usize].class;
         let of = stretches
             .entry((*node, class))
@@ -136,7 +143,7 @@
 /// The stretches of one machine and class that were acted on, in the order of their numbers.
 fn of(
     case: &Case,
-    words: &Words,
+    words: &AdminAnswers,
     marks: &[Option<(Mark, Mark)>],
     node: usize,
     class: usize,
--- a/crates/checker/src/bank/in_force.rs
+++ b/crates/checker/src/cluster/in_force.rs
@@ -5,8 +5,8 @@
 use hollowpaddle_scenario::record::At;
 use serde::Serialize;
 
+use super::admin_answers::{AdminAnswers, Number};
 use super::seconds;
-use super::words::{Number, Words};
 use crate::Case;
 
 /// Points over time, one each so long.
@@ -59,7 +59,7 @@
     pub newest: f64,
 }
 
-pub(super) fn of(case: &Case, words: &Words, began: At) -> InForce {
+pub(super) fn of(case: &Case, words: &AdminAnswers, began: At) -> InForce {
     let mut all = InForce::default();
     let count = case.scenario.bank.count;
     let granted: Vec<(Number, At)> = words.granted.iter().map(|(n, at)| (*n, *at)).collect();
@@ -110,7 +110,7 @@
     InForce { at_99, at_all, median, ..all }
 }
 
-pub(super) fn over_time(case: &Case, words: &Words, began: At) -> Vec<Moment> {
+pub(super) fn over_time(case: &Case, words: &AdminAnswers, began: At) -> Vec<Moment> {
     let count = case.scenario.bank.count as f64;
     let (mut last, mut next) = (BTreeMap::new(), 0);
     let mut moments = Vec::new();
--- a/crates/checker/src/bank/mod.rs
+++ b/crates/checker/src/cluster/mod.rs
@@ -24,13 +24,13 @@
 //! (they are older than they look); sends of a balancer that operators said is dead, from that word on (nobody waits for
 //! it, and it was their word); attempts at most, weights and figures, which no single send shows.
 
+mod admin_answers;
 mod contradiction;
 mod in_force;
-mod words;
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hollowpaddle_scenario::record::{At, Played, Seen};
+use hollowpaddle_scenario::record::{At, Observation, Played};
 use hollowpaddle_scenario::scenario::Expect;
 use serde::Serialize;
 
@@ -38,7 +38,7 @@
 pub use in_force::{Change, InForce, Moment};
 
 use crate::Case;
-use words::Words;
+use admin_answers::AdminAnswers;
 
 /// T: the longest contradiction that a bank promises, in seconds (docs/design/cluster.md).
 pub const BOUND: f64 = 3.0;
@@ -86,7 +86,7 @@
         return None;
     }
     let case = Case { scenario, plan, trace: &played.trace, slack: 0 };
-    let words = Words::of(&case);
+    let words = AdminAnswers::of(&case);
     let mut bank = Bank { bound_s: BOUND, ..Bank::default() };
     let mut all = contradiction::all(&case, &words, played.began, &mut bank);
     all.sort_by(|a, b| b.for_s.total_cmp(&a.for_s).then(a.at_s.total_cmp(&b.at_s)));
@@ -108,7 +108,7 @@
 }
 
 /// What was answered: each question one answer, each number one content, and no yes is lost.
-fn answers(case: &Case, words: &Words, bank: &mut Bank) {
+fn answers(case: &Case, words: &AdminAnswers, bank: &mut Bank) {
     let mut ids: BTreeMap<(u32, u32), Option<&str>> = BTreeMap::new();
     let mut tries: BTreeMap<u32, u32> = BTreeMap::new();
     let mut said: BTreeMap<&str, BTreeSet<Result<u64, ()>>> = BTreeMap::new();
@@ -116,13 +116,13 @@
     let mut granted: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
     for line in case.trace {
         match &line.seen {
-            Seen::Said { call, tries: t, id, .. } => {
+            Observation::Said { call, tries: t, id, .. } => {
                 bank.calls += 1;
                 ids.insert((*call, *t), id.as_deref());
                 tries.insert(*call, *t);
                 ended.entry(*call).or_insert(None);
             }
-            Seen::Heard { call, verb, status: Some(status), number, .. } => {
+            Observation::Heard { call, verb, status: Some(status), number, .. } => {
                 let id = tries.get(call).and_then(|t| ids.get(&(*call, *t))).copied().flatten();
                 let answer = match (status, number) {
                     (200, Some(number)) => Ok(*number),
--- a/crates/checker/src/cold.rs
+++ b/crates/checker/src/cold.rs
@@ -6,8 +6,8 @@
 
 use rustc_hash::{FxHashMap, FxHashSet};
 
-use super::{Breach, Case, Finding, micros};
-use hollowpaddle_scenario::record::{At, Line, Phase, Seen};
+use super::{Case, Finding, Violation, micros};
+use hollowpaddle_scenario::record::{At, Line, Observation, Phase};
 use hollowpaddle_scenario::scenario::{borne, pressing};
 
 /// Of the work that pushed it over, so much must come from balancers that were told of its start.
@@ -37,7 +37,7 @@
     let mut starts: FxHashMap<usize, Start> = FxHashMap::default();
     for line in case.trace {
         match &line.seen {
-            Seen::Up { node, full, cold_ms, .. } if *cold_ms > 0.0 => {
+            Observation::Up { node, full, cold_ms, .. } if *cold_ms > 0.0 => {
                 let until = At(line.at.0 + (*cold_ms * 1e3) as u64);
                 starts.insert(
                     *node,
@@ -52,15 +52,15 @@
                     },
                 );
             }
-            Seen::Down { node } => drop(starts.remove(node)),
-            Seen::Told { balancer, node, phase: Phase::Serving, since, .. } => {
+            Observation::Down { node } => drop(starts.remove(node)),
+            Observation::Told { balancer, node, phase: Phase::Serving, since, .. } => {
                 if let Some(start) = starts.get_mut(node)
                     && since.0.abs_diff(start.at.0) <= SAME_START
                 {
                     start.told.insert(*balancer);
                 }
             }
-            Seen::Attempt { node, balancer, dark: false, work_ms, .. } => {
+            Observation::Attempt { node, balancer, dark: false, work_ms, .. } => {
                 let Some(start) = starts.get_mut(node) else { continue };
                 if line.at >= start.until {
                     continue;
@@ -96,7 +96,7 @@
                     known / mean
                 );
                 findings.push(Finding {
-                    breach: Breach::PushedOver,
+                    violation: Violation::PushedOver,
                     at: line.at,
                     balancer: None,
                     request: None,
@@ -115,10 +115,10 @@
         line.at >= from
             && line.at <= to
             && match &line.seen {
-                Seen::Up { node: n, .. }
-                | Seen::Warmth { node: n, .. }
-                | Seen::Told { node: n, .. }
-                | Seen::Attempt { node: n, .. } => *n == node,
+                Observation::Up { node: n, .. }
+                | Observation::Warmth { node: n, .. }
+                | Observation::Told { node: n, .. }
+                | Observation::Attempt { node: n, .. } => *n == node,
                 _ => false,
             }
     };
--- a/crates/checker/src/drains.rs
+++ b/crates/checker/src/drains.rs
@@ -2,8 +2,8 @@
 
 use rustc_hash::FxHashMap;
 
-use super::{Breach, Case, Finding, micros};
-use hollowpaddle_scenario::record::{At, Phase, Seen};
+use super::{Case, Finding, Violation, micros};
+use hollowpaddle_scenario::record::{At, Observation, Phase};
 use hollowpaddle_scenario::scenario::FaultKind;
 
 /// A change counts as told so long after the list had it and could be reached, in microseconds, whatever calls failed,
@@ -21,7 +21,7 @@
 
 /// Whether a balancer hears from the list.
 #[derive(Clone, Debug, Default)]
-struct Ear {
+struct ListConnection {
     /// Watches that are open.
     open: Vec<u64>,
     /// When it last heard or asked, and whether that failed.
@@ -32,7 +32,7 @@
     reaches: At,
 }
 
-impl Ear {
+impl ListConnection {
     fn keep(&mut self, at: At, begins: bool) {
         self.kept = if begins { self.kept + 1 } else { self.kept.saturating_sub(1) };
         self.reaches = at;
@@ -41,7 +41,7 @@
 
 pub fn judge(case: &Case, findings: &mut Vec<Finding>) {
     let mut words: FxHashMap<(usize, usize), Word> = FxHashMap::default();
-    let mut ears: FxHashMap<usize, Ear> = FxHashMap::default();
+    let mut ears: FxHashMap<usize, ListConnection> = FxHashMap::default();
     let mut listed: FxHashMap<usize, Vec<(At, Phase)>> = FxHashMap::default();
     let mut asleep: FxHashMap<usize, At> = FxHashMap::default();
     let rules = &case.scenario.rules;
@@ -49,7 +49,7 @@
     for line in case.trace {
         let at = line.at;
         match &line.seen {
-            Seen::Told { balancer, node, phase, revision, .. } => {
+            Observation::Told { balancer, node, phase, revision, .. } => {
                 let none = Word { revision: 0, heard: at, closed: None };
                 let word = words.entry((*balancer, *node)).or_insert(none);
                 // An older word that comes after a newer one takes nothing back.
@@ -62,11 +62,11 @@
                     _ => word.closed.or(Some(at)),
                 };
             }
-            Seen::Paused { balancer, .. } => {
+            Observation::Paused { balancer, .. } => {
                 asleep.insert(*balancer, at);
                 ears.entry(*balancer).or_default().keep(at, true);
             }
-            Seen::Started { balancer, .. } => {
+            Observation::Started { balancer, .. } => {
                 let ear = ears.entry(*balancer).or_default();
                 // A freeze of the process before it is over.
                 if asleep.remove(balancer).is_some() {
@@ -74,7 +74,7 @@
                 }
                 ear.reaches = at;
             }
-            Seen::Fault { fault, begins } => {
+            Observation::Fault { fault, begins } => {
                 let kind = case.scenario.faults.get(*fault).map(|f| &f.kind);
                 let struck: Vec<usize> = match kind {
                     Some(FaultKind::ListDown) => (0..case.scenario.bank.count).collect(),
@@ -87,7 +87,7 @@
                 struck.iter().for_each(|b| ears.entry(*b).or_default().keep(at, *begins));
             }
             // Who is frozen hears nothing: what it was told meanwhile, or right before, it knows from here on.
-            Seen::Resumed { balancer, .. } => {
+            Observation::Resumed { balancer, .. } => {
                 let slept = asleep.remove(balancer);
                 let from = slept.unwrap_or(at).0.saturating_sub(grace);
                 let of = words.iter_mut().filter(|((b, _), _)| b == balancer);
@@ -99,22 +99,22 @@
                     ear.keep(at, false);
                 }
             }
-            Seen::Listed { node, phase, .. } => {
+            Observation::Listed { node, phase, .. } => {
                 listed.entry(*node).or_default().push((at, *phase));
             }
-            Seen::Asked { balancer, watch } => {
+            Observation::Asked { balancer, watch } => {
                 let ear = ears.entry(*balancer).or_default();
                 (ear.last, ear.failed) = (at, false);
                 if *watch != u64::MAX {
                     ear.open.push(*watch);
                 }
             }
-            Seen::Unheard { balancer, watch } => {
+            Observation::Unheard { balancer, watch } => {
                 let ear = ears.entry(*balancer).or_default();
                 (ear.last, ear.failed) = (at, true);
                 ear.open.retain(|w| Some(*w) != *watch);
             }
-            Seen::Attempt { attempt, request, node, balancer, first, .. } => {
+            Observation::Attempt { attempt, request, node, balancer, first, .. } => {
                 let word = words.get(&(*balancer, *node));
                 let told = word.and_then(|w| w.closed);
                 let ear = ears.get(balancer).cloned().unwrap_or_default();
@@ -135,12 +135,12 @@
                     first.ms_since(told)
                 );
                 let of = |l: &&hollowpaddle_scenario::record::Line| match &l.seen {
-                    Seen::Told { balancer: b, node: n, .. } => (b, n) == (balancer, node),
-                    Seen::Attempt { attempt: a, .. } => a == attempt,
+                    Observation::Told { balancer: b, node: n, .. } => (b, n) == (balancer, node),
+                    Observation::Attempt { attempt: a, .. } => a == attempt,
                     _ => false,
                 };
                 findings.push(Finding {
-                    breach: Breach::SentToDrained,
+                    violation: Violation::SentToDrained,
                     at: *first,
                     balancer: Some(*balancer),
                     request: Some(*request),
@@ -155,7 +155,12 @@
 
 /// When a balancer that could reach the list for long enough counts as told that a node takes nothing new, whatever came
 /// of its calls. The time counts anew once the list is back; what it has heard of the node since is newer.
-fn told_by_now(ear: &Ear, listed: Option<&Vec<(At, Phase)>>, heard: At, now: At) -> Option<At> {
+fn told_by_now(
+    ear: &ListConnection,
+    listed: Option<&Vec<(At, Phase)>>,
+    heard: At,
+    now: At,
+) -> Option<At> {
     if ear.kept > 0 {
         return None;
     }
@@ -172,7 +177,7 @@
 /// long ago (WIRE, `Safety.AskEvery`: four times as long after a failed call).
 fn counts_as_told(
     case: &Case,
-    ear: &Ear,
+    ear: &ListConnection,
     listed: Option<&Vec<(At, Phase)>>,
     now: At,
 ) -> Option<At> {
--- a/crates/checker/src/fleet/crowd.rs
+++ b/crates/checker/src/fleet/contention.rs
@@ -1,7 +1,7 @@
 //! Crowd: refusals while a node that could have taken the request stood idle. Nobody harms anybody here; each balancer
 //! guards its own small part of the room, and chance fills one part while the next stands empty.
 
-use hollowpaddle_scenario::record::{At, Fate, Phase, Seen};
+use hollowpaddle_scenario::record::{At, AttemptOutcome, Observation, Phase};
 use hollowpaddle_scenario::scenario::FaultKind;
 use rustc_hash::{FxHashMap, FxHashSet};
 use serde::Serialize;
@@ -10,7 +10,7 @@
 
 /// Refusals, and those of them beside idle nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Crowd {
+pub struct Contention {
     /// Answers 429 and 503.
     pub refused: u64,
     /// While a node that the balancer had been told of, up, warm and in its reach, held nothing.
@@ -32,8 +32,8 @@
 }
 
 /// Reckons it for one run.
-pub(super) fn of(run: &Run) -> Crowd {
-    let mut crowd = Crowd::default();
+pub(super) fn of(run: &Run) -> Contention {
+    let mut contention = Contention::default();
     let mut nodes = vec![Node::default(); run.case.plan.machines.len()];
     let mut serving: FxHashSet<(usize, usize)> = FxHashSet::default();
     let mut cut: FxHashMap<(usize, usize), u32> = FxHashMap::default();
@@ -44,16 +44,16 @@
     let mut sent = 0u64;
     for line in run.case.trace {
         match &line.seen {
-            Seen::Up { node, cold_ms, .. } => {
+            Observation::Up { node, cold_ms, .. } => {
                 let warm = At(line.at.0 + (*cold_ms * 1e3) as u64);
                 nodes[*node] = Node { up: true, warm, dark: nodes[*node].dark, ..Node::default() };
                 idle.insert(*node);
             }
-            Seen::Down { node } | Seen::Tipped { node } => nodes[*node].up = false,
-            Seen::Warmth { node, share } if *share >= 1.0 => {
+            Observation::Down { node } | Observation::Tipped { node } => nodes[*node].up = false,
+            Observation::Warmth { node, share } if *share >= 1.0 => {
                 nodes[*node].warm = nodes[*node].warm.min(line.at);
             }
-            Seen::Fault { fault, begins } => {
+            Observation::Fault { fault, begins } => {
                 let acts = run.case.plan.acts.iter().filter(|a| a.fault == *fault);
                 let Some(act) = acts.into_iter().find(|a| a.begins == *begins) else { continue };
                 let by: i64 = if *begins { 1 } else { -1 };
@@ -70,22 +70,22 @@
                     }
                 }
             }
-            Seen::Told { balancer, node, phase, .. } => {
+            Observation::Told { balancer, node, phase, .. } => {
                 if *phase == Phase::Serving {
                     serving.insert((*balancer, *node));
                 } else {
                     serving.remove(&(*balancer, *node));
                 }
             }
-            Seen::Attempt { attempt, node, dark: false, work_ms, .. } => {
+            Observation::Attempt { attempt, node, dark: false, work_ms, .. } => {
                 attempts.insert(*attempt, (*node, *work_ms));
                 nodes[*node].holds += 1;
                 idle.remove(node);
             }
-            Seen::Ended { attempt, fate } => {
+            Observation::Ended { attempt, fate } => {
                 let Some((node, work_ms)) = attempts.remove(attempt) else { continue };
                 // What its balancer gave up goes on there, at a speed that is about 1.
-                if *fate == Fate::Abandoned {
+                if *fate == AttemptOutcome::Abandoned {
                     let over = At(line.at.0 + (work_ms * 1e3) as u64);
                     nodes[node].busy = nodes[node].busy.max(over);
                 }
@@ -94,12 +94,12 @@
                     idle.insert(node);
                 }
             }
-            Seen::Sent { request, balancer, .. } => {
+            Observation::Sent { request, balancer, .. } => {
                 sent += 1;
                 asked.insert(*request, *balancer);
             }
-            Seen::Answered { request, status: 429 | 503, .. } => {
-                crowd.refused += 1;
+            Observation::Answered { request, status: 429 | 503, .. } => {
+                contention.refused += 1;
                 let Some(balancer) = asked.get(request).copied() else { continue };
                 let could = |n: &usize| {
                     let node = nodes[*n];
@@ -111,12 +111,12 @@
                         && cut.get(&(balancer, *n)).is_none_or(|c| *c == 0)
                 };
                 if idle.iter().any(could) {
-                    crowd.beside_idle += 1;
+                    contention.beside_idle += 1;
                 }
             }
             _ => {}
         }
     }
-    crowd.share = crowd.beside_idle as f64 / sent.max(1) as f64;
-    crowd
+    contention.share = contention.beside_idle as f64 / sent.max(1) as f64;
+    contention
 }
--- a/crates/checker/src/fleet/expect.rs
+++ b/crates/checker/src/fleet/expect.rs
@@ -2,10 +2,10 @@
 
 use hollowpaddle_scenario::scenario::Expect;
 
-use super::Account;
+use super::RecoveryReport;
 
 /// What was expected and not shown, a line each, with both figures.
-pub(super) fn missed(expect: &Expect, account: &Account, whole: f64) -> Vec<String> {
+pub(super) fn missed(expect: &Expect, account: &RecoveryReport, whole: f64) -> Vec<String> {
     let mut missed = Vec::new();
     if let Some(most) = expect.full_service.map(|d| d.as_secs_f64()) {
         for episode in &account.episodes {
@@ -43,14 +43,14 @@
             missed.push(format!(
                 "{what} {of}: {} in the second from {:.1} s, {:.1} times the twin's {}; at most {most:.1} times \
                  expected",
-                peak.peak, peak.at_s, peak.times, peak.twin
+                peak.peak, peak.at_s, peak.times, peak.control_run
             ));
         }
     }
-    if let Some(most) = expect.crowd_share.filter(|most| account.crowd.share > *most) {
+    if let Some(most) = expect.crowd_share.filter(|most| account.contention.share > *most) {
         missed.push(format!(
             "refused beside idle nodes: {:.3} of all requests; at most {most:.3} expected",
-            account.crowd.share
+            account.contention.share
         ));
     }
     if let Some(most) = expect.stale.filter(|most| account.stale.told.sends > *most) {
--- a/crates/checker/src/fleet/full_service.rs
+++ b/crates/checker/src/fleet/full_service.rs
@@ -9,7 +9,7 @@
 use serde::Serialize;
 
 use hollowpaddle_scenario::plan::Act;
-use hollowpaddle_scenario::record::Seen;
+use hollowpaddle_scenario::record::Observation;
 use hollowpaddle_scenario::scenario::FaultKind;
 
 use super::{Run, STEP_S, is_load};
@@ -39,7 +39,8 @@
     /// The lowest service in windows of 1 s from the first fault's beginning on, and the twin's in that window.
     pub lowest: f64,
     /// See `lowest`.
-    pub lowest_of_twin: f64,
+    #[serde(rename = "lowest_of_twin")]
+    pub lowest_of_control: f64,
     /// Worth that the twin served and the run did not, from the first fault's beginning on, in seconds of full load.
     pub lost_s: f64,
 }
@@ -103,8 +104,8 @@
     }
 
     /// Whether service was not what it is in the twin.
-    fn is_short(&self, twin: &Self, series: usize, from: usize, steps: usize) -> bool {
-        let (here, there) = (self.sum(series, from, steps), twin.sum(series, from, steps));
+    fn is_short(&self, control_run: &Self, series: usize, from: usize, steps: usize) -> bool {
+        let (here, there) = (self.sum(series, from, steps), control_run.sum(series, from, steps));
         let (Some(p), Some(q)) = (here.ratio(), there.ratio()) else { return false };
         let chance = |p: f64, cell: Cell| p * (1.0 - p) * cell.squares / (cell.asked * cell.asked);
         let error = (chance(p, here) + chance(q, there)).sqrt();
@@ -112,11 +113,11 @@
     }
 
     /// Whether from a step on, for 3 s, service was full.
-    fn is_full(&self, twin: &Self, from: usize) -> bool {
+    fn is_full(&self, control_run: &Self, from: usize) -> bool {
         (0..self.0.len()).all(|series| {
             let windows = from..=from + STRETCH - WINDOW;
-            windows.into_iter().all(|at| !self.is_short(twin, series, at, WINDOW))
-                && !self.is_short(twin, series, from, STRETCH)
+            windows.into_iter().all(|at| !self.is_short(control_run, series, at, WINDOW))
+                && !self.is_short(control_run, series, from, STRETCH)
         })
     }
 }
@@ -160,14 +161,14 @@
 /// When a balancer was first ready after a time.
 fn ready(run: &Run, balancer: usize, after: f64) -> Option<f64> {
     let at = |l: &hollowpaddle_scenario::record::Line| match l.seen {
-        Seen::Ready { balancer: b, .. } if b == balancer => Some(run.seconds(l.at)),
+        Observation::Ready { balancer: b, .. } if b == balancer => Some(run.seconds(l.at)),
         _ => None,
     };
     run.case.trace.iter().filter_map(at).find(|at| *at >= after)
 }
 
 /// Faults that overlap, together.
-pub(super) fn episodes(run: &Run, here: &Series, twin: &Series) -> Vec<Episode> {
+pub(super) fn episodes(run: &Run, here: &Series, control_run: &Series) -> Vec<Episode> {
     let mut groups: Vec<Vec<Span>> = Vec::new();
     for span in spans(run) {
         let open = groups
@@ -185,12 +186,12 @@
         .enumerate()
         .map(|(n, group)| {
             let until = starts.get(n + 1).copied().unwrap_or(length).min(length);
-            episode(run, here, twin, group, until)
+            episode(run, here, control_run, group, until)
         })
         .collect()
 }
 
-fn episode(run: &Run, here: &Series, twin: &Series, group: &[Span], until: f64) -> Episode {
+fn episode(run: &Run, here: &Series, control_run: &Series, group: &[Span], until: f64) -> Episode {
     let step = |s: f64| ((s / STEP_S).ceil().max(0.0) as usize).min(here.steps());
     let name = |s: &Span| run.case.scenario.faults[s.fault].kind.name().to_string();
     let mut faults: Vec<(usize, String)> = group.iter().map(|s| (s.fault, name(s))).collect();
@@ -199,19 +200,19 @@
     let up_s = group.iter().try_fold(from_s, |max, s| s.up.map(|up| max.max(up)));
     let last = step(until).saturating_sub(STRETCH);
     let full = up_s.and_then(|up| {
-        let full = (step(up)..=last).find(|at| here.is_full(twin, *at))?;
+        let full = (step(up)..=last).find(|at| here.is_full(control_run, *at))?;
         Some((full as f64 * STEP_S - up).max(0.0))
     });
     let windows = step(from_s)..=step(until).saturating_sub(WINDOW);
     let lowest = windows
         .filter_map(|at| {
-            let (here, twin) = (here.sum(0, at, WINDOW), twin.sum(0, at, WINDOW));
-            Some((here.ratio()?, twin.ratio()?))
+            let (here, control_run) = (here.sum(0, at, WINDOW), control_run.sum(0, at, WINDOW));
+            Some((here.ratio()?, control_run.ratio()?))
         })
         .min_by(|a, b| (a.0 - a.1).total_cmp(&(b.0 - b.1)));
-    let (lowest, lowest_of_twin) = lowest.unwrap_or((1.0, 1.0));
+    let (lowest, lowest_of_control) = lowest.unwrap_or((1.0, 1.0));
     let steps = step(until).saturating_sub(step(from_s));
-    let (got, would) = (here.sum(0, step(from_s), steps), twin.sum(0, step(from_s), steps));
+    let (got, would) = (here.sum(0, step(from_s), steps), control_run.sum(0, step(from_s), steps));
     let a_second = would.asked / (steps as f64 * STEP_S).max(STEP_S);
     Episode {
         faults: faults.into_iter().map(|(_, name)| name).collect(),
@@ -220,7 +221,7 @@
         full_service_s: full,
         watched_s: up_s.map_or(0.0, |up| (last as f64 * STEP_S - up).max(0.0)),
         lowest,
-        lowest_of_twin,
+        lowest_of_control,
         lost_s: if a_second > 0.0 { (would.got - got.got) / a_second } else { 0.0 },
     }
 }
--- a/crates/checker/src/fleet/mod.rs
+++ b/crates/checker/src/fleet/mod.rs
@@ -3,11 +3,11 @@
 //!
 //! - **Time to full service** ([`Episode`]): how long after the last one struck was up again service was what it is
 //!   in the twin.
-//! - **Stampede** ([`Rush`]): what came all at once, against the twin's 99th percentile of a second.
-//! - **Crowd** ([`Crowd`]): refusals while a node that could have taken the request stood idle.
+//! - **Stampede** ([`Stampede`]): what came all at once, against the twin's 99th percentile of a second.
+//! - **Crowd** ([`Contention`]): refusals while a node that could have taken the request stood idle.
 //! - **Stale** ([`Stale`]): decisions on what had been told to be otherwise, with its age.
 
-mod crowd;
+mod contention;
 mod expect;
 mod full_service;
 mod stale;
@@ -19,33 +19,37 @@
 
 use crate::Case;
 
-pub use crowd::Crowd;
+pub use contention::Contention;
 pub use full_service::Episode;
 pub use stale::{Stale, StaleSends};
-pub use stampede::{Peak, Rush};
+pub use stampede::{Peak, Stampede};
 
 /// Points of the lines over time: one each so long, in seconds.
 const STEP_S: f64 = 0.1;
 
 /// How a bank came through its faults.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Account {
+pub struct RecoveryReport {
     /// Service of the twin's whole run, 0 to 1.
-    pub twin_service: f64,
+    #[serde(rename = "twin_service")]
+    pub control_service: f64,
     /// Faults that overlap, together; in order of time.
     pub episodes: Vec<Episode>,
     /// What came at once, by kind.
-    pub stampede: Vec<Rush>,
+    pub stampede: Vec<Stampede>,
     /// Refusals beside idle nodes: of the run, and of its twin.
-    pub crowd: Crowd,
-    /// See `crowd`.
-    pub twin_crowd: Crowd,
+    #[serde(rename = "crowd")]
+    pub contention: Contention,
+    /// See `contention`.
+    #[serde(rename = "twin_crowd")]
+    pub control_contention: Contention,
     /// Decisions on old knowledge.
     pub stale: Stale,
-    /// Service over time, in windows of 1 s, one each [`Account::step_s`]: run and twin.
+    /// Service over time, in windows of 1 s, one each [`RecoveryReport::step_s`]: run and twin.
     pub service: Vec<Option<f64>>,
     /// See `service`.
-    pub service_of_twin: Vec<Option<f64>>,
+    #[serde(rename = "service_of_twin")]
+    pub service_of_control: Vec<Option<f64>>,
     /// Seconds from one window to the next.
     pub step_s: f64,
     /// What the scenario expects and the run did not show, in words, by how much.
@@ -71,18 +75,23 @@
 }
 
 /// Reckons it. `whole` is the run's service as a whole.
-pub fn account(played: &Played, twin: &Played, whole: f64, twin_service: f64) -> Account {
-    let (run, calm) = (Run::of(played), Run::of(twin));
+pub fn account(
+    played: &Played,
+    control_run: &Played,
+    whole: f64,
+    control_service: f64,
+) -> RecoveryReport {
+    let (run, calm) = (Run::of(played), Run::of(control_run));
     let (here, there) = (full_service::Series::of(&run), full_service::Series::of(&calm));
-    let mut account = Account {
-        twin_service,
+    let mut account = RecoveryReport {
+        control_service,
         episodes: full_service::episodes(&run, &here, &there),
         stampede: stampede::rushes(&run, &calm),
-        crowd: crowd::of(&run),
-        twin_crowd: crowd::of(&calm),
+        contention: contention::of(&run),
+        control_contention: contention::of(&calm),
         stale: stale::of(&run),
         service: here.over_time(),
-        service_of_twin: there.over_time(),
+        service_of_control: there.over_time(),
         step_s: STEP_S,
         missed: Vec::new(),
     };
--- a/crates/checker/src/fleet/stale.rs
+++ b/crates/checker/src/fleet/stale.rs
@@ -1,7 +1,7 @@
 //! Stale: sends to a node that the list had said takes nothing new. Those that the balancer itself had been told of
 //! (within the grace of rule 3 they break nothing), and those of which the list knew and it had not been told.
 
-use hollowpaddle_scenario::record::{At, Phase, Seen};
+use hollowpaddle_scenario::record::{At, Observation, Phase};
 use rustc_hash::FxHashMap;
 use serde::Serialize;
 
@@ -35,11 +35,11 @@
     let mut who = [Vec::new(), Vec::new()];
     for line in run.case.trace {
         match &line.seen {
-            Seen::Listed { node, phase: Phase::Serving, .. } => drop(listed.remove(node)),
-            Seen::Listed { node, .. } => {
+            Observation::Listed { node, phase: Phase::Serving, .. } => drop(listed.remove(node)),
+            Observation::Listed { node, .. } => {
                 listed.entry(*node).or_insert(line.at);
             }
-            Seen::Told { balancer, node, phase, revision, .. } => {
+            Observation::Told { balancer, node, phase, revision, .. } => {
                 let word = told.entry((*balancer, *node)).or_default();
                 // An older word that comes after a newer one takes nothing back.
                 if *revision >= word.0 {
@@ -47,7 +47,7 @@
                     *word = (*revision, closed.map(|at| word.1.unwrap_or(at)));
                 }
             }
-            Seen::Attempt { node, balancer, first, .. } => {
+            Observation::Attempt { node, balancer, first, .. } => {
                 let own = told.get(&(*balancer, *node)).and_then(|w| w.1);
                 let other = listed.get(node).copied().filter(|_| own.is_none());
                 let kinds = [(own, &mut stale.told), (other, &mut stale.untold)];
--- a/crates/checker/src/fleet/stampede.rs
+++ b/crates/checker/src/fleet/stampede.rs
@@ -2,7 +2,7 @@
 //! percentile of the twin's seconds.
 
 use hdrhistogram::Histogram;
-use hollowpaddle_scenario::record::Seen;
+use hollowpaddle_scenario::record::Observation;
 use rustc_hash::FxHashMap;
 use serde::Serialize;
 
@@ -21,33 +21,34 @@
     /// When it began, in seconds from the first client.
     pub at_s: f64,
     /// The 99th percentile of the twin's seconds.
-    pub twin: u64,
+    #[serde(rename = "twin")]
+    pub control_run: u64,
     /// One over the other, 1 for a twin that had none.
     pub times: f64,
 }
 
 /// One kind of thing that can come all at once.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Rush {
+pub struct Stampede {
     /// `connects`, `list-calls`, `attempts` or `datagrams`.
     pub what: &'static str,
     /// Over all balancers.
     pub all: Peak,
     /// For the upstream that had most of it in a second, where it goes to upstreams.
     pub busiest: Option<Peak>,
-    /// How many over all in each second, one second each [`super::Account::step_s`].
+    /// How many over all in each second, one second each [`super::RecoveryReport::step_s`].
     pub over_time: Vec<u64>,
 }
 
 const KINDS: [&str; 4] = ["connects", "list-calls", "attempts", "datagrams"];
 
 /// What kind a line is of, and of which upstream.
-fn kind(seen: &Seen) -> Option<(usize, Option<usize>)> {
+fn kind(seen: &Observation) -> Option<(usize, Option<usize>)> {
     match seen {
-        Seen::Linked { node, .. } => Some((0, Some(*node))),
-        Seen::Called { .. } => Some((1, None)),
-        Seen::Attempt { node, .. } => Some((2, Some(*node))),
-        Seen::Datagram { .. } => Some((3, None)),
+        Observation::Linked { node, .. } => Some((0, Some(*node))),
+        Observation::Called { .. } => Some((1, None)),
+        Observation::Attempt { node, .. } => Some((2, Some(*node))),
+        Observation::Datagram { .. } => Some((3, None)),
         _ => None,
     }
 }
@@ -103,32 +104,32 @@
 }
 
 /// The worst second from a step on. Before the first fault a run is its twin, and both begin as a fresh bank does.
-fn peak(here: &[u64], twin: &[u64], from: usize) -> Peak {
+fn peak(here: &[u64], control_run: &[u64], from: usize) -> Peak {
     let seconds = here.iter().enumerate().skip(from);
     let (at, peak) = seconds.max_by_key(|(i, n)| (**n, usize::MAX - i)).unwrap_or((from, &0));
     // Three figures of a count are always to be had.
     let mut usual = Histogram::<u64>::new(3).ok();
     if let Some(h) = &mut usual {
-        twin.iter().skip(from).for_each(|n| h.saturating_record(*n));
+        control_run.iter().skip(from).for_each(|n| h.saturating_record(*n));
     }
     let usual = usual.map_or(0, |h| h.value_at_quantile(0.99));
     Peak {
         peak: *peak,
         at_s: at as f64 * STEP_S,
-        twin: usual,
+        control_run: usual,
         times: *peak as f64 / usual.max(LEAST) as f64,
     }
 }
 
 /// All kinds.
-pub(super) fn rushes(run: &Run, twin: &Run) -> Vec<Rush> {
-    let (here, there) = (count(run), count(twin));
+pub(super) fn rushes(run: &Run, control_run: &Run) -> Vec<Stampede> {
+    let (here, there) = (count(run), count(control_run));
     let faults = run.case.scenario.faults.iter().filter(|f| !is_load(&f.kind));
     let first = faults.map(|f| f.start.as_secs_f64()).fold(f64::INFINITY, f64::min);
     // A second that is cut by the first fault's beginning is one of its seconds.
     let from =
         if first.is_finite() { ((first / STEP_S) as usize + 1).saturating_sub(SECOND) } else { 0 };
-    let rush = |(n, what): (usize, &&'static str)| Rush {
+    let rush = |(n, what): (usize, &&'static str)| Stampede {
         what,
         all: peak(&seconds(&here[n].all), &seconds(&there[n].all), from),
         busiest: (!here[n].by_node.is_empty())
--- a/crates/checker/src/floors.rs
+++ b/crates/checker/src/floors.rs
@@ -13,7 +13,7 @@
 
 use super::Case;
 use super::service::{Asked, How, asked};
-use hollowpaddle_scenario::record::{At, Seen};
+use hollowpaddle_scenario::record::{At, Observation};
 use hollowpaddle_scenario::scenario::{Effect, FaultKind};
 
 /// Of what can be had, over the day and in a class.
@@ -117,7 +117,7 @@
     let mut nodes = vec![Able::default(); case.plan.machines.len()];
     let mut done = [0.0; THIRDS];
     // The day begins with its first request.
-    let first = case.trace.iter().find(|l| matches!(l.seen, Seen::Sent { .. }));
+    let first = case.trace.iter().find(|l| matches!(l.seen, Observation::Sent { .. }));
     let zero = first.map_or(0.0, |l| l.at.0 as f64 / 1e3);
     let third = case.scenario.length.as_secs_f64() * 1e3 / THIRDS as f64;
     let mut upto = 0.0;
@@ -131,19 +131,22 @@
     for line in case.trace {
         let rate = |nodes: &[Able]| nodes.iter().map(Able::now).sum::<f64>();
         match &line.seen {
-            Seen::Up { .. } | Seen::Warmth { .. } | Seen::Down { .. } | Seen::Fault { .. } => {
+            Observation::Up { .. }
+            | Observation::Warmth { .. }
+            | Observation::Down { .. }
+            | Observation::Fault { .. } => {
                 pass(ms(line.at), rate(&nodes));
             }
             _ => continue,
         }
         match &line.seen {
-            Seen::Up { node, full, cold_from, cold_ms } => {
+            Observation::Up { node, full, cold_from, cold_ms } => {
                 nodes[*node].full = *full;
                 nodes[*node].share = if *cold_ms > 0.0 { *cold_from } else { 1.0 };
             }
-            Seen::Warmth { node, share } => nodes[*node].share = *share,
-            Seen::Down { node } => nodes[*node].full = 0.0,
-            Seen::Fault { fault, begins } => {
+            Observation::Warmth { node, share } => nodes[*node].share = *share,
+            Observation::Down { node } => nodes[*node].full = 0.0,
+            Observation::Fault { fault, begins } => {
                 let Some(kind) = case.scenario.faults.get(*fault).map(|f| &f.kind) else {
                     continue;
                 };
--- a/crates/checker/src/lib.rs
+++ b/crates/checker/src/lib.rs
@@ -4,7 +4,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod bank;
+pub mod cluster;
 mod cold;
 mod drains;
 pub mod fleet;
@@ -19,7 +19,7 @@
 use serde::Serialize;
 
 use hollowpaddle_scenario::plan::Plan;
-use hollowpaddle_scenario::record::{At, Line, Seen};
+use hollowpaddle_scenario::record::{At, Line, Observation};
 use hollowpaddle_scenario::scenario::Scenario;
 
 pub use floors::Floor;
@@ -29,7 +29,7 @@
 /// Which rule was broken, and how.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Breach {
+pub enum Violation {
     /// Rule 1: a request that a running balancer had taken got no whole answer in time.
     Lost,
     /// Rule 1: more than one answer, or bytes that no request asked for.
@@ -64,48 +64,48 @@
     PushedOver,
 }
 
-impl Breach {
+impl Violation {
     /// The rule, 1 to 4.
     pub fn rule(self) -> u8 {
         match self {
-            Breach::Lost
-            | Breach::AnsweredTwice
-            | Breach::ForeignAnswer
-            | Breach::SentAfterAnswer
-            | Breach::SentAfterLeaving
-            | Breach::SentForNobody
-            | Breach::Crashed => 1,
-            Breach::ResentUnsafe
-            | Breach::ResentElsewhere
-            | Breach::ResentTooLate
-            | Breach::TwoAtOnce
-            | Breach::TooManyAttempts
-            | Breach::RefusedAfterRun
-            | Breach::Altered => 2,
-            Breach::SentToDrained => 3,
-            Breach::PushedOver => 4,
+            Violation::Lost
+            | Violation::AnsweredTwice
+            | Violation::ForeignAnswer
+            | Violation::SentAfterAnswer
+            | Violation::SentAfterLeaving
+            | Violation::SentForNobody
+            | Violation::Crashed => 1,
+            Violation::ResentUnsafe
+            | Violation::ResentElsewhere
+            | Violation::ResentTooLate
+            | Violation::TwoAtOnce
+            | Violation::TooManyAttempts
+            | Violation::RefusedAfterRun
+            | Violation::Altered => 2,
+            Violation::SentToDrained => 3,
+            Violation::PushedOver => 4,
         }
     }
 
     /// Its name in reports.
     pub fn name(self) -> &'static str {
         match self {
-            Breach::Lost => "lost",
-            Breach::AnsweredTwice => "answered-twice",
-            Breach::ForeignAnswer => "foreign-answer",
-            Breach::SentAfterAnswer => "sent-after-answer",
-            Breach::SentAfterLeaving => "sent-after-leaving",
-            Breach::SentForNobody => "sent-for-nobody",
-            Breach::Crashed => "crashed",
-            Breach::ResentUnsafe => "resent-unsafe",
-            Breach::ResentElsewhere => "resent-elsewhere",
-            Breach::ResentTooLate => "resent-too-late",
-            Breach::TwoAtOnce => "two-at-once",
-            Breach::TooManyAttempts => "too-many-attempts",
-            Breach::RefusedAfterRun => "refused-after-run",
-            Breach::Altered => "altered",
-            Breach::SentToDrained => "sent-to-drained",
-            Breach::PushedOver => "pushed-over",
+            Violation::Lost => "lost",
+            Violation::AnsweredTwice => "answered-twice",
+            Violation::ForeignAnswer => "foreign-answer",
+            Violation::SentAfterAnswer => "sent-after-answer",
+            Violation::SentAfterLeaving => "sent-after-leaving",
+            Violation::SentForNobody => "sent-for-nobody",
+            Violation::Crashed => "crashed",
+            Violation::ResentUnsafe => "resent-unsafe",
+            Violation::ResentElsewhere => "resent-elsewhere",
+            Violation::ResentTooLate => "resent-too-late",
+            Violation::TwoAtOnce => "two-at-once",
+            Violation::TooManyAttempts => "too-many-attempts",
+            Violation::RefusedAfterRun => "refused-after-run",
+            Violation::Altered => "altered",
+            Violation::SentToDrained => "sent-to-drained",
+            Violation::PushedOver => "pushed-over",
         }
     }
 }
@@ -114,7 +114,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Finding {
     /// Which, and how.
-    pub breach: Breach,
+    #[serde(rename = "breach")]
+    pub violation: Violation,
     /// When it was broken.
     pub at: At,
     /// By which balancer, where it was one.
@@ -166,7 +167,7 @@
     drains::judge(&case, &mut findings);
     cold::judge(&case, &mut findings);
     crashes(&case, &mut findings);
-    findings.sort_by_key(|f| (f.at, f.breach, f.request));
+    findings.sort_by_key(|f| (f.at, f.violation, f.request));
     let (service, floors) = (service::reckon(&case), floors::of(&case));
     Verdict { findings, service, floors, sessions: sessions::of(&case) }
 }
@@ -187,17 +188,16 @@
 /// A balancer that ends and was neither killed nor asked to.
 fn crashes(case: &Case, findings: &mut Vec<Finding>) {
     for (i, line) in case.trace.iter().enumerate() {
-        let Seen::Exited { balancer, start, code } = line.seen else { continue };
+        let Observation::Exited { balancer, start, code } = line.seen else { continue };
         let asked = case.trace[..i].iter().any(|l| match l.seen {
-            Seen::Killed { balancer: b, start: s } | Seen::Stopping { balancer: b, start: s } => {
-                (b, s) == (balancer, start)
-            }
+            Observation::Killed { balancer: b, start: s }
+            | Observation::Stopping { balancer: b, start: s } => (b, s) == (balancer, start),
             _ => false,
         });
         if !asked {
             let code = code.map_or("by a signal".to_string(), |c| format!("with code {c}"));
             findings.push(Finding {
-                breach: Breach::Crashed,
+                violation: Violation::Crashed,
                 at: line.at,
                 balancer: Some(balancer),
                 request: None,
--- a/crates/checker/src/report.rs
+++ b/crates/checker/src/report.rs
@@ -5,10 +5,10 @@
 
 use serde::Serialize;
 
-use crate::bank::{self, Bank};
-use crate::fleet::{Account, account};
-use crate::{Breach, Exactness, Finding, Floor, Service, Sessions, Verdict, judge};
-use hollowpaddle_scenario::record::{Line, Played, Resources, Seen, digest};
+use crate::cluster::{self, Bank};
+use crate::fleet::{RecoveryReport, account};
+use crate::{Exactness, Finding, Floor, Service, Sessions, Verdict, Violation, judge};
+use hollowpaddle_scenario::record::{Line, Observation, Played, Resources, digest};
 use hollowpaddle_scenario::scenario::Expect;
 
 /// Version of the JSON form. It changes when a field changes its name or meaning, not when one is added.
@@ -58,7 +58,7 @@
     #[serde(skip_serializing_if = "Option::is_none")]
     pub bank: Option<Bank>,
     /// How the bank came through its faults, where its twin was played too.
-    pub account: Option<Account>,
+    pub account: Option<RecoveryReport>,
 }
 
 impl Report {
@@ -70,10 +70,10 @@
             judge(scenario, &played.plan, &played.trace, exact);
         let mut breaches = BTreeMap::new();
         for finding in &findings {
-            *breaches.entry(finding.breach.name()).or_insert(0) += 1;
+            *breaches.entry(finding.violation.name()).or_insert(0) += 1;
         }
         let tipped = |l: &Line| match l.seen {
-            Seen::Tipped { node } => Some(node),
+            Observation::Tipped { node } => Some(node),
             _ => None,
         };
         Self {
@@ -93,21 +93,21 @@
             tipped: played.trace.iter().filter_map(tipped).collect(),
             floors,
             sessions,
-            bank: bank::of(played, exact.slack.as_secs_f64()),
+            bank: cluster::of(played, exact.slack.as_secs_f64()),
             account: None,
         }
     }
 
     /// The same, and how the bank came through its faults: against the same plan played without them.
-    pub fn with_twin(played: &Played, twin: &Played) -> Self {
+    pub fn with_control(played: &Played, control_run: &Played) -> Self {
         let report = Self::of(played);
-        let twin_service = Self::of(twin).service.whole;
-        let mut account = account(played, twin, report.service.whole, twin_service);
+        let control_service = Self::of(control_run).service.whole;
+        let mut account = account(played, control_run, report.service.whole, control_service);
         if let Some(sessions) = &report.sessions {
             account.missed.extend(missed_of_vans(&played.scenario.expect, sessions));
         }
         if let Some(bank) = &report.bank {
-            account.missed.extend(bank::missed(&played.scenario.expect, bank));
+            account.missed.extend(cluster::missed(&played.scenario.expect, bank));
         }
         Self { account: Some(account), ..report }
     }
@@ -133,8 +133,8 @@
     }
 
     /// Whether this one was broken.
-    pub fn has(&self, breach: Breach) -> bool {
-        self.breaches.contains_key(breach.name())
+    pub fn has(&self, violation: Violation) -> bool {
+        self.breaches.contains_key(violation.name())
     }
 
     /// For people.
@@ -234,8 +234,8 @@
             writeln!(
                 out,
                 "\nrule {} {} at {:.3} s: {}",
-                finding.breach.rule(),
-                finding.breach.name(),
+                finding.violation.rule(),
+                finding.violation.name(),
                 finding.at.0 as f64 / 1e6,
                 finding.what
             )?;
@@ -340,12 +340,12 @@
     Ok(())
 }
 
-fn write_account(account: &Account, out: &mut String) -> std::fmt::Result {
+fn write_account(account: &RecoveryReport, out: &mut String) -> std::fmt::Result {
     let seconds = |s: Option<f64>| s.map_or("-".to_string(), |s| format!("{s:.1}"));
     writeln!(
         out,
         "\nagainst the same day without its faults: service {:.3}",
-        account.twin_service
+        account.control_service
     )?;
     for e in &account.episodes {
         let full = match e.full_service_s {
@@ -359,7 +359,7 @@
             e.from_s,
             seconds(e.up_s),
             e.lowest,
-            e.lowest_of_twin,
+            e.lowest_of_control,
             e.lost_s
         )?;
     }
@@ -370,13 +370,13 @@
     )?;
     for r in &account.stampede {
         write!(out, "{:<12}{:>9}{:>9.1}", r.what, r.all.peak, r.all.at_s)?;
-        write!(out, "{:>9}{:>9.1}", r.all.twin, r.all.times)?;
+        write!(out, "{:>9}{:>9.1}", r.all.control_run, r.all.times)?;
         match r.busiest {
-            Some(b) => writeln!(out, "{:>12}{:>9}{:>9.1}", b.peak, b.twin, b.times)?,
+            Some(b) => writeln!(out, "{:>12}{:>9}{:>9.1}", b.peak, b.control_run, b.times)?,
             None => writeln!(out)?,
         }
     }
-    let (c, t) = (account.crowd, account.twin_crowd);
+    let (c, t) = (account.contention, account.control_contention);
     writeln!(
         out,
         "crowd: {} of {} refusals beside an idle node, {:.3} of what was sent (twin {:.3})",
--- a/crates/checker/src/requests.rs
+++ b/crates/checker/src/requests.rs
@@ -4,8 +4,8 @@
 
 use rustc_hash::FxHashMap;
 
-use super::{Breach, Case, Finding, micros};
-use hollowpaddle_scenario::record::{At, Fate, Line, Seen};
+use super::{Case, Finding, Violation, micros};
+use hollowpaddle_scenario::record::{At, AttemptOutcome, Line, Observation};
 use hollowpaddle_scenario::scenario::{Effect, Group};
 
 /// One attempt, as its node saw it.
@@ -16,14 +16,14 @@
     balancer: usize,
     start: u32,
     first: At,
-    ended: Option<(At, Fate)>,
+    ended: Option<(At, AttemptOutcome)>,
     closed: Option<At>,
 }
 
 impl Attempt {
     /// Whether its outcome proves that it never ran.
     fn never_ran(&self) -> bool {
-        matches!(self.ended, Some((_, Fate::TurnedAway)))
+        matches!(self.ended, Some((_, AttemptOutcome::TurnedAway)))
     }
 
     /// Until when it was out, on an open connection.
@@ -65,7 +65,7 @@
 
 /// The life of one start of a balancer.
 #[derive(Clone, Debug, Default)]
-struct Life {
+struct ProcessRun {
     /// From when to when it was frozen.
     pauses: Vec<(At, Option<At>)>,
     stopping: Option<At>,
@@ -76,15 +76,15 @@
 pub fn judge(case: &Case, findings: &mut Vec<Finding>) {
     let mut stories: BTreeMap<u32, Story> = BTreeMap::new();
     let mut whose: FxHashMap<u32, u32> = FxHashMap::default();
-    let mut lives: FxHashMap<(usize, u32), Life> = FxHashMap::default();
+    let mut process_runs: FxHashMap<(usize, u32), ProcessRun> = FxHashMap::default();
     let mut found = Vec::new();
     for line in case.trace {
         let at = line.at;
-        let mut life = |b: &usize, s: &u32, f: &dyn Fn(&mut Life)| {
-            f(lives.entry((*b, *s)).or_default());
+        let mut process_run = |b: &usize, s: &u32, f: &dyn Fn(&mut ProcessRun)| {
+            f(process_runs.entry((*b, *s)).or_default());
         };
         match &line.seen {
-            Seen::Sent { request, balancer, start, again, .. } => {
+            Observation::Sent { request, balancer, start, again, .. } => {
                 let story = stories.entry(*request).or_default();
                 let before = story.sent.replace((at, *balancer, *start));
                 if let Some((_, balancer, start)) = before.filter(|_| *again) {
@@ -92,35 +92,35 @@
                 }
             }
             // Sent, its connection closed, and nobody there as its client asked once more.
-            Seen::Unreachable { request, .. } => {
+            Observation::Unreachable { request, .. } => {
                 let story = stories.entry(*request).or_default();
                 if let Some((_, balancer, start)) = story.sent {
                     story.closed = Some((at, balancer, start));
                 }
             }
-            Seen::Answered { request, status, attempt, .. } => {
+            Observation::Answered { request, status, attempt, .. } => {
                 let end = End::Answered { status: *status, attempt: *attempt };
                 stories.entry(*request).or_default().end = Some((at, end));
             }
-            Seen::Broken { request, begun } => {
+            Observation::Broken { request, begun } => {
                 stories.entry(*request).or_default().end =
                     Some((at, End::Broken { begun: *begun }));
             }
-            Seen::Left { request } => {
+            Observation::Left { request } => {
                 stories.entry(*request).or_default().end = Some((at, End::Left));
             }
-            Seen::GaveUp { request } => {
+            Observation::GaveUp { request } => {
                 stories.entry(*request).or_default().end = Some((at, End::GaveUp));
             }
-            Seen::Extra { balancer, request, bytes } => {
+            Observation::Extra { balancer, request, bytes } => {
                 let what = format!("{bytes} bytes came on a connection with no request open");
-                found.push((Breach::AnsweredTwice, at, Some(*balancer), *request, what));
+                found.push((Violation::AnsweredTwice, at, Some(*balancer), *request, what));
             }
-            Seen::Stranger { node, balancer, what } => {
+            Observation::Stranger { node, balancer, what } => {
                 let what = format!("node {node} was sent what no client sent: {what}");
-                found.push((Breach::Altered, at, Some(*balancer), None, what));
+                found.push((Violation::Altered, at, Some(*balancer), None, what));
             }
-            Seen::Attempt { attempt, request, node, balancer, start, first, .. } => {
+            Observation::Attempt { attempt, request, node, balancer, start, first, .. } => {
                 whose.insert(*attempt, *request);
                 stories.entry(*request).or_default().attempts.push(Attempt {
                     number: *attempt,
@@ -132,43 +132,47 @@
                     closed: None,
                 });
             }
-            Seen::Ended { attempt, fate } => {
+            Observation::Ended { attempt, fate } => {
                 with(&mut stories, &whose, *attempt, |a| a.ended = a.ended.or(Some((at, *fate))));
             }
-            Seen::Closed { attempt } => {
+            Observation::Closed { attempt } => {
                 with(&mut stories, &whose, *attempt, |a| a.closed = a.closed.or(Some(at)));
             }
-            Seen::Stopping { balancer, start } => {
-                life(balancer, start, &|l| l.stopping = Some(at));
+            Observation::Stopping { balancer, start } => {
+                process_run(balancer, start, &|l| l.stopping = Some(at));
             }
-            Seen::Killed { balancer, start } => life(balancer, start, &|l| l.killed = Some(at)),
-            Seen::Paused { balancer, start } => {
-                life(balancer, start, &|l| l.pauses.push((at, None)));
+            Observation::Killed { balancer, start } => {
+                process_run(balancer, start, &|l| l.killed = Some(at))
             }
-            Seen::Resumed { balancer, start } => life(balancer, start, &|l| {
+            Observation::Paused { balancer, start } => {
+                process_run(balancer, start, &|l| l.pauses.push((at, None)));
+            }
+            Observation::Resumed { balancer, start } => process_run(balancer, start, &|l| {
                 l.pauses.iter_mut().for_each(|p| p.1 = p.1.or(Some(at)));
             }),
-            Seen::Exited { balancer, start, .. } => life(balancer, start, &|l| l.exited = Some(at)),
+            Observation::Exited { balancer, start, .. } => {
+                process_run(balancer, start, &|l| l.exited = Some(at))
+            }
             _ => {}
         }
     }
     for (request, story) in &mut stories {
         story.attempts.sort_by_key(|a| (a.first, a.number));
-        let life = |of: Option<(At, usize, u32)>| {
-            of.and_then(|(_, b, s)| lives.get(&(b, s)).cloned()).unwrap_or_default()
+        let process_run = |of: Option<(At, usize, u32)>| {
+            of.and_then(|(_, b, s)| process_runs.get(&(b, s)).cloned()).unwrap_or_default()
         };
-        let (now, before) = (life(story.sent), life(story.closed));
+        let (now, before) = (process_run(story.sent), process_run(story.closed));
         let mut judged = Judged { case, request: *request, story, found: Vec::new() };
         judged.closed_with_no_answer(before);
         judged.answer(now);
         judged.effects();
         found.append(&mut judged.found);
     }
-    gone(case, &stories, &lives, &mut found);
+    gone(case, &stories, &process_runs, &mut found);
     // Only what is told of is looked up again.
-    for (breach, at, balancer, request, what) in found {
+    for (violation, at, balancer, request, what) in found {
         let history = request.map(|r| history(case.trace, &whose, r)).unwrap_or_default();
-        findings.push(Finding { breach, at, balancer, request, what, history });
+        findings.push(Finding { violation, at, balancer, request, what, history });
     }
 }
 
@@ -176,7 +180,7 @@
 fn gone(
     case: &Case,
     stories: &BTreeMap<u32, Story>,
-    lives: &FxHashMap<(usize, u32), Life>,
+    process_runs: &FxHashMap<(usize, u32), ProcessRun>,
     found: &mut Vec<Found>,
 ) {
     let (mut late, mut waited, mut for_nobody) = (Vec::new(), 0, Vec::new());
@@ -185,7 +189,8 @@
         let Some((left, End::Left)) = story.end else { continue };
         // Who is frozen hears of it once it is thawed.
         let heard = |a: &Attempt| {
-            let pauses = lives.get(&(a.balancer, a.start)).map_or(&[][..], |l| &l.pauses[..]);
+            let pauses =
+                process_runs.get(&(a.balancer, a.start)).map_or(&[][..], |l| &l.pauses[..]);
             let asleep = pauses.iter().filter(|(from, to)| {
                 from.0 <= left.0 + LEFT && to.is_none_or(|to| left <= to && to <= a.first)
             });
@@ -207,7 +212,7 @@
     late.sort();
     for (at, balancer, request, how) in late.into_iter().skip(LATE_ATTEMPTS) {
         let what = format!("an attempt began {how}; {LATE_ATTEMPTS} such cases came before it");
-        found.push((Breach::SentAfterLeaving, at, Some(balancer), Some(request), what));
+        found.push((Violation::SentAfterLeaving, at, Some(balancer), Some(request), what));
     }
     let so_many = for_nobody.len();
     if so_many >= LEAST_FOR_NOBODY && so_many as f64 > SHARE_FOR_NOBODY * f64::from(waited) {
@@ -216,7 +221,7 @@
             FOR_NOBODY / 1000
         );
         let at = for_nobody.into_iter().max().unwrap_or_default();
-        found.push((Breach::SentForNobody, at, None, None, what));
+        found.push((Violation::SentForNobody, at, None, None, what));
     }
 }
 
@@ -235,23 +240,23 @@
 /// All that was seen of a request.
 fn history(trace: &[Line], whose: &FxHashMap<u32, u32>, request: u32) -> Vec<Line> {
     let of = |line: &&Line| match &line.seen {
-        Seen::Sent { request: r, .. }
-        | Seen::Unreachable { request: r, .. }
-        | Seen::Answered { request: r, .. }
-        | Seen::Broken { request: r, .. }
-        | Seen::Left { request: r }
-        | Seen::GaveUp { request: r }
-        | Seen::Attempt { request: r, .. } => *r == request,
-        Seen::Extra { request: r, .. } => *r == Some(request),
-        Seen::Ran { attempt } | Seen::Ended { attempt, .. } | Seen::Closed { attempt } => {
-            whose.get(attempt) == Some(&request)
-        }
+        Observation::Sent { request: r, .. }
+        | Observation::Unreachable { request: r, .. }
+        | Observation::Answered { request: r, .. }
+        | Observation::Broken { request: r, .. }
+        | Observation::Left { request: r }
+        | Observation::GaveUp { request: r }
+        | Observation::Attempt { request: r, .. } => *r == request,
+        Observation::Extra { request: r, .. } => *r == Some(request),
+        Observation::Ran { attempt }
+        | Observation::Ended { attempt, .. }
+        | Observation::Closed { attempt } => whose.get(attempt) == Some(&request),
         _ => false,
     };
     trace.iter().filter(of).cloned().collect()
 }
 
-type Found = (Breach, At, Option<usize>, Option<u32>, String);
+type Found = (Violation, At, Option<usize>, Option<u32>, String);
 
 struct Judged<'a> {
     case: &'a Case<'a>,
@@ -261,13 +266,13 @@
 }
 
 impl Judged<'_> {
-    fn found(&mut self, breach: Breach, at: At, balancer: usize, what: String) {
-        self.found.push((breach, at, Some(balancer), Some(self.request), what));
+    fn found(&mut self, violation: Violation, at: At, balancer: usize, what: String) {
+        self.found.push((violation, at, Some(balancer), Some(self.request), what));
     }
 
     /// Rule 1: one that was read from a connection that had rested, sent on, and left without an answer as its balancer
     /// closed that connection, is lost, though its client asked once more. One that was not read is not.
-    fn closed_with_no_answer(&mut self, life: Life) {
+    fn closed_with_no_answer(&mut self, process_run: ProcessRun) {
         let Some((at, balancer, start)) = self.story.closed else { return };
         let again_at = self.story.sent.map(|(_, b, s)| (b, s));
         let of_it = |a: &&Attempt| {
@@ -275,18 +280,18 @@
                 && (again_at != Some((balancer, start)) || a.first <= at)
         };
         let Some(sent_on) = self.story.attempts.iter().find(of_it).cloned() else { return };
-        if self.excused(life, at) {
+        if self.excused(process_run, at) {
             return;
         }
         let what = format!(
             "read by n{balancer} and sent on to node {}, and the connection ended with no answer",
             sent_on.node
         );
-        self.found(Breach::Lost, at, balancer, what);
+        self.found(Violation::Lost, at, balancer, what);
     }
 
     /// Rule 1.
-    fn answer(&mut self, life: Life) {
+    fn answer(&mut self, process_run: ProcessRun) {
         let Some((sent, balancer, _)) = self.story.sent else { return };
         let Some((at, end)) = self.story.end else { return };
         let after = at.ms_since(sent);
@@ -295,7 +300,7 @@
             // Begun and not finished, the client can tell: it has failed.
             End::Broken { begun: true } => {}
             End::Broken { begun: false } | End::GaveUp => {
-                if self.excused(life, at) {
+                if self.excused(process_run, at) {
                     return;
                 }
                 let how = match end {
@@ -303,16 +308,17 @@
                     _ => "the connection ended with no answer",
                 };
                 let what = format!("taken by n{balancer}, and {how} {after:.1} ms after that");
-                self.found(Breach::Lost, at, balancer, what);
+                self.found(Violation::Lost, at, balancer, what);
             }
             End::Answered { status: 200, attempt } => {
                 let made = |a: &&Attempt| Some(a.number) == attempt;
                 let made = self.story.attempts.iter().find(made);
-                let whole =
-                    |a: &Attempt| matches!(a.ended, Some((_, Fate::Served | Fate::Dropped)));
+                let whole = |a: &Attempt| {
+                    matches!(a.ended, Some((_, AttemptOutcome::Served | AttemptOutcome::Dropped)))
+                };
                 if !made.is_some_and(whole) {
                     let what = "answered 200 with what no node made for it".to_string();
-                    self.found(Breach::ForeignAnswer, at, balancer, what);
+                    self.found(Violation::ForeignAnswer, at, balancer, what);
                 }
             }
             End::Answered { .. } => {}
@@ -323,30 +329,30 @@
             for a in late {
                 let ms = a.first.ms_since(at);
                 let what = format!("sent to node {} {ms:.1} ms after its final answer", a.node);
-                self.found(Breach::SentAfterAnswer, a.first, a.balancer, what);
+                self.found(Violation::SentAfterAnswer, a.first, a.balancer, what);
             }
         }
     }
 
     /// Whether the balancer was killed before it could answer: the request is its client's to retry. Nor can one
     /// answer that is frozen; one that was thawed some time before the client gave up can.
-    fn excused(&self, life: Life, at: At) -> bool {
+    fn excused(&self, process_run: ProcessRun, at: At) -> bool {
         let asleep = |(from, to): &(At, Option<At>)| {
             *from <= at && to.is_none_or(|to| at.0 <= to.0 + TO_WAKE + self.case.slack)
         };
-        if life.pauses.iter().any(asleep) {
+        if process_run.pauses.iter().any(asleep) {
             return true;
         }
         // The client may hear of it a moment before we do.
         let before = |then: Option<At>| then.is_some_and(|t| t.0 <= at.0 + self.case.slack);
-        if !before(life.killed) {
+        if !before(process_run.killed) {
             return false;
         }
         // What a kill finds unanswered once a stop had its time is lost: the longest deadline and 0.7 s after
         // SIGTERM (PROTOCOL, 'Figures'). One that comes sooner is a kill as at any time.
         let longest = self.case.scenario.classes.iter().map(|c| c.deadline).max();
         let time = micros(longest.unwrap_or_default()) + 700_000;
-        match (life.stopping, life.killed) {
+        match (process_run.stopping, process_run.killed) {
             (Some(stop), Some(kill)) => kill.0.saturating_sub(stop.0) < time,
             _ => true,
         }
@@ -367,12 +373,12 @@
                     "sent to node {} while its attempt at node {} was out",
                     next.node, other.node
                 );
-                self.found(Breach::TwoAtOnce, next.first, next.balancer, what);
+                self.found(Violation::TwoAtOnce, next.first, next.balancer, what);
                 continue;
             }
             if i >= self.case.scenario.rules.max_attempts {
                 let what = format!("attempt {} of {} allowed", i + 1, i);
-                self.found(Breach::TooManyAttempts, next.first, next.balancer, what);
+                self.found(Violation::TooManyAttempts, next.first, next.balancer, what);
                 continue;
             }
             let Some(may) = earlier.iter().find(|a| !a.never_ran()) else { continue };
@@ -385,7 +391,7 @@
                         next.node,
                         next.first.ms_since(may.first)
                     );
-                    self.found(Breach::ResentUnsafe, next.first, next.balancer, what);
+                    self.found(Violation::ResentUnsafe, next.first, next.balancer, what);
                 }
                 Effect::Keyed => {
                     let since = next.first.ms_since(may.first);
@@ -394,7 +400,7 @@
                             "keyed, may have run at node {}, and sent to node {} of another group",
                             may.node, next.node
                         );
-                        self.found(Breach::ResentElsewhere, next.first, next.balancer, what);
+                        self.found(Violation::ResentElsewhere, next.first, next.balancer, what);
                     } else if next.first.0 > may.first.0 + micros(class.window) + self.case.slack {
                         let what = format!(
                             "keyed, may have run at node {}, and sent again {since:.1} ms after \
@@ -402,7 +408,7 @@
                             may.node,
                             class.window.as_secs_f64() * 1e3
                         );
-                        self.found(Breach::ResentTooLate, next.first, next.balancer, what);
+                        self.found(Violation::ResentTooLate, next.first, next.balancer, what);
                     }
                 }
             }
@@ -416,7 +422,7 @@
         let may = attempts.iter().find(|a| !a.never_ran() && a.first.0 <= at.0 + self.case.slack);
         if let Some(may) = may.filter(|_| !harmless) {
             let what = format!("answered {status}, and it may have run at node {}", may.node);
-            self.found(Breach::RefusedAfterRun, at, may.balancer, what);
+            self.found(Violation::RefusedAfterRun, at, may.balancer, what);
         }
     }
 
--- a/crates/checker/src/service.rs
+++ b/crates/checker/src/service.rs
@@ -6,7 +6,7 @@
 use serde::Serialize;
 
 use super::Case;
-use hollowpaddle_scenario::record::{At, Seen};
+use hollowpaddle_scenario::record::{At, Observation};
 
 /// Width of the stretch that the worst one is sought among, in seconds.
 const STRETCH: usize = 10;
@@ -156,15 +156,15 @@
     for line in case.trace {
         let mut end = |request: &u32, outcome| ended[*request as usize] = Some(outcome);
         match &line.seen {
-            Seen::Sent { request, .. } => {
+            Observation::Sent { request, .. } => {
                 sent[*request as usize].get_or_insert(line.at);
             }
-            Seen::Answered { request, status, .. } => {
+            Observation::Answered { request, status, .. } => {
                 end(request, Outcome::Answered(line.at, *status));
             }
-            Seen::Broken { request, begun: true } => end(request, Outcome::Broken),
-            Seen::Left { request } => end(request, Outcome::Left),
-            Seen::Unreachable { request, .. } => end(request, Outcome::Unreachable),
+            Observation::Broken { request, begun: true } => end(request, Outcome::Broken),
+            Observation::Left { request } => end(request, Outcome::Left),
+            Observation::Unreachable { request, .. } => end(request, Outcome::Unreachable),
             _ => {}
         }
     }
@@ -210,8 +210,11 @@
     let mut counts = Counts::default();
     for line in case.trace {
         match &line.seen {
-            Seen::Attempt { .. } => counts.attempts += 1,
-            Seen::Ended { fate: hollowpaddle_scenario::record::Fate::TurnedAway, .. } => {
+            Observation::Attempt { .. } => counts.attempts += 1,
+            Observation::Ended {
+                fate: hollowpaddle_scenario::record::AttemptOutcome::TurnedAway,
+                ..
+            } => {
                 counts.turned_away += 1;
             }
             _ => {}
--- a/crates/checker/src/sessions.rs
+++ b/crates/checker/src/sessions.rs
@@ -7,7 +7,7 @@
 use serde::Serialize;
 
 use super::Case;
-use hollowpaddle_scenario::record::{At, Seen};
+use hollowpaddle_scenario::record::{At, Observation};
 use hollowpaddle_scenario::scenario::Effect;
 
 /// So many effects that ran in several pods are told in full.
@@ -70,13 +70,13 @@
     let (mut stayed, mut came) = (0_u64, 0_u64);
     for line in case.trace {
         match line.seen {
-            Seen::Attempt { attempt, request, node, balancer, .. } => {
+            Observation::Attempt { attempt, request, node, balancer, .. } => {
                 let pod = plan.machines[node].cell;
                 let run = Run { at: line.at, request, balancer, node, pod };
                 attempts.insert(attempt, run);
             }
             // From here on it may have had its effect, whatever its balancer hears of it.
-            Seen::Ran { attempt } => {
+            Observation::Ran { attempt } => {
                 let Some(run) = attempts.get(&attempt) else { continue };
                 let run = Run { at: line.at, ..*run };
                 let arrival = &plan.arrivals[run.request as usize];
--- a/crates/checker/tests/fleet.rs
+++ b/crates/checker/tests/fleet.rs
@@ -1,9 +1,9 @@
 //! The account of a bank on traces written by hand: each figure where it is known beforehand.
 
-use hollowpaddle_checker::fleet::Account;
+use hollowpaddle_checker::fleet::RecoveryReport;
 use hollowpaddle_checker::report::Report;
 use hollowpaddle_scenario::plan::Plan;
-use hollowpaddle_scenario::record::{At, Fate, Line, Phase, Played, Seen};
+use hollowpaddle_scenario::record::{At, AttemptOutcome, Line, Observation, Phase, Played};
 use hollowpaddle_scenario::scenario::Scenario;
 
 const DAY: &str = r#"
@@ -63,8 +63,9 @@
     for (i, a) in plan.arrivals.iter().enumerate() {
         let (request, class, due) = (i as u32, a.class, a.at.as_secs_f64());
         let status = if served(i, class, due) { 200 } else { 503 };
-        let sent = Seen::Sent { request, balancer: i % 4, start: 1, class, again: false };
-        let answered = Seen::Answered { request, status, attempt: None, retry_after_ms: None };
+        let sent = Observation::Sent { request, balancer: i % 4, start: 1, class, again: false };
+        let answered =
+            Observation::Answered { request, status, attempt: None, retry_after_ms: None };
         trace.push(Line { at: at(due), seen: sent });
         trace.push(Line { at: at(due + 0.01), seen: answered });
     }
@@ -80,15 +81,15 @@
         acts.iter().find(|a| a.balancers.len() == 2).expect("half of four").balancers.clone();
     let ready = |(n, balancer): (usize, usize)| Line {
         at: at(seconds - n as f64 * 0.2),
-        seen: Seen::Ready { balancer, start: 2 },
+        seen: Observation::Ready { balancer, start: 2 },
     };
     struck.into_iter().enumerate().map(ready).collect()
 }
 
-fn account(scenario: &Scenario, played: &Played) -> Account {
-    let mut twin = run(scenario, |_, _, _| true, vec![]);
-    twin.plan = twin.plan.twin();
-    Report::with_twin(played, &twin).account.expect("there is a twin")
+fn account(scenario: &Scenario, played: &Played) -> RecoveryReport {
+    let mut control_run = run(scenario, |_, _, _| true, vec![]);
+    control_run.plan = control_run.plan.control_run();
+    Report::with_control(played, &control_run).account.expect("there is a twin")
 }
 
 #[test]
@@ -109,7 +110,7 @@
     // A window in which next to nothing is missing is full: up to 1 s of one is in the time before.
     assert!((3.0..=4.1).contains(&took), "{took}");
     assert!((0.7..=1.0).contains(&episode.lost_s), "a tenth of 7 s: {}", episode.lost_s);
-    assert!(episode.lowest < 0.95 && episode.lowest_of_twin == 1.0);
+    assert!(episode.lowest < 0.95 && episode.lowest_of_control == 1.0);
     // Whole at once, and never.
     assert_eq!(account_of(12.0).episodes[0].full_service_s, Some(0.0));
     let never = &account_of(40.0).episodes[0];
@@ -150,8 +151,8 @@
 #[test]
 fn a_stampede_is_the_worst_second_against_the_twins() {
     let day = day("");
-    let link = |s: f64, node| Line { at: at(s), seen: Seen::Linked { node, balancer: 0 } };
-    let call = |s: f64| Line { at: at(s), seen: Seen::Called { balancer: 0 } };
+    let link = |s: f64, node| Line { at: at(s), seen: Observation::Linked { node, balancer: 0 } };
+    let call = |s: f64| Line { at: at(s), seen: Observation::Called { balancer: 0 } };
     // Two a second usually, and before the fault a rush that is no part of it.
     let usual: Vec<Line> =
         (0..80).map(|n| link(f64::from(n) * 0.5 + 0.01, n as usize % 4)).collect();
@@ -160,16 +161,19 @@
         usual.iter().cloned().chain(rush(5.0, 90)).chain(rush(12.3, 30)).collect();
     more.extend([call(12.5), call(12.6), call(12.7), call(14.9)]);
     let played = run(&day, |_, _, _| true, more);
-    let mut twin = run(&day, |_, _, _| true, usual);
-    twin.plan = twin.plan.twin();
-    let account = Report::with_twin(&played, &twin).account.expect("there is a twin");
+    let mut control_run = run(&day, |_, _, _| true, usual);
+    control_run.plan = control_run.plan.control_run();
+    let account = Report::with_control(&played, &control_run).account.expect("there is a twin");
     let of = |what| account.stampede.iter().find(|r| r.what == what).expect("known");
     let (connects, busiest) = (of("connects").all, of("connects").busiest.expect("goes to nodes"));
-    assert_eq!((connects.peak, connects.twin, connects.times), (32, 2, 16.0));
+    assert_eq!((connects.peak, connects.control_run, connects.times), (32, 2, 16.0));
     assert!((11.2..=12.4).contains(&connects.at_s), "{}", connects.at_s);
-    assert_eq!((busiest.peak, busiest.twin), (30, 1));
+    assert_eq!((busiest.peak, busiest.control_run), (30, 1));
     let calls = of("list-calls");
-    assert_eq!((calls.all.peak, calls.all.twin, calls.all.times, calls.busiest), (3, 0, 3.0, None));
+    assert_eq!(
+        (calls.all.peak, calls.all.control_run, calls.all.times, calls.busiest),
+        (3, 0, 3.0, None)
+    );
     assert_eq!(of("datagrams").all.peak, 0);
 }
 
@@ -178,16 +182,22 @@
     let day = day("\n[[faults]]\nkind = \"vanish\"\nstart_s = 20\nlength_s = 5\nnodes = [0]\n");
     let up = |node, cold_ms| Line {
         at: At(0),
-        seen: Seen::Up { node, full: 1.0, cold_from: 0.2, cold_ms },
+        seen: Observation::Up { node, full: 1.0, cold_from: 0.2, cold_ms },
     };
     let told = |balancer, node| Line {
         at: At(1),
-        seen: Seen::Told { balancer, node, phase: Phase::Serving, since: At(0), revision: 1 },
+        seen: Observation::Told {
+            balancer,
+            node,
+            phase: Phase::Serving,
+            since: At(0),
+            revision: 1,
+        },
     };
-    let fault = |s, begins| Line { at: at(s), seen: Seen::Fault { fault: 1, begins } };
+    let fault = |s, begins| Line { at: at(s), seen: Observation::Fault { fault: 1, begins } };
     let busy = |attempt, s: f64, node| Line {
         at: at(s),
-        seen: Seen::Attempt {
+        seen: Observation::Attempt {
             attempt,
             request: 0,
             node,
@@ -198,7 +208,7 @@
             work_ms: 10.0,
         },
     };
-    let ended = |attempt, s, fate| Line { at: at(s), seen: Seen::Ended { attempt, fate } };
+    let ended = |attempt, s, fate| Line { at: at(s), seen: Observation::Ended { attempt, fate } };
     // Node 0 is warm and known to balancers 0 and 1, node 1 cold until 30 s; the others do not run.
     let lines = vec![
         up(0, 0.0),
@@ -208,17 +218,19 @@
         told(0, 1),
         // Node 0 has something in work from 5 s to 10 s, and until 10.01 s with what was given up.
         busy(1, 5.0, 0),
-        ended(1, 10.0, Fate::Abandoned),
+        ended(1, 10.0, AttemptOutcome::Abandoned),
         fault(20.0, true),
         fault(25.0, false),
     ];
     let refuse_between = |from: f64, to: f64| {
         let played = run(&day, move |_, _, t| !(from..to).contains(&t), lines.clone());
-        let crowd = account(&day, &played).crowd;
-        let refused =
-            played.trace.iter().filter(|l| matches!(l.seen, Seen::Answered { status: 503, .. }));
-        assert_eq!(crowd.refused, refused.count() as u64);
-        crowd.beside_idle as f64 / crowd.refused as f64
+        let contention = account(&day, &played).contention;
+        let refused = played
+            .trace
+            .iter()
+            .filter(|l| matches!(l.seen, Observation::Answered { status: 503, .. }));
+        assert_eq!(contention.refused, refused.count() as u64);
+        contention.beside_idle as f64 / contention.refused as f64
     };
     // Half of the balancers have heard of node 0.
     let half = |share: f64| (0.45..=0.55).contains(&share);
@@ -235,12 +247,13 @@
     let day = day("");
     let told = |s, phase, revision| Line {
         at: at(s),
-        seen: Seen::Told { balancer: 0, node: 0, phase, since: At(0), revision },
+        seen: Observation::Told { balancer: 0, node: 0, phase, since: At(0), revision },
     };
-    let listed = |s, phase| Line { at: at(s), seen: Seen::Listed { node: 0, phase, since: At(0) } };
+    let listed =
+        |s, phase| Line { at: at(s), seen: Observation::Listed { node: 0, phase, since: At(0) } };
     let send = |s, balancer| Line {
         at: at(s),
-        seen: Seen::Attempt {
+        seen: Observation::Attempt {
             attempt: 0,
             request: 0,
             node: 0,
@@ -285,7 +298,7 @@
     let mut lines = back(&day, 13.0);
     lines.extend((0..9).map(|n| Line {
         at: at(12.0 + f64::from(n) * 0.01),
-        seen: Seen::Linked { node: 0, balancer: 0 },
+        seen: Observation::Linked { node: 0, balancer: 0 },
     }));
     let missed = account(&day, &run(&day, short, lines)).missed;
     let starts = [
--- a/crates/checker/tests/formats.rs
+++ b/crates/checker/tests/formats.rs
@@ -2,19 +2,21 @@
 
 use std::collections::BTreeMap;
 
-use hollowpaddle_checker::bank::{Bank, Change, Contradiction, InForce, Moment};
-use hollowpaddle_checker::fleet::{Account, Crowd, Episode, Peak, Rush, Stale, StaleSends};
+use hollowpaddle_checker::cluster::{Bank, Change, Contradiction, InForce, Moment};
+use hollowpaddle_checker::fleet::{
+    Contention, Episode, Peak, RecoveryReport, Stale, StaleSends, Stampede,
+};
 use hollowpaddle_checker::report::{Report, VERSION};
 use hollowpaddle_checker::{
-    Breach, ClassService, Counts, Finding, Floor, Run, Service, Sessions, Twice,
+    ClassService, Counts, Finding, Floor, Run, Service, Sessions, Twice, Violation,
 };
-use hollowpaddle_scenario::record::{At, Line, Resources, Seen};
+use hollowpaddle_scenario::record::{At, Line, Observation, Resources};
 use serde_json::{Value, json};
 
 const REPORT: &str = include_str!("formats/report.json");
 
 fn line() -> Line {
-    Line { at: At(1), seen: Seen::Ran { attempt: 2 } }
+    Line { at: At(1), seen: Observation::Ran { attempt: 2 } }
 }
 
 /// A report with a value of its own in every field.
@@ -72,7 +74,7 @@
         },
         breaches: BTreeMap::from([("lost", 53)]),
         findings: vec![Finding {
-            breach: Breach::Lost,
+            violation: Violation::Lost,
             at: At(57),
             balancer: Some(59),
             request: Some(61),
@@ -136,8 +138,8 @@
             broken: vec!["text-139".into()],
             over_time: vec![Moment { at_s: 142.5, leased: 143.5, newest: 144.5 }],
         }),
-        account: Some(Account {
-            twin_service: 147.5,
+        account: Some(RecoveryReport {
+            control_service: 147.5,
             episodes: vec![Episode {
                 faults: vec!["text-151".into()],
                 from_s: 152.5,
@@ -145,23 +147,23 @@
                 full_service_s: Some(156.5),
                 watched_s: 157.5,
                 lowest: 158.5,
-                lowest_of_twin: 159.5,
+                lowest_of_control: 159.5,
                 lost_s: 160.5,
             }],
-            stampede: vec![Rush {
+            stampede: vec![Stampede {
                 what: "text-163",
-                all: Peak { peak: 165, at_s: 166.5, twin: 167, times: 168.5 },
-                busiest: Some(Peak { peak: 171, at_s: 172.5, twin: 173, times: 174.5 }),
+                all: Peak { peak: 165, at_s: 166.5, control_run: 167, times: 168.5 },
+                busiest: Some(Peak { peak: 171, at_s: 172.5, control_run: 173, times: 174.5 }),
                 over_time: vec![176],
             }],
-            crowd: Crowd { refused: 178, beside_idle: 179, share: 180.5 },
-            twin_crowd: Crowd { refused: 182, beside_idle: 183, share: 184.5 },
+            contention: Contention { refused: 178, beside_idle: 179, share: 180.5 },
+            control_contention: Contention { refused: 182, beside_idle: 183, share: 184.5 },
             stale: Stale {
                 told: StaleSends { sends: 187, oldest_ms: 188.5, balancers: 189 },
                 untold: StaleSends { sends: 191, oldest_ms: 192.5, balancers: 193 },
             },
             service: vec![Some(196.5)],
-            service_of_twin: vec![Some(199.5)],
+            service_of_control: vec![Some(199.5)],
             step_s: 200.5,
             missed: vec!["text-202".into()],
         }),
@@ -188,22 +190,22 @@
 #[test]
 fn violations_keep_their_names_and_rules() {
     for (violation, rule, name) in [
-        (Breach::Lost, 1, "lost"),
-        (Breach::AnsweredTwice, 1, "answered-twice"),
-        (Breach::ForeignAnswer, 1, "foreign-answer"),
-        (Breach::SentAfterAnswer, 1, "sent-after-answer"),
-        (Breach::SentAfterLeaving, 1, "sent-after-leaving"),
-        (Breach::SentForNobody, 1, "sent-for-nobody"),
-        (Breach::Crashed, 1, "crashed"),
-        (Breach::ResentUnsafe, 2, "resent-unsafe"),
-        (Breach::ResentElsewhere, 2, "resent-elsewhere"),
-        (Breach::ResentTooLate, 2, "resent-too-late"),
-        (Breach::TwoAtOnce, 2, "two-at-once"),
-        (Breach::TooManyAttempts, 2, "too-many-attempts"),
-        (Breach::RefusedAfterRun, 2, "refused-after-run"),
-        (Breach::Altered, 2, "altered"),
-        (Breach::SentToDrained, 3, "sent-to-drained"),
-        (Breach::PushedOver, 4, "pushed-over"),
+        (Violation::Lost, 1, "lost"),
+        (Violation::AnsweredTwice, 1, "answered-twice"),
+        (Violation::ForeignAnswer, 1, "foreign-answer"),
+        (Violation::SentAfterAnswer, 1, "sent-after-answer"),
+        (Violation::SentAfterLeaving, 1, "sent-after-leaving"),
+        (Violation::SentForNobody, 1, "sent-for-nobody"),
+        (Violation::Crashed, 1, "crashed"),
+        (Violation::ResentUnsafe, 2, "resent-unsafe"),
+        (Violation::ResentElsewhere, 2, "resent-elsewhere"),
+        (Violation::ResentTooLate, 2, "resent-too-late"),
+        (Violation::TwoAtOnce, 2, "two-at-once"),
+        (Violation::TooManyAttempts, 2, "too-many-attempts"),
+        (Violation::RefusedAfterRun, 2, "refused-after-run"),
+        (Violation::Altered, 2, "altered"),
+        (Violation::SentToDrained, 3, "sent-to-drained"),
+        (Violation::PushedOver, 4, "pushed-over"),
     ] {
         assert_eq!((violation.rule(), violation.name()), (rule, name));
         assert_eq!(json!(violation), name);
--- a/crates/checker/tests/sessions.rs
+++ b/crates/checker/tests/sessions.rs
@@ -2,7 +2,7 @@
 
 use hollowpaddle_checker::{Exactness, Sessions, judge};
 use hollowpaddle_scenario::plan::Plan;
-use hollowpaddle_scenario::record::{At, Fate, Line, Seen};
+use hollowpaddle_scenario::record::{At, AttemptOutcome, Line, Observation};
 use hollowpaddle_scenario::scenario::Scenario;
 
 const DAY: &str = r#"
@@ -52,9 +52,18 @@
         let at = At((s * 1e6) as u64);
         let mut saw = |seen| lines.push(Line { at, seen });
         let (balancer, start, dark, work_ms) = (0, 1, false, 100.0);
-        saw(Seen::Attempt { attempt, request, node, balancer, start, first: at, dark, work_ms });
-        saw(Seen::Ran { attempt });
-        saw(Seen::Ended { attempt, fate: Fate::Abandoned });
+        saw(Observation::Attempt {
+            attempt,
+            request,
+            node,
+            balancer,
+            start,
+            first: at,
+            dark,
+            work_ms,
+        });
+        saw(Observation::Ran { attempt });
+        saw(Observation::Ended { attempt, fate: AttemptOutcome::Abandoned });
     }
     let verdict = judge(&scenario, &plan, &lines, Exactness::LIVE);
     verdict.sessions.expect("it has vans")
--- a/crates/ctl/src/in_process.rs
+++ b/crates/ctl/src/in_process.rs
@@ -12,7 +12,7 @@
 use hollowpaddle_gateway::{Config, Keep, Kept, Operating, Provided, serve};
 use hollowpaddle_operator_commands::Store;
 use hollowpaddle_policy::settings::stable_hash;
-use hollowpaddle_rehearsal::bank::{Control, Launch, LaunchError, Launcher, Running};
+use hollowpaddle_rehearsal::cluster::{Control, Launch, LaunchError, Launcher, Running};
 use hollowpaddle_rehearsal::frozen::Frozen;
 use hollowpaddle_rehearsal::stored::DiskTroubles;
 use hollowpaddle_snapshot::{Directory, Disk, Status};
--- a/crates/ctl/src/picture.rs
+++ b/crates/ctl/src/picture.rs
@@ -1,15 +1,15 @@
 //! A run as a picture: service over time against its twin's, and what came at once, with the faults drawn in.
 
 use hollowpaddle_charts::{DrawError, Line, Panel, Picture, Span};
-use hollowpaddle_rehearsal::judge::bank::{Bank, Moment};
-use hollowpaddle_rehearsal::judge::fleet::Account;
+use hollowpaddle_rehearsal::judge::cluster::{Bank, Moment};
+use hollowpaddle_rehearsal::judge::fleet::RecoveryReport;
 use hollowpaddle_rehearsal::report::Report;
 
 /// Kinds of what came at once that are drawn beside one another: attempts would dwarf them.
 const RARE: [&str; 3] = ["connects", "list-calls", "datagrams"];
 
 /// The picture of a report with its twin, as SVG.
-pub fn svg(report: &Report, account: &Account) -> Result<String, DrawError> {
+pub fn svg(report: &Report, account: &RecoveryReport) -> Result<String, DrawError> {
     // A window is drawn at its middle.
     let time = |n: usize| n as f64 * account.step_s + 0.5;
     let service = |name: &str, values: &[Option<f64>]| Line {
@@ -32,7 +32,7 @@
             title: "service in windows of 1 s".to_string(),
             lines: vec![
                 service("run", &account.service),
-                service("without faults", &account.service_of_twin),
+                service("without faults", &account.service_of_control),
             ],
             top: Some(1.0),
         },
--- a/crates/ctl/src/rehearse.rs
+++ b/crates/ctl/src/rehearse.rs
@@ -74,8 +74,8 @@
     load: Option<f64>,
     /// Play the same day without its faults too, and tell how the bank came through them. Without being asked for
     /// where the scenario strikes balancers, or expects something.
-    #[arg(long, conflicts_with_all = ["sweep", "no_twin"])]
-    twin: bool,
+    #[arg(id = "twin", long = "twin", conflicts_with_all = ["sweep", "no_twin"])]
+    control_run: bool,
     /// Never do that; nothing is expected then.
     #[arg(long, conflicts_with = "sweep")]
     no_twin: bool,
@@ -191,7 +191,7 @@
 /// Whether the twin is to be played.
 fn wants_twin(arguments: &Arguments, scenario: &Scenario) -> bool {
     let breaks = scenario.faults.iter().any(|f| f.kind.strikes_balancers());
-    let asked = arguments.twin || arguments.picture.is_some();
+    let asked = arguments.control_run || arguments.picture.is_some();
     !arguments.no_twin && (asked || breaks || scenario.expect != scenario::Expect::default())
 }
 
@@ -199,25 +199,27 @@
     let scenario = asked_for(arguments)?;
     let from = Instant::now();
     let plan = Plan::draw(&scenario, arguments.seed);
-    let twin_plan = wants_twin(arguments, &scenario).then(|| plan.twin());
+    let twin_plan = wants_twin(arguments, &scenario).then(|| plan.control_run());
     let in_virtual_time = arguments.virtual_time || arguments.swept && !arguments.live;
-    let (played, twin) = if in_virtual_time {
+    let (played, control_run) = if in_virtual_time {
         let play = |plan| play_plan_virtual(&scenario, plan, Rc::new(InProcess));
         std::thread::scope(|scope| {
-            let twin = twin_plan.map(|plan| scope.spawn(|| play(plan)));
+            let control_run = twin_plan.map(|plan| scope.spawn(|| play(plan)));
             let played = play(plan).map_err(|e| e.to_string())?;
             let ended = |_| "the run without faults ended in a panic".to_string();
-            let twin = twin.map(|t| t.join().map_err(ended)?.map_err(|e| e.to_string()));
-            Ok::<_, String>((played, twin.transpose()?))
+            let control_run =
+                control_run.map(|t| t.join().map_err(ended)?.map_err(|e| e.to_string()));
+            Ok::<_, String>((played, control_run.transpose()?))
         })?
     } else {
         // One after the other: they would take each other's processors.
         let played = live(arguments, &scenario, plan, "")?;
-        let twin = twin_plan.map(|plan| live(arguments, &scenario, plan, "without faults: "));
-        (played, twin.transpose()?)
+        let control_run =
+            twin_plan.map(|plan| live(arguments, &scenario, plan, "without faults: "));
+        (played, control_run.transpose()?)
     };
-    let report = match &twin {
-        Some(twin) => Report::with_twin(&played, twin),
+    let report = match &control_run {
+        Some(control_run) => Report::with_control(&played, control_run),
         None => Report::of(&played),
     };
     keep(arguments, &played, &report)?;
@@ -283,7 +285,7 @@
     let (from, mut done, mut simulated) = (Instant::now(), 0, 0.0);
     let (mut broken, mut failed) = (Vec::new(), Vec::new());
     let seeds = arguments.seed..arguments.seed.saturating_add(count);
-    let launcher = || Rc::new(InProcess) as Rc<dyn hollowpaddle_rehearsal::bank::Launcher>;
+    let launcher = || Rc::new(InProcess) as Rc<dyn hollowpaddle_rehearsal::cluster::Launcher>;
     let mut rules = Rules::default();
     sweep::sweep(seeds, drawn(arguments), arguments.threads, launcher, |Swept { seed, report }| {
         done += 1;
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -8,10 +8,10 @@
 use tokio::sync::Semaphore;
 use tokio::time::{Instant, sleep, sleep_until, timeout, timeout_at};
 
-use crate::record::Seen;
+use crate::record::Observation;
 use crate::scenario::Effect;
 use crate::stage::{Stage, Who};
-use crate::wire::{Ended, Message, Side, Talk};
+use crate::wire::{Ended, Exchange, Message, Side};
 
 /// How long after its deadline a client still takes an answer: the way there and back, and a busy moment.
 /// An answer later than this breaks rule 1.
@@ -25,7 +25,7 @@
 
 /// A kept connection, and what it was opened for.
 struct Kept {
-    talk: Talk,
+    talk: Exchange,
     /// The balancer's start that accepted it.
     start: u32,
     /// The last request on it.
@@ -76,7 +76,7 @@
         let network = self.stage.ground.network(Who::Clients(balancer));
         while self.stage.start_of(balancer) == start {
             let asked = async {
-                let mut talk = Talk::new(network.connect(address).await.ok()?);
+                let mut talk = Exchange::new(network.connect(address).await.ok()?);
                 let question = b"GET /-/ready HTTP/1.1\r\nHost: api.internal\r\n\r\n";
                 talk.write(question).await.ok()?;
                 talk.message(Side::Answers).await.ok()
@@ -84,7 +84,7 @@
             let answer = timeout(READY, asked).await;
             if matches!(answer, Ok(Some(m)) if m.status() == 200) {
                 if self.stage.start_of(balancer) == start && !self.taken_in(balancer) {
-                    self.stage.record.saw(Seen::Ready { balancer, start });
+                    self.stage.record.saw(Observation::Ready { balancer, start });
                     self.doors[balancer].taken_in.set(true);
                 }
                 return;
@@ -152,7 +152,7 @@
     }
 
     fn unreachable(&self, balancer: usize, request: u32) -> End {
-        self.stage.record.saw(Seen::Unreachable { request, balancer });
+        self.stage.record.saw(Observation::Unreachable { request, balancer });
         End::NotRun { retry_after: None }
     }
 
@@ -181,7 +181,13 @@
             }
             let start = kept.start;
             let class_index = stage.arrival(request).class;
-            stage.record.saw(Seen::Sent { request, balancer, start, class: class_index, again });
+            stage.record.saw(Observation::Sent {
+                request,
+                balancer,
+                start,
+                class: class_index,
+                again,
+            });
             kept.last = Some(request);
             let (sent, leaves) = (Instant::now(), stage.arrival(request).leaves);
             let answer = timeout_at(sent + left + PATIENCE, async {
@@ -198,11 +204,11 @@
             });
             match answer.await {
                 Err(_) => {
-                    stage.record.saw(Seen::GaveUp { request });
+                    stage.record.saw(Observation::GaveUp { request });
                     return End::Failed;
                 }
                 Ok(None) => {
-                    stage.record.saw(Seen::Left { request });
+                    stage.record.saw(Observation::Left { request });
                     return End::Over;
                 }
                 Ok(Some(Ok(message))) => {
@@ -210,7 +216,7 @@
                     if kept.talk.left_over() > 0 {
                         let bytes = kept.talk.left_over();
                         let request = Some(request);
-                        stage.record.saw(Seen::Extra { balancer, request, bytes });
+                        stage.record.saw(Observation::Extra { balancer, request, bytes });
                     } else if !message.closes() {
                         door.idle.borrow_mut().push(kept);
                     }
@@ -223,11 +229,11 @@
                     again = true
                 }
                 Ok(Some(Err(Ended::Closed { inside } | Ended::Reset { inside }))) => {
-                    stage.record.saw(Seen::Broken { request, begun: inside });
+                    stage.record.saw(Observation::Broken { request, begun: inside });
                     return End::Failed;
                 }
                 Ok(Some(Err(Ended::Malformed(_)))) => {
-                    stage.record.saw(Seen::Broken { request, begun: true });
+                    stage.record.saw(Observation::Broken { request, begun: true });
                     return End::Failed;
                 }
             }
@@ -244,7 +250,7 @@
         let seconds = message.header("retry-after").and_then(|v| v.trim().parse::<f64>().ok());
         let retry_after_ms = seconds.map(|s| (s * 1e3) as u64);
         let status = message.status();
-        self.stage.record.saw(Seen::Answered { request, status, attempt, retry_after_ms });
+        self.stage.record.saw(Observation::Answered { request, status, attempt, retry_after_ms });
         match status {
             200 => End::Over,
             429 | 503 => End::NotRun { retry_after: retry_after_ms.map(Duration::from_millis) },
@@ -267,7 +273,7 @@
     async fn look(&self, balancer: usize, kept: &mut Kept) {
         let bytes = kept.talk.drain(Duration::ZERO).await;
         if bytes > 0 {
-            self.stage.record.saw(Seen::Extra { balancer, request: kept.last, bytes });
+            self.stage.record.saw(Observation::Extra { balancer, request: kept.last, bytes });
         }
     }
 
@@ -275,7 +281,7 @@
         let start = self.stage.start_of(balancer);
         let network = self.stage.ground.network(Who::Clients(balancer));
         let stream = timeout(CONNECT, network.connect(self.doors[balancer].address.get()));
-        let talk = Talk::new(stream.await.ok()?.ok()?);
+        let talk = Exchange::new(stream.await.ok()?.ok()?);
         Some(Kept { talk, start, last: None })
     }
 
--- a/crates/rehearsal/src/bank.rs
+++ b/crates/rehearsal/src/cluster.rs
@@ -16,7 +16,7 @@
 use crate::list::NodeList;
 use crate::node::count;
 use crate::peers::{Addresses, Peers};
-use crate::record::{Resources, Seen};
+use crate::record::{Observation, Resources};
 use crate::scenario::{Effect, FaultKind, Group, RuleBook, Scenario, Way};
 use crate::stage::{Stage, Who};
 use crate::stored::{COPY_EVERY, DiskTroubles, Stored};
@@ -200,14 +200,14 @@
             control,
             name,
         };
-        self.stage.record.saw(Seen::Started { balancer, start });
+        self.stage.record.saw(Observation::Started { balancer, start });
         let Running { control, ended } = self.launcher.launch(launch)?;
         {
             let slot = &mut self.slots.borrow_mut()[balancer];
             slot.cpu_before += std::mem::take(&mut slot.peak.cpu_ms);
             if slot.paused > 0 {
                 control.pause(true);
-                self.stage.record.saw(Seen::Paused { balancer, start });
+                self.stage.record.saw(Observation::Paused { balancer, start });
             }
             (slot.control, slot.start) = (Some(control), start);
         }
@@ -260,7 +260,7 @@
             }
             self.clients.part(balancer);
         }
-        self.stage.record.saw(Seen::Exited { balancer, start, code });
+        self.stage.record.saw(Observation::Exited { balancer, start, code });
     }
 
     /// What became of the first that ended by itself before the front had taken it in, if one did.
@@ -277,7 +277,7 @@
     pub fn cut_off(&self, key: usize, balancer: usize, begins: bool) {
         let cut = FaultKind::LinksCut { way: Way::Both, open: 0.0 };
         self.links(self.stage.scenario.faults.len() + key, &cut, &[balancer], begins);
-        self.stage.record.saw(Seen::CutOff { balancer, begins });
+        self.stage.record.saw(Observation::CutOff { balancer, begins });
     }
 
     /// Whether it runs.
@@ -289,7 +289,7 @@
     pub fn kill(self: &Rc<Self>, balancer: usize) {
         let start = self.slots.borrow()[balancer].start;
         let Some(control) = self.slots.borrow_mut()[balancer].control.take() else { return };
-        self.stage.record.saw(Seen::Killed { balancer, start });
+        self.stage.record.saw(Observation::Killed { balancer, start });
         control.kill();
         let (bank, notice) = (self.clone(), self.stage.scenario.bank.notice);
         spawn_local(async move {
@@ -337,8 +337,8 @@
             return;
         }
         let seen = match begins {
-            true => Seen::Paused { balancer, start },
-            false => Seen::Resumed { balancer, start },
+            true => Observation::Paused { balancer, start },
+            false => Observation::Resumed { balancer, start },
         };
         self.stage.record.saw(seen);
         let bank = self.clone();
@@ -374,7 +374,7 @@
     /// It can't be done.
     pub fn stored(&self, balancer: usize, kind: &FaultKind) -> std::io::Result<()> {
         let files = self.stored.strike(kind, balancer)?;
-        self.stage.record.saw(Seen::Stored { balancer, files });
+        self.stage.record.saw(Observation::Stored { balancer, files });
         Ok(())
     }
 
@@ -389,7 +389,7 @@
         if !self.runs(balancer) {
             return;
         }
-        self.stage.record.saw(Seen::Stopping { balancer, start });
+        self.stage.record.saw(Observation::Stopping { balancer, start });
         if let Some(control) = &self.slots.borrow()[balancer].control {
             control.terminate();
         }
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/fleet.rs
@@ -18,9 +18,9 @@
 use tokio::task::LocalSet;
 
 use crate::peers::{Addresses, Peers};
-use crate::record::Seen;
+use crate::record::Observation;
 use crate::scripted::{Client, Discovery, Node, SOON};
-use crate::stage::{Ground, Who};
+use crate::stage::{Testbed, Who};
 use crate::stored::folder;
 
 /// Waits until something is so, and says what it was if that does not happen.
@@ -36,7 +36,7 @@
 struct Relay {
     addresses: Vec<Addresses>,
     orders: Option<UnboundedSender<Order>>,
-    seen: Receiver<Seen>,
+    seen: Receiver<Observation>,
     thread: Option<JoinHandle<()>>,
 }
 
@@ -54,7 +54,7 @@
             let runtime = runtime.expect("a runtime");
             LocalSet::new().block_on(&runtime, async move {
                 let tell = move |seen| drop(tell.send(seen));
-                let ground = Ground::Loopback { net };
+                let ground = Testbed::Loopback { net };
                 let peers = Peers::new(ground, count, 1, tell).expect("addresses for a relay");
                 let all = (0..count).map(|b| peers.addresses(b)).collect();
                 ready.send(all).expect("somebody waits");
@@ -108,8 +108,8 @@
     /// all listen. Each is told of the others and of operators, as on a platform that allows both.
     pub fn start(program: &str, count: usize, config: &Value) -> Self {
         let place = folder("fleet-").expect("a folder");
-        let net = Ground::loopback_net();
-        let (ground, relay) = (Ground::Loopback { net }, Relay::start(net, count));
+        let net = Testbed::loopback_net();
+        let (ground, relay) = (Testbed::Loopback { net }, Relay::start(net, count));
         let member = |number: usize| {
             let mut config = config.clone();
             let Addresses { listen, peers, all } = &relay.addresses[number];
@@ -239,7 +239,7 @@
     /// Datagrams that members sent since the last call: from whom, to whom, and how many copies of it arrive.
     pub fn datagrams(&self) -> Vec<(usize, usize, usize)> {
         let one = |seen| match seen {
-            Seen::Datagram { from, to, copies, .. } => Some((from, to, copies)),
+            Observation::Datagram { from, to, copies, .. } => Some((from, to, copies)),
             _ => None,
         };
         self.relay.seen.try_iter().filter_map(one).collect()
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -11,8 +11,8 @@
 pub use hollowpaddle_checker::{self as judge, report};
 pub use hollowpaddle_scenario::{book, plan, record, scenario};
 
-pub mod bank;
 pub mod clients;
+pub mod cluster;
 pub mod fleet;
 pub mod frozen;
 pub mod list;
--- a/crates/rehearsal/src/list.rs
+++ b/crates/rehearsal/src/list.rs
@@ -13,11 +13,11 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 use crate::node::{Node, count};
-use crate::record::{At, Phase, Seen};
+use crate::record::{At, Observation, Phase};
 use crate::scenario::{FaultKind, Scenario};
 use crate::stage::{Stage, Who};
 use crate::watched::Watched;
-use crate::wire::{Side, Talk};
+use crate::wire::{Exchange, Side};
 
 /// While nothing changes, a watch says an empty line this often.
 const BEAT: Duration = Duration::from_secs(2);
@@ -203,7 +203,7 @@
             log.push((revision, news.node));
             changed = true;
             let Entry { phase, since } = news.entry;
-            self.stage.record.saw(Seen::Listed { node: news.node, phase, since });
+            self.stage.record.saw(Observation::Listed { node: news.node, phase, since });
         }
         if changed {
             self.revision.change(|r| *r = revision);
@@ -262,7 +262,7 @@
                 biased;
                 next = next => match next {
                     Ok((stream, _)) => {
-                        spawn_local(self.clone().converse(balancer, Talk::new(stream)));
+                        spawn_local(self.clone().converse(balancer, Exchange::new(stream)));
                     }
                     Err(_) => sleep(Duration::from_millis(5)).await,
                 },
@@ -277,7 +277,7 @@
         self.troubles.borrow().down > 0
     }
 
-    async fn converse(self: Rc<Self>, balancer: usize, mut talk: Talk) {
+    async fn converse(self: Rc<Self>, balancer: usize, mut talk: Exchange) {
         let (mut broken, generation) = (self.broken.watch(), self.generation.get());
         let watch = Cell::new(None);
         let cut = tokio::select! {
@@ -291,14 +291,14 @@
         };
         if cut || watch.get().is_some() {
             let record = &self.stage.record;
-            record.saw(Seen::Unheard { balancer, watch: watch.get() });
+            record.saw(Observation::Unheard { balancer, watch: watch.get() });
         }
         if cut {
             talk.reset();
         }
     }
 
-    async fn calls(&self, balancer: usize, talk: &mut Talk, watch: &Cell<Option<u64>>) {
+    async fn calls(&self, balancer: usize, talk: &mut Exchange, watch: &Cell<Option<u64>>) {
         while let Ok(call) = talk.message(Side::Requests).await {
             let target = call.start.1;
             let query = target.strip_prefix("/api/targets");
@@ -312,11 +312,11 @@
                 _ = talk.end() => return,
                 () = self.audible(balancer) => {}
             }
-            self.stage.record.saw(Seen::Called { balancer });
+            self.stage.record.saw(Observation::Called { balancer });
             if self.is_down() || !self.turn().await {
                 let answer = b"HTTP/1.1 503 -\r\nContent-Length: 0\r\n\r\n";
                 let _ = talk.write(answer).await;
-                self.stage.record.saw(Seen::Unheard { balancer, watch: None });
+                self.stage.record.saw(Observation::Unheard { balancer, watch: None });
                 continue;
             }
             let pairs = query.trim_start_matches('?').split('&');
@@ -326,7 +326,7 @@
             let from = value("index").and_then(|(_, v)| v.parse().ok()).unwrap_or(0);
             if value("stream").is_some() {
                 let number = self.watches.replace(self.watches.get() + 1);
-                self.stage.record.saw(Seen::Asked { balancer, watch: number });
+                self.stage.record.saw(Observation::Asked { balancer, watch: number });
                 watch.set(Some(number));
                 let _ = self.watch(balancer, from, talk).await;
                 return;
@@ -337,7 +337,7 @@
                 return;
             }
             self.told(balancer, told);
-            self.stage.record.saw(Seen::Asked { balancer, watch: u64::MAX });
+            self.stage.record.saw(Observation::Asked { balancer, watch: u64::MAX });
         }
     }
 
@@ -357,7 +357,7 @@
         true
     }
 
-    async fn watch(&self, balancer: usize, from: u64, talk: &mut Talk) -> std::io::Result<()> {
+    async fn watch(&self, balancer: usize, from: u64, talk: &mut Exchange) -> std::io::Result<()> {
         let mut revision = self.revision.watch();
         let mut at = from;
         // What may come again: messages of this watch, and the whole list as another replica still has it.
@@ -433,7 +433,7 @@
 
     fn told(&self, balancer: usize, what: Vec<Told>) {
         for Told { node, entry: Entry { phase, since }, revision } in what {
-            self.stage.record.saw(Seen::Told { balancer, node, phase, since, revision });
+            self.stage.record.saw(Observation::Told { balancer, node, phase, since, revision });
         }
     }
 
--- a/crates/rehearsal/src/node/mod.rs
+++ b/crates/rehearsal/src/node/mod.rs
@@ -20,11 +20,11 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::plan::Machine;
-use crate::record::{At, Seen};
+use crate::record::{At, Observation};
 use crate::scenario::Kind;
 use crate::stage::{Stage, Who};
 use crate::watched::Watched;
-use model::{Fall, Model};
+use model::{Model, WarmUpFall};
 
 /// What keeps a node from being well, by how many faults.
 #[derive(Clone, Debug, Default)]
@@ -186,7 +186,7 @@
 
         let scenario = &self.stage.scenario;
         let cold_ms = if cold { self.kind.cold.as_secs_f64() * 1e3 } else { 0.0 };
-        let fall = Fall {
+        let fall = WarmUpFall {
             multiple: scenario.rules.fall_multiple,
             window: scenario.rules.tip_after.as_secs_f64() * 1e3,
             mean: scenario.mean_work(),
@@ -195,7 +195,7 @@
         model.slow = self.troubles.borrow().slow.iter().product();
         let record = &self.stage.record;
         self.since.set(if cold { record.now() } else { At(0) });
-        record.saw(Seen::Up {
+        record.saw(Observation::Up {
             node: self.place,
             full: model.full(),
             cold_from: self.kind.cold_from,
@@ -223,7 +223,7 @@
     /// Ends its process: connections are reset, what was in work is lost.
     pub fn stop(&self) {
         if self.process.take().is_some() {
-            self.stage.record.saw(Seen::Down { node: self.place });
+            self.stage.record.saw(Observation::Down { node: self.place });
         }
         self.life.change(|life| life.alive = false);
     }
@@ -320,7 +320,7 @@
         process.model.advance(now, &mut finished);
         let warmth = process.model.warmth();
         if (warmth * 100.0).floor() > (before * 100.0).floor() {
-            self.stage.record.saw(Seen::Warmth { node: self.place, share: warmth });
+            self.stage.record.saw(Observation::Warmth { node: self.place, share: warmth });
         }
         for id in finished {
             if let Some(done) = process.waiting.remove(&id) {
--- a/crates/rehearsal/src/node/model.rs
+++ b/crates/rehearsal/src/node/model.rs
@@ -27,7 +27,7 @@
 
 /// How a cold start goes, and what it bears.
 #[derive(Clone, Copy, Debug)]
-pub struct Fall {
+pub struct WarmUpFall {
     /// More than this multiple of the present capacity
     pub multiple: f64,
     /// for this long,
@@ -61,7 +61,7 @@
     working: Vec<Job>,
     waiting: VecDeque<Job>,
     now: Ms,
-    fall: Fall,
+    fall: WarmUpFall,
     /// While cold: what was sent when, and what could be done.
     sent: VecDeque<(Ms, f64)>,
     /// Requests begun, by class of speed: for load reports.
@@ -70,7 +70,7 @@
 
 impl Model {
     /// A node that starts at `now`; warm from the first if `cold` is 0.
-    pub fn start(kind: &Kind, speed: f64, now: Ms, cold: Ms, fall: Fall) -> Self {
+    pub fn start(kind: &Kind, speed: f64, now: Ms, cold: Ms, fall: WarmUpFall) -> Self {
         Self {
             kind: kind.clone(),
             speed,
@@ -120,8 +120,9 @@
             return 0.0;
         }
         let cores = f64::from(self.kind.cores);
-        let crowd = (self.held() as f64 / cores - self.kind.crowding_from).max(0.0);
-        let fit = (1.0 - self.kind.crowding_loss * crowd / (1.0 + crowd)).max(LEAST_SPEED);
+        let contention = (self.held() as f64 / cores - self.kind.crowding_from).max(0.0);
+        let fit =
+            (1.0 - self.kind.crowding_loss * contention / (1.0 + contention)).max(LEAST_SPEED);
         let all = self.speed * running.min(cores) * self.warmth() * fit / self.slow;
         all / running
     }
@@ -206,7 +207,7 @@
         while self.sent.front().is_some_and(|(at, _)| *at < from) {
             self.sent.pop_front();
         }
-        let Fall { multiple, window, mean } = self.fall;
+        let WarmUpFall { multiple, window, mean } = self.fall;
         let able = self.full() * self.warmth() * window;
         pressing(self.sent.iter().map(|(_, w)| *w), mean) > borne(multiple * able / mean) * mean
     }
@@ -236,7 +237,7 @@
         }
     }
 
-    const FALL: Fall = Fall { multiple: 4.0, window: 2000.0, mean: 100.0 };
+    const FALL: WarmUpFall = WarmUpFall { multiple: 4.0, window: 2000.0, mean: 100.0 };
 
     fn finished(model: &mut Model, at: Ms) -> Vec<u32> {
         let mut all = Vec::new();
--- a/crates/rehearsal/src/node/serving.rs
+++ b/crates/rehearsal/src/node/serving.rs
@@ -11,10 +11,10 @@
 
 use super::model::Verdict;
 use super::{Door, Node};
-use crate::record::{At, Fate, Seen};
+use crate::record::{At, AttemptOutcome, Observation};
 use crate::scenario::{Effect, Group};
 use crate::watched::Watcher;
-use crate::wire::{Ended, Message, Side, Talk};
+use crate::wire::{Ended, Exchange, Message, Side};
 
 impl Node {
     pub(super) async fn accept(self: Rc<Self>, balancer: usize, door: Door) {
@@ -30,7 +30,7 @@
                 continue;
             };
             let life = self.life.watch();
-            spawn_local(self.clone().converse(balancer, Talk::new(stream), life));
+            spawn_local(self.clone().converse(balancer, Exchange::new(stream), life));
         }
     }
 
@@ -38,7 +38,7 @@
     async fn converse(
         self: Rc<Self>,
         balancer: usize,
-        mut talk: Talk,
+        mut talk: Exchange,
         mut life: Watcher<super::Life>,
     ) {
         let process = life.see().process;
@@ -49,7 +49,7 @@
             p.model.bother(self.kind.handshake_ms);
             p.connections > self.kind.connections
         };
-        self.stage.record.saw(Seen::Linked { node: self.place, balancer });
+        self.stage.record.saw(Observation::Linked { node: self.place, balancer });
         let ended = {
             let over = over(&mut life, process, balancer);
             tokio::select! {
@@ -68,7 +68,7 @@
         }
     }
 
-    async fn requests(self: &Rc<Self>, balancer: usize, talk: &mut Talk, crowded: bool) {
+    async fn requests(self: &Rc<Self>, balancer: usize, talk: &mut Exchange, crowded: bool) {
         let record = &self.stage.record;
         loop {
             let idle = self.stage.scenario.rules.keepalive;
@@ -77,10 +77,10 @@
                 Ok(Ok(message)) => message,
                 Ok(Err(Ended::Closed { inside: false } | Ended::Reset { inside: false })) => return,
                 Ok(Err(Ended::Closed { .. } | Ended::Reset { .. })) => {
-                    return record.saw(Seen::Partial { node: self.place, balancer });
+                    return record.saw(Observation::Partial { node: self.place, balancer });
                 }
                 Ok(Err(Ended::Malformed(what))) => {
-                    return record.saw(Seen::Stranger { node: self.place, balancer, what });
+                    return record.saw(Observation::Stranger { node: self.place, balancer, what });
                 }
             };
             if !self.request(balancer, talk, message, crowded).await {
@@ -109,7 +109,7 @@
     async fn request(
         self: &Rc<Self>,
         balancer: usize,
-        talk: &mut Talk,
+        talk: &mut Exchange,
         message: Message,
         crowded: bool,
     ) -> bool {
@@ -117,7 +117,7 @@
         let request = match self.known(&message) {
             Ok(request) => request,
             Err(what) => {
-                record.saw(Seen::Stranger { node: self.place, balancer, what });
+                record.saw(Observation::Stranger { node: self.place, balancer, what });
                 let _ = talk.write(answer(400, "", "").as_bytes()).await;
                 return false;
             }
@@ -128,7 +128,7 @@
         let first = At(record.now().0.saturating_sub(message.first.elapsed().as_micros() as u64));
         let work_ms = self.stage.work_ms(request, self.machine.cell);
         let start = self.stage.start_of(balancer);
-        record.saw(Seen::Attempt {
+        record.saw(Observation::Attempt {
             attempt,
             request,
             node: self.place,
@@ -139,26 +139,28 @@
             work_ms,
         });
         if dark {
-            let _lost = OnDrop::new(|| record.saw(Seen::Ended { attempt, fate: Fate::Died }));
+            let _lost = OnDrop::new(|| {
+                record.saw(Observation::Ended { attempt, fate: AttemptOutcome::Died })
+            });
             let _ = talk.end().await;
             _lost.cancel();
-            record.saw(Seen::Closed { attempt });
+            record.saw(Observation::Closed { attempt });
             return false;
         }
         let fate = self.run(talk, attempt, request, work_ms, crowded).await;
         let Some(fate) = fate else { return false };
-        record.saw(Seen::Ended { attempt, fate });
+        record.saw(Observation::Ended { attempt, fate });
         let load = self.load_header();
         let text = match fate {
-            Fate::Served | Fate::Dropped => {
+            AttemptOutcome::Served | AttemptOutcome::Dropped => {
                 answer(200, &load, &format!("{} {attempt}", self.stage.arrival(request).id))
             }
-            Fate::Error => answer(500, &load, ""),
-            Fate::Spoilt => self.spoilt(),
+            AttemptOutcome::Error => answer(500, &load, ""),
+            AttemptOutcome::Spoilt => self.spoilt(),
             _ => answer(503, &format!("X-Not-Run: 1\r\n{load}"), ""),
         };
         let written = talk.write(text.as_bytes()).await.is_ok();
-        if written && fate == Fate::Spoilt {
+        if written && fate == AttemptOutcome::Spoilt {
             // The connection stays open, and is of no further use.
             let _ = talk.end().await;
             return false;
@@ -169,18 +171,18 @@
     /// Runs a request; `None` if its connection ended first.
     async fn run(
         self: &Rc<Self>,
-        talk: &mut Talk,
+        talk: &mut Exchange,
         attempt: u32,
         request: u32,
         work_ms: f64,
         crowded: bool,
-    ) -> Option<Fate> {
+    ) -> Option<AttemptOutcome> {
         let record = &self.stage.record;
         if crowded || self.drains() {
-            return Some(Fate::TurnedAway);
+            return Some(AttemptOutcome::TurnedAway);
         }
         if self.seen_before(request) {
-            return Some(Fate::Dropped);
+            return Some(AttemptOutcome::Dropped);
         }
         self.advance();
         let (tell, done) = oneshot::channel();
@@ -189,12 +191,12 @@
             let process = process.as_mut()?;
             match process.model.arrive(attempt, work_ms) {
                 Verdict::Taken => {}
-                Verdict::Full => return Some(Fate::TurnedAway),
+                Verdict::Full => return Some(AttemptOutcome::TurnedAway),
                 Verdict::Tipped => {
                     self.tipped.set(true);
-                    record.saw(Seen::Tipped { node: self.place });
+                    record.saw(Observation::Tipped { node: self.place });
                     self.changed.notify_one();
-                    return Some(Fate::TurnedAway);
+                    return Some(AttemptOutcome::TurnedAway);
                 }
             }
             process.waiting.insert(attempt, tell);
@@ -202,9 +204,10 @@
         }
         self.remember(request);
         self.stage.got_to_know(request, self.machine.cell);
-        record.saw(Seen::Ran { attempt });
+        record.saw(Observation::Ran { attempt });
         // Dropped here, its node has died with it.
-        let died = OnDrop::new(|| record.saw(Seen::Ended { attempt, fate: Fate::Died }));
+        let died =
+            OnDrop::new(|| record.saw(Observation::Ended { attempt, fate: AttemptOutcome::Died }));
         tokio::select! {
             biased;
             done = done => {
@@ -213,8 +216,8 @@
             _ = talk.end() => {
                 died.cancel();
                 // The work goes on; nobody waits for it.
-                record.saw(Seen::Closed { attempt });
-                record.saw(Seen::Ended { attempt, fate: Fate::Abandoned });
+                record.saw(Observation::Closed { attempt });
+                record.saw(Observation::Ended { attempt, fate: AttemptOutcome::Abandoned });
                 return None;
             }
         }
@@ -225,12 +228,12 @@
         };
         let well: f64 = self.troubles.borrow().spoil.iter().map(|s| 1.0 - s).product();
         Some(if spoil >= well {
-            Fate::Spoilt
+            AttemptOutcome::Spoilt
         } else if error < self.kind.error_rate {
             self.errors.set(self.errors.get() + 1);
-            Fate::Error
+            AttemptOutcome::Error
         } else {
-            Fate::Served
+            AttemptOutcome::Served
         })
     }
 
--- a/crates/rehearsal/src/operator.rs
+++ b/crates/rehearsal/src/operator.rs
@@ -10,12 +10,12 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::bank::Bank;
 use crate::book::Call;
-use crate::record::{At, Seen};
-use crate::scenario::Verb;
+use crate::cluster::Bank;
+use crate::record::{At, Observation};
+use crate::scenario::OperatorVerb;
 use crate::stage::{Stage, Who};
-use crate::wire::{Side, Talk};
+use crate::wire::{Exchange, Side};
 
 /// A call without an answer by then has none: a door keeps no caller longer.
 const NO_ANSWER: Duration = Duration::from_millis(2_500);
@@ -69,7 +69,8 @@
         let told = timeout(NO_LOOK, self.call(balancer, "GET", "/admin/bank", &Value::Null)).await;
         let Ok(Some((200, text))) = told else { return };
         let Some(seen) = stands(balancer, start, asked, &text) else { return };
-        let Seen::Stands { revision, towards, newest, leader, held, epoch, .. } = seen else {
+        let Observation::Stands { revision, towards, newest, leader, held, epoch, .. } = seen
+        else {
             return;
         };
         if let Some(leader) = leader.filter(|_| held) {
@@ -107,7 +108,13 @@
         }
         for (number, document) in fetched {
             self.told.borrow_mut().insert((balancer, start, epoch, number));
-            self.stage.record.saw(Seen::Revision { balancer, start, epoch, number, document });
+            self.stage.record.saw(Observation::Revision {
+                balancer,
+                start,
+                epoch,
+                number,
+                document,
+            });
         }
     }
 
@@ -156,7 +163,7 @@
         let mut body = call.body.clone();
         let id = call.id.map(|id| match call.verb {
             // What was refused since another one was on its way is a new question.
-            Verb::Charter => format!("{:032x}", id.wrapping_add(u128::from(tries))),
+            OperatorVerb::Charter => format!("{:032x}", id.wrapping_add(u128::from(tries))),
             _ => format!("{id:032x}"),
         });
         if let Some(id) = &id {
@@ -166,8 +173,14 @@
             body["to"] = to.into();
         }
         let (number, verb) = (call.number, call.verb);
-        let said =
-            Seen::Said { call: number, tries, balancer: door, verb, id, member: call.member };
+        let said = Observation::Said {
+            call: number,
+            tries,
+            balancer: door,
+            verb,
+            id,
+            member: call.member,
+        };
         self.stage.record.saw(said);
         let told =
             timeout(NO_ANSWER, self.call(door, "POST", call.path, &body)).await.ok().flatten();
@@ -177,7 +190,7 @@
         let why = text.and_then(|t| t["error"].as_str().map(str::to_string));
         let status = told.as_ref().map(|(status, _)| *status);
         let call = call.number;
-        self.stage.record.saw(Seen::Heard {
+        self.stage.record.saw(Observation::Heard {
             call,
             balancer: door,
             verb,
@@ -208,7 +221,7 @@
     ) -> Option<(u16, Value)> {
         let at = self.bank.operators_door(door)?;
         let network = self.stage.ground.network(Who::Clients(door));
-        let mut talk = Talk::new(network.connect(at).await.ok()?);
+        let mut talk = Exchange::new(network.connect(at).await.ok()?);
         let body = if body.is_null() { String::new() } else { body.to_string() };
         let length = body.len();
         let call = format!(
@@ -221,7 +234,7 @@
 }
 
 /// What a door says of its balancer, as far as it is judged.
-fn stands(balancer: usize, start: u32, asked: At, text: &Value) -> Option<Seen> {
+fn stands(balancer: usize, start: u32, asked: At, text: &Value) -> Option<Observation> {
     let texts = |v: &Value| -> Vec<String> {
         v.as_array().into_iter().flatten().filter_map(|t| t.as_str().map(str::to_string)).collect()
     };
@@ -229,7 +242,7 @@
         let all = v.as_array().into_iter().flatten().filter_map(Value::as_u64);
         all.filter_map(|n| u32::try_from(n).ok()).collect()
     };
-    Some(Seen::Stands {
+    Some(Observation::Stands {
         balancer,
         start,
         asked,
--- a/crates/rehearsal/src/peers.rs
+++ b/crates/rehearsal/src/peers.rs
@@ -15,9 +15,9 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::sleep;
 
-use crate::record::Seen;
+use crate::record::Observation;
 use crate::scenario::{FaultKind, Way};
-use crate::stage::{Ground, Who};
+use crate::stage::{Testbed, Who};
 
 /// So many balancers a live run may have that may send one another datagrams: a relay holds a descriptor for each
 /// ordered pair of them, and a usual process may hold 1,024.
@@ -50,8 +50,8 @@
 
 /// The links of a run.
 pub struct Peers {
-    ground: Ground,
-    tell: Box<dyn Fn(Seen)>,
+    ground: Testbed,
+    tell: Box<dyn Fn(Observation)>,
     links: RefCell<Links>,
     listens: Vec<SocketAddr>,
     /// Live: what each balancer sends to.
@@ -72,10 +72,10 @@
     /// # Errors
     /// Live: an address can't be had.
     pub fn new(
-        ground: Ground,
+        ground: Testbed,
         count: usize,
         seed: u64,
-        tell: impl Fn(Seen) + 'static,
+        tell: impl Fn(Observation) + 'static,
     ) -> io::Result<Rc<Self>> {
         let (mut listens, mut sockets) = (Vec::new(), BTreeMap::new());
         let links = RefCell::new(Links::new(seed));
@@ -166,7 +166,7 @@
         let mut arrive = Vec::new();
         for to in to {
             let copies = self.links.borrow_mut().pass(from, to, bytes);
-            let seen = Seen::Datagram { from, to, bytes: bytes.len(), copies: copies.len() };
+            let seen = Observation::Datagram { from, to, bytes: bytes.len(), copies: copies.len() };
             (self.tell)(seen);
             arrive.extend(copies.into_iter().map(|(later, bytes)| (to, later, bytes)));
         }
--- a/crates/rehearsal/src/process.rs
+++ b/crates/rehearsal/src/process.rs
@@ -9,7 +9,7 @@
 use rustix::process::{Pid, Signal, kill_process};
 use tokio::process::Command;
 
-use crate::bank::{Control, Launch, LaunchError, Launcher, Running};
+use crate::cluster::{Control, Launch, LaunchError, Launcher, Running};
 use crate::record::Resources;
 use crate::stored::folder;
 
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -8,17 +8,17 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::bank::{Bank, LaunchError, Launcher};
 use crate::book::{Doing, Planned};
 use crate::clients::{Clients, PATIENCE};
+use crate::cluster::{Bank, LaunchError, Launcher};
 use crate::list::NodeList;
 use crate::node::Node;
 use crate::operator::Operator;
 use crate::peers::MOST_LIVE;
 use crate::plan::{Act, Plan};
-use crate::record::{Phase, Played, Seen};
+use crate::record::{Observation, Phase, Played};
 use crate::scenario::{Closed, FaultKind, Scenario, Strike};
-use crate::stage::{Ground, Stage, Who};
+use crate::stage::{Stage, Testbed, Who};
 
 /// Clients come when all balancers are ready, or after this.
 const READY: Duration = Duration::from_secs(30);
@@ -97,7 +97,7 @@
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build()?;
     LocalSet::new().block_on(&runtime, async {
-        let ground = Ground::simulated(scenario, &plan);
+        let ground = Testbed::simulated(scenario, &plan);
         play(scenario.clone(), plan, ground, launcher, |_| {}).await
     })
 }
@@ -136,7 +136,7 @@
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
-        play(scenario.clone(), plan, Ground::loopback(), launcher, progress).await
+        play(scenario.clone(), plan, Testbed::loopback(), launcher, progress).await
     })
 }
 
@@ -155,7 +155,7 @@
 async fn play(
     scenario: Scenario,
     plan: Plan,
-    ground: Ground,
+    ground: Testbed,
     launcher: Rc<dyn Launcher>,
     progress: impl Fn(Progress) + 'static,
 ) -> Result<Played, RunError> {
@@ -271,7 +271,7 @@
     async fn faults(self: Rc<Self>, zero: Instant) {
         for act in self.stage.plan.acts.clone() {
             sleep_until(zero + act.at).await;
-            self.stage.record.saw(Seen::Fault { fault: act.fault, begins: act.begins });
+            self.stage.record.saw(Observation::Fault { fault: act.fault, begins: act.begins });
             self.strike(&act);
         }
     }
--- a/crates/rehearsal/src/scripted.rs
+++ b/crates/rehearsal/src/scripted.rs
@@ -104,7 +104,7 @@
 
 /// What was seen at an upstream, in order.
 #[derive(Debug)]
-pub enum Seen {
+pub enum Observation {
     /// A whole request, and from where.
     Request(SocketAddr, Message),
     /// A second copy of an answer is out.
@@ -118,7 +118,7 @@
     /// Where it listens.
     pub address: SocketAddr,
     /// What it saw.
-    pub seen: Receiver<Seen>,
+    pub seen: Receiver<Observation>,
 }
 
 impl Upstream {
@@ -134,7 +134,7 @@
                 thread::spawn(move || {
                     let peer = stream.peer_addr().expect("a peer");
                     converse(stream, peer, &tell, &*does);
-                    let _ = tell.send(Seen::Closed);
+                    let _ = tell.send(Observation::Closed);
                 });
             }
         });
@@ -145,7 +145,7 @@
     pub fn request(&self) -> (SocketAddr, Message) {
         loop {
             match self.seen.recv_timeout(SOON).expect("a request") {
-                Seen::Request(from, message) => return (from, message),
+                Observation::Request(from, message) => return (from, message),
                 _ => continue,
             }
         }
@@ -153,20 +153,20 @@
 
     /// All requests seen so far and not yet taken.
     pub fn requests_so_far(&self) -> usize {
-        self.seen.try_iter().filter(|s| matches!(s, Seen::Request(..))).count()
+        self.seen.try_iter().filter(|s| matches!(s, Observation::Request(..))).count()
     }
 }
 
 fn converse(
     stream: TcpStream,
     peer: SocketAddr,
-    tell: &Sender<Seen>,
+    tell: &Sender<Observation>,
     does: &dyn Fn(&Message) -> Does,
 ) {
     let mut out = stream.try_clone().expect("a second handle");
     let mut reader = BufReader::new(stream);
     while let Some(message) = read_message(&mut reader) {
-        let _ = tell.send(Seen::Request(peer, message.clone()));
+        let _ = tell.send(Observation::Request(peer, message.clone()));
         match does(&message) {
             Does::Answers(text) => out.write_all(text.as_bytes()).unwrap_or(()),
             Does::Ends(text) => {
@@ -182,7 +182,7 @@
                 let _ = out.write_all(text.as_bytes());
                 let _ = go.lock().expect("not poisoned").recv_timeout(SOON);
                 let _ = out.write_all(text.as_bytes());
-                let _ = tell.send(Seen::Wrote);
+                let _ = tell.send(Observation::Wrote);
             }
             Does::Hangs => {}
             Does::Waits(go) => {
--- a/crates/rehearsal/src/stage.rs
+++ b/crates/rehearsal/src/stage.rs
@@ -73,7 +73,7 @@
 
 /// The ground that a run stands on.
 #[derive(Clone)]
-pub enum Ground {
+pub enum Testbed {
     /// This machine's loopback. Every run uses one of its networks, 127.x.0.0/16, drawn at random: two
     /// runs at a time must not take each other's addresses.
     Loopback {
@@ -87,10 +87,10 @@
 /// The network of simulated runs.
 const SIMULATED: u8 = 64;
 
-impl Ground {
+impl Testbed {
     /// The loopback of this machine.
     pub fn loopback() -> Self {
-        Ground::Loopback { net: Self::loopback_net() }
+        Testbed::Loopback { net: Self::loopback_net() }
     }
 
     /// A network of the loopback, drawn at random.
@@ -110,29 +110,29 @@
             Who::Node(n) => of_node.get(n).copied().unwrap_or(0),
         };
         let delay = move |a, b| if zone(a) == zone(b) { same } else { cross };
-        Ground::Simulated(Fabric::new(EPOCH, delay))
+        Testbed::Simulated(Fabric::new(EPOCH, delay))
     }
 
     /// The network as this one sees it.
     pub fn network(&self, who: Who) -> Rc<dyn Network> {
         match self {
-            Ground::Loopback { .. } => Rc::new(Tcp),
-            Ground::Simulated(fabric) => fabric.host(who.ip(SIMULATED)),
+            Testbed::Loopback { .. } => Rc::new(Tcp),
+            Testbed::Simulated(fabric) => fabric.host(who.ip(SIMULATED)),
         }
     }
 
     /// Its address; the port is left to be chosen.
     pub fn address(&self, who: Who) -> SocketAddr {
         let net = match self {
-            Ground::Loopback { net } => *net,
-            Ground::Simulated(_) => SIMULATED,
+            Testbed::Loopback { net } => *net,
+            Testbed::Simulated(_) => SIMULATED,
         };
         SocketAddr::new(who.ip(net), 0)
     }
 
     /// Steps a simulated wall clock, in microseconds; the machine's own is nobody's to step.
     pub fn step_clock(&self, who: Who, by_us: i64) {
-        if let Ground::Simulated(fabric) = self {
+        if let Testbed::Simulated(fabric) = self {
             fabric.step_clock(who.ip(SIMULATED), by_us);
         }
     }
@@ -140,14 +140,14 @@
     /// The network inside this process, where there is one.
     pub fn fabric(&self) -> Option<&Fabric> {
         match self {
-            Ground::Loopback { .. } => None,
-            Ground::Simulated(fabric) => Some(fabric),
+            Testbed::Loopback { .. } => None,
+            Testbed::Simulated(fabric) => Some(fabric),
         }
     }
 
     /// Whether time and network are simulated.
     pub fn is_simulated(&self) -> bool {
-        matches!(self, Ground::Simulated(_))
+        matches!(self, Testbed::Simulated(_))
     }
 }
 
@@ -163,7 +163,7 @@
     /// The account.
     pub record: Record,
     /// Network and addresses.
-    pub ground: Ground,
+    pub ground: Testbed,
     /// Unix time at the start of the account.
     pub epoch: Duration,
     requests: FxHashMap<String, u32>,
@@ -179,7 +179,7 @@
 
 impl Stage {
     /// For one run.
-    pub fn new(scenario: Scenario, plan: Plan, ground: Ground) -> Rc<Self> {
+    pub fn new(scenario: Scenario, plan: Plan, ground: Testbed) -> Rc<Self> {
         let index = |(i, a): (usize, &Arrival)| (a.id.clone(), i as u32);
         let requests = plan.arrivals.iter().enumerate().map(index).collect();
         let starts = RefCell::new(vec![0; scenario.bank.count]);
--- a/crates/rehearsal/src/sweep.rs
+++ b/crates/rehearsal/src/sweep.rs
@@ -12,7 +12,7 @@
 
 mod book;
 
-use crate::bank::Launcher;
+use crate::cluster::Launcher;
 use crate::report::Report;
 use crate::run::{RunError, play_virtual};
 use crate::scenario::{
--- a/crates/rehearsal/src/wire.rs
+++ b/crates/rehearsal/src/wire.rs
@@ -74,7 +74,7 @@
 }
 
 /// One end of a connection that carries messages.
-pub struct Talk {
+pub struct Exchange {
     stream: Box<dyn Stream>,
     buffer: BytesMut,
     first: Option<Instant>,
@@ -86,7 +86,7 @@
     UntilClose,
 }
 
-impl Talk {
+impl Exchange {
     /// On a new connection.
     pub fn new(stream: Box<dyn Stream>) -> Self {
         Self { stream, buffer: BytesMut::new(), first: None }
@@ -303,13 +303,13 @@
     use std::net::{IpAddr, SocketAddr};
     use std::rc::Rc;
 
-    async fn pair() -> (Talk, Talk) {
+    async fn pair() -> (Exchange, Exchange) {
         let fabric = Fabric::new(Duration::ZERO, |_, _| Duration::ZERO);
         let host: Rc<dyn Network> = fabric.host(IpAddr::from([10, 0, 0, 1]));
         let mut listener = host.listen(SocketAddr::from(([10, 0, 0, 1], 80))).expect("free");
         let here = host.connect(listener.local_addr()).await.expect("it listens");
         let (there, _) = accept(&mut *listener).await.expect("waiting");
-        (Talk::new(here), Talk::new(there))
+        (Exchange::new(here), Exchange::new(there))
     }
 
     #[tokio::test(start_paused = true)]
--- a/crates/rehearsal/tests/broken_balancers.rs
+++ b/crates/rehearsal/tests/broken_balancers.rs
@@ -5,7 +5,7 @@
 
 use std::rc::Rc;
 
-use hollowpaddle_rehearsal::judge::Breach;
+use hollowpaddle_rehearsal::judge::Violation;
 use hollowpaddle_rehearsal::report::Report;
 use hollowpaddle_rehearsal::run::play_virtual;
 use hollowpaddle_rehearsal::scenario::Scenario;
@@ -113,29 +113,29 @@
 #[test]
 fn each_way_to_break_a_rule_is_caught_under_its_own_name_and_no_other() {
     let all = [
-        (Fault::Loses, Breach::Lost, 1),
-        (Fault::Hangs, Breach::Lost, 1),
-        (Fault::AnswersTwice, Breach::AnsweredTwice, 1),
-        (Fault::Invents, Breach::ForeignAnswer, 1),
-        (Fault::SendsAfterAnswer, Breach::SentAfterAnswer, 1),
-        (Fault::ResendsUnsafe, Breach::ResentUnsafe, 2),
-        (Fault::ResendsElsewhere, Breach::ResentElsewhere, 2),
-        (Fault::ResendsTooLate, Breach::ResentTooLate, 2),
-        (Fault::TwoAtOnce, Breach::TwoAtOnce, 2),
-        (Fault::TriesTooOften, Breach::TooManyAttempts, 2),
-        (Fault::RefusesAfterRun, Breach::RefusedAfterRun, 2),
-        (Fault::Alters, Breach::Altered, 2),
-        (Fault::DeafToDrains, Breach::SentToDrained, 3),
-        (Fault::PushesOver, Breach::PushedOver, 4),
+        (Fault::Loses, Violation::Lost, 1),
+        (Fault::Hangs, Violation::Lost, 1),
+        (Fault::AnswersTwice, Violation::AnsweredTwice, 1),
+        (Fault::Invents, Violation::ForeignAnswer, 1),
+        (Fault::SendsAfterAnswer, Violation::SentAfterAnswer, 1),
+        (Fault::ResendsUnsafe, Violation::ResentUnsafe, 2),
+        (Fault::ResendsElsewhere, Violation::ResentElsewhere, 2),
+        (Fault::ResendsTooLate, Violation::ResentTooLate, 2),
+        (Fault::TwoAtOnce, Violation::TwoAtOnce, 2),
+        (Fault::TriesTooOften, Violation::TooManyAttempts, 2),
+        (Fault::RefusesAfterRun, Violation::RefusedAfterRun, 2),
+        (Fault::Alters, Violation::Altered, 2),
+        (Fault::DeafToDrains, Violation::SentToDrained, 3),
+        (Fault::PushesOver, Violation::PushedOver, 4),
     ];
     let reports: Vec<Report> = std::thread::scope(|scope| {
         let runs: Vec<_> = all.iter().map(|(fault, ..)| scope.spawn(|| play(*fault))).collect();
         runs.into_iter().map(|run| run.join().expect("it plays")).collect()
     });
     let mut wrong = Vec::new();
-    for ((fault, breach, rule), report) in all.iter().zip(reports) {
+    for ((fault, violation, rule), report) in all.iter().zip(reports) {
         let names: Vec<&str> = report.breaches.keys().copied().collect();
-        if names != [breach.name()] || breach.rule() != *rule {
+        if names != [violation.name()] || violation.rule() != *rule {
             wrong.push(format!("{fault:?}: {names:?}\n{}", report.text()));
         }
         // Whoever is told of a breach can see what happened.
@@ -148,7 +148,7 @@
 #[test]
 fn one_that_ends_by_itself_has_crashed_and_what_it_held_is_lost() {
     let report = play(Fault::Crashes);
-    assert!(report.has(Breach::Crashed), "{}", report.text());
+    assert!(report.has(Violation::Crashed), "{}", report.text());
     let others = report.breaches.keys().filter(|n| !["crashed", "lost"].contains(*n)).count();
     assert_eq!(others, 0, "{}", report.text());
 }
@@ -170,7 +170,7 @@
 }
 
 /// The correct one passes, and the broken one is caught under these names and no other.
-fn caught(fault: Fault, day: &Scenario, names: &[Breach]) {
+fn caught(fault: Fault, day: &Scenario, names: &[Violation]) {
     let [well, broken] = both(fault, day);
     assert!(well.is_clean(), "{}", well.text());
     let found: Vec<&str> = broken.breaches.keys().copied().collect();
@@ -187,19 +187,19 @@
         ("count = 2", "count = 40"),
         ("of_capacity = 0.3", "of_capacity = 1.0"),
     ]);
-    caught(Fault::OneEach, &day, &[Breach::PushedOver]);
+    caught(Fault::OneEach, &day, &[Violation::PushedOver]);
 }
 
 #[test]
 fn who_sends_on_for_clients_that_have_gone_is_caught() {
     let day = changed(&[("[load]", "[clients]\nleave_share = 0.4\n\n[load]")]);
-    let names = [Breach::SentAfterLeaving, Breach::SentForNobody];
+    let names = [Violation::SentAfterLeaving, Violation::SentForNobody];
     caught(Fault::HoldsForTheGone, &day, &names);
     let day = changed(&[
         ("[load]", "[clients]\nleave_share = 0.4\n\n[load]"),
         ("error_rate = 0.02", "error_rate = 0.2"),
     ]);
-    caught(Fault::RetriesForTheGone, &day, &[Breach::SentAfterLeaving]);
+    caught(Fault::RetriesForTheGone, &day, &[Violation::SentAfterLeaving]);
 }
 
 #[test]
@@ -209,7 +209,7 @@
         ("ask_every_ms = 2000", "ask_every_ms = 60000"),
         ("start_s = 3\nlength_s = 5", "start_s = 3\nlength_s = 10"),
     ]);
-    caught(Fault::StopsAsking, &day, &[Breach::SentToDrained]);
+    caught(Fault::StopsAsking, &day, &[Violation::SentToDrained]);
 }
 
 #[test]
@@ -220,7 +220,7 @@
         "[[faults]]\nkind = \"drain\"",
         &format!("{restart}[[faults]]\nkind = \"drain\""),
     )]);
-    caught(Fault::EndsAtOnce, &day, &[Breach::Lost]);
+    caught(Fault::EndsAtOnce, &day, &[Violation::Lost]);
 }
 
 #[test]
--- a/crates/rehearsal/tests/broken_banks.rs
+++ b/crates/rehearsal/tests/broken_banks.rs
@@ -5,7 +5,7 @@
 
 use std::rc::Rc;
 
-use hollowpaddle_rehearsal::judge::Breach;
+use hollowpaddle_rehearsal::judge::Violation;
 use hollowpaddle_rehearsal::plan::Plan;
 use hollowpaddle_rehearsal::report::Report;
 use hollowpaddle_rehearsal::run::play_plan_virtual;
@@ -92,7 +92,7 @@
     let day = Scenario::read("broken.toml", DAY).unwrap_or_else(|e| panic!("{e}"));
     let plan = Plan::draw(&day, 3);
     let of = |plan| play_plan_virtual(&day, plan, Rc::new(Scripted(fault))).expect("it plays");
-    Report::with_twin(&of(plan.clone()), &of(plan.twin()))
+    Report::with_control(&of(plan.clone()), &of(plan.control_run()))
 }
 
 #[test]
@@ -124,5 +124,5 @@
 fn one_that_forgets_that_it_was_frozen_loses_what_waited() {
     let report = play(Fault::ForgetsItWasFrozen);
     let names: Vec<&str> = report.breaches.keys().copied().collect();
-    assert_eq!(names, [Breach::Lost.name()], "{}", report.text());
+    assert_eq!(names, [Violation::Lost.name()], "{}", report.text());
 }
--- a/crates/rehearsal/tests/peers.rs
+++ b/crates/rehearsal/tests/peers.rs
@@ -6,9 +6,9 @@
 
 use hollowpaddle_net::{DATAGRAM, Datagrams, receive};
 use hollowpaddle_rehearsal::peers::Peers;
-use hollowpaddle_rehearsal::record::Seen;
+use hollowpaddle_rehearsal::record::Observation;
 use hollowpaddle_rehearsal::scenario::{FaultKind, Trouble, Way};
-use hollowpaddle_rehearsal::stage::{Ground, Who};
+use hollowpaddle_rehearsal::stage::{Testbed, Who};
 use hollowpaddle_simnet::Fabric;
 use tokio::task::LocalSet;
 use tokio::time::timeout;
@@ -24,12 +24,12 @@
 }
 
 impl Bank {
-    fn new(ground: Ground) -> Self {
+    fn new(ground: Testbed) -> Self {
         let seen = Rc::<RefCell<Vec<_>>>::default();
         let tell = {
             let seen = seen.clone();
             move |s| {
-                if let Seen::Datagram { from, to, copies, .. } = s {
+                if let Observation::Datagram { from, to, copies, .. } = s {
                     seen.borrow_mut().push((from, to, copies));
                 }
             }
@@ -121,11 +121,11 @@
 
 #[tokio::test(start_paused = true)]
 async fn in_virtual_time() {
-    let ground = Ground::Simulated(Fabric::new(Duration::ZERO, |_, _| Duration::from_millis(2)));
+    let ground = Testbed::Simulated(Fabric::new(Duration::ZERO, |_, _| Duration::from_millis(2)));
     LocalSet::new().run_until(Bank::new(ground).drill()).await;
 }
 
 #[tokio::test]
 async fn over_sockets() {
-    LocalSet::new().run_until(async { Bank::new(Ground::loopback()).drill().await }).await;
+    LocalSet::new().run_until(async { Bank::new(Testbed::loopback()).drill().await }).await;
 }
--- a/crates/rehearsal/tests/scripted/mod.rs
+++ b/crates/rehearsal/tests/scripted/mod.rs
@@ -13,9 +13,9 @@
 
 use book::Rules;
 use hollowpaddle_net::{Network, accept};
-use hollowpaddle_rehearsal::bank::{Control, Launch, LaunchError, Launcher, Running};
+use hollowpaddle_rehearsal::cluster::{Control, Launch, LaunchError, Launcher, Running};
 use hollowpaddle_rehearsal::frozen::Frozen;
-use hollowpaddle_rehearsal::wire::{Message, Side, Talk};
+use hollowpaddle_rehearsal::wire::{Exchange, Message, Side};
 use serde_json::Value;
 use tokio::sync::Notify;
 use tokio::task::{AbortHandle, LocalSet, spawn_local};
@@ -110,7 +110,7 @@
     cold: f64,
     start: Instant,
     unix: Duration,
-    idle: RefCell<HashMap<SocketAddr, Vec<Talk>>>,
+    idle: RefCell<HashMap<SocketAddr, Vec<Exchange>>>,
     again: bool,
     thawed: Rc<Cell<Option<Instant>>>,
     rules: Option<Rc<Rules>>,
@@ -186,7 +186,7 @@
                 }
                 loop {
                     let (stream, _) = accept(&mut *listener).await.expect("a connection");
-                    spawn_local(balancer.clone().converse(Talk::new(stream)));
+                    spawn_local(balancer.clone().converse(Exchange::new(stream)));
                 }
             };
             tokio::select! {
@@ -277,7 +277,7 @@
     async fn watch(&self) {
         let Ok(stream) = self.network.connect(self.discovery).await else { return };
         // Chunks come as messages of their own: the stand-in's lines, one at a time.
-        let mut talk = Talk::new(stream);
+        let mut talk = Exchange::new(stream);
         let call = b"GET /api/targets HTTP/1.1\r\nHost: a\r\n\r\n";
         while talk.write(call).await.is_ok() {
             if self.fault == Fault::StopsAsking && self.start.elapsed() > Duration::from_secs(1) {
@@ -291,7 +291,7 @@
         }
     }
 
-    async fn converse(self: Rc<Self>, mut talk: Talk) {
+    async fn converse(self: Rc<Self>, mut talk: Exchange) {
         while let Ok(request) = talk.message(Side::Requests).await {
             if request.start.1 == "/-/ready" {
                 let _ = talk.write(&answer(200, b"")).await;
@@ -347,7 +347,7 @@
         let all: Vec<SocketAddr> = self.nodes.borrow().iter().map(|n| n.address).collect();
         for address in all.into_iter().flat_map(|a| [a; 4]) {
             if let Ok(stream) = self.network.connect(address).await {
-                self.idle.borrow_mut().entry(address).or_default().push(Talk::new(stream));
+                self.idle.borrow_mut().entry(address).or_default().push(Exchange::new(stream));
             }
         }
     }
@@ -443,12 +443,12 @@
         until: Instant,
     ) -> Result<Message, Missed> {
         let kept = self.idle.borrow_mut().get_mut(&address).and_then(Vec::pop);
-        let mut talk = match kept.filter(Talk::is_quiet) {
+        let mut talk = match kept.filter(Exchange::is_quiet) {
             Some(talk) => talk,
             None => {
                 let wait = Instant::now() + Duration::from_millis(250);
                 let stream = timeout_at(wait, self.network.connect(address)).await;
-                Talk::new(stream.map_err(|_| Missed::NeverUp)?.map_err(|_| Missed::NeverUp)?)
+                Exchange::new(stream.map_err(|_| Missed::NeverUp)?.map_err(|_| Missed::NeverUp)?)
             }
         };
         let mut body = String::from_utf8_lossy(&request.body).into_owned();
--- a/crates/rehearsal/tests/standins.rs
+++ b/crates/rehearsal/tests/standins.rs
@@ -6,10 +6,10 @@
 use hollowpaddle_rehearsal::list::NodeList;
 use hollowpaddle_rehearsal::node::Node;
 use hollowpaddle_rehearsal::plan::Plan;
-use hollowpaddle_rehearsal::record::{At, Fate, Phase, Seen};
+use hollowpaddle_rehearsal::record::{At, AttemptOutcome, Observation, Phase};
 use hollowpaddle_rehearsal::scenario::Scenario;
-use hollowpaddle_rehearsal::stage::{Ground, Stage, Who};
-use hollowpaddle_rehearsal::wire::{Ended, Message, Side, Talk};
+use hollowpaddle_rehearsal::stage::{Stage, Testbed, Who};
+use hollowpaddle_rehearsal::wire::{Ended, Exchange, Message, Side};
 use serde_json::Value;
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
@@ -75,7 +75,7 @@
         .build()
         .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let ground = Ground::simulated(&scenario, &plan);
+        let ground = Testbed::simulated(&scenario, &plan);
         let stage = Stage::new(scenario, plan, ground);
         let nodes: Vec<_> = (0..4).map(|n| Node::new(&stage, n)).collect();
         nodes.iter().for_each(|n| n.start(false, None).expect("it listens"));
@@ -89,20 +89,20 @@
     all.nth(nth).expect("so many").0 as u32
 }
 
-async fn connect(stage: &Stage, node: &Node, balancer: usize) -> Talk {
+async fn connect(stage: &Stage, node: &Node, balancer: usize) -> Exchange {
     let network = stage.ground.network(Who::Balancer(balancer));
-    Talk::new(network.connect(node.address(balancer)).await.expect("it listens"))
+    Exchange::new(network.connect(node.address(balancer)).await.expect("it listens"))
 }
 
-async fn ask(stage: &Stage, talk: &mut Talk, request: u32) -> Result<Message, Ended> {
+async fn ask(stage: &Stage, talk: &mut Exchange, request: u32) -> Result<Message, Ended> {
     let text = stage.request_text(request, SECOND);
     talk.write(text.as_bytes()).await.expect("open");
     talk.message(Side::Answers).await
 }
 
-fn fates(stage: &Stage) -> Vec<Fate> {
+fn fates(stage: &Stage) -> Vec<AttemptOutcome> {
     let fate = |l: hollowpaddle_rehearsal::record::Line| match l.seen {
-        Seen::Ended { fate, .. } => Some(fate),
+        Observation::Ended { fate, .. } => Some(fate),
         _ => None,
     };
     stage.record.take().into_iter().filter_map(fate).collect()
@@ -133,7 +133,10 @@
         assert!((100..200).contains(&served[0]) && (200..400).contains(&served[1]), "{got:?}");
         let mut fates = fates(&stage);
         fates.sort_by_key(|f| format!("{f:?}"));
-        assert_eq!(fates, [Fate::Served, Fate::Served, Fate::TurnedAway]);
+        assert_eq!(
+            fates,
+            [AttemptOutcome::Served, AttemptOutcome::Served, AttemptOutcome::TurnedAway]
+        );
     });
 }
 
@@ -150,7 +153,7 @@
         sleep(SECOND).await;
         let mut talk = connect(&stage, &nodes[1], 0).await;
         assert_eq!(ask(&stage, &mut talk, one).await.expect("an answer").status(), 200);
-        use Fate::{Dropped, Served};
+        use AttemptOutcome::{Dropped, Served};
         assert_eq!(fates(&stage), [Served, Dropped, Served, Served], "forgotten after the window");
     });
 }
@@ -186,7 +189,7 @@
         });
         let end = ask(&stage, &mut talk, request(&stage, SAFE, 0)).await.expect_err("it died");
         assert!(matches!(end, Ended::Reset { .. }), "{end:?}");
-        assert_eq!(fates(&stage), [Fate::Died]);
+        assert_eq!(fates(&stage), [AttemptOutcome::Died]);
         let network = stage.ground.network(Who::Balancer(0));
         assert!(network.connect(address).await.is_err() && !node.serves());
         node.die(false);
@@ -216,7 +219,7 @@
         assert!(never.is_err(), "it came up, or was refused");
         let lines = stage.record.take();
         let dark = |l: &hollowpaddle_rehearsal::record::Line| {
-            matches!(l.seen, Seen::Attempt { dark: true, .. })
+            matches!(l.seen, Observation::Attempt { dark: true, .. })
         };
         assert!(lines.iter().any(dark), "the judge must know of it: {lines:?}");
         node.vanish(false);
@@ -268,7 +271,7 @@
             if sent % 2 == 1 {
                 let network = stage.ground.network(Who::Balancer(0));
                 let Ok(stream) = network.connect(node.address(0)).await else { break };
-                talk = Talk::new(stream);
+                talk = Exchange::new(stream);
             }
             sent += 1;
             assert!(sent < 60, "it never falls over");
@@ -280,7 +283,7 @@
 
 async fn watch(stage: &Stage, list: &NodeList, index: u64) -> Lines {
     let network = stage.ground.network(Who::Balancer(0));
-    let mut talk = Talk::new(network.connect(list.address(0)).await.expect("it listens"));
+    let mut talk = Exchange::new(network.connect(list.address(0)).await.expect("it listens"));
     let call = format!("GET /api/targets?stream=1&index={index} HTTP/1.1\r\nHost: a\r\n\r\n");
     talk.write(call.as_bytes()).await.expect("open");
     Lines { talk, text: String::new() }
@@ -288,7 +291,7 @@
 
 /// The lines of a watch, as they come.
 struct Lines {
-    talk: Talk,
+    talk: Exchange,
     text: String,
 }
 
@@ -328,7 +331,7 @@
         assert!(from.elapsed() >= 3 * SECOND && from.elapsed() < 4 * SECOND);
         assert_eq!((&second["complete"], phases(&second)), (&false.into(), vec!["DRAINING"]));
         let told = |l: &hollowpaddle_rehearsal::record::Line| {
-            let at = Seen::Told {
+            let at = Observation::Told {
                 balancer: 0,
                 node: 2,
                 phase: Phase::Draining,
@@ -413,7 +416,7 @@
             spawn_local(async move {
                 let network = stage.ground.network(Who::Balancer(1));
                 let stream = network.connect(list.address(1)).await.expect("it listens");
-                let mut talk = Talk::new(stream);
+                let mut talk = Exchange::new(stream);
                 let text = b"GET /api/targets HTTP/1.1\r\nHost: a\r\n\r\n";
                 talk.write(text).await.expect("open");
                 talk.message(Side::Answers).await.expect("an answer").status()
@@ -426,7 +429,7 @@
         // 50 ms each, and at most 100 ms of waiting.
         assert_eq!(answers, [200, 200, 200, 503, 503]);
         let failed = |l: &hollowpaddle_rehearsal::record::Line| {
-            matches!(l.seen, Seen::Unheard { balancer: 1, watch: None })
+            matches!(l.seen, Observation::Unheard { balancer: 1, watch: None })
         };
         assert_eq!(stage.record.take().iter().filter(|l| failed(l)).count(), 2);
     });
--- a/crates/rehearsal/tests/vans.rs
+++ b/crates/rehearsal/tests/vans.rs
@@ -8,12 +8,12 @@
 
 use hollowpaddle_rehearsal::node::Node;
 use hollowpaddle_rehearsal::plan::Plan;
-use hollowpaddle_rehearsal::record::{Fate, Seen};
+use hollowpaddle_rehearsal::record::{AttemptOutcome, Observation};
 use hollowpaddle_rehearsal::report::Report;
 use hollowpaddle_rehearsal::run::play_plan_virtual;
 use hollowpaddle_rehearsal::scenario::Scenario;
-use hollowpaddle_rehearsal::stage::{Ground, Stage, Who};
-use hollowpaddle_rehearsal::wire::{Side, Talk};
+use hollowpaddle_rehearsal::stage::{Stage, Testbed, Who};
+use hollowpaddle_rehearsal::wire::{Exchange, Side};
 use scripted::{Fault, Scripted};
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep};
@@ -77,7 +77,7 @@
     let plan = Plan::draw(&day, 2);
     let of =
         |plan| play_plan_virtual(&day, plan, Rc::new(Scripted(Fault::None))).expect("it plays");
-    Report::with_twin(&of(plan.clone()), &of(plan.twin()))
+    Report::with_control(&of(plan.clone()), &of(plan.control_run()))
 }
 
 #[test]
@@ -90,7 +90,7 @@
         .build()
         .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let ground = Ground::simulated(&scenario, &plan);
+        let ground = Testbed::simulated(&scenario, &plan);
         let stage = Stage::new(scenario, plan, ground);
         let nodes: Vec<_> = (0..8).map(|n| Node::new(&stage, n)).collect();
         nodes.iter().for_each(|n| n.start(false, None).expect("it listens"));
@@ -105,7 +105,7 @@
         let ask = async |node: usize, request| {
             let network = stage.ground.network(Who::Balancer(node % 2));
             let mut talk =
-                Talk::new(network.connect(nodes[node].address(0)).await.expect("it listens"));
+                Exchange::new(network.connect(nodes[node].address(0)).await.expect("it listens"));
             let text = stage.request_text(request, Duration::from_secs(1));
             talk.write(text.as_bytes()).await.expect("open");
             let from = Instant::now();
@@ -125,10 +125,10 @@
         let forgotten = ask(0, first).await;
         assert!(near(forgotten, 65), "window and memory are over: {forgotten} ms");
         let fates = stage.record.take().into_iter().filter_map(|l| match l.seen {
-            Seen::Ended { fate, .. } => Some(fate),
+            Observation::Ended { fate, .. } => Some(fate),
             _ => None,
         });
-        use Fate::{Dropped, Served};
+        use AttemptOutcome::{Dropped, Served};
         assert_eq!(fates.collect::<Vec<_>>(), [Served, Served, Dropped, Served, Served]);
     });
 }
@@ -140,7 +140,7 @@
     let played = play_plan_virtual(&day, plan, Rc::new(Scripted(Fault::None))).expect("it plays");
     let mut sent = 0;
     for line in &played.trace {
-        let Seen::Sent { request, balancer, .. } = line.seen else { continue };
+        let Observation::Sent { request, balancer, .. } = line.seen else { continue };
         let site = played.plan.arrivals[request as usize].van.expect("a van's").1;
         assert_eq!(day.bank.zone_of(balancer, &day.fleet), site);
         sent += 1;
--- a/crates/scale-harness/src/canary.rs
+++ b/crates/scale-harness/src/canary.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use hollowpaddle_net::{Listener, Network, Tcp, accept};
-use hollowpaddle_rehearsal::wire::{Message, Side, Talk};
+use hollowpaddle_rehearsal::wire::{Exchange, Message, Side};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
@@ -100,14 +100,14 @@
     loop {
         match accept(&mut *listener).await {
             Ok((stream, _)) => {
-                spawn_local(answer_all(slot, Talk::new(stream), requests.clone()));
+                spawn_local(answer_all(slot, Exchange::new(stream), requests.clone()));
             }
             Err(_) => sleep(ACCEPT_BACKOFF).await,
         }
     }
 }
 
-async fn answer_all(slot: usize, mut talk: Talk, requests: Requests) {
+async fn answer_all(slot: usize, mut talk: Exchange, requests: Requests) {
     while talk.message(Side::Requests).await.is_ok() {
         requests.lock().unwrap_or_else(PoisonError::into_inner)[slot] = Some(Instant::now());
         let body = slot.to_string();
@@ -158,7 +158,7 @@
 }
 
 async fn exchange(balancer: SocketAddr, request: &str) -> Option<Message> {
-    let mut talk = Talk::new(Tcp.connect(balancer).await.ok()?);
+    let mut talk = Exchange::new(Tcp.connect(balancer).await.ok()?);
     talk.write(request.as_bytes()).await.ok()?;
     talk.message(Side::Answers).await.ok()
 }
--- a/crates/scale-harness/src/discovery.rs
+++ b/crates/scale-harness/src/discovery.rs
@@ -12,7 +12,7 @@
 
 use bytes::Bytes;
 use hollowpaddle_net::{Listener, Network, Tcp, accept};
-use hollowpaddle_rehearsal::wire::{Message, Side, Talk};
+use hollowpaddle_rehearsal::wire::{Exchange, Message, Side};
 use serde::Serialize;
 use tokio::sync::watch;
 use tokio::task::spawn_local;
@@ -281,7 +281,7 @@
     loop {
         match accept(&mut *listener).await {
             Ok((stream, _)) => {
-                let connection = Connection { shared: shared.clone(), talk: Talk::new(stream) };
+                let connection = Connection { shared: shared.clone(), talk: Exchange::new(stream) };
                 spawn_local(connection.serve());
             }
             Err(_) => sleep(ACCEPT_BACKOFF).await,
@@ -292,7 +292,7 @@
 /// One caller's connection.
 struct Connection {
     shared: Arc<Shared>,
-    talk: Talk,
+    talk: Exchange,
 }
 
 impl Connection {
--- a/crates/scenario/src/book.rs
+++ b/crates/scenario/src/book.rs
@@ -9,7 +9,7 @@
 use serde_json::{Value, json};
 
 use crate::plan::{Machine, Orders, struck};
-use crate::scenario::{BankAct, Does, Says, Scenario, Selection, Strike, Verb};
+use crate::scenario::{BankAct, Does, OperatorVerb, Says, Scenario, Selection, Strike};
 
 /// One thing that is done at one moment, drawn ahead.
 #[derive(Clone, Debug, PartialEq)]
@@ -39,7 +39,7 @@
     /// Which door first.
     pub door: usize,
     /// What it is.
-    pub verb: Verb,
+    pub verb: OperatorVerb,
     /// Its path.
     pub path: &'static str,
     /// Its body, but for the name of the question and for which revision a rollback is to.
@@ -110,29 +110,29 @@
             if let Some(seconds) = trial_s {
                 body["trial"] = json!({"seconds": seconds, "fall": 1000});
             }
-            vec![call(Verb::Revision, "/admin/revisions", body)]
+            vec![call(OperatorVerb::Revision, "/admin/revisions", body)]
         }
         Does::Rollback { back } => {
-            let call = call(Verb::Rollback, "/admin/revisions/rollback", json!({}));
+            let call = call(OperatorVerb::Rollback, "/admin/revisions/rollback", json!({}));
             vec![Call { back: Some(*back), ..call }]
         }
-        Does::Cordon(_) => upstreams(Verb::Cordon, "/admin/cordon"),
-        Does::Uncordon(_) => upstreams(Verb::Uncordon, "/admin/uncordon"),
+        Does::Cordon(_) => upstreams(OperatorVerb::Cordon, "/admin/cordon"),
+        Does::Uncordon(_) => upstreams(OperatorVerb::Uncordon, "/admin/uncordon"),
         Does::Charter { pods } => {
             let body = json!({"charter": {"pods": pods, "attempts": 1}});
-            vec![call(Verb::Charter, "/admin/charter", body)]
+            vec![call(OperatorVerb::Charter, "/admin/charter", body)]
         }
         Does::Dead(who) => {
-            let call = call(Verb::Dead, "/admin/council/dead", json!({"member": who}));
+            let call = call(OperatorVerb::Dead, "/admin/council/dead", json!({"member": who}));
             vec![Call { member: Some(*who), ..call }]
         }
         Does::Alive(who) => {
-            let call = call(Verb::Alive, "/admin/council/alive", json!({"member": who}));
+            let call = call(OperatorVerb::Alive, "/admin/council/alive", json!({"member": who}));
             vec![Call { member: Some(*who), ..call }]
         }
         Does::Replace { out, then } => {
             let body = json!({"out": out, "then": then});
-            vec![Call { id: None, ..call(Verb::Replace, "/admin/council/replace", body) }]
+            vec![Call { id: None, ..call(OperatorVerb::Replace, "/admin/council/replace", body) }]
         }
         Does::Leader(..) => Vec::new(),
     };
--- a/crates/scenario/src/plan.rs
+++ b/crates/scenario/src/plan.rs
@@ -185,10 +185,10 @@
     }
 
     /// The same day on which nothing goes wrong: its arrivals, bursts included, its machines, and what operators say.
-    pub fn twin(&self) -> Self {
-        let mut twin = Self { acts: Vec::new(), ..self.clone() };
-        twin.bank.retain(|p| matches!(p.doing, Doing::Call(_)));
-        twin
+    pub fn control_run(&self) -> Self {
+        let mut control_run = Self { acts: Vec::new(), ..self.clone() };
+        control_run.bank.retain(|p| matches!(p.doing, Doing::Call(_)));
+        control_run
     }
 
     /// SHA-256 over all that was drawn, in hexadecimal: equal plans have equal digests.
--- a/crates/scenario/src/record.rs
+++ b/crates/scenario/src/record.rs
@@ -9,7 +9,7 @@
 use tokio::time::Instant;
 
 use crate::plan::{Plan, hex};
-use crate::scenario::{Scenario, Verb};
+use crate::scenario::{OperatorVerb, Scenario};
 
 /// A point in a run, in microseconds from its start.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Serialize)]
@@ -25,7 +25,7 @@
 /// How an attempt ended, as its node saw it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize)]
 #[serde(rename_all = "kebab-case")]
-pub enum Fate {
+pub enum AttemptOutcome {
     /// 200, whole.
     Served,
     /// A keyed repeat that the cell dropped: 200, and nothing ran again.
@@ -47,7 +47,7 @@
 #[allow(missing_docs)] // the fields are named so everywhere, and explained above
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "saw", rename_all = "kebab-case")]
-pub enum Seen {
+pub enum Observation {
     /// A client wrote the last byte of a request. `again`: the connection had closed before it was read.
     Sent { request: u32, balancer: usize, start: u32, class: usize, again: bool },
     /// A client could not reach its balancer.
@@ -77,7 +77,7 @@
     /// A node took it into work: from here it may have had its effect.
     Ran { attempt: u32 },
     /// An attempt ended.
-    Ended { attempt: u32, fate: Fate },
+    Ended { attempt: u32, fate: AttemptOutcome },
     /// The balancer's connection ended, on which an attempt was out or had been.
     Closed { attempt: u32 },
     /// A node took a connection.
@@ -126,7 +126,7 @@
         call: u32,
         tries: u32,
         balancer: usize,
-        verb: Verb,
+        verb: OperatorVerb,
         id: Option<String>,
         member: Option<usize>,
     },
@@ -134,7 +134,7 @@
     Heard {
         call: u32,
         balancer: usize,
-        verb: Verb,
+        verb: OperatorVerb,
         status: Option<u16>,
         number: Option<u64>,
         everywhere: bool,
@@ -197,7 +197,7 @@
     pub at: At,
     /// What.
     #[serde(flatten)]
-    pub seen: Seen,
+    pub seen: Observation,
 }
 
 /// What a balancer used, as far as that can be told from outside.
@@ -261,7 +261,7 @@
     }
 
     /// Notes what was seen just now.
-    pub fn saw(&self, seen: Seen) {
+    pub fn saw(&self, seen: Observation) {
         let at = self.now();
         self.0.lines.borrow_mut().push(Line { at, seen });
     }
--- a/crates/scenario/src/scenario/book.rs
+++ b/crates/scenario/src/scenario/book.rs
@@ -126,7 +126,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Serialize)]
 #[serde(rename_all = "kebab-case")]
 #[allow(missing_docs)] // as in a scenario
-pub enum Verb {
+pub enum OperatorVerb {
     Revision,
     Rollback,
     Cordon,
@@ -137,10 +137,16 @@
     Replace,
 }
 
-impl Verb {
+impl OperatorVerb {
     /// Whether a yes to it names a revision.
     pub fn revises(self) -> bool {
-        matches!(self, Verb::Revision | Verb::Rollback | Verb::Cordon | Verb::Uncordon)
+        matches!(
+            self,
+            OperatorVerb::Revision
+                | OperatorVerb::Rollback
+                | OperatorVerb::Cordon
+                | OperatorVerb::Uncordon
+        )
     }
 }
 
--- a/crates/scenario/src/scenario/mod.rs
+++ b/crates/scenario/src/scenario/mod.rs
@@ -5,7 +5,7 @@
 mod read;
 mod vans;
 
-pub use book::{BankAct, Does, RuleBook, Says, Strike, Verb};
+pub use book::{BankAct, Does, OperatorVerb, RuleBook, Says, Strike};
 pub use read::MOST_BALANCERS;
 pub use vans::Vans;
 
--- a/crates/scenario/tests/formats.rs
+++ b/crates/scenario/tests/formats.rs
@@ -3,10 +3,12 @@
 use std::time::Duration;
 
 use hollowpaddle_scenario::plan::Plan;
-use hollowpaddle_scenario::record::{At, Fate, Line, Phase, Resources, Seen, digest, write_trace};
+use hollowpaddle_scenario::record::{
+    At, AttemptOutcome, Line, Observation, Phase, Resources, digest, write_trace,
+};
 use hollowpaddle_scenario::scenario::{
-    Bank, Clients, Expect, Kind, ListService, Load, Repeats, RuleBook, Rules, Scenario, Shape,
-    Vans, Verb,
+    Bank, Clients, Expect, Kind, ListService, Load, OperatorVerb, Repeats, RuleBook, Rules,
+    Scenario, Shape, Vans,
 };
 use serde_json::json;
 
@@ -17,16 +19,21 @@
 const CLOSED_LOOP: &str = include_str!("formats/closed-loop.toml");
 
 /// One event of each kind, in the order in which the type lists them.
-fn events() -> Vec<Seen> {
+fn events() -> Vec<Observation> {
     vec![
-        Seen::Sent { request: 1, balancer: 2, start: 3, class: 4, again: true },
-        Seen::Unreachable { request: 6, balancer: 7 },
-        Seen::Answered { request: 8, status: 9, attempt: Some(11), retry_after_ms: Some(13) },
-        Seen::Broken { request: 14, begun: true },
-        Seen::Extra { balancer: 16, request: Some(18), bytes: 19 },
-        Seen::Left { request: 20 },
-        Seen::GaveUp { request: 21 },
-        Seen::Attempt {
+        Observation::Sent { request: 1, balancer: 2, start: 3, class: 4, again: true },
+        Observation::Unreachable { request: 6, balancer: 7 },
+        Observation::Answered {
+            request: 8,
+            status: 9,
+            attempt: Some(11),
+            retry_after_ms: Some(13),
+        },
+        Observation::Broken { request: 14, begun: true },
+        Observation::Extra { balancer: 16, request: Some(18), bytes: 19 },
+        Observation::Left { request: 20 },
+        Observation::GaveUp { request: 21 },
+        Observation::Attempt {
             attempt: 22,
             request: 23,
             node: 24,
@@ -36,47 +43,53 @@
             dark: true,
             work_ms: 29.5,
         },
-        Seen::Ran { attempt: 30 },
-        Seen::Ended { attempt: 31, fate: Fate::Served },
-        Seen::Closed { attempt: 33 },
-        Seen::Linked { node: 34, balancer: 35 },
-        Seen::Partial { node: 36, balancer: 37 },
-        Seen::Stranger { node: 38, balancer: 39, what: "text-40".into() },
-        Seen::Up { node: 41, full: 42.5, cold_from: 43.5, cold_ms: 44.5 },
-        Seen::Warmth { node: 45, share: 46.5 },
-        Seen::Tipped { node: 47 },
-        Seen::Down { node: 48 },
-        Seen::Listed { node: 49, phase: Phase::Serving, since: At(51) },
-        Seen::Told { balancer: 52, node: 53, phase: Phase::Serving, since: At(55), revision: 56 },
-        Seen::Called { balancer: 57 },
-        Seen::Asked { balancer: 58, watch: 59 },
-        Seen::Unheard { balancer: 60, watch: Some(62) },
-        Seen::Started { balancer: 63, start: 64 },
-        Seen::Ready { balancer: 65, start: 66 },
-        Seen::Killed { balancer: 67, start: 68 },
-        Seen::Stopping { balancer: 69, start: 70 },
-        Seen::Paused { balancer: 71, start: 72 },
-        Seen::Resumed { balancer: 73, start: 74 },
-        Seen::Stored { balancer: 75, files: 76 },
-        Seen::Datagram { from: 77, to: 78, bytes: 79, copies: 80 },
-        Seen::Said {
+        Observation::Ran { attempt: 30 },
+        Observation::Ended { attempt: 31, fate: AttemptOutcome::Served },
+        Observation::Closed { attempt: 33 },
+        Observation::Linked { node: 34, balancer: 35 },
+        Observation::Partial { node: 36, balancer: 37 },
+        Observation::Stranger { node: 38, balancer: 39, what: "text-40".into() },
+        Observation::Up { node: 41, full: 42.5, cold_from: 43.5, cold_ms: 44.5 },
+        Observation::Warmth { node: 45, share: 46.5 },
+        Observation::Tipped { node: 47 },
+        Observation::Down { node: 48 },
+        Observation::Listed { node: 49, phase: Phase::Serving, since: At(51) },
+        Observation::Told {
+            balancer: 52,
+            node: 53,
+            phase: Phase::Serving,
+            since: At(55),
+            revision: 56,
+        },
+        Observation::Called { balancer: 57 },
+        Observation::Asked { balancer: 58, watch: 59 },
+        Observation::Unheard { balancer: 60, watch: Some(62) },
+        Observation::Started { balancer: 63, start: 64 },
+        Observation::Ready { balancer: 65, start: 66 },
+        Observation::Killed { balancer: 67, start: 68 },
+        Observation::Stopping { balancer: 69, start: 70 },
+        Observation::Paused { balancer: 71, start: 72 },
+        Observation::Resumed { balancer: 73, start: 74 },
+        Observation::Stored { balancer: 75, files: 76 },
+        Observation::Datagram { from: 77, to: 78, bytes: 79, copies: 80 },
+        Observation::Said {
             call: 81,
             tries: 82,
             balancer: 83,
-            verb: Verb::Revision,
+            verb: OperatorVerb::Revision,
             id: Some("text-86".into()),
             member: Some(88),
         },
-        Seen::Heard {
+        Observation::Heard {
             call: 89,
             balancer: 90,
-            verb: Verb::Revision,
+            verb: OperatorVerb::Revision,
             status: Some(93),
             number: Some(95),
             everywhere: true,
             why: Some("text-98".into()),
         },
-        Seen::Stands {
+        Observation::Stands {
             balancer: 99,
             start: 100,
             asked: At(101),
@@ -91,16 +104,16 @@
             leader: Some(112),
             epoch: 113,
         },
-        Seen::Revision {
+        Observation::Revision {
             balancer: 114,
             start: 115,
             epoch: 116,
             number: 117,
             document: json!({"attempts": 2}),
         },
-        Seen::CutOff { balancer: 119, begins: true },
-        Seen::Exited { balancer: 121, start: 122, code: Some(124) },
-        Seen::Fault { fault: 125, begins: true },
+        Observation::CutOff { balancer: 119, begins: true },
+        Observation::Exited { balancer: 121, start: 122, code: Some(124) },
+        Observation::Fault { fault: 125, begins: true },
     ]
 }
 
@@ -130,13 +143,13 @@
 #[test]
 fn values_that_a_trace_enumerates_keep_their_names() {
     for (fate, name) in [
-        (Fate::Served, "served"),
-        (Fate::Dropped, "dropped"),
-        (Fate::Error, "error"),
-        (Fate::TurnedAway, "turned-away"),
-        (Fate::Spoilt, "spoilt"),
-        (Fate::Died, "died"),
-        (Fate::Abandoned, "abandoned"),
+        (AttemptOutcome::Served, "served"),
+        (AttemptOutcome::Dropped, "dropped"),
+        (AttemptOutcome::Error, "error"),
+        (AttemptOutcome::TurnedAway, "turned-away"),
+        (AttemptOutcome::Spoilt, "spoilt"),
+        (AttemptOutcome::Died, "died"),
+        (AttemptOutcome::Abandoned, "abandoned"),
     ] {
         assert_eq!(json!(fate), name);
     }
@@ -146,14 +159,14 @@
         assert_eq!((json!(phase), phase.word()), (json!(name), name));
     }
     for (verb, name) in [
-        (Verb::Revision, "revision"),
-        (Verb::Rollback, "rollback"),
-        (Verb::Cordon, "cordon"),
-        (Verb::Uncordon, "uncordon"),
-        (Verb::Charter, "charter"),
-        (Verb::Dead, "dead"),
-        (Verb::Alive, "alive"),
-        (Verb::Replace, "replace"),
+        (OperatorVerb::Revision, "revision"),
+        (OperatorVerb::Rollback, "rollback"),
+        (OperatorVerb::Cordon, "cordon"),
+        (OperatorVerb::Uncordon, "uncordon"),
+        (OperatorVerb::Charter, "charter"),
+        (OperatorVerb::Dead, "dead"),
+        (OperatorVerb::Alive, "alive"),
+        (OperatorVerb::Replace, "replace"),
     ] {
         assert_eq!(json!(verb), name);
     }
@@ -162,7 +175,7 @@
 #[test]
 fn missing_values_and_resources_keep_their_form() {
     let unanswered =
-        Seen::Answered { request: 1, status: 503, attempt: None, retry_after_ms: None };
+        Observation::Answered { request: 1, status: 503, attempt: None, retry_after_ms: None };
     assert_eq!(
         written(&[Line { at: At(5), seen: unanswered }]),
         "{\"at\":5,\"saw\":\"answered\",\"request\":1,\"status\":503,\"attempt\":null,\"retry_after_ms\":null}\n"
--- a/crates/scenario/tests/scenarios.rs
+++ b/crates/scenario/tests/scenarios.rs
@@ -2,7 +2,7 @@
 
 use hollowpaddle_scenario::book::{Call, Doing, Planned};
 use hollowpaddle_scenario::plan::Plan;
-use hollowpaddle_scenario::scenario::{Scenario, Verb};
+use hollowpaddle_scenario::scenario::{OperatorVerb, Scenario};
 use proptest::prelude::*;
 
 const SOUND: &str = r#"name = "sound"
@@ -317,15 +317,23 @@
     assert_ne!(plan.digest(), Plan::draw(&day, 4).digest());
     let calls: Vec<&Call> = plan.bank.iter().filter_map(call).collect();
     // Two of ten are cordoned, each by a call; then the revision at either door, each a question of its own.
-    let verbs: Vec<Verb> = calls.iter().map(|c| c.verb).collect();
-    assert_eq!(verbs, [Verb::Cordon, Verb::Cordon, Verb::Revision, Verb::Revision]);
+    let verbs: Vec<OperatorVerb> = calls.iter().map(|c| c.verb).collect();
+    assert_eq!(
+        verbs,
+        [
+            OperatorVerb::Cordon,
+            OperatorVerb::Cordon,
+            OperatorVerb::Revision,
+            OperatorVerb::Revision
+        ]
+    );
     assert!(calls[2].id.is_some() && calls[2].id != calls[3].id && calls[0].id.is_none());
     let out = &calls[2].body["document"]["out"];
     assert_eq!(out["upstreams"], serde_json::json!([plan.machines[3].id]));
     assert_eq!((&out["pods"], &out["sites"]), (&serde_json::json!([1]), &serde_json::json!(["b"])));
     assert_eq!(calls[2].body["document"]["kept"], serde_json::json!({"read": [0]}));
     assert_eq!(calls[2].body["wait"], "all");
-    assert_eq!((plan.bank.len(), plan.twin().bank.len()), (5, 4));
+    assert_eq!((plan.bank.len(), plan.control_run().bank.len()), (5, 4));
     assert_eq!(
         Plan::draw(&day, 3).arrivals,
         Plan::draw(&sound(), 3).arrivals,
--- a/tests/fleet/days.rs
+++ b/tests/fleet/days.rs
@@ -6,7 +6,7 @@
 use crate::NODE;
 use hollowpaddle_rehearsal::plan::Plan;
 use hollowpaddle_rehearsal::process::Processes;
-use hollowpaddle_rehearsal::record::{Played, Seen};
+use hollowpaddle_rehearsal::record::{Observation, Played};
 use hollowpaddle_rehearsal::report::Report;
 use hollowpaddle_rehearsal::run::play_plan_live;
 use hollowpaddle_rehearsal::scenario::Scenario;
@@ -68,7 +68,7 @@
     play_plan_live(&scenario, plan, launcher, |_| {}).expect("it plays")
 }
 
-fn count(played: &Played, what: impl Fn(&Seen) -> bool) -> usize {
+fn count(played: &Played, what: impl Fn(&Observation) -> bool) -> usize {
     played.trace.iter().filter(|l| what(&l.seen)).count()
 }
 
@@ -80,12 +80,13 @@
     ]);
     let report = Report::of(&played);
     assert!(report.is_clean(), "{}", report.text());
-    assert_eq!(count(&played, |s| matches!(s, Seen::Ready { start: 2, .. })), 4);
-    assert_eq!(count(&played, |s| matches!(s, Seen::Stored { files: 1.., .. })), 4);
+    assert_eq!(count(&played, |s| matches!(s, Observation::Ready { start: 2, .. })), 4);
+    assert_eq!(count(&played, |s| matches!(s, Observation::Stored { files: 1.., .. })), 4);
     assert!(report.service.counts.unreachable > 0, "{}", report.text());
-    let line = |what: &dyn Fn(&Seen) -> bool| played.trace.iter().rposition(|l| what(&l.seen));
-    let back = line(&|s| matches!(s, Seen::Ready { start: 2, .. }));
-    let served = line(&|s| matches!(s, Seen::Answered { status: 200, .. }));
+    let line =
+        |what: &dyn Fn(&Observation) -> bool| played.trace.iter().rposition(|l| what(&l.seen));
+    let back = line(&|s| matches!(s, Observation::Ready { start: 2, .. }));
+    let served = line(&|s| matches!(s, Observation::Answered { status: 200, .. }));
     assert!(served > back && back.is_some(), "{}", report.text());
 }
 
@@ -100,7 +101,7 @@
     assert!(report.is_clean(), "{}", report.text());
     let heard = |balancer: usize| {
         let of = |l: &&hollowpaddle_rehearsal::record::Line| {
-            matches!(l.seen, Seen::Told { balancer: b, node: 0, phase, .. }
+            matches!(l.seen, Observation::Told { balancer: b, node: 0, phase, .. }
                 if b == balancer && phase != hollowpaddle_rehearsal::record::Phase::Serving)
         };
         played.trace.iter().find(of).map(|l| l.at.ms_since(played.began) / 1e3)
@@ -119,6 +120,6 @@
     ]);
     let report = Report::of(&played);
     assert!(report.is_clean(), "{}", report.text());
-    assert_eq!(count(&played, |s| matches!(s, Seen::Resumed { .. })), 2);
-    assert!(count(&played, |s| matches!(s, Seen::Killed { balancer: 2, .. })) >= 4);
+    assert_eq!(count(&played, |s| matches!(s, Observation::Resumed { .. })), 2);
+    assert!(count(&played, |s| matches!(s, Observation::Killed { balancer: 2, .. })) >= 4);
 }
--- a/tests/node/leaving.rs
+++ b/tests/node/leaving.rs
@@ -33,7 +33,7 @@
 
 fn ids(upstream: &Upstream) -> Vec<String> {
     let requests = upstream.seen.try_iter().filter_map(|s| match s {
-        Seen::Request(_, m) => Some(m.header("x-request-id").to_string()),
+        Observation::Request(_, m) => Some(m.header("x-request-id").to_string()),
         _ => None,
     });
     requests.collect()
--- a/tests/node/reload.rs
+++ b/tests/node/reload.rs
@@ -42,7 +42,7 @@
     assert_eq!(call, "GET /api/targets?stream=1&index=7 HTTP/1.1");
     assert!(node.child.try_wait().expect("a child").is_none(), "it ended");
     let ports: std::collections::HashSet<_> = std::iter::from_fn(|| old.seen.try_recv().ok())
-        .filter_map(|s| if let Seen::Request(from, _) = s { Some(from) } else { None })
+        .filter_map(|s| if let Observation::Request(from, _) = s { Some(from) } else { None })
         .collect();
     assert_eq!(ports.len(), 1, "its connection was not kept");
 }
--- a/tests/node/serving.rs
+++ b/tests/node/serving.rs
@@ -146,7 +146,7 @@
     assert!(from.elapsed() < Duration::from_millis(1500), "too late to arrive");
     // Its connection is of no more use, and closed.
     let from = Instant::now();
-    while !matches!(upstream.seen.recv_timeout(SOON), Ok(Seen::Closed)) {
+    while !matches!(upstream.seen.recv_timeout(SOON), Ok(Observation::Closed)) {
         assert!(from.elapsed() < SOON, "the connection stays");
     }
 }
@@ -203,7 +203,7 @@
         assert_eq!(client.ask(&alarm("r1", 5000, "x")).status(), 200);
         let close = || {
             go.send(()).expect("the upstream waits");
-            while !matches!(upstream.seen.recv_timeout(SOON), Ok(Seen::Closed)) {}
+            while !matches!(upstream.seen.recv_timeout(SOON), Ok(Observation::Closed)) {}
         };
         node.signal("STOP");
         if close_first {
@@ -226,7 +226,7 @@
     let node = start(&config);
     assert_eq!(node.client().ask(&read("r1", 5000)).status(), 200);
     let from = Instant::now();
-    while !matches!(upstream.seen.recv_timeout(SOON), Ok(Seen::Closed)) {
+    while !matches!(upstream.seen.recv_timeout(SOON), Ok(Observation::Closed)) {
         assert!(from.elapsed() < SOON, "the connection stays");
     }
     assert!(from.elapsed() < Duration::from_millis(3900), "closed too late: {:?}", from.elapsed());
--- a/tests/node/spoilt.rs
+++ b/tests/node/spoilt.rs
@@ -89,7 +89,7 @@
     node.signal("STOP");
     go.send(()).expect("the upstream waits");
     client.send(&alarm("r2", 6000, "x"));
-    while !matches!(upstream.seen.recv_timeout(SOON), Ok(Seen::Wrote)) {}
+    while !matches!(upstream.seen.recv_timeout(SOON), Ok(Observation::Wrote)) {}
     node.signal("CONT");
     assert_eq!(client.answer().expect("an answer").body, b"own");
 }
--- a/tests/node/stopping.rs
+++ b/tests/node/stopping.rs
@@ -154,7 +154,7 @@
     resting(many.remove(31), "the node ends");
     assert_eq!(node.exit_code(), Some(0));
     let seen = upstream.seen.try_iter().filter_map(|s| match s {
-        Seen::Request(_, m) => Some(m.header("x-request-id").to_string()),
+        Observation::Request(_, m) => Some(m.header("x-request-id").to_string()),
         _ => None,
     });
     assert_eq!(seen.filter(|id| id == "crossed").count(), 0);
