--- a/crates/peer-transport/src/lib.rs
+++ b/crates/peer-transport/src/lib.rs
@@ -42,29 +42,29 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod chance;
 mod config;
-mod counts;
+mod datagram_faults;
 mod frame;
-mod incoming;
 mod message;
-mod outgoing;
-mod pace;
+mod metrics;
 mod peer;
-mod queue;
-mod say;
+mod reassembly;
+mod receive_window;
+mod retransmission;
+mod rng;
+mod send_queue;
+mod sending;
 #[cfg(test)]
 mod tests;
-mod through;
-mod window;
-mod wire;
+mod token_bucket;
+mod transport;
 
 pub use config::{Budget, Config, ConfigError, MEMBERS};
-pub use counts::{Counts, Delivered, Dropped, Heard, Sent, Words};
+pub use datagram_faults::{Passage, receive_through, transmit_through};
 pub use frame::{ONE_DATAGRAM, VERSION};
 pub use message::{MessageError, decode, encode};
-pub use through::{Passage, receive_through, transmit_through};
-pub use wire::{Action, Event, Held, How, Wire};
+pub use metrics::{Counts, Delivered, Dropped, Heard, Sent, Words};
+pub use transport::{Action, Event, Held, How, Wire};
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/peer-transport/src/peer.rs
+++ b/crates/peer-transport/src/peer.rs
@@ -3,9 +3,9 @@
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::chance::{Chance, Nonces};
-use crate::pace::Pace;
-use crate::window::Window;
+use crate::receive_window::Window;
+use crate::rng::{Chance, Nonces};
+use crate::token_bucket::Pace;
 use crate::{Channel, How, Incarnation};
 
 /// A nonce is asked for so long; an answer that takes longer brings nothing about, so that a life which ended
--- a/crates/peer-transport/src/incoming.rs
+++ b/crates/peer-transport/src/reassembly.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::frame::{PIECE, Piece};
-use crate::pace::Pace;
+use crate::token_bucket::Pace;
 use crate::{Channel, NodeId};
 
 /// Bytes held of all words that are not whole. For a new one the oldest word goes of the peer that holds
@@ -21,7 +21,7 @@
 /// so often without a new piece in between,
 const ASKS: u8 = 20;
 /// and for so long in all. A sender keeps its words as long.
-const LONGEST: Duration = crate::outgoing::KEPT;
+const LONGEST: Duration = crate::retransmission::KEPT;
 /// Asks to one peer, a second and at once: a peer that begins a hundred words is not told a hundred times at
 /// once.
 const ASKS_OF_ONE: (u32, u32) = (50, 8);
--- a/crates/peer-transport/src/say.rs
+++ b/crates/peer-transport/src/sending.rs
@@ -3,7 +3,7 @@
 
 use crate::frame::{Body, Frame, HEAD, LAST, ONE_DATAGRAM, Piece, Said};
 use crate::peer::{WAIT, Waiting};
-use crate::queue::Item;
+use crate::send_queue::Item;
 use crate::{Action, Channel, DATAGRAM, How, Incarnation, MAX_MESSAGE_BYTES, NodeId, Wire};
 
 /// Bytes that wait for all peers that have not answered yet. Without a bound 1,000 silent peers would take 24
--- a/crates/peer-transport/src/wire.rs
+++ b/crates/peer-transport/src/transport.rs
@@ -4,14 +4,14 @@
 use std::collections::BTreeSet;
 use std::time::Duration;
 
-use crate::chance::{Chance, Nonces};
 use crate::frame::{Bad, Body, Frame, HELLO, Said};
-use crate::incoming::{Came, Incoming};
-use crate::outgoing::Outgoing;
-use crate::pace::{Pace, Tokens};
 use crate::peer::{Peer, Waiting};
-use crate::queue::{Item, Queue};
-use crate::window::Seen;
+use crate::reassembly::{Came, Incoming};
+use crate::receive_window::Seen;
+use crate::retransmission::Outgoing;
+use crate::rng::{Chance, Nonces};
+use crate::send_queue::{Item, Queue};
+use crate::token_bucket::{Pace, Tokens};
 use crate::{Channel, Config, ConfigError, Counts, Incarnation, NodeId};
 #[cfg(doc)]
 use crate::{DATAGRAM, MAX_MESSAGE_BYTES, ONE_DATAGRAM};
