--- a/crates/peer-transport/src/datagram_faults.rs
+++ b/crates/peer-transport/src/datagram_faults.rs
@@ -1,68 +1,40 @@
-//! What a fault does to a datagram on its way through a shell: the daemon and the simulated network carry it
-//! out alike.
+//! Maps failpoints to what happens to a datagram, alike for the daemon and the simulated network; carrying
+//! it out is left to them.
 
 use hollowpaddle_failpoints::{Fault, Kind, Points};
 
-/// What becomes of a datagram.
+#[cfg(test)]
+mod tests;
+
+/// What happens to a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
-pub enum Passage {
-    /// So many copies go on: one as a rule, none if it is lost, two if it arrives twice.
+pub enum DatagramOutcome {
+    /// This many copies are passed on: usually one, none if it is lost, two if it is duplicated.
     Copies(usize),
-    /// The process ends here, and the datagram goes nowhere.
+    /// The process ends here, and the datagram is lost.
     Crash,
-    /// The process stands still for longer than any lease; then one copy goes on.
+    /// The process stops for longer than any lease; then one copy is passed on.
     Pause,
 }
 
-/// A datagram is about to go out: passes the point of this name.
-pub fn transmit_through(points: &Points, name: &'static str) -> Passage {
-    through(points.pass(name, Kind::Send))
+/// Passes the failpoint `name` before a datagram is sent.
+pub fn transmit_through(points: &Points, name: &'static str) -> DatagramOutcome {
+    outcome(points.pass(name, Kind::Send))
 }
 
-/// A datagram has come, and is about to be handed in: passes the point of this name.
-pub fn receive_through(points: &Points, name: &'static str) -> Passage {
-    through(points.pass(name, Kind::Receive))
+/// Passes the failpoint `name` before a received datagram is handed in.
+pub fn receive_through(points: &Points, name: &'static str) -> DatagramOutcome {
+    outcome(points.pass(name, Kind::Receive))
 }
 
-fn through(fault: Option<Fault>) -> Passage {
+fn outcome(fault: Option<Fault>) -> DatagramOutcome {
     match fault {
-        Some(Fault::Lose) => Passage::Copies(0),
-        Some(Fault::Copy) => Passage::Copies(2),
-        Some(Fault::Crash) => Passage::Crash,
-        Some(Fault::Pause) => Passage::Pause,
-        // The others can't happen to a datagram, and no point gives them here.
-        _ => Passage::Copies(1),
-    }
-}
-
-#[cfg(test)]
-mod tests {
-    use hollowpaddle_failpoints::Plan;
-
-    use super::*;
-
-    #[test]
-    fn each_fault_of_a_datagram_is_carried_out_and_without_any_it_goes_on_once() {
-        for kind in [Kind::Send, Kind::Receive] {
-            for fault in kind.faults() {
-                let points = Points::armed(Plan::one(2, *fault));
-                let pass = || match kind {
-                    Kind::Send => transmit_through(&points, "out"),
-                    _ => receive_through(&points, "in"),
-                };
-                let expected = match fault {
-                    Fault::Lose => Passage::Copies(0),
-                    Fault::Copy => Passage::Copies(2),
-                    Fault::Crash => Passage::Crash,
-                    _ => Passage::Pause,
-                };
-                assert_eq!(
-                    (pass(), pass(), pass()),
-                    (Passage::Copies(1), expected, Passage::Copies(1))
-                );
-                assert!(points.passed().iter().all(|passed| passed.kind == kind));
-            }
-        }
+        Some(Fault::Lose) => DatagramOutcome::Copies(0),
+        Some(Fault::Copy) => DatagramOutcome::Copies(2),
+        Some(Fault::Crash) => DatagramOutcome::Crash,
+        Some(Fault::Pause) => DatagramOutcome::Pause,
+        // The other faults do not apply to datagrams, and no failpoint injects them here.
+        _ => DatagramOutcome::Copies(1),
     }
 }
--- a/crates/peer-transport/src/frame.rs
+++ b/crates/peer-transport/src/frame.rs
@@ -1,217 +1,286 @@
-//! Frames: what one datagram holds, to and from bytes. Which of them count is [`crate::Wire`]'s to decide.
+//! The frame that one datagram holds, to and from bytes; which frames are accepted is left to
+//! [`crate::Wire`].
 //!
 //! ```text
-//! version 1 | crc32 4 | kind 1 | from-life 4 | to-life 4 | sequence 5 | body (postcard)
+//! version 1 | crc32 4 | kind 1 | from incarnation 4 | to incarnation 4 | sequence 5 | body (postcard)
 //! ```
 //!
-//! The sum (CRC-32, IEEE 802.3) is over all the rest and, as UDP does with addresses (RFC 768), over the
-//! numbers of the two members: where settings disagree on who is which number, nothing is understood instead
-//! of being taken for another's. It finds every flip of up to four bits at this length (Koopman 2002); of
-//! other damage it misses one in 2^32.
+//! The checksum (CRC-32, IEEE 802.3) covers the rest of the frame and, as UDP's does with addresses (RFC 768),
+//! the node ids of both ends: if their configurations number the nodes differently, frames are rejected instead
+//! of being attributed to another node. It detects every error of up to four bits at this length (Koopman
+//! 2002), and misses one in 2^32 of others.
 
 use serde::{Deserialize, Serialize};
 
-use crate::{Channel, DATAGRAM, Incarnation, MAX_MESSAGE_BYTES, NodeId};
+use crate::{Channel, Incarnation, MAX_DATAGRAM_BYTES, MAX_MESSAGE_BYTES, NodeId};
 
-/// Version of the frames. One of another is dropped and counted.
+/// Version of the frame format. Frames of another version are dropped and counted.
 pub const VERSION: u8 = 1;
+/// Longest message that is sent unfragmented, in bytes: one datagram with its channel and length.
+pub const MAX_UNFRAGMENTED_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - 1 - 3;
+
 /// Bytes before the body.
-pub(crate) const HEAD: usize = 19;
-/// A hello's length. Other frames are filled up to it, so that a hello in answer is not longer than what
-/// asked for it.
-pub(crate) const HELLO: usize = HEAD + 9;
-/// The longest word that goes in one datagram with its channel and length, in bytes.
-pub const ONE_DATAGRAM: usize = DATAGRAM - HEAD - 1 - 3;
-/// Bytes of a word in each of its pieces but the last.
-pub(crate) const PIECE: usize = DATAGRAM - HEAD - 5;
-/// Pieces of the longest word.
-pub(crate) const PIECES: usize = MAX_MESSAGE_BYTES.div_ceil(PIECE);
-/// The last sequence. At 2,000 datagrams a second to one peer it is reached after 17 years; then nothing more
-/// is sent.
-pub(crate) const LAST: u64 = (1 << 40) - 1;
-
-// What is asked for again is told as bits of a u128.
-const _: () = assert!(PIECES <= 128);
-
-/// One word among several of a datagram.
+pub(crate) const HEADER_BYTES: usize = 19;
+/// Length of a handshake, in bytes. Other frames are padded to it, so that a handshake is never longer than
+/// the frame that it answers.
+pub(crate) const HANDSHAKE_BYTES: usize = HEADER_BYTES + 9;
+/// Bytes of a message in each of its fragments but the last.
+pub(crate) const FRAGMENT_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - 5;
+/// Fragments of the longest message.
+pub(crate) const MAX_FRAGMENTS: usize = MAX_MESSAGE_BYTES.div_ceil(FRAGMENT_BYTES);
+/// The last sequence number. At 2,000 datagrams a second to one peer it is reached after 17 years; then no more
+/// frames are sent.
+pub(crate) const MAX_SEQUENCE: u64 = (1 << (8 * SEQUENCE_BYTES)) - 1;
+
+/// Bytes of a sequence number in a frame.
+const SEQUENCE_BYTES: usize = 5;
+/// Bytes before the kind, which the checksum doesn't cover as they are.
+const UNCHECKED_BYTES: usize = 5;
+
+// A retransmission request has a bit for each fragment in a u128.
+const _: () = assert!(MAX_FRAGMENTS <= 128);
+
+/// One of the complete messages in a frame.
 #[derive(Clone, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Said<'a> {
+pub(crate) struct ChannelMessage<'a> {
     pub(crate) channel: Channel,
     #[serde(borrow)]
     pub(crate) message: &'a [u8],
 }
 
-impl Said<'_> {
-    /// Bytes that it takes in a frame.
-    pub(crate) fn length(message: usize) -> usize {
-        1 + if message < 128 { 1 } else { 2 } + message
+impl ChannelMessage<'_> {
+    /// Bytes that a message of this length takes in a frame.
+    pub(crate) fn encoded_bytes(message_bytes: usize) -> usize {
+        1 + if message_bytes < 128 { 1 } else { 2 } + message_bytes
     }
 }
 
-/// Which piece of which word. The word's number is the sequence `back` before the frame's own: unique, never
-/// wrapped, and two bytes.
+/// The place of a fragment in its message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-pub(crate) struct Piece {
+pub(crate) struct FragmentHeader {
     pub(crate) channel: Channel,
+    /// The message's number is the frame's sequence number less this: unique, never reused, and two bytes.
     #[serde(with = "postcard::fixint::le")]
-    pub(crate) back: u16,
+    pub(crate) sequence_distance: u16,
     pub(crate) index: u8,
     pub(crate) count: u8,
 }
 
+/// Names a fragmented message: the peer that sends or receives it, and its number among that peer's.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(crate) struct MessageKey {
+    pub(crate) peer: NodeId,
+    pub(crate) number: u64,
+}
+
+impl MessageKey {
+    /// The range of all keys of this peer up to this number.
+    pub(crate) fn range_through(peer: NodeId, number: u64) -> std::ops::RangeInclusive<Self> {
+        Self { peer, number: 0 }..=Self { peer, number }
+    }
+
+    /// The range of all keys of this peer.
+    pub(crate) fn range_of(peer: NodeId) -> std::ops::RangeInclusive<Self> {
+        Self::range_through(peer, u64::MAX)
+    }
+}
+
+/// A set with a bit for each of `count` fragments.
+pub(crate) fn all_fragments(count: u8) -> u128 {
+    u128::MAX >> (128 - u32::from(count.clamp(1, 128)))
+}
+
+/// What a frame says.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Body<'a> {
-    /// Asks for a nonce back (0: not), gives one back (0: none), and says whether the life that it goes to is
-    /// the one that its sender has confirmed.
-    Hello { ask: u32, answer: u32, known: bool },
-    /// One or more whole words.
-    Words(Vec<Said<'a>>),
-    /// A part of a longer word.
-    Piece(Piece, &'a [u8]),
-    /// Pieces of this word that have not come.
-    Missing { message: u64, which: u128 },
+    /// Challenges the receiver (0: no challenge), responds to its challenge (0: no response), and tells whether
+    /// the addressed incarnation is the one that the sender has confirmed.
+    Handshake { challenge: u32, response: u32, confirmed: bool },
+    /// One or more complete messages.
+    Messages(Vec<ChannelMessage<'a>>),
+    /// A part of a longer message.
+    Fragment(FragmentHeader, &'a [u8]),
+    /// Requests the fragments of this message that have not arrived, as a set of bits.
+    RetransmissionRequest { message_number: u64, missing: u128 },
 }
 
+/// The content of one datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) struct Frame<'a> {
     pub(crate) from: Incarnation,
     pub(crate) to: Incarnation,
-    /// Counts the frames from one life to one member, from 1. A hello has none of its own: it says the last
-    /// one.
+    /// Counts the frames from one incarnation to one node, from 1. A handshake has no number of its own, and
+    /// repeats the last one.
     pub(crate) sequence: u64,
     pub(crate) body: Body<'a>,
 }
 
+/// The encoded body of a handshake.
 #[derive(Serialize, Deserialize)]
-struct Nonces {
+struct HandshakeBody {
     #[serde(with = "postcard::fixint::le")]
-    ask: u32,
+    challenge: u32,
     #[serde(with = "postcard::fixint::le")]
-    answer: u32,
-    known: bool,
+    response: u32,
+    confirmed: bool,
 }
 
 /// Why bytes are no frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Bad {
+pub(crate) enum FrameError {
+    /// They are longer than a datagram.
     TooLong,
+    /// They have another version.
     Version,
-    Torn,
-    /// The sum is right, and what it sums up can't be read or can't be.
+    /// They are truncated, or their checksum is wrong.
+    Corrupted,
+    /// Their checksum is right, and their content is invalid.
     Unreadable,
 }
 
-/// Reads from the front.
-fn take<const N: usize>(bytes: &mut &[u8]) -> Option<[u8; N]> {
-    let (first, rest) = bytes.split_first_chunk::<N>()?;
-    *bytes = rest;
-    Some(*first)
-}
-
-fn sum(from: NodeId, to: NodeId, version: u8, rest: &[u8]) -> u32 {
-    let mut sum = crc32fast::Hasher::new();
-    sum.update(&from.0.to_le_bytes());
-    sum.update(&to.0.to_le_bytes());
-    sum.update(&[version]);
-    sum.update(rest);
-    sum.finalize()
-}
-
 impl<'a> Frame<'a> {
-    /// At most [`DATAGRAM`] bytes, for bodies within the bounds above.
+    /// Encodes the frame: at most [`MAX_DATAGRAM_BYTES`] bytes, for bodies within their bounds.
     pub(crate) fn encode(&self, from: NodeId, to: NodeId) -> Vec<u8> {
-        let mut rest = Vec::with_capacity(DATAGRAM);
-        rest.push(match self.body {
-            Body::Hello { .. } => 0,
-            Body::Words(_) => 1,
-            Body::Piece(..) => 2,
-            Body::Missing { .. } => 3,
-        });
-        rest.extend_from_slice(&self.from.0.to_le_bytes());
-        rest.extend_from_slice(&self.to.0.to_le_bytes());
-        rest.extend_from_slice(&self.sequence.to_le_bytes()[..5]);
-        match &self.body {
-            Body::Hello { ask, answer, known } => {
-                rest.extend(crate::encode(&Nonces { ask: *ask, answer: *answer, known: *known }));
-            }
-            Body::Words(words) => rest.extend(crate::encode(words)),
-            Body::Piece(piece, data) => {
-                rest.extend(crate::encode(piece));
-                rest.extend_from_slice(data);
-            }
-            Body::Missing { message, which } => rest.extend(crate::encode(&(message, which))),
+        let mut checked = Vec::with_capacity(MAX_DATAGRAM_BYTES);
+        checked.push(self.body.kind());
+        checked.extend_from_slice(&self.from.0.to_le_bytes());
+        checked.extend_from_slice(&self.to.0.to_le_bytes());
+        checked.extend_from_slice(&self.sequence.to_le_bytes()[..SEQUENCE_BYTES]);
+        self.body.encode_into(&mut checked);
+        if !matches!(self.body, Body::Fragment(..)) {
+            checked.resize(checked.len().max(HANDSHAKE_BYTES - UNCHECKED_BYTES), 0);
         }
-        if !matches!(self.body, Body::Piece(..)) {
-            rest.resize(rest.len().max(HELLO - 5), 0);
-        }
-        let mut bytes = Vec::with_capacity(rest.len() + 5);
+        let mut bytes = Vec::with_capacity(checked.len() + UNCHECKED_BYTES);
         bytes.push(VERSION);
-        bytes.extend_from_slice(&sum(from, to, VERSION, &rest).to_le_bytes());
-        bytes.extend(rest);
+        bytes.extend_from_slice(&checksum(from, to, VERSION, &checked).to_le_bytes());
+        bytes.extend(checked);
         bytes
     }
 
-    pub(crate) fn decode(from: NodeId, to: NodeId, bytes: &'a [u8]) -> Result<Self, Bad> {
-        if bytes.len() > DATAGRAM {
-            return Err(Bad::TooLong);
+    /// Decodes a datagram between these two nodes.
+    pub(crate) fn decode(from: NodeId, to: NodeId, bytes: &'a [u8]) -> Result<Self, FrameError> {
+        if bytes.len() > MAX_DATAGRAM_BYTES {
+            return Err(FrameError::TooLong);
         }
-        let (version, mut rest) = bytes.split_first().ok_or(Bad::Torn)?;
+        let (version, mut rest) = bytes.split_first().ok_or(FrameError::Corrupted)?;
         if *version != VERSION {
-            return Err(Bad::Version);
+            return Err(FrameError::Version);
         }
-        let said = u32::from_le_bytes(take(&mut rest).ok_or(Bad::Torn)?);
-        if said != sum(from, to, *version, rest) {
-            return Err(Bad::Torn);
+        let expected = u32::from_le_bytes(take(&mut rest).ok_or(FrameError::Corrupted)?);
+        if expected != checksum(from, to, *version, rest) {
+            return Err(FrameError::Corrupted);
         }
-        Self::whole(rest, bytes.len() == HELLO).ok_or(Bad::Unreadable)
+        Self::decode_checked(rest, bytes.len() == HANDSHAKE_BYTES).ok_or(FrameError::Unreadable)
     }
 
-    /// Of bytes whose sum is right.
-    fn whole(mut rest: &'a [u8], shortest: bool) -> Option<Self> {
+    /// Decodes bytes whose checksum is right. Only a frame of the shortest length may be padded.
+    fn decode_checked(mut rest: &'a [u8], may_be_padded: bool) -> Option<Self> {
         let [kind] = take(&mut rest)?;
         let from = Incarnation(u32::from_le_bytes(take(&mut rest)?));
         let to = Incarnation(u32::from_le_bytes(take(&mut rest)?));
-        let [a, b, c, d, e] = take(&mut rest)?;
-        let sequence = u64::from_le_bytes([a, b, c, d, e, 0, 0, 0]);
-        // What is behind the body: zeros, and only where a frame had to be filled up.
-        let filled = |rest: &[u8]| rest.is_empty() || shortest && rest.iter().all(|b| *b == 0);
-        let body = match kind {
+        let low_bytes: [u8; SEQUENCE_BYTES] = take(&mut rest)?;
+        let mut sequence_bytes = [0; 8];
+        sequence_bytes[..SEQUENCE_BYTES].copy_from_slice(&low_bytes);
+        let sequence = u64::from_le_bytes(sequence_bytes);
+        let body = Body::decode(kind, rest, sequence, may_be_padded)?;
+        (from != Incarnation(0)).then_some(Self { from, to, sequence, body })
+    }
+}
+
+impl<'a> Body<'a> {
+    fn kind(&self) -> u8 {
+        match self {
+            Self::Handshake { .. } => 0,
+            Self::Messages(_) => 1,
+            Self::Fragment(..) => 2,
+            Self::RetransmissionRequest { .. } => 3,
+        }
+    }
+
+    fn encode_into(&self, bytes: &mut Vec<u8>) {
+        match self {
+            Self::Handshake { challenge, response, confirmed } => {
+                let (challenge, response, confirmed) = (*challenge, *response, *confirmed);
+                bytes.extend(crate::encode(&HandshakeBody { challenge, response, confirmed }));
+            }
+            Self::Messages(messages) => bytes.extend(crate::encode(messages)),
+            Self::Fragment(header, data) => {
+                bytes.extend(crate::encode(header));
+                bytes.extend_from_slice(data);
+            }
+            Self::RetransmissionRequest { message_number, missing } => {
+                bytes.extend(crate::encode(&(message_number, missing)));
+            }
+        }
+    }
+
+    fn decode(kind: u8, bytes: &'a [u8], sequence: u64, may_be_padded: bool) -> Option<Self> {
+        let is_padding =
+            |rest: &[u8]| rest.is_empty() || may_be_padded && rest.iter().all(|byte| *byte == 0);
+        match kind {
             0 => {
-                let (Nonces { ask, answer, known }, rest) = postcard::take_from_bytes(rest).ok()?;
-                rest.is_empty().then_some(Body::Hello { ask, answer, known })?
+                let (body, rest): (HandshakeBody, _) = postcard::take_from_bytes(bytes).ok()?;
+                let HandshakeBody { challenge, response, confirmed } = body;
+                rest.is_empty().then_some(Self::Handshake { challenge, response, confirmed })
             }
             1 => {
-                let [count] = take(&mut rest)?;
-                // One by one, so that a count that lies reserves nothing.
-                let mut words = Vec::new();
-                for _ in 0..count {
-                    let (message, behind) = postcard::take_from_bytes(rest).ok()?;
-                    words.push(message);
-                    rest = behind;
-                }
-                (filled(rest) && !words.is_empty()).then_some(Body::Words(words))?
+                let (messages, rest) = decode_messages(bytes)?;
+                let is_valid = is_padding(rest) && !messages.is_empty();
+                is_valid.then_some(Self::Messages(messages))
             }
             2 => {
-                let (piece, data): (Piece, _) = postcard::take_from_bytes(rest).ok()?;
-                fits(&piece, data, sequence).then_some(Body::Piece(piece, data))?
+                let (header, data): (FragmentHeader, _) = postcard::take_from_bytes(bytes).ok()?;
+                header.is_valid(data, sequence).then_some(Self::Fragment(header, data))
             }
             3 => {
-                let ((message, which), rest) = postcard::take_from_bytes(rest).ok()?;
-                (filled(rest) && message <= LAST).then_some(Body::Missing { message, which })?
+                let ((message_number, missing), rest) = postcard::take_from_bytes(bytes).ok()?;
+                let is_valid = is_padding(rest) && message_number <= MAX_SEQUENCE;
+                is_valid.then_some(Self::RetransmissionRequest { message_number, missing })
             }
-            _ => return None,
-        };
-        (from != Incarnation(0)).then_some(Self { from, to, sequence, body })
+            _ => None,
+        }
     }
 }
 
-/// Whether such a piece can be: every one but the last is full, and none is of a longer word than the
-/// longest.
-fn fits(piece: &Piece, data: &[u8], sequence: u64) -> bool {
-    let (index, count) = (usize::from(piece.index), usize::from(piece.count));
-    (2..=PIECES).contains(&count)
-        && index < count
-        && (data.len() == PIECE || index + 1 == count && !data.is_empty())
-        && index * PIECE + data.len() <= MAX_MESSAGE_BYTES
-        && u64::from(piece.back) < sequence
+/// The messages of a frame, and the bytes after them. They are read one by one, so that a wrong count
+/// reserves no memory.
+fn decode_messages(bytes: &[u8]) -> Option<(Vec<ChannelMessage<'_>>, &[u8])> {
+    let mut rest = bytes;
+    let [count] = take(&mut rest)?;
+    let mut messages = Vec::new();
+    for _ in 0..count {
+        let (message, behind) = postcard::take_from_bytes(rest).ok()?;
+        messages.push(message);
+        rest = behind;
+    }
+    Some((messages, rest))
+}
+
+impl FragmentHeader {
+    /// Whether such a fragment can exist: each but the last is full, and no message exceeds the longest.
+    fn is_valid(&self, data: &[u8], sequence: u64) -> bool {
+        let (index, count) = (usize::from(self.index), usize::from(self.count));
+        let is_last = index + 1 == count;
+        (2..=MAX_FRAGMENTS).contains(&count)
+            && index < count
+            && (data.len() == FRAGMENT_BYTES || is_last && !data.is_empty())
+            && index * FRAGMENT_BYTES + data.len() <= MAX_MESSAGE_BYTES
+            && u64::from(self.sequence_distance) < sequence
+    }
+}
+
+/// Takes bytes from the front.
+fn take<const N: usize>(bytes: &mut &[u8]) -> Option<[u8; N]> {
+    let (first, rest) = bytes.split_first_chunk::<N>()?;
+    *bytes = rest;
+    Some(*first)
+}
+
+fn checksum(from: NodeId, to: NodeId, version: u8, rest: &[u8]) -> u32 {
+    let mut hasher = crc32fast::Hasher::new();
+    hasher.update(&from.0.to_le_bytes());
+    hasher.update(&to.0.to_le_bytes());
+    hasher.update(&[version]);
+    hasher.update(rest);
+    hasher.finalize()
 }
--- a/crates/peer-transport/src/lib.rs
+++ b/crates/peer-transport/src/lib.rs
@@ -1,55 +1,59 @@
-//! Words between balancers in datagrams of 256 bytes: frames, pieces, lives, pace. What a word means, and
-//! that it is said again where it matters, is left to whoever says it; sockets, addresses and timers are the
-//! shell's.
+//! Messages between balancers in datagrams of 256 bytes: frames, fragmentation, incarnations and pacing.
 //!
-//! [`Wire`] is a machine without I/O: time and events in, [`Action`]s out. It gives no promise that a word
-//! arrives. It holds, whatever networks lose, double, delay, flip, reorder and replay, whoever is dead, cut
-//! off, restarted or late (each with the test that holds it to that, under `tests/` or in `src/tests.rs`):
+//! The meaning of a message, and repeating it where delivery matters, is left to whoever sends it. Sockets,
+//! addresses and timers are left to the runtime.
 //!
-//! 1. A word is handed over whole, once at most, and as its sender said it
-//!    (`a_word_comes_whole_at_most_once_and_only_from_the_life_that_is_there`,
-//!    `a_piece_that_comes_after_its_word_was_whole_begins_nothing`).
-//! 2. It is of the life that answered last, and goes to the life that it was said to: nothing of a former
-//!    life counts, at either end (`a_process_hears_nothing_that_was_said_to_the_one_before_however_late`,
-//!    `what_a_life_said_before_it_was_confirmed_again_never_counts_again`,
-//!    `what_was_to_be_said_to_one_life_is_not_said_to_the_next`).
-//! 3. A life is confirmed by the answer to a nonce asked in the last 5 s, and by nothing else
-//!    (`only_the_answer_to_the_nonce_that_is_asked_now_confirms_a_life`).
-//! 4. In any span of `w` seconds there go at most `256 + 2000 w` datagrams and `65536 + 400000 w` bytes
-//!    ([`Budget`]) (`the_budget_holds_in_every_span_whoever_is_silent_asks_for_all_or_restarts_all_the_time`,
-//!    `no_span_of_time_sees_more_than_the_rate_and_one_burst`).
-//! 5. A peer that is not confirmed gets no datagram longer than the one that it sent for it, and five hellos
-//!    a second; all together get 256
-//!    (`an_unconfirmed_peer_gets_no_more_than_it_says_and_five_hellos_a_second`,
-//!    `hellos_to_three_hundred_silent_peers_stay_within_a_budget_of_their_own`).
-//! 6. At most 1 MiB of peers' words that are not whole are held, 64 KiB of one peer; 1 MiB of own ones to be
-//!    asked for again; 768 KiB wait for tokens and 512 KiB for peers. All of it goes within 9 s of silence
-//!    (`memory_stays_within_its_bounds_whatever_is_begun_and_never_ended`).
-//! 7. Nobody's flood keeps others waiting: bulk leaves tokens to urgent words, peers take turns, whoever
-//!    holds most loses first, and what is asked for again goes five times at most
-//!    (`bulk_and_one_peer_s_flood_keep_neither_urgent_words_nor_other_peers_waiting`,
-//!    `peers_that_begin_words_without_end_keep_no_other_from_being_heard`,
-//!    `nobody_is_told_a_word_for_ever_nor_trickles_one_in_for_ever`).
-//! 8. Any bytes at all bring about at most a count; a confirmed liar's frames, at most words under its own
-//!    name (`any_bytes_are_counted_and_bring_nothing_about`,
-//!    `a_confirmed_liar_s_frames_are_its_own_words_or_nothing_and_hold_no_more_than_they_may`).
-//! 9. Every datagram that came and every word that was to be said is counted once, under what became of it
-//!    (`whole_links_lose_nothing_and_every_word_and_datagram_is_counted_once`, and while the bucket is dry
-//!    the sweep of 4).
-//! 10. One seed, one run (`the_same_seed_sends_the_same_datagrams`).
+//! [`Wire`] is a state machine without I/O: it takes the time and [`Event`]s, and returns [`Action`]s. It does
+//! not promise that a message arrives. Whatever a network loses, duplicates, delays, corrupts, reorders or
+//! replays, and whichever processes are dead, cut off, restarted or slow, it guarantees the following. Each
+//! guarantee names the tests that check it, in `tests/` or in `src/tests.rs`.
 //!
-//! `docs/design/cluster/wire.md` tells the protocol, and what each bound costs.
+//! 1. A message is delivered complete, at most once, and as it was sent
+//!    (`delivers_messages_complete_at_most_once_and_only_from_the_current_incarnation`,
+//!    `ignores_fragments_of_a_message_that_is_already_complete`).
+//! 2. It comes from the incarnation that completed the handshake last, and reaches the incarnation that it was
+//!    sent to. Nothing of a previous incarnation counts, at either end
+//!    (`a_restarted_process_receives_nothing_sent_to_its_previous_incarnation`,
+//!    `ignores_what_an_incarnation_sent_before_it_was_confirmed_again`,
+//!    `does_not_send_queued_messages_to_the_next_incarnation`).
+//! 3. Only the response to a challenge of the last 5 s confirms an incarnation
+//!    (`only_the_response_to_the_current_challenge_confirms_an_incarnation`).
+//! 4. In any span of `w` seconds at most `256 + 2000 w` datagrams and `65536 + 400000 w` bytes are sent
+//!    ([`Budget`]) (`budget_holds_in_every_span_under_silence_retransmission_requests_and_restarts`,
+//!    `no_span_exceeds_rate_and_one_burst`).
+//! 5. An unconfirmed peer gets no datagram longer than the one that caused it, and five handshakes a second;
+//!    all peers together get 256 (`unconfirmed_peers_get_no_amplification_and_five_handshakes_a_second`,
+//!    `handshakes_to_300_silent_peers_stay_within_their_own_budget`).
+//! 6. Memory is bounded: 1 MiB of incomplete messages of all peers and 64 KiB of one, 1 MiB of own messages for
+//!    retransmission, 768 KiB waiting for the budget and 512 KiB waiting for handshakes. All of it is released
+//!    after 9 s of silence (`memory_stays_bounded_when_messages_are_never_completed`).
+//! 7. One peer's flood does not delay others: bulk traffic leaves tokens to urgent messages, peers take turns,
+//!    whoever holds most memory loses it first, and a fragment is sent five times at most
+//!    (`bulk_traffic_and_one_busy_peer_delay_neither_urgent_messages_nor_other_peers`,
+//!    `peers_that_never_complete_messages_do_not_block_others`,
+//!    `retransmissions_and_slow_fragments_are_bounded`).
+//! 8. Arbitrary bytes change nothing but a counter, and a confirmed malicious peer can at most send messages
+//!    under its own name (`arbitrary_bytes_are_only_counted`,
+//!    `malicious_confirmed_peer_sends_only_as_itself_and_within_memory_bounds`).
+//! 9. Each received datagram and each message to send is counted once, by its outcome
+//!    (`lossless_links_deliver_everything_and_count_everything_once`, and the sweep of 4 for an empty bucket).
+//! 10. A run is determined by its seed (`the_same_seed_sends_the_same_datagrams`).
+//!
+//! `docs/design/cluster/wire.md` describes the protocol, and the cost of each bound.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod config;
 mod datagram_faults;
 mod frame;
+mod handshake;
+mod interface;
 mod message;
 mod metrics;
 mod peer;
 mod reassembly;
 mod receive_window;
+mod receiving;
 mod retransmission;
 mod rng;
 mod send_queue;
@@ -59,46 +63,51 @@
 mod token_bucket;
 mod transport;
 
-pub use config::{Budget, Config, ConfigError, MEMBERS};
-pub use datagram_faults::{Passage, receive_through, transmit_through};
-pub use frame::{ONE_DATAGRAM, VERSION};
+pub use config::{Budget, Config, ConfigError, MAX_CLUSTER_SIZE};
+pub use datagram_faults::{DatagramOutcome, receive_through, transmit_through};
+pub use frame::{MAX_UNFRAGMENTED_BYTES, VERSION};
+pub use interface::{Action, Event, How, MemoryUsage};
 pub use message::{MessageError, decode, encode};
-pub use metrics::{Counts, Delivered, Dropped, Heard, Sent, Words};
-pub use transport::{Action, Event, Held, How, Wire};
+pub use metrics::{
+    DeliveredMetrics, DroppedMetrics, MessageMetrics, ReceivedMetrics, SentMetrics,
+    TransportMetrics,
+};
+pub use transport::Wire;
 
 use serde::{Deserialize, Serialize};
 
 /// Longest datagram, in bytes (PROTOCOL, 'Between balancers').
-pub const DATAGRAM: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 
-/// Longest word, in bytes: 89 datagrams. Without a bound one absurd word would take the pace of everything
-/// else.
+/// Longest message, in bytes: 89 datagrams. A longer one would use up the budget of everything else.
 pub const MAX_MESSAGE_BYTES: usize = 20 << 10;
 
-/// A balancer of the bank: its number in the settings, from 0, which is its place in `peers`.
+/// A balancer of the cluster: its index in `peers` of the configuration, from 0.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct NodeId(pub u16);
 
-/// One process of a balancer, from its start to its end: drawn at its start, and never used again by it.
-/// Lives have no order: of two, only the process that answers now can say which of them it is.
+/// One process of a balancer, from its start to its end.
+///
+/// It is a random number chosen at the start. Incarnations have no order: which of two is current is known
+/// only from the process that responds now.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Incarnation(pub u32);
 
-/// Whom a word is for, within a balancer.
+/// The component within a balancer that a message is for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Channel {
-    /// Members of the council among themselves.
+    /// Replicas of the replicated log among themselves.
     Consensus,
-    /// The log, to those that learn it.
+    /// The log, to its learners.
     Log,
-    /// Leases, and who has confirmed what.
+    /// Leases and their confirmations.
     Leases,
-    /// Records of vans.
+    /// Session records.
     Sessions,
-    /// Versions of the list of upstreams.
+    /// Versions of the endpoint lists.
     Lists,
 }
--- a/crates/peer-transport/src/metrics.rs
+++ b/crates/peer-transport/src/metrics.rs
@@ -1,116 +1,148 @@
-//! What was said, heard and dropped, by cause, for the operators' door. Nothing is decided by it.
+//! Counters of what was sent, received and dropped, by cause, for the admin API; they decide nothing.
+//!
+//! The JSON keys are part of the admin API, so they keep their names where a field is called otherwise.
 
 use serde::Serialize;
 
-/// All since the process's start. Each datagram that came is in [`Heard`] or in [`Dropped`], once; each word
-/// that was to be said is in [`Words::said`] or in one of the causes below it, or waits still.
+/// Counters since the process's start.
+///
+/// Each received datagram is in [`ReceivedMetrics`] or in [`DroppedMetrics`], once. Each message to send is
+/// counted once in [`MessageMetrics`], or still waits.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize)]
-pub struct Counts {
-    /// What went out.
-    pub sent: Sent,
-    /// Datagrams that came and counted.
-    pub heard: Heard,
-    /// Datagrams that came and did not.
-    pub dropped: Dropped,
-    /// Words of our own.
-    pub words: Words,
-    /// Words of peers.
-    pub delivered: Delivered,
+pub struct TransportMetrics {
+    /// Datagrams that were sent.
+    pub sent: SentMetrics,
+    /// Datagrams that were received and accepted.
+    #[serde(rename = "heard")]
+    pub received: ReceivedMetrics,
+    /// Datagrams that were received and dropped.
+    pub dropped: DroppedMetrics,
+    /// Outcomes of own messages.
+    #[serde(rename = "words")]
+    pub messages: MessageMetrics,
+    /// Outcomes of peers' messages.
+    pub delivered: DeliveredMetrics,
 }
 
-/// What went out.
+/// Datagrams that were sent.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize)]
-pub struct Sent {
-    /// Datagrams, all.
+pub struct SentMetrics {
+    /// All datagrams.
     pub datagrams: u64,
     /// Their bytes.
     pub bytes: u64,
-    /// Hellos among them.
-    pub hellos: u64,
-    /// Pieces among them, those that were asked for again included.
-    pub pieces: u64,
-    /// Pieces that were asked for again and went.
-    pub pieces_again: u64,
-    /// Times that missing pieces were asked for.
-    pub asks: u64,
-    /// Hellos that would have been due and were too many: to one peer, in all, or no token was left.
-    pub hellos_held_back: u64,
-    /// Pieces that were asked for and did not go: too often, no longer kept, or from one that never got that
-    /// word.
-    pub pieces_refused: u64,
+    /// Handshakes among them.
+    #[serde(rename = "hellos")]
+    pub handshakes: u64,
+    /// Fragments among them, retransmitted ones included.
+    #[serde(rename = "pieces")]
+    pub fragments: u64,
+    /// Retransmitted fragments among them.
+    #[serde(rename = "pieces_again")]
+    pub retransmitted_fragments: u64,
+    /// Retransmission requests among them.
+    #[serde(rename = "asks")]
+    pub retransmission_requests: u64,
+    /// Handshakes that were due and not sent, because of the peer's limit, the limit of all, or an empty
+    /// bucket.
+    #[serde(rename = "hellos_held_back")]
+    pub suppressed_handshakes: u64,
+    /// Fragments that a peer requested and that were not sent: too many times, no longer retained, or of a
+    /// message that was not for that peer.
+    #[serde(rename = "pieces_refused")]
+    pub refused_fragments: u64,
 }
 
-/// Datagrams that came and counted.
+/// Datagrams that were received and accepted.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize)]
-pub struct Heard {
-    /// Hellos.
-    pub hellos: u64,
-    /// With whole words.
-    pub words: u64,
-    /// Pieces.
-    pub pieces: u64,
-    /// Pieces that were there before, or of words that are over.
-    pub pieces_again: u64,
-    /// Peers asking for missing pieces.
-    pub asks: u64,
-    /// Hellos that answered a nonce that is not asked now.
-    pub stale_nonces: u64,
-    /// Times that a peer's new life was confirmed.
+pub struct ReceivedMetrics {
+    /// Handshakes.
+    #[serde(rename = "hellos")]
+    pub handshakes: u64,
+    /// Datagrams with complete messages.
+    #[serde(rename = "words")]
+    pub message_datagrams: u64,
+    /// Fragments.
+    #[serde(rename = "pieces")]
+    pub fragments: u64,
+    /// Fragments among them that had been received before, or whose message is finished.
+    #[serde(rename = "pieces_again")]
+    pub duplicate_fragments: u64,
+    /// Retransmission requests.
+    #[serde(rename = "asks")]
+    pub retransmission_requests: u64,
+    /// Handshakes whose response is not to the current challenge.
+    #[serde(rename = "stale_nonces")]
+    pub stale_responses: u64,
+    /// New incarnations of peers that were confirmed.
     #[serde(rename = "lives")]
     pub incarnations: u64,
 }
 
-/// Datagrams that came and did not count.
+/// Datagrams that were received and dropped.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize)]
-pub struct Dropped {
-    /// From no address of `peers`, or from this balancer's own.
-    pub strange: u64,
+pub struct DroppedMetrics {
+    /// From an address that is not in `peers`, or from this balancer's own.
+    #[serde(rename = "strange")]
+    pub unknown_source: u64,
     /// Longer than a datagram may be.
     pub too_long: u64,
-    /// Of another version of frames.
-    pub version: u64,
-    /// Cut short, flipped, or from one who numbers the members otherwise.
-    pub torn: u64,
-    /// Whole, and not to be read: a broken build at the other end.
+    /// Of another version of the frame format.
+    #[serde(rename = "version")]
+    pub unsupported_version: u64,
+    /// Truncated, corrupted, or from a balancer whose `peers` differ from ours.
+    #[serde(rename = "torn")]
+    pub corrupted: u64,
+    /// With a valid checksum and content that can't be read: a faulty build at the other end.
     pub unreadable: u64,
-    /// From a peer of which no life is confirmed yet.
+    /// From a peer of which no incarnation is confirmed yet.
     pub unconfirmed: u64,
-    /// From another life of the peer than the confirmed one, or to a former one of ours.
+    /// From another incarnation of the peer than the confirmed one, or to a previous one of ours.
     #[serde(rename = "former_life")]
     pub previous_incarnation: u64,
-    /// Come before.
-    pub copy: u64,
-    /// So late that nobody remembers whether they came before.
-    pub late: u64,
+    /// Received before.
+    #[serde(rename = "copy")]
+    pub duplicate: u64,
+    /// Older than the receive window, so that a duplicate could not be told.
+    #[serde(rename = "late")]
+    pub too_old: u64,
 }
 
-/// Words of our own.
+/// Outcomes of own messages.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize)]
-pub struct Words {
-    /// Went out, with all their pieces, once. Not: arrived.
-    pub said: u64,
-    /// To nobody: this balancer itself, or no member.
-    pub nowhere: u64,
-    /// Longer than a word may be.
+pub struct MessageMetrics {
+    /// Sent completely, once. They need not have arrived.
+    #[serde(rename = "said")]
+    pub sent: u64,
+    /// Addressed to this balancer itself, or to none.
+    #[serde(rename = "nowhere")]
+    pub no_such_peer: u64,
+    /// Longer than a message may be.
     pub too_long: u64,
-    /// There was no room to let them wait.
-    pub no_room: u64,
-    /// They waited for tokens for as long as such a word may.
-    pub no_tokens: u64,
-    /// They waited for a peer to be there for as long as a word may.
-    pub waited_in_vain: u64,
-    /// They waited when their peer was found to be another life.
+    /// Dropped for lack of memory in a queue.
+    #[serde(rename = "no_room")]
+    pub queue_full: u64,
+    /// Dropped after waiting too long for the send budget.
+    #[serde(rename = "no_tokens")]
+    pub budget_timeout: u64,
+    /// Dropped after waiting too long for a handshake.
+    #[serde(rename = "waited_in_vain")]
+    pub handshake_timeout: u64,
+    /// Dropped because the peer restarted while they waited.
     #[serde(rename = "former_life")]
     pub previous_incarnation: u64,
-    /// All sequences are used up (after 17 years of the usual budget).
-    pub used_up: u64,
+    /// Dropped because all sequence numbers are used (after 17 years of the default budget).
+    #[serde(rename = "used_up")]
+    pub sequences_exhausted: u64,
 }
 
-/// Words of peers.
+/// Outcomes of peers' messages.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize)]
-pub struct Delivered {
-    /// Words handed over.
-    pub words: u64,
-    /// Words of which pieces never came, or for which there was no room.
-    pub pieces_given_up: u64,
+pub struct DeliveredMetrics {
+    /// Delivered messages.
+    #[serde(rename = "words")]
+    pub messages: u64,
+    /// Messages abandoned because fragments did not arrive, or for lack of memory.
+    #[serde(rename = "pieces_given_up")]
+    pub abandoned: u64,
 }
--- a/crates/peer-transport/src/peer.rs
+++ b/crates/peer-transport/src/peer.rs
@@ -1,168 +1,182 @@
-//! What is known of one peer: its life, how it is asked for it, and what waits until it has answered.
+//! The state of one peer: its incarnation, the handshake with it, and the messages that wait for that; sending
+//! them is left to the transport.
 
 use std::collections::VecDeque;
 use std::time::Duration;
 
-use crate::receive_window::Window;
-use crate::rng::{Chance, Nonces};
-use crate::token_bucket::Pace;
+use crate::receive_window::ReceiveWindow;
+use crate::rng::{Nonces, Rng};
+use crate::token_bucket::TokenBucket;
 use crate::{Channel, How, Incarnation};
 
-/// A nonce is asked for so long; an answer that takes longer brings nothing about, so that a life which ended
-/// meanwhile is not believed for having answered before.
-pub(crate) const NONCE: Duration = Duration::from_secs(5);
-/// A word waits so long for a peer to be there.
-pub(crate) const WAIT: Duration = Duration::from_secs(1);
-/// Words that wait for one peer, and their bytes: one of the longest.
-const WAITING: usize = 32;
-const WAITING_BYTES: usize = 24 << 10;
-/// The first wait for an answer is up to so long, and each next up to twice as much (full jitter),
-const FIRST: Duration = Duration::from_millis(50);
-/// up to so much. A peer that comes up says hello itself; this bounds how long words wait where hellos are
-/// lost. 299 silent peers to all of which words are said cost 1,200 hellos a second, which the hellos' own
-/// bucket cuts to 256.
-const LONGEST: Duration = Duration::from_millis(500);
-/// And never less than this, so that a small draw asks no one twice within a round trip.
-const LEAST: Duration = Duration::from_millis(10);
-/// Hellos to one peer, a second and at once, whatever it sends: a peer that never believes us, or somebody
-/// who replays its datagrams, gets no more.
-const HELLOS: (u32, u32) = (5, 8);
-
-/// A word for a peer that has not answered yet.
+/// How long a challenge is valid. A later response is ignored, so that an incarnation which ended meanwhile is
+/// not confirmed.
+pub(crate) const CHALLENGE_LIFETIME: Duration = Duration::from_secs(5);
+/// How long a message waits for the handshake.
+pub(crate) const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Messages that wait for the handshake with one peer.
+const MAX_PENDING_MESSAGES: usize = 32;
+/// Their bytes: one of the longest messages.
+const MAX_PENDING_BYTES: usize = 24 << 10;
+/// Memory that a pending message takes beside its bytes.
+const PENDING_OVERHEAD_BYTES: usize = 64;
+/// Upper bound of the first backoff between handshakes; it doubles each time (full jitter).
+const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
+/// Largest upper bound of the backoff, which limits the delay where handshakes are lost.
+const MAX_BACKOFF: Duration = Duration::from_millis(500);
+/// Smallest backoff, so that no handshake is repeated within a round trip.
+const MIN_BACKOFF: Duration = Duration::from_millis(10);
+/// Handshakes a second to one peer, whatever it sends: a peer that never confirms us, or a replay of its
+/// datagrams, causes no more.
+const HANDSHAKE_RATE: u32 = 5;
+/// Burst of handshakes to one peer.
+const HANDSHAKE_BURST: u32 = 8;
+
+/// A message that waits for the handshake.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Waiting {
-    pub(crate) until: Duration,
+pub(crate) struct PendingMessage {
+    pub(crate) deadline: Duration,
     pub(crate) channel: Channel,
-    pub(crate) how: How,
+    pub(crate) mode: How,
     pub(crate) message: Vec<u8>,
 }
 
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Peer {
-    /// The life that answered last, of all that did.
-    pub(crate) incarnation: Option<Incarnation>,
-    /// It has shown that it has confirmed this process's life. Words wait until then: those that overtake a
-    /// hello, or follow one that is lost, would not count.
-    pub(crate) knows_us: bool,
-    /// What came from it.
-    pub(crate) window: Window,
-    /// The last sequence that went to this member.
-    pub(crate) sequence: u64,
-    /// What it is asked to give back, and since when.
-    nonce: Option<(u32, Duration)>,
-    pub(crate) pace: Pace,
-    /// Hellos in a row without an answer.
-    tries: u32,
-    /// When the next is due. Some words may wait only while this is set, so that each of them meets its end.
-    pub(crate) again: Option<Duration>,
-    waiting: VecDeque<Waiting>,
-    waiting_bytes: usize,
+impl PendingMessage {
+    fn memory_bytes(&self) -> usize {
+        PENDING_OVERHEAD_BYTES + self.message.len()
+    }
+}
+
+/// A challenge under way.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct Challenge {
+    nonce: u32,
+    issued_at: Duration,
 }
 
-impl Waiting {
-    /// What it takes, with what lies beside the word.
-    fn size(&self) -> usize {
-        64 + self.message.len()
+impl Challenge {
+    fn is_valid(&self, now: Duration) -> bool {
+        now < self.issued_at + CHALLENGE_LIFETIME
     }
 }
 
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct Peer {
+    /// The incarnation that completed the handshake last.
+    pub(crate) incarnation: Option<Incarnation>,
+    /// It has shown that it has confirmed our incarnation. Messages wait for that: those that overtake the
+    /// handshake would be dropped.
+    pub(crate) has_confirmed_us: bool,
+    /// Sequence numbers received from it.
+    pub(crate) window: ReceiveWindow,
+    /// The last sequence number sent to this node.
+    pub(crate) last_sequence: u64,
+    pub(crate) handshake_bucket: TokenBucket,
+    /// When the next handshake is due. Messages may wait only while this is set, so that each of them is sent
+    /// or dropped in time.
+    pub(crate) next_handshake: Option<Duration>,
+    challenge: Option<Challenge>,
+    /// Consecutive handshakes without a response.
+    attempts: u32,
+    pending: VecDeque<PendingMessage>,
+    pending_bytes: usize,
+}
+
 impl Peer {
     pub(crate) fn new() -> Self {
-        let (rate, burst) = HELLOS;
         Self {
             incarnation: None,
-            knows_us: false,
-            window: Window::from(0),
-            sequence: 0,
-            nonce: None,
-            pace: Pace::new(rate, burst),
-            tries: 0,
-            again: None,
-            waiting: VecDeque::new(),
-            waiting_bytes: 0,
+            has_confirmed_us: false,
+            window: ReceiveWindow::starting_after(0),
+            last_sequence: 0,
+            handshake_bucket: TokenBucket::new(HANDSHAKE_RATE, HANDSHAKE_BURST),
+            next_handshake: None,
+            challenge: None,
+            attempts: 0,
+            pending: VecDeque::new(),
+            pending_bytes: 0,
         }
     }
 
-    /// What it is asked to give back now. One nonce serves until it is answered or too old: a new one for
-    /// each hello would let whoever makes us say hello annul every answer under way.
-    pub(crate) fn ask(&mut self, now: Duration, nonces: &mut Nonces) -> u32 {
-        match self.nonce {
-            Some((nonce, since)) if now < since + NONCE => nonce,
-            _ => {
-                let nonce = nonces.next();
-                self.nonce = Some((nonce, now));
-                nonce
-            }
+    /// The challenge for this peer. One is used until it is answered or expires: with a new one for each
+    /// handshake, whoever triggers handshakes could invalidate every response under way.
+    pub(crate) fn challenge(&mut self, now: Duration, nonces: &mut Nonces) -> u32 {
+        if let Some(challenge) = self.challenge.filter(|challenge| challenge.is_valid(now)) {
+            return challenge.nonce;
         }
+        let nonce = nonces.next();
+        self.challenge = Some(Challenge { nonce, issued_at: now });
+        nonce
     }
 
-    /// Whether this is the answer to what is being asked. It is one once.
-    pub(crate) fn answers(&mut self, now: Duration, answer: u32) -> bool {
-        let is = self.nonce.is_some_and(|(nonce, since)| nonce == answer && now < since + NONCE);
-        if is {
-            self.nonce = None;
-        }
-        is
+    /// Whether this is the response to the current challenge, which it uses up.
+    pub(crate) fn accept_response(&mut self, now: Duration, response: u32) -> bool {
+        let is_match =
+            |challenge: &mut Challenge| challenge.nonce == response && challenge.is_valid(now);
+        self.challenge.take_if(is_match).is_some()
     }
 
-    /// `incarnation` has answered. All up to `sequence` is from before, and counts no more.
+    /// Sets the incarnation that has responded. Sequence numbers up to `sequence` were used before, and are
+    /// not accepted.
     pub(crate) fn confirm(&mut self, incarnation: Incarnation, sequence: u64) {
         self.incarnation = Some(incarnation);
-        self.knows_us = false;
-        self.window = Window::from(sequence);
-        self.tries = 0;
+        self.has_confirmed_us = false;
+        self.window = ReceiveWindow::starting_after(sequence);
+        self.attempts = 0;
     }
 
-    /// It can be talked to.
-    pub(crate) fn is_open(&self) -> bool {
-        self.incarnation.is_some() && self.knows_us
+    /// Whether both ends have confirmed each other.
+    pub(crate) fn is_established(&self) -> bool {
+        self.incarnation.is_some() && self.has_confirmed_us
     }
 
-    /// How long the next answer is waited for.
-    pub(crate) fn patience(&mut self, chance: &mut Chance) -> Duration {
-        let most = FIRST.saturating_mul(1 << self.tries.min(16)).min(LONGEST);
-        self.tries = self.tries.saturating_add(1);
-        chance.up_to(most).max(LEAST)
+    /// The time until the next handshake: exponential backoff with full jitter.
+    pub(crate) fn next_backoff(&mut self, rng: &mut Rng) -> Duration {
+        let bound = INITIAL_BACKOFF.saturating_mul(1 << self.attempts.min(16)).min(MAX_BACKOFF);
+        self.attempts = self.attempts.saturating_add(1);
+        rng.sample_up_to(bound).max(MIN_BACKOFF)
     }
 
-    /// No word waits for it: the next one begins anew.
-    pub(crate) fn leave(&mut self) {
-        (self.tries, self.again) = (0, None);
+    /// Ends the repeated handshakes; the next message starts anew.
+    pub(crate) fn reset_backoff(&mut self) {
+        (self.attempts, self.next_handshake) = (0, None);
     }
 
-    /// Lets a word wait; `false` where there is no room, here or in the `room` that all peers share.
-    pub(crate) fn wait(&mut self, waiting: Waiting, room: usize) -> bool {
-        let bytes = self.waiting_bytes + waiting.size();
-        let room = self.waiting.len() < WAITING && bytes <= WAITING_BYTES && waiting.size() <= room;
-        if room {
-            self.waiting_bytes = bytes;
-            self.waiting.push_back(waiting);
+    /// Queues a message for the handshake; `false` if it exceeds this peer's bound, or the `available_bytes`
+    /// that all peers share.
+    pub(crate) fn push_pending(&mut self, pending: PendingMessage, available_bytes: usize) -> bool {
+        let bytes = self.pending_bytes + pending.memory_bytes();
+        let fits = self.pending.len() < MAX_PENDING_MESSAGES
+            && bytes <= MAX_PENDING_BYTES
+            && pending.memory_bytes() <= available_bytes;
+        if fits {
+            self.pending_bytes = bytes;
+            self.pending.push_back(pending);
         }
-        room
+        fits
     }
 
-    /// Drops what waited too long; how many that were.
-    pub(crate) fn prune(&mut self, now: Duration) -> u64 {
+    /// Drops pending messages past their deadline, and returns their number.
+    pub(crate) fn drop_expired(&mut self, now: Duration) -> u64 {
         let mut dropped = 0;
-        while let Some(old) = self.waiting.pop_front_if(|one| one.until <= now) {
-            self.waiting_bytes -= old.size();
+        while let Some(expired) = self.pending.pop_front_if(|pending| pending.deadline <= now) {
+            self.pending_bytes -= expired.memory_bytes();
             dropped += 1;
         }
         dropped
     }
 
-    /// All that waits, which then waits no more.
-    pub(crate) fn take_waiting(&mut self) -> VecDeque<Waiting> {
-        self.waiting_bytes = 0;
-        std::mem::take(&mut self.waiting)
+    /// Removes and returns all pending messages.
+    pub(crate) fn take_pending(&mut self) -> VecDeque<PendingMessage> {
+        self.pending_bytes = 0;
+        std::mem::take(&mut self.pending)
     }
 
-    pub(crate) fn waits(&self) -> bool {
-        !self.waiting.is_empty()
+    pub(crate) fn has_pending(&self) -> bool {
+        !self.pending.is_empty()
     }
 
-    /// Bytes that wait.
-    pub(crate) fn held(&self) -> usize {
-        self.waiting_bytes
+    pub(crate) fn pending_bytes(&self) -> usize {
+        self.pending_bytes
     }
 }
--- a/crates/peer-transport/src/reassembly.rs
+++ b/crates/peer-transport/src/reassembly.rs
@@ -1,268 +1,311 @@
-//! Longer words of peers, put together from their pieces: within a bound on memory, and each at most once.
+//! Reassembles peers' fragmented messages, each at most once and within a memory bound; sending the requests for
+//! missing fragments is left to the transport.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
-use crate::frame::{PIECE, Piece};
-use crate::token_bucket::Pace;
+use crate::frame::{FRAGMENT_BYTES, FragmentHeader, MessageKey, all_fragments};
+use crate::token_bucket::TokenBucket;
 use crate::{Channel, NodeId};
 
-/// Bytes held of all words that are not whole. For a new one the oldest word goes of the peer that holds
-/// most. Without a bound peers that send first pieces alone would take all memory; were it the oldest of all,
-/// sixteen of them would keep every other from being put together.
-pub(crate) const ROOM: usize = 1 << 20;
-/// Of that, of one peer: three of the longest words.
-pub(crate) const ROOM_OF_ONE: usize = 64 << 10;
-/// What is missing is asked for after so long without a piece, and then after half as much more each time,
-const QUIET: Duration = Duration::from_millis(40);
-/// up to so much,
-const LONGEST_QUIET: Duration = Duration::from_millis(160);
-/// so often without a new piece in between,
-const ASKS: u8 = 20;
-/// and for so long in all. A sender keeps its words as long.
-const LONGEST: Duration = crate::retransmission::KEPT;
-/// Asks to one peer, a second and at once: a peer that begins a hundred words is not told a hundred times at
-/// once.
-const ASKS_OF_ONE: (u32, u32) = (50, 8);
-/// Numbers of words that are over, remembered of one peer. Of an older one no piece counts: a word whose turn
-/// takes longer than that of 256 later ones from the same peer is lost.
-const OVER: usize = 256;
+/// Bytes of all incomplete messages. To make room, the oldest message of the peer that uses most is abandoned;
+/// were it the oldest of all, a few peers that only begin messages would stop all others.
+const MAX_BYTES: usize = 1 << 20;
+/// Bytes of one peer's incomplete messages: three of the longest.
+const MAX_BYTES_PER_PEER: usize = 64 << 10;
+/// Time without a new fragment after which missing ones are requested; it grows by half with each request.
+const INITIAL_REQUEST_DELAY: Duration = Duration::from_millis(40);
+/// Largest time between two requests.
+const MAX_REQUEST_DELAY: Duration = Duration::from_millis(160);
+/// Requests for a message without a new fragment in between, before it is abandoned.
+const MAX_REQUESTS: u8 = 20;
+/// Time from its first fragment after which a message is abandoned. Its sender retains it as long.
+const REASSEMBLY_TIMEOUT: Duration = crate::retransmission::RETENTION;
+/// Requests a second to one peer, however many messages it has begun.
+const REQUEST_RATE: u32 = 50;
+/// Burst of requests to one peer.
+const REQUEST_BURST: u32 = 8;
+/// Numbers of finished messages that are remembered for each peer. Fragments of older messages are ignored: a
+/// message that takes longer than 256 later ones from the same peer is lost.
+const MAX_FINISHED_NUMBERS: usize = 256;
 
+/// An incomplete message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Partial {
+struct PartialMessage {
     channel: Channel,
-    count: u8,
-    have: u128,
+    fragment_count: u8,
+    received: u128,
     bytes: Vec<u8>,
-    /// Length of the last piece, once it is there.
-    last: usize,
-    begun: Duration,
-    /// Its place in the order in which they began.
-    came: u64,
-    due: Duration,
-    asks: u8,
+    /// Length of the last fragment, once it is received.
+    last_fragment_bytes: usize,
+    started_at: Duration,
+    /// Its position in the order in which messages began.
+    position: u64,
+    request_due: Duration,
+    /// Requests since the last new fragment.
+    requests: u8,
 }
 
-impl Partial {
+impl PartialMessage {
     fn missing(&self) -> u128 {
-        !self.have & (u128::MAX >> (128 - u32::from(self.count.clamp(1, 128))))
+        !self.received & all_fragments(self.fragment_count)
+    }
+
+    /// Stores a fragment; if it adds nothing, the error says why.
+    fn store(&mut self, header: &FragmentHeader, data: &[u8]) -> Result<(), FragmentOutcome> {
+        if (self.channel, self.fragment_count) != (header.channel, header.count) {
+            return Err(FragmentOutcome::Inconsistent);
+        }
+        let bit = 1u128 << header.index.min(127);
+        if self.received & bit != 0 {
+            return Err(FragmentOutcome::Duplicate);
+        }
+        let start = usize::from(header.index) * FRAGMENT_BYTES;
+        let Some(target) = self.bytes.get_mut(start..start + data.len()) else {
+            return Err(FragmentOutcome::Inconsistent);
+        };
+        target.copy_from_slice(data);
+        self.received |= bit;
+        self.requests = 0;
+        if header.index + 1 == header.count {
+            self.last_fragment_bytes = data.len();
+        }
+        Ok(())
+    }
+
+    fn into_message(mut self) -> Vec<u8> {
+        let full_fragments = usize::from(self.fragment_count) - 1;
+        self.bytes.truncate(full_fragments * FRAGMENT_BYTES + self.last_fragment_bytes);
+        self.bytes
+    }
+
+    /// Time until the next request: grows by half with each one.
+    fn request_delay(&self) -> Duration {
+        let mut delay = INITIAL_REQUEST_DELAY;
+        for _ in 0..self.requests {
+            delay = MAX_REQUEST_DELAY.min(delay * 3 / 2);
+        }
+        delay
     }
 }
 
-/// What is known of one peer's words.
+/// The state of one peer's incarnation as a sender.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct From {
-    /// No word up to this number counts any more.
+struct Sender {
+    /// Fragments of messages up to this number are ignored.
     floor: u64,
-    /// Words that are over: whole, or given up. Without it a piece that was sent again would begin a word
-    /// anew that was handed over before.
-    over: BTreeSet<u64>,
-    held: usize,
-    pace: Pace,
+    /// Messages that are complete or abandoned, so that a retransmitted fragment does not start them again.
+    finished: BTreeSet<u64>,
+    bytes: usize,
+    request_bucket: TokenBucket,
+}
+
+impl Sender {
+    fn new(floor: u64) -> Self {
+        let request_bucket = TokenBucket::new(REQUEST_RATE, REQUEST_BURST);
+        Self { floor, finished: BTreeSet::new(), bytes: 0, request_bucket }
+    }
+
+    fn is_finished(&self, number: u64) -> bool {
+        number <= self.floor || self.finished.contains(&number)
+    }
+
+    fn finish(&mut self, number: u64) {
+        self.finished.insert(number);
+        while self.finished.len() > MAX_FINISHED_NUMBERS {
+            self.floor = self.floor.max(self.finished.pop_first().unwrap_or(0));
+        }
+    }
 }
 
-/// What became of a piece.
+/// What receiving a fragment led to.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub(crate) enum Came {
-    /// More are missing.
-    More,
-    /// It was there before, or its word is over.
-    Again,
-    /// It contradicts others of its word.
-    Wrong,
-    /// Its word is whole.
-    Whole(Channel, Vec<u8>),
+pub(crate) enum FragmentOutcome {
+    /// Other fragments are missing.
+    Incomplete,
+    /// It had been received, or its message is finished.
+    Duplicate,
+    /// It contradicts other fragments of its message.
+    Inconsistent,
+    /// Its message is complete.
+    Complete { channel: Channel, message: Vec<u8> },
 }
 
-/// By peer and number of the word.
+/// The incomplete messages of all peers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Incoming {
-    partial: BTreeMap<(NodeId, u64), Partial>,
-    due: BTreeSet<(Duration, NodeId, u64)>,
-    from: BTreeMap<NodeId, From>,
-    began: u64,
-    held: usize,
-    given_up: u64,
+pub(crate) struct ReassemblyBuffer {
+    partial: BTreeMap<MessageKey, PartialMessage>,
+    /// When missing fragments are to be requested.
+    requests_due: BTreeSet<(Duration, MessageKey)>,
+    senders: BTreeMap<NodeId, Sender>,
+    last_position: u64,
+    bytes: usize,
+    abandoned: u64,
 }
 
-impl Incoming {
-    /// A new life of this peer: nothing of the one before is put together any more, and no word of it that
-    /// began before this sequence.
-    pub(crate) fn begin(&mut self, from: NodeId, floor: u64) {
-        let all: Vec<_> =
-            self.partial.range((from, 0)..=(from, u64::MAX)).map(|(which, _)| *which).collect();
-        for which in all {
-            self.give_up(which);
-        }
-        let (rate, burst) = ASKS_OF_ONE;
-        let pace = Pace::new(rate, burst);
-        self.from.insert(from, From { floor, over: BTreeSet::new(), held: 0, pace });
+impl ReassemblyBuffer {
+    /// Abandons all messages of the peer's previous incarnation, and ignores those that began up to `floor`.
+    pub(crate) fn reset_peer(&mut self, from: NodeId, floor: u64) {
+        self.abandon_all(self.keys_through(from, u64::MAX));
+        self.senders.insert(from, Sender::new(floor));
     }
 
-    /// A piece of a confirmed life. Its shape was checked by the frame.
-    pub(crate) fn piece(
+    /// Adds a fragment from a confirmed incarnation. Its shape was checked with the frame.
+    pub(crate) fn add_fragment(
         &mut self,
         now: Duration,
-        (from, number): (NodeId, u64),
-        piece: &Piece,
+        key: MessageKey,
+        header: &FragmentHeader,
         data: &[u8],
-    ) -> Came {
-        let which = (from, number);
-        let Some(known) = self.from.get(&from) else { return Came::Again };
-        if number <= known.floor || known.over.contains(&number) {
-            return Came::Again;
-        }
-        if !self.partial.contains_key(&which) {
-            self.room(from, usize::from(piece.count) * PIECE);
-            self.start(now, which, piece);
+    ) -> FragmentOutcome {
+        if self.senders.get(&key.peer).is_none_or(|sender| sender.is_finished(key.number)) {
+            return FragmentOutcome::Duplicate;
         }
-        let Some(partial) = self.partial.get_mut(&which) else { return Came::Again };
-        if (partial.channel, partial.count) != (piece.channel, piece.count) {
-            return Came::Wrong;
+        if !self.partial.contains_key(&key) {
+            self.make_room(key.peer, usize::from(header.count) * FRAGMENT_BYTES);
+            self.start(now, key, header);
         }
-        let bit = 1u128 << piece.index.min(127);
-        if partial.have & bit != 0 {
-            return Came::Again;
-        }
-        let start = usize::from(piece.index) * PIECE;
-        let Some(place) = partial.bytes.get_mut(start..start + data.len()) else {
-            return Came::Wrong;
-        };
-        place.copy_from_slice(data);
-        partial.have |= bit;
-        partial.asks = 0;
-        if piece.index + 1 == piece.count {
-            partial.last = data.len();
+        let Some(partial) = self.partial.get_mut(&key) else { return FragmentOutcome::Duplicate };
+        if let Err(outcome) = partial.store(header, data) {
+            return outcome;
         }
         if partial.missing() != 0 {
-            self.set_due(which, now + QUIET);
-            return Came::More;
+            self.schedule_request(key, now + INITIAL_REQUEST_DELAY);
+            return FragmentOutcome::Incomplete;
         }
-        let length = (usize::from(partial.count) - 1) * PIECE + partial.last;
-        let Some(mut whole) = self.end(which) else { return Came::Again };
-        whole.bytes.truncate(length);
-        Came::Whole(whole.channel, whole.bytes)
+        let Some(complete) = self.finish(key) else { return FragmentOutcome::Duplicate };
+        let channel = complete.channel;
+        FragmentOutcome::Complete { channel, message: complete.into_message() }
     }
 
-    fn start(&mut self, now: Duration, which: (NodeId, u64), piece: &Piece) {
-        let Some(known) = self.from.get_mut(&which.0) else { return };
-        let size = usize::from(piece.count) * PIECE;
-        known.held += size;
-        self.held += size;
-        self.began += 1;
-        let (came, due) = (self.began, now + QUIET);
-        self.due.insert((due, which.0, which.1));
-        let (channel, count, bytes) = (piece.channel, piece.count, vec![0; size]);
-        let partial =
-            Partial { channel, count, have: 0, bytes, last: 0, begun: now, came, due, asks: 0 };
-        self.partial.insert(which, partial);
+    fn start(&mut self, now: Duration, key: MessageKey, header: &FragmentHeader) {
+        let Some(sender) = self.senders.get_mut(&key.peer) else { return };
+        let bytes = usize::from(header.count) * FRAGMENT_BYTES;
+        sender.bytes += bytes;
+        self.bytes += bytes;
+        self.last_position += 1;
+        let request_due = now + INITIAL_REQUEST_DELAY;
+        self.requests_due.insert((request_due, key));
+        let partial = PartialMessage {
+            channel: header.channel,
+            fragment_count: header.count,
+            received: 0,
+            bytes: vec![0; bytes],
+            last_fragment_bytes: 0,
+            started_at: now,
+            position: self.last_position,
+            request_due,
+            requests: 0,
+        };
+        self.partial.insert(key, partial);
     }
 
-    fn set_due(&mut self, which: (NodeId, u64), due: Duration) {
-        if let Some(partial) = self.partial.get_mut(&which) {
-            self.due.remove(&(partial.due, which.0, which.1));
-            partial.due = due.min(partial.begun + LONGEST);
-            self.due.insert((partial.due, which.0, which.1));
-        }
+    fn schedule_request(&mut self, key: MessageKey, due: Duration) {
+        let Some(partial) = self.partial.get_mut(&key) else { return };
+        self.requests_due.remove(&(partial.request_due, key));
+        partial.request_due = due.min(partial.started_at + REASSEMBLY_TIMEOUT);
+        self.requests_due.insert((partial.request_due, key));
     }
 
-    /// Gives up what is oldest until there is room for so much more.
-    fn room(&mut self, from: NodeId, size: usize) {
-        while self.from.get(&from).is_some_and(|known| known.held + size > ROOM_OF_ONE) {
-            if !self.give_up_oldest(from) {
+    /// Abandons messages until a new one of this many bytes is within the bounds.
+    fn make_room(&mut self, from: NodeId, bytes: usize) {
+        let exceeds = |sender: &Sender| sender.bytes + bytes > MAX_BYTES_PER_PEER;
+        while self.senders.get(&from).is_some_and(exceeds) {
+            if !self.abandon_oldest(from) {
                 return;
             }
         }
-        while self.held + size > ROOM {
-            let most =
-                self.from.iter().max_by_key(|(member, known)| (known.held, Reverse(**member)));
-            let Some((most, _)) = most else { return };
-            let most = *most;
-            if !self.give_up_oldest(most) {
+        while self.bytes + bytes > MAX_BYTES {
+            let usage = |(peer, sender): &(&NodeId, &Sender)| (sender.bytes, Reverse(**peer));
+            let Some((largest, _)) = self.senders.iter().max_by_key(usage) else { return };
+            let largest = *largest;
+            if !self.abandon_oldest(largest) {
                 return;
             }
         }
     }
 
-    /// Gives up the oldest word of this peer, if there is any.
-    fn give_up_oldest(&mut self, of: NodeId) -> bool {
-        let all = self.partial.range((of, 0)..=(of, u64::MAX));
-        let oldest = all.min_by_key(|(_, partial)| partial.came).map(|(which, _)| *which);
-        oldest.is_some_and(|which| {
-            self.give_up(which);
-            true
-        })
+    /// Abandons the oldest message of this peer; `false` if there is none.
+    fn abandon_oldest(&mut self, from: NodeId) -> bool {
+        let messages = self.partial.range(MessageKey::range_of(from));
+        let oldest = messages.min_by_key(|(_, partial)| partial.position).map(|(key, _)| *key);
+        let Some(key) = oldest else { return false };
+        self.abandon(key);
+        true
     }
 
-    fn give_up(&mut self, which: (NodeId, u64)) {
-        self.given_up += u64::from(self.end(which).is_some());
+    fn abandon(&mut self, key: MessageKey) {
+        self.abandoned += u64::from(self.finish(key).is_some());
     }
 
-    /// This word is over: no piece of it begins it anew.
-    fn end(&mut self, which: (NodeId, u64)) -> Option<Partial> {
-        let partial = self.partial.remove(&which)?;
-        self.due.remove(&(partial.due, which.0, which.1));
-        self.held -= partial.bytes.len();
-        let known = self.from.get_mut(&which.0)?;
-        known.held -= partial.bytes.len();
-        known.over.insert(which.1);
-        let mut below = Vec::new();
-        while known.over.len() > OVER {
-            known.floor = known.floor.max(known.over.pop_first().unwrap_or(0));
+    fn abandon_all(&mut self, keys: Vec<MessageKey>) {
+        for key in keys {
+            self.abandon(key);
         }
-        if known.over.len() == OVER {
-            let floor = known.floor;
-            below.extend(
-                self.partial.range((which.0, 0)..=(which.0, floor)).map(|(which, _)| *which),
-            );
-        }
-        for old in below {
-            self.give_up(old);
+    }
+
+    fn keys_through(&self, from: NodeId, number: u64) -> Vec<MessageKey> {
+        let range = MessageKey::range_through(from, number);
+        self.partial.range(range).map(|(key, _)| *key).collect()
+    }
+
+    /// Removes a message, and ignores its fragments from now on.
+    fn finish(&mut self, key: MessageKey) -> Option<PartialMessage> {
+        let partial = self.partial.remove(&key)?;
+        self.requests_due.remove(&(partial.request_due, key));
+        self.bytes -= partial.bytes.len();
+        let sender = self.senders.get_mut(&key.peer)?;
+        sender.bytes -= partial.bytes.len();
+        sender.finish(key.number);
+        if sender.finished.len() == MAX_FINISHED_NUMBERS {
+            // Fragments of messages up to the floor are ignored, so these can't be completed.
+            let floor = sender.floor;
+            self.abandon_all(self.keys_through(key.peer, floor));
         }
         Some(partial)
     }
 
-    /// The words of which something is to be asked for now.
-    pub(crate) fn asks(&mut self, now: Duration) -> Vec<(NodeId, u64)> {
-        let mut asks = Vec::new();
-        while let Some((_, member, number)) =
-            self.due.first().filter(|(due, ..)| *due <= now).copied()
+    /// The messages of which missing fragments are to be requested now. Abandons those that took too long.
+    pub(crate) fn take_due_requests(&mut self, now: Duration) -> Vec<MessageKey> {
+        let mut requests = Vec::new();
+        while let Some((_, key)) = self.requests_due.first().filter(|(due, _)| *due <= now).copied()
         {
-            let which = (member, number);
-            let Some(partial) = self.partial.get_mut(&which) else { break };
-            if partial.asks >= ASKS || now >= partial.begun + LONGEST {
-                self.give_up(which);
+            let Some(partial) = self.partial.get_mut(&key) else { break };
+            let is_overdue = now >= partial.started_at + REASSEMBLY_TIMEOUT;
+            if partial.requests >= MAX_REQUESTS || is_overdue {
+                self.abandon(key);
                 continue;
             }
-            let mut quiet = QUIET;
-            if self.from.get_mut(&member).is_some_and(|known| known.pace.try_one(now)) {
-                partial.asks += 1;
-                quiet = (0..partial.asks).fold(QUIET, |quiet, _| LONGEST_QUIET.min(quiet * 3 / 2));
-                asks.push(which);
+            let mut delay = INITIAL_REQUEST_DELAY;
+            let sender = self.senders.get_mut(&key.peer);
+            if sender.is_some_and(|sender| sender.request_bucket.try_take(now)) {
+                partial.requests += 1;
+                delay = partial.request_delay();
+                requests.push(key);
             }
-            self.set_due(which, now + quiet);
+            self.schedule_request(key, now + delay);
         }
-        asks
+        requests
     }
 
-    /// What of this word has not come, if it is still put together.
-    pub(crate) fn missing(&self, from: NodeId, number: u64) -> Option<u128> {
-        Some(self.partial.get(&(from, number))?.missing())
+    /// The missing fragments of a message, if it is still incomplete.
+    pub(crate) fn missing(&self, key: MessageKey) -> Option<u128> {
+        Some(self.partial.get(&key)?.missing())
     }
 
-    /// When something is to be asked for next.
+    /// When fragments are to be requested next.
     pub(crate) fn next_due(&self) -> Option<Duration> {
-        self.due.first().map(|(due, ..)| *due)
+        self.requests_due.first().map(|(due, _)| *due)
     }
 
-    /// Words given up since this was asked last.
-    pub(crate) fn take_given_up(&mut self) -> u64 {
-        std::mem::take(&mut self.given_up)
+    /// Number of messages abandoned since the last call.
+    pub(crate) fn take_abandoned(&mut self) -> u64 {
+        std::mem::take(&mut self.abandoned)
     }
 
-    /// Bytes that are held.
-    pub(crate) fn held(&self) -> usize {
-        self.held
+    /// Bytes of all incomplete messages.
+    pub(crate) fn bytes(&self) -> usize {
+        self.bytes
     }
 }
--- a/crates/peer-transport/src/receive_window.rs
+++ b/crates/peer-transport/src/receive_window.rs
@@ -1,87 +1,68 @@
-//! Which sequences of one life have come: against copies, as in IPsec (RFC 4303, section 3.4.3; the ring of
-//! RFC 6479).
+//! Detects duplicate sequence numbers of one incarnation, as IPsec does (RFC 4303, section 3.4.3; the ring
+//! of RFC 6479).
 
-/// Sequences that are remembered. With fewer, late datagrams of a fast sender (2,000 a second) would be lost
-/// for being half a second late.
-pub(crate) const SPAN: u64 = (BLOCKS as u64 - 1) * 64;
-const BLOCKS: usize = 17;
+#[cfg(test)]
+mod tests;
+
+/// Sequence numbers that are remembered. With fewer, datagrams of a fast sender (2,000 a second) would be
+/// dropped for being half a second late.
+pub(crate) const WINDOW_SEQUENCES: u64 = (RING_BLOCKS as u64 - 1) * BLOCK_BITS;
+/// Blocks of the ring.
+const RING_BLOCKS: usize = 17;
+/// Sequence numbers in one block.
+const BLOCK_BITS: u64 = 64;
 
-/// What a sequence is.
+/// What the window knows of a sequence number.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Seen {
-    /// Not seen before; it is now.
+pub(crate) enum SequenceStatus {
+    /// It had not been received before; now it has.
     New,
-    /// Seen.
-    Copy,
-    /// From before all that is remembered: perhaps seen, so it doesn't count.
-    Late,
+    /// It had been received.
+    Duplicate,
+    /// It is older than the window, so that it may be a duplicate.
+    TooOld,
 }
 
+/// The sequence numbers that one incarnation of a peer has used.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Window {
-    /// The highest seen.
-    high: u64,
-    /// All up to this one count as seen: they are from before the life was confirmed.
+pub(crate) struct ReceiveWindow {
+    /// The highest one received.
+    highest: u64,
+    /// Numbers up to this one were used before the handshake, and count as received.
     floor: u64,
-    ring: [u64; BLOCKS],
+    ring: [u64; RING_BLOCKS],
 }
 
-impl Window {
-    /// All up to `floor` count as seen.
-    pub(crate) fn from(floor: u64) -> Self {
-        Self { high: floor, floor, ring: [0; BLOCKS] }
+impl ReceiveWindow {
+    /// A window in which all numbers up to `floor` count as received.
+    pub(crate) fn starting_after(floor: u64) -> Self {
+        Self { highest: floor, floor, ring: [0; RING_BLOCKS] }
     }
 
-    pub(crate) fn see(&mut self, sequence: u64) -> Seen {
-        if sequence <= self.floor || sequence <= self.high.saturating_sub(SPAN) {
-            return Seen::Late;
+    /// Marks a sequence number as received, and tells whether it had been.
+    pub(crate) fn record(&mut self, sequence: u64) -> SequenceStatus {
+        if sequence <= self.floor || sequence <= self.highest.saturating_sub(WINDOW_SEQUENCES) {
+            return SequenceStatus::TooOld;
         }
-        let block = |sequence: u64| (sequence / 64 % BLOCKS as u64) as usize;
-        if sequence > self.high {
-            let ahead = (sequence / 64 - self.high / 64).min(BLOCKS as u64);
-            for step in 0..ahead {
-                self.ring[block(sequence - 64 * step)] = 0;
-            }
-            self.high = sequence;
+        if sequence > self.highest {
+            self.advance(sequence);
         }
-        let (at, bit) = (block(sequence), 1u64 << (sequence % 64));
-        let seen = self.ring[at] & bit != 0;
-        self.ring[at] |= bit;
-        if seen { Seen::Copy } else { Seen::New }
+        let (block, bit) = (block_of(sequence), 1u64 << (sequence % BLOCK_BITS));
+        let is_duplicate = self.ring[block] & bit != 0;
+        self.ring[block] |= bit;
+        if is_duplicate { SequenceStatus::Duplicate } else { SequenceStatus::New }
     }
-}
-
-#[cfg(test)]
-mod tests {
-    use std::collections::BTreeSet;
 
-    use proptest::prelude::*;
-
-    use super::*;
-
-    proptest! {
-        #[test]
-        fn nothing_is_new_twice_and_nothing_within_the_span_is_refused(
-            floor in 0..300u64,
-            steps in proptest::collection::vec((0..3_000u64, any::<bool>()), 1..400),
-        ) {
-            let (mut window, mut seen, mut high) = (Window::from(floor), BTreeSet::new(), floor);
-            for (step, ahead) in steps {
-                let sequence = if ahead { high + step / 16 } else { high.saturating_sub(step / 2) };
-                let expected = if sequence <= floor || sequence + SPAN <= high {
-                    Seen::Late
-                } else if seen.insert(sequence) { Seen::New } else { Seen::Copy };
-                prop_assert_eq!(window.see(sequence), expected, "{} after {}", sequence, high);
-                high = high.max(sequence);
-            }
+    /// Clears the blocks between the highest number so far and this one.
+    fn advance(&mut self, sequence: u64) {
+        let blocks = sequence / BLOCK_BITS - self.highest / BLOCK_BITS;
+        for step in 0..blocks.min(RING_BLOCKS as u64) {
+            self.ring[block_of(sequence - BLOCK_BITS * step)] = 0;
         }
+        self.highest = sequence;
     }
+}
 
-    #[test]
-    fn the_far_end_of_what_can_be_counted_is_no_trouble() {
-        let mut window = Window::from(0);
-        assert_eq!(window.see(u64::MAX), Seen::New);
-        assert_eq!((window.see(u64::MAX), window.see(1)), (Seen::Copy, Seen::Late));
-        assert_eq!(window.see(u64::MAX - SPAN + 1), Seen::New);
-    }
+fn block_of(sequence: u64) -> usize {
+    (sequence / BLOCK_BITS % RING_BLOCKS as u64) as usize
 }
--- a/crates/peer-transport/src/retransmission.rs
+++ b/crates/peer-transport/src/retransmission.rs
@@ -1,171 +1,203 @@
-//! Longer words of our own: kept in one piece for as long as a peer may ask for parts of them again.
+//! Own fragmented messages, retained as long as their receiver may request fragments again; requesting is left
+//! to the receiver.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
 
-use crate::frame::PIECE;
+use crate::frame::{FRAGMENT_BYTES, MessageKey, all_fragments};
 use crate::{Channel, How, NodeId};
 
-/// For so long. A receiver gives up after as long.
-pub(crate) const KEPT: Duration = Duration::from_secs(4);
-/// Bytes kept at most, the oldest go first. A leader tells an entry of 16 KiB to eight children: 128 KiB.
-pub(crate) const ROOM: usize = 1 << 20;
-/// Each piece is sent again so often at most, on the whole word's account: a peer that asks for ever is not
-/// served for ever. With 30 % lost either way, a piece goes again 0.5 times.
-const AGAIN: u32 = 4;
+/// How long a message is retained. A receiver abandons it after the same time.
+pub(crate) const RETENTION: Duration = Duration::from_secs(4);
+/// Bytes retained at most; the oldest messages are dropped first. A leader sends an entry of 16 KiB to eight
+/// children: 128 KiB.
+const MAX_RETAINED_BYTES: usize = 1 << 20;
+/// Retransmissions of a message, for each of its fragments, so that endless requests end.
+const MAX_RETRANSMISSIONS_PER_FRAGMENT: u32 = 4;
 
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Kept {
+/// A message to be fragmented.
+pub(crate) struct OutgoingMessage {
     pub(crate) channel: Channel,
-    pub(crate) how: How,
+    pub(crate) mode: How,
+    pub(crate) bytes: Vec<u8>,
+}
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct UnacknowledgedMessage {
+    channel: Channel,
+    mode: How,
     bytes: Vec<u8>,
-    until: Duration,
-    /// Its place in the order.
-    came: u64,
-    /// Pieces that wait to go.
-    waiting: u128,
-    /// Pieces that went at least once.
-    went: u128,
-    again: u32,
+    expires_at: Duration,
+    /// Its position in the order of arrival.
+    position: u64,
+    /// Fragments in the send queue.
+    queued: u128,
+    /// Fragments that were sent at least once.
+    sent: u128,
+    retransmissions: u32,
 }
 
-impl Kept {
-    pub(crate) fn count(&self) -> u8 {
-        u8::try_from(self.bytes.len().div_ceil(PIECE)).unwrap_or(u8::MAX)
+impl UnacknowledgedMessage {
+    fn fragment_count(&self) -> u8 {
+        u8::try_from(self.bytes.len().div_ceil(FRAGMENT_BYTES)).unwrap_or(u8::MAX)
     }
+
+    fn is_sent(&self) -> bool {
+        self.sent == all_fragments(self.fragment_count())
+    }
+}
+
+/// What retaining a message led to.
+pub(crate) struct Retained {
+    /// Messages that were dropped for it before they had been sent completely.
+    pub(crate) dropped: u64,
+    /// Fragments of the message.
+    pub(crate) fragments: u8,
 }
 
-/// What became of a piece whose turn came.
-pub(crate) struct Going {
+/// A fragment that is to be sent now.
+pub(crate) struct OutgoingFragment {
     pub(crate) channel: Channel,
     pub(crate) count: u8,
     pub(crate) data: Vec<u8>,
-    /// It went before.
-    pub(crate) again: bool,
-    /// With it the whole word has gone once.
-    pub(crate) whole: bool,
+    pub(crate) is_retransmission: bool,
+    /// With it the message has been sent completely, once.
+    pub(crate) completes_message: bool,
 }
 
-/// By peer and number of the word.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Outgoing {
-    kept: BTreeMap<(NodeId, u64), Kept>,
-    /// In the order in which they came.
-    order: BTreeMap<u64, (NodeId, u64)>,
-    came: u64,
-    held: usize,
+/// How a retransmission request is answered.
+pub(crate) struct RetransmissionPlan {
+    /// Fragments to be queued. Those that are queued already are left out.
+    pub(crate) indices: Vec<u8>,
+    pub(crate) mode: How,
+    /// Requested fragments that are refused.
+    pub(crate) refused: u64,
 }
 
-fn all(count: u8) -> u128 {
-    u128::MAX >> (128 - u32::from(count.clamp(1, 128)))
+/// The retained messages.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub(crate) struct RetransmissionBuffer {
+    messages: BTreeMap<MessageKey, UnacknowledgedMessage>,
+    /// Keys in the order of arrival.
+    order: BTreeMap<u64, MessageKey>,
+    last_position: u64,
+    bytes: usize,
 }
 
-impl Outgoing {
-    /// Keeps a word that is longer than a datagram and at most `MAX_MESSAGE_BYTES`. Tells how many words that had
-    /// not gone out whole had to make room, and how many pieces it has.
-    pub(crate) fn keep(
+impl RetransmissionBuffer {
+    /// Retains a message that is longer than a datagram and at most `MAX_MESSAGE_BYTES`.
+    pub(crate) fn retain(
         &mut self,
         now: Duration,
-        (to, number): (NodeId, u64),
-        (channel, how): (Channel, How),
-        bytes: Vec<u8>,
-    ) -> (u64, u8) {
+        key: MessageKey,
+        message: OutgoingMessage,
+    ) -> Retained {
         let mut dropped = 0;
-        while self.held + bytes.len() > ROOM {
+        while self.bytes + message.bytes.len() > MAX_RETAINED_BYTES {
             let Some((_, oldest)) = self.order.first_key_value() else { break };
             dropped += self.remove(*oldest);
         }
-        self.held += bytes.len();
-        self.came += 1;
-        self.order.insert(self.came, (to, number));
-        let until = now + KEPT;
-        let came = self.came;
-        let mut kept = Kept { channel, how, bytes, until, came, waiting: 0, went: 0, again: 0 };
-        let count = kept.count();
-        kept.waiting = all(count);
-        self.kept.insert((to, number), kept);
-        (dropped, count)
+        self.bytes += message.bytes.len();
+        self.last_position += 1;
+        self.order.insert(self.last_position, key);
+        let mut retained = UnacknowledgedMessage {
+            channel: message.channel,
+            mode: message.mode,
+            bytes: message.bytes,
+            expires_at: now + RETENTION,
+            position: self.last_position,
+            queued: 0,
+            sent: 0,
+            retransmissions: 0,
+        };
+        let fragments = retained.fragment_count();
+        retained.queued = all_fragments(fragments);
+        self.messages.insert(key, retained);
+        Retained { dropped, fragments }
     }
 
-    /// Forgets a word; 1 if it had not gone out whole.
-    fn remove(&mut self, which: (NodeId, u64)) -> u64 {
-        let Some(kept) = self.kept.remove(&which) else { return 0 };
-        self.order.remove(&kept.came);
-        self.held -= kept.bytes.len();
-        u64::from(kept.went != all(kept.count()))
+    /// Drops a message; returns 1 if it had not been sent completely.
+    pub(crate) fn remove(&mut self, key: MessageKey) -> u64 {
+        let Some(message) = self.messages.remove(&key) else { return 0 };
+        self.order.remove(&message.position);
+        self.bytes -= message.bytes.len();
+        u64::from(!message.is_sent())
     }
 
-    /// Forgets what is too old; how many of that had not gone out whole.
-    pub(crate) fn prune(&mut self, now: Duration) -> u64 {
+    /// Drops expired messages; returns how many of them had not been sent completely.
+    pub(crate) fn drop_expired(&mut self, now: Duration) -> u64 {
         let mut dropped = 0;
-        while let Some(which) = self.order.first_key_value().map(|(_, which)| *which) {
-            if self.kept.get(&which).is_none_or(|kept| kept.until > now) {
+        while let Some(key) = self.order.first_key_value().map(|(_, key)| *key) {
+            if self.messages.get(&key).is_none_or(|message| message.expires_at > now) {
                 break;
             }
-            dropped += self.remove(which);
+            dropped += self.remove(key);
         }
         dropped
     }
 
-    /// Forgets all to this peer; how many of that had not gone out whole.
-    pub(crate) fn clear(&mut self, to: NodeId) -> u64 {
-        let all: Vec<_> =
-            self.kept.range((to, 0)..=(to, u64::MAX)).map(|(which, _)| *which).collect();
-        all.into_iter().map(|which| self.remove(which)).sum()
+    /// Drops all messages to this peer; returns how many of them had not been sent completely.
+    pub(crate) fn clear_peer(&mut self, to: NodeId) -> u64 {
+        let keys: Vec<MessageKey> =
+            self.messages.range(MessageKey::range_of(to)).map(|(key, _)| *key).collect();
+        keys.into_iter().map(|key| self.remove(key)).sum()
     }
 
-    /// The piece whose turn has come, if its word is still kept.
-    pub(crate) fn go(&mut self, to: NodeId, number: u64, index: u8) -> Option<Going> {
-        let kept = self.kept.get_mut(&(to, number))?;
+    /// Marks a fragment as sent and returns it, if its message is still retained.
+    pub(crate) fn take_fragment(&mut self, key: MessageKey, index: u8) -> Option<OutgoingFragment> {
+        let message = self.messages.get_mut(&key)?;
         let bit = 1u128.checked_shl(u32::from(index))?;
-        let start = usize::from(index) * PIECE;
-        let data = kept.bytes.get(start..kept.bytes.len().min(start + PIECE))?.to_vec();
-        let again = kept.went & bit != 0;
-        kept.waiting &= !bit;
-        kept.went |= bit;
-        let count = kept.count();
-        let whole = !again && kept.went == all(count);
-        Some(Going { channel: kept.channel, count, data, again, whole })
+        let start = usize::from(index) * FRAGMENT_BYTES;
+        let end = message.bytes.len().min(start + FRAGMENT_BYTES);
+        let data = message.bytes.get(start..end)?.to_vec();
+        let is_retransmission = message.sent & bit != 0;
+        message.queued &= !bit;
+        message.sent |= bit;
+        Some(OutgoingFragment {
+            channel: message.channel,
+            count: message.fragment_count(),
+            data,
+            is_retransmission,
+            completes_message: !is_retransmission && message.is_sent(),
+        })
     }
 
-    /// A peer asks for these again: those to be put in line, how urgent they are, and how many are refused.
-    /// Those that wait still are neither.
-    pub(crate) fn ask(&mut self, to: NodeId, number: u64, which: u128) -> (Vec<u8>, How, u64) {
-        let Some(kept) = self.kept.get_mut(&(to, number)) else {
-            return (Vec::new(), How::Bulk, u64::from(which.count_ones()));
+    /// Plans the answer to a retransmission request, and marks its fragments as queued.
+    pub(crate) fn plan_retransmission(
+        &mut self,
+        key: MessageKey,
+        requested: u128,
+    ) -> RetransmissionPlan {
+        let Some(message) = self.messages.get_mut(&key) else {
+            let refused = u64::from(requested.count_ones());
+            return RetransmissionPlan { indices: Vec::new(), mode: How::Bulk, refused };
         };
-        let count = kept.count();
-        let which = which & all(count) & !kept.waiting;
-        let most = AGAIN * u32::from(count);
-        let (mut line, mut refused) = (Vec::new(), 0);
-        for index in (0..count).filter(|i| which & 1 << i != 0) {
-            if kept.again >= most {
-                refused += 1;
+        let count = message.fragment_count();
+        let requested = requested & all_fragments(count) & !message.queued;
+        let limit = MAX_RETRANSMISSIONS_PER_FRAGMENT * u32::from(count);
+        let mut plan = RetransmissionPlan { indices: Vec::new(), mode: message.mode, refused: 0 };
+        for index in (0..count).filter(|index| requested & 1 << index != 0) {
+            if message.retransmissions >= limit {
+                plan.refused += 1;
                 continue;
             }
-            kept.again += 1;
-            kept.waiting |= 1 << index;
-            line.push(index);
+            message.retransmissions += 1;
+            message.queued |= 1 << index;
+            plan.indices.push(index);
         }
-        (line, kept.how, refused)
+        plan
     }
 
-    /// There was no room in line for these.
-    pub(crate) fn not_in_line(&mut self, to: NodeId, number: u64, indices: &[u8]) {
-        if let Some(kept) = self.kept.get_mut(&(to, number)) {
-            for index in indices {
-                kept.waiting &= !1u128.checked_shl(u32::from(*index)).unwrap_or(0);
-            }
+    /// Undoes the marking of fragments that did not fit the send queue.
+    pub(crate) fn unmark_queued(&mut self, key: MessageKey, indices: &[u8]) {
+        let Some(message) = self.messages.get_mut(&key) else { return };
+        for index in indices {
+            message.queued &= !1u128.checked_shl(u32::from(*index)).unwrap_or(0);
         }
     }
 
-    /// Forgets a word; 1 if it had not gone out whole.
-    pub(crate) fn give_up(&mut self, to: NodeId, number: u64) -> u64 {
-        self.remove((to, number))
-    }
-
-    /// Bytes that are kept.
-    pub(crate) fn held(&self) -> usize {
-        self.held
+    /// Bytes of all retained messages.
+    pub(crate) fn bytes(&self) -> usize {
+        self.bytes
     }
 }
--- a/crates/peer-transport/src/send_queue.rs
+++ b/crates/peer-transport/src/send_queue.rs
@@ -1,5 +1,5 @@
-//! Words and pieces that wait for tokens: by urgency, and within one by turns among peers, so that one that
-//! is asked for much doesn't keep the others waiting.
+//! Messages, fragments and requests that wait for the send budget: by urgency, and within one urgency in turns
+//! among peers; when they are sent is left to the transport.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Bound::{Excluded, Unbounded};
@@ -7,111 +7,119 @@
 
 use crate::{Channel, How, NodeId};
 
-/// Bytes that wait at most, of each urgency. Without a bound a sender that is held back would take all
-/// memory.
-pub(crate) const ROOM: usize = 256 << 10;
-/// What a thing that waits takes beyond its word.
-const BESIDE: usize = 64;
+/// Bytes that wait at most, of each urgency.
+const MAX_QUEUED_BYTES: usize = 256 << 10;
+/// Memory that an item takes beside its message.
+const ITEM_OVERHEAD_BYTES: usize = 64;
 
-/// What waits.
+/// Something to send to a peer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum Item {
-    /// A word that goes in one datagram, and until when it is worth saying.
-    Message { channel: Channel, message: Vec<u8>, until: Duration },
-    /// A piece of a longer one of ours.
-    Piece { message: u64, index: u8 },
-    /// To ask for what is missing of a peer's.
-    Missing { message: u64 },
+pub(crate) enum QueuedItem {
+    /// A message that fits one datagram, until its deadline.
+    Message { channel: Channel, message: Vec<u8>, deadline: Duration },
+    /// A fragment of a longer message.
+    Fragment { message_number: u64, index: u8 },
+    /// A request for the missing fragments of a peer's message.
+    RetransmissionRequest { message_number: u64 },
 }
 
-impl Item {
-    fn size(&self) -> usize {
-        BESIDE + if let Self::Message { message, .. } = self { message.len() } else { 0 }
+impl QueuedItem {
+    fn memory_bytes(&self) -> usize {
+        match self {
+            Self::Message { message, .. } => ITEM_OVERHEAD_BYTES + message.len(),
+            _ => ITEM_OVERHEAD_BYTES,
+        }
     }
 }
 
+/// The items of one urgency.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-struct Line {
-    peers: BTreeMap<NodeId, VecDeque<Item>>,
-    /// Whose turn it was.
-    last: NodeId,
-    held: usize,
+struct ModeQueue {
+    peers: BTreeMap<NodeId, VecDeque<QueuedItem>>,
+    /// The peer whose turn it was last.
+    last_peer: NodeId,
+    bytes: usize,
 }
 
-/// All that waits.
+/// All items that wait for the send budget.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Queue {
-    lines: [Line; 3],
+pub(crate) struct SendQueue {
+    by_mode: [ModeQueue; 3],
 }
 
-impl Queue {
-    /// Puts it behind all others of its urgency to that peer; `false` where there is no room.
-    pub(crate) fn push(&mut self, how: How, to: NodeId, item: Item) -> bool {
-        self.push_all(how, to, [item])
+impl SendQueue {
+    /// Appends an item to those of its urgency and peer; `false` if they take too much memory.
+    pub(crate) fn push(&mut self, mode: How, to: NodeId, item: QueuedItem) -> bool {
+        self.push_all(mode, to, [item])
     }
 
-    /// All or none.
+    /// Appends all items or, if they take too much memory, none.
     pub(crate) fn push_all(
         &mut self,
-        how: How,
+        mode: How,
         to: NodeId,
-        items: impl IntoIterator<Item = Item>,
+        items: impl IntoIterator<Item = QueuedItem>,
     ) -> bool {
-        let line = &mut self.lines[how as usize];
-        let items: Vec<Item> = items.into_iter().collect();
-        let size: usize = items.iter().map(Item::size).sum();
-        let room = line.held + size <= ROOM;
-        if room && !items.is_empty() {
-            line.held += size;
-            line.peers.entry(to).or_default().extend(items);
+        let queue = &mut self.by_mode[mode as usize];
+        let items: Vec<QueuedItem> = items.into_iter().collect();
+        let bytes: usize = items.iter().map(QueuedItem::memory_bytes).sum();
+        let fits = queue.bytes + bytes <= MAX_QUEUED_BYTES;
+        if fits && !items.is_empty() {
+            queue.bytes += bytes;
+            queue.peers.entry(to).or_default().extend(items);
         }
-        room
+        fits
     }
 
-    /// The most urgent that waits.
+    /// The most urgent mode of which an item waits.
     pub(crate) fn most_urgent(&self) -> Option<How> {
-        How::ALL.into_iter().find(|how| !self.lines[*how as usize].peers.is_empty())
+        How::ALL.into_iter().find(|mode| !self.by_mode[*mode as usize].peers.is_empty())
+    }
+
+    /// The peer whose turn it is among those of this urgency.
+    pub(crate) fn next_peer(&mut self, mode: How) -> Option<NodeId> {
+        let queue = &mut self.by_mode[mode as usize];
+        let after_last = queue.peers.range((Excluded(queue.last_peer), Unbounded)).next();
+        queue.last_peer = *after_last.or_else(|| queue.peers.first_key_value())?.0;
+        Some(queue.last_peer)
     }
 
-    /// Whose turn it is in this line.
-    pub(crate) fn turn(&mut self, how: How) -> Option<NodeId> {
-        let line = &mut self.lines[how as usize];
-        let after = line.peers.range((Excluded(line.last), Unbounded)).next();
-        line.last = *after.or_else(|| line.peers.first_key_value())?.0;
-        Some(line.last)
+    /// Removes this peer's first item.
+    pub(crate) fn pop(&mut self, mode: How, to: NodeId) -> Option<QueuedItem> {
+        self.pop_if(mode, to, |_| true)
     }
 
-    /// The first that waits for this peer in this line, if it pleases.
+    /// Removes this peer's first item if it matches.
     pub(crate) fn pop_if(
         &mut self,
-        how: How,
+        mode: How,
         to: NodeId,
-        pleases: impl FnOnce(&Item) -> bool,
-    ) -> Option<Item> {
-        let line = &mut self.lines[how as usize];
-        let items = line.peers.get_mut(&to)?;
-        let item = items.pop_front_if(|item| pleases(item))?;
+        matches: impl FnOnce(&QueuedItem) -> bool,
+    ) -> Option<QueuedItem> {
+        let queue = &mut self.by_mode[mode as usize];
+        let items = queue.peers.get_mut(&to)?;
+        let item = items.pop_front_if(|item| matches(item))?;
         if items.is_empty() {
-            line.peers.remove(&to);
+            queue.peers.remove(&to);
         }
-        line.held -= item.size();
+        queue.bytes -= item.memory_bytes();
         Some(item)
     }
 
-    /// Nothing waits for this peer any more; how many words that were.
-    pub(crate) fn clear(&mut self, to: NodeId) -> u64 {
-        let mut words = 0;
-        for line in &mut self.lines {
-            for item in line.peers.remove(&to).into_iter().flatten() {
-                line.held -= item.size();
-                words += u64::from(matches!(item, Item::Message { .. }));
+    /// Removes all items to this peer, and returns the number of complete messages among them.
+    pub(crate) fn clear_peer(&mut self, to: NodeId) -> u64 {
+        let mut messages = 0;
+        for queue in &mut self.by_mode {
+            for item in queue.peers.remove(&to).into_iter().flatten() {
+                queue.bytes -= item.memory_bytes();
+                messages += u64::from(matches!(item, QueuedItem::Message { .. }));
             }
         }
-        words
+        messages
     }
 
-    /// Bytes that wait.
-    pub(crate) fn held(&self) -> usize {
-        self.lines.iter().map(|line| line.held).sum()
+    /// Bytes of all items.
+    pub(crate) fn bytes(&self) -> usize {
+        self.by_mode.iter().map(|queue| queue.bytes).sum()
     }
 }
--- a/crates/peer-transport/src/sending.rs
+++ b/crates/peer-transport/src/sending.rs
@@ -1,226 +1,237 @@
-//! The half of the machine that says something: words in line, hellos, and what goes when there are tokens
-//! for it.
+//! What is sent and when: messages wait for the handshake, then in the queue for the send budget; the
+//! handshake is left to `handshake`.
 
-use crate::frame::{Body, Frame, HEAD, LAST, ONE_DATAGRAM, Piece, Said};
-use crate::peer::{WAIT, Waiting};
-use crate::send_queue::Item;
-use crate::{Action, Channel, DATAGRAM, How, Incarnation, MAX_MESSAGE_BYTES, NodeId, Wire};
+use crate::frame::{
+    Body, ChannelMessage, FragmentHeader, Frame, HEADER_BYTES, MAX_SEQUENCE,
+    MAX_UNFRAGMENTED_BYTES, MessageKey,
+};
+use crate::peer::{HANDSHAKE_TIMEOUT, PendingMessage};
+use crate::retransmission::OutgoingMessage;
+use crate::send_queue::QueuedItem;
+use crate::{
+    Action, Channel, How, Incarnation, MAX_DATAGRAM_BYTES, MAX_MESSAGE_BYTES, NodeId, Wire,
+};
 
-/// Bytes that wait for all peers that have not answered yet. Without a bound 1,000 silent peers would take 24
-/// MB.
-const WAITING: usize = 512 << 10;
+/// Bytes that wait for handshakes with all peers. Without a bound 1,000 silent peers would take 24 MB.
+const MAX_PENDING_BYTES: usize = 512 << 10;
+
+/// All sequence numbers to a peer are used, so that nothing more can be sent to it.
+struct SequencesExhausted;
 
 impl Wire {
-    /// A word is to be said.
+    /// Sends a message as soon as the peer's incarnation and the budget allow it.
     pub(crate) fn send(
         &mut self,
         to: NodeId,
         channel: Channel,
         message: Vec<u8>,
-        how: How,
+        mode: How,
         actions: &mut Vec<Action>,
     ) {
-        let now = self.now;
-        let room = WAITING.saturating_sub(self.waiting);
-        let Some(peer) =
-            self.peers.get_mut(usize::from(to.0)).filter(|_| to != self.config.node_id)
-        else {
-            self.counts.words.nowhere += 1;
+        let is_self = to == self.config.node_id;
+        let Some(peer) = self.peers.get(usize::from(to.0)).filter(|_| !is_self) else {
+            self.metrics.messages.no_such_peer += 1;
             return;
         };
         if message.len() > MAX_MESSAGE_BYTES {
-            self.counts.words.too_long += 1;
+            self.metrics.messages.too_long += 1;
             return;
         }
-        if peer.is_open() {
-            self.line_up(to, channel, message, how);
+        if peer.is_established() {
+            self.enqueue(to, channel, message, mode);
             return;
         }
-        let before = peer.held();
-        self.counts.words.waited_in_vain += peer.prune(now);
-        if !peer.wait(Waiting { until: now + WAIT, channel, how, message }, room) {
-            self.counts.words.no_room += 1;
+        let deadline = self.now + HANDSHAKE_TIMEOUT;
+        self.push_pending(to, PendingMessage { deadline, channel, mode, message });
+        let Some(peer) = self.peer_mut(to) else { return };
+        if peer.next_handshake.is_none() && peer.has_pending() {
+            self.start_handshake(to, actions);
         }
-        self.waiting = self.waiting + peer.held() - before;
-        if peer.again.is_none() && peer.waits() {
-            self.call(to, actions);
+    }
+
+    /// Lets a message wait for the handshake.
+    fn push_pending(&mut self, to: NodeId, pending: PendingMessage) {
+        let available_bytes = MAX_PENDING_BYTES.saturating_sub(self.pending_bytes);
+        self.drop_expired_pending(to);
+        let Some(peer) = self.peers.get_mut(usize::from(to.0)) else { return };
+        let bytes_before = peer.pending_bytes();
+        if !peer.push_pending(pending, available_bytes) {
+            self.metrics.messages.queue_full += 1;
         }
+        self.pending_bytes = self.pending_bytes + peer.pending_bytes() - bytes_before;
     }
 
-    /// Puts a word in line to a peer whose life is known.
-    pub(crate) fn line_up(&mut self, to: NodeId, channel: Channel, message: Vec<u8>, how: How) {
-        if message.len() <= ONE_DATAGRAM {
-            let until = self.now + how.patience();
-            let lined_up = self.queue.push(how, to, Item::Message { channel, message, until });
-            self.counts.words.no_room += u64::from(!lined_up);
+    /// Queues a message to a peer whose incarnation is confirmed.
+    pub(crate) fn enqueue(&mut self, to: NodeId, channel: Channel, message: Vec<u8>, mode: How) {
+        if message.len() <= MAX_UNFRAGMENTED_BYTES {
+            let deadline = self.now + mode.queue_timeout();
+            let item = QueuedItem::Message { channel, message, deadline };
+            if !self.queue.push(mode, to, item) {
+                self.metrics.messages.queue_full += 1;
+            }
             return;
         }
-        let Some(number) = self.next_sequence(to) else {
-            self.counts.words.used_up += 1;
+        let Ok(message_number) = self.next_sequence(to) else {
+            self.metrics.messages.sequences_exhausted += 1;
             return;
         };
-        let (dropped, count) = self.outgoing.keep(self.now, (to, number), (channel, how), message);
-        self.counts.words.no_room += dropped;
-        let pieces = (0..count).map(|index| Item::Piece { message: number, index });
-        if !self.queue.push_all(how, to, pieces) {
-            self.counts.words.no_room += self.outgoing.give_up(to, number);
+        let key = MessageKey { peer: to, number: message_number };
+        let message = OutgoingMessage { channel, mode, bytes: message };
+        let retained = self.retransmission.retain(self.now, key, message);
+        self.metrics.messages.queue_full += retained.dropped;
+        let items =
+            (0..retained.fragments).map(|index| QueuedItem::Fragment { message_number, index });
+        if !self.queue.push_all(mode, to, items) {
+            self.metrics.messages.queue_full += self.retransmission.remove(key);
         }
     }
 
-    /// The next sequence to this member, until all are used up.
-    fn next_sequence(&mut self, to: NodeId) -> Option<u64> {
-        let peer = self.peers.get_mut(usize::from(to.0)).filter(|peer| peer.sequence < LAST)?;
-        peer.sequence += 1;
-        Some(peer.sequence)
+    fn next_sequence(&mut self, to: NodeId) -> Result<u64, SequencesExhausted> {
+        let peer = self.peer_mut(to).filter(|peer| peer.last_sequence < MAX_SEQUENCE);
+        let peer = peer.ok_or(SequencesExhausted)?;
+        peer.last_sequence += 1;
+        Ok(peer.last_sequence)
     }
 
-    /// Says hello to a peer for which words wait, and sets when to do it again.
-    fn call(&mut self, to: NodeId, actions: &mut Vec<Action>) {
-        let incarnation = self.incarnation(to).unwrap_or(Incarnation(0));
-        self.hello(to, incarnation, 0, actions);
-        let Some(peer) = self.peers.get_mut(usize::from(to.0)) else { return };
-        let at = self.now + peer.patience(&mut self.chance);
-        peer.again = Some(at);
-        self.hellos.insert((at, to));
-    }
-
-    /// Says hello to this life: gives back what was asked (0: nothing was), and asks unless both know each
-    /// other.
-    pub(crate) fn hello(
-        &mut self,
-        to: NodeId,
-        incarnation: Incarnation,
-        answer: u32,
-        actions: &mut Vec<Action>,
-    ) {
-        let now = self.now;
-        let Some(peer) = self.peers.get_mut(usize::from(to.0)) else { return };
-        let may = self.tokens.ready(How::Urgent) <= now
-            && peer.pace.try_one(now)
-            && self.hello_pace.try_one(now);
-        if !may {
-            self.counts.sent.hellos_held_back += 1;
-            return;
+    /// Queues requests for missing fragments of peers' messages. One that does not fit is queued when it is
+    /// due again.
+    pub(crate) fn queue_retransmission_requests(&mut self) {
+        for key in self.reassembly.take_due_requests(self.now) {
+            let item = QueuedItem::RetransmissionRequest { message_number: key.number };
+            self.queue.push(How::Usual, key.peer, item);
         }
-        let known = peer.incarnation == Some(incarnation);
-        let ask = if known && peer.knows_us { 0 } else { peer.ask(now, &mut self.nonces) };
-        let sequence = peer.sequence;
-        self.counts.sent.hellos += 1;
-        self.transmit(to, incarnation, sequence, Body::Hello { ask, answer, known }, actions);
     }
 
-    /// What is due by the clock.
-    pub(crate) fn due(&mut self, actions: &mut Vec<Action>) {
-        self.told = None;
-        let now = self.now;
-        self.counts.words.no_tokens += self.outgoing.prune(now);
-        while let Some((at, to)) = self.hellos.first().filter(|(at, _)| *at <= now).copied() {
-            self.hellos.remove(&(at, to));
-            let Some(peer) = self.peers.get_mut(usize::from(to.0)) else { continue };
-            let before = peer.held();
-            self.counts.words.waited_in_vain += peer.prune(now);
-            self.waiting = self.waiting + peer.held() - before;
-            if peer.waits() {
-                self.call(to, actions);
-            } else {
-                peer.leave();
+    /// Sends queued items, the most urgent first, as far as the budget allows.
+    pub(crate) fn send_queued(&mut self, actions: &mut Vec<Action>) {
+        while let Some(mode) = self.queue.most_urgent() {
+            if self.budget.ready_at(mode) > self.now {
+                break;
             }
-        }
-        for (from, message) in self.incoming.asks(now) {
-            // Where there is no room, it is asked for the next time.
-            self.queue.push(How::Usual, from, Item::Missing { message });
-        }
-        while let Some(how) = self.queue.most_urgent().filter(|how| self.tokens.ready(*how) <= now)
-        {
-            let Some(to) = self.queue.turn(how) else { break };
-            self.next_of(how, to, actions);
+            let Some(to) = self.queue.next_peer(mode) else { break };
+            self.send_next(mode, to, actions);
         }
     }
 
-    /// Sends what is first in this line to this peer.
-    fn next_of(&mut self, how: How, to: NodeId, actions: &mut Vec<Action>) {
-        match self.queue.pop_if(how, to, |_| true) {
+    /// Sends this peer's first item of this urgency.
+    fn send_next(&mut self, mode: How, to: NodeId, actions: &mut Vec<Action>) {
+        match self.queue.pop(mode, to) {
             None => {}
-            Some(Item::Message { until, .. }) if until <= self.now => {
-                self.counts.words.no_tokens += 1
+            Some(QueuedItem::Message { deadline, .. }) if deadline <= self.now => {
+                self.metrics.messages.budget_timeout += 1
             }
-            Some(Item::Message { channel, message, .. }) => {
-                self.together(how, to, (channel, message), actions)
+            Some(QueuedItem::Message { channel, message, .. }) => {
+                self.send_batch(mode, to, (channel, message), actions)
             }
-            Some(Item::Piece { message, index }) => self.piece(to, message, index, actions),
-            Some(Item::Missing { message }) => {
-                if let Some(which) = self.incoming.missing(to, message) {
-                    self.counts.sent.asks += 1;
-                    self.frame(to, Body::Missing { message, which }, actions);
-                }
+            Some(QueuedItem::Fragment { message_number, index }) => {
+                let key = MessageKey { peer: to, number: message_number };
+                self.send_fragment(key, index, actions)
+            }
+            Some(QueuedItem::RetransmissionRequest { message_number }) => {
+                let key = MessageKey { peer: to, number: message_number };
+                self.send_retransmission_request(key, actions)
             }
         }
     }
 
-    /// Sends a word, and what else waits for the same peer and fits beside it, also if it is less urgent: a
-    /// datagram costs more than its bytes.
-    fn together(
+    /// Sends a message, together with other messages to the same peer that fit the datagram, less urgent ones
+    /// included: a datagram costs more than its bytes.
+    fn send_batch(
         &mut self,
-        how: How,
+        mode: How,
         to: NodeId,
         first: (Channel, Vec<u8>),
         actions: &mut Vec<Action>,
     ) {
-        let (now, mut length) = (self.now, HEAD + 1 + Said::length(first.1.len()));
-        let mut words = vec![first];
-        for line in How::ALL.into_iter().skip(how as usize) {
-            while let Some(Item::Message { channel, message, until }) =
-                self.queue.pop_if(line, to, |item| {
-                    matches!(item, Item::Message { message, until, .. }
-                    if *until <= now || length + Said::length(message.len()) <= DATAGRAM)
-                })
+        let batch = self.collect_batch(mode, to, first);
+        let messages = batch
+            .iter()
+            .map(|(channel, message)| ChannelMessage { channel: *channel, message })
+            .collect();
+        let count = batch.len() as u64;
+        match self.send_frame(to, Body::Messages(messages), actions) {
+            Ok(()) => self.metrics.messages.sent += count,
+            Err(SequencesExhausted) => self.metrics.messages.sequences_exhausted += count,
+        }
+    }
+
+    /// Takes messages from the queue that fit one datagram with the first.
+    fn collect_batch(
+        &mut self,
+        mode: How,
+        to: NodeId,
+        first: (Channel, Vec<u8>),
+    ) -> Vec<(Channel, Vec<u8>)> {
+        let now = self.now;
+        let mut length = HEADER_BYTES + 1 + ChannelMessage::encoded_bytes(first.1.len());
+        let mut batch = vec![first];
+        for mode in How::ALL.into_iter().skip(mode as usize) {
+            // Expired messages are taken, too, to drop them.
+            let fits = |item: &QueuedItem, length: usize| match item {
+                QueuedItem::Message { message, deadline, .. } => {
+                    let total = length + ChannelMessage::encoded_bytes(message.len());
+                    *deadline <= now || total <= MAX_DATAGRAM_BYTES
+                }
+                _ => false,
+            };
+            while let Some(QueuedItem::Message { channel, message, deadline }) =
+                self.queue.pop_if(mode, to, |item| fits(item, length))
             {
-                if until <= now {
-                    self.counts.words.no_tokens += 1;
+                if deadline <= now {
+                    self.metrics.messages.budget_timeout += 1;
                 } else {
-                    length += Said::length(message.len());
-                    words.push((channel, message));
+                    length += ChannelMessage::encoded_bytes(message.len());
+                    batch.push((channel, message));
                 }
             }
         }
-        let said =
-            words.iter().map(|(channel, message)| Said { channel: *channel, message }).collect();
-        let count = words.len() as u64;
-        match self.frame(to, Body::Words(said), actions) {
-            true => self.counts.words.said += count,
-            false => self.counts.words.used_up += count,
-        }
+        batch
     }
 
-    fn piece(&mut self, to: NodeId, message: u64, index: u8, actions: &mut Vec<Action>) {
-        let last = self.peers.get(usize::from(to.0)).map_or(0, |peer| peer.sequence);
-        // The frame's own will be one more. Only a budget of ten times the usual gets so far within a word's
-        // time.
-        let Ok(back) = u16::try_from(last + 1 - message.min(last)) else {
-            self.counts.words.no_tokens += self.outgoing.give_up(to, message);
+    fn send_fragment(&mut self, key: MessageKey, index: u8, actions: &mut Vec<Action>) {
+        let last_sequence =
+            self.peers.get(usize::from(key.peer.0)).map_or(0, |peer| peer.last_sequence);
+        // The frame's own sequence number will be one more. Only a budget of ten times the default can exceed
+        // a u16 while the message is retained.
+        let distance = last_sequence + 1 - key.number.min(last_sequence);
+        let Ok(sequence_distance) = u16::try_from(distance) else {
+            self.metrics.messages.budget_timeout += self.retransmission.remove(key);
             return;
         };
-        let Some(going) = self.outgoing.go(to, message, index) else { return };
-        let piece = Piece { channel: going.channel, back, index, count: going.count };
-        if self.frame(to, Body::Piece(piece, &going.data), actions) {
-            self.counts.sent.pieces += 1;
-            self.counts.sent.pieces_again += u64::from(going.again);
-            self.counts.words.said += u64::from(going.whole);
+        let Some(fragment) = self.retransmission.take_fragment(key, index) else { return };
+        let (channel, count) = (fragment.channel, fragment.count);
+        let header = FragmentHeader { channel, sequence_distance, index, count };
+        let body = Body::Fragment(header, &fragment.data);
+        if self.send_frame(key.peer, body, actions).is_ok() {
+            self.metrics.sent.fragments += 1;
+            self.metrics.sent.retransmitted_fragments += u64::from(fragment.is_retransmission);
+            self.metrics.messages.sent += u64::from(fragment.completes_message);
         }
     }
 
-    /// Sends a frame with a sequence of its own to the life that is known; `false` where all sequences are
-    /// used up.
-    fn frame(&mut self, to: NodeId, body: Body<'_>, actions: &mut Vec<Action>) -> bool {
-        let incarnation = self.incarnation(to);
-        let (Some(incarnation), Some(sequence)) = (incarnation, self.next_sequence(to)) else {
-            return false;
-        };
+    fn send_retransmission_request(&mut self, key: MessageKey, actions: &mut Vec<Action>) {
+        let Some(missing) = self.reassembly.missing(key) else { return };
+        self.metrics.sent.retransmission_requests += 1;
+        let body = Body::RetransmissionRequest { message_number: key.number, missing };
+        // Without a sequence number the request is lost like any datagram.
+        _ = self.send_frame(key.peer, body, actions);
+    }
+
+    /// Sends a frame with a sequence number of its own to the confirmed incarnation.
+    fn send_frame(
+        &mut self,
+        to: NodeId,
+        body: Body<'_>,
+        actions: &mut Vec<Action>,
+    ) -> Result<(), SequencesExhausted> {
+        let incarnation = self.incarnation(to).ok_or(SequencesExhausted)?;
+        let sequence = self.next_sequence(to)?;
         self.transmit(to, incarnation, sequence, body, actions);
-        true
+        Ok(())
     }
 
-    fn transmit(
+    /// Encodes a frame, and charges it to the budget.
+    pub(crate) fn transmit(
         &mut self,
         to: NodeId,
         incarnation: Incarnation,
@@ -230,9 +241,9 @@
     ) {
         let frame = Frame { from: self.config.incarnation, to: incarnation, sequence, body };
         let bytes = frame.encode(self.config.node_id, to);
-        self.tokens.take(self.now, bytes.len());
-        self.counts.sent.datagrams += 1;
-        self.counts.sent.bytes += bytes.len() as u64;
+        self.budget.take(self.now, bytes.len());
+        self.metrics.sent.datagrams += 1;
+        self.metrics.sent.bytes += bytes.len() as u64;
         actions.push(Action::Transmit { to, bytes });
     }
 }
--- a/crates/peer-transport/src/tests/formats.rs
+++ b/crates/peer-transport/src/tests/formats.rs
@@ -5,7 +5,7 @@
 
 use hex::{assert_all_recorded, assert_recorded, recorded};
 
-use crate::frame::{Body, Frame, PIECE, PIECES, Piece, Said};
+use crate::frame::{Body, ChannelMessage, FRAGMENT_BYTES, FragmentHeader, Frame, MAX_FRAGMENTS};
 use crate::{Channel, Incarnation, NodeId};
 
 const SENDER: NodeId = NodeId(0x0102);
@@ -23,26 +23,35 @@
     let first_contact = Frame {
         to: Incarnation(0),
         sequence: 0,
-        ..frame(Body::Hello { ask: 0xa1a2_a3a4, answer: 0, known: false })
+        ..frame(Body::Handshake { challenge: 0xa1a2_a3a4, response: 0, confirmed: false })
+    };
+    let message = |channel, message| ChannelMessage { channel, message };
+    let fragment_of = |channel, sequence_distance, index, count| FragmentHeader {
+        channel,
+        sequence_distance,
+        index,
+        count,
     };
-    let message = |channel, message| Said { channel, message };
-    let fragment_of = |channel, back, index, count| Piece { channel, back, index, count };
     vec![
         ("handshake_first_contact", first_contact),
         (
             "handshake_challenge_and_response",
-            frame(Body::Hello { ask: 0xa1a2_a3a4, answer: 0xb1b2_b3b4, known: false }),
+            frame(Body::Handshake {
+                challenge: 0xa1a2_a3a4,
+                response: 0xb1b2_b3b4,
+                confirmed: false,
+            }),
         ),
         (
             "handshake_response_to_confirmed",
-            frame(Body::Hello { ask: 0, answer: 0xb1b2_b3b4, known: true }),
+            frame(Body::Handshake { challenge: 0, response: 0xb1b2_b3b4, confirmed: true }),
         ),
-        ("message_padded", frame(Body::Words(vec![message(Channel::Log, b"x")]))),
-        ("message_empty", frame(Body::Words(vec![message(Channel::Consensus, b"")]))),
-        ("message_long", frame(Body::Words(vec![message(Channel::Sessions, &fragment[..200])]))),
+        ("message_padded", frame(Body::Messages(vec![message(Channel::Log, b"x")]))),
+        ("message_empty", frame(Body::Messages(vec![message(Channel::Consensus, b"")]))),
+        ("message_long", frame(Body::Messages(vec![message(Channel::Sessions, &fragment[..200])]))),
         (
             "messages_on_each_channel",
-            frame(Body::Words(vec![
+            frame(Body::Messages(vec![
                 message(Channel::Consensus, b"consensus"),
                 message(Channel::Log, b"log"),
                 message(Channel::Leases, b"leases"),
@@ -52,26 +61,32 @@
         ),
         (
             "fragment_first",
-            frame(Body::Piece(fragment_of(Channel::Lists, 0, 0, PIECES as u8), fragment)),
+            frame(Body::Fragment(fragment_of(Channel::Lists, 0, 0, MAX_FRAGMENTS as u8), fragment)),
+        ),
+        (
+            "fragment_last",
+            frame(Body::Fragment(fragment_of(Channel::Leases, 0x0203, 2, 3), b"end")),
         ),
-        ("fragment_last", frame(Body::Piece(fragment_of(Channel::Leases, 0x0203, 2, 3), b"end"))),
         (
             "retransmission_request",
-            frame(Body::Missing { message: 0x0102_0304, which: 1 << 88 | 0b1011 }),
+            frame(Body::RetransmissionRequest {
+                message_number: 0x0102_0304,
+                missing: 1 << 88 | 0b1011,
+            }),
         ),
     ]
 }
 
 #[test]
 fn datagrams_have_their_recorded_bytes() {
-    let fragment = [0x5a; PIECE];
+    let fragment = [0x5a; FRAGMENT_BYTES];
     let encoded = |(name, frame): (_, Frame<'_>)| (name, frame.encode(SENDER, RECEIVER));
     assert_recorded(datagrams(&fragment).into_iter().map(encoded));
 }
 
 #[test]
 fn recorded_datagrams_are_read_as_what_they_were() {
-    let fragment = [0x5a; PIECE];
+    let fragment = [0x5a; FRAGMENT_BYTES];
     for (name, frame) in datagrams(&fragment) {
         assert_eq!(Frame::decode(SENDER, RECEIVER, &recorded(name)), Ok(frame), "{name}");
     }
@@ -79,5 +94,5 @@
 
 #[test]
 fn every_recorded_datagram_is_compared() {
-    assert_all_recorded(datagrams(&[0; PIECE]).iter().map(|(name, _)| *name));
+    assert_all_recorded(datagrams(&[0; FRAGMENT_BYTES]).iter().map(|(name, _)| *name));
 }
--- a/crates/peer-transport/tests/formats.rs
+++ b/crates/peer-transport/tests/formats.rs
@@ -1,11 +1,12 @@
-//! What of this package leaves a process outside of datagrams' heads, as literal text and recorded bytes:
-//! values in messages, and what the admin API shows. Datagrams are in `src/tests/formats.rs`.
+//! What leaves a process beside frames, as literal text and recorded bytes: values in messages, and the JSON
+//! of the admin API. Frames are in `src/tests/formats.rs`.
 
 use std::fmt::Debug;
 
 use hollowpaddle_peer_transport::{
-    Channel, Counts, DATAGRAM, Delivered, Dropped, Heard, Held, Incarnation, MAX_MESSAGE_BYTES,
-    NodeId, ONE_DATAGRAM, Sent, VERSION, Words, decode, encode,
+    Channel, DeliveredMetrics, DroppedMetrics, Incarnation, MAX_DATAGRAM_BYTES, MAX_MESSAGE_BYTES,
+    MAX_UNFRAGMENTED_BYTES, MemoryUsage, MessageMetrics, NodeId, ReceivedMetrics, SentMetrics,
+    TransportMetrics, VERSION, decode, encode,
 };
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -32,52 +33,55 @@
 
 #[test]
 fn bounds_that_both_ends_rely_on_are_the_same() {
-    assert_eq!((VERSION, DATAGRAM, ONE_DATAGRAM, MAX_MESSAGE_BYTES), (1, 256, 233, 20_480));
+    assert_eq!(
+        (VERSION, MAX_DATAGRAM_BYTES, MAX_UNFRAGMENTED_BYTES, MAX_MESSAGE_BYTES),
+        (1, 256, 233, 20_480)
+    );
 }
 
-fn counts() -> Counts {
-    Counts {
-        sent: Sent {
+fn counts() -> TransportMetrics {
+    TransportMetrics {
+        sent: SentMetrics {
             datagrams: 1,
             bytes: 2,
-            hellos: 3,
-            pieces: 4,
-            pieces_again: 5,
-            asks: 6,
-            hellos_held_back: 7,
-            pieces_refused: 8,
+            handshakes: 3,
+            fragments: 4,
+            retransmitted_fragments: 5,
+            retransmission_requests: 6,
+            suppressed_handshakes: 7,
+            refused_fragments: 8,
         },
-        heard: Heard {
-            hellos: 11,
-            words: 12,
-            pieces: 13,
-            pieces_again: 14,
-            asks: 15,
-            stale_nonces: 16,
+        received: ReceivedMetrics {
+            handshakes: 11,
+            message_datagrams: 12,
+            fragments: 13,
+            duplicate_fragments: 14,
+            retransmission_requests: 15,
+            stale_responses: 16,
             incarnations: 17,
         },
-        dropped: Dropped {
-            strange: 21,
+        dropped: DroppedMetrics {
+            unknown_source: 21,
             too_long: 22,
-            version: 23,
-            torn: 24,
+            unsupported_version: 23,
+            corrupted: 24,
             unreadable: 25,
             unconfirmed: 26,
             previous_incarnation: 27,
-            copy: 28,
-            late: 29,
+            duplicate: 28,
+            too_old: 29,
         },
-        words: Words {
-            said: 31,
-            nowhere: 32,
+        messages: MessageMetrics {
+            sent: 31,
+            no_such_peer: 32,
             too_long: 33,
-            no_room: 34,
-            no_tokens: 35,
-            waited_in_vain: 36,
+            queue_full: 34,
+            budget_timeout: 35,
+            handshake_timeout: 36,
             previous_incarnation: 37,
-            used_up: 38,
+            sequences_exhausted: 38,
         },
-        delivered: Delivered { words: 41, pieces_given_up: 42 },
+        delivered: DeliveredMetrics { messages: 41, abandoned: 42 },
     }
 }
 
@@ -94,7 +98,7 @@
 
 #[test]
 fn held_bytes_have_their_json_keys() {
-    let held = Held { incoming: 1, outgoing: 2, queued: 3, waiting: 4 };
+    let memory = MemoryUsage { incoming: 1, outgoing: 2, queued: 3, waiting: 4 };
     let expected = r#"{"incoming":1,"outgoing":2,"queued":3,"waiting":4}"#;
-    assert_eq!(serde_json::to_string(&held).expect("plain numbers"), expected);
+    assert_eq!(serde_json::to_string(&memory).expect("plain numbers"), expected);
 }
--- a/crates/peer-transport/tests/formats/hex.rs
+++ b/crates/peer-transport/tests/formats/hex.rs
@@ -1,10 +1,10 @@
-//! Recorded bytes of a format: hexadecimal text files beside this one, in the package whose test reads them.
+//! Recorded bytes of a format, in hexadecimal text files beside this one.
 
 use std::collections::BTreeSet;
 use std::fs;
 use std::path::Path;
 
-/// The bytes that stand in `tests/formats/NAME.hex`; white space in it says nothing.
+/// The bytes in `tests/formats/NAME.hex`, without white space.
 pub fn recorded(name: &str) -> Vec<u8> {
     let file = format!("tests/formats/{name}.hex");
     let text = fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join(&file))
@@ -27,7 +27,7 @@
     assert!(changed.is_empty(), "these forms have changed, to:\n{}", changed.join("\n"));
 }
 
-/// Whether these are the names of all recorded bytes: a case that is lost from a table is found by its file.
+/// Asserts that each recorded file has a case, so that no case is lost from a table.
 pub fn assert_all_recorded<'a>(names: impl IntoIterator<Item = &'a str>) {
     let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/formats");
     let recorded: BTreeSet<String> = fs::read_dir(directory)
