--- a/crates/consensus/src/learner.rs
+++ b/crates/consensus/src/learner.rs
@@ -7,13 +7,13 @@
 
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 
+use crate::learner_tree::{CHILDREN, order, parent};
 use crate::log::{Base, Blob, Log};
 use crate::message::{
     ENTRY_MAX, Entry, EntryPayload, IncarnationCounts, LogIndex, Message, MessageBody, Part,
     ProposalId, ProposalOutcome, SNAPSHOT_MAX, View, VoterSet,
 };
 use crate::replication::SNAPSHOT_EVERY;
-use crate::tree::{CHILDREN, order, parent};
 
 /// How often a learner asks its source.
 pub const FOLLOW: Duration = Duration::from_millis(300);
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -40,6 +40,7 @@
 #![warn(missing_docs)]
 
 mod learner;
+mod learner_tree;
 mod log;
 mod log_file;
 mod log_record;
@@ -48,13 +49,13 @@
 mod replica;
 mod replication;
 mod store;
-mod tree;
 mod view_change;
 
 pub use learner::{
     ANSWER, FOLLOW, Learner, LearnerAction, LearnerConfig, LearnerEvent, PARTS, PROPOSALS, SILENT,
     STALE,
 };
+pub use learner_tree::{CHILDREN, order, parent};
 pub use log::{Base, IDS, KEPT, LOG_BYTES, LOG_MAX, Log};
 pub use log_file::{Directory, Disk};
 pub use log_record::{DurableState, Record, State};
@@ -70,4 +71,3 @@
 };
 pub use replication::{SNAPSHOT_EVERY, UNDERWAY};
 pub use store::{COMPACT, Corruption, FILE_MAX, Found, Store, StoreError, VERSION};
-pub use tree::{CHILDREN, order, parent};
--- a/crates/consensus/tests/agreement.rs
+++ b/crates/consensus/tests/agreement.rs
@@ -1,8 +1,8 @@
 //! Councils under drawn faults: what is agreed stays agreed.
 
-mod world;
+mod simulation;
 
-use world::{World, ms};
+use simulation::{World, ms};
 
 /// One drawn day: 6 s of faults, then everything is whole again.
 fn day(seed: u64) -> World {
@@ -18,7 +18,7 @@
     while world.now < ms(8600) {
         let who = world.below(u64::from(size)) as u16;
         let down = |w: &World, but: u16| {
-            let forgot = |n: &world::Node| {
+            let forgot = |n: &simulation::Node| {
                 n.replica.as_ref().is_none_or(|c| {
                     use hollowpaddle_consensus::ReplicaStatus::{Blank, Mute, Waking};
                     matches!(c.status(), Blank | Mute | Waking)
--- a/crates/consensus/tests/lives.rs
+++ b/crates/consensus/tests/incarnations.rs
@@ -1,6 +1,6 @@
 //! What a life promised that has ended counts no longer: words by hand, where chance would seldom bring them.
 
-mod world;
+mod simulation;
 
 use std::collections::BTreeSet;
 
@@ -9,7 +9,7 @@
     ReplicaStatus, View,
 };
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
-use world::{World, ms};
+use simulation::{World, ms};
 
 /// One member on its own, to which words are brought by hand.
 struct Alone {
--- a/crates/consensus/tests/leaders.rs
+++ b/crates/consensus/tests/leader_election.rs
@@ -1,9 +1,9 @@
 //! Links that work in part, and how soon there is a leader again.
 
-mod world;
+mod simulation;
 
 use hollowpaddle_consensus::ProposalId;
-use world::{World, ms};
+use simulation::{World, ms};
 
 /// A bank of five that leads, with a share of words lost.
 fn settled(seed: u64, size: u16, loss: f64) -> World {
--- a/crates/consensus/tests/learners.rs
+++ b/crates/consensus/tests/learners.rs
@@ -1,10 +1,10 @@
 //! A whole bank learns what the council agrees on.
 
-mod world;
+mod simulation;
 
 use hollowpaddle_consensus::{LearnerEvent, LogIndex, ProposalId, ProposalOutcome, ReplicaStatus};
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
-use world::{App, World, ms};
+use simulation::{App, World, ms};
 
 const FIVE: [u16; 5] = [0, 7, 14, 21, 28];
 
--- a/crates/consensus/tests/messages.rs
+++ b/crates/consensus/tests/messages.rs
@@ -1,6 +1,6 @@
 //! Words on the wire, and what a machine does with words that no member would say.
 
-mod world;
+mod simulation;
 
 use hollowpaddle_consensus::{
     Action, EntryPayload, Event, IncarnationCounts, Learner, LearnerConfig, LearnerEvent,
@@ -9,7 +9,7 @@
 };
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use proptest::prelude::*;
-use world::{World, ms};
+use simulation::{World, ms};
 
 fn message(body: MessageBody) -> Message {
     Message { view: View::default(), counts: IncarnationCounts::new(), body }
--- a/crates/consensus/tests/store.rs
+++ b/crates/consensus/tests/store.rs
@@ -1,6 +1,6 @@
 //! The store at every numbered point, alone and under a council.
 
-mod world;
+mod simulation;
 
 use std::collections::BTreeSet;
 
@@ -10,7 +10,7 @@
 };
 use hollowpaddle_failpoints::{Fault, Kind, Plan, Points};
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
-use world::{Played, World, ms};
+use simulation::{Played, World, ms};
 
 fn entry(number: u64, length: usize) -> Entry {
     let id = ProposalId { by: NodeId(1), incarnation: Incarnation(1), number };
