--- a/crates/consensus/src/learner.rs
+++ b/crates/consensus/src/learner.rs
@@ -7,20 +7,20 @@
 
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 
-use crate::learner_tree::{CHILDREN, order, parent};
-use crate::log::{Base, Blob, Log};
+use crate::learner_tree::{MAX_CHILDREN, order, parent};
+use crate::log::{Log, SnapshotAssembly, SnapshotBase};
 use crate::message::{
-    ENTRY_MAX, Entry, EntryPayload, IncarnationCounts, LogIndex, Message, MessageBody, Part,
-    ProposalId, ProposalOutcome, SNAPSHOT_MAX, View, VoterSet,
+    Entry, EntryPayload, IncarnationCounts, LogIndex, MAX_ENTRY_BYTES, MAX_SNAPSHOT_BYTES, Message,
+    MessageBody, Part, ProposalId, ProposalOutcome, View, VoterSet,
 };
-use crate::replication::SNAPSHOT_EVERY;
+use crate::replication::SNAPSHOT_INTERVAL_ENTRIES;
 
 /// How often a learner asks its source.
-pub const FOLLOW: Duration = Duration::from_millis(300);
+pub const POLL_INTERVAL: Duration = Duration::from_millis(300);
 /// A source that has not answered for so long, twice asked, is changed.
-pub const SILENT: Duration = Duration::from_millis(700);
+pub const SOURCE_TIMEOUT: Duration = Duration::from_millis(700);
 /// A source that, by its own word, has heard of no leader for so long is changed.
-pub const STALE: Duration = Duration::from_millis(1500);
+pub const MAX_LEADER_AGE: Duration = Duration::from_millis(1500);
 /// A source that is not the tree's is left for the tree's after so long.
 const BACK: Duration = Duration::from_secs(5);
 /// What was asked for and did not come is asked for again after so long.
@@ -30,11 +30,11 @@
 const GUESTS: usize = 8;
 /// Parts (16 KiB at most) that a learner sends within 100 ms, to all together: the burst of a hundred that
 /// catch up at once.
-pub const PARTS: u32 = 32;
+pub const MAX_CHUNKS_PER_INTERVAL: u32 = 32;
 /// A proposal without an answer for so long is told as unknown.
-pub const ANSWER: Duration = Duration::from_secs(10);
+pub const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(10);
 /// Proposals underway at one door. One more is told as unknown at once: a flood would fill the memory.
-pub const PROPOSALS: usize = 256;
+pub const MAX_PENDING_PROPOSALS: usize = 256;
 
 /// What a learner is given at its start.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -75,7 +75,7 @@
         /// The last entry in it.
         index: LogIndex,
         /// What stands there.
-        base: Base,
+        base: SnapshotBase,
     },
     /// Whom the council's machine of this process hears lead ([`crate::Replica::leader`]), whenever that
     /// changes.
@@ -85,7 +85,7 @@
     Snapshot {
         /// The entry.
         index: LogIndex,
-        /// As long as [`crate::SNAPSHOT_MAX`] less 64 KiB.
+        /// As long as [`crate::MAX_SNAPSHOT_BYTES`] less 64 KiB.
         bytes: Vec<u8>,
     },
     /// To be an entry.
@@ -188,7 +188,7 @@
     asked: Option<Duration>,
     /// Something was asked for that the source has.
     behind: bool,
-    blob: Blob,
+    blob: SnapshotAssembly,
     /// The epoch of the snapshot that is being fetched.
     blob_epoch: u32,
     turn: usize,
@@ -207,7 +207,7 @@
             now,
             chance: settings.seed ^ 0x1EA4_0000,
             epoch: 0,
-            log: Log::new(Base { members: members.clone(), ..Base::default() }),
+            log: Log::new(SnapshotBase { members: members.clone(), ..SnapshotBase::default() }),
             leader: None,
             own: false,
             led: None,
@@ -219,7 +219,7 @@
             heard: now,
             asked: None,
             behind: false,
-            blob: Blob::default(),
+            blob: SnapshotAssembly::default(),
             blob_epoch: 0,
             turn: 0,
             children: BTreeMap::new(),
@@ -257,18 +257,20 @@
                 let op = index.op();
                 let known =
                     index.epoch() == self.epoch && op <= self.log.op() && op > self.log.base().op;
-                if known && bytes.len() <= SNAPSHOT_MAX - (64 << 10) {
+                if known && bytes.len() <= MAX_SNAPSHOT_BYTES - (64 << 10) {
                     self.log.rebase(self.log.base_at(op, bytes));
                 }
             }
             LearnerEvent::ChangeSource(than) => {
                 // Not again at once: whoever it goes to is to have its time to answer.
-                if self.source == Some(than) && self.now.saturating_sub(self.since) >= SILENT {
+                if self.source == Some(than)
+                    && self.now.saturating_sub(self.since) >= SOURCE_TIMEOUT
+                {
                     self.change_source(actions);
                 }
             }
             LearnerEvent::Propose { id, bytes } => {
-                if bytes.len() > ENTRY_MAX {
+                if bytes.len() > MAX_ENTRY_BYTES {
                     actions.push(LearnerAction::Answered { id, outcome: ProposalOutcome::Never });
                 } else {
                     self.begin(id, Some(EntryPayload::Command(bytes)), actions);
@@ -329,7 +331,7 @@
             self.new_order(actions);
         }
         actions.push(LearnerAction::Committed { index: LogIndex::new(self.epoch, op), entry });
-        if op.saturating_sub(self.log.base().op.max(self.wanted)) >= SNAPSHOT_EVERY {
+        if op.saturating_sub(self.log.base().op.max(self.wanted)) >= SNAPSHOT_INTERVAL_ENTRIES {
             self.wanted = op;
             actions.push(LearnerAction::SnapshotWanted);
         }
@@ -337,7 +339,7 @@
     }
 
     /// Goes on from a snapshot, if it is of a later epoch, or beyond what is there.
-    fn adopt(&mut self, epoch: u32, base: Base, actions: &mut Vec<LearnerAction>) {
+    fn adopt(&mut self, epoch: u32, base: SnapshotBase, actions: &mut Vec<LearnerAction>) {
         if LogIndex::new(epoch, base.op) <= self.at() && epoch == self.epoch || epoch < self.epoch {
             return;
         }
@@ -398,7 +400,7 @@
         }
         self.parts += 1;
         // What is new goes out at once to all children; what is old waits for its turn.
-        self.parts <= PARTS
+        self.parts <= MAX_CHUNKS_PER_INTERVAL
     }
 
     fn age(&self) -> u32 {
@@ -471,10 +473,10 @@
             self.take_source(None, actions);
             return;
         }
-        let silent = self.now.saturating_sub(self.heard) >= SILENT;
+        let silent = self.now.saturating_sub(self.heard) >= SOURCE_TIMEOUT;
         let stale = !self.own
-            && self.now.saturating_sub(self.since) >= STALE
-            && self.age() > STALE.as_millis() as u32;
+            && self.now.saturating_sub(self.since) >= MAX_LEADER_AGE
+            && self.age() > MAX_LEADER_AGE.as_millis() as u32;
         if silent || stale || self.source.is_none() && self.order.len() > 1 {
             self.change_source(actions);
         } else if self.attempt > 0 && self.now.saturating_sub(self.since) >= BACK {
@@ -487,16 +489,16 @@
     fn tick(&mut self, actions: &mut Vec<LearnerAction>) {
         let now = self.now;
         self.look_at_source(actions);
-        self.children.retain(|_, c| now.saturating_sub(c.heard) < 2 * SILENT);
+        self.children.retain(|_, c| now.saturating_sub(c.heard) < 2 * SOURCE_TIMEOUT);
         self.push_again(actions);
-        let wait = if self.behind { AGAIN } else { FOLLOW };
+        let wait = if self.behind { AGAIN } else { POLL_INTERVAL };
         if self.asked.is_none_or(|asked| now.saturating_sub(asked) >= wait) {
             self.follow(actions);
         }
         let late: Vec<ProposalId> = self
             .underway
             .iter()
-            .filter(|(_, u)| now.saturating_sub(u.began) >= ANSWER)
+            .filter(|(_, u)| now.saturating_sub(u.began) >= PROPOSAL_TIMEOUT)
             .map(|(id, _)| *id)
             .collect();
         for id in late {
@@ -506,7 +508,7 @@
         let again: Vec<ProposalId> = self
             .underway
             .iter()
-            .filter(|(_, u)| now.saturating_sub(u.asked) >= FOLLOW)
+            .filter(|(_, u)| now.saturating_sub(u.asked) >= POLL_INTERVAL)
             .map(|(id, _)| *id)
             .collect();
         for id in again {
@@ -518,7 +520,7 @@
         self.asked = Some(self.now);
         if let Some(source) = self.source {
             let (at, offset, sum) = (self.at(), self.blob.offset(), self.blob.sum());
-            self.send(source, MessageBody::Follow { at, offset, sum }, actions);
+            self.send(source, MessageBody::LearnerPoll { at, offset, sum }, actions);
         }
     }
 
@@ -526,26 +528,31 @@
 
     fn message(&mut self, from: NodeId, message: Message, actions: &mut Vec<LearnerAction>) {
         match message.body {
-            MessageBody::Follow { at, offset, sum } => {
+            MessageBody::LearnerPoll { at, offset, sum } => {
                 self.on_follow(from, at, offset, sum, actions)
             }
             MessageBody::News { at, leader, members, age, part } => {
                 self.on_news(from, at, leader, &members, age, part, actions);
             }
-            MessageBody::Piece { offset, sum } if sum == self.log.sum() && self.has_parts() => {
+            MessageBody::SnapshotChunkRequest { offset, sum }
+                if sum == self.log.sum() && self.has_parts() =>
+            {
                 let part = self.log.part(0, 0, offset);
                 self.news(from, Some(part), actions);
             }
-            MessageBody::AskCopy { nonce } => {
-                let body =
-                    MessageBody::Copy { nonce, at: self.at(), members: self.members.clone() };
+            MessageBody::LearnerStatusRequest { nonce } => {
+                let body = MessageBody::LearnerStatusResponse {
+                    nonce,
+                    at: self.at(),
+                    members: self.members.clone(),
+                };
                 self.send(from, body, actions);
             }
-            MessageBody::FetchCopy { from: first, offset } if self.has_parts() => {
+            MessageBody::GetLearnerState { from: first, offset } if self.has_parts() => {
                 let part = self.log.part(first, self.log.op(), offset);
                 self.send(from, MessageBody::Part(part), actions);
             }
-            MessageBody::Answer { id, outcome, leader } => {
+            MessageBody::ProposalResponse { id, outcome, leader } => {
                 self.on_answer(from, id, outcome, leader, actions)
             }
             _ => {}
@@ -560,7 +567,7 @@
         sum: u32,
         actions: &mut Vec<LearnerAction>,
     ) {
-        let full = self.children.len() >= CHILDREN + GUESTS;
+        let full = self.children.len() >= MAX_CHILDREN + GUESTS;
         if full && !self.children.contains_key(&from) || from == self.settings.node_id {
             return;
         }
@@ -594,7 +601,7 @@
             self.heard = self.now;
             let led = self.now.checked_sub(Duration::from_millis(u64::from(age)));
             self.led = self.led.max(led);
-            if !self.own && age < STALE.as_millis() as u32 {
+            if !self.own && age < MAX_LEADER_AGE.as_millis() as u32 {
                 // VoterSet first: who leads counts only among them.
                 if at.epoch() > self.epoch && !members.voters.is_empty() {
                     self.members = members.clone();
@@ -603,11 +610,15 @@
             }
         }
         if at.epoch() < self.epoch
-            && age < STALE.as_millis() as u32
+            && age < MAX_LEADER_AGE.as_millis() as u32
             && let Some(leader) = leader
         {
             // It goes back for nobody; the leader can go on under a greater name.
-            let body = MessageBody::Copy { nonce: 0, at: self.at(), members: self.members.clone() };
+            let body = MessageBody::LearnerStatusResponse {
+                nonce: 0,
+                at: self.at(),
+                members: self.members.clone(),
+            };
             self.send(leader, body, actions);
         }
         let before = self.at();
@@ -620,7 +631,7 @@
             }
             Some(chunk @ Part::Chunk { .. }) if at > before => {
                 if self.blob_epoch != at.epoch() {
-                    (self.blob, self.blob_epoch) = (Blob::default(), at.epoch());
+                    (self.blob, self.blob_epoch) = (SnapshotAssembly::default(), at.epoch());
                 }
                 let offset = self.blob.offset();
                 if let Some(base) = self.blob.take(chunk) {
@@ -631,7 +642,7 @@
             _ => {}
         }
         if self.at() > before {
-            self.blob = Blob::default();
+            self.blob = SnapshotAssembly::default();
             let first =
                 if before.epoch() == self.epoch { before.op() + 1 } else { self.log.base().op + 1 };
             if first <= self.log.op() {
@@ -669,7 +680,7 @@
         self.asked = Some(self.now);
         self.send(
             other,
-            MessageBody::Piece { offset: self.blob.offset(), sum: self.blob.sum() },
+            MessageBody::SnapshotChunkRequest { offset: self.blob.offset(), sum: self.blob.sum() },
             actions,
         );
         true
@@ -686,7 +697,7 @@
         if self.underway.contains_key(&id) {
             return;
         }
-        if self.underway.len() >= PROPOSALS {
+        if self.underway.len() >= MAX_PENDING_PROPOSALS {
             // Not a no: it may have been sent before.
             actions.push(LearnerAction::Answered { id, outcome: ProposalOutcome::Unknown });
             return;
--- a/crates/consensus/src/learner_tree.rs
+++ b/crates/consensus/src/learner_tree.rs
@@ -6,7 +6,7 @@
 use crate::message::VoterSet;
 
 /// Children of one member.
-pub const CHILDREN: usize = 8;
+pub const MAX_CHILDREN: usize = 8;
 
 fn rank(member: NodeId) -> u64 {
     // The finalizer of SplitMix64: neighbours by number, which stand side by side, come far from each other.
@@ -29,5 +29,5 @@
 
 /// From whom the one at this place learns first.
 pub fn parent(order: &[NodeId], place: usize) -> Option<NodeId> {
-    place.checked_sub(1).and_then(|p| order.get(p / CHILDREN)).copied()
+    place.checked_sub(1).and_then(|p| order.get(p / MAX_CHILDREN)).copied()
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -12,7 +12,7 @@
 //! 2. A yes is in every later log, unless so many voters forget at one moment that the others are no
 //!    majority (the same). Then it is if a voter or learner that can be reached has it
 //!    (`learners::all_voters_forget_at_once_and_the_learners_copies_bring_the_log_back`).
-//! 3. A repeated proposal is one entry, as long as fewer than [`IDS`] others came between (`agreement`). A
+//! 3. A repeated proposal is one entry, as long as fewer than [`MAX_REMEMBERED_PROPOSALS`] others came between (`agreement`). A
 //!    no is told only of what can never be an entry
 //!    (`words::what_can_never_be_an_entry_is_told_so_and_nothing_else_is`).
 //! 4. Nothing leaves a member before what it rests on is on its disk
@@ -52,22 +52,26 @@
 mod view_change;
 
 pub use learner::{
-    ANSWER, FOLLOW, Learner, LearnerAction, LearnerConfig, LearnerEvent, PARTS, PROPOSALS, SILENT,
-    STALE,
+    Learner, LearnerAction, LearnerConfig, LearnerEvent, MAX_CHUNKS_PER_INTERVAL, MAX_LEADER_AGE,
+    MAX_PENDING_PROPOSALS, POLL_INTERVAL, PROPOSAL_TIMEOUT, SOURCE_TIMEOUT,
+};
+pub use learner_tree::{MAX_CHILDREN, order, parent};
+pub use log::{
+    Log, MAX_LOG_BYTES, MAX_LOG_ENTRIES, MAX_REMEMBERED_PROPOSALS, RETAINED_ENTRIES, SnapshotBase,
 };
-pub use learner_tree::{CHILDREN, order, parent};
-pub use log::{Base, IDS, KEPT, LOG_BYTES, LOG_MAX, Log};
 pub use log_file::{Directory, Disk};
 pub use log_record::{DurableState, Record, State};
 pub use message::{
-    ENTRY_MAX, Entry, EntryPayload, Heartbeat, IncarnationCounts, LogIndex, MAX_MESSAGE_BYTES,
-    MAX_VOTERS, Message, MessageBody, MessageError, PART, Part, ProposalId, ProposalOutcome,
-    ReplicaStatus, SNAPSHOT_MAX, View, VoterSet,
+    Entry, EntryPayload, Heartbeat, IncarnationCounts, LogIndex, MAX_CHUNK_BYTES, MAX_ENTRY_BYTES,
+    MAX_MESSAGE_BYTES, MAX_SNAPSHOT_BYTES, MAX_VOTERS, Message, MessageBody, MessageError, Part,
+    ProposalId, ProposalOutcome, ReplicaStatus, View, VoterSet,
 };
-pub use recovery::{DIRECTORY, GATHER, LIVED};
+pub use recovery::{DIRECTORY_RECOVERY_TIMEOUT, EPOCH_BOOTSTRAP_DELAY, LEARNER_QUERY_PERIOD};
 pub use replica::{
     Action, Event, HEARTBEAT_INTERVAL, OperatorCommand, PEER_TIMEOUT, QUORUM_LOSS_TIMEOUT, Replica,
     ReplicaConfig, default_voters,
 };
-pub use replication::{SNAPSHOT_EVERY, UNDERWAY};
-pub use store::{COMPACT, Corruption, FILE_MAX, Found, Store, StoreError, VERSION};
+pub use replication::{MAX_UNCOMMITTED_ENTRIES, SNAPSHOT_INTERVAL_ENTRIES};
+pub use store::{
+    COMPACTION_THRESHOLD_BYTES, Corruption, LoadedLog, MAX_FILE_BYTES, Store, StoreError, VERSION,
+};
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -8,21 +8,23 @@
 use hollowpaddle_peer_transport::NodeId;
 use serde::{Deserialize, Serialize};
 
-use crate::message::{Entry, PART, Part, ProposalId, SNAPSHOT_MAX, View, VoterSet};
+use crate::message::{
+    Entry, MAX_CHUNK_BYTES, MAX_SNAPSHOT_BYTES, Part, ProposalId, View, VoterSet,
+};
 
 /// Entries kept behind a snapshot, so that one a little behind needs entries and not the snapshot.
-pub const KEPT: u64 = 256;
+pub const RETAINED_ENTRIES: u64 = 256;
 /// Most entries of a log. Beyond, nothing more is proposed until a snapshot cuts it: without this bound a
 /// machine above that gives no snapshots fills the memory of all.
-pub const LOG_MAX: usize = 8192;
+pub const MAX_LOG_ENTRIES: usize = 8192;
 /// Most bytes of a log's entries.
-pub const LOG_BYTES: usize = 8 << 20;
+pub const MAX_LOG_BYTES: usize = 8 << 20;
 /// Ids of proposals that are remembered. A repeat that comes after so many others is a new entry.
-pub const IDS: usize = 1024;
+pub const MAX_REMEMBERED_PROPOSALS: usize = 1024;
 
 /// What stands at an entry of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Base {
+pub struct SnapshotBase {
     /// The last entry that it holds.
     pub op: u64,
     /// Who votes after it.
@@ -36,7 +38,7 @@
 /// A snapshot and what came after.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Log {
-    base: Base,
+    base: SnapshotBase,
     /// The base as it is sent, and its sum.
     blob: Arc<(Vec<u8>, u32)>,
     /// The entry before the first that is kept.
@@ -47,7 +49,7 @@
 
 impl Log {
     /// Nothing but what stands at its beginning.
-    pub fn new(base: Base) -> Self {
+    pub fn new(base: SnapshotBase) -> Self {
         // Serialising to a vector of plain values can't fail.
         let bytes = postcard::to_stdvec(&base).unwrap_or_default();
         let sum = crc32fast::hash(&bytes);
@@ -55,7 +57,7 @@
         Self { base, blob: Arc::new((bytes, sum)), start, entries: Vec::new(), bytes: 0 }
     }
     /// With entries; `start` is the number of the one before the first.
-    pub fn with(base: Base, start: u64, entries: Vec<Entry>) -> Self {
+    pub fn with(base: SnapshotBase, start: u64, entries: Vec<Entry>) -> Self {
         let mut log = Self::new(base);
         log.start = start.min(log.base.op);
         log.bytes = entries.iter().map(Entry::size).sum();
@@ -63,7 +65,7 @@
         log
     }
     /// What it begins with.
-    pub fn base(&self) -> &Base {
+    pub fn base(&self) -> &SnapshotBase {
         &self.base
     }
     /// Number of the last entry.
@@ -84,7 +86,7 @@
     }
     /// There is room for one more.
     pub fn has_room(&self) -> bool {
-        self.entries.len() < LOG_MAX && self.bytes < LOG_BYTES
+        self.entries.len() < MAX_LOG_ENTRIES && self.bytes < MAX_LOG_BYTES
     }
     /// The entry with this number.
     pub fn get(&self, op: u64) -> Option<&Entry> {
@@ -102,9 +104,9 @@
         self.entries.truncate(keep);
         self.bytes = self.entries.iter().map(Entry::size).sum();
     }
-    /// A snapshot at a later entry; those more than [`KEPT`] before it go.
-    pub fn rebase(&mut self, base: Base) {
-        let gone = base.op.saturating_sub(KEPT).saturating_sub(self.start);
+    /// A snapshot at a later entry; those more than [`RETAINED_ENTRIES`] before it go.
+    pub fn rebase(&mut self, base: SnapshotBase) {
+        let gone = base.op.saturating_sub(RETAINED_ENTRIES).saturating_sub(self.start);
         let gone = (gone as usize).min(self.entries.len());
         let entries = self.entries.split_off(gone);
         *self = Self::with(base, self.start + gone as u64, entries);
@@ -119,19 +121,19 @@
         }
         members
     }
-    /// Proposals up to this entry, the last [`IDS`] of them.
+    /// Proposals up to this entry, the last [`MAX_REMEMBERED_PROPOSALS`] of them.
     pub fn ids_at(&self, op: u64) -> BTreeMap<ProposalId, u64> {
         let mut ids: Vec<(ProposalId, u64)> = self.base.ids.clone();
         let behind = self.base.op + 1..=op.min(self.op());
         ids.extend(behind.filter_map(|op| self.get(op).map(|e| (e.id, op))));
-        let late = ids.len().saturating_sub(IDS);
+        let late = ids.len().saturating_sub(MAX_REMEMBERED_PROPOSALS);
         ids.split_off(late).into_iter().collect()
     }
     /// The base at an entry, with the machine above's snapshot of it.
-    pub fn base_at(&self, op: u64, state: Vec<u8>) -> Base {
+    pub fn base_at(&self, op: u64, state: Vec<u8>) -> SnapshotBase {
         let mut ids: Vec<_> = self.ids_at(op).into_iter().collect();
         ids.sort_unstable_by_key(|(id, op)| (*op, *id));
-        Base { op, members: self.members_at(op), ids, state }
+        SnapshotBase { op, members: self.members_at(op), ids, state }
     }
     /// Entries from a number on up to another, as many as a word takes.
     pub fn some(&self, from: u64, through: u64) -> Vec<Entry> {
@@ -140,7 +142,7 @@
         for op in from..=through {
             let Some(entry) = self.get(op) else { break };
             bytes += entry.size();
-            if bytes > PART && !some.is_empty() {
+            if bytes > MAX_CHUNK_BYTES && !some.is_empty() {
                 break;
             }
             some.push(entry.clone());
@@ -154,7 +156,7 @@
         }
         let (bytes, sum) = &*self.blob;
         let at = (offset as usize).min(bytes.len());
-        let end = (at + PART).min(bytes.len());
+        let end = (at + MAX_CHUNK_BYTES).min(bytes.len());
         Part::Chunk {
             op: self.base.op,
             len: bytes.len() as u32,
@@ -167,7 +169,7 @@
 
 /// Another member's log that is being fetched.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Transfer {
+pub struct StateTransfer {
     /// From whom.
     pub source: NodeId,
     /// The view that it is fetched for.
@@ -179,21 +181,21 @@
     /// When it was last asked.
     pub asked: Duration,
     first: u64,
-    base: Option<Base>,
+    base: Option<SnapshotBase>,
     entries: Vec<Entry>,
-    blob: Blob,
+    blob: SnapshotAssembly,
 }
 
 /// A snapshot that is being put together.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Blob {
+pub struct SnapshotAssembly {
     op: u64,
     len: u32,
     sum: u32,
     bytes: Vec<u8>,
 }
 
-impl Blob {
+impl SnapshotAssembly {
     /// Bytes that are there.
     pub fn offset(&self) -> u32 {
         self.bytes.len() as u32
@@ -203,10 +205,10 @@
         self.sum
     }
     /// Takes bytes in their order; the whole, once it is there and sums up.
-    pub fn take(&mut self, part: Part) -> Option<Base> {
+    pub fn take(&mut self, part: Part) -> Option<SnapshotBase> {
         let Part::Chunk { op, len, sum, offset, bytes } = part else { return None };
         if (op, len, sum) != (self.op, self.len, self.sum) {
-            if offset != 0 || len as usize > SNAPSHOT_MAX {
+            if offset != 0 || len as usize > MAX_SNAPSHOT_BYTES {
                 // Of another snapshot than was begun: begin that one.
                 *self = Self::default();
                 return None;
@@ -224,12 +226,12 @@
         if crc32fast::hash(&whole.bytes) != sum {
             return None;
         }
-        let (base, rest): (Base, _) = postcard::take_from_bytes(&whole.bytes).ok()?;
+        let (base, rest): (SnapshotBase, _) = postcard::take_from_bytes(&whole.bytes).ok()?;
         (rest.is_empty() && base.op == op).then_some(base)
     }
 }
 
-impl Transfer {
+impl StateTransfer {
     /// From a source, for a view: entries from `from` to `target`, or a snapshot and entries.
     pub fn new(source: NodeId, view: View, from: u64, target: u64) -> Self {
         Self {
@@ -241,7 +243,7 @@
             first: from,
             base: None,
             entries: Vec::new(),
-            blob: Blob::default(),
+            blob: SnapshotAssembly::default(),
         }
     }
     /// Number of the next entry, and bytes of a snapshot that are there.
@@ -252,7 +254,10 @@
     pub fn take(&mut self, part: Part) -> bool {
         match part {
             Part::Entries { first, entries } => {
-                if first != self.next().0 || entries.is_empty() || self.entries.len() >= LOG_MAX {
+                if first != self.next().0
+                    || entries.is_empty()
+                    || self.entries.len() >= MAX_LOG_ENTRIES
+                {
                     return false;
                 }
                 self.entries.extend(entries);
--- a/crates/consensus/src/log_record.rs
+++ b/crates/consensus/src/log_record.rs
@@ -2,14 +2,14 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::log::{Base, Log};
+use crate::log::{Log, SnapshotBase};
 use crate::message::{Entry, IncarnationCounts, View};
 
 /// One thing that is to survive the process.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Record {
     /// No view before this one has its part any longer.
-    Promise {
+    ViewPromise {
         /// Which.
         view: View,
         /// The last in which it took part.
@@ -26,12 +26,12 @@
     },
     /// It takes part in a view, with these entries in place of what was there from the first on: both or
     /// neither.
-    Turn {
-        /// As in `Promise`.
+    ViewStart {
+        /// As in `ViewPromise`.
         view: View,
-        /// As in `Promise`.
+        /// As in `ViewPromise`.
         last: View,
-        /// As in `Promise`.
+        /// As in `ViewPromise`.
         counts: IncarnationCounts,
         /// As in `Entries`.
         first: u64,
@@ -45,19 +45,19 @@
         commit: u64,
     },
     /// A snapshot, for what is before it.
-    Snapshot(Base),
+    Snapshot(SnapshotBase),
     /// All of it, in place of all that was there.
-    Whole {
-        /// As in `Promise`.
+    CompleteState {
+        /// As in `ViewPromise`.
         view: View,
-        /// As in `Promise`.
+        /// As in `ViewPromise`.
         last: View,
-        /// As in `Promise`.
+        /// As in `ViewPromise`.
         counts: IncarnationCounts,
         /// As in `Commit`.
         commit: u64,
         /// What the log begins with.
-        base: Base,
+        base: SnapshotBase,
         /// The number before its first entry.
         start: u64,
         /// All of them.
@@ -68,11 +68,11 @@
 /// What all records of a directory together say.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
-    /// As in [`Record::Promise`].
+    /// As in [`Record::ViewPromise`].
     pub view: View,
-    /// As in [`Record::Promise`].
+    /// As in [`Record::ViewPromise`].
     pub last: View,
-    /// As in [`Record::Promise`].
+    /// As in [`Record::ViewPromise`].
     pub counts: IncarnationCounts,
     /// As in [`Record::Commit`].
     pub commit: u64,
@@ -93,7 +93,7 @@
     /// One record more.
     pub fn apply(&mut self, number: u64, record: Record) {
         self.written = number;
-        if let Record::Whole { view, last, counts, commit, base, start, entries } = record {
+        if let Record::CompleteState { view, last, counts, commit, base, start, entries } = record {
             let log = Log::with(base, start, entries);
             self.state = Some(State { view, last, counts, commit, log });
             return;
@@ -101,27 +101,27 @@
         // The first record of a directory is a whole one; others before it say nothing.
         let Some(state) = &mut self.state else { return };
         match record {
-            Record::Promise { view, last, counts } => {
+            Record::ViewPromise { view, last, counts } => {
                 (state.view, state.last, state.counts) = (view, last, counts);
             }
             Record::Entries { first, entries } => {
                 state.log.truncate(first.saturating_sub(1));
                 entries.into_iter().for_each(|e| state.log.push(e));
             }
-            Record::Turn { view, last, counts, first, entries } => {
+            Record::ViewStart { view, last, counts, first, entries } => {
                 (state.view, state.last, state.counts) = (view, last, counts);
                 state.log.truncate(first.saturating_sub(1));
                 entries.into_iter().for_each(|e| state.log.push(e));
             }
             Record::Commit { commit } => state.commit = commit,
             Record::Snapshot(base) => state.log.rebase(base),
-            Record::Whole { .. } => {}
+            Record::CompleteState { .. } => {}
         }
     }
 
     /// All of it as one record.
     pub fn whole(&self) -> Option<Record> {
-        self.state.as_ref().map(|s| Record::Whole {
+        self.state.as_ref().map(|s| Record::CompleteState {
             view: s.view,
             last: s.last,
             counts: s.counts.clone(),
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -8,15 +8,15 @@
 use serde::{Deserialize, Serialize};
 
 /// Longest entry, in bytes. Longer ones are refused at the door: every voter and learner holds hundreds.
-pub const ENTRY_MAX: usize = 16 << 10;
+pub const MAX_ENTRY_BYTES: usize = 16 << 10;
 /// Bytes of entries, or of a snapshot, in one word. A longer word holds up all others on a link of paced
 /// datagrams.
-pub const PART: usize = 16 << 10;
+pub const MAX_CHUNK_BYTES: usize = 16 << 10;
 /// Longest word, in bytes, as written.
 pub const MAX_MESSAGE_BYTES: usize = 20 << 10;
 /// Longest snapshot with what the council adds to it, in bytes. Without a bound a broken sender fills the
 /// memory of whoever puts it together.
-pub const SNAPSHOT_MAX: usize = 2 << 20;
+pub const MAX_SNAPSHOT_BYTES: usize = 2 << 20;
 /// Most members of a council, with those that are on their way in or out.
 pub const MAX_VOTERS: usize = 16;
 /// Bits of an [`LogIndex`] for the number in the log.
@@ -127,7 +127,7 @@
 /// What an entry holds.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum EntryPayload {
-    /// For the machine above: [`ENTRY_MAX`] at most.
+    /// For the machine above: [`MAX_ENTRY_BYTES`] at most.
     Command(Vec<u8>),
     /// A member votes no longer, and another one is to come for it.
     RemoveVoter {
@@ -164,7 +164,7 @@
 pub enum ProposalOutcome {
     /// It is an entry, for good.
     Committed(LogIndex),
-    /// It is none, and will never be: it is longer than [`ENTRY_MAX`], or not a change of one member that
+    /// It is none, and will never be: it is longer than [`MAX_ENTRY_BYTES`], or not a change of one member that
     /// can be made.
     Never,
     /// Nobody answered in time. It may be an entry, or become one; it can be asked for by its id.
@@ -191,7 +191,7 @@
         sum: u32,
         /// Where these bytes belong.
         offset: u32,
-        /// At most [`PART`].
+        /// At most [`MAX_CHUNK_BYTES`].
         bytes: Vec<u8>,
     },
 }
@@ -244,7 +244,7 @@
     pub commit: u64,
     /// Records that it has on disk: what a directory put back can't know.
     pub written: u64,
-    /// A leader's round, to be answered with [`MessageBody::Ok`]; 0: none.
+    /// A leader's round, to be answered with [`MessageBody::PrepareOk`]; 0: none.
     pub round: u32,
     /// Who votes, as it knows it.
     pub members: VoterSet,
@@ -265,21 +265,21 @@
         commit: u64,
     },
     /// Everything up to here is kept, and this round was heard.
-    Ok {
+    PrepareOk {
         /// Last entry that is kept.
         op: u64,
         /// The leader's round; 0: none.
         round: u32,
     },
     /// The sender would lead the view of this word.
-    Begin {
+    StartViewChange {
         /// It founds an epoch: a majority has forgotten, or operators said so.
         founding: bool,
         /// Whose majority founds it, where operators said so.
         members: Option<VoterSet>,
     },
     /// The sender takes part in no view before this word's.
-    Join {
+    DoViewChange {
         /// The last view in which it took part.
         last: View,
         /// Last entry of its log then.
@@ -290,7 +290,7 @@
         blank: bool,
     },
     /// Asks for a log, from this entry on, or for the bytes of a snapshot.
-    Fetch {
+    GetState {
         /// Number of the first entry.
         from: u64,
         /// Bytes of the snapshot that are there.
@@ -299,14 +299,14 @@
     /// What was asked for.
     Part(Part),
     /// One that starts asks what others know.
-    Ask {
+    StatusRequest {
         /// Of this start.
         nonce: u64,
         /// When it was asked, by the asker's clock (ms).
         at: u64,
     },
     /// The answer.
-    Told {
+    StatusResponse {
         /// As asked.
         nonce: u64,
         /// As asked.
@@ -323,12 +323,12 @@
         members: VoterSet,
     },
     /// One that has forgotten begins this life (the word's count of the sender).
-    Recover {
+    Recovery {
         /// Of this start.
         nonce: u64,
     },
     /// What stands: the view of this word.
-    Recovered {
+    RecoveryResponse {
         /// As asked.
         nonce: u64,
         /// Last entry; counts from the leader of the latest view alone.
@@ -345,12 +345,12 @@
     },
 
     /// Asks a learner which copy of the log it has.
-    AskCopy {
+    LearnerStatusRequest {
         /// Of this start.
         nonce: u64,
     },
     /// The answer, to the council.
-    Copy {
+    LearnerStatusResponse {
         /// As asked.
         nonce: u64,
         /// The last entry that it has.
@@ -359,14 +359,14 @@
         members: VoterSet,
     },
     /// Asks a learner for its copy.
-    FetchCopy {
+    GetLearnerState {
         /// As in `Fetch`.
         from: u64,
         /// As in `Fetch`.
         offset: u32,
     },
     /// A learner's first source, and what it has; asked every 300 ms, and after each change.
-    Follow {
+    LearnerPoll {
         /// The last entry that it has.
         at: LogIndex,
         /// Bytes of a snapshot that it has.
@@ -388,14 +388,14 @@
         part: Option<Part>,
     },
     /// Asks one that is not its source for bytes of a snapshot, if it has the very same.
-    Piece {
+    SnapshotChunkRequest {
         /// Bytes that are there.
         offset: u32,
         /// Its sum.
         sum: u32,
     },
     /// What became of a proposal.
-    Answer {
+    ProposalResponse {
         /// Which.
         id: ProposalId,
         /// `None`: ask the leader.
@@ -409,12 +409,12 @@
     /// Which machine hears it: `Replica` or `Log`.
     pub const fn channel(&self) -> Channel {
         match self {
-            Self::AskCopy { .. }
-            | Self::FetchCopy { .. }
-            | Self::Follow { .. }
+            Self::LearnerStatusRequest { .. }
+            | Self::GetLearnerState { .. }
+            | Self::LearnerPoll { .. }
             | Self::News { .. }
-            | Self::Piece { .. }
-            | Self::Answer { .. } => Channel::Log,
+            | Self::SnapshotChunkRequest { .. }
+            | Self::ProposalResponse { .. } => Channel::Log,
             _ => Channel::Consensus,
         }
     }
@@ -424,12 +424,12 @@
             self,
             Self::Heartbeat(_)
                 | Self::Prepare { .. }
-                | Self::Ok { .. }
-                | Self::Begin { .. }
-                | Self::Join { .. }
-                | Self::Recovered { .. }
+                | Self::PrepareOk { .. }
+                | Self::StartViewChange { .. }
+                | Self::DoViewChange { .. }
+                | Self::RecoveryResponse { .. }
                 | Self::Part(_)
-                | Self::Fetch { .. }
+                | Self::GetState { .. }
         )
     }
 }
@@ -465,7 +465,7 @@
     },
     /// A set in it is larger than any sender would make it.
     #[error(
-        "reading a word: it names more members than {MAX_VOTERS}, or bytes beyond {PART}; drop it"
+        "reading a word: it names more members than {MAX_VOTERS}, or bytes beyond {MAX_CHUNK_BYTES}; drop it"
     )]
     Unbounded,
 }
@@ -506,11 +506,11 @@
                 MessageBody::Heartbeat(hello) => {
                     hello.heard.len() <= MAX_VOTERS && few(&hello.members)
                 }
-                MessageBody::Told { members, .. }
-                | MessageBody::Copy { members, .. }
+                MessageBody::StatusResponse { members, .. }
+                | MessageBody::LearnerStatusResponse { members, .. }
                 | MessageBody::News { members, .. } => few(members),
-                MessageBody::Begin { members, .. } => members.as_ref().is_none_or(few),
-                MessageBody::Part(Part::Chunk { bytes, .. }) => bytes.len() <= PART,
+                MessageBody::StartViewChange { members, .. } => members.as_ref().is_none_or(few),
+                MessageBody::Part(Part::Chunk { bytes, .. }) => bytes.len() <= MAX_CHUNK_BYTES,
                 _ => true,
             }
     }
--- a/crates/consensus/src/recovery.rs
+++ b/crates/consensus/src/recovery.rs
@@ -6,18 +6,20 @@
 
 use hollowpaddle_peer_transport::NodeId;
 
-use crate::log::{Base, Log, Transfer};
+use crate::log::{Log, SnapshotBase, StateTransfer};
 use crate::message::{IncarnationCounts, LogIndex, MessageBody, ReplicaStatus, View, VoterSet};
-use crate::replica::{Action, Founding, HEARTBEAT_INTERVAL, Lead, Replica, VIEW_CHANGE_TIMEOUT};
+use crate::replica::{
+    Action, EpochBootstrap, HEARTBEAT_INTERVAL, LeaderState, Replica, VIEW_CHANGE_TIMEOUT,
+};
 
 /// A directory is gone on from only when nobody could tell what stands within so long.
-pub const DIRECTORY: Duration = Duration::from_millis(500);
+pub const DIRECTORY_RECOVERY_TIMEOUT: Duration = Duration::from_millis(500);
 /// Copies are gathered for so long before an epoch is founded.
-pub const GATHER: Duration = Duration::from_secs(1);
+pub const LEARNER_QUERY_PERIOD: Duration = Duration::from_secs(1);
 /// An epoch is founded only by members that have each been there for so long without a memory: whoever leads the epoch
 /// before has then had no majority for as long as a lease of 2 s lasts by any clock. Failure, found in played banks: a
 /// bank founded anew within a second acted on other rules than one that still held a lease of the old leader's.
-pub const LIVED: Duration = Duration::from_millis(2050);
+pub const EPOCH_BOOTSTRAP_DELAY: Duration = Duration::from_millis(2050);
 /// Those with lower numbers go first, each by so much.
 const TURN: Duration = Duration::from_millis(300);
 /// One that joins a founding has itself asked for so long.
@@ -71,7 +73,7 @@
         if !directory {
             self.blank = true;
             self.last = View::default();
-            let base = Base { members: self.members.clone(), ..Base::default() };
+            let base = SnapshotBase { members: self.members.clone(), ..SnapshotBase::default() };
             self.log = Log::new(base);
             self.commit = 0;
             self.ids.clear();
@@ -114,13 +116,13 @@
             let until = from.saturating_add(COPIES_A_ROUND).min(cluster);
             waking.cursor = if until >= cluster { 0 } else { until };
             for member in (from..until).map(NodeId) {
-                self.send(member, MessageBody::AskCopy { nonce }, actions);
+                self.send(member, MessageBody::LearnerStatusRequest { nonce }, actions);
             }
         }
-        let ask = MessageBody::Ask { nonce, at: now.as_millis() as u64 };
+        let ask = MessageBody::StatusRequest { nonce, at: now.as_millis() as u64 };
         self.send_council(&ask, actions);
         if begun.is_some() && self.transfer.is_none() {
-            self.send_council(&MessageBody::Recover { nonce }, actions);
+            self.send_council(&MessageBody::Recovery { nonce }, actions);
         }
         self.decide(actions);
     }
@@ -144,7 +146,7 @@
                 waking.begun = Some((count, now));
                 self.counts.insert(node_id, count);
                 let nonce = waking.nonce;
-                self.send_council(&MessageBody::Recover { nonce }, actions);
+                self.send_council(&MessageBody::Recovery { nonce }, actions);
                 return;
             }
         }
@@ -152,7 +154,9 @@
         if waking.directory {
             let waited = waking
                 .begun
-                .map_or(long(waking.began, DIRECTORY), |(_, since)| long(since, GATHER));
+                .map_or(long(waking.began, DIRECTORY_RECOVERY_TIMEOUT), |(_, since)| {
+                    long(since, LEARNER_QUERY_PERIOD)
+                });
             if waited
                 && self.transfer.is_none()
                 && members.is_majority(told.keys().chain([&node_id]))
@@ -172,7 +176,7 @@
             }
             return;
         }
-        if waking.begun.is_none() && long(waking.began, GATHER) {
+        if waking.begun.is_none() && long(waking.began, LEARNER_QUERY_PERIOD) {
             self.consider_founding(actions);
         }
     }
@@ -214,19 +218,19 @@
             return;
         }
         let before = sure.iter().filter(|m| **m < node_id).count() as u32;
-        if now.saturating_sub(last) < LIVED + TURN * before {
+        if now.saturating_sub(last) < EPOCH_BOOTSTRAP_DELAY + TURN * before {
             return;
         }
         let copy = waking.copies;
         let epochs = waking.told.values().map(|t| t.view.epoch).chain(copy.map(|c| c.0.epoch()));
         let epoch = epochs.max().unwrap_or(0).max(self.view.epoch);
-        self.found_epoch(epoch, Some(Founding { copy, restore: false, begun: now }), actions);
+        self.found_epoch(epoch, Some(EpochBootstrap { copy, restore: false, begun: now }), actions);
     }
 
     pub(crate) fn found_epoch(
         &mut self,
         above: u32,
-        founding: Option<Founding>,
+        founding: Option<EpochBootstrap>,
         actions: &mut Vec<Action>,
     ) {
         let epoch = above.saturating_add(1 + self.draw(EPOCHS) as u32);
@@ -248,7 +252,11 @@
         let known = self.peers.values().map(|p| p.view.epoch).chain(copy.map(|c| c.0.epoch()));
         let told = waking.iter().flat_map(|w| w.told.values()).map(|t| t.view.epoch);
         let epoch = known.chain(told).max().unwrap_or(0).max(self.view.epoch);
-        self.found_epoch(epoch, Some(Founding { copy, restore: true, begun: self.now }), actions);
+        self.found_epoch(
+            epoch,
+            Some(EpochBootstrap { copy, restore: true, begun: self.now }),
+            actions,
+        );
     }
 
     /// One that has forgotten joins a founding only after it has asked a majority itself, and none of them
@@ -266,7 +274,7 @@
         if self.joins.get(&from).is_some_and(|j| j.blank) {
             self.joins.remove(&from);
         }
-        let told = MessageBody::Told {
+        let told = MessageBody::StatusResponse {
             nonce,
             at,
             status: self.shown(),
@@ -325,7 +333,7 @@
         actions: &mut Vec<Action>,
     ) {
         let beyond = at.epoch().saturating_sub(self.last.epoch);
-        let settled = |l: &Lead| self.now.saturating_sub(l.since) >= GATHER;
+        let settled = |l: &LeaderState| self.now.saturating_sub(l.since) >= LEARNER_QUERY_PERIOD;
         if beyond > 0 && beyond < EPOCHS_BEYOND && self.lead.as_ref().is_some_and(settled) {
             // Where a majority forgot, an epoch was founded under a lesser name than one that a learner knows, and that
             // learner goes back for nobody: go on under a greater one.
@@ -348,7 +356,8 @@
             self.persist_promise(actions);
             self.kept = Some(self.counts.clone());
         }
-        let body = MessageBody::Recovered { nonce, op: self.log.op(), leads: self.lead.is_some() };
+        let body =
+            MessageBody::RecoveryResponse { nonce, op: self.log.op(), leads: self.lead.is_some() };
         self.send(from, body, actions);
     }
 
@@ -384,7 +393,7 @@
         else {
             return;
         };
-        self.transfer = Some(Transfer::new(view.leader, view, 0, *op));
+        self.transfer = Some(StateTransfer::new(view.leader, view, 0, *op));
         self.view = view;
         self.patience = self.now + VIEW_CHANGE_TIMEOUT;
         self.ask_transfer(actions);
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -6,7 +6,7 @@
 
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 
-use crate::log::{Base, Log, Transfer};
+use crate::log::{Log, SnapshotBase, StateTransfer};
 use crate::log_record::{DurableState, Record};
 use crate::message::{
     Entry, EntryPayload, Heartbeat, IncarnationCounts, LogIndex, Message, MessageBody, ProposalId,
@@ -108,7 +108,7 @@
     Snapshot {
         /// The entry.
         index: LogIndex,
-        /// As long as [`crate::SNAPSHOT_MAX`] less 64 KiB.
+        /// As long as [`crate::MAX_SNAPSHOT_BYTES`] less 64 KiB.
         bytes: Vec<u8>,
     },
     /// A learner outside the council has the log up to an entry.
@@ -165,7 +165,7 @@
         /// The last entry in it.
         index: LogIndex,
         /// With the machine above's state.
-        base: Base,
+        base: SnapshotBase,
     },
     /// The log grows long: [`Event::Snapshot`] is wanted.
     SnapshotWanted,
@@ -187,7 +187,7 @@
 
 /// What a member told that takes part in a new view.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Joined {
+pub(crate) struct DoViewChangeVote {
     pub count: u32,
     pub last: View,
     pub op: u64,
@@ -197,7 +197,7 @@
 
 /// A founding that is under way.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Founding {
+pub(crate) struct EpochBootstrap {
     /// Best copy of a learner, and whose.
     pub copy: Option<(LogIndex, NodeId)>,
     /// Operators named the voters.
@@ -208,7 +208,7 @@
 
 /// What a leader keeps.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Lead {
+pub(crate) struct LeaderState {
     pub since: Duration,
     /// The latest round that a majority answered.
     pub answered: Duration,
@@ -242,10 +242,10 @@
     pub(crate) peers: BTreeMap<NodeId, Peer>,
     /// Greatest number of a view of this epoch that it heard of.
     pub(crate) seen: u32,
-    pub(crate) joins: BTreeMap<NodeId, Joined>,
-    pub(crate) founding: Option<Founding>,
-    pub(crate) lead: Option<Lead>,
-    pub(crate) transfer: Option<Transfer>,
+    pub(crate) joins: BTreeMap<NodeId, DoViewChangeVote>,
+    pub(crate) founding: Option<EpochBootstrap>,
+    pub(crate) lead: Option<LeaderState>,
+    pub(crate) transfer: Option<StateTransfer>,
     /// It begins no view before.
     pub(crate) patience: Duration,
     /// Since when it hears no leader.
@@ -266,7 +266,7 @@
     /// A member that starts, with what its directory held, if it has one and that could be read.
     pub fn new(now: Duration, settings: ReplicaConfig, found: Option<DurableState>) -> Self {
         let members = VoterSet::of(settings.voters.iter().copied());
-        let base = Base { members: members.clone(), ..Base::default() };
+        let base = SnapshotBase { members: members.clone(), ..SnapshotBase::default() };
         let mut replica = Self {
             now,
             chance: settings.seed ^ 0x9E37_79B9_7F4A_7C15,
@@ -448,10 +448,10 @@
     }
     pub(crate) fn persist_promise(&mut self, actions: &mut Vec<Action>) {
         let (view, last, counts) = (self.view, self.last, self.counts.clone());
-        self.persist(Record::Promise { view, last, counts }, actions);
+        self.persist(Record::ViewPromise { view, last, counts }, actions);
     }
     pub(crate) fn persist_whole(&mut self, actions: &mut Vec<Action>) {
-        let whole = Record::Whole {
+        let whole = Record::CompleteState {
             view: self.view,
             last: self.last,
             counts: self.counts.clone(),
@@ -505,7 +505,8 @@
 
     /// A leader that no majority answers steps down.
     fn look_at_lead(&mut self, actions: &mut Vec<Action>) {
-        let lost = |lead: &Lead| self.now.saturating_sub(lead.answered) > QUORUM_LOSS_TIMEOUT;
+        let lost =
+            |lead: &LeaderState| self.now.saturating_sub(lead.answered) > QUORUM_LOSS_TIMEOUT;
         if self.lead.as_ref().is_some_and(lost) {
             self.give_up_lead(actions);
             self.hello(actions);
@@ -581,7 +582,7 @@
         };
         self.send_council(&MessageBody::Heartbeat(hello), actions);
         if round > 0 {
-            let ok = MessageBody::Ok { op: self.log.op(), round };
+            let ok = MessageBody::PrepareOk { op: self.log.op(), round };
             self.send(self.settings.node_id, ok, actions);
         }
     }
@@ -600,20 +601,25 @@
             MessageBody::Prepare { first, entries, commit } => {
                 self.on_prepare(from, view, first, entries, commit, actions)
             }
-            MessageBody::Ok { op, round } => self.on_ok(from, view, op, round, actions),
-            MessageBody::Begin { founding, members } => {
+            MessageBody::PrepareOk { op, round } => self.on_ok(from, view, op, round, actions),
+            MessageBody::StartViewChange { founding, members } => {
                 self.on_begin(from, view, founding, members, actions)
             }
-            MessageBody::Join { last, op, commit, blank } => {
+            MessageBody::DoViewChange { last, op, commit, blank } => {
                 let count = counts.get(&from).copied().unwrap_or(0);
-                self.on_join(from, view, Joined { count, last, op, commit, blank }, actions);
+                self.on_join(
+                    from,
+                    view,
+                    DoViewChangeVote { count, last, op, commit, blank },
+                    actions,
+                );
             }
-            MessageBody::Fetch { from: first, offset } => {
+            MessageBody::GetState { from: first, offset } => {
                 self.on_fetch(from, view, first, offset, actions)
             }
             MessageBody::Part(part) => self.on_part(from, view, part, actions),
-            MessageBody::Ask { nonce, at } => self.on_ask(from, nonce, at, actions),
-            MessageBody::Told { nonce, at, status, own, written, commit, members } => {
+            MessageBody::StatusRequest { nonce, at } => self.on_ask(from, nonce, at, actions),
+            MessageBody::StatusResponse { nonce, at, status, own, written, commit, members } => {
                 let count = counts.get(&node_id).copied().unwrap_or(0);
                 let told = crate::recovery::Told {
                     at,
@@ -627,13 +633,13 @@
                 };
                 self.on_told(from, nonce, told, members);
             }
-            MessageBody::Recover { nonce } => self.on_recover(from, nonce, actions),
-            MessageBody::Recovered { nonce, op, leads } => {
+            MessageBody::Recovery { nonce } => self.on_recover(from, nonce, actions),
+            MessageBody::RecoveryResponse { nonce, op, leads } => {
                 let count = counts.get(&from).copied().unwrap_or(0);
                 self.on_recovered(from, nonce, view, op, leads, count, actions);
             }
             MessageBody::Propose { id, what } => self.propose(from, id, what, actions),
-            MessageBody::Copy { nonce, at, members } => {
+            MessageBody::LearnerStatusResponse { nonce, at, members } => {
                 self.on_copy(from, nonce, at, members, actions)
             }
             _ => {}
@@ -703,7 +709,7 @@
                 };
                 self.send(from, MessageBody::Heartbeat(hello), actions);
             }
-            MessageBody::Ask { .. } | MessageBody::Propose { .. } => return true,
+            MessageBody::StatusRequest { .. } | MessageBody::Propose { .. } => return true,
             _ => {}
         }
         false
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -7,18 +7,18 @@
 
 use crate::log_record::Record;
 use crate::message::{
-    ENTRY_MAX, Entry, EntryPayload, LogIndex, MessageBody, ProposalId, ProposalOutcome,
-    ReplicaStatus, SNAPSHOT_MAX, View,
+    Entry, EntryPayload, LogIndex, MAX_ENTRY_BYTES, MAX_SNAPSHOT_BYTES, MessageBody, ProposalId,
+    ProposalOutcome, ReplicaStatus, View,
 };
 use crate::replica::{Action, Replica};
 
 /// Entries that are not committed yet, at most. Beyond, proposals go unanswered and are repeated: without a
 /// majority the log would grow without end.
-pub const UNDERWAY: u64 = 256;
+pub const MAX_UNCOMMITTED_ENTRIES: u64 = 256;
 /// Proposals that are waited for at a leader, at most.
 const WAITING: usize = 1024;
 /// A snapshot is wanted every so many entries.
-pub const SNAPSHOT_EVERY: u64 = 1024;
+pub const SNAPSHOT_INTERVAL_ENTRIES: u64 = 1024;
 /// A learner that was not heard for so long is not waited for.
 const COPY_FRESH: Duration = Duration::from_millis(1500);
 /// What a change of members that nobody proposed is called by.
@@ -40,12 +40,12 @@
         }
         let op = self.log.op();
         if first > op + 1 {
-            self.send(from, MessageBody::Fetch { from: op + 1, offset: 0 }, actions);
+            self.send(from, MessageBody::GetState { from: op + 1, offset: 0 }, actions);
             return;
         }
         // Of one view there is one log: what is there already is the same.
         let new: Vec<Entry> = entries.into_iter().skip((op + 1 - first) as usize).collect();
-        let bounded = new.iter().all(|e| e.size() <= ENTRY_MAX + 64);
+        let bounded = new.iter().all(|e| e.size() <= MAX_ENTRY_BYTES + 64);
         if !new.is_empty() && self.log.has_room() && bounded {
             for (place, entry) in new.iter().enumerate() {
                 self.ids.insert(entry.id, op + 1 + place as u64);
@@ -54,7 +54,7 @@
             self.persist(Record::Entries { first: op + 1, entries: new }, actions);
         }
         if self.log.op() > op || commit == 0 {
-            self.send(from, MessageBody::Ok { op: self.log.op(), round: 0 }, actions);
+            self.send(from, MessageBody::PrepareOk { op: self.log.op(), round: 0 }, actions);
         }
         self.commit_upto(commit, actions);
     }
@@ -136,7 +136,8 @@
                 self.status = ReplicaStatus::Outside;
             }
         }
-        if self.commit.saturating_sub(self.log.base().op.max(self.asked_snapshot)) >= SNAPSHOT_EVERY
+        if self.commit.saturating_sub(self.log.base().op.max(self.asked_snapshot))
+            >= SNAPSHOT_INTERVAL_ENTRIES
         {
             self.asked_snapshot = self.commit;
             actions.push(Action::SnapshotWanted);
@@ -151,7 +152,7 @@
         actions: &mut Vec<Action>,
     ) {
         let never = match &what {
-            Some(EntryPayload::Command(bytes)) => bytes.len() > ENTRY_MAX,
+            Some(EntryPayload::Command(bytes)) => bytes.len() > MAX_ENTRY_BYTES,
             Some(EntryPayload::RemoveVoter { removed, replacement }) => {
                 *replacement == Some(*removed)
             }
@@ -161,7 +162,7 @@
         if never || self.lead.is_none() {
             let outcome = never.then_some(ProposalOutcome::Never);
             let leader = self.leader().filter(|l| *l != self.settings.node_id);
-            self.send(from, MessageBody::Answer { id, outcome, leader }, actions);
+            self.send(from, MessageBody::ProposalResponse { id, outcome, leader }, actions);
             return;
         }
         if !self.ids.contains_key(&id) {
@@ -169,7 +170,11 @@
                 let leader = Some(self.settings.node_id);
                 self.send(
                     from,
-                    MessageBody::Answer { id, outcome: Some(ProposalOutcome::Unknown), leader },
+                    MessageBody::ProposalResponse {
+                        id,
+                        outcome: Some(ProposalOutcome::Unknown),
+                        leader,
+                    },
                     actions,
                 );
                 return;
@@ -204,7 +209,7 @@
             }
         };
         let underway = self.log.op() - self.commit;
-        fits && underway < UNDERWAY && self.log.has_room()
+        fits && underway < MAX_UNCOMMITTED_ENTRIES && self.log.has_room()
     }
 
     fn is_settled_but_coming(&self) -> bool {
@@ -219,14 +224,14 @@
     fn append(&mut self, entry: Entry, actions: &mut Vec<Action>) {
         let first = self.log.op() + 1;
         self.ids.insert(entry.id, first);
-        if self.ids.len() > 2 * crate::log::IDS {
+        if self.ids.len() > 2 * crate::log::MAX_REMEMBERED_PROPOSALS {
             self.ids = self.log.ids_at(self.log.op());
         }
         self.log.push(entry.clone());
         let entries = vec![entry];
         self.persist(Record::Entries { first, entries: entries.clone() }, actions);
         self.send_council(&MessageBody::Prepare { first, entries, commit: self.commit }, actions);
-        self.send(self.settings.node_id, MessageBody::Ok { op: first, round: 0 }, actions);
+        self.send(self.settings.node_id, MessageBody::PrepareOk { op: first, round: 0 }, actions);
     }
 
     /// Who is to come for one that went comes in, once it answers.
@@ -270,7 +275,7 @@
             let leader = Some(self.settings.node_id);
             for to in who {
                 let outcome = Some(ProposalOutcome::Committed(index));
-                self.send(to, MessageBody::Answer { id, outcome, leader }, actions);
+                self.send(to, MessageBody::ProposalResponse { id, outcome, leader }, actions);
             }
         }
     }
@@ -279,7 +284,9 @@
         let op = index.op();
         let known =
             index.epoch() == self.last.epoch && op <= self.commit && op > self.log.base().op;
-        if self.status != ReplicaStatus::Normal || !known || bytes.len() > SNAPSHOT_MAX - (64 << 10)
+        if self.status != ReplicaStatus::Normal
+            || !known
+            || bytes.len() > MAX_SNAPSHOT_BYTES - (64 << 10)
         {
             return;
         }
--- a/crates/consensus/src/store.rs
+++ b/crates/consensus/src/store.rs
@@ -22,9 +22,9 @@
 /// Version of the form.
 pub const VERSION: u32 = 1;
 /// The longest file, in bytes. One beyond is not believed: it would take the memory of every start.
-pub const FILE_MAX: u64 = 64 << 20;
+pub const MAX_FILE_BYTES: u64 = 64 << 20;
 /// A file is rewritten where it is longer than this, and a snapshot has come that makes it shorter.
-pub const COMPACT: u64 = 1 << 20;
+pub const COMPACTION_THRESHOLD_BYTES: u64 = 1 << 20;
 
 const NOW: &str = "council.log";
 const NEXT: &str = "council.new";
@@ -66,7 +66,7 @@
         at: usize,
     },
     /// Longer than any.
-    #[error("it holds more than {FILE_MAX} bytes")]
+    #[error("it holds more than {MAX_FILE_BYTES} bytes")]
     TooLong,
 }
 
@@ -111,7 +111,7 @@
 
 /// What a start finds.
 #[derive(Debug, Default)]
-pub struct Found {
+pub struct LoadedLog {
     /// What the file says; of one that is not believed: nothing.
     pub durable: DurableState,
     /// Why it is not believed, if so. It was set aside.
@@ -143,7 +143,7 @@
         points: Points,
         cluster: u64,
         node_id: NodeId,
-    ) -> Result<(Self, Found), StoreError> {
+    ) -> Result<(Self, LoadedLog), StoreError> {
         let disk = Box::new(disk);
         let mut store =
             Self { disk, points, cluster, node_id, length: 0, last: 0, sound: true, pause: false };
@@ -170,11 +170,11 @@
         }
     }
 
-    fn load(&mut self) -> Result<Found, StoreError> {
+    fn load(&mut self) -> Result<LoadedLog, StoreError> {
         let bytes = match self.read()? {
             None => {
                 self.rewrite(&[])?;
-                return Ok(Found::default());
+                return Ok(LoadedLog::default());
             }
             Some(bytes) => bytes,
         };
@@ -189,14 +189,14 @@
                 }
                 self.length = whole as u64;
                 self.last = durable.written;
-                Ok(Found { durable, doubt: None, torn })
+                Ok(LoadedLog { durable, doubt: None, torn })
             }
             Err(doubt) => {
                 self.step("council.aside", Kind::Rename, NOW, "set aside", |s, _| {
                     s.disk.rename(NOW, ASIDE)
                 })?;
                 self.rewrite(&[])?;
-                Ok(Found { doubt: Some(doubt), ..Found::default() })
+                Ok(LoadedLog { doubt: Some(doubt), ..LoadedLog::default() })
             }
         }
     }
@@ -204,7 +204,7 @@
     fn read(&mut self) -> Result<Option<Vec<u8>>, StoreError> {
         let mut bytes = None;
         self.step("council.read", Kind::Read, NOW, "read", |s, short| {
-            bytes = match s.disk.read(NOW, FILE_MAX + 1) {
+            bytes = match s.disk.read(NOW, MAX_FILE_BYTES + 1) {
                 Err(e) if e.kind() == ErrorKind::NotFound => None,
                 Err(e) => return Err(e),
                 // Half of a file is no file: nothing may be cut off of it.
@@ -227,7 +227,7 @@
 
     /// What whole records say, and how many bytes they take with the head.
     fn parse(&self, bytes: &[u8]) -> Result<(DurableState, usize), Corruption> {
-        if bytes.len() as u64 > FILE_MAX {
+        if bytes.len() as u64 > MAX_FILE_BYTES {
             return Err(Corruption::TooLong);
         }
         let head = bytes.get(..HEAD).ok_or(Corruption::NoHead)?;
@@ -274,7 +274,7 @@
         if number <= self.last {
             return Err(StoreError::Order { file: self.disk.place(NOW), number, last: self.last });
         }
-        if matches!(record, Record::Whole { .. }) {
+        if matches!(record, Record::CompleteState { .. }) {
             self.last = number;
             return self.rewrite(&frame);
         }
@@ -285,7 +285,7 @@
         self.sound = true;
         self.length += frame.len() as u64;
         self.last = number;
-        if matches!(record, Record::Snapshot(_)) && self.length > COMPACT {
+        if matches!(record, Record::Snapshot(_)) && self.length > COMPACTION_THRESHOLD_BYTES {
             self.compact()?;
         }
         Ok(())
--- a/crates/consensus/src/view_change.rs
+++ b/crates/consensus/src/view_change.rs
@@ -4,15 +4,15 @@
 
 use hollowpaddle_peer_transport::NodeId;
 
-use crate::log::{Log, Transfer};
+use crate::log::{Log, StateTransfer};
 use crate::log_record::Record;
 use crate::message::{
     EntryPayload, Heartbeat, LogIndex, MessageBody, Part, ReplicaStatus, View, VoterSet,
 };
-use crate::recovery::GATHER;
+use crate::recovery::LEARNER_QUERY_PERIOD;
 use crate::replica::{
-    Action, Founding, HEARTBEAT_INTERVAL, Joined, Lead, PEER_TIMEOUT, Peer, Replica,
-    VIEW_CHANGE_TIMEOUT,
+    Action, DoViewChangeVote, EpochBootstrap, HEARTBEAT_INTERVAL, LeaderState, PEER_TIMEOUT, Peer,
+    Replica, VIEW_CHANGE_TIMEOUT,
 };
 
 /// A founding that does not begin within so long is given up.
@@ -110,7 +110,9 @@
             self.wake(false);
             return;
         }
-        let long = self.free_since.is_some_and(|since| self.now.saturating_sub(since) >= GATHER);
+        let long = self
+            .free_since
+            .is_some_and(|since| self.now.saturating_sub(since) >= LEARNER_QUERY_PERIOD);
         let alone = self.status == ReplicaStatus::Normal && self.lead.is_none() && long;
         let stuck = alone || self.status == ReplicaStatus::Changing && self.now > self.patience;
         if leads && stuck && view.epoch < self.view.epoch {
@@ -122,11 +124,11 @@
         if leads && view == self.view && self.status == ReplicaStatus::Normal && self.lead.is_none()
         {
             if hello.op > self.log.op() {
-                let fetch = MessageBody::Fetch { from: self.log.op() + 1, offset: 0 };
+                let fetch = MessageBody::GetState { from: self.log.op() + 1, offset: 0 };
                 self.send(from, fetch, actions);
             }
             let op = self.log.op().min(hello.op);
-            self.send(from, MessageBody::Ok { op, round: hello.round }, actions);
+            self.send(from, MessageBody::PrepareOk { op, round: hello.round }, actions);
             self.commit_upto(hello.commit, actions);
         } else if leads && (view > self.view || view == self.view && self.lead.is_none()) {
             self.follow(view, hello, actions);
@@ -156,7 +158,7 @@
         // Up to its commit every log of the epoch is the same.
         let same = !self.blank && self.last.epoch == view.epoch;
         let first = if same { self.commit + 1 } else { 0 };
-        self.transfer = Some(Transfer::new(view.leader, view, first, hello.op));
+        self.transfer = Some(StateTransfer::new(view.leader, view, first, hello.op));
         self.patience = self.now + VIEW_CHANGE_TIMEOUT;
         self.ask_transfer(actions);
         self.finish_transfer(actions);
@@ -171,9 +173,9 @@
             return;
         }
         let body = if copy {
-            MessageBody::FetchCopy { from, offset }
+            MessageBody::GetLearnerState { from, offset }
         } else {
-            MessageBody::Fetch { from, offset }
+            MessageBody::GetState { from, offset }
         };
         self.send(to, body, actions);
     }
@@ -233,7 +235,7 @@
             self.commit = if anew { base } else { self.commit.clamp(base, self.log.op()) };
             if copy {
                 self.commit = self.log.op();
-                self.founding = self.founding.take().map(|f| Founding { copy: None, ..f });
+                self.founding = self.founding.take().map(|f| EpochBootstrap { copy: None, ..f });
             } else if let Some(best) = best {
                 self.last = best.last;
             }
@@ -256,9 +258,9 @@
         } else {
             let (counts, last) = (self.counts.clone(), self.last);
             let entries = (from..first).filter_map(|op| self.log.get(op).cloned()).collect();
-            self.persist(Record::Turn { view, last, counts, first: from, entries }, actions);
+            self.persist(Record::ViewStart { view, last, counts, first: from, entries }, actions);
         }
-        self.send(view.leader, MessageBody::Ok { op: self.log.op(), round: 0 }, actions);
+        self.send(view.leader, MessageBody::PrepareOk { op: self.log.op(), round: 0 }, actions);
     }
 
     /// Takes part in a view from here on, with its log.
@@ -347,7 +349,7 @@
     pub(crate) fn begin(
         &mut self,
         view: View,
-        founding: Option<Founding>,
+        founding: Option<EpochBootstrap>,
         actions: &mut Vec<Action>,
     ) {
         self.give_up_lead(actions);
@@ -366,11 +368,11 @@
     pub(crate) fn say_begin(&mut self, actions: &mut Vec<Action>) {
         let founding = self.founding.is_some();
         let members = self.founding.as_ref().filter(|f| f.restore).map(|_| self.members.clone());
-        self.send_council(&MessageBody::Begin { founding, members }, actions);
+        self.send_council(&MessageBody::StartViewChange { founding, members }, actions);
     }
 
     fn join(&self) -> MessageBody {
-        MessageBody::Join {
+        MessageBody::DoViewChange {
             last: self.last,
             op: self.log.op(),
             commit: self.commit,
@@ -405,7 +407,9 @@
             return;
         }
         let asked = founding && (restore.is_some() || self.may_join_founding(from, view));
-        let long = self.free_since.is_some_and(|since| self.now.saturating_sub(since) >= GATHER);
+        let long = self
+            .free_since
+            .is_some_and(|since| self.now.saturating_sub(since) >= LEARNER_QUERY_PERIOD);
         let free = self.is_free() && (!founding || long);
         let knows = self.members.voters.contains(&from) && (free || from == self.view.leader);
         let joins = if self.blank { asked } else { restore.is_some() || knows };
@@ -427,7 +431,7 @@
         &mut self,
         from: NodeId,
         view: View,
-        joined: Joined,
+        joined: DoViewChangeVote,
         actions: &mut Vec<Action>,
     ) {
         let mine = view == self.view
@@ -445,7 +449,7 @@
     /// The member with the log to go on from: of those that have not forgotten, the one that took part in
     /// the latest view, and of those the longest. Every committed entry of that epoch is in it: the
     /// majority that kept it crosses the one that joined.
-    fn best_join(&self) -> Option<(NodeId, Joined)> {
+    fn best_join(&self) -> Option<(NodeId, DoViewChangeVote)> {
         let known = self.joins.iter().filter(|(_, j)| !j.blank);
         known
             .max_by_key(|(m, j)| (j.last, j.op, **m == self.settings.node_id))
@@ -469,7 +473,7 @@
             return;
         }
         let all = self.members.voters.iter().all(|m| self.joins.contains_key(m));
-        let waits = |f: &Founding| !all && self.now.saturating_sub(f.begun) < AGREED;
+        let waits = |f: &EpochBootstrap| !all && self.now.saturating_sub(f.begun) < AGREED;
         if self.founding.as_ref().is_some_and(waits) {
             // Any may have the one copy of an entry.
             return;
@@ -509,7 +513,7 @@
 
     /// A majority of those that joined comes from this view's epoch, or nobody does: then its name is new.
     fn is_of_one_epoch(&self) -> bool {
-        let of_it = |j: &Joined| !j.blank && j.last.epoch == self.view.epoch;
+        let of_it = |j: &DoViewChangeVote| !j.blank && j.last.epoch == self.view.epoch;
         let own: Vec<&NodeId> =
             self.joins.iter().filter(|(_, j)| of_it(j)).map(|(m, _)| m).collect();
         own.is_empty() || self.members.is_majority(own)
@@ -521,7 +525,7 @@
         same.map(|j| j.commit).max().unwrap_or(0).max(self.commit)
     }
 
-    fn has_best(&self, best: Option<(NodeId, Joined)>) -> bool {
+    fn has_best(&self, best: Option<(NodeId, DoViewChangeVote)>) -> bool {
         if let Some((at, _)) = self.founding.as_ref().and_then(|f| f.copy) {
             let known = best.map(|(_, j)| LogIndex::new(j.last.epoch, j.commit));
             if known.is_none_or(|k| at > k) {
@@ -533,19 +537,19 @@
             || (best.last, best.op) == (self.last, self.log.op()) && !self.blank
     }
 
-    fn fetch_best(&mut self, best: Option<(NodeId, Joined)>, actions: &mut Vec<Action>) {
+    fn fetch_best(&mut self, best: Option<(NodeId, DoViewChangeVote)>, actions: &mut Vec<Action>) {
         let copy = self.founding.as_ref().and_then(|f| f.copy);
         let known = best.map(|(_, j)| LogIndex::new(j.last.epoch, j.commit));
         let mut transfer = match (copy, best) {
             (Some((at, whose)), _) if known.is_none_or(|k| at > k) => {
-                let mut transfer = Transfer::new(whose, self.view, 0, at.op());
+                let mut transfer = StateTransfer::new(whose, self.view, 0, at.op());
                 transfer.copy = true;
                 transfer
             }
             (_, Some((member, best))) => {
                 let same = !self.blank && best.last.epoch == self.last.epoch;
                 let first = if same { self.commit + 1 } else { 0 };
-                Transfer::new(member, self.view, first, best.op)
+                StateTransfer::new(member, self.view, first, best.op)
             }
             _ => return,
         };
@@ -575,7 +579,7 @@
     fn start(&mut self, log: Log, commit: u64, actions: &mut Vec<Action>) {
         self.enter(self.view, log, commit, actions);
         self.persist_promise(actions);
-        let lead = Lead { since: self.now, answered: self.now, ..Lead::default() };
+        let lead = LeaderState { since: self.now, answered: self.now, ..LeaderState::default() };
         self.lead = Some(lead);
         actions.push(Action::Leads { view: self.view, since: self.now });
         self.hello_due = self.now + HEARTBEAT_INTERVAL;
--- a/crates/consensus/tests/formats.rs
+++ b/crates/consensus/tests/formats.rs
@@ -11,10 +11,11 @@
 
 use hex::{assert_all_recorded, assert_recorded, recorded};
 use hollowpaddle_consensus::{
-    Base, Directory, DurableState, ENTRY_MAX, Entry, EntryPayload, FILE_MAX, Heartbeat,
-    IncarnationCounts, Learner, LearnerAction, LearnerConfig, LearnerEvent, Log, LogIndex,
-    MAX_MESSAGE_BYTES, MAX_VOTERS, Message, MessageBody, PART, Part, ProposalId, ProposalOutcome,
-    Record, ReplicaStatus, SNAPSHOT_MAX, State, Store, StoreError, VERSION, View, VoterSet,
+    Directory, DurableState, Entry, EntryPayload, Heartbeat, IncarnationCounts, Learner,
+    LearnerAction, LearnerConfig, LearnerEvent, Log, LogIndex, MAX_CHUNK_BYTES, MAX_ENTRY_BYTES,
+    MAX_FILE_BYTES, MAX_MESSAGE_BYTES, MAX_SNAPSHOT_BYTES, MAX_VOTERS, Message, MessageBody, Part,
+    ProposalId, ProposalOutcome, Record, ReplicaStatus, SnapshotBase, State, Store, StoreError,
+    VERSION, View, VoterSet,
 };
 use hollowpaddle_failpoints::{Fault, Kind, Plan, Points};
 use hollowpaddle_peer_transport::{Channel, Incarnation, NodeId, decode, encode};
@@ -67,9 +68,9 @@
     Part::Chunk { op: 1000, len: 3000, sum: 0xa1a2_a3a4, offset: 400, bytes: b"chunk".to_vec() }
 }
 
-fn snapshot() -> Base {
+fn snapshot() -> SnapshotBase {
     let ids = vec![(proposal(8), 999), (proposal(9), 1000)];
-    Base { op: 1000, members: voters(), ids, state: b"state".to_vec() }
+    SnapshotBase { op: 1000, members: voters(), ids, state: b"state".to_vec() }
 }
 
 fn heartbeat(status: ReplicaStatus) -> MessageBody {
@@ -89,7 +90,7 @@
 /// One message of each kind, by the name of its recorded bytes.
 fn messages() -> Vec<(&'static str, Message)> {
     let (nonce, at, members) = (0x0102_0304_0506_0708, LogIndex::new(2, 1001), voters());
-    let told = MessageBody::Told {
+    let told = MessageBody::StatusResponse {
         nonce,
         at: 1001,
         status: ReplicaStatus::Changing,
@@ -105,7 +106,8 @@
         age: 1002,
         part,
     };
-    let answer = |outcome, leader| MessageBody::Answer { id: proposal(1), outcome, leader };
+    let answer =
+        |outcome, leader| MessageBody::ProposalResponse { id: proposal(1), outcome, leader };
     let bodies = vec![
         ("heartbeat_without_vote", heartbeat(ReplicaStatus::Outside)),
         ("heartbeat_state_lost", heartbeat(ReplicaStatus::Blank)),
@@ -114,30 +116,44 @@
         ("heartbeat_normal", heartbeat(ReplicaStatus::Normal)),
         ("heartbeat_disk_failed", heartbeat(ReplicaStatus::Mute)),
         ("prepare", MessageBody::Prepare { first: 1001, entries: entries(), commit: 1000 }),
-        ("prepare_ok", MessageBody::Ok { op: 1001, round: 1002 }),
-        ("start_view_change", MessageBody::Begin { founding: false, members: None }),
-        ("start_epoch", MessageBody::Begin { founding: true, members: Some(members.clone()) }),
+        ("prepare_ok", MessageBody::PrepareOk { op: 1001, round: 1002 }),
+        ("start_view_change", MessageBody::StartViewChange { founding: false, members: None }),
+        (
+            "start_epoch",
+            MessageBody::StartViewChange { founding: true, members: Some(members.clone()) },
+        ),
         (
             "do_view_change",
-            MessageBody::Join { last: last_normal_view(), op: 1001, commit: 1000, blank: true },
+            MessageBody::DoViewChange {
+                last: last_normal_view(),
+                op: 1001,
+                commit: 1000,
+                blank: true,
+            },
         ),
-        ("state_transfer_request", MessageBody::Fetch { from: 1001, offset: 1002 }),
+        ("state_transfer_request", MessageBody::GetState { from: 1001, offset: 1002 }),
         ("state_transfer_entries", MessageBody::Part(entries_part())),
         ("state_transfer_snapshot_chunk", MessageBody::Part(snapshot_part())),
-        ("status_request", MessageBody::Ask { nonce, at: 1001 }),
+        ("status_request", MessageBody::StatusRequest { nonce, at: 1001 }),
         ("status_response", told),
-        ("recovery", MessageBody::Recover { nonce }),
-        ("recovery_response", MessageBody::Recovered { nonce, op: 1001, leads: true }),
+        ("recovery", MessageBody::Recovery { nonce }),
+        ("recovery_response", MessageBody::RecoveryResponse { nonce, op: 1001, leads: true }),
         ("proposal", MessageBody::Propose { id: proposal(1), what: Some(command(1).what) }),
         ("proposal_query", MessageBody::Propose { id: proposal(1), what: None }),
-        ("learner_status_request", MessageBody::AskCopy { nonce }),
-        ("learner_status_response", MessageBody::Copy { nonce, at, members }),
-        ("learner_state_transfer_request", MessageBody::FetchCopy { from: 1001, offset: 1002 }),
-        ("learner_poll", MessageBody::Follow { at, offset: 1001, sum: 0xa1a2_a3a4 }),
+        ("learner_status_request", MessageBody::LearnerStatusRequest { nonce }),
+        ("learner_status_response", MessageBody::LearnerStatusResponse { nonce, at, members }),
+        (
+            "learner_state_transfer_request",
+            MessageBody::GetLearnerState { from: 1001, offset: 1002 },
+        ),
+        ("learner_poll", MessageBody::LearnerPoll { at, offset: 1001, sum: 0xa1a2_a3a4 }),
         ("learner_update_empty", news(None)),
         ("learner_update_entries", news(Some(entries_part()))),
         ("learner_update_snapshot_chunk", news(Some(snapshot_part()))),
-        ("learner_chunk_request", MessageBody::Piece { offset: 1001, sum: 0xa1a2_a3a4 }),
+        (
+            "learner_chunk_request",
+            MessageBody::SnapshotChunkRequest { offset: 1001, sum: 0xa1a2_a3a4 },
+        ),
         ("proposal_committed", answer(Some(ProposalOutcome::Committed(at)), None)),
         ("proposal_rejected", answer(Some(ProposalOutcome::Never), Some(NodeId(5)))),
         ("proposal_unknown", answer(Some(ProposalOutcome::Unknown), Some(NodeId(5)))),
@@ -184,12 +200,12 @@
 /// One record of each kind, by the name of its recorded bytes, in an order in which a voter may write them.
 fn records() -> Vec<(&'static str, Record)> {
     let (view, last, counts) = (view(), last_normal_view(), incarnations());
-    let complete = Record::Whole {
+    let complete = Record::CompleteState {
         view: last,
         last,
         counts: counts.clone(),
         commit: 997,
-        base: Base { op: 996, ..snapshot() },
+        base: SnapshotBase { op: 996, ..snapshot() },
         start: 996,
         entries: entries(),
     };
@@ -198,10 +214,10 @@
         ("record_complete_state", complete),
         ("record_entries", Record::Entries { first: 1001, entries: entries() }),
         ("record_snapshot", Record::Snapshot(snapshot())),
-        ("record_promise", Record::Promise { view, last, counts: counts.clone() }),
+        ("record_promise", Record::ViewPromise { view, last, counts: counts.clone() }),
         (
             "record_view_start",
-            Record::Turn { view, last: view, counts, first: 1003, entries: view_entries },
+            Record::ViewStart { view, last: view, counts, first: 1003, entries: view_entries },
         ),
         ("record_commit", Record::Commit { commit: 1004 }),
     ]
@@ -210,7 +226,7 @@
 /// What these records amount to.
 fn state() -> State {
     let log_entries = [&entries()[..], &entries()[..2], &[command(11), command(12)]].concat();
-    let mut log = Log::with(Base { op: 996, ..snapshot() }, 996, log_entries);
+    let mut log = Log::with(SnapshotBase { op: 996, ..snapshot() }, 996, log_entries);
     log.rebase(snapshot());
     State { view: view(), last: view(), counts: incarnations(), commit: 1004, log }
 }
@@ -308,7 +324,7 @@
     learner.handle(now, LearnerEvent::Committed { index, entry: command(1) }, &mut actions);
     actions.clear();
     for from in [0, 1001] {
-        let body = MessageBody::FetchCopy { from, offset: 0 };
+        let body = MessageBody::GetLearnerState { from, offset: 0 };
         let message = Message { view: view(), counts: incarnations(), body };
         learner.handle(
             now,
@@ -377,9 +393,9 @@
 
 #[test]
 fn bounds_that_both_ends_rely_on_are_the_same() {
-    assert_eq!((MAX_VOTERS, ENTRY_MAX, PART), (16, 16_384, 16_384));
-    assert_eq!((MAX_MESSAGE_BYTES, SNAPSHOT_MAX), (20_480, 2_097_152));
-    assert_eq!((VERSION, FILE_MAX), (1, 67_108_864));
+    assert_eq!((MAX_VOTERS, MAX_ENTRY_BYTES, MAX_CHUNK_BYTES), (16, 16_384, 16_384));
+    assert_eq!((MAX_MESSAGE_BYTES, MAX_SNAPSHOT_BYTES), (20_480, 2_097_152));
+    assert_eq!((VERSION, MAX_FILE_BYTES), (1, 67_108_864));
 }
 
 #[test]
--- a/crates/consensus/tests/incarnations.rs
+++ b/crates/consensus/tests/incarnations.rs
@@ -72,8 +72,8 @@
             one.hear(*other, view, &[], MessageBody::Heartbeat(hello));
         }
     }
-    assert!(one.said(|s| matches!(s, MessageBody::Begin { .. })) && !one.leads());
-    let join = MessageBody::Join { last: view, op: 0, commit: 0, blank: false };
+    assert!(one.said(|s| matches!(s, MessageBody::StartViewChange { .. })) && !one.leads());
+    let join = MessageBody::DoViewChange { last: view, op: 0, commit: 0, blank: false };
     (one, others, join)
 }
 
@@ -103,10 +103,10 @@
     one.hear(NodeId(0), View::default(), &[], propose(id));
     let b =
         *one.replica.members().voters.iter().find(|m| **m != a && **m != view.leader).expect("b");
-    one.hear(b, view, &[(a, 1)], MessageBody::Ask { nonce: 1, at: 1 });
-    one.hear(a, view, &[], MessageBody::Ok { op: committed + 1, round: 0 });
+    one.hear(b, view, &[(a, 1)], MessageBody::StatusRequest { nonce: 1, at: 1 });
+    one.hear(a, view, &[], MessageBody::PrepareOk { op: committed + 1, round: 0 });
     assert_eq!(one.replica.committed().op(), committed, "who said so has forgotten it");
-    one.hear(a, view, &[(a, 1)], MessageBody::Ok { op: committed + 1, round: 0 });
+    one.hear(a, view, &[(a, 1)], MessageBody::PrepareOk { op: committed + 1, round: 0 });
     assert_eq!(one.replica.committed().op(), committed + 1);
 }
 
@@ -126,7 +126,7 @@
     one.tick();
     let nonce = one.actions.iter().find_map(|a| match a {
         Action::Send { message, .. } => match message.body {
-            MessageBody::Ask { nonce, .. } => Some((nonce, message.counts.clone())),
+            MessageBody::StatusRequest { nonce, .. } => Some((nonce, message.counts.clone())),
             _ => None,
         },
         _ => None,
@@ -135,7 +135,7 @@
     // Of each the life that is known: some may have started anew while the council settled.
     let incarnations: Vec<(NodeId, u32)> = counts.into_iter().collect();
     let members = one.replica.members().clone();
-    let told = MessageBody::Told {
+    let told = MessageBody::StatusResponse {
         nonce,
         at: one.now,
         status: ReplicaStatus::Normal,
@@ -149,10 +149,10 @@
     }
     one.now += 100;
     one.tick();
-    assert!(one.said(|s| matches!(s, MessageBody::Recover { .. })));
-    let fetches = |one: &Alone| one.said(|s| matches!(s, MessageBody::Fetch { .. }));
+    assert!(one.said(|s| matches!(s, MessageBody::Recovery { .. })));
+    let fetches = |one: &Alone| one.said(|s| matches!(s, MessageBody::GetState { .. }));
     let later = View { number: view.number + 1, leader: others[0], ..view };
-    let recovered = |leads| MessageBody::Recovered { nonce, op: 0, leads };
+    let recovered = |leads| MessageBody::RecoveryResponse { nonce, op: 0, leads };
     one.hear(view.leader, view, &incarnations, recovered(true));
     assert!(!fetches(&one), "one of five may not know");
     one.hear(others[1], later, &incarnations, recovered(false));
@@ -179,9 +179,9 @@
     one.actions.clear();
     let rounds = |one: &Alone| one.actions.iter().any(|a| matches!(a, Action::Round { .. }));
     for other in [View { number: view.number + 1, ..view }, View { number: 0, ..view }] {
-        one.hear(others[0], other, &[], MessageBody::Ok { op: 0, round });
+        one.hear(others[0], other, &[], MessageBody::PrepareOk { op: 0, round });
         assert!(!rounds(&one), "who answers is in another view");
     }
-    one.hear(others[0], view, &[], MessageBody::Ok { op: 0, round });
+    one.hear(others[0], view, &[], MessageBody::PrepareOk { op: 0, round });
     assert!(rounds(&one));
 }
--- a/crates/consensus/tests/messages.rs
+++ b/crates/consensus/tests/messages.rs
@@ -120,9 +120,9 @@
 fn strange(from: u16, kind: u8, n: u64, m: u32, bytes: &[u8]) -> MessageBody {
     let id = ProposalId { by: NodeId(from), incarnation: Incarnation(m), number: n };
     match kind % 8 {
-        0 => MessageBody::Ok { op: n, round: m },
-        1 => MessageBody::Fetch { from: n, offset: m },
-        2 => MessageBody::Join {
+        0 => MessageBody::PrepareOk { op: n, round: m },
+        1 => MessageBody::GetState { from: n, offset: m },
+        2 => MessageBody::DoViewChange {
             last: View::default(),
             op: n,
             commit: n,
@@ -141,7 +141,7 @@
             what: Some(EntryPayload::RemoveVoter { removed: NodeId(from), replacement: None }),
         },
         6 => MessageBody::Prepare { first: n, entries: Vec::new(), commit: n },
-        _ => MessageBody::Begin {
+        _ => MessageBody::StartViewChange {
             founding: m.is_multiple_of(2),
             members: Some(VoterSet::of([NodeId(from)])),
         },
@@ -158,7 +158,7 @@
 
     #[test]
     fn a_word_with_bytes_behind_it_is_refused(more in 1usize..20, nonce: u64) {
-        let mut bytes = message(MessageBody::Ask { nonce, at: 1 }).encode().expect("short");
+        let mut bytes = message(MessageBody::StatusRequest { nonce, at: 1 }).encode().expect("short");
         bytes.extend(vec![0; more]);
         prop_assert_eq!(Message::decode(&bytes), Err(MessageError::Trailing { found: more }));
         bytes.resize(MAX_MESSAGE_BYTES + 1, 0);
@@ -188,14 +188,14 @@
 
 #[test]
 fn a_learner_goes_back_to_no_lesser_epoch_and_tells_the_leader_of_its_own() {
-    use hollowpaddle_consensus::{Base, Entry, LearnerAction, LogIndex};
+    use hollowpaddle_consensus::{Entry, LearnerAction, LogIndex, SnapshotBase};
     let settings =
         LearnerConfig { node_id: NodeId(3), voters: vec![NodeId(0)], cluster: 4, seed: 1 };
     let mut learner = Learner::new(ms(0), settings);
     let mut actions = Vec::new();
     let reset = |epoch, op| LearnerEvent::Reset {
         index: LogIndex::new(epoch, op),
-        base: Base { op, members: VoterSet::of([NodeId(0)]), ..Base::default() },
+        base: SnapshotBase { op, members: VoterSet::of([NodeId(0)]), ..SnapshotBase::default() },
     };
     learner.handle(ms(0), reset(9, 4), &mut actions);
     learner.handle(ms(0), reset(5, 70), &mut actions);
@@ -231,7 +231,7 @@
     learner.handle(ms(10), event, &mut actions);
     let tells = |a: &LearnerAction| {
         matches!(a, LearnerAction::Send { to: NodeId(0), message }
-            if matches!(message.body, MessageBody::Copy { at, .. } if at == LogIndex::new(9, 5)))
+            if matches!(message.body, MessageBody::LearnerStatusResponse { at, .. } if at == LogIndex::new(9, 5)))
     };
     assert!(actions.iter().any(tells));
 }
--- a/crates/consensus/tests/simulation/mod.rs
+++ b/crates/consensus/tests/simulation/mod.rs
@@ -497,15 +497,15 @@
         if self.trace {
             let told = match &action {
                 Action::Send { to, message } => match &message.body {
-                    MessageBody::Begin { founding, .. } => {
+                    MessageBody::StartViewChange { founding, .. } => {
                         format!("begin {:?} {founding} to {to:?}", message.view)
                     }
-                    MessageBody::Join { .. }
-                    | MessageBody::Recover { .. }
-                    | MessageBody::Recovered { .. } => {
+                    MessageBody::DoViewChange { .. }
+                    | MessageBody::Recovery { .. }
+                    | MessageBody::RecoveryResponse { .. } => {
                         format!("{:?} {:?} to {to:?}", message.view, message.body)
                     }
-                    MessageBody::Fetch { .. } | MessageBody::Part(_) => {
+                    MessageBody::GetState { .. } | MessageBody::Part(_) => {
                         format!("{:?} {:?} to {to:?}", message.view, message.body)
                     }
                     _ => String::new(),
@@ -617,7 +617,9 @@
             self.longest = self.longest.max(bytes.len());
             if matches!(
                 message.body,
-                MessageBody::Heartbeat(_) | MessageBody::Ok { .. } | MessageBody::Prepare { .. }
+                MessageBody::Heartbeat(_)
+                    | MessageBody::PrepareOk { .. }
+                    | MessageBody::Prepare { .. }
             ) {
                 self.longest_frequent = self.longest_frequent.max(bytes.len());
             }
@@ -629,7 +631,7 @@
             let sent = self.log_sent.entry(from).or_default();
             sent.0 += 1;
             if !self.learners {
-                if let MessageBody::Answer {
+                if let MessageBody::ProposalResponse {
                     id,
                     outcome: Some(ProposalOutcome::Committed(index)),
                     ..
--- a/crates/consensus/tests/store.rs
+++ b/crates/consensus/tests/store.rs
@@ -5,8 +5,8 @@
 use std::collections::BTreeSet;
 
 use hollowpaddle_consensus::{
-    Base, Corruption, DurableState, Entry, EntryPayload, IncarnationCounts, ProposalId, Record,
-    Store, StoreError, View,
+    Corruption, DurableState, Entry, EntryPayload, IncarnationCounts, ProposalId, Record,
+    SnapshotBase, Store, StoreError, View,
 };
 use hollowpaddle_failpoints::{Fault, Kind, Plan, Points};
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
@@ -20,20 +20,20 @@
 /// Records as a member makes them.
 fn records() -> Vec<Record> {
     let view = |number| View { epoch: 1, number, leader: NodeId(0) };
-    let whole = Record::Whole {
+    let whole = Record::CompleteState {
         view: view(1),
         last: view(1),
         counts: IncarnationCounts::new(),
         commit: 0,
-        base: Base::default(),
+        base: SnapshotBase::default(),
         start: 0,
         entries: Vec::new(),
     };
     let promise =
-        |n| Record::Promise { view: view(n), last: view(1), counts: IncarnationCounts::new() };
+        |n| Record::ViewPromise { view: view(n), last: view(1), counts: IncarnationCounts::new() };
     let entries = |first| Record::Entries { first, entries: vec![entry(first, 300_000)] };
-    let base = Base { op: 3, state: vec![1; 1000], ..Base::default() };
-    let turn = Record::Turn {
+    let base = SnapshotBase { op: 3, state: vec![1; 1000], ..SnapshotBase::default() };
+    let turn = Record::ViewStart {
         view: view(3),
         last: view(3),
         counts: IncarnationCounts::new(),
--- a/crates/model-checks/src/agreement.rs
+++ b/crates/model-checks/src/agreement.rs
@@ -110,16 +110,16 @@
     match body {
         MessageBody::Heartbeat(_) => 0,
         MessageBody::Prepare { .. } => 1,
-        MessageBody::Ok { .. } => 2,
-        MessageBody::Begin { .. } => 3,
-        MessageBody::Join { .. } => 4,
-        MessageBody::Fetch { .. } => 5,
+        MessageBody::PrepareOk { .. } => 2,
+        MessageBody::StartViewChange { .. } => 3,
+        MessageBody::DoViewChange { .. } => 4,
+        MessageBody::GetState { .. } => 5,
         MessageBody::Part(_) => 6,
-        MessageBody::Ask { .. } => 7,
-        MessageBody::Told { .. } => 8,
-        MessageBody::Recover { .. } => 9,
-        MessageBody::Recovered { .. } => 10,
-        MessageBody::Answer { .. } => 11,
+        MessageBody::StatusRequest { .. } => 7,
+        MessageBody::StatusResponse { .. } => 8,
+        MessageBody::Recovery { .. } => 9,
+        MessageBody::RecoveryResponse { .. } => 10,
+        MessageBody::ProposalResponse { .. } => 11,
         _ => 12,
     }
 }
@@ -198,16 +198,20 @@
 
     fn said(&mut self, from: u16, to: NodeId, message: Message) {
         if to == CLIENT {
-            if let MessageBody::Answer {
-                id, outcome: Some(ProposalOutcome::Committed(index)), ..
+            if let MessageBody::ProposalResponse {
+                id,
+                outcome: Some(ProposalOutcome::Committed(index)),
+                ..
             } = message.body
                 && *self.yes.entry(id).or_insert(index) != index
                 && !self.ruin
             {
                 self.wrong = Some(format!("{id:?} was said to be at two places, {index} is one"));
             }
-            if let MessageBody::Answer {
-                id, outcome: Some(ProposalOutcome::Committed(_)), ..
+            if let MessageBody::ProposalResponse {
+                id,
+                outcome: Some(ProposalOutcome::Committed(_)),
+                ..
             } = message.body
             {
                 self.views.entry(id).or_insert(message.view);
@@ -221,14 +225,16 @@
         }
         if matches!(
             message.body,
-            MessageBody::Heartbeat(_) | MessageBody::Ask { .. } | MessageBody::Told { .. }
+            MessageBody::Heartbeat(_)
+                | MessageBody::StatusRequest { .. }
+                | MessageBody::StatusResponse { .. }
         ) {
             if self.cut.passes(from, to.0) {
                 self.hear(from, to.0, message);
             }
             return;
         }
-        let latest = matches!(message.body, MessageBody::Ok { .. });
+        let latest = matches!(message.body, MessageBody::PrepareOk { .. });
         let link = self.net.entry((from, to.0, kind(&message.body))).or_default();
         if link.contains(&message) {
             return;
