--- /dev/null
+++ b/crates/peer-transport/src/send_queue.rs
@@ -0,0 +1,125 @@
+//! Messages, fragments and requests that wait for the send budget: by urgency, and within one urgency in turns
+//! among peers; when they are sent is left to the transport.
+
+use std::collections::{BTreeMap, VecDeque};
+use std::ops::Bound::{Excluded, Unbounded};
+use std::time::Duration;
+
+use crate::{Channel, How, NodeId};
+
+/// Bytes that wait at most, of each urgency.
+const MAX_QUEUED_BYTES: usize = 256 << 10;
+/// Memory that an item takes beside its message.
+const ITEM_OVERHEAD_BYTES: usize = 64;
+
+/// Something to send to a peer.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) enum QueuedItem {
+    /// A message that fits one datagram, until its deadline.
+    Message { channel: Channel, message: Vec<u8>, deadline: Duration },
+    /// A fragment of a longer message.
+    Fragment { message_number: u64, index: u8 },
+    /// A request for the missing fragments of a peer's message.
+    RetransmissionRequest { message_number: u64 },
+}
+
+impl QueuedItem {
+    fn memory_bytes(&self) -> usize {
+        match self {
+            Self::Message { message, .. } => ITEM_OVERHEAD_BYTES + message.len(),
+            _ => ITEM_OVERHEAD_BYTES,
+        }
+    }
+}
+
+/// The items of one urgency.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+struct ModeQueue {
+    peers: BTreeMap<NodeId, VecDeque<QueuedItem>>,
+    /// The peer whose turn it was last.
+    last_peer: NodeId,
+    bytes: usize,
+}
+
+/// All items that wait for the send budget.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub(crate) struct SendQueue {
+    by_mode: [ModeQueue; 3],
+}
+
+impl SendQueue {
+    /// Appends an item to those of its urgency and peer; `false` if they take too much memory.
+    pub(crate) fn push(&mut self, mode: How, to: NodeId, item: QueuedItem) -> bool {
+        self.push_all(mode, to, [item])
+    }
+
+    /// Appends all items or, if they take too much memory, none.
+    pub(crate) fn push_all(
+        &mut self,
+        mode: How,
+        to: NodeId,
+        items: impl IntoIterator<Item = QueuedItem>,
+    ) -> bool {
+        let queue = &mut self.by_mode[mode as usize];
+        let items: Vec<QueuedItem> = items.into_iter().collect();
+        let bytes: usize = items.iter().map(QueuedItem::memory_bytes).sum();
+        let fits = queue.bytes + bytes <= MAX_QUEUED_BYTES;
+        if fits && !items.is_empty() {
+            queue.bytes += bytes;
+            queue.peers.entry(to).or_default().extend(items);
+        }
+        fits
+    }
+
+    /// The most urgent mode of which an item waits.
+    pub(crate) fn most_urgent(&self) -> Option<How> {
+        How::ALL.into_iter().find(|mode| !self.by_mode[*mode as usize].peers.is_empty())
+    }
+
+    /// The peer whose turn it is among those of this urgency.
+    pub(crate) fn next_peer(&mut self, mode: How) -> Option<NodeId> {
+        let queue = &mut self.by_mode[mode as usize];
+        let after_last = queue.peers.range((Excluded(queue.last_peer), Unbounded)).next();
+        queue.last_peer = *after_last.or_else(|| queue.peers.first_key_value())?.0;
+        Some(queue.last_peer)
+    }
+
+    /// Removes this peer's first item.
+    pub(crate) fn pop(&mut self, mode: How, to: NodeId) -> Option<QueuedItem> {
+        self.pop_if(mode, to, |_| true)
+    }
+
+    /// Removes this peer's first item if it matches.
+    pub(crate) fn pop_if(
+        &mut self,
+        mode: How,
+        to: NodeId,
+        matches: impl FnOnce(&QueuedItem) -> bool,
+    ) -> Option<QueuedItem> {
+        let queue = &mut self.by_mode[mode as usize];
+        let items = queue.peers.get_mut(&to)?;
+        let item = items.pop_front_if(|item| matches(item))?;
+        if items.is_empty() {
+            queue.peers.remove(&to);
+        }
+        queue.bytes -= item.memory_bytes();
+        Some(item)
+    }
+
+    /// Removes all items to this peer, and returns the number of complete messages among them.
+    pub(crate) fn clear_peer(&mut self, to: NodeId) -> u64 {
+        let mut messages = 0;
+        for queue in &mut self.by_mode {
+            for item in queue.peers.remove(&to).into_iter().flatten() {
+                queue.bytes -= item.memory_bytes();
+                messages += u64::from(matches!(item, QueuedItem::Message { .. }));
+            }
+        }
+        messages
+    }
+
+    /// Bytes of all items.
+    pub(crate) fn bytes(&self) -> usize {
+        self.by_mode.iter().map(|queue| queue.bytes).sum()
+    }
+}
--- /dev/null
+++ b/crates/peer-transport/src/token_bucket.rs
@@ -0,0 +1,109 @@
+//! Token buckets that bound the datagrams and bytes that a balancer sends; what is sent, and when, is left to
+//! the queue.
+
+use std::time::Duration;
+
+use crate::{How, MAX_DATAGRAM_BYTES};
+
+#[cfg(test)]
+mod tests;
+
+const NANOS_PER_SECOND: u64 = 1_000_000_000;
+
+/// A token bucket, stored as the time at which it will be full (GCRA, ITU-T I.371).
+///
+/// It needs no timer to be filled, and time spent in a pause earns one burst at most.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct TokenBucket {
+    /// Nanoseconds that earn one token.
+    token_nanos: u64,
+    /// Nanoseconds that fill the bucket.
+    capacity_nanos: u64,
+    /// When it is full, in nanoseconds since the process's start.
+    full_at: u64,
+}
+
+fn nanos(at: Duration) -> u64 {
+    u64::try_from(at.as_nanos()).unwrap_or(u64::MAX)
+}
+
+impl TokenBucket {
+    /// A full bucket of `burst` tokens that earns `rate` tokens a second.
+    ///
+    /// In any span of `w` seconds at most `burst + w * rate` tokens are taken.
+    pub(crate) fn new(rate: u32, burst: u32) -> Self {
+        // Rounded up, so that it is never faster than configured.
+        let token_nanos = NANOS_PER_SECOND.div_ceil(u64::from(rate.max(1)));
+        let capacity_nanos = token_nanos.saturating_mul(u64::from(burst));
+        Self { token_nanos, capacity_nanos, full_at: 0 }
+    }
+
+    /// The earliest time at which `tokens` can be taken so that the reserved share of the bucket stays.
+    fn ready_at(&self, tokens: u32, reserve: Reserve) -> Duration {
+        let usable = self.capacity_nanos - reserve.of(self.capacity_nanos);
+        let cost = self.token_nanos.saturating_mul(u64::from(tokens));
+        Duration::from_nanos(self.full_at.saturating_add(cost).saturating_sub(usable))
+    }
+
+    fn take(&mut self, now: Duration, tokens: u32) {
+        let cost = self.token_nanos.saturating_mul(u64::from(tokens));
+        self.full_at = self.full_at.max(nanos(now)).saturating_add(cost);
+    }
+
+    /// Takes one token if there is one.
+    pub(crate) fn try_take(&mut self, now: Duration) -> bool {
+        let is_ready = self.ready_at(1, Reserve::Nothing) <= now;
+        if is_ready {
+            self.take(now, 1);
+        }
+        is_ready
+    }
+}
+
+/// The share of a bucket that a mode leaves to more urgent ones.
+#[derive(Clone, Copy)]
+enum Reserve {
+    Nothing,
+    Eighth,
+    Half,
+}
+
+impl Reserve {
+    fn of(self, capacity: u64) -> u64 {
+        match self {
+            Self::Nothing => 0,
+            Self::Eighth => capacity / 8,
+            Self::Half => capacity / 2,
+        }
+    }
+}
+
+/// What a balancer may send to its peers, in datagrams and in bytes.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(crate) struct SendBudget {
+    datagrams: TokenBucket,
+    bytes: TokenBucket,
+}
+
+impl SendBudget {
+    pub(crate) fn new(datagrams: TokenBucket, bytes: TokenBucket) -> Self {
+        Self { datagrams, bytes }
+    }
+
+    /// The earliest time at which a datagram of any length may be sent in this mode.
+    pub(crate) fn ready_at(&self, mode: How) -> Duration {
+        let reserve = match mode {
+            How::Urgent => Reserve::Nothing,
+            How::Usual => Reserve::Eighth,
+            How::Bulk => Reserve::Half,
+        };
+        let datagram = self.datagrams.ready_at(1, reserve);
+        datagram.max(self.bytes.ready_at(MAX_DATAGRAM_BYTES as u32, reserve))
+    }
+
+    /// Charges a datagram of this length.
+    pub(crate) fn take(&mut self, now: Duration, bytes: usize) {
+        self.datagrams.take(now, 1);
+        self.bytes.take(now, u32::try_from(bytes).unwrap_or(u32::MAX));
+    }
+}
