--- a/crates/model-checks/src/holding.rs
+++ b/crates/model-checks/src/holding.rs
@@ -131,7 +131,7 @@
 fn kind(message: &Message) -> u8 {
     match message {
         Message::Renew { .. } => 0,
-        Message::Left { .. } => 1,
+        Message::Departed { .. } => 1,
         Message::Grant { .. } => 2,
         Message::LeaseRejection { .. } => 3,
     }
--- a/crates/model-checks/tests/change_limits.rs
+++ b/crates/model-checks/tests/change_limits.rs
@@ -1,7 +1,7 @@
 //! A change is accepted up to the stated bounds of a fleet, and refused with a reason beyond.
 
 use hollowpaddle_model_checks::change_limits::{FleetSize, Outcome, propose_with};
-use hollowpaddle_revision::document::MOST_NAMES;
+use hollowpaddle_revision::document::MAX_LISTED_NAMES;
 use hollowpaddle_revision::fleet::MOST_GROUPS;
 
 const SMALL: FleetSize = FleetSize { classes: 2, machine_types: 1, groups: 6 };
@@ -21,8 +21,8 @@
     let largest_groups = MOST_GROUPS as u32;
     for fleet in [
         SMALL,
-        FleetSize { classes: MOST_NAMES, ..SMALL },
-        FleetSize { machine_types: MOST_NAMES, ..SMALL },
+        FleetSize { classes: MAX_LISTED_NAMES, ..SMALL },
+        FleetSize { machine_types: MAX_LISTED_NAMES, ..SMALL },
         FleetSize { groups: largest_groups, ..SMALL },
     ] {
         let outcome = propose(fleet);
@@ -32,7 +32,7 @@
 
 #[test]
 fn refuses_changes_beyond_the_bounds_with_a_reason() {
-    assert_refused(&propose(FleetSize { classes: MOST_NAMES + 1, ..SMALL }));
-    assert_refused(&propose(FleetSize { machine_types: MOST_NAMES + 1, ..SMALL }));
+    assert_refused(&propose(FleetSize { classes: MAX_LISTED_NAMES + 1, ..SMALL }));
+    assert_refused(&propose(FleetSize { machine_types: MAX_LISTED_NAMES + 1, ..SMALL }));
     assert_refused(&propose(FleetSize { groups: MOST_GROUPS as u32 + 1, ..SMALL }));
 }
--- a/crates/revision/src/difference.rs
+++ b/crates/revision/src/difference.rs
@@ -4,9 +4,9 @@
 
 use serde::Serialize;
 
-use crate::document::{Chosen, Document};
+use crate::document::{Document, Selection};
 use crate::figures::Weight;
-use crate::fleet::Misfit;
+use crate::fleet::FleetConflict;
 
 /// One figure, before and after.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -21,9 +21,9 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Difference {
     /// Out, and was not.
-    pub out: Chosen,
+    pub out: Selection,
     /// Not out any more.
-    pub back: Chosen,
+    pub back: Selection,
     /// Weights by what they are of; 1 where none is said.
     pub weights: BTreeMap<String, Changed<f64>>,
     /// Classes kept from pods, and were not.
@@ -42,7 +42,8 @@
     #[serde(rename = "eldest_list")]
     pub oldest_list: Option<Changed<u64>>,
     /// What speaks against it in the fleet.
-    pub misfits: Vec<String>,
+    #[serde(rename = "misfits")]
+    pub fleet_conflicts: Vec<String>,
 }
 
 fn changed<T: PartialEq + Copy>(from: T, to: T) -> Option<Changed<T>> {
@@ -51,7 +52,7 @@
 
 impl Difference {
     /// From one to another.
-    pub fn of(from: &Document, to: &Document, misfits: &[Misfit]) -> Self {
+    pub fn of(from: &Document, to: &Document, fleet_conflicts: &[FleetConflict]) -> Self {
         let kept = |d: &Document| -> BTreeSet<(String, u32)> {
             d.kept
                 .iter()
@@ -74,7 +75,7 @@
         let (kept_from, kept_to) = (kept(from), kept(to));
         let (w_from, w_to) = (weights(from), weights(to));
         let whole =
-            |w: &BTreeMap<String, Weight>, n: &String| w.get(n).copied().unwrap_or(Weight::WHOLE);
+            |w: &BTreeMap<String, Weight>, n: &String| w.get(n).copied().unwrap_or(Weight::FULL);
         let names: BTreeSet<&String> = w_from.keys().chain(w_to.keys()).collect();
         let weights = names.into_iter().filter_map(|n| {
             changed(whole(&w_from, n).number(), whole(&w_to, n).number()).map(|c| (n.clone(), c))
@@ -95,7 +96,7 @@
             balancers: changed(from.balancers, to.balancers),
             sessions: sessions.collect(),
             oldest_list: changed(from.oldest_list, to.oldest_list),
-            misfits: misfits.iter().map(ToString::to_string).collect(),
+            fleet_conflicts: fleet_conflicts.iter().map(ToString::to_string).collect(),
         }
     }
 }
--- a/crates/revision/src/dissemination_tree.rs
+++ b/crates/revision/src/dissemination_tree.rs
@@ -12,13 +12,13 @@
 /// Children at most: the tree's eight, and as many that have lost their own parent, as the log's learners take them.
 /// Failure, found in played banks: such guests learned the log and got no lease, and of 300 balancers 5 to 34 kept to the
 /// charter.
-pub const MOST_CHILDREN: usize = 16;
+pub const MAX_CHILDREN: usize = 16;
 /// Whoever was not heard of for so long (three renewals were lost) makes room for another child. Its leases
 /// count on.
-pub const SILENT: Duration = Duration::from_secs(1);
+pub const CHILD_TIMEOUT: Duration = Duration::from_secs(1);
 /// Records at most, those of former lives and of former children included. Without a bound one that restarts
 /// in a loop takes memory; with it, whoever comes then is told that there is no room, for a lease at most.
-const MOST_RECORDS: usize = 64;
+const MAX_CHILD_RECORDS: usize = 64;
 
 /// One life of a child.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -52,8 +52,9 @@
         here: NodeSet,
     ) -> Option<&mut Child> {
         if !self.0.contains_key(&who) {
-            let others = self.0.iter().filter(|((m, _), c)| *m != who.0 && c.is_near(now)).count();
-            if others >= MOST_CHILDREN || self.0.len() >= MOST_RECORDS {
+            let others =
+                self.0.iter().filter(|((m, _), c)| *m != who.0 && c.is_recent(now)).count();
+            if others >= MAX_CHILDREN || self.0.len() >= MAX_CHILD_RECORDS {
                 return None;
             }
         }
@@ -84,7 +85,7 @@
 
     /// Forgets those that were not heard of for long and hold nothing.
     pub(crate) fn forget(&mut self, now: Duration) {
-        self.0.retain(|_, c| c.is_near(now) || now <= c.until);
+        self.0.retain(|_, c| c.is_recent(now) || now <= c.until);
     }
 
     /// Whether nobody under a lease that was given here acts on an older stage than this; until when one may,
@@ -99,14 +100,14 @@
         let mut here = NodeSet::default();
         self.0
             .values()
-            .filter(|c| c.generation == generation && c.is_near(now))
+            .filter(|c| c.generation == generation && c.is_recent(now))
             .for_each(|c| here.extend(&c.here));
         here
     }
 }
 
 impl Child {
-    fn is_near(&self, now: Duration) -> bool {
-        now <= self.heard.saturating_add(SILENT)
+    fn is_recent(&self, now: Duration) -> bool {
+        now <= self.heard.saturating_add(CHILD_TIMEOUT)
     }
 }
--- a/crates/revision/src/document.rs
+++ b/crates/revision/src/document.rs
@@ -9,28 +9,28 @@
 
 /// The longest document in the log, in bytes: an entry is 16 KiB at most and carries the fleet's facts as
 /// well.
-pub const LONGEST: usize = 10 << 10;
+pub const MAX_DOCUMENT_BYTES: usize = 10 << 10;
 /// The longest JSON that is read, in bytes. Without a bound a door's request takes what memory there is.
 pub const LONGEST_JSON: usize = 64 << 10;
 /// The longest name of an upstream, flavour, site or class, in bytes.
-pub const LONGEST_NAME: usize = 64;
+pub const MAX_NAME_BYTES: usize = 64;
 /// Upstreams that one document can name in one list. More at once is a pod, a flavour or a site.
-pub const MOST_UPSTREAMS: usize = 512;
+pub const MAX_LISTED_UPSTREAMS: usize = 512;
 /// Pods that one document can name in one list.
-pub const MOST_PODS: usize = 512;
+pub const MAX_LISTED_CELLS: usize = 512;
 /// Flavours, sites or classes that one document can name in one list.
-pub const MOST_NAMES: usize = 64;
+pub const MAX_LISTED_NAMES: usize = 64;
 /// Most attempts of a request: the platform's rule.
-pub const MOST_ATTEMPTS: u8 = 3;
+pub const MAX_ATTEMPTS: u8 = 3;
 /// The longest session, in seconds: a day.
-pub const LONGEST_SESSION_S: u32 = 86_400;
+pub const MAX_SESSION_S: u32 = 86_400;
 /// Balancers in a bank at most.
 pub const MOST_BALANCERS: u16 = 1000;
 
 /// A choice among the fleet: whatever is named in one of the lists.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
-pub struct Chosen {
+pub struct Selection {
     /// By name.
     pub upstreams: BTreeSet<String>,
     /// By number; no two sites share one.
@@ -44,7 +44,7 @@
     pub zones: BTreeSet<String>,
 }
 
-impl Chosen {
+impl Selection {
     /// Whether nothing is chosen.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
@@ -94,12 +94,12 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Document {
     /// Nothing is sent there.
-    pub out: Chosen,
+    pub out: Selection,
     /// Less is sent there.
     pub weights: Weights,
     /// Classes, and the pods that they are kept from.
     pub kept: BTreeMap<String, BTreeSet<u32>>,
-    /// Most attempts of one request, 1 to [`MOST_ATTEMPTS`].
+    /// Most attempts of one request, 1 to [`MAX_ATTEMPTS`].
     pub attempts: u8,
     /// The subset factor.
     pub times: Times,
@@ -116,10 +116,10 @@
     /// What forbids nothing.
     fn default() -> Self {
         Self {
-            out: Chosen::default(),
+            out: Selection::default(),
             weights: Weights::default(),
             kept: BTreeMap::new(),
-            attempts: MOST_ATTEMPTS,
+            attempts: MAX_ATTEMPTS,
             times: Times::default(),
             balancers: None,
             sessions: BTreeMap::new(),
@@ -196,16 +196,16 @@
     pub fn check(&self) -> Result<(), DocumentError> {
         let Self { out, weights, kept, attempts, times: _, balancers, sessions, oldest_list: _ } =
             self;
-        most("out.upstreams", out.upstreams.len(), MOST_UPSTREAMS)?;
-        most("out.pods", out.cells.len(), MOST_PODS)?;
-        most("out.flavours", out.machine_types.len(), MOST_NAMES)?;
-        most("out.sites", out.zones.len(), MOST_NAMES)?;
-        most("weights.upstreams", weights.upstreams.len(), MOST_UPSTREAMS)?;
-        most("weights.pods", weights.cells.len(), MOST_PODS)?;
-        most("weights.flavours", weights.machine_types.len(), MOST_NAMES)?;
-        most("weights.sites", weights.zones.len(), MOST_NAMES)?;
-        most("kept", kept.len(), MOST_NAMES)?;
-        most("sessions", sessions.len(), MOST_NAMES)?;
+        most("out.upstreams", out.upstreams.len(), MAX_LISTED_UPSTREAMS)?;
+        most("out.pods", out.cells.len(), MAX_LISTED_CELLS)?;
+        most("out.flavours", out.machine_types.len(), MAX_LISTED_NAMES)?;
+        most("out.sites", out.zones.len(), MAX_LISTED_NAMES)?;
+        most("weights.upstreams", weights.upstreams.len(), MAX_LISTED_UPSTREAMS)?;
+        most("weights.pods", weights.cells.len(), MAX_LISTED_CELLS)?;
+        most("weights.flavours", weights.machine_types.len(), MAX_LISTED_NAMES)?;
+        most("weights.sites", weights.zones.len(), MAX_LISTED_NAMES)?;
+        most("kept", kept.len(), MAX_LISTED_NAMES)?;
+        most("sessions", sessions.len(), MAX_LISTED_NAMES)?;
         named("out.upstreams", &out.upstreams)?;
         named("out.flavours", &out.machine_types)?;
         named("out.sites", &out.zones)?;
@@ -215,7 +215,7 @@
         named("kept", kept.keys())?;
         named("sessions", sessions.keys())?;
         for cells in kept.values() {
-            most("kept", cells.len(), MOST_PODS)?;
+            most("kept", cells.len(), MAX_LISTED_CELLS)?;
             if cells.is_empty() {
                 return Err(field(
                     "kept",
@@ -224,18 +224,18 @@
                 ));
             }
         }
-        if !(1..=MOST_ATTEMPTS).contains(attempts) {
+        if !(1..=MAX_ATTEMPTS).contains(attempts) {
             return Err(field("attempts", attempts, "1 to 3"));
         }
         if let Some(balancers) = balancers.filter(|b| !(1..=MOST_BALANCERS).contains(b)) {
             return Err(field("balancers", balancers, "1 to 1000, or none"));
         }
-        if let Some(seconds) = sessions.values().find(|s| !(1..=LONGEST_SESSION_S).contains(*s)) {
+        if let Some(seconds) = sessions.values().find(|s| !(1..=MAX_SESSION_S).contains(*s)) {
             return Err(field("sessions", seconds, "1 to 86400 seconds"));
         }
         let found = self.length();
-        if found > LONGEST {
-            return Err(DocumentError::TooLong { found, expected: LONGEST });
+        if found > MAX_DOCUMENT_BYTES {
+            return Err(DocumentError::TooLong { found, expected: MAX_DOCUMENT_BYTES });
         }
         Ok(())
     }
@@ -257,10 +257,10 @@
     name: &'static str,
     names: impl IntoIterator<Item = &'a String>,
 ) -> Result<(), DocumentError> {
-    match names.into_iter().find(|n| n.is_empty() || n.len() > LONGEST_NAME) {
+    match names.into_iter().find(|n| n.is_empty() || n.len() > MAX_NAME_BYTES) {
         None => Ok(()),
         Some(found) => {
-            let found: String = found.chars().take(LONGEST_NAME).collect();
+            let found: String = found.chars().take(MAX_NAME_BYTES).collect();
             Err(field(name, format!("the name {found:?}"), "a name of 1 to 64 bytes"))
         }
     }
--- a/crates/revision/src/entry.rs
+++ b/crates/revision/src/entry.rs
@@ -9,7 +9,7 @@
 use crate::fleet::Facts;
 
 /// The longest entry, in bytes: the council's bound.
-pub const LONGEST_ENTRY: usize = 16 << 10;
+pub const MAX_ENTRY_BYTES: usize = 16 << 10;
 
 /// A question's name, drawn by whoever asks: 128 bits, so that no two askers draw one. The same question
 /// again gets the same answer and does nothing more.
@@ -39,7 +39,7 @@
     /// A new revision with the content of a kept one.
     Rollback(Box<ProposalOptions>, u64),
     /// Nobody acts on an older stage than this one.
-    Step(u64),
+    GenerationConfirmed(u64),
     /// Another charter.
     FallbackPolicy(CommandId, FallbackPolicy, Box<Facts>),
     /// Every member that is not dead has said that it holds this generation of the charter.
@@ -47,7 +47,7 @@
     /// The revision on trial is to stay.
     Confirm(CommandId, u64),
     /// The revision on trial is taken back.
-    TakeBack(u64, RollbackCause),
+    AutomaticRollback(u64, RollbackCause),
     /// Operators say that this balancer acts on nothing any more, and won't before it has learned the book
     /// anew.
     Dead(CommandId, NodeId),
@@ -60,7 +60,7 @@
 pub enum EntryError {
     /// It is too long for the log.
     #[error(
-        "an entry of {found} bytes; expected {LONGEST_ENTRY} at most: name pods or sites instead of upstreams"
+        "an entry of {found} bytes; expected {MAX_ENTRY_BYTES} at most: name pods or sites instead of upstreams"
     )]
     TooLong {
         /// Bytes.
@@ -87,7 +87,7 @@
         let bytes = postcard::to_stdvec(self)
             .map_err(|e| EntryError::Unreadable { length: 0, cause: e.to_string() })?;
         let found = bytes.len();
-        if found > LONGEST_ENTRY { Err(EntryError::TooLong { found }) } else { Ok(bytes) }
+        if found > MAX_ENTRY_BYTES { Err(EntryError::TooLong { found }) } else { Ok(bytes) }
     }
 
     /// From the log.
@@ -96,7 +96,7 @@
     /// If it is none, too long, or something follows it.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, EntryError> {
         let length = bytes.len();
-        if length > LONGEST_ENTRY {
+        if length > MAX_ENTRY_BYTES {
             return Err(EntryError::TooLong { found: length });
         }
         let unreadable = |cause: String| EntryError::Unreadable { length, cause };
--- a/crates/revision/src/fallback_policy.rs
+++ b/crates/revision/src/fallback_policy.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::document::{LONGEST_NAME, MOST_ATTEMPTS, MOST_PODS, MOST_UPSTREAMS};
+use crate::document::{MAX_ATTEMPTS, MAX_LISTED_CELLS, MAX_LISTED_UPSTREAMS, MAX_NAME_BYTES};
 use crate::rules::Place;
 
 /// What no revision can forbid. A balancer whose lease has ended keeps to it, for as long as it takes.
@@ -18,7 +18,7 @@
     /// But to these upstreams of them: so that one of them can be cordoned without its whole pod.
     #[serde(default)]
     pub except: BTreeSet<String>,
-    /// So many attempts a request may have, 1 to [`MOST_ATTEMPTS`].
+    /// So many attempts a request may have, 1 to [`MAX_ATTEMPTS`].
     pub attempts: u8,
 }
 
@@ -62,16 +62,16 @@
                 expected: expected.into(),
             })
         };
-        if self.cells.len() > MOST_PODS {
+        if self.cells.len() > MAX_LISTED_CELLS {
             return field("pods", format!("{} long", self.cells.len()), "512 at most");
         }
-        if self.except.len() > MOST_UPSTREAMS {
+        if self.except.len() > MAX_LISTED_UPSTREAMS {
             return field("except", format!("{} long", self.except.len()), "512 at most");
         }
-        if self.except.iter().any(|n| n.is_empty() || n.len() > LONGEST_NAME) {
+        if self.except.iter().any(|n| n.is_empty() || n.len() > MAX_NAME_BYTES) {
             return field("except", "a name that can't be".into(), "names of 1 to 64 bytes");
         }
-        if !(1..=MOST_ATTEMPTS).contains(&self.attempts) {
+        if !(1..=MAX_ATTEMPTS).contains(&self.attempts) {
             return field("attempts", self.attempts.to_string(), "1 to 3");
         }
         if let Some(cell) = mandatory_fallback.cells.difference(&self.cells).next() {
--- a/crates/revision/src/figures.rs
+++ b/crates/revision/src/figures.rs
@@ -68,7 +68,7 @@
 
 impl Weight {
     /// Its usual weight.
-    pub const WHOLE: Self = Self(1000);
+    pub const FULL: Self = Self(1000);
 
     /// In thousandths.
     pub fn thousandths(self) -> u16 {
--- a/crates/revision/src/fleet.rs
+++ b/crates/revision/src/fleet.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::document::{Document, LONGEST_NAME, MOST_NAMES, MOST_UPSTREAMS};
+use crate::document::{Document, MAX_LISTED_NAMES, MAX_LISTED_UPSTREAMS, MAX_NAME_BYTES};
 use crate::fallback_policy::FallbackFloor;
 use crate::rules::{Place, Rules};
 
@@ -57,7 +57,7 @@
 
 /// Why a document does not fit the fleet or the charter.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
-pub enum Misfit {
+pub enum FleetConflict {
     /// It names what is not there.
     #[error("there is no {what} `{name}` now; expected names of the list: correct it, or force it")]
     Unknown {
@@ -68,7 +68,7 @@
     },
     /// A class could be sent nowhere.
     #[error("class `{class}` would have no pod; expected one at least: leave one in, or force it")]
-    NoPod {
+    NoCellForClass {
         /// Which.
         class: String,
     },
@@ -99,9 +99,9 @@
     },
 }
 
-impl Misfit {
+impl FleetConflict {
     /// Whether whoever forces a document gets it in spite of this.
-    pub fn yields(&self) -> bool {
+    pub fn is_overridable(&self) -> bool {
         !matches!(self, Self::FallbackPolicy { .. } | Self::Facts { .. })
     }
 }
@@ -111,14 +111,17 @@
     ///
     /// # Errors
     /// What can't.
-    pub fn check(&self) -> Result<(), Misfit> {
-        let wrong = |what: &str| Err(Misfit::Facts { what: what.into() });
-        let long = |names: &[String]| names.iter().any(|n| n.len() > LONGEST_NAME);
+    pub fn check(&self) -> Result<(), FleetConflict> {
+        let wrong = |what: &str| Err(FleetConflict::Facts { what: what.into() });
+        let long = |names: &[String]| names.iter().any(|n| n.len() > MAX_NAME_BYTES);
         let lengths = [self.zones.len(), self.machine_types.len(), self.classes.len()];
-        if lengths.iter().any(|l| *l > MOST_NAMES) || self.groups.len() > MOST_GROUPS {
+        if lengths.iter().any(|l| *l > MAX_LISTED_NAMES) || self.groups.len() > MOST_GROUPS {
             return wrong("too many sites, flavours, classes or groups");
         }
-        if self.named.len() > 2 * MOST_UPSTREAMS || long(&self.zones) || long(&self.machine_types) {
+        if self.named.len() > 2 * MAX_LISTED_UPSTREAMS
+            || long(&self.zones)
+            || long(&self.machine_types)
+        {
             return wrong("too many or too long names");
         }
         if self.load.len() != self.zones.len() {
@@ -132,7 +135,7 @@
         {
             return wrong("a group of no site or flavour");
         }
-        if self.classes.iter().any(|c| c.name.len() > LONGEST_NAME || c.zones.len() > zones) {
+        if self.classes.iter().any(|c| c.name.len() > MAX_NAME_BYTES || c.zones.len() > zones) {
             return wrong("a class of other sites");
         }
         Ok(())
@@ -151,27 +154,31 @@
     }
 
     /// All that speaks against these rules in this fleet, the gravest first.
-    pub fn misfits(&self, rules: &Rules) -> Vec<Misfit> {
+    pub fn fleet_conflicts(&self, rules: &Rules) -> Vec<FleetConflict> {
         if let Err(wrong) = self.check() {
             return vec![wrong];
         }
-        let mut found: Vec<Misfit> = self.against_charter(rules.said(), rules.floor());
+        let mut found: Vec<FleetConflict> = self.fallback_conflicts(rules.said(), rules.floor());
         found.extend(self.unknown(rules.said()));
         found.extend(
             self.classes
                 .iter()
-                .filter(|c| !self.goes_somewhere(c, rules))
-                .map(|c| Misfit::NoPod { class: c.name.clone() }),
+                .filter(|c| !self.is_routable(c, rules))
+                .map(|c| FleetConflict::NoCellForClass { class: c.name.clone() }),
         );
-        found.extend(self.without_room(rules));
-        found.truncate(MOST_NAMES);
+        found.extend(self.capacity_shortage(rules));
+        found.truncate(MAX_LISTED_NAMES);
         found
     }
 
     /// What the document forbids of the charter, whose word is the stronger one.
-    pub(crate) fn against_charter(&self, said: &Document, floor: &FallbackFloor) -> Vec<Misfit> {
+    pub(crate) fn fallback_conflicts(
+        &self,
+        said: &Document,
+        floor: &FallbackFloor,
+    ) -> Vec<FleetConflict> {
         let mut all = Vec::new();
-        let mut no = |what: String| all.push(Misfit::FallbackPolicy { what });
+        let mut no = |what: String| all.push(FleetConflict::FallbackPolicy { what });
         for cell in said.out.cells.iter().filter(|p| floor.holds(**p)) {
             no(format!("pod {cell}"));
         }
@@ -204,10 +211,11 @@
         all
     }
 
-    fn unknown(&self, said: &Document) -> Option<Misfit> {
+    fn unknown(&self, said: &Document) -> Option<FleetConflict> {
         let (out, w) = (&said.out, &said.weights);
         let cells: BTreeSet<u32> = self.groups.iter().map(|g| g.cell).collect();
-        let no = |what: &str, name: String| Some(Misfit::Unknown { what: what.into(), name });
+        let no =
+            |what: &str, name: String| Some(FleetConflict::Unknown { what: what.into(), name });
         let upstream =
             out.upstreams.iter().chain(w.upstreams.keys()).find(|n| !self.named.contains_key(*n));
         let kept = said.kept.values().flatten();
@@ -228,7 +236,7 @@
             .or_else(|| class.and_then(|n| no("class", n.clone())))
     }
 
-    fn goes_somewhere(&self, class: &ClassFacts, rules: &Rules) -> bool {
+    fn is_routable(&self, class: &ClassFacts, rules: &Rules) -> bool {
         self.groups.iter().any(|g| {
             (class.zones.is_empty() || class.zones.contains(&g.zone))
                 && (class.machine_types.is_empty() || class.machine_types.contains(&g.machine_type))
@@ -256,26 +264,31 @@
         (f64::from(group.capacity) * rules.weight(&place) * part) as u64
     }
 
-    fn without_room(&self, rules: &Rules) -> Option<Misfit> {
-        let mut rooms = vec![0_u64; self.zones.len()];
+    fn capacity_shortage(&self, rules: &Rules) -> Option<FleetConflict> {
+        let mut zone_capacity = vec![0_u64; self.zones.len()];
         for group in &self.groups {
-            if let Some(capacity) = rooms.get_mut(usize::from(group.zone)) {
+            if let Some(capacity) = zone_capacity.get_mut(usize::from(group.zone)) {
                 *capacity += self.capacity(group, rules);
             }
         }
-        let zones = self.zones.iter().zip(&self.load).zip(&rooms);
+        let zones = self.zones.iter().zip(&self.load).zip(&zone_capacity);
         let one = zones
             .filter(|((zone, _), _)| !rules.said().out.zones.contains(*zone))
             .find(|((_, load), capacity)| u64::from(**load) > **capacity)
-            .map(|((zone, load), capacity)| Misfit::NoCapacity {
+            .map(|((zone, load), capacity)| FleetConflict::NoCapacity {
                 zone: zone.clone(),
                 load: u64::from(*load),
                 capacity: *capacity,
             });
         // What a site that is out as a whole had goes to the others.
-        let (load, capacity) = (self.load.iter().map(|l| u64::from(*l)).sum(), rooms.iter().sum());
+        let (load, capacity) =
+            (self.load.iter().map(|l| u64::from(*l)).sum(), zone_capacity.iter().sum());
         one.or_else(|| {
-            (load > capacity).then(|| Misfit::NoCapacity { zone: String::new(), load, capacity })
+            (load > capacity).then(|| FleetConflict::NoCapacity {
+                zone: String::new(),
+                load,
+                capacity,
+            })
         })
     }
 }
--- a/crates/revision/src/history.rs
+++ b/crates/revision/src/history.rs
@@ -13,12 +13,12 @@
 use crate::policy_state::Refusal;
 
 /// Revisions that are kept. Beyond, the oldest can't be gone back to.
-pub const MOST_REVISIONS: usize = 1000;
+pub const MAX_REVISIONS: usize = 1000;
 /// Bytes of all their contents together, shared ones once: what a snapshot takes at most, less a bit. Beyond,
 /// the oldest can't be gone back to either.
-pub const MOST_CONTENT: usize = 4 << 20;
+pub const MAX_CONTENT_BYTES: usize = 4 << 20;
 /// Answers that are kept. Whoever asks later than that many others is told that nobody remembers.
-pub const MOST_ANSWERS: usize = 4096;
+pub const MAX_RESULTS: usize = 4096;
 
 /// How a revision came about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
@@ -30,7 +30,7 @@
     /// Somebody went back to another.
     Rollback(CommandId, u64),
     /// Another was taken back from its trial.
-    TakenBack(u64, RollbackCause),
+    AutomaticRollback(u64, RollbackCause),
 }
 
 /// As the admin API and the rehearsals' reports print it.
@@ -40,10 +40,10 @@
             Self::Bootstrap => write!(f, "founding"),
             Self::Proposed(CommandId(id)) => write!(f, "proposed(id({id}))"),
             Self::Rollback(CommandId(id), to) => write!(f, "rollback(id({id}), {to})"),
-            Self::TakenBack(revision, RollbackCause::NotConfirmed) => {
+            Self::AutomaticRollback(revision, RollbackCause::NotConfirmed) => {
                 write!(f, "takenback({revision}, notconfirmed)")
             }
-            Self::TakenBack(revision, RollbackCause::WorthFell(by)) => {
+            Self::AutomaticRollback(revision, RollbackCause::ServedWorthFell(by)) => {
                 write!(f, "takenback({revision}, worthfell({by}))")
             }
         }
@@ -54,26 +54,26 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ChangeStatus {
     /// It is the next.
-    Waits,
+    Pending,
     /// The step to it is under way: what it forbids is forbidden.
-    Narrow,
+    Restricting,
     /// It is in force.
     InForce,
     /// It was in force, from this stage on.
-    Was(u64),
+    Superseded(u64),
     /// It never came into force: this later one took its place.
-    Never(u64),
+    Skipped(u64),
 }
 
 /// As the admin API prints it.
 impl fmt::Display for ChangeStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Waits => write!(f, "waits"),
-            Self::Narrow => write!(f, "narrow"),
+            Self::Pending => write!(f, "waits"),
+            Self::Restricting => write!(f, "narrow"),
             Self::InForce => write!(f, "inforce"),
-            Self::Was(index) => write!(f, "was({index})"),
-            Self::Never(by) => write!(f, "never({by})"),
+            Self::Superseded(index) => write!(f, "was({index})"),
+            Self::Skipped(by) => write!(f, "never({by})"),
         }
     }
 }
@@ -130,7 +130,7 @@
 
     /// Drops the oldest revisions beyond the bounds, but none of those that are needed still.
     pub(crate) fn compact(&mut self, needed: &BTreeSet<u64>) {
-        while self.kept.len() > MOST_REVISIONS || self.bytes > MOST_CONTENT {
+        while self.kept.len() > MAX_REVISIONS || self.bytes > MAX_CONTENT_BYTES {
             let Some(oldest) = self.kept.keys().copied().find(|n| !needed.contains(n)) else {
                 return;
             };
@@ -147,7 +147,7 @@
         if self.answers.insert(id, answer).is_none() {
             self.asked.push_back(id);
         }
-        while self.asked.len() > MOST_ANSWERS {
+        while self.asked.len() > MAX_RESULTS {
             if let Some(oldest) = self.asked.pop_front() {
                 self.answers.remove(&oldest);
             }
--- a/crates/revision/src/leases.rs
+++ b/crates/revision/src/leases.rs
@@ -19,16 +19,16 @@
 use crate::rules::Rules;
 
 /// No two renewals follow each other sooner: also while forty revisions a second come, words are bounded.
-const LEAST_GAP: Duration = Duration::from_millis(20);
+const MIN_RENEWAL_INTERVAL: Duration = Duration::from_millis(20);
 /// A renewal without an answer is made again after so long, then twice as long, up to a renewal. Without it a
 /// change takes 730 ms instead of 430 at 36 balancers with 10 % lost.
-const AGAIN: Duration = Duration::from_millis(60);
+const MIN_RENEWAL_RETRY: Duration = Duration::from_millis(60);
 /// What was proposed and is not in the log is proposed again.
-const PROPOSE_AGAIN: Duration = Duration::from_millis(500);
+const PROPOSAL_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 /// Former parents that are told what was confirmed. One that is not waits for the end of the lease.
-const MOST_FORMER: usize = 4;
+const MAX_FORMER_PARENTS: usize = 4;
 /// Askings that are remembered: answers to older ones come later than a lease is long.
-const MOST_ASKED: usize = 32;
+const MAX_PENDING_RENEWALS: usize = 32;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Parent {
@@ -38,7 +38,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Lead {
+struct Leadership {
     since: Duration,
     /// Epoch and index of the last entry that it has to have applied.
     from: (u32, u64),
@@ -60,7 +60,7 @@
     knows: bool,
     /// What it keeps to past its lease, and the generation of that; `None` for the bedrock.
     pub(crate) fallback_policy: (Option<Generation>, Arc<FallbackPolicy>),
-    charter_rules: Arc<Rules>,
+    fallback_rules: Arc<Rules>,
     /// The generation that is on disk.
     kept: Option<Generation>,
     /// Who holds the charter's present generation.
@@ -77,7 +77,7 @@
     pub(crate) children: Children,
     /// What was confirmed last.
     confirmed: Generation,
-    lead: Option<Lead>,
+    lead: Option<Leadership>,
     pub(crate) canary: Option<(u64, Duration)>,
     pub(crate) worth: Option<CanaryMetric>,
     proposed: Option<(Entry, Duration)>,
@@ -97,7 +97,7 @@
             None => (None, Arc::new(terms.mandatory_fallback.clone())),
         };
         Self {
-            charter_rules: Arc::new(Rules::of_fallback_policy(&fallback_policy.1)),
+            fallback_rules: Arc::new(Rules::of_fallback_policy(&fallback_policy.1)),
             knows: fallback_policy.0.is_some(),
             kept: fallback_policy.0,
             fallback_policy,
@@ -146,7 +146,7 @@
                 self.message(from, incarnation, message, actions)
             }
             Event::Leads { since, epoch, from } => {
-                self.lead = Some(Lead { since, from: (epoch, from), round: None });
+                self.lead = Some(Leadership { since, from: (epoch, from), round: None });
             }
             Event::Round { began } => {
                 // One that began before it led was answered to another leader, and one from the future to
@@ -205,7 +205,7 @@
         let until = self.now.saturating_add(self.terms.more(self.terms.lease));
         self.former.retain(|(m, at)| *m != last.member && *at > self.now);
         self.former.push((last.member, until));
-        if self.former.len() > MOST_FORMER {
+        if self.former.len() > MAX_FORMER_PARENTS {
             self.former.remove(0);
         }
     }
@@ -250,7 +250,9 @@
                     actions.push(Action::Learn { from, generation });
                 }
             }
-            Message::Left { confirmed } => self.children.left_by((from, incarnation), confirmed),
+            Message::Departed { confirmed } => {
+                self.children.left_by((from, incarnation), confirmed)
+            }
             Message::Grant { to, asked, generation, length } => {
                 let asked = Duration::from_micros(asked);
                 if !self.answered(from, to, asked) {
@@ -362,7 +364,7 @@
             .is_some_and(|l| l.round.is_some() && (generation.epoch, status.index) >= l.from);
         if self.knows && self.fallback_policy.0 < Some(fallback_generation) {
             if self.fallback_policy.1 != status.fallback_policy {
-                self.charter_rules = Arc::new(Rules::of_fallback_policy(&status.fallback_policy));
+                self.fallback_rules = Arc::new(Rules::of_fallback_policy(&status.fallback_policy));
             }
             self.fallback_policy = (Some(fallback_generation), status.fallback_policy.clone());
             if self.kept < Some(fallback_generation) {
@@ -396,7 +398,7 @@
     }
 
     fn tell_former(&self, actions: &mut Vec<Action>) {
-        let message = Message::Left { confirmed: self.confirmed };
+        let message = Message::Departed { confirmed: self.confirmed };
         let waiting = self.former.iter().filter(|(_, until)| *until > self.now);
         actions.extend(waiting.map(|(m, _)| Action::Send { to: *m, message: message.clone() }));
     }
@@ -410,7 +412,7 @@
         self.tell_former(actions);
         (self.news, self.renewed, self.tries) = (false, Some(now), self.tries.saturating_add(1));
         self.asked.push_back(Duration::from_micros(micros(now)));
-        if self.asked.len() > MOST_ASKED {
+        if self.asked.len() > MAX_PENDING_RENEWALS {
             self.asked.pop_front();
         }
         let generation = self.generation();
@@ -442,9 +444,9 @@
         let short = left.saturating_mul(2) < self.terms.lease;
         let renewal = if short { self.terms.renewal / 3 } else { self.terms.renewal };
         let wait = match self.tries {
-            _ if self.news => LEAST_GAP,
+            _ if self.news => MIN_RENEWAL_INTERVAL,
             0 => renewal,
-            tries => AGAIN.saturating_mul(1 << (tries - 1).min(8)),
+            tries => MIN_RENEWAL_RETRY.saturating_mul(1 << (tries - 1).min(8)),
         };
         Some(last.saturating_add(wait.min(renewal)))
     }
@@ -462,7 +464,7 @@
             self.note_missing();
         }
         let Some(entry) = self.due() else { return };
-        let again = self.now.saturating_sub(PROPOSE_AGAIN);
+        let again = self.now.saturating_sub(PROPOSAL_RETRY_INTERVAL);
         if self.proposed.as_ref().is_some_and(|(e, at)| *e == entry && *at > again) {
             return;
         }
@@ -476,12 +478,12 @@
         // Leases that the leader before gave, and that nobody here knows of, have ended by then.
         let others = lead.since.saturating_add(self.terms.more(self.terms.lease));
         if status.unconfirmed && self.confirmed == *generation && self.now >= others {
-            return Some(Entry::Step(generation.index));
+            return Some(Entry::GenerationConfirmed(generation.index));
         }
         if let (Some(canary), Some((_, since))) = (status.canary, self.canary)
             && let Some(why) = canary.terms.verdict(self.now.saturating_sub(since), self.worth)
         {
-            return Some(Entry::TakeBack(canary.revision, why));
+            return Some(Entry::AutomaticRollback(canary.revision, why));
         }
         if !status.awaited {
             return None;
@@ -493,12 +495,12 @@
     /// What requests read now.
     pub fn in_force(&self) -> InForce {
         let until = self.until().unwrap_or(Duration::ZERO);
-        let rules = self.at.as_ref().map_or(&self.charter_rules, |(_, status)| &status.rules);
+        let rules = self.at.as_ref().map_or(&self.fallback_rules, |(_, status)| &status.rules);
         InForce {
             rules: rules.clone(),
             generation: self.generation(),
             until,
-            fallback_policy: self.charter_rules.clone(),
+            fallback_policy: self.fallback_rules.clone(),
         }
     }
 
@@ -515,8 +517,10 @@
         let children = self.children.left(self.now, self.generation()).err().map(past);
         let lead = self.lead.as_ref().and_then(|lead| {
             let others = lead.since.saturating_add(self.terms.more(self.terms.lease));
-            let again =
-                self.proposed.as_ref().map(|(_, at)| past(at.saturating_add(PROPOSE_AGAIN)));
+            let again = self
+                .proposed
+                .as_ref()
+                .map(|(_, at)| past(at.saturating_add(PROPOSAL_RETRY_INTERVAL)));
             let canary = self.at.as_ref().and_then(|(_, s)| s.canary).zip(self.canary);
             let canary = canary.map(|(t, (_, since))| {
                 since.saturating_add(Duration::from_secs(t.terms.seconds.into()))
--- a/crates/revision/src/lists.rs
+++ b/crates/revision/src/lists.rs
@@ -8,25 +8,25 @@
 use hollowpaddle_peer_transport::NodeId;
 use serde::{Deserialize, Serialize};
 
-use crate::document::LONGEST_NAME;
+use crate::document::MAX_NAME_BYTES;
 use crate::message::{MAX_MESSAGE_BYTES, MessageError};
 
 /// Upstreams that are kept, named by the own list or by a peer: what is beyond is usable by the own list's
 /// last word, if that has one, and peers' words about it count for nothing. Four times the largest fleet.
-pub const MOST_UPSTREAMS: usize = 4096;
+pub const MAX_TRACKED_UPSTREAMS: usize = 4096;
 /// A peer's word alone stops sends for so long: a drain is over by then, and one broken peer can't close a
 /// fleet for ever.
-pub const STOPS: Duration = Duration::from_secs(60);
+pub const STOP_TIMEOUT: Duration = Duration::from_secs(60);
 /// An own list as new as a peer's word, that has not said so for so long, is right against it: replicas of
 /// discovery that disagree, and each balancer keeps to its own.
-pub const DISAGREES: Duration = Duration::from_secs(10);
+pub const DISAGREEMENT_TIMEOUT: Duration = Duration::from_secs(10);
 /// The version is told so often.
-const EVERY: Duration = Duration::from_secs(1);
+const VERSION_INTERVAL: Duration = Duration::from_secs(1);
 /// News of one upstream is told at once and so much later again: with 30 % lost, one of forty neighbours
 /// misses all three.
-const AGAIN: [Duration; 2] = [Duration::from_millis(200), Duration::from_secs(1)];
+const REPEAT_DELAYS: [Duration; 2] = [Duration::from_millis(200), Duration::from_secs(1)];
 /// News that wait to be told again. Beyond, the oldest is told fewer times.
-const MOST_NEWS: usize = 1024;
+const MAX_PENDING_REPEATS: usize = 1024;
 
 /// What the own list says of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -129,7 +129,7 @@
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Heard {
+struct PeerStop {
     version: u64,
     ended: bool,
     at: Duration,
@@ -146,7 +146,7 @@
     newest: u64,
     floor: u64,
     /// By peers' words.
-    stopped: BTreeMap<String, Heard>,
+    stopped: BTreeMap<String, PeerStop>,
     versions: BTreeMap<NodeId, u64>,
     asked: u64,
     /// To be told again, and when.
@@ -176,7 +176,7 @@
             }
             Event::Message { from, message } => {
                 self.versions.insert(from, message.version);
-                if self.versions.len() > usize::from(crate::node_set::MOST_MEMBERS) {
+                if self.versions.len() > usize::from(crate::node_set::MAX_NODES) {
                     self.versions.pop_last();
                 }
                 for stop in message.stops {
@@ -194,7 +194,7 @@
             Event::FallbackFloor(floor) => self.floor = floor,
             Event::Due => {}
         }
-        self.lapse();
+        self.expire_stops();
         if changed || before != (self.stopped.len(), self.is_old()) {
             actions.push(Action::Changed);
         }
@@ -228,14 +228,14 @@
     }
 
     fn says(&mut self, name: String, version: u64, phase: Phase) -> Option<Stop> {
-        if name.len() > LONGEST_NAME
-            || (self.own.len() >= MOST_UPSTREAMS && !self.own.contains_key(&name))
+        if name.len() > MAX_NAME_BYTES
+            || (self.own.len() >= MAX_TRACKED_UPSTREAMS && !self.own.contains_key(&name))
         {
             return None;
         }
         let last = self.own.insert(name.clone(), (version, phase));
         // Who is gone is forgotten first when there is no room; what is known of it by version goes with it.
-        if self.own.len() >= MOST_UPSTREAMS {
+        if self.own.len() >= MAX_TRACKED_UPSTREAMS {
             let gone = self
                 .own
                 .iter()
@@ -253,7 +253,7 @@
 
     /// Takes in a peer's word; whether it is news.
     fn heard(&mut self, stop: &Stop) -> bool {
-        if stop.name.len() > LONGEST_NAME {
+        if stop.name.len() > MAX_NAME_BYTES {
             return false;
         }
         // The own list's later word is the better one. Of one version two replicas can say two things: then
@@ -264,9 +264,9 @@
             }
             _ => {}
         }
-        let capacity = self.stopped.len() < MOST_UPSTREAMS;
+        let capacity = self.stopped.len() < MAX_TRACKED_UPSTREAMS;
         let now = self.now;
-        let new = Heard { version: stop.version, ended: stop.ended, at: now, matched: None };
+        let new = PeerStop { version: stop.version, ended: stop.ended, at: now, matched: None };
         match self.stopped.get_mut(&stop.name) {
             Some(heard) if (heard.version, heard.ended) >= (stop.version, stop.ended) => false,
             Some(heard) => {
@@ -282,16 +282,17 @@
     }
 
     /// Peers' words that count no longer.
-    fn lapse(&mut self) {
+    fn expire_stops(&mut self) {
         let (now, newest) = (self.now, self.newest);
         for heard in self.stopped.values_mut() {
             heard.matched =
                 if newest >= heard.version { heard.matched.or(Some(now)) } else { None };
         }
         self.stopped.retain(|_, heard| {
-            let disagrees =
-                heard.matched.is_some_and(|since| now >= since.saturating_add(DISAGREES));
-            now < heard.at.saturating_add(STOPS) && !disagrees
+            let disagrees = heard
+                .matched
+                .is_some_and(|since| now >= since.saturating_add(DISAGREEMENT_TIMEOUT));
+            now < heard.at.saturating_add(STOP_TIMEOUT) && !disagrees
         });
     }
 
@@ -301,14 +302,14 @@
         while self.news.front().is_some_and(|(at, _)| *at <= now) {
             stops.extend(self.news.pop_front().map(|(_, stop)| stop));
         }
-        for after in AGAIN {
+        for after in REPEAT_DELAYS {
             self.news.extend(news.iter().map(|stop| (now.saturating_add(after), stop.clone())));
         }
         self.news.make_contiguous().sort();
-        let over = self.news.len().saturating_sub(MOST_NEWS);
+        let over = self.news.len().saturating_sub(MAX_PENDING_REPEATS);
         self.news.drain(..over);
         stops.extend(news);
-        let due = self.told.is_none_or(|last| now >= last.saturating_add(EVERY));
+        let due = self.told.is_none_or(|last| now >= last.saturating_add(VERSION_INTERVAL));
         if due || !stops.is_empty() {
             self.told = Some(now);
             let mut message = ListMessage { version: self.newest, stops: vec![] };
@@ -324,7 +325,12 @@
             actions.push(Action::Tell(message));
         }
         let again = self.news.front().map(|(at, _)| *at);
-        let next = self.told.map(|last| last.saturating_add(EVERY)).into_iter().chain(again).min();
+        let next = self
+            .told
+            .map(|last| last.saturating_add(VERSION_INTERVAL))
+            .into_iter()
+            .chain(again)
+            .min();
         if let Some(next) = next.filter(|n| self.wakes != Some(*n)) {
             self.wakes = Some(next);
             actions.push(Action::WakeAt(next));
--- a/crates/revision/src/message.rs
+++ b/crates/revision/src/message.rs
@@ -36,7 +36,7 @@
         fallback_policy: Option<(Generation, NodeSet)>,
     },
     /// To a former parent: what it may wait for. It asks for nothing, and is not answered.
-    Left {
+    Departed {
         /// Neither the sender nor anybody under a lease that it gave acts on an older one.
         confirmed: Generation,
     },
--- a/crates/revision/src/node_set.rs
+++ b/crates/revision/src/node_set.rs
@@ -6,11 +6,11 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 /// Balancers of a bank at most: a set of so many takes 64 bytes, and a word holds two.
-pub const MOST_MEMBERS: u16 = 512;
+pub const MAX_NODES: u16 = 512;
 
-const BYTES: usize = MOST_MEMBERS as usize / 8;
+const BYTES: usize = MAX_NODES as usize / 8;
 
-/// A set of balancers, by their numbers below [`MOST_MEMBERS`]; others are in none.
+/// A set of balancers, by their numbers below [`MAX_NODES`]; others are in none.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeSet([u8; BYTES]);
 
--- a/crates/revision/src/policy_state.rs
+++ b/crates/revision/src/policy_state.rs
@@ -11,9 +11,9 @@
 use crate::document::Document;
 use crate::entry::{CommandId, Entry, ProposalOptions};
 use crate::fallback_policy::{FallbackFloor, FallbackPolicy, FallbackPolicyError};
-use crate::fleet::{Facts, Misfit};
+use crate::fleet::{Facts, FleetConflict};
 use crate::history::{ChangeStatus, History, Origin, ProposalResult, RetainedRevision};
-use crate::node_set::MOST_MEMBERS;
+use crate::node_set::MAX_NODES;
 use crate::rules::Rules;
 pub use crate::status::{Applied, Bootstrap, BootstrapError, CanaryStatus, PolicyStatus, Refusal};
 
@@ -68,7 +68,7 @@
     /// If it can't begin so.
     pub fn found(bootstrap: Bootstrap) -> Result<Self, BootstrapError> {
         let Bootstrap { members, mandatory_fallback, fallback_policy, document } = bootstrap;
-        if !(1..=MOST_MEMBERS).contains(&members) {
+        if !(1..=MAX_NODES).contains(&members) {
             return Err(BootstrapError::NodeSet { found: members });
         }
         document.check()?;
@@ -99,7 +99,7 @@
             dead: BTreeSet::new(),
         };
         let mut history = History::default();
-        history.keep(0, document, Origin::Bootstrap, Some(ChangeStatus::Was(0)));
+        history.keep(0, document, Origin::Bootstrap, Some(ChangeStatus::Superseded(0)));
         Ok(Self::of(state, history))
     }
 
@@ -140,7 +140,9 @@
             | Entry::Confirm(id, _)
             | Entry::Dead(id, _)
             | Entry::Alive(id, _) => Some(*id),
-            Entry::Step(_) | Entry::FallbackPolicyConfirmed(_) | Entry::TakeBack(..) => None,
+            Entry::GenerationConfirmed(_)
+            | Entry::FallbackPolicyConfirmed(_)
+            | Entry::AutomaticRollback(..) => None,
         };
         // A question that got into the log twice was asked once.
         if let Some(known) =
@@ -170,7 +172,7 @@
             Entry::Confirm(_, number) => self.confirm(number),
             Entry::Dead(_, member) => self.member(member, true).map(|()| index),
             Entry::Alive(_, member) => self.member(member, false).map(|()| index),
-            Entry::Step(generation) => {
+            Entry::GenerationConfirmed(generation) => {
                 self.state.unconfirmed &= generation != self.state.generation;
                 return None;
             }
@@ -181,12 +183,12 @@
                 }
                 return None;
             }
-            Entry::TakeBack(number, why) => {
+            Entry::AutomaticRollback(number, why) => {
                 if let Some(canary) = self.state.canary.filter(|t| t.revision == number)
                     && let Ok(before) = self.kept(canary.before)
                 {
                     let document = (*before.document).clone();
-                    self.accept(index, document, Origin::TakenBack(number, why));
+                    self.accept(index, document, Origin::AutomaticRollback(number, why));
                     self.state.canary = None;
                 }
                 return None;
@@ -224,8 +226,8 @@
         FallbackFloor::either(self.state.fallback_policy.clone(), to.clone())
     }
 
-    fn misfits(&self, document: &Document, facts: &Facts) -> Vec<Misfit> {
-        facts.misfits(&Rules::of(document.clone(), Arc::new(self.floor())))
+    fn fleet_conflicts(&self, document: &Document, facts: &Facts) -> Vec<FleetConflict> {
+        facts.fleet_conflicts(&Rules::of(document.clone(), Arc::new(self.floor())))
     }
 
     fn revise(
@@ -236,12 +238,12 @@
         origin: Origin,
     ) -> Result<u64, Refusal> {
         self.base(ask.base)?;
-        if let Some(terms) = ask.canary.filter(|t| !t.is_possible()) {
+        if let Some(terms) = ask.canary.filter(|t| !t.is_valid()) {
             return Err(Refusal::CanaryTerms(terms));
         }
-        let against = self.misfits(&document, &ask.facts);
-        if let Some(misfit) = against.into_iter().find(|m| !(ask.forced && m.yields())) {
-            return Err(Refusal::Misfit(misfit));
+        let against = self.fleet_conflicts(&document, &ask.facts);
+        if let Some(misfit) = against.into_iter().find(|m| !(ask.forced && m.is_overridable())) {
+            return Err(Refusal::FleetConflict(misfit));
         }
         // Whoever builds on a revision that is on trial has accepted it, unless this one is on trial as well:
         // then both go back to what was there before either.
@@ -257,7 +259,7 @@
         if let Some(passed_over) =
             self.state.next.replace(number).and_then(|n| self.history.kept.get_mut(&n))
         {
-            passed_over.change_status = Some(ChangeStatus::Never(number));
+            passed_over.change_status = Some(ChangeStatus::Skipped(number));
         }
         self.state.newest = number;
     }
@@ -265,7 +267,7 @@
     fn confirm(&mut self, number: u64) -> Result<u64, Refusal> {
         let on_trial = self.state.canary.is_some_and(|t| t.revision == number);
         if !on_trial {
-            return Err(Refusal::NotCanary { number });
+            return Err(Refusal::NotOnCanary { number });
         }
         self.state.canary = None;
         Ok(number)
@@ -273,7 +275,7 @@
 
     fn member(&mut self, member: NodeId, dead: bool) -> Result<(), Refusal> {
         if member.0 >= self.state.members {
-            return Err(Refusal::NoMember { member: member.0, members: self.state.members });
+            return Err(Refusal::UnknownNode { member: member.0, members: self.state.members });
         }
         if dead {
             self.state.dead.insert(member.0)
@@ -318,8 +320,10 @@
         let s = &self.state;
         let all = [Some(s.in_force), s.towards, s.next, Some(s.newest), s.canary.map(|t| t.before)];
         for kept in all.into_iter().flatten().filter_map(|n| self.history.kept.get(&n)) {
-            if let Some(misfit) = facts.against_charter(&kept.document, &floor).into_iter().next() {
-                return Err(Refusal::Misfit(misfit));
+            if let Some(misfit) =
+                facts.fallback_conflicts(&kept.document, &floor).into_iter().next()
+            {
+                return Err(Refusal::FleetConflict(misfit));
             }
         }
         if to != self.state.fallback_policy {
@@ -339,7 +343,7 @@
         if let Some(to) = s.towards.take() {
             s.in_force = to;
             if let Some(kept) = self.history.kept.get_mut(&to) {
-                kept.change_status = Some(ChangeStatus::Was(index));
+                kept.change_status = Some(ChangeStatus::Superseded(index));
             }
         } else if let Some(change) = s.change.as_mut().filter(|c| !c.begun) {
             change.begun = true;
@@ -384,7 +388,7 @@
     }
 
     /// What was answered to a question; `None`: it is not in the log, or more than
-    /// [`MOST_ANSWERS`](crate::history::MOST_ANSWERS) came after it.
+    /// [`MAX_RESULTS`](crate::history::MOST_ANSWERS) came after it.
     pub fn answer(&self, id: CommandId) -> Option<&ProposalResult> {
         self.history.answers.get(&id)
     }
@@ -395,9 +399,9 @@
         let s = &self.state;
         Some(match kept.change_status {
             _ if number == s.in_force => ChangeStatus::InForce,
-            _ if Some(number) == s.towards => ChangeStatus::Narrow,
+            _ if Some(number) == s.towards => ChangeStatus::Restricting,
             Some(change_status) => change_status,
-            None => ChangeStatus::Waits,
+            None => ChangeStatus::Pending,
         })
     }
 
@@ -413,7 +417,7 @@
     pub fn dry_run(&self, document: &Document, facts: &Facts) -> Result<Difference, Refusal> {
         document.check().map_err(|e| Refusal::Document(e.to_string()))?;
         let now = &self.kept(self.state.newest)?.document;
-        Ok(Difference::of(now, document, &self.misfits(document, facts)))
+        Ok(Difference::of(now, document, &self.fleet_conflicts(document, facts)))
     }
 
     /// What going back to a revision would change.
--- a/crates/revision/src/rules.rs
+++ b/crates/revision/src/rules.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
 
-use crate::document::{Chosen, Document};
+use crate::document::{Document, Selection};
 use crate::fallback_policy::{FallbackFloor, FallbackPolicy};
 
 /// An upstream, as far as rules are about it.
@@ -21,7 +21,7 @@
 }
 
 /// A class, and the pods that it is kept from.
-type RetainedRevision = (Box<str>, Box<[u32]>);
+type ClassExclusion = (Box<str>, Box<[u32]>);
 
 /// Rules in force: they don't change, and are replaced as a whole.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -38,7 +38,7 @@
     machine_types: Box<[Box<str>]>,
     zones: Box<[Box<str>]>,
     /// Sorted: the class, and the pods that it is kept from.
-    kept: Box<[RetainedRevision]>,
+    kept: Box<[ClassExclusion]>,
 }
 
 fn has(names: &[Box<str>], name: &str) -> bool {
@@ -50,7 +50,7 @@
     /// whatever machines join a pod later, nobody refuses what the charter allows.
     pub fn of(said: Document, floor: Arc<FallbackFloor>) -> Self {
         let names = |names: &BTreeSet<String>| names.iter().map(|n| n.as_str().into()).collect();
-        let Chosen { upstreams, cells, machine_types, zones } = &said.out;
+        let Selection { upstreams, cells, machine_types, zones } = &said.out;
         Self {
             upstreams: names(upstreams),
             cells: cells.iter().copied().collect(),
@@ -167,14 +167,14 @@
     pub fn contradicts(&self, other: &Self) -> Option<Contradiction> {
         let (a, b) = (&self.said, &other.said);
         let charters = self.floor == other.floor;
-        let one = |a: &Chosen, b: &Chosen| {
+        let one = |a: &Selection, b: &Selection| {
             let more = a.without(b);
             let first = |names: &BTreeSet<String>| names.first().cloned();
             let cells = |cell: &u32| !charters || !self.floor.holds(*cell);
             None.or(first(&more.upstreams).map(Contradiction::Upstream))
-                .or(more.cells.iter().copied().find(cells).map(Contradiction::Pod))
-                .or(first(&more.machine_types).map(Contradiction::Flavour))
-                .or(first(&more.zones).map(Contradiction::Site))
+                .or(more.cells.iter().copied().find(cells).map(Contradiction::Cell))
+                .or(first(&more.machine_types).map(Contradiction::MachineType))
+                .or(first(&more.zones).map(Contradiction::Zone))
         };
         let of = |kept: &BTreeMap<String, BTreeSet<u32>>| -> Vec<(String, u32)> {
             kept.iter().flat_map(|(c, cells)| cells.iter().map(move |p| (c.clone(), *p))).collect()
@@ -183,7 +183,7 @@
             let (a, b) = (of(&a.kept), of(&b.kept));
             let differs =
                 a.iter().find(|k| !b.contains(k)).or_else(|| b.iter().find(|k| !a.contains(k)));
-            differs.map(|(class, cell)| Contradiction::RetainedRevision(class.clone(), *cell))
+            differs.map(|(class, cell)| Contradiction::ClassExclusion(class.clone(), *cell))
         };
         one(&a.out, &b.out)
             .or_else(|| one(&b.out, &a.out))
@@ -200,13 +200,13 @@
     /// An upstream is out by its name.
     Upstream(String),
     /// A pod is out.
-    Pod(u32),
+    Cell(u32),
     /// A flavour is out.
-    Flavour(String),
+    MachineType(String),
     /// A site is out.
-    Site(String),
+    Zone(String),
     /// A class is kept from a pod.
-    RetainedRevision(String, u32),
+    ClassExclusion(String, u32),
     /// Attempts at most.
     Attempts,
     /// The eldest list.
--- a/crates/revision/src/snapshot.rs
+++ b/crates/revision/src/snapshot.rs
@@ -7,18 +7,18 @@
 
 use crate::document::Document;
 use crate::entry::CommandId;
-use crate::history::{ChangeStatus, History, MOST_ANSWERS, MOST_REVISIONS, Origin, ProposalResult};
-use crate::node_set::MOST_MEMBERS;
+use crate::history::{ChangeStatus, History, MAX_RESULTS, MAX_REVISIONS, Origin, ProposalResult};
+use crate::node_set::MAX_NODES;
 use crate::policy_state::{PolicyState, State};
 
 /// The version of the form.
 const VERSION: u8 = 1;
 /// The longest image, in bytes. Contents take 4 MiB at most; 1,000 revisions of 1 kB, each another one, make
 /// 1.1 MB.
-pub const LONGEST_IMAGE: usize = 6 << 20;
+pub const MAX_SNAPSHOT_BYTES: usize = 6 << 20;
 
 #[derive(Serialize, Deserialize)]
-struct Image {
+struct Snapshot {
     version: u8,
     state: State,
     contents: Vec<Document>,
@@ -30,9 +30,9 @@
 
 /// Why bytes are no book.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum ImageError {
+pub enum SnapshotError {
     /// Too many.
-    #[error("the image of a rule book takes {found} bytes; expected {LONGEST_IMAGE} at most")]
+    #[error("the image of a rule book takes {found} bytes; expected {MAX_SNAPSHOT_BYTES} at most")]
     TooLong {
         /// Bytes.
         found: usize,
@@ -52,13 +52,13 @@
     ///
     /// # Errors
     /// If they would be too many, which the bounds on its parts exclude.
-    pub fn image(&self) -> Result<Vec<u8>, ImageError> {
+    pub fn image(&self) -> Result<Vec<u8>, SnapshotError> {
         let history = &self.history;
         let contents: Vec<&Arc<Document>> = history.contents().collect();
         let places: BTreeMap<&Arc<Document>, u32> =
             contents.iter().zip(0..).map(|(c, i)| (*c, i)).collect();
         let revisions = history.kept.iter();
-        let image = Image {
+        let image = Snapshot {
             version: VERSION,
             state: self.state.clone(),
             contents: contents.iter().map(|c| (***c).clone()).collect(),
@@ -79,28 +79,28 @@
                 .collect(),
         };
         let bytes = postcard::to_stdvec(&image)
-            .map_err(|e| ImageError::Unreadable { length: 0, cause: e.to_string() })?;
+            .map_err(|e| SnapshotError::Unreadable { length: 0, cause: e.to_string() })?;
         let found = bytes.len();
-        if found > LONGEST_IMAGE { Err(ImageError::TooLong { found }) } else { Ok(bytes) }
+        if found > MAX_SNAPSHOT_BYTES { Err(SnapshotError::TooLong { found }) } else { Ok(bytes) }
     }
 
     /// From bytes. They may be anything; whoever hands them over vouches for the council's agreement to them.
     ///
     /// # Errors
     /// If they are no book: then nothing of them counts.
-    pub fn from_image(bytes: &[u8]) -> Result<Self, ImageError> {
+    pub fn from_image(bytes: &[u8]) -> Result<Self, SnapshotError> {
         let length = bytes.len();
-        if length > LONGEST_IMAGE {
-            return Err(ImageError::TooLong { found: length });
+        if length > MAX_SNAPSHOT_BYTES {
+            return Err(SnapshotError::TooLong { found: length });
         }
-        let wrong = |cause: &str| ImageError::Unreadable { length, cause: cause.into() };
+        let wrong = |cause: &str| SnapshotError::Unreadable { length, cause: cause.into() };
         let (image, rest) =
-            postcard::take_from_bytes::<Image>(bytes).map_err(|e| wrong(&e.to_string()))?;
-        let Image { version, state, contents, revisions, answers } = image;
+            postcard::take_from_bytes::<Snapshot>(bytes).map_err(|e| wrong(&e.to_string()))?;
+        let Snapshot { version, state, contents, revisions, answers } = image;
         if version != VERSION || !rest.is_empty() {
             return Err(wrong("another version, or more behind it"));
         }
-        if revisions.len() > MOST_REVISIONS || answers.len() > MOST_ANSWERS {
+        if revisions.len() > MAX_REVISIONS || answers.len() > MAX_RESULTS {
             return Err(wrong("too many revisions or answers"));
         }
         if contents.iter().any(|c| c.check().is_err()) {
@@ -115,7 +115,7 @@
         for (id, answer) in answers {
             history.answer(id, answer);
         }
-        let members = 1..=MOST_MEMBERS;
+        let members = 1..=MAX_NODES;
         if !members.contains(&state.members) || state.dead.iter().any(|m| *m >= state.members) {
             return Err(wrong("a bank that can't be"));
         }
--- a/crates/revision/src/status.rs
+++ b/crates/revision/src/status.rs
@@ -8,14 +8,14 @@
 use crate::document::{Document, DocumentError};
 use crate::entry::{CommandId, EntryError};
 use crate::fallback_policy::{FallbackPolicy, FallbackPolicyError};
-use crate::fleet::Misfit;
-use crate::node_set::{MOST_MEMBERS, NodeSet};
+use crate::fleet::FleetConflict;
+use crate::node_set::{MAX_NODES, NodeSet};
 use crate::rules::Rules;
 
 /// What a bank begins with: the same at every balancer, from its settings.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Bootstrap {
-    /// Balancers of the bank, at most [`MOST_MEMBERS`].
+    /// Balancers of the bank, at most [`MAX_NODES`].
     pub members: u16,
     /// What no charter can leave out.
     pub mandatory_fallback: FallbackPolicy,
@@ -29,7 +29,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BootstrapError {
     /// Nobody, or too many.
-    #[error("founding a bank of {found} balancers; expected 1 to {MOST_MEMBERS}")]
+    #[error("founding a bank of {found} balancers; expected 1 to {MAX_NODES}")]
     NodeSet {
         /// So many.
         found: u16,
@@ -73,13 +73,13 @@
     Document(String),
     /// It does not fit the fleet, or the charter.
     #[error("{0}")]
-    Misfit(#[from] Misfit),
+    FleetConflict(#[from] FleetConflict),
     /// The terms of its trial.
     #[error("a trial of {} s and {} thousandths; expected 1 to 3600 and 1 to 1000", .0.seconds, .0.fall)]
     CanaryTerms(CanaryTerms),
     /// Nothing to confirm.
     #[error("revision {number} is not on trial; it was taken back, replaced, or had none")]
-    NotCanary {
+    NotOnCanary {
         /// Asked for.
         number: u64,
     },
@@ -97,7 +97,7 @@
     },
     /// No such balancer.
     #[error("there is no balancer {member} in a bank of {members}")]
-    NoMember {
+    UnknownNode {
         /// Asked for.
         member: u16,
         /// There are.
--- a/crates/revision/tests/banks.rs
+++ b/crates/revision/tests/banks.rs
@@ -10,7 +10,7 @@
 use hollowpaddle_revision::entry::{CommandId, Entry};
 use hollowpaddle_revision::fallback_policy::FallbackPolicy;
 use sim::oracle::Found;
-use sim::{Broken, LIVED, MS, S, Setting, Sim};
+use sim::{Broken, LEASES_EXPIRED, MS, S, Setting, Sim};
 
 /// L and what is under way.
 const T: u64 = 3 * S;
@@ -144,7 +144,7 @@
         (0..36).for_each(|m| cluster.kill(m));
         let generation = cluster.log.last().unwrap().generation;
         cluster.run(39 * S);
-        let (there, leased) = cluster.at_stage(generation);
+        let (there, leased) = cluster.at_generation(generation);
         assert_eq!((there, cluster.log.last().unwrap().unconfirmed), (36, false), "seed {seed}");
         assert!(leased >= 30, "seed {seed}: {leased} hold leases");
         let found = cluster.finish();
@@ -165,7 +165,7 @@
         };
         (0..60).map(|seed| one(seed).mutual).max()
     };
-    assert_eq!(worst(LIVED), Some(0));
+    assert_eq!(worst(LEASES_EXPIRED), Some(0));
     assert!(worst(50 * MS) > Some(0), "too early it is caught");
 }
 
@@ -248,7 +248,7 @@
         let (before, before_bytes) = (cluster.words, cluster.bytes);
         for half in 1..=10 {
             cluster.run(5 * S + half * S / 2);
-            leased += cluster.at_stage(0).1 as f64 / 10.0 / members as f64;
+            leased += cluster.at_generation(0).1 as f64 / 10.0 / members as f64;
         }
         words += (cluster.words - before) as f64 / 5.0 / members as f64;
         bytes += (cluster.bytes - before_bytes) as f64 / (cluster.words - before) as f64;
@@ -260,7 +260,7 @@
             cluster.run(now + 5 * MS);
             let last = cluster.log.last().unwrap().clone();
             if last.revision == index as u64 {
-                let there = cluster.at_stage(last.generation).0;
+                let there = cluster.at_generation(last.generation).0;
                 late = late.or((there * 100 >= members * 99).then_some(cluster.now - yes));
                 if there == members {
                     break;
--- a/crates/revision/tests/books.rs
+++ b/crates/revision/tests/books.rs
@@ -6,10 +6,10 @@
 use hollowpaddle_peer_transport::NodeId;
 use hollowpaddle_revision::canary::{CanaryTerms, RollbackCause};
 use hollowpaddle_revision::document::Document;
-use hollowpaddle_revision::entry::{CommandId, Entry, LONGEST_ENTRY};
+use hollowpaddle_revision::entry::{CommandId, Entry, MAX_ENTRY_BYTES};
 use hollowpaddle_revision::fallback_policy::FallbackPolicy;
-use hollowpaddle_revision::fleet::{Facts, Misfit};
-use hollowpaddle_revision::history::{ChangeStatus, MOST_ANSWERS, MOST_REVISIONS};
+use hollowpaddle_revision::fleet::{Facts, FleetConflict};
+use hollowpaddle_revision::history::{ChangeStatus, MAX_RESULTS, MAX_REVISIONS};
 use hollowpaddle_revision::policy_state::{PolicyState, Refusal};
 use proptest::prelude::*;
 
@@ -23,14 +23,14 @@
     assert_eq!(open(&policy), [0, 1, 4, 5, 6, 7], "neither 2 nor 3");
     let (generation, change_status) =
         (policy.status().generation, policy.change_status(policy.newest()));
-    assert_eq!(change_status, Some(ChangeStatus::Narrow));
+    assert_eq!(change_status, Some(ChangeStatus::Restricting));
     // A word about another stage moves nothing.
-    next(&mut policy, &Entry::Step(generation - 1));
+    next(&mut policy, &Entry::GenerationConfirmed(generation - 1));
     assert_eq!((policy.status().generation, open(&policy).len()), (generation, 6));
-    next(&mut policy, &Entry::Step(generation));
+    next(&mut policy, &Entry::GenerationConfirmed(generation));
     assert_eq!(open(&policy), [0, 1, 2, 4, 5, 6, 7]);
     assert_eq!(policy.change_status(generation), Some(ChangeStatus::InForce));
-    assert_eq!(policy.change_status(1), Some(ChangeStatus::Was(2)));
+    assert_eq!(policy.change_status(1), Some(ChangeStatus::Superseded(2)));
 }
 
 #[test]
@@ -61,21 +61,21 @@
     for id in 1..=5 {
         next(&mut policy, &propose(id, None, without(&[if id % 2 == 0 { 2 } else { 3 }])));
     }
-    let fates: Vec<_> = (1..=5).map(|n| policy.change_status(n).unwrap()).collect();
+    let change_statuses: Vec<_> = (1..=5).map(|n| policy.change_status(n).unwrap()).collect();
     assert_eq!(
-        fates,
+        change_statuses,
         [
-            ChangeStatus::Narrow,
-            ChangeStatus::Never(3),
-            ChangeStatus::Never(4),
-            ChangeStatus::Never(5),
-            ChangeStatus::Waits
+            ChangeStatus::Restricting,
+            ChangeStatus::Skipped(3),
+            ChangeStatus::Skipped(4),
+            ChangeStatus::Skipped(5),
+            ChangeStatus::Pending
         ]
     );
     settle(&mut policy);
     assert_eq!(
         (policy.change_status(1), policy.change_status(5)),
-        (Some(ChangeStatus::Was(6)), Some(ChangeStatus::InForce))
+        (Some(ChangeStatus::Superseded(6)), Some(ChangeStatus::InForce))
     );
     assert_eq!(policy.status().revision, 5);
 }
@@ -95,7 +95,7 @@
     settle(&mut policy);
     assert_eq!(open(&policy), (0..8).collect::<Vec<_>>());
     assert_eq!((policy.status().revision, policy.status().canary), (further, None));
-    assert_eq!(policy.change_status(back), Some(ChangeStatus::Never(further)));
+    assert_eq!(policy.change_status(back), Some(ChangeStatus::Skipped(further)));
     let contents: Vec<_> =
         policy.revisions().map(|(_, k)| std::sync::Arc::as_ptr(&k.document)).collect();
     assert!(contents[0] == *contents.last().unwrap(), "content is shared");
@@ -113,12 +113,12 @@
     fleet.groups.retain(|g| g.cell != 2 && g.cell != 3);
     let told = policy.dry_rollback(1, &fleet).unwrap();
     assert!(told.out.cells.contains(&2) && told.back.cells.contains(&3));
-    assert!(told.misfits[0].contains("no pod `2`"), "{:?}", told.misfits);
+    assert!(told.fleet_conflicts[0].contains("no pod `2`"), "{:?}", told.fleet_conflicts);
     let mut asks = ask(3, None);
     asks.facts = fleet;
     let refused =
         next(&mut policy, &Entry::Rollback(Box::new(asks.clone()), 1)).answered.unwrap().1;
-    assert!(matches!(refused, Err(Refusal::Misfit(Misfit::Unknown { .. }))));
+    assert!(matches!(refused, Err(Refusal::FleetConflict(FleetConflict::Unknown { .. }))));
     (asks.id, asks.forced) = (CommandId(4), true);
     assert!(
         next(&mut policy, &Entry::Rollback(Box::new(asks.clone()), 1)).answered.unwrap().1.is_ok()
@@ -127,7 +127,10 @@
     asks.id = CommandId(5);
     let refused =
         next(&mut policy, &Entry::Propose(Box::new(asks), Box::new(without(&[1])))).answered;
-    assert!(matches!(refused.unwrap().1, Err(Refusal::Misfit(Misfit::FallbackPolicy { .. }))));
+    assert!(matches!(
+        refused.unwrap().1,
+        Err(Refusal::FleetConflict(FleetConflict::FallbackPolicy { .. }))
+    ));
 }
 
 #[test]
@@ -147,11 +150,11 @@
     // One more on trial over it: both go back to what was there before either.
     let second = next(&mut policy, &canary(3, &[6])).answered.unwrap().1.unwrap();
     settle(&mut policy);
-    next(&mut policy, &Entry::TakeBack(number, RollbackCause::NotConfirmed));
+    next(&mut policy, &Entry::AutomaticRollback(number, RollbackCause::NotConfirmed));
     assert_eq!(policy.newest(), second, "it is not that one's trial any more");
-    next(&mut policy, &Entry::TakeBack(second, RollbackCause::NotConfirmed));
+    next(&mut policy, &Entry::AutomaticRollback(second, RollbackCause::NotConfirmed));
     let late = next(&mut policy, &Entry::Confirm(CommandId(4), second)).answered.unwrap().1;
-    assert_eq!(late, Err(Refusal::NotCanary { number: second }));
+    assert_eq!(late, Err(Refusal::NotOnCanary { number: second }));
     settle(&mut policy);
     assert_eq!(open(&policy), [0, 1, 3, 4, 5, 6, 7]);
     // Confirmed, it stays.
@@ -160,7 +163,7 @@
         next(&mut policy, &Entry::Confirm(CommandId(6), third)).answered.unwrap().1,
         Ok(third)
     );
-    next(&mut policy, &Entry::TakeBack(third, RollbackCause::NotConfirmed));
+    next(&mut policy, &Entry::AutomaticRollback(third, RollbackCause::NotConfirmed));
     settle(&mut policy);
     assert_eq!(open(&policy), [0, 1, 2, 3, 4, 5, 6]);
 }
@@ -182,7 +185,10 @@
     // Until then neither may be forbidden, and no third charter comes in between.
     for (id, cell) in [(2, 1), (3, 6)] {
         let refused = next(&mut policy, &propose(id, None, without(&[cell]))).answered.unwrap().1;
-        assert!(matches!(refused, Err(Refusal::Misfit(Misfit::FallbackPolicy { .. }))));
+        assert!(matches!(
+            refused,
+            Err(Refusal::FleetConflict(FleetConflict::FallbackPolicy { .. }))
+        ));
     }
     assert!(matches!(
         next(&mut policy, &change(4, &[0, 4])).answered.unwrap().1,
@@ -198,7 +204,7 @@
     settle(&mut policy);
     // It can't grow over what is forbidden, nor leave out bedrock.
     let refused = next(&mut policy, &change(6, &[0, 1, 4, 6])).answered.unwrap().1;
-    assert!(matches!(refused, Err(Refusal::Misfit(Misfit::FallbackPolicy { .. }))));
+    assert!(matches!(refused, Err(Refusal::FleetConflict(FleetConflict::FallbackPolicy { .. }))));
     assert!(matches!(
         next(&mut policy, &change(7, &[0])).answered.unwrap().1,
         Err(Refusal::FallbackPolicy(_))
@@ -229,7 +235,7 @@
     next(&mut policy, &Entry::Alive(CommandId(2), NodeId(3)));
     assert!(policy.status().dead.is_empty());
     let refused = next(&mut policy, &Entry::Dead(CommandId(3), NodeId(5))).answered.unwrap().1;
-    assert_eq!(refused, Err(Refusal::NoMember { member: 5, members: 5 }));
+    assert_eq!(refused, Err(Refusal::UnknownNode { member: 5, members: 5 }));
 }
 
 #[test]
@@ -245,7 +251,7 @@
         next(&mut policy, &Entry::Propose(Box::new(asks), Box::new(document)));
         settle(&mut policy);
     }
-    assert_eq!(policy.revisions().count(), MOST_REVISIONS);
+    assert_eq!(policy.revisions().count(), MAX_REVISIONS);
     let image = policy.image().unwrap();
     println!("an image of 1,000 revisions of 1 kB and 2,000 answers: {} bytes", image.len());
     assert!((1_000_000..1_300_000).contains(&image.len()), "{}", image.len());
@@ -273,7 +279,7 @@
 #[test]
 fn answers_are_remembered_up_to_a_bound() {
     let mut policy = policy();
-    for i in 0..MOST_ANSWERS as u128 + 10 {
+    for i in 0..MAX_RESULTS as u128 + 10 {
         next(&mut policy, &Entry::Confirm(CommandId(i), 7));
     }
     assert_eq!((policy.answer(CommandId(9)), policy.answer(CommandId(10)).is_some()), (None, true));
@@ -300,14 +306,14 @@
             let entry = match kind {
                 0 | 1 => Entry::Propose(Box::new(asks), Box::new(without(&cells[usize::from(flag)..]))),
                 2 => Entry::Rollback(Box::new(asks), u64::from(b)),
-                3..=5 => Entry::Step(status.generation),
+                3..=5 => Entry::GenerationConfirmed(status.generation),
                 6 => {
                     let fallback_policy = FallbackPolicy { cells: [0, 4, u32::from(b)].into(), ..bootstrap(5).fallback_policy };
                     Entry::FallbackPolicy(id, fallback_policy, Box::new(facts()))
                 }
                 7 => Entry::FallbackPolicyConfirmed(status.fallback_generation),
                 8 if flag => Entry::Confirm(id, policy.newest()),
-                _ => Entry::TakeBack(policy.newest(), RollbackCause::NotConfirmed),
+                _ => Entry::AutomaticRollback(policy.newest(), RollbackCause::NotConfirmed),
             };
             let before = open(&policy);
             let applied = next(&mut policy, &entry);
@@ -315,7 +321,7 @@
             let (after, now) = (open(&policy), policy.status());
             let within = |a: &[u32], b: &[u32]| a.iter().all(|p| b.contains(p));
             prop_assert!(within(&before, &after) || within(&after, &before));
-            let step = matches!(entry, Entry::Step(_));
+            let step = matches!(entry, Entry::GenerationConfirmed(_));
             prop_assert!(now.generation == status.generation || !status.unconfirmed || step);
             prop_assert!(now.generation >= status.generation && policy.newest() >= last);
             last = policy.newest();
@@ -349,6 +355,6 @@
         let at = at % image.len();
         image[at] ^= 0x41;
         let _ = PolicyState::from_image(&image);
-        prop_assert!(one.apply(5, &vec![0; LONGEST_ENTRY + 1]).unreadable.is_some());
+        prop_assert!(one.apply(5, &vec![0; MAX_ENTRY_BYTES + 1]).unreadable.is_some());
     }
 }
--- a/crates/revision/tests/common/mod.rs
+++ b/crates/revision/tests/common/mod.rs
@@ -79,7 +79,7 @@
 pub fn settle(policy: &mut PolicyState) {
     while policy.status().unconfirmed {
         let generation = policy.status().generation;
-        next(policy, &Entry::Step(generation));
+        next(policy, &Entry::GenerationConfirmed(generation));
     }
 }
 
--- a/crates/revision/tests/documents.rs
+++ b/crates/revision/tests/documents.rs
@@ -9,7 +9,7 @@
 use hollowpaddle_revision::canary::{CanaryMetric, CanaryTerms, RollbackCause};
 use hollowpaddle_revision::document::{Document, DocumentError};
 use hollowpaddle_revision::fallback_policy::{FallbackFloor, FallbackPolicy};
-use hollowpaddle_revision::fleet::Misfit;
+use hollowpaddle_revision::fleet::FleetConflict;
 use hollowpaddle_revision::rules::{Place, Rules};
 use proptest::prelude::*;
 
@@ -67,23 +67,28 @@
 
 #[test]
 fn what_does_not_fit_the_fleet_or_the_charter_is_told_gravest_first() {
-    let against = |document: Document| facts().misfits(&Rules::of(document, floor(&[0, 4])));
+    let against =
+        |document: Document| facts().fleet_conflicts(&Rules::of(document, floor(&[0, 4])));
     let json = |json: &str| against(Document::from_json(json.as_bytes()).unwrap());
     assert_eq!(against(without(&[1])), []);
     // Two pods of a site out: 2000 are left for 1300; a third: 1000.
     assert_eq!(against(without(&[1, 2])), []);
-    let no_room =
-        |zone: &str, load, capacity| Misfit::NoCapacity { zone: zone.into(), load, capacity };
+    let no_room = |zone: &str, load, capacity| FleetConflict::NoCapacity {
+        zone: zone.into(),
+        load,
+        capacity,
+    };
     assert_eq!(against(without(&[1, 2, 3])), [no_room("bilbao", 1300, 1000)]);
     assert_eq!(
         json(r#"{"weights": {"sites": {"oviedo": 0.25}}}"#),
         [no_room("oviedo", 1300, 1000)]
     );
     assert_eq!(json(r#"{"out": {"upstreams": ["u3"]}}"#), []);
-    let unknown = |what: &str, name: &str| Misfit::Unknown { what: what.into(), name: name.into() };
+    let unknown =
+        |what: &str, name: &str| FleetConflict::Unknown { what: what.into(), name: name.into() };
     assert_eq!(json(r#"{"out": {"upstreams": ["u9"]}}"#), [unknown("upstream", "u9")]);
     assert_eq!(json(r#"{"sessions": {"mail": 5}}"#), [unknown("class", "mail")]);
-    let fallback_policy = |what: &str| Misfit::FallbackPolicy { what: what.into() };
+    let fallback_policy = |what: &str| FleetConflict::FallbackPolicy { what: what.into() };
     assert_eq!(json(r#"{"out": {"upstreams": ["u0"]}}"#), [fallback_policy("upstream `u0`")]);
     assert!(
         json(r#"{"out": {"flavours": ["m2"]}}"#)
@@ -92,14 +97,14 @@
     assert!(json(r#"{"kept": {"log": [0]}}"#).contains(&fallback_policy("class `log` at pod 0")));
     let mut nowhere = Document::default();
     nowhere.kept.insert("log".into(), (0..8).collect());
-    let all = facts().misfits(&Rules::of(nowhere, floor(&[])));
-    assert_eq!(all, [Misfit::NoPod { class: "log".into() }]);
+    let all = facts().fleet_conflicts(&Rules::of(nowhere, floor(&[])));
+    assert_eq!(all, [FleetConflict::NoCellForClass { class: "log".into() }]);
     // A site's load goes elsewhere with it, as far as there is room.
     let mut zone = Document::default();
     zone.out.zones.insert("bilbao".into());
-    assert_eq!(facts().misfits(&Rules::of(zone.clone(), floor(&[]))), []);
+    assert_eq!(facts().fleet_conflicts(&Rules::of(zone.clone(), floor(&[]))), []);
     let full = hollowpaddle_revision::fleet::Facts { load: vec![2500, 2500], ..facts() };
-    assert_eq!(full.misfits(&Rules::of(zone, floor(&[]))), [no_room("", 5000, 4000)]);
+    assert_eq!(full.fleet_conflicts(&Rules::of(zone, floor(&[]))), [no_room("", 5000, 4000)]);
 }
 
 #[test]
@@ -127,13 +132,16 @@
 fn a_trial_ends_badly_without_a_word_or_when_the_worth_falls() {
     let canary = CanaryTerms { seconds: 60, fall: 100 };
     let s = std::time::Duration::from_secs;
-    let worth = |before, since, asked_since| {
-        Some(CanaryMetric { before, since, asked_before: 1000, asked_since })
+    let worth = |before, since, offered_since| {
+        Some(CanaryMetric { before, since, offered_before: 1000, offered_since })
     };
     assert_eq!(canary.verdict(s(59), None), None);
     assert_eq!(canary.verdict(s(60), None), Some(RollbackCause::NotConfirmed));
     assert_eq!(canary.verdict(s(10), worth(900, 820, 1000)), None);
-    assert_eq!(canary.verdict(s(10), worth(900, 800, 1000)), Some(RollbackCause::WorthFell(111)));
+    assert_eq!(
+        canary.verdict(s(10), worth(900, 800, 1000)),
+        Some(RollbackCause::ServedWorthFell(111))
+    );
     assert_eq!(canary.verdict(s(4), worth(900, 0, 1000)), None, "too early to say");
     // Half as much was asked for, and all of it served.
     assert_eq!(canary.verdict(s(10), worth(900, 450, 500)), None);
--- a/crates/revision/tests/formats.rs
+++ b/crates/revision/tests/formats.rs
@@ -14,7 +14,7 @@
 use hollowpaddle_revision::document::Document;
 use hollowpaddle_revision::entry::{CommandId, Entry, ProposalOptions};
 use hollowpaddle_revision::fallback_policy::{FallbackFloor, FallbackPolicy, FallbackPolicyError};
-use hollowpaddle_revision::fleet::{ClassFacts, Facts, Group, Misfit};
+use hollowpaddle_revision::fleet::{ClassFacts, Facts, FleetConflict, Group};
 use hollowpaddle_revision::history::{ChangeStatus, Origin, ProposalResult};
 use hollowpaddle_revision::lists::{ListMessage, Stop};
 use hollowpaddle_revision::message::{Generation, LeaseRejection, Message};
@@ -108,7 +108,7 @@
     vec![
         ("renew_lease", renew(None)),
         ("renew_lease_during_fallback_change", renew(Some((GENERATION, here)))),
-        ("leave_parent", Message::Left { confirmed }),
+        ("leave_parent", Message::Departed { confirmed }),
         (
             "grant_lease",
             Message::Grant { to: Incarnation(7), asked, generation: GENERATION, length: 2_000_000 },
@@ -136,15 +136,15 @@
         ("propose", Entry::Propose(proposal(None), document.clone())),
         ("propose_canary", Entry::Propose(proposal(Some(TRIAL)), document)),
         ("rollback", Entry::Rollback(proposal(None), 3)),
-        ("generation_confirmed", Entry::Step(300)),
+        ("generation_confirmed", Entry::GenerationConfirmed(300)),
         (
             "change_fallback",
             Entry::FallbackPolicy(CommandId(0x2832), fallback_policy(), Box::new(facts())),
         ),
         ("fallback_confirmed", Entry::FallbackPolicyConfirmed(300)),
         ("confirm_canary", Entry::Confirm(CommandId(0x2832), 11)),
-        ("take_back_unconfirmed", Entry::TakeBack(11, RollbackCause::NotConfirmed)),
-        ("take_back_after_fall", Entry::TakeBack(11, RollbackCause::WorthFell(300))),
+        ("take_back_unconfirmed", Entry::AutomaticRollback(11, RollbackCause::NotConfirmed)),
+        ("take_back_after_fall", Entry::AutomaticRollback(11, RollbackCause::ServedWorthFell(300))),
         ("node_dead", Entry::Dead(CommandId(0x2832), NodeId(300))),
         ("node_alive", Entry::Alive(CommandId(0x2832), NodeId(300))),
     ]
@@ -155,49 +155,52 @@
         ("founding", Origin::Bootstrap),
         ("proposed(id(10290))", Origin::Proposed(CommandId(0x2832))),
         ("rollback(id(10290), 3)", Origin::Rollback(CommandId(0x2832), 3)),
-        ("takenback(11, notconfirmed)", Origin::TakenBack(11, RollbackCause::NotConfirmed)),
-        ("takenback(11, worthfell(300))", Origin::TakenBack(11, RollbackCause::WorthFell(300))),
+        ("takenback(11, notconfirmed)", Origin::AutomaticRollback(11, RollbackCause::NotConfirmed)),
+        (
+            "takenback(11, worthfell(300))",
+            Origin::AutomaticRollback(11, RollbackCause::ServedWorthFell(300)),
+        ),
     ]
 }
 
-fn fates() -> Cases<ChangeStatus> {
+fn change_statuses() -> Cases<ChangeStatus> {
     vec![
-        ("waits", ChangeStatus::Waits),
-        ("narrow", ChangeStatus::Narrow),
+        ("waits", ChangeStatus::Pending),
+        ("narrow", ChangeStatus::Restricting),
         ("inforce", ChangeStatus::InForce),
-        ("was(11)", ChangeStatus::Was(11)),
-        ("never(300)", ChangeStatus::Never(300)),
+        ("was(11)", ChangeStatus::Superseded(11)),
+        ("never(300)", ChangeStatus::Skipped(300)),
     ]
 }
 
-fn misfits() -> Cases<Misfit> {
+fn fleet_conflicts() -> Cases<FleetConflict> {
     let (what, name) = ("pod".to_string(), "300".to_string());
     vec![
         (
             "there is no pod `300` now; expected names of the list: correct it, or force it",
-            Misfit::Unknown { what: what.clone(), name },
+            FleetConflict::Unknown { what: what.clone(), name },
         ),
         (
             "class `log` would have no pod; expected one at least: leave one in, or force it",
-            Misfit::NoPod { class: "log".into() },
+            FleetConflict::NoCellForClass { class: "log".into() },
         ),
         (
             "site `bilbao` has a load of 1300 and would have room for 1000 (thousandths of work a second); \
              leave more in, or force it",
-            Misfit::NoCapacity { zone: "bilbao".into(), load: 1300, capacity: 1000 },
+            FleetConflict::NoCapacity { zone: "bilbao".into(), load: 1300, capacity: 1000 },
         ),
         (
             "it forbids pod, which the charter allows; take that out of the charter first",
-            Misfit::FallbackPolicy { what: what.clone() },
+            FleetConflict::FallbackPolicy { what: what.clone() },
         ),
         (
             "the fleet's facts can't be: pod; the proposer's build is at fault",
-            Misfit::Facts { what },
+            FleetConflict::Facts { what },
         ),
     ]
 }
 
-fn charter_errors() -> Cases<FallbackPolicyError> {
+fn fallback_policy_errors() -> Cases<FallbackPolicyError> {
     let (field, found, expected) = ("attempts".into(), "4".into(), "1 to 3".into());
     vec![
         (
@@ -213,7 +216,8 @@
 
 /// Those that hold one of the errors above stand for it by one of its variants.
 fn refusals() -> Cases<Refusal> {
-    let (misfit, fallback_policy) = (misfits().remove(1), charter_errors().remove(1));
+    let (misfit, fallback_policy) =
+        (fleet_conflicts().remove(1), fallback_policy_errors().remove(1));
     vec![
         (
             "made against revision 3, after which 4 came; the newest is 300: look at that and propose again",
@@ -224,14 +228,14 @@
             Refusal::Unknown { number: 3, oldest: 4, newest: 300 },
         ),
         ("the document's error", Refusal::Document("the document's error".into())),
-        (misfit.0, Refusal::Misfit(misfit.1)),
+        (misfit.0, Refusal::FleetConflict(misfit.1)),
         (
             "a trial of 60 s and 100 thousandths; expected 1 to 3600 and 1 to 1000",
             Refusal::CanaryTerms(TRIAL),
         ),
         (
             "revision 3 is not on trial; it was taken back, replaced, or had none",
-            Refusal::NotCanary { number: 3 },
+            Refusal::NotOnCanary { number: 3 },
         ),
         (fallback_policy.0, Refusal::FallbackPolicy(fallback_policy.1)),
         (
@@ -239,12 +243,15 @@
              or give the old one again to withdraw it",
             Refusal::Changing { since: 300 },
         ),
-        ("there is no balancer 300 in a bank of 5", Refusal::NoMember { member: 300, members: 5 }),
+        (
+            "there is no balancer 300 in a bank of 5",
+            Refusal::UnknownNode { member: 300, members: 5 },
+        ),
     ]
 }
 
 /// A state in which each stored field differs from its usual value, by entries 1 to 13.
-fn busy_book() -> PolicyState {
+fn busy_state() -> PolicyState {
     let mut policy = policy();
     let on_trial = |id| ProposalOptions { canary: Some(TRIAL), ..ask(id, None) };
     let canary = |id| Entry::Propose(Box::new(on_trial(id)), Box::new(without(&[3])));
@@ -253,13 +260,13 @@
     for entry in [
         common::propose(1, Some(0), document_that_fits()),
         Entry::FallbackPolicy(CommandId(2), to, Box::new(common::facts())),
-        Entry::Step(1),
-        Entry::Step(3),
+        Entry::GenerationConfirmed(1),
+        Entry::GenerationConfirmed(3),
         canary(5),
-        Entry::Step(4),
-        Entry::TakeBack(5, RollbackCause::NotConfirmed),
+        Entry::GenerationConfirmed(4),
+        Entry::AutomaticRollback(5, RollbackCause::NotConfirmed),
         canary(8),
-        Entry::TakeBack(8, RollbackCause::WorthFell(300)),
+        Entry::AutomaticRollback(8, RollbackCause::ServedWorthFell(300)),
         Entry::Dead(CommandId(10), NodeId(3)),
         common::propose(11, Some(3), without(&[2])),
         rollback(12, None, 1),
@@ -305,10 +312,10 @@
 
 #[test]
 fn snapshots_keep_their_bytes() {
-    let mut confirmed = busy_book();
+    let mut confirmed = busy_state();
     next(&mut confirmed, &Entry::FallbackPolicyConfirmed(4));
     let cases =
-        vec![("bootstrap", policy()), ("busy", busy_book()), ("fallback_confirmed", confirmed)];
+        vec![("bootstrap", policy()), ("busy", busy_state()), ("fallback_confirmed", confirmed)];
     let write = |policy: &PolicyState| policy.image().unwrap();
     let read = |bytes: &[u8]| PolicyState::from_image(bytes).unwrap();
     assert_bytes(include_str!("formats/snapshots.txt"), &cases, write, read);
@@ -317,13 +324,16 @@
 #[test]
 fn parts_of_snapshots_keep_their_bytes() {
     assert_parts(include_str!("formats/origins.txt"), &origins());
-    assert_parts(include_str!("formats/fates.txt"), &fates());
+    assert_parts(include_str!("formats/fates.txt"), &change_statuses());
     assert_parts(include_str!("formats/refusals.txt"), &refusals());
-    assert_parts(include_str!("formats/misfits.txt"), &misfits());
-    assert_parts(include_str!("formats/charter_errors.txt"), &charter_errors());
+    assert_parts(include_str!("formats/misfits.txt"), &fleet_conflicts());
+    assert_parts(include_str!("formats/charter_errors.txt"), &fallback_policy_errors());
     let answers = vec![
         ("done", ProposalResult { index: 300, outcome: Ok(11) }),
-        ("rejected", ProposalResult { index: 300, outcome: Err(Refusal::NotCanary { number: 3 }) }),
+        (
+            "rejected",
+            ProposalResult { index: 300, outcome: Err(Refusal::NotOnCanary { number: 3 }) },
+        ),
     ];
     assert_parts(include_str!("formats/answers.txt"), &answers);
 }
@@ -331,10 +341,10 @@
 #[test]
 fn admin_api_prints_origins_fates_and_errors_as_before() {
     assert_text(&origins(), ToString::to_string);
-    assert_text(&fates(), ToString::to_string);
+    assert_text(&change_statuses(), ToString::to_string);
     assert_text(&refusals(), ToString::to_string);
-    assert_text(&misfits(), ToString::to_string);
-    assert_text(&charter_errors(), ToString::to_string);
+    assert_text(&fleet_conflicts(), ToString::to_string);
+    assert_text(&fallback_policy_errors(), ToString::to_string);
 }
 
 #[test]
@@ -372,8 +382,8 @@
 
 #[test]
 fn dry_runs_keep_their_json() {
-    let found: Vec<Misfit> =
-        misfits().into_iter().map(|(_, misfit)| misfit).skip(1).take(1).collect();
+    let found: Vec<FleetConflict> =
+        fleet_conflicts().into_iter().map(|(_, misfit)| misfit).skip(1).take(1).collect();
     let written =
         |from, to| serde_json::to_string(&Difference::of(from, to, &found)).unwrap() + "\n";
     let (usual, changed) = (Document::default(), document());
@@ -530,7 +540,7 @@
         };
         let policy = FallbackPolicy { except: BTreeSet::new(), ..policy };
         let rules = Rules::of(document, Arc::new(FallbackFloor::of(policy)));
-        facts.misfits(&rules).iter().map(ToString::to_string).collect()
+        facts.fleet_conflicts(&rules).iter().map(ToString::to_string).collect()
     };
     let forbidden = conflicts(document(), &[3, 7, 300], 3);
     let expected = [
--- a/crates/revision/tests/leases.rs
+++ b/crates/revision/tests/leases.rs
@@ -244,13 +244,13 @@
         1700,
         5,
         1,
-        Message::Left { confirmed: generation(1) },
+        Message::Departed { confirmed: generation(1) },
     );
-    let message = Message::Left { confirmed: generation(1) };
+    let message = Message::Departed { confirmed: generation(1) };
     assert!(one.did.contains(&Action::Send { to: NodeId(1), message }));
     // And a child that went elsewhere says so.
     let mut one = begin(&mut common::policy());
-    one.hears(1700, 5, 1, Message::Left { confirmed: generation(1) });
+    one.hears(1700, 5, 1, Message::Departed { confirmed: generation(1) });
     assert_eq!(one.confirms(), Some(1));
 }
 
@@ -270,10 +270,10 @@
     assert_eq!(one.until(), 1020 + 1980);
     assert!(matches!(one.asked(1300, 5, 1, 1, 1), Message::Grant { .. }));
     assert_eq!(one.on(3019, Event::Due).proposes(), None, "2020 ms since it leads");
-    assert_eq!(one.on(3020, Event::Due).proposes(), Some(&Entry::Step(1)));
+    assert_eq!(one.on(3020, Event::Due).proposes(), Some(&Entry::GenerationConfirmed(1)));
     // Again until it is in the log, not at each turn; never after it was told that it leads no more.
     assert_eq!(one.on(3100, Event::Due).proposes(), None);
-    assert_eq!(one.on(3600, Event::Due).proposes(), Some(&Entry::Step(1)));
+    assert_eq!(one.on(3600, Event::Due).proposes(), Some(&Entry::GenerationConfirmed(1)));
     assert_eq!(one.on(3700, Event::Follows).on(4300, Event::Due).proposes(), None);
     // It is another log that it has applied so much of.
     let lead = Event::Leads { since: ms(1300), epoch: 2, from: 0 };
@@ -326,7 +326,7 @@
             members.iter().map(|m| NodeId(*m)).collect(),
         )),
     };
-    next(&mut policy, &Entry::Step(1));
+    next(&mut policy, &Entry::GenerationConfirmed(1));
     one.learns(3200, &policy).hears(3300, 1, 1, message(&[1, 2], 1)).hears(
         3300,
         3,
@@ -347,7 +347,7 @@
     next(&mut policy, &Entry::Propose(Box::new(asks), Box::new(without(&[2]))));
     common::settle(&mut policy);
     let fell =
-        Some(CanaryMetric { before: 900, since: 700, asked_before: 1000, asked_since: 1000 });
+        Some(CanaryMetric { before: 900, since: 700, offered_before: 1000, offered_since: 1000 });
     for leads in [true, false] {
         let mut one = One::usual();
         one.learns(0, &policy);
@@ -359,13 +359,13 @@
         one.on(60_001, Event::Due);
         assert_eq!(
             one.proposes(),
-            leads.then_some(&Entry::TakeBack(1, RollbackCause::NotConfirmed))
+            leads.then_some(&Entry::AutomaticRollback(1, RollbackCause::NotConfirmed))
         );
         let mut one = One::usual();
         one.learns(0, &policy).on(0, Event::Leads { since: ms(0), epoch: 1, from: 0 });
         assert_eq!(
             one.on(10_000, Event::CanaryMetric(fell)).proposes(),
-            Some(&Entry::TakeBack(1, RollbackCause::WorthFell(222)))
+            Some(&Entry::AutomaticRollback(1, RollbackCause::ServedWorthFell(222)))
         );
     }
 }
--- a/crates/revision/tests/sim/mod.rs
+++ b/crates/revision/tests/sim/mod.rs
@@ -28,7 +28,7 @@
 pub const S: u64 = 1_000_000;
 
 /// The last of those that were killed is back, and has lived for longer than a lease.
-pub const LIVED: u64 = 4 * S + 2100 * MS;
+pub const LEASES_EXPIRED: u64 = 4 * S + 2100 * MS;
 
 /// What is wrong with a bank on purpose, so that the oracle is seen to find it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -88,7 +88,7 @@
         view: u32,
         answered: u64,
     },
-    RetainedRevision {
+    Persisted {
         m: usize,
         incarnation: u32,
         fallback_generation: Generation,
@@ -299,7 +299,7 @@
             Ev::Message { to, .. } => Some((*to, None)),
             Ev::Wake { m, incarnation, .. }
             | Ev::Round { m, incarnation, .. }
-            | Ev::RetainedRevision { m, incarnation, .. }
+            | Ev::Persisted { m, incarnation, .. }
             | Ev::Parent { m, incarnation, .. } => Some((*m, Some(*incarnation))),
             Ev::Learn { m, .. } => Some((*m, None)),
             _ => None,
@@ -332,7 +332,7 @@
                 }
             }
             Ev::Learn { m, upto, epoch } => self.learn(m, upto, epoch),
-            Ev::Found => self.found_anew(),
+            Ev::Found => self.bootstrap_again(),
             Ev::Commit { view, entry } => self.commit(view, &entry),
             Ev::Round { m, began, view, answered, .. } => {
                 // Answered by a majority that had not gone over to another view by then.
@@ -340,7 +340,7 @@
                     self.tell(m, Event::Round { began });
                 }
             }
-            Ev::RetainedRevision { m, fallback_generation, fallback_policy, .. } => {
+            Ev::Persisted { m, fallback_generation, fallback_policy, .. } => {
                 if self.procs[m].disk {
                     self.procs[m].stored = Some((fallback_generation, (*fallback_policy).clone()));
                 }
@@ -394,12 +394,7 @@
                         if self.procs[m].disk { self.rng.rand_range(MS..40 * MS) } else { 0 };
                     self.at(
                         after,
-                        Ev::RetainedRevision {
-                            m,
-                            incarnation,
-                            fallback_generation,
-                            fallback_policy,
-                        },
+                        Ev::Persisted { m, incarnation, fallback_generation, fallback_policy },
                     );
                 }
                 Action::WakeAt(at) => {
@@ -506,7 +501,7 @@
         self.at(after, Ev::Learn { m: leader, upto: index as usize, epoch });
         if let Some(generation) = unconfirmed.filter(|_| self.setting.broken == Broken::Confirming)
         {
-            self.at(5 * MS, Ev::Commit { view, entry: Entry::Step(generation) });
+            self.at(5 * MS, Ev::Commit { view, entry: Entry::GenerationConfirmed(generation) });
         }
     }
 
@@ -658,7 +653,7 @@
             10 if self.rng.rand_float() < 0.3 => {
                 (0..self.setting.members).for_each(|m| self.kill(m))
             }
-            11 if self.rng.rand_float() < 0.5 => self.forget(LIVED),
+            11 if self.rng.rand_float() < 0.5 => self.forget(LEASES_EXPIRED),
             _ => self.elect(),
         }
         self.at(long, Ev::Heal);
@@ -679,7 +674,7 @@
     }
 
     /// From a copy that lacks the last entries, but for what changed the charter.
-    fn found_anew(&mut self) {
+    fn bootstrap_again(&mut self) {
         let lost = self.rng.rand_range(0..4) as usize;
         let whole = self
             .log
@@ -770,7 +765,7 @@
     }
 
     /// How many are at this stage or a later one, and how many hold a lease.
-    pub fn at_stage(&self, generation: u64) -> (usize, usize) {
+    pub fn at_generation(&self, generation: u64) -> (usize, usize) {
         let at = |p: &&Proc| p.in_force.generation.index >= generation;
         let members = 0..self.setting.members;
         let holds =
