--- a/crates/revision/src/leases.rs
+++ b/crates/revision/src/leases.rs
@@ -1,18 +1,22 @@
 //! Each balancer's machine for stages, leases, confirmations and the charter. What a stage means is the
 //! book's; who leads is the council's; the shell keeps what is to be kept and sends what is to be sent.
 
+mod granted;
+mod interface;
+pub mod status;
+
 use std::collections::{BTreeMap, VecDeque};
 use std::sync::Arc;
 use std::time::Duration;
 
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 
+use self::granted::Children;
+pub use self::interface::{Action, Event, LeaseConfig};
 use crate::canary::CanaryMetric;
-use crate::dissemination_tree::Children;
 use crate::entry::Entry;
 use crate::fallback_policy::FallbackPolicy;
 use crate::in_force::InForce;
-pub use crate::lease_interface::{Action, Event, LeaseConfig};
 use crate::message::{Generation, LeaseRejection, Message};
 use crate::node_set::NodeSet;
 use crate::policy_state::PolicyStatus;
--- a/crates/revision/src/lib.rs
+++ b/crates/revision/src/lib.rs
@@ -51,7 +51,6 @@
 
 pub mod canary;
 pub mod difference;
-mod dissemination_tree;
 pub mod document;
 pub mod entry;
 pub mod fallback_policy;
@@ -59,13 +58,9 @@
 pub mod fleet;
 pub mod history;
 pub mod in_force;
-mod lease_interface;
-pub mod lease_status;
 pub mod leases;
 pub mod lists;
 pub mod message;
 pub mod node_set;
 pub mod policy_state;
 pub mod rules;
-pub mod snapshot;
-mod status;
--- a/crates/revision/src/policy_state.rs
+++ b/crates/revision/src/policy_state.rs
@@ -1,12 +1,16 @@
 //! What the log's entries mean: a state machine that is the same at every balancer. It knows no time, no
 //! network and no lease; who has confirmed a stage is told to it by entries.
 
+pub mod snapshot;
+mod status;
+
 use std::collections::BTreeSet;
 use std::sync::Arc;
 
 use hollowpaddle_peer_transport::NodeId;
 use serde::{Deserialize, Serialize};
 
+pub use self::status::{Applied, Bootstrap, BootstrapError, CanaryStatus, PolicyStatus, Refusal};
 use crate::difference::Difference;
 use crate::document::Document;
 use crate::entry::{CommandId, Entry, ProposalOptions};
@@ -15,7 +19,6 @@
 use crate::history::{ChangeStatus, History, Origin, ProposalResult, RetainedRevision};
 use crate::node_set::MAX_NODES;
 use crate::rules::Rules;
-pub use crate::status::{Applied, Bootstrap, BootstrapError, CanaryStatus, PolicyStatus, Refusal};
 
 /// A charter on its way.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
--- a/crates/revision/tests/banks.rs
+++ b/crates/revision/tests/cluster.rs
@@ -69,7 +69,7 @@
 }
 
 #[test]
-#[ignore = "20,000 more, some minutes: `cargo test -p hollowpaddle-revision --test banks -- --ignored wider`"]
+#[ignore = "20,000 more, some minutes: `cargo test -p hollowpaddle-revision --test cluster -- --ignored wider`"]
 fn wider_sweep() {
     let found = sweep(1000..21_000, |seed| Setting { length: 30 * S, ..drawn(seed) });
     println!("{found:?}");
@@ -293,7 +293,7 @@
 }
 
 #[test]
-#[ignore = "the note's table: `cargo test -p hollowpaddle-revision --test banks -- --ignored --nocapture`"]
+#[ignore = "the note's table: `cargo test -p hollowpaddle-revision --test cluster -- --ignored --nocapture`"]
 fn table_of_figures() {
     println!(
         "members loss | in force at 99 % p50 max | at all p50 max (ms) | words/s a member | bytes a word"
