--- a/crates/model-checks/src/day.rs
+++ b/crates/model-checks/src/day.rs
@@ -262,7 +262,7 @@
         document.out.cells = cells.filter(|(n, _)| bits & 1 << n != 0).map(|(_, p)| p).collect();
         if self.world.below(2) == 0 {
             let cell = 2 + self.world.below(2) as u32;
-            document.kept.insert("a".into(), [cell].into());
+            document.class_exclusions.insert("a".into(), [cell].into());
         }
         document.attempts = 1 + self.world.below(3) as u8;
         document
--- a/crates/revision/src/canary.rs
+++ b/crates/revision/src/canary.rs
@@ -1,71 +1,81 @@
-//! When a revision on trial is taken back: a rule that the leader asks, and that knows nothing of clocks or
-//! of the log.
+//! Decides when a canary revision is rolled back; the leader supplies time and metrics, and proposes the rollback.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// On which terms a revision is on trial.
+/// The terms on which a revision runs as a canary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CanaryTerms {
-    /// Without a confirmation for so long after it came into force it is taken back; in seconds, 1 to
+    /// The revision is rolled back unless it is confirmed within this time after it came into force; in seconds, 1 to
     /// [`MAX_CANARY_SECONDS`].
     pub seconds: u32,
-    /// It is taken back when the worth served over the bank falls by more than this against the time before;
-    /// in thousandths, 1 to 1000. At 1000 it never is for this.
+    /// The revision is rolled back when the priority weight served by the cluster falls by more than this; in
+    /// thousandths, 1 to 1000. At 1000 it is never rolled back for this reason.
     pub fall: u16,
 }
 
-/// The longest trial, in seconds: an hour. What nobody has confirmed by then nobody looks at.
+/// The longest canary, in seconds.
 pub const MAX_CANARY_SECONDS: u32 = 3600;
-/// For so long after it came into force no fall is looked at: what was under way then ends first.
+/// No fall is looked for in this time after a revision came into force, so that earlier requests can finish.
 pub const SETTLE_TIME: Duration = Duration::from_secs(5);
+/// The unit of [`CanaryTerms::fall`]: so many parts make the whole.
+const THOUSANDTHS: u16 = 1000;
 
-/// Worth served over the whole bank, a second, in thousandths.
+/// Priority weight served by the whole cluster, in thousandths per second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct CanaryMetric {
-    /// Mean over a stretch before the revision came into force.
+    /// Mean weight served over a period before the revision came into force.
     pub before: u64,
-    /// Mean over a stretch since.
+    /// Mean weight served over a period since.
     pub since: u64,
-    /// Mean worth asked for before, and
+    /// Mean weight offered before. A cluster that is offered half as much serves half as much by no fault of a
+    /// revision.
     pub offered_before: u64,
-    /// since: a bank that is asked for half as much serves half as much by no fault of a revision.
+    /// Mean weight offered since.
     pub offered_since: u64,
 }
 
-/// Why a revision was taken back.
+/// Why a canary was rolled back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RollbackCause {
     /// Nobody confirmed it in time.
     NotConfirmed,
-    /// The worth that was served fell, by so many thousandths.
+    /// The served share of the offered weight fell by so many thousandths.
     ServedWorthFell(u16),
 }
 
+impl CanaryMetric {
+    /// How far the served share of the offered weight has fallen, in thousandths; `None` without data of both periods.
+    fn fall(&self) -> Option<u16> {
+        let before = served_share(self.before, self.offered_before)?;
+        let since = served_share(self.since, self.offered_since)?;
+        let fall = f64::from(THOUSANDTHS) * (1.0 - since / before);
+        (before > 0.0).then(|| fall.clamp(0.0, f64::from(THOUSANDTHS)) as u16)
+    }
+}
+
+fn served_share(served: u64, offered: u64) -> Option<f64> {
+    (offered > 0).then(|| served as f64 / offered as f64)
+}
+
 impl CanaryTerms {
-    /// Whether its terms can be.
+    /// Whether the terms are within their bounds.
     pub fn is_valid(&self) -> bool {
-        (1..=MAX_CANARY_SECONDS).contains(&self.seconds) && (1..=1000).contains(&self.fall)
+        (1..=MAX_CANARY_SECONDS).contains(&self.seconds) && (1..=THOUSANDTHS).contains(&self.fall)
     }
 
-    /// Whether a revision that has been in force for `since` without a confirmation is to be taken back.
-    /// Served worth counts as a share of the worth asked for. Without figures of either stretch nothing can
-    /// be said of a fall: the time decides.
-    pub fn verdict(&self, since: Duration, worth: Option<CanaryMetric>) -> Option<RollbackCause> {
-        if let Some(worth) = worth.filter(|_| since >= SETTLE_TIME) {
-            let share = |served: u64, asked: u64| (asked > 0).then(|| served as f64 / asked as f64);
-            let shares = share(worth.before, worth.offered_before)
-                .zip(share(worth.since, worth.offered_since));
-            if let Some((before, now)) = shares.filter(|(before, _)| *before > 0.0) {
-                let fell = (1000.0 * (1.0 - now / before)).clamp(0.0, 1000.0) as u16;
-                if fell > self.fall {
-                    return Some(RollbackCause::ServedWorthFell(fell));
-                }
-            }
+    /// Whether, and why, a canary that has been in force for `since` without a confirmation is to be rolled back.
+    /// Without a metric only the time decides.
+    pub fn verdict(&self, since: Duration, metric: Option<CanaryMetric>) -> Option<RollbackCause> {
+        let metric = metric.filter(|_| since >= SETTLE_TIME);
+        if let Some(fall) = metric.and_then(|metric| metric.fall())
+            && fall > self.fall
+        {
+            return Some(RollbackCause::ServedWorthFell(fall));
         }
-        (since >= Duration::from_secs(u64::from(self.seconds)))
-            .then_some(RollbackCause::NotConfirmed)
+        let time_limit = Duration::from_secs(u64::from(self.seconds));
+        (since >= time_limit).then_some(RollbackCause::NotConfirmed)
     }
 }
--- a/crates/revision/src/difference.rs
+++ b/crates/revision/src/difference.rs
@@ -1,4 +1,4 @@
-//! What one document would change against another, in words for operators; nothing is decided by it.
+//! Describes to operators what one document would change against another; decides nothing.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,95 +8,113 @@
 use crate::figures::Weight;
 use crate::fleet::FleetConflict;
 
-/// One figure, before and after.
+/// A value before and after.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Changed<T> {
-    /// In the rules that are the newest now.
+    /// The value in the newest revision.
     pub from: T,
-    /// In those that would be.
+    /// The value that it would have.
     pub to: T,
 }
 
-/// What would change.
+/// What would change. The admin API serves it as JSON.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Difference {
-    /// Out, and was not.
+    /// What would be excluded and is not.
     pub out: Selection,
-    /// Not out any more.
+    /// What is excluded and would not be.
     pub back: Selection,
-    /// Weights by what they are of; 1 where none is said.
+    /// Weights by what they apply to; 1 where none is stated.
     pub weights: BTreeMap<String, Changed<f64>>,
-    /// Classes kept from pods, and were not.
-    pub kept: BTreeSet<(String, u32)>,
-    /// Not kept any more.
-    pub free: BTreeSet<(String, u32)>,
-    /// Attempts at most.
+    /// Classes and cells that would be excluded and are not.
+    #[serde(rename = "kept")]
+    pub added_exclusions: BTreeSet<(String, u32)>,
+    /// Classes and cells that are excluded and would not be.
+    #[serde(rename = "free")]
+    pub removed_exclusions: BTreeSet<(String, u32)>,
+    /// The most attempts of one request.
     pub attempts: Option<Changed<u8>>,
     /// The subset factor.
     pub times: Option<Changed<f64>>,
-    /// Balancers in the bank.
+    /// How many balancers the subset is made for.
     pub balancers: Option<Changed<Option<u16>>>,
-    /// Sessions by class, in seconds; 0 for none.
+    /// Lifetimes of sessions by class, in seconds; 0 for no sessions.
     pub sessions: BTreeMap<String, Changed<u32>>,
-    /// The eldest list.
+    /// The oldest endpoint list that may be acted on.
     #[serde(rename = "eldest_list")]
     pub oldest_list: Option<Changed<u64>>,
-    /// What speaks against it in the fleet.
+    /// How the document conflicts with the fleet and the fallback policy.
     #[serde(rename = "misfits")]
     pub fleet_conflicts: Vec<String>,
 }
 
-fn changed<T: PartialEq + Copy>(from: T, to: T) -> Option<Changed<T>> {
-    (from != to).then_some(Changed { from, to })
-}
-
 impl Difference {
-    /// From one to another.
+    /// Compares two documents. `fleet_conflicts` are those of `to`.
     pub fn of(from: &Document, to: &Document, fleet_conflicts: &[FleetConflict]) -> Self {
-        let kept = |d: &Document| -> BTreeSet<(String, u32)> {
-            d.kept
-                .iter()
-                .flat_map(|(c, cells)| cells.iter().map(move |p| (c.clone(), *p)))
-                .collect()
-        };
-        let weights = |d: &Document| -> BTreeMap<String, Weight> {
-            let w = &d.weights;
-            let named =
-                |what: &'static str, of: &BTreeMap<String, Weight>| -> Vec<(String, Weight)> {
-                    of.iter().map(|(n, w)| (format!("{what} {n}"), *w)).collect()
-                };
-            let cells = w.cells.iter().map(|(p, w)| (format!("pod {p}"), *w));
-            cells
-                .chain(named("upstream", &w.upstreams))
-                .chain(named("flavour", &w.machine_types))
-                .chain(named("site", &w.zones))
-                .collect()
-        };
-        let (kept_from, kept_to) = (kept(from), kept(to));
-        let (w_from, w_to) = (weights(from), weights(to));
-        let whole =
-            |w: &BTreeMap<String, Weight>, n: &String| w.get(n).copied().unwrap_or(Weight::FULL);
-        let names: BTreeSet<&String> = w_from.keys().chain(w_to.keys()).collect();
-        let weights = names.into_iter().filter_map(|n| {
-            changed(whole(&w_from, n).number(), whole(&w_to, n).number()).map(|c| (n.clone(), c))
-        });
-        let classes: BTreeSet<&String> = from.sessions.keys().chain(to.sessions.keys()).collect();
-        let length = |d: &Document, c: &String| d.sessions.get(c).copied().unwrap_or(0);
-        let sessions = classes
-            .into_iter()
-            .filter_map(|c| changed(length(from, c), length(to, c)).map(|s| (c.clone(), s)));
+        let (old_exclusions, new_exclusions) = (class_exclusions(from), class_exclusions(to));
         Self {
             out: to.out.without(&from.out),
             back: from.out.without(&to.out),
-            weights: weights.collect(),
-            kept: kept_to.difference(&kept_from).cloned().collect(),
-            free: kept_from.difference(&kept_to).cloned().collect(),
+            weights: changed_weights(from, to),
+            added_exclusions: new_exclusions.difference(&old_exclusions).cloned().collect(),
+            removed_exclusions: old_exclusions.difference(&new_exclusions).cloned().collect(),
             attempts: changed(from.attempts, to.attempts),
             times: changed(from.times.number(), to.times.number()),
             balancers: changed(from.balancers, to.balancers),
-            sessions: sessions.collect(),
+            sessions: changed_sessions(from, to),
             oldest_list: changed(from.oldest_list, to.oldest_list),
             fleet_conflicts: fleet_conflicts.iter().map(ToString::to_string).collect(),
         }
     }
 }
+
+fn changed<T: PartialEq + Copy>(from: T, to: T) -> Option<Changed<T>> {
+    (from != to).then_some(Changed { from, to })
+}
+
+fn class_exclusions(document: &Document) -> BTreeSet<(String, u32)> {
+    document.excluded_class_cells().map(|(class, cell)| (class.to_string(), cell)).collect()
+}
+
+fn changed_weights(from: &Document, to: &Document) -> BTreeMap<String, Changed<f64>> {
+    let (old, new) = (labelled_weights(from), labelled_weights(to));
+    let weight = |weights: &BTreeMap<String, Weight>, label: &String| {
+        weights.get(label).copied().unwrap_or(Weight::FULL).number()
+    };
+    let labels: BTreeSet<&String> = old.keys().chain(new.keys()).collect();
+    let mut all = BTreeMap::new();
+    for label in labels {
+        if let Some(change) = changed(weight(&old, label), weight(&new, label)) {
+            all.insert(label.clone(), change);
+        }
+    }
+    all
+}
+
+/// The weights by a label in the users' words, such as `pod 3`.
+fn labelled_weights(document: &Document) -> BTreeMap<String, Weight> {
+    let weights = &document.weights;
+    let cells = weights.cells.iter().map(|(cell, weight)| (format!("pod {cell}"), *weight));
+    let mut labelled: BTreeMap<String, Weight> = cells.collect();
+    let by_name = [
+        ("upstream", &weights.upstreams),
+        ("flavour", &weights.machine_types),
+        ("site", &weights.zones),
+    ];
+    for (kind, named) in by_name {
+        labelled.extend(named.iter().map(|(name, weight)| (format!("{kind} {name}"), *weight)));
+    }
+    labelled
+}
+
+fn changed_sessions(from: &Document, to: &Document) -> BTreeMap<String, Changed<u32>> {
+    let lifetime = |d: &Document, class: &String| d.sessions.get(class).copied().unwrap_or(0);
+    let classes: BTreeSet<&String> = from.sessions.keys().chain(to.sessions.keys()).collect();
+    let mut all = BTreeMap::new();
+    for class in classes {
+        if let Some(change) = changed(lifetime(from, class), lifetime(to, class)) {
+            all.insert(class.clone(), change);
+        }
+    }
+    all
+}
--- a/crates/revision/src/document.rs
+++ b/crates/revision/src/document.rs
@@ -1,5 +1,5 @@
-//! A routing revision as operators write it: plain data, checked by itself. Whether it fits a fleet and the
-//! charter is asked in `fleet`; what requests read of it is made in `rules`.
+//! The content of a routing revision as operators write it, and the bounds of each field. Whether it fits the fleet
+//! and the fallback policy is checked in [`fleet`](crate::fleet); requests read [`rules`](crate::rules) made of it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,118 +7,119 @@
 
 use crate::figures::{Times, Weight};
 
-/// The longest document in the log, in bytes: an entry is 16 KiB at most and carries the fleet's facts as
-/// well.
+/// The longest encoded document, in bytes. A log entry also carries the facts about the fleet.
 pub const MAX_DOCUMENT_BYTES: usize = 10 << 10;
-/// The longest JSON that is read, in bytes. Without a bound a door's request takes what memory there is.
+/// The longest JSON text that is read, in bytes; it bounds the memory that a request to the admin API takes.
 pub const LONGEST_JSON: usize = 64 << 10;
-/// The longest name of an upstream, flavour, site or class, in bytes.
+/// The longest name of an upstream, machine type, zone or class, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// Upstreams that one document can name in one list. More at once is a pod, a flavour or a site.
+/// The most upstreams in one list of a document. Larger sets are named by cell, machine type or zone.
 pub const MAX_LISTED_UPSTREAMS: usize = 512;
-/// Pods that one document can name in one list.
+/// The most cells in one list of a document.
 pub const MAX_LISTED_CELLS: usize = 512;
-/// Flavours, sites or classes that one document can name in one list.
+/// The most machine types, zones or classes in one list of a document.
 pub const MAX_LISTED_NAMES: usize = 64;
-/// Most attempts of a request: the platform's rule.
+/// The most attempts of one request: the rule of the platform.
 pub const MAX_ATTEMPTS: u8 = 3;
-/// The longest session, in seconds: a day.
+/// The longest lifetime of a session, in seconds: one day.
 pub const MAX_SESSION_S: u32 = 86_400;
-/// Balancers in a bank at most.
+/// The most balancers that a document can state for the subset.
 pub const MOST_BALANCERS: u16 = 1000;
 
-/// A choice among the fleet: whatever is named in one of the lists.
+/// A part of the fleet: every upstream that one of the lists names.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Selection {
-    /// By name.
+    /// Upstreams by name.
     pub upstreams: BTreeSet<String>,
-    /// By number; no two sites share one.
+    /// Cells by number; no two zones share a number.
     #[serde(rename = "pods")]
     pub cells: BTreeSet<u32>,
-    /// Kinds of machines.
+    /// Machine types by name.
     #[serde(rename = "flavours")]
     pub machine_types: BTreeSet<String>,
-    /// Localities.
+    /// Zones by name.
     #[serde(rename = "sites")]
     pub zones: BTreeSet<String>,
 }
 
 impl Selection {
-    /// Whether nothing is chosen.
+    /// Whether the selection names nothing.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 
-    /// What is chosen here and not there.
+    /// What this selection names and `other` does not.
     pub fn without(&self, other: &Self) -> Self {
-        let less = |a: &BTreeSet<String>, b: &BTreeSet<String>| a.difference(b).cloned().collect();
+        let difference =
+            |a: &BTreeSet<String>, b: &BTreeSet<String>| a.difference(b).cloned().collect();
         Self {
-            upstreams: less(&self.upstreams, &other.upstreams),
+            upstreams: difference(&self.upstreams, &other.upstreams),
             cells: self.cells.difference(&other.cells).copied().collect(),
-            machine_types: less(&self.machine_types, &other.machine_types),
-            zones: less(&self.zones, &other.zones),
+            machine_types: difference(&self.machine_types, &other.machine_types),
+            zones: difference(&self.zones, &other.zones),
         }
     }
 
-    /// What is chosen here or there.
+    /// What this selection or `other` names.
     pub fn with(&self, other: &Self) -> Self {
-        let mut all = self.clone();
-        all.upstreams.extend(other.upstreams.iter().cloned());
-        all.cells.extend(&other.cells);
-        all.machine_types.extend(other.machine_types.iter().cloned());
-        all.zones.extend(other.zones.iter().cloned());
-        all
+        let mut union = self.clone();
+        union.upstreams.extend(other.upstreams.iter().cloned());
+        union.cells.extend(&other.cells);
+        union.machine_types.extend(other.machine_types.iter().cloned());
+        union.zones.extend(other.zones.iter().cloned());
+        union
     }
 }
 
-/// What weighs less than usual. Weights of one upstream multiply.
+/// Reduced weights. The weights that apply to one upstream multiply.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Weights {
-    /// By name.
+    /// Of upstreams, by name.
     pub upstreams: BTreeMap<String, Weight>,
-    /// By number.
+    /// Of cells, by number.
     #[serde(rename = "pods")]
     pub cells: BTreeMap<u32, Weight>,
-    /// Kinds of machines.
+    /// Of machine types, by name.
     #[serde(rename = "flavours")]
     pub machine_types: BTreeMap<String, Weight>,
-    /// Localities.
+    /// Of zones, by name.
     #[serde(rename = "sites")]
     pub zones: BTreeMap<String, Weight>,
 }
 
-/// One routing revision's content.
+/// The content of one routing revision.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Document {
-    /// Nothing is sent there.
+    /// The part of the fleet that nothing is sent to.
     pub out: Selection,
-    /// Less is sent there.
+    /// The parts of the fleet that less is sent to.
     pub weights: Weights,
-    /// Classes, and the pods that they are kept from.
-    pub kept: BTreeMap<String, BTreeSet<u32>>,
-    /// Most attempts of one request, 1 to [`MAX_ATTEMPTS`].
+    /// Cells that a class is not sent to, by class.
+    #[serde(rename = "kept")]
+    pub class_exclusions: BTreeMap<String, BTreeSet<u32>>,
+    /// The most attempts of one request, 1 to [`MAX_ATTEMPTS`].
     pub attempts: u8,
     /// The subset factor.
     pub times: Times,
-    /// Balancers in the bank, for the subset; as the settings say where it is left out.
+    /// How many balancers the subset is made for; the number of the settings if left out.
     pub balancers: Option<u16>,
-    /// Classes that have sessions, and for how long after their last use, in seconds.
+    /// Classes that have sessions, and how long a session lasts after its last use, in seconds.
     pub sessions: BTreeMap<String, u32>,
-    /// The eldest list of upstreams that may be acted on, by discovery's number.
+    /// The oldest endpoint list that may be acted on, by the version number of discovery.
     #[serde(rename = "eldest_list")]
     pub oldest_list: u64,
 }
 
 impl Default for Document {
-    /// What forbids nothing.
+    /// The document that forbids nothing.
     fn default() -> Self {
         Self {
             out: Selection::default(),
             weights: Weights::default(),
-            kept: BTreeMap::new(),
+            class_exclusions: BTreeMap::new(),
             attempts: MAX_ATTEMPTS,
             times: Times::default(),
             balancers: None,
@@ -128,42 +129,42 @@
     }
 }
 
-/// Why something is no document.
+/// Why a document is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DocumentError {
-    /// Not JSON, or a field that there isn't.
+    /// The text is no JSON, or has a field that does not exist or cannot be read.
     #[error("reading the document at `{field}`: {cause}; correct that field")]
     Json {
-        /// The path to it.
+        /// The path to the field.
         field: String,
         /// What was found and what was expected.
         cause: String,
     },
-    /// One field is outside its bounds.
+    /// A field is outside its bounds.
     #[error("checking the document: `{field}` is {found}; expected {expected}")]
     Field {
-        /// The path to it.
+        /// The path to the field.
         field: &'static str,
-        /// What stands there.
+        /// Its value.
         found: String,
-        /// What may stand there.
+        /// The values that it may have.
         expected: String,
     },
-    /// All is well, and too much.
+    /// Each field is within its bounds, but the document as a whole is too long.
     #[error(
         "the document takes {found} bytes; expected {expected} at most: name pods, flavours or sites \
          instead of upstreams"
     )]
     TooLong {
-        /// Bytes.
+        /// Its length in bytes.
         found: usize,
-        /// Bytes.
+        /// The most bytes that it may have.
         expected: usize,
     },
 }
 
 impl Document {
-    /// From the JSON of a door.
+    /// Reads and checks a document from the JSON of the admin API.
     ///
     /// # Errors
     /// The field, what was found there and what was expected.
@@ -184,84 +185,108 @@
         Ok(document)
     }
 
-    /// Bytes that it takes in the log.
+    /// The length of the encoded document, in bytes.
     pub fn length(&self) -> usize {
         postcard::to_stdvec(self).map_or(usize::MAX, |bytes| bytes.len())
     }
 
-    /// Whether it is within all bounds.
+    /// Each class with each cell that it is not sent to, in order.
+    pub(crate) fn excluded_class_cells(&self) -> impl Iterator<Item = (&str, u32)> {
+        self.class_exclusions
+            .iter()
+            .flat_map(|(class, cells)| cells.iter().map(move |cell| (class.as_str(), *cell)))
+    }
+
+    /// Checks the bounds of all fields.
     ///
     /// # Errors
-    /// The first field that isn't.
+    /// The first field that is outside its bounds.
     pub fn check(&self) -> Result<(), DocumentError> {
-        let Self { out, weights, kept, attempts, times: _, balancers, sessions, oldest_list: _ } =
-            self;
-        most("out.upstreams", out.upstreams.len(), MAX_LISTED_UPSTREAMS)?;
-        most("out.pods", out.cells.len(), MAX_LISTED_CELLS)?;
-        most("out.flavours", out.machine_types.len(), MAX_LISTED_NAMES)?;
-        most("out.sites", out.zones.len(), MAX_LISTED_NAMES)?;
-        most("weights.upstreams", weights.upstreams.len(), MAX_LISTED_UPSTREAMS)?;
-        most("weights.pods", weights.cells.len(), MAX_LISTED_CELLS)?;
-        most("weights.flavours", weights.machine_types.len(), MAX_LISTED_NAMES)?;
-        most("weights.sites", weights.zones.len(), MAX_LISTED_NAMES)?;
-        most("kept", kept.len(), MAX_LISTED_NAMES)?;
-        most("sessions", sessions.len(), MAX_LISTED_NAMES)?;
-        named("out.upstreams", &out.upstreams)?;
-        named("out.flavours", &out.machine_types)?;
-        named("out.sites", &out.zones)?;
-        named("weights.upstreams", weights.upstreams.keys())?;
-        named("weights.flavours", weights.machine_types.keys())?;
-        named("weights.sites", weights.zones.keys())?;
-        named("kept", kept.keys())?;
-        named("sessions", sessions.keys())?;
-        for cells in kept.values() {
-            most("kept", cells.len(), MAX_LISTED_CELLS)?;
+        self.check_lengths()?;
+        self.check_names()?;
+        self.check_values()?;
+        let found = self.length();
+        if found > MAX_DOCUMENT_BYTES {
+            return Err(DocumentError::TooLong { found, expected: MAX_DOCUMENT_BYTES });
+        }
+        Ok(())
+    }
+
+    fn check_lengths(&self) -> Result<(), DocumentError> {
+        let Self { out, weights, .. } = self;
+        check_length("out.upstreams", out.upstreams.len(), MAX_LISTED_UPSTREAMS)?;
+        check_length("out.pods", out.cells.len(), MAX_LISTED_CELLS)?;
+        check_length("out.flavours", out.machine_types.len(), MAX_LISTED_NAMES)?;
+        check_length("out.sites", out.zones.len(), MAX_LISTED_NAMES)?;
+        check_length("weights.upstreams", weights.upstreams.len(), MAX_LISTED_UPSTREAMS)?;
+        check_length("weights.pods", weights.cells.len(), MAX_LISTED_CELLS)?;
+        check_length("weights.flavours", weights.machine_types.len(), MAX_LISTED_NAMES)?;
+        check_length("weights.sites", weights.zones.len(), MAX_LISTED_NAMES)?;
+        check_length("kept", self.class_exclusions.len(), MAX_LISTED_NAMES)?;
+        check_length("sessions", self.sessions.len(), MAX_LISTED_NAMES)
+    }
+
+    fn check_names(&self) -> Result<(), DocumentError> {
+        let Self { out, weights, .. } = self;
+        check_each_name("out.upstreams", &out.upstreams)?;
+        check_each_name("out.flavours", &out.machine_types)?;
+        check_each_name("out.sites", &out.zones)?;
+        check_each_name("weights.upstreams", weights.upstreams.keys())?;
+        check_each_name("weights.flavours", weights.machine_types.keys())?;
+        check_each_name("weights.sites", weights.zones.keys())?;
+        check_each_name("kept", self.class_exclusions.keys())?;
+        check_each_name("sessions", self.sessions.keys())
+    }
+
+    fn check_values(&self) -> Result<(), DocumentError> {
+        for cells in self.class_exclusions.values() {
+            check_length("kept", cells.len(), MAX_LISTED_CELLS)?;
             if cells.is_empty() {
-                return Err(field(
+                return Err(field_error(
                     "kept",
                     "a class without pods",
                     "at least one pod, or the class left out",
                 ));
             }
         }
-        if !(1..=MAX_ATTEMPTS).contains(attempts) {
-            return Err(field("attempts", attempts, "1 to 3"));
+        if !(1..=MAX_ATTEMPTS).contains(&self.attempts) {
+            return Err(field_error("attempts", self.attempts, "1 to 3"));
         }
-        if let Some(balancers) = balancers.filter(|b| !(1..=MOST_BALANCERS).contains(b)) {
-            return Err(field("balancers", balancers, "1 to 1000, or none"));
+        if let Some(balancers) = self.balancers.filter(|b| !(1..=MOST_BALANCERS).contains(b)) {
+            return Err(field_error("balancers", balancers, "1 to 1000, or none"));
         }
-        if let Some(seconds) = sessions.values().find(|s| !(1..=MAX_SESSION_S).contains(*s)) {
-            return Err(field("sessions", seconds, "1 to 86400 seconds"));
-        }
-        let found = self.length();
-        if found > MAX_DOCUMENT_BYTES {
-            return Err(DocumentError::TooLong { found, expected: MAX_DOCUMENT_BYTES });
+        if let Some(seconds) = self.sessions.values().find(|s| !(1..=MAX_SESSION_S).contains(*s)) {
+            return Err(field_error("sessions", seconds, "1 to 86400 seconds"));
         }
         Ok(())
     }
 }
 
-fn field(field: &'static str, found: impl ToString, expected: impl ToString) -> DocumentError {
+fn field_error(
+    field: &'static str,
+    found: impl ToString,
+    expected: impl ToString,
+) -> DocumentError {
     DocumentError::Field { field, found: found.to_string(), expected: expected.to_string() }
 }
 
-fn most(name: &'static str, found: usize, most: usize) -> Result<(), DocumentError> {
+fn check_length(field: &'static str, found: usize, most: usize) -> Result<(), DocumentError> {
     if found <= most {
         Ok(())
     } else {
-        Err(field(name, format!("{found} long"), format!("{most} at most")))
+        Err(field_error(field, format!("{found} long"), format!("{most} at most")))
     }
 }
 
-fn named<'a>(
-    name: &'static str,
+fn check_each_name<'a>(
+    field: &'static str,
     names: impl IntoIterator<Item = &'a String>,
 ) -> Result<(), DocumentError> {
-    match names.into_iter().find(|n| n.is_empty() || n.len() > MAX_NAME_BYTES) {
+    match names.into_iter().find(|name| name.is_empty() || name.len() > MAX_NAME_BYTES) {
         None => Ok(()),
         Some(found) => {
             let found: String = found.chars().take(MAX_NAME_BYTES).collect();
-            Err(field(name, format!("the name {found:?}"), "a name of 1 to 64 bytes"))
+            Err(field_error(field, format!("the name {found:?}"), "a name of 1 to 64 bytes"))
         }
     }
 }
--- a/crates/revision/src/entry.rs
+++ b/crates/revision/src/entry.rs
@@ -1,88 +1,103 @@
-//! What stands in the log: entries in bytes, read back without trust. What they come to is the book's to say.
+//! Commands in the replicated log and their encoding; [`policy_state`](crate::policy_state) executes them.
 
 use hollowpaddle_peer_transport::NodeId;
 use serde::{Deserialize, Serialize};
 
 use crate::canary::{CanaryTerms, RollbackCause};
+use crate::codec::decode_exact;
 use crate::document::Document;
 use crate::fallback_policy::FallbackPolicy;
 use crate::fleet::Facts;
 
-/// The longest entry, in bytes: the council's bound.
+/// The longest entry, in bytes: the bound of the replicated log.
 pub const MAX_ENTRY_BYTES: usize = 16 << 10;
 
-/// A question's name, drawn by whoever asks: 128 bits, so that no two askers draw one. The same question
-/// again gets the same answer and does nothing more.
+/// The id of a command, chosen at random by the proposer: 128 bits, so that no two proposers choose the same. A
+/// command that is repeated under its id gets the first result and has no further effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CommandId(pub u128);
 
-/// What is asked of a new revision, whatever its content.
+/// The conditions under which a new revision is accepted, whatever its content.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ProposalOptions {
-    /// The question's name.
+    /// The id of the command.
     pub id: CommandId,
-    /// Only if this revision is the newest (`if_revision`).
+    /// Accept the proposal only if this revision is the newest (`if_revision` in the admin API).
     pub base: Option<u64>,
-    /// On which terms it is on trial.
+    /// Run the revision as a canary on these terms.
     pub canary: Option<CanaryTerms>,
-    /// Also where it does not fit the fleet.
+    /// Accept the revision in spite of conflicts that operators may override.
     pub forced: bool,
-    /// The fleet as the council's leader knew it.
+    /// The fleet as the leader knew it.
     pub facts: Facts,
 }
 
-/// One entry of the log.
+/// One command in the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Entry {
-    /// A new revision.
+    /// Proposes a new revision.
     Propose(Box<ProposalOptions>, Box<Document>),
-    /// A new revision with the content of a kept one.
+    /// Proposes a new revision with the content of the retained revision of this number.
     Rollback(Box<ProposalOptions>, u64),
-    /// Nobody acts on an older stage than this one.
+    /// States that no node acts on an older generation than the one with this index.
     GenerationConfirmed(u64),
-    /// Another charter.
+    /// Proposes another fallback policy.
     FallbackPolicy(CommandId, FallbackPolicy, Box<Facts>),
-    /// Every member that is not dead has said that it holds this generation of the charter.
+    /// States that every node that is not marked dead holds the fallback policy of this generation.
     FallbackPolicyConfirmed(u64),
-    /// The revision on trial is to stay.
+    /// Confirms the canary of this revision.
     Confirm(CommandId, u64),
-    /// The revision on trial is taken back.
+    /// Rolls back the canary of this revision.
     AutomaticRollback(u64, RollbackCause),
-    /// Operators say that this balancer acts on nothing any more, and won't before it has learned the book
+    /// Marks a node dead: operators state that it acts on no policy and will not before it has learned the policy
     /// anew.
     Dead(CommandId, NodeId),
-    /// It is one of the bank again.
+    /// Removes the mark of [`Entry::Dead`].
     Alive(CommandId, NodeId),
 }
 
-/// Why bytes are no entry, or an entry no bytes.
+/// Why an entry cannot be encoded or decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EntryError {
-    /// It is too long for the log.
+    /// The entry is longer than the log allows.
     #[error(
         "an entry of {found} bytes; expected {MAX_ENTRY_BYTES} at most: name pods or sites instead of upstreams"
     )]
     TooLong {
-        /// Bytes.
+        /// Its length in bytes.
         found: usize,
     },
-    /// The bytes are another thing's.
+    /// The bytes hold no entry of this version.
     #[error(
         "{length} bytes are no entry of this version ({cause}); balancers of two versions are in one bank"
     )]
     Unreadable {
-        /// How many.
+        /// How many bytes there were.
         length: usize,
-        /// What was wrong.
+        /// What was wrong with them.
         cause: String,
     },
 }
 
 impl Entry {
-    /// As it stands in the log.
+    /// The id of the command; `None` for entries that the leader proposes by itself, which have no result.
+    pub(crate) fn command_id(&self) -> Option<CommandId> {
+        match self {
+            Self::Propose(options, _) | Self::Rollback(options, _) => Some(options.id),
+            Self::FallbackPolicy(id, ..)
+            | Self::Confirm(id, _)
+            | Self::Dead(id, _)
+            | Self::Alive(id, _) => Some(*id),
+            Self::GenerationConfirmed(_)
+            | Self::FallbackPolicyConfirmed(_)
+            | Self::AutomaticRollback(..) => None,
+        }
+    }
+
+    /// Encodes the entry for the log.
     ///
     /// # Errors
-    /// If it is too long.
+    /// If it takes more than [`MAX_ENTRY_BYTES`].
     pub fn to_bytes(&self) -> Result<Vec<u8>, EntryError> {
         let bytes = postcard::to_stdvec(self)
             .map_err(|e| EntryError::Unreadable { length: 0, cause: e.to_string() })?;
@@ -90,22 +105,15 @@
         if found > MAX_ENTRY_BYTES { Err(EntryError::TooLong { found }) } else { Ok(bytes) }
     }
 
-    /// From the log.
+    /// Decodes an entry of the log.
     ///
     /// # Errors
-    /// If it is none, too long, or something follows it.
+    /// If the bytes hold no entry, are too many, or continue after it.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, EntryError> {
         let length = bytes.len();
         if length > MAX_ENTRY_BYTES {
             return Err(EntryError::TooLong { found: length });
         }
-        let unreadable = |cause: String| EntryError::Unreadable { length, cause };
-        let (entry, rest) =
-            postcard::take_from_bytes(bytes).map_err(|e| unreadable(e.to_string()))?;
-        if rest.is_empty() {
-            Ok(entry)
-        } else {
-            Err(unreadable(format!("{} more behind it", rest.len())))
-        }
+        decode_exact(bytes).map_err(|cause| EntryError::Unreadable { length, cause })
     }
 }
--- a/crates/revision/src/fallback_policy.rs
+++ b/crates/revision/src/fallback_policy.rs
@@ -1,24 +1,24 @@
-//! What no revision can forbid: pods, and the fewest attempts. Which charter holds at which time is the
-//! book's to say.
+//! The fallback policy: what no revision can forbid, and what a balancer without a lease keeps to. Which one holds at
+//! which time is decided by [`policy_state`](crate::policy_state).
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use serde::{Deserialize, Serialize};
 
 use crate::document::{MAX_ATTEMPTS, MAX_LISTED_CELLS, MAX_LISTED_UPSTREAMS, MAX_NAME_BYTES};
-use crate::rules::Place;
+use crate::place::Place;
 
-/// What no revision can forbid. A balancer whose lease has ended keeps to it, for as long as it takes.
+/// What no revision can forbid. A balancer whose lease has ended keeps to it, for as long as that lasts.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FallbackPolicy {
-    /// Every class may be sent there.
+    /// Cells that every class may be sent to.
     #[serde(rename = "pods")]
     pub cells: BTreeSet<u32>,
-    /// But to these upstreams of them: so that one of them can be cordoned without its whole pod.
+    /// Upstreams of these cells that are not included, so that one of them can be cordoned without its whole cell.
     #[serde(default)]
     pub except: BTreeSet<String>,
-    /// So many attempts a request may have, 1 to [`MAX_ATTEMPTS`].
+    /// The attempts that a request may always have, 1 to [`MAX_ATTEMPTS`].
     pub attempts: u8,
 }
 
@@ -28,34 +28,47 @@
     }
 }
 
-/// Why something is no charter.
+/// Why a fallback policy is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum FallbackPolicyError {
-    /// One field is outside its bounds.
+    /// A field is outside its bounds.
     #[error("checking the charter: `{field}` is {found}; expected {expected}")]
     Field {
-        /// Which.
+        /// The field.
         field: String,
-        /// What stands there.
+        /// Its value.
         found: String,
-        /// What may stand there.
+        /// The values that it may have.
         expected: String,
     },
-    /// A balancer that forgot everything would act on what this doesn't allow.
+    /// Part of the mandatory fallback is missing. A balancer that has lost all state acts on that, so it would act
+    /// against the policy.
     #[error("the charter leaves out {what}, which is bedrock; expected all of it: keep that")]
     MandatoryFallback {
-        /// What.
+        /// The missing part.
         what: String,
     },
 }
 
 impl FallbackPolicy {
-    /// Whether it is within all bounds and holds the bedrock.
+    /// Checks the bounds of all fields, and that nothing of `mandatory_fallback` is missing.
     ///
     /// # Errors
-    /// What isn't.
+    /// The first check that fails.
     pub fn check(&self, mandatory_fallback: &Self) -> Result<(), FallbackPolicyError> {
-        let field = |field: &str, found: String, expected: &str| {
+        self.check_fields()?;
+        let missing = |what: String| Err(FallbackPolicyError::MandatoryFallback { what });
+        if let Some(cell) = mandatory_fallback.cells.difference(&self.cells).next() {
+            return missing(format!("pod {cell}"));
+        }
+        if self.attempts < mandatory_fallback.attempts {
+            return missing(format!("{} attempts", mandatory_fallback.attempts));
+        }
+        Ok(())
+    }
+
+    fn check_fields(&self) -> Result<(), FallbackPolicyError> {
+        let field_error = |field: &str, found: String, expected: &str| {
             Err(FallbackPolicyError::Field {
                 field: field.into(),
                 found,
@@ -63,34 +76,26 @@
             })
         };
         if self.cells.len() > MAX_LISTED_CELLS {
-            return field("pods", format!("{} long", self.cells.len()), "512 at most");
+            return field_error("pods", format!("{} long", self.cells.len()), "512 at most");
         }
         if self.except.len() > MAX_LISTED_UPSTREAMS {
-            return field("except", format!("{} long", self.except.len()), "512 at most");
+            return field_error("except", format!("{} long", self.except.len()), "512 at most");
         }
-        if self.except.iter().any(|n| n.is_empty() || n.len() > MAX_NAME_BYTES) {
-            return field("except", "a name that can't be".into(), "names of 1 to 64 bytes");
+        if self.except.iter().any(|name| name.is_empty() || name.len() > MAX_NAME_BYTES) {
+            return field_error("except", "a name that can't be".into(), "names of 1 to 64 bytes");
         }
         if !(1..=MAX_ATTEMPTS).contains(&self.attempts) {
-            return field("attempts", self.attempts.to_string(), "1 to 3");
-        }
-        if let Some(cell) = mandatory_fallback.cells.difference(&self.cells).next() {
-            return Err(FallbackPolicyError::MandatoryFallback { what: format!("pod {cell}") });
-        }
-        if self.attempts < mandatory_fallback.attempts {
-            return Err(FallbackPolicyError::MandatoryFallback {
-                what: format!("{} attempts", mandatory_fallback.attempts),
-            });
+            return field_error("attempts", self.attempts.to_string(), "1 to 3");
         }
         Ok(())
     }
 
-    /// Whether it allows sending there.
+    /// Whether the policy allows sending to this upstream.
     pub fn allows(&self, place: &Place<'_>) -> bool {
         self.cells.contains(&place.cell) && !self.except.contains(place.name)
     }
 
-    /// What both allow.
+    /// The policy that allows what both allow.
     pub fn meet(&self, other: &Self) -> Self {
         Self {
             cells: self.cells.intersection(&other.cells).copied().collect(),
@@ -99,67 +104,73 @@
         }
     }
 
-    /// A third of each site's pods, rounded up, by rendezvous hashing: one pod more or fewer changes no
-    /// other's place.
+    /// The usual fallback policy: a third of each zone's cells, rounded up, chosen by rendezvous hashing. Adding or
+    /// removing one cell changes the choice among the others as little as possible.
     pub fn third(zones: &BTreeMap<String, BTreeSet<u32>>, attempts: u8) -> Self {
-        Self { cells: chosen(zones, |cells| cells.div_ceil(3)), except: BTreeSet::new(), attempts }
+        let cells = choose_cells(zones, |cells| cells.div_ceil(3));
+        Self { cells, except: BTreeSet::new(), attempts }
     }
 
-    /// One pod of each site, the first of those that [`FallbackPolicy::third`] chooses.
+    /// The usual mandatory fallback: one cell of each zone, the first of those that [`FallbackPolicy::third`] chooses.
     pub fn mandatory_fallback(zones: &BTreeMap<String, BTreeSet<u32>>) -> Self {
-        Self { cells: chosen(zones, |_| 1), except: BTreeSet::new(), attempts: 1 }
+        Self { cells: choose_cells(zones, |_| 1), except: BTreeSet::new(), attempts: 1 }
     }
 }
 
-/// What no revision can forbid at a time: while a charter changes, what either of the two allows.
+/// What no revision can forbid at a time: while the fallback policy changes, what either of the two allows.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FallbackFloor(Vec<FallbackPolicy>);
 
 impl FallbackFloor {
-    /// One charter.
+    /// The floor of one policy.
     pub fn of(fallback_policy: FallbackPolicy) -> Self {
         Self(vec![fallback_policy])
     }
 
-    /// What either allows.
+    /// The floor that allows what either policy allows.
     pub fn either(one: FallbackPolicy, other: FallbackPolicy) -> Self {
         Self(if one == other { vec![one] } else { vec![one, other] })
     }
 
-    /// Whether a charter of it allows sending there.
+    /// Whether one of the policies allows sending to this upstream.
     pub fn allows(&self, place: &Place<'_>) -> bool {
-        self.0.iter().any(|c| c.allows(place))
+        self.0.iter().any(|policy| policy.allows(place))
     }
 
-    /// Whether a charter of it is about this pod.
+    /// Whether one of the policies names this cell.
     pub fn holds(&self, cell: u32) -> bool {
-        self.0.iter().any(|c| c.cells.contains(&cell))
+        self.0.iter().any(|policy| policy.cells.contains(&cell))
     }
 
-    /// So many attempts can't be forbidden.
+    /// The attempts that cannot be forbidden.
     pub fn attempts(&self) -> u8 {
-        self.0.iter().map(|c| c.attempts).max().unwrap_or(1)
+        self.0.iter().map(|policy| policy.attempts).max().unwrap_or(1)
     }
 }
 
-/// The first so many pods of each site, by their hash.
-fn chosen(zones: &BTreeMap<String, BTreeSet<u32>>, many: impl Fn(usize) -> usize) -> BTreeSet<u32> {
-    let mut all = BTreeSet::new();
+/// Chooses `count(cells in the zone)` cells of each zone: those with the lowest hashes.
+fn choose_cells(
+    zones: &BTreeMap<String, BTreeSet<u32>>,
+    count: impl Fn(usize) -> usize,
+) -> BTreeSet<u32> {
+    let mut chosen = BTreeSet::new();
     for (zone, cells) in zones {
         let mut ranked: Vec<(u64, u32)> =
-            cells.iter().map(|cell| (hash(zone, *cell), *cell)).collect();
+            cells.iter().map(|cell| (hash_cell(zone, *cell), *cell)).collect();
         ranked.sort_unstable();
-        all.extend(ranked.iter().take(many(cells.len())).map(|(_, cell)| cell));
+        chosen.extend(ranked.iter().take(count(cells.len())).map(|(_, cell)| cell));
     }
-    all
+    chosen
 }
 
-/// FNV-1a with the finisher of SplitMix64: the same on every machine and in every build.
-fn hash(zone: &str, cell: u32) -> u64 {
+/// FNV-1a with the finalizer of SplitMix64: the same on every machine and in every build.
+fn hash_cell(zone: &str, cell: u32) -> u64 {
+    const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
+    const FNV_PRIME: u64 = 0x0100_0000_01b3;
     let bytes = zone.bytes().chain([0]).chain(cell.to_le_bytes());
-    let mut h = bytes
-        .fold(0xcbf2_9ce4_8422_2325_u64, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3));
-    h = (h ^ (h >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
-    h = (h ^ (h >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
-    h ^ (h >> 31)
+    let mut hash =
+        bytes.fold(FNV_OFFSET_BASIS, |hash, byte| (hash ^ u64::from(byte)).wrapping_mul(FNV_PRIME));
+    hash = (hash ^ (hash >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
+    hash = (hash ^ (hash >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
+    hash ^ (hash >> 31)
 }
--- a/crates/revision/src/figures.rs
+++ b/crates/revision/src/figures.rs
@@ -1,48 +1,49 @@
-//! Shares and multiples as whole numbers, so that documents can be compared, ordered and hashed; how a
-//! document is checked is its own.
+//! Fractions and multiples stored as whole numbers, so that documents can be compared, ordered and hashed. Documents
+//! check everything else about themselves.
 
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
+/// Implements conversion and encoding: a number in human-readable formats, the stored integer in binary ones.
 macro_rules! figure {
-    ($name:ident, $whole:ty, $one:expr, $least:expr, $most:expr, $expected:literal) => {
+    ($name:ident, $integer:ty, $scale:expr, $min:expr, $max:expr, $expected:literal) => {
         impl $name {
-            /// The nearest to this number.
+            /// Rounds `number` to the nearest value that can be stored.
             ///
             /// # Errors
-            /// What was expected instead, where it is outside the range or no number.
+            /// The range that was expected, if `number` is outside it or is not a number.
             pub fn of(number: f64) -> Result<Self, &'static str> {
-                let whole = (number * $one).round();
-                // NaN is in no range.
-                if ($least..=$most).contains(&whole) {
-                    Ok(Self(whole as $whole))
+                let scaled = (number * $scale).round();
+                // A range contains no NaN.
+                if ($min..=$max).contains(&scaled) {
+                    Ok(Self(scaled as $integer))
                 } else {
                     Err($expected)
                 }
             }
 
-            /// As a number.
+            /// The value as a floating-point number.
             pub fn number(self) -> f64 {
-                f64::from(self.0) / $one
+                f64::from(self.0) / $scale
             }
         }
 
         impl Serialize for $name {
-            fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
-                if to.is_human_readable() {
-                    to.serialize_f64(self.number())
+            fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
+                if serializer.is_human_readable() {
+                    serializer.serialize_f64(self.number())
                 } else {
-                    self.0.serialize(to)
+                    self.0.serialize(serializer)
                 }
             }
         }
 
         impl<'de> Deserialize<'de> for $name {
-            fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-                let found = if from.is_human_readable() {
-                    f64::deserialize(from)?
+            fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+                let found = if deserializer.is_human_readable() {
+                    f64::deserialize(deserializer)?
                 } else {
-                    f64::from(<$whole>::deserialize(from)?) / $one
+                    f64::from(<$integer>::deserialize(deserializer)?) / $scale
                 };
                 Self::of(found).map_err(|expected| {
                     D::Error::custom(format_args!("found {found}; expected {expected}"))
@@ -52,8 +53,8 @@
     };
 }
 
-/// What part of its usual weight something has: over 0, 1 at most, in thousandths. What is to have none is
-/// out.
+/// A fraction of the usual weight, over 0 and at most 1, stored in thousandths. A weight of 0 is expressed by
+/// [`Document::out`](crate::document::Document::out).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Weight(u16);
 
@@ -67,17 +68,17 @@
 );
 
 impl Weight {
-    /// Its usual weight.
+    /// The usual weight.
     pub const FULL: Self = Self(1000);
 
-    /// In thousandths.
+    /// The weight in thousandths.
     pub fn thousandths(self) -> u16 {
         self.0
     }
 }
 
-/// How many times its even part of the fleet a balancer keeps links to, in hundredths
-/// (`hollowpaddle-subset`).
+/// The subset factor: how many times its even share of the fleet a balancer connects to, 1 to 1000, stored in
+/// hundredths. The subset itself is chosen by `hollowpaddle-subset`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Times(u32);
 
--- a/crates/revision/src/fleet.rs
+++ b/crates/revision/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Whether a document fits a fleet, and what a charter has against it. The facts are those that the council's
-//! leader knew when it took the entry in; they are in the entry, so that everybody comes to the same answer.
+//! Checks whether a document fits the fleet and the fallback policy. The facts are those that the leader knew when it
+//! proposed the entry; they are part of the entry, so that every balancer comes to the same result.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,61 +7,62 @@
 
 use crate::document::{Document, MAX_LISTED_NAMES, MAX_LISTED_UPSTREAMS, MAX_NAME_BYTES};
 use crate::fallback_policy::FallbackFloor;
-use crate::rules::{Place, Rules};
+use crate::place::Place;
+use crate::rules::Rules;
 
-/// Groups of upstreams in the facts at most.
+/// The most groups of upstreams in the facts.
 pub const MOST_GROUPS: usize = 512;
 
-/// The upstreams of one pod and flavour.
+/// The upstreams of one cell and machine type.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Group {
-    /// Their pod.
+    /// Their cell.
     pub cell: u32,
-    /// Their site, by its place in [`Facts::zones`].
+    /// Their zone, by its index in [`Facts::zones`].
     pub zone: u8,
-    /// Their flavour, by its place in [`Facts::machine_types`].
+    /// Their machine type, by its index in [`Facts::machine_types`].
     pub machine_type: u8,
-    /// How many can be sent to.
+    /// How many of them can be sent to.
     pub upstreams: u16,
-    /// What they can do together, in thousandths of work a second as the module measures it.
+    /// Their capacity together, in thousandths of work per second as the decision module measures it.
     pub capacity: u32,
 }
 
-/// A class, and where it may go by the site's own settings.
+/// A class, and where its own settings allow it to go.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClassFacts {
     /// Its name.
     pub name: String,
-    /// Sites, by their places; empty for any.
+    /// Zones by index; empty for any.
     pub zones: Vec<u8>,
-    /// Flavours, by their places; empty for any.
+    /// Machine types by index; empty for any.
     pub machine_types: Vec<u8>,
 }
 
-/// The fleet as the council's leader knew it.
+/// The fleet as the leader knew it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Facts {
-    /// Sites by name.
+    /// Zones by name.
     pub zones: Vec<String>,
-    /// Load of each site at the time, in the unit of [`Group::capacity`].
+    /// The load of each zone, in the unit of [`Group::capacity`].
     pub load: Vec<u32>,
-    /// Flavours by name.
+    /// Machine types by name.
     pub machine_types: Vec<String>,
-    /// Who can be sent to.
+    /// The upstreams that can be sent to.
     pub groups: Vec<Group>,
-    /// Classes of requests.
+    /// The classes of requests.
     pub classes: Vec<ClassFacts>,
-    /// Of the upstreams that the document names, those that there are: their pods and flavours' places.
+    /// Of the upstreams that the document names, those that exist: their cell and the index of their machine type.
     pub named: BTreeMap<String, (u32, u8)>,
 }
 
-/// Why a document does not fit the fleet or the charter.
+/// Why a document does not fit the fleet or the fallback policy.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum FleetConflict {
-    /// It names what is not there.
+    /// The document names something that does not exist.
     #[error("there is no {what} `{name}` now; expected names of the list: correct it, or force it")]
     Unknown {
-        /// What it should be.
+        /// The kind of thing.
         what: String,
         /// Its name.
         name: String,
@@ -69,226 +70,229 @@
     /// A class could be sent nowhere.
     #[error("class `{class}` would have no pod; expected one at least: leave one in, or force it")]
     NoCellForClass {
-        /// Which.
+        /// The class.
         class: String,
     },
-    /// What is left of a site has not the room.
+    /// What is left of a zone cannot carry its load.
     #[error(
         "site `{zone}` has a load of {load} and would have room for {capacity} \
          (thousandths of work a second); leave more in, or force it"
     )]
     NoCapacity {
-        /// Which; empty for all of them together.
+        /// The zone; empty for all zones together.
         zone: String,
-        /// Now.
+        /// Its present load.
         load: u64,
-        /// That would be left.
+        /// The capacity that would be left.
         capacity: u64,
     },
-    /// The charter allows it. No force helps here: somebody who is cut off would act on it.
+    /// The fallback policy allows what the document forbids. This cannot be overridden: a balancer that is cut off
+    /// would go on with it.
     #[error("it forbids {what}, which the charter allows; take that out of the charter first")]
     FallbackPolicy {
-        /// What.
+        /// What the document forbids.
         what: String,
     },
-    /// The facts are none.
+    /// The facts are invalid.
     #[error("the fleet's facts can't be: {what}; the proposer's build is at fault")]
     Facts {
-        /// What of them.
+        /// What is invalid.
         what: String,
     },
 }
 
 impl FleetConflict {
-    /// Whether whoever forces a document gets it in spite of this.
+    /// Whether a forced proposal is accepted in spite of this conflict.
     pub fn is_overridable(&self) -> bool {
         !matches!(self, Self::FallbackPolicy { .. } | Self::Facts { .. })
     }
 }
 
 impl Facts {
-    /// Whether they can be.
+    /// Checks the bounds and indices of the facts.
     ///
     /// # Errors
-    /// What can't.
+    /// What is invalid.
     pub fn check(&self) -> Result<(), FleetConflict> {
-        let wrong = |what: &str| Err(FleetConflict::Facts { what: what.into() });
-        let long = |names: &[String]| names.iter().any(|n| n.len() > MAX_NAME_BYTES);
-        let lengths = [self.zones.len(), self.machine_types.len(), self.classes.len()];
+        let invalid = |what: &str| Err(FleetConflict::Facts { what: what.into() });
+        let has_long_name = |names: &[String]| names.iter().any(|name| name.len() > MAX_NAME_BYTES);
+        let (zones, machine_types) = (self.zones.len(), self.machine_types.len());
+        let lengths = [zones, machine_types, self.classes.len()];
         if lengths.iter().any(|l| *l > MAX_LISTED_NAMES) || self.groups.len() > MOST_GROUPS {
-            return wrong("too many sites, flavours, classes or groups");
+            return invalid("too many sites, flavours, classes or groups");
         }
         if self.named.len() > 2 * MAX_LISTED_UPSTREAMS
-            || long(&self.zones)
-            || long(&self.machine_types)
+            || has_long_name(&self.zones)
+            || has_long_name(&self.machine_types)
         {
-            return wrong("too many or too long names");
+            return invalid("too many or too long names");
         }
-        if self.load.len() != self.zones.len() {
-            return wrong("loads of other sites");
+        if self.load.len() != zones {
+            return invalid("loads of other sites");
         }
-        let (zones, machine_types) = (self.zones.len(), self.machine_types.len());
-        let place =
-            |g: &Group| usize::from(g.zone) < zones && usize::from(g.machine_type) < machine_types;
-        if !self.groups.iter().all(place)
-            || self.named.values().any(|(_, f)| usize::from(*f) >= machine_types)
+        let has_valid_indices = |group: &Group| {
+            usize::from(group.zone) < zones && usize::from(group.machine_type) < machine_types
+        };
+        if !self.groups.iter().all(has_valid_indices)
+            || self.named.values().any(|(_, index)| usize::from(*index) >= machine_types)
         {
-            return wrong("a group of no site or flavour");
+            return invalid("a group of no site or flavour");
         }
-        if self.classes.iter().any(|c| c.name.len() > MAX_NAME_BYTES || c.zones.len() > zones) {
-            return wrong("a class of other sites");
+        let is_invalid_class =
+            |class: &ClassFacts| class.name.len() > MAX_NAME_BYTES || class.zones.len() > zones;
+        if self.classes.iter().any(is_invalid_class) {
+            return invalid("a class of other sites");
         }
         Ok(())
     }
 
-    fn place(&self, group: &Group) -> Place<'_> {
-        let name = |names: &'_ [String], at: u8| -> usize {
-            usize::from(at).min(names.len().saturating_sub(1))
-        };
-        let zone = self.zones.get(name(&self.zones, group.zone)).map_or("", String::as_str);
-        let machine_type = self
-            .machine_types
-            .get(name(&self.machine_types, group.machine_type))
-            .map_or("", String::as_str);
-        Place { name: "", cell: group.cell, machine_type, zone }
-    }
-
-    /// All that speaks against these rules in this fleet, the gravest first.
+    /// All conflicts of these rules with the fleet, the gravest first.
     pub fn fleet_conflicts(&self, rules: &Rules) -> Vec<FleetConflict> {
-        if let Err(wrong) = self.check() {
-            return vec![wrong];
+        if let Err(invalid) = self.check() {
+            return vec![invalid];
+        }
+        let mut found = self.fallback_conflicts(rules.document(), rules.floor());
+        found.extend(self.unknown_name(rules.document()));
+        for class in &self.classes {
+            if !self.is_routable(class, rules) {
+                found.push(FleetConflict::NoCellForClass { class: class.name.clone() });
+            }
         }
-        let mut found: Vec<FleetConflict> = self.fallback_conflicts(rules.said(), rules.floor());
-        found.extend(self.unknown(rules.said()));
-        found.extend(
-            self.classes
-                .iter()
-                .filter(|c| !self.is_routable(c, rules))
-                .map(|c| FleetConflict::NoCellForClass { class: c.name.clone() }),
-        );
         found.extend(self.capacity_shortage(rules));
         found.truncate(MAX_LISTED_NAMES);
         found
     }
 
-    /// What the document forbids of the charter, whose word is the stronger one.
+    /// What the document forbids although the floor allows it.
     pub(crate) fn fallback_conflicts(
         &self,
-        said: &Document,
+        document: &Document,
         floor: &FallbackFloor,
     ) -> Vec<FleetConflict> {
-        let mut all = Vec::new();
-        let mut no = |what: String| all.push(FleetConflict::FallbackPolicy { what });
-        for cell in said.out.cells.iter().filter(|p| floor.holds(**p)) {
-            no(format!("pod {cell}"));
+        let mut forbidden: Vec<String> = Vec::new();
+        for cell in document.out.cells.iter().filter(|cell| floor.holds(**cell)) {
+            forbidden.push(format!("pod {cell}"));
         }
-        for (class, cells) in &said.kept {
-            for cell in cells.iter().filter(|p| floor.holds(**p)) {
-                no(format!("class `{class}` at pod {cell}"));
-            }
+        for (class, cell) in document.excluded_class_cells().filter(|(_, cell)| floor.holds(*cell))
+        {
+            forbidden.push(format!("class `{class}` at pod {cell}"));
         }
-        if said.attempts < floor.attempts() {
-            no(format!("{} attempts", floor.attempts()));
+        if document.attempts < floor.attempts() {
+            forbidden.push(format!("{} attempts", floor.attempts()));
         }
-        for group in self.groups.iter().filter(|g| floor.holds(g.cell)) {
+        for group in self.groups.iter().filter(|group| floor.holds(group.cell)) {
             let place = self.place(group);
-            if said.out.zones.contains(place.zone) {
-                no(format!("site `{}` with its pod {}", place.zone, place.cell));
+            if document.out.zones.contains(place.zone) {
+                forbidden.push(format!("site `{}` with its pod {}", place.zone, place.cell));
             }
-            if said.out.machine_types.contains(place.machine_type) {
-                no(format!("flavour `{}` in pod {}", place.machine_type, place.cell));
+            if document.out.machine_types.contains(place.machine_type) {
+                forbidden.push(format!("flavour `{}` in pod {}", place.machine_type, place.cell));
             }
         }
-        for name in &said.out.upstreams {
-            let cell = self.named.get(name).map(|(cell, _)| *cell);
-            if cell
-                .is_some_and(|cell| floor.allows(&Place { name, cell, machine_type: "", zone: "" }))
-            {
-                no(format!("upstream `{name}`"));
+        for name in &document.out.upstreams {
+            let allows = |cell| floor.allows(&Place { name, cell, machine_type: "", zone: "" });
+            if self.named.get(name).is_some_and(|(cell, _)| allows(*cell)) {
+                forbidden.push(format!("upstream `{name}`"));
             }
         }
-        all.dedup();
-        all
+        forbidden.dedup();
+        forbidden.into_iter().map(|what| FleetConflict::FallbackPolicy { what }).collect()
     }
 
-    fn unknown(&self, said: &Document) -> Option<FleetConflict> {
-        let (out, w) = (&said.out, &said.weights);
-        let cells: BTreeSet<u32> = self.groups.iter().map(|g| g.cell).collect();
-        let no =
+    /// The first name in the document that the fleet does not have.
+    fn unknown_name(&self, document: &Document) -> Option<FleetConflict> {
+        let Document { out, weights, class_exclusions, sessions, .. } = document;
+        let unknown =
             |what: &str, name: String| Some(FleetConflict::Unknown { what: what.into(), name });
-        let upstream =
-            out.upstreams.iter().chain(w.upstreams.keys()).find(|n| !self.named.contains_key(*n));
-        let kept = said.kept.values().flatten();
-        let cell = out.cells.iter().chain(w.cells.keys()).chain(kept).find(|p| !cells.contains(p));
-        let machine_type = out
-            .machine_types
-            .iter()
-            .chain(w.machine_types.keys())
-            .find(|n| !self.machine_types.contains(n));
-        let zone = out.zones.iter().chain(w.zones.keys()).find(|n| !self.zones.contains(n));
-        let mut classes = said.kept.keys().chain(said.sessions.keys());
-        let class = classes.find(|n| !self.classes.iter().any(|c| c.name == **n));
-        upstream
-            .and_then(|n| no("upstream", n.clone()))
-            .or_else(|| cell.and_then(|p| no("pod", p.to_string())))
-            .or_else(|| machine_type.and_then(|n| no("flavour", n.clone())))
-            .or_else(|| zone.and_then(|n| no("site", n.clone())))
-            .or_else(|| class.and_then(|n| no("class", n.clone())))
+        let mut upstreams = out.upstreams.iter().chain(weights.upstreams.keys());
+        if let Some(name) = upstreams.find(|name| !self.named.contains_key(*name)) {
+            return unknown("upstream", name.clone());
+        }
+        let known: BTreeSet<u32> = self.groups.iter().map(|group| group.cell).collect();
+        let excluded = class_exclusions.values().flatten();
+        let mut cells = out.cells.iter().chain(weights.cells.keys()).chain(excluded);
+        if let Some(cell) = cells.find(|cell| !known.contains(cell)) {
+            return unknown("pod", cell.to_string());
+        }
+        let mut machine_types = out.machine_types.iter().chain(weights.machine_types.keys());
+        if let Some(name) = machine_types.find(|name| !self.machine_types.contains(name)) {
+            return unknown("flavour", name.clone());
+        }
+        let mut zones = out.zones.iter().chain(weights.zones.keys());
+        if let Some(name) = zones.find(|name| !self.zones.contains(name)) {
+            return unknown("site", name.clone());
+        }
+        let mut classes = class_exclusions.keys().chain(sessions.keys());
+        let name = classes.find(|name| !self.classes.iter().any(|class| class.name == **name))?;
+        unknown("class", name.clone())
     }
 
+    /// Whether some group can take requests of the class.
     fn is_routable(&self, class: &ClassFacts, rules: &Rules) -> bool {
-        self.groups.iter().any(|g| {
-            (class.zones.is_empty() || class.zones.contains(&g.zone))
-                && (class.machine_types.is_empty() || class.machine_types.contains(&g.machine_type))
-                && rules.permits(&self.place(g), &class.name)
-                && self.left(g, rules) > 0
+        self.groups.iter().any(|group| {
+            (class.zones.is_empty() || class.zones.contains(&group.zone))
+                && (class.machine_types.is_empty()
+                    || class.machine_types.contains(&group.machine_type))
+                && rules.permits(&self.place(group), &class.name)
+                && self.remaining_upstreams(group, rules) > 0
         })
     }
 
-    /// How many of a group are not out by their own name.
-    fn left(&self, group: &Group, rules: &Rules) -> u64 {
-        let of = |name: &str| self.named.get(name) == Some(&(group.cell, group.machine_type));
-        let out = |name: &str| !rules.permits(&Place { name, ..self.place(group) }, "");
-        let gone = rules.said().out.upstreams.iter().filter(|n| of(n) && out(n)).count();
-        u64::from(group.upstreams).saturating_sub(gone as u64)
+    /// Where a group stands in the fleet. No upstream of it is named.
+    fn place(&self, group: &Group) -> Place<'_> {
+        Place {
+            name: "",
+            cell: group.cell,
+            machine_type: name_at(&self.machine_types, group.machine_type),
+            zone: name_at(&self.zones, group.zone),
+        }
+    }
+
+    /// How many upstreams of a group are not excluded by name.
+    fn remaining_upstreams(&self, group: &Group, rules: &Rules) -> u64 {
+        let is_member =
+            |name: &str| self.named.get(name) == Some(&(group.cell, group.machine_type));
+        let is_excluded = |name: &str| !rules.permits(&Place { name, ..self.place(group) }, "");
+        let excluded = rules.document().out.upstreams.iter();
+        let excluded = excluded.filter(|name| is_member(name) && is_excluded(name)).count();
+        u64::from(group.upstreams).saturating_sub(excluded as u64)
     }
 
-    /// What a group can do under these rules. What one weighs by its own name is left out: at most it is a
-    /// little less.
-    fn capacity(&self, group: &Group, rules: &Rules) -> u64 {
+    /// The capacity of a group under these rules. Weights of single upstreams are ignored: they lower it a little at
+    /// most.
+    fn remaining_capacity(&self, group: &Group, rules: &Rules) -> u64 {
         let place = self.place(group);
         if group.upstreams == 0 || !rules.permits(&place, "") {
             return 0;
         }
-        let part = self.left(group, rules) as f64 / f64::from(group.upstreams);
-        (f64::from(group.capacity) * rules.weight(&place) * part) as u64
+        let fraction = self.remaining_upstreams(group, rules) as f64 / f64::from(group.upstreams);
+        (f64::from(group.capacity) * rules.weight(&place) * fraction) as u64
     }
 
+    /// The first zone whose load exceeds its remaining capacity, or else all zones together if their load does.
     fn capacity_shortage(&self, rules: &Rules) -> Option<FleetConflict> {
         let mut zone_capacity = vec![0_u64; self.zones.len()];
         for group in &self.groups {
             if let Some(capacity) = zone_capacity.get_mut(usize::from(group.zone)) {
-                *capacity += self.capacity(group, rules);
+                *capacity += self.remaining_capacity(group, rules);
             }
         }
-        let zones = self.zones.iter().zip(&self.load).zip(&zone_capacity);
-        let one = zones
-            .filter(|((zone, _), _)| !rules.said().out.zones.contains(*zone))
-            .find(|((_, load), capacity)| u64::from(**load) > **capacity)
-            .map(|((zone, load), capacity)| FleetConflict::NoCapacity {
-                zone: zone.clone(),
-                load: u64::from(*load),
-                capacity: *capacity,
-            });
-        // What a site that is out as a whole had goes to the others.
-        let (load, capacity) =
-            (self.load.iter().map(|l| u64::from(*l)).sum(), zone_capacity.iter().sum());
-        one.or_else(|| {
-            (load > capacity).then(|| FleetConflict::NoCapacity {
-                zone: String::new(),
-                load,
-                capacity,
-            })
-        })
+        for ((zone, load), capacity) in self.zones.iter().zip(&self.load).zip(&zone_capacity) {
+            let (zone, load, capacity) = (zone.clone(), u64::from(*load), *capacity);
+            // The load of a zone that is excluded as a whole goes to the others.
+            if !rules.document().out.zones.contains(&zone) && load > capacity {
+                return Some(FleetConflict::NoCapacity { zone, load, capacity });
+            }
+        }
+        let load = self.load.iter().map(|load| u64::from(*load)).sum();
+        let capacity = zone_capacity.iter().sum();
+        let zone = String::new();
+        (load > capacity).then_some(FleetConflict::NoCapacity { zone, load, capacity })
     }
 }
+
+/// The name at this index, or the last one if there are fewer; empty if there is none.
+fn name_at(names: &[String], index: u8) -> &str {
+    let index = usize::from(index).min(names.len().saturating_sub(1));
+    names.get(index).map_or("", String::as_str)
+}
--- a/crates/revision/src/history.rs
+++ b/crates/revision/src/history.rs
@@ -1,5 +1,5 @@
-//! Revisions that are kept, their contents shared, and answers by the names of their questions. What an entry
-//! means is the book's to say.
+//! Retained revisions, which share equal contents, and the results of commands, both bounded. What a command does is
+//! decided by [`policy_state`](crate::policy_state).
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
@@ -10,30 +10,29 @@
 use crate::canary::RollbackCause;
 use crate::document::Document;
 use crate::entry::CommandId;
-use crate::policy_state::Refusal;
+use crate::rejection::Refusal;
 
-/// Revisions that are kept. Beyond, the oldest can't be gone back to.
+/// The most retained revisions. Beyond it the oldest cannot be rolled back to.
 pub const MAX_REVISIONS: usize = 1000;
-/// Bytes of all their contents together, shared ones once: what a snapshot takes at most, less a bit. Beyond,
-/// the oldest can't be gone back to either.
+/// The most bytes of all contents together, equal ones counted once. Beyond it the oldest revisions are dropped too.
 pub const MAX_CONTENT_BYTES: usize = 4 << 20;
-/// Answers that are kept. Whoever asks later than that many others is told that nobody remembers.
+/// The most results of commands. Beyond it the result of the oldest command is forgotten.
 pub const MAX_RESULTS: usize = 4096;
 
 /// How a revision came about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Origin {
-    /// The bank began with it.
+    /// The cluster started with it.
     Bootstrap,
-    /// Somebody wrote it.
+    /// It was proposed by this command.
     Proposed(CommandId),
-    /// Somebody went back to another.
+    /// This command rolled back to the revision of this number.
     Rollback(CommandId, u64),
-    /// Another was taken back from its trial.
+    /// The canary of this number was rolled back.
     AutomaticRollback(u64, RollbackCause),
 }
 
-/// As the admin API and the rehearsals' reports print it.
+/// The text that the admin API and the reports of rehearsals print.
 impl fmt::Display for Origin {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -50,22 +49,22 @@
     }
 }
 
-/// What became of a revision.
+/// How far a revision has come.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ChangeStatus {
-    /// It is the next.
+    /// It is the next to come into force.
     Pending,
-    /// The step to it is under way: what it forbids is forbidden.
+    /// The restrict phase of the change to it is under way: what it forbids is forbidden.
     Restricting,
     /// It is in force.
     InForce,
-    /// It was in force, from this stage on.
+    /// It was in force, from the generation with this index on.
     Superseded(u64),
-    /// It never came into force: this later one took its place.
+    /// It never came into force, because the revision of this number replaced it before.
     Skipped(u64),
 }
 
-/// As the admin API prints it.
+/// The text that the admin API prints.
 impl fmt::Display for ChangeStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -78,84 +77,118 @@
     }
 }
 
-/// A revision that is kept.
+/// A revision that can be rolled back to.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RetainedRevision {
-    /// Its content.
+    /// Its content, shared with other revisions of equal content.
     pub document: Arc<Document>,
     /// How it came about.
     pub origin: Origin,
-    /// As long as it neither was in force nor can never be: `None`.
-    pub(crate) change_status: Option<ChangeStatus>,
+    /// The status that it has whenever it is not in force; `None` while it may still come into force.
+    pub(crate) final_status: Option<ChangeStatus>,
 }
 
-/// What was answered.
+/// The result of a command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ProposalResult {
-    /// The entry that it was about.
+    /// The index of the command's entry.
     pub index: u64,
-    /// The number of the new revision, or of the entry's effect; or why nothing was done.
+    /// The number of the new or confirmed revision, or the index of another effect; or why there was none.
     pub outcome: Result<u64, Refusal>,
 }
 
-/// Revisions and answers.
+/// Retained revisions and the results of commands.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct History {
-    pub(crate) kept: BTreeMap<u64, RetainedRevision>,
+    revisions: BTreeMap<u64, RetainedRevision>,
     contents: BTreeSet<Arc<Document>>,
-    /// Bytes of all contents.
-    pub(crate) bytes: usize,
-    pub(crate) answers: BTreeMap<CommandId, ProposalResult>,
-    pub(crate) asked: VecDeque<CommandId>,
+    /// The encoded length of all contents, in bytes.
+    content_bytes: usize,
+    results: BTreeMap<CommandId, ProposalResult>,
+    /// The ids of `results` in the order of their entries.
+    result_order: VecDeque<CommandId>,
 }
 
 impl History {
-    /// Keeps a revision; a content that is there already is shared.
-    pub(crate) fn keep(
+    /// Retains a revision. If another one has an equal content, they share it.
+    pub(crate) fn retain(
         &mut self,
         number: u64,
         document: Document,
         origin: Origin,
-        change_status: Option<ChangeStatus>,
+        final_status: Option<ChangeStatus>,
     ) {
-        let known = self.contents.get(&document).cloned();
-        let document = known.unwrap_or_else(|| {
+        let shared = self.contents.get(&document).cloned();
+        let document = shared.unwrap_or_else(|| {
             let new = Arc::new(document);
-            self.bytes += new.length();
+            self.content_bytes += new.length();
             self.contents.insert(new.clone());
             new
         });
-        self.kept.insert(number, RetainedRevision { document, origin, change_status });
+        self.revisions.insert(number, RetainedRevision { document, origin, final_status });
     }
 
-    /// Drops the oldest revisions beyond the bounds, but none of those that are needed still.
-    pub(crate) fn compact(&mut self, needed: &BTreeSet<u64>) {
-        while self.kept.len() > MAX_REVISIONS || self.bytes > MAX_CONTENT_BYTES {
-            let Some(oldest) = self.kept.keys().copied().find(|n| !needed.contains(n)) else {
-                return;
-            };
-            let Some(gone) = self.kept.remove(&oldest) else { return };
-            if !self.kept.values().any(|k| Arc::ptr_eq(&k.document, &gone.document)) {
-                self.contents.remove(&gone.document);
-                self.bytes = self.bytes.saturating_sub(gone.document.length());
+    /// Sets the status that a revision has whenever it is not in force.
+    pub(crate) fn set_final_status(&mut self, number: u64, status: ChangeStatus) {
+        if let Some(revision) = self.revisions.get_mut(&number) {
+            revision.final_status = Some(status);
+        }
+    }
+
+    /// Drops the oldest revisions beyond the bounds, except those in `referenced`.
+    pub(crate) fn compact(&mut self, referenced: &BTreeSet<u64>) {
+        while self.revisions.len() > MAX_REVISIONS || self.content_bytes > MAX_CONTENT_BYTES {
+            let mut numbers = self.revisions.keys().copied();
+            let Some(oldest) = numbers.find(|number| !referenced.contains(number)) else { return };
+            let Some(dropped) = self.revisions.remove(&oldest) else { return };
+            let is_shared =
+                self.revisions.values().any(|r| Arc::ptr_eq(&r.document, &dropped.document));
+            if !is_shared {
+                self.contents.remove(&dropped.document);
+                self.content_bytes = self.content_bytes.saturating_sub(dropped.document.length());
             }
         }
     }
 
-    /// Keeps an answer.
-    pub(crate) fn answer(&mut self, id: CommandId, answer: ProposalResult) {
-        if self.answers.insert(id, answer).is_none() {
-            self.asked.push_back(id);
+    /// Records the result of a command, and forgets the oldest beyond the bound.
+    pub(crate) fn record_result(&mut self, id: CommandId, result: ProposalResult) {
+        if self.results.insert(id, result).is_none() {
+            self.result_order.push_back(id);
         }
-        while self.asked.len() > MAX_RESULTS {
-            if let Some(oldest) = self.asked.pop_front() {
-                self.answers.remove(&oldest);
+        while self.result_order.len() > MAX_RESULTS {
+            if let Some(oldest) = self.result_order.pop_front() {
+                self.results.remove(&oldest);
             }
         }
     }
 
-    /// The contents, each once.
+    /// A retained revision.
+    pub(crate) fn get(&self, number: u64) -> Option<&RetainedRevision> {
+        self.revisions.get(&number)
+    }
+
+    /// The number of the first retained revision after this one.
+    pub(crate) fn first_after(&self, number: u64) -> Option<u64> {
+        self.revisions.range(number.saturating_add(1)..).next().map(|(number, _)| *number)
+    }
+
+    /// All retained revisions, the oldest first.
+    pub(crate) fn revisions(&self) -> impl DoubleEndedIterator<Item = (u64, &RetainedRevision)> {
+        self.revisions.iter().map(|(number, revision)| (*number, revision))
+    }
+
+    /// The distinct contents of all retained revisions, in their order.
     pub(crate) fn contents(&self) -> impl Iterator<Item = &Arc<Document>> {
         self.contents.iter()
     }
+
+    /// The result of a command.
+    pub(crate) fn result(&self, id: CommandId) -> Option<&ProposalResult> {
+        self.results.get(&id)
+    }
+
+    /// All results in the order of their entries.
+    pub(crate) fn results(&self) -> impl Iterator<Item = (CommandId, &ProposalResult)> {
+        self.result_order.iter().filter_map(|id| self.results.get(id).map(|result| (*id, result)))
+    }
 }
--- a/crates/revision/src/in_force.rs
+++ b/crates/revision/src/in_force.rs
@@ -1,5 +1,5 @@
-//! What requests read: rules and the lease that they are under, in one value, so that no reader sees one of
-//! another.
+//! What requests read: the rules together with their lease in one immutable value, so that no reader combines the
+//! rules of one moment with the lease of another.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -7,33 +7,33 @@
 use crate::message::Generation;
 use crate::rules::Rules;
 
-/// What is in force at one balancer. It is published as a whole, and never changed.
+/// What is in force at one balancer. It is published as a whole and never modified.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct InForce {
-    /// Under the lease. Past it, figures of theirs that forbid nothing (subset, weights) may go on.
+    /// The rules under the lease. Figures of theirs that forbid nothing (subset, weights) may still be used after it.
     pub rules: Arc<Rules>,
-    /// Their stage.
+    /// The generation of the rules.
     pub generation: Generation,
-    /// The lease's end, on this process's monotonic clock.
+    /// When the lease ends, on this process's monotonic clock.
     pub until: Duration,
-    /// Past it.
+    /// The rules after the lease has ended.
     pub fallback_policy: Arc<Rules>,
 }
 
-/// What may be acted on at one moment.
+/// What a balancer may act on at one moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum View<'a> {
-    /// The agreed rules.
+    /// The agreed rules of this generation, under a lease.
     Agreed(&'a Rules, Generation),
-    /// What the charter allows, and nothing else.
+    /// What the fallback policy allows, and nothing else.
     FallbackPolicy(&'a Rules),
 }
 
 impl InForce {
-    /// What may be acted on. Look before each send, as the last thing before the write, with the time of
-    /// then: whoever looks once and sends much later acts on rules that may be gone. A process that is paused
-    /// between this look and the write sends one attempt a thread too late; no lease can help that, and the
-    /// next look ends it.
+    /// Returns what may be acted on at `now`.
+    ///
+    /// Call this right before each write of an attempt's first byte. A process that is paused between this call and
+    /// the write sends at most one late attempt per thread, which no lease can prevent; the next call notices it.
     pub fn at(&self, now: Duration) -> View<'_> {
         if now < self.until {
             View::Agreed(&self.rules, self.generation)
--- /dev/null
+++ b/crates/revision/src/leases/fallback.rs
@@ -0,0 +1,120 @@
+//! The fallback policy that this balancer holds, and who else at and below it holds the agreed one.
+
+use std::sync::Arc;
+
+use hollowpaddle_peer_transport::NodeId;
+
+use super::interface::{Action, LeaseConfig};
+use crate::fallback_policy::FallbackPolicy;
+use crate::message::Generation;
+use crate::node_set::NodeSet;
+use crate::rules::Rules;
+
+/// The fallback policy that this balancer keeps to without a lease.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct HeldFallback {
+    /// Whether this process knows what its earlier incarnations have confirmed, or has it stored.
+    is_known: bool,
+    /// The generation of the policy; `None` for the mandatory fallback.
+    generation: Option<Generation>,
+    policy: Arc<FallbackPolicy>,
+    rules: Arc<Rules>,
+    /// The generation that is persisted.
+    persisted: Option<Generation>,
+    /// The agreed generation, and the nodes at and below this balancer that hold it.
+    agreed: Generation,
+    holders: NodeSet,
+}
+
+impl HeldFallback {
+    /// The fallback policy of a process that has just started.
+    pub(super) fn new(config: &LeaseConfig) -> Self {
+        let (generation, policy) = match &config.stored {
+            Some((generation, policy)) => (Some(*generation), policy),
+            None => (None, &config.mandatory_fallback),
+        };
+        Self {
+            is_known: generation.is_some(),
+            generation,
+            policy: Arc::new(policy.clone()),
+            rules: Arc::new(Rules::of_fallback_policy(policy)),
+            persisted: generation,
+            agreed: Generation::default(),
+            holders: NodeSet::default(),
+        }
+    }
+
+    pub(super) fn policy(&self) -> &Arc<FallbackPolicy> {
+        &self.policy
+    }
+
+    pub(super) fn rules(&self) -> &Arc<Rules> {
+        &self.rules
+    }
+
+    /// The nodes at and below this balancer that hold the agreed generation.
+    pub(super) fn holders(&self) -> NodeSet {
+        self.holders
+    }
+
+    /// The agreed generation and its holders, as renewals report them.
+    pub(super) fn holders_by_generation(&self) -> (Generation, NodeSet) {
+        (self.agreed, self.holders)
+    }
+
+    /// From now on this process knows what its earlier incarnations have confirmed.
+    pub(super) fn mark_known(&mut self) {
+        self.is_known = true;
+    }
+
+    pub(super) fn mark_persisted(&mut self, generation: Generation) {
+        self.persisted = self.persisted.max(Some(generation));
+    }
+
+    /// Adds holders of a generation that a child reports. Those of another than the agreed one do not count.
+    pub(super) fn add_holders(&mut self, generation: Generation, nodes: &NodeSet) {
+        if generation == self.agreed {
+            self.holders.extend(nodes);
+        }
+    }
+
+    /// Adopts the agreed policy if it is later than the one held, and counts `node_id` as a holder once it is
+    /// persisted.
+    pub(super) fn adopt(
+        &mut self,
+        generation: Generation,
+        policy: Arc<FallbackPolicy>,
+        node_id: NodeId,
+        actions: &mut Vec<Action>,
+    ) {
+        if self.is_known && self.generation < Some(generation) {
+            self.replace(generation, policy, actions);
+        }
+        if self.agreed != generation {
+            self.agreed = generation;
+            self.holders = NodeSet::default();
+        }
+        if self.generation == Some(generation) && self.persisted >= Some(generation) {
+            self.holders.insert(node_id);
+        }
+    }
+
+    fn replace(
+        &mut self,
+        generation: Generation,
+        policy: Arc<FallbackPolicy>,
+        actions: &mut Vec<Action>,
+    ) {
+        if self.policy != policy {
+            self.rules = Arc::new(Rules::of_fallback_policy(&policy));
+        }
+        self.generation = Some(generation);
+        self.policy = policy.clone();
+        if self.persisted < Some(generation) {
+            actions.push(Action::PersistFallbackPolicy {
+                fallback_generation: generation,
+                fallback_policy: policy,
+            });
+        }
+    }
+}
--- a/crates/revision/src/leases/interface.rs
+++ b/crates/revision/src/leases/interface.rs
@@ -1,4 +1,4 @@
-//! What the machine of leases is told and what it asks for: words only, for the shell on the other side.
+//! Configuration, events and actions of [`Leases`](super::Leases); holds no logic but the allowance for clock drift.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,142 +12,152 @@
 use crate::message::{Generation, Message};
 use crate::policy_state::PolicyStatus;
 
-/// This balancer and the agreed figures.
+/// The usual duration of a lease.
+const LEASE: Duration = Duration::from_secs(2);
+/// The usual interval of renewals.
+const RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
+/// The usual bound on clock drift, in thousandths.
+const DRIFT: u32 = 10;
+
+/// The identity of a balancer and the figures that all balancers agree on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseConfig {
-    /// Its number.
+    /// The balancer's number.
     pub node_id: NodeId,
-    /// Its life: answers to another one's questions count for nothing.
+    /// Its incarnation: responses to requests of another one are ignored.
     pub incarnation: Incarnation,
-    /// A lease, L.
+    /// How long a lease lasts.
     pub lease: Duration,
-    /// One clock gains or loses so many thousandths against another, at most.
+    /// By how many thousandths one clock may run faster or slower than another.
     pub drift: u32,
-    /// Leases are renewed so often.
+    /// How often leases are renewed.
     pub renewal: Duration,
-    /// A lease counts only at the very stage that it names. Otherwise it counts for what follows in the log,
-    /// too: see the design note for why that is as safe, and what the exact rule costs at each change.
+    /// Whether a lease holds only at the generation that it names. Otherwise it holds for later generations of the same
+    /// epoch too, which is as safe (see the design note) and keeps leases across changes.
     pub exact: bool,
-    /// What can never be put out, by the settings.
+    /// What no fallback policy can leave out, from the settings.
     pub mandatory_fallback: FallbackPolicy,
-    /// The charter as the state directory keeps it, and the generation that it is of.
+    /// The persisted fallback policy and its generation.
     pub stored: Option<(Generation, FallbackPolicy)>,
 }
 
 impl LeaseConfig {
-    /// With the usual figures, and nothing stored.
+    /// A configuration with the usual figures and nothing persisted.
     pub fn usual(
         node_id: NodeId,
         incarnation: Incarnation,
         mandatory_fallback: FallbackPolicy,
     ) -> Self {
-        let (lease, renewal) = (Duration::from_secs(2), Duration::from_millis(300));
         Self {
             node_id,
             incarnation,
-            lease,
-            drift: 10,
-            renewal,
+            lease: LEASE,
+            drift: DRIFT,
+            renewal: RENEWAL_INTERVAL,
             exact: false,
             mandatory_fallback,
             stored: None,
         }
     }
 
-    /// What is surely over by the time that this length is, on whichever clock.
-    pub(crate) fn less(&self, length: Duration) -> Duration {
-        length.saturating_sub(length.saturating_mul(self.drift) / 1000)
+    /// A time on this clock within which `duration` has not passed on any other clock.
+    pub(super) fn lower_bound(&self, duration: Duration) -> Duration {
+        duration.saturating_sub(self.drift_within(duration))
+    }
+
+    /// A time on this clock after which `duration` has passed on every other clock.
+    pub(super) fn upper_bound(&self, duration: Duration) -> Duration {
+        duration.saturating_add(self.drift_within(duration))
     }
 
-    /// What this length is surely over by.
-    pub(crate) fn more(&self, length: Duration) -> Duration {
-        length.saturating_add(length.saturating_mul(self.drift) / 1000)
+    fn drift_within(&self, duration: Duration) -> Duration {
+        duration.saturating_mul(self.drift) / 1000
     }
 }
 
-/// What happens.
+/// What happens to a balancer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// An entry was applied, in the order of the log. An epoch later than the last begins another log.
     Applied {
-        /// The log's epoch.
+        /// The epoch of the log.
         epoch: u32,
-        /// Where the book stands now.
+        /// The policy after the entry.
         status: Box<PolicyStatus>,
     },
-    /// Whom to ask for leases from here on: the source of the log.
+    /// The node to request leases from: the source of the log.
     Parent(Option<NodeId>),
-    /// A word from a peer, from the life that the wire has confirmed.
+    /// A message from a peer whose incarnation the transport has verified.
     Message {
-        /// Who says it.
+        /// The sender.
         from: NodeId,
-        /// Which life of it.
+        /// Its incarnation.
         incarnation: Incarnation,
-        /// What.
+        /// The message.
         message: Message,
     },
-    /// This member leads the council.
+    /// This balancer has become the leader.
     Leads {
-        /// No earlier than a majority has told it so.
+        /// A time that is not before a majority elected it.
         since: Duration,
-        /// The epoch of its log. Failure: one that had not learned yet that the log was founded anew had
-        /// applied as many entries of the old one, and gave leases of it (found by a sweep, seed 6898).
+        /// The epoch of its log. Without it, entries applied of a log that was given up would count as caught up.
         epoch: u32,
-        /// The last entry of its log then: until it is applied, it gives no leases of its own.
+        /// The last index of its log then. It grants no leases of its own before it has applied that entry.
         from: u64,
     },
-    /// A majority has answered a round that it began then.
+    /// A majority has answered a round of this leader.
     Round {
-        /// When.
+        /// When the round began.
         began: Duration,
     },
-    /// It leads no more.
+    /// This balancer is no longer the leader.
     Follows,
-    /// What an [`Action::PersistFallbackPolicy`] named survives the process from here on. Without a state directory: at once.
+    /// The fallback policy of an [`Action::PersistFallbackPolicy`] is persisted. Without a state directory this event
+    /// follows at once.
     FallbackPolicyPersisted {
-        /// The charter's generation.
+        /// The generation of the fallback policy.
         fallback_generation: Generation,
     },
-    /// Worth served over the bank against the time before the revision in force, for trials; at the leader.
+    /// The metric of the canary, at the leader; `None` if there is none yet.
     CanaryMetric(Option<CanaryMetric>),
-    /// A time that was asked for has come.
+    /// The time of [`Action::WakeAt`] has come.
     Due,
 }
 
 /// What is to be done.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Says this to a peer.
+    /// Send a message. It may be lost.
     Send {
-        /// To whom.
+        /// The receiver.
         to: NodeId,
-        /// What.
+        /// The message.
         message: Message,
     },
-    /// Requests read this from here on.
+    /// Publish what requests read from now on.
     Publish(InForce),
-    /// The charter is to be kept on disk before [`Event::FallbackPolicyPersisted`] is told. It is asked for once: whoever can't
-    /// write now tries again until a later one is asked for.
+    /// Persist the fallback policy, then report [`Event::FallbackPolicyPersisted`]. The action is not repeated: a caller
+    /// that cannot write retries until a later one comes.
     PersistFallbackPolicy {
-        /// Its generation.
+        /// The generation of the fallback policy.
         fallback_generation: Generation,
-        /// It.
+        /// The fallback policy.
         fallback_policy: Arc<FallbackPolicy>,
     },
-    /// Wakes this machine by [`Event::Due`] then; it takes the place of any earlier one.
+    /// Report [`Event::Due`] at this time. It replaces any earlier one.
     WakeAt(Duration),
-    /// Proposes this to the council; at the leader.
+    /// Propose an entry to the log, at the leader.
     Propose(Entry),
-    /// A peer is at a later stage: the log is to be learned.
+    /// Learn the log from a peer that is at a later generation.
     Learn {
-        /// From whom.
+        /// The peer.
         from: NodeId,
-        /// What it is at.
+        /// Its generation.
         generation: Generation,
     },
-    /// The parent has no room, or has given nothing for as long as a lease: another one is to be found.
+    /// Find another parent: the present one has no room, or has granted nothing for as long as a lease lasts.
     ChangeParent {
-        /// The parent.
+        /// The present parent.
         than: NodeId,
     },
 }
--- /dev/null
+++ b/crates/revision/src/leases/leader.rs
@@ -0,0 +1,135 @@
+//! What a balancer does as the leader: it proposes that a generation or a fallback policy is confirmed and that a
+//! canary is rolled back, and notes which nodes are missing.
+
+use std::time::Duration;
+
+use super::interface::Action;
+use super::{Leases, just_after};
+use crate::entry::Entry;
+use crate::node_set::NodeSet;
+
+/// A proposal that is not in the log is repeated after this time.
+const PROPOSAL_RETRY_INTERVAL: Duration = Duration::from_millis(500);
+
+/// A position in the replicated log; the greater one is the later.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+pub(super) struct LogPosition {
+    pub(super) epoch: u32,
+    pub(super) index: u64,
+}
+
+/// The leadership of this balancer.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct Leadership {
+    since: Duration,
+    /// The last entry of the log when it became the leader.
+    caught_up_at: LogPosition,
+    /// The start of the last round that a majority has answered.
+    pub(super) last_round: Option<Duration>,
+}
+
+impl Leadership {
+    pub(super) fn new(since: Duration, caught_up_at: LogPosition) -> Self {
+        Self { since, caught_up_at, last_round: None }
+    }
+
+    /// Records that a majority has answered the round that began then. A round from before this leadership was answered
+    /// to another leader, and one from the future to nobody.
+    pub(super) fn record_round(&mut self, now: Duration, began: Duration) {
+        if (self.since..=now).contains(&began) {
+            self.last_round = self.last_round.max(Some(began));
+        }
+    }
+}
+
+/// The canary in force, and since when.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+pub(super) struct CanaryInForce {
+    pub(super) revision: u64,
+    pub(super) since: Duration,
+}
+
+/// The last proposal, and when it was made.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub(super) struct SentProposal {
+    entry: Entry,
+    sent_at: Duration,
+}
+
+impl Leases {
+    /// The leadership, if this balancer has applied everything that was committed before it: until then it knows less
+    /// than others may act on.
+    pub(super) fn caught_up_leadership(&self) -> Option<&Leadership> {
+        let position = self.applied.as_ref()?.position();
+        self.leadership.as_ref().filter(|leadership| position >= leadership.caught_up_at)
+    }
+
+    pub(super) fn propose(&mut self, actions: &mut Vec<Action>) {
+        if self.leadership.is_some() {
+            self.note_missing_nodes();
+        }
+        let Some(entry) = self.due_proposal() else { return };
+        let retry_since = self.now.saturating_sub(PROPOSAL_RETRY_INTERVAL);
+        let is_recent = |sent: &SentProposal| sent.entry == entry && sent.sent_at > retry_since;
+        if self.proposed.as_ref().is_some_and(is_recent) {
+            return;
+        }
+        self.proposed = Some(SentProposal { entry: entry.clone(), sent_at: self.now });
+        actions.push(Action::Propose(entry));
+    }
+
+    fn due_proposal(&self) -> Option<Entry> {
+        let leadership = self.caught_up_leadership()?;
+        let applied = self.applied.as_ref()?;
+        let status = &applied.status;
+        if status.unconfirmed
+            && self.confirmed == applied.generation
+            && self.now >= self.former_leases_end(leadership)
+        {
+            return Some(Entry::GenerationConfirmed(applied.generation.index));
+        }
+        if let (Some(canary), Some(in_force)) = (status.canary, self.canary) {
+            let age = self.now.saturating_sub(in_force.since);
+            if let Some(cause) = canary.terms.verdict(age, self.canary_metric) {
+                return Some(Entry::AutomaticRollback(canary.revision, cause));
+            }
+        }
+        if !status.awaited {
+            return None;
+        }
+        let awaited =
+            NodeSet::first(status.members).without(&status.dead).without(&self.fallback.holders());
+        let confirmed = Entry::FallbackPolicyConfirmed(status.fallback_generation);
+        awaited.is_empty().then_some(confirmed)
+    }
+
+    /// When the leases that the previous leader may have granted have ended.
+    fn former_leases_end(&self, leadership: &Leadership) -> Duration {
+        leadership.since.saturating_add(self.config.upper_bound(self.config.lease))
+    }
+
+    /// Notes since when each node that is not present has been missing.
+    fn note_missing_nodes(&mut self) {
+        let Some(applied) = &self.applied else { return };
+        let missing = NodeSet::first(applied.status.members).without(&self.present_nodes());
+        let since = |node| self.missing.get(&node).copied().unwrap_or(self.now);
+        self.missing = missing.iter().map(|node| (node, since(node))).collect();
+    }
+
+    /// The next time at which the leader may have something to propose.
+    pub(super) fn leader_wake(&self) -> Option<Duration> {
+        let leadership = self.leadership.as_ref()?;
+        let former_leases = Some(self.former_leases_end(leadership));
+        let retry = self
+            .proposed
+            .as_ref()
+            .map(|proposed| just_after(proposed.sent_at.saturating_add(PROPOSAL_RETRY_INTERVAL)));
+        let status = self.applied.as_ref().map(|applied| &applied.status);
+        let canary = status.and_then(|status| status.canary).zip(self.canary);
+        let canary = canary.map(|(canary, in_force)| {
+            in_force.since.saturating_add(Duration::from_secs(canary.terms.seconds.into()))
+        });
+        let times = [former_leases, retry, canary].into_iter().flatten();
+        times.filter(|at| *at > self.now).min()
+    }
+}
--- a/crates/revision/src/leases/status.rs
+++ b/crates/revision/src/leases/status.rs
@@ -1,46 +1,39 @@
-//! What operators see of the leases: who has confirmed what, and who is behind since when. Nothing is decided
-//! by it.
+//! What operators see of the leases: the generation, who is present and who is missing. Decides nothing.
 
+use std::sync::Arc;
 use std::time::Duration;
 
 use hollowpaddle_peer_transport::NodeId;
 
-use crate::leases::Leases;
+use super::Leases;
+use crate::fallback_policy::FallbackPolicy;
 use crate::message::Generation;
 use crate::node_set::NodeSet;
 
-/// What the door says.
+/// The status of one balancer's leases, for the admin API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseStatus {
-    /// The stage here.
+    /// The generation that it acts on.
     pub generation: Generation,
-    /// Who at and under this balancer is at it, as lately heard.
+    /// The nodes at and below it that were heard of recently at this generation.
     pub here: NodeSet,
-    /// Whose word for the present charter has come, at and under this balancer.
+    /// The nodes at and below it that hold the agreed fallback policy.
     pub fallback_policy: NodeSet,
-    /// What it keeps to past its lease: the bedrock, as long as it does not know which charter it held.
-    pub past: std::sync::Arc<crate::fallback_policy::FallbackPolicy>,
-    /// At the leader: who is not heard of at its stage, and since when it is that late (its clock).
+    /// What it keeps to without a lease: the mandatory fallback until it knows which policy it held before.
+    pub past: Arc<FallbackPolicy>,
+    /// At the leader: the nodes that were not heard of at this generation, and since when on its clock.
     pub behind: Vec<(NodeId, Duration)>,
 }
 
 impl Leases {
-    /// What the door says.
+    /// The status for operators.
     pub fn seen(&self) -> LeaseStatus {
         LeaseStatus {
-            generation: self.at.as_ref().map_or(Generation::default(), |(s, _)| *s),
-            here: self.here(),
-            fallback_policy: self.said.1,
-            past: self.fallback_policy.1.clone(),
-            behind: self.missing.iter().map(|(m, since)| (*m, *since)).collect(),
+            generation: self.generation(),
+            here: self.present_nodes(),
+            fallback_policy: self.fallback.holders(),
+            past: self.fallback.policy().clone(),
+            behind: self.missing.iter().map(|(node, since)| (*node, *since)).collect(),
         }
     }
-
-    /// Keeps since when members are not heard of at the stage.
-    pub(crate) fn note_missing(&mut self) {
-        let Some((_, status)) = &self.at else { return };
-        let gone = NodeSet::first(status.members).without(&self.here());
-        let since = |m: NodeId| (m, self.missing.get(&m).copied().unwrap_or(self.now));
-        self.missing = gone.iter().map(since).collect();
-    }
 }
--- a/crates/revision/src/lib.rs
+++ b/crates/revision/src/lib.rs
@@ -50,6 +50,7 @@
 #![warn(missing_docs)]
 
 pub mod canary;
+mod codec;
 pub mod difference;
 pub mod document;
 pub mod entry;
@@ -62,5 +63,7 @@
 pub mod lists;
 pub mod message;
 pub mod node_set;
+mod place;
 pub mod policy_state;
+mod rejection;
 pub mod rules;
--- a/crates/revision/src/lists.rs
+++ b/crates/revision/src/lists.rs
@@ -1,371 +1,266 @@
-//! What balancers tell each other about the list of upstreams: the version that each has, who drains and who
-//! has ended. The list itself, addresses and drains' grace are the gateway's; this says who may be sent to at
-//! all.
+//! Which upstreams may be sent to at all, by the own endpoint list and by the stops that peers report. The list itself,
+//! addresses and the grace period of draining upstreams are the gateway's concern.
 
-use std::collections::{BTreeMap, VecDeque};
+mod announcements;
+mod interface;
+
+use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
 
 use hollowpaddle_peer_transport::NodeId;
-use serde::{Deserialize, Serialize};
 
+use self::announcements::Announcements;
+pub use self::interface::{Action, Event, ListMessage, Phase, Stop};
 use crate::document::MAX_NAME_BYTES;
-use crate::message::{MAX_MESSAGE_BYTES, MessageError};
+use crate::node_set::MAX_NODES;
 
-/// Upstreams that are kept, named by the own list or by a peer: what is beyond is usable by the own list's
-/// last word, if that has one, and peers' words about it count for nothing. Four times the largest fleet.
+/// The most upstreams that are tracked, of the own list and of peers' stops each: four times the largest fleet. Peers'
+/// stops of others are ignored.
 pub const MAX_TRACKED_UPSTREAMS: usize = 4096;
-/// A peer's word alone stops sends for so long: a drain is over by then, and one broken peer can't close a
-/// fleet for ever.
+/// How long a peer's stop holds by itself. Draining is over by then, and a faulty peer cannot stop a fleet for ever.
 pub const STOP_TIMEOUT: Duration = Duration::from_secs(60);
-/// An own list as new as a peer's word, that has not said so for so long, is right against it: replicas of
-/// discovery that disagree, and each balancer keeps to its own.
+/// How long a peer's stop holds once the own list is as new and does not confirm it: replicas of discovery may
+/// disagree, and then each balancer follows its own.
 pub const DISAGREEMENT_TIMEOUT: Duration = Duration::from_secs(10);
-/// The version is told so often.
-const VERSION_INTERVAL: Duration = Duration::from_secs(1);
-/// News of one upstream is told at once and so much later again: with 30 % lost, one of forty neighbours
-/// misses all three.
-const REPEAT_DELAYS: [Duration; 2] = [Duration::from_millis(200), Duration::from_secs(1)];
-/// News that wait to be told again. Beyond, the oldest is told fewer times.
-const MAX_PENDING_REPEATS: usize = 1024;
-
-/// What the own list says of an upstream.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub enum Phase {
-    /// It takes requests.
-    Serving,
-    /// It finishes what it has.
-    Drains,
-    /// It is gone.
-    Ended,
-}
-
-/// An upstream that is not to be sent to.
-#[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Stop {
-    /// Its name.
-    pub name: String,
-    /// The version of the list that said so.
-    pub version: u64,
-    /// It has ended; else it drains.
-    pub ended: bool,
-}
-
-/// What one balancer tells its neighbours: it can't say of any upstream that it may be sent to.
-#[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct ListMessage {
-    /// The newest version of its own list.
-    pub version: u64,
-    /// Who stops.
-    pub stops: Vec<Stop>,
-}
-
-impl ListMessage {
-    /// As bytes.
-    pub fn to_bytes(&self) -> Vec<u8> {
-        // Numbers and names can't fail to be written.
-        postcard::to_stdvec(self).unwrap_or_default()
-    }
-
-    /// From bytes.
-    ///
-    /// # Errors
-    /// If they are no word, too many, or something follows it.
-    pub fn from_bytes(bytes: &[u8]) -> Result<Self, MessageError> {
-        let length = bytes.len();
-        let wrong = |cause: String| MessageError { length, cause };
-        if length > MAX_MESSAGE_BYTES {
-            return Err(wrong(format!("expected {MAX_MESSAGE_BYTES} at most")));
-        }
-        let (message, rest) = postcard::take_from_bytes(bytes).map_err(|e| wrong(e.to_string()))?;
-        if rest.is_empty() {
-            Ok(message)
-        } else {
-            Err(wrong(format!("{} more behind it", rest.len())))
-        }
-    }
-}
-
-/// What happens.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Event {
-    /// The own discovery said this.
-    Own {
-        /// The list's version.
-        version: u64,
-        /// Whom it leaves out is gone.
-        whole: bool,
-        /// By name.
-        entries: Vec<(String, Phase)>,
-    },
-    /// The own discovery is another one, that counts its versions anew.
-    CountsAnew,
-    /// A peer says this.
-    Message {
-        /// Who.
-        from: NodeId,
-        /// What.
-        message: ListMessage,
-    },
-    /// The agreed rules say so: the eldest list that may be acted on.
-    FallbackFloor(u64),
-    /// A time that was asked for has come.
-    Due,
-}
 
-/// What is to be done.
-#[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Action {
-    /// Tells all neighbours in the tree.
-    Tell(ListMessage),
-    /// Who may be sent to has changed: ask [`Lists::among`].
-    Changed,
-    /// A peer has a newer list: the own discovery is to be asked now.
-    Poll {
-        /// The version that it has.
-        version: u64,
-    },
-    /// Wakes this machine by [`Event::Due`] then; it takes the place of any earlier one.
-    WakeAt(Duration),
+/// What the own list last stated about an upstream.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
+struct OwnEntry {
+    version: u64,
+    phase: Phase,
 }
 
+/// A stop that a peer has reported.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct PeerStop {
     version: u64,
     ended: bool,
-    at: Duration,
+    received_at: Duration,
     /// Since when the own list is as new.
-    matched: Option<Duration>,
+    matched_since: Option<Duration>,
 }
 
-/// The machine.
+impl PeerStop {
+    fn has_expired(&self, now: Duration) -> bool {
+        let is_over = |since: Duration, timeout: Duration| now >= since.saturating_add(timeout);
+        is_over(self.received_at, STOP_TIMEOUT)
+            || self.matched_since.is_some_and(|since| is_over(since, DISAGREEMENT_TIMEOUT))
+    }
+}
+
+/// The state machine of one balancer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Lists {
     now: Duration,
-    /// By the own list: the version of its last word on each, and that word.
-    own: BTreeMap<String, (u64, Phase)>,
+    own: BTreeMap<String, OwnEntry>,
+    /// The newest version of the own list.
     newest: u64,
+    /// The oldest version that may be acted on.
     floor: u64,
-    /// By peers' words.
-    stopped: BTreeMap<String, PeerStop>,
-    versions: BTreeMap<NodeId, u64>,
-    asked: u64,
-    /// To be told again, and when.
-    news: VecDeque<(Duration, Stop)>,
-    told: Option<Duration>,
-    wakes: Option<Duration>,
+    peer_stops: BTreeMap<String, PeerStop>,
+    /// The versions that peers have last reported.
+    peer_versions: BTreeMap<NodeId, u64>,
+    /// The newest version that the own discovery was polled for.
+    polled_for: u64,
+    announcements: Announcements,
 }
 
 impl Lists {
-    /// Takes in what happened at `now` and says what to do.
+    /// Takes in an event at `now`, and appends what is to be done.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        let before = (self.stopped.len(), self.is_old());
-        let mut changed = false;
-        let mut news = Vec::new();
+        let before = (self.peer_stops.len(), self.is_old());
+        let mut is_changed = false;
+        let mut new_stops = Vec::new();
         match event {
             Event::Own { version, whole, entries } => {
-                news = self.own(version, whole, entries);
-                changed = true;
-            }
-            Event::CountsAnew => {
-                (self.newest, self.asked) = (0, 0);
-                self.own.values_mut().for_each(|(version, _)| *version = 0);
-                // Of another count nobody can say what is newer: the own list's next word decides.
-                self.stopped.values_mut().for_each(|h| h.version = 0);
-                self.versions.clear();
+                new_stops = self.on_own_list(version, whole, entries);
+                is_changed = true;
             }
+            Event::CountsAnew => self.reset_versions(),
             Event::Message { from, message } => {
-                self.versions.insert(from, message.version);
-                if self.versions.len() > usize::from(crate::node_set::MAX_NODES) {
-                    self.versions.pop_last();
-                }
-                for stop in message.stops {
-                    if self.heard(&stop) {
-                        news.push(stop);
-                    }
-                }
-                changed = !news.is_empty();
-                let newer = message.version.max(news.iter().map(|s| s.version).max().unwrap_or(0));
-                if newer > self.newest.max(self.asked) {
-                    self.asked = newer;
-                    actions.push(Action::Poll { version: newer });
-                }
+                new_stops = self.on_message(from, message, actions);
+                is_changed = !new_stops.is_empty();
             }
             Event::FallbackFloor(floor) => self.floor = floor,
             Event::Due => {}
         }
         self.expire_stops();
-        if changed || before != (self.stopped.len(), self.is_old()) {
+        if is_changed || before != (self.peer_stops.len(), self.is_old()) {
             actions.push(Action::Changed);
         }
-        self.tell(news, actions);
+        self.announcements.announce(self.now, self.newest, new_stops, actions);
     }
 
-    /// Takes in an own list; who is news by it to peers.
-    fn own(&mut self, version: u64, whole: bool, entries: Vec<(String, Phase)>) -> Vec<Stop> {
-        let mut news = Vec::new();
-        let older = version < self.newest;
-        if whole && !older {
-            let named: std::collections::BTreeSet<&String> =
-                entries.iter().map(|(n, _)| n).collect();
-            let left = self
-                .own
-                .iter()
-                .filter(|(n, (_, phase))| *phase != Phase::Ended && !named.contains(n));
-            let left: Vec<String> = left.map(|(n, _)| n.clone()).collect();
-            for name in left {
-                news.extend(self.says(name, version, Phase::Ended));
+    /// Takes in the own list. Returns the stops that peers have to learn.
+    fn on_own_list(
+        &mut self,
+        version: u64,
+        is_complete: bool,
+        entries: Vec<(String, Phase)>,
+    ) -> Vec<Stop> {
+        let mut new_stops = Vec::new();
+        if is_complete && version >= self.newest {
+            for name in self.missing_names(&entries) {
+                new_stops.extend(self.set_own(name, version, Phase::Ended));
             }
         }
         self.newest = self.newest.max(version);
         for (name, phase) in entries {
-            // One out of its order takes back nothing that a newer one said.
-            if self.own.get(&name).is_none_or(|(last, _)| version >= *last) {
-                news.extend(self.says(name, version, phase));
+            // A list that arrives late reverts nothing that a newer one stated.
+            if self.own.get(&name).is_none_or(|last| version >= last.version) {
+                new_stops.extend(self.set_own(name, version, phase));
             }
         }
-        news
+        new_stops
+    }
+
+    /// The upstreams that are not gone and that a complete list does not name.
+    fn missing_names(&self, entries: &[(String, Phase)]) -> Vec<String> {
+        let named: BTreeSet<&String> = entries.iter().map(|(name, _)| name).collect();
+        let own = self.own.iter();
+        let missing =
+            own.filter(|(name, entry)| entry.phase != Phase::Ended && !named.contains(name));
+        missing.map(|(name, _)| name.clone()).collect()
     }
 
-    fn says(&mut self, name: String, version: u64, phase: Phase) -> Option<Stop> {
+    /// Takes in what the own list states about an upstream. Returns the stop if it is new to peers.
+    fn set_own(&mut self, name: String, version: u64, phase: Phase) -> Option<Stop> {
         if name.len() > MAX_NAME_BYTES
             || (self.own.len() >= MAX_TRACKED_UPSTREAMS && !self.own.contains_key(&name))
         {
             return None;
         }
-        let last = self.own.insert(name.clone(), (version, phase));
-        // Who is gone is forgotten first when there is no room; what is known of it by version goes with it.
+        let last = self.own.insert(name.clone(), OwnEntry { version, phase });
         if self.own.len() >= MAX_TRACKED_UPSTREAMS {
-            let gone = self
-                .own
-                .iter()
-                .find(|(n, (_, p))| *p == Phase::Ended && **n != name)
-                .map(|(n, _)| n.clone());
-            gone.map(|n| self.own.remove(&n));
+            self.forget_one_gone_except(&name);
         }
-        if self.stopped.get(&name).is_some_and(|heard| version > heard.version) {
-            self.stopped.remove(&name);
+        if self.peer_stops.get(&name).is_some_and(|stop| version > stop.version) {
+            self.peer_stops.remove(&name);
+        }
+        // Nobody can have been sending to an upstream that was not listed before.
+        let last = last?;
+        let is_new_stop = phase != Phase::Serving && last.phase != phase;
+        is_new_stop.then_some(Stop { name, version, ended: phase == Phase::Ended })
+    }
+
+    /// Forgets one upstream that is gone, to make room.
+    fn forget_one_gone_except(&mut self, name: &str) {
+        let mut own = self.own.iter();
+        let gone = own.find(|(other, entry)| entry.phase == Phase::Ended && *other != name);
+        if let Some(gone) = gone.map(|(gone, _)| gone.clone()) {
+            self.own.remove(&gone);
         }
-        let new = phase != Phase::Serving && last.is_none_or(|(_, before)| before != phase);
-        // Whom nobody could have been sending to is no news.
-        (new && last.is_some()).then_some(Stop { name, version, ended: phase == Phase::Ended })
     }
 
-    /// Takes in a peer's word; whether it is news.
-    fn heard(&mut self, stop: &Stop) -> bool {
+    /// Versions of the previous discovery cannot be compared with those to come: the own list's next statement about
+    /// each upstream decides.
+    fn reset_versions(&mut self) {
+        self.newest = 0;
+        self.polled_for = 0;
+        self.own.values_mut().for_each(|entry| entry.version = 0);
+        self.peer_stops.values_mut().for_each(|stop| stop.version = 0);
+        self.peer_versions.clear();
+    }
+
+    /// Takes in a peer's message. Returns the stops that other peers have to learn.
+    fn on_message(
+        &mut self,
+        from: NodeId,
+        message: ListMessage,
+        actions: &mut Vec<Action>,
+    ) -> Vec<Stop> {
+        self.peer_versions.insert(from, message.version);
+        if self.peer_versions.len() > usize::from(MAX_NODES) {
+            self.peer_versions.pop_last();
+        }
+        let mut new_stops = Vec::new();
+        for stop in message.stops {
+            if self.take_peer_stop(&stop) {
+                new_stops.push(stop);
+            }
+        }
+        let newest_stop = new_stops.iter().map(|stop| stop.version).max().unwrap_or(0);
+        let version = message.version.max(newest_stop);
+        if version > self.newest.max(self.polled_for) {
+            self.polled_for = version;
+            actions.push(Action::Poll { version });
+        }
+        new_stops
+    }
+
+    /// Takes in a peer's stop. Returns whether it is new.
+    fn take_peer_stop(&mut self, stop: &Stop) -> bool {
         if stop.name.len() > MAX_NAME_BYTES {
             return false;
         }
-        // The own list's later word is the better one. Of one version two replicas can say two things: then
-        // it stops.
-        match self.own.get(&stop.name) {
-            Some((version, phase)) if *version > stop.version || *phase != Phase::Serving => {
-                return false;
-            }
-            _ => {}
+        // A later statement of the own list counts more. At equal versions, replicas of discovery may disagree; then
+        // the upstream is stopped.
+        if let Some(own) = self.own.get(&stop.name)
+            && (own.version > stop.version || own.phase != Phase::Serving)
+        {
+            return false;
         }
-        let capacity = self.stopped.len() < MAX_TRACKED_UPSTREAMS;
-        let now = self.now;
-        let new = PeerStop { version: stop.version, ended: stop.ended, at: now, matched: None };
-        match self.stopped.get_mut(&stop.name) {
-            Some(heard) if (heard.version, heard.ended) >= (stop.version, stop.ended) => false,
-            Some(heard) => {
-                *heard = new;
+        let has_room = self.peer_stops.len() < MAX_TRACKED_UPSTREAMS;
+        let new = PeerStop {
+            version: stop.version,
+            ended: stop.ended,
+            received_at: self.now,
+            matched_since: None,
+        };
+        match self.peer_stops.get_mut(&stop.name) {
+            Some(known) if (known.version, known.ended) >= (stop.version, stop.ended) => false,
+            Some(known) => {
+                *known = new;
                 true
             }
-            None if capacity => {
-                self.stopped.insert(stop.name.clone(), new);
+            None if has_room => {
+                self.peer_stops.insert(stop.name.clone(), new);
                 true
             }
             None => false,
         }
     }
 
-    /// Peers' words that count no longer.
+    /// Drops peers' stops that do not hold any more.
     fn expire_stops(&mut self) {
         let (now, newest) = (self.now, self.newest);
-        for heard in self.stopped.values_mut() {
-            heard.matched =
-                if newest >= heard.version { heard.matched.or(Some(now)) } else { None };
-        }
-        self.stopped.retain(|_, heard| {
-            let disagrees = heard
-                .matched
-                .is_some_and(|since| now >= since.saturating_add(DISAGREEMENT_TIMEOUT));
-            now < heard.at.saturating_add(STOP_TIMEOUT) && !disagrees
-        });
-    }
-
-    fn tell(&mut self, news: Vec<Stop>, actions: &mut Vec<Action>) {
-        let now = self.now;
-        let mut stops: Vec<Stop> = Vec::new();
-        while self.news.front().is_some_and(|(at, _)| *at <= now) {
-            stops.extend(self.news.pop_front().map(|(_, stop)| stop));
-        }
-        for after in REPEAT_DELAYS {
-            self.news.extend(news.iter().map(|stop| (now.saturating_add(after), stop.clone())));
-        }
-        self.news.make_contiguous().sort();
-        let over = self.news.len().saturating_sub(MAX_PENDING_REPEATS);
-        self.news.drain(..over);
-        stops.extend(news);
-        let due = self.told.is_none_or(|last| now >= last.saturating_add(VERSION_INTERVAL));
-        if due || !stops.is_empty() {
-            self.told = Some(now);
-            let mut message = ListMessage { version: self.newest, stops: vec![] };
-            for stop in stops {
-                message.stops.push(stop);
-                if message.to_bytes().len() > MAX_MESSAGE_BYTES
-                    && let Some(stop) = message.stops.pop()
-                {
-                    let next = ListMessage { version: self.newest, stops: vec![stop] };
-                    actions.push(Action::Tell(std::mem::replace(&mut message, next)));
-                }
-            }
-            actions.push(Action::Tell(message));
-        }
-        let again = self.news.front().map(|(at, _)| *at);
-        let next = self
-            .told
-            .map(|last| last.saturating_add(VERSION_INTERVAL))
-            .into_iter()
-            .chain(again)
-            .min();
-        if let Some(next) = next.filter(|n| self.wakes != Some(*n)) {
-            self.wakes = Some(next);
-            actions.push(Action::WakeAt(next));
+        for stop in self.peer_stops.values_mut() {
+            let is_matched = newest >= stop.version;
+            stop.matched_since = is_matched.then(|| stop.matched_since.unwrap_or(now));
         }
+        self.peer_stops.retain(|_, stop| !stop.has_expired(now));
     }
 
-    /// Whether the own list is older than the agreed rules allow.
+    /// Whether the own list is older than the agreed policy allows.
     pub fn is_old(&self) -> bool {
         self.newest < self.floor
     }
 
-    /// Whether the own list names it as serving, and no peer knows better.
+    /// Whether the own list states that the upstream serves, and no peer has stopped it.
     fn is_open(&self, name: &str) -> bool {
-        let own = self.own.get(name).is_some_and(|(_, phase)| *phase == Phase::Serving);
-        own && !self.stopped.contains_key(name)
+        let is_serving = self.own.get(name).is_some_and(|entry| entry.phase == Phase::Serving);
+        is_serving && !self.peer_stops.contains_key(name)
     }
 
-    /// Of these upstreams, those that may be sent to; with each, whether the charter allows it.
+    /// Of these upstreams, each with whether the fallback policy allows it, those that may be sent to.
     ///
-    /// With a list that is older than the floor only the charter's are: no revision puts them out, so they
-    /// are the last to go, and peers' words on drains still count. Where that leaves none, all that are open:
-    /// an upstream that has gone costs a connection, and refusing everything costs everything.
+    /// With a list that is too old these are only the ones of the fallback policy, which no revision excludes. If that
+    /// leaves none, they are all open ones: sending to an upstream that is gone costs a connection, refusing every
+    /// request costs all of them.
     pub fn among<'a>(&self, upstreams: impl IntoIterator<Item = (&'a str, bool)>) -> Vec<&'a str> {
         let open: Vec<(&str, bool)> =
             upstreams.into_iter().filter(|(name, _)| self.is_open(name)).collect();
-        let narrow = self.is_old() && open.iter().any(|(_, fallback_policy)| *fallback_policy);
+        let is_restricted = self.is_old() && open.iter().any(|(_, is_fallback)| *is_fallback);
         open.into_iter()
-            .filter(|(_, fallback_policy)| *fallback_policy || !narrow)
+            .filter(|(_, is_fallback)| *is_fallback || !is_restricted)
             .map(|(name, _)| name)
             .collect()
     }
 
-    /// Upstreams that peers' words stop, whatever the own list says.
+    /// Upstreams that peers have stopped, whatever the own list states.
     pub fn stopped(&self) -> impl Iterator<Item = &str> {
-        self.stopped.keys().map(String::as_str)
+        self.peer_stops.keys().map(String::as_str)
     }
 
     /// The newest version of the own list.
@@ -373,8 +268,8 @@
         self.newest
     }
 
-    /// The versions that peers have last told of.
+    /// The versions that peers have last reported.
     pub fn versions(&self) -> impl Iterator<Item = (NodeId, u64)> + '_ {
-        self.versions.iter().map(|(m, v)| (*m, *v))
+        self.peer_versions.iter().map(|(node, version)| (*node, *version))
     }
 }
--- a/crates/revision/src/message.rs
+++ b/crates/revision/src/message.rs
@@ -1,114 +1,119 @@
-//! What balancers say to each other about leases and stages; who acts on it is in `leases`.
+//! Messages between balancers about leases and policy generations, and their encoding; the module
+//! [`leases`](crate::leases) acts on them.
 
 use hollowpaddle_peer_transport::Incarnation;
+use serde::de::DeserializeOwned;
 use serde::{Deserialize, Serialize};
 
+use crate::codec::decode_exact;
 use crate::node_set::NodeSet;
 
-/// The longest word, in bytes: with the wire's frame it fits a datagram of 256.
+/// The longest message, in bytes. With the transport's frame it fits a datagram of 256 bytes.
 pub const MAX_MESSAGE_BYTES: usize = 208;
 
-/// A state of the rule book: where the log has changed what is in force. Of two the later one counts.
+/// A state of the agreed policy: it changes whenever the log changes what is in force. The greater of two is the
+/// later one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Generation {
-    /// How often a bank that had forgotten its log began another from a copy.
+    /// How often the cluster has started a new log from a copy after a majority had lost the old one.
     pub epoch: u32,
-    /// The entry.
+    /// The index of the log entry that changed what is in force.
     pub index: u64,
 }
 
-/// Up the tree, or down it.
+/// A message between a node and its parent in the dissemination tree.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Message {
-    /// A child asks for a lease and says how far it is.
+    /// A child requests a lease and reports its progress.
     Renew {
-        /// When, by its own clock, in microseconds. The answer brings it back; nobody else reads it.
-        asked: u64,
-        /// What it acts on.
+        /// When the request was sent, in microseconds of the sender's clock. The response returns it; nobody else
+        /// interprets it.
+        sent_at_us: u64,
+        /// The generation that the sender acts on.
         generation: Generation,
-        /// Neither it nor anybody under a lease that it gave acts on an older one.
+        /// Neither the sender nor any node below it acts on an older generation than this.
         confirmed: Generation,
-        /// Who at and under it was heard of lately, at its stage.
-        here: NodeSet,
-        /// While a charter is on its way: its generation, and who at and under it holds it by their own word.
-        fallback_policy: Option<(Generation, NodeSet)>,
+        /// The sender and the nodes below it that were heard of recently at its generation.
+        present: NodeSet,
+        /// While the fallback policy changes: its generation, and the nodes at and below the sender that hold it.
+        fallback_holders: Option<(Generation, NodeSet)>,
     },
-    /// To a former parent: what it may wait for. It asks for nothing, and is not answered.
+    /// Tells a former parent what its former child has confirmed. It requests nothing and is not answered.
     Departed {
-        /// Neither the sender nor anybody under a lease that it gave acts on an older one.
+        /// Neither the sender nor any node below it acts on an older generation than this.
         confirmed: Generation,
     },
-    /// A lease.
+    /// Grants the requested lease.
     Grant {
-        /// The life that asked.
-        to: Incarnation,
-        /// As it said.
-        asked: u64,
-        /// That the lease is for.
+        /// The incarnation that sent the request.
+        incarnation: Incarnation,
+        /// The time of the request, as [`Message::Renew`] gave it.
+        sent_at_us: u64,
+        /// The generation that the lease is for.
         generation: Generation,
-        /// From the asking on, in microseconds.
-        length: u64,
+        /// How long the lease holds, in microseconds from the request on.
+        duration_us: u64,
     },
-    /// None.
+    /// Rejects the request for a lease.
     LeaseRejection {
-        /// The life that asked.
-        to: Incarnation,
-        /// As it said.
-        asked: u64,
-        /// What the parent acts on.
+        /// The incarnation that sent the request.
+        incarnation: Incarnation,
+        /// The time of the request, as [`Message::Renew`] gave it.
+        sent_at_us: u64,
+        /// The generation that the parent acts on.
         generation: Generation,
-        /// Why.
-        why: LeaseRejection,
+        /// Why there is no lease.
+        reason: LeaseRejection,
     },
 }
 
-/// Why there is no lease.
+/// Why a request for a lease was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LeaseRejection {
-    /// The asker is at another stage: whoever is behind is to learn.
+    /// Child and parent are at different generations; the one that is behind has to catch up.
     Generation,
-    /// The parent has none itself.
+    /// The parent holds no lease itself.
     Lease,
-    /// It has as many children as it takes; go elsewhere.
+    /// The parent has as many children as it accepts; the child has to find another parent.
     Full,
 }
 
-/// Bytes that are no word.
+/// Bytes that cannot be decoded as a message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error(
     "{length} bytes are no word about leases ({cause}); a balancer of another version, or a broken one"
 )]
 pub struct MessageError {
-    /// How many.
+    /// How many bytes there were.
     pub length: usize,
-    /// What was wrong.
+    /// What was wrong with them.
     pub cause: String,
 }
 
+/// Decodes a message of at most [`MAX_MESSAGE_BYTES`].
+pub(crate) fn decode_message<T: DeserializeOwned>(bytes: &[u8]) -> Result<T, MessageError> {
+    let length = bytes.len();
+    if length > MAX_MESSAGE_BYTES {
+        let cause = format!("expected {MAX_MESSAGE_BYTES} at most");
+        return Err(MessageError { length, cause });
+    }
+    decode_exact(bytes).map_err(|cause| MessageError { length, cause })
+}
+
 impl Message {
-    /// As bytes, [`MAX_MESSAGE_BYTES`] at most.
+    /// Encodes the message in [`MAX_MESSAGE_BYTES`] at most.
     pub fn to_bytes(&self) -> Vec<u8> {
-        // Words are of fixed parts and two bounded sets, which can't fail to be written.
+        // Numbers and bounded sets always encode.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
-    /// From bytes.
+    /// Decodes a message.
     ///
     /// # Errors
-    /// If they are no word, too many, or something follows it.
+    /// If the bytes hold no message, are too many, or continue after it.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, MessageError> {
-        let length = bytes.len();
-        let wrong = |cause: String| MessageError { length, cause };
-        if length > MAX_MESSAGE_BYTES {
-            return Err(wrong(format!("expected {MAX_MESSAGE_BYTES} at most")));
-        }
-        let (message, rest) = postcard::take_from_bytes(bytes).map_err(|e| wrong(e.to_string()))?;
-        if rest.is_empty() {
-            Ok(message)
-        } else {
-            Err(wrong(format!("{} more behind it", rest.len())))
-        }
+        decode_message(bytes)
     }
 }
--- a/crates/revision/src/node_set.rs
+++ b/crates/revision/src/node_set.rs
@@ -1,16 +1,17 @@
-//! A set of the bank's balancers in few bytes: 38 for 300 of them.
+//! A compact set of balancers: a bit for each, 38 bytes for 300 of them.
 
 use std::fmt;
 
 use hollowpaddle_peer_transport::NodeId;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Balancers of a bank at most: a set of so many takes 64 bytes, and a word holds two.
+/// The most balancers of a cluster. A set of so many takes 64 bytes, and a message holds two sets.
 pub const MAX_NODES: u16 = 512;
 
+/// The length of the full bit set, in bytes.
 const BYTES: usize = MAX_NODES as usize / 8;
 
-/// A set of balancers, by their numbers below [`MAX_NODES`]; others are in none.
+/// A set of balancers with numbers below [`MAX_NODES`]. Others are never contained.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeSet([u8; BYTES]);
 
@@ -22,58 +23,58 @@
 
 impl fmt::Debug for NodeSet {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        f.debug_set().entries(self.iter().map(|m| m.0)).finish()
+        f.debug_set().entries(self.iter().map(|node| node.0)).finish()
     }
 }
 
 impl NodeSet {
-    /// The first so many.
-    pub fn first(many: u16) -> Self {
-        (0..many).map(NodeId).collect()
+    /// The set of the first `count` balancers.
+    pub fn first(count: u16) -> Self {
+        (0..count).map(NodeId).collect()
     }
 
-    /// Puts one in.
-    pub fn insert(&mut self, member: NodeId) {
-        if let Some(byte) = self.0.get_mut(usize::from(member.0 / 8)) {
-            *byte |= 1 << (member.0 % 8);
+    /// Adds a balancer.
+    pub fn insert(&mut self, node: NodeId) {
+        if let Some(byte) = self.0.get_mut(usize::from(node.0 / 8)) {
+            *byte |= 1 << (node.0 % 8);
         }
     }
 
-    /// Takes one out.
-    pub fn remove(&mut self, member: NodeId) {
-        if let Some(byte) = self.0.get_mut(usize::from(member.0 / 8)) {
-            *byte &= !(1 << (member.0 % 8));
+    /// Removes a balancer.
+    pub fn remove(&mut self, node: NodeId) {
+        if let Some(byte) = self.0.get_mut(usize::from(node.0 / 8)) {
+            *byte &= !(1 << (node.0 % 8));
         }
     }
 
-    /// Whether one is in it.
-    pub fn contains(&self, member: NodeId) -> bool {
-        self.0.get(usize::from(member.0 / 8)).is_some_and(|byte| byte & (1 << (member.0 % 8)) != 0)
+    /// Whether a balancer is contained.
+    pub fn contains(&self, node: NodeId) -> bool {
+        self.0.get(usize::from(node.0 / 8)).is_some_and(|byte| byte & (1 << (node.0 % 8)) != 0)
     }
 
-    /// Puts all of another in.
+    /// Adds all of another set.
     pub fn extend(&mut self, other: &Self) {
         self.0.iter_mut().zip(other.0).for_each(|(byte, more)| *byte |= more);
     }
 
-    /// Those that are not in another.
+    /// The balancers that are not in `other`.
     pub fn without(&self, other: &Self) -> Self {
-        let mut left = *self;
-        left.0.iter_mut().zip(other.0).for_each(|(byte, less)| *byte &= !less);
-        left
+        let mut difference = *self;
+        difference.0.iter_mut().zip(other.0).for_each(|(byte, less)| *byte &= !less);
+        difference
     }
 
-    /// How many.
+    /// How many balancers the set contains.
     pub fn len(&self) -> usize {
         self.0.iter().map(|b| b.count_ones() as usize).sum()
     }
 
-    /// Whether there is none.
+    /// Whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.0 == [0; BYTES]
     }
 
-    /// In their order.
+    /// The balancers in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = NodeId> + '_ {
         let bytes = self.0.iter().zip(0_u16..).filter(|(byte, _)| **byte != 0);
         bytes.flat_map(|(byte, at)| {
@@ -83,24 +84,24 @@
 }
 
 impl FromIterator<NodeId> for NodeSet {
-    fn from_iter<I: IntoIterator<Item = NodeId>>(members: I) -> Self {
+    fn from_iter<I: IntoIterator<Item = NodeId>>(nodes: I) -> Self {
         let mut set = Self::default();
-        members.into_iter().for_each(|m| set.insert(m));
+        nodes.into_iter().for_each(|node| set.insert(node));
         set
     }
 }
 
-/// As bytes up to the last that is not zero.
+/// Encodes the bytes up to the last that is not zero.
 impl Serialize for NodeSet {
-    fn serialize<S: Serializer>(&self, to: S) -> Result<S::Ok, S::Error> {
+    fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let used = self.0.iter().rposition(|b| *b != 0).map_or(0, |last| last + 1);
-        to.serialize_bytes(&self.0[..used])
+        serializer.serialize_bytes(&self.0[..used])
     }
 }
 
 impl<'de> Deserialize<'de> for NodeSet {
-    fn deserialize<D: Deserializer<'de>>(from: D) -> Result<Self, D::Error> {
-        let bytes = Vec::<u8>::deserialize(from)?;
+    fn deserialize<D: Deserializer<'de>>(deserializer: D) -> Result<Self, D::Error> {
+        let bytes = Vec::<u8>::deserialize(deserializer)?;
         if bytes.len() > BYTES || bytes.last() == Some(&0) {
             return Err(serde::de::Error::custom(
                 "no set of members: expected 64 bytes at most, the last not 0",
--- /dev/null
+++ b/crates/revision/src/policy_state/fallback_change.rs
@@ -0,0 +1,103 @@
+//! Changes of the fallback policy: their proposal, withdrawal and confirmation. When a change starts and completes is
+//! decided in `phases`.
+
+use super::PolicyState;
+use super::replicated::FallbackChange;
+use crate::fallback_policy::{FallbackFloor, FallbackPolicy, FallbackPolicyError};
+use crate::fleet::Facts;
+use crate::rejection::Refusal;
+
+impl PolicyState {
+    /// Proposes another fallback policy, or withdraws the running change if `target` is the present policy.
+    pub(super) fn propose_fallback_change(
+        &mut self,
+        index: u64,
+        target: FallbackPolicy,
+        facts: &Facts,
+    ) -> Result<u64, Refusal> {
+        if self.state.fallback_change.is_some() {
+            return self.withdraw_fallback_change(index, &target);
+        }
+        target.check(&self.state.mandatory_fallback)?;
+        facts.check()?;
+        self.check_new_exceptions(&target, facts)?;
+        self.check_referenced_revisions(&target, facts)?;
+        if target != self.state.fallback_policy {
+            self.state.fallback_change = Some(FallbackChange {
+                target,
+                proposed_at: index,
+                is_started: false,
+                is_confirmed: false,
+                is_withdrawn: false,
+            });
+        }
+        Ok(index)
+    }
+
+    fn withdraw_fallback_change(
+        &mut self,
+        index: u64,
+        target: &FallbackPolicy,
+    ) -> Result<u64, Refusal> {
+        let Some(change) = &mut self.state.fallback_change else { return Ok(index) };
+        if *target != self.state.fallback_policy {
+            return Err(Refusal::Changing { since: change.proposed_at });
+        }
+        if change.is_started {
+            // What is in force stays made of both policies until the next generation. The old policy allows all that
+            // both allow, so nobody has to confirm anything.
+            change.is_withdrawn = true;
+            change.is_confirmed = true;
+        } else {
+            self.state.fallback_change = None;
+        }
+        Ok(index)
+    }
+
+    /// Checks that upstreams which the new policy excepts are not part of the mandatory fallback.
+    fn check_new_exceptions(
+        &self,
+        target: &FallbackPolicy,
+        facts: &Facts,
+    ) -> Result<(), FallbackPolicyError> {
+        let mandatory = &self.state.mandatory_fallback.cells;
+        for name in target.except.difference(&self.state.fallback_policy.except) {
+            // An upstream that the endpoint list does not have may be in any cell.
+            let cell = facts.named.get(name).map(|(cell, _)| *cell);
+            if cell.is_none_or(|cell| mandatory.contains(&cell)) {
+                let what = format!("upstream `{name}`");
+                return Err(FallbackPolicyError::MandatoryFallback { what });
+            }
+        }
+        Ok(())
+    }
+
+    /// Checks that no revision that is or may come into force forbids what the new policy allows.
+    fn check_referenced_revisions(
+        &self,
+        target: &FallbackPolicy,
+        facts: &Facts,
+    ) -> Result<(), Refusal> {
+        let floor = FallbackFloor::of(target.clone());
+        for number in self.state.referenced_revisions() {
+            let Some(revision) = self.history.get(number) else { continue };
+            let conflicts = facts.fallback_conflicts(&revision.document, &floor);
+            if let Some(conflict) = conflicts.into_iter().next() {
+                return Err(Refusal::FleetConflict(conflict));
+            }
+        }
+        Ok(())
+    }
+
+    /// Takes in that every balancer holds the fallback policy of this generation.
+    pub(super) fn confirm_fallback_change(&mut self, fallback_generation: u64) {
+        if fallback_generation != self.state.fallback_generation {
+            return;
+        }
+        if let Some(change) = &mut self.state.fallback_change
+            && change.is_started
+        {
+            change.is_confirmed = true;
+        }
+    }
+}
--- a/crates/revision/src/policy_state/snapshot.rs
+++ b/crates/revision/src/policy_state/snapshot.rs
@@ -1,140 +1,165 @@
-//! A book as bytes, for balancers that were away for long and for the disk; read back without trust.
+//! Snapshots of the policy state as bytes, for balancers that are far behind and for the disk. They are decoded
+//! without trust in their content.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
 
 use serde::{Deserialize, Serialize};
 
+use super::PolicyState;
+use super::replicated::ReplicatedState;
 use crate::document::Document;
 use crate::entry::CommandId;
 use crate::history::{ChangeStatus, History, MAX_RESULTS, MAX_REVISIONS, Origin, ProposalResult};
 use crate::node_set::MAX_NODES;
-use crate::policy_state::{PolicyState, State};
 
-/// The version of the form.
+/// The version of the format.
 const VERSION: u8 = 1;
-/// The longest image, in bytes. Contents take 4 MiB at most; 1,000 revisions of 1 kB, each another one, make
-/// 1.1 MB.
+/// The longest snapshot, in bytes. Contents take 4 MiB at most.
 pub const MAX_SNAPSHOT_BYTES: usize = 6 << 20;
 
+/// A snapshot as it is encoded.
 #[derive(Serialize, Deserialize)]
 struct Snapshot {
     version: u8,
-    state: State,
+    state: ReplicatedState,
+    /// The contents of all revisions, each once.
     contents: Vec<Document>,
-    /// Number, place of the content, origin, fate.
-    revisions: Vec<(u64, u32, Origin, Option<ChangeStatus>)>,
-    /// In the order in which they were asked.
-    answers: Vec<(CommandId, ProposalResult)>,
+    revisions: Vec<StoredRevision>,
+    /// In the order in which the commands were applied.
+    results: Vec<StoredResult>,
 }
 
-/// Why bytes are no book.
+#[derive(Serialize, Deserialize)]
+struct StoredRevision {
+    number: u64,
+    /// The index of its content in [`Snapshot::contents`].
+    content: u32,
+    origin: Origin,
+    final_status: Option<ChangeStatus>,
+}
+
+#[derive(Serialize, Deserialize)]
+struct StoredResult {
+    id: CommandId,
+    result: ProposalResult,
+}
+
+/// Why a snapshot cannot be encoded or decoded.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
-    /// Too many.
+    /// The snapshot is too long.
     #[error("the image of a rule book takes {found} bytes; expected {MAX_SNAPSHOT_BYTES} at most")]
     TooLong {
-        /// Bytes.
+        /// Its length in bytes.
         found: usize,
     },
-    /// Another thing's, or torn.
+    /// The bytes hold no snapshot, or an invalid one.
     #[error("{length} bytes are no image of a rule book ({cause}); learn it from another balancer")]
     Unreadable {
-        /// How many.
+        /// How many bytes there were.
         length: usize,
-        /// What was wrong.
+        /// What was wrong with them.
         cause: String,
     },
 }
 
 impl PolicyState {
-    /// As bytes.
+    /// Encodes the state.
     ///
     /// # Errors
-    /// If they would be too many, which the bounds on its parts exclude.
+    /// If it takes more than [`MAX_SNAPSHOT_BYTES`], which the bounds of its parts exclude.
     pub fn image(&self) -> Result<Vec<u8>, SnapshotError> {
-        let history = &self.history;
-        let contents: Vec<&Arc<Document>> = history.contents().collect();
-        let places: BTreeMap<&Arc<Document>, u32> =
-            contents.iter().zip(0..).map(|(c, i)| (*c, i)).collect();
-        let revisions = history.kept.iter();
-        let image = Snapshot {
+        let contents: Vec<&Arc<Document>> = self.history.contents().collect();
+        let snapshot = Snapshot {
             version: VERSION,
             state: self.state.clone(),
-            contents: contents.iter().map(|c| (***c).clone()).collect(),
-            revisions: revisions
-                .map(|(n, k)| {
-                    (
-                        *n,
-                        places.get(&k.document).copied().unwrap_or(u32::MAX),
-                        k.origin,
-                        k.change_status,
-                    )
-                })
-                .collect(),
-            answers: history
-                .asked
-                .iter()
-                .filter_map(|id| history.answers.get(id).map(|a| (*id, a.clone())))
+            contents: contents.iter().map(|content| (***content).clone()).collect(),
+            revisions: stored_revisions(&self.history, &contents),
+            results: self
+                .history
+                .results()
+                .map(|(id, result)| StoredResult { id, result: result.clone() })
                 .collect(),
         };
-        let bytes = postcard::to_stdvec(&image)
+        let bytes = postcard::to_stdvec(&snapshot)
             .map_err(|e| SnapshotError::Unreadable { length: 0, cause: e.to_string() })?;
         let found = bytes.len();
         if found > MAX_SNAPSHOT_BYTES { Err(SnapshotError::TooLong { found }) } else { Ok(bytes) }
     }
 
-    /// From bytes. They may be anything; whoever hands them over vouches for the council's agreement to them.
+    /// Decodes a state. The bytes may be anything; the caller vouches that the log agreed on this state.
     ///
     /// # Errors
-    /// If they are no book: then nothing of them counts.
+    /// If the bytes hold no valid state.
     pub fn from_image(bytes: &[u8]) -> Result<Self, SnapshotError> {
         let length = bytes.len();
         if length > MAX_SNAPSHOT_BYTES {
             return Err(SnapshotError::TooLong { found: length });
         }
-        let wrong = |cause: &str| SnapshotError::Unreadable { length, cause: cause.into() };
-        let (image, rest) =
-            postcard::take_from_bytes::<Snapshot>(bytes).map_err(|e| wrong(&e.to_string()))?;
-        let Snapshot { version, state, contents, revisions, answers } = image;
-        if version != VERSION || !rest.is_empty() {
-            return Err(wrong("another version, or more behind it"));
-        }
-        if revisions.len() > MAX_REVISIONS || answers.len() > MAX_RESULTS {
-            return Err(wrong("too many revisions or answers"));
-        }
-        if contents.iter().any(|c| c.check().is_err()) {
-            return Err(wrong("a document that can't be"));
-        }
-        let mut history = History::default();
-        for (number, place, origin, change_status) in revisions {
-            let content =
-                contents.get(place as usize).ok_or_else(|| wrong("a revision without content"))?;
-            history.keep(number, content.clone(), origin, change_status);
-        }
-        for (id, answer) in answers {
-            history.answer(id, answer);
-        }
-        let members = 1..=MAX_NODES;
-        if !members.contains(&state.members) || state.dead.iter().any(|m| *m >= state.members) {
-            return Err(wrong("a bank that can't be"));
-        }
-        let needed = [
-            Some(state.in_force),
-            state.towards,
-            state.next,
-            Some(state.newest),
-            state.canary.map(|t| t.before),
-        ];
-        if needed.into_iter().flatten().any(|n| !history.kept.contains_key(&n)) {
-            return Err(wrong("the rules in force are not in it"));
-        }
-        let last = history.kept.keys().next_back().copied().unwrap_or(0);
-        if state.newest != last
-            || [last, state.generation, state.fallback_generation].iter().any(|n| *n > state.index)
-        {
-            return Err(wrong("numbers beyond the last entry"));
-        }
-        Ok(Self::of(state, history))
+        decode(bytes).map_err(|cause| SnapshotError::Unreadable { length, cause })
+    }
+}
+
+fn stored_revisions(history: &History, contents: &[&Arc<Document>]) -> Vec<StoredRevision> {
+    let indices: BTreeMap<&Arc<Document>, u32> =
+        contents.iter().zip(0..).map(|(content, index)| (*content, index)).collect();
+    let stored = history.revisions().map(|(number, revision)| StoredRevision {
+        number,
+        content: indices.get(&revision.document).copied().unwrap_or(u32::MAX),
+        origin: revision.origin,
+        final_status: revision.final_status,
+    });
+    stored.collect()
+}
+
+/// Decodes and checks a snapshot; the error is the cause in words.
+fn decode(bytes: &[u8]) -> Result<PolicyState, String> {
+    let (snapshot, rest) =
+        postcard::take_from_bytes::<Snapshot>(bytes).map_err(|error| error.to_string())?;
+    if snapshot.version != VERSION || !rest.is_empty() {
+        return Err("another version, or more behind it".into());
+    }
+    let Snapshot { state, contents, revisions, results, .. } = snapshot;
+    let history = decode_history(&contents, revisions, results)?;
+    check_state(&state, &history)?;
+    Ok(PolicyState::from_parts(state, history))
+}
+
+fn decode_history(
+    contents: &[Document],
+    revisions: Vec<StoredRevision>,
+    results: Vec<StoredResult>,
+) -> Result<History, String> {
+    if revisions.len() > MAX_REVISIONS || results.len() > MAX_RESULTS {
+        return Err("too many revisions or answers".into());
+    }
+    if contents.iter().any(|content| content.check().is_err()) {
+        return Err("a document that can't be".into());
+    }
+    let mut history = History::default();
+    for StoredRevision { number, content, origin, final_status } in revisions {
+        let content = contents.get(content as usize).ok_or("a revision without content")?;
+        history.retain(number, content.clone(), origin, final_status);
+    }
+    for StoredResult { id, result } in results {
+        history.record_result(id, result);
+    }
+    Ok(history)
+}
+
+fn check_state(state: &ReplicatedState, history: &History) -> Result<(), String> {
+    let is_valid_size = (1..=MAX_NODES).contains(&state.members);
+    if !is_valid_size || state.dead.iter().any(|node| *node >= state.members) {
+        return Err("a bank that can't be".into());
+    }
+    if state.referenced_revisions().any(|number| history.get(number).is_none()) {
+        return Err("the rules in force are not in it".into());
+    }
+    let last = history.revisions().next_back().map_or(0, |(number, _)| number);
+    let numbers = [last, state.generation, state.fallback_generation];
+    if state.newest != last || numbers.iter().any(|number| *number > state.index) {
+        return Err("numbers beyond the last entry".into());
     }
+    Ok(())
 }
--- a/crates/revision/src/policy_state/status.rs
+++ b/crates/revision/src/policy_state/status.rs
@@ -1,4 +1,4 @@
-//! What a book begins with, what it says of an entry, and where it stands: words only, for whoever asks it.
+//! What [`PolicyState`](super::PolicyState) starts with and what it reports; holds no logic.
 
 use std::sync::Arc;
 
@@ -8,151 +8,87 @@
 use crate::document::{Document, DocumentError};
 use crate::entry::{CommandId, EntryError};
 use crate::fallback_policy::{FallbackPolicy, FallbackPolicyError};
-use crate::fleet::FleetConflict;
 use crate::node_set::{MAX_NODES, NodeSet};
+use crate::rejection::Refusal;
 use crate::rules::Rules;
 
-/// What a bank begins with: the same at every balancer, from its settings.
+/// What a cluster starts with: the same at every balancer, from its settings.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Bootstrap {
-    /// Balancers of the bank, at most [`MAX_NODES`].
+    /// How many balancers the cluster has, 1 to [`MAX_NODES`].
     pub members: u16,
-    /// What no charter can leave out.
+    /// What every fallback policy has to include.
     pub mandatory_fallback: FallbackPolicy,
-    /// The first charter.
+    /// The first fallback policy.
     pub fallback_policy: FallbackPolicy,
-    /// The first revision's content; its number is 0.
+    /// The content of the first revision, whose number is 0.
     pub document: Document,
 }
 
-/// Why a bank can't begin so.
+/// Why a cluster cannot start.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BootstrapError {
-    /// Nobody, or too many.
+    /// There are no balancers, or too many.
     #[error("founding a bank of {found} balancers; expected 1 to {MAX_NODES}")]
     NodeSet {
-        /// So many.
+        /// How many there are.
         found: u16,
     },
-    /// Its first document.
+    /// The first document is invalid.
     #[error("founding a bank: {0}")]
     Document(#[from] DocumentError),
-    /// Its charter.
+    /// A fallback policy is invalid.
     #[error("founding a bank: {0}")]
     FallbackPolicy(#[from] FallbackPolicyError),
 }
 
-/// Why nothing was done.
-#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
-pub enum Refusal {
-    /// Another one was first.
-    #[error(
-        "made against revision {base}, after which {first} came; the newest is {newest}: \
-         look at that and propose again"
-    )]
-    Lost {
-        /// As it was said.
-        base: u64,
-        /// That won, if it is still kept.
-        first: u64,
-        /// Now.
-        newest: u64,
-    },
-    /// There is no such revision, or none any more.
-    #[error("revision {number} is not kept; expected one of {oldest} to {newest}")]
-    Unknown {
-        /// Asked for.
-        number: u64,
-        /// That is kept.
-        oldest: u64,
-        /// That is kept.
-        newest: u64,
-    },
-    /// The document is none.
-    #[error("{0}")]
-    Document(String),
-    /// It does not fit the fleet, or the charter.
-    #[error("{0}")]
-    FleetConflict(#[from] FleetConflict),
-    /// The terms of its trial.
-    #[error("a trial of {} s and {} thousandths; expected 1 to 3600 and 1 to 1000", .0.seconds, .0.fall)]
-    CanaryTerms(CanaryTerms),
-    /// Nothing to confirm.
-    #[error("revision {number} is not on trial; it was taken back, replaced, or had none")]
-    NotOnCanary {
-        /// Asked for.
-        number: u64,
-    },
-    /// The charter.
-    #[error("{0}")]
-    FallbackPolicy(#[from] FallbackPolicyError),
-    /// A charter is on its way.
-    #[error(
-        "another charter is on its way since entry {since}; wait until everyone has \
-         confirmed it, or give the old one again to withdraw it"
-    )]
-    Changing {
-        /// When it was asked for.
-        since: u64,
-    },
-    /// No such balancer.
-    #[error("there is no balancer {member} in a bank of {members}")]
-    UnknownNode {
-        /// Asked for.
-        member: u16,
-        /// There are.
-        members: u16,
-    },
-}
-
-/// What one entry came to.
+/// The effect of one log entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Applied {
-    /// The question and its answer, if it was one. The answer to a question that was asked before is the one
-    /// of then.
+    /// The result of the command, if the entry was one. A command that was repeated gets its first result.
     pub answered: Option<(CommandId, Result<u64, Refusal>)>,
-    /// The stage has changed.
+    /// Whether the generation has changed.
     pub generation: bool,
-    /// Why it could not be read. Nothing was done, here and everywhere.
+    /// Why the entry could not be decoded. It had no effect, here and at every other balancer.
     pub unreadable: Option<EntryError>,
 }
 
-/// A trial that is running.
+/// A running canary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CanaryStatus {
-    /// What is on trial.
+    /// The revision that is the canary.
     pub revision: u64,
-    /// What it goes back to.
+    /// The revision that a rollback restores.
     pub before: u64,
-    /// On which terms.
+    /// The terms of the canary.
     pub terms: CanaryTerms,
 }
 
-/// Where the log has got to.
+/// The policy state after the last applied entry.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct PolicyStatus {
-    /// The last entry.
+    /// The index of the last applied entry.
     pub index: u64,
-    /// The last entry that changed what is in force.
+    /// The index of the last entry that changed what is in force.
     pub generation: u64,
-    /// Whether it waits for the word that nobody acts on an older one.
+    /// Whether it is not yet confirmed that nobody acts on an older generation.
     pub unconfirmed: bool,
-    /// What is in force.
+    /// The rules in force.
     pub rules: Arc<Rules>,
-    /// The revision whose figures hold.
+    /// The revision that is in force, or was last if a change is under way.
     pub revision: u64,
-    /// The one to which a step is under way.
+    /// The revision that a running change leads to.
     pub towards: Option<u64>,
-    /// What a balancer keeps to whose lease has ended.
+    /// What a balancer without a lease keeps to.
     pub fallback_policy: Arc<FallbackPolicy>,
-    /// The stage that set it.
+    /// The generation that set the fallback policy.
     pub fallback_generation: u64,
-    /// Whether that waits for the word of every member.
+    /// Whether a change of the fallback policy waits for the confirmation of every balancer.
     pub awaited: bool,
-    /// Of whom no word is waited for.
+    /// Balancers that are marked dead: their confirmations are not waited for.
     pub dead: NodeSet,
-    /// All of the bank.
+    /// How many balancers the cluster has.
     pub members: u16,
-    /// The trial of the revision in force.
+    /// The canary, if it is the revision in force.
     pub canary: Option<CanaryStatus>,
 }
--- /dev/null
+++ b/crates/revision/src/rejection.rs
@@ -0,0 +1,71 @@
+//! Why the replicated policy state rejects a command. Rejections are stored with the results of commands and must be
+//! equal at all replicas, so their texts are part of the format.
+
+use serde::{Deserialize, Serialize};
+
+use crate::canary::CanaryTerms;
+use crate::fallback_policy::FallbackPolicyError;
+use crate::fleet::FleetConflict;
+
+/// Why a command had no effect.
+#[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
+pub enum Refusal {
+    /// The proposal was made against a revision that is no longer the newest.
+    #[error(
+        "made against revision {base}, after which {first} came; the newest is {newest}: \
+         look at that and propose again"
+    )]
+    Lost {
+        /// The revision that it was made against.
+        base: u64,
+        /// The first retained revision after it.
+        first: u64,
+        /// The newest revision.
+        newest: u64,
+    },
+    /// The revision does not exist or is not retained any more.
+    #[error("revision {number} is not kept; expected one of {oldest} to {newest}")]
+    Unknown {
+        /// The number that was asked for.
+        number: u64,
+        /// The oldest retained revision.
+        oldest: u64,
+        /// The newest retained revision.
+        newest: u64,
+    },
+    /// The document is outside its bounds.
+    #[error("{0}")]
+    Document(String),
+    /// The document does not fit the fleet or the fallback policy.
+    #[error("{0}")]
+    FleetConflict(#[from] FleetConflict),
+    /// The terms of the canary are outside their bounds.
+    #[error("a trial of {} s and {} thousandths; expected 1 to 3600 and 1 to 1000", .0.seconds, .0.fall)]
+    CanaryTerms(CanaryTerms),
+    /// The revision to be confirmed is not a canary.
+    #[error("revision {number} is not on trial; it was taken back, replaced, or had none")]
+    NotOnCanary {
+        /// The number that was asked for.
+        number: u64,
+    },
+    /// The fallback policy is invalid.
+    #[error("{0}")]
+    FallbackPolicy(#[from] FallbackPolicyError),
+    /// The fallback policy is being changed already.
+    #[error(
+        "another charter is on its way since entry {since}; wait until everyone has \
+         confirmed it, or give the old one again to withdraw it"
+    )]
+    Changing {
+        /// The index of the entry that proposed the change.
+        since: u64,
+    },
+    /// There is no such balancer in the cluster.
+    #[error("there is no balancer {member} in a bank of {members}")]
+    UnknownNode {
+        /// The number that was asked for.
+        member: u16,
+        /// How many balancers there are.
+        members: u16,
+    },
+}
--- a/crates/revision/src/rules.rs
+++ b/crates/revision/src/rules.rs
@@ -1,216 +1,209 @@
-//! What requests read: a document and the charter in a form made for lookups, and how two of them lie to each
-//! other.
+//! Routing rules in the form that requests look up: a document under a fallback floor, and how two such rules
+//! contradict each other.
 
-use std::collections::{BTreeMap, BTreeSet};
+use std::collections::BTreeSet;
 use std::sync::Arc;
 
 use crate::document::{Document, Selection};
 use crate::fallback_policy::{FallbackFloor, FallbackPolicy};
+pub use crate::place::Place;
 
-/// An upstream, as far as rules are about it.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Place<'a> {
-    /// Its name on the list.
-    pub name: &'a str,
-    /// Its pod (the list's `cell`).
-    pub cell: u32,
-    /// Its kind of machine.
-    pub machine_type: &'a str,
-    /// Its site (the list's `locality`).
-    pub zone: &'a str,
-}
-
-/// A class, and the pods that it is kept from.
+/// A class and the cells that it is not sent to, both sorted for binary search.
 type ClassExclusion = (Box<str>, Box<[u32]>);
 
-/// Rules in force: they don't change, and are replaced as a whole.
+/// Rules in force. They are immutable and replaced as a whole.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Rules {
-    /// What is said; for a narrow step, what is said by both.
-    said: Document,
-    /// Nothing is allowed beyond the charter.
-    only: bool,
-    /// Stronger than what is said.
+    /// The document; in the restrict phase, what the old and the new document state together.
+    document: Document,
+    /// Allow only what the floor allows.
+    is_fallback_only: bool,
+    /// What the document cannot forbid.
     floor: Arc<FallbackFloor>,
-    /// Sorted: what is out.
-    upstreams: Box<[Box<str>]>,
-    cells: Box<[u32]>,
-    machine_types: Box<[Box<str>]>,
-    zones: Box<[Box<str>]>,
-    /// Sorted: the class, and the pods that it is kept from.
-    kept: Box<[ClassExclusion]>,
+    /// What the document excludes, sorted for binary search.
+    excluded_upstreams: Box<[Box<str>]>,
+    excluded_cells: Box<[u32]>,
+    excluded_machine_types: Box<[Box<str>]>,
+    excluded_zones: Box<[Box<str>]>,
+    class_exclusions: Box<[ClassExclusion]>,
 }
 
-fn has(names: &[Box<str>], name: &str) -> bool {
-    !names.is_empty() && names.binary_search_by(|n| (**n).cmp(name)).is_ok()
+fn contains_name(names: &[Box<str>], name: &str) -> bool {
+    !names.is_empty() && names.binary_search_by(|probe| (**probe).cmp(name)).is_ok()
 }
 
 impl Rules {
-    /// Of a document, under a charter that is stronger than it: so whatever a document says of a flavour, and
-    /// whatever machines join a pod later, nobody refuses what the charter allows.
-    pub fn of(said: Document, floor: Arc<FallbackFloor>) -> Self {
-        let names = |names: &BTreeSet<String>| names.iter().map(|n| n.as_str().into()).collect();
-        let Selection { upstreams, cells, machine_types, zones } = &said.out;
+    /// Makes rules of a document under a floor, which is stronger than the document: nobody refuses what it allows,
+    /// whatever a document states and whatever machines join a cell later.
+    pub fn of(document: Document, floor: Arc<FallbackFloor>) -> Self {
+        let boxed = |names: &BTreeSet<String>| names.iter().map(|n| n.as_str().into()).collect();
+        let Selection { upstreams, cells, machine_types, zones } = &document.out;
+        let exclusion = |(class, cells): (&String, &BTreeSet<u32>)| {
+            (class.as_str().into(), cells.iter().copied().collect())
+        };
         Self {
-            upstreams: names(upstreams),
-            cells: cells.iter().copied().collect(),
-            machine_types: names(machine_types),
-            zones: names(zones),
-            kept: said
-                .kept
-                .iter()
-                .map(|(c, p)| (c.as_str().into(), p.iter().copied().collect()))
-                .collect(),
-            only: false,
+            excluded_upstreams: boxed(upstreams),
+            excluded_cells: cells.iter().copied().collect(),
+            excluded_machine_types: boxed(machine_types),
+            excluded_zones: boxed(zones),
+            class_exclusions: document.class_exclusions.iter().map(exclusion).collect(),
+            is_fallback_only: false,
             floor,
-            said,
+            document,
         }
     }
 
-    /// What a balancer keeps to that holds no lease: it sends to what the charter allows, with the fewest
-    /// attempts, and nowhere else. All figures are the usual ones. It forbids nothing by this, it only can't
-    /// know.
+    /// Makes the rules of a balancer without a lease: it sends only to what the fallback policy allows, with that
+    /// policy's attempts. All other figures are the usual ones.
     pub fn of_fallback_policy(fallback_policy: &FallbackPolicy) -> Self {
-        let said = Document { attempts: fallback_policy.attempts, ..Document::default() };
+        let document = Document { attempts: fallback_policy.attempts, ..Document::default() };
         let floor = Arc::new(FallbackFloor::of(fallback_policy.clone()));
-        Self { only: true, ..Self::of(said, floor) }
+        Self { is_fallback_only: true, ..Self::of(document, floor) }
     }
 
-    /// Whether a request of this class may be sent there.
+    /// Whether a request of this class may be sent to this upstream.
     pub fn permits(&self, place: &Place<'_>, class: &str) -> bool {
-        self.floor.allows(place) || !(self.only || self.says_no(place, class))
+        self.floor.allows(place) || !(self.is_fallback_only || self.excludes(place, class))
     }
 
-    fn says_no(&self, place: &Place<'_>, class: &str) -> bool {
-        self.cells.binary_search(&place.cell).is_ok()
-            || has(&self.upstreams, place.name)
-            || has(&self.machine_types, place.machine_type)
-            || has(&self.zones, place.zone)
-            || self.keeps(class, place.cell)
+    fn excludes(&self, place: &Place<'_>, class: &str) -> bool {
+        self.excluded_cells.binary_search(&place.cell).is_ok()
+            || contains_name(&self.excluded_upstreams, place.name)
+            || contains_name(&self.excluded_machine_types, place.machine_type)
+            || contains_name(&self.excluded_zones, place.zone)
+            || self.excludes_class(class, place.cell)
     }
 
-    fn keeps(&self, class: &str, cell: u32) -> bool {
-        let found = self.kept.binary_search_by(|(c, _)| (**c).cmp(class)).ok();
-        found.is_some_and(|at| self.kept[at].1.binary_search(&cell).is_ok())
+    fn excludes_class(&self, class: &str, cell: u32) -> bool {
+        let found = self.class_exclusions.binary_search_by(|(probe, _)| (**probe).cmp(class)).ok();
+        found.is_some_and(|at| self.class_exclusions[at].1.binary_search(&cell).is_ok())
     }
 
-    /// What part of its usual weight it has, 0 to 1; it says nothing of whether it is out.
+    /// The fraction of its usual weight that the upstream has, 0 to 1, whether or not it is excluded.
     pub fn weight(&self, place: &Place<'_>) -> f64 {
-        let w = &self.said.weights;
-        let parts = [
-            w.upstreams.get(place.name),
-            w.cells.get(&place.cell),
-            w.machine_types.get(place.machine_type),
-            w.zones.get(place.zone),
+        let weights = &self.document.weights;
+        let factors = [
+            weights.upstreams.get(place.name),
+            weights.cells.get(&place.cell),
+            weights.machine_types.get(place.machine_type),
+            weights.zones.get(place.zone),
         ];
-        parts.into_iter().flatten().map(|w| w.number()).product()
+        factors.into_iter().flatten().map(|weight| weight.number()).product()
     }
 
-    /// Most attempts of one request, 1 to 3.
+    /// The most attempts of one request, 1 to 3.
     pub fn attempts(&self) -> u8 {
-        self.said.attempts.max(self.floor.attempts())
+        self.document.attempts.max(self.floor.attempts())
     }
 
     /// The subset factor.
     pub fn times(&self) -> f64 {
-        self.said.times.number()
+        self.document.times.number()
     }
 
-    /// Balancers in the bank, where it is said.
+    /// How many balancers the subset is made for, if the document states it.
     pub fn balancers(&self) -> Option<u16> {
-        self.said.balancers
+        self.document.balancers
     }
 
-    /// How long a session of this class lasts after its last use, in seconds; `None`: the class has none.
+    /// How long a session of this class lasts after its last use, in seconds; `None` if the class has no sessions.
     pub fn session_s(&self, class: &str) -> Option<u32> {
-        self.said.sessions.get(class).copied()
+        self.document.sessions.get(class).copied()
     }
 
-    /// The eldest list that may be acted on.
+    /// The version of the oldest endpoint list that may be acted on.
     pub fn oldest_list(&self) -> u64 {
-        self.said.oldest_list
+        self.document.oldest_list
     }
 
-    /// What is said.
-    pub fn said(&self) -> &Document {
-        &self.said
+    /// The document that the rules were made of.
+    pub fn document(&self) -> &Document {
+        &self.document
     }
 
-    /// What can't be forbidden.
+    /// What the rules cannot forbid.
     pub fn floor(&self) -> &Arc<FallbackFloor> {
         &self.floor
     }
 
-    /// The step between two: whatever either forbids is forbidden. What forbids nothing (weights, subset,
-    /// sessions) is the old one's until the wide step. Both are under the new one's charter.
-    pub fn narrow(old: &Self, new: &Self) -> Self {
-        let (a, b) = (&old.said, &new.said);
-        let mut kept = a.kept.clone();
-        for (class, cells) in &b.kept {
-            kept.entry(class.clone()).or_default().extend(cells);
+    /// Makes the rules of the restrict phase between two revisions: whatever either forbids is forbidden. Figures that
+    /// forbid nothing (weights, subset, sessions) stay those of `old` until the apply phase. The floor is that of `new`.
+    pub fn restrict(old: &Self, new: &Self) -> Self {
+        let (old, new, floor) = (&old.document, &new.document, new.floor.clone());
+        let mut class_exclusions = old.class_exclusions.clone();
+        for (class, cells) in &new.class_exclusions {
+            class_exclusions.entry(class.clone()).or_default().extend(cells);
         }
-        let said = Document {
-            out: a.out.with(&b.out),
-            kept,
-            attempts: a.attempts.min(b.attempts),
-            oldest_list: a.oldest_list.max(b.oldest_list),
-            weights: a.weights.clone(),
-            times: a.times,
-            balancers: a.balancers,
-            sessions: a.sessions.clone(),
+        let document = Document {
+            out: old.out.with(&new.out),
+            class_exclusions,
+            attempts: old.attempts.min(new.attempts),
+            oldest_list: old.oldest_list.max(new.oldest_list),
+            weights: old.weights.clone(),
+            times: old.times,
+            balancers: old.balancers,
+            sessions: old.sessions.clone(),
         };
-        Self::of(said, new.floor.clone())
+        Self::of(document, floor)
     }
 
-    /// Something that one allows and the other forbids. What is out is compared as it is named: two ways to
-    /// name one part of the fleet count as a contradiction, since nobody here knows the fleet.
+    /// Finds something that one of the two allows and the other forbids. Exclusions are compared by name: two ways of
+    /// naming one part of the fleet count as a contradiction, since the fleet is not known here.
     pub fn contradicts(&self, other: &Self) -> Option<Contradiction> {
-        let (a, b) = (&self.said, &other.said);
-        let charters = self.floor == other.floor;
-        let one = |a: &Selection, b: &Selection| {
-            let more = a.without(b);
-            let first = |names: &BTreeSet<String>| names.first().cloned();
-            let cells = |cell: &u32| !charters || !self.floor.holds(*cell);
-            None.or(first(&more.upstreams).map(Contradiction::Upstream))
-                .or(more.cells.iter().copied().find(cells).map(Contradiction::Cell))
-                .or(first(&more.machine_types).map(Contradiction::MachineType))
-                .or(first(&more.zones).map(Contradiction::Zone))
-        };
-        let of = |kept: &BTreeMap<String, BTreeSet<u32>>| -> Vec<(String, u32)> {
-            kept.iter().flat_map(|(c, cells)| cells.iter().map(move |p| (c.clone(), *p))).collect()
-        };
-        let kept = || {
-            let (a, b) = (of(&a.kept), of(&b.kept));
-            let differs =
-                a.iter().find(|k| !b.contains(k)).or_else(|| b.iter().find(|k| !a.contains(k)));
-            differs.map(|(class, cell)| Contradiction::ClassExclusion(class.clone(), *cell))
-        };
-        one(&a.out, &b.out)
-            .or_else(|| one(&b.out, &a.out))
-            .or_else(kept)
+        let (one, two) = (&self.document, &other.document);
+        let is_same_floor = self.floor == other.floor;
+        let is_forbidden = |cell: u32| !is_same_floor || !self.floor.holds(cell);
+        None.or_else(|| selection_contradiction(&one.out, &two.out, is_forbidden))
+            .or_else(|| selection_contradiction(&two.out, &one.out, is_forbidden))
+            .or_else(|| class_contradiction(one, two))
             .or_else(|| (self.attempts() != other.attempts()).then_some(Contradiction::Attempts))
-            .or_else(|| (a.oldest_list != b.oldest_list).then_some(Contradiction::List))
-            .or_else(|| (!charters).then_some(Contradiction::FallbackPolicy))
+            .or_else(|| (one.oldest_list != two.oldest_list).then_some(Contradiction::List))
+            .or_else(|| (!is_same_floor).then_some(Contradiction::FallbackPolicy))
     }
 }
 
+/// The first thing that `one` excludes and `other` does not.
+fn selection_contradiction(
+    one: &Selection,
+    other: &Selection,
+    is_forbidden: impl Fn(u32) -> bool,
+) -> Option<Contradiction> {
+    let more = one.without(other);
+    let first = |names: &BTreeSet<String>| names.first().cloned();
+    None.or(first(&more.upstreams).map(Contradiction::Upstream))
+        .or(more.cells.iter().copied().find(|cell| is_forbidden(*cell)).map(Contradiction::Cell))
+        .or(first(&more.machine_types).map(Contradiction::MachineType))
+        .or(first(&more.zones).map(Contradiction::Zone))
+}
+
+/// The first class and cell that only one of the documents excludes.
+fn class_contradiction(one: &Document, other: &Document) -> Option<Contradiction> {
+    let ours: Vec<(&str, u32)> = one.excluded_class_cells().collect();
+    let theirs: Vec<(&str, u32)> = other.excluded_class_cells().collect();
+    let differs = ours
+        .iter()
+        .find(|exclusion| !theirs.contains(exclusion))
+        .or_else(|| theirs.iter().find(|exclusion| !ours.contains(exclusion)));
+    differs.map(|(class, cell)| Contradiction::ClassExclusion((*class).to_string(), *cell))
+}
+
 /// What one set of rules allows and another forbids.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Contradiction {
-    /// An upstream is out by its name.
+    /// An upstream is excluded by name.
     Upstream(String),
-    /// A pod is out.
+    /// A cell is excluded.
     Cell(u32),
-    /// A flavour is out.
+    /// A machine type is excluded.
     MachineType(String),
-    /// A site is out.
+    /// A zone is excluded.
     Zone(String),
-    /// A class is kept from a pod.
+    /// A class is not sent to a cell.
     ClassExclusion(String, u32),
-    /// Attempts at most.
+    /// The most attempts differ.
     Attempts,
-    /// The eldest list.
+    /// The oldest endpoint lists that may be acted on differ.
     List,
-    /// What can't be forbidden.
+    /// The fallback policies differ.
     FallbackPolicy,
 }
--- a/crates/revision/tests/documents.rs
+++ b/crates/revision/tests/documents.rs
@@ -57,7 +57,7 @@
 fn nobody_refuses_what_the_charter_allows_whatever_a_document_says() {
     let mut said = without(&[1, 2]);
     said.out.zones.insert("bilbao".into());
-    said.kept.insert("log".into(), BTreeSet::from([1, 6]));
+    said.class_exclusions.insert("log".into(), BTreeSet::from([1, 6]));
     let rules = Rules::of(said, floor(&[0, 1]));
     let open =
         |class: &str| (0..8).filter(|p| rules.permits(&place(*p), class)).collect::<Vec<_>>();
@@ -96,7 +96,7 @@
     );
     assert!(json(r#"{"kept": {"log": [0]}}"#).contains(&fallback_policy("class `log` at pod 0")));
     let mut nowhere = Document::default();
-    nowhere.kept.insert("log".into(), (0..8).collect());
+    nowhere.class_exclusions.insert("log".into(), (0..8).collect());
     let all = facts().fleet_conflicts(&Rules::of(nowhere, floor(&[])));
     assert_eq!(all, [FleetConflict::NoCellForClass { class: "log".into() }]);
     // A site's load goes elsewhere with it, as far as there is room.
@@ -159,7 +159,7 @@
                 d.out.zones.insert("oviedo".into());
             }
             if !kept.is_empty() {
-                d.kept.insert("log".into(), kept);
+                d.class_exclusions.insert("log".into(), kept);
             }
             d
         },
@@ -171,22 +171,22 @@
     #[test]
     fn narrow_allows_what_both_allow_and_nothing_else(a in documents(), b in documents(), cell in 0_u32..8) {
         let (a, b) = (Rules::of(a, floor(&[0, 4])), Rules::of(b, floor(&[0, 4])));
-        let narrow = Rules::narrow(&a, &b);
+        let restricted = Rules::restrict(&a, &b);
         for class in ["log", "sync"] {
             let all = |r: &Rules| (0..8).map(|p| r.permits(&place(p), class)).collect::<Vec<_>>();
             let both: Vec<bool> = all(&a).iter().zip(all(&b)).map(|(a, b)| *a && b).collect();
-            prop_assert_eq!(all(&narrow), both);
+            prop_assert_eq!(all(&restricted), both);
             if all(&a) != all(&b) {
                 prop_assert!(a.contradicts(&b).is_some() && b.contradicts(&a).is_some());
             }
         }
-        prop_assert_eq!(narrow.attempts(), a.attempts().min(b.attempts()));
-        prop_assert_eq!(narrow.oldest_list(), a.oldest_list().max(b.oldest_list()));
+        prop_assert_eq!(restricted.attempts(), a.attempts().min(b.attempts()));
+        prop_assert_eq!(restricted.oldest_list(), a.oldest_list().max(b.oldest_list()));
         prop_assert_eq!(a.contradicts(&a), None);
         if a.contradicts(&b).is_none() {
-            prop_assert!(narrow.contradicts(&a).is_none());
+            prop_assert!(restricted.contradicts(&a).is_none());
         }
-        prop_assert!(!narrow.permits(&place(cell), "log") || a.permits(&place(cell), "log"));
+        prop_assert!(!restricted.permits(&place(cell), "log") || a.permits(&place(cell), "log"));
     }
 
     #[test]
--- a/crates/revision/tests/formats.rs
+++ b/crates/revision/tests/formats.rs
@@ -94,28 +94,37 @@
 const GENERATION: Generation = Generation { epoch: 1, index: 300 };
 
 fn lease_messages() -> Cases<Message> {
-    let (asked, confirmed) = (1_000_000, Generation { epoch: 1, index: 299 });
-    let here = [0, 9].into_iter().map(NodeId).collect();
-    let renew = |fallback_policy| Message::Renew {
-        asked,
+    let (sent_at_us, confirmed) = (1_000_000, Generation { epoch: 1, index: 299 });
+    let present = [0, 9].into_iter().map(NodeId).collect();
+    let renew = |fallback_holders| Message::Renew {
+        sent_at_us,
         generation: GENERATION,
         confirmed,
-        here,
-        fallback_policy,
+        present,
+        fallback_holders,
+    };
+    let reject = |reason| Message::LeaseRejection {
+        incarnation: Incarnation(7),
+        sent_at_us,
+        generation: GENERATION,
+        reason,
     };
-    let no =
-        |why| Message::LeaseRejection { to: Incarnation(7), asked, generation: GENERATION, why };
     vec![
         ("renew_lease", renew(None)),
-        ("renew_lease_during_fallback_change", renew(Some((GENERATION, here)))),
+        ("renew_lease_during_fallback_change", renew(Some((GENERATION, present)))),
         ("leave_parent", Message::Departed { confirmed }),
         (
             "grant_lease",
-            Message::Grant { to: Incarnation(7), asked, generation: GENERATION, length: 2_000_000 },
+            Message::Grant {
+                incarnation: Incarnation(7),
+                sent_at_us,
+                generation: GENERATION,
+                duration_us: 2_000_000,
+            },
         ),
-        ("deny_other_generation", no(LeaseRejection::Generation)),
-        ("deny_no_lease", no(LeaseRejection::Lease)),
-        ("deny_full", no(LeaseRejection::Full)),
+        ("deny_other_generation", reject(LeaseRejection::Generation)),
+        ("deny_no_lease", reject(LeaseRejection::Lease)),
+        ("deny_full", reject(LeaseRejection::Full)),
     ]
 }
 
--- a/crates/revision/tests/leases.rs
+++ b/crates/revision/tests/leases.rs
@@ -62,11 +62,11 @@
     /// A child asks, by its own clock at `asked`; the answer.
     fn asked(&mut self, now: u64, from: u16, incarnation: u32, at: u64, confirmed: u64) -> Message {
         let renew = Message::Renew {
-            asked: now * 1000,
+            sent_at_us: now * 1000,
             generation: generation(at),
             confirmed: generation(confirmed),
-            here: NodeSet::from_iter([NodeId(from)]),
-            fallback_policy: None,
+            present: NodeSet::from_iter([NodeId(from)]),
+            fallback_holders: None,
         };
         self.hears(now, from, incarnation, renew);
         let to = |a: &Action| match a {
@@ -77,13 +77,13 @@
     }
 
     /// Asks its parent 1 now and is given so many milliseconds.
-    fn leased(&mut self, now: u64, length: u64) -> &mut Self {
+    fn leased(&mut self, now: u64, duration_ms: u64) -> &mut Self {
         self.on(now, Event::Parent(Some(NodeId(1)))).on(now + 400, Event::Due);
         let grant = Message::Grant {
-            to: Incarnation(7),
-            asked: (now + 400) * 1000,
+            incarnation: Incarnation(7),
+            sent_at_us: (now + 400) * 1000,
             generation: self.generation(),
-            length: length * 1000,
+            duration_us: duration_ms * 1000,
         };
         self.hears(now + 400, 1, 1, grant)
     }
@@ -129,19 +129,19 @@
     // A process that stood still for 20 s between this look and its send finds it ended when it looks again.
     assert!(matches!(in_force.at(ms(23_379)), View::FallbackPolicy(_)));
     // What it gives on is what is left of its own.
-    let Message::Grant { length, .. } = one.asked(2000, 5, 1, 0, 0) else { panic!("a lease") };
-    assert_eq!(length, 1_380_000);
+    let Message::Grant { duration_us, .. } = one.asked(2000, 5, 1, 0, 0) else { panic!("a lease") };
+    assert_eq!(duration_us, 1_380_000);
     // Longer than a lease none is, whatever is said.
     assert_eq!(One::usual().learns(0, &policy()).leased(1000, 99_000).until(), 1400 + 1980);
 }
 
 #[test]
 fn an_answer_to_another_life_to_no_question_or_not_from_the_parent_counts_for_nothing() {
-    let grant = |to, asked| Message::Grant {
-        to: Incarnation(to),
-        asked,
+    let grant = |incarnation, sent_at_us| Message::Grant {
+        incarnation: Incarnation(incarnation),
+        sent_at_us,
         generation: generation(0),
-        length: 2_000_000,
+        duration_us: 2_000_000,
     };
     for (from, to, asked) in [(1, 6, 400_000), (1, 7, 400_001), (2, 7, 400_000)] {
         let mut one = One::usual();
@@ -162,10 +162,10 @@
     next(&mut policy, &propose(1, None, without(&[2])));
     one.learns(1600, &policy);
     let told = Message::LeaseRejection {
-        to: Incarnation(1),
-        asked: 1_700_000,
+        incarnation: Incarnation(1),
+        sent_at_us: 1_700_000,
         generation: generation(1),
-        why: LeaseRejection::Generation,
+        reason: LeaseRejection::Generation,
     };
     assert_eq!(one.asked(1700, 5, 1, 0, 0), told);
     assert_eq!(one.leases.seen().here.len(), 1, "and is not counted as being here");
@@ -194,7 +194,7 @@
     }
     assert!(matches!(
         one.asked(1500, 26, 1, 0, 0),
-        Message::LeaseRejection { why: LeaseRejection::Full, .. }
+        Message::LeaseRejection { reason: LeaseRejection::Full, .. }
     ));
     for child in 10..25 {
         one.asked(2400, child, 1, 0, 0);
@@ -220,11 +220,11 @@
         5,
         1,
         Message::Renew {
-            asked: 1_700_000,
+            sent_at_us: 1_700_000,
             generation: generation(1),
             confirmed: generation(1),
-            here: NodeSet::default(),
-            fallback_policy: None,
+            present: NodeSet::default(),
+            fallback_holders: None,
         },
     );
     assert_eq!(one.confirms(), Some(1), "its word");
@@ -263,7 +263,7 @@
         .on(1050, Event::Round { began: ms(1020) });
     assert!(matches!(
         one.asked(1100, 5, 1, 0, 0),
-        Message::LeaseRejection { why: LeaseRejection::Lease, .. }
+        Message::LeaseRejection { reason: LeaseRejection::Lease, .. }
     ));
     next(&mut policy, &propose(1, None, without(&[2])));
     one.learns(1200, &policy);
@@ -317,11 +317,11 @@
     let keeps = |a: &Action| matches!(a, Action::PersistFallbackPolicy { fallback_generation, .. } if *fallback_generation == generation(1));
     assert!(one.did.iter().any(keeps));
     let message = |members: &[u16], fallback_generation| Message::Renew {
-        asked: 5,
+        sent_at_us: 5,
         generation: generation(1),
         confirmed: generation(1),
-        here: NodeSet::default(),
-        fallback_policy: Some((
+        present: NodeSet::default(),
+        fallback_holders: Some((
             generation(fallback_generation),
             members.iter().map(|m| NodeId(*m)).collect(),
         )),
@@ -391,11 +391,11 @@
     let all = NodeSet::first(512);
     let far = Generation { epoch: u32::MAX, index: u64::MAX };
     let message = Message::Renew {
-        asked: u64::MAX,
+        sent_at_us: u64::MAX,
         generation: far,
         confirmed: far,
-        here: all,
-        fallback_policy: Some((far, all)),
+        present: all,
+        fallback_holders: Some((far, all)),
     };
     let bytes = message.to_bytes();
     assert!(bytes.len() <= MAX_MESSAGE_BYTES, "{}", bytes.len());
--- a/crates/revision/tests/sim/mod.rs
+++ b/crates/revision/tests/sim/mod.rs
@@ -784,7 +784,7 @@
     let mut document = common::without(&cells(draw >> 8 & draw >> 16));
     let kept = cells(draw >> 24 & draw >> 32);
     if !kept.is_empty() {
-        document.kept.insert("log".into(), kept.into_iter().collect());
+        document.class_exclusions.insert("log".into(), kept.into_iter().collect());
     }
     document.attempts = 1 + (draw >> 40) as u8 % 3;
     document
