--- a/crates/revision/src/lib.rs
+++ b/crates/revision/src/lib.rs
@@ -50,8 +50,8 @@
 #![warn(missing_docs)]
 
 pub mod canary;
+mod codec;
 pub mod difference;
-mod dissemination_tree;
 pub mod document;
 pub mod entry;
 pub mod fallback_policy;
@@ -59,13 +59,11 @@
 pub mod fleet;
 pub mod history;
 pub mod in_force;
-mod lease_interface;
-pub mod lease_status;
 pub mod leases;
 pub mod lists;
 pub mod message;
 pub mod node_set;
+mod place;
 pub mod policy_state;
+mod rejection;
 pub mod rules;
-pub mod snapshot;
-mod status;
--- /dev/null
+++ b/crates/revision/src/policy_state/status.rs
@@ -0,0 +1,94 @@
+//! What [`PolicyState`](super::PolicyState) starts with and what it reports; holds no logic.
+
+use std::sync::Arc;
+
+use serde::{Deserialize, Serialize};
+
+use crate::canary::CanaryTerms;
+use crate::document::{Document, DocumentError};
+use crate::entry::{CommandId, EntryError};
+use crate::fallback_policy::{FallbackPolicy, FallbackPolicyError};
+use crate::node_set::{MAX_NODES, NodeSet};
+use crate::rejection::Refusal;
+use crate::rules::Rules;
+
+/// What a cluster starts with: the same at every balancer, from its settings.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct Bootstrap {
+    /// How many balancers the cluster has, 1 to [`MAX_NODES`].
+    pub members: u16,
+    /// What every fallback policy has to include.
+    pub mandatory_fallback: FallbackPolicy,
+    /// The first fallback policy.
+    pub fallback_policy: FallbackPolicy,
+    /// The content of the first revision, whose number is 0.
+    pub document: Document,
+}
+
+/// Why a cluster cannot start.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum BootstrapError {
+    /// There are no balancers, or too many.
+    #[error("founding a bank of {found} balancers; expected 1 to {MAX_NODES}")]
+    NodeSet {
+        /// How many there are.
+        found: u16,
+    },
+    /// The first document is invalid.
+    #[error("founding a bank: {0}")]
+    Document(#[from] DocumentError),
+    /// A fallback policy is invalid.
+    #[error("founding a bank: {0}")]
+    FallbackPolicy(#[from] FallbackPolicyError),
+}
+
+/// The effect of one log entry.
+#[derive(Clone, Debug, Default, PartialEq, Eq)]
+pub struct Applied {
+    /// The result of the command, if the entry was one. A command that was repeated gets its first result.
+    pub answered: Option<(CommandId, Result<u64, Refusal>)>,
+    /// Whether the generation has changed.
+    pub generation: bool,
+    /// Why the entry could not be decoded. It had no effect, here and at every other balancer.
+    pub unreadable: Option<EntryError>,
+}
+
+/// A running canary.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
+pub struct CanaryStatus {
+    /// The revision that is the canary.
+    pub revision: u64,
+    /// The revision that a rollback restores.
+    pub before: u64,
+    /// The terms of the canary.
+    pub terms: CanaryTerms,
+}
+
+/// The policy state after the last applied entry.
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+pub struct PolicyStatus {
+    /// The index of the last applied entry.
+    pub index: u64,
+    /// The index of the last entry that changed what is in force.
+    pub generation: u64,
+    /// Whether it is not yet confirmed that nobody acts on an older generation.
+    pub unconfirmed: bool,
+    /// The rules in force.
+    pub rules: Arc<Rules>,
+    /// The revision that is in force, or was last if a change is under way.
+    pub revision: u64,
+    /// The revision that a running change leads to.
+    pub towards: Option<u64>,
+    /// What a balancer without a lease keeps to.
+    pub fallback_policy: Arc<FallbackPolicy>,
+    /// The generation that set the fallback policy.
+    pub fallback_generation: u64,
+    /// Whether a change of the fallback policy waits for the confirmation of every balancer.
+    pub awaited: bool,
+    /// Balancers that are marked dead: their confirmations are not waited for.
+    pub dead: NodeSet,
+    /// How many balancers the cluster has.
+    pub members: u16,
+    /// The canary, if it is the revision in force.
+    pub canary: Option<CanaryStatus>,
+}
--- a/crates/revision/tests/banks.rs
+++ b/crates/revision/tests/cluster.rs
@@ -10,7 +10,7 @@
 use hollowpaddle_revision::entry::{CommandId, Entry};
 use hollowpaddle_revision::fallback_policy::FallbackPolicy;
 use sim::oracle::Found;
-use sim::{Broken, LIVED, MS, S, Setting, Sim};
+use sim::{Broken, LEASES_EXPIRED, MS, S, Setting, Sim};
 
 /// L and what is under way.
 const T: u64 = 3 * S;
@@ -69,7 +69,7 @@
 }
 
 #[test]
-#[ignore = "20,000 more, some minutes: `cargo test -p hollowpaddle-revision --test banks -- --ignored wider`"]
+#[ignore = "20,000 more, some minutes: `cargo test -p hollowpaddle-revision --test cluster -- --ignored wider`"]
 fn wider_sweep() {
     let found = sweep(1000..21_000, |seed| Setting { length: 30 * S, ..drawn(seed) });
     println!("{found:?}");
@@ -144,7 +144,7 @@
         (0..36).for_each(|m| cluster.kill(m));
         let generation = cluster.log.last().unwrap().generation;
         cluster.run(39 * S);
-        let (there, leased) = cluster.at_stage(generation);
+        let (there, leased) = cluster.at_generation(generation);
         assert_eq!((there, cluster.log.last().unwrap().unconfirmed), (36, false), "seed {seed}");
         assert!(leased >= 30, "seed {seed}: {leased} hold leases");
         let found = cluster.finish();
@@ -165,7 +165,7 @@
         };
         (0..60).map(|seed| one(seed).mutual).max()
     };
-    assert_eq!(worst(LIVED), Some(0));
+    assert_eq!(worst(LEASES_EXPIRED), Some(0));
     assert!(worst(50 * MS) > Some(0), "too early it is caught");
 }
 
@@ -248,7 +248,7 @@
         let (before, before_bytes) = (cluster.words, cluster.bytes);
         for half in 1..=10 {
             cluster.run(5 * S + half * S / 2);
-            leased += cluster.at_stage(0).1 as f64 / 10.0 / members as f64;
+            leased += cluster.at_generation(0).1 as f64 / 10.0 / members as f64;
         }
         words += (cluster.words - before) as f64 / 5.0 / members as f64;
         bytes += (cluster.bytes - before_bytes) as f64 / (cluster.words - before) as f64;
@@ -260,7 +260,7 @@
             cluster.run(now + 5 * MS);
             let last = cluster.log.last().unwrap().clone();
             if last.revision == index as u64 {
-                let there = cluster.at_stage(last.generation).0;
+                let there = cluster.at_generation(last.generation).0;
                 late = late.or((there * 100 >= members * 99).then_some(cluster.now - yes));
                 if there == members {
                     break;
@@ -293,7 +293,7 @@
 }
 
 #[test]
-#[ignore = "the note's table: `cargo test -p hollowpaddle-revision --test banks -- --ignored --nocapture`"]
+#[ignore = "the note's table: `cargo test -p hollowpaddle-revision --test cluster -- --ignored --nocapture`"]
 fn table_of_figures() {
     println!(
         "members loss | in force at 99 % p50 max | at all p50 max (ms) | words/s a member | bytes a word"
--- a/crates/revision/tests/leases.rs
+++ b/crates/revision/tests/leases.rs
@@ -62,11 +62,11 @@
     /// A child asks, by its own clock at `asked`; the answer.
     fn asked(&mut self, now: u64, from: u16, incarnation: u32, at: u64, confirmed: u64) -> Message {
         let renew = Message::Renew {
-            asked: now * 1000,
+            sent_at_us: now * 1000,
             generation: generation(at),
             confirmed: generation(confirmed),
-            here: NodeSet::from_iter([NodeId(from)]),
-            fallback_policy: None,
+            present: NodeSet::from_iter([NodeId(from)]),
+            fallback_holders: None,
         };
         self.hears(now, from, incarnation, renew);
         let to = |a: &Action| match a {
@@ -77,13 +77,13 @@
     }
 
     /// Asks its parent 1 now and is given so many milliseconds.
-    fn leased(&mut self, now: u64, length: u64) -> &mut Self {
+    fn leased(&mut self, now: u64, duration_ms: u64) -> &mut Self {
         self.on(now, Event::Parent(Some(NodeId(1)))).on(now + 400, Event::Due);
         let grant = Message::Grant {
-            to: Incarnation(7),
-            asked: (now + 400) * 1000,
+            incarnation: Incarnation(7),
+            sent_at_us: (now + 400) * 1000,
             generation: self.generation(),
-            length: length * 1000,
+            duration_us: duration_ms * 1000,
         };
         self.hears(now + 400, 1, 1, grant)
     }
@@ -129,19 +129,19 @@
     // A process that stood still for 20 s between this look and its send finds it ended when it looks again.
     assert!(matches!(in_force.at(ms(23_379)), View::FallbackPolicy(_)));
     // What it gives on is what is left of its own.
-    let Message::Grant { length, .. } = one.asked(2000, 5, 1, 0, 0) else { panic!("a lease") };
-    assert_eq!(length, 1_380_000);
+    let Message::Grant { duration_us, .. } = one.asked(2000, 5, 1, 0, 0) else { panic!("a lease") };
+    assert_eq!(duration_us, 1_380_000);
     // Longer than a lease none is, whatever is said.
     assert_eq!(One::usual().learns(0, &policy()).leased(1000, 99_000).until(), 1400 + 1980);
 }
 
 #[test]
 fn an_answer_to_another_life_to_no_question_or_not_from_the_parent_counts_for_nothing() {
-    let grant = |to, asked| Message::Grant {
-        to: Incarnation(to),
-        asked,
+    let grant = |incarnation, sent_at_us| Message::Grant {
+        incarnation: Incarnation(incarnation),
+        sent_at_us,
         generation: generation(0),
-        length: 2_000_000,
+        duration_us: 2_000_000,
     };
     for (from, to, asked) in [(1, 6, 400_000), (1, 7, 400_001), (2, 7, 400_000)] {
         let mut one = One::usual();
@@ -162,10 +162,10 @@
     next(&mut policy, &propose(1, None, without(&[2])));
     one.learns(1600, &policy);
     let told = Message::LeaseRejection {
-        to: Incarnation(1),
-        asked: 1_700_000,
+        incarnation: Incarnation(1),
+        sent_at_us: 1_700_000,
         generation: generation(1),
-        why: LeaseRejection::Generation,
+        reason: LeaseRejection::Generation,
     };
     assert_eq!(one.asked(1700, 5, 1, 0, 0), told);
     assert_eq!(one.leases.seen().here.len(), 1, "and is not counted as being here");
@@ -194,7 +194,7 @@
     }
     assert!(matches!(
         one.asked(1500, 26, 1, 0, 0),
-        Message::LeaseRejection { why: LeaseRejection::Full, .. }
+        Message::LeaseRejection { reason: LeaseRejection::Full, .. }
     ));
     for child in 10..25 {
         one.asked(2400, child, 1, 0, 0);
@@ -220,11 +220,11 @@
         5,
         1,
         Message::Renew {
-            asked: 1_700_000,
+            sent_at_us: 1_700_000,
             generation: generation(1),
             confirmed: generation(1),
-            here: NodeSet::default(),
-            fallback_policy: None,
+            present: NodeSet::default(),
+            fallback_holders: None,
         },
     );
     assert_eq!(one.confirms(), Some(1), "its word");
@@ -244,13 +244,13 @@
         1700,
         5,
         1,
-        Message::Left { confirmed: generation(1) },
+        Message::Departed { confirmed: generation(1) },
     );
-    let message = Message::Left { confirmed: generation(1) };
+    let message = Message::Departed { confirmed: generation(1) };
     assert!(one.did.contains(&Action::Send { to: NodeId(1), message }));
     // And a child that went elsewhere says so.
     let mut one = begin(&mut common::policy());
-    one.hears(1700, 5, 1, Message::Left { confirmed: generation(1) });
+    one.hears(1700, 5, 1, Message::Departed { confirmed: generation(1) });
     assert_eq!(one.confirms(), Some(1));
 }
 
@@ -263,17 +263,17 @@
         .on(1050, Event::Round { began: ms(1020) });
     assert!(matches!(
         one.asked(1100, 5, 1, 0, 0),
-        Message::LeaseRejection { why: LeaseRejection::Lease, .. }
+        Message::LeaseRejection { reason: LeaseRejection::Lease, .. }
     ));
     next(&mut policy, &propose(1, None, without(&[2])));
     one.learns(1200, &policy);
     assert_eq!(one.until(), 1020 + 1980);
     assert!(matches!(one.asked(1300, 5, 1, 1, 1), Message::Grant { .. }));
     assert_eq!(one.on(3019, Event::Due).proposes(), None, "2020 ms since it leads");
-    assert_eq!(one.on(3020, Event::Due).proposes(), Some(&Entry::Step(1)));
+    assert_eq!(one.on(3020, Event::Due).proposes(), Some(&Entry::GenerationConfirmed(1)));
     // Again until it is in the log, not at each turn; never after it was told that it leads no more.
     assert_eq!(one.on(3100, Event::Due).proposes(), None);
-    assert_eq!(one.on(3600, Event::Due).proposes(), Some(&Entry::Step(1)));
+    assert_eq!(one.on(3600, Event::Due).proposes(), Some(&Entry::GenerationConfirmed(1)));
     assert_eq!(one.on(3700, Event::Follows).on(4300, Event::Due).proposes(), None);
     // It is another log that it has applied so much of.
     let lead = Event::Leads { since: ms(1300), epoch: 2, from: 0 };
@@ -317,16 +317,16 @@
     let keeps = |a: &Action| matches!(a, Action::PersistFallbackPolicy { fallback_generation, .. } if *fallback_generation == generation(1));
     assert!(one.did.iter().any(keeps));
     let message = |members: &[u16], fallback_generation| Message::Renew {
-        asked: 5,
+        sent_at_us: 5,
         generation: generation(1),
         confirmed: generation(1),
-        here: NodeSet::default(),
-        fallback_policy: Some((
+        present: NodeSet::default(),
+        fallback_holders: Some((
             generation(fallback_generation),
             members.iter().map(|m| NodeId(*m)).collect(),
         )),
     };
-    next(&mut policy, &Entry::Step(1));
+    next(&mut policy, &Entry::GenerationConfirmed(1));
     one.learns(3200, &policy).hears(3300, 1, 1, message(&[1, 2], 1)).hears(
         3300,
         3,
@@ -347,7 +347,7 @@
     next(&mut policy, &Entry::Propose(Box::new(asks), Box::new(without(&[2]))));
     common::settle(&mut policy);
     let fell =
-        Some(CanaryMetric { before: 900, since: 700, asked_before: 1000, asked_since: 1000 });
+        Some(CanaryMetric { before: 900, since: 700, offered_before: 1000, offered_since: 1000 });
     for leads in [true, false] {
         let mut one = One::usual();
         one.learns(0, &policy);
@@ -359,13 +359,13 @@
         one.on(60_001, Event::Due);
         assert_eq!(
             one.proposes(),
-            leads.then_some(&Entry::TakeBack(1, RollbackCause::NotConfirmed))
+            leads.then_some(&Entry::AutomaticRollback(1, RollbackCause::NotConfirmed))
         );
         let mut one = One::usual();
         one.learns(0, &policy).on(0, Event::Leads { since: ms(0), epoch: 1, from: 0 });
         assert_eq!(
             one.on(10_000, Event::CanaryMetric(fell)).proposes(),
-            Some(&Entry::TakeBack(1, RollbackCause::WorthFell(222)))
+            Some(&Entry::AutomaticRollback(1, RollbackCause::ServedWorthFell(222)))
         );
     }
 }
@@ -391,11 +391,11 @@
     let all = NodeSet::first(512);
     let far = Generation { epoch: u32::MAX, index: u64::MAX };
     let message = Message::Renew {
-        asked: u64::MAX,
+        sent_at_us: u64::MAX,
         generation: far,
         confirmed: far,
-        here: all,
-        fallback_policy: Some((far, all)),
+        present: all,
+        fallback_holders: Some((far, all)),
     };
     let bytes = message.to_bytes();
     assert!(bytes.len() <= MAX_MESSAGE_BYTES, "{}", bytes.len());
