--- /dev/null
+++ b/crates/policy/src/policy/sweep.rs
@@ -0,0 +1,73 @@
+//! Refreshes what is known of the fleet in slices, so that no event takes long.
+
+use super::Balancer;
+use crate::interface::Time;
+use crate::state::Sweep;
+
+/// A sweep looks at a fleet of up to this size at once. Of a larger one it looks at a slice, and leaves the
+/// rest to the events that follow, one to each: no event may hold up those behind it.
+const WHOLE: usize = 256;
+const SLICE: usize = 64;
+/// With so much of the fleet shut to a class it is the fleet that is slow, and none is shut.
+const PANIC: f64 = 0.75;
+/// An upstream across zones, where crossing has a price, is as far as a whole part of the fleet.
+pub(super) const FAR: f64 = 1.0;
+/// Least reach in the cost of an upstream, so that slowness tells also in the middle of one's part.
+const NEAR: f64 = 0.1;
+/// Own are the upstreams within half a part to either side.
+pub(super) const OWN: f64 = 0.5;
+
+impl Balancer {
+    pub(super) fn slice(&self) -> usize {
+        if self.up.ring.len() <= WHOLE { WHOLE } else { SLICE }
+    }
+
+    /// The next so many upstreams of the sweep, all of a small fleet: what is known of each, and of all.
+    pub(super) fn sweep(&mut self, now: Time, most: usize, of: Sweep) {
+        let all = self.up.ring.len();
+        let places: Vec<usize> = (0..most.min(all)).map(|n| (self.at + n) % all).collect();
+        let slots: Vec<usize> = places.iter().map(|j| self.up.ring.at(*j).slot).collect();
+        self.up.preload(&slots);
+        let mut part = 0..0;
+        for &j in &places {
+            if !part.contains(&j) {
+                part = self.up.ring.part(self.up.ring.at(j).part);
+            }
+            let slot = self.up.ring.at(j).slot;
+            self.up.servers[slot].reach = self.up.reach(j, &part, FAR);
+            self.earn(now, slot, 0.0);
+        }
+        if of != Sweep::Rest {
+            self.refresh_fleet(now);
+        }
+        if of == Sweep::Timer {
+            self.refresh_lanes(now);
+        }
+        slots.into_iter().for_each(|slot| self.refresh(now, slot));
+        self.at = places.last().map_or(0, |j| j + 1);
+        if of == Sweep::Rest {
+            self.owed = self.owed.saturating_sub(places.len());
+            return;
+        }
+        self.owed = all - places.len();
+        let part = self.part();
+        self.up.rooms.sweep(part);
+        self.refresh_admission();
+    }
+
+    /// Slower upstreams and those farther off are the dearer ones.
+    pub(crate) fn refresh(&mut self, now: Time, server: usize) {
+        let s = &mut self.up.servers[server];
+        s.cost = (NEAR + s.reach) * s.est.slow * s.est.slow;
+        self.update(server);
+        self.touch(now, server);
+    }
+
+    pub(crate) fn refresh_fleet(&mut self, now: Time) {
+        if self.fleet.tp2_seen > 0 {
+            self.fleet.tp2 = self.fleet.tp2_sum.get() / self.fleet.tp2_seen as f64;
+        }
+        self.refresh_warm(now);
+        self.up.refresh_panic(PANIC);
+    }
+}
--- a/crates/policy/src/state.rs
+++ b/crates/policy/src/state.rs
@@ -5,8 +5,23 @@
 use hollowpaddle_ordered_collections::waiting::Turn;
 
 use crate::interface::*;
-use crate::policy::MOST_LANES;
 
+/// Weight of a new round trip in TS (per answer): about the last eight answers count.
+pub(crate) const TS_GAIN: f64 = 0.125;
+/// An attempt that failed counts as this many mean service times at least.
+const FAULT_SLOWNESS: f64 = 5.0;
+/// One answer counts as this many at most: a heavy request must not condemn the upstream that drew it.
+pub(crate) const SLOWNESS_MAX: f64 = 10.0;
+/// Most requests that an upstream is tried with side by side.
+pub(crate) const MOST_LANES: usize = 32;
+/// An unseen level weighs as so many answers that no more gets done than one below, as the paper has it.
+const LANE_PRIOR: f64 = 16.0;
+/// Answers that what is known of a level reaches back over.
+const LANE_MEMORY: f64 = 128.0;
+/// Answers at the level in use that others are measured against, each round.
+const LANE_ROUND: f64 = 8.0;
+/// The fewest lanes that reach this share of the best throughput are taken: more is bought with latency.
+const LANES_ENOUGH: f64 = 0.75;
 /// Housekeeping period as a share of the shortest aim: held requests are refused close to their limit.
 const SWEEP_OF_AIM: f64 = 1.0 / 32.0;
 
@@ -271,3 +286,70 @@
         self.count == 1 && self.level.iter().all(|l| l.all == 0.0 && l.expected == 0.0)
     }
 }
+
+impl Estimate {
+    /// Takes in an answer of this latency, where the fleet's mean for its class is `mean`.
+    pub(crate) fn learn(&mut self, outcome: Outcome, latency: f64, mean: f64) {
+        if outcome == Outcome::Full {
+            self.tp2 = Some(self.tp2.map_or(latency, |t| t.min(latency)));
+        }
+        let service = (latency - self.tp2.unwrap_or(0.0)).max(1.0) / mean;
+        let service = match outcome {
+            Outcome::Ok => service,
+            // A quick error must not look like a fast upstream (it would earn slots).
+            Outcome::Error | Outcome::Timeout | Outcome::Reset => service.max(FAULT_SLOWNESS),
+            _ => return,
+        };
+        self.slow += (service.min(SLOWNESS_MAX) - self.slow) * TS_GAIN;
+    }
+}
+
+impl Breaker {
+    /// Failure: the upstreams of a lost zone, long still on the list, were tried again every few milliseconds
+    /// by every proxy, and most attempts of the bank ended there.
+    pub(crate) fn trip(&mut self, now: Time, pause: f64, doublings: u32) {
+        if now < self.until {
+            return; // Sent before the pause began: the same trouble, already counted.
+        }
+        self.until = now.plus(Span::of(pause * f64::from(1 << self.faults)));
+        self.faults = (self.faults + 1).min(doublings);
+    }
+}
+
+impl Lanes {
+    /// Ends a round, if enough was seen, and takes the fewest lanes that get enough done.
+    pub(crate) fn choose(&mut self) {
+        let now = self.level[self.count];
+        if now.done < LANE_ROUND {
+            return;
+        }
+        let rate = now.done / now.time.max(1.0);
+        let mut gain = [0.0; MOST_LANES + 1];
+        let (mut top, mut best) = (1, 0.0);
+        for n in 1..=MOST_LANES {
+            let l = &mut self.level[n];
+            (l.all, l.expected) = (l.all + l.done, l.expected + l.time * rate);
+            (l.time, l.done) = (0.0, 0.0);
+            if l.all > LANE_MEMORY {
+                (l.all, l.expected) = (l.all / 2.0, l.expected / 2.0);
+            }
+            let below = if n == 1 { 1.0 } else { gain[n - 1] };
+            gain[n] = (l.all + LANE_PRIOR * below) / (l.expected + LANE_PRIOR);
+            if l.expected > 0.0 {
+                (top, best) = (n, gain[n].max(best));
+            }
+        }
+        let enough = (1..=top).find(|&n| gain[n] >= LANES_ENOUGH * best).unwrap_or(1);
+        if enough != self.count {
+            self.count = enough;
+            self.level.iter_mut().for_each(|l| l.expected *= gain[enough]);
+        }
+    }
+
+    /// The level to try next, and whether enough is known of it. Twice the count, a step that wins more than
+    /// LANES_ENOUGH asks. Failure: tried with one more, six cores stuck at three lanes for good.
+    pub(crate) fn next(&self) -> (usize, bool) {
+        let next = (2 * self.count).min(MOST_LANES);
+        (next, self.level[next].expected >= LANE_PRIOR)
+    }
+}
