--- a/crates/policy/src/breakers.rs
+++ b/crates/policy/src/breakers.rs
@@ -1,8 +1,32 @@
 //! Per-class circuit breakers of one upstream. State exists only for classes that have had a fault there; decides
 //! nothing.
 
-use crate::interface::Time;
-use crate::state::Breaker;
+use crate::interface::{Span, Time};
+
+/// A circuit breaker: shut after a fault, twice as long after each further one in a row.
+#[derive(Clone, Copy, Debug)]
+pub(crate) struct Breaker {
+    pub(crate) until: Time,
+    pub(crate) faults: u32,
+}
+
+impl Default for Breaker {
+    fn default() -> Self {
+        Self { until: Time(i64::MIN), faults: 0 }
+    }
+}
+
+impl Breaker {
+    /// Failure: the upstreams of a lost zone, long still on the list, were tried again every few milliseconds
+    /// by every proxy, and most attempts of the bank ended there.
+    pub(crate) fn trip(&mut self, now: Time, pause: f64, doublings: u32) {
+        if now < self.until {
+            return; // Sent before the pause began: the same trouble, already counted.
+        }
+        self.until = now.plus(Span::of(pause * f64::from(1 << self.faults)));
+        self.faults = (self.faults + 1).min(doublings);
+    }
+}
 
 /// The breaker of one class at one upstream.
 #[derive(Clone, Copy, Debug)]
--- a/crates/policy/src/capacity.rs
+++ b/crates/policy/src/capacity.rs
@@ -7,7 +7,7 @@
 use rustc_hash::FxHashMap;
 
 use crate::interface::{Class, Settings};
-use crate::state::{Rates, Sum};
+use crate::sums::{Rates, Sum};
 
 /// Classes that [`crate::interface::Member::barred`] has a bit for: only these can be kept from a single upstream, and
 /// need sums of their own for it.
--- a/crates/policy/src/learned.rs
+++ b/crates/policy/src/learned.rs
@@ -4,9 +4,10 @@
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
+use crate::concurrency_levels::Lanes;
+use crate::estimate::Estimate;
 use crate::interface::Time;
 use crate::policy::Balancer;
-use crate::state::{Estimate, Lanes};
 
 /// What was learned. Times and latencies in microseconds, rates in answers a microsecond, as the module keeps them.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -5,9 +5,13 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
+mod attempt_tracker;
 mod breakers;
 mod capacity;
 mod chunked;
+mod concurrency_levels;
+mod estimate;
+mod fleet;
 mod gauges;
 pub mod interface;
 pub mod learned;
@@ -17,7 +21,8 @@
 mod queue;
 mod quotas;
 mod ranks;
+mod request_state;
 pub mod settings;
-mod state;
+mod sums;
 pub mod tenants;
 mod upstreams;
--- a/crates/policy/src/machine_types.rs
+++ b/crates/policy/src/machine_types.rs
@@ -3,8 +3,9 @@
 
 use std::collections::BTreeSet;
 
+use crate::concurrency_levels::Lanes;
 use crate::interface::Settings;
-use crate::state::{Lanes, Sum};
+use crate::sums::Sum;
 
 /// Machine types beyond those that classes are bound to which have figures of their own; upstreams of any further type
 /// share those of the last one. It is above the 1,300 of the target fleet (`docs/CAPACITY.md`), and all of them hold 2 MB
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -20,16 +20,18 @@
 
 use oorandom::Rand64;
 
+use crate::attempt_tracker::Out;
+use crate::fleet::Fleet;
 use crate::interface::{Action, Event, Refusal, Settings, SettingsError, Span, Status, Time};
 use crate::list_polling::Asking;
-use crate::queue::{Out, Queue};
+use crate::queue::Queue;
 use crate::quotas::Quotas;
 use crate::ranks::Ranks;
-use crate::state::{Fleet, Sweep};
 use crate::upstreams::{Server, Upstreams};
 use estimation::TS_PRIOR_OF_QOS;
 use fair_share::LEEWAY;
 use hedging::SLIVER;
+use sweep::Sweep;
 
 const SWEEP: u64 = 1;
 pub(super) const ASK: u64 = 2;
@@ -69,7 +71,7 @@
     /// what list there is right away, if only an empty [`ListKind::Restored`].
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
         let settings = settings.checked()?;
-        let t_qos = settings.t_qos();
+        let t_qos = estimation::t_qos(&settings);
         let classes = settings.classes.len();
         let settings = Arc::new(settings);
         Ok(Self {
@@ -158,7 +160,7 @@
 
     /// So long before its time a held request is given up.
     pub(super) fn early(&self) -> Span {
-        Span(2 * self.settings.sweep_every().0)
+        Span(2 * sweep::sweep_every(&self.settings).0)
     }
 
     /// Begins to keep time and to ask for the list, with the first event.
@@ -169,7 +171,7 @@
     }
 
     fn arm(&mut self, now: Time, out: &mut Vec<Action>) {
-        out.push(Action::Arm { token: SWEEP, at: now.plus(self.settings.sweep_every()) });
+        out.push(Action::Arm { token: SWEEP, at: now.plus(sweep::sweep_every(&self.settings)) });
     }
 
     fn timer(&mut self, now: Time, token: u64, out: &mut Vec<Action>) {
--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -3,7 +3,7 @@
 use super::Balancer;
 use crate::interface::{Action, Refusal, Request, RequestId, Span, Time};
 use crate::ranks::Figures;
-use crate::state::Entry;
+use crate::request_state::Entry;
 
 /// Share of the aim that queue and service may take to be admitted: the rest is for the spread of service.
 const HOLD_OF_AIM: f64 = 0.7;
--- a/crates/policy/src/policy/concurrency.rs
+++ b/crates/policy/src/policy/concurrency.rs
@@ -2,8 +2,8 @@
 
 use super::Balancer;
 use super::sweep::{FAR, OWN};
+use crate::concurrency_levels::MOST_LANES;
 use crate::interface::Time;
-use crate::state::MOST_LANES;
 use crate::upstreams::Server;
 
 /// How long a trial runs, in service times: a few answers at each level.
--- a/crates/policy/src/policy/dispatch.rs
+++ b/crates/policy/src/policy/dispatch.rs
@@ -1,8 +1,10 @@
 //! Holds requests in the queue and sends them as slots come free.
 
 use super::Balancer;
+use super::selection::Stuck;
+use crate::attempt_tracker::Watched;
 use crate::interface::{Action, RequestId, Time};
-use crate::state::{Attempt, Fate, Lane, Stuck, Watched};
+use crate::request_state::{Attempt, Fate, Lane};
 
 /// Further attempts for what is late, per first attempt: more is a storm on a fleet that is slow.
 const EXTRA: f64 = 0.3;
--- a/crates/policy/src/policy/estimation.rs
+++ b/crates/policy/src/policy/estimation.rs
@@ -4,6 +4,7 @@
 
 use super::Balancer;
 use crate::capacity::Capacity;
+use crate::interface::Settings;
 use crate::upstreams::Server;
 
 /// TS of an upstream before any answer from any upstream, as a share of T_QoS.
@@ -11,6 +12,12 @@
 /// Weight of a new answer in the fleet's mean of its class.
 const MEAN_GAIN: f64 = 0.02;
 
+/// T_QoS: one target for all, the mean of the class aims.
+pub(super) fn t_qos(settings: &Settings) -> f64 {
+    settings.classes.iter().map(|c| c.latency_objective.f()).sum::<f64>()
+        / settings.classes.len() as f64
+}
+
 impl Balancer {
     pub(super) fn ts(&self, s: &Server) -> f64 {
         self.fleet.ts * s.est.slow
--- a/crates/policy/src/policy/fair_share.rs
+++ b/crates/policy/src/policy/fair_share.rs
@@ -1,8 +1,8 @@
 //! Sets this balancer's limit on requests in flight: its even part of what the fleet can hold, times a leeway that is learned.
 
 use super::Balancer;
+use crate::estimate::SLOWNESS_MAX;
 use crate::interface::Outcome;
-use crate::state::SLOWNESS_MAX;
 
 /// A proxy starts with so many times its even part of the bank's slots: clients are never spread evenly.
 pub(super) const LEEWAY: f64 = 1.2;
--- a/crates/policy/src/policy/hedging.rs
+++ b/crates/policy/src/policy/hedging.rs
@@ -2,8 +2,9 @@
 
 use super::Balancer;
 use super::outlier::CLASS_DOUBLINGS;
+use crate::attempt_tracker::Watched;
 use crate::interface::{Outcome, Span, Time};
-use crate::state::{Attempt, Fate, Watched};
+use crate::request_state::{Attempt, Fate};
 
 /// Attempts that each event looks at, of those that may be overdue.
 pub(super) const SLIVER: usize = 4;
--- a/crates/policy/src/policy/membership.rs
+++ b/crates/policy/src/policy/membership.rs
@@ -1,9 +1,10 @@
 //! Takes in the endpoint list, and asks for it where it is polled.
 
-use super::sweep::FAR;
+use super::sweep::{FAR, Sweep};
 use super::{ASK, Balancer};
+use crate::breakers::Breaker;
+use crate::estimate::Estimate;
 use crate::interface::{Action, ListKind, Member, Status, Time};
-use crate::state::{Breaker, Estimate, Sweep};
 
 impl Balancer {
     pub(super) fn members(
--- a/crates/policy/src/policy/outlier.rs
+++ b/crates/policy/src/policy/outlier.rs
@@ -1,8 +1,9 @@
 //! Takes in the outcomes of attempts: learns from them, and ejects upstreams that fail.
 
 use super::Balancer;
+use crate::estimate::TS_GAIN;
 use crate::interface::{Action, Answer, Outcome, Time};
-use crate::state::{Attempt, Fate, TS_GAIN};
+use crate::request_state::{Attempt, Fate};
 
 /// An upstream that turned a request away or can't be reached rests for this share of the mean service time.
 const PAUSE_OF_TS: f64 = 0.5;
--- a/crates/policy/src/policy/retry.rs
+++ b/crates/policy/src/policy/retry.rs
@@ -2,7 +2,7 @@
 
 use super::Balancer;
 use crate::interface::{Action, Effect, Group, Refusal, RequestId, Time};
-use crate::state::{Bound, Entry, Fate};
+use crate::request_state::{Bound, Entry, Fate};
 
 impl Balancer {
     /// The one place that says whether a request may be sent (again), now, within [`Self::bound`].
--- a/crates/policy/src/policy/selection.rs
+++ b/crates/policy/src/policy/selection.rs
@@ -4,9 +4,18 @@
 
 use super::Balancer;
 use crate::interface::{RequestId, Status, Time};
-use crate::state::{Bound, Fate, Stuck};
+use crate::request_state::{Bound, Fate};
 use crate::upstreams::Standing;
 
+/// Why a request finds no upstream now.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Stuck {
+    /// For reasons of its own.
+    Itself,
+    /// None that it is bound to has a free slot.
+    NoneFree,
+}
+
 impl Balancer {
     /// Whether an upstream has a free slot for a class: an ordinary one, or one on trial. Lanes on trial are
     /// filled once the ordinary slots are all taken.
--- a/crates/policy/src/policy/sweep.rs
+++ b/crates/policy/src/policy/sweep.rs
@@ -1,8 +1,7 @@
 //! Refreshes what is known of the fleet in slices, so that no event takes long.
 
 use super::Balancer;
-use crate::interface::Time;
-use crate::state::Sweep;
+use crate::interface::{Settings, Span, Time};
 
 /// A sweep looks at a fleet of up to this size at once. Of a larger one it looks at a slice, and leaves the
 /// rest to the events that follow, one to each: no event may hold up those behind it.
@@ -17,6 +16,26 @@
 /// Own are the upstreams within half a part to either side.
 pub(super) const OWN: f64 = 0.5;
 
+/// Housekeeping period as a share of the shortest aim: held requests are refused close to their limit.
+const SWEEP_OF_AIM: f64 = 1.0 / 32.0;
+
+/// What a sweep is for.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Sweep {
+    /// The timer, or a list: the fleet's own figures are due too.
+    Timer,
+    List,
+    /// What is left of the last one.
+    Rest,
+}
+
+/// How often housekeeping is due.
+pub(super) fn sweep_every(settings: &Settings) -> Span {
+    let latency_objective =
+        settings.classes.iter().map(|c| c.latency_objective.0).min().unwrap_or(0);
+    Span(((latency_objective as f64 * SWEEP_OF_AIM) as i64).max(settings.tick.0))
+}
+
 impl Balancer {
     pub(super) fn slice(&self) -> usize {
         if self.up.ring.len() <= WHOLE { WHOLE } else { SLICE }
--- a/crates/policy/src/upstreams.rs
+++ b/crates/policy/src/upstreams.rs
@@ -10,12 +10,13 @@
 use hollowpaddle_ordered_collections::tournament::Key;
 use rustc_hash::{FxHashMap, FxHashSet};
 
-use crate::breakers::ClassBreakers;
+use crate::breakers::{Breaker, ClassBreakers};
 use crate::capacity::{Capacity, RoomList, Rooms, ShutClass};
 use crate::chunked::Chunked;
+use crate::estimate::Estimate;
 use crate::interface::*;
 use crate::machine_types::MachineTypes;
-use crate::state::{Bound, Breaker, Estimate};
+use crate::request_state::Bound;
 
 /// Points of the proxies on the ring: multiples of the golden ratio are even for any run and every n-th.
 const GOLDEN: f64 = 0.618_033_988_749_895;
