--- /dev/null
+++ b/crates/policy/src/interface/attempt.rs
@@ -0,0 +1,86 @@
+//! Outcomes of attempts, and the load reports that come with them.
+
+use super::member::ServerId;
+use super::request::RequestId;
+use super::time::Span;
+
+/// How an attempt ended.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub enum Outcome {
+    /// Served.
+    Ok,
+    /// Answered with an error; may have run.
+    Error,
+    /// Turned away unseen.
+    Full,
+    /// No answer in time; may have run.
+    Timeout,
+    /// No connection; never ran.
+    ConnectFailed,
+    /// The connection broke; may have run.
+    Reset,
+    /// Withdrawn by us; may have run.
+    Cancelled,
+    /// Never issued.
+    Moot,
+}
+
+impl Outcome {
+    /// Whether it proves that the attempt never ran.
+    pub fn never_ran(self) -> bool {
+        matches!(self, Outcome::Full | Outcome::ConnectFailed | Outcome::Moot)
+    }
+}
+
+/// The end of an attempt as the caller saw it.
+#[derive(Clone, Copy, Debug)]
+pub struct Answer {
+    /// The request.
+    pub request: RequestId,
+    /// Which attempt, from 0.
+    pub attempt: usize,
+    /// The upstream it went to.
+    pub server: ServerId,
+    /// How it ended.
+    pub outcome: Outcome,
+    /// How long it took.
+    pub latency: Span,
+    /// The request is over.
+    pub last: bool,
+    /// A part of its body went out and is kept nowhere: it can't be sent again.
+    pub spent: bool,
+    /// What the upstream reported of itself.
+    pub report: Report,
+}
+
+impl Answer {
+    /// An outcome without a load report.
+    pub fn new(
+        request: RequestId,
+        attempt: usize,
+        server: ServerId,
+        outcome: Outcome,
+        latency: Span,
+        last: bool,
+    ) -> Self {
+        let (spent, report) = (false, Report::default());
+        Self { request, attempt, server, outcome, latency, last, spent, report }
+    }
+}
+
+/// An upstream's load report; what it does not tell is `None`.
+#[derive(Clone, Copy, Debug, Default)]
+pub struct Report {
+    /// Requests in progress.
+    pub inflight: Option<f64>,
+    /// Requests waiting.
+    pub queue: Option<f64>,
+    /// Share of its cores busy.
+    pub util: Option<f64>,
+    /// Recent service time without waiting.
+    pub service: Option<Span>,
+    /// Requests served per second.
+    pub qps: Option<f64>,
+    /// Errors per second.
+    pub eps: Option<f64>,
+}
--- /dev/null
+++ b/crates/policy/src/interface/time.rs
@@ -0,0 +1,31 @@
+//! Points in time and lengths of time.
+
+/// A point on the caller's clock, in microseconds.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Time(pub i64);
+
+/// A length of time in microseconds.
+#[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord)]
+pub struct Span(pub i64);
+
+impl Time {
+    /// The span from `earlier` to here; negative if `earlier` is later.
+    pub fn since(self, earlier: Time) -> Span {
+        Span(self.0.saturating_sub(earlier.0))
+    }
+    /// This time moved by a span.
+    pub fn plus(self, span: Span) -> Time {
+        Time(self.0.saturating_add(span.0))
+    }
+}
+
+impl Span {
+    /// Its length in microseconds, for arithmetic.
+    pub fn f(self) -> f64 {
+        self.0 as f64
+    }
+    /// The span of so many microseconds, cut to whole ones.
+    pub fn of(us: f64) -> Span {
+        Span(us as i64)
+    }
+}
