--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -4,9 +4,11 @@
 
 use serde::Deserialize;
 
-use crate::interface::{self as d, Report, Span};
+use crate::interface::{Report, Span};
 use crate::tenants::Tenants;
 
+mod conversion;
+
 /// Milliseconds in whole microseconds; whatever is not a number is 0.
 pub fn span(ms: f64) -> Span {
     Span((ms * 1000.0).round() as i64)
@@ -247,99 +249,3 @@
     #[default]
     Silent,
 }
-
-impl Facts {
-    /// What the numbers of classes, zones and kinds mean, in one figure: the same wherever these names stand in the
-    /// same order.
-    pub fn meaning(&self) -> u64 {
-        let classes: Vec<&str> = self.services.iter().map(|s| s.name.as_str()).collect();
-        stable_hash(&format!("{classes:?} {:?} {:?}", self.zones, self.machine_types))
-    }
-
-    /// The module's settings: names become indexes, milliseconds microseconds.
-    pub fn settings(&self) -> d::Settings {
-        let facts = self;
-        let class = |s: &Service| d::Class {
-            latency_objective: span(s.latency_objective),
-            deadline: span(s.deadline),
-            priority_weight: s.importance,
-            late_priority_weight: s.late_value,
-            effect: match s.effect {
-                Effect::Retryable => d::Effect::Safe,
-                Effect::Dedup => d::Effect::Keyed,
-                Effect::Fragile => d::Effect::Unsafe,
-            },
-            group: match s.group {
-                Group::All => d::Group::All,
-                Group::Zone => d::Group::Zone,
-                Group::Cell => d::Group::Cell,
-            },
-            window: span(s.window),
-            objective_stretch: s.objective_stretch,
-            streaming: s.streaming,
-            in_order: s.by_arrival,
-            zones: s.zones_allowed.clone(),
-            kinds: s.bound_to.clone(),
-        };
-        let limits = &facts.policy_limits;
-        d::Settings {
-            classes: facts.services.iter().map(class).collect(),
-            tenants: facts
-                .tenants
-                .iter()
-                .map(|t| d::Tenant { quota_rps: t.quota_rps, share: t.share })
-                .collect(),
-            balancers: facts.balancers,
-            position: facts.position,
-            zones: facts.zones.len() as u32,
-            zone: facts.zone,
-            tick: span(facts.tick),
-            polls_list: facts.registry_mode == RegistryMode::Subscribe,
-            limits: d::Limits {
-                max_attempts: limits.max_attempts,
-                second_copies: limits.second_copies,
-                cancel: limits.cancelling,
-                probes: limits.probes,
-                retry_after: limits.retry_after,
-                max_retry_after: span(limits.max_retry_after),
-                connect_timeout: span(limits.connect_timeout),
-                keepalive: span(limits.keepalive),
-                streams_per_conn: limits.streams_per_conn,
-            },
-            rules: d::Rules {
-                warm_up_initial_share: facts.safety.warm_up_initial_share,
-                warm_up: span(facts.safety.cold),
-                fall_multiple: facts.safety.fall_multiple,
-                tip_after: span(facts.safety.tip_after),
-                drain_grace: span(facts.safety.drain_grace),
-                answer_slack: span(facts.safety.answer_slack),
-                list_poll_interval: span(facts.safety.list_poll_interval),
-                drain_close: span(facts.safety.drain_close),
-                turn_gap: span(facts.safety.turn_gap),
-            },
-            prices: d::Prices {
-                cross_zone: facts.prices.cross_zone,
-                waste: facts.prices.waste,
-                handshake: facts.prices.handshake,
-                probe: facts.prices.probe,
-                late_fail: facts.prices.late_fail,
-            },
-            mix: d::ScoringMix {
-                whole: facts.scoring_mix.whole,
-                worst_window: facts.scoring_mix.worst_window,
-                worst_class: facts.scoring_mix.worst_class,
-                worst_tenant: facts.scoring_mix.worst_tenant,
-            },
-            over_quota_weight: facts.over_quota_weight,
-            by_work: facts.counted_by == CountedBy::Work,
-            marks_retry: facts.client_habits.marks_retry,
-            reports: match facts.stats.how {
-                How::Piggyback => d::Reports::Answers,
-                How::Pull => d::Reports::Probes,
-                How::Silent => d::Reports::None,
-            },
-            barring: false,
-            meaning: facts.meaning(),
-        }
-    }
-}
--- /dev/null
+++ b/crates/policy/src/settings/conversion.rs
@@ -0,0 +1,152 @@
+//! Converts the deployment's settings to those of a balancer: names become indexes, milliseconds become microseconds.
+
+use super::{
+    CountedBy, Effect, Facts, Group, How, PolicyLimits, Prices, RegistryMode, Safety, ScoringMix,
+    Service, span, stable_hash,
+};
+use crate::interface;
+
+impl Facts {
+    /// A hash of what the numbers of classes, zones and machine types stand for.
+    ///
+    /// It is equal for two settings exactly if these names stand in the same order in both.
+    pub fn meaning(&self) -> u64 {
+        let classes: Vec<&str> = self.services.iter().map(|s| s.name.as_str()).collect();
+        stable_hash(&format!("{classes:?} {:?} {:?}", self.zones, self.machine_types))
+    }
+
+    /// The settings of a balancer: names become indexes, milliseconds become microseconds.
+    pub fn settings(&self) -> interface::Settings {
+        interface::Settings {
+            classes: self.services.iter().map(Service::class).collect(),
+            tenants: self.balancer_tenants(),
+            balancers: self.balancers,
+            position: self.position,
+            zones: self.zones.len() as u32,
+            zone: self.zone,
+            tick: span(self.tick),
+            polls_list: self.registry_mode == RegistryMode::Subscribe,
+            limits: self.policy_limits.limits(),
+            rules: self.safety.rules(),
+            prices: self.prices.prices(),
+            mix: self.scoring_mix.mix(),
+            over_quota_weight: self.over_quota_weight,
+            by_work: self.counted_by == CountedBy::Work,
+            marks_retry: self.client_habits.marks_retry,
+            reports: self.stats.how.reports(),
+            barring: false,
+            meaning: self.meaning(),
+        }
+    }
+
+    fn balancer_tenants(&self) -> Vec<interface::Tenant> {
+        self.tenants
+            .iter()
+            .map(|tenant| interface::Tenant { quota_rps: tenant.quota_rps, share: tenant.share })
+            .collect()
+    }
+}
+
+impl Service {
+    fn class(&self) -> interface::Class {
+        interface::Class {
+            latency_objective: span(self.latency_objective),
+            deadline: span(self.deadline),
+            priority_weight: self.importance,
+            late_priority_weight: self.late_value,
+            effect: self.effect.effect(),
+            group: self.group.group(),
+            window: span(self.window),
+            objective_stretch: self.objective_stretch,
+            streaming: self.streaming,
+            in_order: self.by_arrival,
+            zones: self.zones_allowed.clone(),
+            kinds: self.bound_to.clone(),
+        }
+    }
+}
+
+impl Effect {
+    fn effect(&self) -> interface::Effect {
+        match self {
+            Self::Retryable => interface::Effect::Safe,
+            Self::Dedup => interface::Effect::Keyed,
+            Self::Fragile => interface::Effect::Unsafe,
+        }
+    }
+}
+
+impl Group {
+    fn group(&self) -> interface::Group {
+        match self {
+            Self::All => interface::Group::All,
+            Self::Zone => interface::Group::Zone,
+            Self::Cell => interface::Group::Cell,
+        }
+    }
+}
+
+impl PolicyLimits {
+    fn limits(&self) -> interface::Limits {
+        interface::Limits {
+            max_attempts: self.max_attempts,
+            second_copies: self.second_copies,
+            cancel: self.cancelling,
+            probes: self.probes,
+            retry_after: self.retry_after,
+            max_retry_after: span(self.max_retry_after),
+            connect_timeout: span(self.connect_timeout),
+            keepalive: span(self.keepalive),
+            streams_per_conn: self.streams_per_conn,
+        }
+    }
+}
+
+impl Safety {
+    fn rules(&self) -> interface::Rules {
+        interface::Rules {
+            warm_up_initial_share: self.warm_up_initial_share,
+            warm_up: span(self.cold),
+            fall_multiple: self.fall_multiple,
+            tip_after: span(self.tip_after),
+            drain_grace: span(self.drain_grace),
+            answer_slack: span(self.answer_slack),
+            list_poll_interval: span(self.list_poll_interval),
+            drain_close: span(self.drain_close),
+            turn_gap: span(self.turn_gap),
+        }
+    }
+}
+
+impl Prices {
+    fn prices(&self) -> interface::Prices {
+        interface::Prices {
+            cross_zone: self.cross_zone,
+            waste: self.waste,
+            handshake: self.handshake,
+            probe: self.probe,
+            late_fail: self.late_fail,
+        }
+    }
+}
+
+impl ScoringMix {
+    fn mix(&self) -> interface::ScoringMix {
+        interface::ScoringMix {
+            whole: self.whole,
+            worst_window: self.worst_window,
+            worst_class: self.worst_class,
+            worst_tenant: self.worst_tenant,
+        }
+    }
+}
+
+impl How {
+    fn reports(&self) -> interface::Reports {
+        match self {
+            Self::Piggyback => interface::Reports::Answers,
+            Self::Pull => interface::Reports::Probes,
+            Self::Silent => interface::Reports::None,
+        }
+    }
+}
