--- a/crates/ordered-collections/src/waiting.rs
+++ b/crates/ordered-collections/src/waiting.rs
@@ -7,53 +7,53 @@
 
 /// A place in the one order of arrival that goes through all lanes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Turn(i64);
+pub struct Ticket(i64);
 
 /// Lanes of waiting items with one order of arrival through all. A lane that is empty costs nothing.
 #[derive(Clone, Debug)]
-pub struct Waiting<L, T> {
-    lanes: FxHashMap<L, BTreeMap<Turn, T>>,
+pub struct Waiting<K, T> {
+    sub_queues: FxHashMap<K, BTreeMap<Ticket, T>>,
     first: i64,
     last: i64,
 }
 
-impl<L: Eq + Hash + Copy + Ord, T: Copy> Default for Waiting<L, T> {
+impl<K: Eq + Hash + Copy + Ord, T: Copy> Default for Waiting<K, T> {
     fn default() -> Self {
-        Self { lanes: FxHashMap::default(), first: 0, last: 0 }
+        Self { sub_queues: FxHashMap::default(), first: 0, last: 0 }
     }
 }
 
-impl<L: Eq + Hash + Copy + Ord, T: Copy> Waiting<L, T> {
+impl<K: Eq + Hash + Copy + Ord, T: Copy> Waiting<K, T> {
     /// The next turn behind all others.
-    pub fn last(&mut self) -> Turn {
+    pub fn back_ticket(&mut self) -> Ticket {
         self.last += 1;
-        Turn(self.last)
+        Ticket(self.last)
     }
 
     /// The next turn before all others.
-    pub fn first(&mut self) -> Turn {
+    pub fn front_ticket(&mut self) -> Ticket {
         self.first -= 1;
-        Turn(self.first)
+        Ticket(self.first)
     }
 
     /// Puts an item into a lane at its turn.
-    pub fn put(&mut self, lane: L, turn: Turn, item: T) {
-        self.lanes.entry(lane).or_default().insert(turn, item);
+    pub fn put(&mut self, sub_queue: K, turn: Ticket, item: T) {
+        self.sub_queues.entry(sub_queue).or_default().insert(turn, item);
     }
 
     /// Takes the item of this turn out of a lane; `None` if it is not there.
-    pub fn take(&mut self, lane: L, turn: Turn) -> Option<T> {
-        let queue = self.lanes.get_mut(&lane)?;
+    pub fn take(&mut self, sub_queue: K, turn: Ticket) -> Option<T> {
+        let queue = self.sub_queues.get_mut(&sub_queue)?;
         let item = queue.remove(&turn);
         if queue.is_empty() {
-            self.lanes.remove(&lane);
+            self.sub_queues.remove(&sub_queue);
         }
         item
     }
 
     /// The first item of a lane that comes after `turn`, or its very first.
-    pub fn next(&self, lane: L, after: Option<Turn>) -> Option<(Turn, T)> {
-        let queue = self.lanes.get(&lane)?;
+    pub fn next(&self, sub_queue: K, after: Option<Ticket>) -> Option<(Ticket, T)> {
+        let queue = self.sub_queues.get(&sub_queue)?;
         match after {
             None => queue.first_key_value(),
             Some(turn) => {
@@ -65,14 +65,14 @@
     }
 
     /// The lanes in which something waits, in their own order.
-    pub fn lanes(&self) -> Vec<L> {
-        let mut lanes: Vec<L> = self.lanes.keys().copied().collect();
-        lanes.sort_unstable();
-        lanes
+    pub fn sub_queues(&self) -> Vec<K> {
+        let mut sub_queues: Vec<K> = self.sub_queues.keys().copied().collect();
+        sub_queues.sort_unstable();
+        sub_queues
     }
 
     /// Whether nothing waits.
     pub fn is_empty(&self) -> bool {
-        self.lanes.is_empty()
+        self.sub_queues.is_empty()
     }
 }
--- a/crates/ordered-collections/tests/models.rs
+++ b/crates/ordered-collections/tests/models.rs
@@ -116,7 +116,7 @@
         let mut next = 0;
         for (what, lane, head) in steps {
             if what < 3 {
-                let turn = if head { kept.first() } else { kept.last() };
+                let turn = if head { kept.front_ticket() } else { kept.back_ticket() };
                 kept.put(lane, turn, next);
                 let at = if head { 0 } else { plain.len() };
                 plain.insert(at, (lane, turn, next));
@@ -127,7 +127,7 @@
                 prop_assert_eq!(kept.take(lane, turn), None);
             }
             let mut through: Vec<_> = Vec::new();
-            for lane in kept.lanes() {
+            for lane in kept.sub_queues() {
                 let (mut after, mut of) = (None, Vec::new());
                 while let Some((turn, item)) = kept.next(lane, after) {
                     of.push(item);
--- a/crates/policy/src/breakers.rs
+++ b/crates/policy/src/breakers.rs
@@ -62,7 +62,7 @@
     }
 
     /// Whether the upstream is shut to a class.
-    pub(crate) fn is_shut(&self, now: Time, class: usize) -> bool {
+    pub(crate) fn is_ejected(&self, now: Time, class: usize) -> bool {
         let Some(state) = &self.state else { return false };
         let found = state.breakers.binary_search_by_key(&(class as u32), |b| b.class);
         found.is_ok_and(|at| now < state.breakers[at].breaker.until)
--- a/crates/policy/src/capacity.rs
+++ b/crates/policy/src/capacity.rs
@@ -17,9 +17,9 @@
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Trees {
     /// Those that are open to all classes.
-    pub(crate) clear: TournamentTree,
+    pub(crate) fully_available: TournamentTree,
     /// Those that are shut to some class.
-    pub(crate) spotted: TournamentTree,
+    pub(crate) partly_ejected: TournamentTree,
 }
 
 /// One value for each area that has upstreams; there are few. An area is a zone where keys bind some class to it, else
@@ -60,7 +60,7 @@
 /// fleet; a class bound to zones or kinds has a room of its own. Failure: refused and held by the sums of the
 /// whole fleet, a bound class queued behind slots it could never have.
 #[derive(Debug, Default)]
-pub(crate) struct Room {
+pub(crate) struct CapacityGroup {
     /// A class that is bound so; `None` for the whole fleet.
     class: Option<usize>,
     queued: usize,
@@ -77,12 +77,12 @@
     has_class: bool,
     pub(crate) trees: ByArea<Trees>,
     /// Its classes that some upstream is shut to.
-    pub(crate) shut_classes: Vec<u32>,
+    pub(crate) ejected_classes: Vec<u32>,
 }
 
 /// The load of a room, and this proxy's part of what it can hold.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct RoomLoad {
+pub(crate) struct GroupLoad {
     pub(crate) queued: usize,
     pub(crate) in_flight: usize,
     pub(crate) slots: f64,
@@ -97,14 +97,14 @@
 }
 
 /// The rooms that an upstream belongs to, in ascending order; the first is the whole fleet.
-pub(crate) type RoomList = Box<[u32]>;
+pub(crate) type GroupList = Box<[u32]>;
 
 /// All rooms.
 #[derive(Debug)]
-pub(crate) struct Rooms {
-    rooms: Vec<Room>,
+pub(crate) struct CapacityGroups {
+    capacity_groups: Vec<CapacityGroup>,
     /// Which of them each class has.
-    room_of: Vec<u32>,
+    group_of_class: Vec<u32>,
     /// Rooms by the machine types that they are bound to, and those bound to none.
     by_kind: FxHashMap<u32, Vec<u32>>,
     any_kind: Vec<u32>,
@@ -114,13 +114,13 @@
     part: f64,
 }
 
-impl Rooms {
+impl CapacityGroups {
     /// One room for the whole fleet, and one for each set of upstreams that some class is bound to; one for each class
     /// that rules may keep from any upstream.
     pub(crate) fn new(settings: &Settings) -> Self {
-        let mut rooms = Self {
-            rooms: vec![Room::default()],
-            room_of: Vec::new(),
+        let mut capacity_groups = Self {
+            capacity_groups: vec![CapacityGroup::default()],
+            group_of_class: Vec::new(),
             by_kind: FxHashMap::default(),
             any_kind: Vec::new(),
             changed: Vec::new(),
@@ -132,88 +132,95 @@
             let bounds = (&class.zones, &class.kinds);
             let can_be_barred = settings.barring && number < BARRED_CLASSES;
             let found = shared.get(&bounds).copied().filter(|_| !can_be_barred);
-            let room = found.unwrap_or_else(|| {
-                let room = rooms.add(number, class);
+            let capacity_group = found.unwrap_or_else(|| {
+                let capacity_group = capacity_groups.add(number, class);
                 if !can_be_barred {
-                    shared.insert(bounds, room);
+                    shared.insert(bounds, capacity_group);
                 }
-                room
+                capacity_group
             });
-            rooms.rooms[room as usize].has_class = true;
-            rooms.room_of.push(room);
+            capacity_groups.capacity_groups[capacity_group as usize].has_class = true;
+            capacity_groups.group_of_class.push(capacity_group);
         }
-        rooms
+        capacity_groups
     }
 
     fn add(&mut self, number: usize, class: &Class) -> u32 {
-        let room = self.rooms.len() as u32;
-        self.rooms.push(Room { class: Some(number), ..Room::default() });
+        let capacity_group = self.capacity_groups.len() as u32;
+        self.capacity_groups
+            .push(CapacityGroup { class: Some(number), ..CapacityGroup::default() });
         match &class.kinds {
-            None => self.any_kind.push(room),
+            None => self.any_kind.push(capacity_group),
             Some(kinds) => {
                 for &kind in kinds {
-                    let rooms = self.by_kind.entry(kind).or_default();
-                    if rooms.last() != Some(&room) {
-                        rooms.push(room);
+                    let capacity_groups = self.by_kind.entry(kind).or_default();
+                    if capacity_groups.last() != Some(&capacity_group) {
+                        capacity_groups.push(capacity_group);
                     }
                 }
             }
         }
-        room
+        capacity_group
     }
 
-    /// The rooms of an upstream of this machine type, where `is_open` says whether it is open to a room's class.
-    pub(crate) fn of_upstream(&self, kind: u32, is_open: impl Fn(usize) -> bool) -> RoomList {
+    /// The rooms of an upstream of this machine type, where `serves` says whether it is open to a room's class.
+    pub(crate) fn groups_of_upstream(
+        &self,
+        kind: u32,
+        serves: impl Fn(usize) -> bool,
+    ) -> GroupList {
         let bound = self.by_kind.get(&kind).into_iter().flatten();
         let candidates = self.any_kind.iter().chain(bound).copied();
-        let open = |room: &u32| self.rooms[*room as usize].class.is_none_or(&is_open);
+        let open = |capacity_group: &u32| {
+            self.capacity_groups[*capacity_group as usize].class.is_none_or(&serves)
+        };
         let mut list: Vec<u32> = std::iter::once(0).chain(candidates.filter(open)).collect();
         list.sort_unstable();
         list.dedup();
         list.into_boxed_slice()
     }
 
-    pub(crate) fn room_of(&self, class: usize) -> u32 {
-        self.room_of[class]
+    pub(crate) fn group_of_class(&self, class: usize) -> u32 {
+        self.group_of_class[class]
     }
 
-    pub(crate) fn of_class(&self, class: usize) -> &Room {
-        &self.rooms[self.room_of[class] as usize]
+    pub(crate) fn of_class(&self, class: usize) -> &CapacityGroup {
+        &self.capacity_groups[self.group_of_class[class] as usize]
     }
 
-    pub(crate) fn of_class_mut(&mut self, class: usize) -> &mut Room {
-        &mut self.rooms[self.room_of[class] as usize]
+    pub(crate) fn of_class_mut(&mut self, class: usize) -> &mut CapacityGroup {
+        &mut self.capacity_groups[self.group_of_class[class] as usize]
     }
 
     /// A room, if some class is sent by its trees.
-    pub(crate) fn get_mut(&mut self, room: u32) -> Option<&mut Room> {
-        Some(&mut self.rooms[room as usize]).filter(|r| r.has_class)
+    pub(crate) fn get_mut(&mut self, capacity_group: u32) -> Option<&mut CapacityGroup> {
+        Some(&mut self.capacity_groups[capacity_group as usize]).filter(|r| r.has_class)
     }
 
     /// The load of the room that a class has.
-    pub(crate) fn load(&self, class: usize) -> RoomLoad {
+    pub(crate) fn load(&self, class: usize) -> GroupLoad {
         self.load_of(self.of_class(class))
     }
 
     /// The load of the whole fleet.
-    pub(crate) fn whole(&self) -> RoomLoad {
-        self.load_of(&self.rooms[0])
+    pub(crate) fn fleet_load(&self) -> GroupLoad {
+        self.load_of(&self.capacity_groups[0])
     }
 
-    fn load_of(&self, room: &Room) -> RoomLoad {
-        RoomLoad {
-            queued: room.queued,
-            in_flight: room.in_flight,
-            slots: room.swept_k * self.part,
-            n_per_time: room.swept_n * self.part,
+    fn load_of(&self, capacity_group: &CapacityGroup) -> GroupLoad {
+        GroupLoad {
+            queued: capacity_group.queued,
+            in_flight: capacity_group.in_flight,
+            slots: capacity_group.swept_k * self.part,
+            n_per_time: capacity_group.swept_n * self.part,
         }
     }
 
     /// Reads the sums of these rooms; see [`crate::upstreams::Upstreams::preload`].
     pub(crate) fn preload(&self, list: &[u32]) {
-        for &room in list {
-            let room = &self.rooms[room as usize];
-            black_box((room.k, room.n, room.is_changed));
+        for &capacity_group in list {
+            let capacity_group = &self.capacity_groups[capacity_group as usize];
+            black_box((capacity_group.k, capacity_group.n, capacity_group.is_changed));
         }
     }
 
@@ -221,31 +228,31 @@
 
     /// Counts a live upstream in its rooms or out of them, and what is out at it.
     pub(crate) fn count(&mut self, list: &[u32], live: isize, in_flight: isize) {
-        for &room in list {
-            let room = &mut self.rooms[room as usize];
-            room.live = room.live.saturating_add_signed(live);
-            room.in_flight = room.in_flight.saturating_add_signed(in_flight);
+        for &capacity_group in list {
+            let capacity_group = &mut self.capacity_groups[capacity_group as usize];
+            capacity_group.live = capacity_group.live.saturating_add_signed(live);
+            capacity_group.in_flight = capacity_group.in_flight.saturating_add_signed(in_flight);
         }
     }
 
     /// Counts a held request, or one that is held no more, in the rooms that its class has a part in.
     pub(crate) fn count_queued(&mut self, class: usize, change: isize) {
-        let whole = &mut self.rooms[0];
-        whole.queued = whole.queued.saturating_add_signed(change);
-        let own = self.room_of[class] as usize;
-        if own != 0 {
-            let room = &mut self.rooms[own];
-            room.queued = room.queued.saturating_add_signed(change);
+        let fleet = &mut self.capacity_groups[0];
+        fleet.queued = fleet.queued.saturating_add_signed(change);
+        let own_group = self.group_of_class[class] as usize;
+        if own_group != 0 {
+            let capacity_group = &mut self.capacity_groups[own_group];
+            capacity_group.queued = capacity_group.queued.saturating_add_signed(change);
         }
     }
 
     /// Puts what an upstream adds to the sums in the place of what it added.
     pub(crate) fn sum(&mut self, list: &[u32], was: Option<Capacity>, now: Option<Capacity>) {
         for &number in list {
-            let room = &mut self.rooms[number as usize];
-            room.k.change(was.map(|c| c.k), now.map(|c| c.k));
-            room.n.change(was.map(|c| c.n), now.map(|c| c.n));
-            if !std::mem::replace(&mut room.is_changed, true) {
+            let capacity_group = &mut self.capacity_groups[number as usize];
+            capacity_group.k.change(was.map(|c| c.k), now.map(|c| c.k));
+            capacity_group.n.change(was.map(|c| c.n), now.map(|c| c.n));
+            if !std::mem::replace(&mut capacity_group.is_changed, true) {
                 self.changed.push(number);
             }
         }
@@ -255,33 +262,34 @@
     pub(crate) fn sweep(&mut self, part: f64) {
         self.part = part;
         for number in self.changed.drain(..) {
-            let room = &mut self.rooms[number as usize];
-            room.is_changed = false;
-            (room.swept_k, room.swept_n) = (room.k.get(), room.n.get());
+            let capacity_group = &mut self.capacity_groups[number as usize];
+            capacity_group.is_changed = false;
+            (capacity_group.swept_k, capacity_group.swept_n) =
+                (capacity_group.k.get(), capacity_group.n.get());
         }
     }
 }
 
 /// A class that some upstream is shut to, and the upstreams of its room that it may be sent to all the same.
 #[derive(Debug)]
-pub(crate) struct ShutClass {
+pub(crate) struct EjectedClass {
     /// Live upstreams that are shut to it.
     pub(crate) count: usize,
     /// So much of its room is shut that it is open all the same.
     pub(crate) is_panicking: bool,
-    /// Those of the spotted ones with a free slot that are open to it.
+    /// Those of the partly_ejected ones with a free slot that are open to it.
     pub(crate) open: ByArea<TournamentTree>,
 }
 
-impl ShutClass {
-    /// Of a room whose spotted upstreams were all open to the class so far.
-    pub(crate) fn new(room: &Room) -> Self {
-        let open = room.trees.map(|trees| trees.spotted.clone());
+impl EjectedClass {
+    /// Of a room whose partly_ejected upstreams were all open to the class so far.
+    pub(crate) fn new(capacity_group: &CapacityGroup) -> Self {
+        let open = capacity_group.trees.map(|trees| trees.partly_ejected.clone());
         Self { count: 0, is_panicking: false, open }
     }
 
     /// The key with which an upstream stands for this class.
-    pub(crate) fn key(&self, key: Key, is_shut: bool) -> Key {
-        if is_shut && !self.is_panicking { Key::OUT } else { key }
+    pub(crate) fn key(&self, key: Key, is_ejected: bool) -> Key {
+        if is_ejected && !self.is_panicking { Key::OUT } else { key }
     }
 }
--- a/crates/policy/src/concurrency_levels.rs
+++ b/crates/policy/src/concurrency_levels.rs
@@ -1,19 +1,19 @@
 //! How many requests upstreams of one machine type run side by side, estimated from how often their answers come.
 
 /// Most requests that an upstream is tried with side by side.
-pub(crate) const MOST_LANES: usize = 32;
+pub(crate) const MAX_CONCURRENCY: usize = 32;
 /// An unseen level weighs as so many answers that no more gets done than one below, as the paper has it.
-const LANE_PRIOR: f64 = 16.0;
+const LEVEL_PRIOR_ANSWERS: f64 = 16.0;
 /// Answers that what is known of a level reaches back over.
-const LANE_MEMORY: f64 = 128.0;
+const LEVEL_MEMORY_ANSWERS: f64 = 128.0;
 /// Answers at the level in use that others are measured against, each round.
-const LANE_ROUND: f64 = 8.0;
+const LEVEL_ROUND_ANSWERS: f64 = 8.0;
 /// The fewest lanes that reach this share of the best throughput are taken: more is bought with latency.
-const LANES_ENOUGH: f64 = 0.75;
+const SUFFICIENT_THROUGHPUT: f64 = 0.75;
 
 /// What is known of so many requests side by side at upstreams of one kind.
 #[derive(Clone, Copy, Debug)]
-pub(crate) struct Level {
+pub(crate) struct LevelStats {
     /// This round: time spent at the level, and work done there.
     pub(crate) time: f64,
     pub(crate) done: f64,
@@ -23,7 +23,7 @@
     pub(crate) expected: f64,
 }
 
-impl Level {
+impl LevelStats {
     const NONE: Self = Self { time: 0.0, done: 0.0, all: 0.0, expected: 0.0 };
 }
 
@@ -33,14 +33,15 @@
 /// Failure: judged by how long answers take at each level, one core looked like two: attempts that end before
 /// their neighbour does are the short ones.
 #[derive(Clone, Debug)]
-pub(crate) struct Lanes {
+pub(crate) struct ConcurrencyLevels {
     pub(crate) count: usize,
-    pub(crate) level: [Level; MOST_LANES + 1],
+    pub(crate) level: [LevelStats; MAX_CONCURRENCY + 1],
 }
 
-impl Lanes {
+impl ConcurrencyLevels {
     /// Before any work was seen.
-    pub(crate) const FRESH: Self = Self { count: 1, level: [Level::NONE; MOST_LANES + 1] };
+    pub(crate) const FRESH: Self =
+        Self { count: 1, level: [LevelStats::NONE; MAX_CONCURRENCY + 1] };
 
     /// Whether nothing is known of them that a choice rests on.
     pub(crate) fn is_fresh(&self) -> bool {
@@ -50,26 +51,26 @@
     /// Ends a round, if enough was seen, and takes the fewest lanes that get enough done.
     pub(crate) fn choose(&mut self) {
         let now = self.level[self.count];
-        if now.done < LANE_ROUND {
+        if now.done < LEVEL_ROUND_ANSWERS {
             return;
         }
         let rate = now.done / now.time.max(1.0);
-        let mut gain = [0.0; MOST_LANES + 1];
+        let mut gain = [0.0; MAX_CONCURRENCY + 1];
         let (mut top, mut best) = (1, 0.0);
-        for n in 1..=MOST_LANES {
+        for n in 1..=MAX_CONCURRENCY {
             let l = &mut self.level[n];
             (l.all, l.expected) = (l.all + l.done, l.expected + l.time * rate);
             (l.time, l.done) = (0.0, 0.0);
-            if l.all > LANE_MEMORY {
+            if l.all > LEVEL_MEMORY_ANSWERS {
                 (l.all, l.expected) = (l.all / 2.0, l.expected / 2.0);
             }
             let below = if n == 1 { 1.0 } else { gain[n - 1] };
-            gain[n] = (l.all + LANE_PRIOR * below) / (l.expected + LANE_PRIOR);
+            gain[n] = (l.all + LEVEL_PRIOR_ANSWERS * below) / (l.expected + LEVEL_PRIOR_ANSWERS);
             if l.expected > 0.0 {
                 (top, best) = (n, gain[n].max(best));
             }
         }
-        let enough = (1..=top).find(|&n| gain[n] >= LANES_ENOUGH * best).unwrap_or(1);
+        let enough = (1..=top).find(|&n| gain[n] >= SUFFICIENT_THROUGHPUT * best).unwrap_or(1);
         if enough != self.count {
             self.count = enough;
             self.level.iter_mut().for_each(|l| l.expected *= gain[enough]);
@@ -79,7 +80,7 @@
     /// The level to try next, and whether enough is known of it. Twice the count, a step that wins more than
     /// LANES_ENOUGH asks. Failure: tried with one more, six cores stuck at three lanes for good.
     pub(crate) fn next(&self) -> (usize, bool) {
-        let next = (2 * self.count).min(MOST_LANES);
-        (next, self.level[next].expected >= LANE_PRIOR)
+        let next = (2 * self.count).min(MAX_CONCURRENCY);
+        (next, self.level[next].expected >= LEVEL_PRIOR_ANSWERS)
     }
 }
--- a/crates/policy/src/gauges.rs
+++ b/crates/policy/src/gauges.rs
@@ -6,7 +6,7 @@
 impl Balancer {
     /// Requests out at an upstream, its K_i, and its N_i within the time `t`.
     pub fn upstream(&self, id: ServerId, t: Span) -> Option<(u32, u32, f64)> {
-        let s = &self.up.servers[*self.up.by_id.get(&id)? as usize];
+        let s = &self.upstreams.servers[*self.upstreams.by_id.get(&id)? as usize];
         Some((s.in_flight, Self::k(s, 0), self.n_rate(s) * t.f()))
     }
 
@@ -14,7 +14,7 @@
     /// otherwise. Failure: a proxy that was shown a ninth of the fleet took a thirty-sixth of that ninth for its part,
     /// and refused beside upstreams that idled.
     pub fn shared_by(&mut self, proxies: f64) {
-        self.up.sharers = if proxies >= 1.0 { proxies } else { 1.0 };
+        self.upstreams.sharers = if proxies >= 1.0 { proxies } else { 1.0 };
     }
 
     /// No request gets more attempts than this from now on, and none gets fewer than one. What is out stays out.
@@ -24,6 +24,6 @@
 
     /// Live upstreams, and how many of them do not rest after a fault; for whoever chooses which to name.
     pub fn standing(&self, now: Time) -> (usize, usize) {
-        self.up.standing(now)
+        self.upstreams.standing(now)
     }
 }
--- a/crates/policy/src/learned.rs
+++ b/crates/policy/src/learned.rs
@@ -4,7 +4,7 @@
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
 
-use crate::concurrency_levels::Lanes;
+use crate::concurrency_levels::ConcurrencyLevels;
 use crate::estimate::Estimate;
 use crate::interface::Time;
 use crate::policy::Balancer;
@@ -45,16 +45,16 @@
 
 impl KindLearned {
     /// The lanes as they were, unless their count is none that a balancer chooses.
-    fn lanes(&self) -> Option<Lanes> {
-        let mut lanes = Lanes::FRESH;
-        if !(1..lanes.level.len()).contains(&self.lanes) {
+    fn lanes(&self) -> Option<ConcurrencyLevels> {
+        let mut levels = ConcurrencyLevels::FRESH;
+        if !(1..levels.level.len()).contains(&self.lanes) {
             return None;
         }
-        lanes.count = self.lanes;
-        for (level, was) in lanes.level.iter_mut().zip(&self.levels) {
+        levels.count = self.lanes;
+        for (level, was) in levels.level.iter_mut().zip(&self.levels) {
             (level.all, level.expected) = *was;
         }
-        Some(lanes)
+        Some(levels)
     }
 }
 
@@ -118,41 +118,45 @@
     pub fn learned(&self) -> Learned {
         let f = &self.fleet;
         let class = |c: usize| ClassLearned {
-            answers: f.of_class[c],
-            mean: f.mean[c],
-            dev: f.dev[c],
-            hopeless: f.hopeless[c],
-            part: self.part_of(c),
+            answers: f.answers_by_class[c],
+            mean: f.mean_latency[c],
+            dev: f.latency_deviation[c],
+            hopeless: f.unanswered_share[c],
+            part: self.wait_part(c),
         };
         let kind = |k: usize| {
-            let lanes = self.up.kinds.lanes(k as u32);
-            let levels = self.up.kinds.known_lanes(k).into_iter().flat_map(|lanes| &lanes.level);
+            let current = self.upstreams.kinds.levels(k as u32).count;
+            let known = self.upstreams.kinds.known_levels(k).into_iter();
             KindLearned {
-                warm_rate: self.up.kinds.rate(k as u32),
-                lanes: lanes.count,
-                levels: levels.map(|l| (l.all, l.expected)).collect(),
+                warm_rate: self.upstreams.kinds.rate(k as u32),
+                lanes: current,
+                levels: known
+                    .flat_map(|levels| &levels.level)
+                    .map(|l| (l.all, l.expected))
+                    .collect(),
             }
         };
-        let known = self.up.by_id.values().map(|slot| &self.up.servers[*slot as usize]);
+        let known =
+            self.upstreams.by_id.values().map(|slot| &self.upstreams.servers[*slot as usize]);
         let mut upstreams: Vec<UpstreamLearned> = known
             .map(|s| UpstreamLearned {
                 identity: s.identity,
                 started: s.started.map(|t| t.0),
-                tp2: s.est.tp2,
-                slow: s.est.slow,
+                tp2: s.estimate.tp2,
+                slow: s.estimate.slow,
             })
             .collect();
         upstreams.sort_unstable_by_key(|u| u.identity);
         Learned {
             meaning: self.settings.meaning,
             ts: f.ts,
-            good: f.good,
+            good: f.baseline_ts,
             leeway: f.leeway,
-            bearable: f.bearable,
+            bearable: f.tolerable_wait,
             answers: f.answers,
-            any_rate: self.up.kinds.any_rate,
-            classes: (0..f.mean.len()).map(class).collect(),
-            kinds: (0..self.up.kinds.len()).map(kind).collect(),
+            any_rate: self.upstreams.kinds.any_rate,
+            classes: (0..f.mean_latency.len()).map(class).collect(),
+            kinds: (0..self.upstreams.kinds.len()).map(kind).collect(),
             upstreams,
         }
     }
@@ -163,7 +167,7 @@
     /// # Errors
     /// It does not fit; nothing has changed then.
     pub fn recall(&mut self, now: Time, learned: &Learned) -> Result<(), NotRecalled> {
-        let classes = self.fleet.mean.len();
+        let classes = self.fleet.mean_latency.len();
         if learned.classes.len() != classes {
             return Err(NotRecalled::Classes(learned.classes.len(), classes));
         }
@@ -175,32 +179,34 @@
             return Err(NotRecalled::Nonsense);
         }
         let f = &mut self.fleet;
-        (f.ts, f.good, f.leeway) = (learned.ts, learned.good, learned.leeway);
-        (f.bearable, f.answers) = (learned.bearable, learned.answers);
-        (f.paced, f.counted) = (learned.ts, now);
+        (f.ts, f.baseline_ts, f.leeway) = (learned.ts, learned.good, learned.leeway);
+        (f.tolerable_wait, f.answers) = (learned.bearable, learned.answers);
+        (f.paced_ts, f.decayed_at) = (learned.ts, now);
         for (c, was) in learned.classes.iter().enumerate() {
-            (f.of_class[c], f.mean[c], f.dev[c]) = (was.answers, was.mean, was.dev);
-            f.hopeless[c] = was.hopeless;
+            (f.answers_by_class[c], f.mean_latency[c], f.latency_deviation[c]) =
+                (was.answers, was.mean, was.dev);
+            f.unanswered_share[c] = was.hopeless;
         }
-        self.ranks.give(learned.classes.iter().map(|c| c.part).collect());
-        (0..classes).for_each(|class| self.reset_patience(class));
-        self.up.kinds.any_rate = learned.any_rate;
+        self.ranks.restore_parts(learned.classes.iter().map(|c| c.part).collect());
+        (0..classes).for_each(|class| self.reset_hedge_delay(class));
+        self.upstreams.kinds.any_rate = learned.any_rate;
         for (kind, was) in learned.kinds.iter().enumerate() {
-            self.up.kinds.restore(kind, was.warm_rate, was.lanes());
+            self.upstreams.kinds.restore(kind, was.warm_rate, was.lanes());
         }
         let was: FxHashMap<u64, &UpstreamLearned> =
             learned.upstreams.iter().map(|u| (u.identity, u)).collect();
-        let mut all: Vec<usize> = self.up.by_id.values().map(|slot| *slot as usize).collect();
+        let mut all: Vec<usize> =
+            self.upstreams.by_id.values().map(|slot| *slot as usize).collect();
         all.sort_unstable();
         for i in all {
-            let s = &mut self.up.servers[i];
+            let s = &mut self.upstreams.servers[i];
             let was = was.get(&s.identity).filter(|u| u.started == s.started.map(|t| t.0));
             if let Some(was) = was {
                 let before =
-                    std::mem::replace(&mut s.est, Estimate { tp2: was.tp2, slow: was.slow });
+                    std::mem::replace(&mut s.estimate, Estimate { tp2: was.tp2, slow: was.slow });
                 self.fleet.tp2_sum.change(before.tp2, was.tp2);
-                self.fleet.tp2_seen += usize::from(was.tp2.is_some());
-                self.fleet.tp2_seen -= usize::from(before.tp2.is_some());
+                self.fleet.tp2_count += usize::from(was.tp2.is_some());
+                self.fleet.tp2_count -= usize::from(before.tp2.is_some());
             }
             self.refresh(now, i);
         }
--- a/crates/policy/src/list_polling.rs
+++ b/crates/policy/src/list_polling.rs
@@ -52,8 +52,8 @@
 
 /// Where the list must be asked: when to ask next.
 #[derive(Debug)]
-pub struct Asking {
-    every: Span,
+pub struct ListPoller {
+    poll_interval: Span,
     balancers: f64,
     subscribed: bool,
     /// Since when there has been no subscription.
@@ -61,24 +61,24 @@
     /// When a call is due; never, where the list is not asked for.
     next: Option<Time>,
     /// When it was asked, while that call is out.
-    asked: Option<Time>,
+    polled_at: Option<Time>,
     failures: u32,
 }
 
-impl Asking {
-    /// Of one that starts now. `draw` is between 0 and 1, as in all that follows.
-    pub fn new(settings: &Settings, now: Time, draw: f64) -> Self {
+impl ListPoller {
+    /// Of one that starts now. `jitter` is between 0 and 1, as in all that follows.
+    pub fn new(settings: &Settings, now: Time, jitter: f64) -> Self {
         let mut asking = Self {
-            every: settings.rules.list_poll_interval,
+            poll_interval: settings.rules.list_poll_interval,
             balancers: f64::from(settings.balancers),
             subscribed: false,
             missing_since: now,
             next: None,
-            asked: None,
+            polled_at: None,
             failures: 0,
         };
         if settings.polls_list {
-            asking.next = Some(now.plus(asking.wait(PAUSE, draw)));
+            asking.next = Some(now.plus(asking.backoff(PAUSE, jitter)));
         }
         asking
     }
@@ -89,53 +89,55 @@
     }
 
     /// Whether a call is due; counts as made then.
-    pub fn asks(&mut self, now: Time) -> bool {
+    pub fn poll_if_due(&mut self, now: Time) -> bool {
         let due = !self.subscribed && self.next.is_some_and(|next| now >= next);
         if due {
-            self.asked = Some(now);
-            let again = Span::of(self.every.f() * AGAIN_OF_EVERY).0.min(SILENCE.0 + PAUSE.0);
+            self.polled_at = Some(now);
+            let again =
+                Span::of(self.poll_interval.f() * AGAIN_OF_EVERY).0.min(SILENCE.0 + PAUSE.0);
             self.next = Some(now.plus(Span(again)));
         }
         due
     }
 
     /// Discovery has told something: the subscription stands.
-    pub fn told(&mut self) {
-        (self.subscribed, self.asked, self.failures) = (true, None, 0);
+    pub fn notified(&mut self) {
+        (self.subscribed, self.polled_at, self.failures) = (true, None, 0);
     }
 
     /// The call failed, or the subscription ended.
-    pub fn failed(&mut self, now: Time, draw: f64) {
-        self.ended(now);
+    pub fn failed(&mut self, now: Time, jitter: f64) {
+        self.subscription_ended(now);
         self.failures = (self.failures + 1).min(DOUBLINGS);
         // Of a subscription it is not known for how long it was silent.
-        let silent = self.asked.take().map_or(SILENCE, |asked| now.since(asked).min(SILENCE));
+        let silent =
+            self.polled_at.take().map_or(SILENCE, |polled_at| now.since(polled_at).min(SILENCE));
         let left = Span(LIST_PROPAGATION_BOUND.0 - MARGIN.0 - SILENCE.0 - silent.0);
-        self.next = self.next.map(|_| now.plus(self.wait(left.min(LONG_PAUSE), draw)));
+        self.next = self.next.map(|_| now.plus(self.backoff(left.min(LONG_PAUSE), jitter)));
     }
 
     /// Discovery turned the call away at once: it works, and has more callers than it can serve.
-    pub fn turned_away(&mut self, now: Time, draw: f64) {
-        self.ended(now);
-        self.asked = None;
+    pub fn rejected(&mut self, now: Time, jitter: f64) {
+        self.subscription_ended(now);
+        self.polled_at = None;
         let second = 1e6;
         let most = (self.balancers / LATE_CALLS_PER_SECOND * second).max(LEAST_LONG_PAUSE.f());
-        let most = most.min(self.every.f() * LONGEST_PAUSE_OF_EVERY);
+        let most = most.min(self.poll_interval.f() * LONGEST_PAUSE_OF_EVERY);
         let least = (self.balancers / CALLS_PER_SECOND * second).max(LEAST_PAUSE.f());
         let pause = now.since(self.missing_since).f().max(least).min(most);
-        let share = CERTAIN_PART + (1.0 - CERTAIN_PART) * draw;
+        let share = CERTAIN_PART + (1.0 - CERTAIN_PART) * jitter;
         self.next = self.next.map(|_| now.plus(Span::of(pause * share)));
     }
 
     /// There is no subscription any more, if there was one.
-    fn ended(&mut self, now: Time) {
+    fn subscription_ended(&mut self, now: Time) {
         if std::mem::take(&mut self.subscribed) {
             self.missing_since = now;
         }
     }
 
-    fn wait(&self, most: Span, draw: f64) -> Span {
+    fn backoff(&self, most: Span, jitter: f64) -> Span {
         let share = JITTER_OF_EVERY * f64::from(1 << self.failures);
-        Span::of(draw * (share * self.every.f()).min(most.f()))
+        Span::of(jitter * (share * self.poll_interval.f()).min(most.f()))
     }
 }
--- a/crates/policy/src/machine_types.rs
+++ b/crates/policy/src/machine_types.rs
@@ -3,7 +3,7 @@
 
 use std::collections::BTreeSet;
 
-use crate::concurrency_levels::Lanes;
+use crate::concurrency_levels::ConcurrencyLevels;
 use crate::interface::Settings;
 use crate::sums::Sum;
 
@@ -26,7 +26,7 @@
     /// The highest rate of answers per unit of weight that was seen lately.
     rate: f64,
     /// `None` while nothing is known of them.
-    lanes: Option<Box<Lanes>>,
+    levels: Option<Box<ConcurrencyLevels>>,
     /// Counted among the warm types of which too little is known.
     is_unknown: bool,
     /// Its lanes have seen work since they were last chosen.
@@ -50,7 +50,7 @@
     }
 }
 
-static FRESH: Lanes = Lanes::FRESH;
+static FRESH: ConcurrencyLevels = ConcurrencyLevels::FRESH;
 
 /// All machine types, by number.
 #[derive(Debug)]
@@ -151,39 +151,39 @@
 
     // ------------------------------------------------------------ lanes
 
-    pub(crate) fn lanes(&self, kind: u32) -> &Lanes {
-        self.types[kind as usize].lanes.as_deref().unwrap_or(&FRESH)
+    pub(crate) fn levels(&self, kind: u32) -> &ConcurrencyLevels {
+        self.types[kind as usize].levels.as_deref().unwrap_or(&FRESH)
     }
 
     /// The lanes of a type, to book work in.
-    pub(crate) fn lanes_at_work(&mut self, kind: u32) -> &mut Lanes {
+    pub(crate) fn levels_mut(&mut self, kind: u32) -> &mut ConcurrencyLevels {
         let of = &mut self.types[kind as usize];
         if !std::mem::replace(&mut of.is_retuned, true) {
             self.retuned.push(kind as usize);
         }
-        of.lanes.get_or_insert_with(|| Box::new(Lanes::FRESH))
+        of.levels.get_or_insert_with(|| Box::new(ConcurrencyLevels::FRESH))
     }
 
     /// Ends a round for the types that have seen work.
-    pub(crate) fn choose_lanes(&mut self) {
+    pub(crate) fn choose_levels(&mut self) {
         for kind in std::mem::take(&mut self.retuned) {
             let of = &mut self.types[kind];
             of.is_retuned = false;
-            if let Some(lanes) = &mut of.lanes {
-                lanes.choose();
+            if let Some(levels) = &mut of.levels {
+                levels.choose();
             }
             self.count_unknown(kind);
         }
     }
 
     /// Whether enough is known of the lanes of every type with warm upstreams.
-    pub(crate) fn are_lanes_known(&self) -> bool {
+    pub(crate) fn are_levels_known(&self) -> bool {
         self.unknown == 0
     }
 
     fn count_unknown(&mut self, kind: usize) {
         let of = &mut self.types[kind];
-        let known = of.lanes.as_deref().unwrap_or(&FRESH).next().1;
+        let known = of.levels.as_deref().unwrap_or(&FRESH).next().1;
         let is_unknown = of.warm_weight.get() != 0.0 && !known;
         let was_unknown = std::mem::replace(&mut of.is_unknown, is_unknown);
         self.unknown = self.unknown + usize::from(is_unknown) - usize::from(was_unknown);
@@ -192,21 +192,21 @@
     // ------------------------------------------------------------ what is restored
 
     /// Lanes of which something is known.
-    pub(crate) fn known_lanes(&self, kind: usize) -> Option<&Lanes> {
-        self.types[kind].lanes.as_deref()
+    pub(crate) fn known_levels(&self, kind: usize) -> Option<&ConcurrencyLevels> {
+        self.types[kind].levels.as_deref()
     }
 
     /// Sets the rate of a type, and its lanes if they are given; work of the present round stays.
-    pub(crate) fn restore(&mut self, kind: usize, rate: f64, lanes: Option<Lanes>) {
+    pub(crate) fn restore(&mut self, kind: usize, rate: f64, levels: Option<ConcurrencyLevels>) {
         let Some(of) = self.types.get_mut(kind) else { return };
         of.rate = rate;
-        let is_news = |lanes: &Lanes| of.lanes.is_some() || !lanes.is_fresh();
-        if let Some(mut lanes) = lanes.filter(is_news) {
-            let present = of.lanes.as_deref().unwrap_or(&FRESH);
-            for (level, present) in lanes.level.iter_mut().zip(&present.level) {
+        let is_news = |levels: &ConcurrencyLevels| of.levels.is_some() || !levels.is_fresh();
+        if let Some(mut levels) = levels.filter(is_news) {
+            let present = of.levels.as_deref().unwrap_or(&FRESH);
+            for (level, present) in levels.level.iter_mut().zip(&present.level) {
                 (level.time, level.done) = (present.time, present.done);
             }
-            of.lanes = Some(Box::new(lanes));
+            of.levels = Some(Box::new(levels));
         }
         self.active.insert(kind);
         self.count_unknown(kind);
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -20,21 +20,21 @@
 
 use oorandom::Rand64;
 
-use crate::attempt_tracker::Out;
-use crate::fleet::Fleet;
+use crate::attempt_tracker::AttemptTracker;
+use crate::fleet::FleetEstimates;
 use crate::interface::{Action, Event, Refusal, Settings, SettingsError, Span, Status, Time};
-use crate::list_polling::Asking;
+use crate::list_polling::ListPoller;
 use crate::queue::Queue;
 use crate::quotas::Quotas;
 use crate::ranks::Ranks;
 use crate::upstreams::{Server, Upstreams};
 use estimation::TS_PRIOR_OF_QOS;
 use fair_share::LEEWAY;
-use hedging::SLIVER;
+use hedging::CHECKS_PER_EVENT;
 use sweep::Sweep;
 
-const SWEEP: u64 = 1;
-pub(super) const ASK: u64 = 2;
+const SWEEP_TIMER: u64 = 1;
+pub(super) const LIST_POLL_TIMER: u64 = 2;
 
 /// One proxy's share of the bank: all its decisions.
 #[derive(Debug)]
@@ -43,23 +43,23 @@
     t_qos: f64,
     rng: Rand64,
     started: bool,
-    pub(crate) up: Upstreams,
+    pub(crate) upstreams: Upstreams,
     queue: Queue,
     /// How far the sweep over the ring is, and how much it still owes.
-    at: usize,
-    owed: usize,
+    sweep_position: usize,
+    sweep_remaining: usize,
     /// Upstreams with lanes on trial, and those whose idle connections are closed.
-    trying: Vec<usize>,
+    probed: Vec<usize>,
     closing: Vec<usize>,
     /// Attempts that are out, and further ones that what is overdue may still have.
-    out: Out,
-    extra: f64,
+    tracker: AttemptTracker,
+    hedge_budget: f64,
     pub(crate) max_attempts: usize,
-    pub(crate) fleet: Fleet,
+    pub(crate) fleet: FleetEstimates,
     /// Classes by worth for their work, and what each tenant may still send within its share.
     pub(crate) ranks: Ranks,
     quotas: Quotas,
-    ask: Asking,
+    list_poller: ListPoller,
     /// Whether the list may not be acted on.
     expired: bool,
     /// Sends to cold upstreams that had not been earned.
@@ -78,33 +78,33 @@
             t_qos,
             rng: Rand64::new(u128::from(seed)),
             started: false,
-            up: Upstreams::new(settings.clone()),
+            upstreams: Upstreams::new(settings.clone()),
             max_attempts: settings.limits.max_attempts,
             queue: Queue::default(),
-            at: 0,
-            owed: 0,
-            trying: Vec::new(),
+            sweep_position: 0,
+            sweep_remaining: 0,
+            probed: Vec::new(),
             closing: Vec::new(),
-            out: Out::new(settings.classes.iter().map(|c| c.latency_objective)),
-            extra: 1.0,
+            tracker: AttemptTracker::new(settings.classes.iter().map(|c| c.latency_objective)),
+            hedge_budget: 1.0,
             ranks: Ranks::new(classes, 1.0),
-            fleet: Fleet {
+            fleet: FleetEstimates {
                 ts: t_qos * TS_PRIOR_OF_QOS,
-                mean: vec![0.0; classes],
-                dev: vec![0.0; classes],
-                hopeless: vec![0.0; classes],
-                bearable: t_qos * TS_PRIOR_OF_QOS,
-                paced: t_qos * TS_PRIOR_OF_QOS,
-                tried: Time(i64::MIN),
+                mean_latency: vec![0.0; classes],
+                latency_deviation: vec![0.0; classes],
+                unanswered_share: vec![0.0; classes],
+                tolerable_wait: t_qos * TS_PRIOR_OF_QOS,
+                paced_ts: t_qos * TS_PRIOR_OF_QOS,
+                probed_at: Time(i64::MIN),
                 answers: 1.0,
-                of_class: vec![0.0; classes],
+                answers_by_class: vec![0.0; classes],
                 leeway: LEEWAY,
-                good: t_qos,
-                counted: now,
-                ..Fleet::default()
+                baseline_ts: t_qos,
+                decayed_at: now,
+                ..FleetEstimates::default()
             },
             quotas: Quotas::new(&settings, now),
-            ask: Asking::new(&settings, now, 0.0),
+            list_poller: ListPoller::new(&settings, now, 0.0),
             expired: false,
             overdrafts: 0,
             settings,
@@ -116,35 +116,35 @@
         if !std::mem::replace(&mut self.started, true) {
             self.start(now, out);
         }
-        for _ in 0..self.slice() {
-            let Some(server) = self.up.timers.due(now.0) else { break };
-            self.touch(now, server);
+        for _ in 0..self.sweep_slice() {
+            let Some(server) = self.upstreams.timers.due(now.0) else { break };
+            self.refresh_availability(now, server);
         }
-        self.queue.rested(now);
-        self.queue.tidy();
+        self.queue.resume_rested_keys(now);
+        self.queue.drop_stale_give_ups();
         self.quotas.drop_full(now, &self.settings);
         if !matches!(event, Event::Timer(_) | Event::Members { .. }) {
-            self.ripen(now, SLIVER);
-            self.watch(now, SLIVER);
-            if self.owed > 0 {
+            self.collect_due(now, CHECKS_PER_EVENT);
+            self.check_due(now, CHECKS_PER_EVENT);
+            if self.sweep_remaining > 0 {
                 self.sweep(now, 1, Sweep::Rest);
             }
         }
         match event {
             Event::Members { kind, list } => self.members(now, kind, list, out),
             Event::ListCallRejected => {
-                self.ask.turned_away(now, self.rng.rand_float());
-                self.arm_ask(out);
+                self.list_poller.rejected(now, self.rng.rand_float());
+                self.arm_list_poll(out);
             }
             Event::ListExpired => {
                 self.expired = true;
-                let held = self.queue.held();
-                self.give_up_all(held, Refusal::ListExpired, out);
+                let queued = self.queue.queued();
+                self.give_up_all(queued, Refusal::ListExpired, out);
             }
             Event::Request(r) => self.request(now, r, out),
             Event::Answered(a) => self.outcome(now, a, out),
             Event::BodyReceived { request, send_deadline } => {
-                self.whole(now, request, send_deadline)
+                self.body_complete(now, request, send_deadline)
             }
             Event::Started(id) | Event::ClientLeft(id) => self.end(id),
             Event::Timer(token) => self.timer(now, token, out),
@@ -159,43 +159,46 @@
     }
 
     /// So long before its time a held request is given up.
-    pub(super) fn early(&self) -> Span {
+    pub(super) fn give_up_margin(&self) -> Span {
         Span(2 * sweep::sweep_every(&self.settings).0)
     }
 
     /// Begins to keep time and to ask for the list, with the first event.
     fn start(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.ask = Asking::new(&self.settings, now, self.rng.rand_float());
-        self.arm_ask(out);
-        self.arm(now, out);
+        self.list_poller = ListPoller::new(&self.settings, now, self.rng.rand_float());
+        self.arm_list_poll(out);
+        self.arm_sweep(now, out);
     }
 
-    fn arm(&mut self, now: Time, out: &mut Vec<Action>) {
-        out.push(Action::Arm { token: SWEEP, at: now.plus(sweep::sweep_every(&self.settings)) });
+    fn arm_sweep(&mut self, now: Time, out: &mut Vec<Action>) {
+        out.push(Action::Arm {
+            token: SWEEP_TIMER,
+            at: now.plus(sweep::sweep_every(&self.settings)),
+        });
     }
 
     fn timer(&mut self, now: Time, token: u64, out: &mut Vec<Action>) {
         match token {
-            ASK => return self.ask_for_list(now, out),
-            SWEEP => {}
+            LIST_POLL_TIMER => return self.poll_list(now, out),
+            SWEEP_TIMER => {}
             _ => return,
         }
-        let slice = self.slice();
-        self.ripen(now, slice);
-        self.out.begin();
-        self.watch(now, slice);
-        self.sweep(now, slice, Sweep::Timer);
-        let late = self.queue.overheld(now);
+        let sweep_slice = self.sweep_slice();
+        self.collect_due(now, sweep_slice);
+        self.tracker.begin_round();
+        self.check_due(now, sweep_slice);
+        self.sweep(now, sweep_slice, Sweep::Timer);
+        let late = self.queue.take_expired(now);
         self.give_up_all(late, Refusal::HeldTooLong, out);
         self.dispatch(now, out);
-        let late = |s: &Server| s.status == Status::Live || now > s.close_until;
+        let late = |s: &Server| s.status == Status::Live || now > s.close_idle_until;
         self.closing.sort_unstable();
         self.closing.dedup();
-        self.closing.retain(|i| !late(&self.up.servers[*i]));
+        self.closing.retain(|i| !late(&self.upstreams.servers[*i]));
         for i in self.closing.clone() {
-            self.close_idle(now, i, out);
+            self.close_idle_connections(now, i, out);
         }
-        self.ask_for_list(now, out);
-        self.arm(now, out);
+        self.poll_list(now, out);
+        self.arm_sweep(now, out);
     }
 }
--- a/crates/policy/src/policy/estimation.rs
+++ b/crates/policy/src/policy/estimation.rs
@@ -20,22 +20,22 @@
 
 impl Balancer {
     pub(super) fn ts(&self, s: &Server) -> f64 {
-        self.fleet.ts * s.est.slow
+        self.fleet.ts * s.estimate.slow
     }
 
     fn tp2(&self, s: &Server) -> f64 {
-        s.est.tp2.unwrap_or(self.fleet.tp2)
+        s.estimate.tp2.unwrap_or(self.fleet.tp2)
     }
 
     /// Requests that upstreams of its kind run side by side.
-    pub(super) fn lanes(&self, s: &Server) -> f64 {
-        self.up.kinds.lanes(s.kept_kind).count as f64
+    pub(super) fn concurrency(&self, s: &Server) -> f64 {
+        self.upstreams.kinds.levels(s.type_index).count as f64
     }
 
     /// K_i = 2*TP_i / TS_i + 1 for an upstream that runs one request at a time, and one more for each further
     /// lane; N_i at most.
     fn k_exact(&self, s: &Server) -> f64 {
-        let k = self.tp2(s) / self.ts(s) + self.lanes(s);
+        let k = self.tp2(s) / self.ts(s) + self.concurrency(s);
         k.min(self.n_rate(s) * self.t_qos)
     }
 
@@ -47,38 +47,38 @@
 
     /// Each answer and each sweep updates K_i and N_i, and with them the sums over the fleet.
     pub(super) fn update(&mut self, server: usize) {
-        let s = &self.up.servers[server];
-        let capacity = Capacity { k: self.k_exact(s), n: self.n_hoped(s) };
-        self.up.sum(server, capacity);
+        let s = &self.upstreams.servers[server];
+        let capacity = Capacity { k: self.k_exact(s), n: self.n_optimistic(s) };
+        self.upstreams.sum(server, capacity);
     }
 
     /// The same as admission counts on it. Until it is known that more lanes win nothing they are hoped for,
     /// or a fresh proxy refuses beside upstreams that have room.
-    fn n_hoped(&self, s: &Server) -> f64 {
-        let lanes = self.up.kinds.lanes(s.kept_kind);
-        let (next, known) = lanes.next();
-        self.n_rate(s) * if known { 1.0 } else { next as f64 / lanes.count as f64 }
+    fn n_optimistic(&self, s: &Server) -> f64 {
+        let levels = self.upstreams.kinds.levels(s.type_index);
+        let (next, known) = levels.next();
+        self.n_rate(s) * if known { 1.0 } else { next as f64 / levels.count as f64 }
     }
 
     /// N_i per unit of time: 1 / (2*TP_i + TS_i) for each lane.
     pub(crate) fn n_rate(&self, s: &Server) -> f64 {
-        self.lanes(s) / (self.tp2(s) + self.ts(s))
+        self.concurrency(s) / (self.tp2(s) + self.ts(s))
     }
 
     /// A prior counts as one answer, and each further one for its part of all, until the means follow.
-    pub(super) fn learn_means(&mut self, class: usize, latency: f64) {
+    pub(super) fn learn_latency(&mut self, class: usize, latency: f64) {
         let f = &mut self.fleet;
         let gain = |seen: &mut f64| {
             *seen += 1.0;
             MEAN_GAIN.max(1.0 / *seen)
         };
         f.ts += (latency - f.ts) * gain(&mut f.answers);
-        let (mean, dev) = (&mut f.mean[class], &mut f.dev[class]);
+        let (mean, dev) = (&mut f.mean_latency[class], &mut f.latency_deviation[class]);
         let (off, new) = ((latency - *mean).abs(), *mean == 0.0);
-        let gain = gain(&mut f.of_class[class]);
+        let gain = gain(&mut f.answers_by_class[class]);
         *dev += (if new { latency / 2.0 } else { off } - *dev) * gain;
         *mean += (latency - *mean) * gain;
         self.ranks.change(class);
-        self.reset_patience(class);
+        self.reset_hedge_delay(class);
     }
 }
--- a/crates/policy/src/quotas.rs
+++ b/crates/policy/src/quotas.rs
@@ -14,9 +14,9 @@
 }
 
 /// Buckets that one call looks at to drop those that are full again.
-const LOOKS: usize = 4;
+const BUCKETS_PER_CALL: usize = 4;
 /// A table of more entries than this is made smaller when an eighth of it is in use.
-const KEPT_CAPACITY: usize = 1024;
+const RETAINED_CAPACITY: usize = 1024;
 
 /// The buckets of all tenants. One that does not exist is as it was at the start: it held one token then, and has been
 /// refilled since. A bucket is dropped when it is full and would be full by that rule too, so no decision shows it.
@@ -70,7 +70,7 @@
         if now.since(self.started).f() < self.longest {
             return;
         }
-        for _ in 0..LOOKS.min(self.order.len()) {
+        for _ in 0..BUCKETS_PER_CALL.min(self.order.len()) {
             let Some(tenant) = self.order.pop_front() else { return };
             let quota = settings.tenants.get(tenant as usize).map_or(0.0, |t| t.quota_rps);
             let (rate, most) = self.rate_and_most(quota);
@@ -91,7 +91,7 @@
     }
 
     fn shrink(&mut self) {
-        let kept = KEPT_CAPACITY.max(self.buckets.len() * 8);
+        let kept = RETAINED_CAPACITY.max(self.buckets.len() * 8);
         if self.buckets.capacity() > kept {
             self.buckets.shrink_to(self.buckets.len() * 2);
             self.order.shrink_to(self.buckets.len() * 2);
--- a/crates/policy/src/quotas/tests.rs
+++ b/crates/policy/src/quotas/tests.rs
@@ -70,9 +70,9 @@
         quotas.spend(tenant);
     }
     let idle = Time(10_000_000);
-    for _ in 0..50_000 / LOOKS {
+    for _ in 0..50_000 / BUCKETS_PER_CALL {
         quotas.drop_full(idle, &settings);
     }
     assert_eq!((quotas.buckets.len(), quotas.order.len()), (0, 0));
-    assert!(quotas.buckets.capacity() <= KEPT_CAPACITY, "{}", quotas.buckets.capacity());
+    assert!(quotas.buckets.capacity() <= RETAINED_CAPACITY, "{}", quotas.buckets.capacity());
 }
--- a/crates/policy/src/ranks.rs
+++ b/crates/policy/src/ranks.rs
@@ -57,7 +57,7 @@
     changed: Vec<usize>,
     is_changed: Vec<bool>,
     /// Parts that were set from outside, and hold until the next refresh.
-    given: Vec<f64>,
+    restored_part: Vec<f64>,
 }
 
 /// Where more than this share of the classes has changed, all are sorted anew.
@@ -72,7 +72,7 @@
             bearable: Sorted::default(),
             changed: (0..classes).collect(),
             is_changed: vec![true; classes],
-            given: vec![part; classes],
+            restored_part: vec![part; classes],
         }
     }
 
@@ -84,19 +84,19 @@
     }
 
     /// Sets all parts until the next refresh, which takes in all classes anew.
-    pub(crate) fn give(&mut self, parts: Vec<f64>) {
-        self.given = parts;
+    pub(crate) fn restore_parts(&mut self, parts: Vec<f64>) {
+        self.restored_part = parts;
         (0..self.classes.len()).for_each(|class| self.change(class));
     }
 
     /// The part of a class that was set from outside, if it still holds.
-    pub(crate) fn given(&self, class: usize) -> Option<f64> {
-        self.given.get(class).copied()
+    pub(crate) fn restored_part(&self, class: usize) -> Option<f64> {
+        self.restored_part.get(class).copied()
     }
 
     /// Takes in the figures of the classes that have changed.
     pub(crate) fn refresh(&mut self, figures: impl Fn(usize) -> Figures) {
-        self.given = Vec::new();
+        self.restored_part = Vec::new();
         let changed = std::mem::take(&mut self.changed);
         let many = changed.len() as f64 > MANY * self.classes.len() as f64;
         for &class in &changed {
--- a/crates/policy/src/ranks/tests.rs
+++ b/crates/policy/src/ranks/tests.rs
@@ -54,9 +54,9 @@
 #[test]
 fn parts_that_were_given_hold_until_the_next_refresh() {
     let mut ranks = Ranks::new(2, 1.0);
-    assert_eq!(ranks.given(1), Some(1.0));
-    ranks.give(vec![0.2, 0.6]);
-    assert_eq!(ranks.given(1), Some(0.6));
+    assert_eq!(ranks.restored_part(1), Some(1.0));
+    ranks.restore_parts(vec![0.2, 0.6]);
+    assert_eq!(ranks.restored_part(1), Some(0.6));
     ranks.refresh(|class| Figures { value: class as f64, bearable: 1.0 });
-    assert_eq!((ranks.given(1), ranks.rank(0), ranks.rank(1)), (None, 0.0, 1.0));
+    assert_eq!((ranks.restored_part(1), ranks.rank(0), ranks.rank(1)), (None, 0.0, 1.0));
 }
--- a/crates/policy/src/request_state.rs
+++ b/crates/policy/src/request_state.rs
@@ -1,21 +1,21 @@
 //! What the module keeps of each request and of its attempts.
 
-use hollowpaddle_ordered_collections::waiting::Turn;
+use hollowpaddle_ordered_collections::waiting::Ticket;
 
 use crate::interface::{Class, Request, Span, Time};
 
 /// Where held requests stand in line together: the first of a lane that finds no slot holds up its like.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(crate) enum Lane {
+pub(crate) enum SubQueue {
     /// Repeats of one class, by where they may still go.
-    Again(usize, Bound),
+    Retry(usize, Affinity),
     /// Requests that were never sent, by room.
     Fresh(u32),
 }
 
 /// The upstreams that a repeat is bound to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
-pub(crate) enum Bound {
+pub(crate) enum Affinity {
     Any,
     Zone(u32),
     /// By zone and cell.
@@ -23,8 +23,8 @@
 }
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Fate {
-    Out,
+pub(crate) enum AttemptState {
+    InFlight,
     NeverRan,
     MayHaveRun,
 }
@@ -33,38 +33,45 @@
 pub(crate) struct Attempt {
     pub(crate) server: usize,
     pub(crate) sent: Time,
-    pub(crate) fate: Fate,
+    pub(crate) state: AttemptState,
     /// Unanswered for too long.
     pub(crate) overdue: bool,
     /// Out at the time when a second copy had to go to be in time.
-    pub(crate) asked: bool,
+    pub(crate) hedge_due: bool,
     /// Its slot was given back before its outcome came.
-    pub(crate) freed: bool,
+    pub(crate) slot_released: bool,
 }
 
 impl Attempt {
     pub(crate) fn new(server: usize, sent: Time) -> Self {
-        Self { server, sent, fate: Fate::Out, overdue: false, asked: false, freed: false }
+        Self {
+            server,
+            sent,
+            state: AttemptState::InFlight,
+            overdue: false,
+            hedge_due: false,
+            slot_released: false,
+        }
     }
 }
 
 #[derive(Debug)]
-pub(crate) struct Entry {
+pub(crate) struct RequestState {
     pub(crate) class: usize,
     pub(crate) send_deadline: Time,
     /// When an answer stops being worth anything.
-    pub(crate) worth_until: Time,
+    pub(crate) valuable_until: Time,
     /// When a held request must be given up.
-    pub(crate) hold_until: Time,
-    pub(crate) held: bool,
-    pub(crate) ended: bool,
+    pub(crate) queue_deadline: Time,
+    pub(crate) is_queued: bool,
+    pub(crate) is_finished: bool,
     pub(crate) attempts: Vec<Attempt>,
     /// While it is held: its place in the order, its lane, and whether it stands there already.
-    pub(crate) seat: Turn,
-    pub(crate) lane: Lane,
-    pub(crate) seated: bool,
+    pub(crate) ticket: Ticket,
+    pub(crate) sub_queue: SubQueue,
+    pub(crate) is_enqueued: bool,
     /// The key whose turn it waits for.
-    pub(crate) turn: Option<u64>,
+    pub(crate) ordering_key: Option<u64>,
     /// Its last byte has not come: what is out of it is nobody's fault.
     pub(crate) flows: bool,
     /// A part of its body went out and is kept nowhere: it can't be sent again.
@@ -73,21 +80,21 @@
     pub(crate) sticky_cell: Option<(u32, u32)>,
 }
 
-impl Entry {
+impl RequestState {
     /// One that has just come, to be given its times by [`Self::date`].
     pub(crate) fn new(r: &Request, in_order: bool) -> Self {
         Self {
             class: r.class,
             send_deadline: r.send_deadline,
-            worth_until: r.send_deadline,
-            hold_until: r.send_deadline,
-            held: false,
-            ended: false,
+            valuable_until: r.send_deadline,
+            queue_deadline: r.send_deadline,
+            is_queued: false,
+            is_finished: false,
             attempts: Vec::new(),
-            seat: Turn::default(),
-            lane: Lane::Fresh(0),
-            seated: false,
-            turn: r.key.filter(|_| in_order),
+            ticket: Ticket::default(),
+            sub_queue: SubQueue::Fresh(0),
+            is_enqueued: false,
+            ordering_key: r.key.filter(|_| in_order),
             flows: r.flows,
             spent: false,
             sticky_cell: r.sticky_cell,
@@ -96,22 +103,28 @@
 
     /// Reckons its times anew, from its last byte on. A held request is worth holding only while its aim can be met,
     /// also where a late answer keeps some worth: else, in lasting overload, the whole queue is served late. It is
-    /// given up `early`: a refusal must come while it is still harmless.
-    pub(crate) fn date(&mut self, now: Time, class: &Class, send_deadline: Time, early: Span) {
+    /// given up `give_up_margin`: a refusal must come while it is still harmless.
+    pub(crate) fn date(
+        &mut self,
+        now: Time,
+        class: &Class,
+        send_deadline: Time,
+        give_up_margin: Span,
+    ) {
         let aim_at = send_deadline.min(now.plus(class.latency_objective));
         self.send_deadline = send_deadline;
-        self.worth_until = if class.late_priority_weight > 0.0 { send_deadline } else { aim_at };
-        self.hold_until = aim_at.plus(Span(-early.0));
+        self.valuable_until = if class.late_priority_weight > 0.0 { send_deadline } else { aim_at };
+        self.queue_deadline = aim_at.plus(Span(-give_up_margin.0));
     }
 
-    pub(crate) fn out(&self) -> bool {
-        self.attempts.iter().any(|a| a.fate == Fate::Out)
+    pub(crate) fn is_in_flight(&self) -> bool {
+        self.attempts.iter().any(|a| a.state == AttemptState::InFlight)
     }
     pub(crate) fn all_never_ran(&self) -> bool {
         self.may_have_run().next().is_none()
     }
     /// Those that are out, too.
     pub(crate) fn may_have_run(&self) -> impl Iterator<Item = &Attempt> {
-        self.attempts.iter().filter(|a| a.fate != Fate::NeverRan)
+        self.attempts.iter().filter(|a| a.state != AttemptState::NeverRan)
     }
 }
--- a/crates/policy/src/upstreams.rs
+++ b/crates/policy/src/upstreams.rs
@@ -8,18 +8,18 @@
 use hollowpaddle_ordered_collections::timers::Timers;
 use rustc_hash::{FxHashMap, FxHashSet};
 
-use crate::capacity::{Capacity, RoomList, Rooms, ShutClass};
+use crate::capacity::{Capacity, CapacityGroups, EjectedClass, GroupList};
 use crate::chunked::Chunked;
 use crate::interface::{Group, ServerId, Settings, Status, Time};
 use crate::machine_types::MachineTypes;
-use crate::request_state::Bound;
+use crate::request_state::Affinity;
 
 mod availability;
 mod list;
 mod position;
 mod server;
 
-pub(crate) use availability::Standing;
+pub(crate) use availability::Availability;
 pub(crate) use server::Server;
 
 /// All upstreams.
@@ -38,9 +38,9 @@
     cells: FxHashMap<(u32, u32), Vec<u32>>,
     /// Whether keys bind some class to a zone: trees are kept by zone then.
     zoned: bool,
-    pub(crate) rooms: Rooms,
+    pub(crate) capacity_groups: CapacityGroups,
     /// Classes that some upstream is shut to.
-    shut: FxHashMap<u32, ShutClass>,
+    shut: FxHashMap<u32, EjectedClass>,
     pub(crate) kinds: MachineTypes,
     /// When one that rests is to be looked at again.
     pub(crate) timers: Timers,
@@ -56,7 +56,7 @@
             ring: Ring::default(),
             cells: FxHashMap::default(),
             zoned: settings.classes.iter().any(|c| c.group == Group::Zone),
-            rooms: Rooms::new(&settings),
+            capacity_groups: CapacityGroups::new(&settings),
             shut: FxHashMap::default(),
             kinds: MachineTypes::new(&settings),
             timers: Timers::default(),
@@ -66,13 +66,13 @@
     }
 
     /// Whether an upstream is of a zone and kind that a class is bound to, and the class not kept from it.
-    pub(crate) fn is_open(&self, class: usize, s: &Server) -> bool {
-        s.rooms.binary_search(&self.rooms.room_of(class)).is_ok()
+    pub(crate) fn serves(&self, class: usize, s: &Server) -> bool {
+        s.capacity_groups.binary_search(&self.capacity_groups.group_of_class(class)).is_ok()
     }
 
     /// The rooms that an upstream belongs to.
-    fn rooms_of(&self, s: &Server) -> RoomList {
-        self.rooms.of_upstream(s.kind, |class| {
+    fn groups_of(&self, s: &Server) -> GroupList {
+        self.capacity_groups.groups_of_upstream(s.kind, |class| {
             let c = &self.settings.classes[class];
             !(self.settings.barring && bars(s.barred, class))
                 && c.zones.as_ref().is_none_or(|z| z.contains(&s.zone))
@@ -80,12 +80,12 @@
         })
     }
 
-    pub(crate) fn in_bound(&self, bound: Bound, server: usize) -> bool {
+    pub(crate) fn satisfies(&self, affinity: Affinity, server: usize) -> bool {
         let s = &self.servers[server];
-        match bound {
-            Bound::Any => true,
-            Bound::Zone(zone) => s.zone == zone,
-            Bound::Cell(zone, cell) => (s.zone, s.cell) == (zone, cell),
+        match affinity {
+            Affinity::Any => true,
+            Affinity::Zone(zone) => s.zone == zone,
+            Affinity::Cell(zone, cell) => (s.zone, s.cell) == (zone, cell),
         }
     }
 
@@ -102,7 +102,7 @@
         let was_summed = std::mem::replace(&mut s.is_summed, is_live);
         let (was, now) = (Some(was).filter(|_| was_summed), Some(now).filter(|_| is_live));
         if was != now {
-            self.rooms.sum(&s.rooms, was, now);
+            self.capacity_groups.sum(&s.capacity_groups, was, now);
         }
     }
 
@@ -112,20 +112,20 @@
     }
 
     /// Whether there is a live one within bounds that a class may be sent to, beside these.
-    pub(crate) fn any(&self, class: usize, bound: Bound, beside: &[usize]) -> bool {
+    pub(crate) fn any(&self, class: usize, affinity: Affinity, beside: &[usize]) -> bool {
         let open = |i: &usize| {
             let s = &self.servers[*i];
-            s.status == Status::Live && self.is_open(class, s) && self.in_bound(bound, *i)
+            s.status == Status::Live && self.serves(class, s) && self.satisfies(affinity, *i)
         };
-        match bound {
-            Bound::Any => {
+        match affinity {
+            Affinity::Any => {
                 let taken = beside.iter().filter(|i| open(i)).collect::<FxHashSet<_>>().len();
-                self.rooms.of_class(class).live > taken
+                self.capacity_groups.of_class(class).live > taken
             }
-            Bound::Cell(zone, cell) => {
+            Affinity::Cell(zone, cell) => {
                 self.cell(zone, cell).any(|i| open(&i) && !beside.contains(&i))
             }
-            Bound::Zone(_) => {
+            Affinity::Zone(_) => {
                 let mut all = (0..self.ring.len()).map(|j| self.ring.at(j).slot);
                 all.any(|i| open(&i) && !beside.contains(&i))
             }
@@ -136,7 +136,7 @@
     pub(crate) fn count_in_flight(&mut self, server: usize, change: i32) {
         let s = &mut self.servers[server];
         s.in_flight = s.in_flight.saturating_add_signed(change);
-        self.rooms.count(&s.rooms, 0, change as isize);
+        self.capacity_groups.count(&s.capacity_groups, 0, change as isize);
     }
 
     /// Live ones, and how many of them do not rest.
@@ -150,10 +150,10 @@
     pub(crate) fn preload(&self, slots: &[usize]) {
         for &slot in slots {
             let s = &self.servers[slot];
-            black_box((s.weight, s.refilled, s.k, s.close_until, s.status));
+            black_box((s.weight, s.earned_at, s.k, s.close_idle_until, s.status));
         }
         for &slot in slots {
-            self.rooms.preload(&self.servers[slot].rooms);
+            self.capacity_groups.preload(&self.servers[slot].capacity_groups);
         }
     }
 }
--- a/crates/policy/src/upstreams/list.rs
+++ b/crates/policy/src/upstreams/list.rs
@@ -4,10 +4,10 @@
 use hollowpaddle_ordered_collections::tournament::Key;
 use rustc_hash::FxHashSet;
 
-use super::availability::Standing;
+use super::availability::Availability;
 use super::{Server, Upstreams};
 use crate::breakers::{Breaker, ClassBreakers};
-use crate::capacity::{Capacity, RoomList};
+use crate::capacity::{Capacity, GroupList};
 use crate::estimate::Estimate;
 use crate::interface::{ListKind, Member, ServerId, Status, Time};
 
@@ -71,9 +71,9 @@
         let restarted = s.started != m.started && m.started.is_some();
         (s.zone, s.kind, s.cell) = (m.zone, m.kind, m.cell);
         (s.status, s.started, s.weight, s.barred) = (m.status, m.started, weight, m.barred);
-        s.kept_kind = self.kinds.enter(m.kind);
-        let rooms = self.rooms_of(&self.servers[server]);
-        self.servers[server].rooms = rooms;
+        s.type_index = self.kinds.enter(m.kind);
+        let capacity_groups = self.groups_of(&self.servers[server]);
+        self.servers[server].capacity_groups = capacity_groups;
         self.enlist(server, 1);
         match m.status {
             Status::Live => moved.1.push(self.place_of(server)),
@@ -90,7 +90,7 @@
             id: m.id,
             zone: m.zone,
             kind: 0,
-            kept_kind: 0,
+            type_index: 0,
             cell: m.cell,
             cell_index: 0,
             status: Status::Gone,
@@ -99,27 +99,27 @@
             barred: 0,
             identity: m.identity,
             in_flight: 0,
-            changed: now,
-            done_at: 0,
+            in_flight_changed: now,
+            level_at_last_answer: 0,
             breaker: Breaker::default(),
             by_class: ClassBreakers::default(),
-            answered: Time(i64::MIN),
-            est: Estimate::NONE,
+            last_answered_sent: Time(i64::MIN),
+            estimate: Estimate::NONE,
             k: 1.0,
             n: 0.0,
             cost: 0.0,
-            tokens: 0.0,
-            refilled: now,
-            trial: 0,
-            reach: 0.0,
-            close_until: now,
-            refs: 0,
-            rooms: RoomList::default(),
+            earned_sends: 0.0,
+            earned_at: now,
+            probe: 0,
+            distance: 0.0,
+            close_idle_until: now,
+            attempt_refs: 0,
+            capacity_groups: GroupList::default(),
             is_summed: false,
             is_warm: false,
-            is_spotted: false,
-            has_stood_free: false,
-            cost_stood: 0.0,
+            is_partly_ejected: false,
+            was_available: false,
+            cost_when_available: 0.0,
         };
         if slot == self.servers.len() {
             self.servers.push(s)
@@ -135,7 +135,11 @@
         let s = &self.servers[server];
         if s.is_warm || s.is_summed {
             let as_it_is = Capacity { k: s.k, n: s.n };
-            self.stand(now, server, Standing { key: Key::OUT, warm: false, spotted: false });
+            self.set_availability(
+                now,
+                server,
+                Availability { key: Key::OUT, warm: false, partly_ejected: false },
+            );
             self.sum(server, as_it_is);
         }
     }
@@ -144,7 +148,7 @@
     fn enlist(&mut self, server: usize, change: isize) {
         let s = &self.servers[server];
         let live = if s.status == Status::Live { change } else { 0 };
-        self.rooms.count(&s.rooms, live, change * s.in_flight as isize);
+        self.capacity_groups.count(&s.capacity_groups, live, change * s.in_flight as isize);
         if live > 0 {
             self.enter_cell(server);
         } else if live < 0 {
@@ -180,11 +184,11 @@
             if s.status != Status::Gone || self.by_id.get(&s.id) != Some(&(i as u32)) {
                 continue;
             }
-            if now < s.close_until || s.refs > 0 {
+            if now < s.close_idle_until || s.attempt_refs > 0 {
                 self.departed.push(i);
                 continue;
             }
-            dropped(&s.est);
+            dropped(&s.estimate);
             self.by_id.remove(&s.id);
             self.vacant.push(i);
         }
--- a/crates/policy/src/upstreams/server.rs
+++ b/crates/policy/src/upstreams/server.rs
@@ -3,7 +3,7 @@
 use hollowpaddle_ordered_collections::tournament::Key;
 
 use crate::breakers::{Breaker, ClassBreakers};
-use crate::capacity::RoomList;
+use crate::capacity::GroupList;
 use crate::estimate::Estimate;
 use crate::interface::{Member, ServerId, Status, Time};
 
@@ -14,7 +14,7 @@
     pub(crate) zone: u32,
     /// Its machine type as the list has it, and the number under which figures of it are kept.
     pub(super) kind: u32,
-    pub(crate) kept_kind: u32,
+    pub(crate) type_index: u32,
     pub(crate) cell: u32,
     /// Its index among the live ones of its cell.
     pub(super) cell_index: u32,
@@ -25,39 +25,39 @@
     pub(crate) identity: u64,
     pub(crate) in_flight: u32,
     /// When that last changed.
-    pub(crate) changed: Time,
+    pub(crate) in_flight_changed: Time,
     /// How many were out, as its last answer was booked; 0 if something was sent since.
-    pub(crate) done_at: u32,
+    pub(crate) level_at_last_answer: u32,
     /// Turned away or out of reach; and, class by class, unanswered or in error.
     pub(crate) breaker: Breaker,
     pub(crate) by_class: ClassBreakers,
     /// When the latest-sent of its answered attempts was sent.
-    pub(crate) answered: Time,
-    pub(crate) est: Estimate,
+    pub(crate) last_answered_sent: Time,
+    pub(crate) estimate: Estimate,
     /// K_i and N_i per unit of time as of its last answer or sweep, and its cost then.
     pub(crate) k: f64,
     pub(crate) n: f64,
     pub(crate) cost: f64,
     /// Sends a young upstream may still get, and when that was last reckoned.
-    pub(crate) tokens: f64,
-    pub(crate) refilled: Time,
+    pub(crate) earned_sends: f64,
+    pub(crate) earned_at: Time,
     /// Lanes more or fewer than its kind has, by way of trial.
-    pub(crate) trial: i32,
+    pub(crate) probe: i32,
     /// How far from this proxy's own part of the fleet, in such parts.
-    pub(crate) reach: f64,
+    pub(crate) distance: f64,
     /// Until when idle connections are closed again and again, where a rule asks for it.
-    pub(crate) close_until: Time,
+    pub(crate) close_idle_until: Time,
     /// Attempts of live requests that went there.
-    pub(crate) refs: u32,
-    pub(super) rooms: RoomList,
+    pub(crate) attempt_refs: u32,
+    pub(super) capacity_groups: GroupList,
     /// Whether K_i and N_i are in the sums of its rooms, and its weight in that of its kind as warm.
     pub(super) is_summed: bool,
     pub(super) is_warm: bool,
     /// Whether some class was shut when it last stood.
-    pub(super) is_spotted: bool,
+    pub(super) is_partly_ejected: bool,
     /// Whether it last stood with a free slot, and its cost then.
-    pub(super) has_stood_free: bool,
-    pub(super) cost_stood: f64,
+    pub(super) was_available: bool,
+    pub(super) cost_when_available: f64,
 }
 
 impl Server {
--- a/crates/policy/tests/scanning/policy.rs
+++ b/crates/policy/tests/scanning/policy.rs
@@ -27,7 +27,7 @@
 
 use hollowpaddle_ordered_collections::total::Total;
 use hollowpaddle_policy::interface::*;
-use hollowpaddle_policy::list_polling::Asking;
+use hollowpaddle_policy::list_polling::ListPoller;
 
 use super::state::*;
 
@@ -223,7 +223,7 @@
     fleet: Fleet,
     /// What each tenant may still send within its share.
     quotas: Vec<Quota>,
-    ask: Asking,
+    ask: ListPoller,
 }
 
 // ---------------------------------------------------------------- estimator: TP, TS -> K, N
@@ -1203,7 +1203,7 @@
                 ..Fleet::default()
             },
             quotas: settings.tenants.iter().map(|_| Quota { tokens: 1.0, counted: now }).collect(),
-            ask: Asking::new(&settings, now, 0.0),
+            ask: ListPoller::new(&settings, now, 0.0),
             settings,
         })
     }
@@ -1230,7 +1230,7 @@
 
     /// Begins to keep time and to ask for the list, with the first event.
     fn start(&mut self, now: Time, out: &mut Vec<Action>) {
-        self.ask = Asking::new(&self.settings, now, self.rng.rand_float());
+        self.ask = ListPoller::new(&self.settings, now, self.rng.rand_float());
         self.arm_ask(out);
         self.arm(now, out);
     }
@@ -1262,7 +1262,7 @@
     }
 
     fn ask_for_list(&mut self, now: Time, out: &mut Vec<Action>) {
-        if self.settings.polls_list && self.ask.asks(now) {
+        if self.settings.polls_list && self.ask.poll_if_due(now) {
             out.push(Action::Subscribe);
             self.arm_ask(out);
         }
@@ -1280,7 +1280,7 @@
                 return self.arm_ask(out);
             }
             ListKind::Restored | ListKind::Aside => {}
-            ListKind::Update | ListKind::Complete => self.ask.told(),
+            ListKind::Update | ListKind::Complete => self.ask.notified(),
         }
         let before: Vec<Status> = self.servers.iter().map(|s| s.status).collect();
         self.listed.clear();
