--- a/crates/gateway/src/bodies.rs
+++ b/crates/gateway/src/bodies.rs
@@ -11,29 +11,29 @@
 
 /// What bodies of one side may take together. Atomic since `Bytes` asks for it; there is one thread.
 #[derive(Clone)]
-pub struct Allowance {
+pub struct MemoryBudget {
     taken: Arc<AtomicUsize>,
     most: usize,
 }
 
 /// A part of it, for as long as it is held.
-pub struct Room {
-    of: Allowance,
+pub struct MemoryReservation {
+    of: MemoryBudget,
     bytes: usize,
 }
 
-impl Allowance {
+impl MemoryBudget {
     pub fn new(most: usize) -> Self {
         Self { taken: Arc::default(), most }
     }
 
-    pub fn room(&self, bytes: usize) -> Option<Room> {
-        let mut room = Room { of: self.clone(), bytes: 0 };
+    pub fn room(&self, bytes: usize) -> Option<MemoryReservation> {
+        let mut room = MemoryReservation { of: self.clone(), bytes: 0 };
         room.reach(bytes).then_some(room)
     }
 }
 
-impl Room {
+impl MemoryReservation {
     /// Grows to so many bytes, if there are as many left.
     pub fn reach(&mut self, bytes: usize) -> bool {
         let more = bytes.saturating_sub(self.bytes);
@@ -47,25 +47,25 @@
     }
 }
 
-impl Drop for Room {
+impl Drop for MemoryReservation {
     fn drop(&mut self) {
         self.of.taken.fetch_sub(self.bytes, Relaxed);
     }
 }
 
 /// A body that is counted until its last copy is dropped, a slow reader's too.
-pub struct Counted {
+pub struct ReservedBytes {
     body: BytesMut,
-    _room: Room,
+    _room: MemoryReservation,
 }
 
-impl Counted {
-    pub fn bytes(body: BytesMut, room: Room) -> Bytes {
+impl ReservedBytes {
+    pub fn bytes(body: BytesMut, room: MemoryReservation) -> Bytes {
         Bytes::from_owner(Self { body, _room: room })
     }
 }
 
-impl AsRef<[u8]> for Counted {
+impl AsRef<[u8]> for ReservedBytes {
     fn as_ref(&self) -> &[u8] {
         &self.body
     }
@@ -73,15 +73,15 @@
 
 /// Why a client's body was not taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum NotTaken {
+pub enum BodyError {
     /// It ends early, or can't be read.
     Malformed,
     /// It is longer than it may be.
-    TooLong,
+    TooLarge,
     /// It comes more slowly than a client may send.
     TooSlow,
     /// There is no memory for it now.
-    NoRoom,
+    OutOfMemory,
 }
 
 /// How much a client may send, and how slowly.
@@ -104,9 +104,9 @@
 
 /// What was taken of a client's body.
 #[derive(Debug)]
-pub enum Taken<B> {
+pub enum ReceivedBody<B> {
     /// All of it.
-    Whole(Bytes),
+    Complete(Bytes),
     /// It is longer than what is held here, and begins like this.
     Long {
         /// What has come.
@@ -127,8 +127,8 @@
     mut body: B,
     pace: Pace,
     held: usize,
-    allowance: &Allowance,
-) -> Result<Taken<B>, NotTaken>
+    allowance: &MemoryBudget,
+) -> Result<ReceivedBody<B>, BodyError>
 where
     B: Body<Data = Bytes> + Unpin,
 {
@@ -136,27 +136,33 @@
     let length = body.size_hint().exact();
     let announced = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
     if announced > pace.longest {
-        return Err(NotTaken::TooLong);
+        return Err(BodyError::TooLarge);
     }
     if announced > held {
-        return Ok(Taken::Long { first: Bytes::new(), rest: body, length });
+        return Ok(ReceivedBody::Long { first: Bytes::new(), rest: body, length });
     }
-    let mut room = allowance.room(announced).ok_or(NotTaken::NoRoom)?;
+    let mut room = allowance.room(announced).ok_or(BodyError::OutOfMemory)?;
     let mut read = BytesMut::with_capacity(announced);
     loop {
         let until = from + pace.allows(read.len());
-        let frame = timeout_at(until, body.frame()).await.map_err(|_| NotTaken::TooSlow)?;
-        let Some(frame) = frame else { return Ok(Taken::Whole(Counted::bytes(read, room))) };
-        let Ok(data) = frame.map_err(|_| NotTaken::Malformed)?.into_data() else { continue };
+        let frame = timeout_at(until, body.frame()).await.map_err(|_| BodyError::TooSlow)?;
+        let Some(frame) = frame else {
+            return Ok(ReceivedBody::Complete(ReservedBytes::bytes(read, room)));
+        };
+        let Ok(data) = frame.map_err(|_| BodyError::Malformed)?.into_data() else { continue };
         if read.len() + data.len() > pace.longest {
-            return Err(NotTaken::TooLong);
+            return Err(BodyError::TooLarge);
         }
         if !room.reach(read.len() + data.len()) {
-            return Err(NotTaken::NoRoom);
+            return Err(BodyError::OutOfMemory);
         }
         read.extend_from_slice(&data);
         if read.len() > held {
-            return Ok(Taken::Long { first: Counted::bytes(read, room), rest: body, length });
+            return Ok(ReceivedBody::Long {
+                first: ReservedBytes::bytes(read, room),
+                rest: body,
+                length,
+            });
         }
     }
 }
@@ -213,56 +219,62 @@
 
     #[tokio::test]
     async fn a_body_takes_room_until_its_last_copy_is_gone() {
-        let allowance = Allowance::new(10);
+        let allowance = MemoryBudget::new(10);
         let body = || Full::new(Bytes::from_static(b"123456"));
         let first = whole(body(), PACE, &allowance).await.expect("there is room");
         assert_eq!(first, "123456");
-        assert_eq!(whole(body(), PACE, &allowance).await, Err(NotTaken::NoRoom));
+        assert_eq!(whole(body(), PACE, &allowance).await, Err(BodyError::OutOfMemory));
         let part = first.slice(2..3);
         drop(first);
-        assert_eq!(whole(body(), PACE, &allowance).await, Err(NotTaken::NoRoom), "a copy is left");
+        assert_eq!(
+            whole(body(), PACE, &allowance).await,
+            Err(BodyError::OutOfMemory),
+            "a copy is left"
+        );
         drop(part);
         let short = Pace { longest: 5, ..PACE };
-        assert_eq!(whole(body(), short, &allowance).await, Err(NotTaken::TooLong));
+        assert_eq!(whole(body(), short, &allowance).await, Err(BodyError::TooLarge));
         assert!(whole(body(), PACE, &allowance).await.is_ok());
         assert_eq!(allowance.taken.load(Relaxed), 0);
     }
 
     /// All of it, if it is not long.
-    async fn whole<B>(body: B, pace: Pace, allowance: &Allowance) -> Result<Bytes, NotTaken>
+    async fn whole<B>(body: B, pace: Pace, allowance: &MemoryBudget) -> Result<Bytes, BodyError>
     where
         B: Body<Data = Bytes> + Unpin + std::fmt::Debug,
     {
         match take(body, pace, 6, allowance).await? {
-            Taken::Whole(body) => Ok(body),
+            ReceivedBody::Complete(body) => Ok(body),
             long => panic!("not whole: {long:?}"),
         }
     }
 
     #[tokio::test(start_paused = true)]
     async fn a_client_may_be_slow_up_to_a_pace() {
-        let allowance = Allowance::new(10);
+        let allowance = MemoryBudget::new(10);
         // 6 bytes may take 100 + 60 ms, and each must come in the time of those before it.
         let taken = whole(trickle(6, 22), PACE, &allowance).await;
         assert_eq!(taken.expect("in time").len(), 6);
-        assert_eq!(whole(trickle(6, 35), PACE, &allowance).await, Err(NotTaken::TooSlow));
-        assert_eq!(whole(trickle(1, 200), PACE, &allowance).await, Err(NotTaken::TooSlow));
-        assert_eq!(whole(trickle(7, 1), PACE, &allowance).await, Err(NotTaken::TooLong));
+        assert_eq!(whole(trickle(6, 35), PACE, &allowance).await, Err(BodyError::TooSlow));
+        assert_eq!(whole(trickle(1, 200), PACE, &allowance).await, Err(BodyError::TooSlow));
+        assert_eq!(whole(trickle(7, 1), PACE, &allowance).await, Err(BodyError::TooLarge));
     }
 
     #[tokio::test(start_paused = true)]
     async fn what_is_longer_than_is_held_is_left_to_flow() {
-        let allowance = Allowance::new(10);
+        let allowance = MemoryBudget::new(10);
         let long = Pace { longest: 20, ..PACE };
         let body = Full::new(Bytes::from_static(b"12345678"));
         let taken = take(body, long, 6, &allowance).await.expect("not too long");
         assert!(
-            matches!(taken, Taken::Long { ref first, length: Some(8), .. } if first.is_empty()),
+            matches!(taken, ReceivedBody::Long { ref first, length: Some(8), .. } if first.is_empty()),
             "{taken:?}"
         );
         // One that announces nothing is read until it is known to be long.
         let taken = take(trickle(9, 1), long, 6, &allowance).await.expect("not too long");
-        assert!(matches!(taken, Taken::Long { ref first, length: None, .. } if first.len() == 7));
+        assert!(
+            matches!(taken, ReceivedBody::Long { ref first, length: None, .. } if first.len() == 7)
+        );
         assert_eq!(allowance.taken.load(Relaxed), 7);
     }
 }
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -26,19 +26,19 @@
 use rustc_hash::FxHashSet;
 use tokio::time::{Instant, sleep};
 
-use crate::bodies::{Allowance, NotTaken, Pace, Taken, take};
+use crate::bodies::{BodyError, MemoryBudget, Pace, ReceivedBody, take};
 use crate::closing::{CloseReason, close};
 use crate::config::{Budget, Config};
-use crate::connections::{Connections, Seat};
+use crate::connections::{ConnectionSlot, Connections};
 use crate::engine::{Arrival, Handle, Reply};
-use crate::flow::Flow;
+use crate::flow::StreamedBody;
 use crate::http::{HEAD_LIMIT, HEAD_LINES};
 use crate::invariants::{Invariant, Violations};
-use crate::relay::AnswerBody;
-use crate::sleepers::Sleepers;
-use crate::stream::{Cancellation, LookAhead, RawHead, Shared, Tapped};
-use crate::tasks::Word;
-use crate::upstreams::{Forward, Onward};
+use crate::relay::ResponseBody;
+use crate::sleepers::StallDetector;
+use crate::stream::{Cancellation, ObservedStream, RawHead, ReadAhead, SharedStream};
+use crate::tasks::CloseSignal;
+use crate::upstreams::{ForwardedBody, ForwardedRequest};
 
 /// The largest body that a client may send, in bytes.
 const BODY_LIMIT: usize = 32 << 20;
@@ -72,7 +72,7 @@
     "content-length",
 ];
 
-type Answer = Response<AnswerBody>;
+type Answer = Response<ResponseBody>;
 
 pub struct Front {
     engine: Handle,
@@ -82,8 +82,8 @@
     longest: Duration,
     connections: Rc<Connections>,
     open_ids: RefCell<FxHashSet<TenantRequest>>,
-    bodies: Allowance,
-    sleepers: Rc<Sleepers>,
+    bodies: MemoryBudget,
+    sleepers: Rc<StallDetector>,
     /// The process ends.
     stopping: Cell<bool>,
     /// By when all is answered, once it does.
@@ -93,7 +93,7 @@
     /// How often they have said so, or the contrary.
     quiesce_serial: Cell<u64>,
     /// Given to all connections that were there by then: close once nothing is open.
-    closing: RefCell<Rc<Word>>,
+    closing: RefCell<Rc<CloseSignal>>,
 }
 
 /// An id of a request, and whose: tenants choose theirs without knowing of each other.
@@ -118,14 +118,14 @@
 /// The answer that is owed for a request once its last byte has been read.
 struct Owed<'a> {
     violations: &'a Violations,
-    client: &'a Shared,
-    ahead: &'a LookAhead,
+    client: &'a SharedStream,
+    ahead: &'a ReadAhead,
     begun: Instant,
     is_answered: bool,
 }
 
 impl<'a> Owed<'a> {
-    fn new(violations: &'a Violations, client: &'a Shared, ahead: &'a LookAhead) -> Self {
+    fn new(violations: &'a Violations, client: &'a SharedStream, ahead: &'a ReadAhead) -> Self {
         Self { violations, client, ahead, begun: Instant::now(), is_answered: false }
     }
 
@@ -158,7 +158,7 @@
             deadlines,
             connections: Connections::new(budget.clients, budget.clients_at_ease),
             open_ids: RefCell::default(),
-            bodies: Allowance::new(config.memory / BODIES_OF_MEMORY),
+            bodies: MemoryBudget::new(config.memory / BODIES_OF_MEMORY),
             sleepers: Rc::default(),
             stopping: Cell::new(false),
             ends: Cell::new(None),
@@ -200,7 +200,7 @@
 
     /// Serves a connection that was accepted.
     fn begin(self: &Rc<Self>, stream: Box<dyn Stream>) {
-        let (io, stream, traffic) = Tapped::new(stream);
+        let (io, stream, traffic) = ObservedStream::new(stream);
         // It has its place before the next one is accepted, and hears the next word to close. Failure: a task that ran
         // only after that word waited for one that nobody gives.
         let (seat, closing) = (self.connections.seat(traffic), self.closing.borrow().clone());
@@ -208,10 +208,16 @@
     }
 
     /// All requests of one connection, which is told to close by `closing`.
-    async fn converse(self: Rc<Self>, io: Tapped, stream: Shared, seat: Seat, closing: Rc<Word>) {
+    async fn converse(
+        self: Rc<Self>,
+        io: ObservedStream,
+        stream: SharedStream,
+        seat: ConnectionSlot,
+        closing: Rc<CloseSignal>,
+    ) {
         let known = seat.connection();
         let raw = RawHead::new(&self.sleepers);
-        let ahead = LookAhead::default();
+        let ahead = ReadAhead::default();
         let io = io.keeping(&raw, &ahead);
         let service = service_fn(|request| self.respond(request, &seat, &raw, &ahead, &stream));
         let reason = {
@@ -272,10 +278,10 @@
     async fn respond(
         &self,
         request: Request<Incoming>,
-        seat: &Seat,
+        seat: &ConnectionSlot,
         raw: &RawHead,
-        ahead: &LookAhead,
-        stream: &Shared,
+        ahead: &ReadAhead,
+        stream: &SharedStream,
     ) -> Result<Answer, Infallible> {
         raw.stop();
         ahead.begin();
@@ -300,8 +306,8 @@
         raw.next();
         owed.answered(answer.status());
         match answer.body_mut() {
-            AnswerBody::Whole(_) => seat.answered(),
-            AnswerBody::Passing(passing) => passing.hold(seat.answering()),
+            ResponseBody::Complete(_) => seat.answered(),
+            ResponseBody::Streamed(passing) => passing.hold(seat.answering()),
         }
         Ok(answer)
     }
@@ -310,8 +316,8 @@
         &self,
         request: Request<Incoming>,
         raw: &RawHead,
-        ahead: &LookAhead,
-        stream: &Shared,
+        ahead: &ReadAhead,
+        stream: &SharedStream,
     ) -> Answer {
         let (head, body) = request.into_parts();
         if let Err(what) = framed(&head, raw) {
@@ -319,13 +325,13 @@
         }
         let pace = Pace { longest: BODY_LIMIT, grace: BODY_GRACE, a_byte: BODY_A_BYTE };
         let (body, length) = match take(body, pace, BODY_HELD, &self.bodies).await {
-            Ok(Taken::Whole(body)) => {
+            Ok(ReceivedBody::Complete(body)) => {
                 ahead.whole();
                 let length = Some(body.len() as u64);
-                (Onward::Whole(body), length)
+                (ForwardedBody::Buffered(body), length)
             }
-            Ok(Taken::Long { first, rest, length }) => {
-                (Onward::Flows(Flow::new(first, rest, length, pace)), length)
+            Ok(ReceivedBody::Long { first, rest, length }) => {
+                (ForwardedBody::Streamed(StreamedBody::new(first, rest, length, pace)), length)
             }
             Err(why) => return not_taken(why),
         };
@@ -343,7 +349,7 @@
         };
         let request = self.engine.next_id();
         tracing::debug!(request = request.0, id = ?head.headers.get("x-request-id"), "request");
-        let forward = Forward {
+        let forward = ForwardedRequest {
             method: head.method,
             uri: origin_form(head.uri),
             headers: onward(head.headers, length),
@@ -391,7 +397,7 @@
         head: &Parts,
         empty: bool,
         arrived: Instant,
-        stream: &Shared,
+        stream: &SharedStream,
     ) -> Result<Arrival, &'static str> {
         let text = |name: &str| head.headers.get(name).and_then(|v| v.to_str().ok());
         let class = text("x-class").ok_or("X-Class")?;
@@ -473,12 +479,12 @@
 }
 
 /// The word to a client whose body was not taken.
-fn not_taken(why: NotTaken) -> Answer {
+fn not_taken(why: BodyError) -> Answer {
     match why {
-        NotTaken::Malformed => malformed("body"),
-        NotTaken::TooLong => bare(StatusCode::PAYLOAD_TOO_LARGE),
-        NotTaken::TooSlow => bare(StatusCode::REQUEST_TIMEOUT),
-        NotTaken::NoRoom => bare(StatusCode::SERVICE_UNAVAILABLE),
+        BodyError::Malformed => malformed("body"),
+        BodyError::TooLarge => bare(StatusCode::PAYLOAD_TOO_LARGE),
+        BodyError::TooSlow => bare(StatusCode::REQUEST_TIMEOUT),
+        BodyError::OutOfMemory => bare(StatusCode::SERVICE_UNAVAILABLE),
     }
 }
 
--- a/crates/gateway/src/closing.rs
+++ b/crates/gateway/src/closing.rs
@@ -13,7 +13,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::http::HEAD_LIMIT;
-use crate::stream::Shared;
+use crate::stream::SharedStream;
 
 /// A client is given so long to close its side after ours, in which it can read what was written last.
 const LINGER_TIME: Duration = Duration::from_millis(500);
@@ -40,7 +40,7 @@
 
 /// How a connection is closed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Manner {
+pub enum CloseMode {
     /// Behind an answer: what follows is read and dropped.
     Answered,
     /// A request's head is not whole: it is answered first.
@@ -50,8 +50,8 @@
 }
 
 /// Ends our sending, and waits until the client closes too, for a while.
-pub async fn close(stream: &Shared, manner: Manner) {
-    if manner == Manner::UnfinishedHead {
+pub async fn close(stream: &SharedStream, manner: CloseMode) {
+    if manner == CloseMode::UnfinishedHead {
         // Taken whole or not at all: nothing of ours waits to be written, as the caller has looked.
         let answer =
             |cx: &mut Context<'_>| Pin::new(&mut *stream.borrow_mut()).poll_write(cx, HEAD_TIMEOUT);
@@ -59,13 +59,15 @@
     }
     let _ = poll_fn(|cx| Pin::new(&mut *stream.borrow_mut()).poll_shutdown(cx)).await;
     let _ = match manner {
-        Manner::Answered | Manner::UnfinishedHead => timeout(LINGER_TIME, drain(stream)).await,
-        Manner::Resting => timeout(LINGER_TIME, wait_for_client(stream)).await,
+        CloseMode::Answered | CloseMode::UnfinishedHead => {
+            timeout(LINGER_TIME, drain(stream)).await
+        }
+        CloseMode::Resting => timeout(LINGER_TIME, wait_for_client(stream)).await,
     };
 }
 
 /// Reads what still comes, up to a bound.
-async fn drain(stream: &Shared) {
+async fn drain(stream: &SharedStream) {
     let mut scrap = vec![0; HEAD_LIMIT];
     let mut left = LINGER_BYTES;
     while left > 0 {
@@ -82,7 +84,7 @@
 }
 
 /// Waits for the client's close, or for a request that crosses with ours.
-async fn wait_for_client(stream: &Shared) {
+async fn wait_for_client(stream: &SharedStream) {
     poll_fn(|cx| stream.borrow_mut().poll_unread(cx)).await;
     if !stream.borrow().has_ended() {
         sleep(RESET_DELAY).await;
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -12,7 +12,7 @@
 use tokio::sync::Notify;
 use tokio::time::{Instant, sleep_until};
 
-use crate::closing::{CloseReason, Manner};
+use crate::closing::{CloseMode, CloseReason};
 use crate::stream::Traffic;
 
 /// A head must be whole this long after its first byte, and begin this long after its connection came up. With a body's
@@ -63,13 +63,13 @@
     }
 
     /// How it is to be closed for this reason, as things stand.
-    pub fn manner(&self, reason: CloseReason) -> Manner {
+    pub fn manner(&self, reason: CloseReason) -> CloseMode {
         let is_answering = matches!(self.state.get(), State::Asked | State::Answering { .. });
         let is_over = is_answering || reason == CloseReason::ExchangeOver;
         match (self.has_begun_head(), is_over || self.close_announced.get()) {
-            (false, false) => Manner::Resting,
-            (true, false) if !self.traffic.blocked() => Manner::UnfinishedHead,
-            _ => Manner::Answered,
+            (false, false) => CloseMode::Resting,
+            (true, false) if !self.traffic.blocked() => CloseMode::UnfinishedHead,
+            _ => CloseMode::Answered,
         }
     }
 
@@ -209,7 +209,7 @@
 }
 
 /// A connection's place among them, for as long as it is held.
-pub struct Seat(Place);
+pub struct ConnectionSlot(Place);
 
 #[derive(Clone)]
 struct Place {
@@ -229,7 +229,7 @@
     }
 }
 
-impl Seat {
+impl ConnectionSlot {
     pub fn connection(&self) -> &Connection {
         &self.0.connection
     }
@@ -273,7 +273,7 @@
     }
 }
 
-impl Drop for Seat {
+impl Drop for ConnectionSlot {
     fn drop(&mut self) {
         self.0.all.open.borrow_mut().remove(&self.0.id);
     }
@@ -298,7 +298,7 @@
         self.len() >= self.most
     }
 
-    pub fn seat(self: &Rc<Self>, traffic: Traffic) -> Seat {
+    pub fn seat(self: &Rc<Self>, traffic: Traffic) -> ConnectionSlot {
         let id = self.next.replace(self.next.get() + 1);
         let state = Cell::new(State::New { since: Instant::now(), head_begun: None });
         let connection = Rc::new(Connection {
@@ -308,7 +308,7 @@
             evicted: Notify::new(),
         });
         self.open.borrow_mut().insert(id, connection.clone());
-        Seat(Place { connection, all: self.clone(), id })
+        ConnectionSlot(Place { connection, all: self.clone(), id })
     }
 
     /// Makes one give way that has no request open: what has said nothing for longest, else what has idled
@@ -329,14 +329,14 @@
 
     use super::*;
 
-    async fn gone(seat: &Seat) -> bool {
+    async fn gone(seat: &ConnectionSlot) -> bool {
         timeout(Duration::ZERO, seat.connection().evicted()).await.is_ok()
     }
 
     #[tokio::test(start_paused = true)]
     async fn the_one_that_has_idled_longest_gives_way_and_none_with_an_open_request() {
         let all = Connections::new(3, 3);
-        let seats: Vec<Seat> = (0..3).map(|_| all.seat(Traffic::default())).collect();
+        let seats: Vec<ConnectionSlot> = (0..3).map(|_| all.seat(Traffic::default())).collect();
         assert!(all.full());
         seats[0].connection().asked();
         all.evict();
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -32,12 +32,12 @@
 
 /// How long a call is waited for that discovery has taken.
 #[derive(Debug, Default)]
-pub struct Patience {
+pub struct CallTimeout {
     /// Calls given up without an answer while discovery was crowded, since the last list.
     unanswered: u32,
 }
 
-impl Patience {
+impl CallTimeout {
     /// That of the next call.
     pub fn next(&self) -> Duration {
         CALL_PATIENCE * (1 << self.unanswered.min(list_polling::PATIENCE_DOUBLINGS))
@@ -46,8 +46,8 @@
     /// Learns from the end of a call. Only where discovery is known to be crowded a call without an answer may still have
     /// been waiting for its turn. Failure: one that hung for good was waited for longer and longer, and a list that came
     /// meanwhile was late.
-    pub fn call_ended(&mut self, ending: Ending, is_crowded: bool) {
-        if ending == Ending::Unanswered && is_crowded {
+    pub fn call_ended(&mut self, ending: WatchEnd, is_crowded: bool) {
+        if ending == WatchEnd::Unanswered && is_crowded {
             self.unanswered += 1;
         }
     }
@@ -60,12 +60,12 @@
     /// It has fallen silent. Whatever it says after all is told.
     Silent,
     /// The watch is over; nothing more comes from it.
-    Ended(Ending),
+    Ended(WatchEnd),
 }
 
 /// How a watch, or the call for one, came to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum WatchEnd {
     /// No connection came up.
     Unreachable,
     /// Discovery answered at once that it does not take the call: it works, and is crowded.
@@ -98,16 +98,16 @@
 
 impl WatchError {
     /// What that tells of discovery, where the call began so long ago.
-    fn ending(&self, elapsed: Duration) -> Ending {
+    fn ending(&self, elapsed: Duration) -> WatchEnd {
         match self {
-            Self::Connect(_) | Self::NoConnection => Ending::Unreachable,
-            Self::Status(_) if elapsed < AT_ONCE => Ending::ListCallRejected,
-            Self::Unanswered(_) => Ending::Unanswered,
+            Self::Connect(_) | Self::NoConnection => WatchEnd::Unreachable,
+            Self::Status(_) if elapsed < AT_ONCE => WatchEnd::ListCallRejected,
+            Self::Unanswered(_) => WatchEnd::Unanswered,
             Self::Status(_)
             | Self::Http(_)
             | Self::Malformed(_)
             | Self::Ended
-            | Self::Request(_) => Ending::Failed,
+            | Self::Request(_) => WatchEnd::Failed,
         }
     }
 }
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -28,20 +28,20 @@
 
 use crate::cluster::{Held as Rules, Listed, News as ClusterEvent, PolicyReader};
 use crate::config::Config;
-use crate::discovery::{News, Patience};
+use crate::discovery::{CallTimeout, News};
 use crate::freshness::Freshness;
-use crate::guard::{DRAIN_MARGIN, HOLD_UP, Permits, SendGuard};
+use crate::guard::{DRAIN_MARGIN, MAX_PROCESS_STALL, PolicyCheck, SendGuard};
 use crate::invariants::{Invariant, Violations};
 use crate::members::{List, Phase};
 use crate::membership::{Membership, Part};
-use crate::relay::AnswerBody;
+use crate::relay::ResponseBody;
 use crate::restored_list::RestoredList;
 use crate::start_times::{Delivery, StartTimes};
 use crate::stream::Cancellation;
 use crate::subsetting::Subsetting;
 use crate::tasks::AbortOnDrop;
 use crate::update_queue::UpdateQueue;
-use crate::upstreams::{Ended, Forward, Limit, Pool};
+use crate::upstreams::{AttemptLimits, Ended, ForwardedRequest, Pool};
 pub use handle::{Door, Handle};
 use list_watch::Watch;
 use repeats::Earlier;
@@ -69,11 +69,11 @@
 }
 
 /// What the engine is told.
-pub enum Note {
+pub enum EngineEvent {
     Arrived {
         id: RequestId,
         arrival: Arrival,
-        forward: Forward,
+        forward: ForwardedRequest,
         reply: oneshot::Sender<Reply>,
     },
     Left(RequestId),
@@ -130,7 +130,7 @@
 
 /// The one final answer.
 pub enum Reply {
-    Served(Response<AnswerBody>),
+    Served(Response<ResponseBody>),
     Refused { retry_after: Span },
     Failed { late: bool },
 }
@@ -144,7 +144,7 @@
 
 /// A request that is owed an answer, or has attempts out.
 struct Held {
-    forward: Rc<Forward>,
+    forward: Rc<ForwardedRequest>,
     /// Taken by the final answer.
     reply: Option<oneshot::Sender<Reply>>,
     /// Read by attempts right before they go on the wire.
@@ -207,8 +207,8 @@
 pub struct Engine {
     balancer: Balancer,
     clock: Clock,
-    notes: mpsc::UnboundedReceiver<Note>,
-    own_notes: mpsc::UnboundedSender<Note>,
+    notes: mpsc::UnboundedReceiver<EngineEvent>,
+    own_notes: mpsc::UnboundedSender<EngineEvent>,
     requests: FxHashMap<RequestId, Held>,
     timers: BinaryHeap<Reverse<(Instant, Due)>>,
     actions: Vec<Action>,
@@ -238,7 +238,7 @@
     freshness: Freshness,
     list_expired: bool,
     /// How long a call is waited for that discovery has taken.
-    patience: Patience,
+    patience: CallTimeout,
     second_copies: bool,
     max_attempts: usize,
     classes: Vec<interface::Class>,
@@ -285,7 +285,7 @@
         let mut settings = config.facts.settings();
         settings.barring = cluster.is_some();
         // What goes out at the very end of a window may be written a hold-up later.
-        let hold_up = Span(HOLD_UP.as_micros() as i64);
+        let hold_up = Span(MAX_PROCESS_STALL.as_micros() as i64);
         settings.classes.iter_mut().for_each(|c| {
             c.window = Span((c.window.0 - hold_up.0).max(0));
         });
@@ -338,7 +338,7 @@
             polls_list,
             freshness,
             list_expired: false,
-            patience: Patience::default(),
+            patience: CallTimeout::default(),
             second_copies,
             max_attempts,
             classes,
@@ -403,17 +403,17 @@
         }
     }
 
-    fn take(&mut self, note: Note) {
+    fn take(&mut self, note: EngineEvent) {
         self.keep_to_rules();
         self.look_at_list_age();
         match note {
             // Looked at with every note.
-            Note::Cluster(ClusterEvent::Changed) => {}
-            Note::Cluster(ClusterEvent::RefreshList) => self.ask_list(),
-            Note::Arrived { id, arrival, forward, reply } => {
+            EngineEvent::Cluster(ClusterEvent::Changed) => {}
+            EngineEvent::Cluster(ClusterEvent::RefreshList) => self.ask_list(),
+            EngineEvent::Arrived { id, arrival, forward, reply } => {
                 self.arrived(id, arrival, forward, reply);
             }
-            Note::Left(id) => {
+            EngineEvent::Left(id) => {
                 let Some(held) = self.requests.get_mut(&id) else { return };
                 if held.reply.take().is_some() {
                     tracing::debug!(request = id.0, "client gone");
@@ -421,30 +421,34 @@
                 }
                 self.forget(id);
             }
-            Note::Whole(id) => self.whole(id),
-            Note::Ended { id, attempt, ended } => {
+            EngineEvent::Whole(id) => self.whole(id),
+            EngineEvent::Ended { id, attempt, ended } => {
                 self.ended(id, attempt, ended);
                 self.catch_up();
             }
-            Note::Watched { serial, news } => self.heard(serial, news),
-            Note::Moved(discovery) => self.moved(discovery),
-            Note::Part if !self.update_queue.is_due() => {}
-            Note::Part => {
+            EngineEvent::Watched { serial, news } => self.heard(serial, news),
+            EngineEvent::Moved(discovery) => self.moved(discovery),
+            EngineEvent::Part if !self.update_queue.is_due() => {}
+            EngineEvent::Part => {
                 let list = self.update_queue.next_part();
                 self.tell_part(ListKind::Aside, &list);
             }
-            Note::Learned(reply) => drop(reply.send(self.balancer.learned())),
-            Note::Recall(learned) => match self.balancer.recall(self.clock.now(), &learned) {
-                Ok(()) => tracing::info!("goes on from what an older process has learned"),
-                Err(cause) => {
-                    tracing::warn!(%cause, "what an older process has learned is of no use")
+            EngineEvent::Learned(reply) => drop(reply.send(self.balancer.learned())),
+            EngineEvent::Recall(learned) => {
+                match self.balancer.recall(self.clock.now(), &learned) {
+                    Ok(()) => tracing::info!("goes on from what an older process has learned"),
+                    Err(cause) => {
+                        tracing::warn!(%cause, "what an older process has learned is of no use")
+                    }
                 }
-            },
-            Note::Listed { from, reply } => {
+            }
+            EngineEvent::Listed { from, reply } => {
                 let _ = reply.send((self.upstreams.part(from), self.is_vouched()));
             }
-            Note::HasNamed { name, reply } => drop(reply.send(self.upstreams.has_named(&name))),
-            Note::Cordoned { names, done } => {
+            EngineEvent::HasNamed { name, reply } => {
+                drop(reply.send(self.upstreams.has_named(&name)))
+            }
+            EngineEvent::Cordoned { names, done } => {
                 let list = self.upstreams.cordon(&names, Instant::now());
                 // Whoever is taken out is restarted: what idles there would end as a reset.
                 list.iter().for_each(|m| self.pool.close_idle(m.id));
@@ -458,7 +462,7 @@
         &mut self,
         id: RequestId,
         arrival: Arrival,
-        forward: Forward,
+        forward: ForwardedRequest,
         reply: oneshot::Sender<Reply>,
     ) {
         let waits = arrival.until.saturating_duration_since(Instant::now());
@@ -645,7 +649,7 @@
     /// Tells the module a part of a list. The rest follows behind whatever has come by now.
     fn tell_part(&mut self, kind: ListKind, list: &[interface::Member]) {
         if self.update_queue.is_due() {
-            let _ = self.own_notes.send(Note::Part);
+            let _ = self.own_notes.send(EngineEvent::Part);
         }
         self.tell(Event::Members { kind, list });
     }
@@ -776,12 +780,12 @@
             || now >= until.min(send_by)
             || held.forward.is_spent()
             || expiry.is_over(now);
-        let limit = Limit {
+        let limit = AttemptLimits {
             until,
             send_by,
             answer: held.waits - held.headroom,
             client_until: held.until + held.headroom,
-            window: (send_by < held.until).then(|| send_by + HOLD_UP),
+            window: (send_by < held.until).then(|| send_by + MAX_PROCESS_STALL),
         };
         held.attempts.push(tried);
         let (Some(target), true) = (target, may_repeat && !is_over && !twice) else {
@@ -789,7 +793,7 @@
             return;
         };
         let cancellation = held.cancellation.clone();
-        let permits = self.permits(server, id).map(|permits| Box::new(permits) as Permits);
+        let permits = self.permits(server, id).map(|permits| Box::new(permits) as PolicyCheck);
         let violations = self.violations.clone();
         let guard =
             SendGuard::new(id, server, limit, target, cancellation, expiry, permits, violations);
@@ -804,7 +808,7 @@
             (self.pool.clone(), self.own_notes.clone(), held.forward.clone());
         let task = tokio::task::spawn_local(async move {
             let ended = pool.attempt(&forward, guard).await;
-            let _ = notes.send(Note::Ended { id, attempt, ended });
+            let _ = notes.send(EngineEvent::Ended { id, attempt, ended });
         });
         held.attempts[attempt].task = Some(AbortOnDrop(task));
     }
--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -10,17 +10,17 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-use super::{Arrival, Note, Reply};
+use super::{Arrival, EngineEvent, Reply};
 use crate::cluster::News as ClusterEvent;
 use crate::freshness::Expiry;
 use crate::invariants::Violations;
 use crate::membership::Part;
 use crate::stream::Cancellation;
-use crate::upstreams::Forward;
+use crate::upstreams::ForwardedRequest;
 
 /// The engine as clients' connections see it.
 pub struct Handle {
-    pub(super) notes: mpsc::UnboundedSender<Note>,
+    pub(super) notes: mpsc::UnboundedSender<EngineEvent>,
     pub(super) next: Cell<u64>,
     pub(super) ready: Rc<Cell<bool>>,
     pub(super) heard: Rc<Cell<bool>>,
@@ -30,7 +30,7 @@
 
 /// The engine as operators reach it.
 pub struct Door {
-    pub(super) notes: mpsc::UnboundedSender<Note>,
+    pub(super) notes: mpsc::UnboundedSender<EngineEvent>,
     pub(super) ready: Rc<Cell<bool>>,
     pub(super) heard: Rc<Cell<bool>>,
     pub(super) list_expiry: Expiry,
@@ -61,26 +61,26 @@
     /// Whether a list has named this upstream.
     pub async fn has_named(&self, name: String) -> bool {
         let (reply, answer) = oneshot::channel();
-        let _ = self.notes.send(Note::HasNamed { name, reply });
+        let _ = self.notes.send(EngineEvent::HasNamed { name, reply });
         answer.await.unwrap_or(false)
     }
 
     /// What the module has learned so far.
     pub async fn learned(&self) -> Option<Learned> {
         let (reply, answer) = oneshot::channel();
-        let _ = self.notes.send(Note::Learned(reply));
+        let _ = self.notes.send(EngineEvent::Learned(reply));
         answer.await.ok()
     }
 
     /// Has the module go on from what another process of this balancer has learned.
     pub fn recall(&self, learned: Learned) {
-        let _ = self.notes.send(Note::Recall(Box::new(learned)));
+        let _ = self.notes.send(EngineEvent::Recall(Box::new(learned)));
     }
 
     /// A part of the list from there on, and whether a watch on discovery vouches for it.
     pub async fn list(&self, from: u32) -> Option<(Part, bool)> {
         let (reply, answer) = oneshot::channel();
-        let _ = self.notes.send(Note::Listed { from, reply });
+        let _ = self.notes.send(EngineEvent::Listed { from, reply });
         answer.await.ok()
     }
 
@@ -88,7 +88,7 @@
     /// Told at once; what is returned waits for it to be done.
     pub fn cordon(&self, names: BTreeSet<String>) -> impl Future<Output = bool> + use<> {
         let (done, answer) = oneshot::channel();
-        let _ = self.notes.send(Note::Cordoned { names, done });
+        let _ = self.notes.send(EngineEvent::Cordoned { names, done });
         async move { answer.await.is_ok() }
     }
 }
@@ -118,13 +118,13 @@
     /// Tells the engine what is new with the bank.
     pub fn banker(&self) -> impl Fn(ClusterEvent) + use<> {
         let notes = self.notes.clone();
-        move |news| drop(notes.send(Note::Cluster(news)))
+        move |news| drop(notes.send(EngineEvent::Cluster(news)))
     }
 
     /// Tells the engine where discovery is now.
     pub fn reloader(&self) -> impl Fn(SocketAddr) + use<> {
         let notes = self.notes.clone();
-        move |discovery| drop(notes.send(Note::Moved(discovery)))
+        move |discovery| drop(notes.send(EngineEvent::Moved(discovery)))
     }
 
     /// The handle of the next request.
@@ -133,14 +133,14 @@
     }
 
     /// Hands in a request and waits for its answer. Dropped before that, it tells that the client left.
-    pub async fn ask(&self, id: RequestId, arrival: Arrival, forward: Forward) -> Reply {
+    pub async fn ask(&self, id: RequestId, arrival: Arrival, forward: ForwardedRequest) -> Reply {
         let (reply, answer) = oneshot::channel();
         if let Some(flow) = forward.flow() {
             let notes = self.notes.clone();
-            flow.when_whole(move || drop(notes.send(Note::Whole(id))));
+            flow.when_whole(move || drop(notes.send(EngineEvent::Whole(id))));
         }
         let cancellation = arrival.cancellation.clone();
-        let _ = self.notes.send(Note::Arrived { id, arrival, forward, reply });
+        let _ = self.notes.send(EngineEvent::Arrived { id, arrival, forward, reply });
         let mut leaving = Leaving { id, cancellation, notes: Some(&self.notes) };
         let answer = answer.await;
         leaving.notes = None;
@@ -152,7 +152,7 @@
 struct Leaving<'a> {
     id: RequestId,
     cancellation: Rc<Cancellation>,
-    pub(super) notes: Option<&'a mpsc::UnboundedSender<Note>>,
+    pub(super) notes: Option<&'a mpsc::UnboundedSender<EngineEvent>>,
 }
 
 impl Drop for Leaving<'_> {
@@ -160,7 +160,7 @@
         if let Some(notes) = self.notes {
             // At once: the note may wait behind many.
             self.cancellation.cancel();
-            let _ = notes.send(Note::Left(self.id));
+            let _ = notes.send(EngineEvent::Left(self.id));
         }
     }
 }
--- a/crates/gateway/src/engine/list_watch.rs
+++ b/crates/gateway/src/engine/list_watch.rs
@@ -7,9 +7,9 @@
 use hollowpaddle_policy::interface::{Event, ListKind};
 use tokio::time::Instant;
 
-use super::{Due, Engine, Note};
+use super::{Due, Engine, EngineEvent};
 use crate::cluster::Listed;
-use crate::discovery::{self, Ending, News, Patience};
+use crate::discovery::{self, CallTimeout, News, WatchEnd};
 use crate::members::List;
 use crate::start_times::Delivery;
 use crate::tasks::AbortOnDrop;
@@ -111,7 +111,7 @@
 
     /// The watch that stands has told a list: nothing is missing any more.
     fn vouched(&mut self) {
-        self.patience = Patience::default();
+        self.patience = CallTimeout::default();
         self.freshness.vouched();
         if std::mem::take(&mut self.list_expired) {
             tracing::info!("the list is up to date again");
@@ -119,8 +119,8 @@
     }
 
     /// A call for the list has come to its end, and no watch vouches for it.
-    fn call_ended(&mut self, call: &Watch, ending: Ending) {
-        if !self.polls_list || ending != Ending::ListCallRejected {
+    fn call_ended(&mut self, call: &Watch, ending: WatchEnd) {
+        if !self.polls_list || ending != WatchEnd::ListCallRejected {
             self.unwatched(Some(call));
         }
         if !self.polls_list {
@@ -130,7 +130,7 @@
         if let Some(at) = self.freshness.expiry().at() {
             self.timers.push(Reverse((at, Due::ListExpiry)));
         }
-        if ending == Ending::ListCallRejected {
+        if ending == WatchEnd::ListCallRejected {
             self.tell(Event::ListCallRejected);
         }
     }
@@ -201,7 +201,7 @@
         }
         self.serial += 1;
         let (serial, notes) = (self.serial, self.own_notes.clone());
-        let tell = move |news| drop(notes.send(Note::Watched { serial, news }));
+        let tell = move |news| drop(notes.send(EngineEvent::Watched { serial, news }));
         // Another discovery counts in its own way: asked for what follows our version, it could keep silent about all
         // that it has. From 0 on it tells everything.
         let from = if self.elsewhere { 0 } else { self.revision };
--- a/crates/gateway/src/flow.rs
+++ b/crates/gateway/src/flow.rs
@@ -13,14 +13,14 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use tokio::time::{Instant, Sleep, sleep};
 
-use crate::bodies::{NotTaken, Pace};
+use crate::bodies::{BodyError, Pace};
 
 /// An upstream that takes nothing of a body for so long has gone silent; its client would wait for ever.
 const STALLED: Duration = Duration::from_secs(10);
 
-/// Why the rest of a body does not come. What its client is told is in [`Flow::fault`].
+/// Why the rest of a body does not come. What its client is told is in [`StreamedBody::fault`].
 #[derive(Debug)]
-pub struct Broken(NotTaken);
+pub struct Broken(BodyError);
 
 impl fmt::Display for Broken {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
@@ -31,7 +31,7 @@
 impl std::error::Error for Broken {}
 
 /// A body that flows.
-pub struct Flow<B = Incoming> {
+pub struct StreamedBody<B = Incoming> {
     source: RefCell<Source<B>>,
     /// In bytes; unknown of a chunked one.
     length: Option<u64>,
@@ -39,7 +39,7 @@
     /// When something was last taken of it.
     taken: Cell<Option<Instant>>,
     whole: Cell<Option<Instant>>,
-    fault: Cell<Option<NotTaken>>,
+    fault: Cell<Option<BodyError>>,
     told: RefCell<Option<Box<dyn FnOnce()>>>,
 }
 
@@ -55,7 +55,7 @@
     timer: Pin<Box<Sleep>>,
 }
 
-impl<B: Body<Data = Bytes> + Unpin> Flow<B> {
+impl<B: Body<Data = Bytes> + Unpin> StreamedBody<B> {
     /// A body that begins with `first`, and has `length` bytes in all if that is known. Its client may take its time
     /// as `pace` says, from the first look on.
     pub fn new(first: Bytes, rest: B, length: Option<u64>, pace: Pace) -> Rc<Self> {
@@ -93,7 +93,7 @@
     }
 
     /// What its client did wrong.
-    pub fn fault(&self) -> Option<NotTaken> {
+    pub fn fault(&self) -> Option<BodyError> {
         self.fault.get()
     }
 
@@ -139,7 +139,7 @@
         loop {
             let Poll::Ready(frame) = Pin::new(&mut source.rest).poll_frame(cx) else {
                 return match source.wait(self.passed.get(), cx) {
-                    Poll::Ready(()) => broken(NotTaken::TooSlow),
+                    Poll::Ready(()) => broken(BodyError::TooSlow),
                     Poll::Pending => Poll::Pending,
                 };
             };
@@ -149,11 +149,11 @@
                     self.end();
                     return Poll::Ready(None);
                 }
-                Some(Err(_)) => return broken(NotTaken::Malformed),
+                Some(Err(_)) => return broken(BodyError::Malformed),
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else { continue };
                     if self.passed.get() + data.len() as u64 > source.pace.longest as u64 {
-                        return broken(NotTaken::TooLong);
+                        return broken(BodyError::TooLarge);
                     }
                     self.take(&data);
                     return Poll::Ready(Some(Ok(data)));
@@ -180,14 +180,14 @@
 }
 
 /// The body of a request as an upstream's connection takes it.
-pub enum OnwardBody {
+pub enum UpstreamRequestBody {
     /// All of it is here.
-    Whole(Full<Bytes>),
+    Buffered(Full<Bytes>),
     /// It still comes.
-    Flows(Rc<Flow>),
+    Streamed(Rc<StreamedBody>),
 }
 
-impl Body for OnwardBody {
+impl Body for UpstreamRequestBody {
     type Data = Bytes;
     type Error = Broken;
 
@@ -196,24 +196,24 @@
         cx: &mut Context<'_>,
     ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
         match self.get_mut() {
-            Self::Whole(body) => Pin::new(body)
+            Self::Buffered(body) => Pin::new(body)
                 .poll_frame(cx)
                 .map_err(|never: std::convert::Infallible| match never {}),
-            Self::Flows(flow) => flow.poll(cx).map(|next| next.map(|n| n.map(Frame::data))),
+            Self::Streamed(flow) => flow.poll(cx).map(|next| next.map(|n| n.map(Frame::data))),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(body) => body.is_end_stream(),
-            Self::Flows(flow) => flow.is_whole(),
+            Self::Buffered(body) => body.is_end_stream(),
+            Self::Streamed(flow) => flow.is_whole(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(body) => body.size_hint(),
-            Self::Flows(flow) => {
+            Self::Buffered(body) => body.size_hint(),
+            Self::Streamed(flow) => {
                 let left = flow.length.map(|n| n.saturating_sub(flow.passed()));
                 left.map_or_else(SizeHint::default, SizeHint::with_exact)
             }
@@ -232,15 +232,15 @@
         Pace { longest: 100, grace: Duration::from_millis(100), a_byte: Duration::from_millis(10) };
 
     async fn next<B: Body<Data = Bytes> + Unpin>(
-        flow: &Flow<B>,
-    ) -> Option<Result<Bytes, NotTaken>> {
+        flow: &StreamedBody<B>,
+    ) -> Option<Result<Bytes, BodyError>> {
         poll_fn(|cx| flow.poll(cx)).await.map(|r| r.map_err(|b| b.0))
     }
 
     #[tokio::test(start_paused = true)]
     async fn a_client_may_be_slow_up_to_a_pace_and_its_upstream_is_not_its_fault() {
         // 100 ms, and 10 ms more for each byte: one each 9 ms may come for ever.
-        let flow = Flow::new(Bytes::from_static(b"ab"), trickle(60, 9), None, PACE);
+        let flow = StreamedBody::new(Bytes::from_static(b"ab"), trickle(60, 9), None, PACE);
         assert!(!flow.is_spent());
         for _ in 0..30 {
             assert!(next(&flow).await.expect("more").is_ok());
@@ -251,17 +251,17 @@
             data.expect("in time");
         }
         assert_eq!((flow.passed(), flow.is_whole(), flow.fault()), (62, true, None));
-        let slow = Flow::new(Bytes::new(), trickle(60, 30), None, PACE);
+        let slow = StreamedBody::new(Bytes::new(), trickle(60, 30), None, PACE);
         let mut last = None;
         while let Some(Ok(_)) = last.insert(next(&slow).await) {}
-        assert_eq!(last, Some(Some(Err(NotTaken::TooSlow))));
-        assert!(!slow.is_whole() && slow.fault() == Some(NotTaken::TooSlow));
+        assert_eq!(last, Some(Some(Err(BodyError::TooSlow))));
+        assert!(!slow.is_whole() && slow.fault() == Some(BodyError::TooSlow));
     }
 
     #[tokio::test(start_paused = true)]
     async fn the_last_byte_is_told_once_and_what_is_too_long_never_ends() {
         let told = Rc::new(Cell::new(0));
-        let flow = Flow::new(Bytes::from_static(b"ab"), trickle(3, 1), Some(5), PACE);
+        let flow = StreamedBody::new(Bytes::from_static(b"ab"), trickle(3, 1), Some(5), PACE);
         let counts = told.clone();
         flow.when_whole(move || counts.set(counts.get() + 1));
         for whole in [0, 0, 0, 1] {
@@ -271,15 +271,15 @@
         assert!(next(&flow).await.is_none());
         assert_eq!(told.get(), 1);
         let short = Pace { longest: 4, ..PACE };
-        let flow = Flow::new(Bytes::from_static(b"ab"), trickle(3, 1), None, short);
+        let flow = StreamedBody::new(Bytes::from_static(b"ab"), trickle(3, 1), None, short);
         let mut last = None;
         while let Some(Ok(_)) = last.insert(next(&flow).await) {}
-        assert_eq!((last, flow.is_whole()), (Some(Some(Err(NotTaken::TooLong))), false));
+        assert_eq!((last, flow.is_whole()), (Some(Some(Err(BodyError::TooLarge))), false));
     }
 
     #[tokio::test(start_paused = true)]
     async fn an_attempt_waits_for_the_upstream_then_for_the_answer() {
-        let flow = Flow::new(Bytes::from_static(b"ab"), trickle(1, 50), Some(3), PACE);
+        let flow = StreamedBody::new(Bytes::from_static(b"ab"), trickle(1, 50), Some(3), PACE);
         let (now, answer) = (Instant::now(), Duration::from_secs(1));
         let until = now + Duration::from_secs(3);
         assert_eq!(flow.limit(until, answer), until);
--- a/crates/gateway/src/freshness.rs
+++ b/crates/gateway/src/freshness.rs
@@ -12,7 +12,7 @@
 use hollowpaddle_policy::list_polling::LIST_PROPAGATION_BOUND;
 use tokio::time::Instant;
 
-use crate::discovery::Ending;
+use crate::discovery::WatchEnd;
 
 /// From discovery's having a change to its counting as delivered.
 const DELIVERED_AFTER: Duration = Duration::from_micros(LIST_PROPAGATION_BOUND.0 as u64);
@@ -90,23 +90,23 @@
     }
 
     /// A call for the list that began at `begun` has come to such an end.
-    pub fn call_ended(&mut self, ending: Ending, begun: Instant, now: Instant) {
+    pub fn call_ended(&mut self, ending: WatchEnd, begun: Instant, now: Instant) {
         // What has expired stays so: what had been delivered by then is not undone by an outage.
         if self.expiry.is_over(now) {
             return;
         }
         let Some(since) = &mut self.missing_since else { return };
         match ending {
-            Ending::ListCallRejected => self.is_crowded = true,
+            WatchEnd::ListCallRejected => self.is_crowded = true,
             // Nobody was there: what changed before has not been delivered to anybody.
-            Ending::Unreachable => {
+            WatchEnd::Unreachable => {
                 *since = begun.max(*since);
                 self.is_crowded = false;
             }
             // Discovery that is down takes calls and fails them, too. Once it has turned a call away it is not down: then
             // the call had waited too long for its turn.
-            Ending::Failed | Ending::Unanswered if self.is_crowded => {}
-            Ending::Failed | Ending::Unanswered => *since = now.max(*since),
+            WatchEnd::Failed | WatchEnd::Unanswered if self.is_crowded => {}
+            WatchEnd::Failed | WatchEnd::Unanswered => *since = now.max(*since),
         }
         let at = *since + self.allowed;
         self.expiry.0.set(self.is_crowded.then_some(at));
--- a/crates/gateway/src/freshness/tests.rs
+++ b/crates/gateway/src/freshness/tests.rs
@@ -19,7 +19,7 @@
     let start = Instant::now();
     let mut freshness = unvouched(start);
     let expiry = freshness.expiry();
-    freshness.call_ended(Ending::ListCallRejected, start + seconds(1), start + seconds(1));
+    freshness.call_ended(WatchEnd::ListCallRejected, start + seconds(1), start + seconds(1));
     let at = start + DELIVERED_AFTER + GRACE;
     assert_eq!(expiry.at(), Some(at));
     assert!(!expiry.is_over(at - Duration::from_micros(1)));
@@ -32,7 +32,7 @@
     let mut freshness = unvouched(start);
     for second in 1..8 {
         let now = start + seconds(second);
-        freshness.call_ended(Ending::ListCallRejected, now, now);
+        freshness.call_ended(WatchEnd::ListCallRejected, now, now);
     }
     assert_eq!(freshness.expiry().at(), Some(start + DELIVERED_AFTER + GRACE));
 }
@@ -43,7 +43,7 @@
     let mut freshness = unvouched(start);
     for second in 0..60 {
         let now = start + seconds(second);
-        for ending in [Ending::Unreachable, Ending::Failed, Ending::Unanswered] {
+        for ending in [WatchEnd::Unreachable, WatchEnd::Failed, WatchEnd::Unanswered] {
             freshness.call_ended(ending, now, now);
             assert_eq!(freshness.expiry().at(), None, "{ending:?} after {second} s");
         }
@@ -55,10 +55,10 @@
     let start = Instant::now();
     let mut freshness = unvouched(start);
     let down = start + seconds(5);
-    freshness.call_ended(Ending::ListCallRejected, start, start);
-    freshness.call_ended(Ending::Unreachable, down, down + seconds(2));
+    freshness.call_ended(WatchEnd::ListCallRejected, start, start);
+    freshness.call_ended(WatchEnd::Unreachable, down, down + seconds(2));
     assert_eq!(freshness.expiry().at(), None);
-    freshness.call_ended(Ending::ListCallRejected, down + seconds(3), down + seconds(3));
+    freshness.call_ended(WatchEnd::ListCallRejected, down + seconds(3), down + seconds(3));
     assert_eq!(freshness.expiry().at(), Some(down + DELIVERED_AFTER + GRACE));
 }
 
@@ -66,8 +66,8 @@
 fn a_crowded_discovery_that_fails_a_taken_call_is_still_reachable() {
     let start = Instant::now();
     let mut freshness = unvouched(start);
-    freshness.call_ended(Ending::ListCallRejected, start, start);
-    freshness.call_ended(Ending::Failed, start, start + seconds(3));
+    freshness.call_ended(WatchEnd::ListCallRejected, start, start);
+    freshness.call_ended(WatchEnd::Failed, start, start + seconds(3));
     assert_eq!(freshness.expiry().at(), Some(start + DELIVERED_AFTER + GRACE));
 }
 
@@ -75,9 +75,9 @@
 fn stays_expired_until_a_watch_vouches_for_it() {
     let start = Instant::now();
     let mut freshness = unvouched(start);
-    freshness.call_ended(Ending::ListCallRejected, start, start);
+    freshness.call_ended(WatchEnd::ListCallRejected, start, start);
     let late = start + seconds(20);
-    freshness.call_ended(Ending::Unreachable, late, late);
+    freshness.call_ended(WatchEnd::Unreachable, late, late);
     assert!(freshness.expiry().is_over(late), "an outage undoes nothing that was delivered");
     freshness.vouched();
     assert!(!freshness.expiry().is_over(late));
--- a/crates/gateway/src/guard.rs
+++ b/crates/gateway/src/guard.rs
@@ -1,7 +1,7 @@
 //! The one place that says whether an attempt may go on the wire, asked right before its first byte, and the check right
 //! after that byte that it should have.
 //!
-//! Between a look at the clock and the write behind it the process may stand still for [`HOLD_UP`], and nothing in the
+//! Between a look at the clock and the write behind it the process may stand still for [`MAX_PROCESS_STALL`], and nothing in the
 //! program can close that gap. So the guard works to limits that are so much earlier than the ones that hold, and the
 //! check goes by the ones that hold.
 
@@ -16,10 +16,10 @@
 use crate::freshness::Expiry;
 use crate::invariants::{Invariant, Violations};
 use crate::stream::Cancellation;
-use crate::upstreams::{Limit, Target};
+use crate::upstreams::{AttemptLimits, UpstreamTarget};
 
 /// How long the process may be held up between reading its clock and writing.
-pub const HOLD_UP: Duration = Duration::from_millis(150);
+pub const MAX_PROCESS_STALL: Duration = Duration::from_millis(150);
 /// Sends to an upstream that drains end so long before the grace does: notice of it may be read late by one hold-up, and
 /// the send be late by another.
 pub const DRAIN_MARGIN: Duration = Duration::from_millis(300);
@@ -32,7 +32,7 @@
 
 /// Why an attempt was not written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Withheld {
+pub enum SendDenied {
     /// The request is answered, or its client has gone.
     Over,
     /// Its time, or the window for repeats, is over.
@@ -46,7 +46,7 @@
 }
 
 /// Whether the routing policy allows an attempt at the moment of the call.
-pub type Permits = Box<dyn Fn() -> bool>;
+pub type PolicyCheck = Box<dyn Fn() -> bool>;
 
 /// What has to hold for one attempt to be written.
 pub struct SendGuard {
@@ -55,15 +55,15 @@
     /// The upstream.
     pub upstream: ServerId,
     /// Until when it may be written.
-    pub limit: Limit,
+    pub limit: AttemptLimits,
     /// Until when its upstream may be sent to.
-    pub target: Rc<Target>,
+    pub target: Rc<UpstreamTarget>,
     /// Whether the request is over.
     pub cancellation: Rc<Cancellation>,
     /// Whether the list is too old.
     pub expiry: Expiry,
     /// What the routing policy says; there may be none.
-    pub permits: Option<Permits>,
+    pub permits: Option<PolicyCheck>,
     /// Where violations are counted.
     pub violations: Violations,
     /// When it was told to its upstream by when its client gives up, and how long that was then.
@@ -85,11 +85,11 @@
     pub fn new(
         request: RequestId,
         upstream: ServerId,
-        limit: Limit,
-        target: Rc<Target>,
+        limit: AttemptLimits,
+        target: Rc<UpstreamTarget>,
         cancellation: Rc<Cancellation>,
         expiry: Expiry,
-        permits: Option<Permits>,
+        permits: Option<PolicyCheck>,
         violations: Violations,
     ) -> Self {
         let told = Cell::new(None);
@@ -100,22 +100,22 @@
     ///
     /// # Errors
     /// Why not.
-    pub fn check(&self) -> Result<(), Withheld> {
+    pub fn check(&self) -> Result<(), SendDenied> {
         let now = Instant::now();
         if self.cancellation.is_cancelled() {
-            return Err(Withheld::Over);
+            return Err(SendDenied::Over);
         }
         if now >= self.limit.until.min(self.limit.send_by) {
-            return Err(Withheld::Late);
+            return Err(SendDenied::Late);
         }
         if self.target.closed_from.get().is_some_and(|from| now >= from) {
-            return Err(Withheld::Draining);
+            return Err(SendDenied::Draining);
         }
         if self.expiry.is_over(now) {
-            return Err(Withheld::ListExpired);
+            return Err(SendDenied::ListExpired);
         }
         if self.permits.as_ref().is_some_and(|permits| !permits()) {
-            return Err(Withheld::Forbidden);
+            return Err(SendDenied::Forbidden);
         }
         Ok(())
     }
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -25,7 +25,7 @@
 use crate::members::{Entry, List, Phase};
 use crate::names::NameTable;
 use crate::start_times::{Delivery, ListedStart, Reading, StartTimes};
-use crate::upstreams::Target;
+use crate::upstreams::UpstreamTarget;
 use departed::Departed;
 use open_targets::OpenTargets;
 pub use overlay::Placed;
@@ -102,7 +102,7 @@
     }
 
     /// Where an upstream is, and until when it may be sent to.
-    pub fn target(&self, server: ServerId) -> Option<Rc<Target>> {
+    pub fn target(&self, server: ServerId) -> Option<Rc<UpstreamTarget>> {
         self.targets.get(&server).map(|k| k.target.clone())
     }
 
@@ -374,7 +374,7 @@
         self.next += 1;
         let name = entry.id.clone();
         self.ids.insert(name.clone(), id);
-        let target = Target { address: Cell::new(address), closed_from: Cell::new(None) };
+        let target = UpstreamTarget { address: Cell::new(address), closed_from: Cell::new(None) };
         let target = Rc::new(target);
         self.open.admit();
         let known = Known { name, target, listed, revision: 0, named_by: 0 };
--- a/crates/gateway/src/membership/open_targets.rs
+++ b/crates/gateway/src/membership/open_targets.rs
@@ -2,7 +2,7 @@
 
 use tokio::time::Instant;
 
-use crate::upstreams::Target;
+use crate::upstreams::UpstreamTarget;
 
 /// The number of targets that are not closed. All closing times are set here, so that nobody has to count.
 #[derive(Default)]
@@ -20,22 +20,22 @@
     }
 
     /// Lets requests go there from here on.
-    pub(super) fn open(&mut self, target: &Target) {
+    pub(super) fn open(&mut self, target: &UpstreamTarget) {
         self.set(target, None);
     }
 
     /// Ends sends at `until`, unless that is decided already.
-    pub(super) fn close(&mut self, target: &Target, until: Instant) {
+    pub(super) fn close(&mut self, target: &UpstreamTarget, until: Instant) {
         self.set(target, target.closed_from.get().or(Some(until)));
     }
 
     /// Ends sends at `until`, or earlier if that is decided already.
-    pub(super) fn close_by(&mut self, target: &Target, until: Instant) {
+    pub(super) fn close_by(&mut self, target: &UpstreamTarget, until: Instant) {
         let earlier = target.closed_from.get().map_or(until, |from| from.min(until));
         self.set(target, Some(earlier));
     }
 
-    fn set(&mut self, target: &Target, closed_from: Option<Instant>) {
+    fn set(&mut self, target: &UpstreamTarget, closed_from: Option<Instant>) {
         let before = target.closed_from.replace(closed_from);
         self.0 += usize::from(closed_from.is_none());
         self.0 -= usize::from(before.is_none());
--- a/crates/gateway/src/membership/record.rs
+++ b/crates/gateway/src/membership/record.rs
@@ -8,12 +8,12 @@
 use hollowpaddle_policy::settings::stable_hash;
 
 use crate::start_times::{BelievedStart, ListedStart};
-use crate::upstreams::Target;
+use crate::upstreams::UpstreamTarget;
 
 /// One upstream.
 pub(super) struct Known {
     pub(super) name: Arc<str>,
-    pub(super) target: Rc<Target>,
+    pub(super) target: Rc<UpstreamTarget>,
     /// As last listed, whatever operators say.
     pub(super) listed: Listing,
     /// Version of the list that the last word of it came with.
--- a/crates/gateway/src/relay.rs
+++ b/crates/gateway/src/relay.rs
@@ -13,7 +13,7 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use tokio::time::{Instant, Sleep, sleep};
 
-use crate::bodies::{Allowance, Counted};
+use crate::bodies::{MemoryBudget, ReservedBytes};
 
 /// An answer up to this size, in bytes, is passed on once it is whole (PROTOCOL: bodies hold at most 64 KiB); of a
 /// longer one the first bytes are what its client waits for.
@@ -25,80 +25,84 @@
 
 /// Why the rest of an answer is not passed on.
 #[derive(Debug)]
-pub enum CutShort {
+pub enum TruncatedBody {
     /// The connection ended, or what came can't be read.
-    Spoilt(hyper::Error),
+    Broken(hyper::Error),
     /// Nothing came for too long.
     Silent,
     /// It is longer than any answer is.
-    Endless,
+    TooLarge,
 }
 
-impl fmt::Display for CutShort {
+impl fmt::Display for TruncatedBody {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
-            Self::Spoilt(cause) => write!(f, "the answer broke off: {cause}"),
+            Self::Broken(cause) => write!(f, "the answer broke off: {cause}"),
             Self::Silent => f.write_str("the upstream fell silent in an answer"),
-            Self::Endless => f.write_str("the answer does not end"),
+            Self::TooLarge => f.write_str("the answer does not end"),
         }
     }
 }
 
-impl Error for CutShort {}
+impl Error for TruncatedBody {}
 
 /// What is known of an answer once as much of it has come as has to be waited for.
-pub enum Begun {
+pub enum ResponseStart {
     /// All of it.
-    Whole(Bytes),
+    Complete(Bytes),
     /// It is long, and begins like this.
     Long { first: Bytes, rest: Incoming, length: Option<u64> },
     /// It is none, or there is no room for it.
-    Spoilt,
+    Unusable,
 }
 
 /// Reads an answer to its end, or until it is known to be long.
-pub async fn begin(mut body: Incoming, allowance: &Allowance) -> Begun {
+pub async fn begin(mut body: Incoming, allowance: &MemoryBudget) -> ResponseStart {
     let length = body.size_hint().exact();
     if length.is_some_and(|n| n > LONGEST) {
-        return Begun::Spoilt;
+        return ResponseStart::Unusable;
     }
     let long = length.is_some_and(|n| n > LONG as u64);
     let announced = if long { 0 } else { length.unwrap_or(0) as usize };
-    let Some(mut room) = allowance.room(announced) else { return Begun::Spoilt };
+    let Some(mut room) = allowance.room(announced) else { return ResponseStart::Unusable };
     let mut read = BytesMut::with_capacity(announced);
     while let Some(frame) = body.frame().await {
-        let Ok(frame) = frame else { return Begun::Spoilt };
+        let Ok(frame) = frame else { return ResponseStart::Unusable };
         let Ok(data) = frame.into_data() else { continue };
         if long && !data.is_empty() {
-            return Begun::Long { first: data, rest: body, length };
+            return ResponseStart::Long { first: data, rest: body, length };
         }
         if !room.reach(read.len() + data.len()) {
-            return Begun::Spoilt;
+            return ResponseStart::Unusable;
         }
         read.extend_from_slice(&data);
         if read.len() > LONG {
-            return Begun::Long { first: Counted::bytes(read, room), rest: body, length };
+            return ResponseStart::Long {
+                first: ReservedBytes::bytes(read, room),
+                rest: body,
+                length,
+            };
         }
     }
-    Begun::Whole(Counted::bytes(read, room))
+    ResponseStart::Complete(ReservedBytes::bytes(read, room))
 }
 
 /// The body of an answer on its way to a client.
-pub enum AnswerBody {
+pub enum ResponseBody {
     /// There is no more of it.
-    Whole(Full<Bytes>),
+    Complete(Full<Bytes>),
     /// It comes.
-    Passing(Box<Passing>),
+    Streamed(Box<StreamedResponse>),
 }
 
-impl From<Bytes> for AnswerBody {
+impl From<Bytes> for ResponseBody {
     fn from(bytes: Bytes) -> Self {
-        Self::Whole(Full::new(bytes))
+        Self::Complete(Full::new(bytes))
     }
 }
 
 /// An answer that still comes.
-pub struct Passing {
+pub struct StreamedResponse {
     first: Option<Bytes>,
     rest: Incoming,
     length: Option<u64>,
@@ -114,7 +118,7 @@
 pub trait Held {}
 impl<T> Held for T {}
 
-impl Passing {
+impl StreamedResponse {
     pub fn new(
         first: Bytes,
         rest: Incoming,
@@ -137,14 +141,14 @@
         self.held.push(Box::new(held));
     }
 
-    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, CutShort>>> {
+    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, TruncatedBody>>> {
         if let Some(first) = self.first.take() {
             return Poll::Ready(Some(Ok(first)));
         }
         loop {
             let Poll::Ready(frame) = Pin::new(&mut self.rest).poll_frame(cx) else {
                 ready!(self.silent.as_mut().poll(cx));
-                return Poll::Ready(Some(Err(CutShort::Silent)));
+                return Poll::Ready(Some(Err(TruncatedBody::Silent)));
             };
             self.silent.as_mut().reset(Instant::now() + SILENT);
             match frame {
@@ -153,7 +157,7 @@
                         return Poll::Ready(Some(Ok(data)));
                     }
                 }
-                Some(Err(cause)) => return Poll::Ready(Some(Err(CutShort::Spoilt(cause)))),
+                Some(Err(cause)) => return Poll::Ready(Some(Err(TruncatedBody::Broken(cause)))),
                 None => {
                     self.ended.take().into_iter().for_each(|ended| ended());
                     return Poll::Ready(None);
@@ -163,24 +167,24 @@
     }
 }
 
-impl Body for AnswerBody {
+impl Body for ResponseBody {
     type Data = Bytes;
-    type Error = CutShort;
+    type Error = TruncatedBody;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, CutShort>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedBody>>> {
         match self.get_mut() {
-            Self::Whole(body) => Pin::new(body)
+            Self::Complete(body) => Pin::new(body)
                 .poll_frame(cx)
                 .map_err(|never: std::convert::Infallible| match never {}),
-            Self::Passing(passing) => {
+            Self::Streamed(passing) => {
                 let next = ready!(passing.poll(cx));
                 if let Some(Ok(data)) = &next {
                     passing.passed += data.len() as u64;
                     if passing.passed > LONGEST {
-                        return Poll::Ready(Some(Err(CutShort::Endless)));
+                        return Poll::Ready(Some(Err(TruncatedBody::TooLarge)));
                     }
                 }
                 if let Some(Err(cause)) = &next {
@@ -193,15 +197,15 @@
 
     fn is_end_stream(&self) -> bool {
         match self {
-            Self::Whole(body) => body.is_end_stream(),
-            Self::Passing(passing) => passing.ended.is_none(),
+            Self::Complete(body) => body.is_end_stream(),
+            Self::Streamed(passing) => passing.ended.is_none(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
-            Self::Whole(body) => body.size_hint(),
-            Self::Passing(p) => {
+            Self::Complete(body) => body.size_hint(),
+            Self::Streamed(p) => {
                 let left = p.length.map(|n| n.saturating_sub(p.passed));
                 left.map_or_else(SizeHint::default, SizeHint::with_exact)
             }
--- a/crates/gateway/src/sleepers.rs
+++ b/crates/gateway/src/sleepers.rs
@@ -15,19 +15,19 @@
 const BEHIND: Duration = Duration::from_secs(1);
 
 /// When clients' bytes were read last, by any connection.
-pub struct Sleepers {
+pub struct StallDetector {
     last: Cell<Instant>,
     /// The last stretch in which nothing was read.
     doze: Cell<Option<(Instant, Instant)>>,
 }
 
-impl Default for Sleepers {
+impl Default for StallDetector {
     fn default() -> Self {
         Self { last: Cell::new(Instant::now()), doze: Cell::new(None) }
     }
 }
 
-impl Sleepers {
+impl StallDetector {
     /// Something was read just now: how long it had waited for that. `told` says how long its last bytes have been
     /// there; nobody can have waited since before the last read.
     pub fn read(&self, told: impl FnOnce() -> Option<Duration>) -> Duration {
@@ -54,7 +54,7 @@
 
     #[tokio::test(start_paused = true)]
     async fn only_who_read_nothing_for_long_asks_and_for_a_while_only() {
-        let sleepers = Sleepers::default();
+        let sleepers = StallDetector::default();
         let told = |waited: Duration| move || Some(waited);
         let never = || -> Option<Duration> { panic!("a busy one pays nothing for this") };
         advance(100 * MS).await;
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -16,7 +16,7 @@
 
 use crate::guard::SendGuard;
 use crate::http::{HEAD_LIMIT, HEAD_LINES};
-use crate::sleepers::Sleepers;
+use crate::sleepers::StallDetector;
 
 /// So many bytes are read ahead at once.
 const CHUNK: usize = 4 << 10;
@@ -78,7 +78,7 @@
 /// The head of the message that comes on a stream, as it came. Failure: hyper drops a `Content-Length` beside a
 /// `Transfer-Encoding` without a word, and whoever hides a second request in a body sends both.
 #[derive(Clone)]
-pub struct RawHead(Rc<RefCell<Kept>>, Rc<Sleepers>);
+pub struct RawHead(Rc<RefCell<Kept>>, Rc<StallDetector>);
 
 #[derive(Default)]
 struct Kept {
@@ -90,7 +90,7 @@
 
 impl RawHead {
     /// For one connection of a process whose `sleepers` are known.
-    pub fn new(sleepers: &Rc<Sleepers>) -> Self {
+    pub fn new(sleepers: &Rc<StallDetector>) -> Self {
         Self(Rc::default(), sleepers.clone())
     }
 
@@ -141,7 +141,7 @@
 /// What a client sends while its request is open and hyper reads nothing. Failure: a byte behind a request hid its
 /// client's close, since hyper looks for that only where it holds nothing unread; the request was sent on later.
 #[derive(Clone, Default)]
-pub struct LookAhead(Rc<Ahead>);
+pub struct ReadAhead(Rc<Ahead>);
 
 #[derive(Default)]
 struct Ahead {
@@ -153,7 +153,7 @@
     dropped: Cell<usize>,
 }
 
-impl LookAhead {
+impl ReadAhead {
     /// A request begins; what comes belongs to it.
     pub fn begin(&self) {
         self.0.whole.set(false);
@@ -176,7 +176,7 @@
     }
 
     /// Ends once the client has closed or reset its connection.
-    pub fn poll_end(&self, stream: &Shared, cx: &mut Context<'_>) -> Poll<()> {
+    pub fn poll_end(&self, stream: &SharedStream, cx: &mut Context<'_>) -> Poll<()> {
         let mut kept = self.0.bytes.borrow_mut();
         loop {
             let room = HEAD_LIMIT - kept.len();
@@ -211,18 +211,18 @@
 }
 
 /// The stream itself, for its owner.
-pub type Shared = Rc<RefCell<Box<dyn Stream>>>;
+pub type SharedStream = Rc<RefCell<Box<dyn Stream>>>;
 
 /// The stream for hyper.
-pub struct Tapped {
-    inner: Shared,
+pub struct ObservedStream {
+    inner: SharedStream,
     traffic: Traffic,
     head: Option<RawHead>,
-    ahead: Option<LookAhead>,
+    ahead: Option<ReadAhead>,
 }
 
-impl Tapped {
-    pub fn new(stream: Box<dyn Stream>) -> (Self, Shared, Traffic) {
+impl ObservedStream {
+    pub fn new(stream: Box<dyn Stream>) -> (Self, SharedStream, Traffic) {
         let (inner, traffic) = (Rc::new(RefCell::new(stream)), Traffic::default());
         (
             Self { inner: inner.clone(), traffic: traffic.clone(), head: None, ahead: None },
@@ -232,7 +232,7 @@
     }
 
     /// Keeps each head as it comes, too, and begins with what was read ahead.
-    pub fn keeping(self, head: &RawHead, ahead: &LookAhead) -> Self {
+    pub fn keeping(self, head: &RawHead, ahead: &ReadAhead) -> Self {
         Self { head: Some(head.clone()), ahead: Some(ahead.clone()), ..self }
     }
 
@@ -267,7 +267,7 @@
 
 impl Cancellation {
     /// For a request that came on this stream.
-    pub fn new(client: &Shared) -> Rc<Self> {
+    pub fn new(client: &SharedStream) -> Rc<Self> {
         Rc::new(Self { cancelled_at: Cell::new(None), client: Rc::downgrade(client) })
     }
 
@@ -284,7 +284,7 @@
     /// Looks at the client's connection too. Failure: an attempt's connection came up in the turn in which its client
     /// left, and was told of first; and hyper, which holds a pipelined request, does not look for an end behind it.
     pub fn is_cancelled(&self) -> bool {
-        let stays = |client: Shared| !client.borrow().has_ended();
+        let stays = |client: SharedStream| !client.borrow().has_ended();
         self.cancelled_at.get().is_some() || !self.client.upgrade().is_some_and(stays)
     }
 }
@@ -294,7 +294,7 @@
     stream.upgrade().is_some_and(|s| s.borrow().is_quiet())
 }
 
-impl AsyncRead for Tapped {
+impl AsyncRead for ObservedStream {
     fn poll_read(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
@@ -318,7 +318,7 @@
     }
 }
 
-impl AsyncWrite for Tapped {
+impl AsyncWrite for ObservedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<Result<usize>> {
         self.look()?;
         let wrote = Pin::new(&mut *self.inner.borrow_mut()).poll_write(cx, buf);
--- a/crates/gateway/src/tasks.rs
+++ b/crates/gateway/src/tasks.rs
@@ -18,12 +18,12 @@
 /// A word that is given once and heard by all, in the order in which they began to wait. Failure:
 /// `tokio::sync::watch` wakes at random, and no run in virtual time was like the one before it.
 #[derive(Default)]
-pub struct Word {
+pub struct CloseSignal {
     given: Cell<bool>,
     heard: Notify,
 }
 
-impl Word {
+impl CloseSignal {
     pub fn give(&self) {
         self.given.set(true);
         self.heard.notify_waiters();
--- a/crates/gateway/src/upstreams.rs
+++ b/crates/gateway/src/upstreams.rs
@@ -18,13 +18,13 @@
 use rustc_hash::FxHashMap;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-use crate::bodies::{Allowance, NotTaken};
+use crate::bodies::{BodyError, MemoryBudget};
 use crate::config::Config;
-use crate::flow::{Flow, OnwardBody};
+use crate::flow::{StreamedBody, UpstreamRequestBody};
 use crate::guard::SendGuard;
 use crate::http::{HEAD_LIMIT, HEAD_LINES};
-use crate::relay::{AnswerBody, Begun, Passing, begin};
-use crate::stream::{Tapped, Traffic, still_quiet};
+use crate::relay::{ResponseBody, ResponseStart, StreamedResponse, begin};
+use crate::stream::{ObservedStream, Traffic, still_quiet};
 use crate::tasks::AbortOnDrop;
 
 /// Idle connections are dropped at this share of the upstream's own limit: a request that crosses with its
@@ -54,24 +54,24 @@
 const PLAUSIBLE: std::ops::RangeInclusive<f64> = 0.0..=1e6;
 
 /// A client's request as it goes on, the same for each of its attempts.
-pub struct Forward {
+pub struct ForwardedRequest {
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
-    pub body: Onward,
+    pub body: ForwardedBody,
 }
 
 /// A client's body as it goes on.
-pub enum Onward {
+pub enum ForwardedBody {
     /// All of it is here, for as many attempts as may be.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// It still comes, and is for one.
-    Flows(Rc<Flow>),
+    Streamed(Rc<StreamedBody>),
 }
 
 /// How long an attempt may take.
 #[derive(Clone, Copy, Debug)]
-pub struct Limit {
+pub struct AttemptLimits {
     /// All of it; of one whose body flows, until that begins to go out.
     pub until: Instant,
     /// Until its last byte is out, unless its body flows: after that it would be no repeat any more.
@@ -89,7 +89,7 @@
     pub outcome: Outcome,
     pub report: Report,
     /// The answer, if it served.
-    pub response: Option<Response<AnswerBody>>,
+    pub response: Option<Response<ResponseBody>>,
 }
 
 impl Ended {
@@ -100,7 +100,7 @@
 
 /// What may change about an upstream while an attempt waits for its connection.
 #[derive(Debug)]
-pub struct Target {
+pub struct UpstreamTarget {
     pub address: Cell<SocketAddr>,
     /// When sends must have ended, since it drains or is gone.
     pub closed_from: Cell<Option<Instant>>,
@@ -108,7 +108,7 @@
 
 /// A connection that no attempt is using, or that one attempt is.
 struct Link {
-    sender: SendRequest<OnwardBody>,
+    sender: SendRequest<UpstreamRequestBody>,
     traffic: Traffic,
     /// Gone once the connection has ended.
     stream: Weak<RefCell<Box<dyn Stream>>>,
@@ -160,7 +160,7 @@
     Refused(io::Error),
     /// The attempt may not be written any more.
     #[error("withheld")]
-    Withheld,
+    SendDenied,
     /// It did not come up in time.
     #[error("not up in time")]
     TimedOut,
@@ -180,7 +180,7 @@
 
     /// Whether the upstream has nothing to do with it, as far as can be told: nothing has reached it.
     fn is_local(&self) -> bool {
-        matches!(self, Self::NoDescriptor | Self::Local(_) | Self::NoRoute(_) | Self::Withheld)
+        matches!(self, Self::NoDescriptor | Self::Local(_) | Self::NoRoute(_) | Self::SendDenied)
     }
 }
 
@@ -212,7 +212,7 @@
     connect_timeout: Duration,
     /// When a connection came up last.
     connected: Cell<Option<Instant>>,
-    answers: Allowance,
+    answers: MemoryBudget,
     fields: Vec<(String, Field)>,
 }
 
@@ -233,7 +233,7 @@
             idle_limit: ms(limits.keepalive, 5000.0).mul_f64(IDLE_OF_KEEPALIVE),
             connect_timeout: ms(limits.connect_timeout, 250.0),
             connected: Cell::new(None),
-            answers: Allowance::new(config.memory / ANSWERS_OF_MEMORY),
+            answers: MemoryBudget::new(config.memory / ANSWERS_OF_MEMORY),
             fields: names.iter().map(|n| (n.clone(), Field::named(n))).collect(),
         });
         let weak = Rc::downgrade(&pool);
@@ -320,7 +320,7 @@
     }
 
     /// Keeps it for the next request. To one that drains or is gone there will be none.
-    fn put(&self, server: ServerId, target: &Target, link: Link) {
+    fn put(&self, server: ServerId, target: &UpstreamTarget, link: Link) {
         if target.closed_from.get().is_none() {
             self.idle.borrow_mut().entry(server).or_default().push(link);
         }
@@ -352,7 +352,7 @@
         let connect = timeout(self.connect_timeout, self.network.connect(address));
         let stream =
             connect.await.map_err(|_| ConnectError::TimedOut)?.map_err(ConnectError::of)?;
-        let (io, stream, traffic) = Tapped::new(stream);
+        let (io, stream, traffic) = ObservedStream::new(stream);
         let stream = Rc::downgrade(&stream);
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(HEAD_LIMIT)
@@ -383,7 +383,7 @@
             // A new one would cost its upstream more than the wait costs the request.
             if let Some(left) = self.rested_in(server) {
                 if guard.check().is_err() {
-                    return Err(ConnectError::Withheld);
+                    return Err(ConnectError::SendDenied);
                 }
                 sleep(left).await;
                 continue;
@@ -418,7 +418,11 @@
 
     /// One attempt: at most one request reaches the wire, and `guard` is asked right before it does. Of a long answer only
     /// the beginning has to come within the time.
-    pub async fn attempt(self: &Rc<Self>, forward: &Forward, guard: Rc<SendGuard>) -> Ended {
+    pub async fn attempt(
+        self: &Rc<Self>,
+        forward: &ForwardedRequest,
+        guard: Rc<SendGuard>,
+    ) -> Ended {
         let (sent, limit) = (Sent::default(), guard.limit);
         let exchange = self.exchange(forward, &guard, &sent);
         tokio::pin!(exchange);
@@ -446,7 +450,7 @@
 
     async fn exchange(
         self: &Rc<Self>,
-        forward: &Forward,
+        forward: &ForwardedRequest,
         guard: &Rc<SendGuard>,
         sent: &Sent,
     ) -> Ended {
@@ -511,7 +515,7 @@
     async fn answer(
         self: &Rc<Self>,
         server: ServerId,
-        target: &Rc<Target>,
+        target: &Rc<UpstreamTarget>,
         link: Link,
         answer: Response<hyper::body::Incoming>,
     ) -> Ended {
@@ -527,35 +531,37 @@
             _ => Outcome::Error,
         };
         let body = match begun {
-            Begun::Whole(body) => {
+            ResponseStart::Complete(body) => {
                 self.keep(server, target, link).await;
-                AnswerBody::from(body)
+                ResponseBody::from(body)
             }
-            Begun::Long { first, rest, length } if outcome == Outcome::Ok => {
+            ResponseStart::Long { first, rest, length } if outcome == Outcome::Ok => {
                 let (pool, target) = (self.clone(), target.clone());
                 // The connection is this answer's, and closes with it unless that ends well.
                 let link = Rc::new(RefCell::new(Some(link)));
                 let kept = link.clone();
-                let mut passing = Passing::new(first, rest, length, move || {
+                let mut passing = StreamedResponse::new(first, rest, length, move || {
                     let Some(link) = kept.take() else { return };
                     tokio::task::spawn_local(async move { pool.keep(server, &target, link).await });
                 });
                 passing.hold(link);
-                AnswerBody::Passing(Box::new(passing))
+                ResponseBody::Streamed(Box::new(passing))
             }
             // Cut short, or larger than any answer may be: it ran, and there is nothing to pass on.
-            Begun::Long { .. } | Begun::Spoilt if outcome == Outcome::Ok => {
+            ResponseStart::Long { .. } | ResponseStart::Unusable if outcome == Outcome::Ok => {
                 return Ended { report, ..Ended::bare(Outcome::Reset) };
             }
             // What a failure has to say beyond its status is not waited for.
-            Begun::Long { .. } | Begun::Spoilt => return Ended { report, ..Ended::bare(outcome) },
+            ResponseStart::Long { .. } | ResponseStart::Unusable => {
+                return Ended { report, ..Ended::bare(outcome) };
+            }
         };
         let response = (outcome == Outcome::Ok).then(|| Response::from_parts(head, body));
         Ended { outcome, report, response }
     }
 
     /// Keeps a connection whose answer has come to its end for the next request, if it is of use.
-    async fn keep(&self, server: ServerId, target: &Target, mut link: Link) {
+    async fn keep(&self, server: ServerId, target: &UpstreamTarget, mut link: Link) {
         if let Ok(Ok(())) = timeout(READY, link.sender.ready()).await {
             link.idle_since = Instant::now();
             link.read_by_then = link.traffic.read();
@@ -586,7 +592,7 @@
     written: RefCell<Option<(Traffic, u64)>>,
     /// Its head, and its body if that was here, have this many bytes at least.
     size: Cell<u64>,
-    flow: RefCell<Option<Rc<Flow>>>,
+    flow: RefCell<Option<Rc<StreamedBody>>>,
     /// The deadline that the upstream is told, where its client's time has begun.
     told: Cell<Option<Duration>>,
     /// No connection could be opened for a reason on this machine, and it is tried again.
@@ -618,12 +624,12 @@
     }
 }
 
-impl Forward {
+impl ForwardedRequest {
     /// A body that flows.
-    pub fn flow(&self) -> Option<&Rc<Flow>> {
+    pub fn flow(&self) -> Option<&Rc<StreamedBody>> {
         match &self.body {
-            Onward::Whole(_) => None,
-            Onward::Flows(flow) => Some(flow),
+            ForwardedBody::Buffered(_) => None,
+            ForwardedBody::Streamed(flow) => Some(flow),
         }
     }
 
@@ -632,23 +638,25 @@
         self.flow().is_some_and(|f| f.is_spent())
     }
 
-    fn fault(&self) -> Option<NotTaken> {
+    fn fault(&self) -> Option<BodyError> {
         self.flow().and_then(|f| f.fault())
     }
 
     /// When an attempt has to end, as things stand.
-    fn until(&self, limit: Limit) -> Instant {
+    fn until(&self, limit: AttemptLimits) -> Instant {
         self.flow().map_or(limit.until, |f| f.limit(limit.until, limit.answer))
     }
 
-    fn request(&self, limit: Limit, sent: &Sent) -> Option<Request<OnwardBody>> {
+    fn request(&self, limit: AttemptLimits, sent: &Sent) -> Option<Request<UpstreamRequestBody>> {
         let (body, left, size) = match &self.body {
-            Onward::Whole(body) => {
+            ForwardedBody::Buffered(body) => {
                 let left = limit.until.saturating_duration_since(Instant::now());
                 sent.told.set(Some(left));
-                (OnwardBody::Whole(Full::new(body.clone())), left, body.len())
+                (UpstreamRequestBody::Buffered(Full::new(body.clone())), left, body.len())
+            }
+            ForwardedBody::Streamed(flow) => {
+                (UpstreamRequestBody::Streamed(flow.clone()), limit.answer, 0)
             }
-            Onward::Flows(flow) => (OnwardBody::Flows(flow.clone()), limit.answer, 0),
         };
         let mut request = Request::new(body);
         *request.method_mut() = self.method.clone();
@@ -686,18 +694,18 @@
 
     #[test]
     fn only_what_is_certainly_not_whole_never_ran() {
-        let forward = Forward {
+        let forward = ForwardedRequest {
             method: Method::POST,
             uri: Uri::from_static("/api"),
             headers: HeaderMap::new(),
-            body: Onward::Whole(Bytes::from_static(b"0123456789")),
+            body: ForwardedBody::Buffered(Bytes::from_static(b"0123456789")),
         };
         let sent = Sent::default();
         assert!(sent.untouched() && sent.never_whole(), "no connection yet");
         let traffic = Traffic::default();
         traffic.count_written(1000); // An earlier request on the same connection.
         let now = Instant::now();
-        let limit = Limit {
+        let limit = AttemptLimits {
             until: now,
             send_by: now,
             answer: Duration::ZERO,
