--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -1,6 +1,6 @@
 //! The side that faces clients: an HTTP server that reads requests, asks the engine, and answers once.
 
-mod accepting;
+mod accept;
 
 use std::cell::{Cell, RefCell};
 use std::convert::Infallible;
@@ -31,12 +31,12 @@
 use crate::config::{Budget, Config};
 use crate::connections::{ConnectionSlot, Connections};
 use crate::engine::{Arrival, Handle, Reply};
-use crate::flow::StreamedBody;
 use crate::http::{HEAD_LIMIT, HEAD_LINES};
 use crate::invariants::{Invariant, Violations};
-use crate::relay::ResponseBody;
-use crate::sleepers::StallDetector;
+use crate::response_body::ResponseBody;
+use crate::stall_detector::StallDetector;
 use crate::stream::{Cancellation, ObservedStream, RawHead, ReadAhead, SharedStream};
+use crate::streamed_body::StreamedBody;
 use crate::tasks::CloseSignal;
 use crate::upstreams::{ForwardedBody, ForwardedRequest};
 
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -3,7 +3,7 @@
 
 mod handle;
 mod list_watch;
-mod repeats;
+mod retry_safety;
 
 use std::cell::Cell;
 use std::cmp::Reverse;
@@ -30,12 +30,12 @@
 use crate::config::Config;
 use crate::discovery::{CallTimeout, News};
 use crate::freshness::Freshness;
-use crate::guard::{DRAIN_MARGIN, MAX_PROCESS_STALL, PolicyCheck, SendGuard};
 use crate::invariants::{Invariant, Violations};
 use crate::members::{List, Phase};
 use crate::membership::{Membership, Part};
-use crate::relay::ResponseBody;
+use crate::response_body::ResponseBody;
 use crate::restored_list::RestoredList;
+use crate::send_guard::{DRAIN_MARGIN, MAX_PROCESS_STALL, PolicyCheck, SendGuard};
 use crate::start_times::{Delivery, StartTimes};
 use crate::stream::Cancellation;
 use crate::subsetting::Subsetting;
@@ -44,8 +44,8 @@
 use crate::upstreams::{AttemptLimits, Ended, ForwardedRequest, Pool};
 pub use handle::{Door, Handle};
 use list_watch::Watch;
-use repeats::Earlier;
-pub use repeats::Place;
+use retry_safety::Earlier;
+pub use retry_safety::Place;
 
 /// The module works to this much less than the client's deadline, so that an answer at the deadline still
 /// arrives: the way to the client, and a busy moment here.
@@ -746,7 +746,7 @@
     /// Whether a refusal, which says that another try is harmless, is true of this request.
     fn may_refuse(&self, id: RequestId) -> bool {
         let Some(held) = self.requests.get(&id) else { return true };
-        let may = repeats::may_refuse(&self.classes[held.class], &held.earlier());
+        let may = retry_safety::may_refuse(&self.classes[held.class], &held.earlier());
         if !may {
             self.violations.count(Invariant::RefusedAfterEffect, Some(id), None);
         }
@@ -756,7 +756,7 @@
     /// Whether another attempt of this request there has no effect twice.
     fn may_repeat(&self, id: RequestId, server: ServerId, place: Option<Place>) -> bool {
         let Some(held) = self.requests.get(&id) else { return false };
-        let may = repeats::may_repeat(&self.classes[held.class], &held.earlier(), place);
+        let may = retry_safety::may_repeat(&self.classes[held.class], &held.earlier(), place);
         if !may {
             self.violations.count(Invariant::UnsafeRepeat, Some(id), Some(server));
         }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -12,9 +12,7 @@
 mod connections;
 mod discovery;
 mod engine;
-mod flow;
 mod freshness;
-mod guard;
 mod http;
 mod invariants;
 #[doc(hidden)]
@@ -24,14 +22,16 @@
 pub mod membership;
 mod names;
 mod operators;
-mod relay;
+mod response_body;
 mod restored_list;
+mod send_guard;
 mod serve;
-mod sleepers;
+mod stall_detector;
 #[doc(hidden)] // for the measurements in `tests/list_memory.rs`
 pub mod start_times;
 mod state_store;
 mod stream;
+mod streamed_body;
 mod subsetting;
 mod tasks;
 #[doc(hidden)]
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -14,9 +14,9 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::Instant;
 
-use crate::guard::SendGuard;
 use crate::http::{HEAD_LIMIT, HEAD_LINES};
-use crate::sleepers::StallDetector;
+use crate::send_guard::SendGuard;
+use crate::stall_detector::StallDetector;
 
 /// So many bytes are read ahead at once.
 const CHUNK: usize = 4 << 10;
--- a/crates/gateway/src/upstreams.rs
+++ b/crates/gateway/src/upstreams.rs
@@ -20,11 +20,11 @@
 
 use crate::bodies::{BodyError, MemoryBudget};
 use crate::config::Config;
-use crate::flow::{StreamedBody, UpstreamRequestBody};
-use crate::guard::SendGuard;
 use crate::http::{HEAD_LIMIT, HEAD_LINES};
-use crate::relay::{ResponseBody, ResponseStart, StreamedResponse, begin};
+use crate::response_body::{ResponseBody, ResponseStart, StreamedResponse, begin};
+use crate::send_guard::SendGuard;
 use crate::stream::{ObservedStream, Traffic, still_quiet};
+use crate::streamed_body::{StreamedBody, UpstreamRequestBody};
 use crate::tasks::AbortOnDrop;
 
 /// Idle connections are dropped at this share of the upstream's own limit: a request that crosses with its
