--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -27,15 +27,17 @@
 use tokio::time::{Instant, sleep};
 
 use crate::bodies::{BodyError, MemoryBudget, Pace, ReceivedBody, take};
+use crate::cancellation::Cancellation;
 use crate::closing::{CloseReason, close};
 use crate::config::{Budget, Config};
 use crate::connections::{ConnectionSlot, Connections};
-use crate::engine::{Arrival, Handle, Reply};
+use crate::engine::{Arrival, EngineHandle, Reply};
 use crate::http::{HEAD_LIMIT, HEAD_LINES};
 use crate::invariants::{Invariant, Violations};
 use crate::response_body::ResponseBody;
+use crate::shared_stream::SharedStream;
 use crate::stall_detector::StallDetector;
-use crate::stream::{Cancellation, ObservedStream, RawHead, ReadAhead, SharedStream};
+use crate::stream::{ObservedStream, RawHead, ReadAhead};
 use crate::streamed_body::StreamedBody;
 use crate::tasks::CloseSignal;
 use crate::upstreams::{ForwardedBody, ForwardedRequest};
@@ -75,7 +77,7 @@
 type Answer = Response<ResponseBody>;
 
 pub struct Front {
-    engine: Handle,
+    engine: EngineHandle,
     facts: Facts,
     effects: Vec<Effect>,
     deadlines: Vec<Duration>,
@@ -146,7 +148,7 @@
 }
 
 impl Front {
-    pub fn new(config: &Config, engine: Handle, budget: &Budget) -> Self {
+    pub fn new(config: &Config, engine: EngineHandle, budget: &Budget) -> Self {
         let settings = config.facts.settings();
         let deadline = |c: &Class| Duration::from_micros(c.deadline.0.max(0) as u64);
         let deadlines: Vec<Duration> = settings.classes.iter().map(deadline).collect();
@@ -289,7 +291,7 @@
         let mut owed = Owed::new(self.engine.violations(), stream, ahead);
         let path = request.uri().path();
         let mut answer = if path == "/-/ready" {
-            let ready = self.engine.ready() && !self.leaving();
+            let ready = self.engine.is_ready() && !self.leaving();
             bare(if ready { StatusCode::OK } else { StatusCode::SERVICE_UNAVAILABLE })
         } else if path == "/api" || path.starts_with("/api/") {
             self.api(request, raw, ahead, stream).await
@@ -355,8 +357,8 @@
             headers: onward(head.headers, length),
             body,
         };
-        let flow = forward.flow().cloned();
-        let reply = self.engine.ask(request, arrival, forward).await;
+        let flow = forward.streamed_body().cloned();
+        let reply = self.engine.submit(request, arrival, forward).await;
         if let Some(why) = flow.and_then(|f| f.fault()).filter(|_| !reply.is_served()) {
             return not_taken(why);
         }
@@ -427,7 +429,10 @@
             class,
             tenant,
             key: cookie(&head.headers, "sid").map(key_hash),
-            until: self.ends.get().map_or(arrived + deadline, |ends| ends.min(arrived + deadline)),
+            client_deadline: self
+                .ends
+                .get()
+                .map_or(arrived + deadline, |ends| ends.min(arrived + deadline)),
             cost_guess: hint.filter(|us| us.is_finite() && *us > 0.0).map(|us| Span(us as i64)),
             resent: text("x-retry").is_some_and(|v| v == "1"),
             cancellation: Cancellation::new(stream),
--- a/crates/gateway/src/closing.rs
+++ b/crates/gateway/src/closing.rs
@@ -13,7 +13,7 @@
 use tokio::time::{sleep, timeout};
 
 use crate::http::HEAD_LIMIT;
-use crate::stream::SharedStream;
+use crate::shared_stream::SharedStream;
 
 /// A client is given so long to close its side after ours, in which it can read what was written last.
 const LINGER_TIME: Duration = Duration::from_millis(500);
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -39,7 +39,7 @@
 
 impl CallTimeout {
     /// That of the next call.
-    pub fn next(&self) -> Duration {
+    pub fn current(&self) -> Duration {
         CALL_PATIENCE * (1 << self.unanswered.min(list_polling::PATIENCE_DOUBLINGS))
     }
 
@@ -54,7 +54,7 @@
 }
 
 /// What a watch tells.
-pub enum News {
+pub enum WatchEvent {
     /// The list, or a change to it.
     List(List),
     /// It has fallen silent. Whatever it says after all is told.
@@ -119,14 +119,14 @@
     address: SocketAddr,
     revision: u64,
     patience: Duration,
-    tell: impl Fn(News),
+    tell: impl Fn(WatchEvent),
 ) {
     let begun = Instant::now();
     let Err(cause) = follow(&*network, address, revision, begun + patience, &tell).await;
     let elapsed = begun.elapsed();
     let elapsed_ms = elapsed.as_millis() as u64;
     tracing::info!(%cause, revision, elapsed_ms, "watch over");
-    tell(News::Ended(cause.ending(elapsed)));
+    tell(WatchEvent::Ended(cause.ending(elapsed)));
 }
 
 async fn follow(
@@ -134,7 +134,7 @@
     address: SocketAddr,
     revision: u64,
     answer_by: Instant,
-    tell: &impl Fn(News),
+    tell: &impl Fn(WatchEvent),
 ) -> Result<Infallible, WatchError> {
     let connect = timeout(SILENCE, network.connect(address)).await;
     let stream = connect.map_err(|_| WatchError::NoConnection)??;
@@ -154,7 +154,7 @@
                 Err(_) => {
                     tracing::info!(revision, "watch silent");
                     silent = true;
-                    tell(News::Silent);
+                    tell(WatchEvent::Silent);
                     continue;
                 }
             }
@@ -169,7 +169,7 @@
             }
             reader.take(piece, |list| {
                 told = true;
-                tell(News::List(list));
+                tell(WatchEvent::List(list));
             })?;
         }
     }
--- /dev/null
+++ b/crates/gateway/src/engine/attempts.rs
@@ -0,0 +1,191 @@
+//! The attempts of requests: starting one, within the limits and checks that hold for it, and taking in its end. Making
+//! it is left to `upstreams`.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use hollowpaddle_policy::interface::{Answer, Event, Outcome, RequestId, ServerId, Span, Time};
+use tokio::time::Instant;
+
+use super::event::{EngineEvent, FinishedAttempt, Reply};
+use super::requests::ActiveRequest;
+use super::retry_safety::{self, PriorAttempt};
+use super::state::EngineState;
+use crate::attempt::{AttemptLimits, AttemptResult};
+use crate::invariants::Invariant;
+use crate::location::Location;
+use crate::send_guard::{MAX_PROCESS_STALL, SendGuard, SendGuardParts};
+use crate::tasks::AbortOnDrop;
+
+/// One attempt of a request.
+pub(super) struct Attempt {
+    server: ServerId,
+    started_at: Instant,
+    /// Where the upstream runs, if it was known.
+    location: Option<Location>,
+    /// How the attempt ended; nothing while it is in flight.
+    outcome: Option<Outcome>,
+    /// Present while the attempt is in flight. Dropping it closes the attempt's connection.
+    task: Option<AbortOnDrop>,
+}
+
+impl Attempt {
+    /// Whether the attempt was started and has not ended.
+    pub(super) fn is_in_flight(&self) -> bool {
+        self.task.is_some()
+    }
+
+    /// What later attempts need to know of it.
+    pub(super) fn as_prior(&self) -> PriorAttempt {
+        PriorAttempt { location: self.location, outcome: self.outcome }
+    }
+}
+
+impl ActiveRequest {
+    /// The limits of an attempt that starts at `now`. A `timeout` of zero allows it all the time that is left.
+    fn attempt_limits(&self, now: Instant, timeout: Span, send_by: Instant) -> AttemptLimits {
+        let attempt_deadline = if timeout.0 > 0 {
+            now + Duration::from_micros(timeout.0 as u64)
+        } else {
+            self.deadline
+        };
+        AttemptLimits {
+            deadline: attempt_deadline.min(self.deadline),
+            send_by,
+            response_timeout: self.response_timeout(),
+            client_deadline: self.client_deadline(),
+            retry_window_end: (send_by < self.deadline).then(|| send_by + MAX_PROCESS_STALL),
+        }
+    }
+}
+
+impl EngineState {
+    /// Starts an attempt that the decision module has asked for, or ends it as moot if it may not be made any more.
+    pub(super) fn start_attempt(
+        &mut self,
+        id: RequestId,
+        server: ServerId,
+        timeout: Span,
+        send_by: Time,
+    ) {
+        let location = self.upstreams.location_of(server);
+        let is_retry_safe = self.is_retry_safe(id, server, location);
+        let Some(active) = self.requests.get_mut(&id) else { return };
+        let now = Instant::now();
+        let attempt = active.attempts.len();
+        let limits = active.attempt_limits(now, timeout, self.clock.instant(send_by));
+        let is_allowed = is_retry_safe
+            && !active.is_answered()
+            && attempt < self.limits.max_attempts
+            && (self.limits.allows_hedging || active.attempts_in_flight() == 0)
+            && now < limits.deadline.min(limits.send_by)
+            && !active.forwarded.is_spent()
+            && !self.list_watch.freshness.expiry().is_over(now);
+        active.attempts.push(Attempt {
+            server,
+            started_at: now,
+            location,
+            outcome: None,
+            task: None,
+        });
+        let guard = if is_allowed { self.send_guard(id, server, limits) } else { None };
+        let Some(guard) = guard else {
+            self.finish_later(id, attempt, Outcome::Moot);
+            return;
+        };
+        tracing::debug!(request = id.0, attempt, upstream = server.0, "attempt started");
+        self.spawn_attempt(id, attempt, guard);
+    }
+
+    /// The guard that checks an attempt right before its first byte; none for an unknown upstream or request.
+    fn send_guard(
+        &self,
+        id: RequestId,
+        server: ServerId,
+        limits: AttemptLimits,
+    ) -> Option<SendGuard> {
+        Some(SendGuard::new(SendGuardParts {
+            request: id,
+            upstream: server,
+            limits,
+            target: self.upstreams.target(server)?,
+            cancellation: self.requests.get(&id)?.cancellation.clone(),
+            list_expiry: self.list_watch.freshness.expiry(),
+            policy_check: self.policy_check(server, id),
+            violations: self.violations.clone(),
+        }))
+    }
+
+    /// Runs an attempt in a task of its own, which reports its end.
+    fn spawn_attempt(&mut self, id: RequestId, attempt: usize, guard: SendGuard) {
+        let Some(active) = self.requests.get_mut(&id) else { return };
+        let pool = self.pool.clone();
+        let events = self.events.clone();
+        let forwarded = active.forwarded.clone();
+        let task = tokio::task::spawn_local(async move {
+            let result = pool.attempt(&forwarded, Rc::new(guard)).await;
+            let finished = FinishedAttempt { request: id, attempt, result };
+            let _ = events.send(EngineEvent::AttemptFinished(finished));
+        });
+        active.attempts[attempt].task = Some(AbortOnDrop(task));
+    }
+
+    /// Cancels an attempt that is in flight.
+    pub(super) fn cancel_attempt(&mut self, id: RequestId, attempt: usize) {
+        let active = self.requests.get_mut(&id);
+        let cancelled = active.and_then(|active| active.attempts.get_mut(attempt));
+        if cancelled.is_some_and(|cancelled| cancelled.task.take().is_some()) {
+            self.finish_later(id, attempt, Outcome::Cancelled);
+        }
+    }
+
+    /// Ends an attempt that has no task, once the present actions are carried out.
+    fn finish_later(&mut self, request: RequestId, attempt: usize, outcome: Outcome) {
+        let result = AttemptResult::without_response(outcome);
+        self.finished_here.push_back(FinishedAttempt { request, attempt, result });
+    }
+
+    /// Takes in the end of an attempt. The first response becomes the final answer.
+    pub(super) fn on_attempt_finished(&mut self, finished: FinishedAttempt) {
+        let FinishedAttempt { request: id, attempt, result } = finished;
+        let Some(active) = self.requests.get_mut(&id) else { return };
+        let Some(ended) = active.attempts.get_mut(attempt) else { return };
+        ended.task = None;
+        ended.outcome = Some(result.outcome);
+        let server = ended.server;
+        let elapsed = ended.started_at.elapsed();
+        active.last_outcome = Some(result.outcome);
+        let is_body_spent = active.forwarded.is_spent();
+        tracing::debug!(
+            request = id.0,
+            attempt,
+            upstream = server.0,
+            outcome = ?result.outcome,
+            elapsed_ms = elapsed.as_millis() as u64,
+            "attempt finished"
+        );
+        if let Some(response) = result.response {
+            self.answer(id, Reply::Served(response));
+        }
+        let is_answered = self.requests.get(&id).is_none_or(ActiveRequest::is_answered);
+        let latency = Span(elapsed.as_micros() as i64);
+        let answer = Answer {
+            spent: is_body_spent,
+            report: result.report,
+            ..Answer::new(id, attempt, server, result.outcome, latency, is_answered)
+        };
+        self.apply_event(Event::Answered(answer));
+        self.remove_if_finished(id);
+    }
+
+    /// Whether another attempt of this request there takes no effect twice. Counts it if it could.
+    fn is_retry_safe(&self, id: RequestId, server: ServerId, location: Option<Location>) -> bool {
+        let Some(active) = self.requests.get(&id) else { return false };
+        let class = &self.limits.classes[active.class];
+        let is_safe = retry_safety::is_retry_safe(class, &active.prior_attempts(), location);
+        if !is_safe {
+            self.violations.count(Invariant::UnsafeRepeat, Some(id), Some(server));
+        }
+        is_safe
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/engine/endpoint_list.rs
@@ -0,0 +1,151 @@
+//! Takes in endpoint lists and cordons, and passes to the decision module the part of the fleet that it is to know.
+//! Obtaining lists is left to `list_watch`, and their interpretation to `membership`.
+
+use std::collections::BTreeSet;
+use std::time::Duration;
+
+use hollowpaddle_policy::interface::{Event, ListKind, Member};
+use hollowpaddle_revision::lists;
+use tokio::time::Instant;
+
+use super::event::EngineEvent;
+use super::state::EngineState;
+use super::timers::Timer;
+use crate::cluster::Listed;
+use crate::members::{List, Phase};
+use crate::restored_list::RestoredList;
+use crate::start_times::Delivery;
+
+/// How often the subset is reviewed, where there is one.
+const SUBSET_REVIEW_INTERVAL: Duration = Duration::from_secs(1);
+
+impl EngineState {
+    /// Applies an endpoint list.
+    pub(super) fn apply_list(&mut self, list: &List, kind: ListKind, delivery: Delivery) {
+        let changes = self.upstreams.update(list, kind, delivery);
+        for id in &changes.moved {
+            self.pool.close_idle(*id);
+        }
+        self.list_watch.revision = self.upstreams.newest();
+        self.share_list_with_cluster(list, kind);
+        self.publish_members(changes.kind, changes.members);
+        self.forget_departed_upstreams();
+    }
+
+    /// Applies the list that the previous process received last over the one of the configuration.
+    ///
+    /// Discovery is asked for its complete list afterwards: where its versions have started anew, changes alone would not
+    /// bring back what this list removed.
+    pub(super) fn apply_restored_list(&mut self, restored: RestoredList) {
+        let RestoredList { list, whole: is_complete } = restored;
+        let members = list.members.len();
+        tracing::info!(members, complete = is_complete, "restored endpoint list");
+        let (update_kind, publish_kind) = if is_complete {
+            (ListKind::Restored, ListKind::Restored)
+        } else {
+            (ListKind::Update, ListKind::Aside)
+        };
+        let changes = self.upstreams.update(&list, update_kind, Instant::now());
+        self.publish_members(publish_kind, changes.members);
+        self.forget_departed_upstreams();
+        self.list_watch.revision = 0;
+        self.upstreams.count_anew();
+    }
+
+    /// Cordons these upstreams, and lets all others back.
+    pub(super) fn cordon(&mut self, names: &BTreeSet<String>) {
+        let changed = self.upstreams.cordon(names, Instant::now());
+        // A cordoned upstream is about to be restarted, which would reset its idle connections.
+        for member in &changed {
+            self.pool.close_idle(member.id);
+        }
+        self.publish_members(ListKind::Aside, changed);
+    }
+
+    /// Passes to the decision module what has changed of the upstreams, as far as it is to know them.
+    pub(super) fn publish_members(&mut self, kind: ListKind, members: Vec<Member>) {
+        self.ready.set(self.upstreams.any_open() && !self.list_watch.is_expired);
+        let now = self.clock.now();
+        let list = match &mut self.subset {
+            Some(subset) => {
+                let last_listed = |id| self.upstreams.member(id);
+                let list = subset.listed(now, kind, &members, last_listed);
+                self.balancer.shared_by(subset.sharers());
+                list
+            }
+            None => members,
+        };
+        self.queue_members(kind, list);
+    }
+
+    /// Passes on the next part of a long list, if one is due.
+    pub(super) fn publish_next_part(&mut self) {
+        if !self.update_queue.is_due() {
+            return;
+        }
+        let part = self.update_queue.next_part();
+        self.publish_part(ListKind::Aside, &part);
+    }
+
+    /// Removes from the subset what has left it, and widens it while too much of it is out of reach.
+    pub(super) fn review_subset(&mut self) {
+        let now = self.clock.now();
+        self.arm_subset_review();
+        let (all, healthy) = self.balancer.standing(now);
+        let Some(subset) = &mut self.subset else { return };
+        let last_listed = |id| self.upstreams.member(id);
+        let mut changed = subset.passed(now, last_listed);
+        changed.extend(subset.seen(now, all, healthy, last_listed));
+        self.balancer.shared_by(subset.sharers());
+        if !changed.is_empty() {
+            self.queue_members(ListKind::Aside, changed);
+        }
+    }
+
+    /// Arms the next review of the subset.
+    pub(super) fn arm_subset_review(&mut self) {
+        self.timers.arm(Instant::now() + SUBSET_REVIEW_INTERVAL, Timer::ReviewSubset);
+    }
+
+    /// Queues changes for the decision module, and passes on their first part.
+    fn queue_members(&mut self, kind: ListKind, members: Vec<Member>) {
+        let last_listed = |id| self.upstreams.member(id);
+        let part = self.update_queue.listed(kind, members, last_listed);
+        self.publish_part(part.kind, &part.members);
+    }
+
+    /// Passes a part of a list to the decision module. The rest follows behind the events that have come by now.
+    fn publish_part(&mut self, kind: ListKind, list: &[Member]) {
+        if self.update_queue.is_due() {
+            let _ = self.events.send(EngineEvent::NextListPart);
+        }
+        self.notify_policy(Event::Members { kind, list });
+    }
+
+    /// Drops upstreams that are gone and that no attempt uses any more.
+    fn forget_departed_upstreams(&mut self) {
+        for id in self.upstreams.forget() {
+            self.pool.close_idle(id);
+        }
+    }
+
+    /// Passes the list on to the other balancers.
+    fn share_list_with_cluster(&self, list: &List, kind: ListKind) {
+        let Some(cluster) = &self.cluster else { return };
+        let entries = list.members.iter().map(|m| (m.id.to_string(), shared_phase(m.phase)));
+        cluster.heard(Listed::List {
+            version: list.revision,
+            whole: kind == ListKind::Complete,
+            entries: entries.collect(),
+        });
+    }
+}
+
+/// The phase of an upstream in the terms of the cluster's messages.
+fn shared_phase(phase: Phase) -> lists::Phase {
+    match phase {
+        Phase::Serving => lists::Phase::Serving,
+        Phase::Draining | Phase::Unknown => lists::Phase::Drains,
+        Phase::Deleted => lists::Phase::Ended,
+    }
+}
--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -1,4 +1,4 @@
-//! The engine as others reach it: clients' connections and the admin API.
+//! The engine as other tasks reach it: clients' connections by [`EngineHandle`], the admin API by [`AdminHandle`].
 
 use std::cell::Cell;
 use std::collections::BTreeSet;
@@ -10,157 +10,170 @@
 use tokio::sync::{mpsc, oneshot};
 use tokio::time::Instant;
 
-use super::{Arrival, EngineEvent, Reply};
+use super::event::{Arrival, EngineEvent, Reply};
+use super::state::EngineState;
+use crate::cancellation::Cancellation;
 use crate::cluster::News as ClusterEvent;
 use crate::freshness::Expiry;
 use crate::invariants::Violations;
 use crate::membership::Part;
-use crate::stream::Cancellation;
 use crate::upstreams::ForwardedRequest;
 
-/// The engine as clients' connections see it.
-pub struct Handle {
-    pub(super) notes: mpsc::UnboundedSender<EngineEvent>,
-    pub(super) next: Cell<u64>,
-    pub(super) ready: Rc<Cell<bool>>,
-    pub(super) heard: Rc<Cell<bool>>,
-    pub(super) list_expiry: Expiry,
-    pub(super) violations: Violations,
+/// The engine as the admin API and the state store reach it.
+#[derive(Clone)]
+pub struct AdminHandle {
+    events: mpsc::UnboundedSender<EngineEvent>,
+    ready: Rc<Cell<bool>>,
+    has_received_list: Rc<Cell<bool>>,
+    list_expiry: Expiry,
+    violations: Violations,
 }
 
-/// The engine as operators reach it.
-pub struct Door {
-    pub(super) notes: mpsc::UnboundedSender<EngineEvent>,
-    pub(super) ready: Rc<Cell<bool>>,
-    pub(super) heard: Rc<Cell<bool>>,
-    pub(super) list_expiry: Expiry,
-    pub(super) violations: Violations,
-}
-
-impl Door {
-    /// Whether there is anywhere to send to.
+impl AdminHandle {
+    /// Whether there is an upstream to send to.
     pub fn ready(&self) -> bool {
         self.ready.get()
     }
 
-    /// Whether discovery has told a list since the start.
+    /// Whether discovery has delivered a list since the start.
     pub fn heard(&self) -> bool {
-        self.heard.get()
+        self.has_received_list.get()
     }
 
-    /// Whether the list is too old to be acted on.
+    /// Whether the endpoint list is too old to be acted on.
     pub fn is_list_expired(&self) -> bool {
         self.list_expiry.is_over(Instant::now())
     }
 
-    /// How often this balancer has broken its promises.
+    /// How often this balancer has violated its invariants.
     pub fn violations(&self) -> &Violations {
         &self.violations
     }
 
-    /// Whether a list has named this upstream.
+    /// Whether an endpoint list has named this upstream.
     pub async fn has_named(&self, name: String) -> bool {
         let (reply, answer) = oneshot::channel();
-        let _ = self.notes.send(EngineEvent::HasNamed { name, reply });
+        let _ = self.events.send(EngineEvent::HasNamed { name, reply });
         answer.await.unwrap_or(false)
     }
 
-    /// What the module has learned so far.
+    /// What the decision module has learned so far; nothing, if the engine has ended.
     pub async fn learned(&self) -> Option<Learned> {
         let (reply, answer) = oneshot::channel();
-        let _ = self.notes.send(EngineEvent::Learned(reply));
+        let _ = self.events.send(EngineEvent::ExportLearned(reply));
         answer.await.ok()
     }
 
-    /// Has the module go on from what another process of this balancer has learned.
+    /// Has the decision module continue from what another process of this balancer has learned.
     pub fn recall(&self, learned: Learned) {
-        let _ = self.notes.send(EngineEvent::Recall(Box::new(learned)));
+        let _ = self.events.send(EngineEvent::ImportLearned(Box::new(learned)));
     }
 
-    /// A part of the list from there on, and whether a watch on discovery vouches for it.
+    /// The part of the endpoint list that begins at handle `from`, and whether a live watch vouches for the list; nothing,
+    /// if the engine has ended.
     pub async fn list(&self, from: u32) -> Option<(Part, bool)> {
         let (reply, answer) = oneshot::channel();
-        let _ = self.notes.send(EngineEvent::Listed { from, reply });
+        let _ = self.events.send(EngineEvent::ReadList { from, reply });
         answer.await.ok()
     }
 
-    /// Takes these out, and lets all others back; whether that is done.
-    /// Told at once; what is returned waits for it to be done.
+    /// Cordons these upstreams, and lets all others back.
+    ///
+    /// The engine is notified at once. The returned future ends once it has acted, and tells whether it has.
     pub fn cordon(&self, names: BTreeSet<String>) -> impl Future<Output = bool> + use<> {
         let (done, answer) = oneshot::channel();
-        let _ = self.notes.send(EngineEvent::Cordoned { names, done });
+        let _ = self.events.send(EngineEvent::Cordon { names, done });
         async move { answer.await.is_ok() }
     }
 }
 
-impl Handle {
-    /// The engine as operators reach it.
-    pub fn door(&self) -> Door {
-        Door {
-            notes: self.notes.clone(),
-            ready: self.ready.clone(),
-            heard: self.heard.clone(),
-            list_expiry: self.list_expiry.clone(),
-            violations: self.violations.clone(),
-        }
+/// The engine as clients' connections reach it.
+pub struct EngineHandle {
+    admin: AdminHandle,
+    next_id: Cell<u64>,
+}
+
+impl EngineHandle {
+    /// A handle on the engine with this state.
+    pub(super) fn new(state: &EngineState) -> Self {
+        let admin = AdminHandle {
+            events: state.events.clone(),
+            ready: state.ready.clone(),
+            has_received_list: state.list_watch.has_received_list.clone(),
+            list_expiry: state.list_watch.freshness.expiry(),
+            violations: state.violations.clone(),
+        };
+        Self { admin, next_id: Cell::new(0) }
     }
 
-    /// Whether there is anywhere to send to.
-    pub fn ready(&self) -> bool {
-        self.ready.get()
+    /// The engine as the admin API reaches it.
+    pub fn door(&self) -> AdminHandle {
+        self.admin.clone()
     }
 
-    /// Where violations are counted.
+    /// Whether there is an upstream to send to.
+    pub fn is_ready(&self) -> bool {
+        self.admin.ready()
+    }
+
+    /// Where violations of invariants are counted.
     pub fn violations(&self) -> &Violations {
-        &self.violations
+        self.admin.violations()
     }
 
-    /// Tells the engine what is new with the bank.
+    /// Notifies the engine of changes in the cluster of balancers.
     pub fn banker(&self) -> impl Fn(ClusterEvent) + use<> {
-        let notes = self.notes.clone();
-        move |news| drop(notes.send(EngineEvent::Cluster(news)))
+        let events = self.admin.events.clone();
+        move |event| drop(events.send(EngineEvent::Cluster(event)))
     }
 
-    /// Tells the engine where discovery is now.
+    /// Notifies the engine of discovery's address.
     pub fn reloader(&self) -> impl Fn(SocketAddr) + use<> {
-        let notes = self.notes.clone();
-        move |discovery| drop(notes.send(EngineEvent::Moved(discovery)))
+        let events = self.admin.events.clone();
+        move |discovery| drop(events.send(EngineEvent::DiscoveryMoved(discovery)))
     }
 
-    /// The handle of the next request.
+    /// The id of the next request.
     pub fn next_id(&self) -> RequestId {
-        RequestId(self.next.replace(self.next.get() + 1))
+        RequestId(self.next_id.replace(self.next_id.get() + 1))
     }
 
-    /// Hands in a request and waits for its answer. Dropped before that, it tells that the client left.
-    pub async fn ask(&self, id: RequestId, arrival: Arrival, forward: ForwardedRequest) -> Reply {
+    /// Hands in a request and waits for its final answer. Dropped before that, it reports that the client has gone.
+    pub async fn submit(
+        &self,
+        id: RequestId,
+        arrival: Arrival,
+        forwarded: ForwardedRequest,
+    ) -> Reply {
+        let events = &self.admin.events;
         let (reply, answer) = oneshot::channel();
-        if let Some(flow) = forward.flow() {
-            let notes = self.notes.clone();
-            flow.when_whole(move || drop(notes.send(EngineEvent::Whole(id))));
+        if let Some(body) = forwarded.streamed_body() {
+            let events = events.clone();
+            body.when_whole(move || drop(events.send(EngineEvent::BodyReceived(id))));
         }
         let cancellation = arrival.cancellation.clone();
-        let _ = self.notes.send(EngineEvent::Arrived { id, arrival, forward, reply });
-        let mut leaving = Leaving { id, cancellation, notes: Some(&self.notes) };
+        let _ = events.send(EngineEvent::RequestArrived { id, arrival, forwarded, reply });
+        let mut cancel_on_drop = CancelOnDrop { id, cancellation, events: Some(events) };
         let answer = answer.await;
-        leaving.notes = None;
+        cancel_on_drop.events = None;
         answer.unwrap_or(Reply::Failed { late: false })
     }
 }
 
-/// Tells of a client that went away before its answer.
-struct Leaving<'a> {
+/// Cancels a request whose client has gone before the final answer.
+struct CancelOnDrop<'a> {
     id: RequestId,
     cancellation: Rc<Cancellation>,
-    pub(super) notes: Option<&'a mpsc::UnboundedSender<EngineEvent>>,
+    /// Nothing once there is an answer.
+    events: Option<&'a mpsc::UnboundedSender<EngineEvent>>,
 }
 
-impl Drop for Leaving<'_> {
+impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
-        if let Some(notes) = self.notes {
-            // At once: the note may wait behind many.
+        if let Some(events) = self.events {
+            // Attempts must see it at once, and the event may wait behind many others.
             self.cancellation.cancel();
-            let _ = notes.send(EngineEvent::Left(self.id));
+            let _ = events.send(EngineEvent::ClientDisconnected(self.id));
         }
     }
 }
--- /dev/null
+++ b/crates/gateway/src/engine/policy_updates.rs
@@ -0,0 +1,45 @@
+//! Applies the routing policy that the cluster has in force: the engine knows that there is one, not what it says.
+
+use hollowpaddle_policy::interface::{ListKind, RequestId, ServerId, Status};
+use tokio::time::Instant;
+
+use super::state::EngineState;
+use crate::send_guard::PolicyCheck;
+
+impl EngineState {
+    /// Applies the policy in force if it is another than the one applied last.
+    ///
+    /// Called before every event that could lead to a send, since a lease may have ended while the process did not run.
+    pub(super) fn apply_policy_in_force(&mut self) {
+        let Some(cluster) = &self.cluster else { return };
+        let policy = cluster.held();
+        if self.applied_policy.as_ref().is_some_and(|applied| applied.is(&policy)) {
+            return;
+        }
+        self.applied_policy = Some(policy.clone());
+        let max_attempts = self.limits.max_attempts.min(policy.rules.attempts().into());
+        self.balancer.attempts_at_most(max_attempts);
+        let changed = self.upstreams.rule(policy, Instant::now());
+        for member in changed.iter().filter(|member| member.status != Status::Live) {
+            self.pool.close_idle(member.id);
+        }
+        if !changed.is_empty() {
+            self.publish_members(ListKind::Aside, changed);
+        }
+    }
+
+    /// The check that an attempt makes right before its first byte: whether the policy in force by then allows it.
+    ///
+    /// Returns nothing if there is no cluster, or no such request.
+    pub(super) fn policy_check(&self, server: ServerId, id: RequestId) -> Option<PolicyCheck> {
+        let cluster = self.cluster.clone()?;
+        let class = self.requests.get(&id)?.class;
+        let route = self.upstreams.placed(server, class);
+        let applied = self.applied_policy.clone();
+        Some(Box::new(move || {
+            let policy = cluster.held();
+            let is_unchanged = applied.as_ref().is_some_and(|applied| applied.is(&policy));
+            is_unchanged || route.as_ref().is_some_and(|route| route.permitted(&policy))
+        }))
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/engine/requests.rs
@@ -0,0 +1,216 @@
+//! The requests that are owed a final answer or have attempts in flight: their arrival, their deadline, and their one
+//! final answer. Attempts are left to `attempts`.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use hollowpaddle_policy::interface::{Event, Outcome, Request, RequestId, Span};
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+use super::attempts::Attempt;
+use super::event::{Arrival, Reply};
+use super::retry_safety::{self, PriorAttempt};
+use super::state::EngineState;
+use super::timers::Timer;
+use crate::cancellation::Cancellation;
+use crate::invariants::Invariant;
+use crate::upstreams::ForwardedRequest;
+
+/// The decision module works to a deadline this much before the client's, which leaves time for the way to the client and
+/// for a busy moment of this process.
+const MAX_HEADROOM: Duration = Duration::from_millis(15);
+/// The headroom is at most this part of the time that the client waits: a request with 15 ms still has to be sent.
+const HEADROOM_DIVISOR: u32 = 8;
+/// The engine answers by itself when this part of the headroom is left, if the decision module has not answered by then.
+const ENGINE_ANSWER_DIVISOR: u32 = 3;
+
+/// A request that is owed a final answer or has attempts in flight.
+pub(super) struct ActiveRequest {
+    pub(super) forwarded: Rc<ForwardedRequest>,
+    /// Taken by the final answer.
+    pub(super) reply: Option<oneshot::Sender<Reply>>,
+    /// Read by attempts right before they write.
+    pub(super) cancellation: Rc<Cancellation>,
+    /// The deadline that the decision module works to.
+    pub(super) deadline: Instant,
+    /// How long the client waits, from the last byte of its request on.
+    client_timeout: Duration,
+    /// How much earlier than the client's deadline `deadline` is.
+    headroom: Duration,
+    /// Index of its class in the settings.
+    pub(super) class: usize,
+    pub(super) attempts: Vec<Attempt>,
+    /// Outcome of the attempt that ended last.
+    pub(super) last_outcome: Option<Outcome>,
+}
+
+impl ActiveRequest {
+    fn new(arrival: &Arrival, forwarded: ForwardedRequest, reply: oneshot::Sender<Reply>) -> Self {
+        let client_timeout = arrival.client_deadline.saturating_duration_since(Instant::now());
+        let headroom = MAX_HEADROOM.min(client_timeout / HEADROOM_DIVISOR);
+        Self {
+            forwarded: Rc::new(forwarded),
+            reply: Some(reply),
+            cancellation: arrival.cancellation.clone(),
+            deadline: arrival.client_deadline - headroom,
+            client_timeout,
+            headroom,
+            class: arrival.class,
+            attempts: Vec::new(),
+            last_outcome: None,
+        }
+    }
+
+    /// Whether the final answer was given.
+    pub(super) fn is_answered(&self) -> bool {
+        self.reply.is_none()
+    }
+
+    /// The number of attempts that have not ended.
+    pub(super) fn attempts_in_flight(&self) -> usize {
+        self.attempts.iter().filter(|attempt| attempt.is_in_flight()).count()
+    }
+
+    /// What is known of its attempts, for the rule that nothing takes effect twice.
+    pub(super) fn prior_attempts(&self) -> Vec<PriorAttempt> {
+        self.attempts.iter().map(Attempt::as_prior).collect()
+    }
+
+    /// When the client gives up.
+    pub(super) fn client_deadline(&self) -> Instant {
+        self.deadline + self.headroom
+    }
+
+    /// From the last byte of a streamed body to the decision module's deadline.
+    pub(super) fn response_timeout(&self) -> Duration {
+        self.client_timeout - self.headroom
+    }
+
+    /// When the engine answers by itself.
+    fn engine_answer_at(&self) -> Instant {
+        self.deadline + (self.headroom - self.headroom / ENGINE_ANSWER_DIVISOR)
+    }
+
+    /// Whether its body is being streamed: the time that its client waits has not begun.
+    fn is_streaming(&self) -> bool {
+        let body = self.forwarded.streamed_body();
+        body.is_some_and(|body| body.is_spent() && !body.is_whole())
+    }
+
+    /// Starts the time that the client waits, with the last byte of a streamed body.
+    fn restart_deadline(&mut self) {
+        let client_deadline = Instant::now() + self.client_timeout;
+        self.deadline = client_deadline - self.headroom;
+    }
+}
+
+impl EngineState {
+    /// Takes in a request and has the decision module decide on it.
+    pub(super) fn on_request(
+        &mut self,
+        id: RequestId,
+        arrival: Arrival,
+        forwarded: ForwardedRequest,
+        reply: oneshot::Sender<Reply>,
+    ) {
+        let is_streamed = forwarded.streamed_body().is_some();
+        let active = ActiveRequest::new(&arrival, forwarded, reply);
+        let request = Request {
+            tenant: arrival.tenant,
+            key: arrival.key,
+            cost_guess: arrival.cost_guess,
+            resent: arrival.resent,
+            flows: is_streamed,
+            ..Request::new(id, arrival.class, self.clock.time(active.deadline))
+        };
+        self.timers.arm(active.engine_answer_at(), Timer::RequestDeadline(id));
+        self.requests.insert(id, active);
+        self.notify_policy(Event::Request(request));
+    }
+
+    /// The last byte of a streamed body is out: from here on the request has the time that its client waits.
+    pub(super) fn on_body_received(&mut self, id: RequestId) {
+        let Some(active) = self.requests.get_mut(&id) else { return };
+        if active.is_answered() {
+            return;
+        }
+        active.restart_deadline();
+        let send_deadline = self.clock.time(active.deadline);
+        self.timers.arm(active.engine_answer_at(), Timer::RequestDeadline(id));
+        self.notify_policy(Event::BodyReceived { request: id, send_deadline });
+    }
+
+    /// The client has gone: nothing is owed to it any more.
+    pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
+        let Some(active) = self.requests.get_mut(&id) else { return };
+        if active.reply.take().is_some() {
+            tracing::debug!(request = id.0, "client disconnected");
+            self.notify_policy(Event::ClientLeft(id));
+        }
+        self.remove_if_finished(id);
+    }
+
+    /// Answers a request that the decision module still owes its answer when the client is about to give up.
+    pub(super) fn on_request_deadline(&mut self, id: RequestId) {
+        // The end of a streamed body moves the deadline, and arms another timer.
+        let is_early = |active: &ActiveRequest| {
+            active.is_streaming() || Instant::now() < active.engine_answer_at()
+        };
+        if self.requests.get(&id).is_some_and(is_early) {
+            return;
+        }
+        if self.answer(id, Reply::Failed { late: true }) {
+            tracing::warn!(request = id.0, "request answered at its deadline");
+            self.notify_policy(Event::ClientLeft(id));
+        }
+        self.remove_if_finished(id);
+    }
+
+    /// Rejects a request. Where the rejection would be untrue, since the request may have run, it fails instead.
+    pub(super) fn reject(&mut self, id: RequestId, retry_after: Span) {
+        let reply = if self.is_rejection_safe(id) {
+            Reply::Refused { retry_after }
+        } else {
+            Reply::Failed { late: false }
+        };
+        self.answer(id, reply);
+        self.remove_if_finished(id);
+    }
+
+    /// Fails a request, as a timeout if its last attempt was one.
+    pub(super) fn fail(&mut self, id: RequestId) {
+        let last_outcome = self.requests.get(&id).and_then(|active| active.last_outcome);
+        self.answer(id, Reply::Failed { late: last_outcome == Some(Outcome::Timeout) });
+        self.remove_if_finished(id);
+    }
+
+    /// Gives the final answer. Returns whether there was none before.
+    pub(super) fn answer(&mut self, id: RequestId, reply: Reply) -> bool {
+        let Some(active) = self.requests.get_mut(&id) else { return false };
+        let Some(sender) = active.reply.take() else { return false };
+        active.cancellation.cancel();
+        let _ = sender.send(reply);
+        true
+    }
+
+    /// Removes a request that is answered and has no attempt in flight.
+    pub(super) fn remove_if_finished(&mut self, id: RequestId) {
+        let is_finished =
+            |active: &ActiveRequest| active.is_answered() && active.attempts_in_flight() == 0;
+        if self.requests.get(&id).is_some_and(is_finished) {
+            self.requests.remove(&id);
+        }
+    }
+
+    /// Whether a rejection, which says that a retry is harmless, is true of this request. Counts it if it is not.
+    fn is_rejection_safe(&self, id: RequestId) -> bool {
+        let Some(active) = self.requests.get(&id) else { return true };
+        let class = &self.limits.classes[active.class];
+        let is_safe = retry_safety::is_rejection_safe(class, &active.prior_attempts());
+        if !is_safe {
+            self.violations.count(Invariant::RefusedAfterEffect, Some(id), None);
+        }
+        is_safe
+    }
+}
--- a/crates/gateway/src/engine/retry_safety.rs
+++ b/crates/gateway/src/engine/retry_safety.rs
@@ -1,53 +1,50 @@
-//! Whether a further attempt, or a refusal, keeps the promise that nothing has an effect twice. The decision module decides;
-//! this says once more, from what was really sent, whether it may, so that a fault of one is no fault of both.
+//! Checks that neither a retry nor a rejection can break the rule that nothing takes effect twice.
+//!
+//! The decision module decides on retries. This check repeats the rule from what was really sent, so that a fault of one
+//! is no fault of both.
 
 use hollowpaddle_policy::interface::{Class, Effect, Group, Outcome};
 
-/// Where an upstream's effects are remembered: its zone and its cell.
-#[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub struct Place {
-    /// The zone.
-    pub zone: u32,
-    /// The cell in it.
-    pub cell: u32,
-}
+use crate::location::Location;
 
 /// An attempt that was made before.
 #[derive(Clone, Copy, Debug)]
-pub struct Earlier {
-    /// Where.
-    pub place: Option<Place>,
-    /// How it ended; none while it is out.
+pub struct PriorAttempt {
+    /// Where its upstream runs, if that was known.
+    pub location: Option<Location>,
+    /// How it ended; nothing while it is in flight.
     pub outcome: Option<Outcome>,
 }
 
-impl Earlier {
+impl PriorAttempt {
     fn may_have_run(&self) -> bool {
         self.outcome.is_none_or(|outcome| !outcome.never_ran())
     }
 }
 
-/// Whether another attempt at `place` may follow these.
-pub fn may_repeat(class: &Class, earlier: &[Earlier], place: Option<Place>) -> bool {
-    let mut risky = earlier.iter().filter(|attempt| attempt.may_have_run());
+/// Whether another attempt at `location` may follow these.
+pub fn is_retry_safe(class: &Class, prior: &[PriorAttempt], location: Option<Location>) -> bool {
+    let mut may_have_run = prior.iter().filter(|attempt| attempt.may_have_run());
     match class.effect {
         Effect::Safe => true,
-        Effect::Unsafe => risky.next().is_none(),
-        Effect::Keyed => risky.all(|attempt| is_same_group(class.group, attempt.place, place)),
+        Effect::Unsafe => may_have_run.next().is_none(),
+        Effect::Keyed => {
+            may_have_run.all(|attempt| is_same_group(class.group, attempt.location, location))
+        }
     }
 }
 
-/// Whether a refusal, which says that another try is harmless, may follow these.
-pub fn may_refuse(class: &Class, earlier: &[Earlier]) -> bool {
+/// Whether a rejection, which says that a retry is harmless, may follow these.
+pub fn is_rejection_safe(class: &Class, prior: &[PriorAttempt]) -> bool {
     match class.effect {
         Effect::Safe => true,
         Effect::Keyed if class.group == Group::All => true,
-        Effect::Keyed | Effect::Unsafe => !earlier.iter().any(Earlier::may_have_run),
+        Effect::Keyed | Effect::Unsafe => !prior.iter().any(PriorAttempt::may_have_run),
     }
 }
 
-/// Whether two upstreams drop one another's repeats; one that is not known any more is in no group.
-fn is_same_group(group: Group, one: Option<Place>, other: Option<Place>) -> bool {
+/// Whether two upstreams drop one another's repeats. One at an unknown location is in no group.
+fn is_same_group(group: Group, one: Option<Location>, other: Option<Location>) -> bool {
     let (Some(one), Some(other)) = (one, other) else { return group == Group::All };
     match group {
         Group::All => true,
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -4,7 +4,9 @@
 //! what it says; only the engine touches the module.
 #![forbid(unsafe_code)]
 
+mod attempt;
 mod bodies;
+mod cancellation;
 mod clients;
 mod closing;
 pub mod cluster;
@@ -17,6 +19,7 @@
 mod invariants;
 #[doc(hidden)]
 pub mod list_reader;
+mod location;
 pub mod members;
 #[doc(hidden)] // for the measurements in `tests/list_memory.rs`
 pub mod membership;
@@ -26,6 +29,7 @@
 mod restored_list;
 mod send_guard;
 mod serve;
+mod shared_stream;
 mod stall_detector;
 #[doc(hidden)] // for the measurements in `tests/list_memory.rs`
 pub mod start_times;
--- /dev/null
+++ b/crates/gateway/src/location.rs
@@ -0,0 +1,10 @@
+//! Where an upstream runs, as far as idempotency goes: upstreams of one place recognise one another's repeated requests.
+
+/// The zone and the cell of an upstream.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub struct Location {
+    /// Index of the zone in the settings.
+    pub zone: u32,
+    /// Number of the cell within the zone.
+    pub cell: u32,
+}
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -15,17 +15,17 @@
 
 use hollowpaddle_policy::interface;
 use hollowpaddle_policy::interface::{ListKind, ServerId};
-use hollowpaddle_revision::rules::Place as RulesPlace;
+use hollowpaddle_revision::rules::Place;
 use rustc_hash::{FxHashMap, FxHashSet};
 use tokio::time::Instant;
 
+use crate::attempt::UpstreamTarget;
 use crate::cluster::Held;
 use crate::config::Config;
-use crate::engine::Place;
+use crate::location::Location;
 use crate::members::{Entry, List, Phase};
 use crate::names::NameTable;
 use crate::start_times::{Delivery, ListedStart, Reading, StartTimes};
-use crate::upstreams::UpstreamTarget;
 use departed::Departed;
 use open_targets::OpenTargets;
 pub use overlay::Placed;
@@ -107,9 +107,9 @@
     }
 
     /// Where what an upstream has done is remembered, by the last list that named it.
-    pub fn place_of(&self, server: ServerId) -> Option<Place> {
+    pub fn location_of(&self, server: ServerId) -> Option<Location> {
         let listed = &self.targets.get(&server)?.listed;
-        Some(Place { zone: listed.zone, cell: listed.cell })
+        Some(Location { zone: listed.zone, cell: listed.cell })
     }
 
     /// Whether there is anybody to send to.
@@ -235,8 +235,8 @@
     }
 
     /// How rules know it.
-    fn place<'a>(&'a self, known: &'a Known) -> RulesPlace<'a> {
-        RulesPlace {
+    fn place<'a>(&'a self, known: &'a Known) -> Place<'a> {
+        Place {
             name: &known.name,
             cell: known.listed.cell,
             machine_type: self.machine_types.name(known.listed.machine_type),
--- a/crates/gateway/src/membership/open_targets.rs
+++ b/crates/gateway/src/membership/open_targets.rs
@@ -2,7 +2,7 @@
 
 use tokio::time::Instant;
 
-use crate::upstreams::UpstreamTarget;
+use crate::attempt::UpstreamTarget;
 
 /// The number of targets that are not closed. All closing times are set here, so that nobody has to count.
 #[derive(Default)]
--- a/crates/gateway/src/membership/record.rs
+++ b/crates/gateway/src/membership/record.rs
@@ -7,8 +7,8 @@
 use hollowpaddle_policy::interface::{ServerId, Time};
 use hollowpaddle_policy::settings::stable_hash;
 
+use crate::attempt::UpstreamTarget;
 use crate::start_times::{BelievedStart, ListedStart};
-use crate::upstreams::UpstreamTarget;
 
 /// One upstream.
 pub(super) struct Known {
--- a/crates/gateway/src/send_guard.rs
+++ b/crates/gateway/src/send_guard.rs
@@ -1,9 +1,9 @@
-//! The one place that says whether an attempt may go on the wire, asked right before its first byte, and the check right
-//! after that byte that it should have.
+//! Decides whether an attempt may be written, right before its first byte, and checks right after that byte that it should
+//! have been.
 //!
-//! Between a look at the clock and the write behind it the process may stand still for [`MAX_PROCESS_STALL`], and nothing in the
-//! program can close that gap. So the guard works to limits that are so much earlier than the ones that hold, and the
-//! check goes by the ones that hold.
+//! Between reading the clock and writing, the process may stand still for [`MAX_PROCESS_STALL`], and no program can close
+//! that gap. So the guard works to limits that are that much earlier than those that hold, and the check afterwards goes
+//! by the ones that hold.
 
 use std::cell::Cell;
 use std::fmt;
@@ -13,135 +13,150 @@
 use hollowpaddle_policy::interface::{RequestId, ServerId};
 use tokio::time::Instant;
 
+use crate::attempt::{AttemptLimits, UpstreamTarget};
+use crate::cancellation::Cancellation;
 use crate::freshness::Expiry;
 use crate::invariants::{Invariant, Violations};
-use crate::stream::Cancellation;
-use crate::upstreams::{AttemptLimits, UpstreamTarget};
 
 /// How long the process may be held up between reading its clock and writing.
 pub const MAX_PROCESS_STALL: Duration = Duration::from_millis(150);
-/// Sends to an upstream that drains end so long before the grace does: notice of it may be read late by one hold-up, and
-/// the send be late by another.
+/// Sends to a draining upstream end this long before its grace period does: notice of the drain may be read one stall late,
+/// and the send may be late by another.
 pub const DRAIN_MARGIN: Duration = Duration::from_millis(300);
-/// Each limit of a rule has so much slack on sockets (PROTOCOL, "The rules on sockets").
-const SLACK: Duration = Duration::from_millis(50);
-/// An attempt that begins so long after its request's end is one too many.
-const END_SLACK: Duration = Duration::from_millis(100);
-/// The deadline told to an upstream may be so much longer than what its client has left.
-const DEADLINE_SLACK: Duration = Duration::from_millis(150);
-
-/// Why an attempt was not written.
+/// What each limit allows beyond itself on sockets (PROTOCOL, "The rules on sockets").
+const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
+/// An attempt that begins this long after the end of its request is a violation.
+const CANCELLATION_TOLERANCE: Duration = Duration::from_millis(100);
+/// How much longer the deadline announced to an upstream may be than what its client has left.
+const DEADLINE_TOLERANCE: Duration = Duration::from_millis(150);
+
+/// Why an attempt may not be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendDenied {
     /// The request is answered, or its client has gone.
-    Over,
-    /// Its time, or the window for repeats, is over.
-    Late,
-    /// Its upstream drains or is gone.
-    Draining,
-    /// The list of upstreams is too old to be acted on.
+    RequestOver,
+    /// The time of the attempt, or the window for repeats, is over.
+    TooLate,
+    /// The upstream is draining or gone.
+    UpstreamDraining,
+    /// The endpoint list is too old to be acted on.
     ListExpired,
     /// The routing policy in force does not allow it any more.
-    Forbidden,
+    ForbiddenByPolicy,
 }
 
 /// Whether the routing policy allows an attempt at the moment of the call.
 pub type PolicyCheck = Box<dyn Fn() -> bool>;
 
 /// What has to hold for one attempt to be written.
-pub struct SendGuard {
-    /// The request, for the log.
+pub struct SendGuardParts {
+    /// The request that the attempt is for.
     pub request: RequestId,
-    /// The upstream.
+    /// The upstream that it goes to.
     pub upstream: ServerId,
-    /// Until when it may be written.
-    pub limit: AttemptLimits,
-    /// Until when its upstream may be sent to.
+    /// How long it may take.
+    pub limits: AttemptLimits,
+    /// Until when the upstream may be sent to.
     pub target: Rc<UpstreamTarget>,
     /// Whether the request is over.
     pub cancellation: Rc<Cancellation>,
-    /// Whether the list is too old.
-    pub expiry: Expiry,
-    /// What the routing policy says; there may be none.
-    pub permits: Option<PolicyCheck>,
+    /// When the endpoint list expires.
+    pub list_expiry: Expiry,
+    /// What the routing policy says, where there is one.
+    pub policy_check: Option<PolicyCheck>,
     /// Where violations are counted.
     pub violations: Violations,
-    /// When it was told to its upstream by when its client gives up, and how long that was then.
-    told: Cell<Option<Duration>>,
+}
+
+/// The guard of one attempt.
+pub struct SendGuard {
+    parts: SendGuardParts,
+    /// The deadline that was announced to the upstream, as a span.
+    announced_deadline: Cell<Option<Duration>>,
 }
 
 impl fmt::Debug for SendGuard {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.debug_struct("SendGuard")
-            .field("request", &self.request)
-            .field("upstream", &self.upstream)
+            .field("request", &self.parts.request)
+            .field("upstream", &self.parts.upstream)
             .finish_non_exhaustive()
     }
 }
 
 impl SendGuard {
-    /// For an attempt that goes by these limits.
-    #[allow(clippy::too_many_arguments)] // One of each; they are named in the struct.
-    pub fn new(
-        request: RequestId,
-        upstream: ServerId,
-        limit: AttemptLimits,
-        target: Rc<UpstreamTarget>,
-        cancellation: Rc<Cancellation>,
-        expiry: Expiry,
-        permits: Option<PolicyCheck>,
-        violations: Violations,
-    ) -> Self {
-        let told = Cell::new(None);
-        Self { request, upstream, limit, target, cancellation, expiry, permits, violations, told }
+    /// A guard over these parts.
+    pub fn new(parts: SendGuardParts) -> Self {
+        Self { parts, announced_deadline: Cell::new(None) }
+    }
+
+    /// The upstream that the attempt goes to.
+    pub fn upstream(&self) -> ServerId {
+        self.parts.upstream
     }
 
-    /// Whether the attempt may be written now.
+    /// Where that upstream is, and until when it may be sent to.
+    pub fn target(&self) -> &Rc<UpstreamTarget> {
+        &self.parts.target
+    }
+
+    /// How long the attempt may take.
+    pub fn limits(&self) -> AttemptLimits {
+        self.parts.limits
+    }
+
+    /// Checks whether the attempt may be written now.
     ///
     /// # Errors
-    /// Why not.
+    /// Why it may not.
     pub fn check(&self) -> Result<(), SendDenied> {
         let now = Instant::now();
-        if self.cancellation.is_cancelled() {
-            return Err(SendDenied::Over);
+        let SendGuardParts { limits, target, .. } = &self.parts;
+        if self.parts.cancellation.is_cancelled() {
+            return Err(SendDenied::RequestOver);
         }
-        if now >= self.limit.until.min(self.limit.send_by) {
-            return Err(SendDenied::Late);
+        if now >= limits.deadline.min(limits.send_by) {
+            return Err(SendDenied::TooLate);
         }
-        if self.target.closed_from.get().is_some_and(|from| now >= from) {
-            return Err(SendDenied::Draining);
+        if target.closed_from.get().is_some_and(|from| now >= from) {
+            return Err(SendDenied::UpstreamDraining);
         }
-        if self.expiry.is_over(now) {
+        if self.parts.list_expiry.is_over(now) {
             return Err(SendDenied::ListExpired);
         }
-        if self.permits.as_ref().is_some_and(|permits| !permits()) {
-            return Err(SendDenied::Forbidden);
+        if self.parts.policy_check.as_ref().is_some_and(|is_allowed| !is_allowed()) {
+            return Err(SendDenied::ForbiddenByPolicy);
         }
         Ok(())
     }
 
-    /// Notes the deadline that the upstream is told.
-    pub fn tells(&self, deadline: Duration) {
-        self.told.set(Some(deadline));
+    /// Records the deadline that the attempt announces to its upstream.
+    pub fn record_announced_deadline(&self, deadline: Duration) {
+        self.announced_deadline.set(Some(deadline));
     }
 
-    /// Checks an attempt whose first bytes have just been handed to the kernel, and counts what should not have been.
-    pub fn verify(&self) {
+    /// Checks an attempt whose first bytes have just been handed to the kernel, and counts each rule that it violates.
+    pub fn verify_sent(&self) {
         let now = Instant::now();
-        let violated =
-            |invariant| self.violations.count(invariant, Some(self.request), Some(self.upstream));
-        if self.target.closed_from.get().is_some_and(|from| now > from + DRAIN_MARGIN + SLACK) {
-            violated(Invariant::SentAfterDrain);
+        let SendGuardParts { limits, target, cancellation, .. } = &self.parts;
+        let drain_limit = DRAIN_MARGIN + SOCKET_TOLERANCE;
+        if target.closed_from.get().is_some_and(|from| now > from + drain_limit) {
+            self.count(Invariant::SentAfterDrain);
         }
-        if self.limit.window.is_some_and(|end| now > end + SLACK) {
-            violated(Invariant::SentAfterWindow);
+        if limits.retry_window_end.is_some_and(|end| now > end + SOCKET_TOLERANCE) {
+            self.count(Invariant::SentAfterWindow);
         }
-        if self.cancellation.cancelled_at().is_some_and(|at| now > at + END_SLACK) {
-            violated(Invariant::SentAfterEnd);
+        if cancellation.cancelled_at().is_some_and(|at| now > at + CANCELLATION_TOLERANCE) {
+            self.count(Invariant::SentAfterEnd);
         }
-        let left = self.limit.client_until.saturating_duration_since(now);
-        if self.told.get().is_some_and(|told| told > left + DEADLINE_SLACK) {
-            violated(Invariant::DeadlineOverstated);
+        let client_has_left = limits.client_deadline.saturating_duration_since(now);
+        let max_announced = client_has_left + DEADLINE_TOLERANCE;
+        if self.announced_deadline.get().is_some_and(|announced| announced > max_announced) {
+            self.count(Invariant::DeadlineOverstated);
         }
     }
+
+    fn count(&self, invariant: Invariant) {
+        self.parts.violations.count(invariant, Some(self.parts.request), Some(self.parts.upstream));
+    }
 }
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -5,17 +5,17 @@
 use std::io::{ErrorKind, IoSlice, Result};
 use std::mem::MaybeUninit;
 use std::pin::Pin;
-use std::rc::{Rc, Weak};
+use std::rc::Rc;
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
 
 use bytes::BytesMut;
 use hollowpaddle_net::Stream;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
-use tokio::time::Instant;
 
 use crate::http::{HEAD_LIMIT, HEAD_LINES};
 use crate::send_guard::SendGuard;
+use crate::shared_stream::SharedStream;
 use crate::stall_detector::StallDetector;
 
 /// So many bytes are read ahead at once.
@@ -210,9 +210,6 @@
     }
 }
 
-/// The stream itself, for its owner.
-pub type SharedStream = Rc<RefCell<Box<dyn Stream>>>;
-
 /// The stream for hyper.
 pub struct ObservedStream {
     inner: SharedStream,
@@ -252,48 +249,13 @@
         if let Poll::Ready(Ok(n)) = wrote {
             self.traffic.count_written(n);
             if let Some(guard) = self.traffic.0.looked.take() {
-                guard.verify();
+                guard.verify_sent();
             }
         }
         wrote
     }
 }
 
-/// Whether a request is still to be sent on: not once it is answered, nor once its client has gone.
-pub struct Cancellation {
-    cancelled_at: Cell<Option<Instant>>,
-    client: Weak<RefCell<Box<dyn Stream>>>,
-}
-
-impl Cancellation {
-    /// For a request that came on this stream.
-    pub fn new(client: &SharedStream) -> Rc<Self> {
-        Rc::new(Self { cancelled_at: Cell::new(None), client: Rc::downgrade(client) })
-    }
-
-    pub fn cancel(&self) {
-        let at = self.cancelled_at.get().unwrap_or_else(Instant::now);
-        self.cancelled_at.set(Some(at));
-    }
-
-    /// When it was cancelled, if it was.
-    pub fn cancelled_at(&self) -> Option<Instant> {
-        self.cancelled_at.get()
-    }
-
-    /// Looks at the client's connection too. Failure: an attempt's connection came up in the turn in which its client
-    /// left, and was told of first; and hyper, which holds a pipelined request, does not look for an end behind it.
-    pub fn is_cancelled(&self) -> bool {
-        let stays = |client: SharedStream| !client.borrow().has_ended();
-        self.cancelled_at.get().is_some() || !self.client.upgrade().is_some_and(stays)
-    }
-}
-
-/// Whether a stream that hyper may have let go is open, and nothing unread has come on it.
-pub fn still_quiet(stream: &Weak<RefCell<Box<dyn Stream>>>) -> bool {
-    stream.upgrade().is_some_and(|s| s.borrow().is_quiet())
-}
-
 impl AsyncRead for ObservedStream {
     fn poll_read(
         self: Pin<&mut Self>,
--- a/crates/gateway/src/upstreams.rs
+++ b/crates/gateway/src/upstreams.rs
@@ -3,11 +3,11 @@
 use std::cell::{Cell, RefCell};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
-use std::rc::{Rc, Weak};
+use std::rc::Rc;
 use std::time::Duration;
 
 use bytes::Bytes;
-use hollowpaddle_net::{Network, Stream};
+use hollowpaddle_net::Network;
 use hollowpaddle_policy::interface::{Outcome, Report, ServerId};
 use hollowpaddle_policy::settings::Field;
 use http_body_util::Full;
@@ -18,12 +18,14 @@
 use rustc_hash::FxHashMap;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
+use crate::attempt::{AttemptLimits, AttemptResult, UpstreamTarget};
 use crate::bodies::{BodyError, MemoryBudget};
 use crate::config::Config;
 use crate::http::{HEAD_LIMIT, HEAD_LINES};
 use crate::response_body::{ResponseBody, ResponseStart, StreamedResponse, begin};
 use crate::send_guard::SendGuard;
-use crate::stream::{ObservedStream, Traffic, still_quiet};
+use crate::shared_stream::{SharedStream, WeakStream, is_open_and_quiet};
+use crate::stream::{ObservedStream, Traffic};
 use crate::streamed_body::{StreamedBody, UpstreamRequestBody};
 use crate::tasks::AbortOnDrop;
 
@@ -69,49 +71,12 @@
     Streamed(Rc<StreamedBody>),
 }
 
-/// How long an attempt may take.
-#[derive(Clone, Copy, Debug)]
-pub struct AttemptLimits {
-    /// All of it; of one whose body flows, until that begins to go out.
-    pub until: Instant,
-    /// Until its last byte is out, unless its body flows: after that it would be no repeat any more.
-    pub send_by: Instant,
-    /// From such a body's last byte to the answer.
-    pub answer: Duration,
-    /// When its client gives up.
-    pub client_until: Instant,
-    /// When the window for repeats ends, where an earlier attempt may have run.
-    pub window: Option<Instant>,
-}
-
-/// How an attempt ended, and with what.
-pub struct Ended {
-    pub outcome: Outcome,
-    pub report: Report,
-    /// The answer, if it served.
-    pub response: Option<Response<ResponseBody>>,
-}
-
-impl Ended {
-    pub fn bare(outcome: Outcome) -> Self {
-        Self { outcome, report: Report::default(), response: None }
-    }
-}
-
-/// What may change about an upstream while an attempt waits for its connection.
-#[derive(Debug)]
-pub struct UpstreamTarget {
-    pub address: Cell<SocketAddr>,
-    /// When sends must have ended, since it drains or is gone.
-    pub closed_from: Cell<Option<Instant>>,
-}
-
 /// A connection that no attempt is using, or that one attempt is.
 struct Link {
     sender: SendRequest<UpstreamRequestBody>,
     traffic: Traffic,
     /// Gone once the connection has ended.
-    stream: Weak<RefCell<Box<dyn Stream>>>,
+    stream: WeakStream,
     address: SocketAddr,
     idle_since: Instant,
     /// Bytes read by the end of its last answer.
@@ -123,12 +88,12 @@
     /// Guards against a close that has arrived and that the connection's own task has not been woken for yet:
     /// when it came in the same moment as a request, the request was written first, and was lost as a reset.
     fn still_open(&self) -> bool {
-        still_quiet(&self.stream)
+        is_open_and_quiet(&self.stream)
     }
 
     /// Whether something came on it while it was idle that was no end.
     fn has_spoken(&self) -> bool {
-        let is_unread = |stream: Rc<RefCell<Box<dyn Stream>>>| {
+        let is_unread = |stream: SharedStream| {
             let stream = stream.borrow();
             !stream.is_quiet() && !stream.has_ended()
         };
@@ -373,7 +338,7 @@
     /// connection may take to come up, since no upstream is to blame for it; a connection that comes free meanwhile
     /// will do.
     async fn link(&self, guard: &SendGuard, sent: &Sent) -> Result<(Link, Reuse), ConnectError> {
-        let (server, target, begun) = (guard.upstream, &guard.target, Instant::now());
+        let (server, target, begun) = (guard.upstream(), guard.target(), Instant::now());
         let mut pause = LOCAL_RETRY;
         loop {
             let address = target.address.get();
@@ -422,8 +387,8 @@
         self: &Rc<Self>,
         forward: &ForwardedRequest,
         guard: Rc<SendGuard>,
-    ) -> Ended {
-        let (sent, limit) = (Sent::default(), guard.limit);
+    ) -> AttemptResult {
+        let (sent, limit) = (Sent::default(), guard.limits());
         let exchange = self.exchange(forward, &guard, &sent);
         tokio::pin!(exchange);
         let until = || {
@@ -437,13 +402,17 @@
                 // A body that flows has moved it, or the request is out by now.
                 Err(_) if Instant::now() < until() => {}
                 // Its upstream is not to blame for a short window, nor for this machine.
-                Err(_) if sent.waits_for_machine.get() => return Ended::bare(Outcome::Moot),
+                Err(_) if sent.waits_for_machine.get() => {
+                    return AttemptResult::without_response(Outcome::Moot);
+                }
                 Err(_) if sent.untouched() && Instant::now() < forward.until(limit) => {
-                    return Ended::bare(Outcome::Moot);
+                    return AttemptResult::without_response(Outcome::Moot);
                 }
                 // Time ran out before all of it was handed over: it cannot have run.
-                Err(_) if sent.never_whole() => return Ended::bare(Outcome::ConnectFailed),
-                Err(_) => return Ended::bare(Outcome::Timeout),
+                Err(_) if sent.never_whole() => {
+                    return AttemptResult::without_response(Outcome::ConnectFailed);
+                }
+                Err(_) => return AttemptResult::without_response(Outcome::Timeout),
             }
         }
     }
@@ -453,32 +422,34 @@
         forward: &ForwardedRequest,
         guard: &Rc<SendGuard>,
         sent: &Sent,
-    ) -> Ended {
-        let (server, target, begun) = (guard.upstream, &guard.target, Instant::now());
+    ) -> AttemptResult {
+        let (server, target, begun) = (guard.upstream(), guard.target(), Instant::now());
         loop {
             let (mut link, reuse) = match self.link(guard, sent).await {
                 Ok(found) => found,
                 Err(cause) if self.is_route_missing(&cause, begun) => {
-                    return Ended::bare(Outcome::ConnectFailed);
+                    return AttemptResult::without_response(Outcome::ConnectFailed);
                 }
-                Err(cause) if cause.is_local() => return Ended::bare(Outcome::Moot),
-                Err(_) => return Ended::bare(Outcome::ConnectFailed),
+                Err(cause) if cause.is_local() => {
+                    return AttemptResult::without_response(Outcome::Moot);
+                }
+                Err(_) => return AttemptResult::without_response(Outcome::ConnectFailed),
             };
             sent.waits_for_machine.set(false);
             // The wait for a connection may outlast the request, the grace of a drain, or a window.
             if guard.check().is_err() {
                 self.put(server, target, link);
-                return Ended::bare(Outcome::Moot);
+                return AttemptResult::without_response(Outcome::Moot);
             }
             // And its upstream may have moved meanwhile: who is at its old address now is not known.
             if link.address != target.address.get() {
                 continue;
             }
-            let Some(request) = forward.request(guard.limit, sent) else {
-                return Ended::bare(Outcome::Moot);
+            let Some(request) = forward.request(guard.limits(), sent) else {
+                return AttemptResult::without_response(Outcome::Moot);
             };
             if let Some(deadline) = sent.told.get() {
-                guard.tells(deadline);
+                guard.record_announced_deadline(deadline);
             }
             sent.start(&link.traffic);
             link.traffic.look_before_writing(guard.clone());
@@ -487,7 +458,7 @@
                 // while a long body was on its way was taken for its answer.
                 Ok(answer) if answer.status() == StatusCode::OK && sent.answered_early() => {
                     let whole = !sent.never_whole();
-                    return Ended::bare(if whole {
+                    return AttemptResult::without_response(if whole {
                         Outcome::Reset
                     } else {
                         Outcome::ConnectFailed
@@ -496,16 +467,20 @@
                 Ok(answer) => answer,
                 // And so may the wait for its first byte to be written.
                 Err(_) if sent.untouched() && guard.check().is_err() => {
-                    return Ended::bare(Outcome::Moot);
+                    return AttemptResult::without_response(Outcome::Moot);
                 }
                 // A kept connection that closed before a byte went out is no attempt yet.
                 Err(_) if reuse == Reuse::Pooled && sent.untouched() && !forward.is_spent() => {
                     continue;
                 }
                 // Its client broke off, which says nothing of the upstream: that has no whole request.
-                Err(_) if forward.fault().is_some() => return Ended::bare(Outcome::Moot),
-                Err(_) if sent.never_whole() => return Ended::bare(Outcome::ConnectFailed),
-                Err(_) => return Ended::bare(Outcome::Reset),
+                Err(_) if forward.fault().is_some() => {
+                    return AttemptResult::without_response(Outcome::Moot);
+                }
+                Err(_) if sent.never_whole() => {
+                    return AttemptResult::without_response(Outcome::ConnectFailed);
+                }
+                Err(_) => return AttemptResult::without_response(Outcome::Reset),
             };
             return self.answer(server, target, link, answer).await;
         }
@@ -518,7 +493,7 @@
         target: &Rc<UpstreamTarget>,
         link: Link,
         answer: Response<hyper::body::Incoming>,
-    ) -> Ended {
+    ) -> AttemptResult {
         let (head, body) = answer.into_parts();
         let report = report(&self.fields, &head.headers);
         let begun = begin(body, &self.answers).await;
@@ -549,15 +524,15 @@
             }
             // Cut short, or larger than any answer may be: it ran, and there is nothing to pass on.
             ResponseStart::Long { .. } | ResponseStart::Unusable if outcome == Outcome::Ok => {
-                return Ended { report, ..Ended::bare(Outcome::Reset) };
+                return AttemptResult { report, ..AttemptResult::without_response(Outcome::Reset) };
             }
             // What a failure has to say beyond its status is not waited for.
             ResponseStart::Long { .. } | ResponseStart::Unusable => {
-                return Ended { report, ..Ended::bare(outcome) };
+                return AttemptResult { report, ..AttemptResult::without_response(outcome) };
             }
         };
         let response = (outcome == Outcome::Ok).then(|| Response::from_parts(head, body));
-        Ended { outcome, report, response }
+        AttemptResult { outcome, report, response }
     }
 
     /// Keeps a connection whose answer has come to its end for the next request, if it is of use.
@@ -626,7 +601,7 @@
 
 impl ForwardedRequest {
     /// A body that flows.
-    pub fn flow(&self) -> Option<&Rc<StreamedBody>> {
+    pub fn streamed_body(&self) -> Option<&Rc<StreamedBody>> {
         match &self.body {
             ForwardedBody::Buffered(_) => None,
             ForwardedBody::Streamed(flow) => Some(flow),
@@ -635,27 +610,28 @@
 
     /// Whether it can't be sent any more.
     pub fn is_spent(&self) -> bool {
-        self.flow().is_some_and(|f| f.is_spent())
+        self.streamed_body().is_some_and(|f| f.is_spent())
     }
 
     fn fault(&self) -> Option<BodyError> {
-        self.flow().and_then(|f| f.fault())
+        self.streamed_body().and_then(|f| f.fault())
     }
 
     /// When an attempt has to end, as things stand.
     fn until(&self, limit: AttemptLimits) -> Instant {
-        self.flow().map_or(limit.until, |f| f.limit(limit.until, limit.answer))
+        self.streamed_body()
+            .map_or(limit.deadline, |f| f.limit(limit.deadline, limit.response_timeout))
     }
 
     fn request(&self, limit: AttemptLimits, sent: &Sent) -> Option<Request<UpstreamRequestBody>> {
         let (body, left, size) = match &self.body {
             ForwardedBody::Buffered(body) => {
-                let left = limit.until.saturating_duration_since(Instant::now());
+                let left = limit.deadline.saturating_duration_since(Instant::now());
                 sent.told.set(Some(left));
                 (UpstreamRequestBody::Buffered(Full::new(body.clone())), left, body.len())
             }
             ForwardedBody::Streamed(flow) => {
-                (UpstreamRequestBody::Streamed(flow.clone()), limit.answer, 0)
+                (UpstreamRequestBody::Streamed(flow.clone()), limit.response_timeout, 0)
             }
         };
         let mut request = Request::new(body);
@@ -668,7 +644,7 @@
         let head: usize =
             request.headers().iter().map(|(n, v)| n.as_str().len() + v.len() + 4).sum();
         sent.size.set((head + size) as u64);
-        sent.flow.replace(self.flow().cloned());
+        sent.flow.replace(self.streamed_body().cloned());
         Some(request)
     }
 }
@@ -706,11 +682,11 @@
         traffic.count_written(1000); // An earlier request on the same connection.
         let now = Instant::now();
         let limit = AttemptLimits {
-            until: now,
+            deadline: now,
             send_by: now,
-            answer: Duration::ZERO,
-            client_until: now,
-            window: None,
+            response_timeout: Duration::ZERO,
+            client_deadline: now,
+            retry_window_end: None,
         };
         assert!(forward.request(limit, &sent).is_some());
         sent.start(&traffic);
