--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -32,40 +32,40 @@
 
 /// How long a call is waited for that discovery has taken.
 #[derive(Debug, Default)]
-pub struct Patience {
+pub struct CallTimeout {
     /// Calls given up without an answer while discovery was crowded, since the last list.
     unanswered: u32,
 }
 
-impl Patience {
+impl CallTimeout {
     /// That of the next call.
-    pub fn next(&self) -> Duration {
+    pub fn current(&self) -> Duration {
         CALL_PATIENCE * (1 << self.unanswered.min(list_polling::PATIENCE_DOUBLINGS))
     }
 
     /// Learns from the end of a call. Only where discovery is known to be crowded a call without an answer may still have
     /// been waiting for its turn. Failure: one that hung for good was waited for longer and longer, and a list that came
     /// meanwhile was late.
-    pub fn call_ended(&mut self, ending: Ending, is_crowded: bool) {
-        if ending == Ending::Unanswered && is_crowded {
+    pub fn call_ended(&mut self, ending: WatchEnd, is_crowded: bool) {
+        if ending == WatchEnd::Unanswered && is_crowded {
             self.unanswered += 1;
         }
     }
 }
 
 /// What a watch tells.
-pub enum News {
+pub enum WatchEvent {
     /// The list, or a change to it.
     List(List),
     /// It has fallen silent. Whatever it says after all is told.
     Silent,
     /// The watch is over; nothing more comes from it.
-    Ended(Ending),
+    Ended(WatchEnd),
 }
 
 /// How a watch, or the call for one, came to its end.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Ending {
+pub enum WatchEnd {
     /// No connection came up.
     Unreachable,
     /// Discovery answered at once that it does not take the call: it works, and is crowded.
@@ -98,16 +98,16 @@
 
 impl WatchError {
     /// What that tells of discovery, where the call began so long ago.
-    fn ending(&self, elapsed: Duration) -> Ending {
+    fn ending(&self, elapsed: Duration) -> WatchEnd {
         match self {
-            Self::Connect(_) | Self::NoConnection => Ending::Unreachable,
-            Self::Status(_) if elapsed < AT_ONCE => Ending::ListCallRejected,
-            Self::Unanswered(_) => Ending::Unanswered,
+            Self::Connect(_) | Self::NoConnection => WatchEnd::Unreachable,
+            Self::Status(_) if elapsed < AT_ONCE => WatchEnd::ListCallRejected,
+            Self::Unanswered(_) => WatchEnd::Unanswered,
             Self::Status(_)
             | Self::Http(_)
             | Self::Malformed(_)
             | Self::Ended
-            | Self::Request(_) => Ending::Failed,
+            | Self::Request(_) => WatchEnd::Failed,
         }
     }
 }
@@ -119,14 +119,14 @@
     address: SocketAddr,
     revision: u64,
     patience: Duration,
-    tell: impl Fn(News),
+    tell: impl Fn(WatchEvent),
 ) {
     let begun = Instant::now();
     let Err(cause) = follow(&*network, address, revision, begun + patience, &tell).await;
     let elapsed = begun.elapsed();
     let elapsed_ms = elapsed.as_millis() as u64;
     tracing::info!(%cause, revision, elapsed_ms, "watch over");
-    tell(News::Ended(cause.ending(elapsed)));
+    tell(WatchEvent::Ended(cause.ending(elapsed)));
 }
 
 async fn follow(
@@ -134,7 +134,7 @@
     address: SocketAddr,
     revision: u64,
     answer_by: Instant,
-    tell: &impl Fn(News),
+    tell: &impl Fn(WatchEvent),
 ) -> Result<Infallible, WatchError> {
     let connect = timeout(SILENCE, network.connect(address)).await;
     let stream = connect.map_err(|_| WatchError::NoConnection)??;
@@ -154,7 +154,7 @@
                 Err(_) => {
                     tracing::info!(revision, "watch silent");
                     silent = true;
-                    tell(News::Silent);
+                    tell(WatchEvent::Silent);
                     continue;
                 }
             }
@@ -169,7 +169,7 @@
             }
             reader.take(piece, |list| {
                 told = true;
-                tell(News::List(list));
+                tell(WatchEvent::List(list));
             })?;
         }
     }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -4,7 +4,9 @@
 //! what it says; only the engine touches the module.
 #![forbid(unsafe_code)]
 
+mod attempt;
 mod bodies;
+mod cancellation;
 mod clients;
 mod closing;
 pub mod cluster;
@@ -12,26 +14,28 @@
 mod connections;
 mod discovery;
 mod engine;
-mod flow;
 mod freshness;
-mod guard;
 mod http;
 mod invariants;
 #[doc(hidden)]
 pub mod list_reader;
+mod location;
 pub mod members;
 #[doc(hidden)] // for the measurements in `tests/list_memory.rs`
 pub mod membership;
 mod names;
 mod operators;
-mod relay;
+mod response_body;
 mod restored_list;
+mod send_guard;
 mod serve;
-mod sleepers;
+mod shared_stream;
+mod stall_detector;
 #[doc(hidden)] // for the measurements in `tests/list_memory.rs`
 pub mod start_times;
 mod state_store;
 mod stream;
+mod streamed_body;
 mod subsetting;
 mod tasks;
 #[doc(hidden)]
--- a/crates/gateway/src/membership/record.rs
+++ b/crates/gateway/src/membership/record.rs
@@ -7,13 +7,13 @@
 use hollowpaddle_policy::interface::{ServerId, Time};
 use hollowpaddle_policy::settings::stable_hash;
 
+use crate::attempt::UpstreamTarget;
 use crate::start_times::{BelievedStart, ListedStart};
-use crate::upstreams::Target;
 
 /// One upstream.
 pub(super) struct Known {
     pub(super) name: Arc<str>,
-    pub(super) target: Rc<Target>,
+    pub(super) target: Rc<UpstreamTarget>,
     /// As last listed, whatever operators say.
     pub(super) listed: Listing,
     /// Version of the list that the last word of it came with.
--- a/crates/gateway/src/upstreams.rs
+++ b/crates/gateway/src/upstreams.rs
@@ -3,11 +3,11 @@
 use std::cell::{Cell, RefCell};
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
-use std::rc::{Rc, Weak};
+use std::rc::Rc;
 use std::time::Duration;
 
 use bytes::Bytes;
-use hollowpaddle_net::{Network, Stream};
+use hollowpaddle_net::Network;
 use hollowpaddle_policy::interface::{Outcome, Report, ServerId};
 use hollowpaddle_policy::settings::Field;
 use http_body_util::Full;
@@ -18,13 +18,15 @@
 use rustc_hash::FxHashMap;
 use tokio::time::{Instant, sleep, timeout, timeout_at};
 
-use crate::bodies::{Allowance, NotTaken};
+use crate::attempt::{AttemptLimits, AttemptResult, UpstreamTarget};
+use crate::bodies::{BodyError, MemoryBudget};
 use crate::config::Config;
-use crate::flow::{Flow, OnwardBody};
-use crate::guard::SendGuard;
 use crate::http::{HEAD_LIMIT, HEAD_LINES};
-use crate::relay::{AnswerBody, Begun, Passing, begin};
-use crate::stream::{Tapped, Traffic, still_quiet};
+use crate::response_body::{ResponseBody, ResponseStart, StreamedResponse, begin};
+use crate::send_guard::SendGuard;
+use crate::shared_stream::{SharedStream, WeakStream, is_open_and_quiet};
+use crate::stream::{ObservedStream, Traffic};
+use crate::streamed_body::{StreamedBody, UpstreamRequestBody};
 use crate::tasks::AbortOnDrop;
 
 /// Idle connections are dropped at this share of the upstream's own limit: a request that crosses with its
@@ -54,64 +56,27 @@
 const PLAUSIBLE: std::ops::RangeInclusive<f64> = 0.0..=1e6;
 
 /// A client's request as it goes on, the same for each of its attempts.
-pub struct Forward {
+pub struct ForwardedRequest {
     pub method: Method,
     pub uri: Uri,
     pub headers: HeaderMap,
-    pub body: Onward,
+    pub body: ForwardedBody,
 }
 
 /// A client's body as it goes on.
-pub enum Onward {
+pub enum ForwardedBody {
     /// All of it is here, for as many attempts as may be.
-    Whole(Bytes),
+    Buffered(Bytes),
     /// It still comes, and is for one.
-    Flows(Rc<Flow>),
-}
-
-/// How long an attempt may take.
-#[derive(Clone, Copy, Debug)]
-pub struct Limit {
-    /// All of it; of one whose body flows, until that begins to go out.
-    pub until: Instant,
-    /// Until its last byte is out, unless its body flows: after that it would be no repeat any more.
-    pub send_by: Instant,
-    /// From such a body's last byte to the answer.
-    pub answer: Duration,
-    /// When its client gives up.
-    pub client_until: Instant,
-    /// When the window for repeats ends, where an earlier attempt may have run.
-    pub window: Option<Instant>,
-}
-
-/// How an attempt ended, and with what.
-pub struct Ended {
-    pub outcome: Outcome,
-    pub report: Report,
-    /// The answer, if it served.
-    pub response: Option<Response<AnswerBody>>,
-}
-
-impl Ended {
-    pub fn bare(outcome: Outcome) -> Self {
-        Self { outcome, report: Report::default(), response: None }
-    }
-}
-
-/// What may change about an upstream while an attempt waits for its connection.
-#[derive(Debug)]
-pub struct Target {
-    pub address: Cell<SocketAddr>,
-    /// When sends must have ended, since it drains or is gone.
-    pub closed_from: Cell<Option<Instant>>,
+    Streamed(Rc<StreamedBody>),
 }
 
 /// A connection that no attempt is using, or that one attempt is.
 struct Link {
-    sender: SendRequest<OnwardBody>,
+    sender: SendRequest<UpstreamRequestBody>,
     traffic: Traffic,
     /// Gone once the connection has ended.
-    stream: Weak<RefCell<Box<dyn Stream>>>,
+    stream: WeakStream,
     address: SocketAddr,
     idle_since: Instant,
     /// Bytes read by the end of its last answer.
@@ -123,12 +88,12 @@
     /// Guards against a close that has arrived and that the connection's own task has not been woken for yet:
     /// when it came in the same moment as a request, the request was written first, and was lost as a reset.
     fn still_open(&self) -> bool {
-        still_quiet(&self.stream)
+        is_open_and_quiet(&self.stream)
     }
 
     /// Whether something came on it while it was idle that was no end.
     fn has_spoken(&self) -> bool {
-        let is_unread = |stream: Rc<RefCell<Box<dyn Stream>>>| {
+        let is_unread = |stream: SharedStream| {
             let stream = stream.borrow();
             !stream.is_quiet() && !stream.has_ended()
         };
@@ -160,7 +125,7 @@
     Refused(io::Error),
     /// The attempt may not be written any more.
     #[error("withheld")]
-    Withheld,
+    SendDenied,
     /// It did not come up in time.
     #[error("not up in time")]
     TimedOut,
@@ -180,7 +145,7 @@
 
     /// Whether the upstream has nothing to do with it, as far as can be told: nothing has reached it.
     fn is_local(&self) -> bool {
-        matches!(self, Self::NoDescriptor | Self::Local(_) | Self::NoRoute(_) | Self::Withheld)
+        matches!(self, Self::NoDescriptor | Self::Local(_) | Self::NoRoute(_) | Self::SendDenied)
     }
 }
 
@@ -212,7 +177,7 @@
     connect_timeout: Duration,
     /// When a connection came up last.
     connected: Cell<Option<Instant>>,
-    answers: Allowance,
+    answers: MemoryBudget,
     fields: Vec<(String, Field)>,
 }
 
@@ -233,7 +198,7 @@
             idle_limit: ms(limits.keepalive, 5000.0).mul_f64(IDLE_OF_KEEPALIVE),
             connect_timeout: ms(limits.connect_timeout, 250.0),
             connected: Cell::new(None),
-            answers: Allowance::new(config.memory / ANSWERS_OF_MEMORY),
+            answers: MemoryBudget::new(config.memory / ANSWERS_OF_MEMORY),
             fields: names.iter().map(|n| (n.clone(), Field::named(n))).collect(),
         });
         let weak = Rc::downgrade(&pool);
@@ -320,7 +285,7 @@
     }
 
     /// Keeps it for the next request. To one that drains or is gone there will be none.
-    fn put(&self, server: ServerId, target: &Target, link: Link) {
+    fn put(&self, server: ServerId, target: &UpstreamTarget, link: Link) {
         if target.closed_from.get().is_none() {
             self.idle.borrow_mut().entry(server).or_default().push(link);
         }
@@ -352,7 +317,7 @@
         let connect = timeout(self.connect_timeout, self.network.connect(address));
         let stream =
             connect.await.map_err(|_| ConnectError::TimedOut)?.map_err(ConnectError::of)?;
-        let (io, stream, traffic) = Tapped::new(stream);
+        let (io, stream, traffic) = ObservedStream::new(stream);
         let stream = Rc::downgrade(&stream);
         let (sender, connection) = http1::Builder::new()
             .max_buf_size(HEAD_LIMIT)
@@ -373,7 +338,7 @@
     /// connection may take to come up, since no upstream is to blame for it; a connection that comes free meanwhile
     /// will do.
     async fn link(&self, guard: &SendGuard, sent: &Sent) -> Result<(Link, Reuse), ConnectError> {
-        let (server, target, begun) = (guard.upstream, &guard.target, Instant::now());
+        let (server, target, begun) = (guard.upstream(), guard.target(), Instant::now());
         let mut pause = LOCAL_RETRY;
         loop {
             let address = target.address.get();
@@ -383,7 +348,7 @@
             // A new one would cost its upstream more than the wait costs the request.
             if let Some(left) = self.rested_in(server) {
                 if guard.check().is_err() {
-                    return Err(ConnectError::Withheld);
+                    return Err(ConnectError::SendDenied);
                 }
                 sleep(left).await;
                 continue;
@@ -418,8 +383,12 @@
 
     /// One attempt: at most one request reaches the wire, and `guard` is asked right before it does. Of a long answer only
     /// the beginning has to come within the time.
-    pub async fn attempt(self: &Rc<Self>, forward: &Forward, guard: Rc<SendGuard>) -> Ended {
-        let (sent, limit) = (Sent::default(), guard.limit);
+    pub async fn attempt(
+        self: &Rc<Self>,
+        forward: &ForwardedRequest,
+        guard: Rc<SendGuard>,
+    ) -> AttemptResult {
+        let (sent, limit) = (Sent::default(), guard.limits());
         let exchange = self.exchange(forward, &guard, &sent);
         tokio::pin!(exchange);
         let until = || {
@@ -433,48 +402,54 @@
                 // A body that flows has moved it, or the request is out by now.
                 Err(_) if Instant::now() < until() => {}
                 // Its upstream is not to blame for a short window, nor for this machine.
-                Err(_) if sent.waits_for_machine.get() => return Ended::bare(Outcome::Moot),
+                Err(_) if sent.waits_for_machine.get() => {
+                    return AttemptResult::without_response(Outcome::Moot);
+                }
                 Err(_) if sent.untouched() && Instant::now() < forward.until(limit) => {
-                    return Ended::bare(Outcome::Moot);
+                    return AttemptResult::without_response(Outcome::Moot);
                 }
                 // Time ran out before all of it was handed over: it cannot have run.
-                Err(_) if sent.never_whole() => return Ended::bare(Outcome::ConnectFailed),
-                Err(_) => return Ended::bare(Outcome::Timeout),
+                Err(_) if sent.never_whole() => {
+                    return AttemptResult::without_response(Outcome::ConnectFailed);
+                }
+                Err(_) => return AttemptResult::without_response(Outcome::Timeout),
             }
         }
     }
 
     async fn exchange(
         self: &Rc<Self>,
-        forward: &Forward,
+        forward: &ForwardedRequest,
         guard: &Rc<SendGuard>,
         sent: &Sent,
-    ) -> Ended {
-        let (server, target, begun) = (guard.upstream, &guard.target, Instant::now());
+    ) -> AttemptResult {
+        let (server, target, begun) = (guard.upstream(), guard.target(), Instant::now());
         loop {
             let (mut link, reuse) = match self.link(guard, sent).await {
                 Ok(found) => found,
                 Err(cause) if self.is_route_missing(&cause, begun) => {
-                    return Ended::bare(Outcome::ConnectFailed);
+                    return AttemptResult::without_response(Outcome::ConnectFailed);
+                }
+                Err(cause) if cause.is_local() => {
+                    return AttemptResult::without_response(Outcome::Moot);
                 }
-                Err(cause) if cause.is_local() => return Ended::bare(Outcome::Moot),
-                Err(_) => return Ended::bare(Outcome::ConnectFailed),
+                Err(_) => return AttemptResult::without_response(Outcome::ConnectFailed),
             };
             sent.waits_for_machine.set(false);
             // The wait for a connection may outlast the request, the grace of a drain, or a window.
             if guard.check().is_err() {
                 self.put(server, target, link);
-                return Ended::bare(Outcome::Moot);
+                return AttemptResult::without_response(Outcome::Moot);
             }
             // And its upstream may have moved meanwhile: who is at its old address now is not known.
             if link.address != target.address.get() {
                 continue;
             }
-            let Some(request) = forward.request(guard.limit, sent) else {
-                return Ended::bare(Outcome::Moot);
+            let Some(request) = forward.request(guard.limits(), sent) else {
+                return AttemptResult::without_response(Outcome::Moot);
             };
             if let Some(deadline) = sent.told.get() {
-                guard.tells(deadline);
+                guard.record_announced_deadline(deadline);
             }
             sent.start(&link.traffic);
             link.traffic.look_before_writing(guard.clone());
@@ -483,7 +458,7 @@
                 // while a long body was on its way was taken for its answer.
                 Ok(answer) if answer.status() == StatusCode::OK && sent.answered_early() => {
                     let whole = !sent.never_whole();
-                    return Ended::bare(if whole {
+                    return AttemptResult::without_response(if whole {
                         Outcome::Reset
                     } else {
                         Outcome::ConnectFailed
@@ -492,16 +467,20 @@
                 Ok(answer) => answer,
                 // And so may the wait for its first byte to be written.
                 Err(_) if sent.untouched() && guard.check().is_err() => {
-                    return Ended::bare(Outcome::Moot);
+                    return AttemptResult::without_response(Outcome::Moot);
                 }
                 // A kept connection that closed before a byte went out is no attempt yet.
                 Err(_) if reuse == Reuse::Pooled && sent.untouched() && !forward.is_spent() => {
                     continue;
                 }
                 // Its client broke off, which says nothing of the upstream: that has no whole request.
-                Err(_) if forward.fault().is_some() => return Ended::bare(Outcome::Moot),
-                Err(_) if sent.never_whole() => return Ended::bare(Outcome::ConnectFailed),
-                Err(_) => return Ended::bare(Outcome::Reset),
+                Err(_) if forward.fault().is_some() => {
+                    return AttemptResult::without_response(Outcome::Moot);
+                }
+                Err(_) if sent.never_whole() => {
+                    return AttemptResult::without_response(Outcome::ConnectFailed);
+                }
+                Err(_) => return AttemptResult::without_response(Outcome::Reset),
             };
             return self.answer(server, target, link, answer).await;
         }
@@ -511,10 +490,10 @@
     async fn answer(
         self: &Rc<Self>,
         server: ServerId,
-        target: &Rc<Target>,
+        target: &Rc<UpstreamTarget>,
         link: Link,
         answer: Response<hyper::body::Incoming>,
-    ) -> Ended {
+    ) -> AttemptResult {
         let (head, body) = answer.into_parts();
         let report = report(&self.fields, &head.headers);
         let begun = begin(body, &self.answers).await;
@@ -527,35 +506,37 @@
             _ => Outcome::Error,
         };
         let body = match begun {
-            Begun::Whole(body) => {
+            ResponseStart::Complete(body) => {
                 self.keep(server, target, link).await;
-                AnswerBody::from(body)
+                ResponseBody::from(body)
             }
-            Begun::Long { first, rest, length } if outcome == Outcome::Ok => {
+            ResponseStart::Long { first, rest, length } if outcome == Outcome::Ok => {
                 let (pool, target) = (self.clone(), target.clone());
                 // The connection is this answer's, and closes with it unless that ends well.
                 let link = Rc::new(RefCell::new(Some(link)));
                 let kept = link.clone();
-                let mut passing = Passing::new(first, rest, length, move || {
+                let mut passing = StreamedResponse::new(first, rest, length, move || {
                     let Some(link) = kept.take() else { return };
                     tokio::task::spawn_local(async move { pool.keep(server, &target, link).await });
                 });
                 passing.hold(link);
-                AnswerBody::Passing(Box::new(passing))
+                ResponseBody::Streamed(Box::new(passing))
             }
             // Cut short, or larger than any answer may be: it ran, and there is nothing to pass on.
-            Begun::Long { .. } | Begun::Spoilt if outcome == Outcome::Ok => {
-                return Ended { report, ..Ended::bare(Outcome::Reset) };
+            ResponseStart::Long { .. } | ResponseStart::Unusable if outcome == Outcome::Ok => {
+                return AttemptResult { report, ..AttemptResult::without_response(Outcome::Reset) };
             }
             // What a failure has to say beyond its status is not waited for.
-            Begun::Long { .. } | Begun::Spoilt => return Ended { report, ..Ended::bare(outcome) },
+            ResponseStart::Long { .. } | ResponseStart::Unusable => {
+                return AttemptResult { report, ..AttemptResult::without_response(outcome) };
+            }
         };
         let response = (outcome == Outcome::Ok).then(|| Response::from_parts(head, body));
-        Ended { outcome, report, response }
+        AttemptResult { outcome, report, response }
     }
 
     /// Keeps a connection whose answer has come to its end for the next request, if it is of use.
-    async fn keep(&self, server: ServerId, target: &Target, mut link: Link) {
+    async fn keep(&self, server: ServerId, target: &UpstreamTarget, mut link: Link) {
         if let Ok(Ok(())) = timeout(READY, link.sender.ready()).await {
             link.idle_since = Instant::now();
             link.read_by_then = link.traffic.read();
@@ -586,7 +567,7 @@
     written: RefCell<Option<(Traffic, u64)>>,
     /// Its head, and its body if that was here, have this many bytes at least.
     size: Cell<u64>,
-    flow: RefCell<Option<Rc<Flow>>>,
+    flow: RefCell<Option<Rc<StreamedBody>>>,
     /// The deadline that the upstream is told, where its client's time has begun.
     told: Cell<Option<Duration>>,
     /// No connection could be opened for a reason on this machine, and it is tried again.
@@ -618,37 +599,40 @@
     }
 }
 
-impl Forward {
+impl ForwardedRequest {
     /// A body that flows.
-    pub fn flow(&self) -> Option<&Rc<Flow>> {
+    pub fn streamed_body(&self) -> Option<&Rc<StreamedBody>> {
         match &self.body {
-            Onward::Whole(_) => None,
-            Onward::Flows(flow) => Some(flow),
+            ForwardedBody::Buffered(_) => None,
+            ForwardedBody::Streamed(flow) => Some(flow),
         }
     }
 
     /// Whether it can't be sent any more.
     pub fn is_spent(&self) -> bool {
-        self.flow().is_some_and(|f| f.is_spent())
+        self.streamed_body().is_some_and(|f| f.is_spent())
     }
 
-    fn fault(&self) -> Option<NotTaken> {
-        self.flow().and_then(|f| f.fault())
+    fn fault(&self) -> Option<BodyError> {
+        self.streamed_body().and_then(|f| f.fault())
     }
 
     /// When an attempt has to end, as things stand.
-    fn until(&self, limit: Limit) -> Instant {
-        self.flow().map_or(limit.until, |f| f.limit(limit.until, limit.answer))
+    fn until(&self, limit: AttemptLimits) -> Instant {
+        self.streamed_body()
+            .map_or(limit.deadline, |f| f.limit(limit.deadline, limit.response_timeout))
     }
 
-    fn request(&self, limit: Limit, sent: &Sent) -> Option<Request<OnwardBody>> {
+    fn request(&self, limit: AttemptLimits, sent: &Sent) -> Option<Request<UpstreamRequestBody>> {
         let (body, left, size) = match &self.body {
-            Onward::Whole(body) => {
-                let left = limit.until.saturating_duration_since(Instant::now());
+            ForwardedBody::Buffered(body) => {
+                let left = limit.deadline.saturating_duration_since(Instant::now());
                 sent.told.set(Some(left));
-                (OnwardBody::Whole(Full::new(body.clone())), left, body.len())
+                (UpstreamRequestBody::Buffered(Full::new(body.clone())), left, body.len())
+            }
+            ForwardedBody::Streamed(flow) => {
+                (UpstreamRequestBody::Streamed(flow.clone()), limit.response_timeout, 0)
             }
-            Onward::Flows(flow) => (OnwardBody::Flows(flow.clone()), limit.answer, 0),
         };
         let mut request = Request::new(body);
         *request.method_mut() = self.method.clone();
@@ -660,7 +644,7 @@
         let head: usize =
             request.headers().iter().map(|(n, v)| n.as_str().len() + v.len() + 4).sum();
         sent.size.set((head + size) as u64);
-        sent.flow.replace(self.flow().cloned());
+        sent.flow.replace(self.streamed_body().cloned());
         Some(request)
     }
 }
@@ -686,23 +670,23 @@
 
     #[test]
     fn only_what_is_certainly_not_whole_never_ran() {
-        let forward = Forward {
+        let forward = ForwardedRequest {
             method: Method::POST,
             uri: Uri::from_static("/api"),
             headers: HeaderMap::new(),
-            body: Onward::Whole(Bytes::from_static(b"0123456789")),
+            body: ForwardedBody::Buffered(Bytes::from_static(b"0123456789")),
         };
         let sent = Sent::default();
         assert!(sent.untouched() && sent.never_whole(), "no connection yet");
         let traffic = Traffic::default();
         traffic.count_written(1000); // An earlier request on the same connection.
         let now = Instant::now();
-        let limit = Limit {
-            until: now,
+        let limit = AttemptLimits {
+            deadline: now,
             send_by: now,
-            answer: Duration::ZERO,
-            client_until: now,
-            window: None,
+            response_timeout: Duration::ZERO,
+            client_deadline: now,
+            retry_window_end: None,
         };
         assert!(forward.request(limit, &sent).is_some());
         sent.start(&traffic);
