--- a/crates/gateway/src/cluster/admin_api.rs
+++ b/crates/gateway/src/cluster/admin_api.rs
@@ -15,16 +15,16 @@
 use serde_json::{Value, json};
 
 use crate::cluster::machine::{Event, Machine, ProposalResult};
-use crate::members::{Entry as Listed, Phase};
+use crate::members::{Entry as Member, Phase};
 
 /// A caller that asks to wait until a revision is in force everywhere waits so long, if it does not say.
-const WAIT: Duration = Duration::from_millis(1500);
+const DEFAULT_ROLLOUT_WAIT: Duration = Duration::from_millis(1500);
 /// And so long at most: a call is closed after 2 s.
-const LONGEST_WAIT: Duration = Duration::from_millis(1800);
+const MAX_ROLLOUT_WAIT: Duration = Duration::from_millis(1800);
 /// A site with fewer pods than this has no bedrock of its own: a pod of three is too much of it.
-const MANY_PODS: usize = 4;
+const MIN_CELLS_FOR_FALLBACK: usize = 4;
 /// Revisions that one answer lists.
-const LISTED: usize = 100;
+const MAX_LISTED_REVISIONS: usize = 100;
 
 /// What is asked.
 #[derive(Clone, Debug, PartialEq)]
@@ -155,7 +155,7 @@
 }
 
 /// Whether a path is the bank's.
-pub fn is_ours(path: &str) -> bool {
+pub fn is_cluster_path(path: &str) -> bool {
     ["/admin/bank", "/admin/revisions", "/admin/charter", "/admin/council"].iter().any(|ours| {
         path.strip_prefix(ours).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
     })
@@ -228,8 +228,10 @@
         let wait = match body.wait.as_deref() {
             None | Some("yes") => None,
             Some("all") => {
-                let within = body.within_s.map_or(WAIT, |s| {
-                    Duration::try_from_secs_f64(s).unwrap_or(WAIT).min(LONGEST_WAIT)
+                let within = body.within_s.map_or(DEFAULT_ROLLOUT_WAIT, |s| {
+                    Duration::try_from_secs_f64(s)
+                        .unwrap_or(DEFAULT_ROLLOUT_WAIT)
+                        .min(MAX_ROLLOUT_WAIT)
                 });
                 Some(within)
             }
@@ -247,11 +249,16 @@
     /// An upstream is to be out, or back, for all balancers.
     pub fn cordon(name: &str, out: bool) -> Self {
         let what = PolicyChange::Cordon(name.to_string(), out);
-        Self::Change(Box::new(Change { what, dry: false, wait: Some(WAIT), id: None }))
+        Self::Change(Box::new(Change {
+            what,
+            dry: false,
+            wait: Some(DEFAULT_ROLLOUT_WAIT),
+            id: None,
+        }))
     }
 
     /// Whether it is to be asked again while it is not done yet.
-    pub fn looks_again(&self) -> bool {
+    pub fn is_retried(&self) -> bool {
         matches!(self, Self::Change(change) if matches!(change.what, PolicyChange::Cordon(..)))
     }
 
@@ -401,18 +408,18 @@
         Self { status, again, ..Self::ok(json!({"ok": false, "error": why.to_string()})) }
     }
 
-    /// The answer to what was asked, now that it is known what became of it. `for_charter`: what was asked for comes after
+    /// The answer to what was asked, now that it is known what became of it. `fallback_pending`: what was asked for comes after
     /// what was done.
     pub fn of(
         ask: &AdminRequest,
         id: CommandId,
         answer: &ProposalResult,
-        for_charter: bool,
+        fallback_pending: bool,
     ) -> Self {
         let name = format!("{:032x}", id.0);
         match answer {
             // Failure: the number of the charter's entry was handed on as a revision's, and what was asked for was not done.
-            ProposalResult::Answered(Ok(entry)) if for_charter => {
+            ProposalResult::Answered(Ok(entry)) if fallback_pending => {
                 let text = json!({"ok": false, "waiting": "charter", "entry": entry, "id": name});
                 Self { status: 202, again: true, ..Self::ok(text) }
             }
@@ -489,7 +496,7 @@
 /// Bedrock where the configuration states none: one pod of each site that has four or more, so that what can
 /// never be put out is a small part.
 pub fn default_mandatory_fallback(cells: &BTreeMap<String, BTreeSet<u32>>) -> FallbackPolicy {
-    let many = cells.iter().filter(|(_, cells)| cells.len() >= MANY_PODS);
+    let many = cells.iter().filter(|(_, cells)| cells.len() >= MIN_CELLS_FOR_FALLBACK);
     FallbackPolicy::mandatory_fallback(
         &many.map(|(zone, cells)| (zone.clone(), cells.clone())).collect(),
     )
@@ -567,7 +574,7 @@
     let all: Vec<Value> = policy
         .revisions()
         .rev()
-        .take(LISTED)
+        .take(MAX_LISTED_REVISIONS)
         .map(|(number, kept)| {
             let change_status = policy.change_status(number).map(|status| status.to_string());
             json!({"revision": number, "origin": kept.origin.to_string(), "fate": change_status})
@@ -587,7 +594,7 @@
 }
 
 /// The fleet as this balancer has it listed, for what is checked against it.
-pub fn facts(members: &[Listed], classes: &[ClassFacts]) -> Facts {
+pub fn facts(members: &[Member], classes: &[ClassFacts]) -> Facts {
     let mut facts = Facts { classes: classes.to_vec(), ..Facts::default() };
     let place = |names: &mut Vec<String>, name: &str| {
         let at = names.iter().position(|n| n == name).unwrap_or_else(|| {
--- a/crates/gateway/src/cluster/durable.rs
+++ b/crates/gateway/src/cluster/durable.rs
@@ -11,14 +11,14 @@
 use hollowpaddle_revision::message::Generation;
 use serde::{Deserialize, Serialize};
 
-use crate::cluster::Stored;
+use crate::cluster::RecoveredState;
 use crate::cluster::runtime::DurableLog;
 
 /// A charter is as old as it is: its generation says whether it counts.
-const UNDATED: Duration = Duration::ZERO;
+const NO_DATE: Duration = Duration::ZERO;
 
 #[derive(Serialize, Deserialize)]
-struct StoredFallbackPolicy {
+struct FallbackPolicyFile {
     #[serde(rename = "generation")]
     fallback_generation: Generation,
     #[serde(rename = "charter")]
@@ -43,7 +43,7 @@
     node_id: NodeId,
     name: &str,
     points: &Points,
-) -> Result<Stored, String> {
+) -> Result<RecoveredState, String> {
     let on_replica_action = consensus::Directory::open(path).map_err(|e| e.to_string())?;
     let (records, found) = match consensus::Store::open(
         on_replica_action.clone(),
@@ -72,14 +72,14 @@
     };
     let directory = hollowpaddle_snapshot::Directory::open(path).map_err(|e| e.to_string())?;
     let mut fallback_policy = hollowpaddle_snapshot::Store::new(directory, name);
-    let kept = fallback_policy.load(UNDATED, UNDATED);
+    let kept = fallback_policy.load(NO_DATE, NO_DATE);
     for aside in &kept.aside {
         tracing::error!(file = aside.file, doubt = %aside.doubt, "the charter that was kept is not believed");
     }
     let kept =
-        kept.snapshot.and_then(|s| serde_json::from_slice::<StoredFallbackPolicy>(&s.payload).ok());
+        kept.snapshot.and_then(|s| serde_json::from_slice::<FallbackPolicyFile>(&s.payload).ok());
     let files = Files { records, fallback_policy, points: points.clone() };
-    Ok(Stored {
+    Ok(RecoveredState {
         durable_log: Box::new(files),
         found: Some(found),
         fallback_policy: kept.map(|k| (k.fallback_generation, k.fallback_policy)),
@@ -110,7 +110,7 @@
         self.done(done)
     }
 
-    fn keep(
+    fn save_fallback_policy(
         &mut self,
         fallback_generation: Generation,
         fallback_policy: &FallbackPolicy,
@@ -119,12 +119,12 @@
             return Err(fault.error().map_or_else(|| format!("{fault:?}"), |e| e.to_string()));
         }
         let kept =
-            StoredFallbackPolicy { fallback_generation, fallback_policy: fallback_policy.clone() };
+            FallbackPolicyFile { fallback_generation, fallback_policy: fallback_policy.clone() };
         let bytes = serde_json::to_vec(&kept).map_err(|e| e.to_string())?;
-        self.fallback_policy.save(UNDATED, &bytes).map(|_| ()).map_err(|e| e.to_string())
+        self.fallback_policy.save(NO_DATE, &bytes).map(|_| ()).map_err(|e| e.to_string())
     }
 
-    fn heal(&mut self) -> Result<(), String> {
+    fn reset(&mut self) -> Result<(), String> {
         let done = self.records.reset();
         self.done(done)
     }
--- a/crates/gateway/src/cluster/machine.rs
+++ b/crates/gateway/src/cluster/machine.rs
@@ -1,6 +1,6 @@
 //! One balancer's part of the bank as one pure machine: the wire, the council, the log, the rule book and the leases, and
 //! what goes between them (`between`), and calls that wait for an answer (`calls`). It keeps no clock, socket, file or
-//! thread; its shell does (`shell.rs`), and tests play it.
+//! thread; its shell does (`runtime.rs`), and tests play it.
 
 mod between;
 mod calls;
@@ -22,17 +22,21 @@
 use hollowpaddle_revision::message::Generation;
 use hollowpaddle_revision::policy_state::{Bootstrap, PolicyState};
 
-use calls::Call;
+use calls::PendingCall;
 
 pub use calls::ProposalResult;
 
+// The name under which the tests of the membership import it.
+#[doc(hidden)]
+pub use self::StoppedUpstreams as Stops;
+
 /// How often the council's machine is told that time has passed, and how often the learner's.
-const TICK: Duration = Duration::from_millis(25);
-const TICK_OUTSIDE: Duration = Duration::from_millis(50);
+const VOTER_TICK: Duration = Duration::from_millis(25);
+const LEARNER_TICK: Duration = Duration::from_millis(50);
 /// A first charter that is not in the log is proposed again after so long.
-const CHARTER_AGAIN: Duration = Duration::from_secs(3);
+const FIRST_FALLBACK_RETRY: Duration = Duration::from_secs(3);
 /// Calls that wait for an answer. Beyond, the eldest is told that nobody knows.
-const CALLS: usize = 256;
+const MAX_PENDING_CALLS: usize = 256;
 
 /// What a balancer is set up with.
 #[derive(Clone, Debug)]
@@ -109,7 +113,7 @@
         id: CommandId,
     },
     /// The own discovery said this.
-    Listed {
+    EndpointList {
         /// The list's version.
         version: u64,
         /// Whom it leaves out is gone.
@@ -153,7 +157,7 @@
     Publish(InForce),
     /// Requests read this from now on, beside the rules: whom peers' words stop, and whether the own list is older than
     /// the rules allow.
-    Stop(Stops),
+    Stop(StoppedUpstreams),
     /// A peer has a newer list: discovery is to be asked.
     RefreshList,
     /// To be written and synced, in the order of the numbers.
@@ -183,7 +187,7 @@
 
 /// What peers' words say of the list.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Stops {
+pub struct StoppedUpstreams {
     /// Upstreams that drain or have ended, by a peer's word.
     pub names: BTreeSet<String>,
     /// The own list is older than the rules allow: the charter's upstreams alone are sent to, where there are any.
@@ -202,27 +206,27 @@
     at: consensus::LogIndex,
     leases: Leases,
     lists: Lists,
-    stops: Stops,
-    calls: VecDeque<Call>,
+    stops: StoppedUpstreams,
+    calls: VecDeque<PendingCall>,
     proposals: u64,
     /// Proposals of this balancer's own that the leases asked for.
-    own: BTreeSet<consensus::ProposalId>,
+    own_proposals: BTreeSet<consensus::ProposalId>,
     /// It leads, and when it proposed a first charter last.
     leads: bool,
-    chartered: Option<Duration>,
+    first_fallback_at: Option<Duration>,
     leader: Option<NodeId>,
     wire_due: Option<Duration>,
     leases_due: Option<Duration>,
     lists_due: Option<Duration>,
     replica_due: Duration,
     learner_due: Duration,
-    told: Option<Duration>,
+    armed_wakeup: Option<Duration>,
     /// What is still to be handed in, in its order.
-    queue: VecDeque<Inner>,
+    queue: VecDeque<ComponentAction>,
 }
 
 /// What one machine has for another.
-enum Inner {
+enum ComponentAction {
     Wire(peers::Action),
     Replica(consensus::Action),
     LearnerAction(LearnerAction),
@@ -267,7 +271,7 @@
             policy: PolicyState::found(setup.bootstrap.clone())?,
             leases: Leases::new(terms),
             lists: Lists::default(),
-            stops: Stops::default(),
+            stops: StoppedUpstreams::default(),
             setup,
             now,
             wire,
@@ -276,20 +280,20 @@
             at: consensus::LogIndex::default(),
             calls: VecDeque::new(),
             proposals: 0,
-            own: BTreeSet::new(),
+            own_proposals: BTreeSet::new(),
             leads: false,
-            chartered: None,
+            first_fallback_at: None,
             leader: None,
             wire_due: None,
             leases_due: None,
             lists_due: None,
             replica_due: now,
             learner_due: now,
-            told: None,
+            armed_wakeup: None,
             queue: VecDeque::new(),
         };
         let source = machine.learner.source();
-        machine.lease(leases::Event::Parent(source));
+        machine.step_leases(leases::Event::Parent(source));
         Ok(machine)
     }
 
@@ -348,33 +352,33 @@
         self.now = self.now.max(now);
         match event {
             Event::Datagram { from: Some(from), bytes } => {
-                self.pass(peers::Event::Received { from, bytes });
+                self.step_wire(peers::Event::Received { from, bytes });
             }
-            Event::Datagram { from: None, .. } => self.pass(peers::Event::Stranger),
+            Event::Datagram { from: None, .. } => self.step_wire(peers::Event::Stranger),
             // What was asked for has come: what is due again at this very moment has to be asked for again. Failure: in
             // virtual time, whose timers are of whole milliseconds, it came too soon, and nobody was ready for 30 s.
-            Event::Due => self.told = None,
-            Event::Persisted(through) => self.vote(consensus::Event::Persisted { through }),
-            Event::DiskFailed(cause) => self.vote(consensus::Event::DiskFailed { cause }),
-            Event::DiskWell => self.vote(consensus::Event::DiskWell),
+            Event::Due => self.armed_wakeup = None,
+            Event::Persisted(through) => self.step_replica(consensus::Event::Persisted { through }),
+            Event::DiskFailed(cause) => self.step_replica(consensus::Event::DiskFailed { cause }),
+            Event::DiskWell => self.step_replica(consensus::Event::DiskWell),
             Event::FallbackPolicyPersisted(fallback_generation) => {
-                self.lease(leases::Event::FallbackPolicyPersisted { fallback_generation })
+                self.step_leases(leases::Event::FallbackPolicyPersisted { fallback_generation })
             }
-            Event::Propose { ticket, id, entry } => self.propose(ticket, id, &entry, actions),
+            Event::Propose { ticket, id, entry } => self.propose_entry(ticket, id, &entry, actions),
             Event::QueryOutcome { ticket, id } => {
-                let call = Call { ticket, proposal: None, id: Some(id), index: None };
-                if !self.settle(&call, actions) {
+                let call = PendingCall { ticket, proposal: None, id: Some(id), index: None };
+                if !self.answer_call(&call, actions) {
                     actions
                         .push(Action::ProposalResult { ticket, answer: ProposalResult::Unknown });
                 }
             }
-            Event::Listed { version, whole, entries } => {
-                self.list(lists::Event::Own { version, whole, entries });
+            Event::EndpointList { version, whole, entries } => {
+                self.step_lists(lists::Event::Own { version, whole, entries });
             }
-            Event::CountsAnew => self.list(lists::Event::CountsAnew),
+            Event::CountsAnew => self.step_lists(lists::Event::CountsAnew),
             Event::Replace { ticket, out, then } => {
-                let id = self.call(ticket, None, actions);
-                self.vote(consensus::Event::OperatorCommand(
+                let id = self.add_call(ticket, None, actions);
+                self.step_replica(consensus::Event::OperatorCommand(
                     consensus::OperatorCommand::ReplaceVoter {
                         id,
                         removed: out,
@@ -383,7 +387,7 @@
                 ));
             }
             Event::Restore { ticket, members } => {
-                self.vote(consensus::Event::OperatorCommand(
+                self.step_replica(consensus::Event::OperatorCommand(
                     consensus::OperatorCommand::ForceNewEpoch { members },
                 ));
                 actions.push(Action::ProposalResult {
@@ -392,48 +396,50 @@
                 });
             }
         }
-        self.time();
+        self.run_due();
         while let Some(inner) = self.queue.pop_front() {
             match inner {
-                Inner::Wire(action) => self.of_wire(action, actions),
-                Inner::Replica(action) => self.on_replica_action(action, actions),
-                Inner::LearnerAction(action) => self.of_learner(action, actions),
-                Inner::Leases(action) => self.of_leases(action, actions),
-                Inner::Lists(action) => self.of_lists(action, actions),
+                ComponentAction::Wire(action) => self.on_wire_action(action, actions),
+                ComponentAction::Replica(action) => self.on_replica_action(action, actions),
+                ComponentAction::LearnerAction(action) => self.on_learner_action(action, actions),
+                ComponentAction::Leases(action) => self.on_lease_action(action, actions),
+                ComponentAction::Lists(action) => self.on_list_action(action, actions),
             }
         }
-        self.wake(actions);
+        self.arm_wakeup(actions);
     }
 
     /// Hands in what is due.
-    fn time(&mut self) {
+    fn run_due(&mut self) {
         if self.wire_due.is_some_and(|at| at <= self.now) {
             self.wire_due = None;
-            self.pass(peers::Event::Due);
+            self.step_wire(peers::Event::Due);
         }
         if self.leases_due.is_some_and(|at| at <= self.now) {
             self.leases_due = None;
-            self.lease(leases::Event::Due);
+            self.step_leases(leases::Event::Due);
         }
         if self.lists_due.is_some_and(|at| at <= self.now) {
             self.lists_due = None;
-            self.list(lists::Event::Due);
+            self.step_lists(lists::Event::Due);
         }
         if self.replica_due <= self.now {
-            self.replica_due = self.now + if self.sits() { TICK } else { 4 * TICK };
-            self.vote(consensus::Event::Tick);
-            self.charter_first();
+            self.replica_due = self.now + if self.is_voter() { VOTER_TICK } else { 4 * VOTER_TICK };
+            self.step_replica(consensus::Event::Tick);
+            self.propose_first_fallback();
         }
         if self.learner_due <= self.now {
-            self.learner_due = self.now + TICK_OUTSIDE;
-            self.learn(LearnerEvent::Tick);
+            self.learner_due = self.now + LEARNER_TICK;
+            self.step_learner(LearnerEvent::Tick);
         }
     }
 
     /// A bank that was founded without a charter gets one from its first leader: without any, whoever is cut off past its
     /// lease could send nowhere.
-    fn charter_first(&mut self) {
-        let late = self.chartered.is_none_or(|at| self.now.saturating_sub(at) >= CHARTER_AGAIN);
+    fn propose_first_fallback(&mut self) {
+        let late = self
+            .first_fallback_at
+            .is_none_or(|at| self.now.saturating_sub(at) >= FIRST_FALLBACK_RETRY);
         if !self.leads || !late || self.setup.cells.is_empty() || self.at.op() < self.replica.op() {
             return;
         }
@@ -441,56 +447,56 @@
         if status.fallback_generation != 0 || !status.fallback_policy.cells.is_empty() {
             return;
         }
-        self.chartered = Some(self.now);
-        let proposal = self.next();
+        self.first_fallback_at = Some(self.now);
+        let proposal = self.next_proposal();
         let id = CommandId(u128::from(proposal.incarnation.0) << 96 | u128::from(proposal.number));
         let fallback_policy = FallbackPolicy::third(&self.setup.cells, 1);
         if let Ok(bytes) = Entry::FallbackPolicy(id, fallback_policy, Box::default()).to_bytes() {
-            self.own.insert(proposal);
-            self.learn(LearnerEvent::Propose { id: proposal, bytes });
+            self.own_proposals.insert(proposal);
+            self.step_learner(LearnerEvent::Propose { id: proposal, bytes });
         }
     }
 
-    fn sits(&self) -> bool {
+    fn is_voter(&self) -> bool {
         self.replica.members().has(self.setup.node_id)
     }
 
-    fn wake(&mut self, actions: &mut Vec<Action>) {
+    fn arm_wakeup(&mut self, actions: &mut Vec<Action>) {
         let ticks = [Some(self.replica_due), Some(self.learner_due)];
         let dues = ticks.into_iter().chain([self.wire_due, self.leases_due, self.lists_due]);
         let next = dues.flatten().min();
-        if next != self.told {
-            self.told = next;
+        if next != self.armed_wakeup {
+            self.armed_wakeup = next;
             actions.extend(next.map(Action::WakeAt));
         }
     }
 
-    fn pass(&mut self, event: peers::Event<'_>) {
+    fn step_wire(&mut self, event: peers::Event<'_>) {
         let mut out = Vec::new();
         self.wire.handle(self.now, event, &mut out);
-        self.queue.extend(out.into_iter().map(Inner::Wire));
+        self.queue.extend(out.into_iter().map(ComponentAction::Wire));
     }
 
-    fn vote(&mut self, event: consensus::Event) {
+    fn step_replica(&mut self, event: consensus::Event) {
         let mut out = Vec::new();
         self.replica.handle(self.now, event, &mut out);
-        self.queue.extend(out.into_iter().map(Inner::Replica));
+        self.queue.extend(out.into_iter().map(ComponentAction::Replica));
         let leader = self.replica.leader();
         if leader != self.leader {
             self.leader = leader;
-            self.learn(LearnerEvent::Leader(leader));
+            self.step_learner(LearnerEvent::Leader(leader));
         }
     }
 
-    fn learn(&mut self, event: LearnerEvent) {
+    fn step_learner(&mut self, event: LearnerEvent) {
         let mut out = Vec::new();
         self.learner.handle(self.now, event, &mut out);
-        self.queue.extend(out.into_iter().map(Inner::LearnerAction));
+        self.queue.extend(out.into_iter().map(ComponentAction::LearnerAction));
     }
 
-    fn lease(&mut self, event: leases::Event) {
+    fn step_leases(&mut self, event: leases::Event) {
         let mut out = Vec::new();
         self.leases.handle(self.now, event, &mut out);
-        self.queue.extend(out.into_iter().map(Inner::Leases));
+        self.queue.extend(out.into_iter().map(ComponentAction::Leases));
     }
 }
--- a/crates/gateway/src/cluster/machine/between.rs
+++ b/crates/gateway/src/cluster/machine/between.rs
@@ -8,10 +8,10 @@
 use hollowpaddle_revision::policy_state::PolicyState;
 use hollowpaddle_revision::{leases, lists};
 
-use super::{Action, Inner, Machine, Stops};
+use super::{Action, ComponentAction, Machine, StoppedUpstreams};
 
 impl Machine {
-    pub(super) fn of_wire(&mut self, action: peers::Action, actions: &mut Vec<Action>) {
+    pub(super) fn on_wire_action(&mut self, action: peers::Action, actions: &mut Vec<Action>) {
         match action {
             peers::Action::Transmit { to, bytes } => actions.push(Action::Transmit { to, bytes }),
             peers::Action::WakeAt(at) => self.wire_due = Some(at),
@@ -19,24 +19,24 @@
             peers::Action::Deliver { from, incarnation, channel, message } => match channel {
                 Channel::Consensus => {
                     if let Ok(message) = consensus::Message::decode(&message) {
-                        self.vote(consensus::Event::Message { from, incarnation, message });
+                        self.step_replica(consensus::Event::Message { from, incarnation, message });
                     }
                 }
                 Channel::Log => {
                     if let Ok(message) = consensus::Message::decode(&message) {
-                        self.learn(LearnerEvent::Message { from, incarnation, message });
+                        self.step_learner(LearnerEvent::Message { from, incarnation, message });
                     }
                 }
                 Channel::Leases => {
                     if let Ok(message) =
                         hollowpaddle_revision::message::Message::from_bytes(&message)
                     {
-                        self.lease(leases::Event::Message { from, incarnation, message });
+                        self.step_leases(leases::Event::Message { from, incarnation, message });
                     }
                 }
                 Channel::Lists => {
                     if let Ok(message) = ListMessage::from_bytes(&message) {
-                        self.list(lists::Event::Message { from, message });
+                        self.step_lists(lists::Event::Message { from, message });
                     }
                 }
                 // Spoken by a later part of the bank.
@@ -46,14 +46,14 @@
     }
 
     /// A word of the council or the log, to another balancer or to this one's other machine.
-    pub(super) fn body(&mut self, to: NodeId, message: consensus::Message) {
+    pub(super) fn send_consensus(&mut self, to: NodeId, message: consensus::Message) {
         if to == self.setup.node_id {
             let (from, incarnation) = (to, self.setup.incarnation);
             return match message.body.channel() {
                 Channel::Consensus => {
-                    self.vote(consensus::Event::Message { from, incarnation, message })
+                    self.step_replica(consensus::Event::Message { from, incarnation, message })
                 }
-                _ => self.learn(LearnerEvent::Message { from, incarnation, message }),
+                _ => self.step_learner(LearnerEvent::Message { from, incarnation, message }),
             };
         }
         let how = match &message.body {
@@ -64,7 +64,7 @@
         let channel = message.body.channel();
         // No machine makes a word that can't be written.
         if let Ok(message) = message.encode() {
-            self.pass(peers::Event::Send { to, channel, message, how });
+            self.step_wire(peers::Event::Send { to, channel, message, how });
         }
     }
 
@@ -74,7 +74,7 @@
         actions: &mut Vec<Action>,
     ) {
         match action {
-            consensus::Action::Send { to, message } => self.body(to, message),
+            consensus::Action::Send { to, message } => self.send_consensus(to, message),
             consensus::Action::Persist { number, record } => {
                 actions.push(Action::Persist { number, record });
             }
@@ -83,22 +83,22 @@
                 let from = self.replica.op();
                 self.leads = true;
                 let epoch = view.epoch;
-                self.lease(leases::Event::Leads { since, epoch, from });
+                self.step_leases(leases::Event::Leads { since, epoch, from });
             }
             consensus::Action::Follows => {
                 self.leads = false;
-                self.lease(leases::Event::Follows);
+                self.step_leases(leases::Event::Follows);
             }
-            consensus::Action::Round { began } => self.lease(leases::Event::Round { began }),
+            consensus::Action::Round { began } => self.step_leases(leases::Event::Round { began }),
             consensus::Action::Committed { index, entry } => {
-                self.learn(LearnerEvent::Committed { index, entry });
+                self.step_learner(LearnerEvent::Committed { index, entry });
             }
             consensus::Action::Reset { index, base } => {
-                self.learn(LearnerEvent::Reset { index, base })
+                self.step_learner(LearnerEvent::Reset { index, base })
             }
             consensus::Action::SnapshotWanted => {
-                if let Some((index, bytes)) = self.image(actions) {
-                    self.vote(consensus::Event::Snapshot { index, bytes });
+                if let Some((index, bytes)) = self.encode_state(actions) {
+                    self.step_replica(consensus::Event::Snapshot { index, bytes });
                 }
             }
             consensus::Action::StateLost(why) => {
@@ -107,9 +107,9 @@
         }
     }
 
-    pub(super) fn of_learner(&mut self, action: LearnerAction, actions: &mut Vec<Action>) {
+    pub(super) fn on_learner_action(&mut self, action: LearnerAction, actions: &mut Vec<Action>) {
         match action {
-            LearnerAction::Send { to, message } => self.body(to, message),
+            LearnerAction::Send { to, message } => self.send_consensus(to, message),
             LearnerAction::Committed { index, entry } => {
                 let none = Vec::new();
                 let bytes =
@@ -119,34 +119,34 @@
                     actions.push(Action::Log(format!("entry {index} of the log: {cause}")));
                 }
                 self.at = index;
-                self.settle_all(actions);
-                self.applied();
+                self.answer_calls(actions);
+                self.on_applied();
             }
             LearnerAction::Reset { index, state } => {
-                match self.restored(&state) {
+                match self.decode_state(&state) {
                     Ok(policy) => (self.policy, self.at) = (policy, index),
                     Err(cause) => {
                         actions.push(Action::Log(format!("a copy of the log at {index}: {cause}")))
                     }
                 }
-                self.settle_all(actions);
-                self.applied();
+                self.answer_calls(actions);
+                self.on_applied();
             }
-            LearnerAction::Source(source) => self.lease(leases::Event::Parent(source)),
+            LearnerAction::Source(source) => self.step_leases(leases::Event::Parent(source)),
             LearnerAction::Copied { by, index } => {
-                self.vote(consensus::Event::Copied { by, index })
+                self.step_replica(consensus::Event::Copied { by, index })
             }
-            LearnerAction::Answered { id, outcome } => self.outcome(id, outcome, actions),
+            LearnerAction::Answered { id, outcome } => self.on_outcome(id, outcome, actions),
             LearnerAction::SnapshotWanted => {
-                if let Some((index, bytes)) = self.image(actions) {
-                    self.learn(LearnerEvent::Snapshot { index, bytes });
+                if let Some((index, bytes)) = self.encode_state(actions) {
+                    self.step_learner(LearnerEvent::Snapshot { index, bytes });
                 }
             }
         }
     }
 
     /// A copy without content is that of a log without entries.
-    pub(super) fn restored(&self, state: &[u8]) -> Result<PolicyState, String> {
+    pub(super) fn decode_state(&self, state: &[u8]) -> Result<PolicyState, String> {
         if state.is_empty() {
             return PolicyState::found(self.setup.bootstrap.clone()).map_err(|e| e.to_string());
         }
@@ -154,7 +154,7 @@
     }
 
     /// The book as bytes, and the entry up to which it is that.
-    pub(super) fn image(
+    pub(super) fn encode_state(
         &self,
         actions: &mut Vec<Action>,
     ) -> Option<(consensus::LogIndex, Vec<u8>)> {
@@ -167,19 +167,19 @@
         }
     }
 
-    pub(super) fn applied(&mut self) {
+    pub(super) fn on_applied(&mut self) {
         let (epoch, status) = (self.at.epoch(), Box::new(self.policy.status()));
-        self.list(lists::Event::FallbackFloor(status.rules.oldest_list()));
-        self.lease(leases::Event::Applied { epoch, status });
+        self.step_lists(lists::Event::FallbackFloor(status.rules.oldest_list()));
+        self.step_leases(leases::Event::Applied { epoch, status });
     }
 
-    pub(super) fn list(&mut self, event: lists::Event) {
+    pub(super) fn step_lists(&mut self, event: lists::Event) {
         let mut out = Vec::new();
         self.lists.handle(self.now, event, &mut out);
-        self.queue.extend(out.into_iter().map(Inner::Lists));
+        self.queue.extend(out.into_iter().map(ComponentAction::Lists));
     }
 
-    pub(super) fn of_lists(&mut self, action: lists::Action, actions: &mut Vec<Action>) {
+    pub(super) fn on_list_action(&mut self, action: lists::Action, actions: &mut Vec<Action>) {
         match action {
             lists::Action::Tell(message) => {
                 let message = message.to_bytes();
@@ -187,12 +187,12 @@
                     self.learner.source().into_iter().chain(self.learner.children()).collect();
                 for to in neighbours {
                     let (channel, how, message) = (Channel::Lists, How::Usual, message.clone());
-                    self.pass(peers::Event::Send { to, channel, message, how });
+                    self.step_wire(peers::Event::Send { to, channel, message, how });
                 }
             }
             lists::Action::Changed => {
                 let names = self.lists.stopped().map(str::to_string).collect();
-                let stops = Stops { names, old: self.lists.is_old() };
+                let stops = StoppedUpstreams { names, old: self.lists.is_old() };
                 if stops != self.stops {
                     self.stops = stops.clone();
                     actions.push(Action::Stop(stops));
@@ -203,11 +203,16 @@
         }
     }
 
-    pub(super) fn of_leases(&mut self, action: leases::Action, actions: &mut Vec<Action>) {
+    pub(super) fn on_lease_action(&mut self, action: leases::Action, actions: &mut Vec<Action>) {
         match action {
             leases::Action::Send { to, message } => {
                 let (channel, how) = (Channel::Leases, How::Urgent);
-                self.pass(peers::Event::Send { to, channel, message: message.to_bytes(), how });
+                self.step_wire(peers::Event::Send {
+                    to,
+                    channel,
+                    message: message.to_bytes(),
+                    how,
+                });
             }
             leases::Action::Publish(in_force) => actions.push(Action::Publish(in_force)),
             leases::Action::PersistFallbackPolicy { fallback_generation, fallback_policy } => {
@@ -218,20 +223,24 @@
                         fallback_policy,
                     });
                 } else {
-                    self.lease(leases::Event::FallbackPolicyPersisted { fallback_generation });
+                    self.step_leases(leases::Event::FallbackPolicyPersisted {
+                        fallback_generation,
+                    });
                 }
             }
             leases::Action::WakeAt(at) => self.leases_due = Some(at),
             leases::Action::Propose(entry) => {
-                let id = self.next();
+                let id = self.next_proposal();
                 if let Ok(bytes) = entry.to_bytes() {
-                    self.own.insert(id);
-                    self.learn(LearnerEvent::Propose { id, bytes });
+                    self.own_proposals.insert(id);
+                    self.step_learner(LearnerEvent::Propose { id, bytes });
                 }
             }
             // The log's own learner asks its source every 300 ms, and is told of what is new at once.
             leases::Action::Learn { .. } => {}
-            leases::Action::ChangeParent { than } => self.learn(LearnerEvent::ChangeSource(than)),
+            leases::Action::ChangeParent { than } => {
+                self.step_learner(LearnerEvent::ChangeSource(than))
+            }
         }
     }
 }
--- a/crates/gateway/src/cluster/machine/calls.rs
+++ b/crates/gateway/src/cluster/machine/calls.rs
@@ -4,7 +4,7 @@
 use hollowpaddle_revision::entry::{CommandId, Entry};
 use hollowpaddle_revision::policy_state::Refusal;
 
-use super::{Action, CALLS, Machine};
+use super::{Action, MAX_PENDING_CALLS, Machine};
 
 /// What became of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -21,7 +21,7 @@
 
 /// Who waits for what.
 #[derive(Clone, Debug)]
-pub(super) struct Call {
+pub(super) struct PendingCall {
     pub(super) ticket: u64,
     /// The proposal by which it went to the log; none, if it only asks.
     pub(super) proposal: Option<consensus::ProposalId>,
@@ -31,7 +31,7 @@
 }
 
 impl Machine {
-    pub(super) fn next(&mut self) -> consensus::ProposalId {
+    pub(super) fn next_proposal(&mut self) -> consensus::ProposalId {
         self.proposals += 1;
         consensus::ProposalId {
             by: self.setup.node_id,
@@ -40,7 +40,7 @@
         }
     }
 
-    pub(super) fn propose(
+    pub(super) fn propose_entry(
         &mut self,
         ticket: u64,
         id: Option<CommandId>,
@@ -51,19 +51,19 @@
             actions.push(Action::ProposalResult { ticket, answer: ProposalResult::Never });
             return;
         };
-        let proposal = self.call(ticket, id, actions);
-        self.learn(LearnerEvent::Propose { id: proposal, bytes });
+        let proposal = self.add_call(ticket, id, actions);
+        self.step_learner(LearnerEvent::Propose { id: proposal, bytes });
     }
 
     /// Notes a call; the name of its proposal.
-    pub(super) fn call(
+    pub(super) fn add_call(
         &mut self,
         ticket: u64,
         id: Option<CommandId>,
         actions: &mut Vec<Action>,
     ) -> consensus::ProposalId {
-        let proposal = self.next();
-        if self.calls.len() >= CALLS
+        let proposal = self.next_proposal();
+        if self.calls.len() >= MAX_PENDING_CALLS
             && let Some(call) = self.calls.pop_front()
         {
             actions.push(Action::ProposalResult {
@@ -71,18 +71,18 @@
                 answer: ProposalResult::Unknown,
             });
         }
-        self.calls.push_back(Call { ticket, proposal: Some(proposal), id, index: None });
+        self.calls.push_back(PendingCall { ticket, proposal: Some(proposal), id, index: None });
         proposal
     }
 
     /// The council's word on a proposal.
-    pub(super) fn outcome(
+    pub(super) fn on_outcome(
         &mut self,
         id: consensus::ProposalId,
         outcome: consensus::ProposalOutcome,
         actions: &mut Vec<Action>,
     ) {
-        if self.own.remove(&id) {
+        if self.own_proposals.remove(&id) {
             return;
         }
         match outcome {
@@ -90,7 +90,7 @@
                 for call in self.calls.iter_mut().filter(|c| c.proposal == Some(id)) {
                     call.index = Some(index);
                 }
-                self.settle_all(actions);
+                self.answer_calls(actions);
             }
             consensus::ProposalOutcome::Never | consensus::ProposalOutcome::Unknown => {
                 let never = outcome == consensus::ProposalOutcome::Never;
@@ -109,17 +109,17 @@
         }
     }
 
-    pub(super) fn settle_all(&mut self, actions: &mut Vec<Action>) {
+    pub(super) fn answer_calls(&mut self, actions: &mut Vec<Action>) {
         let calls = std::mem::take(&mut self.calls);
         for call in calls {
-            if !self.settle(&call, actions) {
+            if !self.answer_call(&call, actions) {
                 self.calls.push_back(call);
             }
         }
     }
 
     /// Answers a call, if the book or the log can by now.
-    pub(super) fn settle(&self, call: &Call, actions: &mut Vec<Action>) -> bool {
+    pub(super) fn answer_call(&self, call: &PendingCall, actions: &mut Vec<Action>) -> bool {
         let stands = call.proposal.is_none() || call.index.is_some_and(|index| index <= self.at);
         if !stands {
             return false;
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -27,21 +27,27 @@
 
 pub use durable::open;
 pub use machine::{Machine, Setup, SetupError};
-pub use published::{Held, PublishedPolicy};
-pub use runtime::{Call, DurableLog, Runtime};
+pub use published::{PolicySnapshot, PublishedPolicy};
+pub use runtime::{AdminCall, DurableLog, Runtime};
+
+// The names under which the engine and the membership import these types.
+#[doc(hidden)]
+pub use self::{
+    ClusterEvent as News, EndpointListEvent as Listed, published::PolicySnapshot as Held,
+};
 
 /// The bank as the engine knows it: that there are rules, not where they come from.
 pub trait PolicyReader {
     /// What holds at this moment. To be asked before each send.
-    fn held(&self) -> Held;
+    fn held(&self) -> PolicySnapshot;
 
     /// Discovery said this.
-    fn heard(&self, list: Listed);
+    fn heard(&self, list: EndpointListEvent);
 }
 
 /// A list of upstreams, as the bank is told of it.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Listed {
+pub enum EndpointListEvent {
     /// The entries that changed, or all.
     List {
         /// Its version.
@@ -57,7 +63,7 @@
 
 /// What the bank has for the rest of the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum News {
+pub enum ClusterEvent {
     /// Something else may hold than before.
     Changed,
     /// Another balancer has a newer list.
@@ -65,13 +71,13 @@
 }
 
 /// A balancer's hand on what runs elsewhere.
-pub struct Link {
+pub struct ClusterHandle {
     /// What requests read, and where lists go.
     pub reader: Reader,
-    /// News for the engine.
-    pub news: mpsc::UnboundedReceiver<News>,
+    /// ClusterEvent for the engine.
+    pub news: mpsc::UnboundedReceiver<ClusterEvent>,
     /// Where operators' calls go.
-    pub calls: mpsc::UnboundedSender<Call>,
+    pub calls: mpsc::UnboundedSender<AdminCall>,
 }
 
 /// What was published, on the clock of whoever publishes.
@@ -80,21 +86,21 @@
     published: Arc<PublishedPolicy>,
     /// When the clock began that its leases go by.
     epoch: Instant,
-    lists: mpsc::UnboundedSender<Listed>,
+    lists: mpsc::UnboundedSender<EndpointListEvent>,
 }
 
 impl PolicyReader for Reader {
-    fn held(&self) -> Held {
+    fn held(&self) -> PolicySnapshot {
         self.published.at(self.epoch.elapsed())
     }
 
-    fn heard(&self, list: Listed) {
+    fn heard(&self, list: EndpointListEvent) {
         let _ = self.lists.send(list);
     }
 }
 
 /// What a start found of what outlives a process, and where it goes on.
-pub struct Stored {
+pub struct RecoveredState {
     /// Where things are kept.
     pub durable_log: Box<dyn DurableLog + Send>,
     /// Of the council.
@@ -103,7 +109,7 @@
     pub fallback_policy: Option<(Generation, FallbackPolicy)>,
 }
 
-/// Both ends of a balancer's part of the bank: what serves has the [`Link`], what runs the [`Runtime`] may be another thread.
+/// Both ends of a balancer's part of the bank: what serves has the [`ClusterHandle`], what runs the [`Runtime`] may be another thread.
 /// `incarnation` names this process, and is drawn at its start.
 ///
 /// # Errors
@@ -112,11 +118,11 @@
     config: &Config,
     cluster: &ClusterConfig,
     incarnation: u32,
-    stored: Option<Stored>,
+    stored: Option<RecoveredState>,
     points: Points,
-) -> Result<(Link, Runtime), SetupError> {
+) -> Result<(ClusterHandle, Runtime), SetupError> {
     let (durable_log, found, fallback_policy) = match stored {
-        Some(Stored { durable_log, found, fallback_policy }) => {
+        Some(RecoveredState { durable_log, found, fallback_policy }) => {
             (Some(durable_log), found, fallback_policy)
         }
         None => (None, None, None),
@@ -135,8 +141,8 @@
         None => admin_api::default_mandatory_fallback(&cells),
         Some(stated) => named(stated),
     };
-    let mut chartered = named(cluster.fallback_policy.as_deref().unwrap_or_default());
-    chartered.cells.extend(stated);
+    let mut first_fallback_at = named(cluster.fallback_policy.as_deref().unwrap_or_default());
+    first_fallback_at.cells.extend(stated);
     // With a charter that is stated the first leader has nothing to propose.
     if cluster.fallback_policy.is_some() {
         cells.clear();
@@ -155,7 +161,7 @@
         bootstrap: Bootstrap {
             members: count,
             mandatory_fallback: named(stated),
-            fallback_policy: chartered,
+            fallback_policy: first_fallback_at,
             document: Document::default(),
         },
         mandatory_fallback,
@@ -171,7 +177,7 @@
     let (calls, called) = mpsc::unbounded_channel();
     let (lists, listed) = mpsc::unbounded_channel();
     let reader = Reader { published: published.clone(), epoch, lists };
-    let shell = Runtime {
+    let runtime = Runtime {
         machine,
         epoch,
         listen: cluster.listen,
@@ -183,5 +189,5 @@
         durable_log,
         points,
     };
-    Ok((Link { reader, news: told, calls }, shell))
+    Ok((ClusterHandle { reader, news: told, calls }, runtime))
 }
--- a/crates/gateway/src/cluster/published.rs
+++ b/crates/gateway/src/cluster/published.rs
@@ -10,18 +10,18 @@
 use hollowpaddle_revision::in_force::{InForce, View};
 use hollowpaddle_revision::rules::Rules;
 
-use crate::cluster::machine::Stops;
+use crate::cluster::machine::StoppedUpstreams;
 
 /// What holds at a moment.
 #[derive(Clone, Debug)]
-pub struct Held {
+pub struct PolicySnapshot {
     /// The rules to keep to: those under the lease, or the charter's past it.
     pub rules: Arc<Rules>,
     /// Whom peers' words stop.
-    pub stops: Arc<Stops>,
+    pub stops: Arc<StoppedUpstreams>,
 }
 
-impl Held {
+impl PolicySnapshot {
     /// Whether it is the same, and not only alike: renewed leases keep what they are for.
     pub fn is(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.rules, &other.rules) && Arc::ptr_eq(&self.stops, &other.stops)
@@ -31,16 +31,16 @@
 #[derive(Clone, Debug)]
 struct Value {
     in_force: InForce,
-    stops: Arc<Stops>,
+    stops: Arc<StoppedUpstreams>,
 }
 
 impl Value {
-    fn at(&self, now: Duration) -> Held {
+    fn at(&self, now: Duration) -> PolicySnapshot {
         let rules = match self.in_force.at(now) {
             View::Agreed(..) => &self.in_force.rules,
             View::FallbackPolicy(_) => &self.in_force.fallback_policy,
         };
-        Held { rules: rules.clone(), stops: self.stops.clone() }
+        PolicySnapshot { rules: rules.clone(), stops: self.stops.clone() }
     }
 }
 
@@ -61,7 +61,7 @@
     }
 
     /// The same for whom peers' words stop.
-    pub fn stop(&self, stops: Stops, now: Duration) -> bool {
+    pub fn stop(&self, stops: StoppedUpstreams, now: Duration) -> bool {
         let in_force = self.0.load().in_force.clone();
         self.replace(Value { in_force, stops: Arc::new(stops) }, now)
     }
@@ -77,7 +77,7 @@
     }
 
     /// What holds now. To be asked right before each send: the process may have stood still since it was asked last.
-    pub fn at(&self, now: Duration) -> Held {
+    pub fn at(&self, now: Duration) -> PolicySnapshot {
         self.0.load().at(now)
     }
 }
--- a/crates/gateway/src/cluster/runtime.rs
+++ b/crates/gateway/src/cluster/runtime.rs
@@ -21,12 +21,12 @@
 use crate::cluster::admin_api::{AdminRequest, AdminResponse};
 use crate::cluster::machine::{Action, Event, Machine};
 use crate::cluster::published::PublishedPolicy;
-use crate::cluster::{Listed, News};
+use crate::cluster::{ClusterEvent, EndpointListEvent};
 
 /// After a disk has failed it is looked at again so often.
-const RETRY: Duration = Duration::from_secs(1);
+const DISK_RETRY: Duration = Duration::from_secs(1);
 /// An address that can't be had is asked for again so often: a process of this balancer that ends may still have it.
-const REBIND: Duration = Duration::from_millis(100);
+const BIND_RETRY: Duration = Duration::from_millis(100);
 
 /// Where what outlives the process is written. Each call returns once it is on disk, or says why not.
 pub trait DurableLog {
@@ -46,7 +46,7 @@
     ///
     /// # Errors
     /// As above.
-    fn keep(
+    fn save_fallback_policy(
         &mut self,
         fallback_generation: Generation,
         fallback_policy: &FallbackPolicy,
@@ -56,11 +56,11 @@
     ///
     /// # Errors
     /// There is none yet.
-    fn heal(&mut self) -> Result<(), String>;
+    fn reset(&mut self) -> Result<(), String>;
 }
 
 /// A call from the operators' door.
-pub struct Call {
+pub struct AdminCall {
     /// What is wanted.
     pub ask: AdminRequest,
     /// The fleet as this balancer has it.
@@ -81,12 +81,12 @@
     pub peers: Vec<SocketAddr>,
     /// What requests read.
     pub published: Arc<PublishedPolicy>,
-    /// News for the engine.
-    pub news: mpsc::UnboundedSender<News>,
+    /// ClusterEvent for the engine.
+    pub news: mpsc::UnboundedSender<ClusterEvent>,
     /// What discovery says.
-    pub lists: mpsc::UnboundedReceiver<Listed>,
+    pub lists: mpsc::UnboundedReceiver<EndpointListEvent>,
     /// Operators' calls.
-    pub calls: mpsc::UnboundedReceiver<Call>,
+    pub calls: mpsc::UnboundedReceiver<AdminCall>,
     /// Where things are kept, if anywhere.
     pub durable_log: Option<Box<dyn DurableLog + Send>>,
     /// Points at which a step can be made to fail.
@@ -94,19 +94,19 @@
 }
 
 /// A caller that waits for an answer.
-struct Waiting {
+struct PendingCommand {
     reply: oneshot::Sender<AdminResponse>,
     ask: AdminRequest,
     id: CommandId,
     /// The charter comes first.
-    for_charter: bool,
+    fallback_pending: bool,
 }
 
 /// What is underway.
-struct Running {
+struct RunState {
     members: FxHashMap<SocketAddr, NodeId>,
     due: Option<Instant>,
-    waiting: FxHashMap<u64, Waiting>,
+    waiting: FxHashMap<u64, PendingCommand>,
     /// Answers that wait until a revision is in force everywhere.
     until_all: Vec<(oneshot::Sender<AdminResponse>, AdminResponse, u64, Instant)>,
     tickets: u64,
@@ -125,13 +125,13 @@
                 Ok(socket) => break socket,
                 Err(cause) => {
                     tracing::warn!(%cause, "no address for words of other balancers: {}", self.listen);
-                    sleep(REBIND).await;
+                    sleep(BIND_RETRY).await;
                 }
             }
         };
         tracing::info!(peers = self.peers.len(), "one of a bank, at {}", self.listen);
         let members = self.peers.iter().enumerate().map(|(i, a)| (*a, NodeId(i as u16))).collect();
-        let mut running = Running {
+        let mut running = RunState {
             members,
             due: None,
             waiting: FxHashMap::default(),
@@ -143,9 +143,9 @@
             ends: None,
         };
         let mut bytes = [0; DATAGRAM];
-        self.hand_in(Event::Due, &mut running, &*socket).await;
+        self.dispatch(Event::Due, &mut running, &*socket).await;
         loop {
-            self.answer_waiting(&mut running);
+            self.answer_rollout_waits(&mut running);
             let waits = running.until_all.iter().map(|(_, _, _, until)| *until).min();
             let next = [running.due, running.retry, running.ends, waits];
             let next = next.into_iter().flatten().min();
@@ -158,22 +158,22 @@
             tokio::select! {
                 biased;
                 call = self.calls.recv() => match call {
-                    Some(call) => self.called(call, &mut running, &*socket).await,
+                    Some(call) => self.on_admin_call(call, &mut running, &*socket).await,
                     None => return,
                 },
                 Some(list) = self.lists.recv() => {
                     let event = match list {
-                        Listed::List { version, whole, entries } => {
-                            Event::Listed { version, whole, entries }
+                        EndpointListEvent::List { version, whole, entries } => {
+                            Event::EndpointList { version, whole, entries }
                         }
-                        Listed::CountsAnew => Event::CountsAnew,
+                        EndpointListEvent::CountsAnew => Event::CountsAnew,
                     };
-                    self.hand_in(event, &mut running, &*socket).await;
+                    self.dispatch(event, &mut running, &*socket).await;
                 }
                 came = receive(&mut *socket, &mut bytes) => match came {
                     Ok((length, from)) => {
                         let from = running.members.get(&from).copied();
-                        self.received(from, &bytes[..length], &mut running, &*socket).await;
+                        self.on_datagram(from, &bytes[..length], &mut running, &*socket).await;
                     }
                     // None of its errors ends an address; one that comes at once must not keep this thread busy.
                     Err(_) => sleep(Duration::from_millis(1)).await,
@@ -182,36 +182,36 @@
                     let now = Instant::now();
                     if running.ends.is_some_and(|at| at <= now) {
                         running.ends = None;
-                        let _ = self.news.send(News::Changed);
+                        let _ = self.news.send(ClusterEvent::Changed);
                     }
                     if running.retry.is_some_and(|at| at <= now) {
                         running.retry = None;
-                        self.heal(&mut running, &*socket).await;
+                        self.repair_disk(&mut running, &*socket).await;
                     }
                     if running.due.is_some_and(|at| at <= now) {
                         running.due = None;
                         self.points.meet("bank.timer", Kind::Timer);
-                        self.hand_in(Event::Due, &mut running, &*socket).await;
+                        self.dispatch(Event::Due, &mut running, &*socket).await;
                     }
                 }
             }
         }
     }
 
-    async fn received(
+    async fn on_datagram(
         &mut self,
         from: Option<NodeId>,
         bytes: &[u8],
-        running: &mut Running,
+        running: &mut RunState,
         socket: &dyn Datagrams,
     ) {
         for _ in 0..copies(self.points.meet("bank.receive", Kind::Receive)) {
-            self.hand_in(Event::Datagram { from, bytes }, running, socket).await;
+            self.dispatch(Event::Datagram { from, bytes }, running, socket).await;
         }
     }
 
     /// Hands in one event, and carries out all that follows of it.
-    async fn hand_in(&mut self, event: Event<'_>, running: &mut Running, socket: &dyn Datagrams) {
+    async fn dispatch(&mut self, event: Event<'_>, running: &mut RunState, socket: &dyn Datagrams) {
         let mut actions = Vec::new();
         self.machine.handle(self.epoch.elapsed(), event, &mut actions);
         let mut next = Vec::new();
@@ -240,7 +240,7 @@
     async fn carry_out(
         &mut self,
         action: Action,
-        running: &mut Running,
+        running: &mut RunState,
         socket: &dyn Datagrams,
     ) -> Option<Event<'static>> {
         match action {
@@ -260,19 +260,19 @@
                 self.points.meet("bank.publish", Kind::Handover);
                 running.ends = Some(self.epoch + in_force.until);
                 if self.published.write(in_force, self.epoch.elapsed()) {
-                    let _ = self.news.send(News::Changed);
+                    let _ = self.news.send(ClusterEvent::Changed);
                 }
                 None
             }
             Action::Stop(stops) => {
                 self.points.meet("bank.stop", Kind::Handover);
                 if self.published.stop(stops, self.epoch.elapsed()) {
-                    let _ = self.news.send(News::Changed);
+                    let _ = self.news.send(ClusterEvent::Changed);
                 }
                 None
             }
             Action::RefreshList => {
-                let _ = self.news.send(News::RefreshList);
+                let _ = self.news.send(ClusterEvent::RefreshList);
                 None
             }
             Action::Persist { number, record } => {
@@ -286,14 +286,15 @@
             }
             Action::PersistFallbackPolicy { fallback_generation, fallback_policy } => {
                 let durable_log = self.durable_log.as_mut()?;
-                match durable_log.keep(fallback_generation, &fallback_policy) {
+                match durable_log.save_fallback_policy(fallback_generation, &fallback_policy) {
                     Ok(()) => Some(Event::FallbackPolicyPersisted(fallback_generation)),
                     Err(cause) => Some(fails(cause, running)),
                 }
             }
             Action::ProposalResult { ticket, answer } => {
-                let Waiting { reply, ask, id, for_charter } = running.waiting.remove(&ticket)?;
-                let told = AdminResponse::of(&ask, id, &answer, for_charter);
+                let PendingCommand { reply, ask, id, fallback_pending } =
+                    running.waiting.remove(&ticket)?;
+                let told = AdminResponse::of(&ask, id, &answer, fallback_pending);
                 match told.wait {
                     Some((revision, within)) => {
                         let until = Instant::now() + within;
@@ -310,21 +311,26 @@
         }
     }
 
-    async fn heal(&mut self, running: &mut Running, socket: &dyn Datagrams) {
-        let healed = self.durable_log.as_mut().map(|d| d.heal());
+    async fn repair_disk(&mut self, running: &mut RunState, socket: &dyn Datagrams) {
+        let healed = self.durable_log.as_mut().map(|log| log.reset());
         match healed {
             Some(Ok(())) => {
                 tracing::info!("what the council says is kept again");
                 running.failing = false;
-                self.hand_in(Event::DiskWell, running, socket).await;
+                self.dispatch(Event::DiskWell, running, socket).await;
             }
-            Some(Err(_)) => running.retry = Some(Instant::now() + RETRY),
+            Some(Err(_)) => running.retry = Some(Instant::now() + DISK_RETRY),
             None => {}
         }
     }
 
-    async fn called(&mut self, call: Call, running: &mut Running, socket: &dyn Datagrams) {
-        let Call { ask, facts, reply } = call;
+    async fn on_admin_call(
+        &mut self,
+        call: AdminCall,
+        running: &mut RunState,
+        socket: &dyn Datagrams,
+    ) {
+        let AdminCall { ask, facts, reply } = call;
         running.tickets += 1;
         let ticket = running.tickets;
         // No two processes draw one life, and no process counts to one number twice.
@@ -335,17 +341,17 @@
         match ask.event(ticket, id, &facts, &self.machine) {
             Ok(event) => {
                 running.waiting.retain(|_, waiting| !waiting.reply.is_closed());
-                let for_charter = ask.looks_again()
+                let fallback_pending = ask.is_retried()
                     && matches!(&event, Event::Propose { entry: Entry::FallbackPolicy(..), .. });
-                running.waiting.insert(ticket, Waiting { reply, ask, id, for_charter });
-                self.hand_in(event, running, socket).await;
+                running.waiting.insert(ticket, PendingCommand { reply, ask, id, fallback_pending });
+                self.dispatch(event, running, socket).await;
             }
             Err(told) => drop(reply.send(told)),
         }
     }
 
     /// Answers callers that wait until a revision is in force everywhere, once it is or their time is over.
-    fn answer_waiting(&self, running: &mut Running) {
+    fn answer_rollout_waits(&self, running: &mut RunState) {
         if running.until_all.is_empty() {
             return;
         }
@@ -372,7 +378,7 @@
     }
 }
 
-fn fails(cause: String, running: &mut Running) -> Event<'static> {
+fn fails(cause: String, running: &mut RunState) -> Event<'static> {
     if !running.failing {
         tracing::error!(
             cause,
@@ -380,6 +386,6 @@
         );
     }
     running.failing = true;
-    running.retry = Some(Instant::now() + RETRY);
+    running.retry = Some(Instant::now() + DISK_RETRY);
     Event::DiskFailed(cause)
 }
--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -291,7 +291,7 @@
         request: Request<Incoming>,
     ) -> Result<Response<Full<Bytes>>, Infallible> {
         let (head, body) = request.into_parts();
-        let banks = admin_api::is_ours(head.uri.path());
+        let banks = admin_api::is_cluster_path(head.uri.path());
         let limit = if banks { hollowpaddle_revision::document::LONGEST_JSON } else { BODY_LIMIT };
         let Ok(body) = Limited::new(body, limit).collect().await else {
             return Ok(word(StatusCode::PAYLOAD_TOO_LARGE, "the body is too long or ends early"));
@@ -301,7 +301,7 @@
             let ask =
                 AdminRequest::read(head.method.as_str(), head.uri.path(), query, &body.to_bytes());
             return Ok(match ask {
-                Ok(ask) => self.cluster_handle(ask).await,
+                Ok(ask) => self.ask_cluster(ask).await,
                 Err(cause) => told(AdminResponse::unread(&cause)),
             });
         }
@@ -350,10 +350,10 @@
         if self.balancer.is_banked() {
             match &call {
                 Call::Cordon(name) => {
-                    return self.cluster_handle(AdminRequest::cordon(name, true)).await;
+                    return self.ask_cluster(AdminRequest::cordon(name, true)).await;
                 }
                 Call::Uncordon(name) => {
-                    return self.cluster_handle(AdminRequest::cordon(name, false)).await;
+                    return self.ask_cluster(AdminRequest::cordon(name, false)).await;
                 }
                 _ => {}
             }
@@ -377,14 +377,14 @@
     }
 
     /// Has the bank answer. One of many who say the same at once is told that another was first, and looks again.
-    async fn cluster_handle(&self, ask: AdminRequest) -> Response<Full<Bytes>> {
+    async fn ask_cluster(&self, ask: AdminRequest) -> Response<Full<Bytes>> {
         tracing::info!(?ask, "an operator calls");
         let until = Instant::now() + LOOKS;
         loop {
             match self.balancer.ask(ask.clone()).await {
                 None => return word(StatusCode::NOT_FOUND, "this balancer is in no bank"),
                 Some(AdminResponse { again: true, .. })
-                    if ask.looks_again() && Instant::now() < until =>
+                    if ask.is_retried() && Instant::now() < until =>
                 {
                     sleep(BUSY_STEP).await;
                 }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -13,7 +13,7 @@
 
 use crate::clients::Front;
 use crate::cluster::admin_api::{AdminRequest, AdminResponse, facts};
-use crate::cluster::{Call, Link, PolicyReader};
+use crate::cluster::{AdminCall, ClusterHandle, PolicyReader};
 use crate::config::Config;
 use crate::engine::{Door, Engine, EngineError};
 use crate::members::List;
@@ -30,7 +30,7 @@
     /// What outlives the process.
     pub kept: Option<Kept>,
     /// What balancers agree on.
-    pub cluster: Option<Link>,
+    pub cluster: Option<ClusterHandle>,
 }
 
 /// Why a balancer did not serve to its end.
@@ -49,12 +49,12 @@
     engine: Door,
     front: Rc<Front>,
     keeper: Option<Rc<Keeper>>,
-    cluster: Option<ClusterHandle>,
+    cluster: Option<AdminClient>,
 }
 
 /// How operators' calls reach the bank.
-struct ClusterHandle {
-    calls: mpsc::UnboundedSender<Call>,
+struct AdminClient {
+    calls: mpsc::UnboundedSender<AdminCall>,
     classes: Vec<ClassFacts>,
 }
 
@@ -107,7 +107,10 @@
             from = part.next;
         }
         let (reply, answer) = oneshot::channel();
-        cluster.calls.send(Call { ask, facts: facts(&members, &cluster.classes), reply }).ok()?;
+        cluster
+            .calls
+            .send(AdminCall { ask, facts: facts(&members, &cluster.classes), reply })
+            .ok()?;
         answer.await.ok()
     }
 }
@@ -131,9 +134,9 @@
     let recovered = kept.map(|kept| Recovered::read(kept, started, &config.known, meaning));
     let (recovered, restored_list) =
         recovered.map_or((None, None), |(all, list)| (Some(all), list));
-    let cluster_handle = cluster
+    let admin_client = cluster
         .as_ref()
-        .map(|link| ClusterHandle { calls: link.calls.clone(), classes: classes(&config) });
+        .map(|link| AdminClient { calls: link.calls.clone(), classes: classes(&config) });
     let (reader, news) = cluster.map_or((None, None), |link| (Some(link.reader), Some(link.news)));
     let reader = reader.map(|r| Rc::new(r) as Rc<dyn PolicyReader>);
     let (engine, handle) = Engine::new(&config, restored_list, pool, network, reader)?;
@@ -163,7 +166,7 @@
         engine: engine_door,
         front: front.clone(),
         keeper: keeper.clone(),
-        cluster: cluster_handle,
+        cluster: admin_client,
     };
     let operators = Operators::join(machine, operating.store).await;
     let _follows = AbortOnDrop(tokio::task::spawn_local(operators.clone().follow()));
--- a/crates/gateway/tests/formats/stored_files.rs
+++ b/crates/gateway/tests/formats/stored_files.rs
@@ -28,7 +28,7 @@
         serde_json::to_string(&policy).expect("JSON"),
         r#"{"pods":[0],"except":[],"attempts":1}"#
     );
-    stored.durable_log.keep(generation, &policy).expect("written");
+    stored.durable_log.save_fallback_policy(generation, &policy).expect("written");
     assert_eq!(payload(&directory.path().join("snapshot")), payload_of(FALLBACK_POLICY));
     assert_eq!(fs::read(directory.path().join("council.log")).expect("a file"), LOG);
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use hollowpaddle_failpoints::Points;
-use hollowpaddle_gateway::cluster::{self, Link, Runtime, Stored};
+use hollowpaddle_gateway::cluster::{self, ClusterHandle, RecoveredState, Runtime};
 use hollowpaddle_gateway::config::ClusterConfig;
 use hollowpaddle_gateway::{Config, Kept, Operating, Provided, serve};
 use hollowpaddle_net::{Listener, Network, Tcp};
@@ -148,7 +148,7 @@
 }
 
 /// This balancer's part of the bank, on a thread of its own, where balancers may talk.
-fn cluster(config: &Config) -> Result<Option<Link>, String> {
+fn cluster(config: &Config) -> Result<Option<ClusterHandle>, String> {
     let Some(of) = &config.cluster else { return Ok(None) };
     // The platform's seed is new with each start, unless two processes of one configuration overlap.
     let life = RandomState::new().hash_one(config.seed) as u32;
@@ -164,7 +164,7 @@
 
 /// What the bank finds in the state directory, where the platform keeps one. A balancer for which there is none, or that
 /// can't be had in time, forgets with each process; the others know what that means.
-fn stored(config: &Config, of: &ClusterConfig, points: &Points) -> Option<Stored> {
+fn stored(config: &Config, of: &ClusterConfig, points: &Points) -> Option<RecoveredState> {
     let dir = config.state_dir.as_ref()?.join("bank");
     let (name, points, id, me) = (config.name.clone(), points.clone(), of.id(), of.member());
     let shown = dir.display().to_string();
