--- a/crates/gateway/src/cluster/admin_api/tests.rs
+++ b/crates/gateway/src/cluster/admin_api/tests.rs
@@ -2,6 +2,9 @@
 
 use hollowpaddle_consensus::ReplicaStatus;
 
+use hollowpaddle_revision::policy_state::PolicyState;
+use serde_json::Value;
+
 use super::*;
 
 /// The image of a policy log with a revision of each origin and in each state: five revisions numbered 0, 11, 13,
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -2,7 +2,7 @@
 //! on a thread of their own; here is what the rest of the balancer has to do with them.
 
 pub mod admin_api;
-mod durable;
+mod durable_log;
 pub mod machine;
 mod published;
 mod runtime;
@@ -25,7 +25,7 @@
 
 use crate::config::{ClusterConfig, Config};
 
-pub use durable::open;
+pub use durable_log::open;
 pub use machine::{Machine, Setup, SetupError};
 pub use published::{PolicySnapshot, PublishedPolicy};
 pub use runtime::{AdminCall, DurableLog, Runtime};
