--- a/crates/gateway/src/cluster/admin_api.rs
+++ b/crates/gateway/src/cluster/admin_api.rs
@@ -1,4 +1,7 @@
-//! What operators ask of the bank and are told, as text at their door. What a question comes to is the machine's to say.
+//! The admin API of the cluster: requests of operators, as typed values, and what each hands to the machine.
+//!
+//! Reading calls, building answers and the JSON views are modules of their own. HTTP is left to the caller, and what
+//! becomes of a request to the [`Machine`].
 
 mod change;
 mod fallback;
@@ -22,37 +25,36 @@
 pub use fleet_facts::facts;
 pub use parse::{AdminRequestError, is_cluster_path};
 pub use response::AdminResponse;
-use views::{cluster, revision, revisions};
 
-/// A caller that asks to wait until a revision is in force everywhere waits so long, if it does not say.
+/// How long a caller waits for a revision to be in force at every balancer, where the call names no time.
 const DEFAULT_ROLLOUT_WAIT: Duration = Duration::from_millis(1500);
 
-/// What is asked.
+/// What an operator asks for.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminRequest {
-    /// How the bank stands, as seen from here.
+    /// The state of the cluster as this balancer sees it.
     Cluster,
     /// The newest revisions.
     Revisions,
-    /// One of them, whole.
+    /// One revision with its document.
     Revision(u64),
-    /// What became of a question that was asked at any door.
+    /// The outcome of a command that was sent to any balancer.
     Asked(CommandId),
-    /// Something that is to stand in the log.
+    /// A change of the policy log.
     Change(Box<Change>),
-    /// Something about the council.
+    /// A change of the voters.
     VoterChange(VoterChange),
 }
 
-/// Something that is to stand in the log.
+/// A change of the policy log.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
     what: PolicyChange,
-    /// What it would change is told, and nothing is changed.
-    dry: bool,
-    /// Told only once it is in force everywhere, or after this time.
+    /// Only report what the change would do.
+    is_dry_run: bool,
+    /// Answer only once the revision is in force at every balancer, or after this time.
     wait: Option<Duration>,
-    /// Named by the caller, if it is.
+    /// The command's id, if the caller named one.
     id: Option<CommandId>,
 }
 
@@ -60,68 +62,68 @@
 enum PolicyChange {
     Propose(RevisionOptions, Box<Document>),
     Rollback(RevisionOptions, u64),
-    Cordon(String, bool),
+    Cordon(String),
+    Uncordon(String),
     FallbackPolicy(FallbackPolicy),
     Confirm(u64),
     Dead(NodeId),
     Alive(NodeId),
 }
 
-/// How a revision is asked for.
+/// Terms on which a revision is proposed.
 #[derive(Clone, Debug, PartialEq)]
 struct RevisionOptions {
+    /// The revision that must be the newest, or the proposal is rejected.
     base: Option<u64>,
     canary: Option<CanaryTerms>,
     forced: bool,
 }
 
-/// What is wanted of the council.
+/// A change of the voters.
 #[derive(Clone, Debug, PartialEq)]
 pub enum VoterChange {
-    /// One for another.
+    /// One voter is replaced or removed.
     Replace {
-        /// Who goes.
+        /// The voter that is removed.
         out: NodeId,
-        /// Who comes.
+        /// The balancer that replaces it, if any.
         then: Option<NodeId>,
     },
-    /// This balancer founds anew with these voters.
+    /// This balancer forces a new epoch with these voters.
     Restore(Vec<NodeId>),
 }
 
 impl AdminRequest {
-    /// An upstream is to be out, or back, for all balancers.
+    /// Takes an upstream out at all balancers, or back in.
     pub fn cordon(name: &str, out: bool) -> Self {
-        let what = PolicyChange::Cordon(name.to_string(), out);
-        Self::Change(Box::new(Change {
-            what,
-            dry: false,
-            wait: Some(DEFAULT_ROLLOUT_WAIT),
-            id: None,
-        }))
+        let name = name.to_string();
+        let what = if out { PolicyChange::Cordon(name) } else { PolicyChange::Uncordon(name) };
+        let wait = Some(DEFAULT_ROLLOUT_WAIT);
+        Self::Change(Box::new(Change { what, is_dry_run: false, wait, id: None }))
     }
 
-    /// Whether it is to be asked again while it is not done yet.
+    /// Whether the request is to be repeated while its answer is [`AdminResponse::again`].
     pub fn is_retried(&self) -> bool {
-        matches!(self, Self::Change(change) if matches!(change.what, PolicyChange::Cordon(..)))
+        let Self::Change(change) = self else { return false };
+        matches!(change.what, PolicyChange::Cordon(_) | PolicyChange::Uncordon(_))
     }
 
-    /// What the machine is to be told; or, where it need not be, what the caller is.
+    /// The event that hands the request to the machine. `fresh_id` is its id unless the caller named one; `facts` is the
+    /// fleet as this balancer has it listed.
     ///
     /// # Errors
-    /// None: `Err` is an answer that needs nobody else.
+    /// The answer, where the machine need not be involved: a view, or a rejection.
     pub fn event(
         &self,
         ticket: u64,
-        fresh: CommandId,
+        fresh_id: CommandId,
         facts: &Facts,
         machine: &Machine,
     ) -> Result<Event<'static>, AdminResponse> {
-        let policy = machine.policy();
         match self {
-            Self::Cluster => Err(AdminResponse::ok(cluster(machine))),
-            Self::Revisions => Err(AdminResponse::ok(revisions(policy))),
-            Self::Revision(number) => Err(revision(policy, *number)),
+            Self::Cluster => Err(AdminResponse::ok(views::cluster(machine))),
+            Self::Revisions => Err(AdminResponse::ok(views::revisions(machine.policy()))),
+            Self::Revision(number) => Err(views::revision(machine.policy(), *number)),
             Self::Asked(id) => Ok(Event::QueryOutcome { ticket, id: *id }),
             Self::VoterChange(VoterChange::Replace { out, then }) => {
                 Ok(Event::Replace { ticket, out: *out, then: *then })
@@ -129,7 +131,7 @@
             Self::VoterChange(VoterChange::Restore(members)) => {
                 Ok(Event::Restore { ticket, members: members.clone() })
             }
-            Self::Change(change) => change.event(ticket, fresh, facts, machine),
+            Self::Change(change) => change.event(ticket, fresh_id, facts, machine),
         }
     }
 }
--- a/crates/gateway/src/cluster/admin_api/change.rs
+++ b/crates/gateway/src/cluster/admin_api/change.rs
@@ -1,114 +1,167 @@
-//! Turns a change that an operator asked for into an entry of the policy log.
+//! Turns a change that an operator asked for into an entry of the policy log, or into an answer where none is needed.
 
 use std::collections::BTreeSet;
 
+use hollowpaddle_revision::difference::Difference;
 use hollowpaddle_revision::document::Document;
 use hollowpaddle_revision::entry::{CommandId, Entry, ProposalOptions};
+use hollowpaddle_revision::fallback_policy::FallbackPolicy;
 use hollowpaddle_revision::fleet::Facts;
-use hollowpaddle_revision::policy_state::Refusal;
+use hollowpaddle_revision::policy_state::{PolicyState, Refusal};
 use serde_json::json;
 
-use super::fallback::{firm, in_charter};
+use super::fallback::{check_mandatory_fallback, is_in_fallback_floor};
 use super::{AdminResponse, Change, PolicyChange, RevisionOptions};
 use crate::cluster::machine::{Event, Machine};
 
+/// What a change is made of and checked against.
+struct Context<'a> {
+    id: CommandId,
+    facts: &'a Facts,
+    machine: &'a Machine,
+    policy: &'a PolicyState,
+}
+
 impl Change {
+    /// The event that proposes the change. `Err` is an answer that needs no proposal.
     pub(super) fn event(
         &self,
         ticket: u64,
-        fresh: CommandId,
+        fresh_id: CommandId,
         facts: &Facts,
         machine: &Machine,
     ) -> Result<Event<'static>, AdminResponse> {
-        let policy = machine.policy();
-        let id = self.id.unwrap_or(fresh);
-        let terms = |said: &RevisionOptions, names: &BTreeSet<String>| {
-            let RevisionOptions { base, canary, forced } = said.clone();
-            let mut facts = facts.clone();
-            facts.named.retain(|name, _| names.contains(name));
-            Box::new(ProposalOptions { id, base, canary, forced, facts })
-        };
-        let entry = match &self.what {
-            PolicyChange::Propose(said, document) => {
-                let terms = terms(said, &names(document));
-                if self.dry {
-                    return Err(dry(policy.dry_run(document, &terms.facts)));
-                }
-                Entry::Propose(terms, document.clone())
-            }
-            // What the charter allows nobody can forbid: it has to let go of it first, and everybody to say so.
-            PolicyChange::Cordon(name, true) if in_charter(policy, facts, name) => {
-                let status = policy.status();
-                // One charter at a time: each look that proposed one in vain would stand in the log.
-                let under_way = status.awaited || status.unconfirmed;
-                if under_way || status.fallback_policy.except.contains(name) {
-                    let behind = machine.leases().seen().behind;
-                    return Err(AdminResponse::waits(&behind));
-                }
-                let mut fallback_policy = (*status.fallback_policy).clone();
-                fallback_policy.except.insert(name.clone());
-                firm(&fallback_policy, facts)?;
-                Entry::FallbackPolicy(id, fallback_policy, Box::new(facts.clone()))
-            }
-            PolicyChange::Cordon(name, out) => {
-                // Against the newest there is here: whoever was first is not undone, the caller is told to look again.
-                let newest = policy.newest();
-                let said = RevisionOptions { base: Some(newest), canary: None, forced: true };
-                let mut document = match policy.kept(newest) {
-                    Ok(kept) => (*kept.document).clone(),
-                    Err(cause) => return Err(AdminResponse::refused(&cause)),
-                };
-                let changes = if *out {
-                    document.out.upstreams.insert(name.clone())
-                } else {
-                    document.out.upstreams.remove(name)
-                };
-                if !changes {
-                    return Err(AdminResponse::ok(json!({"ok": true, "revision": newest})));
-                }
-                Entry::Propose(terms(&said, &names(&document)), Box::new(document))
-            }
-            PolicyChange::Rollback(said, to) => {
-                let named = policy.kept(*to).map(|k| names(&k.document)).unwrap_or_default();
-                let terms = terms(said, &named);
-                if self.dry {
-                    return Err(dry(policy.dry_rollback(*to, &terms.facts)));
-                }
-                Entry::Rollback(terms, *to)
-            }
-            PolicyChange::FallbackPolicy(fallback_policy) => {
-                firm(fallback_policy, facts)?;
-                Entry::FallbackPolicy(id, fallback_policy.clone(), Box::new(facts.clone()))
-            }
-            PolicyChange::Confirm(number) => Entry::Confirm(id, *number),
-            PolicyChange::Dead(member) => Entry::Dead(id, *member),
-            PolicyChange::Alive(member) => Entry::Alive(id, *member),
-        };
-        if self.dry {
+        let id = self.id.unwrap_or(fresh_id);
+        let context = Context { id, facts, machine, policy: machine.policy() };
+        let entry = self.entry(&context)?;
+        if self.is_dry_run {
             return Err(AdminResponse::bad("`dry` goes with revisions and rollbacks only"));
         }
         Ok(Event::Propose { ticket, id: Some(id), entry })
     }
 
+    fn entry(&self, context: &Context<'_>) -> Result<Entry, AdminResponse> {
+        match &self.what {
+            PolicyChange::Propose(options, document) => self.proposal(context, options, document),
+            PolicyChange::Rollback(options, to) => self.rollback(context, options, *to),
+            PolicyChange::Cordon(name) => context.cordon(name),
+            PolicyChange::Uncordon(name) => {
+                context.change_cordons(|cordoned| cordoned.remove(name))
+            }
+            PolicyChange::FallbackPolicy(policy) => context.fallback_policy(policy.clone()),
+            PolicyChange::Confirm(number) => Ok(Entry::Confirm(context.id, *number)),
+            PolicyChange::Dead(member) => Ok(Entry::Dead(context.id, *member)),
+            PolicyChange::Alive(member) => Ok(Entry::Alive(context.id, *member)),
+        }
+    }
+
+    fn proposal(
+        &self,
+        context: &Context<'_>,
+        options: &RevisionOptions,
+        document: &Document,
+    ) -> Result<Entry, AdminResponse> {
+        let options = context.proposal_options(options, &named_upstreams(document));
+        if self.is_dry_run {
+            return Err(dry_run_answer(context.policy.dry_run(document, &options.facts)));
+        }
+        Ok(Entry::Propose(options, Box::new(document.clone())))
+    }
+
+    fn rollback(
+        &self,
+        context: &Context<'_>,
+        options: &RevisionOptions,
+        to: u64,
+    ) -> Result<Entry, AdminResponse> {
+        let retained = context.policy.kept(to);
+        let names = retained.map(|r| named_upstreams(&r.document)).unwrap_or_default();
+        let options = context.proposal_options(options, &names);
+        if self.is_dry_run {
+            return Err(dry_run_answer(context.policy.dry_rollback(to, &options.facts)));
+        }
+        Ok(Entry::Rollback(options, to))
+    }
+
+    /// Whether the change makes a revision, and not another entry of the log.
     pub(super) fn is_revision(&self) -> bool {
-        matches!(
-            self.what,
-            PolicyChange::Propose(..) | PolicyChange::Rollback(..) | PolicyChange::Cordon(..)
-        )
+        match self.what {
+            PolicyChange::Propose(..)
+            | PolicyChange::Rollback(..)
+            | PolicyChange::Cordon(_)
+            | PolicyChange::Uncordon(_) => true,
+            PolicyChange::FallbackPolicy(_)
+            | PolicyChange::Confirm(_)
+            | PolicyChange::Dead(_)
+            | PolicyChange::Alive(_) => false,
+        }
+    }
+}
+
+impl Context<'_> {
+    /// Takes an upstream out. No revision can take out what the fallback policy allows: that has to exclude the upstream
+    /// first, and every balancer to confirm it.
+    fn cordon(&self, name: &str) -> Result<Entry, AdminResponse> {
+        if !is_in_fallback_floor(self.policy, self.facts, name) {
+            return self.change_cordons(|cordoned| cordoned.insert(name.to_string()));
+        }
+        let status = self.policy.status();
+        // One change of the fallback policy at a time: each retry that proposed one in vain would fill the log.
+        let is_under_way = status.awaited || status.unconfirmed;
+        if is_under_way || status.fallback_policy.except.contains(name) {
+            return Err(AdminResponse::awaits_fallback(&self.machine.leases().seen().behind));
+        }
+        let mut fallback_policy = (*status.fallback_policy).clone();
+        fallback_policy.except.insert(name.to_string());
+        self.fallback_policy(fallback_policy)
+    }
+
+    /// Proposes the newest document with other cordons. It is based on the newest revision known here, so that a change
+    /// that came first is not undone: this one is then rejected, and the caller tries again.
+    fn change_cordons(
+        &self,
+        change: impl FnOnce(&mut BTreeSet<String>) -> bool,
+    ) -> Result<Entry, AdminResponse> {
+        let newest = self.policy.newest();
+        let retained = self.policy.kept(newest).map_err(|e| AdminResponse::refused(&e))?;
+        let mut document = (*retained.document).clone();
+        if !change(&mut document.out.upstreams) {
+            return Err(AdminResponse::ok(json!({"ok": true, "revision": newest})));
+        }
+        let options = RevisionOptions { base: Some(newest), canary: None, forced: true };
+        let options = self.proposal_options(&options, &named_upstreams(&document));
+        Ok(Entry::Propose(options, Box::new(document)))
+    }
+
+    fn fallback_policy(&self, fallback_policy: FallbackPolicy) -> Result<Entry, AdminResponse> {
+        check_mandatory_fallback(&fallback_policy, self.facts)?;
+        Ok(Entry::FallbackPolicy(self.id, fallback_policy, Box::new(self.facts.clone())))
+    }
+
+    /// The options as the log has them, with the facts on no other upstreams than these.
+    fn proposal_options(
+        &self,
+        options: &RevisionOptions,
+        names: &BTreeSet<String>,
+    ) -> Box<ProposalOptions> {
+        let RevisionOptions { base, canary, forced } = options.clone();
+        let mut facts = self.facts.clone();
+        facts.named.retain(|name, _| names.contains(name));
+        Box::new(ProposalOptions { id: self.id, base, canary, forced, facts })
     }
 }
 
 /// Upstreams that a document names.
-fn names(document: &Document) -> BTreeSet<String> {
+fn named_upstreams(document: &Document) -> BTreeSet<String> {
     let weights = document.weights.upstreams.keys();
     document.out.upstreams.iter().chain(weights).cloned().collect()
 }
 
-fn dry(result: Result<hollowpaddle_revision::difference::Difference, Refusal>) -> AdminResponse {
+fn dry_run_answer(result: Result<Difference, Refusal>) -> AdminResponse {
     match result {
         Ok(difference) => {
-            let difference = serde_json::to_value(&difference).unwrap_or_default();
-            AdminResponse::ok(json!({"ok": true, "dry": true, "changes": difference}))
+            let changes = serde_json::to_value(&difference).unwrap_or_default();
+            AdminResponse::ok(json!({"ok": true, "dry": true, "changes": changes}))
         }
         Err(why) => AdminResponse::refused(&why),
     }
--- a/crates/gateway/src/cluster/admin_api/fallback.rs
+++ b/crates/gateway/src/cluster/admin_api/fallback.rs
@@ -1,4 +1,5 @@
-//! Rules on the fallback policy that an operator's change must keep to.
+//! What an operator's change must observe of the fallback policy: the mandatory part of it, and the floor that no revision
+//! takes out.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,45 +10,44 @@
 
 use super::AdminResponse;
 
-/// A site with fewer pods than this has no bedrock of its own: a pod of three is too much of it.
+/// Cells that a zone needs to get a mandatory fallback of its own: one of three would be too large a part of it.
 const MIN_CELLS_FOR_FALLBACK: usize = 4;
 
-/// Whether a charter holds what a process keeps to that has forgotten it.
-pub(super) fn firm(fallback_policy: &FallbackPolicy, facts: &Facts) -> Result<(), AdminResponse> {
+/// The mandatory fallback where the configuration names none: one cell of each zone that has enough of them, so that what
+/// can never be taken out is a small part. `cells` are by zone.
+pub fn default_mandatory_fallback(cells: &BTreeMap<String, BTreeSet<u32>>) -> FallbackPolicy {
+    let large_zones = cells.iter().filter(|(_, cells)| cells.len() >= MIN_CELLS_FOR_FALLBACK);
+    FallbackPolicy::mandatory_fallback(
+        &large_zones.map(|(zone, cells)| (zone.clone(), cells.clone())).collect(),
+    )
+}
+
+/// Checks that a fallback policy includes the mandatory fallback, which a process without any state keeps sending to.
+pub(super) fn check_mandatory_fallback(
+    fallback_policy: &FallbackPolicy,
+    facts: &Facts,
+) -> Result<(), AdminResponse> {
     let mut cells = BTreeMap::<String, BTreeSet<u32>>::new();
     for group in &facts.groups {
         let zone = facts.zones.get(usize::from(group.zone)).cloned().unwrap_or_default();
         cells.entry(zone).or_default().insert(group.cell);
     }
     let mandatory_fallback = default_mandatory_fallback(&cells);
-    let out = facts.named.iter().find(|(name, (cell, _))| {
+    let excluded = facts.named.iter().find(|(name, (cell, _))| {
         mandatory_fallback.cells.contains(cell)
             && (!fallback_policy.cells.contains(cell) || fallback_policy.except.contains(*name))
     });
-    match out {
-        None => Ok(()),
-        Some((name, (cell, _))) => {
-            let why = format!(
-                "`{name}` is in pod {cell}, which is bedrock: whoever has forgotten everything and hears nobody sends there; \
-                 state `fleet.bedrock` in every balancer's configuration to choose others"
-            );
-            Err(AdminResponse { status: 409, ..AdminResponse::bad(&why) })
-        }
-    }
-}
-
-/// Bedrock where the configuration states none: one pod of each site that has four or more, so that what can
-/// never be put out is a small part.
-pub fn default_mandatory_fallback(cells: &BTreeMap<String, BTreeSet<u32>>) -> FallbackPolicy {
-    let many = cells.iter().filter(|(_, cells)| cells.len() >= MIN_CELLS_FOR_FALLBACK);
-    FallbackPolicy::mandatory_fallback(
-        &many.map(|(zone, cells)| (zone.clone(), cells.clone())).collect(),
-    )
+    let Some((name, (cell, _))) = excluded else { return Ok(()) };
+    let why = format!(
+        "`{name}` is in pod {cell}, which is bedrock: whoever has forgotten everything and hears nobody sends there; \
+         state `fleet.bedrock` in every balancer's configuration to choose others"
+    );
+    Err(AdminResponse { status: 409, ..AdminResponse::bad(&why) })
 }
 
-/// Whether a charter that counts now allows sending to an upstream.
-pub(super) fn in_charter(policy: &PolicyState, facts: &Facts, name: &str) -> bool {
+/// Whether the fallback floor in force allows sending to an upstream, so that no revision can take it out.
+pub(super) fn is_in_fallback_floor(policy: &PolicyState, facts: &Facts, name: &str) -> bool {
     let Some((cell, machine_type)) = facts.named.get(name) else { return false };
-    let machine_type = facts.machine_types.get(usize::from(*machine_type)).map_or("", |f| f);
+    let machine_type = facts.machine_types.get(usize::from(*machine_type)).map_or("", |t| t);
     policy.status().rules.floor().allows(&Place { name, cell: *cell, machine_type, zone: "" })
 }
--- a/crates/gateway/src/cluster/admin_api/fleet_facts.rs
+++ b/crates/gateway/src/cluster/admin_api/fleet_facts.rs
@@ -1,40 +1,50 @@
-//! The fleet as this balancer has it listed, for the checks of a policy revision.
+//! The fleet as this balancer has it listed, as facts against which a policy revision is checked.
 
 use std::collections::BTreeMap;
 
-use hollowpaddle_revision::fleet::{ClassFacts, Facts, Group};
+use hollowpaddle_revision::fleet::{ClassFacts, Facts, Group, MOST_GROUPS};
 
 use crate::members::{Entry as Member, Phase};
 
-/// The fleet as this balancer has it listed, for what is checked against it.
+/// The largest size that counts of one upstream.
+const MAX_SIZE: f64 = 1e6;
+/// Capacity units of an upstream of size 1.
+const UNITS_PER_SIZE: f64 = 1000.0;
+
+/// Upstreams of one group, and their capacity together.
+#[derive(Default)]
+struct GroupTotals {
+    upstreams: u16,
+    capacity: u32,
+}
+
+/// The facts on the upstreams that serve, by `members` of the endpoint list, and on the classes of the settings. Groups
+/// beyond [`MOST_GROUPS`] are left out.
 pub fn facts(members: &[Member], classes: &[ClassFacts]) -> Facts {
     let mut facts = Facts { classes: classes.to_vec(), ..Facts::default() };
-    let place = |names: &mut Vec<String>, name: &str| {
-        let at = names.iter().position(|n| n == name).unwrap_or_else(|| {
-            names.push(name.to_string());
-            names.len() - 1
-        });
-        at.min(255) as u8
-    };
-    let mut groups = BTreeMap::<(u32, u8, u8), (u16, u32)>::new();
-    for listed in members.iter().filter(|m| m.phase == Phase::Serving) {
-        let zone = place(&mut facts.zones, &listed.zone);
-        let machine_type = place(&mut facts.machine_types, &listed.machine_type);
-        let group = groups.entry((listed.cell, zone, machine_type)).or_default();
-        group.0 = group.0.saturating_add(1);
-        let size = (listed.size.clamp(0.0, 1e6) * 1000.0) as u32;
-        group.1 = group.1.saturating_add(size);
-        facts.named.insert(listed.id.to_string(), (listed.cell, machine_type));
+    let mut groups = BTreeMap::<(u32, u8, u8), GroupTotals>::new();
+    for member in members.iter().filter(|m| m.phase == Phase::Serving) {
+        let zone = index_of(&mut facts.zones, &member.zone);
+        let machine_type = index_of(&mut facts.machine_types, &member.machine_type);
+        let totals = groups.entry((member.cell, zone, machine_type)).or_default();
+        totals.upstreams = totals.upstreams.saturating_add(1);
+        let capacity = (member.size.clamp(0.0, MAX_SIZE) * UNITS_PER_SIZE) as u32;
+        totals.capacity = totals.capacity.saturating_add(capacity);
+        facts.named.insert(member.id.to_string(), (member.cell, machine_type));
     }
     facts.load = vec![0; facts.zones.len()];
-    let group = |((cell, zone, machine_type), (upstreams, capacity))| Group {
-        cell,
-        zone,
-        machine_type,
-        upstreams,
-        capacity,
-    };
-    facts.groups =
-        groups.into_iter().map(group).take(hollowpaddle_revision::fleet::MOST_GROUPS).collect();
+    for ((cell, zone, machine_type), totals) in groups.into_iter().take(MOST_GROUPS) {
+        let GroupTotals { upstreams, capacity } = totals;
+        facts.groups.push(Group { cell, zone, machine_type, upstreams, capacity });
+    }
     facts
 }
+
+/// The place of a name in `names`, which is added where it is missing. Places beyond 255 count as 255.
+fn index_of(names: &mut Vec<String>, name: &str) -> u8 {
+    let index = names.iter().position(|n| n == name).unwrap_or_else(|| {
+        names.push(name.to_string());
+        names.len() - 1
+    });
+    index.min(usize::from(u8::MAX)) as u8
+}
--- a/crates/gateway/src/cluster/admin_api/parse.rs
+++ b/crates/gateway/src/cluster/admin_api/parse.rs
@@ -1,4 +1,5 @@
-//! Reads one call of the admin API from its method, path, query and body.
+//! Reads one call of the admin API from its method, path, query and body. The only module that spells its paths and the
+//! keys of its bodies.
 
 use std::time::Duration;
 
@@ -14,25 +15,36 @@
     AdminRequest, Change, DEFAULT_ROLLOUT_WAIT, PolicyChange, RevisionOptions, VoterChange,
 };
 
-/// And so long at most: a call is closed after 2 s.
+/// The longest wait that a call may ask for: the admin server closes a call after 2 s.
 const MAX_ROLLOUT_WAIT: Duration = Duration::from_millis(1800);
+/// Hexadecimal digits of the longest command id.
+const MAX_ID_DIGITS: usize = 32;
+/// First parts of the paths that belong to the cluster.
+const PATHS: [&str; 4] = ["/admin/bank", "/admin/revisions", "/admin/charter", "/admin/council"];
 
-/// A call that can't be read.
+/// Why a call can't be read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdminRequestError {
-    /// No such place.
+    /// Nothing is served under this method and path.
     #[error("there is no {method} {path}")]
     NoSuch {
-        /// Of the call.
+        /// Method of the call.
         method: String,
-        /// Of the call.
+        /// Path of the call.
         path: String,
     },
-    /// The body.
+    /// The body lacks something, or holds something else than expected.
     #[error("reading the call: {0}")]
     Body(String),
 }
 
+impl AdminRequestError {
+    fn missing(key: &str) -> Self {
+        Self::Body(format!("`{key}` is missing"))
+    }
+}
+
+/// Keys of all bodies. Each call reads those that it knows, and ignores the other ones.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Body {
@@ -70,18 +82,18 @@
     members: Option<Vec<u16>>,
 }
 
-/// Whether a path is the bank's.
+/// Whether a path belongs to the cluster's part of the admin API.
 pub fn is_cluster_path(path: &str) -> bool {
-    ["/admin/bank", "/admin/revisions", "/admin/charter", "/admin/council"].iter().any(|ours| {
-        path.strip_prefix(ours).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
+    PATHS.iter().any(|prefix| {
+        path.strip_prefix(prefix).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
     })
 }
 
 impl AdminRequest {
-    /// From a call.
+    /// Reads a call.
     ///
     /// # Errors
-    /// What of it can't be read, and what was expected.
+    /// Nothing is served there, or the body can't be read; the text says what was expected.
     pub fn read(
         method: &str,
         path: &str,
@@ -92,86 +104,117 @@
             || AdminRequestError::NoSuch { method: method.to_string(), path: path.to_string() };
         let parts: Vec<&str> = path.trim_start_matches("/admin/").split('/').collect();
         match (method, parts.as_slice()) {
-            ("GET", ["bank"]) => return Ok(Self::Cluster),
-            ("GET", ["revisions"]) => return Ok(Self::Revisions),
-            ("GET", ["revisions", "asked", id]) => return named(id).map(Self::Asked),
+            ("GET", ["bank"]) => Ok(Self::Cluster),
+            ("GET", ["revisions"]) => Ok(Self::Revisions),
+            ("GET", ["revisions", "asked", id]) => command_id(id).map(Self::Asked),
             ("GET", ["revisions", number]) => {
-                return number.parse().map(Self::Revision).map_err(|_| no_such());
+                number.parse().map(Self::Revision).map_err(|_| no_such())
+            }
+            ("POST", parts) => {
+                let body = Body::read(body)?;
+                if let Some(change) = body.voter_change(parts)? {
+                    return Ok(Self::VoterChange(change));
+                }
+                let what = body.policy_change(parts)?.ok_or_else(no_such)?;
+                Ok(Self::Change(Box::new(body.change(what, query)?)))
             }
-            ("POST", _) => {}
-            _ => return Err(no_such()),
+            _ => Err(no_such()),
         }
-        let body = if body.is_empty() { b"{}" } else { body };
-        let mut reader = serde_json::Deserializer::from_slice(body);
-        let body: Body = serde_path_to_error::deserialize(&mut reader)
-            .map_err(|e| AdminRequestError::Body(format!("`{}`: {}", e.path(), e.inner())))?;
-        let lacks = |what: &str| AdminRequestError::Body(format!("`{what}` is missing"));
-        let said =
-            RevisionOptions { base: body.if_revision, canary: body.canary, forced: body.force };
-        let member = || body.member.map(NodeId).ok_or_else(|| lacks("member"));
-        let what = match parts.as_slice() {
+    }
+}
+
+impl Body {
+    fn read(bytes: &[u8]) -> Result<Self, AdminRequestError> {
+        let bytes = if bytes.is_empty() { b"{}" } else { bytes };
+        let mut reader = serde_json::Deserializer::from_slice(bytes);
+        serde_path_to_error::deserialize(&mut reader)
+            .map_err(|e| AdminRequestError::Body(format!("`{}`: {}", e.path(), e.inner())))
+    }
+
+    /// The change of the voters that is posted under a path, if it is one of these.
+    fn voter_change(&self, path: &[&str]) -> Result<Option<VoterChange>, AdminRequestError> {
+        let change = match path {
+            ["council", "replace"] => {
+                let out = required(self.out, "out").map(NodeId)?;
+                VoterChange::Replace { out, then: self.then.map(NodeId) }
+            }
+            ["council", "restore"] => {
+                let members = required(self.members.as_ref(), "members")?;
+                VoterChange::Restore(members.iter().copied().map(NodeId).collect())
+            }
+            _ => return Ok(None),
+        };
+        Ok(Some(change))
+    }
+
+    /// The change of the policy log that is posted under a path, if it is one of these.
+    fn policy_change(&self, path: &[&str]) -> Result<Option<PolicyChange>, AdminRequestError> {
+        let member = || required(self.member, "member").map(NodeId);
+        let change = match path {
             ["revisions"] => {
-                let document = body.document.as_ref().ok_or_else(|| lacks("document"))?;
+                let document = required(self.document.as_ref(), "document")?;
                 let document = Document::from_json(document.to_string().as_bytes())
                     .map_err(|e| AdminRequestError::Body(e.to_string()))?;
-                PolicyChange::Propose(said, Box::new(document))
+                PolicyChange::Propose(self.options(), Box::new(document))
             }
             ["revisions", "rollback"] => {
-                PolicyChange::Rollback(said, body.to.ok_or_else(|| lacks("to"))?)
+                PolicyChange::Rollback(self.options(), required(self.to, "to")?)
             }
-            ["revisions", "confirm"] => {
-                PolicyChange::Confirm(body.revision.ok_or_else(|| lacks("revision"))?)
+            ["revisions", "confirm"] => PolicyChange::Confirm(required(self.revision, "revision")?),
+            ["charter"] => {
+                PolicyChange::FallbackPolicy(required(self.fallback_policy.clone(), "charter")?)
             }
-            ["charter"] => PolicyChange::FallbackPolicy(
-                body.fallback_policy.clone().ok_or_else(|| lacks("charter"))?,
-            ),
             ["council", "dead"] => PolicyChange::Dead(member()?),
             ["council", "alive"] => PolicyChange::Alive(member()?),
-            ["council", "replace"] => {
-                let out = body.out.map(NodeId).ok_or_else(|| lacks("out"))?;
-                return Ok(Self::VoterChange(VoterChange::Replace {
-                    out,
-                    then: body.then.map(NodeId),
-                }));
-            }
-            ["council", "restore"] => {
-                let members = body.members.as_ref().ok_or_else(|| lacks("members"))?;
-                let members = members.iter().copied().map(NodeId).collect();
-                return Ok(Self::VoterChange(VoterChange::Restore(members)));
-            }
-            _ => return Err(no_such()),
+            _ => return Ok(None),
         };
-        let wait = match body.wait.as_deref() {
-            None | Some("yes") => None,
+        Ok(Some(change))
+    }
+
+    fn options(&self) -> RevisionOptions {
+        let (base, canary) = (self.if_revision, self.canary.clone());
+        RevisionOptions { base, canary, forced: self.force }
+    }
+
+    /// A change with what the body and the query say of carrying it out.
+    fn change(&self, what: PolicyChange, query: &str) -> Result<Change, AdminRequestError> {
+        let wait = self.rollout_wait()?;
+        let id = self.id.as_deref().map(command_id).transpose()?;
+        let is_dry_run = self.dry || query.split('&').any(|q| q == "dry" || q == "dry=1");
+        Ok(Change { what, is_dry_run, wait, id })
+    }
+
+    fn rollout_wait(&self) -> Result<Option<Duration>, AdminRequestError> {
+        match self.wait.as_deref() {
+            None | Some("yes") => Ok(None),
             Some("all") => {
-                let within = body.within_s.map_or(DEFAULT_ROLLOUT_WAIT, |s| {
-                    Duration::try_from_secs_f64(s)
+                let wait = self.within_s.map_or(DEFAULT_ROLLOUT_WAIT, |seconds| {
+                    Duration::try_from_secs_f64(seconds)
                         .unwrap_or(DEFAULT_ROLLOUT_WAIT)
                         .min(MAX_ROLLOUT_WAIT)
                 });
-                Some(within)
+                Ok(Some(wait))
             }
-            Some(other) => {
-                return Err(AdminRequestError::Body(format!(
-                    "`wait` is {other:?}; expected `yes` or `all`"
-                )));
-            }
-        };
-        let id = body.id.as_deref().map(named).transpose()?;
-        let dry = body.dry || query.split('&').any(|q| q == "dry" || q == "dry=1");
-        Ok(Self::Change(Box::new(Change { what, dry, wait, id })))
+            Some(other) => Err(AdminRequestError::Body(format!(
+                "`wait` is {other:?}; expected `yes` or `all`"
+            ))),
+        }
     }
 }
 
-/// 32 hexadecimal digits.
-fn named(id: &str) -> Result<CommandId, AdminRequestError> {
+fn required<T>(value: Option<T>, key: &str) -> Result<T, AdminRequestError> {
+    value.ok_or_else(|| AdminRequestError::missing(key))
+}
+
+/// Reads a command id: 1 to 32 hexadecimal digits.
+fn command_id(text: &str) -> Result<CommandId, AdminRequestError> {
     let wrong = || {
         AdminRequestError::Body(format!(
-            "`{id}` names no question; expected 1 to 32 hexadecimal digits"
+            "`{text}` names no question; expected 1 to {MAX_ID_DIGITS} hexadecimal digits"
         ))
     };
-    if id.is_empty() || id.len() > 32 {
+    if text.is_empty() || text.len() > MAX_ID_DIGITS {
         return Err(wrong());
     }
-    u128::from_str_radix(id, 16).map(CommandId).map_err(|_| wrong())
+    u128::from_str_radix(text, 16).map(CommandId).map_err(|_| wrong())
 }
--- a/crates/gateway/src/cluster/admin_api/response.rs
+++ b/crates/gateway/src/cluster/admin_api/response.rs
@@ -10,16 +10,16 @@
 use super::{AdminRequest, AdminRequestError};
 use crate::cluster::machine::ProposalResult;
 
-/// An answer: an HTTP status and its text.
+/// An answer to a call of the admin API.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdminResponse {
-    /// As HTTP has it.
+    /// HTTP status (RFC 9110, 15).
     pub status: u16,
-    /// The text.
+    /// JSON body.
     pub text: Value,
-    /// To be told only once this revision is in force everywhere, or after this time.
+    /// To be sent only once this revision is in force at every balancer, or after this time.
     pub wait: Option<(u64, Duration)>,
-    /// Not done yet: somebody else was first, or something has to be done before.
+    /// Not done yet: a concurrent change came first, or another step has to be done before.
     pub again: bool,
 }
 
@@ -28,8 +28,12 @@
         Self { status: 200, text, wait: None, again: false }
     }
 
-    /// The charter has not let go of it yet.
-    pub(super) fn waits(behind: &[(NodeId, Duration)]) -> Self {
+    fn error(status: u16, id: &str, why: &str) -> Self {
+        Self { status, ..Self::ok(json!({"ok": false, "id": id, "error": why})) }
+    }
+
+    /// The fallback policy still allows what is to be taken out; `behind` have not confirmed its change.
+    pub(super) fn awaits_fallback(behind: &[(NodeId, Duration)]) -> Self {
         let behind: Vec<u16> = behind.iter().map(|(m, _)| m.0).collect();
         let why = "the charter allows it: it is put out once every member has agreed to let go of it; repeat this call, \
                    or say of those that are gone for good that they are dead";
@@ -37,68 +41,70 @@
         Self { status: 202, again: true, ..Self::ok(text) }
     }
 
-    /// A call that means nothing.
+    /// The call asks for something that makes no sense.
     pub fn bad(why: &str) -> Self {
         Self { status: 400, ..Self::ok(json!({"ok": false, "error": why})) }
     }
 
-    /// A call that can't be read.
+    /// The call can't be read.
     pub fn unread(why: &AdminRequestError) -> Self {
         let status = if matches!(why, AdminRequestError::NoSuch { .. }) { 404 } else { 400 };
         Self { status, ..Self::bad(&why.to_string()) }
     }
 
+    /// The policy rejects the change.
     pub(super) fn refused(why: &Refusal) -> Self {
-        let changing = matches!(why, Refusal::Changing { .. });
-        let again = changing || matches!(why, Refusal::Lost { .. });
-        let status = if changing { 202 } else { 409 };
+        let is_changing = matches!(why, Refusal::Changing { .. });
+        let again = is_changing || matches!(why, Refusal::Lost { .. });
+        let status = if is_changing { 202 } else { 409 };
         Self { status, again, ..Self::ok(json!({"ok": false, "error": why.to_string()})) }
     }
 
-    /// The answer to what was asked, now that it is known what became of it. `fallback_pending`: what was asked for comes after
-    /// what was done.
+    /// The answer to `request`, whose command `id` had this `result`.
+    ///
+    /// With `fallback_pending` the entry that was proposed only prepares what was asked for: it is not done yet.
     pub fn of(
-        ask: &AdminRequest,
+        request: &AdminRequest,
         id: CommandId,
-        answer: &ProposalResult,
+        result: &ProposalResult,
         fallback_pending: bool,
     ) -> Self {
-        let name = format!("{:032x}", id.0);
-        match answer {
-            // Failure: the number of the charter's entry was handed on as a revision's, and what was asked for was not done.
+        let id = format!("{:032x}", id.0);
+        match result {
             ProposalResult::Answered(Ok(entry)) if fallback_pending => {
-                let text = json!({"ok": false, "waiting": "charter", "entry": entry, "id": name});
+                let text = json!({"ok": false, "waiting": "charter", "entry": entry, "id": id});
                 Self { status: 202, again: true, ..Self::ok(text) }
             }
-            ProposalResult::Answered(Ok(number)) => {
-                let change = match ask {
-                    AdminRequest::Change(change) => Some(change),
-                    _ => None,
-                };
-                let key =
-                    if change.is_some_and(|c| !c.is_revision()) { "entry" } else { "revision" };
-                let wait = change.filter(|c| c.is_revision()).and_then(|c| c.wait);
-                let text = json!({"ok": true, key: number, "id": name});
-                let wait = wait.map(|within| (*number, within));
-                Self { wait, ..Self::ok(text) }
-            }
+            ProposalResult::Answered(Ok(number)) => Self::accepted(request, *number, &id),
             ProposalResult::Answered(Err(why)) => {
-                let mut told = Self::refused(why);
-                told.text["id"] = name.into();
-                told
+                let mut response = Self::refused(why);
+                response.text["id"] = id.into();
+                response
             }
             ProposalResult::Stands(index) => {
-                Self::ok(json!({"ok": true, "entry": index.to_string(), "id": name}))
+                Self::ok(json!({"ok": true, "entry": index.to_string(), "id": id}))
             }
             ProposalResult::Never => {
                 let why = "it stands nowhere and never will: too long, too many under way, or not to be done";
-                Self { status: 409, ..Self::ok(json!({"ok": false, "id": name, "error": why})) }
+                Self::error(409, &id, why)
             }
             ProposalResult::Unknown => {
                 let why =
                     "nobody who knows has answered; it may stand: GET /admin/revisions/asked/ID";
-                Self { status: 504, ..Self::ok(json!({"ok": false, "id": name, "error": why})) }
+                Self::error(504, &id, why)
             }
         }
     }
+
+    /// The log has the change as this revision, or as this entry where it makes no revision.
+    fn accepted(request: &AdminRequest, number: u64, id: &str) -> Self {
+        let change = match request {
+            AdminRequest::Change(change) => Some(change),
+            _ => None,
+        };
+        let key = if change.is_some_and(|c| !c.is_revision()) { "entry" } else { "revision" };
+        let wait = change.filter(|c| c.is_revision()).and_then(|c| c.wait);
+        let text = json!({"ok": true, key: number, "id": id});
+        Self { wait: wait.map(|within| (number, within)), ..Self::ok(text) }
+    }
 }
--- a/crates/gateway/src/cluster/admin_api/tests.rs
+++ b/crates/gateway/src/cluster/admin_api/tests.rs
@@ -1,11 +1,11 @@
-//! The words for states in answers of the admin API, each of them.
+//! Names of states in answers of the admin API.
 
 use hollowpaddle_consensus::ReplicaStatus;
 
 use hollowpaddle_revision::policy_state::PolicyState;
 use serde_json::Value;
 
-use super::*;
+use super::views::revisions;
 
 /// The image of a policy log with a revision of each origin and in each state: five revisions numbered 0, 11, 13,
 /// 17 and 19 with the same empty document. Its form knows variants by their place, not by their name.
@@ -19,15 +19,15 @@
 const REVISIONS: &str = include_str!("revisions.json");
 
 #[test]
-fn each_origin_and_state_of_a_revision_has_this_word() {
+fn names_each_origin_and_state_of_a_revision() {
     let policy = PolicyState::from_image(IMAGE).expect("an image");
     let expected: Value = serde_json::from_str(REVISIONS).expect("JSON");
     assert_eq!(revisions(&policy), expected);
 }
 
 #[test]
-fn each_status_of_a_voter_has_this_word() {
-    let words = [
+fn names_each_status_of_a_voter() {
+    let names = [
         (ReplicaStatus::Outside, "outside"),
         (ReplicaStatus::Blank, "blank"),
         (ReplicaStatus::Waking, "waking"),
@@ -35,8 +35,8 @@
         (ReplicaStatus::Normal, "normal"),
         (ReplicaStatus::Mute, "mute"),
     ];
-    for (status, word) in words {
-        // As `cluster` writes it.
-        assert_eq!(status.to_string(), word);
+    for (status, name) in names {
+        // As `views::cluster` writes it.
+        assert_eq!(status.to_string(), name);
     }
 }
--- a/crates/gateway/src/cluster/admin_api/views.rs
+++ b/crates/gateway/src/cluster/admin_api/views.rs
@@ -1,25 +1,22 @@
 //! JSON views of the cluster's state for the admin API.
 
+use std::time::Duration;
+
+use hollowpaddle_peer_transport::NodeId;
 use hollowpaddle_revision::policy_state::PolicyState;
 use serde_json::{Value, json};
 
 use super::AdminResponse;
 use crate::cluster::machine::Machine;
 
-/// Revisions that one answer lists.
+/// Most revisions that one answer lists.
 const MAX_LISTED_REVISIONS: usize = 100;
 
-/// How the bank stands, as seen from one balancer.
+/// `GET /admin/bank`: the state of the cluster as this balancer sees it.
 pub(super) fn cluster(machine: &Machine) -> Value {
     let status = machine.policy().status();
-    let replica = machine.replica();
     let in_force = machine.in_force();
     let seen = machine.leases().seen();
-    let behind: Vec<Value> = seen
-        .behind
-        .iter()
-        .map(|(m, since)| json!({"member": m.0, "for_s": since.as_secs_f64()}))
-        .collect();
     json!({
         "ok": true,
         "member": machine.node_id().0,
@@ -39,39 +36,52 @@
             "held": machine.now() < in_force.until,
             "left_s": in_force.until.saturating_sub(machine.now()).as_secs_f64(),
         },
-        "council": {
-            "members": replica.members().voters.iter().map(|m| m.0).collect::<Vec<_>>(),
-            "coming": replica.members().joining.map(|m| m.0),
-            "standing": replica.status().to_string(),
-            "leader": machine.leader().map(|m| m.0),
-            "source": machine.learner().source().map(|m| m.0),
-            "log": machine.learner().at().to_string(),
-        },
+        "council": voters(machine),
         "dead": status.dead.iter().map(|m| m.0).collect::<Vec<_>>(),
-        "behind": behind,
+        "behind": behind(&seen.behind),
         "words": serde_json::to_value(machine.wire().counts()).unwrap_or_default(),
         "held_bytes": serde_json::to_value(machine.wire().held()).unwrap_or_default(),
     })
 }
 
+fn voters(machine: &Machine) -> Value {
+    let (replica, learner) = (machine.replica(), machine.learner());
+    json!({
+        "members": replica.members().voters.iter().map(|m| m.0).collect::<Vec<_>>(),
+        "coming": replica.members().joining.map(|m| m.0),
+        "standing": replica.status().to_string(),
+        "leader": machine.leader().map(|m| m.0),
+        "source": learner.source().map(|m| m.0),
+        "log": learner.at().to_string(),
+    })
+}
+
+/// Balancers that have not confirmed the newest generation, and for how long.
+fn behind(nodes: &[(NodeId, Duration)]) -> Vec<Value> {
+    nodes
+        .iter()
+        .map(|(node, since)| json!({"member": node.0, "for_s": since.as_secs_f64()}))
+        .collect()
+}
+
+/// `GET /admin/revisions`: the newest revisions, the newest first.
 pub(super) fn revisions(policy: &PolicyState) -> Value {
-    let all: Vec<Value> = policy
-        .revisions()
-        .rev()
-        .take(MAX_LISTED_REVISIONS)
-        .map(|(number, kept)| {
-            let change_status = policy.change_status(number).map(|status| status.to_string());
-            json!({"revision": number, "origin": kept.origin.to_string(), "fate": change_status})
+    let newest_first = policy.revisions().rev().take(MAX_LISTED_REVISIONS);
+    let revisions: Vec<Value> = newest_first
+        .map(|(number, revision)| {
+            let status = policy.change_status(number).map(|status| status.to_string());
+            json!({"revision": number, "origin": revision.origin.to_string(), "fate": status})
         })
         .collect();
-    json!({"ok": true, "newest": policy.newest(), "revisions": all})
+    json!({"ok": true, "newest": policy.newest(), "revisions": revisions})
 }
 
+/// `GET /admin/revisions/N`: one revision with its document.
 pub(super) fn revision(policy: &PolicyState, number: u64) -> AdminResponse {
     match policy.kept(number) {
-        Ok(kept) => AdminResponse::ok(json!({
+        Ok(revision) => AdminResponse::ok(json!({
             "ok": true, "revision": number,
-            "document": serde_json::to_value(&*kept.document).unwrap_or_default(),
+            "document": serde_json::to_value(&*revision.document).unwrap_or_default(),
         })),
         Err(why) => AdminResponse { status: 404, ..AdminResponse::refused(&why) },
     }
--- /dev/null
+++ b/crates/gateway/src/cluster/join.rs
@@ -0,0 +1,115 @@
+//! Makes the two ends of this balancer's part of the cluster, by the configuration and the recovered state.
+
+use std::collections::{BTreeMap, BTreeSet};
+use std::sync::Arc;
+use std::time::Duration;
+
+use hollowpaddle_consensus::default_voters;
+use hollowpaddle_failpoints::Points;
+use hollowpaddle_peer_transport::{Incarnation, NodeId};
+use hollowpaddle_revision::document::Document;
+use hollowpaddle_revision::fallback_policy::FallbackPolicy;
+use hollowpaddle_revision::policy_state::Bootstrap;
+use tokio::sync::mpsc;
+use tokio::time::Instant;
+
+use super::{
+    ClusterHandle, Machine, PublishedPolicy, Reader, RecoveredState, Runtime, Setup, SetupError,
+    admin_api,
+};
+use crate::config::{ClusterConfig, Config};
+
+/// Joins the cluster: returns the handle for the part that serves, and the runtime, which may run on another thread.
+///
+/// `incarnation` names this process and is drawn at its start; 0 counts as 1. Without `recovered` state nothing that this
+/// balancer votes for outlives the process.
+///
+/// # Errors
+/// The configuration describes no possible cluster.
+pub fn join(
+    config: &Config,
+    cluster: &ClusterConfig,
+    incarnation: u32,
+    recovered: Option<RecoveredState>,
+    points: Points,
+) -> Result<(ClusterHandle, Runtime), SetupError> {
+    let mut setup = setup(config, cluster, Incarnation(incarnation.max(1)));
+    let mut durable_log = None;
+    if let Some(recovered) = recovered {
+        setup.directory = true;
+        setup.found = recovered.found;
+        setup.fallback_policy = recovered.fallback_policy;
+        durable_log = Some(recovered.durable_log);
+    }
+    let machine = Machine::new(Duration::ZERO, setup)?;
+    let epoch = Instant::now();
+    let published = Arc::new(PublishedPolicy::new(machine.in_force()));
+    let (event_sender, event_receiver) = mpsc::unbounded_channel();
+    let (call_sender, call_receiver) = mpsc::unbounded_channel();
+    let (list_sender, list_receiver) = mpsc::unbounded_channel();
+    let reader = Reader { published: published.clone(), epoch, lists: list_sender };
+    let runtime = Runtime {
+        machine,
+        epoch,
+        listen: cluster.listen,
+        peers: cluster.peers.clone(),
+        published,
+        events: event_sender,
+        calls: call_receiver,
+        lists: list_receiver,
+        durable_log,
+        points,
+    };
+    Ok((ClusterHandle { reader, news: event_receiver, calls: call_sender }, runtime))
+}
+
+/// What the configuration says of the machine; no recovered state.
+fn setup(config: &Config, cluster: &ClusterConfig, incarnation: Incarnation) -> Setup {
+    let size = cluster.peers.len() as u16;
+    let cells = cells_by_zone(config);
+    let mandatory_cells = cluster.mandatory_fallback.as_deref().unwrap_or_default();
+    let mandatory_fallback = match &cluster.mandatory_fallback {
+        None => admin_api::default_mandatory_fallback(&cells),
+        Some(cells) => fallback_of(cells),
+    };
+    let mut fallback_policy = fallback_of(cluster.fallback_policy.as_deref().unwrap_or_default());
+    fallback_policy.cells.extend(mandatory_cells);
+    let voters = match cluster.voters.as_slice() {
+        [] => default_voters(size),
+        voters => voters.iter().copied().map(NodeId).collect(),
+    };
+    Setup {
+        node_id: cluster.member(),
+        cluster: size,
+        incarnation,
+        seed: config.seed,
+        voters,
+        // Equal at every balancer: nothing of it may come from endpoint lists, which differ.
+        bootstrap: Bootstrap {
+            members: size,
+            mandatory_fallback: fallback_of(mandatory_cells),
+            fallback_policy,
+            document: Document::default(),
+        },
+        mandatory_fallback,
+        // With a fallback policy in the configuration the first leader has nothing to propose.
+        cells: if cluster.fallback_policy.is_some() { BTreeMap::new() } else { cells },
+        directory: false,
+        found: None,
+        fallback_policy: None,
+    }
+}
+
+/// Cells of each zone in the list of upstreams that the configuration names.
+fn cells_by_zone(config: &Config) -> BTreeMap<String, BTreeSet<u32>> {
+    let mut cells = BTreeMap::<String, BTreeSet<u32>>::new();
+    for entry in &config.known.members {
+        cells.entry(entry.zone.to_string()).or_default().insert(entry.cell);
+    }
+    cells
+}
+
+/// A fallback policy that allows these cells.
+fn fallback_of(cells: &[u32]) -> FallbackPolicy {
+    FallbackPolicy { cells: cells.iter().copied().collect(), ..FallbackPolicy::default() }
+}
--- a/crates/gateway/src/cluster/published.rs
+++ b/crates/gateway/src/cluster/published.rs
@@ -1,7 +1,7 @@
-//! What requests read of the bank: one value with its lease inside, replaced as a whole and read without a lock.
+//! The policy that requests read: one value with its lease inside, replaced as a whole and read without a lock.
 //!
-//! Read-copy-update by `arc-swap`: a reader never waits for a writer, never sees a part of one value and a part of
-//! another, and whoever holds an older one keeps it alive.
+//! Read-copy-update by `arc-swap`: a reader never waits for the writer, never sees parts of two values, and keeps the
+//! value that it holds alive. Deciding what is published is left to the [`Machine`](super::Machine).
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,29 +12,29 @@
 
 use crate::cluster::machine::StoppedUpstreams;
 
-/// What holds at a moment.
+/// The policy that applies at one moment.
 #[derive(Clone, Debug)]
 pub struct PolicySnapshot {
-    /// The rules to keep to: those under the lease, or the charter's past it.
+    /// The agreed rules while the lease lasts, the rules of the fallback policy after it.
     pub rules: Arc<Rules>,
-    /// Whom peers' words stop.
+    /// Upstreams to which nothing new is sent, by the reports of other balancers.
     pub stops: Arc<StoppedUpstreams>,
 }
 
 impl PolicySnapshot {
-    /// Whether it is the same, and not only alike: renewed leases keep what they are for.
+    /// Whether both are the same published values. A renewed lease keeps the identity of its rules.
     pub fn is(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.rules, &other.rules) && Arc::ptr_eq(&self.stops, &other.stops)
     }
 }
 
 #[derive(Clone, Debug)]
-struct Value {
+struct PublishedValue {
     in_force: InForce,
     stops: Arc<StoppedUpstreams>,
 }
 
-impl Value {
+impl PublishedValue {
     fn at(&self, now: Duration) -> PolicySnapshot {
         let rules = match self.in_force.at(now) {
             View::Agreed(..) => &self.in_force.rules,
@@ -44,39 +44,43 @@
     }
 }
 
-/// The one value.
+/// The published value. It has one writer and any number of readers.
+///
+/// Each `now` is the time since the writer's epoch.
 #[derive(Debug)]
-pub struct PublishedPolicy(ArcSwap<Value>);
+pub struct PublishedPolicy(ArcSwap<PublishedValue>);
 
 impl PublishedPolicy {
-    /// Begins with this.
+    /// Publishes `in_force` as the first value, with no stopped upstreams.
     pub fn new(in_force: InForce) -> Self {
-        Self(ArcSwap::from_pointee(Value { in_force, stops: Arc::default() }))
+        Self(ArcSwap::from_pointee(PublishedValue { in_force, stops: Arc::default() }))
     }
 
-    /// Puts other rules in the place of those; whether something else holds `now` by it. There is one writer.
+    /// Replaces the rules and their lease. Returns whether a different policy applies at `now`.
     pub fn write(&self, in_force: InForce, now: Duration) -> bool {
         let stops = self.0.load().stops.clone();
-        self.replace(Value { in_force, stops }, now)
+        self.replace(PublishedValue { in_force, stops }, now)
     }
 
-    /// The same for whom peers' words stop.
+    /// Replaces the stopped upstreams. Returns whether a different policy applies at `now`.
     pub fn stop(&self, stops: StoppedUpstreams, now: Duration) -> bool {
         let in_force = self.0.load().in_force.clone();
-        self.replace(Value { in_force, stops: Arc::new(stops) }, now)
+        self.replace(PublishedValue { in_force, stops: Arc::new(stops) }, now)
     }
 
-    fn replace(&self, next: Value, now: Duration) -> bool {
-        let holds = next.at(now);
-        !self.0.swap(Arc::new(next)).at(now).is(&holds)
+    fn replace(&self, next: PublishedValue, now: Duration) -> bool {
+        let applies = next.at(now);
+        let previous = self.0.swap(Arc::new(next));
+        !previous.at(now).is(&applies)
     }
 
-    /// The rules and their lease, as they are now.
+    /// The rules and their lease, as published last.
     pub fn in_force(&self) -> InForce {
         self.0.load().in_force.clone()
     }
 
-    /// What holds now. To be asked right before each send: the process may have stood still since it was asked last.
+    /// The policy that applies at `now`. Read it right before each send: the process may have been paused since the last
+    /// read.
     pub fn at(&self, now: Duration) -> PolicySnapshot {
         self.0.load().at(now)
     }
--- a/crates/gateway/src/cluster/runtime.rs
+++ b/crates/gateway/src/cluster/runtime.rs
@@ -1,375 +1,307 @@
-//! The bank's machine on sockets, a disk and a clock: waits, hands in what came, and carries out what is said. It decides
-//! nothing. In the daemon it has a thread of its own, in virtual time a task.
+//! Drives the cluster's [`Machine`] with sockets, a disk and a clock: waits, hands in events and carries out actions.
+//!
+//! It decides nothing. In the daemon it has a thread of its own, in virtual time a task.
+
+mod admin_calls;
 
 use std::net::SocketAddr;
 use std::rc::Rc;
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollowpaddle_consensus::Record;
 use hollowpaddle_failpoints::{Fault, Kind, Points};
 use hollowpaddle_net::{DATAGRAM, Datagrams, Network, receive};
 use hollowpaddle_peer_transport::NodeId;
-use hollowpaddle_revision::entry::{CommandId, Entry};
-use hollowpaddle_revision::fallback_policy::FallbackPolicy;
-use hollowpaddle_revision::fleet::Facts;
-use hollowpaddle_revision::message::Generation;
+use hollowpaddle_revision::in_force::InForce;
 use rustc_hash::FxHashMap;
-use tokio::sync::{mpsc, oneshot};
+use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::cluster::admin_api::{AdminRequest, AdminResponse};
-use crate::cluster::machine::{Action, Event, Machine};
+use crate::cluster::durable_log::{DurableLog, DurableLogError};
+use crate::cluster::machine::{Action, Event, Machine, StoppedUpstreams};
 use crate::cluster::published::PublishedPolicy;
 use crate::cluster::{ClusterEvent, EndpointListEvent};
 
-/// After a disk has failed it is looked at again so often.
+pub use admin_calls::AdminCall;
+use admin_calls::AdminCalls;
+
+/// Time from a failure of the disk to the next attempt to use it.
 const DISK_RETRY: Duration = Duration::from_secs(1);
-/// An address that can't be had is asked for again so often: a process of this balancer that ends may still have it.
+/// Time from a failed bind to the next: an earlier process of this balancer may still own the address.
 const BIND_RETRY: Duration = Duration::from_millis(100);
+/// Pause after a failed receive. No such error closes the socket, and one that repeats must not keep the thread busy.
+const RECEIVE_RETRY: Duration = Duration::from_millis(1);
 
-/// Where what outlives the process is written. Each call returns once it is on disk, or says why not.
-pub trait DurableLog {
-    /// Adds a record.
-    ///
-    /// # Errors
-    /// In words: it is not there, and may be in part.
-    fn append(&mut self, number: u64, record: &Record) -> Result<(), String>;
-
-    /// Has all that was added survive the machine's end: the number of the last of it.
-    ///
-    /// # Errors
-    /// It can't be had so.
-    fn sync(&mut self) -> Result<u64, String>;
-
-    /// Writes and syncs the charter.
-    ///
-    /// # Errors
-    /// As above.
-    fn save_fallback_policy(
-        &mut self,
-        fallback_generation: Generation,
-        fallback_policy: &FallbackPolicy,
-    ) -> Result<(), String>;
-
-    /// After a failure: makes room for a whole new record, if there is any again.
-    ///
-    /// # Errors
-    /// There is none yet.
-    fn reset(&mut self) -> Result<(), String>;
-}
-
-/// A call from the operators' door.
-pub struct AdminCall {
-    /// What is wanted.
-    pub ask: AdminRequest,
-    /// The fleet as this balancer has it.
-    pub facts: Facts,
-    /// Where the answer goes.
-    pub reply: oneshot::Sender<AdminResponse>,
-}
-
-/// The machine, and all that it is on.
+/// The machine and everything that it runs on.
 pub struct Runtime {
-    /// The machine.
+    /// The state machine.
     pub machine: Machine,
-    /// When its clock began.
+    /// Zero of the machine's clock.
     pub epoch: Instant,
-    /// Where datagrams of the others arrive, and where each other one is reached.
+    /// Where datagrams of other balancers arrive.
     pub listen: SocketAddr,
-    /// By number, this one too.
+    /// Address of each balancer of the cluster, this one included; the index is its [`NodeId`].
     pub peers: Vec<SocketAddr>,
     /// What requests read.
     pub published: Arc<PublishedPolicy>,
-    /// ClusterEvent for the engine.
-    pub news: mpsc::UnboundedSender<ClusterEvent>,
-    /// What discovery says.
+    /// Events for the engine.
+    pub events: mpsc::UnboundedSender<ClusterEvent>,
+    /// What discovery delivered.
     pub lists: mpsc::UnboundedReceiver<EndpointListEvent>,
-    /// Operators' calls.
+    /// Calls of the admin API. Once their senders are gone the runtime ends.
     pub calls: mpsc::UnboundedReceiver<AdminCall>,
-    /// Where things are kept, if anywhere.
+    /// What outlives the process; `None` where the balancer has no state directory.
     pub durable_log: Option<Box<dyn DurableLog + Send>>,
-    /// Points at which a step can be made to fail.
+    /// Failpoints of the steps taken here.
     pub points: Points,
 }
 
-/// A caller that waits for an answer.
-struct PendingCommand {
-    reply: oneshot::Sender<AdminResponse>,
-    ask: AdminRequest,
-    id: CommandId,
-    /// The charter comes first.
-    fallback_pending: bool,
+/// State of the event loop.
+struct RunState {
+    nodes: FxHashMap<SocketAddr, NodeId>,
+    /// When the machine asked to be woken.
+    wake_at: Option<Instant>,
+    /// When the disk is to be tried again.
+    disk_retry_at: Option<Instant>,
+    /// When the lease of the published policy ends, if no other follows.
+    lease_ends_at: Option<Instant>,
+    is_disk_failing: bool,
+    has_unsynced_records: bool,
+    admin_calls: AdminCalls,
 }
 
-/// What is underway.
-struct RunState {
-    members: FxHashMap<SocketAddr, NodeId>,
-    due: Option<Instant>,
-    waiting: FxHashMap<u64, PendingCommand>,
-    /// Answers that wait until a revision is in force everywhere.
-    until_all: Vec<(oneshot::Sender<AdminResponse>, AdminResponse, u64, Instant)>,
-    tickets: u64,
-    failing: bool,
-    unsynced: bool,
-    retry: Option<Instant>,
-    /// When what is published ends, if nothing follows.
-    ends: Option<Instant>,
+impl RunState {
+    fn new(peers: &[SocketAddr]) -> Self {
+        let nodes = peers.iter().enumerate().map(|(i, address)| (*address, NodeId(i as u16)));
+        Self {
+            nodes: nodes.collect(),
+            wake_at: None,
+            disk_retry_at: None,
+            lease_ends_at: None,
+            is_disk_failing: false,
+            has_unsynced_records: false,
+            admin_calls: AdminCalls::default(),
+        }
+    }
+
+    /// The earliest moment at which something is due without an event.
+    fn next_due(&self) -> Option<Instant> {
+        let rollout = self.admin_calls.next_timeout();
+        [self.wake_at, self.disk_retry_at, self.lease_ends_at, rollout].into_iter().flatten().min()
+    }
+
+    /// Notes a failure of the disk, which is logged once until it is over; the event for the machine.
+    fn on_disk_failure(&mut self, cause: &DurableLogError) -> Event<'static> {
+        let cause = cause.to_string();
+        if !self.is_disk_failing {
+            tracing::error!(cause, "consensus log not writable, voting suspended");
+        }
+        self.is_disk_failing = true;
+        self.disk_retry_at = Some(Instant::now() + DISK_RETRY);
+        Event::DiskFailed(cause)
+    }
 }
 
 impl Runtime {
-    /// Runs for as long as it is polled.
+    /// Runs until the last sender of admin calls is gone.
     pub async fn run(mut self, network: Rc<dyn Network>) {
-        let mut socket = loop {
-            match network.datagrams(self.listen) {
-                Ok(socket) => break socket,
-                Err(cause) => {
-                    tracing::warn!(%cause, "no address for words of other balancers: {}", self.listen);
-                    sleep(BIND_RETRY).await;
-                }
-            }
-        };
-        tracing::info!(peers = self.peers.len(), "one of a bank, at {}", self.listen);
-        let members = self.peers.iter().enumerate().map(|(i, a)| (*a, NodeId(i as u16))).collect();
-        let mut running = RunState {
-            members,
-            due: None,
-            waiting: FxHashMap::default(),
-            until_all: Vec::new(),
-            tickets: 0,
-            failing: false,
-            unsynced: false,
-            retry: None,
-            ends: None,
-        };
+        let mut socket = self.bind(&*network).await;
+        tracing::info!(listen = %self.listen, peers = self.peers.len(), "joined the cluster");
+        let mut state = RunState::new(&self.peers);
         let mut bytes = [0; DATAGRAM];
-        self.dispatch(Event::Due, &mut running, &*socket).await;
+        self.dispatch(Event::Due, &mut state, &*socket).await;
         loop {
-            self.answer_rollout_waits(&mut running);
-            let waits = running.until_all.iter().map(|(_, _, _, until)| *until).min();
-            let next = [running.due, running.retry, running.ends, waits];
-            let next = next.into_iter().flatten().min();
-            let until = async {
-                match next {
-                    Some(at) => sleep_until(at).await,
-                    None => std::future::pending().await,
-                }
-            };
+            if state.admin_calls.has_rollouts() {
+                state.admin_calls.answer_rollouts(&self.machine.policy().status());
+            }
+            let due = wait_until(state.next_due());
             tokio::select! {
                 biased;
                 call = self.calls.recv() => match call {
-                    Some(call) => self.on_admin_call(call, &mut running, &*socket).await,
+                    Some(call) => self.on_admin_call(call, &mut state, &*socket).await,
                     None => return,
                 },
                 Some(list) = self.lists.recv() => {
-                    let event = match list {
-                        EndpointListEvent::List { version, whole, entries } => {
-                            Event::EndpointList { version, whole, entries }
-                        }
-                        EndpointListEvent::CountsAnew => Event::CountsAnew,
-                    };
-                    self.dispatch(event, &mut running, &*socket).await;
+                    self.dispatch(list.into(), &mut state, &*socket).await;
                 }
-                came = receive(&mut *socket, &mut bytes) => match came {
+                received = receive(&mut *socket, &mut bytes) => match received {
                     Ok((length, from)) => {
-                        let from = running.members.get(&from).copied();
-                        self.on_datagram(from, &bytes[..length], &mut running, &*socket).await;
+                        let from = state.nodes.get(&from).copied();
+                        self.on_datagram(from, &bytes[..length], &mut state, &*socket).await;
                     }
-                    // None of its errors ends an address; one that comes at once must not keep this thread busy.
-                    Err(_) => sleep(Duration::from_millis(1)).await,
+                    Err(_) => sleep(RECEIVE_RETRY).await,
                 },
-                () = until => {
-                    let now = Instant::now();
-                    if running.ends.is_some_and(|at| at <= now) {
-                        running.ends = None;
-                        let _ = self.news.send(ClusterEvent::Changed);
-                    }
-                    if running.retry.is_some_and(|at| at <= now) {
-                        running.retry = None;
-                        self.repair_disk(&mut running, &*socket).await;
-                    }
-                    if running.due.is_some_and(|at| at <= now) {
-                        running.due = None;
-                        self.points.meet("bank.timer", Kind::Timer);
-                        self.dispatch(Event::Due, &mut running, &*socket).await;
-                    }
+                () = due => self.on_due(&mut state, &*socket).await,
+            }
+        }
+    }
+
+    /// Binds the socket for datagrams of other balancers, however long that takes.
+    async fn bind(&self, network: &dyn Network) -> Box<dyn Datagrams> {
+        loop {
+            match network.datagrams(self.listen) {
+                Ok(socket) => return socket,
+                Err(cause) => {
+                    tracing::warn!(listen = %self.listen, %cause, "bind failed for cluster datagrams");
+                    sleep(BIND_RETRY).await;
                 }
             }
         }
     }
 
+    async fn on_due(&mut self, state: &mut RunState, socket: &dyn Datagrams) {
+        let now = Instant::now();
+        if state.lease_ends_at.is_some_and(|at| at <= now) {
+            state.lease_ends_at = None;
+            self.notify(ClusterEvent::Changed);
+        }
+        if state.disk_retry_at.is_some_and(|at| at <= now) {
+            state.disk_retry_at = None;
+            self.retry_disk(state, socket).await;
+        }
+        if state.wake_at.is_some_and(|at| at <= now) {
+            state.wake_at = None;
+            self.points.meet("bank.timer", Kind::Timer);
+            self.dispatch(Event::Due, state, socket).await;
+        }
+    }
+
     async fn on_datagram(
         &mut self,
         from: Option<NodeId>,
         bytes: &[u8],
-        running: &mut RunState,
+        state: &mut RunState,
         socket: &dyn Datagrams,
     ) {
         for _ in 0..copies(self.points.meet("bank.receive", Kind::Receive)) {
-            self.dispatch(Event::Datagram { from, bytes }, running, socket).await;
+            self.dispatch(Event::Datagram { from, bytes }, state, socket).await;
         }
     }
 
-    /// Hands in one event, and carries out all that follows of it.
-    async fn dispatch(&mut self, event: Event<'_>, running: &mut RunState, socket: &dyn Datagrams) {
+    /// Hands in one event, and carries out everything that follows from it.
+    async fn dispatch(&mut self, event: Event<'_>, state: &mut RunState, socket: &dyn Datagrams) {
         let mut actions = Vec::new();
         self.machine.handle(self.epoch.elapsed(), event, &mut actions);
         let mut next = Vec::new();
         while !actions.is_empty() {
             for action in actions.drain(..) {
-                if let Some(event) = self.carry_out(action, running, socket).await {
+                if let Some(event) = self.carry_out(action, state, socket) {
                     next.push(event);
                 }
             }
-            // One sync for all that came of one event.
-            if std::mem::take(&mut running.unsynced)
-                && let Some(durable_log) = &mut self.durable_log
-            {
-                next.push(match durable_log.sync() {
-                    Ok(through) => Event::Persisted(through),
-                    Err(cause) => fails(cause, running),
-                });
-            }
+            // One sync for all records of this round.
+            next.extend(self.sync_records(state));
             for event in next.drain(..) {
                 self.machine.handle(self.epoch.elapsed(), event, &mut actions);
             }
         }
     }
 
-    /// One action; what the machine is to be told of it.
-    async fn carry_out(
+    /// Carries out one action; returns what the machine is to be told of it.
+    fn carry_out(
         &mut self,
         action: Action,
-        running: &mut RunState,
+        state: &mut RunState,
         socket: &dyn Datagrams,
     ) -> Option<Event<'static>> {
         match action {
-            Action::Transmit { to, bytes } => {
-                let at = self.peers.get(usize::from(to.0))?;
-                for _ in 0..copies(self.points.meet("bank.transmit", Kind::Send)) {
-                    // One that does not go out is lost, as any may be.
-                    let _ = socket.send(&bytes, *at);
-                }
-                None
-            }
-            Action::WakeAt(at) => {
-                running.due = Some(self.epoch + at);
-                None
-            }
-            Action::Publish(in_force) => {
-                self.points.meet("bank.publish", Kind::Handover);
-                running.ends = Some(self.epoch + in_force.until);
-                if self.published.write(in_force, self.epoch.elapsed()) {
-                    let _ = self.news.send(ClusterEvent::Changed);
-                }
-                None
-            }
-            Action::Stop(stops) => {
-                self.points.meet("bank.stop", Kind::Handover);
-                if self.published.stop(stops, self.epoch.elapsed()) {
-                    let _ = self.news.send(ClusterEvent::Changed);
-                }
-                None
-            }
-            Action::RefreshList => {
-                let _ = self.news.send(ClusterEvent::RefreshList);
-                None
-            }
+            Action::Transmit { to, bytes } => self.transmit(to, &bytes, socket),
+            Action::WakeAt(at) => state.wake_at = Some(self.epoch + at),
+            Action::Publish(in_force) => self.publish(in_force, state),
+            Action::Stop(stops) => self.publish_stops(stops),
+            Action::RefreshList => self.notify(ClusterEvent::RefreshList),
             Action::Persist { number, record } => {
                 match self.durable_log.as_mut()?.append(number, &record) {
-                    Ok(()) => {
-                        running.unsynced = true;
-                        None
-                    }
-                    Err(cause) => Some(fails(cause, running)),
+                    Ok(()) => state.has_unsynced_records = true,
+                    Err(cause) => return Some(state.on_disk_failure(&cause)),
                 }
             }
             Action::PersistFallbackPolicy { fallback_generation, fallback_policy } => {
                 let durable_log = self.durable_log.as_mut()?;
-                match durable_log.save_fallback_policy(fallback_generation, &fallback_policy) {
-                    Ok(()) => Some(Event::FallbackPolicyPersisted(fallback_generation)),
-                    Err(cause) => Some(fails(cause, running)),
-                }
-            }
-            Action::ProposalResult { ticket, answer } => {
-                let PendingCommand { reply, ask, id, fallback_pending } =
-                    running.waiting.remove(&ticket)?;
-                let told = AdminResponse::of(&ask, id, &answer, fallback_pending);
-                match told.wait {
-                    Some((revision, within)) => {
-                        let until = Instant::now() + within;
-                        running.until_all.push((reply, told, revision, until));
-                    }
-                    None => drop(reply.send(told)),
-                }
-                None
-            }
-            Action::Log(what) => {
-                tracing::info!("bank: {what}");
-                None
+                let saved = durable_log.save_fallback_policy(fallback_generation, &fallback_policy);
+                return Some(match saved {
+                    Ok(()) => Event::FallbackPolicyPersisted(fallback_generation),
+                    Err(cause) => state.on_disk_failure(&cause),
+                });
             }
+            Action::ProposalResult { ticket, answer } => state.admin_calls.answer(ticket, &answer),
+            Action::Log(message) => tracing::info!(detail = message, "cluster state changed"),
         }
+        None
     }
 
-    async fn repair_disk(&mut self, running: &mut RunState, socket: &dyn Datagrams) {
-        let healed = self.durable_log.as_mut().map(|log| log.reset());
-        match healed {
-            Some(Ok(())) => {
-                tracing::info!("what the council says is kept again");
-                running.failing = false;
-                self.dispatch(Event::DiskWell, running, socket).await;
-            }
-            Some(Err(_)) => running.retry = Some(Instant::now() + DISK_RETRY),
-            None => {}
+    fn transmit(&self, to: NodeId, bytes: &[u8], socket: &dyn Datagrams) {
+        let Some(address) = self.peers.get(usize::from(to.0)) else { return };
+        for _ in 0..copies(self.points.meet("bank.transmit", Kind::Send)) {
+            // The protocols take any datagram as one that may be lost.
+            let _ = socket.send(bytes, *address);
         }
     }
 
-    async fn on_admin_call(
-        &mut self,
-        call: AdminCall,
-        running: &mut RunState,
-        socket: &dyn Datagrams,
-    ) {
-        let AdminCall { ask, facts, reply } = call;
-        running.tickets += 1;
-        let ticket = running.tickets;
-        // No two processes draw one life, and no process counts to one number twice.
-        let incarnation = u128::from(self.machine.wire().own_incarnation().0);
-        let id = CommandId(
-            incarnation << 96 | u128::from(self.machine.node_id().0) << 64 | u128::from(ticket),
-        );
-        match ask.event(ticket, id, &facts, &self.machine) {
-            Ok(event) => {
-                running.waiting.retain(|_, waiting| !waiting.reply.is_closed());
-                let fallback_pending = ask.is_retried()
-                    && matches!(&event, Event::Propose { entry: Entry::FallbackPolicy(..), .. });
-                running.waiting.insert(ticket, PendingCommand { reply, ask, id, fallback_pending });
-                self.dispatch(event, running, socket).await;
-            }
-            Err(told) => drop(reply.send(told)),
+    fn publish(&self, in_force: InForce, state: &mut RunState) {
+        self.points.meet("bank.publish", Kind::Handover);
+        state.lease_ends_at = Some(self.epoch + in_force.until);
+        if self.published.write(in_force, self.epoch.elapsed()) {
+            self.notify(ClusterEvent::Changed);
+        }
+    }
+
+    fn publish_stops(&self, stops: StoppedUpstreams) {
+        self.points.meet("bank.stop", Kind::Handover);
+        if self.published.stop(stops, self.epoch.elapsed()) {
+            self.notify(ClusterEvent::Changed);
+        }
+    }
+
+    fn notify(&self, event: ClusterEvent) {
+        // Without an engine nobody acts on events any more.
+        let _ = self.events.send(event);
+    }
+
+    /// Syncs the records that were appended since the last sync, if any; returns what the machine is to be told of it.
+    fn sync_records(&mut self, state: &mut RunState) -> Option<Event<'static>> {
+        if !std::mem::take(&mut state.has_unsynced_records) {
+            return None;
+        }
+        match self.durable_log.as_mut()?.sync() {
+            Ok(through) => Some(Event::Persisted(through)),
+            Err(cause) => Some(state.on_disk_failure(&cause)),
         }
     }
 
-    /// Answers callers that wait until a revision is in force everywhere, once it is or their time is over.
-    fn answer_rollout_waits(&self, running: &mut RunState) {
-        if running.until_all.is_empty() {
-            return;
+    async fn retry_disk(&mut self, state: &mut RunState, socket: &dyn Datagrams) {
+        let Some(durable_log) = &mut self.durable_log else { return };
+        match durable_log.reset() {
+            Ok(()) => {
+                tracing::info!("consensus log writable again");
+                state.is_disk_failing = false;
+                self.dispatch(Event::DiskWell, state, socket).await;
+            }
+            Err(_) => state.disk_retry_at = Some(Instant::now() + DISK_RETRY),
         }
-        let (now, status) = (Instant::now(), self.machine.policy().status());
-        for (reply, mut told, revision, until) in std::mem::take(&mut running.until_all) {
-            let everywhere =
-                status.revision >= revision && !status.unconfirmed && status.towards.is_none();
-            if everywhere || now >= until {
-                told.text["everywhere"] = everywhere.into();
-                let _ = reply.send(told);
-            } else {
-                running.until_all.push((reply, told, revision, until));
+    }
+}
+
+impl From<EndpointListEvent> for Event<'static> {
+    fn from(list: EndpointListEvent) -> Self {
+        match list {
+            EndpointListEvent::List { version, whole, entries } => {
+                Event::EndpointList { version, whole, entries }
             }
+            EndpointListEvent::CountsAnew => Event::CountsAnew,
         }
     }
 }
 
-/// How many of a datagram go on.
+/// Ends at `at`, or never.
+async fn wait_until(at: Option<Instant>) {
+    match at {
+        Some(at) => sleep_until(at).await,
+        None => std::future::pending().await,
+    }
+}
+
+/// How many copies of a datagram go on, by the fault that a failpoint planned for it.
 fn copies(fault: Option<Fault>) -> usize {
     match fault {
         Some(Fault::Lose) => 0,
@@ -377,15 +309,3 @@
         _ => 1,
     }
 }
-
-fn fails(cause: String, running: &mut RunState) -> Event<'static> {
-    if !running.failing {
-        tracing::error!(
-            cause,
-            "what the council says can't be kept: no votes from here until it can"
-        );
-    }
-    running.failing = true;
-    running.retry = Some(Instant::now() + DISK_RETRY);
-    Event::DiskFailed(cause)
-}
--- /dev/null
+++ b/crates/gateway/src/cluster/runtime/admin_calls.rs
@@ -0,0 +1,125 @@
+//! Admin calls in progress: those that wait for the machine's answer, and those that wait for a revision to be in force
+//! at every balancer.
+
+use hollowpaddle_net::Datagrams;
+use hollowpaddle_revision::entry::{CommandId, Entry};
+use hollowpaddle_revision::fleet::Facts;
+use hollowpaddle_revision::policy_state::PolicyStatus;
+use rustc_hash::FxHashMap;
+use tokio::sync::oneshot;
+use tokio::time::Instant;
+
+use super::{RunState, Runtime};
+use crate::cluster::admin_api::{AdminRequest, AdminResponse};
+use crate::cluster::machine::{Event, ProposalResult};
+
+/// A call of the admin API.
+pub struct AdminCall {
+    /// What the operator asks for.
+    pub ask: AdminRequest,
+    /// The fleet as this balancer has it listed.
+    pub facts: Facts,
+    /// Takes the response.
+    pub reply: oneshot::Sender<AdminResponse>,
+}
+
+/// A caller that waits for the machine's answer.
+struct PendingCommand {
+    reply: oneshot::Sender<AdminResponse>,
+    ask: AdminRequest,
+    id: CommandId,
+    /// Whether the entry proposed is the fallback policy that has to change before what was asked for.
+    fallback_pending: bool,
+}
+
+/// A caller that waits until a revision is in force at every balancer.
+struct RolloutWait {
+    reply: oneshot::Sender<AdminResponse>,
+    response: AdminResponse,
+    revision: u64,
+    until: Instant,
+}
+
+/// The calls in progress.
+#[derive(Default)]
+pub(super) struct AdminCalls {
+    /// By ticket.
+    pending: FxHashMap<u64, PendingCommand>,
+    rollouts: Vec<RolloutWait>,
+    last_ticket: u64,
+}
+
+impl AdminCalls {
+    /// Whether a caller waits for the rollout of a revision.
+    pub(super) fn has_rollouts(&self) -> bool {
+        !self.rollouts.is_empty()
+    }
+
+    /// When the first wait for a rollout is over.
+    pub(super) fn next_timeout(&self) -> Option<Instant> {
+        self.rollouts.iter().map(|wait| wait.until).min()
+    }
+
+    /// Answers the call with this ticket, or has it wait for the rollout of its revision.
+    pub(super) fn answer(&mut self, ticket: u64, result: &ProposalResult) {
+        let Some(command) = self.pending.remove(&ticket) else { return };
+        let PendingCommand { reply, ask, id, fallback_pending } = command;
+        let response = AdminResponse::of(&ask, id, result, fallback_pending);
+        match response.wait {
+            Some((revision, within)) => {
+                let until = Instant::now() + within;
+                self.rollouts.push(RolloutWait { reply, response, revision, until });
+            }
+            None => drop(reply.send(response)),
+        }
+    }
+
+    /// Answers callers whose revision is in force at every balancer by `status`, and those whose time is over.
+    pub(super) fn answer_rollouts(&mut self, status: &PolicyStatus) {
+        let now = Instant::now();
+        for mut wait in std::mem::take(&mut self.rollouts) {
+            let is_everywhere =
+                status.revision >= wait.revision && !status.unconfirmed && status.towards.is_none();
+            if is_everywhere || now >= wait.until {
+                wait.response.text["everywhere"] = is_everywhere.into();
+                let _ = wait.reply.send(wait.response);
+            } else {
+                self.rollouts.push(wait);
+            }
+        }
+    }
+}
+
+impl Runtime {
+    /// Answers a call that needs nobody else, and hands in any other.
+    pub(super) async fn on_admin_call(
+        &mut self,
+        call: AdminCall,
+        state: &mut RunState,
+        socket: &dyn Datagrams,
+    ) {
+        let AdminCall { ask, facts, reply } = call;
+        state.admin_calls.last_ticket += 1;
+        let ticket = state.admin_calls.last_ticket;
+        let id = self.command_id(ticket);
+        match ask.event(ticket, id, &facts, &self.machine) {
+            Ok(event) => {
+                let pending = &mut state.admin_calls.pending;
+                pending.retain(|_, command| !command.reply.is_closed());
+                let fallback_pending = ask.is_retried()
+                    && matches!(&event, Event::Propose { entry: Entry::FallbackPolicy(..), .. });
+                pending.insert(ticket, PendingCommand { reply, ask, id, fallback_pending });
+                self.dispatch(event, state, socket).await;
+            }
+            Err(response) => drop(reply.send(response)),
+        }
+    }
+
+    /// An id for a command that the caller did not name. It is unique: no two processes share an incarnation, and none
+    /// uses a ticket twice.
+    fn command_id(&self, ticket: u64) -> CommandId {
+        let incarnation = u128::from(self.machine.wire().own_incarnation().0);
+        let node_id = u128::from(self.machine.node_id().0);
+        CommandId(incarnation << 96 | node_id << 64 | u128::from(ticket))
+    }
+}
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -170,12 +170,11 @@
     let shown = dir.display().to_string();
     let (tell, opened) = std::sync::mpsc::channel();
     std::thread::spawn(move || drop(tell.send(cluster::open(&dir, id, me, &name, &points))));
-    let opened =
-        opened.recv_timeout(LOAD).unwrap_or_else(|_| Err("it did not answer in time".into()));
+    let opened = opened.recv_timeout(LOAD).unwrap_or(Err(cluster::DurableLogError::TimedOut));
     match opened {
         Ok(stored) => Some(stored),
         Err(cause) => {
-            tracing::error!(dir = shown, cause, "the bank keeps nothing here");
+            tracing::error!(dir = shown, %cause, "the bank keeps nothing here");
             None
         }
     }
