--- a/crates/gateway/src/cluster/machine.rs
+++ b/crates/gateway/src/cluster/machine.rs
@@ -1,26 +1,31 @@
-//! One balancer's part of the bank as one pure machine: the wire, the council, the log, the rule book and the leases, and
-//! what goes between them (`between`), and calls that wait for an answer (`calls`). It keeps no clock, socket, file or
-//! thread; its shell does (`runtime.rs`), and tests play it.
+//! One balancer's part of the cluster as one pure state machine over the transport, the replica, the log's learner, the
+//! policy state, the leases and the endpoint lists of other balancers.
+//!
+//! What passes between these is in `routing`, admin calls that wait for an answer in `pending_calls`, and the passing of
+//! time in `timers`. The machine has no clock, socket, file or thread: its driver
+//! ([`Runtime`](super::Runtime), or a simulation) has these.
 
 mod interface;
 mod pending_calls;
 mod routing;
+mod timers;
 
 use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
 use hollowpaddle_consensus as consensus;
-use hollowpaddle_consensus::{Learner, LearnerAction, LearnerConfig, LearnerEvent, Replica};
+use hollowpaddle_consensus::{
+    DurableState, Learner, LearnerAction, LearnerConfig, LearnerEvent, Replica, ReplicaConfig,
+};
 use hollowpaddle_peer_transport as peers;
 use hollowpaddle_peer_transport::{NodeId, Wire};
-use hollowpaddle_revision::entry::{CommandId, Entry};
-use hollowpaddle_revision::fallback_policy::FallbackPolicy;
 use hollowpaddle_revision::in_force::InForce;
 use hollowpaddle_revision::leases::{self, LeaseConfig, Leases};
 use hollowpaddle_revision::lists::{self, Lists};
 use hollowpaddle_revision::policy_state::PolicyState;
 
 use pending_calls::PendingCall;
+use timers::Timers;
 
 pub use interface::{Action, Event, Setup, SetupError, StoppedUpstreams};
 pub use pending_calls::ProposalResult;
@@ -29,15 +34,10 @@
 #[doc(hidden)]
 pub use interface::StoppedUpstreams as Stops;
 
-/// How often the council's machine is told that time has passed, and how often the learner's.
-const VOTER_TICK: Duration = Duration::from_millis(25);
-const LEARNER_TICK: Duration = Duration::from_millis(50);
-/// A first charter that is not in the log is proposed again after so long.
-const FIRST_FALLBACK_RETRY: Duration = Duration::from_secs(3);
-/// Calls that wait for an answer. Beyond, the eldest is told that nobody knows.
-const MAX_PENDING_CALLS: usize = 256;
+/// Learners that must have an entry before it is acknowledged, where no durable log keeps it.
+const COPIES_WITHOUT_LOG: u8 = 2;
 
-/// The machine.
+/// The state machine.
 pub struct Machine {
     setup: Setup,
     now: Duration,
@@ -45,285 +45,181 @@
     replica: Replica,
     learner: Learner,
     policy: PolicyState,
-    /// The last entry of the log that the book knows.
-    at: consensus::LogIndex,
+    /// The last entry of the log that `policy` includes.
+    applied_index: consensus::LogIndex,
     leases: Leases,
     lists: Lists,
     stops: StoppedUpstreams,
-    calls: VecDeque<PendingCall>,
-    proposals: u64,
-    /// Proposals of this balancer's own that the leases asked for.
+    pending_calls: VecDeque<PendingCall>,
+    last_proposal: u64,
+    /// Proposals made here, for which no admin call waits.
     own_proposals: BTreeSet<consensus::ProposalId>,
-    /// It leads, and when it proposed a first charter last.
-    leads: bool,
+    is_leader: bool,
+    /// When a first fallback policy was proposed last.
     first_fallback_at: Option<Duration>,
+    /// The leader that the replica knows.
     leader: Option<NodeId>,
-    wire_due: Option<Duration>,
-    leases_due: Option<Duration>,
-    lists_due: Option<Duration>,
-    replica_due: Duration,
-    learner_due: Duration,
-    armed_wakeup: Option<Duration>,
-    /// What is still to be handed in, in its order.
+    timers: Timers,
+    /// Outputs of components that are yet to be routed, in their order.
     queue: VecDeque<ComponentAction>,
 }
 
-/// What one machine has for another.
+/// An output of one component.
 enum ComponentAction {
     Wire(peers::Action),
     Replica(consensus::Action),
-    LearnerAction(LearnerAction),
+    Learner(LearnerAction),
     Leases(leases::Action),
     Lists(lists::Action),
 }
 
 impl Machine {
-    /// A balancer's part of the bank.
+    /// Makes the machine. `now` is the zero of its clock, or the time by it.
     ///
     /// # Errors
-    /// It is set up as none can be.
+    /// There can be no cluster of this configuration.
     pub fn new(now: Duration, mut setup: Setup) -> Result<Self, SetupError> {
-        let Setup { node_id, cluster, incarnation, seed, .. } = setup;
-        let wire = Wire::new(peers::Config {
-            node_id,
-            members: cluster,
-            incarnation,
-            seed,
-            budget: peers::Budget::default(),
-        })?;
-        let replica = Replica::new(
-            now,
-            consensus::ReplicaConfig {
-                node_id,
-                incarnation,
-                voters: setup.voters.clone(),
-                cluster,
-                directory: setup.directory,
-                copies: if setup.directory { 0 } else { 2 },
-                seed,
-            },
-            setup.found.take(),
-        );
-        let learner = Learner::new(
-            now,
-            LearnerConfig { node_id, voters: setup.voters.clone(), cluster, seed },
-        );
-        let mut terms = LeaseConfig::usual(node_id, incarnation, setup.mandatory_fallback.clone());
-        terms.stored = setup.fallback_policy.clone();
+        let found = setup.found.take();
+        let learner = new_learner(now, &setup);
+        let source = learner.source();
         let mut machine = Self {
+            wire: new_wire(&setup)?,
+            replica: new_replica(now, &setup, found),
+            learner,
             policy: PolicyState::found(setup.bootstrap.clone())?,
-            leases: Leases::new(terms),
+            applied_index: consensus::LogIndex::default(),
+            leases: new_leases(&setup),
             lists: Lists::default(),
             stops: StoppedUpstreams::default(),
-            setup,
-            now,
-            wire,
-            replica,
-            learner,
-            at: consensus::LogIndex::default(),
-            calls: VecDeque::new(),
-            proposals: 0,
+            pending_calls: VecDeque::new(),
+            last_proposal: 0,
             own_proposals: BTreeSet::new(),
-            leads: false,
+            is_leader: false,
             first_fallback_at: None,
             leader: None,
-            wire_due: None,
-            leases_due: None,
-            lists_due: None,
-            replica_due: now,
-            learner_due: now,
-            armed_wakeup: None,
+            timers: Timers::new(now),
             queue: VecDeque::new(),
+            setup,
+            now,
         };
-        let source = machine.learner.source();
         machine.step_leases(leases::Event::Parent(source));
         Ok(machine)
     }
 
-    /// Who this is.
+    /// This balancer.
     pub fn node_id(&self) -> NodeId {
         self.setup.node_id
     }
 
-    /// When something was handed in last.
+    /// Time of the last event.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// What is in force here.
+    /// The rules in force here, and their lease.
     pub fn in_force(&self) -> InForce {
         self.leases.in_force()
     }
 
-    /// What is known of lists.
+    /// What is known of endpoint lists here and at other balancers.
     pub fn lists(&self) -> &Lists {
         &self.lists
     }
 
-    /// The rule book.
+    /// The policy state, as far as the log is applied here.
     pub fn policy(&self) -> &PolicyState {
         &self.policy
     }
 
-    /// Stages, leases and who has confirmed what.
+    /// Leases, generations, and which balancers have confirmed what.
     pub fn leases(&self) -> &Leases {
         &self.leases
     }
 
-    /// This balancer's seat in the council, if it has one.
+    /// This balancer's replica, which may be a voter.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// How it learns the log.
+    /// The learner through which this balancer follows the log.
     pub fn learner(&self) -> &Learner {
         &self.learner
     }
 
-    /// Words and datagrams.
+    /// The transport to other balancers.
     pub fn wire(&self) -> &Wire {
         &self.wire
     }
 
-    /// Who leads the council, as far as is known here.
+    /// The leader of the voters, as far as it is known here.
     pub fn leader(&self) -> Option<NodeId> {
         self.leader.or(self.learner.leader())
     }
 
-    /// One event, at `now`: monotonic time since this process began.
+    /// Takes in one event at `now`, in monotonic time since the machine's zero, and appends what is to be done to `actions`.
     pub fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
+        self.on_event(event, actions);
+        self.run_due();
+        while let Some(action) = self.queue.pop_front() {
+            self.route(action, actions);
+        }
+        self.timers.arm(actions);
+    }
+
+    fn on_event(&mut self, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
             Event::Datagram { from: Some(from), bytes } => {
                 self.step_wire(peers::Event::Received { from, bytes });
             }
             Event::Datagram { from: None, .. } => self.step_wire(peers::Event::Stranger),
-            // What was asked for has come: what is due again at this very moment has to be asked for again. Failure: in
-            // virtual time, whose timers are of whole milliseconds, it came too soon, and nobody was ready for 30 s.
-            Event::Due => self.armed_wakeup = None,
+            Event::Due => self.timers.disarm(),
             Event::Persisted(through) => self.step_replica(consensus::Event::Persisted { through }),
             Event::DiskFailed(cause) => self.step_replica(consensus::Event::DiskFailed { cause }),
             Event::DiskWell => self.step_replica(consensus::Event::DiskWell),
             Event::FallbackPolicyPersisted(fallback_generation) => {
-                self.step_leases(leases::Event::FallbackPolicyPersisted { fallback_generation })
+                self.step_leases(leases::Event::FallbackPolicyPersisted { fallback_generation });
             }
             Event::Propose { ticket, id, entry } => self.propose_entry(ticket, id, &entry, actions),
-            Event::QueryOutcome { ticket, id } => {
-                let call = PendingCall { ticket, proposal: None, id: Some(id), index: None };
-                if !self.answer_call(&call, actions) {
-                    actions
-                        .push(Action::ProposalResult { ticket, answer: ProposalResult::Unknown });
-                }
-            }
+            Event::QueryOutcome { ticket, id } => self.query_outcome(ticket, id, actions),
             Event::EndpointList { version, whole, entries } => {
                 self.step_lists(lists::Event::Own { version, whole, entries });
             }
             Event::CountsAnew => self.step_lists(lists::Event::CountsAnew),
-            Event::Replace { ticket, out, then } => {
-                let id = self.add_call(ticket, None, actions);
-                self.step_replica(consensus::Event::OperatorCommand(
-                    consensus::OperatorCommand::ReplaceVoter {
-                        id,
-                        removed: out,
-                        replacement: then,
-                    },
-                ));
-            }
-            Event::Restore { ticket, members } => {
-                self.step_replica(consensus::Event::OperatorCommand(
-                    consensus::OperatorCommand::ForceNewEpoch { members },
-                ));
-                actions.push(Action::ProposalResult {
-                    ticket,
-                    answer: ProposalResult::Stands(self.at),
-                });
-            }
-        }
-        self.run_due();
-        while let Some(inner) = self.queue.pop_front() {
-            match inner {
-                ComponentAction::Wire(action) => self.on_wire_action(action, actions),
-                ComponentAction::Replica(action) => self.on_replica_action(action, actions),
-                ComponentAction::LearnerAction(action) => self.on_learner_action(action, actions),
-                ComponentAction::Leases(action) => self.on_lease_action(action, actions),
-                ComponentAction::Lists(action) => self.on_list_action(action, actions),
-            }
+            Event::Replace { ticket, out, then } => self.replace_voter(ticket, out, then, actions),
+            Event::Restore { ticket, members } => self.force_new_epoch(ticket, members, actions),
         }
-        self.arm_wakeup(actions);
     }
 
-    /// Hands in what is due.
-    fn run_due(&mut self) {
-        if self.wire_due.is_some_and(|at| at <= self.now) {
-            self.wire_due = None;
-            self.step_wire(peers::Event::Due);
-        }
-        if self.leases_due.is_some_and(|at| at <= self.now) {
-            self.leases_due = None;
-            self.step_leases(leases::Event::Due);
-        }
-        if self.lists_due.is_some_and(|at| at <= self.now) {
-            self.lists_due = None;
-            self.step_lists(lists::Event::Due);
-        }
-        if self.replica_due <= self.now {
-            self.replica_due = self.now + if self.is_voter() { VOTER_TICK } else { 4 * VOTER_TICK };
-            self.step_replica(consensus::Event::Tick);
-            self.propose_first_fallback();
-        }
-        if self.learner_due <= self.now {
-            self.learner_due = self.now + LEARNER_TICK;
-            self.step_learner(LearnerEvent::Tick);
-        }
-    }
-
-    /// A bank that was founded without a charter gets one from its first leader: without any, whoever is cut off past its
-    /// lease could send nowhere.
-    fn propose_first_fallback(&mut self) {
-        let late = self
-            .first_fallback_at
-            .is_none_or(|at| self.now.saturating_sub(at) >= FIRST_FALLBACK_RETRY);
-        if !self.leads || !late || self.setup.cells.is_empty() || self.at.op() < self.replica.op() {
-            return;
-        }
-        let status = self.policy.status();
-        if status.fallback_generation != 0 || !status.fallback_policy.cells.is_empty() {
-            return;
-        }
-        self.first_fallback_at = Some(self.now);
-        let proposal = self.next_proposal();
-        let id = CommandId(u128::from(proposal.incarnation.0) << 96 | u128::from(proposal.number));
-        let fallback_policy = FallbackPolicy::third(&self.setup.cells, 1);
-        if let Ok(bytes) = Entry::FallbackPolicy(id, fallback_policy, Box::default()).to_bytes() {
-            self.own_proposals.insert(proposal);
-            self.step_learner(LearnerEvent::Propose { id: proposal, bytes });
-        }
+    fn replace_voter(
+        &mut self,
+        ticket: u64,
+        removed: NodeId,
+        replacement: Option<NodeId>,
+        actions: &mut Vec<Action>,
+    ) {
+        let id = self.add_call(ticket, None, actions);
+        let command = consensus::OperatorCommand::ReplaceVoter { id, removed, replacement };
+        self.step_replica(consensus::Event::OperatorCommand(command));
     }
 
-    fn is_voter(&self) -> bool {
-        self.replica.members().has(self.setup.node_id)
-    }
-
-    fn arm_wakeup(&mut self, actions: &mut Vec<Action>) {
-        let ticks = [Some(self.replica_due), Some(self.learner_due)];
-        let dues = ticks.into_iter().chain([self.wire_due, self.leases_due, self.lists_due]);
-        let next = dues.flatten().min();
-        if next != self.armed_wakeup {
-            self.armed_wakeup = next;
-            actions.extend(next.map(Action::WakeAt));
-        }
+    fn force_new_epoch(&mut self, ticket: u64, members: Vec<NodeId>, actions: &mut Vec<Action>) {
+        let command = consensus::OperatorCommand::ForceNewEpoch { members };
+        self.step_replica(consensus::Event::OperatorCommand(command));
+        let answer = ProposalResult::Stands(self.applied_index);
+        actions.push(Action::ProposalResult { ticket, answer });
     }
 
     fn step_wire(&mut self, event: peers::Event<'_>) {
-        let mut out = Vec::new();
-        self.wire.handle(self.now, event, &mut out);
-        self.queue.extend(out.into_iter().map(ComponentAction::Wire));
+        let mut actions = Vec::new();
+        self.wire.handle(self.now, event, &mut actions);
+        self.queue.extend(actions.into_iter().map(ComponentAction::Wire));
     }
 
     fn step_replica(&mut self, event: consensus::Event) {
-        let mut out = Vec::new();
-        self.replica.handle(self.now, event, &mut out);
-        self.queue.extend(out.into_iter().map(ComponentAction::Replica));
+        let mut actions = Vec::new();
+        self.replica.handle(self.now, event, &mut actions);
+        self.queue.extend(actions.into_iter().map(ComponentAction::Replica));
         let leader = self.replica.leader();
         if leader != self.leader {
             self.leader = leader;
@@ -332,14 +228,60 @@
     }
 
     fn step_learner(&mut self, event: LearnerEvent) {
-        let mut out = Vec::new();
-        self.learner.handle(self.now, event, &mut out);
-        self.queue.extend(out.into_iter().map(ComponentAction::LearnerAction));
+        let mut actions = Vec::new();
+        self.learner.handle(self.now, event, &mut actions);
+        self.queue.extend(actions.into_iter().map(ComponentAction::Learner));
     }
 
     fn step_leases(&mut self, event: leases::Event) {
-        let mut out = Vec::new();
-        self.leases.handle(self.now, event, &mut out);
-        self.queue.extend(out.into_iter().map(ComponentAction::Leases));
+        let mut actions = Vec::new();
+        self.leases.handle(self.now, event, &mut actions);
+        self.queue.extend(actions.into_iter().map(ComponentAction::Leases));
     }
+
+    fn step_lists(&mut self, event: lists::Event) {
+        let mut actions = Vec::new();
+        self.lists.handle(self.now, event, &mut actions);
+        self.queue.extend(actions.into_iter().map(ComponentAction::Lists));
+    }
+}
+
+fn new_wire(setup: &Setup) -> Result<Wire, peers::ConfigError> {
+    Wire::new(peers::Config {
+        node_id: setup.node_id,
+        members: setup.cluster,
+        incarnation: setup.incarnation,
+        seed: setup.seed,
+        budget: peers::Budget::default(),
+    })
+}
+
+fn new_replica(now: Duration, setup: &Setup, found: Option<DurableState>) -> Replica {
+    let config = ReplicaConfig {
+        node_id: setup.node_id,
+        incarnation: setup.incarnation,
+        voters: setup.voters.clone(),
+        cluster: setup.cluster,
+        directory: setup.directory,
+        copies: if setup.directory { 0 } else { COPIES_WITHOUT_LOG },
+        seed: setup.seed,
+    };
+    Replica::new(now, config, found)
+}
+
+fn new_learner(now: Duration, setup: &Setup) -> Learner {
+    let config = LearnerConfig {
+        node_id: setup.node_id,
+        voters: setup.voters.clone(),
+        cluster: setup.cluster,
+        seed: setup.seed,
+    };
+    Learner::new(now, config)
+}
+
+fn new_leases(setup: &Setup) -> Leases {
+    let mandatory_fallback = setup.mandatory_fallback.clone();
+    let mut config = LeaseConfig::usual(setup.node_id, setup.incarnation, mandatory_fallback);
+    config.stored = setup.fallback_policy.clone();
+    Leases::new(config)
 }
--- a/crates/gateway/src/cluster/machine/interface.rs
+++ b/crates/gateway/src/cluster/machine/interface.rs
@@ -1,4 +1,4 @@
-//! What the machine is given and what it returns: configuration, events and actions.
+//! What the machine is given and what it returns: its configuration, events and actions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -12,162 +12,163 @@
 use hollowpaddle_revision::in_force::InForce;
 use hollowpaddle_revision::lists::Phase;
 use hollowpaddle_revision::message::Generation;
-use hollowpaddle_revision::policy_state::Bootstrap;
+use hollowpaddle_revision::policy_state::{Bootstrap, BootstrapError};
 
 use super::ProposalResult;
 
-/// What a balancer is set up with.
+/// Configuration of a [`Machine`](super::Machine), and the state that it recovers.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// Who it is.
+    /// This balancer.
     pub node_id: NodeId,
-    /// Balancers of the bank.
+    /// Number of balancers in the cluster.
     pub cluster: u16,
-    /// This process, not 0.
+    /// This process; not 0.
     pub incarnation: Incarnation,
-    /// Drawn at the start.
+    /// Seed of all randomness, new with each process.
     pub seed: u64,
-    /// Who votes at first.
+    /// The first voters.
     pub voters: Vec<NodeId>,
-    /// What the log begins with.
+    /// State with which the log begins; equal at every balancer.
     pub bootstrap: Bootstrap,
-    /// What is kept to by a process that knows no charter.
+    /// What a process may send to that knows no fallback policy.
     pub mandatory_fallback: FallbackPolicy,
-    /// Pods by site, as the configuration last knew them: where no charter is set, the first leader proposes a third.
+    /// Cells by zone, as the configuration names them: where no fallback policy is set, the first leader proposes one of a
+    /// third of them. Empty: it proposes none.
     pub cells: BTreeMap<String, BTreeSet<u32>>,
-    /// Something outlives the process: what is said waits for it.
+    /// Whether there is a durable log: votes and confirmations then wait until they are on disk.
     pub directory: bool,
-    /// What was found there.
+    /// State of the replica that was found in the durable log.
     pub found: Option<DurableState>,
-    /// The charter that was found there, and its generation.
+    /// The fallback policy that was found on disk, and its generation.
     pub fallback_policy: Option<(Generation, FallbackPolicy)>,
 }
 
-/// Why there can be no such machine.
+/// Why there can be no machine of this configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum SetupError {
-    /// The wire.
+    /// The transport can't be configured so.
     #[error(transparent)]
     Wire(#[from] peers::ConfigError),
-    /// The book.
+    /// The policy log can't begin so.
     #[error(transparent)]
-    PolicyState(#[from] hollowpaddle_revision::policy_state::BootstrapError),
+    PolicyState(#[from] BootstrapError),
 }
 
-/// What happens.
+/// An input of the machine. A `ticket` names the admin call that is answered by [`Action::ProposalResult`].
 #[derive(Debug)]
 pub enum Event<'a> {
-    /// A datagram came; from nobody of the bank, if `from` is none.
+    /// A datagram arrived.
     Datagram {
-        /// Whose address it came from.
+        /// The balancer whose address it came from; `None` for an unknown address.
         from: Option<NodeId>,
-        /// As it came.
+        /// Its content.
         bytes: &'a [u8],
     },
-    /// The moment that was asked for.
+    /// The moment of the last [`Action::WakeAt`] has come.
     Due,
-    /// Records up to this one are on disk.
+    /// Records up to this number are on disk.
     Persisted(u64),
-    /// One could not be written.
+    /// Writing or syncing failed; the text says why.
     DiskFailed(String),
-    /// The directory takes records again.
+    /// The disk takes records again.
     DiskWell,
-    /// This generation of the charter is on disk.
+    /// The fallback policy of this generation is on disk.
     FallbackPolicyPersisted(Generation),
-    /// Somebody wants an entry to stand in the log; the ticket names the call.
+    /// An entry is to be appended to the policy log.
     Propose {
         /// Names the call.
         ticket: u64,
-        /// The name of the question in the book, if it has an answer there.
+        /// The command's id, if the policy answers it by id.
         id: Option<CommandId>,
-        /// What is to stand there.
+        /// The entry.
         entry: Entry,
     },
-    /// What became of a question that was asked at any door.
+    /// The outcome of a command that was sent to any balancer is wanted.
     QueryOutcome {
         /// Names the call.
         ticket: u64,
-        /// Of the question.
+        /// Id of the command.
         id: CommandId,
     },
-    /// The own discovery said this.
+    /// This balancer's discovery delivered entries or a complete list.
     EndpointList {
-        /// The list's version.
+        /// Version of the list.
         version: u64,
-        /// Whom it leaves out is gone.
+        /// Whether the list is complete: an upstream that it leaves out is gone.
         whole: bool,
-        /// By name.
+        /// Name and phase of each entry.
         entries: Vec<(String, Phase)>,
     },
-    /// The own discovery counts its versions anew.
+    /// This balancer's discovery counts the versions of its list from the beginning.
     CountsAnew,
-    /// One member of the council for another.
+    /// A voter is to be replaced or removed.
     Replace {
         /// Names the call.
         ticket: u64,
-        /// Who goes.
+        /// The voter that is removed.
         out: NodeId,
-        /// Who comes.
+        /// The balancer that replaces it, if any.
         then: Option<NodeId>,
     },
-    /// This balancer founds the council anew with these voters.
+    /// This balancer is to force a new epoch with these voters.
     Restore {
         /// Names the call.
         ticket: u64,
-        /// Who votes.
+        /// The voters.
         members: Vec<NodeId>,
     },
 }
 
-/// What is to be done.
+/// An output of the machine, which its driver carries out in order.
 #[derive(Clone, Debug)]
 pub enum Action {
-    /// A datagram is to go out.
+    /// Send a datagram.
     Transmit {
-        /// To the address of this member.
+        /// The balancer to whose address it goes.
         to: NodeId,
-        /// At most 256 bytes.
+        /// Its content, at most 256 bytes.
         bytes: Vec<u8>,
     },
-    /// [`Event::Due`] then; in place of what was asked for before.
+    /// Hand in [`Event::Due`] at this time. Replaces the time given before.
     WakeAt(Duration),
-    /// Requests read this from now on.
+    /// Requests read these rules from now on.
     Publish(InForce),
-    /// Requests read this from now on, beside the rules: whom peers' words stop, and whether the own list is older than
-    /// the rules allow.
+    /// Requests read these stopped upstreams from now on.
     Stop(StoppedUpstreams),
-    /// A peer has a newer list: discovery is to be asked.
+    /// Another balancer has a newer endpoint list: poll discovery.
     RefreshList,
-    /// To be written and synced, in the order of the numbers.
+    /// Write and sync a record, in the order of the numbers.
     Persist {
-        /// Its number.
+        /// Number of the record.
         number: u64,
-        /// What.
+        /// The record.
         record: consensus::Record,
     },
-    /// To be written and synced.
+    /// Write and sync a fallback policy.
     PersistFallbackPolicy {
         /// Its generation.
         fallback_generation: Generation,
-        /// The charter.
+        /// The policy.
         fallback_policy: FallbackPolicy,
     },
-    /// A call has its answer.
+    /// Answer an admin call.
     ProposalResult {
-        /// Which call.
+        /// Names the call.
         ticket: u64,
         /// What became of it.
         answer: ProposalResult,
     },
-    /// Something for the log: who leads, what was forgotten.
+    /// Log that the state of the cluster changed: who leads, what was lost.
     Log(String),
 }
 
-/// What peers' words say of the list.
+/// What reports of other balancers forbid beside the rules.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoppedUpstreams {
-    /// Upstreams that drain or have ended, by a peer's word.
+    /// Upstreams that drain or are gone, by the report of another balancer.
     pub names: BTreeSet<String>,
-    /// The own list is older than the rules allow: the charter's upstreams alone are sent to, where there are any.
+    /// Whether this balancer's endpoint list is older than the rules allow: requests then go only to upstreams of the
+    /// fallback policy, where there are any.
     pub old: bool,
 }
--- a/crates/gateway/src/cluster/machine/pending_calls.rs
+++ b/crates/gateway/src/cluster/machine/pending_calls.rs
@@ -1,42 +1,45 @@
-//! Calls from a door that wait for an answer: from the proposal to the book's word on it.
+//! Admin calls that wait for an answer: from the proposal, through its place in the log, to the policy's answer.
 
 use hollowpaddle_consensus::{self as consensus, LearnerEvent};
 use hollowpaddle_revision::entry::{CommandId, Entry};
 use hollowpaddle_revision::policy_state::Refusal;
 
-use super::{Action, MAX_PENDING_CALLS, Machine};
+use super::{Action, Machine};
+
+/// Most calls that wait at once. One more, and the oldest is answered with [`ProposalResult::Unknown`].
+const MAX_PENDING_CALLS: usize = 256;
 
 /// What became of a call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposalResult {
-    /// It stands in the log, and the book's answer to it is this: the revision's number, or why there is none.
+    /// The command is committed, and the policy answers it: the number of its revision or entry, or why it is rejected.
     Answered(Result<u64, Refusal>),
-    /// It stands in the log; the book has no word of its own for it.
+    /// The entry is committed at this place of the log; the policy has no answer of its own to it.
     Stands(consensus::LogIndex),
-    /// It stands nowhere, and never will.
+    /// The entry is not in the log, and never will be.
     Never,
-    /// Nobody who knows could be asked. It may stand, or come to.
+    /// No balancer that knows could be reached. The entry may be committed, now or later.
     Unknown,
 }
 
-/// Who waits for what.
+/// A call that waits for its answer.
 #[derive(Clone, Debug)]
 pub(super) struct PendingCall {
-    pub(super) ticket: u64,
-    /// The proposal by which it went to the log; none, if it only asks.
-    pub(super) proposal: Option<consensus::ProposalId>,
-    pub(super) id: Option<CommandId>,
-    /// Where it stands, by the council's word: what is only applied here may still be lost with a council that forgets.
-    pub(super) index: Option<consensus::LogIndex>,
+    ticket: u64,
+    /// The proposal by which the entry went to the log; `None` for a query.
+    proposal: Option<consensus::ProposalId>,
+    id: Option<CommandId>,
+    /// Where the entry is committed. What is only applied here may still be lost with voters that lose their state.
+    index: Option<consensus::LogIndex>,
 }
 
 impl Machine {
     pub(super) fn next_proposal(&mut self) -> consensus::ProposalId {
-        self.proposals += 1;
+        self.last_proposal += 1;
         consensus::ProposalId {
             by: self.setup.node_id,
             incarnation: self.setup.incarnation,
-            number: self.proposals,
+            number: self.last_proposal,
         }
     }
 
@@ -55,7 +58,14 @@
         self.step_learner(LearnerEvent::Propose { id: proposal, bytes });
     }
 
-    /// Notes a call; the name of its proposal.
+    /// Answers what became of a command, as far as the policy knows.
+    pub(super) fn query_outcome(&self, ticket: u64, id: CommandId, actions: &mut Vec<Action>) {
+        let query = PendingCall { ticket, proposal: None, id: Some(id), index: None };
+        let answer = self.answer_to(&query).unwrap_or(ProposalResult::Unknown);
+        actions.push(Action::ProposalResult { ticket, answer });
+    }
+
+    /// Adds a call that waits for its answer; returns the id of its proposal.
     pub(super) fn add_call(
         &mut self,
         ticket: u64,
@@ -63,19 +73,18 @@
         actions: &mut Vec<Action>,
     ) -> consensus::ProposalId {
         let proposal = self.next_proposal();
-        if self.calls.len() >= MAX_PENDING_CALLS
-            && let Some(call) = self.calls.pop_front()
+        if self.pending_calls.len() >= MAX_PENDING_CALLS
+            && let Some(oldest) = self.pending_calls.pop_front()
         {
-            actions.push(Action::ProposalResult {
-                ticket: call.ticket,
-                answer: ProposalResult::Unknown,
-            });
+            let answer = ProposalResult::Unknown;
+            actions.push(Action::ProposalResult { ticket: oldest.ticket, answer });
         }
-        self.calls.push_back(PendingCall { ticket, proposal: Some(proposal), id, index: None });
+        let call = PendingCall { ticket, proposal: Some(proposal), id, index: None };
+        self.pending_calls.push_back(call);
         proposal
     }
 
-    /// The council's word on a proposal.
+    /// Takes in the outcome of a proposal.
     pub(super) fn on_outcome(
         &mut self,
         id: consensus::ProposalId,
@@ -87,52 +96,62 @@
         }
         match outcome {
             consensus::ProposalOutcome::Committed(index) => {
-                for call in self.calls.iter_mut().filter(|c| c.proposal == Some(id)) {
+                for call in self.pending_calls.iter_mut().filter(|c| c.proposal == Some(id)) {
                     call.index = Some(index);
                 }
                 self.answer_calls(actions);
             }
-            consensus::ProposalOutcome::Never | consensus::ProposalOutcome::Unknown => {
-                let never = outcome == consensus::ProposalOutcome::Never;
-                let answer = if never { ProposalResult::Never } else { ProposalResult::Unknown };
-                self.calls.retain(|call| {
-                    let this = call.proposal == Some(id);
-                    if this {
-                        actions.push(Action::ProposalResult {
-                            ticket: call.ticket,
-                            answer: answer.clone(),
-                        });
-                    }
-                    !this
-                });
+            consensus::ProposalOutcome::Never => {
+                self.end_calls(id, &ProposalResult::Never, actions);
+            }
+            consensus::ProposalOutcome::Unknown => {
+                self.end_calls(id, &ProposalResult::Unknown, actions);
             }
         }
     }
 
+    /// Answers the calls of a proposal that is not committed.
+    fn end_calls(
+        &mut self,
+        id: consensus::ProposalId,
+        answer: &ProposalResult,
+        actions: &mut Vec<Action>,
+    ) {
+        self.pending_calls.retain(|call| {
+            let is_ended = call.proposal == Some(id);
+            if is_ended {
+                let (ticket, answer) = (call.ticket, answer.clone());
+                actions.push(Action::ProposalResult { ticket, answer });
+            }
+            !is_ended
+        });
+    }
+
+    /// Answers all calls that can be answered by now.
     pub(super) fn answer_calls(&mut self, actions: &mut Vec<Action>) {
-        let calls = std::mem::take(&mut self.calls);
-        for call in calls {
-            if !self.answer_call(&call, actions) {
-                self.calls.push_back(call);
+        for call in std::mem::take(&mut self.pending_calls) {
+            match self.answer_to(&call) {
+                Some(answer) => {
+                    actions.push(Action::ProposalResult { ticket: call.ticket, answer });
+                }
+                None => self.pending_calls.push_back(call),
             }
         }
     }
 
-    /// Answers a call, if the book or the log can by now.
-    pub(super) fn answer_call(&self, call: &PendingCall, actions: &mut Vec<Action>) -> bool {
-        let stands = call.proposal.is_none() || call.index.is_some_and(|index| index <= self.at);
-        if !stands {
-            return false;
+    /// The answer to a call, if the policy or the log has it by now.
+    fn answer_to(&self, call: &PendingCall) -> Option<ProposalResult> {
+        let is_applied =
+            call.proposal.is_none() || call.index.is_some_and(|index| index <= self.applied_index);
+        if !is_applied {
+            return None;
+        }
+        match call.id {
+            Some(id) => {
+                let answer = self.policy.answer(id)?;
+                Some(ProposalResult::Answered(answer.outcome.clone()))
+            }
+            None => call.index.map(ProposalResult::Stands),
         }
-        let answer = match (call.id, call.index) {
-            (Some(id), _) => match self.policy.answer(id) {
-                Some(answer) => ProposalResult::Answered(answer.outcome.clone()),
-                None => return false,
-            },
-            (None, Some(index)) => ProposalResult::Stands(index),
-            (None, None) => return false,
-        };
-        actions.push(Action::ProposalResult { ticket: call.ticket, answer });
-        true
     }
 }
--- a/crates/gateway/src/cluster/machine/routing.rs
+++ b/crates/gateway/src/cluster/machine/routing.rs
@@ -1,78 +1,87 @@
-//! What one of a balancer's machines has for another, or for the shell.
+//! Routes what one component of the machine puts out to another component, or to the machine's driver.
 
 use hollowpaddle_consensus::{
-    self as consensus, EntryPayload, LearnerAction, LearnerEvent, MessageBody,
+    self as consensus, Entry, EntryPayload, LearnerAction, LearnerEvent, MessageBody,
 };
-use hollowpaddle_peer_transport::{self as peers, Channel, How, NodeId};
+use hollowpaddle_peer_transport::{self as peers, Channel, How, Incarnation, NodeId};
 use hollowpaddle_revision::lists::ListMessage;
+use hollowpaddle_revision::message::Message as LeaseMessage;
 use hollowpaddle_revision::policy_state::PolicyState;
 use hollowpaddle_revision::{leases, lists};
 
 use super::{Action, ComponentAction, Machine, StoppedUpstreams};
 
 impl Machine {
-    pub(super) fn on_wire_action(&mut self, action: peers::Action, actions: &mut Vec<Action>) {
+    pub(super) fn route(&mut self, action: ComponentAction, actions: &mut Vec<Action>) {
+        match action {
+            ComponentAction::Wire(action) => self.on_wire_action(action, actions),
+            ComponentAction::Replica(action) => self.on_replica_action(action, actions),
+            ComponentAction::Learner(action) => self.on_learner_action(action, actions),
+            ComponentAction::Leases(action) => self.on_lease_action(action, actions),
+            ComponentAction::Lists(action) => self.on_list_action(action, actions),
+        }
+    }
+
+    fn on_wire_action(&mut self, action: peers::Action, actions: &mut Vec<Action>) {
         match action {
             peers::Action::Transmit { to, bytes } => actions.push(Action::Transmit { to, bytes }),
-            peers::Action::WakeAt(at) => self.wire_due = Some(at),
+            peers::Action::WakeAt(at) => self.timers.wire_due = Some(at),
             peers::Action::Reborn { .. } => {}
-            peers::Action::Deliver { from, incarnation, channel, message } => match channel {
-                Channel::Consensus => {
-                    if let Ok(message) = consensus::Message::decode(&message) {
-                        self.step_replica(consensus::Event::Message { from, incarnation, message });
-                    }
+            peers::Action::Deliver { from, incarnation, channel, message } => {
+                self.deliver(from, incarnation, channel, &message);
+            }
+        }
+    }
+
+    /// Hands a message to the component of its channel. One that can't be decoded is dropped.
+    fn deliver(&mut self, from: NodeId, incarnation: Incarnation, channel: Channel, bytes: &[u8]) {
+        match channel {
+            Channel::Consensus => {
+                if let Ok(message) = consensus::Message::decode(bytes) {
+                    self.step_replica(consensus::Event::Message { from, incarnation, message });
                 }
-                Channel::Log => {
-                    if let Ok(message) = consensus::Message::decode(&message) {
-                        self.step_learner(LearnerEvent::Message { from, incarnation, message });
-                    }
+            }
+            Channel::Log => {
+                if let Ok(message) = consensus::Message::decode(bytes) {
+                    self.step_learner(LearnerEvent::Message { from, incarnation, message });
                 }
-                Channel::Leases => {
-                    if let Ok(message) =
-                        hollowpaddle_revision::message::Message::from_bytes(&message)
-                    {
-                        self.step_leases(leases::Event::Message { from, incarnation, message });
-                    }
+            }
+            Channel::Leases => {
+                if let Ok(message) = LeaseMessage::from_bytes(bytes) {
+                    self.step_leases(leases::Event::Message { from, incarnation, message });
                 }
-                Channel::Lists => {
-                    if let Ok(message) = ListMessage::from_bytes(&message) {
-                        self.step_lists(lists::Event::Message { from, message });
-                    }
+            }
+            Channel::Lists => {
+                if let Ok(message) = ListMessage::from_bytes(bytes) {
+                    self.step_lists(lists::Event::Message { from, message });
                 }
-                // Spoken by a later part of the bank.
-                Channel::Sessions => {}
-            },
+            }
+            // Session messages have no component here yet.
+            Channel::Sessions => {}
         }
     }
 
-    /// A word of the council or the log, to another balancer or to this one's other machine.
-    pub(super) fn send_consensus(&mut self, to: NodeId, message: consensus::Message) {
+    /// Sends a message of the replica or the learner, to another balancer or to the other one of these two here.
+    fn send_consensus(&mut self, to: NodeId, message: consensus::Message) {
+        let channel = message.body.channel();
         if to == self.setup.node_id {
             let (from, incarnation) = (to, self.setup.incarnation);
-            return match message.body.channel() {
+            match channel {
                 Channel::Consensus => {
-                    self.step_replica(consensus::Event::Message { from, incarnation, message })
+                    self.step_replica(consensus::Event::Message { from, incarnation, message });
                 }
                 _ => self.step_learner(LearnerEvent::Message { from, incarnation, message }),
-            };
+            }
+            return;
         }
-        let how = match &message.body {
-            MessageBody::Part(_) | MessageBody::News { part: Some(_), .. } => How::Bulk,
-            MessageBody::Prepare { .. } | MessageBody::Propose { .. } => How::Usual,
-            _ => How::Urgent,
-        };
-        let channel = message.body.channel();
-        // No machine makes a word that can't be written.
+        let how = delivery_mode(&message.body);
+        // Neither makes a message that can't be encoded.
         if let Ok(message) = message.encode() {
             self.step_wire(peers::Event::Send { to, channel, message, how });
         }
     }
 
-    pub(super) fn on_replica_action(
-        &mut self,
-        action: consensus::Action,
-        actions: &mut Vec<Action>,
-    ) {
+    fn on_replica_action(&mut self, action: consensus::Action, actions: &mut Vec<Action>) {
         match action {
             consensus::Action::Send { to, message } => self.send_consensus(to, message),
             consensus::Action::Persist { number, record } => {
@@ -80,13 +89,12 @@
             }
             consensus::Action::Leads { view, since } => {
                 actions.push(Action::Log(format!("leads the council, view {}", view.number)));
-                let from = self.replica.op();
-                self.leads = true;
-                let epoch = view.epoch;
+                self.is_leader = true;
+                let (epoch, from) = (view.epoch, self.replica.op());
                 self.step_leases(leases::Event::Leads { since, epoch, from });
             }
             consensus::Action::Follows => {
-                self.leads = false;
+                self.is_leader = false;
                 self.step_leases(leases::Event::Follows);
             }
             consensus::Action::Round { began } => self.step_leases(leases::Event::Round { began }),
@@ -94,7 +102,7 @@
                 self.step_learner(LearnerEvent::Committed { index, entry });
             }
             consensus::Action::Reset { index, base } => {
-                self.step_learner(LearnerEvent::Reset { index, base })
+                self.step_learner(LearnerEvent::Reset { index, base });
             }
             consensus::Action::SnapshotWanted => {
                 if let Some((index, bytes)) = self.encode_state(actions) {
@@ -107,34 +115,14 @@
         }
     }
 
-    pub(super) fn on_learner_action(&mut self, action: LearnerAction, actions: &mut Vec<Action>) {
+    fn on_learner_action(&mut self, action: LearnerAction, actions: &mut Vec<Action>) {
         match action {
             LearnerAction::Send { to, message } => self.send_consensus(to, message),
-            LearnerAction::Committed { index, entry } => {
-                let none = Vec::new();
-                let bytes =
-                    if let EntryPayload::Command(bytes) = &entry.what { bytes } else { &none };
-                let applied = self.policy.apply(index.op(), bytes);
-                if let Some(cause) = applied.unreadable.filter(|_| !bytes.is_empty()) {
-                    actions.push(Action::Log(format!("entry {index} of the log: {cause}")));
-                }
-                self.at = index;
-                self.answer_calls(actions);
-                self.on_applied();
-            }
-            LearnerAction::Reset { index, state } => {
-                match self.decode_state(&state) {
-                    Ok(policy) => (self.policy, self.at) = (policy, index),
-                    Err(cause) => {
-                        actions.push(Action::Log(format!("a copy of the log at {index}: {cause}")))
-                    }
-                }
-                self.answer_calls(actions);
-                self.on_applied();
-            }
+            LearnerAction::Committed { index, entry } => self.apply(index, &entry, actions),
+            LearnerAction::Reset { index, state } => self.reset_state(index, &state, actions),
             LearnerAction::Source(source) => self.step_leases(leases::Event::Parent(source)),
             LearnerAction::Copied { by, index } => {
-                self.step_replica(consensus::Event::Copied { by, index })
+                self.step_replica(consensus::Event::Copied { by, index });
             }
             LearnerAction::Answered { id, outcome } => self.on_outcome(id, outcome, actions),
             LearnerAction::SnapshotWanted => {
@@ -145,21 +133,51 @@
         }
     }
 
+    /// Applies a committed entry of the log.
+    fn apply(&mut self, index: consensus::LogIndex, entry: &Entry, actions: &mut Vec<Action>) {
+        let bytes: &[u8] = match &entry.what {
+            EntryPayload::Command(bytes) => bytes,
+            _ => &[],
+        };
+        let applied = self.policy.apply(index.op(), bytes);
+        if let Some(cause) = applied.unreadable.filter(|_| !bytes.is_empty()) {
+            actions.push(Action::Log(format!("entry {index} of the log: {cause}")));
+        }
+        self.applied_index = index;
+        self.after_apply(actions);
+    }
+
+    /// Replaces the policy state by a copy of it. One that can't be decoded leaves it as it is.
+    fn reset_state(&mut self, index: consensus::LogIndex, state: &[u8], actions: &mut Vec<Action>) {
+        match self.decode_state(state) {
+            Ok(policy) => (self.policy, self.applied_index) = (policy, index),
+            Err(cause) => {
+                actions.push(Action::Log(format!("a copy of the log at {index}: {cause}")));
+            }
+        }
+        self.after_apply(actions);
+    }
+
+    /// Hands the policy state to what depends on it.
+    fn after_apply(&mut self, actions: &mut Vec<Action>) {
+        self.answer_calls(actions);
+        let (epoch, status) = (self.applied_index.epoch(), Box::new(self.policy.status()));
+        self.step_lists(lists::Event::FallbackFloor(status.rules.oldest_list()));
+        self.step_leases(leases::Event::Applied { epoch, status });
+    }
+
     /// A copy without content is that of a log without entries.
-    pub(super) fn decode_state(&self, state: &[u8]) -> Result<PolicyState, String> {
+    fn decode_state(&self, state: &[u8]) -> Result<PolicyState, DecodeError> {
         if state.is_empty() {
-            return PolicyState::found(self.setup.bootstrap.clone()).map_err(|e| e.to_string());
+            return Ok(PolicyState::found(self.setup.bootstrap.clone())?);
         }
-        PolicyState::from_image(state).map_err(|e| e.to_string())
+        Ok(PolicyState::from_image(state)?)
     }
 
-    /// The book as bytes, and the entry up to which it is that.
-    pub(super) fn encode_state(
-        &self,
-        actions: &mut Vec<Action>,
-    ) -> Option<(consensus::LogIndex, Vec<u8>)> {
+    /// The policy state as bytes, and the last entry that it includes.
+    fn encode_state(&self, actions: &mut Vec<Action>) -> Option<(consensus::LogIndex, Vec<u8>)> {
         match self.policy.image() {
-            Ok(bytes) => Some((self.at, bytes)),
+            Ok(bytes) => Some((self.applied_index, bytes)),
             Err(cause) => {
                 actions.push(Action::Log(format!("no image of the rule book: {cause}")));
                 None
@@ -167,68 +185,53 @@
         }
     }
 
-    pub(super) fn on_applied(&mut self) {
-        let (epoch, status) = (self.at.epoch(), Box::new(self.policy.status()));
-        self.step_lists(lists::Event::FallbackFloor(status.rules.oldest_list()));
-        self.step_leases(leases::Event::Applied { epoch, status });
+    fn on_list_action(&mut self, action: lists::Action, actions: &mut Vec<Action>) {
+        match action {
+            lists::Action::Tell(message) => self.send_to_neighbours(&message.to_bytes()),
+            lists::Action::Changed => self.update_stops(actions),
+            lists::Action::Poll { .. } => actions.push(Action::RefreshList),
+            lists::Action::WakeAt(at) => self.timers.lists_due = Some(at),
+        }
     }
 
-    pub(super) fn step_lists(&mut self, event: lists::Event) {
-        let mut out = Vec::new();
-        self.lists.handle(self.now, event, &mut out);
-        self.queue.extend(out.into_iter().map(ComponentAction::Lists));
+    /// Sends a message on endpoint lists to the parent and the children in the dissemination tree.
+    fn send_to_neighbours(&mut self, message: &[u8]) {
+        let parent = self.learner.source();
+        let neighbours: Vec<NodeId> = parent.into_iter().chain(self.learner.children()).collect();
+        for to in neighbours {
+            let (channel, how, message) = (Channel::Lists, How::Usual, message.to_vec());
+            self.step_wire(peers::Event::Send { to, channel, message, how });
+        }
     }
 
-    pub(super) fn on_list_action(&mut self, action: lists::Action, actions: &mut Vec<Action>) {
-        match action {
-            lists::Action::Tell(message) => {
-                let message = message.to_bytes();
-                let neighbours: Vec<NodeId> =
-                    self.learner.source().into_iter().chain(self.learner.children()).collect();
-                for to in neighbours {
-                    let (channel, how, message) = (Channel::Lists, How::Usual, message.clone());
-                    self.step_wire(peers::Event::Send { to, channel, message, how });
-                }
-            }
-            lists::Action::Changed => {
-                let names = self.lists.stopped().map(str::to_string).collect();
-                let stops = StoppedUpstreams { names, old: self.lists.is_old() };
-                if stops != self.stops {
-                    self.stops = stops.clone();
-                    actions.push(Action::Stop(stops));
-                }
-            }
-            lists::Action::Poll { .. } => actions.push(Action::RefreshList),
-            lists::Action::WakeAt(at) => self.lists_due = Some(at),
+    fn update_stops(&mut self, actions: &mut Vec<Action>) {
+        let names = self.lists.stopped().map(str::to_string).collect();
+        let stops = StoppedUpstreams { names, old: self.lists.is_old() };
+        if stops != self.stops {
+            self.stops = stops.clone();
+            actions.push(Action::Stop(stops));
         }
     }
 
-    pub(super) fn on_lease_action(&mut self, action: leases::Action, actions: &mut Vec<Action>) {
+    fn on_lease_action(&mut self, action: leases::Action, actions: &mut Vec<Action>) {
         match action {
             leases::Action::Send { to, message } => {
-                let (channel, how) = (Channel::Leases, How::Urgent);
-                self.step_wire(peers::Event::Send {
-                    to,
-                    channel,
-                    message: message.to_bytes(),
-                    how,
-                });
+                let (channel, message, how) = (Channel::Leases, message.to_bytes(), How::Urgent);
+                self.step_wire(peers::Event::Send { to, channel, message, how });
             }
             leases::Action::Publish(in_force) => actions.push(Action::Publish(in_force)),
             leases::Action::PersistFallbackPolicy { fallback_generation, fallback_policy } => {
-                if self.setup.directory {
-                    let fallback_policy = (*fallback_policy).clone();
-                    actions.push(Action::PersistFallbackPolicy {
-                        fallback_generation,
-                        fallback_policy,
-                    });
-                } else {
+                if !self.setup.directory {
                     self.step_leases(leases::Event::FallbackPolicyPersisted {
                         fallback_generation,
                     });
+                    return;
                 }
+                let fallback_policy = (*fallback_policy).clone();
+                actions
+                    .push(Action::PersistFallbackPolicy { fallback_generation, fallback_policy });
             }
-            leases::Action::WakeAt(at) => self.leases_due = Some(at),
+            leases::Action::WakeAt(at) => self.timers.leases_due = Some(at),
             leases::Action::Propose(entry) => {
                 let id = self.next_proposal();
                 if let Ok(bytes) = entry.to_bytes() {
@@ -236,11 +239,29 @@
                     self.step_learner(LearnerEvent::Propose { id, bytes });
                 }
             }
-            // The log's own learner asks its source every 300 ms, and is told of what is new at once.
+            // The learner polls its source by itself, and is notified of new entries at once.
             leases::Action::Learn { .. } => {}
             leases::Action::ChangeParent { than } => {
-                self.step_learner(LearnerEvent::ChangeSource(than))
+                self.step_learner(LearnerEvent::ChangeSource(than));
             }
         }
     }
 }
+
+/// Why a copy of the policy state can't be used.
+#[derive(Debug, thiserror::Error)]
+enum DecodeError {
+    #[error(transparent)]
+    Bootstrap(#[from] hollowpaddle_revision::policy_state::BootstrapError),
+    #[error(transparent)]
+    Image(#[from] hollowpaddle_revision::snapshot::ImageError),
+}
+
+/// How a message of the replica or the learner is sent: large parts yield to everything else.
+fn delivery_mode(body: &MessageBody) -> How {
+    match body {
+        MessageBody::Part(_) | MessageBody::News { part: Some(_), .. } => How::Bulk,
+        MessageBody::Prepare { .. } | MessageBody::Propose { .. } => How::Usual,
+        _ => How::Urgent,
+    }
+}
