--- a/crates/gateway/src/cluster/durable_log.rs
+++ b/crates/gateway/src/cluster/durable_log.rs
@@ -147,7 +147,7 @@
     let mut store = hollowpaddle_snapshot::Store::new(directory, name);
     let loaded = store.load(NO_DATE, NO_DATE);
     for aside in &loaded.aside {
-        tracing::error!(file = aside.file, suspect = %aside.doubt, "stored fallback policy set aside");
+        tracing::error!(file = aside.file, suspect = %aside.reason, "stored fallback policy set aside");
     }
     let stored = loaded
         .snapshot
--- a/crates/gateway/src/state_store.rs
+++ b/crates/gateway/src/state_store.rs
@@ -148,8 +148,8 @@
         let mut set_aside = Vec::new();
         for aside in &found.aside {
             let place = aside.moved_to.as_deref().unwrap_or("where it was");
-            tracing::error!(file = aside.file, doubt = %aside.doubt, "not believed; it lies {place}");
-            set_aside.push(format!("{}: {}", aside.file, aside.doubt));
+            tracing::error!(file = aside.file, doubt = %aside.reason, "not believed; it lies {place}");
+            set_aside.push(format!("{}: {}", aside.file, aside.reason));
         }
         let mut state = State::default();
         if let Some(snapshot) = &found.snapshot {
@@ -235,7 +235,7 @@
 
     /// How this start went on and how saving goes, for operators.
     pub fn told(&self) -> serde_json::Value {
-        let Status { saved, failing, writing, passed_over } = self.keep.status();
+        let Status { saved, failure, is_writing, superseded } = self.keep.status();
         let now = self.now();
         serde_json::json!({
             "ok": true,
@@ -244,9 +244,9 @@
             "saving": {
                 "generation": saved.map(|(generation, _)| generation),
                 "age_s": saved.map(|(_, at)| now.saturating_sub(at).as_secs_f64()),
-                "failing": failing,
-                "writing": writing,
-                "passed_over": passed_over,
+                "failing": failure,
+                "writing": is_writing,
+                "passed_over": superseded,
             },
         })
     }
--- a/crates/gateway/src/state_store/tests.rs
+++ b/crates/gateway/src/state_store/tests.rs
@@ -17,7 +17,7 @@
         true
     }
     fn status(&self) -> Status {
-        Status { saved: None, failing: None, writing: false, passed_over: 0 }
+        Status { saved: None, failure: None, is_writing: false, superseded: 0 }
     }
 }
 
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -19,4 +19,7 @@
 
 pub use disk::{Directory, Disk};
 pub use saver::{Saver, Status};
-pub use store::{Doubt, Found, LONGEST, SetAside, Snapshot, Store, StoreError, VERSION};
+pub use store::{
+    FORMAT_VERSION, Found, MAX_PAYLOAD_BYTES, SetAsideFile, Snapshot, Store, StoreError,
+    SuspectState,
+};
--- a/crates/snapshot/src/saver.rs
+++ b/crates/snapshot/src/saver.rs
@@ -12,11 +12,11 @@
     /// Generation that was saved last, and when, in Unix time.
     pub saved: Option<(u64, Duration)>,
     /// What went wrong since then.
-    pub failing: Option<String>,
+    pub failure: Option<String>,
     /// One is being written.
-    pub writing: bool,
+    pub is_writing: bool,
     /// Snapshots that were never written, because a newer one came first.
-    pub passed_over: u64,
+    pub superseded: u64,
 }
 
 /// What is to be saved, made by whoever saves it.
@@ -62,7 +62,7 @@
                     let mut slot = of_thread.slot();
                     loop {
                         if let Some(next) = slot.next.take() {
-                            slot.status.writing = true;
+                            slot.status.is_writing = true;
                             break next;
                         }
                         if slot.ends {
@@ -74,13 +74,13 @@
                 let done = store.save(now, &make());
                 let status = {
                     let mut slot = of_thread.slot();
-                    slot.status.writing = false;
+                    slot.status.is_writing = false;
                     match done {
                         Ok(generation) => {
-                            (slot.status.saved, slot.status.failing) =
+                            (slot.status.saved, slot.status.failure) =
                                 (Some((generation, now)), None);
                         }
-                        Err(cause) => slot.status.failing = Some(cause.to_string()),
+                        Err(cause) => slot.status.failure = Some(cause.to_string()),
                     }
                     slot.status.clone()
                 };
@@ -95,8 +95,8 @@
     /// thread that saves. Never waits for a disk.
     pub fn save(&self, now: Duration, make: impl FnOnce() -> Vec<u8> + Send + 'static) {
         let mut slot = self.0.slot();
-        let passed_over = slot.next.replace((now, Box::new(make)));
-        slot.status.passed_over += u64::from(passed_over.is_some());
+        let superseded = slot.next.replace((now, Box::new(make)));
+        slot.status.superseded += u64::from(superseded.is_some());
         drop(slot);
         self.0.changed.notify_all();
     }
@@ -109,7 +109,7 @@
     /// Whether nothing waits to be written, and nothing is being written.
     pub fn is_idle(&self) -> bool {
         let slot = self.0.slot();
-        slot.next.is_none() && !slot.status.writing
+        slot.next.is_none() && !slot.status.is_writing
     }
 }
 
--- a/crates/snapshot/tests/damage.rs
+++ b/crates/snapshot/tests/damage.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 use std::{fs, io};
 
-use hollowpaddle_snapshot::{Directory, Disk, Doubt, LONGEST, Store, StoreError};
+use hollowpaddle_snapshot::{Directory, Disk, MAX_PAYLOAD_BYTES, Store, StoreError, SuspectState};
 use proptest::prelude::*;
 
 const NOW: Duration = Duration::from_secs(1_786_000_000);
@@ -127,27 +127,27 @@
 fn anothers_a_later_builds_too_old_ones_and_ones_from_the_future_are_named() {
     let dir = dir();
     let path = dir.path().join("snapshot");
-    let doubt = |now: Duration, oldest| {
+    let reason = |now: Duration, oldest| {
         let mut found = store(dir.path(), "n0").load(now, oldest);
         assert!(found.snapshot.is_none() && found.aside.len() == 1);
         let aside = found.aside.remove(0);
         assert!(aside.file.ends_with("snapshot"));
         assert_eq!(aside.moved_to.is_none(), path.exists(), "moved, or where it was");
-        aside.doubt
+        aside.reason
     };
     store(dir.path(), "n1").save(NOW, b"x").expect("saved");
-    assert!(matches!(doubt(NOW, DAY), Doubt::Foreign(name) if name == "n1"));
+    assert!(matches!(reason(NOW, DAY), SuspectState::WrongOwner(name) if name == "n1"));
     store(dir.path(), "n0").save(NOW, b"x").expect("saved");
-    assert!(matches!(doubt(NOW + 2 * DAY, DAY), Doubt::TooOld(age) if age == 2 * DAY));
+    assert!(matches!(reason(NOW + 2 * DAY, DAY), SuspectState::Expired(age) if age == 2 * DAY));
     store(dir.path(), "n0").save(NOW, b"x").expect("saved");
-    assert!(matches!(doubt(NOW - DAY, DAY), Doubt::Future(by) if by == DAY));
+    assert!(matches!(reason(NOW - DAY, DAY), SuspectState::FromFuture(by) if by == DAY));
     fs::write(&path, "{\"form\":\"hollowpaddle-snapshot\",\"version\":2,\"more\":1}\nx")
         .expect("written");
-    assert!(matches!(doubt(NOW, DAY), Doubt::Version(2)));
+    assert!(matches!(reason(NOW, DAY), SuspectState::Version(2)));
     fs::write(&path, "{\"form\":\"other\",\"version\":1}\nx").expect("written");
-    assert!(matches!(doubt(NOW, DAY), Doubt::NoHead(_)));
+    assert!(matches!(reason(NOW, DAY), SuspectState::NoHeader(_)));
     fs::create_dir(&path).expect("a directory in its place");
-    assert!(matches!(doubt(NOW, DAY), Doubt::Unreadable(_)));
+    assert!(matches!(reason(NOW, DAY), SuspectState::Unreadable(_)));
     fs::remove_dir(&path).expect("out of the way");
     // A clock that differs a little is no reason for doubt.
     store(dir.path(), "n0").save(NOW + Duration::from_secs(3), b"x").expect("saved");
@@ -159,7 +159,7 @@
     let dir = dir();
     let mut one = store(dir.path(), "n0");
     one.save(NOW, b"kept").expect("saved");
-    let long = vec![0; LONGEST + 1];
+    let long = vec![0; MAX_PAYLOAD_BYTES + 1];
     assert!(matches!(one.save(NOW, &long), Err(StoreError::TooLong(_))));
     fs::create_dir(dir.path().join("snapshot.new")).expect("in the way");
     let told = one.save(NOW, b"lost").expect_err("in the way").to_string();
--- a/crates/snapshot/tests/formats.rs
+++ b/crates/snapshot/tests/formats.rs
@@ -5,7 +5,7 @@
 use std::path::Path;
 use std::time::Duration;
 
-use hollowpaddle_snapshot::{Directory, Doubt, Store, StoreError};
+use hollowpaddle_snapshot::{Directory, Store, StoreError, SuspectState};
 
 /// Unix time of the save that wrote the first container.
 const WRITTEN: Duration = Duration::from_millis(1_786_000_000_123);
@@ -71,7 +71,7 @@
     let directory = tempfile::tempdir().expect("a directory");
     fs::write(directory.path().join("snapshot"), bytes).expect("written");
     let found = store(directory.path(), name).load(now, DAY);
-    found.aside[0].doubt.to_string()
+    found.aside[0].reason.to_string()
 }
 
 #[test]
@@ -106,7 +106,7 @@
     }
     let message = reason(head_with_more.as_bytes(), NAME, WRITTEN);
     assert!(message.contains("unknown field `more`"), "{message}");
-    let unreadable = Doubt::Unreadable(io::Error::other("EIO"));
+    let unreadable = SuspectState::Unreadable(io::Error::other("EIO"));
     assert_eq!(unreadable.to_string(), "it can't be read (EIO)");
     let too_long = StoreError::TooLong(9_000_000).to_string();
     assert_eq!(too_long, "a snapshot of 9000000 bytes: 8388608 are the most");
--- a/crates/snapshot/tests/saver.rs
+++ b/crates/snapshot/tests/saver.rs
@@ -56,13 +56,13 @@
         saver.save(NOW + Duration::from_secs(n), move || n.to_string().into_bytes());
     }
     let status = saver.status();
-    assert!(status.writing && status.saved.is_none() && status.passed_over == 48, "{status:?}");
+    assert!(status.is_writing && status.saved.is_none() && status.superseded == 48, "{status:?}");
     word.send(Ok(())).expect("it waits");
     assert_eq!(told.recv_timeout(SOON).expect("told").saved, Some((1, NOW)));
     assert_eq!(next(), b"50");
     word.send(Err(io::ErrorKind::StorageFull.into())).expect("it waits");
     let status = told.recv_timeout(SOON).expect("told");
-    assert!(status.failing.is_some_and(|f| f.contains("no storage space")), "what happened");
+    assert!(status.failure.is_some_and(|f| f.contains("no storage space")), "what happened");
     assert_eq!(status.saved, Some((1, NOW)), "what was saved before still is");
     assert!(saver.is_idle());
     saver.save(NOW, || b"51".to_vec());
@@ -70,5 +70,5 @@
     assert_eq!(next(), b"51");
     word.send(Ok(())).expect("it waits");
     let status = told.recv_timeout(SOON).expect("told");
-    assert_eq!((status.saved, status.failing), (Some((2, NOW)), None));
+    assert_eq!((status.saved, status.failure), (Some((2, NOW)), None));
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -134,12 +134,12 @@
     let mut failing = false;
     let saver = Saver::start(store, move |status: &Status| {
         // Once when it begins to fail, and once when it is well again: it is tried every other second.
-        match (&status.failing, failing) {
+        match (&status.failure, failing) {
             (Some(cause), false) => tracing::error!(%cause, "what was learned can't be saved"),
             (None, true) => tracing::info!("what was learned is saved again"),
             _ => {}
         }
-        failing = status.failing.is_some();
+        failing = status.failure.is_some();
     });
     match saver {
         Ok(saver) => Some(Kept { keep: Box::new(saver), found }),
