--- a/crates/ctl/src/in_process.rs
+++ b/crates/ctl/src/in_process.rs
@@ -56,7 +56,7 @@
             let full = Arc::new(AtomicBool::new(false));
             let disk = Disklike { directory, full: full.clone() };
             let mut store = hollowpaddle_snapshot::Store::new(disk, &name);
-            let found = store.load(network.unix_now(), hollowpaddle_recovery::oldest());
+            let found = store.load(network.unix_now(), hollowpaddle_recovery::max_age());
             let next = Rc::default();
             let store = Rc::new(RefCell::new(store));
             Ok(Kept { keep: Box::new(InTurn { store, troubles, full, next }), found })
--- a/crates/gateway/src/restored_list.rs
+++ b/crates/gateway/src/restored_list.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use hollowpaddle_recovery::{Belief, What, belief};
+use hollowpaddle_recovery::{RestoredState, Trust, trust};
 use rustc_hash::FxHashSet;
 
 use crate::members::{List, Phase};
@@ -28,10 +28,10 @@
     if stored.revision <= known.revision && !known.members.is_empty() {
         return None;
     }
-    let whole = match belief(What::List, age) {
-        Belief::Whole => true,
-        Belief::Cautious => false,
-        Belief::Nothing => return None,
+    let whole = match trust(RestoredState::EndpointList, age) {
+        Trust::Full => true,
+        Trust::Cautious => false,
+        Trust::None => return None,
     };
     let named: FxHashSet<&str> = known.members.iter().map(|m| &*m.id).collect();
     let mut list = List { revision: known.revision, complete: whole, ..stored.clone() };
--- a/crates/gateway/src/state_store.rs
+++ b/crates/gateway/src/state_store.rs
@@ -8,7 +8,7 @@
 
 use hollowpaddle_operator_commands::{Copied, Words};
 use hollowpaddle_policy::learned::Learned;
-use hollowpaddle_recovery::{Belief, SETTLED, Starts, Way, What, belief};
+use hollowpaddle_recovery::{RestoredState, SETTLED_AFTER, StartHistory, StartMode, Trust, trust};
 use hollowpaddle_snapshot::{Found, Saver, Status};
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 use tokio::time::{Instant, sleep};
@@ -62,7 +62,7 @@
 #[derive(Clone, Default, Serialize, Deserialize)]
 #[serde(default)]
 struct State {
-    starts: Starts,
+    starts: StartHistory,
     /// What the settings' numbers and names meant when that was learned and heard; an older build didn't say.
     meaning: u64,
     learned: Option<Learned>,
@@ -115,7 +115,7 @@
     keep: Box<dyn Keep>,
     now: Duration,
     state: State,
-    way: Way,
+    mode: StartMode,
     list_age_s: Option<f64>,
     set_aside: Vec<String>,
 }
@@ -127,7 +127,7 @@
     /// Unix time at the start, and the start.
     epoch: (Duration, Instant),
     state: RefCell<State>,
-    way: Way,
+    mode: StartMode,
     comeback: Comeback,
     copied: Copied,
     /// Lists taken in by the engine, as of the one that is kept.
@@ -161,10 +161,10 @@
                 }
             }
         }
-        let way = state.starts.begin(now);
-        if way > Way::Usual {
-            let crashes = state.starts.crashes();
-            tracing::error!(crashes, "a crash loop: gone on {}", way.name());
+        let mode = state.starts.begin(now);
+        if mode > StartMode::Normal {
+            let crashes = state.starts.crash_count();
+            tracing::error!(crashes, "a crash loop: gone on {}", mode.name());
             (state.learned, state.learned_ms, state.list) = (None, 0, None);
         }
         // Failure: the list of another deployment lay over the configuration's, and all that this names was gone.
@@ -183,20 +183,20 @@
         if list.is_none() {
             state.list = None;
         }
-        (Self { keep, now, state, way, list_age_s, set_aside }, list)
+        (Self { keep, now, state, mode, list_age_s, set_aside }, list)
     }
 }
 
 impl Keeper {
     /// Goes on from what was found.
     pub fn start(recovered: Recovered, engine: Door) -> Rc<Self> {
-        let Recovered { keep, now, mut state, way, list_age_s, set_aside } = recovered;
+        let Recovered { keep, now, mut state, mode, list_age_s, set_aside } = recovered;
         let age = now.saturating_sub(Duration::from_millis(state.learned_ms));
         let mut from = "nothing";
         if let Some(learned) = state.learned.clone()
-            && belief(What::Fleet, age) == Belief::Whole
+            && trust(RestoredState::Fleet, age) == Trust::Full
         {
-            let ours = belief(What::Upstreams, age) == Belief::Whole;
+            let ours = trust(RestoredState::Upstreams, age) == Trust::Full;
             engine.recall(if ours { learned } else { learned.of_fleet() });
             from = "snapshot";
         } else {
@@ -212,18 +212,18 @@
             None if set_aside.is_empty() => Copied::Nothing,
             None => Copied::Lost(set_aside.join("; ")),
         };
-        let (starts, crashes) = (state.starts.count(), state.starts.crashes());
+        let (starts, crashes) = (state.starts.count(), state.starts.crash_count());
         let age_s = (from == "snapshot").then_some(age.as_secs_f64());
-        tracing::info!(way = way.name(), from, age_s, starts, crashes, "comes back");
+        tracing::info!(way = mode.name(), from, age_s, starts, crashes, "comes back");
         let comeback =
-            Comeback { way: way.name(), from, age_s, list_age_s, starts, crashes, set_aside };
+            Comeback { way: mode.name(), from, age_s, list_age_s, starts, crashes, set_aside };
         let (epoch, state) = ((now, Instant::now()), RefCell::new(state));
         let keeper = Rc::new(Self {
             keep,
             engine,
             epoch,
             state,
-            way,
+            mode,
             comeback,
             copied,
             lists: Cell::new(0),
@@ -277,7 +277,7 @@
         let mut settled = false;
         loop {
             sleep(EVERY).await;
-            if !settled && self.epoch.1.elapsed() >= SETTLED {
+            if !settled && self.epoch.1.elapsed() >= SETTLED_AFTER {
                 settled = true;
                 self.state.borrow_mut().starts.settled();
             }
@@ -289,7 +289,7 @@
 
     /// Takes in what was learned by now. In the barest way nothing is.
     async fn learn(&self) {
-        if self.way == Way::Bare {
+        if self.mode == StartMode::Minimal {
             return;
         }
         let Some(learned) = self.engine.learned().await else { return };
@@ -302,7 +302,7 @@
     /// Takes in the list as it is by now, part by part, if a watch vouches for it. A list that changes meanwhile is had
     /// the next time.
     async fn hear(&self) {
-        if self.way == Way::Bare {
+        if self.mode == StartMode::Minimal {
             return;
         }
         let (mut members, mut from) = (Vec::new(), 0);
@@ -332,7 +332,7 @@
         self.hear().await;
         {
             let state = &mut *self.state.borrow_mut();
-            state.starts.ended();
+            state.starts.ended_in_order();
             state.said.get_or_insert_default().last = true;
         }
         self.save();
--- a/crates/recovery/src/start_history.rs
+++ b/crates/recovery/src/start_history.rs
@@ -1,97 +1,101 @@
-//! Starts of one balancer, as each notes them for the next: whether they are a crash loop, and what is done without.
+//! The starts of one balancer, as each start records them for the next: whether they are a crash loop, and what the next
+//! start does without.
 
 use std::time::Duration;
 
 use serde::{Deserialize, Serialize};
 
-/// Crashes are counted over so long.
-pub const WINDOW: Duration = Duration::from_secs(120);
-/// So many of them, and what is stored is not gone on from: it may be the cause.
-pub const MANY: usize = 3;
-/// So many, and nothing that is ours alone is done.
-pub const TOO_MANY: usize = 6;
-/// A start that served for so long has not crashed, whatever ends it.
-pub const SETTLED: Duration = Duration::from_secs(30);
-/// So many starts are remembered: a loop of one a second must not fill a disk.
-pub const REMEMBERED: usize = 16;
+/// Time over which crashes are counted.
+pub const CRASH_WINDOW: Duration = Duration::from_secs(120);
+/// Crashes from which on a start uses no snapshot: it may be the cause.
+pub const CRASH_LOOP_STARTS: usize = 3;
+/// Crashes from which on a start does only what the platform requires.
+pub const MINIMAL_MODE_STARTS: usize = 6;
+/// A start that has served for this long has not crashed, whatever ends it.
+pub const SETTLED_AFTER: Duration = Duration::from_secs(30);
+/// Most starts that are recorded: a loop of one a second must not fill a disk.
+pub const MAX_RECORDED_STARTS: usize = 16;
 
-/// How a start goes on.
+/// What a start uses. Ordered from all to least.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
-pub enum Way {
-    /// From all that there is.
-    Usual,
-    /// From nothing that was stored.
+pub enum StartMode {
+    /// Everything that was stored.
+    Normal,
+    /// Nothing that was stored.
     WithoutSnapshot,
-    /// From nothing, and with nothing beyond what the platform asks for.
-    Bare,
+    /// Nothing that was stored, and no function that the platform does not require.
+    Minimal,
 }
 
-impl Way {
-    /// As the log and the door call it.
+impl StartMode {
+    /// The name in the log and in `GET /admin/start`.
     pub fn name(self) -> &'static str {
         match self {
-            Way::Usual => "usual",
-            Way::WithoutSnapshot => "without-snapshot",
-            Way::Bare => "bare",
+            StartMode::Normal => "usual",
+            StartMode::WithoutSnapshot => "without-snapshot",
+            StartMode::Minimal => "bare",
         }
     }
 }
 
-/// One start that neither ended in order nor settled, so far.
+/// A start that so far neither ended in order nor settled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
-struct Start {
-    /// In milliseconds of Unix time.
+#[serde(expecting = "struct Start")]
+struct UnfinishedStart {
+    /// Milliseconds of Unix time.
     at_ms: u64,
 }
 
-/// What one start notes for the next.
+/// What one start records for the next.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
-#[serde(default)]
-pub struct Starts {
-    /// Starts that were not seen to end well, in their order.
-    open: Vec<Start>,
-    /// How often the program was started here.
+#[serde(default, expecting = "struct Starts")]
+pub struct StartHistory {
+    /// In their order; the present start is the last.
+    #[serde(rename = "open")]
+    unfinished: Vec<UnfinishedStart>,
+    /// Number of starts so far.
     count: u64,
 }
 
-impl Starts {
-    /// Notes a start, `now` in Unix time; how it is to go on.
-    pub fn begin(&mut self, now: Duration) -> Way {
+impl StartHistory {
+    /// Records a start at `now` (Unix time), and returns what it is to use.
+    pub fn begin(&mut self, now: Duration) -> StartMode {
         let now_ms = now.as_millis() as u64;
-        let window = WINDOW.as_millis() as u64;
-        // One from the future was noted by a clock that was ahead: it may have been just now, and counts for so long
-        // from here on.
-        self.open.iter_mut().for_each(|s| s.at_ms = s.at_ms.min(now_ms));
-        self.open.retain(|s| now_ms - s.at_ms <= window);
-        let crashes = self.open.len();
-        self.open.push(Start { at_ms: now_ms });
-        let over = self.open.len().saturating_sub(REMEMBERED);
-        self.open.drain(..over);
+        let window_ms = CRASH_WINDOW.as_millis() as u64;
+        // A start in the future was recorded by a clock that was ahead. It may have been just now, so it counts from now.
+        for start in &mut self.unfinished {
+            start.at_ms = start.at_ms.min(now_ms);
+        }
+        self.unfinished.retain(|start| now_ms - start.at_ms <= window_ms);
+        let crashes = self.unfinished.len();
+        self.unfinished.push(UnfinishedStart { at_ms: now_ms });
+        let excess = self.unfinished.len().saturating_sub(MAX_RECORDED_STARTS);
+        self.unfinished.drain(..excess);
         self.count += 1;
         match crashes {
-            TOO_MANY.. => Way::Bare,
-            MANY.. => Way::WithoutSnapshot,
-            _ => Way::Usual,
+            MINIMAL_MODE_STARTS.. => StartMode::Minimal,
+            CRASH_LOOP_STARTS.. => StartMode::WithoutSnapshot,
+            _ => StartMode::Normal,
         }
     }
 
-    /// The present start ended in order: it is no crash. Those before it still are.
-    pub fn ended(&mut self) {
-        self.open.pop();
+    /// The present start ends in order: it is no crash. Those before it still count.
+    pub fn ended_in_order(&mut self) {
+        self.unfinished.pop();
     }
 
-    /// The present start has served for [`SETTLED`]: whatever was wrong is over.
+    /// The present start has served for [`SETTLED_AFTER`]: no earlier crash counts any more.
     pub fn settled(&mut self) {
-        self.open.clear();
+        self.unfinished.clear();
     }
 
-    /// How often the program was started here, the present start included: its incarnation.
+    /// Number of starts so far, the present one included.
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// Starts within [`WINDOW`] of the present one that ended badly.
-    pub fn crashes(&self) -> usize {
-        self.open.len().saturating_sub(1)
+    /// Starts within [`CRASH_WINDOW`] before the present one that crashed.
+    pub fn crash_count(&self) -> usize {
+        self.unfinished.len().saturating_sub(1)
     }
 }
--- a/crates/recovery/src/trust.rs
+++ b/crates/recovery/src/trust.rs
@@ -1,62 +1,63 @@
-//! What may be believed of stored knowledge at which age: the one place that says so.
+//! How far each kind of restored state is trusted at which age. What discovery delivers always goes before it.
 
 use std::time::Duration;
 
-/// A kind of knowledge.
+/// A kind of restored state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum What {
-    /// What was learned of the fleet as a whole: service times by class, lanes and warm rates by kind.
+pub enum RestoredState {
+    /// Estimates for the whole fleet: service times by class, concurrency levels and warm-up rates by machine type.
     Fleet,
-    /// What was learned of single upstreams since a start of theirs: their way and their slowness.
+    /// Estimates for single upstreams since their last start: round-trip time and slowness.
     Upstreams,
-    /// The list of upstreams as last heard, and when that was.
-    List,
-    /// What operators have said.
-    Words,
-    /// Shares of something that others hold the rest of.
+    /// The endpoint list that discovery delivered last, and when.
+    EndpointList,
+    /// What operators commanded: cordons and quiescing.
+    OperatorState,
+    /// Shares of a budget whose rest other balancers hold.
     Budgets,
 }
 
-/// How far something is believed.
+/// How far restored state is trusted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Belief {
-    /// As if it had been learned just now.
-    Whole,
-    /// What it takes out is out. Whom it alone names is tried as one that has just started; nobody is gone by being left
-    /// out of it.
+pub enum Trust {
+    /// As if it were new.
+    Full,
+    /// An endpoint list takes out what it says is out. An upstream that it alone names counts as just started, and none is
+    /// gone because the list leaves it out.
     Cautious,
     /// Not at all.
-    Nothing,
+    None,
 }
 
-/// The fleet's figures: machines are replaced and loads move in a few minutes, and what is wrong of them is learned anew
-/// within some hundred answers.
-const FLEET: Duration = Duration::from_secs(600);
-/// An upstream's own: it may have been slow for a passing reason, and one wrong figure sends a share of the load there.
-const UPSTREAMS: Duration = Duration::from_secs(60);
+/// Machines are replaced and loads move within minutes, and wrong estimates are corrected by some hundred answers.
+const MAX_FLEET_AGE: Duration = Duration::from_secs(600);
+/// One upstream may have been slow for a passing reason, and one wrong estimate moves a share of the load.
+const MAX_UPSTREAM_AGE: Duration = Duration::from_secs(60);
+/// By this age the upstreams that a list names, and those that it drains, may all be gone.
+const MAX_FULL_LIST_AGE: Duration = Duration::from_secs(600);
+/// Operator commands apply until they are taken back, and a list's drains until a newer list. Of a copy of this age nobody
+/// knows any more what it was for.
+const MAX_AGE: Duration = Duration::from_secs(30 * 24 * 3600);
 
-/// Upstreams that it names and drains that it tells of may all be over by then.
-const LIST: Duration = Duration::from_secs(600);
-/// Operators' words count until they are taken back, and what a list took out until the list says otherwise. Of a copy as
-/// old as this nobody knows any more what it was for.
-const OLDEST: Duration = Duration::from_secs(30 * 24 * 3600);
+/// How far state of this kind and age is trusted.
+pub fn trust(state: RestoredState, age: Duration) -> Trust {
+    match state {
+        RestoredState::Fleet => full_until(MAX_FLEET_AGE, age),
+        RestoredState::Upstreams => full_until(MAX_UPSTREAM_AGE, age),
+        RestoredState::EndpointList if age <= MAX_FULL_LIST_AGE => Trust::Full,
+        RestoredState::EndpointList if age <= MAX_AGE => Trust::Cautious,
+        RestoredState::EndpointList => Trust::None,
+        RestoredState::OperatorState => full_until(MAX_AGE, age),
+        // The other balancers went on meanwhile, and may hold any share by now.
+        RestoredState::Budgets => Trust::None,
+    }
+}
 
-/// How far knowledge of this age is believed, where the list has nothing to say against it. What the list says wins.
-pub fn belief(what: What, age: Duration) -> Belief {
-    let most = match what {
-        What::Fleet => FLEET,
-        What::Upstreams => UPSTREAMS,
-        What::List if age <= LIST => return Belief::Whole,
-        What::List if age <= OLDEST => return Belief::Cautious,
-        What::List => return Belief::Nothing,
-        What::Words => OLDEST,
-        // The others went on meanwhile: whatever one held, somebody else may hold now.
-        What::Budgets => return Belief::Nothing,
-    };
-    if age <= most { Belief::Whole } else { Belief::Nothing }
+fn full_until(max_age: Duration, age: Duration) -> Trust {
+    if age <= max_age { Trust::Full } else { Trust::None }
 }
 
-/// Beyond this age nothing is believed of anything.
-pub fn oldest() -> Duration {
-    OLDEST
+/// The age beyond which nothing is trusted.
+pub fn max_age() -> Duration {
+    MAX_AGE
 }
--- a/crates/recovery/tests/formats.rs
+++ b/crates/recovery/tests/formats.rs
@@ -1,8 +1,8 @@
-//! The file of starts that one process leaves for the next, and the names of the ways to start, byte for byte.
+//! The file of starts that one process leaves for the next, and the names of the start modes, byte for byte.
 
 use std::time::Duration;
 
-use hollowpaddle_recovery::{Starts, Way};
+use hollowpaddle_recovery::{StartHistory, StartMode};
 
 const FIRST_START: Duration = Duration::from_millis(1_786_000_000_123);
 const SECOND_START: Duration = Duration::from_millis(1_786_000_001_000);
@@ -12,8 +12,8 @@
 const ONE_ENDED: &str = r#"{"open":[{"at_ms":1786000000123}],"count":2}"#;
 
 /// Two starts, of which none has ended in order.
-fn two_starts() -> Starts {
-    let mut starts = Starts::default();
+fn two_starts() -> StartHistory {
+    let mut starts = StartHistory::default();
     starts.begin(FIRST_START);
     starts.begin(SECOND_START);
     starts
@@ -22,21 +22,26 @@
 #[test]
 fn starts_are_written_and_read_byte_for_byte() {
     let mut one_ended = two_starts();
-    one_ended.ended();
+    one_ended.ended_in_order();
     for (starts, text) in
-        [(Starts::default(), NO_STARTS), (two_starts(), TWO_STARTS), (one_ended, ONE_ENDED)]
+        [(StartHistory::default(), NO_STARTS), (two_starts(), TWO_STARTS), (one_ended, ONE_ENDED)]
     {
         assert_eq!(serde_json::to_string(&starts).expect("JSON"), text);
-        assert_eq!(serde_json::from_str::<Starts>(text).expect("readable"), starts);
+        assert_eq!(serde_json::from_str::<StartHistory>(text).expect("readable"), starts);
     }
-    assert_eq!(serde_json::from_str::<Starts>("{}").expect("readable"), Starts::default());
+    assert_eq!(
+        serde_json::from_str::<StartHistory>("{}").expect("readable"),
+        StartHistory::default()
+    );
 }
 
 #[test]
-fn ways_to_start_keep_their_names() {
-    for (way, name) in
-        [(Way::Usual, "usual"), (Way::WithoutSnapshot, "without-snapshot"), (Way::Bare, "bare")]
-    {
-        assert_eq!(way.name(), name);
+fn start_modes_keep_their_names() {
+    for (mode, name) in [
+        (StartMode::Normal, "usual"),
+        (StartMode::WithoutSnapshot, "without-snapshot"),
+        (StartMode::Minimal, "bare"),
+    ] {
+        assert_eq!(mode.name(), name);
     }
 }
--- a/crates/recovery/tests/trust.rs
+++ b/crates/recovery/tests/trust.rs
@@ -1,40 +1,54 @@
-//! What is believed at which age, right at the limits.
+//! What is trusted at which age, right at the limits.
 
 use std::time::Duration;
 
-use hollowpaddle_recovery::{Belief, What, belief, oldest};
+use hollowpaddle_recovery::{RestoredState, Trust, max_age, trust};
 
 const MS: Duration = Duration::from_millis(1);
 
 #[test]
-fn each_kind_is_believed_up_to_its_age_and_budgets_never() {
-    for (what, seconds) in [(What::Fleet, 600), (What::Upstreams, 60), (What::Words, 2_592_000)] {
-        let most = Duration::from_secs(seconds);
-        assert_eq!(belief(what, Duration::ZERO), Belief::Whole);
-        assert_eq!(belief(what, most), Belief::Whole);
-        assert_eq!(belief(what, most + MS), Belief::Nothing);
+fn each_kind_is_trusted_up_to_its_age_and_budgets_never() {
+    for (kind, seconds) in [
+        (RestoredState::Fleet, 600),
+        (RestoredState::Upstreams, 60),
+        (RestoredState::OperatorState, 2_592_000),
+    ] {
+        let limit = Duration::from_secs(seconds);
+        assert_eq!(trust(kind, Duration::ZERO), Trust::Full);
+        assert_eq!(trust(kind, limit), Trust::Full);
+        assert_eq!(trust(kind, limit + MS), Trust::None);
     }
-    assert_eq!(belief(What::Budgets, Duration::ZERO), Belief::Nothing);
+    assert_eq!(trust(RestoredState::Budgets, Duration::ZERO), Trust::None);
 }
 
 #[test]
-fn a_list_is_believed_less_the_older_it_is() {
+fn endpoint_list_is_trusted_less_with_age() {
     let (minutes, days) = (Duration::from_secs(600), Duration::from_secs(30 * 24 * 3600));
-    for (age, believed) in [
-        (Duration::ZERO, Belief::Whole),
-        (minutes, Belief::Whole),
-        (minutes + MS, Belief::Cautious),
-        (days, Belief::Cautious),
-        (days + MS, Belief::Nothing),
+    for (age, expected) in [
+        (Duration::ZERO, Trust::Full),
+        (minutes, Trust::Full),
+        (minutes + MS, Trust::Cautious),
+        (days, Trust::Cautious),
+        (days + MS, Trust::None),
     ] {
-        assert_eq!(belief(What::List, age), believed, "{age:?}");
+        assert_eq!(trust(RestoredState::EndpointList, age), expected, "{age:?}");
     }
 }
 
 #[test]
-fn beyond_the_oldest_nothing_is_believed() {
-    for what in [What::Fleet, What::Upstreams, What::List, What::Words, What::Budgets] {
-        assert_eq!(belief(what, oldest() + MS), Belief::Nothing);
+fn nothing_is_trusted_beyond_the_maximum_age() {
+    for kind in [
+        RestoredState::Fleet,
+        RestoredState::Upstreams,
+        RestoredState::EndpointList,
+        RestoredState::OperatorState,
+        RestoredState::Budgets,
+    ] {
+        assert_eq!(trust(kind, max_age() + MS), Trust::None);
     }
-    assert_eq!(belief(What::Words, oldest()), Belief::Whole, "no longer than it has to be");
+    assert_eq!(
+        trust(RestoredState::OperatorState, max_age()),
+        Trust::Full,
+        "no longer than it has to be"
+    );
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -117,7 +117,7 @@
     std::thread::spawn(move || {
         let opened = Directory::open(dir).map(|dir| {
             let mut store = hollowpaddle_snapshot::Store::new(dir, &name);
-            let found = store.load(now, hollowpaddle_recovery::oldest());
+            let found = store.load(now, hollowpaddle_recovery::max_age());
             (store, found)
         });
         let _ = tell.send(opened);
