--- /dev/null
+++ b/crates/gateway/src/cluster/admin_api/parse.rs
@@ -0,0 +1,220 @@
+//! Reads one call of the admin API from its method, path, query and body. The only module that spells its paths and the
+//! keys of its bodies.
+
+use std::time::Duration;
+
+use hollowpaddle_peer_transport::NodeId;
+use hollowpaddle_revision::canary::CanaryTerms;
+use hollowpaddle_revision::document::Document;
+use hollowpaddle_revision::entry::CommandId;
+use hollowpaddle_revision::fallback_policy::FallbackPolicy;
+use serde::Deserialize;
+use serde_json::Value;
+
+use super::{
+    AdminRequest, Change, DEFAULT_ROLLOUT_WAIT, PolicyChange, RevisionOptions, VoterChange,
+};
+
+/// The longest wait that a call may ask for: the admin server closes a call after 2 s.
+const MAX_ROLLOUT_WAIT: Duration = Duration::from_millis(1800);
+/// Hexadecimal digits of the longest command id.
+const MAX_ID_DIGITS: usize = 32;
+/// First parts of the paths that belong to the cluster.
+const PATHS: [&str; 4] = ["/admin/bank", "/admin/revisions", "/admin/charter", "/admin/council"];
+
+/// Why a call can't be read.
+#[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
+pub enum AdminRequestError {
+    /// Nothing is served under this method and path.
+    #[error("there is no {method} {path}")]
+    NoSuch {
+        /// Method of the call.
+        method: String,
+        /// Path of the call.
+        path: String,
+    },
+    /// The body lacks something, or holds something else than expected.
+    #[error("reading the call: {0}")]
+    Body(String),
+}
+
+impl AdminRequestError {
+    fn missing(key: &str) -> Self {
+        Self::Body(format!("`{key}` is missing"))
+    }
+}
+
+/// Keys of all bodies. Each call reads those that it knows, and ignores the other ones.
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+struct Body {
+    #[serde(default)]
+    document: Option<Value>,
+    #[serde(default)]
+    to: Option<u64>,
+    #[serde(default)]
+    if_revision: Option<u64>,
+    #[serde(default)]
+    #[serde(rename = "trial")]
+    canary: Option<CanaryTerms>,
+    #[serde(default)]
+    force: bool,
+    #[serde(default)]
+    dry: bool,
+    #[serde(default)]
+    wait: Option<String>,
+    #[serde(default)]
+    within_s: Option<f64>,
+    #[serde(default)]
+    id: Option<String>,
+    #[serde(default)]
+    revision: Option<u64>,
+    #[serde(default)]
+    #[serde(rename = "charter")]
+    fallback_policy: Option<FallbackPolicy>,
+    #[serde(default)]
+    member: Option<u16>,
+    #[serde(default)]
+    out: Option<u16>,
+    #[serde(default)]
+    then: Option<u16>,
+    #[serde(default)]
+    members: Option<Vec<u16>>,
+}
+
+/// Whether a path belongs to the cluster's part of the admin API.
+pub fn is_cluster_path(path: &str) -> bool {
+    PATHS.iter().any(|prefix| {
+        path.strip_prefix(prefix).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
+    })
+}
+
+impl AdminRequest {
+    /// Reads a call.
+    ///
+    /// # Errors
+    /// Nothing is served there, or the body can't be read; the text says what was expected.
+    pub fn read(
+        method: &str,
+        path: &str,
+        query: &str,
+        body: &[u8],
+    ) -> Result<Self, AdminRequestError> {
+        let no_such =
+            || AdminRequestError::NoSuch { method: method.to_string(), path: path.to_string() };
+        let parts: Vec<&str> = path.trim_start_matches("/admin/").split('/').collect();
+        match (method, parts.as_slice()) {
+            ("GET", ["bank"]) => Ok(Self::Cluster),
+            ("GET", ["revisions"]) => Ok(Self::Revisions),
+            ("GET", ["revisions", "asked", id]) => command_id(id).map(Self::Asked),
+            ("GET", ["revisions", number]) => {
+                number.parse().map(Self::Revision).map_err(|_| no_such())
+            }
+            ("POST", parts) => {
+                let body = Body::read(body)?;
+                if let Some(change) = body.voter_change(parts)? {
+                    return Ok(Self::VoterChange(change));
+                }
+                let what = body.policy_change(parts)?.ok_or_else(no_such)?;
+                Ok(Self::Change(Box::new(body.change(what, query)?)))
+            }
+            _ => Err(no_such()),
+        }
+    }
+}
+
+impl Body {
+    fn read(bytes: &[u8]) -> Result<Self, AdminRequestError> {
+        let bytes = if bytes.is_empty() { b"{}" } else { bytes };
+        let mut reader = serde_json::Deserializer::from_slice(bytes);
+        serde_path_to_error::deserialize(&mut reader)
+            .map_err(|e| AdminRequestError::Body(format!("`{}`: {}", e.path(), e.inner())))
+    }
+
+    /// The change of the voters that is posted under a path, if it is one of these.
+    fn voter_change(&self, path: &[&str]) -> Result<Option<VoterChange>, AdminRequestError> {
+        let change = match path {
+            ["council", "replace"] => {
+                let out = required(self.out, "out").map(NodeId)?;
+                VoterChange::Replace { out, then: self.then.map(NodeId) }
+            }
+            ["council", "restore"] => {
+                let members = required(self.members.as_ref(), "members")?;
+                VoterChange::Restore(members.iter().copied().map(NodeId).collect())
+            }
+            _ => return Ok(None),
+        };
+        Ok(Some(change))
+    }
+
+    /// The change of the policy log that is posted under a path, if it is one of these.
+    fn policy_change(&self, path: &[&str]) -> Result<Option<PolicyChange>, AdminRequestError> {
+        let member = || required(self.member, "member").map(NodeId);
+        let change = match path {
+            ["revisions"] => {
+                let document = required(self.document.as_ref(), "document")?;
+                let document = Document::from_json(document.to_string().as_bytes())
+                    .map_err(|e| AdminRequestError::Body(e.to_string()))?;
+                PolicyChange::Propose(self.options(), Box::new(document))
+            }
+            ["revisions", "rollback"] => {
+                PolicyChange::Rollback(self.options(), required(self.to, "to")?)
+            }
+            ["revisions", "confirm"] => PolicyChange::Confirm(required(self.revision, "revision")?),
+            ["charter"] => {
+                PolicyChange::FallbackPolicy(required(self.fallback_policy.clone(), "charter")?)
+            }
+            ["council", "dead"] => PolicyChange::Dead(member()?),
+            ["council", "alive"] => PolicyChange::Alive(member()?),
+            _ => return Ok(None),
+        };
+        Ok(Some(change))
+    }
+
+    fn options(&self) -> RevisionOptions {
+        let (base, canary) = (self.if_revision, self.canary.clone());
+        RevisionOptions { base, canary, forced: self.force }
+    }
+
+    /// A change with what the body and the query say of carrying it out.
+    fn change(&self, what: PolicyChange, query: &str) -> Result<Change, AdminRequestError> {
+        let wait = self.rollout_wait()?;
+        let id = self.id.as_deref().map(command_id).transpose()?;
+        let is_dry_run = self.dry || query.split('&').any(|q| q == "dry" || q == "dry=1");
+        Ok(Change { what, is_dry_run, wait, id })
+    }
+
+    fn rollout_wait(&self) -> Result<Option<Duration>, AdminRequestError> {
+        match self.wait.as_deref() {
+            None | Some("yes") => Ok(None),
+            Some("all") => {
+                let wait = self.within_s.map_or(DEFAULT_ROLLOUT_WAIT, |seconds| {
+                    Duration::try_from_secs_f64(seconds)
+                        .unwrap_or(DEFAULT_ROLLOUT_WAIT)
+                        .min(MAX_ROLLOUT_WAIT)
+                });
+                Ok(Some(wait))
+            }
+            Some(other) => Err(AdminRequestError::Body(format!(
+                "`wait` is {other:?}; expected `yes` or `all`"
+            ))),
+        }
+    }
+}
+
+fn required<T>(value: Option<T>, key: &str) -> Result<T, AdminRequestError> {
+    value.ok_or_else(|| AdminRequestError::missing(key))
+}
+
+/// Reads a command id: 1 to 32 hexadecimal digits.
+fn command_id(text: &str) -> Result<CommandId, AdminRequestError> {
+    let wrong = || {
+        AdminRequestError::Body(format!(
+            "`{text}` names no question; expected 1 to {MAX_ID_DIGITS} hexadecimal digits"
+        ))
+    };
+    if text.is_empty() || text.len() > MAX_ID_DIGITS {
+        return Err(wrong());
+    }
+    u128::from_str_radix(text, 16).map(CommandId).map_err(|_| wrong())
+}
--- /dev/null
+++ b/crates/gateway/src/cluster/admin_api/views.rs
@@ -0,0 +1,88 @@
+//! JSON views of the cluster's state for the admin API.
+
+use std::time::Duration;
+
+use hollowpaddle_peer_transport::NodeId;
+use hollowpaddle_revision::policy_state::PolicyState;
+use serde_json::{Value, json};
+
+use super::AdminResponse;
+use crate::cluster::machine::Machine;
+
+/// Most revisions that one answer lists.
+const MAX_LISTED_REVISIONS: usize = 100;
+
+/// `GET /admin/bank`: the state of the cluster as this balancer sees it.
+pub(super) fn cluster(machine: &Machine) -> Value {
+    let status = machine.policy().status();
+    let in_force = machine.in_force();
+    let seen = machine.leases().seen();
+    json!({
+        "ok": true,
+        "member": machine.node_id().0,
+        "revision": status.revision,
+        "towards": status.towards,
+        "newest": machine.policy().newest(),
+        "stage": status.generation,
+        "unconfirmed": status.unconfirmed,
+        "here": seen.here.len(),
+        "charter_confirmed": seen.fallback_policy.len(),
+        "charter": {
+            "pods": status.fallback_policy.cells, "except": status.fallback_policy.except,
+            "attempts": status.fallback_policy.attempts, "awaited": status.awaited,
+        },
+        "past_lease": {"pods": seen.past.cells, "except": seen.past.except, "attempts": seen.past.attempts},
+        "lease": {
+            "held": machine.now() < in_force.until,
+            "left_s": in_force.until.saturating_sub(machine.now()).as_secs_f64(),
+        },
+        "council": voters(machine),
+        "dead": status.dead.iter().map(|m| m.0).collect::<Vec<_>>(),
+        "behind": behind(&seen.behind),
+        "words": serde_json::to_value(machine.wire().counts()).unwrap_or_default(),
+        "held_bytes": serde_json::to_value(machine.wire().held()).unwrap_or_default(),
+    })
+}
+
+fn voters(machine: &Machine) -> Value {
+    let (replica, learner) = (machine.replica(), machine.learner());
+    json!({
+        "members": replica.members().voters.iter().map(|m| m.0).collect::<Vec<_>>(),
+        "coming": replica.members().joining.map(|m| m.0),
+        "standing": replica.status().to_string(),
+        "leader": machine.leader().map(|m| m.0),
+        "source": learner.source().map(|m| m.0),
+        "log": learner.at().to_string(),
+    })
+}
+
+/// Balancers that have not confirmed the newest generation, and for how long.
+fn behind(nodes: &[(NodeId, Duration)]) -> Vec<Value> {
+    nodes
+        .iter()
+        .map(|(node, since)| json!({"member": node.0, "for_s": since.as_secs_f64()}))
+        .collect()
+}
+
+/// `GET /admin/revisions`: the newest revisions, the newest first.
+pub(super) fn revisions(policy: &PolicyState) -> Value {
+    let newest_first = policy.revisions().rev().take(MAX_LISTED_REVISIONS);
+    let revisions: Vec<Value> = newest_first
+        .map(|(number, revision)| {
+            let status = policy.change_status(number).map(|status| status.to_string());
+            json!({"revision": number, "origin": revision.origin.to_string(), "fate": status})
+        })
+        .collect();
+    json!({"ok": true, "newest": policy.newest(), "revisions": revisions})
+}
+
+/// `GET /admin/revisions/N`: one revision with its document.
+pub(super) fn revision(policy: &PolicyState, number: u64) -> AdminResponse {
+    match policy.kept(number) {
+        Ok(revision) => AdminResponse::ok(json!({
+            "ok": true, "revision": number,
+            "document": serde_json::to_value(&*revision.document).unwrap_or_default(),
+        })),
+        Err(why) => AdminResponse { status: 404, ..AdminResponse::refused(&why) },
+    }
+}
--- a/crates/gateway/src/cluster/machine.rs
+++ b/crates/gateway/src/cluster/machine.rs
@@ -1,196 +1,43 @@
-//! One balancer's part of the bank as one pure machine: the wire, the council, the log, the rule book and the leases, and
-//! what goes between them (`between`), and calls that wait for an answer (`calls`). It keeps no clock, socket, file or
-//! thread; its shell does (`shell.rs`), and tests play it.
-
-mod between;
-mod calls;
-
-use std::collections::{BTreeMap, BTreeSet, VecDeque};
+//! One balancer's part of the cluster as one pure state machine over the transport, the replica, the log's learner, the
+//! policy state, the leases and the endpoint lists of other balancers.
+//!
+//! What passes between these is in `routing`, admin calls that wait for an answer in `pending_calls`, and the passing of
+//! time in `timers`. The machine has no clock, socket, file or thread: its driver
+//! ([`Runtime`](super::Runtime), or a simulation) has these.
+
+mod interface;
+mod pending_calls;
+mod routing;
+mod timers;
+
+use std::collections::{BTreeSet, VecDeque};
 use std::time::Duration;
 
 use hollowpaddle_consensus as consensus;
 use hollowpaddle_consensus::{
-    DurableState, Learner, LearnerAction, LearnerConfig, LearnerEvent, Replica,
+    DurableState, Learner, LearnerAction, LearnerConfig, LearnerEvent, Replica, ReplicaConfig,
 };
 use hollowpaddle_peer_transport as peers;
-use hollowpaddle_peer_transport::{Incarnation, NodeId, Wire};
-use hollowpaddle_revision::entry::{CommandId, Entry};
-use hollowpaddle_revision::fallback_policy::FallbackPolicy;
+use hollowpaddle_peer_transport::{NodeId, Wire};
 use hollowpaddle_revision::in_force::InForce;
 use hollowpaddle_revision::leases::{self, LeaseConfig, Leases};
-use hollowpaddle_revision::lists::{self, Lists, Phase};
-use hollowpaddle_revision::message::Generation;
-use hollowpaddle_revision::policy_state::{Bootstrap, PolicyState};
-
-use calls::Call;
-
-pub use calls::ProposalResult;
-
-/// How often the council's machine is told that time has passed, and how often the learner's.
-const TICK: Duration = Duration::from_millis(25);
-const TICK_OUTSIDE: Duration = Duration::from_millis(50);
-/// A first charter that is not in the log is proposed again after so long.
-const CHARTER_AGAIN: Duration = Duration::from_secs(3);
-/// Calls that wait for an answer. Beyond, the eldest is told that nobody knows.
-const CALLS: usize = 256;
-
-/// What a balancer is set up with.
-#[derive(Clone, Debug)]
-pub struct Setup {
-    /// Who it is.
-    pub node_id: NodeId,
-    /// Balancers of the bank.
-    pub cluster: u16,
-    /// This process, not 0.
-    pub incarnation: Incarnation,
-    /// Drawn at the start.
-    pub seed: u64,
-    /// Who votes at first.
-    pub voters: Vec<NodeId>,
-    /// What the log begins with.
-    pub bootstrap: Bootstrap,
-    /// What is kept to by a process that knows no charter.
-    pub mandatory_fallback: FallbackPolicy,
-    /// Pods by site, as the configuration last knew them: where no charter is set, the first leader proposes a third.
-    pub cells: BTreeMap<String, BTreeSet<u32>>,
-    /// Something outlives the process: what is said waits for it.
-    pub directory: bool,
-    /// What was found there.
-    pub found: Option<DurableState>,
-    /// The charter that was found there, and its generation.
-    pub fallback_policy: Option<(Generation, FallbackPolicy)>,
-}
+use hollowpaddle_revision::lists::{self, Lists};
+use hollowpaddle_revision::policy_state::PolicyState;
 
-/// Why there can be no such machine.
-#[derive(Debug, thiserror::Error)]
-pub enum SetupError {
-    /// The wire.
-    #[error(transparent)]
-    Wire(#[from] peers::ConfigError),
-    /// The book.
-    #[error(transparent)]
-    PolicyState(#[from] hollowpaddle_revision::policy_state::BootstrapError),
-}
+use pending_calls::PendingCall;
+use timers::Timers;
 
-/// What happens.
-#[derive(Debug)]
-pub enum Event<'a> {
-    /// A datagram came; from nobody of the bank, if `from` is none.
-    Datagram {
-        /// Whose address it came from.
-        from: Option<NodeId>,
-        /// As it came.
-        bytes: &'a [u8],
-    },
-    /// The moment that was asked for.
-    Due,
-    /// Records up to this one are on disk.
-    Persisted(u64),
-    /// One could not be written.
-    DiskFailed(String),
-    /// The directory takes records again.
-    DiskWell,
-    /// This generation of the charter is on disk.
-    FallbackPolicyPersisted(Generation),
-    /// Somebody wants an entry to stand in the log; the ticket names the call.
-    Propose {
-        /// Names the call.
-        ticket: u64,
-        /// The name of the question in the book, if it has an answer there.
-        id: Option<CommandId>,
-        /// What is to stand there.
-        entry: Entry,
-    },
-    /// What became of a question that was asked at any door.
-    QueryOutcome {
-        /// Names the call.
-        ticket: u64,
-        /// Of the question.
-        id: CommandId,
-    },
-    /// The own discovery said this.
-    Listed {
-        /// The list's version.
-        version: u64,
-        /// Whom it leaves out is gone.
-        whole: bool,
-        /// By name.
-        entries: Vec<(String, Phase)>,
-    },
-    /// The own discovery counts its versions anew.
-    CountsAnew,
-    /// One member of the council for another.
-    Replace {
-        /// Names the call.
-        ticket: u64,
-        /// Who goes.
-        out: NodeId,
-        /// Who comes.
-        then: Option<NodeId>,
-    },
-    /// This balancer founds the council anew with these voters.
-    Restore {
-        /// Names the call.
-        ticket: u64,
-        /// Who votes.
-        members: Vec<NodeId>,
-    },
-}
+pub use interface::{Action, Event, Setup, SetupError, StoppedUpstreams};
+pub use pending_calls::ProposalResult;
 
-/// What is to be done.
-#[derive(Clone, Debug)]
-pub enum Action {
-    /// A datagram is to go out.
-    Transmit {
-        /// To the address of this member.
-        to: NodeId,
-        /// At most 256 bytes.
-        bytes: Vec<u8>,
-    },
-    /// [`Event::Due`] then; in place of what was asked for before.
-    WakeAt(Duration),
-    /// Requests read this from now on.
-    Publish(InForce),
-    /// Requests read this from now on, beside the rules: whom peers' words stop, and whether the own list is older than
-    /// the rules allow.
-    Stop(Stops),
-    /// A peer has a newer list: discovery is to be asked.
-    RefreshList,
-    /// To be written and synced, in the order of the numbers.
-    Persist {
-        /// Its number.
-        number: u64,
-        /// What.
-        record: consensus::Record,
-    },
-    /// To be written and synced.
-    PersistFallbackPolicy {
-        /// Its generation.
-        fallback_generation: Generation,
-        /// The charter.
-        fallback_policy: FallbackPolicy,
-    },
-    /// A call has its answer.
-    ProposalResult {
-        /// Which call.
-        ticket: u64,
-        /// What became of it.
-        answer: ProposalResult,
-    },
-    /// Something for the log: who leads, what was forgotten.
-    Log(String),
-}
+// The name under which the tests of the membership import it.
+#[doc(hidden)]
+pub use interface::StoppedUpstreams as Stops;
 
-/// What peers' words say of the list.
-#[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Stops {
-    /// Upstreams that drain or have ended, by a peer's word.
-    pub names: BTreeSet<String>,
-    /// The own list is older than the rules allow: the charter's upstreams alone are sent to, where there are any.
-    pub old: bool,
-}
+/// Learners that must have an entry before it is acknowledged, where no durable log keeps it.
+const COPIES_WITHOUT_LOG: u8 = 2;
 
-/// The machine.
+/// The state machine.
 pub struct Machine {
     setup: Setup,
     now: Duration,
@@ -198,299 +45,243 @@
     replica: Replica,
     learner: Learner,
     policy: PolicyState,
-    /// The last entry of the log that the book knows.
-    at: consensus::LogIndex,
+    /// The last entry of the log that `policy` includes.
+    applied_index: consensus::LogIndex,
     leases: Leases,
     lists: Lists,
-    stops: Stops,
-    calls: VecDeque<Call>,
-    proposals: u64,
-    /// Proposals of this balancer's own that the leases asked for.
-    own: BTreeSet<consensus::ProposalId>,
-    /// It leads, and when it proposed a first charter last.
-    leads: bool,
-    chartered: Option<Duration>,
+    stops: StoppedUpstreams,
+    pending_calls: VecDeque<PendingCall>,
+    last_proposal: u64,
+    /// Proposals made here, for which no admin call waits.
+    own_proposals: BTreeSet<consensus::ProposalId>,
+    is_leader: bool,
+    /// When a first fallback policy was proposed last.
+    first_fallback_at: Option<Duration>,
+    /// The leader that the replica knows.
     leader: Option<NodeId>,
-    wire_due: Option<Duration>,
-    leases_due: Option<Duration>,
-    lists_due: Option<Duration>,
-    replica_due: Duration,
-    learner_due: Duration,
-    told: Option<Duration>,
-    /// What is still to be handed in, in its order.
-    queue: VecDeque<Inner>,
+    timers: Timers,
+    /// Outputs of components that are yet to be routed, in their order.
+    queue: VecDeque<ComponentAction>,
 }
 
-/// What one machine has for another.
-enum Inner {
+/// An output of one component.
+enum ComponentAction {
     Wire(peers::Action),
     Replica(consensus::Action),
-    LearnerAction(LearnerAction),
+    Learner(LearnerAction),
     Leases(leases::Action),
     Lists(lists::Action),
 }
 
 impl Machine {
-    /// A balancer's part of the bank.
+    /// Makes the machine. `now` is the zero of its clock, or the time by it.
     ///
     /// # Errors
-    /// It is set up as none can be.
+    /// There can be no cluster of this configuration.
     pub fn new(now: Duration, mut setup: Setup) -> Result<Self, SetupError> {
-        let Setup { node_id, cluster, incarnation, seed, .. } = setup;
-        let wire = Wire::new(peers::Config {
-            node_id,
-            members: cluster,
-            incarnation,
-            seed,
-            budget: peers::Budget::default(),
-        })?;
-        let replica = Replica::new(
-            now,
-            consensus::ReplicaConfig {
-                node_id,
-                incarnation,
-                voters: setup.voters.clone(),
-                cluster,
-                directory: setup.directory,
-                copies: if setup.directory { 0 } else { 2 },
-                seed,
-            },
-            setup.found.take(),
-        );
-        let learner = Learner::new(
-            now,
-            LearnerConfig { node_id, voters: setup.voters.clone(), cluster, seed },
-        );
-        let mut terms = LeaseConfig::usual(node_id, incarnation, setup.mandatory_fallback.clone());
-        terms.stored = setup.fallback_policy.clone();
+        let found = setup.found.take();
+        let learner = new_learner(now, &setup);
+        let source = learner.source();
         let mut machine = Self {
+            wire: new_wire(&setup)?,
+            replica: new_replica(now, &setup, found),
+            learner,
             policy: PolicyState::found(setup.bootstrap.clone())?,
-            leases: Leases::new(terms),
+            applied_index: consensus::LogIndex::default(),
+            leases: new_leases(&setup),
             lists: Lists::default(),
-            stops: Stops::default(),
-            setup,
-            now,
-            wire,
-            replica,
-            learner,
-            at: consensus::LogIndex::default(),
-            calls: VecDeque::new(),
-            proposals: 0,
-            own: BTreeSet::new(),
-            leads: false,
-            chartered: None,
+            stops: StoppedUpstreams::default(),
+            pending_calls: VecDeque::new(),
+            last_proposal: 0,
+            own_proposals: BTreeSet::new(),
+            is_leader: false,
+            first_fallback_at: None,
             leader: None,
-            wire_due: None,
-            leases_due: None,
-            lists_due: None,
-            replica_due: now,
-            learner_due: now,
-            told: None,
+            timers: Timers::new(now),
             queue: VecDeque::new(),
+            setup,
+            now,
         };
-        let source = machine.learner.source();
-        machine.lease(leases::Event::Parent(source));
+        machine.step_leases(leases::Event::Parent(source));
         Ok(machine)
     }
 
-    /// Who this is.
+    /// This balancer.
     pub fn node_id(&self) -> NodeId {
         self.setup.node_id
     }
 
-    /// When something was handed in last.
+    /// Time of the last event.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// What is in force here.
+    /// The rules in force here, and their lease.
     pub fn in_force(&self) -> InForce {
         self.leases.in_force()
     }
 
-    /// What is known of lists.
+    /// What is known of endpoint lists here and at other balancers.
     pub fn lists(&self) -> &Lists {
         &self.lists
     }
 
-    /// The rule book.
+    /// The policy state, as far as the log is applied here.
     pub fn policy(&self) -> &PolicyState {
         &self.policy
     }
 
-    /// Stages, leases and who has confirmed what.
+    /// Leases, generations, and which balancers have confirmed what.
     pub fn leases(&self) -> &Leases {
         &self.leases
     }
 
-    /// This balancer's seat in the council, if it has one.
+    /// This balancer's replica, which may be a voter.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// How it learns the log.
+    /// The learner through which this balancer follows the log.
     pub fn learner(&self) -> &Learner {
         &self.learner
     }
 
-    /// Words and datagrams.
+    /// The transport to other balancers.
     pub fn wire(&self) -> &Wire {
         &self.wire
     }
 
-    /// Who leads the council, as far as is known here.
+    /// The leader of the voters, as far as it is known here.
     pub fn leader(&self) -> Option<NodeId> {
         self.leader.or(self.learner.leader())
     }
 
-    /// One event, at `now`: monotonic time since this process began.
+    /// Takes in one event at `now`, in monotonic time since the machine's zero, and appends what is to be done to `actions`.
     pub fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
+        self.on_event(event, actions);
+        self.run_due();
+        while let Some(action) = self.queue.pop_front() {
+            self.route(action, actions);
+        }
+        self.timers.arm(actions);
+    }
+
+    fn on_event(&mut self, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
             Event::Datagram { from: Some(from), bytes } => {
-                self.pass(peers::Event::Received { from, bytes });
+                self.step_wire(peers::Event::Received { from, bytes });
             }
-            Event::Datagram { from: None, .. } => self.pass(peers::Event::Stranger),
-            // What was asked for has come: what is due again at this very moment has to be asked for again. Failure: in
-            // virtual time, whose timers are of whole milliseconds, it came too soon, and nobody was ready for 30 s.
-            Event::Due => self.told = None,
-            Event::Persisted(through) => self.vote(consensus::Event::Persisted { through }),
-            Event::DiskFailed(cause) => self.vote(consensus::Event::DiskFailed { cause }),
-            Event::DiskWell => self.vote(consensus::Event::DiskWell),
+            Event::Datagram { from: None, .. } => self.step_wire(peers::Event::Stranger),
+            Event::Due => self.timers.disarm(),
+            Event::Persisted(through) => self.step_replica(consensus::Event::Persisted { through }),
+            Event::DiskFailed(cause) => self.step_replica(consensus::Event::DiskFailed { cause }),
+            Event::DiskWell => self.step_replica(consensus::Event::DiskWell),
             Event::FallbackPolicyPersisted(fallback_generation) => {
-                self.lease(leases::Event::FallbackPolicyPersisted { fallback_generation })
-            }
-            Event::Propose { ticket, id, entry } => self.propose(ticket, id, &entry, actions),
-            Event::QueryOutcome { ticket, id } => {
-                let call = Call { ticket, proposal: None, id: Some(id), index: None };
-                if !self.settle(&call, actions) {
-                    actions
-                        .push(Action::ProposalResult { ticket, answer: ProposalResult::Unknown });
-                }
-            }
-            Event::Listed { version, whole, entries } => {
-                self.list(lists::Event::Own { version, whole, entries });
-            }
-            Event::CountsAnew => self.list(lists::Event::CountsAnew),
-            Event::Replace { ticket, out, then } => {
-                let id = self.call(ticket, None, actions);
-                self.vote(consensus::Event::OperatorCommand(
-                    consensus::OperatorCommand::ReplaceVoter {
-                        id,
-                        removed: out,
-                        replacement: then,
-                    },
-                ));
+                self.step_leases(leases::Event::FallbackPolicyPersisted { fallback_generation });
             }
-            Event::Restore { ticket, members } => {
-                self.vote(consensus::Event::OperatorCommand(
-                    consensus::OperatorCommand::ForceNewEpoch { members },
-                ));
-                actions.push(Action::ProposalResult {
-                    ticket,
-                    answer: ProposalResult::Stands(self.at),
-                });
+            Event::Propose { ticket, id, entry } => self.propose_entry(ticket, id, &entry, actions),
+            Event::QueryOutcome { ticket, id } => self.query_outcome(ticket, id, actions),
+            Event::EndpointList { version, whole, entries } => {
+                self.step_lists(lists::Event::Own { version, whole, entries });
             }
-        }
-        self.time();
-        while let Some(inner) = self.queue.pop_front() {
-            match inner {
-                Inner::Wire(action) => self.of_wire(action, actions),
-                Inner::Replica(action) => self.on_replica_action(action, actions),
-                Inner::LearnerAction(action) => self.of_learner(action, actions),
-                Inner::Leases(action) => self.of_leases(action, actions),
-                Inner::Lists(action) => self.of_lists(action, actions),
-            }
-        }
-        self.wake(actions);
-    }
-
-    /// Hands in what is due.
-    fn time(&mut self) {
-        if self.wire_due.is_some_and(|at| at <= self.now) {
-            self.wire_due = None;
-            self.pass(peers::Event::Due);
-        }
-        if self.leases_due.is_some_and(|at| at <= self.now) {
-            self.leases_due = None;
-            self.lease(leases::Event::Due);
-        }
-        if self.lists_due.is_some_and(|at| at <= self.now) {
-            self.lists_due = None;
-            self.list(lists::Event::Due);
-        }
-        if self.replica_due <= self.now {
-            self.replica_due = self.now + if self.sits() { TICK } else { 4 * TICK };
-            self.vote(consensus::Event::Tick);
-            self.charter_first();
-        }
-        if self.learner_due <= self.now {
-            self.learner_due = self.now + TICK_OUTSIDE;
-            self.learn(LearnerEvent::Tick);
-        }
-    }
-
-    /// A bank that was founded without a charter gets one from its first leader: without any, whoever is cut off past its
-    /// lease could send nowhere.
-    fn charter_first(&mut self) {
-        let late = self.chartered.is_none_or(|at| self.now.saturating_sub(at) >= CHARTER_AGAIN);
-        if !self.leads || !late || self.setup.cells.is_empty() || self.at.op() < self.replica.op() {
-            return;
-        }
-        let status = self.policy.status();
-        if status.fallback_generation != 0 || !status.fallback_policy.cells.is_empty() {
-            return;
-        }
-        self.chartered = Some(self.now);
-        let proposal = self.next();
-        let id = CommandId(u128::from(proposal.incarnation.0) << 96 | u128::from(proposal.number));
-        let fallback_policy = FallbackPolicy::third(&self.setup.cells, 1);
-        if let Ok(bytes) = Entry::FallbackPolicy(id, fallback_policy, Box::default()).to_bytes() {
-            self.own.insert(proposal);
-            self.learn(LearnerEvent::Propose { id: proposal, bytes });
+            Event::CountsAnew => self.step_lists(lists::Event::CountsAnew),
+            Event::Replace { ticket, out, then } => self.replace_voter(ticket, out, then, actions),
+            Event::Restore { ticket, members } => self.force_new_epoch(ticket, members, actions),
         }
     }
 
-    fn sits(&self) -> bool {
-        self.replica.members().has(self.setup.node_id)
+    fn replace_voter(
+        &mut self,
+        ticket: u64,
+        removed: NodeId,
+        replacement: Option<NodeId>,
+        actions: &mut Vec<Action>,
+    ) {
+        let id = self.add_call(ticket, None, actions);
+        let command = consensus::OperatorCommand::ReplaceVoter { id, removed, replacement };
+        self.step_replica(consensus::Event::OperatorCommand(command));
     }
 
-    fn wake(&mut self, actions: &mut Vec<Action>) {
-        let ticks = [Some(self.replica_due), Some(self.learner_due)];
-        let dues = ticks.into_iter().chain([self.wire_due, self.leases_due, self.lists_due]);
-        let next = dues.flatten().min();
-        if next != self.told {
-            self.told = next;
-            actions.extend(next.map(Action::WakeAt));
-        }
+    fn force_new_epoch(&mut self, ticket: u64, members: Vec<NodeId>, actions: &mut Vec<Action>) {
+        let command = consensus::OperatorCommand::ForceNewEpoch { members };
+        self.step_replica(consensus::Event::OperatorCommand(command));
+        let answer = ProposalResult::Stands(self.applied_index);
+        actions.push(Action::ProposalResult { ticket, answer });
     }
 
-    fn pass(&mut self, event: peers::Event<'_>) {
-        let mut out = Vec::new();
-        self.wire.handle(self.now, event, &mut out);
-        self.queue.extend(out.into_iter().map(Inner::Wire));
+    fn step_wire(&mut self, event: peers::Event<'_>) {
+        let mut actions = Vec::new();
+        self.wire.handle(self.now, event, &mut actions);
+        self.queue.extend(actions.into_iter().map(ComponentAction::Wire));
     }
 
-    fn vote(&mut self, event: consensus::Event) {
-        let mut out = Vec::new();
-        self.replica.handle(self.now, event, &mut out);
-        self.queue.extend(out.into_iter().map(Inner::Replica));
+    fn step_replica(&mut self, event: consensus::Event) {
+        let mut actions = Vec::new();
+        self.replica.handle(self.now, event, &mut actions);
+        self.queue.extend(actions.into_iter().map(ComponentAction::Replica));
         let leader = self.replica.leader();
         if leader != self.leader {
             self.leader = leader;
-            self.learn(LearnerEvent::Leader(leader));
+            self.step_learner(LearnerEvent::Leader(leader));
         }
     }
 
-    fn learn(&mut self, event: LearnerEvent) {
-        let mut out = Vec::new();
-        self.learner.handle(self.now, event, &mut out);
-        self.queue.extend(out.into_iter().map(Inner::LearnerAction));
+    fn step_learner(&mut self, event: LearnerEvent) {
+        let mut actions = Vec::new();
+        self.learner.handle(self.now, event, &mut actions);
+        self.queue.extend(actions.into_iter().map(ComponentAction::Learner));
     }
 
-    fn lease(&mut self, event: leases::Event) {
-        let mut out = Vec::new();
-        self.leases.handle(self.now, event, &mut out);
-        self.queue.extend(out.into_iter().map(Inner::Leases));
+    fn step_leases(&mut self, event: leases::Event) {
+        let mut actions = Vec::new();
+        self.leases.handle(self.now, event, &mut actions);
+        self.queue.extend(actions.into_iter().map(ComponentAction::Leases));
     }
+
+    fn step_lists(&mut self, event: lists::Event) {
+        let mut actions = Vec::new();
+        self.lists.handle(self.now, event, &mut actions);
+        self.queue.extend(actions.into_iter().map(ComponentAction::Lists));
+    }
+}
+
+fn new_wire(setup: &Setup) -> Result<Wire, peers::ConfigError> {
+    Wire::new(peers::Config {
+        node_id: setup.node_id,
+        members: setup.cluster,
+        incarnation: setup.incarnation,
+        seed: setup.seed,
+        budget: peers::Budget::default(),
+    })
+}
+
+fn new_replica(now: Duration, setup: &Setup, found: Option<DurableState>) -> Replica {
+    let config = ReplicaConfig {
+        node_id: setup.node_id,
+        incarnation: setup.incarnation,
+        voters: setup.voters.clone(),
+        cluster: setup.cluster,
+        directory: setup.directory,
+        copies: if setup.directory { 0 } else { COPIES_WITHOUT_LOG },
+        seed: setup.seed,
+    };
+    Replica::new(now, config, found)
+}
+
+fn new_learner(now: Duration, setup: &Setup) -> Learner {
+    let config = LearnerConfig {
+        node_id: setup.node_id,
+        voters: setup.voters.clone(),
+        cluster: setup.cluster,
+        seed: setup.seed,
+    };
+    Learner::new(now, config)
+}
+
+fn new_leases(setup: &Setup) -> Leases {
+    let mandatory_fallback = setup.mandatory_fallback.clone();
+    let mut config = LeaseConfig::usual(setup.node_id, setup.incarnation, mandatory_fallback);
+    config.stored = setup.fallback_policy.clone();
+    Leases::new(config)
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use hollowpaddle_failpoints::Points;
-use hollowpaddle_gateway::cluster::{self, Link, Runtime, Stored};
+use hollowpaddle_gateway::cluster::{self, ClusterHandle, RecoveredState, Runtime};
 use hollowpaddle_gateway::config::ClusterConfig;
 use hollowpaddle_gateway::{Config, Kept, Operating, Provided, serve};
 use hollowpaddle_net::{Listener, Network, Tcp};
@@ -117,7 +117,7 @@
     std::thread::spawn(move || {
         let opened = Directory::open(dir).map(|dir| {
             let mut store = hollowpaddle_snapshot::Store::new(dir, &name);
-            let found = store.load(now, hollowpaddle_recovery::oldest());
+            let found = store.load(now, hollowpaddle_recovery::max_age());
             (store, found)
         });
         let _ = tell.send(opened);
@@ -134,12 +134,12 @@
     let mut failing = false;
     let saver = Saver::start(store, move |status: &Status| {
         // Once when it begins to fail, and once when it is well again: it is tried every other second.
-        match (&status.failing, failing) {
+        match (&status.failure, failing) {
             (Some(cause), false) => tracing::error!(%cause, "what was learned can't be saved"),
             (None, true) => tracing::info!("what was learned is saved again"),
             _ => {}
         }
-        failing = status.failing.is_some();
+        failing = status.failure.is_some();
     });
     match saver {
         Ok(saver) => Some(Kept { keep: Box::new(saver), found }),
@@ -148,7 +148,7 @@
 }
 
 /// This balancer's part of the bank, on a thread of its own, where balancers may talk.
-fn cluster(config: &Config) -> Result<Option<Link>, String> {
+fn cluster(config: &Config) -> Result<Option<ClusterHandle>, String> {
     let Some(of) = &config.cluster else { return Ok(None) };
     // The platform's seed is new with each start, unless two processes of one configuration overlap.
     let life = RandomState::new().hash_one(config.seed) as u32;
@@ -164,18 +164,17 @@
 
 /// What the bank finds in the state directory, where the platform keeps one. A balancer for which there is none, or that
 /// can't be had in time, forgets with each process; the others know what that means.
-fn stored(config: &Config, of: &ClusterConfig, points: &Points) -> Option<Stored> {
+fn stored(config: &Config, of: &ClusterConfig, points: &Points) -> Option<RecoveredState> {
     let dir = config.state_dir.as_ref()?.join("bank");
     let (name, points, id, me) = (config.name.clone(), points.clone(), of.id(), of.member());
     let shown = dir.display().to_string();
     let (tell, opened) = std::sync::mpsc::channel();
     std::thread::spawn(move || drop(tell.send(cluster::open(&dir, id, me, &name, &points))));
-    let opened =
-        opened.recv_timeout(LOAD).unwrap_or_else(|_| Err("it did not answer in time".into()));
+    let opened = opened.recv_timeout(LOAD).unwrap_or(Err(cluster::DurableLogError::TimedOut));
     match opened {
         Ok(stored) => Some(stored),
         Err(cause) => {
-            tracing::error!(dir = shown, cause, "the bank keeps nothing here");
+            tracing::error!(dir = shown, %cause, "the bank keeps nothing here");
             None
         }
     }
