--- a/crates/gateway/src/cluster/machine/routing.rs
+++ b/crates/gateway/src/cluster/machine/routing.rs
@@ -254,7 +254,7 @@
     #[error(transparent)]
     Bootstrap(#[from] hollowpaddle_revision::policy_state::BootstrapError),
     #[error(transparent)]
-    Image(#[from] hollowpaddle_revision::snapshot::ImageError),
+    Image(#[from] hollowpaddle_revision::policy_state::snapshot::SnapshotError),
 }
 
 /// How a message of the replica or the learner is sent: large parts yield to everything else.
