--- a/crates/model-checks/src/agreement.rs
+++ b/crates/model-checks/src/agreement.rs
@@ -1,7 +1,7 @@
 //! A model of the council's very machines, for a model checker: three members, words that are lost, doubled, late and in any
 //! order, members that end and forget, or come back with what was on their disk; time in steps.
 //!
-//! What it leaves out, so that there is an end: `Heartbeat`, `ProposalOptions` and `Told` come at once where they come at all (each step says
+//! What it leaves out, so that there is an end: `Heartbeat`, `StatusRequest` and `StatusResponse` come at once where they come at all (each step says
 //! who hears whom); of one kind of word at most [`KEPT`] are under way from one member to another, and the oldest of more
 //! are lost; time passes in steps of 250 ms, in which each member says hello once.
 
@@ -154,7 +154,7 @@
             Act::Reset { index, base } => {
                 for (id, place) in self.yes.iter().filter(|_| !self.ruin) {
                     let within = place.epoch() == index.epoch() && place.op() <= index.op();
-                    if within && !base.ids.iter().any(|(i, _)| i == id) {
+                    if within && !base.proposals.iter().any(|(i, _)| i == id) {
                         self.wrong = Some(format!("{at} goes on from a copy without {id:?}"));
                     }
                 }
@@ -263,7 +263,7 @@
     }
 
     fn blank(&self, at: u16) -> bool {
-        let status = self.seats[usize::from(at)].replica.shown();
+        let status = self.seats[usize::from(at)].replica.advertised_status();
         matches!(status, ReplicaStatus::Blank | ReplicaStatus::Waking | ReplicaStatus::Mute)
     }
 
@@ -417,8 +417,11 @@
                     id,
                     what: Some(EntryPayload::Command(vec![state.asked])),
                 };
-                let message =
-                    Message { view: Default::default(), counts: Default::default(), body };
+                let message = Message {
+                    view: Default::default(),
+                    incarnation_counts: Default::default(),
+                    body,
+                };
                 state.event(
                     at,
                     Event::Message { from: CLIENT, incarnation: Incarnation(1), message },
