--- a/crates/revision/src/lib.rs
+++ b/crates/revision/src/lib.rs
@@ -1,51 +1,54 @@
-//! Routing revisions: what the bank has agreed on, who may act on it and for how long. Pure machines:
-//! [`policy`] says what the log's entries mean, [`leases`] when a balancer may act on that, [`lists`] what
-//! balancers tell each other about upstreams. They know no clock, file, network or thread; the log itself is
-//! the council's.
+//! Routing policy revisions: what the cluster has agreed on, who may act on it and for how long.
 //!
-//! It holds, whoever is dead, cut off, paused, restarted or late, as long as clocks drift by 1 in 100 at most
-//! and words come from whom they say (there is no sign-in in this cycle):
+//! Three state machines without I/O, clock or threads: [`policy_state`] applies the entries of the replicated log,
+//! [`leases`] decides when a balancer may act on the result, and [`lists`] spreads which upstreams must not be sent to.
+//! The log itself is replicated by `hollowpaddle-consensus`; the gateway sends, persists and publishes.
 //!
-//! 1. Nobody sends what another balancer holds to be forbidden for longer than T = 3 s: a lease of 2 s and
-//!    what is under way (`banks::no_two_contradict_each_other_for_longer_than_t_whatever_fails`, 1,000 seeds;
-//!    `three_hundred_balancers_keep_to_it_as_well`; each part that brings this about is taken out once, and
-//!    the same oracle finds it: `without_the_lease_the_first_step_or_the_confirming_it_is_caught`).
-//! 2. Two that hold leases never each send what the other holds to be forbidden, not for a moment (the same
-//!    tests; the book's half of it: `books::whatever_comes_numbers_grow_and_stages_are_nested`).
-//!    A log that was founded anew is no exception, if it waited for the leases of the one before
-//!    (`banks::a_log_that_is_founded_anew_waits_for_the_leases_of_the_one_before`).
-//! 3. Nobody refuses what the charter allows, whatever a document says and whatever machines join a pod later
-//!    (`documents::nobody_refuses_what_the_charter_allows_whatever_a_document_says`, and the oracle of 1).
-//! 4. What a charter allowed is forbidden only after every member has said by its own word, and kept on its
-//!    disk if it has one, that it does not hold to it, or operators have said that it is dead
-//!    (`banks::a_charter_waits_for_the_one_that_is_cut_off_or_for_operators_word`,
-//!    `leases::a_charter_is_confirmed_by_each_member_s_own_word_and_after_it_is_kept`).
-//! 5. A process that forgot which charter it held keeps to the bedrock until a leader's round of its own life
-//!    has told it
-//!    (`leases::one_that_forgot_its_charter_keeps_to_bedrock_until_a_lease_of_this_life_says_more`).
-//! 6. A lease under a lease ends before it; an answer to another life, to no question or from no parent gives
-//!    none (`leases::a_holder_s_end_counts_from_its_asking_and_comes_before_the_giver_s`,
-//!    `an_answer_to_another_life_to_no_question_or_not_from_the_parent_counts_for_nothing`).
-//! 7. A new leader gives no lease before it has applied all that was agreed before it, and gives nothing up
-//!    as ended before the old leader's leases are
-//!    (`leases::a_new_leader_gives_nothing_before_it_knows_all_and_nothing_up_before_a_lease_is_over`).
-//! 8. Numbers only grow. Of two proposals against one base the first wins and the other is told which; the
-//!    same question again gets the same answer and does nothing more
-//!    (`books::of_two_against_one_base_the_first_wins_and_the_other_is_told_which`).
-//! 9. Of many while a change is under way the newest comes next, and those between are known never to come
-//!    into force
-//!    (`books::of_many_while_a_change_is_under_way_the_newest_comes_next_and_those_between_never`).
-//! 10. Any of the last 1,000 revisions (4 MiB) comes back under a new number, in the middle of a change, a
-//!     trial or another rollback; what no longer fits the fleet only where forced, what the charter allows
-//!     not even then (`books::any_kept_revision_comes_back_under_a_new_number_in_the_middle_of_anything`,
-//!     `a_rollback_to_pods_that_are_gone_is_refused_unless_forced`,
-//!     `a_thousand_are_kept_and_the_image_says_all_in_a_megabyte`).
-//! 11. A trial ends confirmed or taken back, never both
-//!     (`books::a_trial_is_confirmed_or_taken_back_to_what_was_before_and_never_both`).
-//! 12. A peer's word stops sends to an upstream at once, and makes none usable that the own list has not
-//!     named; with a list older than the floor only the charter's are used, where there are (`lists`, each by
-//!     a test of that name).
-//! 13. No bytes make anything here panic, and everything is bounded (`no_bytes_...` in each file of tests).
+//! A *revision* is a [`document`] with a number. A change from one revision to the next has two phases: the *restrict
+//! phase* forbids what either forbids, the *apply phase* puts the new revision in force. Each phase is a *generation*,
+//! and the next one starts once it is confirmed that nobody acts on an older one. A balancer without a lease keeps to
+//! the [`fallback_policy`], which no revision can forbid; one that has lost all state keeps to the *mandatory fallback*,
+//! which every fallback policy includes.
+//!
+//! # Guarantees
+//!
+//! They hold whichever balancers are dead, cut off, paused, restarted or late, as long as clocks drift by 1 in 100 at
+//! most and the transport delivers messages only from their stated sender. Each names the tests that check it.
+//!
+//! 1. Nobody sends for longer than 3 s (a lease of 2 s, and what is under way) what another balancer regards as
+//!    forbidden: `cluster::contradictions_stay_below_the_bound_under_any_faults`, 1,000 seeds. The oracle finds each
+//!    part that is left out: `cluster::oracle_finds_missing_lease_restrict_phase_or_confirmation`.
+//! 2. Two balancers with leases never each send what the other regards as forbidden: the same tests, and
+//!    `policy_state::any_entries_keep_numbers_growing_and_phases_nested`. A new log waits for the leases of the previous
+//!    one: `cluster::new_log_waits_for_leases_of_the_previous_one`.
+//! 3. Nobody refuses what the fallback policy allows, whatever a document states and whatever machines join a cell:
+//!    `documents::rules_permit_what_the_fallback_floor_allows_whatever_a_document_states`, and the oracle of 1.
+//! 4. What a fallback policy allowed is forbidden only after every balancer has confirmed, and persisted if it has a
+//!    state directory, that it does not hold that policy any more, or operators have marked it dead:
+//!    `cluster::fallback_change_waits_for_unreachable_node_or_its_dead_mark`,
+//!    `leases::fallback_change_is_confirmed_by_each_holder_after_it_is_persisted`.
+//! 5. A process that has lost its fallback policy keeps to the mandatory fallback until it has a lease from a round of
+//!    the leader in its own incarnation:
+//!    `leases::keeps_to_mandatory_fallback_until_a_lease_of_this_incarnation`.
+//! 6. A lease that was granted under another one ends before it; responses to other incarnations, to no pending request
+//!    or from other nodes grant nothing: `leases::lease_counts_from_the_request_and_ends_before_the_granters`,
+//!    `leases::ignores_responses_to_other_incarnations_unknown_requests_or_from_other_nodes`.
+//! 7. A new leader grants no lease before it has applied everything committed before it, and confirms nothing before
+//!    the leases of the previous leader have ended:
+//!    `leases::new_leader_grants_after_catching_up_and_confirms_after_former_leases_end`.
+//! 8. Numbers only grow. Of two proposals against one base the first wins and the other one is told which; a repeated
+//!    command gets its first result: `policy_state::second_proposal_against_the_same_base_is_rejected`.
+//! 9. Of many proposals during a change the newest comes next, and the others never come into force:
+//!    `policy_state::only_the_newest_pending_revision_follows_a_running_change`.
+//! 10. Any of the last 1,000 revisions (4 MiB) can be rolled back to at any time. One that no longer fits the fleet
+//!     needs to be forced; one that forbids what the fallback policy allows is rejected:
+//!     `policy_state::rollback_works_during_a_change_a_canary_and_another_rollback`,
+//!     `policy_state::rollback_to_missing_cells_is_rejected_unless_forced`,
+//!     `policy_state::thousand_revisions_are_retained_and_fit_a_snapshot`.
+//! 11. A canary is either confirmed or rolled back: `policy_state::canary_is_either_confirmed_or_rolled_back`.
+//! 12. A peer's message stops sends to an upstream at once and never opens one that the own list does not name; with a
+//!     list that is too old, only upstreams of the fallback policy are used if there are any: the tests in `lists`.
+//! 13. No bytes make anything here panic, and all state is bounded: `arbitrary_bytes_...` in each file of tests.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/revision/tests/common/mod.rs
+++ b/crates/revision/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet, and entries about it.
+//! A small fleet, and log entries about it.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,7 +10,7 @@
 use hollowpaddle_revision::policy_state::{Applied, Bootstrap, PolicyState};
 use hollowpaddle_revision::rules::Place;
 
-/// Two sites of four pods, each with two flavours of four upstreams; a third of the room is needed.
+/// Two zones of four cells, each with two machine types of four upstreams; a third of the capacity is needed.
 pub fn facts() -> Facts {
     let group = |cell: u32, machine_type| Group {
         cell,
@@ -31,7 +31,7 @@
     }
 }
 
-/// Pods 0 and 4 are bedrock, 1 and 5 in the charter as well.
+/// Cells 0 and 4 are the mandatory fallback; the fallback policy has 1 and 5 as well.
 pub fn bootstrap(members: u16) -> Bootstrap {
     let fallback_policy = |cells: &[u32], attempts| FallbackPolicy {
         cells: cells.iter().copied().collect(),
@@ -50,32 +50,32 @@
     PolicyState::found(bootstrap(5)).expect("it can be founded")
 }
 
-/// Pods that are out.
+/// A document that excludes these cells.
 pub fn without(cells: &[u32]) -> Document {
     let mut document = Document::default();
     document.out.cells = cells.iter().copied().collect();
     document
 }
 
-pub fn ask(id: u128, base: Option<u64>) -> ProposalOptions {
+pub fn options(id: u128, base: Option<u64>) -> ProposalOptions {
     ProposalOptions { id: CommandId(id), base, canary: None, forced: false, facts: facts() }
 }
 
 pub fn propose(id: u128, base: Option<u64>, document: Document) -> Entry {
-    Entry::Propose(Box::new(ask(id, base)), Box::new(document))
+    Entry::Propose(Box::new(options(id, base)), Box::new(document))
 }
 
 pub fn rollback(id: u128, base: Option<u64>, to: u64) -> Entry {
-    Entry::Rollback(Box::new(ask(id, base)), to)
+    Entry::Rollback(Box::new(options(id, base)), to)
 }
 
-/// The next entry of the log.
+/// Applies the next entry of the log.
 pub fn next(policy: &mut PolicyState, entry: &Entry) -> Applied {
     let index = policy.status().index + 1;
     policy.apply(index, &entry.to_bytes().expect("short"))
 }
 
-/// Everybody has confirmed whatever is begun, until nothing is.
+/// Confirms each generation until nothing is under way.
 pub fn settle(policy: &mut PolicyState) {
     while policy.status().unconfirmed {
         let generation = policy.status().generation;
@@ -87,7 +87,7 @@
     Place { name: "u", cell, machine_type: "m1", zone: if cell < 4 { "bilbao" } else { "oviedo" } }
 }
 
-/// The pods that may be sent to.
-pub fn open(policy: &PolicyState) -> Vec<u32> {
+/// The cells that may be sent to.
+pub fn open_cells(policy: &PolicyState) -> Vec<u32> {
     (0..8).filter(|p| policy.status().rules.permits(&place(*p), "log")).collect()
 }
--- a/crates/revision/tests/documents.rs
+++ b/crates/revision/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Documents, rules and the charter.
+//! Documents, rules and the fallback policy.
 
 mod common;
 
@@ -19,7 +19,7 @@
 }
 
 #[test]
-fn a_document_is_read_from_json_and_what_is_wrong_is_told_with_its_field() {
+fn reads_documents_from_json_and_names_the_wrong_field() {
     let good = br#"{"out": {"pods": [3], "sites": ["oviedo"]}, "weights": {"pods": {"2": 0.25}},
         "kept": {"log": [7]}, "attempts": 2, "times": 3.5, "sessions": {"log": 600}, "eldest_list": 41}"#;
     let document = Document::from_json(good).unwrap();
@@ -32,7 +32,7 @@
         (rules.weight(&place(2)), rules.times(), rules.session_s("log")),
         (0.25, 3.5, Some(600))
     );
-    for (json, says) in [
+    for (json, expected) in [
         (r#"{"attempts": 4}"#, "`attempts` is 4; expected 1 to 3"),
         (r#"{"out": {"pod": [1]}}"#, "`out.pod`: unknown field `pod`"),
         (r#"{"weights": {"sites": {"b": 0}}}"#, "weight of 0.001 to 1"),
@@ -45,7 +45,7 @@
         (r#"{} {}"#, "trailing characters"),
     ] {
         let error = Document::from_json(json.as_bytes()).unwrap_err().to_string();
-        assert!(error.contains(says), "{json}: {error}");
+        assert!(error.contains(expected), "{json}: {error}");
     }
     let mut long = Document::default();
     long.out.upstreams =
@@ -54,34 +54,34 @@
 }
 
 #[test]
-fn nobody_refuses_what_the_charter_allows_whatever_a_document_says() {
-    let mut said = without(&[1, 2]);
-    said.out.zones.insert("bilbao".into());
-    said.class_exclusions.insert("log".into(), BTreeSet::from([1, 6]));
-    let rules = Rules::of(said, floor(&[0, 1]));
-    let open =
+fn rules_permit_what_the_fallback_floor_allows_whatever_a_document_states() {
+    let mut document = without(&[1, 2]);
+    document.out.zones.insert("bilbao".into());
+    document.class_exclusions.insert("log".into(), BTreeSet::from([1, 6]));
+    let rules = Rules::of(document, floor(&[0, 1]));
+    let open_cells =
         |class: &str| (0..8).filter(|p| rules.permits(&place(*p), class)).collect::<Vec<_>>();
-    assert_eq!(open("log"), [0, 1, 4, 5, 7]);
-    assert_eq!(open("sync"), [0, 1, 4, 5, 6, 7]);
+    assert_eq!(open_cells("log"), [0, 1, 4, 5, 7]);
+    assert_eq!(open_cells("sync"), [0, 1, 4, 5, 6, 7]);
 }
 
 #[test]
-fn what_does_not_fit_the_fleet_or_the_charter_is_told_gravest_first() {
-    let against =
+fn fleet_conflicts_are_reported_gravest_first() {
+    let conflicts =
         |document: Document| facts().fleet_conflicts(&Rules::of(document, floor(&[0, 4])));
-    let json = |json: &str| against(Document::from_json(json.as_bytes()).unwrap());
-    assert_eq!(against(without(&[1])), []);
-    // Two pods of a site out: 2000 are left for 1300; a third: 1000.
-    assert_eq!(against(without(&[1, 2])), []);
-    let no_room = |zone: &str, load, capacity| FleetConflict::NoCapacity {
+    let json = |json: &str| conflicts(Document::from_json(json.as_bytes()).unwrap());
+    assert_eq!(conflicts(without(&[1])), []);
+    // Without two cells of a zone 2000 are left for a load of 1300, without a third 1000.
+    assert_eq!(conflicts(without(&[1, 2])), []);
+    let shortage = |zone: &str, load, capacity| FleetConflict::NoCapacity {
         zone: zone.into(),
         load,
         capacity,
     };
-    assert_eq!(against(without(&[1, 2, 3])), [no_room("bilbao", 1300, 1000)]);
+    assert_eq!(conflicts(without(&[1, 2, 3])), [shortage("bilbao", 1300, 1000)]);
     assert_eq!(
         json(r#"{"weights": {"sites": {"oviedo": 0.25}}}"#),
-        [no_room("oviedo", 1300, 1000)]
+        [shortage("oviedo", 1300, 1000)]
     );
     assert_eq!(json(r#"{"out": {"upstreams": ["u3"]}}"#), []);
     let unknown =
@@ -99,16 +99,16 @@
     nowhere.class_exclusions.insert("log".into(), (0..8).collect());
     let all = facts().fleet_conflicts(&Rules::of(nowhere, floor(&[])));
     assert_eq!(all, [FleetConflict::NoCellForClass { class: "log".into() }]);
-    // A site's load goes elsewhere with it, as far as there is room.
+    // The load of an excluded zone goes to the others, as far as they have capacity.
     let mut zone = Document::default();
     zone.out.zones.insert("bilbao".into());
     assert_eq!(facts().fleet_conflicts(&Rules::of(zone.clone(), floor(&[]))), []);
     let full = hollowpaddle_revision::fleet::Facts { load: vec![2500, 2500], ..facts() };
-    assert_eq!(full.fleet_conflicts(&Rules::of(zone, floor(&[]))), [no_room("", 5000, 4000)]);
+    assert_eq!(full.fleet_conflicts(&Rules::of(zone, floor(&[]))), [shortage("", 5000, 4000)]);
 }
 
 #[test]
-fn a_third_of_each_sites_pods_is_the_charter_and_one_more_pod_moves_no_other() {
+fn usual_fallback_is_a_third_of_each_zone_and_stable() {
     let zones = |n: u32| {
         BTreeMap::from([
             ("a".to_string(), (0..n).collect()),
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_trial_ends_badly_without_a_word_or_when_the_worth_falls() {
+fn canary_verdict_is_rollback_on_timeout_or_fall() {
     let canary = CanaryTerms { seconds: 60, fall: 100 };
     let s = std::time::Duration::from_secs;
     let worth = |before, since, offered_since| {
@@ -143,7 +143,7 @@
         Some(RollbackCause::ServedWorthFell(111))
     );
     assert_eq!(canary.verdict(s(4), worth(900, 0, 1000)), None, "too early to say");
-    // Half as much was asked for, and all of it served.
+    // Half as much was offered, and all of it served.
     assert_eq!(canary.verdict(s(10), worth(900, 450, 500)), None);
     assert_eq!(canary.verdict(s(10), worth(900, 0, 0)), None);
     assert_eq!(canary.verdict(s(10), worth(0, 0, 1000)), None);
@@ -167,9 +167,9 @@
 }
 
 proptest! {
-    /// The model: what is sent by either, place by place.
+    /// The model is what each of the two permits, upstream by upstream.
     #[test]
-    fn narrow_allows_what_both_allow_and_nothing_else(a in documents(), b in documents(), cell in 0_u32..8) {
+    fn restricted_rules_allow_exactly_what_both_allow(a in documents(), b in documents(), cell in 0_u32..8) {
         let (a, b) = (Rules::of(a, floor(&[0, 4])), Rules::of(b, floor(&[0, 4])));
         let restricted = Rules::restrict(&a, &b);
         for class in ["log", "sync"] {
@@ -190,13 +190,13 @@
     }
 
     #[test]
-    fn no_bytes_of_json_make_it_panic(bytes in proptest::collection::vec(any::<u8>(), 0..80)) {
+    fn arbitrary_json_bytes_never_panic(bytes in proptest::collection::vec(any::<u8>(), 0..80)) {
         let _ = Document::from_json(&bytes);
     }
 
-    /// The exact meaning of two charters, place by place.
+    /// The exact meaning of two fallback policies, upstream by upstream.
     #[test]
-    fn a_floor_allows_what_either_charter_allows_and_meet_what_both_do(
+    fn floor_allows_what_either_policy_allows_and_meet_what_both_allow(
         a in (proptest::collection::btree_set(0_u32..4, 0..4), proptest::bool::ANY),
         b in (proptest::collection::btree_set(0_u32..4, 0..4), proptest::bool::ANY),
     ) {
--- a/crates/revision/tests/formats.rs
+++ b/crates/revision/tests/formats.rs
@@ -7,7 +7,7 @@
 use std::fmt::Debug;
 use std::sync::Arc;
 
-use common::{ask, next, policy, rollback, without};
+use common::{next, options, policy, rollback, without};
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use hollowpaddle_revision::canary::{CanaryTerms, RollbackCause};
 use hollowpaddle_revision::difference::Difference;
@@ -55,7 +55,7 @@
     assert_eq!(printed, expected);
 }
 
-/// One that names each part of the fleet.
+/// A document that names each part of the fleet.
 fn document() -> Document {
     let json = include_str!("formats/document.json");
     Document::from_json(json.as_bytes()).unwrap()
@@ -223,7 +223,7 @@
     ]
 }
 
-/// Those that hold one of the errors above stand for it by one of its variants.
+/// A rejection that holds one of the errors above is tried with one of its variants.
 fn refusals() -> Cases<Refusal> {
     let (misfit, fallback_policy) =
         (fleet_conflicts().remove(1), fallback_policy_errors().remove(1));
@@ -262,8 +262,8 @@
 /// A state in which each stored field differs from its usual value, by entries 1 to 13.
 fn busy_state() -> PolicyState {
     let mut policy = policy();
-    let on_trial = |id| ProposalOptions { canary: Some(TRIAL), ..ask(id, None) };
-    let canary = |id| Entry::Propose(Box::new(on_trial(id)), Box::new(without(&[3])));
+    let canary_options = |id| ProposalOptions { canary: Some(TRIAL), ..options(id, None) };
+    let canary = |id| Entry::Propose(Box::new(canary_options(id)), Box::new(without(&[3])));
     let mut to = policy.status().fallback_policy.as_ref().clone();
     to.attempts = 2;
     for entry in [
@@ -348,7 +348,7 @@
 }
 
 #[test]
-fn admin_api_prints_origins_fates_and_errors_as_before() {
+fn admin_api_prints_origins_statuses_and_errors_as_before() {
     assert_text(&origins(), ToString::to_string);
     assert_text(&change_statuses(), ToString::to_string);
     assert_text(&refusals(), ToString::to_string);
--- a/crates/revision/tests/leases.rs
+++ b/crates/revision/tests/leases.rs
@@ -1,10 +1,10 @@
-//! The machine of leases by hand: one balancer at a time, each word said by the test.
+//! Leases of one balancer at a time; the test sends each message.
 
 mod common;
 
 use std::time::Duration;
 
-use common::{ask, bootstrap, next, place, policy, propose, without};
+use common::{bootstrap, next, options, place, policy, propose, without};
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use hollowpaddle_revision::canary::{CanaryMetric, CanaryTerms, RollbackCause};
 use hollowpaddle_revision::entry::{CommandId, Entry};
@@ -24,18 +24,18 @@
     Generation { epoch: 1, index }
 }
 
-/// One balancer, and what it did last.
-struct One {
+/// One balancer, and its last actions.
+struct Balancer {
     leases: Leases,
-    did: Vec<Action>,
+    actions: Vec<Action>,
 }
 
-impl One {
+impl Balancer {
     fn new(change: impl FnOnce(&mut LeaseConfig)) -> Self {
         let mut terms =
             LeaseConfig::usual(NodeId(0), Incarnation(7), bootstrap(1).mandatory_fallback);
         change(&mut terms);
-        Self { leases: Leases::new(terms), did: vec![] }
+        Self { leases: Leases::new(terms), actions: vec![] }
     }
 
     fn usual() -> Self {
@@ -43,24 +43,31 @@
     }
 
     fn on(&mut self, now: u64, event: Event) -> &mut Self {
-        self.did.clear();
-        self.leases.handle(ms(now), event, &mut self.did);
+        self.actions.clear();
+        self.leases.handle(ms(now), event, &mut self.actions);
         self
     }
 
-    fn learns(&mut self, now: u64, policy: &PolicyState) -> &mut Self {
+    fn apply(&mut self, now: u64, policy: &PolicyState) -> &mut Self {
         self.on(now, Event::Applied { epoch: 1, status: Box::new(policy.status()) })
     }
 
-    fn hears(&mut self, now: u64, from: u16, incarnation: u32, message: Message) -> &mut Self {
+    fn receive(&mut self, now: u64, from: u16, incarnation: u32, message: Message) -> &mut Self {
         self.on(
             now,
             Event::Message { from: NodeId(from), incarnation: Incarnation(incarnation), message },
         )
     }
 
-    /// A child asks, by its own clock at `asked`; the answer.
-    fn asked(&mut self, now: u64, from: u16, incarnation: u32, at: u64, confirmed: u64) -> Message {
+    /// Sends a child's request for a lease and returns the response.
+    fn request_lease(
+        &mut self,
+        now: u64,
+        from: u16,
+        incarnation: u32,
+        at: u64,
+        confirmed: u64,
+    ) -> Message {
         let renew = Message::Renew {
             sent_at_us: now * 1000,
             generation: generation(at),
@@ -68,16 +75,16 @@
             present: NodeSet::from_iter([NodeId(from)]),
             fallback_holders: None,
         };
-        self.hears(now, from, incarnation, renew);
+        self.receive(now, from, incarnation, renew);
         let to = |a: &Action| match a {
             Action::Send { to, message } if to.0 == from => Some(message.clone()),
             _ => None,
         };
-        self.did.iter().find_map(to).expect("each asking is answered")
+        self.actions.iter().find_map(to).expect("each asking is answered")
     }
 
-    /// Asks its parent 1 now and is given so many milliseconds.
-    fn leased(&mut self, now: u64, duration_ms: u64) -> &mut Self {
+    /// Requests a lease from node 1 and is granted one of `duration_ms`.
+    fn obtain_lease(&mut self, now: u64, duration_ms: u64) -> &mut Self {
         self.on(now, Event::Parent(Some(NodeId(1)))).on(now + 400, Event::Due);
         let grant = Message::Grant {
             incarnation: Incarnation(7),
@@ -85,7 +92,7 @@
             generation: self.generation(),
             duration_us: duration_ms * 1000,
         };
-        self.hears(now + 400, 1, 1, grant)
+        self.receive(now + 400, 1, 1, grant)
     }
 
     fn generation(&self) -> Generation {
@@ -96,22 +103,22 @@
         self.leases.in_force().until.as_millis() as u64
     }
 
-    fn proposes(&self) -> Option<&Entry> {
-        self.did
+    fn proposal(&self) -> Option<&Entry> {
+        self.actions
             .iter()
             .find_map(|a| if let Action::Propose(entry) = a { Some(entry) } else { None })
     }
 
-    /// What it tells its parent, if it does now.
-    fn confirms(&self) -> Option<u64> {
-        let told = |a: &Action| match a {
+    /// The index that it reports to its parent as confirmed, if it does now.
+    fn reported_confirmation(&self) -> Option<u64> {
+        let expected = |a: &Action| match a {
             Action::Send { message: Message::Renew { confirmed, .. }, .. } => Some(confirmed.index),
             _ => None,
         };
-        self.did.iter().find_map(told)
+        self.actions.iter().find_map(expected)
     }
 
-    fn open(&self, now: u64) -> Vec<u32> {
+    fn open_cells(&self, now: u64) -> Vec<u32> {
         let in_force = self.leases.in_force();
         let rules = in_force.at(ms(now)).rules();
         (0..8).filter(|p| rules.permits(&place(*p), "log")).collect()
@@ -119,103 +126,108 @@
 }
 
 #[test]
-fn a_holder_s_end_counts_from_its_asking_and_comes_before_the_giver_s() {
-    let mut one = One::usual();
-    one.learns(0, &policy()).leased(1000, 2000);
-    // Asked at 1400; 2000 less one in a hundred.
+fn lease_counts_from_the_request_and_ends_before_the_granters() {
+    let mut one = Balancer::usual();
+    one.apply(0, &policy()).obtain_lease(1000, 2000);
+    // Requested at 1400; 2000 less the drift of 1 in 100.
     assert_eq!(one.until(), 1400 + 1980);
     let in_force = one.leases.in_force();
     assert!(matches!(in_force.at(ms(3379)), View::Agreed(_, s) if s == generation(0)));
-    // A process that stood still for 20 s between this look and its send finds it ended when it looks again.
+    // A process that was paused for 20 s finds the lease ended.
     assert!(matches!(in_force.at(ms(23_379)), View::FallbackPolicy(_)));
-    // What it gives on is what is left of its own.
-    let Message::Grant { duration_us, .. } = one.asked(2000, 5, 1, 0, 0) else { panic!("a lease") };
+    // It grants what remains of its own lease.
+    let Message::Grant { duration_us, .. } = one.request_lease(2000, 5, 1, 0, 0) else {
+        panic!("a lease")
+    };
     assert_eq!(duration_us, 1_380_000);
-    // Longer than a lease none is, whatever is said.
-    assert_eq!(One::usual().learns(0, &policy()).leased(1000, 99_000).until(), 1400 + 1980);
+    // No lease exceeds the configured duration, whatever was granted.
+    assert_eq!(
+        Balancer::usual().apply(0, &policy()).obtain_lease(1000, 99_000).until(),
+        1400 + 1980
+    );
 }
 
 #[test]
-fn an_answer_to_another_life_to_no_question_or_not_from_the_parent_counts_for_nothing() {
+fn ignores_responses_to_other_incarnations_unknown_requests_or_from_other_nodes() {
     let grant = |incarnation, sent_at_us| Message::Grant {
         incarnation: Incarnation(incarnation),
         sent_at_us,
         generation: generation(0),
         duration_us: 2_000_000,
     };
-    for (from, to, asked) in [(1, 6, 400_000), (1, 7, 400_001), (2, 7, 400_000)] {
-        let mut one = One::usual();
-        one.learns(0, &policy()).on(0, Event::Parent(Some(NodeId(1)))).on(400, Event::Due);
-        one.hears(410, from, 1, grant(to, asked));
-        assert_eq!(one.until(), 0, "{from} {to} {asked}");
-        one.hears(420, 1, 1, grant(7, 400_000));
+    for (from, to, request_lease) in [(1, 6, 400_000), (1, 7, 400_001), (2, 7, 400_000)] {
+        let mut one = Balancer::usual();
+        one.apply(0, &policy()).on(0, Event::Parent(Some(NodeId(1)))).on(400, Event::Due);
+        one.receive(410, from, 1, grant(to, request_lease));
+        assert_eq!(one.until(), 0, "{from} {to} {request_lease}");
+        one.receive(420, 1, 1, grant(7, 400_000));
         assert_eq!(one.until(), 400 + 1980);
     }
 }
 
 #[test]
-fn whoever_is_at_another_stage_gets_no_lease_and_is_told_which() {
+fn rejects_lease_requests_of_another_generation() {
     let mut policy = policy();
-    let mut one = One::usual();
-    one.learns(0, &policy).leased(1000, 2000);
-    assert!(matches!(one.asked(1500, 5, 1, 0, 0), Message::Grant { .. }));
+    let mut one = Balancer::usual();
+    one.apply(0, &policy).obtain_lease(1000, 2000);
+    assert!(matches!(one.request_lease(1500, 5, 1, 0, 0), Message::Grant { .. }));
     next(&mut policy, &propose(1, None, without(&[2])));
-    one.learns(1600, &policy);
-    let told = Message::LeaseRejection {
+    one.apply(1600, &policy);
+    let expected = Message::LeaseRejection {
         incarnation: Incarnation(1),
         sent_at_us: 1_700_000,
         generation: generation(1),
         reason: LeaseRejection::Generation,
     };
-    assert_eq!(one.asked(1700, 5, 1, 0, 0), told);
+    assert_eq!(one.request_lease(1700, 5, 1, 0, 0), expected);
     assert_eq!(one.leases.seen().here.len(), 1, "and is not counted as being here");
-    // One that is ahead of it is to be learned from.
-    one.asked(1800, 5, 1, 9, 9);
-    assert!(one.did.contains(&Action::Learn { from: NodeId(5), generation: generation(9) }));
+    // A child at a later generation is a source to learn from.
+    one.request_lease(1800, 5, 1, 9, 9);
+    assert!(one.actions.contains(&Action::Learn { from: NodeId(5), generation: generation(9) }));
 }
 
 #[test]
-fn a_lease_counts_for_what_follows_unless_it_is_to_be_exact() {
+fn lease_holds_for_later_generations_unless_exact() {
     let mut policy = policy();
     next(&mut policy, &propose(1, None, without(&[2])));
     for exact in [false, true] {
-        let mut one = One::new(|t| t.exact = exact);
-        one.learns(0, &common::policy()).leased(1000, 2000).learns(1500, &policy);
+        let mut one = Balancer::new(|t| t.exact = exact);
+        one.apply(0, &common::policy()).obtain_lease(1000, 2000).apply(1500, &policy);
         assert_eq!(one.until(), if exact { 0 } else { 1400 + 1980 });
     }
 }
 
 #[test]
-fn the_seventeenth_child_is_sent_elsewhere_until_one_falls_silent() {
-    let mut one = One::usual();
-    one.learns(0, &policy()).leased(1000, 2000);
+fn rejects_children_beyond_the_bound_until_one_times_out() {
+    let mut one = Balancer::usual();
+    one.apply(0, &policy()).obtain_lease(1000, 2000);
     for child in 10..26 {
-        assert!(matches!(one.asked(1500, child, 1, 0, 0), Message::Grant { .. }));
+        assert!(matches!(one.request_lease(1500, child, 1, 0, 0), Message::Grant { .. }));
     }
     assert!(matches!(
-        one.asked(1500, 26, 1, 0, 0),
+        one.request_lease(1500, 26, 1, 0, 0),
         Message::LeaseRejection { reason: LeaseRejection::Full, .. }
     ));
     for child in 10..25 {
-        one.asked(2400, child, 1, 0, 0);
+        one.request_lease(2400, child, 1, 0, 0);
     }
-    assert!(matches!(one.asked(2600, 26, 1, 0, 0), Message::Grant { .. }));
+    assert!(matches!(one.request_lease(2600, 26, 1, 0, 0), Message::Grant { .. }));
 }
 
 #[test]
-fn a_stage_is_confirmed_once_each_child_has_or_its_lease_has_ended_also_that_of_a_former_life() {
+fn generation_is_confirmed_once_all_children_confirm_or_their_leases_end() {
     let mut policy = policy();
     let begin = |policy: &mut PolicyState| {
-        let mut one = One::usual();
-        one.learns(0, policy).leased(1000, 2000);
-        assert!(matches!(one.asked(1500, 5, 1, 0, 0), Message::Grant { .. }));
+        let mut one = Balancer::usual();
+        one.apply(0, policy).obtain_lease(1000, 2000);
+        assert!(matches!(one.request_lease(1500, 5, 1, 0, 0), Message::Grant { .. }));
         next(policy, &propose(policy.status().index.into(), None, without(&[2])));
-        one.learns(1600, policy);
-        assert_eq!(one.confirms(), Some(0));
+        one.apply(1600, policy);
+        assert_eq!(one.reported_confirmation(), Some(0));
         one
     };
     let mut one = begin(&mut policy);
-    one.hears(
+    one.receive(
         1700,
         5,
         1,
@@ -227,95 +239,95 @@
             fallback_holders: None,
         },
     );
-    assert_eq!(one.confirms(), Some(1), "its word");
-    // Its former life gave leases, too: what the new one says is not about them.
+    assert_eq!(one.reported_confirmation(), Some(1), "its word");
+    // The previous incarnation had leases of its own, which the new one does not confirm.
     let mut one = begin(&mut common::policy());
-    one.asked(1700, 5, 2, 1, 1);
+    one.request_lease(1700, 5, 2, 1, 1);
     one.on(1800, Event::Due);
-    assert_ne!(one.confirms(), Some(1));
-    // 1500 + 1880 left of its own, and one in a hundred.
+    assert_ne!(one.reported_confirmation(), Some(1));
+    // Granted at 1500 for the remaining 1880, plus the drift of 1 in 100.
     one.on(3390, Event::Due);
-    assert_ne!(one.confirms(), Some(1));
+    assert_ne!(one.reported_confirmation(), Some(1));
     one.on(3500, Event::Due);
-    assert_eq!(one.confirms(), Some(1), "its end");
-    // One that goes elsewhere tells its former parent.
+    assert_eq!(one.reported_confirmation(), Some(1), "its end");
+    // A balancer that changes its parent notifies the former one.
     let mut one = begin(&mut common::policy());
-    one.on(1650, Event::Parent(Some(NodeId(2)))).hears(
+    one.on(1650, Event::Parent(Some(NodeId(2)))).receive(
         1700,
         5,
         1,
         Message::Departed { confirmed: generation(1) },
     );
     let message = Message::Departed { confirmed: generation(1) };
-    assert!(one.did.contains(&Action::Send { to: NodeId(1), message }));
-    // And a child that went elsewhere says so.
+    assert!(one.actions.contains(&Action::Send { to: NodeId(1), message }));
+    // A former child's notification confirms as well.
     let mut one = begin(&mut common::policy());
-    one.hears(1700, 5, 1, Message::Departed { confirmed: generation(1) });
-    assert_eq!(one.confirms(), Some(1));
+    one.receive(1700, 5, 1, Message::Departed { confirmed: generation(1) });
+    assert_eq!(one.reported_confirmation(), Some(1));
 }
 
 #[test]
-fn a_new_leader_gives_nothing_before_it_knows_all_and_nothing_up_before_a_lease_is_over() {
+fn new_leader_grants_after_catching_up_and_confirms_after_former_leases_end() {
     let mut policy = policy();
-    let mut one = One::usual();
-    one.learns(0, &policy)
+    let mut one = Balancer::usual();
+    one.apply(0, &policy)
         .on(1000, Event::Leads { since: ms(1000), epoch: 1, from: 1 })
         .on(1050, Event::Round { began: ms(1020) });
     assert!(matches!(
-        one.asked(1100, 5, 1, 0, 0),
+        one.request_lease(1100, 5, 1, 0, 0),
         Message::LeaseRejection { reason: LeaseRejection::Lease, .. }
     ));
     next(&mut policy, &propose(1, None, without(&[2])));
-    one.learns(1200, &policy);
+    one.apply(1200, &policy);
     assert_eq!(one.until(), 1020 + 1980);
-    assert!(matches!(one.asked(1300, 5, 1, 1, 1), Message::Grant { .. }));
-    assert_eq!(one.on(3019, Event::Due).proposes(), None, "2020 ms since it leads");
-    assert_eq!(one.on(3020, Event::Due).proposes(), Some(&Entry::GenerationConfirmed(1)));
-    // Again until it is in the log, not at each turn; never after it was told that it leads no more.
-    assert_eq!(one.on(3100, Event::Due).proposes(), None);
-    assert_eq!(one.on(3600, Event::Due).proposes(), Some(&Entry::GenerationConfirmed(1)));
-    assert_eq!(one.on(3700, Event::Follows).on(4300, Event::Due).proposes(), None);
-    // It is another log that it has applied so much of.
+    assert!(matches!(one.request_lease(1300, 5, 1, 1, 1), Message::Grant { .. }));
+    assert_eq!(one.on(3019, Event::Due).proposal(), None, "2020 ms since it leads");
+    assert_eq!(one.on(3020, Event::Due).proposal(), Some(&Entry::GenerationConfirmed(1)));
+    // The proposal is repeated at intervals until it is in the log, and not after the leadership has ended.
+    assert_eq!(one.on(3100, Event::Due).proposal(), None);
+    assert_eq!(one.on(3600, Event::Due).proposal(), Some(&Entry::GenerationConfirmed(1)));
+    assert_eq!(one.on(3700, Event::Follows).on(4300, Event::Due).proposal(), None);
+    // Entries of another epoch do not count as caught up.
     let lead = Event::Leads { since: ms(1300), epoch: 2, from: 0 };
-    let mut one = One::usual();
-    one.learns(0, &policy).on(1300, lead).on(1400, Event::Round { began: ms(1350) });
+    let mut one = Balancer::usual();
+    one.apply(0, &policy).on(1300, lead).on(1400, Event::Round { began: ms(1350) });
     assert_eq!(one.until(), 0);
-    // A round that began before it led was answered to another.
-    let mut one = One::usual();
-    one.learns(0, &common::policy()).on(1000, Event::Leads { since: ms(1000), epoch: 1, from: 0 });
+    // A round from before the leadership was answered to another leader.
+    let mut one = Balancer::usual();
+    one.apply(0, &common::policy()).on(1000, Event::Leads { since: ms(1000), epoch: 1, from: 0 });
     assert_eq!(one.on(1050, Event::Round { began: ms(990) }).until(), 0);
 }
 
 #[test]
-fn one_that_forgot_its_charter_keeps_to_bedrock_until_a_lease_of_this_life_says_more() {
-    let mut one = One::usual();
-    one.learns(100, &policy());
-    assert_eq!(one.open(100), [0, 4], "bedrock");
-    // This lease may root in a round from before its start.
-    one.leased(200, 1000);
-    assert_eq!(one.open(800).len(), 8);
-    assert_eq!(one.open(5000), [0, 4]);
-    one.leased(2100, 1000);
-    assert_eq!(one.open(5000), [0, 1, 4, 5], "the charter");
-    // One that was stored is held at once, and replaced by a later one only.
+fn keeps_to_mandatory_fallback_until_a_lease_of_this_incarnation() {
+    let mut one = Balancer::usual();
+    one.apply(100, &policy());
+    assert_eq!(one.open_cells(100), [0, 4], "bedrock");
+    // This lease may come from a round before the process started.
+    one.obtain_lease(200, 1000);
+    assert_eq!(one.open_cells(800).len(), 8);
+    assert_eq!(one.open_cells(5000), [0, 4]);
+    one.obtain_lease(2100, 1000);
+    assert_eq!(one.open_cells(5000), [0, 1, 4, 5], "the charter");
+    // A persisted policy holds at once, and only a later one replaces it.
     let fallback_policy =
         FallbackPolicy { cells: [0, 4, 6].into(), ..bootstrap(1).fallback_policy };
-    let mut one = One::new(|t| t.stored = Some((generation(9), fallback_policy.clone())));
-    assert_eq!(one.learns(100, &policy()).open(100), [0, 4, 6]);
-    assert_eq!(one.leased(3000, 1000).open(9000), [0, 4, 6]);
+    let mut one = Balancer::new(|t| t.stored = Some((generation(9), fallback_policy.clone())));
+    assert_eq!(one.apply(100, &policy()).open_cells(100), [0, 4, 6]);
+    assert_eq!(one.obtain_lease(3000, 1000).open_cells(9000), [0, 4, 6]);
 }
 
 #[test]
-fn a_charter_is_confirmed_by_each_member_s_own_word_and_after_it_is_kept() {
+fn fallback_change_is_confirmed_by_each_holder_after_it_is_persisted() {
     let mut policy = policy();
     let smaller = FallbackPolicy { cells: [0, 4].into(), ..bootstrap(1).fallback_policy };
-    let mut one = One::usual();
-    one.learns(0, &policy).on(0, Event::Leads { since: ms(0), epoch: 1, from: 0 });
+    let mut one = Balancer::usual();
+    one.apply(0, &policy).on(0, Event::Leads { since: ms(0), epoch: 1, from: 0 });
     one.on(3000, Event::Round { began: ms(2900) });
     next(&mut policy, &Entry::FallbackPolicy(CommandId(1), smaller, Box::default()));
-    one.learns(3100, &policy);
-    let keeps = |a: &Action| matches!(a, Action::PersistFallbackPolicy { fallback_generation, .. } if *fallback_generation == generation(1));
-    assert!(one.did.iter().any(keeps));
+    one.apply(3100, &policy);
+    let is_persisted = |a: &Action| matches!(a, Action::PersistFallbackPolicy { fallback_generation, .. } if *fallback_generation == generation(1));
+    assert!(one.actions.iter().any(is_persisted));
     let message = |members: &[u16], fallback_generation| Message::Renew {
         sent_at_us: 5,
         generation: generation(1),
@@ -327,75 +339,75 @@
         )),
     };
     next(&mut policy, &Entry::GenerationConfirmed(1));
-    one.learns(3200, &policy).hears(3300, 1, 1, message(&[1, 2], 1)).hears(
+    one.apply(3200, &policy).receive(3300, 1, 1, message(&[1, 2], 1)).receive(
         3300,
         3,
         1,
         message(&[3, 4], 0),
     );
-    one.hears(3400, 3, 1, message(&[3], 1)).hears(3500, 3, 1, message(&[4], 1));
-    assert_eq!(one.proposes(), None, "its own is not on disk yet");
+    one.receive(3400, 3, 1, message(&[3], 1)).receive(3500, 3, 1, message(&[4], 1));
+    assert_eq!(one.proposal(), None, "its own is not on disk yet");
     one.on(3600, Event::FallbackPolicyPersisted { fallback_generation: generation(1) });
-    assert_eq!(one.proposes(), Some(&Entry::FallbackPolicyConfirmed(1)));
+    assert_eq!(one.proposal(), Some(&Entry::FallbackPolicyConfirmed(1)));
 }
 
 #[test]
-fn the_leader_takes_a_trial_back_in_time_or_when_the_worth_falls() {
-    let mut asks = ask(1, None);
-    asks.canary = Some(CanaryTerms { seconds: 60, fall: 100 });
+fn leader_rolls_back_canary_on_timeout_or_fall() {
+    let mut options = options(1, None);
+    options.canary = Some(CanaryTerms { seconds: 60, fall: 100 });
     let mut policy = policy();
-    next(&mut policy, &Entry::Propose(Box::new(asks), Box::new(without(&[2]))));
+    next(&mut policy, &Entry::Propose(Box::new(options), Box::new(without(&[2]))));
     common::settle(&mut policy);
-    let fell =
+    let fall =
         Some(CanaryMetric { before: 900, since: 700, offered_before: 1000, offered_since: 1000 });
     for leads in [true, false] {
-        let mut one = One::usual();
-        one.learns(0, &policy);
+        let mut one = Balancer::usual();
+        one.apply(0, &policy);
         if leads {
             one.on(0, Event::Leads { since: ms(0), epoch: 1, from: 0 });
         }
         one.on(59_000, Event::Due);
-        assert_eq!(one.proposes(), None);
+        assert_eq!(one.proposal(), None);
         one.on(60_001, Event::Due);
         assert_eq!(
-            one.proposes(),
+            one.proposal(),
             leads.then_some(&Entry::AutomaticRollback(1, RollbackCause::NotConfirmed))
         );
-        let mut one = One::usual();
-        one.learns(0, &policy).on(0, Event::Leads { since: ms(0), epoch: 1, from: 0 });
+        let mut one = Balancer::usual();
+        one.apply(0, &policy).on(0, Event::Leads { since: ms(0), epoch: 1, from: 0 });
         assert_eq!(
-            one.on(10_000, Event::CanaryMetric(fell)).proposes(),
+            one.on(10_000, Event::CanaryMetric(fall)).proposal(),
             Some(&Entry::AutomaticRollback(1, RollbackCause::ServedWorthFell(222)))
         );
     }
 }
 
 #[test]
-fn another_epoch_s_log_counts_and_an_older_one_s_does_not() {
+fn applies_later_epochs_and_ignores_older_ones() {
     let mut later = policy();
     next(&mut later, &propose(1, None, without(&[2])));
-    let mut one = One::usual();
-    one.learns(0, &later).leased(3000, 2000);
+    let mut one = Balancer::usual();
+    one.apply(0, &later).obtain_lease(3000, 2000);
     one.on(3500, Event::Applied { epoch: 2, status: Box::new(policy().status()) });
     assert_eq!(
         (one.generation(), one.until()),
         (Generation { epoch: 2, index: 0 }, 0),
         "its lease was of another log"
     );
-    one.learns(3600, &later);
+    one.apply(3600, &later);
     assert_eq!(one.generation().epoch, 2);
 }
 
 #[test]
-fn the_longest_word_fits_a_datagram() {
+fn longest_message_fits_a_datagram() {
     let all = NodeSet::first(512);
-    let far = Generation { epoch: u32::MAX, index: u64::MAX };
+    let latest = Generation { epoch: u32::MAX, index: u64::MAX };
     let message = Message::Renew {
         sent_at_us: u64::MAX,
-        generation: far,
-        confirmed: far,
+        generation: latest,
+        confirmed: latest,
         present: all,
-        fallback_holders: Some((far, all)),
+        fallback_holders: Some((latest, all)),
     };
     let bytes = message.to_bytes();
     assert!(bytes.len() <= MAX_MESSAGE_BYTES, "{}", bytes.len());
@@ -405,20 +417,20 @@
 
 proptest! {
     #[test]
-    fn no_word_makes_it_panic_and_no_lease_is_longer_than_one(
+    fn messages_never_panic_and_no_lease_exceeds_its_duration(
         all in proptest::collection::vec(
             (proptest::collection::vec(any::<u8>(), 0..24), 0_u16..4, any::<u64>(), 0_u8..6), 1..80,
         ),
     ) {
-        let mut one = One::usual();
+        let mut one = Balancer::usual();
         let (mut policy, mut last) = (policy(), 0);
-        one.learns(0, &policy);
+        one.apply(0, &policy);
         for (bytes, from, time, kind) in all {
             let now = time % 20_000;
             last = last.max(now);
             let message = Message::from_bytes(&bytes).ok();
             match (kind, message) {
-                (0, Some(message)) => _ = one.hears(now, from, 1, message),
+                (0, Some(message)) => _ = one.receive(now, from, 1, message),
                 (1, _) => _ = one.on(now, Event::Parent(Some(NodeId(from)))),
                 (2, _) => {
                     let since = ms(time % 30_000);
@@ -427,9 +439,9 @@
                 (3, _) => _ = one.on(time, Event::Round { began: Duration::from_micros(time) }),
                 (4, _) => {
                     next(&mut policy, &propose(u128::from(time), None, without(&[2])));
-                    one.learns(now, &policy);
+                    one.apply(now, &policy);
                 }
-                _ => _ = one.asked(now, from, bytes.len() as u32, time % 4, time % 3),
+                _ => _ = one.request_lease(now, from, bytes.len() as u32, time % 4, time % 3),
             }
             if kind == 3 {
                 last = last.max(time);
@@ -439,7 +451,7 @@
     }
 
     #[test]
-    fn no_bytes_make_a_word_panic(bytes in proptest::collection::vec(any::<u8>(), 0..120)) {
+    fn arbitrary_bytes_never_panic_messages(bytes in proptest::collection::vec(any::<u8>(), 0..120)) {
         if let Ok(message) = Message::from_bytes(&bytes) {
             prop_assert!(Message::from_bytes(&message.to_bytes()).is_ok());
         }
--- a/crates/revision/tests/lists.rs
+++ b/crates/revision/tests/lists.rs
@@ -1,4 +1,4 @@
-//! Lists of upstreams, told from balancer to balancer.
+//! Which upstreams may be sent to, by the own list and by peers.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -30,7 +30,7 @@
     Event::Message { from: NodeId(1), message: ListMessage { version, stops } }
 }
 
-/// `a` is in the charter.
+/// The open upstreams; the fallback policy allows `a`.
 fn open(lists: &Lists) -> String {
     lists.among(NAMES.map(|n| (n, n == "a"))).concat()
 }
@@ -40,116 +40,117 @@
 }
 
 #[test]
-fn a_peer_s_word_stops_at_once_and_is_passed_on_once_and_the_own_list_s_next_word_decides() {
-    let (mut lists, mut did) = (Lists::default(), vec![]);
+fn peer_stop_holds_at_once_is_forwarded_once_and_yields_to_the_own_list() {
+    let (mut lists, mut actions) = (Lists::default(), vec![]);
     all(&mut lists, 5);
-    lists.handle(s(2), message(7, vec![stop("b", 7)]), &mut did);
+    lists.handle(s(2), message(7, vec![stop("b", 7)]), &mut actions);
     assert_eq!(open(&lists), "acd");
-    assert!(did.contains(&Action::Poll { version: 7 }) && did.contains(&Action::Changed));
-    let passes =
-        |did: &[Action]| did.iter().any(|a| matches!(a, Action::Tell(w) if !w.stops.is_empty()));
-    assert!(passes(&did));
-    did.clear();
-    lists.handle(s(2), message(7, vec![stop("b", 7)]), &mut did);
-    assert!(!passes(&did), "no news any more");
-    // The own list, later: it is back.
-    lists.handle(s(3), own(8, false, &[("b", Phase::Serving)]), &mut did);
+    assert!(actions.contains(&Action::Poll { version: 7 }) && actions.contains(&Action::Changed));
+    let forwards = |actions: &[Action]| {
+        actions.iter().any(|a| matches!(a, Action::Tell(w) if !w.stops.is_empty()))
+    };
+    assert!(forwards(&actions));
+    actions.clear();
+    lists.handle(s(2), message(7, vec![stop("b", 7)]), &mut actions);
+    assert!(!forwards(&actions), "no news any more");
+    // A later version of the own list opens it again.
+    lists.handle(s(3), own(8, false, &[("b", Phase::Serving)]), &mut actions);
     assert_eq!(open(&lists), "abcd");
-    lists.handle(s(3), message(7, vec![stop("b", 7)]), &mut did);
+    lists.handle(s(3), message(7, vec![stop("b", 7)]), &mut actions);
     assert_eq!(open(&lists), "abcd", "late news is none");
 }
 
 #[test]
-fn replicas_that_disagree_stop_for_ten_seconds_and_then_each_keeps_to_its_own() {
-    let (mut lists, mut did) = (Lists::default(), vec![]);
+fn peer_stop_expires_after_disagreement_or_stop_timeout() {
+    let (mut lists, mut actions) = (Lists::default(), vec![]);
     all(&mut lists, 5);
-    lists.handle(s(2), message(5, vec![stop("b", 5)]), &mut did);
+    lists.handle(s(2), message(5, vec![stop("b", 5)]), &mut actions);
     assert_eq!(open(&lists), "acd", "of one version: it stops");
-    lists.handle(s(11), Event::Due, &mut did);
+    lists.handle(s(11), Event::Due, &mut actions);
     assert_eq!(open(&lists), "acd");
-    lists.handle(s(12), Event::Due, &mut did);
+    lists.handle(s(12), Event::Due, &mut actions);
     assert_eq!(open(&lists), "abcd");
-    // A discovery that never gets so far: a minute, at most.
-    lists.handle(s(20), message(9, vec![stop("c", 9)]), &mut did);
-    lists.handle(s(79), Event::Due, &mut did);
+    // If the own discovery never reaches that version, the stop holds for a minute.
+    lists.handle(s(20), message(9, vec![stop("c", 9)]), &mut actions);
+    lists.handle(s(79), Event::Due, &mut actions);
     assert_eq!(open(&lists), "abd");
-    lists.handle(s(80), Event::Due, &mut did);
+    lists.handle(s(80), Event::Due, &mut actions);
     assert_eq!(open(&lists), "abcd");
 }
 
 #[test]
-fn a_list_out_of_its_order_takes_back_nothing_and_one_that_counts_anew_begins_again() {
-    let (mut lists, mut did) = (Lists::default(), vec![]);
+fn late_list_reverts_nothing_and_version_reset_starts_over() {
+    let (mut lists, mut actions) = (Lists::default(), vec![]);
     all(&mut lists, 5);
-    lists.handle(s(2), own(9, false, &[("b", Phase::Drains)]), &mut did);
-    lists.handle(s(2), own(8, true, &[("a", Phase::Serving), ("b", Phase::Serving)]), &mut did);
+    lists.handle(s(2), own(9, false, &[("b", Phase::Drains)]), &mut actions);
+    lists.handle(s(2), own(8, true, &[("a", Phase::Serving), ("b", Phase::Serving)]), &mut actions);
     assert_eq!(open(&lists), "acd", "neither is b back nor is c gone");
-    lists.handle(s(3), Event::CountsAnew, &mut did);
-    lists.handle(s(3), own(1, true, &[("a", Phase::Serving), ("b", Phase::Serving)]), &mut did);
+    lists.handle(s(3), Event::CountsAnew, &mut actions);
+    lists.handle(s(3), own(1, true, &[("a", Phase::Serving), ("b", Phase::Serving)]), &mut actions);
     assert_eq!((open(&lists).as_str(), lists.newest()), ("ab", 1));
 }
 
 #[test]
-fn with_a_list_older_than_the_floor_only_the_charter_s_are_used_and_never_nobody() {
-    let (mut lists, mut did) = (Lists::default(), vec![]);
+fn stale_list_restricts_to_fallback_upstreams_unless_none_is_open() {
+    let (mut lists, mut actions) = (Lists::default(), vec![]);
     all(&mut lists, 5);
-    lists.handle(s(2), Event::FallbackFloor(6), &mut did);
+    lists.handle(s(2), Event::FallbackFloor(6), &mut actions);
     assert_eq!(open(&lists), "a");
-    assert!(did.contains(&Action::Changed));
-    lists.handle(s(2), message(7, vec![stop("a", 7)]), &mut did);
+    assert!(actions.contains(&Action::Changed));
+    lists.handle(s(2), message(7, vec![stop("a", 7)]), &mut actions);
     assert_eq!(open(&lists), "bcd", "not even that: what there is");
-    lists.handle(s(3), own(6, false, &[("a", Phase::Serving)]), &mut did);
+    lists.handle(s(3), own(6, false, &[("a", Phase::Serving)]), &mut actions);
     assert_eq!(open(&lists), "bcd", "new enough, and a is stopped by a later word");
-    lists.handle(s(3), own(8, false, &[("a", Phase::Serving)]), &mut did);
+    lists.handle(s(3), own(8, false, &[("a", Phase::Serving)]), &mut actions);
     assert_eq!(open(&lists), "abcd");
 }
 
 #[test]
-fn a_drain_reaches_a_whole_bank_by_flooding_through_loss() {
+fn drain_reaches_the_cluster_in_spite_of_loss() {
     let mut rng = oorandom::Rand32::new(3);
     let mut cluster: Vec<Lists> = vec![Lists::default(); 60];
     cluster.iter_mut().for_each(|l| all(l, 5));
     let mut now = s(2);
-    let mut did: BTreeMap<usize, Vec<Action>> = BTreeMap::new();
-    cluster[0].handle(now, own(6, false, &[("b", Phase::Drains)]), did.entry(0).or_default());
+    let mut pending: BTreeMap<usize, Vec<Action>> = BTreeMap::new();
+    cluster[0].handle(now, own(6, false, &[("b", Phase::Drains)]), pending.entry(0).or_default());
     for _ in 0..30 {
-        for (from, actions) in std::mem::take(&mut did) {
-            let words = actions
+        for (from, actions) in std::mem::take(&mut pending) {
+            let messages = actions
                 .into_iter()
                 .filter_map(|a| if let Action::Tell(w) = a { Some(w) } else { None });
-            for message in words {
+            for message in messages {
                 let near =
                     [from.wrapping_sub(1) / 8].into_iter().chain(8 * from + 1..=8 * from + 8);
                 for to in near.filter(|to| *to < 60) {
                     if rng.rand_float() >= 0.3 {
                         let message =
                             Event::Message { from: NodeId(from as u16), message: message.clone() };
-                        cluster[to].handle(now, message, did.entry(to).or_default());
+                        cluster[to].handle(now, message, pending.entry(to).or_default());
                     }
                 }
             }
         }
         now += Duration::from_millis(100);
         for (m, lists) in cluster.iter_mut().enumerate() {
-            lists.handle(now, Event::Due, did.entry(m).or_default());
+            lists.handle(now, Event::Due, pending.entry(m).or_default());
         }
     }
-    let told = cluster.iter().filter(|l| !open(l).contains('b')).count();
-    assert!(told >= 58, "{told} of 60");
+    let informed = cluster.iter().filter(|l| !open(l).contains('b')).count();
+    assert!(informed >= 58, "{informed} of 60");
 }
 
 proptest! {
-    /// The model: what the own list said last of each, by version. No word of a peer makes anybody usable,
-    /// and whom it stops was stopped by a word.
+    /// The model is what the own list last stated about each upstream, by version. No message of a peer opens an
+    /// upstream, and an upstream is only stopped by a message.
     #[test]
-    fn a_peer_s_word_never_makes_usable_what_the_own_list_has_not_named(
+    fn peer_messages_never_open_upstreams_that_the_own_list_does_not_name(
         all in proptest::collection::vec((0_u8..4, 0_usize..4, 0_u64..8, 0_u8..3), 1..60),
     ) {
         let (mut lists, mut model) = (Lists::default(), BTreeMap::<&str, (u64, Phase)>::new());
         for (at, (kind, name, version, phase)) in all.into_iter().enumerate() {
             let (name, now) = (NAMES[name], Duration::from_millis(at as u64 * 700));
             let phase = [Phase::Serving, Phase::Drains, Phase::Ended][usize::from(phase)];
-            // What ends by time ends first.
+            // Expire stops first.
             lists.handle(now, Event::Due, &mut vec![]);
             let before = open(&lists);
             match kind {
@@ -175,24 +176,24 @@
     }
 
     #[test]
-    fn words_are_bounded_and_no_bytes_make_one_panic(
+    fn messages_are_bounded_and_arbitrary_bytes_never_panic(
         names in proptest::collection::vec("[a-z]{1,64}", 0..40),
         bytes in proptest::collection::vec(any::<u8>(), 0..100),
     ) {
-        let (mut lists, mut did) = (Lists::default(), vec![]);
+        let (mut lists, mut actions) = (Lists::default(), vec![]);
         for (version, phase) in [(1, Phase::Serving), (2, Phase::Drains)] {
             let entries: Vec<(&str, Phase)> = names.iter().map(|n| (n.as_str(), phase)).collect();
-            lists.handle(s(version), own(version, true, &entries), &mut did);
+            lists.handle(s(version), own(version, true, &entries), &mut actions);
         }
-        let mut told = std::collections::BTreeSet::new();
-        for action in did {
+        let mut informed = std::collections::BTreeSet::new();
+        for action in actions {
             if let Action::Tell(message) = action {
                 prop_assert!(message.to_bytes().len() <= MAX_MESSAGE_BYTES);
                 prop_assert_eq!(ListMessage::from_bytes(&message.to_bytes()), Ok(message.clone()));
-                told.extend(message.stops.into_iter().map(|s| s.name));
+                informed.extend(message.stops.into_iter().map(|s| s.name));
             }
         }
-        prop_assert_eq!(told, names.iter().cloned().collect());
+        prop_assert_eq!(informed, names.iter().cloned().collect());
         if let Ok(message) = ListMessage::from_bytes(&bytes) {
             lists.handle(s(3), Event::Message { from: NodeId(1), message }, &mut vec![]);
         }
--- a/crates/revision/tests/sim/mod.rs
+++ b/crates/revision/tests/sim/mod.rs
@@ -1,5 +1,5 @@
-//! A bank in virtual time: machines of leases over a bad network, and a log that is played: always right,
-//! with a leader that changes, and that is learned late.
+//! Simulates a cluster in virtual time: leases over a faulty network, and a log that is always right, has a changing
+//! leader and is learned late.
 #![allow(dead_code)]
 
 pub mod oracle;
@@ -22,44 +22,44 @@
 use oorandom::Rand64;
 
 use crate::common;
-use oracle::{Act, Found, Oracle};
+use oracle::{Findings, Observation, Oracle};
 
 pub const MS: u64 = 1000;
 pub const S: u64 = 1_000_000;
 
-/// The last of those that were killed is back, and has lived for longer than a lease.
+/// After so long the last of the killed nodes has restarted and run for longer than a lease.
 pub const LEASES_EXPIRED: u64 = 4 * S + 2100 * MS;
 
-/// What is wrong with a bank on purpose, so that the oracle is seen to find it.
+/// A defect that the oracle has to find.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Broken {
-    Nothing,
-    /// Holders act on rules however long ago their lease ended.
-    Lease,
-    /// The new rules come at once, without the step at which both forbid.
-    FirstStep,
-    /// Steps follow each other without anybody's confirmation.
-    Confirming,
-    /// A charter grows smaller without everybody's word.
-    FallbackPolicy,
+pub enum Defect {
+    None,
+    /// Nodes act on the agreed rules however long ago their lease ended.
+    NoLease,
+    /// New rules apply at once, without the restrict phase.
+    NoRestrictPhase,
+    /// Generations follow each other without confirmation.
+    NoConfirmation,
+    /// A fallback policy changes without the confirmation of every node.
+    UnconfirmedFallback,
 }
 
 #[derive(Clone, Debug)]
 pub struct Setting {
     pub members: usize,
-    /// Children by the tree that is told to the machines.
+    /// Children of a node in the dissemination tree.
     pub fan: usize,
     pub loss: f64,
     pub length: u64,
     pub faults: usize,
     /// Revisions a second.
     pub rate: f64,
-    pub broken: Broken,
+    pub defect: Defect,
     pub exact: bool,
     pub tick: u64,
 }
 
-enum Ev {
+enum SimEvent {
     Message {
         to: usize,
         from: usize,
@@ -73,10 +73,10 @@
     },
     Learn {
         m: usize,
-        upto: usize,
+        through: usize,
         epoch: u32,
     },
-    Found,
+    Bootstrap,
     Commit {
         view: u32,
         entry: Entry,
@@ -110,11 +110,11 @@
     Tick,
 }
 
-struct Proc {
+struct Node {
     leases: Leases,
     incarnation: u32,
     up: bool,
-    born: u64,
+    started_at: u64,
     /// Its clock's microseconds in a million of real ones.
     rate: u64,
     paused: u64,
@@ -126,42 +126,42 @@
     parent: Option<usize>,
     disk: bool,
     stored: Option<(Generation, FallbackPolicy)>,
-    /// It believes to lead this view.
+    /// The view that it believes to lead.
     leads: Option<u32>,
     side: u8,
-    /// Its datagrams get nowhere; none gets to it.
-    mute: bool,
-    deaf: bool,
+    /// Its datagrams are dropped, or those to it.
+    cannot_send: bool,
+    cannot_receive: bool,
 }
 
-pub struct Sim {
+pub struct Simulation {
     pub setting: Setting,
     pub rng: Rand64,
     pub now: u64,
     seq: u64,
-    queue: BTreeMap<(u64, u64), Ev>,
-    procs: Vec<Proc>,
+    queue: BTreeMap<(u64, u64), SimEvent>,
+    nodes: Vec<Node>,
     policy: PolicyState,
     epoch: u32,
-    /// A majority has forgotten the log: nobody leads until it is founded anew.
-    forgotten: bool,
+    /// A majority has lost the log: there is no leader until a new one is started.
+    log_is_lost: bool,
     entries: Vec<Vec<u8>>,
-    /// What each entry came to, by index.
+    /// The policy after each entry, by index.
     pub log: Vec<PolicyStatus>,
     pub committed: Vec<u64>,
     leader: Option<usize>,
     view: u32,
-    lost_since: Option<u64>,
+    leaderless_since: Option<u64>,
     oracle: Oracle,
-    pub words: u64,
+    pub messages: u64,
     pub bytes: u64,
-    asked: u128,
-    /// Charters that every member has confirmed.
-    pub charters: u64,
+    proposal_count: u128,
+    /// Changes of the fallback policy that every node has confirmed.
+    pub fallback_changes: u64,
     masks: BTreeMap<usize, (Arc<Rules>, u32)>,
 }
 
-impl Sim {
+impl Simulation {
     pub fn new(seed: u64, setting: Setting) -> Self {
         let members = setting.members;
         let policy = PolicyState::found(common::bootstrap(members as u16)).unwrap();
@@ -171,65 +171,65 @@
             now: 0,
             seq: 0,
             queue: BTreeMap::new(),
-            procs: Vec::new(),
+            nodes: Vec::new(),
             log: vec![policy.status()],
             committed: vec![0],
             epoch: 1,
-            forgotten: false,
+            log_is_lost: false,
             entries: vec![vec![]],
             policy,
             leader: None,
             view: 0,
-            lost_since: Some(0),
+            leaderless_since: Some(0),
             oracle: Oracle::new(always),
-            words: 0,
+            messages: 0,
             bytes: 0,
-            asked: 0,
-            charters: 0,
+            proposal_count: 0,
+            fallback_changes: 0,
             masks: BTreeMap::new(),
             setting,
         };
         for m in 0..members {
             let disk = sim.rng.rand_float() < 0.5;
             let rate = 995_000 + sim.rng.rand_range(0..10_000);
-            let proc = sim.proc(m, 1, rate, disk, None);
-            sim.procs.push(proc);
-            sim.at(0, Ev::Learn { m, upto: 0, epoch: 1 });
+            let node = sim.start_node(m, 1, rate, disk, None);
+            sim.nodes.push(node);
+            sim.at(0, SimEvent::Learn { m, through: 0, epoch: 1 });
         }
         sim.elect();
         let (faults, length) = (sim.setting.faults, sim.setting.length);
         for _ in 0..faults {
             let at = sim.rng.rand_range(S..length.max(S + 1));
-            sim.at(at, Ev::Fault);
+            sim.at(at, SimEvent::Fault);
         }
-        for ev in [Ev::Rounds, Ev::Gossip, Ev::Tick] {
+        for ev in [SimEvent::Rounds, SimEvent::Gossip, SimEvent::Tick] {
             sim.at(0, ev);
         }
         if sim.setting.rate > 0.0 {
-            sim.at(300 * MS, Ev::Propose);
+            sim.at(300 * MS, SimEvent::Propose);
         }
         sim
     }
 
-    fn proc(
+    fn start_node(
         &self,
         m: usize,
         incarnation: u32,
         rate: u64,
         disk: bool,
         stored: Option<(Generation, FallbackPolicy)>,
-    ) -> Proc {
+    ) -> Node {
         let mandatory_fallback = common::bootstrap(1).mandatory_fallback;
         let mut terms =
             LeaseConfig::usual(NodeId(m as u16), Incarnation(incarnation), mandatory_fallback);
         (terms.stored, terms.exact) = (stored.clone(), self.setting.exact);
         let leases = Leases::new(terms);
-        Proc {
+        Node {
             in_force: leases.in_force(),
             leases,
             incarnation,
             up: true,
-            born: self.now,
+            started_at: self.now,
             rate,
             paused: 0,
             applied: None,
@@ -240,36 +240,36 @@
             stored,
             leads: None,
             side: 0,
-            mute: false,
-            deaf: false,
+            cannot_send: false,
+            cannot_receive: false,
         }
     }
 
-    fn at(&mut self, after: u64, ev: Ev) {
+    fn at(&mut self, after: u64, ev: SimEvent) {
         self.seq += 1;
         self.queue.insert((self.now + after, self.seq), ev);
     }
 
     fn local(&self, m: usize) -> Duration {
-        let p = &self.procs[m];
-        Duration::from_micros((self.now - p.born) * p.rate / 1_000_000)
+        let p = &self.nodes[m];
+        Duration::from_micros((self.now - p.started_at) * p.rate / 1_000_000)
     }
 
-    fn ok(&self, m: usize) -> bool {
-        let p = &self.procs[m];
-        p.up && p.paused <= self.now && p.side == 0 && !p.mute && !p.deaf
+    fn is_reachable(&self, m: usize) -> bool {
+        let p = &self.nodes[m];
+        p.up && p.paused <= self.now && p.side == 0 && !p.cannot_send && !p.cannot_receive
     }
 
     fn reaches(&self, from: usize, to: usize) -> bool {
-        let (a, b) = (&self.procs[from], &self.procs[to]);
-        a.up && b.up && a.side == b.side && !a.mute && !b.deaf
+        let (a, b) = (&self.nodes[from], &self.nodes[to]);
+        a.up && b.up && a.side == b.side && !a.cannot_send && !b.cannot_receive
     }
 
     fn delay(&mut self) -> u64 {
         self.rng.rand_range(MS..15 * MS)
     }
 
-    fn lost(&mut self) -> bool {
+    fn is_lost(&mut self) -> bool {
         self.rng.rand_float() < self.setting.loss
     }
 
@@ -286,26 +286,26 @@
         self.now = until;
     }
 
-    pub fn finish(mut self) -> Found {
+    pub fn finish(mut self) -> Findings {
         let length = self.setting.length;
         self.run(length);
-        let (charters, words) = (self.charters, self.words);
-        Found { charters, words, ..self.oracle.found() }
+        let (fallback_changes, messages) = (self.fallback_changes, self.messages);
+        Findings { fallback_changes, messages, ..self.oracle.found() }
     }
 
-    /// Whose an event is; a paused process gets it later.
-    fn take(&mut self, ev: Ev) {
+    /// Handles an event; a paused process gets it later.
+    fn take(&mut self, ev: SimEvent) {
         let whose = match &ev {
-            Ev::Message { to, .. } => Some((*to, None)),
-            Ev::Wake { m, incarnation, .. }
-            | Ev::Round { m, incarnation, .. }
-            | Ev::Persisted { m, incarnation, .. }
-            | Ev::Parent { m, incarnation, .. } => Some((*m, Some(*incarnation))),
-            Ev::Learn { m, .. } => Some((*m, None)),
+            SimEvent::Message { to, .. } => Some((*to, None)),
+            SimEvent::Wake { m, incarnation, .. }
+            | SimEvent::Round { m, incarnation, .. }
+            | SimEvent::Persisted { m, incarnation, .. }
+            | SimEvent::Parent { m, incarnation, .. } => Some((*m, Some(*incarnation))),
+            SimEvent::Learn { m, .. } => Some((*m, None)),
             _ => None,
         };
         if let Some((m, incarnation)) = whose {
-            let p = &self.procs[m];
+            let p = &self.nodes[m];
             if !p.up || incarnation.is_some_and(|l| l != p.incarnation) {
                 return;
             }
@@ -315,8 +315,8 @@
             }
         }
         match ev {
-            Ev::Message { to, from, incarnation, message } => {
-                self.tell(
+            SimEvent::Message { to, from, incarnation, message } => {
+                self.deliver(
                     to,
                     Event::Message {
                         from: NodeId(from as u16),
@@ -325,93 +325,100 @@
                     },
                 );
             }
-            Ev::Wake { m, at, .. } => {
-                if self.procs[m].wake == at {
-                    self.procs[m].wake = Duration::MAX;
-                    self.tell(m, Event::Due);
+            SimEvent::Wake { m, at, .. } => {
+                if self.nodes[m].wake == at {
+                    self.nodes[m].wake = Duration::MAX;
+                    self.deliver(m, Event::Due);
                 }
             }
-            Ev::Learn { m, upto, epoch } => self.learn(m, upto, epoch),
-            Ev::Found => self.bootstrap_again(),
-            Ev::Commit { view, entry } => self.commit(view, &entry),
-            Ev::Round { m, began, view, answered, .. } => {
+            SimEvent::Learn { m, through, epoch } => self.learn(m, through, epoch),
+            SimEvent::Bootstrap => self.bootstrap_again(),
+            SimEvent::Commit { view, entry } => self.commit(view, &entry),
+            SimEvent::Round { m, began, view, answered, .. } => {
                 // Answered by a majority that had not gone over to another view by then.
-                if self.procs[m].leads == Some(view) && answered != u64::MAX {
-                    self.tell(m, Event::Round { began });
+                if self.nodes[m].leads == Some(view) && answered != u64::MAX {
+                    self.deliver(m, Event::Round { began });
                 }
             }
-            Ev::Persisted { m, fallback_generation, fallback_policy, .. } => {
-                if self.procs[m].disk {
-                    self.procs[m].stored = Some((fallback_generation, (*fallback_policy).clone()));
+            SimEvent::Persisted { m, fallback_generation, fallback_policy, .. } => {
+                if self.nodes[m].disk {
+                    self.nodes[m].stored = Some((fallback_generation, (*fallback_policy).clone()));
                 }
-                self.tell(m, Event::FallbackPolicyPersisted { fallback_generation });
+                self.deliver(m, Event::FallbackPolicyPersisted { fallback_generation });
             }
-            Ev::Parent { m, parent, .. } => {
-                self.procs[m].parent = Some(parent);
+            SimEvent::Parent { m, parent, .. } => {
+                self.nodes[m].parent = Some(parent);
                 let parent =
-                    (self.procs[m].leads != Some(self.view)).then_some(NodeId(parent as u16));
-                self.tell(m, Event::Parent(parent));
+                    (self.nodes[m].leads != Some(self.view)).then_some(NodeId(parent as u16));
+                self.deliver(m, Event::Parent(parent));
             }
-            Ev::Restart { m } => {
-                if !self.procs[m].up {
+            SimEvent::Restart { m } => {
+                if !self.nodes[m].up {
                     let (incarnation, rate, disk) =
-                        (self.procs[m].incarnation + 1, self.procs[m].rate, self.procs[m].disk);
-                    let stored = self.procs[m].stored.clone().filter(|_| disk);
-                    self.procs[m] = self.proc(m, incarnation, rate, disk, stored);
+                        (self.nodes[m].incarnation + 1, self.nodes[m].rate, self.nodes[m].disk);
+                    let stored = self.nodes[m].stored.clone().filter(|_| disk);
+                    self.nodes[m] = self.start_node(m, incarnation, rate, disk, stored);
                     let after = self.delay();
                     let parent =
                         self.leader.filter(|l| *l != m).unwrap_or((m + 1) % self.setting.members);
-                    self.at(after, Ev::Parent { m, incarnation, parent });
-                    self.at(after, Ev::Learn { m, upto: 0, epoch: self.epoch });
+                    self.at(after, SimEvent::Parent { m, incarnation, parent });
+                    self.at(after, SimEvent::Learn { m, through: 0, epoch: self.epoch });
                 }
             }
-            Ev::Heal => {
-                self.procs.iter_mut().for_each(|p| (p.side, p.mute, p.deaf) = (0, false, false))
-            }
-            Ev::Fault => self.fault(),
-            Ev::Rounds => self.rounds(),
-            Ev::Gossip => self.gossip(),
-            Ev::Propose => self.propose(),
-            Ev::Tick => self.tick(),
+            SimEvent::Heal => self
+                .nodes
+                .iter_mut()
+                .for_each(|p| (p.side, p.cannot_send, p.cannot_receive) = (0, false, false)),
+            SimEvent::Fault => self.fault(),
+            SimEvent::Rounds => self.rounds(),
+            SimEvent::Gossip => self.gossip(),
+            SimEvent::Propose => self.propose(),
+            SimEvent::Tick => self.tick(),
         }
     }
 
-    fn tell(&mut self, m: usize, event: Event) {
+    fn deliver(&mut self, m: usize, event: Event) {
         let (now, incarnation, mut actions) =
-            (self.local(m), self.procs[m].incarnation, Vec::new());
-        self.procs[m].leases.handle(now, event, &mut actions);
+            (self.local(m), self.nodes[m].incarnation, Vec::new());
+        self.nodes[m].leases.handle(now, event, &mut actions);
         for action in actions {
             match action {
                 Action::Send { to, message } => self.send(m, usize::from(to.0), message),
                 Action::Publish(in_force) => {
                     let none = in_force.until == Duration::ZERO;
-                    if !(self.setting.broken == Broken::Lease && none) {
-                        self.procs[m].in_force = in_force;
+                    if !(self.setting.defect == Defect::NoLease && none) {
+                        self.nodes[m].in_force = in_force;
                     }
                 }
                 Action::PersistFallbackPolicy { fallback_generation, fallback_policy } => {
                     let after =
-                        if self.procs[m].disk { self.rng.rand_range(MS..40 * MS) } else { 0 };
+                        if self.nodes[m].disk { self.rng.rand_range(MS..40 * MS) } else { 0 };
                     self.at(
                         after,
-                        Ev::Persisted { m, incarnation, fallback_generation, fallback_policy },
+                        SimEvent::Persisted {
+                            m,
+                            incarnation,
+                            fallback_generation,
+                            fallback_policy,
+                        },
                     );
                 }
                 Action::WakeAt(at) => {
-                    self.procs[m].wake = at;
-                    let p = &self.procs[m];
-                    let real =
-                        p.born + (at.as_micros() as u64).saturating_mul(1_000_000) / p.rate + 2;
+                    self.nodes[m].wake = at;
+                    let p = &self.nodes[m];
+                    let real = p.started_at
+                        + (at.as_micros() as u64).saturating_mul(1_000_000) / p.rate
+                        + 2;
                     let after = real.saturating_sub(self.now);
-                    self.at(after, Ev::Wake { m, incarnation, at });
+                    self.at(after, SimEvent::Wake { m, incarnation, at });
                 }
                 Action::Propose(entry) => {
                     let (after, view) =
-                        (self.rng.rand_range(5 * MS..40 * MS), self.procs[m].leads.unwrap_or(0));
+                        (self.rng.rand_range(5 * MS..40 * MS), self.nodes[m].leads.unwrap_or(0));
                     if matches!(entry, Entry::FallbackPolicyConfirmed(_)) {
-                        self.charters += 1;
+                        self.fallback_changes += 1;
                     }
-                    self.at(after, Ev::Commit { view, entry });
+                    self.at(after, SimEvent::Commit { view, entry });
                 }
                 Action::Learn { .. } => {}
                 Action::ChangeParent { .. } => {
@@ -420,7 +427,7 @@
                     let leads = self.rng.rand_float() < 1.0 / (1.0 + members as f64 / 10.0);
                     let parent = if leads { self.leader.unwrap_or(any) } else { any };
                     if parent != m {
-                        self.at(after, Ev::Parent { m, incarnation, parent });
+                        self.at(after, SimEvent::Parent { m, incarnation, parent });
                     }
                 }
             }
@@ -428,68 +435,78 @@
     }
 
     fn send(&mut self, from: usize, to: usize, message: Message) {
-        self.words += 1;
+        self.messages += 1;
         let bytes = message.to_bytes();
         self.bytes += bytes.len() as u64;
-        let message = Message::from_bytes(&bytes).expect("a word that was written can be read");
+        let message = Message::from_bytes(&bytes).expect("an encoded message can be decoded");
         if !self.reaches(from, to) {
             return;
         }
-        let incarnation = self.procs[from].incarnation;
-        // Copies come late: also to a later life.
+        let incarnation = self.nodes[from].incarnation;
+        // Duplicates arrive late, also at a later incarnation.
         let copies = 1 + u64::from(self.rng.rand_float() < 0.03);
         for copy in 0..copies {
-            if !self.lost() {
+            if !self.is_lost() {
                 let after = self.delay() + copy * self.rng.rand_range(0..3 * S);
-                self.at(after, Ev::Message { to, from, incarnation, message: message.clone() });
+                self.at(
+                    after,
+                    SimEvent::Message { to, from, incarnation, message: message.clone() },
+                );
             }
         }
     }
 
-    fn learn(&mut self, m: usize, upto: usize, epoch: u32) {
-        // What was under way of a log that was given up counts for nothing.
+    fn learn(&mut self, m: usize, through: usize, epoch: u32) {
+        // Entries of a log that was given up are ignored.
         if epoch != self.epoch {
             return;
         }
-        if self.procs[m].epoch != epoch {
-            (self.procs[m].applied, self.procs[m].epoch) = (None, epoch);
+        if self.nodes[m].epoch != epoch {
+            (self.nodes[m].applied, self.nodes[m].epoch) = (None, epoch);
         }
-        let first = self.procs[m].applied.map_or(0, |a| a + 1);
-        if first > upto {
+        let first = self.nodes[m].applied.map_or(0, |a| a + 1);
+        if first > through {
             return;
         }
-        self.procs[m].applied = Some(upto);
-        // Whoever is far behind takes a snapshot of the end.
-        let from = if upto - first > 50 { upto } else { first };
-        for index in from..=upto {
+        self.nodes[m].applied = Some(through);
+        // A node that is far behind takes a snapshot.
+        let from = if through - first > 50 { through } else { first };
+        for index in from..=through {
             let status = Box::new(self.log[index].clone());
-            self.tell(m, Event::Applied { epoch, status });
+            self.deliver(m, Event::Applied { epoch, status });
         }
         for child in 0..self.setting.members {
-            if self.procs[child].parent == Some(m) && self.reaches(m, child) && !self.lost() {
+            if self.nodes[child].parent == Some(m) && self.reaches(m, child) && !self.is_lost() {
                 let after = self.delay();
-                self.at(after, Ev::Learn { m: child, upto, epoch });
+                self.at(after, SimEvent::Learn { m: child, through, epoch });
             }
         }
     }
 
     fn commit(&mut self, view: u32, entry: &Entry) {
-        let Some(leader) = self.leader.filter(|l| view == self.view && self.ok(*l)) else { return };
+        let Some(leader) = self.leader.filter(|l| view == self.view && self.is_reachable(*l))
+        else {
+            return;
+        };
         let index = self.log.len() as u64;
         self.entries.push(entry.to_bytes().unwrap());
         self.policy.apply(index, &entry.to_bytes().unwrap());
         let mut status = self.policy.status();
-        if let Some(to) = status.towards.filter(|_| self.setting.broken == Broken::FirstStep) {
-            let said = (*self.policy.kept(to).unwrap().document).clone();
-            status.rules = Arc::new(Rules::of(said, status.rules.floor().clone()));
+        if let Some(to) = status.towards.filter(|_| self.setting.defect == Defect::NoRestrictPhase)
+        {
+            let document = (*self.policy.kept(to).unwrap().document).clone();
+            status.rules = Arc::new(Rules::of(document, status.rules.floor().clone()));
         }
         let early = status.awaited.then_some(status.fallback_generation);
         if let Some(fallback_generation) =
-            early.filter(|_| self.setting.broken == Broken::FallbackPolicy)
+            early.filter(|_| self.setting.defect == Defect::UnconfirmedFallback)
         {
             self.at(
                 5 * MS,
-                Ev::Commit { view, entry: Entry::FallbackPolicyConfirmed(fallback_generation) },
+                SimEvent::Commit {
+                    view,
+                    entry: Entry::FallbackPolicyConfirmed(fallback_generation),
+                },
             );
         }
         let unconfirmed = status.unconfirmed.then_some(status.generation);
@@ -498,103 +515,112 @@
         // The leader applies what it commits first, or a little later.
         let after = if self.rng.rand_float() < 0.2 { self.rng.rand_range(0..30 * MS) } else { 0 };
         let epoch = self.epoch;
-        self.at(after, Ev::Learn { m: leader, upto: index as usize, epoch });
-        if let Some(generation) = unconfirmed.filter(|_| self.setting.broken == Broken::Confirming)
+        self.at(after, SimEvent::Learn { m: leader, through: index as usize, epoch });
+        if let Some(generation) =
+            unconfirmed.filter(|_| self.setting.defect == Defect::NoConfirmation)
         {
-            self.at(5 * MS, Ev::Commit { view, entry: Entry::GenerationConfirmed(generation) });
+            self.at(
+                5 * MS,
+                SimEvent::Commit { view, entry: Entry::GenerationConfirmed(generation) },
+            );
         }
     }
 
     fn elect(&mut self) {
-        let able: Vec<usize> = (0..self.setting.members).filter(|m| self.ok(*m)).collect();
-        // A majority of the bank stands for one of the council.
-        if able.len() * 2 <= self.setting.members || self.forgotten {
+        let able: Vec<usize> =
+            (0..self.setting.members).filter(|m| self.is_reachable(*m)).collect();
+        // A majority of the cluster stands for one of the voters.
+        if able.len() * 2 <= self.setting.members || self.log_is_lost {
             return;
         }
         self.view += 1;
         let leader = able[self.rng.rand_range(0..able.len() as u64) as usize];
-        if let Some(old) = self.leader.filter(|old| *old != leader && self.ok(*old)) {
-            self.procs[old].leads = None;
-            self.tell(old, Event::Follows);
-        }
-        (self.leader, self.lost_since) = (Some(leader), None);
-        self.procs[leader].leads = Some(self.view);
-        self.procs[leader].parent = None;
-        self.tell(leader, Event::Parent(None));
+        if let Some(old) = self.leader.filter(|old| *old != leader && self.is_reachable(*old)) {
+            self.nodes[old].leads = None;
+            self.deliver(old, Event::Follows);
+        }
+        (self.leader, self.leaderless_since) = (Some(leader), None);
+        self.nodes[leader].leads = Some(self.view);
+        self.nodes[leader].parent = None;
+        self.deliver(leader, Event::Parent(None));
         let from = self.log.len() as u64 - 1;
-        self.tell(leader, Event::Leads { since: self.local(leader), epoch: self.epoch, from });
+        self.deliver(leader, Event::Leads { since: self.local(leader), epoch: self.epoch, from });
         let mut rank: Vec<usize> = (0..self.setting.members).filter(|m| *m != leader).collect();
         let by = leader % rank.len().max(1);
         rank.rotate_left(by);
         rank.insert(0, leader);
         for r in 1..rank.len() {
             let (m, parent) = (rank[r], rank[(r - 1) / self.setting.fan]);
-            let (after, incarnation) = (self.delay() * 3, self.procs[m].incarnation);
-            self.at(after, Ev::Parent { m, incarnation, parent });
+            let (after, incarnation) = (self.delay() * 3, self.nodes[m].incarnation);
+            self.at(after, SimEvent::Parent { m, incarnation, parent });
         }
     }
 
-    /// Rounds of all that believe to lead, and what becomes of the lead.
+    /// Rounds of all nodes that believe to lead, and elections.
     fn rounds(&mut self) {
-        self.at(100 * MS, Ev::Rounds);
+        self.at(100 * MS, SimEvent::Rounds);
         for m in 0..self.setting.members {
-            let p = &self.procs[m];
+            let p = &self.nodes[m];
             let Some(view) = p.leads.filter(|_| p.up && p.paused <= self.now) else { continue };
-            if view != self.view && self.ok(m) {
-                self.procs[m].leads = None;
-                self.tell(m, Event::Follows);
+            if view != self.view && self.is_reachable(m) {
+                self.nodes[m].leads = None;
+                self.deliver(m, Event::Follows);
                 continue;
             }
-            if view != self.view || !self.ok(m) {
+            if view != self.view || !self.is_reachable(m) {
                 continue;
             }
-            let (began, incarnation) = (self.local(m), self.procs[m].incarnation);
+            let (began, incarnation) = (self.local(m), self.nodes[m].incarnation);
             let answered = self.now;
             let after = 2 * self.delay();
-            self.at(after, Ev::Round { m, incarnation, began, view, answered });
-        }
-        let leader_ok =
-            self.leader.is_some_and(|l| self.ok(l) && self.procs[l].leads == Some(self.view));
-        self.lost_since = if leader_ok { None } else { self.lost_since.or(Some(self.now)) };
-        let patience = self.rng.rand_range(300 * MS..1200 * MS);
-        if self.lost_since.is_some_and(|since| self.now - since > patience) {
+            self.at(after, SimEvent::Round { m, incarnation, began, view, answered });
+        }
+        let leader_ok = self
+            .leader
+            .is_some_and(|l| self.is_reachable(l) && self.nodes[l].leads == Some(self.view));
+        self.leaderless_since =
+            if leader_ok { None } else { self.leaderless_since.or(Some(self.now)) };
+        let election_timeout = self.rng.rand_range(300 * MS..1200 * MS);
+        if self.leaderless_since.is_some_and(|since| self.now - since > election_timeout) {
             self.elect();
         }
     }
 
     fn gossip(&mut self) {
-        self.at(100 * MS, Ev::Gossip);
+        self.at(100 * MS, SimEvent::Gossip);
         for m in 0..self.setting.members {
             let any = self.rng.rand_range(0..self.setting.members as u64) as usize;
             let chosen = if self.rng.rand_float() < 0.3 {
                 Some(any)
             } else {
-                self.procs[m].parent.or(self.leader)
+                self.nodes[m].parent.or(self.leader)
             };
             let Some(source) = chosen.filter(|s| *s != m) else { continue };
-            let both =
-                self.reaches(source, m) && self.reaches(m, source) && !self.lost() && !self.lost();
-            let epoch = self.procs[source].epoch;
-            if let Some(upto) = self.procs[source].applied.filter(|_| both) {
+            let both = self.reaches(source, m)
+                && self.reaches(m, source)
+                && !self.is_lost()
+                && !self.is_lost();
+            let epoch = self.nodes[source].epoch;
+            if let Some(through) = self.nodes[source].applied.filter(|_| both) {
                 let after = 2 * self.delay();
-                self.at(after, Ev::Learn { m, upto, epoch });
+                self.at(after, SimEvent::Learn { m, through, epoch });
             }
         }
         // A leader has the whole log, even if it has not applied it yet.
-        if let Some(leader) = self.leader.filter(|l| self.ok(*l)) {
-            let (after, upto) = (self.rng.rand_range(0..200 * MS), self.log.len() - 1);
-            self.at(after, Ev::Learn { m: leader, upto, epoch: self.epoch });
+        if let Some(leader) = self.leader.filter(|l| self.is_reachable(*l)) {
+            let (after, through) = (self.rng.rand_range(0..200 * MS), self.log.len() - 1);
+            self.at(after, SimEvent::Learn { m: leader, through, epoch: self.epoch });
         }
     }
 
     fn propose(&mut self) {
         let gap = (S as f64 / self.setting.rate * 2.0 * self.rng.rand_float()) as u64;
-        self.at(gap.max(MS), Ev::Propose);
-        self.asked += 1;
-        let id = CommandId(self.asked);
+        self.at(gap.max(MS), SimEvent::Propose);
+        self.proposal_count += 1;
+        let id = CommandId(self.proposal_count);
         let on_trial = self.rng.rand_range(0..8) == 0;
-        let canary =
-            on_trial.then_some(CanaryTerms { seconds: 1 + self.asked as u32 % 4, fall: 1000 });
+        let canary = on_trial
+            .then_some(CanaryTerms { seconds: 1 + self.proposal_count as u32 % 4, fall: 1000 });
         let ask = Box::new(ProposalOptions {
             id,
             base: None,
@@ -602,11 +628,12 @@
             forced: true,
             facts: Facts::default(),
         });
-        let draw = self.rng.rand_u64();
-        let entry = match draw % 20 {
-            // A charter grows smaller or larger now and then.
+        let sample = self.rng.rand_u64();
+        let entry = match sample % 20 {
+            // The fallback policy changes now and then.
             0 if self.rng.rand_float() * self.setting.rate < 2.0 => {
-                let cells = [1, 5, 6].into_iter().filter(|p| draw >> 8 & 1 << p != 0).chain([0, 4]);
+                let cells =
+                    [1, 5, 6].into_iter().filter(|p| sample >> 8 & 1 << p != 0).chain([0, 4]);
                 let fallback_policy = FallbackPolicy {
                     cells: cells.collect(),
                     ..common::bootstrap(1).fallback_policy
@@ -615,15 +642,18 @@
             }
             1..=3 => {
                 let newest = self.policy.newest();
-                let kept: Vec<u64> =
+                let retained: Vec<u64> =
                     self.policy.revisions().map(|(n, _)| n).filter(|n| *n != newest).collect();
-                let to = kept.get(draw as usize / 32 % kept.len().max(1)).copied().unwrap_or(0);
+                let to = retained
+                    .get(sample as usize / 32 % retained.len().max(1))
+                    .copied()
+                    .unwrap_or(0);
                 Entry::Rollback(ask, to)
             }
-            _ => Entry::Propose(ask, Box::new(drawn(draw))),
+            _ => Entry::Propose(ask, Box::new(random_document(sample))),
         };
         let (after, view) = (self.rng.rand_range(5 * MS..40 * MS), self.view);
-        self.at(after, Ev::Commit { view, entry });
+        self.at(after, SimEvent::Commit { view, entry });
     }
 
     /// One entry, at once.
@@ -640,49 +670,49 @@
         let long = self.rng.rand_range(200 * MS..12 * S);
         match self.rng.rand_range(0..12) {
             0..=2 => self.kill(m),
-            3..=5 => self.procs[m].paused = self.procs[m].paused.max(self.now + long),
-            6 => self.procs[m].mute = true,
-            7 => self.procs[m].deaf = true,
-            8 => self.procs[m].side = 1,
+            3..=5 => self.nodes[m].paused = self.nodes[m].paused.max(self.now + long),
+            6 => self.nodes[m].cannot_send = true,
+            7 => self.nodes[m].cannot_receive = true,
+            8 => self.nodes[m].side = 1,
             9 => {
                 let side = self.rng.rand_range(0..2) as u8 + 1;
-                for p in &mut self.procs {
+                for p in &mut self.nodes {
                     p.side = if self.rng.rand_float() < 0.33 { side } else { p.side };
                 }
             }
             10 if self.rng.rand_float() < 0.3 => {
                 (0..self.setting.members).for_each(|m| self.kill(m))
             }
-            11 if self.rng.rand_float() < 0.5 => self.forget(LEASES_EXPIRED),
+            11 if self.rng.rand_float() < 0.5 => self.lose_log(LEASES_EXPIRED),
             _ => self.elect(),
         }
-        self.at(long, Ev::Heal);
+        self.at(long, SimEvent::Heal);
     }
 
-    /// A majority dies with all that it knew; the others go on with what they have. The log is founded anew
-    /// once all of that majority have lived for longer than a lease: whoever answered an old leader's round
-    /// has died before.
-    pub fn forget(&mut self, wait: u64) {
-        if self.forgotten {
+    /// A majority dies and loses its state; the others go on with theirs. A new log is started after `wait`, which has to
+    /// be long enough for that majority to have run for longer than a lease: every node that answered a round of the old
+    /// leader has died before.
+    pub fn lose_log(&mut self, wait: u64) {
+        if self.log_is_lost {
             return;
         }
-        self.forgotten = true;
+        self.log_is_lost = true;
         let most = self.setting.members / 2 + 1;
         let first = self.leader.unwrap_or(0);
         (0..most).for_each(|m| self.kill((first + m) % self.setting.members));
-        self.at(wait, Ev::Found);
+        self.at(wait, SimEvent::Bootstrap);
     }
 
-    /// From a copy that lacks the last entries, but for what changed the charter.
+    /// Starts a new log from a copy that lacks the last entries, except those that changed the fallback policy.
     fn bootstrap_again(&mut self) {
-        let lost = self.rng.rand_range(0..4) as usize;
-        let whole = self
+        let lost_entries = self.rng.rand_range(0..4) as usize;
+        let complete = self
             .log
             .iter()
             .rposition(|s| s.generation == s.index && s.fallback_generation == s.index)
             .unwrap_or(0);
-        let whole = whole.max(self.log.iter().rposition(|s| s.awaited).unwrap_or(0));
-        let length = (self.log.len() - lost.min(self.log.len() - 1)).max(whole + 1);
+        let complete = complete.max(self.log.iter().rposition(|s| s.awaited).unwrap_or(0));
+        let length = (self.log.len() - lost_entries.min(self.log.len() - 1)).max(complete + 1);
         self.policy = PolicyState::found(common::bootstrap(self.setting.members as u16)).unwrap();
         for index in 1..length {
             self.policy.apply(index as u64, &self.entries[index]);
@@ -690,33 +720,35 @@
         self.entries.truncate(length);
         self.log.truncate(length);
         self.committed.truncate(length);
-        (self.epoch, self.forgotten, self.leader) = (self.epoch + 1, false, None);
-        self.lost_since = Some(self.now);
+        (self.epoch, self.log_is_lost, self.leader) = (self.epoch + 1, false, None);
+        self.leaderless_since = Some(self.now);
     }
 
     pub fn kill(&mut self, m: usize) {
-        self.procs[m].up = false;
+        self.nodes[m].up = false;
         let after = self.rng.rand_range(50 * MS..4 * S);
-        self.at(after, Ev::Restart { m });
+        self.at(after, SimEvent::Restart { m });
     }
 
     pub fn pause(&mut self, m: usize, long: u64) {
-        self.procs[m].paused = self.now + long;
+        self.nodes[m].paused = self.now + long;
     }
 
     pub fn cut(&mut self, m: usize) {
-        self.procs[m].side = 1;
+        self.nodes[m].side = 1;
     }
 
     pub fn heal(&mut self) {
-        self.procs.iter_mut().for_each(|p| (p.side, p.mute, p.deaf) = (0, false, false));
+        self.nodes
+            .iter_mut()
+            .for_each(|p| (p.side, p.cannot_send, p.cannot_receive) = (0, false, false));
     }
 
     pub fn leader(&self) -> Option<usize> {
         self.leader
     }
 
-    /// What may be sent under these rules: pods for two classes, and numbers of attempts.
+    /// What may be sent under these rules, as bits: cells for two classes, and numbers of attempts.
     fn mask(&mut self, rules: &Arc<Rules>) -> u32 {
         let key = Arc::as_ptr(rules) as usize;
         if let Some((_, mask)) = self.masks.get(&key) {
@@ -745,47 +777,47 @@
 
     fn tick(&mut self) {
         let tick = self.setting.tick;
-        self.at(tick, Ev::Tick);
-        let mut acts = Vec::with_capacity(self.setting.members);
+        self.at(tick, SimEvent::Tick);
+        let mut observations = Vec::with_capacity(self.setting.members);
         for m in 0..self.setting.members {
-            if !self.procs[m].up || self.procs[m].paused > self.now {
+            if !self.nodes[m].up || self.nodes[m].paused > self.now {
                 continue;
             }
-            let (in_force, now) = (self.procs[m].in_force.clone(), self.local(m));
+            let (in_force, now) = (self.nodes[m].in_force.clone(), self.local(m));
             let never_ends =
-                self.setting.broken == Broken::Lease && in_force.until > Duration::ZERO;
-            let (rules, knows) = match in_force.at(now) {
+                self.setting.defect == Defect::NoLease && in_force.until > Duration::ZERO;
+            let (rules, has_lease) = match in_force.at(now) {
                 View::Agreed(..) => (&in_force.rules, true),
                 View::FallbackPolicy(_) if never_ends => (&in_force.rules, true),
                 View::FallbackPolicy(_) => (&in_force.fallback_policy, false),
             };
-            acts.push(Act { sends: self.mask(rules), knows });
+            observations.push(Observation { sends: self.mask(rules), has_lease });
         }
-        self.oracle.look(self.now, &acts);
+        self.oracle.look(self.now, &observations);
     }
 
-    /// How many are at this stage or a later one, and how many hold a lease.
+    /// How many nodes are at this generation or a later one, and how many hold a lease.
     pub fn at_generation(&self, generation: u64) -> (usize, usize) {
-        let at = |p: &&Proc| p.in_force.generation.index >= generation;
+        let at = |p: &&Node| p.in_force.generation.index >= generation;
         let members = 0..self.setting.members;
         let holds =
-            |m: &usize| matches!(self.procs[*m].in_force.at(self.local(*m)), View::Agreed(..));
-        (self.procs.iter().filter(at).count(), members.filter(holds).count())
+            |m: &usize| matches!(self.nodes[*m].in_force.at(self.local(*m)), View::Agreed(..));
+        (self.nodes.iter().filter(at).count(), members.filter(holds).count())
     }
 
     pub fn leases(&self, m: usize) -> &Leases {
-        &self.procs[m].leases
+        &self.nodes[m].leases
     }
 }
 
-/// Pods out, a class kept from others, attempts.
-fn drawn(draw: u64) -> Document {
+/// A document with excluded cells, a class exclusion and a number of attempts.
+fn random_document(sample: u64) -> Document {
     let cells = |bits: u64| (1..8).filter(|p| *p != 4 && bits & 1 << p != 0).collect::<Vec<u32>>();
-    let mut document = common::without(&cells(draw >> 8 & draw >> 16));
-    let kept = cells(draw >> 24 & draw >> 32);
-    if !kept.is_empty() {
-        document.class_exclusions.insert("log".into(), kept.into_iter().collect());
+    let mut document = common::without(&cells(sample >> 8 & sample >> 16));
+    let retained = cells(sample >> 24 & sample >> 32);
+    if !retained.is_empty() {
+        document.class_exclusions.insert("log".into(), retained.into_iter().collect());
     }
-    document.attempts = 1 + (draw >> 40) as u8 % 3;
+    document.attempts = 1 + (sample >> 40) as u8 % 3;
     document
 }
