--- a/crates/sessions/src/asker.rs
+++ b/crates/sessions/src/asker.rs
@@ -4,9 +4,12 @@
 use hollowpaddle_peer_transport::NodeId;
 
 use crate::machine::{MINE, Out, PERMIT_MS, Sessions, Timer, millis, outside};
-use crate::message::{KeyWord, Message, Said};
-use crate::store::{Note, State, ms, tick, tick_up};
-use crate::{Action, Effect, Epoch, Key, Pod, Ran, Sid, Verdict, Why};
+use crate::message::{KeyRecord, Message, RouteOutcome};
+use crate::store::{KeyEntry, Ownership, ms, tick, tick_up};
+use crate::{
+    Action, Cell, Epoch, ExecutionStatus, Idempotency, IdempotencyKey, RoutingDecision,
+    RoutingFailure, SessionId,
+};
 
 /// Requests that wait for a record at most. Beyond, they are placed at once as if nobody had answered.
 const PENDING: usize = 4_096;
@@ -21,8 +24,8 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Pending {
     id: u64,
-    sid: Sid,
-    effect: Effect,
+    session: SessionId,
+    idempotency: Idempotency,
     first: bool,
     deadline: u64,
     asked: u64,
@@ -31,7 +34,7 @@
     rests: bool,
     tries: usize,
     /// Allowed by this balancer itself, once a witness knows.
-    allowed: Option<(Pod, Epoch)>,
+    allowed: Option<(Cell, Epoch)>,
 }
 
 impl Pending {
@@ -44,8 +47,8 @@
 /// A request that was placed by a record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Placed {
-    sid: Sid,
-    key: Option<Key>,
+    session: SessionId,
+    key: Option<IdempotencyKey>,
     n: u32,
     until: u64,
 }
@@ -53,7 +56,7 @@
 /// Another's record, as long as it was lent.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Copied {
-    pod: Pod,
+    cell: Cell,
     epoch: Epoch,
     until: u64,
 }
@@ -64,34 +67,34 @@
         &mut self,
         now: u64,
         id: u64,
-        sid: Sid,
-        effect: Effect,
+        session: SessionId,
+        idempotency: Idempotency,
         first: bool,
         deadline: u64,
         out: &mut Out,
     ) {
-        let keyed = matches!(effect, Effect::Keyed(_));
-        if self.pods.is_empty() {
-            return self.place(id, Verdict::Refuse(Why::NoPod), out);
+        let keyed = matches!(idempotency, Idempotency::Keyed(_));
+        if self.cells.is_empty() {
+            return self.place(id, RoutingDecision::Reject(RoutingFailure::NoCell), out);
         }
         if !self.seated(now) {
             return if keyed {
-                self.place(id, Verdict::Refuse(Why::NoSeat), out);
+                self.place(id, RoutingDecision::Reject(RoutingFailure::NoSlot), out);
             } else {
-                self.by_hash(now, id, sid, deadline, out);
+                self.by_hash(now, id, session, deadline, out);
             };
         }
-        if let Some((pod, epoch, until)) = self.at_hand(now, sid).filter(|_| !keyed) {
+        if let Some((cell, epoch, until)) = self.at_hand(now, session).filter(|_| !keyed) {
             let n = self.number();
-            return self.go(id, Placed { sid, key: None, n, until }, pod, epoch, out);
+            return self.go(id, Placed { session, key: None, n, until }, cell, epoch, out);
         }
         let left = deadline.saturating_sub(now) / u64::from(self.config.wait_part.max(1));
         let wait = left.min(millis(self.config.wait));
         let (n, give_up) = (self.number(), now.saturating_add(wait));
         let pending = Pending {
             id,
-            sid,
-            effect,
+            session,
+            idempotency,
             first,
             deadline,
             asked: now,
@@ -104,7 +107,7 @@
             return self.without_record(now, &pending, out);
         }
         self.pending.insert(n, pending);
-        self.asking.insert((sid, n));
+        self.asking.insert((session, n));
         self.ask_again(now, n, out);
     }
 
@@ -115,177 +118,196 @@
             // The window has ended; this is another asking.
             self.forget(n);
             pending.rests = false;
-            let Pending { id, sid, effect, first, deadline, .. } = pending;
-            return self.request(now, id, sid, effect, first, deadline, out);
+            let Pending { id, session, idempotency, first, deadline, .. } = pending;
+            return self.request(now, id, session, idempotency, first, deadline, out);
         }
         if now >= pending.give_up || !self.seated(now) {
             self.forget(n);
             return self.without_record(now, &pending, out);
         }
-        let sid = pending.sid;
+        let session = pending.session;
         if pending.allowed.is_some() {
             self.tell_witness(now, n, &pending, out);
-        } else if let Some(home) = self.own_home(sid) {
-            let key = if let Effect::Keyed(key) = pending.effect { Some(key) } else { None };
-            self.send(home, Message::Ask { n, sid, key, first: pending.first }, out);
+        } else if let Some(home) = self.own_home(session) {
+            let key =
+                if let Idempotency::Keyed(key) = pending.idempotency { Some(key) } else { None };
+            self.send(home, Message::RouteRequest { n, session, key, first: pending.first }, out);
         }
         if let Some(pending) = self.pending.get_mut(&n) {
             pending.tries += 1;
         }
-        self.at(now.saturating_add(ASK_AGAIN).min(pending.give_up), Timer::Ask(n));
+        self.at(now.saturating_add(ASK_AGAIN).min(pending.give_up), Timer::RouteRequest(n));
     }
 
     fn forget(&mut self, n: u32) -> Option<Pending> {
         let pending = self.pending.remove(&n)?;
-        self.asking.remove(&(pending.sid, n));
+        self.asking.remove(&(pending.session, n));
         Some(pending)
     }
 
     /// Nobody said in time where it goes. A keyed one may have run somewhere, so it goes nowhere; others go
     /// by the hash.
     fn without_record(&mut self, now: u64, pending: &Pending, out: &mut Out) {
-        if matches!(pending.effect, Effect::Keyed(_)) {
-            return self.place(pending.id, Verdict::Refuse(Why::NoRecord), out);
+        if matches!(pending.idempotency, Idempotency::Keyed(_)) {
+            return self.place(pending.id, RoutingDecision::Reject(RoutingFailure::NoRecord), out);
         }
-        self.by_hash(now, pending.id, pending.sid, pending.deadline, out);
+        self.by_hash(now, pending.id, pending.session, pending.deadline, out);
     }
 
-    fn by_hash(&mut self, now: u64, id: u64, sid: Sid, deadline: u64, out: &mut Out) {
+    fn by_hash(&mut self, now: u64, id: u64, session: SessionId, deadline: u64, out: &mut Out) {
         // What was last heard of the van is the better guess: its state may be there.
-        let heard = self.store.get(sid).map(|r| r.pod).filter(|p| self.usable(*p));
-        let verdict = match heard.or_else(|| self.hash(sid)) {
-            Some(pod) => {
+        let heard = self.store.get(session).map(|r| r.cell).filter(|p| self.usable(*p));
+        let decision = match heard.or_else(|| self.hash(session)) {
+            Some(cell) => {
                 let until = outside(deadline.max(now));
-                Verdict::Go { pod, epoch: None, until }
+                RoutingDecision::Send { cell, epoch: None, until }
             }
-            None => Verdict::Refuse(Why::NoPod),
+            None => RoutingDecision::Reject(RoutingFailure::NoCell),
         };
-        self.place(id, verdict, out);
+        self.place(id, decision, out);
     }
 
-    fn place(&mut self, id: u64, verdict: Verdict, out: &mut Out) {
-        match verdict {
-            Verdict::Go { epoch: Some(_), .. } => self.counts.by_record += 1,
-            Verdict::Go { .. } => self.counts.by_hash += 1,
-            Verdict::Refuse(_) => self.counts.refused += 1,
-            Verdict::Fail(_) => self.counts.failed += 1,
-        }
-        out.actions.push(Action::Place { id, verdict });
+    fn place(&mut self, id: u64, decision: RoutingDecision, out: &mut Out) {
+        match decision {
+            RoutingDecision::Send { epoch: Some(_), .. } => self.counts.by_record += 1,
+            RoutingDecision::Send { .. } => self.counts.by_hash += 1,
+            RoutingDecision::Reject(_) => self.counts.refused += 1,
+            RoutingDecision::Fail(_) => self.counts.failed += 1,
+        }
+        out.actions.push(Action::Route { id, decision });
     }
 
-    fn go(&mut self, id: u64, placed: Placed, pod: Pod, epoch: Epoch, out: &mut Out) {
+    fn go(&mut self, id: u64, placed: Placed, cell: Cell, epoch: Epoch, out: &mut Out) {
         let until = outside(placed.until);
-        self.placing.insert((placed.sid, id));
+        self.placing.insert((placed.session, id));
         self.placed.insert(id, placed);
         if self.placed.len() > PLACED
             && let Some((id, old)) = self.placed.pop_first()
         {
-            self.placing.remove(&(old.sid, id));
+            self.placing.remove(&(old.session, id));
         }
-        self.place(id, Verdict::Go { pod, epoch: Some(epoch), until }, out);
+        self.place(id, RoutingDecision::Send { cell, epoch: Some(epoch), until }, out);
     }
 
     /// A record or copy that can be used now, and up to when.
-    pub(crate) fn at_hand(&self, now: u64, sid: Sid) -> Option<(Pod, Epoch, u64)> {
+    pub(crate) fn at_hand(&self, now: u64, session: SessionId) -> Option<(Cell, Epoch, u64)> {
         if !self.seated(now) {
             return None;
         }
-        let own = self.store.get(sid).filter(|r| r.state == State::Owned);
-        let own = own.filter(|_| !self.leaving.contains_key(&sid));
+        let own = self.store.get(session).filter(|r| r.state == Ownership::Owned);
+        let own = own.filter(|_| !self.leaving.contains_key(&session));
         let found = match own {
             Some(record) => {
                 let until = now.saturating_add(millis(self.config.copy)).min(self.until);
-                (record.pod, record.epoch, until)
+                (record.cell, record.epoch, until)
             }
             None => {
-                let copy = self.copies.get(&sid).filter(|c| now < c.until.min(self.until))?;
-                (copy.pod, copy.epoch, copy.until.min(self.until))
+                let copy = self.copies.get(&session).filter(|c| now < c.until.min(self.until))?;
+                (copy.cell, copy.epoch, copy.until.min(self.until))
             }
         };
         self.usable(found.0).then_some(found)
     }
 
-    pub(crate) fn on_answer(&mut self, now: u64, from: NodeId, n: u32, said: Said, out: &mut Out) {
+    pub(crate) fn on_answer(
+        &mut self,
+        now: u64,
+        from: NodeId,
+        n: u32,
+        outcome: RouteOutcome,
+        out: &mut Out,
+    ) {
         let Some(pending) = self.pending.get_mut(&n) else { return };
         if pending.rests || pending.allowed.is_some() {
             return;
         }
-        match said {
-            Said::Go { pod, epoch, copy } => {
+        match outcome {
+            RouteOutcome::Send { cell, epoch, copy } => {
                 // The holder's end is earlier than the giver's: it counts from the asking, and a hundredth
                 // less.
                 let length = |ms: u64| ms - ms / 100;
                 let copied = pending.asked.saturating_add(length(u64::from(copy))).min(self.until);
-                let (sid, node_id) = (pending.sid, self.config.node_id);
+                let (session, node_id) = (pending.session, self.config.node_id);
                 if copy > 0 && from != node_id && now < copied {
-                    self.take_copy(sid, Copied { pod, epoch, until: copied });
+                    self.take_copy(session, Copied { cell, epoch, until: copied });
                 }
                 let Some(pending) = self.pending.get_mut(&n) else { return };
-                if from == node_id && matches!(pending.effect, Effect::Keyed(_)) {
-                    pending.allowed = Some((pod, epoch));
+                if from == node_id && matches!(pending.idempotency, Idempotency::Keyed(_)) {
+                    pending.allowed = Some((cell, epoch));
                     let pending = pending.clone();
-                    if self.witnesses(sid).is_empty() {
-                        self.allowed(now, n, pod, epoch, out);
+                    if self.witnesses(session).is_empty() {
+                        self.allowed(now, n, cell, epoch, out);
                     } else {
                         self.tell_witness(now, n, &pending, out);
                     }
                     return;
                 }
-                self.allowed(now, n, pod, epoch, out);
+                self.allowed(now, n, cell, epoch, out);
             }
-            Said::Busy { ms } => {
+            RouteOutcome::Busy { ms } => {
                 let again = now.saturating_add(ms);
                 let needed = again + millis(self.config.wait) + PERMIT_MS;
                 if needed <= pending.deadline {
                     pending.rests = true;
-                    self.at(again, Timer::Ask(n));
+                    self.at(again, Timer::RouteRequest(n));
                 } else if let Some(pending) = self.forget(n) {
-                    self.place(pending.id, Verdict::Fail(Why::MayHaveRun), out);
+                    self.place(
+                        pending.id,
+                        RoutingDecision::Fail(RoutingFailure::MayHaveExecuted),
+                        out,
+                    );
                 }
             }
-            Said::Full => {
+            RouteOutcome::Full => {
                 if let Some(pending) = self.forget(n) {
-                    self.place(pending.id, Verdict::Refuse(Why::Full), out);
+                    self.place(pending.id, RoutingDecision::Reject(RoutingFailure::Full), out);
                 }
             }
         }
     }
 
     /// It may go. A keyed one is noted first: it may have run from here on.
-    fn allowed(&mut self, now: u64, n: u32, pod: Pod, epoch: Epoch, out: &mut Out) {
+    fn allowed(&mut self, now: u64, n: u32, cell: Cell, epoch: Epoch, out: &mut Out) {
         let Some(pending) = self.forget(n) else { return };
-        let (sid, id) = (pending.sid, pending.id);
-        let Effect::Keyed(key) = pending.effect else {
-            let copy = self.copies.get(&sid).map(|c| c.until);
+        let (session, id) = (pending.session, pending.id);
+        let Idempotency::Keyed(key) = pending.idempotency else {
+            let copy = self.copies.get(&session).map(|c| c.until);
             let until = copy.unwrap_or(now.saturating_add(PERMIT_MS)).min(self.until);
-            return self.go(id, Placed { sid, key: None, n, until }, pod, epoch, out);
+            return self.go(id, Placed { session, key: None, n, until }, cell, epoch, out);
         };
         let until = pending.asked.saturating_add(PERMIT_MS - PERMIT_MS / 100).min(self.until);
         if now >= until {
             return self.without_record(now, &pending, out);
         }
         let free = tick_up(until.saturating_add(self.age));
-        if !self.speak(now, sid, key, pod, free) {
-            return self.place(id, Verdict::Fail(Why::MayHaveRun), out);
+        if !self.speak(now, session, key, cell, free) {
+            return self.place(id, RoutingDecision::Fail(RoutingFailure::MayHaveExecuted), out);
         }
-        if !self.is_home(sid) {
+        if !self.is_home(session) {
             let (run, window) = (millis(self.config.run), millis(self.config.window));
             let free = tick_up(until.saturating_add(run).saturating_add(window));
             let by = self.config.node_id;
-            let note = Note { first: tick(pending.asked), free, ask: n, by, pod };
-            if !self.keep_mine(now, sid, key, note) {
-                return self.place(id, Verdict::Refuse(Why::Full), out);
+            let note = KeyEntry { first: tick(pending.asked), free, ask: n, by, cell };
+            if !self.keep_mine(now, session, key, note) {
+                return self.place(id, RoutingDecision::Reject(RoutingFailure::Full), out);
             }
         }
-        self.go(id, Placed { sid, key: Some(key), n, until }, pod, epoch, out);
+        self.go(id, Placed { session, key: Some(key), n, until }, cell, epoch, out);
     }
 
     /// Notes where a key goes, whoever's it is. The same one under another van may have run in another pod:
     /// records don't tell, since they are found by the van, but what went out from here is known here.
-    fn speak(&mut self, now: u64, sid: Sid, key: Key, pod: Pod, free: u32) -> bool {
+    fn speak(
+        &mut self,
+        now: u64,
+        session: SessionId,
+        key: IdempotencyKey,
+        cell: Cell,
+        free: u32,
+    ) -> bool {
         self.sweep(now);
         if let Some((van, at, end)) = self.spoken.get(&key).copied() {
-            if van != sid && at != pod && end > tick(now) {
+            if van != session && at != cell && end > tick(now) {
                 return false;
             }
             self.spoken_end.remove(&(end, key));
@@ -297,46 +319,47 @@
             self.spoken.remove(&eldest);
         }
         self.spoken_end.insert((free, key));
-        self.spoken.insert(key, (sid, pod, free));
+        self.spoken.insert(key, (session, cell, free));
         true
     }
 
-    fn take_copy(&mut self, sid: Sid, copied: Copied) {
-        self.drop_copy(sid);
+    fn take_copy(&mut self, session: SessionId, copied: Copied) {
+        self.drop_copy(session);
         if self.copies.len() >= COPIES
             && let Some((_, first)) = self.copies_end.pop_first()
         {
             self.copies.remove(&first);
         }
-        self.copies_end.insert((copied.until, sid));
-        self.copies.insert(sid, copied);
+        self.copies_end.insert((copied.until, session));
+        self.copies.insert(session, copied);
     }
 
-    fn drop_copy(&mut self, sid: Sid) {
-        if let Some(old) = self.copies.remove(&sid) {
-            self.copies_end.remove(&(old.until, sid));
+    fn drop_copy(&mut self, session: SessionId) {
+        if let Some(old) = self.copies.remove(&session) {
+            self.copies_end.remove(&(old.until, session));
         }
     }
 
-    fn witnesses(&self, sid: Sid) -> Vec<NodeId> {
-        self.site().map_or(Vec::new(), |site| self.table.witnesses(sid, site, self.config.node_id))
+    fn witnesses(&self, session: SessionId) -> Vec<NodeId> {
+        self.zone()
+            .map_or(Vec::new(), |zone| self.table.witnesses(session, zone, self.config.node_id))
     }
 
     /// A home that sends by itself would be the only one to know: another balancer of the site must know,
     /// too.
     fn tell_witness(&mut self, now: u64, n: u32, pending: &Pending, out: &mut Out) {
-        let Effect::Keyed(key) = pending.effect else { return };
-        let Some(note) = self.store.note(pending.sid, key) else { return };
-        let note = KeyWord {
+        let Idempotency::Keyed(key) = pending.idempotency else { return };
+        let Some(note) = self.store.note(pending.session, key) else { return };
+        let note = KeyRecord {
             key,
-            pod: note.pod,
-            first_ago: now.saturating_sub(ms(note.first)),
-            free_in: ms(note.free).saturating_sub(now),
+            cell: note.cell,
+            first_permit_ago: now.saturating_sub(ms(note.first)),
+            expires_in: ms(note.free).saturating_sub(now),
         };
-        let all = self.witnesses(pending.sid);
+        let all = self.witnesses(pending.session);
         // Another one each time: one that is down must not keep this van waiting.
         if let Some(to) = all.get(pending.tries % all.len().max(1)) {
-            self.send(*to, Message::Keep { n, sid: pending.sid, note }, out);
+            self.send(*to, Message::Replicate { n, session: pending.session, note }, out);
         }
     }
 
@@ -345,41 +368,48 @@
         now: u64,
         from: NodeId,
         n: u32,
-        sid: Sid,
-        message: KeyWord,
+        session: SessionId,
+        message: KeyRecord,
         out: &mut Out,
     ) {
-        let free = tick_up(now.saturating_add(message.free_in));
+        let free = tick_up(now.saturating_add(message.expires_in));
         // When it was first sent is not known here: not lately enough to be sent again.
-        let note = Note { first: 0, free, ask: 0, by: from, pod: message.pod };
-        if self.keep_mine(now, sid, message.key, note) {
-            self.send(from, Message::Kept { n }, out);
+        let note = KeyEntry { first: 0, free, ask: 0, by: from, cell: message.cell };
+        if self.keep_mine(now, session, message.key, note) {
+            self.send(from, Message::ReplicateAck { n }, out);
         }
     }
 
     pub(crate) fn on_kept(&mut self, now: u64, n: u32, out: &mut Out) {
         let Some(pending) = self.pending.get_mut(&n) else { return };
-        let Some((pod, epoch)) = pending.allowed.take() else { return };
+        let Some((cell, epoch)) = pending.allowed.take() else { return };
         // The record may have been sealed meanwhile: then it is asked about anew.
-        let record = self.store.get(pending.sid).filter(|r| r.state == State::Owned);
-        if record.is_some_and(|r| r.epoch == epoch) && !self.leaving.contains_key(&pending.sid) {
-            self.allowed(now, n, pod, epoch, out);
+        let record = self.store.get(pending.session).filter(|r| r.state == Ownership::Owned);
+        if record.is_some_and(|r| r.epoch == epoch) && !self.leaving.contains_key(&pending.session)
+        {
+            self.allowed(now, n, cell, epoch, out);
         }
     }
 
-    fn keep_mine(&mut self, now: u64, sid: Sid, key: Key, note: Note) -> bool {
+    fn keep_mine(
+        &mut self,
+        now: u64,
+        session: SessionId,
+        key: IdempotencyKey,
+        note: KeyEntry,
+    ) -> bool {
         self.sweep(now);
-        if let Some(old) = self.mine.get_mut(&(sid, key)) {
-            self.mine_end.remove(&(old.free, sid, key));
+        if let Some(old) = self.mine.get_mut(&(session, key)) {
+            self.mine_end.remove(&(old.free, session, key));
             old.merge(note);
-            self.mine_end.insert((old.free, sid, key));
+            self.mine_end.insert((old.free, session, key));
             return true;
         }
         if self.mine.len() >= MINE {
             return false;
         }
-        self.mine_end.insert((note.free, sid, key));
-        self.mine.insert((sid, key), note);
+        self.mine_end.insert((note.free, session, key));
+        self.mine.insert((session, key), note);
         true
     }
 
@@ -387,9 +417,9 @@
     pub(crate) fn sweep(&mut self, now: u64) {
         for _ in 0..32 {
             let over = self.mine_end.first().copied().filter(|(free, ..)| *free <= tick(now));
-            let Some((free, sid, key)) = over else { break };
-            self.mine_end.remove(&(free, sid, key));
-            self.mine.remove(&(sid, key));
+            let Some((free, session, key)) = over else { break };
+            self.mine_end.remove(&(free, session, key));
+            self.mine.remove(&(session, key));
         }
         for _ in 0..32 {
             let over = self.spoken_end.first().copied().filter(|(free, _)| *free <= tick(now));
@@ -399,40 +429,41 @@
         }
         for _ in 0..32 {
             let over = self.copies_end.first().copied().filter(|(until, _)| *until <= now);
-            let Some((until, sid)) = over else { break };
-            self.copies_end.remove(&(until, sid));
-            self.copies.remove(&sid);
+            let Some((until, session)) = over else { break };
+            self.copies_end.remove(&(until, session));
+            self.copies.remove(&session);
         }
     }
 
     pub(crate) fn sent(&mut self, now: u64, id: u64, out: &mut Out) {
-        let Some(sid) = self.placed.get(&id).map(|p| p.sid) else { return };
-        self.placing.remove(&(sid, id));
+        let Some(session) = self.placed.get(&id).map(|p| p.session) else { return };
+        self.placing.remove(&(session, id));
         if self.placed.get(&id).is_some_and(|p| p.key.is_none()) {
             self.placed.remove(&id);
         }
-        if self.leaving.contains_key(&sid) {
-            self.try_hand(now, sid, out);
+        if self.leaving.contains_key(&session) {
+            self.try_hand(now, session, out);
         }
     }
 
-    pub(crate) fn ended(&mut self, now: u64, id: u64, ran: Ran, out: &mut Out) {
+    pub(crate) fn ended(&mut self, now: u64, id: u64, status: ExecutionStatus, out: &mut Out) {
         self.sent(now, id, out);
         let Some(placed) = self.placed.remove(&id) else { return };
-        let (Some(key), Ran::No) = (placed.key, ran) else { return };
-        let (node_id, n, sid) = (self.config.node_id, placed.n, placed.sid);
-        if let Some(note) = self.mine.get(&(sid, key)).filter(|m| (m.by, m.ask) == (node_id, n)) {
-            self.mine_end.remove(&(note.free, sid, key));
-            self.mine.remove(&(sid, key));
+        let (Some(key), ExecutionStatus::NotExecuted) = (placed.key, status) else { return };
+        let (node_id, n, session) = (self.config.node_id, placed.n, placed.session);
+        if let Some(note) = self.mine.get(&(session, key)).filter(|m| (m.by, m.ask) == (node_id, n))
+        {
+            self.mine_end.remove(&(note.free, session, key));
+            self.mine.remove(&(session, key));
         }
-        if let Some(home) = self.own_home(sid) {
-            self.send(home, Message::Unran { n, sid, key }, out);
+        if let Some(home) = self.own_home(session) {
+            self.send(home, Message::AttemptNotRun { n, session, key }, out);
         }
     }
 
     /// Whether something of this van was placed and may still go out.
-    pub(crate) fn outstanding(&self, now: u64, sid: Sid) -> bool {
-        let of_it = self.placing.range((sid, 0)..=(sid, u64::MAX));
+    pub(crate) fn outstanding(&self, now: u64, session: SessionId) -> bool {
+        let of_it = self.placing.range((session, 0)..=(session, u64::MAX));
         of_it.filter_map(|(_, id)| self.placed.get(id)).any(|p| now < p.until)
     }
 
@@ -440,30 +471,30 @@
         &mut self,
         now: u64,
         from: NodeId,
-        sid: Sid,
+        session: SessionId,
         epoch: Epoch,
         out: &mut Out,
     ) {
-        if self.copies.get(&sid).is_some_and(|c| c.epoch <= epoch) {
-            self.drop_copy(sid);
+        if self.copies.get(&session).is_some_and(|c| c.epoch <= epoch) {
+            self.drop_copy(session);
         }
         // Answers to what was asked so far may be on their way, under the epoch that ends: they count no
         // more.
         let asked: Vec<u32> =
-            self.asking.range((sid, 0)..=(sid, u32::MAX)).map(|(_, n)| *n).collect();
+            self.asking.range((session, 0)..=(session, u32::MAX)).map(|(_, n)| *n).collect();
         for n in asked {
             if self.pending.get(&n).is_some_and(|p| p.rests || p.allowed.is_some()) {
                 continue;
             }
             if let Some(pending) = self.forget(n) {
                 let n = self.number();
-                self.at(now.saturating_add(ASK_AGAIN).min(pending.give_up), Timer::Ask(n));
+                self.at(now.saturating_add(ASK_AGAIN).min(pending.give_up), Timer::RouteRequest(n));
                 self.pending.insert(n, Pending { asked: now, ..pending });
-                self.asking.insert((sid, n));
+                self.asking.insert((session, n));
             }
         }
-        if !self.outstanding(now, sid) {
-            self.send(from, Message::Withdrawn { sid, epoch }, out);
+        if !self.outstanding(now, session) {
+            self.send(from, Message::RevokeAck { session, epoch }, out);
         }
     }
 }
--- a/crates/sessions/src/hash.rs
+++ b/crates/sessions/src/hash.rs
@@ -11,15 +11,15 @@
 
 /// Kinds of things that are chosen: the order of pods must say nothing about that of balancers.
 #[derive(Clone, Copy)]
-pub(crate) enum Among {
-    Pods = 1,
-    Homes = 2,
-    Sites = 3,
+pub(crate) enum Candidates {
+    Cells = 1,
+    Owners = 2,
+    Zones = 3,
 }
 
 /// One draw for a van and a candidate.
-pub(crate) const fn draw(among: Among, sid: u64, candidate: u16) -> u64 {
-    mix(mix(sid ^ (among as u64) << 56)
+pub(crate) const fn draw(among: Candidates, session: u64, candidate: u16) -> u64 {
+    mix(mix(session ^ (among as u64) << 56)
         .wrapping_add((candidate as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15)))
 }
 
@@ -46,43 +46,44 @@
 
 /// A pod and its weight: 1,000 is a whole one, 0 takes none.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Weighed {
+pub struct WeightedCell {
     /// Which.
-    pub pod: crate::Pod,
+    pub cell: crate::Cell,
     /// In thousandths.
     pub weight: u16,
 }
 
 /// The pod of a van that has no record: the same at everyone who has the same pods and weights, in any order.
 /// A pod that goes moves its own vans only; one that weighs half as much has half as many.
-pub fn pod_of(sid: crate::Sid, pods: &[Weighed]) -> Option<crate::Pod> {
-    let cost = |w: &Weighed| {
-        let log = u128::from(minus_log2(draw(Among::Pods, sid.0, w.pod.0)));
+pub fn cell_for(session: crate::SessionId, cells: &[WeightedCell]) -> Option<crate::Cell> {
+    let cost = |w: &WeightedCell| {
+        let log = u128::from(minus_log2(draw(Candidates::Cells, session.0, w.cell.0)));
         (log << 32) / u128::from(w.weight)
     };
-    pods.iter().filter(|w| w.weight > 0).min_by_key(|w| (cost(w), w.pod)).map(|w| w.pod)
+    cells.iter().filter(|w| w.weight > 0).min_by_key(|w| (cost(w), w.cell)).map(|w| w.cell)
 }
 
 #[cfg(test)]
 mod tests {
     use super::*;
-    use crate::{Pod, Sid};
+    use crate::{Cell, SessionId};
 
     #[test]
     fn pods_get_vans_by_weight_in_any_order_and_one_that_goes_moves_its_own_only() {
         let weight = [1000, 500, 1000, 250, 0];
-        let pods: Vec<Weighed> =
-            (0..5).map(|p| Weighed { pod: Pod(p), weight: weight[p as usize] }).collect();
-        let mut turned = pods.clone();
+        let cells: Vec<WeightedCell> =
+            (0..5).map(|p| WeightedCell { cell: Cell(p), weight: weight[p as usize] }).collect();
+        let mut turned = cells.clone();
         turned.reverse();
-        let without: Vec<Weighed> = pods.iter().copied().filter(|w| w.pod != Pod(2)).collect();
+        let without: Vec<WeightedCell> =
+            cells.iter().copied().filter(|w| w.cell != Cell(2)).collect();
         let mut count = [0u32; 5];
         for i in 0..20_000 {
-            let sid = Sid(mix(i));
-            let at = pod_of(sid, &pods).expect("there are pods");
-            assert_eq!(pod_of(sid, &turned), Some(at));
-            if at != Pod(2) {
-                assert_eq!(pod_of(sid, &without), Some(at));
+            let session = SessionId(mix(i));
+            let at = cell_for(session, &cells).expect("there are pods");
+            assert_eq!(cell_for(session, &turned), Some(at));
+            if at != Cell(2) {
+                assert_eq!(cell_for(session, &without), Some(at));
             }
             count[at.0 as usize] += 1;
         }
@@ -90,6 +91,6 @@
         for (share, weight) in share.iter().zip(weight) {
             assert!((share - f64::from(weight) / 2750.0).abs() < 0.015, "{share} for {weight}");
         }
-        assert_eq!(pod_of(Sid(1), &[]), None);
+        assert_eq!(cell_for(SessionId(1), &[]), None);
     }
 }
--- a/crates/sessions/src/home.rs
+++ b/crates/sessions/src/home.rs
@@ -1,14 +1,14 @@
 //! What a home does: it owns records, allows what is sent under them, and moves them between sites. The move,
 //! in words:
 //!
-//! 1. A home that is asked about a van it has no record of asks (`Want`) the homes of all other sites.
-//! 2. The owner seals: it allows nothing more, and takes back what it lent (`Withdraw`, `Withdrawn`), or
+//! 1. A home that is asked about a van it has no record of asks (`ClaimRequest`) the homes of all other sites.
+//! 2. The owner seals: it allows nothing more, and takes back what it lent (`Revoke`, `RevokeAck`), or
 //!    waits until that has ended.
-//! 3. It hands over (`Hand`) all that it knows under the next epoch, again and again, until the new one has
-//!    said `Got`. What stays is a tomb: it tells what it knew, and owns nothing.
-//! 4. A home that has no record says so (`Nothing`), with what it knows. If it asks for the same van itself,
+//! 3. It hands over (`Transfer`) all that it knows under the next epoch, again and again, until the new one has
+//!    said `TransferAck`. What stays is a tomb: it tells what it knew, and owns nothing.
+//! 4. A home that has no record says so (`NoRecord`), with what it knows. If it asks for the same van itself,
 //!    the site that goes first for this van gets an answer, and the other begins to ask anew: **who answers
-//!    `Nothing` voids its own question** (Ricart and Agrawala 1981, with sites for processes). So of two that
+//!    `NoRecord` voids its own question** (Ricart and Agrawala 1981, with sites for processes). So of two that
 //!    both know nothing, one owns.
 //! 5. Whoever has heard all others owns.
 
@@ -17,10 +17,10 @@
 use hollowpaddle_peer_transport::NodeId;
 
 use crate::machine::{AGAIN, Out, PERMIT_MS, Sessions, Timer, millis};
-use crate::message::{Estate, Message, Said};
-use crate::store::{NO_POD, Note, State, ms, tick, tick_up};
-use crate::table::goes_first;
-use crate::{Epoch, Key, Pod, Seat, Sid, Site};
+use crate::message::{Message, RouteOutcome, SessionRecord};
+use crate::store::{KeyEntry, Ownership, UNKNOWN_CELL, ms, tick, tick_up};
+use crate::table::precedes;
+use crate::{Cell, Epoch, IdempotencyKey, OwnerSlot, SessionId, Zone};
 
 /// Copies out and rights to send at a time, at most: those beyond wait for some to end.
 const LENT: usize = 8_192;
@@ -34,16 +34,16 @@
 pub(crate) struct Waiter {
     from: NodeId,
     n: u32,
-    key: Option<Key>,
+    key: Option<IdempotencyKey>,
     first: bool,
 }
 
 /// A record that this home asks others for.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Finding {
+pub(crate) struct OwnershipClaim {
     ask: u32,
     asked: u64,
-    answered: BTreeSet<Site>,
+    answered: BTreeSet<Zone>,
     floor: Epoch,
     /// The highest epoch that was known when this round of asking began.
     base: Epoch,
@@ -52,8 +52,8 @@
 
 /// A record that this home gives away.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Leaving {
-    pub to: Seat,
+pub(crate) struct OutgoingTransfer {
+    pub to: OwnerSlot,
     ask: u32,
     pub epoch: Epoch,
     pub handed: bool,
@@ -68,77 +68,77 @@
         now: u64,
         from: NodeId,
         n: u32,
-        sid: Sid,
-        key: Option<Key>,
+        session: SessionId,
+        key: Option<IdempotencyKey>,
         first: bool,
         out: &mut Out,
     ) {
-        let near = self.table.seat(from).map(|s| s.site) == self.site();
-        if !near || !self.is_home(sid) || self.leaving.contains_key(&sid) {
+        let near = self.table.slot(from).map(|s| s.zone) == self.zone();
+        if !near || !self.is_home(session) || self.leaving.contains_key(&session) {
             return;
         }
         let waiter = Waiter { from, n, key, first };
-        if self.store.get(sid).is_none_or(|r| r.state != State::Owned) {
-            return self.find(now, sid, Some(waiter));
+        if self.store.get(session).is_none_or(|r| r.state != Ownership::Owned) {
+            return self.find(now, session, Some(waiter));
         }
-        let room = self.lent.len() < LENT || self.lent.contains_key(&(sid, from));
+        let room = self.permits.len() < LENT || self.permits.contains_key(&(session, from));
         if from != self.config.node_id && !room {
-            self.lent.retain(|_, until| *until > now);
+            self.permits.retain(|_, until| *until > now);
             return;
         }
-        if let Some(said) = self.say(now, sid, waiter) {
-            if let (Said::Go { .. }, true) = (said, from != self.config.node_id) {
+        if let Some(outcome) = self.say(now, session, waiter) {
+            if let (RouteOutcome::Send { .. }, true) = (outcome, from != self.config.node_id) {
                 let copy = millis(self.config.copy).max(PERMIT_MS);
                 let until = now.saturating_add(copy + copy.div_ceil(100));
-                self.lent.insert((sid, from), until);
+                self.permits.insert((session, from), until);
             }
-            self.send(from, Message::Answer { n, said }, out);
+            self.send(from, Message::RouteResponse { n, outcome }, out);
         }
     }
 
     /// What the owner says to one who wants to send; `None`: nothing, no pod is in force.
-    fn say(&mut self, now: u64, sid: Sid, waiter: Waiter) -> Option<Said> {
-        let hash = self.hash(sid);
-        let record = *self.store.get(sid)?;
+    fn say(&mut self, now: u64, session: SessionId, waiter: Waiter) -> Option<RouteOutcome> {
+        let hash = self.hash(session);
+        let record = *self.store.get(session)?;
         // Its pod is out: another one for all that is new.
-        let pod = if self.usable(record.pod) { record.pod } else { hash? };
+        let cell = if self.usable(record.cell) { record.cell } else { hash? };
         // There is such a record, so there is room for it.
-        let _ = self.store.change(now, sid, hash, |r| r.pod = pod);
+        let _ = self.store.change(now, session, hash, |r| r.cell = cell);
         let copy = u32::try_from(millis(self.config.copy)).unwrap_or(0);
-        let go = |pod| Some(Said::Go { pod, epoch: record.epoch, copy });
-        let Some(key) = waiter.key else { return go(pod) };
+        let go = |cell| Some(RouteOutcome::Send { cell, epoch: record.epoch, copy });
+        let Some(key) = waiter.key else { return go(cell) };
         let (run, window) = (millis(self.config.run), millis(self.config.window));
         // Rights end at the holder's clock earlier than here.
         let sent_by = now.saturating_add(PERMIT_MS + PERMIT_MS.div_ceil(100));
         let free = tick_up(sent_by.saturating_add(run).saturating_add(window));
-        if let Some(note) = self.store.note(sid, key).copied().filter(|n| n.free > tick(now)) {
+        if let Some(note) = self.store.note(session, key).copied().filter(|n| n.free > tick(now)) {
             // The pod must still remember when this one runs.
             let remembers = ms(note.first).saturating_add(window);
-            if !self.usable(note.pod) || sent_by.saturating_add(run) > remembers {
-                return Some(Said::Busy { ms: ms(note.free).saturating_sub(now) });
+            if !self.usable(note.cell) || sent_by.saturating_add(run) > remembers {
+                return Some(RouteOutcome::Busy { ms: ms(note.free).saturating_sub(now) });
             }
             let sole = (note.by, note.ask) == (waiter.from, waiter.n);
-            self.store.renew(now, sid, key, free, if sole { waiter.n } else { 0 });
+            self.store.renew(now, session, key, free, if sole { waiter.n } else { 0 });
             // A copy says where new ones go; this one may go elsewhere.
-            return Some(Said::Go {
-                pod: note.pod,
+            return Some(RouteOutcome::Send {
+                cell: note.cell,
                 epoch: record.epoch,
-                copy: if note.pod == pod { copy } else { 0 },
+                copy: if note.cell == cell { copy } else { 0 },
             });
         }
         if record.blind > tick(now) && !waiter.first {
-            return Some(Said::Busy { ms: ms(record.blind).saturating_sub(now) });
+            return Some(RouteOutcome::Busy { ms: ms(record.blind).saturating_sub(now) });
         }
-        let note = Note { first: tick(now), free, ask: waiter.n, by: waiter.from, pod };
-        match self.store.add_note(now, sid, key, note) {
-            Ok(()) => go(pod),
-            Err(_) => Some(Said::Full),
+        let note = KeyEntry { first: tick(now), free, ask: waiter.n, by: waiter.from, cell };
+        match self.store.add_note(now, session, key, note) {
+            Ok(()) => go(cell),
+            Err(_) => Some(RouteOutcome::Full),
         }
     }
 
     /// Begins to ask for a record, or lets one more wait for it.
-    pub(crate) fn find(&mut self, now: u64, sid: Sid, waiter: Option<Waiter>) {
-        if let Some(finding) = self.findings.get_mut(&sid) {
+    pub(crate) fn find(&mut self, now: u64, session: SessionId, waiter: Option<Waiter>) {
+        if let Some(finding) = self.findings.get_mut(&session) {
             if let Some(waiter) = waiter {
                 let same = |w: &Waiter| (w.from, w.n) == (waiter.from, waiter.n);
                 if finding.waiters.len() < WAITERS && !finding.waiters.iter().any(same) {
@@ -149,85 +149,86 @@
         }
         if self.findings.len() >= self.config.moves {
             // The newest need first. What had room before its turn came is asked again by whoever waits.
-            if !self.waiting.contains(&sid) {
-                self.waiting.push_back(sid);
+            if !self.waiting.contains(&session) {
+                self.waiting.push_back(session);
             }
             if self.waiting.len() > WAITING {
                 self.waiting.pop_front();
-                self.counts.crowded_out += 1;
+                self.counts.dropped_claims += 1;
             }
             return;
         }
-        self.begin(now, sid, waiter);
+        self.begin(now, session, waiter);
     }
 
     /// The first words go with the timer, at once.
-    fn begin(&mut self, now: u64, sid: Sid, waiter: Option<Waiter>) {
+    fn begin(&mut self, now: u64, session: SessionId, waiter: Option<Waiter>) {
         let (ask, waiters) = (self.number(), waiter.into_iter().collect());
         let answered = BTreeSet::new();
-        let known = self.store.get(sid).map_or(Epoch::default(), |r| r.epoch);
+        let known = self.store.get(session).map_or(Epoch::default(), |r| r.epoch);
         let base = self.store.floor.max(known);
-        let finding = Finding { ask, asked: now, answered, floor: base, base, waiters };
-        self.findings.insert(sid, finding);
-        self.at(now, Timer::Find(sid));
+        let finding = OwnershipClaim { ask, asked: now, answered, floor: base, base, waiters };
+        self.findings.insert(session, finding);
+        self.at(now, Timer::Find(session));
     }
 
-    pub(crate) fn find_again(&mut self, now: u64, sid: Sid, out: &mut Out) {
-        let Some(finding) = self.findings.get(&sid) else { return };
-        let (ask, own) = (finding.ask, self.site());
-        let floor = self.store.floor.max(self.store.get(sid).map_or(Epoch::default(), |r| r.epoch));
-        let open = self.table.sites().filter(|s| Some(*s) != own && !finding.answered.contains(s));
-        let homes: Vec<NodeId> = open.filter_map(|site| self.table.home(sid, site)).collect();
+    pub(crate) fn find_again(&mut self, now: u64, session: SessionId, out: &mut Out) {
+        let Some(finding) = self.findings.get(&session) else { return };
+        let (ask, own) = (finding.ask, self.zone());
+        let floor =
+            self.store.floor.max(self.store.get(session).map_or(Epoch::default(), |r| r.epoch));
+        let open = self.table.zones().filter(|s| Some(*s) != own && !finding.answered.contains(s));
+        let homes: Vec<NodeId> = open.filter_map(|zone| self.table.home(session, zone)).collect();
         if homes.is_empty() {
-            return self.try_own(now, sid, out);
+            return self.try_own(now, session, out);
         }
-        let arrived = self.store.get(sid).is_some_and(|r| r.state == State::Arrived);
+        let arrived = self.store.get(session).is_some_and(|r| r.state == Ownership::Received);
         for home in homes {
-            self.send(home, Message::Want { ask, sid, floor, arrived }, out);
+            self.send(home, Message::ClaimRequest { ask, session, floor, arrived }, out);
         }
-        self.at(now.saturating_add(AGAIN), Timer::Find(sid));
+        self.at(now.saturating_add(AGAIN), Timer::Find(session));
     }
 
     /// Owns, if all that must be heard has been.
-    pub(crate) fn try_own(&mut self, now: u64, sid: Sid, out: &mut Out) {
-        let Some(finding) = self.findings.get(&sid) else { return };
-        let own = self.site();
-        let all = self.table.sites().all(|s| Some(s) == own || finding.answered.contains(&s));
+    pub(crate) fn try_own(&mut self, now: u64, session: SessionId, out: &mut Out) {
+        let Some(finding) = self.findings.get(&session) else { return };
+        let own = self.zone();
+        let all = self.table.zones().all(|s| Some(s) == own || finding.answered.contains(&s));
         if !all || !self.pulls.is_empty() || !self.seated(now) {
             return;
         }
         // Of three sites, one may have said that it has nothing, and then have been handed the record by
         // another that says so since: that one knows a higher epoch. Then all are asked once more.
-        if finding.floor > finding.base && self.table.sites().count() > 2 {
+        if finding.floor > finding.base && self.table.zones().count() > 2 {
             let ask = self.number();
-            if let Some(finding) = self.findings.get_mut(&sid) {
+            if let Some(finding) = self.findings.get_mut(&session) {
                 (finding.ask, finding.asked, finding.base) = (ask, now, finding.floor);
                 finding.answered.clear();
             }
-            return self.at(now, Timer::Find(sid));
+            return self.at(now, Timer::Find(session));
         }
-        let Some(finding) = self.findings.remove(&sid) else { return };
-        let hash = self.hash(sid);
-        let record = self.store.get(sid).copied();
-        let arrived = record.is_some_and(|r| r.state == State::Arrived);
-        let doubt = if arrived { 0 } else { self.losses.doubt(sid, self.age) };
+        let Some(finding) = self.findings.remove(&session) else { return };
+        let hash = self.hash(session);
+        let record = self.store.get(session).copied();
+        let arrived = record.is_some_and(|r| r.state == Ownership::Received);
+        let doubt = if arrived { 0 } else { self.losses.doubt(session, self.age) };
         let known = record.map_or(Epoch::default(), |r| r.epoch);
         let above = finding.floor.max(self.store.floor).max(known);
         let above = above.max(Epoch::of_table(self.table.version));
-        let usable: Vec<Pod> = self.pods.iter().map(|w| w.pod).collect();
-        let owned = self.store.change(now, sid, hash, |r| {
+        let usable: Vec<Cell> = self.cells.iter().map(|w| w.cell).collect();
+        let owned = self.store.change(now, session, hash, |r| {
             r.epoch = if arrived { r.epoch } else { above.next() };
-            r.pod = if usable.contains(&r.pod) { r.pod } else { hash.unwrap_or(NO_POD) };
+            r.cell = if usable.contains(&r.cell) { r.cell } else { hash.unwrap_or(UNKNOWN_CELL) };
             r.blind = r.blind.max(tick_up(doubt));
-            r.state = State::Owned;
+            r.state = Ownership::Owned;
         });
         for waiter in finding.waiters {
             let Waiter { from, n, key, first } = waiter;
             match owned {
-                Ok(()) => self.on_ask(now, from, n, sid, key, first, out),
+                Ok(()) => self.on_ask(now, from, n, session, key, first, out),
                 // Without a record nobody could say later where it ran.
                 Err(_) if key.is_some() => {
-                    self.send(from, Message::Answer { n, said: Said::Full }, out)
+                    self.send(from, Message::RouteResponse { n, outcome: RouteOutcome::Full }, out)
                 }
                 Err(_) => {}
             }
@@ -235,7 +236,7 @@
         while self.findings.len() < self.config.moves
             && let Some(next) = self.waiting.pop_back()
         {
-            let open = self.store.get(next).is_none_or(|r| r.state != State::Owned);
+            let open = self.store.get(next).is_none_or(|r| r.state != Ownership::Owned);
             if open && self.is_home(next) && !self.findings.contains_key(&next) {
                 self.begin(now, next, None);
             }
@@ -243,10 +244,11 @@
     }
 
     /// Whether a word about a van comes from its home at another site, and is for its home here.
-    fn between_homes(&self, from: NodeId, sid: Sid) -> Option<Seat> {
-        let seat = *self.table.seat(from)?;
-        let is = Some(seat.site) != self.site() && self.table.home(sid, seat.site) == Some(from);
-        (is && self.is_home(sid)).then_some(seat)
+    fn between_homes(&self, from: NodeId, session: SessionId) -> Option<OwnerSlot> {
+        let slot = *self.table.slot(from)?;
+        let is =
+            Some(slot.zone) != self.zone() && self.table.home(session, slot.zone) == Some(from);
+        (is && self.is_home(session)).then_some(slot)
     }
 
     pub(crate) fn on_want(
@@ -254,62 +256,63 @@
         now: u64,
         from: NodeId,
         ask: u32,
-        sid: Sid,
+        session: SessionId,
         (floor, arrived): (Epoch, bool),
         out: &mut Out,
     ) {
-        let Some(seat) = self.between_homes(from, sid) else { return };
+        let Some(slot) = self.between_homes(from, session) else { return };
         let version = self.table.version;
-        if let Some(leaving) = self.leaving.get_mut(&sid) {
-            if leaving.to == seat {
+        if let Some(leaving) = self.leaving.get_mut(&session) {
+            if leaving.to == slot {
                 leaving.ask = ask;
             }
             return;
         }
-        match self.store.get(sid).map(|r| (r.state, r.epoch)) {
-            Some((State::Owned, epoch)) => {
+        match self.store.get(session).map(|r| (r.state, r.epoch)) {
+            Some((Ownership::Owned, epoch)) => {
                 let epoch = epoch.max(floor).next();
-                let leaving = Leaving { to: seat, ask, epoch, handed: false, version };
-                self.leaving.insert(sid, leaving);
-                self.store.hold(now, sid, now.saturating_add(self.age));
-                self.withdraw(now, sid, out);
-                self.try_hand(now, sid, out);
-                self.at(now.saturating_add(AGAIN), Timer::Leave(sid));
+                let leaving = OutgoingTransfer { to: slot, ask, epoch, handed: false, version };
+                self.leaving.insert(session, leaving);
+                self.store.hold(now, session, now.saturating_add(self.age));
+                self.withdraw(now, session, out);
+                self.try_hand(now, session, out);
+                self.at(now.saturating_add(AGAIN), Timer::Leave(session));
             }
-            Some((State::Arrived, _)) => {}
+            Some((Ownership::Received, _)) => {}
             _ if !self.pulls.is_empty() => {}
             _ => {
-                if self.findings.contains_key(&sid) {
+                if self.findings.contains_key(&session) {
                     // Whoever has the record already goes before all: there is one such at most.
-                    if !arrived && self.site().is_some_and(|own| goes_first(sid, own, seat.site)) {
+                    if !arrived && self.zone().is_some_and(|own| precedes(session, own, slot.zone))
+                    {
                         return;
                     }
                     let ask = self.number();
-                    if let Some(finding) = self.findings.get_mut(&sid) {
+                    if let Some(finding) = self.findings.get_mut(&session) {
                         finding.ask = ask;
                         finding.asked = now;
                         finding.answered.clear();
                     }
-                    self.at(now.saturating_add(AGAIN), Timer::Find(sid));
+                    self.at(now.saturating_add(AGAIN), Timer::Find(session));
                 }
                 let floor = self.store.floor;
-                let estate = self.store.estate(now, sid);
-                self.send(from, Message::Nothing { ask, floor, estate }, out);
+                let session_record = self.store.session_record(now, session);
+                self.send(from, Message::NoRecord { ask, floor, session_record }, out);
             }
         }
     }
 
-    fn withdraw(&mut self, now: u64, sid: Sid, out: &mut Out) {
-        let Some(epoch) = self.store.get(sid).map(|r| r.epoch) else { return };
-        let of_it = (sid, NodeId(0))..=(sid, NodeId(u16::MAX));
-        let lent: Vec<(NodeId, u64)> =
-            self.lent.range(of_it).map(|((_, to), until)| (*to, *until)).collect();
-        for (to, until) in lent {
+    fn withdraw(&mut self, now: u64, session: SessionId, out: &mut Out) {
+        let Some(epoch) = self.store.get(session).map(|r| r.epoch) else { return };
+        let of_it = (session, NodeId(0))..=(session, NodeId(u16::MAX));
+        let permits: Vec<(NodeId, u64)> =
+            self.permits.range(of_it).map(|((_, to), until)| (*to, *until)).collect();
+        for (to, until) in permits {
             // One that has lost its seat may use nothing any more.
-            if until <= now || self.table.seat(to).is_none() {
-                self.lent.remove(&(sid, to));
+            if until <= now || self.table.slot(to).is_none() {
+                self.permits.remove(&(session, to));
             } else {
-                self.send(to, Message::Withdraw { sid, epoch }, out);
+                self.send(to, Message::Revoke { session, epoch }, out);
             }
         }
     }
@@ -318,37 +321,38 @@
         &mut self,
         now: u64,
         from: NodeId,
-        sid: Sid,
+        session: SessionId,
         epoch: Epoch,
         out: &mut Out,
     ) {
-        let sealed = self.leaving.contains_key(&sid);
-        if sealed && self.store.get(sid).is_some_and(|r| r.epoch == epoch) {
-            self.lent.remove(&(sid, from));
-            self.try_hand(now, sid, out);
+        let sealed = self.leaving.contains_key(&session);
+        if sealed && self.store.get(session).is_some_and(|r| r.epoch == epoch) {
+            self.permits.remove(&(session, from));
+            self.try_hand(now, session, out);
         }
     }
 
     /// Hands over once nothing is out under the old epoch.
-    pub(crate) fn try_hand(&mut self, now: u64, sid: Sid, out: &mut Out) {
-        let lent = self.lent.range((sid, NodeId(0))..=(sid, NodeId(u16::MAX))).next().is_some();
-        if lent || self.outstanding(now, sid) || !self.seated(now) {
+    pub(crate) fn try_hand(&mut self, now: u64, session: SessionId, out: &mut Out) {
+        let permits =
+            self.permits.range((session, NodeId(0))..=(session, NodeId(u16::MAX))).next().is_some();
+        if permits || self.outstanding(now, session) || !self.seated(now) {
             return;
         }
-        let Some(leaving) = self.leaving.get_mut(&sid) else { return };
+        let Some(leaving) = self.leaving.get_mut(&session) else { return };
         leaving.handed = true;
-        let (to, ask, epoch) = (leaving.to.member, leaving.ask, leaving.epoch);
-        let estate = Estate { epoch, ..self.store.estate(now, sid) };
-        self.send(to, Message::Hand { ask, estate }, out);
+        let (to, ask, epoch) = (leaving.to.node, leaving.ask, leaving.epoch);
+        let session_record = SessionRecord { epoch, ..self.store.session_record(now, session) };
+        self.send(to, Message::Transfer { ask, session_record }, out);
     }
 
-    pub(crate) fn leave_again(&mut self, now: u64, sid: Sid, out: &mut Out) {
-        let Some(handed) = self.leaving.get(&sid).map(|l| l.handed) else { return };
+    pub(crate) fn leave_again(&mut self, now: u64, session: SessionId, out: &mut Out) {
+        let Some(handed) = self.leaving.get(&session).map(|l| l.handed) else { return };
         if !handed {
-            self.withdraw(now, sid, out);
+            self.withdraw(now, session, out);
         }
-        self.try_hand(now, sid, out);
-        self.at(now.saturating_add(AGAIN), Timer::Leave(sid));
+        self.try_hand(now, session, out);
+        self.at(now.saturating_add(AGAIN), Timer::Leave(session));
     }
 
     pub(crate) fn on_nothing(
@@ -357,33 +361,39 @@
         from: NodeId,
         ask: u32,
         floor: Epoch,
-        estate: &Estate,
+        session_record: &SessionRecord,
         out: &mut Out,
     ) {
-        let sid = estate.sid;
-        let Some(seat) = self.between_homes(from, sid) else { return };
-        let Some(finding) = self.findings.get_mut(&sid).filter(|f| f.ask == ask) else { return };
-        finding.floor = finding.floor.max(floor).max(estate.epoch);
+        let session = session_record.session;
+        let Some(slot) = self.between_homes(from, session) else { return };
+        let Some(finding) = self.findings.get_mut(&session).filter(|f| f.ask == ask) else {
+            return;
+        };
+        finding.floor = finding.floor.max(floor).max(session_record.epoch);
         let asked = finding.asked;
-        if estate.says_something() && !self.learn(now, asked, estate) {
-            return self.no_room(sid, out);
+        if session_record.says_something() && !self.learn(now, asked, session_record) {
+            return self.no_room(session, out);
         }
-        if let Some(finding) = self.findings.get_mut(&sid) {
-            finding.answered.insert(seat.site);
+        if let Some(finding) = self.findings.get_mut(&session) {
+            finding.answered.insert(slot.zone);
         }
-        self.try_own(now, sid, out);
+        self.try_own(now, session, out);
     }
 
-    pub(crate) fn learn(&mut self, now: u64, base: u64, estate: &Estate) -> bool {
-        let hash = self.hash(estate.sid);
-        self.store.learn(now, base, hash, estate).is_ok()
+    pub(crate) fn learn(&mut self, now: u64, base: u64, session_record: &SessionRecord) -> bool {
+        let hash = self.hash(session_record.session);
+        self.store.learn(now, base, hash, session_record).is_ok()
     }
 
     /// What another knows of a van can't be kept here, so it can't be owned.
-    fn no_room(&mut self, sid: Sid, out: &mut Out) {
-        let Some(finding) = self.findings.remove(&sid) else { return };
+    fn no_room(&mut self, session: SessionId, out: &mut Out) {
+        let Some(finding) = self.findings.remove(&session) else { return };
         for waiter in finding.waiters.iter().filter(|w| w.key.is_some()) {
-            self.send(waiter.from, Message::Answer { n: waiter.n, said: Said::Full }, out);
+            self.send(
+                waiter.from,
+                Message::RouteResponse { n: waiter.n, outcome: RouteOutcome::Full },
+                out,
+            );
         }
     }
 
@@ -392,66 +402,73 @@
         now: u64,
         from: NodeId,
         ask: u32,
-        estate: &Estate,
+        session_record: &SessionRecord,
         out: &mut Out,
     ) {
-        let (sid, epoch) = (estate.sid, estate.epoch);
-        let record = self.store.get(sid).map(|r| (r.state, r.epoch));
-        let got = |taken| Message::Got { sid, epoch, taken };
+        let (session, epoch) = (session_record.session, session_record.epoch);
+        let record = self.store.get(session).map(|r| (r.state, r.epoch));
+        let got = |taken| Message::TransferAck { session, epoch, taken };
         if record.is_some_and(|(_, known)| known >= epoch) {
             return self.send(from, got(true), out);
         }
         // Whoever hands it back has got it, though its word was lost.
-        let handed = self.leaving.get(&sid).filter(|l| l.handed && l.to.member == from);
+        let handed = self.leaving.get(&session).filter(|l| l.handed && l.to.node == from);
         if let Some(known) = handed.map(|l| l.epoch).filter(|known| *known < epoch) {
-            self.on_got(now, from, sid, known, true);
+            self.on_got(now, from, session, known, true);
         }
-        let owns = self.store.get(sid).is_some_and(|r| r.state != State::Tomb);
-        let seat = self.between_homes(from, sid).filter(|_| !owns && epoch > self.store.floor);
-        let Some(seat) = seat else { return self.not_taken(from, sid, epoch, out) };
-        let finding = self.findings.get(&sid);
+        let owns = self.store.get(session).is_some_and(|r| r.state != Ownership::Tombstone);
+        let slot = self.between_homes(from, session).filter(|_| !owns && epoch > self.store.floor);
+        let Some(slot) = slot else { return self.not_taken(from, session, epoch, out) };
+        let finding = self.findings.get(&session);
         let base = finding.filter(|f| f.ask == ask).map_or(0, |f| f.asked);
-        if !self.learn(now, base, estate) {
-            self.no_room(sid, out);
-            return self.not_taken(from, sid, epoch, out);
+        if !self.learn(now, base, session_record) {
+            self.no_room(session, out);
+            return self.not_taken(from, session, epoch, out);
         }
-        let hash = self.hash(sid);
+        let hash = self.hash(session);
         // It was learned just now, so there is room for it.
-        let _ = self.store.change(now, sid, hash, |r| r.state = State::Arrived);
-        self.store.hold(now, sid, now.saturating_add(self.age));
+        let _ = self.store.change(now, session, hash, |r| r.state = Ownership::Received);
+        self.store.hold(now, session, now.saturating_add(self.age));
         self.counts.arrived += 1;
         self.send(from, got(true), out);
-        if !self.findings.contains_key(&sid) {
-            self.begin(now, sid, None);
+        if !self.findings.contains_key(&session) {
+            self.begin(now, session, None);
         }
-        if let Some(finding) = self.findings.get_mut(&sid) {
-            finding.answered.insert(seat.site);
+        if let Some(finding) = self.findings.get_mut(&session) {
+            finding.answered.insert(slot.zone);
         }
-        self.try_own(now, sid, out);
+        self.try_own(now, session, out);
     }
 
     /// It stays the other's. A copy of that word may come later, when it would be taken: so never under this
     /// epoch.
-    fn not_taken(&mut self, to: NodeId, sid: Sid, epoch: Epoch, out: &mut Out) {
+    fn not_taken(&mut self, to: NodeId, session: SessionId, epoch: Epoch, out: &mut Out) {
         self.store.floor = self.store.floor.max(epoch);
-        self.send(to, Message::Got { sid, epoch, taken: false }, out);
+        self.send(to, Message::TransferAck { session, epoch, taken: false }, out);
     }
 
-    pub(crate) fn on_got(&mut self, now: u64, from: NodeId, sid: Sid, epoch: Epoch, taken: bool) {
-        let is = |l: &Leaving| l.handed && l.to.member == from && l.epoch == epoch;
-        if !self.leaving.get(&sid).is_some_and(is) {
+    pub(crate) fn on_got(
+        &mut self,
+        now: u64,
+        from: NodeId,
+        session: SessionId,
+        epoch: Epoch,
+        taken: bool,
+    ) {
+        let is = |l: &OutgoingTransfer| l.handed && l.to.node == from && l.epoch == epoch;
+        if !self.leaving.get(&session).is_some_and(is) {
             return;
         }
-        self.leaving.remove(&sid);
-        let stays = !taken && self.is_home(sid);
-        let state = if stays { State::Owned } else { State::Tomb };
+        self.leaving.remove(&session);
+        let stays = !taken && self.is_home(session);
+        let state = if stays { Ownership::Owned } else { Ownership::Tombstone };
         // There is such a record: what leaves is held.
-        let _ = self.store.change(now, sid, None, |r| (r.state, r.epoch) = (state, epoch));
-        self.store.hold(now, sid, now.saturating_add(self.age));
+        let _ = self.store.change(now, session, None, |r| (r.state, r.epoch) = (state, epoch));
+        self.store.hold(now, session, now.saturating_add(self.age));
         if taken {
             self.counts.left += 1;
-        } else if !stays && let Some(home) = self.own_home(sid) {
-            self.outbox.entry(home).or_default().push(sid);
+        } else if !stays && let Some(home) = self.own_home(session) {
+            self.outbox.entry(home).or_default().push(session);
         }
     }
 }
--- a/crates/sessions/src/lib.rs
+++ b/crates/sessions/src/lib.rs
@@ -1,4 +1,4 @@
-//! Records of vans: which pod keeps what a van (`sid`) left there, which keyed requests of it may have run
+//! Records of vans: which pod keeps what a van (`session`) left there, which keyed requests of it may have run
 //! where, and which site owns that knowledge. A machine without I/O; what asks, sends and keeps time is the
 //! gateway's.
 //!
@@ -35,7 +35,7 @@
 //!    (`whatever_a_peer_says_nothing_panics_and_all_requests_are_placed`, `any_bytes_are_read_or_refused`).
 //!
 //! It takes for granted: the council's table leaves a seat out only after its time has passed
-//! ([`Event::Awake`]); an attempt runs within [`Config::run`] of its sending, or never; pods drop repeats for
+//! ([`Event::TableChanged`]); an attempt runs within [`Config::run`] of its sending, or never; pods drop repeats for
 //! [`Config::window`] from the run on; clocks run alike within one in a hundred; the wire lets no word of a
 //! former life through. What a lying peer can do is in `docs/design/cluster/sessions.md`.
 #![forbid(unsafe_code)]
@@ -55,25 +55,25 @@
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use serde::{Deserialize, Serialize};
 
-pub use hash::{Weighed, pod_of};
-pub use machine::{Counts, Sessions};
-pub use message::{Bad, MAX_MESSAGE_BYTES};
+pub use hash::{WeightedCell, cell_for};
+pub use machine::{SessionMetrics, Sessions};
+pub use message::{MAX_MESSAGE_BYTES, MessageError};
 
-/// A van: the hash of its cookie `sid` (PROTOCOL, 'Clients to balancers').
+/// A van: the hash of its cookie `session` (PROTOCOL, 'Clients to balancers').
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Sid(pub u64);
+pub struct SessionId(pub u64);
 
-/// The hash of an `Idempotency-Key`.
+/// The hash of an `Idempotency-IdempotencyKey`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Key(pub u64);
+pub struct IdempotencyKey(pub u64);
 
 /// A pod: upstreams that drop each other's repeats, by number in the agreed revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Pod(pub u16);
+pub struct Cell(pub u16);
 
 /// A site, by number in the settings.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
-pub struct Site(pub u16);
+pub struct Zone(pub u16);
 
 /// Which ownership of a record: each has a higher one than all before it. The upper 32 bits are those of the
 /// table under which it began: whoever has forgotten is out of that table, so what begins anew stands above
@@ -97,13 +97,13 @@
 
 /// One balancer's place in the table that the council agreed on.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Seat {
+pub struct OwnerSlot {
     /// Which balancer.
-    pub member: NodeId,
+    pub node: NodeId,
     /// Which process of it: one that has restarted has no seat until a table names its new life.
     pub incarnation: Incarnation,
     /// Where it is.
-    pub site: Site,
+    pub zone: Zone,
     /// The version of the table that gave this seat; it kept it in all since. One that was left out and is
     /// back has a new one: whatever it owned may have been taken over.
     pub since: u64,
@@ -111,37 +111,37 @@
 
 /// How often a request may be sent (the class's, from the settings).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Effect {
+pub enum Idempotency {
     /// As often as one likes.
-    Safe,
+    Idempotent,
     /// Again within the pod that drops its repeats, as long as it remembers.
-    Keyed(Key),
+    Keyed(IdempotencyKey),
     /// Once.
-    Unsafe,
+    NotIdempotent,
 }
 
 /// Whether an attempt has run (PROTOCOL, 'Balancers to upstreams').
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Ran {
+pub enum ExecutionStatus {
     /// It was served.
-    Yes,
+    Executed,
     /// It is known not to have, and not to be going to.
-    No,
+    NotExecuted,
     /// It may have, or may yet.
-    Maybe,
+    Unknown,
 }
 
 /// What happens to a balancer.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A request has come. It is answered with one [`Action::Place`].
+    /// A request has come. It is answered with one [`Action::Route`].
     Request {
         /// Unique among those that are not placed yet.
         id: u64,
         /// Its van.
-        sid: Sid,
+        session: SessionId,
         /// Its class's.
-        effect: Effect,
+        idempotency: Idempotency,
         /// Clients mark retries here, and this one is not marked: nobody sent its key before.
         first: bool,
         /// When its client stops waiting, in the process's time.
@@ -152,12 +152,12 @@
         /// As in the request.
         id: u64,
     },
-    /// All attempts of a keyed request are over; `ran` is the worst of them.
-    Ended {
+    /// All attempts of a keyed request are over; `status` is the worst of them.
+    Finished {
         /// As in the request.
         id: u64,
         /// Whether it ran.
-        ran: Ran,
+        status: ExecutionStatus,
     },
     /// A word of another balancer, of a life that the wire has confirmed.
     Message {
@@ -170,34 +170,34 @@
     },
     /// The table that the council agreed on. It must hold: a table without a seat is made only after the time
     /// up to which that seat was given has passed, by the giver's clock and drift.
-    Awake {
+    TableChanged {
         /// Of the table. Lower ones than the present are ignored.
         version: u64,
         /// Up to when the own seat holds, in the process's time.
         until: Duration,
         /// All seats.
-        seats: Vec<Seat>,
+        slots: Vec<OwnerSlot>,
     },
     /// The own seat holds for longer.
-    Seated {
+    SlotExtended {
         /// Of the table it is of; another than the present is ignored.
         version: u64,
         /// Up to when.
         until: Duration,
     },
     /// The council's word that a site's lease is over: none of its balancers owns anything.
-    SiteLeaseEnded {
+    ZoneLeaseEnded {
         /// Which.
-        site: Site,
+        zone: Zone,
         /// Of the table from now on: the present one without that site.
         version: u64,
     },
     /// The pods in force, with their weights. Those not named are out.
-    Pods {
+    CellsChanged {
         /// The revision; lower ones than the present are ignored.
         revision: u64,
         /// All.
-        pods: Vec<Weighed>,
+        cells: Vec<WeightedCell>,
     },
     /// The time that [`Action::WakeAt`] asked for has come.
     Due,
@@ -205,47 +205,47 @@
 
 /// Where a request goes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Verdict {
+pub enum RoutingDecision {
     /// To this pod. A keyed one goes out before `until` or is asked about anew: a shell looks at the time
     /// right before the send.
-    Go {
+    Send {
         /// Which.
-        pod: Pod,
+        cell: Cell,
         /// Under which ownership; `None`: by the hash, no record was to be had in time.
         epoch: Option<Epoch>,
         /// When the right to send ends.
         until: Duration,
     },
     /// Refused: this request has not run and will not. Trying again is harmless (429, 503).
-    Refuse(Why),
+    Reject(RoutingFailure),
     /// Failed, with no promise: its key may have run.
-    Fail(Why),
+    Fail(RoutingFailure),
 }
 
 /// Why a request goes nowhere.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum Why {
+pub enum RoutingFailure {
     /// This balancer has no seat, or its time is over.
-    NoSeat,
+    NoSlot,
     /// Nobody who knows said in time where its key may have run.
     NoRecord,
     /// As many keys as can be remembered are inside their windows.
     Full,
     /// Its key may have run in a pod that can't be asked again, and its window ends after the request's time.
-    MayHaveRun,
+    MayHaveExecuted,
     /// No pod is in force.
-    NoPod,
+    NoCell,
 }
 
 /// What a balancer does.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// A request's place.
-    Place {
+    Route {
         /// As in the request.
         id: u64,
         /// Where.
-        verdict: Verdict,
+        decision: RoutingDecision,
     },
     /// A word to another balancer. It may be lost.
     Send {
@@ -265,7 +265,7 @@
     pub node_id: NodeId,
     /// Which process of it.
     pub incarnation: Incarnation,
-    /// No process of this bank can have sent a keyed request within [`Config::forgotten_after`] before this
+    /// No process of this bank can have sent a keyed request within [`Config::retention`] before this
     /// one began: the platform's very first start. When in doubt, `false`.
     pub first_start: bool,
     /// How long pods drop repeats (the settings; 10 s). With [`Config::run`] no more than 100 s: words cut
@@ -307,11 +307,11 @@
     }
 
     /// After so long nothing that went out can matter: it ran, and pods have forgotten it.
-    pub fn forgotten_after(&self) -> Duration {
-        PERMIT * 2 + self.run + self.window
+    pub fn retention(&self) -> Duration {
+        PERMIT_DURATION * 2 + self.run + self.window
     }
 }
 
 /// A right to send one keyed attempt holds so long, from the asking. Shorter would end on the way at 30 %
 /// loss; longer would be added to each move.
-pub const PERMIT: Duration = Duration::from_millis(100);
+pub const PERMIT_DURATION: Duration = Duration::from_millis(100);
--- a/crates/sessions/src/machine.rs
+++ b/crates/sessions/src/machine.rs
@@ -7,15 +7,18 @@
 use hollowpaddle_peer_transport::NodeId;
 
 use crate::asker::{Copied, Pending, Placed};
-use crate::home::{Finding, Leaving};
+use crate::home::{OutgoingTransfer, OwnershipClaim};
 use crate::message::{Message, read, write};
-use crate::store::{NO_POD, Note, State, Store, tick};
-use crate::table::{Losses, Table};
-use crate::turn::Pull;
-use crate::{Action, Config, Epoch, Event, Key, PERMIT, Pod, Seat, Sid, Weighed, pod_of};
+use crate::store::{KeyEntry, Ownership, RecordStore, UNKNOWN_CELL, tick};
+use crate::table::{LostOwners, OwnershipTable};
+use crate::turn::FetchRecords;
+use crate::{
+    Action, Cell, Config, Epoch, Event, IdempotencyKey, OwnerSlot, PERMIT_DURATION, SessionId,
+    WeightedCell, cell_for,
+};
 
 /// A right to send, in ms.
-pub(crate) const PERMIT_MS: u64 = PERMIT.as_millis() as u64;
+pub(crate) const PERMIT_MS: u64 = PERMIT_DURATION.as_millis() as u64;
 /// Words about moves are said again after so long, in ms.
 pub(crate) const AGAIN: u64 = 6;
 /// Keys that this balancer itself sent or is witness of, at most (80 bytes each): 1,200 keyed requests a
@@ -25,15 +28,15 @@
 /// What is due at a time.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) enum Timer {
-    Ask(u32),
-    Find(Sid),
-    Leave(Sid),
-    Pull(NodeId),
+    RouteRequest(u32),
+    Find(SessionId),
+    Leave(SessionId),
+    FetchRecords(NodeId),
 }
 
 /// What has happened so far.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub struct Counts {
+pub struct SessionMetrics {
     /// Requests that were placed by a record.
     pub by_record: u64,
     /// Safe and unsafe ones that were placed by the hash.
@@ -47,13 +50,13 @@
     /// Records that went to another site.
     pub left: u64,
     /// Records that were forgotten to make room.
-    pub forgotten: u64,
+    pub evicted: u64,
     /// Words that could not be read.
     pub bad: u64,
     /// Words from a life that has no seat, or under another table.
     pub astray: u64,
     /// Moves that had no room under way, and were dropped for newer ones.
-    pub crowded_out: u64,
+    pub dropped_claims: u64,
 }
 
 /// Where actions go, and words to oneself.
@@ -68,60 +71,60 @@
     pub(crate) config: Config,
     /// Nothing older matters, in ms.
     pub(crate) age: u64,
-    pub(crate) seat: Option<Seat>,
+    pub(crate) slot: Option<OwnerSlot>,
     pub(crate) until: u64,
-    pub(crate) table: Table,
-    pub(crate) losses: Losses,
+    pub(crate) table: OwnershipTable,
+    pub(crate) losses: LostOwners,
     /// This process's first table is not gathered yet.
     pub(crate) fresh: Option<u64>,
-    pub(crate) pods: Vec<Weighed>,
+    pub(crate) cells: Vec<WeightedCell>,
     revision: u64,
-    pub(crate) store: Store,
-    pub(crate) findings: BTreeMap<Sid, Finding>,
-    pub(crate) waiting: VecDeque<Sid>,
-    pub(crate) leaving: BTreeMap<Sid, Leaving>,
-    pub(crate) lent: BTreeMap<(Sid, NodeId), u64>,
-    pub(crate) copies: BTreeMap<Sid, Copied>,
-    pub(crate) copies_end: BTreeSet<(u64, Sid)>,
+    pub(crate) store: RecordStore,
+    pub(crate) findings: BTreeMap<SessionId, OwnershipClaim>,
+    pub(crate) waiting: VecDeque<SessionId>,
+    pub(crate) leaving: BTreeMap<SessionId, OutgoingTransfer>,
+    pub(crate) permits: BTreeMap<(SessionId, NodeId), u64>,
+    pub(crate) copies: BTreeMap<SessionId, Copied>,
+    pub(crate) copies_end: BTreeSet<(u64, SessionId)>,
     pub(crate) pending: BTreeMap<u32, Pending>,
-    pub(crate) asking: BTreeSet<(Sid, u32)>,
+    pub(crate) asking: BTreeSet<(SessionId, u32)>,
     pub(crate) placed: BTreeMap<u64, Placed>,
-    pub(crate) placing: BTreeSet<(Sid, u64)>,
-    pub(crate) mine: BTreeMap<(Sid, Key), Note>,
-    pub(crate) mine_end: BTreeSet<(u32, Sid, Key)>,
+    pub(crate) placing: BTreeSet<(SessionId, u64)>,
+    pub(crate) mine: BTreeMap<(SessionId, IdempotencyKey), KeyEntry>,
+    pub(crate) mine_end: BTreeSet<(u32, SessionId, IdempotencyKey)>,
     /// Keys that went out from here, under which van and where.
-    pub(crate) spoken: BTreeMap<Key, (Sid, Pod, u32)>,
-    pub(crate) spoken_end: BTreeSet<(u32, Key)>,
-    pub(crate) outbox: BTreeMap<NodeId, Vec<Sid>>,
-    pub(crate) pulls: BTreeMap<NodeId, Pull>,
+    pub(crate) spoken: BTreeMap<IdempotencyKey, (SessionId, Cell, u32)>,
+    pub(crate) spoken_end: BTreeSet<(u32, IdempotencyKey)>,
+    pub(crate) outbox: BTreeMap<NodeId, Vec<SessionId>>,
+    pub(crate) pulls: BTreeMap<NodeId, FetchRecords>,
     timers: BTreeSet<(u64, Timer)>,
     /// The same by timer: each is set once.
     set: BTreeMap<Timer, u64>,
     wake: Option<u64>,
     number: u32,
-    pub(crate) counts: Counts,
+    pub(crate) counts: SessionMetrics,
 }
 
 impl Sessions {
     /// One that knows nothing yet.
     pub fn new(config: Config) -> Self {
-        let age = millis(config.forgotten_after());
-        let store = Store::new(config.records, config.keys);
+        let age = millis(config.retention());
+        let store = RecordStore::new(config.records, config.keys);
         Self {
             config,
             age,
-            seat: None,
+            slot: None,
             until: 0,
-            table: Table::default(),
-            losses: Losses::default(),
+            table: OwnershipTable::default(),
+            losses: LostOwners::default(),
             fresh: None,
-            pods: Vec::new(),
+            cells: Vec::new(),
             revision: 0,
             store,
             findings: BTreeMap::new(),
             waiting: VecDeque::new(),
             leaving: BTreeMap::new(),
-            lent: BTreeMap::new(),
+            permits: BTreeMap::new(),
             copies: BTreeMap::new(),
             copies_end: BTreeSet::new(),
             pending: BTreeMap::new(),
@@ -138,7 +141,7 @@
             set: BTreeMap::new(),
             wake: None,
             number: 0,
-            counts: Counts::default(),
+            counts: SessionMetrics::default(),
         }
     }
 
@@ -148,16 +151,16 @@
         let now = moment(now);
         let mut out = Out { actions, own: VecDeque::new() };
         match event {
-            Event::Request { id, sid, effect, first, deadline } => {
-                self.request(now, id, sid, effect, first, moment(deadline), &mut out);
+            Event::Request { id, session, idempotency, first, deadline } => {
+                self.request(now, id, session, idempotency, first, moment(deadline), &mut out);
             }
             Event::Sent { id } => self.sent(now, id, &mut out),
-            Event::Ended { id, ran } => self.ended(now, id, ran, &mut out),
+            Event::Finished { id, status } => self.ended(now, id, status, &mut out),
             Event::Message { from, incarnation, message } => match read(&message) {
                 Err(_) => self.counts.bad += 1,
                 Ok((version, message)) => {
                     let seated =
-                        self.table.seat(from).is_some_and(|s| s.incarnation == incarnation);
+                        self.table.slot(from).is_some_and(|s| s.incarnation == incarnation);
                     if seated && version == self.table.version && from != self.config.node_id {
                         self.message(now, from, message, &mut out);
                     } else {
@@ -165,24 +168,24 @@
                     }
                 }
             },
-            Event::Awake { version, until, seats } if version > self.table.version => {
-                self.turn(now, Table::new(version, &seats), moment(until), &mut out);
+            Event::TableChanged { version, until, slots } if version > self.table.version => {
+                self.turn(now, OwnershipTable::new(version, &slots), moment(until), &mut out);
             }
-            Event::SiteLeaseEnded { site, version } if version > self.table.version => {
+            Event::ZoneLeaseEnded { zone, version } if version > self.table.version => {
                 let until = self.until;
-                self.turn(now, self.table.without(site, version), until, &mut out);
+                self.turn(now, self.table.without(zone, version), until, &mut out);
             }
-            Event::Awake { version, until, .. } | Event::Seated { version, until } => {
-                if version == self.table.version && self.seat.is_some() {
+            Event::TableChanged { version, until, .. } | Event::SlotExtended { version, until } => {
+                if version == self.table.version && self.slot.is_some() {
                     self.until = self.until.max(moment(until));
                 }
             }
-            Event::SiteLeaseEnded { .. } => {}
-            Event::Pods { revision, mut pods } => {
+            Event::ZoneLeaseEnded { .. } => {}
+            Event::CellsChanged { revision, mut cells } => {
                 if revision >= self.revision {
                     self.revision = revision;
-                    pods.retain(|w| w.weight > 0 && w.pod != NO_POD);
-                    self.pods = pods;
+                    cells.retain(|w| w.weight > 0 && w.cell != UNKNOWN_CELL);
+                    self.cells = cells;
                 }
             }
             // A timer that fires a little early is set anew.
@@ -195,10 +198,10 @@
             self.timers.remove(&(at, timer));
             self.set.remove(&timer);
             match timer {
-                Timer::Ask(n) => self.ask_again(now, n, &mut out),
-                Timer::Find(sid) => self.find_again(now, sid, &mut out),
-                Timer::Leave(sid) => self.leave_again(now, sid, &mut out),
-                Timer::Pull(from) => self.pull_again(now, from, &mut out),
+                Timer::RouteRequest(n) => self.ask_again(now, n, &mut out),
+                Timer::Find(session) => self.find_again(now, session, &mut out),
+                Timer::Leave(session) => self.leave_again(now, session, &mut out),
+                Timer::FetchRecords(from) => self.pull_again(now, from, &mut out),
             }
             while let Some(message) = out.own.pop_front() {
                 self.message(now, self.config.node_id, message, &mut out);
@@ -218,44 +221,54 @@
             return;
         }
         match message {
-            Message::Ask { n, sid, key, first } => self.on_ask(now, from, n, sid, key, first, out),
-            Message::Answer { n, said } => self.on_answer(now, from, n, said, out),
-            Message::Unran { n, sid, key } => self.store.unran(sid, key, from, n),
-            Message::Keep { n, sid, note } => self.on_keep(now, from, n, sid, note, out),
-            Message::Kept { n } => self.on_kept(now, n, out),
-            Message::Withdraw { sid, epoch } => self.on_withdraw(now, from, sid, epoch, out),
-            Message::Withdrawn { sid, epoch } => self.on_withdrawn(now, from, sid, epoch, out),
-            Message::Want { ask, sid, floor, arrived } => {
-                self.on_want(now, from, ask, sid, (floor, arrived), out);
+            Message::RouteRequest { n, session, key, first } => {
+                self.on_ask(now, from, n, session, key, first, out)
             }
-            Message::Nothing { ask, floor, estate } => {
-                self.on_nothing(now, from, ask, floor, &estate, out);
+            Message::RouteResponse { n, outcome } => self.on_answer(now, from, n, outcome, out),
+            Message::AttemptNotRun { n, session, key } => self.store.unran(session, key, from, n),
+            Message::Replicate { n, session, note } => {
+                self.on_keep(now, from, n, session, note, out)
             }
-            Message::Hand { ask, estate } => self.on_hand(now, from, ask, &estate, out),
-            Message::Got { sid, epoch, taken } => self.on_got(now, from, sid, epoch, taken),
-            Message::Pull { stamp, at } => self.on_pull(now, from, stamp, at, out),
-            Message::Chunk { stamp, at, estates, worst_in } => {
-                self.on_chunk(now, from, stamp, at, &estates, worst_in, out);
+            Message::ReplicateAck { n } => self.on_kept(now, n, out),
+            Message::Revoke { session, epoch } => self.on_withdraw(now, from, session, epoch, out),
+            Message::RevokeAck { session, epoch } => {
+                self.on_withdrawn(now, from, session, epoch, out)
+            }
+            Message::ClaimRequest { ask, session, floor, arrived } => {
+                self.on_want(now, from, ask, session, (floor, arrived), out);
+            }
+            Message::NoRecord { ask, floor, session_record } => {
+                self.on_nothing(now, from, ask, floor, &session_record, out);
+            }
+            Message::Transfer { ask, session_record } => {
+                self.on_hand(now, from, ask, &session_record, out)
+            }
+            Message::TransferAck { session, epoch, taken } => {
+                self.on_got(now, from, session, epoch, taken)
+            }
+            Message::FetchRecords { stamp, at } => self.on_pull(now, from, stamp, at, out),
+            Message::RecordChunk { stamp, at, session_records, worst_in } => {
+                self.on_chunk(now, from, stamp, at, &session_records, worst_in, out);
             }
         }
     }
 
     /// The pod of a van that can be said at once, by a record or copy that holds `now`: what most requests
     /// need.
-    pub fn known(&self, now: Duration, sid: Sid) -> Option<Pod> {
-        self.at_hand(moment(now), sid).map(|(pod, ..)| pod)
+    pub fn known(&self, now: Duration, session: SessionId) -> Option<Cell> {
+        self.at_hand(moment(now), session).map(|(cell, ..)| cell)
     }
 
     /// Whether this balancer claims to own a van's record `now`, and under which epoch.
-    pub fn owned(&self, now: Duration, sid: Sid) -> Option<Epoch> {
-        let record = self.store.get(sid)?;
-        let owns = record.state == State::Owned && !self.leaving.contains_key(&sid);
+    pub fn owned(&self, now: Duration, session: SessionId) -> Option<Epoch> {
+        let record = self.store.get(session)?;
+        let owns = record.state == Ownership::Owned && !self.leaving.contains_key(&session);
         (owns && self.seated(moment(now))).then_some(record.epoch)
     }
 
     /// What has happened so far.
-    pub fn counts(&self) -> Counts {
-        Counts { forgotten: self.store.forgotten, ..self.counts.clone() }
+    pub fn counts(&self) -> SessionMetrics {
+        SessionMetrics { evicted: self.store.evicted, ..self.counts.clone() }
     }
 
     /// How many records there are.
@@ -275,28 +288,28 @@
 
     /// Whether the own seat holds. Ticks that have saturated can't say when a window ends.
     pub(crate) fn seated(&self, now: u64) -> bool {
-        self.seat.is_some() && now < self.until && tick(now.saturating_add(self.age)) < u32::MAX
+        self.slot.is_some() && now < self.until && tick(now.saturating_add(self.age)) < u32::MAX
     }
 
-    pub(crate) fn site(&self) -> Option<crate::Site> {
-        self.seat.map(|s| s.site)
+    pub(crate) fn zone(&self) -> Option<crate::Zone> {
+        self.slot.map(|s| s.zone)
     }
 
     /// Whether this balancer is the van's home in its own site.
-    pub(crate) fn is_home(&self, sid: Sid) -> bool {
-        self.own_home(sid) == Some(self.config.node_id)
+    pub(crate) fn is_home(&self, session: SessionId) -> bool {
+        self.own_home(session) == Some(self.config.node_id)
     }
 
-    pub(crate) fn own_home(&self, sid: Sid) -> Option<NodeId> {
-        self.table.home(sid, self.site()?)
+    pub(crate) fn own_home(&self, session: SessionId) -> Option<NodeId> {
+        self.table.home(session, self.zone()?)
     }
 
-    pub(crate) fn usable(&self, pod: Pod) -> bool {
-        self.pods.iter().any(|w| w.pod == pod)
+    pub(crate) fn usable(&self, cell: Cell) -> bool {
+        self.cells.iter().any(|w| w.cell == cell)
     }
 
-    pub(crate) fn hash(&self, sid: Sid) -> Option<Pod> {
-        pod_of(sid, &self.pods)
+    pub(crate) fn hash(&self, session: SessionId) -> Option<Cell> {
+        cell_for(session, &self.cells)
     }
 
     pub(crate) fn number(&mut self) -> u32 {
--- a/crates/sessions/src/store.rs
+++ b/crates/sessions/src/store.rs
@@ -8,18 +8,18 @@
 
 use hollowpaddle_peer_transport::NodeId;
 
-use crate::message::{Estate, KeyWord};
-use crate::{Epoch, Key, Pod, Sid};
+use crate::message::{KeyRecord, SessionRecord};
+use crate::{Cell, Epoch, IdempotencyKey, SessionId};
 
 /// Keys of one van inside their windows. One that sends more in 13 s is no van, and would make words too
 /// long.
-pub(crate) const KEYS_OF_ONE: usize = 16;
+pub(crate) const MAX_SESSION_KEYS: usize = 16;
 /// Records whose time has come that are looked at in one step: the rest waits for the next.
 const SWEPT: usize = 32;
 
 /// What a pod is called that nobody knows: no pod has this number, or one that has is never sent a keyed
 /// repeat.
-pub(crate) const NO_POD: Pod = Pod(u16::MAX);
+pub(crate) const UNKNOWN_CELL: Cell = Cell(u16::MAX);
 
 /// ms to ticks, not later than it was.
 pub(crate) fn tick(ms: u64) -> u32 {
@@ -38,24 +38,24 @@
 
 /// Who a record belongs to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) enum State {
+pub(crate) enum Ownership {
     /// Somebody else, or nobody: what is here is what was known.
-    Tomb,
+    Tombstone,
     /// This balancer, once all that it asked have answered.
-    Arrived,
+    Received,
     /// This balancer.
     Owned,
 }
 
 /// The order in which records are forgotten, first to last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-enum Class {
+enum EvictionClass {
     /// Of others: it only tells what they know.
-    Tomb,
+    Tombstone,
     /// Own, and says what the hash would.
-    AsHash,
+    MatchesHash,
     /// Own, and says something else.
-    Own,
+    DiffersFromHash,
     /// Something of it is inside a window. Never forgotten before that ends.
     Busy,
 }
@@ -69,9 +69,9 @@
     free: u32,
     /// Any key of this van may have run in any pod, up to then.
     pub blind: u32,
-    pub pod: Pod,
-    pub state: State,
-    class: Class,
+    pub cell: Cell,
+    pub state: Ownership,
+    class: EvictionClass,
     /// It says what the hash said when it was last used.
     as_hash: bool,
 }
@@ -82,14 +82,14 @@
         self.free > tick(now)
     }
 
-    fn place(&self, sid: Sid) -> (Class, u32, Sid) {
-        (self.class, if self.class == Class::Busy { self.free } else { self.used }, sid)
+    fn place(&self, session: SessionId) -> (EvictionClass, u32, SessionId) {
+        (self.class, if self.class == EvictionClass::Busy { self.free } else { self.used }, session)
     }
 }
 
 /// A key that may have run: 16 bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Note {
+pub(crate) struct KeyEntry {
     /// No right to send it was given before.
     pub first: u32,
     /// From then on it is as if it had never been.
@@ -99,14 +99,14 @@
     /// Whose asking that was.
     pub by: NodeId,
     /// Where.
-    pub pod: Pod,
+    pub cell: Cell,
 }
 
-impl Note {
+impl KeyEntry {
     /// The cautious side of two: both may be so.
-    pub fn merge(&mut self, other: Note) {
-        if self.pod != other.pod {
-            self.pod = NO_POD;
+    pub fn merge(&mut self, other: KeyEntry) {
+        if self.cell != other.cell {
+            self.cell = UNKNOWN_CELL;
         }
         self.first = self.first.min(other.first);
         self.free = self.free.max(other.free);
@@ -122,21 +122,21 @@
 
 /// Records and keys.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Store {
-    records: BTreeMap<Sid, Record>,
-    order: BTreeSet<(Class, u32, Sid)>,
-    keys: BTreeMap<(Sid, Key), Note>,
+pub(crate) struct RecordStore {
+    records: BTreeMap<SessionId, Record>,
+    order: BTreeSet<(EvictionClass, u32, SessionId)>,
+    keys: BTreeMap<(SessionId, IdempotencyKey), KeyEntry>,
     most: usize,
     most_keys: usize,
     /// The highest epoch of all that were forgotten.
     pub floor: Epoch,
-    pub forgotten: u64,
+    pub evicted: u64,
 }
 
-impl Store {
+impl RecordStore {
     pub fn new(most: usize, most_keys: usize) -> Self {
         let (records, order, keys) = (BTreeMap::new(), BTreeSet::new(), BTreeMap::new());
-        Self { records, order, keys, most, most_keys, floor: Epoch::default(), forgotten: 0 }
+        Self { records, order, keys, most, most_keys, floor: Epoch::default(), evicted: 0 }
     }
 
     pub fn len(&self) -> usize {
@@ -147,21 +147,26 @@
         self.keys.len()
     }
 
-    pub fn get(&self, sid: Sid) -> Option<&Record> {
-        self.records.get(&sid)
+    pub fn get(&self, session: SessionId) -> Option<&Record> {
+        self.records.get(&session)
     }
 
-    pub fn sids(&self) -> impl Iterator<Item = (Sid, &Record)> + '_ {
-        self.records.iter().map(|(sid, r)| (*sid, r))
+    pub fn iter(&self) -> impl Iterator<Item = (SessionId, &Record)> + '_ {
+        self.records.iter().map(|(session, r)| (*session, r))
     }
 
-    pub fn note(&self, sid: Sid, key: Key) -> Option<&Note> {
-        self.keys.get(&(sid, key))
+    pub fn note(&self, session: SessionId, key: IdempotencyKey) -> Option<&KeyEntry> {
+        self.keys.get(&(session, key))
     }
 
     /// Those of one van.
-    pub fn notes(&self, sid: Sid) -> impl Iterator<Item = (Key, &Note)> + '_ {
-        self.keys.range((sid, Key(0))..=(sid, Key(u64::MAX))).map(|((_, key), note)| (*key, note))
+    pub fn notes(
+        &self,
+        session: SessionId,
+    ) -> impl Iterator<Item = (IdempotencyKey, &KeyEntry)> + '_ {
+        self.keys
+            .range((session, IdempotencyKey(0))..=(session, IdempotencyKey(u64::MAX)))
+            .map(|((_, key), note)| (*key, note))
     }
 
     /// Changes a record, which is made if it isn't there, and puts it where it belongs in the order. `hash`:
@@ -169,107 +174,123 @@
     pub fn change(
         &mut self,
         now: u64,
-        sid: Sid,
-        hash: Option<Pod>,
+        session: SessionId,
+        hash: Option<Cell>,
         with: impl FnOnce(&mut Record),
     ) -> Result<(), Full> {
-        let mut record = match self.records.get(&sid) {
+        let mut record = match self.records.get(&session) {
             Some(record) => *record,
             None => {
                 self.make_room(now)?;
-                let (epoch, pod, state) = (Epoch::default(), NO_POD, State::Tomb);
+                let (epoch, cell, state) = (Epoch::default(), UNKNOWN_CELL, Ownership::Tombstone);
                 Record {
                     epoch,
                     used: 0,
                     free: 0,
                     blind: 0,
-                    pod,
+                    cell,
                     state,
-                    class: Class::Tomb,
+                    class: EvictionClass::Tombstone,
                     as_hash: false,
                 }
             }
         };
-        self.order.remove(&record.place(sid));
+        self.order.remove(&record.place(session));
         with(&mut record);
         record.used = tick(now);
         record.free = record.free.max(record.blind);
         if hash.is_some() {
-            record.as_hash = hash == Some(record.pod);
+            record.as_hash = hash == Some(record.cell);
         }
-        self.put(now, sid, record);
+        self.put(now, session, record);
         Ok(())
     }
 
     /// Keeps a record at least until then, in ms.
-    pub fn hold(&mut self, now: u64, sid: Sid, until: u64) {
-        if self.records.contains_key(&sid) {
+    pub fn hold(&mut self, now: u64, session: SessionId, until: u64) {
+        if self.records.contains_key(&session) {
             // It is there, so there is room for it.
-            let _ = self.change(now, sid, None, |r| r.free = r.free.max(tick_up(until)));
+            let _ = self.change(now, session, None, |r| r.free = r.free.max(tick_up(until)));
         }
     }
 
-    fn put(&mut self, now: u64, sid: Sid, mut record: Record) {
+    fn put(&mut self, now: u64, session: SessionId, mut record: Record) {
         record.class = match record.state {
-            _ if record.free > tick(now) => Class::Busy,
-            State::Tomb => Class::Tomb,
-            _ if record.as_hash => Class::AsHash,
-            _ => Class::Own,
+            _ if record.free > tick(now) => EvictionClass::Busy,
+            Ownership::Tombstone => EvictionClass::Tombstone,
+            _ if record.as_hash => EvictionClass::MatchesHash,
+            _ => EvictionClass::DiffersFromHash,
         };
-        self.order.insert(record.place(sid));
-        self.records.insert(sid, record);
+        self.order.insert(record.place(session));
+        self.records.insert(session, record);
     }
 
     /// Notes that a key may have run. [`Full`]: it must not be sent.
-    pub fn add_note(&mut self, now: u64, sid: Sid, key: Key, note: Note) -> Result<(), Full> {
-        if let Some(old) = self.keys.get_mut(&(sid, key)).filter(|n| n.free > tick(now)) {
+    pub fn add_note(
+        &mut self,
+        now: u64,
+        session: SessionId,
+        key: IdempotencyKey,
+        note: KeyEntry,
+    ) -> Result<(), Full> {
+        if let Some(old) = self.keys.get_mut(&(session, key)).filter(|n| n.free > tick(now)) {
             old.merge(note);
         } else {
             if self.keys.len() >= self.most_keys {
                 self.sweep(now);
             }
-            let of_one = self.notes(sid).filter(|(_, n)| n.free > tick(now)).count();
-            if self.keys.len() >= self.most_keys || of_one >= KEYS_OF_ONE {
+            let of_one = self.notes(session).filter(|(_, n)| n.free > tick(now)).count();
+            if self.keys.len() >= self.most_keys || of_one >= MAX_SESSION_KEYS {
                 return Err(Full);
             }
-            self.keys.insert((sid, key), note);
+            self.keys.insert((session, key), note);
         }
-        self.hold(now, sid, ms(note.free));
+        self.hold(now, session, ms(note.free));
         Ok(())
     }
 
     /// The one who alone had the right to send it says that it did not run.
-    pub fn unran(&mut self, sid: Sid, key: Key, by: NodeId, ask: u32) {
-        if self.note(sid, key).is_some_and(|n| ask != 0 && (n.by, n.ask) == (by, ask)) {
-            self.keys.remove(&(sid, key));
+    pub fn unran(&mut self, session: SessionId, key: IdempotencyKey, by: NodeId, ask: u32) {
+        if self.note(session, key).is_some_and(|n| ask != 0 && (n.by, n.ask) == (by, ask)) {
+            self.keys.remove(&(session, key));
         }
     }
 
     /// A note that stays is changed.
-    pub fn renew(&mut self, now: u64, sid: Sid, key: Key, free: u32, ask: u32) {
-        if let Some(note) = self.keys.get_mut(&(sid, key)) {
+    pub fn renew(
+        &mut self,
+        now: u64,
+        session: SessionId,
+        key: IdempotencyKey,
+        free: u32,
+        ask: u32,
+    ) {
+        if let Some(note) = self.keys.get_mut(&(session, key)) {
             note.free = note.free.max(free);
             note.ask = ask;
-            self.hold(now, sid, ms(free));
+            self.hold(now, session, ms(free));
         }
     }
 
     /// Drops keys whose windows have ended; a few at a time.
     pub fn sweep(&mut self, now: u64) {
         for _ in 0..SWEPT {
-            let from = (Class::Busy, 0, Sid(0));
-            let Some((_, free, sid)) = self.order.range(from..).next().copied() else { return };
+            let from = (EvictionClass::Busy, 0, SessionId(0));
+            let Some((_, free, session)) = self.order.range(from..).next().copied() else { return };
             if free > tick(now) {
                 return;
             }
-            let over: Vec<Key> =
-                self.notes(sid).filter(|(_, n)| n.free <= tick(now)).map(|(key, _)| key).collect();
+            let over: Vec<IdempotencyKey> = self
+                .notes(session)
+                .filter(|(_, n)| n.free <= tick(now))
+                .map(|(key, _)| key)
+                .collect();
             for key in over {
-                self.keys.remove(&(sid, key));
+                self.keys.remove(&(session, key));
             }
-            self.order.remove(&(Class::Busy, free, sid));
-            if let Some(record) = self.records.get(&sid).copied() {
-                self.put(now, sid, record);
+            self.order.remove(&(EvictionClass::Busy, free, session));
+            if let Some(record) = self.records.get(&session).copied() {
+                self.put(now, session, record);
             }
         }
     }
@@ -279,34 +300,34 @@
             return Ok(());
         }
         self.sweep(now);
-        let Some((class, _, sid)) = self.order.first().copied() else { return Err(Full) };
-        if class == Class::Busy {
+        let Some((class, _, session)) = self.order.first().copied() else { return Err(Full) };
+        if class == EvictionClass::Busy {
             return Err(Full);
         }
         self.order.pop_first();
-        if let Some(record) = self.records.remove(&sid) {
+        if let Some(record) = self.records.remove(&session) {
             self.floor = self.floor.max(record.epoch);
         }
-        self.forgotten += 1;
+        self.evicted += 1;
         Ok(())
     }
 
     /// All that is known of a van, for another balancer.
-    pub fn estate(&self, now: u64, sid: Sid) -> Estate {
-        let record = self.records.get(&sid);
+    pub fn session_record(&self, now: u64, session: SessionId) -> SessionRecord {
+        let record = self.records.get(&session);
         let left = |until: u32| ms(until).saturating_sub(now);
-        let message = |(key, note): (Key, &Note)| KeyWord {
+        let message = |(key, note): (IdempotencyKey, &KeyEntry)| KeyRecord {
             key,
-            pod: note.pod,
-            first_ago: now.saturating_sub(ms(note.first)),
-            free_in: left(note.free),
+            cell: note.cell,
+            first_permit_ago: now.saturating_sub(ms(note.first)),
+            expires_in: left(note.free),
         };
-        Estate {
-            sid,
+        SessionRecord {
+            session,
             epoch: record.map_or(Epoch::default(), |r| r.epoch),
-            pod: record.map_or(NO_POD, |r| r.pod),
-            blind_in: record.map_or(0, |r| left(r.blind)),
-            keys: self.notes(sid).filter(|(_, n)| left(n.free) > 0).map(message).collect(),
+            cell: record.map_or(UNKNOWN_CELL, |r| r.cell),
+            uncertain_for: record.map_or(0, |r| left(r.blind)),
+            keys: self.notes(session).filter(|(_, n)| left(n.free) > 0).map(message).collect(),
         }
     }
 
@@ -316,27 +337,30 @@
         &mut self,
         now: u64,
         base: u64,
-        hash: Option<Pod>,
-        estate: &Estate,
+        hash: Option<Cell>,
+        session_record: &SessionRecord,
     ) -> Result<(), Full> {
-        let sid = estate.sid;
-        let mut blind = now.saturating_add(estate.blind_in);
-        self.change(now, sid, hash, |r| {
-            if estate.epoch > r.epoch || (r.pod == NO_POD && estate.pod != NO_POD) {
-                r.pod = estate.pod;
+        let session = session_record.session;
+        let mut blind = now.saturating_add(session_record.uncertain_for);
+        self.change(now, session, hash, |r| {
+            if session_record.epoch > r.epoch
+                || (r.cell == UNKNOWN_CELL && session_record.cell != UNKNOWN_CELL)
+            {
+                r.cell = session_record.cell;
             }
-            r.epoch = r.epoch.max(estate.epoch);
+            r.epoch = r.epoch.max(session_record.epoch);
         })?;
-        for message in estate.keys.iter().filter(|k| k.free_in > 0) {
-            let free = now.saturating_add(message.free_in);
-            let first = tick(base.saturating_sub(message.first_ago));
-            let note = Note { first, free: tick_up(free), ask: 0, by: NodeId(0), pod: message.pod };
-            if self.add_note(now, sid, message.key, note).is_err() {
+        for message in session_record.keys.iter().filter(|k| k.expires_in > 0) {
+            let free = now.saturating_add(message.expires_in);
+            let first = tick(base.saturating_sub(message.first_permit_ago));
+            let note =
+                KeyEntry { first, free: tick_up(free), ask: 0, by: NodeId(0), cell: message.cell };
+            if self.add_note(now, session, message.key, note).is_err() {
                 blind = blind.max(free);
             }
         }
         if blind > now {
-            self.change(now, sid, hash, |r| r.blind = r.blind.max(tick_up(blind)))?;
+            self.change(now, session, hash, |r| r.blind = r.blind.max(tick_up(blind)))?;
         }
         Ok(())
     }
@@ -346,60 +370,70 @@
 mod tests {
     use super::*;
 
-    fn note(free: u64) -> Note {
-        Note { first: 0, free: tick_up(free), ask: 1, by: NodeId(1), pod: Pod(1) }
+    fn note(free: u64) -> KeyEntry {
+        KeyEntry { first: 0, free: tick_up(free), ask: 1, by: NodeId(1), cell: Cell(1) }
     }
 
     #[test]
     fn records_are_forgotten_in_the_stated_order_and_never_inside_a_window() {
-        let mut store = Store::new(5, 5);
-        let put = |store: &mut Store, now, sid, state, pod, hash| {
-            store.change(now, Sid(sid), Some(Pod(hash)), |r| (r.state, r.pod) = (state, Pod(pod)))
+        let mut store = RecordStore::new(5, 5);
+        let put = |store: &mut RecordStore, now, session, state, cell, hash| {
+            store.change(now, SessionId(session), Some(Cell(hash)), |r| {
+                (r.state, r.cell) = (state, Cell(cell))
+            })
         };
         // Used in this order: a key, one that says what the hash would, two tombs, one that says something
         // else.
-        put(&mut store, 10, 1, State::Owned, 1, 1).expect("room");
-        store.add_note(10, Sid(1), Key(1), note(1000)).expect("room");
-        put(&mut store, 20, 2, State::Owned, 1, 1).expect("room");
-        put(&mut store, 30, 3, State::Owned, 1, 2).expect("room");
-        put(&mut store, 40, 4, State::Tomb, 1, 1).expect("room");
-        put(&mut store, 50, 5, State::Tomb, 1, 1).expect("room");
+        put(&mut store, 10, 1, Ownership::Owned, 1, 1).expect("room");
+        store.add_note(10, SessionId(1), IdempotencyKey(1), note(1000)).expect("room");
+        put(&mut store, 20, 2, Ownership::Owned, 1, 1).expect("room");
+        put(&mut store, 30, 3, Ownership::Owned, 1, 2).expect("room");
+        put(&mut store, 40, 4, Ownership::Tombstone, 1, 1).expect("room");
+        put(&mut store, 50, 5, Ownership::Tombstone, 1, 1).expect("room");
         let mut gone = Vec::new();
-        for sid in 10..14 {
-            let before: BTreeSet<Sid> = store.records.keys().copied().collect();
-            put(&mut store, 100, sid, State::Owned, 1, 2).expect("room");
+        for session in 10..14 {
+            let before: BTreeSet<SessionId> = store.records.keys().copied().collect();
+            put(&mut store, 100, session, Ownership::Owned, 1, 2).expect("room");
             // What is put must stay for the next, too: it is kept by a window.
-            store.hold(100, Sid(sid), 2000);
+            store.hold(100, SessionId(session), 2000);
             gone.extend(before.into_iter().filter(|s| store.get(*s).is_none()));
         }
         assert_eq!(
             gone,
-            [Sid(4), Sid(5), Sid(2), Sid(3)],
+            [SessionId(4), SessionId(5), SessionId(2), SessionId(3)],
             "tombs, as the hash, others; oldest use first"
         );
         assert_eq!(
-            put(&mut store, 500, 20, State::Owned, 1, 1),
+            put(&mut store, 500, 20, Ownership::Owned, 1, 1),
             Err(Full),
             "all are inside a window"
         );
-        assert!(store.note(Sid(1), Key(1)).is_some());
-        put(&mut store, 1000, 20, State::Owned, 1, 1).expect("the window of the first has ended");
-        assert_eq!((store.get(Sid(1)), store.keys_len()), (None, 0));
+        assert!(store.note(SessionId(1), IdempotencyKey(1)).is_some());
+        put(&mut store, 1000, 20, Ownership::Owned, 1, 1)
+            .expect("the window of the first has ended");
+        assert_eq!((store.get(SessionId(1)), store.keys_len()), (None, 0));
     }
 
     #[test]
     fn keys_are_bounded_in_all_and_of_one_van() {
-        let mut store = Store::new(100, 20);
-        for sid in [1, 2] {
-            store.change(0, Sid(sid), None, |_| ()).expect("room");
+        let mut store = RecordStore::new(100, 20);
+        for session in [1, 2] {
+            store.change(0, SessionId(session), None, |_| ()).expect("room");
         }
-        let fill = |store: &mut Store, sid, n| {
-            (0..n).map(|k| store.add_note(0, Sid(sid), Key(k), note(500))).collect::<Vec<_>>()
+        let fill = |store: &mut RecordStore, session, n| {
+            (0..n)
+                .map(|k| store.add_note(0, SessionId(session), IdempotencyKey(k), note(500)))
+                .collect::<Vec<_>>()
         };
-        let first = fill(&mut store, 1, KEYS_OF_ONE as u64 + 1);
-        assert!(first[..KEYS_OF_ONE].iter().all(Result::is_ok) && first[KEYS_OF_ONE].is_err());
+        let first = fill(&mut store, 1, MAX_SESSION_KEYS as u64 + 1);
+        assert!(
+            first[..MAX_SESSION_KEYS].iter().all(Result::is_ok) && first[MAX_SESSION_KEYS].is_err()
+        );
         let second = fill(&mut store, 2, 5);
         assert!(second[..4].iter().all(Result::is_ok) && second[4].is_err());
-        assert!(store.add_note(500, Sid(2), Key(9), note(900)).is_ok(), "their windows have ended");
+        assert!(
+            store.add_note(500, SessionId(2), IdempotencyKey(9), note(900)).is_ok(),
+            "their windows have ended"
+        );
     }
 }
--- a/crates/sessions/src/table.rs
+++ b/crates/sessions/src/table.rs
@@ -5,8 +5,8 @@
 
 use hollowpaddle_peer_transport::NodeId;
 
-use crate::hash::{Among, draw};
-use crate::{Seat, Sid, Site};
+use crate::hash::{Candidates, draw};
+use crate::{OwnerSlot, SessionId, Zone};
 
 /// Old tables that are kept to know whose home was lost. Beyond them everything is in doubt until it has
 /// aged.
@@ -14,106 +14,107 @@
 
 /// One version of who is awake.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Table {
+pub(crate) struct OwnershipTable {
     pub version: u64,
-    sites: BTreeMap<Site, Vec<Seat>>,
-    members: BTreeMap<NodeId, Seat>,
+    zones: BTreeMap<Zone, Vec<OwnerSlot>>,
+    nodes: BTreeMap<NodeId, OwnerSlot>,
 }
 
-impl Table {
-    pub fn new(version: u64, seats: &[Seat]) -> Self {
-        let members: BTreeMap<NodeId, Seat> = seats.iter().map(|s| (s.member, *s)).collect();
-        let mut sites: BTreeMap<Site, Vec<Seat>> = BTreeMap::new();
-        for seat in members.values() {
-            sites.entry(seat.site).or_default().push(*seat);
+impl OwnershipTable {
+    pub fn new(version: u64, slots: &[OwnerSlot]) -> Self {
+        let nodes: BTreeMap<NodeId, OwnerSlot> = slots.iter().map(|s| (s.node, *s)).collect();
+        let mut zones: BTreeMap<Zone, Vec<OwnerSlot>> = BTreeMap::new();
+        for slot in nodes.values() {
+            zones.entry(slot.zone).or_default().push(*slot);
         }
-        Self { version, sites, members }
+        Self { version, zones, nodes }
     }
 
-    pub fn without(&self, site: Site, version: u64) -> Self {
-        let seats: Vec<Seat> = self.members.values().filter(|s| s.site != site).copied().collect();
-        Self::new(version, &seats)
+    pub fn without(&self, zone: Zone, version: u64) -> Self {
+        let slots: Vec<OwnerSlot> =
+            self.nodes.values().filter(|s| s.zone != zone).copied().collect();
+        Self::new(version, &slots)
     }
 
-    pub fn seat(&self, member: NodeId) -> Option<&Seat> {
-        self.members.get(&member)
+    pub fn slot(&self, node: NodeId) -> Option<&OwnerSlot> {
+        self.nodes.get(&node)
     }
 
-    pub fn has(&self, seat: &Seat) -> bool {
-        self.members.get(&seat.member) == Some(seat)
+    pub fn has(&self, slot: &OwnerSlot) -> bool {
+        self.nodes.get(&slot.node) == Some(slot)
     }
 
-    pub fn of_site(&self, site: Site) -> &[Seat] {
-        self.sites.get(&site).map_or(&[], Vec::as_slice)
+    pub fn of_site(&self, zone: Zone) -> &[OwnerSlot] {
+        self.zones.get(&zone).map_or(&[], Vec::as_slice)
     }
 
-    pub fn sites(&self) -> impl Iterator<Item = Site> + '_ {
-        self.sites.keys().copied()
+    pub fn zones(&self) -> impl Iterator<Item = Zone> + '_ {
+        self.zones.keys().copied()
     }
 
     /// Of two in a site, whether one is before the other as the home of a van's record.
-    pub fn before(sid: Sid, one: NodeId, other: NodeId) -> bool {
-        let place = |m: NodeId| (draw(Among::Homes, sid.0, m.0), m);
+    pub fn before(session: SessionId, one: NodeId, other: NodeId) -> bool {
+        let place = |m: NodeId| (draw(Candidates::Owners, session.0, m.0), m);
         place(one) > place(other)
     }
 
     /// The home of a van's record in a site.
-    pub fn home(&self, sid: Sid, site: Site) -> Option<NodeId> {
-        let first = |s: &&Seat| (draw(Among::Homes, sid.0, s.member.0), s.member);
-        self.of_site(site).iter().max_by_key(first).map(|s| s.member)
+    pub fn home(&self, session: SessionId, zone: Zone) -> Option<NodeId> {
+        let first = |s: &&OwnerSlot| (draw(Candidates::Owners, session.0, s.node.0), s.node);
+        self.of_site(zone).iter().max_by_key(first).map(|s| s.node)
     }
 
     /// The others of a site in the order in which they are witnesses of what its home sends itself.
-    pub fn witnesses(&self, sid: Sid, site: Site, home: NodeId) -> Vec<NodeId> {
+    pub fn witnesses(&self, session: SessionId, zone: Zone, home: NodeId) -> Vec<NodeId> {
         let mut all: Vec<NodeId> =
-            self.of_site(site).iter().map(|s| s.member).filter(|m| *m != home).collect();
-        all.sort_by_key(|m| std::cmp::Reverse((draw(Among::Homes, sid.0, m.0), *m)));
+            self.of_site(zone).iter().map(|s| s.node).filter(|m| *m != home).collect();
+        all.sort_by_key(|m| std::cmp::Reverse((draw(Candidates::Owners, session.0, m.0), *m)));
         all
     }
 }
 
 /// Of two sites that ask each other, which goes first for a van: a total order, another one for each van.
-pub(crate) fn goes_first(sid: Sid, a: Site, b: Site) -> bool {
-    (draw(Among::Sites, sid.0, a.0), a) > (draw(Among::Sites, sid.0, b.0), b)
+pub(crate) fn precedes(session: SessionId, a: Zone, b: Zone) -> bool {
+    (draw(Candidates::Zones, session.0, a.0), a) > (draw(Candidates::Zones, session.0, b.0), b)
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-struct Loss {
+struct LostOwner {
     at: u64,
-    seat: Seat,
+    slot: OwnerSlot,
     /// Who was in that table.
     version: u64,
 }
 
 /// What was lost lately. Times are in ms.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
-pub(crate) struct Losses {
-    losses: Vec<Loss>,
-    tables: BTreeMap<u64, Table>,
+pub(crate) struct LostOwners {
+    losses: Vec<LostOwner>,
+    tables: BTreeMap<u64, OwnershipTable>,
     /// When each of them was followed by another.
     heard: BTreeMap<u64, u64>,
     /// Nothing is known of what was lost before; it matters until then.
     pub all_until: u64,
 }
 
-impl Losses {
+impl LostOwners {
     /// The first table that this process hears of: it has forgotten what its former life knew, and what
     /// others lost.
-    pub fn first(&mut self, now: u64, age: u64, table: &Table, node_id: NodeId) {
+    pub fn first(&mut self, now: u64, age: u64, table: &OwnershipTable, node_id: NodeId) {
         self.all_until = now.saturating_add(age);
-        if let Some(seat) = table.seat(node_id) {
-            let former = Seat { since: 0, ..*seat };
+        if let Some(slot) = table.slot(node_id) {
+            let former = OwnerSlot { since: 0, ..*slot };
             self.tables.insert(table.version, table.clone());
-            self.losses.push(Loss { at: now, seat: former, version: table.version });
+            self.losses.push(LostOwner { at: now, slot: former, version: table.version });
         }
     }
 
     /// One table follows another, heard `now`; what is older than `age` matters no more.
-    pub fn change(&mut self, now: u64, age: u64, old: &Table, new: &Table) {
+    pub fn change(&mut self, now: u64, age: u64, old: &OwnershipTable, new: &OwnershipTable) {
         self.losses.retain(|l| l.at.saturating_add(age) > now);
-        let gone = old.members.values().filter(|s| !new.has(s));
+        let gone = old.nodes.values().filter(|s| !new.has(s));
         let version = old.version;
-        self.losses.extend(gone.map(|seat| Loss { at: now, seat: *seat, version }));
+        self.losses.extend(gone.map(|slot| LostOwner { at: now, slot: *slot, version }));
         // Kept also if nobody was lost: whose home was lost is asked of all of these.
         self.tables.insert(old.version, old.clone());
         self.heard.insert(old.version, now);
@@ -131,28 +132,28 @@
 
     /// Up to when a key of this van may have run somewhere that nobody left knows of: both who sent it and
     /// the home that allowed it were lost. 0 if that can't be.
-    pub fn doubt(&self, sid: Sid, age: u64) -> u64 {
+    pub fn doubt(&self, session: SessionId, age: u64) -> u64 {
         let mut until = self.all_until;
         if self.losses.is_empty() {
             return until;
         }
-        let homes: BTreeSet<(Site, NodeId)> = self
+        let homes: BTreeSet<(Zone, NodeId)> = self
             .tables
             .values()
-            .flat_map(|t| t.sites().filter_map(move |site| Some((site, t.home(sid, site)?))))
+            .flat_map(|t| t.zones().filter_map(move |zone| Some((zone, t.home(session, zone)?))))
             .collect();
-        for home in self.losses.iter().filter(|l| homes.contains(&(l.seat.site, l.seat.member))) {
+        for home in self.losses.iter().filter(|l| homes.contains(&(l.slot.zone, l.slot.node))) {
             until = until.max(self.together(home, age));
         }
         until
     }
 
     /// Up to when it matters that one was lost as a home.
-    fn together(&self, home: &Loss, age: u64) -> u64 {
-        let site = home.seat.site;
-        let alone = self.tables.get(&home.version).is_none_or(|t| t.of_site(site).len() < 2);
+    fn together(&self, home: &LostOwner, age: u64) -> u64 {
+        let zone = home.slot.zone;
+        let alone = self.tables.get(&home.version).is_none_or(|t| t.of_site(zone).len() < 2);
         let mut until = if alone { home.at.saturating_add(age) } else { 0 };
-        for other in self.losses.iter().filter(|l| l.seat.site == site && l.seat != home.seat) {
+        for other in self.losses.iter().filter(|l| l.slot.zone == zone && l.slot != home.slot) {
             until = until.max(other.at.min(home.at).saturating_add(age));
         }
         until
--- a/crates/sessions/tests/bank.rs
+++ b/crates/sessions/tests/bank.rs
@@ -14,7 +14,7 @@
             day.drains = seed / 18 % 2 == 1;
             day.first_start = seed / 36 % 4 != 0;
             day.marked = seed / 72 % 3 == 0;
-            day.sites = if seed % 7 == 6 { 3 } else { 2 };
+            day.zones = if seed % 7 == 6 { 3 } else { 2 };
             day.each = [3, 3, 2, 5, 1][seed as usize % 5];
             day
         })
@@ -102,7 +102,7 @@
 
 #[test]
 fn a_bank_without_faults_refuses_little_and_keeps_vans_at_their_pod() {
-    for (loss, most, pod) in [(0.0, 0.12, 0.99), (0.1, 0.15, 0.98), (0.3, 0.40, 0.9)] {
+    for (loss, most, cell) in [(0.0, 0.12, 0.99), (0.1, 0.15, 0.98), (0.3, 0.40, 0.9)] {
         let day = |seed| {
             let mut day = Day::new(seed);
             (day.loss, day.pace, day.window, day.run) = (loss, 400_000, 10_000_000, 3_000_000);
@@ -115,7 +115,7 @@
              p99 {p99:.1} ms, {words:.1} words a request"
         );
         assert!(
-            refused < most && at_pod > pod,
+            refused < most && at_pod > cell,
             "loss {loss}: refused {refused}, at their pod {at_pod}"
         );
     }
--- a/crates/sessions/tests/cases.rs
+++ b/crates/sessions/tests/cases.rs
@@ -5,8 +5,8 @@
 
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use hollowpaddle_sessions::{
-    Action, Config, Effect, Event, Key, PERMIT, Pod, Ran, Seat, Sessions, Sid, Site, Verdict,
-    Weighed, Why,
+    Action, Cell, Config, Event, ExecutionStatus, Idempotency, IdempotencyKey, OwnerSlot,
+    PERMIT_DURATION, RoutingDecision, RoutingFailure, SessionId, Sessions, WeightedCell, Zone,
 };
 
 /// Machines 0 to `each` at site 0, the next at site 1. Words take `way` ms.
@@ -14,7 +14,7 @@
     now: u64,
     machines: BTreeMap<u16, Sessions>,
     words: VecDeque<(u64, u16, u16, Vec<u8>)>,
-    placed: BTreeMap<u64, (u64, Verdict)>,
+    placed: BTreeMap<u64, (u64, RoutingDecision)>,
     mute: bool,
     /// Each word comes once more with some bytes changed, as from a peer that lies.
     lies: Option<oorandom::Rand32>,
@@ -29,9 +29,10 @@
     Duration::from_millis(n)
 }
 
-fn pods(out: &[u16]) -> Event {
-    let pods = (0..4).filter(|p| !out.contains(p)).map(|p| Weighed { pod: Pod(p), weight: 1000 });
-    Event::Pods { revision: 1 + out.len() as u64, pods: pods.collect() }
+fn cells(out: &[u16]) -> Event {
+    let cells =
+        (0..4).filter(|p| !out.contains(p)).map(|p| WeightedCell { cell: Cell(p), weight: 1000 });
+    Event::CellsChanged { revision: 1 + out.len() as u64, cells: cells.collect() }
 }
 
 impl Cluster {
@@ -56,17 +57,20 @@
             sent: 0,
             id: 0,
         };
-        let seats: Vec<Seat> = (0..2 * each)
-            .map(|m| Seat {
-                member: NodeId(m),
+        let slots: Vec<OwnerSlot> = (0..2 * each)
+            .map(|m| OwnerSlot {
+                node: NodeId(m),
                 incarnation: Incarnation(1),
-                site: Site(m / each),
+                zone: Zone(m / each),
                 since: 1,
             })
             .collect();
         for m in 0..2 * each {
-            cluster.tell(m, pods(&[]));
-            cluster.tell(m, Event::Awake { version: 1, until: ms(1 << 30), seats: seats.clone() });
+            cluster.tell(m, cells(&[]));
+            cluster.tell(
+                m,
+                Event::TableChanged { version: 1, until: ms(1 << 30), slots: slots.clone() },
+            );
         }
         cluster.pass(100);
         cluster
@@ -78,8 +82,8 @@
         machine.handle(ms(self.now), event, &mut actions);
         for action in actions {
             match action {
-                Action::Place { id, verdict } => {
-                    assert!(self.placed.insert(id, (self.now, verdict)).is_none(), "{id} twice");
+                Action::Route { id, decision } => {
+                    assert!(self.placed.insert(id, (self.now, decision)).is_none(), "{id} twice");
                 }
                 Action::Send { to, message } => {
                     self.sent += 1;
@@ -124,65 +128,75 @@
         }
     }
 
-    fn begin(&mut self, m: u16, sid: u64, effect: Effect) -> u64 {
+    fn begin(&mut self, m: u16, session: u64, idempotency: Idempotency) -> u64 {
         self.id += 1;
         let (id, deadline) = (self.id, ms(self.now + 1850));
-        self.tell(m, Event::Request { id, sid: Sid(sid), effect, first: false, deadline });
+        self.tell(
+            m,
+            Event::Request { id, session: SessionId(session), idempotency, first: false, deadline },
+        );
         id
     }
 
-    fn ask(&mut self, m: u16, sid: u64, effect: Effect) -> Verdict {
-        let id = self.begin(m, sid, effect);
+    fn ask(&mut self, m: u16, session: u64, idempotency: Idempotency) -> RoutingDecision {
+        let id = self.begin(m, session, idempotency);
         self.pass(40);
         self.tell(m, Event::Sent { id });
-        let (at, verdict) = self.placed[&id];
+        let (at, decision) = self.placed[&id];
         let _ = at;
-        verdict
+        decision
     }
 
-    fn pod(&mut self, m: u16, sid: u64, effect: Effect) -> Option<Pod> {
-        match self.ask(m, sid, effect) {
-            Verdict::Go { pod, .. } => Some(pod),
+    fn cell(&mut self, m: u16, session: u64, idempotency: Idempotency) -> Option<Cell> {
+        match self.ask(m, session, idempotency) {
+            RoutingDecision::Send { cell, .. } => Some(cell),
             _ => None,
         }
     }
 }
 
-fn keyed(key: u64) -> Effect {
-    Effect::Keyed(Key(key))
+fn keyed(key: u64) -> Idempotency {
+    Idempotency::Keyed(IdempotencyKey(key))
 }
 
 #[test]
 fn a_key_whose_pod_is_out_goes_nowhere_else_and_new_keys_go_on() {
     let mut cluster = Cluster::new(3, |_| ());
-    let Some(pod) = cluster.pod(0, 7, keyed(1)) else { panic!("the first goes") };
+    let Some(cell) = cluster.cell(0, 7, keyed(1)) else { panic!("the first goes") };
     for m in 0..6 {
-        cluster.tell(m, pods(&[pod.0]));
+        cluster.tell(m, cells(&[cell.0]));
     }
     for m in [0, 4, 1] {
-        assert_eq!(cluster.ask(m, 7, keyed(1)), Verdict::Fail(Why::MayHaveRun), "at {m}");
+        assert_eq!(
+            cluster.ask(m, 7, keyed(1)),
+            RoutingDecision::Fail(RoutingFailure::MayHaveExecuted),
+            "at {m}"
+        );
     }
-    let (one, other) = (cluster.pod(4, 7, keyed(2)), cluster.pod(1, 7, Effect::Safe));
-    assert!(one.is_some() && one != Some(pod) && one == other, "{one:?} {other:?}");
+    let (one, other) = (cluster.cell(4, 7, keyed(2)), cluster.cell(1, 7, Idempotency::Idempotent));
+    assert!(one.is_some() && one != Some(cell) && one == other, "{one:?} {other:?}");
     // It comes back: the repeat goes there and nowhere else.
     for m in 0..6 {
-        let all = (0..4).map(|p| Weighed { pod: Pod(p), weight: 1000 }).collect();
-        cluster.tell(m, Event::Pods { revision: 9, pods: all });
+        let all = (0..4).map(|p| WeightedCell { cell: Cell(p), weight: 1000 }).collect();
+        cluster.tell(m, Event::CellsChanged { revision: 9, cells: all });
     }
-    assert_eq!(cluster.pod(2, 7, keyed(1)), Some(pod));
-    assert_eq!(cluster.pod(2, 7, keyed(3)), one, "where the van's state is now");
+    assert_eq!(cluster.cell(2, 7, keyed(1)), Some(cell));
+    assert_eq!(cluster.cell(2, 7, keyed(3)), one, "where the van's state is now");
 }
 
 #[test]
 fn a_repeat_near_the_windows_end_waits_it_out_if_its_time_allows() {
     let mut cluster = Cluster::new(1, |c| (c.window, c.run) = (ms(1000), ms(100)));
-    let Some(pod) = cluster.pod(0, 7, keyed(1)) else { panic!("the first goes") };
-    cluster.tell(0, pods(&[pod.0]));
-    cluster.tell(1, pods(&[pod.0]));
+    let Some(cell) = cluster.cell(0, 7, keyed(1)) else { panic!("the first goes") };
+    cluster.tell(0, cells(&[cell.0]));
+    cluster.tell(1, cells(&[cell.0]));
     let (from, id) = (cluster.now, cluster.begin(0, 7, keyed(1)));
     cluster.pass(1500);
-    let (at, verdict) = cluster.placed[&id];
-    assert!(matches!(verdict, Verdict::Go { pod: other, .. } if other != pod), "{verdict:?}");
+    let (at, decision) = cluster.placed[&id];
+    assert!(
+        matches!(decision, RoutingDecision::Send { cell: other, .. } if other != cell),
+        "{decision:?}"
+    );
     assert!(at >= from - 40 + 1000 && at <= from + 1300, "after {} ms", at - from);
 }
 
@@ -190,20 +204,28 @@
 fn nobody_waits_longer_than_25_ms_or_a_twentieth_and_only_keyed_ones_are_refused() {
     let mut cluster = Cluster::new(3, |_| ());
     cluster.mute = true;
-    for (effect, sid) in [(Effect::Safe, 1), (Effect::Unsafe, 2), (keyed(1), 3)] {
+    for (idempotency, session) in
+        [(Idempotency::Idempotent, 1), (Idempotency::NotIdempotent, 2), (keyed(1), 3)]
+    {
         for m in 0..6 {
-            let (from, id) = (cluster.now, cluster.begin(m, sid, effect));
+            let (from, id) = (cluster.now, cluster.begin(m, session, idempotency));
             cluster.pass(30);
-            let (at, verdict) = cluster.placed[&id];
-            assert!(at - from <= 25, "{effect:?} waited for {} ms", at - from);
-            match verdict {
-                Verdict::Go { pod, epoch, .. } => {
-                    assert!(effect != keyed(1) && epoch.is_none());
-                    let all: Vec<Weighed> =
-                        (0..4).map(|p| Weighed { pod: Pod(p), weight: 1000 }).collect();
-                    assert_eq!(Some(pod), hollowpaddle_sessions::pod_of(Sid(sid), &all));
+            let (at, decision) = cluster.placed[&id];
+            assert!(at - from <= 25, "{idempotency:?} waited for {} ms", at - from);
+            match decision {
+                RoutingDecision::Send { cell, epoch, .. } => {
+                    assert!(idempotency != keyed(1) && epoch.is_none());
+                    let all: Vec<WeightedCell> =
+                        (0..4).map(|p| WeightedCell { cell: Cell(p), weight: 1000 }).collect();
+                    assert_eq!(
+                        Some(cell),
+                        hollowpaddle_sessions::cell_for(SessionId(session), &all)
+                    );
                 }
-                other => assert_eq!((effect, other), (keyed(1), Verdict::Refuse(Why::NoRecord))),
+                other => assert_eq!(
+                    (idempotency, other),
+                    (keyed(1), RoutingDecision::Reject(RoutingFailure::NoRecord))
+                ),
             }
         }
     }
@@ -211,7 +233,13 @@
     let (from, deadline) = (cluster.now, ms(cluster.now + 200));
     cluster.tell(
         0,
-        Event::Request { id: 9_999, sid: Sid(9), effect: Effect::Safe, first: false, deadline },
+        Event::Request {
+            id: 9_999,
+            session: SessionId(9),
+            idempotency: Idempotency::Idempotent,
+            first: false,
+            deadline,
+        },
     );
     cluster.pass(30);
     assert_eq!(cluster.placed[&9_999].0 - from, 10);
@@ -220,13 +248,13 @@
 #[test]
 fn one_key_under_two_vans_goes_to_one_pod_from_one_balancer() {
     let mut cluster = Cluster::new(2, |_| ());
-    let Some(pod) = cluster.pod(0, 1, keyed(5)) else { panic!("the first goes") };
+    let Some(cell) = cluster.cell(0, 1, keyed(5)) else { panic!("the first goes") };
     let mut failed = 0;
-    for sid in 2..20 {
-        match cluster.ask(0, sid, keyed(5)) {
-            Verdict::Go { pod: other, .. } => assert_eq!(other, pod),
+    for session in 2..20 {
+        match cluster.ask(0, session, keyed(5)) {
+            RoutingDecision::Send { cell: other, .. } => assert_eq!(other, cell),
             other => {
-                assert_eq!(other, Verdict::Fail(Why::MayHaveRun));
+                assert_eq!(other, RoutingDecision::Fail(RoutingFailure::MayHaveExecuted));
                 failed += 1;
             }
         }
@@ -239,49 +267,57 @@
     let mut cluster = Cluster::new(2, |_| ());
     let id = cluster.begin(0, 7, keyed(1));
     cluster.pass(20);
-    let (at, Verdict::Go { pod, until, .. }) = cluster.placed[&id] else { panic!("it goes") };
-    assert!(until <= ms(at) + PERMIT);
-    cluster.tell(0, Event::Ended { id, ran: Ran::No });
+    let (at, RoutingDecision::Send { cell, until, .. }) = cluster.placed[&id] else {
+        panic!("it goes")
+    };
+    assert!(until <= ms(at) + PERMIT_DURATION);
+    cluster.tell(0, Event::Finished { id, status: ExecutionStatus::NotExecuted });
     cluster.pass(20);
     for m in 0..4 {
-        cluster.tell(m, pods(&[pod.0]));
+        cluster.tell(m, cells(&[cell.0]));
     }
-    assert!(cluster.pod(1, 7, keyed(1)).is_some_and(|p| p != pod), "nobody ran it");
+    assert!(cluster.cell(1, 7, keyed(1)).is_some_and(|p| p != cell), "nobody ran it");
 }
 
 #[test]
 fn without_a_seat_nothing_keyed_goes_and_everything_else_does() {
     let mut cluster = Cluster::new(2, |_| ());
-    cluster.pod(0, 7, keyed(1));
+    cluster.cell(0, 7, keyed(1));
     cluster.now = 1 << 31;
-    assert_eq!(cluster.ask(0, 7, keyed(2)), Verdict::Refuse(Why::NoSeat));
-    assert!(matches!(cluster.ask(0, 7, Effect::Unsafe), Verdict::Go { epoch: None, .. }));
-    assert_eq!(cluster.machines[&0].owned(ms(cluster.now), Sid(7)), None);
+    assert_eq!(cluster.ask(0, 7, keyed(2)), RoutingDecision::Reject(RoutingFailure::NoSlot));
+    assert!(matches!(
+        cluster.ask(0, 7, Idempotency::NotIdempotent),
+        RoutingDecision::Send { epoch: None, .. }
+    ));
+    assert_eq!(cluster.machines[&0].owned(ms(cluster.now), SessionId(7)), None);
 }
 
 #[test]
 fn a_dead_sites_vans_are_taken_over_and_their_keys_wait_out_the_window() {
     let mut cluster = Cluster::new(2, |_| ());
     let old: Vec<u64> = (0..40).collect();
-    for sid in &old {
-        assert!(cluster.pod(0, *sid, keyed(*sid)).is_some());
+    for session in &old {
+        assert!(cluster.cell(0, *session, keyed(*session)).is_some());
     }
     cluster.machines.remove(&0);
     cluster.machines.remove(&1);
     assert_eq!(
         cluster.ask(2, 3, keyed(3)),
-        Verdict::Refuse(Why::NoRecord),
+        RoutingDecision::Reject(RoutingFailure::NoRecord),
         "its owner is not given up"
     );
     for m in [2, 3] {
-        cluster.tell(m, Event::SiteLeaseEnded { site: Site(0), version: 2 });
+        cluster.tell(m, Event::ZoneLeaseEnded { zone: Zone(0), version: 2 });
     }
-    for sid in &old {
-        assert_eq!(cluster.ask(2, *sid, keyed(*sid)), Verdict::Fail(Why::MayHaveRun));
-        assert!(cluster.pod(3, *sid, Effect::Safe).is_some());
+    for session in &old {
+        assert_eq!(
+            cluster.ask(2, *session, keyed(*session)),
+            RoutingDecision::Fail(RoutingFailure::MayHaveExecuted)
+        );
+        assert!(cluster.cell(3, *session, Idempotency::Idempotent).is_some());
     }
     cluster.pass(15_000);
-    assert!(old.iter().all(|sid| cluster.pod(2, *sid, keyed(*sid)).is_some()));
+    assert!(old.iter().all(|session| cluster.cell(2, *session, keyed(*session)).is_some()));
 }
 
 #[test]
@@ -290,15 +326,15 @@
     cluster.way = 5;
     let at = |cluster: &Cluster, m: u16| cluster.machines[&m].moves();
     let (mut most, mut words, vans) = (0, 0, 20_000u64);
-    for sid in 0..vans {
+    for session in 0..vans {
         // Ten a millisecond, at any balancer of the site.
-        let m = 5 + (sid % 5) as u16;
+        let m = 5 + (session % 5) as u16;
         cluster.begin(
             m,
-            sid.wrapping_mul(0x9e37_79b9_7f4a_7c15),
-            if sid % 4 == 0 { keyed(sid) } else { Effect::Safe },
+            session.wrapping_mul(0x9e37_79b9_7f4a_7c15),
+            if session % 4 == 0 { keyed(session) } else { Idempotency::Idempotent },
         );
-        if sid % 10 == 9 {
+        if session % 10 == 9 {
             let before = cluster.sent;
             cluster.pass(1);
             words = words.max(cluster.sent - before);
@@ -310,7 +346,7 @@
     let went = cluster
         .placed
         .values()
-        .filter(|(_, v)| matches!(v, Verdict::Go { epoch: Some(_), .. }))
+        .filter(|(_, v)| matches!(v, RoutingDecision::Send { epoch: Some(_), .. }))
         .count();
     println!(
         "{went} of {vans} by their record, at most {most} moves under way at one, {words} words in 1 ms"
@@ -320,11 +356,17 @@
     // And with far too little room: the newest are served, the eldest dropped.
     let mut cluster = Cluster::new(1, |c| c.moves = 1);
     cluster.way = 5;
-    let ids: Vec<u64> = (0..6).map(|sid| cluster.begin(1, sid + 100, Effect::Safe)).collect();
+    let ids: Vec<u64> =
+        (0..6).map(|session| cluster.begin(1, session + 100, Idempotency::Idempotent)).collect();
     cluster.pass(24);
     let by_record: Vec<bool> = ids
         .iter()
-        .map(|id| matches!(cluster.placed.get(id), Some((_, Verdict::Go { epoch: Some(_), .. }))))
+        .map(|id| {
+            matches!(
+                cluster.placed.get(id),
+                Some((_, RoutingDecision::Send { epoch: Some(_), .. }))
+            )
+        })
         .collect();
     assert_eq!(
         by_record,
@@ -336,18 +378,23 @@
 #[test]
 fn a_forgotten_record_comes_back_under_a_higher_epoch_at_either_site() {
     let mut cluster = Cluster::new(1, |c| c.records = 2);
-    let epoch = |verdict| match verdict {
-        Verdict::Go { epoch, .. } => epoch,
+    let epoch = |decision| match decision {
+        RoutingDecision::Send { epoch, .. } => epoch,
         _ => None,
     };
-    let first = epoch(cluster.ask(0, 1, Effect::Safe));
+    let first = epoch(cluster.ask(0, 1, Idempotency::Idempotent));
     assert!(first.is_some());
-    for sid in 2..6 {
-        assert!(epoch(cluster.ask(0, sid, Effect::Safe)).is_some());
+    for session in 2..6 {
+        assert!(epoch(cluster.ask(0, session, Idempotency::Idempotent)).is_some());
     }
-    assert!(cluster.machines[&0].owned(ms(cluster.now), Sid(1)).is_none(), "it was forgotten");
-    let (there, here) =
-        (epoch(cluster.ask(1, 1, Effect::Safe)), epoch(cluster.ask(0, 1, Effect::Safe)));
+    assert!(
+        cluster.machines[&0].owned(ms(cluster.now), SessionId(1)).is_none(),
+        "it was forgotten"
+    );
+    let (there, here) = (
+        epoch(cluster.ask(1, 1, Idempotency::Idempotent)),
+        epoch(cluster.ask(0, 1, Idempotency::Idempotent)),
+    );
     assert!(first < there && there < here, "{first:?} {there:?} {here:?}");
 }
 
@@ -359,20 +406,21 @@
         cluster.lies = Some(oorandom::Rand32::new(seed));
         for n in 0..60 {
             let m = (n * 7 % 4) as u16;
-            let effect = if n % 3 == 0 { Effect::Safe } else { keyed(n % 11) };
-            cluster.begin(m, n % 9, effect);
+            let idempotency = if n % 3 == 0 { Idempotency::Idempotent } else { keyed(n % 11) };
+            cluster.begin(m, n % 9, idempotency);
             cluster.pass(3);
             if n == 30 {
-                let seat = |m| Seat {
-                    member: NodeId(m),
+                let slot = |m| OwnerSlot {
+                    node: NodeId(m),
                     incarnation: Incarnation(1),
-                    site: Site(m / 2),
+                    zone: Zone(m / 2),
                     since: 1,
                 };
-                let seats: Vec<Seat> = (0..3).map(seat).collect();
+                let slots: Vec<OwnerSlot> = (0..3).map(slot).collect();
                 for m in 0..3 {
                     let until = ms(1 << 30);
-                    cluster.tell(m, Event::Awake { version: 2, until, seats: seats.clone() });
+                    cluster
+                        .tell(m, Event::TableChanged { version: 2, until, slots: slots.clone() });
                 }
             }
         }
@@ -389,12 +437,13 @@
         (c.window, c.run) = (ms(200), ms(50));
         c.records = if c.node_id == NodeId(1) { 1 } else { 100 };
     });
-    assert!(cluster.pod(1, 2, keyed(1)).is_some(), "which fills the one");
-    assert!(cluster.pod(0, 1, Effect::Safe).is_some());
-    let owns =
-        |cluster: &Cluster, m: u16| cluster.machines[&m].owned(ms(cluster.now), Sid(1)).is_some();
+    assert!(cluster.cell(1, 2, keyed(1)).is_some(), "which fills the one");
+    assert!(cluster.cell(0, 1, Idempotency::Idempotent).is_some());
+    let owns = |cluster: &Cluster, m: u16| {
+        cluster.machines[&m].owned(ms(cluster.now), SessionId(1)).is_some()
+    };
     assert!(owns(&cluster, 0));
-    cluster.ask(1, 1, Effect::Safe);
+    cluster.ask(1, 1, Idempotency::Idempotent);
     assert!(owns(&cluster, 0) && !owns(&cluster, 1), "there is no room for it");
     cluster.pass(1_000);
     for (from, to, message) in cluster.heard.clone().into_iter().filter(|w| w.1 == 1) {
--- a/crates/sessions/tests/sim/mod.rs
+++ b/crates/sessions/tests/sim/mod.rs
@@ -9,8 +9,8 @@
 use hollowpaddle_failpoints::{Fault, Kind, Points};
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use hollowpaddle_sessions::{
-    Action, Config, Effect, Epoch, Event, Key, Pod, Ran, Seat, Sessions, Sid, Site, Verdict,
-    Weighed,
+    Action, Cell, Config, Epoch, Event, ExecutionStatus, Idempotency, IdempotencyKey, OwnerSlot,
+    RoutingDecision, SessionId, Sessions, WeightedCell, Zone,
 };
 use oorandom::Rand64;
 
@@ -18,7 +18,7 @@
 #[derive(Clone)]
 pub struct Day {
     pub seed: u64,
-    pub sites: u16,
+    pub zones: u16,
     pub each: u16,
     pub vans: u64,
     pub length: u64,
@@ -48,7 +48,7 @@
     pub fn new(seed: u64) -> Self {
         Self {
             seed,
-            sites: 2,
+            zones: 2,
             each: 3,
             vans: 6,
             length: 3_200_000,
@@ -95,15 +95,15 @@
     Message { from: NodeId, incarnation: Incarnation, to: NodeId, bytes: Vec<u8> },
     Wake { of: NodeId, incarnation: Incarnation, at: u64 },
     Van { van: u64 },
-    Press { van: u64, key: u64, site: u16, left: u32 },
+    Press { van: u64, key: u64, zone: u16, left: u32 },
     Sent { of: NodeId, incarnation: Incarnation, id: u64 },
-    Done { of: NodeId, incarnation: Incarnation, id: u64, ran: Ran },
+    Done { of: NodeId, incarnation: Incarnation, id: u64, status: ExecutionStatus },
     Council,
-    Table { of: NodeId },
+    OwnershipTable { of: NodeId },
     Fault,
     Mend { what: u8, which: u16 },
     Drain,
-    Pods { of: NodeId },
+    CellsChanged { of: NodeId },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
@@ -124,7 +124,7 @@
 }
 
 struct Balancer {
-    site: u16,
+    zone: u16,
     incarnation: Incarnation,
     machine: Option<Sessions>,
     born: u64,
@@ -133,7 +133,7 @@
     paused: u64,
     cut_council: bool,
     table: u64,
-    pods: u64,
+    cells: u64,
     requests: BTreeMap<u64, Asked>,
     claims: BTreeMap<u64, Epoch>,
 }
@@ -154,7 +154,7 @@
 struct Ran1 {
     at: u64,
     sent: u64,
-    pod: u16,
+    cell: u16,
     by: u16,
 }
 
@@ -165,12 +165,12 @@
     queue: BinaryHeap<Due>,
     rng: Rand64,
     all: Vec<Balancer>,
-    pods: BTreeMap<u16, PodState>,
+    cells: BTreeMap<u16, PodState>,
     out: BTreeSet<u16>,
     revisions: Vec<BTreeSet<u16>>,
-    ran: BTreeMap<u64, Vec<Ran1>>,
+    status: BTreeMap<u64, Vec<Ran1>>,
     /// The council's: tables by version, who is in, and up to when each seat was given (true time).
-    tables: Vec<Vec<Seat>>,
+    tables: Vec<Vec<OwnerSlot>>,
     given: BTreeMap<NodeId, u64>,
     cut: bool,
     at_site: BTreeMap<u64, u16>,
@@ -184,17 +184,17 @@
     pub step: u64,
 }
 
-const PODS_EACH: u16 = 3;
+const CELLS_PER_ZONE: u16 = 3;
 
 impl World {
     pub fn new(day: Day) -> Self {
         let mut rng = Rand64::new(u128::from(day.seed) * 7919 + 13);
         let mut all = Vec::new();
-        for site in 0..day.sites {
+        for zone in 0..day.zones {
             for _ in 0..day.each {
                 let rate = rng.rand_range(0..8_000) as i64 - 4_000;
                 all.push(Balancer {
-                    site,
+                    zone,
                     incarnation: Incarnation(1),
                     machine: None,
                     born: 0,
@@ -202,24 +202,25 @@
                     paused: 0,
                     cut_council: false,
                     table: 0,
-                    pods: 0,
+                    cells: 0,
                     requests: BTreeMap::new(),
                     claims: BTreeMap::new(),
                 });
             }
         }
-        let pods =
-            (0..day.sites * PODS_EACH).map(|p| (p, PodState { known: BTreeMap::new() })).collect();
+        let cells = (0..day.zones * CELLS_PER_ZONE)
+            .map(|p| (p, PodState { known: BTreeMap::new() }))
+            .collect();
         let mut world = Self {
             now: 1_000,
             order: 0,
             queue: BinaryHeap::new(),
             rng,
             all,
-            pods,
+            cells,
             out: BTreeSet::new(),
             revisions: vec![BTreeSet::new()],
-            ran: BTreeMap::new(),
+            status: BTreeMap::new(),
             tables: vec![Vec::new()],
             given: BTreeMap::new(),
             cut: false,
@@ -239,8 +240,8 @@
         }
         world.push(1, What::Council);
         for van in 0..world.day.vans {
-            let site = world.rng.rand_range(0..u64::from(world.day.sites)) as u16;
-            world.at_site.insert(van, site);
+            let zone = world.rng.rand_range(0..u64::from(world.day.zones)) as u16;
+            world.at_site.insert(van, zone);
             if world.day.pace > 0 {
                 let after = 400_000 + world.rng.rand_range(0..world.day.pace);
                 world.push(after, What::Van { van });
@@ -274,7 +275,7 @@
         b.machine = Some(Sessions::new(config));
         b.born = self.now;
         b.table = 0;
-        b.pods = 0;
+        b.cells = 0;
         b.requests.clear();
         b.claims.clear();
         self.tell_pods(m);
@@ -282,15 +283,16 @@
 
     fn tell_pods(&mut self, m: usize) {
         let revision = self.revisions.len() as u64;
-        let site = self.all[m].site;
+        let zone = self.all[m].zone;
         let out = self.revisions.last().cloned().unwrap_or_default();
-        let near = |p: u16| p / PODS_EACH == site;
-        let pods = (0..self.day.sites * PODS_EACH).filter(|p| !out.contains(p));
+        let near = |p: u16| p / CELLS_PER_ZONE == zone;
+        let cells = (0..self.day.zones * CELLS_PER_ZONE).filter(|p| !out.contains(p));
         // Each site's own pods are chosen, others are usable.
-        let pods =
-            pods.map(|p| Weighed { pod: Pod(p), weight: if near(p) { 1000 } else { 1 } }).collect();
-        self.all[m].pods = revision;
-        self.tell(m, Event::Pods { revision, pods });
+        let cells = cells
+            .map(|p| WeightedCell { cell: Cell(p), weight: if near(p) { 1000 } else { 1 } })
+            .collect();
+        self.all[m].cells = revision;
+        self.tell(m, Event::CellsChanged { revision, cells });
     }
 
     fn local(&self, m: usize, at: u64) -> Duration {
@@ -340,7 +342,7 @@
                 self.push(after, What::Wake { of: NodeId(m as u16), incarnation, at });
             }
             Action::Send { to, message } => self.send(m, to, message),
-            Action::Place { id, verdict } => self.placed(m, id, verdict),
+            Action::Route { id, decision } => self.placed(m, id, decision),
         }
     }
 
@@ -369,7 +371,7 @@
             copies = 2;
         }
         let t = usize::from(to.0);
-        let crossing = self.all[m].site != self.all[t].site;
+        let crossing = self.all[m].zone != self.all[t].zone;
         for _ in 0..copies {
             if self.chance(self.day.loss) || (crossing && self.cut) {
                 continue;
@@ -389,7 +391,7 @@
         }
     }
 
-    fn placed(&mut self, m: usize, id: u64, verdict: Verdict) {
+    fn placed(&mut self, m: usize, id: u64, decision: RoutingDecision) {
         let Some(asked) = self.all[m].requests.get(&id).cloned() else {
             self.found.claims.push(format!("request {id} was placed twice at {m}"));
             return;
@@ -398,15 +400,15 @@
         let waited = self.now - asked.at;
         self.found.waits.push(waited);
         // Once another owns it, nothing goes out under the epoch before.
-        if let Verdict::Go { epoch: Some(epoch), .. } = verdict
+        if let RoutingDecision::Send { epoch: Some(epoch), .. } = decision
             && let Some(highest) = self.highest.get(&asked.van).filter(|h| h.0 > epoch)
         {
             let what = format!("van {}: sent by {m} under {epoch:?} after {highest:?}", asked.van);
             self.found.claims.push(what);
         }
-        let Verdict::Go { pod, until, .. } = verdict else {
+        let RoutingDecision::Send { cell, until, .. } = decision else {
             if asked.key.is_some() {
-                *self.found.refused.entry(format!("{verdict:?}")).or_default() += 1;
+                *self.found.refused.entry(format!("{decision:?}")).or_default() += 1;
             }
             return;
         };
@@ -417,10 +419,18 @@
         let Some(key) = asked.key else {
             self.push(10, What::Sent { of, incarnation, id });
             self.found.plain += 1;
-            let at = *self.last_pod.get(&asked.van).unwrap_or(&pod.0);
-            self.found.at_their_pod += u64::from(at == pod.0);
-            self.last_pod.insert(asked.van, pod.0);
-            self.push(30_000, What::Done { of: NodeId(m as u16), incarnation, id, ran: Ran::Yes });
+            let at = *self.last_pod.get(&asked.van).unwrap_or(&cell.0);
+            self.found.at_their_pod += u64::from(at == cell.0);
+            self.last_pod.insert(asked.van, cell.0);
+            self.push(
+                30_000,
+                What::Done {
+                    of: NodeId(m as u16),
+                    incarnation,
+                    id,
+                    status: ExecutionStatus::Executed,
+                },
+            );
             return;
         };
         self.found.allowed += 1;
@@ -429,7 +439,12 @@
         if self.local(m, sent) >= until {
             self.push(
                 sent - self.now,
-                What::Done { of: NodeId(m as u16), incarnation, id, ran: Ran::No },
+                What::Done {
+                    of: NodeId(m as u16),
+                    incarnation,
+                    id,
+                    status: ExecutionStatus::NotExecuted,
+                },
             );
             return;
         }
@@ -441,49 +456,50 @@
             1 | 2 => Some(sent + self.rng.rand_range(0..self.day.run)),
             _ => Some(sent + 5_000),
         };
-        let ran = match runs {
-            None => [Ran::No, Ran::Maybe][usize::from(self.rng.rand_range(0..2) == 1)],
-            Some(at) if at > sent + 50_000 => Ran::Maybe,
-            Some(_) => Ran::Yes,
+        let status = match runs {
+            None => [ExecutionStatus::NotExecuted, ExecutionStatus::Unknown]
+                [usize::from(self.rng.rand_range(0..2) == 1)],
+            Some(at) if at > sent + 50_000 => ExecutionStatus::Unknown,
+            Some(_) => ExecutionStatus::Executed,
         };
         if let Some(at) = runs {
-            self.runs(key, Ran1 { at, sent, pod: pod.0, by: m as u16 });
+            self.runs(key, Ran1 { at, sent, cell: cell.0, by: m as u16 });
         }
-        self.last_pod.insert(asked.van, pod.0);
+        self.last_pod.insert(asked.van, cell.0);
         let after = sent - self.now + 50_000;
-        self.push(after, What::Done { of: NodeId(m as u16), incarnation, id, ran });
+        self.push(after, What::Done { of: NodeId(m as u16), incarnation, id, status });
     }
 
     /// A pod runs a key, unless it remembers it. What runs later is judged in the order of running.
-    fn runs(&mut self, key: u64, ran: Ran1) {
-        self.ran.entry(key).or_default().push(ran);
+    fn runs(&mut self, key: u64, status: Ran1) {
+        self.status.entry(key).or_default().push(status);
     }
 
     fn judge(&mut self) {
-        for (key, all) in &mut self.ran {
+        for (key, all) in &mut self.status {
             all.sort_by_key(|r| r.at);
             let mut effects: Vec<&Ran1> = Vec::new();
-            for ran in all.iter() {
+            for status in all.iter() {
                 let window = self.day.window;
-                if effects.iter().any(|e| e.pod == ran.pod && ran.at < e.at + window) {
+                if effects.iter().any(|e| e.cell == status.cell && status.at < e.at + window) {
                     continue;
                 }
-                if let Some(before) = effects.last().filter(|e| ran.at < e.at + window) {
+                if let Some(before) = effects.last().filter(|e| status.at < e.at + window) {
                     self.found.ran_twice.push(format!(
                         "key {key} ran in pod {} at {} (by {}) and in pod {} at {} (by {})",
-                        before.pod, before.at, before.by, ran.pod, ran.at, ran.by
+                        before.cell, before.at, before.by, status.cell, status.at, status.by
                     ));
                 }
                 // The same pod forgot it: then the repeat was sent too late after the first.
                 if let Some(before) = effects.last()
-                    && ran.sent < before.sent + window
+                    && status.sent < before.sent + window
                 {
                     self.found.ran_twice.push(format!(
                         "key {key} was sent at {} and again at {}, and both ran",
-                        before.sent, ran.sent
+                        before.sent, status.sent
                     ));
                 }
-                effects.push(ran);
+                effects.push(status);
             }
         }
     }
@@ -491,8 +507,8 @@
     /// What one balancer claims, against all others' claims at this moment.
     fn look(&mut self, m: usize) {
         for van in 0..self.day.vans {
-            let sid = sid(van);
-            let claim = |b: &Balancer, now| b.machine.as_ref().and_then(|s| s.owned(now, sid));
+            let session = session(van);
+            let claim = |b: &Balancer, now| b.machine.as_ref().and_then(|s| s.owned(now, session));
             let mine = claim(&self.all[m], self.local(m, self.now));
             let before = self.all[m].claims.get(&van).copied();
             if mine == before {
@@ -519,8 +535,8 @@
                 self.found.claims.push(format!("van {van}: {epoch:?} at {m} after {highest:?}"));
             }
             *highest = (epoch, NodeId(m as u16));
-            if let Some((at, site)) = self.arrived.get(&van).copied()
-                && site == self.all[m].site
+            if let Some((at, zone)) = self.arrived.get(&van).copied()
+                && zone == self.all[m].zone
             {
                 self.found.moves.push(self.now - at);
                 self.arrived.remove(&van);
@@ -534,25 +550,30 @@
         }
         self.next_id += 1;
         let id = self.next_id;
-        let effect = key.map_or(Effect::Safe, |k| Effect::Keyed(Key(k)));
+        let idempotency =
+            key.map_or(Idempotency::Idempotent, |k| Idempotency::Keyed(IdempotencyKey(k)));
         self.found.keyed += u64::from(key.is_some());
         self.all[m].requests.insert(id, Asked { van, key, at: self.now, repeat });
         let first = self.day.marked && !repeat;
         if self.day.off {
-            let pods: Vec<u16> = (0..self.day.sites * PODS_EACH)
-                .filter(|p| p / PODS_EACH == self.all[m].site && !self.out.contains(p))
+            let cells: Vec<u16> = (0..self.day.zones * CELLS_PER_ZONE)
+                .filter(|p| p / CELLS_PER_ZONE == self.all[m].zone && !self.out.contains(p))
                 .collect();
-            let Some(pod) = pods.get(van as usize % pods.len().max(1)) else { return };
+            let Some(cell) = cells.get(van as usize % cells.len().max(1)) else { return };
             let until = Duration::from_secs(1 << 30);
-            return self.placed(m, id, Verdict::Go { pod: Pod(*pod), epoch: None, until });
+            return self.placed(
+                m,
+                id,
+                RoutingDecision::Send { cell: Cell(*cell), epoch: None, until },
+            );
         }
         let deadline = self.local(m, self.now) + Duration::from_millis(1850);
-        self.tell(m, Event::Request { id, sid: sid(van), effect, first, deadline });
+        self.tell(m, Event::Request { id, session: session(van), idempotency, first, deadline });
     }
 
-    pub fn member_of(&mut self, site: u16) -> Option<usize> {
+    pub fn member_of(&mut self, zone: u16) -> Option<usize> {
         let n = self.rng.rand_range(0..u64::from(self.day.each)) as usize;
-        let m = usize::from(site * self.day.each) + n;
+        let m = usize::from(zone * self.day.each) + n;
         (self.alive(m) && self.now >= self.all[m].paused).then_some(m)
     }
 
@@ -576,32 +597,32 @@
     /// The council: who it reaches keeps a seat; who it does not loses it once the time that was given is
     /// over.
     fn council(&mut self) {
-        let mut seats = self.tables.last().cloned().unwrap_or_default();
+        let mut slots = self.tables.last().cloned().unwrap_or_default();
         let version = self.tables.len() as u64;
         let mut changed = false;
         for m in 0..self.all.len() {
-            let (member, incarnation) = (NodeId(m as u16), self.all[m].incarnation);
+            let (node, incarnation) = (NodeId(m as u16), self.all[m].incarnation);
             let reached =
                 self.alive(m) && self.now >= self.all[m].paused && !self.all[m].cut_council;
-            let seat = seats.iter().position(|s| s.member == member);
-            let over = self.given.get(&member).is_none_or(|until| *until <= self.now);
-            match seat {
+            let slot = slots.iter().position(|s| s.node == node);
+            let over = self.given.get(&node).is_none_or(|until| *until <= self.now);
+            match slot {
                 // A former life is over as soon as the new one is heard; a silent one with its lease.
                 Some(at)
-                    if (seats[at].incarnation != incarnation && reached) || (!reached && over) =>
+                    if (slots[at].incarnation != incarnation && reached) || (!reached && over) =>
                 {
-                    seats.remove(at);
+                    slots.remove(at);
                     changed = true;
                     if reached {
-                        let site = Site(self.all[m].site);
-                        seats.push(Seat { member, incarnation, site, since: version });
+                        let zone = Zone(self.all[m].zone);
+                        slots.push(OwnerSlot { node, incarnation, zone, since: version });
                     }
                 }
                 None if reached => {
-                    seats.push(Seat {
-                        member,
+                    slots.push(OwnerSlot {
+                        node,
                         incarnation,
-                        site: Site(self.all[m].site),
+                        zone: Zone(self.all[m].zone),
                         since: version,
                     });
                     changed = true;
@@ -610,15 +631,15 @@
             }
         }
         if changed {
-            self.tables.push(seats);
+            self.tables.push(slots);
             for m in 0..self.all.len() {
                 let after = self.rng.rand_range(0..60_000);
-                self.push(after, What::Table { of: NodeId(m as u16) });
+                self.push(after, What::OwnershipTable { of: NodeId(m as u16) });
             }
         }
         for m in 0..self.all.len() {
             if self.all[m].table > 0 {
-                self.seat(m);
+                self.slot(m);
             }
         }
         self.push(50_000, What::Council);
@@ -626,23 +647,23 @@
 
     /// A balancer hears the newest table, or that its seat holds on. No lease for a seat that the newest has
     /// not.
-    fn seat(&mut self, m: usize) {
+    fn slot(&mut self, m: usize) {
         if !self.alive(m) || self.now < self.all[m].paused || self.all[m].cut_council {
             return;
         }
-        let (member, incarnation) = (NodeId(m as u16), self.all[m].incarnation);
+        let (node, incarnation) = (NodeId(m as u16), self.all[m].incarnation);
         let newest = self.tables.len() as u64 - 1;
-        let held = self.tables.last().and_then(|t| t.iter().find(|s| s.member == member)).copied();
+        let held = self.tables.last().and_then(|t| t.iter().find(|s| s.node == node)).copied();
         if held.is_none_or(|s| s.incarnation != incarnation || self.all[m].table < s.since)
             && self.all[m].table > 0
         {
             return;
         }
         let until = self.local(m, self.now) + Duration::from_micros(self.day.lease * 99 / 100);
-        self.given.insert(member, self.now + self.day.lease * 101 / 100);
+        self.given.insert(node, self.now + self.day.lease * 101 / 100);
         let version = self.all[m].table;
         if version <= newest {
-            self.tell(m, Event::Seated { version, until });
+            self.tell(m, Event::SlotExtended { version, until });
         }
     }
 
@@ -654,16 +675,16 @@
         if version <= self.all[m].table {
             return;
         }
-        let seats = self.tables[version as usize].clone();
-        let (member, incarnation) = (NodeId(m as u16), self.all[m].incarnation);
+        let slots = self.tables[version as usize].clone();
+        let (node, incarnation) = (NodeId(m as u16), self.all[m].incarnation);
         let lease = Duration::from_micros(self.day.lease * 99 / 100);
         let mut until = Duration::ZERO;
-        if seats.iter().any(|s| (s.member, s.incarnation) == (member, incarnation)) {
+        if slots.iter().any(|s| (s.node, s.incarnation) == (node, incarnation)) {
             until = self.local(m, self.now) + lease;
-            self.given.insert(member, self.now + self.day.lease * 101 / 100);
+            self.given.insert(node, self.now + self.day.lease * 101 / 100);
         }
         self.all[m].table = version;
-        self.tell(m, Event::Awake { version, until, seats });
+        self.tell(m, Event::TableChanged { version, until, slots });
     }
 
     fn fault(&mut self) {
@@ -675,8 +696,8 @@
             3 => {
                 // Sites don't hear each other; one of them does not hear the council.
                 self.cut = true;
-                let site = self.rng.rand_range(0..u64::from(self.day.sites)) as u16;
-                for b in self.all.iter_mut().filter(|b| b.site == site) {
+                let zone = self.rng.rand_range(0..u64::from(self.day.zones)) as u16;
+                for b in self.all.iter_mut().filter(|b| b.zone == zone) {
                     b.cut_council = true;
                 }
                 self.push(2 * time, What::Mend { what: 2, which: 0 });
@@ -686,9 +707,9 @@
                 self.push(time, What::Mend { what: 2, which: 0 });
             }
             _ => {
-                let site = self.all[m].site;
+                let zone = self.all[m].zone;
                 for m in 0..self.all.len() {
-                    if self.all[m].site == site && self.chance(0.8) {
+                    if self.all[m].zone == zone && self.chance(0.8) {
                         self.crash(m);
                     }
                 }
@@ -699,34 +720,34 @@
     }
 
     fn drain(&mut self) {
-        let p = self.rng.rand_range(0..u64::from(self.day.sites * PODS_EACH)) as u16;
+        let p = self.rng.rand_range(0..u64::from(self.day.zones * CELLS_PER_ZONE)) as u16;
         if !self.out.remove(&p) && self.out.len() < 2 {
             self.out.insert(p);
         }
         self.revisions.push(self.out.clone());
         for m in 0..self.all.len() {
             let after = self.rng.rand_range(0..300_000);
-            self.push(after, What::Pods { of: NodeId(m as u16) });
+            self.push(after, What::CellsChanged { of: NodeId(m as u16) });
         }
         self.push(400_000, What::Drain);
     }
 
     fn van(&mut self, van: u64) {
-        let site = self.at_site[&van];
+        let zone = self.at_site[&van];
         let drives = self.day.drive;
-        if self.day.sites > 1 && self.chance(drives) {
-            let to = (site + 1 + self.rng.rand_range(0..u64::from(self.day.sites - 1)) as u16)
-                % self.day.sites;
+        if self.day.zones > 1 && self.chance(drives) {
+            let to = (zone + 1 + self.rng.rand_range(0..u64::from(self.day.zones - 1)) as u16)
+                % self.day.zones;
             self.at_site.insert(van, to);
-            let here = self.all.iter().filter(|b| b.site == to);
+            let here = self.all.iter().filter(|b| b.zone == to);
             // One that was pressed for there before is there already.
             if !here.clone().any(|b| b.claims.contains_key(&van)) {
                 self.arrived.insert(van, (self.now, to));
             }
         }
-        let site = self.at_site[&van];
+        let zone = self.at_site[&van];
         let keyed = self.chance(0.6);
-        if let Some(m) = self.member_of(site) {
+        if let Some(m) = self.member_of(zone) {
             if keyed {
                 self.next_key += 1;
                 let key = self.next_key;
@@ -735,10 +756,10 @@
                     // Pressed again: here, there, or at both at once.
                     let left = self.rng.rand_range(0..3) as u32;
                     let after = self.press_after();
-                    let to = self.rng.rand_range(0..u64::from(self.day.sites)) as u16;
-                    self.push(after, What::Press { van, key, site: to, left });
+                    let to = self.rng.rand_range(0..u64::from(self.day.zones)) as u16;
+                    self.push(after, What::Press { van, key, zone: to, left });
                     if self.chance(0.3) {
-                        self.push(after, What::Press { van, key, site: site ^ 1, left: 0 });
+                        self.push(after, What::Press { van, key, zone: zone ^ 1, left: 0 });
                     }
                 }
             } else {
@@ -783,14 +804,14 @@
                 }
             }
             What::Van { van } => self.van(van),
-            What::Press { van, key, site, left } => {
-                if let Some(m) = self.member_of(site % self.day.sites) {
+            What::Press { van, key, zone, left } => {
+                if let Some(m) = self.member_of(zone % self.day.zones) {
                     self.request(m, van, Some(key), true);
                 }
                 if left > 0 {
                     let after = self.press_after();
-                    let site = self.rng.rand_range(0..u64::from(self.day.sites)) as u16;
-                    self.push(after, What::Press { van, key, site, left: left - 1 });
+                    let zone = self.rng.rand_range(0..u64::from(self.day.zones)) as u16;
+                    self.push(after, What::Press { van, key, zone, left: left - 1 });
                 }
             }
             What::Sent { of, incarnation, id } => {
@@ -798,34 +819,34 @@
                     self.tell(usize::from(of.0), Event::Sent { id });
                 }
             }
-            What::Done { of, incarnation, id, ran } => {
+            What::Done { of, incarnation, id, status } => {
                 let m = usize::from(of.0);
                 if self.all[m].incarnation == incarnation {
-                    self.tell(m, Event::Ended { id, ran });
+                    self.tell(m, Event::Finished { id, status });
                 }
             }
             What::Council => self.council(),
-            What::Table { of } => self.table(usize::from(of.0)),
+            What::OwnershipTable { of } => self.table(usize::from(of.0)),
             What::Fault => self.fault(),
             What::Mend { what: 0, which } => {
                 self.start(usize::from(which));
                 let after = self.rng.rand_range(50_000..150_000);
-                self.push(after, What::Table { of: NodeId(which) });
+                self.push(after, What::OwnershipTable { of: NodeId(which) });
             }
             What::Mend { what: 1, which } => {
-                self.push(0, What::Table { of: NodeId(which) });
-                self.push(0, What::Pods { of: NodeId(which) });
+                self.push(0, What::OwnershipTable { of: NodeId(which) });
+                self.push(0, What::CellsChanged { of: NodeId(which) });
                 self.tell(usize::from(which), Event::Due);
             }
             What::Mend { .. } => {
                 self.cut = false;
                 for m in 0..self.all.len() {
                     self.all[m].cut_council = false;
-                    self.push(1_000, What::Table { of: NodeId(m as u16) });
+                    self.push(1_000, What::OwnershipTable { of: NodeId(m as u16) });
                 }
             }
             What::Drain => self.drain(),
-            What::Pods { of } => self.tell_pods(usize::from(of.0)),
+            What::CellsChanged { of } => self.tell_pods(usize::from(of.0)),
         }
     }
 
@@ -862,13 +883,13 @@
     }
 
     /// Drives a van to a site.
-    pub fn drive(&mut self, van: u64, site: u16) {
-        self.at_site.insert(van, site);
-        self.arrived.insert(van, (self.now, site));
+    pub fn drive(&mut self, van: u64, zone: u16) {
+        self.at_site.insert(van, zone);
+        self.arrived.insert(van, (self.now, zone));
     }
 
-    pub fn drain_pod(&mut self, pod: u16) {
-        self.out.insert(pod);
+    pub fn drain_pod(&mut self, cell: u16) {
+        self.out.insert(cell);
         self.revisions.push(self.out.clone());
         for m in 0..self.all.len() {
             self.tell_pods(m);
@@ -876,8 +897,8 @@
     }
 }
 
-pub fn sid(van: u64) -> Sid {
-    Sid((van + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15))
+pub fn session(van: u64) -> SessionId {
+    SessionId((van + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15))
 }
 
 /// Plays days side by side, three at a time, and gives what came of each, in order.
--- a/crates/sessions/tests/steps.rs
+++ b/crates/sessions/tests/steps.rs
@@ -12,9 +12,9 @@
     (day.vans, day.pace, day.points) = (1, 0, points);
     let mut world = World::new(day);
     world.crash_at = crash;
-    let press = |world: &mut World, at: u64, site: u16, key: u64| {
+    let press = |world: &mut World, at: u64, zone: u16, key: u64| {
         world.play(at);
-        if let Some(m) = world.member_of(site) {
+        if let Some(m) = world.member_of(zone) {
             world.request(m, 0, Some(key), false);
         }
     };
