--- a/crates/sessions/src/lib.rs
+++ b/crates/sessions/src/lib.rs
@@ -41,23 +41,23 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-mod asker;
-mod hash;
-mod home;
 mod machine;
 mod message;
-mod store;
-mod table;
-mod turn;
+mod ownership;
+mod ownership_table;
+mod reconfiguration;
+mod record_store;
+mod rendezvous;
+mod routing_client;
 
 use std::time::Duration;
 
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use serde::{Deserialize, Serialize};
 
-pub use hash::{WeightedCell, cell_for};
 pub use machine::{SessionMetrics, Sessions};
 pub use message::{MAX_MESSAGE_BYTES, MessageError};
+pub use rendezvous::{WeightedCell, cell_for};
 
 /// A van: the hash of its cookie `session` (PROTOCOL, 'Clients to balancers').
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
--- a/crates/sessions/src/machine.rs
+++ b/crates/sessions/src/machine.rs
@@ -1,17 +1,17 @@
-//! The machine of one balancer: its state, and which part of it hears what. The parts are [`crate::asker`]
-//! (requests), [`crate::home`] (records and moves) and [`crate::turn`] (changes of the table).
+//! The machine of one balancer: its state, and which part of it hears what. The parts are [`crate::routing_client`]
+//! (requests), [`crate::ownership`] (records and moves) and [`crate::reconfiguration`] (changes of the table).
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
 
 use hollowpaddle_peer_transport::NodeId;
 
-use crate::asker::{Copied, Pending, Placed};
-use crate::home::{OutgoingTransfer, OwnershipClaim};
 use crate::message::{Message, read, write};
-use crate::store::{KeyEntry, Ownership, RecordStore, UNKNOWN_CELL, tick};
-use crate::table::{LostOwners, OwnershipTable};
-use crate::turn::FetchRecords;
+use crate::ownership::{OutgoingTransfer, OwnershipClaim};
+use crate::ownership_table::{LostOwners, OwnershipTable};
+use crate::reconfiguration::FetchRecords;
+use crate::record_store::{KeyEntry, Ownership, RecordStore, UNKNOWN_CELL, tick};
+use crate::routing_client::{Copied, Pending, Placed};
 use crate::{
     Action, Cell, Config, Epoch, Event, IdempotencyKey, OwnerSlot, PERMIT_DURATION, SessionId,
     WeightedCell, cell_for,
--- a/crates/sessions/src/message.rs
+++ b/crates/sessions/src/message.rs
@@ -3,7 +3,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::store::MAX_SESSION_KEYS;
+use crate::record_store::MAX_SESSION_KEYS;
 use crate::{Cell, Epoch, IdempotencyKey, SessionId};
 
 /// No word is longer, in bytes. All but those of a change of the table, and records with more than eight keys
--- a/crates/sessions/src/home.rs
+++ b/crates/sessions/src/ownership.rs
@@ -18,8 +18,8 @@
 
 use crate::machine::{AGAIN, Out, PERMIT_MS, Sessions, Timer, millis};
 use crate::message::{Message, RouteOutcome, SessionRecord};
-use crate::store::{KeyEntry, Ownership, UNKNOWN_CELL, ms, tick, tick_up};
-use crate::table::precedes;
+use crate::ownership_table::precedes;
+use crate::record_store::{KeyEntry, Ownership, UNKNOWN_CELL, ms, tick, tick_up};
 use crate::{Cell, Epoch, IdempotencyKey, OwnerSlot, SessionId, Zone};
 
 /// Copies out and rights to send at a time, at most: those beyond wait for some to end.
--- a/crates/sessions/src/table.rs
+++ b/crates/sessions/src/ownership_table.rs
@@ -5,7 +5,7 @@
 
 use hollowpaddle_peer_transport::NodeId;
 
-use crate::hash::{Candidates, draw};
+use crate::rendezvous::{Candidates, draw};
 use crate::{OwnerSlot, SessionId, Zone};
 
 /// Old tables that are kept to know whose home was lost. Beyond them everything is in doubt until it has
--- a/crates/sessions/src/turn.rs
+++ b/crates/sessions/src/reconfiguration.rs
@@ -7,8 +7,8 @@
 
 use crate::machine::{AGAIN, Out, Sessions, Timer};
 use crate::message::{KeyRecord, MAX_CHUNK_BYTES, Message, SessionRecord};
-use crate::store::{Ownership, ms};
-use crate::table::OwnershipTable;
+use crate::ownership_table::OwnershipTable;
+use crate::record_store::{Ownership, ms};
 use crate::{Epoch, SessionId};
 
 /// What one other is asked for.
@@ -38,7 +38,7 @@
         }
         self.copies.clear();
         self.copies_end.clear();
-        self.pending.values_mut().for_each(crate::asker::Pending::ask_anew);
+        self.pending.values_mut().for_each(crate::routing_client::Pending::ask_anew);
         self.settle(now, went_on);
         self.sort_out(now, went_on, &old);
         self.pulls.clear();
@@ -188,7 +188,7 @@
                     known.expires_in = known.expires_in.max(expires_in);
                     known.first_permit_ago = known.first_permit_ago.max(first_permit_ago);
                     if known.cell != note.cell {
-                        known.cell = crate::store::UNKNOWN_CELL;
+                        known.cell = crate::record_store::UNKNOWN_CELL;
                     }
                 }
                 None => session_record.keys.push(KeyRecord {
@@ -256,7 +256,7 @@
 
 impl SessionRecord {
     pub(crate) fn nothing(session: SessionId) -> Self {
-        let cell = crate::store::UNKNOWN_CELL;
+        let cell = crate::record_store::UNKNOWN_CELL;
         Self { session, epoch: Epoch::default(), cell, uncertain_for: 0, keys: Vec::new() }
     }
 
--- a/crates/sessions/src/asker.rs
+++ b/crates/sessions/src/routing_client.rs
@@ -5,7 +5,7 @@
 
 use crate::machine::{MINE, Out, PERMIT_MS, Sessions, Timer, millis, outside};
 use crate::message::{KeyRecord, Message, RouteOutcome};
-use crate::store::{KeyEntry, Ownership, ms, tick, tick_up};
+use crate::record_store::{KeyEntry, Ownership, ms, tick, tick_up};
 use crate::{
     Action, Cell, Epoch, ExecutionStatus, Idempotency, IdempotencyKey, RoutingDecision,
     RoutingFailure, SessionId,
