--- a/crates/policy/src/attempt_tracker.rs
+++ b/crates/policy/src/attempt_tracker.rs
@@ -17,7 +17,7 @@
     pub(crate) sent: Time,
     pub(crate) queue_deadline: Time,
     /// It was overdue once.
-    pub(crate) late: bool,
+    pub(crate) was_due: bool,
 }
 
 /// Attempts of one class that are not due yet.
--- a/crates/policy/src/estimate.rs
+++ b/crates/policy/src/estimate.rs
@@ -3,11 +3,11 @@
 use crate::interface::Outcome;
 
 /// Weight of a new round trip in TS (per answer): about the last eight answers count.
-pub(crate) const TS_GAIN: f64 = 0.125;
+pub(crate) const SLOWNESS_GAIN: f64 = 0.125;
 /// An attempt that failed counts as this many mean service times at least.
 const FAULT_SLOWNESS: f64 = 5.0;
 /// One answer counts as this many at most: a heavy request must not condemn the upstream that drew it.
-pub(crate) const SLOWNESS_MAX: f64 = 10.0;
+pub(crate) const MAX_SLOWNESS: f64 = 10.0;
 
 /// What the answers of one upstream told: the round trip is split into 2*TP + TS.
 #[derive(Clone, Copy, Debug)]
@@ -35,6 +35,6 @@
             Outcome::Error | Outcome::Timeout | Outcome::Reset => service.max(FAULT_SLOWNESS),
             _ => return,
         };
-        self.slow += (service.min(SLOWNESS_MAX) - self.slow) * TS_GAIN;
+        self.slow += (service.min(MAX_SLOWNESS) - self.slow) * SLOWNESS_GAIN;
     }
 }
--- a/crates/policy/src/policy/dispatch.rs
+++ b/crates/policy/src/policy/dispatch.rs
@@ -98,7 +98,7 @@
             class,
             sent,
             queue_deadline,
-            late: false,
+            was_due: false,
         });
         self.count_level(now, server, None);
         self.upstreams.count_in_flight(server, i32::from(takes));
--- a/crates/policy/src/policy/fair_share.rs
+++ b/crates/policy/src/policy/fair_share.rs
@@ -1,7 +1,7 @@
 //! Sets this balancer's limit on requests in flight: its even part of what the fleet can hold, times a leeway that is learned.
 
 use super::Balancer;
-use crate::estimate::SLOWNESS_MAX;
+use crate::estimate::MAX_SLOWNESS;
 use crate::interface::Outcome;
 
 /// A proxy starts with so many times its even part of the bank's slots: clients are never spread evenly.
@@ -30,8 +30,8 @@
     pub(super) fn adjust_leeway(&mut self, latency: f64, outcome: Outcome) {
         let f = &mut self.fleet;
         let latency = match outcome {
-            Outcome::Ok => latency.min(SLOWNESS_MAX),
-            Outcome::Full => SLOWNESS_MAX,
+            Outcome::Ok => latency.min(MAX_SLOWNESS),
+            Outcome::Full => MAX_SLOWNESS,
             _ => return,
         };
         f.baseline_ts += if f.ts < f.baseline_ts {
--- a/crates/policy/src/policy/hedging.rs
+++ b/crates/policy/src/policy/hedging.rs
@@ -1,113 +1,178 @@
-//! Finds attempts that are overdue, and hedges them.
+//! Finds attempts that are overdue, releases their slots, and hedges them with a second attempt elsewhere.
+//!
+//! Which upstream the second attempt goes to is for [`super::selection`] to say; that it goes out, for
+//! [`super::dispatch`].
 
 use super::Balancer;
-use super::outlier::CLASS_DOUBLINGS;
+use super::outlier::MAX_CLASS_PAUSE_DOUBLINGS;
 use crate::attempt_tracker::TrackedAttempt;
-use crate::interface::{Outcome, Span, Time};
+use crate::interface::{Outcome, RequestId, Span, Time};
 use crate::request_state::{Attempt, AttemptState};
 
-/// Attempts that each event looks at, of those that may be overdue.
+/// Due attempts that each event checks.
 pub(super) const CHECKS_PER_EVENT: usize = 4;
-/// An attempt is overdue so many mean deviations past its class's mean latency.
+/// An attempt is overdue this many mean deviations past its class's mean latency.
 const OVERDUE_DEVIATIONS: f64 = 3.0;
-/// A second copy goes no sooner than after so many times the mean.
+/// The shortest hedge delay, in mean latencies of the class.
 const MIN_HEDGE_MEANS: f64 = 1.5;
-/// And only where more than this share of those so late were never answered: a slow fleet needs no more load.
+/// A class is hedged only if more than this share of its late attempts was never answered: more load would not help a
+/// fleet that is merely slow.
 const HEDGE_THRESHOLD: f64 = 0.4;
 
+/// An attempt that has just been found late, hedgeable or both.
+struct DueAttempt {
+    request: RequestId,
+    /// Its number among the attempts of the request.
+    number: usize,
+    class: usize,
+    /// As it was before this check.
+    attempt: Attempt,
+    /// When it became overdue.
+    overdue_at: Time,
+    is_overdue: bool,
+    is_hedge_due: bool,
+    /// The client's body is still arriving, so that the delay is not the upstream's fault.
+    flows: bool,
+}
+
 impl Balancer {
-    /// When an attempt is overdue, long past its class's latency; and when a second one must go to be in
-    /// time.
-    fn due_times(&self, w: &TrackedAttempt) -> (Time, Time) {
-        let (mean, dev) = (self.fleet.mean_latency[w.class], self.fleet.latency_deviation[w.class]);
+    /// When an attempt is overdue, and when it must be hedged for the second attempt to be in time.
+    fn due_times(&self, tracked: &TrackedAttempt) -> (Time, Time) {
+        let mean = self.fleet.mean_latency[tracked.class];
+        let deviation = self.fleet.latency_deviation[tracked.class];
         if mean == 0.0 {
-            let latency_objective = w.sent.plus(self.settings.classes[w.class].latency_objective);
-            return (latency_objective, latency_objective);
+            let objective = self.settings.classes[tracked.class].latency_objective;
+            let at = tracked.sent.plus(objective);
+            return (at, at);
         }
-        let hedge_delay = mean + OVERDUE_DEVIATIONS * dev;
-        let left = w.queue_deadline.since(w.sent).f() - mean;
-        let again = hedge_delay.min(left).max(mean * MIN_HEDGE_MEANS);
-        (w.sent.plus(Span::of(hedge_delay)), w.sent.plus(Span::of(again)))
+        let overdue_after = mean + OVERDUE_DEVIATIONS * deviation;
+        let latest_hedge = tracked.queue_deadline.since(tracked.sent).f() - mean;
+        let hedge_after = overdue_after.min(latest_hedge).max(mean * MIN_HEDGE_MEANS);
+        let overdue_at = tracked.sent.plus(Span::of(overdue_after));
+        (overdue_at, tracked.sent.plus(Span::of(hedge_after)))
     }
 
-    /// Sets when an attempt of a class may be overdue, or in need of a second one, from its mean.
+    /// Recomputes the least delay after which attempts of a class may be due, from its mean latency.
     pub(crate) fn reset_hedge_delay(&mut self, class: usize) {
-        let (mean, dev) = (self.fleet.mean_latency[class], self.fleet.latency_deviation[class]);
-        let least = (mean + OVERDUE_DEVIATIONS * dev).min(mean * MIN_HEDGE_MEANS);
-        let latency_objective = self.settings.classes[class].latency_objective;
-        self.tracker
-            .set_hedge_delay(class, if mean == 0.0 { latency_objective } else { Span::of(least) });
+        let mean = self.fleet.mean_latency[class];
+        let deviation = self.fleet.latency_deviation[class];
+        let least = (mean + OVERDUE_DEVIATIONS * deviation).min(mean * MIN_HEDGE_MEANS);
+        let objective = self.settings.classes[class].latency_objective;
+        let delay = if mean == 0.0 { objective } else { Span::of(least) };
+        self.tracker.set_hedge_delay(class, delay);
     }
 
-    /// Attempts that may be due leave the young ones; so many a class.
-    pub(super) fn collect_due(&mut self, now: Time, most: usize) {
+    /// Collects attempts that may be due, at most `limit` of each class.
+    pub(super) fn collect_due(&mut self, now: Time, limit: usize) {
         let queue = &self.queue;
-        self.tracker.collect_due(now, most, |w| {
-            queue.attempt(w).is_some_and(|a| a.state == AttemptState::InFlight)
+        self.tracker.collect_due(now, limit, |tracked| {
+            queue.attempt(tracked).is_some_and(|a| a.state == AttemptState::InFlight)
         });
     }
 
-    /// Watches what is out. What is overdue is a fault of its upstream in its class; in time for a second
-    /// one, it is sent elsewhere too where that is allowed, promises something and the budget lasts. Guards
-    /// against hung and vanished upstreams, lost answers, stalls, a class that goes unanswered, dead
-    /// connections. May hurt where requests of one class differ widely: a heavy one looks lost.
-    pub(super) fn check_due(&mut self, now: Time, most: usize) {
-        for _ in 0..most {
-            let Some(mut w) = self.tracker.next() else { return };
-            let (late_at, again_at) = self.due_times(&w);
-            if now < late_at.min(again_at) && !w.late {
-                self.tracker.retain(w);
-                continue;
-            }
-            let (id, n) = (w.request, w.attempt);
-            let Some(e) = self.queue.get(id) else { continue };
-            // One that flowed when it was sent is watched anew since it is whole.
-            let out = |a: &&Attempt| a.state == AttemptState::InFlight && a.sent == w.sent;
-            let Some(a) = e.attempts.get(n).filter(out).copied() else { continue };
-            w.late = true;
-            self.tracker.retain(w);
-            let (late, hedge_due) = (a.overdue || now >= late_at, a.hedge_due || now >= again_at);
-            let capacity_group = self.upstreams.capacity_groups.load(e.class);
-            let idle = capacity_group.queued == 0
-                && (capacity_group.in_flight as f64) < capacity_group.slots;
-            let likely = self.fleet.unanswered_share[e.class] > HEDGE_THRESHOLD;
-            let again = hedge_due && !a.hedge_due && likely && idle && self.hedge_budget >= 1.0;
-            let again =
-                again && !e.is_finished && !e.is_queued && !e.flows && now < e.queue_deadline;
-            let again = again && self.has_upstream(now, e);
-            let (class, server, was_late, flows) = (e.class, a.server, a.overdue, e.flows);
-            let s = &mut self.upstreams.servers[server];
-            // Failure: lost answers held their slots for two aims, and the fleet was refused for. What is
-            // overtaken is lost. With a K_i of one nothing overtakes (silent connections held all slots), so
-            // between two answers of an upstream one is given up on time alone.
-            let over =
-                s.last_answered_sent > Time(i64::MIN) && now >= late_at.plus(late_at.since(a.sent));
-            // Its client is slow, not its upstream: it has the slot again once it is whole.
-            let lost = late && !a.slot_released && (s.last_answered_sent > a.sent || over || flows);
-            if lost && !flows && s.last_answered_sent <= a.sent {
-                s.last_answered_sent = Time(i64::MIN);
-            }
-            if late && !a.overdue && !flows {
-                let mean = self.fleet.mean_latency[class].max(1.0);
-                s.estimate.learn(Outcome::Timeout, now.since(a.sent).f(), mean);
-                s.by_class.get_mut(class).trip(now, mean, CLASS_DOUBLINGS);
-            }
-            if again {
-                self.hedge_budget -= 1.0;
-                self.hold(id, true);
-            }
-            if lost {
-                self.count_level(now, a.server, None);
-                self.upstreams.count_in_flight(a.server, -1);
-            }
-            if let Some(a) = self.queue.get_mut(id).and_then(|e| e.attempts.get_mut(n)) {
-                (a.overdue, a.hedge_due, a.slot_released) =
-                    (late, hedge_due, a.slot_released || lost);
-            }
-            if lost || late && !was_late {
-                self.update(server);
-                self.refresh_availability(now, server);
+    /// Checks at most `limit` of the attempts that may be due.
+    ///
+    /// This guards against upstreams that hang or vanish, lost answers, stalls, a class that goes unanswered and dead
+    /// connections. Its limit: where requests of one class differ widely, a heavy one looks lost.
+    pub(super) fn check_due(&mut self, now: Time, limit: usize) {
+        for _ in 0..limit {
+            let Some(tracked) = self.tracker.next() else { return };
+            if let Some(due) = self.find_due(now, tracked) {
+                self.handle_due(now, due);
             }
         }
     }
+
+    /// The attempt, if it is due. One that is still in flight stays tracked.
+    fn find_due(&mut self, now: Time, mut tracked: TrackedAttempt) -> Option<DueAttempt> {
+        let (overdue_at, hedge_at) = self.due_times(&tracked);
+        if now < overdue_at.min(hedge_at) && !tracked.was_due {
+            self.tracker.retain(tracked);
+            return None;
+        }
+        let entry = self.queue.get(tracked.request)?;
+        // An attempt whose body was complete only later is tracked anew from then on, with another time of sending.
+        let is_tracked = |a: &&Attempt| a.state == AttemptState::InFlight && a.sent == tracked.sent;
+        let attempt = entry.attempts.get(tracked.attempt).filter(is_tracked).copied()?;
+        let due = DueAttempt {
+            request: tracked.request,
+            number: tracked.attempt,
+            class: entry.class,
+            attempt,
+            overdue_at,
+            is_overdue: attempt.overdue || now >= overdue_at,
+            is_hedge_due: attempt.hedge_due || now >= hedge_at,
+            flows: entry.flows,
+        };
+        tracked.was_due = true;
+        self.tracker.retain(tracked);
+        Some(due)
+    }
+
+    /// Counts an overdue attempt as a fault, hedges it, and releases its slot if it counts as lost.
+    fn handle_due(&mut self, now: Time, due: DueAttempt) {
+        let server = due.attempt.server;
+        let is_hedged = self.may_hedge(now, &due);
+        let is_lost = self.is_lost(now, &due);
+        let s = &mut self.upstreams.servers[server];
+        if is_lost && !due.flows && s.last_answered_sent <= due.attempt.sent {
+            // Of those not overtaken, one is given up between two answers of an upstream.
+            s.last_answered_sent = Time(i64::MIN);
+        }
+        if due.is_overdue && !due.attempt.overdue && !due.flows {
+            let mean = self.fleet.mean_latency[due.class].max(1.0);
+            s.estimate.learn(Outcome::Timeout, now.since(due.attempt.sent).f(), mean);
+            s.by_class.get_mut(due.class).trip(now, mean, MAX_CLASS_PAUSE_DOUBLINGS);
+        }
+        if is_hedged {
+            self.hedge_budget -= 1.0;
+            self.hold(due.request, true);
+        }
+        if is_lost {
+            self.count_level(now, server, None);
+            self.upstreams.count_in_flight(server, -1);
+        }
+        let entry = self.queue.get_mut(due.request);
+        if let Some(attempt) = entry.and_then(|e| e.attempts.get_mut(due.number)) {
+            attempt.overdue = due.is_overdue;
+            attempt.hedge_due = due.is_hedge_due;
+            attempt.slot_released = due.attempt.slot_released || is_lost;
+        }
+        if is_lost || due.is_overdue && !due.attempt.overdue {
+            self.update(server);
+            self.refresh_availability(now, server);
+        }
+    }
+
+    /// Whether a second attempt may go out now: the first has just become late enough, a second one promises an
+    /// answer, slots are idle, and the budget lasts.
+    fn may_hedge(&self, now: Time, due: &DueAttempt) -> bool {
+        let Some(entry) = self.queue.get(due.request) else { return false };
+        let load = self.upstreams.capacity_groups.load(due.class);
+        let has_idle_slots = load.queued == 0 && (load.in_flight as f64) < load.slots;
+        due.is_hedge_due
+            && !due.attempt.hedge_due
+            && self.fleet.unanswered_share[due.class] > HEDGE_THRESHOLD
+            && has_idle_slots
+            && self.hedge_budget >= 1.0
+            && !entry.is_finished
+            && !entry.is_queued
+            && !entry.flows
+            && now < entry.queue_deadline
+            && self.has_upstream(now, entry)
+    }
+
+    /// Whether an overdue attempt counts as lost, so that its slot is free again.
+    ///
+    /// An attempt is lost once a later one was answered by the same upstream. Where K_i is one there is no later one:
+    /// then time alone decides. While its body arrives, the client is the slow one, and the slot is taken again once
+    /// the body is complete.
+    fn is_lost(&self, now: Time, due: &DueAttempt) -> bool {
+        let answered = self.upstreams.servers[due.attempt.server].last_answered_sent;
+        let sent = due.attempt.sent;
+        let is_overtaken = answered > sent;
+        let has_timed_out =
+            answered > Time(i64::MIN) && now >= due.overdue_at.plus(due.overdue_at.since(sent));
+        due.is_overdue && !due.attempt.slot_released && (is_overtaken || has_timed_out || due.flows)
+    }
 }
--- a/crates/policy/src/policy/outlier.rs
+++ b/crates/policy/src/policy/outlier.rs
@@ -1,80 +1,122 @@
-//! Takes in the outcomes of attempts: learns from them, and ejects upstreams that fail.
+//! Takes in the outcomes of attempts: learns from them, and ejects upstreams that fail for a while.
+//!
+//! What becomes of the request is for [`super::retry`] to say.
 
 use super::Balancer;
-use crate::estimate::TS_GAIN;
+use crate::estimate::SLOWNESS_GAIN;
 use crate::interface::{Action, Answer, Outcome, Time};
 use crate::request_state::{Attempt, AttemptState};
 
-/// An upstream that turned a request away or can't be reached rests for this share of the mean service time.
+/// First pause of an upstream that rejected a request or can't be reached, in mean service times.
 const PAUSE_OF_TS: f64 = 0.5;
-/// Most doublings of that: some thirty service times between trials of a dead upstream.
-const PAUSE_DOUBLINGS: u32 = 6;
-/// Most doublings where one class goes unanswered: a trial costs a request; no pause outlasts the trouble.
-pub(super) const CLASS_DOUBLINGS: u32 = 10;
+/// Most doublings of that pause: a dead upstream is tried about every thirty service times.
+const MAX_PAUSE_DOUBLINGS: u32 = 6;
+/// Most doublings of the pause of one class at an upstream. Each try costs a request, so that pauses may grow long.
+pub(super) const MAX_CLASS_PAUSE_DOUBLINGS: u32 = 10;
 
 impl Balancer {
-    pub(super) fn outcome(&mut self, now: Time, a: Answer, out: &mut Vec<Action>) {
-        let Some(e) = self.queue.get_mut(a.request) else { return };
-        let Some(attempt) =
-            e.attempts.get_mut(a.attempt).filter(|t| t.state == AttemptState::InFlight)
-        else {
+    /// An attempt has ended: books its outcome, then retries or ends its request.
+    pub(super) fn outcome(&mut self, now: Time, answer: Answer, out: &mut Vec<Action>) {
+        let Some(entry) = self.queue.get_mut(answer.request) else { return };
+        let in_flight = |a: &&mut Attempt| a.state == AttemptState::InFlight;
+        let Some(attempt) = entry.attempts.get_mut(answer.attempt).filter(in_flight) else {
             return;
         };
-        attempt.state =
-            if a.outcome.never_ran() { AttemptState::NeverRan } else { AttemptState::MayHaveRun };
+        attempt.state = if answer.outcome.never_ran() {
+            AttemptState::NeverRan
+        } else {
+            AttemptState::MayHaveRun
+        };
         let attempt = *attempt;
-        let server = attempt.server;
-        (e.spent, e.flows) = (e.spent || a.spent, e.flows && !a.spent);
-        let (class, ordering_key) = (e.class, e.ordering_key);
-        let may_run = matches!(a.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
-        let rest_key = now.plus(self.settings.rules.turn_gap);
-        self.queue.rest_key(ordering_key.filter(|_| may_run), rest_key);
-        self.learn(now, class, attempt, &a);
-        self.close_idle_connections(now, server, out);
-        if a.last || a.outcome == Outcome::Ok {
-            self.end(a.request);
+        entry.spent |= answer.spent;
+        entry.flows &= !answer.spent;
+        let (class, ordering_key) = (entry.class, entry.ordering_key);
+        if matches!(answer.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
+            // It may still be running at the upstream.
+            self.queue.rest_key(ordering_key, now.plus(self.settings.rules.turn_gap));
+        }
+        self.learn(now, class, attempt, &answer);
+        self.close_idle_connections(now, attempt.server, out);
+        if answer.last || answer.outcome == Outcome::Ok {
+            self.end(answer.request);
         } else {
-            self.retry_or_finish(now, a.request, out);
+            self.retry_or_finish(now, answer.request, out);
         }
         self.dispatch(now, out);
     }
 
-    pub(super) fn learn(&mut self, now: Time, class: usize, attempt: Attempt, a: &Answer) {
+    /// Updates all estimates by an outcome, and frees the slot of its attempt.
+    fn learn(&mut self, now: Time, class: usize, attempt: Attempt, answer: &Answer) {
         let server = attempt.server;
-        // Failure: one absurd latency put the mean of its class out of reach for good.
-        let latency = a.latency.f().clamp(1.0, self.settings.classes[class].deadline.f());
-        self.count_level(now, server, (a.outcome == Outcome::Ok).then_some(class));
-        // Failure: a second lane on trial made an upstream look slow, and drove its proxy into the parts of
-        // others.
-        let tried =
-            self.upstreams.servers[server].in_flight > Self::k(&self.upstreams.servers[server], 0);
-        if a.outcome == Outcome::Ok && !tried {
-            self.learn_latency(class, latency);
-        }
-        // What warm upstreams served counts, not what they were sent: in a storm of refusals the sends of a
-        // bank add up to a multiple of what any upstream can do.
+        let outcome = answer.outcome;
+        let is_ok = outcome == Outcome::Ok;
+        // One absurd latency must not put the mean of its class out of reach.
+        let latency = answer.latency.f().clamp(1.0, self.settings.classes[class].deadline.f());
+        self.count_level(now, server, is_ok.then_some(class));
+        // A probed upstream runs more requests than it usually does: its latency says nothing of its speed.
         let s = &self.upstreams.servers[server];
-        if a.outcome == Outcome::Ok && self.warm_up_share(now, s).is_none() {
-            self.upstreams.kinds.count_served(s.type_index);
+        let is_probe = s.in_flight > Self::k(s, 0);
+        if is_ok && !is_probe {
+            self.learn_latency(class, latency);
         }
+        self.count_served(now, server, outcome);
         let mean = self.fleet.mean_latency[class];
         let mean = if mean > 0.0 { mean } else { self.fleet.ts };
-        self.adjust_leeway(latency / mean, a.outcome);
-        let s = &mut self.upstreams.servers[server];
-        if attempt.hedge_due && a.outcome != Outcome::Cancelled {
-            let hopeless = &mut self.fleet.unanswered_share[class];
-            *hopeless += (f64::from(a.outcome != Outcome::Ok) - *hopeless) * TS_GAIN;
+        self.adjust_leeway(latency / mean, outcome);
+        self.learn_unanswered(class, attempt, outcome);
+        // An overdue attempt was counted as timed out when it became overdue.
+        let is_counted = attempt.overdue && outcome == Outcome::Timeout;
+        if !is_counted && !(is_ok && is_probe) {
+            self.learn_slowness(server, outcome, latency, mean);
         }
-        let counted = attempt.overdue && a.outcome == Outcome::Timeout;
-        if !counted && (a.outcome != Outcome::Ok || !tried) {
-            let tp2 = s.estimate.tp2;
-            s.estimate.learn(a.outcome, latency, mean);
-            self.fleet.tp2_sum.change(tp2, s.estimate.tp2);
-            self.fleet.tp2_count += usize::from(tp2.is_none() && s.estimate.tp2.is_some());
+        self.eject_or_restore(now, class, attempt, outcome, mean);
+        if !attempt.slot_released {
+            self.upstreams.count_in_flight(server, -1);
         }
-        match a.outcome {
+        self.update(server);
+        self.refresh_availability(now, server);
+    }
+
+    /// Counts what warm upstreams of a machine type served, which slow start paces sends by.
+    ///
+    /// Sends are no measure: under overload those of all balancers add up to a multiple of what an upstream can do.
+    fn count_served(&mut self, now: Time, server: usize, outcome: Outcome) {
+        let s = &self.upstreams.servers[server];
+        if outcome == Outcome::Ok && self.warm_up_share(now, s).is_none() {
+            self.upstreams.kinds.count_served(s.type_index);
+        }
+    }
+
+    /// Updates the share of attempts that were late enough to be hedged and were never answered.
+    fn learn_unanswered(&mut self, class: usize, attempt: Attempt, outcome: Outcome) {
+        if attempt.hedge_due && outcome != Outcome::Cancelled {
+            let share = &mut self.fleet.unanswered_share[class];
+            *share += (f64::from(outcome != Outcome::Ok) - *share) * SLOWNESS_GAIN;
+        }
+    }
+
+    /// Updates the estimate of one upstream, and the fleet's sum of propagation times with it.
+    fn learn_slowness(&mut self, server: usize, outcome: Outcome, latency: f64, mean: f64) {
+        let estimate = &mut self.upstreams.servers[server].estimate;
+        let before = estimate.tp2;
+        estimate.learn(outcome, latency, mean);
+        self.fleet.tp2_sum.change(before, estimate.tp2);
+        self.fleet.tp2_count += usize::from(before.is_none() && estimate.tp2.is_some());
+    }
+
+    /// Ejects an upstream after a fault, for all classes or for the one concerned; an answer ends both.
+    fn eject_or_restore(
+        &mut self,
+        now: Time,
+        class: usize,
+        attempt: Attempt,
+        outcome: Outcome,
+        mean: f64,
+    ) {
+        let s = &mut self.upstreams.servers[attempt.server];
+        match outcome {
             Outcome::Full | Outcome::ConnectFailed => {
-                s.breaker.trip(now, self.fleet.ts * PAUSE_OF_TS, PAUSE_DOUBLINGS);
+                s.breaker.trip(now, self.fleet.ts * PAUSE_OF_TS, MAX_PAUSE_DOUBLINGS);
             }
             Outcome::Ok => {
                 s.last_answered_sent = s.last_answered_sent.max(attempt.sent);
@@ -82,14 +124,9 @@
                 s.by_class.reset(class);
             }
             Outcome::Error | Outcome::Timeout | Outcome::Reset if !attempt.overdue => {
-                s.by_class.get_mut(class).trip(now, mean, CLASS_DOUBLINGS);
+                s.by_class.get_mut(class).trip(now, mean, MAX_CLASS_PAUSE_DOUBLINGS);
             }
             _ => {}
         }
-        if !attempt.slot_released {
-            self.upstreams.count_in_flight(server, -1);
-        }
-        self.update(server);
-        self.refresh_availability(now, server);
     }
 }
