--- a/crates/policy/src/attempt_tracker.rs
+++ b/crates/policy/src/attempt_tracker.rs
@@ -1,4 +1,6 @@
-//! Attempts in flight, in the order in which they may become overdue.
+//! Tracks attempts in flight, so that those that may be overdue are found without a scan of all.
+//!
+//! When an attempt is overdue, and what follows, is for [`crate::policy`] to say.
 
 use std::collections::VecDeque;
 
@@ -6,34 +8,35 @@
 
 use crate::interface::{RequestId, Span, Time};
 
-/// An attempt that may still be out, with what tells when it is overdue: a look at its request costs more.
+/// An attempt that may still be in flight, with what says when it is overdue: its request costs more to look up.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TrackedAttempt {
-    /// Counts sends.
+    /// Its number in the order of sending; set by [`AttemptTracker::track`].
     pub(crate) order: u64,
     pub(crate) request: RequestId,
+    /// Its number among the attempts of the request.
     pub(crate) attempt: usize,
     pub(crate) class: usize,
     pub(crate) sent: Time,
     pub(crate) queue_deadline: Time,
-    /// It was overdue once.
+    /// It was overdue or due for a hedge before.
     pub(crate) was_due: bool,
 }
 
 /// Attempts of one class that are not due yet.
 #[derive(Debug)]
 struct ClassAttempts {
-    /// In the order of sending, which is that of coming due. Some have ended.
+    /// In the order of sending, which is that of becoming due. Some have ended.
     attempts: VecDeque<TrackedAttempt>,
-    /// They may be due so long after they were sent.
+    /// They may be due this long after they were sent.
     hedge_delay: Span,
 }
 
 impl ClassAttempts {
     /// When the first may be due, as a key.
-    fn due(&self) -> Key {
+    fn first_due(&self) -> Key {
         let first = self.attempts.front();
-        first.map_or(Key::OUT, |w| time_key(w.sent.plus(self.hedge_delay)))
+        first.map_or(Key::OUT, |a| time_key(a.sent.plus(self.hedge_delay)))
     }
 }
 
@@ -42,104 +45,107 @@
     Key(at.0 as u64 ^ 1 << 63, 0)
 }
 
-/// Attempts that are out, so that those that may be overdue are found without going through all.
+/// All attempts that may be in flight. Those that may be due are gone through in rounds.
 #[derive(Debug)]
 pub(crate) struct AttemptTracker {
-    /// By class.
-    by_class: Vec<ClassAttempts>,
-    /// Which class has attempts that are due next.
-    due: TournamentTree,
-    /// Those that may be due, all classes in the order of sending: what this round has not looked at, and behind it
-    /// what it has kept.
-    due_attempts: VecDeque<TrackedAttempt>,
-    /// Those that have come to be so since the round began.
+    classes: Vec<ClassAttempts>,
+    /// Classes by when their first attempt may be due.
+    next_due: TournamentTree,
+    /// Attempts of all classes that may be due, in the order of sending: first those that this round has not reached,
+    /// then those that it has retained.
+    due: VecDeque<TrackedAttempt>,
+    /// Attempts that may be due since this round began.
     newly_due: Vec<TrackedAttempt>,
-    sent: u64,
-    /// How many of the ripe ones this round has not looked at.
+    /// Attempts tracked so far.
+    tracked: u64,
+    /// Attempts that this round has not reached.
     remaining: usize,
 }
 
 impl AttemptTracker {
-    /// With each class's patience.
-    pub(crate) fn new(hedge_delay: impl Iterator<Item = Span>) -> Self {
-        let by_class = |hedge_delay| ClassAttempts { attempts: VecDeque::new(), hedge_delay };
+    /// Tracks nothing yet; `hedge_delays` are those of the classes.
+    pub(crate) fn new(hedge_delays: impl Iterator<Item = Span>) -> Self {
+        let empty = |hedge_delay| ClassAttempts { attempts: VecDeque::new(), hedge_delay };
         Self {
-            by_class: hedge_delay.map(by_class).collect(),
-            due: TournamentTree::default(),
-            due_attempts: VecDeque::new(),
+            classes: hedge_delays.map(empty).collect(),
+            next_due: TournamentTree::default(),
+            due: VecDeque::new(),
             newly_due: Vec::new(),
-            sent: 0,
+            tracked: 0,
             remaining: 0,
         }
     }
 
-    /// One has been sent.
-    pub(crate) fn track(&mut self, w: TrackedAttempt) {
-        self.sent += 1;
-        self.by_class[w.class].attempts.push_back(TrackedAttempt { order: self.sent, ..w });
-        if self.by_class[w.class].attempts.len() == 1 {
-            self.due.set(w.class, self.by_class[w.class].due());
+    /// Tracks an attempt that is sent now.
+    pub(crate) fn track(&mut self, attempt: TrackedAttempt) {
+        self.tracked += 1;
+        let class = &mut self.classes[attempt.class];
+        class.attempts.push_back(TrackedAttempt { order: self.tracked, ..attempt });
+        if class.attempts.len() == 1 {
+            self.next_due.set(attempt.class, class.first_due());
         }
     }
 
-    /// Attempts of a class may be due so long after they were sent, from now on.
+    /// Sets how long after they were sent attempts of a class may be due.
     pub(crate) fn set_hedge_delay(&mut self, class: usize, hedge_delay: Span) {
-        self.by_class[class].hedge_delay = hedge_delay;
-        self.due.set(class, self.by_class[class].due());
+        self.classes[class].hedge_delay = hedge_delay;
+        self.next_due.set(class, self.classes[class].first_due());
     }
 
-    /// Those that may be due by now ripen, so many of each class, or are dropped if they are not out any more.
+    /// Collects attempts that may be due by now for the next round, at most `limit` of each class. Those that are not
+    /// in flight any more are dropped.
     pub(crate) fn collect_due(
         &mut self,
         now: Time,
-        most: usize,
-        out: impl Fn(&TrackedAttempt) -> bool,
+        limit: usize,
+        is_in_flight: impl Fn(&TrackedAttempt) -> bool,
     ) {
-        let mut left_over = Vec::new();
-        while let Some((_, class)) = self.due.best().filter(|(key, _)| *key <= time_key(now)) {
-            let by_class = &mut self.by_class[class];
-            let by = now.plus(Span(-by_class.hedge_delay.0));
-            for _ in 0..most {
-                let Some(w) = by_class.attempts.pop_front_if(|w| w.sent <= by) else { break };
-                if out(&w) {
-                    self.newly_due.push(w);
+        let mut over_limit = Vec::new();
+        while let Some((_, number)) = self.next_due.best().filter(|(key, _)| *key <= time_key(now))
+        {
+            let class = &mut self.classes[number];
+            let sent_by = now.plus(Span(-class.hedge_delay.0));
+            for _ in 0..limit {
+                let Some(first) = class.attempts.pop_front_if(|a| a.sent <= sent_by) else { break };
+                if is_in_flight(&first) {
+                    self.newly_due.push(first);
                 }
             }
-            let due = by_class.due();
-            if due <= time_key(now) {
-                left_over.push(class);
-                self.due.set(class, Key::OUT);
+            let first_due = class.first_due();
+            if first_due <= time_key(now) {
+                over_limit.push(number);
+                self.next_due.set(number, Key::OUT);
             } else {
-                self.due.set(class, due);
+                self.next_due.set(number, first_due);
             }
         }
-        for class in left_over {
-            self.due.set(class, self.by_class[class].due());
+        for number in over_limit {
+            self.next_due.set(number, self.classes[number].first_due());
         }
     }
 
-    /// Begins a round over the ripe ones. Failure: all of them sorted anew, tens of times a second, was the longest
-    /// event before large fleets.
+    /// Begins a round over all attempts that may be due. Costs a merge, not a sort: they are many in a large fleet.
     pub(crate) fn begin_round(&mut self) {
-        // What was kept was sent before what was not reached.
-        self.due_attempts.rotate_left(self.remaining);
-        self.newly_due.sort_unstable_by_key(|w| w.order);
+        // Those retained were sent before those not reached.
+        self.due.rotate_left(self.remaining);
+        self.newly_due.sort_unstable_by_key(|a| a.order);
         if let Some(first) = self.newly_due.first() {
-            let from = self.due_attempts.partition_point(|w| w.order < first.order);
-            self.due_attempts.extend(self.newly_due.drain(..));
-            // Two runs: a merge.
-            self.due_attempts.make_contiguous()[from..].sort_by_key(|w| w.order);
+            let from = self.due.partition_point(|a| a.order < first.order);
+            self.due.extend(self.newly_due.drain(..));
+            // A stable sort merges the two ordered runs.
+            self.due.make_contiguous()[from..].sort_by_key(|a| a.order);
         }
-        self.remaining = self.due_attempts.len();
+        self.remaining = self.due.len();
     }
 
-    /// The next one of the round, until it is over; it is forgotten unless it is kept.
+    /// The next attempt of the round, until that is over. It is tracked no more unless it is retained.
     pub(crate) fn next(&mut self) -> Option<TrackedAttempt> {
         self.remaining = self.remaining.checked_sub(1)?;
-        self.due_attempts.pop_front()
+        self.due.pop_front()
     }
 
-    pub(crate) fn retain(&mut self, w: TrackedAttempt) {
-        self.due_attempts.push_back(w);
+    /// Keeps tracking an attempt that [`Self::next`] returned.
+    pub(crate) fn retain(&mut self, attempt: TrackedAttempt) {
+        self.due.push_back(attempt);
     }
 }
--- a/crates/policy/src/breakers.rs
+++ b/crates/policy/src/breakers.rs
@@ -1,12 +1,15 @@
-//! Per-class circuit breakers of one upstream. State exists only for classes that have had a fault there; decides
-//! nothing.
+//! Circuit breakers, which eject an upstream for a while after a fault: one for all classes, and one for each class.
+//!
+//! Which outcome is a fault is for [`crate::policy`] to say.
 
 use crate::interface::{Span, Time};
 
-/// A circuit breaker: shut after a fault, twice as long after each further one in a row.
+/// A circuit breaker: open for a pause after a fault, and for twice as long after each further fault in a row.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Breaker {
+    /// When the pause ends.
     pub(crate) until: Time,
+    /// Doublings of the next pause.
     pub(crate) faults: u32,
 }
 
@@ -17,11 +20,13 @@
 }
 
 impl Breaker {
-    /// Failure: the upstreams of a lost zone, long still on the list, were tried again every few milliseconds
-    /// by every proxy, and most attempts of the bank ended there.
+    /// Takes in a fault. The first pause lasts `pause` microseconds, and is doubled at most `doublings` times.
+    ///
+    /// The doubling keeps the upstreams of a lost zone, which stay listed for long, from being tried again all the time.
     pub(crate) fn trip(&mut self, now: Time, pause: f64, doublings: u32) {
         if now < self.until {
-            return; // Sent before the pause began: the same trouble, already counted.
+            // The attempt was sent before the pause began: the same fault, counted already.
+            return;
         }
         self.until = now.plus(Span::of(pause * f64::from(1 << self.faults)));
         self.faults = (self.faults + 1).min(doublings);
@@ -35,15 +40,16 @@
     pub(crate) breaker: Breaker,
 }
 
+/// The state of an upstream that has had faults.
 #[derive(Debug, Default)]
 struct State {
     /// By class, in ascending order.
     breakers: Vec<ClassBreaker>,
-    /// Classes that the fleet's counts hold this upstream as shut to, in ascending order.
+    /// Classes that the counts over the fleet have this upstream as ejected for, in ascending order.
     counted: Vec<u32>,
 }
 
-/// All class breakers of one upstream. An upstream without faults holds one empty pointer.
+/// All class breakers of one upstream. One without faults holds only an empty pointer.
 #[derive(Debug, Default)]
 pub(crate) struct ClassBreakers {
     state: Option<Box<State>>,
@@ -61,20 +67,20 @@
         &mut state.breakers[at].breaker
     }
 
-    /// Whether the upstream is shut to a class.
+    /// Whether the upstream is ejected for a class.
     pub(crate) fn is_ejected(&self, now: Time, class: usize) -> bool {
         let Some(state) = &self.state else { return false };
         let found = state.breakers.binary_search_by_key(&(class as u32), |b| b.class);
         found.is_ok_and(|at| now < state.breakers[at].breaker.until)
     }
 
-    /// The breakers that are shut, by class.
-    pub(crate) fn shut(&self, now: Time) -> impl Iterator<Item = &ClassBreaker> {
+    /// The breakers of the classes that the upstream is ejected for, by class.
+    pub(crate) fn ejected(&self, now: Time) -> impl Iterator<Item = &ClassBreaker> {
         let breakers = self.state.iter().flat_map(|state| &state.breakers);
         breakers.filter(move |b| now < b.breaker.until)
     }
 
-    /// Puts the breaker of a class at rest.
+    /// Closes the breaker of a class.
     pub(crate) fn reset(&mut self, class: usize) {
         let Some(state) = &mut self.state else { return };
         if let Ok(at) = state.breakers.binary_search_by_key(&(class as u32), |b| b.class) {
@@ -83,7 +89,7 @@
         self.drop_if_empty();
     }
 
-    /// Puts all of them at rest.
+    /// Closes all breakers.
     pub(crate) fn reset_all(&mut self) {
         if let Some(state) = &mut self.state {
             state.breakers.clear();
@@ -91,7 +97,7 @@
         self.drop_if_empty();
     }
 
-    /// Replaces the classes that this upstream is counted as shut to, and returns the previous ones.
+    /// Replaces the classes that this upstream is counted as ejected for, and returns the previous ones.
     pub(crate) fn count(&mut self, classes: Vec<u32>) -> Vec<u32> {
         if self.state.is_none() && classes.is_empty() {
             return classes;
--- a/crates/policy/src/capacity.rs
+++ b/crates/policy/src/capacity.rs
@@ -1,5 +1,6 @@
-//! Rooms: the sets of upstreams that classes are bound to, with their sums and their trees of free upstreams. An
-//! upstream touches only the rooms that it belongs to. Decides nothing.
+//! Capacity groups: the sets of upstreams that classes may be sent to, with their load, capacity and available upstreams.
+//!
+//! An upstream touches only the groups that it belongs to. Decides nothing.
 
 use std::hint::black_box;
 
@@ -9,21 +10,21 @@
 use crate::interface::{Class, Settings};
 use crate::sums::{Rates, Sum};
 
-/// Classes that [`crate::interface::Member::barred`] has a bit for: only these can be kept from a single upstream, and
-/// need sums of their own for it.
+/// Classes that [`crate::interface::Member::barred`] has a bit for: only these can be barred from a single upstream, and need
+/// sums of their own for it.
 const BARRED_CLASSES: usize = u64::BITS as usize;
 
 /// Upstreams with a free slot, by cost.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Trees {
-    /// Those that are open to all classes.
+    /// Those that are ejected for no class.
     pub(crate) fully_available: TournamentTree,
-    /// Those that are shut to some class.
+    /// Those that are ejected for some class.
     pub(crate) partly_ejected: TournamentTree,
 }
 
-/// One value for each area that has upstreams; there are few. An area is a zone where keys bind some class to it, else
-/// the whole fleet.
+/// One value for each area that has upstreams; there are few. An area is a zone if the group of some keyed class is a zone,
+/// else the whole fleet.
 #[derive(Clone, Debug)]
 pub(crate) struct ByArea<T> {
     /// In ascending order of area.
@@ -37,6 +38,7 @@
 }
 
 impl<T: Default> ByArea<T> {
+    /// The value of an area, made if there is none.
     pub(crate) fn get_mut(&mut self, area: u32) -> &mut T {
         let at = self.entries.partition_point(|e| e.0 < area);
         if self.entries.get(at).is_none_or(|e| e.0 != area) {
@@ -51,75 +53,90 @@
         entries.map(|e| &mut e.1)
     }
 
+    /// One value for each value that there is.
     pub(crate) fn map<U>(&self, of: impl Fn(&T) -> U) -> ByArea<U> {
         ByArea { entries: self.entries.iter().map(|(area, t)| (*area, of(t))).collect() }
     }
 }
 
-/// What the upstreams that one set of classes may be sent to hold and can hold. The first room is the whole
-/// fleet; a class bound to zones or kinds has a room of its own. Failure: refused and held by the sums of the
-/// whole fleet, a bound class queued behind slots it could never have.
+/// Load and capacity of the upstreams that one set of classes may be sent to.
+///
+/// The first group is the whole fleet. A class that is bound to zones or machine types has a group of its own: judged by the
+/// whole fleet, it would queue for slots that it can never have.
 #[derive(Debug, Default)]
 pub(crate) struct CapacityGroup {
-    /// A class that is bound so; `None` for the whole fleet.
+    /// A class that is bound in this way; `None` for the whole fleet.
     class: Option<usize>,
+    /// Requests of its classes that are queued.
     queued: usize,
+    /// Attempts in flight at its upstreams.
     in_flight: usize,
-    /// Its live upstreams, and over them the sums of K_i and of 1 / (2*TP_i + TS_i).
+    /// Its live upstreams.
     pub(crate) live: usize,
+    /// The sum of K_i over its live upstreams.
     k: Sum,
+    /// The sum of N_i per microsecond over its live upstreams.
     n: Rates,
-    /// The same sums as of the last sweep, and whether they have changed since.
+    /// `k` as of the last sweep.
     swept_k: f64,
+    /// `n` as of the last sweep.
     swept_n: f64,
+    /// `k` or `n` has changed since the last sweep.
     is_changed: bool,
     /// Some class is sent by its trees.
     has_class: bool,
     pub(crate) trees: ByArea<Trees>,
-    /// Its classes that some upstream is shut to.
+    /// Its classes that some upstream is ejected for.
     pub(crate) ejected_classes: Vec<u32>,
 }
 
-/// The load of a room, and this proxy's part of what it can hold.
+/// The load of a capacity group, and this balancer's part of its capacity.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct GroupLoad {
+    /// Requests queued.
     pub(crate) queued: usize,
+    /// Attempts in flight.
     pub(crate) in_flight: usize,
+    /// This balancer's part of the sum of K_i.
     pub(crate) slots: f64,
+    /// This balancer's part of the sum of N_i per microsecond.
     pub(crate) n_per_time: f64,
 }
 
-/// What an upstream adds to the sums of its rooms: K_i, and N_i per unit of time.
+/// What an upstream adds to the sums of its capacity groups.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Capacity {
+    /// K_i.
     pub(crate) k: f64,
+    /// N_i per microsecond.
     pub(crate) n: f64,
 }
 
-/// The rooms that an upstream belongs to, in ascending order; the first is the whole fleet.
+/// The numbers of the capacity groups that an upstream belongs to, in ascending order; the first is the whole fleet.
 pub(crate) type GroupList = Box<[u32]>;
 
-/// All rooms.
+/// All capacity groups, by number.
 #[derive(Debug)]
 pub(crate) struct CapacityGroups {
-    capacity_groups: Vec<CapacityGroup>,
-    /// Which of them each class has.
+    groups: Vec<CapacityGroup>,
+    /// The number of the group of each class.
     group_of_class: Vec<u32>,
-    /// Rooms by the machine types that they are bound to, and those bound to none.
+    /// Groups by the machine types that they are bound to.
     by_kind: FxHashMap<u32, Vec<u32>>,
+    /// Groups that are bound to no machine type.
     any_kind: Vec<u32>,
-    /// Rooms whose sums have changed since the last sweep.
+    /// Groups whose sums have changed since the last sweep.
     changed: Vec<u32>,
-    /// This proxy's part of the sums, as of the last sweep.
+    /// This balancer's part of the sums as of the last sweep, at most 1.
     part: f64,
 }
 
 impl CapacityGroups {
-    /// One room for the whole fleet, and one for each set of upstreams that some class is bound to; one for each class
-    /// that rules may keep from any upstream.
+    /// One group for the whole fleet, one for each set of upstreams that some class is bound to, and one for each class
+    /// that can be barred from single upstreams.
     pub(crate) fn new(settings: &Settings) -> Self {
-        let mut capacity_groups = Self {
-            capacity_groups: vec![CapacityGroup::default()],
+        let mut groups = Self {
+            groups: vec![CapacityGroup::default()],
             group_of_class: Vec::new(),
             by_kind: FxHashMap::default(),
             any_kind: Vec::new(),
@@ -132,38 +149,37 @@
             let bounds = (&class.zones, &class.kinds);
             let can_be_barred = settings.barring && number < BARRED_CLASSES;
             let found = shared.get(&bounds).copied().filter(|_| !can_be_barred);
-            let capacity_group = found.unwrap_or_else(|| {
-                let capacity_group = capacity_groups.add(number, class);
+            let group = found.unwrap_or_else(|| {
+                let group = groups.add(number, class);
                 if !can_be_barred {
-                    shared.insert(bounds, capacity_group);
+                    shared.insert(bounds, group);
                 }
-                capacity_group
+                group
             });
-            capacity_groups.capacity_groups[capacity_group as usize].has_class = true;
-            capacity_groups.group_of_class.push(capacity_group);
+            groups.groups[group as usize].has_class = true;
+            groups.group_of_class.push(group);
         }
-        capacity_groups
+        groups
     }
 
     fn add(&mut self, number: usize, class: &Class) -> u32 {
-        let capacity_group = self.capacity_groups.len() as u32;
-        self.capacity_groups
-            .push(CapacityGroup { class: Some(number), ..CapacityGroup::default() });
+        let group = self.groups.len() as u32;
+        self.groups.push(CapacityGroup { class: Some(number), ..CapacityGroup::default() });
         match &class.kinds {
-            None => self.any_kind.push(capacity_group),
+            None => self.any_kind.push(group),
             Some(kinds) => {
                 for &kind in kinds {
-                    let capacity_groups = self.by_kind.entry(kind).or_default();
-                    if capacity_groups.last() != Some(&capacity_group) {
-                        capacity_groups.push(capacity_group);
+                    let groups = self.by_kind.entry(kind).or_default();
+                    if groups.last() != Some(&group) {
+                        groups.push(group);
                     }
                 }
             }
         }
-        capacity_group
+        group
     }
 
-    /// The rooms of an upstream of this machine type, where `serves` says whether it is open to a room's class.
+    /// The groups of an upstream of this machine type, where `serves` says whether it may be sent requests of a class.
     pub(crate) fn groups_of_upstream(
         &self,
         kind: u32,
@@ -171,124 +187,124 @@
     ) -> GroupList {
         let bound = self.by_kind.get(&kind).into_iter().flatten();
         let candidates = self.any_kind.iter().chain(bound).copied();
-        let open = |capacity_group: &u32| {
-            self.capacity_groups[*capacity_group as usize].class.is_none_or(&serves)
-        };
+        let open = |group: &u32| self.groups[*group as usize].class.is_none_or(&serves);
         let mut list: Vec<u32> = std::iter::once(0).chain(candidates.filter(open)).collect();
         list.sort_unstable();
         list.dedup();
         list.into_boxed_slice()
     }
 
+    /// The number of the group of a class.
     pub(crate) fn group_of_class(&self, class: usize) -> u32 {
         self.group_of_class[class]
     }
 
+    /// The group of a class.
     pub(crate) fn of_class(&self, class: usize) -> &CapacityGroup {
-        &self.capacity_groups[self.group_of_class[class] as usize]
+        &self.groups[self.group_of_class[class] as usize]
     }
 
+    /// The group of a class, to change it.
     pub(crate) fn of_class_mut(&mut self, class: usize) -> &mut CapacityGroup {
-        &mut self.capacity_groups[self.group_of_class[class] as usize]
+        &mut self.groups[self.group_of_class[class] as usize]
     }
 
-    /// A room, if some class is sent by its trees.
-    pub(crate) fn get_mut(&mut self, capacity_group: u32) -> Option<&mut CapacityGroup> {
-        Some(&mut self.capacity_groups[capacity_group as usize]).filter(|r| r.has_class)
+    /// A group by its number, if some class is sent by its trees.
+    pub(crate) fn get_mut(&mut self, group: u32) -> Option<&mut CapacityGroup> {
+        Some(&mut self.groups[group as usize]).filter(|r| r.has_class)
     }
 
-    /// The load of the room that a class has.
+    /// The load of the group of a class.
     pub(crate) fn load(&self, class: usize) -> GroupLoad {
         self.load_of(self.of_class(class))
     }
 
     /// The load of the whole fleet.
     pub(crate) fn fleet_load(&self) -> GroupLoad {
-        self.load_of(&self.capacity_groups[0])
+        self.load_of(&self.groups[0])
     }
 
-    fn load_of(&self, capacity_group: &CapacityGroup) -> GroupLoad {
+    fn load_of(&self, group: &CapacityGroup) -> GroupLoad {
         GroupLoad {
-            queued: capacity_group.queued,
-            in_flight: capacity_group.in_flight,
-            slots: capacity_group.swept_k * self.part,
-            n_per_time: capacity_group.swept_n * self.part,
+            queued: group.queued,
+            in_flight: group.in_flight,
+            slots: group.swept_k * self.part,
+            n_per_time: group.swept_n * self.part,
         }
     }
 
-    /// Reads the sums of these rooms; see [`crate::upstreams::Upstreams::preload`].
+    /// Reads the sums of these groups; `black_box` keeps the compiler from removing the reads. See [`crate::upstreams::Upstreams::preload`].
     pub(crate) fn preload(&self, list: &[u32]) {
-        for &capacity_group in list {
-            let capacity_group = &self.capacity_groups[capacity_group as usize];
-            black_box((capacity_group.k, capacity_group.n, capacity_group.is_changed));
+        for &group in list {
+            let group = &self.groups[group as usize];
+            black_box((group.k, group.n, group.is_changed));
         }
     }
 
     // ------------------------------------------------------------ counts and sums
 
-    /// Counts a live upstream in its rooms or out of them, and what is out at it.
+    /// Adds to the live upstreams and the attempts in flight of these groups.
     pub(crate) fn count(&mut self, list: &[u32], live: isize, in_flight: isize) {
-        for &capacity_group in list {
-            let capacity_group = &mut self.capacity_groups[capacity_group as usize];
-            capacity_group.live = capacity_group.live.saturating_add_signed(live);
-            capacity_group.in_flight = capacity_group.in_flight.saturating_add_signed(in_flight);
+        for &group in list {
+            let group = &mut self.groups[group as usize];
+            group.live = group.live.saturating_add_signed(live);
+            group.in_flight = group.in_flight.saturating_add_signed(in_flight);
         }
     }
 
-    /// Counts a held request, or one that is held no more, in the rooms that its class has a part in.
+    /// Adds to the queued requests of the group of a class, and of the whole fleet.
     pub(crate) fn count_queued(&mut self, class: usize, change: isize) {
-        let fleet = &mut self.capacity_groups[0];
+        let fleet = &mut self.groups[0];
         fleet.queued = fleet.queued.saturating_add_signed(change);
         let own_group = self.group_of_class[class] as usize;
         if own_group != 0 {
-            let capacity_group = &mut self.capacity_groups[own_group];
-            capacity_group.queued = capacity_group.queued.saturating_add_signed(change);
+            let group = &mut self.groups[own_group];
+            group.queued = group.queued.saturating_add_signed(change);
         }
     }
 
-    /// Puts what an upstream adds to the sums in the place of what it added.
+    /// Replaces what an upstream adds to the sums of these groups.
     pub(crate) fn sum(&mut self, list: &[u32], was: Option<Capacity>, now: Option<Capacity>) {
         for &number in list {
-            let capacity_group = &mut self.capacity_groups[number as usize];
-            capacity_group.k.change(was.map(|c| c.k), now.map(|c| c.k));
-            capacity_group.n.change(was.map(|c| c.n), now.map(|c| c.n));
-            if !std::mem::replace(&mut capacity_group.is_changed, true) {
+            let group = &mut self.groups[number as usize];
+            group.k.change(was.map(|c| c.k), now.map(|c| c.k));
+            group.n.change(was.map(|c| c.n), now.map(|c| c.n));
+            if !std::mem::replace(&mut group.is_changed, true) {
                 self.changed.push(number);
             }
         }
     }
 
-    /// A sweep: the sums count as they are now, and this proxy's part of them is `part`.
+    /// Ends a sweep: from now on [`GroupLoad`] gives the present sums, of which `part` is this balancer's.
     pub(crate) fn sweep(&mut self, part: f64) {
         self.part = part;
         for number in self.changed.drain(..) {
-            let capacity_group = &mut self.capacity_groups[number as usize];
-            capacity_group.is_changed = false;
-            (capacity_group.swept_k, capacity_group.swept_n) =
-                (capacity_group.k.get(), capacity_group.n.get());
+            let group = &mut self.groups[number as usize];
+            group.is_changed = false;
+            (group.swept_k, group.swept_n) = (group.k.get(), group.n.get());
         }
     }
 }
 
-/// A class that some upstream is shut to, and the upstreams of its room that it may be sent to all the same.
+/// A class that some upstream is ejected for, and the upstreams of its group that it may still be sent to.
 #[derive(Debug)]
 pub(crate) struct EjectedClass {
-    /// Live upstreams that are shut to it.
+    /// Live upstreams that are ejected for it.
     pub(crate) count: usize,
-    /// So much of its room is shut that it is open all the same.
+    /// So many are ejected for it that none counts as ejected.
     pub(crate) is_panicking: bool,
-    /// Those of the partly_ejected ones with a free slot that are open to it.
-    pub(crate) open: ByArea<TournamentTree>,
+    /// Available upstreams that are ejected for some class, but not for this one.
+    pub(crate) available: ByArea<TournamentTree>,
 }
 
 impl EjectedClass {
-    /// Of a room whose partly_ejected upstreams were all open to the class so far.
-    pub(crate) fn new(capacity_group: &CapacityGroup) -> Self {
-        let open = capacity_group.trees.map(|trees| trees.partly_ejected.clone());
-        Self { count: 0, is_panicking: false, open }
+    /// A class that no upstream of its group was ejected for so far.
+    pub(crate) fn new(group: &CapacityGroup) -> Self {
+        let available = group.trees.map(|trees| trees.partly_ejected.clone());
+        Self { count: 0, is_panicking: false, available }
     }
 
-    /// The key with which an upstream stands for this class.
+    /// The key of an upstream for this class.
     pub(crate) fn key(&self, key: Key, is_ejected: bool) -> Key {
         if is_ejected && !self.is_panicking { Key::OUT } else { key }
     }
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -1,31 +1,38 @@
-//! Estimates for the fleet as a whole.
+//! Estimates for the fleet as a whole. Times and latencies are in microseconds.
 
 use crate::interface::Time;
 use crate::sums::Times;
 
-/// What the fleet as a whole sustains for this proxy.
+/// What this balancer has estimated of the fleet.
 #[derive(Debug, Default)]
 pub(crate) struct FleetEstimates {
+    /// TS: the mean service time of all answers.
     pub(crate) ts: f64,
-    /// Answers that it rests on, and those of each class.
+    /// Answers that `ts` rests on.
     pub(crate) answers: f64,
+    /// Answers that the means of each class rest on.
     pub(crate) answers_by_class: Vec<f64>,
-    /// Mean latency of each class, and its mean deviation.
+    /// Mean latency of each class; 0 before its first answer.
     pub(crate) mean_latency: Vec<f64>,
+    /// Mean deviation of the latency of each class.
     pub(crate) latency_deviation: Vec<f64>,
-    /// Share of the attempts for which the time of a second copy came and that were never answered.
+    /// By class: the share of attempts that were never answered, of those that were late enough to be hedged.
     pub(crate) unanswered_share: Vec<f64>,
-    /// The longest wait that each class can bear.
+    /// The longest wait that every class tolerates.
     pub(crate) tolerable_wait: f64,
+    /// Mean of 2*TP_i over the upstreams where it is known.
     pub(crate) tp2: f64,
-    /// The sum of those that are known, and how many are.
+    /// Sum of 2*TP_i over these upstreams.
     pub(crate) tp2_sum: Times,
+    /// How many these upstreams are.
     pub(crate) tp2_count: usize,
+    /// When the present concurrency probes began.
     pub(crate) probed_at: Time,
-    /// This proxy's limit in even parts of the bank, and TS as it was in good times. Failure: judged by the
-    /// TS of the moment, a whole bank that crowds itself never looks crowded.
+    /// This balancer's limit, in even parts of the fleet's slots.
     pub(crate) leeway: f64,
+    /// TS in good times. Judged by the present TS, a fleet that is congested as a whole would not look congested.
     pub(crate) baseline_ts: f64,
+    /// When the observed rates were last decayed.
     pub(crate) decayed_at: Time,
     /// TS as of then.
     pub(crate) paced_ts: f64,
--- a/crates/policy/src/machine_types.rs
+++ b/crates/policy/src/machine_types.rs
@@ -1,5 +1,7 @@
-//! What is known of upstreams by machine type: their warm weight, what they served, their lanes. A type costs a few
-//! words until it serves something, and a sweep touches only types that changed or served lately. Decides nothing.
+//! Figures by machine type: the weight of warm upstreams, what these served, their concurrency levels.
+//!
+//! A type costs a few words until it serves something, and a sweep touches only types that changed or served lately.
+//! Decides nothing.
 
 use std::collections::BTreeSet;
 
@@ -10,9 +12,9 @@
 /// Machine types beyond those that classes are bound to which have figures of their own; upstreams of any further type
 /// share those of the last one. It is above the 1,300 of the target fleet (`docs/CAPACITY.md`), and all of them hold 2 MB
 /// at most. Without a bound, a list with nonsense for types would grow the table without end.
-pub(crate) const MOST_UNKNOWN: u32 = 2048;
+pub(crate) const MAX_UNNAMED_TYPES: u32 = 2048;
 /// The most that classes can be bound to: the table is indexed by number.
-pub(crate) const MOST_NAMED: u32 = 16_384;
+pub(crate) const MAX_NAMED_TYPES: u32 = 16_384;
 
 /// One machine type.
 #[derive(Debug, Default)]
@@ -25,11 +27,11 @@
     past_weight: f64,
     /// The highest rate of answers per unit of weight that was seen lately.
     rate: f64,
-    /// `None` while nothing is known of them.
+    /// `None` before any work was seen.
     levels: Option<Box<ConcurrencyLevels>>,
-    /// Counted among the warm types of which too little is known.
+    /// It is counted among the types with warm upstreams of whose levels too little is known.
     is_unknown: bool,
-    /// Its lanes have seen work since they were last chosen.
+    /// Work was booked since its level was last chosen.
     is_retuned: bool,
 }
 
@@ -44,7 +46,8 @@
 }
 
 impl Decay {
-    fn keep(self, peak: &mut f64, served: f64, weight: f64) {
+    /// Decays a peak rate, and raises it to the one seen now.
+    fn update_peak(self, peak: &mut f64, served: f64, weight: f64) {
         let seen = if weight > 0.0 && served >= 1.0 { served / self.window / weight } else { 0.0 };
         *peak = (*peak * self.peak).max(seen);
     }
@@ -56,12 +59,13 @@
 #[derive(Debug)]
 pub(crate) struct MachineTypes {
     types: Vec<MachineType>,
-    most: u32,
+    /// The number from which on types share the figures of one.
+    limit: u32,
     /// Those whose figures a refresh may change, in ascending order.
     active: BTreeSet<usize>,
-    /// Those whose lanes have seen work since they were last chosen.
+    /// Types for which work was booked since their level was last chosen.
     retuned: Vec<usize>,
-    /// Types with warm upstreams of which too little is known.
+    /// Types with warm upstreams of whose levels too little is known.
     unknown: usize,
     past_weight: f64,
     /// The highest rate of answers per unit of weight over all types that was seen lately.
@@ -74,7 +78,7 @@
         let named = bound.map_or(0, |last| last.saturating_add(1));
         Self {
             types: Vec::new(),
-            most: named.min(MOST_NAMED) + MOST_UNKNOWN,
+            limit: named.min(MAX_NAMED_TYPES) + MAX_UNNAMED_TYPES,
             active: BTreeSet::new(),
             retuned: Vec::new(),
             unknown: 0,
@@ -85,11 +89,11 @@
 
     /// The number under which figures of a machine type are kept; there is a place for it from then on.
     pub(crate) fn enter(&mut self, kind: u32) -> u32 {
-        let kept = kind.min(self.most - 1);
-        if kept as usize >= self.types.len() {
-            self.types.resize_with(kept as usize + 1, MachineType::default);
+        let index = kind.min(self.limit - 1);
+        if index as usize >= self.types.len() {
+            self.types.resize_with(index as usize + 1, MachineType::default);
         }
-        kept
+        index
     }
 
     pub(crate) fn len(&self) -> usize {
@@ -123,9 +127,8 @@
 
     /// Decays counts and peaks, and takes in what was served since.
     ///
-    /// The weight decays as the counts do. Failure: as upstreams went one after another, the last ones seemed to have
-    /// served what all had. A rate is a peak that decays. Failure: when the warm ones slowed, the young, who did not, were
-    /// held back with them.
+    /// The weight decays as the counts do: when upstreams leave, the last ones must not seem to have served what all did. A
+    /// rate is a peak that decays: when warm upstreams slow down, those that warm up must not be held back with them.
     pub(crate) fn refresh(&mut self, decay: Decay) {
         let mut is_past_changed = false;
         let mut served = 0.0;
@@ -140,22 +143,23 @@
         if is_past_changed {
             self.past_weight = self.types.iter().map(|t| t.past_weight).sum();
         }
-        decay.keep(&mut self.any_rate, served, self.past_weight);
+        decay.update_peak(&mut self.any_rate, served, self.past_weight);
         let types = &mut self.types;
         self.active.retain(|&kind| {
             let of = &mut types[kind];
-            decay.keep(&mut of.rate, of.served, of.past_weight);
+            decay.update_peak(&mut of.rate, of.served, of.past_weight);
             of.served != 0.0 || of.rate != 0.0 || of.past_weight != of.warm_weight.get()
         });
     }
 
-    // ------------------------------------------------------------ lanes
+    // ------------------------------------------------------------ concurrency levels
 
+    /// The concurrency levels of a type.
     pub(crate) fn levels(&self, kind: u32) -> &ConcurrencyLevels {
         self.types[kind as usize].levels.as_deref().unwrap_or(&FRESH)
     }
 
-    /// The lanes of a type, to book work in.
+    /// The concurrency levels of a type, to book work in.
     pub(crate) fn levels_mut(&mut self, kind: u32) -> &mut ConcurrencyLevels {
         let of = &mut self.types[kind as usize];
         if !std::mem::replace(&mut of.is_retuned, true) {
@@ -164,7 +168,7 @@
         of.levels.get_or_insert_with(|| Box::new(ConcurrencyLevels::FRESH))
     }
 
-    /// Ends a round for the types that have seen work.
+    /// Ends a round for the types for which work was booked.
     pub(crate) fn choose_levels(&mut self) {
         for kind in std::mem::take(&mut self.retuned) {
             let of = &mut self.types[kind];
@@ -176,14 +180,14 @@
         }
     }
 
-    /// Whether enough is known of the lanes of every type with warm upstreams.
+    /// Whether enough is known of the levels of every type with warm upstreams.
     pub(crate) fn are_levels_known(&self) -> bool {
         self.unknown == 0
     }
 
     fn count_unknown(&mut self, kind: usize) {
         let of = &mut self.types[kind];
-        let known = of.levels.as_deref().unwrap_or(&FRESH).next().1;
+        let known = of.levels.as_deref().unwrap_or(&FRESH).next_probe().is_known;
         let is_unknown = of.warm_weight.get() != 0.0 && !known;
         let was_unknown = std::mem::replace(&mut of.is_unknown, is_unknown);
         self.unknown = self.unknown + usize::from(is_unknown) - usize::from(was_unknown);
@@ -191,17 +195,17 @@
 
     // ------------------------------------------------------------ what is restored
 
-    /// Lanes of which something is known.
+    /// The concurrency levels of a type, unless no work was seen.
     pub(crate) fn known_levels(&self, kind: usize) -> Option<&ConcurrencyLevels> {
         self.types[kind].levels.as_deref()
     }
 
-    /// Sets the rate of a type, and its lanes if they are given; work of the present round stays.
+    /// Sets the rate of a type, and its levels if they are given; work of the present round stays.
     pub(crate) fn restore(&mut self, kind: usize, rate: f64, levels: Option<ConcurrencyLevels>) {
         let Some(of) = self.types.get_mut(kind) else { return };
         of.rate = rate;
-        let is_news = |levels: &ConcurrencyLevels| of.levels.is_some() || !levels.is_fresh();
-        if let Some(mut levels) = levels.filter(is_news) {
+        let is_informative = |levels: &ConcurrencyLevels| of.levels.is_some() || !levels.is_fresh();
+        if let Some(mut levels) = levels.filter(is_informative) {
             let present = of.levels.as_deref().unwrap_or(&FRESH);
             for (level, present) in levels.level.iter_mut().zip(&present.level) {
                 (level.time, level.done) = (present.time, present.done);
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,7 +1,11 @@
-//! Every decision of the balancer, and nothing else: no clock, no I/O, no threads.
-//! Its interface (settings, events, actions) is `interface.rs`; its plain records are `state.rs`.
-//! The ordinary path is Ould Deye et al.'s: a first-come queue, at most `K_i = 2*TP_i/TS_i + 1` requests out
-//! per upstream, and refusal once queued plus in-flight reach the sum of `N_i = T_QoS / (2*TP_i + TS_i)`.
+//! The facade of the decision module: [`Balancer`] takes events and returns actions. No clock, no I/O, no threads.
+//!
+//! The design is that of Ould Deye et al.: a first-come queue, at most `K_i = 2*TP_i/TS_i + 1` attempts in flight for each
+//! upstream, and rejection once queued plus in-flight requests reach the sum of `N_i = T_QoS / (2*TP_i + TS_i)`.
+//!
+//! Every decision stands in a module of its own. A request passes through [`admission`], [`dispatch`] and [`selection`]; an outcome
+//! through [`outlier`] and [`retry`]; time through [`hedging`], [`sweep`] and [`concurrency`]; a list through [`membership`]. What they
+//! share is [`estimation`] (K_i and N_i), [`slow_start`] and [`fair_share`].
 
 mod admission;
 mod concurrency;
@@ -22,87 +26,87 @@
 
 use crate::attempt_tracker::AttemptTracker;
 use crate::fleet::FleetEstimates;
-use crate::interface::{Action, Event, Refusal, Settings, SettingsError, Span, Status, Time};
+use crate::interface::{Action, Event, Refusal, Settings, SettingsError, Span, Time};
 use crate::list_polling::ListPoller;
 use crate::queue::Queue;
 use crate::quotas::Quotas;
 use crate::ranks::Ranks;
-use crate::upstreams::{Server, Upstreams};
-use estimation::TS_PRIOR_OF_QOS;
-use fair_share::LEEWAY;
+use crate::upstreams::Upstreams;
 use hedging::CHECKS_PER_EVENT;
 use sweep::Sweep;
 
+/// Token of the timer for sweeps.
 const SWEEP_TIMER: u64 = 1;
-pub(super) const LIST_POLL_TIMER: u64 = 2;
+/// Token of the timer for polls of the endpoint list.
+const LIST_POLL_TIMER: u64 = 2;
 
-/// One proxy's share of the bank: all its decisions.
+/// The decisions of one balancer: which upstream, whether to retry, what is rejected.
+///
+/// It is a state machine: the caller delivers each event to [`Self::handle`] and carries out the actions in their order.
 #[derive(Debug)]
 pub struct Balancer {
     pub(crate) settings: Arc<Settings>,
+    /// T_QoS in microseconds.
     t_qos: f64,
     rng: Rand64,
+    /// Whether the first event has come.
     started: bool,
     pub(crate) upstreams: Upstreams,
+    /// Live requests, and the order of those that wait.
     queue: Queue,
-    /// How far the sweep over the ring is, and how much it still owes.
+    /// Index on the ring at which the next sweep begins.
     sweep_position: usize,
+    /// Upstreams that the last sweep has left to the events that follow.
     sweep_remaining: usize,
-    /// Upstreams with lanes on trial, and those whose idle connections are closed.
+    /// Slots of upstreams with a concurrency probe.
     probed: Vec<usize>,
+    /// Slots of upstreams that left, and whose idle connections are still closed again and again.
     closing: Vec<usize>,
-    /// Attempts that are out, and further ones that what is overdue may still have.
+    /// Attempts in flight, by when they may be overdue.
     tracker: AttemptTracker,
+    /// Attempts that may still be hedged.
     hedge_budget: f64,
     pub(crate) max_attempts: usize,
     pub(crate) fleet: FleetEstimates,
-    /// Classes by worth for their work, and what each tenant may still send within its share.
+    /// Classes by priority for their work.
     pub(crate) ranks: Ranks,
+    /// What each tenant may still send within its quota.
     quotas: Quotas,
     list_poller: ListPoller,
-    /// Whether the list may not be acted on.
+    /// Whether the list is too old to be acted on.
     expired: bool,
-    /// Sends to cold upstreams that had not been earned.
+    /// Sends that slow start had not allowed.
     overdrafts: u64,
 }
 
 impl Balancer {
-    /// A balancer that knows its settings and nothing else yet. Its first event starts its timers: give it
-    /// what list there is right away, if only an empty [`ListKind::Restored`].
+    /// Creates a balancer that knows its settings and nothing else.
+    ///
+    /// Its first event starts its timers: deliver the list that there is right away, if only an empty
+    /// [`ListKind::Restored`](crate::interface::ListKind::Restored).
+    ///
+    /// # Errors
+    /// The settings have no safe reading; see [`Settings::checked`].
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
-        let settings = settings.checked()?;
+        let settings = Arc::new(settings.checked()?);
         let t_qos = estimation::t_qos(&settings);
         let classes = settings.classes.len();
-        let settings = Arc::new(settings);
+        let objectives = settings.classes.iter().map(|c| c.latency_objective);
         Ok(Self {
             t_qos,
             rng: Rand64::new(u128::from(seed)),
             started: false,
             upstreams: Upstreams::new(settings.clone()),
-            max_attempts: settings.limits.max_attempts,
             queue: Queue::default(),
             sweep_position: 0,
             sweep_remaining: 0,
             probed: Vec::new(),
             closing: Vec::new(),
-            tracker: AttemptTracker::new(settings.classes.iter().map(|c| c.latency_objective)),
+            tracker: AttemptTracker::new(objectives),
             hedge_budget: 1.0,
+            max_attempts: settings.limits.max_attempts,
+            fleet: estimation::prior(t_qos, classes, now),
             ranks: Ranks::new(classes, 1.0),
-            fleet: FleetEstimates {
-                ts: t_qos * TS_PRIOR_OF_QOS,
-                mean_latency: vec![0.0; classes],
-                latency_deviation: vec![0.0; classes],
-                unanswered_share: vec![0.0; classes],
-                tolerable_wait: t_qos * TS_PRIOR_OF_QOS,
-                paced_ts: t_qos * TS_PRIOR_OF_QOS,
-                probed_at: Time(i64::MIN),
-                answers: 1.0,
-                answers_by_class: vec![0.0; classes],
-                leeway: LEEWAY,
-                baseline_ts: t_qos,
-                decayed_at: now,
-                ..FleetEstimates::default()
-            },
             quotas: Quotas::new(&settings, now),
             list_poller: ListPoller::new(&settings, now, 0.0),
             expired: false,
@@ -111,25 +115,12 @@
         })
     }
 
-    /// Takes in what happened and appends what is to be done about it, in order.
+    /// Takes in an event at the time `now`, and appends the actions that it leads to, in order.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.started, true) {
             self.start(now, out);
         }
-        for _ in 0..self.sweep_slice() {
-            let Some(server) = self.upstreams.timers.due(now.0) else { break };
-            self.refresh_availability(now, server);
-        }
-        self.queue.resume_rested_keys(now);
-        self.queue.drop_stale_give_ups();
-        self.quotas.drop_full(now, &self.settings);
-        if !matches!(event, Event::Timer(_) | Event::Members { .. }) {
-            self.collect_due(now, CHECKS_PER_EVENT);
-            self.check_due(now, CHECKS_PER_EVENT);
-            if self.sweep_remaining > 0 {
-                self.sweep(now, 1, Sweep::Rest);
-            }
-        }
+        self.catch_up(now, &event);
         match event {
             Event::Members { kind, list } => self.members(now, kind, list, out),
             Event::ListCallRejected => {
@@ -141,8 +132,8 @@
                 let queued = self.queue.queued();
                 self.give_up_all(queued, Refusal::ListExpired, out);
             }
-            Event::Request(r) => self.request(now, r, out),
-            Event::Answered(a) => self.outcome(now, a, out),
+            Event::Request(request) => self.request(now, request, out),
+            Event::Answered(answer) => self.outcome(now, answer, out),
             Event::BodyReceived { request, send_deadline } => {
                 self.body_complete(now, request, send_deadline)
             }
@@ -152,52 +143,64 @@
         }
     }
 
-    /// How many sends to cold upstreams had not been earned, since the last call: each is a fault of this
-    /// module.
+    /// Returns how many sends slow start had not allowed since the last call. Each is a fault of this module.
     pub fn take_overdrafts(&mut self) -> u64 {
         std::mem::take(&mut self.overdrafts)
     }
 
-    /// So long before its time a held request is given up.
-    pub(super) fn give_up_margin(&self) -> Span {
+    /// Does a bounded part of what has become due, before the event itself.
+    fn catch_up(&mut self, now: Time, event: &Event) {
+        for _ in 0..self.sweep_slice() {
+            let Some(server) = self.upstreams.timers.due(now.0) else { break };
+            self.refresh_availability(now, server);
+        }
+        self.queue.resume_rested_keys(now);
+        self.queue.drop_stale_give_ups();
+        self.quotas.drop_full(now, &self.settings);
+        if !matches!(event, Event::Timer(_) | Event::Members { .. }) {
+            self.collect_due(now, CHECKS_PER_EVENT);
+            self.check_due(now, CHECKS_PER_EVENT);
+            if self.sweep_remaining > 0 {
+                self.sweep(now, 1, Sweep::Rest);
+            }
+        }
+    }
+
+    /// How long before its objective passes a queued request is given up: two sweeps.
+    fn give_up_margin(&self) -> Span {
         Span(2 * sweep::sweep_every(&self.settings).0)
     }
 
-    /// Begins to keep time and to ask for the list, with the first event.
+    /// Starts the timers, with the first event.
     fn start(&mut self, now: Time, out: &mut Vec<Action>) {
         self.list_poller = ListPoller::new(&self.settings, now, self.rng.rand_float());
         self.arm_list_poll(out);
         self.arm_sweep(now, out);
     }
 
-    fn arm_sweep(&mut self, now: Time, out: &mut Vec<Action>) {
-        out.push(Action::Arm {
-            token: SWEEP_TIMER,
-            at: now.plus(sweep::sweep_every(&self.settings)),
-        });
+    fn arm_sweep(&self, now: Time, out: &mut Vec<Action>) {
+        let at = now.plus(sweep::sweep_every(&self.settings));
+        out.push(Action::Arm { token: SWEEP_TIMER, at });
     }
 
     fn timer(&mut self, now: Time, token: u64, out: &mut Vec<Action>) {
         match token {
-            LIST_POLL_TIMER => return self.poll_list(now, out),
-            SWEEP_TIMER => {}
-            _ => return,
+            LIST_POLL_TIMER => self.poll_list(now, out),
+            SWEEP_TIMER => self.sweep_timer(now, out),
+            _ => {}
         }
-        let sweep_slice = self.sweep_slice();
-        self.collect_due(now, sweep_slice);
+    }
+
+    fn sweep_timer(&mut self, now: Time, out: &mut Vec<Action>) {
+        let slice = self.sweep_slice();
+        self.collect_due(now, slice);
         self.tracker.begin_round();
-        self.check_due(now, sweep_slice);
-        self.sweep(now, sweep_slice, Sweep::Timer);
-        let late = self.queue.take_expired(now);
-        self.give_up_all(late, Refusal::HeldTooLong, out);
+        self.check_due(now, slice);
+        self.sweep(now, slice, Sweep::Timer);
+        let expired = self.queue.take_expired(now);
+        self.give_up_all(expired, Refusal::HeldTooLong, out);
         self.dispatch(now, out);
-        let late = |s: &Server| s.status == Status::Live || now > s.close_idle_until;
-        self.closing.sort_unstable();
-        self.closing.dedup();
-        self.closing.retain(|i| !late(&self.upstreams.servers[*i]));
-        for i in self.closing.clone() {
-            self.close_idle_connections(now, i, out);
-        }
+        self.close_idle_of_departed(now, out);
         self.poll_list(now, out);
         self.arm_sweep(now, out);
     }
--- a/crates/policy/src/policy/estimation.rs
+++ b/crates/policy/src/policy/estimation.rs
@@ -1,82 +1,111 @@
-//! Keeps the queueing model of each upstream up to date: TP_i and TS_i to K_i (slots) and N_i (admission).
+//! Derives the capacity of each upstream from its estimates: K_i, the attempts that it is kept busy with, and N_i,
+//! those that it can answer in time.
 //!
-//! Which upstream is sent to, and what is refused, is for other modules to say.
+//! With TP_i the propagation time of an upstream and TS_i its mean service time, `K_i = 2*TP_i / TS_i + c` and
+//! `N_i = c * T_QoS / (2*TP_i + TS_i)`, where c is the number of requests that it runs at once. `tp2` is 2*TP_i.
 
 use super::Balancer;
+use super::fair_share::MIN_LEEWAY;
 use crate::capacity::Capacity;
-use crate::interface::Settings;
+use crate::fleet::FleetEstimates;
+use crate::interface::{Settings, Time};
 use crate::upstreams::Server;
 
-/// TS of an upstream before any answer from any upstream, as a share of T_QoS.
-pub(super) const TS_PRIOR_OF_QOS: f64 = 0.25;
-/// Weight of a new answer in the fleet's mean of its class.
-const MEAN_GAIN: f64 = 0.02;
+/// TS of the fleet before its first answer, as a share of T_QoS.
+const TS_PRIOR_OF_QOS: f64 = 0.25;
+/// Least weight of an answer in the fleet's means.
+const MIN_MEAN_GAIN: f64 = 0.02;
 
-/// T_QoS: one target for all, the mean of the class aims.
+/// T_QoS in microseconds: one target for all, the mean latency objective of the classes.
 pub(super) fn t_qos(settings: &Settings) -> f64 {
     settings.classes.iter().map(|c| c.latency_objective.f()).sum::<f64>()
         / settings.classes.len() as f64
 }
 
+/// What is assumed of the fleet before its first answer.
+pub(super) fn prior(t_qos: f64, classes: usize, now: Time) -> FleetEstimates {
+    let ts = t_qos * TS_PRIOR_OF_QOS;
+    FleetEstimates {
+        ts,
+        answers: 1.0,
+        answers_by_class: vec![0.0; classes],
+        mean_latency: vec![0.0; classes],
+        latency_deviation: vec![0.0; classes],
+        unanswered_share: vec![0.0; classes],
+        tolerable_wait: ts,
+        probed_at: Time(i64::MIN),
+        leeway: MIN_LEEWAY,
+        baseline_ts: t_qos,
+        decayed_at: now,
+        paced_ts: ts,
+        ..FleetEstimates::default()
+    }
+}
+
 impl Balancer {
+    /// TS_i in microseconds.
     pub(super) fn ts(&self, s: &Server) -> f64 {
         self.fleet.ts * s.estimate.slow
     }
 
+    /// 2*TP_i in microseconds; the fleet's mean while nothing is known of the upstream.
     fn tp2(&self, s: &Server) -> f64 {
         s.estimate.tp2.unwrap_or(self.fleet.tp2)
     }
 
-    /// Requests that upstreams of its kind run side by side.
+    /// Requests that upstreams of its machine type run side by side.
     pub(super) fn concurrency(&self, s: &Server) -> f64 {
         self.upstreams.kinds.levels(s.type_index).count as f64
     }
 
-    /// K_i = 2*TP_i / TS_i + 1 for an upstream that runs one request at a time, and one more for each further
-    /// lane; N_i at most.
+    /// K_i, at most N_i.
     fn k_exact(&self, s: &Server) -> f64 {
         let k = self.tp2(s) / self.ts(s) + self.concurrency(s);
         k.min(self.n_rate(s) * self.t_qos)
     }
 
-    /// K_i in whole requests, with lanes on trial; below one it still is one, or the upstream would never
-    /// update.
-    pub(crate) fn k(s: &Server, trial: i32) -> u32 {
-        (s.k as i32 + trial).max(1) as u32
+    /// K_i in whole attempts, with `probe` more or fewer. At least one, or the upstream would never be estimated anew.
+    pub(crate) fn k(s: &Server, probe: i32) -> u32 {
+        (s.k as i32 + probe).max(1) as u32
     }
 
-    /// Each answer and each sweep updates K_i and N_i, and with them the sums over the fleet.
+    /// Updates K_i and N_i of an upstream, and the sums over the fleet with them.
     pub(super) fn update(&mut self, server: usize) {
         let s = &self.upstreams.servers[server];
         let capacity = Capacity { k: self.k_exact(s), n: self.n_optimistic(s) };
         self.upstreams.sum(server, capacity);
     }
 
-    /// The same as admission counts on it. Until it is known that more lanes win nothing they are hoped for,
-    /// or a fresh proxy refuses beside upstreams that have room.
+    /// N_i per microsecond as admission counts on it: while it is unknown whether a higher concurrency level gets more
+    /// done, it is assumed to, or a fresh balancer would reject requests beside idle upstreams.
     fn n_optimistic(&self, s: &Server) -> f64 {
         let levels = self.upstreams.kinds.levels(s.type_index);
-        let (next, known) = levels.next();
-        self.n_rate(s) * if known { 1.0 } else { next as f64 / levels.count as f64 }
+        let next = levels.next_probe();
+        let gain = if next.is_known { 1.0 } else { next.level as f64 / levels.count as f64 };
+        self.n_rate(s) * gain
     }
 
-    /// N_i per unit of time: 1 / (2*TP_i + TS_i) for each lane.
+    /// N_i per microsecond.
     pub(crate) fn n_rate(&self, s: &Server) -> f64 {
         self.concurrency(s) / (self.tp2(s) + self.ts(s))
     }
 
-    /// A prior counts as one answer, and each further one for its part of all, until the means follow.
+    /// Takes an answer into the fleet's TS and into the mean and deviation of its class.
+    ///
+    /// A prior counts as one answer and each answer for its part of all, until there are enough for a moving mean.
     pub(super) fn learn_latency(&mut self, class: usize, latency: f64) {
-        let f = &mut self.fleet;
-        let gain = |seen: &mut f64| {
-            *seen += 1.0;
-            MEAN_GAIN.max(1.0 / *seen)
+        let next_gain = |answers: &mut f64| {
+            *answers += 1.0;
+            MIN_MEAN_GAIN.max(1.0 / *answers)
         };
-        f.ts += (latency - f.ts) * gain(&mut f.answers);
-        let (mean, dev) = (&mut f.mean_latency[class], &mut f.latency_deviation[class]);
-        let (off, new) = ((latency - *mean).abs(), *mean == 0.0);
-        let gain = gain(&mut f.answers_by_class[class]);
-        *dev += (if new { latency / 2.0 } else { off } - *dev) * gain;
+        let fleet = &mut self.fleet;
+        fleet.ts += (latency - fleet.ts) * next_gain(&mut fleet.answers);
+        let mean = &mut fleet.mean_latency[class];
+        let is_first = *mean == 0.0;
+        let deviation = if is_first { latency / 2.0 } else { (latency - *mean).abs() };
+        let gain = next_gain(&mut fleet.answers_by_class[class]);
+        let mean_deviation = &mut fleet.latency_deviation[class];
+        *mean_deviation += (deviation - *mean_deviation) * gain;
         *mean += (latency - *mean) * gain;
         self.ranks.change(class);
         self.reset_hedge_delay(class);
--- a/crates/policy/src/policy/outlier.rs
+++ b/crates/policy/src/policy/outlier.rs
@@ -66,7 +66,8 @@
         self.learn_unanswered(class, attempt, outcome);
         // An overdue attempt was counted as timed out when it became overdue.
         let is_counted = attempt.overdue && outcome == Outcome::Timeout;
-        if !is_counted && !(is_ok && is_probe) {
+        let says_nothing = is_counted || is_ok && is_probe;
+        if !says_nothing {
             self.learn_slowness(server, outcome, latency, mean);
         }
         self.eject_or_restore(now, class, attempt, outcome, mean);
--- a/crates/policy/src/policy/selection.rs
+++ b/crates/policy/src/policy/selection.rs
@@ -4,98 +4,148 @@
 
 use super::Balancer;
 use crate::interface::{RequestId, Status, Time};
-use crate::request_state::{Affinity, AttemptState};
-use crate::upstreams::Availability;
+use crate::request_state::{Affinity, AttemptState, RequestState};
+use crate::upstreams::{Availability, Server};
 
 /// Why a request finds no upstream now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NoUpstream {
-    /// For reasons of its own.
+    /// The request may not be sent now, or only where it is in flight already.
     RequestBlocked,
-    /// None that it is bound to has a free slot.
+    /// No upstream that it may be sent to has a free slot.
     NoFreeSlot,
 }
 
+/// Which slots are taken into account.
+#[derive(Clone, Copy, Debug, PartialEq, Eq)]
+pub(super) enum Slots {
+    /// The ordinary ones.
+    Ordinary,
+    /// Those that concurrency probes add, once the ordinary ones of an upstream are taken.
+    Probe,
+}
+
 impl Balancer {
-    /// Whether an upstream has a free slot for a class: an ordinary one, or one on trial. Lanes on trial are
-    /// filled once the ordinary slots are all taken.
-    fn is_free(&self, now: Time, class: usize, server: usize, trial: bool) -> bool {
+    /// Whether an upstream may be sent a request of a class now.
+    fn is_free(&self, now: Time, class: usize, server: usize, slots: Slots) -> bool {
         let s = &self.upstreams.servers[server];
-        let k = Self::k(s, if trial { s.probe } else { s.probe.min(0) });
-        // Failure: a proxy at its limit sent on trial to upstreams that it had left idle as slow.
-        let slot = s.in_flight < k && !(trial && s.in_flight < Self::k(s, 0));
-        slot && (!s.by_class.is_ejected(now, class) || self.upstreams.is_panicking(class))
+        let has_slot = match slots {
+            Slots::Ordinary => s.in_flight < Self::k(s, s.probe.min(0)),
+            // Idle slots of a probed upstream are idle since it is slow: a probe must not fill them.
+            Slots::Probe => s.in_flight < Self::k(s, s.probe) && s.in_flight >= Self::k(s, 0),
+        };
+        let is_ejected = s.by_class.is_ejected(now, class) && !self.upstreams.is_panicking(class);
+        has_slot
+            && !is_ejected
             && s.status == Status::Live
             && now >= s.breaker.until
             && self.upstreams.serves(class, s)
             && self.has_earned_send(now, s)
     }
 
-    /// Looks at an upstream again: whether it stands with those that have a free slot, and when to look next.
+    /// Recomputes whether an upstream is available, and sets a timer for when that may change by itself.
     pub(super) fn refresh_availability(&mut self, now: Time, server: usize) {
         let s = &self.upstreams.servers[server];
-        let live = s.status == Status::Live;
-        let partly_ejected = live && s.by_class.shut(now).next().is_some();
-        let cold = if live { self.warm_up_share(now, s) } else { None };
-        let earned_sends = cold.is_none() || self.has_earned_send(now, s);
-        let slot = s.in_flight < Self::k(s, s.probe.min(0));
-        let key =
-            if live && slot && now >= s.breaker.until && earned_sends { s.key() } else { Key::OUT };
-        if live {
-            let mut next = [s.breaker.until, Time(i64::MAX), Time(i64::MAX)];
-            if let Some(started) = s.started.filter(|_| cold.is_some()) {
-                next[1] = started.plus(self.settings.rules.warm_up);
-                next[2] = if earned_sends { next[1] } else { self.next_send_at(now, s) };
-            }
-            let shut = s.by_class.shut(now).map(|b| b.breaker.until);
-            if let Some(at) = next.into_iter().chain(shut).filter(|t| now < *t).min() {
-                self.upstreams.timers.set(server, at.0);
-            }
+        let is_live = s.status == Status::Live;
+        let is_warming_up = is_live && self.warm_up_share(now, s).is_some();
+        let has_earned_send = !is_warming_up || self.has_earned_send(now, s);
+        let has_slot = s.in_flight < Self::k(s, s.probe.min(0));
+        let is_free = is_live && has_slot && now >= s.breaker.until && has_earned_send;
+        let availability = Availability {
+            key: if is_free { s.key() } else { Key::OUT },
+            warm: is_live && !is_warming_up,
+            partly_ejected: is_live && s.by_class.ejected(now).next().is_some(),
+        };
+        if is_live && let Some(at) = self.next_change(now, s, is_warming_up, has_earned_send) {
+            self.upstreams.timers.set(server, at.0);
         }
-        let standing = Availability { key, warm: live && cold.is_none(), partly_ejected };
-        self.upstreams.set_availability(now, server, standing);
+        self.upstreams.set_availability(now, server, availability);
     }
 
-    /// The upstream of least cost with a free slot, of those that a request may be sent to. One that already
-    /// failed it comes last.
+    /// When the availability of an upstream changes next by the passing of time.
+    fn next_change(
+        &self,
+        now: Time,
+        s: &Server,
+        is_warming_up: bool,
+        has_earned_send: bool,
+    ) -> Option<Time> {
+        let warm_at = s
+            .started
+            .filter(|_| is_warming_up)
+            .map(|started| started.plus(self.settings.rules.warm_up));
+        let earned_at = match warm_at {
+            Some(_) if !has_earned_send => Some(self.next_send_at(now, s)),
+            _ => None,
+        };
+        let ejected_until = s.by_class.ejected(now).map(|b| b.breaker.until);
+        [Some(s.breaker.until), warm_at, earned_at]
+            .into_iter()
+            .flatten()
+            .chain(ejected_until)
+            .filter(|at| now < *at)
+            .min()
+    }
+
+    /// The upstream of least cost with a free slot, of those that a request may be sent to. One that already failed it
+    /// comes last; one where it is in flight is left out.
     pub(super) fn pick(
         &mut self,
         now: Time,
         id: RequestId,
-        full: bool,
+        slots: Slots,
     ) -> Result<usize, NoUpstream> {
-        let Some(e) = self.queue.get(id).filter(|e| self.may_attempt(now, e)) else {
+        let Some(entry) = self.queue.get(id).filter(|e| self.may_attempt(now, e)) else {
             return Err(NoUpstream::RequestBlocked);
         };
-        let (class, affinity) = (e.class, self.affinity(e));
-        let tried: Vec<usize> = e.attempts.iter().map(|a| a.server).collect();
-        let out = |i: &usize| {
-            e.attempts.iter().any(|a| a.state == AttemptState::InFlight && a.server == *i)
-        };
-        let free = |i: &usize| {
-            self.upstreams.satisfies(affinity, *i) && self.is_free(now, class, *i, full)
+        let (class, affinity) = (entry.class, self.affinity(entry));
+        let tried: Vec<usize> = entry.attempts.iter().map(|a| a.server).collect();
+        let repeated = self.pick_tried(now, entry, affinity, &tried, slots);
+        let is_candidate = |i: &usize| {
+            !tried.contains(i)
+                && self.upstreams.satisfies(affinity, *i)
+                && self.is_free(now, class, *i, slots)
         };
         let key = |i: &usize| self.upstreams.servers[*i].key();
-        let last: Vec<usize> = tried.iter().copied().filter(free).collect();
-        let again = last.iter().copied().filter(|i| !out(i)).min_by_key(key);
-        let none =
-            if last.is_empty() { NoUpstream::NoFreeSlot } else { NoUpstream::RequestBlocked };
-        let fits = |i: &usize| !tried.contains(i) && free(i);
-        if full {
-            let best = self.probed.iter().copied().filter(fits).min_by_key(key);
-            return best.or(again).ok_or(none);
+        if slots == Slots::Probe {
+            let best = self.probed.iter().copied().filter(is_candidate).min_by_key(key);
+            return best.map_or(repeated, Ok);
         }
         if let Affinity::Cell(zone, cell) = affinity {
-            let best = self.upstreams.cell(zone, cell).filter(fits).min_by_key(key);
-            return best.or(again).ok_or(none);
+            let best = self.upstreams.cell(zone, cell).filter(is_candidate).min_by_key(key);
+            return best.map_or(repeated, Ok);
         }
-        // What stands with the free is looked at once more before it is sent to.
+        // What was available when it was refreshed last is checked once more before it is sent to.
         while let Some(i) = self.upstreams.best(class, affinity, &tried) {
-            if self.upstreams.satisfies(affinity, i) && self.is_free(now, class, i, full) {
+            if self.upstreams.satisfies(affinity, i) && self.is_free(now, class, i, slots) {
                 return Ok(i);
             }
             self.refresh_availability(now, i);
         }
-        again.ok_or(none)
+        repeated
+    }
+
+    /// The upstream of least cost among those that failed a request before; one where it is in flight blocks it.
+    fn pick_tried(
+        &self,
+        now: Time,
+        entry: &RequestState,
+        affinity: Affinity,
+        tried: &[usize],
+        slots: Slots,
+    ) -> Result<usize, NoUpstream> {
+        let is_free = |i: &usize| {
+            self.upstreams.satisfies(affinity, *i) && self.is_free(now, entry.class, *i, slots)
+        };
+        let free: Vec<usize> = tried.iter().copied().filter(is_free).collect();
+        if free.is_empty() {
+            return Err(NoUpstream::NoFreeSlot);
+        }
+        let is_in_flight = |i: &usize| {
+            entry.attempts.iter().any(|a| a.state == AttemptState::InFlight && a.server == *i)
+        };
+        let candidates = free.iter().copied().filter(|i| !is_in_flight(i));
+        let best = candidates.min_by_key(|i| self.upstreams.servers[*i].key());
+        best.ok_or(NoUpstream::RequestBlocked)
     }
 }
--- a/crates/policy/src/upstreams.rs
+++ b/crates/policy/src/upstreams.rs
@@ -1,5 +1,6 @@
-//! The fleet as the module keeps it: who is there, where each lies on the ring, in which sums and trees each stands.
-//! Keeps books and answers questions at a cost that does not grow with the fleet; decides nothing.
+//! The fleet as the module keeps it: records of all upstreams, and the indexes over them.
+//!
+//! Answers questions at a cost that does not grow with the fleet, and decides nothing.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -20,29 +21,35 @@
 mod server;
 
 pub(crate) use availability::Availability;
+pub(crate) use list::Change;
 pub(crate) use server::Server;
 
 /// All upstreams.
 #[derive(Debug)]
 pub(crate) struct Upstreams {
     settings: Arc<Settings>,
-    /// Proxies that send to each upstream known here: all of the bank, unless each has a part of the fleet.
+    /// Balancers that send to each upstream known here: all of them, unless each has a subset of the fleet.
     pub(crate) sharers: f64,
-    /// By slot. A slot is its upstream's until that is gone and nothing was sent there that still lives.
+    /// By slot. An upstream has its slot until it is gone and no live request was sent there.
     pub(crate) servers: Chunked<Server>,
+    /// Slots that are free.
     vacant: Vec<usize>,
+    /// Slots of upstreams that are gone and not dropped yet.
     departed: Vec<usize>,
+    /// Slots by the handle of the upstream.
     pub(crate) by_id: FxHashMap<ServerId, u32>,
-    /// Live ones as they lie on the ring, each zone's on its own where crossing has a price; and by cell.
+    /// Live upstreams by identity; each zone is a part of its own where crossing has a price.
     pub(crate) ring: Ring,
+    /// Slots of live upstreams by zone and cell.
     cells: FxHashMap<(u32, u32), Vec<u32>>,
-    /// Whether keys bind some class to a zone: trees are kept by zone then.
+    /// Whether the group of some keyed class is a zone: then trees are kept by zone.
     zoned: bool,
     pub(crate) capacity_groups: CapacityGroups,
-    /// Classes that some upstream is shut to.
-    shut: FxHashMap<u32, EjectedClass>,
+    /// Classes that some upstream is ejected for.
+    ejected_classes: FxHashMap<u32, EjectedClass>,
+    /// Figures by machine type.
     pub(crate) kinds: MachineTypes,
-    /// When one that rests is to be looked at again.
+    /// When the availability of an upstream may change by itself.
     pub(crate) timers: Timers,
 }
 
@@ -57,7 +64,7 @@
             cells: FxHashMap::default(),
             zoned: settings.classes.iter().any(|c| c.group == Group::Zone),
             capacity_groups: CapacityGroups::new(&settings),
-            shut: FxHashMap::default(),
+            ejected_classes: FxHashMap::default(),
             kinds: MachineTypes::new(&settings),
             timers: Timers::default(),
             sharers: f64::from(settings.balancers),
@@ -65,12 +72,13 @@
         }
     }
 
-    /// Whether an upstream is of a zone and kind that a class is bound to, and the class not kept from it.
+    /// Whether an upstream may be sent requests of a class: it is of a zone and machine type that the class allows, and the
+    /// class is not barred from it.
     pub(crate) fn serves(&self, class: usize, s: &Server) -> bool {
         s.capacity_groups.binary_search(&self.capacity_groups.group_of_class(class)).is_ok()
     }
 
-    /// The rooms that an upstream belongs to.
+    /// The capacity groups that an upstream belongs to.
     fn groups_of(&self, s: &Server) -> GroupList {
         self.capacity_groups.groups_of_upstream(s.kind, |class| {
             let c = &self.settings.classes[class];
@@ -80,6 +88,7 @@
         })
     }
 
+    /// Whether an upstream is one of those that a request may be sent to.
     pub(crate) fn satisfies(&self, affinity: Affinity, server: usize) -> bool {
         let s = &self.servers[server];
         match affinity {
@@ -89,11 +98,12 @@
         }
     }
 
+    /// The area whose trees an upstream of this zone stands in.
     fn area(&self, zone: u32) -> u32 {
         if self.zoned { zone } else { 0 }
     }
 
-    /// Brings K_i and N_i of an upstream up to date, and the sums of its rooms; these only while it is live.
+    /// Sets K_i and N_i of an upstream, and updates the sums of its capacity groups, in which it counts while it is live.
     pub(crate) fn sum(&mut self, server: usize, now: Capacity) {
         let s = &mut self.servers[server];
         let was = Capacity { k: s.k, n: s.n };
@@ -106,12 +116,12 @@
         }
     }
 
-    /// The live ones of a cell.
+    /// The live upstreams of a cell.
     pub(crate) fn cell(&self, zone: u32, cell: u32) -> impl Iterator<Item = usize> {
         self.cells.get(&(zone, cell)).into_iter().flatten().map(|slot| *slot as usize)
     }
 
-    /// Whether there is a live one within bounds that a class may be sent to, beside these.
+    /// Whether there is a live upstream that a request may be sent to, beside some.
     pub(crate) fn any(&self, class: usize, affinity: Affinity, beside: &[usize]) -> bool {
         let open = |i: &usize| {
             let s = &self.servers[*i];
@@ -132,21 +142,23 @@
         }
     }
 
-    /// Takes or frees slots of an upstream, in every room that it belongs to.
+    /// Adds to the attempts in flight at an upstream, and in every capacity group that it belongs to.
     pub(crate) fn count_in_flight(&mut self, server: usize, change: i32) {
         let s = &mut self.servers[server];
         s.in_flight = s.in_flight.saturating_add_signed(change);
         self.capacity_groups.count(&s.capacity_groups, 0, change as isize);
     }
 
-    /// Live ones, and how many of them do not rest.
+    /// Live upstreams, and how many of them are not ejected.
     pub(crate) fn standing(&self, now: Time) -> (usize, usize) {
         let all = (0..self.ring.len()).map(|j| &self.servers[self.ring.at(j).slot]);
         (self.ring.len(), all.filter(|s| now >= s.breaker.until).count())
     }
 
-    /// Reads what a sweep over these upstreams needs. The processor overlaps reads that do not depend on each other, so
-    /// that a large fleet, which no cache holds, is swept at little more than the cost of a small one.
+    /// Reads what a sweep over these upstreams needs: the processor overlaps reads that do not depend on each other.
+    ///
+    /// `black_box` keeps the compiler from removing these reads, whose results are not used. It answers the benchmark
+    /// `capacity`, in which a sweep over a large fleet waited for memory once for each read.
     pub(crate) fn preload(&self, slots: &[usize]) {
         for &slot in slots {
             let s = &self.servers[slot];
@@ -158,7 +170,7 @@
     }
 }
 
-/// Whether the bit of a class is set. There is none for the 65th: nothing is kept from it here.
+/// Whether the bit of a class is set. Classes from the 65th on have none and are never barred.
 fn bars(barred: u64, class: usize) -> bool {
     u32::try_from(class).ok().and_then(|c| barred.checked_shr(c)).is_some_and(|b| b & 1 == 1)
 }
--- a/crates/policy/src/upstreams/availability.rs
+++ b/crates/policy/src/upstreams/availability.rs
@@ -1,4 +1,6 @@
-//! Which upstreams have a free slot, for all classes and for those that some upstream is shut to.
+//! Keeps the upstreams with a free slot in order of cost, for all classes and for those that some upstream is ejected for.
+//!
+//! Whether an upstream has a free slot is for [`crate::policy`] to say.
 
 use hollowpaddle_ordered_collections::tournament::Key;
 
@@ -7,103 +9,106 @@
 use crate::interface::Time;
 use crate::request_state::Affinity;
 
-/// How an upstream stands now.
+/// Whether an upstream can be sent to as of now.
 pub(crate) struct Availability {
-    /// Its key if it has a free slot and does not rest, else [`Key::OUT`].
+    /// Its key if it has a free slot and is not ejected for all classes, else [`Key::OUT`].
     pub(crate) key: Key,
-    /// Counted among the warm ones.
+    /// It is live and not warming up.
     pub(crate) warm: bool,
-    /// Whether some class is shut to it.
+    /// It is ejected for some class.
     pub(crate) partly_ejected: bool,
 }
 
 impl Upstreams {
-    /// Books how an upstream stands.
-    pub(crate) fn set_availability(&mut self, now: Time, server: usize, standing: Availability) {
+    /// Books the availability of an upstream.
+    pub(crate) fn set_availability(
+        &mut self,
+        now: Time,
+        server: usize,
+        availability: Availability,
+    ) {
+        let Availability { key, warm, partly_ejected } = availability;
         let area = self.area(self.servers[server].zone);
         let s = &mut self.servers[server];
-        if std::mem::replace(&mut s.is_warm, standing.warm) != standing.warm {
-            self.kinds.change_warm(s.type_index, s.weight, standing.warm);
+        if std::mem::replace(&mut s.is_warm, warm) != warm {
+            self.kinds.change_warm(s.type_index, s.weight, warm);
         }
-        let was_partly_ejected =
-            std::mem::replace(&mut s.is_partly_ejected, standing.partly_ejected);
-        let is_free = standing.key != Key::OUT;
-        let was_free = std::mem::replace(&mut s.was_available, is_free);
-        let cost_stood = std::mem::replace(&mut s.cost_when_available, s.cost);
-        let is_unchanged = is_free == was_free && (!is_free || s.cost == cost_stood);
-        if is_unchanged && !was_partly_ejected && !standing.partly_ejected {
+        let was_partly_ejected = std::mem::replace(&mut s.is_partly_ejected, partly_ejected);
+        let is_available = key != Key::OUT;
+        let was_available = std::mem::replace(&mut s.was_available, is_available);
+        let previous_cost = std::mem::replace(&mut s.cost_when_available, s.cost);
+        let is_unchanged =
+            is_available == was_available && (!is_available || s.cost == previous_cost);
+        if is_unchanged && !was_partly_ejected && !partly_ejected {
             return;
         }
-        let (fully_available, partly_ejected) = if standing.partly_ejected {
-            (Key::OUT, standing.key)
-        } else {
-            (standing.key, Key::OUT)
-        };
+        let (key_if_full, key_if_partial) =
+            if partly_ejected { (Key::OUT, key) } else { (key, Key::OUT) };
         for &number in &s.capacity_groups {
-            let Some(capacity_group) = self.capacity_groups.get_mut(number) else { continue };
-            let trees = capacity_group.trees.get_mut(area);
-            trees.fully_available.set(server, fully_available);
-            trees.partly_ejected.set(server, partly_ejected);
+            let Some(group) = self.capacity_groups.get_mut(number) else { continue };
+            let trees = group.trees.get_mut(area);
+            trees.fully_available.set(server, key_if_full);
+            trees.partly_ejected.set(server, key_if_partial);
         }
-        if was_partly_ejected || standing.partly_ejected {
+        if was_partly_ejected || partly_ejected {
             self.count_ejections(now, server);
-            self.set_class_availability(now, server, partly_ejected);
+            self.set_class_availability(now, server, key_if_partial);
         }
     }
 
-    /// Counts an upstream with the classes that it is shut to, and no longer with those that it was.
+    /// Counts an upstream with the classes that it is ejected for now, and no longer with the previous ones.
     fn count_ejections(&mut self, now: Time, server: usize) {
         let s = &self.servers[server];
-        let shut = s.by_class.shut(now).map(|b| b.class).filter(|_| s.is_partly_ejected);
-        let shut: Vec<u32> = shut.filter(|class| self.serves(*class as usize, s)).collect();
-        for &class in &shut {
-            let capacity_group = self.capacity_groups.of_class_mut(class as usize);
+        let ejected = s.by_class.ejected(now).map(|b| b.class).filter(|_| s.is_partly_ejected);
+        let ejected: Vec<u32> = ejected.filter(|class| self.serves(*class as usize, s)).collect();
+        for &class in &ejected {
+            let group = self.capacity_groups.of_class_mut(class as usize);
             let new = || {
-                capacity_group.ejected_classes.push(class);
-                EjectedClass::new(capacity_group)
+                group.ejected_classes.push(class);
+                EjectedClass::new(group)
             };
-            self.shut.entry(class).or_insert_with(new).count += 1;
+            self.ejected_classes.entry(class).or_insert_with(new).count += 1;
         }
-        for class in self.servers[server].by_class.count(shut) {
-            if let Some(of) = self.shut.get_mut(&class) {
-                of.count -= 1;
+        for class in self.servers[server].by_class.count(ejected) {
+            if let Some(previous) = self.ejected_classes.get_mut(&class) {
+                previous.count -= 1;
             }
         }
     }
 
-    /// Puts an upstream into the trees of the classes that some upstream is shut to.
+    /// Sets the key of an upstream in the trees of the classes that some upstream is ejected for.
     fn set_class_availability(&mut self, now: Time, server: usize, key: Key) {
         let area = self.area(self.servers[server].zone);
         let s = &self.servers[server];
         for &number in &s.capacity_groups {
-            let Some(capacity_group) = self.capacity_groups.get_mut(number) else { continue };
-            for class in &capacity_group.ejected_classes {
-                let Some(of) = self.shut.get_mut(class) else { continue };
-                let key = of.key(key, s.by_class.is_ejected(now, *class as usize));
-                of.open.get_mut(area).set(server, key);
+            let Some(group) = self.capacity_groups.get_mut(number) else { continue };
+            for class in &group.ejected_classes {
+                let Some(ejected) = self.ejected_classes.get_mut(class) else { continue };
+                let key = ejected.key(key, s.by_class.is_ejected(now, *class as usize));
+                ejected.available.get_mut(area).set(server, key);
             }
         }
     }
 
-    /// Whether so much of a class's room is shut to it that it is open to it all the same.
+    /// Whether so many upstreams are ejected for a class that none counts as ejected for it.
     pub(crate) fn is_panicking(&self, class: usize) -> bool {
-        self.shut.get(&(class as u32)).is_some_and(|of| of.is_panicking)
+        self.ejected_classes.get(&(class as u32)).is_some_and(|ejected| ejected.is_panicking)
     }
 
-    /// Looks anew at which classes are shut by more than this share of their rooms.
+    /// Recomputes for which classes more than `share` of their upstreams is ejected.
     pub(crate) fn refresh_panic(&mut self, share: f64) {
-        let capacity_groups = &mut self.capacity_groups;
-        self.shut.retain(|class, of| {
-            let capacity_group = capacity_groups.of_class_mut(*class as usize);
-            of.is_panicking = of.count as f64 > capacity_group.live as f64 * share;
-            if of.count == 0 {
-                capacity_group.ejected_classes.retain(|c| c != class);
+        let groups = &mut self.capacity_groups;
+        self.ejected_classes.retain(|class, ejected| {
+            let group = groups.of_class_mut(*class as usize);
+            ejected.is_panicking = ejected.count as f64 > group.live as f64 * share;
+            if ejected.count == 0 {
+                group.ejected_classes.retain(|c| c != class);
             }
-            of.count > 0
+            ejected.count > 0
         });
     }
 
-    /// Of those that stood with a free slot for this class, the one with the least key.
+    /// The upstream with the least key of those available to a class, without some of them. As of their last refresh.
     pub(crate) fn best(
         &mut self,
         class: usize,
@@ -114,18 +119,20 @@
             Affinity::Zone(zone) => Some(self.area(zone)),
             _ => None,
         };
-        let by_class = self.shut.get_mut(&(class as u32));
-        let is_ejected_somewhere = by_class.is_some();
+        let ejected = self.ejected_classes.get_mut(&(class as u32));
+        let is_ejected_somewhere = ejected.is_some();
         let trees = self.capacity_groups.of_class_mut(class).trees.within(area);
         let in_group = trees.filter_map(|trees| {
-            let fully_available = trees.fully_available.best_without(without);
-            let partly_ejected = &mut trees.partly_ejected;
-            let partly_ejected =
-                if is_ejected_somewhere { None } else { partly_ejected.best_without(without) };
-            fully_available.into_iter().chain(partly_ejected).min()
+            let full = trees.fully_available.best_without(without);
+            let partial = if is_ejected_somewhere {
+                None
+            } else {
+                trees.partly_ejected.best_without(without)
+            };
+            full.into_iter().chain(partial).min()
         });
-        let by_class = by_class.into_iter().flat_map(|of| of.open.within(area));
-        let open = by_class.filter_map(|tree| tree.best_without(without));
-        in_group.chain(open).min().map(|(_, server)| server)
+        let of_class = ejected.into_iter().flat_map(|ejected| ejected.available.within(area));
+        let available = of_class.filter_map(|tree| tree.best_without(without));
+        in_group.chain(available).min().map(|(_, server)| server)
     }
 }
--- a/crates/policy/src/upstreams/list.rs
+++ b/crates/policy/src/upstreams/list.rs
@@ -1,4 +1,6 @@
-//! Takes in the endpoint list: who joins, changes and leaves.
+//! Takes in the endpoint list: upstreams that join, change and leave.
+//!
+//! What follows for estimates and connections is for [`crate::policy`] to say.
 
 use hollowpaddle_ordered_collections::ring::Place;
 use hollowpaddle_ordered_collections::tournament::Key;
@@ -6,32 +8,39 @@
 
 use super::availability::Availability;
 use super::{Server, Upstreams};
-use crate::breakers::{Breaker, ClassBreakers};
-use crate::capacity::{Capacity, GroupList};
+use crate::capacity::Capacity;
 use crate::estimate::Estimate;
 use crate::interface::{ListKind, Member, ServerId, Status, Time};
 
-/// What an entry of a list changed.
+/// An upstream that an entry of a list added or changed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Change {
+    /// Its slot.
     pub(crate) server: usize,
-    /// Its state before; `None` if it was not known.
+    /// Its status before; `None` if it was not known.
     pub(crate) was: Option<Status>,
-    /// It says that it has started since.
+    /// The list says that it has restarted since.
     pub(crate) restarted: bool,
 }
 
+/// Places on the ring that a list frees and takes.
+#[derive(Default)]
+struct RingChange {
+    removed: Vec<Place>,
+    added: Vec<Place>,
+}
+
 impl Upstreams {
-    /// Takes in a list; what it changed. Those that it changed stand nowhere until they are booked again.
+    /// Takes in a list, and returns the upstreams that it changed. They count as unavailable until they are refreshed.
     pub(crate) fn list(&mut self, now: Time, kind: ListKind, list: &[Member]) -> Vec<Change> {
         let mut changed = Vec::new();
-        let mut moved = (Vec::new(), Vec::new());
+        let mut moved = RingChange::default();
         if !kind.is_part() {
             let listed: FxHashSet<ServerId> = list.iter().map(|m| m.id).collect();
-            let left = self.by_id.iter().filter(|(id, _)| !listed.contains(id));
-            let mut left: Vec<usize> = left.map(|(_, slot)| *slot as usize).collect();
-            left.sort_unstable();
-            for i in left {
+            let unlisted = self.by_id.iter().filter(|(id, _)| !listed.contains(id));
+            let mut unlisted: Vec<usize> = unlisted.map(|(_, slot)| *slot as usize).collect();
+            unlisted.sort_unstable();
+            for i in unlisted {
                 let s = &self.servers[i];
                 let gone = Member { status: Status::Gone, ..s.member() };
                 changed.extend(self.member(now, &gone, &mut moved));
@@ -40,17 +49,12 @@
         for m in list {
             changed.extend(self.member(now, m, &mut moved));
         }
-        self.ring.change(&moved.0, &moved.1);
+        self.ring.change(&moved.removed, &moved.added);
         changed
     }
 
-    /// Takes in one entry of a list; what it changes, if anything.
-    fn member(
-        &mut self,
-        now: Time,
-        m: &Member,
-        moved: &mut (Vec<Place>, Vec<Place>),
-    ) -> Option<Change> {
+    /// Takes in one entry of a list; returns the upstream if that changes anything.
+    fn member(&mut self, now: Time, m: &Member, moved: &mut RingChange) -> Option<Change> {
         let weight = if m.weight > 0.0 && m.weight.is_finite() { m.weight } else { 1.0 };
         let known = self.by_id.get(&m.id).map(|slot| *slot as usize);
         if let Some(s) = known.map(|i| &self.servers[i]) {
@@ -59,10 +63,10 @@
                 return None;
             }
         }
-        let server = known.unwrap_or_else(|| self.newcomer(now, m));
+        let server = known.unwrap_or_else(|| self.add(now, m));
         let was = self.servers[server].status;
         if was == Status::Live {
-            moved.0.push(self.place_of(server));
+            moved.removed.push(self.place_of(server));
         }
         self.enlist(server, -1);
         self.servers[server].status = Status::Gone;
@@ -76,75 +80,42 @@
         self.servers[server].capacity_groups = capacity_groups;
         self.enlist(server, 1);
         match m.status {
-            Status::Live => moved.1.push(self.place_of(server)),
+            Status::Live => moved.added.push(self.place_of(server)),
             Status::Draining => {}
             Status::Gone => self.departed.push(server),
         }
         Some(Change { server, was: known.map(|_| was), restarted })
     }
 
-    /// A slot for an upstream that was not known.
-    fn newcomer(&mut self, now: Time, m: &Member) -> usize {
+    /// Adds an upstream that was not known, and returns its slot.
+    fn add(&mut self, now: Time, member: &Member) -> usize {
         let slot = self.vacant.pop().unwrap_or(self.servers.len());
-        let s = Server {
-            id: m.id,
-            zone: m.zone,
-            kind: 0,
-            type_index: 0,
-            cell: m.cell,
-            cell_index: 0,
-            status: Status::Gone,
-            weight: 1.0,
-            started: None,
-            barred: 0,
-            identity: m.identity,
-            in_flight: 0,
-            in_flight_changed: now,
-            level_at_last_answer: 0,
-            breaker: Breaker::default(),
-            by_class: ClassBreakers::default(),
-            last_answered_sent: Time(i64::MIN),
-            estimate: Estimate::NONE,
-            k: 1.0,
-            n: 0.0,
-            cost: 0.0,
-            earned_sends: 0.0,
-            earned_at: now,
-            probe: 0,
-            distance: 0.0,
-            close_idle_until: now,
-            attempt_refs: 0,
-            capacity_groups: GroupList::default(),
-            is_summed: false,
-            is_warm: false,
-            is_partly_ejected: false,
-            was_available: false,
-            cost_when_available: 0.0,
-        };
+        let new = Server::new(now, member);
         if slot == self.servers.len() {
-            self.servers.push(s)
+            self.servers.push(new);
         } else {
-            self.servers[slot] = s
+            self.servers[slot] = new;
         }
-        self.by_id.insert(m.id, slot as u32);
+        self.by_id.insert(member.id, slot as u32);
         slot
     }
 
-    /// Takes one that is not live any more out of all sums and trees.
+    /// Takes an upstream that is not live any more out of all sums and trees.
     fn withdraw(&mut self, now: Time, server: usize) {
         let s = &self.servers[server];
         if s.is_warm || s.is_summed {
-            let as_it_is = Capacity { k: s.k, n: s.n };
+            let unchanged = Capacity { k: s.k, n: s.n };
             self.set_availability(
                 now,
                 server,
                 Availability { key: Key::OUT, warm: false, partly_ejected: false },
             );
-            self.sum(server, as_it_is);
+            self.sum(server, unchanged);
         }
     }
 
-    /// Counts a live upstream in its cell and rooms or out of them, and what is out at it in any case.
+    /// Adds an upstream to its cell and capacity groups (`change` 1) or takes it out (-1). One that is not live counts only
+    /// with its attempts in flight.
     fn enlist(&mut self, server: usize, change: isize) {
         let s = &self.servers[server];
         let live = if s.status == Status::Live { change } else { 0 };
@@ -175,9 +146,9 @@
         }
     }
 
-    /// Drops upstreams that are gone, unless a request was sent there: whether it may be repeated elsewhere
-    /// is judged by them. Tells of each what it had learned. Failure: where machines come and go, all there ever
-    /// were stayed on every walk.
+    /// Drops upstreams that are gone, and calls `dropped` with the estimate of each.
+    ///
+    /// One stays as long as a live request was sent there: where that may be retried depends on it.
     pub(crate) fn forget(&mut self, now: Time, mut dropped: impl FnMut(&Estimate)) {
         for i in std::mem::take(&mut self.departed) {
             let s = &self.servers[i];
--- a/crates/policy/src/upstreams/server.rs
+++ b/crates/policy/src/upstreams/server.rs
@@ -1,4 +1,4 @@
-//! One upstream as the module keeps it.
+//! One upstream: what the endpoint list says of it, and what the module has estimated.
 
 use hollowpaddle_ordered_collections::tournament::Key;
 
@@ -7,16 +7,17 @@
 use crate::estimate::Estimate;
 use crate::interface::{Member, ServerId, Status, Time};
 
-/// One upstream: what the list says of it, and what the module knows and believes.
+/// One upstream.
 #[derive(Debug)]
 pub(crate) struct Server {
     pub(crate) id: ServerId,
     pub(crate) zone: u32,
-    /// Its machine type as the list has it, and the number under which figures of it are kept.
+    /// Its machine type as the list has it.
     pub(super) kind: u32,
+    /// The number under which figures of its machine type are kept.
     pub(crate) type_index: u32,
     pub(crate) cell: u32,
-    /// Its index among the live ones of its cell.
+    /// Its index among the live upstreams of its cell.
     pub(super) cell_index: u32,
     pub(crate) status: Status,
     pub(crate) weight: f64,
@@ -24,49 +25,93 @@
     pub(crate) barred: u64,
     pub(crate) identity: u64,
     pub(crate) in_flight: u32,
-    /// When that last changed.
+    /// When `in_flight` last changed.
     pub(crate) in_flight_changed: Time,
-    /// How many were out, as its last answer was booked; 0 if something was sent since.
+    /// Concurrency level at which its last answer was booked; 0 if something was sent since.
     pub(crate) level_at_last_answer: u32,
-    /// Turned away or out of reach; and, class by class, unanswered or in error.
+    /// Trips when it rejects a request or cannot be reached.
     pub(crate) breaker: Breaker,
+    /// Trip for a class when its attempts time out, break or end in errors.
     pub(crate) by_class: ClassBreakers,
-    /// When the latest-sent of its answered attempts was sent.
+    /// When the latest of its attempts that were answered was sent.
     pub(crate) last_answered_sent: Time,
     pub(crate) estimate: Estimate,
-    /// K_i and N_i per unit of time as of its last answer or sweep, and its cost then.
+    /// K_i as of its last answer or sweep.
     pub(crate) k: f64,
+    /// N_i per microsecond as of its last answer or sweep.
     pub(crate) n: f64,
+    /// Cost of sending to it as of its last sweep; the least is selected.
     pub(crate) cost: f64,
-    /// Sends a young upstream may still get, and when that was last reckoned.
+    /// Sends that slow start allowed as of `earned_at`.
     pub(crate) earned_sends: f64,
     pub(crate) earned_at: Time,
-    /// Lanes more or fewer than its kind has, by way of trial.
+    /// Attempts more or fewer than K_i that a concurrency probe lets it have.
     pub(crate) probe: i32,
-    /// How far from this proxy's own part of the fleet, in such parts.
+    /// Distance from this balancer's own point on the ring, in even parts of the fleet.
     pub(crate) distance: f64,
-    /// Until when idle connections are closed again and again, where a rule asks for it.
+    /// Until when its idle connections are closed after it left, where a rule asks for it.
     pub(crate) close_idle_until: Time,
-    /// Attempts of live requests that went there.
+    /// Attempts of live requests that were sent there.
     pub(crate) attempt_refs: u32,
     pub(super) capacity_groups: GroupList,
-    /// Whether K_i and N_i are in the sums of its rooms, and its weight in that of its kind as warm.
+    /// Whether K_i and N_i are in the sums of its capacity groups.
     pub(super) is_summed: bool,
+    /// Whether its weight is in that of the warm upstreams of its machine type.
     pub(super) is_warm: bool,
-    /// Whether some class was shut when it last stood.
+    /// Whether it was ejected for some class as of its last refresh.
     pub(super) is_partly_ejected: bool,
-    /// Whether it last stood with a free slot, and its cost then.
+    /// Whether it had a free slot as of its last refresh.
     pub(super) was_available: bool,
+    /// Its cost as of its last refresh.
     pub(super) cost_when_available: f64,
 }
 
 impl Server {
-    /// The least wins: by cost, and by identity where that is the same.
+    /// An upstream of which nothing but its entry in the list is known. It counts as gone until the entry is applied.
+    pub(super) fn new(now: Time, member: &Member) -> Self {
+        Self {
+            id: member.id,
+            zone: member.zone,
+            kind: 0,
+            type_index: 0,
+            cell: member.cell,
+            cell_index: 0,
+            status: Status::Gone,
+            weight: 1.0,
+            started: None,
+            barred: 0,
+            identity: member.identity,
+            in_flight: 0,
+            in_flight_changed: now,
+            level_at_last_answer: 0,
+            breaker: Breaker::default(),
+            by_class: ClassBreakers::default(),
+            last_answered_sent: Time(i64::MIN),
+            estimate: Estimate::NONE,
+            k: 1.0,
+            n: 0.0,
+            cost: 0.0,
+            earned_sends: 0.0,
+            earned_at: now,
+            probe: 0,
+            distance: 0.0,
+            close_idle_until: now,
+            attempt_refs: 0,
+            capacity_groups: GroupList::default(),
+            is_summed: false,
+            is_warm: false,
+            is_partly_ejected: false,
+            was_available: false,
+            cost_when_available: 0.0,
+        }
+    }
+
+    /// The key by which it is selected: its cost, and its identity where that is the same.
     pub(crate) fn key(&self) -> Key {
         Key::of(self.cost, self.identity)
     }
 
-    /// As the list named it.
+    /// The entry of the list that named it.
     pub(super) fn member(&self) -> Member {
         Member {
             id: self.id,
--- a/crates/policy/src/upstreams/tests.rs
+++ b/crates/policy/src/upstreams/tests.rs
@@ -25,7 +25,7 @@
                 for priced in [false, true] {
                     let up = upstreams(n, balancers, position, priced);
                     let part = up.own_part();
-                    let close = |j: &usize| up.reach(*j, &part, 1.0) <= 0.5;
+                    let close = |j: &usize| up.distance(*j, &part, 1.0) <= 0.5;
                     let all: Vec<usize> = part.clone().filter(close).collect();
                     let near: Vec<usize> = up.near(&part, 0.5).collect();
                     let found: Vec<usize> = near.iter().copied().filter(close).collect();
