--- /dev/null
+++ b/crates/gateway/src/bodies/tests.rs
@@ -0,0 +1,72 @@
+//! Receiving of bodies within memory and time.
+
+use super::*;
+use crate::bodies::trickle::trickle;
+use http_body_util::Full;
+
+const PACE: Pace = Pace {
+    max_bytes: 6,
+    base_time: Duration::from_millis(100),
+    time_per_byte: Duration::from_millis(10),
+};
+
+#[tokio::test]
+async fn body_uses_memory_until_its_last_copy_is_dropped() {
+    let budget = MemoryBudget::new(10);
+    let body = || Full::new(Bytes::from_static(b"123456"));
+    let first = complete(body(), PACE, &budget).await.expect("there is memory");
+    assert_eq!(first, "123456");
+    assert_eq!(complete(body(), PACE, &budget).await, Err(BodyError::OutOfMemory));
+    let part = first.slice(2..3);
+    drop(first);
+    assert_eq!(
+        complete(body(), PACE, &budget).await,
+        Err(BodyError::OutOfMemory),
+        "a copy is left"
+    );
+    drop(part);
+    let short = Pace { max_bytes: 5, ..PACE };
+    assert_eq!(complete(body(), short, &budget).await, Err(BodyError::TooLarge));
+    assert!(complete(body(), PACE, &budget).await.is_ok());
+    assert_eq!(budget.used.load(Relaxed), 0);
+}
+
+/// All of it, if it is not long.
+async fn complete<B>(body: B, pace: Pace, budget: &MemoryBudget) -> Result<Bytes, BodyError>
+where
+    B: Body<Data = Bytes> + Unpin + std::fmt::Debug,
+{
+    match receive_body(body, pace, 6, budget).await? {
+        ReceivedBody::Complete(body) => Ok(body),
+        long => panic!("not complete: {long:?}"),
+    }
+}
+
+#[tokio::test(start_paused = true)]
+async fn client_must_keep_pace() {
+    let budget = MemoryBudget::new(10);
+    // 6 bytes may take 100 + 60 ms, and each must come in the time of those before it.
+    let taken = complete(trickle(6, 22), PACE, &budget).await;
+    assert_eq!(taken.expect("in time").len(), 6);
+    assert_eq!(complete(trickle(6, 35), PACE, &budget).await, Err(BodyError::TooSlow));
+    assert_eq!(complete(trickle(1, 200), PACE, &budget).await, Err(BodyError::TooSlow));
+    assert_eq!(complete(trickle(7, 1), PACE, &budget).await, Err(BodyError::TooLarge));
+}
+
+#[tokio::test(start_paused = true)]
+async fn body_beyond_the_buffer_limit_is_left_to_streaming() {
+    let budget = MemoryBudget::new(10);
+    let long = Pace { max_bytes: 20, ..PACE };
+    let body = Full::new(Bytes::from_static(b"12345678"));
+    let taken = receive_body(body, long, 6, &budget).await.expect("not too long");
+    assert!(
+        matches!(taken, ReceivedBody::Long { ref first, length: Some(8), .. } if first.is_empty()),
+        "{taken:?}"
+    );
+    // One that announces nothing is read until it is known to be long.
+    let taken = receive_body(trickle(9, 1), long, 6, &budget).await.expect("not too long");
+    assert!(
+        matches!(taken, ReceivedBody::Long { ref first, length: None, .. } if first.len() == 7)
+    );
+    assert_eq!(budget.used.load(Relaxed), 7);
+}
--- /dev/null
+++ b/crates/gateway/src/bodies/trickle.rs
@@ -0,0 +1,38 @@
+//! Slow bodies for tests.
+
+use std::convert::Infallible;
+use std::pin::Pin;
+use std::task::{Context, Poll};
+use std::time::Duration;
+
+use bytes::Bytes;
+use hyper::body::{Body, Frame};
+
+/// A body that another task sends.
+#[derive(Debug)]
+pub struct Trickle(tokio::sync::mpsc::Receiver<Bytes>);
+
+impl Body for Trickle {
+    type Data = Bytes;
+    type Error = Infallible;
+    fn poll_frame(
+        mut self: Pin<&mut Self>,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, Infallible>>> {
+        self.0.poll_recv(cx).map(|b| b.map(|b| Ok(Frame::data(b))))
+    }
+}
+
+/// A body of so many bytes, of which one comes every `interval_ms` milliseconds.
+pub fn trickle(bytes: usize, interval_ms: u64) -> Trickle {
+    let (sender, receiver) = tokio::sync::mpsc::channel(1);
+    tokio::spawn(async move {
+        for _ in 0..bytes {
+            tokio::time::sleep(Duration::from_millis(interval_ms)).await;
+            if sender.send(Bytes::from_static(b"x")).await.is_err() {
+                return;
+            }
+        }
+    });
+    Trickle(receiver)
+}
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -26,12 +26,13 @@
 use rustc_hash::FxHashSet;
 use tokio::time::{Instant, sleep};
 
-use crate::bodies::{BodyError, MemoryBudget, Pace, ReceivedBody, take};
+use crate::bodies::{BodyError, MemoryBudget, Pace, ReceivedBody, receive_body};
 use crate::cancellation::Cancellation;
 use crate::closing::{CloseReason, close};
 use crate::config::{Budget, Config};
 use crate::connections::{ConnectionSlot, Connections};
 use crate::engine::{Arrival, EngineHandle, Reply};
+use crate::forwarded_request::{ForwardedBody, ForwardedRequest};
 use crate::http::{HEAD_LIMIT, HEAD_LINES};
 use crate::invariants::{Invariant, Violations};
 use crate::response_body::ResponseBody;
@@ -40,7 +41,6 @@
 use crate::stream::{ObservedStream, RawHead, ReadAhead};
 use crate::streamed_body::StreamedBody;
 use crate::tasks::CloseSignal;
-use crate::upstreams::{ForwardedBody, ForwardedRequest};
 
 /// The largest body that a client may send, in bytes.
 const BODY_LIMIT: usize = 32 << 20;
@@ -309,7 +309,7 @@
         owed.answered(answer.status());
         match answer.body_mut() {
             ResponseBody::Complete(_) => seat.answered(),
-            ResponseBody::Streamed(passing) => passing.hold(seat.answering()),
+            ResponseBody::Streamed(passing) => passing.attach(seat.answering()),
         }
         Ok(answer)
     }
@@ -325,8 +325,9 @@
         if let Err(what) = framed(&head, raw) {
             return malformed(what);
         }
-        let pace = Pace { longest: BODY_LIMIT, grace: BODY_GRACE, a_byte: BODY_A_BYTE };
-        let (body, length) = match take(body, pace, BODY_HELD, &self.bodies).await {
+        let pace =
+            Pace { max_bytes: BODY_LIMIT, base_time: BODY_GRACE, time_per_byte: BODY_A_BYTE };
+        let (body, length) = match receive_body(body, pace, BODY_HELD, &self.bodies).await {
             Ok(ReceivedBody::Complete(body)) => {
                 ahead.whole();
                 let length = Some(body.len() as u64);
@@ -359,7 +360,7 @@
         };
         let flow = forward.streamed_body().cloned();
         let reply = self.engine.submit(request, arrival, forward).await;
-        if let Some(why) = flow.and_then(|f| f.fault()).filter(|_| !reply.is_served()) {
+        if let Some(why) = flow.and_then(|f| f.client_fault()).filter(|_| !reply.is_served()) {
             return not_taken(why);
         }
         match reply {
--- a/crates/gateway/src/engine/event.rs
+++ b/crates/gateway/src/engine/event.rs
@@ -14,9 +14,9 @@
 use crate::cancellation::Cancellation;
 use crate::cluster::News as ClusterEvent;
 use crate::discovery::WatchEvent;
+use crate::forwarded_request::ForwardedRequest;
 use crate::membership::Part;
 use crate::response_body::ResponseBody;
-use crate::upstreams::ForwardedRequest;
 
 /// An event for the engine. Events are handled in the order in which they were sent.
 pub enum EngineEvent {
--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -14,10 +14,10 @@
 use super::state::EngineState;
 use crate::cancellation::Cancellation;
 use crate::cluster::News as ClusterEvent;
+use crate::forwarded_request::ForwardedRequest;
 use crate::freshness::Expiry;
 use crate::invariants::Violations;
 use crate::membership::Part;
-use crate::upstreams::ForwardedRequest;
 
 /// The engine as the admin API and the state store reach it.
 #[derive(Clone)]
@@ -149,7 +149,7 @@
         let (reply, answer) = oneshot::channel();
         if let Some(body) = forwarded.streamed_body() {
             let events = events.clone();
-            body.when_whole(move || drop(events.send(EngineEvent::BodyReceived(id))));
+            body.on_complete(move || drop(events.send(EngineEvent::BodyReceived(id))));
         }
         let cancellation = arrival.cancellation.clone();
         let _ = events.send(EngineEvent::RequestArrived { id, arrival, forwarded, reply });
--- a/crates/gateway/src/engine/requests.rs
+++ b/crates/gateway/src/engine/requests.rs
@@ -14,8 +14,8 @@
 use super::state::EngineState;
 use super::timers::Timer;
 use crate::cancellation::Cancellation;
+use crate::forwarded_request::ForwardedRequest;
 use crate::invariants::Invariant;
-use crate::upstreams::ForwardedRequest;
 
 /// The decision module works to a deadline this much before the client's, which leaves time for the way to the client and
 /// for a busy moment of this process.
@@ -95,7 +95,7 @@
     /// Whether its body is being streamed: the time that its client waits has not begun.
     fn is_streaming(&self) -> bool {
         let body = self.forwarded.streamed_body();
-        body.is_some_and(|body| body.is_spent() && !body.is_whole())
+        body.is_some_and(|body| body.is_spent() && !body.is_complete())
     }
 
     /// Starts the time that the client waits, with the last byte of a streamed body.
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -14,6 +14,7 @@
 mod connections;
 mod discovery;
 mod engine;
+mod forwarded_request;
 mod freshness;
 mod http;
 mod invariants;
--- a/crates/gateway/src/response_body.rs
+++ b/crates/gateway/src/response_body.rs
@@ -1,8 +1,6 @@
-//! Long answers, passed on as they come: their first bytes are held back only until they are known to be long, and no
-//! more of the rest is in memory than both connections' buffers hold.
+//! The body of a response on its way to a client. A short one is passed on once it is complete. A long one is passed on while
+//! it is received, with no more of it in memory than the buffers of both connections hold.
 
-use std::error::Error;
-use std::fmt;
 use std::future::Future;
 use std::pin::Pin;
 use std::task::{Context, Poll, ready};
@@ -15,83 +13,77 @@
 
 use crate::bodies::{MemoryBudget, ReservedBytes};
 
-/// An answer up to this size, in bytes, is passed on once it is whole (PROTOCOL: bodies hold at most 64 KiB); of a
-/// longer one the first bytes are what its client waits for.
-pub const LONG: usize = 64 << 10;
-/// No answer is longer, in bytes. Failure: one that is said to have 3 GB kept coming until its client gave up.
-const LONGEST: u64 = 64 << 20;
-/// An upstream that gives nothing more of an answer for so long has gone silent; its client must be able to tell.
-const SILENT: Duration = Duration::from_secs(10);
+/// A response up to this size, in bytes, is passed on once it is complete (PROTOCOL: bodies hold at most 64 KiB).
+const MAX_BUFFERED_BYTES: usize = 64 << 10;
+/// The largest response, in bytes. One that announces more, or sends it, would be received until its client gives up.
+const MAX_RESPONSE_BYTES: u64 = 64 << 20;
+/// How long an upstream may send nothing more of a response before the response is truncated, so that its client can tell.
+const UPSTREAM_SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why the rest of an answer is not passed on.
-#[derive(Debug)]
+/// Why the rest of a response is not passed on.
+#[derive(Debug, thiserror::Error)]
 pub enum TruncatedBody {
-    /// The connection ended, or what came can't be read.
+    /// The connection ended, or what was received can't be read.
+    #[error("the answer broke off: {0}")]
     Broken(hyper::Error),
-    /// Nothing came for too long.
+    /// Nothing was received for too long.
+    #[error("the upstream fell silent in an answer")]
     Silent,
-    /// It is longer than any answer is.
+    /// It is longer than any response may be.
+    #[error("the answer does not end")]
     TooLarge,
 }
 
-impl fmt::Display for TruncatedBody {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        match self {
-            Self::Broken(cause) => write!(f, "the answer broke off: {cause}"),
-            Self::Silent => f.write_str("the upstream fell silent in an answer"),
-            Self::TooLarge => f.write_str("the answer does not end"),
-        }
-    }
-}
-
-impl Error for TruncatedBody {}
-
-/// What is known of an answer once as much of it has come as has to be waited for.
+/// What was received of a response when its client need not wait any longer.
 pub enum ResponseStart {
     /// All of it.
     Complete(Bytes),
-    /// It is long, and begins like this.
-    Long { first: Bytes, rest: Incoming, length: Option<u64> },
-    /// It is none, or there is no room for it.
+    /// The beginning of a long one.
+    Long {
+        /// What was received; not empty.
+        first: Bytes,
+        /// What is still to come.
+        rest: Incoming,
+        /// The length of the body in bytes, if it is known.
+        length: Option<u64>,
+    },
+    /// It broke off or is too large, or there is no memory for it.
     Unusable,
 }
 
-/// Reads an answer to its end, or until it is known to be long.
-pub async fn begin(mut body: Incoming, allowance: &MemoryBudget) -> ResponseStart {
+/// Receives a response to its end, or until it is known to be long.
+pub async fn receive_start(mut body: Incoming, budget: &MemoryBudget) -> ResponseStart {
     let length = body.size_hint().exact();
-    if length.is_some_and(|n| n > LONGEST) {
+    if length.is_some_and(|length| length > MAX_RESPONSE_BYTES) {
         return ResponseStart::Unusable;
     }
-    let long = length.is_some_and(|n| n > LONG as u64);
-    let announced = if long { 0 } else { length.unwrap_or(0) as usize };
-    let Some(mut room) = allowance.room(announced) else { return ResponseStart::Unusable };
-    let mut read = BytesMut::with_capacity(announced);
+    let announces_long = length.is_some_and(|length| length > MAX_BUFFERED_BYTES as u64);
+    let to_buffer = if announces_long { 0 } else { length.unwrap_or(0) as usize };
+    let Some(mut reservation) = budget.reserve(to_buffer) else { return ResponseStart::Unusable };
+    let mut received = BytesMut::with_capacity(to_buffer);
     while let Some(frame) = body.frame().await {
         let Ok(frame) = frame else { return ResponseStart::Unusable };
         let Ok(data) = frame.into_data() else { continue };
-        if long && !data.is_empty() {
+        if announces_long && !data.is_empty() {
             return ResponseStart::Long { first: data, rest: body, length };
         }
-        if !room.reach(read.len() + data.len()) {
+        if !reservation.grow_to(received.len() + data.len()) {
             return ResponseStart::Unusable;
         }
-        read.extend_from_slice(&data);
-        if read.len() > LONG {
-            return ResponseStart::Long {
-                first: ReservedBytes::bytes(read, room),
-                rest: body,
-                length,
-            };
+        received.extend_from_slice(&data);
+        if received.len() > MAX_BUFFERED_BYTES {
+            let first = ReservedBytes::share(received, reservation);
+            return ResponseStart::Long { first, rest: body, length };
         }
     }
-    ResponseStart::Complete(ReservedBytes::bytes(read, room))
+    ResponseStart::Complete(ReservedBytes::share(received, reservation))
 }
 
-/// The body of an answer on its way to a client.
+/// The body of a response on its way to a client.
 pub enum ResponseBody {
-    /// There is no more of it.
+    /// A body that was received completely.
     Complete(Full<Bytes>),
-    /// It comes.
+    /// A body that is still being received.
     Streamed(Box<StreamedResponse>),
 }
 
@@ -101,56 +93,57 @@
     }
 }
 
-/// An answer that still comes.
+/// A response that is passed on while it is received.
 pub struct StreamedResponse {
     first: Option<Bytes>,
     rest: Incoming,
     length: Option<u64>,
-    passed: u64,
-    silent: Pin<Box<Sleep>>,
-    /// Done once it has come to its good end.
-    ended: Option<Box<dyn FnOnce()>>,
-    /// Held until it is over, well or not.
-    held: Vec<Box<dyn Held>>,
+    bytes_sent: u64,
+    silence_timer: Pin<Box<Sleep>>,
+    /// Called once the response has ended as it should.
+    on_complete: Option<Box<dyn FnOnce()>>,
+    /// Dropped once the response is over, well or not.
+    attachments: Vec<Box<dyn Attachment>>,
 }
 
-/// Whatever has to last as long as an answer.
-pub trait Held {}
-impl<T> Held for T {}
+/// Whatever has to last as long as a response.
+pub trait Attachment {}
+impl<T> Attachment for T {}
 
 impl StreamedResponse {
+    /// A response that begins with `first`. `on_complete` is called once it has ended as it should.
     pub fn new(
         first: Bytes,
         rest: Incoming,
         length: Option<u64>,
-        ended: impl FnOnce() + 'static,
+        on_complete: impl FnOnce() + 'static,
     ) -> Self {
         Self {
             first: Some(first),
             rest,
             length,
-            passed: 0,
-            silent: Box::pin(sleep(SILENT)),
-            ended: Some(Box::new(ended)),
-            held: Vec::new(),
+            bytes_sent: 0,
+            silence_timer: Box::pin(sleep(UPSTREAM_SILENCE_TIMEOUT)),
+            on_complete: Some(Box::new(on_complete)),
+            attachments: Vec::new(),
         }
     }
 
-    /// Holds this until the answer is over.
-    pub fn hold(&mut self, held: impl Held + 'static) {
-        self.held.push(Box::new(held));
+    /// Keeps `attachment` until the response is over.
+    pub fn attach(&mut self, attachment: impl Attachment + 'static) {
+        self.attachments.push(Box::new(attachment));
     }
 
-    fn poll(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, TruncatedBody>>> {
+    fn poll_data(&mut self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, TruncatedBody>>> {
         if let Some(first) = self.first.take() {
             return Poll::Ready(Some(Ok(first)));
         }
         loop {
             let Poll::Ready(frame) = Pin::new(&mut self.rest).poll_frame(cx) else {
-                ready!(self.silent.as_mut().poll(cx));
+                ready!(self.silence_timer.as_mut().poll(cx));
                 return Poll::Ready(Some(Err(TruncatedBody::Silent)));
             };
-            self.silent.as_mut().reset(Instant::now() + SILENT);
+            self.silence_timer.as_mut().reset(Instant::now() + UPSTREAM_SILENCE_TIMEOUT);
             match frame {
                 Some(Ok(frame)) => {
                     if let Ok(data) = frame.into_data() {
@@ -159,12 +152,34 @@
                 }
                 Some(Err(cause)) => return Poll::Ready(Some(Err(TruncatedBody::Broken(cause)))),
                 None => {
-                    self.ended.take().into_iter().for_each(|ended| ended());
+                    if let Some(on_complete) = self.on_complete.take() {
+                        on_complete();
+                    }
                     return Poll::Ready(None);
                 }
             }
         }
     }
+
+    fn poll_frame(
+        &mut self,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Frame<Bytes>, TruncatedBody>>> {
+        let data = ready!(self.poll_data(cx));
+        match &data {
+            Some(Ok(data)) => {
+                self.bytes_sent += data.len() as u64;
+                if self.bytes_sent > MAX_RESPONSE_BYTES {
+                    return Poll::Ready(Some(Err(TruncatedBody::TooLarge)));
+                }
+            }
+            Some(Err(cause)) => {
+                tracing::info!(%cause, bytes_sent = self.bytes_sent, "response truncated");
+            }
+            None => {}
+        }
+        Poll::Ready(data.map(|data| data.map(Frame::data)))
+    }
 }
 
 impl Body for ResponseBody {
@@ -179,34 +194,22 @@
             Self::Complete(body) => Pin::new(body)
                 .poll_frame(cx)
                 .map_err(|never: std::convert::Infallible| match never {}),
-            Self::Streamed(passing) => {
-                let next = ready!(passing.poll(cx));
-                if let Some(Ok(data)) = &next {
-                    passing.passed += data.len() as u64;
-                    if passing.passed > LONGEST {
-                        return Poll::Ready(Some(Err(TruncatedBody::TooLarge)));
-                    }
-                }
-                if let Some(Err(cause)) = &next {
-                    tracing::info!(%cause, passed = passing.passed, "a long answer is cut short");
-                }
-                Poll::Ready(next.map(|n| n.map(Frame::data)))
-            }
+            Self::Streamed(body) => body.poll_frame(cx),
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
             Self::Complete(body) => body.is_end_stream(),
-            Self::Streamed(passing) => passing.ended.is_none(),
+            Self::Streamed(body) => body.on_complete.is_none(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Complete(body) => body.size_hint(),
-            Self::Streamed(p) => {
-                let left = p.length.map(|n| n.saturating_sub(p.passed));
+            Self::Streamed(body) => {
+                let left = body.length.map(|length| length.saturating_sub(body.bytes_sent));
                 left.map_or_else(SizeHint::default, SizeHint::with_exact)
             }
         }
--- a/crates/gateway/src/streamed_body.rs
+++ b/crates/gateway/src/streamed_body.rs
@@ -1,8 +1,9 @@
-//! A client's long body on its way to an upstream while it comes: paced, bounded, and of use once. No more of it is in
-//! memory than both connections' buffers hold, and what was read before it was known to be long.
+//! A client's long body on its way to an upstream while it is received: at a least pace, bounded, and for one attempt.
+//!
+//! No more of it is in memory than the buffers of both connections hold, and what was received before it was known to be
+//! long.
 
 use std::cell::{Cell, RefCell};
-use std::fmt;
 use std::pin::Pin;
 use std::rc::Rc;
 use std::task::{Context, Poll};
@@ -15,147 +16,149 @@
 
 use crate::bodies::{BodyError, Pace};
 
-/// An upstream that takes nothing of a body for so long has gone silent; its client would wait for ever.
-const STALLED: Duration = Duration::from_secs(10);
+/// How long an upstream may take nothing of a body before it counts as silent; the client would wait for ever.
+const UPSTREAM_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why the rest of a body does not come. What its client is told is in [`StreamedBody::fault`].
-#[derive(Debug)]
-pub struct Broken(BodyError);
+/// The rest of a body does not come. What the client is told is in [`StreamedBody::client_fault`].
+#[derive(Debug, thiserror::Error)]
+#[error("the client's body breaks off: {0:?}")]
+pub struct BodyBrokenOff(BodyError);
 
-impl fmt::Display for Broken {
-    fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
-        write!(f, "the client's body breaks off: {:?}", self.0)
-    }
-}
-
-impl std::error::Error for Broken {}
-
-/// A body that flows.
+/// A body that is passed on while it is received.
 pub struct StreamedBody<B = Incoming> {
     source: RefCell<Source<B>>,
-    /// In bytes; unknown of a chunked one.
+    /// In bytes; nothing for a chunked body.
     length: Option<u64>,
-    passed: Cell<u64>,
-    /// When something was last taken of it.
-    taken: Cell<Option<Instant>>,
-    whole: Cell<Option<Instant>>,
-    fault: Cell<Option<BodyError>>,
-    told: RefCell<Option<Box<dyn FnOnce()>>>,
+    bytes_sent: Cell<u64>,
+    /// When the upstream's connection last took a part of it.
+    last_sent_at: Cell<Option<Instant>>,
+    completed_at: Cell<Option<Instant>>,
+    client_fault: Cell<Option<BodyError>>,
+    on_complete: RefCell<Option<Box<dyn FnOnce()>>>,
 }
 
+/// The client's side of a streamed body.
 struct Source<B> {
-    /// What had come by the time it was known to be long.
+    /// What had been received when the body was known to be long.
     first: Bytes,
     rest: B,
     pace: Pace,
-    /// How long its client was waited for, in all and since when now. Failure: time that its upstream took counted
-    /// as the client's.
+    /// How long the client was waited for before. The time that the upstream takes is not the client's.
     waited: Duration,
-    waits: Option<Instant>,
+    /// Since when the client is waited for, if it is.
+    waiting_since: Option<Instant>,
     timer: Pin<Box<Sleep>>,
 }
 
 impl<B: Body<Data = Bytes> + Unpin> StreamedBody<B> {
-    /// A body that begins with `first`, and has `length` bytes in all if that is known. Its client may take its time
-    /// as `pace` says, from the first look on.
+    /// A body that begins with `first`, and has `length` bytes in all if that is known. The client's pace is measured from
+    /// the first read on.
     pub fn new(first: Bytes, rest: B, length: Option<u64>, pace: Pace) -> Rc<Self> {
-        let timer = Box::pin(sleep(Duration::ZERO));
-        let source = Source { first, rest, pace, waited: Duration::ZERO, waits: None, timer };
+        let source = Source {
+            first,
+            rest,
+            pace,
+            waited: Duration::ZERO,
+            waiting_since: None,
+            timer: Box::pin(sleep(Duration::ZERO)),
+        };
         Rc::new(Self {
             source: RefCell::new(source),
             length,
-            passed: Cell::new(0),
-            taken: Cell::new(None),
-            whole: Cell::new(None),
-            fault: Cell::new(None),
-            told: RefCell::new(None),
+            bytes_sent: Cell::new(0),
+            last_sent_at: Cell::new(None),
+            completed_at: Cell::new(None),
+            client_fault: Cell::new(None),
+            on_complete: RefCell::new(None),
         })
     }
 
-    /// Has this done once its last byte was taken.
-    pub fn when_whole(&self, tell: impl FnOnce() + 'static) {
-        *self.told.borrow_mut() = Some(Box::new(tell));
+    /// Has `notify` called once the last byte was handed to the upstream's connection.
+    pub fn on_complete(&self, notify: impl FnOnce() + 'static) {
+        *self.on_complete.borrow_mut() = Some(Box::new(notify));
     }
 
-    /// Whether something was taken of it: it can't be sent again.
+    /// Whether a part of the body was handed on, so that it can't be sent again.
     pub fn is_spent(&self) -> bool {
-        self.taken.get().is_some()
+        self.last_sent_at.get().is_some()
     }
 
-    /// Whether its last byte was taken.
-    pub fn is_whole(&self) -> bool {
-        self.whole.get().is_some()
+    /// Whether the last byte was handed on.
+    pub fn is_complete(&self) -> bool {
+        self.completed_at.get().is_some()
     }
 
-    /// Bytes taken so far.
-    pub fn passed(&self) -> u64 {
-        self.passed.get()
+    /// The number of bytes handed on so far.
+    pub fn bytes_sent(&self) -> u64 {
+        self.bytes_sent.get()
     }
 
-    /// What its client did wrong.
-    pub fn fault(&self) -> Option<BodyError> {
-        self.fault.get()
+    /// What the client did wrong.
+    pub fn client_fault(&self) -> Option<BodyError> {
+        self.client_fault.get()
     }
 
-    /// How long an attempt that sends it may wait as things stand: `until` to begin, then for the upstream to take more
-    /// of it, then so long for the `answer`.
-    pub fn limit(&self, until: Instant, answer: Duration) -> Instant {
-        match (self.whole.get(), self.taken.get()) {
-            (Some(whole), _) => whole + answer,
-            (None, Some(taken)) => {
-                // While its client is waited for, the pace is the limit.
-                let waits = self.source.borrow().waits.is_some();
-                if waits { Instant::now() + STALLED } else { taken + STALLED }
-            }
-            (None, None) => until,
+    /// When an attempt that sends this body has to end, as things stand: it has until `begin_by` to begin, then a while for
+    /// the upstream to take more, then `response_timeout` for the response.
+    pub fn attempt_deadline(&self, begin_by: Instant, response_timeout: Duration) -> Instant {
+        if let Some(completed_at) = self.completed_at.get() {
+            return completed_at + response_timeout;
+        }
+        let Some(last_sent_at) = self.last_sent_at.get() else { return begin_by };
+        // While the client is waited for, its pace is the limit.
+        let waits_for_client = self.source.borrow().waiting_since.is_some();
+        let since = if waits_for_client { Instant::now() } else { last_sent_at };
+        since + UPSTREAM_STALL_TIMEOUT
+    }
+
+    fn complete(&self) {
+        if self.completed_at.replace(Some(Instant::now())).is_none()
+            && let Some(notify) = self.on_complete.take()
+        {
+            notify();
         }
     }
 
-    fn end(&self) {
-        if self.whole.replace(Some(Instant::now())).is_none() {
-            self.told.take().into_iter().for_each(|tell| tell());
+    fn count_sent(&self, data: &Bytes) {
+        self.last_sent_at.set(Some(Instant::now()));
+        self.bytes_sent.set(self.bytes_sent.get() + data.len() as u64);
+        if self.length == Some(self.bytes_sent.get()) {
+            self.complete();
         }
     }
 
-    fn take(&self, data: &Bytes) {
-        self.taken.set(Some(Instant::now()));
-        self.passed.set(self.passed.get() + data.len() as u64);
-        if self.length == Some(self.passed.get()) {
-            self.end();
-        }
+    fn break_off(&self, fault: BodyError) -> Poll<Option<Result<Bytes, BodyBrokenOff>>> {
+        self.client_fault.set(Some(fault));
+        Poll::Ready(Some(Err(BodyBrokenOff(fault))))
     }
 
-    fn poll(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, Broken>>> {
+    fn poll_data(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyBrokenOff>>> {
         let source = &mut *self.source.borrow_mut();
         if !source.first.is_empty() {
             let first = std::mem::take(&mut source.first);
-            self.take(&first);
+            self.count_sent(&first);
             return Poll::Ready(Some(Ok(first)));
         }
-        let broken = |why| {
-            self.fault.set(Some(why));
-            Poll::Ready(Some(Err(Broken(why))))
-        };
         loop {
             let Poll::Ready(frame) = Pin::new(&mut source.rest).poll_frame(cx) else {
-                return match source.wait(self.passed.get(), cx) {
-                    Poll::Ready(()) => broken(BodyError::TooSlow),
+                return match source.poll_too_slow(self.bytes_sent.get(), cx) {
+                    Poll::Ready(()) => self.break_off(BodyError::TooSlow),
                     Poll::Pending => Poll::Pending,
                 };
             };
-            source.came();
+            source.stop_waiting();
             match frame {
                 None => {
-                    self.end();
+                    self.complete();
                     return Poll::Ready(None);
                 }
-                Some(Err(_)) => return broken(BodyError::Malformed),
+                Some(Err(_)) => return self.break_off(BodyError::Malformed),
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    if self.passed.get() + data.len() as u64 > source.pace.longest as u64 {
-                        return broken(BodyError::TooLarge);
+                    if self.bytes_sent.get() + data.len() as u64 > source.pace.max_bytes as u64 {
+                        return self.break_off(BodyError::TooLarge);
                     }
-                    self.take(&data);
+                    self.count_sent(&data);
                     return Poll::Ready(Some(Ok(data)));
                 }
             }
@@ -164,57 +167,62 @@
 }
 
 impl<B> Source<B> {
-    /// Its client is waited for; ends once that was too long, for so many bytes.
-    fn wait(&mut self, passed: u64, cx: &mut Context<'_>) -> Poll<()> {
-        let since = *self.waits.get_or_insert_with(Instant::now);
-        let allowed = self.pace.allows(passed as usize).saturating_sub(self.waited);
-        if self.timer.deadline() != since + allowed {
-            self.timer.as_mut().reset(since + allowed);
+    /// Waits for the client. Ready once it has taken longer than it may for so many bytes.
+    fn poll_too_slow(&mut self, bytes_received: u64, cx: &mut Context<'_>) -> Poll<()> {
+        let since = *self.waiting_since.get_or_insert_with(Instant::now);
+        let allowed = self.pace.time_allowed(bytes_received as usize);
+        let deadline = since + allowed.saturating_sub(self.waited);
+        if self.timer.deadline() != deadline {
+            self.timer.as_mut().reset(deadline);
         }
         self.timer.as_mut().poll(cx)
     }
 
-    fn came(&mut self) {
-        self.waited += self.waits.take().map_or(Duration::ZERO, |since| since.elapsed());
+    fn stop_waiting(&mut self) {
+        if let Some(since) = self.waiting_since.take() {
+            self.waited += since.elapsed();
+        }
     }
 }
 
 /// The body of a request as an upstream's connection takes it.
 pub enum UpstreamRequestBody {
-    /// All of it is here.
+    /// A body that was received completely.
     Buffered(Full<Bytes>),
-    /// It still comes.
+    /// A body that is still being received.
     Streamed(Rc<StreamedBody>),
 }
 
 impl Body for UpstreamRequestBody {
     type Data = Bytes;
-    type Error = Broken;
+    type Error = BodyBrokenOff;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, Broken>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, BodyBrokenOff>>> {
         match self.get_mut() {
             Self::Buffered(body) => Pin::new(body)
                 .poll_frame(cx)
                 .map_err(|never: std::convert::Infallible| match never {}),
-            Self::Streamed(flow) => flow.poll(cx).map(|next| next.map(|n| n.map(Frame::data))),
+            Self::Streamed(body) => {
+                body.poll_data(cx).map(|data| data.map(|data| data.map(Frame::data)))
+            }
         }
     }
 
     fn is_end_stream(&self) -> bool {
         match self {
             Self::Buffered(body) => body.is_end_stream(),
-            Self::Streamed(flow) => flow.is_whole(),
+            Self::Streamed(body) => body.is_complete(),
         }
     }
 
     fn size_hint(&self) -> SizeHint {
         match self {
             Self::Buffered(body) => body.size_hint(),
-            Self::Streamed(flow) => {
-                let left = flow.length.map(|n| n.saturating_sub(flow.passed()));
+            Self::Streamed(body) => {
+                let left = body.length.map(|length| length.saturating_sub(body.bytes_sent()));
                 left.map_or_else(SizeHint::default, SizeHint::with_exact)
             }
         }
@@ -222,70 +230,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use std::future::poll_fn;
-
-    use super::*;
-    use crate::bodies::trickle::trickle;
-
-    const PACE: Pace =
-        Pace { longest: 100, grace: Duration::from_millis(100), a_byte: Duration::from_millis(10) };
-
-    async fn next<B: Body<Data = Bytes> + Unpin>(
-        flow: &StreamedBody<B>,
-    ) -> Option<Result<Bytes, BodyError>> {
-        poll_fn(|cx| flow.poll(cx)).await.map(|r| r.map_err(|b| b.0))
-    }
-
-    #[tokio::test(start_paused = true)]
-    async fn a_client_may_be_slow_up_to_a_pace_and_its_upstream_is_not_its_fault() {
-        // 100 ms, and 10 ms more for each byte: one each 9 ms may come for ever.
-        let flow = StreamedBody::new(Bytes::from_static(b"ab"), trickle(60, 9), None, PACE);
-        assert!(!flow.is_spent());
-        for _ in 0..30 {
-            assert!(next(&flow).await.expect("more").is_ok());
-        }
-        // What waits here meanwhile is not late.
-        sleep(Duration::from_secs(5)).await;
-        while let Some(data) = next(&flow).await {
-            data.expect("in time");
-        }
-        assert_eq!((flow.passed(), flow.is_whole(), flow.fault()), (62, true, None));
-        let slow = StreamedBody::new(Bytes::new(), trickle(60, 30), None, PACE);
-        let mut last = None;
-        while let Some(Ok(_)) = last.insert(next(&slow).await) {}
-        assert_eq!(last, Some(Some(Err(BodyError::TooSlow))));
-        assert!(!slow.is_whole() && slow.fault() == Some(BodyError::TooSlow));
-    }
-
-    #[tokio::test(start_paused = true)]
-    async fn the_last_byte_is_told_once_and_what_is_too_long_never_ends() {
-        let told = Rc::new(Cell::new(0));
-        let flow = StreamedBody::new(Bytes::from_static(b"ab"), trickle(3, 1), Some(5), PACE);
-        let counts = told.clone();
-        flow.when_whole(move || counts.set(counts.get() + 1));
-        for whole in [0, 0, 0, 1] {
-            next(&flow).await.expect("more").expect("in time");
-            assert_eq!(told.get(), whole);
-        }
-        assert!(next(&flow).await.is_none());
-        assert_eq!(told.get(), 1);
-        let short = Pace { longest: 4, ..PACE };
-        let flow = StreamedBody::new(Bytes::from_static(b"ab"), trickle(3, 1), None, short);
-        let mut last = None;
-        while let Some(Ok(_)) = last.insert(next(&flow).await) {}
-        assert_eq!((last, flow.is_whole()), (Some(Some(Err(BodyError::TooLarge))), false));
-    }
-
-    #[tokio::test(start_paused = true)]
-    async fn an_attempt_waits_for_the_upstream_then_for_the_answer() {
-        let flow = StreamedBody::new(Bytes::from_static(b"ab"), trickle(1, 50), Some(3), PACE);
-        let (now, answer) = (Instant::now(), Duration::from_secs(1));
-        let until = now + Duration::from_secs(3);
-        assert_eq!(flow.limit(until, answer), until);
-        next(&flow).await;
-        assert_eq!(flow.limit(until, answer), now + STALLED, "its upstream takes no more");
-        next(&flow).await;
-        assert_eq!(flow.limit(until, answer), now + Duration::from_millis(50) + answer);
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/gateway/src/streamed_body/tests.rs
@@ -0,0 +1,74 @@
+//! The pace of clients, the patience with upstreams, and the end of a streamed body.
+
+use std::future::poll_fn;
+
+use super::*;
+use crate::bodies::trickle::trickle;
+
+const PACE: Pace = Pace {
+    max_bytes: 100,
+    base_time: Duration::from_millis(100),
+    time_per_byte: Duration::from_millis(10),
+};
+
+async fn next<B: Body<Data = Bytes> + Unpin>(
+    body: &StreamedBody<B>,
+) -> Option<Result<Bytes, BodyError>> {
+    poll_fn(|cx| body.poll_data(cx)).await.map(|r| r.map_err(|b| b.0))
+}
+
+#[tokio::test(start_paused = true)]
+async fn client_must_keep_pace_but_is_not_blamed_for_a_slow_upstream() {
+    // 100 ms, and 10 ms more for each byte: one each 9 ms may come for ever.
+    let body = StreamedBody::new(Bytes::from_static(b"ab"), trickle(60, 9), None, PACE);
+    assert!(!body.is_spent());
+    for _ in 0..30 {
+        assert!(next(&body).await.expect("more").is_ok());
+    }
+    // What waits here meanwhile is not late.
+    sleep(Duration::from_secs(5)).await;
+    while let Some(data) = next(&body).await {
+        data.expect("in time");
+    }
+    assert_eq!((body.bytes_sent(), body.is_complete(), body.client_fault()), (62, true, None));
+    let slow = StreamedBody::new(Bytes::new(), trickle(60, 30), None, PACE);
+    let mut last = None;
+    while let Some(Ok(_)) = last.insert(next(&slow).await) {}
+    assert_eq!(last, Some(Some(Err(BodyError::TooSlow))));
+    assert!(!slow.is_complete() && slow.client_fault() == Some(BodyError::TooSlow));
+}
+
+#[tokio::test(start_paused = true)]
+async fn completion_is_notified_once_and_too_large_body_never_completes() {
+    let notified = Rc::new(Cell::new(0));
+    let body = StreamedBody::new(Bytes::from_static(b"ab"), trickle(3, 1), Some(5), PACE);
+    let count = notified.clone();
+    body.on_complete(move || count.set(count.get() + 1));
+    for expected in [0, 0, 0, 1] {
+        next(&body).await.expect("more").expect("in time");
+        assert_eq!(notified.get(), expected);
+    }
+    assert!(next(&body).await.is_none());
+    assert_eq!(notified.get(), 1);
+    let short = Pace { max_bytes: 4, ..PACE };
+    let body = StreamedBody::new(Bytes::from_static(b"ab"), trickle(3, 1), None, short);
+    let mut last = None;
+    while let Some(Ok(_)) = last.insert(next(&body).await) {}
+    assert_eq!((last, body.is_complete()), (Some(Some(Err(BodyError::TooLarge))), false));
+}
+
+#[tokio::test(start_paused = true)]
+async fn attempt_waits_for_upstream_to_read_then_for_response() {
+    let body = StreamedBody::new(Bytes::from_static(b"ab"), trickle(1, 50), Some(3), PACE);
+    let (now, timeout) = (Instant::now(), Duration::from_secs(1));
+    let begin_by = now + Duration::from_secs(3);
+    assert_eq!(body.attempt_deadline(begin_by, timeout), begin_by);
+    next(&body).await;
+    assert_eq!(
+        body.attempt_deadline(begin_by, timeout),
+        now + UPSTREAM_STALL_TIMEOUT,
+        "its upstream takes no more"
+    );
+    next(&body).await;
+    assert_eq!(body.attempt_deadline(begin_by, timeout), now + Duration::from_millis(50) + timeout);
+}
--- /dev/null
+++ b/crates/gateway/src/upstreams/pool.rs
@@ -0,0 +1,201 @@
+//! The idle connections to all upstreams: which may be used again, and which are closed. Opening connections is left to
+//! `connect`.
+
+use std::cell::{Cell, RefCell};
+use std::net::SocketAddr;
+use std::rc::Rc;
+use std::time::Duration;
+
+use hollowpaddle_net::Network;
+use hollowpaddle_policy::interface::ServerId;
+use rustc_hash::FxHashMap;
+use tokio::time::{Instant, sleep, timeout};
+
+use super::connection::Connection;
+use super::load_report::ReportFields;
+use crate::attempt::UpstreamTarget;
+use crate::bodies::MemoryBudget;
+use crate::config::Config;
+
+/// Idle connections are closed at this share of the upstream's own limit: a request that crosses with its close would end
+/// as a reset, after which an unsafe request can't be retried.
+const IDLE_SHARE_OF_KEEPALIVE: f64 = 0.75;
+/// Keep-alive time of upstreams where the settings name none, in milliseconds.
+const DEFAULT_KEEPALIVE_MS: f64 = 5000.0;
+/// Time for a connection to come up where the settings name none, in milliseconds.
+const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
+/// Times in the settings are below this bound, in milliseconds.
+const MAX_TIMEOUT_MS: f64 = 1e7;
+/// How long a connection stays unused after a response: an upstream's second response, some milliseconds late, would be
+/// taken for that of the next request.
+const REST: Duration = Duration::from_millis(4);
+/// The same for an upstream that has sent unsolicited bytes within [`SUSPECT_TIME`].
+const REST_OF_SUSPECT: Duration = Duration::from_millis(20);
+/// How long an upstream that has sent unsolicited bytes stays suspect.
+const SUSPECT_TIME: Duration = Duration::from_secs(60);
+/// How often idle connections are checked.
+const REAP_INTERVAL: Duration = Duration::from_millis(250);
+/// How long a connection may take to be ready again after a response.
+const READY_TIMEOUT: Duration = Duration::from_millis(10);
+/// Responses that are being received, or not yet written to clients, may take this part of the memory together.
+const RESPONSE_MEMORY_DIVISOR: usize = 4;
+
+/// The connections to all upstreams.
+pub struct Pool {
+    pub(super) network: Rc<dyn Network>,
+    idle: RefCell<FxHashMap<ServerId, Vec<Connection>>>,
+    /// When upstreams last sent unsolicited bytes.
+    suspects: RefCell<FxHashMap<ServerId, Instant>>,
+    pub(super) open_connections: Rc<Cell<usize>>,
+    pub(super) max_connections: usize,
+    idle_timeout: Duration,
+    pub(super) connect_timeout: Duration,
+    /// When a connection last came up. Nothing sets it, so no upstream's route counts as missing.
+    pub(super) last_connected: Cell<Option<Instant>>,
+    pub(super) response_memory: MemoryBudget,
+    pub(super) report_fields: ReportFields,
+}
+
+impl Pool {
+    /// An empty pool of at most `max_connections`, and a task that checks its idle connections for as long as it is used.
+    pub fn new(max_connections: usize, config: &Config, network: Rc<dyn Network>) -> Rc<Self> {
+        let limits = &config.facts.policy_limits;
+        let keepalive = milliseconds(limits.keepalive, DEFAULT_KEEPALIVE_MS);
+        let pool = Rc::new(Self {
+            network,
+            idle: RefCell::default(),
+            suspects: RefCell::default(),
+            open_connections: Rc::default(),
+            max_connections,
+            idle_timeout: keepalive.mul_f64(IDLE_SHARE_OF_KEEPALIVE),
+            connect_timeout: milliseconds(limits.connect_timeout, DEFAULT_CONNECT_TIMEOUT_MS),
+            last_connected: Cell::new(None),
+            response_memory: MemoryBudget::new(config.memory / RESPONSE_MEMORY_DIVISOR),
+            report_fields: ReportFields::new(&config.facts.stats.names),
+        });
+        let weak = Rc::downgrade(&pool);
+        tokio::task::spawn_local(async move {
+            loop {
+                sleep(REAP_INTERVAL).await;
+                let Some(pool) = weak.upgrade() else { return };
+                pool.reap();
+            }
+        });
+        pool
+    }
+
+    /// Closes the idle connections to an upstream.
+    pub fn close_idle(&self, server: ServerId) {
+        self.idle.borrow_mut().remove(&server);
+    }
+
+    /// Closes connections that have been idle for too long, were closed by the upstream, or have sent unsolicited bytes.
+    fn reap(&self) {
+        let mut suspects = Vec::new();
+        self.idle.borrow_mut().retain(|server, connections| {
+            connections.retain(|connection| {
+                let has_read_unsolicited = connection.has_read_unsolicited();
+                if has_read_unsolicited {
+                    suspects.push(*server);
+                }
+                self.is_usable(connection) && !has_read_unsolicited
+            });
+            !connections.is_empty()
+        });
+        for server in suspects {
+            self.mark_suspect(server);
+        }
+        self.suspects.borrow_mut().retain(|_, since| since.elapsed() < SUSPECT_TIME);
+    }
+
+    fn is_usable(&self, connection: &Connection) -> bool {
+        !connection.sender.is_closed() && connection.idle_since.elapsed() < self.idle_timeout
+    }
+
+    /// Takes the connection used last of those that have rested, so that the others can time out.
+    pub(super) fn take_idle(&self, server: ServerId, address: SocketAddr) -> Option<Connection> {
+        let rest = self.rest(server);
+        loop {
+            let connection = self.take_rested(server, rest)?;
+            let is_usable = self.is_usable(&connection);
+            if is_usable && connection.address == address && connection.is_open() {
+                return Some(Connection { is_reused: true, ..connection });
+            }
+            if connection.has_received_unsolicited() {
+                self.mark_suspect(server);
+            }
+        }
+    }
+
+    fn take_rested(&self, server: ServerId, rest: Duration) -> Option<Connection> {
+        let mut idle = self.idle.borrow_mut();
+        let connections = idle.get_mut(&server)?;
+        // One that was put back unused may stand behind those that have not rested.
+        let index = connections.iter().rposition(|c| c.idle_since.elapsed() >= rest)?;
+        Some(connections.remove(index))
+    }
+
+    /// How long a connection to this upstream rests after a response.
+    fn rest(&self, server: ServerId) -> Duration {
+        let suspect_since = self.suspects.borrow().get(&server).copied();
+        match suspect_since {
+            Some(since) if since.elapsed() < SUSPECT_TIME => REST_OF_SUSPECT,
+            _ => REST,
+        }
+    }
+
+    /// How long until one of the idle connections to this upstream has rested; nothing if there are none.
+    pub(super) fn until_rested(&self, server: ServerId) -> Option<Duration> {
+        let rest = self.rest(server);
+        let idle = self.idle.borrow();
+        let connections = idle.get(&server)?.iter();
+        connections.map(|connection| rest.saturating_sub(connection.idle_since.elapsed())).min()
+    }
+
+    fn mark_suspect(&self, server: ServerId) {
+        tracing::warn!(upstream = server.0, "unsolicited bytes from upstream");
+        self.suspects.borrow_mut().insert(server, Instant::now());
+    }
+
+    /// Puts a connection into the pool. To an upstream that is draining or gone there will be no other request.
+    pub(super) fn put_idle(&self, server: ServerId, target: &UpstreamTarget, idle: Connection) {
+        if target.closed_from.get().is_none() {
+            self.idle.borrow_mut().entry(server).or_default().push(idle);
+        }
+    }
+
+    /// Puts a connection whose response has ended into the pool, if it can be used again.
+    pub(super) async fn release(
+        &self,
+        server: ServerId,
+        target: &UpstreamTarget,
+        mut connection: Connection,
+    ) {
+        if let Ok(Ok(())) = timeout(READY_TIMEOUT, connection.sender.ready()).await {
+            connection.mark_idle();
+            self.put_idle(server, target, connection);
+        }
+    }
+
+    /// Closes the connection that has been idle for longest. Returns whether there was one.
+    pub(super) fn close_longest_idle(&self) -> bool {
+        let mut idle = self.idle.borrow_mut();
+        // The connections of each upstream are in order of age, the oldest first.
+        let longest_idle = idle
+            .iter()
+            .filter_map(|(server, connections)| Some((connections.first()?.idle_since, *server)))
+            .min_by_key(|(since, _)| *since);
+        let Some((_, server)) = longest_idle else { return false };
+        if let Some(connections) = idle.get_mut(&server) {
+            drop(connections.remove(0));
+        }
+        true
+    }
+}
+
+/// A time of the settings, or the default if it is not set or makes no sense.
+fn milliseconds(setting: f64, default: f64) -> Duration {
+    let is_plausible = setting > 0.0 && setting < MAX_TIMEOUT_MS;
+    let milliseconds = if is_plausible { setting } else { default };
+    Duration::from_secs_f64(milliseconds / 1000.0)
+}
