--- a/crates/gateway/src/clients/accept.rs
+++ b/crates/gateway/src/clients/accept.rs
@@ -1,4 +1,4 @@
-//! Accepting clients' connections, from the first moment to the last one after SIGTERM.
+//! Accepts clients' connections, from the first moment to the last one after SIGTERM.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -10,58 +10,57 @@
 
 use super::Front;
 
-/// How long connections are still accepted after SIGTERM: the front needs a moment to hear of it.
-const LINGER: Duration = Duration::from_millis(500);
-/// Then what waits in the backlog is accepted, until none comes for so long. Failure: what was left there was reset with
-/// the listener.
-const NEXT: Duration = Duration::from_millis(5);
-/// And for so long at most, while nothing fails.
-const BACKLOG: Duration = Duration::from_millis(50);
-/// Where accept fails or no place is left it goes on for so long. Failure: one failed accept ended it, and all that still
-/// waited was reset.
-const BACKLOG_WITH_FAILURES: Duration = Duration::from_millis(500);
-/// SIGKILL comes no sooner than the longest deadline and 0.7 s after SIGTERM (PROTOCOL, 'Figures'): the longest deadline
-/// and so long after it each request has its answer. Failure: one whose last byte came late had all of its own deadline,
-/// and was lost as the process ended.
-const LAST: Duration = Duration::from_millis(620);
-/// Then the answers are written: 50 ms, and so many turns of the loop. Failure: held up by a busy machine, a process ended
-/// in the very turn that gave the last answers.
-const FINISH: u32 = 10;
-const LOOK: Duration = Duration::from_millis(5);
-/// Long answers that are being passed on at the end are waited for so long more.
-const LAST_ANSWERS: Duration = Duration::from_secs(30);
-/// Wait for the connection that was told to give way.
-const PLACE_BACKOFF: Duration = Duration::from_millis(1);
-/// Wait after a failed accept, so that a full descriptor table does not become a busy loop.
+/// How long connections are still accepted after SIGTERM: the front needs a moment to notice.
+const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(500);
+/// The backlog counts as empty once no connection was accepted from it for so long.
+const BACKLOG_EMPTY_AFTER: Duration = Duration::from_millis(5);
+/// How long the backlog is accepted at the end, while nothing fails. What is left in it is reset with the listener.
+const BACKLOG_TIME: Duration = Duration::from_millis(50);
+/// The same where an accept failed or no slot was free: one failure must not end it.
+const BACKLOG_TIME_AFTER_FAILURE: Duration = Duration::from_millis(500);
+/// All requests are answered by the longest deadline and so long after SIGTERM. SIGKILL comes no sooner than the longest
+/// deadline and 0.7 s after SIGTERM (PROTOCOL, 'Figures').
+const ANSWER_MARGIN: Duration = Duration::from_millis(620);
+/// How often the end looks whether connections are left.
+const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(5);
+/// The last responses are given so many polls to be written. A count of polls, since a busy machine may hold this process
+/// up for longer than any span.
+const SHUTDOWN_POLLS_FOR_WRITES: u32 = 10;
+/// How much longer the end waits for long responses that are being streamed.
+const STREAMING_SHUTDOWN_TIME: Duration = Duration::from_secs(30);
+/// Pause for the connection that was evicted.
+const EVICTION_BACKOFF: Duration = Duration::from_millis(1);
+/// Pause after a failed accept, so that a full descriptor table does not become a busy loop.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
+
 /// What came of one try to accept a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
 enum Accepted {
-    /// A client's connection is served from here on.
-    Client,
-    /// One was over before it was accepted.
+    /// A connection was accepted and is being served.
+    Connection,
+    /// A connection was over before it was accepted.
     Aborted,
-    /// All places for clients are taken; one was told to give way.
-    NoPlace,
-    /// The machine has no room for another connection.
-    NoRoom,
+    /// All slots for clients are taken. One of them was evicted, if any could be.
+    NoSlot,
+    /// The machine has no resources for another connection.
+    NoResources,
 }
 
 impl Accepted {
     /// Waits as long as the next try has to.
-    async fn pause(self) {
+    async fn back_off(self) {
         match self {
-            Self::Client => {}
+            Self::Connection => {}
             Self::Aborted => tokio::task::yield_now().await,
-            Self::NoPlace => sleep(PLACE_BACKOFF).await,
-            Self::NoRoom => sleep(ACCEPT_BACKOFF).await,
+            Self::NoSlot => sleep(EVICTION_BACKOFF).await,
+            Self::NoResources => sleep(ACCEPT_BACKOFF).await,
         }
     }
 }
 
 impl Front {
-    /// Serves from `opens` until `stop`, then finishes what was taken. Where another process has `succeeded` this one
-    /// by then, what has not been accepted is left to it.
+    /// Serves from the end of `opens` to that of `stop`, then finishes what was accepted. Connections that another process
+    /// which has `succeeded` this one can accept are left to it.
     pub async fn serve(
         self: Rc<Self>,
         mut listener: Box<dyn Listener>,
@@ -69,12 +68,12 @@
         stop: impl Future<Output = ()>,
         succeeded: impl Fn() -> bool,
     ) {
-        let opened = Cell::new(false);
+        let has_opened = Cell::new(false);
         {
             let accepting = async {
                 opens.await;
-                opened.set(true);
-                self.accept(&mut *listener).await;
+                has_opened.set(true);
+                self.accept_forever(&mut *listener).await;
             };
             tokio::pin!(accepting);
             tokio::select! {
@@ -82,73 +81,83 @@
                 () = &mut accepting => {}
                 () = stop => {}
             }
-            tracing::info!("stopping");
-            // From here each answer asks its client to go elsewhere; new connections still find us.
-            self.stopping.set(true);
-            self.ends.set(Some(Instant::now() + self.longest + LAST));
+            self.start_shutdown();
             if succeeded() {
-                tracing::info!("a newer process accepts from here on");
+                tracing::info!("listener left to newer process");
             } else {
-                let _ = timeout(LINGER, accepting).await;
+                let _ = timeout(ACCEPT_AFTER_STOP, accepting).await;
             }
         }
-        if opened.get() && !succeeded() {
-            // Frees places, too.
-            self.close_idle();
+        if has_opened.get() && !succeeded() {
+            // Closed connections free slots for those in the backlog.
+            self.close_connections();
             self.accept_backlog(&mut *listener).await;
         }
         drop(listener);
-        self.close_idle();
-        let (ends, mut turns) = (self.ends.get().unwrap_or_else(Instant::now), 0);
-        while self.connections.len() > 0 && turns < FINISH {
-            sleep(LOOK).await;
-            turns += u32::from(Instant::now() >= ends);
+        self.close_connections();
+        self.finish_connections().await;
+    }
+
+    /// From here on each response asks its client to go elsewhere. New connections still find this process.
+    fn start_shutdown(&self) {
+        tracing::info!("shutdown started");
+        self.is_stopping.set(true);
+        self.answer_by.set(Some(Instant::now() + self.max_deadline + ANSWER_MARGIN));
+    }
+
+    /// Waits for the connections that are left: until all requests must be answered, and for long responses beyond that.
+    async fn finish_connections(&self) {
+        let answer_by = self.answer_by.get().unwrap_or_else(Instant::now);
+        let mut polls_after = 0;
+        while self.connections.len() > 0 && polls_after < SHUTDOWN_POLLS_FOR_WRITES {
+            sleep(SHUTDOWN_POLL_INTERVAL).await;
+            polls_after += u32::from(Instant::now() >= answer_by);
         }
-        // What is left and not long is lost; a long answer that its client reads is not, by us.
-        let passed = async {
-            while self.connections.any_answering() {
-                sleep(LOOK).await;
+        let streaming = async {
+            while self.connections.any_streaming() {
+                sleep(SHUTDOWN_POLL_INTERVAL).await;
             }
         };
-        let _ = timeout(LAST_ANSWERS, passed).await;
+        let _ = timeout(STREAMING_SHUTDOWN_TIME, streaming).await;
     }
 
-    async fn accept(self: &Rc<Self>, listener: &mut dyn Listener) {
+    async fn accept_forever(self: &Rc<Self>, listener: &mut dyn Listener) {
         loop {
-            self.accept_one(listener).await.pause().await;
+            self.accept_one(listener).await.back_off().await;
         }
     }
 
-    /// Accepts what waits at the end, until nothing does.
+    /// Accepts what is left in the backlog at the end.
     async fn accept_backlog(self: &Rc<Self>, listener: &mut dyn Listener) {
-        let begun = Instant::now();
-        let mut until = begun + BACKLOG;
+        let started_at = Instant::now();
+        let mut until = started_at + BACKLOG_TIME;
         while Instant::now() < until {
-            let Ok(accepted) = timeout(NEXT, self.accept_one(listener)).await else { return };
-            if accepted != Accepted::Client {
-                until = begun + BACKLOG_WITH_FAILURES;
+            let accepted = timeout(BACKLOG_EMPTY_AFTER, self.accept_one(listener)).await;
+            let Ok(accepted) = accepted else { return };
+            if accepted != Accepted::Connection {
+                until = started_at + BACKLOG_TIME_AFTER_FAILURE;
             }
-            accepted.pause().await;
+            accepted.back_off().await;
         }
-        tracing::warn!("the backlog was not empty at the end");
+        tracing::warn!("backlog not empty at shutdown");
     }
 
     async fn accept_one(self: &Rc<Self>, listener: &mut dyn Listener) -> Accepted {
-        // Left in the backlog, a client waits a moment; without a descriptor it would be dropped.
-        if self.connections.full() {
+        // Left in the backlog, a client waits a moment. Accepted without a descriptor, it would be dropped.
+        if self.connections.is_full() {
             self.connections.evict();
-            return Accepted::NoPlace;
+            return Accepted::NoSlot;
         }
         match accept(listener).await {
             Ok((stream, _)) => {
-                self.begin(stream);
-                Accepted::Client
+                self.serve_connection(stream);
+                Accepted::Connection
             }
             Err(cause) => {
-                tracing::warn!(%cause, "accept");
+                tracing::warn!(%cause, "accept failed");
                 match AcceptFailure::of(&cause) {
                     AcceptFailure::Connection => Accepted::Aborted,
-                    AcceptFailure::NoRoom => Accepted::NoRoom,
+                    AcceptFailure::NoRoom => Accepted::NoResources,
                 }
             }
         }
--- /dev/null
+++ b/crates/gateway/src/clients/conversation.rs
@@ -0,0 +1,231 @@
+//! Serves one client's connection: its requests one after another, until it closes. What a request comes to is left to
+//! `intake`.
+
+use std::convert::Infallible;
+use std::future::poll_fn;
+use std::rc::Rc;
+use std::task::Poll;
+use std::time::Duration;
+
+use hollowpaddle_net::Stream;
+use hyper::body::Incoming;
+use hyper::header::{CONNECTION, HeaderValue};
+use hyper::server::conn::http1;
+use hyper::service::service_fn;
+use hyper::{Request, StatusCode};
+use hyper_util::rt::TokioIo;
+use tokio::time::{Instant, sleep};
+
+use super::Front;
+use super::response::{self, ClientResponse};
+use crate::closing::{CloseReason, close};
+use crate::connections::{Connection, ConnectionSlot};
+use crate::http::{HEAD_LIMIT, HEAD_LINES};
+use crate::invariants::{Invariant, Violations};
+use crate::response_body::ResponseBody;
+use crate::shared_stream::SharedStream;
+use crate::stream::{ObservedStream, RawHead, ReadAhead};
+use crate::tasks::CloseSignal;
+
+/// How long a connection that has had no request is given before it closes: clients send their first request right away.
+const FIRST_REQUEST_TIME: Duration = Duration::from_millis(100);
+/// How long bytes that have come on a connection are given to be read before it closes.
+const UNREAD_BYTES_TIME: Duration = Duration::from_millis(2);
+
+/// A client's connection as requests on it see it.
+pub(super) struct ClientStream {
+    pub(super) stream: SharedStream,
+    pub(super) raw_head: RawHead,
+    pub(super) read_ahead: ReadAhead,
+}
+
+/// Counts a request that was received completely and got no response, though its client stayed.
+struct ResponseCheck<'a> {
+    violations: &'a Violations,
+    client: &'a ClientStream,
+    started_at: Instant,
+    is_answered: bool,
+}
+
+impl<'a> ResponseCheck<'a> {
+    fn new(violations: &'a Violations, client: &'a ClientStream) -> Self {
+        Self { violations, client, started_at: Instant::now(), is_answered: false }
+    }
+
+    fn answered(&mut self, status: StatusCode) {
+        self.is_answered = true;
+        let elapsed_ms = self.started_at.elapsed().as_millis() as u64;
+        tracing::debug!(status = status.as_u16(), elapsed_ms, "request answered");
+    }
+}
+
+impl Drop for ResponseCheck<'_> {
+    fn drop(&mut self) {
+        let has_client_left = self.client.stream.borrow().has_ended();
+        let is_received = self.client.read_ahead.is_request_complete();
+        if !self.is_answered && is_received && !has_client_left {
+            self.violations.count(Invariant::Unanswered, None, None);
+        }
+    }
+}
+
+impl Front {
+    /// Serves a connection that was accepted, in a task of its own.
+    pub(super) fn serve_connection(self: &Rc<Self>, stream: Box<dyn Stream>) {
+        let (io, stream, traffic) = ObservedStream::new(stream);
+        // Before the task first runs: the next connection must not get the same slot, and a signal to close that is sent
+        // meanwhile is the one to wait for.
+        let slot = self.connections.open(traffic);
+        let close_signal = self.close_signal.borrow().clone();
+        tokio::task::spawn_local(self.clone().converse(io, stream, slot, close_signal));
+    }
+
+    /// Serves all requests of one connection and closes it.
+    async fn converse(
+        self: Rc<Self>,
+        io: ObservedStream,
+        stream: SharedStream,
+        slot: ConnectionSlot,
+        close_signal: Rc<CloseSignal>,
+    ) {
+        let raw_head = RawHead::new(&self.stall_detector);
+        let read_ahead = ReadAhead::default();
+        let io = io.with_capture(&raw_head, &read_ahead);
+        let client = ClientStream { stream, raw_head, read_ahead };
+        let reason = self.serve_requests(io, &client, &slot, &close_signal).await;
+        let Some(reason) = reason else { return };
+        self.close_connection(&client, &slot, reason).await;
+    }
+
+    /// Serves requests until the connection has to close. Returns why; nothing, if the client has closed it.
+    async fn serve_requests(
+        &self,
+        io: ObservedStream,
+        client: &ClientStream,
+        slot: &ConnectionSlot,
+        close_signal: &CloseSignal,
+    ) -> Option<CloseReason> {
+        let state = slot.connection();
+        let service = service_fn(|request| self.respond(request, slot, client));
+        let connection = http1::Builder::new()
+            .header_read_timeout(None) // The limits in `connections` hold.
+            .max_buf_size(HEAD_LIMIT)
+            .max_headers(HEAD_LINES)
+            .serve_connection(TokioIo::new(io), service);
+        tokio::pin!(connection);
+        let time_to_close = time_to_close(close_signal, state, client);
+        tokio::pin!(time_to_close);
+        let mut is_closing = false;
+        loop {
+            let client_end = poll_fn(|cx| {
+                if state.is_request_open() {
+                    client.read_ahead.poll_client_end(&client.stream, cx)
+                } else {
+                    Poll::Pending
+                }
+            });
+            // The connection first: its limits are judged by what has passed on it.
+            tokio::select! {
+                biased;
+                _ = &mut connection => {
+                    let reason =
+                        if is_closing { CloseReason::Leaving } else { CloseReason::ExchangeOver };
+                    return Some(reason);
+                }
+                () = state.overdue() => {
+                    let reason =
+                        if state.is_evicted() { CloseReason::Evicted } else { CloseReason::Overdue };
+                    return Some(reason);
+                }
+                () = client_end => {
+                    tracing::debug!(connection = slot.id(), "client disconnected");
+                    return None;
+                }
+                () = &mut time_to_close, if !is_closing => {
+                    is_closing = true;
+                    connection.as_mut().graceful_shutdown();
+                }
+            }
+        }
+    }
+
+    /// Closes the connection from this side.
+    async fn close_connection(
+        &self,
+        client: &ClientStream,
+        slot: &ConnectionSlot,
+        reason: CloseReason,
+    ) {
+        let state = slot.connection();
+        let mode = state.close_mode(reason);
+        tracing::debug!(connection = slot.id(), ?reason, ?mode, "connection closing");
+        // Where the next client needs the slot, no more is waited for than what is there.
+        let is_slot_needed = state.is_evicted() && self.connections.is_full();
+        state.start_closing();
+        tokio::select! {
+            biased;
+            () = close(&client.stream, mode), if !is_slot_needed => {}
+            () = state.evicted() => {}
+        }
+    }
+
+    /// Answers one request.
+    async fn respond(
+        &self,
+        request: Request<Incoming>,
+        slot: &ConnectionSlot,
+        client: &ClientStream,
+    ) -> Result<ClientResponse, Infallible> {
+        client.raw_head.stop();
+        client.read_ahead.start_request();
+        slot.connection().start_request();
+        let mut check = ResponseCheck::new(self.engine.violations(), client);
+        let mut response = self.route(request, client).await;
+        // Where a request makes no sense, neither does what follows on its connection.
+        let makes_no_sense =
+            response.status().is_client_error() || client.read_ahead.has_overflowed();
+        if self.turns_clients_away() || makes_no_sense {
+            response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
+            slot.connection().announce_close();
+        }
+        // The next request begins behind this one's last byte, which has come; if not, the connection closes.
+        client.raw_head.start_next();
+        check.answered(response.status());
+        match response.body_mut() {
+            ResponseBody::Complete(_) => slot.finish_request(),
+            ResponseBody::Streamed(body) => body.attach(slot.start_streaming()),
+        }
+        Ok(response)
+    }
+
+    async fn route(&self, request: Request<Incoming>, client: &ClientStream) -> ClientResponse {
+        let path = request.uri().path();
+        if path == "/-/ready" {
+            return response::empty(self.readiness());
+        }
+        if path == "/api" || path.starts_with("/api/") {
+            return self.answer_api(request, client).await;
+        }
+        response::empty(StatusCode::NOT_FOUND)
+    }
+
+    fn readiness(&self) -> StatusCode {
+        if self.engine.is_ready() && !self.turns_clients_away() {
+            StatusCode::OK
+        } else {
+            StatusCode::SERVICE_UNAVAILABLE
+        }
+    }
+}
+
+/// Ends once the connection is to close, and what has come on it by then has had time to be read.
+async fn time_to_close(close_signal: &CloseSignal, state: &Connection, client: &ClientStream) {
+    close_signal.sent().await;
+    // A request that has come was sent before the close.
+    let has_unread_bytes = !client.stream.borrow().is_quiet();
+    if state.is_new() {
+        sleep(FIRST_REQUEST_TIME).await;
+    } else if has_unread_bytes {
+        sleep(UNREAD_BYTES_TIME).await;
+    }
+}
--- /dev/null
+++ b/crates/gateway/src/clients/intake.rs
@@ -0,0 +1,182 @@
+//! Receives a client's request, checks and reads its head, and hands it to the engine.
+
+use std::time::Duration;
+
+use hollowpaddle_policy::interface::{Effect, Span};
+use hollowpaddle_policy::settings::key_hash;
+use hyper::body::Incoming;
+use hyper::header::HeaderMap;
+use hyper::http::request::Parts;
+use hyper::{Method, Request, StatusCode};
+use tokio::time::Instant;
+
+use super::Front;
+use super::conversation::ClientStream;
+use super::request_head::{self, Malformed};
+use super::response::{self, ClientResponse};
+use crate::bodies::{BodyError, Pace, ReceivedBody, receive_body};
+use crate::cancellation::Cancellation;
+use crate::engine::Arrival;
+use crate::forwarded_request::{ForwardedBody, ForwardedRequest};
+use crate::shared_stream::SharedStream;
+use crate::streamed_body::StreamedBody;
+
+/// The largest body that a client may send, in bytes.
+const MAX_BODY_BYTES: usize = 32 << 20;
+/// A body of up to this size, in bytes, is buffered for as long as its request is open. A longer one is streamed, and can't
+/// be sent again.
+const MAX_BUFFERED_BODY_BYTES: usize = 2 << 20;
+/// How a body must come: within 2 s, or as slowly as 60 KiB/s. A client that stops halfway is owed a response within 3 s.
+const BODY_PACE: Pace = Pace {
+    max_bytes: MAX_BODY_BYTES,
+    base_time: Duration::from_secs(2),
+    time_per_byte: Duration::from_nanos(1_000_000_000 / (60 << 10)),
+};
+
+/// A body as it goes to an upstream.
+struct ReadyBody {
+    body: ForwardedBody,
+    /// In bytes, if it is known.
+    length: Option<u64>,
+}
+
+impl Front {
+    /// Answers a request for `/api`.
+    pub(super) async fn answer_api(
+        &self,
+        request: Request<Incoming>,
+        client: &ClientStream,
+    ) -> ClientResponse {
+        let (head, body) = request.into_parts();
+        if let Err(error) = request_head::check(&head, &client.raw_head) {
+            return response::malformed(error);
+        }
+        let ready = match self.receive(body, client).await {
+            Ok(ready) => ready,
+            Err(error) => return response::from_body_error(error),
+        };
+        // The time of a request counts from its last byte (PROTOCOL, 'Figures'), also if this process did not run to read
+        // it. Of a streamed body the engine notes the end.
+        let now = Instant::now();
+        let received_at = now.checked_sub(client.raw_head.read_delay()).unwrap_or(now);
+        let Some(_open_id) = self.open_ids.open(&head.headers) else {
+            return response::empty(StatusCode::CONFLICT);
+        };
+        let has_no_body = ready.length == Some(0);
+        let arrival = match self.arrival(&head, has_no_body, received_at, &client.stream) {
+            Ok(arrival) => arrival,
+            Err(error) => return response::malformed(error),
+        };
+        self.forward(head, ready, arrival).await
+    }
+
+    /// Receives the body of a request, up to its end or until it is known to be long.
+    async fn receive(&self, body: Incoming, client: &ClientStream) -> Result<ReadyBody, BodyError> {
+        let received =
+            receive_body(body, BODY_PACE, MAX_BUFFERED_BODY_BYTES, &self.body_memory).await?;
+        Ok(match received {
+            ReceivedBody::Complete(body) => {
+                client.read_ahead.finish_request();
+                let length = Some(body.len() as u64);
+                ReadyBody { body: ForwardedBody::Buffered(body), length }
+            }
+            ReceivedBody::Long { first, rest, length } => {
+                let body = StreamedBody::new(first, rest, length, BODY_PACE);
+                ReadyBody { body: ForwardedBody::Streamed(body), length }
+            }
+        })
+    }
+
+    /// Hands a request to the engine, and makes the response of its final answer.
+    async fn forward(&self, head: Parts, ready: ReadyBody, arrival: Arrival) -> ClientResponse {
+        let id = self.engine.next_id();
+        let client_id = head.headers.get("x-request-id");
+        tracing::debug!(request = id.0, id = ?client_id, "request received");
+        let forwarded = ForwardedRequest {
+            method: head.method,
+            uri: request_head::origin_form(head.uri),
+            headers: request_head::forwarded_headers(head.headers, ready.length),
+            body: ready.body,
+        };
+        let streamed_body = forwarded.streamed_body().cloned();
+        let reply = self.engine.submit(id, arrival, forwarded).await;
+        let client_fault = streamed_body.and_then(|body| body.client_fault());
+        match client_fault {
+            Some(fault) if !reply.is_served() => response::from_body_error(fault),
+            _ => response::from_reply(reply),
+        }
+    }
+
+    /// Reads what the decision module needs to know of a request.
+    fn arrival(
+        &self,
+        head: &Parts,
+        has_no_body: bool,
+        received_at: Instant,
+        client: &SharedStream,
+    ) -> Result<Arrival, Malformed> {
+        let class = self.class(&head.headers)?;
+        if !fits_effect(self.classes[class].effect, head, has_no_body) {
+            return Err(Malformed("method"));
+        }
+        let announced = announced_deadline(&head.headers).ok_or(Malformed("X-Deadline-Ms"))?;
+        // No client waits longer than its class's deadline, whatever it says.
+        let deadline = received_at + announced.min(self.classes[class].max_deadline);
+        let client_deadline =
+            self.answer_by.get().map_or(deadline, |answer_by| answer_by.min(deadline));
+        let cost_hint = text(&head.headers, "x-cost-hint");
+        let cost_hint_us = cost_hint.and_then(|hint| hint.trim().parse::<f64>().ok());
+        Ok(Arrival {
+            class,
+            tenant: self.tenant(&head.headers)?,
+            key: request_head::cookie(&head.headers, "sid").map(key_hash),
+            client_deadline,
+            cost_guess: cost_hint_us
+                .filter(|us| us.is_finite() && *us > 0.0)
+                .map(|us| Span(us as i64)),
+            resent: text(&head.headers, "x-retry") == Some("1"),
+            cancellation: Cancellation::new(client),
+        })
+    }
+
+    /// Index of the class that the request names.
+    fn class(&self, headers: &HeaderMap) -> Result<usize, Malformed> {
+        let name = text(headers, "x-class").ok_or(Malformed("X-Class"))?;
+        let position = self.facts.services.iter().position(|service| service.name == name);
+        position.ok_or(Malformed("X-Class"))
+    }
+
+    /// Index of the tenant that the request names; 0 where the settings define none.
+    fn tenant(&self, headers: &HeaderMap) -> Result<usize, Malformed> {
+        if self.facts.tenants.is_empty() {
+            return Ok(0);
+        }
+        let name = text(headers, "x-tenant").unwrap_or_default();
+        self.facts.tenants.position(name).ok_or(Malformed("X-Tenant"))
+    }
+}
+
+/// Whether a request may be one of a class with this effect.
+fn fits_effect(effect: Effect, head: &Parts, has_no_body: bool) -> bool {
+    let key = head.headers.get("idempotency-key");
+    match effect {
+        Effect::Safe => head.method == Method::GET && has_no_body,
+        Effect::Keyed => head.method == Method::POST && key.is_some_and(|key| !key.is_empty()),
+        Effect::Unsafe => head.method == Method::POST && key.is_none(),
+    }
+}
+
+/// How long the client says that it waits; nothing, if that is no positive number of milliseconds.
+fn announced_deadline(headers: &HeaderMap) -> Option<Duration> {
+    let digits = text(headers, "x-deadline-ms")?;
+    if !digits.bytes().all(|byte| byte.is_ascii_digit()) {
+        return None;
+    }
+    let milliseconds = digits.parse::<u64>().ok().filter(|milliseconds| *milliseconds > 0)?;
+    Some(Duration::from_millis(milliseconds))
+}
+
+/// The value of a header, if it is text.
+fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
+    headers.get(name).and_then(|value| value.to_str().ok())
+}
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -1,5 +1,5 @@
-//! Clients' connections: what each of them does, how long it may go on like that, and which one gives way
-//! when there is no descriptor left for the next.
+//! Clients' connections: what each of them is doing, how long it may go on like that, and which one gives way when there is
+//! no slot for the next. Serving them is left to `clients`.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -15,147 +15,167 @@
 use crate::closing::{CloseMode, CloseReason};
 use crate::stream::Traffic;
 
-/// A head must be whole this long after its first byte, and begin this long after its connection came up. With a body's
-/// own limit it stays under the 3 s within which whoever stops in the middle of a request is owed an answer.
-const HEAD: Duration = Duration::from_millis(2400);
-/// A kept connection is closed once it has idled for so long.
-const IDLE: Duration = Duration::from_secs(4);
-/// One that served a client within this time stays, as long as they are not many.
-const KEPT: Duration = Duration::from_secs(2);
-/// One that says nothing for this long does not come with a request: those send it right away.
-const SILENT: Duration = Duration::from_millis(250);
-/// A client that takes nothing of a long answer for so long has gone; it would hold an upstream's connection too.
-const STALLED: Duration = Duration::from_secs(10);
+/// How long after the connection came up its first head may begin, and how long after its first byte a head must be
+/// complete. With the time for a body it stays under the 3 s within which a client that stops halfway is owed a response.
+const HEAD_TIMEOUT: Duration = Duration::from_millis(2400);
+/// How long an idle connection stays open.
+const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
+/// An idle connection that served a request within this time does not give way.
+const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_secs(2);
+/// A connection that sends no complete head for so long may give way: clients send a request right away.
+const MIN_SILENCE_BEFORE_EVICTION: Duration = Duration::from_millis(250);
+/// A client that takes nothing of a streamed response for so long has gone. It would hold an upstream's connection too.
+const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
 /// What is known of one connection.
 pub struct Connection {
     traffic: Traffic,
     state: Cell<State>,
-    /// An answer told the client that the connection closes behind it.
-    close_announced: Cell<bool>,
+    /// Whether a response told the client that the connection closes behind it.
+    is_close_announced: Cell<bool>,
     evicted: Notify,
 }
 
 #[derive(Clone, Copy)]
 enum State {
-    /// Nothing was asked on it yet; and when the first head began.
+    /// No request came yet. `head_begun` is when the first head began.
     New { since: Instant, head_begun: Option<Instant> },
     /// A request is open.
-    Asked,
-    /// A long answer is being passed on; so many bytes were written at that time.
-    Answering { since: Instant, written: u64 },
-    /// Its last answer was given, with so many bytes read by then; and when the next head began.
-    Kept { since: Instant, read: u64, head_begun: Option<Instant> },
-    /// Only read to its end, so that the last answer is not lost to a reset.
+    RequestOpen,
+    /// A long response is being streamed; `written` bytes were written at `since`.
+    Streaming { since: Instant, written: u64 },
+    /// The last response was given at `since`, with `read` bytes read by then. `head_begun` is when the next head began.
+    Idle { since: Instant, read: u64, head_begun: Option<Instant> },
+    /// Only read to its end, so that the last response is not lost to a reset.
     Closing { since: Instant },
-    /// Told to give way, when the next head had begun or not.
+    /// Told to give way. `head_begun` is whether the next head had begun.
     Evicted { head_begun: bool },
 }
 
+/// The order in which connections give way: first those without a request, then by how long they have been like that.
+#[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
+struct EvictionRank {
+    has_served: bool,
+    since: Instant,
+}
+
 impl Connection {
-    pub fn asked(&self) {
-        self.state.set(State::Asked);
+    /// Notes that a request has come.
+    pub fn start_request(&self) {
+        self.state.set(State::RequestOpen);
     }
 
-    /// Notes that an answer tells the client of the connection's end.
+    /// Notes that a response tells the client that the connection closes.
     pub fn announce_close(&self) {
-        self.close_announced.set(true);
+        self.is_close_announced.set(true);
     }
 
-    /// How it is to be closed for this reason, as things stand.
-    pub fn manner(&self, reason: CloseReason) -> CloseMode {
-        let is_answering = matches!(self.state.get(), State::Asked | State::Answering { .. });
-        let is_over = is_answering || reason == CloseReason::ExchangeOver;
-        match (self.has_begun_head(), is_over || self.close_announced.get()) {
-            (false, false) => CloseMode::Resting,
-            (true, false) if !self.traffic.blocked() => CloseMode::UnfinishedHead,
-            _ => CloseMode::Answered,
+    /// How the connection is to be closed for this reason, as things stand.
+    pub fn close_mode(&self, reason: CloseReason) -> CloseMode {
+        let is_answering = matches!(self.state.get(), State::RequestOpen | State::Streaming { .. });
+        let is_exchange_over = is_answering || reason == CloseReason::ExchangeOver;
+        match (self.has_begun_head(), is_exchange_over || self.is_close_announced.get()) {
+            (false, false) => CloseMode::Idle,
+            (true, false) if !self.traffic.is_write_blocked() => CloseMode::UnfinishedHead,
+            _ => CloseMode::AfterResponse,
         }
     }
 
-    pub fn closing(&self) {
+    /// Notes that the connection is being closed from this side.
+    pub fn start_closing(&self) {
         self.state.set(State::Closing { since: Instant::now() });
     }
 
-    /// Whether nothing was asked on it yet.
+    /// Whether no request came yet.
     pub fn is_new(&self) -> bool {
         matches!(self.state.get(), State::New { .. })
     }
 
-    /// Whether a part of a request's head has been read that follows the last answer, if there was any.
+    /// Whether a part of the next request's head was read.
     pub fn has_begun_head(&self) -> bool {
         match self.state.get() {
-            State::New { .. } => self.traffic.read() > 0,
-            State::Kept { read, .. } => self.traffic.read() > read,
+            State::New { .. } => self.traffic.bytes_read() > 0,
+            State::Idle { read, .. } => self.traffic.bytes_read() > read,
             State::Evicted { head_begun } => head_begun,
-            State::Asked | State::Answering { .. } | State::Closing { .. } => false,
+            State::RequestOpen | State::Streaming { .. } | State::Closing { .. } => false,
         }
     }
 
-    /// Whether it was told to give way.
-    pub fn gives_way(&self) -> bool {
+    /// Whether the connection was told to give way.
+    pub fn is_evicted(&self) -> bool {
         matches!(self.state.get(), State::Evicted { .. })
     }
 
-    /// Whether a request is open, and its answer has not begun.
-    pub fn is_asked(&self) -> bool {
-        matches!(self.state.get(), State::Asked)
+    /// Whether a request is open and its response has not begun.
+    pub fn is_request_open(&self) -> bool {
+        matches!(self.state.get(), State::RequestOpen)
     }
 
-    /// Whether a request was asked on it that is open, or may be followed by another.
-    fn in_use(&self) -> bool {
-        matches!(self.state.get(), State::Asked | State::Answering { .. } | State::Kept { .. })
+    /// Whether a request is open, or was answered and may be followed by another.
+    fn is_in_use(&self) -> bool {
+        let state = self.state.get();
+        matches!(state, State::RequestOpen | State::Streaming { .. } | State::Idle { .. })
     }
 
-    /// When it has to go, as things stand.
-    fn limit(&self) -> Option<Instant> {
+    /// When the connection is overdue, as things stand. Notes what has passed on it since the last call.
+    fn update_deadline(&self) -> Option<Instant> {
         match self.state.get() {
             State::New { since, head_begun } => {
-                if self.traffic.read() == 0 {
-                    return Some(since + HEAD);
+                if self.traffic.bytes_read() == 0 {
+                    return Some(since + HEAD_TIMEOUT);
                 }
                 let head_begun = head_begun.unwrap_or_else(Instant::now);
                 self.state.set(State::New { since, head_begun: Some(head_begun) });
-                Some(head_begun + HEAD)
+                Some(head_begun + HEAD_TIMEOUT)
             }
-            State::Asked | State::Closing { .. } | State::Evicted { .. } => None,
-            State::Answering { since, written } => {
-                let now_written = self.traffic.written();
-                if now_written == written {
-                    return Some(since + STALLED);
+            State::RequestOpen | State::Closing { .. } | State::Evicted { .. } => None,
+            State::Streaming { since, written } => {
+                let written_now = self.traffic.bytes_written();
+                if written_now == written {
+                    return Some(since + CLIENT_STALL_TIMEOUT);
                 }
                 let since = Instant::now();
-                self.state.set(State::Answering { since, written: now_written });
-                Some(since + STALLED)
+                self.state.set(State::Streaming { since, written: written_now });
+                Some(since + CLIENT_STALL_TIMEOUT)
             }
-            State::Kept { since, read, head_begun } => {
-                if self.traffic.read() == read {
-                    return Some(since + IDLE);
+            State::Idle { since, read, head_begun } => {
+                if self.traffic.bytes_read() == read {
+                    return Some(since + IDLE_TIMEOUT);
                 }
                 let head_begun = head_begun.unwrap_or_else(Instant::now);
-                self.state.set(State::Kept { since, read, head_begun: Some(head_begun) });
-                Some(head_begun + HEAD)
+                self.state.set(State::Idle { since, read, head_begun: Some(head_begun) });
+                Some(head_begun + HEAD_TIMEOUT)
             }
         }
     }
 
-    /// Since when nothing was asked on it, if its answer is out and the next head has not begun. Closed here,
-    /// it costs its client no request: one that crosses with the close is sent once more.
-    fn kept_since(&self) -> Option<Instant> {
-        let State::Kept { since, read, .. } = self.state.get() else { return None };
-        (self.traffic.read() == read && !self.traffic.blocked()).then_some(since)
+    /// Since when the connection is idle, if its response is written and the next head has not begun.
+    ///
+    /// Closing it then costs the client no request: one that crosses with the close is sent once more.
+    fn idle_since(&self) -> Option<Instant> {
+        let State::Idle { since, read, .. } = self.state.get() else { return None };
+        let is_idle = self.traffic.bytes_read() == read && !self.traffic.is_write_blocked();
+        is_idle.then_some(since)
     }
 
-    /// Whether it has served a client, and since when it idles, if it may give way to another by now.
-    fn idle_since(&self, now: Instant) -> Option<(bool, Instant)> {
-        let (served, since, after) = match self.state.get() {
-            State::Closing { since } => (false, since, SILENT),
-            State::New { since, head_begun } => (false, head_begun.unwrap_or(since), SILENT),
-            State::Kept { head_begun: Some(begun), .. } => (false, begun, SILENT),
-            State::Kept { .. } => (true, self.kept_since()?, KEPT),
-            State::Asked | State::Answering { .. } | State::Evicted { .. } => return None,
+    /// The connection's place in the order of eviction, if it may give way by now.
+    fn eviction_rank(&self, now: Instant) -> Option<EvictionRank> {
+        let silent_since = |since| EvictionRank { has_served: false, since };
+        let (rank, min_time) = match self.state.get() {
+            State::Closing { since } => (silent_since(since), MIN_SILENCE_BEFORE_EVICTION),
+            State::New { since, head_begun } => {
+                (silent_since(head_begun.unwrap_or(since)), MIN_SILENCE_BEFORE_EVICTION)
+            }
+            State::Idle { head_begun: Some(begun), .. } => {
+                (silent_since(begun), MIN_SILENCE_BEFORE_EVICTION)
+            }
+            State::Idle { .. } => {
+                let rank = EvictionRank { has_served: true, since: self.idle_since()? };
+                (rank, MIN_IDLE_BEFORE_EVICTION)
+            }
+            State::RequestOpen | State::Streaming { .. } | State::Evicted { .. } => return None,
         };
-        (now >= since + after).then_some((served, since))
+        (now >= rank.since + min_time).then_some(rank)
     }
 
     fn evict(&self) {
@@ -163,8 +183,8 @@
         self.evicted.notify_one();
     }
 
-    /// Ends once it is told to give way. Failure: a request that came between that word and its hearing was
-    /// dropped half done.
+    /// Ends once the connection has to give way. A request that comes between the eviction and its being noticed keeps the
+    /// connection.
     pub async fn evicted(&self) {
         loop {
             self.evicted.notified().await;
@@ -174,18 +194,19 @@
         }
     }
 
-    /// Ends when the connection has to go. To be polled whenever something has passed on it: by its own task.
-    pub async fn outstays(&self) {
+    /// Ends once the connection is overdue or has to give way. To be polled by the connection's own task, whenever
+    /// something has passed on it.
+    pub async fn overdue(&self) {
         let mut timer = pin!(sleep_until(Instant::now()));
-        let overdue = poll_fn(|cx| {
-            while let Some(at) = self.limit() {
-                if timer.deadline() != at {
-                    timer.as_mut().reset(at);
+        let is_overdue = poll_fn(|cx| {
+            while let Some(deadline) = self.update_deadline() {
+                if timer.deadline() != deadline {
+                    timer.as_mut().reset(deadline);
                 }
                 if timer.as_mut().poll(cx).is_pending() {
                     return Poll::Pending;
                 }
-                if self.limit().is_some_and(|at| at <= Instant::now()) {
+                if self.update_deadline().is_some_and(|deadline| deadline <= Instant::now()) {
                     return Poll::Ready(());
                 }
             }
@@ -193,209 +214,153 @@
         });
         tokio::select! {
             biased;
-            () = overdue => {}
+            () = is_overdue => {}
             () = self.evicted() => {}
         }
     }
 }
 
-/// All of them, up to a limit.
+/// All connections, up to a limit.
 pub struct Connections {
     open: RefCell<FxHashMap<u64, Rc<Connection>>>,
-    next: Cell<u64>,
-    most: usize,
-    /// Of those in use, no more than so many while some of them idle.
-    at_ease: usize,
+    next_id: Cell<u64>,
+    max_open: usize,
+    /// The number of connections in use above which idle ones are closed.
+    max_in_use_with_idle: usize,
 }
 
-/// A connection's place among them, for as long as it is held.
-pub struct ConnectionSlot(Place);
+/// The slot that a connection takes until it is dropped.
+pub struct ConnectionSlot(Slot);
 
 #[derive(Clone)]
-struct Place {
+struct Slot {
     connection: Rc<Connection>,
-    all: Rc<Connections>,
+    connections: Rc<Connections>,
     id: u64,
 }
 
-/// An answer that is being passed on. Its end is the end of the request.
-pub struct Answering(Place);
+/// A response that is being streamed. Its request is over when it is dropped.
+pub struct StreamingGuard(Slot);
 
-impl Drop for Answering {
+impl Drop for StreamingGuard {
     fn drop(&mut self) {
-        if matches!(self.0.connection.state.get(), State::Answering { .. }) {
-            self.0.answered();
+        if matches!(self.0.connection.state.get(), State::Streaming { .. }) {
+            self.0.finish_request();
         }
     }
 }
 
 impl ConnectionSlot {
+    /// The connection in this slot.
     pub fn connection(&self) -> &Connection {
         &self.0.connection
     }
 
-    /// Its number, for the log.
+    /// The number of the connection, for the log.
     pub fn id(&self) -> u64 {
         self.0.id
     }
 
-    /// Notes that its request was answered.
-    pub fn answered(&self) {
-        self.0.answered();
+    /// Notes that the request was answered.
+    pub fn finish_request(&self) {
+        self.0.finish_request();
     }
 
-    /// Notes that its answer has begun; it lasts as long as what is returned. Failure: with its request taken for
-    /// answered, a long answer was cut as an idle connection is.
-    pub fn answering(&self) -> Answering {
-        let (since, written) = (Instant::now(), self.0.connection.traffic.written());
-        self.0.connection.state.set(State::Answering { since, written });
-        Answering(self.0.clone())
+    /// Notes that a long response has begun. The request is open until the guard is dropped, so that the connection does not
+    /// count as idle meanwhile.
+    pub fn start_streaming(&self) -> StreamingGuard {
+        let written = self.0.connection.traffic.bytes_written();
+        self.0.connection.state.set(State::Streaming { since: Instant::now(), written });
+        StreamingGuard(self.0.clone())
     }
 }
 
-impl Place {
-    /// Notes that its request was answered, and lets idle ones go if there are many. Failure: clients that
-    /// ask once and keep their connection soon had all that they may open, and then none to ask on.
-    fn answered(&self) {
-        let (since, read) = (Instant::now(), self.connection.traffic.read());
-        self.connection.state.set(State::Kept { since, read, head_begun: None });
-        let open = self.all.open.borrow();
-        if open.len() > self.all.at_ease
-            && open.values().filter(|c| c.in_use()).count() > self.all.at_ease
-        {
-            // Not this one: its answer is yet to be written.
-            let others = open.iter().filter(|(id, _)| **id != self.id);
-            let kept = others.filter_map(|(_, c)| Some((c.kept_since()?, c)));
-            if let Some((_, longest)) = kept.min_by_key(|(since, _)| *since) {
-                longest.evict();
-            }
+impl Slot {
+    /// Notes that the request was answered, and closes the connection that has been idle for longest if many are in use:
+    /// clients that send one request and keep their connection would soon have all that they may open.
+    fn finish_request(&self) {
+        let read = self.connection.traffic.bytes_read();
+        self.connection.state.set(State::Idle { since: Instant::now(), read, head_begun: None });
+        if !self.connections.are_many_in_use() {
+            return;
+        }
+        let open = self.connections.open.borrow();
+        // Not this one: its response is yet to be written.
+        let others = open.iter().filter(|(id, _)| **id != self.id);
+        let idle = others.filter_map(|(_, other)| Some((other.idle_since()?, other)));
+        if let Some((_, longest_idle)) = idle.min_by_key(|(since, _)| *since) {
+            longest_idle.evict();
         }
     }
 }
 
 impl Drop for ConnectionSlot {
     fn drop(&mut self) {
-        self.0.all.open.borrow_mut().remove(&self.0.id);
+        self.0.connections.open.borrow_mut().remove(&self.0.id);
     }
 }
 
 impl Connections {
-    pub fn new(most: usize, at_ease: usize) -> Rc<Self> {
-        Rc::new(Self { open: RefCell::default(), next: Cell::new(0), most, at_ease })
+    /// No connections yet, and at most `max_open`. Idle ones are closed while more than `max_in_use_with_idle` are in use.
+    pub fn new(max_open: usize, max_in_use_with_idle: usize) -> Rc<Self> {
+        Rc::new(Self {
+            open: RefCell::default(),
+            next_id: Cell::new(0),
+            max_open,
+            max_in_use_with_idle,
+        })
     }
 
+    /// The number of connections.
     pub fn len(&self) -> usize {
         self.open.borrow().len()
     }
 
-    /// Whether a long answer is being passed on to anybody.
-    pub fn any_answering(&self) -> bool {
-        let answering = |c: &Rc<Connection>| matches!(c.state.get(), State::Answering { .. });
-        self.open.borrow().values().any(answering)
+    /// Whether a long response is being streamed to any client.
+    pub fn any_streaming(&self) -> bool {
+        let is_streaming =
+            |connection: &Rc<Connection>| matches!(connection.state.get(), State::Streaming { .. });
+        self.open.borrow().values().any(is_streaming)
+    }
+
+    /// Whether all slots are taken.
+    pub fn is_full(&self) -> bool {
+        self.len() >= self.max_open
     }
 
-    pub fn full(&self) -> bool {
-        self.len() >= self.most
+    fn are_many_in_use(&self) -> bool {
+        let open = self.open.borrow();
+        open.len() > self.max_in_use_with_idle
+            && open.values().filter(|connection| connection.is_in_use()).count()
+                > self.max_in_use_with_idle
     }
 
-    pub fn seat(self: &Rc<Self>, traffic: Traffic) -> ConnectionSlot {
-        let id = self.next.replace(self.next.get() + 1);
-        let state = Cell::new(State::New { since: Instant::now(), head_begun: None });
+    /// Gives a slot to a new connection.
+    pub fn open(self: &Rc<Self>, traffic: Traffic) -> ConnectionSlot {
+        let id = self.next_id.replace(self.next_id.get() + 1);
         let connection = Rc::new(Connection {
             traffic,
-            state,
-            close_announced: Cell::new(false),
+            state: Cell::new(State::New { since: Instant::now(), head_begun: None }),
+            is_close_announced: Cell::new(false),
             evicted: Notify::new(),
         });
         self.open.borrow_mut().insert(id, connection.clone());
-        ConnectionSlot(Place { connection, all: self.clone(), id })
+        ConnectionSlot(Slot { connection, connections: self.clone(), id })
     }
 
-    /// Makes one give way that has no request open: what has said nothing for longest, else what has idled
-    /// longest. Failure: hundreds that said nothing held all places, and kept every other client out.
+    /// Tells a connection that has no request open to give way: the one that has sent no request for longest, else the one
+    /// that has been idle for longest. Silent connections must not keep every other client out.
     pub fn evict(&self) {
         let now = Instant::now();
         let open = self.open.borrow();
-        let idle = open.values().filter_map(|c| Some((c.idle_since(now)?, c)));
-        if let Some((_, longest)) = idle.min_by_key(|(idle, _)| *idle) {
-            longest.evict();
+        let candidates = open
+            .values()
+            .filter_map(|connection| Some((connection.eviction_rank(now)?, connection)));
+        if let Some((_, first)) = candidates.min_by_key(|(rank, _)| *rank) {
+            first.evict();
         }
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use tokio::time::{advance, timeout};
-
-    use super::*;
-
-    async fn gone(seat: &ConnectionSlot) -> bool {
-        timeout(Duration::ZERO, seat.connection().evicted()).await.is_ok()
-    }
-
-    #[tokio::test(start_paused = true)]
-    async fn the_one_that_has_idled_longest_gives_way_and_none_with_an_open_request() {
-        let all = Connections::new(3, 3);
-        let seats: Vec<ConnectionSlot> = (0..3).map(|_| all.seat(Traffic::default())).collect();
-        assert!(all.full());
-        seats[0].connection().asked();
-        all.evict();
-        assert!(!gone(&seats[1]).await && !gone(&seats[2]).await, "they have had no time to ask");
-        advance(SILENT).await;
-        seats[1].answered();
-        all.evict();
-        assert!(gone(&seats[2]).await && !gone(&seats[1]).await && !gone(&seats[0]).await);
-        drop(seats);
-        assert_eq!(all.len(), 0);
-    }
-
-    #[tokio::test(start_paused = true)]
-    async fn of_many_that_are_kept_the_longest_idle_go_and_the_rest_stays() {
-        let all = Connections::new(100, 4);
-        let mut seats = Vec::new();
-        for _ in 0..10 {
-            let seat = all.seat(Traffic::default());
-            seat.connection().asked();
-            advance(Duration::from_millis(1)).await;
-            seat.answered();
-            seats.push(seat);
-        }
-        for (i, seat) in seats.iter().enumerate() {
-            assert_eq!(gone(seat).await, i < 6, "connection {i}");
-        }
-    }
-
-    #[tokio::test(start_paused = true)]
-    async fn a_request_that_crosses_with_the_word_to_go_is_served() {
-        let all = Connections::new(1, 1);
-        let seat = all.seat(Traffic::default());
-        seat.answered();
-        advance(KEPT).await;
-        all.evict();
-        seat.connection().asked();
-        assert!(!gone(&seat).await);
-        seat.answered();
-        assert!(!gone(&seat).await);
-    }
-
-    #[tokio::test(start_paused = true)]
-    async fn a_long_answer_may_last_as_long_as_its_client_reads() {
-        let (all, traffic) = (Connections::new(1, 1), Traffic::default());
-        let seat = all.seat(traffic.clone());
-        seat.connection().asked();
-        let answer = seat.answering();
-        let outstays = |within| timeout(within, seat.connection().outstays());
-        for _ in 0..3 {
-            traffic.count_written(1);
-            assert!(outstays(STALLED - Duration::from_millis(1)).await.is_err(), "it still reads");
-            all.evict();
-            assert!(!gone(&seat).await);
-        }
-        assert!(outstays(Duration::from_millis(2)).await.is_ok(), "it has gone");
-        assert!(all.any_answering());
-        drop(answer);
-        assert!(!all.any_answering());
-        assert!(outstays(IDLE - Duration::from_millis(1)).await.is_err(), "kept from its end on");
-        assert!(outstays(Duration::from_millis(2)).await.is_ok());
-    }
-}
+mod tests;
--- /dev/null
+++ b/crates/gateway/src/connections/tests.rs
@@ -0,0 +1,86 @@
+//! Which connections give way, and which are overdue.
+
+use tokio::time::{advance, timeout};
+
+use super::*;
+
+async fn is_evicted(slot: &ConnectionSlot) -> bool {
+    timeout(Duration::ZERO, slot.connection().evicted()).await.is_ok()
+}
+
+#[tokio::test(start_paused = true)]
+async fn longest_idle_connection_is_evicted_and_none_with_an_open_request() {
+    let all = Connections::new(3, 3);
+    let slots: Vec<ConnectionSlot> = (0..3).map(|_| all.open(Traffic::default())).collect();
+    assert!(all.is_full());
+    slots[0].connection().start_request();
+    all.evict();
+    assert!(
+        !is_evicted(&slots[1]).await && !is_evicted(&slots[2]).await,
+        "they have had no time to ask"
+    );
+    advance(MIN_SILENCE_BEFORE_EVICTION).await;
+    slots[1].finish_request();
+    all.evict();
+    assert!(
+        is_evicted(&slots[2]).await && !is_evicted(&slots[1]).await && !is_evicted(&slots[0]).await
+    );
+    drop(slots);
+    assert_eq!(all.len(), 0);
+}
+
+#[tokio::test(start_paused = true)]
+async fn longest_idle_connections_close_while_many_are_in_use() {
+    let all = Connections::new(100, 4);
+    let mut slots = Vec::new();
+    for _ in 0..10 {
+        let slot = all.open(Traffic::default());
+        slot.connection().start_request();
+        advance(Duration::from_millis(1)).await;
+        slot.finish_request();
+        slots.push(slot);
+    }
+    for (i, slot) in slots.iter().enumerate() {
+        assert_eq!(is_evicted(slot).await, i < 6, "connection {i}");
+    }
+}
+
+#[tokio::test(start_paused = true)]
+async fn request_that_crosses_with_an_eviction_is_served() {
+    let all = Connections::new(1, 1);
+    let slot = all.open(Traffic::default());
+    slot.finish_request();
+    advance(MIN_IDLE_BEFORE_EVICTION).await;
+    all.evict();
+    slot.connection().start_request();
+    assert!(!is_evicted(&slot).await);
+    slot.finish_request();
+    assert!(!is_evicted(&slot).await);
+}
+
+#[tokio::test(start_paused = true)]
+async fn streamed_response_lasts_as_long_as_its_client_reads() {
+    let (all, traffic) = (Connections::new(1, 1), Traffic::default());
+    let slot = all.open(traffic.clone());
+    slot.connection().start_request();
+    let response = slot.start_streaming();
+    let overdue = |within| timeout(within, slot.connection().overdue());
+    for _ in 0..3 {
+        traffic.count_written(1);
+        assert!(
+            overdue(CLIENT_STALL_TIMEOUT - Duration::from_millis(1)).await.is_err(),
+            "it still reads"
+        );
+        all.evict();
+        assert!(!is_evicted(&slot).await);
+    }
+    assert!(overdue(Duration::from_millis(2)).await.is_ok(), "it has gone");
+    assert!(all.any_streaming());
+    drop(response);
+    assert!(!all.any_streaming());
+    assert!(
+        overdue(IDLE_TIMEOUT - Duration::from_millis(1)).await.is_err(),
+        "kept from its end on"
+    );
+    assert!(overdue(Duration::from_millis(2)).await.is_ok());
+}
--- a/crates/gateway/src/stall_detector.rs
+++ b/crates/gateway/src/stall_detector.rs
@@ -1,73 +1,57 @@
-//! Whether this process did not run for a while, and how long what is read right after that has waited. Failure: frozen
-//! for seconds and thawed, a balancer gave requests their whole deadline from when it read them, and answered clients
-//! that had gone.
+//! Notices that this process did not run for a while, and tells how long what is read right after that had waited. A process
+//! that was stopped for seconds would otherwise give requests their whole deadline from when it reads them.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// Who reads nothing for so long may have been idle, or may not have run: the two look alike from here, and what is
-/// read next is asked how long it has been there. A process may be held up for 150 ms at any time: what came meanwhile has
-/// so much less time left, and its upstream must not be told otherwise.
-const DOZE: Duration = Duration::from_millis(120);
-/// So is what is read for so long after that, at most: not all of it is read at once.
-const BEHIND: Duration = Duration::from_secs(1);
+/// A process that has read nothing for so long may have been idle, or may not have run: the two look alike from here, so
+/// what it reads next is asked how long it has been there. A process may be held up for 150 ms at any time, and what came
+/// meanwhile has that much less time left.
+const MIN_STALL: Duration = Duration::from_millis(120);
+/// For how long after a stall reads are still checked, at most: not everything that waited is read at once.
+const MAX_CATCH_UP: Duration = Duration::from_secs(1);
 
-/// When clients' bytes were read last, by any connection.
+/// When clients' bytes were last read, on any connection.
 pub struct StallDetector {
-    last: Cell<Instant>,
-    /// The last stretch in which nothing was read.
-    doze: Cell<Option<(Instant, Instant)>>,
+    last_read: Cell<Instant>,
+    /// The last span in which nothing was read.
+    last_stall: Cell<Option<Stall>>,
+}
+
+/// A span in which nothing was read.
+#[derive(Clone, Copy)]
+struct Stall {
+    from: Instant,
+    to: Instant,
 }
 
 impl Default for StallDetector {
     fn default() -> Self {
-        Self { last: Cell::new(Instant::now()), doze: Cell::new(None) }
+        Self { last_read: Cell::new(Instant::now()), last_stall: Cell::new(None) }
     }
 }
 
 impl StallDetector {
-    /// Something was read just now: how long it had waited for that. `told` says how long its last bytes have been
-    /// there; nobody can have waited since before the last read.
-    pub fn read(&self, told: impl FnOnce() -> Option<Duration>) -> Duration {
+    /// Notes that something is being read, and returns how long it had waited.
+    ///
+    /// `since_received` tells how long the last bytes of it have been there, if that is known. It is only asked after a
+    /// stall. Nothing can have waited for longer than since the read before the stall.
+    pub fn on_read(&self, since_received: impl FnOnce() -> Option<Duration>) -> Duration {
         let now = Instant::now();
-        let last = self.last.replace(now);
-        if now - last >= DOZE {
-            self.doze.set(Some((last, now)));
+        let last_read = self.last_read.replace(now);
+        if now - last_read >= MIN_STALL {
+            self.last_stall.set(Some(Stall { from: last_read, to: now }));
         }
-        match self.doze.get() {
-            Some((from, to)) if now - to <= BEHIND.min(to - from) => {
-                told().unwrap_or_default().min(now - from)
-            }
-            _ => Duration::ZERO,
+        let Some(Stall { from, to }) = self.last_stall.get() else { return Duration::ZERO };
+        let is_catching_up = now - to <= MAX_CATCH_UP.min(to - from);
+        if !is_catching_up {
+            return Duration::ZERO;
         }
+        since_received().unwrap_or_default().min(now - from)
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use tokio::time::advance;
-
-    const MS: Duration = Duration::from_millis(1);
-
-    #[tokio::test(start_paused = true)]
-    async fn only_who_read_nothing_for_long_asks_and_for_a_while_only() {
-        let sleepers = StallDetector::default();
-        let told = |waited: Duration| move || Some(waited);
-        let never = || -> Option<Duration> { panic!("a busy one pays nothing for this") };
-        advance(100 * MS).await;
-        assert_eq!(sleepers.read(never), Duration::ZERO);
-        advance(3000 * MS).await;
-        assert_eq!(sleepers.read(told(1200 * MS)), 1200 * MS);
-        advance(10 * MS).await;
-        assert_eq!(sleepers.read(told(9000 * MS)), 3010 * MS, "it would have been read before");
-        assert_eq!(sleepers.read(|| None), Duration::ZERO, "where nobody can tell");
-        for _ in 0..10 {
-            advance(100 * MS).await;
-            sleepers.read(told(MS));
-        }
-        assert_eq!(sleepers.read(never), Duration::ZERO);
-    }
-}
+mod tests;
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -1,5 +1,5 @@
-//! A TCP stream of which more is known than hyper tells: what was read and written, and whether the kernel
-//! holds something that nobody has read. It outlives hyper's use of it.
+//! A TCP stream that tells more than the HTTP library does: what was read and written, the head of a request as it came, and
+//! what a client sends while its request is open. Also the place where an attempt's guard is asked before its first byte.
 
 use std::cell::{Cell, RefCell};
 use std::io::{ErrorKind, IoSlice, Result};
@@ -18,182 +18,202 @@
 use crate::shared_stream::SharedStream;
 use crate::stall_detector::StallDetector;
 
-/// So many bytes are read ahead at once.
-const CHUNK: usize = 4 << 10;
-/// Of what comes behind a request so much is dropped, to see the client's end behind it. Failure: without a bound a
-/// client could keep this process reading for as long as its request is open.
-const DROPPED: usize = 4 << 20;
+/// How many bytes are read ahead at once.
+const READ_AHEAD_CHUNK: usize = 4 << 10;
+/// How many bytes behind a request are dropped at most to see the client's close behind them. Without a bound a client could
+/// keep this process reading for as long as its request is open.
+const MAX_DROPPED_BYTES: usize = 4 << 20;
 
-/// Bytes that passed on a stream.
+/// The bytes that have passed on a stream.
 #[derive(Clone, Default)]
-pub struct Traffic(Rc<Passed>);
+pub struct Traffic(Rc<TrafficState>);
 
 #[derive(Default)]
-struct Passed {
-    read: Cell<u64>,
-    written: Cell<u64>,
-    /// The last write had to wait.
-    blocked: Cell<bool>,
-    /// The next write fails if something unread has come before it, or it may not go any more.
-    first_look: RefCell<Option<Rc<SendGuard>>>,
-    /// Looked at that, and nothing is written yet.
-    looked: RefCell<Option<Rc<SendGuard>>>,
-    /// What was written by the time at which something came behind that look.
-    at_first_read: Cell<Option<u64>>,
+struct TrafficState {
+    bytes_read: Cell<u64>,
+    bytes_written: Cell<u64>,
+    /// Whether the last write had to wait.
+    is_write_blocked: Cell<bool>,
+    /// The guard to be asked before the next write.
+    guard_to_ask: RefCell<Option<Rc<SendGuard>>>,
+    /// The guard that has agreed, until the write behind it is verified.
+    guard_to_verify: RefCell<Option<Rc<SendGuard>>>,
+    /// What was written when the first byte was received after the guard was set.
+    written_at_first_read: Cell<Option<u64>>,
 }
 
 impl Traffic {
-    pub fn read(&self) -> u64 {
-        self.0.read.get()
+    /// Bytes read from the stream.
+    pub fn bytes_read(&self) -> u64 {
+        self.0.bytes_read.get()
     }
 
-    /// Bytes handed to the kernel. What was not handed over cannot have run.
-    pub fn written(&self) -> u64 {
-        self.0.written.get()
+    /// Bytes handed to the kernel. What was not handed over can't have run.
+    pub fn bytes_written(&self) -> u64 {
+        self.0.bytes_written.get()
     }
 
     /// Whether something is left to be written that the kernel could not take yet.
-    pub fn blocked(&self) -> bool {
-        self.0.blocked.get()
+    pub fn is_write_blocked(&self) -> bool {
+        self.0.is_write_blocked.get()
     }
 
-    /// The next write is to fail if something waits to be read by then, or the message does not go any more. Failure:
-    /// asked when the message was handed over, other tasks ran before its first byte was written.
-    pub fn look_before_writing(&self, guard: Rc<SendGuard>) {
-        self.0.first_look.replace(Some(guard));
-        self.0.looked.take();
-        self.0.at_first_read.set(None);
+    /// Has the next write fail if `guard` denies it, or if something unread has come by then.
+    ///
+    /// The guard is asked right before the first byte: other tasks may run between handing a message over and writing it.
+    pub fn guard_next_write(&self, guard: Rc<SendGuard>) {
+        self.0.guard_to_ask.replace(Some(guard));
+        self.0.guard_to_verify.take();
+        self.0.written_at_first_read.set(None);
     }
 
-    /// What was written by the time at which something came behind the last such look.
+    /// What was written when the first byte was received after the guard was last set.
     pub fn written_at_first_read(&self) -> Option<u64> {
-        self.0.at_first_read.get()
+        self.0.written_at_first_read.get()
     }
 
+    /// Counts bytes as handed to the kernel.
     pub fn count_written(&self, bytes: usize) {
-        self.0.written.set(self.0.written.get() + bytes as u64);
+        self.0.bytes_written.set(self.0.bytes_written.get() + bytes as u64);
+    }
+
+    fn count_read(&self, bytes: usize) {
+        self.0.bytes_read.set(self.0.bytes_read.get() + bytes as u64);
+        if bytes > 0 && self.0.written_at_first_read.get().is_none() {
+            self.0.written_at_first_read.set(Some(self.bytes_written()));
+        }
     }
 }
 
-/// The head of the message that comes on a stream, as it came. Failure: hyper drops a `Content-Length` beside a
-/// `Transfer-Encoding` without a word, and whoever hides a second request in a body sends both.
+/// The head of the request that comes on a stream, byte for byte.
+///
+/// The HTTP library drops a `Content-Length` beside a `Transfer-Encoding` silently, and whoever smuggles a second request in
+/// a body sends both.
 #[derive(Clone)]
-pub struct RawHead(Rc<RefCell<Kept>>, Rc<StallDetector>);
+pub struct RawHead {
+    captured: Rc<RefCell<CapturedHead>>,
+    stall_detector: Rc<StallDetector>,
+}
 
 #[derive(Default)]
-struct Kept {
+struct CapturedHead {
     bytes: Vec<u8>,
-    over: bool,
+    is_stopped: bool,
     /// How long what was read last had waited to be read.
-    waited: Duration,
+    read_delay: Duration,
 }
 
 impl RawHead {
-    /// For one connection of a process whose `sleepers` are known.
-    pub fn new(sleepers: &Rc<StallDetector>) -> Self {
-        Self(Rc::default(), sleepers.clone())
+    /// An empty head, for one connection.
+    pub fn new(stall_detector: &Rc<StallDetector>) -> Self {
+        Self { captured: Rc::default(), stall_detector: stall_detector.clone() }
     }
 
     /// How long what was read last had waited to be read, because this process did not run.
-    pub fn waited(&self) -> Duration {
-        self.0.borrow().waited
+    pub fn read_delay(&self) -> Duration {
+        self.captured.borrow().read_delay
     }
 
-    /// What comes from here on belongs to the next message.
-    pub fn next(&self) {
-        let mut kept = self.0.borrow_mut();
-        kept.bytes.clear();
-        kept.over = false;
+    /// Begins with the next head.
+    pub fn start_next(&self) {
+        let mut captured = self.captured.borrow_mut();
+        captured.bytes.clear();
+        captured.is_stopped = false;
     }
 
-    /// Nothing more is kept until the next message.
+    /// Captures nothing more until the next head.
     pub fn stop(&self) {
-        self.0.borrow_mut().over = true;
+        self.captured.borrow_mut().is_stopped = true;
     }
 
-    fn keep(&self, bytes: &[u8]) {
-        let mut kept = self.0.borrow_mut();
-        let room = HEAD_LIMIT.saturating_sub(kept.bytes.len());
-        if !kept.over {
-            kept.bytes.extend_from_slice(&bytes[..bytes.len().min(room)]);
+    fn append(&self, bytes: &[u8]) {
+        let mut captured = self.captured.borrow_mut();
+        if !captured.is_stopped {
+            let capacity = HEAD_LIMIT.saturating_sub(captured.bytes.len());
+            captured.bytes.extend_from_slice(&bytes[..bytes.len().min(capacity)]);
         }
     }
 
-    /// Whether what was kept is the head of this request, and says its length in one way only.
-    pub fn is_plain(&self, method: &str, target: &str, id: &[u8]) -> bool {
-        let kept = self.0.borrow();
+    fn measure_read_delay(&self, stream: &SharedStream) {
+        let since_received = || stream.borrow().since_last_bytes();
+        let read_delay = self.stall_detector.on_read(since_received);
+        self.captured.borrow_mut().read_delay = read_delay;
+    }
+
+    /// Whether what was captured is the head of this request, and gives its length in one way only.
+    pub fn has_single_length(&self, method: &str, target: &str, id: &[u8]) -> bool {
+        let captured = self.captured.borrow();
         let mut headers = [httparse::EMPTY_HEADER; HEAD_LINES];
         let mut head = httparse::Request::new(&mut headers);
-        if !head.parse(&kept.bytes).is_ok_and(|s| s.is_complete()) {
+        if !head.parse(&captured.bytes).is_ok_and(|status| status.is_complete()) {
             return false;
         }
-        let is =
-            |name: &'static str| move |h: &&httparse::Header| h.name.eq_ignore_ascii_case(name);
-        let this = head.method == Some(method)
-            && head.path == Some(target)
-            && head.headers.iter().find(is("x-request-id")).is_some_and(|h| h.value == id);
-        let framed = ["content-length", "transfer-encoding"];
-        let lines = framed.map(|name| head.headers.iter().filter(is(name)).count());
-        this && lines.iter().sum::<usize>() <= 1
+        let values_of = |name: &'static str| {
+            head.headers.iter().filter(move |header| header.name.eq_ignore_ascii_case(name))
+        };
+        let has_id = values_of("x-request-id").next().is_some_and(|header| header.value == id);
+        let is_this_request = head.method == Some(method) && head.path == Some(target) && has_id;
+        let lengths = values_of("content-length").count() + values_of("transfer-encoding").count();
+        is_this_request && lengths <= 1
     }
 }
 
-/// What a client sends while its request is open and hyper reads nothing. Failure: a byte behind a request hid its
-/// client's close, since hyper looks for that only where it holds nothing unread; the request was sent on later.
+/// Reads what a client sends while its request is open and the HTTP library reads nothing.
+///
+/// The library looks for the client's close only where it holds nothing unread, so one byte behind a request would hide it,
+/// and the request would be forwarded after its client has gone.
 #[derive(Clone, Default)]
-pub struct ReadAhead(Rc<Ahead>);
+pub struct ReadAhead(Rc<ReadAheadState>);
 
 #[derive(Default)]
-struct Ahead {
-    /// Up to a head's size of it is kept for hyper.
+struct ReadAheadState {
+    /// What the library is given later, up to the size of a head.
     bytes: RefCell<BytesMut>,
-    /// No byte of the request is to come any more.
-    whole: Cell<bool>,
-    /// So many bytes more were dropped.
-    dropped: Cell<usize>,
+    is_request_complete: Cell<bool>,
+    dropped_bytes: Cell<usize>,
 }
 
 impl ReadAhead {
-    /// A request begins; what comes belongs to it.
-    pub fn begin(&self) {
-        self.0.whole.set(false);
+    /// A request begins. What comes belongs to it.
+    pub fn start_request(&self) {
+        self.0.is_request_complete.set(false);
     }
 
-    /// The request is here. A client asks one thing at a time: of what comes behind, a head's size is kept for the next
-    /// request, and what is more is dropped.
-    pub fn whole(&self) {
-        self.0.whole.set(true);
+    /// The request was received. Of what comes behind it the size of a head is kept for the next request, and the rest is
+    /// dropped: a client sends one request at a time.
+    pub fn finish_request(&self) {
+        self.0.is_request_complete.set(true);
     }
 
-    /// Whether no byte of the request is to come any more.
-    pub fn is_whole(&self) -> bool {
-        self.0.whole.get()
+    /// Whether the request was received completely.
+    pub fn is_request_complete(&self) -> bool {
+        self.0.is_request_complete.get()
     }
 
-    /// Whether something was dropped: nothing that follows on the connection makes sense.
-    pub fn overflowed(&self) -> bool {
-        self.0.dropped.get() > 0
+    /// Whether something was dropped, so that nothing that follows on the connection makes sense.
+    pub fn has_overflowed(&self) -> bool {
+        self.0.dropped_bytes.get() > 0
     }
 
-    /// Ends once the client has closed or reset its connection.
-    pub fn poll_end(&self, stream: &SharedStream, cx: &mut Context<'_>) -> Poll<()> {
+    /// Ready once the client has closed or reset its connection.
+    pub fn poll_client_end(&self, stream: &SharedStream, cx: &mut Context<'_>) -> Poll<()> {
         let mut kept = self.0.bytes.borrow_mut();
         loop {
-            let room = HEAD_LIMIT - kept.len();
-            // What lies behind a body is left to flow control, and so is what nobody would wait for.
-            if room == 0 && (!self.0.whole.get() || self.0.dropped.get() >= DROPPED) {
+            let capacity = HEAD_LIMIT - kept.len();
+            if capacity == 0 && !self.may_drop() {
                 return Poll::Pending;
             }
-            let mut chunk = [MaybeUninit::uninit(); CHUNK];
-            let most = if room == 0 { CHUNK } else { room.min(CHUNK) };
-            let mut buf = ReadBuf::uninit(&mut chunk[..most]);
+            let mut chunk = [MaybeUninit::uninit(); READ_AHEAD_CHUNK];
+            let chunk_length =
+                if capacity == 0 { READ_AHEAD_CHUNK } else { capacity.min(READ_AHEAD_CHUNK) };
+            let mut buf = ReadBuf::uninit(&mut chunk[..chunk_length]);
             match ready!(Pin::new(&mut *stream.borrow_mut()).poll_read(cx, &mut buf)) {
                 Ok(()) if !buf.filled().is_empty() => {}
                 Ok(()) | Err(_) => return Poll::Ready(()),
             }
-            if room == 0 {
-                self.0.dropped.set(self.0.dropped.get() + buf.filled().len());
-                // A flood takes turns with everybody else.
+            if capacity == 0 {
+                self.0.dropped_bytes.set(self.0.dropped_bytes.get() + buf.filled().len());
+                // Others are served between two chunks of a flood.
                 cx.waker().wake_by_ref();
                 return Poll::Pending;
             }
@@ -201,8 +221,13 @@
         }
     }
 
-    /// Hands over what was read ahead; whether there was anything.
-    fn take(&self, buf: &mut ReadBuf<'_>) -> bool {
+    /// Whether more may be dropped. What is behind a body that is still received is left to flow control.
+    fn may_drop(&self) -> bool {
+        self.is_request_complete() && self.0.dropped_bytes.get() < MAX_DROPPED_BYTES
+    }
+
+    /// Moves what was read ahead into `buf`. Returns whether there was anything.
+    fn take_into(&self, buf: &mut ReadBuf<'_>) -> bool {
         let mut kept = self.0.bytes.borrow_mut();
         let bytes = kept.len().min(buf.remaining());
         buf.put_slice(&kept.split_to(bytes));
@@ -210,49 +235,55 @@
     }
 }
 
-/// The stream for hyper.
+/// The stream as the HTTP library uses it.
 pub struct ObservedStream {
     inner: SharedStream,
     traffic: Traffic,
-    head: Option<RawHead>,
-    ahead: Option<ReadAhead>,
+    raw_head: Option<RawHead>,
+    read_ahead: Option<ReadAhead>,
 }
 
 impl ObservedStream {
+    /// The stream for the HTTP library, the same for its owner, and the bytes that pass on it.
     pub fn new(stream: Box<dyn Stream>) -> (Self, SharedStream, Traffic) {
-        let (inner, traffic) = (Rc::new(RefCell::new(stream)), Traffic::default());
-        (
-            Self { inner: inner.clone(), traffic: traffic.clone(), head: None, ahead: None },
-            inner,
-            traffic,
-        )
+        let inner = Rc::new(RefCell::new(stream));
+        let traffic = Traffic::default();
+        let observed = Self {
+            inner: inner.clone(),
+            traffic: traffic.clone(),
+            raw_head: None,
+            read_ahead: None,
+        };
+        (observed, inner, traffic)
     }
 
-    /// Keeps each head as it comes, too, and begins with what was read ahead.
-    pub fn keeping(self, head: &RawHead, ahead: &ReadAhead) -> Self {
-        Self { head: Some(head.clone()), ahead: Some(ahead.clone()), ..self }
+    /// Captures the heads of requests in `raw_head`, and reads what is in `read_ahead` first.
+    pub fn with_capture(self, raw_head: &RawHead, read_ahead: &ReadAhead) -> Self {
+        let (raw_head, read_ahead) = (Some(raw_head.clone()), Some(read_ahead.clone()));
+        Self { raw_head, read_ahead, ..self }
     }
 
-    /// Guards against bytes that came after the last look at the connection: what is there before a request
-    /// is written cannot be its answer, but would be taken for it.
-    fn look(&self) -> Result<()> {
-        let Some(guard) = self.traffic.0.first_look.take() else { return Ok(()) };
+    /// Asks the guard of the next write, if there is one. Bytes that are there before a request is written can't be its
+    /// response, but would be taken for it.
+    fn ask_guard(&self) -> Result<()> {
+        let Some(guard) = self.traffic.0.guard_to_ask.take() else { return Ok(()) };
         if guard.check().is_ok() && self.inner.borrow().is_quiet() {
-            self.traffic.0.looked.replace(Some(guard));
+            self.traffic.0.guard_to_verify.replace(Some(guard));
             return Ok(());
         }
         Err(ErrorKind::ConnectionAborted.into())
     }
 
-    fn wrote(&self, wrote: Poll<Result<usize>>) -> Poll<Result<usize>> {
-        self.traffic.0.blocked.set(wrote.is_pending());
-        if let Poll::Ready(Ok(n)) = wrote {
-            self.traffic.count_written(n);
-            if let Some(guard) = self.traffic.0.looked.take() {
+    /// Takes in the result of a write.
+    fn on_written(&self, written: Poll<Result<usize>>) -> Poll<Result<usize>> {
+        self.traffic.0.is_write_blocked.set(written.is_pending());
+        if let Poll::Ready(Ok(bytes)) = written {
+            self.traffic.count_written(bytes);
+            if let Some(guard) = self.traffic.0.guard_to_verify.take() {
                 guard.verify_sent();
             }
         }
-        wrote
+        written
     }
 }
 
@@ -262,19 +293,15 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<Result<()>> {
-        let before = buf.filled().len();
-        if !self.ahead.as_ref().is_some_and(|ahead| ahead.take(buf)) {
+        let length_before = buf.filled().len();
+        if !self.read_ahead.as_ref().is_some_and(|read_ahead| read_ahead.take_into(buf)) {
             ready!(Pin::new(&mut *self.inner.borrow_mut()).poll_read(cx, buf))?;
         }
-        let passed = &self.traffic.0.read;
-        passed.set(passed.get() + (buf.filled().len() - before) as u64);
-        if buf.filled().len() > before && self.traffic.0.at_first_read.get().is_none() {
-            self.traffic.0.at_first_read.set(Some(self.traffic.written()));
-        }
-        if let Some(head) = self.head.as_ref().filter(|_| buf.filled().len() > before) {
-            head.keep(&buf.filled()[before..]);
-            let waited = head.1.read(|| self.inner.borrow().since_last_bytes());
-            head.0.borrow_mut().waited = waited;
+        let read = &buf.filled()[length_before..];
+        self.traffic.count_read(read.len());
+        if let Some(raw_head) = self.raw_head.as_ref().filter(|_| !read.is_empty()) {
+            raw_head.append(read);
+            raw_head.measure_read_delay(&self.inner);
         }
         Poll::Ready(Ok(()))
     }
@@ -282,9 +309,9 @@
 
 impl AsyncWrite for ObservedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<Result<usize>> {
-        self.look()?;
-        let wrote = Pin::new(&mut *self.inner.borrow_mut()).poll_write(cx, buf);
-        self.wrote(wrote)
+        self.ask_guard()?;
+        let written = Pin::new(&mut *self.inner.borrow_mut()).poll_write(cx, buf);
+        self.on_written(written)
     }
 
     fn poll_write_vectored(
@@ -292,9 +319,9 @@
         cx: &mut Context<'_>,
         bufs: &[IoSlice<'_>],
     ) -> Poll<Result<usize>> {
-        self.look()?;
-        let wrote = Pin::new(&mut *self.inner.borrow_mut()).poll_write_vectored(cx, bufs);
-        self.wrote(wrote)
+        self.ask_guard()?;
+        let written = Pin::new(&mut *self.inner.borrow_mut()).poll_write_vectored(cx, bufs);
+        self.on_written(written)
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -311,31 +338,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    #[test]
-    fn a_head_is_plain_if_it_is_this_one_and_says_one_length() {
-        let raw = RawHead::new(&Rc::default());
-        let plain = |text: &str| {
-            raw.next();
-            // In pieces, as it may come.
-            text.as_bytes().chunks(7).for_each(|piece| raw.keep(piece));
-            raw.stop();
-            raw.keep(b"Content-Length: 1\r\n");
-            raw.is_plain("POST", "/api?x", b"r1")
-        };
-        let head = "POST /api?x HTTP/1.1\r\nHost: a\r\nX-Request-Id: r1\r\n";
-        let (te, cl) = ("Transfer-Encoding: chunked\r\n", "content-LENGTH: 3\r\n");
-        assert!(plain(&format!("{head}{te}\r\n0\r\n\r\n")));
-        // In a body it is no header.
-        assert!(plain(&format!("{head}{te}\r\n13\r\n\r\nContent-Length: 3\r\n\r\n0\r\n\r\n")));
-        assert!(!plain(&format!("{head}{te}{cl}\r\n0\r\n\r\n")));
-        assert!(!plain(&format!("{head}{cl}{te}\r\n0\r\n\r\n")));
-        assert!(!plain(&format!("{head}{te}")), "not whole");
-        let others = [("/api?x", "/api"), ("r1", "r2"), ("POST", "PUT"), ("POST", "\r\n0")];
-        for (this, other) in others {
-            assert!(!plain(&format!("{head}{te}\r\n").replace(this, other)), "{other}");
-        }
-    }
-}
+mod tests;
--- a/crates/gateway/src/tasks.rs
+++ b/crates/gateway/src/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks that live no longer than whoever started them, and a word to all of them.
+//! Tasks that live no longer than whoever started them, and a signal to many of them.
 
 use std::cell::Cell;
 use std::pin::pin;
@@ -6,7 +6,7 @@
 use tokio::sync::Notify;
 use tokio::task::JoinHandle;
 
-/// A task that ends with its owner, and closes what it holds.
+/// A task that is aborted when its owner drops it.
 pub struct AbortOnDrop(pub JoinHandle<()>);
 
 impl Drop for AbortOnDrop {
@@ -15,26 +15,28 @@
     }
 }
 
-/// A word that is given once and heard by all, in the order in which they began to wait. Failure:
-/// `tokio::sync::watch` wakes at random, and no run in virtual time was like the one before it.
+/// A signal that is sent once and wakes all who wait for it, in the order in which they began to wait.
+///
+/// `tokio::sync::watch` wakes in random order, which would make runs in virtual time differ from one another.
 #[derive(Default)]
 pub struct CloseSignal {
-    given: Cell<bool>,
-    heard: Notify,
+    is_sent: Cell<bool>,
+    waiting: Notify,
 }
 
 impl CloseSignal {
-    pub fn give(&self) {
-        self.given.set(true);
-        self.heard.notify_waiters();
+    /// Sends the signal.
+    pub fn send(&self) {
+        self.is_sent.set(true);
+        self.waiting.notify_waiters();
     }
 
-    /// Ends once it is given.
-    pub async fn given(&self) {
-        let mut heard = pin!(self.heard.notified());
-        heard.as_mut().enable();
-        if !self.given.get() {
-            heard.await;
+    /// Ends once the signal is sent.
+    pub async fn sent(&self) {
+        let mut waiting = pin!(self.waiting.notified());
+        waiting.as_mut().enable();
+        if !self.is_sent.get() {
+            waiting.await;
         }
     }
 }
--- a/crates/gateway/src/upstreams/connection.rs
+++ b/crates/gateway/src/upstreams/connection.rs
@@ -36,7 +36,7 @@
 
     /// Whether bytes were read since the last response.
     pub(super) fn has_read_unsolicited(&self) -> bool {
-        self.traffic.read() > self.read_at_last_response
+        self.traffic.bytes_read() > self.read_at_last_response
     }
 
     /// Whether bytes came while it was idle, read or not. The end of the stream does not count.
@@ -51,6 +51,6 @@
     /// Notes that a response has ended here.
     pub(super) fn mark_idle(&mut self) {
         self.idle_since = Instant::now();
-        self.read_at_last_response = self.traffic.read();
+        self.read_at_last_response = self.traffic.bytes_read();
     }
 }
--- a/crates/gateway/src/upstreams/exchange.rs
+++ b/crates/gateway/src/upstreams/exchange.rs
@@ -125,7 +125,7 @@
         guard.record_announced_deadline(deadline);
     }
     progress.start(&connection.traffic);
-    connection.traffic.look_before_writing(guard.clone());
+    connection.traffic.guard_next_write(guard.clone());
     let Ok(response) = connection.sender.send_request(request).await else {
         return Err(failure(connection, forwarded, guard, progress));
     };
--- a/crates/gateway/src/upstreams/send_progress.rs
+++ b/crates/gateway/src/upstreams/send_progress.rs
@@ -30,7 +30,7 @@
 
     /// Begins to count the bytes written on this connection.
     pub(super) fn start(&self, traffic: &Traffic) {
-        self.written.replace(Some((traffic.clone(), traffic.written())));
+        self.written.replace(Some((traffic.clone(), traffic.bytes_written())));
     }
 
     /// Notes the deadline that the request announces.
@@ -79,7 +79,7 @@
 
     fn bytes_written(&self) -> u64 {
         let written = self.written.borrow();
-        written.as_ref().map_or(0, |(traffic, before)| traffic.written() - before)
+        written.as_ref().map_or(0, |(traffic, before)| traffic.bytes_written() - before)
     }
 
     /// Bytes of the request that were written when the first byte was received.
