--- a/crates/snapshot/src/disk.rs
+++ b/crates/snapshot/src/disk.rs
@@ -1,54 +1,55 @@
-//! Files of one directory, as the store uses them: a seam, so that a disk that is full, slow or gone can be played.
+//! The steps that the store takes on the files of one directory, as an interface, so that tests can simulate a disk that
+//! is full, slow or gone.
 
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
 use std::path::PathBuf;
 
-/// A directory. Names are plain file names; every call is one step after which a process may die.
+/// Files of one directory. Names are plain file names. A process may die after each call.
 pub trait Disk: Send {
-    /// What a file holds, up to so many bytes.
+    /// Reads a file, at most its first `most` bytes.
     ///
     /// # Errors
-    /// There is none, or it can't be read.
+    /// There is no such file, or it can't be read.
     fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>>;
 
-    /// Has a file hold this; what it held is gone.
+    /// Replaces the content of a file, which is made where it is missing.
     ///
     /// # Errors
-    /// It can't be written; it may hold a part by then.
+    /// The file can't be written, and may have a part of the content.
     fn write(&self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// What a file holds survives the machine's end from here on.
+    /// Syncs the content of a file: it then survives a crash of the machine.
     ///
     /// # Errors
-    /// It can't be had so.
+    /// The content may be lost with the machine.
     fn sync(&self, name: &str) -> io::Result<()>;
 
-    /// Gives a file another name, in one step; one that had it is gone.
+    /// Renames a file in one atomic step, and replaces a file that has the new name.
     ///
     /// # Errors
-    /// There is none of that name, or it can't be done.
+    /// There is no such file, or it can't be renamed.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
-    /// What files are called survives the machine's end from here on.
+    /// Syncs the directory: the names of its files then survive a crash of the machine.
     ///
     /// # Errors
-    /// It can't be had so.
+    /// Renames may be lost with the machine.
     fn sync_names(&self) -> io::Result<()>;
 
-    /// How it is called in messages.
+    /// The path of a file, for messages.
     fn place(&self, name: &str) -> String;
 }
 
-/// A directory of the machine's.
+/// A directory of the file system.
 #[derive(Clone, Debug)]
 pub struct Directory(PathBuf);
 
 impl Directory {
-    /// Uses this directory, and makes it where there is none.
+    /// Opens the directory, and makes it where it is missing.
     ///
     /// # Errors
-    /// It can't be made.
+    /// The directory can't be made.
     pub fn open(path: impl Into<PathBuf>) -> io::Result<Self> {
         let path = path.into();
         fs::create_dir_all(&path)?;
@@ -64,7 +65,7 @@
     }
 
     fn write(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        // A directory that somebody removed meanwhile is made again.
+        // The directory may have been removed since it was opened.
         fs::create_dir_all(&self.0)?;
         File::create(self.0.join(name))?.write_all(bytes)
     }
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,25 +1,25 @@
-//! What outlives a process: one snapshot and the one before it, whole, dated, named and bounded. What a snapshot holds is
-//! its owner's; who may believe it at which age, too.
+//! State of one process for the next: the newest snapshot and the one before it, complete, dated, named and bounded. What a
+//! snapshot contains, and who may trust it at which age, is left to its owner.
 //!
-//! It holds, whatever happens to a directory (each with the test under `tests/` that holds it to that):
+//! Guarantees, whatever happens to a directory, each with the test under `tests/` that holds the package to it:
 //!
-//! 1. What [`Store::load`] gives is byte for byte what some [`Store::save`] of this name was given: cut at any place, with
-//!    any bit flipped, another's or a later build's it is named and set aside, never half believed (`damage`).
-//! 2. Killed at any step of a start or a save, or refused or lied to by its disk there, the next start finds the last save
-//!    that was said yes to, or a later one; for a file that could not be read, or was lied about, the yes before (`kills`).
-//! 3. A directory that can't be read or written is an error that says so, and nothing else: no panic, no loss of what lay
-//!    there (`damage`).
-//! 4. Whoever saves never waits ([`Saver`]): one slot, and the newest wins (`saver`).
+//! 1. What [`Store::load`] returns is byte for byte what some [`Store::save`] under this name was given. A file that is cut
+//!    or changed at any place, another owner's or a later build's is named and set aside (`damage`).
+//! 2. After a kill at any step of a start or a save, or an error or a lost write of the disk there, the next start finds the
+//!    last save that was acknowledged, or a later one; where a file can't be read or its write was lost, the acknowledged
+//!    save before it (`kills`).
+//! 3. A directory that can't be read or written is an error that says so, without a panic and without loss of what is there
+//!    (`damage`).
+//! 4. Saving never blocks ([`Saver`]): there is one slot, and the newest snapshot takes it (`saver`).
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 mod disk;
+mod format;
 mod saver;
 mod store;
 
 pub use disk::{Directory, Disk};
+pub use format::{FORMAT_VERSION, MAX_PAYLOAD_BYTES, Snapshot, SuspectState};
 pub use saver::{Saver, Status};
-pub use store::{
-    FORMAT_VERSION, Found, MAX_PAYLOAD_BYTES, SetAsideFile, Snapshot, Store, StoreError,
-    SuspectState,
-};
+pub use store::{Found, SetAsideFile, Store, StoreError};
--- a/crates/snapshot/src/saver.rs
+++ b/crates/snapshot/src/saver.rs
@@ -1,32 +1,39 @@
-//! Saves from a thread of its own, so that whoever serves never waits for a disk: one slot, and the newest wins.
+//! Saves snapshots on a thread of its own, so that the caller never waits for a disk. There is one slot, and the newest
+//! snapshot takes it.
 
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread;
 use std::time::Duration;
 
-use crate::Store;
+use crate::{Store, StoreError};
 
 /// How saving goes.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Status {
-    /// Generation that was saved last, and when, in Unix time.
+    /// Generation of the last save, and its time (Unix time).
     pub saved: Option<(u64, Duration)>,
-    /// What went wrong since then.
+    /// Why saving has failed since then.
     pub failure: Option<String>,
-    /// One is being written.
+    /// Whether a snapshot is being written.
     pub is_writing: bool,
     /// Snapshots that were never written, because a newer one came first.
     pub superseded: u64,
 }
 
-/// What is to be saved, made by whoever saves it.
-type Make = Box<dyn FnOnce() -> Vec<u8> + Send>;
+/// Makes the payload, on the thread that saves it.
+type MakePayload = Box<dyn FnOnce() -> Vec<u8> + Send>;
+
+/// A snapshot that is to be saved.
+struct Job {
+    now: Duration,
+    make_payload: MakePayload,
+}
 
 #[derive(Default)]
 struct Slot {
-    next: Option<(Duration, Make)>,
+    next: Option<Job>,
     status: Status,
-    ends: bool,
+    is_closed: bool,
 }
 
 #[derive(Default)]
@@ -36,77 +43,82 @@
 }
 
 impl Shared {
-    /// A panic elsewhere leaves a slot that is as sound as before.
+    /// Locks the slot. No panic can leave it inconsistent, so a poisoned lock is as good as any.
     fn slot(&self) -> MutexGuard<'_, Slot> {
         self.slot.lock().unwrap_or_else(PoisonError::into_inner)
     }
+
+    /// Waits for a snapshot to save; `None` once the saver is gone and the slot is empty.
+    fn next_job(&self) -> Option<Job> {
+        let mut slot = self.slot();
+        loop {
+            if let Some(job) = slot.next.take() {
+                slot.status.is_writing = true;
+                return Some(job);
+            }
+            if slot.is_closed {
+                return None;
+            }
+            slot = self.changed.wait(slot).unwrap_or_else(PoisonError::into_inner);
+        }
+    }
+
+    /// Records the result of a save; the status after it.
+    fn finish_job(&self, now: Duration, result: Result<u64, StoreError>) -> Status {
+        let mut slot = self.slot();
+        slot.status.is_writing = false;
+        match result {
+            Ok(generation) => {
+                slot.status.saved = Some((generation, now));
+                slot.status.failure = None;
+            }
+            Err(cause) => slot.status.failure = Some(cause.to_string()),
+        }
+        slot.status.clone()
+    }
 }
 
-/// A hand on the thread. Without it the thread ends once what it has begun is written.
+/// Handle on the thread that saves. Once it is dropped the thread saves what is in the slot, and ends.
 pub struct Saver(Arc<Shared>);
 
 impl Saver {
-    /// Starts the thread. `tell` hears on it of each save and each failure.
+    /// Starts the thread, which calls `on_status` after each save and each failure.
     ///
     /// # Errors
-    /// There can be no thread.
+    /// No thread can be started.
     pub fn start(
         mut store: Store,
-        mut tell: impl FnMut(&Status) + Send + 'static,
+        mut on_status: impl FnMut(&Status) + Send + 'static,
     ) -> std::io::Result<Self> {
         let shared = Arc::<Shared>::default();
         let of_thread = shared.clone();
         thread::Builder::new().name("snapshot".to_string()).spawn(move || {
-            loop {
-                let (now, make) = {
-                    let mut slot = of_thread.slot();
-                    loop {
-                        if let Some(next) = slot.next.take() {
-                            slot.status.is_writing = true;
-                            break next;
-                        }
-                        if slot.ends {
-                            return;
-                        }
-                        slot = of_thread.changed.wait(slot).unwrap_or_else(PoisonError::into_inner);
-                    }
-                };
-                let done = store.save(now, &make());
-                let status = {
-                    let mut slot = of_thread.slot();
-                    slot.status.is_writing = false;
-                    match done {
-                        Ok(generation) => {
-                            (slot.status.saved, slot.status.failure) =
-                                (Some((generation, now)), None);
-                        }
-                        Err(cause) => slot.status.failure = Some(cause.to_string()),
-                    }
-                    slot.status.clone()
-                };
+            while let Some(Job { now, make_payload }) = of_thread.next_job() {
+                let result = store.save(now, &make_payload());
+                let status = of_thread.finish_job(now, result);
                 of_thread.changed.notify_all();
-                tell(&status);
+                on_status(&status);
             }
         })?;
         Ok(Self(shared))
     }
 
-    /// Has what this makes be saved, as of `now` (Unix time), in place of what is not begun yet. It is made on the
-    /// thread that saves. Never waits for a disk.
-    pub fn save(&self, now: Duration, make: impl FnOnce() -> Vec<u8> + Send + 'static) {
+    /// Puts a snapshot as of `now` (Unix time) into the slot, in place of one that is not begun yet. `make_payload` is called
+    /// on the thread that saves. Never waits for a disk.
+    pub fn save(&self, now: Duration, make_payload: impl FnOnce() -> Vec<u8> + Send + 'static) {
         let mut slot = self.0.slot();
-        let superseded = slot.next.replace((now, Box::new(make)));
+        let superseded = slot.next.replace(Job { now, make_payload: Box::new(make_payload) });
         slot.status.superseded += u64::from(superseded.is_some());
         drop(slot);
         self.0.changed.notify_all();
     }
 
-    /// How it goes.
+    /// How saving goes.
     pub fn status(&self) -> Status {
         self.0.slot().status.clone()
     }
 
-    /// Whether nothing waits to be written, and nothing is being written.
+    /// Whether the slot is empty and nothing is being written.
     pub fn is_idle(&self) -> bool {
         let slot = self.0.slot();
         slot.next.is_none() && !slot.status.is_writing
@@ -115,7 +127,7 @@
 
 impl Drop for Saver {
     fn drop(&mut self) {
-        self.0.slot().ends = true;
+        self.0.slot().is_closed = true;
         self.0.changed.notify_all();
     }
 }
--- a/crates/snapshot/tests/damage.rs
+++ b/crates/snapshot/tests/damage.rs
@@ -1,4 +1,4 @@
-//! Whatever happens to the files: what is loaded is what was saved, or nothing, and whoever loads is told which and why.
+//! Whatever happens to the files: what is loaded is what was saved, or nothing, and whoever loads is message which and why.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -12,7 +12,7 @@
 const NOW: Duration = Duration::from_secs(1_786_000_000);
 const DAY: Duration = Duration::from_secs(86_400);
 
-/// A directory in memory: nothing here is about the machine's.
+/// A directory in memory.
 #[derive(Clone, Default)]
 struct Memory(Arc<Mutex<BTreeMap<String, Vec<u8>>>>);
 
@@ -69,14 +69,14 @@
     tempfile::tempdir().expect("a directory")
 }
 
-/// The payload that a start finds, and how many files it does not believe.
+/// The payload that a start finds, and how many files it sets aside.
 fn found(dir: &Path) -> (Option<Vec<u8>>, usize) {
     let found = store(dir, "n0").load(NOW, DAY);
     (found.snapshot.map(|s| s.payload), found.aside.len())
 }
 
 #[test]
-fn the_newest_is_found_with_its_age_and_goes_on_counting() {
+fn newest_snapshot_is_loaded_with_its_age_and_generations_go_on() {
     let dir = dir();
     assert_eq!(found(dir.path()), (None, 0), "nothing is no damage");
     let mut one = store(dir.path(), "n0");
@@ -92,31 +92,31 @@
 }
 
 #[test]
-fn cut_at_each_byte_it_is_the_one_before_or_nothing() {
+fn file_cut_at_any_byte_gives_the_snapshot_before_or_none() {
     let dir = Memory::default();
     let mut one = dir.store("n0");
     one.save(NOW, b"the one before").expect("saved");
     one.save(NOW, b"some payload, with \n lines and \0 bytes").expect("saved");
-    let whole = dir.get("snapshot").expect("there");
-    for at in 0..whole.len() {
-        dir.put("snapshot", &whole[..at]);
+    let complete = dir.get("snapshot").expect("there");
+    for at in 0..complete.len() {
+        dir.put("snapshot", &complete[..at]);
         assert_eq!(dir.found(), (Some(b"the one before".to_vec()), 1), "cut at {at}");
-        assert_eq!(dir.get("snapshot.aside").expect("kept"), whole[..at]);
+        assert_eq!(dir.get("snapshot.aside").expect("kept"), complete[..at]);
         assert_eq!(dir.get("snapshot"), None, "it is out of the way");
     }
-    dir.put("snapshot", &[&whole[..], b"x"].concat());
+    dir.put("snapshot", &[&complete[..], b"x"].concat());
     assert_eq!(dir.found().1, 1);
-    dir.put("snapshot", &whole);
+    dir.put("snapshot", &complete);
     assert_eq!(dir.found().1, 0);
 }
 
 #[test]
-fn with_any_bit_flipped_it_is_not_believed() {
+fn file_with_any_bit_flipped_is_set_aside() {
     let dir = Memory::default();
     dir.store("n0").save(NOW, b"some payload").expect("saved");
-    let whole = dir.get("snapshot").expect("there");
-    for bit in 0..8 * whole.len() {
-        let mut flipped = whole.clone();
+    let complete = dir.get("snapshot").expect("there");
+    for bit in 0..8 * complete.len() {
+        let mut flipped = complete.clone();
         flipped[bit / 8] ^= 1 << (bit % 8);
         dir.put("snapshot", &flipped);
         assert_eq!(dir.found(), (None, 1), "bit {bit}");
@@ -124,7 +124,7 @@
 }
 
 #[test]
-fn anothers_a_later_builds_too_old_ones_and_ones_from_the_future_are_named() {
+fn reason_is_given_for_wrong_owner_version_age_and_future() {
     let dir = dir();
     let path = dir.path().join("snapshot");
     let reason = |now: Duration, oldest| {
@@ -149,23 +149,23 @@
     fs::create_dir(&path).expect("a directory in its place");
     assert!(matches!(reason(NOW, DAY), SuspectState::Unreadable(_)));
     fs::remove_dir(&path).expect("out of the way");
-    // A clock that differs a little is no reason for doubt.
+    // A small difference of clocks is no reason to set a snapshot aside.
     store(dir.path(), "n0").save(NOW + Duration::from_secs(3), b"x").expect("saved");
     assert_eq!(found(dir.path()), (Some(b"x".to_vec()), 0));
 }
 
 #[test]
-fn what_cannot_be_saved_is_an_error_with_the_place_and_costs_nothing_that_was_there() {
+fn failed_save_names_the_file_and_keeps_earlier_snapshots() {
     let dir = dir();
     let mut one = store(dir.path(), "n0");
     one.save(NOW, b"kept").expect("saved");
     let long = vec![0; MAX_PAYLOAD_BYTES + 1];
     assert!(matches!(one.save(NOW, &long), Err(StoreError::TooLong(_))));
     fs::create_dir(dir.path().join("snapshot.new")).expect("in the way");
-    let told = one.save(NOW, b"lost").expect_err("in the way").to_string();
+    let message = one.save(NOW, b"lost").expect_err("in the way").to_string();
     assert!(
-        told.contains("snapshot.new: written: ") && told.contains("writable and with room"),
-        "{told}"
+        message.contains("snapshot.new: written: ") && message.contains("writable and with room"),
+        "{message}"
     );
     assert_eq!(found(dir.path()), (Some(b"kept".to_vec()), 0));
     fs::remove_dir(dir.path().join("snapshot.new")).expect("out of the way");
@@ -177,7 +177,7 @@
 
 proptest! {
     #[test]
-    fn whatever_lies_there_is_no_panic_and_never_believed(now: Vec<u8>, before: Vec<u8>) {
+    fn arbitrary_files_are_set_aside_without_panic(now: Vec<u8>, before: Vec<u8>) {
         let dir = Memory::default();
         dir.put("snapshot", &now);
         dir.put("snapshot.before", &before);
@@ -185,7 +185,7 @@
     }
 
     #[test]
-    fn whatever_is_saved_is_found(payload: Vec<u8>, name in "\\PC{0,20}") {
+    fn any_saved_payload_is_loaded(payload: Vec<u8>, name in "\\PC{0,20}") {
         let dir = Memory::default();
         dir.store(&name).save(NOW, &payload).expect("saved");
         let found = dir.store(&name).load(NOW, DAY);
--- a/crates/snapshot/tests/kills.rs
+++ b/crates/snapshot/tests/kills.rs
@@ -1,5 +1,5 @@
-//! Struck at each step of a start and of saves, by each fault that such a step can have, on a played disk
-//! and, killed and refused, in real processes: the next start finds the last save that was said yes to, or a
+//! Each fault at each step of a start and of saves, on a simulated disk
+//! and, killed and refused, in real processes: the next start finds the last save that was acknowledged, or a
 //! later one.
 
 use std::env;
@@ -23,10 +23,10 @@
     sync_names: "snapshot.sync-names",
 };
 
-/// The played disk, as the store uses one.
-struct Played(disk::Disk);
+/// The simulated disk, as the store uses one.
+struct SimulatedDisk(disk::Disk);
 
-impl Disk for Played {
+impl Disk for SimulatedDisk {
     fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>> {
         self.0.read(name, most as usize)
     }
@@ -47,10 +47,10 @@
     }
 }
 
-/// A real directory whose steps pass points.
-struct Pointed(Directory, Points);
+/// A real directory whose steps pass failpoints.
+struct FailingDirectory(Directory, Points);
 
-impl Pointed {
+impl FailingDirectory {
     /// Passes one: an error, or whether half of it is to be done.
     fn meet(&self, name: &'static str, kind: Kind) -> io::Result<Option<Fault>> {
         let fault = self.1.meet(name, kind);
@@ -61,7 +61,7 @@
     }
 }
 
-impl Disk for Pointed {
+impl Disk for FailingDirectory {
     fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>> {
         let fault = self.meet(NAMES.read, Kind::Read)?;
         let mut bytes = self.0.read(name, most)?;
@@ -98,7 +98,7 @@
     format!("payload {n} ").repeat(100).into_bytes()
 }
 
-/// What was saved so far, the n-th with payload n: whether it was said yes to.
+/// What was saved so far, the n-th with payload n: whether the save was acknowledged.
 #[derive(Default)]
 struct Saves(Vec<bool>);
 
@@ -125,25 +125,27 @@
 }
 
 /// A start on two saves, two more of its own, the machine's end, another start.
-fn played(points: &Points, left: Left) -> Result<(), String> {
-    let struck = disk::Disk::with_names(points, NAMES);
-    let sound = struck.passing(&Points::none());
-    let start = |disk: &disk::Disk| Store::new(Played(disk.clone()), "n0");
+fn simulated(points: &Points, left: Left) -> Result<(), String> {
+    let faulty = disk::Disk::with_names(points, NAMES);
+    let sound = faulty.passing(&Points::none());
+    let start = |disk: &disk::Disk| Store::new(SimulatedDisk(disk.clone()), "n0");
     let mut saves = Saves::default();
     let mut store = start(&sound);
     (0..2).for_each(|_| saves.save(&mut store));
 
-    let mut store = start(&struck);
+    let mut store = start(&faulty);
     let found = store.load(NOW, DAY);
     // A file that could not be read was set aside; one whose sync was a lie may be gone.
-    let struck_by = |what: fn(&Passed) -> bool| points.passed().iter().filter(|p| what(p)).count();
-    let unread = struck_by(|p| p.kind == Kind::Read && p.fault.is_some_and(|f| f != Fault::Crash));
-    if !struck.has_ended() {
+    let faults_that =
+        |what: fn(&Passed) -> bool| points.passed().iter().filter(|p| what(p)).count();
+    let unread =
+        faults_that(|p| p.kind == Kind::Read && p.fault.is_some_and(|f| f != Fault::Crash));
+    if !faulty.has_ended() {
         saves.check(found.snapshot.as_ref(), unread)?;
     }
     (0..2).for_each(|_| saves.save(&mut store));
-    let lies = struck_by(|p| p.fault == Some(Fault::Lie));
-    struck.crash(left);
+    let lies = faults_that(|p| p.fault == Some(Fault::Lie));
+    faulty.crash(left);
 
     let mut store = start(&sound);
     let found = store.load(NOW, DAY);
@@ -162,10 +164,10 @@
 }
 
 #[test]
-fn struck_at_each_step_the_next_start_finds_the_last_yes_or_later() {
+fn fault_at_any_step_leaves_the_last_acknowledged_save_or_a_later_one() {
     let lefts = [Left::All, Left::Synced, Left::Torn].into_iter().chain((1..=5).map(Left::Drawn));
     for left in lefts {
-        let report = InTurn::all().and_pairs(7, 40).run(|points| played(points, left));
+        let report = InTurn::all().and_pairs(7, 40).run(|points| simulated(points, left));
         eprintln!("played, {left:?} left: {report}");
         assert!(report.is_clean(), "{left:?} left: {report}");
         // Two reads; and a write, two syncs and two renames a save.
@@ -173,14 +175,14 @@
     }
 }
 
-/// In the process that is struck: a start and two saves. Does nothing in the test's own process.
+/// In the process that fails: a start and two saves. Does nothing in the test's own process.
 #[test]
 fn starts_and_saves() {
     let Ok(place) = env::var(PLACE) else { return };
     let from = env::var(FROM).ok().and_then(|n| n.parse().ok()).expect("the first save's number");
     let points = Points::from_environment().expect("a plan");
     let disk = Directory::open(place).expect("a directory");
-    let mut store = Store::new(Pointed(disk, points), "n0");
+    let mut store = Store::new(FailingDirectory(disk, points), "n0");
     store.load(NOW, DAY);
     for n in from..from + 2 {
         let said = store.save(NOW, &payload(n));
@@ -192,7 +194,7 @@
 const PLACE: &str = "SNAPSHOT_SAVED_IN";
 const FROM: &str = "SNAPSHOT_SAVED_FROM";
 
-/// Three lives one after another on what the one before left, the second of them struck; and a start.
+/// Three processes one after another, the second of them with a fault, and a start.
 fn in_processes(points: &Points) -> Result<(), String> {
     let dir = tempfile::tempdir().map_err(|e| e.to_string())?;
     let (place, trace) = (dir.path().join("state"), dir.path().join("trace"));
@@ -200,7 +202,7 @@
     for life in 0..3 {
         let none = Points::none();
         let points = if life == 1 { points } else { &none };
-        one_life(points, &place, &trace, &mut saves)?;
+        one_process(points, &place, &trace, &mut saves)?;
     }
     let mut store = Store::new(Directory::open(&place).map_err(|e| e.to_string())?, "n0");
     let found = store.load(NOW, DAY);
@@ -208,7 +210,12 @@
     if found.aside.is_empty() { Ok(()) } else { Err(format!("set aside: {:?}", found.aside)) }
 }
 
-fn one_life(points: &Points, place: &Path, trace: &Path, saves: &mut Saves) -> Result<(), String> {
+fn one_process(
+    points: &Points,
+    place: &Path,
+    trace: &Path,
+    saves: &mut Saves,
+) -> Result<(), String> {
     let _ = std::fs::remove_file(trace);
     let own = env::current_exe().map_err(|e| e.to_string())?;
     let from = saves.0.len();
@@ -235,7 +242,7 @@
 }
 
 #[test]
-fn processes_that_are_killed_or_refused_at_each_step_leave_what_the_next_finds() {
+fn process_killed_or_refused_at_any_step_leaves_the_last_acknowledged_save_or_a_later_one() {
     let faults = [Fault::Crash, Fault::NoSpace, Fault::Io, Fault::Short];
     let report: Report = InTurn::all().only(&faults).run(in_processes);
     eprintln!("in processes: {report}");
--- a/crates/snapshot/tests/saver.rs
+++ b/crates/snapshot/tests/saver.rs
@@ -1,4 +1,4 @@
-//! The thread that saves: whoever serves never waits for it, however slow or full its disk is.
+//! The thread that saves: its caller never waits for it, however slow or full the disk is.
 
 use std::io;
 use std::sync::mpsc::{Receiver, Sender, channel};
@@ -10,20 +10,20 @@
 const NOW: Duration = Duration::from_secs(1_786_000_000);
 const SOON: Duration = Duration::from_secs(20);
 
-/// A disk whose every write waits for a word, and does what that says.
-struct Slow {
+/// A disk on which each write waits for its result.
+struct SlowDisk {
     begun: Sender<Vec<u8>>,
-    words: Mutex<Receiver<io::Result<()>>>,
+    results: Mutex<Receiver<io::Result<()>>>,
 }
 
-impl Disk for Slow {
+impl Disk for SlowDisk {
     fn read(&self, _: &str, _: u64) -> io::Result<Vec<u8>> {
         Err(io::ErrorKind::NotFound.into())
     }
     fn write(&self, _: &str, bytes: &[u8]) -> io::Result<()> {
         let payload = bytes.split(|b| *b == b'\n').nth(1).expect("behind the first line");
         let _ = self.begun.send(payload.to_vec());
-        self.words.lock().expect("sound").recv_timeout(SOON).expect("a word")
+        self.results.lock().expect("sound").recv_timeout(SOON).expect("a result")
     }
     fn sync(&self, _: &str) -> io::Result<()> {
         Ok(())
@@ -40,13 +40,13 @@
 }
 
 #[test]
-fn the_newest_wins_and_a_full_disk_is_told_until_it_has_room() {
+fn newest_snapshot_takes_the_slot_and_a_full_disk_is_reported_until_it_has_room() {
     let (begun, begins) = channel();
-    let (word, words) = channel();
-    let (tell, told) = channel();
-    let store = Store::new(Slow { begun, words: Mutex::new(words) }, "n0");
-    let tell = Arc::new(Mutex::new(tell));
-    let saver = Saver::start(store, move |s| drop(tell.lock().expect("sound").send(s.clone())));
+    let (result, results) = channel();
+    let (reporter, reports) = channel();
+    let store = Store::new(SlowDisk { begun, results: Mutex::new(results) }, "n0");
+    let reporter = Arc::new(Mutex::new(reporter));
+    let saver = Saver::start(store, move |s| drop(reporter.lock().expect("sound").send(s.clone())));
     let saver = saver.expect("a thread");
     let next = || begins.recv_timeout(SOON).expect("a write begins");
     saver.save(NOW, || b"1".to_vec());
@@ -57,18 +57,18 @@
     }
     let status = saver.status();
     assert!(status.is_writing && status.saved.is_none() && status.superseded == 48, "{status:?}");
-    word.send(Ok(())).expect("it waits");
-    assert_eq!(told.recv_timeout(SOON).expect("told").saved, Some((1, NOW)));
+    result.send(Ok(())).expect("it waits");
+    assert_eq!(reports.recv_timeout(SOON).expect("a report").saved, Some((1, NOW)));
     assert_eq!(next(), b"50");
-    word.send(Err(io::ErrorKind::StorageFull.into())).expect("it waits");
-    let status = told.recv_timeout(SOON).expect("told");
+    result.send(Err(io::ErrorKind::StorageFull.into())).expect("it waits");
+    let status = reports.recv_timeout(SOON).expect("a report");
     assert!(status.failure.is_some_and(|f| f.contains("no storage space")), "what happened");
     assert_eq!(status.saved, Some((1, NOW)), "what was saved before still is");
     assert!(saver.is_idle());
     saver.save(NOW, || b"51".to_vec());
     assert!(!saver.is_idle());
     assert_eq!(next(), b"51");
-    word.send(Ok(())).expect("it waits");
-    let status = told.recv_timeout(SOON).expect("told");
+    result.send(Ok(())).expect("it waits");
+    let status = reports.recv_timeout(SOON).expect("a report");
     assert_eq!((status.saved, status.failure), (Some((2, NOW)), None));
 }
