--- a/crates/gateway/src/operators.rs
+++ b/crates/gateway/src/operators.rs
@@ -10,7 +10,9 @@
 use bytes::Bytes;
 use hollowpaddle_net::{Listener, accept};
 use hollowpaddle_operator_commands::call::BODY_LIMIT;
-use hollowpaddle_operator_commands::{Call, Copied, Said, Started, Store, StoreError, Words};
+use hollowpaddle_operator_commands::{
+    Call, OperatorState, OperatorStateCopy, ProcessRegistration, RecoveredCopy, Store, StoreError,
+};
 use hollowpaddle_policy::learned::Learned;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
@@ -73,9 +75,9 @@
     /// From what it started, and how saving for the next start goes.
     fn start(&self) -> serde_json::Value;
     /// What was found of a copy of operators' words, elsewhere than in the store.
-    fn copied(&self) -> Copied;
+    fn copied(&self) -> RecoveredCopy;
     /// Copies them there, as they stand now.
-    fn copy(&self, words: Words);
+    fn copy(&self, words: OperatorStateCopy);
     /// Whether this balancer is one of a bank that agrees on rules.
     fn is_banked(&self) -> bool;
     /// What the bank has to say to this; nothing, where there is none.
@@ -86,8 +88,8 @@
 pub struct Operators<B> {
     balancer: B,
     store: RefCell<Option<Store>>,
-    started: Option<Started>,
-    said: RefCell<Said>,
+    started: Option<ProcessRegistration>,
+    said: RefCell<OperatorState>,
     since: Instant,
     /// Others can see that this process serves.
     serving: Cell<bool>,
@@ -97,31 +99,37 @@
 
 /// Joins the processes of this balancer; what can't be read is put aside. What is lost so is put back as far as there is
 /// a copy.
-async fn joined(store: &mut Store, copied: &Copied) -> Result<(Started, Said), StoreError> {
+async fn joined(
+    store: &mut Store,
+    copied: &RecoveredCopy,
+) -> Result<(ProcessRegistration, OperatorState), StoreError> {
     let mut torn = None;
     if let Err(cause @ StoreError::Malformed { .. }) = store.read() {
-        let aside = store.put_aside()?;
+        let aside = store.set_aside()?;
         tracing::error!(%cause, "put aside as {}", aside.display());
         torn = Some(cause.to_string());
     }
-    if torn.is_some() || *copied != Copied::Nothing && store.is_blank() {
+    if torn.is_some() || *copied != RecoveredCopy::Absent && store.is_empty() {
         let said = patiently(|| store.change(|said| said.recover(torn.as_deref(), copied))).await?;
         warn(&said);
     }
-    patiently(|| store.start()).await
+    patiently(|| store.join()).await
 }
 
 /// What stands where there is no store to join (`torn`: why it can't be used, if there should be one).
-fn alone(torn: Option<&str>, copied: &Copied) -> (Option<Store>, Option<Started>, Said) {
-    let mut said = Said::default();
+fn alone(
+    torn: Option<&str>,
+    copied: &RecoveredCopy,
+) -> (Option<Store>, Option<ProcessRegistration>, OperatorState) {
+    let mut said = OperatorState::default();
     said.recover(torn, copied);
     warn(&said);
     (None, None, said)
 }
 
 /// Tells of a doubt, if there is one.
-fn warn(said: &Said) {
-    if let Some(doubt) = &said.doubted {
+fn warn(said: &OperatorState) {
+    if let Some(doubt) = &said.suspect {
         let cordoned = said.cordoned.len();
         tracing::error!(
             doubt,
@@ -156,7 +164,7 @@
             left_to: Cell::new(0),
         };
         // Whatever the copy had: this is what stands.
-        operators.balancer.copy(said.words());
+        operators.balancer.copy(said.copy());
         operators.apply(said).await;
         Rc::new(operators)
     }
@@ -164,7 +172,7 @@
     /// Does what stands, whoever was called; and tells the others once this process can serve.
     pub async fn follow(self: Rc<Self>) {
         loop {
-            let news = self.store.borrow_mut().as_mut().map(Store::look).transpose();
+            let news = self.store.borrow_mut().as_mut().map(Store::read_if_changed).transpose();
             match news {
                 Ok(Some(Some(said))) => drop(self.apply(said).await),
                 Ok(_) => {}
@@ -213,7 +221,7 @@
     /// Ends once clients may be accepted: at once, unless an older process of this balancer still serves them and this
     /// one could not do so well yet.
     pub async fn opens(&self) {
-        let older = || self.others(|said, me| said.before(me).collect());
+        let older = || self.others(|said, me| said.started_before(me).collect());
         if older() {
             tracing::info!("an older process of this balancer serves until this one can");
         }
@@ -225,16 +233,16 @@
 
     /// Whether a process that was started later serves in this one's place.
     pub fn succeeded(&self) -> bool {
-        self.others(|said, me| said.after(me).collect())
+        self.others(|said, me| said.serving_after(me).collect())
     }
 
     /// Whether one of these other processes is alive, as things stand now.
-    fn others(&self, which: impl Fn(&Said, u64) -> Vec<u64>) -> bool {
+    fn others(&self, which: impl Fn(&OperatorState, u64) -> Vec<u64>) -> bool {
         let (mut store, Some(me)) = (self.store.borrow_mut(), &self.started) else { return false };
         let Some(store) = store.as_mut() else { return false };
         // Not by `look`: what is news to it is yet to be done.
         let stands = store.read().unwrap_or_else(|_| self.said.borrow().clone());
-        which(&stands, me.number).into_iter().any(|n| store.alive(n))
+        which(&stands, me.number).into_iter().any(|n| store.is_alive(n))
     }
 
     /// Leaves what was learned here to a process that was started since.
@@ -247,7 +255,9 @@
         self.left_to.set(newest);
         let Some(learned) = self.balancer.learned().await else { return };
         let Ok(text) = serde_json::to_vec(&learned) else { return };
-        if let Some(Err(cause)) = self.store.borrow().as_ref().map(|s| s.leave(me.number, &text)) {
+        if let Some(Err(cause)) =
+            self.store.borrow().as_ref().map(|s| s.write_handoff(me.number, &text))
+        {
             tracing::warn!(%cause, "what was learned can't be left to the next process");
         }
     }
@@ -255,11 +265,14 @@
     /// Goes on from what an older process has learned, if it leaves that in time.
     async fn recall_learned(&self) {
         let until = Instant::now() + LEAVE;
-        let older = |said: &Said, me| said.before(me).next().into_iter().collect();
+        let older = |said: &OperatorState, me| said.started_before(me).next().into_iter().collect();
         while self.others(older) {
-            let number =
-                self.started.as_ref().and_then(|me| self.said.borrow().before(me.number).next());
-            let left = number.and_then(|n| self.store.borrow().as_ref().and_then(|s| s.left(n)));
+            let number = self
+                .started
+                .as_ref()
+                .and_then(|me| self.said.borrow().started_before(me.number).next());
+            let left =
+                number.and_then(|n| self.store.borrow().as_ref().and_then(|s| s.read_handoff(n)));
             if let Some(learned) = left.and_then(|text| serde_json::from_slice(&text).ok()) {
                 self.balancer.recall(learned);
                 return;
@@ -279,7 +292,7 @@
     async fn announce(&self) {
         if let Some(me) = &self.started {
             let number = me.number;
-            if let Err(cause) = self.change(move |said| said.serves(number)).await {
+            if let Err(cause) = self.change(move |said| said.mark_serving(number)).await {
                 tracing::error!(%cause, "an older process can't be told that this one serves");
             }
         }
@@ -325,7 +338,7 @@
         told["said"] = serde_json::json!({
             "cordoned": said.cordoned,
             "quiesced": said.quiesced,
-            "doubted": said.doubted,
+            "doubted": said.suspect,
         });
         told
     }
@@ -358,12 +371,12 @@
                 _ => {}
             }
         }
-        let change = |said: &mut Said| match &call {
+        let change = |said: &mut OperatorState| match &call {
             Call::Cordon(name) => drop(said.cordoned.insert(name.clone())),
             Call::Uncordon(name) => drop(said.cordoned.remove(name)),
             Call::Quiesce => said.quiesced = true,
             Call::Resume => said.quiesced = false,
-            Call::Confirm => said.doubted = None,
+            Call::Confirm => said.suspect = None,
             Call::Health | Call::Start => {}
         };
         match self.change(change).await {
@@ -394,7 +407,7 @@
     }
 
     /// Changes what stands, keeps it and does it; whether the engine has it.
-    async fn change(&self, change: impl Fn(&mut Said)) -> Result<bool, StoreError> {
+    async fn change(&self, change: impl Fn(&mut OperatorState)) -> Result<bool, StoreError> {
         let said = patiently(|| match &mut *self.store.borrow_mut() {
             Some(store) => store.change(&change),
             None => {
@@ -409,11 +422,11 @@
 
     /// Does what stands. Nothing is waited for before the engine is told, so that it is told in the order in which
     /// the store changed.
-    async fn apply(&self, said: Said) -> bool {
+    async fn apply(&self, said: OperatorState) -> bool {
         self.balancer.quiesce(said.quiesced);
         let cordoned = self.balancer.cordon(said.cordoned.clone());
-        let words = said.words();
-        if words != self.said.borrow().words() {
+        let words = said.copy();
+        if words != self.said.borrow().copy() {
             self.balancer.copy(words);
         }
         *self.said.borrow_mut() = said;
@@ -483,10 +496,10 @@
         fn start(&self) -> serde_json::Value {
             serde_json::Value::Null
         }
-        fn copied(&self) -> Copied {
-            Copied::Nothing
+        fn copied(&self) -> RecoveredCopy {
+            RecoveredCopy::Absent
         }
-        fn copy(&self, _: Words) {}
+        fn copy(&self, _: OperatorStateCopy) {}
         fn is_banked(&self) -> bool {
             false
         }
@@ -505,18 +518,18 @@
         let dir = tempfile::tempdir().expect("a directory");
         let old = joined(&dir, true).await;
         let mut store = Store::open(dir.path()).expect("a store");
-        let (_new, _) = store.start().expect("a newer process joins");
+        let (_new, _) = store.join().expect("a newer process joins");
         assert_eq!(old.grant(Call::Quiesce).await.status(), StatusCode::OK);
         let me = old.started.as_ref().expect("it has a store").number;
         let _ = timeout(10 * LOOK, old.follow()).await;
-        assert!(store.left(me).is_some(), "the newer process would start from nothing");
+        assert!(store.read_handoff(me).is_some(), "the newer process would start from nothing");
     }
 
     #[tokio::test(start_paused = true)]
     async fn with_the_older_process_dead_one_opens_that_can_serve_nobody_yet() {
         let dir = tempfile::tempdir().expect("a directory");
         let mut store = Store::open(dir.path()).expect("a store");
-        let (older, _) = store.start().expect("an older process joins");
+        let (older, _) = store.join().expect("an older process joins");
         let new = joined(&dir, false).await;
         let opens = new.opens();
         tokio::pin!(opens);
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use hollowpaddle_net::{Listener, Network};
-use hollowpaddle_operator_commands::{Copied, Words};
+use hollowpaddle_operator_commands::{OperatorStateCopy, RecoveredCopy};
 use hollowpaddle_policy::learned::Learned;
 use hollowpaddle_revision::fleet::ClassFacts;
 use tokio::sync::{mpsc, oneshot};
@@ -87,10 +87,10 @@
         start["violations"] = self.engine.violations().counts();
         start
     }
-    fn copied(&self) -> Copied {
-        self.keeper.as_ref().map_or(Copied::Nothing, |k| k.copied())
+    fn copied(&self) -> RecoveredCopy {
+        self.keeper.as_ref().map_or(RecoveredCopy::Absent, |k| k.copied())
     }
-    fn copy(&self, words: Words) {
+    fn copy(&self, words: OperatorStateCopy) {
         if let Some(keeper) = &self.keeper {
             keeper.copy(words);
         }
--- a/crates/gateway/src/state_store.rs
+++ b/crates/gateway/src/state_store.rs
@@ -6,7 +6,7 @@
 use std::sync::Arc;
 use std::time::Duration;
 
-use hollowpaddle_operator_commands::{Copied, Words};
+use hollowpaddle_operator_commands::{OperatorStateCopy, RecoveredCopy};
 use hollowpaddle_policy::learned::Learned;
 use hollowpaddle_recovery::{RestoredState, SETTLED_AFTER, StartHistory, StartMode, Trust, trust};
 use hollowpaddle_snapshot::{Found, Saver, Status};
@@ -74,7 +74,7 @@
     /// When that was, in milliseconds of Unix time.
     list_ms: u64,
     /// What operators have said. None: the build that saved this kept no copy, or nobody was here.
-    said: Option<Words>,
+    said: Option<OperatorStateCopy>,
 }
 
 /// How long ago that was, by two clocks that may differ; nothing, where one of them must be wrong.
@@ -129,7 +129,7 @@
     state: RefCell<State>,
     mode: StartMode,
     comeback: Comeback,
-    copied: Copied,
+    copied: RecoveredCopy,
     /// Lists taken in by the engine, as of the one that is kept.
     lists: Cell<u64>,
 }
@@ -206,11 +206,11 @@
         let copied = match &mut state.said {
             Some(words) => {
                 let copied = words.clone();
-                words.last = false;
-                Copied::Words(copied)
+                words.is_final = false;
+                RecoveredCopy::Found(copied)
             }
-            None if set_aside.is_empty() => Copied::Nothing,
-            None => Copied::Lost(set_aside.join("; ")),
+            None if set_aside.is_empty() => RecoveredCopy::Absent,
+            None => RecoveredCopy::Lost(set_aside.join("; ")),
         };
         let (starts, crashes) = (state.starts.count(), state.starts.crash_count());
         let age_s = (from == "snapshot").then_some(age.as_secs_f64());
@@ -252,12 +252,12 @@
     }
 
     /// What was found of operators' words.
-    pub fn copied(&self) -> Copied {
+    pub fn copied(&self) -> RecoveredCopy {
         self.copied.clone()
     }
 
     /// Keeps what operators have said, as it stands now. Not only with the next save: a call is answered with yes.
-    pub fn copy(&self, words: Words) {
+    pub fn copy(&self, words: OperatorStateCopy) {
         self.state.borrow_mut().said = Some(words);
         self.save();
     }
@@ -333,7 +333,7 @@
         {
             let state = &mut *self.state.borrow_mut();
             state.starts.ended_in_order();
-            state.said.get_or_insert_default().last = true;
+            state.said.get_or_insert_default().is_final = true;
         }
         self.save();
         let until = Instant::now() + LAST;
--- a/crates/operator-commands/src/lib.rs
+++ b/crates/operator-commands/src/lib.rs
@@ -1,11 +1,14 @@
-//! What operators have said of a balancer: which upstreams are out by their hand, whether clients are sent away, and
-//! which process serves. [`state`] and [`call`] are plain data; [`store`] keeps it where the next process finds it.
+//! Commands of operators to one balancer: how a call is read, which commands apply (cordons and quiescing), and how that
+//! outlives a process. Carrying the commands out is left to the balancer.
+//!
+//! [`call`] and [`state`] are plain data; [`store`] shares the state between the processes of a balancer.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 pub mod call;
 pub mod state;
 pub mod store;
 
 pub use call::{Call, CallError};
-pub use state::{Copied, Said, Words};
-pub use store::{Started, Store, StoreError};
+pub use state::{OperatorState, OperatorStateCopy, RecoveredCopy};
+pub use store::{ProcessRegistration, Store, StoreError};
--- a/crates/operator-commands/src/store.rs
+++ b/crates/operator-commands/src/store.rs
@@ -1,205 +1,210 @@
-//! Keeps what was said in a directory that the processes of one balancer share: one JSON file, changed under a lock and
-//! put in place by a rename, and one locked file a process, by which the others see whether it lives.
+//! Shares the operators' state between the processes of one balancer, in a directory.
+//!
+//! The state is one JSON file, changed under a lock and replaced by a rename. Each process holds a lock on a file of its
+//! own, by which the others see that it is alive.
 
 use std::fs::{self, File, TryLockError};
 use std::io::{self, ErrorKind, Read, Write};
 use std::path::{Path, PathBuf};
 
-use crate::Said;
+use crate::OperatorState;
 
-const STATE: &str = "said.json";
-const STATE_NEW: &str = "said.json.new";
-const STATE_ASIDE: &str = "said.json.aside";
-const LOCK: &str = "lock";
-/// What stands is no longer than this, in bytes; more was not written here.
-const LONGEST: u64 = 4 << 20;
+const STATE_FILE: &str = "said.json";
+const NEW_STATE_FILE: &str = "said.json.new";
+const ASIDE_STATE_FILE: &str = "said.json.aside";
+const LOCK_FILE: &str = "lock";
+/// The longest file that is read, in bytes. No balancer writes a longer one.
+const MAX_FILE_BYTES: u64 = 4 << 20;
+/// Starts before the present one whose files are removed once their processes are dead.
+const REMOVED_STARTS: u64 = 64;
 
 /// Why the store can't be used.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// A file, and what happened to it.
+    /// A step on this file failed.
     #[error("{0}: {1}; the directory must be this balancer's own, and writable")]
     File(PathBuf, #[source] io::Error),
-    /// The file holds something else.
+    /// The file with the state contains something else.
     #[error(
         "{path}, line {line}, column {column}: not what a balancer writes ({cause}); move it away"
     )]
     Malformed {
         /// The file.
         path: PathBuf,
-        /// From 1 on.
+        /// Line of the error, from 1 on.
         line: usize,
-        /// From 1 on.
+        /// Column of the error, from 1 on.
         column: usize,
         /// What was expected.
         cause: String,
     },
-    /// Another process is changing it right now: try again.
+    /// Another process is changing the state; a later attempt may succeed.
     #[error("{0}: another process is changing what stands")]
     Busy(PathBuf),
 }
 
 impl StoreError {
-    /// Whether a later try may do.
+    /// Whether a later attempt may succeed.
     pub fn is_busy(&self) -> bool {
         matches!(self, Self::Busy(_))
     }
 }
 
-/// One process of a balancer among the others of it. As long as this is held, they see it alive.
+/// Registers a process among the processes of its balancer, which see it alive for as long as this is held.
 #[derive(Debug)]
-pub struct Started {
-    /// The number of its start, from 1 on.
+pub struct ProcessRegistration {
+    /// Number of the process's start, from 1 on.
     pub number: u64,
-    _alive: File,
+    _lock: File,
 }
 
 /// The directory, and what was last read from it.
 #[derive(Debug)]
 pub struct Store {
     dir: PathBuf,
-    last: Vec<u8>,
+    last_read: Vec<u8>,
 }
 
 impl Store {
-    /// Uses this directory, and makes it if there is none.
+    /// Opens the directory, and makes it where it is missing.
     ///
     /// # Errors
-    /// It can't be made.
+    /// The directory can't be made.
     pub fn open(dir: impl Into<PathBuf>) -> Result<Self, StoreError> {
         let dir = dir.into();
         fs::create_dir_all(&dir).map_err(|e| StoreError::File(dir.clone(), e))?;
-        Ok(Self { dir, last: Vec::new() })
+        Ok(Self { dir, last_read: Vec::new() })
     }
 
-    /// What stands, if it is another than at the last look.
+    /// Reads the state if it has changed since this or [`Store::change`] last returned it.
     ///
     /// # Errors
-    /// The file can't be read, or holds something else.
-    pub fn look(&mut self) -> Result<Option<Said>, StoreError> {
+    /// The file can't be read, or contains something else.
+    pub fn read_if_changed(&mut self) -> Result<Option<OperatorState>, StoreError> {
         let text = self.text()?;
-        if text == self.last {
+        if text == self.last_read {
             return Ok(None);
         }
-        let said = self.parse(&text)?;
-        self.last = text;
-        Ok(Some(said))
+        let state = self.parse(&text)?;
+        self.last_read = text;
+        Ok(Some(state))
     }
 
-    /// What stands, news or not.
+    /// Reads the state, changed or not.
     ///
     /// # Errors
-    /// As [`Store::look`].
-    pub fn read(&self) -> Result<Said, StoreError> {
+    /// The file can't be read, or contains something else.
+    pub fn read(&self) -> Result<OperatorState, StoreError> {
         self.parse(&self.text()?)
     }
 
-    /// Changes what stands, and tells what stands then. Never waits.
+    /// Changes the state, and returns it as it is then. Never waits for another process.
     ///
     /// # Errors
-    /// [`StoreError::Busy`] while another process does the same; else it can't be read or written, and nothing has
-    /// changed.
-    pub fn change(&mut self, change: impl FnOnce(&mut Said)) -> Result<Said, StoreError> {
-        let path = self.dir.join(LOCK);
-        let file = open(&path).map_err(|e| StoreError::File(path.clone(), e))?;
-        match file.try_lock() {
+    /// [`StoreError::Busy`] while another process changes it; else the file can't be read or written. Nothing has changed.
+    pub fn change(
+        &mut self,
+        change: impl FnOnce(&mut OperatorState),
+    ) -> Result<OperatorState, StoreError> {
+        let lock_path = self.dir.join(LOCK_FILE);
+        let lock_file =
+            open_or_create(&lock_path).map_err(|e| StoreError::File(lock_path.clone(), e))?;
+        match lock_file.try_lock() {
             Ok(()) => {}
-            Err(TryLockError::WouldBlock) => return Err(StoreError::Busy(path)),
-            Err(TryLockError::Error(e)) => return Err(StoreError::File(path, e)),
+            Err(TryLockError::WouldBlock) => return Err(StoreError::Busy(lock_path)),
+            Err(TryLockError::Error(e)) => return Err(StoreError::File(lock_path, e)),
         }
-        let mut said = self.read()?;
-        change(&mut said);
-        let text = serde_json::to_vec(&said).map_err(|e| StoreError::File(path, e.into()))?;
-        let new = self.dir.join(STATE_NEW);
-        let written = File::create(&new).and_then(|mut f| f.write_all(&text));
-        let placed = written.and_then(|()| fs::rename(&new, self.dir.join(STATE)));
-        placed.map_err(|e| StoreError::File(new, e))?;
-        self.last = text;
-        Ok(said)
+        let mut state = self.read()?;
+        change(&mut state);
+        let text = serde_json::to_vec(&state).map_err(|e| StoreError::File(lock_path, e.into()))?;
+        self.replace_file(&text)?;
+        self.last_read = text;
+        Ok(state)
     }
 
-    /// Whether there is nothing where what stands is kept: before a first start, and where the file was lost.
-    pub fn is_blank(&self) -> bool {
+    fn replace_file(&self, text: &[u8]) -> Result<(), StoreError> {
+        let new = self.dir.join(NEW_STATE_FILE);
+        File::create(&new)
+            .and_then(|mut file| file.write_all(text))
+            .and_then(|()| fs::rename(&new, self.dir.join(STATE_FILE)))
+            .map_err(|e| StoreError::File(new, e))
+    }
+
+    /// Whether there is no state: before the first start, or after the file was lost.
+    pub fn is_empty(&self) -> bool {
         self.text().is_ok_and(|text| text.is_empty())
     }
 
-    /// Puts aside what stands, so that nothing does: for what can't be read. What was put aside before is replaced.
-    /// Where it lies now.
+    /// Moves a file that can't be read out of the way, and returns its new path. A file that was set aside before is
+    /// replaced.
     ///
     /// # Errors
-    /// It can't be moved.
-    pub fn put_aside(&mut self) -> Result<PathBuf, StoreError> {
-        let (path, aside) = (self.dir.join(STATE), self.dir.join(STATE_ASIDE));
+    /// The file can't be moved.
+    pub fn set_aside(&mut self) -> Result<PathBuf, StoreError> {
+        let (path, aside) = (self.dir.join(STATE_FILE), self.dir.join(ASIDE_STATE_FILE));
         match fs::rename(&path, &aside) {
-            // Another process of this balancer was quicker.
+            // Another process of this balancer has moved it.
             Err(e) if e.kind() == ErrorKind::NotFound => {}
             moved => moved.map_err(|e| StoreError::File(path, e))?,
         }
-        self.last.clear();
+        self.last_read.clear();
         Ok(aside)
     }
 
-    /// Joins the processes of this balancer; what stands then.
+    /// Joins the processes of this balancer, and returns the state as it is then.
     ///
     /// # Errors
-    /// As [`Store::change`].
-    pub fn start(&mut self) -> Result<(Started, Said), StoreError> {
+    /// As [`Store::change`]; or the process's own file can't be made or locked.
+    pub fn join(&mut self) -> Result<(ProcessRegistration, OperatorState), StoreError> {
         let dir = self.dir.clone();
-        let mut joined = None;
-        let said = self.change(|said| {
-            let number = said.start(|n| alive(&dir, n));
-            let path = process(&dir, number);
-            joined =
-                Some(open(&path).and_then(|f| f.try_lock().map(|()| f).map_err(io::Error::from)));
-            // Files of the dead are of no use to anybody.
-            for n in number.saturating_sub(64)..number {
-                if !said.processes.contains_key(&n) {
-                    let _ = fs::remove_file(process(&dir, n));
-                    let _ = fs::remove_file(left(&dir, n));
-                }
-            }
+        let mut locked = None;
+        let state = self.change(|state| {
+            let number = state.add_process(|n| is_alive(&dir, n));
+            locked = Some(lock_process_file(&dir, number));
+            remove_files_of_dead(&dir, state, number);
         })?;
-        let number = said.starts;
-        let file = joined.unwrap_or_else(|| Err(ErrorKind::Other.into()));
-        let _alive = file.map_err(|e| StoreError::File(process(&self.dir, number), e))?;
-        Ok((Started { number, _alive }, said))
+        let number = state.starts;
+        let file = locked.unwrap_or_else(|| Err(ErrorKind::Other.into()));
+        let _lock = file.map_err(|e| StoreError::File(process_path(&self.dir, number), e))?;
+        Ok((ProcessRegistration { number, _lock }, state))
     }
 
-    /// Leaves this for the processes after the one of this start, in place of what it left before.
+    /// Leaves `content` for later processes as the process of this start, in place of what it left before.
     ///
     /// # Errors
-    /// It can't be written.
-    pub fn leave(&self, number: u64, what: &[u8]) -> Result<(), StoreError> {
-        let path = left(&self.dir, number);
+    /// The file can't be written.
+    pub fn write_handoff(&self, number: u64, content: &[u8]) -> Result<(), StoreError> {
+        let path = handoff_path(&self.dir, number);
         let new = path.with_extension("new");
-        let written = fs::write(&new, what).and_then(|()| fs::rename(&new, &path));
-        written.map_err(|e| StoreError::File(path, e))
+        fs::write(&new, content)
+            .and_then(|()| fs::rename(&new, &path))
+            .map_err(|e| StoreError::File(path, e))
     }
 
-    /// What the process of this start has left, if anything.
-    pub fn left(&self, number: u64) -> Option<Vec<u8>> {
-        read(&left(&self.dir, number)).ok()
+    /// What the process of this start has left for later processes, if anything.
+    pub fn read_handoff(&self, number: u64) -> Option<Vec<u8>> {
+        read_bounded(&handoff_path(&self.dir, number)).ok()
     }
 
-    /// Whether the process of this start still lives. Not to be asked of oneself.
-    pub fn alive(&self, number: u64) -> bool {
-        alive(&self.dir, number)
+    /// Whether another process, that of this start, is alive. Meaningless for the process that asks.
+    pub fn is_alive(&self, number: u64) -> bool {
+        is_alive(&self.dir, number)
     }
 
     fn text(&self) -> Result<Vec<u8>, StoreError> {
-        let path = self.dir.join(STATE);
-        match read(&path) {
+        let path = self.dir.join(STATE_FILE);
+        match read_bounded(&path) {
             Err(e) if e.kind() == ErrorKind::NotFound => Ok(Vec::new()),
             read => read.map_err(|e| StoreError::File(path.clone(), e)),
         }
     }
 
-    fn parse(&self, text: &[u8]) -> Result<Said, StoreError> {
+    fn parse(&self, text: &[u8]) -> Result<OperatorState, StoreError> {
         if text.is_empty() {
-            return Ok(Said::default());
+            return Ok(OperatorState::default());
         }
         serde_json::from_slice(text).map_err(|e| StoreError::Malformed {
-            path: self.dir.join(STATE),
+            path: self.dir.join(STATE_FILE),
             line: e.line(),
             column: e.column(),
             cause: e.to_string(),
@@ -207,26 +212,42 @@
     }
 }
 
-fn process(dir: &Path, number: u64) -> PathBuf {
+fn process_path(dir: &Path, number: u64) -> PathBuf {
     dir.join(format!("process-{number}"))
 }
 
-fn left(dir: &Path, number: u64) -> PathBuf {
+fn handoff_path(dir: &Path, number: u64) -> PathBuf {
     dir.join(format!("left-{number}"))
 }
 
-fn read(path: &Path) -> io::Result<Vec<u8>> {
+fn read_bounded(path: &Path) -> io::Result<Vec<u8>> {
     let mut text = Vec::new();
-    File::open(path)?.take(LONGEST).read_to_end(&mut text)?;
+    File::open(path)?.take(MAX_FILE_BYTES).read_to_end(&mut text)?;
     Ok(text)
 }
 
-fn open(path: &Path) -> io::Result<File> {
+fn open_or_create(path: &Path) -> io::Result<File> {
     File::options().create(true).truncate(false).write(true).open(path)
 }
 
-/// The kernel gives a lock back with its process, however that ended.
-fn alive(dir: &Path, number: u64) -> bool {
-    File::open(process(dir, number))
+fn lock_process_file(dir: &Path, number: u64) -> io::Result<File> {
+    let file = open_or_create(&process_path(dir, number))?;
+    file.try_lock()?;
+    Ok(file)
+}
+
+fn remove_files_of_dead(dir: &Path, state: &OperatorState, number: u64) {
+    for start in number.saturating_sub(REMOVED_STARTS)..number {
+        if !state.processes.contains_key(&start) {
+            // Most of them are gone already, and a file that stays does no harm.
+            let _ = fs::remove_file(process_path(dir, start));
+            let _ = fs::remove_file(handoff_path(dir, start));
+        }
+    }
+}
+
+/// Whether the process of this start is alive: the kernel releases its lock when it ends, however that happens.
+fn is_alive(dir: &Path, number: u64) -> bool {
+    File::open(process_path(dir, number))
         .is_ok_and(|f| matches!(f.try_lock(), Err(TryLockError::WouldBlock)))
 }
--- a/crates/operator-commands/tests/formats.rs
+++ b/crates/operator-commands/tests/formats.rs
@@ -4,7 +4,9 @@
 use std::fs;
 use std::path::Path;
 
-use hollowpaddle_operator_commands::{Call, Copied, Said, Store, StoreError, Words};
+use hollowpaddle_operator_commands::{
+    Call, OperatorState, OperatorStateCopy, RecoveredCopy, Store, StoreError,
+};
 
 const FULL_STATE: &str = include_str!("formats/operator-state.json");
 const EMPTY_STATE: &str = r#"{"cordoned":[],"quiesced":false,"starts":0,"processes":{}}"#;
@@ -16,23 +18,23 @@
 }
 
 /// A state with a value other than the default in each field.
-fn full_state() -> Said {
-    Said {
+fn full_state() -> OperatorState {
+    OperatorState {
         cordoned: cordoned_upstreams(),
         quiesced: true,
         starts: 12,
-        doubted: Some("the file was gone".into()),
+        suspect: Some("the file was gone".into()),
         processes: BTreeMap::from([(9, true), (12, false)]),
     }
 }
 
 /// A copy with a value other than the default in each field.
-fn full_copy() -> Words {
-    Words {
+fn full_copy() -> OperatorStateCopy {
+    OperatorStateCopy {
         cordoned: cordoned_upstreams(),
         quiesced: true,
-        doubted: Some("the file was gone".into()),
-        last: true,
+        suspect: Some("the file was gone".into()),
+        is_final: true,
     }
 }
 
@@ -47,7 +49,9 @@
 
 #[test]
 fn stored_state_is_written_and_read_as_in_the_file() {
-    for (state, text) in [(full_state(), FULL_STATE.trim_end()), (Said::default(), EMPTY_STATE)] {
+    for (state, text) in
+        [(full_state(), FULL_STATE.trim_end()), (OperatorState::default(), EMPTY_STATE)]
+    {
         let directory = tempfile::tempdir().expect("a directory");
         let path = directory.path().join("said.json");
         let mut store = Store::open(directory.path()).expect("opens");
@@ -60,9 +64,11 @@
 
 #[test]
 fn copy_of_the_state_is_written_and_read_as_in_the_file() {
-    for (copy, text) in [(full_copy(), FULL_COPY.trim_end()), (Words::default(), EMPTY_COPY)] {
+    for (copy, text) in
+        [(full_copy(), FULL_COPY.trim_end()), (OperatorStateCopy::default(), EMPTY_COPY)]
+    {
         assert_eq!(serde_json::to_string(&copy).expect("JSON"), text);
-        assert_eq!(serde_json::from_str::<Words>(text).expect("readable"), copy);
+        assert_eq!(serde_json::from_str::<OperatorStateCopy>(text).expect("readable"), copy);
     }
 }
 
@@ -70,12 +76,12 @@
 fn files_of_the_store_keep_their_names() {
     let directory = tempfile::tempdir().expect("a directory");
     let mut store = Store::open(directory.path()).expect("opens");
-    let (first, _) = store.start().expect("starts");
-    let (second, _) = store.start().expect("starts");
-    store.leave(first.number, b"left by the first").expect("written");
+    let (first, _) = store.join().expect("starts");
+    let (second, _) = store.join().expect("starts");
+    store.write_handoff(first.number, b"left by the first").expect("written");
     let names = ["left-1", "lock", "process-1", "process-2", "said.json"];
     assert_eq!(file_names(directory.path()), names);
-    store.put_aside().expect("moved");
+    store.set_aside().expect("moved");
     let names = ["left-1", "lock", "process-1", "process-2", "said.json.aside"];
     assert_eq!(file_names(directory.path()), names);
     // The name of the file that is written before the rename: a directory in its place is in the way.
@@ -135,8 +141,10 @@
 
 #[test]
 fn reasons_for_suspect_state_keep_their_text() {
-    let copy = || Copied::Words(Words { doubted: None, last: false, ..full_copy() });
-    let lost = || Copied::Lost("checksum".into());
+    let copy = || {
+        RecoveredCopy::Found(OperatorStateCopy { suspect: None, is_final: false, ..full_copy() })
+    };
+    let lost = || RecoveredCopy::Lost("checksum".into());
     for (damage, copied, reason) in [
         (Some("line 1"), copy(), "put back from this balancer's snapshot: line 1"),
         (None, copy(), "put back from this balancer's snapshot: the file was gone"),
@@ -150,10 +158,10 @@
             lost(),
             "every cordon may be forgotten: line 1; and the copy of it is lost: checksum",
         ),
-        (Some("line 1"), Copied::Nothing, "every cordon is forgotten: line 1"),
+        (Some("line 1"), RecoveredCopy::Absent, "every cordon is forgotten: line 1"),
     ] {
-        let mut state = Said::default();
+        let mut state = OperatorState::default();
         state.recover(damage, &copied);
-        assert_eq!(state.doubted.as_deref(), Some(reason));
+        assert_eq!(state.suspect.as_deref(), Some(reason));
     }
 }
