--- a/crates/consensus/src/learner_tree.rs
+++ b/crates/consensus/src/learner_tree.rs
@@ -3,18 +3,16 @@
 
 use hollowpaddle_peer_transport::NodeId;
 
+use crate::split_mix;
 use crate::voter_set::VoterSet;
 
 /// Largest number of children of a node in the tree.
 pub const MAX_CHILDREN: usize = 8;
 
-/// A hash of the node id (the finalizer of SplitMix64), so that nodes with neighbouring numbers, which often share
-/// a rack, are far from each other in the tree.
+/// A hash of the node id, so that nodes with neighbouring numbers, which often share a rack, are far from each other
+/// in the tree.
 fn hash(node: NodeId) -> u64 {
-    let mut z = u64::from(node.0).wrapping_add(0x9E37_79B9_7F4A_7C15);
-    z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
-    z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
-    z ^ (z >> 31)
+    split_mix::finalize(u64::from(node.0).wrapping_add(split_mix::GOLDEN_GAMMA))
 }
 
 /// All nodes in the order of the tree: the leader, the other voters, and everybody else, each by a hash of their
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -60,6 +60,7 @@
 mod replica;
 mod replica_state;
 mod replication;
+mod split_mix;
 mod state_transfer;
 mod store;
 mod timing;
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -16,6 +16,7 @@
 use crate::replica_state::{
     DoViewChangeVote, EpochBootstrap, LeaderState, LearnerPosition, PeerState, RecoveryState,
 };
+use crate::split_mix;
 use crate::state_transfer::StateTransfer;
 use crate::timing::{HEARTBEAT_INTERVAL, QUORUM_LOSS_TIMEOUT, VIEW_CHANGE_TIMEOUT};
 use crate::voter_set::VoterSet;
@@ -100,7 +101,7 @@
         let base = SnapshotBase { voter_set: voter_set.clone(), ..SnapshotBase::default() };
         Self {
             now,
-            rng_state: config.seed ^ 0x9E37_79B9_7F4A_7C15,
+            rng_state: config.seed ^ split_mix::GOLDEN_GAMMA,
             incarnation_counts: IncarnationCounts::new(),
             view: View::default(),
             last_normal_view: View::default(),
@@ -253,12 +254,8 @@
 
     /// A random number below `bound`.
     pub(crate) fn sample(&mut self, bound: u64) -> u64 {
-        // SplitMix64 (Steele, Lea, Flood 2014).
-        self.rng_state = self.rng_state.wrapping_add(0x9E37_79B9_7F4A_7C15);
-        let mut z = self.rng_state;
-        z = (z ^ (z >> 30)).wrapping_mul(0xBF58_476D_1CE4_E5B9);
-        z = (z ^ (z >> 27)).wrapping_mul(0x94D0_49BB_1331_11EB);
-        (z ^ (z >> 31)) % bound.max(1)
+        self.rng_state = self.rng_state.wrapping_add(split_mix::GOLDEN_GAMMA);
+        split_mix::finalize(self.rng_state) % bound.max(1)
     }
 
     /// A leader that no majority answers steps down.
