--- /dev/null
+++ b/crates/sessions/src/lost_owners.rs
@@ -0,0 +1,127 @@
+//! Which owners were lost lately, and for how long keys may matter that nobody left knows of. Times are in ms.
+
+use std::collections::{BTreeMap, BTreeSet};
+
+use hollowpaddle_peer_transport::NodeId;
+
+use crate::ids::{OwnerSlot, SessionId, Zone};
+use crate::ownership_table::OwnershipTable;
+
+/// The most old tables that are retained to know whose owner was lost. Beyond it every session is uncertain for the
+/// retention time.
+const MAX_OLD_TABLES: usize = 16;
+
+#[derive(Clone, Debug, PartialEq, Eq, Hash)]
+struct LostOwner {
+    lost_at: u64,
+    slot: OwnerSlot,
+    /// The version of the last table that had the slot.
+    version: u64,
+}
+
+/// The owners that were lost lately.
+#[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
+pub(crate) struct LostOwners {
+    lost: Vec<LostOwner>,
+    old_tables: BTreeMap<u64, OwnershipTable>,
+    /// When each of the old tables was replaced.
+    replaced_at: BTreeMap<u64, u64>,
+    /// What was lost before is not known; it matters until then.
+    pub all_uncertain_until: u64,
+}
+
+impl LostOwners {
+    /// Records the first table of this process, which knows neither what its previous incarnation knew nor what others
+    /// lost before.
+    pub fn record_first_table(
+        &mut self,
+        now: u64,
+        retention_ms: u64,
+        table: &OwnershipTable,
+        node_id: NodeId,
+    ) {
+        self.all_uncertain_until = now.saturating_add(retention_ms);
+        if let Some(slot) = table.slot(node_id) {
+            let previous = OwnerSlot { since: 0, ..*slot };
+            self.old_tables.insert(table.version, table.clone());
+            self.lost.push(LostOwner { lost_at: now, slot: previous, version: table.version });
+        }
+    }
+
+    /// Records that one table replaces another, and drops what is older than the retention time.
+    pub fn record_change(
+        &mut self,
+        now: u64,
+        retention_ms: u64,
+        old: &OwnershipTable,
+        new: &OwnershipTable,
+    ) {
+        let is_over = |at: u64| at.saturating_add(retention_ms) <= now;
+        self.lost.retain(|lost| !is_over(lost.lost_at));
+        let version = old.version;
+        let lost = old.slots().filter(|slot| !new.has(slot));
+        self.lost.extend(lost.map(|slot| LostOwner { lost_at: now, slot: *slot, version }));
+        // Retained even if nobody was lost: the owners of a session are looked up in all of these.
+        self.old_tables.insert(version, old.clone());
+        self.replaced_at.insert(version, now);
+        let used: BTreeSet<u64> = self.lost.iter().map(|lost| lost.version).collect();
+        let replaced_at = &self.replaced_at;
+        self.old_tables.retain(|version, _| {
+            used.contains(version) || replaced_at.get(version).is_some_and(|at| !is_over(*at))
+        });
+        while self.old_tables.len() > MAX_OLD_TABLES {
+            self.old_tables.pop_first();
+            self.all_uncertain_until =
+                self.all_uncertain_until.max(now.saturating_add(retention_ms));
+        }
+        let old_tables = &self.old_tables;
+        self.replaced_at.retain(|version, _| old_tables.contains_key(version));
+    }
+
+    /// Until when a key of this session may have been executed where nobody left knows of, because both its sender and
+    /// the owner that permitted it were lost; 0 if that is impossible.
+    pub fn uncertain_until(&self, session: SessionId, retention_ms: u64) -> u64 {
+        let mut until = self.all_uncertain_until;
+        if self.lost.is_empty() {
+            return until;
+        }
+        let owners = self.owners_in_old_tables(session);
+        for lost in &self.lost {
+            if owners.contains(&(lost.slot.zone, lost.slot.node)) {
+                until = until.max(self.uncertain_due_to(lost, retention_ms));
+            }
+        }
+        until
+    }
+
+    /// Until when that holds for any session: what a new owner has to be told.
+    pub fn max_uncertain_until(&self, retention_ms: u64) -> u64 {
+        let due_to_each = self.lost.iter().map(|lost| self.uncertain_due_to(lost, retention_ms));
+        due_to_each.fold(self.all_uncertain_until, u64::max)
+    }
+
+    fn owners_in_old_tables(&self, session: SessionId) -> BTreeSet<(Zone, NodeId)> {
+        let mut owners = BTreeSet::new();
+        for table in self.old_tables.values() {
+            for zone in table.zones() {
+                owners.extend(table.owner(session, zone).map(|owner| (zone, owner)));
+            }
+        }
+        owners
+    }
+
+    /// Until when it matters that this owner was lost: if another one of its zone was lost too, or there was no other.
+    fn uncertain_due_to(&self, owner: &LostOwner, retention_ms: u64) -> u64 {
+        let zone = owner.slot.zone;
+        let table = self.old_tables.get(&owner.version);
+        let is_alone = table.is_none_or(|table| table.in_zone(zone).len() < 2);
+        let mut until = if is_alone { owner.lost_at.saturating_add(retention_ms) } else { 0 };
+        for other in &self.lost {
+            if other.slot.zone == zone && other.slot != owner.slot {
+                let both_lost = other.lost_at.min(owner.lost_at);
+                until = until.max(both_lost.saturating_add(retention_ms));
+            }
+        }
+        until
+    }
+}
--- a/crates/sessions/src/message/formats.rs
+++ b/crates/sessions/src/message/formats.rs
@@ -1,8 +1,9 @@
 //! Pins the messages byte for byte. The expected bytes are data under `tests/formats/`, one case a line, never computed: a
 //! rename in the code must leave them as they are.
 
-use super::{KeyRecord, Message, RouteOutcome, SessionRecord, read, write};
-use crate::{Cell, Epoch, IdempotencyKey, SessionId};
+use super::{ClaimRequest, Message, RecordChunk, RouteOutcome, RouteRequest, decode, encode};
+use crate::ids::{Cell, Epoch, IdempotencyKey, SessionId};
+use crate::session_record::{KeyRecord, SessionRecord};
 
 /// The version of the ownership table in each case.
 const TABLE: u64 = 300;
@@ -24,43 +25,39 @@
 }
 
 fn cases() -> Vec<(&'static str, Message)> {
-    let (n, ask, session, key, epoch) = (1000, 1001, SESSION, KEY, Epoch(7 << 32));
-    let (stamp, at) = (1002, 128);
-    let answer = |outcome| Message::RouteResponse { n, outcome };
+    let (number, claim, session, key, epoch) = (1000, 1001, SESSION, KEY, Epoch(7 << 32));
+    let (started_at, offset) = (1002, 128);
+    let route =
+        |key, is_first| Message::RouteRequest(RouteRequest { number, session, key, is_first });
+    let response = |outcome| Message::RouteResponse { number, outcome };
+    let claim_request = |has_record| {
+        Message::ClaimRequest(ClaimRequest { claim, session, min_epoch: epoch, has_record })
+    };
+    let chunk = |records, uncertain_for| {
+        Message::RecordChunk(RecordChunk { started_at, offset, records, uncertain_for })
+    };
     let empty = || session_record(vec![]);
     let with_key = || session_record(vec![key_record()]);
     vec![
-        ("route_request", Message::RouteRequest { n, session, key: None, first: false }),
-        (
-            "route_request_first_with_key",
-            Message::RouteRequest { n, session, key: Some(key), first: true },
-        ),
-        ("route_to_pod", answer(RouteOutcome::Send { cell: Cell(302), epoch, copy: 500 })),
-        ("route_busy", answer(RouteOutcome::Busy { ms: 400 })),
-        ("route_full", answer(RouteOutcome::Full)),
-        ("attempt_not_run", Message::AttemptNotRun { n, session, key }),
-        ("replicate", Message::Replicate { n, session, note: key_record() }),
-        ("replicate_ack", Message::ReplicateAck { n }),
+        ("route_request", route(None, false)),
+        ("route_request_first_with_key", route(Some(key), true)),
+        ("route_to_pod", response(RouteOutcome::Permit { cell: Cell(302), epoch, cache_ms: 500 })),
+        ("route_busy", response(RouteOutcome::Wait { ms: 400 })),
+        ("route_full", response(RouteOutcome::Full)),
+        ("attempt_not_run", Message::AttemptNotRun { number, session, key }),
+        ("replicate", Message::Replicate { number, session, key: key_record() }),
+        ("replicate_ack", Message::ReplicateAck { number }),
         ("revoke", Message::Revoke { session, epoch }),
         ("revoke_ack", Message::RevokeAck { session, epoch }),
-        ("claim_request", Message::ClaimRequest { ask, session, floor: epoch, arrived: false }),
-        (
-            "claim_request_with_record",
-            Message::ClaimRequest { ask, session, floor: epoch, arrived: true },
-        ),
-        ("no_record", Message::NoRecord { ask, floor: Epoch(8 << 32), session_record: empty() }),
-        ("transfer", Message::Transfer { ask, session_record: with_key() }),
-        ("transfer_accepted", Message::TransferAck { session, epoch, taken: true }),
-        ("transfer_rejected", Message::TransferAck { session, epoch, taken: false }),
-        ("fetch_records", Message::FetchRecords { stamp, at }),
-        (
-            "record_chunk",
-            Message::RecordChunk { stamp, at, session_records: vec![with_key()], worst_in: None },
-        ),
-        (
-            "last_chunk",
-            Message::RecordChunk { stamp, at, session_records: vec![], worst_in: Some(11_000) },
-        ),
+        ("claim_request", claim_request(false)),
+        ("claim_request_with_record", claim_request(true)),
+        ("no_record", Message::NoRecord { claim, min_epoch: Epoch(8 << 32), record: empty() }),
+        ("transfer", Message::Transfer { claim, record: with_key() }),
+        ("transfer_accepted", Message::TransferAck { session, epoch, is_accepted: true }),
+        ("transfer_rejected", Message::TransferAck { session, epoch, is_accepted: false }),
+        ("fetch_records", Message::FetchRecords { started_at, offset }),
+        ("record_chunk", chunk(vec![with_key()], None)),
+        ("last_chunk", chunk(vec![], Some(11_000))),
     ]
 }
 
@@ -73,10 +70,11 @@
 fn messages_keep_their_bytes() {
     let data: Vec<&str> = include_str!("../../tests/formats/messages.txt").lines().collect();
     let hex = |bytes: Vec<u8>| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
-    let written = cases().into_iter().map(|(case, m)| format!("{case}: {}", hex(write(TABLE, &m))));
+    let written =
+        cases().into_iter().map(|(case, m)| format!("{case}: {}", hex(encode(TABLE, &m))));
     assert_eq!(written.collect::<Vec<_>>(), data);
     for (line, (case, message)) in data.into_iter().zip(cases()) {
         let (_, digits) = line.split_once(": ").expect("`case: hex`");
-        assert_eq!(read(&bytes_of(digits)), Ok((TABLE, message)), "{case}");
+        assert_eq!(decode(&bytes_of(digits)), Ok((TABLE, message)), "{case}");
     }
 }
--- a/crates/sessions/src/record_store.rs
+++ b/crates/sessions/src/record_store.rs
@@ -1,149 +1,170 @@
-//! The records of one balancer and the keys inside their windows: what is remembered, and what is forgotten
-//! first. Knows nothing of words or other balancers.
-//!
-//! Times are ticks of 10 ms in 32 bits: 497 days. They saturate, and a process as old as that gives no right
-//! to send a keyed request.
+//! The records of one balancer and the keys inside their windows, both bounded, and the order in which records are
+//! evicted. Knows nothing of messages or other balancers. Moments are in ms, stored times in ticks (see [`crate::time`]).
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use hollowpaddle_peer_transport::NodeId;
 
-use crate::message::{KeyRecord, SessionRecord};
-use crate::{Cell, Epoch, IdempotencyKey, SessionId};
+use crate::ids::{Cell, Epoch, IdempotencyKey, SessionId, UNKNOWN_CELL};
+use crate::session_record::{KeyRecord, MAX_SESSION_KEYS, SessionRecord};
+use crate::time::{ticks_to_ms, to_ticks, to_ticks_rounded_up};
 
-/// Keys of one van inside their windows. One that sends more in 13 s is no van, and would make words too
-/// long.
-pub(crate) const MAX_SESSION_KEYS: usize = 16;
-/// Records whose time has come that are looked at in one step: the rest waits for the next.
-const SWEPT: usize = 32;
+/// The most expired entries that one step drops; the others wait for the next step.
+pub(crate) const MAX_EXPIRED_PER_STEP: usize = 32;
 
-/// What a pod is called that nobody knows: no pod has this number, or one that has is never sent a keyed
-/// repeat.
-pub(crate) const UNKNOWN_CELL: Cell = Cell(u16::MAX);
-
-/// ms to ticks, not later than it was.
-pub(crate) fn tick(ms: u64) -> u32 {
-    u32::try_from(ms / 10).unwrap_or(u32::MAX)
-}
-
-/// ms to ticks, not earlier.
-pub(crate) fn tick_up(ms: u64) -> u32 {
-    u32::try_from(ms.div_ceil(10)).unwrap_or(u32::MAX)
-}
-
-/// Ticks to ms.
-pub(crate) fn ms(tick: u32) -> u64 {
-    u64::from(tick) * 10
-}
-
-/// Who a record belongs to.
+/// Who owns a record.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Ownership {
-    /// Somebody else, or nobody: what is here is what was known.
+    /// Another balancer or nobody: the record says what was known here.
     Tombstone,
-    /// This balancer, once all that it asked have answered.
+    /// This balancer, once all others that it asked have answered.
     Received,
     /// This balancer.
     Owned,
 }
 
-/// The order in which records are forgotten, first to last.
+/// The order in which records are evicted, first to last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum EvictionClass {
-    /// Of others: it only tells what they know.
+    /// Owned by another balancer, which knows as much.
     Tombstone,
-    /// Own, and says what the hash would.
+    /// Owned, with the cell that the hash chooses too.
     MatchesHash,
-    /// Own, and says something else.
+    /// Owned, with another cell.
     DiffersFromHash,
-    /// Something of it is inside a window. Never forgotten before that ends.
-    Busy,
+    /// Retained because something of it is inside a window.
+    InWindow,
+}
+
+/// The place of a record in the order of eviction.
+#[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
+struct EvictionRank {
+    class: EvictionClass,
+    /// The end of the window inside one, otherwise the last use.
+    ticks: u32,
+    session: SessionId,
 }
 
 /// One record: 32 bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Record {
     pub epoch: Epoch,
-    used: u32,
-    /// Up to when it must be kept.
-    free: u32,
-    /// Any key of this van may have run in any pod, up to then.
-    pub blind: u32,
+    last_used: u32,
+    retained_until: u32,
+    /// Until then any key of the session may have been executed in any cell.
+    pub uncertain_until: u32,
     pub cell: Cell,
-    pub state: Ownership,
+    pub ownership: Ownership,
     class: EvictionClass,
-    /// It says what the hash said when it was last used.
-    as_hash: bool,
+    /// Whether the cell was the one that the hash chooses, when the record was last used.
+    matches_hash: bool,
 }
 
 impl Record {
-    /// Whether something of it is inside a window.
-    pub fn is_held(&self, now: u64) -> bool {
-        self.free > tick(now)
+    /// The tombstone of a session of which nothing is known.
+    const EMPTY: Self = Self {
+        epoch: Epoch(0),
+        last_used: 0,
+        retained_until: 0,
+        uncertain_until: 0,
+        cell: UNKNOWN_CELL,
+        ownership: Ownership::Tombstone,
+        class: EvictionClass::Tombstone,
+        matches_hash: false,
+    };
+
+    /// Whether something of the record is inside a window.
+    pub fn is_in_window(&self, now: u64) -> bool {
+        self.retained_until > to_ticks(now)
     }
 
-    fn place(&self, session: SessionId) -> (EvictionClass, u32, SessionId) {
-        (self.class, if self.class == EvictionClass::Busy { self.free } else { self.used }, session)
+    fn rank(&self, session: SessionId) -> EvictionRank {
+        let is_in_window = self.class == EvictionClass::InWindow;
+        let ticks = if is_in_window { self.retained_until } else { self.last_used };
+        EvictionRank { class: self.class, ticks, session }
     }
 }
 
-/// A key that may have run: 16 bytes.
+/// A key that may have been executed: 16 bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct KeyEntry {
-    /// No right to send it was given before.
-    pub first: u32,
-    /// From then on it is as if it had never been.
-    pub free: u32,
-    /// The one asking that got the only right to send it; 0: there were several, or nobody knows.
-    pub ask: u32,
-    /// Whose asking that was.
-    pub by: NodeId,
-    /// Where.
+    /// No permit to send it was granted before.
+    pub first_permit_at: u32,
+    /// From then on it is as if it had never been sent.
+    pub expires_at: u32,
+    /// The number of the only request that was permitted to send it; 0 if there were several, or it is not known.
+    pub request: u32,
+    /// The balancer whose request that was.
+    pub requester: NodeId,
+    /// The cell that it was sent to.
     pub cell: Cell,
 }
 
 impl KeyEntry {
-    /// The cautious side of two: both may be so.
+    /// Merges what another entry knows of the key: what either says may be so.
     pub fn merge(&mut self, other: KeyEntry) {
         if self.cell != other.cell {
             self.cell = UNKNOWN_CELL;
         }
-        self.first = self.first.min(other.first);
-        self.free = self.free.max(other.free);
-        if (self.by, self.ask) != (other.by, other.ask) {
-            self.ask = 0;
+        self.first_permit_at = self.first_permit_at.min(other.first_permit_at);
+        self.expires_at = self.expires_at.max(other.expires_at);
+        if (self.requester, self.request) != (other.requester, other.request) {
+            self.request = 0;
+        }
+    }
+
+    /// Whether its window has ended.
+    pub fn has_expired(&self, now: u64) -> bool {
+        self.expires_at <= to_ticks(now)
+    }
+
+    /// The entry as messages carry it.
+    pub fn to_record(self, key: IdempotencyKey, now: u64) -> KeyRecord {
+        KeyRecord {
+            key,
+            cell: self.cell,
+            first_permit_ago: now.saturating_sub(ticks_to_ms(self.first_permit_at)),
+            expires_in: ticks_to_ms(self.expires_at).saturating_sub(now),
         }
     }
 }
 
-/// There is no room for another: all that there are must be kept.
+/// There is no room for another record or key: everything that is stored has to be retained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) struct Full;
+pub(crate) struct StoreFull;
 
 /// Records and keys.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct RecordStore {
     records: BTreeMap<SessionId, Record>,
-    order: BTreeSet<(EvictionClass, u32, SessionId)>,
+    eviction_order: BTreeSet<EvictionRank>,
     keys: BTreeMap<(SessionId, IdempotencyKey), KeyEntry>,
-    most: usize,
-    most_keys: usize,
-    /// The highest epoch of all that were forgotten.
-    pub floor: Epoch,
+    max_records: usize,
+    max_keys: usize,
+    /// The highest epoch of all evicted records.
+    pub evicted_epoch: Epoch,
+    /// How many records were evicted.
     pub evicted: u64,
 }
 
 impl RecordStore {
-    pub fn new(most: usize, most_keys: usize) -> Self {
-        let (records, order, keys) = (BTreeMap::new(), BTreeSet::new(), BTreeMap::new());
-        Self { records, order, keys, most, most_keys, floor: Epoch::default(), evicted: 0 }
+    pub fn new(max_records: usize, max_keys: usize) -> Self {
+        Self {
+            records: BTreeMap::new(),
+            eviction_order: BTreeSet::new(),
+            keys: BTreeMap::new(),
+            max_records,
+            max_keys,
+            evicted_epoch: Epoch::default(),
+            evicted: 0,
+        }
     }
 
     pub fn len(&self) -> usize {
         self.records.len()
     }
 
-    pub fn keys_len(&self) -> usize {
+    pub fn key_count(&self) -> usize {
         self.keys.len()
     }
 
@@ -151,289 +172,235 @@
         self.records.get(&session)
     }
 
+    /// The epoch of a session's record; the lowest one if there is no record.
+    pub fn epoch(&self, session: SessionId) -> Epoch {
+        self.get(session).map_or(Epoch::default(), |record| record.epoch)
+    }
+
+    /// Whether this balancer owns the session's record.
+    pub fn is_owned(&self, session: SessionId) -> bool {
+        self.get(session).is_some_and(|record| record.ownership == Ownership::Owned)
+    }
+
+    /// All records, in the order of their sessions.
     pub fn iter(&self) -> impl Iterator<Item = (SessionId, &Record)> + '_ {
-        self.records.iter().map(|(session, r)| (*session, r))
+        self.records.iter().map(|(session, record)| (*session, record))
     }
 
-    pub fn note(&self, session: SessionId, key: IdempotencyKey) -> Option<&KeyEntry> {
+    pub fn key(&self, session: SessionId, key: IdempotencyKey) -> Option<&KeyEntry> {
         self.keys.get(&(session, key))
     }
 
-    /// Those of one van.
-    pub fn notes(
-        &self,
-        session: SessionId,
-    ) -> impl Iterator<Item = (IdempotencyKey, &KeyEntry)> + '_ {
-        self.keys
-            .range((session, IdempotencyKey(0))..=(session, IdempotencyKey(u64::MAX)))
-            .map(|((_, key), note)| (*key, note))
+    /// The keys of one session.
+    pub fn keys(&self, session: SessionId) -> impl Iterator<Item = (IdempotencyKey, &KeyEntry)> {
+        let range = (session, IdempotencyKey::MIN)..=(session, IdempotencyKey::MAX);
+        self.keys.range(range).map(|((_, key), entry)| (*key, entry))
     }
 
-    /// Changes a record, which is made if it isn't there, and puts it where it belongs in the order. `hash`:
-    /// what the hash says now, if that was looked at.
-    pub fn change(
+    /// Updates a record, which is created if there is none. `hash_cell` is the cell that the hash chooses now, if the
+    /// caller has looked at that.
+    pub fn update(
         &mut self,
         now: u64,
         session: SessionId,
-        hash: Option<Cell>,
-        with: impl FnOnce(&mut Record),
-    ) -> Result<(), Full> {
+        hash_cell: Option<Cell>,
+        update: impl FnOnce(&mut Record),
+    ) -> Result<(), StoreFull> {
         let mut record = match self.records.get(&session) {
             Some(record) => *record,
             None => {
                 self.make_room(now)?;
-                let (epoch, cell, state) = (Epoch::default(), UNKNOWN_CELL, Ownership::Tombstone);
-                Record {
-                    epoch,
-                    used: 0,
-                    free: 0,
-                    blind: 0,
-                    cell,
-                    state,
-                    class: EvictionClass::Tombstone,
-                    as_hash: false,
-                }
+                Record::EMPTY
             }
         };
-        self.order.remove(&record.place(session));
-        with(&mut record);
-        record.used = tick(now);
-        record.free = record.free.max(record.blind);
-        if hash.is_some() {
-            record.as_hash = hash == Some(record.cell);
+        self.eviction_order.remove(&record.rank(session));
+        update(&mut record);
+        record.last_used = to_ticks(now);
+        record.retained_until = record.retained_until.max(record.uncertain_until);
+        if hash_cell.is_some() {
+            record.matches_hash = hash_cell == Some(record.cell);
         }
-        self.put(now, session, record);
+        self.insert(now, session, record);
         Ok(())
     }
 
-    /// Keeps a record at least until then, in ms.
-    pub fn hold(&mut self, now: u64, session: SessionId, until: u64) {
+    /// Retains a record, if there is one, at least until this moment.
+    pub fn retain_until(&mut self, now: u64, session: SessionId, until: u64) {
         if self.records.contains_key(&session) {
-            // It is there, so there is room for it.
-            let _ = self.change(now, session, None, |r| r.free = r.free.max(tick_up(until)));
+            let until = to_ticks_rounded_up(until);
+            // The record exists, so there is room for it.
+            let _ = self.update(now, session, None, |record| {
+                record.retained_until = record.retained_until.max(until);
+            });
         }
     }
 
-    fn put(&mut self, now: u64, session: SessionId, mut record: Record) {
-        record.class = match record.state {
-            _ if record.free > tick(now) => EvictionClass::Busy,
+    fn insert(&mut self, now: u64, session: SessionId, mut record: Record) {
+        record.class = match record.ownership {
+            _ if record.is_in_window(now) => EvictionClass::InWindow,
             Ownership::Tombstone => EvictionClass::Tombstone,
-            _ if record.as_hash => EvictionClass::MatchesHash,
+            _ if record.matches_hash => EvictionClass::MatchesHash,
             _ => EvictionClass::DiffersFromHash,
         };
-        self.order.insert(record.place(session));
+        self.eviction_order.insert(record.rank(session));
         self.records.insert(session, record);
     }
 
-    /// Notes that a key may have run. [`Full`]: it must not be sent.
-    pub fn add_note(
+    /// Adds a key that may be executed from now on. If the store is full, the key must not be sent.
+    pub fn add_key(
         &mut self,
         now: u64,
         session: SessionId,
         key: IdempotencyKey,
-        note: KeyEntry,
-    ) -> Result<(), Full> {
-        if let Some(old) = self.keys.get_mut(&(session, key)).filter(|n| n.free > tick(now)) {
-            old.merge(note);
+        entry: KeyEntry,
+    ) -> Result<(), StoreFull> {
+        let old = self.keys.get_mut(&(session, key)).filter(|old| !old.has_expired(now));
+        if let Some(old) = old {
+            old.merge(entry);
         } else {
-            if self.keys.len() >= self.most_keys {
-                self.sweep(now);
+            if self.keys.len() >= self.max_keys {
+                self.drop_expired(now);
             }
-            let of_one = self.notes(session).filter(|(_, n)| n.free > tick(now)).count();
-            if self.keys.len() >= self.most_keys || of_one >= MAX_SESSION_KEYS {
-                return Err(Full);
+            let of_session = self.keys(session).filter(|(_, entry)| !entry.has_expired(now));
+            if self.keys.len() >= self.max_keys || of_session.count() >= MAX_SESSION_KEYS {
+                return Err(StoreFull);
             }
-            self.keys.insert((session, key), note);
+            self.keys.insert((session, key), entry);
         }
-        self.hold(now, session, ms(note.free));
+        self.retain_until(now, session, ticks_to_ms(entry.expires_at));
         Ok(())
     }
 
-    /// The one who alone had the right to send it says that it did not run.
-    pub fn unran(&mut self, session: SessionId, key: IdempotencyKey, by: NodeId, ask: u32) {
-        if self.note(session, key).is_some_and(|n| ask != 0 && (n.by, n.ask) == (by, ask)) {
+    /// Removes a key that was not executed, if `requester` alone was permitted to send it.
+    pub fn remove_not_run(
+        &mut self,
+        session: SessionId,
+        key: IdempotencyKey,
+        requester: NodeId,
+        request: u32,
+    ) {
+        let is_sole_permit = |entry: &KeyEntry| {
+            request != 0 && (entry.requester, entry.request) == (requester, request)
+        };
+        if self.key(session, key).is_some_and(is_sole_permit) {
             self.keys.remove(&(session, key));
         }
     }
 
-    /// A note that stays is changed.
-    pub fn renew(
+    /// Extends the window of a key, and sets the only request that is permitted to send it.
+    pub fn extend_key(
         &mut self,
         now: u64,
         session: SessionId,
         key: IdempotencyKey,
-        free: u32,
-        ask: u32,
+        expires_at: u32,
+        request: u32,
     ) {
-        if let Some(note) = self.keys.get_mut(&(session, key)) {
-            note.free = note.free.max(free);
-            note.ask = ask;
-            self.hold(now, session, ms(free));
+        if let Some(entry) = self.keys.get_mut(&(session, key)) {
+            entry.expires_at = entry.expires_at.max(expires_at);
+            entry.request = request;
+            self.retain_until(now, session, ticks_to_ms(expires_at));
         }
     }
 
-    /// Drops keys whose windows have ended; a few at a time.
-    pub fn sweep(&mut self, now: u64) {
-        for _ in 0..SWEPT {
-            let from = (EvictionClass::Busy, 0, SessionId(0));
-            let Some((_, free, session)) = self.order.range(from..).next().copied() else { return };
-            if free > tick(now) {
+    /// Drops keys whose windows have ended, of [`MAX_EXPIRED_PER_STEP`] records at most.
+    pub fn drop_expired(&mut self, now: u64) {
+        let first =
+            EvictionRank { class: EvictionClass::InWindow, ticks: 0, session: SessionId(0) };
+        for _ in 0..MAX_EXPIRED_PER_STEP {
+            let Some(rank) = self.eviction_order.range(first..).next().copied() else { return };
+            if rank.ticks > to_ticks(now) {
                 return;
             }
-            let over: Vec<IdempotencyKey> = self
-                .notes(session)
-                .filter(|(_, n)| n.free <= tick(now))
-                .map(|(key, _)| key)
-                .collect();
-            for key in over {
-                self.keys.remove(&(session, key));
-            }
-            self.order.remove(&(EvictionClass::Busy, free, session));
-            if let Some(record) = self.records.get(&session).copied() {
-                self.put(now, session, record);
+            self.drop_expired_keys(now, rank.session);
+            self.eviction_order.remove(&rank);
+            if let Some(record) = self.records.get(&rank.session).copied() {
+                self.insert(now, rank.session, record);
             }
         }
     }
 
-    fn make_room(&mut self, now: u64) -> Result<(), Full> {
-        if self.records.len() < self.most {
+    fn drop_expired_keys(&mut self, now: u64, session: SessionId) {
+        let expired = self.keys(session).filter(|(_, entry)| entry.has_expired(now));
+        let expired: Vec<IdempotencyKey> = expired.map(|(key, _)| key).collect();
+        for key in expired {
+            self.keys.remove(&(session, key));
+        }
+    }
+
+    fn make_room(&mut self, now: u64) -> Result<(), StoreFull> {
+        if self.records.len() < self.max_records {
             return Ok(());
         }
-        self.sweep(now);
-        let Some((class, _, session)) = self.order.first().copied() else { return Err(Full) };
-        if class == EvictionClass::Busy {
-            return Err(Full);
+        self.drop_expired(now);
+        let Some(first) = self.eviction_order.first().copied() else { return Err(StoreFull) };
+        if first.class == EvictionClass::InWindow {
+            return Err(StoreFull);
         }
-        self.order.pop_first();
-        if let Some(record) = self.records.remove(&session) {
-            self.floor = self.floor.max(record.epoch);
+        self.eviction_order.pop_first();
+        if let Some(record) = self.records.remove(&first.session) {
+            self.evicted_epoch = self.evicted_epoch.max(record.epoch);
         }
         self.evicted += 1;
         Ok(())
     }
 
-    /// All that is known of a van, for another balancer.
-    pub fn session_record(&self, now: u64, session: SessionId) -> SessionRecord {
-        let record = self.records.get(&session);
-        let left = |until: u32| ms(until).saturating_sub(now);
-        let message = |(key, note): (IdempotencyKey, &KeyEntry)| KeyRecord {
-            key,
-            cell: note.cell,
-            first_permit_ago: now.saturating_sub(ms(note.first)),
-            expires_in: left(note.free),
+    /// Exports all that is known of a session, for another balancer.
+    pub fn export(&self, now: u64, session: SessionId) -> SessionRecord {
+        let keys = self.keys(session).map(|(key, entry)| entry.to_record(key, now));
+        let keys = keys.filter(|key| key.expires_in > 0).collect();
+        let Some(record) = self.records.get(&session) else {
+            return SessionRecord { keys, ..SessionRecord::empty(session) };
         };
         SessionRecord {
             session,
-            epoch: record.map_or(Epoch::default(), |r| r.epoch),
-            cell: record.map_or(UNKNOWN_CELL, |r| r.cell),
-            uncertain_for: record.map_or(0, |r| left(r.blind)),
-            keys: self.notes(session).filter(|(_, n)| left(n.free) > 0).map(message).collect(),
+            epoch: record.epoch,
+            cell: record.cell,
+            uncertain_for: ticks_to_ms(record.uncertain_until).saturating_sub(now),
+            keys,
         }
     }
 
-    /// Takes in what another said, which was asked at `base` (ms; 0 if nobody knows): its times are from then
-    /// on. Keys that have no room make the van blind for as long.
-    pub fn learn(
+    /// Imports what another balancer reported when it was asked at `asked_at`: its times count from then on. 0 stands for
+    /// a moment that is not known. As long as keys matter for which there is no room, the session is uncertain.
+    pub fn import(
         &mut self,
         now: u64,
-        base: u64,
-        hash: Option<Cell>,
-        session_record: &SessionRecord,
-    ) -> Result<(), Full> {
-        let session = session_record.session;
-        let mut blind = now.saturating_add(session_record.uncertain_for);
-        self.change(now, session, hash, |r| {
-            if session_record.epoch > r.epoch
-                || (r.cell == UNKNOWN_CELL && session_record.cell != UNKNOWN_CELL)
-            {
-                r.cell = session_record.cell;
+        asked_at: u64,
+        hash_cell: Option<Cell>,
+        imported: &SessionRecord,
+    ) -> Result<(), StoreFull> {
+        let session = imported.session;
+        let mut uncertain_until = now.saturating_add(imported.uncertain_for);
+        self.update(now, session, hash_cell, |record| {
+            let is_only_cell = record.cell == UNKNOWN_CELL && imported.cell != UNKNOWN_CELL;
+            if imported.epoch > record.epoch || is_only_cell {
+                record.cell = imported.cell;
             }
-            r.epoch = r.epoch.max(session_record.epoch);
+            record.epoch = record.epoch.max(imported.epoch);
         })?;
-        for message in session_record.keys.iter().filter(|k| k.expires_in > 0) {
-            let free = now.saturating_add(message.expires_in);
-            let first = tick(base.saturating_sub(message.first_permit_ago));
-            let note =
-                KeyEntry { first, free: tick_up(free), ask: 0, by: NodeId(0), cell: message.cell };
-            if self.add_note(now, session, message.key, note).is_err() {
-                blind = blind.max(free);
+        for key in imported.keys.iter().filter(|key| key.expires_in > 0) {
+            let expires_at = now.saturating_add(key.expires_in);
+            let entry = KeyEntry {
+                first_permit_at: to_ticks(asked_at.saturating_sub(key.first_permit_ago)),
+                expires_at: to_ticks_rounded_up(expires_at),
+                request: 0,
+                requester: NodeId(0),
+                cell: key.cell,
+            };
+            if self.add_key(now, session, key.key, entry).is_err() {
+                uncertain_until = uncertain_until.max(expires_at);
             }
         }
-        if blind > now {
-            self.change(now, session, hash, |r| r.blind = r.blind.max(tick_up(blind)))?;
+        if uncertain_until > now {
+            let ticks = to_ticks_rounded_up(uncertain_until);
+            self.update(now, session, hash_cell, |record| {
+                record.uncertain_until = record.uncertain_until.max(ticks);
+            })?;
         }
         Ok(())
     }
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-
-    fn note(free: u64) -> KeyEntry {
-        KeyEntry { first: 0, free: tick_up(free), ask: 1, by: NodeId(1), cell: Cell(1) }
-    }
-
-    #[test]
-    fn records_are_forgotten_in_the_stated_order_and_never_inside_a_window() {
-        let mut store = RecordStore::new(5, 5);
-        let put = |store: &mut RecordStore, now, session, state, cell, hash| {
-            store.change(now, SessionId(session), Some(Cell(hash)), |r| {
-                (r.state, r.cell) = (state, Cell(cell))
-            })
-        };
-        // Used in this order: a key, one that says what the hash would, two tombs, one that says something
-        // else.
-        put(&mut store, 10, 1, Ownership::Owned, 1, 1).expect("room");
-        store.add_note(10, SessionId(1), IdempotencyKey(1), note(1000)).expect("room");
-        put(&mut store, 20, 2, Ownership::Owned, 1, 1).expect("room");
-        put(&mut store, 30, 3, Ownership::Owned, 1, 2).expect("room");
-        put(&mut store, 40, 4, Ownership::Tombstone, 1, 1).expect("room");
-        put(&mut store, 50, 5, Ownership::Tombstone, 1, 1).expect("room");
-        let mut gone = Vec::new();
-        for session in 10..14 {
-            let before: BTreeSet<SessionId> = store.records.keys().copied().collect();
-            put(&mut store, 100, session, Ownership::Owned, 1, 2).expect("room");
-            // What is put must stay for the next, too: it is kept by a window.
-            store.hold(100, SessionId(session), 2000);
-            gone.extend(before.into_iter().filter(|s| store.get(*s).is_none()));
-        }
-        assert_eq!(
-            gone,
-            [SessionId(4), SessionId(5), SessionId(2), SessionId(3)],
-            "tombs, as the hash, others; oldest use first"
-        );
-        assert_eq!(
-            put(&mut store, 500, 20, Ownership::Owned, 1, 1),
-            Err(Full),
-            "all are inside a window"
-        );
-        assert!(store.note(SessionId(1), IdempotencyKey(1)).is_some());
-        put(&mut store, 1000, 20, Ownership::Owned, 1, 1)
-            .expect("the window of the first has ended");
-        assert_eq!((store.get(SessionId(1)), store.keys_len()), (None, 0));
-    }
-
-    #[test]
-    fn keys_are_bounded_in_all_and_of_one_van() {
-        let mut store = RecordStore::new(100, 20);
-        for session in [1, 2] {
-            store.change(0, SessionId(session), None, |_| ()).expect("room");
-        }
-        let fill = |store: &mut RecordStore, session, n| {
-            (0..n)
-                .map(|k| store.add_note(0, SessionId(session), IdempotencyKey(k), note(500)))
-                .collect::<Vec<_>>()
-        };
-        let first = fill(&mut store, 1, MAX_SESSION_KEYS as u64 + 1);
-        assert!(
-            first[..MAX_SESSION_KEYS].iter().all(Result::is_ok) && first[MAX_SESSION_KEYS].is_err()
-        );
-        let second = fill(&mut store, 2, 5);
-        assert!(second[..4].iter().all(Result::is_ok) && second[4].is_err());
-        assert!(
-            store.add_note(500, SessionId(2), IdempotencyKey(9), note(900)).is_ok(),
-            "their windows have ended"
-        );
-    }
-}
+mod tests;
--- a/crates/sessions/src/routing_client.rs
+++ b/crates/sessions/src/routing_client.rs
@@ -1,500 +1,319 @@
-//! Requests of one balancer: who is asked where they go, how long, and what is done without an answer. Also
-//! what this balancer itself sent, which it can tell when a home is lost.
+//! Routes the requests of this balancer: by a record at hand, by the owner's answer, or by hash when there is none in
+//! time. What the owner answers is decided in [`ownership`](crate::ownership).
 
 use hollowpaddle_peer_transport::NodeId;
 
-use crate::machine::{MINE, Out, PERMIT_MS, Sessions, Timer, millis, outside};
-use crate::message::{KeyRecord, Message, RouteOutcome};
-use crate::record_store::{KeyEntry, Ownership, ms, tick, tick_up};
-use crate::{
-    Action, Cell, Epoch, ExecutionStatus, Idempotency, IdempotencyKey, RoutingDecision,
-    RoutingFailure, SessionId,
-};
+use crate::config::PERMIT_MS;
+use crate::ids::{Epoch, SessionId};
+use crate::interface::{Action, ExecutionStatus, RoutingDecision, RoutingFailure};
+use crate::message::{Message, RouteOutcome, RouteRequest};
+use crate::record_cache::CachedRecord;
+use crate::record_store::KeyEntry;
+use crate::requests::{PendingRequest, Request, Route, RoutedRequest};
+use crate::state::{Context, Sessions, Timer};
+use crate::time::{to_duration, to_millis, to_ticks, to_ticks_rounded_up};
 
-/// Requests that wait for a record at most. Beyond, they are placed at once as if nobody had answered.
-const PENDING: usize = 4_096;
-/// Placed requests that are not over, at most. Of those beyond nobody hears any more that they did not run.
-const PLACED: usize = 16_384;
-/// Copies at most.
-const COPIES: usize = 8_192;
-/// An asking is repeated after so long, in ms: four times within a wait, since datagrams are lost.
-const ASK_AGAIN: u64 = 6;
+/// A route request is repeated after this time, in ms: several times within the longest wait, since datagrams are lost.
+const REQUEST_RETRY_MS: u64 = 6;
 
-/// A request that waits.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Pending {
-    id: u64,
-    session: SessionId,
-    idempotency: Idempotency,
-    first: bool,
-    deadline: u64,
-    asked: u64,
-    give_up: u64,
-    /// For a window's end.
-    rests: bool,
-    tries: usize,
-    /// Allowed by this balancer itself, once a witness knows.
-    allowed: Option<(Cell, Epoch)>,
-}
-
-impl Pending {
-    /// Another table is in force: what was allowed under the old one is asked about anew.
-    pub(crate) fn ask_anew(&mut self) {
-        self.allowed = None;
-    }
-}
-
-/// A request that was placed by a record.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Placed {
-    session: SessionId,
-    key: Option<IdempotencyKey>,
-    n: u32,
-    until: u64,
-}
-
-/// Another's record, as long as it was lent.
-#[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct Copied {
-    cell: Cell,
-    epoch: Epoch,
-    until: u64,
+/// A span of another balancer's clock has not passed within this span of the own clock, which may be faster by 1 in 100.
+fn drift_lower_bound(ms: u64) -> u64 {
+    ms - ms / 100
 }
 
 impl Sessions {
-    #[allow(clippy::too_many_arguments)] // The fields of one event.
-    pub(crate) fn request(
-        &mut self,
-        now: u64,
-        id: u64,
-        session: SessionId,
-        idempotency: Idempotency,
-        first: bool,
-        deadline: u64,
-        out: &mut Out,
-    ) {
-        let keyed = matches!(idempotency, Idempotency::Keyed(_));
+    /// Routes a request, or asks its owner where it goes.
+    pub(crate) fn on_request(&mut self, request: Request, ctx: &mut Context) {
+        let is_keyed = request.key().is_some();
         if self.cells.is_empty() {
-            return self.place(id, RoutingDecision::Reject(RoutingFailure::NoCell), out);
+            return self.decide(request.id, RoutingDecision::Reject(RoutingFailure::NoCell), ctx);
         }
-        if !self.seated(now) {
-            return if keyed {
-                self.place(id, RoutingDecision::Reject(RoutingFailure::NoSlot), out);
+        if !self.holds_slot(ctx.now) {
+            return if is_keyed {
+                self.decide(request.id, RoutingDecision::Reject(RoutingFailure::NoSlot), ctx);
             } else {
-                self.by_hash(now, id, session, deadline, out);
+                self.route_by_hash(&request, ctx);
             };
         }
-        if let Some((cell, epoch, until)) = self.at_hand(now, session).filter(|_| !keyed) {
-            let n = self.number();
-            return self.go(id, Placed { session, key: None, n, until }, cell, epoch, out);
-        }
-        let left = deadline.saturating_sub(now) / u64::from(self.config.wait_part.max(1));
-        let wait = left.min(millis(self.config.wait));
-        let (n, give_up) = (self.number(), now.saturating_add(wait));
-        let pending = Pending {
-            id,
-            session,
-            idempotency,
-            first,
-            deadline,
-            asked: now,
-            give_up,
-            rests: false,
-            tries: 0,
-            allowed: None,
-        };
-        if wait == 0 || self.pending.len() >= PENDING {
-            return self.without_record(now, &pending, out);
+        let usable = self.usable_record(ctx.now, request.session).filter(|_| !is_keyed);
+        if let Some((route, until)) = usable {
+            let number = self.next_number();
+            let routed = RoutedRequest { session: request.session, key: None, number, until };
+            return self.route_by_record(request.id, routed, route, ctx);
         }
-        self.pending.insert(n, pending);
-        self.asking.insert((session, n));
-        self.ask_again(now, n, out);
+        self.start_pending(request, ctx);
     }
 
-    /// Asks, or goes on without an answer.
-    pub(crate) fn ask_again(&mut self, now: u64, n: u32, out: &mut Out) {
-        let Some(mut pending) = self.pending.get(&n).cloned() else { return };
-        if pending.rests {
-            // The window has ended; this is another asking.
-            self.forget(n);
-            pending.rests = false;
-            let Pending { id, session, idempotency, first, deadline, .. } = pending;
-            return self.request(now, id, session, idempotency, first, deadline, out);
-        }
-        if now >= pending.give_up || !self.seated(now) {
-            self.forget(n);
-            return self.without_record(now, &pending, out);
-        }
-        let session = pending.session;
-        if pending.allowed.is_some() {
-            self.tell_witness(now, n, &pending, out);
-        } else if let Some(home) = self.own_home(session) {
-            let key =
-                if let Idempotency::Keyed(key) = pending.idempotency { Some(key) } else { None };
-            self.send(home, Message::RouteRequest { n, session, key, first: pending.first }, out);
-        }
-        if let Some(pending) = self.pending.get_mut(&n) {
-            pending.tries += 1;
+    fn start_pending(&mut self, request: Request, ctx: &mut Context) {
+        let remaining = request.deadline.saturating_sub(ctx.now);
+        let share = remaining / u64::from(self.config.wait_divisor.max(1));
+        let wait = share.min(to_millis(self.config.max_wait));
+        let number = self.next_number();
+        let pending = PendingRequest {
+            request,
+            asked_at: ctx.now,
+            give_up_at: ctx.now.saturating_add(wait),
+            waits_for_window: false,
+            attempts: 0,
+            permitted: None,
+        };
+        if wait == 0 || self.pending.is_full() {
+            return self.route_without_record(&request, ctx);
         }
-        self.at(now.saturating_add(ASK_AGAIN).min(pending.give_up), Timer::RouteRequest(n));
+        self.pending.insert(number, pending);
+        self.retry_request(number, ctx);
     }
 
-    fn forget(&mut self, n: u32) -> Option<Pending> {
-        let pending = self.pending.remove(&n)?;
-        self.asking.remove(&(pending.session, n));
-        Some(pending)
+    /// Asks the owner or a replica again, or routes the request without a record once its wait is over.
+    pub(crate) fn retry_request(&mut self, number: u32, ctx: &mut Context) {
+        let Some(pending) = self.pending.get(number).cloned() else { return };
+        let request = pending.request;
+        if pending.waits_for_window {
+            // The window has ended; the request starts over.
+            self.pending.remove(number);
+            return self.on_request(request, ctx);
+        }
+        if ctx.now >= pending.give_up_at || !self.holds_slot(ctx.now) {
+            self.pending.remove(number);
+            return self.route_without_record(&request, ctx);
+        }
+        if pending.permitted.is_some() {
+            self.replicate_key(number, &pending, ctx);
+        } else if let Some(owner) = self.owner_in_zone(request.session) {
+            let message = Message::RouteRequest(RouteRequest {
+                number,
+                session: request.session,
+                key: request.key(),
+                is_first: request.is_first,
+            });
+            self.send(owner, message, ctx);
+        }
+        if let Some(pending) = self.pending.get_mut(number) {
+            pending.attempts += 1;
+        }
+        let retry_at = ctx.now.saturating_add(REQUEST_RETRY_MS).min(pending.give_up_at);
+        self.timers.set(retry_at, Timer::Request(number));
     }
 
-    /// Nobody said in time where it goes. A keyed one may have run somewhere, so it goes nowhere; others go
-    /// by the hash.
-    fn without_record(&mut self, now: u64, pending: &Pending, out: &mut Out) {
-        if matches!(pending.idempotency, Idempotency::Keyed(_)) {
-            return self.place(pending.id, RoutingDecision::Reject(RoutingFailure::NoRecord), out);
-        }
-        self.by_hash(now, pending.id, pending.session, pending.deadline, out);
+    /// Routes a request that the owner did not answer in time. A keyed one may have been executed somewhere, so it is
+    /// rejected; others go by hash.
+    fn route_without_record(&mut self, request: &Request, ctx: &mut Context) {
+        if request.key().is_some() {
+            let rejection = RoutingDecision::Reject(RoutingFailure::NoRecord);
+            return self.decide(request.id, rejection, ctx);
+        }
+        self.route_by_hash(request, ctx);
     }
 
-    fn by_hash(&mut self, now: u64, id: u64, session: SessionId, deadline: u64, out: &mut Out) {
-        // What was last heard of the van is the better guess: its state may be there.
-        let heard = self.store.get(session).map(|r| r.cell).filter(|p| self.usable(*p));
-        let decision = match heard.or_else(|| self.hash(session)) {
+    fn route_by_hash(&mut self, request: &Request, ctx: &mut Context) {
+        // A record that is not owned is still a better guess: the session's state may be in its cell.
+        let recorded = self.store.get(request.session).map(|record| record.cell);
+        let recorded = recorded.filter(|cell| self.is_in_force(*cell));
+        let decision = match recorded.or_else(|| self.hash_cell(request.session)) {
             Some(cell) => {
-                let until = outside(deadline.max(now));
+                let until = to_duration(request.deadline.max(ctx.now));
                 RoutingDecision::Send { cell, epoch: None, until }
             }
             None => RoutingDecision::Reject(RoutingFailure::NoCell),
         };
-        self.place(id, decision, out);
+        self.decide(request.id, decision, ctx);
     }
 
-    fn place(&mut self, id: u64, decision: RoutingDecision, out: &mut Out) {
-        match decision {
-            RoutingDecision::Send { epoch: Some(_), .. } => self.counts.by_record += 1,
-            RoutingDecision::Send { .. } => self.counts.by_hash += 1,
-            RoutingDecision::Reject(_) => self.counts.refused += 1,
-            RoutingDecision::Fail(_) => self.counts.failed += 1,
-        }
-        out.actions.push(Action::Route { id, decision });
-    }
-
-    fn go(&mut self, id: u64, placed: Placed, cell: Cell, epoch: Epoch, out: &mut Out) {
-        let until = outside(placed.until);
-        self.placing.insert((placed.session, id));
-        self.placed.insert(id, placed);
-        if self.placed.len() > PLACED
-            && let Some((id, old)) = self.placed.pop_first()
-        {
-            self.placing.remove(&(old.session, id));
-        }
-        self.place(id, RoutingDecision::Send { cell, epoch: Some(epoch), until }, out);
+    fn route_by_record(&mut self, id: u64, routed: RoutedRequest, route: Route, ctx: &mut Context) {
+        let until = to_duration(routed.until);
+        self.routed.insert(id, routed);
+        let Route { cell, epoch } = route;
+        self.decide(id, RoutingDecision::Send { cell, epoch: Some(epoch), until }, ctx);
     }
 
-    /// A record or copy that can be used now, and up to when.
-    pub(crate) fn at_hand(&self, now: u64, session: SessionId) -> Option<(Cell, Epoch, u64)> {
-        if !self.seated(now) {
-            return None;
+    fn decide(&mut self, id: u64, decision: RoutingDecision, ctx: &mut Context) {
+        match decision {
+            RoutingDecision::Send { epoch: Some(_), .. } => self.metrics.by_record += 1,
+            RoutingDecision::Send { .. } => self.metrics.by_hash += 1,
+            RoutingDecision::Reject(_) => self.metrics.rejected += 1,
+            RoutingDecision::Fail(_) => self.metrics.failed += 1,
         }
-        let own = self.store.get(session).filter(|r| r.state == Ownership::Owned);
-        let own = own.filter(|_| !self.leaving.contains_key(&session));
-        let found = match own {
-            Some(record) => {
-                let until = now.saturating_add(millis(self.config.copy)).min(self.until);
-                (record.cell, record.epoch, until)
-            }
-            None => {
-                let copy = self.copies.get(&session).filter(|c| now < c.until.min(self.until))?;
-                (copy.cell, copy.epoch, copy.until.min(self.until))
-            }
-        };
-        self.usable(found.0).then_some(found)
+        ctx.actions.push(Action::Route { id, decision });
     }
 
-    pub(crate) fn on_answer(
+    /// Handles the owner's answer.
+    pub(crate) fn on_route_response(
         &mut self,
-        now: u64,
         from: NodeId,
-        n: u32,
+        number: u32,
         outcome: RouteOutcome,
-        out: &mut Out,
+        ctx: &mut Context,
     ) {
-        let Some(pending) = self.pending.get_mut(&n) else { return };
-        if pending.rests || pending.allowed.is_some() {
+        let Some(pending) = self.pending.get(number) else { return };
+        if pending.waits_for_window || pending.permitted.is_some() {
             return;
         }
         match outcome {
-            RouteOutcome::Send { cell, epoch, copy } => {
-                // The holder's end is earlier than the giver's: it counts from the asking, and a hundredth
-                // less.
-                let length = |ms: u64| ms - ms / 100;
-                let copied = pending.asked.saturating_add(length(u64::from(copy))).min(self.until);
-                let (session, node_id) = (pending.session, self.config.node_id);
-                if copy > 0 && from != node_id && now < copied {
-                    self.take_copy(session, Copied { cell, epoch, until: copied });
-                }
-                let Some(pending) = self.pending.get_mut(&n) else { return };
-                if from == node_id && matches!(pending.idempotency, Idempotency::Keyed(_)) {
-                    pending.allowed = Some((cell, epoch));
-                    let pending = pending.clone();
-                    if self.witnesses(session).is_empty() {
-                        self.allowed(now, n, cell, epoch, out);
-                    } else {
-                        self.tell_witness(now, n, &pending, out);
-                    }
-                    return;
-                }
-                self.allowed(now, n, cell, epoch, out);
-            }
-            RouteOutcome::Busy { ms } => {
-                let again = now.saturating_add(ms);
-                let needed = again + millis(self.config.wait) + PERMIT_MS;
-                if needed <= pending.deadline {
-                    pending.rests = true;
-                    self.at(again, Timer::RouteRequest(n));
-                } else if let Some(pending) = self.forget(n) {
-                    self.place(
-                        pending.id,
-                        RoutingDecision::Fail(RoutingFailure::MayHaveExecuted),
-                        out,
-                    );
-                }
+            RouteOutcome::Permit { cell, epoch, cache_ms } => {
+                let route = Route { cell, epoch };
+                self.cache_record(from, number, route, cache_ms, ctx.now);
+                self.on_permit(from, number, route, ctx);
             }
+            RouteOutcome::Wait { ms } => self.wait_for_window(number, ms, ctx),
             RouteOutcome::Full => {
-                if let Some(pending) = self.forget(n) {
-                    self.place(pending.id, RoutingDecision::Reject(RoutingFailure::Full), out);
+                if let Some(pending) = self.pending.remove(number) {
+                    let rejection = RoutingDecision::Reject(RoutingFailure::Full);
+                    self.decide(pending.request.id, rejection, ctx);
                 }
             }
         }
     }
 
-    /// It may go. A keyed one is noted first: it may have run from here on.
-    fn allowed(&mut self, now: u64, n: u32, cell: Cell, epoch: Epoch, out: &mut Out) {
-        let Some(pending) = self.forget(n) else { return };
-        let (session, id) = (pending.session, pending.id);
-        let Idempotency::Keyed(key) = pending.idempotency else {
-            let copy = self.copies.get(&session).map(|c| c.until);
-            let until = copy.unwrap_or(now.saturating_add(PERMIT_MS)).min(self.until);
-            return self.go(id, Placed { session, key: None, n, until }, cell, epoch, out);
-        };
-        let until = pending.asked.saturating_add(PERMIT_MS - PERMIT_MS / 100).min(self.until);
-        if now >= until {
-            return self.without_record(now, &pending, out);
-        }
-        let free = tick_up(until.saturating_add(self.age));
-        if !self.speak(now, session, key, cell, free) {
-            return self.place(id, RoutingDecision::Fail(RoutingFailure::MayHaveExecuted), out);
-        }
-        if !self.is_home(session) {
-            let (run, window) = (millis(self.config.run), millis(self.config.window));
-            let free = tick_up(until.saturating_add(run).saturating_add(window));
-            let by = self.config.node_id;
-            let note = KeyEntry { first: tick(pending.asked), free, ask: n, by, cell };
-            if !self.keep_mine(now, session, key, note) {
-                return self.place(id, RoutingDecision::Reject(RoutingFailure::Full), out);
-            }
-        }
-        self.go(id, Placed { session, key: Some(key), n, until }, cell, epoch, out);
-    }
-
-    /// Notes where a key goes, whoever's it is. The same one under another van may have run in another pod:
-    /// records don't tell, since they are found by the van, but what went out from here is known here.
-    fn speak(
-        &mut self,
-        now: u64,
-        session: SessionId,
-        key: IdempotencyKey,
-        cell: Cell,
-        free: u32,
-    ) -> bool {
-        self.sweep(now);
-        if let Some((van, at, end)) = self.spoken.get(&key).copied() {
-            if van != session && at != cell && end > tick(now) {
-                return false;
-            }
-            self.spoken_end.remove(&(end, key));
+    /// Caches the record that another owner has answered with.
+    fn cache_record(&mut self, from: NodeId, number: u32, route: Route, cache_ms: u32, now: u64) {
+        let Some(pending) = self.pending.get(number) else { return };
+        // It expires here before it does at the owner: it counts from the request on.
+        let duration = drift_lower_bound(u64::from(cache_ms));
+        let until = pending.asked_at.saturating_add(duration).min(self.slot_until);
+        if cache_ms > 0 && from != self.config.node_id && now < until {
+            self.cache.insert(pending.request.session, CachedRecord { route, until });
         }
-        if self.spoken.len() >= MINE
-            && let Some((_, eldest)) = self.spoken_end.pop_first()
-        {
-            // A second line only: what is forgotten here matters to a key with two vans.
-            self.spoken.remove(&eldest);
-        }
-        self.spoken_end.insert((free, key));
-        self.spoken.insert(key, (session, cell, free));
-        true
     }
 
-    fn take_copy(&mut self, session: SessionId, copied: Copied) {
-        self.drop_copy(session);
-        if self.copies.len() >= COPIES
-            && let Some((_, first)) = self.copies_end.pop_first()
-        {
-            self.copies.remove(&first);
+    fn on_permit(&mut self, from: NodeId, number: u32, route: Route, ctx: &mut Context) {
+        let Some(pending) = self.pending.get_mut(number) else { return };
+        if from != self.config.node_id || pending.request.key().is_none() {
+            return self.use_permit(number, route, ctx);
+        }
+        pending.permitted = Some(route);
+        let pending = pending.clone();
+        if self.replicas(pending.request.session).is_empty() {
+            self.use_permit(number, route, ctx);
+        } else {
+            self.replicate_key(number, &pending, ctx);
         }
-        self.copies_end.insert((copied.until, session));
-        self.copies.insert(session, copied);
     }
 
-    fn drop_copy(&mut self, session: SessionId) {
-        if let Some(old) = self.copies.remove(&session) {
-            self.copies_end.remove(&(old.until, session));
+    /// Lets the request wait for the end of its key's window, if its deadline allows that.
+    fn wait_for_window(&mut self, number: u32, wait_ms: u64, ctx: &mut Context) {
+        let Some(pending) = self.pending.get_mut(number) else { return };
+        let window_end = ctx.now.saturating_add(wait_ms);
+        let needed_until = window_end + to_millis(self.config.max_wait) + PERMIT_MS;
+        if needed_until <= pending.request.deadline {
+            pending.waits_for_window = true;
+            self.timers.set(window_end, Timer::Request(number));
+        } else if let Some(pending) = self.pending.remove(number) {
+            let failure = RoutingDecision::Fail(RoutingFailure::MayHaveExecuted);
+            self.decide(pending.request.id, failure, ctx);
         }
     }
 
-    fn witnesses(&self, session: SessionId) -> Vec<NodeId> {
-        self.zone()
-            .map_or(Vec::new(), |zone| self.table.witnesses(session, zone, self.config.node_id))
-    }
-
-    /// A home that sends by itself would be the only one to know: another balancer of the site must know,
-    /// too.
-    fn tell_witness(&mut self, now: u64, n: u32, pending: &Pending, out: &mut Out) {
-        let Idempotency::Keyed(key) = pending.idempotency else { return };
-        let Some(note) = self.store.note(pending.session, key) else { return };
-        let note = KeyRecord {
-            key,
-            cell: note.cell,
-            first_permit_ago: now.saturating_sub(ms(note.first)),
-            expires_in: ms(note.free).saturating_sub(now),
+    /// Routes a permitted request. A keyed one is remembered first, since it may be executed from now on.
+    pub(crate) fn use_permit(&mut self, number: u32, route: Route, ctx: &mut Context) {
+        let Some(pending) = self.pending.remove(number) else { return };
+        let request = pending.request;
+        let session = request.session;
+        let Some(key) = request.key() else {
+            let cached_until = self.cache.get(session).map(|cached| cached.until);
+            let until = cached_until.unwrap_or(ctx.now.saturating_add(PERMIT_MS));
+            let until = until.min(self.slot_until);
+            let routed = RoutedRequest { session, key: None, number, until };
+            return self.route_by_record(request.id, routed, route, ctx);
         };
-        let all = self.witnesses(pending.session);
-        // Another one each time: one that is down must not keep this van waiting.
-        if let Some(to) = all.get(pending.tries % all.len().max(1)) {
-            self.send(*to, Message::Replicate { n, session: pending.session, note }, out);
-        }
-    }
-
-    pub(crate) fn on_keep(
-        &mut self,
-        now: u64,
-        from: NodeId,
-        n: u32,
-        session: SessionId,
-        message: KeyRecord,
-        out: &mut Out,
-    ) {
-        let free = tick_up(now.saturating_add(message.expires_in));
-        // When it was first sent is not known here: not lately enough to be sent again.
-        let note = KeyEntry { first: 0, free, ask: 0, by: from, cell: message.cell };
-        if self.keep_mine(now, session, message.key, note) {
-            self.send(from, Message::ReplicateAck { n }, out);
-        }
-    }
-
-    pub(crate) fn on_kept(&mut self, now: u64, n: u32, out: &mut Out) {
-        let Some(pending) = self.pending.get_mut(&n) else { return };
-        let Some((cell, epoch)) = pending.allowed.take() else { return };
-        // The record may have been sealed meanwhile: then it is asked about anew.
-        let record = self.store.get(pending.session).filter(|r| r.state == Ownership::Owned);
-        if record.is_some_and(|r| r.epoch == epoch) && !self.leaving.contains_key(&pending.session)
-        {
-            self.allowed(now, n, cell, epoch, out);
+        let permit_end = pending.asked_at.saturating_add(drift_lower_bound(PERMIT_MS));
+        let until = permit_end.min(self.slot_until);
+        if ctx.now >= until {
+            return self.route_without_record(&request, ctx);
+        }
+        self.drop_expired(ctx.now);
+        let expires_at = to_ticks_rounded_up(until.saturating_add(self.retention_ms));
+        if !self.sent_keys.record(ctx.now, session, key, route.cell, expires_at) {
+            let failure = RoutingDecision::Fail(RoutingFailure::MayHaveExecuted);
+            return self.decide(request.id, failure, ctx);
+        }
+        if !self.is_owner(session) {
+            let entry = self.own_key_entry(number, &pending, route, until);
+            self.drop_expired(ctx.now);
+            if !self.replicated_keys.add(session, key, entry) {
+                let rejection = RoutingDecision::Reject(RoutingFailure::Full);
+                return self.decide(request.id, rejection, ctx);
+            }
         }
+        let routed = RoutedRequest { session, key: Some(key), number, until };
+        self.route_by_record(request.id, routed, route, ctx);
     }
 
-    fn keep_mine(
-        &mut self,
-        now: u64,
-        session: SessionId,
-        key: IdempotencyKey,
-        note: KeyEntry,
-    ) -> bool {
-        self.sweep(now);
-        if let Some(old) = self.mine.get_mut(&(session, key)) {
-            self.mine_end.remove(&(old.free, session, key));
-            old.merge(note);
-            self.mine_end.insert((old.free, session, key));
-            return true;
+    /// What this balancer remembers of a key that it sends itself until `until`.
+    fn own_key_entry(
+        &self,
+        number: u32,
+        pending: &PendingRequest,
+        route: Route,
+        until: u64,
+    ) -> KeyEntry {
+        let max_delay = to_millis(self.config.max_execution_delay);
+        let window = to_millis(self.config.dedup_window);
+        let window_end = until.saturating_add(max_delay).saturating_add(window);
+        KeyEntry {
+            first_permit_at: to_ticks(pending.asked_at),
+            expires_at: to_ticks_rounded_up(window_end),
+            request: number,
+            requester: self.config.node_id,
+            cell: route.cell,
         }
-        if self.mine.len() >= MINE {
-            return false;
-        }
-        self.mine_end.insert((note.free, session, key));
-        self.mine.insert((session, key), note);
-        true
     }
 
-    /// Forgets what has aged, a little at a time.
-    pub(crate) fn sweep(&mut self, now: u64) {
-        for _ in 0..32 {
-            let over = self.mine_end.first().copied().filter(|(free, ..)| *free <= tick(now));
-            let Some((free, session, key)) = over else { break };
-            self.mine_end.remove(&(free, session, key));
-            self.mine.remove(&(session, key));
-        }
-        for _ in 0..32 {
-            let over = self.spoken_end.first().copied().filter(|(free, _)| *free <= tick(now));
-            let Some((free, key)) = over else { break };
-            self.spoken_end.remove(&(free, key));
-            self.spoken.remove(&key);
-        }
-        for _ in 0..32 {
-            let over = self.copies_end.first().copied().filter(|(until, _)| *until <= now);
-            let Some((until, session)) = over else { break };
-            self.copies_end.remove(&(until, session));
-            self.copies.remove(&session);
-        }
+    /// Drops what has expired, a little at a time.
+    pub(crate) fn drop_expired(&mut self, now: u64) {
+        self.replicated_keys.drop_expired(now);
+        self.sent_keys.drop_expired(now);
+        self.cache.drop_expired(now);
     }
 
-    pub(crate) fn sent(&mut self, now: u64, id: u64, out: &mut Out) {
-        let Some(session) = self.placed.get(&id).map(|p| p.session) else { return };
-        self.placing.remove(&(session, id));
-        if self.placed.get(&id).is_some_and(|p| p.key.is_none()) {
-            self.placed.remove(&id);
-        }
-        if self.leaving.contains_key(&session) {
-            self.try_hand(now, session, out);
+    /// Records that a request was sent or will not be, which a transfer may wait for.
+    pub(crate) fn on_sent(&mut self, id: u64, ctx: &mut Context) {
+        let Some(session) = self.routed.mark_sent(id) else { return };
+        if self.outgoing.contains_key(&session) {
+            self.try_transfer(session, ctx);
         }
     }
 
-    pub(crate) fn ended(&mut self, now: u64, id: u64, status: ExecutionStatus, out: &mut Out) {
-        self.sent(now, id, out);
-        let Some(placed) = self.placed.remove(&id) else { return };
-        let (Some(key), ExecutionStatus::NotExecuted) = (placed.key, status) else { return };
-        let (node_id, n, session) = (self.config.node_id, placed.n, placed.session);
-        if let Some(note) = self.mine.get(&(session, key)).filter(|m| (m.by, m.ask) == (node_id, n))
-        {
-            self.mine_end.remove(&(note.free, session, key));
-            self.mine.remove(&(session, key));
+    /// Records that all attempts of a request are over. A key that was not executed is forgotten.
+    pub(crate) fn on_finished(&mut self, id: u64, status: ExecutionStatus, ctx: &mut Context) {
+        self.on_sent(id, ctx);
+        let Some(RoutedRequest { session, key, number, .. }) = self.routed.remove(id) else {
+            return;
+        };
+        let (Some(key), ExecutionStatus::NotExecuted) = (key, status) else { return };
+        let own_permit = (self.config.node_id, number);
+        let entry = self.replicated_keys.get(session, key);
+        if entry.is_some_and(|entry| (entry.requester, entry.request) == own_permit) {
+            self.replicated_keys.remove(session, key);
         }
-        if let Some(home) = self.own_home(session) {
-            self.send(home, Message::AttemptNotRun { n, session, key }, out);
+        if let Some(owner) = self.owner_in_zone(session) {
+            self.send(owner, Message::AttemptNotRun { number, session, key }, ctx);
         }
     }
 
-    /// Whether something of this van was placed and may still go out.
-    pub(crate) fn outstanding(&self, now: u64, session: SessionId) -> bool {
-        let of_it = self.placing.range((session, 0)..=(session, u64::MAX));
-        of_it.filter_map(|(_, id)| self.placed.get(id)).any(|p| now < p.until)
-    }
-
-    pub(crate) fn on_withdraw(
+    /// Stops using what the owner has permitted under this epoch, and acknowledges it once nothing is still to be sent.
+    pub(crate) fn on_revoke(
         &mut self,
-        now: u64,
         from: NodeId,
         session: SessionId,
         epoch: Epoch,
-        out: &mut Out,
+        ctx: &mut Context,
     ) {
-        if self.copies.get(&session).is_some_and(|c| c.epoch <= epoch) {
-            self.drop_copy(session);
-        }
-        // Answers to what was asked so far may be on their way, under the epoch that ends: they count no
-        // more.
-        let asked: Vec<u32> =
-            self.asking.range((session, 0)..=(session, u32::MAX)).map(|(_, n)| *n).collect();
-        for n in asked {
-            if self.pending.get(&n).is_some_and(|p| p.rests || p.allowed.is_some()) {
+        self.cache.revoke(session, epoch);
+        // Responses to earlier requests may be on their way under the epoch that ends: the requests get new numbers.
+        for number in self.pending.numbers(session) {
+            let is_answered = |p: &PendingRequest| p.waits_for_window || p.permitted.is_some();
+            if self.pending.get(number).is_some_and(is_answered) {
                 continue;
             }
-            if let Some(pending) = self.forget(n) {
-                let n = self.number();
-                self.at(now.saturating_add(ASK_AGAIN).min(pending.give_up), Timer::RouteRequest(n));
-                self.pending.insert(n, Pending { asked: now, ..pending });
-                self.asking.insert((session, n));
+            if let Some(pending) = self.pending.remove(number) {
+                let number = self.next_number();
+                let retry_at = ctx.now.saturating_add(REQUEST_RETRY_MS).min(pending.give_up_at);
+                self.timers.set(retry_at, Timer::Request(number));
+                self.pending.insert(number, PendingRequest { asked_at: ctx.now, ..pending });
             }
         }
-        if !self.outstanding(now, session) {
-            self.send(from, Message::RevokeAck { session, epoch }, out);
+        if !self.routed.has_unsent(ctx.now, session) {
+            self.send(from, Message::RevokeAck { session, epoch }, ctx);
         }
     }
 }
--- a/crates/sessions/tests/formats.rs
+++ b/crates/sessions/tests/formats.rs
@@ -1,14 +1,14 @@
 //! Pins what balancers must choose alike without a message: the pod of a session that has no record. The messages themselves
-//! are private; their bytes are pinned in `src/words/formats.rs`.
+//! are private; their bytes are pinned in `src/message/formats.rs`.
 
 use hollowpaddle_sessions::{Cell, SessionId, WeightedCell, cell_for};
 
 #[test]
-fn sessions_keep_their_pods() {
+fn sessions_keep_their_cells() {
     let cells = [(1, 1000), (2, 500), (3, 1000), (300, 250)];
     let cells = cells.map(|(number, weight)| WeightedCell { cell: Cell(number), weight });
     let chosen: Vec<u16> = (0..16)
-        .map(|session| cell_for(SessionId(session), &cells).expect("there are pods").0)
+        .map(|session| cell_for(SessionId(session), &cells).expect("there are cells").0)
         .collect();
     assert_eq!(chosen, [1, 1, 1, 3, 3, 2, 1, 1, 1, 1, 3, 3, 1, 1, 300, 300]);
     assert_eq!(cell_for(SessionId(0), &[]), None);
--- a/crates/sessions/tests/memory.rs
+++ b/crates/sessions/tests/memory.rs
@@ -20,7 +20,7 @@
     let before = resident();
     let mut config = Config::new(NodeId(0), Incarnation(1));
     config.first_start = true;
-    let (records, window) = (config.records as u64, config.retention());
+    let (records, window) = (config.max_records as u64, config.retention());
     let mut machine = Sessions::new(config);
     let mut actions = Vec::with_capacity(16);
     let start = Duration::from_millis(1);
@@ -71,5 +71,5 @@
     assert!(matches!(ask(now, 7), RoutingDecision::Send { .. }), "a repeat goes to its pod");
     let later = start + Duration::from_secs(5) + window;
     assert!(matches!(ask(later, records + 1), RoutingDecision::Send { .. }), "windows have ended");
-    assert_eq!((machine.records(), machine.counts().evicted), (200_000, 1));
+    assert_eq!((machine.record_count(), machine.metrics().evicted), (200_000, 1));
 }
--- a/crates/sessions/tests/protocol.rs
+++ b/crates/sessions/tests/protocol.rs
@@ -186,7 +186,8 @@
 
 #[test]
 fn a_repeat_near_the_windows_end_waits_it_out_if_its_time_allows() {
-    let mut cluster = Cluster::new(1, |c| (c.window, c.run) = (ms(1000), ms(100)));
+    let mut cluster =
+        Cluster::new(1, |c| (c.dedup_window, c.max_execution_delay) = (ms(1000), ms(100)));
     let Some(cell) = cluster.cell(0, 7, keyed(1)) else { panic!("the first goes") };
     cluster.tell(0, cells(&[cell.0]));
     cluster.tell(1, cells(&[cell.0]));
@@ -289,7 +290,7 @@
         cluster.ask(0, 7, Idempotency::NotIdempotent),
         RoutingDecision::Send { epoch: None, .. }
     ));
-    assert_eq!(cluster.machines[&0].owned(ms(cluster.now), SessionId(7)), None);
+    assert_eq!(cluster.machines[&0].owned_epoch(ms(cluster.now), SessionId(7)), None);
 }
 
 #[test]
@@ -324,7 +325,7 @@
 fn the_morning_round_is_paced_and_the_newest_go_first() {
     let mut cluster = Cluster::new(5, |_| ());
     cluster.way = 5;
-    let at = |cluster: &Cluster, m: u16| cluster.machines[&m].moves();
+    let at = |cluster: &Cluster, m: u16| cluster.machines[&m].transfer_counts();
     let (mut most, mut words, vans) = (0, 0, 20_000u64);
     for session in 0..vans {
         // Ten a millisecond, at any balancer of the site.
@@ -338,7 +339,7 @@
             let before = cluster.sent;
             cluster.pass(1);
             words = words.max(cluster.sent - before);
-            most = (5..10).map(|m| at(&cluster, m).0).fold(most, usize::max);
+            most = (5..10).map(|m| at(&cluster, m).claims).fold(most, usize::max);
         }
     }
     cluster.pass(200);
@@ -354,7 +355,7 @@
     assert_eq!(cluster.placed.len() as u64, vans);
     assert!(went as u64 > vans * 9 / 10, "{went}");
     // And with far too little room: the newest are served, the eldest dropped.
-    let mut cluster = Cluster::new(1, |c| c.moves = 1);
+    let mut cluster = Cluster::new(1, |c| c.max_claims = 1);
     cluster.way = 5;
     let ids: Vec<u64> =
         (0..6).map(|session| cluster.begin(1, session + 100, Idempotency::Idempotent)).collect();
@@ -377,7 +378,7 @@
 
 #[test]
 fn a_forgotten_record_comes_back_under_a_higher_epoch_at_either_site() {
-    let mut cluster = Cluster::new(1, |c| c.records = 2);
+    let mut cluster = Cluster::new(1, |c| c.max_records = 2);
     let epoch = |decision| match decision {
         RoutingDecision::Send { epoch, .. } => epoch,
         _ => None,
@@ -388,7 +389,7 @@
         assert!(epoch(cluster.ask(0, session, Idempotency::Idempotent)).is_some());
     }
     assert!(
-        cluster.machines[&0].owned(ms(cluster.now), SessionId(1)).is_none(),
+        cluster.machines[&0].owned_epoch(ms(cluster.now), SessionId(1)).is_none(),
         "it was forgotten"
     );
     let (there, here) = (
@@ -402,7 +403,7 @@
 fn whatever_a_peer_says_nothing_panics_and_all_requests_are_placed() {
     let mut placed = 0;
     for seed in 0..60 {
-        let mut cluster = Cluster::new(2, |c| c.records = 40);
+        let mut cluster = Cluster::new(2, |c| c.max_records = 40);
         cluster.lies = Some(oorandom::Rand32::new(seed));
         for n in 0..60 {
             let m = (n * 7 % 4) as u16;
@@ -434,13 +435,13 @@
 #[test]
 fn a_record_that_was_refused_is_not_taken_when_its_copy_comes_late() {
     let mut cluster = Cluster::new(1, |c| {
-        (c.window, c.run) = (ms(200), ms(50));
-        c.records = if c.node_id == NodeId(1) { 1 } else { 100 };
+        (c.dedup_window, c.max_execution_delay) = (ms(200), ms(50));
+        c.max_records = if c.node_id == NodeId(1) { 1 } else { 100 };
     });
     assert!(cluster.cell(1, 2, keyed(1)).is_some(), "which fills the one");
     assert!(cluster.cell(0, 1, Idempotency::Idempotent).is_some());
     let owns = |cluster: &Cluster, m: u16| {
-        cluster.machines[&m].owned(ms(cluster.now), SessionId(1)).is_some()
+        cluster.machines[&m].owned_epoch(ms(cluster.now), SessionId(1)).is_some()
     };
     assert!(owns(&cluster, 0));
     cluster.ask(1, 1, Idempotency::Idempotent);
--- a/crates/sessions/tests/sim/mod.rs
+++ b/crates/sessions/tests/sim/mod.rs
@@ -269,8 +269,8 @@
     fn start(&mut self, m: usize) {
         let mut config = Config::new(NodeId(m as u16), self.all[m].incarnation);
         config.first_start = self.day.first_start && self.all[m].incarnation == Incarnation(1);
-        config.window = Duration::from_micros(self.day.window);
-        config.run = Duration::from_micros(self.day.run);
+        config.dedup_window = Duration::from_micros(self.day.window);
+        config.max_execution_delay = Duration::from_micros(self.day.run);
         let b = &mut self.all[m];
         b.machine = Some(Sessions::new(config));
         b.born = self.now;
@@ -508,7 +508,8 @@
     fn look(&mut self, m: usize) {
         for van in 0..self.day.vans {
             let session = session(van);
-            let claim = |b: &Balancer, now| b.machine.as_ref().and_then(|s| s.owned(now, session));
+            let claim =
+                |b: &Balancer, now| b.machine.as_ref().and_then(|s| s.owned_epoch(now, session));
             let mine = claim(&self.all[m], self.local(m, self.now));
             let before = self.all[m].claims.get(&van).copied();
             if mine == before {
