--- a/crates/sessions/tests/cluster.rs
+++ b/crates/sessions/tests/cluster.rs
@@ -1,47 +1,47 @@
-//! Banks of machines in seeded days: nothing runs twice, one owner at a time, epochs that never go back.
+//! Simulated clusters by seed: nothing is executed twice, one owner at a time, epochs that never go back.
 
 mod sim;
 
-use sim::{Day, Found, days};
+use sim::{Findings, Scenario, run_scenarios};
 
-fn sweep(seeds: std::ops::Range<u64>) -> Vec<Day> {
+fn sweep(seeds: std::ops::Range<u64>) -> Vec<Scenario> {
     seeds
         .map(|seed| {
-            let mut day = Day::new(seed);
-            day.loss = [0.0, 0.1, 0.3][seed as usize % 3];
-            day.copies = [0.0, 0.1][seed as usize / 3 % 2];
-            day.faults = [0, 900_000, 400_000][seed as usize / 6 % 3];
-            day.drains = seed / 18 % 2 == 1;
-            day.first_start = seed / 36 % 4 != 0;
-            day.marked = seed / 72 % 3 == 0;
-            day.zones = if seed % 7 == 6 { 3 } else { 2 };
-            day.each = [3, 3, 2, 5, 1][seed as usize % 5];
-            day
+            let mut scenario = Scenario::new(seed);
+            scenario.loss = [0.0, 0.1, 0.3][seed as usize % 3];
+            scenario.copies = [0.0, 0.1][seed as usize / 3 % 2];
+            scenario.faults = [0, 900_000, 400_000][seed as usize / 6 % 3];
+            scenario.excludes_cells = seed / 18 % 2 == 1;
+            scenario.first_start = seed / 36 % 4 != 0;
+            scenario.marked = seed / 72 % 3 == 0;
+            scenario.zones = if seed % 7 == 6 { 3 } else { 2 };
+            scenario.each = [3, 3, 2, 5, 1][seed as usize % 5];
+            scenario
         })
         .collect()
 }
 
-fn bad(found: &Found) -> Option<&String> {
-    found.ran_twice.first().or(found.claims.first())
+fn bad(found: &Findings) -> Option<&String> {
+    found.executed_twice.first().or(found.claims.first())
 }
 
 #[test]
-fn nothing_runs_twice_and_one_owns_over_a_thousand_days() {
+fn nothing_is_executed_twice_and_each_session_has_one_owner() {
     let first = std::env::var("SEED").ok().and_then(|s| s.parse().ok());
     let range = first.map_or(0..1_000, |s| s..s + 1);
-    let played = days(sweep(range));
+    let played = run_scenarios(sweep(range));
     let (mut keyed, mut gone, mut repeats, mut moves) = (0, 0, 0, 0);
     let mut refused = std::collections::BTreeMap::new();
     let mut wrong = Vec::new();
-    for (day, found) in &played {
+    for (scenario, found) in &played {
         if let Some(bad) = bad(found) {
-            wrong.push(format!("seed {}: {bad}", day.seed));
+            wrong.push(format!("seed {}: {bad}", scenario.seed));
         }
-        assert_eq!(found.unplaced, 0, "seed {}: requests were never placed", day.seed);
-        assert_eq!(found.late_waits, 0, "seed {}: waited over 27 ms", day.seed);
+        assert_eq!(found.unrouted, 0, "seed {}: requests were never placed", scenario.seed);
+        assert_eq!(found.late_waits, 0, "seed {}: waited over 27 ms", scenario.seed);
         keyed += found.keyed;
-        gone += found.keyed_gone;
-        repeats += found.repeats_gone;
+        gone += found.keyed_sent;
+        repeats += found.repeats_sent;
         moves += found.moves.len();
         for (why, n) in &found.refused {
             *refused.entry(why.clone()).or_insert(0) += n;
@@ -61,25 +61,28 @@
 }
 
 #[test]
-fn without_records_keys_run_twice_and_with_them_none() {
-    let day = |seed, off| {
-        let mut day = Day::new(seed);
-        (day.off, day.loss) = (off, 0.1);
-        day
+fn keys_are_executed_twice_without_records_and_never_with_them() {
+    let scenario = |seed, off| {
+        let mut scenario = Scenario::new(seed);
+        (scenario.off, scenario.loss) = (off, 0.1);
+        scenario
     };
     let twice = |off| -> usize {
-        days((0..20).map(|s| day(s, off)).collect()).iter().map(|(_, f)| f.ran_twice.len()).sum()
+        run_scenarios((0..20).map(|s| scenario(s, off)).collect())
+            .iter()
+            .map(|(_, f)| f.executed_twice.len())
+            .sum()
     };
     let (with, without) = (twice(false), twice(true));
     println!("ran twice in 20 days: {without} without records, {with} with");
     assert!(with == 0 && without > 20, "{with} with, {without} without");
 }
 
-/// Share of requests that were refused or failed, of plain ones at their pod, and the moves' p50 and p99 in
-/// ms.
-fn figures(all: Vec<Day>) -> (f64, f64, f64, f64, f64) {
-    let played = days(all);
-    let sum = |of: fn(&Found) -> u64| played.iter().map(|(_, f)| of(f)).sum::<u64>() as f64;
+/// The share of keyed requests that were rejected or failed, the share of others that went to their session's cell, the
+/// p50 and p99 of transfers in ms, and messages per request.
+fn figures(all: Vec<Scenario>) -> (f64, f64, f64, f64, f64) {
+    let played = run_scenarios(all);
+    let sum = |of: fn(&Findings) -> u64| played.iter().map(|(_, f)| of(f)).sum::<u64>() as f64;
     let mut moves: Vec<u64> = played.iter().flat_map(|(_, f)| f.moves.clone()).collect();
     moves.sort_unstable();
     let at = |share: f64| {
@@ -93,26 +96,27 @@
     let refused = sum(|f| f.refused.values().sum()) / sum(|f| f.keyed);
     (
         refused,
-        sum(|f| f.at_their_pod) / sum(|f| f.plain),
+        sum(|f| f.at_their_cell) / sum(|f| f.plain),
         at(0.5),
         at(0.99),
-        sum(|f| f.words) / (sum(|f| f.keyed) + sum(|f| f.plain)),
+        sum(|f| f.messages) / (sum(|f| f.keyed) + sum(|f| f.plain)),
     )
 }
 
 #[test]
-fn a_bank_without_faults_refuses_little_and_keeps_vans_at_their_pod() {
+fn cluster_without_faults_rejects_little_and_keeps_sessions_at_their_cell() {
     for (loss, most, cell) in [(0.0, 0.12, 0.99), (0.1, 0.15, 0.98), (0.3, 0.40, 0.9)] {
-        let day = |seed| {
-            let mut day = Day::new(seed);
-            (day.loss, day.pace, day.window, day.run) = (loss, 400_000, 10_000_000, 3_000_000);
-            (day.vans, day.length) = (20, 8_000_000);
-            day
+        let scenario = |seed| {
+            let mut scenario = Scenario::new(seed);
+            (scenario.loss, scenario.interval, scenario.window, scenario.run) =
+                (loss, 400_000, 10_000_000, 3_000_000);
+            (scenario.users, scenario.length) = (20, 8_000_000);
+            scenario
         };
-        let (refused, at_pod, p50, p99, words) = figures((0..10).map(day).collect());
+        let (refused, at_pod, p50, p99, messages) = figures((0..10).map(scenario).collect());
         println!(
             "loss {loss}: refused {refused:.3}, at their pod {at_pod:.4}, move p50 {p50:.1} ms, \
-             p99 {p99:.1} ms, {words:.1} words a request"
+             p99 {p99:.1} ms, {messages:.1} words a request"
         );
         assert!(
             refused < most && at_pod > cell,
@@ -121,13 +125,12 @@
     }
 }
 
-/// `cargo test -p hollowpaddle-sessions --release --test cluster -- --ignored`: some minutes. Found nothing
-/// beyond the thousand days so far.
+/// `cargo test -p hollowpaddle-sessions --release --test cluster -- --ignored`: some minutes.
 #[test]
 #[ignore = "some minutes; run by hand with --ignored after a change of the protocol"]
-fn nothing_runs_twice_over_ten_thousand_days() {
+fn nothing_is_executed_twice_in_ten_thousand_seeds() {
     for part in 1..11 {
-        let played = days(sweep(part * 1_000..(part + 1) * 1_000));
+        let played = run_scenarios(sweep(part * 1_000..(part + 1) * 1_000));
         let wrong: Vec<String> = played
             .iter()
             .filter_map(|(d, f)| Some(format!("seed {}: {}", d.seed, bad(f)?)))
--- a/crates/sessions/tests/faults.rs
+++ b/crates/sessions/tests/faults.rs
@@ -1,19 +1,19 @@
-//! A van that drives there and back, with one fault at each step of the protocol in turn: whoever ends there,
-//! nothing runs twice, one owns, and the bank is whole again.
+//! A session that moves to another zone and back, with a fault at each step of the protocol in turn: nothing is executed
+//! twice, it has one owner, and it is served again.
 
 mod sim;
 
 use hollowpaddle_failpoints::{Fault, Points};
-use sim::{Day, Found, World};
+use sim::{Findings, Scenario, Simulation};
 
-/// Presses one key at one site, at the other, at both at once, and back; then a new one each.
-fn scenario(points: Points, crash: Option<(u64, bool)>, seed: u64) -> (Found, u64) {
-    let mut day = Day::new(seed);
-    (day.vans, day.pace, day.points) = (1, 0, points);
-    let mut world = World::new(day);
+/// Sends one key in one zone, in the other, in both at once, and back; then a new key in each.
+fn run_with(points: Points, crash: Option<(u64, bool)>, seed: u64) -> (Findings, u64) {
+    let mut scenario = Scenario::new(seed);
+    (scenario.users, scenario.interval, scenario.points) = (1, 0, points);
+    let mut world = Simulation::new(scenario);
     world.crash_at = crash;
-    let press = |world: &mut World, at: u64, zone: u16, key: u64| {
-        world.play(at);
+    let press = |world: &mut Simulation, at: u64, zone: u16, key: u64| {
+        world.run_until(at);
         if let Some(m) = world.member_of(zone) {
             world.request(m, 0, Some(key), false);
         }
@@ -31,37 +31,37 @@
         press(&mut world, 700_000 + 150_000 * n, (n % 2) as u16, 1 + n % 2);
     }
     let steps = world.step;
-    world.play(6_000_000);
+    world.run_until(6_000_000);
     let before = world.found.allowed;
     press(&mut world, 6_000_000, b, 3);
-    world.play(6_100_000);
+    world.run_until(6_100_000);
     world.found.owned_after = world.found.allowed - before;
     (world.end(), steps)
 }
 
-fn judge(found: &Found, what: &str) {
-    let bad = found.ran_twice.iter().chain(&found.claims).next();
+fn check(found: &Findings, what: &str) {
+    let bad = found.executed_twice.iter().chain(&found.claims).next();
     assert_eq!(bad, None, "{what}");
-    assert_eq!(found.unplaced, 0, "{what}");
+    assert_eq!(found.unrouted, 0, "{what}");
     assert_eq!(found.owned_after, 1, "{what}: a new key is not sent six seconds later");
 }
 
 #[test]
-fn a_fault_at_each_step_in_turn_brings_nothing_about_twice() {
-    let (found, steps) = scenario(Points::none(), None, 1);
-    judge(&found, "no fault");
-    assert!(steps > 60 && found.repeats_gone + found.keyed_gone > 8, "{steps} {found:?}");
+fn single_fault_at_each_step_is_harmless() {
+    let (found, steps) = run_with(Points::none(), None, 1);
+    check(&found, "no fault");
+    assert!(steps > 60 && found.repeats_sent + found.keyed_sent > 8, "{steps} {found:?}");
     let mut runs = 0;
     for seed in 1..=3 {
         for k in 1..=steps {
             for fault in [Fault::Lose, Fault::Copy, Fault::Crash, Fault::Pause] {
                 let plan = hollowpaddle_failpoints::Plan::one(k, fault);
-                let (found, _) = scenario(Points::armed(plan), None, seed);
-                judge(&found, &format!("seed {seed}, {fault:?} at step {k}"));
+                let (found, _) = run_with(Points::armed(plan), None, seed);
+                check(&found, &format!("seed {seed}, {fault:?} at step {k}"));
                 runs += 1;
             }
-            let (found, _) = scenario(Points::none(), Some((k, true)), seed);
-            judge(&found, &format!("seed {seed}, whom step {k} goes to crashes"));
+            let (found, _) = run_with(Points::none(), Some((k, true)), seed);
+            check(&found, &format!("seed {seed}, whom step {k} goes to crashes"));
             runs += 1;
         }
     }
@@ -69,15 +69,15 @@
 }
 
 #[test]
-fn two_faults_drawn_by_seed_bring_nothing_about_twice() {
-    let (_, steps) = scenario(Points::none(), None, 1);
+fn two_random_faults_are_harmless() {
+    let (_, steps) = run_with(Points::none(), None, 1);
     let mut rng = oorandom::Rand64::new(5);
     for n in 0..600 {
         let faults = [Fault::Lose, Fault::Copy, Fault::Crash, Fault::Pause];
         let mut one = || (rng.rand_range(1..steps), faults[rng.rand_range(0..4) as usize]);
         let ((j, f), (k, g)) = (one(), one());
         let plan = hollowpaddle_failpoints::Plan::one(j, f).and(k, g);
-        let (found, _) = scenario(Points::armed(plan), None, 1 + n % 3);
-        judge(&found, &format!("{f:?} at {j} and {g:?} at {k}, seed {}", 1 + n % 3));
+        let (found, _) = run_with(Points::armed(plan), None, 1 + n % 3);
+        check(&found, &format!("{f:?} at {j} and {g:?} at {k}, seed {}", 1 + n % 3));
     }
 }
--- a/crates/sessions/tests/formats.rs
+++ b/crates/sessions/tests/formats.rs
@@ -1,4 +1,4 @@
-//! Pins what balancers must choose alike without a message: the pod of a session that has no record. The messages themselves
+//! Pins what balancers must choose alike without a message: the cell of a session that has no record. The messages themselves
 //! are private; their bytes are pinned in `src/message/formats.rs`.
 
 use hollowpaddle_sessions::{Cell, SessionId, WeightedCell, cell_for};
--- a/crates/sessions/tests/memory.rs
+++ b/crates/sessions/tests/memory.rs
@@ -1,5 +1,4 @@
-//! What 200,000 records with a key each take, as the kernel counts it. A file of its own: no other test
-//! allocates beside it.
+//! The resident memory of 200,000 records with a key each. A file of its own, so that no other test allocates beside it.
 
 use std::time::Duration;
 
@@ -16,7 +15,7 @@
 }
 
 #[test]
-fn two_hundred_thousand_records_take_32_mb_and_none_is_dropped_inside_its_window() {
+fn full_store_takes_less_than_32_mib_and_drops_no_key_inside_its_window() {
     let before = resident();
     let mut config = Config::new(NodeId(0), Incarnation(1));
     config.first_start = true;
@@ -37,11 +36,11 @@
         let idempotency = Idempotency::Keyed(IdempotencyKey(n));
         let request = Event::Request { id: n, session, idempotency, first: false, deadline };
         machine.handle(now, request, &mut actions);
-        let placed = actions.iter().find_map(|a| match a {
+        let decided = actions.iter().find_map(|a| match a {
             Action::Route { decision, .. } => Some(*decision),
             _ => None,
         });
-        let decision = placed.expect("nobody else is to be asked, so it is placed at once");
+        let decision = decided.expect("nobody else is to be asked, so it is placed at once");
         machine.handle(
             now,
             Event::Finished { id: n, status: ExecutionStatus::Executed },
@@ -50,7 +49,7 @@
         decision
     };
     for n in 0..records {
-        // All within four seconds: every window is open at the end.
+        // All within four seconds, so that every window is open at the end.
         let now = start + Duration::from_micros(20 * n);
         let decision = ask(now, n);
         assert!(matches!(decision, RoutingDecision::Send { .. }), "{n}: {decision:?}");
--- a/crates/sessions/tests/protocol.rs
+++ b/crates/sessions/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! The hard cases by hand: a few machines, words passed by the test, time as it says.
+//! Hard cases of the protocol: a few balancers, whose messages and time the test controls.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -9,18 +9,18 @@
     PERMIT_DURATION, RoutingDecision, RoutingFailure, SessionId, Sessions, WeightedCell, Zone,
 };
 
-/// Machines 0 to `each` at site 0, the next at site 1. Words take `way` ms.
+/// Balancers 0 to `each` in zone 0, the next ones in zone 1. Messages take `delay_ms`.
 struct Cluster {
     now: u64,
     machines: BTreeMap<u16, Sessions>,
-    words: VecDeque<(u64, u16, u16, Vec<u8>)>,
-    placed: BTreeMap<u64, (u64, RoutingDecision)>,
-    mute: bool,
-    /// Each word comes once more with some bytes changed, as from a peer that lies.
-    lies: Option<oorandom::Rand32>,
-    /// All words so far: from, to.
-    heard: Vec<(u16, u16, Vec<u8>)>,
-    way: u64,
+    messages: VecDeque<(u64, u16, u16, Vec<u8>)>,
+    decided: BTreeMap<u64, (u64, RoutingDecision)>,
+    is_muted: bool,
+    /// Each message arrives once more with some bytes changed, as from a faulty peer.
+    corruption: Option<oorandom::Rand32>,
+    /// All messages so far, with sender and receiver.
+    delivered: Vec<(u16, u16, Vec<u8>)>,
+    delay_ms: u64,
     sent: u64,
     id: u64,
 }
@@ -44,16 +44,16 @@
             change(&mut config);
             machines.insert(m, Sessions::new(config));
         }
-        let (words, placed) = (VecDeque::new(), BTreeMap::new());
+        let (messages, decided) = (VecDeque::new(), BTreeMap::new());
         let mut cluster = Self {
             now: 1,
             machines,
-            words,
-            placed,
-            mute: false,
-            lies: None,
-            heard: Vec::new(),
-            way: 1,
+            messages,
+            decided,
+            is_muted: false,
+            corruption: None,
+            delivered: Vec::new(),
+            delay_ms: 1,
             sent: 0,
             id: 0,
         };
@@ -66,8 +66,8 @@
             })
             .collect();
         for m in 0..2 * each {
-            cluster.tell(m, cells(&[]));
-            cluster.tell(
+            cluster.deliver(m, cells(&[]));
+            cluster.deliver(
                 m,
                 Event::TableChanged { version: 1, until: ms(1 << 30), slots: slots.clone() },
             );
@@ -76,19 +76,19 @@
         cluster
     }
 
-    fn tell(&mut self, m: u16, event: Event) {
+    fn deliver(&mut self, m: u16, event: Event) {
         let mut actions = Vec::new();
         let Some(machine) = self.machines.get_mut(&m) else { return };
         machine.handle(ms(self.now), event, &mut actions);
         for action in actions {
             match action {
                 Action::Route { id, decision } => {
-                    assert!(self.placed.insert(id, (self.now, decision)).is_none(), "{id} twice");
+                    assert!(self.decided.insert(id, (self.now, decision)).is_none(), "{id} twice");
                 }
                 Action::Send { to, message } => {
                     self.sent += 1;
-                    if !self.mute {
-                        self.words.push_back((self.now + self.way, m, to.0, message));
+                    if !self.is_muted {
+                        self.messages.push_back((self.now + self.delay_ms, m, to.0, message));
                     }
                 }
                 Action::WakeAt(_) => {}
@@ -100,38 +100,38 @@
     fn pass(&mut self, time: u64) {
         for _ in 0..time {
             self.now += 1;
-            while self.words.front().is_some_and(|w| w.0 <= self.now) {
-                let Some((_, from, to, message)) = self.words.pop_front() else { break };
-                let mut lie = message.clone();
-                self.heard.push((from, to, message.clone()));
-                self.tell(
+            while self.messages.front().is_some_and(|w| w.0 <= self.now) {
+                let Some((_, from, to, message)) = self.messages.pop_front() else { break };
+                let mut corrupted = message.clone();
+                self.delivered.push((from, to, message.clone()));
+                self.deliver(
                     to,
                     Event::Message { from: NodeId(from), incarnation: Incarnation(1), message },
                 );
-                if let Some(rng) = self.lies.as_mut() {
+                if let Some(rng) = self.corruption.as_mut() {
                     for _ in 0..=rng.rand_range(0..3) {
-                        let at = rng.rand_range(1..lie.len() as u32) as usize;
-                        lie[at] = rng.rand_u32() as u8;
+                        let at = rng.rand_range(1..corrupted.len() as u32) as usize;
+                        corrupted[at] = rng.rand_u32() as u8;
                     }
-                    self.tell(
+                    self.deliver(
                         to,
                         Event::Message {
                             from: NodeId(from),
                             incarnation: Incarnation(1),
-                            message: lie,
+                            message: corrupted,
                         },
                     );
                 }
             }
             let all: Vec<u16> = self.machines.keys().copied().collect();
-            all.into_iter().for_each(|m| self.tell(m, Event::Due));
+            all.into_iter().for_each(|m| self.deliver(m, Event::Due));
         }
     }
 
     fn begin(&mut self, m: u16, session: u64, idempotency: Idempotency) -> u64 {
         self.id += 1;
         let (id, deadline) = (self.id, ms(self.now + 1850));
-        self.tell(
+        self.deliver(
             m,
             Event::Request { id, session: SessionId(session), idempotency, first: false, deadline },
         );
@@ -141,8 +141,8 @@
     fn ask(&mut self, m: u16, session: u64, idempotency: Idempotency) -> RoutingDecision {
         let id = self.begin(m, session, idempotency);
         self.pass(40);
-        self.tell(m, Event::Sent { id });
-        let (at, decision) = self.placed[&id];
+        self.deliver(m, Event::Sent { id });
+        let (at, decision) = self.decided[&id];
         let _ = at;
         decision
     }
@@ -160,11 +160,11 @@
 }
 
 #[test]
-fn a_key_whose_pod_is_out_goes_nowhere_else_and_new_keys_go_on() {
+fn key_of_an_excluded_cell_goes_nowhere_else_and_new_keys_go_on() {
     let mut cluster = Cluster::new(3, |_| ());
     let Some(cell) = cluster.cell(0, 7, keyed(1)) else { panic!("the first goes") };
     for m in 0..6 {
-        cluster.tell(m, cells(&[cell.0]));
+        cluster.deliver(m, cells(&[cell.0]));
     }
     for m in [0, 4, 1] {
         assert_eq!(
@@ -175,25 +175,25 @@
     }
     let (one, other) = (cluster.cell(4, 7, keyed(2)), cluster.cell(1, 7, Idempotency::Idempotent));
     assert!(one.is_some() && one != Some(cell) && one == other, "{one:?} {other:?}");
-    // It comes back: the repeat goes there and nowhere else.
+    // The cell is in force again: the repeat goes there and nowhere else.
     for m in 0..6 {
         let all = (0..4).map(|p| WeightedCell { cell: Cell(p), weight: 1000 }).collect();
-        cluster.tell(m, Event::CellsChanged { revision: 9, cells: all });
+        cluster.deliver(m, Event::CellsChanged { revision: 9, cells: all });
     }
     assert_eq!(cluster.cell(2, 7, keyed(1)), Some(cell));
     assert_eq!(cluster.cell(2, 7, keyed(3)), one, "where the van's state is now");
 }
 
 #[test]
-fn a_repeat_near_the_windows_end_waits_it_out_if_its_time_allows() {
+fn repeat_near_the_end_of_its_window_waits_if_its_deadline_allows() {
     let mut cluster =
         Cluster::new(1, |c| (c.dedup_window, c.max_execution_delay) = (ms(1000), ms(100)));
     let Some(cell) = cluster.cell(0, 7, keyed(1)) else { panic!("the first goes") };
-    cluster.tell(0, cells(&[cell.0]));
-    cluster.tell(1, cells(&[cell.0]));
+    cluster.deliver(0, cells(&[cell.0]));
+    cluster.deliver(1, cells(&[cell.0]));
     let (from, id) = (cluster.now, cluster.begin(0, 7, keyed(1)));
     cluster.pass(1500);
-    let (at, decision) = cluster.placed[&id];
+    let (at, decision) = cluster.decided[&id];
     assert!(
         matches!(decision, RoutingDecision::Send { cell: other, .. } if other != cell),
         "{decision:?}"
@@ -202,16 +202,16 @@
 }
 
 #[test]
-fn nobody_waits_longer_than_25_ms_or_a_twentieth_and_only_keyed_ones_are_refused() {
+fn waits_are_bounded_and_only_keyed_requests_are_rejected() {
     let mut cluster = Cluster::new(3, |_| ());
-    cluster.mute = true;
+    cluster.is_muted = true;
     for (idempotency, session) in
         [(Idempotency::Idempotent, 1), (Idempotency::NotIdempotent, 2), (keyed(1), 3)]
     {
         for m in 0..6 {
             let (from, id) = (cluster.now, cluster.begin(m, session, idempotency));
             cluster.pass(30);
-            let (at, decision) = cluster.placed[&id];
+            let (at, decision) = cluster.decided[&id];
             assert!(at - from <= 25, "{idempotency:?} waited for {} ms", at - from);
             match decision {
                 RoutingDecision::Send { cell, epoch, .. } => {
@@ -232,7 +232,7 @@
     }
     // A twentieth of 200 ms.
     let (from, deadline) = (cluster.now, ms(cluster.now + 200));
-    cluster.tell(
+    cluster.deliver(
         0,
         Event::Request {
             id: 9_999,
@@ -243,11 +243,11 @@
         },
     );
     cluster.pass(30);
-    assert_eq!(cluster.placed[&9_999].0 - from, 10);
+    assert_eq!(cluster.decided[&9_999].0 - from, 10);
 }
 
 #[test]
-fn one_key_under_two_vans_goes_to_one_pod_from_one_balancer() {
+fn key_under_two_sessions_goes_to_one_cell_from_one_balancer() {
     let mut cluster = Cluster::new(2, |_| ());
     let Some(cell) = cluster.cell(0, 1, keyed(5)) else { panic!("the first goes") };
     let mut failed = 0;
@@ -264,24 +264,24 @@
 }
 
 #[test]
-fn one_that_did_not_run_is_free_again_and_its_right_ends() {
+fn key_that_was_not_executed_is_free_again_and_its_permit_ends() {
     let mut cluster = Cluster::new(2, |_| ());
     let id = cluster.begin(0, 7, keyed(1));
     cluster.pass(20);
-    let (at, RoutingDecision::Send { cell, until, .. }) = cluster.placed[&id] else {
+    let (at, RoutingDecision::Send { cell, until, .. }) = cluster.decided[&id] else {
         panic!("it goes")
     };
     assert!(until <= ms(at) + PERMIT_DURATION);
-    cluster.tell(0, Event::Finished { id, status: ExecutionStatus::NotExecuted });
+    cluster.deliver(0, Event::Finished { id, status: ExecutionStatus::NotExecuted });
     cluster.pass(20);
     for m in 0..4 {
-        cluster.tell(m, cells(&[cell.0]));
+        cluster.deliver(m, cells(&[cell.0]));
     }
     assert!(cluster.cell(1, 7, keyed(1)).is_some_and(|p| p != cell), "nobody ran it");
 }
 
 #[test]
-fn without_a_seat_nothing_keyed_goes_and_everything_else_does() {
+fn without_a_slot_only_requests_without_a_key_are_sent() {
     let mut cluster = Cluster::new(2, |_| ());
     cluster.cell(0, 7, keyed(1));
     cluster.now = 1 << 31;
@@ -294,7 +294,7 @@
 }
 
 #[test]
-fn a_dead_sites_vans_are_taken_over_and_their_keys_wait_out_the_window() {
+fn sessions_of_a_lost_zone_are_taken_over_and_their_keys_wait() {
     let mut cluster = Cluster::new(2, |_| ());
     let old: Vec<u64> = (0..40).collect();
     for session in &old {
@@ -308,7 +308,7 @@
         "its owner is not given up"
     );
     for m in [2, 3] {
-        cluster.tell(m, Event::ZoneLeaseEnded { zone: Zone(0), version: 2 });
+        cluster.deliver(m, Event::ZoneLeaseEnded { zone: Zone(0), version: 2 });
     }
     for session in &old {
         assert_eq!(
@@ -322,13 +322,13 @@
 }
 
 #[test]
-fn the_morning_round_is_paced_and_the_newest_go_first() {
+fn mass_arrival_is_paced_and_the_newest_sessions_go_first() {
     let mut cluster = Cluster::new(5, |_| ());
-    cluster.way = 5;
+    cluster.delay_ms = 5;
     let at = |cluster: &Cluster, m: u16| cluster.machines[&m].transfer_counts();
-    let (mut most, mut words, vans) = (0, 0, 20_000u64);
-    for session in 0..vans {
-        // Ten a millisecond, at any balancer of the site.
+    let (mut most, mut messages, users) = (0, 0, 20_000u64);
+    for session in 0..users {
+        // Ten per millisecond, at any balancer of the zone.
         let m = 5 + (session % 5) as u16;
         cluster.begin(
             m,
@@ -338,25 +338,25 @@
         if session % 10 == 9 {
             let before = cluster.sent;
             cluster.pass(1);
-            words = words.max(cluster.sent - before);
+            messages = messages.max(cluster.sent - before);
             most = (5..10).map(|m| at(&cluster, m).claims).fold(most, usize::max);
         }
     }
     cluster.pass(200);
     assert!(most <= 256, "{most} moves under way");
     let went = cluster
-        .placed
+        .decided
         .values()
         .filter(|(_, v)| matches!(v, RoutingDecision::Send { epoch: Some(_), .. }))
         .count();
     println!(
-        "{went} of {vans} by their record, at most {most} moves under way at one, {words} words in 1 ms"
+        "{went} of {users} by their record, at most {most} moves under way at one, {messages} words in 1 ms"
     );
-    assert_eq!(cluster.placed.len() as u64, vans);
-    assert!(went as u64 > vans * 9 / 10, "{went}");
-    // And with far too little room: the newest are served, the eldest dropped.
+    assert_eq!(cluster.decided.len() as u64, users);
+    assert!(went as u64 > users * 9 / 10, "{went}");
+    // With far too little room the newest claims are served and the oldest dropped.
     let mut cluster = Cluster::new(1, |c| c.max_claims = 1);
-    cluster.way = 5;
+    cluster.delay_ms = 5;
     let ids: Vec<u64> =
         (0..6).map(|session| cluster.begin(1, session + 100, Idempotency::Idempotent)).collect();
     cluster.pass(24);
@@ -364,7 +364,7 @@
         .iter()
         .map(|id| {
             matches!(
-                cluster.placed.get(id),
+                cluster.decided.get(id),
                 Some((_, RoutingDecision::Send { epoch: Some(_), .. }))
             )
         })
@@ -377,7 +377,7 @@
 }
 
 #[test]
-fn a_forgotten_record_comes_back_under_a_higher_epoch_at_either_site() {
+fn evicted_record_returns_under_a_higher_epoch() {
     let mut cluster = Cluster::new(1, |c| c.max_records = 2);
     let epoch = |decision| match decision {
         RoutingDecision::Send { epoch, .. } => epoch,
@@ -400,11 +400,11 @@
 }
 
 #[test]
-fn whatever_a_peer_says_nothing_panics_and_all_requests_are_placed() {
-    let mut placed = 0;
+fn arbitrary_messages_never_panic_and_all_requests_are_routed() {
+    let mut decided = 0;
     for seed in 0..60 {
         let mut cluster = Cluster::new(2, |c| c.max_records = 40);
-        cluster.lies = Some(oorandom::Rand32::new(seed));
+        cluster.corruption = Some(oorandom::Rand32::new(seed));
         for n in 0..60 {
             let m = (n * 7 % 4) as u16;
             let idempotency = if n % 3 == 0 { Idempotency::Idempotent } else { keyed(n % 11) };
@@ -420,20 +420,22 @@
                 let slots: Vec<OwnerSlot> = (0..3).map(slot).collect();
                 for m in 0..3 {
                     let until = ms(1 << 30);
-                    cluster
-                        .tell(m, Event::TableChanged { version: 2, until, slots: slots.clone() });
+                    cluster.deliver(
+                        m,
+                        Event::TableChanged { version: 2, until, slots: slots.clone() },
+                    );
                 }
             }
         }
         cluster.pass(2_000);
-        assert_eq!(cluster.placed.len(), 60, "seed {seed}");
-        placed += cluster.placed.len();
+        assert_eq!(cluster.decided.len(), 60, "seed {seed}");
+        decided += cluster.decided.len();
     }
-    assert_eq!(placed, 3_600);
+    assert_eq!(decided, 3_600);
 }
 
 #[test]
-fn a_record_that_was_refused_is_not_taken_when_its_copy_comes_late() {
+fn rejected_transfer_is_not_accepted_when_its_copy_arrives_late() {
     let mut cluster = Cluster::new(1, |c| {
         (c.dedup_window, c.max_execution_delay) = (ms(200), ms(50));
         c.max_records = if c.node_id == NodeId(1) { 1 } else { 100 };
@@ -447,10 +449,12 @@
     cluster.ask(1, 1, Idempotency::Idempotent);
     assert!(owns(&cluster, 0) && !owns(&cluster, 1), "there is no room for it");
     cluster.pass(1_000);
-    for (from, to, message) in cluster.heard.clone().into_iter().filter(|w| w.1 == 1) {
-        cluster
-            .tell(to, Event::Message { from: NodeId(from), incarnation: Incarnation(1), message });
-        cluster.words.clear();
+    for (from, to, message) in cluster.delivered.clone().into_iter().filter(|w| w.1 == 1) {
+        cluster.deliver(
+            to,
+            Event::Message { from: NodeId(from), incarnation: Incarnation(1), message },
+        );
+        cluster.messages.clear();
         assert!(!(owns(&cluster, 0) && owns(&cluster, 1)), "two own it");
     }
 }
