--- a/crates/revision/src/leases/parent.rs
+++ b/crates/revision/src/leases/parent.rs
@@ -42,7 +42,7 @@
     former: Vec<FormerParent>,
     /// When the renewals were sent that have no response yet.
     pending_renewals: VecDeque<Duration>,
-    /// The parent has to learn something that no renewal has told it.
+    /// The parent has to learn something that no renewal has reported.
     is_urgent: bool,
     last_renewal: Option<Duration>,
     /// Renewals since the last one that was answered.
--- a/crates/revision/src/policy_state.rs
+++ b/crates/revision/src/policy_state.rs
@@ -2,6 +2,7 @@
 //! balancer. It knows no time, network or lease; entries tell it which generations are confirmed.
 
 mod fallback_change;
+mod in_force_rules;
 mod phases;
 mod replicated;
 mod revisions;
@@ -13,7 +14,7 @@
 
 use hollowpaddle_peer_transport::NodeId;
 
-use self::phases::in_force_rules;
+use self::in_force_rules::in_force_rules;
 use self::replicated::ReplicatedState;
 pub use self::status::{Applied, Bootstrap, BootstrapError, CanaryStatus, PolicyStatus};
 use crate::difference::Difference;
--- a/crates/revision/src/policy_state/snapshot.rs
+++ b/crates/revision/src/policy_state/snapshot.rs
@@ -113,7 +113,7 @@
     stored.collect()
 }
 
-/// Decodes and checks a snapshot; the error is the cause in words.
+/// Decodes and checks a snapshot; the error describes the cause.
 fn decode(bytes: &[u8]) -> Result<PolicyState, String> {
     let (snapshot, rest) =
         postcard::take_from_bytes::<Snapshot>(bytes).map_err(|error| error.to_string())?;
--- a/crates/sessions/src/key_log.rs
+++ b/crates/sessions/src/key_log.rs
@@ -3,7 +3,8 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::{Cell, IdempotencyKey, SessionId};
-use crate::record_store::{KeyEntry, MAX_EXPIRED_PER_STEP};
+use crate::key_entry::KeyEntry;
+use crate::record_store::MAX_EXPIRED_PER_STEP;
 use crate::time::to_ticks;
 
 /// The most keys in each log, 80 bytes each: 1,200 keyed requests a second. Beyond it keyed requests are rejected, since
--- a/crates/sessions/src/lib.rs
+++ b/crates/sessions/src/lib.rs
@@ -50,6 +50,7 @@
 mod config;
 mod ids;
 mod interface;
+mod key_entry;
 mod key_log;
 mod lost_owners;
 mod machine;
--- a/crates/sessions/src/lost_owners.rs
+++ b/crates/sessions/src/lost_owners.rs
@@ -94,7 +94,7 @@
         until
     }
 
-    /// Until when that holds for any session: what a new owner has to be told.
+    /// Until when that holds for any session: what is reported to a new owner.
     pub fn max_uncertain_until(&self, retention_ms: u64) -> u64 {
         let due_to_each = self.lost.iter().map(|lost| self.uncertain_due_to(lost, retention_ms));
         due_to_each.fold(self.all_uncertain_until, u64::max)
--- a/crates/sessions/src/ownership.rs
+++ b/crates/sessions/src/ownership.rs
@@ -5,8 +5,9 @@
 
 use crate::config::PERMIT_MS;
 use crate::ids::{Epoch, IdempotencyKey, SessionId};
+use crate::key_entry::KeyEntry;
 use crate::message::{Message, RouteOutcome, RouteRequest};
-use crate::record_store::{KeyEntry, Record};
+use crate::record_store::Record;
 use crate::state::{Context, Sessions, Waiter};
 use crate::time::{ticks_to_ms, to_millis, to_ticks, to_ticks_rounded_up};
 
--- a/crates/sessions/src/record_store.rs
+++ b/crates/sessions/src/record_store.rs
@@ -6,7 +6,8 @@
 use hollowpaddle_peer_transport::NodeId;
 
 use crate::ids::{Cell, Epoch, IdempotencyKey, SessionId, UNKNOWN_CELL};
-use crate::session_record::{KeyRecord, MAX_SESSION_KEYS, SessionRecord};
+use crate::key_entry::KeyEntry;
+use crate::session_record::{MAX_SESSION_KEYS, SessionRecord};
 use crate::time::{ticks_to_ms, to_ticks, to_ticks_rounded_up};
 
 /// The most expired entries that one step drops; the others wait for the next step.
@@ -85,50 +86,6 @@
     }
 }
 
-/// A key that may have been executed: 16 bytes.
-#[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
-pub(crate) struct KeyEntry {
-    /// No permit to send it was granted before.
-    pub first_permit_at: u32,
-    /// From then on it is as if it had never been sent.
-    pub expires_at: u32,
-    /// The number of the only request that was permitted to send it; 0 if there were several, or it is not known.
-    pub request: u32,
-    /// The balancer whose request that was.
-    pub requester: NodeId,
-    /// The cell that it was sent to.
-    pub cell: Cell,
-}
-
-impl KeyEntry {
-    /// Merges what another entry knows of the key: what either says may be so.
-    pub fn merge(&mut self, other: KeyEntry) {
-        if self.cell != other.cell {
-            self.cell = UNKNOWN_CELL;
-        }
-        self.first_permit_at = self.first_permit_at.min(other.first_permit_at);
-        self.expires_at = self.expires_at.max(other.expires_at);
-        if (self.requester, self.request) != (other.requester, other.request) {
-            self.request = 0;
-        }
-    }
-
-    /// Whether its window has ended.
-    pub fn has_expired(&self, now: u64) -> bool {
-        self.expires_at <= to_ticks(now)
-    }
-
-    /// The entry as messages carry it.
-    pub fn to_record(self, key: IdempotencyKey, now: u64) -> KeyRecord {
-        KeyRecord {
-            key,
-            cell: self.cell,
-            first_permit_ago: now.saturating_sub(ticks_to_ms(self.first_permit_at)),
-            expires_in: ticks_to_ms(self.expires_at).saturating_sub(now),
-        }
-    }
-}
-
 /// There is no room for another record or key: everything that is stored has to be retained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct StoreFull;
--- a/crates/sessions/src/replication.rs
+++ b/crates/sessions/src/replication.rs
@@ -4,8 +4,8 @@
 use hollowpaddle_peer_transport::NodeId;
 
 use crate::ids::SessionId;
+use crate::key_entry::KeyEntry;
 use crate::message::Message;
-use crate::record_store::KeyEntry;
 use crate::requests::PendingRequest;
 use crate::session_record::KeyRecord;
 use crate::state::{Context, Sessions};
--- a/crates/sessions/src/state.rs
+++ b/crates/sessions/src/state.rs
@@ -198,7 +198,7 @@
     pub(crate) routed: RoutedRequests,
     pub(crate) replicated_keys: ReplicatedKeys,
     pub(crate) sent_keys: SentKeys,
-    /// After a change of the ownership table: the sessions that each new owner is told of.
+    /// After a change of the ownership table: the sessions that are reported to each new owner.
     pub(crate) outbox: BTreeMap<NodeId, Vec<SessionId>>,
     pub(crate) fetches: BTreeMap<NodeId, RecordFetch>,
     pub(crate) timers: Timers,
