--- a/crates/sessions/tests/memory.rs
+++ b/crates/sessions/tests/memory.rs
@@ -1,5 +1,4 @@
-//! What 200,000 records with a key each take, as the kernel counts it. A file of its own: no other test
-//! allocates beside it.
+//! The resident memory of 200,000 records with a key each. A file of its own, so that no other test allocates beside it.
 
 use std::time::Duration;
 
@@ -16,11 +15,11 @@
 }
 
 #[test]
-fn two_hundred_thousand_records_take_32_mb_and_none_is_dropped_inside_its_window() {
+fn full_store_takes_less_than_32_mib_and_drops_no_key_inside_its_window() {
     let before = resident();
     let mut config = Config::new(NodeId(0), Incarnation(1));
     config.first_start = true;
-    let (records, window) = (config.records as u64, config.retention());
+    let (records, window) = (config.max_records as u64, config.retention());
     let mut machine = Sessions::new(config);
     let mut actions = Vec::with_capacity(16);
     let start = Duration::from_millis(1);
@@ -37,11 +36,11 @@
         let idempotency = Idempotency::Keyed(IdempotencyKey(n));
         let request = Event::Request { id: n, session, idempotency, first: false, deadline };
         machine.handle(now, request, &mut actions);
-        let placed = actions.iter().find_map(|a| match a {
+        let decided = actions.iter().find_map(|a| match a {
             Action::Route { decision, .. } => Some(*decision),
             _ => None,
         });
-        let decision = placed.expect("nobody else is to be asked, so it is placed at once");
+        let decision = decided.expect("nobody else is to be asked, so it is placed at once");
         machine.handle(
             now,
             Event::Finished { id: n, status: ExecutionStatus::Executed },
@@ -50,7 +49,7 @@
         decision
     };
     for n in 0..records {
-        // All within four seconds: every window is open at the end.
+        // All within four seconds, so that every window is open at the end.
         let now = start + Duration::from_micros(20 * n);
         let decision = ask(now, n);
         assert!(matches!(decision, RoutingDecision::Send { .. }), "{n}: {decision:?}");
@@ -71,5 +70,5 @@
     assert!(matches!(ask(now, 7), RoutingDecision::Send { .. }), "a repeat goes to its pod");
     let later = start + Duration::from_secs(5) + window;
     assert!(matches!(ask(later, records + 1), RoutingDecision::Send { .. }), "windows have ended");
-    assert_eq!((machine.records(), machine.counts().evicted), (200_000, 1));
+    assert_eq!((machine.record_count(), machine.metrics().evicted), (200_000, 1));
 }
