--- a/crates/policy/src/chunked.rs
+++ b/crates/policy/src/chunked.rs
@@ -1,9 +1,10 @@
-//! A growing table that never moves what it holds. A vector of the same size copies all of itself when it grows: several
-//! milliseconds for a large fleet, within one event.
+//! A growing table that never moves its items.
+//!
+//! A vector copies all of its items when it grows, which for a large fleet takes several milliseconds within one event.
 
 use std::ops::{Index, IndexMut};
 
-/// Items of one allocation.
+/// Items in one allocation.
 const CHUNK: usize = 128;
 
 /// Items by number, in allocations of equal size.
@@ -19,6 +20,7 @@
 }
 
 impl<T> Chunked<T> {
+    /// How many items there are.
     pub(crate) fn len(&self) -> usize {
         match self.chunks.split_last() {
             Some((last, full)) => full.len() * CHUNK + last.len(),
@@ -26,6 +28,7 @@
         }
     }
 
+    /// Adds an item behind all others.
     pub(crate) fn push(&mut self, item: T) {
         if self.chunks.last().is_none_or(|last| last.len() == CHUNK) {
             self.chunks.push(Vec::with_capacity(CHUNK));
--- a/crates/policy/src/interface/action.rs
+++ b/crates/policy/src/interface/action.rs
@@ -4,27 +4,27 @@
 use super::request::RequestId;
 use super::time::{Span, Time};
 
-/// Why a request is refused.
+/// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Refusal {
     /// The settings have no such class.
     UnknownClass,
     /// The list of upstreams is too old to be acted on.
     ListExpired,
-    /// What is queued and in flight is all that can be answered in time.
+    /// As much is queued and in flight as can be answered in time.
     QueueFull,
-    /// The same, for a tenant that sends more than its share.
+    /// The same, for a tenant beyond its quota.
     OverShare,
-    /// Its turn would come too late for it.
+    /// It would have to wait too long for its ordering key.
     NoTime,
-    /// It waited for a free upstream for as long as it could.
+    /// It was queued for as long as that made sense.
     HeldTooLong,
-    /// Its attempts failed, none of them ran where that matters, and no other may follow.
+    /// Its attempts failed, and it may not be attempted again. If it is not safe to repeat, none of them ran.
     AttemptsFailed,
 }
 
 impl Refusal {
-    /// Its name in logs.
+    /// Its name in logs and metrics.
     pub fn name(self) -> &'static str {
         match self {
             Self::UnknownClass => "unknown_class",
@@ -41,46 +41,47 @@
 /// What the caller must do.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub enum Action {
-    /// Send the request to an upstream as its next attempt.
+    /// Send a request to an upstream, as its next attempt.
     Send {
         /// The request.
         request: RequestId,
         /// The upstream.
         server: ServerId,
-        /// Time-out of the attempt.
+        /// Timeout of the attempt.
         timeout: Span,
-        /// Its last byte must be out by then, or none of it: an attempt that waits longer for its connection is moot.
+        /// Its last byte must be sent by then, or none of it: an attempt that waits longer for its connection is
+        /// [`Outcome::Moot`](crate::interface::Outcome::Moot).
         send_by: Time,
     },
-    /// End it unserved; it is harmless to come again.
+    /// Reject a request. It is harmless to send it again.
     Refuse {
         /// The request.
         request: RequestId,
-        /// Advice on when; zero for none.
+        /// Advice on when to send it again; zero for none.
         retry_after: Span,
-        /// Why, for the log.
+        /// Why, for logs and metrics.
         reason: Refusal,
     },
-    /// End it unserved, with no promise.
+    /// Fail a request. It may have run.
     Fail {
         /// The request.
         request: RequestId,
     },
-    /// Stop waiting for an attempt.
+    /// Cancel an attempt.
     Cancel {
         /// The request.
         request: RequestId,
-        /// Which attempt.
+        /// The number of the attempt, from 0.
         attempt: usize,
     },
-    /// Tell [`Event::Timer`](crate::interface::Event::Timer) at or after this time.
+    /// Deliver [`Event::Timer`](crate::interface::Event::Timer) at or after this time.
     Arm {
-        /// To be returned.
+        /// The token to deliver.
         token: u64,
         /// When.
         at: Time,
     },
-    /// Examine an upstream.
+    /// Send a health check to an upstream.
     Probe {
         /// The upstream.
         server: ServerId,
@@ -90,6 +91,6 @@
         /// The upstream.
         server: ServerId,
     },
-    /// Open the standing subscription to the list.
+    /// Subscribe to the endpoint list.
     Subscribe,
 }
--- a/crates/policy/src/interface/attempt.rs
+++ b/crates/policy/src/interface/attempt.rs
@@ -11,7 +11,7 @@
     Ok,
     /// Answered with an error; may have run.
     Error,
-    /// Turned away unseen.
+    /// Rejected unseen; never ran.
     Full,
     /// No answer in time; may have run.
     Timeout,
@@ -19,9 +19,9 @@
     ConnectFailed,
     /// The connection broke; may have run.
     Reset,
-    /// Withdrawn by us; may have run.
+    /// Cancelled by the balancer; may have run.
     Cancelled,
-    /// Never issued.
+    /// Never sent.
     Moot,
 }
 
@@ -32,12 +32,12 @@
     }
 }
 
-/// The end of an attempt as the caller saw it.
+/// The outcome of an attempt, as the caller saw it.
 #[derive(Clone, Copy, Debug)]
 pub struct Answer {
     /// The request.
     pub request: RequestId,
-    /// Which attempt, from 0.
+    /// The number of the attempt, from 0.
     pub attempt: usize,
     /// The upstream it went to.
     pub server: ServerId,
@@ -47,7 +47,7 @@
     pub latency: Span,
     /// The request is over.
     pub last: bool,
-    /// A part of its body went out and is kept nowhere: it can't be sent again.
+    /// A part of its body was passed on and not stored: it can't be sent again.
     pub spent: bool,
     /// What the upstream reported of itself.
     pub report: Report,
@@ -68,16 +68,16 @@
     }
 }
 
-/// An upstream's load report; what it does not tell is `None`.
+/// The load report of an upstream; a value that it does not give is `None`.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Report {
     /// Requests in progress.
     pub inflight: Option<f64>,
     /// Requests waiting.
     pub queue: Option<f64>,
-    /// Share of its cores busy.
+    /// Share of its cores that is busy.
     pub util: Option<f64>,
-    /// Recent service time without waiting.
+    /// Recent service time, without the wait.
     pub service: Option<Span>,
     /// Requests served per second.
     pub qps: Option<f64>,
--- a/crates/policy/src/interface/class.rs
+++ b/crates/policy/src/interface/class.rs
@@ -2,18 +2,18 @@
 
 use super::time::Span;
 
-/// What repeating a request can do.
+/// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
     /// May be repeated freely.
     Safe,
-    /// Repeats are dropped by the upstreams of one group, for a while.
+    /// It has an idempotency key: the upstreams of one group drop its repeats for a while.
     Keyed,
     /// Must never run twice.
     Unsafe,
 }
 
-/// Which upstreams drop each other's repeats of a keyed request.
+/// Which upstreams drop one another's repeats of a request with an idempotency key.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Group {
     /// All of them.
@@ -27,43 +27,43 @@
 /// A class of requests.
 #[derive(Clone, Debug)]
 pub struct Class {
-    /// An answer within this time earns the full worth.
+    /// An answer within this time has its full value.
     pub latency_objective: Span,
-    /// The longest a client waits.
+    /// The longest time that a client waits.
     pub deadline: Span,
-    /// Worth of one request.
+    /// Priority weight of one request.
     pub priority_weight: f64,
-    /// Share of the worth for an answer after the aim.
+    /// Part of its value that an answer has after the latency objective.
     pub late_priority_weight: f64,
-    /// What a repeat does.
+    /// Whether its requests may be repeated.
     pub effect: Effect,
-    /// Who drops repeats of a keyed request.
+    /// Which upstreams drop repeats of a request with an idempotency key.
     pub group: Group,
     /// For how long they do, from the send of the first attempt that may have run.
     pub window: Span,
-    /// The aim grows by this multiple of a request's own work, up to the deadline.
+    /// The latency objective grows by this multiple of a request's own work, up to the deadline.
     pub objective_stretch: f64,
-    /// The answer is a stream: [`Event::Started`](crate::interface::Event::Started) tells that it has begun.
+    /// The answer is a stream: [`Event::Started`](crate::interface::Event::Started) reports that it has begun.
     pub streaming: bool,
-    /// Requests of such classes that share a key take turns, in the order in which they came.
+    /// Requests of such classes that share a key run one after another, in the order of arrival.
     pub in_order: bool,
-    /// The only zones it may be sent to; `None` for any.
+    /// The only zones that its requests may be sent to; `None` for all.
     pub zones: Option<Vec<u32>>,
-    /// The only machine kinds it may be sent to; `None` for any.
+    /// The only machine types that its requests may be sent to; `None` for all.
     pub kinds: Option<Vec<u32>>,
 }
 
-/// A tenant and its share of the service.
+/// A tenant and its quota.
 #[derive(Clone, Debug)]
 pub struct Tenant {
-    /// Requests a second inside its share, over all balancers.
+    /// Its quota: requests a second over all balancers.
     pub quota_rps: f64,
     /// Its part of the service.
     pub share: f64,
 }
 
 impl Class {
-    /// A class that may be repeated freely, of worth 1, with this aim and deadline.
+    /// A class whose requests may be repeated freely, of priority weight 1.
     pub fn safe(latency_objective: Span, deadline: Span) -> Self {
         Self {
             latency_objective,
--- a/crates/policy/src/interface/config.rs
+++ b/crates/policy/src/interface/config.rs
@@ -3,53 +3,87 @@
 use super::class::{Class, Tenant};
 use super::time::Span;
 
-/// What the site allows.
+/// What the deployment allows.
 #[derive(Clone, Debug)]
 pub struct Limits {
     /// Most attempts of one request.
     pub max_attempts: usize,
-    /// Two attempts of a request may be out at once.
+    /// Requests may be hedged: two attempts of one may be in flight at once.
     pub second_copies: bool,
     /// Attempts may be cancelled.
     pub cancel: bool,
-    /// Upstreams may be probed.
+    /// Health checks may be sent to upstreams.
     pub probes: bool,
-    /// Clients are given retry advice.
+    /// Rejections carry advice on when to retry (Retry-After).
     pub retry_after: bool,
-    /// Longest advice that a client heeds.
+    /// Longest advice that a client follows.
     pub max_retry_after: Span,
-    /// A connection not made within this counts as failed.
+    /// A connection that is not open within this time counts as failed.
     pub connect_timeout: Span,
-    /// Idle connections close after this.
+    /// Idle connections close after this time.
     pub keepalive: Span,
-    /// Attempts that one connection carries at once.
+    /// Attempts that one connection carries at once, at most.
     pub streams_per_conn: u32,
 }
 
-/// Figures of the rules on drains, cold upstreams and the list.
+impl Limits {
+    /// Three attempts a request, and nothing that is optional.
+    fn basic() -> Self {
+        Self {
+            max_attempts: 3,
+            second_copies: false,
+            cancel: false,
+            probes: false,
+            retry_after: false,
+            max_retry_after: Span(0),
+            connect_timeout: Span(0),
+            keepalive: Span(0),
+            streams_per_conn: 1,
+        }
+    }
+}
+
+/// Figures of the rules on draining, slow start and the endpoint list.
 #[derive(Clone, Debug)]
 pub struct Rules {
-    /// An upstream starts at this share of its capacity or more.
+    /// Share of its capacity that a starting upstream has at least, from 0 to 1.
     pub warm_up_initial_share: f64,
-    /// And is warm no later than this.
+    /// Time after which it has all of its capacity.
     pub warm_up: Span,
-    /// It falls over when sent more than this many times its present capacity
+    /// It is overloaded when it is sent more than this many times its present capacity for [`Self::tip_after`].
     pub fall_multiple: f64,
-    /// for this long.
+    /// How long it must be sent too much to be overloaded.
     pub tip_after: Span,
-    /// How long after news of a drain a send may still go out.
+    /// How long after the notice of a drain a send may still go out.
     pub drain_grace: Span,
-    /// A final answer so long after the client's deadline still counts.
+    /// A final answer counts until this long after the client's deadline.
     pub answer_slack: Span,
-    /// Where the list must be asked: the longest silence before news counts as told.
+    /// Where the list is polled: a change counts as known after this time without an answer.
     pub list_poll_interval: Span,
-    /// Idle connections to a draining upstream must be closed within this; zero where no rule says so.
+    /// Idle connections to a draining upstream must be closed within this time; zero where no rule says so.
     pub drain_close: Span,
-    /// How long a key rests after an attempt of an ordered class that may still be running.
+    /// How long an ordering key rests after an attempt that may still be running.
     pub turn_gap: Span,
 }
 
-/// What things cost, each per first try, in shares of all worth.
+impl Rules {
+    /// No slow start, and no time where a rule asks for one.
+    fn basic() -> Self {
+        Self {
+            warm_up_initial_share: 1.0,
+            warm_up: Span(0),
+            fall_multiple: 1.0,
+            tip_after: Span(0),
+            drain_grace: Span(0),
+            answer_slack: Span(0),
+            list_poll_interval: Span(0),
+            drain_close: Span(0),
+            turn_gap: Span(0),
+        }
+    }
+}
+
+/// Prices, each per first attempt, as parts of the value of all requests.
 #[derive(Clone, Debug, Default)]
 pub struct Prices {
     /// An attempt that crosses zones.
@@ -58,18 +92,18 @@
     pub waste: f64,
     /// A new connection.
     pub handshake: f64,
-    /// A probe.
+    /// A health check.
     pub probe: f64,
-    /// Worth that ends unserved after its aim has passed.
+    /// A request that ends unserved after its latency objective has passed.
     pub late_fail: f64,
 }
 
-/// Weights of the parts of the service that the site judges by.
+/// Weights of the parts that the service is scored by.
 #[derive(Clone, Debug, Default)]
 pub struct ScoringMix {
     /// The whole run.
     pub whole: f64,
-    /// Its worst stretch.
+    /// Its worst window of time.
     pub worst_window: f64,
     /// The worst-served class.
     pub worst_class: f64,
@@ -89,51 +123,52 @@
     Probes,
 }
 
-/// What the balancer is told at its start.
+/// The settings of a balancer, which hold for as long as it runs.
 #[derive(Clone, Debug)]
 pub struct Settings {
     /// Request classes, by index.
     pub classes: Vec<Class>,
     /// Tenants, by index; may be empty.
     pub tenants: Vec<Tenant>,
-    /// Balancers in the bank, this one included.
+    /// Balancers of the cluster, this one included.
     pub balancers: u32,
-    /// This balancer's number among them, from 0.
+    /// The number of this balancer among them, from 0.
     pub position: u32,
-    /// Zones of the site.
+    /// Number of zones.
     pub zones: u32,
     /// Zone of this balancer.
     pub zone: u32,
-    /// How often events are delivered at most.
+    /// Least time between two deliveries of events.
     pub tick: Span,
-    /// The list of upstreams comes only when asked for.
+    /// The endpoint list must be polled.
     pub polls_list: bool,
-    /// What the site allows.
+    /// What the deployment allows.
     pub limits: Limits,
     /// Figures of the rules.
     pub rules: Rules,
-    /// What things cost.
+    /// Prices.
     pub prices: Prices,
-    /// How the service is judged.
+    /// How the service is scored.
     pub mix: ScoringMix,
-    /// Worth of a request beyond its tenant's share, over its class's.
+    /// Priority weight of a request beyond the quota of its tenant, as a part of that of its class.
     pub over_quota_weight: f64,
-    /// Worth counts by unit of work, not by request.
+    /// Value counts by unit of work, not by request.
     pub by_work: bool,
-    /// Clients mark their repeats.
+    /// Clients mark requests that they send again.
     pub marks_retry: bool,
     /// Where load reports come from.
     pub reports: Reports,
-    /// Classes may be kept from single upstreams as rules change ([`Member::barred`](crate::interface::Member::barred)): each has sums of its own.
+    /// Classes may be barred from single upstreams ([`Member::barred`](crate::interface::Member::barred)): each of them has a
+    /// capacity group of its own.
     pub barring: bool,
-    /// Tells what the numbers of classes, zones and kinds mean: what a balancer has learned under another of these is
-    /// none of this one's. See [`crate::learned`].
+    /// A hash of what the numbers of classes, zones and machine types stand for. What a balancer has learned under another
+    /// one does not apply here; see [`crate::learned`].
     pub meaning: u64,
 }
 
 impl Settings {
-    /// One proxy with these classes, one zone, three attempts a request, and no further rules or
-    /// prices: a start to fill in from.
+    /// One balancer with these classes, one zone, three attempts a request, and no further rules or prices: a base to fill
+    /// in from.
     pub fn basic(classes: Vec<Class>) -> Self {
         Self {
             classes,
@@ -144,28 +179,8 @@
             zone: 0,
             tick: Span(1000),
             polls_list: false,
-            limits: Limits {
-                max_attempts: 3,
-                second_copies: false,
-                cancel: false,
-                probes: false,
-                retry_after: false,
-                max_retry_after: Span(0),
-                connect_timeout: Span(0),
-                keepalive: Span(0),
-                streams_per_conn: 1,
-            },
-            rules: Rules {
-                warm_up_initial_share: 1.0,
-                warm_up: Span(0),
-                fall_multiple: 1.0,
-                tip_after: Span(0),
-                drain_grace: Span(0),
-                answer_slack: Span(0),
-                list_poll_interval: Span(0),
-                drain_close: Span(0),
-                turn_gap: Span(0),
-            },
+            limits: Limits::basic(),
+            rules: Rules::basic(),
             prices: Prices::default(),
             mix: ScoringMix { whole: 1.0, ..ScoringMix::default() },
             over_quota_weight: 1.0,
@@ -176,10 +191,11 @@
             meaning: 0,
         }
     }
-}
 
-impl Settings {
-    /// The same settings, made safe; an error where no safe reading exists.
+    /// Returns the same settings with unsafe values replaced by the nearest safe ones.
+    ///
+    /// # Errors
+    /// There is no class, or one with a latency objective or deadline that is not above zero.
     pub fn checked(mut self) -> Result<Self, SettingsError> {
         if self.classes.is_empty() {
             return Err(SettingsError::NoClasses);
@@ -189,13 +205,13 @@
         {
             return Err(SettingsError::InvalidLatencyObjective(i));
         }
-        // Safe defaults: a zero tick or cold share would stop a clock or a cold server for ever.
+        // With a tick or an initial share of zero, a timer or an upstream would never get anywhere.
         self.tick.0 = self.tick.0.max(100);
         self.balancers = self.balancers.max(1);
         self.limits.max_attempts = self.limits.max_attempts.max(1);
-        // Where clients are given no advice, the longest that they heed is none.
-        let most = if self.limits.retry_after { self.limits.max_retry_after.0.max(0) } else { 0 };
-        self.limits.max_retry_after = Span(most);
+        let longest_advice =
+            if self.limits.retry_after { self.limits.max_retry_after.0.max(0) } else { 0 };
+        self.limits.max_retry_after = Span(longest_advice);
         self.rules.warm_up_initial_share = self.rules.warm_up_initial_share.clamp(0.01, 1.0);
         self.rules.list_poll_interval.0 =
             self.rules.list_poll_interval.0.max(self.tick.0.saturating_mul(10));
@@ -203,13 +219,13 @@
     }
 }
 
-/// Why a balancer could not be made.
+/// Why settings are rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SettingsError {
-    /// No request could be judged.
+    /// There is no request class.
     #[error("settings name no request class")]
     NoClasses,
-    /// An aim or deadline that no answer can meet.
+    /// The latency objective or deadline of this class is not above zero.
     #[error("class {0} has an aim or deadline that is not above zero")]
     InvalidLatencyObjective(usize),
 }
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -5,23 +5,24 @@
 use super::request::{Request, RequestId};
 use super::time::{Span, Time};
 
-/// What has happened; told in the order it came.
+/// What has happened. Events are delivered in their order.
 #[derive(Clone, Copy, Debug)]
 pub enum Event<'a> {
-    /// The list of upstreams, or a change to it.
+    /// The endpoint list, a change to it, or the loss of the subscription.
     Members {
         /// What kind of list event.
         kind: ListKind,
         /// Its entries.
         list: &'a [Member],
     },
-    /// Discovery turned a call for the list away at once: it works, and has too many callers.
+    /// Discovery rejected a call for the list at once: it works, and has too many callers.
     ListCallRejected,
-    /// The list is too old to be acted on: until a subscription tells it anew nothing is sent, and what waits is refused.
+    /// The list is too old to be acted on. Until the subscription sends it again, nothing is sent, and queued requests are
+    /// rejected.
     ListExpired,
-    /// A client's request has arrived: one final answer is owed.
+    /// A client's request has arrived: it must get one final answer.
     Request(Request),
-    /// The last byte of a request that flows has come, and is out at the upstream that it was sent to.
+    /// The last byte of a request whose body was passed on while it arrived has come, and is sent.
     BodyReceived {
         /// The request.
         request: RequestId,
@@ -30,13 +31,13 @@
     },
     /// An attempt has ended.
     Answered(Answer),
-    /// The answer has begun to stream: the attempt is the client's now.
+    /// The answer has begun to stream: the request needs no decision any more.
     Started(RequestId),
-    /// The client no longer waits; nothing is owed.
+    /// The client no longer waits and needs no answer.
     ClientLeft(RequestId),
     /// A timer is due.
     Timer(u64),
-    /// A probe has ended.
+    /// A health check has ended.
     Probed {
         /// The upstream.
         server: ServerId,
--- a/crates/policy/src/interface/member.rs
+++ b/crates/policy/src/interface/member.rs
@@ -6,42 +6,42 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct ServerId(pub u32);
 
-/// State of an upstream in the list.
+/// Status of an upstream in the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Status {
-    /// Takes requests.
+    /// It takes requests.
     Live,
-    /// Finishes what it has; gets nothing new.
+    /// It finishes what it has and must be sent nothing new.
     Draining,
-    /// Withdrawn.
+    /// It has been withdrawn.
     Gone,
 }
 
-/// One entry of the list of upstreams.
+/// One entry of the endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Member {
     /// The caller's handle.
     pub id: ServerId,
-    /// A hash of its name that is the same at every balancer.
+    /// A hash of its name, the same at every balancer.
     pub identity: u64,
     /// Its zone.
     pub zone: u32,
-    /// Its machine kind.
+    /// Its machine type.
     pub kind: u32,
     /// Its cell.
     pub cell: u32,
-    /// Its state.
+    /// Its status.
     pub status: Status,
     /// Relative size; 1 where unknown.
     pub weight: f64,
-    /// When it last started, if not long ago.
+    /// When it last started; `None` if that is long ago.
     pub started: Option<Time>,
-    /// Classes that are kept from it: bit i is class i's. Counts where the settings are [`Settings::barring`](crate::interface::Settings::barring).
+    /// Classes that it must not be sent: bit i stands for class i. Counts only with [`Settings::barring`](crate::interface::Settings::barring).
     pub barred: u64,
 }
 
 impl Member {
-    /// A live upstream of zone, kind and cell 0 and of size 1, started long ago.
+    /// A live upstream of zone, machine type and cell 0 and of size 1, started long ago.
     pub fn live(id: ServerId) -> Self {
         Self {
             id,
@@ -57,24 +57,24 @@
     }
 }
 
-/// What kind of list event came.
+/// The kind of a list event.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ListKind {
-    /// Changed entries only.
+    /// Entries that have changed.
     Update,
-    /// The whole list.
+    /// The complete list.
     Complete,
-    /// The whole list as last held, perhaps out of date.
+    /// The complete list as it was stored, perhaps out of date.
     Restored,
-    /// A list call failed or the subscription broke.
+    /// A call for the list failed, or the subscription ended.
     Unavailable,
-    /// Changed entries that the list did not tell: operators', or the caller's own. They say nothing of the
-    /// subscription. Failure: told as an update, they passed for its first word, and it was never asked for.
+    /// Entries that were changed by operators or the caller, not by discovery. Unlike an update, they do not show that the
+    /// subscription is open.
     Aside,
 }
 
 impl ListKind {
-    /// Whether whoever is left out stays as they were.
+    /// Whether upstreams that the event does not name stay as they were.
     pub fn is_part(self) -> bool {
         matches!(self, Self::Update | Self::Aside)
     }
--- a/crates/policy/src/interface/request.rs
+++ b/crates/policy/src/interface/request.rs
@@ -19,16 +19,16 @@
     pub key: Option<u64>,
     /// When the client gives up.
     pub send_deadline: Time,
-    /// Work to expect on a yardstick core, if anyone guessed.
+    /// Expected work on a reference core, if there is an estimate.
     pub cost_guess: Option<Span>,
-    /// A client's repeat, where clients mark them.
+    /// The client has sent it before, where clients mark that.
     pub resent: bool,
     /// It changes something.
     pub write: bool,
-    /// Its body still comes while it is passed on: [`Event::BodyReceived`](crate::interface::Event::BodyReceived) tells of its last byte. The time of its client
-    /// counts from there, and its `send_deadline` until then says when it must have been sent.
+    /// Its body is passed on while it arrives; [`Event::BodyReceived`](crate::interface::Event::BodyReceived) reports its last
+    /// byte. The client's time counts from there; until then, `send_deadline` says when it must have been sent.
     pub flows: bool,
-    /// The only zone and cell that it may go to: they keep the state of what it is about, or may have run it before.
+    /// The only zone and cell that it may be sent to: they hold the state that it needs, or may have run it before.
     pub sticky_cell: Option<(u32, u32)>,
 }
 
--- a/crates/policy/src/interface/time.rs
+++ b/crates/policy/src/interface/time.rs
@@ -9,22 +9,22 @@
 pub struct Span(pub i64);
 
 impl Time {
-    /// The span from `earlier` to here; negative if `earlier` is later.
+    /// The time from `earlier` to this one; negative if `earlier` is later.
     pub fn since(self, earlier: Time) -> Span {
         Span(self.0.saturating_sub(earlier.0))
     }
-    /// This time moved by a span.
+    /// This time moved by a span, at most to the end of what can be represented.
     pub fn plus(self, span: Span) -> Time {
         Time(self.0.saturating_add(span.0))
     }
 }
 
 impl Span {
-    /// Its length in microseconds, for arithmetic.
+    /// Its length in microseconds.
     pub fn f(self) -> f64 {
         self.0 as f64
     }
-    /// The span of so many microseconds, cut to whole ones.
+    /// The span of a number of microseconds, cut to whole ones; 0 if it is not a number.
     pub fn of(us: f64) -> Span {
         Span(us as i64)
     }
--- a/crates/policy/src/learned.rs
+++ b/crates/policy/src/learned.rs
@@ -1,5 +1,6 @@
-//! What a balancer has learned of its fleet, in a form that outlasts its process: the next one goes on from it. Decides
-//! nothing; what the figures mean is in [`crate::policy`].
+//! What a balancer has learned of its fleet, in the form that is stored and from which the next process goes on.
+//!
+//! Names on the wire are those of stored files. What the figures mean is for [`crate::policy`] to say.
 
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
@@ -8,17 +9,20 @@
 use crate::estimate::Estimate;
 use crate::interface::Time;
 use crate::policy::Balancer;
+use crate::upstreams::Server;
 
-/// What was learned. Times and latencies in microseconds, rates in answers a microsecond, as the module keeps them.
+/// What a balancer has learned. Times and latencies are in microseconds, rates in answers per microsecond.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Learned {
-    /// Under which settings, as [`crate::interface::Settings::meaning`] says; what an older build learned doesn't say.
+    /// [`crate::interface::Settings::meaning`] of the settings under which it was learned; 0 if an older build stored it.
     #[serde(default)]
     meaning: u64,
     ts: f64,
-    good: f64,
+    #[serde(rename = "good")]
+    baseline_ts: f64,
     leeway: f64,
-    bearable: f64,
+    #[serde(rename = "bearable")]
+    tolerable_wait: f64,
     answers: f64,
     any_rate: f64,
     classes: Vec<ClassLearned>,
@@ -26,191 +30,247 @@
     upstreams: Vec<UpstreamLearned>,
 }
 
+/// What was learned of one class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct ClassLearned {
     answers: f64,
-    mean: f64,
-    dev: f64,
-    hopeless: f64,
-    part: f64,
+    #[serde(rename = "mean")]
+    mean_latency: f64,
+    #[serde(rename = "dev")]
+    latency_deviation: f64,
+    #[serde(rename = "hopeless")]
+    unanswered_share: f64,
+    #[serde(rename = "part")]
+    wait_part: f64,
 }
 
+/// What was learned of one machine type.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct KindLearned {
     warm_rate: f64,
-    lanes: usize,
-    /// Work done at each level, and what the level in use would have done.
+    /// The concurrency level in use.
+    #[serde(rename = "lanes")]
+    level: usize,
+    /// By level: work done, and the work that the level in use would have done.
     levels: Vec<(f64, f64)>,
 }
 
 impl KindLearned {
-    /// The lanes as they were, unless their count is none that a balancer chooses.
-    fn lanes(&self) -> Option<ConcurrencyLevels> {
+    /// The concurrency levels, unless the one in use is none that a balancer chooses.
+    fn concurrency_levels(&self) -> Option<ConcurrencyLevels> {
         let mut levels = ConcurrencyLevels::FRESH;
-        if !(1..levels.level.len()).contains(&self.lanes) {
+        if !(1..levels.level.len()).contains(&self.level) {
             return None;
         }
-        levels.count = self.lanes;
-        for (level, was) in levels.level.iter_mut().zip(&self.levels) {
-            (level.all, level.expected) = *was;
+        levels.count = self.level;
+        for (level, learned) in levels.level.iter_mut().zip(&self.levels) {
+            (level.all, level.expected) = *learned;
         }
         Some(levels)
     }
 }
 
+/// What was learned of one upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct UpstreamLearned {
-    /// The same in every process, unlike its handle.
+    /// The same in every process, unlike the handle of the upstream.
     identity: u64,
     started: Option<i64>,
     tp2: Option<f64>,
     slow: f64,
 }
 
-/// Why what was learned elsewhere can't be gone on from.
+/// Why a balancer cannot go on from what was learned elsewhere.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum NotRecalled {
-    /// The settings were others: so many classes there, and here.
+    /// The settings differ: number of classes there, and here.
     #[error("it was learned of {0} classes, and there are {1}")]
     Classes(usize, usize),
-    /// So many classes there were, but other ones, or other zones or kinds of upstreams.
+    /// The classes, zones or machine types differ.
     #[error("it was learned of other classes, zones or kinds")]
     Meaning,
-    /// Some figure is none that a balancer keeps.
+    /// Some figure is none that a balancer could have stored.
     #[error("a figure of it is out of range")]
     Nonsense,
 }
 
 impl Learned {
-    /// The fleet's part of it, without what is single upstreams' own.
+    /// What was learned of the fleet, without what was learned of single upstreams.
     pub fn of_fleet(self) -> Self {
         Self { upstreams: Vec::new(), ..self }
     }
 
-    /// Whether both rest on the same answers: any answer moves the service time that they were learned from.
+    /// Whether both rest on the same answers: each answer changes TS or a mean latency.
     pub fn rests_on_the_same(&self, other: &Self) -> bool {
-        let means = |l: &Self| l.classes.iter().map(|c| c.mean).collect::<Vec<_>>();
+        let means = |l: &Self| l.classes.iter().map(|c| c.mean_latency).collect::<Vec<_>>();
         self.ts == other.ts && means(self) == means(other)
     }
 
-    /// Whether every figure is one that a balancer could have kept: finite, and none negative.
+    /// Whether every figure is one that a balancer could have stored: finite, and none negative.
     fn is_sound(&self) -> bool {
-        let plain = |f: f64| f.is_finite() && f >= 0.0;
-        let whole = [self.ts, self.good, self.leeway, self.bearable, self.answers, self.any_rate];
-        let class = |c: &ClassLearned| {
-            [c.answers, c.mean, c.dev, c.hopeless, c.part].map(plain) == [true; 5]
-        };
-        let level = |l: &(f64, f64)| plain(l.0) && plain(l.1);
-        let kind = |k: &KindLearned| plain(k.warm_rate) && k.levels.iter().all(level);
-        let upstream =
-            |u: &UpstreamLearned| plain(u.slow) && u.slow > 0.0 && u.tp2.is_none_or(plain);
-        whole.into_iter().all(plain)
+        let fleet = [
+            self.ts,
+            self.baseline_ts,
+            self.leeway,
+            self.tolerable_wait,
+            self.answers,
+            self.any_rate,
+        ];
+        fleet.into_iter().all(is_plain)
             && self.ts > 0.0
-            && self.good > 0.0
-            && self.classes.iter().all(class)
-            && self.kinds.iter().all(kind)
-            && self.upstreams.iter().all(upstream)
+            && self.baseline_ts > 0.0
+            && self.classes.iter().all(ClassLearned::is_sound)
+            && self.kinds.iter().all(KindLearned::is_sound)
+            && self.upstreams.iter().all(UpstreamLearned::is_sound)
+    }
+}
+
+/// Whether a figure is finite and not negative.
+fn is_plain(figure: f64) -> bool {
+    figure.is_finite() && figure >= 0.0
+}
+
+impl ClassLearned {
+    fn is_sound(&self) -> bool {
+        let figures = [
+            self.answers,
+            self.mean_latency,
+            self.latency_deviation,
+            self.unanswered_share,
+            self.wait_part,
+        ];
+        figures.into_iter().all(is_plain)
+    }
+}
+
+impl KindLearned {
+    fn is_sound(&self) -> bool {
+        let are_plain = |level: &(f64, f64)| is_plain(level.0) && is_plain(level.1);
+        is_plain(self.warm_rate) && self.levels.iter().all(are_plain)
+    }
+}
+
+impl UpstreamLearned {
+    fn is_sound(&self) -> bool {
+        is_plain(self.slow) && self.slow > 0.0 && self.tp2.is_none_or(is_plain)
     }
 }
 
 impl Balancer {
-    /// What it has learned so far. Walks the fleet.
+    /// Returns what it has learned so far. Costs a pass over the fleet.
     pub fn learned(&self) -> Learned {
-        let f = &self.fleet;
-        let class = |c: usize| ClassLearned {
-            answers: f.answers_by_class[c],
-            mean: f.mean_latency[c],
-            dev: f.latency_deviation[c],
-            hopeless: f.unanswered_share[c],
-            part: self.wait_part(c),
-        };
-        let kind = |k: usize| {
-            let current = self.upstreams.kinds.levels(k as u32).count;
-            let known = self.upstreams.kinds.known_levels(k).into_iter();
-            KindLearned {
-                warm_rate: self.upstreams.kinds.rate(k as u32),
-                lanes: current,
-                levels: known
-                    .flat_map(|levels| &levels.level)
-                    .map(|l| (l.all, l.expected))
-                    .collect(),
-            }
-        };
-        let known =
-            self.upstreams.by_id.values().map(|slot| &self.upstreams.servers[*slot as usize]);
-        let mut upstreams: Vec<UpstreamLearned> = known
-            .map(|s| UpstreamLearned {
-                identity: s.identity,
-                started: s.started.map(|t| t.0),
-                tp2: s.estimate.tp2,
-                slow: s.estimate.slow,
-            })
-            .collect();
-        upstreams.sort_unstable_by_key(|u| u.identity);
+        let fleet = &self.fleet;
         Learned {
             meaning: self.settings.meaning,
-            ts: f.ts,
-            good: f.baseline_ts,
-            leeway: f.leeway,
-            bearable: f.tolerable_wait,
-            answers: f.answers,
+            ts: fleet.ts,
+            baseline_ts: fleet.baseline_ts,
+            leeway: fleet.leeway,
+            tolerable_wait: fleet.tolerable_wait,
+            answers: fleet.answers,
             any_rate: self.upstreams.kinds.any_rate,
-            classes: (0..f.mean_latency.len()).map(class).collect(),
-            kinds: (0..self.upstreams.kinds.len()).map(kind).collect(),
-            upstreams,
+            classes: (0..fleet.mean_latency.len()).map(|c| self.learned_of_class(c)).collect(),
+            kinds: (0..self.upstreams.kinds.len()).map(|k| self.learned_of_kind(k)).collect(),
+            upstreams: self.learned_of_upstreams(),
+        }
+    }
+
+    fn learned_of_class(&self, class: usize) -> ClassLearned {
+        ClassLearned {
+            answers: self.fleet.answers_by_class[class],
+            mean_latency: self.fleet.mean_latency[class],
+            latency_deviation: self.fleet.latency_deviation[class],
+            unanswered_share: self.fleet.unanswered_share[class],
+            wait_part: self.wait_part(class),
+        }
+    }
+
+    fn learned_of_kind(&self, kind: usize) -> KindLearned {
+        let kinds = &self.upstreams.kinds;
+        let known = kinds.known_levels(kind).into_iter().flat_map(|levels| &levels.level);
+        KindLearned {
+            warm_rate: kinds.rate(kind as u32),
+            level: kinds.levels(kind as u32).count,
+            levels: known.map(|level| (level.all, level.expected)).collect(),
         }
     }
 
-    /// Goes on from what another process of this balancer has learned, in place of what this one has. Of upstreams only
-    /// those that are listed here and have not started anew since are recalled.
+    fn learned_of_upstreams(&self) -> Vec<UpstreamLearned> {
+        let known =
+            self.upstreams.by_id.values().map(|slot| &self.upstreams.servers[*slot as usize]);
+        let learned = |s: &Server| UpstreamLearned {
+            identity: s.identity,
+            started: s.started.map(|t| t.0),
+            tp2: s.estimate.tp2,
+            slow: s.estimate.slow,
+        };
+        let mut upstreams: Vec<UpstreamLearned> = known.map(learned).collect();
+        upstreams.sort_unstable_by_key(|u| u.identity);
+        upstreams
+    }
+
+    /// Goes on from what another process of this balancer has learned, in place of what this one has. Of the upstreams, only
+    /// those are recalled that are listed here and have not restarted since.
     ///
     /// # Errors
-    /// It does not fit; nothing has changed then.
+    /// It does not fit these settings, or is not sound; nothing has changed then.
     pub fn recall(&mut self, now: Time, learned: &Learned) -> Result<(), NotRecalled> {
         let classes = self.fleet.mean_latency.len();
         if learned.classes.len() != classes {
             return Err(NotRecalled::Classes(learned.classes.len(), classes));
         }
-        // Failure: what a class of other settings had taught decided for the one that has its number here.
+        // Classes are numbered: under other settings the same number stands for another class.
         if learned.meaning != self.settings.meaning {
             return Err(NotRecalled::Meaning);
         }
         if !learned.is_sound() {
             return Err(NotRecalled::Nonsense);
         }
-        let f = &mut self.fleet;
-        (f.ts, f.baseline_ts, f.leeway) = (learned.ts, learned.good, learned.leeway);
-        (f.tolerable_wait, f.answers) = (learned.bearable, learned.answers);
-        (f.paced_ts, f.decayed_at) = (learned.ts, now);
-        for (c, was) in learned.classes.iter().enumerate() {
-            (f.answers_by_class[c], f.mean_latency[c], f.latency_deviation[c]) =
-                (was.answers, was.mean, was.dev);
-            f.unanswered_share[c] = was.hopeless;
-        }
-        self.ranks.restore_parts(learned.classes.iter().map(|c| c.part).collect());
-        (0..classes).for_each(|class| self.reset_hedge_delay(class));
-        self.upstreams.kinds.any_rate = learned.any_rate;
+        self.recall_fleet(now, learned);
         for (kind, was) in learned.kinds.iter().enumerate() {
-            self.upstreams.kinds.restore(kind, was.warm_rate, was.lanes());
+            self.upstreams.kinds.restore(kind, was.warm_rate, was.concurrency_levels());
+        }
+        self.recall_upstreams(now, learned);
+        self.refresh_fleet(now);
+        Ok(())
+    }
+
+    fn recall_fleet(&mut self, now: Time, learned: &Learned) {
+        let fleet = &mut self.fleet;
+        fleet.ts = learned.ts;
+        fleet.baseline_ts = learned.baseline_ts;
+        fleet.leeway = learned.leeway;
+        fleet.tolerable_wait = learned.tolerable_wait;
+        fleet.answers = learned.answers;
+        fleet.paced_ts = learned.ts;
+        fleet.decayed_at = now;
+        for (class, was) in learned.classes.iter().enumerate() {
+            fleet.answers_by_class[class] = was.answers;
+            fleet.mean_latency[class] = was.mean_latency;
+            fleet.latency_deviation[class] = was.latency_deviation;
+            fleet.unanswered_share[class] = was.unanswered_share;
         }
-        let was: FxHashMap<u64, &UpstreamLearned> =
+        self.upstreams.kinds.any_rate = learned.any_rate;
+        self.ranks.restore_parts(learned.classes.iter().map(|c| c.wait_part).collect());
+        (0..learned.classes.len()).for_each(|class| self.reset_hedge_delay(class));
+    }
+
+    fn recall_upstreams(&mut self, now: Time, learned: &Learned) {
+        let by_identity: FxHashMap<u64, &UpstreamLearned> =
             learned.upstreams.iter().map(|u| (u.identity, u)).collect();
-        let mut all: Vec<usize> =
-            self.upstreams.by_id.values().map(|slot| *slot as usize).collect();
-        all.sort_unstable();
-        for i in all {
-            let s = &mut self.upstreams.servers[i];
-            let was = was.get(&s.identity).filter(|u| u.started == s.started.map(|t| t.0));
-            if let Some(was) = was {
-                let before =
-                    std::mem::replace(&mut s.estimate, Estimate { tp2: was.tp2, slow: was.slow });
+        let slots = self.upstreams.by_id.values().map(|slot| *slot as usize);
+        let mut slots: Vec<usize> = slots.collect();
+        slots.sort_unstable();
+        for slot in slots {
+            let s = &mut self.upstreams.servers[slot];
+            let started = s.started.map(|t| t.0);
+            if let Some(was) = by_identity.get(&s.identity).filter(|u| u.started == started) {
+                let recalled = Estimate { tp2: was.tp2, slow: was.slow };
+                let before = std::mem::replace(&mut s.estimate, recalled);
                 self.fleet.tp2_sum.change(before.tp2, was.tp2);
                 self.fleet.tp2_count += usize::from(was.tp2.is_some());
                 self.fleet.tp2_count -= usize::from(before.tp2.is_some());
             }
-            self.refresh(now, i);
+            self.refresh(now, slot);
         }
-        self.refresh_fleet(now);
-        Ok(())
     }
 }
--- a/crates/policy/src/list_polling.rs
+++ b/crates/policy/src/list_polling.rs
@@ -1,56 +1,57 @@
-//! When discovery is asked for the list, and how the time is divided that its news may take. Pure.
+//! Decides when the endpoint list is polled, and how the time is divided in which a change must take effect. Pure.
 //!
-//! What discovery has to tell counts as told [`LIST_PROPAGATION_BOUND`] after it has it and can be reached, heard or not. At worst a
-//! call or a watch falls silent right before that moment: it is given up after [`SILENCE`], the next call is made within
-//! [`PAUSE`], and is answered before it would be given up in turn. [`MARGIN`] is left for the way of the list into force.
+//! A change counts [`LIST_PROPAGATION_BOUND`] after discovery has it and can be reached, whether it was received or not. In the worst
+//! case a call or a watch falls silent right before that moment: it is given up after [`SILENCE`], the next call is made
+//! within [`PAUSE`], and is answered before it would be given up in turn. [`MARGIN`] is left for the list to take effect.
 //!
-//! Discovery is one service for all balancers and works through calls in turn. Once it turns calls away at once, its
+//! Discovery is one service for all balancers and works through calls one after another. Once it rejects calls at once, its
 //! queue is full, and balancers that know nothing of one another have to share it. Two rules keep it busy with calls that
-//! somebody still waits for: a call that it has taken is waited for ([`CALL_PATIENCE`]), and one that was turned away is
+//! somebody still waits for: a call that it has accepted is waited for ([`CALL_PATIENCE`]), and one that was rejected is
 //! made again after about as long as the list has been missing, so that the calls of all thin out until discovery keeps up.
 
 use crate::interface::{Settings, Span, Time};
 
-/// What discovery has to tell counts as told so long after it has it (PROTOCOL, "Figures").
+/// A change of the list counts this long after discovery has it (PROTOCOL, "Figures").
 pub const LIST_PROPAGATION_BOUND: Span = Span(6_000_000);
-/// A call or a watch without a word for so long is dead. A watch has one every 2 s (PROTOCOL, "Discovery"); a busy moment
-/// may hold that up.
+/// A call or a watch without a message for this long is dead. A watch has one every 2 s (PROTOCOL, "Discovery"), which a
+/// busy moment may delay.
 pub const SILENCE: Span = Span(2_600_000);
-/// From the last byte of a list to its being in force. Failure: with none, a list that is read in time is obeyed too late.
+/// Time from the last byte of a list until it takes effect.
 pub const MARGIN: Span = Span(300_000);
-/// How long a call is waited for that discovery has taken, and not answered: it may wait for its turn there. While
-/// discovery turns calls away, too, it is doubled by each one given up so, [`PATIENCE_DOUBLINGS`] times at most. Failure: given up after 2.6 s
-/// before a discovery that keeps calls for 3 s, nearly every call was worked through after its caller had gone.
+/// How long a call is waited for that discovery has accepted and not answered: it may be queued there for 3 s. While
+/// discovery rejects other calls, this is doubled by each call given up so, [`PATIENCE_DOUBLINGS`] times at most.
 pub const CALL_PATIENCE: Span = Span(3_200_000);
-/// Most doublings of that.
+/// Most doublings of [`CALL_PATIENCE`].
 pub const PATIENCE_DOUBLINGS: u32 = 2;
-/// Longest wait for the next call, where the last one or a watch may have been silent all the while.
+/// Longest wait for the next call, if the last call or a watch may have been silent until it was given up.
 pub const PAUSE: Span = Span(LIST_PROPAGATION_BOUND.0 - MARGIN.0 - 2 * SILENCE.0);
-/// Longest wait after a call that failed at once. Failure: without a second one in the same time, a call that is refused
-/// in the crowd of a return costs the bound.
+/// Longest wait after a call that failed at once. It leaves time for two calls within the bound, since the first may fail
+/// again when all balancers call at once.
 const LONG_PAUSE: Span = Span((LIST_PROPAGATION_BOUND.0 - MARGIN.0 - SILENCE.0) / 2);
 
-/// Longest first wait, as a share of `list_poll_interval`: where asking is dear, restarts must not swamp discovery. Each failure
-/// doubles it.
-const JITTER_OF_EVERY: f64 = 0.05;
-/// Most doublings of that.
-const DOUBLINGS: u32 = 3;
-/// All balancers together call a crowded discovery no more often than this, in calls a second: each waits its part.
+/// Longest first wait, as a share of [`crate::interface::Rules::list_poll_interval`]: restarts must not overload discovery.
+/// Each failure doubles it.
+const JITTER_OF_INTERVAL: f64 = 0.05;
+/// Most doublings of that wait.
+const MAX_JITTER_DOUBLINGS: u32 = 3;
+/// Calls a second of all balancers together to a discovery that rejects calls, at most.
 const CALLS_PER_SECOND: f64 = 400.0;
-/// And no more often than this once the list has been missing for long: a refused call is cheap, not free.
+/// The same once the list has been missing for long: a rejected call costs discovery little, but not nothing.
 const LATE_CALLS_PER_SECOND: f64 = 10.0;
-/// Shortest wait after a call that was turned away, whatever the number of balancers.
-const LEAST_PAUSE: Span = Span(50_000);
-/// The longest one is no shorter than this: a few balancers may meet many callers of other kinds.
-const LEAST_LONG_PAUSE: Span = Span(500_000);
-/// And no longer than so many times `list_poll_interval`: a balancer that has not asked for four times that counts as told.
-const LONGEST_PAUSE_OF_EVERY: f64 = 2.0;
-/// Part of such a wait that is certain; the rest is random.
+/// Shortest wait after a rejected call, whatever the number of balancers.
+const MIN_REJECTED_PAUSE: Span = Span(50_000);
+/// The longest wait after a rejected call is no shorter than this: callers of other kinds may be many.
+const MIN_LONGEST_PAUSE: Span = Span(500_000);
+/// The longest wait after a rejected call, in poll intervals. A change counts for a balancer that has not polled for four.
+const LONGEST_PAUSE_OF_INTERVAL: f64 = 2.0;
+/// Part of a wait after a rejected call that is certain; the rest is random.
 const CERTAIN_PART: f64 = 0.5;
-/// A call unanswered for this share of `list_poll_interval` is made again. Only a caller that gives up no calls gets there.
-const AGAIN_OF_EVERY: f64 = 0.5;
+/// A call unanswered for this share of the poll interval is made again. Only a caller that never gives up a call gets there.
+const REPEAT_OF_INTERVAL: f64 = 0.5;
+/// Microseconds in a second.
+const SECOND_US: f64 = 1e6;
 
-/// Where the list must be asked: when to ask next.
+/// When to poll next, where the list must be polled. Jitters are random numbers from 0 to 1.
 #[derive(Debug)]
 pub struct ListPoller {
     poll_interval: Span,
@@ -58,17 +59,17 @@
     subscribed: bool,
     /// Since when there has been no subscription.
     missing_since: Time,
-    /// When a call is due; never, where the list is not asked for.
+    /// When a call is due; `None` where the list need not be polled.
     next: Option<Time>,
-    /// When it was asked, while that call is out.
+    /// When the present call was made; `None` if there is none.
     polled_at: Option<Time>,
     failures: u32,
 }
 
 impl ListPoller {
-    /// Of one that starts now. `jitter` is between 0 and 1, as in all that follows.
+    /// Polls for the first time after a random part of [`PAUSE`] at most.
     pub fn new(settings: &Settings, now: Time, jitter: f64) -> Self {
-        let mut asking = Self {
+        let mut poller = Self {
             poll_interval: settings.rules.list_poll_interval,
             balancers: f64::from(settings.balancers),
             subscribed: false,
@@ -78,29 +79,29 @@
             failures: 0,
         };
         if settings.polls_list {
-            asking.next = Some(now.plus(asking.backoff(PAUSE, jitter)));
+            poller.next = Some(now.plus(poller.backoff(PAUSE, jitter)));
         }
-        asking
+        poller
     }
 
-    /// When a call is due, if nothing happens before.
+    /// When a call is due, unless an event comes before.
     pub fn next(&self) -> Option<Time> {
         self.next
     }
 
-    /// Whether a call is due; counts as made then.
+    /// Whether a call is due. If so, it counts as made.
     pub fn poll_if_due(&mut self, now: Time) -> bool {
         let due = !self.subscribed && self.next.is_some_and(|next| now >= next);
         if due {
             self.polled_at = Some(now);
-            let again =
-                Span::of(self.poll_interval.f() * AGAIN_OF_EVERY).0.min(SILENCE.0 + PAUSE.0);
-            self.next = Some(now.plus(Span(again)));
+            let repeat =
+                Span::of(self.poll_interval.f() * REPEAT_OF_INTERVAL).0.min(SILENCE.0 + PAUSE.0);
+            self.next = Some(now.plus(Span(repeat)));
         }
         due
     }
 
-    /// Discovery has told something: the subscription stands.
+    /// Discovery has sent a list: the subscription is open.
     pub fn notified(&mut self) {
         (self.subscribed, self.polled_at, self.failures) = (true, None, 0);
     }
@@ -108,36 +109,37 @@
     /// The call failed, or the subscription ended.
     pub fn failed(&mut self, now: Time, jitter: f64) {
         self.subscription_ended(now);
-        self.failures = (self.failures + 1).min(DOUBLINGS);
-        // Of a subscription it is not known for how long it was silent.
+        self.failures = (self.failures + 1).min(MAX_JITTER_DOUBLINGS);
+        // For how long a subscription was silent is not known.
         let silent =
             self.polled_at.take().map_or(SILENCE, |polled_at| now.since(polled_at).min(SILENCE));
-        let left = Span(LIST_PROPAGATION_BOUND.0 - MARGIN.0 - SILENCE.0 - silent.0);
-        self.next = self.next.map(|_| now.plus(self.backoff(left.min(LONG_PAUSE), jitter)));
+        let remaining = Span(LIST_PROPAGATION_BOUND.0 - MARGIN.0 - SILENCE.0 - silent.0);
+        self.next = self.next.map(|_| now.plus(self.backoff(remaining.min(LONG_PAUSE), jitter)));
     }
 
-    /// Discovery turned the call away at once: it works, and has more callers than it can serve.
+    /// Discovery rejected the call at once: it works, and has more callers than it can serve.
     pub fn rejected(&mut self, now: Time, jitter: f64) {
         self.subscription_ended(now);
         self.polled_at = None;
-        let second = 1e6;
-        let most = (self.balancers / LATE_CALLS_PER_SECOND * second).max(LEAST_LONG_PAUSE.f());
-        let most = most.min(self.poll_interval.f() * LONGEST_PAUSE_OF_EVERY);
-        let least = (self.balancers / CALLS_PER_SECOND * second).max(LEAST_PAUSE.f());
-        let pause = now.since(self.missing_since).f().max(least).min(most);
+        let longest =
+            (self.balancers / LATE_CALLS_PER_SECOND * SECOND_US).max(MIN_LONGEST_PAUSE.f());
+        let longest = longest.min(self.poll_interval.f() * LONGEST_PAUSE_OF_INTERVAL);
+        let shortest = (self.balancers / CALLS_PER_SECOND * SECOND_US).max(MIN_REJECTED_PAUSE.f());
+        let pause = now.since(self.missing_since).f().max(shortest).min(longest);
         let share = CERTAIN_PART + (1.0 - CERTAIN_PART) * jitter;
         self.next = self.next.map(|_| now.plus(Span::of(pause * share)));
     }
 
-    /// There is no subscription any more, if there was one.
+    /// The list has been missing from now on, if there was a subscription.
     fn subscription_ended(&mut self, now: Time) {
         if std::mem::take(&mut self.subscribed) {
             self.missing_since = now;
         }
     }
 
-    fn backoff(&self, most: Span, jitter: f64) -> Span {
-        let share = JITTER_OF_EVERY * f64::from(1 << self.failures);
-        Span::of(jitter * (share * self.poll_interval.f()).min(most.f()))
+    /// A random wait of `longest` at most.
+    fn backoff(&self, longest: Span, jitter: f64) -> Span {
+        let share = JITTER_OF_INTERVAL * f64::from(1 << self.failures);
+        Span::of(jitter * (share * self.poll_interval.f()).min(longest.f()))
     }
 }
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,5 +1,7 @@
-//! Requests as the module keeps them: those that are held stand in lanes, first come, first served, and those of one
-//! key take turns. Keeps the order; who may go, and where, is for [`crate::policy`] to say.
+//! Live requests, and the order of those that are queued: first come, first served in sub-queues, and one after another
+//! for each ordering key.
+//!
+//! Which request may be sent, and where, is for [`crate::policy`] to say.
 
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
@@ -11,55 +13,66 @@
 use crate::interface::{RequestId, Time};
 use crate::request_state::{Attempt, RequestState, SubQueue};
 
-/// The requests of one key that are to run in turn, and until when the key rests.
+/// Stale entries that each event drops from the heap of give-up times.
+const STALE_DROPS_PER_EVENT: usize = 4;
+
+/// The requests of one ordering key.
 #[derive(Debug)]
 struct KeyQueue {
+    /// In the order of arrival.
     waiting: VecDeque<RequestId>,
+    /// None of them is sent before then: an earlier one may still be running.
     rest_until: Time,
 }
 
-/// All requests that live, and the order of those that are held.
+/// All live requests, and the order of those that are queued.
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     requests: FxHashMap<RequestId, RequestState>,
     waiting: Waiting<SubQueue, RequestId>,
-    /// When each held one must be given up; some are not held any more.
+    /// When queued requests must be given up; some are not queued any more.
     give_up_times: BinaryHeap<Reverse<(Time, RequestId)>>,
     key_queues: FxHashMap<u64, KeyQueue>,
-    /// Keys to be looked at once they have rested.
+    /// When ordering keys have rested.
     key_rests: BinaryHeap<Reverse<(Time, u64)>>,
-    /// When that was last done.
+    /// The time as of the last event.
     now: Time,
 }
 
-/// The lanes as one look through the queue goes: how far it is in each that it has not closed.
+/// A scan over all sub-queues in the order of arrival.
 pub(crate) struct QueueScan {
+    /// Sub-queues to be scanned further, each with the ticket of the last request passed.
     open: Vec<(SubQueue, Option<Ticket>)>,
+    /// Sub-queues in which nobody finds a free slot.
     closed: Vec<SubQueue>,
-    head: usize,
-    turn: Option<Ticket>,
+    /// The index in `open` of the sub-queue of the present request.
+    current: usize,
+    /// The ticket of the present request.
+    ticket: Option<Ticket>,
 }
 
 impl Queue {
+    /// A live request.
     pub(crate) fn get(&self, id: RequestId) -> Option<&RequestState> {
         self.requests.get(&id)
     }
 
+    /// A live request, to change it.
     pub(crate) fn get_mut(&mut self, id: RequestId) -> Option<&mut RequestState> {
         self.requests.get_mut(&id)
     }
 
-    /// What is known of an attempt whose request still lives.
-    pub(crate) fn attempt(&self, w: &TrackedAttempt) -> Option<&Attempt> {
-        self.requests.get(&w.request)?.attempts.get(w.attempt)
+    /// A tracked attempt, if its request is live.
+    pub(crate) fn attempt(&self, tracked: &TrackedAttempt) -> Option<&Attempt> {
+        self.requests.get(&tracked.request)?.attempts.get(tracked.attempt)
     }
 
-    /// Whether nobody stands in any lane.
+    /// Whether all sub-queues are empty.
     pub(crate) fn is_empty(&self) -> bool {
         self.waiting.is_empty()
     }
 
-    /// A request begins to live, and goes to the back of its key's line.
+    /// Adds a request, last of those of its ordering key.
     pub(crate) fn insert(&mut self, now: Time, id: RequestId, entry: RequestState) {
         if let Some(key) = entry.ordering_key {
             let new = || KeyQueue { waiting: VecDeque::new(), rest_until: now };
@@ -68,21 +81,21 @@
         self.requests.insert(id, entry);
     }
 
-    /// How many wait for a key's turn.
+    /// How many live requests have this ordering key.
     pub(crate) fn waiting_for_key(&self, key: Option<u64>) -> usize {
         key.and_then(|k| self.key_queues.get(&k)).map_or(0, |l| l.waiting.len())
     }
 
-    /// A request lives no more.
+    /// Removes a request.
     pub(crate) fn remove(&mut self, id: RequestId) -> Option<RequestState> {
         self.dequeue(id);
         let entry = self.requests.remove(&id)?;
-        if let Some((key, line)) =
+        if let Some((key, key_queue)) =
             entry.ordering_key.and_then(|k| Some((k, self.key_queues.get_mut(&k)?)))
         {
-            line.waiting.retain(|w| *w != id);
-            if line.waiting.is_empty() {
-                self.key_rests.push(Reverse((line.rest_until, key)));
+            key_queue.waiting.retain(|w| *w != id);
+            if key_queue.waiting.is_empty() {
+                self.key_rests.push(Reverse((key_queue.rest_until, key)));
             } else {
                 self.enqueue_next_of_key(key);
             }
@@ -90,18 +103,19 @@
         Some(entry)
     }
 
-    /// Holds a request in a lane, or until its key's turn comes, before all others or behind them.
+    /// Queues a request before all others or behind them. One with an ordering key is put into its sub-queue only when it is
+    /// the first of that key and the key has rested.
     pub(crate) fn hold(&mut self, id: RequestId, sub_queue: SubQueue, at_head: bool) {
-        let turn = if at_head { self.waiting.front_ticket() } else { self.waiting.back_ticket() };
+        let ticket = if at_head { self.waiting.front_ticket() } else { self.waiting.back_ticket() };
         let Some(e) = self.requests.get_mut(&id) else { return };
-        (e.is_queued, e.ticket, e.sub_queue) = (true, turn, sub_queue);
+        (e.is_queued, e.ticket, e.sub_queue) = (true, ticket, sub_queue);
         match e.ordering_key.filter(|_| e.attempts.is_empty()) {
             Some(key) => self.enqueue_next_of_key(key),
             None => self.enqueue(id),
         }
     }
 
-    /// It is held no longer.
+    /// Takes a request out of the queue.
     pub(crate) fn release(&mut self, id: RequestId) {
         self.dequeue(id);
         if let Some(e) = self.requests.get_mut(&id) {
@@ -109,12 +123,12 @@
         }
     }
 
-    /// Remembers when a held one must be given up.
+    /// Sets when a queued request must be given up.
     pub(crate) fn give_up_at(&mut self, at: Time, id: RequestId) {
         self.give_up_times.push(Reverse((at, id)));
     }
 
-    /// Those that must be given up by now, in their order.
+    /// Takes the queued requests that must be given up by now, in the order of arrival.
     pub(crate) fn take_expired(&mut self, now: Time) -> Vec<RequestId> {
         let mut late = Vec::new();
         while let Some(&Reverse((_, id))) = self.give_up_times.peek().filter(|h| h.0.0 <= now) {
@@ -127,7 +141,7 @@
         late.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// All that are held, in their order.
+    /// All queued requests, in the order of arrival.
     pub(crate) fn queued(&self) -> Vec<RequestId> {
         let queued = self.requests.iter().filter(|(_, e)| e.is_queued);
         let mut queued: Vec<_> = queued.map(|(id, e)| (e.ticket, *id)).collect();
@@ -135,10 +149,10 @@
         queued.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Drops what is not held any more from the head of those to be given up, a few at a time: all at once, when
-    /// they would have been due, held up whoever came then.
+    /// Drops give-up times of requests that are not queued any more, a few at a time: dropped all at once, they would
+    /// delay one event by much.
     pub(crate) fn drop_stale_give_ups(&mut self) {
-        for _ in 0..4 {
+        for _ in 0..STALE_DROPS_PER_EVENT {
             let Some(&Reverse((_, id))) = self.give_up_times.peek() else { return };
             if self.requests.get(&id).is_some_and(|e| e.is_queued) {
                 return;
@@ -147,6 +161,7 @@
         }
     }
 
+    /// Puts a queued request into its sub-queue.
     fn enqueue(&mut self, id: RequestId) {
         let Some(e) = self.requests.get_mut(&id) else { return };
         if !std::mem::replace(&mut e.is_enqueued, true) {
@@ -154,6 +169,7 @@
         }
     }
 
+    /// Takes a request out of its sub-queue.
     fn dequeue(&mut self, id: RequestId) {
         let Some(e) = self.requests.get_mut(&id) else { return };
         if std::mem::take(&mut e.is_enqueued) {
@@ -161,51 +177,54 @@
         }
     }
 
-    // ------------------------------------------------------------ turns
+    // ------------------------------------------------------------ ordering keys
 
-    /// Whether it is at the head of its key's line and the key has rested; always, once it was sent.
+    /// Whether a request is the first of its ordering key and the key has rested. Always, once it was sent.
     pub(crate) fn may_run_in_order(&self, now: Time, id: RequestId, e: &RequestState) -> bool {
-        let Some(line) = e.ordering_key.and_then(|k| self.key_queues.get(&k)) else { return true };
-        !e.attempts.is_empty() || (line.waiting.front() == Some(&id) && now >= line.rest_until)
+        let Some(key_queue) = e.ordering_key.and_then(|k| self.key_queues.get(&k)) else {
+            return true;
+        };
+        !e.attempts.is_empty()
+            || (key_queue.waiting.front() == Some(&id) && now >= key_queue.rest_until)
     }
 
-    /// A key rests until then.
+    /// Lets an ordering key rest until `until`.
     pub(crate) fn rest_key(&mut self, key: Option<u64>, until: Time) {
-        if let Some(line) = key.and_then(|k| self.key_queues.get_mut(&k)) {
-            line.rest_until = until;
+        if let Some(key_queue) = key.and_then(|k| self.key_queues.get_mut(&k)) {
+            key_queue.rest_until = until;
         }
     }
 
-    /// It does not have its turn after all: it stands in its lane again once its key has rested.
+    /// Takes a request out of its sub-queue until its ordering key has rested.
     pub(crate) fn wait_for_key(&mut self, id: RequestId) {
         self.dequeue(id);
         let key = self.requests.get(&id).and_then(|e| e.ordering_key);
-        if let Some((key, line)) = key.and_then(|k| Some((k, self.key_queues.get(&k)?))) {
-            self.key_rests.push(Reverse((line.rest_until, key)));
+        if let Some((key, key_queue)) = key.and_then(|k| Some((k, self.key_queues.get(&k)?))) {
+            self.key_rests.push(Reverse((key_queue.rest_until, key)));
         }
     }
 
-    /// Seats the one whose turn it is by its key, once the key has rested.
+    /// Puts the first request of an ordering key into its sub-queue, once the key has rested.
     fn enqueue_next_of_key(&mut self, key: u64) {
-        let Some(line) = self.key_queues.get(&key) else { return };
-        if self.now < line.rest_until {
-            return self.key_rests.push(Reverse((line.rest_until, key)));
+        let Some(key_queue) = self.key_queues.get(&key) else { return };
+        if self.now < key_queue.rest_until {
+            return self.key_rests.push(Reverse((key_queue.rest_until, key)));
         }
-        let Some(&id) = line.waiting.front() else { return };
+        let Some(&id) = key_queue.waiting.front() else { return };
         if self.requests.get(&id).is_some_and(|e| e.is_queued && e.attempts.is_empty()) {
             self.enqueue(id);
         }
     }
 
-    /// Looks at keys that have rested: whose turn it is, or that nobody asks for any more.
+    /// Continues with ordering keys that have rested by now, and drops those without requests.
     pub(crate) fn resume_rested_keys(&mut self, now: Time) {
         self.now = now;
         while let Some(&Reverse((_, key))) = self.key_rests.peek().filter(|r| r.0.0 <= now) {
             self.key_rests.pop();
-            let Some(line) = self.key_queues.get(&key) else { continue };
-            if now < line.rest_until {
-                self.key_rests.push(Reverse((line.rest_until, key)));
-            } else if line.waiting.is_empty() {
+            let Some(key_queue) = self.key_queues.get(&key) else { continue };
+            if now < key_queue.rest_until {
+                self.key_rests.push(Reverse((key_queue.rest_until, key)));
+            } else if key_queue.waiting.is_empty() {
                 self.key_queues.remove(&key);
             } else {
                 self.enqueue_next_of_key(key);
@@ -213,43 +232,45 @@
         }
     }
 
-    // ------------------------------------------------------------ looks through the queue
+    // ------------------------------------------------------------ scans
 
-    /// Begins a look through all lanes.
+    /// Begins a scan over all sub-queues.
     pub(crate) fn scan(&self) -> QueueScan {
-        let open = if self.waiting.is_empty() { Vec::new() } else { self.waiting.sub_queues() };
-        let open = open.into_iter().map(|sub_queue| (sub_queue, None)).collect();
-        QueueScan { open, closed: Vec::new(), head: 0, turn: None }
+        let sub_queues = self.waiting.sub_queues();
+        let open = sub_queues.into_iter().map(|sub_queue| (sub_queue, None)).collect();
+        QueueScan { open, closed: Vec::new(), current: 0, ticket: None }
     }
 
-    /// The first by order of arrival of all that the look has not passed.
+    /// The first request, in the order of arrival, that the scan has not passed.
     pub(crate) fn head(&self, scan: &mut QueueScan) -> Option<RequestId> {
-        let of = |(i, (sub_queue, after)): (usize, &(SubQueue, _))| {
-            let (turn, id) = self.waiting.next(*sub_queue, *after)?;
-            Some((turn, id, i))
+        let first_of = |(index, (sub_queue, after)): (usize, &(SubQueue, _))| {
+            let (ticket, id) = self.waiting.next(*sub_queue, *after)?;
+            Some((ticket, id, index))
         };
-        let (turn, id, i) = scan.open.iter().enumerate().filter_map(of).min()?;
-        (scan.head, scan.turn) = (i, Some(turn));
+        let (ticket, id, index) = scan.open.iter().enumerate().filter_map(first_of).min()?;
+        scan.current = index;
+        scan.ticket = Some(ticket);
         Some(id)
     }
 }
 
 impl QueueScan {
-    /// The head can't go for reasons of its own: behind it.
+    /// Passes the present request, which cannot be sent for reasons of its own.
     pub(crate) fn pass(&mut self) {
-        self.open[self.head].1 = self.turn;
+        self.open[self.current].1 = self.ticket;
     }
 
-    /// Nor can anyone behind it in its lane.
+    /// Closes the sub-queue of the present request: nobody in it finds a free slot.
     pub(crate) fn close(&mut self) {
-        let (sub_queue, _) = self.open.swap_remove(self.head);
+        let (sub_queue, _) = self.open.swap_remove(self.current);
         self.closed.push(sub_queue);
     }
 
-    /// Repeats behind the latest head may go again.
+    /// Opens the closed sub-queues of retries again, behind the present request.
     pub(crate) fn reopen(&mut self) {
-        let behind = self.turn;
-        let again = |sub_queue: &mut SubQueue| matches!(sub_queue, SubQueue::Retry(..));
-        self.open.extend(self.closed.extract_if(.., again).map(|sub_queue| (sub_queue, behind)));
+        let after = self.ticket;
+        let is_retry = |sub_queue: &mut SubQueue| matches!(sub_queue, SubQueue::Retry(..));
+        let reopened = self.closed.extract_if(.., is_retry);
+        self.open.extend(reopened.map(|sub_queue| (sub_queue, after)));
     }
 }
--- a/crates/policy/src/quotas.rs
+++ b/crates/policy/src/quotas.rs
@@ -1,4 +1,4 @@
-//! Token buckets of tenants. Only those that are not full exist; decides nothing.
+//! Token buckets of tenants, of which only those that are not full are stored. Decides nothing.
 
 use std::collections::VecDeque;
 
@@ -6,57 +6,64 @@
 
 use crate::interface::{Settings, Time};
 
-/// A tenant's share at this proxy, as a bucket of requests.
+/// The bucket of one tenant at this balancer. A token is one request.
 #[derive(Clone, Copy, Debug)]
 struct Bucket {
     tokens: f64,
-    counted: Time,
+    /// When `tokens` was last refilled.
+    refilled_at: Time,
 }
 
-/// Buckets that one call looks at to drop those that are full again.
+/// Buckets that one call of [`Quotas::drop_full`] checks.
 const BUCKETS_PER_CALL: usize = 4;
 /// A table of more entries than this is made smaller when an eighth of it is in use.
 const RETAINED_CAPACITY: usize = 1024;
 
-/// The buckets of all tenants. One that does not exist is as it was at the start: it held one token then, and has been
-/// refilled since. A bucket is dropped when it is full and would be full by that rule too, so no decision shows it.
+/// The buckets of all tenants.
+///
+/// One that is not stored held one token at the start and has been refilled since. A bucket is dropped when it is full and
+/// would be full by that rule too, so that no decision depends on it.
 #[derive(Debug)]
 pub(crate) struct Quotas {
+    /// When the balancer started.
     started: Time,
+    /// Balancers over which each quota is spread.
     balancers: f64,
-    /// A share unused for this long, in microseconds, is gone: the longest deadline of a class.
-    longest: f64,
+    /// A bucket holds the tokens of this many microseconds at most: the longest deadline of a class.
+    longest_deadline: f64,
     buckets: FxHashMap<u32, Bucket>,
-    /// The tenants of these buckets, in the order in which they are looked at.
+    /// The tenants of these buckets, in the order in which they are checked.
     order: VecDeque<u32>,
 }
 
 impl Quotas {
+    /// No tenant has sent anything yet.
     pub(crate) fn new(settings: &Settings, now: Time) -> Self {
         let deadlines = settings.classes.iter().map(|c| c.deadline.f());
         Self {
             started: now,
             balancers: f64::from(settings.balancers),
-            longest: deadlines.fold(0.0, f64::max),
+            longest_deadline: deadlines.fold(0.0, f64::max),
             buckets: FxHashMap::default(),
             order: VecDeque::new(),
         }
     }
 
-    /// Tokens of a tenant's bucket as of now, where its quota is so many requests a second over all balancers.
+    /// Refills the bucket of a tenant and returns its tokens; `quota_rps` is its quota in requests a second over all
+    /// balancers.
     pub(crate) fn refill(&mut self, now: Time, tenant: usize, quota_rps: f64) -> f64 {
         let Ok(tenant) = u32::try_from(tenant) else { return 1.0 };
         let (rate, most) = self.rate_and_most(quota_rps);
         let bucket = self.buckets.entry(tenant).or_insert_with(|| {
             self.order.push_back(tenant);
-            Bucket { tokens: 1.0, counted: self.started }
+            Bucket { tokens: 1.0, refilled_at: self.started }
         });
-        bucket.tokens = (bucket.tokens + rate * now.since(bucket.counted).f()).min(most);
-        bucket.counted = now;
+        bucket.tokens = (bucket.tokens + rate * now.since(bucket.refilled_at).f()).min(most);
+        bucket.refilled_at = now;
         bucket.tokens
     }
 
-    /// Takes one token out of a bucket that was refilled just now.
+    /// Takes one token out of a bucket that was just refilled.
     pub(crate) fn spend(&mut self, tenant: usize) {
         let bucket = u32::try_from(tenant).ok().and_then(|t| self.buckets.get_mut(&t));
         if let Some(bucket) = bucket {
@@ -64,10 +71,10 @@
         }
     }
 
-    /// Looks at a few buckets and drops those that are full; `settings` names the quotas.
+    /// Checks a few buckets and drops those that are full; `settings` gives the quotas.
     pub(crate) fn drop_full(&mut self, now: Time, settings: &Settings) {
-        // Sooner, one that does not exist need not be full.
-        if now.since(self.started).f() < self.longest {
+        // Before that, a bucket that is not stored may not be full.
+        if now.since(self.started).f() < self.longest_deadline {
             return;
         }
         for _ in 0..BUCKETS_PER_CALL.min(self.order.len()) {
@@ -75,7 +82,7 @@
             let quota = settings.tenants.get(tenant as usize).map_or(0.0, |t| t.quota_rps);
             let (rate, most) = self.rate_and_most(quota);
             let bucket = self.buckets[&tenant];
-            if bucket.tokens + rate * now.since(bucket.counted).f() >= most {
+            if bucket.tokens + rate * now.since(bucket.refilled_at).f() >= most {
                 self.buckets.remove(&tenant);
             } else {
                 self.order.push_back(tenant);
@@ -84,15 +91,16 @@
         self.shrink();
     }
 
-    /// Refill per microsecond, and the most tokens that a bucket holds.
+    /// Tokens refilled per microsecond, and the most that a bucket holds.
     fn rate_and_most(&self, quota_rps: f64) -> (f64, f64) {
         let rate = quota_rps / 1e6 / self.balancers;
-        (rate, (rate * self.longest).max(1.0))
+        (rate, (rate * self.longest_deadline).max(1.0))
     }
 
+    /// Gives memory back after many buckets were dropped.
     fn shrink(&mut self) {
-        let kept = RETAINED_CAPACITY.max(self.buckets.len() * 8);
-        if self.buckets.capacity() > kept {
+        let retained = RETAINED_CAPACITY.max(self.buckets.len() * 8);
+        if self.buckets.capacity() > retained {
             self.buckets.shrink_to(self.buckets.len() * 2);
             self.order.shrink_to(self.buckets.len() * 2);
         }
--- a/crates/policy/src/quotas/tests.rs
+++ b/crates/policy/src/quotas/tests.rs
@@ -26,8 +26,8 @@
         let rate = settings.tenants[tenant].quota_rps / 1e6 / f64::from(settings.balancers);
         let most = rate * settings.classes.iter().map(|c| c.deadline.f()).fold(0.0, f64::max);
         let q = &mut self.buckets[tenant];
-        q.tokens = (q.tokens + rate * now.since(q.counted).f()).min(most.max(1.0));
-        q.counted = now;
+        q.tokens = (q.tokens + rate * now.since(q.refilled_at).f()).min(most.max(1.0));
+        q.refilled_at = now;
         q.tokens
     }
 }
@@ -46,7 +46,7 @@
         let settings = settings(&quotas, balancers);
         let mut now = Time(77);
         let mut sparse = Quotas::new(&settings, now);
-        let mut dense = Dense { buckets: vec![Bucket { tokens: 1.0, counted: now }; TENANTS] };
+        let mut dense = Dense { buckets: vec![Bucket { tokens: 1.0, refilled_at: now }; TENANTS] };
         for (tenant, passed, short) in steps {
             now = now.plus(Span(if short { passed / 1000 } else { passed }));
             let tokens = dense.refill(now, &settings, tenant);
--- a/crates/policy/src/ranks.rs
+++ b/crates/policy/src/ranks.rs
@@ -1,7 +1,8 @@
-//! Where each class stands among all by its worth for its work, and the shortest wait that any class can bear, kept as
-//! means change. Costs a search for each class whose mean changed; decides nothing.
+//! Ranks classes by their priority for their work, and keeps the shortest wait that any class tolerates.
+//!
+//! Costs a search for each class whose mean latency changed. Decides nothing.
 
-/// Figures in ascending order; what is not a number is left out.
+/// Figures in ascending order, without those that are not numbers.
 #[derive(Debug, Default)]
 struct Sorted {
     figures: Vec<f64>,
@@ -32,22 +33,22 @@
         self.figures.sort_unstable_by(f64::total_cmp);
     }
 
-    /// How many are less.
+    /// How many figures are less than `figure`.
     fn below(&self, figure: f64) -> usize {
         self.figures.partition_point(|f| *f < figure)
     }
 }
 
-/// What one class adds to the orders, as of the last refresh.
+/// The figures of one class.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Figures {
-    /// Worth for its work.
+    /// Its priority weight per microsecond of mean latency.
     pub(crate) value: f64,
-    /// The longest wait that it can bear, in microseconds.
+    /// The longest wait that it tolerates, in microseconds.
     pub(crate) bearable: f64,
 }
 
-/// The classes in order.
+/// The figures of all classes as of the last refresh, and their orders.
 #[derive(Debug)]
 pub(crate) struct Ranks {
     classes: Vec<Figures>,
@@ -56,15 +57,15 @@
     /// Classes whose figures have changed since the last refresh, each once.
     changed: Vec<usize>,
     is_changed: Vec<bool>,
-    /// Parts that were set from outside, and hold until the next refresh.
+    /// Parts of the tolerable wait by class, restored from a previous process; used until the next refresh.
     restored_part: Vec<f64>,
 }
 
-/// Where more than this share of the classes has changed, all are sorted anew.
-const MANY: f64 = 0.125;
+/// If more than this share of the classes has changed, all are sorted anew.
+const MANY_CHANGED: f64 = 0.125;
 
 impl Ranks {
-    /// All classes count as changed; until the first refresh each one's part is `part`.
+    /// All classes count as changed. Until the first refresh, each may use `part` of the tolerable wait.
     pub(crate) fn new(classes: usize, part: f64) -> Self {
         Self {
             classes: vec![Figures { value: f64::NAN, bearable: f64::NAN }; classes],
@@ -76,20 +77,20 @@
         }
     }
 
-    /// The figures of a class will differ at the next refresh.
+    /// Marks a class whose figures have changed.
     pub(crate) fn change(&mut self, class: usize) {
         if !std::mem::replace(&mut self.is_changed[class], true) {
             self.changed.push(class);
         }
     }
 
-    /// Sets all parts until the next refresh, which takes in all classes anew.
+    /// Restores the parts of all classes until the next refresh, which takes in all classes anew.
     pub(crate) fn restore_parts(&mut self, parts: Vec<f64>) {
         self.restored_part = parts;
         (0..self.classes.len()).for_each(|class| self.change(class));
     }
 
-    /// The part of a class that was set from outside, if it still holds.
+    /// The restored part of a class, until the next refresh.
     pub(crate) fn restored_part(&self, class: usize) -> Option<f64> {
         self.restored_part.get(class).copied()
     }
@@ -98,7 +99,7 @@
     pub(crate) fn refresh(&mut self, figures: impl Fn(usize) -> Figures) {
         self.restored_part = Vec::new();
         let changed = std::mem::take(&mut self.changed);
-        let many = changed.len() as f64 > MANY * self.classes.len() as f64;
+        let many = changed.len() as f64 > MANY_CHANGED * self.classes.len() as f64;
         for &class in &changed {
             self.is_changed[class] = false;
             let was = std::mem::replace(&mut self.classes[class], figures(class));
@@ -117,12 +118,12 @@
         self.changed.clear();
     }
 
-    /// The shortest wait that any class can bear, in microseconds.
+    /// The shortest of the waits that classes tolerate, in microseconds.
     pub(crate) fn least_bearable(&self) -> f64 {
         self.bearable.figures.first().map_or(f64::MAX, |least| least.min(f64::MAX))
     }
 
-    /// The share of the other classes that are worth less for their work; 1 where there is no other.
+    /// The share of the other classes that have less priority for their work; 1 where there is no other.
     pub(crate) fn rank(&self, class: usize) -> f64 {
         if self.classes.len() == 1 {
             return 1.0;
--- a/crates/policy/src/tenants.rs
+++ b/crates/policy/src/tenants.rs
@@ -1,4 +1,4 @@
-//! The tenants that settings name, held once and shared by all who hold the settings: hundreds of thousands of them.
+//! The tenants that settings name: a compact table, shared by all copies of the settings.
 
 use std::fmt;
 use std::sync::Arc;
@@ -24,7 +24,7 @@
 pub struct TenantRef<'a> {
     /// Its name, as requests carry it.
     pub name: &'a str,
-    /// Requests a second inside its share, over all balancers.
+    /// Its quota: requests a second over all balancers.
     pub quota_rps: f64,
     /// Its part of the service.
     pub share: f64,
