--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,12 +1,16 @@
-//! One balancer of the bank and the names its handles stand for.
+//! One balancer, and the names on the wire that its handles stand for.
 
-use hollowpaddle_policy::interface::{self as d, Action, Event, Report, RequestId, ServerId, Time};
+use hollowpaddle_policy::interface::{
+    Action, Answer, Event, ListKind, Member, Outcome, Report, Request, RequestId, ServerId,
+    SettingsError, Status, Time,
+};
 use hollowpaddle_policy::policy::Balancer;
 use hollowpaddle_policy::settings::{Field, key_hash, span, stable_hash};
 use rustc_hash::FxHashMap;
 
 use crate::wire::{self, Command};
 
+/// A time on the wire, in milliseconds, as the module takes it.
 pub fn time(ms: f64) -> Time {
     Time(span(ms).0)
 }
@@ -16,230 +20,297 @@
 }
 
 /// A request that may still be named on the wire.
-struct Job {
+struct NamedRequest {
     name: Box<str>,
-    out: usize,
-    over: bool,
+    attempts_in_flight: usize,
+    is_over: bool,
 }
 
+/// One balancer of the cluster.
 pub struct Instance {
-    who: u64,
+    /// Its number on the wire.
+    number: u64,
     balancer: Balancer,
     classes: usize,
-    fields: Vec<Field>,
+    /// What each value of a load report stands for.
+    report_fields: Vec<Field>,
     servers: FxHashMap<Box<str>, ServerId>,
     server_names: Vec<Box<str>>,
-    by_name: FxHashMap<Box<str>, u64>,
-    jobs: FxHashMap<u64, Job>,
-    next_job: u64,
+    request_ids: FxHashMap<Box<str>, u64>,
+    requests: FxHashMap<u64, NamedRequest>,
+    next_request: u64,
+    /// Reused between events.
     actions: Vec<Action>,
-    members: Vec<d::Member>,
+    /// Reused between list events.
+    members: Vec<Member>,
 }
 
 impl Instance {
-    pub fn new(now: Time, init: &wire::Init) -> Result<Self, d::SettingsError> {
-        let facts = &init.facts;
+    /// Starts a balancer.
+    ///
+    /// # Errors
+    /// Its settings have no safe reading.
+    pub fn new(now: Time, init: &wire::Init) -> Result<Self, SettingsError> {
+        let settings = &init.settings;
+        let names = settings.stats.names.iter();
         Ok(Self {
-            who: init.who,
-            balancer: Balancer::new(facts.settings(), init.entropy, now)?,
-            classes: facts.services.len(),
-            fields: facts.stats.names.iter().map(|name| Field::named(name)).collect(),
+            number: init.balancer,
+            balancer: Balancer::new(settings.settings(), init.seed, now)?,
+            classes: settings.services.len(),
+            report_fields: names.map(|name| Field::named(name)).collect(),
             servers: FxHashMap::default(),
             server_names: Vec::new(),
-            by_name: FxHashMap::default(),
-            jobs: FxHashMap::default(),
-            next_job: 0,
+            request_ids: FxHashMap::default(),
+            requests: FxHashMap::default(),
+            next_request: 0,
             actions: Vec::new(),
             members: Vec::new(),
         })
     }
 
-    pub fn order(&mut self, now: Time, m: &wire::Order, out: &mut Vec<u8>) -> Result<(), String> {
-        if m.tier_class >= self.classes {
-            return Err(format!("field `TierClass`: no class {}", m.tier_class));
+    /// Delivers a message, and writes the commands that it leads to, each with a comma behind it.
+    ///
+    /// # Errors
+    /// A field has a value that stands for nothing.
+    pub fn handle(
+        &mut self,
+        now: Time,
+        event: &wire::Event,
+        out: &mut Vec<u8>,
+    ) -> Result<(), String> {
+        match event {
+            wire::Event::Order(message) => self.order(now, message, out)?,
+            wire::Event::Result(message) => self.result(now, message, out)?,
+            wire::Event::TimeoutFired(message) => {
+                self.deliver(now, Event::Timer(message.token), out);
+            }
+            wire::Event::Left(message) => self.left(now, &message.request, out),
+            wire::Event::Membership(message) => self.membership(now, message, out),
+            wire::Event::Sampled(message) => self.sampled(now, message, out),
+            wire::Event::Established(message) => self.established(now, &message.request, out),
+            wire::Event::Memo(_) | wire::Event::Init(_) | wire::Event::Down(_) => {}
+        }
+        Ok(())
+    }
+
+    fn order(&mut self, now: Time, message: &wire::Order, out: &mut Vec<u8>) -> Result<(), String> {
+        if message.class >= self.classes {
+            return Err(format!("field `TierClass`: no class {}", message.class));
         }
-        let key = m.object.as_deref();
-        let request = d::Request {
-            id: RequestId(self.next_job),
-            class: m.tier_class,
-            tenant: m.party,
-            key: key.map(key_hash),
-            send_deadline: time(m.send_deadline),
-            cost_guess: m.cost_guess.map(span),
-            resent: m.resent,
-            write: m.write,
+        let request = Request {
+            id: RequestId(self.next_request),
+            class: message.class,
+            tenant: message.tenant,
+            key: message.routing_key.as_deref().map(key_hash),
+            send_deadline: time(message.send_deadline),
+            cost_guess: message.cost_guess.map(span),
+            resent: message.is_resent,
+            write: message.is_write,
             flows: false,
             sticky_cell: None,
         };
-        let name: Box<str> = m.job.as_ref().into();
-        self.by_name.insert(name.clone(), self.next_job);
-        self.jobs.insert(self.next_job, Job { name, out: 0, over: false });
-        self.next_job += 1;
-        self.tell(now, Event::Request(request), out);
+        let name: Box<str> = message.request.as_ref().into();
+        self.request_ids.insert(name.clone(), self.next_request);
+        let named = NamedRequest { name, attempts_in_flight: 0, is_over: false };
+        self.requests.insert(self.next_request, named);
+        self.next_request += 1;
+        self.deliver(now, Event::Request(request), out);
         Ok(())
     }
 
-    pub fn result(
+    fn result(
         &mut self,
         now: Time,
-        m: &wire::Outcome,
+        message: &wire::Outcome,
         out: &mut Vec<u8>,
     ) -> Result<(), String> {
-        let outcome = outcome(m.rc)?;
-        let (Some(&handle), Some(&server)) =
-            (self.by_name.get(m.job.as_ref()), self.servers.get(m.upstream.as_ref()))
-        else {
-            return Ok(());
-        };
-        let answer = d::Answer {
-            request: RequestId(handle),
-            attempt: m.go,
+        let outcome = outcome(message.status_code)?;
+        let Some(&id) = self.request_ids.get(message.request.as_ref()) else { return Ok(()) };
+        let Some(&server) = self.servers.get(message.upstream.as_ref()) else { return Ok(()) };
+        let answer = Answer {
+            request: RequestId(id),
+            attempt: message.attempt,
             server,
             outcome,
-            latency: span(m.latency),
-            last: m.last,
+            latency: span(message.latency),
+            last: message.is_final,
             spent: false,
-            report: self.report(m.metrics.as_ref()),
+            report: self.report(message.load_report.as_ref()),
         };
         self.balancer.handle(now, Event::Answered(answer), &mut self.actions);
-        if let Some(job) = self.jobs.get_mut(&handle) {
-            job.out = job.out.saturating_sub(1);
-            job.over |= m.last;
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
+            request.is_over |= message.is_final;
         }
         self.flush(out);
-        self.forget(handle);
+        self.forget(id);
         Ok(())
     }
 
-    pub fn left(&mut self, now: Time, job: &str, out: &mut Vec<u8>) {
-        let Some(&handle) = self.by_name.get(job) else { return };
-        self.balancer.handle(now, Event::ClientLeft(RequestId(handle)), &mut self.actions);
-        self.jobs.entry(handle).and_modify(|j| j.over = true);
+    fn left(&mut self, now: Time, request: &str, out: &mut Vec<u8>) {
+        let Some(&id) = self.request_ids.get(request) else { return };
+        self.balancer.handle(now, Event::ClientLeft(RequestId(id)), &mut self.actions);
+        if let Some(request) = self.requests.get_mut(&id) {
+            request.is_over = true;
+        }
         self.flush(out);
-        self.forget(handle);
+        self.forget(id);
     }
 
-    pub fn established(&mut self, now: Time, job: &str, out: &mut Vec<u8>) {
-        let Some(&handle) = self.by_name.get(job) else { return };
-        self.tell(now, Event::Started(RequestId(handle)), out);
+    fn established(&mut self, now: Time, request: &str, out: &mut Vec<u8>) {
+        let Some(&id) = self.request_ids.get(request) else { return };
+        self.deliver(now, Event::Started(RequestId(id)), out);
     }
 
-    pub fn timer(&mut self, now: Time, token: u64, out: &mut Vec<u8>) {
-        self.tell(now, Event::Timer(token), out);
+    fn sampled(&mut self, now: Time, message: &wire::Sampled, out: &mut Vec<u8>) {
+        let Some(&server) = self.servers.get(message.upstream.as_ref()) else { return };
+        let ok = message.status_code == 200;
+        let latency = span(message.latency);
+        let report = self.report(message.load_report.as_ref());
+        self.deliver(now, Event::Probed { server, ok, latency, report }, out);
     }
 
-    pub fn sampled(&mut self, now: Time, m: &wire::Sampled, out: &mut Vec<u8>) {
-        let Some(&server) = self.servers.get(m.upstream.as_ref()) else { return };
-        let (ok, latency) = (m.rc == 200, span(m.latency));
-        let report = self.report(m.metrics.as_ref());
-        self.tell(now, Event::Probed { server, ok, latency, report }, out);
-    }
-
-    pub fn membership(&mut self, now: Time, m: &wire::Membership, out: &mut Vec<u8>) {
+    fn membership(&mut self, now: Time, message: &wire::Membership, out: &mut Vec<u8>) {
         let mut members = std::mem::take(&mut self.members);
         members.clear();
-        members.extend(m.lines.iter().map(|line| self.member(line)));
-        let kind = match m.kind {
-            wire::ListKind::Update => d::ListKind::Update,
-            wire::ListKind::Replace => d::ListKind::Complete,
-            wire::ListKind::Restored => d::ListKind::Restored,
-            wire::ListKind::Unavailable => d::ListKind::Unavailable,
+        members.extend(message.members.iter().map(|line| self.member(line)));
+        let kind = match message.kind {
+            wire::ListKind::Update => ListKind::Update,
+            wire::ListKind::Replace => ListKind::Complete,
+            wire::ListKind::Restored => ListKind::Restored,
+            wire::ListKind::Unavailable => ListKind::Unavailable,
         };
-        self.tell(now, Event::Members { kind, list: &members }, out);
+        self.deliver(now, Event::Members { kind, list: &members }, out);
         self.members = members;
     }
 
-    fn member(&mut self, line: &wire::Line) -> d::Member {
+    fn member(&mut self, line: &wire::Line) -> Member {
         let name = line.upstream.as_ref();
-        let id = self.servers.get(name).copied().unwrap_or_else(|| {
-            let id = ServerId(self.server_names.len() as u32);
-            self.server_names.push(name.into());
-            self.servers.insert(name.into(), id);
-            id
-        });
-        d::Member {
-            id,
+        Member {
+            id: self.server_id(name),
             identity: stable_hash(name),
-            zone: line.az,
+            zone: line.zone,
             kind: line.kind,
-            cell: line.pack,
+            cell: line.cell,
             status: match line.status {
-                wire::Status::Live => d::Status::Live,
-                wire::Status::Quiescing => d::Status::Draining,
-                wire::Status::Dead => d::Status::Gone,
+                wire::Status::Live => Status::Live,
+                wire::Status::Quiescing => Status::Draining,
+                wire::Status::Dead => Status::Gone,
             },
-            weight: line.capacity_hint,
-            started: (line.online_since > 0.0).then(|| time(line.online_since)),
+            weight: line.weight,
+            started: (line.started > 0.0).then(|| time(line.started)),
             barred: 0,
         }
     }
 
-    fn tell(&mut self, now: Time, event: Event, out: &mut Vec<u8>) {
+    /// The handle of an upstream, a new one if its name is new.
+    fn server_id(&mut self, name: &str) -> ServerId {
+        if let Some(&id) = self.servers.get(name) {
+            return id;
+        }
+        let id = ServerId(self.server_names.len() as u32);
+        self.server_names.push(name.into());
+        self.servers.insert(name.into(), id);
+        id
+    }
+
+    fn deliver(&mut self, now: Time, event: Event, out: &mut Vec<u8>) {
         self.balancer.handle(now, event, &mut self.actions);
         self.flush(out);
     }
 
     fn report(&self, row: Option<&wire::Row>) -> Report {
         let mut report = Report::default();
-        for (field, &value) in self.fields.iter().zip(row.into_iter().flatten()) {
+        for (field, &value) in self.report_fields.iter().zip(row.into_iter().flatten()) {
             field.set(&mut report, value);
         }
         report
     }
 
-    /// Writes the module's actions in its order, each with a comma behind it.
+    /// Writes the actions of the module as commands, in their order.
     fn flush(&mut self, out: &mut Vec<u8>) {
-        let who = self.who;
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
-            match action {
-                Action::Send { request, server, timeout, .. } => {
-                    let Some(job) = self.jobs.get_mut(&request.0) else { continue };
-                    job.out += 1;
-                    let upstream = &self.server_names[server.0 as usize];
-                    let allow_for = ms(timeout.0);
-                    write(out, &Command::Relay { who, job: &job.name, upstream, allow_for });
-                }
-                Action::Refuse { request, retry_after, .. } => {
-                    let Some(job) = self.jobs.get_mut(&request.0) else { continue };
-                    job.over = true;
-                    let cool_down = ms(retry_after.0);
-                    write(out, &Command::NotNow { who, job: &job.name, cool_down });
-                    self.forget(request.0);
-                }
-                Action::Fail { request } => {
-                    let Some(job) = self.jobs.get_mut(&request.0) else { continue };
-                    job.over = true;
-                    write(out, &Command::FinishError { who, job: &job.name });
-                    self.forget(request.0);
-                }
-                Action::Cancel { request, attempt } => {
-                    let Some(job) = self.jobs.get(&request.0) else { continue };
-                    write(out, &Command::Retract { who, job: &job.name, go: attempt });
-                }
-                Action::Arm { token, at } => {
-                    write(out, &Command::Arm { who, token, instant: ms(at.0) });
-                }
-                Action::Probe { server } => {
-                    let upstream = &self.server_names[server.0 as usize];
-                    write(out, &Command::Ping { who, upstream });
-                }
-                Action::CloseIdle { server } => {
-                    let upstream = &self.server_names[server.0 as usize];
-                    write(out, &Command::FreeLinks { who, upstream });
-                }
-                Action::Subscribe => write(out, &Command::KeepInformed { who, enable: true }),
-            }
+            self.write_action(action, out);
         }
         self.actions = actions;
     }
 
-    /// Drops the name of a request that is over and has nothing out.
-    fn forget(&mut self, handle: u64) {
-        if self.jobs.get(&handle).is_some_and(|j| j.over && j.out == 0)
-            && let Some(job) = self.jobs.remove(&handle)
+    fn write_action(&mut self, action: Action, out: &mut Vec<u8>) {
+        match action {
+            Action::Send { request, server, timeout, .. } => {
+                self.write_send(request, server, ms(timeout.0), out);
+            }
+            Action::Refuse { request, retry_after, .. } => {
+                let retry_after = ms(retry_after.0);
+                self.write_end(request, out, |balancer, request| Command::NotNow {
+                    balancer,
+                    request,
+                    retry_after,
+                });
+            }
+            Action::Fail { request } => {
+                self.write_end(request, out, |balancer, request| Command::FinishError {
+                    balancer,
+                    request,
+                });
+            }
+            Action::Cancel { request, attempt } => {
+                let Some(request) = self.requests.get(&request.0) else { return };
+                let (balancer, request) = (self.number, &*request.name);
+                write(out, &Command::Retract { balancer, request, attempt });
+            }
+            Action::Arm { token, at } => {
+                write(out, &Command::Arm { balancer: self.number, token, at: ms(at.0) });
+            }
+            Action::Probe { server } => {
+                let upstream = &self.server_names[server.0 as usize];
+                write(out, &Command::Ping { balancer: self.number, upstream });
+            }
+            Action::CloseIdle { server } => {
+                let upstream = &self.server_names[server.0 as usize];
+                write(out, &Command::FreeLinks { balancer: self.number, upstream });
+            }
+            Action::Subscribe => {
+                write(out, &Command::KeepInformed { balancer: self.number, enable: true });
+            }
+        }
+    }
+
+    fn write_send(
+        &mut self,
+        request: RequestId,
+        server: ServerId,
+        timeout: f64,
+        out: &mut Vec<u8>,
+    ) {
+        let Some(request) = self.requests.get_mut(&request.0) else { return };
+        request.attempts_in_flight += 1;
+        let (balancer, request) = (self.number, &*request.name);
+        let upstream = &self.server_names[server.0 as usize];
+        write(out, &Command::Relay { balancer, request, upstream, timeout });
+    }
+
+    /// Writes the final answer of a request, as `command` makes it.
+    fn write_end(
+        &mut self,
+        id: RequestId,
+        out: &mut Vec<u8>,
+        command: impl for<'a> FnOnce(u64, &'a str) -> Command<'a>,
+    ) {
+        let Some(request) = self.requests.get_mut(&id.0) else { return };
+        request.is_over = true;
+        write(out, &command(self.number, &request.name));
+        self.forget(id.0);
+    }
+
+    /// Drops the name of a request that is over and has no attempt in flight.
+    fn forget(&mut self, id: u64) {
+        let is_done = |r: &NamedRequest| r.is_over && r.attempts_in_flight == 0;
+        if self.requests.get(&id).is_some_and(is_done)
+            && let Some(request) = self.requests.remove(&id)
         {
-            self.by_name.remove(&job.name);
+            self.request_ids.remove(&request.name);
         }
     }
 }
@@ -250,16 +321,17 @@
     out.push(b',');
 }
 
-fn outcome(rc: u16) -> Result<d::Outcome, String> {
-    Ok(match rc {
-        200 => d::Outcome::Ok,
-        500 => d::Outcome::Error,
-        503 => d::Outcome::Full,
-        504 => d::Outcome::Timeout,
-        502 => d::Outcome::ConnectFailed,
-        598 => d::Outcome::Reset,
-        499 => d::Outcome::Cancelled,
-        410 => d::Outcome::Moot,
-        _ => return Err(format!("field `Rc`: no outcome {rc}")),
+/// The outcome that a status code on the wire stands for.
+fn outcome(status_code: u16) -> Result<Outcome, String> {
+    Ok(match status_code {
+        200 => Outcome::Ok,
+        500 => Outcome::Error,
+        503 => Outcome::Full,
+        504 => Outcome::Timeout,
+        502 => Outcome::ConnectFailed,
+        598 => Outcome::Reset,
+        499 => Outcome::Cancelled,
+        410 => Outcome::Moot,
+        _ => return Err(format!("field `Rc`: no outcome {status_code}")),
     })
 }
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts many balancers on the bench's wire: reads batches, writes replies, decides nothing.
+//! Hosts many balancers on the simulator's wire: reads batches of messages, writes replies, decides nothing.
+#![warn(missing_docs)]
 
 mod instance;
 mod wire;
@@ -10,9 +11,12 @@
 use rustc_hash::FxHashMap;
 use wire::{Batch, BatchNumber, Event};
 
-/// What ends the adapter: a plain message.
+/// What ends the adapter: a message for standard error.
 type Failure = String;
 
+/// The balancers that run, by their number on the wire.
+type Instances = FxHashMap<u64, Instance>;
+
 fn main() -> ExitCode {
     match run() {
         Ok(()) => ExitCode::SUCCESS,
@@ -23,12 +27,13 @@
     }
 }
 
+/// Answers each line of standard input by one line of standard output, until the input ends.
 fn run() -> Result<(), Failure> {
     let mut input = io::stdin().lock();
     let mut output = io::stdout().lock();
     let mut line = Vec::new();
     let mut reply = Vec::new();
-    let mut instances = FxHashMap::default();
+    let mut instances = Instances::default();
     let mut last = None;
     loop {
         line.clear();
@@ -49,6 +54,7 @@
     }
 }
 
+/// Reads a batch; `last` is the number of the one before, for the message if that fails.
 fn parse(line: &[u8], last: Option<u64>) -> Result<Batch<'_>, Failure> {
     serde_json::from_slice(line).map_err(|_| malformed(line, last))
 }
@@ -56,8 +62,8 @@
 /// Reads the line again, slowly, to name the batch and the field.
 fn malformed(line: &[u8], last: Option<u64>) -> Failure {
     let batch = match (serde_json::from_slice::<BatchNumber>(line), last) {
-        (Ok(n), _) => format!("batch {}", n.batch),
-        (Err(_), Some(n)) => format!("the batch after {n}"),
+        (Ok(number), _) => format!("batch {}", number.batch),
+        (Err(_), Some(number)) => format!("the batch after {number}"),
         (Err(_), None) => "the first batch".to_string(),
     };
     let mut reader = serde_json::Deserializer::from_slice(line);
@@ -69,61 +75,59 @@
     format!("{batch}: {error}")
 }
 
-fn answer(
-    instances: &mut FxHashMap<u64, Instance>,
-    batch: &Batch,
-    reply: &mut Vec<u8>,
-) -> Result<(), Failure> {
+/// Delivers the messages of a batch, and writes the commands that they lead to as one line.
+fn answer(instances: &mut Instances, batch: &Batch, reply: &mut Vec<u8>) -> Result<(), Failure> {
     let _ = write!(reply, "{{\"batch\":{},\"cmds\":[", batch.batch);
     let empty = reply.len();
-    for (place, event) in batch.msgs.iter().enumerate() {
-        deliver(instances, batch.ts, event, reply).map_err(|e| format!("message {place}: {e}"))?;
+    for (index, event) in batch.msgs.iter().enumerate() {
+        deliver(instances, batch.ts, event, reply).map_err(|e| format!("message {index}: {e}"))?;
     }
     if reply.len() > empty {
+        // Each command is followed by a comma.
         reply.pop();
     }
     reply.extend_from_slice(b"]}\n");
     Ok(())
 }
 
+/// Starts or stops a balancer, or delivers an event to it. One that does not run receives nothing.
 fn deliver(
-    instances: &mut FxHashMap<u64, Instance>,
+    instances: &mut Instances,
     ts: f64,
     event: &Event,
     reply: &mut Vec<u8>,
 ) -> Result<(), Failure> {
     let now = instance::time(ts);
-    let who = match event {
-        Event::Init(m) => {
-            let made = Instance::new(now, m);
-            let made = made.map_err(|e| format!("field `Facts`: {e}"))?;
-            instances.insert(m.who, made);
-            return Ok(());
+    match event {
+        Event::Init(message) => {
+            let instance = Instance::new(now, message);
+            let instance = instance.map_err(|e| format!("field `Facts`: {e}"))?;
+            instances.insert(message.balancer, instance);
         }
-        Event::Down(m) => {
-            instances.remove(&m.who);
-            return Ok(());
+        Event::Down(message) => {
+            instances.remove(&message.balancer);
+        }
+        _ => {
+            if let Some(instance) = instances.get_mut(&balancer_of(event)) {
+                instance.handle(now, event, reply)?;
+            }
         }
-        Event::Order(m) => m.who,
-        Event::Result(m) => m.who,
-        Event::TimeoutFired(m) => m.who,
-        Event::Left(m) => m.who,
-        Event::Membership(m) => m.who,
-        Event::Sampled(m) => m.who,
-        Event::Established(m) => m.who,
-        Event::Memo(m) => m.who,
-    };
-    // An instance that is down, or was never started, hears nothing.
-    let Some(instance) = instances.get_mut(&who) else { return Ok(()) };
-    match event {
-        Event::Order(m) => instance.order(now, m, reply)?,
-        Event::Result(m) => instance.result(now, m, reply)?,
-        Event::TimeoutFired(m) => instance.timer(now, m.token, reply),
-        Event::Left(m) => instance.left(now, &m.job, reply),
-        Event::Membership(m) => instance.membership(now, m, reply),
-        Event::Sampled(m) => instance.sampled(now, m, reply),
-        Event::Established(m) => instance.established(now, &m.job, reply),
-        Event::Memo(_) | Event::Init(_) | Event::Down(_) => {}
     }
     Ok(())
 }
+
+/// The number of the balancer that a message is for.
+fn balancer_of(event: &Event) -> u64 {
+    match event {
+        Event::Init(message) => message.balancer,
+        Event::Down(message) => message.balancer,
+        Event::Order(message) => message.balancer,
+        Event::Result(message) => message.balancer,
+        Event::TimeoutFired(message) => message.balancer,
+        Event::Left(message) => message.balancer,
+        Event::Membership(message) => message.balancer,
+        Event::Sampled(message) => message.balancer,
+        Event::Established(message) => message.balancer,
+        Event::Memo(message) => message.balancer,
+    }
+}
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,4 +1,6 @@
-//! The wire's messages, borrowed from the input line.
+//! The simulator's wire format: its names and types, borrowed from the input line.
+//!
+//! No other module spells a name of the wire.
 
 use std::borrow::Cow;
 
@@ -6,23 +8,30 @@
 use hollowpaddle_policy::settings::Facts;
 use serde::{Deserialize, Serialize};
 
+/// Text that is borrowed from the line where it has no escapes.
 pub type Text<'a> = Cow<'a, str>;
 
+/// A line of input: messages to any balancers at one time.
 #[derive(Deserialize)]
 pub struct Batch<'a> {
+    /// The time of all its messages, in milliseconds.
     #[serde(rename = "Ts")]
     pub ts: f64,
+    /// The number of the batch.
     pub batch: u64,
+    /// Its messages, in order.
     #[serde(borrow)]
     pub msgs: Vec<Event<'a>>,
 }
 
-/// Only the number of a batch that could not be read whole.
+/// Only the number of a batch that could not be read completely.
 #[derive(Deserialize)]
 pub struct BatchNumber {
+    /// The number of the batch.
     pub batch: u64,
 }
 
+/// A message to a balancer.
 #[derive(Deserialize)]
 pub enum Event<'a> {
     #[serde(borrow)]
@@ -43,102 +52,159 @@
     Down(Down),
 }
 
+/// A client's request has arrived.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Order<'a> {
-    pub who: u64,
-    #[serde(borrow)]
-    pub job: Text<'a>,
-    pub tier_class: usize,
-    #[serde(default)]
-    pub party: usize,
-    #[serde(borrow, default)]
-    pub object: Option<Text<'a>>,
+    /// The balancer that it concerns.
+    #[serde(rename = "Who")]
+    pub balancer: u64,
+    /// The name of the request.
+    #[serde(borrow, rename = "Job")]
+    pub request: Text<'a>,
+    /// Its class.
+    #[serde(rename = "TierClass")]
+    pub class: usize,
+    /// Its tenant.
+    #[serde(default, rename = "Party")]
+    pub tenant: usize,
+    /// Its routing key, if it has one.
+    #[serde(borrow, default, rename = "Object")]
+    pub routing_key: Option<Text<'a>>,
+    /// When the client gives up, in milliseconds.
     #[serde(rename = "DropDead")]
     pub send_deadline: f64,
+    /// Expected work on a reference core in milliseconds, if there is an estimate.
     #[serde(default)]
     pub cost_guess: Option<f64>,
-    #[serde(default)]
-    pub resent: bool,
-    #[serde(default)]
-    pub write: bool,
+    /// The client has sent it before.
+    #[serde(default, rename = "Resent")]
+    pub is_resent: bool,
+    /// It changes something.
+    #[serde(default, rename = "Write")]
+    pub is_write: bool,
 }
 
+/// The values of a load report, in the order that the settings name.
 pub type Row = ArrayVec<f64, 4>;
 
+/// An attempt has ended.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Outcome<'a> {
-    pub who: u64,
-    #[serde(borrow)]
-    pub job: Text<'a>,
-    pub go: usize,
+    /// The balancer that it concerns.
+    #[serde(rename = "Who")]
+    pub balancer: u64,
+    /// The name of the request.
+    #[serde(borrow, rename = "Job")]
+    pub request: Text<'a>,
+    /// The number of the attempt, from 0.
+    #[serde(rename = "Go")]
+    pub attempt: usize,
+    /// The name of the upstream.
     #[serde(borrow)]
     pub upstream: Text<'a>,
-    pub rc: u16,
+    /// How it ended; see `instance::outcome`.
+    #[serde(rename = "Rc")]
+    pub status_code: u16,
+    /// How long it took, in milliseconds.
     pub latency: f64,
-    #[serde(default)]
-    pub last: bool,
-    #[serde(default)]
-    pub metrics: Option<Row>,
+    /// The request is over.
+    #[serde(default, rename = "Last")]
+    pub is_final: bool,
+    /// The load report that came with it.
+    #[serde(default, rename = "Metrics")]
+    pub load_report: Option<Row>,
 }
 
+/// A timer is due.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct TimeoutFired {
-    pub who: u64,
+    /// The balancer that it concerns.
+    #[serde(rename = "Who")]
+    pub balancer: u64,
+    /// The token of the timer.
     pub token: u64,
 }
 
+/// The client no longer waits.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Left<'a> {
-    pub who: u64,
-    #[serde(borrow)]
-    pub job: Text<'a>,
+    /// The balancer that it concerns.
+    #[serde(rename = "Who")]
+    pub balancer: u64,
+    /// The name of the request.
+    #[serde(borrow, rename = "Job")]
+    pub request: Text<'a>,
 }
 
+/// The answer has begun to stream.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Established<'a> {
-    pub who: u64,
-    #[serde(borrow)]
-    pub job: Text<'a>,
+    /// The balancer that it concerns.
+    #[serde(rename = "Who")]
+    pub balancer: u64,
+    /// The name of the request.
+    #[serde(borrow, rename = "Job")]
+    pub request: Text<'a>,
 }
 
+/// A health check has ended.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Sampled<'a> {
-    pub who: u64,
-    pub rc: u16,
+    /// The balancer that it concerns.
+    #[serde(rename = "Who")]
+    pub balancer: u64,
+    /// How it ended; see `instance::outcome`.
+    #[serde(rename = "Rc")]
+    pub status_code: u16,
+    /// How long it took, in milliseconds.
     pub latency: f64,
+    /// The name of the upstream.
     #[serde(borrow)]
     pub upstream: Text<'a>,
-    #[serde(default)]
-    pub metrics: Option<Row>,
+    /// The load report that came with it.
+    #[serde(default, rename = "Metrics")]
+    pub load_report: Option<Row>,
 }
 
+/// A message from another balancer; ignored.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Memo {
-    pub who: u64,
+    /// The balancer that it concerns.
+    #[serde(rename = "Who")]
+    pub balancer: u64,
 }
 
+/// The balancer has stopped.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Down {
-    pub who: u64,
+    /// The balancer that it concerns.
+    #[serde(rename = "Who")]
+    pub balancer: u64,
 }
 
+/// A list event.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Membership<'a> {
-    pub who: u64,
+    /// The balancer that it concerns.
+    #[serde(rename = "Who")]
+    pub balancer: u64,
+    /// The kind of list event.
     pub kind: ListKind,
-    #[serde(borrow, default)]
-    pub lines: Vec<Line<'a>>,
+    /// Its entries.
+    #[serde(borrow, default, rename = "Lines")]
+    pub members: Vec<Line<'a>>,
 }
 
+/// The kind of a list event.
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum ListKind {
@@ -148,28 +214,37 @@
     Unavailable,
 }
 
+/// One entry of the endpoint list.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Line<'a> {
+    /// The name of the upstream.
     #[serde(borrow)]
     pub upstream: Text<'a>,
-    #[serde(default)]
-    pub az: u32,
+    /// Its zone.
+    #[serde(default, rename = "Az")]
+    pub zone: u32,
+    /// Its machine type.
     #[serde(default, rename = "Type")]
     pub kind: u32,
-    #[serde(default)]
-    pub pack: u32,
+    /// Its cell.
+    #[serde(default, rename = "Pack")]
+    pub cell: u32,
+    /// Its status.
     pub status: Status,
-    #[serde(default = "one")]
-    pub capacity_hint: f64,
-    #[serde(default)]
-    pub online_since: f64,
+    /// Relative size; 1 where unknown.
+    #[serde(default = "one", rename = "CapacityHint")]
+    pub weight: f64,
+    /// When it last started, in milliseconds; 0 if that is long ago.
+    #[serde(default, rename = "OnlineSince")]
+    pub started: f64,
 }
 
 fn one() -> f64 {
     1.0
 }
 
+/// Status of an upstream.
 #[derive(Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Status {
@@ -178,30 +253,91 @@
     Dead,
 }
 
+/// The balancer starts.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Init {
-    pub who: u64,
-    pub entropy: u64,
-    pub facts: Facts,
+    /// The balancer that it concerns.
+    #[serde(rename = "Who")]
+    pub balancer: u64,
+    /// The seed of its random numbers.
+    #[serde(rename = "Entropy")]
+    pub seed: u64,
+    /// Its settings.
+    #[serde(rename = "Facts")]
+    pub settings: Facts,
 }
 
+/// A command of a balancer.
 #[derive(Serialize)]
 pub enum Command<'a> {
+    /// Send a request to an upstream.
     #[serde(rename_all = "PascalCase")]
-    Relay { who: u64, job: &'a str, upstream: &'a str, allow_for: f64 },
+    Relay {
+        #[serde(rename = "Who")]
+        balancer: u64,
+        #[serde(rename = "Job")]
+        request: &'a str,
+        upstream: &'a str,
+        #[serde(rename = "AllowFor")]
+        timeout: f64,
+    },
+    /// Reject a request.
     #[serde(rename_all = "PascalCase")]
-    NotNow { who: u64, job: &'a str, cool_down: f64 },
+    NotNow {
+        #[serde(rename = "Who")]
+        balancer: u64,
+        #[serde(rename = "Job")]
+        request: &'a str,
+        #[serde(rename = "CoolDown")]
+        retry_after: f64,
+    },
+    /// Fail a request.
     #[serde(rename_all = "PascalCase")]
-    FinishError { who: u64, job: &'a str },
+    FinishError {
+        #[serde(rename = "Who")]
+        balancer: u64,
+        #[serde(rename = "Job")]
+        request: &'a str,
+    },
+    /// Cancel an attempt.
     #[serde(rename_all = "PascalCase")]
-    Retract { who: u64, job: &'a str, go: usize },
+    Retract {
+        #[serde(rename = "Who")]
+        balancer: u64,
+        #[serde(rename = "Job")]
+        request: &'a str,
+        #[serde(rename = "Go")]
+        attempt: usize,
+    },
+    /// Set a timer.
     #[serde(rename_all = "PascalCase")]
-    Arm { who: u64, token: u64, instant: f64 },
+    Arm {
+        #[serde(rename = "Who")]
+        balancer: u64,
+        token: u64,
+        #[serde(rename = "Instant")]
+        at: f64,
+    },
+    /// Send a health check.
     #[serde(rename_all = "PascalCase")]
-    Ping { who: u64, upstream: &'a str },
+    Ping {
+        #[serde(rename = "Who")]
+        balancer: u64,
+        upstream: &'a str,
+    },
+    /// Close idle connections.
     #[serde(rename_all = "PascalCase")]
-    FreeLinks { who: u64, upstream: &'a str },
+    FreeLinks {
+        #[serde(rename = "Who")]
+        balancer: u64,
+        upstream: &'a str,
+    },
+    /// Subscribe to the endpoint list.
     #[serde(rename_all = "PascalCase")]
-    KeepInformed { who: u64, enable: bool },
+    KeepInformed {
+        #[serde(rename = "Who")]
+        balancer: u64,
+        enable: bool,
+    },
 }
--- a/crates/simulator-adapter/tests/formats.rs
+++ b/crates/simulator-adapter/tests/formats.rs
@@ -44,29 +44,38 @@
 
 #[test]
 fn every_command_keeps_its_form() {
-    let (who, job, upstream) = (3, "rq-a", "10.0.0.1:80");
+    let (balancer, request, upstream) = (3, "rq-a", "10.0.0.1:80");
     for (command, text) in [
         (
-            WireCommand::Relay { who, job, upstream, allow_for: 100.5 },
+            WireCommand::Relay { balancer, request, upstream, timeout: 100.5 },
             r#"{"Relay":{"Who":3,"Job":"rq-a","Upstream":"10.0.0.1:80","AllowFor":100.5}}"#,
         ),
         (
-            WireCommand::NotNow { who, job, cool_down: 95.0 },
+            WireCommand::NotNow { balancer, request, retry_after: 95.0 },
             r#"{"NotNow":{"Who":3,"Job":"rq-a","CoolDown":95.0}}"#,
         ),
-        (WireCommand::FinishError { who, job }, r#"{"FinishError":{"Who":3,"Job":"rq-a"}}"#),
-        (WireCommand::Retract { who, job, go: 1 }, r#"{"Retract":{"Who":3,"Job":"rq-a","Go":1}}"#),
         (
-            WireCommand::Arm { who, token: 2, instant: 1021.575 },
+            WireCommand::FinishError { balancer, request },
+            r#"{"FinishError":{"Who":3,"Job":"rq-a"}}"#,
+        ),
+        (
+            WireCommand::Retract { balancer, request, attempt: 1 },
+            r#"{"Retract":{"Who":3,"Job":"rq-a","Go":1}}"#,
+        ),
+        (
+            WireCommand::Arm { balancer, token: 2, at: 1021.575 },
             r#"{"Arm":{"Who":3,"Token":2,"Instant":1021.575}}"#,
         ),
-        (WireCommand::Ping { who, upstream }, r#"{"Ping":{"Who":3,"Upstream":"10.0.0.1:80"}}"#),
         (
-            WireCommand::FreeLinks { who, upstream },
+            WireCommand::Ping { balancer, upstream },
+            r#"{"Ping":{"Who":3,"Upstream":"10.0.0.1:80"}}"#,
+        ),
+        (
+            WireCommand::FreeLinks { balancer, upstream },
             r#"{"FreeLinks":{"Who":3,"Upstream":"10.0.0.1:80"}}"#,
         ),
         (
-            WireCommand::KeepInformed { who, enable: true },
+            WireCommand::KeepInformed { balancer, enable: true },
             r#"{"KeepInformed":{"Who":3,"Enable":true}}"#,
         ),
     ] {
