--- a/crates/ordered-collections/src/lib.rs
+++ b/crates/ordered-collections/src/lib.rs
@@ -1,8 +1,7 @@
-//! Data structures that keep an order while it changes, so that nothing has to be scanned for the first of it.
+//! Data structures that keep an order while it changes, so that nothing has to be scanned for the first item.
 //!
-//! [`tournament`] knows the least of many keys, [`timers`] what is due, [`waiting`] who came first in each of many
-//! lanes, [`ring`] the place of each among its like, [`total`] a sum that forgets nothing and gathers no error.
-//! They know nothing of balancing, and decide nothing.
+//! [`tournament`] gives the least of many keys, [`timers`] what is due, [`waiting`] the first item of many queues with one
+//! order of arrival, [`ring`] a sorted list in parts, [`total`] an exact sum. They know nothing of load balancing.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/ordered-collections/src/ring.rs
+++ b/crates/ordered-collections/src/ring.rs
@@ -1,37 +1,36 @@
-//! Who stands where among its like: a sorted list in parts.
+//! A sorted list in parts, which gives the index of each item in its part.
 
-/// A place: its part, its name within, and the slot that stands there.
+/// An item: its part, its name there, and the slot that it stands for.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place {
-    /// Parts are ranked apart from one another.
+    /// The part; each has a range of indexes of its own.
     pub part: u32,
-    /// Orders the places of one part.
+    /// Orders the items of one part.
     pub name: u64,
-    /// Whose place it is.
+    /// The slot of the caller.
     pub slot: usize,
 }
 
-/// Places in order. A few changes cost a search and a move of memory each; more cost one
-/// pass over the places.
+/// Places in order. A few changes cost a search and a move of memory each; more cost one pass over the places.
 #[derive(Clone, Debug, Default)]
 pub struct Ring {
     places: Vec<Place>,
-    /// The parts that have places, in order, and where each begins.
+    /// The parts that have places, in order, each with its first index.
     parts: Vec<(u32, usize)>,
 }
 
-/// So many changes at once are searched and moved one by one; more are merged in one pass over the places.
-const FEW: usize = 4;
-/// The table grows by this part of itself at least.
-const GROWTH: usize = 8;
+/// Up to this many changes at once are made one by one; more are merged in one pass over the places.
+const MAX_SINGLE_CHANGES: usize = 4;
+/// The table grows by at least one part in this many.
+const GROWTH_DIVISOR: usize = 8;
 
 impl Ring {
-    /// How many there are.
+    /// The number of places.
     pub fn len(&self) -> usize {
         self.places.len()
     }
 
-    /// Whether there is none.
+    /// Whether there is no place.
     pub fn is_empty(&self) -> bool {
         self.places.is_empty()
     }
@@ -45,8 +44,8 @@
     pub fn part(&self, part: u32) -> std::ops::Range<usize> {
         let at = self.parts.partition_point(|p| p.0 < part);
         let begin = |at: usize| self.parts.get(at).map_or(self.places.len(), |p| p.1);
-        let there = self.parts.get(at).is_some_and(|p| p.0 == part);
-        begin(at)..begin(at + usize::from(there))
+        let exists = self.parts.get(at).is_some_and(|p| p.0 == part);
+        begin(at)..begin(at + usize::from(exists))
     }
 
     /// The index of a place, if it is there.
@@ -54,9 +53,9 @@
         self.places.binary_search(&place).ok()
     }
 
-    /// Takes places out, and others in. What is not there is not taken out; nothing is there twice.
-    pub fn change(&mut self, out: &[Place], into: &[Place]) {
-        self.change_places(out, into);
+    /// Removes places and adds others. Removing one that is not there and adding one that is has no effect.
+    pub fn change(&mut self, removed: &[Place], added: &[Place]) {
+        self.change_places(removed, added);
         self.parts.clear();
         let mut from = 0;
         while let Some(part) = self.places.get(from).map(|p| p.part) {
@@ -65,64 +64,64 @@
         }
     }
 
-    fn change_places(&mut self, out: &[Place], into: &[Place]) {
-        if out.len() + into.len() <= FEW {
-            return self.change_one_by_one(out, into);
+    fn change_places(&mut self, removed: &[Place], added: &[Place]) {
+        if removed.len() + added.len() <= MAX_SINGLE_CHANGES {
+            return self.change_one_by_one(removed, added);
         }
-        self.remove_all(out);
-        self.insert_all(into);
+        self.remove_all(removed);
+        self.insert_all(added);
     }
 
-    fn remove_all(&mut self, out: &[Place]) {
-        let mut out = out.to_vec();
-        out.sort_unstable();
-        let Some(first) = out.first() else { return };
+    fn remove_all(&mut self, removed: &[Place]) {
+        let mut removed = removed.to_vec();
+        removed.sort_unstable();
+        let Some(first) = removed.first() else { return };
         let unchanged = self.places.partition_point(|place| place < first);
-        let mut out = out.into_iter().peekable();
-        let mut kept = unchanged;
+        let mut removed = removed.into_iter().peekable();
+        let mut retained = unchanged;
         for at in unchanged..self.places.len() {
             let place = self.places[at];
-            while out.next_if(|gone| *gone < place).is_some() {}
-            if out.peek() != Some(&place) {
-                self.places[kept] = place;
-                kept += 1;
+            while removed.next_if(|other| *other < place).is_some() {}
+            if removed.peek() != Some(&place) {
+                self.places[retained] = place;
+                retained += 1;
             }
         }
-        self.places.truncate(kept);
+        self.places.truncate(retained);
     }
 
     /// Merges from the last place to the first, so that each moves once.
-    fn insert_all(&mut self, into: &[Place]) {
-        let mut into = into.to_vec();
-        into.sort_unstable();
-        into.dedup();
-        into.retain(|place| self.find(*place).is_none());
-        let Some(&filler) = into.first() else { return };
-        let mut left = self.places.len();
-        if self.places.capacity() < left + into.len() {
-            self.places.reserve_exact(into.len().max(left / GROWTH));
+    fn insert_all(&mut self, added: &[Place]) {
+        let mut added = added.to_vec();
+        added.sort_unstable();
+        added.dedup();
+        added.retain(|place| self.find(*place).is_none());
+        let Some(&filler) = added.first() else { return };
+        let mut unmoved = self.places.len();
+        if self.places.capacity() < unmoved + added.len() {
+            self.places.reserve_exact(added.len().max(unmoved / GROWTH_DIVISOR));
         }
-        self.places.resize(left + into.len(), filler);
+        self.places.resize(unmoved + added.len(), filler);
         let mut at = self.places.len();
-        while let Some(&new) = into.last() {
+        while let Some(&new) = added.last() {
             at -= 1;
-            if left > 0 && self.places[left - 1] > new {
-                left -= 1;
-                self.places[at] = self.places[left];
+            if unmoved > 0 && self.places[unmoved - 1] > new {
+                unmoved -= 1;
+                self.places[at] = self.places[unmoved];
             } else {
                 self.places[at] = new;
-                into.pop();
+                added.pop();
             }
         }
     }
 
-    fn change_one_by_one(&mut self, out: &[Place], into: &[Place]) {
-        for place in out {
+    fn change_one_by_one(&mut self, removed: &[Place], added: &[Place]) {
+        for place in removed {
             if let Ok(at) = self.places.binary_search(place) {
                 self.places.remove(at);
             }
         }
-        for place in into {
+        for place in added {
             if let Err(at) = self.places.binary_search(place) {
                 self.places.insert(at, *place);
             }
--- a/crates/ordered-collections/src/timers.rs
+++ b/crates/ordered-collections/src/timers.rs
@@ -1,9 +1,9 @@
-//! When each of many slots is to be looked at again.
+//! One pending timer for each of many slots.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// One pending time a slot, the earliest that was asked for; times are whatever the caller counts in.
+/// The pending timers, at most one for each slot. Times are in whatever unit the caller counts in.
 #[derive(Clone, Debug, Default)]
 pub struct Timers {
     heap: BinaryHeap<Reverse<(i64, usize)>>,
@@ -12,8 +12,8 @@
 }
 
 impl Timers {
-    /// Asks for a slot to be looked at by `at`. Where an earlier time is pending already, that one stays: who is
-    /// looked at too early asks again.
+    /// Sets the timer of a slot to `at`. An earlier one that is pending stays: a caller that is called too early sets
+    /// the timer again.
     pub fn set(&mut self, slot: usize, at: i64) {
         if slot >= self.pending.len() {
             self.pending.resize(slot + 1, i64::MAX);
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Takes the first slot whose time has come.
+    /// Takes the slot whose timer is due first, if it is due by `now`.
     pub fn due(&mut self, now: i64) -> Option<usize> {
         while let Some(&Reverse((at, slot))) = self.heap.peek() {
             if at > now {
--- a/crates/ordered-collections/src/total.rs
+++ b/crates/ordered-collections/src/total.rs
@@ -1,10 +1,9 @@
-//! A sum of many figures that come, change and go.
+//! An exact sum of many figures that are added, changed and removed.
 
 /// A sum in fixed point: taking away what was added leaves exactly what was there before, in any order, after any
 /// number of changes. `2^BITS` steps make one; a figure of `2^(63-BITS)` or more counts as that.
 ///
-/// A float would gather an error with each change, and a sum that is to be reached ("as many out as there are
-/// slots") would be missed by it.
+/// A floating-point sum would gather an error with each change, so that a limit that equals the sum would be missed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Total<const BITS: u32> {
     steps: i128,
@@ -14,7 +13,7 @@
     const ONE: f64 = (1u64 << BITS) as f64;
 
     fn steps(figure: f64) -> i128 {
-        // What is no number counts as nothing; `as` saturates.
+        // NaN counts as zero; `as` saturates.
         i128::from((figure * Self::ONE) as i64)
     }
 
@@ -23,15 +22,15 @@
         self.steps = self.steps.saturating_add(Self::steps(figure));
     }
 
-    /// Takes a figure away that was added.
+    /// Subtracts a figure that was added.
     pub fn sub(&mut self, figure: f64) {
         self.steps = self.steps.saturating_sub(Self::steps(figure));
     }
 
-    /// Puts one figure in the place of another, where either may be none.
-    pub fn change(&mut self, was: Option<f64>, now: Option<f64>) {
-        was.into_iter().for_each(|w| self.sub(w));
-        now.into_iter().for_each(|n| self.add(n));
+    /// Replaces one figure by another, where either may be absent.
+    pub fn change(&mut self, previous: Option<f64>, next: Option<f64>) {
+        previous.into_iter().for_each(|figure| self.sub(figure));
+        next.into_iter().for_each(|figure| self.add(figure));
     }
 
     /// The sum.
--- a/crates/ordered-collections/src/tournament.rs
+++ b/crates/ordered-collections/src/tournament.rs
@@ -1,6 +1,5 @@
-//! The least of many keys, kept as keys change: a tournament tree (Knuth, The Art of Computer Programming,
-//! vol. 3, 5.4.1), over the slots
-//! that take part.
+//! The least of many keys, kept while keys change: a tournament tree (Knuth, The Art of Computer Programming, vol. 3,
+//! 5.4.1).
 
 use rustc_hash::FxHashMap;
 
@@ -9,13 +8,13 @@
 pub struct Key(pub u64, pub u64);
 
 impl Key {
-    /// Of a slot that does not take part.
+    /// The key of a slot that does not take part.
     pub const OUT: Key = Key(u64::MAX, u64::MAX);
 
-    /// A key that orders like `first`, with no number first of all and NaN with infinity.
+    /// A key that orders as `first` does, NaN like infinity.
     pub fn of(first: f64, second: u64) -> Self {
         let bits = if first.is_nan() { f64::INFINITY.to_bits() } else { first.to_bits() };
-        // Of negative numbers all bits turn over, of the others the sign alone: then bits order as numbers.
+        // With all bits of negative numbers flipped, and the sign bit of others, bits order as numbers do.
         Key(if bits >> 63 == 1 { !bits } else { bits | 1 << 63 }, second)
     }
 }
@@ -24,8 +23,9 @@
 /// is the most slots that took part at once. Slots that take no part use no memory, however high their numbers.
 #[derive(Clone, Debug, Default)]
 pub struct TournamentTree {
-    /// Key and slot of each leaf; a vacant leaf has [`Key::OUT`].
+    /// The key of each leaf; a vacant one has [`Key::OUT`].
     keys: Vec<Key>,
+    /// The slot of each leaf.
     slots: Vec<u32>,
     /// The winning leaf of each match; that of nodes `2*i` and `2*i + 1` is at `i`, leaves begin at `keys.len()`.
     tree: Vec<u32>,
@@ -36,7 +36,7 @@
 }
 
 /// A tree of more leaves than this gives its memory back when the last slot leaves it.
-const KEPT_LEAVES: usize = 64;
+const RETAINED_LEAVES: usize = 64;
 
 impl TournamentTree {
     /// The key of a slot.
@@ -70,14 +70,14 @@
     /// The same without some slots. Costs O(log n) for each of them.
     pub fn best_without(&mut self, slots: &[usize]) -> Option<(Key, usize)> {
         let leaves: Vec<u32> = slots.iter().filter_map(|slot| self.leaf(*slot)).collect();
-        let mut kept = Vec::with_capacity(leaves.len());
+        let mut keys = Vec::with_capacity(leaves.len());
         for &leaf in &leaves {
-            kept.push(self.keys[leaf as usize]);
+            keys.push(self.keys[leaf as usize]);
             self.replay(leaf, Key::OUT);
         }
         let best = self.best();
-        // From the last to the first: one that is named twice was out already the second time.
-        for (leaf, key) in leaves.into_iter().zip(kept).rev() {
+        // In reverse: of a slot that is named twice, the key stored second is already [`Key::OUT`].
+        for (leaf, key) in leaves.into_iter().zip(keys).rev() {
             self.replay(leaf, key);
         }
         best
@@ -110,7 +110,7 @@
         self.replay(leaf, Key::OUT);
         self.leaf_of.remove(&(slot as u32));
         self.vacant.push(leaf);
-        if self.leaf_of.is_empty() && self.keys.len() > KEPT_LEAVES {
+        if self.leaf_of.is_empty() && self.keys.len() > RETAINED_LEAVES {
             *self = Self::default();
         }
     }
@@ -122,7 +122,7 @@
         while node > 0 {
             let (a, b) = (self.tree[2 * node], self.tree[2 * node + 1]);
             let won = self.better(a, b);
-            // Who won here before still does, and with the same key: nothing changes further up.
+            // The same leaf wins with the same key: nothing changes further up.
             if self.tree[node] == won && won != leaf {
                 return;
             }
