--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,4 +1,5 @@
-//! One watch on the list of upstreams.
+//! One watch on the endpoint list: the call to discovery, the lists that it delivers, and its silence or end. When to open
+//! a watch, and what a list means, is left to the engine.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -10,7 +11,7 @@
 use hollowpaddle_policy::list_polling;
 use http_body_util::{BodyExt, Empty};
 use hyper::Request;
-use hyper::body::Incoming;
+use hyper::body::{Frame, Incoming};
 use hyper::header::HOST;
 use hyper_util::rt::TokioIo;
 use tokio::time::{Instant, timeout, timeout_at};
@@ -19,60 +20,59 @@
 use crate::members::List;
 use crate::tasks::AbortOnDrop;
 
-/// A watch without a word for so long is dead, and so is a connection that has not come up, though nothing told so (a
-/// machine that is cut off sends no reset).
+/// A watch that has delivered nothing, not even a heartbeat, for so long is dead, and so is a connection that has not come
+/// up: a machine that is cut off sends no reset.
 pub const SILENCE: Duration = Duration::from_micros(list_polling::SILENCE.0 as u64);
+/// How long the first call that discovery has accepted is waited for.
+const FIRST_CALL_TIMEOUT: Duration = Duration::from_micros(list_polling::CALL_PATIENCE.0 as u64);
+/// An error status that comes sooner than this after the call began is a rejection: the call did not wait for its turn.
+const REJECTION_TIME: Duration = Duration::from_millis(200);
 
-/// How long the first call is waited for that discovery has taken.
-const CALL_PATIENCE: Duration = Duration::from_micros(list_polling::CALL_PATIENCE.0 as u64);
-
-/// An error that comes sooner than this after the call began was no turn waited for in vain: discovery has turned the
-/// call away.
-const AT_ONCE: Duration = Duration::from_millis(200);
-
-/// How long a call is waited for that discovery has taken.
+/// How long a call that discovery has accepted is waited for.
 #[derive(Debug, Default)]
 pub struct CallTimeout {
-    /// Calls given up without an answer while discovery was crowded, since the last list.
-    unanswered: u32,
+    /// Calls without an answer while discovery was crowded, since the last list.
+    unanswered_calls: u32,
 }
 
 impl CallTimeout {
-    /// That of the next call.
+    /// The timeout of the next call.
     pub fn current(&self) -> Duration {
-        CALL_PATIENCE * (1 << self.unanswered.min(list_polling::PATIENCE_DOUBLINGS))
+        let doublings = self.unanswered_calls.min(list_polling::PATIENCE_DOUBLINGS);
+        FIRST_CALL_TIMEOUT * (1 << doublings)
     }
 
-    /// Learns from the end of a call. Only where discovery is known to be crowded a call without an answer may still have
-    /// been waiting for its turn. Failure: one that hung for good was waited for longer and longer, and a list that came
-    /// meanwhile was late.
-    pub fn call_ended(&mut self, ending: WatchEnd, is_crowded: bool) {
-        if ending == WatchEnd::Unanswered && is_crowded {
-            self.unanswered += 1;
+    /// Learns from the end of a call.
+    ///
+    /// A call without an answer may still have been waiting for its turn only where discovery is known to be crowded.
+    /// Elsewhere it hung, and longer waits would delay the list.
+    pub fn call_ended(&mut self, end: WatchEnd, is_crowded: bool) {
+        if end == WatchEnd::Unanswered && is_crowded {
+            self.unanswered_calls += 1;
         }
     }
 }
 
-/// What a watch tells.
+/// What a watch reports.
 pub enum WatchEvent {
-    /// The list, or a change to it.
+    /// The endpoint list, or a change to it.
     List(List),
-    /// It has fallen silent. Whatever it says after all is told.
+    /// Nothing has come for [`SILENCE`]. Lists that come after all are still reported.
     Silent,
-    /// The watch is over; nothing more comes from it.
+    /// The watch is over. This is its last report.
     Ended(WatchEnd),
 }
 
-/// How a watch, or the call for one, came to its end.
+/// How a watch, or the call for one, has ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchEnd {
     /// No connection came up.
     Unreachable,
-    /// Discovery answered at once that it does not take the call: it works, and is crowded.
+    /// Discovery rejected the call at once: it works, and is crowded.
     ListCallRejected,
-    /// Discovery took the call and then failed it, or ended a watch.
+    /// Discovery accepted the call and then failed it, or ended a watch.
     Failed,
-    /// Discovery took the call, and it was given up without an answer.
+    /// Discovery accepted the call and has not answered in time.
     Unanswered,
 }
 
@@ -81,7 +81,7 @@
     #[error("connect: {0}")]
     Connect(#[from] std::io::Error),
     #[error("no connection in time")]
-    NoConnection,
+    ConnectTimeout,
     #[error("{0}")]
     Http(#[from] hyper::Error),
     #[error("answered {0}")]
@@ -97,11 +97,11 @@
 }
 
 impl WatchError {
-    /// What that tells of discovery, where the call began so long ago.
-    fn ending(&self, elapsed: Duration) -> WatchEnd {
+    /// What the error tells of discovery, `elapsed` after the call began.
+    fn watch_end(&self, elapsed: Duration) -> WatchEnd {
         match self {
-            Self::Connect(_) | Self::NoConnection => WatchEnd::Unreachable,
-            Self::Status(_) if elapsed < AT_ONCE => WatchEnd::ListCallRejected,
+            Self::Connect(_) | Self::ConnectTimeout => WatchEnd::Unreachable,
+            Self::Status(_) if elapsed < REJECTION_TIME => WatchEnd::ListCallRejected,
             Self::Unanswered(_) => WatchEnd::Unanswered,
             Self::Status(_)
             | Self::Http(_)
@@ -112,70 +112,112 @@
     }
 }
 
-/// Watches from this revision on until the watch ends, and tells that too: when to ask again is decided
-/// elsewhere. A call that discovery has taken is waited for as long as `patience`.
+/// Watches for lists that follow version `revision`, and reports them until the watch ends. A call that discovery has
+/// accepted is waited for as long as `call_timeout`.
 pub async fn watch(
     network: Rc<dyn Network>,
     address: SocketAddr,
     revision: u64,
-    patience: Duration,
-    tell: impl Fn(WatchEvent),
+    call_timeout: Duration,
+    report: impl Fn(WatchEvent),
 ) {
-    let begun = Instant::now();
-    let Err(cause) = follow(&*network, address, revision, begun + patience, &tell).await;
-    let elapsed = begun.elapsed();
+    let started_at = Instant::now();
+    let answer_by = started_at + call_timeout;
+    let Err(cause) = run(&*network, address, revision, answer_by, &report).await;
+    let elapsed = started_at.elapsed();
     let elapsed_ms = elapsed.as_millis() as u64;
-    tracing::info!(%cause, revision, elapsed_ms, "watch over");
-    tell(WatchEvent::Ended(cause.ending(elapsed)));
+    tracing::info!(%cause, revision, elapsed_ms, "watch ended");
+    report(WatchEvent::Ended(cause.watch_end(elapsed)));
 }
 
-async fn follow(
+/// Calls discovery, and reports what it delivers until that ends.
+async fn run(
     network: &dyn Network,
     address: SocketAddr,
     revision: u64,
     answer_by: Instant,
-    tell: &impl Fn(WatchEvent),
+    report: &impl Fn(WatchEvent),
 ) -> Result<Infallible, WatchError> {
     let connect = timeout(SILENCE, network.connect(address)).await;
-    let stream = connect.map_err(|_| WatchError::NoConnection)??;
-    let (mut body, _connection) = timeout_at(answer_by, call(stream, address, revision)).await??;
-    let (mut reader, mut answer_begun, mut told, mut silent) =
-        (ListReader::default(), false, false, false);
+    let stream = connect.map_err(|_| WatchError::ConnectTimeout)??;
+    let (body, _connection) = timeout_at(answer_by, call(stream, address, revision)).await??;
+    let mut watch_body = WatchBody {
+        body,
+        reader: ListReader::default(),
+        revision,
+        answer_by,
+        has_begun: false,
+        has_delivered: false,
+        is_silent: false,
+    };
     loop {
-        let frame = if silent {
-            body.frame().await
-        } else if !answer_begun {
-            timeout_at(answer_by, body.frame()).await?
+        let frame = watch_body.next_frame(report).await?;
+        watch_body.read(frame, report).await?;
+    }
+}
+
+/// What discovery has delivered to a watch so far.
+struct WatchBody {
+    body: Incoming,
+    reader: ListReader,
+    /// The version that the watch follows.
+    revision: u64,
+    answer_by: Instant,
+    /// Whether the first list has begun. A long one may take longer to come than a call may wait.
+    has_begun: bool,
+    /// Whether a list was delivered.
+    has_delivered: bool,
+    is_silent: bool,
+}
+
+impl WatchBody {
+    /// The next frame, however long it takes once a silence is reported.
+    async fn next_frame(
+        &mut self,
+        report: &impl Fn(WatchEvent),
+    ) -> Result<Frame<Bytes>, WatchError> {
+        let frame = if !self.has_begun {
+            timeout_at(self.answer_by, self.body.frame()).await?
+        } else if self.is_silent {
+            self.body.frame().await
         } else {
-            match timeout(SILENCE, body.frame()).await {
+            match timeout(SILENCE, self.body.frame()).await {
                 Ok(frame) => frame,
-                // One that never told anything is of no use to anybody.
-                Err(elapsed) if !told => return Err(elapsed.into()),
+                // A watch that has never delivered anything is of no use.
+                Err(elapsed) if !self.has_delivered => return Err(elapsed.into()),
                 Err(_) => {
-                    tracing::info!(revision, "watch silent");
-                    silent = true;
-                    tell(WatchEvent::Silent);
-                    continue;
+                    tracing::info!(revision = self.revision, "watch silent");
+                    self.is_silent = true;
+                    report(WatchEvent::Silent);
+                    self.body.frame().await
                 }
             }
         };
-        let frame = frame.ok_or(WatchError::Ended)??;
-        let Ok(data) = frame.into_data() else { continue };
-        // White space between objects is a heartbeat. A long list may take longer to come than a call may wait.
-        answer_begun = answer_begun || !data.trim_ascii().is_empty();
-        for (i, piece) in data.chunks(PIECE_LENGTH).enumerate() {
-            if i > 0 {
+        Ok(frame.ok_or(WatchError::Ended)??)
+    }
+
+    /// Reads a frame, and reports each list that ends in it. White space between lists is a heartbeat.
+    async fn read(
+        &mut self,
+        frame: Frame<Bytes>,
+        report: &impl Fn(WatchEvent),
+    ) -> Result<(), WatchError> {
+        let Ok(data) = frame.into_data() else { return Ok(()) };
+        self.has_begun = self.has_begun || !data.trim_ascii().is_empty();
+        for (index, piece) in data.chunks(PIECE_LENGTH).enumerate() {
+            if index > 0 {
                 tokio::task::yield_now().await;
             }
-            reader.take(piece, |list| {
-                told = true;
-                tell(WatchEvent::List(list));
+            self.reader.take(piece, |list| {
+                self.has_delivered = true;
+                report(WatchEvent::List(list));
             })?;
         }
+        Ok(())
     }
 }
 
-/// Asks for what follows this version; what is answered, and the task that reads it.
+/// Asks for lists that follow version `revision`. Returns the body of the response, and the task that receives it.
 async fn call(
     stream: Box<dyn Stream>,
     address: SocketAddr,
--- a/crates/gateway/src/engine/endpoint_list.rs
+++ b/crates/gateway/src/engine/endpoint_list.rs
@@ -26,7 +26,7 @@
         for id in &changes.moved {
             self.pool.close_idle(*id);
         }
-        self.list_watch.revision = self.upstreams.newest();
+        self.list_watch.revision = self.upstreams.newest_revision();
         self.share_list_with_cluster(list, kind);
         self.publish_members(changes.kind, changes.members);
         self.forget_departed_upstreams();
@@ -49,7 +49,7 @@
         self.publish_members(publish_kind, changes.members);
         self.forget_departed_upstreams();
         self.list_watch.revision = 0;
-        self.upstreams.count_anew();
+        self.upstreams.restart_versions();
     }
 
     /// Cordons these upstreams, and lets all others back.
@@ -124,7 +124,7 @@
 
     /// Drops upstreams that are gone and that no attempt uses any more.
     fn forget_departed_upstreams(&mut self) {
-        for id in self.upstreams.forget() {
+        for id in self.upstreams.forget_departed() {
             self.pool.close_idle(id);
         }
     }
--- a/crates/gateway/src/engine/list_watch.rs
+++ b/crates/gateway/src/engine/list_watch.rs
@@ -164,7 +164,7 @@
         let versions_restarted = has_moved || list.complete && list.revision < watch.from_version;
         if versions_restarted {
             watches.first_comparable_serial = serial;
-            self.upstreams.count_anew();
+            self.upstreams.restart_versions();
             if let Some(cluster) = &self.cluster {
                 cluster.heard(Listed::CountsAnew);
             }
--- a/crates/gateway/src/engine/policy_updates.rs
+++ b/crates/gateway/src/engine/policy_updates.rs
@@ -19,7 +19,7 @@
         self.applied_policy = Some(policy.clone());
         let max_attempts = self.limits.max_attempts.min(policy.rules.attempts().into());
         self.balancer.attempts_at_most(max_attempts);
-        let changed = self.upstreams.rule(policy, Instant::now());
+        let changed = self.upstreams.apply_policy(policy, Instant::now());
         for member in changed.iter().filter(|member| member.status != Status::Live) {
             self.pool.close_idle(member.id);
         }
@@ -34,12 +34,12 @@
     pub(super) fn policy_check(&self, server: ServerId, id: RequestId) -> Option<PolicyCheck> {
         let cluster = self.cluster.clone()?;
         let class = self.requests.get(&id)?.class;
-        let route = self.upstreams.placed(server, class);
+        let route = self.upstreams.route(server, class);
         let applied = self.applied_policy.clone();
         Some(Box::new(move || {
             let policy = cluster.held();
             let is_unchanged = applied.as_ref().is_some_and(|applied| applied.is(&policy));
-            is_unchanged || route.as_ref().is_some_and(|route| route.permitted(&policy))
+            is_unchanged || route.as_ref().is_some_and(|route| route.is_permitted(&policy))
         }))
     }
 }
--- a/crates/gateway/src/freshness.rs
+++ b/crates/gateway/src/freshness.rs
@@ -1,9 +1,10 @@
-//! How long the list in hand may be acted on while no watch vouches for it. Pure; asking for a newer one is the policy's.
+//! How long the endpoint list may be acted on while no live watch vouches for it. Pure; asking for a newer list is left to
+//! the decision module.
 //!
-//! A change counts as delivered [`LIST_PROPAGATION_BOUND`] after discovery had it and could be reached, heard or not, and from the
-//! end of the drain's grace on nothing may be sent by the old list (PROTOCOL, "Figures"). A balancer that discovery keeps
-//! turning away can miss such a change, so its list expires at that moment, and not before: while discovery can't be
-//! reached nothing counts, and the last known list is the best there is.
+//! A change counts as delivered [`LIST_PROPAGATION_BOUND`] after discovery had it and could be reached, received or not, and
+//! after the grace period of a drain nothing may be sent by the old list (PROTOCOL, "Figures"). A balancer whose calls
+//! discovery keeps rejecting can miss such a change, so its list expires at that moment, and not before: while discovery
+//! can't be reached nothing counts, and the last known list is the best there is.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,10 +15,10 @@
 
 use crate::discovery::WatchEnd;
 
-/// From discovery's having a change to its counting as delivered.
-const DELIVERED_AFTER: Duration = Duration::from_micros(LIST_PROPAGATION_BOUND.0 as u64);
+/// From the time that discovery has a change to the time that it counts as delivered.
+const PROPAGATION_BOUND: Duration = Duration::from_micros(LIST_PROPAGATION_BOUND.0 as u64);
 
-/// When the list expires, shared with attempts, which look at it right before their first byte.
+/// When the endpoint list expires, shared with attempts, which read it right before their first byte.
 #[derive(Clone, Debug, Default)]
 pub struct Expiry(Rc<Cell<Option<Instant>>>);
 
@@ -27,30 +28,30 @@
         self.0.get().is_some_and(|at| now >= at)
     }
 
-    /// When it expires, if nothing happens before.
+    /// When the list expires, as things stand.
     pub fn at(&self) -> Option<Instant> {
         self.0.get()
     }
 }
 
-/// What is known of the age of the list in hand.
+/// What is known of the age of the endpoint list.
 #[derive(Debug)]
 pub struct Freshness {
     /// From a change that is missed to the last moment at which the old list may be acted on.
-    allowed: Duration,
-    /// Changes from then on may be missing; nothing is, while a watch vouches for the list.
+    max_age: Duration,
+    /// Changes from then on may be missing; nothing while a live watch vouches for the list.
     missing_since: Option<Instant>,
-    /// Since then discovery has turned a call away, so that it could be reached.
+    /// Whether discovery has rejected a call since the list was last vouched for, so that it could be reached.
     is_crowded: bool,
     expiry: Expiry,
 }
 
 impl Freshness {
-    /// Of a start: what happens from now on is not known until discovery has told it. Sends to what drains end `grace`
-    /// after the notice.
+    /// At the start: changes from `now` on are missing until discovery delivers a list. Sends to a draining upstream end
+    /// `grace` after the notice.
     pub fn new(grace: Duration, now: Instant) -> Self {
         Self {
-            allowed: DELIVERED_AFTER + grace,
+            max_age: PROPAGATION_BOUND + grace,
             missing_since: Some(now),
             is_crowded: false,
             expiry: Expiry::default(),
@@ -62,14 +63,14 @@
         self.expiry.clone()
     }
 
-    /// Whether discovery has turned a call away since the list was last vouched for.
+    /// Whether discovery has rejected a call since the list was last vouched for.
     pub fn is_crowded(&self) -> bool {
         self.is_crowded
     }
 
-    /// The moment from which a change counts as delivered that is heard of only now.
+    /// From when on a change counts as delivered that is received only now.
     pub fn delivered(&self, now: Instant) -> Instant {
-        self.missing_since.map_or(now, |since| now.min(since + DELIVERED_AFTER))
+        self.missing_since.map_or(now, |since| now.min(since + PROPAGATION_BOUND))
     }
 
     /// Until when no change is missing, as far as is known.
@@ -77,39 +78,39 @@
         self.missing_since.unwrap_or(now)
     }
 
-    /// A watch vouches for the list.
+    /// A live watch vouches for the list.
     pub fn vouched(&mut self) {
         self.missing_since = None;
         self.is_crowded = false;
         self.expiry.0.set(None);
     }
 
-    /// No watch vouches for the list any more; the last one did until `since`.
+    /// No live watch vouches for the list any more; the last one did until `since`.
     pub fn unvouched(&mut self, since: Instant) {
         self.missing_since.get_or_insert(since);
     }
 
-    /// A call for the list that began at `begun` has come to such an end.
-    pub fn call_ended(&mut self, ending: WatchEnd, begun: Instant, now: Instant) {
-        // What has expired stays so: what had been delivered by then is not undone by an outage.
+    /// A call for the list that began at `started_at` has ended.
+    pub fn call_ended(&mut self, end: WatchEnd, started_at: Instant, now: Instant) {
+        // A list that has expired stays so: an outage does not undo what had been delivered by then.
         if self.expiry.is_over(now) {
             return;
         }
         let Some(since) = &mut self.missing_since else { return };
-        match ending {
+        match end {
             WatchEnd::ListCallRejected => self.is_crowded = true,
-            // Nobody was there: what changed before has not been delivered to anybody.
+            // Nobody was there: what changed before was not delivered to anybody.
             WatchEnd::Unreachable => {
-                *since = begun.max(*since);
+                *since = started_at.max(*since);
                 self.is_crowded = false;
             }
-            // Discovery that is down takes calls and fails them, too. Once it has turned a call away it is not down: then
-            // the call had waited too long for its turn.
+            // A discovery that is down may accept calls and fail them. Once it has rejected a call it is not down, and
+            // this call had waited too long for its turn.
             WatchEnd::Failed | WatchEnd::Unanswered if self.is_crowded => {}
             WatchEnd::Failed | WatchEnd::Unanswered => *since = now.max(*since),
         }
-        let at = *since + self.allowed;
-        self.expiry.0.set(self.is_crowded.then_some(at));
+        let expires_at = *since + self.max_age;
+        self.expiry.0.set(self.is_crowded.then_some(expires_at));
     }
 }
 
--- a/crates/gateway/src/freshness/tests.rs
+++ b/crates/gateway/src/freshness/tests.rs
@@ -20,7 +20,7 @@
     let mut freshness = unvouched(start);
     let expiry = freshness.expiry();
     freshness.call_ended(WatchEnd::ListCallRejected, start + seconds(1), start + seconds(1));
-    let at = start + DELIVERED_AFTER + GRACE;
+    let at = start + PROPAGATION_BOUND + GRACE;
     assert_eq!(expiry.at(), Some(at));
     assert!(!expiry.is_over(at - Duration::from_micros(1)));
     assert!(expiry.is_over(at));
@@ -34,7 +34,7 @@
         let now = start + seconds(second);
         freshness.call_ended(WatchEnd::ListCallRejected, now, now);
     }
-    assert_eq!(freshness.expiry().at(), Some(start + DELIVERED_AFTER + GRACE));
+    assert_eq!(freshness.expiry().at(), Some(start + PROPAGATION_BOUND + GRACE));
 }
 
 #[test]
@@ -59,7 +59,7 @@
     freshness.call_ended(WatchEnd::Unreachable, down, down + seconds(2));
     assert_eq!(freshness.expiry().at(), None);
     freshness.call_ended(WatchEnd::ListCallRejected, down + seconds(3), down + seconds(3));
-    assert_eq!(freshness.expiry().at(), Some(down + DELIVERED_AFTER + GRACE));
+    assert_eq!(freshness.expiry().at(), Some(down + PROPAGATION_BOUND + GRACE));
 }
 
 #[test]
@@ -68,7 +68,7 @@
     let mut freshness = unvouched(start);
     freshness.call_ended(WatchEnd::ListCallRejected, start, start);
     freshness.call_ended(WatchEnd::Failed, start, start + seconds(3));
-    assert_eq!(freshness.expiry().at(), Some(start + DELIVERED_AFTER + GRACE));
+    assert_eq!(freshness.expiry().at(), Some(start + PROPAGATION_BOUND + GRACE));
 }
 
 #[test]
@@ -89,7 +89,7 @@
     let mut freshness = unvouched(start);
     let (soon, late) = (start + seconds(1), start + seconds(7));
     assert_eq!(freshness.delivered(soon), soon);
-    assert_eq!(freshness.delivered(late), start + DELIVERED_AFTER);
+    assert_eq!(freshness.delivered(late), start + PROPAGATION_BOUND);
     freshness.vouched();
     assert_eq!(freshness.delivered(late), late);
 }
--- a/crates/gateway/src/invariants.rs
+++ b/crates/gateway/src/invariants.rs
@@ -1,5 +1,5 @@
-//! The promises that this balancer checks of itself while it runs, and how often each was broken. Every count but zero is a
-//! defect, and is in the log at the moment in which it happens.
+//! Counts and logs violations of the rules that this balancer checks of itself while it runs. Every count but zero is a
+//! defect.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -9,26 +9,26 @@
 /// What must never happen.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// A request went to an upstream past the grace after notice that it drains or is gone.
+    /// A request was sent to an upstream past the grace period after notice that it is draining or gone.
     SentAfterDrain,
-    /// A repeat of what may have run went out past the window in which its upstreams drop repeats.
+    /// A retry of what may have run was sent past the window in which upstreams recognise it.
     SentAfterWindow,
-    /// A request went out after its final answer or its client's leaving.
+    /// A request was sent after its final answer or after its client had gone.
     SentAfterEnd,
-    /// An upstream was told a longer deadline than its client had left.
+    /// The deadline announced to an upstream was longer than its client had left.
     DeadlineOverstated,
-    /// The decision module asked for an attempt that could have an effect twice.
+    /// The decision module asked for an attempt that could take effect twice.
     UnsafeRepeat,
-    /// The decision module asked for a refusal of what may have run.
+    /// The decision module rejected a request that may have run.
     RefusedAfterEffect,
-    /// A request that had been read got no answer, though its client stayed.
+    /// A request that was received got no answer, though its client stayed.
     Unanswered,
-    /// The decision module sent a cold upstream more than it had earned.
+    /// The decision module sent an upstream that is warming up more than slow start allows.
     ColdOverdraft,
 }
 
 impl Invariant {
-    /// All of them, in the order of their numbers.
+    /// All invariants, in the order of their numbers.
     pub const ALL: [Self; 8] = [
         Self::SentAfterDrain,
         Self::SentAfterWindow,
@@ -40,7 +40,7 @@
         Self::ColdOverdraft,
     ];
 
-    /// Its name in logs and in the admin API.
+    /// The name in logs and in the admin API.
     pub fn name(self) -> &'static str {
         match self {
             Self::SentAfterDrain => "sent_after_drain",
@@ -73,7 +73,7 @@
         tracing::error!(invariant = invariant.name(), request, upstream, "invariant violated");
     }
 
-    /// How often this one was violated.
+    /// How often an invariant was violated.
     pub fn of(&self, invariant: Invariant) -> u64 {
         self.0[invariant as usize].get()
     }
--- a/crates/gateway/src/list_reader.rs
+++ b/crates/gateway/src/list_reader.rs
@@ -1,7 +1,7 @@
-//! Lists of upstreams out of a stream of bytes, in whatever pieces it comes and however it is laid out.
+//! Reads endpoint lists from a stream of bytes, in whatever pieces it comes and however it is laid out. Pure.
 //!
-//! A list is read entry by entry: the text of an entry is dropped once its last byte has come, and a compact record is
-//! kept. What stands around the entries (the outline) is kept as text until the list is whole. Pure.
+//! A list is read entry by entry: the text of an entry is dropped at its last byte, and a compact record is retained. What
+//! stands around the entries (the outline) is retained as text until the list is complete.
 
 mod text;
 
@@ -21,7 +21,7 @@
 pub const MAX_OUTLINE_LENGTH: usize = 256 << 10;
 /// Objects and arrays within each other, the list itself included: what `serde_json` reads.
 pub const MAX_DEPTH: usize = 127;
-/// Entries kept of one list: two and a half times the 39,000 upstreams that the largest deployment in sight has.
+/// Entries received of one list: two and a half times the 39,000 upstreams that the largest deployment in sight has.
 /// Without a bound a list that never ends takes all memory.
 pub const MAX_ENTRIES: usize = 100_000;
 /// Bytes of all ids of one list: on average 160 for each of [`MAX_ENTRIES`]. Without a bound ids as long as an entry may
@@ -54,10 +54,10 @@
     IdsTooLong,
 }
 
-/// Reads lists from a stream. Each byte is looked at once, however small the pieces.
+/// Reads lists from a stream. Each byte is read once, however small the pieces.
 #[derive(Default)]
 pub struct ListReader {
-    place: Place,
+    position: Position,
     /// The list without its entries.
     outline: Text,
     /// Where in the outline the key begins that is being read.
@@ -68,12 +68,12 @@
     expects_members: bool,
     /// The entry that is being read.
     entry: Text,
-    kept: KeptEntries,
+    received: ReceivedEntries,
 }
 
 /// What the next byte belongs to.
 #[derive(Clone, Copy, Default)]
-enum Place {
+enum Position {
     /// The outline.
     #[default]
     Outline,
@@ -93,7 +93,7 @@
 
 /// The entries of the list that is being read.
 #[derive(Default)]
-struct KeptEntries {
+struct ReceivedEntries {
     entries: Vec<Entry>,
     id_bytes: usize,
     names: NameInterner,
@@ -112,24 +112,24 @@
 }
 
 impl ListReader {
-    /// Takes in the next piece, and hands over each list that is whole with it, in order.
+    /// Reads the next piece, and delivers each list that it completes, in order.
     ///
     /// # Errors
-    /// Text that is no list, or one beyond a bound. Nothing more can be read from this stream then.
-    pub fn take(&mut self, piece: &[u8], mut tell: impl FnMut(List)) -> Result<(), ListError> {
+    /// The text is no list, or the list is beyond a limit. Nothing more can be read from this stream then.
+    pub fn take(&mut self, piece: &[u8], mut deliver: impl FnMut(List)) -> Result<(), ListError> {
         for byte in piece {
             if let Some(list) = self.push(*byte)? {
-                tell(list);
+                deliver(list);
             }
         }
         Ok(())
     }
 
     fn push(&mut self, byte: u8) -> Result<Option<List>, ListError> {
-        match self.place {
-            Place::Outline => self.push_to_outline(byte),
-            Place::Members(expected) => self.push_between_entries(byte, expected).map(|()| None),
-            Place::Entry => self.push_to_entry(byte).map(|()| None),
+        match self.position {
+            Position::Outline => self.push_to_outline(byte),
+            Position::Members(expected) => self.push_between_entries(byte, expected).map(|()| None),
+            Position::Entry => self.push_to_entry(byte).map(|()| None),
         }
     }
 
@@ -148,11 +148,11 @@
         }
         if begins_members {
             // Of a key that occurs twice the last one counts.
-            self.kept.clear();
-            self.place = Place::Members(Expected::EntryOrEnd);
+            self.received.clear();
+            self.position = Position::Members(Expected::EntryOrEnd);
         }
         // What doesn't begin as an object is none, and is read to no end of its own.
-        if self.outline.is_whole() { self.end_of_list().map(Some) } else { Ok(None) }
+        if self.outline.is_complete() { self.end_of_list().map(Some) } else { Ok(None) }
     }
 
     /// Follows the keys directly within the list. Tells whether this byte begins the array of entries.
@@ -188,11 +188,11 @@
         match byte {
             byte if byte.is_ascii_whitespace() => {}
             b',' if expected == Expected::CommaOrEnd => {
-                self.place = Place::Members(Expected::Entry);
+                self.position = Position::Members(Expected::Entry);
             }
             b']' if expected != Expected::Entry => {
                 self.outline.push(byte);
-                self.place = Place::Outline;
+                self.position = Position::Outline;
             }
             b',' | b']' | b'}' | b':' => {
                 return Err(malformed("expected an entry in `members`"));
@@ -201,7 +201,7 @@
                 return Err(malformed("expected `,` or `]` behind an entry of `members`"));
             }
             _ => {
-                self.place = Place::Entry;
+                self.position = Position::Entry;
                 self.push_to_entry(byte)?;
             }
         }
@@ -221,18 +221,18 @@
         if self.outline.depth() + self.entry.depth() > MAX_DEPTH {
             return Err(ListError::TooDeep);
         }
-        if self.entry.is_whole() && !self.entry.is_scalar() {
+        if self.entry.is_complete() && !self.entry.is_scalar() {
             self.end_of_entry()?;
         }
         Ok(())
     }
 
     fn end_of_entry(&mut self) -> Result<(), ListError> {
-        let entry = Entry::from_json(self.entry.bytes(), &mut self.kept.names)?;
+        let entry = Entry::from_json(self.entry.bytes(), &mut self.received.names)?;
         self.entry.clear();
-        self.place = Place::Members(Expected::CommaOrEnd);
+        self.position = Position::Members(Expected::CommaOrEnd);
         match entry {
-            Some(entry) => self.kept.push(entry),
+            Some(entry) => self.received.push(entry),
             None => Ok(()),
         }
     }
@@ -243,13 +243,13 @@
             return Err(malformed("expected an object"));
         }
         let Header { revision, complete, .. } = Header::deserialize(outline)?;
-        let kept = std::mem::take(&mut self.kept);
+        let received = std::mem::take(&mut self.received);
         self.outline.clear();
-        Ok(List { revision, complete, members: kept.entries })
+        Ok(List { revision, complete, members: received.entries })
     }
 }
 
-impl KeptEntries {
+impl ReceivedEntries {
     fn clear(&mut self) {
         *self = Self::default();
     }
--- a/crates/gateway/src/list_reader/text.rs
+++ b/crates/gateway/src/list_reader/text.rs
@@ -1,4 +1,4 @@
-//! The text of one JSON value, as far as it has come.
+//! The text of one JSON value, as far as it was received.
 
 /// Collects the bytes of a value, with each run of white space outside of strings as one blank, and follows what is open.
 #[derive(Default)]
@@ -11,7 +11,7 @@
 }
 
 impl Text {
-    /// Takes in the next byte.
+    /// Appends the next byte.
     pub(super) fn push(&mut self, byte: u8) {
         if self.in_string {
             self.bytes.push(byte);
@@ -37,7 +37,7 @@
     }
 
     /// Whether nothing is open. Of a number or a word there may be more to come.
-    pub(super) fn is_whole(&self) -> bool {
+    pub(super) fn is_complete(&self) -> bool {
         !self.bytes.is_empty() && self.depth == 0 && !self.in_string
     }
 
@@ -61,7 +61,7 @@
         self.bytes.len()
     }
 
-    /// Whether nothing has come.
+    /// Whether nothing was received.
     pub(super) fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -1,4 +1,5 @@
-//! The list of upstreams as discovery writes it: one record for each upstream, with names shared between records.
+//! The endpoint list as discovery writes it: one record for each upstream, with names shared between records. What a list
+//! means is left to `membership`.
 
 use std::borrow::Cow;
 use std::net::SocketAddr;
@@ -10,16 +11,16 @@
 
 use crate::names::NameInterner;
 
-/// One message of discovery: the whole list, or the entries that changed.
+/// One message of discovery: the complete list, or the entries that changed.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct List {
-    /// Its version; a watch goes on from it.
+    /// The version, from which a watch continues.
     #[serde(default)]
     pub revision: u64,
-    /// Whether it is the whole list.
+    /// Whether this is the complete list.
     #[serde(default)]
     pub complete: bool,
-    /// Its entries, in discovery's order.
+    /// The entries, in the order of discovery.
     #[serde(default, deserialize_with = "readable_entries")]
     pub members: Vec<Entry>,
 }
@@ -27,36 +28,36 @@
 /// One upstream, as the list describes it.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// The same at every balancer, whatever its address. Shared with all that keep it.
+    /// The name, the same at every balancer. Shared by all that retain it.
     pub id: Arc<str>,
-    /// May differ between balancers and change over time. None where the list has no valid one: what is deleted or
-    /// draining may come without.
+    /// The address, which may differ between balancers and change over time. Nothing if the list has no valid one, as for
+    /// deleted or draining upstreams.
     pub address: Option<SocketAddr>,
-    /// Name of its zone, shared between entries.
+    /// Name of the zone, shared between entries.
     pub zone: Arc<str>,
-    /// Name of its machine type, shared between entries.
+    /// Name of the machine type, shared between entries.
     pub machine_type: Arc<str>,
-    /// The group of upstreams that share the keys they have seen.
+    /// The group of upstreams that share the idempotency keys they have seen.
     pub cell: u32,
-    /// Whether it takes requests.
+    /// Whether it accepts requests.
     pub phase: Phase,
-    /// Its weight beside others.
+    /// The weight relative to other upstreams.
     pub size: f64,
     /// When it last started, in milliseconds of Unix time; 0 for long ago.
     pub up_since_ms: f64,
 }
 
-/// Whether an upstream takes requests.
+/// Whether an upstream accepts requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Phase {
-    /// It does.
+    /// It accepts requests.
     Serving,
-    /// It finishes what it has.
+    /// It finishes the requests that it has.
     Draining,
     /// It is gone.
     Deleted,
-    /// One that this build does not know: nothing says that it takes requests.
+    /// A phase that this build does not know: nothing shows that it accepts requests.
     #[serde(other)]
     Unknown,
 }
@@ -101,11 +102,11 @@
 }
 
 impl Entry {
-    /// Reads the JSON text of one entry. None, and a warning, for a value that is no entry: it must not cost the news of
-    /// all others.
+    /// Reads the JSON text of one entry. A value that is no entry is logged and gives nothing: it must not cost the list its
+    /// other entries.
     ///
     /// # Errors
-    /// Text that is no JSON.
+    /// The text is not JSON.
     pub fn from_json(
         text: &[u8],
         names: &mut NameInterner,
@@ -119,7 +120,9 @@
 
     fn from_value(value: Value, names: &mut NameInterner) -> Option<Self> {
         EntryText::deserialize(value)
-            .inspect_err(|cause| tracing::warn!(%cause, "an entry of the list is left out"))
+            .inspect_err(
+                |cause| tracing::warn!(%cause, "unreadable entry of endpoint list ignored"),
+            )
             .ok()
             .map(|entry| entry.into_entry(names))
     }
--- /dev/null
+++ b/crates/gateway/src/membership/list_update.rs
@@ -0,0 +1,168 @@
+//! Applies one endpoint list: which of its entries count, and which upstreams it adds, changes and removes.
+
+use std::cell::Cell;
+use std::net::SocketAddr;
+use std::rc::Rc;
+
+use hollowpaddle_policy::interface::{ListKind, ServerId, Status};
+use tokio::time::Instant;
+
+use super::record::{Listing, UpstreamRecord};
+use super::{ListChanges, Membership};
+use crate::attempt::UpstreamTarget;
+use crate::members::{Entry, List, Phase};
+use crate::start_times::{Delivery, ListedStart, Reading};
+
+impl Membership {
+    /// Applies a list.
+    ///
+    /// A list that is older than another must not undo the notice of a drain. Of each upstream, only an entry that is no
+    /// older than the last one counts, and no upstream is removed because an older list leaves it out. An upstream that only
+    /// an older list names is added.
+    pub fn update(
+        &mut self,
+        list: &List,
+        kind: ListKind,
+        delivery: impl Into<Delivery>,
+    ) -> ListChanges {
+        let delivery = delivery.into();
+        self.lists_received += 1;
+        let is_older = list.revision < self.newest_revision;
+        self.newest_revision = self.newest_revision.max(list.revision);
+        let kind = match kind {
+            ListKind::Restored if is_older => ListKind::Aside,
+            ListKind::Complete if is_older => ListKind::Update,
+            kind => kind,
+        };
+        if is_older {
+            let (newest, revision) = (self.newest_revision, list.revision);
+            tracing::warn!(newest, revision, "endpoint list out of order");
+        }
+        if !kind.is_part() {
+            self.departed.raise_floor(list.revision);
+        }
+        let closed_from = delivery.at + self.grace;
+        let reading = self.start_times.reading(delivery, &list.members);
+        let members = Vec::with_capacity(list.members.len());
+        let mut changes = ListChanges { kind, members, moved: Vec::new() };
+        for entry in &list.members {
+            self.apply_entry(entry, list.revision, closed_from, &reading, &mut changes);
+        }
+        if !kind.is_part() {
+            self.remove_unnamed(closed_from);
+        }
+        changes
+    }
+
+    /// Applies one entry of a list of this version.
+    fn apply_entry(
+        &mut self,
+        entry: &Entry,
+        revision: u64,
+        closed_from: Instant,
+        reading: &Reading,
+        changes: &mut ListChanges,
+    ) {
+        let known = self.handles.get(&entry.id).and_then(|id| self.records.get(id));
+        if known.is_some_and(|record| revision < record.revision) {
+            return;
+        }
+        let is_deleted = entry.phase == Phase::Deleted;
+        if known.is_none() && (is_deleted || self.departed.was_removed_after(&entry.id, revision)) {
+            if is_deleted {
+                self.departed.remember(&entry.id, revision);
+            }
+            return;
+        }
+        // Without a valid address the last one counts: the notice that an upstream drains must not be lost.
+        let last_address = known.map(|record| record.target.address.get());
+        let Some(address) = entry.address.or(last_address) else {
+            tracing::warn!(upstream = &*entry.id, "entry without valid address ignored");
+            return;
+        };
+        let listed = self.listing(entry, known.map(|known| &**known), reading);
+        let id = self.handle_of(entry, address, listed);
+        if is_deleted {
+            self.departed.remember(&entry.id, revision);
+            self.gone.insert(id);
+        } else {
+            self.gone.remove(&id);
+        }
+        let Some(known) = self.records.get_mut(&id) else { return };
+        if known.target.address.replace(address) != address {
+            changes.moved.push(id);
+        }
+        known.last_named_by = self.lists_received;
+        known.revision = revision;
+        known.listing = listed;
+        let Some(member) = self.member(id) else { return };
+        let Some(known) = self.records.get(&id) else { return };
+        match member.status {
+            Status::Live => self.open_targets.open(&known.target),
+            Status::Draining | Status::Gone => self.open_targets.close(&known.target, closed_from),
+        }
+        changes.members.push(member);
+    }
+
+    /// Removes the upstreams that the last list, a complete one, left out.
+    fn remove_unnamed(&mut self, closed_from: Instant) {
+        for (id, known) in &self.records {
+            if known.last_named_by != self.lists_received {
+                self.gone.insert(*id);
+                self.open_targets.close(&known.target, closed_from);
+            }
+        }
+    }
+
+    /// Forgets upstreams that are gone and that no attempt uses any more. Returns them: their idle connections are of no use.
+    pub fn forget_departed(&mut self) -> Vec<ServerId> {
+        let is_unused = |known: &UpstreamRecord| Rc::strong_count(&known.target) == 1;
+        let unused = |id: &&ServerId| self.records.get(id).is_none_or(|known| is_unused(known));
+        let dropped: Vec<ServerId> = self.gone.iter().filter(unused).copied().collect();
+        for id in &dropped {
+            self.gone.remove(id);
+            if let Some(known) = self.records.remove(id) {
+                self.handles.remove(&known.name);
+                if let Some((start, _)) = known.listing.started {
+                    self.start_times.departed(&known.name, start);
+                }
+            }
+        }
+        dropped
+    }
+
+    /// The handle of an upstream, which is added if it is not known.
+    fn handle_of(&mut self, entry: &Entry, address: SocketAddr, listed: Listing) -> ServerId {
+        if let Some(id) = self.handles.get(&entry.id) {
+            return *id;
+        }
+        let id = ServerId(self.next_handle);
+        self.next_handle += 1;
+        let name = entry.id.clone();
+        self.handles.insert(name.clone(), id);
+        let target = UpstreamTarget { address: Cell::new(address), closed_from: Cell::new(None) };
+        let target = Rc::new(target);
+        self.open_targets.admit();
+        let known = UpstreamRecord { name, target, listing: listed, revision: 0, last_named_by: 0 };
+        self.records.insert(id, Box::new(known));
+        id
+    }
+
+    /// What an entry says of its upstream.
+    fn listing(&self, entry: &Entry, known: Option<&UpstreamRecord>, reading: &Reading) -> Listing {
+        let before = known.and_then(|known| known.listing.started);
+        let corrected = |start| self.start_times.corrected(reading, &entry.id, start, before);
+        Listing {
+            weight: entry.size,
+            started: ListedStart::of(entry).map(|start| (start, corrected(start))),
+            zone: self.zones.index(&entry.zone),
+            machine_type: self.machine_types.index(&entry.machine_type),
+            cell: entry.cell,
+            status: match entry.phase {
+                Phase::Serving => Status::Live,
+                Phase::Draining | Phase::Unknown => Status::Draining,
+                Phase::Deleted => Status::Gone,
+            },
+        }
+    }
+}
--- a/crates/gateway/src/membership/open_targets.rs
+++ b/crates/gateway/src/membership/open_targets.rs
@@ -1,15 +1,15 @@
-//! Until when upstreams may be sent to, and how many have no such limit.
+//! Opens and closes targets for sends, and counts those that are open.
 
 use tokio::time::Instant;
 
 use crate::attempt::UpstreamTarget;
 
-/// The number of targets that are not closed. All closing times are set here, so that nobody has to count.
+/// The number of open targets. All closing times are set here, so that it is always known.
 #[derive(Default)]
 pub(super) struct OpenTargets(usize);
 
 impl OpenTargets {
-    /// Whether there is any.
+    /// Whether any target is open.
     pub(super) fn is_any(&self) -> bool {
         self.0 > 0
     }
@@ -19,17 +19,17 @@
         self.0 += 1;
     }
 
-    /// Lets requests go there from here on.
+    /// Opens a target for sends.
     pub(super) fn open(&mut self, target: &UpstreamTarget) {
         self.set(target, None);
     }
 
-    /// Ends sends at `until`, unless that is decided already.
+    /// Closes a target at `until`, unless a time is set already.
     pub(super) fn close(&mut self, target: &UpstreamTarget, until: Instant) {
         self.set(target, target.closed_from.get().or(Some(until)));
     }
 
-    /// Ends sends at `until`, or earlier if that is decided already.
+    /// Closes a target at `until`, or earlier if an earlier time is set already.
     pub(super) fn close_by(&mut self, target: &UpstreamTarget, until: Instant) {
         let earlier = target.closed_from.get().map_or(until, |from| from.min(until));
         self.set(target, Some(earlier));
--- a/crates/gateway/src/start_times/tests.rs
+++ b/crates/gateway/src/start_times/tests.rs
@@ -33,14 +33,14 @@
 fn ages(times: &StartTimes, delivery: Delivery, entries: &[Entry]) -> Vec<Option<i64>> {
     let reading = times.reading(delivery, entries);
     let age = |entry: &Entry| {
-        let believed = times.believed(&reading, &entry.id, ListedStart::of(entry)?, None);
+        let believed = times.corrected(&reading, &entry.id, ListedStart::of(entry)?, None);
         Some((reading.now - believed.get()) / 1_000_000)
     };
     entries.iter().map(age).collect()
 }
 
 #[test]
-fn believes_a_right_clock() {
+fn accepts_starts_by_a_right_clock() {
     let (times, origin) = clock(0);
     let all = entries(&[0, 3, 300, 7 * HOUR, i64::MAX]);
     let expected = vec![Some(0), Some(3), Some(300), Some(7 * HOUR), None];
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn takes_the_newest_on_a_first_list_for_new_where_the_clock_is_ahead() {
+fn newest_upstreams_of_a_first_list_count_as_new_where_the_clock_is_ahead() {
     let (times, origin) = clock(HOUR);
     let all = entries(&[2, 5, 300, 7 * HOUR, 7 * HOUR, i64::MAX]);
     let expected = vec![Some(0), Some(3), Some(300 + HOUR), Some(8 * HOUR), Some(8 * HOUR), None];
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn believes_that_a_fleet_which_was_started_at_once_is_warm() {
+fn fleet_that_was_started_at_once_counts_as_warm() {
     let (times, origin) = clock(0);
     assert_eq!(
         ages(&times, origin.into(), &entries(&[HOUR, HOUR + 1, HOUR + 2])),
@@ -68,14 +68,14 @@
 }
 
 #[test]
-fn takes_who_comes_while_the_list_is_complete_for_new_where_the_clock_is_ahead() {
+fn upstream_that_joins_a_complete_list_counts_as_new_where_the_clock_is_ahead() {
     let (times, origin) = clock(HOUR);
     let delivery = Delivery { complete_until: Some(origin), ..origin.into() };
     assert_eq!(ages(&times, delivery, &entries(&[1])), [Some(0)]);
 }
 
 #[test]
-fn takes_a_start_in_the_future_for_one_that_is_now() {
+fn start_in_the_future_counts_as_now() {
     let (times, origin) = clock(-HOUR);
     assert_eq!(
         ages(&times, origin.into(), &entries(&[1, 300, 7 * HOUR])),
@@ -84,30 +84,30 @@
 }
 
 #[test]
-fn believes_the_same_of_a_start_that_is_listed_again() {
+fn start_that_is_listed_again_keeps_its_correction() {
     let (times, origin) = clock(HOUR);
     let listed = ListedStart::of(&entries(&[1])[0]).expect("a start");
     let nearly = std::num::NonZeroI64::new(listed.0.get() - 900_000).map(ListedStart);
-    let believed = BelievedStart::new(START * 1_000_000).expect("not 0");
+    let believed = CorrectedStart::new(START * 1_000_000).expect("not 0");
     let delivery = Delivery { complete_until: Some(origin), ..origin.into() };
     let reading = times.reading(delivery, &[]);
     for again in [Some(listed), nearly].into_iter().flatten() {
         let known = Some((listed, believed));
-        assert_eq!(times.believed(&reading, "s-0", again, known), believed);
+        assert_eq!(times.corrected(&reading, "s-0", again, known), believed);
     }
 }
 
 #[test]
-fn believes_the_start_of_one_that_comes_back_as_it_was() {
+fn upstream_that_returns_without_restart_keeps_its_start() {
     let (mut times, origin) = clock(0);
     let all = entries(&[HOUR, HOUR]);
     let delivery = Delivery { complete_until: Some(origin), ..origin.into() };
     let listed = ListedStart::of(&all[1]).expect("a start");
     times.departed(&all[1].id, listed);
     assert_eq!(ages(&times, delivery, &all), [Some(0), Some(HOUR)], "the first is new");
-    for i in 0..2 * REMEMBERED {
+    for i in 0..2 * MAX_REMEMBERED {
         times.departed(&format!("t-{i}").into(), listed);
     }
-    assert_eq!(times.departed.len(), REMEMBERED);
+    assert_eq!(times.departed.len(), MAX_REMEMBERED);
     assert_eq!(ages(&times, delivery, &all), [Some(0), Some(0)], "forgotten");
 }
--- a/crates/gateway/src/subsetting.rs
+++ b/crates/gateway/src/subsetting.rs
@@ -1,6 +1,8 @@
-//! Between the list and the module: where a subset is asked for, the module hears of that part of the fleet only.
+//! Restricts the decision module to a subset of the fleet, where one is configured. Which cells are in the subset is left to
+//! `hollowpaddle_subset`.
 //!
-//! Of the rest only the cells are kept. Who joins the subset is looked up where the list is kept whole, by `last`.
+//! Of the rest only the cells are retained. An upstream that joins the subset is looked up in the complete list, by
+//! `last_listed`.
 
 use std::collections::BTreeMap;
 
@@ -8,17 +10,18 @@
 use hollowpaddle_subset::{Cell, Cluster, Size, SizeError, Subset};
 use rustc_hash::{FxHashMap, FxHashSet};
 
-/// The fleet as listed, and what of it the module has been told.
+/// The fleet as listed, and the part of it that the decision module knows.
 pub struct Subsetting {
     subset: Subset,
-    all: FxHashMap<ServerId, Position>,
+    fleet: FxHashMap<ServerId, Position>,
     /// Upstreams of each cell that can be sent to.
     live: BTreeMap<Cell, usize>,
-    shown: FxHashSet<ServerId>,
+    /// The upstreams that the decision module knows.
+    published: FxHashSet<ServerId>,
     balancers: u32,
 }
 
-/// What the subset goes by.
+/// What the subset depends on.
 #[derive(Clone, Copy, PartialEq)]
 struct Position {
     cell: Cell,
@@ -30,36 +33,36 @@
 }
 
 impl Subsetting {
-    /// Nobody is listed yet.
+    /// An empty fleet.
     ///
     /// # Errors
-    /// The size can't be.
+    /// The size can't be used.
     pub fn new(size: Size, cluster: Cluster) -> Result<Self, SizeError> {
         let balancers = cluster.balancers;
         let subset = Subset::new(size, cluster)?;
         Ok(Self {
             subset,
-            all: FxHashMap::default(),
+            fleet: FxHashMap::default(),
             live: BTreeMap::new(),
-            shown: FxHashSet::default(),
+            published: FxHashSet::default(),
             balancers,
         })
     }
 
-    /// How many balancers of the bank share each upstream that the module knows.
+    /// How many balancers of the cluster share each upstream that the decision module knows.
     pub fn sharers(&self) -> f64 {
-        let share = self.shown.len() as f64 / self.all.len().max(1) as f64;
+        let share = self.published.len() as f64 / self.fleet.len().max(1) as f64;
         f64::from(self.balancers) * share.min(1.0)
     }
 
-    /// Takes in what a list tells, and says what the module is to be told of it. A drain or a removal is told of
-    /// whoever the module knows, in the subset or not. `last` finds a member as last listed.
+    /// Applies a list. Returns what the decision module is to be told of it: drains and removals of all upstreams that it
+    /// knows, and everything of those in the subset. `last_listed` finds a member as last listed.
     pub fn listed(
         &mut self,
         now: Time,
         kind: ListKind,
         members: &[Member],
-        last: impl Fn(ServerId) -> Option<Member>,
+        last_listed: impl Fn(ServerId) -> Option<Member>,
     ) -> Vec<Member> {
         if kind == ListKind::Unavailable {
             return Vec::new();
@@ -67,65 +70,69 @@
         let mut is_changed = false;
         if !kind.is_part() {
             is_changed = true;
-            self.all.clear();
+            self.fleet.clear();
             self.live.clear();
         }
-        for m in members {
-            is_changed |= self.place(m);
+        for member in members {
+            is_changed |= self.update_member(member);
         }
-        let moved = if is_changed { self.draw(now) } else { self.subset.passed(now.0) };
-        let concerns = |m: &&Member| self.subset.holds(cell(m)) || self.shown.contains(&m.id);
-        let mut told: Vec<Member> = members.iter().filter(concerns).copied().collect();
+        let has_moved = if is_changed { self.recompute(now) } else { self.subset.passed(now.0) };
+        let concerns = |m: &&Member| self.subset.holds(cell(m)) || self.published.contains(&m.id);
+        let mut changes: Vec<Member> = members.iter().filter(concerns).copied().collect();
         if kind.is_part() {
-            if moved {
-                // Whoever the change of the subset concerns is named by it, and once. Failure: a newcomer was named
-                // both as listed and as come into the subset.
-                let more = self.moved(last);
-                let named: FxHashSet<ServerId> = more.iter().map(|m| m.id).collect();
-                told.retain(|m| !named.contains(&m.id));
-                told.extend(more);
+            if has_moved {
+                // A member that the change of the subset concerns must not be named twice.
+                let joined_or_left = self.subset_changes(last_listed);
+                let named: FxHashSet<ServerId> = joined_or_left.iter().map(|m| m.id).collect();
+                changes.retain(|m| !named.contains(&m.id));
+                changes.extend(joined_or_left);
             }
         } else {
-            // The whole list, as the module is to have it: the rest is gone by being left out.
-            told.retain(|m| self.subset.holds(cell(m)));
-            self.shown.clear();
+            // A complete list: what it leaves out is gone.
+            changes.retain(|m| self.subset.holds(cell(m)));
+            self.published.clear();
         }
-        self.show(&told);
-        told
+        self.mark_published(&changes);
+        changes
     }
 
-    /// Lets what has lingered go: what the module is to be told, if anything.
-    pub fn passed(&mut self, now: Time, last: impl Fn(ServerId) -> Option<Member>) -> Vec<Member> {
+    /// Removes what has left the subset and has lingered. Returns what the decision module is to be told.
+    pub fn passed(
+        &mut self,
+        now: Time,
+        last_listed: impl Fn(ServerId) -> Option<Member>,
+    ) -> Vec<Member> {
         if !self.subset.passed(now.0) {
             return Vec::new();
         }
-        let told = self.moved(last);
-        self.show(&told);
-        told
+        let changes = self.subset_changes(last_listed);
+        self.mark_published(&changes);
+        changes
     }
 
-    /// How many upstreams the module has, and how many of them it could send to.
+    /// Widens the subset while too few of its upstreams can be sent to: `healthy` of `all`. Returns what the decision module
+    /// is to be told.
     pub fn seen(
         &mut self,
         now: Time,
         all: usize,
-        well: usize,
-        last: impl Fn(ServerId) -> Option<Member>,
+        healthy: usize,
+        last_listed: impl Fn(ServerId) -> Option<Member>,
     ) -> Vec<Member> {
-        if !self.subset.seen(now.0, all, well) {
+        if !self.subset.seen(now.0, all, healthy) {
             return Vec::new();
         }
-        let told = self.moved(last);
-        self.show(&told);
-        told
+        let changes = self.subset_changes(last_listed);
+        self.mark_published(&changes);
+        changes
     }
 
-    /// Notes where a member stands. Tells whether that changes what the subset is drawn from.
-    fn place(&mut self, member: &Member) -> bool {
+    /// Notes a member. Returns whether that changes what the subset is computed from.
+    fn update_member(&mut self, member: &Member) -> bool {
         let position = Position { cell: cell(member), is_live: member.status == Status::Live };
         let before = match member.status {
-            Status::Gone => self.all.remove(&member.id),
-            Status::Live | Status::Draining => self.all.insert(member.id, position),
+            Status::Gone => self.fleet.remove(&member.id),
+            Status::Live | Status::Draining => self.fleet.insert(member.id, position),
         };
         let before = before.filter(|p| p.is_live).map(|p| p.cell);
         let after = position.is_live.then_some(position.cell);
@@ -146,38 +153,38 @@
         true
     }
 
-    /// Draws the subset anew. Tells whether it changed.
-    fn draw(&mut self, now: Time) -> bool {
+    /// Computes the subset anew. Returns whether it changed.
+    fn recompute(&mut self, now: Time) -> bool {
         let cells = self.live.iter();
         self.subset.listed(now.0, cells.flat_map(|(cell, live)| std::iter::repeat_n(*cell, *live)))
     }
 
-    /// Who has come into the subset, and who has left it and is gone as far as the module is concerned.
-    fn moved(&self, last: impl Fn(ServerId) -> Option<Member>) -> Vec<Member> {
-        let mut news = Vec::new();
-        for (id, position) in &self.all {
-            let is_shown = self.shown.contains(id);
-            if self.subset.holds(position.cell) == is_shown {
+    /// Members that have joined the subset, and those that have left it, which are gone for the decision module.
+    fn subset_changes(&self, last_listed: impl Fn(ServerId) -> Option<Member>) -> Vec<Member> {
+        let mut changes = Vec::new();
+        for (id, position) in &self.fleet {
+            let is_published = self.published.contains(id);
+            if self.subset.holds(position.cell) == is_published {
                 continue;
             }
-            let member = match last(*id) {
+            let member = match last_listed(*id) {
                 Some(member) => member,
-                None if is_shown => Member::live(*id),
+                None if is_published => Member::live(*id),
                 None => continue,
             };
-            let status = if is_shown { Status::Gone } else { member.status };
-            news.push(Member { status, ..member });
+            let status = if is_published { Status::Gone } else { member.status };
+            changes.push(Member { status, ..member });
         }
-        news.sort_unstable_by_key(|m| m.id);
-        news
+        changes.sort_unstable_by_key(|m| m.id);
+        changes
     }
 
-    fn show(&mut self, told: &[Member]) {
-        for m in told {
-            if m.status == Status::Gone {
-                self.shown.remove(&m.id)
+    fn mark_published(&mut self, changes: &[Member]) {
+        for member in changes {
+            if member.status == Status::Gone {
+                self.published.remove(&member.id)
             } else {
-                self.shown.insert(m.id)
+                self.published.insert(member.id)
             };
         }
     }
--- a/crates/gateway/src/subsetting/tests.rs
+++ b/crates/gateway/src/subsetting/tests.rs
@@ -29,7 +29,7 @@
 }
 
 #[test]
-fn the_module_has_whole_cells_and_hears_of_every_drain_among_them() {
+fn policy_knows_complete_cells_and_every_drain_among_them() {
     let (mut of, mut has) = (subsetting(), FxHashMap::default());
     let mut all = fleet(400);
     apply(&mut has, ListKind::Complete, &of.listed(Time(0), ListKind::Complete, &all, among(&all)));
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn what_leaves_the_subset_is_gone_for_the_module_once_it_has_lingered() {
+fn upstream_that_left_the_subset_is_removed_once_it_has_lingered() {
     let (mut of, mut has) = (subsetting(), FxHashMap::default());
     let all = fleet(400);
     apply(&mut has, ListKind::Complete, &of.listed(Time(0), ListKind::Complete, &all, among(&all)));
@@ -76,7 +76,7 @@
 }
 
 #[test]
-fn nobody_is_named_twice_when_the_subset_changes_with_the_list() {
+fn no_upstream_is_named_twice_when_the_subset_changes_with_the_list() {
     let (mut of, mut has) = (subsetting(), FxHashMap::default());
     let all = fleet(80);
     apply(&mut has, ListKind::Complete, &of.listed(Time(0), ListKind::Complete, &all, among(&all)));
@@ -97,7 +97,7 @@
 }
 
 #[test]
-fn a_subset_that_is_silent_is_widened() {
+fn subset_that_is_silent_is_widened() {
     let (mut of, mut has) = (subsetting(), FxHashMap::default());
     apply(
         &mut has,
--- a/crates/gateway/src/update_queue.rs
+++ b/crates/gateway/src/update_queue.rs
@@ -1,5 +1,5 @@
-//! Long lists on their way to the module: handed over in parts, so that no single event holds up the requests behind
-//! it. Pure; what is on a list, and whom a subset leaves out, is said by then.
+//! Hands long lists to the decision module in parts, so that no single event holds up the requests behind it. Pure; what is on
+//! a list, and what a subset leaves out, is decided before.
 
 use std::collections::VecDeque;
 use std::hash::Hasher;
@@ -7,27 +7,27 @@
 use hollowpaddle_policy::interface::{ListKind, Member, ServerId, Status};
 use rustc_hash::{FxHashMap, FxHashSet, FxHasher};
 
-/// A list of up to this length goes over as it is.
-const SHORT: usize = 256;
-/// Of a longer one so many changes at a time. Failure: 10,000 upstreams that had all started anew were one event of
-/// 7 to 11 ms.
-const PART: usize = 64;
+/// A list of up to this length is handed over as it is.
+const MAX_UNSPLIT_LENGTH: usize = 256;
+/// How many changes of a longer list are handed over at a time. 10,000 at once take the decision module 7 to 11 ms.
+const PART_LENGTH: usize = 64;
 
-/// What the module has been told of each upstream, or is about to be.
+/// What the decision module knows of each upstream, and the changes that are due to it.
 ///
-/// Of those that it has been told of only a fingerprint is kept. A copy of each member would be a third of all that the
-/// gateway holds of an upstream.
+/// Of what it knows only a fingerprint is retained. A copy of each member would be a third of the gateway's memory of an
+/// upstream.
 #[derive(Default)]
 pub struct UpdateQueue {
+    /// The latest state of each upstream, handed over or due.
     latest: FxHashMap<ServerId, Fingerprint>,
-    /// The order in which it is told of those that wait. A place whose upstream waits no more is passed over.
+    /// The order in which changes are handed over. An upstream that is no longer in `waiting` is skipped.
     due: VecDeque<ServerId>,
-    /// Whom it has yet to be told of, as last listed.
+    /// The changes that are due, as last listed.
     waiting: FxHashMap<ServerId, Member>,
 }
 
-/// Tells whether two descriptions of an upstream are the same: its status, and a hash of all else. Two that differ in
-/// something else agree by chance, one time in 2^62; then the module keeps the older one until the next change.
+/// The status of an upstream, and a hash of all else. Two that differ in something else agree by chance, one time in 2^62; the
+/// decision module keeps the older one then, until the next change.
 #[derive(Clone, Copy, PartialEq)]
 struct Fingerprint(u64);
 
@@ -35,7 +35,7 @@
     const STATUS_BITS: u32 = 2;
 
     fn of(member: &Member) -> Self {
-        // Named field by field: one that is added must not be left out.
+        // Destructured, so that a field that is added to `Member` can't be left out.
         let Member { id: _, identity, zone, kind, cell, status, weight, started, barred } = *member;
         let mut hasher = FxHasher::default();
         hasher.write_u64(identity);
@@ -62,25 +62,29 @@
     }
 }
 
-/// A list, or a part of one, as the module is to be told of it.
+/// A list, or a part of one, for the decision module.
 #[derive(Debug, PartialEq)]
 pub struct Part {
+    /// The kind of list.
     pub kind: ListKind,
+    /// Its entries.
     pub members: Vec<Member>,
 }
 
 impl UpdateQueue {
-    /// Takes in a list; what the module is to be told now. More may be due. `last` finds whom a whole list left out, as
-    /// listed before.
+    /// Queues a list, and returns what the decision module is to be told now. More may be due. `last_listed` finds an upstream
+    /// that a complete list left out, as listed before.
     pub fn listed(
         &mut self,
         kind: ListKind,
         members: Vec<Member>,
-        last: impl Fn(ServerId) -> Option<Member>,
+        last_listed: impl Fn(ServerId) -> Option<Member>,
     ) -> Part {
-        let short = members.len() <= SHORT && self.latest.len() <= SHORT && !self.is_due();
-        // At the start nobody waits, and there is nothing to compare with.
-        if short || kind == ListKind::Unavailable || self.latest.is_empty() {
+        let is_short = members.len() <= MAX_UNSPLIT_LENGTH
+            && self.latest.len() <= MAX_UNSPLIT_LENGTH
+            && !self.is_due();
+        // At the start nothing is due, and there is nothing to compare with.
+        if is_short || kind == ListKind::Unavailable || self.latest.is_empty() {
             if !kind.is_part() {
                 self.latest.clear();
             }
@@ -94,16 +98,18 @@
         }
         if !kind.is_part() {
             let named: FxHashSet<ServerId> = members.iter().map(|m| m.id).collect();
-            let left =
-                self.latest.iter().filter(|(id, told)| !named.contains(id) && !told.is_gone());
-            let mut left: Vec<ServerId> = left.map(|(id, _)| *id).collect();
-            left.sort_unstable();
-            for id in left {
-                let member = last(id).unwrap_or_else(|| Member::live(id));
-                self.change(Member { status: Status::Gone, ..member });
+            let left_out =
+                self.latest.iter().filter(|(id, known)| !named.contains(id) && !known.is_gone());
+            let mut left_out: Vec<ServerId> = left_out.map(|(id, _)| *id).collect();
+            left_out.sort_unstable();
+            for id in left_out {
+                let member = last_listed(id).unwrap_or_else(|| Member::live(id));
+                self.queue_change(Member { status: Status::Gone, ..member });
             }
         }
-        members.into_iter().for_each(|m| self.change(m));
+        for member in members {
+            self.queue_change(member);
+        }
         let kind = match kind {
             ListKind::Complete | ListKind::Update => ListKind::Update,
             _ => ListKind::Aside,
@@ -111,17 +117,17 @@
         Part { kind, members: self.next_part() }
     }
 
-    fn change(&mut self, member: Member) {
+    fn queue_change(&mut self, member: Member) {
         let fingerprint = Fingerprint::of(&member);
         if self.latest.insert(member.id, fingerprint) == Some(fingerprint) {
             return;
         }
-        let new = self.waiting.insert(member.id, member).is_none();
+        let is_new = self.waiting.insert(member.id, member).is_none();
         match member.status {
-            Status::Live if new => self.due.push_back(member.id),
+            Status::Live if is_new => self.due.push_back(member.id),
             Status::Live => {}
-            // Whom nothing may be sent to any more goes first, also one that waits further back: that place is
-            // passed over once it is told of.
+            // First, also if it is due further back: an upstream that nothing may be sent to must be known at once. The
+            // other place is skipped then.
             Status::Draining | Status::Gone => self.due.push_front(member.id),
         }
     }
@@ -131,10 +137,10 @@
         !self.waiting.is_empty()
     }
 
-    /// The next part of what is due, with the latest word of each.
+    /// The next part of what is due, in its latest state.
     pub fn next_part(&mut self) -> Vec<Member> {
-        let mut part = Vec::with_capacity(PART.min(self.waiting.len()));
-        while part.len() < PART
+        let mut part = Vec::with_capacity(PART_LENGTH.min(self.waiting.len()));
+        while part.len() < PART_LENGTH
             && let Some(id) = self.due.pop_front()
         {
             let Some(member) = self.waiting.remove(&id) else { continue };
@@ -144,7 +150,7 @@
             part.push(member);
         }
         if !self.is_due() {
-            // They were as many as the longest list.
+            // Gives back memory for as many as the longest list.
             (self.due, self.waiting) = Default::default();
         }
         part
--- a/crates/gateway/src/update_queue/tests.rs
+++ b/crates/gateway/src/update_queue/tests.rs
@@ -10,7 +10,7 @@
 }
 
 /// All that is told of a list, part by part, into what the module has.
-fn told(of: &mut UpdateQueue, has: &mut FxHashMap<ServerId, Member>, part: Part) -> usize {
+fn hand_over(of: &mut UpdateQueue, has: &mut FxHashMap<ServerId, Member>, part: Part) -> usize {
     let mut parts = 1;
     let mut tell = |kind: ListKind, members: Vec<Member>| {
         if !kind.is_part() {
@@ -22,7 +22,7 @@
     tell(part.kind, part.members);
     while of.is_due() {
         let next = of.next_part();
-        assert!(!next.is_empty() && next.len() <= PART);
+        assert!(!next.is_empty() && next.len() <= PART_LENGTH);
         tell(ListKind::Update, next);
         parts += 1;
     }
@@ -30,10 +30,10 @@
 }
 
 #[test]
-fn a_long_list_is_told_in_parts_and_comes_to_the_same() {
+fn long_list_is_handed_over_in_parts_with_the_same_result() {
     let (mut of, mut has) = (UpdateQueue::default(), FxHashMap::default());
     let part = of.listed(ListKind::Restored, all(10_000), nobody);
-    assert_eq!(told(&mut of, &mut has, part), 1, "nobody waits at the start");
+    assert_eq!(hand_over(&mut of, &mut has, part), 1, "nobody waits at the start");
     // The same again changes nothing, and is still a word of the watch.
     let part = of.listed(ListKind::Complete, all(10_000), nobody);
     assert_eq!(part, Part { kind: ListKind::Update, members: vec![] });
@@ -42,32 +42,32 @@
     list[..500].iter_mut().for_each(|m| m.weight = 2.0);
     list[500..1000].iter_mut().for_each(|m| m.status = Status::Draining);
     let part = of.listed(ListKind::Complete, list.clone(), nobody);
-    assert!(told(&mut of, &mut has, part) > 5500 / PART);
+    assert!(hand_over(&mut of, &mut has, part) > 5500 / PART_LENGTH);
     assert_eq!(has, list.into_iter().map(|m| (m.id, m)).collect());
 }
 
 #[test]
-fn whom_nothing_may_be_sent_to_goes_first() {
+fn drains_and_removals_go_first() {
     let (mut of, mut has) = (UpdateQueue::default(), FxHashMap::default());
     let part = of.listed(ListKind::Restored, all(1000), nobody);
-    told(&mut of, &mut has, part);
+    hand_over(&mut of, &mut has, part);
     let mut list = all(1000);
     list.iter_mut().for_each(|m| m.weight = 2.0);
     list[990..].iter_mut().for_each(|m| m.status = Status::Draining);
     let part = of.listed(ListKind::Complete, list, nobody);
     let drains = part.members.iter().filter(|m| m.status == Status::Draining).count();
-    assert_eq!((part.members.len(), drains), (PART, 10));
+    assert_eq!((part.members.len(), drains), (PART_LENGTH, 10));
 }
 
 #[test]
-fn one_that_waits_as_live_and_is_drained_then_goes_first_and_once() {
+fn due_upstream_that_starts_draining_goes_first_and_once() {
     // Failure: it kept its place behind all that had started anew.
     let (mut of, mut has) = (UpdateQueue::default(), FxHashMap::default());
     let part = of.listed(ListKind::Restored, all(1000), nobody);
-    told(&mut of, &mut has, part);
+    hand_over(&mut of, &mut has, part);
     let mut list = all(1000);
     list.iter_mut().for_each(|m| m.weight = 2.0);
-    assert_eq!(of.listed(ListKind::Complete, list, nobody).members.len(), PART);
+    assert_eq!(of.listed(ListKind::Complete, list, nobody).members.len(), PART_LENGTH);
     let drained = Member { status: Status::Draining, ..Member::live(ServerId(999)) };
     let part = of.listed(ListKind::Update, vec![drained], nobody);
     assert_eq!(part.members[0], drained);
@@ -79,10 +79,10 @@
 }
 
 #[test]
-fn a_newer_word_is_not_undone_by_what_was_due_before_it() {
+fn newer_change_is_not_undone_by_an_older_one_that_was_due() {
     let (mut of, mut has) = (UpdateQueue::default(), FxHashMap::default());
     let part = of.listed(ListKind::Restored, all(1000), nobody);
-    told(&mut of, &mut has, part);
+    hand_over(&mut of, &mut has, part);
     let drained = |m: Member| Member { status: Status::Draining, ..m };
     let part = of.listed(ListKind::Complete, all(1000).into_iter().map(drained).collect(), nobody);
     assert!(of.is_due());
@@ -90,13 +90,13 @@
     // In the middle of it the last one is live again, and the first is gone.
     let gone = Member { status: Status::Gone, ..Member::live(ServerId(0)) };
     let part = of.listed(ListKind::Update, vec![Member::live(ServerId(999)), gone], nobody);
-    told(&mut of, &mut has, part);
+    hand_over(&mut of, &mut has, part);
     assert_eq!((has.len(), has[&ServerId(999)].status), (999, Status::Live));
     assert!(has.values().filter(|m| m.status == Status::Draining).count() == 998);
 }
 
 #[test]
-fn a_short_list_goes_over_as_it_is() {
+fn short_list_is_handed_over_as_it_is() {
     let mut of = UpdateQueue::default();
     for kind in [ListKind::Restored, ListKind::Complete, ListKind::Update, ListKind::Aside] {
         let part = of.listed(kind, all(200), nobody);
@@ -106,7 +106,7 @@
 }
 
 #[test]
-fn those_that_a_whole_list_leaves_out_are_gone_as_they_were_last() {
+fn upstreams_that_a_complete_list_leaves_out_are_removed_as_last_listed() {
     let mut of = UpdateQueue::default();
     let last = |id| Some(Member { zone: 3, cell: 7, ..Member::live(id) });
     let members: Vec<Member> = (0..1000).map(ServerId).filter_map(last).collect();
@@ -122,7 +122,7 @@
 }
 
 #[test]
-fn every_field_of_a_member_is_news() {
+fn change_of_any_field_is_handed_over() {
     let listed = Member::live(ServerId(7));
     let started = Some(hollowpaddle_policy::interface::Time(0));
     let changed = [
--- a/crates/gateway/tests/list_memory.rs
+++ b/crates/gateway/tests/list_memory.rs
@@ -112,7 +112,7 @@
             part += self.update_queue.next_part().len();
         }
         assert!(part <= list.members.len());
-        self.membership.forget();
+        self.membership.forget_departed();
         longest
     }
 }
@@ -134,7 +134,7 @@
             let told = self.membership.update(&list, ListKind::Update, now);
             let last = |id| self.membership.member(id);
             let part = self.update_queue.listed(told.kind, told.members, last);
-            assert!(self.membership.any_open() && self.membership.forget().is_empty());
+            assert!(self.membership.any_open() && self.membership.forget_departed().is_empty());
             times.push(begun.elapsed());
             assert_eq!(part.members.len(), CHANGED);
         }
