--- a/crates/net/src/errors.rs
+++ b/crates/net/src/errors.rs
@@ -1,8 +1,8 @@
-//! What the errors of system calls mean: whose trouble it is, and whether to call again.
+//! Classifies the errors of system calls: whether this machine or the peer is at fault, and whether to call again.
 
 use std::io::{Error, ErrorKind};
 
-/// Whether the same call may succeed at once or in a moment, and nothing has happened to the socket.
+/// Whether the same call may succeed soon, and nothing has happened to the socket.
 pub fn is_transient(error: &Error) -> bool {
     matches!(error.kind(), ErrorKind::WouldBlock | ErrorKind::Interrupted | ErrorKind::OutOfMemory)
         || error.raw_os_error() == Some(libc::ENOBUFS)
@@ -27,16 +27,16 @@
 /// What a failed accept(2) is about.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum AcceptFailure {
-    /// One connection that was over before it was accepted, or an interrupted call: others may wait behind it, and are
+    /// One connection that was over before it was accepted, or an interrupted call. Others may wait behind it, and can be
     /// accepted at once.
     Connection,
-    /// This machine or process has no room: others wait, and are accepted once it has.
+    /// This machine or process lacks resources. Others wait, and can be accepted once there are some.
     NoRoom,
 }
 
 impl AcceptFailure {
-    /// Classifies an error of accept(2). Linux passes network errors of the new connection on, and asks that these be
-    /// treated as a call to be repeated; what is not known counts as a want of room, so that no loop is busy with it.
+    /// Classifies an error of accept(2). Linux passes on network errors of the new connection, for which the call is to be
+    /// repeated. An unknown error counts as a lack of resources, so that no busy loop comes of it.
     pub fn of(error: &Error) -> Self {
         const OF_CONNECTION: [i32; 10] = [
             libc::ECONNABORTED,
--- a/crates/net/src/tcp.rs
+++ b/crates/net/src/tcp.rs
@@ -1,4 +1,6 @@
-//! The machine's own network: its TCP; UDP is beside it.
+//! The machine's own network: TCP connections and listeners. Datagrams are left to `udp`.
+
+mod info;
 
 use std::io::{self, ErrorKind, IoSlice, Read};
 use std::mem::{self, MaybeUninit};
@@ -14,8 +16,8 @@
 
 use crate::{Datagrams, Listener, Network, Soon, Stream, is_transient};
 
-/// Connections that wait to be accepted. Short of it a burst of clients loses its SYNs, and waits a second
-/// for the next try.
+/// How many connections may wait to be accepted. Beyond, a burst of clients loses its SYNs and waits a second for the next
+/// try.
 const BACKLOG: i32 = 1024;
 
 /// The machine's own network, by the calling task's runtime.
@@ -38,7 +40,7 @@
         socket.set_nonblocking(true)?;
         socket.bind(&at.into())?;
         socket.listen(BACKLOG)?;
-        Listening::on(socket)
+        BoundListener::from_socket(socket)
     }
 
     fn datagrams(&self, at: SocketAddr) -> io::Result<Box<dyn Datagrams>> {
@@ -51,16 +53,17 @@
 }
 
 impl Tcp {
-    /// Listens on a socket that this process inherited as this descriptor, already bound and listening. The
-    /// process takes it over: it is to be asked for once, before anything else could have used the number.
+    /// Listens on a socket that this process inherited as this descriptor, bound and listening.
+    ///
+    /// Takes ownership of the descriptor: to be called once, before anything else can have used its number.
     ///
     /// # Errors
-    /// Nothing is open there, or no listening socket.
+    /// The descriptor is not open, or is no listening socket.
     pub fn inherited(descriptor: i32) -> io::Result<Box<dyn Listener>> {
-        let other = || io::Error::new(ErrorKind::InvalidInput, "no listening socket");
+        let not_listening = || io::Error::new(ErrorKind::InvalidInput, "no listening socket");
         let link = std::fs::read_link(format!("/proc/self/fd/{descriptor}"))?;
         if !link.to_string_lossy().starts_with("socket:") {
-            return Err(other());
+            return Err(not_listening());
         }
         // SAFETY: it is open, as the line above shows, and nothing else in this process owns it: it was there
         // before the process began to run.
@@ -68,98 +71,53 @@
         let socket = unsafe { std::os::fd::OwnedFd::from_raw_fd(descriptor) };
         let socket = socket2::Socket::from(socket);
         if !socket.is_listener()? {
-            return Err(other());
+            return Err(not_listening());
         }
         socket.set_cloexec(true)?;
         socket.set_nonblocking(true)?;
-        Listening::on(socket)
-    }
-}
-
-/// What Linux tells of a connection beyond what its calls return (tcp(7), TCP_INFO).
-#[cfg(target_os = "linux")]
-mod info {
-    use std::mem::{MaybeUninit, offset_of, size_of};
-    use std::os::fd::AsRawFd;
-    use std::time::Duration;
-
-    use tokio::net::TcpStream;
-
-    /// How long ago the last data came; its resolution is that of the kernel's clock, some milliseconds.
-    pub fn last_data_recv(stream: &TcpStream) -> Option<Duration> {
-        let mut info = MaybeUninit::<libc::tcp_info>::zeroed();
-        let mut length = size_of::<libc::tcp_info>() as libc::socklen_t;
-        // SAFETY: the descriptor is open for as long as `stream` is borrowed, and the kernel writes at most `length`
-        // bytes into `info`, which has room for so many.
-        #[allow(unsafe_code)]
-        let done = unsafe {
-            let into = info.as_mut_ptr().cast();
-            libc::getsockopt(
-                stream.as_raw_fd(),
-                libc::IPPROTO_TCP,
-                libc::TCP_INFO,
-                into,
-                &mut length,
-            )
-        };
-        let upto = offset_of!(libc::tcp_info, tcpi_last_data_recv) + size_of::<u32>();
-        if done != 0 || (length as usize) < upto {
-            return None;
-        }
-        // SAFETY: it was zeroed, and any bytes are a `tcp_info`, which is made of integers.
-        #[allow(unsafe_code)]
-        let info = unsafe { info.assume_init() };
-        Some(Duration::from_millis(u64::from(info.tcpi_last_data_recv)))
-    }
-}
-
-#[cfg(not(target_os = "linux"))]
-mod info {
-    /// Nothing is told here.
-    pub fn last_data_recv(_: &tokio::net::TcpStream) -> Option<std::time::Duration> {
-        None
+        BoundListener::from_socket(socket)
     }
 }
 
 /// A TCP connection.
 ///
-/// tokio takes a read or write that falls short for a sign that the kernel has no more, and waits for its next word. Linux
-/// promises no such thing, so the next call that would have to wait asks the kernel once itself.
+/// tokio takes a short read or write as a sign that the kernel is not ready, and waits for its next event. Linux guarantees no
+/// such thing, so the next call that would have to wait asks the kernel once itself.
 struct Connection {
     stream: TcpStream,
-    read_fell_short: bool,
-    write_fell_short: bool,
+    was_read_short: bool,
+    was_write_short: bool,
 }
 
 impl Connection {
     fn new(stream: TcpStream) -> Self {
-        // Failure of this costs some time; the connection is as good as any.
+        // Without it small writes are delayed, but the connection can be used.
         let _ = stream.set_nodelay(true);
-        Self { stream, read_fell_short: false, write_fell_short: false }
+        Self { stream, was_read_short: false, was_write_short: false }
     }
 
-    /// Looks at what has come without taking it; `None` while nothing has, or if that can't be told just now.
+    /// Looks at what was received without taking it. Nothing if there is nothing, or if that is not known just now.
     fn peek(&self) -> Option<io::Result<usize>> {
         loop {
             match SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]) {
                 Err(cause) if cause.kind() == ErrorKind::Interrupted => {}
                 Err(cause) if is_transient(&cause) => return None,
-                looked => return Some(looked),
+                result => return Some(result),
             }
         }
     }
 
-    /// One write, by whichever call; `wait` is tokio's.
+    /// Writes once: by `poll_write` of tokio, or by `write_once` if the write before was short and tokio would wait.
     fn write(
         &mut self,
-        all: usize,
-        mut wait: impl FnMut(Pin<&mut TcpStream>) -> Poll<io::Result<usize>>,
-        once: impl Fn(&SockRef<'_>) -> io::Result<usize>,
+        length: usize,
+        mut poll_write: impl FnMut(Pin<&mut TcpStream>) -> Poll<io::Result<usize>>,
+        write_once: impl Fn(&SockRef<'_>) -> io::Result<usize>,
     ) -> Poll<io::Result<usize>> {
         loop {
-            let written = match wait(Pin::new(&mut self.stream)) {
-                Poll::Pending if mem::take(&mut self.write_fell_short) => {
-                    match once(&SockRef::from(&self.stream)) {
+            let written = match poll_write(Pin::new(&mut self.stream)) {
+                Poll::Pending if mem::take(&mut self.was_write_short) => {
+                    match write_once(&SockRef::from(&self.stream)) {
                         Err(cause) if cause.kind() == ErrorKind::WouldBlock => {
                             return Poll::Pending;
                         }
@@ -172,7 +130,7 @@
             match written {
                 Err(cause) if cause.kind() == ErrorKind::Interrupted => {}
                 Ok(bytes) => {
-                    self.write_fell_short = bytes < all;
+                    self.was_write_short = bytes < length;
                     return Poll::Ready(Ok(bytes));
                 }
                 Err(cause) => return Poll::Ready(Err(cause)),
@@ -187,12 +145,12 @@
     }
 
     fn has_ended(&self) -> bool {
-        // Whether the poller has told, which it does whatever lies unread. No data is asked for, so this costs no call.
+        // The poller reports the end whatever is unread. No data is asked for, so this costs no system call.
         #[cfg(target_os = "linux")]
         if self.stream.try_io(tokio::io::Interest::PRIORITY, || Ok(())).is_ok() {
             return true;
         }
-        self.peek().is_some_and(|looked| !looked.is_ok_and(|bytes| bytes > 0))
+        self.peek().is_some_and(|result| !result.is_ok_and(|bytes| bytes > 0))
     }
 
     fn poll_unread(&mut self, cx: &mut Context<'_>) -> Poll<()> {
@@ -206,7 +164,7 @@
     }
 
     fn since_last_bytes(&self) -> Option<Duration> {
-        info::last_data_recv(&self.stream)
+        info::since_last_data(&self.stream)
     }
 
     fn reset(self: Box<Self>) {
@@ -220,10 +178,10 @@
         cx: &mut Context<'_>,
         buf: &mut ReadBuf<'_>,
     ) -> Poll<io::Result<()>> {
-        let room = buf.remaining();
+        let capacity = buf.remaining();
         loop {
             let read = match Pin::new(&mut self.stream).poll_read(cx, buf) {
-                Poll::Pending if mem::take(&mut self.read_fell_short) => {
+                Poll::Pending if mem::take(&mut self.was_read_short) => {
                     match (&*SockRef::from(&self.stream)).read(buf.initialize_unfilled()) {
                         Ok(bytes) => {
                             buf.advance(bytes);
@@ -242,7 +200,7 @@
                 Err(cause) if cause.kind() == ErrorKind::Interrupted => {}
                 Err(cause) => return Poll::Ready(Err(cause)),
                 Ok(()) => {
-                    self.read_fell_short = (1..room).contains(&(room - buf.remaining()));
+                    self.was_read_short = (1..capacity).contains(&(capacity - buf.remaining()));
                     return Poll::Ready(Ok(()));
                 }
             }
@@ -264,9 +222,9 @@
         cx: &mut Context<'_>,
         bufs: &[IoSlice<'_>],
     ) -> Poll<io::Result<usize>> {
-        let all = bufs.iter().map(|buf| buf.len()).sum();
-        let wait = |stream: Pin<&mut TcpStream>| stream.poll_write_vectored(cx, bufs);
-        self.write(all, wait, |socket| socket.send_vectored(bufs))
+        let length = bufs.iter().map(|buf| buf.len()).sum();
+        let poll_write = |stream: Pin<&mut TcpStream>| stream.poll_write_vectored(cx, bufs);
+        self.write(length, poll_write, |socket| socket.send_vectored(bufs))
     }
 
     fn is_write_vectored(&self) -> bool {
@@ -282,35 +240,41 @@
     }
 }
 
-struct Listening {
+/// A listening socket.
+struct BoundListener {
     listener: TcpListener,
     address: SocketAddr,
-    /// While hushed: our own connections, which take all places in the backlog.
+    /// While hushed: connections of this process, which fill the backlog.
     fillers: Vec<socket2::Socket>,
-    hushed: bool,
-    waits: Option<Waker>,
+    is_hushed: bool,
+    accept_waker: Option<Waker>,
 }
 
-impl Listening {
-    fn on(socket: socket2::Socket) -> io::Result<Box<dyn Listener>> {
+impl BoundListener {
+    fn from_socket(socket: socket2::Socket) -> io::Result<Box<dyn Listener>> {
         let listener = TcpListener::from_std(socket.into())?;
         let address = listener.local_addr()?;
-        let (fillers, hushed, waits) = (Vec::new(), false, None);
-        Ok(Box::new(Self { listener, address, fillers, hushed, waits }))
+        Ok(Box::new(Self {
+            listener,
+            address,
+            fillers: Vec::new(),
+            is_hushed: false,
+            accept_waker: None,
+        }))
     }
 }
 
-/// Linux takes one connection more than the backlog says; a few more tries cost nothing.
-const FILLERS: usize = 4;
+/// How many connections fill a backlog of 0. Linux accepts one more than its size, and a few more tries cost nothing.
+const FILLER_COUNT: usize = 4;
 
-impl Listener for Listening {
+impl Listener for BoundListener {
     fn poll_accept(
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<io::Result<(Box<dyn Stream>, SocketAddr)>> {
-        // Accepting would make room in the backlog again.
-        if self.hushed {
-            self.waits = Some(cx.waker().clone());
+        // Accepting would free a place in the backlog.
+        if self.is_hushed {
+            self.accept_waker = Some(cx.waker().clone());
             return Poll::Pending;
         }
         let (stream, peer) = ready!(self.listener.poll_accept(cx))?;
@@ -321,20 +285,20 @@
         self.address
     }
 
-    /// With the backlog full the kernel drops a SYN without a word, and no privilege is needed to have it so.
+    /// With the backlog full the kernel drops a SYN silently. That needs no privilege.
     fn hush(&mut self, hushed: bool) {
-        if std::mem::replace(&mut self.hushed, hushed) == hushed {
+        if std::mem::replace(&mut self.is_hushed, hushed) == hushed {
             return;
         }
         let socket = SockRef::from(&self.listener);
         if !hushed {
             self.fillers.clear();
             let _ = socket.listen(BACKLOG);
-            self.waits.take().into_iter().for_each(Waker::wake);
+            self.accept_waker.take().into_iter().for_each(Waker::wake);
             return;
         }
         let _ = socket.listen(0);
-        for _ in 0..FILLERS {
+        for _ in 0..FILLER_COUNT {
             let filler = socket2::Socket::new(socket2::Domain::IPV4, socket2::Type::STREAM, None);
             let Ok(filler) = filler else { return };
             let _ = filler.set_nonblocking(true);
@@ -345,106 +309,4 @@
 }
 
 #[cfg(test)]
-mod tests {
-    use super::*;
-    use crate::accept;
-    use tokio::io::{AsyncReadExt, AsyncWriteExt};
-
-    fn any() -> SocketAddr {
-        SocketAddr::from(([127, 0, 0, 1], 0))
-    }
-
-    #[tokio::test]
-    async fn a_stream_is_quiet_until_something_comes_and_a_reset_is_told() {
-        let mut listener = Tcp.listen(any()).expect("a port");
-        let mut here = Tcp.connect(listener.local_addr()).await.expect("it listens");
-        let (mut there, _) = accept(&mut *listener).await.expect("accepted");
-        assert!(here.is_quiet());
-        there.write_all(b"x").await.expect("written");
-        let mut byte = [0; 1];
-        here.read_exact(&mut byte).await.expect("it comes");
-        assert!(here.is_quiet());
-        if cfg!(target_os = "linux") {
-            // Read or not, what came is as old as it is.
-            let waits = Duration::from_millis(200);
-            tokio::time::sleep(waits).await;
-            assert!(here.since_last_bytes().expect("told") + Duration::from_millis(20) >= waits);
-            there.write_all(b"y").await.expect("written");
-            here.read_exact(&mut byte).await.expect("it comes");
-            assert!(here.since_last_bytes().expect("told") < waits);
-        }
-        assert!(!here.has_ended());
-        there.reset();
-        let end = here.read(&mut byte).await.expect_err("no orderly end");
-        assert_eq!(end.kind(), ErrorKind::ConnectionReset);
-        assert!(!here.is_quiet() && here.has_ended());
-    }
-
-    #[tokio::test]
-    async fn an_end_is_seen_behind_what_lies_unread() {
-        let mut listener = Tcp.listen(any()).expect("a port");
-        for (reset, unread) in [(false, false), (false, true), (true, false), (true, true)] {
-            let mut here = Tcp.connect(listener.local_addr()).await.expect("it listens");
-            let (mut there, _) = accept(&mut *listener).await.expect("accepted");
-            assert!(!here.has_ended());
-            if unread {
-                there.write_all(b"unread").await.expect("written");
-                // Until the poller has told of the bytes.
-                tokio::time::sleep(Duration::from_millis(1)).await;
-                assert!(!here.has_ended() && !here.is_quiet());
-            }
-            if reset {
-                there.reset()
-            } else {
-                drop(there)
-            }
-            let from = std::time::Instant::now();
-            while !here.has_ended() {
-                assert!(from.elapsed() < Duration::from_secs(20), "{reset} {unread}");
-                tokio::time::sleep(Duration::from_millis(1)).await;
-            }
-            if unread {
-                let mut bytes = [0; 6];
-                let read = here.read_exact(&mut bytes).await;
-                assert!(reset || read.is_ok_and(|_| &bytes == b"unread"), "nothing was taken");
-            }
-        }
-    }
-
-    #[tokio::test]
-    async fn an_inherited_socket_must_listen() {
-        use std::os::fd::IntoRawFd;
-        let listener = std::net::TcpListener::bind(any()).expect("a port");
-        let address = listener.local_addr().expect("bound");
-        let stream = std::net::TcpStream::connect(address).expect("it listens");
-        assert!(Tcp::inherited(stream.into_raw_fd()).is_err(), "a connection");
-        let file = std::fs::File::open("/dev/null").expect("there");
-        let file = file.into_raw_fd();
-        assert!(Tcp::inherited(file).is_err(), "a file");
-        assert!(Tcp::inherited(1 << 20).is_err(), "nothing");
-        let mut inherited = Tcp::inherited(listener.into_raw_fd()).expect("a listening socket");
-        assert_eq!(inherited.local_addr(), address);
-        accept(&mut *inherited).await.expect("the one that waits");
-    }
-
-    #[tokio::test]
-    async fn a_hushed_listener_neither_takes_nor_refuses_and_comes_back() {
-        let mut listener = Tcp.listen(any()).expect("a port");
-        let address = listener.local_addr();
-        listener.hush(true);
-        let try_it = || tokio::time::timeout(Duration::from_millis(300), Tcp.connect(address));
-        // Whoever accepts all the time, as a stand-in does, must not make room again.
-        for _ in 0..3 {
-            let accepting = tokio::time::timeout(Duration::ZERO, accept(&mut *listener));
-            assert!(accepting.await.is_err(), "accepted");
-            assert!(try_it().await.is_err(), "it came up or was refused");
-        }
-        listener.hush(false);
-        // The fillers that were let go are still in line; whoever comes now is behind them.
-        let wait = Duration::from_secs(20);
-        tokio::time::timeout(wait, Tcp.connect(address)).await.expect("in time").expect("taken");
-        drop(listener);
-        assert!(Tcp.connect(address).await.is_err());
-        Tcp.listen(address).expect("the address can be taken again");
-    }
-}
+mod tests;
