--- a/crates/simnet/src/datagrams.rs
+++ b/crates/simnet/src/datagrams.rs
@@ -1,4 +1,5 @@
-//! Datagrams under way and at their receivers. Whether one arrives, when, and as what, is a [`Route`]'s to say.
+//! Simulated datagrams, under way and at their receivers. Whether one arrives, when, and with what content is left to a
+//! [`Route`].
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -13,57 +14,60 @@
 
 use crate::{Inner, Timer};
 
-/// So many wait at a receiver that does not read; what comes beyond is lost, as by a full buffer of the kernel's.
-const WAITING: usize = 256;
+/// How many datagrams wait at a receiver that does not read. More are lost, as by a full buffer of the kernel.
+const MAX_WAITING: usize = 256;
 
 /// One datagram.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
-    /// As its receiver sees it.
+    /// The sender, as the receiver sees it.
     pub from: SocketAddr,
-    /// Whom it is for.
+    /// The receiver.
     pub to: SocketAddr,
-    /// At most [`DATAGRAM`].
+    /// The content; at most [`DATAGRAM`] bytes.
     pub bytes: Vec<u8>,
 }
 
-/// What becomes of a datagram that was sent: what arrives instead of it, each so much later than the network's own
-/// delay. Nothing: it is lost.
+/// Decides on a datagram that was sent. Returns the datagrams that arrive instead, each with its delay beyond that of the
+/// network; none, if it is lost.
 pub type Route = Box<dyn FnMut(Datagram) -> Vec<(Duration, Datagram)>>;
 
-/// What has not been received yet, in the order in which it arrives.
+/// The datagrams that a socket has not received yet, in the order of their arrival.
 #[derive(Default)]
 pub(crate) struct Inbox {
-    due: BTreeMap<(Instant, u64), (SocketAddr, Vec<u8>)>,
+    /// By time of arrival, then in the order in which they were sent.
+    arrivals: BTreeMap<(Instant, u64), (SocketAddr, Vec<u8>)>,
     sent: u64,
     reader: Option<Waker>,
 }
 
 impl Inbox {
+    /// Adds a datagram that arrives at this time.
     pub(crate) fn push(&mut self, at: Instant, from: SocketAddr, bytes: Vec<u8>) {
-        if self.due.len() >= WAITING {
+        if self.arrivals.len() >= MAX_WAITING {
             return;
         }
         self.sent += 1;
-        self.due.insert((at, self.sent), (from, bytes));
+        self.arrivals.insert((at, self.sent), (from, bytes));
         self.reader.take().into_iter().for_each(Waker::wake);
     }
 }
 
-pub(crate) struct Bound {
+/// A bound socket.
+pub(crate) struct BoundSocket {
     pub(crate) fabric: Rc<Inner>,
     pub(crate) address: SocketAddr,
     pub(crate) inbox: Rc<RefCell<Inbox>>,
     pub(crate) timer: Timer,
 }
 
-impl Drop for Bound {
+impl Drop for BoundSocket {
     fn drop(&mut self) {
         self.fabric.inboxes.borrow_mut().remove(&self.address);
     }
 }
 
-impl Datagrams for Bound {
+impl Datagrams for BoundSocket {
     fn poll_receive(
         &mut self,
         cx: &mut Context<'_>,
@@ -71,16 +75,16 @@
     ) -> Poll<io::Result<(usize, SocketAddr)>> {
         loop {
             let mut inbox = self.inbox.borrow_mut();
-            let due = inbox.due.first_key_value().map(|((at, _), _)| *at);
-            if due.is_some_and(|at| at <= Instant::now())
-                && let Some((_, (from, bytes))) = inbox.due.pop_first()
+            let next_arrival = inbox.arrivals.first_key_value().map(|((at, _), _)| *at);
+            if next_arrival.is_some_and(|at| at <= Instant::now())
+                && let Some((_, (from, bytes))) = inbox.arrivals.pop_first()
             {
                 into[..bytes.len()].copy_from_slice(&bytes);
                 return Poll::Ready(Ok((bytes.len(), from)));
             }
             inbox.reader = Some(cx.waker().clone());
             drop(inbox);
-            let Some(at) = due else { return Poll::Pending };
+            let Some(at) = next_arrival else { return Poll::Pending };
             if self.timer.poll(at, cx).is_pending() {
                 return Poll::Pending;
             }
@@ -91,21 +95,20 @@
         if bytes.len() > DATAGRAM {
             return Err(too_long(bytes.len()));
         }
-        let one = Datagram { from: self.address, to, bytes: bytes.to_vec() };
-        // Taken out while it is asked: it may look at the fabric.
+        let datagram = Datagram { from: self.address, to, bytes: bytes.to_vec() };
+        // Taken out during the call, since the route may use the fabric.
         let route = self.fabric.route.borrow_mut().take();
-        let arrive = match route {
-            None => vec![(Duration::ZERO, one)],
+        let arriving = match route {
+            None => vec![(Duration::ZERO, datagram)],
             Some(mut route) => {
-                let arrive = route(one);
+                let arriving = route(datagram);
                 *self.fabric.route.borrow_mut() = Some(route);
-                arrive
+                arriving
             }
         };
-        for (later, Datagram { from, to, bytes }) in arrive {
+        for (later, Datagram { from, to, bytes }) in arriving {
             let at = Instant::now() + self.fabric.delay(self.address.ip(), to.ip()) + later;
-            // Who listens when it was sent is whoever gets it: an address that is taken again in between is the
-            // same address.
+            // To the socket that is bound when it is sent: one bound again before it arrives has another inbox.
             self.fabric.deliver(at, from, to, bytes);
         }
         Ok(())
--- a/crates/simnet/src/lib.rs
+++ b/crates/simnet/src/lib.rs
@@ -1,13 +1,14 @@
-//! A network inside one process, under the runtime's clock: TCP as far as programs can tell by what their
-//! calls return. With a paused clock on one thread the same calls give the same run, byte for byte.
+//! A simulated network inside one process, under the runtime's clock: TCP and datagrams as far as programs can tell by the
+//! results of their calls. With a paused clock on one thread the same calls give the same run, byte for byte.
 //!
-//! Datagrams go by [`Fabric::route_datagrams`], which may lose, delay, double and change them; `hollowpaddle_link_faults` is a
-//! machine that does.
+//! Datagrams go by [`Fabric::route_datagrams`], which may lose, delay, duplicate and change them. Such faults are left to
+//! `hollowpaddle_link_faults`.
 //!
-//! What it does not show: the kernel's buffers are one bounded queue a direction, descriptors cost nothing,
-//! nothing of a stream is lost or reordered on the way, and a delay is a whole number of milliseconds (the resolution
-//! of the runtime's timers); one under half a millisecond is none.
+//! Limits of the simulation: the kernel's buffers are one bounded queue in each direction, descriptors cost nothing, nothing
+//! of a stream is lost or reordered, and a delay is a whole number of milliseconds (the resolution of the runtime's timers);
+//! one under half a millisecond is zero.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 mod datagrams;
 mod pipe;
@@ -26,14 +27,14 @@
 use rustc_hash::FxHashMap;
 use tokio::time::{Instant, Sleep, sleep, sleep_until};
 
-use datagrams::{Bound, Inbox};
+use datagrams::{BoundSocket, Inbox};
 use pipe::End;
 
 pub use datagrams::{Datagram, Route};
 
-/// Connections that wait to be accepted; beyond, a SYN is dropped as by the kernel.
+/// How many connections may wait to be accepted. Beyond, a SYN is dropped as by the kernel.
 const BACKLOG: usize = 1024;
-/// Ports that are given out for port 0 and to clients. Ever-new ones, so that none is mistaken for another's.
+/// The first port that is given out for port 0 and to clients. Ports are not reused before the range is exhausted.
 const FIRST_PORT: u16 = 20_000;
 
 type Delays = Box<dyn Fn(IpAddr, IpAddr) -> Duration>;
@@ -48,16 +49,16 @@
     ports: RefCell<FxHashMap<IpAddr, u16>>,
     epoch: Duration,
     start: Instant,
-    opened: Cell<u64>,
+    connections_opened: Cell<u64>,
     inboxes: RefCell<FxHashMap<SocketAddr, Rc<RefCell<Inbox>>>>,
     route: RefCell<Option<Route>>,
-    /// By how much machines' wall clocks are ahead of the network's, in microseconds.
-    ahead: RefCell<FxHashMap<IpAddr, i64>>,
+    /// How far machines' wall clocks are ahead of the network's, in microseconds.
+    clock_offsets: RefCell<FxHashMap<IpAddr, i64>>,
 }
 
 impl Fabric {
-    /// A network whose one-way delays are given by `delays`, from one address to another, and whose wall
-    /// clock says `epoch` (since the Unix epoch) now.
+    /// A network with these one-way delays from one address to another, whose wall clock shows `epoch` (since the Unix
+    /// epoch) now.
     pub fn new(epoch: Duration, delays: impl Fn(IpAddr, IpAddr) -> Duration + 'static) -> Self {
         Self(Rc::new(Inner {
             listeners: RefCell::default(),
@@ -65,21 +66,21 @@
             ports: RefCell::default(),
             epoch,
             start: Instant::now(),
-            opened: Cell::new(0),
+            connections_opened: Cell::new(0),
             inboxes: RefCell::default(),
             route: RefCell::default(),
-            ahead: RefCell::default(),
+            clock_offsets: RefCell::default(),
         }))
     }
 
-    /// Has this say what becomes of every datagram from now on. Without it each arrives, after the network's delay.
+    /// Has `route` decide on every datagram from now on. Without it each arrives, after the network's delay.
     pub fn route_datagrams(&self, route: Route) {
         *self.0.route.borrow_mut() = Some(route);
     }
 
-    /// Steps the wall clock of the machine at this address, by so many microseconds. Timers go by another clock.
+    /// Steps the wall clock of the machine at this address by so many microseconds. Timers are not affected.
     pub fn step_clock(&self, ip: IpAddr, by_us: i64) {
-        *self.0.ahead.borrow_mut().entry(ip).or_default() += by_us;
+        *self.0.clock_offsets.borrow_mut().entry(ip).or_default() += by_us;
     }
 
     /// The network as seen from the machine at this address.
@@ -87,9 +88,9 @@
         Rc::new(Host { fabric: self.0.clone(), ip })
     }
 
-    /// Connections that came up so far.
+    /// The number of connections that have come up so far.
     pub fn opened(&self) -> u64 {
-        self.0.opened.get()
+        self.0.connections_opened.get()
     }
 }
 
@@ -99,7 +100,7 @@
         Duration::from_millis(exact.round() as u64)
     }
 
-    fn port(&self, ip: IpAddr) -> u16 {
+    fn next_port(&self, ip: IpAddr) -> u16 {
         let mut ports = self.ports.borrow_mut();
         let port = ports.entry(ip).or_insert(FIRST_PORT);
         *port = port.checked_add(1).unwrap_or(FIRST_PORT);
@@ -108,6 +109,7 @@
 }
 
 impl Inner {
+    /// Puts a datagram into the inbox of its receiver, if there is one.
     fn deliver(&self, at: Instant, from: SocketAddr, to: SocketAddr, bytes: Vec<u8>) {
         if let Some(inbox) = self.inboxes.borrow().get(&to) {
             inbox.borrow_mut().push(at, from, bytes);
@@ -120,12 +122,12 @@
     ip: IpAddr,
 }
 
-/// Wakes a reader once what is under way to it arrives.
+/// Wakes a reader when the next thing arrives.
 #[derive(Default)]
 struct Timer(Option<Pin<Box<Sleep>>>);
 
 impl Timer {
-    /// Ready once it is that time; the task is woken then.
+    /// Ready at this time. The task is woken then.
     fn poll(&mut self, at: Instant, cx: &mut Context<'_>) -> Poll<()> {
         let timer = self.0.get_or_insert_with(|| Box::pin(sleep_until(at)));
         if timer.deadline() != at {
@@ -135,7 +137,7 @@
     }
 }
 
-async fn pass(delay: Duration) {
+async fn wait(delay: Duration) {
     if !delay.is_zero() {
         sleep(delay).await;
     }
@@ -145,29 +147,29 @@
     fn connect(&self, to: SocketAddr) -> Soon<'_, io::Result<Box<dyn Stream>>> {
         Box::pin(async move {
             let delay = self.fabric.delay(self.ip, to.ip());
-            pass(delay).await;
+            wait(delay).await;
             let backlog = self.fabric.listeners.borrow().get(&to).cloned();
             let Some(backlog) = backlog else {
-                pass(delay).await;
+                wait(delay).await;
                 return Err(ErrorKind::ConnectionRefused.into());
             };
-            if backlog.hushed.get() || backlog.waiting.borrow().len() >= BACKLOG {
+            if backlog.is_hushed.get() || backlog.waiting.borrow().len() >= BACKLOG {
                 return pending().await;
             }
-            let from = SocketAddr::new(self.ip, self.fabric.port(self.ip));
+            let from = SocketAddr::new(self.ip, self.fabric.next_port(self.ip));
             let (here, there) = End::pair(delay);
-            self.fabric.opened.set(self.fabric.opened.get() + 1);
+            self.fabric.connections_opened.set(self.fabric.connections_opened.get() + 1);
             backlog.waiting.borrow_mut().push_back((there, from));
             if let Some(waker) = backlog.waker.take() {
                 waker.wake();
             }
-            pass(delay).await;
+            wait(delay).await;
             Ok(Box::new(here) as Box<dyn Stream>)
         })
     }
 
     fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>> {
-        let port = if at.port() == 0 { self.fabric.port(at.ip()) } else { at.port() };
+        let port = if at.port() == 0 { self.fabric.next_port(at.ip()) } else { at.port() };
         let address = SocketAddr::new(at.ip(), port);
         let mut listeners = self.fabric.listeners.borrow_mut();
         if listeners.contains_key(&address) {
@@ -175,11 +177,11 @@
         }
         let backlog = Rc::<Backlog>::default();
         listeners.insert(address, backlog.clone());
-        Ok(Box::new(Listening { fabric: self.fabric.clone(), address, backlog }))
+        Ok(Box::new(BoundListener { fabric: self.fabric.clone(), address, backlog }))
     }
 
     fn datagrams(&self, at: SocketAddr) -> io::Result<Box<dyn Datagrams>> {
-        let port = if at.port() == 0 { self.fabric.port(at.ip()) } else { at.port() };
+        let port = if at.port() == 0 { self.fabric.next_port(at.ip()) } else { at.port() };
         let address = SocketAddr::new(at.ip(), port);
         let mut inboxes = self.fabric.inboxes.borrow_mut();
         if inboxes.contains_key(&address) {
@@ -187,14 +189,19 @@
         }
         let inbox = Rc::<RefCell<Inbox>>::default();
         inboxes.insert(address, inbox.clone());
-        Ok(Box::new(Bound { fabric: self.fabric.clone(), address, inbox, timer: Timer::default() }))
+        Ok(Box::new(BoundSocket {
+            fabric: self.fabric.clone(),
+            address,
+            inbox,
+            timer: Timer::default(),
+        }))
     }
 
     fn unix_now(&self) -> Duration {
         let now = self.fabric.epoch + self.fabric.start.elapsed();
-        let ahead = self.fabric.ahead.borrow().get(&self.ip).copied().unwrap_or(0);
-        let by = Duration::from_micros(ahead.unsigned_abs());
-        if ahead < 0 { now.saturating_sub(by) } else { now + by }
+        let ahead = self.fabric.clock_offsets.borrow().get(&self.ip).copied().unwrap_or(0);
+        let offset = Duration::from_micros(ahead.unsigned_abs());
+        if ahead < 0 { now.saturating_sub(offset) } else { now + offset }
     }
 }
 
@@ -202,16 +209,16 @@
 struct Backlog {
     waiting: RefCell<VecDeque<(End, SocketAddr)>>,
     waker: Cell<Option<Waker>>,
-    hushed: Cell<bool>,
+    is_hushed: Cell<bool>,
 }
 
-struct Listening {
+struct BoundListener {
     fabric: Rc<Inner>,
     address: SocketAddr,
     backlog: Rc<Backlog>,
 }
 
-impl Drop for Listening {
+impl Drop for BoundListener {
     fn drop(&mut self) {
         self.fabric.listeners.borrow_mut().remove(&self.address);
         let waiting = std::mem::take(&mut *self.backlog.waiting.borrow_mut());
@@ -221,7 +228,7 @@
     }
 }
 
-impl Listener for Listening {
+impl Listener for BoundListener {
     fn poll_accept(
         &mut self,
         cx: &mut Context<'_>,
@@ -241,7 +248,7 @@
     }
 
     fn hush(&mut self, hushed: bool) {
-        self.backlog.hushed.set(hushed);
+        self.backlog.is_hushed.set(hushed);
     }
 }
 
--- a/crates/simnet/src/pipe.rs
+++ b/crates/simnet/src/pipe.rs
@@ -1,4 +1,4 @@
-//! The two ends of one connection, and what is under way between them.
+//! The two ends of one simulated connection, and the bytes under direction between them.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -15,43 +15,45 @@
 
 use crate::Timer;
 
-/// What the sender's and the receiver's kernel hold together of what nobody has read yet.
-const BUFFER: usize = 256 << 10;
+/// How many unread bytes the kernels of sender and receiver buffer together.
+const BUFFER_LENGTH: usize = 256 << 10;
 
 /// What one end has sent and the other has not read.
 #[derive(Default)]
-struct Way {
+struct Direction {
+    /// Bytes, and when they arrive.
     segments: VecDeque<(Instant, Bytes)>,
-    held: usize,
-    /// How it ends behind the segments, and from when that is seen.
-    end: Option<(Instant, Ending)>,
-    /// The reader has let go: what still comes is answered by a reset.
-    abandoned: bool,
+    buffered: usize,
+    /// How the direction ends behind the segments, and when that arrives.
+    end: Option<(Instant, EndKind)>,
+    /// Whether the reader is gone, so that what still arrives is answered by a reset.
+    is_abandoned: bool,
     reader: Option<Waker>,
     writer: Option<Waker>,
 }
 
+/// How a direction ends.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Ending {
+enum EndKind {
     Orderly,
     Reset,
 }
 
-impl Way {
-    /// When there is something to see at the reader's end.
-    fn due(&self) -> Option<Instant> {
+impl Direction {
+    /// When the next thing arrives at the reader.
+    fn next_arrival(&self) -> Option<Instant> {
         self.segments.front().map(|(at, _)| *at).or(self.end.map(|(at, _)| at))
     }
 
-    fn reset_seen(&self) -> bool {
-        matches!(self.end, Some((at, Ending::Reset)) if at <= Instant::now())
+    fn has_reset_arrived(&self) -> bool {
+        matches!(self.end, Some((at, EndKind::Reset)) if at <= Instant::now())
     }
 
-    fn finish(&mut self, at: Instant, ending: Ending) {
-        if self.end.is_none() || ending == Ending::Reset {
-            // Nothing overtakes what was sent before it.
-            let behind = self.segments.back().map_or(at, |(last, _)| (*last).max(at));
-            self.end = Some((behind, ending));
+    fn finish(&mut self, at: Instant, kind: EndKind) {
+        if self.end.is_none() || kind == EndKind::Reset {
+            // It arrives after what was sent before.
+            let arrival = self.segments.back().map_or(at, |(last, _)| (*last).max(at));
+            self.end = Some((arrival, kind));
         }
         self.reader.take().into_iter().chain(self.writer.take()).for_each(Waker::wake);
     }
@@ -59,25 +61,27 @@
 
 /// One end of a connection.
 pub struct End {
-    incoming: Rc<RefCell<Way>>,
-    outgoing: Rc<RefCell<Way>>,
+    incoming: Rc<RefCell<Direction>>,
+    outgoing: Rc<RefCell<Direction>>,
     delay: Duration,
     timer: Timer,
-    gone: bool,
-    /// When the last bytes came that were read.
-    came: Option<Instant>,
+    is_closed: bool,
+    /// When the bytes that were read last had arrived.
+    last_read_arrival: Option<Instant>,
 }
 
 impl End {
+    /// The two ends of a new connection with this one-direction delay.
     pub fn pair(delay: Duration) -> (Self, Self) {
-        let (there, back) = (Rc::<RefCell<Way>>::default(), Rc::<RefCell<Way>>::default());
-        let end = |incoming: &Rc<RefCell<Way>>, outgoing: &Rc<RefCell<Way>>| Self {
+        let (there, back) =
+            (Rc::<RefCell<Direction>>::default(), Rc::<RefCell<Direction>>::default());
+        let end = |incoming: &Rc<RefCell<Direction>>, outgoing: &Rc<RefCell<Direction>>| Self {
             incoming: incoming.clone(),
             outgoing: outgoing.clone(),
             delay,
             timer: Timer::default(),
-            gone: false,
-            came: None,
+            is_closed: false,
+            last_read_arrival: None,
         };
         (end(&back, &there), end(&there, &back))
     }
@@ -86,26 +90,26 @@
         Instant::now() + self.delay
     }
 
-    fn leave(&mut self, ending: Ending) {
-        if std::mem::replace(&mut self.gone, true) {
+    fn close(&mut self, kind: EndKind) {
+        if std::mem::replace(&mut self.is_closed, true) {
             return;
         }
-        self.incoming.borrow_mut().abandoned = true;
+        self.incoming.borrow_mut().is_abandoned = true;
         let at = self.arrival();
-        self.outgoing.borrow_mut().finish(at, ending);
+        self.outgoing.borrow_mut().finish(at, kind);
     }
 }
 
 impl Drop for End {
     fn drop(&mut self) {
         let unread = !self.incoming.borrow().segments.is_empty();
-        self.leave(if unread { Ending::Reset } else { Ending::Orderly });
+        self.close(if unread { EndKind::Reset } else { EndKind::Orderly });
     }
 }
 
 impl Stream for End {
     fn is_quiet(&self) -> bool {
-        self.incoming.borrow().due().is_none_or(|at| at > Instant::now())
+        self.incoming.borrow().next_arrival().is_none_or(|at| at > Instant::now())
     }
 
     fn has_ended(&self) -> bool {
@@ -114,7 +118,7 @@
 
     fn poll_unread(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         loop {
-            let due = self.incoming.borrow().due();
+            let due = self.incoming.borrow().next_arrival();
             if due.is_some_and(|at| at <= Instant::now()) {
                 return Poll::Ready(());
             }
@@ -127,13 +131,13 @@
     }
 
     fn since_last_bytes(&self) -> Option<Duration> {
-        let (now, way) = (Instant::now(), self.incoming.borrow());
-        let there = way.segments.iter().rev().map(|(at, _)| *at).find(|at| *at <= now);
-        there.or(self.came).map(|at| now - at)
+        let (now, direction) = (Instant::now(), self.incoming.borrow());
+        let there = direction.segments.iter().rev().map(|(at, _)| *at).find(|at| *at <= now);
+        there.or(self.last_read_arrival).map(|at| now - at)
     }
 
     fn reset(mut self: Box<Self>) {
-        self.leave(Ending::Reset);
+        self.close(EndKind::Reset);
     }
 }
 
@@ -146,30 +150,30 @@
         loop {
             let now = Instant::now();
             let incoming = self.incoming.clone();
-            let mut way = incoming.borrow_mut();
-            let due = way.due();
+            let mut direction = incoming.borrow_mut();
+            let due = direction.next_arrival();
             if due.is_some_and(|at| at <= now) {
-                let Some((at, segment)) = way.segments.front_mut() else {
-                    return Poll::Ready(match way.end {
-                        Some((_, Ending::Reset)) => Err(ErrorKind::ConnectionReset.into()),
+                let Some((at, segment)) = direction.segments.front_mut() else {
+                    return Poll::Ready(match direction.end {
+                        Some((_, EndKind::Reset)) => Err(ErrorKind::ConnectionReset.into()),
                         _ => Ok(()),
                     });
                 };
-                self.came = Some(*at);
+                self.last_read_arrival = Some(*at);
                 let taken = segment.len().min(buf.remaining());
                 buf.put_slice(&segment[..taken]);
                 segment.advance(taken);
                 if segment.is_empty() {
-                    way.segments.pop_front();
+                    direction.segments.pop_front();
                 }
-                way.held -= taken;
-                if let Some(writer) = way.writer.take() {
+                direction.buffered -= taken;
+                if let Some(writer) = direction.writer.take() {
                     writer.wake();
                 }
                 return Poll::Ready(Ok(()));
             }
-            way.reader = Some(cx.waker().clone());
-            drop(way);
+            direction.reader = Some(cx.waker().clone());
+            drop(direction);
             let Some(at) = due else { return Poll::Pending };
             if self.timer.poll(at, cx).is_pending() {
                 return Poll::Pending;
@@ -184,28 +188,28 @@
         cx: &mut Context<'_>,
         buf: &[u8],
     ) -> Poll<io::Result<usize>> {
-        if self.incoming.borrow().reset_seen() {
+        if self.incoming.borrow().has_reset_arrived() {
             return Poll::Ready(Err(ErrorKind::BrokenPipe.into()));
         }
         let at = self.arrival();
-        let mut way = self.outgoing.borrow_mut();
-        if way.end.is_some() {
+        let mut direction = self.outgoing.borrow_mut();
+        if direction.end.is_some() {
             return Poll::Ready(Err(ErrorKind::BrokenPipe.into()));
         }
-        if way.abandoned {
-            drop(way);
-            // It goes out, and what comes back is a reset.
-            self.incoming.borrow_mut().finish(at + self.delay, Ending::Reset);
+        if direction.is_abandoned {
+            drop(direction);
+            // It is sent, and answered by a reset.
+            self.incoming.borrow_mut().finish(at + self.delay, EndKind::Reset);
             return Poll::Ready(Ok(buf.len()));
         }
-        let taken = buf.len().min(BUFFER - way.held);
+        let taken = buf.len().min(BUFFER_LENGTH - direction.buffered);
         if taken == 0 && !buf.is_empty() {
-            way.writer = Some(cx.waker().clone());
+            direction.writer = Some(cx.waker().clone());
             return Poll::Pending;
         }
-        way.segments.push_back((at, Bytes::copy_from_slice(&buf[..taken])));
-        way.held += taken;
-        if let Some(reader) = way.reader.take() {
+        direction.segments.push_back((at, Bytes::copy_from_slice(&buf[..taken])));
+        direction.buffered += taken;
+        if let Some(reader) = direction.reader.take() {
             reader.wake();
         }
         Poll::Ready(Ok(taken))
@@ -217,7 +221,7 @@
 
     fn poll_shutdown(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
         let at = self.arrival();
-        self.outgoing.borrow_mut().finish(at, Ending::Orderly);
+        self.outgoing.borrow_mut().finish(at, EndKind::Orderly);
         Poll::Ready(Ok(()))
     }
 }
