--- a/crates/gateway/src/subsetting.rs
+++ b/crates/gateway/src/subsetting.rs
@@ -76,8 +76,9 @@
         for member in members {
             is_changed |= self.update_member(member);
         }
-        let has_moved = if is_changed { self.recompute(now) } else { self.subset.passed(now.0) };
-        let concerns = |m: &&Member| self.subset.holds(cell(m)) || self.published.contains(&m.id);
+        let has_moved = if is_changed { self.recompute(now) } else { self.subset.expire(now.0) };
+        let concerns =
+            |m: &&Member| self.subset.contains(cell(m)) || self.published.contains(&m.id);
         let mut changes: Vec<Member> = members.iter().filter(concerns).copied().collect();
         if kind.is_part() {
             if has_moved {
@@ -89,7 +90,7 @@
             }
         } else {
             // A complete list: what it leaves out is gone.
-            changes.retain(|m| self.subset.holds(cell(m)));
+            changes.retain(|m| self.subset.contains(cell(m)));
             self.published.clear();
         }
         self.mark_published(&changes);
@@ -102,7 +103,7 @@
         now: Time,
         last_listed: impl Fn(ServerId) -> Option<Member>,
     ) -> Vec<Member> {
-        if !self.subset.passed(now.0) {
+        if !self.subset.expire(now.0) {
             return Vec::new();
         }
         let changes = self.subset_changes(last_listed);
@@ -119,7 +120,7 @@
         healthy: usize,
         last_listed: impl Fn(ServerId) -> Option<Member>,
     ) -> Vec<Member> {
-        if !self.subset.seen(now.0, all, healthy) {
+        if !self.subset.set_health(now.0, all, healthy) {
             return Vec::new();
         }
         let changes = self.subset_changes(last_listed);
@@ -156,7 +157,8 @@
     /// Computes the subset anew. Returns whether it changed.
     fn recompute(&mut self, now: Time) -> bool {
         let cells = self.live.iter();
-        self.subset.listed(now.0, cells.flat_map(|(cell, live)| std::iter::repeat_n(*cell, *live)))
+        self.subset
+            .set_fleet(now.0, cells.flat_map(|(cell, live)| std::iter::repeat_n(*cell, *live)))
     }
 
     /// Members that have joined the subset, and those that have left it, which are gone for the decision module.
@@ -164,7 +166,7 @@
         let mut changes = Vec::new();
         for (id, position) in &self.fleet {
             let is_published = self.published.contains(id);
-            if self.subset.holds(position.cell) == is_published {
+            if self.subset.contains(position.cell) == is_published {
                 continue;
             }
             let member = match last_listed(*id) {
--- a/crates/subset/tests/subsets.rs
+++ b/crates/subset/tests/subsets.rs
@@ -15,25 +15,25 @@
 
 fn subset(balancers: u32, position: u32, fleet: &[Cell]) -> Subset {
     let mut subset = Subset::new(SIZE, Cluster { balancers, position }).expect("a size");
-    subset.listed(0, fleet.iter().copied());
+    subset.set_fleet(0, fleet.iter().copied());
     subset
 }
 
-fn held(subset: &Subset, fleet: &[Cell]) -> BTreeSet<Cell> {
-    fleet.iter().copied().filter(|c| subset.holds(*c)).collect()
+fn members(subset: &Subset, fleet: &[Cell]) -> BTreeSet<Cell> {
+    fleet.iter().copied().filter(|c| subset.contains(*c)).collect()
 }
 
 #[test]
-fn every_upstream_has_about_so_many_balancers() {
+fn each_upstream_has_about_as_many_balancers_as_asked() {
     for balancers in [5, 12, 25, 36, 100] {
         let fleet = fleet(2, 625, 8);
         let mut by_cell: BTreeMap<Cell, u32> = fleet.iter().map(|c| (*c, 0)).collect();
         let mut sizes = Vec::new();
         for position in 0..balancers {
             let subset = subset(balancers, position, &fleet);
-            let held = held(&subset, &fleet);
-            sizes.push(held.len());
-            held.iter().for_each(|c| *by_cell.get_mut(c).expect("listed") += 1);
+            let members = members(&subset, &fleet);
+            sizes.push(members.len());
+            members.iter().for_each(|c| *by_cell.get_mut(c).expect("listed") += 1);
         }
         let (least, most) = (by_cell.values().min(), by_cell.values().max());
         // Four each, where points lie evenly; the golden ratio's are off by a gap or so at either end of an arc.
@@ -44,70 +44,70 @@
 }
 
 #[test]
-fn a_bank_that_grows_moves_nobody_who_stays() {
+fn growing_cluster_removes_cells_and_adds_none() {
     let fleet = fleet(2, 100, 8);
     let mut at_first = subset(5, 3, &fleet);
-    let before = held(&at_first, &fleet);
+    let before = members(&at_first, &fleet);
     for (now, balancers) in (6..=36).enumerate() {
-        at_first.cluster(now as i64, balancers);
+        at_first.set_balancers(now as i64, balancers);
     }
-    at_first.passed(1000);
-    let after = held(&at_first, &fleet);
+    at_first.expire(1000);
+    let after = members(&at_first, &fleet);
     assert!(after.is_subset(&before) && after.len() < before.len() / 4, "{}", after.len());
-    assert_eq!(after, held(&subset(36, 3, &fleet), &fleet), "as if it had been there all along");
+    assert_eq!(after, members(&subset(36, 3, &fleet), &fleet), "as if it had been there all along");
 }
 
 #[test]
-fn one_cell_more_moves_the_ends_of_arcs_and_nothing_else() {
+fn additional_cell_moves_only_the_ends_of_arcs() {
     let (before, after) = (fleet(1, 500, 8), fleet(1, 501, 8));
     let mut moved = 0;
     for position in 0..36 {
         let (was, is) = (subset(36, position, &before), subset(36, position, &after));
-        moved += held(&was, &after).symmetric_difference(&held(&is, &after)).count();
+        moved += members(&was, &after).symmetric_difference(&members(&is, &after)).count();
     }
     // A rehash of all would move nearly all of 36 times 56 cells. Ends move by one cell at most, at either side.
     assert!(moved <= 36 * 4, "{moved} cells moved");
 }
 
 #[test]
-fn what_leaves_lingers_for_as_long_as_a_repeat_may_be_bound_to_it() {
+fn cell_that_left_lingers_as_long_as_a_retry_may_be_bound_to_it() {
     let fleet = fleet(1, 100, 8);
     let mut subset = subset(10, 0, &fleet);
-    let before = held(&subset, &fleet);
-    assert!(!subset.cluster(50, 20), "nobody is gone yet");
-    assert_eq!(held(&subset, &fleet), before);
-    assert!(!subset.passed(149));
-    assert!(subset.passed(150));
-    assert!(held(&subset, &fleet).len() < before.len());
+    let before = members(&subset, &fleet);
+    assert!(!subset.set_balancers(50, 20), "nobody is gone yet");
+    assert_eq!(members(&subset, &fleet), before);
+    assert!(!subset.expire(149));
+    assert!(subset.expire(150));
+    assert!(members(&subset, &fleet).len() < before.len());
 }
 
 #[test]
-fn what_comes_back_in_time_does_not_linger_on() {
+fn cell_that_returns_in_time_stays() {
     let fleet = fleet(1, 100, 8);
     let mut subset = subset(10, 0, &fleet);
-    let before = held(&subset, &fleet);
-    subset.cluster(0, 20);
-    subset.cluster(50, 10);
-    assert!(!subset.passed(1000));
-    assert_eq!(held(&subset, &fleet), before);
+    let before = members(&subset, &fleet);
+    subset.set_balancers(0, 20);
+    subset.set_balancers(50, 10);
+    assert!(!subset.expire(1000));
+    assert_eq!(members(&subset, &fleet), before);
 }
 
 #[test]
-fn a_subset_that_is_down_grows_until_enough_is_well_and_shrinks_again() {
+fn unhealthy_subset_grows_until_enough_is_healthy_and_shrinks_again() {
     let fleet = fleet(1, 100, 8);
     let mut subset = subset(10, 0, &fleet);
-    let before = subset.cells();
-    assert!(subset.seen(0, before * 8, 0), "all of it is down");
-    assert!(subset.cells() > before);
-    while subset.seen(0, subset.cells() * 8, 0) {}
-    assert_eq!(subset.cells(), 100, "all that there is, and not for ever");
-    (1..20).for_each(|now| assert!(!subset.seen(now, 800, 800), "nothing new"));
-    subset.passed(1000);
-    assert_eq!(subset.cells(), before);
+    let before = subset.cell_count();
+    assert!(subset.set_health(0, before * 8, 0), "all of it is down");
+    assert!(subset.cell_count() > before);
+    while subset.set_health(0, subset.cell_count() * 8, 0) {}
+    assert_eq!(subset.cell_count(), 100, "all that there is, and not for ever");
+    (1..20).for_each(|now| assert!(!subset.set_health(now, 800, 800), "nothing new"));
+    subset.expire(1000);
+    assert_eq!(subset.cell_count(), before);
 }
 
 #[test]
-fn a_size_that_cannot_be_says_what_to_write() {
+fn invalid_size_says_what_is_expected() {
     let cluster = Cluster { balancers: 2, position: 0 };
     let of = |size| Subset::new(size, cluster).err();
     assert_eq!(of(Size { times: 0.5, ..SIZE }), Some(SizeError::Times(0.5)));
@@ -134,10 +134,10 @@
             let subset = subset(balancers, position, &fleet);
             for zone in 0..3 {
                 let all: usize = fleet.iter().filter(|c| c.zone == zone).count();
-                let mine = fleet.iter().filter(|c| c.zone == zone && subset.holds(**c)).count();
+                let mine = fleet.iter().filter(|c| c.zone == zone && subset.contains(**c)).count();
                 prop_assert!(mine >= all.min(SIZE.least), "{} of {}", mine, all);
             }
-            covered.extend(held(&subset, &fleet));
+            covered.extend(members(&subset, &fleet));
         }
         prop_assert_eq!(covered.len(), cells.len());
     }
