--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -4,6 +4,7 @@
 //! what it says; only the engine touches the module.
 #![forbid(unsafe_code)]
 
+mod admin;
 mod bodies;
 mod clients;
 mod closing;
@@ -23,7 +24,6 @@
 #[doc(hidden)] // for the measurements in `tests/list_memory.rs`
 pub mod membership;
 mod names;
-mod operators;
 mod relay;
 mod restored_list;
 mod serve;
@@ -38,8 +38,8 @@
 pub mod update_queue;
 mod upstreams;
 
+pub use admin::Operating;
 pub use config::{Config, ConfigError};
 pub use engine::EngineError;
-pub use operators::Operating;
 pub use serve::{Provided, ServeError, serve};
 pub use state_store::{Keep, Kept};
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -11,13 +11,13 @@
 use hollowpaddle_revision::fleet::ClassFacts;
 use tokio::sync::{mpsc, oneshot};
 
+use crate::admin::{Operated, Operating, Operators};
 use crate::clients::Front;
 use crate::cluster::admin_api::{AdminRequest, AdminResponse, facts};
 use crate::cluster::{AdminCall, ClusterHandle, PolicyReader};
 use crate::config::Config;
 use crate::engine::{Door, Engine, EngineError};
 use crate::members::List;
-use crate::operators::{Operated, Operating, Operators};
 use crate::state_store::{Keeper, Kept, Recovered};
 use crate::tasks::AbortOnDrop;
 use crate::upstreams::Pool;
