--- a/crates/ctl/src/in_process.rs
+++ b/crates/ctl/src/in_process.rs
@@ -9,7 +9,7 @@
 
 use hollowpaddle_failpoints::Points;
 use hollowpaddle_gateway::cluster;
-use hollowpaddle_gateway::{Config, Keep, Kept, Operating, Provided, serve};
+use hollowpaddle_gateway::{Config, OperatorAccess, Provided, StateSaver, StoredState, serve};
 use hollowpaddle_operator_commands::Store;
 use hollowpaddle_policy::settings::stable_hash;
 use hollowpaddle_rehearsal::bank::{Control, Launch, LaunchError, Launcher, Running};
@@ -42,12 +42,12 @@
         let read = parse(&config).map_err(|e| fail(e.to_string()))?;
         let listener = network.listen(listen).map_err(|e| fail(format!("{listen}: {e}")))?;
         let operating = match control {
-            None => Operating::default(),
+            None => OperatorAccess::default(),
             Some(at) => {
                 let listener = network.listen(at).map_err(|e| fail(format!("{at}: {e}")))?;
                 let store = Store::open(directory.join(format!("hollowpaddle-{name}")));
                 let store = store.map_err(|e| fail(e.to_string()))?;
-                Operating { listener: Some(listener), store: Some(store) }
+                OperatorAccess { listener: Some(listener), store: Some(store) }
             }
         };
         let state_dir = state.clone();
@@ -59,7 +59,7 @@
             let found = store.load(network.unix_now(), hollowpaddle_recovery::max_age());
             let next = Rc::default();
             let store = Rc::new(RefCell::new(store));
-            Ok(Kept { keep: Box::new(InTurn { store, troubles, full, next }), found })
+            Ok(StoredState { saver: Box::new(InTurn { store, troubles, full, next }), found })
         });
         // Drawn by the run's seed, and another one with each start.
         let life = stable_hash(&format!("{name} {}", read.seed)) as u32;
@@ -74,7 +74,8 @@
         let cluster = cluster.transpose().map_err(|e| fail(e.to_string()))?;
         let (cluster, shell) =
             cluster.map_or((None, None), |(link, shell)| (Some(link), Some(shell)));
-        let provided = Provided { operating, kept: kept.transpose()?, cluster };
+        let provided =
+            Provided { operator_access: operating, stored_state: kept.transpose()?, cluster };
         let (reload, reloads) = mpsc::unbounded_channel();
         let stop = Rc::new(Notify::new());
         let stopped = {
@@ -126,7 +127,7 @@
     next: Next,
 }
 
-impl Keep for InTurn {
+impl StateSaver for InTurn {
     fn save(&self, now: Duration, make: Box<dyn FnOnce() -> Vec<u8> + Send>) {
         self.full.store(self.troubles.is_full(), Ordering::Relaxed);
         let delay = self.troubles.delay();
--- /dev/null
+++ b/crates/gateway/src/admin/processes.rs
@@ -0,0 +1,128 @@
+//! Several processes of one balancer side by side, as in a restart: which of them serves, and how what one has learned
+//! passes to the next.
+
+use std::rc::Rc;
+use std::time::Duration;
+
+use hollowpaddle_operator_commands::{OperatorState, Store};
+use tokio::time::{Instant, sleep};
+
+use super::{Admin, ManagedBalancer, RETRY_INTERVAL};
+
+/// Time between two reads of the store. Commands given to another process of this balancer take effect here that late.
+pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(50);
+/// How long a start waits for what an older process has learned; that one reads the store every [`POLL_INTERVAL`].
+const HANDOFF_TIMEOUT: Duration = Duration::from_millis(500);
+/// How long a start waits for discovery before it serves by the list as last known, which may name upstreams that are
+/// gone.
+const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(1);
+
+impl<B: ManagedBalancer + 'static> Admin<B> {
+    /// Applies commands that were given to other processes, and tells these once this one can serve. Runs for as long as it
+    /// is polled.
+    pub async fn follow(self: Rc<Self>) {
+        loop {
+            let changed = self.store.borrow_mut().as_mut().map(Store::read_if_changed).transpose();
+            match changed {
+                Ok(Some(Some(state))) => drop(self.apply(state).await),
+                Ok(_) => {}
+                Err(cause) => tracing::error!(%cause, "operator commands unreadable"),
+            }
+            // Even without a change: a command given here after a newer process has joined has read that change already.
+            self.hand_off_learned().await;
+            if !self.is_serving.get() && self.can_serve() {
+                self.recall_learned().await;
+                self.announce().await;
+            }
+            sleep(POLL_INTERVAL).await;
+        }
+    }
+
+    /// Waits until clients may be accepted: at once, unless an older process of this balancer still serves them and this one
+    /// can't yet.
+    pub async fn wait_to_open(&self) {
+        let has_older =
+            || self.is_any_alive(|state, number| state.started_before(number).collect());
+        if has_older() {
+            tracing::info!("waiting to serve: an older process of this balancer still does");
+        }
+        // Checked again each time: once the older one is dead, only this one can answer clients, if only with an error.
+        while !self.is_serving.get() && has_older() {
+            sleep(RETRY_INTERVAL).await;
+        }
+    }
+
+    /// Whether a process that was started later serves in the place of this one.
+    pub fn is_succeeded(&self) -> bool {
+        self.is_any_alive(|state, number| state.serving_after(number).collect())
+    }
+
+    /// Whether one of the processes that `select` gives, by the state now and the number of this process, is alive.
+    fn is_any_alive(&self, select: impl Fn(&OperatorState, u64) -> Vec<u64>) -> bool {
+        let Some(own) = &self.registration else { return false };
+        let store = self.store.borrow();
+        let Some(store) = store.as_ref() else { return false };
+        // Not by `read_if_changed`, whose changes `follow` has yet to apply.
+        let state = store.read().unwrap_or_else(|_| self.state.borrow().clone());
+        select(&state, own.number).into_iter().any(|number| store.is_alive(number))
+    }
+
+    /// Leaves what was learned here to a process that was started since.
+    async fn hand_off_learned(&self) {
+        let Some(own) = &self.registration else { return };
+        let newest = self.state.borrow().processes.keys().max().copied().unwrap_or(0);
+        if newest <= own.number.max(self.handed_off_to.get()) {
+            return;
+        }
+        self.handed_off_to.set(newest);
+        let Some(learned) = self.balancer.learned().await else { return };
+        let Ok(text) = serde_json::to_vec(&learned) else { return };
+        let written = self.store.borrow().as_ref().map(|s| s.write_handoff(own.number, &text));
+        if let Some(Err(cause)) = written {
+            tracing::warn!(%cause, "learned estimates not handed off to the next process");
+        }
+    }
+
+    /// Goes on from what an older process has learned, if that leaves it in time.
+    async fn recall_learned(&self) {
+        let until = Instant::now() + HANDOFF_TIMEOUT;
+        let newest_older = |state: &OperatorState, number| {
+            state.started_before(number).next().into_iter().collect()
+        };
+        while self.is_any_alive(newest_older) {
+            if let Some(learned) = self.read_handoff() {
+                self.balancer.recall(learned);
+                return;
+            }
+            if Instant::now() >= until {
+                tracing::warn!("no learned estimates handed off by the older process");
+                return;
+            }
+            sleep(RETRY_INTERVAL).await;
+        }
+    }
+
+    /// What the newest older process has left, if it can be read.
+    fn read_handoff(&self) -> Option<hollowpaddle_policy::learned::Learned> {
+        let own = self.registration.as_ref()?;
+        let older = self.state.borrow().started_before(own.number).next()?;
+        let text = self.store.borrow().as_ref()?.read_handoff(older)?;
+        serde_json::from_slice(&text).ok()
+    }
+
+    fn can_serve(&self) -> bool {
+        let has_waited = || self.started_at.elapsed() >= FIRST_LIST_TIMEOUT;
+        self.balancer.is_ready() && (self.balancer.has_list() || has_waited())
+    }
+
+    /// Lets other processes see that this one serves.
+    async fn announce(&self) {
+        if let Some(own) = &self.registration {
+            let number = own.number;
+            if let Err(cause) = self.change(move |state| state.mark_serving(number)).await {
+                tracing::error!(%cause, "serving not announced to the older process");
+            }
+        }
+        self.is_serving.set(true);
+    }
+}
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -38,8 +38,8 @@
 pub mod update_queue;
 mod upstreams;
 
-pub use admin::Operating;
+pub use admin::OperatorAccess;
 pub use config::{Config, ConfigError};
 pub use engine::EngineError;
 pub use serve::{Provided, ServeError, serve};
-pub use state_store::{Keep, Kept};
+pub use state_store::{StateSaver, StoredState};
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,5 +1,7 @@
-//! One balancer from its start to its end. What signals mean, and where the configuration lies, is the
-//! program's to say.
+//! Serves one balancer from its start to its end: wires the engine, the client front, the state store, the cluster and the
+//! admin API to each other.
+//!
+//! Signals, sockets and the place of the configuration are left to the program.
 
 use std::collections::BTreeSet;
 use std::future::Future;
@@ -11,25 +13,25 @@
 use hollowpaddle_revision::fleet::ClassFacts;
 use tokio::sync::{mpsc, oneshot};
 
-use crate::admin::{Operated, Operating, Operators};
+use crate::admin::{Admin, ManagedBalancer, OperatorAccess};
 use crate::clients::Front;
 use crate::cluster::admin_api::{AdminRequest, AdminResponse, facts};
-use crate::cluster::{AdminCall, ClusterHandle, PolicyReader};
+use crate::cluster::{AdminCall, ClusterEvent, ClusterHandle, PolicyReader};
 use crate::config::Config;
-use crate::engine::{Door, Engine, EngineError};
-use crate::members::List;
-use crate::state_store::{Keeper, Kept, Recovered};
+use crate::engine::{Door, Engine, EngineError, Handle};
+use crate::members::{Entry, List};
+use crate::state_store::{Restored, StateStore, StoredState};
 use crate::tasks::AbortOnDrop;
 use crate::upstreams::Pool;
 
-/// What a balancer is given beside its sockets; nothing of it is needed to serve.
+/// What a balancer is provided with beside its sockets. It can serve without any of it.
 #[derive(Default)]
 pub struct Provided {
-    /// How operators come.
-    pub operating: Operating,
-    /// What outlives the process.
-    pub kept: Option<Kept>,
-    /// What balancers agree on.
+    /// How operators reach it.
+    pub operator_access: OperatorAccess,
+    /// State of the process before, and where to save that of this one.
+    pub stored_state: Option<StoredState>,
+    /// Its part of the cluster.
     pub cluster: Option<ClusterHandle>,
 }
 
@@ -39,30 +41,43 @@
     /// The configuration can't be used.
     #[error(transparent)]
     Engine(#[from] EngineError),
-    /// Without the engine nothing is ever answered well again; a restart is better.
+    /// The engine has ended: no request can be answered any more, and the process is to be restarted.
     #[error("the engine ended")]
     EngineEnded,
 }
 
-/// What operators do reaches the engine and the front.
-struct Machine {
+/// The parts of the balancer that carry out operators' commands.
+struct Balancer {
     engine: Door,
     front: Rc<Front>,
-    keeper: Option<Rc<Keeper>>,
+    state_store: Option<Rc<StateStore>>,
     cluster: Option<AdminClient>,
 }
 
-/// How operators' calls reach the bank.
+/// Sends operators' requests to the cluster.
 struct AdminClient {
     calls: mpsc::UnboundedSender<AdminCall>,
     classes: Vec<ClassFacts>,
 }
 
-impl Operated for Machine {
-    fn ready(&self) -> bool {
+impl Balancer {
+    /// All entries of the endpoint list, which the engine gives in parts; `None` once the engine has ended.
+    async fn list_entries(&self) -> Option<Vec<Entry>> {
+        let (mut entries, mut next) = (Vec::new(), Some(0));
+        while let Some(from) = next {
+            let (mut part, _) = self.engine.list(from).await?;
+            entries.append(&mut part.members);
+            next = part.next;
+        }
+        Some(entries)
+    }
+}
+
+impl ManagedBalancer for Balancer {
+    fn is_ready(&self) -> bool {
         self.engine.ready()
     }
-    fn heard(&self) -> bool {
+    fn has_list(&self) -> bool {
         self.engine.heard()
     }
     fn has_named(&self, name: String) -> impl Future<Output = bool> {
@@ -80,122 +95,136 @@
     fn recall(&self, learned: Learned) {
         self.engine.recall(learned);
     }
-    fn start(&self) -> serde_json::Value {
-        let nothing = || serde_json::json!({"ok": true, "keeps": false});
-        let mut start = self.keeper.as_ref().map_or_else(nothing, |k| k.told());
-        start["list_expired"] = self.engine.is_list_expired().into();
-        start["violations"] = self.engine.violations().counts();
-        start
+    fn start_status(&self) -> serde_json::Value {
+        let mut status = match &self.state_store {
+            Some(state_store) => state_store.start_status(),
+            None => serde_json::json!({"ok": true, "keeps": false}),
+        };
+        status["list_expired"] = self.engine.is_list_expired().into();
+        status["violations"] = self.engine.violations().counts();
+        status
     }
-    fn copied(&self) -> RecoveredCopy {
-        self.keeper.as_ref().map_or(RecoveredCopy::Absent, |k| k.copied())
+    fn recovered_copy(&self) -> RecoveredCopy {
+        self.state_store.as_ref().map_or(RecoveredCopy::Absent, |s| s.recovered_copy())
     }
-    fn copy(&self, words: OperatorStateCopy) {
-        if let Some(keeper) = &self.keeper {
-            keeper.copy(words);
+    fn save_copy(&self, copy: OperatorStateCopy) {
+        if let Some(state_store) = &self.state_store {
+            state_store.save_copy(copy);
         }
     }
-    fn is_banked(&self) -> bool {
+    fn is_clustered(&self) -> bool {
         self.cluster.is_some()
     }
-    async fn ask(&self, ask: AdminRequest) -> Option<AdminResponse> {
+    async fn ask_cluster(&self, ask: AdminRequest) -> Option<AdminResponse> {
         let cluster = self.cluster.as_ref()?;
-        let (mut members, mut from) = (Vec::new(), Some(0));
-        while let Some(at) = from {
-            let (mut part, _) = self.engine.list(at).await?;
-            members.append(&mut part.members);
-            from = part.next;
-        }
+        let facts = facts(&self.list_entries().await?, &cluster.classes);
         let (reply, answer) = oneshot::channel();
-        cluster
-            .calls
-            .send(AdminCall { ask, facts: facts(&members, &cluster.classes), reply })
-            .ok()?;
+        cluster.calls.send(AdminCall { ask, facts, reply }).ok()?;
         answer.await.ok()
     }
 }
 
-/// Serves clients on `listener`, and reaches all else by `network`, until `stop`, then finishes what was taken. Each
-/// configuration that comes on `reloads` moves the watch to the discovery it names.
+/// Serves clients on `listener`, and reaches everything else through `network`, until `stop`; then finishes what was
+/// accepted. Each configuration that arrives on `reloads` moves the endpoint watch to the discovery it names.
 /// Must run inside a `LocalSet`.
+///
+/// # Errors
+/// The configuration can't be used, or the engine has ended.
 pub async fn serve(
     mut config: Config,
     network: Rc<dyn Network>,
     listener: Box<dyn Listener>,
     provided: Provided,
-    mut reloads: mpsc::UnboundedReceiver<Config>,
+    reloads: mpsc::UnboundedReceiver<Config>,
     stop: impl Future<Output = ()>,
 ) -> Result<(), ServeError> {
-    let Provided { operating, kept, cluster } = provided;
+    let Provided { operator_access, stored_state, cluster } = provided;
     let budget = config.budget();
     let pool = Pool::new(budget.upstreams, &config, network.clone());
-    let started = network.unix_now();
-    let meaning = config.facts.meaning();
-    let recovered = kept.map(|kept| Recovered::read(kept, started, &config.known, meaning));
-    let (recovered, restored_list) =
-        recovered.map_or((None, None), |(all, list)| (Some(all), list));
-    let admin_client = cluster
-        .as_ref()
-        .map(|link| AdminClient { calls: link.calls.clone(), classes: classes(&config) });
-    let (reader, news) = cluster.map_or((None, None), |link| (Some(link.reader), Some(link.news)));
-    let reader = reader.map(|r| Rc::new(r) as Rc<dyn PolicyReader>);
+    let (restored, restored_list) = match stored_state {
+        Some(stored) => {
+            let meaning = config.facts.meaning();
+            let (restored, list) =
+                Restored::read(stored, network.unix_now(), &config.known, meaning);
+            (Some(restored), list)
+        }
+        None => (None, None),
+    };
+    let (reader, events, admin_client) = match cluster {
+        Some(ClusterHandle { reader, news, calls }) => {
+            let reader: Rc<dyn PolicyReader> = Rc::new(reader);
+            (Some(reader), Some(news), Some(AdminClient { calls, classes: classes(&config) }))
+        }
+        None => (None, None, None),
+    };
     let (engine, handle) = Engine::new(&config, restored_list, pool, network, reader)?;
-    // The engine has its own records of it; the rest of the configuration stays for as long as this serves.
+    // The engine has its own records of the list; the rest of the configuration stays for as long as this serves.
     config.known = List::default();
     let mut engine = AbortOnDrop(tokio::task::spawn_local(engine.run()));
-    let tell = handle.banker();
-    let _news = news.map(|mut news| {
-        AbortOnDrop(tokio::task::spawn_local(async move {
-            while let Some(news) = news.recv().await {
-                tell(news);
-            }
-        }))
-    });
-    let reload = handle.reloader();
-    let _reloads = AbortOnDrop(tokio::task::spawn_local(async move {
-        while let Some(new) = reloads.recv().await {
-            reload(new.discovery);
-        }
-    }));
+    let _events = events.map(|events| forward_events(events, &handle));
+    let _reloads = forward_reloads(reloads, &handle);
     let engine_door = handle.door();
-    // Before any client comes: what is gone on from is there for the first.
-    let keeper = recovered.map(|all| Keeper::start(all, handle.door()));
-    let _keeps = keeper.clone().map(|k| AbortOnDrop(tokio::task::spawn_local(k.follow())));
+    // Before any client comes: what is restored is there for the first.
+    let state_store = restored.map(|restored| StateStore::start(restored, handle.door()));
+    let _saves =
+        state_store.clone().map(|store| AbortOnDrop(tokio::task::spawn_local(store.run())));
     let front = Rc::new(Front::new(&config, handle, &budget));
-    let machine = Machine {
+    let balancer = Balancer {
         engine: engine_door,
         front: front.clone(),
-        keeper: keeper.clone(),
+        state_store: state_store.clone(),
         cluster: admin_client,
     };
-    let operators = Operators::join(machine, operating.store).await;
-    let _follows = AbortOnDrop(tokio::task::spawn_local(operators.clone().follow()));
-    let _calls = operating.listener.map(|listener| {
-        AbortOnDrop(tokio::task::spawn_local(operators.clone().take_calls(listener)))
-    });
-    let serve = front.serve(listener, operators.opens(), stop, || operators.succeeded());
+    let admin = Admin::join(balancer, operator_access.store).await;
+    let _follows = AbortOnDrop(tokio::task::spawn_local(admin.clone().follow()));
+    let _admin_server = operator_access
+        .listener
+        .map(|listener| AbortOnDrop(tokio::task::spawn_local(admin.clone().serve(listener))));
+    let serve = front.serve(listener, admin.wait_to_open(), stop, || admin.is_succeeded());
     let served = tokio::select! {
         biased;
         () = serve => Ok(()),
         _ = &mut engine.0 => Err(ServeError::EngineEnded),
     };
-    if let (Ok(()), Some(keeper)) = (&served, keeper) {
-        keeper.finish().await;
+    if let (Ok(()), Some(state_store)) = (&served, state_store) {
+        state_store.finish().await;
     }
     served
 }
 
-/// The classes of the settings, as rules are checked against them.
+/// Passes the cluster's events to the engine, until the result is dropped.
+fn forward_events(
+    mut events: mpsc::UnboundedReceiver<ClusterEvent>,
+    handle: &Handle,
+) -> AbortOnDrop {
+    let notify = handle.banker();
+    AbortOnDrop(tokio::task::spawn_local(async move {
+        while let Some(event) = events.recv().await {
+            notify(event);
+        }
+    }))
+}
+
+/// Passes the address of discovery of each new configuration to the engine, until the result is dropped.
+fn forward_reloads(mut reloads: mpsc::UnboundedReceiver<Config>, handle: &Handle) -> AbortOnDrop {
+    let reload = handle.reloader();
+    AbortOnDrop(tokio::task::spawn_local(async move {
+        while let Some(config) = reloads.recv().await {
+            reload(config.discovery);
+        }
+    }))
+}
+
+/// The classes of the settings, as policy revisions are checked against them.
 fn classes(config: &Config) -> Vec<ClassFacts> {
-    let places = |places: &Option<Vec<u32>>| -> Vec<u8> {
-        places.iter().flatten().filter_map(|p| u8::try_from(*p).ok()).collect()
-    };
-    let services = config.facts.services.iter();
-    services
-        .map(|s| ClassFacts {
-            name: s.name.clone(),
-            zones: places(&s.zones_allowed),
+    let mut classes = Vec::new();
+    for service in &config.facts.services {
+        let zones = service.zones_allowed.iter().flatten();
+        classes.push(ClassFacts {
+            name: service.name.clone(),
+            zones: zones.filter_map(|zone| u8::try_from(*zone).ok()).collect(),
             machine_types: Vec::new(),
-        })
-        .collect()
+        });
+    }
+    classes
 }
--- a/crates/gateway/src/state_store.rs
+++ b/crates/gateway/src/state_store.rs
@@ -1,5 +1,10 @@
-//! What a balancer keeps for its next start, and what it goes on from at this one. Believed is what
-//! `hollowpaddle_recovery` says, stored is what `hollowpaddle_snapshot` does; here they meet the engine.
+//! What a balancer saves for its next start, and what it restores at this one.
+//!
+//! How far restored state is trusted is left to `hollowpaddle_recovery`, and the files to `hollowpaddle_snapshot`; here they
+//! meet the engine.
+
+mod payload;
+mod restored;
 
 use std::cell::{Cell, RefCell};
 use std::rc::Rc;
@@ -7,40 +12,38 @@
 use std::time::Duration;
 
 use hollowpaddle_operator_commands::{OperatorStateCopy, RecoveredCopy};
-use hollowpaddle_policy::learned::Learned;
-use hollowpaddle_recovery::{RestoredState, SETTLED_AFTER, StartHistory, StartMode, Trust, trust};
+use hollowpaddle_recovery::{SETTLED_AFTER, StartMode};
 use hollowpaddle_snapshot::{Found, Saver, Status};
-use serde::{Deserialize, Deserializer, Serialize, Serializer};
+use serde::Serialize;
 use tokio::time::{Instant, sleep};
 
 use crate::engine::Door;
 use crate::members::List;
-use crate::restored_list::{RestoredList, restored_list};
-
-/// How often what was learned is saved. A kill costs the news of so long.
-const EVERY: Duration = Duration::from_secs(2);
-/// Clocks of two starts may differ by so much. What was saved later than that from now has no age that could be known,
-const CLOCKS_DIFFER: Duration = Duration::from_secs(5);
-/// and counts as this old: whom a list takes out stays out, and nobody is gone by being left out of it. Failure: it
-/// counted as new.
-const UNKNOWN_AGE: Duration = Duration::from_secs(24 * 3600);
-/// At the end the last snapshot is waited for so long: a slow disk must not hold up a restart.
-const LAST: Duration = Duration::from_secs(1);
-const STEP: Duration = Duration::from_millis(5);
-
-/// Saves what outlives this process, and never waits for it.
-pub trait Keep {
-    /// Has this be saved as of `now` (Unix time), in place of what is not begun yet. `make` may be called elsewhere.
-    fn save(&self, now: Duration, make: Box<dyn FnOnce() -> Vec<u8> + Send>);
+use payload::Payload;
+
+pub use restored::Restored;
+
+/// Time between two saves. A kill loses what was learned in it.
+const SAVE_INTERVAL: Duration = Duration::from_secs(2);
+/// How long the end of a process waits for its last save: a slow disk must not hold up a restart.
+const LAST_SAVE_TIMEOUT: Duration = Duration::from_secs(1);
+/// Time between two looks at the last save.
+const LAST_SAVE_POLL: Duration = Duration::from_millis(5);
+
+/// Saves state for the next start, without making the caller wait.
+pub trait StateSaver {
+    /// Saves what `make_payload` returns as of `now` (Unix time), in place of what is not begun yet. The function may be
+    /// called later and on another thread.
+    fn save(&self, now: Duration, make_payload: Box<dyn FnOnce() -> Vec<u8> + Send>);
     /// Whether nothing waits to be written.
     fn is_idle(&self) -> bool;
-    /// How it goes.
+    /// How saving goes.
     fn status(&self) -> Status;
 }
 
-impl Keep for Saver {
-    fn save(&self, now: Duration, make: Box<dyn FnOnce() -> Vec<u8> + Send>) {
-        Saver::save(self, now, make);
+impl StateSaver for Saver {
+    fn save(&self, now: Duration, make_payload: Box<dyn FnOnce() -> Vec<u8> + Send>) {
+        Saver::save(self, now, make_payload);
     }
     fn is_idle(&self) -> bool {
         Saver::is_idle(self)
@@ -50,197 +53,94 @@
     }
 }
 
-/// What a start is given of the process before it.
-pub struct Kept {
-    /// Where this one saves.
-    pub keep: Box<dyn Keep>,
-    /// What lies there.
+/// State of the process before, and where to save that of this one.
+pub struct StoredState {
+    /// Saves the state of this process.
+    pub saver: Box<dyn StateSaver>,
+    /// What was found of the process before.
     pub found: Found,
 }
 
-/// What is saved. A field that another build does not know is left out there.
-#[derive(Clone, Default, Serialize, Deserialize)]
-#[serde(default)]
-struct State {
-    starts: StartHistory,
-    /// What the settings' numbers and names meant when that was learned and heard; an older build didn't say.
-    meaning: u64,
-    learned: Option<Learned>,
-    /// When that was learned, in milliseconds of Unix time. What is only passed on grows no younger.
-    learned_ms: u64,
-    /// The list as last heard. Shared with what is being saved: it is as long as the fleet is large.
-    #[serde(serialize_with = "as_list", deserialize_with = "shared_list")]
-    list: Option<Arc<List>>,
-    /// When that was, in milliseconds of Unix time.
-    list_ms: u64,
-    /// What operators have said. None: the build that saved this kept no copy, or nobody was here.
-    said: Option<OperatorStateCopy>,
-}
-
-/// How long ago that was, by two clocks that may differ; nothing, where one of them must be wrong.
-fn age(now: Duration, then_ms: u64) -> Option<Duration> {
-    let then = Duration::from_millis(then_ms);
-    (then <= now + CLOCKS_DIFFER).then(|| now.saturating_sub(then))
-}
-
-fn as_list<S: Serializer>(list: &Option<Arc<List>>, serializer: S) -> Result<S::Ok, S::Error> {
-    list.as_deref().serialize(serializer)
-}
-
-fn shared_list<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Option<Arc<List>>, D::Error> {
-    Ok(Option::<List>::deserialize(deserializer)?.map(Arc::new))
-}
-
-/// How a start went on, for operators.
+/// How a start went, as `GET /admin/start` shows it.
 #[derive(Serialize)]
-struct Comeback {
+struct StartReport {
     /// `usual`, `without-snapshot` or `bare`.
-    way: &'static str,
-    /// `snapshot`: from what this balancer had learned; `nothing`: from what the configuration says alone.
+    #[serde(rename = "way")]
+    mode: &'static str,
+    /// `snapshot`: learned estimates were restored; `nothing`: they were not.
     from: &'static str,
-    /// Age of that, in seconds.
+    /// Age of the estimates, in seconds.
     age_s: Option<f64>,
-    /// Age of the list that was laid over the configuration's, in seconds; none, if that did.
+    /// Age of the endpoint list that was restored, in seconds; `None`: the configuration's applies.
     list_age_s: Option<f64>,
-    /// How often the program was started here.
+    /// Number of starts so far.
     starts: u64,
-    /// Of the starts just before this one, those that ended badly.
+    /// Starts just before this one that crashed.
     crashes: usize,
-    /// Files that were not believed, and why.
+    /// Files that are not used, and why.
     set_aside: Vec<String>,
 }
 
-/// What was found at a start, as far as it counts.
-pub struct Recovered {
-    keep: Box<dyn Keep>,
-    now: Duration,
-    state: State,
-    mode: StartMode,
-    list_age_s: Option<f64>,
-    set_aside: Vec<String>,
-}
-
-/// Saves as long as the balancer serves.
-pub struct Keeper {
-    keep: Box<dyn Keep>,
+/// Saves the state of this process for as long as it serves.
+pub struct StateStore {
+    saver: Box<dyn StateSaver>,
     engine: Door,
-    /// Unix time at the start, and the start.
-    epoch: (Duration, Instant),
-    state: RefCell<State>,
+    /// Unix time at the start.
+    started_unix: Duration,
+    started_at: Instant,
+    payload: RefCell<Payload>,
     mode: StartMode,
-    comeback: Comeback,
-    copied: RecoveredCopy,
-    /// Lists taken in by the engine, as of the one that is kept.
-    lists: Cell<u64>,
-}
-
-impl Recovered {
-    /// Reads what lies there, as far as it is to be believed at `now` (Unix time) under settings of this
-    /// [meaning](hollowpaddle_policy::settings::Facts::meaning), and notes this start. Beside it what counts of the list
-    /// as last heard, over the one that the configuration names.
-    pub fn read(
-        kept: Kept,
-        now: Duration,
-        known: &List,
-        meaning: u64,
-    ) -> (Self, Option<RestoredList>) {
-        let Kept { keep, found } = kept;
-        let mut set_aside = Vec::new();
-        for aside in &found.aside {
-            let place = aside.moved_to.as_deref().unwrap_or("where it was");
-            tracing::error!(file = aside.file, doubt = %aside.reason, "not believed; it lies {place}");
-            set_aside.push(format!("{}: {}", aside.file, aside.reason));
-        }
-        let mut state = State::default();
-        if let Some(snapshot) = &found.snapshot {
-            match serde_json::from_slice(&snapshot.payload) {
-                Ok(was) => state = was,
-                Err(cause) => {
-                    tracing::error!(%cause, "a whole snapshot holds something else: gone on from nothing");
-                    set_aside.push(format!("snapshot {}: {cause}", snapshot.generation));
-                }
-            }
-        }
-        let mode = state.starts.begin(now);
-        if mode > StartMode::Normal {
-            let crashes = state.starts.crash_count();
-            tracing::error!(crashes, "a crash loop: gone on {}", mode.name());
-            (state.learned, state.learned_ms, state.list) = (None, 0, None);
-        }
-        // Failure: the list of another deployment lay over the configuration's, and all that this names was gone.
-        if std::mem::replace(&mut state.meaning, meaning) != meaning {
-            if state.learned.is_some() || state.list.is_some() {
-                tracing::warn!("other classes, zones or kinds by now: gone on from nothing");
-            }
-            (state.learned, state.learned_ms, state.list) = (None, 0, None);
-        }
-        if age(now, state.learned_ms).is_none() {
-            state.learned = None;
-        }
-        let heard = age(now, state.list_ms).unwrap_or(UNKNOWN_AGE);
-        let list = state.list.as_ref().and_then(|list| restored_list(list, known, heard, now));
-        let list_age_s = list.is_some().then_some(heard.as_secs_f64());
-        if list.is_none() {
-            state.list = None;
-        }
-        (Self { keep, now, state, mode, list_age_s, set_aside }, list)
-    }
+    start_report: StartReport,
+    recovered_copy: RecoveredCopy,
+    /// The engine's number of the endpoint list that the payload contains.
+    list_number: Cell<u64>,
 }
 
-impl Keeper {
-    /// Goes on from what was found.
-    pub fn start(recovered: Recovered, engine: Door) -> Rc<Self> {
-        let Recovered { keep, now, mut state, mode, list_age_s, set_aside } = recovered;
-        let age = now.saturating_sub(Duration::from_millis(state.learned_ms));
-        let mut from = "nothing";
-        if let Some(learned) = state.learned.clone()
-            && trust(RestoredState::Fleet, age) == Trust::Full
-        {
-            let ours = trust(RestoredState::Upstreams, age) == Trust::Full;
-            engine.recall(if ours { learned } else { learned.of_fleet() });
-            from = "snapshot";
-        } else {
-            state.learned = None;
+impl StateStore {
+    /// Restores what was found into the engine, and saves that this process has started.
+    pub fn start(restored: Restored, engine: Door) -> Rc<Self> {
+        let Restored { saver, now, mut payload, mode, list_age_s, set_aside } = restored;
+        let learned_age = now.saturating_sub(Duration::from_millis(payload.learned_ms));
+        let learned = payload.take_trusted_estimates(learned_age);
+        let is_restored = learned.is_some();
+        if let Some(learned) = learned {
+            engine.recall(learned);
         }
-        // Operators' words are believed in every way and at any age that a snapshot may have.
-        let copied = match &mut state.said {
-            Some(words) => {
-                let copied = words.clone();
-                words.is_final = false;
-                RecoveredCopy::Found(copied)
-            }
-            None if set_aside.is_empty() => RecoveredCopy::Absent,
-            None => RecoveredCopy::Lost(set_aside.join("; ")),
+        let recovered_copy = payload.recovered_copy(&set_aside);
+        let start_report = StartReport {
+            mode: mode.name(),
+            from: if is_restored { "snapshot" } else { "nothing" },
+            age_s: is_restored.then_some(learned_age.as_secs_f64()),
+            list_age_s,
+            starts: payload.starts.count(),
+            crashes: payload.starts.crash_count(),
+            set_aside,
         };
-        let (starts, crashes) = (state.starts.count(), state.starts.crash_count());
-        let age_s = (from == "snapshot").then_some(age.as_secs_f64());
-        tracing::info!(way = mode.name(), from, age_s, starts, crashes, "comes back");
-        let comeback =
-            Comeback { way: mode.name(), from, age_s, list_age_s, starts, crashes, set_aside };
-        let (epoch, state) = ((now, Instant::now()), RefCell::new(state));
-        let keeper = Rc::new(Self {
-            keep,
+        start_report.log();
+        let store = Rc::new(Self {
+            saver,
             engine,
-            epoch,
-            state,
+            started_unix: now,
+            started_at: Instant::now(),
+            payload: RefCell::new(payload),
             mode,
-            comeback,
-            copied,
-            lists: Cell::new(0),
+            start_report,
+            recovered_copy,
+            list_number: Cell::new(0),
         });
-        // Before anything can go wrong with it: the next start is to know of this one.
-        keeper.save();
-        keeper
+        // Before anything can go wrong: the next start is to know of this one.
+        store.save();
+        store
     }
 
-    /// How this start went on and how saving goes, for operators.
-    pub fn told(&self) -> serde_json::Value {
-        let Status { saved, failure, is_writing, superseded } = self.keep.status();
+    /// How this start went and how saving goes, for `GET /admin/start`.
+    pub fn start_status(&self) -> serde_json::Value {
+        let Status { saved, failure, is_writing, superseded } = self.saver.status();
         let now = self.now();
         serde_json::json!({
             "ok": true,
             "keeps": true,
-            "start": self.comeback,
+            "start": self.start_report,
             "saving": {
                 "generation": saved.map(|(generation, _)| generation),
                 "age_s": saved.map(|(_, at)| now.saturating_sub(at).as_secs_f64()),
@@ -251,97 +151,105 @@
         })
     }
 
-    /// What was found of operators' words.
-    pub fn copied(&self) -> RecoveredCopy {
-        self.copied.clone()
+    /// The copy of operators' commands that was found at the start.
+    pub fn recovered_copy(&self) -> RecoveredCopy {
+        self.recovered_copy.clone()
     }
 
-    /// Keeps what operators have said, as it stands now. Not only with the next save: a call is answered with yes.
-    pub fn copy(&self, words: OperatorStateCopy) {
-        self.state.borrow_mut().said = Some(words);
+    /// Saves a copy of operators' commands at once: the call that changed them is about to be acknowledged.
+    pub fn save_copy(&self, copy: OperatorStateCopy) {
+        self.payload.borrow_mut().operator_copy = Some(copy);
         self.save();
     }
 
+    /// Unix time, by the monotonic clock since the start.
     fn now(&self) -> Duration {
-        self.epoch.0 + self.epoch.1.elapsed()
+        self.started_unix + self.started_at.elapsed()
     }
 
     fn save(&self) {
-        let state = self.state.borrow().clone();
-        let make = move || serde_json::to_vec(&state).unwrap_or_default();
-        self.keep.save(self.now(), Box::new(make));
+        let payload = self.payload.borrow().clone();
+        let make_payload = move || serde_json::to_vec(&payload).unwrap_or_default();
+        self.saver.save(self.now(), Box::new(make_payload));
     }
 
-    /// Saves now and then, for as long as it is polled.
-    pub async fn follow(self: Rc<Self>) {
-        let mut settled = false;
+    /// Saves every [`SAVE_INTERVAL`], for as long as it is polled.
+    pub async fn run(self: Rc<Self>) {
+        let mut is_settled = false;
         loop {
-            sleep(EVERY).await;
-            if !settled && self.epoch.1.elapsed() >= SETTLED_AFTER {
-                settled = true;
-                self.state.borrow_mut().starts.settled();
+            sleep(SAVE_INTERVAL).await;
+            if !is_settled && self.started_at.elapsed() >= SETTLED_AFTER {
+                is_settled = true;
+                self.payload.borrow_mut().starts.settled();
             }
-            self.learn().await;
-            self.hear().await;
+            self.update().await;
             self.save();
         }
     }
 
-    /// Takes in what was learned by now. In the barest way nothing is.
-    async fn learn(&self) {
+    /// Takes over what the engine knows by now. In minimal mode nothing is.
+    async fn update(&self) {
         if self.mode == StartMode::Minimal {
             return;
         }
+        self.update_estimates().await;
+        self.update_list().await;
+    }
+
+    async fn update_estimates(&self) {
         let Some(learned) = self.engine.learned().await else { return };
-        let state = &mut *self.state.borrow_mut();
-        if !state.learned.as_ref().is_some_and(|was| was.rests_on_the_same(&learned)) {
-            (state.learned, state.learned_ms) = (Some(learned), self.now().as_millis() as u64);
+        let mut payload = self.payload.borrow_mut();
+        // Estimates that rest on the same answers as before keep their age.
+        if !payload.learned.as_ref().is_some_and(|was| was.rests_on_the_same(&learned)) {
+            payload.learned = Some(learned);
+            payload.learned_ms = self.now().as_millis() as u64;
         }
     }
 
-    /// Takes in the list as it is by now, part by part, if a watch vouches for it. A list that changes meanwhile is had
-    /// the next time.
-    async fn hear(&self) {
-        if self.mode == StartMode::Minimal {
-            return;
-        }
-        let (mut members, mut from) = (Vec::new(), 0);
-        let Some((first, true)) = self.engine.list(from).await else { return };
-        if first.lists != self.lists.get() {
-            let (lists, revision) = (first.lists, first.revision);
-            let mut part = first;
+    /// Takes over the endpoint list, part by part, if a watch on discovery vouches for it. One that changes meanwhile is
+    /// left to the next time.
+    async fn update_list(&self) {
+        let Some((mut part, true)) = self.engine.list(0).await else { return };
+        let (number, revision) = (part.lists, part.revision);
+        if number != self.list_number.get() {
+            let mut members = Vec::new();
             loop {
                 members.append(&mut part.members);
                 let Some(next) = part.next else { break };
-                from = next;
-                match self.engine.list(from).await {
-                    Some((next, true)) if next.lists == lists => part = next,
+                match self.engine.list(next).await {
+                    Some((next_part, true)) if next_part.lists == number => part = next_part,
                     _ => return,
                 }
             }
-            self.lists.set(lists);
+            self.list_number.set(number);
             let list = List { revision, complete: true, members };
-            self.state.borrow_mut().list = Some(Arc::new(list));
+            self.payload.borrow_mut().list = Some(Arc::new(list));
         }
-        self.state.borrow_mut().list_ms = self.now().as_millis() as u64;
+        self.payload.borrow_mut().list_ms = self.now().as_millis() as u64;
     }
 
-    /// The process ends in order: saves for the last time, and waits a moment for that.
+    /// Saves for the last time, as the process ends in order, and waits up to [`LAST_SAVE_TIMEOUT`] for that.
     pub async fn finish(&self) {
-        self.learn().await;
-        self.hear().await;
+        self.update().await;
         {
-            let state = &mut *self.state.borrow_mut();
-            state.starts.ended_in_order();
-            state.said.get_or_insert_default().is_final = true;
+            let mut payload = self.payload.borrow_mut();
+            payload.starts.ended_in_order();
+            payload.operator_copy.get_or_insert_default().is_final = true;
         }
         self.save();
-        let until = Instant::now() + LAST;
-        while !self.keep.is_idle() && Instant::now() < until {
-            sleep(STEP).await;
+        let until = Instant::now() + LAST_SAVE_TIMEOUT;
+        while !self.saver.is_idle() && Instant::now() < until {
+            sleep(LAST_SAVE_POLL).await;
         }
     }
 }
 
+impl StartReport {
+    fn log(&self) {
+        let Self { mode, from, age_s, starts, crashes, .. } = self;
+        tracing::info!(mode, from, age_s, starts, crashes, "started");
+    }
+}
+
 #[cfg(test)]
 mod tests;
--- a/crates/gateway/src/state_store/tests.rs
+++ b/crates/gateway/src/state_store/tests.rs
@@ -1,4 +1,4 @@
-//! What a start believes of a snapshot, by the settings under which that was saved.
+//! What a start restores of a snapshot, by the settings and the clock under which it was saved.
 
 use hollowpaddle_policy::interface::{Class, Settings, Span, Time};
 use hollowpaddle_policy::policy::Balancer;
@@ -6,12 +6,14 @@
 use serde_json::json;
 
 use super::*;
+use crate::restored_list::RestoredList;
 
 const NOW: Duration = Duration::from_secs(1_000_000);
 
-struct Nowhere;
+/// Saves nothing.
+struct NoSaver;
 
-impl Keep for Nowhere {
+impl StateSaver for NoSaver {
     fn save(&self, _: Duration, _: Box<dyn FnOnce() -> Vec<u8> + Send>) {}
     fn is_idle(&self) -> bool {
         true
@@ -22,12 +24,12 @@
 }
 
 /// A start whose settings mean `now`, on what a process has saved a second ago whose settings meant `then`.
-fn start(then: Option<u64>, now: u64) -> (Recovered, Option<RestoredList>) {
+fn start(then: Option<u64>, now: u64) -> (Restored, Option<RestoredList>) {
     start_on(then, now, NOW - Duration::from_secs(1))
 }
 
 /// The same on what was saved at this time, by the clock of that process.
-fn start_on(then: Option<u64>, now: u64, saved: Duration) -> (Recovered, Option<RestoredList>) {
+fn start_on(then: Option<u64>, now: u64, saved: Duration) -> (Restored, Option<RestoredList>) {
     let settings = Settings::basic(vec![Class::safe(Span(1000), Span(2000))]);
     let learned = Balancer::new(settings, 1, Time(0)).expect("settings").learned();
     let at = saved.as_millis() as u64;
@@ -43,35 +45,38 @@
     let payload = state.to_string().into_bytes();
     let snapshot = Some(Snapshot { generation: 1, age: Duration::from_secs(1), payload });
     let found = Found { snapshot, aside: Vec::new() };
-    Recovered::read(Kept { keep: Box::new(Nowhere), found }, NOW, &List::default(), now)
+    Restored::read(StoredState { saver: Box::new(NoSaver), found }, NOW, &List::default(), now)
 }
 
 #[test]
-fn what_was_saved_under_other_settings_is_not_gone_on_from() {
+fn state_saved_under_other_settings_is_discarded() {
     let (same, list) = start(Some(u64::MAX), u64::MAX);
-    assert!(same.state.learned.is_some() && same.state.list.is_some() && list.is_some());
+    assert!(same.payload.learned.is_some() && same.payload.list.is_some() && list.is_some());
     // An older build did not say under which.
     for then in [Some(7), None] {
         let (other, list) = start(then, 8);
-        assert!(other.state.learned.is_none() && list.is_none(), "{then:?}");
-        assert!(other.state.list.is_none() && other.list_age_s.is_none(), "{then:?}");
-        assert!(other.state.said.is_some(), "operators' words hold under any settings");
-        assert_eq!(other.state.meaning, 8, "what is saved from here on is of these");
+        assert!(other.payload.learned.is_none() && list.is_none(), "{then:?}");
+        assert!(other.payload.list.is_none() && other.list_age_s.is_none(), "{then:?}");
+        assert!(
+            other.payload.operator_copy.is_some(),
+            "operators' commands apply under any settings"
+        );
+        assert_eq!(other.payload.meaning, 8, "what is saved from here on is of these");
     }
 }
 
 #[test]
-fn what_was_saved_by_a_clock_ahead_of_this_one_is_of_unknown_age() {
+fn state_saved_by_a_clock_ahead_has_unknown_age() {
     // One of the two clocks is wrong, and it may have been saved long ago.
     let (start, list) = start_on(Some(1), 1, NOW + Duration::from_secs(3600));
-    assert!(start.state.learned.is_none(), "what was learned may be long over");
+    assert!(start.payload.learned.is_none(), "what was learned may be long over");
     assert!(
         list.is_some_and(|list| !list.whole),
         "whom it takes out is out, and nobody is gone by it"
     );
     let (start, list) = start_on(Some(1), 1, NOW + Duration::from_millis(500));
     assert!(
-        start.state.learned.is_some() && list.is_some_and(|list| list.whole),
+        start.payload.learned.is_some() && list.is_some_and(|list| list.whole),
         "nearly the same"
     );
 }
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -13,7 +13,7 @@
 use hollowpaddle_failpoints::Points;
 use hollowpaddle_gateway::cluster::{self, ClusterHandle, RecoveredState, Runtime};
 use hollowpaddle_gateway::config::ClusterConfig;
-use hollowpaddle_gateway::{Config, Kept, Operating, Provided, serve};
+use hollowpaddle_gateway::{Config, OperatorAccess, Provided, StoredState, serve};
 use hollowpaddle_net::{Listener, Network, Tcp};
 use hollowpaddle_operator_commands::Store;
 use hollowpaddle_snapshot::{Directory, Saver, Status};
@@ -68,7 +68,7 @@
     let stop = async move {
         term.recv().await;
     };
-    let provided = Provided { operating, kept, cluster };
+    let provided = Provided { operator_access: operating, stored_state: kept, cluster };
     let served = serve(config, Rc::new(Tcp), listener, provided, reloads, stop).await;
     served.map_err(|e| e.to_string())
 }
@@ -84,8 +84,8 @@
 }
 
 /// The operators' door, and a directory under `$TMPDIR` for what they say. Several balancers may share that.
-fn operating(config: &Config) -> Result<Operating, String> {
-    let Some(control) = config.control else { return Ok(Operating::default()) };
+fn operating(config: &Config) -> Result<OperatorAccess, String> {
+    let Some(control) = config.control else { return Ok(OperatorAccess::default()) };
     let listener = Tcp.listen(control).map_err(|e| format!("listen on {control}: {e}"))?;
     let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
     let name: String = config.name.chars().map(plain).collect();
@@ -100,7 +100,7 @@
         }
     });
     tracing::info!("operators at {}", listener.local_addr());
-    Ok(Operating { listener: Some(listener), store })
+    Ok(OperatorAccess { listener: Some(listener), store })
 }
 
 /// What is stored is waited for so long at a start: a disk that hangs is no reason not to serve.
@@ -108,7 +108,7 @@
 
 /// What lies in the state directory, where the platform keeps one, and what saves there from now on. Nothing that is
 /// wrong with it is a reason not to serve.
-fn kept(config: &Config) -> Option<Kept> {
+fn kept(config: &Config) -> Option<StoredState> {
     let dir = config.state_dir.clone()?;
     let (name, now) = (config.name.clone(), Tcp.unix_now());
     let (tell, loaded) = std::sync::mpsc::channel();
@@ -142,7 +142,7 @@
         failing = status.failure.is_some();
     });
     match saver {
-        Ok(saver) => Some(Kept { keep: Box::new(saver), found }),
+        Ok(saver) => Some(StoredState { saver: Box::new(saver), found }),
         Err(cause) => without(&cause),
     }
 }
