--- /dev/null
+++ b/crates/gateway/src/config/file.rs
@@ -0,0 +1,93 @@
+//! The configuration file's keys, and their defaults. Keys that are not named here are ignored.
+
+use std::net::SocketAddr;
+
+use hollowpaddle_policy::settings::Facts;
+use hollowpaddle_subset::Size;
+use serde::Deserialize;
+
+use super::ConfigError;
+use super::cluster::FileFleet;
+use crate::members::List;
+
+/// Descriptors that the process may hold, where the file names no limit.
+pub(super) const DEFAULT_SOCKETS: usize = 1024;
+/// Memory that the process may use, in MiB, where the file names no limit.
+pub(super) const DEFAULT_MEMORY_MIB: usize = 192;
+
+/// The file. `state_dir`, `subset` and `fleet` are keys of this program, the others the platform's.
+#[derive(Deserialize)]
+pub(super) struct File {
+    #[serde(default)]
+    pub(super) name: String,
+    #[serde(default)]
+    pub(super) listen: String,
+    #[serde(default)]
+    pub(super) discovery: String,
+    #[serde(default)]
+    pub(super) control: String,
+    #[serde(default)]
+    pub(super) state_dir: String,
+    #[serde(default)]
+    pub(super) seed: Option<String>,
+    #[serde(default)]
+    pub(super) limits: FileLimits,
+    #[serde(default)]
+    pub(super) known: List,
+    pub(super) settings: Facts,
+    #[serde(default)]
+    pub(super) subset: Option<FileSubset>,
+    #[serde(default)]
+    pub(super) peer_listen: String,
+    #[serde(default)]
+    pub(super) peers: Vec<String>,
+    #[serde(default)]
+    pub(super) fleet: Option<FileFleet>,
+}
+
+/// The part of the upstreams to which this balancer keeps connections.
+#[derive(Deserialize)]
+#[serde(deny_unknown_fields)]
+pub(super) struct FileSubset {
+    #[serde(default = "Size::usual_times")]
+    pub(super) times: f64,
+    #[serde(default = "Size::usual_least")]
+    pub(super) least: usize,
+}
+
+/// Limits of the process.
+#[derive(Deserialize, Default)]
+pub(super) struct FileLimits {
+    pub(super) sockets: Option<usize>,
+    pub(super) memory_mb: Option<usize>,
+}
+
+impl File {
+    /// Reads the text of the file at `path`.
+    pub(super) fn parse(path: &str, text: &[u8]) -> Result<Self, ConfigError> {
+        let mut reader = serde_json::Deserializer::from_slice(text);
+        serde_path_to_error::deserialize(&mut reader).map_err(|e| {
+            let field = e.path().to_string();
+            let cause = e.into_inner();
+            ConfigError::Malformed {
+                path: path.to_string(),
+                field,
+                is_truncated: cause.is_eof(),
+                cause: cause.to_string(),
+            }
+        })
+    }
+
+    /// The size of this balancer's part of the upstreams, if the file asks for a part.
+    pub(super) fn subset_size(&self) -> Option<Size> {
+        let subset = self.subset.as_ref()?;
+        let window = self.settings.services.iter().map(|s| s.window).fold(0.0, f64::max);
+        let linger = hollowpaddle_policy::settings::span(window).0;
+        Some(Size { times: subset.times, least: subset.least, linger, ..Size::default() })
+    }
+}
+
+/// Reads the address that `name` has.
+pub(super) fn parse_address(name: &'static str, value: &str) -> Result<SocketAddr, ConfigError> {
+    value.parse().map_err(|_| ConfigError::BadAddress { name, value: value.to_string() })
+}
--- /dev/null
+++ b/crates/gateway/src/config/tests.rs
@@ -0,0 +1,67 @@
+//! The cluster's part of the configuration.
+
+use serde_json::{Value, json};
+
+use super::*;
+
+fn parsed(change: impl Fn(&mut Value), fleet: Option<&str>) -> Result<Config, ConfigError> {
+    let mut file = json!({
+        "listen": "127.0.0.1:1", "discovery": "127.0.0.1:2", "peer_listen": "127.0.0.1:3",
+        "peers": ["127.0.0.1:3", "127.0.0.1:4", "127.0.0.1:5"],
+        "settings": {"Balancers": 3, "Position": 1, "Tick": 1.0, "RegistryMode": "subscribe", "Services": [],
+            "PolicyLimits": {"MaxAttempts": 3, "PeerMessages": true},
+            "Safety": {"Cold": 0.0, "ColdFrom": 1.0, "FallMultiple": 1.0, "TipAfter": 0.0}}
+    });
+    change(&mut file);
+    let variable = |name: &str| fleet.filter(|_| name == "LB_FLEET").map(str::to_string);
+    Config::parse("config.json", file.to_string().as_bytes(), variable)
+}
+
+fn cluster(change: impl Fn(&mut Value), fleet: Option<&str>) -> Option<ClusterConfig> {
+    parsed(change, fleet).unwrap_or_else(|e| panic!("{e}")).cluster
+}
+
+#[test]
+fn cluster_is_configured_where_messages_are_allowed_and_it_is_not_switched_off() {
+    let config = cluster(|_| {}, None).expect("a cluster");
+    assert_eq!((config.position, config.peers.len(), config.listen.port()), (1, 3, 3));
+    assert_eq!(
+        cluster(|f| f["settings"]["PolicyLimits"]["PeerMessages"] = json!(false), None),
+        None
+    );
+    assert_eq!(cluster(|f| f["peers"] = json!([]), None), None);
+    for off in [json!("off"), json!(false)] {
+        assert_eq!(cluster(|f| f["fleet"] = off.clone(), None), None);
+        assert!(
+            cluster(|f| f["fleet"] = off.clone(), Some("on")).is_some(),
+            "the environment goes first"
+        );
+    }
+    assert_eq!(cluster(|_| {}, Some("off")), None);
+    let voters = cluster(|f| f["fleet"] = json!({"council": [2, 0]}), None).expect("a cluster");
+    assert_eq!(voters.voters, [2, 0]);
+}
+
+#[test]
+fn rejects_impossible_clusters_with_what_was_expected() {
+    let error = |change: &dyn Fn(&mut Value), fleet| match parsed(change, fleet) {
+        Ok(_) => panic!("it was taken"),
+        Err(cause) => cause.to_string(),
+    };
+    assert!(error(&|_| {}, Some("perhaps")).contains("LB_FLEET is \"perhaps\""));
+    assert!(error(&|f| f["peers"] = json!(["127.0.0.1:3"]), None).contains("1 addresses for 3"));
+    assert!(error(&|f| f["peers"][2] = json!("nowhere"), None).contains("peers is not an address"));
+    assert!(error(&|f| f["settings"]["Position"] = json!(3), None).contains("number 3"));
+    for voters in [json!([1, 1]), json!([3])] {
+        assert!(
+            error(&|f| f["fleet"] = json!({"council": voters}), None).contains("fleet.council")
+        );
+    }
+    assert!(error(&|f| f["fleet"] = json!({"counsel": [1]}), None).contains("fleet"));
+    // Where messages are not allowed, nothing of it is read.
+    let silent = |f: &mut Value| {
+        f["settings"]["PolicyLimits"]["PeerMessages"] = json!(false);
+        f["peers"] = json!(["nowhere"]);
+    };
+    assert_eq!(cluster(silent, Some("perhaps")), None);
+}
