--- /dev/null
+++ b/crates/gateway/src/restored_list/tests.rs
@@ -0,0 +1,48 @@
+//! Which of two lists applies, and how far an old one does.
+
+use serde_json::json;
+
+use super::*;
+
+const MINUTE: Duration = Duration::from_secs(60);
+const NOW: Duration = Duration::from_secs(1_000_000);
+
+fn list(revision: u64, members: &[(&str, &str)]) -> List {
+    let entry = |(id, phase): &(&str, &str)| json!({"id": id, "phase": phase, "up_since_ms": 7.0});
+    let members: Vec<_> = members.iter().map(entry).collect();
+    serde_json::from_value(json!({"revision": revision, "members": members})).expect("a list")
+}
+
+fn since(of: &RestoredList) -> Vec<f64> {
+    of.list.members.iter().map(|m| m.up_since_ms).collect()
+}
+
+#[test]
+fn newer_of_two_lists_applies_and_of_equal_ones_the_configurations() {
+    let known = list(5, &[("a", "SERVING")]);
+    for (revision, applies) in [(4, false), (5, false), (6, true)] {
+        let stored = list(revision, &[("a", "DRAINING")]);
+        assert_eq!(restored_list(&stored, &known, MINUTE, NOW).is_some(), applies, "{revision}");
+    }
+    let stored = list(0, &[("a", "SERVING")]);
+    assert!(restored_list(&stored, &List::default(), MINUTE, NOW).is_some(), "the only one");
+}
+
+#[test]
+fn recent_list_applies_complete_under_the_version_of_the_configurations() {
+    let (stored, known) =
+        (list(9, &[("a", "DRAINING"), ("b", "SERVING")]), list(5, &[("c", "SERVING")]));
+    let recent = restored_list(&stored, &known, 10 * MINUTE, NOW).expect("it applies");
+    assert!(recent.whole && recent.list.revision == 5, "{recent:?}");
+    assert_eq!(since(&recent), [7.0, 7.0]);
+}
+
+#[test]
+fn old_list_takes_upstreams_out_and_warms_newcomers_up() {
+    let stored = list(9, &[("a", "DRAINING"), ("b", "SERVING"), ("c", "SERVING")]);
+    let known = list(5, &[("a", "SERVING"), ("c", "SERVING"), ("d", "SERVING")]);
+    let old = restored_list(&stored, &known, 11 * MINUTE, NOW).expect("it applies");
+    assert!(!old.whole);
+    assert_eq!(since(&old), [7.0, 1e9, 7.0], "only `b` is warmed up");
+    assert!(restored_list(&stored, &known, 31 * 24 * 60 * MINUTE, NOW).is_none());
+}
