--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon as a program; see the library.
+//! The daemon as a program; the library does everything.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
