--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -4,6 +4,7 @@
 //! what it says; only the engine touches the module.
 #![forbid(unsafe_code)]
 
+mod admin;
 mod attempt;
 mod bodies;
 mod cancellation;
@@ -25,7 +26,6 @@
 #[doc(hidden)] // for the measurements in `tests/list_memory.rs`
 pub mod membership;
 mod names;
-mod operators;
 mod response_body;
 mod restored_list;
 mod send_guard;
@@ -43,8 +43,8 @@
 pub mod update_queue;
 mod upstreams;
 
+pub use admin::OperatorAccess;
 pub use config::{Config, ConfigError};
 pub use engine::EngineError;
-pub use operators::Operating;
 pub use serve::{Provided, ServeError, serve};
-pub use state_store::{Keep, Kept};
+pub use state_store::{StateSaver, StoredState};
