--- a/crates/sessions/src/claims.rs
+++ b/crates/sessions/src/claims.rs
@@ -28,9 +28,11 @@
     /// Claims a session, or lets one more balancer wait for a claim under way.
     pub(crate) fn claim(&mut self, session: SessionId, waiter: Option<Waiter>, ctx: &mut Context) {
         if let Some(claim) = self.claims.get_mut(&session) {
-            claim
-                .waiters
-                .extend(waiter.filter(|waiter| claim_has_room_for(&claim.waiters, waiter)));
+            if let Some(waiter) = waiter
+                && has_room_for(&claim.waiters, &waiter)
+            {
+                claim.waiters.push(waiter);
+            }
             return;
         }
         if self.claims.len() >= self.config.max_claims {
@@ -264,7 +266,7 @@
 }
 
 /// Whether a balancer can be added to those that wait for a claim: each request waits once.
-fn claim_has_room_for(waiters: &[Waiter], new: &Waiter) -> bool {
+fn has_room_for(waiters: &[Waiter], new: &Waiter) -> bool {
     let is_same = |waiter: &Waiter| (waiter.from, waiter.number) == (new.from, new.number);
     waiters.len() < MAX_WAITERS && !waiters.iter().any(is_same)
 }
