--- a/crates/consensus/src/dispatch.rs
+++ b/crates/consensus/src/dispatch.rs
@@ -106,19 +106,19 @@
         message: &Message,
         actions: &mut Vec<Action>,
     ) -> bool {
-        let told = &message.incarnation_counts;
-        let senders = told.get(&from).copied().unwrap_or(0);
-        if message.body.is_promise() && senders < self.incarnation_count(from) {
+        let reported = &message.incarnation_counts;
+        let reported_sender = reported.get(&from).copied().unwrap_or(0);
+        if message.body.is_promise() && reported_sender < self.incarnation_count(from) {
             return false;
         }
         let own = self.own_incarnation_count();
-        for (node, count) in told {
+        for (node, count) in reported {
             self.merge_incarnation(*node, *count);
         }
         let has_state = self.recovery.is_none() && self.status != ReplicaStatus::Mute;
-        let told_of_us = told.get(&self.config.node_id).copied().unwrap_or(0);
-        if has_state && told_of_us > own {
-            self.incarnation_counts.insert(self.config.node_id, told_of_us);
+        let reported_own = reported.get(&self.config.node_id).copied().unwrap_or(0);
+        if has_state && reported_own > own {
+            self.incarnation_counts.insert(self.config.node_id, reported_own);
             self.lose_state(
                 "the others know another life of it: an old directory, or two processes",
                 actions,
--- a/crates/consensus/src/epoch_bootstrap.rs
+++ b/crates/consensus/src/epoch_bootstrap.rs
@@ -30,11 +30,14 @@
     pub(crate) fn consider_bootstrap(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let Some(recovery) = &self.recovery else { return };
-        let lost = self.voters_without_state(recovery);
-        let last_loss = recovery.last_loss_of(&lost);
+        let without_state = self.voters_without_state(recovery);
+        let last_loss = recovery.last_loss_of(&without_state);
         // Each must have been asked again after the last of them was known to have lost its state.
-        let confirmed: Vec<NodeId> =
-            lost.into_iter().filter(|node| recovery.confirms_loss(*node, last_loss)).collect();
+        let confirmed: Vec<NodeId> = without_state
+            .into_iter()
+            .filter(|node| recovery.confirms_loss(*node, last_loss))
+            .collect();
+        // This node has lost its state, too, and is among the remaining ones.
         let remaining = self.voter_set.voters.len().saturating_sub(confirmed.len());
         if remaining > self.voter_set.majority() {
             return;
@@ -80,10 +83,10 @@
     pub(crate) fn may_join_bootstrap(&self, candidate: NodeId, view: View) -> bool {
         let Some(recovery) = &self.recovery else { return self.state_lost };
         let reports = &recovery.reports;
-        let has_asked =
+        let has_queried =
             self.has_passed(recovery.began_at, MIN_QUERY_TIME) && recovery.begun.is_none();
         let answered = reports.keys().chain([&self.config.node_id]);
-        has_asked
+        has_queried
             && self.voter_set.is_majority(answered)
             && reports.contains_key(&candidate)
             && reports.values().all(|report| report.view < view)
--- a/crates/consensus/src/heartbeat.rs
+++ b/crates/consensus/src/heartbeat.rs
@@ -32,7 +32,7 @@
 
 impl Replica {
     pub(crate) fn is_connected(&self, peer: &PeerState) -> bool {
-        self.now.saturating_sub(peer.heard_at) < PEER_TIMEOUT
+        self.now.saturating_sub(peer.last_heartbeat_at) < PEER_TIMEOUT
     }
 
     /// Whether it is connected to no leader: only then it begins a view, or takes part in another's.
@@ -98,7 +98,7 @@
             return;
         }
         if !self.voter_set.has(from) {
-            self.tell_removed_voter(from, heartbeat, actions);
+            self.notify_removed_voter(from, heartbeat, actions);
             return;
         }
         self.track_peer(from, view, heartbeat);
@@ -115,15 +115,20 @@
 
     /// Whether a leader tells that this node was removed while it was disconnected.
     fn is_removed_by(&self, view: View, heartbeat: &Heartbeat) -> bool {
-        let told = &heartbeat.voter_set;
-        told.changed_at > self.voter_set.changed_at
-            && !told.voters.contains(&self.config.node_id)
+        let reported = &heartbeat.voter_set;
+        reported.changed_at > self.voter_set.changed_at
+            && !reported.voters.contains(&self.config.node_id)
             && heartbeat.is_leader
             && view >= self.view
     }
 
     /// A leader tells a node that still takes itself for a voter that it is none.
-    fn tell_removed_voter(&mut self, to: NodeId, heartbeat: &Heartbeat, actions: &mut Vec<Action>) {
+    fn notify_removed_voter(
+        &mut self,
+        to: NodeId,
+        heartbeat: &Heartbeat,
+        actions: &mut Vec<Action>,
+    ) {
         if self.leadership.is_none() || heartbeat.status == ReplicaStatus::Outside {
             return;
         }
@@ -140,10 +145,10 @@
     fn track_peer(&mut self, from: NodeId, view: View, heartbeat: &Heartbeat) {
         let known = self.peers.get(&from).map_or(0, |peer| peer.persisted);
         let peer = PeerState {
-            heard_at: self.now,
+            last_heartbeat_at: self.now,
             view,
             status: heartbeat.status,
-            hears_us: heartbeat.connected.contains(&self.config.node_id),
+            receives_from_us: heartbeat.connected.contains(&self.config.node_id),
             is_leader: heartbeat.is_leader,
             is_leaderless: heartbeat.is_leaderless,
             persisted: known.max(heartbeat.persisted),
--- a/crates/consensus/src/learner.rs
+++ b/crates/consensus/src/learner.rs
@@ -65,7 +65,7 @@
     /// When the source was chosen.
     source_since: Duration,
     /// When the source last sent something.
-    source_heard_at: Duration,
+    source_active_at: Duration,
     polled_at: Option<Duration>,
     /// The source has entries that were requested and have not arrived.
     is_behind: bool,
@@ -101,7 +101,7 @@
             source: None,
             source_changes: 0,
             source_since: now,
-            source_heard_at: now,
+            source_active_at: now,
             polled_at: None,
             is_behind: false,
             snapshot: SnapshotAssembly::default(),
--- a/crates/consensus/src/learner/learning.rs
+++ b/crates/consensus/src/learner/learning.rs
@@ -105,7 +105,7 @@
 
     /// Takes over what the source knows of the leader and the voters.
     fn learn_from_source(&mut self, update: &Update, actions: &mut Vec<LearnerAction>) {
-        self.source_heard_at = self.now;
+        self.source_active_at = self.now;
         let age = Duration::from_millis(u64::from(update.leader_age_ms));
         self.leader_seen_at = self.leader_seen_at.max(self.now.checked_sub(age));
         if self.is_replica_connected || !update.has_recent_leader() {
--- a/crates/consensus/src/learner/source.rs
+++ b/crates/consensus/src/learner/source.rs
@@ -60,7 +60,7 @@
             return;
         }
         self.source = source;
-        self.source_heard_at = self.now;
+        self.source_active_at = self.now;
         self.source_since = self.now;
         self.polled_at = None;
         actions.push(LearnerAction::Source(source));
@@ -81,7 +81,7 @@
         candidates.retain(|node| !self.children.contains_key(node));
         let chosen = self.sample(candidates.len());
         let next = candidates.get(chosen).copied().or(self.source);
-        self.source_heard_at = self.now;
+        self.source_active_at = self.now;
         self.source_since = self.now;
         self.set_source(next, actions);
     }
@@ -102,7 +102,7 @@
             self.set_source(None, actions);
             return;
         }
-        let is_silent = self.has_passed(self.source_heard_at, SOURCE_TIMEOUT);
+        let is_silent = self.has_passed(self.source_active_at, SOURCE_TIMEOUT);
         let is_stale = !self.is_replica_connected
             && self.has_passed(self.source_since, MAX_LEADER_AGE)
             && self.leader_age_ms() > MAX_LEADER_AGE.as_millis() as u32;
--- a/crates/consensus/src/recovery.rs
+++ b/crates/consensus/src/recovery.rs
@@ -69,7 +69,7 @@
         }
         let (nonce, has_begun) = (recovery.nonce, recovery.begun.is_some());
         if !recovery.has_directory && !has_begun {
-            self.ask_learners(nonce, actions);
+            self.query_learners(nonce, actions);
         }
         let asked_at_ms = now.as_millis() as u64;
         self.broadcast(&MessageBody::StatusRequest { nonce, asked_at_ms }, actions);
@@ -80,7 +80,7 @@
     }
 
     /// Asks the next learners for their copies of the log.
-    fn ask_learners(&mut self, nonce: u64, actions: &mut Vec<Action>) {
+    fn query_learners(&mut self, nonce: u64, actions: &mut Vec<Action>) {
         let cluster = self.config.cluster;
         let Some(recovery) = &mut self.recovery else { return };
         let first = recovery.next_learner;
--- a/crates/consensus/src/replica_state.rs
+++ b/crates/consensus/src/replica_state.rs
@@ -11,11 +11,11 @@
 /// What the last heartbeat of another voter told.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PeerState {
-    pub(crate) heard_at: Duration,
+    pub(crate) last_heartbeat_at: Duration,
     pub(crate) view: View,
     pub(crate) status: ReplicaStatus,
     /// It receives this node's heartbeats.
-    pub(crate) hears_us: bool,
+    pub(crate) receives_from_us: bool,
     pub(crate) is_leader: bool,
     pub(crate) is_leaderless: bool,
     /// Number of its last record on disk.
--- a/crates/consensus/src/view_change.rs
+++ b/crates/consensus/src/view_change.rs
@@ -27,7 +27,7 @@
             self.voter_set.voters.contains(node)
                 && *node != node_id
                 && matches!(peer.status, ReplicaStatus::Normal | ReplicaStatus::Changing)
-                && peer.hears_us
+                && peer.receives_from_us
                 && self.is_connected(peer)
                 && peer.is_leaderless
         };
--- a/crates/consensus/tests/agreement.rs
+++ b/crates/consensus/tests/agreement.rs
@@ -61,7 +61,7 @@
                     vec![simulation.sample_below(256) as u8; simulation.sample_below(20) as usize];
                 let id = simulation.propose(at, bytes.clone());
                 // A proposer without an answer repeats the proposal, at the same node or another.
-                if simulation.chance(0.3) {
+                if simulation.happens(0.3) {
                     let other = simulation.sample_below(u64::from(size)) as u16;
                     simulation.repeat(other, id, bytes);
                 }
--- a/crates/consensus/tests/incarnations.rs
+++ b/crates/consensus/tests/incarnations.rs
@@ -47,7 +47,7 @@
         self.now += 25;
         self.replica.handle(ms(self.now), Event::Tick, &mut self.actions);
     }
-    fn said(&self, which: impl Fn(&MessageBody) -> bool) -> bool {
+    fn has_sent(&self, which: impl Fn(&MessageBody) -> bool) -> bool {
         self.actions
             .iter()
             .any(|a| matches!(a, Action::Send { message, .. } if which(&message.body)))
@@ -79,7 +79,7 @@
             one.receive(*other, view, &[], MessageBody::Heartbeat(hello));
         }
     }
-    assert!(one.said(|s| matches!(s, MessageBody::StartViewChange { .. })) && !one.leads());
+    assert!(one.has_sent(|s| matches!(s, MessageBody::StartViewChange { .. })) && !one.leads());
     let join =
         MessageBody::DoViewChange { last_normal_view: view, op: 0, commit: 0, state_lost: false };
     (one, others, join)
@@ -152,7 +152,7 @@
     // The incarnation counts that are known: some voters may have restarted while the cluster settled.
     let incarnations: Vec<(NodeId, u32)> = incarnation_counts.into_iter().collect();
     let voter_set = one.replica.members().clone();
-    let told = MessageBody::StatusResponse {
+    let status_response = MessageBody::StatusResponse {
         nonce,
         asked_at_ms: one.now,
         status: ReplicaStatus::Normal,
@@ -162,19 +162,19 @@
         voter_set,
     };
     for from in others.iter().chain([&view.leader]) {
-        one.receive(*from, view, &incarnations, told.clone());
+        one.receive(*from, view, &incarnations, status_response.clone());
     }
     one.now += 100;
     one.tick();
-    assert!(one.said(|s| matches!(s, MessageBody::Recovery { .. })));
-    let fetches = |one: &SingleReplica| one.said(|s| matches!(s, MessageBody::GetState { .. }));
+    assert!(one.has_sent(|s| matches!(s, MessageBody::Recovery { .. })));
+    let fetches = |one: &SingleReplica| one.has_sent(|s| matches!(s, MessageBody::GetState { .. }));
     let later = View { number: view.number + 1, leader: others[0], ..view };
     let recovered = |is_leader| MessageBody::RecoveryResponse { nonce, op: 0, is_leader };
     one.receive(view.leader, view, &incarnations, recovered(true));
     assert!(!fetches(&one), "one of five may not know");
     one.receive(others[1], later, &incarnations, recovered(false));
     one.receive(others[2], view, &incarnations, recovered(false));
-    assert!(!fetches(&one), "a later view is known, and its leader has not said what stands");
+    assert!(!fetches(&one), "a later view is known, and its leader has not told which view stands");
     one.receive(others[0], later, &incarnations, recovered(true));
     assert!(fetches(&one));
     assert_eq!(one.replica.view(), later);
--- a/crates/consensus/tests/learners.rs
+++ b/crates/consensus/tests/learners.rs
@@ -149,7 +149,7 @@
             })
             .collect();
         simulation.for_ms(30 * seed);
-        let told: Vec<ProposalId> =
+        let acknowledged_ids: Vec<ProposalId> =
             ids.into_iter().filter(|id| simulation.acknowledged.contains_key(id)).collect();
         FIVE.iter().for_each(|m| simulation.crash(*m));
         FIVE.iter().for_each(|m| simulation.start_after(*m, ms(50)));
@@ -162,11 +162,11 @@
         );
         simulation.for_ms(1500);
         settle(&mut simulation, 5000);
-        let kept: Vec<ProposalId> =
+        let recovered_ids: Vec<ProposalId> =
             simulation.nodes[0].copy.ids.iter().map(|(_, id)| *id).collect();
-        for id in told {
+        for id in acknowledged_ids {
             assert!(
-                kept.contains(&id),
+                recovered_ids.contains(&id),
                 "seed {seed}: a yes to {id:?} is lost, and learners had it"
             );
         }
--- a/crates/consensus/tests/messages.rs
+++ b/crates/consensus/tests/messages.rs
@@ -78,7 +78,7 @@
     for tick in 0..500 {
         learner.handle(ms(tick * 25), LearnerEvent::Tick, &mut actions);
     }
-    let told: Vec<_> = actions
+    let answered: Vec<_> = actions
         .iter()
         .filter_map(|a| match a {
             hollowpaddle_consensus::LearnerAction::Answered { id, outcome } => {
@@ -87,7 +87,7 @@
             _ => None,
         })
         .collect();
-    assert_eq!(told, [(1, ProposalOutcome::Never), (2, ProposalOutcome::Unknown)]);
+    assert_eq!(answered, [(1, ProposalOutcome::Never), (2, ProposalOutcome::Unknown)]);
 }
 
 #[test]
@@ -218,7 +218,7 @@
         &mut actions,
     );
     assert_eq!(learner.at(), LogIndex::new(9, 5));
-    let news = MessageBody::News {
+    let update = MessageBody::News {
         index: LogIndex::new(5, 80),
         leader: Some(NodeId(0)),
         voter_set: VoterSet::of([NodeId(0)]),
@@ -228,12 +228,12 @@
     let event = LearnerEvent::Message {
         from: NodeId(0),
         incarnation: Incarnation(1),
-        message: message(news),
+        message: message(update),
     };
     learner.handle(ms(10), event, &mut actions);
-    let tells = |a: &LearnerAction| {
+    let reports_own_epoch = |a: &LearnerAction| {
         matches!(a, LearnerAction::Send { to: NodeId(0), message }
             if matches!(message.body, MessageBody::LearnerStatusResponse { index, .. } if index == LogIndex::new(9, 5)))
     };
-    assert!(actions.iter().any(tells));
+    assert!(actions.iter().any(reports_own_epoch));
 }
--- a/crates/consensus/tests/simulation/mod.rs
+++ b/crates/consensus/tests/simulation/mod.rs
@@ -50,33 +50,33 @@
 #[derive(Default)]
 pub struct Files {
     now: Bytes,
-    kept: Bytes,
+    synced: Bytes,
 }
 
 impl SimulatedDisk {
-    /// Ends the machine: the random number `chance` decides what remains of what was not synced.
-    pub fn end(&self, chance: u64) {
+    /// Ends the machine: the random number `randomness` decides what remains of what was not synced.
+    pub fn end(&self, randomness: u64) {
         let mut files = self.0.lock().unwrap();
-        if chance & 1 == 0 {
-            files.now = files.kept.clone();
+        if randomness & 1 == 0 {
+            files.now = files.synced.clone();
         }
-        files.kept = files.now.clone();
+        files.synced = files.now.clone();
         for file in files.now.values() {
             let mut file = file.lock().unwrap();
-            let (now, kept) = (file.0.clone(), file.1.clone());
-            let common = now.iter().zip(&kept).take_while(|(a, b)| a == b).count();
+            let (now, synced) = (file.0.clone(), file.1.clone());
+            let common = now.iter().zip(&synced).take_while(|(a, b)| a == b).count();
             let rest = now.len().saturating_sub(common);
             // Appended and not synced: some of it remains, and some of that as zeros.
-            file.0 = if common == kept.len() {
-                let some = if rest == 0 { 0 } else { (chance >> 8) as usize % (rest + 1) };
+            file.0 = if common == synced.len() {
+                let some = if rest == 0 { 0 } else { (randomness >> 8) as usize % (rest + 1) };
                 let mut torn = now[..common + some].to_vec();
-                if chance & 2 == 0 && some > 4 {
+                if randomness & 2 == 0 && some > 4 {
                     let end = torn.len();
                     torn[end - 4..].fill(0);
                 }
                 torn
             } else {
-                kept
+                synced
             };
             file.1 = file.0.clone();
         }
@@ -94,7 +94,7 @@
         let file = Arc::new(Mutex::new((bytes.clone(), bytes)));
         let mut files = self.0.lock().unwrap();
         files.now.insert("council.log".into(), file.clone());
-        files.kept.insert("council.log".into(), file);
+        files.synced.insert("council.log".into(), file);
     }
     fn file(&self, name: &str) -> io::Result<Content> {
         let files = self.0.lock().unwrap();
@@ -136,7 +136,7 @@
     }
     fn sync_names(&self) -> io::Result<()> {
         let mut files = self.0.lock().unwrap();
-        files.kept = files.now.clone();
+        files.synced = files.now.clone();
         Ok(())
     }
     fn place(&self, name: &str) -> String {
@@ -299,7 +299,7 @@
         self.queue.push(Reverse((at, self.seq, what)));
     }
 
-    pub fn chance(&mut self, share: f64) -> bool {
+    pub fn happens(&mut self, share: f64) -> bool {
         self.rng.rand_float() < share
     }
     pub fn sample_below(&mut self, n: u64) -> u64 {
@@ -478,9 +478,9 @@
     }
 
     fn check_committed(&mut self, index: LogIndex, entry: &Entry) {
-        let said = (entry.id, digest(&entry.what));
-        let known = self.committed.entry(index).or_insert(said);
-        assert_eq!(*known, said, "two entries at {index}");
+        let proposed_entry = (entry.id, digest(&entry.what));
+        let known = self.committed.entry(index).or_insert(proposed_entry);
+        assert_eq!(*known, proposed_entry, "two entries at {index}");
     }
 
     fn carry_out(&mut self, who: u16, action: Action) {
@@ -495,7 +495,7 @@
             );
         }
         if self.trace {
-            let told = match &action {
+            let description = match &action {
                 Action::Send { to, message } => match &message.body {
                     MessageBody::StartViewChange { is_bootstrap, .. } => {
                         format!("begin {:?} {is_bootstrap} to {to:?}", message.view)
@@ -513,9 +513,9 @@
                 Action::Committed { .. } | Action::Persist { .. } => String::new(),
                 other => format!("{other:?}"),
             };
-            if !told.is_empty() {
+            if !description.is_empty() {
                 let status = self.nodes[who as usize].replica.as_ref().map(|c| c.status());
-                eprintln!("{:>6} {who} {status:?}: {told:.150}", now.as_millis());
+                eprintln!("{:>6} {who} {status:?}: {description:.150}", now.as_millis());
             }
         }
         match action {
@@ -624,7 +624,7 @@
                 self.longest_frequent_message = self.longest_frequent_message.max(bytes.len());
             }
         }
-        if self.cuts.contains(&(from, to)) && from != to || self.chance(self.loss) {
+        if self.cuts.contains(&(from, to)) && from != to || self.happens(self.loss) {
             return;
         }
         if message.body.channel() == Channel::Log {
@@ -643,7 +643,7 @@
             }
             sent.1 += message.encode().map_or(0, |b| b.len() as u64);
         }
-        let late = if self.late && self.chance(0.1) { self.sample_below(300) } else { 0 };
+        let late = if self.late && self.happens(0.1) { self.sample_below(300) } else { 0 };
         let after = ms(1 + self.sample_below(12) + late);
         self.seq += 1;
         let key = self.seq;
--- a/crates/consensus/tests/store.rs
+++ b/crates/consensus/tests/store.rs
@@ -60,21 +60,21 @@
 
 /// Writes all records, two for each sync. Returns the last acknowledged record, and how the writing ended.
 fn write(disk: &SimulatedDisk, points: &Points) -> (u64, Result<(), StoreError>) {
-    let mut told = 0;
+    let mut acknowledged = 0;
     let mut run = || {
         let (mut store, found) = Store::open(disk.clone(), points.clone(), 7, NodeId(1))?;
         let from = found.durable.written;
         for (number, record) in (1..).zip(records()).skip(from as usize) {
             store.append(number, &record)?;
             if number % 2 == 0 {
-                told = told.max(store.sync()?);
+                acknowledged = acknowledged.max(store.sync()?);
             }
         }
-        told = told.max(store.sync()?);
+        acknowledged = acknowledged.max(store.sync()?);
         Ok(())
     };
     let done = run();
-    (told, done)
+    (acknowledged, done)
 }
 
 fn model(through: u64) -> DurableState {
@@ -97,19 +97,22 @@
     let mut runs = 0;
     for (number, (kind, name)) in (1..).zip(&steps) {
         for fault in kind.faults() {
-            for chance in 0..3 {
+            for randomness in 0..3 {
                 runs += 1;
                 let disk = SimulatedDisk::default();
-                let (told, done) = write(&disk, &Points::armed(Plan::one(number, *fault)));
+                let (acknowledged, done) = write(&disk, &Points::armed(Plan::one(number, *fault)));
                 let fine = matches!(fault, Fault::Lie | Fault::Pause);
                 assert_eq!(done.is_ok(), fine, "{fault:?} at {name}");
-                disk.end(chance * 77_777 + chance);
+                disk.end(randomness * 77_777 + randomness);
                 let (mut store, found) = Store::open(disk.clone(), Points::none(), 7, NodeId(1))
                     .expect("it is well again");
-                let what = format!("{fault:?} at point {number}, {name}, chance {chance}");
+                let what = format!("{fault:?} at point {number}, {name}, chance {randomness}");
                 let written = found.durable.written;
                 // What a lying sync lost is detected by asking the peers: see the tests with a cluster.
-                assert!(written >= told || *fault == Fault::Lie, "{what}: {written} of {told}");
+                assert!(
+                    written >= acknowledged || *fault == Fault::Lie,
+                    "{what}: {written} of {acknowledged}"
+                );
                 let known = model(written);
                 assert_eq!(found.durable.state, known.state, "{what}");
                 // Writing continues from the last record.
@@ -180,7 +183,9 @@
     write(&written, &Points::none()).1.expect("written");
     let torn = written.copy()[..written.copy().len() - 9].to_vec();
     let foreign = [b"something else".as_slice(), &torn].concat();
-    for (bytes, kept) in [(torn, records().len() as u64 - 1), (foreign, 0), (Vec::new(), 0)] {
+    for (bytes, intact_records) in
+        [(torn, records().len() as u64 - 1), (foreign, 0), (Vec::new(), 0)]
+    {
         let open = |plan: Plan| {
             let disk = SimulatedDisk::default();
             disk.put(bytes.clone());
@@ -195,7 +200,7 @@
                 let (_, found) =
                     Store::open(disk, Points::none(), 7, NodeId(1)).expect("well again");
                 let what = format!("{fault:?} at {}", passed.name);
-                assert_eq!(found.durable.state, model(kept).state, "{what}");
+                assert_eq!(found.durable.state, model(intact_records).state, "{what}");
             }
         }
     }
