--- a/crates/consensus/tests/simulation/mod.rs
+++ b/crates/consensus/tests/simulation/mod.rs
@@ -2,14 +2,15 @@
 //! shares no code with it.
 #![allow(dead_code, reason = "each test uses its part")]
 
+mod disk;
+
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::io;
-use std::sync::{Arc, Mutex};
 use std::time::Duration;
 
 use hollowpaddle_consensus::{
-    Action, Disk, DurableState, Entry, EntryPayload, Event, Learner, LearnerAction, LearnerConfig,
+    Action, DurableState, Entry, EntryPayload, Event, Learner, LearnerAction, LearnerConfig,
     LearnerEvent, LogIndex, Message, MessageBody, ProposalId, ProposalOutcome, Replica,
     ReplicaConfig, ReplicaStatus, Store, StoreError, View, VoterSet,
 };
@@ -17,6 +18,8 @@
 use hollowpaddle_peer_transport::{Channel, Incarnation, NodeId};
 use oorandom::Rand64;
 
+pub use disk::SimulatedDisk;
+
 pub const fn ms(ms: u64) -> Duration {
     Duration::from_millis(ms)
 }
@@ -38,112 +41,6 @@
     pub at: u64,
 }
 
-/// A disk in memory: what was written and not synced may be lost, or a part of it, when the process ends.
-#[derive(Clone, Default)]
-pub struct SimulatedDisk(pub Arc<Mutex<Files>>);
-
-/// The content of a file, and what of it is synced.
-type Content = Arc<Mutex<(Vec<u8>, Vec<u8>)>>;
-type Bytes = BTreeMap<String, Content>;
-
-/// The names of files, and what of them is synced.
-#[derive(Default)]
-pub struct Files {
-    now: Bytes,
-    kept: Bytes,
-}
-
-impl SimulatedDisk {
-    /// Ends the machine: the random number `chance` decides what remains of what was not synced.
-    pub fn end(&self, chance: u64) {
-        let mut files = self.0.lock().unwrap();
-        if chance & 1 == 0 {
-            files.now = files.kept.clone();
-        }
-        files.kept = files.now.clone();
-        for file in files.now.values() {
-            let mut file = file.lock().unwrap();
-            let (now, kept) = (file.0.clone(), file.1.clone());
-            let common = now.iter().zip(&kept).take_while(|(a, b)| a == b).count();
-            let rest = now.len().saturating_sub(common);
-            // Appended and not synced: some of it remains, and some of that as zeros.
-            file.0 = if common == kept.len() {
-                let some = if rest == 0 { 0 } else { (chance >> 8) as usize % (rest + 1) };
-                let mut torn = now[..common + some].to_vec();
-                if chance & 2 == 0 && some > 4 {
-                    let end = torn.len();
-                    torn[end - 4..].fill(0);
-                }
-                torn
-            } else {
-                kept
-            };
-            file.1 = file.0.clone();
-        }
-    }
-    /// Whether it holds no complete record.
-    pub fn is_small(&self) -> bool {
-        let files = self.0.lock().unwrap();
-        files.now.get("council.log").is_none_or(|f| f.lock().unwrap().0.len() <= 120)
-    }
-    pub fn copy(&self) -> Vec<u8> {
-        let files = self.0.lock().unwrap();
-        files.now.get("council.log").map_or_else(Vec::new, |f| f.lock().unwrap().0.clone())
-    }
-    pub fn put(&self, bytes: Vec<u8>) {
-        let file = Arc::new(Mutex::new((bytes.clone(), bytes)));
-        let mut files = self.0.lock().unwrap();
-        files.now.insert("council.log".into(), file.clone());
-        files.kept.insert("council.log".into(), file);
-    }
-    fn file(&self, name: &str) -> io::Result<Content> {
-        let files = self.0.lock().unwrap();
-        files.now.get(name).cloned().ok_or_else(|| io::ErrorKind::NotFound.into())
-    }
-}
-
-impl Disk for SimulatedDisk {
-    fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>> {
-        let file = self.file(name)?;
-        let bytes = &file.lock().unwrap().0;
-        Ok(bytes[..bytes.len().min(most as usize)].to_vec())
-    }
-    fn write(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let file = Arc::new(Mutex::new((bytes.to_vec(), Vec::new())));
-        self.0.lock().unwrap().now.insert(name.into(), file);
-        Ok(())
-    }
-    fn append(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        self.file(name)?.lock().unwrap().0.extend_from_slice(bytes);
-        Ok(())
-    }
-    fn truncate(&self, name: &str, length: u64) -> io::Result<()> {
-        self.file(name)?.lock().unwrap().0.truncate(length as usize);
-        Ok(())
-    }
-    fn sync(&self, name: &str) -> io::Result<()> {
-        let file = self.file(name)?;
-        let mut file = file.lock().unwrap();
-        file.1 = file.0.clone();
-        Ok(())
-    }
-    fn rename(&self, from: &str, to: &str) -> io::Result<()> {
-        let file = self.file(from)?;
-        let mut files = self.0.lock().unwrap();
-        files.now.remove(from);
-        files.now.insert(to.into(), file);
-        Ok(())
-    }
-    fn sync_names(&self) -> io::Result<()> {
-        let mut files = self.0.lock().unwrap();
-        files.kept = files.now.clone();
-        Ok(())
-    }
-    fn place(&self, name: &str) -> String {
-        name.into()
-    }
-}
-
 pub struct Node {
     pub replica: Option<Replica>,
     pub learner: Option<Learner>,
@@ -299,7 +196,7 @@
         self.queue.push(Reverse((at, self.seq, what)));
     }
 
-    pub fn chance(&mut self, share: f64) -> bool {
+    pub fn happens(&mut self, share: f64) -> bool {
         self.rng.rand_float() < share
     }
     pub fn sample_below(&mut self, n: u64) -> u64 {
@@ -478,9 +375,9 @@
     }
 
     fn check_committed(&mut self, index: LogIndex, entry: &Entry) {
-        let said = (entry.id, digest(&entry.what));
-        let known = self.committed.entry(index).or_insert(said);
-        assert_eq!(*known, said, "two entries at {index}");
+        let proposed_entry = (entry.id, digest(&entry.what));
+        let known = self.committed.entry(index).or_insert(proposed_entry);
+        assert_eq!(*known, proposed_entry, "two entries at {index}");
     }
 
     fn carry_out(&mut self, who: u16, action: Action) {
@@ -495,7 +392,7 @@
             );
         }
         if self.trace {
-            let told = match &action {
+            let description = match &action {
                 Action::Send { to, message } => match &message.body {
                     MessageBody::StartViewChange { is_bootstrap, .. } => {
                         format!("begin {:?} {is_bootstrap} to {to:?}", message.view)
@@ -513,9 +410,9 @@
                 Action::Committed { .. } | Action::Persist { .. } => String::new(),
                 other => format!("{other:?}"),
             };
-            if !told.is_empty() {
+            if !description.is_empty() {
                 let status = self.nodes[who as usize].replica.as_ref().map(|c| c.status());
-                eprintln!("{:>6} {who} {status:?}: {told:.150}", now.as_millis());
+                eprintln!("{:>6} {who} {status:?}: {description:.150}", now.as_millis());
             }
         }
         match action {
@@ -624,7 +521,7 @@
                 self.longest_frequent_message = self.longest_frequent_message.max(bytes.len());
             }
         }
-        if self.cuts.contains(&(from, to)) && from != to || self.chance(self.loss) {
+        if self.cuts.contains(&(from, to)) && from != to || self.happens(self.loss) {
             return;
         }
         if message.body.channel() == Channel::Log {
@@ -643,7 +540,7 @@
             }
             sent.1 += message.encode().map_or(0, |b| b.len() as u64);
         }
-        let late = if self.late && self.chance(0.1) { self.sample_below(300) } else { 0 };
+        let late = if self.late && self.happens(0.1) { self.sample_below(300) } else { 0 };
         let after = ms(1 + self.sample_below(12) + late);
         self.seq += 1;
         let key = self.seq;
