--- a/crates/ordered-collections/src/ring.rs
+++ b/crates/ordered-collections/src/ring.rs
@@ -11,7 +11,8 @@
     pub slot: usize,
 }
 
-/// Places in order. A few changes cost a search and a move of memory each; more cost one pass over the places.
+/// Places in order. A few changes cost a search and a move of memory each; more cost one pass over
+/// the places.
 #[derive(Clone, Debug, Default)]
 pub struct Ring {
     places: Vec<Place>,
@@ -19,7 +20,8 @@
     parts: Vec<(u32, usize)>,
 }
 
-/// Up to this many changes at once are made one by one; more are merged in one pass over the places.
+/// Up to this many changes at once are made one by one; more are merged in one pass over the
+/// places.
 const MAX_SINGLE_CHANGES: usize = 4;
 /// The table grows by at least one part in this many.
 const GROWTH_DIVISOR: usize = 8;
@@ -53,7 +55,8 @@
         self.places.binary_search(&place).ok()
     }
 
-    /// Removes places and adds others. Removing one that is not there and adding one that is has no effect.
+    /// Removes places and adds others. Removing one that is not there and adding one that is has no
+    /// effect.
     pub fn change(&mut self, removed: &[Place], added: &[Place]) {
         self.change_places(removed, added);
         self.parts.clear();
--- a/crates/ordered-collections/src/timers.rs
+++ b/crates/ordered-collections/src/timers.rs
@@ -12,8 +12,8 @@
 }
 
 impl Timers {
-    /// Sets the timer of a slot to `at`. An earlier one that is pending stays: a caller that is called too early sets
-    /// the timer again.
+    /// Sets the timer of a slot to `at`. An earlier one that is pending stays: a caller that is
+    /// called too early sets the timer again.
     pub fn set(&mut self, slot: usize, at: i64) {
         if slot >= self.pending.len() {
             self.pending.resize(slot + 1, i64::MAX);
--- a/crates/ordered-collections/src/total.rs
+++ b/crates/ordered-collections/src/total.rs
@@ -1,9 +1,11 @@
 //! An exact sum of many figures that are added, changed and removed.
 
-/// A sum in fixed point: taking away what was added leaves exactly what was there before, in any order, after any
-/// number of changes. `2^BITS` steps make one; a figure of `2^(63-BITS)` or more counts as that.
+/// A sum in fixed point: taking away what was added leaves exactly what was there before, in any
+/// order, after any number of changes. `2^BITS` steps make one; a figure of `2^(63-BITS)` or more
+/// counts as that.
 ///
-/// A floating-point sum would gather an error with each change, so that a limit that equals the sum would be missed.
+/// A floating-point sum would gather an error with each change, so that a limit that equals the sum
+/// would be missed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Total<const BITS: u32> {
     steps: i128,
--- a/crates/ordered-collections/src/tournament.rs
+++ b/crates/ordered-collections/src/tournament.rs
@@ -14,20 +14,23 @@
     /// A key that orders as `first` does, NaN like infinity.
     pub fn of(first: f64, second: u64) -> Self {
         let bits = if first.is_nan() { f64::INFINITY.to_bits() } else { first.to_bits() };
-        // With all bits of negative numbers flipped, and the sign bit of others, bits order as numbers do.
+        // With all bits of negative numbers flipped, and the sign bit of others, bits order as
+        // numbers do.
         Key(if bits >> 63 == 1 { !bits } else { bits | 1 << 63 }, second)
     }
 }
 
-/// Slots with keys, and which of them has the least. Changing a key costs O(log n), asking for the least O(1), where n
-/// is the most slots that took part at once. Slots that take no part use no memory, however high their numbers.
+/// Slots with keys, and which of them has the least. Changing a key costs O(log n), asking for the
+/// least O(1), where n is the most slots that took part at once. Slots that take no part use no
+/// memory, however high their numbers.
 #[derive(Clone, Debug, Default)]
 pub struct TournamentTree {
     /// The key of each leaf; a vacant one has [`Key::OUT`].
     keys: Vec<Key>,
     /// The slot of each leaf.
     slots: Vec<u32>,
-    /// The winning leaf of each match; that of nodes `2*i` and `2*i + 1` is at `i`, leaves begin at `keys.len()`.
+    /// The winning leaf of each match; that of nodes `2*i` and `2*i + 1` is at `i`, leaves begin at
+    /// `keys.len()`.
     tree: Vec<u32>,
     leaf_of: FxHashMap<u32, u32>,
     vacant: Vec<u32>,
--- a/crates/policy/src/attempt_tracker.rs
+++ b/crates/policy/src/attempt_tracker.rs
@@ -8,7 +8,8 @@
 
 use crate::interface::{RequestId, Span, Time};
 
-/// An attempt that may still be in flight, with what says when it is overdue: its request costs more to look up.
+/// An attempt that may still be in flight, with what says when it is overdue: its request costs
+/// more to look up.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TrackedAttempt {
     /// Its number in the order of sending; set by [`AttemptTracker::track`].
@@ -51,8 +52,8 @@
     classes: Vec<ClassAttempts>,
     /// Classes by when their first attempt may be due.
     next_due: TournamentTree,
-    /// Attempts of all classes that may be due, in the order of sending: first those that this round has not reached,
-    /// then those that it has retained.
+    /// Attempts of all classes that may be due, in the order of sending: first those that this
+    /// round has not reached, then those that it has retained.
     due: VecDeque<TrackedAttempt>,
     /// Attempts that may be due since this round began.
     newly_due: Vec<TrackedAttempt>,
@@ -92,8 +93,8 @@
         self.next_due.set(class, self.classes[class].first_due());
     }
 
-    /// Collects attempts that may be due by now for the next round, at most `limit` of each class. Those that are not
-    /// in flight any more are dropped.
+    /// Collects attempts that may be due by now for the next round, at most `limit` of each class.
+    /// Those that are not in flight any more are dropped.
     pub(crate) fn collect_due(
         &mut self,
         now: Time,
@@ -124,7 +125,8 @@
         }
     }
 
-    /// Begins a round over all attempts that may be due. Costs a merge, not a sort: they are many in a large fleet.
+    /// Begins a round over all attempts that may be due. Costs a merge, not a sort: they are many
+    /// in a large fleet.
     pub(crate) fn begin_round(&mut self) {
         // Those retained were sent before those not reached.
         self.due.rotate_left(self.remaining);
@@ -138,7 +140,8 @@
         self.remaining = self.due.len();
     }
 
-    /// The next attempt of the round, until that is over. It is tracked no more unless it is retained.
+    /// The next attempt of the round, until that is over. It is tracked no more unless it is
+    /// retained.
     pub(crate) fn next(&mut self) -> Option<TrackedAttempt> {
         self.remaining = self.remaining.checked_sub(1)?;
         self.due.pop_front()
--- a/crates/policy/src/breakers.rs
+++ b/crates/policy/src/breakers.rs
@@ -1,10 +1,12 @@
-//! Circuit breakers, which eject an upstream for a while after a fault: one for all classes, and one for each class.
+//! Circuit breakers, which eject an upstream for a while after a fault: one for all classes, and
+//! one for each class.
 //!
 //! Which outcome is a fault is for [`crate::policy`] to say.
 
 use crate::interface::{Span, Time};
 
-/// A circuit breaker: open for a pause after a fault, and for twice as long after each further fault in a row.
+/// A circuit breaker: open for a pause after a fault, and for twice as long after each further
+/// fault in a row.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Breaker {
     /// When the pause ends.
@@ -20,9 +22,11 @@
 }
 
 impl Breaker {
-    /// Takes in a fault. The first pause lasts `pause` microseconds, and is doubled at most `doublings` times.
+    /// Takes in a fault. The first pause lasts `pause` microseconds, and is doubled at most
+    /// `doublings` times.
     ///
-    /// The doubling keeps the upstreams of a lost zone, which stay listed for long, from being tried again all the time.
+    /// The doubling keeps the upstreams of a lost zone, which stay listed for long, from being
+    /// tried again all the time.
     pub(crate) fn trip(&mut self, now: Time, pause: f64, doublings: u32) {
         if now < self.until {
             // The attempt was sent before the pause began: the same fault, counted already.
@@ -45,7 +49,8 @@
 struct State {
     /// By class, in ascending order.
     breakers: Vec<ClassBreaker>,
-    /// Classes that the counts over the fleet have this upstream as ejected for, in ascending order.
+    /// Classes that the counts over the fleet have this upstream as ejected for, in ascending
+    /// order.
     counted: Vec<u32>,
 }
 
@@ -97,7 +102,8 @@
         self.drop_if_empty();
     }
 
-    /// Replaces the classes that this upstream is counted as ejected for, and returns the previous ones.
+    /// Replaces the classes that this upstream is counted as ejected for, and returns the previous
+    /// ones.
     pub(crate) fn count(&mut self, classes: Vec<u32>) -> Vec<u32> {
         if self.state.is_none() && classes.is_empty() {
             return classes;
--- a/crates/policy/src/capacity.rs
+++ b/crates/policy/src/capacity.rs
@@ -1,4 +1,5 @@
-//! Capacity groups: the sets of upstreams that classes may be sent to, with their load, capacity and available upstreams.
+//! Capacity groups: the sets of upstreams that classes may be sent to, with their load, capacity
+//! and available upstreams.
 //!
 //! An upstream touches only the groups that it belongs to. Decides nothing.
 
@@ -10,8 +11,8 @@
 use crate::interface::{Class, Settings};
 use crate::sums::{Rates, Sum};
 
-/// Classes that [`crate::interface::Member::barred`] has a bit for: only these can be barred from a single upstream, and need
-/// sums of their own for it.
+/// Classes that [`crate::interface::Member::barred`] has a bit for: only these can be barred from a
+/// single upstream, and need sums of their own for it.
 const BARRED_CLASSES: usize = u64::BITS as usize;
 
 /// Upstreams with a free slot, by cost.
@@ -23,8 +24,8 @@
     pub(crate) partly_ejected: TournamentTree,
 }
 
-/// One value for each area that has upstreams; there are few. An area is a zone if the group of some keyed class is a zone,
-/// else the whole fleet.
+/// One value for each area that has upstreams; there are few. An area is a zone if the group of
+/// some keyed class is a zone, else the whole fleet.
 #[derive(Clone, Debug)]
 pub(crate) struct ByArea<T> {
     /// In ascending order of area.
@@ -61,8 +62,8 @@
 
 /// Load and capacity of the upstreams that one set of classes may be sent to.
 ///
-/// The first group is the whole fleet. A class that is bound to zones or machine types has a group of its own: judged by the
-/// whole fleet, it would queue for slots that it can never have.
+/// The first group is the whole fleet. A class that is bound to zones or machine types has a group
+/// of its own: judged by the whole fleet, it would queue for slots that it can never have.
 #[derive(Debug, Default)]
 pub(crate) struct CapacityGroup {
     /// A class that is bound in this way; `None` for the whole fleet.
@@ -112,7 +113,8 @@
     pub(crate) n: f64,
 }
 
-/// The numbers of the capacity groups that an upstream belongs to, in ascending order; the first is the whole fleet.
+/// The numbers of the capacity groups that an upstream belongs to, in ascending order; the first is
+/// the whole fleet.
 pub(crate) type GroupList = Box<[u32]>;
 
 /// All capacity groups, by number.
@@ -132,8 +134,8 @@
 }
 
 impl CapacityGroups {
-    /// One group for the whole fleet, one for each set of upstreams that some class is bound to, and one for each class
-    /// that can be barred from single upstreams.
+    /// One group for the whole fleet, one for each set of upstreams that some class is bound to,
+    /// and one for each class that can be barred from single upstreams.
     pub(crate) fn new(settings: &Settings) -> Self {
         let mut groups = Self {
             groups: vec![CapacityGroup::default()],
@@ -179,7 +181,8 @@
         group
     }
 
-    /// The groups of an upstream of this machine type, where `serves` says whether it may be sent requests of a class.
+    /// The groups of an upstream of this machine type, where `serves` says whether it may be sent
+    /// requests of a class.
     pub(crate) fn groups_of_upstream(
         &self,
         kind: u32,
@@ -233,7 +236,8 @@
         }
     }
 
-    /// Reads the sums of these groups; `black_box` keeps the compiler from removing the reads. See [`crate::upstreams::Upstreams::preload`].
+    /// Reads the sums of these groups; `black_box` keeps the compiler from removing the reads. See
+    /// [`crate::upstreams::Upstreams::preload`].
     pub(crate) fn preload(&self, list: &[u32]) {
         for &group in list {
             let group = &self.groups[group as usize];
@@ -275,7 +279,8 @@
         }
     }
 
-    /// Ends a sweep: from now on [`GroupLoad`] gives the present sums, of which `part` is this balancer's.
+    /// Ends a sweep: from now on [`GroupLoad`] gives the present sums, of which `part` is this
+    /// balancer's.
     pub(crate) fn sweep(&mut self, part: f64) {
         self.part = part;
         for number in self.changed.drain(..) {
@@ -286,7 +291,8 @@
     }
 }
 
-/// A class that some upstream is ejected for, and the upstreams of its group that it may still be sent to.
+/// A class that some upstream is ejected for, and the upstreams of its group that it may still be
+/// sent to.
 #[derive(Debug)]
 pub(crate) struct EjectedClass {
     /// Live upstreams that are ejected for it.
--- a/crates/policy/src/chunked.rs
+++ b/crates/policy/src/chunked.rs
@@ -1,6 +1,7 @@
 //! A growing table that never moves its items.
 //!
-//! A vector copies all of its items when it grows, which for a large fleet takes several milliseconds within one event.
+//! A vector copies all of its items when it grows, which for a large fleet takes several
+//! milliseconds within one event.
 
 use std::ops::{Index, IndexMut};
 
--- a/crates/policy/src/concurrency_levels.rs
+++ b/crates/policy/src/concurrency_levels.rs
@@ -1,8 +1,10 @@
-//! Estimates how many requests upstreams of one machine type run side by side, from how often their answers come.
+//! Estimates how many requests upstreams of one machine type run side by side, from how often their
+//! answers come.
 //!
-//! The design's upstreams run one request at a time, and none reports how many it runs. The concurrency level of an upstream is
-//! the number of its attempts in flight. How long answers take at each level would mislead: attempts that end before their
-//! neighbour does are the short ones, which makes one core look like two.
+//! The design's upstreams run one request at a time, and none reports how many it runs. The
+//! concurrency level of an upstream is the number of its attempts in flight. How long answers take
+//! at each level would mislead: attempts that end before their neighbour does are the short ones,
+//! which makes one core look like two.
 
 /// Most requests that an upstream is assumed to run side by side.
 pub(crate) const MAX_CONCURRENCY: usize = 32;
@@ -12,7 +14,8 @@
 const LEVEL_MEMORY_ANSWERS: f64 = 128.0;
 /// Answers at the level in use that complete a round.
 const LEVEL_ROUND_ANSWERS: f64 = 8.0;
-/// The lowest level that reaches this share of the best throughput is used: more would be bought with latency.
+/// The lowest level that reaches this share of the best throughput is used: more would be bought
+/// with latency.
 const SUFFICIENT_THROUGHPUT: f64 = 0.75;
 
 /// What is known of one level. Work counts in mean answers.
@@ -24,8 +27,8 @@
     pub(crate) done: f64,
     /// Work done at the level in all rounds.
     pub(crate) all: f64,
-    /// Work that the level in use would have done in the same time. A fleet that slows down as a whole changes neither
-    /// against the other.
+    /// Work that the level in use would have done in the same time. A fleet that slows down as a
+    /// whole changes neither against the other.
     pub(crate) expected: f64,
 }
 
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/fleet.rs
@@ -16,7 +16,8 @@
     pub(crate) mean_latency: Vec<f64>,
     /// Mean deviation of the latency of each class.
     pub(crate) latency_deviation: Vec<f64>,
-    /// By class: the share of attempts that were never answered, of those that were late enough to be hedged.
+    /// By class: the share of attempts that were never answered, of those that were late enough to
+    /// be hedged.
     pub(crate) unanswered_share: Vec<f64>,
     /// The longest wait that every class tolerates.
     pub(crate) tolerable_wait: f64,
@@ -30,7 +31,8 @@
     pub(crate) probed_at: Time,
     /// This balancer's limit, in even parts of the fleet's slots.
     pub(crate) leeway: f64,
-    /// TS in good times. Judged by the present TS, a fleet that is congested as a whole would not look congested.
+    /// TS in good times. Judged by the present TS, a fleet that is congested as a whole would not
+    /// look congested.
     pub(crate) baseline_ts: f64,
     /// When the observed rates were last decayed.
     pub(crate) decayed_at: Time,
--- a/crates/policy/src/gauges.rs
+++ b/crates/policy/src/gauges.rs
@@ -4,15 +4,18 @@
 use crate::policy::Balancer;
 
 impl Balancer {
-    /// Attempts in flight at an upstream, its K_i, and its N_i for the target `t_qos`; `None` if it is not known.
+    /// Attempts in flight at an upstream, its K_i, and its N_i for the target `t_qos`; `None` if it
+    /// is not known.
     pub fn upstream(&self, id: ServerId, t_qos: Span) -> Option<(u32, u32, f64)> {
         let s = &self.upstreams.servers[*self.upstreams.by_id.get(&id)? as usize];
         Some((s.in_flight, Self::k(s, 0), self.n_rate(s) * t_qos.f()))
     }
 
-    /// Sets how many balancers send to each upstream that this one knows; at first all of the cluster.
+    /// Sets how many balancers send to each upstream that this one knows; at first all of the
+    /// cluster.
     ///
-    /// A balancer that knows a subset of the fleet would otherwise take too small a part of that subset for its own.
+    /// A balancer that knows a subset of the fleet would otherwise take too small a part of that
+    /// subset for its own.
     pub fn shared_by(&mut self, balancers: f64) {
         self.upstreams.sharers = if balancers >= 1.0 { balancers } else { 1.0 };
     }
--- a/crates/policy/src/interface/action.rs
+++ b/crates/policy/src/interface/action.rs
@@ -19,7 +19,8 @@
     NoTime,
     /// It was queued for as long as that made sense.
     HeldTooLong,
-    /// Its attempts failed, and it may not be attempted again. If it is not safe to repeat, none of them ran.
+    /// Its attempts failed, and it may not be attempted again. If it is not safe to repeat, none of
+    /// them ran.
     AttemptsFailed,
 }
 
@@ -49,8 +50,8 @@
         server: ServerId,
         /// Timeout of the attempt.
         timeout: Span,
-        /// Its last byte must be sent by then, or none of it: an attempt that waits longer for its connection is
-        /// [`Outcome::Moot`](crate::interface::Outcome::Moot).
+        /// Its last byte must be sent by then, or none of it: an attempt that waits longer for its
+        /// connection is [`Outcome::Moot`](crate::interface::Outcome::Moot).
         send_by: Time,
     },
     /// Reject a request. It is harmless to send it again.
--- a/crates/policy/src/interface/class.rs
+++ b/crates/policy/src/interface/class.rs
@@ -43,7 +43,8 @@
     pub window: Span,
     /// The latency objective grows by this multiple of a request's own work, up to the deadline.
     pub objective_stretch: f64,
-    /// The answer is a stream: [`Event::Started`](crate::interface::Event::Started) reports that it has begun.
+    /// The answer is a stream: [`Event::Started`](crate::interface::Event::Started) reports that it
+    /// has begun.
     pub streaming: bool,
     /// Requests of such classes that share a key run one after another, in the order of arrival.
     pub in_order: bool,
--- a/crates/policy/src/interface/config.rs
+++ b/crates/policy/src/interface/config.rs
@@ -50,7 +50,8 @@
     pub warm_up_initial_share: f64,
     /// Time after which it has all of its capacity.
     pub warm_up: Span,
-    /// It is overloaded when it is sent more than this many times its present capacity for [`Self::tip_after`].
+    /// It is overloaded when it is sent more than this many times its present capacity for
+    /// [`Self::tip_after`].
     pub fall_multiple: f64,
     /// How long it must be sent too much to be overloaded.
     pub tip_after: Span,
@@ -60,7 +61,8 @@
     pub answer_slack: Span,
     /// Where the list is polled: a change counts as known after this time without an answer.
     pub list_poll_interval: Span,
-    /// Idle connections to a draining upstream must be closed within this time; zero where no rule says so.
+    /// Idle connections to a draining upstream must be closed within this time; zero where no rule
+    /// says so.
     pub drain_close: Span,
     /// How long an ordering key rests after an attempt that may still be running.
     pub turn_gap: Span,
@@ -158,17 +160,18 @@
     pub marks_retry: bool,
     /// Where load reports come from.
     pub reports: Reports,
-    /// Classes may be barred from single upstreams ([`Member::barred`](crate::interface::Member::barred)): each of them has a
-    /// capacity group of its own.
+    /// Classes may be barred from single upstreams
+    /// ([`Member::barred`](crate::interface::Member::barred)): each of them has a capacity group of
+    /// its own.
     pub barring: bool,
-    /// A hash of what the numbers of classes, zones and machine types stand for. What a balancer has learned under another
-    /// one does not apply here; see [`crate::learned`].
+    /// A hash of what the numbers of classes, zones and machine types stand for. What a balancer
+    /// has learned under another one does not apply here; see [`crate::learned`].
     pub meaning: u64,
 }
 
 impl Settings {
-    /// One balancer with these classes, one zone, three attempts a request, and no further rules or prices: a base to fill
-    /// in from.
+    /// One balancer with these classes, one zone, three attempts a request, and no further rules or
+    /// prices: a base to fill in from.
     pub fn basic(classes: Vec<Class>) -> Self {
         Self {
             classes,
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -17,8 +17,8 @@
     },
     /// Discovery rejected a call for the list at once: it works, and has too many callers.
     ListCallRejected,
-    /// The list is too old to be acted on. Until the subscription sends it again, nothing is sent, and queued requests are
-    /// rejected.
+    /// The list is too old to be acted on. Until the subscription sends it again, nothing is sent,
+    /// and queued requests are rejected.
     ListExpired,
     /// A client's request has arrived: it must get one final answer.
     Request(Request),
--- a/crates/policy/src/interface/member.rs
+++ b/crates/policy/src/interface/member.rs
@@ -36,7 +36,8 @@
     pub weight: f64,
     /// When it last started; `None` if that is long ago.
     pub started: Option<Time>,
-    /// Classes that it must not be sent: bit i stands for class i. Counts only with [`Settings::barring`](crate::interface::Settings::barring).
+    /// Classes that it must not be sent: bit i stands for class i. Counts only with
+    /// [`Settings::barring`](crate::interface::Settings::barring).
     pub barred: u64,
 }
 
@@ -68,8 +69,8 @@
     Restored,
     /// A call for the list failed, or the subscription ended.
     Unavailable,
-    /// Entries that were changed by operators or the caller, not by discovery. Unlike an update, they do not show that the
-    /// subscription is open.
+    /// Entries that were changed by operators or the caller, not by discovery. Unlike an update,
+    /// they do not show that the subscription is open.
     Aside,
 }
 
--- a/crates/policy/src/interface/request.rs
+++ b/crates/policy/src/interface/request.rs
@@ -25,10 +25,13 @@
     pub resent: bool,
     /// It changes something.
     pub write: bool,
-    /// Its body is passed on while it arrives; [`Event::BodyReceived`](crate::interface::Event::BodyReceived) reports its last
-    /// byte. The client's time counts from there; until then, `send_deadline` says when it must have been sent.
+    /// Its body is passed on while it arrives;
+    /// [`Event::BodyReceived`](crate::interface::Event::BodyReceived) reports its last byte. The
+    /// client's time counts from there; until then, `send_deadline` says when it must have been
+    /// sent.
     pub flows: bool,
-    /// The only zone and cell that it may be sent to: they hold the state that it needs, or may have run it before.
+    /// The only zone and cell that it may be sent to: they hold the state that it needs, or may
+    /// have run it before.
     pub sticky_cell: Option<(u32, u32)>,
 }
 
--- a/crates/policy/src/learned.rs
+++ b/crates/policy/src/learned.rs
@@ -1,6 +1,8 @@
-//! What a balancer has learned of its fleet, in the form that is stored and from which the next process goes on.
+//! What a balancer has learned of its fleet, in the form that is stored and from which the next
+//! process goes on.
 //!
-//! Names on the wire are those of stored files. What the figures mean is for [`crate::policy`] to say.
+//! Names on the wire are those of stored files. What the figures mean is for [`crate::policy`] to
+//! say.
 
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
@@ -11,10 +13,12 @@
 use crate::policy::Balancer;
 use crate::upstreams::Server;
 
-/// What a balancer has learned. Times and latencies are in microseconds, rates in answers per microsecond.
+/// What a balancer has learned. Times and latencies are in microseconds, rates in answers per
+/// microsecond.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Learned {
-    /// [`crate::interface::Settings::meaning`] of the settings under which it was learned; 0 if an older build stored it.
+    /// [`crate::interface::Settings::meaning`] of the settings under which it was learned; 0 if an
+    /// older build stored it.
     #[serde(default)]
     meaning: u64,
     ts: f64,
@@ -208,8 +212,9 @@
         upstreams
     }
 
-    /// Goes on from what another process of this balancer has learned, in place of what this one has. Of the upstreams, only
-    /// those are recalled that are listed here and have not restarted since.
+    /// Goes on from what another process of this balancer has learned, in place of what this one
+    /// has. Of the upstreams, only those are recalled that are listed here and have not restarted
+    /// since.
     ///
     /// # Errors
     /// It does not fit these settings, or is not sound; nothing has changed then.
--- a/crates/policy/src/list_polling.rs
+++ b/crates/policy/src/list_polling.rs
@@ -1,52 +1,62 @@
-//! Decides when the endpoint list is polled, and how the time is divided in which a change must take effect. Pure.
+//! Decides when the endpoint list is polled, and how the time is divided in which a change must
+//! take effect. Pure.
 //!
-//! A change counts [`LIST_PROPAGATION_BOUND`] after discovery has it and can be reached, whether it was received or not. In the worst
-//! case a call or a watch falls silent right before that moment: it is given up after [`SILENCE`], the next call is made
-//! within [`PAUSE`], and is answered before it would be given up in turn. [`MARGIN`] is left for the list to take effect.
+//! A change counts [`LIST_PROPAGATION_BOUND`] after discovery has it and can be reached, whether it
+//! was received or not. In the worst case a call or a watch falls silent right before that moment:
+//! it is given up after [`SILENCE`], the next call is made within [`PAUSE`], and is answered before
+//! it would be given up in turn. [`MARGIN`] is left for the list to take effect.
 //!
-//! Discovery is one service for all balancers and works through calls one after another. Once it rejects calls at once, its
-//! queue is full, and balancers that know nothing of one another have to share it. Two rules keep it busy with calls that
-//! somebody still waits for: a call that it has accepted is waited for ([`CALL_PATIENCE`]), and one that was rejected is
-//! made again after about as long as the list has been missing, so that the calls of all thin out until discovery keeps up.
+//! Discovery is one service for all balancers and works through calls one after another. Once it
+//! rejects calls at once, its queue is full, and balancers that know nothing of one another have to
+//! share it. Two rules keep it busy with calls that somebody still waits for: a call that it has
+//! accepted is waited for ([`CALL_PATIENCE`]), and one that was rejected is made again after about
+//! as long as the list has been missing, so that the calls of all thin out until discovery keeps
+//! up.
 
 use crate::interface::{Settings, Span, Time};
 
 /// A change of the list counts this long after discovery has it (PROTOCOL, "Figures").
 pub const LIST_PROPAGATION_BOUND: Span = Span(6_000_000);
-/// A call or a watch without a message for this long is dead. A watch has one every 2 s (PROTOCOL, "Discovery"), which a
-/// busy moment may delay.
+/// A call or a watch without a message for this long is dead. A watch has one every 2 s (PROTOCOL,
+/// "Discovery"), which a busy moment may delay.
 pub const SILENCE: Span = Span(2_600_000);
 /// Time from the last byte of a list until it takes effect.
 pub const MARGIN: Span = Span(300_000);
-/// How long a call is waited for that discovery has accepted and not answered: it may be queued there for 3 s. While
-/// discovery rejects other calls, this is doubled by each call given up so, [`PATIENCE_DOUBLINGS`] times at most.
+/// How long a call is waited for that discovery has accepted and not answered: it may be queued
+/// there for 3 s. While discovery rejects other calls, this is doubled by each call given up so,
+/// [`PATIENCE_DOUBLINGS`] times at most.
 pub const CALL_PATIENCE: Span = Span(3_200_000);
 /// Most doublings of [`CALL_PATIENCE`].
 pub const PATIENCE_DOUBLINGS: u32 = 2;
-/// Longest wait for the next call, if the last call or a watch may have been silent until it was given up.
+/// Longest wait for the next call, if the last call or a watch may have been silent until it was
+/// given up.
 pub const PAUSE: Span = Span(LIST_PROPAGATION_BOUND.0 - MARGIN.0 - 2 * SILENCE.0);
-/// Longest wait after a call that failed at once. It leaves time for two calls within the bound, since the first may fail
-/// again when all balancers call at once.
+/// Longest wait after a call that failed at once. It leaves time for two calls within the bound,
+/// since the first may fail again when all balancers call at once.
 const LONG_PAUSE: Span = Span((LIST_PROPAGATION_BOUND.0 - MARGIN.0 - SILENCE.0) / 2);
 
-/// Longest first wait, as a share of [`crate::interface::Rules::list_poll_interval`]: restarts must not overload discovery.
-/// Each failure doubles it.
+/// Longest first wait, as a share of [`crate::interface::Rules::list_poll_interval`]: restarts must
+/// not overload discovery. Each failure doubles it.
 const JITTER_OF_INTERVAL: f64 = 0.05;
 /// Most doublings of that wait.
 const MAX_JITTER_DOUBLINGS: u32 = 3;
 /// Calls a second of all balancers together to a discovery that rejects calls, at most.
 const CALLS_PER_SECOND: f64 = 400.0;
-/// The same once the list has been missing for long: a rejected call costs discovery little, but not nothing.
+/// The same once the list has been missing for long: a rejected call costs discovery little, but
+/// not nothing.
 const LATE_CALLS_PER_SECOND: f64 = 10.0;
 /// Shortest wait after a rejected call, whatever the number of balancers.
 const MIN_REJECTED_PAUSE: Span = Span(50_000);
-/// The longest wait after a rejected call is no shorter than this: callers of other kinds may be many.
+/// The longest wait after a rejected call is no shorter than this: callers of other kinds may be
+/// many.
 const MIN_LONGEST_PAUSE: Span = Span(500_000);
-/// The longest wait after a rejected call, in poll intervals. A change counts for a balancer that has not polled for four.
+/// The longest wait after a rejected call, in poll intervals. A change counts for a balancer that
+/// has not polled for four.
 const LONGEST_PAUSE_OF_INTERVAL: f64 = 2.0;
 /// Part of a wait after a rejected call that is certain; the rest is random.
 const CERTAIN_PART: f64 = 0.5;
-/// A call unanswered for this share of the poll interval is made again. Only a caller that never gives up a call gets there.
+/// A call unanswered for this share of the poll interval is made again. Only a caller that never
+/// gives up a call gets there.
 const REPEAT_OF_INTERVAL: f64 = 0.5;
 /// Microseconds in a second.
 const SECOND_US: f64 = 1e6;
--- a/crates/policy/src/machine_types.rs
+++ b/crates/policy/src/machine_types.rs
@@ -1,7 +1,8 @@
-//! Figures by machine type: the weight of warm upstreams, what these served, their concurrency levels.
+//! Figures by machine type: the weight of warm upstreams, what these served, their concurrency
+//! levels.
 //!
-//! A type costs a few words until it serves something, and a sweep touches only types that changed or served lately.
-//! Decides nothing.
+//! A type costs a few words until it serves something, and a sweep touches only types that changed
+//! or served lately. Decides nothing.
 
 use std::collections::BTreeSet;
 
@@ -9,9 +10,10 @@
 use crate::interface::Settings;
 use crate::sums::Sum;
 
-/// Machine types beyond those that classes are bound to which have figures of their own; upstreams of any further type
-/// share those of the last one. It is above the 1,300 of the target fleet (`docs/CAPACITY.md`), and all of them hold 2 MB
-/// at most. Without a bound, a list with nonsense for types would grow the table without end.
+/// Machine types beyond those that classes are bound to which have figures of their own; upstreams
+/// of any further type share those of the last one. It is above the 1,300 of the target fleet
+/// (`docs/CAPACITY.md`), and all of them hold 2 MB at most. Without a bound, a list with nonsense
+/// for types would grow the table without end.
 pub(crate) const MAX_UNNAMED_TYPES: u32 = 2048;
 /// The most that classes can be bound to: the table is indexed by number.
 pub(crate) const MAX_NAMED_TYPES: u32 = 16_384;
@@ -32,14 +34,15 @@
     /// It is counted among the types with warm upstreams of whose levels too little is known.
     is_unknown: bool,
     /// Work was booked since its level was last chosen.
-    is_retuned: bool,
+    has_new_work: bool,
 }
 
 /// How counts and peaks decay at a refresh.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Decay {
-    /// Factor of counts, and the window that they reach back over, in microseconds.
+    /// Factor of counts.
     pub(crate) count: f64,
+    /// Window that counts reach back over, in microseconds.
     pub(crate) window: f64,
     /// Factor of peaks.
     pub(crate) peak: f64,
@@ -53,6 +56,7 @@
     }
 }
 
+/// The levels of a type for which no work was seen.
 static FRESH: ConcurrencyLevels = ConcurrencyLevels::FRESH;
 
 /// All machine types, by number.
@@ -61,18 +65,20 @@
     types: Vec<MachineType>,
     /// The number from which on types share the figures of one.
     limit: u32,
-    /// Those whose figures a refresh may change, in ascending order.
+    /// Types whose figures a refresh may change, in ascending order.
     active: BTreeSet<usize>,
     /// Types for which work was booked since their level was last chosen.
-    retuned: Vec<usize>,
+    with_new_work: Vec<usize>,
     /// Types with warm upstreams of whose levels too little is known.
     unknown: usize,
+    /// The weight that served, over all types.
     past_weight: f64,
     /// The highest rate of answers per unit of weight over all types that was seen lately.
     pub(crate) any_rate: f64,
 }
 
 impl MachineTypes {
+    /// No type is known yet.
     pub(crate) fn new(settings: &Settings) -> Self {
         let bound = settings.classes.iter().filter_map(|c| c.kinds.as_ref()).flatten().max();
         let named = bound.map_or(0, |last| last.saturating_add(1));
@@ -80,14 +86,15 @@
             types: Vec::new(),
             limit: named.min(MAX_NAMED_TYPES) + MAX_UNNAMED_TYPES,
             active: BTreeSet::new(),
-            retuned: Vec::new(),
+            with_new_work: Vec::new(),
             unknown: 0,
             past_weight: 0.0,
             any_rate: 0.0,
         }
     }
 
-    /// The number under which figures of a machine type are kept; there is a place for it from then on.
+    /// The number under which figures of a machine type are kept; there is a place for it from then
+    /// on.
     pub(crate) fn enter(&mut self, kind: u32) -> u32 {
         let index = kind.min(self.limit - 1);
         if index as usize >= self.types.len() {
@@ -96,6 +103,7 @@
         index
     }
 
+    /// The number after the last type that has figures.
     pub(crate) fn len(&self) -> usize {
         self.types.len()
     }
@@ -127,8 +135,9 @@
 
     /// Decays counts and peaks, and takes in what was served since.
     ///
-    /// The weight decays as the counts do: when upstreams leave, the last ones must not seem to have served what all did. A
-    /// rate is a peak that decays: when warm upstreams slow down, those that warm up must not be held back with them.
+    /// The weight decays as the counts do: when upstreams leave, the last ones must not seem to
+    /// have served what all did. A rate is a peak that decays: when warm upstreams slow down, those
+    /// that warm up must not be held back with them.
     pub(crate) fn refresh(&mut self, decay: Decay) {
         let mut is_past_changed = false;
         let mut served = 0.0;
@@ -162,17 +171,17 @@
     /// The concurrency levels of a type, to book work in.
     pub(crate) fn levels_mut(&mut self, kind: u32) -> &mut ConcurrencyLevels {
         let of = &mut self.types[kind as usize];
-        if !std::mem::replace(&mut of.is_retuned, true) {
-            self.retuned.push(kind as usize);
+        if !std::mem::replace(&mut of.has_new_work, true) {
+            self.with_new_work.push(kind as usize);
         }
         of.levels.get_or_insert_with(|| Box::new(ConcurrencyLevels::FRESH))
     }
 
     /// Ends a round for the types for which work was booked.
     pub(crate) fn choose_levels(&mut self) {
-        for kind in std::mem::take(&mut self.retuned) {
+        for kind in std::mem::take(&mut self.with_new_work) {
             let of = &mut self.types[kind];
-            of.is_retuned = false;
+            of.has_new_work = false;
             if let Some(levels) = &mut of.levels {
                 levels.choose();
             }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,11 +1,14 @@
-//! The facade of the decision module: [`Balancer`] takes events and returns actions. No clock, no I/O, no threads.
+//! The facade of the decision module: [`Balancer`] takes events and returns actions. No clock, no
+//! I/O, no threads.
 //!
-//! The design is that of Ould Deye et al.: a first-come queue, at most `K_i = 2*TP_i/TS_i + 1` attempts in flight for each
-//! upstream, and rejection once queued plus in-flight requests reach the sum of `N_i = T_QoS / (2*TP_i + TS_i)`.
+//! The design is that of Ould Deye et al.: a first-come queue, at most `K_i = 2*TP_i/TS_i + 1`
+//! attempts in flight for each upstream, and rejection once queued plus in-flight requests reach
+//! the sum of `N_i = T_QoS / (2*TP_i + TS_i)`.
 //!
-//! Every decision stands in a module of its own. A request passes through [`admission`], [`dispatch`] and [`selection`]; an outcome
-//! through [`outlier`] and [`retry`]; time through [`hedging`], [`sweep`] and [`concurrency`]; a list through [`membership`]. What they
-//! share is [`estimation`] (K_i and N_i), [`slow_start`] and [`fair_share`].
+//! Every decision stands in a module of its own. A request passes through `admission`,
+//! `dispatch` and `selection`; an outcome through `outlier` and `retry`; time through
+//! `hedging`, `sweep` and `concurrency`; a list through `membership`. What they share is
+//! `estimation` (K_i and N_i), `slow_start` and `fair_share`.
 
 mod admission;
 mod concurrency;
@@ -42,7 +45,8 @@
 
 /// The decisions of one balancer: which upstream, whether to retry, what is rejected.
 ///
-/// It is a state machine: the caller delivers each event to [`Self::handle`] and carries out the actions in their order.
+/// It is a state machine: the caller delivers each event to [`Self::handle`] and carries out the
+/// actions in their order.
 #[derive(Debug)]
 pub struct Balancer {
     pub(crate) settings: Arc<Settings>,
@@ -82,8 +86,8 @@
 impl Balancer {
     /// Creates a balancer that knows its settings and nothing else.
     ///
-    /// Its first event starts its timers: deliver the list that there is right away, if only an empty
-    /// [`ListKind::Restored`](crate::interface::ListKind::Restored).
+    /// Its first event starts its timers: deliver the list that there is right away, if only an
+    /// empty [`ListKind::Restored`](crate::interface::ListKind::Restored).
     ///
     /// # Errors
     /// The settings have no safe reading; see [`Settings::checked`].
@@ -143,7 +147,8 @@
         }
     }
 
-    /// Returns how many sends slow start had not allowed since the last call. Each is a fault of this module.
+    /// Returns how many sends slow start had not allowed since the last call. Each is a fault of
+    /// this module.
     pub fn take_overdrafts(&mut self) -> u64 {
         std::mem::take(&mut self.overdrafts)
     }
--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -8,7 +8,8 @@
 use crate::ranks::Figures;
 use crate::request_state::RequestState;
 
-/// Share of the latency objective that wait and service may take on average: the rest is for the spread of service.
+/// Share of the latency objective that wait and service may take on average: the rest is for the
+/// spread of service.
 const MAX_WAIT_OF_OBJECTIVE: f64 = 0.7;
 /// Share of the tolerable wait that the class of least priority for its work may use.
 const MIN_WAIT_PART: f64 = 0.2;
@@ -54,7 +55,8 @@
         }
     }
 
-    /// The upstream for a request that comes to an empty queue. Such a request is not rejected while a slot is free.
+    /// The upstream for a request that comes to an empty queue. Such a request is not rejected
+    /// while a slot is free.
     fn pick_at_once(
         &mut self,
         now: Time,
@@ -71,14 +73,16 @@
 
     /// Whether queued requests and attempts in flight stay below the sum of N_i.
     ///
-    /// T_QoS is the same for all classes: the wait that even the tightest one tolerates. With longer ones, classes with
-    /// a long objective would fill the queue and starve the others. Classes of less priority for their work, and
-    /// tenants beyond their quota, get a smaller part of it.
+    /// T_QoS is the same for all classes: the wait that even the tightest one tolerates. With
+    /// longer ones, classes with a long objective would fill the queue and starve the others.
+    /// Classes of less priority for their work, and tenants beyond their quota, get a smaller part
+    /// of it.
     fn admits(&self, class: usize, is_within_quota: bool) -> bool {
         let part = if is_within_quota { self.wait_part(class) } else { 0.0 };
         let load = self.upstreams.capacity_groups.load(class);
         let n = load.n_per_time * (self.fleet.ts + self.fleet.tolerable_wait * part);
-        // With no list yet there is no N_i to sum: the request waits for an upstream until its deadline.
+        // With no list yet there is no N_i to sum: the request waits for an upstream until its
+        // deadline.
         n == 0.0 || ((load.queued + load.in_flight) as f64) < n.max(1.0)
     }
 
@@ -98,13 +102,15 @@
         self.fleet.tolerable_wait = self.ranks.least_bearable().max(0.0);
     }
 
-    /// Whether one more request of a tenant is within its quota. A rejected request uses none of it.
+    /// Whether one more request of a tenant is within its quota. A rejected request uses none of
+    /// it.
     fn is_within_quota(&mut self, now: Time, tenant: usize) -> bool {
         let Some(of) = self.settings.tenants.get(tenant) else { return true };
         self.quotas.refill(now, tenant, of.quota_rps) >= 1.0
     }
 
-    /// Rejects a request, with the time after which all that is queued now has ended as its retry advice.
+    /// Rejects a request, with the time after which all that is queued now has ended as its retry
+    /// advice.
     pub(super) fn refuse(&mut self, request: RequestId, reason: Refusal, out: &mut Vec<Action>) {
         let longest = self.settings.limits.max_retry_after;
         let retry_after = Span::of(self.fleet.ts + self.fleet.tolerable_wait).min(longest);
--- a/crates/policy/src/policy/concurrency.rs
+++ b/crates/policy/src/policy/concurrency.rs
@@ -1,4 +1,5 @@
-//! Probes how many requests upstreams of each machine type run side by side, by sending some of them more or fewer.
+//! Probes how many requests upstreams of each machine type run side by side, by sending some of
+//! them more or fewer.
 //!
 //! What the probes show is evaluated by [`crate::concurrency_levels`].
 
@@ -12,7 +13,8 @@
 const PROBE_OF_TS: f64 = 4.0;
 /// Length of a probe while too little is known of some machine type, in mean service times.
 const FIRST_PROBE_OF_TS: f64 = 1.5;
-/// Largest share of the balancer's own upstreams that is probed while too little is known of their type.
+/// Largest share of the balancer's own upstreams that is probed while too little is known of their
+/// type.
 const MAX_FIRST_PROBES: f64 = 0.5;
 /// Share of the upstreams that is probed with a higher level once enough is known.
 const LATER_PROBES: f64 = 1.0 / 96.0;
@@ -20,7 +22,8 @@
 const MAX_PROBE_CANDIDATES: usize = 256;
 /// Answers within this time of one another, in mean service times, were worked on side by side.
 const AT_ONCE_OF_TS: f64 = 0.05;
-/// Most of a time without an answer that counts, in mean service times: a longer one is due to a fault.
+/// Most of a time without an answer that counts, in mean service times: a longer one is due to a
+/// fault.
 const MAX_GAP_OF_TS: f64 = 5.0;
 /// An upstream this many times slower than the mean says nothing of its machine type.
 const SUSPECT_SLOWNESS: f64 = 2.0;
@@ -28,7 +31,8 @@
 impl Balancer {
     /// Ends the present probes and starts the next, if their time is over.
     ///
-    /// Only the balancer's own upstreams are probed, so that probes of different balancers do not meet.
+    /// Only the balancer's own upstreams are probed, so that probes of different balancers do not
+    /// meet.
     pub(super) fn refresh_probes(&mut self, now: Time) {
         let are_levels_known = self.upstreams.kinds.are_levels_known();
         let length = if are_levels_known { PROBE_OF_TS } else { FIRST_PROBE_OF_TS };
@@ -48,7 +52,8 @@
         }
     }
 
-    /// The balancer's own upstreams that represent their machine type, evenly thinned out in a large fleet.
+    /// The balancer's own upstreams that represent their machine type, evenly thinned out in a
+    /// large fleet.
     fn probe_candidates(&self, now: Time) -> Vec<usize> {
         let part = self.upstreams.own_part();
         let near = self.upstreams.near(&part, OWN_DISTANCE);
@@ -65,7 +70,8 @@
 
     /// Probes a random part of the upstreams of whose type too little is known.
     ///
-    /// Fewer where many balancers share an upstream: each learns for itself, and their probes add up.
+    /// Fewer where many balancers share an upstream: each learns for itself, and their probes add
+    /// up.
     fn start_first_probes(&mut self, now: Time, candidates: &[usize]) {
         let sharers = self.upstreams.sharers;
         let share = (1.0 / (sharers * sharers)).min(MAX_FIRST_PROBES);
@@ -112,11 +118,11 @@
         s.estimate.slow <= SUSPECT_SLOWNESS && self.warm_up_share(now, s).is_none()
     }
 
-    /// Books the time since an upstream's attempts in flight last changed, and the work of the answer that ends it;
-    /// `answered` is the class of that answer.
+    /// Books the time since an upstream's attempts in flight last changed, and the work of the
+    /// answer that ends it; `answered` is the class of that answer.
     ///
-    /// Answers that come all at once are booked at the level of the first of them. Booked at the levels below, which
-    /// lasted for no time, they would make these look faster than they are.
+    /// Answers that come all at once are booked at the level of the first of them. Booked at the
+    /// levels below, which lasted for no time, they would make these look faster than they are.
     pub(super) fn count_level(&mut self, now: Time, server: usize, answered: Option<usize>) {
         let s = &self.upstreams.servers[server];
         let passed = now.since(s.in_flight_changed).f();
--- a/crates/policy/src/policy/dispatch.rs
+++ b/crates/policy/src/policy/dispatch.rs
@@ -44,7 +44,8 @@
 
     /// Sends queued requests in their order, as long as upstreams have free slots.
     ///
-    /// A request that waits for its ordering key or finds no slot holds up only those in its sub-queue.
+    /// A request that waits for its ordering key or finds no slot holds up only those in its
+    /// sub-queue.
     pub(super) fn dispatch(&mut self, now: Time, out: &mut Vec<Action>) {
         let mut scan = self.queue.scan();
         while let Some(id) = self.queue.head(&mut scan) {
@@ -58,7 +59,8 @@
             match self.pick(now, id, slots) {
                 Ok(server) => {
                     self.send(now, id, server, out);
-                    // With the last ordinary slot taken, those of probes open to retries that found none.
+                    // With the last ordinary slot taken, those of probes open to retries that found
+                    // none.
                     if slots == Slots::Ordinary && self.is_at_limit(class) {
                         scan.reopen();
                     }
@@ -90,7 +92,8 @@
         out.push(Action::Send { request: id, server, timeout, send_by });
     }
 
-    /// Tracks the latest attempt of a request from now on; `takes_slot` is false if it has a slot already.
+    /// Tracks the latest attempt of a request from now on; `takes_slot` is false if it has a slot
+    /// already.
     fn track_latest(&mut self, now: Time, request: RequestId, takes_slot: bool) {
         let Some(entry) = self.queue.get(request) else { return };
         let Some(latest) = entry.attempts.last() else { return };
@@ -109,7 +112,8 @@
         self.refresh_availability(now, server);
     }
 
-    /// The body of a request has been passed on completely: from here on its upstream is responsible for the time.
+    /// The body of a request has been passed on completely: from here on its upstream is
+    /// responsible for the time.
     pub(super) fn body_complete(&mut self, now: Time, id: RequestId, send_deadline: Time) {
         let margin = self.give_up_margin();
         let Some(entry) = self.queue.get_mut(id).filter(|e| e.flows) else { return };
--- a/crates/policy/src/policy/estimation.rs
+++ b/crates/policy/src/policy/estimation.rs
@@ -1,8 +1,9 @@
-//! Derives the capacity of each upstream from its estimates: K_i, the attempts that it is kept busy with, and N_i,
-//! those that it can answer in time.
+//! Derives the capacity of each upstream from its estimates: K_i, the attempts that it is kept busy
+//! with, and N_i, those that it can answer in time.
 //!
-//! With TP_i the propagation time of an upstream and TS_i its mean service time, `K_i = 2*TP_i / TS_i + c` and
-//! `N_i = c * T_QoS / (2*TP_i + TS_i)`, where c is the number of requests that it runs at once. `tp2` is 2*TP_i.
+//! With TP_i the propagation time of an upstream and TS_i its mean service time, `K_i = 2*TP_i /
+//! TS_i + c` and `N_i = c * T_QoS / (2*TP_i + TS_i)`, where c is the number of requests that it
+//! runs at once. `tp2` is 2*TP_i.
 
 use super::Balancer;
 use super::fair_share::MIN_LEEWAY;
@@ -64,7 +65,8 @@
         k.min(self.n_rate(s) * self.t_qos)
     }
 
-    /// K_i in whole attempts, with `probe` more or fewer. At least one, or the upstream would never be estimated anew.
+    /// K_i in whole attempts, with `probe` more or fewer. At least one, or the upstream would never
+    /// be estimated anew.
     pub(crate) fn k(s: &Server, probe: i32) -> u32 {
         (s.k as i32 + probe).max(1) as u32
     }
@@ -76,8 +78,9 @@
         self.upstreams.sum(server, capacity);
     }
 
-    /// N_i per microsecond as admission counts on it: while it is unknown whether a higher concurrency level gets more
-    /// done, it is assumed to, or a fresh balancer would reject requests beside idle upstreams.
+    /// N_i per microsecond as admission counts on it: while it is unknown whether a higher
+    /// concurrency level gets more done, it is assumed to, or a fresh balancer would reject
+    /// requests beside idle upstreams.
     fn n_optimistic(&self, s: &Server) -> f64 {
         let levels = self.upstreams.kinds.levels(s.type_index);
         let next = levels.next_probe();
@@ -92,7 +95,8 @@
 
     /// Takes an answer into the fleet's TS and into the mean and deviation of its class.
     ///
-    /// A prior counts as one answer and each answer for its part of all, until there are enough for a moving mean.
+    /// A prior counts as one answer and each answer for its part of all, until there are enough for
+    /// a moving mean.
     pub(super) fn learn_latency(&mut self, class: usize, latency: f64) {
         let next_gain = |answers: &mut f64| {
             *answers += 1.0;
--- a/crates/policy/src/policy/hedging.rs
+++ b/crates/policy/src/policy/hedging.rs
@@ -1,7 +1,8 @@
-//! Finds attempts that are overdue, releases their slots, and hedges them with a second attempt elsewhere.
+//! Finds attempts that are overdue, releases their slots, and hedges them with a second attempt
+//! elsewhere.
 //!
-//! Which upstream the second attempt goes to is for [`super::selection`] to say; that it goes out, for
-//! [`super::dispatch`].
+//! Which upstream the second attempt goes to is for [`super::selection`] to say; that it goes out,
+//! for [`super::dispatch`].
 
 use super::Balancer;
 use super::outlier::MAX_CLASS_PAUSE_DOUBLINGS;
@@ -15,8 +16,8 @@
 const OVERDUE_DEVIATIONS: f64 = 3.0;
 /// The shortest hedge delay, in mean latencies of the class.
 const MIN_HEDGE_MEANS: f64 = 1.5;
-/// A class is hedged only if more than this share of its late attempts was never answered: more load would not help a
-/// fleet that is merely slow.
+/// A class is hedged only if more than this share of its late attempts was never answered: more
+/// load would not help a fleet that is merely slow.
 const HEDGE_THRESHOLD: f64 = 0.4;
 
 /// An attempt that has just been found late, hedgeable or both.
@@ -52,7 +53,8 @@
         (overdue_at, tracked.sent.plus(Span::of(hedge_after)))
     }
 
-    /// Recomputes the least delay after which attempts of a class may be due, from its mean latency.
+    /// Recomputes the least delay after which attempts of a class may be due, from its mean
+    /// latency.
     pub(crate) fn reset_hedge_delay(&mut self, class: usize) {
         let mean = self.fleet.mean_latency[class];
         let deviation = self.fleet.latency_deviation[class];
@@ -72,8 +74,9 @@
 
     /// Checks at most `limit` of the attempts that may be due.
     ///
-    /// This guards against upstreams that hang or vanish, lost answers, stalls, a class that goes unanswered and dead
-    /// connections. Its limit: where requests of one class differ widely, a heavy one looks lost.
+    /// This guards against upstreams that hang or vanish, lost answers, stalls, a class that goes
+    /// unanswered and dead connections. Its limit: where requests of one class differ widely, a
+    /// heavy one looks lost.
     pub(super) fn check_due(&mut self, now: Time, limit: usize) {
         for _ in 0..limit {
             let Some(tracked) = self.tracker.next() else { return };
@@ -91,7 +94,8 @@
             return None;
         }
         let entry = self.queue.get(tracked.request)?;
-        // An attempt whose body was complete only later is tracked anew from then on, with another time of sending.
+        // An attempt whose body was complete only later is tracked anew from then on, with another
+        // time of sending.
         let is_tracked = |a: &&Attempt| a.state == AttemptState::InFlight && a.sent == tracked.sent;
         let attempt = entry.attempts.get(tracked.attempt).filter(is_tracked).copied()?;
         let due = DueAttempt {
@@ -144,8 +148,8 @@
         }
     }
 
-    /// Whether a second attempt may go out now: the first has just become late enough, a second one promises an
-    /// answer, slots are idle, and the budget lasts.
+    /// Whether a second attempt may go out now: the first has just become late enough, a second one
+    /// promises an answer, slots are idle, and the budget lasts.
     fn may_hedge(&self, now: Time, due: &DueAttempt) -> bool {
         let Some(entry) = self.queue.get(due.request) else { return false };
         let load = self.upstreams.capacity_groups.load(due.class);
@@ -164,9 +168,9 @@
 
     /// Whether an overdue attempt counts as lost, so that its slot is free again.
     ///
-    /// An attempt is lost once a later one was answered by the same upstream. Where K_i is one there is no later one:
-    /// then time alone decides. While its body arrives, the client is the slow one, and the slot is taken again once
-    /// the body is complete.
+    /// An attempt is lost once a later one was answered by the same upstream. Where K_i is one
+    /// there is no later one: then time alone decides. While its body arrives, the client is the
+    /// slow one, and the slot is taken again once the body is complete.
     fn is_lost(&self, now: Time, due: &DueAttempt) -> bool {
         let answered = self.upstreams.servers[due.attempt.server].last_answered_sent;
         let sent = due.attempt.sent;
--- a/crates/policy/src/policy/membership.rs
+++ b/crates/policy/src/policy/membership.rs
@@ -1,4 +1,5 @@
-//! Takes in the endpoint list, polls it where that is needed, and closes idle connections to upstreams that leave.
+//! Takes in the endpoint list, polls it where that is needed, and closes idle connections to
+//! upstreams that leave.
 
 use super::sweep::{CROSS_ZONE_DISTANCE, Sweep};
 use super::{Balancer, LIST_POLL_TIMER};
@@ -43,11 +44,13 @@
         self.dispatch(now, out);
     }
 
-    /// Resets what is known of an upstream that restarted, and closes idle connections to one that leaves.
+    /// Resets what is known of an upstream that restarted, and closes idle connections to one that
+    /// leaves.
     fn apply_change(&mut self, now: Time, change: &Change, out: &mut Vec<Action>) {
         let s = &mut self.upstreams.servers[change.server];
         if change.restarted {
-            // A random part of the first send is already earned, so that balancers do not all send at once.
+            // A random part of the first send is already earned, so that balancers do not all send
+            // at once.
             (s.earned_sends, s.earned_at) = (self.rng.rand_float(), now);
             s.estimate.slow = Estimate::NONE.slow;
             s.breaker = Breaker::default();
@@ -71,8 +74,8 @@
 
     /// Closes idle connections to an upstream that drains or is gone, where a rule asks for it.
     ///
-    /// Called on the notice, after each outcome there and once a sweep for as long as the rule allows: a connection may
-    /// become idle a moment after the outcome that used it.
+    /// Called on the notice, after each outcome there and once a sweep for as long as the rule
+    /// allows: a connection may become idle a moment after the outcome that used it.
     pub(super) fn close_idle_connections(
         &mut self,
         now: Time,
--- a/crates/policy/src/policy/outlier.rs
+++ b/crates/policy/src/policy/outlier.rs
@@ -11,7 +11,8 @@
 const PAUSE_OF_TS: f64 = 0.5;
 /// Most doublings of that pause: a dead upstream is tried about every thirty service times.
 const MAX_PAUSE_DOUBLINGS: u32 = 6;
-/// Most doublings of the pause of one class at an upstream. Each try costs a request, so that pauses may grow long.
+/// Most doublings of the pause of one class at an upstream. Each try costs a request, so that
+/// pauses may grow long.
 pub(super) const MAX_CLASS_PAUSE_DOUBLINGS: u32 = 10;
 
 impl Balancer {
@@ -53,7 +54,8 @@
         // One absurd latency must not put the mean of its class out of reach.
         let latency = answer.latency.f().clamp(1.0, self.settings.classes[class].deadline.f());
         self.count_level(now, server, is_ok.then_some(class));
-        // A probed upstream runs more requests than it usually does: its latency says nothing of its speed.
+        // A probed upstream runs more requests than it usually does: its latency says nothing of
+        // its speed.
         let s = &self.upstreams.servers[server];
         let is_probe = s.in_flight > Self::k(s, 0);
         if is_ok && !is_probe {
@@ -80,7 +82,8 @@
 
     /// Counts what warm upstreams of a machine type served, which slow start paces sends by.
     ///
-    /// Sends are no measure: under overload those of all balancers add up to a multiple of what an upstream can do.
+    /// Sends are no measure: under overload those of all balancers add up to a multiple of what an
+    /// upstream can do.
     fn count_served(&mut self, now: Time, server: usize, outcome: Outcome) {
         let s = &self.upstreams.servers[server];
         if outcome == Outcome::Ok && self.warm_up_share(now, s).is_none() {
@@ -105,7 +108,8 @@
         self.fleet.tp2_count += usize::from(before.is_none() && estimate.tp2.is_some());
     }
 
-    /// Ejects an upstream after a fault, for all classes or for the one concerned; an answer ends both.
+    /// Ejects an upstream after a fault, for all classes or for the one concerned; an answer ends
+    /// both.
     fn eject_or_restore(
         &mut self,
         now: Time,
--- a/crates/policy/src/policy/retry.rs
+++ b/crates/policy/src/policy/retry.rs
@@ -5,7 +5,8 @@
 use crate::request_state::{Affinity, AttemptState, RequestState};
 
 impl Balancer {
-    /// Whether a request may be attempted now, at the upstreams of its [`Self::affinity`]. Nothing else decides this.
+    /// Whether a request may be attempted now, at the upstreams of its [`Self::affinity`]. Nothing
+    /// else decides this.
     pub(super) fn may_attempt(&self, now: Time, entry: &RequestState) -> bool {
         let is_used_up = entry.spent || entry.attempts.len() >= self.max_attempts;
         if entry.is_finished || now >= self.send_by(entry) || is_used_up || self.expired {
@@ -24,8 +25,8 @@
         }
     }
 
-    /// Until when a request may be sent: upstreams drop a repeat only within the window of each attempt that may have
-    /// run.
+    /// Until when a request may be sent: upstreams drop a repeat only within the window of each
+    /// attempt that may have run.
     pub(super) fn send_by(&self, entry: &RequestState) -> Time {
         let class = &self.settings.classes[entry.class];
         if class.effect != Effect::Keyed {
@@ -35,8 +36,8 @@
         windows.fold(entry.send_deadline, Time::min)
     }
 
-    /// Where a request may be sent: to the cell that it sticks to, and once a keyed one may have run, only to the
-    /// upstreams that drop its repeats.
+    /// Where a request may be sent: to the cell that it sticks to, and once a keyed one may have
+    /// run, only to the upstreams that drop its repeats.
     pub(super) fn affinity(&self, entry: &RequestState) -> Affinity {
         let class = &self.settings.classes[entry.class];
         let first_run = entry.may_have_run().next().map(|a| &self.upstreams.servers[a.server]);
@@ -50,15 +51,16 @@
         }
     }
 
-    /// Whether there is a live upstream, free or not, that a request may be sent to and where it is not in flight.
+    /// Whether there is a live upstream, free or not, that a request may be sent to and where it is
+    /// not in flight.
     pub(super) fn has_upstream(&self, now: Time, entry: &RequestState) -> bool {
         let in_flight = entry.attempts.iter().filter(|a| a.state == AttemptState::InFlight);
         let busy: Vec<usize> = in_flight.map(|a| a.server).collect();
         self.may_attempt(now, entry) && self.upstreams.any(entry.class, self.affinity(entry), &busy)
     }
 
-    /// Whether a request may be rejected, which promises that it is harmless to send it again. Nothing else decides
-    /// this.
+    /// Whether a request may be rejected, which promises that it is harmless to send it again.
+    /// Nothing else decides this.
     fn may_refuse(&self, entry: &RequestState) -> bool {
         let class = &self.settings.classes[entry.class];
         match class.effect {
@@ -95,8 +97,8 @@
         }
     }
 
-    /// Gives up queued requests. One that was queued for a hedge only leaves the queue: its first attempt may still be
-    /// answered.
+    /// Gives up queued requests. One that was queued for a hedge only leaves the queue: its first
+    /// attempt may still be answered.
     pub(super) fn give_up_all(
         &mut self,
         queued: Vec<RequestId>,
--- a/crates/policy/src/policy/selection.rs
+++ b/crates/policy/src/policy/selection.rs
@@ -31,7 +31,8 @@
         let s = &self.upstreams.servers[server];
         let has_slot = match slots {
             Slots::Ordinary => s.in_flight < Self::k(s, s.probe.min(0)),
-            // Idle slots of a probed upstream are idle since it is slow: a probe must not fill them.
+            // Idle slots of a probed upstream are idle since it is slow: a probe must not fill
+            // them.
             Slots::Probe => s.in_flight < Self::k(s, s.probe) && s.in_flight >= Self::k(s, 0),
         };
         let is_ejected = s.by_class.is_ejected(now, class) && !self.upstreams.is_panicking(class);
@@ -43,7 +44,8 @@
             && self.has_earned_send(now, s)
     }
 
-    /// Recomputes whether an upstream is available, and sets a timer for when that may change by itself.
+    /// Recomputes whether an upstream is available, and sets a timer for when that may change by
+    /// itself.
     pub(super) fn refresh_availability(&mut self, now: Time, server: usize) {
         let s = &self.upstreams.servers[server];
         let is_live = s.status == Status::Live;
@@ -87,8 +89,8 @@
             .min()
     }
 
-    /// The upstream of least cost with a free slot, of those that a request may be sent to. One that already failed it
-    /// comes last; one where it is in flight is left out.
+    /// The upstream of least cost with a free slot, of those that a request may be sent to. One
+    /// that already failed it comes last; one where it is in flight is left out.
     pub(super) fn pick(
         &mut self,
         now: Time,
@@ -125,7 +127,8 @@
         repeated
     }
 
-    /// The upstream of least cost among those that failed a request before; one where it is in flight blocks it.
+    /// The upstream of least cost among those that failed a request before; one where it is in
+    /// flight blocks it.
     fn pick_tried(
         &self,
         now: Time,
--- a/crates/policy/src/policy/slow_start.rs
+++ b/crates/policy/src/policy/slow_start.rs
@@ -1,4 +1,5 @@
-//! Limits what upstreams that are warming up are sent, so that all balancers together do not overload them.
+//! Limits what upstreams that are warming up are sent, so that all balancers together do not
+//! overload them.
 //!
 //! Each such upstream has a token bucket: it earns sends at a pace that grows while it warms up.
 
@@ -8,19 +9,20 @@
 use crate::machine_types::Decay;
 use crate::upstreams::Server;
 
-/// Pace to an upstream that lies next to this balancer on the ring, as a share of [`crate::interface::Rules::fall_multiple`].
-/// Few balancers lie next to the same one.
+/// Pace to an upstream that lies next to this balancer on the ring, as a share of
+/// [`crate::interface::Rules::fall_multiple`]. Few balancers lie next to the same one.
 const OWNER_PACE: f64 = 1.0 / 3.0;
 /// Most of that multiple that all balancers together send by the rates that each has observed.
 const OBSERVED_PACE: f64 = 0.5;
-/// How long an earned send is kept, as a share of [`crate::interface::Rules::tip_after`]. Kept for longer, the unused sends of
-/// many balancers would go out in one burst.
+/// How long an earned send is kept, as a share of [`crate::interface::Rules::tip_after`]. Kept for
+/// longer, the unused sends of many balancers would go out in one burst.
 const RETENTION_OF_WINDOW: f64 = 0.25;
 /// The longest wait for an earned send that is calculated with, in microseconds.
 const MAX_WAIT_US: f64 = 1e15;
 
 impl Balancer {
-    /// Share of its capacity that an upstream which is warming up has for certain; `None` once it is warm.
+    /// Share of its capacity that an upstream which is warming up has for certain; `None` once it
+    /// is warm.
     pub(super) fn warm_up_share(&self, now: Time, s: &Server) -> Option<f64> {
         let rules = &self.settings.rules;
         let age = now.since(s.started?);
@@ -37,7 +39,8 @@
         self.earned_sends(now, s).is_none_or(|sends| sends >= 1.0)
     }
 
-    /// Sends that an upstream which is warming up has earned by now and not used; `None` once it is warm.
+    /// Sends that an upstream which is warming up has earned by now and not used; `None` once it is
+    /// warm.
     fn earned_sends(&self, now: Time, s: &Server) -> Option<f64> {
         let share = self.warm_up_share(now, s)?;
         let pace = self.warm_up_pace(s) * share;
@@ -65,7 +68,8 @@
         } else {
             even
         };
-        // The balancers next to an upstream send it most, so that an even part of the pace would leave it idle.
+        // The balancers next to an upstream send it most, so that an even part of the pace would
+        // leave it idle.
         let by_ownership = if s.distance <= OWN_DISTANCE {
             multiple * OWNER_PACE * self.concurrency(s) / fleet.paced_ts
         } else {
@@ -74,7 +78,8 @@
         by_observation.max(by_ownership)
     }
 
-    /// A time no later than that at which an upstream will have earned a send: its share grows until then.
+    /// A time no later than that at which an upstream will have earned a send: its share grows
+    /// until then.
     pub(super) fn next_send_at(&self, now: Time, s: &Server) -> Time {
         let pace = self.warm_up_pace(s);
         let passed = now.since(s.earned_at).f().max(0.0);
@@ -88,7 +93,8 @@
         earned_at_share_of(earned_at_share_of(now)).max(now.plus(Span(1)))
     }
 
-    /// Books what an upstream has earned by now, before its pace changes, and takes `spent` sends off.
+    /// Books what an upstream has earned by now, before its pace changes, and takes `spent` sends
+    /// off.
     pub(super) fn book_earned_sends(&mut self, now: Time, server: usize, spent: f64) {
         if let Some(earned) = self.earned_sends(now, &self.upstreams.servers[server]) {
             let s = &mut self.upstreams.servers[server];
@@ -96,7 +102,8 @@
         }
     }
 
-    /// Decays the observed rates by the time since the last call, and takes over TS as the base of all paces.
+    /// Decays the observed rates by the time since the last call, and takes over TS as the base of
+    /// all paces.
     pub(super) fn decay_rates(&mut self, now: Time) {
         let last = std::mem::replace(&mut self.fleet.decayed_at, now);
         let elapsed = now.since(last).f();
--- a/crates/policy/src/policy/sweep.rs
+++ b/crates/policy/src/policy/sweep.rs
@@ -1,21 +1,27 @@
-//! Refreshes what is known of each upstream and of the fleet, in slices, so that no event takes long.
+//! Refreshes what is known of each upstream and of the fleet, in slices, so that no event takes
+//! long.
 
 use super::Balancer;
 use crate::interface::{Settings, Span, Time};
 
 /// A fleet of up to this many upstreams is swept at once.
 const SMALL_FLEET: usize = 256;
-/// Upstreams of a larger fleet that one sweep refreshes; each event that follows refreshes one of the rest.
+/// Upstreams of a larger fleet that one sweep refreshes; each event that follows refreshes one of
+/// the rest.
 const SWEEP_SLICE: usize = 64;
-/// If more than this share of a class's upstreams is ejected for it, the whole fleet is slow, and none counts as ejected.
+/// If more than this share of a class's upstreams is ejected for it, the whole fleet is slow, and
+/// none counts as ejected.
 const PANIC_SHARE: f64 = 0.75;
-/// Distance that an upstream in another zone adds where crossing has a price, in even parts of the fleet.
+/// Distance that an upstream in another zone adds where crossing has a price, in even parts of the
+/// fleet.
 pub(super) const CROSS_ZONE_DISTANCE: f64 = 1.0;
-/// Added to the distance in the cost of an upstream, so that slowness also counts where the distance is zero.
+/// Added to the distance in the cost of an upstream, so that slowness also counts where the
+/// distance is zero.
 const MIN_DISTANCE: f64 = 0.1;
 /// Upstreams within this distance are the balancer's own, in even parts of the fleet.
 pub(super) const OWN_DISTANCE: f64 = 0.5;
-/// Time between sweeps, as a share of the shortest latency objective: queued requests are rejected close to their limit.
+/// Time between sweeps, as a share of the shortest latency objective: queued requests are rejected
+/// close to their limit.
 const SWEEP_OF_OBJECTIVE: f64 = 1.0 / 32.0;
 
 /// What a sweep is for.
@@ -68,7 +74,8 @@
         self.refresh_admission();
     }
 
-    /// Refreshes distance and earned sends of the upstreams at these indexes of the ring; returns their slots.
+    /// Refreshes distance and earned sends of the upstreams at these indexes of the ring; returns
+    /// their slots.
     fn refresh_distances(&mut self, now: Time, indexes: &[usize]) -> Vec<usize> {
         let slots: Vec<usize> = indexes.iter().map(|i| self.upstreams.ring.at(*i).slot).collect();
         self.upstreams.preload(&slots);
@@ -84,7 +91,8 @@
         slots
     }
 
-    /// Refreshes the cost of an upstream (slower and more distant ones cost more), its capacity and availability.
+    /// Refreshes the cost of an upstream (slower and more distant ones cost more), its capacity and
+    /// availability.
     pub(crate) fn refresh(&mut self, now: Time, server: usize) {
         let s = &mut self.upstreams.servers[server];
         s.cost = (MIN_DISTANCE + s.distance) * s.estimate.slow * s.estimate.slow;
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -1,5 +1,5 @@
-//! Live requests, and the order of those that are queued: first come, first served in sub-queues, and one after another
-//! for each ordering key.
+//! Live requests, and the order of those that are queued: first come, first served in sub-queues,
+//! and one after another for each ordering key.
 //!
 //! Which request may be sent, and where, is for [`crate::policy`] to say.
 
@@ -103,8 +103,8 @@
         Some(entry)
     }
 
-    /// Queues a request before all others or behind them. One with an ordering key is put into its sub-queue only when it is
-    /// the first of that key and the key has rested.
+    /// Queues a request before all others or behind them. One with an ordering key is put into its
+    /// sub-queue only when it is the first of that key and the key has rested.
     pub(crate) fn hold(&mut self, id: RequestId, sub_queue: SubQueue, at_head: bool) {
         let ticket = if at_head { self.waiting.front_ticket() } else { self.waiting.back_ticket() };
         let Some(e) = self.requests.get_mut(&id) else { return };
@@ -149,8 +149,8 @@
         queued.into_iter().map(|(_, id)| id).collect()
     }
 
-    /// Drops give-up times of requests that are not queued any more, a few at a time: dropped all at once, they would
-    /// delay one event by much.
+    /// Drops give-up times of requests that are not queued any more, a few at a time: dropped all
+    /// at once, they would delay one event by much.
     pub(crate) fn drop_stale_give_ups(&mut self) {
         for _ in 0..STALE_DROPS_PER_EVENT {
             let Some(&Reverse((_, id))) = self.give_up_times.peek() else { return };
@@ -179,7 +179,8 @@
 
     // ------------------------------------------------------------ ordering keys
 
-    /// Whether a request is the first of its ordering key and the key has rested. Always, once it was sent.
+    /// Whether a request is the first of its ordering key and the key has rested. Always, once it
+    /// was sent.
     pub(crate) fn may_run_in_order(&self, now: Time, id: RequestId, e: &RequestState) -> bool {
         let Some(key_queue) = e.ordering_key.and_then(|k| self.key_queues.get(&k)) else {
             return true;
--- a/crates/policy/src/quotas.rs
+++ b/crates/policy/src/quotas.rs
@@ -21,15 +21,16 @@
 
 /// The buckets of all tenants.
 ///
-/// One that is not stored held one token at the start and has been refilled since. A bucket is dropped when it is full and
-/// would be full by that rule too, so that no decision depends on it.
+/// One that is not stored held one token at the start and has been refilled since. A bucket is
+/// dropped when it is full and would be full by that rule too, so that no decision depends on it.
 #[derive(Debug)]
 pub(crate) struct Quotas {
     /// When the balancer started.
     started: Time,
     /// Balancers over which each quota is spread.
     balancers: f64,
-    /// A bucket holds the tokens of this many microseconds at most: the longest deadline of a class.
+    /// A bucket holds the tokens of this many microseconds at most: the longest deadline of a
+    /// class.
     longest_deadline: f64,
     buckets: FxHashMap<u32, Bucket>,
     /// The tenants of these buckets, in the order in which they are checked.
@@ -49,8 +50,8 @@
         }
     }
 
-    /// Refills the bucket of a tenant and returns its tokens; `quota_rps` is its quota in requests a second over all
-    /// balancers.
+    /// Refills the bucket of a tenant and returns its tokens; `quota_rps` is its quota in requests
+    /// a second over all balancers.
     pub(crate) fn refill(&mut self, now: Time, tenant: usize, quota_rps: f64) -> f64 {
         let Ok(tenant) = u32::try_from(tenant) else { return 1.0 };
         let (rate, most) = self.rate_and_most(quota_rps);
--- a/crates/policy/src/ranks.rs
+++ b/crates/policy/src/ranks.rs
@@ -1,4 +1,5 @@
-//! Ranks classes by their priority for their work, and keeps the shortest wait that any class tolerates.
+//! Ranks classes by their priority for their work, and keeps the shortest wait that any class
+//! tolerates.
 //!
 //! Costs a search for each class whose mean latency changed. Decides nothing.
 
@@ -57,7 +58,8 @@
     /// Classes whose figures have changed since the last refresh, each once.
     changed: Vec<usize>,
     is_changed: Vec<bool>,
-    /// Parts of the tolerable wait by class, restored from a previous process; used until the next refresh.
+    /// Parts of the tolerable wait by class, restored from a previous process; used until the next
+    /// refresh.
     restored_part: Vec<f64>,
 }
 
@@ -65,7 +67,8 @@
 const MANY_CHANGED: f64 = 0.125;
 
 impl Ranks {
-    /// All classes count as changed. Until the first refresh, each may use `part` of the tolerable wait.
+    /// All classes count as changed. Until the first refresh, each may use `part` of the tolerable
+    /// wait.
     pub(crate) fn new(classes: usize, part: f64) -> Self {
         Self {
             classes: vec![Figures { value: f64::NAN, bearable: f64::NAN }; classes],
@@ -123,7 +126,8 @@
         self.bearable.figures.first().map_or(f64::MAX, |least| least.min(f64::MAX))
     }
 
-    /// The share of the other classes that have less priority for their work; 1 where there is no other.
+    /// The share of the other classes that have less priority for their work; 1 where there is no
+    /// other.
     pub(crate) fn rank(&self, class: usize) -> f64 {
         if self.classes.len() == 1 {
             return 1.0;
--- a/crates/policy/src/request_state.rs
+++ b/crates/policy/src/request_state.rs
@@ -4,7 +4,8 @@
 
 use crate::interface::{Class, Request, Span, Time};
 
-/// The sub-queue in which a request waits. If its first request finds no free slot, none of the others does.
+/// The sub-queue in which a request waits. If its first request finds no free slot, none of the
+/// others does.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) enum SubQueue {
     /// Retries of one class, by where they may still be sent.
@@ -119,9 +120,9 @@
 
     /// Sets the deadlines of a request that is complete as of now.
     ///
-    /// It is queued only while its latency objective can be met, also where a late answer keeps some value: else, under
-    /// lasting overload, the whole queue would be served late. It is given up `margin` before that, while a rejection is
-    /// still harmless.
+    /// It is queued only while its latency objective can be met, also where a late answer keeps
+    /// some value: else, under lasting overload, the whole queue would be served late. It is given
+    /// up `margin` before that, while a rejection is still harmless.
     pub(crate) fn set_deadlines(
         &mut self,
         now: Time,
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,6 +1,7 @@
 //! The deployment's settings as they are written in JSON, for every program that hosts a balancer.
 //!
-//! This is the one place that reads their names and units. Times are in milliseconds; [`Facts::settings`] converts them.
+//! This is the one place that reads their names and units. Times are in milliseconds;
+//! [`Facts::settings`] converts them.
 
 use serde::Deserialize;
 
@@ -279,7 +280,8 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Safety {
-    /// A change of the list counts as known after this time without an answer, where the list is polled.
+    /// A change of the list counts as known after this time without an answer, where the list is
+    /// polled.
     #[serde(default)]
     #[serde(rename = "AskEvery")]
     pub list_poll_interval: f64,
@@ -298,7 +300,8 @@
     pub fall_multiple: f64,
     /// How long it must be sent that much to be overloaded.
     pub tip_after: f64,
-    /// Idle connections to a draining upstream must be closed within this time; 0 where no rule says so.
+    /// Idle connections to a draining upstream must be closed within this time; 0 where no rule
+    /// says so.
     #[serde(default)]
     pub drain_close: f64,
     /// How long an ordering key rests after an attempt that may still be running.
--- a/crates/policy/src/settings/conversion.rs
+++ b/crates/policy/src/settings/conversion.rs
@@ -1,4 +1,5 @@
-//! Converts the deployment's settings to those of a balancer: names become indexes, milliseconds become microseconds.
+//! Converts the deployment's settings to those of a balancer: names become indexes, milliseconds
+//! become microseconds.
 
 use super::{
     CountedBy, Effect, Facts, Group, How, PolicyLimits, Prices, RegistryMode, Safety, ScoringMix,
--- a/crates/policy/src/tenants.rs
+++ b/crates/policy/src/tenants.rs
@@ -37,8 +37,8 @@
     share: f64,
 }
 
-/// All names in one piece of text, all numbers in arrays: 12 bytes for a tenant beside its name, and 16 for each distinct
-/// pair of quota and share.
+/// All names in one piece of text, all numbers in arrays: 12 bytes for a tenant beside its name,
+/// and 16 for each distinct pair of quota and share.
 #[derive(Debug, Default)]
 struct Table {
     names: Box<str>,
--- a/crates/policy/src/upstreams.rs
+++ b/crates/policy/src/upstreams.rs
@@ -28,7 +28,8 @@
 #[derive(Debug)]
 pub(crate) struct Upstreams {
     settings: Arc<Settings>,
-    /// Balancers that send to each upstream known here: all of them, unless each has a subset of the fleet.
+    /// Balancers that send to each upstream known here: all of them, unless each has a subset of
+    /// the fleet.
     pub(crate) sharers: f64,
     /// By slot. An upstream has its slot until it is gone and no live request was sent there.
     pub(crate) servers: Chunked<Server>,
@@ -72,8 +73,8 @@
         }
     }
 
-    /// Whether an upstream may be sent requests of a class: it is of a zone and machine type that the class allows, and the
-    /// class is not barred from it.
+    /// Whether an upstream may be sent requests of a class: it is of a zone and machine type that
+    /// the class allows, and the class is not barred from it.
     pub(crate) fn serves(&self, class: usize, s: &Server) -> bool {
         s.capacity_groups.binary_search(&self.capacity_groups.group_of_class(class)).is_ok()
     }
@@ -103,7 +104,8 @@
         if self.zoned { zone } else { 0 }
     }
 
-    /// Sets K_i and N_i of an upstream, and updates the sums of its capacity groups, in which it counts while it is live.
+    /// Sets K_i and N_i of an upstream, and updates the sums of its capacity groups, in which it
+    /// counts while it is live.
     pub(crate) fn sum(&mut self, server: usize, now: Capacity) {
         let s = &mut self.servers[server];
         let was = Capacity { k: s.k, n: s.n };
@@ -142,7 +144,8 @@
         }
     }
 
-    /// Adds to the attempts in flight at an upstream, and in every capacity group that it belongs to.
+    /// Adds to the attempts in flight at an upstream, and in every capacity group that it belongs
+    /// to.
     pub(crate) fn count_in_flight(&mut self, server: usize, change: i32) {
         let s = &mut self.servers[server];
         s.in_flight = s.in_flight.saturating_add_signed(change);
@@ -155,10 +158,12 @@
         (self.ring.len(), all.filter(|s| now >= s.breaker.until).count())
     }
 
-    /// Reads what a sweep over these upstreams needs: the processor overlaps reads that do not depend on each other.
+    /// Reads what a sweep over these upstreams needs: the processor overlaps reads that do not
+    /// depend on each other.
     ///
-    /// `black_box` keeps the compiler from removing these reads, whose results are not used. It answers the benchmark
-    /// `capacity`, in which a sweep over a large fleet waited for memory once for each read.
+    /// `black_box` keeps the compiler from removing these reads, whose results are not used. It
+    /// answers the benchmark `capacity`, in which a sweep over a large fleet waited for memory once
+    /// for each read.
     pub(crate) fn preload(&self, slots: &[usize]) {
         for &slot in slots {
             let s = &self.servers[slot];
--- a/crates/policy/src/upstreams/availability.rs
+++ b/crates/policy/src/upstreams/availability.rs
@@ -1,4 +1,5 @@
-//! Keeps the upstreams with a free slot in order of cost, for all classes and for those that some upstream is ejected for.
+//! Keeps the upstreams with a free slot in order of cost, for all classes and for those that some
+//! upstream is ejected for.
 //!
 //! Whether an upstream has a free slot is for [`crate::policy`] to say.
 
@@ -56,7 +57,8 @@
         }
     }
 
-    /// Counts an upstream with the classes that it is ejected for now, and no longer with the previous ones.
+    /// Counts an upstream with the classes that it is ejected for now, and no longer with the
+    /// previous ones.
     fn count_ejections(&mut self, now: Time, server: usize) {
         let s = &self.servers[server];
         let ejected = s.by_class.ejected(now).map(|b| b.class).filter(|_| s.is_partly_ejected);
@@ -108,7 +110,8 @@
         });
     }
 
-    /// The upstream with the least key of those available to a class, without some of them. As of their last refresh.
+    /// The upstream with the least key of those available to a class, without some of them. As of
+    /// their last refresh.
     pub(crate) fn best(
         &mut self,
         class: usize,
--- a/crates/policy/src/upstreams/list.rs
+++ b/crates/policy/src/upstreams/list.rs
@@ -31,7 +31,8 @@
 }
 
 impl Upstreams {
-    /// Takes in a list, and returns the upstreams that it changed. They count as unavailable until they are refreshed.
+    /// Takes in a list, and returns the upstreams that it changed. They count as unavailable until
+    /// they are refreshed.
     pub(crate) fn list(&mut self, now: Time, kind: ListKind, list: &[Member]) -> Vec<Change> {
         let mut changed = Vec::new();
         let mut moved = RingChange::default();
@@ -43,27 +44,29 @@
             for i in unlisted {
                 let s = &self.servers[i];
                 let gone = Member { status: Status::Gone, ..s.member() };
-                changed.extend(self.member(now, &gone, &mut moved));
+                changed.extend(self.apply_entry(now, &gone, &mut moved));
             }
         }
-        for m in list {
-            changed.extend(self.member(now, m, &mut moved));
+        for entry in list {
+            changed.extend(self.apply_entry(now, entry, &mut moved));
         }
         self.ring.change(&moved.removed, &moved.added);
         changed
     }
 
-    /// Takes in one entry of a list; returns the upstream if that changes anything.
-    fn member(&mut self, now: Time, m: &Member, moved: &mut RingChange) -> Option<Change> {
-        let weight = if m.weight > 0.0 && m.weight.is_finite() { m.weight } else { 1.0 };
-        let known = self.by_id.get(&m.id).map(|slot| *slot as usize);
+    /// Applies one entry of a list; returns the upstream if that changes anything.
+    fn apply_entry(&mut self, now: Time, entry: &Member, moved: &mut RingChange) -> Option<Change> {
+        let weight =
+            if entry.weight > 0.0 && entry.weight.is_finite() { entry.weight } else { 1.0 };
+        let known = self.by_id.get(&entry.id).map(|slot| *slot as usize);
         if let Some(s) = known.map(|i| &self.servers[i]) {
-            let same = (s.zone, s.kind, s.cell, s.status) == (m.zone, m.kind, m.cell, m.status);
-            if same && (s.started, s.weight, s.barred) == (m.started, weight, m.barred) {
+            let same = (s.zone, s.kind, s.cell, s.status)
+                == (entry.zone, entry.kind, entry.cell, entry.status);
+            if same && (s.started, s.weight, s.barred) == (entry.started, weight, entry.barred) {
                 return None;
             }
         }
-        let server = known.unwrap_or_else(|| self.add(now, m));
+        let server = known.unwrap_or_else(|| self.add(now, entry));
         let was = self.servers[server].status;
         if was == Status::Live {
             moved.removed.push(self.place_of(server));
@@ -72,14 +75,15 @@
         self.servers[server].status = Status::Gone;
         self.withdraw(now, server);
         let s = &mut self.servers[server];
-        let restarted = s.started != m.started && m.started.is_some();
-        (s.zone, s.kind, s.cell) = (m.zone, m.kind, m.cell);
-        (s.status, s.started, s.weight, s.barred) = (m.status, m.started, weight, m.barred);
-        s.type_index = self.kinds.enter(m.kind);
+        let restarted = s.started != entry.started && entry.started.is_some();
+        (s.zone, s.kind, s.cell) = (entry.zone, entry.kind, entry.cell);
+        (s.status, s.started, s.weight, s.barred) =
+            (entry.status, entry.started, weight, entry.barred);
+        s.type_index = self.kinds.enter(entry.kind);
         let capacity_groups = self.groups_of(&self.servers[server]);
         self.servers[server].capacity_groups = capacity_groups;
         self.enlist(server, 1);
-        match m.status {
+        match entry.status {
             Status::Live => moved.added.push(self.place_of(server)),
             Status::Draining => {}
             Status::Gone => self.departed.push(server),
@@ -114,8 +118,8 @@
         }
     }
 
-    /// Adds an upstream to its cell and capacity groups (`change` 1) or takes it out (-1). One that is not live counts only
-    /// with its attempts in flight.
+    /// Adds an upstream to its cell and capacity groups (`change` 1) or takes it out (-1). One that
+    /// is not live counts only with its attempts in flight.
     fn enlist(&mut self, server: usize, change: isize) {
         let s = &self.servers[server];
         let live = if s.status == Status::Live { change } else { 0 };
--- a/crates/policy/src/upstreams/position.rs
+++ b/crates/policy/src/upstreams/position.rs
@@ -1,4 +1,5 @@
-//! Computes how far upstreams lie from this balancer's own point on the ring, so that balancers prefer different ones.
+//! Computes how far upstreams lie from this balancer's own point on the ring, so that balancers
+//! prefer different ones.
 
 use std::ops::Range;
 
@@ -6,8 +7,8 @@
 
 use super::Upstreams;
 
-/// Distance of the points of successive balancers, as a part of the ring: multiples of the golden ratio are spread evenly
-/// for any run of balancers and for every n-th.
+/// Distance of the points of successive balancers, as a part of the ring: multiples of the golden
+/// ratio are spread evenly for any run of balancers and for every n-th.
 const GOLDEN: f64 = 0.618_033_988_749_895;
 
 impl Upstreams {
@@ -34,8 +35,8 @@
         self.ring.part(if self.priced() { self.settings.zone } else { 0 })
     }
 
-    /// Distance of the upstream at this index of the ring from this balancer's own point, in even parts of the fleet; `far`
-    /// more for one in another zone, where crossing has a price.
+    /// Distance of the upstream at this index of the ring from this balancer's own point, in even
+    /// parts of the fleet; `far` more for one in another zone, where crossing has a price.
     pub(crate) fn distance(&self, index: usize, part: &Range<usize>, far: f64) -> f64 {
         let (own, balancers) = self.point();
         let d = (((index - part.start) as f64 + 0.5) / part.len() as f64 - own).abs();
@@ -43,15 +44,16 @@
         d.min(1.0 - d) * balancers + if across { far } else { 0.0 }
     }
 
-    /// Where on each part of the ring this balancer's own point lies, from 0 to 1, and how many balancers share a part.
+    /// Where on each part of the ring this balancer's own point lies, from 0 to 1, and how many
+    /// balancers share a part.
     fn point(&self) -> (f64, f64) {
         let s = &self.settings;
         let zones = if self.priced() { f64::from(s.zones.max(1)) } else { 1.0 };
         ((f64::from(s.position) * GOLDEN).fract(), (self.sharers / zones).max(1.0))
     }
 
-    /// The indexes of this part of the ring that may lie within `max_distance` of this balancer's own point, in order:
-    /// those that do, and a few beside them.
+    /// The indexes of this part of the ring that may lie within `max_distance` of this balancer's
+    /// own point, in order: those that do, and a few beside them.
     pub(crate) fn near(
         &self,
         part: &Range<usize>,
--- a/crates/policy/src/upstreams/server.rs
+++ b/crates/policy/src/upstreams/server.rs
@@ -67,7 +67,8 @@
 }
 
 impl Server {
-    /// An upstream of which nothing but its entry in the list is known. It counts as gone until the entry is applied.
+    /// An upstream of which nothing but its entry in the list is known. It counts as gone until the
+    /// entry is applied.
     pub(super) fn new(now: Time, member: &Member) -> Self {
         Self {
             id: member.id,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,4 +1,5 @@
-//! Hosts many balancers on the simulator's wire: reads batches of messages, writes replies, decides nothing.
+//! Hosts many balancers on the simulator's wire: reads batches of messages, writes replies, decides
+//! nothing.
 #![warn(missing_docs)]
 
 mod instance;
