--- a/crates/ordered-collections/tests/models.rs
+++ b/crates/ordered-collections/tests/models.rs
@@ -18,23 +18,23 @@
 
 proptest! {
     #[test]
-    fn a_tournament_tree_knows_the_least_key(
+    fn tournament_tree_gives_the_least_key(
         sets in prop::collection::vec((0..70usize, key()), 1..200),
         without in prop::collection::vec(0..70usize, 0..4),
     ) {
-        let (mut kept, mut plain) = (TournamentTree::default(), BTreeMap::new());
+        let (mut collection, mut plain) = (TournamentTree::default(), BTreeMap::new());
         for (slot, key) in sets {
-            kept.set(slot, key);
+            collection.set(slot, key);
             plain.insert(slot, key);
             let least = |but: &[usize]| {
                 let open = plain.iter().filter(|(s, k)| **k != Key::OUT && !but.contains(s));
                 open.map(|(s, k)| (*k, *s)).min()
             };
-            prop_assert_eq!(kept.best(), least(&[]));
-            prop_assert_eq!(kept.best_without(&without), least(&without));
+            prop_assert_eq!(collection.best(), least(&[]));
+            prop_assert_eq!(collection.best_without(&without), least(&without));
             // Asking without some changes nothing.
-            prop_assert_eq!(kept.best(), least(&[]));
-            prop_assert_eq!(kept.get(slot), key);
+            prop_assert_eq!(collection.best(), least(&[]));
+            prop_assert_eq!(collection.get(slot), key);
         }
     }
 
@@ -45,20 +45,20 @@
     }
 
     #[test]
-    fn timers_fire_no_later_than_asked_and_once(
+    fn timers_fire_once_and_no_later_than_set(
         asked in prop::collection::vec((0..20usize, 0..100i64), 1..100),
         steps in prop::collection::vec(1..20i64, 1..20),
     ) {
-        let (mut kept, mut plain) = (Timers::default(), BTreeMap::<usize, i64>::new());
+        let (mut collection, mut plain) = (Timers::default(), BTreeMap::<usize, i64>::new());
         for (slot, at) in asked {
-            kept.set(slot, at);
+            collection.set(slot, at);
             let first = plain.entry(slot).or_insert(at);
             *first = at.min(*first);
         }
         let mut now = 0;
         for step in steps {
             now += step;
-            let mut due: Vec<usize> = std::iter::from_fn(|| kept.due(now)).collect();
+            let mut due: Vec<usize> = std::iter::from_fn(|| collection.due(now)).collect();
             due.sort_unstable();
             let expected: Vec<usize> =
                 plain.iter().filter(|(_, at)| **at <= now).map(|(s, _)| *s).collect();
@@ -68,7 +68,7 @@
     }
 
     #[test]
-    fn a_total_forgets_nothing(figures in prop::collection::vec(0.0..1e6f64, 1..200)) {
+    fn total_is_exact_after_any_changes(figures in prop::collection::vec(0.0..1e6f64, 1..200)) {
         let mut total = Total::<40>::default();
         total.add(1.5);
         figures.iter().for_each(|f| total.add(*f));
@@ -79,7 +79,7 @@
     }
 
     #[test]
-    fn a_ring_stays_sorted_and_has_each_place_once(
+    fn ring_stays_sorted_and_has_each_place_once(
         changes in prop::collection::vec(
             (prop::collection::vec((0..3u32, 0..50u64), 0..40),
              prop::collection::vec((0..3u32, 0..50u64), 0..40)),
@@ -87,67 +87,67 @@
         ),
     ) {
         let place = |&(part, name): &(u32, u64)| Place { part, name, slot: name as usize };
-        let (mut kept, mut plain) = (Ring::default(), std::collections::BTreeSet::new());
+        let (mut collection, mut plain) = (Ring::default(), std::collections::BTreeSet::new());
         for (out, into) in changes {
             let out: Vec<Place> = out.iter().map(place).collect();
             let into: Vec<Place> = into.iter().map(place).collect();
-            kept.change(&out, &into);
+            collection.change(&out, &into);
             out.iter().for_each(|p| { plain.remove(p); });
             plain.extend(into.iter().copied());
-            let all: Vec<Place> = (0..kept.len()).map(|i| kept.at(i)).collect();
+            let all: Vec<Place> = (0..collection.len()).map(|i| collection.at(i)).collect();
             prop_assert_eq!(&all, &plain.iter().copied().collect::<Vec<_>>());
             for part in 0..4 {
-                let of: Vec<Place> = kept.part(part).map(|i| kept.at(i)).collect();
+                let of: Vec<Place> = collection.part(part).map(|i| collection.at(i)).collect();
                 let expected: Vec<Place> =
                     plain.iter().copied().filter(|p| p.part == part).collect();
                 prop_assert_eq!(of, expected);
             }
             for (i, p) in all.iter().enumerate() {
-                prop_assert_eq!(kept.find(*p), Some(i));
+                prop_assert_eq!(collection.find(*p), Some(i));
             }
         }
     }
 
     #[test]
-    fn waiting_keeps_one_order_through_all_lanes(
+    fn waiting_has_one_order_over_all_sub_queues(
         steps in prop::collection::vec((0..4u8, 0..3u8, any::<bool>()), 1..200),
     ) {
-        let (mut kept, mut plain) = (Waiting::<u8, u64>::default(), Vec::new());
+        let (mut collection, mut plain) = (Waiting::<u8, u64>::default(), Vec::new());
         let mut next = 0;
-        for (what, lane, head) in steps {
+        for (what, sub_queue, head) in steps {
             if what < 3 {
-                let turn = if head { kept.front_ticket() } else { kept.back_ticket() };
-                kept.put(lane, turn, next);
+                let ticket = if head { collection.front_ticket() } else { collection.back_ticket() };
+                collection.put(sub_queue, ticket, next);
                 let at = if head { 0 } else { plain.len() };
-                plain.insert(at, (lane, turn, next));
+                plain.insert(at, (sub_queue, ticket, next));
                 next += 1;
-            } else if let Some(i) = plain.iter().position(|(l, _, _)| *l == lane) {
-                let (_, turn, item) = plain.remove(i);
-                prop_assert_eq!(kept.take(lane, turn), Some(item));
-                prop_assert_eq!(kept.take(lane, turn), None);
+            } else if let Some(i) = plain.iter().position(|(l, _, _)| *l == sub_queue) {
+                let (_, ticket, item) = plain.remove(i);
+                prop_assert_eq!(collection.take(sub_queue, ticket), Some(item));
+                prop_assert_eq!(collection.take(sub_queue, ticket), None);
             }
             let mut through: Vec<_> = Vec::new();
-            for lane in kept.sub_queues() {
+            for sub_queue in collection.sub_queues() {
                 let (mut after, mut of) = (None, Vec::new());
-                while let Some((turn, item)) = kept.next(lane, after) {
+                while let Some((ticket, item)) = collection.next(sub_queue, after) {
                     of.push(item);
-                    through.push((turn, item));
-                    after = Some(turn);
+                    through.push((ticket, item));
+                    after = Some(ticket);
                 }
                 let expected: Vec<u64> =
-                    plain.iter().filter(|p| p.0 == lane).map(|p| p.2).collect();
+                    plain.iter().filter(|p| p.0 == sub_queue).map(|p| p.2).collect();
                 prop_assert_eq!(of, expected);
             }
             through.sort_unstable();
             let order: Vec<u64> = through.iter().map(|t| t.1).collect();
             prop_assert_eq!(order, plain.iter().map(|p| p.2).collect::<Vec<_>>());
-            prop_assert_eq!(kept.is_empty(), plain.is_empty());
+            prop_assert_eq!(collection.is_empty(), plain.is_empty());
         }
     }
 }
 
 #[test]
-fn no_number_comes_last_of_all_numbers() {
+fn nan_orders_last() {
     assert!(Key::of(f64::NAN, 0) > Key::of(f64::MAX, 0));
     assert!(Key::of(f64::NAN, u64::MAX) < Key::OUT);
     assert!(Key::of(-1.0, 0) < Key::of(0.0, 0));
@@ -155,7 +155,7 @@
 }
 
 #[test]
-fn a_total_passes_over_what_is_no_number() {
+fn total_counts_nan_as_zero() {
     let mut total = Total::<20>::default();
     total.add(f64::NAN);
     total.change(None, Some(2.0));
--- a/crates/policy/benches/fleet/mod.rs
+++ b/crates/policy/benches/fleet/mod.rs
@@ -6,7 +6,10 @@
 use std::collections::BinaryHeap;
 use std::time::{Duration, Instant};
 
-use hollowpaddle_policy::interface::*;
+use hollowpaddle_policy::interface::{
+    Action, Answer, Class, Effect, Event, Group, ListKind, Member, Outcome, Request, RequestId,
+    ServerId, Settings, Span, Time,
+};
 use oorandom::Rand64;
 
 #[path = "../../tests/scanning/mod.rs"]
@@ -15,7 +18,7 @@
 /// What is measured: the module, or the one that scanned.
 pub trait Module {
     fn new(settings: Settings) -> Self;
-    fn tell(&mut self, now: Time, event: Event, out: &mut Vec<Action>);
+    fn deliver(&mut self, now: Time, event: Event, out: &mut Vec<Action>);
 }
 
 macro_rules! module {
@@ -24,7 +27,7 @@
             fn new(settings: Settings) -> Self {
                 <$of>::new(settings, 1, Time(0)).expect("sound settings")
             }
-            fn tell(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
+            fn deliver(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
                 self.handle(now, event, out);
             }
         }
@@ -92,9 +95,9 @@
 
 impl<M: Module> Fleet<M> {
     /// How long one whole list takes.
-    pub fn tell_list(&mut self, list: &[Member]) -> Duration {
+    pub fn deliver_list(&mut self, list: &[Member]) -> Duration {
         self.longest = Duration::ZERO;
-        self.tell(Event::Members { kind: ListKind::Complete, list });
+        self.deliver(Event::Members { kind: ListKind::Complete, list });
         self.longest
     }
 
@@ -114,7 +117,7 @@
             served: 0,
             refused: 0,
         };
-        fleet.tell(Event::Members { kind: ListKind::Restored, list: &list(n, None) });
+        fleet.deliver(Event::Members { kind: ListKind::Restored, list: &list(n, None) });
         fleet.next_arrival();
         fleet
     }
@@ -127,10 +130,10 @@
         self.next += self.draw(self.gap);
     }
 
-    fn tell(&mut self, event: Event) {
+    fn deliver(&mut self, event: Event) {
         let mut out = std::mem::take(&mut self.out);
         let from = Instant::now();
-        self.module.tell(Time(self.now), event, &mut out);
+        self.module.deliver(Time(self.now), event, &mut out);
         let took = from.elapsed();
         self.spent += took;
         self.longest = self.longest.max(took);
@@ -161,14 +164,14 @@
                 let Some(Reverse((at, due))) = self.due.pop() else { continue };
                 self.now = at;
                 match due {
-                    Due::Timer(token) => self.tell(Event::Timer(token)),
+                    Due::Timer(token) => self.deliver(Event::Timer(token)),
                     Due::Answer { request, server, sent } => {
                         self.served += 1;
                         let latency = Span(at - sent);
                         let id = RequestId(request);
                         let of = ServerId(server);
                         let answer = Answer::new(id, 0, of, Outcome::Ok, latency, true);
-                        self.tell(Event::Answered(answer));
+                        self.deliver(Event::Answered(answer));
                     }
                 }
                 continue;
@@ -178,7 +181,7 @@
             self.last += 1;
             let class = (self.last % 3) as usize;
             let until = Time(self.now).plus(Span(1_800_000));
-            self.tell(Event::Request(Request::new(RequestId(self.last), class, until)));
+            self.deliver(Event::Request(Request::new(RequestId(self.last), class, until)));
         }
         (self.spent, self.longest)
     }
--- a/crates/policy/benches/scale.rs
+++ b/crates/policy/benches/scale.rs
@@ -34,7 +34,7 @@
         let round = || {
             let mut fleet = Fleet::<Balancer>::new(n, 0.6);
             fleet.run(u64::from(n) * 2);
-            fleet.tell_list(list).as_secs_f64() * 1e6
+            fleet.deliver_list(list).as_secs_f64() * 1e6
         };
         (0..ROUNDS).map(|_| round()).fold(f64::MAX, f64::min)
     };
--- a/crates/policy/src/quotas/tests.rs
+++ b/crates/policy/src/quotas/tests.rs
@@ -38,7 +38,7 @@
 
 proptest! {
     #[test]
-    fn buckets_that_come_and_go_hold_the_same_tokens(
+    fn dropped_buckets_have_the_same_tokens_when_made_again(
         quotas in prop::collection::vec(quota(), TENANTS),
         balancers in 1..5u32,
         steps in prop::collection::vec((0..TENANTS, 0..3_000_000i64, any::<bool>()), 1..300),
--- a/crates/policy/src/ranks/tests.rs
+++ b/crates/policy/src/ranks/tests.rs
@@ -52,7 +52,7 @@
 }
 
 #[test]
-fn parts_that_were_given_hold_until_the_next_refresh() {
+fn restored_parts_hold_until_the_next_refresh() {
     let mut ranks = Ranks::new(2, 1.0);
     assert_eq!(ranks.restored_part(1), Some(1.0));
     ranks.restore_parts(vec![0.2, 0.6]);
--- a/crates/policy/src/upstreams/tests.rs
+++ b/crates/policy/src/upstreams/tests.rs
@@ -18,7 +18,7 @@
 }
 
 #[test]
-fn whoever_lies_near_is_found_without_a_look_at_all() {
+fn near_upstreams_are_found_without_a_scan() {
     for n in [0, 1, 2, 7, 64, 1000] {
         for balancers in [1, 2, 3, 36, 300] {
             for position in 0..balancers.min(40) {
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -22,7 +22,7 @@
 
 /// What a bank is put through.
 #[derive(Clone, Copy, Debug)]
-struct Day {
+struct Scenario {
     proxies: u32,
     upstreams: usize,
     /// How many upstreams come back cold.
@@ -47,7 +47,7 @@
     seed: u64,
 }
 
-const DAY: Day = Day {
+const DAY: Scenario = Scenario {
     proxies: 1,
     upstreams: 48,
     cold: 5,
@@ -67,14 +67,14 @@
     Timer(usize, u32, u64),
     Client(usize),
     /// A crowd's request, which brings no next one.
-    Crowd(usize),
+    Burst(usize),
     /// At an upstream: from whom, which life of it, which request and attempt, sent when.
     Arrive(usize, usize, u32, u64, usize, i64),
     Work(usize, u32),
     Answer(usize, u32, u64, usize, usize, bool, i64),
     Go(usize),
     Back(usize),
-    Word(usize, usize, bool),
+    ListMessage(usize, usize, bool),
     Restart(usize),
 }
 
@@ -85,27 +85,27 @@
     speed: f64,
     started: Option<i64>,
     up: bool,
-    life: u32,
+    incarnation: u32,
     held: VecDeque<Job>,
     sent: Vec<i64>,
 }
 
-struct Bank {
-    day: Day,
+struct Cluster {
+    scenario: Scenario,
     settings: Settings,
     rng: Rand64,
     now: i64,
     due: BinaryHeap<Reverse<(i64, u64, Due)>>,
     order: u64,
     proxies: Vec<Balancer>,
-    lives: Vec<u32>,
+    incarnations: Vec<u32>,
     tries: BTreeMap<u64, usize>,
     last: u64,
     fleet: Vec<Upstream>,
     served: u64,
     /// What came while cold ones were there, and what was served of it.
-    cold_asked: u64,
-    cold_served: u64,
+    warming_up_requests: u64,
+    warming_up_served: u64,
 }
 
 fn settings(proxies: u32) -> Settings {
@@ -122,76 +122,77 @@
     s
 }
 
-impl Bank {
-    fn new(day: Day) -> Self {
-        let mut rng = Rand64::new(u128::from(day.seed));
-        let settings = settings(day.proxies);
+impl Cluster {
+    fn new(scenario: Scenario) -> Self {
+        let mut rng = Rand64::new(u128::from(scenario.seed));
+        let settings = settings(scenario.proxies);
         // Two kinds of machine under one name, as unlike as those of one site are.
         let upstream = |i: usize| Upstream {
             speed: if i.is_multiple_of(3) { 0.97 } else { 1.5 },
             started: None,
             up: true,
-            life: 0,
+            incarnation: 0,
             held: VecDeque::new(),
             sent: Vec::new(),
         };
-        let fleet: Vec<Upstream> = (0..day.upstreams).map(upstream).collect();
+        let fleet: Vec<Upstream> = (0..scenario.upstreams).map(upstream).collect();
         let proxy = |position| {
             let s = Settings { position, ..settings.clone() };
             Balancer::new(s, rng.rand_u64(), Time(0)).expect("sound settings")
         };
-        let proxies: Vec<Balancer> = (0..day.proxies).map(proxy).collect();
-        let lives = vec![0; proxies.len()];
-        let mut bank = Self {
-            day,
+        let proxies: Vec<Balancer> = (0..scenario.proxies).map(proxy).collect();
+        let incarnations = vec![0; proxies.len()];
+        let mut cluster = Self {
+            scenario,
             settings,
             rng,
             now: 0,
             due: BinaryHeap::new(),
             order: 0,
             proxies,
-            lives,
+            incarnations,
             tries: BTreeMap::new(),
             last: 0,
             fleet,
             served: 0,
-            cold_asked: 0,
-            cold_served: 0,
+            warming_up_requests: 0,
+            warming_up_served: 0,
         };
-        for p in 0..bank.proxies.len() {
-            bank.whole_list(p);
-            let wait = bank.until_next(p);
-            bank.later(wait, Due::Client(p));
+        for p in 0..cluster.proxies.len() {
+            cluster.complete_list(p);
+            let wait = cluster.until_next(p);
+            cluster.later(wait, Due::Client(p));
         }
         // Spread over the ring and both kinds.
-        let cold: Vec<usize> = (0..day.cold).map(|n| n * day.upstreams / day.cold).collect();
+        let cold: Vec<usize> =
+            (0..scenario.cold).map(|n| n * scenario.upstreams / scenario.cold).collect();
         for (n, &i) in cold.iter().enumerate() {
-            let after = day.one_by_one * n as i64 / day.cold as i64;
-            bank.at(GONE + after, Due::Go(i));
-            bank.at(BACK + after, Due::Back(i));
+            let after = scenario.one_by_one * n as i64 / scenario.cold as i64;
+            cluster.at(GONE + after, Due::Go(i));
+            cluster.at(BACK + after, Due::Back(i));
         }
-        if let Some(after) = day.alone {
-            let others = (0..day.upstreams).filter(|i| !cold.contains(i));
-            others.for_each(|i| bank.at(BACK + after, Due::Go(i)));
+        if let Some(after) = scenario.alone {
+            let others = (0..scenario.upstreams).filter(|i| !cold.contains(i));
+            others.for_each(|i| cluster.at(BACK + after, Due::Go(i)));
         }
-        if day.restarts {
-            for p in 0..bank.proxies.len() {
-                bank.at(BACK + SECOND + (p % 10) as i64 * SECOND, Due::Restart(p));
+        if scenario.restarts {
+            for p in 0..cluster.proxies.len() {
+                cluster.at(BACK + SECOND + (p % 10) as i64 * SECOND, Due::Restart(p));
             }
         }
-        if let Some(after) = day.greed {
-            for p in 0..bank.proxies.len() {
+        if let Some(after) = scenario.greed {
+            for p in 0..cluster.proxies.len() {
                 for n in 0..160 {
-                    bank.at(BACK + after + n * 25 * MS, Due::Crowd(p));
+                    cluster.at(BACK + after + n * 25 * MS, Due::Burst(p));
                 }
             }
         }
-        if let Some(after) = day.at_once {
-            for p in 0..bank.proxies.len() {
-                (0..3).for_each(|_| bank.at(BACK + after, Due::Crowd(p)));
+        if let Some(after) = scenario.at_once {
+            for p in 0..cluster.proxies.len() {
+                (0..3).for_each(|_| cluster.at(BACK + after, Due::Burst(p)));
             }
         }
-        bank
+        cluster
     }
 
     fn at(&mut self, at: i64, due: Due) {
@@ -217,9 +218,9 @@
 
     fn until_next(&mut self, proxy: usize) -> i64 {
         let all: f64 = (0..self.fleet.len()).map(|i| self.rate(i)).sum();
-        let parts = self.day.favoured + (self.proxies.len() - 1) as f64;
-        let part = if proxy == 0 { self.day.favoured } else { 1.0 } / parts;
-        (-(1.0 - self.rng.rand_float()).ln() / (all * self.day.load * part)) as i64
+        let parts = self.scenario.favoured + (self.proxies.len() - 1) as f64;
+        let part = if proxy == 0 { self.scenario.favoured } else { 1.0 } / parts;
+        (-(1.0 - self.rng.rand_float()).ln() / (all * self.scenario.load * part)) as i64
     }
 
     fn member(&self, upstream: usize, up: bool) -> Member {
@@ -230,16 +231,16 @@
         Member { identity, status, started, ..Member::live(id) }
     }
 
-    fn whole_list(&mut self, proxy: usize) {
+    fn complete_list(&mut self, proxy: usize) {
         let up = (0..self.fleet.len()).filter(|i| self.fleet[*i].up);
         let list: Vec<Member> = up.map(|i| self.member(i, true)).collect();
-        self.tell(proxy, Event::Members { kind: ListKind::Complete, list: &list });
+        self.deliver(proxy, Event::Members { kind: ListKind::Complete, list: &list });
     }
 
-    fn tell(&mut self, proxy: usize, event: Event) {
+    fn deliver(&mut self, proxy: usize, event: Event) {
         let mut actions = Vec::new();
         self.proxies[proxy].handle(Time(self.now), event, &mut actions);
-        let life = self.lives[proxy];
+        let incarnation = self.incarnations[proxy];
         for action in actions {
             match action {
                 Action::Send { request, server, .. } => {
@@ -248,10 +249,10 @@
                     if self.cold_age(to).is_some() {
                         self.fleet[to].sent.push(self.now);
                     }
-                    let due = Due::Arrive(to, proxy, life, request.0, attempt, self.now);
+                    let due = Due::Arrive(to, proxy, incarnation, request.0, attempt, self.now);
                     self.later(WAY, due);
                 }
-                Action::Arm { token, at } => self.at(at.0, Due::Timer(proxy, life, token)),
+                Action::Arm { token, at } => self.at(at.0, Due::Timer(proxy, incarnation, token)),
                 _ => {}
             }
         }
@@ -266,17 +267,17 @@
     fn work(&mut self, upstream: usize) {
         let share = self.cold_age(upstream).map_or(1.0, |age| self.share(age));
         let takes = (1.0 / (self.rate(upstream) * share)) as i64;
-        let life = self.fleet[upstream].life;
-        self.later(takes, Due::Work(upstream, life));
+        let incarnation = self.fleet[upstream].incarnation;
+        self.later(takes, Due::Work(upstream, incarnation));
     }
 
     fn is_greedy(&self) -> bool {
-        self.day.greed.is_some_and(|after| self.now >= BACK + after)
+        self.scenario.greed.is_some_and(|after| self.now >= BACK + after)
     }
 
     fn answer(&mut self, job: Job, upstream: usize, ok: bool) {
-        let (proxy, life, request, attempt, sent) = job;
-        self.later(WAY, Due::Answer(proxy, life, request, attempt, upstream, ok, sent));
+        let (proxy, incarnation, request, attempt, sent) = job;
+        self.later(WAY, Due::Answer(proxy, incarnation, request, attempt, upstream, ok, sent));
     }
 
     fn until(&mut self, end: i64) {
@@ -291,25 +292,25 @@
 
     fn step(&mut self, due: Due) {
         match due {
-            Due::Timer(p, life, token) if life == self.lives[p] => {
-                self.tell(p, Event::Timer(token));
+            Due::Timer(p, incarnation, token) if incarnation == self.incarnations[p] => {
+                self.deliver(p, Event::Timer(token));
             }
-            Due::Client(p) | Due::Crowd(p) => {
+            Due::Client(p) | Due::Burst(p) => {
                 self.last += 1;
                 let request = Request::new(RequestId(self.last), 0, Time(self.now + 2800 * MS));
-                self.cold_asked += u64::from(self.now >= BACK);
-                self.tell(p, Event::Request(request));
+                self.warming_up_requests += u64::from(self.now >= BACK);
+                self.deliver(p, Event::Request(request));
                 if due == Due::Client(p) {
                     let wait = self.until_next(p);
                     self.later(wait, Due::Client(p));
                 }
             }
-            Due::Arrive(to, p, life, request, attempt, sent) => {
-                let job = (p, life, request, attempt, sent);
+            Due::Arrive(to, p, incarnation, request, attempt, sent) => {
+                let job = (p, incarnation, request, attempt, sent);
                 if self.is_greedy() && self.fleet[to].up && self.cold_age(to).is_some() {
                     let took = (1.0 / self.rate(to)) as i64;
-                    self.cold_served += 1;
-                    let due = Due::Answer(p, life, request, attempt, to, true, sent);
+                    self.warming_up_served += 1;
+                    let due = Due::Answer(p, incarnation, request, attempt, to, true, sent);
                     return self.later(took, due);
                 }
                 let held = self.fleet[to].held.len();
@@ -321,21 +322,23 @@
                     self.work(to);
                 }
             }
-            Due::Work(of, life) if life == self.fleet[of].life => {
+            Due::Work(of, incarnation) if incarnation == self.fleet[of].incarnation => {
                 if let Some(job) = self.fleet[of].held.pop_front() {
                     self.served += 1;
-                    self.cold_served += u64::from(self.now >= BACK);
+                    self.warming_up_served += u64::from(self.now >= BACK);
                     self.answer(job, of, true);
                 }
                 if !self.fleet[of].held.is_empty() {
                     self.work(of);
                 }
             }
-            Due::Answer(p, life, request, attempt, of, ok, sent) if life == self.lives[p] => {
+            Due::Answer(p, incarnation, request, attempt, of, ok, sent)
+                if incarnation == self.incarnations[p] =>
+            {
                 let outcome = if ok { Outcome::Ok } else { Outcome::Full };
                 let (id, of, took) = (RequestId(request), ServerId(of as u32), self.now - sent);
                 let answer = Answer::new(id, attempt, of, outcome, Span(took), ok);
-                self.tell(p, Event::Answered(answer));
+                self.deliver(p, Event::Answered(answer));
             }
             Due::Go(i) | Due::Back(i) => {
                 let up = due == Due::Back(i);
@@ -343,24 +346,24 @@
                     self.fleet[i].started = Some(self.now);
                 }
                 self.fleet[i].up = up;
-                self.fleet[i].life += 1;
+                self.fleet[i].incarnation += 1;
                 let held = std::mem::take(&mut self.fleet[i].held);
                 held.into_iter().for_each(|job| self.answer(job, i, false));
                 for p in 0..self.proxies.len() {
-                    let wait = self.rng.rand_range(0..self.day.spread as u64 + 1) as i64;
-                    self.later(wait, Due::Word(p, i, up));
+                    let wait = self.rng.rand_range(0..self.scenario.spread as u64 + 1) as i64;
+                    self.later(wait, Due::ListMessage(p, i, up));
                 }
             }
-            Due::Word(p, i, up) if up == self.fleet[i].up => {
+            Due::ListMessage(p, i, up) if up == self.fleet[i].up => {
                 let list = [self.member(i, up)];
-                self.tell(p, Event::Members { kind: ListKind::Update, list: &list });
+                self.deliver(p, Event::Members { kind: ListKind::Update, list: &list });
             }
             Due::Restart(p) => {
-                self.lives[p] += 1;
+                self.incarnations[p] += 1;
                 let s = Settings { position: p as u32, ..self.settings.clone() };
                 let seed = self.rng.rand_u64();
                 self.proxies[p] = Balancer::new(s, seed, Time(self.now)).expect("sound settings");
-                self.whole_list(p);
+                self.complete_list(p);
             }
             _ => {}
         }
@@ -374,15 +377,15 @@
         for (i, upstream) in self.fleet.iter().enumerate() {
             let Some(started) = upstream.started else { continue };
             let mut from = 0;
-            for (upto, at) in upstream.sent.iter().enumerate() {
+            for (through, at) in upstream.sent.iter().enumerate() {
                 while upstream.sent[from] + rules.tip_after.0 < *at {
                     from += 1;
                 }
                 let able = self.rate(i) * self.share(at - started) * rules.tip_after.f();
                 let n = rules.fall_multiple * able;
-                let part = (upto + 1 - from) as f64 / (n + 2.0 * n.sqrt() + 2.0);
+                let part = (through + 1 - from) as f64 / (n + 2.0 * n.sqrt() + 2.0);
                 if part > worst.2 {
-                    worst = (upto + 1 - from, n, part);
+                    worst = (through + 1 - from, n, part);
                 }
             }
         }
@@ -390,71 +393,78 @@
     }
 }
 
-fn play(day: Day) -> (usize, f64, f64) {
-    let mut bank = Bank::new(day);
-    bank.until(BACK + day.one_by_one + bank.settings.rules.warm_up.0);
-    let (sent, n, part) = bank.worst();
-    let service = bank.cold_served as f64 / bank.cold_asked.max(1) as f64;
-    println!("{day:?}: {sent} sent, N {n:.1}, {part:.2} of the bound, {service:.3} served");
+fn play(scenario: Scenario) -> (usize, f64, f64) {
+    let mut cluster = Cluster::new(scenario);
+    cluster.until(BACK + scenario.one_by_one + cluster.settings.rules.warm_up.0);
+    let (sent, n, part) = cluster.worst();
+    let service = cluster.warming_up_served as f64 / cluster.warming_up_requests.max(1) as f64;
+    println!("{scenario:?}: {sent} sent, N {n:.1}, {part:.2} of the bound, {service:.3} served");
     (sent, n, part)
 }
 
 /// Days of a bank of so many, with one in ten, half and all upstreams cold: calm, with a crowd, restarts, a favoured
 /// proxy; and such on which all demand falls upon the cold ones late, or they go and come one after another.
-fn days(proxies: u32, upstreams: usize) -> Vec<Day> {
+fn days(proxies: u32, upstreams: usize) -> Vec<Scenario> {
     let mut days = Vec::new();
     for cold in [upstreams / 10, upstreams / 2, upstreams] {
-        let day = Day { proxies, upstreams, cold, ..DAY };
-        days.push(day);
+        let scenario = Scenario { proxies, upstreams, cold, ..DAY };
+        days.push(scenario);
         let favoured = (f64::from(proxies) / 4.0).clamp(1.0, 5.0);
-        days.push(Day { restarts: true, favoured, at_once: Some(12 * SECOND), ..day });
+        days.push(Scenario { restarts: true, favoured, at_once: Some(12 * SECOND), ..scenario });
         for late in [6, 20] {
             let (alone, greed) = (Some(late * SECOND), Some((late + 1) * SECOND));
-            days.push(Day { alone: alone.filter(|_| cold < upstreams), greed, ..day });
+            days.push(Scenario { alone: alone.filter(|_| cold < upstreams), greed, ..scenario });
         }
         let one_by_one = 7 * SECOND;
-        days.push(Day { one_by_one, load: 1.2, ..day });
-        days.push(Day { one_by_one, greed: Some(one_by_one + SECOND), ..day });
-        days.push(Day { one_by_one, greed: Some(-2 * SECOND + one_by_one), restarts: true, ..day });
+        days.push(Scenario { one_by_one, load: 1.2, ..scenario });
+        days.push(Scenario { one_by_one, greed: Some(one_by_one + SECOND), ..scenario });
+        days.push(Scenario {
+            one_by_one,
+            greed: Some(-2 * SECOND + one_by_one),
+            restarts: true,
+            ..scenario
+        });
     }
     days
 }
 
-fn holds(days: Vec<Day>) {
-    let proxies = days.first().map_or(0, |day| day.proxies);
-    let worst = days.into_iter().map(|day| (play(day), day));
+fn holds(days: Vec<Scenario>) {
+    let proxies = days.first().map_or(0, |scenario| scenario.proxies);
+    let worst = days.into_iter().map(|scenario| (play(scenario), scenario));
     let worst = worst.max_by(|a, b| a.0.2.total_cmp(&b.0.2));
-    let ((sent, n, part), day) = worst.expect("some days");
+    let ((sent, n, part), scenario) = worst.expect("some days");
     println!("WORST of {proxies} proxies: {sent} sent, N {n:.1}, {part:.2} of the bound");
-    assert!(part <= 1.0, "{sent} sent, {:.1} borne: {day:?}", n + 2.0 * n.sqrt() + 2.0);
+    assert!(part <= 1.0, "{sent} sent, {:.1} borne: {scenario:?}", n + 2.0 * n.sqrt() + 2.0);
 }
 
 #[test]
-fn one_proxy_pushes_no_cold_upstream_over() {
+fn one_balancer_overloads_no_upstream_that_is_warming_up() {
     holds(days(1, 20));
 }
 
 #[test]
-fn a_bank_of_six_pushes_no_cold_upstream_over() {
+fn six_balancers_overload_no_upstream_that_is_warming_up() {
     holds(days(6, 48));
 }
 
 #[test]
-fn a_bank_of_twenty_pushes_no_cold_upstream_over() {
+fn twenty_balancers_overload_no_upstream_that_is_warming_up() {
     holds(days(20, 48));
 }
 
 #[test]
-fn a_bank_of_thirty_pushes_no_cold_upstream_over() {
+fn thirty_balancers_overload_no_upstream_that_is_warming_up() {
     holds(days(30, 60));
 }
 
 #[test]
-fn a_bank_of_three_hundred_pushes_no_cold_upstream_over() {
+fn three_hundred_balancers_overload_no_upstream_that_is_warming_up() {
     // Those days on which the pace alone holds them back. All others too: see docs/design/cold.md.
     let mut days = days(300, 200);
-    days.retain(|day| day.greed.is_some_and(|after| after < 8 * SECOND) && day.cold >= 100);
-    days.retain(|day| day.alone.is_some() || day.restarts && day.cold == 200);
+    days.retain(|scenario| {
+        scenario.greed.is_some_and(|after| after < 8 * SECOND) && scenario.cold >= 100
+    });
+    days.retain(|scenario| scenario.alone.is_some() || scenario.restarts && scenario.cold == 200);
     assert_eq!(days.len(), 2);
     holds(days);
 }
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -92,7 +92,7 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Asked {
+pub struct ClientRequest {
     pub class: usize,
     pub key: Option<u64>,
     /// Its place among all that were taken.
@@ -107,7 +107,7 @@
     pub balancer: Balancer,
     pub now: Time,
     pub members: BTreeMap<u32, Member>,
-    pub asked: BTreeMap<u64, Asked>,
+    pub asked: BTreeMap<u64, ClientRequest>,
     pub timers: Vec<(u64, Time)>,
     pub log: Vec<Action>,
     /// For upstreams that are not live: when that was told or they were last used, and last closed.
@@ -134,7 +134,7 @@
         world
     }
 
-    fn tell(&mut self, event: Event) {
+    fn deliver(&mut self, event: Event) {
         self.balancer.handle(self.now, event, &mut self.actions);
         self.obey();
     }
@@ -160,7 +160,7 @@
                 self.leaving.entry(*id).or_insert((self.now, None));
             }
         }
-        self.tell(Event::Members { kind, list });
+        self.deliver(Event::Members { kind, list });
     }
 
     pub fn request(&mut self, id: u64, class: usize) {
@@ -185,10 +185,10 @@
         key: Option<u64>,
     ) {
         let place = self.asked.len();
-        let asked = Asked { class, key, place, send_deadline, tries: vec![], over: false };
+        let asked = ClientRequest { class, key, place, send_deadline, tries: vec![], over: false };
         assert!(self.asked.insert(id, asked).is_none(), "ids are not repeated");
         let request = Request { tenant, key, ..Request::new(RequestId(id), class, send_deadline) };
-        self.tell(Event::Request(request));
+        self.deliver(Event::Request(request));
     }
 
     /// A request that may go to this zone and cell only.
@@ -200,10 +200,11 @@
         sticky_cell: Option<(u32, u32)>,
     ) {
         let place = self.asked.len();
-        let asked = Asked { class, key: None, place, send_deadline, tries: vec![], over: false };
+        let asked =
+            ClientRequest { class, key: None, place, send_deadline, tries: vec![], over: false };
         self.asked.insert(id, asked);
         let request = Request { sticky_cell, ..Request::new(RequestId(id), class, send_deadline) };
-        self.tell(Event::Request(request));
+        self.deliver(Event::Request(request));
     }
 
     /// A request whose body still comes.
@@ -212,11 +213,17 @@
         let place = self.asked.len();
         // Its client's time has not begun.
         let never = self.now.plus(Span(i64::MAX / 4));
-        let asked =
-            Asked { class, key: None, place, send_deadline: never, tries: vec![], over: false };
+        let asked = ClientRequest {
+            class,
+            key: None,
+            place,
+            send_deadline: never,
+            tries: vec![],
+            over: false,
+        };
         self.asked.insert(id, asked);
         let request = Request { flows: true, ..Request::new(RequestId(id), class, send_deadline) };
-        self.tell(Event::Request(request));
+        self.deliver(Event::Request(request));
     }
 
     /// Its last byte has come.
@@ -227,7 +234,7 @@
             t.sent = self.now;
         }
         let send_deadline = asked.send_deadline;
-        self.tell(Event::BodyReceived { request: RequestId(id), send_deadline });
+        self.deliver(Event::BodyReceived { request: RequestId(id), send_deadline });
     }
 
     /// Ends an attempt that is out; does nothing if there is none such.
@@ -254,14 +261,14 @@
             spent,
             report: Report::default(),
         };
-        self.tell(Event::Answered(answer));
+        self.deliver(Event::Answered(answer));
     }
 
     pub fn gone(&mut self, id: u64) {
         if let Some(asked) = self.asked.get_mut(&id) {
             asked.over = true;
         }
-        self.tell(Event::ClientLeft(RequestId(id)));
+        self.deliver(Event::ClientLeft(RequestId(id)));
     }
 
     /// Lets time pass, firing timers; attempts end as time-outs at their request's end.
@@ -275,7 +282,7 @@
             self.now = self.now.max(at);
             self.check_closed();
             self.time_out();
-            self.tell(Event::Timer(token));
+            self.deliver(Event::Timer(token));
         }
         self.now = end;
         self.check_closed();
@@ -302,7 +309,7 @@
         if !class.in_order || mine.key.is_none() || !mine.tries.is_empty() {
             return;
         }
-        let like = |a: &&Asked| {
+        let like = |a: &&ClientRequest| {
             self.settings.classes[a.class].in_order && a.key == mine.key && a.place < mine.place
         };
         for earlier in self.asked.values().filter(like) {
@@ -318,7 +325,7 @@
     }
 
     fn time_out(&mut self) {
-        let due = |a: &Asked| a.send_deadline <= self.now;
+        let due = |a: &ClientRequest| a.send_deadline <= self.now;
         let late: Vec<u64> = self.asked.iter().filter(|(_, a)| due(a)).map(|(id, _)| *id).collect();
         for id in late {
             for attempt in 0..self.asked[&id].tries.len() {
--- a/crates/policy/tests/flows.rs
+++ b/crates/policy/tests/flows.rs
@@ -17,7 +17,7 @@
 }
 
 #[test]
-fn a_slow_client_is_no_fault_of_its_upstream() {
+fn slow_client_is_not_counted_as_a_fault_of_its_upstream() {
     // Failure it is for: a body that takes two seconds to come looked like an upstream that does not answer, which
     // was shut to its class.
     let mut w = World::with_servers(settings(), 1);
@@ -38,7 +38,7 @@
 }
 
 #[test]
-fn once_whole_it_holds_a_slot_and_its_upstream_is_watched() {
+fn complete_body_takes_a_slot_and_its_attempt_is_tracked() {
     let mut w = World::with_servers(settings(), 1);
     learned(&mut w, UNSAFE);
     w.flows(1, UNSAFE);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn one_that_comes_quickly_counts_once() {
+fn body_that_arrives_quickly_takes_one_slot() {
     let mut w = World::with_servers(settings(), 1);
     learned(&mut w, UNSAFE);
     w.flows(1, UNSAFE);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn one_that_never_went_out_is_refused_in_its_time() {
+fn unsent_streaming_request_is_rejected_in_time() {
     let mut w = World::with_servers(settings(), 1);
     learned(&mut w, UNSAFE);
     (0..40).for_each(|id| w.request(id, UNSAFE));
@@ -82,7 +82,7 @@
 }
 
 #[test]
-fn one_whose_body_is_spent_is_never_sent_again_and_is_answered_at_once() {
+fn request_with_consumed_body_is_not_retried_and_is_answered_at_once() {
     // Failure it is for: the caller had to know how such a request ends, and told nobody when to come again.
     for (outcome, spent) in [(Outcome::Reset, true), (Outcome::Full, true), (Outcome::Full, false)]
     {
--- a/crates/policy/tests/indexed.rs
+++ b/crates/policy/tests/indexed.rs
@@ -11,11 +11,11 @@
 const MS: i64 = 1000;
 
 /// A day drawn from a seed: settings, fleet and all that happens to it.
-struct Day {
+struct Scenario {
     rng: Rand64,
     now: Time,
     settings: Settings,
-    kept: Balancer,
+    indexed: Balancer,
     scanned: scanning::policy::Balancer,
     members: BTreeMap<u32, Member>,
     fresh: u32,
@@ -80,13 +80,13 @@
     s
 }
 
-impl Day {
+impl Scenario {
     fn new(seed: u64, most: u64) -> Self {
         let mut rng = Rand64::new(u128::from(seed));
         let settings = settings(&mut rng);
         let now = Time(1_000_000 * MS);
-        let mut day = Self {
-            kept: Balancer::new(settings.clone(), seed, now).expect("sound settings"),
+        let mut scenario = Self {
+            indexed: Balancer::new(settings.clone(), seed, now).expect("sound settings"),
             scanned: scanning::policy::Balancer::new(settings.clone(), seed, now)
                 .expect("the same"),
             rng,
@@ -103,10 +103,10 @@
             refusals: 0,
             fails: 0,
         };
-        let n = day.rng.rand_range(0..most);
-        let list: Vec<Member> = (0..n).map(|_| day.newcomer()).collect();
-        day.tell(Event::Members { kind: ListKind::Restored, list: &list });
-        day
+        let n = scenario.rng.rand_range(0..most);
+        let list: Vec<Member> = (0..n).map(|_| scenario.newcomer()).collect();
+        scenario.deliver(Event::Members { kind: ListKind::Restored, list: &list });
+        scenario
     }
 
     fn newcomer(&mut self) -> Member {
@@ -126,21 +126,21 @@
         m
     }
 
-    fn tell(&mut self, event: Event) {
-        let (mut kept, mut scanned) = (Vec::new(), Vec::new());
-        self.kept.handle(self.now, event, &mut kept);
+    fn deliver(&mut self, event: Event) {
+        let (mut indexed, mut scanned) = (Vec::new(), Vec::new());
+        self.indexed.handle(self.now, event, &mut indexed);
         self.scanned.handle(self.now, event, &mut scanned);
         // The order in which idle connections are closed means nothing.
         let close = |a: &Action| matches!(a, Action::CloseIdle { .. });
-        let (mut closed, kept): (Vec<_>, Vec<_>) = kept.into_iter().partition(close);
-        let (mut closed_then, scanned): (Vec<_>, Vec<_>) = scanned.into_iter().partition(close);
+        let (mut closed, indexed): (Vec<_>, Vec<_>) = indexed.into_iter().partition(close);
+        let (mut was_closed, scanned): (Vec<_>, Vec<_>) = scanned.into_iter().partition(close);
         let name = |a: &Action| if let Action::CloseIdle { server } = a { server.0 } else { 0 };
         closed.sort_by_key(name);
-        closed_then.sort_by_key(name);
-        if kept != scanned
+        was_closed.sort_by_key(name);
+        if indexed != scanned
             && let Some(Action::Send { server, request, .. }) = scanned.first()
         {
-            for t in [format!("{:?}", self.kept), format!("{:?}", self.scanned)] {
+            for t in [format!("{:?}", self.indexed), format!("{:?}", self.scanned)] {
                 for m in [
                     format!("id: ServerId({}),", server.0),
                     format!("RequestId({}): Entry", request.0),
@@ -155,9 +155,9 @@
             }
             println!("{:?}", self.settings);
         }
-        assert_eq!(kept, scanned, "at {:?} after {event:?}", self.now);
-        assert_eq!(closed, closed_then, "at {:?} after {event:?}", self.now);
-        for action in kept {
+        assert_eq!(indexed, scanned, "at {:?} after {event:?}", self.now);
+        assert_eq!(closed, was_closed, "at {:?} after {event:?}", self.now);
+        for action in indexed {
             self.obey(action);
         }
     }
@@ -198,7 +198,7 @@
             self.now = self.now.max(timer_at.min(answer_at));
             if timer_at <= answer_at {
                 let (token, _) = self.timers.swap_remove(timer.expect("there is one"));
-                self.tell(Event::Timer(token));
+                self.deliver(Event::Timer(token));
             } else {
                 self.answer(answer.expect("there is one"));
             }
@@ -221,7 +221,9 @@
             self.open.retain(|id| *id != request);
         }
         let latency = self.now.since(sent);
-        self.tell(Event::Answered(Answer::new(request, attempt, server, outcome, latency, last)));
+        self.deliver(Event::Answered(Answer::new(
+            request, attempt, server, outcome, latency, last,
+        )));
     }
 
     fn request(&mut self) {
@@ -233,12 +235,12 @@
         r.tenant = self.rng.rand_range(0..3) as usize;
         r.key = pick(&mut self.rng, &[None, Some(1), Some(2), Some(self.last)]);
         self.open.push(id);
-        self.tell(Event::Request(r));
+        self.deliver(Event::Request(r));
     }
 
     fn list(&mut self) {
         if self.rng.rand_float() < 0.1 {
-            return self.tell(Event::Members { kind: ListKind::Unavailable, list: &[] });
+            return self.deliver(Event::Members { kind: ListKind::Unavailable, list: &[] });
         }
         let ids: Vec<u32> = self.members.keys().copied().collect();
         let mut named = Vec::new();
@@ -278,7 +280,7 @@
             (true, false) => ListKind::Restored,
             (false, _) => ListKind::Update,
         };
-        self.tell(Event::Members { kind, list: &named });
+        self.deliver(Event::Members { kind, list: &named });
     }
 
     fn play(&mut self, events: usize) {
@@ -294,7 +296,7 @@
                 4..6 if !self.open.is_empty() => {
                     let id = pick(&mut self.rng, &self.open);
                     self.open.retain(|o| *o != id);
-                    self.tell(Event::ClientLeft(id));
+                    self.deliver(Event::ClientLeft(id));
                 }
                 _ => self.request(),
             }
@@ -302,22 +304,22 @@
     }
 }
 
-fn day(seed: u64, most: u64, events: usize) -> Day {
-    let mut day = Day::new(seed, most);
-    day.play(events);
-    day
+fn scenario(seed: u64, most: u64, events: usize) -> Scenario {
+    let mut scenario = Scenario::new(seed, most);
+    scenario.play(events);
+    scenario
 }
 
 #[test]
-fn acts_as_the_module_that_scanned() {
+fn acts_as_the_scanning_module() {
     // Always the same days, so that the verdict is the same too; the long run has a hundred thousand.
-    (0..150).for_each(|seed| drop(day(seed, 60, 500)));
+    (0..150).for_each(|seed| drop(scenario(seed, 60, 500)));
 }
 
 #[test]
-fn days_are_full_of_everything() {
-    let days: Vec<Day> = (0..30).map(|seed| day(seed, 60, 500)).collect();
-    let sum = |of: fn(&Day) -> usize| days.iter().map(of).sum::<usize>();
+fn scenarios_contain_every_kind_of_event() {
+    let days: Vec<Scenario> = (0..30).map(|seed| scenario(seed, 60, 500)).collect();
+    let sum = |of: fn(&Scenario) -> usize| days.iter().map(of).sum::<usize>();
     assert!(sum(|d| d.sends) > 2000, "{} sends", sum(|d| d.sends));
     assert!(sum(|d| d.refusals) > 500, "{} refusals", sum(|d| d.refusals));
     assert!(sum(|d| d.fails) > 100, "{} fails", sum(|d| d.fails));
@@ -326,16 +328,16 @@
 /// Days on which a send in the middle of a look through the queue took the last ordinary slot. Failure: repeats that
 /// are bound alike waited behind the first of them that had found none, though lanes on trial had opened to them.
 #[test]
-fn lanes_on_trial_open_to_repeats_in_the_middle_of_a_look() {
+fn probe_slots_open_to_retries_during_a_scan() {
     for seed in [7077, 50_770, 54_711, 71_012] {
-        day(seed, 60, 300);
+        scenario(seed, 60, 300);
     }
 }
 
 /// The long run: `cargo test --release -p hollowpaddle-policy --test indexed -- --ignored`.
 #[test]
 #[ignore = "a minute: 100,000 days"]
-fn acts_as_the_module_that_scanned_on_a_hundred_thousand_days() {
+fn acts_as_the_scanning_module_in_a_hundred_thousand_scenarios() {
     let threads = std::thread::available_parallelism().map_or(2, usize::from) as u64;
     let differ = std::sync::Mutex::new(Vec::new());
     std::thread::scope(|scope| {
@@ -344,7 +346,7 @@
             scope.spawn(move || {
                 for seed in (t..100_000).step_by(threads as usize) {
                     let most = if seed % 50 == 0 { 150 } else { 60 };
-                    if std::panic::catch_unwind(|| day(seed, most, 300)).is_err() {
+                    if std::panic::catch_unwind(|| scenario(seed, most, 300)).is_err() {
                         differ.lock().expect("no panic while it is held").push(seed);
                     }
                 }
--- a/crates/policy/tests/learned.rs
+++ b/crates/policy/tests/learned.rs
@@ -31,7 +31,7 @@
 }
 
 #[test]
-fn the_next_process_knows_what_the_one_before_it_has_learned() {
+fn recalls_what_the_previous_process_learned() {
     let old = taught();
     let learned = old.balancer.learned();
     let mut new = World::with_servers(settings(), 4);
@@ -48,7 +48,7 @@
 }
 
 #[test]
-fn of_an_upstream_that_has_started_anew_nothing_is_recalled() {
+fn recalls_nothing_of_a_restarted_upstream() {
     let learned = taught().balancer.learned();
     let mut new = World::new(settings());
     let young = Member { started: Some(new.now), ..member(0, 0) };
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn what_does_not_fit_changes_nothing() {
+fn rejects_learned_state_that_does_not_fit() {
     let learned = taught().balancer.learned();
     let mut one = settings();
     one.classes.truncate(1);
@@ -88,22 +88,22 @@
 }
 
 #[test]
-fn it_survives_the_way_through_a_file() {
+fn learned_state_survives_serialization() {
     let learned = taught().balancer.learned();
     let text = serde_json::to_string(&learned).expect("as JSON");
     assert_eq!(serde_json::from_str::<Learned>(&text).expect("read back"), learned);
 }
 
 #[test]
-fn the_meaning_of_settings_is_in_their_names_and_their_order() {
+fn meaning_depends_on_names_and_their_order() {
     let facts = |classes: [&str; 2], zones: [&str; 2], kinds: [&str; 2], deadline: f64| {
         let class = |name| serde_json::json!({"Name": name, "Aim": 10.0, "Deadline": deadline, "Effect": "dedup"});
-        let said = serde_json::json!({
+        let recorded = serde_json::json!({
             "Balancers": 1, "Tick": 1.0, "RegistryMode": "automatic", "Services": classes.map(class),
             "Zones": zones, "MachineTypes": kinds, "PolicyLimits": {"MaxAttempts": 3},
             "Safety": {"Cold": 0.0, "ColdFrom": 1.0, "FallMultiple": 1.0, "TipAfter": 0.0},
         });
-        serde_json::from_value::<Facts>(said).expect("facts")
+        serde_json::from_value::<Facts>(recorded).expect("facts")
     };
     let ours = facts(["a", "b"], ["x", "y"], ["k", "l"], 100.0);
     assert_eq!(ours.settings().meaning, ours.meaning());
--- a/crates/policy/tests/list_polling/cluster.rs
+++ b/crates/policy/tests/list_polling/cluster.rs
@@ -36,7 +36,7 @@
 
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Debug)]
 pub enum Due {
-    Goes(bool),
+    Reachability(bool),
     Timer(usize, u64),
     /// The caller gives this call up.
     GivenUp(usize, u64),
@@ -105,7 +105,7 @@
             capacity,
         };
         for i in 0..n {
-            cluster.tell(i, Event::Members { kind: ListKind::Restored, list: &[] });
+            cluster.deliver(i, Event::Members { kind: ListKind::Restored, list: &[] });
         }
         cluster
     }
@@ -115,7 +115,7 @@
         self.due.push(Reverse((at, self.order, due)));
     }
 
-    fn tell(&mut self, i: usize, event: Event) {
+    fn deliver(&mut self, i: usize, event: Event) {
         let mut actions = Vec::new();
         self.balancers[i].handle(Time(self.now), event, &mut actions);
         for action in actions {
@@ -130,7 +130,7 @@
     /// The call or the watch of this balancer fails.
     fn fails(&mut self, i: usize) {
         (self.call[i], self.watch[i]) = (None, false);
-        self.tell(i, Event::Members { kind: ListKind::Unavailable, list: &[] });
+        self.deliver(i, Event::Members { kind: ListKind::Unavailable, list: &[] });
     }
 
     fn asks(&mut self, i: usize) {
@@ -179,7 +179,7 @@
     /// Plays one event.
     pub fn on(&mut self, due: Due) {
         match due {
-            Due::Timer(i, token) => self.tell(i, Event::Timer(token)),
+            Due::Timer(i, token) => self.deliver(i, Event::Timer(token)),
             Due::GivenUp(i, call) | Due::Expired(i, call) => {
                 let expired = matches!(due, Due::Expired(..));
                 if expired || !self.capacity.serves_given_up {
@@ -192,7 +192,7 @@
             Due::ListCallRejected(i, call) => {
                 assert_eq!(self.call[i].take(), Some(call), "it waits for the answer");
                 self.turned_away += 1;
-                self.tell(i, Event::ListCallRejected);
+                self.deliver(i, Event::ListCallRejected);
             }
             Due::FoundSilent(i) if self.watch[i] => self.fails(i),
             Due::FoundSilent(_) => {}
@@ -201,7 +201,7 @@
                     Some((i, call)) if self.call[i] == Some(call) => {
                         (self.call[i], self.watch[i]) = (None, true);
                         self.told[i].push(self.now);
-                        self.tell(i, Event::Members { kind: ListKind::Complete, list: &[] });
+                        self.deliver(i, Event::Members { kind: ListKind::Complete, list: &[] });
                     }
                     Some(_) => self.turns_in_vain += 1,
                     None => {}
@@ -211,7 +211,7 @@
                     self.at(self.now + self.turn(), Due::Turn);
                 }
             }
-            Due::Goes(up) => {
+            Due::Reachability(up) => {
                 self.up = up;
                 if !up {
                     let waiting = std::mem::take(&mut self.queue);
--- a/crates/policy/tests/list_polling/crowded.rs
+++ b/crates/policy/tests/list_polling/crowded.rs
@@ -41,9 +41,9 @@
     let before = (cluster.turned_away, cluster.turns_in_vain);
     let from = match cause {
         Cause::BackAfterRefusing => {
-            cluster.on(Due::Goes(false));
+            cluster.on(Due::Reachability(false));
             cluster.until(enough + 8 * SECOND);
-            cluster.on(Due::Goes(true));
+            cluster.on(Due::Reachability(true));
             cluster.now
         }
         _ => {
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn the_last_of_all_callers_is_served_in_time_and_no_turn_is_spent_on_who_has_gone() {
+fn last_caller_is_served_in_time_and_discovery_serves_no_caller_that_has_gone() {
     for cause in [Cause::Start, Cause::BackAfterRefusing, Cause::WatchesSilent] {
         for n in BALANCERS {
             for rate in RATES {
--- a/crates/policy/tests/list_polling/main.rs
+++ b/crates/policy/tests/list_polling/main.rs
@@ -31,7 +31,7 @@
 const ASK_EVERY: [i64; 4] = [100 * MS, 2 * SECOND, 10 * SECOND, 600 * SECOND];
 
 #[test]
-fn the_parts_of_the_time_sum_under_it() {
+fn list_deadlines_sum_to_less_than_the_propagation_bound() {
     assert_eq!(SILENCE.0 + PAUSE.0 + SILENCE.0 + MARGIN.0, LIST_PROPAGATION_BOUND.0);
     // After a call that discovery took and never answered there is time for one more.
     const { assert!(CALL_PATIENCE.0 + MARGIN.0 + 2 * SECOND < LIST_PROPAGATION_BOUND.0) };
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn one_balancer_is_told_in_time_however_long_its_settings_let_it_wait() {
+fn one_balancer_is_notified_in_time_for_any_poll_interval() {
     for list_poll_interval in ASK_EVERY {
         for down in [Down::Refuses, Down::Silent] {
             let mut worst = (0, 0);
@@ -47,9 +47,9 @@
             for of in 0..400 {
                 let mut cluster = Cluster::new(1, list_poll_interval, quick(100, true), down);
                 cluster.until(10 * SECOND + of * 7 * MS);
-                cluster.on(Due::Goes(false));
+                cluster.on(Due::Reachability(false));
                 cluster.until(20 * SECOND + of * 61 * MS);
-                cluster.on(Due::Goes(true));
+                cluster.on(Due::Reachability(true));
                 let back = cluster.now;
                 cluster.until(back + 10 * SECOND);
                 worst = worst.max((cluster.late(back)[0], of));
@@ -65,7 +65,7 @@
 }
 
 #[test]
-fn three_hundred_are_told_in_time_and_do_not_swamp_discovery() {
+fn three_hundred_balancers_are_notified_in_time_without_overloading_discovery() {
     for list_poll_interval in ASK_EVERY {
         for (down, in_vain) in [(Down::Refuses, true), (Down::Silent, true), (Down::Silent, false)]
         {
@@ -73,9 +73,9 @@
             cluster.until(10 * SECOND);
             let name = format!("300, asked every {} ms", list_poll_interval / MS);
             let mut worst = shown(&format!("{name}, all start"), &cluster, 0);
-            cluster.on(Due::Goes(false));
+            cluster.on(Due::Reachability(false));
             cluster.until(18 * SECOND);
-            cluster.on(Due::Goes(true));
+            cluster.on(Due::Reachability(true));
             cluster.until(30 * SECOND);
             worst = worst.max(shown(
                 &format!("{name}, back after 8 s, {down:?}"),
--- a/crates/policy/tests/mechanism.rs
+++ b/crates/policy/tests/mechanism.rs
@@ -14,7 +14,7 @@
 }
 
 #[test]
-fn holds_when_every_slot_is_taken_and_keeps_arrival_order() {
+fn queues_when_every_slot_is_taken_and_keeps_arrival_order() {
     let mut w = World::with_servers(settings(), 1);
     let (_, k, _) = w.balancer.upstream(ServerId(0), Span(MS)).unwrap();
     let k = u64::from(k);
@@ -53,22 +53,22 @@
 }
 
 #[test]
-fn proxies_of_a_bank_prefer_different_upstreams() {
+fn balancers_of_a_cluster_prefer_different_upstreams() {
     // Failure: every proxy of a large bank spread its requests over the whole fleet, and together
     // they filled the upstreams' waiting rooms while others idled.
-    let mut drawn = vec![0; 40];
+    let mut sampled = vec![0; 40];
     for position in 0..10 {
         let mut w = World::with_servers(Settings { balancers: 10, position, ..settings() }, 40);
         (0..4).for_each(|id| w.request(id, 0));
-        (0..40).for_each(|i| drawn[i as usize] += w.sends_to(i));
+        (0..40).for_each(|i| sampled[i as usize] += w.sends_to(i));
     }
-    assert_eq!(drawn.iter().sum::<usize>(), 40);
-    assert!(drawn.iter().all(|&n| n <= 2), "{drawn:?}");
-    assert!(drawn.iter().filter(|&&n| n > 0).count() >= 30, "{drawn:?}");
+    assert_eq!(sampled.iter().sum::<usize>(), 40);
+    assert!(sampled.iter().all(|&n| n <= 2), "{sampled:?}");
+    assert!(sampled.iter().filter(|&&n| n > 0).count() >= 30, "{sampled:?}");
 }
 
 #[test]
-fn a_proxy_holds_no_more_than_its_part_of_the_slots() {
+fn balancer_uses_no_more_than_its_part_of_the_slots() {
     // Failure: K_i slots at every upstream for every proxy are as many times too many as there
     // are proxies.
     let mut w = World::with_servers(Settings { balancers: 8, ..settings() }, 32);
@@ -87,7 +87,7 @@
 }
 
 #[test]
-fn refuses_at_once_when_queued_and_in_flight_reach_the_sum_of_n() {
+fn rejects_at_once_when_queued_and_in_flight_reach_the_sum_of_n() {
     let mut w = World::with_servers(settings(), 2);
     for id in 0..500 {
         w.request(id, 0);
@@ -98,7 +98,7 @@
 }
 
 #[test]
-fn an_empty_list_holds_until_an_upstream_appears() {
+fn empty_list_queues_until_an_upstream_appears() {
     let mut w = World::new(settings());
     w.request(1, 2);
     assert!(w.out(1).is_none() && !w.refused(1));
@@ -107,7 +107,7 @@
 }
 
 #[test]
-fn an_empty_list_refuses_while_it_is_harmless() {
+fn empty_list_rejects_while_that_is_harmless() {
     let mut w = World::new(settings());
     w.request(1, 2);
     w.pass(Span(200 * MS));
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn quick_errors_earn_no_requests() {
+fn quick_errors_attract_no_requests() {
     // Failure: an upstream that fails fast looked fast, and drew the traffic.
     let mut w = World::with_servers(settings(), 4);
     for round in 0..200 {
@@ -167,14 +167,16 @@
     // Failure: upstreams that left one class unanswered kept drawing it, since others were answered.
     let (w, _) = with_upstream_0(settings(), |class| class == 0);
     let to_0 = |class| {
-        let at_0 = |a: &&common::Asked| a.class == class && a.tries.iter().any(|t| t.server.0 == 0);
+        let at_0 = |a: &&common::ClientRequest| {
+            a.class == class && a.tries.iter().any(|t| t.server.0 == 0)
+        };
         w.asked.values().filter(at_0).count()
     };
     assert!(to_0(2) <= 20 && to_0(0) >= 2 * to_0(2), "{} and {}", to_0(2), to_0(0));
 }
 
 #[test]
-fn a_lost_answer_does_not_hold_its_slot() {
+fn lost_answer_releases_its_slot() {
     // Failure: each lost answer held its slot until its time-out, and the fleet refused beside idle slots.
     let mut w = World::with_servers(settings(), 1);
     for id in 0..40 {
@@ -196,7 +198,7 @@
 }
 
 #[test]
-fn a_lone_silent_attempt_does_not_hold_its_slot_until_its_time_out() {
+fn lone_silent_attempt_releases_its_slot_before_its_timeout() {
     // Failure: with one slot an upstream nothing could overtake an attempt on a connection fallen silent; a
     // few of them held all slots, and the bank refused beside idle upstreams.
     let mut w = World::with_servers(settings(), 1);
@@ -221,7 +223,7 @@
 }
 
 #[test]
-fn a_late_request_goes_elsewhere_too_where_late_ones_never_come_back() {
+fn late_request_is_hedged_where_late_ones_are_never_answered() {
     // Failure: a lost answer was waited for until the aim had passed.
     let copies = |lost: bool| {
         let mut w = World::with_servers(settings(), 6);
@@ -240,7 +242,7 @@
 }
 
 #[test]
-fn a_class_with_a_long_aim_does_not_starve_a_short_one() {
+fn class_with_a_long_objective_does_not_starve_one_with_a_short_one() {
     // Failure: the queue filled with requests of long aims until no short one could be held.
     let mut s = settings();
     s.classes[0].latency_objective = Span(2000 * MS);
@@ -258,7 +260,7 @@
 }
 
 #[test]
-fn a_young_upstream_is_paced() {
+fn upstream_that_is_warming_up_is_paced() {
     let mut w = World::with_servers(settings(), 3);
     let mut id = 0;
     let mut rounds = |w: &mut World| {
@@ -281,7 +283,7 @@
 }
 
 #[test]
-fn asks_for_the_list_again_after_a_break() {
+fn polls_the_list_again_after_the_subscription_ended() {
     let mut w = World::new(Settings { polls_list: true, ..settings() });
     let asked = |w: &World| w.log.iter().filter(|a| **a == Action::Subscribe).count();
     w.pass(Span(2000 * MS));
@@ -297,7 +299,7 @@
 }
 
 #[test]
-fn nonsense_settings_are_refused_or_made_safe() {
+fn invalid_settings_are_rejected_or_made_safe() {
     let none = Settings { classes: vec![], ..settings() };
     assert_eq!(Balancer::new(none, 1, Time(0)).err(), Some(SettingsError::NoClasses));
     let mut bad = settings();
@@ -314,7 +316,7 @@
 }
 
 #[test]
-fn a_fleet_that_is_young_as_a_whole_gets_work() {
+fn fleet_that_is_warming_up_as_a_whole_gets_work() {
     // Failure: the pace came from warm upstreams alone, and there was none.
     let mut w = World::new(settings());
     let young = |i| Member { started: Some(w.now), ..member(i, 0) };
@@ -380,11 +382,11 @@
 }
 
 #[test]
-fn young_upstreams_are_not_held_back_when_the_warm_ones_slow_down() {
+fn upstreams_that_are_warming_up_are_not_slowed_when_warm_ones_are() {
     // Failure: after growth the old upstreams slowed, and the pace of the new ones fell with them.
     let mut w = World::with_servers(settings(), 2);
     let mut id = 0;
-    let mut young_sends = |w: &mut World, rounds: i64, warm_every: i64| {
+    let mut warming_up_sends = |w: &mut World, rounds: i64, warm_every: i64| {
         let before = w.sends_to(2);
         for round in 0..rounds {
             for _ in 0..4 {
@@ -401,16 +403,16 @@
         }
         w.sends_to(2) - before
     };
-    young_sends(&mut w, 100, 1);
+    warming_up_sends(&mut w, 100, 1);
     w.list(ListKind::Update, &[Member { started: Some(w.now), ..member(2, 0) }]);
-    let quick = young_sends(&mut w, 100, 1);
-    young_sends(&mut w, 100, 25);
-    let slow = young_sends(&mut w, 100, 25);
+    let quick = warming_up_sends(&mut w, 100, 1);
+    warming_up_sends(&mut w, 100, 25);
+    let slow = warming_up_sends(&mut w, 100, 25);
     assert!(quick > 5 && slow >= quick, "{slow} sends after {quick}");
 }
 
 #[test]
-fn a_fleet_that_doubles_brings_its_slots() {
+fn doubled_fleet_doubles_its_slots() {
     // Failure: a fleet that doubled kept its old limit, and refused beside idle upstreams.
     let mut w = World::with_servers(settings(), 2);
     (0..100).for_each(|id| w.request(id, 0));
@@ -448,7 +450,7 @@
 }
 
 #[test]
-fn a_tenant_is_kept_to_its_share_when_the_fleet_is_full() {
+fn tenant_is_limited_to_its_quota_when_the_fleet_is_full() {
     // Failure: a tenant that sent three times its share took the others' part of a full fleet.
     let [greedy, modest] = admitted([400, 45], 1);
     assert!(modest >= 80, "{modest} of 90 within the share");
@@ -457,7 +459,7 @@
 }
 
 #[test]
-fn a_tenant_may_exceed_its_share_while_the_fleet_is_idle() {
+fn tenant_may_exceed_its_quota_while_the_fleet_is_idle() {
     assert_eq!(admitted([150, 20], 8), [300, 40]);
 }
 
@@ -524,7 +526,7 @@
 }
 
 #[test]
-fn of_a_bank_that_knows_nothing_few_try_more_lanes() {
+fn few_balancers_of_a_fresh_cluster_probe_higher_concurrency() {
     // Failure: a bank of ten that came back with nothing stored tried twice the lanes on half of its upstreams at once,
     // and was 5 s longer on the way to full service.
     let (alone, of_eight) = (sent_beside_its_own(1), sent_beside_its_own(8));
@@ -532,7 +534,7 @@
 }
 
 #[test]
-fn a_proxy_takes_over_the_part_of_lost_ones_while_there_is_room() {
+fn balancer_takes_over_the_part_of_lost_ones_while_the_fleet_has_capacity() {
     // Failure: where a zone was lost with its proxies, the rest kept to the parts of a whole bank
     // and refused beside idle upstreams.
     let out_after = |beyond_ms: i64| {
@@ -587,7 +589,7 @@
 }
 
 #[test]
-fn a_proxy_brings_its_own_young_upstreams_on() {
+fn balancer_warms_up_its_own_upstreams() {
     // Failure: a fleet that grew fourfold kept refusing: each young upstream had the pace of an even
     // spread over the bank, and only the proxies whose own it was sent it anything.
     let sends = |young: u32| {
@@ -607,7 +609,7 @@
 }
 
 #[test]
-fn what_was_not_told_by_the_list_does_not_end_the_asking_for_it() {
+fn local_changes_do_not_end_polling_for_the_list() {
     // Failure: operators' changes passed for the first word of the subscription, and drains went unheard.
     for (kind, asks) in [(ListKind::Aside, true), (ListKind::Update, false)] {
         let mut w = World::new(Settings { polls_list: true, ..settings() });
--- a/crates/policy/tests/ruled.rs
+++ b/crates/policy/tests/ruled.rs
@@ -21,7 +21,7 @@
 }
 
 #[test]
-fn a_class_kept_from_an_upstream_gets_nowhere_near_it_and_others_do() {
+fn barred_class_is_not_sent_to_the_upstream_and_others_are() {
     let mut w = ruled();
     let barred: Vec<Member> = (0..3).map(|i| Member { barred: 0b01, ..member(i, i % 2) }).collect();
     w.list(ListKind::Aside, &barred);
@@ -39,7 +39,7 @@
 }
 
 #[test]
-fn a_class_kept_from_every_upstream_is_sent_nowhere_and_given_up_in_time() {
+fn class_barred_from_every_upstream_is_given_up_in_time() {
     let mut w = ruled();
     let barred: Vec<Member> = (0..4).map(|i| Member { barred: 0b01, ..member(i, i % 2) }).collect();
     w.list(ListKind::Aside, &barred);
@@ -49,7 +49,7 @@
 }
 
 #[test]
-fn without_barring_the_mask_means_nothing() {
+fn mask_is_ignored_without_barring() {
     let mut w = World::with_servers(settings(), 1);
     w.list(ListKind::Aside, &[Member { barred: u64::MAX, ..member(0, 0) }]);
     w.request(1, 0);
@@ -57,7 +57,7 @@
 }
 
 #[test]
-fn a_request_bound_to_a_pod_goes_there_first_and_again_or_not_at_all() {
+fn request_bound_to_a_cell_is_sent_and_retried_only_there() {
     let mut w = ruled();
     let sticky_cell = (member(3, 1).zone, member(3, 1).cell);
     let bound = |w: &mut World, id| {
@@ -79,7 +79,7 @@
 }
 
 #[test]
-fn fewer_attempts_hold_from_the_next_one_on() {
+fn lower_attempt_limit_counts_from_the_next_attempt() {
     let mut w = ruled();
     for most in [1, 2] {
         w.balancer.attempts_at_most(most);
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn held_requests_leave_a_drained_upstream() {
+fn queued_requests_leave_a_drained_upstream() {
     let mut w = World::with_servers(settings(), 2);
     for id in 0..30 {
         w.request(id, SAFE);
@@ -89,7 +89,7 @@
 }
 
 #[test]
-fn requests_of_one_key_take_turns_and_hold_up_no_others() {
+fn requests_of_one_key_run_in_order_and_delay_no_others() {
     // Failure: a request was sent while an earlier one of its key was still out.
     let mut w = World::with_servers(in_order(), 6);
     ask(&mut w, 1, KEYED, 9);
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn a_line_that_cannot_clear_in_time_is_refused_early() {
+fn request_behind_too_many_of_its_key_is_rejected_early() {
     let mut w = World::with_servers(in_order(), 6);
     for id in 0..10 {
         ask(&mut w, id, KEYED, id);
@@ -129,7 +129,7 @@
 }
 
 #[test]
-fn a_bound_class_stays_where_it_may_go_and_holds_up_no_others() {
+fn bound_class_stays_in_its_upstreams_and_delays_no_others() {
     // Failure: a class bound to zones went to whatever upstream was free.
     let mut s = settings();
     s.classes[SAFE].zones = Some(vec![1]);
@@ -264,22 +264,22 @@
 }
 
 #[test]
-fn a_whole_bank_does_not_push_a_cold_upstream_over() {
+fn all_balancers_together_overload_no_upstream_that_is_warming_up() {
     // Six proxies with plenty to send; warm upstreams serve 50 a second, the cold one starts at a
     // fifth of that and must not be sent three times what it can do within a second. It answers as
     // quickly as the others, so that K_i alone would not hold anyone back.
-    let bank = |position| {
+    let cluster = |position| {
         let mut s = Settings { balancers: 6, position, ..settings() };
         s.classes[SAFE].deadline = Span(60_000 * MS);
         let mut w = World::with_servers(s, 12);
         w.list(ListKind::Update, &[Member { started: Some(w.now), ..member(5, 1) }]);
         (w, Vec::<(Time, u64)>::new())
     };
-    let mut bank: Vec<_> = (0..6).map(bank).collect();
+    let mut cluster: Vec<_> = (0..6).map(cluster).collect();
     let (mut id, mut sent) = (0, vec![]);
     let mut free_at = [Time(0); 12];
     for _ in 0..400 {
-        for (w, due) in &mut bank {
+        for (w, due) in &mut cluster {
             w.pass(Span(5 * MS));
             let done: Vec<_> = due.iter().filter(|d| d.0 <= w.now).map(|d| d.1).collect();
             due.retain(|d| d.0 > w.now);
@@ -303,7 +303,7 @@
             }
         }
     }
-    let start = bank[0].0.now.plus(Span(-2000 * MS));
+    let start = cluster[0].0.now.plus(Span(-2000 * MS));
     for t in &sent {
         let within = sent.iter().filter(|s| (0..1000 * MS).contains(&s.since(*t).0)).count();
         let share = 0.2 + 0.8 * t.since(start).f() / (10_000.0 * MS as f64);
@@ -339,7 +339,7 @@
 }
 
 #[test]
-fn an_absurd_latency_does_not_stay() {
+fn absurd_latency_does_not_distort_the_mean() {
     // Failure: one absurd latency put the mean of its class out of reach for good.
     let mut w = World::with_servers(settings(), 2);
     let answer = |id: u64, latency| Answer {
@@ -372,7 +372,7 @@
 }
 
 #[test]
-fn what_is_gone_is_forgotten_once_no_request_is_judged_by_it() {
+fn departed_upstream_is_dropped_once_no_request_depends_on_it() {
     let mut w = World::with_servers(settings(), 2);
     w.request(1, KEYED);
     let first = w.out(1).expect("sent");
--- a/crates/policy/tests/slopes.rs
+++ b/crates/policy/tests/slopes.rs
@@ -29,7 +29,7 @@
 const BYTES_PER_ODD_UPSTREAM: usize = 1200;
 /// What may be left once all upstreams have answered again, as a share of what faults added: timers and queues keep the
 /// capacity that they grew to.
-const LEFT_AFTER_FAULTS: f64 = 0.5;
+const RETAINED_AFTER_FAULTS: f64 = 0.5;
 /// An idle second with 1,300 classes against one with three, before the same upstreams. It was over 300 while the module
 /// walked all classes; the machine that runs this may be busy.
 const IDLE_COST_BY_CLASSES: f64 = 5.0;
@@ -117,7 +117,7 @@
 }
 
 #[test]
-fn machine_types_and_zones_that_nobody_named_grow_no_table_beyond_the_upstreams() {
+fn unnamed_machine_types_and_zones_grow_no_table_beyond_the_upstreams() {
     const UPSTREAMS: u32 = 5000;
     let _alone = alone();
     let mut settings = settings(3, 0);
@@ -162,7 +162,10 @@
     }
     let left = bytes_in_use().saturating_sub(before);
     println!("{added} bytes were added, {left} are left");
-    assert!(left as f64 <= LEFT_AFTER_FAULTS * added as f64, "{left} bytes of {added} are left");
+    assert!(
+        left as f64 <= RETAINED_AFTER_FAULTS * added as f64,
+        "{left} bytes of {added} are left"
+    );
 }
 
 #[test]
--- a/crates/policy/tests/start.rs
+++ b/crates/policy/tests/start.rs
@@ -53,12 +53,12 @@
         let name = |i: u32| u64::from(i).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let member = |i| Member { identity: name(i), ..Member::live(ServerId(i)) };
         let list: Vec<Member> = (0..upstreams).map(member).collect();
-        m.tell(Event::Members { kind: ListKind::Complete, list: &list });
+        m.deliver(Event::Members { kind: ListKind::Complete, list: &list });
         (0..clients).for_each(|i| m.due.push(Reverse((i as i64 * 100, Due::Client))));
         m
     }
 
-    fn tell(&mut self, event: Event) {
+    fn deliver(&mut self, event: Event) {
         let mut actions = Vec::new();
         self.balancer.handle(Time(self.now), event, &mut actions);
         for action in actions {
@@ -87,18 +87,18 @@
             }
             self.now = at;
             match due {
-                Due::Timer(token) => self.tell(Event::Timer(token)),
+                Due::Timer(token) => self.deliver(Event::Timer(token)),
                 Due::Client => {
                     self.last += 1;
                     let class = self.last as usize % 3;
                     let request = Request::new(RequestId(self.last), class, Time(at + 1_800 * MS));
-                    self.tell(Event::Request(request));
+                    self.deliver(Event::Request(request));
                 }
                 Due::Answer(request, server, sent) => {
                     self.served += 1;
                     let (id, of) = (RequestId(request), ServerId(server));
                     let answer = Answer::new(id, 0, of, Outcome::Ok, Span(at - sent), true);
-                    self.tell(Event::Answered(answer));
+                    self.deliver(Event::Answered(answer));
                     self.due.push(Reverse((at, Due::Client)));
                 }
             }
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn nobody_is_refused_while_there_is_an_idle_upstream_for_each() {
+fn rejects_nothing_while_each_request_has_an_idle_upstream() {
     for upstreams in [8, 64, 256] {
         for share in [1, 2, 4] {
             let clients = upstreams as usize / share;
--- a/crates/policy/tests/tenants.rs
+++ b/crates/policy/tests/tenants.rs
@@ -10,7 +10,7 @@
 
 proptest! {
     #[test]
-    fn the_table_holds_what_was_stated_and_finds_the_first_of_a_name(
+    fn table_holds_all_tenants_and_finds_the_first_of_a_name(
         stated in prop::collection::vec(("[a-cé]{0,3}", 0..4u32, 0..3u32), 0..40),
         asked in "[a-cé]{0,3}",
     ) {
@@ -33,7 +33,7 @@
 }
 
 #[test]
-fn what_is_left_out_is_empty_and_zero_and_what_is_wrong_is_named() {
+fn missing_values_are_empty_and_wrong_ones_are_named() {
     let table = read(&json!([{}, {"Name": "a", "Unknown": 1}]));
     assert_eq!(table.iter().next(), Some(TenantRef { name: "", quota_rps: 0.0, share: 0.0 }));
     assert_eq!(table.position("a"), Some(1));
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -50,7 +50,7 @@
 }
 
 #[test]
-fn a_request_is_relayed_and_its_instance_named() {
+fn request_is_relayed_with_its_balancer_named() {
     let output = drill(&format!(
         "{}{}",
         batch(1, 1000.0, json!([init(3), list(3), init(4), list(4)])),
@@ -66,7 +66,7 @@
 }
 
 #[test]
-fn a_killed_instance_starts_with_nothing() {
+fn stopped_instance_starts_with_nothing() {
     let output = drill(&format!(
         "{}{}",
         batch(1, 1000.0, json!([init(3), list(3), order(3, "rq_a", 1200.0)])),
