--- a/crates/gateway/src/clients/conversation.rs
+++ b/crates/gateway/src/clients/conversation.rs
@@ -117,13 +117,6 @@
         tokio::pin!(time_to_close);
         let mut is_closing = false;
         loop {
-            let client_end = poll_fn(|cx| {
-                if state.is_request_open() {
-                    client.read_ahead.poll_client_end(&client.stream, cx)
-                } else {
-                    Poll::Pending
-                }
-            });
             // The connection first: its limits are judged by what has passed on it.
             tokio::select! {
                 biased;
@@ -133,11 +126,10 @@
                     return Some(reason);
                 }
                 () = state.overdue() => {
-                    let reason =
-                        if state.is_evicted() { CloseReason::Evicted } else { CloseReason::Overdue };
-                    return Some(reason);
+                    let is_evicted = state.is_evicted();
+                    return Some(if is_evicted { CloseReason::Evicted } else { CloseReason::Overdue });
                 }
-                () = client_end => {
+                () = client_end(state, client) => {
                     tracing::debug!(connection = slot.id(), "client disconnected");
                     return None;
                 }
@@ -218,6 +210,18 @@
     }
 }
 
+/// Ends once the client has closed its connection while its request is open.
+async fn client_end(state: &Connection, client: &ClientStream) {
+    poll_fn(|cx| {
+        if state.is_request_open() {
+            client.read_ahead.poll_client_end(&client.stream, cx)
+        } else {
+            Poll::Pending
+        }
+    })
+    .await;
+}
+
 /// Ends once the connection is to close, and what has come on it by then has had time to be read.
 async fn time_to_close(close_signal: &CloseSignal, state: &Connection, client: &ClientStream) {
     close_signal.sent().await;
--- a/crates/gateway/src/http.rs
+++ b/crates/gateway/src/http.rs
@@ -1,6 +1,6 @@
-//! What both sides hold HTTP/1.1 to.
+//! Limits on HTTP/1.1 messages, the same for clients and upstreams.
 
-/// A head may be this large, on either side.
+/// The largest head, in bytes.
 pub const HEAD_LIMIT: usize = 16 << 10;
-/// And have so many lines.
+/// The largest number of header lines in a head.
 pub const HEAD_LINES: usize = 64;
--- a/crates/gateway/src/membership/list_update.rs
+++ b/crates/gateway/src/membership/list_update.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use hollowpaddle_policy::interface::{ListKind, ServerId, Status};
+use hollowpaddle_policy::interface::{ListKind, Member, ServerId, Status};
 use tokio::time::Instant;
 
 use super::record::{Listing, UpstreamRecord};
@@ -95,13 +95,19 @@
         known.last_named_by = self.lists_received;
         known.revision = revision;
         known.listing = listed;
-        let Some(member) = self.member(id) else { return };
-        let Some(known) = self.records.get(&id) else { return };
+        if let Some(member) = self.member(id) {
+            self.open_or_close(&member, closed_from);
+            changes.members.push(member);
+        }
+    }
+
+    /// Opens the target of an upstream that is live, and closes it at `closed_from` otherwise.
+    fn open_or_close(&mut self, member: &Member, closed_from: Instant) {
+        let Some(known) = self.records.get(&member.id) else { return };
         match member.status {
             Status::Live => self.open_targets.open(&known.target),
             Status::Draining | Status::Gone => self.open_targets.close(&known.target, closed_from),
         }
-        changes.members.push(member);
     }
 
     /// Removes the upstreams that the last list, a complete one, left out.
