--- a/crates/gateway/src/clients/conversation.rs
+++ b/crates/gateway/src/clients/conversation.rs
@@ -73,8 +73,8 @@
     /// Serves a connection that was accepted, in a task of its own.
     pub(super) fn serve_connection(self: &Rc<Self>, stream: Box<dyn Stream>) {
         let (io, stream, traffic) = ObservedStream::new(stream);
-        // Before the task first runs: the next connection must not get the same slot, and a signal to close that is sent
-        // meanwhile is the one to wait for.
+        // Taken here and not in the task: the slot counts before the next connection is accepted, and a task that first ran
+        // after a signal to close would wait for one that is never sent.
         let slot = self.connections.open(traffic);
         let close_signal = self.close_signal.borrow().clone();
         tokio::task::spawn_local(self.clone().converse(io, stream, slot, close_signal));
--- a/crates/gateway/src/engine/endpoint_list.rs
+++ b/crates/gateway/src/engine/endpoint_list.rs
@@ -69,7 +69,7 @@
         let list = match &mut self.subset {
             Some(subset) => {
                 let last_listed = |id| self.upstreams.member(id);
-                let list = subset.listed(now, kind, &members, last_listed);
+                let list = subset.apply_list(now, kind, &members, last_listed);
                 self.balancer.shared_by(subset.sharers());
                 list
             }
@@ -94,8 +94,8 @@
         let (all, healthy) = self.balancer.standing(now);
         let Some(subset) = &mut self.subset else { return };
         let last_listed = |id| self.upstreams.member(id);
-        let mut changed = subset.passed(now, last_listed);
-        changed.extend(subset.seen(now, all, healthy, last_listed));
+        let mut changed = subset.expire(now, last_listed);
+        changed.extend(subset.set_health(now, all, healthy, last_listed));
         self.balancer.shared_by(subset.sharers());
         if !changed.is_empty() {
             self.queue_members(ListKind::Aside, changed);
@@ -110,7 +110,7 @@
     /// Queues changes for the decision module, and passes on their first part.
     fn queue_members(&mut self, kind: ListKind, members: Vec<Member>) {
         let last_listed = |id| self.upstreams.member(id);
-        let part = self.update_queue.listed(kind, members, last_listed);
+        let part = self.update_queue.queue_list(kind, members, last_listed);
         self.publish_part(part.kind, &part.members);
     }
 
--- a/crates/gateway/src/freshness/tests.rs
+++ b/crates/gateway/src/freshness/tests.rs
@@ -27,7 +27,7 @@
 }
 
 #[test]
-fn a_further_refusal_does_not_put_it_off() {
+fn further_rejection_does_not_postpone_expiry() {
     let start = Instant::now();
     let mut freshness = unvouched(start);
     for second in 1..8 {
@@ -51,7 +51,7 @@
 }
 
 #[test]
-fn counts_anew_from_the_last_moment_at_which_discovery_could_not_be_reached() {
+fn age_restarts_when_discovery_could_not_be_reached() {
     let start = Instant::now();
     let mut freshness = unvouched(start);
     let down = start + seconds(5);
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn a_crowded_discovery_that_fails_a_taken_call_is_still_reachable() {
+fn crowded_discovery_that_fails_an_accepted_call_is_still_reachable() {
     let start = Instant::now();
     let mut freshness = unvouched(start);
     freshness.call_ended(WatchEnd::ListCallRejected, start, start);
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn a_change_heard_of_late_counts_from_its_delivery() {
+fn change_received_late_counts_from_its_delivery() {
     let start = Instant::now();
     let mut freshness = unvouched(start);
     let (soon, late) = (start + seconds(1), start + seconds(7));
--- a/crates/gateway/src/list_reader/tests.rs
+++ b/crates/gateway/src/list_reader/tests.rs
@@ -12,7 +12,7 @@
 }
 
 /// What `serde_json` makes of the whole text.
-fn whole(text: &str) -> List {
+fn complete(text: &str) -> List {
     let value: Value = serde_json::from_str(text).expect("text");
     serde_json::from_value(value).expect("a list")
 }
@@ -25,9 +25,9 @@
 }
 
 #[test]
-fn a_list_is_read_in_any_layout_and_split_at_any_byte() {
+fn reads_list_in_any_layout_and_split_at_any_byte() {
     for text in [list().to_string(), serde_json::to_string_pretty(&list()).expect("text")] {
-        let expected = vec![whole(&text); 3];
+        let expected = vec![complete(&text); 3];
         assert_eq!(expected[0].members.len(), 2);
         // Heartbeats before, between and behind; two lists at once.
         let text = format!("\n\r\n{text}\n\n\t{text}{text}\n");
@@ -40,10 +40,10 @@
 }
 
 #[test]
-fn white_space_within_a_list_parts_and_joins_nothing() {
+fn white_space_neither_splits_nor_joins_values() {
     let text = "{\"revision\":\n\n 1 ,\r\n \"members\" : [ {\"id\": \"b  c\"\n, \"cell\":\t2,\"phase\" : \"X\"} ] }";
     let lists = read([text.as_bytes()]).expect("a list");
-    assert_eq!(lists, [whole(text)]);
+    assert_eq!(lists, [complete(text)]);
     assert_eq!((lists[0].revision, &*lists[0].members[0].id), (1, "b  c"));
     for text in [
         "{\"revision\": 1\n 2}",
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn what_is_no_list_ends_the_stream() {
+fn text_that_is_no_list_ends_the_stream() {
     let texts = [
         "nothing",
         "}",
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn an_entry_that_can_t_be_read_costs_itself_alone() {
+fn unreadable_entry_costs_no_other_entry() {
     let entries = [
         "{\"id\": \"a\", \"phase\": \"SERVING\", \"phase\": \"DRAINING\"}",
         "{}",
@@ -103,7 +103,7 @@
     for parted in [",", " ,\n "] {
         let text = format!("{{\"members\": [{}]}}", entries.join(parted));
         let lists = read(text.as_bytes().chunks(1)).expect("a list");
-        assert_eq!(lists, [whole(&text)]);
+        assert_eq!(lists, [complete(&text)]);
         let ids: Vec<&str> = lists[0].members.iter().map(|entry| &*entry.id).collect();
         assert_eq!(ids, ["a", "c"]);
         assert_eq!(
@@ -116,19 +116,19 @@
 }
 
 #[test]
-fn of_a_key_that_occurs_twice_the_last_one_counts() {
+fn last_value_of_a_repeated_key_counts() {
     let entry = |id: &str| format!("{{\"id\": \"{id}\", \"phase\": \"SERVING\"}}");
     let (a, b, c) = (entry("a"), entry("b"), entry("c"));
     let text = format!(
         "{{\"revision\": 1, \"members\": [{a}, {b}], \"revision\": 2, \"m\\u0065mbers\": [{c}], \"complete\": true}}"
     );
     let lists = read([text.as_bytes()]).expect("a list");
-    assert_eq!(lists, [whole(&text)]);
+    assert_eq!(lists, [complete(&text)]);
     assert_eq!((lists[0].revision, lists[0].members.len(), lists[0].complete), (2, 1, true));
 }
 
 #[test]
-fn an_entry_may_be_as_long_as_its_bound_and_no_longer() {
+fn rejects_entry_beyond_its_length_limit() {
     let of_length = |length: usize| {
         let text =
             |more: &str| format!("{{\"id\":\"a\",\"phase\":\"SERVING\",\"more\":\"{more}\"}}");
@@ -143,7 +143,7 @@
 }
 
 #[test]
-fn the_outline_may_be_as_long_as_its_bound_and_no_longer() {
+fn rejects_outline_beyond_its_length_limit() {
     let of_length = |length: usize| {
         let text = |more: &str| format!("{{\"more\":\"{more}\",\"members\":[]}}");
         // Entries are no part of it.
@@ -157,7 +157,7 @@
 }
 
 #[test]
-fn values_may_lie_as_deep_as_the_bound_and_no_deeper() {
+fn rejects_values_beyond_the_depth_limit() {
     let nested = |depth: usize| format!("{}{}", "[".repeat(depth), "]".repeat(depth));
     let around = |depth: usize| format!("{{\"more\": {}}}", nested(depth - 1));
     let within = |depth: usize| {
@@ -172,7 +172,7 @@
 }
 
 #[test]
-fn a_list_may_have_as_many_entries_as_the_bound_and_no_more() {
+fn rejects_list_beyond_the_entry_limit() {
     let of_count = |count: usize| {
         let entry = |i| format!("{{\"id\":\"{i}\",\"phase\":\"SERVING\"}},");
         let entries: String = (0..count).map(entry).collect();
@@ -187,7 +187,7 @@
 }
 
 #[test]
-fn ids_may_be_as_long_as_their_bound_and_no_longer() {
+fn rejects_ids_beyond_their_length_limit() {
     const LENGTH: usize = 1 << 15;
     let of_bytes = |bytes: usize| {
         let entry = |length| format!("{{\"id\":\"{}\",\"phase\":\"SERVING\"}}", "x".repeat(length));
@@ -201,7 +201,7 @@
 }
 
 #[test]
-fn what_never_ends_is_given_up_within_the_bounds() {
+fn endless_text_is_rejected_within_the_limits() {
     let begun =
         ["{\"a\": \"", "{\"members\": [\"", "{\"members\": [{\"id\": \"", "{\"members\": [7"];
     for begin in begun {
--- a/crates/gateway/src/subsetting.rs
+++ b/crates/gateway/src/subsetting.rs
@@ -57,7 +57,7 @@
 
     /// Applies a list. Returns what the decision module is to be told of it: drains and removals of all upstreams that it
     /// knows, and everything of those in the subset. `last_listed` finds a member as last listed.
-    pub fn listed(
+    pub fn apply_list(
         &mut self,
         now: Time,
         kind: ListKind,
@@ -98,7 +98,7 @@
     }
 
     /// Removes what has left the subset and has lingered. Returns what the decision module is to be told.
-    pub fn passed(
+    pub fn expire(
         &mut self,
         now: Time,
         last_listed: impl Fn(ServerId) -> Option<Member>,
@@ -113,7 +113,7 @@
 
     /// Widens the subset while too few of its upstreams can be sent to: `healthy` of `all`. Returns what the decision module
     /// is to be told.
-    pub fn seen(
+    pub fn set_health(
         &mut self,
         now: Time,
         all: usize,
--- a/crates/gateway/src/subsetting/tests.rs
+++ b/crates/gateway/src/subsetting/tests.rs
@@ -32,7 +32,11 @@
 fn policy_knows_complete_cells_and_every_drain_among_them() {
     let (mut of, mut has) = (subsetting(), FxHashMap::default());
     let mut all = fleet(400);
-    apply(&mut has, ListKind::Complete, &of.listed(Time(0), ListKind::Complete, &all, among(&all)));
+    apply(
+        &mut has,
+        ListKind::Complete,
+        &of.apply_list(Time(0), ListKind::Complete, &all, among(&all)),
+    );
     assert_eq!(has.len(), 40);
     assert_eq!(of.sharers(), 1.0, "a tenth of the fleet each, of ten balancers");
     let cells: FxHashSet<u32> = has.keys().map(|id| id.0 / 8).collect();
@@ -44,7 +48,7 @@
         apply(
             &mut has,
             ListKind::Update,
-            &of.listed(Time(1), ListKind::Update, &all[i..i + 1], among(&all)),
+            &of.apply_list(Time(1), ListKind::Update, &all[i..i + 1], among(&all)),
         );
     }
     assert_eq!(has.get(&all[inside].id), Some(&Status::Draining));
@@ -55,19 +59,31 @@
 fn upstream_that_left_the_subset_is_removed_once_it_has_lingered() {
     let (mut of, mut has) = (subsetting(), FxHashMap::default());
     let all = fleet(400);
-    apply(&mut has, ListKind::Complete, &of.listed(Time(0), ListKind::Complete, &all, among(&all)));
+    apply(
+        &mut has,
+        ListKind::Complete,
+        &of.apply_list(Time(0), ListKind::Complete, &all, among(&all)),
+    );
     let before: Vec<ServerId> = has.keys().copied().collect();
     // Three cells of the five are deleted: others take their part at once.
     let mut gone: Vec<Member> = all.iter().filter(|m| has.contains_key(&m.id)).copied().collect();
     gone.truncate(24);
     gone.iter_mut().for_each(|m| m.status = Status::Gone);
-    apply(&mut has, ListKind::Update, &of.listed(Time(1), ListKind::Update, &gone, among(&all)));
+    apply(
+        &mut has,
+        ListKind::Update,
+        &of.apply_list(Time(1), ListKind::Update, &gone, among(&all)),
+    );
     assert!(has.len() >= 36, "{} left", has.len());
     // They come back: the ones that stood in for them linger.
     gone.iter_mut().for_each(|m| m.status = Status::Live);
-    apply(&mut has, ListKind::Update, &of.listed(Time(2), ListKind::Update, &gone, among(&all)));
+    apply(
+        &mut has,
+        ListKind::Update,
+        &of.apply_list(Time(2), ListKind::Update, &gone, among(&all)),
+    );
     assert!(has.len() > 40);
-    apply(&mut has, ListKind::Update, &of.passed(Time(1500), among(&all)));
+    apply(&mut has, ListKind::Update, &of.expire(Time(1500), among(&all)));
     let mut after: Vec<ServerId> = has.keys().copied().collect();
     let mut before = before;
     before.sort_unstable();
@@ -79,17 +95,21 @@
 fn no_upstream_is_named_twice_when_the_subset_changes_with_the_list() {
     let (mut of, mut has) = (subsetting(), FxHashMap::default());
     let all = fleet(80);
-    apply(&mut has, ListKind::Complete, &of.listed(Time(0), ListKind::Complete, &all, among(&all)));
+    apply(
+        &mut has,
+        ListKind::Complete,
+        &of.apply_list(Time(0), ListKind::Complete, &all, among(&all)),
+    );
     // Ten times as many come, and the subset grows with them.
     let more: Vec<Member> = fleet(800).split_off(80);
-    let told = of.listed(Time(1), ListKind::Update, &more, among(&fleet(800)));
+    let told = of.apply_list(Time(1), ListKind::Update, &more, among(&fleet(800)));
     let named: FxHashSet<ServerId> = told.iter().map(|m| m.id).collect();
     assert!(named.len() > 8, "{} named", named.len());
     assert_eq!(named.len(), told.len(), "somebody is named twice");
     apply(&mut has, ListKind::Update, &told);
     // And leave again, with some of whom the module knows.
     let gone: Vec<Member> = more.iter().map(|m| Member { status: Status::Gone, ..*m }).collect();
-    let told = of.listed(Time(2), ListKind::Update, &gone, among(&fleet(800)));
+    let told = of.apply_list(Time(2), ListKind::Update, &gone, among(&fleet(800)));
     let named: FxHashSet<ServerId> = told.iter().map(|m| m.id).collect();
     assert_eq!(named.len(), told.len(), "somebody is named twice");
     apply(&mut has, ListKind::Update, &told);
@@ -102,8 +122,8 @@
     apply(
         &mut has,
         ListKind::Complete,
-        &of.listed(Time(0), ListKind::Complete, &fleet(400), among(&fleet(400))),
+        &of.apply_list(Time(0), ListKind::Complete, &fleet(400), among(&fleet(400))),
     );
-    apply(&mut has, ListKind::Update, &of.seen(Time(1), 40, 3, among(&fleet(400))));
+    apply(&mut has, ListKind::Update, &of.set_health(Time(1), 40, 3, among(&fleet(400))));
     assert_eq!(has.len(), 80);
 }
--- a/crates/gateway/src/update_queue.rs
+++ b/crates/gateway/src/update_queue.rs
@@ -74,7 +74,7 @@
 impl UpdateQueue {
     /// Queues a list, and returns what the decision module is to be told now. More may be due. `last_listed` finds an upstream
     /// that a complete list left out, as listed before.
-    pub fn listed(
+    pub fn queue_list(
         &mut self,
         kind: ListKind,
         members: Vec<Member>,
--- a/crates/gateway/src/update_queue/tests.rs
+++ b/crates/gateway/src/update_queue/tests.rs
@@ -32,16 +32,16 @@
 #[test]
 fn long_list_is_handed_over_in_parts_with_the_same_result() {
     let (mut of, mut has) = (UpdateQueue::default(), FxHashMap::default());
-    let part = of.listed(ListKind::Restored, all(10_000), nobody);
+    let part = of.queue_list(ListKind::Restored, all(10_000), nobody);
     assert_eq!(hand_over(&mut of, &mut has, part), 1, "nobody waits at the start");
     // The same again changes nothing, and is still a word of the watch.
-    let part = of.listed(ListKind::Complete, all(10_000), nobody);
+    let part = of.queue_list(ListKind::Complete, all(10_000), nobody);
     assert_eq!(part, Part { kind: ListKind::Update, members: vec![] });
     // Half are left out, and a tenth drains.
     let mut list = all(5000);
     list[..500].iter_mut().for_each(|m| m.weight = 2.0);
     list[500..1000].iter_mut().for_each(|m| m.status = Status::Draining);
-    let part = of.listed(ListKind::Complete, list.clone(), nobody);
+    let part = of.queue_list(ListKind::Complete, list.clone(), nobody);
     assert!(hand_over(&mut of, &mut has, part) > 5500 / PART_LENGTH);
     assert_eq!(has, list.into_iter().map(|m| (m.id, m)).collect());
 }
@@ -49,12 +49,12 @@
 #[test]
 fn drains_and_removals_go_first() {
     let (mut of, mut has) = (UpdateQueue::default(), FxHashMap::default());
-    let part = of.listed(ListKind::Restored, all(1000), nobody);
+    let part = of.queue_list(ListKind::Restored, all(1000), nobody);
     hand_over(&mut of, &mut has, part);
     let mut list = all(1000);
     list.iter_mut().for_each(|m| m.weight = 2.0);
     list[990..].iter_mut().for_each(|m| m.status = Status::Draining);
-    let part = of.listed(ListKind::Complete, list, nobody);
+    let part = of.queue_list(ListKind::Complete, list, nobody);
     let drains = part.members.iter().filter(|m| m.status == Status::Draining).count();
     assert_eq!((part.members.len(), drains), (PART_LENGTH, 10));
 }
@@ -63,13 +63,13 @@
 fn due_upstream_that_starts_draining_goes_first_and_once() {
     // Failure: it kept its place behind all that had started anew.
     let (mut of, mut has) = (UpdateQueue::default(), FxHashMap::default());
-    let part = of.listed(ListKind::Restored, all(1000), nobody);
+    let part = of.queue_list(ListKind::Restored, all(1000), nobody);
     hand_over(&mut of, &mut has, part);
     let mut list = all(1000);
     list.iter_mut().for_each(|m| m.weight = 2.0);
-    assert_eq!(of.listed(ListKind::Complete, list, nobody).members.len(), PART_LENGTH);
+    assert_eq!(of.queue_list(ListKind::Complete, list, nobody).members.len(), PART_LENGTH);
     let drained = Member { status: Status::Draining, ..Member::live(ServerId(999)) };
-    let part = of.listed(ListKind::Update, vec![drained], nobody);
+    let part = of.queue_list(ListKind::Update, vec![drained], nobody);
     assert_eq!(part.members[0], drained);
     let mut times = part.members.iter().filter(|m| m.id == drained.id).count();
     while of.is_due() {
@@ -81,15 +81,16 @@
 #[test]
 fn newer_change_is_not_undone_by_an_older_one_that_was_due() {
     let (mut of, mut has) = (UpdateQueue::default(), FxHashMap::default());
-    let part = of.listed(ListKind::Restored, all(1000), nobody);
+    let part = of.queue_list(ListKind::Restored, all(1000), nobody);
     hand_over(&mut of, &mut has, part);
     let drained = |m: Member| Member { status: Status::Draining, ..m };
-    let part = of.listed(ListKind::Complete, all(1000).into_iter().map(drained).collect(), nobody);
+    let part =
+        of.queue_list(ListKind::Complete, all(1000).into_iter().map(drained).collect(), nobody);
     assert!(of.is_due());
     has.extend(part.members.into_iter().map(|m| (m.id, m)));
     // In the middle of it the last one is live again, and the first is gone.
     let gone = Member { status: Status::Gone, ..Member::live(ServerId(0)) };
-    let part = of.listed(ListKind::Update, vec![Member::live(ServerId(999)), gone], nobody);
+    let part = of.queue_list(ListKind::Update, vec![Member::live(ServerId(999)), gone], nobody);
     hand_over(&mut of, &mut has, part);
     assert_eq!((has.len(), has[&ServerId(999)].status), (999, Status::Live));
     assert!(has.values().filter(|m| m.status == Status::Draining).count() == 998);
@@ -99,7 +100,7 @@
 fn short_list_is_handed_over_as_it_is() {
     let mut of = UpdateQueue::default();
     for kind in [ListKind::Restored, ListKind::Complete, ListKind::Update, ListKind::Aside] {
-        let part = of.listed(kind, all(200), nobody);
+        let part = of.queue_list(kind, all(200), nobody);
         assert_eq!(part, Part { kind, members: all(200) });
     }
     assert!(!of.is_due());
@@ -110,15 +111,15 @@
     let mut of = UpdateQueue::default();
     let last = |id| Some(Member { zone: 3, cell: 7, ..Member::live(id) });
     let members: Vec<Member> = (0..1000).map(ServerId).filter_map(last).collect();
-    of.listed(ListKind::Restored, members.clone(), last);
-    let part = of.listed(ListKind::Complete, members[..990].to_vec(), last);
+    of.queue_list(ListKind::Restored, members.clone(), last);
+    let part = of.queue_list(ListKind::Complete, members[..990].to_vec(), last);
     let gone = |m: &Member| Member { status: Status::Gone, ..*m };
     let mut told = part.members;
     told.sort_unstable_by_key(|m| m.id);
     assert_eq!(told, members[990..].iter().map(gone).collect::<Vec<_>>());
     assert!(!of.is_due());
     // And once.
-    assert_eq!(of.listed(ListKind::Complete, members[..990].to_vec(), last).members, []);
+    assert_eq!(of.queue_list(ListKind::Complete, members[..990].to_vec(), last).members, []);
 }
 
 #[test]
--- a/crates/gateway/tests/list_memory.rs
+++ b/crates/gateway/tests/list_memory.rs
@@ -106,7 +106,7 @@
         let begun = Instant::now();
         let told = self.membership.update(list, ListKind::Complete, tokio::time::Instant::now());
         let last = |id| self.membership.member(id);
-        let mut part = self.update_queue.listed(told.kind, told.members, last).members.len();
+        let mut part = self.update_queue.queue_list(told.kind, told.members, last).members.len();
         let longest = begun.elapsed();
         while self.update_queue.is_due() {
             part += self.update_queue.next_part().len();
@@ -133,7 +133,7 @@
             let now = tokio::time::Instant::now();
             let told = self.membership.update(&list, ListKind::Update, now);
             let last = |id| self.membership.member(id);
-            let part = self.update_queue.listed(told.kind, told.members, last);
+            let part = self.update_queue.queue_list(told.kind, told.members, last);
             assert!(self.membership.any_open() && self.membership.forget_departed().is_empty());
             times.push(begun.elapsed());
             assert_eq!(part.members.len(), CHANGED);
