--- a/crates/gateway/src/clients/intake.rs
+++ b/crates/gateway/src/clients/intake.rs
@@ -2,7 +2,7 @@
 
 use std::time::Duration;
 
-use hollowpaddle_policy::interface::{Effect, Span};
+use hollowpaddle_policy::interface::{Effect, SignedDuration};
 use hollowpaddle_policy::settings::key_hash;
 use hyper::body::Incoming;
 use hyper::header::HeaderMap;
@@ -133,7 +133,7 @@
             client_deadline,
             cost_guess: cost_hint_us
                 .filter(|us| us.is_finite() && *us > 0.0)
-                .map(|us| Span(us as i64)),
+                .map(|us| SignedDuration(us as i64)),
             resent: text(&head.headers, "x-retry") == Some("1"),
             cancellation: Cancellation::new(client),
         })
--- a/crates/gateway/src/clients/response.rs
+++ b/crates/gateway/src/clients/response.rs
@@ -1,7 +1,7 @@
 //! The responses that clients get: those of upstreams without what concerns this balancer only, and its own.
 
 use bytes::Bytes;
-use hollowpaddle_policy::interface::Span;
+use hollowpaddle_policy::interface::SignedDuration;
 use hyper::header::{CONTENT_LENGTH, HeaderValue, RETRY_AFTER};
 use hyper::{Response, StatusCode};
 
@@ -70,7 +70,7 @@
 }
 
 /// `Retry-After` in decimal seconds; nothing for no advice.
-fn retry_after_seconds(span: Span) -> Option<HeaderValue> {
+fn retry_after_seconds(span: SignedDuration) -> Option<HeaderValue> {
     if span.0 <= 0 {
         return None;
     }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -22,9 +22,9 @@
 
 /// A watch that has delivered nothing, not even a heartbeat, for so long is dead, and so is a connection that has not come
 /// up: a machine that is cut off sends no reset.
-pub const SILENCE: Duration = Duration::from_micros(list_polling::SILENCE.0 as u64);
+pub const SILENCE_TIMEOUT: Duration = Duration::from_micros(list_polling::SILENCE_TIMEOUT.0 as u64);
 /// How long the first call that discovery has accepted is waited for.
-const FIRST_CALL_TIMEOUT: Duration = Duration::from_micros(list_polling::CALL_PATIENCE.0 as u64);
+const FIRST_CALL_TIMEOUT: Duration = Duration::from_micros(list_polling::CALL_TIMEOUT.0 as u64);
 /// An error status that comes sooner than this after the call began is a rejection: the call did not wait for its turn.
 const REJECTION_TIME: Duration = Duration::from_millis(200);
 
@@ -38,7 +38,7 @@
 impl CallTimeout {
     /// The timeout of the next call.
     pub fn current(&self) -> Duration {
-        let doublings = self.unanswered_calls.min(list_polling::PATIENCE_DOUBLINGS);
+        let doublings = self.unanswered_calls.min(list_polling::MAX_CALL_TIMEOUT_DOUBLINGS);
         FIRST_CALL_TIMEOUT * (1 << doublings)
     }
 
@@ -57,7 +57,7 @@
 pub enum WatchEvent {
     /// The endpoint list, or a change to it.
     List(List),
-    /// Nothing has come for [`SILENCE`]. Lists that come after all are still reported.
+    /// Nothing has come for [`SILENCE_TIMEOUT`]. Lists that come after all are still reported.
     Silent,
     /// The watch is over. This is its last report.
     Ended(WatchEnd),
@@ -138,7 +138,7 @@
     answer_by: Instant,
     report: &impl Fn(WatchEvent),
 ) -> Result<Infallible, WatchError> {
-    let connect = timeout(SILENCE, network.connect(address)).await;
+    let connect = timeout(SILENCE_TIMEOUT, network.connect(address)).await;
     let stream = connect.map_err(|_| WatchError::ConnectTimeout)??;
     let (body, _connection) = timeout_at(answer_by, call(stream, address, revision)).await??;
     let mut watch_body = WatchBody {
@@ -181,7 +181,7 @@
         } else if self.is_silent {
             self.body.frame().await
         } else {
-            match timeout(SILENCE, self.body.frame()).await {
+            match timeout(SILENCE_TIMEOUT, self.body.frame()).await {
                 Ok(frame) => frame,
                 // A watch that has never delivered anything is of no use.
                 Err(elapsed) if !self.has_delivered => return Err(elapsed.into()),
--- a/crates/gateway/src/engine/attempts.rs
+++ b/crates/gateway/src/engine/attempts.rs
@@ -4,7 +4,9 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hollowpaddle_policy::interface::{Answer, Event, Outcome, RequestId, ServerId, Span, Time};
+use hollowpaddle_policy::interface::{
+    Answer, Event, Outcome, RequestId, ServerId, SignedDuration, Time,
+};
 use tokio::time::Instant;
 
 use super::event::{EngineEvent, FinishedAttempt, Reply};
@@ -43,7 +45,12 @@
 
 impl ActiveRequest {
     /// The limits of an attempt that starts at `now`. A `timeout` of zero allows it all the time that is left.
-    fn attempt_limits(&self, now: Instant, timeout: Span, send_by: Instant) -> AttemptLimits {
+    fn attempt_limits(
+        &self,
+        now: Instant,
+        timeout: SignedDuration,
+        send_by: Instant,
+    ) -> AttemptLimits {
         let attempt_deadline = if timeout.0 > 0 {
             now + Duration::from_micros(timeout.0 as u64)
         } else {
@@ -65,7 +72,7 @@
         &mut self,
         id: RequestId,
         server: ServerId,
-        timeout: Span,
+        timeout: SignedDuration,
         send_by: Time,
     ) {
         let location = self.upstreams.location_of(server);
@@ -168,7 +175,7 @@
             self.answer(id, Reply::Served(response));
         }
         let is_answered = self.requests.get(&id).is_none_or(ActiveRequest::is_answered);
-        let latency = Span(elapsed.as_micros() as i64);
+        let latency = SignedDuration(elapsed.as_micros() as i64);
         let answer = Answer {
             spent: is_body_spent,
             report: result.report,
--- a/crates/gateway/src/engine/endpoint_list.rs
+++ b/crates/gateway/src/engine/endpoint_list.rs
@@ -43,7 +43,7 @@
         let (update_kind, publish_kind) = if is_complete {
             (ListKind::Restored, ListKind::Restored)
         } else {
-            (ListKind::Update, ListKind::Aside)
+            (ListKind::Update, ListKind::LocalChange)
         };
         let changes = self.upstreams.update(&list, update_kind, Instant::now());
         self.publish_members(publish_kind, changes.members);
@@ -59,7 +59,7 @@
         for member in &changed {
             self.pool.close_idle(member.id);
         }
-        self.publish_members(ListKind::Aside, changed);
+        self.publish_members(ListKind::LocalChange, changed);
     }
 
     /// Passes to the decision module what has changed of the upstreams, as far as it is to know them.
@@ -70,7 +70,7 @@
             Some(subset) => {
                 let last_listed = |id| self.upstreams.member(id);
                 let list = subset.apply_list(now, kind, &members, last_listed);
-                self.balancer.shared_by(subset.sharers());
+                self.balancer.set_sharers(subset.sharers());
                 list
             }
             None => members,
@@ -84,7 +84,7 @@
             return;
         }
         let part = self.update_queue.next_part();
-        self.publish_part(ListKind::Aside, &part);
+        self.publish_part(ListKind::LocalChange, &part);
     }
 
     /// Removes from the subset what has left it, and widens it while too much of it is out of reach.
@@ -96,9 +96,9 @@
         let last_listed = |id| self.upstreams.member(id);
         let mut changed = subset.expire(now, last_listed);
         changed.extend(subset.set_health(now, all, healthy, last_listed));
-        self.balancer.shared_by(subset.sharers());
+        self.balancer.set_sharers(subset.sharers());
         if !changed.is_empty() {
-            self.queue_members(ListKind::Aside, changed);
+            self.queue_members(ListKind::LocalChange, changed);
         }
     }
 
--- a/crates/gateway/src/engine/event.rs
+++ b/crates/gateway/src/engine/event.rs
@@ -4,7 +4,7 @@
 use std::net::SocketAddr;
 use std::rc::Rc;
 
-use hollowpaddle_policy::interface::{RequestId, Span};
+use hollowpaddle_policy::interface::{RequestId, SignedDuration};
 use hollowpaddle_policy::learned::Learned;
 use hyper::Response;
 use tokio::sync::oneshot;
@@ -98,7 +98,7 @@
     /// When the client gives up.
     pub client_deadline: Instant,
     /// The client's estimate of the service time.
-    pub cost_guess: Option<Span>,
+    pub cost_guess: Option<SignedDuration>,
     /// Whether the client says that this is a retry of its own.
     pub resent: bool,
     /// Shared with the client's connection.
@@ -112,7 +112,7 @@
     /// The request was rejected, and a retry is harmless.
     Refused {
         /// How long the client should wait before a retry; zero for no advice.
-        retry_after: Span,
+        retry_after: SignedDuration,
     },
     /// The request failed, and may have run.
     Failed {
--- a/crates/gateway/src/engine/list_watch.rs
+++ b/crates/gateway/src/engine/list_watch.rs
@@ -142,7 +142,7 @@
             (true, true) => ListKind::Complete,
             (true, false) => ListKind::Update,
             (false, true) => ListKind::Restored,
-            (false, false) => ListKind::Aside,
+            (false, false) => ListKind::LocalChange,
         };
         if is_live {
             self.on_list_up_to_date();
@@ -182,13 +182,13 @@
         }
     }
 
-    /// A watch has sent nothing, not even a heartbeat, for [`discovery::SILENCE`].
+    /// A watch has sent nothing, not even a heartbeat, for [`discovery::SILENCE_TIMEOUT`].
     fn on_watch_silent(&mut self, serial: u64) {
         if !self.list_watch.mark_not_live(serial) {
             return;
         }
         let now = Instant::now();
-        let silent_since = now.checked_sub(discovery::SILENCE).unwrap_or(now);
+        let silent_since = now.checked_sub(discovery::SILENCE_TIMEOUT).unwrap_or(now);
         self.list_watch.freshness.unvouched(silent_since);
         if self.list_watch.pending.is_none() {
             self.on_no_live_watch(None);
--- a/crates/gateway/src/engine/policy_updates.rs
+++ b/crates/gateway/src/engine/policy_updates.rs
@@ -18,13 +18,13 @@
         }
         self.applied_policy = Some(policy.clone());
         let max_attempts = self.limits.max_attempts.min(policy.rules.attempts().into());
-        self.balancer.attempts_at_most(max_attempts);
+        self.balancer.limit_attempts(max_attempts);
         let changed = self.upstreams.apply_policy(policy, Instant::now());
         for member in changed.iter().filter(|member| member.status != Status::Live) {
             self.pool.close_idle(member.id);
         }
         if !changed.is_empty() {
-            self.publish_members(ListKind::Aside, changed);
+            self.publish_members(ListKind::LocalChange, changed);
         }
     }
 
--- a/crates/gateway/src/engine/requests.rs
+++ b/crates/gateway/src/engine/requests.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hollowpaddle_policy::interface::{Event, Outcome, Request, RequestId, Span};
+use hollowpaddle_policy::interface::{Event, Outcome, Request, RequestId, SignedDuration};
 use tokio::sync::oneshot;
 use tokio::time::Instant;
 
@@ -146,7 +146,7 @@
         let Some(active) = self.requests.get_mut(&id) else { return };
         if active.reply.take().is_some() {
             tracing::debug!(request = id.0, "client disconnected");
-            self.notify_policy(Event::ClientLeft(id));
+            self.notify_policy(Event::ClientCancelled(id));
         }
         self.remove_if_finished(id);
     }
@@ -162,13 +162,13 @@
         }
         if self.answer(id, Reply::Failed { late: true }) {
             tracing::warn!(request = id.0, "request answered at its deadline");
-            self.notify_policy(Event::ClientLeft(id));
+            self.notify_policy(Event::ClientCancelled(id));
         }
         self.remove_if_finished(id);
     }
 
     /// Rejects a request. Where the rejection would be untrue, since the request may have run, it fails instead.
-    pub(super) fn reject(&mut self, id: RequestId, retry_after: Span) {
+    pub(super) fn reject(&mut self, id: RequestId, retry_after: SignedDuration) {
         let reply = if self.is_rejection_safe(id) {
             Reply::Refused { retry_after }
         } else {
--- a/crates/gateway/src/engine/retry_safety/tests.rs
+++ b/crates/gateway/src/engine/retry_safety/tests.rs
@@ -1,11 +1,11 @@
 //! Each effect against each way in which an earlier attempt can have ended.
 
-use hollowpaddle_policy::interface::Span;
+use hollowpaddle_policy::interface::SignedDuration;
 
 use super::*;
 
 fn class(effect: Effect, group: Group) -> Class {
-    Class { effect, group, ..Class::safe(Span(1_000_000), Span(2_000_000)) }
+    Class { effect, group, ..Class::safe(SignedDuration(1_000_000), SignedDuration(2_000_000)) }
 }
 
 fn prior(cell: u32, outcome: Option<Outcome>) -> PriorAttempt {
--- a/crates/gateway/src/engine/state.rs
+++ b/crates/gateway/src/engine/state.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use hollowpaddle_net::Network;
-use hollowpaddle_policy::interface::{Action, Class, Event, RequestId, Settings, Span};
+use hollowpaddle_policy::interface::{Action, Class, Event, RequestId, Settings, SignedDuration};
 use hollowpaddle_policy::policy::Balancer;
 use hollowpaddle_subset::Cluster;
 use rustc_hash::FxHashMap;
@@ -87,7 +87,7 @@
         let limits = RequestLimits {
             classes: settings.classes.clone(),
             max_attempts: settings.limits.max_attempts,
-            allows_hedging: settings.limits.second_copies,
+            allows_hedging: settings.limits.hedging,
         };
         let sends_end_after = duration(settings.rules.drain_grace).saturating_sub(DRAIN_MARGIN);
         let freshness = Freshness::new(sends_end_after, Instant::now());
@@ -172,15 +172,15 @@
 /// The settings of the decision module.
 fn policy_settings(config: &Config, has_cluster: bool) -> Settings {
     let mut settings = config.facts.settings();
-    settings.barring = has_cluster;
+    settings.bars_classes = has_cluster;
     // What is sent at the very end of a window may be written one stall later.
-    let max_stall = Span(MAX_PROCESS_STALL.as_micros() as i64);
+    let max_stall = SignedDuration(MAX_PROCESS_STALL.as_micros() as i64);
     for class in &mut settings.classes {
-        class.window = Span((class.window.0 - max_stall.0).max(0));
+        class.window = SignedDuration((class.window.0 - max_stall.0).max(0));
     }
     settings
 }
 
-fn duration(span: Span) -> Duration {
+fn duration(span: SignedDuration) -> Duration {
     Duration::from_micros(span.0.max(0) as u64)
 }
--- a/crates/gateway/src/membership/list_update.rs
+++ b/crates/gateway/src/membership/list_update.rs
@@ -30,7 +30,7 @@
         let is_older = list.revision < self.newest_revision;
         self.newest_revision = self.newest_revision.max(list.revision);
         let kind = match kind {
-            ListKind::Restored if is_older => ListKind::Aside,
+            ListKind::Restored if is_older => ListKind::LocalChange,
             ListKind::Complete if is_older => ListKind::Update,
             kind => kind,
         };
--- a/crates/gateway/src/membership/overlay.rs
+++ b/crates/gateway/src/membership/overlay.rs
@@ -8,7 +8,7 @@
 
 use crate::cluster::Held as PolicySnapshot;
 
-/// Classes that [`Member::barred`] has bits for.
+/// Classes that [`Member::barred_classes`] has bits for.
 const BARRED_BITS: usize = 64;
 
 /// What overrides the endpoint list.
@@ -57,7 +57,7 @@
             || policy.is_restricted && !rules.floor().allows(place);
         let is_barred = |class: &Arc<str>| !rules.permits(place, class);
         for (i, class) in self.classes.iter().enumerate().take(BARRED_BITS) {
-            member.barred |= u64::from(is_barred(class)) << i;
+            member.barred_classes |= u64::from(is_barred(class)) << i;
         }
         if member.status == Status::Live && (is_stopped || self.classes.iter().all(is_barred)) {
             member.status = Status::Draining;
--- a/crates/gateway/src/membership/record.rs
+++ b/crates/gateway/src/membership/record.rs
@@ -45,7 +45,7 @@
             status: self.listing.status,
             weight: self.listing.weight,
             started: self.listing.started.map(|(_, corrected)| Time(corrected.get())),
-            barred: 0,
+            barred_classes: 0,
         }
     }
 }
--- a/crates/gateway/src/membership/tests.rs
+++ b/crates/gateway/src/membership/tests.rs
@@ -194,7 +194,7 @@
         json!({"out": {"upstreams": ["a"]}, "kept": {"log": [2]}, "weights": {"pods": {"3": 0.5}}});
     let some = rules(said, &[]);
     let told = of.apply_policy(some, now);
-    let told: Vec<_> = told.iter().map(|m| (m.status, m.barred, m.weight)).collect();
+    let told: Vec<_> = told.iter().map(|m| (m.status, m.barred_classes, m.weight)).collect();
     let (live, out) = (Status::Live, Status::Draining);
     assert_eq!(told, [(out, 0b11, 1.0), (live, 0b10, 1.0), (live, 0, 0.5)]);
     let closed = |of: &Membership, id| of.records[&ServerId(id)].target.closed_from.get();
--- a/crates/gateway/src/state_store.rs
+++ b/crates/gateway/src/state_store.rs
@@ -200,7 +200,7 @@
         let Some(learned) = self.engine.learned().await else { return };
         let mut payload = self.payload.borrow_mut();
         // Estimates that rest on the same answers as before keep their age.
-        if !payload.learned.as_ref().is_some_and(|was| was.rests_on_the_same(&learned)) {
+        if !payload.learned.as_ref().is_some_and(|was| was.has_same_answers(&learned)) {
             payload.learned = Some(learned);
             payload.learned_ms = self.now().as_millis() as u64;
         }
--- a/crates/gateway/src/state_store/payload.rs
+++ b/crates/gateway/src/state_store/payload.rs
@@ -61,7 +61,7 @@
         }
         let learned = self.learned.clone()?;
         let has_upstreams = trust(RestoredState::Upstreams, age) == Trust::Full;
-        Some(if has_upstreams { learned } else { learned.of_fleet() })
+        Some(if has_upstreams { learned } else { learned.without_upstreams() })
     }
 
     /// The copy of operators' commands, in every start mode and at any age of a snapshot. From here on it is not final: this
--- a/crates/gateway/src/state_store/tests.rs
+++ b/crates/gateway/src/state_store/tests.rs
@@ -1,6 +1,6 @@
 //! What a start restores of a snapshot, by the settings and the clock under which it was saved.
 
-use hollowpaddle_policy::interface::{Class, Settings, Span, Time};
+use hollowpaddle_policy::interface::{Class, Settings, SignedDuration, Time};
 use hollowpaddle_policy::policy::Balancer;
 use hollowpaddle_snapshot::Snapshot;
 use serde_json::json;
@@ -30,7 +30,7 @@
 
 /// The same on what was saved at this time, by the clock of that process.
 fn start_on(then: Option<u64>, now: u64, saved: Duration) -> (Restored, Option<RestoredList>) {
-    let settings = Settings::basic(vec![Class::safe(Span(1000), Span(2000))]);
+    let settings = Settings::basic(vec![Class::safe(SignedDuration(1000), SignedDuration(2000))]);
     let learned = Balancer::new(settings, 1, Time(0)).expect("settings").learned();
     let at = saved.as_millis() as u64;
     let entry = json!({"id": "s-0", "host_port": "10.0.0.1:80", "phase": "DRAINING"});
--- a/crates/gateway/src/update_queue.rs
+++ b/crates/gateway/src/update_queue.rs
@@ -36,13 +36,14 @@
 
     fn of(member: &Member) -> Self {
         // Destructured, so that a field that is added to `Member` can't be left out.
-        let Member { id: _, identity, zone, kind, cell, status, weight, started, barred } = *member;
+        let Member { id: _, identity, zone, kind, cell, status, weight, started, barred_classes } =
+            *member;
         let mut hasher = FxHasher::default();
         hasher.write_u64(identity);
         hasher.write_u64(u64::from(zone) << 32 | u64::from(kind));
         hasher.write_u32(cell);
         hasher.write_u64(weight.to_bits());
-        hasher.write_u64(barred);
+        hasher.write_u64(barred_classes);
         hasher.write_u8(started.is_some().into());
         hasher.write_i64(started.map_or(0, |at| at.0));
         Self(hasher.finish() << Self::STATUS_BITS | Self::status_bits(status))
@@ -112,7 +113,7 @@
         }
         let kind = match kind {
             ListKind::Complete | ListKind::Update => ListKind::Update,
-            _ => ListKind::Aside,
+            _ => ListKind::LocalChange,
         };
         Part { kind, members: self.next_part() }
     }
--- a/crates/gateway/src/update_queue/tests.rs
+++ b/crates/gateway/src/update_queue/tests.rs
@@ -99,7 +99,7 @@
 #[test]
 fn short_list_is_handed_over_as_it_is() {
     let mut of = UpdateQueue::default();
-    for kind in [ListKind::Restored, ListKind::Complete, ListKind::Update, ListKind::Aside] {
+    for kind in [ListKind::Restored, ListKind::Complete, ListKind::Update, ListKind::LocalChange] {
         let part = of.queue_list(kind, all(200), nobody);
         assert_eq!(part, Part { kind, members: all(200) });
     }
@@ -135,7 +135,7 @@
         Member { status: Status::Gone, ..listed },
         Member { weight: 2.0, ..listed },
         Member { started, ..listed },
-        Member { barred: 1, ..listed },
+        Member { barred_classes: 1, ..listed },
     ];
     for member in changed {
         assert!(Fingerprint::of(&member) != Fingerprint::of(&listed), "{member:?}");
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -8,7 +8,7 @@
 
 use hollowpaddle_gateway::{Config, Provided, serve};
 use hollowpaddle_net::{Network, Stream, accept};
-use hollowpaddle_policy::list_polling::{LIST_PROPAGATION_BOUND, MARGIN};
+use hollowpaddle_policy::list_polling::{APPLY_MARGIN, LIST_PROPAGATION_BOUND};
 use hollowpaddle_simnet::Fabric;
 use serde_json::json;
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -224,7 +224,7 @@
 
 /// What was told in time, and obeyed within the grace.
 fn in_time() -> Duration {
-    Duration::from_micros((LIST_PROPAGATION_BOUND.0 - MARGIN.0) as u64) + GRACE
+    Duration::from_micros((LIST_PROPAGATION_BOUND.0 - APPLY_MARGIN.0) as u64) + GRACE
 }
 
 #[test]
--- a/crates/gateway/tests/orders/draw.rs
+++ b/crates/gateway/tests/orders/draw.rs
@@ -16,12 +16,12 @@
 fn site() -> impl Strategy<Value = Site> {
     let figures = (1usize..5, any::<bool>(), select(&[190u64, 300, 1150][..]));
     let times = (select(&[300u64, 400][..]), select(&[60u64, 260][..]), select(&[0u64, 1][..]));
-    (figures, times).prop_map(|((max_attempts, second_copies, window_ms), times)| {
+    (figures, times).prop_map(|((max_attempts, hedging, window_ms), times)| {
         let (grace_ms, connect_ms, delay_ms) = times;
         let deadline_ms = 400;
         Site {
             max_attempts,
-            second_copies,
+            hedging,
             window_ms,
             grace_ms,
             connect_ms,
--- a/crates/gateway/tests/orders/judge.rs
+++ b/crates/gateway/tests/orders/judge.rs
@@ -119,7 +119,7 @@
         let sent = next.whole.unwrap_or_default();
         for before in &whole[..n] {
             let out = before.over.is_none_or(|over| over > sent + GRAIN);
-            check(site.second_copies || !out, "two attempts at once")?;
+            check(site.hedging || !out, "two attempts at once")?;
             // What was turned away never ran; known only once that was written.
             if before.never_ran.is_some_and(|at| at <= sent + GRAIN) {
                 continue;
--- a/crates/gateway/tests/orders/kept.rs
+++ b/crates/gateway/tests/orders/kept.rs
@@ -10,7 +10,7 @@
 fn site() -> Site {
     Site {
         max_attempts: 3,
-        second_copies: false,
+        hedging: false,
         window_ms: 1000,
         grace_ms: 400,
         connect_ms: 260,
--- a/crates/gateway/tests/orders/peers.rs
+++ b/crates/gateway/tests/orders/peers.rs
@@ -26,7 +26,7 @@
 #[derive(Clone, Debug)]
 pub struct Site {
     pub max_attempts: usize,
-    pub second_copies: bool,
+    pub hedging: bool,
     pub window_ms: u64,
     pub grace_ms: u64,
     pub connect_ms: u64,
@@ -277,7 +277,7 @@
             "Balancers": 1, "Position": 0, "Zone": 0, "Zones": ["a"], "MachineTypes": ["m"], "Tick": 1.0,
             "RegistryMode": if site.pushed { "automatic" } else { "subscribe" },
             "Services": [class("look", "retryable"), class("hold", "dedup"), class("pay", "fragile")],
-            "PolicyLimits": {"MaxAttempts": site.max_attempts, "SecondCopies": site.second_copies,
+            "PolicyLimits": {"MaxAttempts": site.max_attempts, "SecondCopies": site.hedging,
                 "Cancelling": true, "RetryAfter": true, "MaxRetryAfter": 500.0,
                 "ConnectTimeout": site.connect_ms as f64, "Keepalive": 5000.0, "StreamsPerConn": 1},
             "Safety": {"Cold": 5000.0, "ColdFrom": 0.2, "FallMultiple": 3.0, "TipAfter": 1000.0,
--- a/crates/policy/benches/capacity.rs
+++ b/crates/policy/benches/capacity.rs
@@ -8,7 +8,7 @@
 mod service_fleet;
 
 use allocation::{Counting, bytes_in_use};
-use hollowpaddle_policy::interface::Span;
+use hollowpaddle_policy::interface::SignedDuration;
 use service_fleet::{CLASSES_IN_USE, ServiceFleet, settings};
 
 #[global_allocator]
@@ -35,10 +35,10 @@
         request = request.min(cost.spent.as_secs_f64() * 1e6 / REQUESTS as f64);
         longest = longest.min(cost.longest.as_secs_f64() * 1e6);
     }
-    fleet.rest(Span(5_000_000));
+    fleet.rest(SignedDuration(5_000_000));
     let (mut idle, mut longest_idle) = (f64::MAX, f64::MAX);
     for _ in 0..rounds {
-        let cost = fleet.rest(Span(i64::from(IDLE_SECONDS) * 1_000_000));
+        let cost = fleet.rest(SignedDuration(i64::from(IDLE_SECONDS) * 1_000_000));
         idle = idle.min(cost.spent.as_secs_f64() * 1e6 / f64::from(IDLE_SECONDS));
         longest_idle = longest_idle.min(cost.longest.as_secs_f64() * 1e6);
     }
--- a/crates/policy/benches/fleet/mod.rs
+++ b/crates/policy/benches/fleet/mod.rs
@@ -8,7 +8,7 @@
 
 use hollowpaddle_policy::interface::{
     Action, Answer, Class, Effect, Event, Group, ListKind, Member, Outcome, Request, RequestId,
-    ServerId, Settings, Span, Time,
+    ServerId, Settings, SignedDuration, Time,
 };
 use oorandom::Rand64;
 
@@ -64,7 +64,7 @@
 }
 
 pub fn settings() -> Settings {
-    let ms = |ms: i64| Span(ms * 1000);
+    let ms = |ms: i64| SignedDuration(ms * 1000);
     let class = |latency_objective: i64, effect, priority_weight| Class {
         effect,
         priority_weight,
@@ -80,8 +80,8 @@
     ]);
     s.rules.warm_up_initial_share = 0.2;
     s.rules.warm_up = ms(15_000);
-    s.rules.fall_multiple = 4.0;
-    s.rules.tip_after = ms(2000);
+    s.rules.overload_multiple = 4.0;
+    s.rules.overload_window = ms(2000);
     s
 }
 
@@ -167,7 +167,7 @@
                     Due::Timer(token) => self.deliver(Event::Timer(token)),
                     Due::Answer { request, server, sent } => {
                         self.served += 1;
-                        let latency = Span(at - sent);
+                        let latency = SignedDuration(at - sent);
                         let id = RequestId(request);
                         let of = ServerId(server);
                         let answer = Answer::new(id, 0, of, Outcome::Ok, latency, true);
@@ -180,7 +180,7 @@
             self.next_arrival();
             self.last += 1;
             let class = (self.last % 3) as usize;
-            let until = Time(self.now).plus(Span(1_800_000));
+            let until = Time(self.now).plus(SignedDuration(1_800_000));
             self.deliver(Event::Request(Request::new(RequestId(self.last), class, until)));
         }
         (self.spent, self.longest)
--- a/crates/policy/src/attempt_tracker.rs
+++ b/crates/policy/src/attempt_tracker.rs
@@ -6,7 +6,7 @@
 
 use hollowpaddle_ordered_collections::tournament::{Key, TournamentTree};
 
-use crate::interface::{RequestId, Span, Time};
+use crate::interface::{RequestId, SignedDuration, Time};
 
 /// An attempt that may still be in flight, with what says when it is overdue: its request costs
 /// more to look up.
@@ -30,7 +30,7 @@
     /// In the order of sending, which is that of becoming due. Some have ended.
     attempts: VecDeque<TrackedAttempt>,
     /// They may be due this long after they were sent.
-    hedge_delay: Span,
+    hedge_delay: SignedDuration,
 }
 
 impl ClassAttempts {
@@ -65,7 +65,7 @@
 
 impl AttemptTracker {
     /// Tracks nothing yet; `hedge_delays` are those of the classes.
-    pub(crate) fn new(hedge_delays: impl Iterator<Item = Span>) -> Self {
+    pub(crate) fn new(hedge_delays: impl Iterator<Item = SignedDuration>) -> Self {
         let empty = |hedge_delay| ClassAttempts { attempts: VecDeque::new(), hedge_delay };
         Self {
             classes: hedge_delays.map(empty).collect(),
@@ -88,7 +88,7 @@
     }
 
     /// Sets how long after they were sent attempts of a class may be due.
-    pub(crate) fn set_hedge_delay(&mut self, class: usize, hedge_delay: Span) {
+    pub(crate) fn set_hedge_delay(&mut self, class: usize, hedge_delay: SignedDuration) {
         self.classes[class].hedge_delay = hedge_delay;
         self.next_due.set(class, self.classes[class].first_due());
     }
@@ -105,7 +105,7 @@
         while let Some((_, number)) = self.next_due.best().filter(|(key, _)| *key <= time_key(now))
         {
             let class = &mut self.classes[number];
-            let sent_by = now.plus(Span(-class.hedge_delay.0));
+            let sent_by = now.plus(SignedDuration(-class.hedge_delay.0));
             for _ in 0..limit {
                 let Some(first) = class.attempts.pop_front_if(|a| a.sent <= sent_by) else { break };
                 if is_in_flight(&first) {
--- a/crates/policy/src/breakers.rs
+++ b/crates/policy/src/breakers.rs
@@ -3,7 +3,7 @@
 //!
 //! Which outcome is a fault is for [`crate::policy`] to say.
 
-use crate::interface::{Span, Time};
+use crate::interface::{SignedDuration, Time};
 
 /// A circuit breaker: open for a pause after a fault, and for twice as long after each further
 /// fault in a row.
@@ -32,7 +32,7 @@
             // The attempt was sent before the pause began: the same fault, counted already.
             return;
         }
-        self.until = now.plus(Span::of(pause * f64::from(1 << self.faults)));
+        self.until = now.plus(SignedDuration::of(pause * f64::from(1 << self.faults)));
         self.faults = (self.faults + 1).min(doublings);
     }
 }
--- a/crates/policy/src/capacity.rs
+++ b/crates/policy/src/capacity.rs
@@ -11,7 +11,7 @@
 use crate::interface::{Class, Settings};
 use crate::sums::{Rates, Sum};
 
-/// Classes that [`crate::interface::Member::barred`] has a bit for: only these can be barred from a
+/// Classes that [`crate::interface::Member::barred_classes`] has a bit for: only these can be barred from a
 /// single upstream, and need sums of their own for it.
 const BARRED_CLASSES: usize = u64::BITS as usize;
 
@@ -149,7 +149,7 @@
         shared.insert((&None, &None), 0);
         for (number, class) in settings.classes.iter().enumerate() {
             let bounds = (&class.zones, &class.kinds);
-            let can_be_barred = settings.barring && number < BARRED_CLASSES;
+            let can_be_barred = settings.bars_classes && number < BARRED_CLASSES;
             let found = shared.get(&bounds).copied().filter(|_| !can_be_barred);
             let group = found.unwrap_or_else(|| {
                 let group = groups.add(number, class);
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -18,4 +18,4 @@
 pub use event::Event;
 pub use member::{ListKind, Member, ServerId, Status};
 pub use request::{Request, RequestId};
-pub use time::{Span, Time};
+pub use time::{SignedDuration, Time};
--- a/crates/policy/src/interface/action.rs
+++ b/crates/policy/src/interface/action.rs
@@ -2,7 +2,7 @@
 
 use super::member::ServerId;
 use super::request::RequestId;
-use super::time::{Span, Time};
+use super::time::{SignedDuration, Time};
 
 /// Why a request is rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -14,11 +14,11 @@
     /// As much is queued and in flight as can be answered in time.
     QueueFull,
     /// The same, for a tenant beyond its quota.
-    OverShare,
+    OverQuota,
     /// It would have to wait too long for its ordering key.
-    NoTime,
+    DeadlineTooClose,
     /// It was queued for as long as that made sense.
-    HeldTooLong,
+    QueuedTooLong,
     /// Its attempts failed, and it may not be attempted again. If it is not safe to repeat, none of
     /// them ran.
     AttemptsFailed,
@@ -31,9 +31,9 @@
             Self::UnknownClass => "unknown_class",
             Self::ListExpired => "list_expired",
             Self::QueueFull => "queue_full",
-            Self::OverShare => "over_share",
-            Self::NoTime => "no_time",
-            Self::HeldTooLong => "held_too_long",
+            Self::OverQuota => "over_share",
+            Self::DeadlineTooClose => "no_time",
+            Self::QueuedTooLong => "held_too_long",
             Self::AttemptsFailed => "attempts_failed",
         }
     }
@@ -49,7 +49,7 @@
         /// The upstream.
         server: ServerId,
         /// Timeout of the attempt.
-        timeout: Span,
+        timeout: SignedDuration,
         /// Its last byte must be sent by then, or none of it: an attempt that waits longer for its
         /// connection is [`Outcome::Moot`](crate::interface::Outcome::Moot).
         send_by: Time,
@@ -59,7 +59,7 @@
         /// The request.
         request: RequestId,
         /// Advice on when to send it again; zero for none.
-        retry_after: Span,
+        retry_after: SignedDuration,
         /// Why, for logs and metrics.
         reason: Refusal,
     },
--- a/crates/policy/src/interface/attempt.rs
+++ b/crates/policy/src/interface/attempt.rs
@@ -2,7 +2,7 @@
 
 use super::member::ServerId;
 use super::request::RequestId;
-use super::time::Span;
+use super::time::SignedDuration;
 
 /// How an attempt ended.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -44,7 +44,7 @@
     /// How it ended.
     pub outcome: Outcome,
     /// How long it took.
-    pub latency: Span,
+    pub latency: SignedDuration,
     /// The request is over.
     pub last: bool,
     /// A part of its body was passed on and not stored: it can't be sent again.
@@ -60,7 +60,7 @@
         attempt: usize,
         server: ServerId,
         outcome: Outcome,
-        latency: Span,
+        latency: SignedDuration,
         last: bool,
     ) -> Self {
         let (spent, report) = (false, Report::default());
@@ -78,7 +78,7 @@
     /// Share of its cores that is busy.
     pub util: Option<f64>,
     /// Recent service time, without the wait.
-    pub service: Option<Span>,
+    pub service: Option<SignedDuration>,
     /// Requests served per second.
     pub qps: Option<f64>,
     /// Errors per second.
--- a/crates/policy/src/interface/class.rs
+++ b/crates/policy/src/interface/class.rs
@@ -1,6 +1,6 @@
 //! Request classes and tenants.
 
-use super::time::Span;
+use super::time::SignedDuration;
 
 /// Whether a request may be repeated.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -28,9 +28,9 @@
 #[derive(Clone, Debug)]
 pub struct Class {
     /// An answer within this time has its full value.
-    pub latency_objective: Span,
+    pub latency_objective: SignedDuration,
     /// The longest time that a client waits.
-    pub deadline: Span,
+    pub deadline: SignedDuration,
     /// Priority weight of one request.
     pub priority_weight: f64,
     /// Part of its value that an answer has after the latency objective.
@@ -40,7 +40,7 @@
     /// Which upstreams drop repeats of a request with an idempotency key.
     pub group: Group,
     /// For how long they do, from the send of the first attempt that may have run.
-    pub window: Span,
+    pub window: SignedDuration,
     /// The latency objective grows by this multiple of a request's own work, up to the deadline.
     pub objective_stretch: f64,
     /// The answer is a stream: [`Event::Started`](crate::interface::Event::Started) reports that it
@@ -65,7 +65,7 @@
 
 impl Class {
     /// A class whose requests may be repeated freely, of priority weight 1.
-    pub fn safe(latency_objective: Span, deadline: Span) -> Self {
+    pub fn safe(latency_objective: SignedDuration, deadline: SignedDuration) -> Self {
         Self {
             latency_objective,
             deadline,
@@ -73,7 +73,7 @@
             late_priority_weight: 0.0,
             effect: Effect::Safe,
             group: Group::All,
-            window: Span(0),
+            window: SignedDuration(0),
             objective_stretch: 0.0,
             streaming: false,
             in_order: false,
--- a/crates/policy/src/interface/config.rs
+++ b/crates/policy/src/interface/config.rs
@@ -1,7 +1,7 @@
 //! Settings of a balancer, and their validation.
 
 use super::class::{Class, Tenant};
-use super::time::Span;
+use super::time::SignedDuration;
 
 /// What the deployment allows.
 #[derive(Clone, Debug)]
@@ -9,7 +9,7 @@
     /// Most attempts of one request.
     pub max_attempts: usize,
     /// Requests may be hedged: two attempts of one may be in flight at once.
-    pub second_copies: bool,
+    pub hedging: bool,
     /// Attempts may be cancelled.
     pub cancel: bool,
     /// Health checks may be sent to upstreams.
@@ -17,11 +17,11 @@
     /// Rejections carry advice on when to retry (Retry-After).
     pub retry_after: bool,
     /// Longest advice that a client follows.
-    pub max_retry_after: Span,
+    pub max_retry_after: SignedDuration,
     /// A connection that is not open within this time counts as failed.
-    pub connect_timeout: Span,
+    pub connect_timeout: SignedDuration,
     /// Idle connections close after this time.
-    pub keepalive: Span,
+    pub keepalive: SignedDuration,
     /// Attempts that one connection carries at once, at most.
     pub streams_per_conn: u32,
 }
@@ -31,13 +31,13 @@
     fn basic() -> Self {
         Self {
             max_attempts: 3,
-            second_copies: false,
+            hedging: false,
             cancel: false,
             probes: false,
             retry_after: false,
-            max_retry_after: Span(0),
-            connect_timeout: Span(0),
-            keepalive: Span(0),
+            max_retry_after: SignedDuration(0),
+            connect_timeout: SignedDuration(0),
+            keepalive: SignedDuration(0),
             streams_per_conn: 1,
         }
     }
@@ -49,23 +49,23 @@
     /// Share of its capacity that a starting upstream has at least, from 0 to 1.
     pub warm_up_initial_share: f64,
     /// Time after which it has all of its capacity.
-    pub warm_up: Span,
+    pub warm_up: SignedDuration,
     /// It is overloaded when it is sent more than this many times its present capacity for
-    /// [`Self::tip_after`].
-    pub fall_multiple: f64,
+    /// [`Self::overload_window`].
+    pub overload_multiple: f64,
     /// How long it must be sent too much to be overloaded.
-    pub tip_after: Span,
+    pub overload_window: SignedDuration,
     /// How long after the notice of a drain a send may still go out.
-    pub drain_grace: Span,
+    pub drain_grace: SignedDuration,
     /// A final answer counts until this long after the client's deadline.
-    pub answer_slack: Span,
+    pub answer_slack: SignedDuration,
     /// Where the list is polled: a change counts as known after this time without an answer.
-    pub list_poll_interval: Span,
+    pub list_poll_interval: SignedDuration,
     /// Idle connections to a draining upstream must be closed within this time; zero where no rule
     /// says so.
-    pub drain_close: Span,
+    pub idle_close_limit: SignedDuration,
     /// How long an ordering key rests after an attempt that may still be running.
-    pub turn_gap: Span,
+    pub ordering_key_rest: SignedDuration,
 }
 
 impl Rules {
@@ -73,14 +73,14 @@
     fn basic() -> Self {
         Self {
             warm_up_initial_share: 1.0,
-            warm_up: Span(0),
-            fall_multiple: 1.0,
-            tip_after: Span(0),
-            drain_grace: Span(0),
-            answer_slack: Span(0),
-            list_poll_interval: Span(0),
-            drain_close: Span(0),
-            turn_gap: Span(0),
+            warm_up: SignedDuration(0),
+            overload_multiple: 1.0,
+            overload_window: SignedDuration(0),
+            drain_grace: SignedDuration(0),
+            answer_slack: SignedDuration(0),
+            list_poll_interval: SignedDuration(0),
+            idle_close_limit: SignedDuration(0),
+            ordering_key_rest: SignedDuration(0),
         }
     }
 }
@@ -97,7 +97,7 @@
     /// A health check.
     pub probe: f64,
     /// A request that ends unserved after its latency objective has passed.
-    pub late_fail: f64,
+    pub late_failure: f64,
 }
 
 /// Weights of the parts that the service is scored by.
@@ -141,7 +141,7 @@
     /// Zone of this balancer.
     pub zone: u32,
     /// Least time between two deliveries of events.
-    pub tick: Span,
+    pub tick: SignedDuration,
     /// The endpoint list must be polled.
     pub polls_list: bool,
     /// What the deployment allows.
@@ -155,15 +155,15 @@
     /// Priority weight of a request beyond the quota of its tenant, as a part of that of its class.
     pub over_quota_weight: f64,
     /// Value counts by unit of work, not by request.
-    pub by_work: bool,
+    pub counts_by_work: bool,
     /// Clients mark requests that they send again.
     pub marks_retry: bool,
     /// Where load reports come from.
     pub reports: Reports,
     /// Classes may be barred from single upstreams
-    /// ([`Member::barred`](crate::interface::Member::barred)): each of them has a capacity group of
+    /// ([`Member::barred_classes`](crate::interface::Member::barred)): each of them has a capacity group of
     /// its own.
-    pub barring: bool,
+    pub bars_classes: bool,
     /// A hash of what the numbers of classes, zones and machine types stand for. What a balancer
     /// has learned under another one does not apply here; see [`crate::learned`].
     pub meaning: u64,
@@ -180,17 +180,17 @@
             position: 0,
             zones: 1,
             zone: 0,
-            tick: Span(1000),
+            tick: SignedDuration(1000),
             polls_list: false,
             limits: Limits::basic(),
             rules: Rules::basic(),
             prices: Prices::default(),
             mix: ScoringMix { whole: 1.0, ..ScoringMix::default() },
             over_quota_weight: 1.0,
-            by_work: false,
+            counts_by_work: false,
             marks_retry: false,
             reports: Reports::None,
-            barring: false,
+            bars_classes: false,
             meaning: 0,
         }
     }
@@ -214,7 +214,7 @@
         self.limits.max_attempts = self.limits.max_attempts.max(1);
         let longest_advice =
             if self.limits.retry_after { self.limits.max_retry_after.0.max(0) } else { 0 };
-        self.limits.max_retry_after = Span(longest_advice);
+        self.limits.max_retry_after = SignedDuration(longest_advice);
         self.rules.warm_up_initial_share = self.rules.warm_up_initial_share.clamp(0.01, 1.0);
         self.rules.list_poll_interval.0 =
             self.rules.list_poll_interval.0.max(self.tick.0.saturating_mul(10));
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -3,7 +3,7 @@
 use super::attempt::{Answer, Report};
 use super::member::{ListKind, Member, ServerId};
 use super::request::{Request, RequestId};
-use super::time::{Span, Time};
+use super::time::{SignedDuration, Time};
 
 /// What has happened. Events are delivered in their order.
 #[derive(Clone, Copy, Debug)]
@@ -34,17 +34,17 @@
     /// The answer has begun to stream: the request needs no decision any more.
     Started(RequestId),
     /// The client no longer waits and needs no answer.
-    ClientLeft(RequestId),
+    ClientCancelled(RequestId),
     /// A timer is due.
     Timer(u64),
     /// A health check has ended.
-    Probed {
+    HealthChecked {
         /// The upstream.
         server: ServerId,
         /// It answered well.
         ok: bool,
         /// How long it took.
-        latency: Span,
+        latency: SignedDuration,
         /// What the upstream reported of itself.
         report: Report,
     },
--- a/crates/policy/src/interface/member.rs
+++ b/crates/policy/src/interface/member.rs
@@ -37,8 +37,8 @@
     /// When it last started; `None` if that is long ago.
     pub started: Option<Time>,
     /// Classes that it must not be sent: bit i stands for class i. Counts only with
-    /// [`Settings::barring`](crate::interface::Settings::barring).
-    pub barred: u64,
+    /// [`Settings::bars_classes`](crate::interface::Settings::barring).
+    pub barred_classes: u64,
 }
 
 impl Member {
@@ -53,7 +53,7 @@
             status: Status::Live,
             weight: 1.0,
             started: None,
-            barred: 0,
+            barred_classes: 0,
         }
     }
 }
@@ -71,12 +71,12 @@
     Unavailable,
     /// Entries that were changed by operators or the caller, not by discovery. Unlike an update,
     /// they do not show that the subscription is open.
-    Aside,
+    LocalChange,
 }
 
 impl ListKind {
     /// Whether upstreams that the event does not name stay as they were.
     pub fn is_part(self) -> bool {
-        matches!(self, Self::Update | Self::Aside)
+        matches!(self, Self::Update | Self::LocalChange)
     }
 }
--- a/crates/policy/src/interface/request.rs
+++ b/crates/policy/src/interface/request.rs
@@ -1,6 +1,6 @@
 //! Requests of clients.
 
-use super::time::{Span, Time};
+use super::time::{SignedDuration, Time};
 
 /// The caller's handle for a request; never reused while the request or one of its attempts lives.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
@@ -20,7 +20,7 @@
     /// When the client gives up.
     pub send_deadline: Time,
     /// Expected work on a reference core, if there is an estimate.
-    pub cost_guess: Option<Span>,
+    pub cost_guess: Option<SignedDuration>,
     /// The client has sent it before, where clients mark that.
     pub resent: bool,
     /// It changes something.
--- a/crates/policy/src/learned.rs
+++ b/crates/policy/src/learned.rs
@@ -86,7 +86,7 @@
 
 /// Why a balancer cannot go on from what was learned elsewhere.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum NotRecalled {
+pub enum RecallError {
     /// The settings differ: number of classes there, and here.
     #[error("it was learned of {0} classes, and there are {1}")]
     Classes(usize, usize),
@@ -95,17 +95,17 @@
     Meaning,
     /// Some figure is none that a balancer could have stored.
     #[error("a figure of it is out of range")]
-    Nonsense,
+    InvalidFigure,
 }
 
 impl Learned {
     /// What was learned of the fleet, without what was learned of single upstreams.
-    pub fn of_fleet(self) -> Self {
+    pub fn without_upstreams(self) -> Self {
         Self { upstreams: Vec::new(), ..self }
     }
 
     /// Whether both rest on the same answers: each answer changes TS or a mean latency.
-    pub fn rests_on_the_same(&self, other: &Self) -> bool {
+    pub fn has_same_answers(&self, other: &Self) -> bool {
         let means = |l: &Self| l.classes.iter().map(|c| c.mean_latency).collect::<Vec<_>>();
         self.ts == other.ts && means(self) == means(other)
     }
@@ -218,17 +218,17 @@
     ///
     /// # Errors
     /// It does not fit these settings, or is not sound; nothing has changed then.
-    pub fn recall(&mut self, now: Time, learned: &Learned) -> Result<(), NotRecalled> {
+    pub fn recall(&mut self, now: Time, learned: &Learned) -> Result<(), RecallError> {
         let classes = self.fleet.mean_latency.len();
         if learned.classes.len() != classes {
-            return Err(NotRecalled::Classes(learned.classes.len(), classes));
+            return Err(RecallError::Classes(learned.classes.len(), classes));
         }
         // Classes are numbered: under other settings the same number stands for another class.
         if learned.meaning != self.settings.meaning {
-            return Err(NotRecalled::Meaning);
+            return Err(RecallError::Meaning);
         }
         if !learned.is_sound() {
-            return Err(NotRecalled::Nonsense);
+            return Err(RecallError::InvalidFigure);
         }
         self.recall_fleet(now, learned);
         for (kind, was) in learned.kinds.iter().enumerate() {
--- a/crates/policy/src/list_polling.rs
+++ b/crates/policy/src/list_polling.rs
@@ -3,37 +3,39 @@
 //!
 //! A change counts [`LIST_PROPAGATION_BOUND`] after discovery has it and can be reached, whether it
 //! was received or not. In the worst case a call or a watch falls silent right before that moment:
-//! it is given up after [`SILENCE`], the next call is made within [`PAUSE`], and is answered before
-//! it would be given up in turn. [`MARGIN`] is left for the list to take effect.
+//! it is given up after [`SILENCE_TIMEOUT`], the next call is made within [`PAUSE`], and is answered before
+//! it would be given up in turn. [`APPLY_MARGIN`] is left for the list to take effect.
 //!
 //! Discovery is one service for all balancers and works through calls one after another. Once it
 //! rejects calls at once, its queue is full, and balancers that know nothing of one another have to
 //! share it. Two rules keep it busy with calls that somebody still waits for: a call that it has
-//! accepted is waited for ([`CALL_PATIENCE`]), and one that was rejected is made again after about
+//! accepted is waited for ([`CALL_TIMEOUT`]), and one that was rejected is made again after about
 //! as long as the list has been missing, so that the calls of all thin out until discovery keeps
 //! up.
 
-use crate::interface::{Settings, Span, Time};
+use crate::interface::{Settings, SignedDuration, Time};
 
 /// A change of the list counts this long after discovery has it (PROTOCOL, "Figures").
-pub const LIST_PROPAGATION_BOUND: Span = Span(6_000_000);
+pub const LIST_PROPAGATION_BOUND: SignedDuration = SignedDuration(6_000_000);
 /// A call or a watch without a message for this long is dead. A watch has one every 2 s (PROTOCOL,
 /// "Discovery"), which a busy moment may delay.
-pub const SILENCE: Span = Span(2_600_000);
+pub const SILENCE_TIMEOUT: SignedDuration = SignedDuration(2_600_000);
 /// Time from the last byte of a list until it takes effect.
-pub const MARGIN: Span = Span(300_000);
+pub const APPLY_MARGIN: SignedDuration = SignedDuration(300_000);
 /// How long a call is waited for that discovery has accepted and not answered: it may be queued
 /// there for 3 s. While discovery rejects other calls, this is doubled by each call given up so,
-/// [`PATIENCE_DOUBLINGS`] times at most.
-pub const CALL_PATIENCE: Span = Span(3_200_000);
-/// Most doublings of [`CALL_PATIENCE`].
-pub const PATIENCE_DOUBLINGS: u32 = 2;
+/// [`MAX_CALL_TIMEOUT_DOUBLINGS`] times at most.
+pub const CALL_TIMEOUT: SignedDuration = SignedDuration(3_200_000);
+/// Most doublings of [`CALL_TIMEOUT`].
+pub const MAX_CALL_TIMEOUT_DOUBLINGS: u32 = 2;
 /// Longest wait for the next call, if the last call or a watch may have been silent until it was
 /// given up.
-pub const PAUSE: Span = Span(LIST_PROPAGATION_BOUND.0 - MARGIN.0 - 2 * SILENCE.0);
+pub const PAUSE: SignedDuration =
+    SignedDuration(LIST_PROPAGATION_BOUND.0 - APPLY_MARGIN.0 - 2 * SILENCE_TIMEOUT.0);
 /// Longest wait after a call that failed at once. It leaves time for two calls within the bound,
 /// since the first may fail again when all balancers call at once.
-const LONG_PAUSE: Span = Span((LIST_PROPAGATION_BOUND.0 - MARGIN.0 - SILENCE.0) / 2);
+const LONG_PAUSE: SignedDuration =
+    SignedDuration((LIST_PROPAGATION_BOUND.0 - APPLY_MARGIN.0 - SILENCE_TIMEOUT.0) / 2);
 
 /// Longest first wait, as a share of [`crate::interface::Rules::list_poll_interval`]: restarts must
 /// not overload discovery. Each failure doubles it.
@@ -46,10 +48,10 @@
 /// not nothing.
 const LATE_CALLS_PER_SECOND: f64 = 10.0;
 /// Shortest wait after a rejected call, whatever the number of balancers.
-const MIN_REJECTED_PAUSE: Span = Span(50_000);
+const MIN_REJECTED_PAUSE: SignedDuration = SignedDuration(50_000);
 /// The longest wait after a rejected call is no shorter than this: callers of other kinds may be
 /// many.
-const MIN_LONGEST_PAUSE: Span = Span(500_000);
+const MIN_LONGEST_PAUSE: SignedDuration = SignedDuration(500_000);
 /// The longest wait after a rejected call, in poll intervals. A change counts for a balancer that
 /// has not polled for four.
 const LONGEST_PAUSE_OF_INTERVAL: f64 = 2.0;
@@ -64,7 +66,7 @@
 /// When to poll next, where the list must be polled. Jitters are random numbers from 0 to 1.
 #[derive(Debug)]
 pub struct ListPoller {
-    poll_interval: Span,
+    poll_interval: SignedDuration,
     balancers: f64,
     subscribed: bool,
     /// Since when there has been no subscription.
@@ -104,9 +106,10 @@
         let due = !self.subscribed && self.next.is_some_and(|next| now >= next);
         if due {
             self.polled_at = Some(now);
-            let repeat =
-                Span::of(self.poll_interval.f() * REPEAT_OF_INTERVAL).0.min(SILENCE.0 + PAUSE.0);
-            self.next = Some(now.plus(Span(repeat)));
+            let repeat = SignedDuration::of(self.poll_interval.f() * REPEAT_OF_INTERVAL)
+                .0
+                .min(SILENCE_TIMEOUT.0 + PAUSE.0);
+            self.next = Some(now.plus(SignedDuration(repeat)));
         }
         due
     }
@@ -121,9 +124,13 @@
         self.subscription_ended(now);
         self.failures = (self.failures + 1).min(MAX_JITTER_DOUBLINGS);
         // For how long a subscription was silent is not known.
-        let silent =
-            self.polled_at.take().map_or(SILENCE, |polled_at| now.since(polled_at).min(SILENCE));
-        let remaining = Span(LIST_PROPAGATION_BOUND.0 - MARGIN.0 - SILENCE.0 - silent.0);
+        let silent = self
+            .polled_at
+            .take()
+            .map_or(SILENCE_TIMEOUT, |polled_at| now.since(polled_at).min(SILENCE_TIMEOUT));
+        let remaining = SignedDuration(
+            LIST_PROPAGATION_BOUND.0 - APPLY_MARGIN.0 - SILENCE_TIMEOUT.0 - silent.0,
+        );
         self.next = self.next.map(|_| now.plus(self.backoff(remaining.min(LONG_PAUSE), jitter)));
     }
 
@@ -137,7 +144,7 @@
         let shortest = (self.balancers / CALLS_PER_SECOND * SECOND_US).max(MIN_REJECTED_PAUSE.f());
         let pause = now.since(self.missing_since).f().max(shortest).min(longest);
         let share = CERTAIN_PART + (1.0 - CERTAIN_PART) * jitter;
-        self.next = self.next.map(|_| now.plus(Span::of(pause * share)));
+        self.next = self.next.map(|_| now.plus(SignedDuration::of(pause * share)));
     }
 
     /// The list has been missing from now on, if there was a subscription.
@@ -148,8 +155,8 @@
     }
 
     /// A random wait of `longest` at most.
-    fn backoff(&self, longest: Span, jitter: f64) -> Span {
+    fn backoff(&self, longest: SignedDuration, jitter: f64) -> SignedDuration {
         let share = JITTER_OF_INTERVAL * f64::from(1 << self.failures);
-        Span::of(jitter * (share * self.poll_interval.f()).min(longest.f()))
+        SignedDuration::of(jitter * (share * self.poll_interval.f()).min(longest.f()))
     }
 }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -29,7 +29,7 @@
 
 use crate::attempt_tracker::AttemptTracker;
 use crate::fleet::FleetEstimates;
-use crate::interface::{Action, Event, Refusal, Settings, SettingsError, Span, Time};
+use crate::interface::{Action, Event, Refusal, Settings, SettingsError, SignedDuration, Time};
 use crate::list_polling::ListPoller;
 use crate::queue::Queue;
 use crate::quotas::Quotas;
@@ -141,9 +141,9 @@
             Event::BodyReceived { request, send_deadline } => {
                 self.body_complete(now, request, send_deadline)
             }
-            Event::Started(id) | Event::ClientLeft(id) => self.end(id),
+            Event::Started(id) | Event::ClientCancelled(id) => self.end(id),
             Event::Timer(token) => self.timer(now, token, out),
-            Event::Probed { .. } => {}
+            Event::HealthChecked { .. } => {}
         }
     }
 
@@ -172,8 +172,8 @@
     }
 
     /// How long before its objective passes a queued request is given up: two sweeps.
-    fn give_up_margin(&self) -> Span {
-        Span(2 * sweep::sweep_every(&self.settings).0)
+    fn give_up_margin(&self) -> SignedDuration {
+        SignedDuration(2 * sweep::sweep_every(&self.settings).0)
     }
 
     /// Starts the timers, with the first event.
@@ -203,7 +203,7 @@
         self.check_due(now, slice);
         self.sweep(now, slice, Sweep::Timer);
         let expired = self.queue.take_expired(now);
-        self.give_up_all(expired, Refusal::HeldTooLong, out);
+        self.give_up_all(expired, Refusal::QueuedTooLong, out);
         self.dispatch(now, out);
         self.close_idle_of_departed(now, out);
         self.poll_list(now, out);
--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -4,7 +4,7 @@
 
 use super::Balancer;
 use super::selection::Slots;
-use crate::interface::{Action, Refusal, Request, RequestId, Span, Time};
+use crate::interface::{Action, Refusal, Request, RequestId, SignedDuration, Time};
 use crate::ranks::Figures;
 use crate::request_state::RequestState;
 
@@ -20,7 +20,7 @@
         let id = request.id;
         let Some(class) = self.settings.classes.get(request.class).filter(|_| !self.expired) else {
             let reason = if self.expired { Refusal::ListExpired } else { Refusal::UnknownClass };
-            out.push(Action::Refuse { request: id, retry_after: Span(0), reason });
+            out.push(Action::Refuse { request: id, retry_after: SignedDuration(0), reason });
             return;
         };
         if self.queue.get(id).is_some() {
@@ -33,13 +33,13 @@
         self.queue.insert(now, id, entry);
         let is_within_quota = self.is_within_quota(now, request.tenant);
         let wait = waiting_for_key as f64 * self.fleet.mean_latency[request.class];
-        let earliest_start = now.plus(Span::of(wait));
+        let earliest_start = now.plus(SignedDuration::of(wait));
         let at_once = self.pick_at_once(now, &request, is_within_quota);
         if earliest_start >= queue_deadline {
-            return self.refuse(id, Refusal::NoTime, out);
+            return self.refuse(id, Refusal::DeadlineTooClose, out);
         }
         if at_once.is_none() && !self.admits(request.class, is_within_quota) {
-            let reason = if is_within_quota { Refusal::QueueFull } else { Refusal::OverShare };
+            let reason = if is_within_quota { Refusal::QueueFull } else { Refusal::OverQuota };
             return self.refuse(id, reason, out);
         }
         if is_within_quota {
@@ -113,7 +113,8 @@
     /// advice.
     pub(super) fn refuse(&mut self, request: RequestId, reason: Refusal, out: &mut Vec<Action>) {
         let longest = self.settings.limits.max_retry_after;
-        let retry_after = Span::of(self.fleet.ts + self.fleet.tolerable_wait).min(longest);
+        let retry_after =
+            SignedDuration::of(self.fleet.ts + self.fleet.tolerable_wait).min(longest);
         out.push(Action::Refuse { request, retry_after, reason });
         self.end(request);
     }
--- a/crates/policy/src/policy/hedging.rs
+++ b/crates/policy/src/policy/hedging.rs
@@ -7,7 +7,7 @@
 use super::Balancer;
 use super::outlier::MAX_CLASS_PAUSE_DOUBLINGS;
 use crate::attempt_tracker::TrackedAttempt;
-use crate::interface::{Outcome, RequestId, Span, Time};
+use crate::interface::{Outcome, RequestId, SignedDuration, Time};
 use crate::request_state::{Attempt, AttemptState};
 
 /// Due attempts that each event checks.
@@ -49,8 +49,8 @@
         let overdue_after = mean + OVERDUE_DEVIATIONS * deviation;
         let latest_hedge = tracked.queue_deadline.since(tracked.sent).f() - mean;
         let hedge_after = overdue_after.min(latest_hedge).max(mean * MIN_HEDGE_MEANS);
-        let overdue_at = tracked.sent.plus(Span::of(overdue_after));
-        (overdue_at, tracked.sent.plus(Span::of(hedge_after)))
+        let overdue_at = tracked.sent.plus(SignedDuration::of(overdue_after));
+        (overdue_at, tracked.sent.plus(SignedDuration::of(hedge_after)))
     }
 
     /// Recomputes the least delay after which attempts of a class may be due, from its mean
@@ -60,7 +60,7 @@
         let deviation = self.fleet.latency_deviation[class];
         let least = (mean + OVERDUE_DEVIATIONS * deviation).min(mean * MIN_HEDGE_MEANS);
         let objective = self.settings.classes[class].latency_objective;
-        let delay = if mean == 0.0 { objective } else { Span::of(least) };
+        let delay = if mean == 0.0 { objective } else { SignedDuration::of(least) };
         self.tracker.set_hedge_delay(class, delay);
     }
 
--- a/crates/policy/src/policy/membership.rs
+++ b/crates/policy/src/policy/membership.rs
@@ -22,7 +22,7 @@
                 self.list_poller.failed(now, self.rng.rand_float());
                 return self.arm_list_poll(out);
             }
-            ListKind::Restored | ListKind::Aside => {}
+            ListKind::Restored | ListKind::LocalChange => {}
             ListKind::Update | ListKind::Complete => {
                 self.list_poller.notified();
                 self.expired = false;
@@ -57,7 +57,7 @@
             s.by_class.reset_all();
         }
         if change.was != Some(s.status) {
-            s.close_idle_until = now.plus(self.settings.rules.drain_close);
+            s.close_idle_until = now.plus(self.settings.rules.idle_close_limit);
             self.closing.push(change.server);
             self.close_idle_connections(now, change.server, out);
         }
@@ -83,7 +83,7 @@
         out: &mut Vec<Action>,
     ) {
         let s = &mut self.upstreams.servers[server];
-        let within = self.settings.rules.drain_close;
+        let within = self.settings.rules.idle_close_limit;
         if within.0 <= 0 || s.status == Status::Live {
             return;
         }
--- a/crates/policy/src/policy/outlier.rs
+++ b/crates/policy/src/policy/outlier.rs
@@ -34,7 +34,7 @@
         let (class, ordering_key) = (entry.class, entry.ordering_key);
         if matches!(answer.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
             // It may still be running at the upstream.
-            self.queue.rest_key(ordering_key, now.plus(self.settings.rules.turn_gap));
+            self.queue.rest_key(ordering_key, now.plus(self.settings.rules.ordering_key_rest));
         }
         self.learn(now, class, attempt, &answer);
         self.close_idle_connections(now, attempt.server, out);
--- a/crates/policy/src/policy/retry.rs
+++ b/crates/policy/src/policy/retry.rs
@@ -12,7 +12,7 @@
         if entry.is_finished || now >= self.send_by(entry) || is_used_up || self.expired {
             return false;
         }
-        if entry.is_in_flight() && !self.settings.limits.second_copies {
+        if entry.is_in_flight() && !self.settings.limits.hedging {
             return false;
         }
         let affinity = self.affinity(entry);
--- a/crates/policy/src/policy/slow_start.rs
+++ b/crates/policy/src/policy/slow_start.rs
@@ -5,16 +5,16 @@
 
 use super::Balancer;
 use super::sweep::OWN_DISTANCE;
-use crate::interface::{Span, Time};
+use crate::interface::{SignedDuration, Time};
 use crate::machine_types::Decay;
 use crate::upstreams::Server;
 
 /// Pace to an upstream that lies next to this balancer on the ring, as a share of
-/// [`crate::interface::Rules::fall_multiple`]. Few balancers lie next to the same one.
+/// [`crate::interface::Rules::overload_multiple`]. Few balancers lie next to the same one.
 const OWNER_PACE: f64 = 1.0 / 3.0;
 /// Most of that multiple that all balancers together send by the rates that each has observed.
 const OBSERVED_PACE: f64 = 0.5;
-/// How long an earned send is kept, as a share of [`crate::interface::Rules::tip_after`]. Kept for
+/// How long an earned send is kept, as a share of [`crate::interface::Rules::overload_window`]. Kept for
 /// longer, the unused sends of many balancers would go out in one burst.
 const RETENTION_OF_WINDOW: f64 = 0.25;
 /// The longest wait for an earned send that is calculated with, in microseconds.
@@ -45,7 +45,7 @@
         let share = self.warm_up_share(now, s)?;
         let pace = self.warm_up_pace(s) * share;
         let earned = s.earned_sends + now.since(s.earned_at).f().max(0.0) * pace;
-        let retained = pace * self.settings.rules.tip_after.f() * RETENTION_OF_WINDOW;
+        let retained = pace * self.settings.rules.overload_window.f() * RETENTION_OF_WINDOW;
         if retained >= 1.0 {
             return Some(earned.min(1.0));
         }
@@ -59,7 +59,7 @@
         let observed_for_type = kinds.rate(s.type_index);
         let observed = if observed_for_type > 0.0 { observed_for_type } else { kinds.any_rate };
         let observed = s.weight * observed;
-        let multiple = self.settings.rules.fall_multiple.max(1.0);
+        let multiple = self.settings.rules.overload_multiple.max(1.0);
         // With every upstream warming up, or nothing observed yet, some pace must remain.
         let even = multiple / self.upstreams.sharers / fleet.paced_ts;
         // Bounded, since balancers that each observe little overestimate the rate.
@@ -87,10 +87,10 @@
         let missing = earned.floor() + 1.0 - s.earned_sends;
         let earned_at_share_of = |at: Time| {
             let share = self.warm_up_share(at, s).unwrap_or(1.0);
-            s.earned_at.plus(Span::of((missing / (pace * share)).min(MAX_WAIT_US)))
+            s.earned_at.plus(SignedDuration::of((missing / (pace * share)).min(MAX_WAIT_US)))
         };
         // The share that is reached by the first estimate gives an earlier one.
-        earned_at_share_of(earned_at_share_of(now)).max(now.plus(Span(1)))
+        earned_at_share_of(earned_at_share_of(now)).max(now.plus(SignedDuration(1)))
     }
 
     /// Books what an upstream has earned by now, before its pace changes, and takes `spent` sends
@@ -108,7 +108,7 @@
         let last = std::mem::replace(&mut self.fleet.decayed_at, now);
         let elapsed = now.since(last).f();
         self.fleet.paced_ts = self.fleet.ts;
-        let window = self.settings.rules.tip_after.f().max(1.0);
+        let window = self.settings.rules.overload_window.f().max(1.0);
         let warm_up = self.settings.rules.warm_up.f().max(1.0);
         let count = (-elapsed / window).exp();
         let peak = (-elapsed / warm_up).exp();
--- a/crates/policy/src/policy/sweep.rs
+++ b/crates/policy/src/policy/sweep.rs
@@ -2,7 +2,7 @@
 //! long.
 
 use super::Balancer;
-use crate::interface::{Settings, Span, Time};
+use crate::interface::{Settings, SignedDuration, Time};
 
 /// A fleet of up to this many upstreams is swept at once.
 const SMALL_FLEET: usize = 256;
@@ -36,10 +36,10 @@
 }
 
 /// Time between sweeps.
-pub(super) fn sweep_every(settings: &Settings) -> Span {
+pub(super) fn sweep_every(settings: &Settings) -> SignedDuration {
     let objectives = settings.classes.iter().map(|c| c.latency_objective.0);
     let shortest = objectives.min().unwrap_or(0);
-    Span(((shortest as f64 * SWEEP_OF_OBJECTIVE) as i64).max(settings.tick.0))
+    SignedDuration(((shortest as f64 * SWEEP_OF_OBJECTIVE) as i64).max(settings.tick.0))
 }
 
 impl Balancer {
--- a/crates/policy/src/quotas/tests.rs
+++ b/crates/policy/src/quotas/tests.rs
@@ -3,13 +3,15 @@
 use proptest::prelude::*;
 
 use super::*;
-use crate::interface::{Class, Span, Tenant};
+use crate::interface::{Class, SignedDuration, Tenant};
 
 const TENANTS: usize = 6;
 
 fn settings(quotas: &[f64], balancers: u32) -> Settings {
-    let classes =
-        vec![Class::safe(Span(100_000), Span(300_000)), Class::safe(Span(1000), Span(2_000_000))];
+    let classes = vec![
+        Class::safe(SignedDuration(100_000), SignedDuration(300_000)),
+        Class::safe(SignedDuration(1000), SignedDuration(2_000_000)),
+    ];
     let mut settings = Settings::basic(classes);
     settings.balancers = balancers;
     settings.tenants = quotas.iter().map(|q| Tenant { quota_rps: *q, share: 0.0 }).collect();
@@ -48,7 +50,7 @@
         let mut sparse = Quotas::new(&settings, now);
         let mut dense = Dense { buckets: vec![Bucket { tokens: 1.0, refilled_at: now }; TENANTS] };
         for (tenant, passed, short) in steps {
-            now = now.plus(Span(if short { passed / 1000 } else { passed }));
+            now = now.plus(SignedDuration(if short { passed / 1000 } else { passed }));
             let tokens = dense.refill(now, &settings, tenant);
             prop_assert_eq!(sparse.refill(now, tenant, quotas[tenant]), tokens);
             if tokens >= 1.0 {
--- a/crates/policy/src/request_state.rs
+++ b/crates/policy/src/request_state.rs
@@ -2,7 +2,7 @@
 
 use hollowpaddle_ordered_collections::waiting::Ticket;
 
-use crate::interface::{Class, Request, Span, Time};
+use crate::interface::{Class, Request, SignedDuration, Time};
 
 /// The sub-queue in which a request waits. If its first request finds no free slot, none of the
 /// others does.
@@ -128,13 +128,13 @@
         now: Time,
         class: &Class,
         send_deadline: Time,
-        margin: Span,
+        margin: SignedDuration,
     ) {
         let objective_at = send_deadline.min(now.plus(class.latency_objective));
         let late_has_value = class.late_priority_weight > 0.0;
         self.send_deadline = send_deadline;
         self.valuable_until = if late_has_value { send_deadline } else { objective_at };
-        self.queue_deadline = objective_at.plus(Span(-margin.0));
+        self.queue_deadline = objective_at.plus(SignedDuration(-margin.0));
     }
 
     /// Whether some attempt has no outcome yet.
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -5,14 +5,14 @@
 
 use serde::Deserialize;
 
-use crate::interface::{Report, Span};
+use crate::interface::{Report, SignedDuration};
 use crate::tenants::Tenants;
 
 mod conversion;
 
 /// Converts milliseconds to a span of whole microseconds; 0 if it is not a number.
-pub fn span(ms: f64) -> Span {
-    Span((ms * 1000.0).round() as i64)
+pub fn span(ms: f64) -> SignedDuration {
+    SignedDuration((ms * 1000.0).round() as i64)
 }
 
 /// The FNV-1a hash of a text: the same at every balancer and in every build.
@@ -249,7 +249,8 @@
     pub max_attempts: usize,
     /// Requests may be hedged.
     #[serde(default)]
-    pub second_copies: bool,
+    #[serde(rename = "SecondCopies")]
+    pub hedging: bool,
     /// Attempts may be cancelled.
     #[serde(default)]
     pub cancelling: bool,
@@ -297,16 +298,20 @@
     #[serde(rename = "ColdFrom")]
     pub warm_up_initial_share: f64,
     /// A starting upstream is overloaded by this multiple of its present capacity.
-    pub fall_multiple: f64,
+    #[serde(rename = "FallMultiple")]
+    pub overload_multiple: f64,
     /// How long it must be sent that much to be overloaded.
-    pub tip_after: f64,
+    #[serde(rename = "TipAfter")]
+    pub overload_window: f64,
     /// Idle connections to a draining upstream must be closed within this time; 0 where no rule
     /// says so.
     #[serde(default)]
-    pub drain_close: f64,
+    #[serde(rename = "DrainClose")]
+    pub idle_close_limit: f64,
     /// How long an ordering key rests after an attempt that may still be running.
     #[serde(default)]
-    pub turn_gap: f64,
+    #[serde(rename = "TurnGap")]
+    pub ordering_key_rest: f64,
 }
 
 /// Prices, each per first attempt, as parts of the value of all requests.
@@ -322,7 +327,8 @@
     /// A health check.
     pub probe: f64,
     /// A request that ends unserved after its latency objective has passed.
-    pub late_fail: f64,
+    #[serde(rename = "LateFail")]
+    pub late_failure: f64,
 }
 
 /// Load reports of upstreams.
--- a/crates/policy/src/settings/conversion.rs
+++ b/crates/policy/src/settings/conversion.rs
@@ -32,10 +32,10 @@
             prices: self.prices.prices(),
             mix: self.scoring_mix.mix(),
             over_quota_weight: self.over_quota_weight,
-            by_work: self.counted_by == CountedBy::Work,
+            counts_by_work: self.counted_by == CountedBy::Work,
             marks_retry: self.client_habits.marks_retry,
             reports: self.stats.how.reports(),
-            barring: false,
+            bars_classes: false,
             meaning: self.meaning(),
         }
     }
@@ -91,7 +91,7 @@
     fn limits(&self) -> interface::Limits {
         interface::Limits {
             max_attempts: self.max_attempts,
-            second_copies: self.second_copies,
+            hedging: self.hedging,
             cancel: self.cancelling,
             probes: self.probes,
             retry_after: self.retry_after,
@@ -108,13 +108,13 @@
         interface::Rules {
             warm_up_initial_share: self.warm_up_initial_share,
             warm_up: span(self.cold),
-            fall_multiple: self.fall_multiple,
-            tip_after: span(self.tip_after),
+            overload_multiple: self.overload_multiple,
+            overload_window: span(self.overload_window),
             drain_grace: span(self.drain_grace),
             answer_slack: span(self.answer_slack),
             list_poll_interval: span(self.list_poll_interval),
-            drain_close: span(self.drain_close),
-            turn_gap: span(self.turn_gap),
+            idle_close_limit: span(self.idle_close_limit),
+            ordering_key_rest: span(self.ordering_key_rest),
         }
     }
 }
@@ -126,7 +126,7 @@
             waste: self.waste,
             handshake: self.handshake,
             probe: self.probe,
-            late_fail: self.late_fail,
+            late_failure: self.late_failure,
         }
     }
 }
--- a/crates/policy/src/upstreams.rs
+++ b/crates/policy/src/upstreams.rs
@@ -83,7 +83,7 @@
     fn groups_of(&self, s: &Server) -> GroupList {
         self.capacity_groups.groups_of_upstream(s.kind, |class| {
             let c = &self.settings.classes[class];
-            !(self.settings.barring && bars(s.barred, class))
+            !(self.settings.bars_classes && bars(s.barred_classes, class))
                 && c.zones.as_ref().is_none_or(|z| z.contains(&s.zone))
                 && c.kinds.as_ref().is_none_or(|k| k.contains(&s.kind))
         })
@@ -176,8 +176,11 @@
 }
 
 /// Whether the bit of a class is set. Classes from the 65th on have none and are never barred.
-fn bars(barred: u64, class: usize) -> bool {
-    u32::try_from(class).ok().and_then(|c| barred.checked_shr(c)).is_some_and(|b| b & 1 == 1)
+fn bars(barred_classes: u64, class: usize) -> bool {
+    u32::try_from(class)
+        .ok()
+        .and_then(|c| barred_classes.checked_shr(c))
+        .is_some_and(|b| b & 1 == 1)
 }
 
 #[cfg(test)]
--- a/crates/policy/src/upstreams/list.rs
+++ b/crates/policy/src/upstreams/list.rs
@@ -62,7 +62,10 @@
         if let Some(s) = known.map(|i| &self.servers[i]) {
             let same = (s.zone, s.kind, s.cell, s.status)
                 == (entry.zone, entry.kind, entry.cell, entry.status);
-            if same && (s.started, s.weight, s.barred) == (entry.started, weight, entry.barred) {
+            if same
+                && (s.started, s.weight, s.barred_classes)
+                    == (entry.started, weight, entry.barred_classes)
+            {
                 return None;
             }
         }
@@ -77,8 +80,8 @@
         let s = &mut self.servers[server];
         let restarted = s.started != entry.started && entry.started.is_some();
         (s.zone, s.kind, s.cell) = (entry.zone, entry.kind, entry.cell);
-        (s.status, s.started, s.weight, s.barred) =
-            (entry.status, entry.started, weight, entry.barred);
+        (s.status, s.started, s.weight, s.barred_classes) =
+            (entry.status, entry.started, weight, entry.barred_classes);
         s.type_index = self.kinds.enter(entry.kind);
         let capacity_groups = self.groups_of(&self.servers[server]);
         self.servers[server].capacity_groups = capacity_groups;
--- a/crates/policy/src/upstreams/server.rs
+++ b/crates/policy/src/upstreams/server.rs
@@ -22,7 +22,7 @@
     pub(crate) status: Status,
     pub(crate) weight: f64,
     pub(crate) started: Option<Time>,
-    pub(crate) barred: u64,
+    pub(crate) barred_classes: u64,
     pub(crate) identity: u64,
     pub(crate) in_flight: u32,
     /// When `in_flight` last changed.
@@ -80,7 +80,7 @@
             status: Status::Gone,
             weight: 1.0,
             started: None,
-            barred: 0,
+            barred_classes: 0,
             identity: member.identity,
             in_flight: 0,
             in_flight_changed: now,
@@ -123,7 +123,7 @@
             status: self.status,
             weight: self.weight,
             started: self.started,
-            barred: self.barred,
+            barred_classes: self.barred_classes,
         }
     }
 }
--- a/crates/policy/src/upstreams/tests.rs
+++ b/crates/policy/src/upstreams/tests.rs
@@ -1,11 +1,11 @@
 use std::sync::Arc;
 
 use super::Upstreams;
-use crate::interface::{Class, ListKind, Member, ServerId, Settings, Span, Time};
+use crate::interface::{Class, ListKind, Member, ServerId, Settings, SignedDuration, Time};
 
 /// So many live upstreams, as the proxy at this position of a bank sees them.
 fn upstreams(n: u32, balancers: u32, position: u32, priced: bool) -> Upstreams {
-    let class = Class::safe(Span(1000), Span(2000));
+    let class = Class::safe(SignedDuration(1000), SignedDuration(2000));
     let mut settings = Settings::basic(vec![class]);
     (settings.balancers, settings.position) = (balancers, position);
     (settings.zones, settings.zone) = (2, 1);
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -109,16 +109,18 @@
 }
 
 fn settings(proxies: u32) -> Settings {
-    let class =
-        Class { late_priority_weight: 0.5, ..Class::safe(Span(1120 * MS), Span(2800 * MS)) };
+    let class = Class {
+        late_priority_weight: 0.5,
+        ..Class::safe(SignedDuration(1120 * MS), SignedDuration(2800 * MS))
+    };
     let mut s = Settings::basic(vec![class]);
     s.balancers = proxies;
     // Sweeps are rare, so that a bank of hundreds is played within seconds.
-    s.tick = Span(100 * MS);
+    s.tick = SignedDuration(100 * MS);
     s.rules.warm_up_initial_share = 0.12;
-    s.rules.warm_up = Span(23 * SECOND);
-    s.rules.fall_multiple = 4.0;
-    s.rules.tip_after = Span(2 * SECOND);
+    s.rules.warm_up = SignedDuration(23 * SECOND);
+    s.rules.overload_multiple = 4.0;
+    s.rules.overload_window = SignedDuration(2 * SECOND);
     s
 }
 
@@ -337,7 +339,7 @@
             {
                 let outcome = if ok { Outcome::Ok } else { Outcome::Full };
                 let (id, of, took) = (RequestId(request), ServerId(of as u32), self.now - sent);
-                let answer = Answer::new(id, attempt, of, outcome, Span(took), ok);
+                let answer = Answer::new(id, attempt, of, outcome, SignedDuration(took), ok);
                 self.deliver(p, Event::Answered(answer));
             }
             Due::Go(i) | Due::Back(i) => {
@@ -378,11 +380,11 @@
             let Some(started) = upstream.started else { continue };
             let mut from = 0;
             for (through, at) in upstream.sent.iter().enumerate() {
-                while upstream.sent[from] + rules.tip_after.0 < *at {
+                while upstream.sent[from] + rules.overload_window.0 < *at {
                     from += 1;
                 }
-                let able = self.rate(i) * self.share(at - started) * rules.tip_after.f();
-                let n = rules.fall_multiple * able;
+                let able = self.rate(i) * self.share(at - started) * rules.overload_window.f();
+                let n = rules.overload_multiple * able;
                 let part = (through + 1 - from) as f64 / (n + 2.0 * n.sqrt() + 2.0);
                 if part > worst.2 {
                     worst = (through + 1 - from, n, part);
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -11,13 +11,13 @@
 
 pub fn class(effect: Effect) -> Class {
     Class {
-        latency_objective: Span(200 * MS),
-        deadline: Span(600 * MS),
+        latency_objective: SignedDuration(200 * MS),
+        deadline: SignedDuration(600 * MS),
         priority_weight: 1.0,
         late_priority_weight: 0.0,
         effect,
         group: Group::Zone,
-        window: Span(300 * MS),
+        window: SignedDuration(300 * MS),
         objective_stretch: 0.0,
         streaming: false,
         in_order: false,
@@ -34,37 +34,37 @@
         position: 0,
         zones: 2,
         zone: 0,
-        tick: Span(MS),
+        tick: SignedDuration(MS),
         polls_list: false,
         limits: Limits {
             max_attempts: 3,
-            second_copies: true,
+            hedging: true,
             cancel: true,
             probes: false,
             retry_after: true,
-            max_retry_after: Span(300 * MS),
-            connect_timeout: Span(100 * MS),
-            keepalive: Span(5000 * MS),
+            max_retry_after: SignedDuration(300 * MS),
+            connect_timeout: SignedDuration(100 * MS),
+            keepalive: SignedDuration(5000 * MS),
             streams_per_conn: 1,
         },
         rules: Rules {
             warm_up_initial_share: 0.2,
-            warm_up: Span(10_000 * MS),
-            fall_multiple: 3.0,
-            tip_after: Span(1000 * MS),
-            drain_grace: Span(1000 * MS),
-            answer_slack: Span(20 * MS),
-            list_poll_interval: Span(10_000 * MS),
-            drain_close: Span(0),
-            turn_gap: Span(0),
+            warm_up: SignedDuration(10_000 * MS),
+            overload_multiple: 3.0,
+            overload_window: SignedDuration(1000 * MS),
+            drain_grace: SignedDuration(1000 * MS),
+            answer_slack: SignedDuration(20 * MS),
+            list_poll_interval: SignedDuration(10_000 * MS),
+            idle_close_limit: SignedDuration(0),
+            ordering_key_rest: SignedDuration(0),
         },
         prices: Prices::default(),
         mix: ScoringMix { whole: 1.0, ..ScoringMix::default() },
         over_quota_weight: 0.1,
-        by_work: false,
+        counts_by_work: false,
         marks_retry: false,
         reports: Reports::None,
-        barring: false,
+        bars_classes: false,
         meaning: 7,
     }
 }
@@ -79,7 +79,7 @@
         status: Status::Live,
         weight: 1.0,
         started: None,
-        barred: 0,
+        barred_classes: 0,
     }
 }
 
@@ -212,7 +212,7 @@
         let send_deadline = self.now.plus(self.settings.classes[class].deadline);
         let place = self.asked.len();
         // Its client's time has not begun.
-        let never = self.now.plus(Span(i64::MAX / 4));
+        let never = self.now.plus(SignedDuration(i64::MAX / 4));
         let asked = ClientRequest {
             class,
             key: None,
@@ -268,11 +268,11 @@
         if let Some(asked) = self.asked.get_mut(&id) {
             asked.over = true;
         }
-        self.deliver(Event::ClientLeft(RequestId(id)));
+        self.deliver(Event::ClientCancelled(RequestId(id)));
     }
 
     /// Lets time pass, firing timers; attempts end as time-outs at their request's end.
-    pub fn pass(&mut self, span: Span) {
+    pub fn pass(&mut self, span: SignedDuration) {
         let end = self.now.plus(span);
         while let Some(i) = (0..self.timers.len()).min_by_key(|&i| self.timers[i].1) {
             if self.timers[i].1 > end {
@@ -291,7 +291,7 @@
 
     /// Rule 7: idle connections to what drains are closed in time.
     fn check_closed(&self) {
-        let within = self.settings.rules.drain_close;
+        let within = self.settings.rules.idle_close_limit;
         for (id, (used, closed)) in &self.leaving {
             let late = within.0 > 0 && self.now > used.plus(within);
             let missed = closed.is_none_or(|c| c < *used);
@@ -318,7 +318,7 @@
             for t in &earlier.tries {
                 let unsure = [Outcome::Timeout, Outcome::Reset, Outcome::Cancelled];
                 let unsure = t.ended.is_some_and(|o| unsure.contains(&o));
-                let rested = self.now.since(t.ended_at) >= self.settings.rules.turn_gap;
+                let rested = self.now.since(t.ended_at) >= self.settings.rules.ordering_key_rest;
                 assert!(!unsure || rested, "{id} sent before its key has rested");
             }
         }
@@ -370,14 +370,14 @@
         asked.over = true;
     }
 
-    fn sent(&mut self, id: u64, server: ServerId, timeout: Span, send_by: Time) {
+    fn sent(&mut self, id: u64, server: ServerId, timeout: SignedDuration, send_by: Time) {
         let asked = &self.asked[&id];
         assert!(!asked.over, "sent {id} after its end");
         assert!(self.now < asked.send_deadline && timeout.0 > 0);
         assert!(self.now.plus(timeout) <= asked.send_deadline, "time-out past the client's");
         assert_eq!(self.members[&server.0].status, Status::Live, "sent to a drained upstream");
         assert!(asked.tries.len() < self.settings.limits.max_attempts);
-        if !self.settings.limits.second_copies {
+        if !self.settings.limits.hedging {
             assert!(asked.tries.iter().all(|t| t.ended.is_some()), "two copies out");
         }
         let class = &self.settings.classes[asked.class];
--- a/crates/policy/tests/flows.rs
+++ b/crates/policy/tests/flows.rs
@@ -11,7 +11,7 @@
 fn learned(w: &mut World, class: usize) {
     for id in 1000..1050 {
         w.request(id, class);
-        w.pass(Span(10 * MS));
+        w.pass(SignedDuration(10 * MS));
         w.outcome(id, 0, Outcome::Ok);
     }
 }
@@ -24,15 +24,15 @@
     learned(&mut w, UNSAFE);
     w.flows(1, UNSAFE);
     assert!(w.out(1).is_some());
-    w.pass(Span(2000 * MS));
+    w.pass(SignedDuration(2000 * MS));
     w.request(2, UNSAFE);
     assert!(w.out(2).is_some(), "neither is the upstream shut nor its slot taken");
-    w.pass(Span(10 * MS));
+    w.pass(SignedDuration(10 * MS));
     w.outcome(2, 0, Outcome::Ok);
     w.whole(1);
-    w.pass(Span(10 * MS));
+    w.pass(SignedDuration(10 * MS));
     w.outcome(1, 0, Outcome::Ok);
-    let (out, _, n) = w.balancer.upstream(ServerId(0), Span(600 * MS)).expect("known");
+    let (out, _, n) = w.balancer.upstream(ServerId(0), SignedDuration(600 * MS)).expect("known");
     assert_eq!(out, 0);
     assert!(n > 50.0, "an answer took 10 ms, not two seconds: N {n}");
 }
@@ -42,17 +42,18 @@
     let mut w = World::with_servers(settings(), 1);
     learned(&mut w, UNSAFE);
     w.flows(1, UNSAFE);
-    w.pass(Span(2000 * MS));
-    let out = |w: &World| w.balancer.upstream(ServerId(0), Span(MS)).expect("known").0;
+    w.pass(SignedDuration(2000 * MS));
+    let out = |w: &World| w.balancer.upstream(ServerId(0), SignedDuration(MS)).expect("known").0;
     assert_eq!(out(&w), 0, "a client that slow holds no slot");
     w.whole(1);
     assert_eq!(out(&w), 1);
-    let n = |w: &World| w.balancer.upstream(ServerId(0), Span(600 * MS)).expect("known").2;
+    let n =
+        |w: &World| w.balancer.upstream(ServerId(0), SignedDuration(600 * MS)).expect("known").2;
     let before = n(&w);
-    w.pass(Span(150 * MS));
+    w.pass(SignedDuration(150 * MS));
     assert!(n(&w) < before, "what does not answer now is slow");
     assert!(!w.failed(1), "its client waits from its last byte on");
-    w.pass(Span(600 * MS));
+    w.pass(SignedDuration(600 * MS));
     assert!(w.failed(1));
 }
 
@@ -61,13 +62,13 @@
     let mut w = World::with_servers(settings(), 1);
     learned(&mut w, UNSAFE);
     w.flows(1, UNSAFE);
-    w.pass(Span(2 * MS));
+    w.pass(SignedDuration(2 * MS));
     w.whole(1);
-    let (out, _, _) = w.balancer.upstream(ServerId(0), Span(MS)).expect("known");
+    let (out, _, _) = w.balancer.upstream(ServerId(0), SignedDuration(MS)).expect("known");
     assert_eq!(out, 1);
-    w.pass(Span(10 * MS));
+    w.pass(SignedDuration(10 * MS));
     w.outcome(1, 0, Outcome::Ok);
-    let (out, _, _) = w.balancer.upstream(ServerId(0), Span(MS)).expect("known");
+    let (out, _, _) = w.balancer.upstream(ServerId(0), SignedDuration(MS)).expect("known");
     assert_eq!(out, 0);
 }
 
@@ -77,7 +78,7 @@
     learned(&mut w, UNSAFE);
     (0..40).for_each(|id| w.request(id, UNSAFE));
     w.flows(100, UNSAFE);
-    w.pass(Span(600 * MS));
+    w.pass(SignedDuration(600 * MS));
     assert!(w.refused(100), "it waits no longer than any other");
 }
 
@@ -90,7 +91,7 @@
             let mut w = World::with_servers(settings(), 3);
             learned(&mut w, UNSAFE);
             w.flows(1, UNSAFE);
-            w.pass(Span(10 * MS));
+            w.pass(SignedDuration(10 * MS));
             if whole {
                 w.whole(1);
             }
--- a/crates/policy/tests/formats.rs
+++ b/crates/policy/tests/formats.rs
@@ -5,9 +5,9 @@
 use common::{World, member, settings};
 use hollowpaddle_policy::interface::{
     Class, Effect, Group, Limits, ListKind, Member, Outcome, Prices, Refusal, Report, Reports,
-    Rules, ScoringMix, Settings, SettingsError, Span, Tenant, Time,
+    Rules, ScoringMix, Settings, SettingsError, SignedDuration, Tenant, Time,
 };
-use hollowpaddle_policy::learned::{Learned, NotRecalled};
+use hollowpaddle_policy::learned::{Learned, RecallError};
 use hollowpaddle_policy::settings::{Facts, Field, key_hash, stable_hash};
 use serde_json::{Value, json};
 
@@ -43,20 +43,23 @@
     Settings {
         classes: vec![
             Class {
-                latency_objective: Span(101_500),
-                deadline: Span(602_250),
+                latency_objective: SignedDuration(101_500),
+                deadline: SignedDuration(602_250),
                 priority_weight: 3.5,
                 late_priority_weight: 0.25,
                 effect: Effect::Keyed,
                 group: Group::Cell,
-                window: Span(703_000),
+                window: SignedDuration(703_000),
                 objective_stretch: 1.75,
                 streaming: true,
                 in_order: true,
                 zones: Some(vec![0, 2]),
                 kinds: Some(vec![1]),
             },
-            Class { effect: Effect::Unsafe, ..Class::safe(Span(20_000), Span(40_000)) },
+            Class {
+                effect: Effect::Unsafe,
+                ..Class::safe(SignedDuration(20_000), SignedDuration(40_000))
+            },
         ],
         tenants: vec![
             Tenant { quota_rps: 11.5, share: 0.375 },
@@ -66,56 +69,57 @@
         position: 5,
         zones: 3,
         zone: 1,
-        tick: Span(2_500),
+        tick: SignedDuration(2_500),
         polls_list: true,
         limits: Limits {
             max_attempts: 4,
-            second_copies: true,
+            hedging: true,
             cancel: true,
             probes: true,
             retry_after: true,
-            max_retry_after: Span(804_000),
-            connect_timeout: Span(105_000),
-            keepalive: Span(5_006_000),
+            max_retry_after: SignedDuration(804_000),
+            connect_timeout: SignedDuration(105_000),
+            keepalive: SignedDuration(5_006_000),
             streams_per_conn: 9,
         },
         rules: Rules {
             warm_up_initial_share: 0.125,
-            warm_up: Span(8_004_000),
-            fall_multiple: 2.75,
-            tip_after: Span(1_105_000),
-            drain_grace: Span(1_002_000),
-            answer_slack: Span(23_000),
-            list_poll_interval: Span(10_001_000),
-            drain_close: Span(56_000),
-            turn_gap: Span(37_000),
+            warm_up: SignedDuration(8_004_000),
+            overload_multiple: 2.75,
+            overload_window: SignedDuration(1_105_000),
+            drain_grace: SignedDuration(1_002_000),
+            answer_slack: SignedDuration(23_000),
+            list_poll_interval: SignedDuration(10_001_000),
+            idle_close_limit: SignedDuration(56_000),
+            ordering_key_rest: SignedDuration(37_000),
         },
         prices: Prices {
             cross_zone: 0.01,
             waste: 0.02,
             handshake: 0.03,
             probe: 0.04,
-            late_fail: 0.05,
+            late_failure: 0.05,
         },
         mix: ScoringMix { whole: 0.4, worst_window: 0.3, worst_class: 0.2, worst_tenant: 0.1 },
         over_quota_weight: 0.15,
-        by_work: true,
+        counts_by_work: true,
         marks_retry: true,
         reports: Reports::Probes,
-        barring: false,
+        bars_classes: false,
         meaning: MEANING_OF_ALL_KEYS,
     }
 }
 
 /// What the file with only the required keys means: every other key has its default.
 fn required_keys() -> Settings {
-    let mut settings = Settings::basic(vec![Class::safe(Span(100_000), Span(300_000))]);
+    let mut settings =
+        Settings::basic(vec![Class::safe(SignedDuration(100_000), SignedDuration(300_000))]);
     settings.zones = 0;
     settings.limits.streams_per_conn = 0;
-    settings.rules.warm_up = Span(5_000_000);
+    settings.rules.warm_up = SignedDuration(5_000_000);
     settings.rules.warm_up_initial_share = 0.25;
-    settings.rules.fall_multiple = 3.0;
-    settings.rules.tip_after = Span(1_000_000);
+    settings.rules.overload_multiple = 3.0;
+    settings.rules.overload_window = SignedDuration(1_000_000);
     settings.mix.whole = 0.0;
     settings.meaning = MEANING_OF_REQUIRED_KEYS;
     settings
@@ -167,8 +171,8 @@
     for (value, polls_list) in [("automatic", false), ("subscribe", true)] {
         assert_eq!(read("/RegistryMode", value).polls_list, polls_list);
     }
-    for (value, by_work) in [("request", false), ("work", true)] {
-        assert_eq!(read("/CountedBy", value).by_work, by_work);
+    for (value, counts_by_work) in [("request", false), ("work", true)] {
+        assert_eq!(read("/CountedBy", value).counts_by_work, counts_by_work);
     }
     for (value, reports) in
         [("piggyback", Reports::Answers), ("pull", Reports::Probes), ("silent", Reports::None)]
@@ -247,9 +251,9 @@
         assert_eq!(error.to_string(), message);
     }
     for (error, message) in [
-        (NotRecalled::Classes(2, 3), "it was learned of 2 classes, and there are 3"),
-        (NotRecalled::Meaning, "it was learned of other classes, zones or kinds"),
-        (NotRecalled::Nonsense, "a figure of it is out of range"),
+        (RecallError::Classes(2, 3), "it was learned of 2 classes, and there are 3"),
+        (RecallError::Meaning, "it was learned of other classes, zones or kinds"),
+        (RecallError::InvalidFigure, "a figure of it is out of range"),
     ] {
         assert_eq!(error.to_string(), message);
     }
@@ -270,7 +274,7 @@
         ("inflight", Report { inflight: Some(2.5), ..report() }),
         ("queue", Report { queue: Some(2.5), ..report() }),
         ("util", Report { util: Some(2.5), ..report() }),
-        ("latency_ms", Report { service: Some(Span(2_500)), ..report() }),
+        ("latency_ms", Report { service: Some(SignedDuration(2_500)), ..report() }),
         ("qps", Report { qps: Some(2.5), ..report() }),
         ("eps", Report { eps: Some(2.5), ..report() }),
         ("other", report()),
@@ -287,9 +291,9 @@
         (Refusal::UnknownClass, "unknown_class"),
         (Refusal::ListExpired, "list_expired"),
         (Refusal::QueueFull, "queue_full"),
-        (Refusal::OverShare, "over_share"),
-        (Refusal::NoTime, "no_time"),
-        (Refusal::HeldTooLong, "held_too_long"),
+        (Refusal::OverQuota, "over_share"),
+        (Refusal::DeadlineTooClose, "no_time"),
+        (Refusal::QueuedTooLong, "held_too_long"),
         (Refusal::AttemptsFailed, "attempts_failed"),
     ] {
         assert_eq!(refusal.name(), name);
--- a/crates/policy/tests/indexed.rs
+++ b/crates/policy/tests/indexed.rs
@@ -39,12 +39,12 @@
 fn class(rng: &mut Rand64) -> Class {
     let latency_objective = pick(rng, &[60, 200, 740]);
     let mut class = Class::safe(
-        Span(latency_objective * MS),
-        Span(latency_objective * pick(rng, &[1, 2, 3]) * MS),
+        SignedDuration(latency_objective * MS),
+        SignedDuration(latency_objective * pick(rng, &[1, 2, 3]) * MS),
     );
     class.effect = pick(rng, &[Effect::Safe, Effect::Keyed, Effect::Unsafe]);
     class.group = pick(rng, &[Group::All, Group::Zone, Group::Cell]);
-    class.window = Span(pick(rng, &[50, 300, 10_000]) * MS);
+    class.window = SignedDuration(pick(rng, &[50, 300, 10_000]) * MS);
     class.priority_weight = pick(rng, &[1.0, 5.0]);
     class.late_priority_weight = pick(rng, &[0.0, 0.5]);
     class.in_order = pick(rng, &[false, false, true]);
@@ -63,16 +63,16 @@
     s.zone = rng.rand_range(0..3) as u32;
     s.polls_list = pick(rng, &[false, true]);
     s.limits.max_attempts = pick(rng, &[1, 2, 3]);
-    s.limits.second_copies = pick(rng, &[false, true]);
+    s.limits.hedging = pick(rng, &[false, true]);
     s.limits.retry_after = true;
-    s.limits.max_retry_after = Span(300 * MS);
+    s.limits.max_retry_after = SignedDuration(300 * MS);
     s.rules.warm_up_initial_share = 0.2;
-    s.rules.warm_up = Span(pick(rng, &[0, 500, 5000]) * MS);
-    s.rules.fall_multiple = 3.0;
-    s.rules.tip_after = Span(1000 * MS);
-    s.rules.list_poll_interval = Span(6000 * MS);
-    s.rules.drain_close = Span(pick(rng, &[0, 100]) * MS);
-    s.rules.turn_gap = Span(pick(rng, &[0, 20]) * MS);
+    s.rules.warm_up = SignedDuration(pick(rng, &[0, 500, 5000]) * MS);
+    s.rules.overload_multiple = 3.0;
+    s.rules.overload_window = SignedDuration(1000 * MS);
+    s.rules.list_poll_interval = SignedDuration(6000 * MS);
+    s.rules.idle_close_limit = SignedDuration(pick(rng, &[0, 100]) * MS);
+    s.rules.ordering_key_rest = SignedDuration(pick(rng, &[0, 20]) * MS);
     s.prices.cross_zone = pick(rng, &[0.0, 0.01]);
     if pick(rng, &[false, true]) {
         s.tenants = vec![Tenant { quota_rps: 500.0, share: 1.0 }; 2];
@@ -169,7 +169,13 @@
                 let n = self.attempts.entry(request.0).or_default();
                 let takes = pick(&mut self.rng, &[0, 1, 2, 5, 5, 10, 20, 40, 100, 100_000]) * MS;
                 let takes = takes.min(timeout.0) + self.rng.rand_range(0..1000) as i64;
-                self.out.push((request, *n, server, self.now, self.now.plus(Span(takes))));
+                self.out.push((
+                    request,
+                    *n,
+                    server,
+                    self.now,
+                    self.now.plus(SignedDuration(takes)),
+                ));
                 *n += 1;
             }
             Action::Refuse { request, .. } => {
@@ -289,14 +295,14 @@
             let crowded = self.now.0 / (500 * MS) % 2 == 0;
             let waits = if crowded { [0, 100, 500, 1000] } else { [0, 1000, 5000, 20_000] };
             let wait = pick(&mut self.rng, &waits);
-            let end = self.now.plus(Span(wait));
+            let end = self.now.plus(SignedDuration(wait));
             self.pass(end);
             match self.rng.rand_range(0..100) {
                 0..4 => self.list(),
                 4..6 if !self.open.is_empty() => {
                     let id = pick(&mut self.rng, &self.open);
                     self.open.retain(|o| *o != id);
-                    self.deliver(Event::ClientLeft(id));
+                    self.deliver(Event::ClientCancelled(id));
                 }
                 _ => self.request(),
             }
--- a/crates/policy/tests/learned.rs
+++ b/crates/policy/tests/learned.rs
@@ -4,7 +4,7 @@
 
 use common::{MS, World, member, settings};
 use hollowpaddle_policy::interface::*;
-use hollowpaddle_policy::learned::{Learned, NotRecalled};
+use hollowpaddle_policy::learned::{Learned, RecallError};
 use hollowpaddle_policy::settings::Facts;
 
 /// Upstreams 0 to 3, of which the first takes four times as long as the others.
@@ -14,7 +14,7 @@
         let ids = round * 4..round * 4 + 4;
         ids.clone().for_each(|id| w.request(id, 0));
         for (wait, slow) in [(20, false), (60, true)] {
-            w.pass(Span(wait * MS));
+            w.pass(SignedDuration(wait * MS));
             for id in ids.clone() {
                 if w.out(id).is_some_and(|s| (s == ServerId(0)) == slow) {
                     w.outcome(id, 0, Outcome::Ok);
@@ -26,7 +26,8 @@
 }
 
 fn limits(w: &World, server: u32) -> (u32, f64) {
-    let (_, k, n) = w.balancer.upstream(ServerId(server), Span(600 * MS)).expect("listed");
+    let (_, k, n) =
+        w.balancer.upstream(ServerId(server), SignedDuration(600 * MS)).expect("listed");
     (k, n)
 }
 
@@ -65,24 +66,24 @@
     one.classes.truncate(1);
     let mut new = World::with_servers(one, 4);
     let before = new.balancer.learned();
-    assert_eq!(new.balancer.recall(new.now, &learned), Err(NotRecalled::Classes(3, 1)));
+    assert_eq!(new.balancer.recall(new.now, &learned), Err(RecallError::Classes(3, 1)));
     assert_eq!(new.balancer.learned(), before);
     // So many classes as here, but others.
     let mut others = settings();
     others.meaning += 1;
     let mut new = World::with_servers(others, 4);
     let before = new.balancer.learned();
-    assert_eq!(new.balancer.recall(new.now, &learned), Err(NotRecalled::Meaning));
+    assert_eq!(new.balancer.recall(new.now, &learned), Err(RecallError::Meaning));
     assert_eq!(new.balancer.learned(), before);
     let mut new = World::with_servers(settings(), 4);
     let before = new.balancer.learned();
-    assert_eq!(new.balancer.recall(new.now, &Learned::default()), Err(NotRecalled::Classes(0, 3)));
+    assert_eq!(new.balancer.recall(new.now, &Learned::default()), Err(RecallError::Classes(0, 3)));
     for (what, with) in [("ts", -1.0), ("good", 0.0), ("leeway", -0.5), ("any_rate", -1e-9)] {
         let mut text = serde_json::to_value(&learned).expect("as JSON");
         assert!(text[what].as_f64().is_some_and(|f| f > 0.0), "{what}");
         text[what] = with.into();
         let bad: Learned = serde_json::from_value(text).expect("of the right form");
-        assert_eq!(new.balancer.recall(new.now, &bad), Err(NotRecalled::Nonsense), "{what}");
+        assert_eq!(new.balancer.recall(new.now, &bad), Err(RecallError::InvalidFigure), "{what}");
         assert_eq!(new.balancer.learned(), before);
     }
 }
--- a/crates/policy/tests/list_polling/cluster.rs
+++ b/crates/policy/tests/list_polling/cluster.rs
@@ -5,7 +5,7 @@
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
 
 use hollowpaddle_policy::interface::*;
-use hollowpaddle_policy::list_polling::{CALL_PATIENCE, SILENCE};
+use hollowpaddle_policy::list_polling::{CALL_TIMEOUT, SILENCE_TIMEOUT};
 use hollowpaddle_policy::policy::Balancer;
 use oorandom::Rand64;
 
@@ -80,8 +80,12 @@
 impl Cluster {
     /// So many balancers that start now, and ask by these settings.
     pub fn new(n: usize, list_poll_interval: i64, capacity: Capacity, down: Down) -> Self {
-        let mut settings = Settings::basic(vec![Class::safe(Span(60 * SECOND), Span(90 * SECOND))]);
-        (settings.polls_list, settings.rules.list_poll_interval) = (true, Span(list_poll_interval));
+        let mut settings = Settings::basic(vec![Class::safe(
+            SignedDuration(60 * SECOND),
+            SignedDuration(90 * SECOND),
+        )]);
+        (settings.polls_list, settings.rules.list_poll_interval) =
+            (true, SignedDuration(list_poll_interval));
         settings.balancers = n as u32;
         let balancer =
             |i| Balancer::new(settings.clone(), i as u64, Time(0)).expect("sound settings");
@@ -148,7 +152,7 @@
                 self.queue.push_back((i, call));
                 // Who is served with the last of that time is served.
                 self.at(self.now + self.capacity.waits + 1, Due::Expired(i, call));
-                self.at(self.now + CALL_PATIENCE.0, Due::GivenUp(i, call));
+                self.at(self.now + CALL_TIMEOUT.0, Due::GivenUp(i, call));
                 if !std::mem::replace(&mut self.busy, true) {
                     self.at(self.now + self.turn(), Due::Turn);
                 }
@@ -156,7 +160,7 @@
             // It comes back once this event is over.
             (false, Down::Refuses) => self.at(self.now, Due::Expired(i, call)),
             // No connection comes up.
-            (false, Down::Silent) => self.at(self.now + SILENCE.0, Due::GivenUp(i, call)),
+            (false, Down::Silent) => self.at(self.now + SILENCE_TIMEOUT.0, Due::GivenUp(i, call)),
         }
     }
 
@@ -173,7 +177,7 @@
     /// A watch says something every 2 s, each at a time of its own.
     fn hush(&mut self, i: usize) {
         let since = (self.rng.rand_float() * BEAT as f64) as i64;
-        self.at(self.now - since + SILENCE.0, Due::FoundSilent(i));
+        self.at(self.now - since + SILENCE_TIMEOUT.0, Due::FoundSilent(i));
     }
 
     /// Plays one event.
--- a/crates/policy/tests/list_polling/main.rs
+++ b/crates/policy/tests/list_polling/main.rs
@@ -4,13 +4,13 @@
 mod crowded;
 
 use hollowpaddle_policy::list_polling::{
-    CALL_PATIENCE, LIST_PROPAGATION_BOUND, MARGIN, PAUSE, SILENCE,
+    APPLY_MARGIN, CALL_TIMEOUT, LIST_PROPAGATION_BOUND, PAUSE, SILENCE_TIMEOUT,
 };
 
 use cluster::{BEAT, Capacity, Cluster, Down, Due, MS, SECOND};
 
 /// In time is what the module has by then.
-const IN_TIME: i64 = LIST_PROPAGATION_BOUND.0 - MARGIN.0;
+const IN_TIME: i64 = LIST_PROPAGATION_BOUND.0 - APPLY_MARGIN.0;
 
 /// A discovery that nobody has to wait for long.
 fn quick(rate: i64, serves_given_up: bool) -> Capacity {
@@ -32,10 +32,13 @@
 
 #[test]
 fn list_deadlines_sum_to_less_than_the_propagation_bound() {
-    assert_eq!(SILENCE.0 + PAUSE.0 + SILENCE.0 + MARGIN.0, LIST_PROPAGATION_BOUND.0);
+    assert_eq!(
+        SILENCE_TIMEOUT.0 + PAUSE.0 + SILENCE_TIMEOUT.0 + APPLY_MARGIN.0,
+        LIST_PROPAGATION_BOUND.0
+    );
     // After a call that discovery took and never answered there is time for one more.
-    const { assert!(CALL_PATIENCE.0 + MARGIN.0 + 2 * SECOND < LIST_PROPAGATION_BOUND.0) };
-    const { assert!(SILENCE.0 > BEAT && PAUSE.0 > 0, "a watch that beats is not silent") };
+    const { assert!(CALL_TIMEOUT.0 + APPLY_MARGIN.0 + 2 * SECOND < LIST_PROPAGATION_BOUND.0) };
+    const { assert!(SILENCE_TIMEOUT.0 > BEAT && PAUSE.0 > 0, "a watch that beats is not silent") };
 }
 
 #[test]
--- a/crates/policy/tests/machine_types.rs
+++ b/crates/policy/tests/machine_types.rs
@@ -7,7 +7,7 @@
 fn sent_to(class: usize, bound_to: &[u32], listed: &[u32]) -> Option<ServerId> {
     let bound = |kind: &u32| Class {
         kinds: Some(vec![*kind]),
-        ..Class::safe(Span(200_000), Span(1_000_000))
+        ..Class::safe(SignedDuration(200_000), SignedDuration(1_000_000))
     };
     let settings = Settings::basic(bound_to.iter().map(bound).collect());
     let mut module = Balancer::new(settings, 1, Time(0)).expect("sound settings");
--- a/crates/policy/tests/mechanism.rs
+++ b/crates/policy/tests/mechanism.rs
@@ -9,21 +9,21 @@
 use hollowpaddle_policy::policy::Balancer;
 
 fn serve(w: &mut World, id: u64, ms: i64) {
-    w.pass(Span(ms * MS));
+    w.pass(SignedDuration(ms * MS));
     w.outcome(id, 0, Outcome::Ok);
 }
 
 #[test]
 fn queues_when_every_slot_is_taken_and_keeps_arrival_order() {
     let mut w = World::with_servers(settings(), 1);
-    let (_, k, _) = w.balancer.upstream(ServerId(0), Span(MS)).unwrap();
+    let (_, k, _) = w.balancer.upstream(ServerId(0), SignedDuration(MS)).unwrap();
     let k = u64::from(k);
     for id in 0..k + 2 {
         w.request(id, 0);
     }
     assert!((0..k).all(|id| w.out(id).is_some()), "K_i requests are out");
     assert_eq!((w.out(k), w.out(k + 1)), (None, None), "the rest is held");
-    w.pass(Span(10 * MS));
+    w.pass(SignedDuration(10 * MS));
     w.outcome(0, 0, Outcome::Ok);
     assert!(w.out(k).is_some(), "the head of the queue goes first");
     let sent = |a: &Action| match a {
@@ -39,14 +39,14 @@
     let mut w = World::with_servers(settings(), 1);
     // A refusal by a full upstream shows the propagation time alone: 2*TP = 20 ms.
     w.request(1000, 0);
-    w.pass(Span(20 * MS));
+    w.pass(SignedDuration(20 * MS));
     w.outcome(1000, 0, Outcome::Full);
     for id in 0..600 {
         w.request(id, 0);
-        w.pass(Span(40 * MS));
+        w.pass(SignedDuration(40 * MS));
         w.outcome(id, 0, Outcome::Ok);
     }
-    let (_, k, n) = w.balancer.upstream(ServerId(0), Span(600 * MS)).unwrap();
+    let (_, k, n) = w.balancer.upstream(ServerId(0), SignedDuration(600 * MS)).unwrap();
     // With TS between 20 and 40 ms: K_i = 2*TP/TS + 1 is under 3, and N_i = T / (2*TP + TS).
     assert!((1..3).contains(&k), "K {k}");
     assert!((9.0..16.0).contains(&n), "N {n}");
@@ -82,7 +82,7 @@
     let s = Settings { balancers: 50, ..settings() };
     let w = World::with_servers(s, 4);
     for i in 0..4 {
-        assert_eq!(w.balancer.upstream(ServerId(i), Span(MS)).unwrap().1, 1);
+        assert_eq!(w.balancer.upstream(ServerId(i), SignedDuration(MS)).unwrap().1, 1);
     }
 }
 
@@ -110,7 +110,7 @@
 fn empty_list_rejects_while_that_is_harmless() {
     let mut w = World::new(settings());
     w.request(1, 2);
-    w.pass(Span(200 * MS));
+    w.pass(SignedDuration(200 * MS));
     assert!(w.refused(1), "refused before the aim is lost");
 }
 
@@ -120,13 +120,13 @@
     let mut w = World::with_servers(settings(), 4);
     for round in 0..200 {
         (0..2).for_each(|i| w.request(round * 2 + i, 0));
-        w.pass(Span(MS));
+        w.pass(SignedDuration(MS));
         for id in 0..round * 2 + 2 {
             if w.out(id) == Some(ServerId(0)) {
                 w.outcome(id, w.asked[&id].tries.len() - 1, Outcome::Error);
             }
         }
-        w.pass(Span(20 * MS));
+        w.pass(SignedDuration(20 * MS));
         (0..round * 2 + 2).for_each(|id| (0..3).for_each(|n| w.outcome(id, n, Outcome::Ok)));
     }
     let best = (1..4).map(|i| w.sends_to(i)).max().unwrap();
@@ -139,7 +139,7 @@
     let mut w = World::with_servers(settings, 4);
     for id in (0..1200).step_by(4) {
         (id..id + 4).for_each(|i| w.request(i, if i % 2 == 0 { 0 } else { 2 }));
-        w.pass(Span(10 * MS));
+        w.pass(SignedDuration(10 * MS));
         for i in id.saturating_sub(80)..id + 4 {
             for n in 0..w.asked[&i].tries.len() {
                 let at = w.asked[&i].tries[n].server.0;
@@ -181,17 +181,17 @@
     let mut w = World::with_servers(settings(), 1);
     for id in 0..40 {
         w.request(id, 0);
-        w.pass(Span(10 * MS));
+        w.pass(SignedDuration(10 * MS));
         w.outcome(id, 0, Outcome::Ok);
     }
-    let at = |w: &World| w.balancer.upstream(ServerId(0), Span(MS)).unwrap().0;
+    let at = |w: &World| w.balancer.upstream(ServerId(0), SignedDuration(MS)).unwrap().0;
     w.request(100, 2);
     assert_eq!(at(&w), 1, "its answer is lost");
-    w.pass(Span(220 * MS));
+    w.pass(SignedDuration(220 * MS));
     w.request(101, 0);
-    w.pass(Span(10 * MS));
+    w.pass(SignedDuration(10 * MS));
     w.outcome(101, 0, Outcome::Ok);
-    w.pass(Span(20 * MS));
+    w.pass(SignedDuration(20 * MS));
     if w.out(101).is_none() && w.asked[&101].tries.len() == 1 {
         assert_eq!(at(&w), 0, "overtaken by one sent later: lost, and no work of the upstream");
     }
@@ -206,15 +206,15 @@
         w.request(id, 0);
         serve(&mut w, id, 10);
     }
-    let at = |w: &World| w.balancer.upstream(ServerId(0), Span(MS)).expect("known").0;
+    let at = |w: &World| w.balancer.upstream(ServerId(0), SignedDuration(MS)).expect("known").0;
     w.request(100, 0);
     assert_eq!(at(&w), 1);
-    w.pass(Span(100 * MS));
+    w.pass(SignedDuration(100 * MS));
     assert!(w.out(100).is_some(), "its time is not up");
     assert_eq!(at(&w), 0, "no answer takes so long here");
     w.request(101, 0);
     assert!(w.out(101).is_some(), "the upstream is tried again");
-    w.pass(Span(200 * MS));
+    w.pass(SignedDuration(200 * MS));
     assert!(w.out(101).is_some());
     assert_eq!(at(&w), 1, "unanswered again it may hang: nothing more is sent");
     // An answer that comes after all gives back no slot twice.
@@ -229,7 +229,7 @@
         let mut w = World::with_servers(settings(), 6);
         for id in 0..400 {
             w.request(id, 0);
-            w.pass(Span(10 * MS));
+            w.pass(SignedDuration(10 * MS));
             for i in id.saturating_sub(80)..=id {
                 let first = usize::from(lost && i % 3 == 0);
                 (first..w.asked[&i].tries.len()).for_each(|n| w.outcome(i, n, Outcome::Ok));
@@ -245,13 +245,13 @@
 fn class_with_a_long_objective_does_not_starve_one_with_a_short_one() {
     // Failure: the queue filled with requests of long aims until no short one could be held.
     let mut s = settings();
-    s.classes[0].latency_objective = Span(2000 * MS);
-    s.classes[0].deadline = Span(4000 * MS);
+    s.classes[0].latency_objective = SignedDuration(2000 * MS);
+    s.classes[0].deadline = SignedDuration(4000 * MS);
     let mut w = World::with_servers(s, 2);
     for id in 0..300 {
         w.request(id, 0);
     }
-    w.pass(Span(20 * MS));
+    w.pass(SignedDuration(20 * MS));
     for id in 0..4 {
         w.outcome(id, 0, Outcome::Ok);
     }
@@ -267,7 +267,7 @@
         for _ in 0..200 {
             (0..4).for_each(|i| w.request(id + i, 0));
             id += 4;
-            w.pass(Span(5 * MS));
+            w.pass(SignedDuration(5 * MS));
             (id.saturating_sub(40)..id).for_each(|i| w.outcome(i, 0, Outcome::Ok));
         }
     };
@@ -286,15 +286,15 @@
 fn polls_the_list_again_after_the_subscription_ended() {
     let mut w = World::new(Settings { polls_list: true, ..settings() });
     let asked = |w: &World| w.log.iter().filter(|a| **a == Action::Subscribe).count();
-    w.pass(Span(2000 * MS));
+    w.pass(SignedDuration(2000 * MS));
     assert_eq!(asked(&w), 1);
     w.list(ListKind::Complete, &[member(0, 0)]);
-    w.pass(Span(30_000 * MS));
+    w.pass(SignedDuration(30_000 * MS));
     assert_eq!(asked(&w), 1, "a subscription stands");
     w.list(ListKind::Unavailable, &[]);
-    w.pass(Span(3000 * MS));
+    w.pass(SignedDuration(3000 * MS));
     assert_eq!(asked(&w), 2);
-    w.pass(Span(10_000 * MS));
+    w.pass(SignedDuration(10_000 * MS));
     assert!(asked(&w) > 2, "silence is asked again within AskEvery");
 }
 
@@ -303,12 +303,12 @@
     let none = Settings { classes: vec![], ..settings() };
     assert_eq!(Balancer::new(none, 1, Time(0)).err(), Some(SettingsError::NoClasses));
     let mut bad = settings();
-    bad.classes[1].latency_objective = Span(0);
+    bad.classes[1].latency_objective = SignedDuration(0);
     assert_eq!(
         Balancer::new(bad, 1, Time(0)).err(),
         Some(SettingsError::InvalidLatencyObjective(1))
     );
-    let mut odd = Settings { tick: Span(0), balancers: 0, ..settings() };
+    let mut odd = Settings { tick: SignedDuration(0), balancers: 0, ..settings() };
     odd.rules.warm_up_initial_share = 0.0;
     let mut w = World::with_servers(odd, 1);
     w.request(1, 0);
@@ -355,7 +355,7 @@
             match w.out(id) {
                 Some(ServerId(0)) => w.outcome(id, attempt, outcome),
                 Some(_) => {
-                    w.pass(Span(10 * MS));
+                    w.pass(SignedDuration(10 * MS));
                     w.outcome(id, attempt, Outcome::Ok);
                 }
                 None => {}
@@ -393,7 +393,7 @@
                 w.request(id, 0);
                 id += 1;
             }
-            w.pass(Span(20 * MS));
+            w.pass(SignedDuration(20 * MS));
             for old in id.saturating_sub(40)..id {
                 let warm = w.out(old).is_some_and(|s| s.0 < 2);
                 if !warm || round % warm_every == 0 {
@@ -434,12 +434,12 @@
         for (tenant, rate) in rates.iter().enumerate() {
             let due = (step + 1) * rate / 100 - step * rate / 100;
             for _ in 0..due {
-                w.request_of(tenant, id, 0, w.now.plus(Span(600 * MS)));
+                w.request_of(tenant, id, 0, w.now.plus(SignedDuration(600 * MS)));
                 of.push(tenant);
                 id += 1;
             }
         }
-        w.pass(Span(10 * MS));
+        w.pass(SignedDuration(10 * MS));
         for server in 0..servers {
             if let Some(i) = (0..id).find(|&i| w.out(i) == Some(ServerId(server))) {
                 w.outcome(i, 0, Outcome::Ok);
@@ -469,7 +469,7 @@
     let (mut id, mut known) = (0, 0);
     let mut work: [Vec<(u64, u64)>; 4] = Default::default();
     for _ in 0..3000 {
-        w.pass(Span(2 * MS));
+        w.pass(SignedDuration(2 * MS));
         (0..2).for_each(|i| w.request(id + i, 0));
         id += 2;
         for queue in &mut work {
@@ -485,7 +485,7 @@
         }
         known = w.log.len();
     }
-    (0..4).map(|i| w.balancer.upstream(ServerId(i), Span(MS)).unwrap().1).max().unwrap()
+    (0..4).map(|i| w.balancer.upstream(ServerId(i), SignedDuration(MS)).unwrap().1).max().unwrap()
 }
 
 #[test]
@@ -507,7 +507,7 @@
     let (mut id, mut known, mut beside) = (0, 0, 0);
     let mut out: Vec<(u64, u32, u32)> = Vec::new();
     for _ in 0..150 {
-        w.pass(Span(2 * MS));
+        w.pass(SignedDuration(2 * MS));
         (0..4).for_each(|i| w.request(id + i, 0));
         id += 4;
         out.iter_mut().for_each(|o| o.2 -= 1);
@@ -541,11 +541,11 @@
         let mut w = World::with_servers(Settings { balancers: 8, ..settings() }, 32);
         w.request(0, 0);
         let home = w.out(0).expect("sent");
-        let mut due: Vec<(Time, u64)> = vec![(w.now.plus(Span(20 * MS)), 0)];
+        let mut due: Vec<(Time, u64)> = vec![(w.now.plus(SignedDuration(20 * MS)), 0)];
         let (mut id, mut used) = (1, 0);
         let mut free_at = std::collections::BTreeMap::new();
         for _ in 0..600 {
-            w.pass(Span(5 * MS));
+            w.pass(SignedDuration(5 * MS));
             due.sort();
             while due.first().is_some_and(|d| d.0 <= w.now) {
                 w.outcome(due.remove(0).1, 0, Outcome::Ok);
@@ -559,7 +559,7 @@
                 let ms = if server.0.abs_diff(home.0) <= 2 { 20 } else { beyond_ms };
                 // They run one request at a time.
                 let free = free_at.entry(server.0).or_insert(w.now);
-                *free = (*free).max(w.now).plus(Span(ms * MS));
+                *free = (*free).max(w.now).plus(SignedDuration(ms * MS));
                 due.push((*free, i));
             }
             let at: BTreeSet<u32> = due.iter().filter_map(|d| w.out(d.1)).map(|s| s.0).collect();
@@ -577,14 +577,14 @@
     let mut w = World::with_servers(settings(), 1);
     // 2*TP of 180 ms and a TS of 10 ms: 2*TP/TS + 1 is 19, but only one fits in T_QoS = 200 ms.
     w.request(1000, 0);
-    w.pass(Span(180 * MS));
+    w.pass(SignedDuration(180 * MS));
     w.outcome(1000, 0, Outcome::Full);
     for id in 0..300 {
         w.request(id, 0);
-        w.pass(Span(190 * MS));
+        w.pass(SignedDuration(190 * MS));
         w.outcome(id, 0, Outcome::Ok);
     }
-    let (_, k, n) = w.balancer.upstream(ServerId(0), Span(200 * MS)).unwrap();
+    let (_, k, n) = w.balancer.upstream(ServerId(0), SignedDuration(200 * MS)).unwrap();
     assert!(f64::from(k) <= n.max(1.0), "K {k}, N {n}");
 }
 
@@ -599,7 +599,7 @@
         for _ in 0..400 {
             (0..2).for_each(|i| w.request(id + i, 0));
             id += 2;
-            w.pass(Span(10 * MS));
+            w.pass(SignedDuration(10 * MS));
             (id.saturating_sub(80)..id).for_each(|i| w.outcome(i, 0, Outcome::Ok));
         }
         w.sends_to(young)
@@ -611,13 +611,13 @@
 #[test]
 fn local_changes_do_not_end_polling_for_the_list() {
     // Failure: operators' changes passed for the first word of the subscription, and drains went unheard.
-    for (kind, asks) in [(ListKind::Aside, true), (ListKind::Update, false)] {
+    for (kind, asks) in [(ListKind::LocalChange, true), (ListKind::Update, false)] {
         let mut w = World::new(Settings { polls_list: true, ..settings() });
         let all = [member(0, 0), member(1, 0)];
         w.list(ListKind::Restored, &all);
         w.list(kind, &[Member { status: Status::Draining, ..all[1] }]);
         w.log.clear();
-        w.pass(Span(30_000 * MS));
+        w.pass(SignedDuration(30_000 * MS));
         assert_eq!(w.log.contains(&Action::Subscribe), asks, "{kind:?}");
         w.request(1, 0);
         assert_eq!(w.out(1), Some(ServerId(0)), "whoever is left out stays, and 1 drains");
--- a/crates/policy/tests/ruled.rs
+++ b/crates/policy/tests/ruled.rs
@@ -8,7 +8,7 @@
 /// Four upstreams in two cells; rules may keep classes from any of them.
 fn ruled() -> World {
     let mut settings = settings();
-    settings.barring = true;
+    settings.bars_classes = true;
     World::with_servers(settings, 4)
 }
 
@@ -23,8 +23,9 @@
 #[test]
 fn barred_class_is_not_sent_to_the_upstream_and_others_are() {
     let mut w = ruled();
-    let barred: Vec<Member> = (0..3).map(|i| Member { barred: 0b01, ..member(i, i % 2) }).collect();
-    w.list(ListKind::Aside, &barred);
+    let barred_classes: Vec<Member> =
+        (0..3).map(|i| Member { barred_classes: 0b01, ..member(i, i % 2) }).collect();
+    w.list(ListKind::LocalChange, &barred_classes);
     for id in 0..4 {
         w.request(id, 0);
         assert!(sent(&w, id).iter().all(|s| *s == 3), "{id}: {:?}", sent(&w, id));
@@ -34,15 +35,16 @@
     assert_ne!(sent(&w, 10), [3], "the other class has idle ones");
     // And back: the rule ends.
     w.outcome(10, 0, Outcome::Ok);
-    w.list(ListKind::Aside, &[member(0, 0)]);
+    w.list(ListKind::LocalChange, &[member(0, 0)]);
     assert!((1..4).any(|id| sent(&w, id) == [0]), "one that waited goes there at once");
 }
 
 #[test]
 fn class_barred_from_every_upstream_is_given_up_in_time() {
     let mut w = ruled();
-    let barred: Vec<Member> = (0..4).map(|i| Member { barred: 0b01, ..member(i, i % 2) }).collect();
-    w.list(ListKind::Aside, &barred);
+    let barred_classes: Vec<Member> =
+        (0..4).map(|i| Member { barred_classes: 0b01, ..member(i, i % 2) }).collect();
+    w.list(ListKind::LocalChange, &barred_classes);
     w.request(1, 0);
     w.pass(w.settings.classes[0].deadline);
     assert!(sent(&w, 1).is_empty() && refused(&w, 1));
@@ -51,7 +53,7 @@
 #[test]
 fn mask_is_ignored_without_barring() {
     let mut w = World::with_servers(settings(), 1);
-    w.list(ListKind::Aside, &[Member { barred: u64::MAX, ..member(0, 0) }]);
+    w.list(ListKind::LocalChange, &[Member { barred_classes: u64::MAX, ..member(0, 0) }]);
     w.request(1, 0);
     assert_eq!(sent(&w, 1), [0]);
 }
@@ -70,9 +72,9 @@
     }
     assert_eq!(sent(&w, 0), [3]);
     w.outcome(0, 0, Outcome::ConnectFailed);
-    w.pass(Span(50 * MS));
+    w.pass(SignedDuration(50 * MS));
     assert!(sent(&w, 0).iter().all(|s| *s == 3));
-    w.list(ListKind::Aside, &[Member { status: Status::Draining, ..member(3, 1) }]);
+    w.list(ListKind::LocalChange, &[Member { status: Status::Draining, ..member(3, 1) }]);
     bound(&mut w, 9);
     w.pass(w.settings.classes[0].deadline);
     assert!(sent(&w, 9).is_empty() && refused(&w, 9));
@@ -82,12 +84,12 @@
 fn lower_attempt_limit_counts_from_the_next_attempt() {
     let mut w = ruled();
     for most in [1, 2] {
-        w.balancer.attempts_at_most(most);
+        w.balancer.limit_attempts(most);
         let id = most as u64;
         w.request(id, 0);
         for attempt in 0..3 {
             w.outcome(id, attempt, Outcome::Full);
-            w.pass(Span(100 * MS));
+            w.pass(SignedDuration(100 * MS));
         }
         assert_eq!(sent(&w, id).len(), most);
     }
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -15,7 +15,7 @@
 fn after(class: usize, outcome: Outcome) -> &'static str {
     let mut w = World::with_servers(settings(), 4);
     w.request(1, class);
-    w.pass(Span(5 * MS));
+    w.pass(SignedDuration(5 * MS));
     w.outcome(1, 0, outcome);
     match (w.out(1).is_some(), w.refused(1), w.failed(1)) {
         (true, false, false) => "again",
@@ -54,7 +54,7 @@
     let mut w = World::with_servers(settings(), 2);
     w.request(1, UNSAFE);
     w.request(2, SAFE);
-    w.pass(Span(601 * MS));
+    w.pass(SignedDuration(601 * MS));
     assert!(w.failed(1) && w.asked[&2].over);
 }
 
@@ -68,7 +68,7 @@
     w.list(ListKind::Update, &[draining]);
     let before = w.sends_to(0);
     for id in 0..30 {
-        w.pass(Span(MS));
+        w.pass(SignedDuration(MS));
         w.outcome(id, 0, Outcome::Ok);
     }
     assert_eq!(w.sends_to(0), before);
@@ -79,7 +79,7 @@
 fn in_order() -> Settings {
     let mut s = settings();
     s.classes[KEYED].in_order = true;
-    s.rules.turn_gap = Span(30 * MS);
+    s.rules.ordering_key_rest = SignedDuration(30 * MS);
     s
 }
 
@@ -97,7 +97,7 @@
     ask(&mut w, 3, KEYED, 8);
     ask(&mut w, 4, SAFE, 9);
     assert!(w.out(2).is_none() && w.out(3).is_some() && w.out(4).is_some());
-    w.pass(Span(10 * MS));
+    w.pass(SignedDuration(10 * MS));
     w.outcome(1, 0, Outcome::Ok);
     assert!(w.out(2).is_some(), "the next in line goes once the first is over");
 }
@@ -110,9 +110,9 @@
     w.gone(1);
     assert!(w.out(2).is_none(), "its client has left, but its attempt is still out");
     w.outcome(1, 0, Outcome::Reset);
-    w.pass(Span(20 * MS));
+    w.pass(SignedDuration(20 * MS));
     assert!(w.out(2).is_none(), "the key rests");
-    w.pass(Span(20 * MS));
+    w.pass(SignedDuration(20 * MS));
     assert!(w.out(2).is_some());
 }
 
@@ -121,7 +121,7 @@
     let mut w = World::with_servers(in_order(), 6);
     for id in 0..10 {
         ask(&mut w, id, KEYED, id);
-        w.pass(Span(50 * MS));
+        w.pass(SignedDuration(50 * MS));
         w.outcome(id, 0, Outcome::Ok);
     }
     (10..16).for_each(|id| ask(&mut w, id, KEYED, 1));
@@ -144,7 +144,7 @@
         w.list(ListKind::Update, &[Member { status: Status::Gone, ..member(i, 1) }]);
     }
     w.request(200, SAFE);
-    w.pass(Span(600 * MS));
+    w.pass(SignedDuration(600 * MS));
     assert!(w.refused(200), "with no upstream open to it, it is ended in time");
 }
 
@@ -152,7 +152,7 @@
 fn idle_connections_to_a_draining_upstream_are_closed() {
     // Failure: connections to an upstream that drained stayed open until they expired by themselves.
     let mut s = settings();
-    s.rules.drain_close = Span(50 * MS);
+    s.rules.idle_close_limit = SignedDuration(50 * MS);
     let mut w = World::with_servers(s, 2);
     (0..4).for_each(|id| w.request(id, SAFE));
     w.list(ListKind::Complete, &[member(1, 1)]);
@@ -160,12 +160,12 @@
         w.log.iter().filter(|a| matches!(a, Action::CloseIdle { server: ServerId(0) })).count()
     };
     assert_eq!(closes(&w), 1, "a whole list that lacks it is a notice too");
-    w.pass(Span(150 * MS));
+    w.pass(SignedDuration(150 * MS));
     let before = closes(&w);
     let at = (0..4).find(|&id| w.out(id) == Some(ServerId(0))).expect("one is out there");
     w.outcome(at, 0, Outcome::Ok);
     assert!(closes(&w) > before, "again after the last outcome there");
-    w.pass(Span(500 * MS));
+    w.pass(SignedDuration(500 * MS));
 }
 
 #[derive(Clone, Debug)]
@@ -214,11 +214,11 @@
     for event in events {
         match event {
             Happening::Request { class, wait_ms } => {
-                w.request_until(next, class, w.now.plus(Span(wait_ms * MS)));
+                w.request_until(next, class, w.now.plus(SignedDuration(wait_ms * MS)));
                 next += 1;
             }
             Happening::Outcome { id, attempt, outcome } => w.outcome(id, attempt, outcome),
-            Happening::Pass { ms } => w.pass(Span(ms * MS)),
+            Happening::Pass { ms } => w.pass(SignedDuration(ms * MS)),
             Happening::Gone { id } => w.gone(id),
             Happening::Status { id, status, young } => {
                 let started = young.then_some(w.now);
@@ -247,15 +247,16 @@
     let input = (any::<[bool; 5]>(), prop::collection::vec(events(), 1..250));
     let result = runner.run(&input, |([copies, ask, order, zones, kinds], events)| {
         let mut s = settings();
-        (s.limits.second_copies, s.polls_list) = (copies, ask);
-        (s.rules.turn_gap, s.rules.drain_close) = (Span(30 * MS), Span(50 * MS));
+        (s.limits.hedging, s.polls_list) = (copies, ask);
+        (s.rules.ordering_key_rest, s.rules.idle_close_limit) =
+            (SignedDuration(30 * MS), SignedDuration(50 * MS));
         (s.classes[SAFE].in_order, s.classes[KEYED].in_order) = (order, order);
         s.classes[UNSAFE].zones = zones.then(|| vec![1]);
         s.classes[SAFE].kinds = kinds.then(|| vec![0]);
         let mut w = World::with_servers(s, 4);
         play(&mut w, events);
         // Whatever happened, every client has one answer once its time is up.
-        w.pass(Span(2000 * MS));
+        w.pass(SignedDuration(2000 * MS));
         let owed: Vec<_> = w.asked.iter().filter(|(_, a)| !a.over).map(|(id, _)| id).collect();
         prop_assert!(owed.is_empty(), "no final answer for {:?}", owed);
         Ok(())
@@ -270,7 +271,7 @@
     // quickly as the others, so that K_i alone would not hold anyone back.
     let cluster = |position| {
         let mut s = Settings { balancers: 6, position, ..settings() };
-        s.classes[SAFE].deadline = Span(60_000 * MS);
+        s.classes[SAFE].deadline = SignedDuration(60_000 * MS);
         let mut w = World::with_servers(s, 12);
         w.list(ListKind::Update, &[Member { started: Some(w.now), ..member(5, 1) }]);
         (w, Vec::<(Time, u64)>::new())
@@ -280,7 +281,7 @@
     let mut free_at = [Time(0); 12];
     for _ in 0..400 {
         for (w, due) in &mut cluster {
-            w.pass(Span(5 * MS));
+            w.pass(SignedDuration(5 * MS));
             let done: Vec<_> = due.iter().filter(|d| d.0 <= w.now).map(|d| d.1).collect();
             due.retain(|d| d.0 > w.now);
             done.into_iter().for_each(|i| w.outcome(i, 0, Outcome::Ok));
@@ -295,7 +296,8 @@
                 }
                 // A warm one runs one request at a time, whoever sent it.
                 let free = &mut free_at[server.0 as usize];
-                *free = if server.0 == 5 { w.now } else { w.now.max(*free) }.plus(Span(20 * MS));
+                *free = if server.0 == 5 { w.now } else { w.now.max(*free) }
+                    .plus(SignedDuration(20 * MS));
                 due.push((*free, request.0));
                 if server.0 == 5 {
                     sent.push(w.now);
@@ -303,7 +305,7 @@
             }
         }
     }
-    let start = cluster[0].0.now.plus(Span(-2000 * MS));
+    let start = cluster[0].0.now.plus(SignedDuration(-2000 * MS));
     for t in &sent {
         let within = sent.iter().filter(|s| (0..1000 * MS).contains(&s.since(*t).0)).count();
         let share = 0.2 + 0.8 * t.since(start).f() / (10_000.0 * MS as f64);
@@ -323,7 +325,7 @@
     w.list(ListKind::Update, &[Member { started: future, kind: u32::MAX, ..member(4, 0) }]);
     for id in 0..60 {
         w.request(id, SAFE);
-        w.pass(Span(10 * MS));
+        w.pass(SignedDuration(10 * MS));
         w.outcome(id, 0, Outcome::Ok);
     }
     assert!((0..60).all(|id| !w.refused(id)), "upstreams of odd weight serve");
@@ -354,19 +356,19 @@
     };
     for id in 0..40 {
         w.request(id, SAFE);
-        let odd = if id % 2 == 0 { Span(i64::MAX) } else { Span(-5) };
-        let latency = if id < 4 { odd } else { Span(20 * MS) };
+        let odd = if id % 2 == 0 { SignedDuration(i64::MAX) } else { SignedDuration(-5) };
+        let latency = if id < 4 { odd } else { SignedDuration(20 * MS) };
         w.asked.get_mut(&id).expect("asked").over = true;
-        w.now = w.now.plus(Span(20 * MS));
+        w.now = w.now.plus(SignedDuration(20 * MS));
         w.balancer.handle(w.now, Event::Answered(answer(id, latency)), &mut vec![]);
     }
-    let (_, k, n) = w.balancer.upstream(ServerId(0), Span(200 * MS)).unwrap();
+    let (_, k, n) = w.balancer.upstream(ServerId(0), SignedDuration(200 * MS)).unwrap();
     assert!(k >= 1 && n > 0.1, "K {k}, N {n}");
     // Repeated, late and unknown events change nothing.
     let mut out = vec![];
-    w.balancer.handle(w.now, Event::Answered(answer(39, Span(MS))), &mut out);
-    w.balancer.handle(w.now, Event::Answered(answer(999, Span(MS))), &mut out);
-    w.balancer.handle(w.now, Event::ClientLeft(RequestId(999)), &mut out);
+    w.balancer.handle(w.now, Event::Answered(answer(39, SignedDuration(MS))), &mut out);
+    w.balancer.handle(w.now, Event::Answered(answer(999, SignedDuration(MS))), &mut out);
+    w.balancer.handle(w.now, Event::ClientCancelled(RequestId(999)), &mut out);
     w.balancer.handle(w.now, Event::Started(RequestId(999)), &mut out);
     assert!(out.is_empty());
 }
@@ -377,12 +379,17 @@
     w.request(1, KEYED);
     let first = w.out(1).expect("sent");
     let known = |w: &World| {
-        (0..3000).filter(|id| w.balancer.upstream(ServerId(*id), Span(MS)).is_some()).count()
+        (0..3000)
+            .filter(|id| w.balancer.upstream(ServerId(*id), SignedDuration(MS)).is_some())
+            .count()
     };
     for id in 2..3000 {
         w.list(ListKind::Complete, &[member(id, 5)]);
     }
-    assert!(w.balancer.upstream(first, Span(MS)).is_some(), "the repeat's group is judged by it");
+    assert!(
+        w.balancer.upstream(first, SignedDuration(MS)).is_some(),
+        "the repeat's group is judged by it"
+    );
     assert_eq!(known(&w), 2);
     w.outcome(1, 0, Outcome::Error);
     assert!(w.failed(1), "no live upstream would drop the repeat");
--- a/crates/policy/tests/scanning/policy.rs
+++ b/crates/policy/tests/scanning/policy.rs
@@ -120,7 +120,7 @@
 
 trait Figures {
     fn t_qos(&self) -> f64;
-    fn sweep_every(&self) -> Span;
+    fn sweep_every(&self) -> SignedDuration;
 }
 
 impl Figures for Settings {
@@ -130,10 +130,10 @@
             / self.classes.len() as f64
     }
 
-    fn sweep_every(&self) -> Span {
+    fn sweep_every(&self) -> SignedDuration {
         let latency_objective =
             self.classes.iter().map(|c| c.latency_objective.0).min().unwrap_or(0);
-        Span(((latency_objective as f64 * SWEEP_OF_AIM) as i64).max(self.tick.0))
+        SignedDuration(((latency_objective as f64 * SWEEP_OF_AIM) as i64).max(self.tick.0))
     }
 }
 
@@ -159,7 +159,7 @@
         if now < self.until {
             return; // Sent before the pause began: the same trouble, already counted.
         }
-        self.until = now.plus(Span::of(pause * f64::from(1 << self.faults)));
+        self.until = now.plus(SignedDuration::of(pause * f64::from(1 << self.faults)));
         self.faults = (self.faults + 1).min(doublings);
     }
 }
@@ -475,7 +475,7 @@
     }
 
     /// Requests out at an upstream, its K_i, and its N_i within the time `t`; for gauges.
-    pub fn upstream(&self, id: ServerId, t: Span) -> Option<(u32, u32, f64)> {
+    pub fn upstream(&self, id: ServerId, t: SignedDuration) -> Option<(u32, u32, f64)> {
         let s = &self.servers[*self.by_id.get(&id)?];
         Some((s.in_flight, self.k(s, 0), self.n_rate(s) * t.f()))
     }
@@ -529,7 +529,7 @@
     fn request(&mut self, now: Time, r: Request, out: &mut Vec<Action>) {
         let Some(class) = self.settings.classes.get(r.class) else {
             let reason = Refusal::UnknownClass;
-            out.push(Action::Refuse { request: r.id, retry_after: Span(0), reason });
+            out.push(Action::Refuse { request: r.id, retry_after: SignedDuration(0), reason });
             return;
         };
         if self.requests.contains_key(&r.id) {
@@ -540,7 +540,7 @@
         let aim_at = r.send_deadline.min(now.plus(class.latency_objective));
         let worth_until = if class.late_priority_weight > 0.0 { r.send_deadline } else { aim_at };
         // Two sweeps early: a refusal must come while it is still harmless.
-        let hold_until = aim_at.plus(Span(-2 * self.settings.sweep_every().0));
+        let hold_until = aim_at.plus(SignedDuration(-2 * self.settings.sweep_every().0));
         let entry = Entry {
             class: r.class,
             send_deadline: r.send_deadline,
@@ -554,7 +554,7 @@
         let ahead = entry.turn.and_then(|k| self.lines.get(&k)).map_or(0, |l| l.waiting.len());
         self.requests.insert(r.id, entry);
         let in_share = self.in_share(now, r.tenant);
-        let starts = now.plus(Span::of(ahead as f64 * self.fleet.mean[r.class]));
+        let starts = now.plus(SignedDuration::of(ahead as f64 * self.fleet.mean[r.class]));
         let held = |id: &RequestId| {
             let e = self.requests.get(id).filter(|e| e.held);
             e.is_some_and(|e| !e.attempts.is_empty() || self.has_turn(now, *id, e))
@@ -566,10 +566,10 @@
         let turn = self.has_turn(now, r.id, &self.requests[&r.id]);
         let idle = in_share && first && turn && !full && self.pick(now, r.id, false).is_some();
         if starts >= hold_until {
-            return self.refuse(r.id, Refusal::NoTime, out);
+            return self.refuse(r.id, Refusal::DeadlineTooClose, out);
         }
         if !idle && !self.admits(r.class, in_share) {
-            let reason = if in_share { Refusal::QueueFull } else { Refusal::OverShare };
+            let reason = if in_share { Refusal::QueueFull } else { Refusal::OverQuota };
             return self.refuse(r.id, reason, out);
         }
         if in_share && let Some(q) = self.quotas.get_mut(r.tenant) {
@@ -609,7 +609,7 @@
     fn refuse(&mut self, request: RequestId, reason: Refusal, out: &mut Vec<Action>) {
         // By then all that is queued now has ended: who comes sooner stands behind the same queue.
         let most = self.settings.limits.max_retry_after;
-        let retry_after = Span::of(self.fleet.ts + self.fleet.bearable).min(most);
+        let retry_after = SignedDuration::of(self.fleet.ts + self.fleet.bearable).min(most);
         out.push(Action::Refuse { request, retry_after, reason });
         self.end(request);
     }
@@ -787,7 +787,7 @@
             return false;
         }
         let there = |a: &Attempt| a.fate == Fate::Out && a.server == server;
-        if e.out() && (!limits.second_copies || e.attempts.iter().any(there)) {
+        if e.out() && (!limits.hedging || e.attempts.iter().any(there)) {
             return false;
         }
         let class = &self.settings.classes[e.class];
@@ -837,7 +837,7 @@
         let (class, turn) = (e.class, e.turn);
         let may_run = matches!(a.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled);
         if let Some(line) = turn.filter(|_| may_run).and_then(|k| self.lines.get_mut(&k)) {
-            line.rest_until = now.plus(self.settings.rules.turn_gap);
+            line.rest_until = now.plus(self.settings.rules.ordering_key_rest);
         }
         self.learn(now, class, attempt, &a);
         self.close_idle(now, server, out);
@@ -930,7 +930,7 @@
         let patience = mean + PATIENCE * dev;
         let left = e.hold_until.since(a.sent).f() - mean;
         let again = patience.min(left).max(mean * LEAST_PATIENCE);
-        (a.sent.plus(Span::of(patience)), a.sent.plus(Span::of(again)))
+        (a.sent.plus(SignedDuration::of(patience)), a.sent.plus(SignedDuration::of(again)))
     }
 
     /// Watches what is out. What is overdue is a fault of its upstream in its class; in time for a second
@@ -1023,7 +1023,7 @@
                 let class = e.class;
                 self.count_queued(class, -1);
             } else {
-                self.give_up(id, Refusal::HeldTooLong, out);
+                self.give_up(id, Refusal::QueuedTooLong, out);
             }
         }
     }
@@ -1051,7 +1051,7 @@
     fn earned(&self, now: Time, s: &Server) -> Option<f64> {
         let pace = self.warm_rate(s) * self.cold_share(now, s)?;
         let earned = s.tokens + now.since(s.refilled).f().max(0.0) * pace;
-        let kept = pace * self.settings.rules.tip_after.f() * KEPT_OF_WINDOW;
+        let kept = pace * self.settings.rules.overload_window.f() * KEPT_OF_WINDOW;
         let over = earned > 1.0 + kept;
         Some(if kept >= 1.0 {
             earned.min(1.0)
@@ -1067,7 +1067,7 @@
         let f = &self.fleet;
         let like = f.warm_rate.get(s.kind as usize).copied().unwrap_or(0.0);
         let rate = s.weight * if like > 0.0 { like } else { f.any_rate };
-        let multiple = self.settings.rules.fall_multiple.max(1.0);
+        let multiple = self.settings.rules.overload_multiple.max(1.0);
         // Failure: with every upstream young, or nothing observed yet, none got any work.
         let least = multiple / f64::from(self.settings.balancers) / f.paced;
         // Failure: each of hundreds saw little, kept the most that it saw, and that came to several times the truth.
@@ -1117,7 +1117,7 @@
             }
         }
         self.fleet.paced = self.fleet.ts;
-        let window = self.settings.rules.tip_after.f().max(1.0);
+        let window = self.settings.rules.overload_window.f().max(1.0);
         let cold = self.settings.rules.warm_up.f().max(1.0);
         let f = &mut self.fleet;
         let decay = (-elapsed / window).exp();
@@ -1217,14 +1217,14 @@
             Event::Members { kind, list } => self.members(now, kind, list, out),
             Event::Request(r) => self.request(now, r, out),
             Event::Answered(a) => self.outcome(now, a, out),
-            Event::Started(id) | Event::ClientLeft(id) => self.end(id),
+            Event::Started(id) | Event::ClientCancelled(id) => self.end(id),
             // It knows of no request whose body still comes.
             Event::BodyReceived { .. } => {}
             Event::Timer(token) => self.timer(now, token, out),
             Event::ListCallRejected | Event::ListExpired => {
                 unreachable!("no crowded discovery here")
             }
-            Event::Probed { .. } => {}
+            Event::HealthChecked { .. } => {}
         }
     }
 
@@ -1279,7 +1279,7 @@
                 self.ask.failed(now, self.rng.rand_float());
                 return self.arm_ask(out);
             }
-            ListKind::Restored | ListKind::Aside => {}
+            ListKind::Restored | ListKind::LocalChange => {}
             ListKind::Update | ListKind::Complete => self.ask.notified(),
         }
         let before: Vec<Status> = self.servers.iter().map(|s| s.status).collect();
@@ -1293,7 +1293,7 @@
         }
         for i in 0..self.servers.len() {
             if before.get(i).is_none_or(|was| *was != self.servers[i].status) {
-                self.servers[i].close_until = now.plus(self.settings.rules.drain_close);
+                self.servers[i].close_until = now.plus(self.settings.rules.idle_close_limit);
                 self.servers[i].k = self.k_exact(&self.servers[i]);
                 self.close_idle(now, i, out);
             }
@@ -1364,7 +1364,7 @@
     /// free a moment after the outcome that used it was told.
     fn close_idle(&mut self, now: Time, server: usize, out: &mut Vec<Action>) {
         let s = &mut self.servers[server];
-        let within = self.settings.rules.drain_close;
+        let within = self.settings.rules.idle_close_limit;
         if within.0 <= 0 || s.status == Status::Live {
             return;
         }
--- a/crates/policy/tests/service_fleet/mod.rs
+++ b/crates/policy/tests/service_fleet/mod.rs
@@ -58,15 +58,15 @@
     let class = |kind: usize| Class {
         kinds: Some(vec![kind as u32]),
         priority_weight: 1.0 + (kind % 7) as f64,
-        ..Class::safe(Span(200_000), Span(1_000_000))
+        ..Class::safe(SignedDuration(200_000), SignedDuration(1_000_000))
     };
     let mut s = Settings::basic((0..classes).map(class).collect());
     s.zones = ZONES;
     s.tenants = vec![Tenant { quota_rps: 10.0, share: 0.0 }; tenants];
     s.rules.warm_up_initial_share = 0.2;
-    s.rules.warm_up = Span(15_000_000);
-    s.rules.fall_multiple = 4.0;
-    s.rules.tip_after = Span(2_000_000);
+    s.rules.warm_up = SignedDuration(15_000_000);
+    s.rules.overload_multiple = 4.0;
+    s.rules.overload_window = SignedDuration(2_000_000);
     s
 }
 
@@ -154,7 +154,7 @@
             Due::Timer(token) => self.handle(Event::Timer(token)),
             Due::Answer { request, server, sent } => {
                 self.served += 1;
-                let latency = Span(at - sent);
+                let latency = SignedDuration(at - sent);
                 let (id, of) = (RequestId(request), ServerId(server));
                 let answer = Answer::new(id, 0, of, self.outcome, latency, true);
                 self.handle(Event::Answered(answer));
@@ -165,7 +165,7 @@
     fn request(&mut self) {
         self.last += 1;
         let class = self.in_use[self.last as usize % self.in_use.len()];
-        let until = Time(self.now).plus(Span(1_000_000));
+        let until = Time(self.now).plus(SignedDuration(1_000_000));
         let tenant = self.last as usize % 500;
         let id = RequestId(self.last);
         self.handle(Event::Request(Request { tenant, ..Request::new(id, class, until) }));
@@ -192,7 +192,7 @@
     }
 
     /// Lets time pass without requests; what the events of that time cost.
-    pub fn rest(&mut self, span: Span) -> Cost {
+    pub fn rest(&mut self, span: SignedDuration) -> Cost {
         self.cost = Cost::default();
         let end = self.now + span.0;
         while let Some(&Reverse((at, due))) = self.due.peek().filter(|d| d.0.0 <= end) {
--- a/crates/policy/tests/slopes.rs
+++ b/crates/policy/tests/slopes.rs
@@ -52,7 +52,7 @@
     let used = CLASSES_IN_USE.min(classes);
     let (mut fleet, _) = ServiceFleet::new(upstreams, settings(classes, tenants), used);
     fleet.run(500);
-    fleet.rest(Span(10_000_000));
+    fleet.rest(SignedDuration(10_000_000));
     bytes_in_use() - before
 }
 
@@ -65,8 +65,8 @@
     let (mut fleet, _) = ServiceFleet::new(upstreams, settings(classes, 0), 3);
     fleet.run(1000);
     let requests = least(|| fleet.run(1000));
-    fleet.rest(Span(5_000_000));
-    (least(|| fleet.rest(Span(1_000_000))), requests)
+    fleet.rest(SignedDuration(5_000_000));
+    (least(|| fleet.rest(SignedDuration(1_000_000))), requests)
 }
 
 #[test]
@@ -157,7 +157,7 @@
     let added = bytes_in_use().saturating_sub(before);
     fleet.outcome = Outcome::Ok;
     for _ in 0..10 {
-        fleet.rest(Span(60_000_000));
+        fleet.rest(SignedDuration(60_000_000));
         fleet.run(20_000);
     }
     let left = bytes_in_use().saturating_sub(before);
--- a/crates/policy/tests/start.rs
+++ b/crates/policy/tests/start.rs
@@ -32,16 +32,19 @@
     let class = |latency_objective: i64, priority_weight| Class {
         priority_weight,
         late_priority_weight: 0.5,
-        ..Class::safe(Span(latency_objective * MS), Span(latency_objective * 5 / 2 * MS))
+        ..Class::safe(
+            SignedDuration(latency_objective * MS),
+            SignedDuration(latency_objective * 5 / 2 * MS),
+        )
     };
     let mut s = Settings::basic(
         [class(1120, 2.0), class(1120, 5.0), class(740, 8.0)].into_iter().take(classes).collect(),
     );
     s.balancers = balancers;
     s.rules.warm_up_initial_share = 0.2;
-    s.rules.warm_up = Span(15_000 * MS);
-    s.rules.fall_multiple = 4.0;
-    s.rules.tip_after = Span(2000 * MS);
+    s.rules.warm_up = SignedDuration(15_000 * MS);
+    s.rules.overload_multiple = 4.0;
+    s.rules.overload_window = SignedDuration(2000 * MS);
     s
 }
 
@@ -97,7 +100,8 @@
                 Due::Answer(request, server, sent) => {
                     self.served += 1;
                     let (id, of) = (RequestId(request), ServerId(server));
-                    let answer = Answer::new(id, 0, of, Outcome::Ok, Span(at - sent), true);
+                    let answer =
+                        Answer::new(id, 0, of, Outcome::Ok, SignedDuration(at - sent), true);
                     self.deliver(Event::Answered(answer));
                     self.due.push(Reverse((at, Due::Client)));
                 }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -149,7 +149,7 @@
 
     fn left(&mut self, now: Time, request: &str, out: &mut Vec<u8>) {
         let Some(&id) = self.request_ids.get(request) else { return };
-        self.balancer.handle(now, Event::ClientLeft(RequestId(id)), &mut self.actions);
+        self.balancer.handle(now, Event::ClientCancelled(RequestId(id)), &mut self.actions);
         if let Some(request) = self.requests.get_mut(&id) {
             request.is_over = true;
         }
@@ -167,7 +167,7 @@
         let ok = message.status_code == 200;
         let latency = span(message.latency);
         let report = self.report(message.load_report.as_ref());
-        self.deliver(now, Event::Probed { server, ok, latency, report }, out);
+        self.deliver(now, Event::HealthChecked { server, ok, latency, report }, out);
     }
 
     fn membership(&mut self, now: Time, message: &wire::Membership, out: &mut Vec<u8>) {
@@ -199,7 +199,7 @@
             },
             weight: line.weight,
             started: (line.started > 0.0).then(|| time(line.started)),
-            barred: 0,
+            barred_classes: 0,
         }
     }
 
