--- a/crates/gateway/src/cluster/admin_api.rs
+++ b/crates/gateway/src/cluster/admin_api.rs
@@ -39,7 +39,7 @@
     /// One revision with its document.
     Revision(u64),
     /// The outcome of a command that was sent to any balancer.
-    Asked(CommandId),
+    CommandOutcome(CommandId),
     /// A change of the policy log.
     Change(Box<Change>),
     /// A change of the voters.
@@ -85,12 +85,12 @@
     /// One voter is replaced or removed.
     Replace {
         /// The voter that is removed.
-        out: NodeId,
+        removed: NodeId,
         /// The balancer that replaces it, if any.
-        then: Option<NodeId>,
+        replacement: Option<NodeId>,
     },
     /// This balancer forces a new epoch with these voters.
-    Restore(Vec<NodeId>),
+    ForceNewEpoch(Vec<NodeId>),
 }
 
 impl AdminRequest {
@@ -124,12 +124,12 @@
             Self::Cluster => Err(AdminResponse::ok(views::cluster(machine))),
             Self::Revisions => Err(AdminResponse::ok(views::revisions(machine.policy()))),
             Self::Revision(number) => Err(views::revision(machine.policy(), *number)),
-            Self::Asked(id) => Ok(Event::QueryOutcome { ticket, id: *id }),
-            Self::VoterChange(VoterChange::Replace { out, then }) => {
-                Ok(Event::Replace { ticket, out: *out, then: *then })
+            Self::CommandOutcome(id) => Ok(Event::QueryOutcome { ticket, id: *id }),
+            Self::VoterChange(VoterChange::Replace { removed, replacement }) => {
+                Ok(Event::ReplaceVoter { ticket, removed: *removed, replacement: *replacement })
             }
-            Self::VoterChange(VoterChange::Restore(members)) => {
-                Ok(Event::Restore { ticket, members: members.clone() })
+            Self::VoterChange(VoterChange::ForceNewEpoch(voters)) => {
+                Ok(Event::ForceNewEpoch { ticket, voters: voters.clone() })
             }
             Self::Change(change) => change.event(ticket, fresh_id, facts, machine),
         }
--- a/crates/gateway/src/cluster/admin_api/parse.rs
+++ b/crates/gateway/src/cluster/admin_api/parse.rs
@@ -106,7 +106,7 @@
         match (method, parts.as_slice()) {
             ("GET", ["bank"]) => Ok(Self::Cluster),
             ("GET", ["revisions"]) => Ok(Self::Revisions),
-            ("GET", ["revisions", "asked", id]) => command_id(id).map(Self::Asked),
+            ("GET", ["revisions", "asked", id]) => command_id(id).map(Self::CommandOutcome),
             ("GET", ["revisions", number]) => {
                 number.parse().map(Self::Revision).map_err(|_| no_such())
             }
@@ -135,12 +135,12 @@
     fn voter_change(&self, path: &[&str]) -> Result<Option<VoterChange>, AdminRequestError> {
         let change = match path {
             ["council", "replace"] => {
-                let out = required(self.out, "out").map(NodeId)?;
-                VoterChange::Replace { out, then: self.then.map(NodeId) }
+                let removed = required(self.out, "out").map(NodeId)?;
+                VoterChange::Replace { removed, replacement: self.then.map(NodeId) }
             }
             ["council", "restore"] => {
                 let members = required(self.members.as_ref(), "members")?;
-                VoterChange::Restore(members.iter().copied().map(NodeId).collect())
+                VoterChange::ForceNewEpoch(members.iter().copied().map(NodeId).collect())
             }
             _ => return Ok(None),
         };
@@ -172,7 +172,7 @@
     }
 
     fn options(&self) -> RevisionOptions {
-        let (base, canary) = (self.if_revision, self.canary.clone());
+        let (base, canary) = (self.if_revision, self.canary);
         RevisionOptions { base, canary, forced: self.force }
     }
 
--- a/crates/gateway/src/cluster/join.rs
+++ b/crates/gateway/src/cluster/join.rs
@@ -60,7 +60,7 @@
         durable_log,
         points,
     };
-    Ok((ClusterHandle { reader, news: event_receiver, calls: call_sender }, runtime))
+    Ok((ClusterHandle { reader, events: event_receiver, calls: call_sender }, runtime))
 }
 
 /// What the configuration says of the machine; no recovered state.
--- a/crates/gateway/src/cluster/machine.rs
+++ b/crates/gateway/src/cluster/machine.rs
@@ -186,8 +186,12 @@
                 self.step_lists(lists::Event::Own { version, whole, entries });
             }
             Event::CountsAnew => self.step_lists(lists::Event::CountsAnew),
-            Event::Replace { ticket, out, then } => self.replace_voter(ticket, out, then, actions),
-            Event::Restore { ticket, members } => self.force_new_epoch(ticket, members, actions),
+            Event::ReplaceVoter { ticket, removed, replacement } => {
+                self.replace_voter(ticket, removed, replacement, actions);
+            }
+            Event::ForceNewEpoch { ticket, voters } => {
+                self.force_new_epoch(ticket, voters, actions)
+            }
         }
     }
 
@@ -203,8 +207,8 @@
         self.step_replica(consensus::Event::OperatorCommand(command));
     }
 
-    fn force_new_epoch(&mut self, ticket: u64, members: Vec<NodeId>, actions: &mut Vec<Action>) {
-        let command = consensus::OperatorCommand::ForceNewEpoch { members };
+    fn force_new_epoch(&mut self, ticket: u64, voters: Vec<NodeId>, actions: &mut Vec<Action>) {
+        let command = consensus::OperatorCommand::ForceNewEpoch { members: voters };
         self.step_replica(consensus::Event::OperatorCommand(command));
         let answer = ProposalResult::Stands(self.applied_index);
         actions.push(Action::ProposalResult { ticket, answer });
--- a/crates/gateway/src/cluster/machine/interface.rs
+++ b/crates/gateway/src/cluster/machine/interface.rs
@@ -103,20 +103,20 @@
     /// This balancer's discovery counts the versions of its list from the beginning.
     CountsAnew,
     /// A voter is to be replaced or removed.
-    Replace {
+    ReplaceVoter {
         /// Names the call.
         ticket: u64,
         /// The voter that is removed.
-        out: NodeId,
+        removed: NodeId,
         /// The balancer that replaces it, if any.
-        then: Option<NodeId>,
+        replacement: Option<NodeId>,
     },
     /// This balancer is to force a new epoch with these voters.
-    Restore {
+    ForceNewEpoch {
         /// Names the call.
         ticket: u64,
         /// The voters.
-        members: Vec<NodeId>,
+        voters: Vec<NodeId>,
     },
 }
 
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -67,7 +67,7 @@
     /// Reads the policy, and reports endpoint lists.
     pub reader: Reader,
     /// Events for the engine.
-    pub news: mpsc::UnboundedReceiver<ClusterEvent>,
+    pub events: mpsc::UnboundedReceiver<ClusterEvent>,
     /// Takes admin calls.
     pub calls: mpsc::UnboundedSender<AdminCall>,
 }
--- a/crates/gateway/src/cluster/runtime.rs
+++ b/crates/gateway/src/cluster/runtime.rs
@@ -197,7 +197,7 @@
         }
     }
 
-    /// Carries out one action; returns what the machine is to be told of it.
+    /// Carries out one action; returns the event that reports its result.
     fn carry_out(
         &mut self,
         action: Action,
@@ -258,7 +258,7 @@
         let _ = self.events.send(event);
     }
 
-    /// Syncs the records that were appended since the last sync, if any; returns what the machine is to be told of it.
+    /// Syncs the records that were appended since the last sync, if any; returns the event that reports its result.
     fn sync_records(&mut self, state: &mut RunState) -> Option<Event<'static>> {
         if !std::mem::take(&mut state.has_unsynced_records) {
             return None;
--- a/crates/gateway/src/cluster/runtime/admin_calls.rs
+++ b/crates/gateway/src/cluster/runtime/admin_calls.rs
@@ -16,7 +16,7 @@
 /// A call of the admin API.
 pub struct AdminCall {
     /// What the operator asks for.
-    pub ask: AdminRequest,
+    pub request: AdminRequest,
     /// The fleet as this balancer has it listed.
     pub facts: Facts,
     /// Takes the response.
@@ -26,7 +26,7 @@
 /// A caller that waits for the machine's answer.
 struct PendingCommand {
     reply: oneshot::Sender<AdminResponse>,
-    ask: AdminRequest,
+    request: AdminRequest,
     id: CommandId,
     /// Whether the entry proposed is the fallback policy that has to change before what was asked for.
     fallback_pending: bool,
@@ -63,8 +63,8 @@
     /// Answers the call with this ticket, or has it wait for the rollout of its revision.
     pub(super) fn answer(&mut self, ticket: u64, result: &ProposalResult) {
         let Some(command) = self.pending.remove(&ticket) else { return };
-        let PendingCommand { reply, ask, id, fallback_pending } = command;
-        let response = AdminResponse::of(&ask, id, result, fallback_pending);
+        let PendingCommand { reply, request, id, fallback_pending } = command;
+        let response = AdminResponse::of(&request, id, result, fallback_pending);
         match response.wait {
             Some((revision, within)) => {
                 let until = Instant::now() + within;
@@ -98,17 +98,17 @@
         state: &mut RunState,
         socket: &dyn Datagrams,
     ) {
-        let AdminCall { ask, facts, reply } = call;
+        let AdminCall { request, facts, reply } = call;
         state.admin_calls.last_ticket += 1;
         let ticket = state.admin_calls.last_ticket;
         let id = self.command_id(ticket);
-        match ask.event(ticket, id, &facts, &self.machine) {
+        match request.event(ticket, id, &facts, &self.machine) {
             Ok(event) => {
                 let pending = &mut state.admin_calls.pending;
                 pending.retain(|_, command| !command.reply.is_closed());
-                let fallback_pending = ask.is_retried()
+                let fallback_pending = request.is_retried()
                     && matches!(&event, Event::Propose { entry: Entry::FallbackPolicy(..), .. });
-                pending.insert(ticket, PendingCommand { reply, ask, id, fallback_pending });
+                pending.insert(ticket, PendingCommand { reply, request, id, fallback_pending });
                 self.dispatch(event, state, socket).await;
             }
             Err(response) => drop(reply.send(response)),
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -17,7 +17,7 @@
 use crate::clients::Front;
 use crate::cluster::admin_api::{AdminRequest, AdminResponse, facts};
 use crate::cluster::{AdminCall, ClusterEvent, ClusterHandle, PolicyReader};
-use crate::config::Config;
+use crate::config::{Budget, Config};
 use crate::engine::{Door, Engine, EngineError, Handle};
 use crate::members::{Entry, List};
 use crate::state_store::{Restored, StateStore, StoredState};
@@ -115,11 +115,11 @@
     fn is_clustered(&self) -> bool {
         self.cluster.is_some()
     }
-    async fn ask_cluster(&self, ask: AdminRequest) -> Option<AdminResponse> {
+    async fn ask_cluster(&self, request: AdminRequest) -> Option<AdminResponse> {
         let cluster = self.cluster.as_ref()?;
         let facts = facts(&self.list_entries().await?, &cluster.classes);
         let (reply, answer) = oneshot::channel();
-        cluster.calls.send(AdminCall { ask, facts, reply }).ok()?;
+        cluster.calls.send(AdminCall { request, facts, reply }).ok()?;
         answer.await.ok()
     }
 }
@@ -151,9 +151,9 @@
         None => (None, None),
     };
     let (reader, events, admin_client) = match cluster {
-        Some(ClusterHandle { reader, news, calls }) => {
+        Some(ClusterHandle { reader, events, calls }) => {
             let reader: Rc<dyn PolicyReader> = Rc::new(reader);
-            (Some(reader), Some(news), Some(AdminClient { calls, classes: classes(&config) }))
+            (Some(reader), Some(events), Some(AdminClient { calls, classes: classes(&config) }))
         }
         None => (None, None, None),
     };
@@ -163,33 +163,57 @@
     let mut engine = AbortOnDrop(tokio::task::spawn_local(engine.run()));
     let _events = events.map(|events| forward_events(events, &handle));
     let _reloads = forward_reloads(reloads, &handle);
-    let engine_door = handle.door();
-    // Before any client comes: what is restored is there for the first.
-    let state_store = restored.map(|restored| StateStore::start(restored, handle.door()));
-    let _saves =
-        state_store.clone().map(|store| AbortOnDrop(tokio::task::spawn_local(store.run())));
-    let front = Rc::new(Front::new(&config, handle, &budget));
-    let balancer = Balancer {
-        engine: engine_door,
-        front: front.clone(),
-        state_store: state_store.clone(),
-        cluster: admin_client,
-    };
-    let admin = Admin::join(balancer, operator_access.store).await;
-    let _follows = AbortOnDrop(tokio::task::spawn_local(admin.clone().follow()));
-    let _admin_server = operator_access
-        .listener
-        .map(|listener| AbortOnDrop(tokio::task::spawn_local(admin.clone().serve(listener))));
-    let serve = front.serve(listener, admin.wait_to_open(), stop, || admin.is_succeeded());
-    let served = tokio::select! {
-        biased;
-        () = serve => Ok(()),
-        _ = &mut engine.0 => Err(ServeError::EngineEnded),
-    };
-    if let (Ok(()), Some(state_store)) = (&served, state_store) {
-        state_store.finish().await;
+    let parts = Parts { config, budget, handle, operator_access, restored, admin_client };
+    parts.serve(&mut engine, listener, stop).await
+}
+
+/// What the engine's start left to be served with.
+struct Parts {
+    config: Config,
+    budget: Budget,
+    handle: Handle,
+    operator_access: OperatorAccess,
+    restored: Option<Restored>,
+    admin_client: Option<AdminClient>,
+}
+
+impl Parts {
+    /// Serves clients and operators until `stop` or the engine's end, then saves for the last time.
+    async fn serve(
+        self,
+        engine: &mut AbortOnDrop,
+        listener: Box<dyn Listener>,
+        stop: impl Future<Output = ()>,
+    ) -> Result<(), ServeError> {
+        let Self { config, budget, handle, operator_access, restored, admin_client } = self;
+        let engine_door = handle.door();
+        // Before any client comes: what is restored is there for the first.
+        let state_store = restored.map(|restored| StateStore::start(restored, handle.door()));
+        let _saves =
+            state_store.clone().map(|store| AbortOnDrop(tokio::task::spawn_local(store.run())));
+        let front = Rc::new(Front::new(&config, handle, &budget));
+        let balancer = Balancer {
+            engine: engine_door,
+            front: front.clone(),
+            state_store: state_store.clone(),
+            cluster: admin_client,
+        };
+        let admin = Admin::join(balancer, operator_access.store).await;
+        let _follows = AbortOnDrop(tokio::task::spawn_local(admin.clone().follow()));
+        let _admin_server = operator_access
+            .listener
+            .map(|listener| AbortOnDrop(tokio::task::spawn_local(admin.clone().serve(listener))));
+        let serve = front.serve(listener, admin.wait_to_open(), stop, || admin.is_succeeded());
+        let served = tokio::select! {
+            biased;
+            () = serve => Ok(()),
+            _ = &mut engine.0 => Err(ServeError::EngineEnded),
+        };
+        if let (Ok(()), Some(state_store)) = (&served, state_store) {
+            state_store.finish().await;
+        }
+        served
     }
-    served
 }
 
 /// Passes the cluster's events to the engine, until the result is dropped.
--- a/crates/gateway/src/state_store/restored.rs
+++ b/crates/gateway/src/state_store/restored.rs
@@ -33,29 +33,21 @@
     ) -> (Self, Option<RestoredList>) {
         let StoredState { saver, found } = stored;
         let mut set_aside: Vec<String> = found.aside.iter().map(report_set_aside).collect();
-        let mut payload = Payload::default();
-        if let Some(snapshot) = &found.snapshot {
-            match read_payload(snapshot) {
-                Ok(read) => payload = read,
-                Err(reason) => set_aside.push(reason),
+        let mut payload = match found.snapshot.as_ref().map(read_payload) {
+            None => Payload::default(),
+            Some(Ok(payload)) => payload,
+            Some(Err(reason)) => {
+                set_aside.push(reason);
+                Payload::default()
             }
-        }
+        };
         let mode = payload.starts.begin(now);
         if mode > StartMode::Normal {
             let crashes = payload.starts.crash_count();
             tracing::error!(crashes, mode = mode.name(), "crash loop detected");
             payload.forget_fleet();
         }
-        // Numbers of classes, zones and cells mean something else under other settings, and a list of another deployment
-        // would take out every upstream of this one.
-        if std::mem::replace(&mut payload.meaning, meaning) != meaning {
-            if payload.learned.is_some() || payload.list.is_some() {
-                tracing::warn!(
-                    "stored state discarded: saved under other classes, zones or machine types"
-                );
-            }
-            payload.forget_fleet();
-        }
+        discard_other_settings(&mut payload, meaning);
         if !payload.has_known_learned_age(now) {
             payload.learned = None;
         }
@@ -70,6 +62,18 @@
     }
 }
 
+/// Discards what was saved under settings of another meaning. Numbers of classes, zones and cells mean something else there,
+/// and a list of another deployment would take out every upstream of this one.
+fn discard_other_settings(payload: &mut Payload, meaning: u64) {
+    if std::mem::replace(&mut payload.meaning, meaning) == meaning {
+        return;
+    }
+    if payload.learned.is_some() || payload.list.is_some() {
+        tracing::warn!("stored state discarded: saved under other classes, zones or machine types");
+    }
+    payload.forget_fleet();
+}
+
 /// Logs a file that is not used; the file and the reason as text.
 fn report_set_aside(aside: &SetAsideFile) -> String {
     let SetAsideFile { file, reason, moved_to } = aside;
