--- a/crates/gateway/src/cluster/admin_api/tests.rs
+++ b/crates/gateway/src/cluster/admin_api/tests.rs
@@ -1,7 +1,6 @@
 //! Names of states in answers of the admin API.
 
 use hollowpaddle_consensus::ReplicaStatus;
-
 use hollowpaddle_revision::policy_state::PolicyState;
 use serde_json::Value;
 
--- a/crates/snapshot/tests/kills.rs
+++ b/crates/snapshot/tests/kills.rs
@@ -104,23 +104,23 @@
 
 impl Saves {
     fn save(&mut self, store: &mut Store) {
-        let said = store.save(NOW, &payload(self.0.len()));
-        self.0.push(said.is_ok());
+        let result = store.save(NOW, &payload(self.0.len()));
+        self.0.push(result.is_ok());
     }
 
-    /// What was found must be the last that was said yes to, or one after it; where so many files were spoilt
+    /// What was found must be the last acknowledged save, or a later one; where so many files were spoilt
     /// under it, one before that, or nothing for both.
     fn check(&self, found: Option<&Snapshot>, spoilt: usize) -> Result<(), String> {
-        let yes = || (0..self.0.len()).rev().filter(|n| self.0[*n]);
-        let from = yes().nth(spoilt).unwrap_or(0);
+        let acknowledged = || (0..self.0.len()).rev().filter(|n| self.0[*n]);
+        let from = acknowledged().nth(spoilt).unwrap_or(0);
         let payload_of = |n: &usize| found.is_some_and(|s| s.payload == payload(*n));
         let is_it = (from..self.0.len()).any(|n| payload_of(&n));
         if is_it || found.is_none() && spoilt > 1 {
             return Ok(());
         }
         let which = (0..self.0.len()).find(payload_of);
-        let (yes, all) = (yes().next(), self.0.len());
-        Err(format!("found the save {which:?}; the last yes was to {yes:?} of {all}"))
+        let (last, all) = (acknowledged().next(), self.0.len());
+        Err(format!("found the save {which:?}; the last acknowledged was {last:?} of {all}"))
     }
 }
 
@@ -168,7 +168,7 @@
     let lefts = [Left::All, Left::Synced, Left::Torn].into_iter().chain((1..=5).map(Left::Drawn));
     for left in lefts {
         let report = InTurn::all().and_pairs(7, 40).run(|points| simulated(points, left));
-        eprintln!("played, {left:?} left: {report}");
+        eprintln!("simulated, {left:?} left: {report}");
         assert!(report.is_clean(), "{left:?} left: {report}");
         // Two reads; and a write, two syncs and two renames a save.
         assert_eq!(report.points.len(), 12, "{report}");
@@ -185,12 +185,12 @@
     let mut store = Store::new(FailingDirectory(disk, points), "n0");
     store.load(NOW, DAY);
     for n in from..from + 2 {
-        let said = store.save(NOW, &payload(n));
-        println!("save {n}: {}", if said.is_ok() { "yes" } else { "no" });
+        let result = store.save(NOW, &payload(n));
+        println!("save {n}: {}", if result.is_ok() { "yes" } else { "no" });
     }
 }
 
-/// Tell the test's own program, started once more, where it saves, and what.
+/// Environment variables that tell the test's own program, started once more, where it saves, and what.
 const PLACE: &str = "SNAPSHOT_SAVED_IN";
 const FROM: &str = "SNAPSHOT_SAVED_FROM";
 
@@ -199,9 +199,9 @@
     let dir = tempfile::tempdir().map_err(|e| e.to_string())?;
     let (place, trace) = (dir.path().join("state"), dir.path().join("trace"));
     let mut saves = Saves::default();
-    for life in 0..3 {
+    for process in 0..3 {
         let none = Points::none();
-        let points = if life == 1 { points } else { &none };
+        let points = if process == 1 { points } else { &none };
         one_process(points, &place, &trace, &mut saves)?;
     }
     let mut store = Store::new(Directory::open(&place).map_err(|e| e.to_string())?, "n0");
