--- a/crates/consensus/src/catch_up.rs
+++ b/crates/consensus/src/catch_up.rs
@@ -7,7 +7,7 @@
 use crate::interface::Action;
 use crate::log::Log;
 use crate::log_record::Record;
-use crate::message::{Heartbeat, MessageBody, Part, ReplicaStatus, View};
+use crate::message::{Heartbeat, LogPart, MessageBody, ReplicaStatus, View};
 use crate::replica::Replica;
 use crate::replica_state::EpochBootstrap;
 use crate::state_transfer::StateTransfer;
@@ -23,7 +23,7 @@
         }
         self.step_down(actions);
         self.view = view;
-        self.status = ReplicaStatus::Changing;
+        self.status = ReplicaStatus::ViewChange;
         self.abandon_transitions();
         self.votes.clear();
         let first = self.first_needed(view.epoch);
@@ -74,8 +74,8 @@
             return;
         }
         match self.log.part(first, self.log.op(), offset) {
-            Part::Entries { entries, .. } if entries.is_empty() => {}
-            part => self.send(from, MessageBody::Part(part), actions),
+            LogPart::Entries { entries, .. } if entries.is_empty() => {}
+            part => self.send(from, MessageBody::LogPart(part), actions),
         }
     }
 
@@ -83,7 +83,7 @@
         &mut self,
         from: NodeId,
         view: View,
-        part: Part,
+        part: LogPart,
         actions: &mut Vec<Action>,
     ) {
         if let Some(transfer) = &mut self.transfer {
@@ -94,7 +94,7 @@
                 self.request_state(actions);
                 self.finish_transfer(actions);
             }
-        } else if let Part::Entries { first, entries } = part {
+        } else if let LogPart::Entries { first, entries } = part {
             self.on_prepare(from, view, first, entries, 0, actions);
         }
     }
--- a/crates/consensus/src/dispatch.rs
+++ b/crates/consensus/src/dispatch.rs
@@ -13,7 +13,7 @@
         if from != self.config.node_id && !self.merge_incarnations(from, &message, actions) {
             return;
         }
-        if self.status == ReplicaStatus::Outside
+        if self.status == ReplicaStatus::NonVoter
             && !self.accepts_as_non_voter(from, &message, actions)
         {
             return;
@@ -52,7 +52,7 @@
             MessageBody::GetState { first, offset } => {
                 self.on_get_state(from, view, first, offset, actions)
             }
-            MessageBody::Part(part) => self.on_part(from, view, part, actions),
+            MessageBody::LogPart(part) => self.on_part(from, view, part, actions),
             MessageBody::Propose { id, what } => self.on_propose(from, id, what, actions),
             _ => {}
         }
@@ -115,7 +115,7 @@
         for (node, count) in reported {
             self.merge_incarnation(*node, *count);
         }
-        let has_state = self.recovery.is_none() && self.status != ReplicaStatus::Mute;
+        let has_state = self.recovery.is_none() && self.status != ReplicaStatus::DiskFailed;
         let reported_own = reported.get(&self.config.node_id).copied().unwrap_or(0);
         if has_state && reported_own > own {
             self.incarnation_counts.insert(self.config.node_id, reported_own);
--- a/crates/consensus/src/durability.rs
+++ b/crates/consensus/src/durability.rs
@@ -18,7 +18,7 @@
     pub(crate) fn send(&mut self, to: NodeId, body: MessageBody, actions: &mut Vec<Action>) {
         let incarnation_counts = self.incarnation_counts.clone();
         let message = Message { view: self.view, incarnation_counts, body };
-        if self.issued > self.persisted && self.status != ReplicaStatus::Mute {
+        if self.issued > self.persisted && self.status != ReplicaStatus::DiskFailed {
             if self.awaiting_sync.len() >= MAX_MESSAGES_AWAITING_SYNC {
                 self.awaiting_sync.pop_front();
             }
@@ -49,7 +49,7 @@
     }
 
     pub(crate) fn persist(&mut self, record: Record, actions: &mut Vec<Action>) {
-        if self.config.directory && self.status != ReplicaStatus::Mute {
+        if self.config.directory && self.status != ReplicaStatus::DiskFailed {
             self.issued += 1;
             actions.push(Action::Persist { number: self.issued, record });
         }
@@ -84,7 +84,7 @@
     }
 
     pub(crate) fn on_persisted(&mut self, through: u64, actions: &mut Vec<Action>) {
-        if self.status == ReplicaStatus::Mute {
+        if self.status == ReplicaStatus::DiskFailed {
             return;
         }
         self.persisted = self.persisted.max(through.min(self.issued));
@@ -103,12 +103,12 @@
         self.loopback.clear();
         self.abandon_transitions();
         self.votes.clear();
-        self.status = ReplicaStatus::Mute;
+        self.status = ReplicaStatus::DiskFailed;
         self.send_heartbeat(actions);
     }
 
     pub(crate) fn on_disk_well(&mut self, actions: &mut Vec<Action>) {
-        if self.status != ReplicaStatus::Mute {
+        if self.status != ReplicaStatus::DiskFailed {
             return;
         }
         self.persisted = self.issued;
--- a/crates/consensus/src/epoch_bootstrap.rs
+++ b/crates/consensus/src/epoch_bootstrap.rs
@@ -56,7 +56,7 @@
     fn voters_without_state(&self, recovery: &RecoveryState) -> Vec<NodeId> {
         let has_lost_state = |node: &&NodeId| {
             recovery.reports.get(node).is_some_and(|report| {
-                report.status == ReplicaStatus::Blank && is_recent(self.now, report)
+                report.status == ReplicaStatus::WithoutState && is_recent(self.now, report)
             })
         };
         self.voter_set.voters.iter().filter(has_lost_state).copied().collect()
@@ -64,7 +64,7 @@
 
     /// Bootstraps an epoch with the voters that operators name, because a majority is lost for good.
     pub(crate) fn force_epoch(&mut self, voters: &[NodeId], actions: &mut Vec<Action>) {
-        if self.status == ReplicaStatus::Mute || !voters.contains(&self.config.node_id) {
+        if self.status == ReplicaStatus::DiskFailed || !voters.contains(&self.config.node_id) {
             return;
         }
         let changed_at = self.voter_set.changed_at;
--- a/crates/consensus/src/heartbeat.rs
+++ b/crates/consensus/src/heartbeat.rs
@@ -68,7 +68,7 @@
     fn heartbeat(&self, number: u32) -> Heartbeat {
         let connected = self.peers.iter().filter(|(_, peer)| self.is_connected(peer));
         let connected = connected.map(|(node, _)| *node).filter(|node| self.voter_set.has(*node));
-        let is_disk_failed = self.status == ReplicaStatus::Mute;
+        let is_disk_failed = self.status == ReplicaStatus::DiskFailed;
         Heartbeat {
             status: self.advertised_status(),
             is_leader: self.leadership.is_some(),
@@ -94,7 +94,7 @@
             self.voter_set = heartbeat.voter_set.clone();
             self.step_down(actions);
             self.abandon_transitions();
-            self.status = ReplicaStatus::Outside;
+            self.status = ReplicaStatus::NonVoter;
             return;
         }
         if !self.voter_set.has(from) {
@@ -129,7 +129,7 @@
         heartbeat: &Heartbeat,
         actions: &mut Vec<Action>,
     ) {
-        if self.leadership.is_none() || heartbeat.status == ReplicaStatus::Outside {
+        if self.leadership.is_none() || heartbeat.status == ReplicaStatus::NonVoter {
             return;
         }
         let answer = Heartbeat {
@@ -177,7 +177,7 @@
             && self.leadership.is_none()
             && self.is_leaderless_for_long();
         let is_stuck_in_change =
-            self.status == ReplicaStatus::Changing && self.now > self.next_view_change;
+            self.status == ReplicaStatus::ViewChange && self.now > self.next_view_change;
         if (is_stuck_in_normal || is_stuck_in_change) && view.epoch < self.view.epoch {
             // It promised an epoch that never began, and a majority goes on without it. A replica that loses its
             // state need not keep its promises, so it recovers like one.
@@ -227,7 +227,7 @@
         let Some(leadership) = &self.leadership else { return false };
         view > self.view
             && view.epoch == self.view.epoch
-            && heartbeat.status == ReplicaStatus::Changing
+            && heartbeat.status == ReplicaStatus::ViewChange
             && heartbeat.connected.contains(&self.config.node_id)
             && self.now.saturating_sub(leadership.since) > VIEW_CHANGE_TIMEOUT
     }
@@ -235,7 +235,7 @@
     /// A heartbeat from one that is not a voter, to be admitted by the leader.
     pub(crate) fn joining_heartbeat(voter_set: VoterSet) -> Heartbeat {
         Heartbeat {
-            status: ReplicaStatus::Outside,
+            status: ReplicaStatus::NonVoter,
             is_leader: false,
             is_leaderless: false,
             connected: BTreeSet::new(),
--- a/crates/consensus/src/interface.rs
+++ b/crates/consensus/src/interface.rs
@@ -83,7 +83,7 @@
         bytes: Vec<u8>,
     },
     /// A learner that is not a voter has the log up to an entry.
-    Copied {
+    LearnerAdvanced {
         /// The learner.
         by: NodeId,
         /// The entry.
--- a/crates/consensus/src/learner.rs
+++ b/crates/consensus/src/learner.rs
@@ -216,7 +216,7 @@
             MessageBody::LearnerPoll { index, offset, checksum } => {
                 self.on_poll(from, index, offset, checksum, actions)
             }
-            MessageBody::News { index, leader, voter_set, leader_age_ms, part } => {
+            MessageBody::LearnerUpdate { index, leader, voter_set, leader_age_ms, part } => {
                 let update = Update { index, leader, voter_set, leader_age_ms };
                 self.on_update(from, update, part, actions);
             }
--- a/crates/consensus/src/learner/children.rs
+++ b/crates/consensus/src/learner/children.rs
@@ -7,7 +7,7 @@
 use super::{Learner, LearnerAction, MAX_CHUNKS_PER_INTERVAL, RETRY_INTERVAL, SOURCE_TIMEOUT};
 use crate::entry::LogIndex;
 use crate::learner_tree::MAX_CHILDREN;
-use crate::message::{MessageBody, Part};
+use crate::message::{LogPart, MessageBody};
 
 /// Children beyond those of the tree, whose own source is gone. More are not answered, and look elsewhere.
 const MAX_EXTRA_CHILDREN: usize = 8;
@@ -36,7 +36,7 @@
         for child in ready {
             if self.take_chunk_slot() {
                 let entries = self.log.entries_between(first, self.log.op());
-                self.send_update(child, Some(Part::Entries { first, entries }), actions);
+                self.send_update(child, Some(LogPart::Entries { first, entries }), actions);
             }
         }
     }
@@ -76,8 +76,8 @@
         self.chunks_sent <= MAX_CHUNKS_PER_INTERVAL
     }
 
-    fn send_update(&self, to: NodeId, part: Option<Part>, actions: &mut Vec<LearnerAction>) {
-        let body = MessageBody::News {
+    fn send_update(&self, to: NodeId, part: Option<LogPart>, actions: &mut Vec<LearnerAction>) {
+        let body = MessageBody::LearnerUpdate {
             index: self.at(),
             leader: self.leader,
             voter_set: self.voter_set.clone(),
@@ -103,7 +103,7 @@
         let child = Child { index, heard_at: self.now, pushed_at: self.now };
         self.children.insert(from, child);
         if index.epoch() == self.epoch {
-            actions.push(LearnerAction::Copied { by: from, index });
+            actions.push(LearnerAction::LearnerAdvanced { by: from, index });
         }
         let mut part = None;
         if index < self.at() && self.take_chunk_slot() {
@@ -137,7 +137,7 @@
     ) {
         if self.take_chunk_slot() {
             let part = self.log.part(first, self.log.op(), offset);
-            self.send(from, MessageBody::Part(part), actions);
+            self.send(from, MessageBody::LogPart(part), actions);
         }
     }
 }
--- a/crates/consensus/src/learner/interface.rs
+++ b/crates/consensus/src/learner/interface.rs
@@ -101,8 +101,8 @@
     /// The node that it learns from has changed, and leases are disseminated the same way. `None`: it is the
     /// root, or has none yet.
     Source(Option<NodeId>),
-    /// A child has the log up to an entry, to be handed to this process's replica as [`crate::Event::Copied`].
-    Copied {
+    /// A child has the log up to an entry, to be handed to this process's replica as [`crate::Event::LearnerAdvanced`].
+    LearnerAdvanced {
         /// The child.
         by: NodeId,
         /// The entry.
--- a/crates/consensus/src/learner/learning.rs
+++ b/crates/consensus/src/learner/learning.rs
@@ -7,7 +7,7 @@
 use super::{Learner, LearnerAction, MAX_LEADER_AGE};
 use crate::entry::{Entry, LogIndex};
 use crate::log::{Log, SnapshotBase};
-use crate::message::Part;
+use crate::message::LogPart;
 use crate::replication::SNAPSHOT_INTERVAL_ENTRIES;
 use crate::state_transfer::SnapshotAssembly;
 use crate::voter_set::VoterSet;
@@ -79,7 +79,7 @@
         &mut self,
         from: NodeId,
         update: Update,
-        part: Option<Part>,
+        part: Option<LogPart>,
         actions: &mut Vec<LearnerAction>,
     ) {
         if self.source == Some(from) {
@@ -122,24 +122,24 @@
     fn add_part(
         &mut self,
         index: LogIndex,
-        part: Option<Part>,
+        part: Option<LogPart>,
         actions: &mut Vec<LearnerAction>,
     ) -> bool {
         match part {
-            Some(Part::Entries { first, entries }) if index.epoch() == self.epoch => {
+            Some(LogPart::Entries { first, entries }) if index.epoch() == self.epoch => {
                 for (position, entry) in entries.into_iter().enumerate() {
                     self.apply(first.saturating_add(position as u64), entry, actions);
                 }
                 false
             }
-            Some(chunk @ Part::Chunk { .. }) if index > self.at() => {
+            Some(chunk @ LogPart::Chunk { .. }) if index > self.at() => {
                 self.add_chunk(index.epoch(), chunk, actions)
             }
             _ => false,
         }
     }
 
-    fn add_chunk(&mut self, epoch: u32, chunk: Part, actions: &mut Vec<LearnerAction>) -> bool {
+    fn add_chunk(&mut self, epoch: u32, chunk: LogPart, actions: &mut Vec<LearnerAction>) -> bool {
         if self.snapshot_epoch != epoch {
             self.snapshot = SnapshotAssembly::default();
             self.snapshot_epoch = epoch;
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -81,8 +81,8 @@
 pub use log_file::{Directory, Disk};
 pub use log_record::{DurableState, Record, State};
 pub use message::{
-    Heartbeat, IncarnationCounts, MAX_CHUNK_BYTES, MAX_MESSAGE_BYTES, MAX_SNAPSHOT_BYTES, Message,
-    MessageBody, Part, ReplicaStatus, View,
+    Heartbeat, IncarnationCounts, LogPart, MAX_CHUNK_BYTES, MAX_MESSAGE_BYTES, MAX_SNAPSHOT_BYTES,
+    Message, MessageBody, ReplicaStatus, View,
 };
 pub use message_encoding::MessageError;
 pub use proposals::MAX_UNCOMMITTED_ENTRIES;
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -7,7 +7,7 @@
 use serde::{Deserialize, Serialize};
 
 use crate::entry::{Entry, EntryPayload, ProposalId};
-use crate::message::{MAX_CHUNK_BYTES, Part};
+use crate::message::{LogPart, MAX_CHUNK_BYTES};
 use crate::voter_set::VoterSet;
 
 /// Entries retained before a snapshot, so that a node that is slightly behind needs entries only.
@@ -182,14 +182,14 @@
 
     /// What a node that has everything before `first` needs next: entries up to `last`, or the bytes of the
     /// snapshot from `offset`.
-    pub fn part(&self, first: u64, last: u64, offset: u32) -> Part {
+    pub fn part(&self, first: u64, last: u64, offset: u32) -> LogPart {
         if first > self.start {
-            return Part::Entries { first, entries: self.entries_between(first, last) };
+            return LogPart::Entries { first, entries: self.entries_between(first, last) };
         }
         let bytes = &self.encoded_base.bytes;
         let start = (offset as usize).min(bytes.len());
         let end = (start + MAX_CHUNK_BYTES).min(bytes.len());
-        Part::Chunk {
+        LogPart::Chunk {
             op: self.base.op,
             total_bytes: bytes.len() as u32,
             checksum: self.encoded_base.checksum,
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -36,7 +36,7 @@
 
 /// A part of a log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub enum Part {
+pub enum LogPart {
     /// Consecutive entries.
     Entries {
         /// Number of the first entry.
@@ -63,29 +63,29 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ReplicaStatus {
     /// It is not a voter.
-    Outside,
+    NonVoter,
     /// It has lost its state and does not vote.
-    Blank,
+    WithoutState,
     /// It has started with a directory, and has not yet heard whether its peers know of later state.
-    Waking,
+    Recovering,
     /// It takes part in a view change.
-    Changing,
+    ViewChange,
     /// It takes part in its view.
     Normal,
     /// Its disk has failed, and it does not vote.
-    Mute,
+    DiskFailed,
 }
 
 /// The text that the admin API prints.
 impl fmt::Display for ReplicaStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
-            Self::Outside => "outside",
-            Self::Blank => "blank",
-            Self::Waking => "waking",
-            Self::Changing => "changing",
+            Self::NonVoter => "outside",
+            Self::WithoutState => "blank",
+            Self::Recovering => "waking",
+            Self::ViewChange => "changing",
             Self::Normal => "normal",
-            Self::Mute => "mute",
+            Self::DiskFailed => "mute",
         })
     }
 }
@@ -163,7 +163,7 @@
         offset: u32,
     },
     /// The requested part of a log.
-    Part(Part),
+    LogPart(LogPart),
     /// A recovering replica asks for its peers' status.
     StatusRequest {
         /// Identifies the sender's recovery.
@@ -241,7 +241,7 @@
         checksum: u32,
     },
     /// A source tells its learner what is new, or that nothing is.
-    News {
+    LearnerUpdate {
         /// The last entry that the sender has.
         index: LogIndex,
         /// The leader that the sender knows.
@@ -251,7 +251,7 @@
         /// Time since the leader was known to lead, by the sender and its own sources, in milliseconds.
         leader_age_ms: u32,
         /// Part of the log that the receiver lacks.
-        part: Option<Part>,
+        part: Option<LogPart>,
     },
     /// Requests bytes of a snapshot from a node that is not the sender's source, if it has the same snapshot.
     SnapshotChunkRequest {
@@ -278,7 +278,7 @@
             Self::LearnerStatusRequest { .. }
             | Self::GetLearnerState { .. }
             | Self::LearnerPoll { .. }
-            | Self::News { .. }
+            | Self::LearnerUpdate { .. }
             | Self::SnapshotChunkRequest { .. }
             | Self::ProposalResponse { .. } => Channel::Log,
             _ => Channel::Consensus,
@@ -296,7 +296,7 @@
                 | Self::StartViewChange { .. }
                 | Self::DoViewChange { .. }
                 | Self::RecoveryResponse { .. }
-                | Self::Part(_)
+                | Self::LogPart(_)
                 | Self::GetState { .. }
         )
     }
--- a/crates/consensus/src/message_encoding.rs
+++ b/crates/consensus/src/message_encoding.rs
@@ -1,6 +1,6 @@
 //! Encodes and decodes messages, within the bounds that every sender keeps.
 
-use crate::message::{MAX_CHUNK_BYTES, MAX_MESSAGE_BYTES, Message, MessageBody, Part};
+use crate::message::{LogPart, MAX_CHUNK_BYTES, MAX_MESSAGE_BYTES, Message, MessageBody};
 use crate::voter_set::{MAX_VOTERS, VoterSet};
 
 /// Why bytes are no message.
@@ -71,9 +71,9 @@
             }
             Self::StatusResponse { voter_set, .. }
             | Self::LearnerStatusResponse { voter_set, .. }
-            | Self::News { voter_set, .. } => is_small(voter_set),
+            | Self::LearnerUpdate { voter_set, .. } => is_small(voter_set),
             Self::StartViewChange { voter_set, .. } => voter_set.as_ref().is_none_or(is_small),
-            Self::Part(Part::Chunk { bytes, .. }) => bytes.len() <= MAX_CHUNK_BYTES,
+            Self::LogPart(LogPart::Chunk { bytes, .. }) => bytes.len() <= MAX_CHUNK_BYTES,
             _ => true,
         }
     }
--- a/crates/consensus/src/recovery.rs
+++ b/crates/consensus/src/recovery.rs
@@ -37,10 +37,11 @@
             self.proposals.clear();
         }
         if !self.voter_set.voters.contains(&self.config.node_id) {
-            self.status = ReplicaStatus::Outside;
+            self.status = ReplicaStatus::NonVoter;
             return;
         }
-        self.status = if has_directory { ReplicaStatus::Waking } else { ReplicaStatus::Blank };
+        self.status =
+            if has_directory { ReplicaStatus::Recovering } else { ReplicaStatus::WithoutState };
         let nonce = self.sample(u64::MAX) ^ u64::from(self.config.incarnation.0) << 32;
         self.recovery = Some(RecoveryState {
             nonce,
@@ -162,7 +163,7 @@
         self.recovery = None;
         self.state_lost = false;
         let is_in_view = self.view == self.last_normal_view;
-        self.status = if is_in_view { ReplicaStatus::Normal } else { ReplicaStatus::Changing };
+        self.status = if is_in_view { ReplicaStatus::Normal } else { ReplicaStatus::ViewChange };
         self.highest_view_number = self.view.number;
         self.next_view_change = self.now;
         self.persist_view_promise(actions);
@@ -225,7 +226,7 @@
         }
         self.voter_set = voter_set.clone();
         if !self.voter_set.voters.contains(&self.config.node_id) {
-            self.status = ReplicaStatus::Outside;
+            self.status = ReplicaStatus::NonVoter;
             self.recovery = None;
         }
     }
@@ -278,7 +279,7 @@
 impl RecoveryState {
     fn add_report(&mut self, from: NodeId, report: StatusReport) {
         self.reports.insert(from, report);
-        if report.status != ReplicaStatus::Blank {
+        if report.status != ReplicaStatus::WithoutState {
             self.state_losses.remove(&from);
             return;
         }
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -105,7 +105,7 @@
             incarnation_counts: IncarnationCounts::new(),
             view: View::default(),
             last_normal_view: View::default(),
-            status: ReplicaStatus::Blank,
+            status: ReplicaStatus::WithoutState,
             state_lost: true,
             log: Log::new(base),
             commit: 0,
@@ -162,7 +162,7 @@
             Event::DiskFailed { cause: _ } => self.on_disk_failed(actions),
             Event::DiskWell => self.on_disk_well(actions),
             Event::Snapshot { index, bytes } => self.on_snapshot(index, bytes, actions),
-            Event::Copied { by, index } => self.on_learner_position(by, index, actions),
+            Event::LearnerAdvanced { by, index } => self.on_learner_position(by, index, actions),
             Event::OperatorCommand(command) => self.on_operator_command(command, actions),
         }
         while let Some(message) = self.loopback.pop_front() {
@@ -197,8 +197,8 @@
     /// The status that it tells others: one that takes part in a bootstrap, and has no state yet, still counts as
     /// one that has lost it.
     pub fn advertised_status(&self) -> ReplicaStatus {
-        if self.state_lost && self.status == ReplicaStatus::Changing {
-            ReplicaStatus::Blank
+        if self.state_lost && self.status == ReplicaStatus::ViewChange {
+            ReplicaStatus::WithoutState
         } else {
             self.status
         }
@@ -235,7 +235,7 @@
 
     /// Whether it takes part in a view or a view change.
     pub(crate) fn is_active(&self) -> bool {
-        matches!(self.status, ReplicaStatus::Normal | ReplicaStatus::Changing)
+        matches!(self.status, ReplicaStatus::Normal | ReplicaStatus::ViewChange)
     }
 
     /// This node's incarnation count.
@@ -291,7 +291,7 @@
             self.tick_recovery(actions);
             return;
         }
-        if self.status == ReplicaStatus::Outside {
+        if self.status == ReplicaStatus::NonVoter {
             return;
         }
         let is_leaderless = self.is_leaderless();
@@ -321,7 +321,7 @@
         self.admit_joining_voter(actions);
         self.answer_committed(actions);
         let would_lead =
-            self.status == ReplicaStatus::Changing && self.view.leader == self.config.node_id;
+            self.status == ReplicaStatus::ViewChange && self.view.leader == self.config.node_id;
         if would_lead {
             self.send_start_view_change(actions);
             self.try_lead(actions);
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -153,7 +153,7 @@
         self.persist(Record::Commit { commit: self.commit }, actions);
         if !self.voter_set.voters.contains(&node_id) {
             self.step_down(actions);
-            self.status = ReplicaStatus::Outside;
+            self.status = ReplicaStatus::NonVoter;
         }
     }
 
--- a/crates/consensus/src/state_transfer.rs
+++ b/crates/consensus/src/state_transfer.rs
@@ -7,7 +7,7 @@
 
 use crate::entry::Entry;
 use crate::log::{Log, MAX_LOG_ENTRIES, SnapshotBase};
-use crate::message::{MAX_SNAPSHOT_BYTES, Part, View};
+use crate::message::{LogPart, MAX_SNAPSHOT_BYTES, View};
 
 /// What a state transfer requests next.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
@@ -60,9 +60,9 @@
     }
 
     /// Adds a part; `false` if it is not the next one.
-    pub(crate) fn add(&mut self, part: Part) -> bool {
+    pub(crate) fn add(&mut self, part: LogPart) -> bool {
         match part {
-            Part::Entries { first, entries } => self.add_entries(first, entries),
+            LogPart::Entries { first, entries } => self.add_entries(first, entries),
             chunk => {
                 let offset_before = self.snapshot.offset();
                 if let Some(base) = self.snapshot.add(chunk) {
@@ -127,8 +127,8 @@
     }
 
     /// Adds the next chunk, and returns the snapshot once it is complete and its checksum right.
-    pub(crate) fn add(&mut self, part: Part) -> Option<SnapshotBase> {
-        let Part::Chunk { op, total_bytes, checksum, offset, bytes } = part else { return None };
+    pub(crate) fn add(&mut self, part: LogPart) -> Option<SnapshotBase> {
+        let LogPart::Chunk { op, total_bytes, checksum, offset, bytes } = part else { return None };
         if (op, total_bytes, checksum) != (self.op, self.total_bytes, self.checksum) {
             if offset != 0 || total_bytes as usize > MAX_SNAPSHOT_BYTES {
                 // It is of another snapshot, which has to be begun at its start.
--- a/crates/consensus/src/view_change.rs
+++ b/crates/consensus/src/view_change.rs
@@ -26,7 +26,7 @@
         let supports = |node: &NodeId, peer: &PeerState| {
             self.voter_set.voters.contains(node)
                 && *node != node_id
-                && matches!(peer.status, ReplicaStatus::Normal | ReplicaStatus::Changing)
+                && matches!(peer.status, ReplicaStatus::Normal | ReplicaStatus::ViewChange)
                 && peer.receives_from_us
                 && self.is_connected(peer)
                 && peer.is_leaderless
@@ -45,7 +45,7 @@
             return;
         }
         let is_candidate =
-            self.status == ReplicaStatus::Changing && self.view.leader == self.config.node_id;
+            self.status == ReplicaStatus::ViewChange && self.view.leader == self.config.node_id;
         let is_latest_candidate = is_candidate && self.view.number >= self.highest_view_number;
         if is_latest_candidate || !is_leaderless || self.now < self.next_view_change {
             return;
@@ -100,7 +100,7 @@
         self.step_down(actions);
         self.view = view;
         self.highest_view_number = view.number;
-        self.status = ReplicaStatus::Changing;
+        self.status = ReplicaStatus::ViewChange;
         self.abandon_transitions();
         self.bootstrap = bootstrap;
         self.votes.clear();
@@ -134,17 +134,17 @@
         actions: &mut Vec<Action>,
     ) {
         let is_from_candidate = view.leader == from && from != self.config.node_id;
-        if !is_from_candidate || self.status == ReplicaStatus::Mute {
+        if !is_from_candidate || self.status == ReplicaStatus::DiskFailed {
             return;
         }
         self.track_view_number(view);
-        if view == self.view && self.status == ReplicaStatus::Changing {
+        if view == self.view && self.status == ReplicaStatus::ViewChange {
             if self.transfer.is_none() {
                 self.send(from, self.do_view_change(), actions);
             }
             return;
         }
-        if view <= self.view || self.status == ReplicaStatus::Waking {
+        if view <= self.view || self.status == ReplicaStatus::Recovering {
             return;
         }
         if self.takes_part_in(from, view, is_bootstrap, forced_voters.is_some()) {
@@ -179,7 +179,7 @@
     ) {
         let is_candidate = view == self.view
             && view.leader == self.config.node_id
-            && self.status == ReplicaStatus::Changing;
+            && self.status == ReplicaStatus::ViewChange;
         let counts = !vote.state_lost || self.bootstrap.is_some();
         if is_candidate && counts && self.votes.len() < MAX_TRACKED_VOTES {
             self.votes.insert(from, vote);
--- a/crates/consensus/tests/agreement.rs
+++ b/crates/consensus/tests/agreement.rs
@@ -20,8 +20,10 @@
         let down = |w: &Simulation, but: u16| {
             let state_losses = |n: &simulation::Node| {
                 n.replica.as_ref().is_none_or(|c| {
-                    use hollowpaddle_consensus::ReplicaStatus::{Blank, Mute, Waking};
-                    matches!(c.status(), Blank | Mute | Waking)
+                    use hollowpaddle_consensus::ReplicaStatus::{
+                        DiskFailed, Recovering, WithoutState,
+                    };
+                    matches!(c.status(), WithoutState | DiskFailed | Recovering)
                 })
             };
             w.nodes.iter().enumerate().filter(|(i, n)| *i as u16 == but || state_losses(n)).count()
--- a/crates/consensus/tests/formats.rs
+++ b/crates/consensus/tests/formats.rs
@@ -12,10 +12,10 @@
 use hex::{assert_all_recorded, assert_recorded, recorded};
 use hollowpaddle_consensus::{
     Directory, DurableState, Entry, EntryPayload, Heartbeat, IncarnationCounts, Learner,
-    LearnerAction, LearnerConfig, LearnerEvent, Log, LogIndex, MAX_CHUNK_BYTES, MAX_ENTRY_BYTES,
-    MAX_FILE_BYTES, MAX_MESSAGE_BYTES, MAX_SNAPSHOT_BYTES, MAX_VOTERS, Message, MessageBody, Part,
-    ProposalId, ProposalOutcome, Record, ReplicaStatus, SnapshotBase, State, Store, StoreError,
-    VERSION, View, VoterSet,
+    LearnerAction, LearnerConfig, LearnerEvent, Log, LogIndex, LogPart, MAX_CHUNK_BYTES,
+    MAX_ENTRY_BYTES, MAX_FILE_BYTES, MAX_MESSAGE_BYTES, MAX_SNAPSHOT_BYTES, MAX_VOTERS, Message,
+    MessageBody, ProposalId, ProposalOutcome, Record, ReplicaStatus, SnapshotBase, State, Store,
+    StoreError, VERSION, View, VoterSet,
 };
 use hollowpaddle_failpoints::{Fault, Kind, Plan, Points};
 use hollowpaddle_peer_transport::{Channel, Incarnation, NodeId, decode, encode};
@@ -60,12 +60,12 @@
     ]
 }
 
-fn entries_part() -> Part {
-    Part::Entries { first: 1001, entries: entries() }
+fn entries_part() -> LogPart {
+    LogPart::Entries { first: 1001, entries: entries() }
 }
 
-fn snapshot_part() -> Part {
-    Part::Chunk {
+fn snapshot_part() -> LogPart {
+    LogPart::Chunk {
         op: 1000,
         total_bytes: 3000,
         checksum: 0xa1a2_a3a4,
@@ -99,13 +99,13 @@
     let status_response = MessageBody::StatusResponse {
         nonce,
         asked_at_ms: 1001,
-        status: ReplicaStatus::Changing,
+        status: ReplicaStatus::ViewChange,
         own_incarnation: 1002,
         persisted: 1003,
         commit: 1004,
         voter_set: voters(),
     };
-    let update = |part| MessageBody::News {
+    let update = |part| MessageBody::LearnerUpdate {
         index,
         leader: Some(NodeId(5)),
         voter_set: voters(),
@@ -115,12 +115,12 @@
     let response =
         |outcome, leader| MessageBody::ProposalResponse { id: proposal(1), outcome, leader };
     let bodies = vec![
-        ("heartbeat_without_vote", heartbeat(ReplicaStatus::Outside)),
-        ("heartbeat_state_lost", heartbeat(ReplicaStatus::Blank)),
-        ("heartbeat_recovering", heartbeat(ReplicaStatus::Waking)),
-        ("heartbeat_view_change", heartbeat(ReplicaStatus::Changing)),
+        ("heartbeat_without_vote", heartbeat(ReplicaStatus::NonVoter)),
+        ("heartbeat_state_lost", heartbeat(ReplicaStatus::WithoutState)),
+        ("heartbeat_recovering", heartbeat(ReplicaStatus::Recovering)),
+        ("heartbeat_view_change", heartbeat(ReplicaStatus::ViewChange)),
         ("heartbeat_normal", heartbeat(ReplicaStatus::Normal)),
-        ("heartbeat_disk_failed", heartbeat(ReplicaStatus::Mute)),
+        ("heartbeat_disk_failed", heartbeat(ReplicaStatus::DiskFailed)),
         ("prepare", MessageBody::Prepare { first: 1001, entries: entries(), commit: 1000 }),
         ("prepare_ok", MessageBody::PrepareOk { op: 1001, heartbeat: 1002 }),
         (
@@ -141,8 +141,8 @@
             },
         ),
         ("state_transfer_request", MessageBody::GetState { first: 1001, offset: 1002 }),
-        ("state_transfer_entries", MessageBody::Part(entries_part())),
-        ("state_transfer_snapshot_chunk", MessageBody::Part(snapshot_part())),
+        ("state_transfer_entries", MessageBody::LogPart(entries_part())),
+        ("state_transfer_snapshot_chunk", MessageBody::LogPart(snapshot_part())),
         ("status_request", MessageBody::StatusRequest { nonce, asked_at_ms: 1001 }),
         ("status_response", status_response),
         ("recovery", MessageBody::Recovery { nonce }),
@@ -379,12 +379,12 @@
     let mut actions = Vec::new();
     learner.handle(now, LearnerEvent::Tick, &mut actions);
     for (name, op) in [("learner_copy_snapshot", 1000), ("learner_copy_entries", 1001)] {
-        let Ok(Message { body: MessageBody::Part(part), .. }) = Message::decode(&recorded(name))
+        let Ok(Message { body: MessageBody::LogPart(part), .. }) = Message::decode(&recorded(name))
         else {
             panic!("{name} is a part of a log");
         };
         let index = LogIndex::new(2, op);
-        let body = MessageBody::News {
+        let body = MessageBody::LearnerUpdate {
             index,
             leader: Some(voter),
             voter_set: voters(),
@@ -406,12 +406,12 @@
 #[test]
 fn strings_of_the_admin_api_are_as_they_were() {
     let statuses = [
-        (ReplicaStatus::Outside, "outside"),
-        (ReplicaStatus::Blank, "blank"),
-        (ReplicaStatus::Waking, "waking"),
-        (ReplicaStatus::Changing, "changing"),
+        (ReplicaStatus::NonVoter, "outside"),
+        (ReplicaStatus::WithoutState, "blank"),
+        (ReplicaStatus::Recovering, "waking"),
+        (ReplicaStatus::ViewChange, "changing"),
         (ReplicaStatus::Normal, "normal"),
-        (ReplicaStatus::Mute, "mute"),
+        (ReplicaStatus::DiskFailed, "mute"),
     ];
     for (status, shown) in statuses {
         assert_eq!(status.to_string(), shown);
--- a/crates/consensus/tests/learners.rs
+++ b/crates/consensus/tests/learners.rs
@@ -234,7 +234,7 @@
         simulation.start(dead);
         simulation.for_ms(3000);
         let status = simulation.nodes[dead as usize].replica.as_ref().map(|c| c.status());
-        assert_eq!(status, Some(ReplicaStatus::Outside), "seed {seed}: {}", simulation.states());
+        assert_eq!(status, Some(ReplicaStatus::NonVoter), "seed {seed}: {}", simulation.states());
     }
 }
 
--- a/crates/consensus/tests/messages.rs
+++ b/crates/consensus/tests/messages.rs
@@ -3,9 +3,9 @@
 mod simulation;
 
 use hollowpaddle_consensus::{
-    Action, EntryPayload, Event, IncarnationCounts, Learner, LearnerConfig, LearnerEvent,
-    MAX_MESSAGE_BYTES, Message, MessageBody, MessageError, Part, ProposalId, ProposalOutcome,
-    Replica, ReplicaConfig, View, VoterSet, default_voters, order, parent,
+    Action, EntryPayload, Event, IncarnationCounts, Learner, LearnerConfig, LearnerEvent, LogPart,
+    MAX_MESSAGE_BYTES, Message, MessageBody, MessageError, ProposalId, ProposalOutcome, Replica,
+    ReplicaConfig, View, VoterSet, default_voters, order, parent,
 };
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use proptest::prelude::*;
@@ -131,14 +131,14 @@
             commit: n,
             state_lost: m.is_multiple_of(2),
         },
-        3 => MessageBody::Part(Part::Chunk {
+        3 => MessageBody::LogPart(LogPart::Chunk {
             op: n,
             total_bytes: m,
             checksum: m,
             offset: 0,
             bytes: bytes.to_vec(),
         }),
-        4 => MessageBody::Part(Part::Entries { first: n, entries: Vec::new() }),
+        4 => MessageBody::LogPart(LogPart::Entries { first: n, entries: Vec::new() }),
         5 => MessageBody::Propose {
             id,
             what: Some(EntryPayload::RemoveVoter { removed: NodeId(from), replacement: None }),
@@ -218,7 +218,7 @@
         &mut actions,
     );
     assert_eq!(learner.at(), LogIndex::new(9, 5));
-    let update = MessageBody::News {
+    let update = MessageBody::LearnerUpdate {
         index: LogIndex::new(5, 80),
         leader: Some(NodeId(0)),
         voter_set: VoterSet::of([NodeId(0)]),
--- a/crates/consensus/tests/simulation/mod.rs
+++ b/crates/consensus/tests/simulation/mod.rs
@@ -354,7 +354,9 @@
                 LearnerAction::Source(source) => {
                     self.nodes[who as usize].source = source.map(|m| m.0);
                 }
-                LearnerAction::Copied { by, index } => self.event(who, Event::Copied { by, index }),
+                LearnerAction::LearnerAdvanced { by, index } => {
+                    self.event(who, Event::LearnerAdvanced { by, index })
+                }
                 LearnerAction::Answered { id, outcome } => {
                     self.answered.insert(id, outcome);
                     if let ProposalOutcome::Committed(index) = outcome {
@@ -402,7 +404,7 @@
                     | MessageBody::RecoveryResponse { .. } => {
                         format!("{:?} {:?} to {to:?}", message.view, message.body)
                     }
-                    MessageBody::GetState { .. } | MessageBody::Part(_) => {
+                    MessageBody::GetState { .. } | MessageBody::LogPart(_) => {
                         format!("{:?} {:?} to {to:?}", message.view, message.body)
                     }
                     _ => String::new(),
@@ -592,8 +594,10 @@
                 }
                 SimulatedEvent::Well(who, incarnation) => {
                     let node = &mut self.nodes[who as usize];
-                    let mute =
-                        node.replica.as_ref().is_some_and(|c| c.status() == ReplicaStatus::Mute);
+                    let mute = node
+                        .replica
+                        .as_ref()
+                        .is_some_and(|c| c.status() == ReplicaStatus::DiskFailed);
                     if node.incarnation == incarnation && mute && !node.disk_fails {
                         let reset = node.store.as_mut().map(Store::reset);
                         if matches!(reset, Some(Ok(()))) {
@@ -675,7 +679,10 @@
             match &node.replica {
                 None => !self.directory || node.disk.is_small(),
                 Some(c) => {
-                    matches!(c.advertised_status(), ReplicaStatus::Blank | ReplicaStatus::Mute)
+                    matches!(
+                        c.advertised_status(),
+                        ReplicaStatus::WithoutState | ReplicaStatus::DiskFailed
+                    )
                 }
             }
         };
--- a/crates/gateway/src/admin/server.rs
+++ b/crates/gateway/src/admin/server.rs
@@ -9,7 +9,7 @@
 use hollowpaddle_net::{Listener, Stream, accept};
 use hollowpaddle_operator_commands::Call;
 use hollowpaddle_operator_commands::call::BODY_LIMIT;
-use hollowpaddle_revision::document::LONGEST_JSON;
+use hollowpaddle_revision::document::MAX_JSON_BYTES;
 use http_body_util::{BodyExt, Full, Limited};
 use hyper::body::Incoming;
 use hyper::header::{CONTENT_TYPE, HeaderValue};
@@ -71,7 +71,7 @@
     async fn answer(&self, request: Request<Incoming>) -> Result<Answer, Infallible> {
         let (head, body) = request.into_parts();
         let is_for_cluster = is_cluster_path(head.uri.path());
-        let limit = if is_for_cluster { LONGEST_JSON } else { BODY_LIMIT };
+        let limit = if is_for_cluster { MAX_JSON_BYTES } else { BODY_LIMIT };
         let Ok(body) = Limited::new(body, limit).collect().await else {
             let why = "the body is too long or ends early";
             return Ok(failure(StatusCode::PAYLOAD_TOO_LARGE, why));
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -41,7 +41,7 @@
 const BODY_MEMORY_DIVISOR: usize = 8;
 
 /// The server that clients connect to.
-pub struct Front {
+pub struct ClientServer {
     engine: EngineHandle,
     facts: Facts,
     classes: Vec<ClassRules>,
@@ -77,7 +77,7 @@
     }
 }
 
-impl Front {
+impl ClientServer {
     /// A server that hands requests to `engine`, with as many connections as `budget` allows.
     pub fn new(config: &Config, engine: EngineHandle, budget: &Budget) -> Self {
         let settings = config.facts.settings();
--- a/crates/gateway/src/clients/accept.rs
+++ b/crates/gateway/src/clients/accept.rs
@@ -8,7 +8,7 @@
 use hollowpaddle_net::{AcceptFailure, Listener, accept};
 use tokio::time::{Instant, sleep, timeout};
 
-use super::Front;
+use super::ClientServer;
 
 /// How long connections are still accepted after SIGTERM: the front needs a moment to notice.
 const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(500);
@@ -58,7 +58,7 @@
     }
 }
 
-impl Front {
+impl ClientServer {
     /// Serves from the end of `opens` to that of `stop`, then finishes what was accepted. Connections that another process
     /// which has `succeeded` this one can accept are left to it.
     pub async fn serve(
--- a/crates/gateway/src/clients/conversation.rs
+++ b/crates/gateway/src/clients/conversation.rs
@@ -16,7 +16,7 @@
 use hyper_util::rt::TokioIo;
 use tokio::time::{Instant, sleep};
 
-use super::Front;
+use super::ClientServer;
 use super::response::{self, ClientResponse};
 use crate::closing::{CloseReason, close};
 use crate::connections::{Connection, ConnectionSlot};
@@ -69,7 +69,7 @@
     }
 }
 
-impl Front {
+impl ClientServer {
     /// Serves a connection that was accepted, in a task of its own.
     pub(super) fn serve_connection(self: &Rc<Self>, stream: Box<dyn Stream>) {
         let (io, stream, traffic) = ObservedStream::new(stream);
--- a/crates/gateway/src/clients/intake.rs
+++ b/crates/gateway/src/clients/intake.rs
@@ -10,7 +10,7 @@
 use hyper::{Method, Request, StatusCode};
 use tokio::time::Instant;
 
-use super::Front;
+use super::ClientServer;
 use super::conversation::ClientStream;
 use super::request_head::{self, Malformed};
 use super::response::{self, ClientResponse};
@@ -40,7 +40,7 @@
     length: Option<u64>,
 }
 
-impl Front {
+impl ClientServer {
     /// Answers a request for `/api`.
     pub(super) async fn answer_api(
         &self,
--- a/crates/gateway/src/cluster/admin_api.rs
+++ b/crates/gateway/src/cluster/admin_api.rs
@@ -17,7 +17,7 @@
 use hollowpaddle_revision::document::Document;
 use hollowpaddle_revision::entry::CommandId;
 use hollowpaddle_revision::fallback_policy::FallbackPolicy;
-use hollowpaddle_revision::fleet::Facts;
+use hollowpaddle_revision::fleet::FleetFacts;
 
 use crate::cluster::machine::{Event, Machine};
 
@@ -39,7 +39,7 @@
     /// One revision with its document.
     Revision(u64),
     /// The outcome of a command that was sent to any balancer.
-    Asked(CommandId),
+    CommandOutcome(CommandId),
     /// A change of the policy log.
     Change(Box<Change>),
     /// A change of the voters.
@@ -85,12 +85,12 @@
     /// One voter is replaced or removed.
     Replace {
         /// The voter that is removed.
-        out: NodeId,
+        removed: NodeId,
         /// The balancer that replaces it, if any.
-        then: Option<NodeId>,
+        replacement: Option<NodeId>,
     },
     /// This balancer forces a new epoch with these voters.
-    Restore(Vec<NodeId>),
+    ForceNewEpoch(Vec<NodeId>),
 }
 
 impl AdminRequest {
@@ -117,19 +117,19 @@
         &self,
         ticket: u64,
         fresh_id: CommandId,
-        facts: &Facts,
+        facts: &FleetFacts,
         machine: &Machine,
     ) -> Result<Event<'static>, AdminResponse> {
         match self {
             Self::Cluster => Err(AdminResponse::ok(views::cluster(machine))),
             Self::Revisions => Err(AdminResponse::ok(views::revisions(machine.policy()))),
             Self::Revision(number) => Err(views::revision(machine.policy(), *number)),
-            Self::Asked(id) => Ok(Event::QueryOutcome { ticket, id: *id }),
-            Self::VoterChange(VoterChange::Replace { out, then }) => {
-                Ok(Event::Replace { ticket, out: *out, then: *then })
+            Self::CommandOutcome(id) => Ok(Event::QueryOutcome { ticket, id: *id }),
+            Self::VoterChange(VoterChange::Replace { removed, replacement }) => {
+                Ok(Event::ReplaceVoter { ticket, removed: *removed, replacement: *replacement })
             }
-            Self::VoterChange(VoterChange::Restore(members)) => {
-                Ok(Event::Restore { ticket, members: members.clone() })
+            Self::VoterChange(VoterChange::ForceNewEpoch(voters)) => {
+                Ok(Event::ForceNewEpoch { ticket, voters: voters.clone() })
             }
             Self::Change(change) => change.event(ticket, fresh_id, facts, machine),
         }
--- a/crates/gateway/src/cluster/admin_api/change.rs
+++ b/crates/gateway/src/cluster/admin_api/change.rs
@@ -6,8 +6,8 @@
 use hollowpaddle_revision::document::Document;
 use hollowpaddle_revision::entry::{CommandId, Entry, ProposalOptions};
 use hollowpaddle_revision::fallback_policy::FallbackPolicy;
-use hollowpaddle_revision::fleet::Facts;
-use hollowpaddle_revision::policy_state::{PolicyState, Refusal};
+use hollowpaddle_revision::fleet::FleetFacts;
+use hollowpaddle_revision::policy_state::{PolicyState, Rejection};
 use serde_json::json;
 
 use super::fallback::{check_mandatory_fallback, is_in_fallback_floor};
@@ -17,7 +17,7 @@
 /// What a change is made of and checked against.
 struct Context<'a> {
     id: CommandId,
-    facts: &'a Facts,
+    facts: &'a FleetFacts,
     machine: &'a Machine,
     policy: &'a PolicyState,
 }
@@ -28,7 +28,7 @@
         &self,
         ticket: u64,
         fresh_id: CommandId,
-        facts: &Facts,
+        facts: &FleetFacts,
         machine: &Machine,
     ) -> Result<Event<'static>, AdminResponse> {
         let id = self.id.unwrap_or(fresh_id);
@@ -78,7 +78,7 @@
         let names = retained.map(|r| named_upstreams(&r.document)).unwrap_or_default();
         let options = context.proposal_options(options, &names);
         if self.is_dry_run {
-            return Err(dry_run_answer(context.policy.dry_rollback(to, &options.facts)));
+            return Err(dry_run_answer(context.policy.dry_run_rollback(to, &options.facts)));
         }
         Ok(Entry::Rollback(options, to))
     }
@@ -107,7 +107,7 @@
         }
         let status = self.policy.status();
         // One change of the fallback policy at a time: each retry that proposed one in vain would fill the log.
-        let is_under_way = status.awaited || status.unconfirmed;
+        let is_under_way = status.awaits_fallback_confirmation || status.unconfirmed;
         if is_under_way || status.fallback_policy.except.contains(name) {
             return Err(AdminResponse::awaits_fallback(&self.machine.leases().seen().behind));
         }
@@ -157,7 +157,7 @@
     document.out.upstreams.iter().chain(weights).cloned().collect()
 }
 
-fn dry_run_answer(result: Result<Difference, Refusal>) -> AdminResponse {
+fn dry_run_answer(result: Result<Difference, Rejection>) -> AdminResponse {
     match result {
         Ok(difference) => {
             let changes = serde_json::to_value(&difference).unwrap_or_default();
--- a/crates/gateway/src/cluster/admin_api/fallback.rs
+++ b/crates/gateway/src/cluster/admin_api/fallback.rs
@@ -4,7 +4,7 @@
 use std::collections::{BTreeMap, BTreeSet};
 
 use hollowpaddle_revision::fallback_policy::FallbackPolicy;
-use hollowpaddle_revision::fleet::Facts;
+use hollowpaddle_revision::fleet::FleetFacts;
 use hollowpaddle_revision::policy_state::PolicyState;
 use hollowpaddle_revision::rules::Place;
 
@@ -25,7 +25,7 @@
 /// Checks that a fallback policy includes the mandatory fallback, which a process without any state keeps sending to.
 pub(super) fn check_mandatory_fallback(
     fallback_policy: &FallbackPolicy,
-    facts: &Facts,
+    facts: &FleetFacts,
 ) -> Result<(), AdminResponse> {
     let mut cells = BTreeMap::<String, BTreeSet<u32>>::new();
     for group in &facts.groups {
@@ -46,7 +46,7 @@
 }
 
 /// Whether the fallback floor in force allows sending to an upstream, so that no revision can take it out.
-pub(super) fn is_in_fallback_floor(policy: &PolicyState, facts: &Facts, name: &str) -> bool {
+pub(super) fn is_in_fallback_floor(policy: &PolicyState, facts: &FleetFacts, name: &str) -> bool {
     let Some((cell, machine_type)) = facts.named.get(name) else { return false };
     let machine_type = facts.machine_types.get(usize::from(*machine_type)).map_or("", |t| t);
     policy.status().rules.floor().allows(&Place { name, cell: *cell, machine_type, zone: "" })
--- a/crates/gateway/src/cluster/admin_api/fleet_facts.rs
+++ b/crates/gateway/src/cluster/admin_api/fleet_facts.rs
@@ -2,7 +2,7 @@
 
 use std::collections::BTreeMap;
 
-use hollowpaddle_revision::fleet::{ClassFacts, Facts, Group, MOST_GROUPS};
+use hollowpaddle_revision::fleet::{ClassFacts, FleetFacts, Group, MAX_GROUPS};
 
 use crate::members::{Entry as Member, Phase};
 
@@ -19,9 +19,9 @@
 }
 
 /// The facts on the upstreams that serve, by `members` of the endpoint list, and on the classes of the settings. Groups
-/// beyond [`MOST_GROUPS`] are left out.
-pub fn facts(members: &[Member], classes: &[ClassFacts]) -> Facts {
-    let mut facts = Facts { classes: classes.to_vec(), ..Facts::default() };
+/// beyond [`MAX_GROUPS`] are left out.
+pub fn facts(members: &[Member], classes: &[ClassFacts]) -> FleetFacts {
+    let mut facts = FleetFacts { classes: classes.to_vec(), ..FleetFacts::default() };
     let mut groups = BTreeMap::<(u32, u8, u8), GroupTotals>::new();
     for member in members.iter().filter(|m| m.phase == Phase::Serving) {
         let zone = index_of(&mut facts.zones, &member.zone);
@@ -33,7 +33,7 @@
         facts.named.insert(member.id.to_string(), (member.cell, machine_type));
     }
     facts.load = vec![0; facts.zones.len()];
-    for ((cell, zone, machine_type), totals) in groups.into_iter().take(MOST_GROUPS) {
+    for ((cell, zone, machine_type), totals) in groups.into_iter().take(MAX_GROUPS) {
         let GroupTotals { upstreams, capacity } = totals;
         facts.groups.push(Group { cell, zone, machine_type, upstreams, capacity });
     }
--- a/crates/gateway/src/cluster/admin_api/response.rs
+++ b/crates/gateway/src/cluster/admin_api/response.rs
@@ -4,7 +4,7 @@
 
 use hollowpaddle_peer_transport::NodeId;
 use hollowpaddle_revision::entry::CommandId;
-use hollowpaddle_revision::policy_state::Refusal;
+use hollowpaddle_revision::policy_state::Rejection;
 use serde_json::{Value, json};
 
 use super::{AdminRequest, AdminRequestError};
@@ -53,9 +53,9 @@
     }
 
     /// The policy rejects the change.
-    pub(super) fn refused(why: &Refusal) -> Self {
-        let is_changing = matches!(why, Refusal::Changing { .. });
-        let again = is_changing || matches!(why, Refusal::Lost { .. });
+    pub(super) fn refused(why: &Rejection) -> Self {
+        let is_changing = matches!(why, Rejection::Changing { .. });
+        let again = is_changing || matches!(why, Rejection::Lost { .. });
         let status = if is_changing { 202 } else { 409 };
         Self { status, again, ..Self::ok(json!({"ok": false, "error": why.to_string()})) }
     }
--- a/crates/gateway/src/cluster/admin_api/tests.rs
+++ b/crates/gateway/src/cluster/admin_api/tests.rs
@@ -1,7 +1,6 @@
 //! Names of states in answers of the admin API.
 
 use hollowpaddle_consensus::ReplicaStatus;
-
 use hollowpaddle_revision::policy_state::PolicyState;
 use serde_json::Value;
 
@@ -20,7 +19,7 @@
 
 #[test]
 fn names_each_origin_and_state_of_a_revision() {
-    let policy = PolicyState::from_image(IMAGE).expect("an image");
+    let policy = PolicyState::from_snapshot(IMAGE).expect("an image");
     let expected: Value = serde_json::from_str(REVISIONS).expect("JSON");
     assert_eq!(revisions(&policy), expected);
 }
@@ -28,12 +27,12 @@
 #[test]
 fn names_each_status_of_a_voter() {
     let names = [
-        (ReplicaStatus::Outside, "outside"),
-        (ReplicaStatus::Blank, "blank"),
-        (ReplicaStatus::Waking, "waking"),
-        (ReplicaStatus::Changing, "changing"),
+        (ReplicaStatus::NonVoter, "outside"),
+        (ReplicaStatus::WithoutState, "blank"),
+        (ReplicaStatus::Recovering, "waking"),
+        (ReplicaStatus::ViewChange, "changing"),
         (ReplicaStatus::Normal, "normal"),
-        (ReplicaStatus::Mute, "mute"),
+        (ReplicaStatus::DiskFailed, "mute"),
     ];
     for (status, name) in names {
         // As `views::cluster` writes it.
--- a/crates/gateway/src/cluster/admin_api/views.rs
+++ b/crates/gateway/src/cluster/admin_api/views.rs
@@ -21,7 +21,7 @@
         "ok": true,
         "member": machine.node_id().0,
         "revision": status.revision,
-        "towards": status.towards,
+        "towards": status.target_revision,
         "newest": machine.policy().newest(),
         "stage": status.generation,
         "unconfirmed": status.unconfirmed,
@@ -29,7 +29,7 @@
         "charter_confirmed": seen.fallback_policy.len(),
         "charter": {
             "pods": status.fallback_policy.cells, "except": status.fallback_policy.except,
-            "attempts": status.fallback_policy.attempts, "awaited": status.awaited,
+            "attempts": status.fallback_policy.attempts, "awaited": status.awaits_fallback_confirmation,
         },
         "past_lease": {"pods": seen.past.cells, "except": seen.past.except, "attempts": seen.past.attempts},
         "lease": {
--- a/crates/gateway/src/cluster/machine.rs
+++ b/crates/gateway/src/cluster/machine.rs
@@ -18,7 +18,7 @@
     DurableState, Learner, LearnerAction, LearnerConfig, LearnerEvent, Replica, ReplicaConfig,
 };
 use hollowpaddle_peer_transport as peers;
-use hollowpaddle_peer_transport::{NodeId, Wire};
+use hollowpaddle_peer_transport::{NodeId, Transport};
 use hollowpaddle_revision::in_force::InForce;
 use hollowpaddle_revision::leases::{self, LeaseConfig, Leases};
 use hollowpaddle_revision::lists::{self, Lists};
@@ -30,10 +30,6 @@
 pub use interface::{Action, Event, Setup, SetupError, StoppedUpstreams};
 pub use pending_calls::ProposalResult;
 
-// The name under which the tests of the membership import it.
-#[doc(hidden)]
-pub use interface::StoppedUpstreams as Stops;
-
 /// Learners that must have an entry before it is acknowledged, where no durable log keeps it.
 const COPIES_WITHOUT_LOG: u8 = 2;
 
@@ -41,7 +37,7 @@
 pub struct Machine {
     setup: Setup,
     now: Duration,
-    wire: Wire,
+    wire: Transport,
     replica: Replica,
     learner: Learner,
     policy: PolicyState,
@@ -66,7 +62,7 @@
 
 /// An output of one component.
 enum ComponentAction {
-    Wire(peers::Action),
+    Transport(peers::Action),
     Replica(consensus::Action),
     Learner(LearnerAction),
     Leases(leases::Action),
@@ -147,7 +143,7 @@
     }
 
     /// The transport to other balancers.
-    pub fn wire(&self) -> &Wire {
+    pub fn wire(&self) -> &Transport {
         &self.wire
     }
 
@@ -172,7 +168,7 @@
             Event::Datagram { from: Some(from), bytes } => {
                 self.step_wire(peers::Event::Received { from, bytes });
             }
-            Event::Datagram { from: None, .. } => self.step_wire(peers::Event::Stranger),
+            Event::Datagram { from: None, .. } => self.step_wire(peers::Event::ReceivedFromUnknown),
             Event::Due => self.timers.disarm(),
             Event::Persisted(through) => self.step_replica(consensus::Event::Persisted { through }),
             Event::DiskFailed(cause) => self.step_replica(consensus::Event::DiskFailed { cause }),
@@ -185,9 +181,13 @@
             Event::EndpointList { version, whole, entries } => {
                 self.step_lists(lists::Event::Own { version, whole, entries });
             }
-            Event::CountsAnew => self.step_lists(lists::Event::CountsAnew),
-            Event::Replace { ticket, out, then } => self.replace_voter(ticket, out, then, actions),
-            Event::Restore { ticket, members } => self.force_new_epoch(ticket, members, actions),
+            Event::VersionsReset => self.step_lists(lists::Event::VersionsReset),
+            Event::ReplaceVoter { ticket, removed, replacement } => {
+                self.replace_voter(ticket, removed, replacement, actions);
+            }
+            Event::ForceNewEpoch { ticket, voters } => {
+                self.force_new_epoch(ticket, voters, actions)
+            }
         }
     }
 
@@ -203,8 +203,8 @@
         self.step_replica(consensus::Event::OperatorCommand(command));
     }
 
-    fn force_new_epoch(&mut self, ticket: u64, members: Vec<NodeId>, actions: &mut Vec<Action>) {
-        let command = consensus::OperatorCommand::ForceNewEpoch { members };
+    fn force_new_epoch(&mut self, ticket: u64, voters: Vec<NodeId>, actions: &mut Vec<Action>) {
+        let command = consensus::OperatorCommand::ForceNewEpoch { members: voters };
         self.step_replica(consensus::Event::OperatorCommand(command));
         let answer = ProposalResult::Stands(self.applied_index);
         actions.push(Action::ProposalResult { ticket, answer });
@@ -213,7 +213,7 @@
     fn step_wire(&mut self, event: peers::Event<'_>) {
         let mut actions = Vec::new();
         self.wire.handle(self.now, event, &mut actions);
-        self.queue.extend(actions.into_iter().map(ComponentAction::Wire));
+        self.queue.extend(actions.into_iter().map(ComponentAction::Transport));
     }
 
     fn step_replica(&mut self, event: consensus::Event) {
@@ -246,8 +246,8 @@
     }
 }
 
-fn new_wire(setup: &Setup) -> Result<Wire, peers::ConfigError> {
-    Wire::new(peers::Config {
+fn new_wire(setup: &Setup) -> Result<Transport, peers::ConfigError> {
+    Transport::new(peers::Config {
         node_id: setup.node_id,
         members: setup.cluster,
         incarnation: setup.incarnation,
--- a/crates/gateway/src/cluster/machine/interface.rs
+++ b/crates/gateway/src/cluster/machine/interface.rs
@@ -49,7 +49,7 @@
 pub enum SetupError {
     /// The transport can't be configured so.
     #[error(transparent)]
-    Wire(#[from] peers::ConfigError),
+    Transport(#[from] peers::ConfigError),
     /// The policy log can't begin so.
     #[error(transparent)]
     PolicyState(#[from] BootstrapError),
@@ -101,22 +101,22 @@
         entries: Vec<(String, Phase)>,
     },
     /// This balancer's discovery counts the versions of its list from the beginning.
-    CountsAnew,
+    VersionsReset,
     /// A voter is to be replaced or removed.
-    Replace {
+    ReplaceVoter {
         /// Names the call.
         ticket: u64,
         /// The voter that is removed.
-        out: NodeId,
+        removed: NodeId,
         /// The balancer that replaces it, if any.
-        then: Option<NodeId>,
+        replacement: Option<NodeId>,
     },
     /// This balancer is to force a new epoch with these voters.
-    Restore {
+    ForceNewEpoch {
         /// Names the call.
         ticket: u64,
         /// The voters.
-        members: Vec<NodeId>,
+        voters: Vec<NodeId>,
     },
 }
 
--- a/crates/gateway/src/cluster/machine/pending_calls.rs
+++ b/crates/gateway/src/cluster/machine/pending_calls.rs
@@ -2,7 +2,7 @@
 
 use hollowpaddle_consensus::{self as consensus, LearnerEvent};
 use hollowpaddle_revision::entry::{CommandId, Entry};
-use hollowpaddle_revision::policy_state::Refusal;
+use hollowpaddle_revision::policy_state::Rejection;
 
 use super::{Action, Machine};
 
@@ -13,7 +13,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposalResult {
     /// The command is committed, and the policy answers it: the number of its revision or entry, or why it is rejected.
-    Answered(Result<u64, Refusal>),
+    Answered(Result<u64, Rejection>),
     /// The entry is committed at this place of the log; the policy has no answer of its own to it.
     Stands(consensus::LogIndex),
     /// The entry is not in the log, and never will be.
--- a/crates/gateway/src/cluster/machine/routing.rs
+++ b/crates/gateway/src/cluster/machine/routing.rs
@@ -3,7 +3,7 @@
 use hollowpaddle_consensus::{
     self as consensus, Entry, EntryPayload, LearnerAction, LearnerEvent, MessageBody,
 };
-use hollowpaddle_peer_transport::{self as peers, Channel, How, Incarnation, NodeId};
+use hollowpaddle_peer_transport::{self as peers, Channel, DeliveryMode, Incarnation, NodeId};
 use hollowpaddle_revision::lists::ListMessage;
 use hollowpaddle_revision::message::Message as LeaseMessage;
 use hollowpaddle_revision::policy_state::PolicyState;
@@ -14,7 +14,7 @@
 impl Machine {
     pub(super) fn route(&mut self, action: ComponentAction, actions: &mut Vec<Action>) {
         match action {
-            ComponentAction::Wire(action) => self.on_wire_action(action, actions),
+            ComponentAction::Transport(action) => self.on_wire_action(action, actions),
             ComponentAction::Replica(action) => self.on_replica_action(action, actions),
             ComponentAction::Learner(action) => self.on_learner_action(action, actions),
             ComponentAction::Leases(action) => self.on_lease_action(action, actions),
@@ -26,7 +26,7 @@
         match action {
             peers::Action::Transmit { to, bytes } => actions.push(Action::Transmit { to, bytes }),
             peers::Action::WakeAt(at) => self.timers.wire_due = Some(at),
-            peers::Action::Reborn { .. } => {}
+            peers::Action::PeerRestarted { .. } => {}
             peers::Action::Deliver { from, incarnation, channel, message } => {
                 self.deliver(from, incarnation, channel, &message);
             }
@@ -74,10 +74,10 @@
             }
             return;
         }
-        let how = delivery_mode(&message.body);
+        let mode = delivery_mode(&message.body);
         // Neither makes a message that can't be encoded.
         if let Ok(message) = message.encode() {
-            self.step_wire(peers::Event::Send { to, channel, message, how });
+            self.step_wire(peers::Event::Send { to, channel, message, mode });
         }
     }
 
@@ -121,8 +121,8 @@
             LearnerAction::Committed { index, entry } => self.apply(index, &entry, actions),
             LearnerAction::Reset { index, state } => self.reset_state(index, &state, actions),
             LearnerAction::Source(source) => self.step_leases(leases::Event::Parent(source)),
-            LearnerAction::Copied { by, index } => {
-                self.step_replica(consensus::Event::Copied { by, index });
+            LearnerAction::LearnerAdvanced { by, index } => {
+                self.step_replica(consensus::Event::LearnerAdvanced { by, index });
             }
             LearnerAction::Answered { id, outcome } => self.on_outcome(id, outcome, actions),
             LearnerAction::SnapshotWanted => {
@@ -171,7 +171,7 @@
         if state.is_empty() {
             return Ok(PolicyState::found(self.setup.bootstrap.clone())?);
         }
-        Ok(PolicyState::from_image(state)?)
+        Ok(PolicyState::from_snapshot(state)?)
     }
 
     /// The policy state as bytes, and the last entry that it includes.
@@ -187,7 +187,7 @@
 
     fn on_list_action(&mut self, action: lists::Action, actions: &mut Vec<Action>) {
         match action {
-            lists::Action::Tell(message) => self.send_to_neighbours(&message.to_bytes()),
+            lists::Action::Broadcast(message) => self.send_to_neighbours(&message.to_bytes()),
             lists::Action::Changed => self.update_stops(actions),
             lists::Action::Poll { .. } => actions.push(Action::RefreshList),
             lists::Action::WakeAt(at) => self.timers.lists_due = Some(at),
@@ -199,14 +199,14 @@
         let parent = self.learner.source();
         let neighbours: Vec<NodeId> = parent.into_iter().chain(self.learner.children()).collect();
         for to in neighbours {
-            let (channel, how, message) = (Channel::Lists, How::Usual, message.to_vec());
-            self.step_wire(peers::Event::Send { to, channel, message, how });
+            let (channel, mode, message) = (Channel::Lists, DeliveryMode::Normal, message.to_vec());
+            self.step_wire(peers::Event::Send { to, channel, message, mode });
         }
     }
 
     fn update_stops(&mut self, actions: &mut Vec<Action>) {
         let names = self.lists.stopped().map(str::to_string).collect();
-        let stops = StoppedUpstreams { names, old: self.lists.is_old() };
+        let stops = StoppedUpstreams { names, old: self.lists.is_stale() };
         if stops != self.stops {
             self.stops = stops.clone();
             actions.push(Action::Stop(stops));
@@ -216,8 +216,9 @@
     fn on_lease_action(&mut self, action: leases::Action, actions: &mut Vec<Action>) {
         match action {
             leases::Action::Send { to, message } => {
-                let (channel, message, how) = (Channel::Leases, message.to_bytes(), How::Urgent);
-                self.step_wire(peers::Event::Send { to, channel, message, how });
+                let (channel, message, mode) =
+                    (Channel::Leases, message.to_bytes(), DeliveryMode::Urgent);
+                self.step_wire(peers::Event::Send { to, channel, message, mode });
             }
             leases::Action::Publish(in_force) => actions.push(Action::Publish(in_force)),
             leases::Action::PersistFallbackPolicy { fallback_generation, fallback_policy } => {
@@ -258,10 +259,12 @@
 }
 
 /// How a message of the replica or the learner is sent: large parts yield to everything else.
-fn delivery_mode(body: &MessageBody) -> How {
+fn delivery_mode(body: &MessageBody) -> DeliveryMode {
     match body {
-        MessageBody::Part(_) | MessageBody::News { part: Some(_), .. } => How::Bulk,
-        MessageBody::Prepare { .. } | MessageBody::Propose { .. } => How::Usual,
-        _ => How::Urgent,
+        MessageBody::LogPart(_) | MessageBody::LearnerUpdate { part: Some(_), .. } => {
+            DeliveryMode::Bulk
+        }
+        MessageBody::Prepare { .. } | MessageBody::Propose { .. } => DeliveryMode::Normal,
+        _ => DeliveryMode::Urgent,
     }
 }
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -22,19 +22,13 @@
 pub use published::{PolicySnapshot, PublishedPolicy};
 pub use runtime::{AdminCall, Runtime};
 
-// The names under which the engine and the membership import these types.
-#[doc(hidden)]
-pub use self::{
-    ClusterEvent as News, EndpointListEvent as Listed, published::PolicySnapshot as Held,
-};
-
 /// The cluster as the engine knows it: that there is a policy, not where it comes from.
 pub trait PolicyReader {
     /// The policy that applies now. Read it before each send.
-    fn held(&self) -> PolicySnapshot;
+    fn current_policy(&self) -> PolicySnapshot;
 
     /// Reports what discovery delivered to this balancer.
-    fn heard(&self, list: EndpointListEvent);
+    fn report_endpoint_list(&self, list: EndpointListEvent);
 }
 
 /// What discovery delivered, as reported to the cluster.
@@ -50,7 +44,7 @@
         entries: Vec<(String, Phase)>,
     },
     /// Versions begin again: another discovery server counts them from here on.
-    CountsAnew,
+    VersionsReset,
 }
 
 /// What the cluster reports to the engine.
@@ -67,7 +61,7 @@
     /// Reads the policy, and reports endpoint lists.
     pub reader: Reader,
     /// Events for the engine.
-    pub news: mpsc::UnboundedReceiver<ClusterEvent>,
+    pub events: mpsc::UnboundedReceiver<ClusterEvent>,
     /// Takes admin calls.
     pub calls: mpsc::UnboundedSender<AdminCall>,
 }
@@ -82,11 +76,11 @@
 }
 
 impl PolicyReader for Reader {
-    fn held(&self) -> PolicySnapshot {
+    fn current_policy(&self) -> PolicySnapshot {
         self.published.at(self.epoch.elapsed())
     }
 
-    fn heard(&self, list: EndpointListEvent) {
+    fn report_endpoint_list(&self, list: EndpointListEvent) {
         // Without a runtime nobody acts on lists any more.
         let _ = self.lists.send(list);
     }
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -33,12 +33,12 @@
 use tokio::sync::mpsc;
 use tokio::time::{Instant, sleep_until};
 
-use crate::cluster::{News as ClusterEvent, PolicyReader};
+use crate::cluster::{ClusterEvent, PolicyReader};
 use crate::config::Config;
 use crate::restored_list::RestoredList;
 use crate::upstreams::Pool;
 pub use event::{Arrival, EngineEvent, Reply};
-pub use handle::AdminHandle as Door;
+pub use handle::AdminHandle;
 pub use handle::EngineHandle;
 use state::EngineState;
 
--- a/crates/gateway/src/engine/endpoint_list.rs
+++ b/crates/gateway/src/engine/endpoint_list.rs
@@ -11,7 +11,7 @@
 use super::event::EngineEvent;
 use super::state::EngineState;
 use super::timers::Timer;
-use crate::cluster::Listed;
+use crate::cluster::EndpointListEvent;
 use crate::members::{List, Phase};
 use crate::restored_list::RestoredList;
 use crate::start_times::Delivery;
@@ -133,7 +133,7 @@
     fn share_list_with_cluster(&self, list: &List, kind: ListKind) {
         let Some(cluster) = &self.cluster else { return };
         let entries = list.members.iter().map(|m| (m.id.to_string(), shared_phase(m.phase)));
-        cluster.heard(Listed::List {
+        cluster.report_endpoint_list(EndpointListEvent::List {
             version: list.revision,
             whole: kind == ListKind::Complete,
             entries: entries.collect(),
@@ -145,7 +145,7 @@
 fn shared_phase(phase: Phase) -> lists::Phase {
     match phase {
         Phase::Serving => lists::Phase::Serving,
-        Phase::Draining | Phase::Unknown => lists::Phase::Drains,
+        Phase::Draining | Phase::Unknown => lists::Phase::Draining,
         Phase::Deleted => lists::Phase::Ended,
     }
 }
--- a/crates/gateway/src/engine/event.rs
+++ b/crates/gateway/src/engine/event.rs
@@ -12,7 +12,7 @@
 
 use crate::attempt::AttemptResult;
 use crate::cancellation::Cancellation;
-use crate::cluster::News as ClusterEvent;
+use crate::cluster::ClusterEvent;
 use crate::discovery::WatchEvent;
 use crate::forwarded_request::ForwardedRequest;
 use crate::membership::Part;
--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -13,7 +13,7 @@
 use super::event::{Arrival, EngineEvent, Reply};
 use super::state::EngineState;
 use crate::cancellation::Cancellation;
-use crate::cluster::News as ClusterEvent;
+use crate::cluster::ClusterEvent;
 use crate::forwarded_request::ForwardedRequest;
 use crate::freshness::Expiry;
 use crate::invariants::Violations;
@@ -107,7 +107,7 @@
     }
 
     /// The engine as the admin API reaches it.
-    pub fn door(&self) -> AdminHandle {
+    pub fn admin_handle(&self) -> AdminHandle {
         self.admin.clone()
     }
 
@@ -122,13 +122,13 @@
     }
 
     /// Notifies the engine of changes in the cluster of balancers.
-    pub fn banker(&self) -> impl Fn(ClusterEvent) + use<> {
+    pub fn cluster_notifier(&self) -> impl Fn(ClusterEvent) + use<> {
         let events = self.admin.events.clone();
         move |event| drop(events.send(EngineEvent::Cluster(event)))
     }
 
     /// Notifies the engine of discovery's address.
-    pub fn reloader(&self) -> impl Fn(SocketAddr) + use<> {
+    pub fn discovery_updater(&self) -> impl Fn(SocketAddr) + use<> {
         let events = self.admin.events.clone();
         move |discovery| drop(events.send(EngineEvent::DiscoveryMoved(discovery)))
     }
--- a/crates/gateway/src/engine/list_watch.rs
+++ b/crates/gateway/src/engine/list_watch.rs
@@ -12,7 +12,7 @@
 use super::event::EngineEvent;
 use super::state::EngineState;
 use super::timers::Timer;
-use crate::cluster::Listed;
+use crate::cluster::EndpointListEvent;
 use crate::discovery::{self, CallTimeout, WatchEnd, WatchEvent};
 use crate::freshness::Freshness;
 use crate::members::List;
@@ -166,7 +166,7 @@
             watches.first_comparable_serial = serial;
             self.upstreams.restart_versions();
             if let Some(cluster) = &self.cluster {
-                cluster.heard(Listed::CountsAnew);
+                cluster.report_endpoint_list(EndpointListEvent::VersionsReset);
             }
         }
         self.list_watch.active = Some(watch);
--- a/crates/gateway/src/engine/policy_updates.rs
+++ b/crates/gateway/src/engine/policy_updates.rs
@@ -12,7 +12,7 @@
     /// Called before every event that could lead to a send, since a lease may have ended while the process did not run.
     pub(super) fn apply_policy_in_force(&mut self) {
         let Some(cluster) = &self.cluster else { return };
-        let policy = cluster.held();
+        let policy = cluster.current_policy();
         if self.applied_policy.as_ref().is_some_and(|applied| applied.is(&policy)) {
             return;
         }
@@ -37,7 +37,7 @@
         let route = self.upstreams.route(server, class);
         let applied = self.applied_policy.clone();
         Some(Box::new(move || {
-            let policy = cluster.held();
+            let policy = cluster.current_policy();
             let is_unchanged = applied.as_ref().is_some_and(|applied| applied.is(&policy));
             is_unchanged || route.as_ref().is_some_and(|route| route.is_permitted(&policy))
         }))
--- a/crates/gateway/src/engine/state.rs
+++ b/crates/gateway/src/engine/state.rs
@@ -20,7 +20,7 @@
 use super::list_watch::ListWatch;
 use super::requests::ActiveRequest;
 use super::timers::{Timer, Timers};
-use crate::cluster::{Held as PolicySnapshot, PolicyReader};
+use crate::cluster::{PolicyReader, PolicySnapshot};
 use crate::config::Config;
 use crate::freshness::Freshness;
 use crate::invariants::{Invariant, Violations};
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -18,7 +18,7 @@
 use tokio::time::Instant;
 
 use crate::attempt::UpstreamTarget;
-use crate::cluster::Held as PolicySnapshot;
+use crate::cluster::PolicySnapshot;
 use crate::config::Config;
 use crate::location::Location;
 use crate::members::{Entry, Phase};
--- a/crates/gateway/src/membership/overlay.rs
+++ b/crates/gateway/src/membership/overlay.rs
@@ -6,7 +6,7 @@
 use hollowpaddle_policy::interface::{Member, Status};
 use hollowpaddle_revision::rules::Place;
 
-use crate::cluster::Held as PolicySnapshot;
+use crate::cluster::PolicySnapshot;
 
 /// Classes that [`Member::barred_classes`] has bits for.
 const BARRED_BITS: usize = 64;
--- a/crates/gateway/src/membership/tests.rs
+++ b/crates/gateway/src/membership/tests.rs
@@ -6,7 +6,7 @@
 use crate::members::List;
 
 use super::departed::MAX_REMEMBERED;
-use crate::cluster::machine::Stops;
+use crate::cluster::machine::StoppedUpstreams;
 use hollowpaddle_revision::fallback_policy::{FallbackFloor, FallbackPolicy};
 use hollowpaddle_revision::rules::Rules;
 use serde_json::json;
@@ -168,10 +168,13 @@
         cells: fallback_policy.iter().copied().collect(),
         ..FallbackPolicy::default()
     };
-    snapshot(Rules::of(said, Arc::new(FallbackFloor::of(fallback_policy))), Stops::default())
+    snapshot(
+        Rules::of(said, Arc::new(FallbackFloor::of(fallback_policy))),
+        StoppedUpstreams::default(),
+    )
 }
 
-fn snapshot(rules: Rules, stops: Stops) -> PolicySnapshot {
+fn snapshot(rules: Rules, stops: StoppedUpstreams) -> PolicySnapshot {
     PolicySnapshot { rules: Arc::new(rules), stops: Arc::new(stops) }
 }
 
@@ -220,7 +223,7 @@
     let open = |of: &mut Membership, fallback_policy: &[u32], names: &[&str], old| {
         let names = names.iter().map(|n| n.to_string()).collect();
         let rules = Rules::clone(&rules(json!({}), fallback_policy).rules);
-        of.apply_policy(snapshot(rules, Stops { names, old }), Instant::now());
+        of.apply_policy(snapshot(rules, StoppedUpstreams { names, old }), Instant::now());
         let open = |id: &ServerId| of.records[id].target.closed_from.get().is_none();
         let mut open: Vec<&str> =
             of.handles.iter().filter(|(_, id)| open(id)).map(|(n, _)| &**n).collect();
@@ -240,22 +243,25 @@
     of.update(&in_cells(1, &[("a", 1), ("b", 2)]), ListKind::Complete, Instant::now());
     let fallback_policy = FallbackPolicy { cells: [2].into(), ..FallbackPolicy::default() };
     let told = of.apply_policy(
-        snapshot(Rules::of_fallback_policy(&fallback_policy), Stops::default()),
+        snapshot(Rules::from_fallback_policy(&fallback_policy), StoppedUpstreams::default()),
         Instant::now(),
     );
     assert_eq!(told.len(), 1);
     assert_eq!((told[0].id, told[0].status), (ServerId(0), Status::Draining));
     let route = of.route(ServerId(1), 0).expect("known");
+    assert!(route.is_permitted(&snapshot(
+        Rules::from_fallback_policy(&fallback_policy),
+        StoppedUpstreams::default()
+    )));
+    let stops = StoppedUpstreams { names: ["b".to_string()].into(), old: false };
     assert!(
-        route
-            .is_permitted(&snapshot(Rules::of_fallback_policy(&fallback_policy), Stops::default()))
-    );
-    let stops = Stops { names: ["b".to_string()].into(), old: false };
-    assert!(
-        !route.is_permitted(&snapshot(Rules::of_fallback_policy(&fallback_policy), stops)),
+        !route.is_permitted(&snapshot(Rules::from_fallback_policy(&fallback_policy), stops)),
         "a peer says that it drains"
     );
-    let nowhere = snapshot(Rules::of_fallback_policy(&FallbackPolicy::default()), Stops::default());
+    let nowhere = snapshot(
+        Rules::from_fallback_policy(&FallbackPolicy::default()),
+        StoppedUpstreams::default(),
+    );
     assert!(!route.is_permitted(&nowhere));
 }
 
--- a/crates/gateway/src/state_store.rs
+++ b/crates/gateway/src/state_store.rs
@@ -17,7 +17,7 @@
 use serde::Serialize;
 use tokio::time::{Instant, sleep};
 
-use crate::engine::Door;
+use crate::engine::AdminHandle;
 use crate::members::List;
 use payload::Payload;
 
@@ -84,7 +84,7 @@
 /// Saves the state of this process for as long as it serves.
 pub struct StateStore {
     saver: Box<dyn StateSaver>,
-    engine: Door,
+    engine: AdminHandle,
     /// Unix time at the start.
     started_unix: Duration,
     started_at: Instant,
@@ -98,7 +98,7 @@
 
 impl StateStore {
     /// Restores what was found into the engine, and saves that this process has started.
-    pub fn start(restored: Restored, engine: Door) -> Rc<Self> {
+    pub fn start(restored: Restored, engine: AdminHandle) -> Rc<Self> {
         let Restored { saver, now, mut payload, mode, list_age_s, set_aside } = restored;
         let learned_age = now.saturating_sub(Duration::from_millis(payload.learned_ms));
         let learned = payload.take_trusted_estimates(learned_age);
--- a/crates/model-checks/src/agreement.rs
+++ b/crates/model-checks/src/agreement.rs
@@ -114,7 +114,7 @@
         MessageBody::StartViewChange { .. } => 3,
         MessageBody::DoViewChange { .. } => 4,
         MessageBody::GetState { .. } => 5,
-        MessageBody::Part(_) => 6,
+        MessageBody::LogPart(_) => 6,
         MessageBody::StatusRequest { .. } => 7,
         MessageBody::StatusResponse { .. } => 8,
         MessageBody::Recovery { .. } => 9,
@@ -264,7 +264,10 @@
 
     fn blank(&self, at: u16) -> bool {
         let status = self.seats[usize::from(at)].replica.advertised_status();
-        matches!(status, ReplicaStatus::Blank | ReplicaStatus::Waking | ReplicaStatus::Mute)
+        matches!(
+            status,
+            ReplicaStatus::WithoutState | ReplicaStatus::Recovering | ReplicaStatus::DiskFailed
+        )
     }
 
     /// All that is under way comes, in order, until nothing is.
--- a/crates/model-checks/src/change_limits.rs
+++ b/crates/model-checks/src/change_limits.rs
@@ -7,7 +7,7 @@
 
 use hollowpaddle_revision::document::Document;
 use hollowpaddle_revision::entry::{CommandId, Entry, ProposalOptions};
-use hollowpaddle_revision::fleet::{ClassFacts, Facts, Group};
+use hollowpaddle_revision::fleet::{ClassFacts, FleetFacts, Group};
 use serde::Serialize;
 
 use crate::figures::{in_force, settled};
@@ -68,7 +68,7 @@
 }
 
 /// The played fleet, made as large as this. It has [`PODS`] cells, or as many as there are groups.
-fn facts_of(fleet: FleetSize) -> Facts {
+fn facts_of(fleet: FleetSize) -> FleetFacts {
     let class = |number| ClassFacts {
         name: format!("service-{number}"),
         zones: Vec::new(),
@@ -81,7 +81,7 @@
         upstreams: GROUP_UPSTREAMS,
         capacity: GROUP_CAPACITY,
     };
-    Facts {
+    FleetFacts {
         classes: (0..fleet.classes).map(class).collect(),
         machine_types: (0..fleet.machine_types).map(|number| format!("m{number}")).collect(),
         groups: (1..=fleet.groups).map(group).collect(),
--- a/crates/model-checks/src/day.rs
+++ b/crates/model-checks/src/day.rs
@@ -369,7 +369,7 @@
                         "{:?}: revision {}, towards {:?}, at {}, unconfirmed {}, {:?} leads",
                         m.node_id(),
                         s.revision,
-                        s.towards,
+                        s.target_revision,
                         m.learner().at(),
                         s.unconfirmed,
                         m.leader()
--- a/crates/model-checks/src/history.rs
+++ b/crates/model-checks/src/history.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use hollowpaddle_gateway::cluster::machine::ProposalResult;
-use hollowpaddle_revision::policy_state::Refusal;
+use hollowpaddle_revision::policy_state::Rejection;
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester, SequentialSpec};
 
 /// What was done at a door.
@@ -42,7 +42,7 @@
     pub fn of(answer: &ProposalResult) -> Option<Self> {
         match answer {
             ProposalResult::Answered(Ok(number)) => Some(Self::Yes(*number)),
-            ProposalResult::Answered(Err(Refusal::Lost { newest, .. })) => {
+            ProposalResult::Answered(Err(Rejection::Lost { newest, .. })) => {
                 Some(Self::Lost(*newest))
             }
             ProposalResult::Answered(Err(_)) | ProposalResult::Never => Some(Self::Refused),
--- a/crates/model-checks/src/world.rs
+++ b/crates/model-checks/src/world.rs
@@ -12,7 +12,7 @@
 use hollowpaddle_revision::document::Document;
 use hollowpaddle_revision::entry::{CommandId, Entry, ProposalOptions};
 use hollowpaddle_revision::fallback_policy::FallbackPolicy;
-use hollowpaddle_revision::fleet::{ClassFacts, Facts, Group};
+use hollowpaddle_revision::fleet::{ClassFacts, FleetFacts, Group};
 use hollowpaddle_revision::in_force::InForce;
 use hollowpaddle_revision::message::Generation;
 use hollowpaddle_revision::policy_state::Bootstrap;
@@ -129,8 +129,12 @@
     }
     /// Whether its seat in the council, if it has one, knows what it has promised.
     pub fn knows(&self) -> bool {
-        let blank =
-            |s| matches!(s, ReplicaStatus::Blank | ReplicaStatus::Waking | ReplicaStatus::Mute);
+        let blank = |s| {
+            matches!(
+                s,
+                ReplicaStatus::WithoutState | ReplicaStatus::Recovering | ReplicaStatus::DiskFailed
+            )
+        };
         self.machine.as_ref().is_some_and(|m| !blank(m.replica().advertised_status()))
     }
 }
@@ -550,7 +554,7 @@
 }
 
 /// The played fleet: pods 1 to 3 at `bilbao`, 4 to 6 at `oviedo`, two classes, room for all in any of them.
-pub fn facts() -> Facts {
+pub fn facts() -> FleetFacts {
     let group = |cell| Group {
         cell,
         zone: u8::from(cell > 3),
@@ -559,7 +563,7 @@
         capacity: 1000,
     };
     let class = |name: &str| ClassFacts { name: name.into(), zones: vec![], machine_types: vec![] };
-    Facts {
+    FleetFacts {
         zones: vec!["bilbao".into(), "oviedo".into()],
         load: vec![10, 10],
         machine_types: vec!["f".into()],
--- a/crates/model-checks/tests/change_limits.rs
+++ b/crates/model-checks/tests/change_limits.rs
@@ -2,7 +2,7 @@
 
 use hollowpaddle_model_checks::change_limits::{FleetSize, Outcome, propose_with};
 use hollowpaddle_revision::document::MAX_LISTED_NAMES;
-use hollowpaddle_revision::fleet::MOST_GROUPS;
+use hollowpaddle_revision::fleet::MAX_GROUPS;
 
 const SMALL: FleetSize = FleetSize { classes: 2, machine_types: 1, groups: 6 };
 
@@ -18,7 +18,7 @@
 
 #[test]
 fn accepts_changes_up_to_the_bounds() {
-    let largest_groups = MOST_GROUPS as u32;
+    let largest_groups = MAX_GROUPS as u32;
     for fleet in [
         SMALL,
         FleetSize { classes: MAX_LISTED_NAMES, ..SMALL },
@@ -34,5 +34,5 @@
 fn refuses_changes_beyond_the_bounds_with_a_reason() {
     assert_refused(&propose(FleetSize { classes: MAX_LISTED_NAMES + 1, ..SMALL }));
     assert_refused(&propose(FleetSize { machine_types: MAX_LISTED_NAMES + 1, ..SMALL }));
-    assert_refused(&propose(FleetSize { groups: MOST_GROUPS as u32 + 1, ..SMALL }));
+    assert_refused(&propose(FleetSize { groups: MAX_GROUPS as u32 + 1, ..SMALL }));
 }
--- a/crates/model-checks/tests/checked.rs
+++ b/crates/model-checks/tests/checked.rs
@@ -19,7 +19,7 @@
 
 fn told<M: Model>(
     name: &str,
-    how: &str,
+    mode: &str,
     checker: &impl Checker<M>,
     began: Instant,
     wrong: fn(&M::State) -> Option<&str>,
@@ -28,7 +28,7 @@
     M::Action: Clone + std::fmt::Debug + PartialEq,
 {
     println!(
-        "{name}, {how}: {} states, {} of them different, depth {}, {:.1} s; whole: {}",
+        "{name}, {mode}: {} states, {} of them different, depth {}, {:.1} s; whole: {}",
         checker.state_count(),
         checker.unique_state_count(),
         checker.max_depth(),
--- a/crates/model-checks/tests/findings.rs
+++ b/crates/model-checks/tests/findings.rs
@@ -5,10 +5,10 @@
 
 use hollowpaddle_model_checks::world::{Plan, World, ms};
 use hollowpaddle_peer_transport::{
-    Action, Budget, Channel, Config, Event, How, Incarnation, NodeId, Wire,
+    Action, Budget, Channel, Config, DeliveryMode, Event, Incarnation, NodeId, Transport,
 };
 
-fn wire(node_id: u16, incarnation: u32) -> Wire {
+fn wire(node_id: u16, incarnation: u32) -> Transport {
     let config = Config {
         node_id: NodeId(node_id),
         members: 2,
@@ -16,7 +16,7 @@
         seed: 7,
         budget: Budget::default(),
     };
-    Wire::new(config).expect("a wire of two")
+    Transport::new(config).expect("a wire of two")
 }
 
 /// Two wires, a word every 25 ms each way. The second begins anew at 2 s; until 5 s the link carries nothing to the first.
@@ -44,7 +44,8 @@
             let mut actions = Vec::new();
             if says {
                 let (to, channel) = (NodeId(1 - at as u16), Channel::Consensus);
-                let event = Event::Send { to, channel, message: vec![1; 50], how: How::Urgent };
+                let event =
+                    Event::Send { to, channel, message: vec![1; 50], mode: DeliveryMode::Urgent };
                 wires[at].handle(clock, event, &mut actions);
             }
             for (_, bytes) in came.iter().filter(|c| c.0 == at) {
@@ -67,7 +68,7 @@
                     Action::WakeAt(when) => {
                         due[at] = Some(when + if at == 1 { born } else { ms(0) })
                     }
-                    Action::Reborn { .. } | Action::Deliver { .. } => {}
+                    Action::PeerRestarted { .. } | Action::Deliver { .. } => {}
                 }
             }
         }
--- a/crates/model-checks/tests/published.rs
+++ b/crates/model-checks/tests/published.rs
@@ -137,7 +137,7 @@
     use std::sync::atomic::{AtomicBool, Ordering};
     use std::time::Duration;
 
-    let fallback_policy = Arc::new(Rules::of_fallback_policy(&FallbackPolicy::default()));
+    let fallback_policy = Arc::new(Rules::from_fallback_policy(&FallbackPolicy::default()));
     let value = |index: u64| InForce {
         rules: Arc::new(Rules::of(
             Document { oldest_list: index, ..Document::default() },
--- a/crates/peer-transport/src/frame.rs
+++ b/crates/peer-transport/src/frame.rs
@@ -1,5 +1,5 @@
 //! The frame that one datagram holds, to and from bytes; which frames are accepted is left to
-//! [`crate::Wire`].
+//! [`crate::Transport`].
 //!
 //! ```text
 //! version 1 | crc32 4 | kind 1 | from incarnation 4 | to incarnation 4 | sequence 5 | body (postcard)
--- a/crates/peer-transport/src/handshake.rs
+++ b/crates/peer-transport/src/handshake.rs
@@ -3,7 +3,7 @@
 
 use crate::frame::{Body, Frame};
 use crate::peer::PendingMessage;
-use crate::{Action, How, Incarnation, NodeId, Wire};
+use crate::{Action, DeliveryMode, Incarnation, NodeId, Transport};
 
 /// The content of a received handshake.
 #[derive(Clone, Copy)]
@@ -13,7 +13,7 @@
     pub(crate) confirmed: bool,
 }
 
-impl Wire {
+impl Transport {
     /// Starts a handshake with a peer for which messages wait, and schedules the next one.
     pub(crate) fn start_handshake(&mut self, to: NodeId, actions: &mut Vec<Action>) {
         let incarnation = self.incarnation(to).unwrap_or(Incarnation(0));
@@ -36,7 +36,7 @@
     ) {
         let now = self.now;
         let Some(peer) = self.peers.get_mut(usize::from(to.0)) else { return };
-        let may_send = self.budget.ready_at(How::Urgent) <= now
+        let may_send = self.budget.ready_at(DeliveryMode::Urgent) <= now
             && peer.handshake_bucket.try_take(now)
             && self.handshake_bucket.try_take(now);
         if !may_send {
@@ -133,7 +133,7 @@
         dropped += self.retransmission.clear_peer(from);
         self.metrics.messages.previous_incarnation += dropped;
         self.metrics.received.incarnations += 1;
-        actions.push(Action::Reborn { from, incarnation });
+        actions.push(Action::PeerRestarted { from, incarnation });
     }
 
     /// A confirmed peer has shown that it has confirmed us: queues the messages that wait for it.
--- a/crates/peer-transport/src/interface.rs
+++ b/crates/peer-transport/src/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into the transport and what comes out of it; what it does with them is in [`crate::Wire`].
+//! What goes into the transport and what comes out of it; what it does with them is in [`crate::Transport`].
 
 use std::time::Duration;
 
@@ -8,25 +8,25 @@
 
 /// How urgent a message is: its priority, its share of the budget, and how long it may wait for it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub enum How {
+pub enum DeliveryMode {
     /// Sent before all others and with the last token. Dropped after 250 ms in the queue. For leases,
     /// heartbeats and votes.
     Urgent,
     /// Leaves an eighth of a full bucket to urgent messages. Dropped after 500 ms.
-    Usual,
+    Normal,
     /// Leaves half of a full bucket to the others. Dropped after 2 s. For snapshots and catching up.
     Bulk,
 }
 
-impl How {
+impl DeliveryMode {
     /// All modes, the most urgent first.
-    pub(crate) const ALL: [Self; 3] = [Self::Urgent, Self::Usual, Self::Bulk];
+    pub(crate) const ALL: [Self; 3] = [Self::Urgent, Self::Normal, Self::Bulk];
 
     /// How long a message may wait for the send budget.
     pub(crate) fn queue_timeout(self) -> Duration {
         match self {
             Self::Urgent => Duration::from_millis(250),
-            Self::Usual => Duration::from_millis(500),
+            Self::Normal => Duration::from_millis(500),
             Self::Bulk => Duration::from_millis(2_000),
         }
     }
@@ -44,7 +44,7 @@
         bytes: &'a [u8],
     },
     /// A datagram came from an address that is not in `peers`. It is counted.
-    Stranger,
+    ReceivedFromUnknown,
     /// A message is to be sent. Its delivery is not guaranteed.
     Send {
         /// The receiver.
@@ -54,7 +54,7 @@
         /// At most [`MAX_MESSAGE_BYTES`] bytes; up to [`MAX_UNFRAGMENTED_BYTES`] fit one datagram.
         message: Vec<u8>,
         /// Its urgency.
-        how: How,
+        mode: DeliveryMode,
     },
     /// The time of the last [`Action::WakeAt`] has come. Earlier and later calls do no harm but delay.
     Due,
@@ -74,7 +74,7 @@
     Deliver {
         /// The sender.
         from: NodeId,
-        /// The sender's incarnation, which the last [`Action::Reborn`] of this peer announced.
+        /// The sender's incarnation, which the last [`Action::PeerRestarted`] of this peer announced.
         incarnation: Incarnation,
         /// The component that it is for.
         channel: Channel,
@@ -86,7 +86,7 @@
     WakeAt(Duration),
     /// The peer has a new incarnation, or its first one that is known here: everything exchanged with a
     /// previous one is void.
-    Reborn {
+    PeerRestarted {
         /// The peer.
         from: NodeId,
         /// The incarnation that has just completed the handshake.
--- a/crates/peer-transport/src/lib.rs
+++ b/crates/peer-transport/src/lib.rs
@@ -3,7 +3,7 @@
 //! The meaning of a message, and repeating it where delivery matters, is left to whoever sends it. Sockets,
 //! addresses and timers are left to the runtime.
 //!
-//! [`Wire`] is a state machine without I/O: it takes the time and [`Event`]s, and returns [`Action`]s. It does
+//! [`Transport`] is a state machine without I/O: it takes the time and [`Event`]s, and returns [`Action`]s. It does
 //! not promise that a message arrives. Whatever a network loses, duplicates, delays, corrupts, reorders or
 //! replays, and whichever processes are dead, cut off, restarted or slow, it guarantees the following. Each
 //! guarantee names the tests that check it, in `tests/` or in `src/tests.rs`.
@@ -66,13 +66,13 @@
 pub use config::{Budget, Config, ConfigError, MAX_CLUSTER_SIZE};
 pub use datagram_faults::{DatagramOutcome, receive_through, transmit_through};
 pub use frame::{MAX_UNFRAGMENTED_BYTES, VERSION};
-pub use interface::{Action, Event, How, MemoryUsage};
+pub use interface::{Action, DeliveryMode, Event, MemoryUsage};
 pub use message::{MessageError, decode, encode};
 pub use metrics::{
     DeliveredMetrics, DroppedMetrics, MessageMetrics, ReceivedMetrics, SentMetrics,
     TransportMetrics,
 };
-pub use transport::Wire;
+pub use transport::Transport;
 
 use serde::{Deserialize, Serialize};
 
--- a/crates/peer-transport/src/peer.rs
+++ b/crates/peer-transport/src/peer.rs
@@ -7,7 +7,7 @@
 use crate::receive_window::ReceiveWindow;
 use crate::rng::{Nonces, Rng};
 use crate::token_bucket::TokenBucket;
-use crate::{Channel, How, Incarnation};
+use crate::{Channel, DeliveryMode, Incarnation};
 
 /// How long a challenge is valid. A later response is ignored, so that an incarnation which ended meanwhile is
 /// not confirmed.
@@ -37,7 +37,7 @@
 pub(crate) struct PendingMessage {
     pub(crate) deadline: Duration,
     pub(crate) channel: Channel,
-    pub(crate) mode: How,
+    pub(crate) mode: DeliveryMode,
     pub(crate) message: Vec<u8>,
 }
 
--- a/crates/peer-transport/src/receiving.rs
+++ b/crates/peer-transport/src/receiving.rs
@@ -6,9 +6,9 @@
 use crate::reassembly::FragmentOutcome;
 use crate::receive_window::SequenceStatus;
 use crate::send_queue::QueuedItem;
-use crate::{Action, Channel, Incarnation, NodeId, Wire};
+use crate::{Action, Channel, Incarnation, NodeId, Transport};
 
-impl Wire {
+impl Transport {
     /// Handles a datagram from the address of this peer.
     pub(crate) fn receive(&mut self, from: NodeId, bytes: &[u8], actions: &mut Vec<Action>) {
         let node_id = self.config.node_id;
--- a/crates/peer-transport/src/retransmission.rs
+++ b/crates/peer-transport/src/retransmission.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use crate::frame::{FRAGMENT_BYTES, MessageKey, all_fragments};
-use crate::{Channel, How, NodeId};
+use crate::{Channel, DeliveryMode, NodeId};
 
 /// How long a message is retained. A receiver abandons it after the same time.
 pub(crate) const RETENTION: Duration = Duration::from_secs(4);
@@ -18,14 +18,14 @@
 /// A message to be fragmented.
 pub(crate) struct OutgoingMessage {
     pub(crate) channel: Channel,
-    pub(crate) mode: How,
+    pub(crate) mode: DeliveryMode,
     pub(crate) bytes: Vec<u8>,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct UnacknowledgedMessage {
     channel: Channel,
-    mode: How,
+    mode: DeliveryMode,
     bytes: Vec<u8>,
     expires_at: Duration,
     /// Its position in the order of arrival.
@@ -69,7 +69,7 @@
 pub(crate) struct RetransmissionPlan {
     /// Fragments to be queued. Those that are queued already are left out.
     pub(crate) indices: Vec<u8>,
-    pub(crate) mode: How,
+    pub(crate) mode: DeliveryMode,
     /// Requested fragments that are refused.
     pub(crate) refused: u64,
 }
@@ -170,7 +170,7 @@
     ) -> RetransmissionPlan {
         let Some(message) = self.messages.get_mut(&key) else {
             let refused = u64::from(requested.count_ones());
-            return RetransmissionPlan { indices: Vec::new(), mode: How::Bulk, refused };
+            return RetransmissionPlan { indices: Vec::new(), mode: DeliveryMode::Bulk, refused };
         };
         let count = message.fragment_count();
         let requested = requested & all_fragments(count) & !message.queued;
--- a/crates/peer-transport/src/send_queue.rs
+++ b/crates/peer-transport/src/send_queue.rs
@@ -5,7 +5,7 @@
 use std::ops::Bound::{Excluded, Unbounded};
 use std::time::Duration;
 
-use crate::{Channel, How, NodeId};
+use crate::{Channel, DeliveryMode, NodeId};
 
 /// Bytes that wait at most, of each urgency.
 const MAX_QUEUED_BYTES: usize = 256 << 10;
@@ -49,14 +49,14 @@
 
 impl SendQueue {
     /// Appends an item to those of its urgency and peer; `false` if they take too much memory.
-    pub(crate) fn push(&mut self, mode: How, to: NodeId, item: QueuedItem) -> bool {
+    pub(crate) fn push(&mut self, mode: DeliveryMode, to: NodeId, item: QueuedItem) -> bool {
         self.push_all(mode, to, [item])
     }
 
     /// Appends all items or, if they take too much memory, none.
     pub(crate) fn push_all(
         &mut self,
-        mode: How,
+        mode: DeliveryMode,
         to: NodeId,
         items: impl IntoIterator<Item = QueuedItem>,
     ) -> bool {
@@ -72,12 +72,12 @@
     }
 
     /// The most urgent mode of which an item waits.
-    pub(crate) fn most_urgent(&self) -> Option<How> {
-        How::ALL.into_iter().find(|mode| !self.by_mode[*mode as usize].peers.is_empty())
+    pub(crate) fn most_urgent(&self) -> Option<DeliveryMode> {
+        DeliveryMode::ALL.into_iter().find(|mode| !self.by_mode[*mode as usize].peers.is_empty())
     }
 
     /// The peer whose turn it is among those of this urgency.
-    pub(crate) fn next_peer(&mut self, mode: How) -> Option<NodeId> {
+    pub(crate) fn next_peer(&mut self, mode: DeliveryMode) -> Option<NodeId> {
         let queue = &mut self.by_mode[mode as usize];
         let after_last = queue.peers.range((Excluded(queue.last_peer), Unbounded)).next();
         queue.last_peer = *after_last.or_else(|| queue.peers.first_key_value())?.0;
@@ -85,14 +85,14 @@
     }
 
     /// Removes this peer's first item.
-    pub(crate) fn pop(&mut self, mode: How, to: NodeId) -> Option<QueuedItem> {
+    pub(crate) fn pop(&mut self, mode: DeliveryMode, to: NodeId) -> Option<QueuedItem> {
         self.pop_if(mode, to, |_| true)
     }
 
     /// Removes this peer's first item if it matches.
     pub(crate) fn pop_if(
         &mut self,
-        mode: How,
+        mode: DeliveryMode,
         to: NodeId,
         matches: impl FnOnce(&QueuedItem) -> bool,
     ) -> Option<QueuedItem> {
--- a/crates/peer-transport/src/sending.rs
+++ b/crates/peer-transport/src/sending.rs
@@ -9,7 +9,8 @@
 use crate::retransmission::OutgoingMessage;
 use crate::send_queue::QueuedItem;
 use crate::{
-    Action, Channel, How, Incarnation, MAX_DATAGRAM_BYTES, MAX_MESSAGE_BYTES, NodeId, Wire,
+    Action, Channel, DeliveryMode, Incarnation, MAX_DATAGRAM_BYTES, MAX_MESSAGE_BYTES, NodeId,
+    Transport,
 };
 
 /// Bytes that wait for handshakes with all peers. Without a bound 1,000 silent peers would take 24 MB.
@@ -18,14 +19,14 @@
 /// All sequence numbers to a peer are used, so that nothing more can be sent to it.
 struct SequencesExhausted;
 
-impl Wire {
+impl Transport {
     /// Sends a message as soon as the peer's incarnation and the budget allow it.
     pub(crate) fn send(
         &mut self,
         to: NodeId,
         channel: Channel,
         message: Vec<u8>,
-        mode: How,
+        mode: DeliveryMode,
         actions: &mut Vec<Action>,
     ) {
         let is_self = to == self.config.node_id;
@@ -62,7 +63,13 @@
     }
 
     /// Queues a message to a peer whose incarnation is confirmed.
-    pub(crate) fn enqueue(&mut self, to: NodeId, channel: Channel, message: Vec<u8>, mode: How) {
+    pub(crate) fn enqueue(
+        &mut self,
+        to: NodeId,
+        channel: Channel,
+        message: Vec<u8>,
+        mode: DeliveryMode,
+    ) {
         if message.len() <= MAX_UNFRAGMENTED_BYTES {
             let deadline = self.now + mode.queue_timeout();
             let item = QueuedItem::Message { channel, message, deadline };
@@ -98,7 +105,7 @@
     pub(crate) fn queue_retransmission_requests(&mut self) {
         for key in self.reassembly.take_due_requests(self.now) {
             let item = QueuedItem::RetransmissionRequest { message_number: key.number };
-            self.queue.push(How::Usual, key.peer, item);
+            self.queue.push(DeliveryMode::Normal, key.peer, item);
         }
     }
 
@@ -114,7 +121,7 @@
     }
 
     /// Sends this peer's first item of this urgency.
-    fn send_next(&mut self, mode: How, to: NodeId, actions: &mut Vec<Action>) {
+    fn send_next(&mut self, mode: DeliveryMode, to: NodeId, actions: &mut Vec<Action>) {
         match self.queue.pop(mode, to) {
             None => {}
             Some(QueuedItem::Message { deadline, .. }) if deadline <= self.now => {
@@ -138,7 +145,7 @@
     /// included: a datagram costs more than its bytes.
     fn send_batch(
         &mut self,
-        mode: How,
+        mode: DeliveryMode,
         to: NodeId,
         first: (Channel, Vec<u8>),
         actions: &mut Vec<Action>,
@@ -158,14 +165,14 @@
     /// Takes messages from the queue that fit one datagram with the first.
     fn collect_batch(
         &mut self,
-        mode: How,
+        mode: DeliveryMode,
         to: NodeId,
         first: (Channel, Vec<u8>),
     ) -> Vec<(Channel, Vec<u8>)> {
         let now = self.now;
         let mut length = HEADER_BYTES + 1 + ChannelMessage::encoded_bytes(first.1.len());
         let mut batch = vec![first];
-        for mode in How::ALL.into_iter().skip(mode as usize) {
+        for mode in DeliveryMode::ALL.into_iter().skip(mode as usize) {
             // Expired messages are taken, too, to drop them.
             let fits = |item: &QueuedItem, length: usize| match item {
                 QueuedItem::Message { message, deadline, .. } => {
--- a/crates/peer-transport/src/tests.rs
+++ b/crates/peer-transport/src/tests.rs
@@ -11,19 +11,20 @@
 };
 use crate::{
     Action, Budget, Channel, Config, Event, Incarnation, MAX_DATAGRAM_BYTES, MAX_MESSAGE_BYTES,
-    NodeId, Wire,
+    NodeId, Transport,
 };
 
 const LOCAL: NodeId = NodeId(0);
 const PEER: NodeId = NodeId(1);
 
-fn transport() -> Wire {
+fn transport() -> Transport {
     let (incarnation, budget) = (Incarnation(5), Budget::default());
-    Wire::new(Config { node_id: LOCAL, members: 30, incarnation, seed: 9, budget }).expect("sound")
+    Transport::new(Config { node_id: LOCAL, members: 30, incarnation, seed: 9, budget })
+        .expect("sound")
 }
 
 fn receive(
-    transport: &mut Wire,
+    transport: &mut Transport,
     now: Duration,
     from: Incarnation,
     to: Incarnation,
@@ -53,12 +54,12 @@
 }
 
 /// Completes the handshake with an incarnation that has used sequence numbers up to `sequence`.
-fn confirmed(transport: &mut Wire, now: Duration, incarnation: Incarnation, sequence: u64) {
+fn confirmed(transport: &mut Transport, now: Duration, incarnation: Incarnation, sequence: u64) {
     let nonce =
         challenge_in(&receive(transport, now, incarnation, Incarnation(0), 0, handshake(1, 0)));
     let actions =
         receive(transport, now, incarnation, Incarnation(5), sequence, handshake(0, nonce));
-    assert!(actions.contains(&Action::Reborn { from: PEER, incarnation }), "{actions:?}");
+    assert!(actions.contains(&Action::PeerRestarted { from: PEER, incarnation }), "{actions:?}");
 }
 
 fn message(message: &[u8]) -> Body<'_> {
@@ -152,7 +153,7 @@
         confirmed(&mut transport, now, incarnation, 0);
         let mut actions = Vec::new();
         let send = Event::Send {
-            to: PEER, channel: Channel::Log, message: vec![1; MAX_MESSAGE_BYTES], how: crate::How::Usual,
+            to: PEER, channel: Channel::Log, message: vec![1; MAX_MESSAGE_BYTES], mode: crate::DeliveryMode::Normal,
         };
         transport.handle(now, send, &mut actions);
         for (one, sequence, later) in &frames {
@@ -164,7 +165,7 @@
                         prop_assert!(message.len() <= MAX_MESSAGE_BYTES);
                     }
                     Action::Transmit { to, .. } => prop_assert_eq!(to, PEER),
-                    Action::Reborn { .. } => prop_assert!(false, "no new incarnation"),
+                    Action::PeerRestarted { .. } => prop_assert!(false, "no new incarnation"),
                     Action::WakeAt(_) => {}
                 }
             }
@@ -331,8 +332,8 @@
         for message in
             [vec![1; 9], vec![2; 900]].into_iter().filter(|_| incarnation == Incarnation(8))
         {
-            let (channel, how) = (Channel::Log, crate::How::Usual);
-            transport.handle(now, Event::Send { to: PEER, channel, message, how }, &mut actions);
+            let (channel, mode) = (Channel::Log, crate::DeliveryMode::Normal);
+            transport.handle(now, Event::Send { to: PEER, channel, message, mode }, &mut actions);
         }
     }
     transport.handle(now, Event::Due, &mut actions);
@@ -348,8 +349,9 @@
     let (mut transport, mut now, mut actions) = (transport(), Duration::ZERO, Vec::new());
     confirmed(&mut transport, now, Incarnation(8), 0);
     receive(&mut transport, now, Incarnation(8), Incarnation(5), 1, message(b"I know you"));
-    let (channel, message, how) = (Channel::Log, vec![1; MAX_MESSAGE_BYTES], crate::How::Usual);
-    transport.handle(now, Event::Send { to: PEER, channel, message, how }, &mut actions);
+    let (channel, message, mode) =
+        (Channel::Log, vec![1; MAX_MESSAGE_BYTES], crate::DeliveryMode::Normal);
+    transport.handle(now, Event::Send { to: PEER, channel, message, mode }, &mut actions);
     for step in 0..39u64 {
         now += Duration::from_millis(100);
         transport.handle(now, Event::Due, &mut actions);
@@ -387,7 +389,7 @@
     let mut transport = transport();
     confirmed(&mut transport, Duration::ZERO, Incarnation(8), 0);
     let mut sequence = 0;
-    let mut send = |transport: &mut Wire, message: u64| {
+    let mut send = |transport: &mut Transport, message: u64| {
         let mut delivered = 0;
         for index in [0, 1] {
             sequence = 700.max(sequence + 1);
--- a/crates/peer-transport/src/token_bucket.rs
+++ b/crates/peer-transport/src/token_bucket.rs
@@ -3,7 +3,7 @@
 
 use std::time::Duration;
 
-use crate::{How, MAX_DATAGRAM_BYTES};
+use crate::{DeliveryMode, MAX_DATAGRAM_BYTES};
 
 #[cfg(test)]
 mod tests;
@@ -91,11 +91,11 @@
     }
 
     /// The earliest time at which a datagram of any length may be sent in this mode.
-    pub(crate) fn ready_at(&self, mode: How) -> Duration {
+    pub(crate) fn ready_at(&self, mode: DeliveryMode) -> Duration {
         let reserve = match mode {
-            How::Urgent => Reserve::Nothing,
-            How::Usual => Reserve::Eighth,
-            How::Bulk => Reserve::Half,
+            DeliveryMode::Urgent => Reserve::Nothing,
+            DeliveryMode::Normal => Reserve::Eighth,
+            DeliveryMode::Bulk => Reserve::Half,
         };
         let datagram = self.datagrams.ready_at(1, reserve);
         datagram.max(self.bytes.ready_at(MAX_DATAGRAM_BYTES as u32, reserve))
--- a/crates/peer-transport/src/token_bucket/tests.rs
+++ b/crates/peer-transport/src/token_bucket/tests.rs
@@ -38,14 +38,14 @@
         SendBudget::new(TokenBucket::new(100, 80), TokenBucket::new(1_000_000, 1_000_000));
     let now = Duration::from_secs(9);
     let mut gone = Vec::new();
-    for how in [How::Bulk, How::Usual, How::Urgent] {
+    for mode in [DeliveryMode::Bulk, DeliveryMode::Normal, DeliveryMode::Urgent] {
         let mut went = 0;
-        while tokens.ready_at(how) <= now {
+        while tokens.ready_at(mode) <= now {
             tokens.take(now, 30);
             went += 1;
         }
         gone.push(went);
     }
     assert_eq!(gone, [40, 30, 10]);
-    assert!(tokens.ready_at(How::Urgent) < tokens.ready_at(How::Usual));
+    assert!(tokens.ready_at(DeliveryMode::Urgent) < tokens.ready_at(DeliveryMode::Normal));
 }
--- a/crates/peer-transport/src/transport.rs
+++ b/crates/peer-transport/src/transport.rs
@@ -15,7 +15,7 @@
 
 /// The transport of one process: a state machine between its messages and its datagrams.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
-pub struct Wire {
+pub struct Transport {
     pub(crate) config: Config,
     pub(crate) now: Duration,
     /// By node id.
@@ -36,7 +36,7 @@
     pub(crate) wake_at: Option<Duration>,
 }
 
-impl Wire {
+impl Transport {
     /// A transport that has confirmed no peer.
     ///
     /// # Errors
@@ -97,9 +97,9 @@
         self.now = self.now.max(now);
         match event {
             Event::Received { from, bytes } => self.receive(from, bytes, actions),
-            Event::Stranger => self.metrics.dropped.unknown_source += 1,
-            Event::Send { to, channel, message, how } => {
-                self.send(to, channel, message, how, actions)
+            Event::ReceivedFromUnknown => self.metrics.dropped.unknown_source += 1,
+            Event::Send { to, channel, message, mode } => {
+                self.send(to, channel, message, mode, actions)
             }
             Event::Due => self.run_timers(actions),
         }
--- a/crates/peer-transport/tests/bounds.rs
+++ b/crates/peer-transport/tests/bounds.rs
@@ -5,7 +5,8 @@
 use std::time::Duration;
 
 use hollowpaddle_peer_transport::{
-    Budget, ConfigError, Event, How, Incarnation, MAX_MESSAGE_BYTES, MemoryUsage, NodeId, Wire,
+    Budget, ConfigError, DeliveryMode, Event, Incarnation, MAX_MESSAGE_BYTES, MemoryUsage, NodeId,
+    Transport,
 };
 use net::{Network, NetworkFaults, config, ms};
 
@@ -14,7 +15,8 @@
     let mut net = Network::new(members, seed, NetworkFaults::default());
     // Handshakes have a budget of their own: those of 60 nodes take a second.
     for apart in 1..members {
-        (0..members).for_each(|from| _ = net.send(from, (from + apart) % members, 8, How::Usual));
+        (0..members)
+            .for_each(|from| _ = net.send(from, (from + apart) % members, 8, DeliveryMode::Normal));
         net.run(ms(30));
     }
     net.run(ms(200));
@@ -60,10 +62,11 @@
         let before = net.transmitted.len();
         for step in 0..300u64 {
             for other in 1..24u16 {
-                let how = [How::Urgent, How::Usual, How::Bulk][usize::from(other) % 3];
+                let mode = [DeliveryMode::Urgent, DeliveryMode::Normal, DeliveryMode::Bulk]
+                    [usize::from(other) % 3];
                 let length =
                     if (step + u64::from(other)) % 8 == 0 { MAX_MESSAGE_BYTES } else { 100 };
-                net.send(0, other, length, how);
+                net.send(0, other, length, mode);
                 // Links are cut during messages, so that peers request fragments again and again.
                 if seed % 4 == 1 && net.rng.rand_range(0..10) == 0 {
                     let link = (NodeId(0), NodeId(other));
@@ -71,7 +74,7 @@
                 }
                 if seed % 4 >= 2 && net.rng.rand_range(0..20) == 0 {
                     net.restart(other);
-                    net.send(other, 0, 30, How::Urgent);
+                    net.send(other, 0, 30, DeliveryMode::Urgent);
                 }
             }
             if seed % 4 == 0 && step == 150 {
@@ -102,11 +105,12 @@
 #[test]
 fn bulk_traffic_and_one_busy_peer_delay_neither_urgent_messages_nor_other_peers() {
     let mut net = established_network(4, 1);
-    (0..40).for_each(|_| _ = net.send(0, 1, MAX_MESSAGE_BYTES, How::Bulk));
-    (0..40).for_each(|_| _ = net.send(0, 1, MAX_MESSAGE_BYTES, How::Usual));
+    (0..40).for_each(|_| _ = net.send(0, 1, MAX_MESSAGE_BYTES, DeliveryMode::Bulk));
+    (0..40).for_each(|_| _ = net.send(0, 1, MAX_MESSAGE_BYTES, DeliveryMode::Normal));
     net.run(ms(500));
     let start = net.now;
-    let (urgent, other) = (net.send(0, 1, 100, How::Urgent), net.send(0, 2, 100, How::Usual));
+    let (urgent, other) =
+        (net.send(0, 1, 100, DeliveryMode::Urgent), net.send(0, 2, 100, DeliveryMode::Normal));
     net.run(ms(100));
     let took = |message| net.delivered.get(&message).map(|at| *at - start);
     assert!(took(urgent).is_some_and(|took| took < ms(3)), "{:?}", took(urgent));
@@ -124,16 +128,17 @@
     let (mut worst, mut of_one) = (MemoryUsage::default(), 0);
     for step in 0..200 {
         for other in 1..58 {
-            net.send(other, 0, MAX_MESSAGE_BYTES, How::Usual);
+            net.send(other, 0, MAX_MESSAGE_BYTES, DeliveryMode::Normal);
         }
         for _ in 0..20 {
-            net.send(0, step % 60, MAX_MESSAGE_BYTES, How::Bulk);
-            net.send(59, step % 59, 2_000, How::Usual);
+            net.send(0, step % 60, MAX_MESSAGE_BYTES, DeliveryMode::Bulk);
+            net.send(59, step % 59, 2_000, DeliveryMode::Normal);
             net.send(
                 58,
                 57,
                 MAX_MESSAGE_BYTES,
-                [How::Urgent, How::Usual, How::Bulk][usize::from(step) % 3],
+                [DeliveryMode::Urgent, DeliveryMode::Normal, DeliveryMode::Bulk]
+                    [usize::from(step) % 3],
             );
         }
         net.run(ms(10));
@@ -179,7 +184,7 @@
                 to,
                 channel: hollowpaddle_peer_transport::Channel::Log,
                 message,
-                how: How::Urgent,
+                mode: DeliveryMode::Urgent,
             };
             transport.handle(now, send, &mut actions);
         }
@@ -216,7 +221,7 @@
     let (mut half, mut all) = (None, None);
     for _ in 0..150 {
         if net.now.as_millis().is_multiple_of(100) {
-            links.iter().for_each(|(from, to)| _ = net.send(*from, *to, 40, How::Urgent));
+            links.iter().for_each(|(from, to)| _ = net.send(*from, *to, 40, DeliveryMode::Urgent));
         }
         net.run(ms(10));
         half = half.or_else(|| (open(&net) * 2 >= links.len()).then_some(net.now));
@@ -232,7 +237,7 @@
     let error_after = |change: fn(&mut hollowpaddle_peer_transport::Config)| {
         let mut config = config(0, 3, 1);
         change(&mut config);
-        Wire::new(config).err()
+        Transport::new(config).err()
     };
     assert_eq!(error_after(|_| ()), None);
     assert!(matches!(error_after(|c| c.node_id = NodeId(3)), Some(ConfigError::Members { .. })));
--- a/crates/peer-transport/tests/net/mod.rs
+++ b/crates/peer-transport/tests/net/mod.rs
@@ -6,7 +6,7 @@
 use std::time::Duration;
 
 use hollowpaddle_peer_transport::{
-    Action, Channel, Config, Event, How, Incarnation, NodeId, TransportMetrics, Wire,
+    Action, Channel, Config, DeliveryMode, Event, Incarnation, NodeId, Transport, TransportMetrics,
 };
 use oorandom::Rand64;
 
@@ -25,8 +25,8 @@
     }
 }
 
-pub fn transport(node_id: u16, members: u16, incarnation: u32) -> Wire {
-    Wire::new(config(node_id, members, incarnation)).expect("a sound configuration")
+pub fn transport(node_id: u16, members: u16, incarnation: u32) -> Transport {
+    Transport::new(config(node_id, members, incarnation)).expect("a sound configuration")
 }
 
 /// Faults of the network, as probabilities from 0 to 1.
@@ -49,7 +49,7 @@
 pub struct Network {
     pub now: Duration,
     pub faults: NetworkFaults,
-    pub transports: Vec<Option<Wire>>,
+    pub transports: Vec<Option<Transport>>,
     /// Cut links, by sender and receiver.
     pub cut: BTreeSet<(NodeId, NodeId)>,
     pub rng: Rand64,
@@ -113,7 +113,7 @@
     }
 
     /// Sends a unique message of this length, and returns its id.
-    pub fn send(&mut self, from: u16, to: u16, length: usize, how: How) -> u64 {
+    pub fn send(&mut self, from: u16, to: u16, length: usize, mode: DeliveryMode) -> u64 {
         let id = self.sent_messages.len() as u64 + 1;
         let mut message = id.to_le_bytes().to_vec();
         message.extend((8..length).map(|i| (id as usize * 31 + i * 7) as u8));
@@ -123,7 +123,7 @@
         self.intended_incarnations
             .extend(transport.incarnation(to).map(|incarnation| (id, incarnation)));
         self.sent_messages.insert(id, (from, incarnation, to, message.clone()));
-        self.dispatch(from, Event::Send { to, channel: Channel::Log, message, how });
+        self.dispatch(from, Event::Send { to, channel: Channel::Log, message, mode });
         id
     }
 
@@ -140,7 +140,7 @@
                     self.plan(due, SimulatedEvent::Due { at });
                 }
                 Action::Transmit { to, bytes } => self.pass(at, to, bytes),
-                Action::Reborn { from, incarnation } => {
+                Action::PeerRestarted { from, incarnation } => {
                     self.announced.insert((at, from), incarnation);
                 }
                 Action::Deliver { from, incarnation, channel, message } => {
--- a/crates/peer-transport/tests/network.rs
+++ b/crates/peer-transport/tests/network.rs
@@ -5,10 +5,12 @@
 
 use std::time::Duration;
 
-use hollowpaddle_peer_transport::{Event, How, MAX_MESSAGE_BYTES, MAX_UNFRAGMENTED_BYTES, NodeId};
+use hollowpaddle_peer_transport::{
+    DeliveryMode, Event, MAX_MESSAGE_BYTES, MAX_UNFRAGMENTED_BYTES, NodeId,
+};
 use net::{Network, NetworkFaults, ms};
 
-const MODES: [How; 3] = [How::Urgent, How::Usual, How::Bulk];
+const MODES: [DeliveryMode; 3] = [DeliveryMode::Urgent, DeliveryMode::Normal, DeliveryMode::Bulk];
 
 /// Simulates random traffic and restarts; [`Network`] checks each message that is delivered.
 fn simulate(seed: u64, faults: NetworkFaults, restarts: u64) -> Network {
@@ -17,9 +19,9 @@
     for step in 0..400u64 {
         for _ in 0..3 {
             let mut sample = |n: u64| net.rng.rand_range(0..n);
-            let (from, to, how) = (sample(5) as u16, sample(5) as u16, MODES[sample(3) as usize]);
+            let (from, to, mode) = (sample(5) as u16, sample(5) as u16, MODES[sample(3) as usize]);
             let length = if sample(6) == 0 { 8 + sample(4_000) } else { 8 + sample(240) } as usize;
-            net.send(from, to, length, how);
+            net.send(from, to, length, mode);
         }
         if restarts > 0 && net.rng.rand_range(0..restarts) == 0 {
             let who = net.rng.rand_range(0..u64::from(members)) as u16;
@@ -115,12 +117,12 @@
         );
         // Short messages complete the handshake first.
         (0..20).for_each(|_| {
-            net.send(0, 1, 20, How::Usual);
+            net.send(0, 1, 20, DeliveryMode::Normal);
             net.run(ms(100));
         });
         let before = net.transmitted.len();
         let start = net.now;
-        let id = net.send(0, 1, MAX_MESSAGE_BYTES, How::Usual);
+        let id = net.send(0, 1, MAX_MESSAGE_BYTES, DeliveryMode::Normal);
         net.run(Duration::from_secs(5));
         cost += net.transmitted.len() - before;
         if let Some(at) = net.delivered.get(&id) {
@@ -149,8 +151,8 @@
     let mut replayed: Vec<Vec<u8>> = Vec::new();
     for _ in 0..2 {
         for _ in 0..10 {
-            net.send(0, 1, 100, How::Usual);
-            net.send(0, 1, 900, How::Usual);
+            net.send(0, 1, 100, DeliveryMode::Normal);
+            net.send(0, 1, 900, DeliveryMode::Normal);
             net.run(ms(50));
         }
         replayed.extend(net.every(NodeId(0), NodeId(1)));
@@ -183,11 +185,12 @@
     for seed in 0..50 {
         let mut net =
             Network::new(2, seed, NetworkFaults { jitter_ms: 3, ..NetworkFaults::default() });
-        net.send(0, 1, 50, How::Usual);
+        net.send(0, 1, 50, DeliveryMode::Normal);
         net.run(ms(50));
         net.restart(0);
         net.restart(1);
-        let words = [net.send(0, 1, 50, How::Usual), net.send(1, 0, 900, How::Usual)];
+        let words =
+            [net.send(0, 1, 50, DeliveryMode::Normal), net.send(1, 0, 900, DeliveryMode::Normal)];
         net.run(ms(30));
         for message in words {
             assert!(net.delivered.contains_key(&message), "seed {seed}");
@@ -198,12 +201,12 @@
 #[test]
 fn a_restarted_peer_that_sends_nothing_is_reached_again() {
     let mut net = Network::new(2, 1, NetworkFaults::default());
-    net.send(0, 1, 50, How::Usual);
+    net.send(0, 1, 50, DeliveryMode::Normal);
     net.run(ms(50));
     net.restart(1);
-    net.send(0, 1, 50, How::Usual);
+    net.send(0, 1, 50, DeliveryMode::Normal);
     net.run(ms(20));
-    let message = net.send(0, 1, 50, How::Usual);
+    let message = net.send(0, 1, 50, DeliveryMode::Normal);
     net.run(ms(20));
     assert!(net.delivered.contains_key(&message));
 }
@@ -211,11 +214,12 @@
 #[test]
 fn small_messages_share_a_datagram_and_framing_costs_at_most_24_bytes() {
     let mut net = Network::new(2, 1, NetworkFaults::default());
-    net.send(0, 1, 8, How::Usual);
+    net.send(0, 1, 8, DeliveryMode::Normal);
     net.run(ms(50));
     let cost = |net: &mut Network, lengths: &[usize]| {
         let before = net.transmitted.len();
-        let ids: Vec<u64> = lengths.iter().map(|l| net.send(0, 1, *l, How::Usual)).collect();
+        let ids: Vec<u64> =
+            lengths.iter().map(|l| net.send(0, 1, *l, DeliveryMode::Normal)).collect();
         net.run(ms(50));
         assert!(ids.iter().all(|id| net.delivered.contains_key(id)));
         net.transmitted[before..].iter().map(|(.., bytes)| *bytes).collect::<Vec<_>>()
--- a/crates/policy/src/interface/config.rs
+++ b/crates/policy/src/interface/config.rs
@@ -161,7 +161,7 @@
     /// Where load reports come from.
     pub reports: Reports,
     /// Classes may be barred from single upstreams
-    /// ([`Member::barred_classes`](crate::interface::Member::barred)): each of them has a capacity group of
+    /// ([`Member::barred_classes`](crate::interface::Member::barred_classes)): each of them has a capacity group of
     /// its own.
     pub bars_classes: bool,
     /// A hash of what the numbers of classes, zones and machine types stand for. What a balancer
--- a/crates/policy/src/interface/member.rs
+++ b/crates/policy/src/interface/member.rs
@@ -37,7 +37,7 @@
     /// When it last started; `None` if that is long ago.
     pub started: Option<Time>,
     /// Classes that it must not be sent: bit i stands for class i. Counts only with
-    /// [`Settings::bars_classes`](crate::interface::Settings::barring).
+    /// [`Settings::bars_classes`](crate::interface::Settings::bars_classes).
     pub barred_classes: u64,
 }
 
--- a/crates/revision/src/document.rs
+++ b/crates/revision/src/document.rs
@@ -10,7 +10,7 @@
 /// The longest encoded document, in bytes. A log entry also carries the facts about the fleet.
 pub const MAX_DOCUMENT_BYTES: usize = 10 << 10;
 /// The longest JSON text that is read, in bytes; it bounds the memory that a request to the admin API takes.
-pub const LONGEST_JSON: usize = 64 << 10;
+pub const MAX_JSON_BYTES: usize = 64 << 10;
 /// The longest name of an upstream, machine type, zone or class, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
 /// The most upstreams in one list of a document. Larger sets are named by cell, machine type or zone.
@@ -169,8 +169,8 @@
     /// # Errors
     /// The field, what was found there and what was expected.
     pub fn from_json(json: &[u8]) -> Result<Self, DocumentError> {
-        if json.len() > LONGEST_JSON {
-            return Err(DocumentError::TooLong { found: json.len(), expected: LONGEST_JSON });
+        if json.len() > MAX_JSON_BYTES {
+            return Err(DocumentError::TooLong { found: json.len(), expected: MAX_JSON_BYTES });
         }
         let mut reader = serde_json::Deserializer::from_slice(json);
         let document: Self =
--- a/crates/revision/src/entry.rs
+++ b/crates/revision/src/entry.rs
@@ -7,7 +7,7 @@
 use crate::codec::decode_exact;
 use crate::document::Document;
 use crate::fallback_policy::FallbackPolicy;
-use crate::fleet::Facts;
+use crate::fleet::FleetFacts;
 
 /// The longest entry, in bytes: the bound of the replicated log.
 pub const MAX_ENTRY_BYTES: usize = 16 << 10;
@@ -29,7 +29,7 @@
     /// Accept the revision in spite of conflicts that operators may override.
     pub forced: bool,
     /// The fleet as the leader knew it.
-    pub facts: Facts,
+    pub facts: FleetFacts,
 }
 
 /// One command in the log.
@@ -42,7 +42,7 @@
     /// States that no node acts on an older generation than the one with this index.
     GenerationConfirmed(u64),
     /// Proposes another fallback policy.
-    FallbackPolicy(CommandId, FallbackPolicy, Box<Facts>),
+    FallbackPolicy(CommandId, FallbackPolicy, Box<FleetFacts>),
     /// States that every node that is not marked dead holds the fallback policy of this generation.
     FallbackPolicyConfirmed(u64),
     /// Confirms the canary of this revision.
--- a/crates/revision/src/fleet.rs
+++ b/crates/revision/src/fleet.rs
@@ -11,16 +11,16 @@
 use crate::rules::Rules;
 
 /// The most groups of upstreams in the facts.
-pub const MOST_GROUPS: usize = 512;
+pub const MAX_GROUPS: usize = 512;
 
 /// The upstreams of one cell and machine type.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Group {
     /// Their cell.
     pub cell: u32,
-    /// Their zone, by its index in [`Facts::zones`].
+    /// Their zone, by its index in [`FleetFacts::zones`].
     pub zone: u8,
-    /// Their machine type, by its index in [`Facts::machine_types`].
+    /// Their machine type, by its index in [`FleetFacts::machine_types`].
     pub machine_type: u8,
     /// How many of them can be sent to.
     pub upstreams: u16,
@@ -41,7 +41,7 @@
 
 /// The fleet as the leader knew it.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
-pub struct Facts {
+pub struct FleetFacts {
     /// Zones by name.
     pub zones: Vec<String>,
     /// The load of each zone, in the unit of [`Group::capacity`].
@@ -95,7 +95,7 @@
     },
     /// The facts are invalid.
     #[error("the fleet's facts can't be: {what}; the proposer's build is at fault")]
-    Facts {
+    FleetFacts {
         /// What is invalid.
         what: String,
     },
@@ -104,21 +104,21 @@
 impl FleetConflict {
     /// Whether a forced proposal is accepted in spite of this conflict.
     pub fn is_overridable(&self) -> bool {
-        !matches!(self, Self::FallbackPolicy { .. } | Self::Facts { .. })
+        !matches!(self, Self::FallbackPolicy { .. } | Self::FleetFacts { .. })
     }
 }
 
-impl Facts {
+impl FleetFacts {
     /// Checks the bounds and indices of the facts.
     ///
     /// # Errors
     /// What is invalid.
     pub fn check(&self) -> Result<(), FleetConflict> {
-        let invalid = |what: &str| Err(FleetConflict::Facts { what: what.into() });
+        let invalid = |what: &str| Err(FleetConflict::FleetFacts { what: what.into() });
         let has_long_name = |names: &[String]| names.iter().any(|name| name.len() > MAX_NAME_BYTES);
         let (zones, machine_types) = (self.zones.len(), self.machine_types.len());
         let lengths = [zones, machine_types, self.classes.len()];
-        if lengths.iter().any(|l| *l > MAX_LISTED_NAMES) || self.groups.len() > MOST_GROUPS {
+        if lengths.iter().any(|l| *l > MAX_LISTED_NAMES) || self.groups.len() > MAX_GROUPS {
             return invalid("too many sites, flavours, classes or groups");
         }
         if self.named.len() > 2 * MAX_LISTED_UPSTREAMS
--- a/crates/revision/src/history.rs
+++ b/crates/revision/src/history.rs
@@ -10,7 +10,7 @@
 use crate::canary::RollbackCause;
 use crate::document::Document;
 use crate::entry::CommandId;
-use crate::rejection::Refusal;
+use crate::rejection::Rejection;
 
 /// The most retained revisions. Beyond it the oldest cannot be rolled back to.
 pub const MAX_REVISIONS: usize = 1000;
@@ -94,7 +94,7 @@
     /// The index of the command's entry.
     pub index: u64,
     /// The number of the new or confirmed revision, or the index of another effect; or why there was none.
-    pub outcome: Result<u64, Refusal>,
+    pub outcome: Result<u64, Rejection>,
 }
 
 /// Retained revisions and the results of commands.
--- a/crates/revision/src/leases.rs
+++ b/crates/revision/src/leases.rs
@@ -230,7 +230,10 @@
         }
         self.notify_former_parents(actions);
         self.parent.record_renewal(self.now);
-        let is_awaited = self.applied.as_ref().is_some_and(|applied| applied.status.awaited);
+        let is_awaited = self
+            .applied
+            .as_ref()
+            .is_some_and(|applied| applied.status.awaits_fallback_confirmation);
         let message = Message::Renew {
             sent_at_us: to_micros(self.now),
             generation: self.generation(),
--- a/crates/revision/src/leases/fallback.rs
+++ b/crates/revision/src/leases/fallback.rs
@@ -37,7 +37,7 @@
             is_known: generation.is_some(),
             generation,
             policy: Arc::new(policy.clone()),
-            rules: Arc::new(Rules::of_fallback_policy(policy)),
+            rules: Arc::new(Rules::from_fallback_policy(policy)),
             persisted: generation,
             agreed: Generation::default(),
             holders: NodeSet::default(),
@@ -106,7 +106,7 @@
         actions: &mut Vec<Action>,
     ) {
         if self.policy != policy {
-            self.rules = Arc::new(Rules::of_fallback_policy(&policy));
+            self.rules = Arc::new(Rules::from_fallback_policy(&policy));
         }
         self.generation = Some(generation);
         self.policy = policy.clone();
--- a/crates/revision/src/leases/leader.rs
+++ b/crates/revision/src/leases/leader.rs
@@ -50,13 +50,13 @@
                 return Some(Entry::AutomaticRollback(canary.revision, cause));
             }
         }
-        if !status.awaited {
+        if !status.awaits_fallback_confirmation {
             return None;
         }
-        let awaited =
+        let awaits_fallback_confirmation =
             NodeSet::first(status.members).without(&status.dead).without(&self.fallback.holders());
         let confirmed = Entry::FallbackPolicyConfirmed(status.fallback_generation);
-        awaited.is_empty().then_some(confirmed)
+        awaits_fallback_confirmation.is_empty().then_some(confirmed)
     }
 
     /// When the leases that the previous leader may have granted have ended.
--- a/crates/revision/src/lists.rs
+++ b/crates/revision/src/lists.rs
@@ -69,7 +69,7 @@
     /// Takes in an event at `now`, and appends what is to be done.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        let before = (self.peer_stops.len(), self.is_old());
+        let before = (self.peer_stops.len(), self.is_stale());
         let mut is_changed = false;
         let mut new_stops = Vec::new();
         match event {
@@ -77,7 +77,7 @@
                 new_stops = self.on_own_list(version, whole, entries);
                 is_changed = true;
             }
-            Event::CountsAnew => self.reset_versions(),
+            Event::VersionsReset => self.reset_versions(),
             Event::Message { from, message } => {
                 new_stops = self.on_message(from, message, actions);
                 is_changed = !new_stops.is_empty();
@@ -86,7 +86,7 @@
             Event::Due => {}
         }
         self.expire_stops();
-        if is_changed || before != (self.peer_stops.len(), self.is_old()) {
+        if is_changed || before != (self.peer_stops.len(), self.is_stale()) {
             actions.push(Action::Changed);
         }
         self.announcements.announce(self.now, self.newest, new_stops, actions);
@@ -233,7 +233,7 @@
     }
 
     /// Whether the own list is older than the agreed policy allows.
-    pub fn is_old(&self) -> bool {
+    pub fn is_stale(&self) -> bool {
         self.newest < self.floor
     }
 
@@ -251,7 +251,7 @@
     pub fn among<'a>(&self, upstreams: impl IntoIterator<Item = (&'a str, bool)>) -> Vec<&'a str> {
         let open: Vec<(&str, bool)> =
             upstreams.into_iter().filter(|(name, _)| self.is_open(name)).collect();
-        let is_restricted = self.is_old() && open.iter().any(|(_, is_fallback)| *is_fallback);
+        let is_restricted = self.is_stale() && open.iter().any(|(_, is_fallback)| *is_fallback);
         open.into_iter()
             .filter(|(_, is_fallback)| *is_fallback || !is_restricted)
             .map(|(name, _)| name)
--- a/crates/revision/src/lists/announcements.rs
+++ b/crates/revision/src/lists/announcements.rs
@@ -45,7 +45,7 @@
         if is_version_due || !stops.is_empty() {
             self.last = Some(now);
             let messages = split_into_messages(version, stops);
-            actions.extend(messages.into_iter().map(Action::Tell));
+            actions.extend(messages.into_iter().map(Action::Broadcast));
         }
         self.schedule_wake(actions);
     }
--- a/crates/revision/src/lists/interface.rs
+++ b/crates/revision/src/lists/interface.rs
@@ -13,7 +13,7 @@
     /// It takes requests.
     Serving,
     /// It is draining: it finishes the requests that it has.
-    Drains,
+    Draining,
     /// It is gone.
     Ended,
 }
@@ -68,7 +68,7 @@
         entries: Vec<(String, Phase)>,
     },
     /// Its own discovery has been replaced by one that numbers its versions anew.
-    CountsAnew,
+    VersionsReset,
     /// A peer has sent a message.
     Message {
         /// The sender.
@@ -86,7 +86,7 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send the message to all neighbours in the dissemination tree.
-    Tell(ListMessage),
+    Broadcast(ListMessage),
     /// The upstreams that may be sent to have changed: ask [`Lists::among`](super::Lists::among).
     Changed,
     /// Poll the own discovery now: a peer has a newer list.
--- a/crates/revision/src/policy_state.rs
+++ b/crates/revision/src/policy_state.rs
@@ -21,10 +21,10 @@
 use crate::document::Document;
 use crate::entry::{CommandId, Entry};
 use crate::fallback_policy::{FallbackPolicy, FallbackPolicyError};
-use crate::fleet::Facts;
+use crate::fleet::FleetFacts;
 use crate::history::{ChangeStatus, History, Origin, ProposalResult, RetainedRevision};
 use crate::node_set::MAX_NODES;
-pub use crate::rejection::Refusal;
+pub use crate::rejection::Rejection;
 use crate::rules::Rules;
 
 /// The replicated policy state.
@@ -99,7 +99,7 @@
         Applied { answered, generation: is_changed, unreadable: None }
     }
 
-    fn execute(&mut self, index: u64, entry: Entry) -> Option<(CommandId, Result<u64, Refusal>)> {
+    fn execute(&mut self, index: u64, entry: Entry) -> Option<(CommandId, Result<u64, Rejection>)> {
         let id = entry.command_id();
         // A command that is in the log twice has its effect once.
         if let Some(id) = id
@@ -134,24 +134,24 @@
         Some((id, outcome))
     }
 
-    fn mark_dead(&mut self, node: NodeId) -> Result<(), Refusal> {
+    fn mark_dead(&mut self, node: NodeId) -> Result<(), Rejection> {
         self.check_node(node)?;
         self.state.dead.insert(node.0);
         Ok(())
     }
 
-    fn mark_alive(&mut self, node: NodeId) -> Result<(), Refusal> {
+    fn mark_alive(&mut self, node: NodeId) -> Result<(), Rejection> {
         self.check_node(node)?;
         self.state.dead.remove(&node.0);
         Ok(())
     }
 
-    fn check_node(&self, node: NodeId) -> Result<(), Refusal> {
+    fn check_node(&self, node: NodeId) -> Result<(), Rejection> {
         let members = self.state.members;
         if node.0 < members {
             Ok(())
         } else {
-            Err(Refusal::UnknownNode { member: node.0, members })
+            Err(Rejection::UnknownNode { member: node.0, members })
         }
     }
 
@@ -159,29 +159,30 @@
     ///
     /// # Errors
     /// The range of retained revisions, if this one is not among them.
-    pub fn kept(&self, number: u64) -> Result<&RetainedRevision, Refusal> {
+    pub fn kept(&self, number: u64) -> Result<&RetainedRevision, Rejection> {
         self.history.get(number).ok_or_else(|| {
             let mut numbers = self.history.revisions().map(|(number, _)| number);
             let oldest = numbers.next().unwrap_or(0);
             let newest = numbers.next_back().unwrap_or(oldest);
-            Refusal::Unknown { number, oldest, newest }
+            Rejection::Unknown { number, oldest, newest }
         })
     }
 
     /// The status after the last applied entry.
     pub fn status(&self) -> PolicyStatus {
         let state = &self.state;
-        let awaited = state.started_fallback_change().is_some_and(|c| !c.is_confirmed);
+        let awaits_fallback_confirmation =
+            state.started_fallback_change().is_some_and(|c| !c.is_confirmed);
         PolicyStatus {
             index: state.index,
             generation: state.generation,
             unconfirmed: state.unconfirmed,
             rules: self.rules.clone(),
             revision: state.in_force,
-            towards: state.target,
+            target_revision: state.target,
             fallback_policy: self.effective_fallback.clone(),
             fallback_generation: state.fallback_generation,
-            awaited,
+            awaits_fallback_confirmation,
             dead: state.dead.iter().map(|node| NodeId(*node)).collect(),
             members: state.members,
             canary: state.canary.filter(|canary| canary.revision == state.in_force),
@@ -220,8 +221,12 @@
     ///
     /// # Errors
     /// If the document is outside its bounds.
-    pub fn dry_run(&self, document: &Document, facts: &Facts) -> Result<Difference, Refusal> {
-        document.check().map_err(|error| Refusal::Document(error.to_string()))?;
+    pub fn dry_run(
+        &self,
+        document: &Document,
+        facts: &FleetFacts,
+    ) -> Result<Difference, Rejection> {
+        document.check().map_err(|error| Rejection::Document(error.to_string()))?;
         let newest = &self.kept(self.state.newest)?.document;
         Ok(Difference::of(newest, document, &self.fleet_conflicts(document, facts)))
     }
@@ -230,7 +235,7 @@
     ///
     /// # Errors
     /// If the revision is not retained.
-    pub fn dry_rollback(&self, to: u64, facts: &Facts) -> Result<Difference, Refusal> {
+    pub fn dry_run_rollback(&self, to: u64, facts: &FleetFacts) -> Result<Difference, Rejection> {
         self.dry_run(&self.kept(to)?.document, facts)
     }
 }
--- a/crates/revision/src/policy_state/fallback_change.rs
+++ b/crates/revision/src/policy_state/fallback_change.rs
@@ -4,8 +4,8 @@
 use super::PolicyState;
 use super::replicated::FallbackChange;
 use crate::fallback_policy::{FallbackFloor, FallbackPolicy, FallbackPolicyError};
-use crate::fleet::Facts;
-use crate::rejection::Refusal;
+use crate::fleet::FleetFacts;
+use crate::rejection::Rejection;
 
 impl PolicyState {
     /// Proposes another fallback policy, or withdraws the running change if `target` is the present policy.
@@ -13,8 +13,8 @@
         &mut self,
         index: u64,
         target: FallbackPolicy,
-        facts: &Facts,
-    ) -> Result<u64, Refusal> {
+        facts: &FleetFacts,
+    ) -> Result<u64, Rejection> {
         if self.state.fallback_change.is_some() {
             return self.withdraw_fallback_change(index, &target);
         }
@@ -38,10 +38,10 @@
         &mut self,
         index: u64,
         target: &FallbackPolicy,
-    ) -> Result<u64, Refusal> {
+    ) -> Result<u64, Rejection> {
         let Some(change) = &mut self.state.fallback_change else { return Ok(index) };
         if *target != self.state.fallback_policy {
-            return Err(Refusal::Changing { since: change.proposed_at });
+            return Err(Rejection::Changing { since: change.proposed_at });
         }
         if change.is_started {
             // What is in force stays made of both policies until the next generation. The old policy allows all that
@@ -58,7 +58,7 @@
     fn check_new_exceptions(
         &self,
         target: &FallbackPolicy,
-        facts: &Facts,
+        facts: &FleetFacts,
     ) -> Result<(), FallbackPolicyError> {
         let mandatory = &self.state.mandatory_fallback.cells;
         for name in target.except.difference(&self.state.fallback_policy.except) {
@@ -76,14 +76,14 @@
     fn check_referenced_revisions(
         &self,
         target: &FallbackPolicy,
-        facts: &Facts,
-    ) -> Result<(), Refusal> {
+        facts: &FleetFacts,
+    ) -> Result<(), Rejection> {
         let floor = FallbackFloor::of(target.clone());
         for number in self.state.referenced_revisions() {
             let Some(revision) = self.history.get(number) else { continue };
             let conflicts = facts.fallback_conflicts(&revision.document, &floor);
             if let Some(conflict) = conflicts.into_iter().next() {
-                return Err(Refusal::FleetConflict(conflict));
+                return Err(Rejection::FleetConflict(conflict));
             }
         }
         Ok(())
--- a/crates/revision/src/policy_state/revisions.rs
+++ b/crates/revision/src/policy_state/revisions.rs
@@ -7,9 +7,9 @@
 use crate::canary::RollbackCause;
 use crate::document::Document;
 use crate::entry::ProposalOptions;
-use crate::fleet::{Facts, FleetConflict};
+use crate::fleet::{FleetConflict, FleetFacts};
 use crate::history::{ChangeStatus, Origin};
-use crate::rejection::Refusal;
+use crate::rejection::Rejection;
 use crate::rules::Rules;
 
 impl PolicyState {
@@ -19,8 +19,8 @@
         index: u64,
         options: &ProposalOptions,
         document: Document,
-    ) -> Result<u64, Refusal> {
-        document.check().map_err(|error| Refusal::Document(error.to_string()))?;
+    ) -> Result<u64, Rejection> {
+        document.check().map_err(|error| Rejection::Document(error.to_string()))?;
         self.accept(index, options, document, Origin::Proposed(options.id))
     }
 
@@ -30,7 +30,7 @@
         index: u64,
         options: &ProposalOptions,
         to: u64,
-    ) -> Result<u64, Refusal> {
+    ) -> Result<u64, Rejection> {
         let document = (*self.kept(to)?.document).clone();
         self.accept(index, options, document, Origin::Rollback(options.id, to))
     }
@@ -47,16 +47,20 @@
     }
 
     /// Ends the canary of this revision, which stays.
-    pub(super) fn confirm_canary(&mut self, number: u64) -> Result<u64, Refusal> {
+    pub(super) fn confirm_canary(&mut self, number: u64) -> Result<u64, Rejection> {
         if self.state.canary.is_none_or(|canary| canary.revision != number) {
-            return Err(Refusal::NotOnCanary { number });
+            return Err(Rejection::NotOnCanary { number });
         }
         self.state.canary = None;
         Ok(number)
     }
 
     /// The conflicts of a document with the fleet and with what no new revision can forbid.
-    pub(super) fn fleet_conflicts(&self, document: &Document, facts: &Facts) -> Vec<FleetConflict> {
+    pub(super) fn fleet_conflicts(
+        &self,
+        document: &Document,
+        facts: &FleetFacts,
+    ) -> Vec<FleetConflict> {
         let floor = Arc::new(self.state.proposal_floor());
         facts.fleet_conflicts(&Rules::of(document.clone(), floor))
     }
@@ -67,15 +71,15 @@
         options: &ProposalOptions,
         document: Document,
         origin: Origin,
-    ) -> Result<u64, Refusal> {
+    ) -> Result<u64, Rejection> {
         self.check_base(options.base)?;
         if let Some(terms) = options.canary.filter(|terms| !terms.is_valid()) {
-            return Err(Refusal::CanaryTerms(terms));
+            return Err(Rejection::CanaryTerms(terms));
         }
         let conflicts = self.fleet_conflicts(&document, &options.facts);
         let is_overridden = |conflict: &FleetConflict| options.forced && conflict.is_overridable();
         if let Some(conflict) = conflicts.into_iter().find(|conflict| !is_overridden(conflict)) {
-            return Err(Refusal::FleetConflict(conflict));
+            return Err(Rejection::FleetConflict(conflict));
         }
         // A revision on top of a canary accepts the canary, unless it is one itself: then a rollback restores what
         // was there before both.
@@ -86,11 +90,11 @@
         Ok(index)
     }
 
-    fn check_base(&self, base: Option<u64>) -> Result<(), Refusal> {
+    fn check_base(&self, base: Option<u64>) -> Result<(), Rejection> {
         let newest = self.state.newest;
         let Some(base) = base.filter(|base| *base != newest) else { return Ok(()) };
         let first = self.history.first_after(base).unwrap_or(newest);
-        Err(Refusal::Lost { base, first, newest })
+        Err(Rejection::Lost { base, first, newest })
     }
 
     /// Makes a revision the newest and the next to come into force.
--- a/crates/revision/src/policy_state/snapshot.rs
+++ b/crates/revision/src/policy_state/snapshot.rs
@@ -92,7 +92,7 @@
     ///
     /// # Errors
     /// If the bytes hold no valid state.
-    pub fn from_image(bytes: &[u8]) -> Result<Self, SnapshotError> {
+    pub fn from_snapshot(bytes: &[u8]) -> Result<Self, SnapshotError> {
         let length = bytes.len();
         if length > MAX_SNAPSHOT_BYTES {
             return Err(SnapshotError::TooLong { found: length });
--- a/crates/revision/src/policy_state/status.rs
+++ b/crates/revision/src/policy_state/status.rs
@@ -9,7 +9,7 @@
 use crate::entry::{CommandId, EntryError};
 use crate::fallback_policy::{FallbackPolicy, FallbackPolicyError};
 use crate::node_set::{MAX_NODES, NodeSet};
-use crate::rejection::Refusal;
+use crate::rejection::Rejection;
 use crate::rules::Rules;
 
 /// What a cluster starts with: the same at every balancer, from its settings.
@@ -46,7 +46,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Applied {
     /// The result of the command, if the entry was one. A command that was repeated gets its first result.
-    pub answered: Option<(CommandId, Result<u64, Refusal>)>,
+    pub answered: Option<(CommandId, Result<u64, Rejection>)>,
     /// Whether the generation has changed.
     pub generation: bool,
     /// Why the entry could not be decoded. It had no effect, here and at every other balancer.
@@ -78,13 +78,13 @@
     /// The revision that is in force, or was last if a change is under way.
     pub revision: u64,
     /// The revision that a running change leads to.
-    pub towards: Option<u64>,
+    pub target_revision: Option<u64>,
     /// What a balancer without a lease keeps to.
     pub fallback_policy: Arc<FallbackPolicy>,
     /// The generation that set the fallback policy.
     pub fallback_generation: u64,
     /// Whether a change of the fallback policy waits for the confirmation of every balancer.
-    pub awaited: bool,
+    pub awaits_fallback_confirmation: bool,
     /// Balancers that are marked dead: their confirmations are not waited for.
     pub dead: NodeSet,
     /// How many balancers the cluster has.
--- a/crates/revision/src/rejection.rs
+++ b/crates/revision/src/rejection.rs
@@ -9,7 +9,7 @@
 
 /// Why a command had no effect.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
-pub enum Refusal {
+pub enum Rejection {
     /// The proposal was made against a revision that is no longer the newest.
     #[error(
         "made against revision {base}, after which {first} came; the newest is {newest}: \
--- a/crates/revision/src/rules.rs
+++ b/crates/revision/src/rules.rs
@@ -55,7 +55,7 @@
 
     /// Makes the rules of a balancer without a lease: it sends only to what the fallback policy allows, with that
     /// policy's attempts. All other figures are the usual ones.
-    pub fn of_fallback_policy(fallback_policy: &FallbackPolicy) -> Self {
+    pub fn from_fallback_policy(fallback_policy: &FallbackPolicy) -> Self {
         let document = Document { attempts: fallback_policy.attempts, ..Document::default() };
         let floor = Arc::new(FallbackFloor::of(fallback_policy.clone()));
         Self { is_fallback_only: true, ..Self::of(document, floor) }
--- a/crates/revision/tests/cluster.rs
+++ b/crates/revision/tests/cluster.rs
@@ -141,7 +141,7 @@
         cluster.commit_now(&common::propose(1, None, common::without(&[2])));
         // The restrict phase is confirmed within a second or two; some nodes have just applied the entry of the apply
         // phase.
-        while cluster.log.last().unwrap().towards.is_some()
+        while cluster.log.last().unwrap().target_revision.is_some()
             || cluster.log.last().unwrap().revision == 0
         {
             let now = cluster.now;
@@ -208,7 +208,8 @@
 
 #[test]
 fn fallback_change_waits_for_unreachable_node_or_its_dead_mark() {
-    let awaited = |cluster: &Simulation| cluster.log.last().unwrap().awaited;
+    let awaits_fallback_confirmation =
+        |cluster: &Simulation| cluster.log.last().unwrap().awaits_fallback_confirmation;
     let puts_out = |cluster: &mut Simulation, id| {
         cluster.commit_now(&common::propose(id, None, common::without(&[1])));
         let now = cluster.now;
@@ -218,13 +219,13 @@
     for seed in 0..12 {
         let (mut cluster, _) = fallback_policy(seed, Defect::None, |_, _| ());
         assert!(
-            awaited(&cluster) && !puts_out(&mut cluster, 2),
+            awaits_fallback_confirmation(&cluster) && !puts_out(&mut cluster, 2),
             "seed {seed}: without everybody's word"
         );
         cluster.heal();
         cluster.run(32 * S);
         assert!(
-            !awaited(&cluster) && puts_out(&mut cluster, 3),
+            !awaits_fallback_confirmation(&cluster) && puts_out(&mut cluster, 3),
             "seed {seed}: it is back, and says so"
         );
         let found = cluster.finish();
@@ -236,12 +237,12 @@
         });
         cluster.run(18 * S);
         assert!(
-            !awaited(&cluster) && puts_out(&mut cluster, 2),
+            !awaits_fallback_confirmation(&cluster) && puts_out(&mut cluster, 2),
             "seed {seed}: {cut} is dead, by operators' word"
         );
     }
     let (mut cluster, _) = fallback_policy(0, Defect::UnconfirmedFallback, |_, _| ());
-    assert!(!awaited(&cluster) && puts_out(&mut cluster, 2));
+    assert!(!awaits_fallback_confirmation(&cluster) && puts_out(&mut cluster, 2));
     assert!(cluster.finish().contradiction > T, "without waiting for everybody it is caught");
 }
 
--- a/crates/revision/tests/common/mod.rs
+++ b/crates/revision/tests/common/mod.rs
@@ -6,12 +6,12 @@
 use hollowpaddle_revision::document::Document;
 use hollowpaddle_revision::entry::{CommandId, Entry, ProposalOptions};
 use hollowpaddle_revision::fallback_policy::FallbackPolicy;
-use hollowpaddle_revision::fleet::{ClassFacts, Facts, Group};
+use hollowpaddle_revision::fleet::{ClassFacts, FleetFacts, Group};
 use hollowpaddle_revision::policy_state::{Applied, Bootstrap, PolicyState};
 use hollowpaddle_revision::rules::Place;
 
 /// Two zones of four cells, each with two machine types of four upstreams; a third of the capacity is needed.
-pub fn facts() -> Facts {
+pub fn facts() -> FleetFacts {
     let group = |cell: u32, machine_type| Group {
         cell,
         zone: u8::from(cell >= 4),
@@ -21,7 +21,7 @@
     };
     let name = |n: &str| n.to_string();
     let class = |n: &str| ClassFacts { name: name(n), zones: vec![], machine_types: vec![] };
-    Facts {
+    FleetFacts {
         zones: vec![name("bilbao"), name("oviedo")],
         load: vec![1300, 1300],
         machine_types: vec![name("m1"), name("m2")],
--- a/crates/revision/tests/documents.rs
+++ b/crates/revision/tests/documents.rs
@@ -103,7 +103,7 @@
     let mut zone = Document::default();
     zone.out.zones.insert("bilbao".into());
     assert_eq!(facts().fleet_conflicts(&Rules::of(zone.clone(), floor(&[]))), []);
-    let full = hollowpaddle_revision::fleet::Facts { load: vec![2500, 2500], ..facts() };
+    let full = hollowpaddle_revision::fleet::FleetFacts { load: vec![2500, 2500], ..facts() };
     assert_eq!(full.fleet_conflicts(&Rules::of(zone, floor(&[]))), [shortage("", 5000, 4000)]);
 }
 
--- a/crates/revision/tests/formats.rs
+++ b/crates/revision/tests/formats.rs
@@ -14,11 +14,11 @@
 use hollowpaddle_revision::document::Document;
 use hollowpaddle_revision::entry::{CommandId, Entry, ProposalOptions};
 use hollowpaddle_revision::fallback_policy::{FallbackFloor, FallbackPolicy, FallbackPolicyError};
-use hollowpaddle_revision::fleet::{ClassFacts, Facts, FleetConflict, Group};
+use hollowpaddle_revision::fleet::{ClassFacts, FleetConflict, FleetFacts, Group};
 use hollowpaddle_revision::history::{ChangeStatus, Origin, ProposalResult};
 use hollowpaddle_revision::lists::{ListMessage, Stop};
 use hollowpaddle_revision::message::{Generation, LeaseRejection, Message};
-use hollowpaddle_revision::policy_state::{PolicyState, Refusal};
+use hollowpaddle_revision::policy_state::{PolicyState, Rejection};
 use hollowpaddle_revision::rules::Rules;
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -69,8 +69,8 @@
     }
 }
 
-fn facts() -> Facts {
-    Facts {
+fn facts() -> FleetFacts {
+    FleetFacts {
         zones: vec!["bilbao".into()],
         load: vec![1300],
         machine_types: vec!["m1".into(), "m2".into()],
@@ -204,7 +204,7 @@
         ),
         (
             "the fleet's facts can't be: pod; the proposer's build is at fault",
-            FleetConflict::Facts { what },
+            FleetConflict::FleetFacts { what },
         ),
     ]
 }
@@ -224,37 +224,37 @@
 }
 
 /// A rejection that holds one of the errors above is tried with one of its variants.
-fn refusals() -> Cases<Refusal> {
+fn refusals() -> Cases<Rejection> {
     let (misfit, fallback_policy) =
         (fleet_conflicts().remove(1), fallback_policy_errors().remove(1));
     vec![
         (
             "made against revision 3, after which 4 came; the newest is 300: look at that and propose again",
-            Refusal::Lost { base: 3, first: 4, newest: 300 },
+            Rejection::Lost { base: 3, first: 4, newest: 300 },
         ),
         (
             "revision 3 is not kept; expected one of 4 to 300",
-            Refusal::Unknown { number: 3, oldest: 4, newest: 300 },
+            Rejection::Unknown { number: 3, oldest: 4, newest: 300 },
         ),
-        ("the document's error", Refusal::Document("the document's error".into())),
-        (misfit.0, Refusal::FleetConflict(misfit.1)),
+        ("the document's error", Rejection::Document("the document's error".into())),
+        (misfit.0, Rejection::FleetConflict(misfit.1)),
         (
             "a trial of 60 s and 100 thousandths; expected 1 to 3600 and 1 to 1000",
-            Refusal::CanaryTerms(TRIAL),
+            Rejection::CanaryTerms(TRIAL),
         ),
         (
             "revision 3 is not on trial; it was taken back, replaced, or had none",
-            Refusal::NotOnCanary { number: 3 },
+            Rejection::NotOnCanary { number: 3 },
         ),
-        (fallback_policy.0, Refusal::FallbackPolicy(fallback_policy.1)),
+        (fallback_policy.0, Rejection::FallbackPolicy(fallback_policy.1)),
         (
             "another charter is on its way since entry 300; wait until everyone has confirmed it, \
              or give the old one again to withdraw it",
-            Refusal::Changing { since: 300 },
+            Rejection::Changing { since: 300 },
         ),
         (
             "there is no balancer 300 in a bank of 5",
-            Refusal::UnknownNode { member: 300, members: 5 },
+            Rejection::UnknownNode { member: 300, members: 5 },
         ),
     ]
 }
@@ -326,7 +326,7 @@
     let cases =
         vec![("bootstrap", policy()), ("busy", busy_state()), ("fallback_confirmed", confirmed)];
     let write = |policy: &PolicyState| policy.image().unwrap();
-    let read = |bytes: &[u8]| PolicyState::from_image(bytes).unwrap();
+    let read = |bytes: &[u8]| PolicyState::from_snapshot(bytes).unwrap();
     assert_bytes(include_str!("formats/snapshots.txt"), &cases, write, read);
 }
 
@@ -341,7 +341,7 @@
         ("done", ProposalResult { index: 300, outcome: Ok(11) }),
         (
             "rejected",
-            ProposalResult { index: 300, outcome: Err(Refusal::NotOnCanary { number: 3 }) },
+            ProposalResult { index: 300, outcome: Err(Rejection::NotOnCanary { number: 3 }) },
         ),
     ];
     assert_parts(include_str!("formats/answers.txt"), &answers);
@@ -540,7 +540,7 @@
 
 #[test]
 fn conflicts_with_the_fallback_policy_and_the_fleet_keep_their_words() {
-    let facts = Facts { zones: vec!["oviedo".into()], ..facts() };
+    let facts = FleetFacts { zones: vec!["oviedo".into()], ..facts() };
     let conflicts = |document: Document, cells: &[u32], attempts| -> Vec<String> {
         let policy = FallbackPolicy {
             cells: cells.iter().copied().collect(),
--- a/crates/revision/tests/lists.rs
+++ b/crates/revision/tests/lists.rs
@@ -47,7 +47,7 @@
     assert_eq!(open(&lists), "acd");
     assert!(actions.contains(&Action::Poll { version: 7 }) && actions.contains(&Action::Changed));
     let forwards = |actions: &[Action]| {
-        actions.iter().any(|a| matches!(a, Action::Tell(w) if !w.stops.is_empty()))
+        actions.iter().any(|a| matches!(a, Action::Broadcast(w) if !w.stops.is_empty()))
     };
     assert!(forwards(&actions));
     actions.clear();
@@ -82,10 +82,10 @@
 fn late_list_reverts_nothing_and_version_reset_starts_over() {
     let (mut lists, mut actions) = (Lists::default(), vec![]);
     all(&mut lists, 5);
-    lists.handle(s(2), own(9, false, &[("b", Phase::Drains)]), &mut actions);
+    lists.handle(s(2), own(9, false, &[("b", Phase::Draining)]), &mut actions);
     lists.handle(s(2), own(8, true, &[("a", Phase::Serving), ("b", Phase::Serving)]), &mut actions);
     assert_eq!(open(&lists), "acd", "neither is b back nor is c gone");
-    lists.handle(s(3), Event::CountsAnew, &mut actions);
+    lists.handle(s(3), Event::VersionsReset, &mut actions);
     lists.handle(s(3), own(1, true, &[("a", Phase::Serving), ("b", Phase::Serving)]), &mut actions);
     assert_eq!((open(&lists).as_str(), lists.newest()), ("ab", 1));
 }
@@ -112,12 +112,12 @@
     cluster.iter_mut().for_each(|l| all(l, 5));
     let mut now = s(2);
     let mut pending: BTreeMap<usize, Vec<Action>> = BTreeMap::new();
-    cluster[0].handle(now, own(6, false, &[("b", Phase::Drains)]), pending.entry(0).or_default());
+    cluster[0].handle(now, own(6, false, &[("b", Phase::Draining)]), pending.entry(0).or_default());
     for _ in 0..30 {
         for (from, actions) in std::mem::take(&mut pending) {
             let messages = actions
                 .into_iter()
-                .filter_map(|a| if let Action::Tell(w) = a { Some(w) } else { None });
+                .filter_map(|a| if let Action::Broadcast(w) = a { Some(w) } else { None });
             for message in messages {
                 let near =
                     [from.wrapping_sub(1) / 8].into_iter().chain(8 * from + 1..=8 * from + 8);
@@ -149,7 +149,7 @@
         let (mut lists, mut model) = (Lists::default(), BTreeMap::<&str, (u64, Phase)>::new());
         for (at, (kind, name, version, phase)) in all.into_iter().enumerate() {
             let (name, now) = (NAMES[name], Duration::from_millis(at as u64 * 700));
-            let phase = [Phase::Serving, Phase::Drains, Phase::Ended][usize::from(phase)];
+            let phase = [Phase::Serving, Phase::Draining, Phase::Ended][usize::from(phase)];
             // Expire stops first.
             lists.handle(now, Event::Due, &mut vec![]);
             let before = open(&lists);
@@ -181,13 +181,13 @@
         bytes in proptest::collection::vec(any::<u8>(), 0..100),
     ) {
         let (mut lists, mut actions) = (Lists::default(), vec![]);
-        for (version, phase) in [(1, Phase::Serving), (2, Phase::Drains)] {
+        for (version, phase) in [(1, Phase::Serving), (2, Phase::Draining)] {
             let entries: Vec<(&str, Phase)> = names.iter().map(|n| (n.as_str(), phase)).collect();
             lists.handle(s(version), own(version, true, &entries), &mut actions);
         }
         let mut informed = std::collections::BTreeSet::new();
         for action in actions {
-            if let Action::Tell(message) = action {
+            if let Action::Broadcast(message) = action {
                 prop_assert!(message.to_bytes().len() <= MAX_MESSAGE_BYTES);
                 prop_assert_eq!(ListMessage::from_bytes(&message.to_bytes()), Ok(message.clone()));
                 informed.extend(message.stops.into_iter().map(|s| s.name));
--- a/crates/revision/tests/policy_state.rs
+++ b/crates/revision/tests/policy_state.rs
@@ -10,9 +10,9 @@
 use hollowpaddle_revision::document::Document;
 use hollowpaddle_revision::entry::{CommandId, Entry, MAX_ENTRY_BYTES};
 use hollowpaddle_revision::fallback_policy::FallbackPolicy;
-use hollowpaddle_revision::fleet::{Facts, FleetConflict};
+use hollowpaddle_revision::fleet::{FleetConflict, FleetFacts};
 use hollowpaddle_revision::history::{ChangeStatus, MAX_RESULTS, MAX_REVISIONS};
-use hollowpaddle_revision::policy_state::{PolicyState, Refusal};
+use hollowpaddle_revision::policy_state::{PolicyState, Rejection};
 use proptest::prelude::*;
 
 #[test]
@@ -41,7 +41,7 @@
     let one = next(&mut policy, &propose(1, Some(0), without(&[2])));
     let two = next(&mut policy, &propose(2, Some(0), without(&[3])));
     assert_eq!(one.answered, Some((CommandId(1), Ok(1))));
-    let stale = Refusal::Lost { base: 0, first: 1, newest: 1 };
+    let stale = Rejection::Lost { base: 0, first: 1, newest: 1 };
     assert_eq!(two.answered, Some((CommandId(2), Err(stale.clone()))));
     // A repeated command gets the same result and has no further effect.
     assert_eq!(
@@ -102,7 +102,7 @@
         policy.revisions().map(|(_, k)| std::sync::Arc::as_ptr(&k.document)).collect();
     assert!(contents[0] == *contents.last().unwrap(), "content is shared");
     let unknown = next(&mut policy, &rollback(5, None, 99)).answered.unwrap().1;
-    assert_eq!(unknown, Err(Refusal::Unknown { number: 99, oldest: 0, newest: further }));
+    assert_eq!(unknown, Err(Rejection::Unknown { number: 99, oldest: 0, newest: further }));
 }
 
 #[test]
@@ -113,7 +113,7 @@
     settle(&mut policy);
     let mut fleet = facts();
     fleet.groups.retain(|g| g.cell != 2 && g.cell != 3);
-    let difference = policy.dry_rollback(1, &fleet).unwrap();
+    let difference = policy.dry_run_rollback(1, &fleet).unwrap();
     assert!(difference.out.cells.contains(&2) && difference.back.cells.contains(&3));
     assert!(
         difference.fleet_conflicts[0].contains("no pod `2`"),
@@ -124,7 +124,7 @@
     proposal.facts = fleet;
     let refused =
         next(&mut policy, &Entry::Rollback(Box::new(proposal.clone()), 1)).answered.unwrap().1;
-    assert!(matches!(refused, Err(Refusal::FleetConflict(FleetConflict::Unknown { .. }))));
+    assert!(matches!(refused, Err(Rejection::FleetConflict(FleetConflict::Unknown { .. }))));
     (proposal.id, proposal.forced) = (CommandId(4), true);
     assert!(
         next(&mut policy, &Entry::Rollback(Box::new(proposal.clone()), 1))
@@ -139,7 +139,7 @@
         next(&mut policy, &Entry::Propose(Box::new(proposal), Box::new(without(&[1])))).answered;
     assert!(matches!(
         refused.unwrap().1,
-        Err(Refusal::FleetConflict(FleetConflict::FallbackPolicy { .. }))
+        Err(Rejection::FleetConflict(FleetConflict::FallbackPolicy { .. }))
     ));
 }
 
@@ -164,7 +164,7 @@
     assert_eq!(policy.newest(), second, "it is not that one's trial any more");
     next(&mut policy, &Entry::AutomaticRollback(second, RollbackCause::NotConfirmed));
     let late = next(&mut policy, &Entry::Confirm(CommandId(4), second)).answered.unwrap().1;
-    assert_eq!(late, Err(Refusal::NotOnCanary { number: second }));
+    assert_eq!(late, Err(Rejection::NotOnCanary { number: second }));
     settle(&mut policy);
     assert_eq!(open_cells(&policy), [0, 1, 3, 4, 5, 6, 7]);
     // A confirmed canary stays.
@@ -191,22 +191,26 @@
     next(&mut policy, &change(1, &[0, 4, 6]));
     let status = policy.status();
     assert_eq!(status.fallback_policy.cells, [0, 4].into(), "one keeps to what both allow");
-    assert!(status.awaited && status.rules.floor().holds(1) && status.rules.floor().holds(6));
+    assert!(
+        status.awaits_fallback_confirmation
+            && status.rules.floor().holds(1)
+            && status.rules.floor().holds(6)
+    );
     // Until it is confirmed neither may be forbidden, and no other change is accepted.
     for (id, cell) in [(2, 1), (3, 6)] {
         let refused = next(&mut policy, &propose(id, None, without(&[cell]))).answered.unwrap().1;
         assert!(matches!(
             refused,
-            Err(Refusal::FleetConflict(FleetConflict::FallbackPolicy { .. }))
+            Err(Rejection::FleetConflict(FleetConflict::FallbackPolicy { .. }))
         ));
     }
     assert!(matches!(
         next(&mut policy, &change(4, &[0, 4])).answered.unwrap().1,
-        Err(Refusal::Changing { .. })
+        Err(Rejection::Changing { .. })
     ));
     settle(&mut policy);
     next(&mut policy, &Entry::FallbackPolicyConfirmed(status.fallback_generation + 7));
-    assert!(policy.status().awaited, "another generation's word");
+    assert!(policy.status().awaits_fallback_confirmation, "another generation's word");
     next(&mut policy, &Entry::FallbackPolicyConfirmed(status.fallback_generation));
     settle(&mut policy);
     assert_eq!(policy.status().fallback_policy.cells, [0, 4, 6].into());
@@ -214,10 +218,10 @@
     settle(&mut policy);
     // The policy cannot allow what a revision forbids, nor leave out the mandatory fallback.
     let refused = next(&mut policy, &change(6, &[0, 1, 4, 6])).answered.unwrap().1;
-    assert!(matches!(refused, Err(Refusal::FleetConflict(FleetConflict::FallbackPolicy { .. }))));
+    assert!(matches!(refused, Err(Rejection::FleetConflict(FleetConflict::FallbackPolicy { .. }))));
     assert!(matches!(
         next(&mut policy, &change(7, &[0])).answered.unwrap().1,
-        Err(Refusal::FallbackPolicy(_))
+        Err(Rejection::FallbackPolicy(_))
     ));
     let mut except = fallback_policy(&[0, 4, 6]);
     except.except.insert("u0".into());
@@ -226,15 +230,18 @@
             .answered
             .unwrap()
             .1;
-    assert!(matches!(refused, Err(Refusal::FallbackPolicy(_))), "u0 is in a bedrock pod");
+    assert!(matches!(refused, Err(Rejection::FallbackPolicy(_))), "u0 is in a bedrock pod");
     // A withdrawn change restores the old policy.
     next(&mut policy, &change(9, &[0, 4]));
     assert_eq!(policy.status().fallback_policy.cells, [0, 4].into());
     next(&mut policy, &change(10, &[0, 4, 6]));
     // A regression: the state decoded from a snapshot differed until the next generation.
-    assert_eq!(PolicyState::from_image(&policy.image().unwrap()).unwrap(), policy);
+    assert_eq!(PolicyState::from_snapshot(&policy.image().unwrap()).unwrap(), policy);
     settle(&mut policy);
-    assert_eq!((policy.status().fallback_policy.cells.len(), policy.status().awaited), (3, false));
+    assert_eq!(
+        (policy.status().fallback_policy.cells.len(), policy.status().awaits_fallback_confirmation),
+        (3, false)
+    );
 }
 
 #[test]
@@ -245,7 +252,7 @@
     next(&mut policy, &Entry::Alive(CommandId(2), NodeId(3)));
     assert!(policy.status().dead.is_empty());
     let refused = next(&mut policy, &Entry::Dead(CommandId(3), NodeId(5))).answered.unwrap().1;
-    assert_eq!(refused, Err(Refusal::UnknownNode { member: 5, members: 5 }));
+    assert_eq!(refused, Err(Rejection::UnknownNode { member: 5, members: 5 }));
 }
 
 #[test]
@@ -257,7 +264,7 @@
         let name = |k: u32| format!("machine-of-the-fleet-{k:06}-{i:04}");
         document.out.upstreams = (0..30).map(name).collect();
         let mut proposal = options(u128::from(i), None);
-        (proposal.forced, proposal.facts) = (true, Facts::default());
+        (proposal.forced, proposal.facts) = (true, FleetFacts::default());
         next(&mut policy, &Entry::Propose(Box::new(proposal), Box::new(document)));
         settle(&mut policy);
     }
@@ -265,7 +272,7 @@
     let image = policy.image().unwrap();
     println!("an image of 1,000 revisions of 1 kB and 2,000 answers: {} bytes", image.len());
     assert!((1_000_000..1_300_000).contains(&image.len()), "{}", image.len());
-    let mut other = PolicyState::from_image(&image).unwrap();
+    let mut other = PolicyState::from_snapshot(&image).unwrap();
     assert_eq!(other, policy);
     // Both apply the next entry alike.
     let oldest = policy.revisions().next().unwrap().0;
@@ -273,7 +280,7 @@
     let (one, two) = (next(&mut policy, &entry), next(&mut other, &entry));
     assert_eq!((one, &policy), (two, &other));
     for cut in [0, 1, 100, image.len() - 1] {
-        assert!(PolicyState::from_image(&image[..cut]).is_err());
+        assert!(PolicyState::from_snapshot(&image[..cut]).is_err());
     }
     // A thousand rollbacks between two contents share these.
     let before = policy.image().unwrap().len();
@@ -340,7 +347,7 @@
                 prop_assert!(number <= now.index);
             }
             if at % 7 == 0 {
-                other = PolicyState::from_image(&other.image().unwrap()).unwrap();
+                other = PolicyState::from_snapshot(&other.image().unwrap()).unwrap();
             }
             prop_assert_eq!(&policy, &other);
         }
@@ -352,7 +359,7 @@
     ) {
         let mut one = policy();
         one.apply(1, &bytes);
-        let _ = PolicyState::from_image(&bytes);
+        let _ = PolicyState::from_snapshot(&bytes);
         let entry = propose(1, None, Document::default()).to_bytes().unwrap();
         let mut torn = entry.clone();
         let at = at % torn.len();
@@ -363,7 +370,7 @@
         let mut image = policy().image().unwrap();
         let at = at % image.len();
         image[at] ^= 0x41;
-        let _ = PolicyState::from_image(&image);
+        let _ = PolicyState::from_snapshot(&image);
         prop_assert!(one.apply(5, &vec![0; MAX_ENTRY_BYTES + 1]).unreadable.is_some());
     }
 }
--- a/crates/revision/tests/sim/mod.rs
+++ b/crates/revision/tests/sim/mod.rs
@@ -13,7 +13,7 @@
 use hollowpaddle_revision::document::Document;
 use hollowpaddle_revision::entry::{CommandId, Entry, ProposalOptions};
 use hollowpaddle_revision::fallback_policy::FallbackPolicy;
-use hollowpaddle_revision::fleet::Facts;
+use hollowpaddle_revision::fleet::FleetFacts;
 use hollowpaddle_revision::in_force::{InForce, View};
 use hollowpaddle_revision::leases::{Action, Event, LeaseConfig, Leases};
 use hollowpaddle_revision::message::{Generation, Message};
@@ -492,12 +492,13 @@
         self.entries.push(entry.to_bytes().unwrap());
         self.policy.apply(index, &entry.to_bytes().unwrap());
         let mut status = self.policy.status();
-        if let Some(to) = status.towards.filter(|_| self.setting.defect == Defect::NoRestrictPhase)
+        if let Some(to) =
+            status.target_revision.filter(|_| self.setting.defect == Defect::NoRestrictPhase)
         {
             let document = (*self.policy.kept(to).unwrap().document).clone();
             status.rules = Arc::new(Rules::of(document, status.rules.floor().clone()));
         }
-        let early = status.awaited.then_some(status.fallback_generation);
+        let early = status.awaits_fallback_confirmation.then_some(status.fallback_generation);
         if let Some(fallback_generation) =
             early.filter(|_| self.setting.defect == Defect::UnconfirmedFallback)
         {
@@ -626,7 +627,7 @@
             base: None,
             canary,
             forced: true,
-            facts: Facts::default(),
+            facts: FleetFacts::default(),
         });
         let sample = self.rng.rand_u64();
         let entry = match sample % 20 {
@@ -711,7 +712,8 @@
             .iter()
             .rposition(|s| s.generation == s.index && s.fallback_generation == s.index)
             .unwrap_or(0);
-        let complete = complete.max(self.log.iter().rposition(|s| s.awaited).unwrap_or(0));
+        let complete = complete
+            .max(self.log.iter().rposition(|s| s.awaits_fallback_confirmation).unwrap_or(0));
         let length = (self.log.len() - lost_entries.min(self.log.len() - 1)).max(complete + 1);
         self.policy = PolicyState::found(common::bootstrap(self.setting.members as u16)).unwrap();
         for index in 1..length {
