--- a/crates/ctl/src/main.rs
+++ b/crates/ctl/src/main.rs
@@ -1,5 +1,6 @@
 //! `hollowpaddlectl`, the operators' command line: a thin shell over libraries.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 mod in_process;
 mod load;
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -3,6 +3,7 @@
 //! Everything runs on one thread. The tasks that do I/O tell the engine what happened and carry out
 //! what it says; only the engine touches the module.
 #![forbid(unsafe_code)]
+#![warn(missing_docs)]
 
 mod admin;
 mod attempt;
