--- a/crates/model-checks/src/bin/change-limits.rs
+++ b/crates/model-checks/src/bin/change-limits.rs
@@ -1,4 +1,4 @@
-//! Prints what becomes of one configuration change in a fleet of this size, as a line of JSON, in virtual time:
+//! Simulates one configuration change in a fleet of this size, and prints the outcome as a line of JSON:
 //! `cargo run --release -p hollowpaddle-model-checks --bin change-limits -- CLASSES MACHINE_TYPES GROUPS`.
 
 use std::process::ExitCode;
@@ -23,7 +23,7 @@
         return ExitCode::FAILURE;
     };
     let Some(outcome) = propose_with(fleet) else {
-        eprintln!("change-limits: the cluster did not come to rest");
+        eprintln!("change-limits: the cluster did not settle");
         return ExitCode::FAILURE;
     };
     match serde_json::to_string(&outcome) {
--- a/crates/model-checks/src/bin/control-plane-figures.rs
+++ b/crates/model-checks/src/bin/control-plane-figures.rs
@@ -1,4 +1,4 @@
-//! Prints the cost of the control plane at one size as a line of JSON, in virtual time:
+//! Measures the cost of the control plane at one cluster size in virtual time, and prints it as a line of JSON:
 //! `cargo run --release -p hollowpaddle-model-checks --bin control-plane-figures -- BALANCERS LOSS_PERCENT SEED`.
 
 use std::process::ExitCode;
--- a/crates/model-checks/src/history.rs
+++ b/crates/model-checks/src/history.rs
@@ -1,6 +1,8 @@
-//! What clients saw of proposals, rollbacks and questions, and whether one register could have answered so: a number that
-//! only grows, changed by compare-and-set on the base. Reads are not in it: `GET` at a door may be as old as a lease,
-//! and `judge` holds it to that.
+//! Histories of operations that clients invoke at the admin API, and a linearizability check of these histories.
+//!
+//! The specification is one register of the newest revision number: the number only grows, and each change is a
+//! compare-and-set on its base revision. Proposals, rollbacks and queries for the outcome of a command are part of a
+//! history. Reads are not: a `GET` at the admin API may be as old as a lease, which `safety_checker` verifies.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,121 +11,127 @@
 use hollowpaddle_revision::policy_state::Rejection;
 use stateright::semantics::{ConsistencyTester, LinearizabilityTester, SequentialSpec};
 
-/// What was done at a door.
+/// An operation that a client invokes.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Op {
-    /// A new revision or a rollback, by this question, against this base.
-    Change {
-        /// Names it.
+pub enum Operation {
+    /// Proposes a new revision or a rollback.
+    Propose {
+        /// Identifier of the command.
         id: u128,
-        /// `if_revision`.
+        /// The revision that the change is based on (`if_revision`); `None` accepts any.
         base: Option<u64>,
     },
-    /// What became of a question.
-    Asked {
-        /// Which.
+    /// Asks for the outcome of an earlier command.
+    QueryOutcome {
+        /// Identifier of that command.
         id: u128,
     },
 }
 
-/// What was said to it.
+/// The response to an operation.
 #[derive(Clone, Debug, PartialEq, Eq)]
-pub enum Ret {
-    /// It is this revision.
-    Yes(u64),
-    /// Another one is the newest.
-    Lost(u64),
-    /// It was refused for what it says: that changes nothing.
-    Refused,
+pub enum Response {
+    /// The change is committed as the revision of this number.
+    Committed(u64),
+    /// The base is outdated; this revision is the newest.
+    Conflict(u64),
+    /// The change is invalid and has no effect.
+    Rejected,
 }
 
-impl Ret {
-    /// As a door says it; `None`: that says nothing.
-    pub fn of(answer: &ProposalResult) -> Option<Self> {
-        match answer {
-            ProposalResult::Answered(Ok(number)) => Some(Self::Yes(*number)),
+impl Response {
+    /// Converts the result of a proposal; `None` if the result leaves the outcome open.
+    pub fn from_result(result: &ProposalResult) -> Option<Self> {
+        match result {
+            ProposalResult::Answered(Ok(number)) => Some(Self::Committed(*number)),
             ProposalResult::Answered(Err(Rejection::Lost { newest, .. })) => {
-                Some(Self::Lost(*newest))
+                Some(Self::Conflict(*newest))
             }
-            ProposalResult::Answered(Err(_)) | ProposalResult::Never => Some(Self::Refused),
+            ProposalResult::Answered(Err(_)) | ProposalResult::Never => Some(Self::Rejected),
             ProposalResult::Stands(_) | ProposalResult::Unknown => None,
         }
     }
 }
 
-/// The register.
+/// Sequential specification: one register that holds the number of the newest revision.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
-pub struct Register {
+pub struct RevisionRegister {
     newest: u64,
-    answers: BTreeMap<u128, Ret>,
+    responses: BTreeMap<u128, Response>,
 }
 
-impl SequentialSpec for Register {
-    type Op = Op;
-    type Ret = Ret;
+impl SequentialSpec for RevisionRegister {
+    type Op = Operation;
+    type Ret = Response;
 
-    /// Only for what is in flight at the end, and nothing is: `day` asks what became of it, and drops what nobody knows.
-    fn invoke(&mut self, op: &Op) -> Ret {
-        match op {
-            Op::Change { base, .. } if base.is_some_and(|b| b != self.newest) => {
-                Ret::Lost(self.newest)
+    /// Called by the tester only for operations in flight at the end of a history. A history has none of these:
+    /// `seeded_run` queries their outcome and drops operations whose outcome is unknown.
+    fn invoke(&mut self, operation: &Operation) -> Response {
+        match operation {
+            Operation::Propose { base, .. } if base.is_some_and(|b| b != self.newest) => {
+                Response::Conflict(self.newest)
+            }
+            Operation::Propose { .. } => Response::Committed(self.newest + 1),
+            Operation::QueryOutcome { id } => {
+                self.responses.get(id).cloned().unwrap_or(Response::Rejected)
             }
-            Op::Change { .. } => Ret::Yes(self.newest + 1),
-            Op::Asked { id } => self.answers.get(id).cloned().unwrap_or(Ret::Refused),
         }
     }
 
-    /// Numbers are places in the log, where other entries stand as well: any greater one will do.
-    fn is_valid_step(&mut self, op: &Op, ret: &Ret) -> bool {
-        match op {
-            Op::Change { id, base } => {
+    /// Accepts any greater number for a new revision: numbers are log indexes, and other entries have indexes, too.
+    fn is_valid_step(&mut self, operation: &Operation, response: &Response) -> bool {
+        match operation {
+            Operation::Propose { id, base } => {
                 let fits = base.is_none_or(|b| b == self.newest);
-                let valid = match ret {
-                    Ret::Yes(number) => fits && *number > self.newest,
-                    Ret::Lost(newest) => !fits && *newest == self.newest,
-                    Ret::Refused => true,
+                let valid = match response {
+                    Response::Committed(number) => fits && *number > self.newest,
+                    Response::Conflict(newest) => !fits && *newest == self.newest,
+                    Response::Rejected => true,
                 };
-                if let (true, Ret::Yes(number)) = (valid, ret) {
+                if let (true, Response::Committed(number)) = (valid, response) {
                     self.newest = *number;
                 }
-                valid && self.answers.insert(*id, ret.clone()).is_none()
+                valid && self.responses.insert(*id, response.clone()).is_none()
             }
-            Op::Asked { id } => self.answers.get(id) == Some(ret),
+            Operation::QueryOutcome { id } => self.responses.get(id) == Some(response),
         }
     }
 }
 
-/// One operation, from its asking to its answer.
+/// One operation, from its invocation to its response.
 #[derive(Clone, Debug)]
-pub struct Span {
-    /// One client does one thing at a time.
-    pub thread: u32,
-    /// When it began.
-    pub from: Duration,
-    /// When the answer came.
-    pub to: Duration,
-    /// What.
-    pub op: Op,
-    /// The answer.
-    pub ret: Ret,
+pub struct CompletedOperation {
+    /// The client. A client has at most one operation in flight.
+    pub client_id: u32,
+    /// Time of the invocation.
+    pub invoked_at: Duration,
+    /// Time of the response.
+    pub returned_at: Duration,
+    /// The operation.
+    pub operation: Operation,
+    /// The response.
+    pub response: Response,
 }
 
-/// Whether a register that does one thing after the other could have answered so.
-pub fn is_linearizable(spans: &[Span]) -> bool {
-    let mut events: Vec<(Duration, bool, usize)> = spans
+/// Returns whether one register that executes the operations one at a time could have given these responses.
+pub fn is_linearizable(history: &[CompletedOperation]) -> bool {
+    let mut boundaries: Vec<(Duration, bool, usize)> = history
         .iter()
         .enumerate()
-        .flat_map(|(at, s)| [(s.from, false, at), (s.to, true, at)])
+        .flat_map(|(index, operation)| {
+            [(operation.invoked_at, false, index), (operation.returned_at, true, index)]
+        })
         .collect();
-    // What begins in the moment in which another ends is at the same time as it; of one span the beginning comes first.
-    events.sort_by_key(|(time, ends, at)| (*time, *ends, *at));
-    let mut tester = LinearizabilityTester::new(Register::default());
-    for (_, ends, at) in events {
-        let span = &spans[at];
-        let valid = if ends {
-            tester.on_return(span.thread, span.ret.clone()).is_ok()
+    // At equal times invocations come before returns: an operation that begins at the moment in which another one ends
+    // is concurrent with it, and no operation returns before its own invocation.
+    boundaries.sort_by_key(|(time, is_return, index)| (*time, *is_return, *index));
+    let mut tester = LinearizabilityTester::new(RevisionRegister::default());
+    for (_, is_return, index) in boundaries {
+        let completed = &history[index];
+        let valid = if is_return {
+            tester.on_return(completed.client_id, completed.response.clone()).is_ok()
         } else {
-            tester.on_invoke(span.thread, span.op.clone()).is_ok()
+            tester.on_invoke(completed.client_id, completed.operation.clone()).is_ok()
         };
         if !valid {
             return false;
@@ -136,32 +144,45 @@
 mod tests {
     use super::*;
 
-    fn span(thread: u32, from: u64, to: u64, op: Op, ret: Ret) -> Span {
-        Span { thread, from: Duration::from_millis(from), to: Duration::from_millis(to), op, ret }
+    fn completed(
+        client_id: u32,
+        invoked_at: u64,
+        returned_at: u64,
+        operation: Operation,
+        response: Response,
+    ) -> CompletedOperation {
+        CompletedOperation {
+            client_id,
+            invoked_at: Duration::from_millis(invoked_at),
+            returned_at: Duration::from_millis(returned_at),
+            operation,
+            response,
+        }
     }
-    fn change(id: u128, base: Option<u64>) -> Op {
-        Op::Change { id, base }
+    fn propose(id: u128, base: Option<u64>) -> Operation {
+        Operation::Propose { id, base }
     }
 
     #[test]
-    fn a_register_tells_a_history_that_it_could_have_had_from_one_that_it_could_not() {
-        let one = span(1, 0, 10, change(1, Some(0)), Ret::Yes(3));
-        let lost = span(2, 5, 12, change(2, Some(0)), Ret::Lost(3));
-        let later = span(2, 20, 30, change(3, Some(3)), Ret::Yes(9));
-        let asked = span(3, 31, 31, Op::Asked { id: 2 }, Ret::Lost(3));
-        let all = [one.clone(), lost.clone(), later.clone(), asked.clone()];
+    fn accepts_only_linearizable_histories() {
+        let first = completed(1, 0, 10, propose(1, Some(0)), Response::Committed(3));
+        let conflict = completed(2, 5, 12, propose(2, Some(0)), Response::Conflict(3));
+        let second = completed(2, 20, 30, propose(3, Some(3)), Response::Committed(9));
+        let query = completed(3, 31, 31, Operation::QueryOutcome { id: 2 }, Response::Conflict(3));
+        let all = [first.clone(), conflict.clone(), second.clone(), query.clone()];
         assert!(is_linearizable(&all));
-        // Both win against one base.
-        let both = span(2, 5, 12, change(2, Some(0)), Ret::Yes(4));
-        assert!(!is_linearizable(&[one.clone(), both]));
-        // It lost to one that came after its answer.
-        let early = span(2, 0, 4, change(2, Some(0)), Ret::Lost(9));
-        assert!(!is_linearizable(&[one.clone(), later.clone(), early]));
-        // A yes is forgotten.
-        let forgotten = span(2, 20, 30, change(3, Some(0)), Ret::Yes(9));
-        assert!(!is_linearizable(&[one.clone(), forgotten]));
-        // A question is told another answer than its asker.
-        let other = span(3, 31, 31, Op::Asked { id: 2 }, Ret::Yes(4));
-        assert!(!is_linearizable(&[one, lost, later, other]));
+        // Two proposals with the same base are both committed.
+        let second_winner = completed(2, 5, 12, propose(2, Some(0)), Response::Committed(4));
+        assert!(!is_linearizable(&[first.clone(), second_winner]));
+        // A proposal conflicts with a revision that is proposed only after the response.
+        let early_conflict = completed(2, 0, 4, propose(2, Some(0)), Response::Conflict(9));
+        assert!(!is_linearizable(&[first.clone(), second.clone(), early_conflict]));
+        // A committed revision is lost: a later proposal is committed against the old base.
+        let lost_commit = completed(2, 20, 30, propose(3, Some(0)), Response::Committed(9));
+        assert!(!is_linearizable(&[first.clone(), lost_commit]));
+        // A query returns a different outcome than the proposal itself.
+        let different_outcome =
+            completed(3, 31, 31, Operation::QueryOutcome { id: 2 }, Response::Committed(4));
+        assert!(!is_linearizable(&[first, conflict, second, different_outcome]));
     }
 }
--- a/crates/model-checks/src/lib.rs
+++ b/crates/model-checks/src/lib.rs
@@ -1,39 +1,44 @@
-//! Drives the very machines of the bank, to break them. Nothing of it is in the daemon, and no other package depends on it.
+//! Drives the daemon's own cluster state machines to find faults in them. The daemon does not contain this package, and no
+//! other package depends on it.
 //!
-//! - [`agreement`]: `Council` under a model checker (`stateright`): three members, words lost, doubled and in any order,
-//!   ends that forget, disks that have not synced. Tests: `checked::members_that_forget_agree_*`,
-//!   `members_with_disks_agree_*`, `where_a_majority_forgets_one_place_still_has_one_entry`.
-//! - [`holding`]: `Leases` and `PolicyState` under the same checker: three members of two sites in a chain. Tests:
-//!   `checked::leases_keep_their_holders_together_*`.
-//! - [`world`]: whole `Machine`s over a played network. [`day`] draws a day of faults of 5 to 7 of them; [`judge`] looks on,
-//!   and [`history`] asks whether one register could have answered so. Tests: `days`.
-//! - [`figures`]: what a bank of up to 300 takes, printed by `bin/cluster-figures`. Tests: `figures`.
+//! - [`consensus_model`]: the consensus state machine (`Replica`) under a model checker (`stateright`): three members, with
+//!   messages lost, duplicated and reordered, crashes that lose the state, and disks with unsynced records. Tests:
+//!   `model_checking::members_that_lose_state_agree_*`, `members_with_disks_agree_*`,
+//!   `each_index_has_one_entry_after_a_majority_loses_state`.
+//! - [`lease_model`]: `Leases` and `PolicyState` under the same checker: three members of two zones in a chain. Tests:
+//!   `model_checking::lease_holders_do_not_contradict_each_other_*`.
+//! - [`simulated_cluster`]: whole `Machine`s over a simulated network. [`seeded_run`] injects random faults into 5 to 7 of
+//!   these; [`safety_checker`] checks their state throughout, and [`history`] checks that the responses are linearizable.
+//!   Tests: `seeded_runs`.
+//! - [`figures`]: measurements of a cluster of up to 300, printed by `bin/cluster-figures`. Tests: `figures`.
 //! - [`control_plane`]: cost as a function of the number of balancers, printed by `bin/control-plane-figures`. Tests:
 //!   `control_plane`.
 //! - [`change_limits`]: whether a change is accepted by the size of the fleet, printed by `bin/change-limits`. Tests:
 //!   `change_limits`.
-//! - `tests/published.rs`: what requests read, under `loom`.
-//! - `tests/findings.rs`: what was found and is not mended yet.
+//! - `tests/published_policy.rs`: the policy that requests read, under `loom`.
+//! - `tests/known_failures.rs`: known faults that are not fixed yet.
 //!
-//! What is asked of a day, whoever is dead, cut off, paused, restarted or late:
+//! A seeded run checks these properties while nodes are dead, cut off, paused, restarted or late:
 //!
-//! 1. Proposals, rollbacks and questions about them are answered as by one register whose number only grows and which is
-//!    changed by compare-and-set; one question has one answer at every door.
-//! 2. A yes is in every book at the end; what nobody had answered is there for good or never.
-//! 3. Nobody sends for longer than T = 3 s what another under a lease forbids; two under leases never each send what the
-//!    other forbids; nobody holds a lease of a stage that a book calls confirmed to be over.
-//! 4. Reads are not linearizable, and are not said to be. `GET` at a door shows what is agreed, never goes back within one
-//!    process, and is, where the balancer holds a lease, no older than the last stage that is confirmed (3).
-//! 5. Healed, the bank agrees on a new revision, and has it in force everywhere within 20 s.
+//! 1. Proposals, rollbacks and queries for their outcome are answered as by one register whose number only grows and which
+//!    is changed by compare-and-set. All nodes give the same answer about one command.
+//! 2. At the end a committed revision is in the policy state of every node. A change without an answer is either committed
+//!    for good or never.
+//! 3. No node sends for longer than 3 s ([`safety_checker::MAX_CONTRADICTION`]) what another node under a lease forbids. Two
+//!    nodes under leases never each send what the other forbids. No node holds a lease of a generation that another node's
+//!    policy state reports as confirmed to be over.
+//! 4. Reads are not linearizable, and are not documented as such. A `GET` at a node shows committed state, never goes back
+//!    within one process, and is, where the balancer holds a lease, no older than the last confirmed generation (property 3).
+//! 5. After healing, the cluster commits a new revision, and has it in force everywhere within 20 s.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod agreement;
 pub mod change_limits;
+pub mod consensus_model;
 pub mod control_plane;
-pub mod day;
 pub mod figures;
 pub mod history;
-pub mod holding;
-pub mod judge;
-pub mod world;
+pub mod lease_model;
+pub mod safety_checker;
+pub mod seeded_run;
+pub mod simulated_cluster;
