--- a/crates/model-checks/src/change_limits.rs
+++ b/crates/model-checks/src/change_limits.rs
@@ -1,4 +1,5 @@
-//! Checks whether a cluster accepts a configuration change, by the size of the fleet that the change is validated against.
+//! Checks whether a cluster accepts a configuration change, by the size of the fleet that the change is validated
+//! against.
 //!
 //! A proposal carries the facts of the fleet: all classes of requests, all machine types, and the upstreams grouped by
 //! cell and machine type. [`propose_with`] simulates one proposal in a cluster of five, in virtual time.
--- a/crates/model-checks/src/consensus_model.rs
+++ b/crates/model-checks/src/consensus_model.rs
@@ -1,12 +1,13 @@
-//! A model of the consensus state machine ([`Replica`]) for a model checker. Three members exchange messages that are lost,
-//! duplicated, delayed and reordered. Members crash and lose their state, or restart with the state on their disk.
+//! A model of the consensus state machine ([`Replica`]) for a model checker. Three members exchange messages that are
+//! lost, duplicated, delayed and reordered. Members crash and lose their state, or restart with the state on their
+//! disk.
 //!
 //! Three simplifications keep the state space finite:
 //!
 //! - `Heartbeat`, `StatusRequest` and `StatusResponse` are delivered at once or not at all, by the [`Partition`] of the
 //!   current step.
-//! - At most [`MAX_MESSAGES_PER_LINK`] messages of one kind are in flight from one member to another; the oldest of more are
-//!   lost.
+//! - At most [`MAX_MESSAGES_PER_LINK`] messages of one kind are in flight from one member to another; the oldest of
+//!   more are lost.
 //! - Time advances in steps of 250 ms. Each member sends one heartbeat a step.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -40,8 +41,8 @@
     pub crashes: u8,
     /// Duplicated messages.
     pub duplicates: u8,
-    /// Whether a majority may be without state at one moment. An acknowledged proposal may be lost then, which the protocol's
-    /// guarantee allows; one index still never has two entries.
+    /// Whether a majority may be without state at one moment. An acknowledged proposal may be lost then, which the
+    /// protocol's guarantee allows; one index still never has two entries.
     pub allows_majority_loss: bool,
 }
 
@@ -406,8 +407,8 @@
             if !member.unsynced.is_empty() {
                 actions.push(ModelAction::SyncDisk(node_id));
             }
-            // With directories any member may crash at any time: a replica persists its state before it sends a promise.
-            // Without directories only one member at a time may be without state.
+            // With directories any member may crash at any time: a replica persists its state before it sends a
+            // promise. Without directories only one member at a time may be without state.
             let others_have_state = (0..MEMBERS)
                 .filter(|other| *other != node_id)
                 .all(|other| !state.has_no_state(other));
--- a/crates/model-checks/src/control_plane.rs
+++ b/crates/model-checks/src/control_plane.rs
@@ -1,8 +1,8 @@
 //! Cost of the control plane as a function of the number of balancers, in virtual time.
 //!
-//! [`measure`] simulates one cluster without faults other than datagram loss. It returns what each balancer sends at rest,
-//! while changes are made and after the leader is killed, and how long changes take. One value is one point of a fit;
-//! `bin/control-plane-figures` prints it as a line of JSON.
+//! [`measure`] simulates one cluster without faults other than datagram loss. It returns what each balancer sends at
+//! rest, while changes are made and after the leader is killed, and how long changes take. One value is one point of a
+//! fit; `bin/control-plane-figures` prints it as a line of JSON.
 
 use std::time::Duration;
 
@@ -146,8 +146,8 @@
 pub struct Failover {
     /// From the crash until a change is committed again; absent if that did not happen in half a minute.
     pub commit_again_ms: Option<u64>,
-    /// From the crash until all balancers hold leases, including the leader, which restarts after five seconds; absent if
-    /// some had none half a minute after that restart.
+    /// From the crash until all balancers hold leases, including the leader, which restarts after five seconds; absent
+    /// if some had none half a minute after that restart.
     pub all_leased_ms: Option<u64>,
     /// Balancers without a lease at the end of the measurement.
     pub without_lease: usize,
@@ -162,8 +162,8 @@
 pub struct Figures {
     /// Parameters of the measurement.
     pub scenario: Scenario,
-    /// Virtual time until there is a leader and all balancers hold leases, plus five seconds; absent if that took over a
-    /// minute, and then nothing else is measured.
+    /// Virtual time until there is a leader and all balancers hold leases, plus five seconds; absent if that took over
+    /// a minute, and then nothing else is measured.
     pub settled_ms: Option<u64>,
     /// Traffic at rest.
     pub rest: Option<Traffic>,
--- a/crates/model-checks/src/figures.rs
+++ b/crates/model-checks/src/figures.rs
@@ -1,6 +1,6 @@
-//! Measurements of a whole cluster in virtual time: commit and propagation of a change, fail-over, catching up, datagrams
-//! and bytes, and a crash of all balancers at once. `bin/cluster-figures` prints them as the tables of the design note; a
-//! test covers a small cluster.
+//! Measurements of a whole cluster in virtual time: commit and propagation of a change, fail-over, catching up,
+//! datagrams and bytes, and a crash of all balancers at once. `bin/cluster-figures` prints them as the tables of the
+//! design note; a test covers a small cluster.
 
 use std::time::Duration;
 
@@ -41,8 +41,8 @@
     document
 }
 
-/// Proposes a change, and retries it every 600 ms at another node until it is committed. Skips nodes that are down, as a
-/// load balancer of admin calls does. Returns the revision number and the time taken.
+/// Proposes a change, and retries it every 600 ms at another node until it is committed. Skips nodes that are down, as
+/// a load balancer of admin calls does. Returns the revision number and the time taken.
 pub fn commit_change(
     cluster: &mut SimulatedCluster,
     number: u64,
@@ -87,8 +87,8 @@
     cluster.nodes.iter().filter(is_in_force).count()
 }
 
-/// Measures one change: from the proposal to the commit, and from there until it is in force at 99 % of the balancers and
-/// at all of them.
+/// Measures one change: from the proposal to the commit, and from there until it is in force at 99 % of the balancers
+/// and at all of them.
 pub fn measure_change(cluster: &mut SimulatedCluster, number: u64) -> Option<[Duration; 3]> {
     let (revision, commit_time) = commit_change(cluster, number, ms(20_000))?;
     let started_at = cluster.now;
@@ -143,8 +143,8 @@
     Some(time)
 }
 
-/// Measures how long a balancer takes to catch up with this many revisions. The balancer is cut off and keeps its state, or
-/// crashes and loses it. The time runs from its return until it has the newest revision in force.
+/// Measures how long a balancer takes to catch up with this many revisions. The balancer is cut off and keeps its
+/// state, or crashes and loses it. The time runs from its return until it has the newest revision in force.
 pub fn measure_catch_up(
     cluster: &mut SimulatedCluster,
     revisions: u64,
@@ -204,7 +204,8 @@
     pub leases_restored: [Duration; 2],
     /// Number of committed revisions before the crash, and how many of these are still there.
     pub revisions: [usize; 2],
-    /// Time to commit the first change, once all balancers held a lease again. They had lost their fallback policy, too.
+    /// Time to commit the first change, once all balancers held a lease again. They had lost their fallback policy,
+    /// too.
     pub first_commit_time: Duration,
 }
 
--- a/crates/model-checks/src/lease_model.rs
+++ b/crates/model-checks/src/lease_model.rs
@@ -1,10 +1,10 @@
-//! A model of the policy state machine ([`PolicyState`]) and of the lease state machine ([`Leases`]) for a model checker.
-//! Three members in two zones form a chain and share one log, whose agreement is assumed here (`consensus_model` checks
-//! it). Messages are reordered, lost and delayed. Members are cut off, are paused, or crash and lose their state; a leader
-//! is replaced without being notified.
+//! A model of the policy state machine ([`PolicyState`]) and of the lease state machine ([`Leases`]) for a model
+//! checker. Three members in two zones form a chain and share one log, whose agreement is assumed here
+//! (`consensus_model` checks it). Messages are reordered, lost and delayed. Members are cut off, are paused, or crash
+//! and lose their state; a leader is replaced without being notified.
 //!
-//! Time advances in steps of 400 ms, and clocks differ by 1 in 100. The latest two messages of each kind are in flight on a
-//! link.
+//! Time advances in steps of 400 ms, and clocks differ by 1 in 100. The latest two messages of each kind are in flight
+//! on a link.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -79,8 +79,8 @@
 /// A transition of the model.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum ModelAction {
-    /// Advances time by one step. One member may be paused meanwhile; the flag tells whether a majority answers the leader's
-    /// round.
+    /// Advances time by one step. One member may be paused meanwhile; the flag tells whether a majority answers the
+    /// leader's round.
     AdvanceTime(Option<u16>, bool),
     /// Delivers a message, named by sender, recipient, kind and position in the queue.
     Deliver(u16, u16, u8, usize),
--- a/crates/model-checks/src/safety_checker.rs
+++ b/crates/model-checks/src/safety_checker.rs
@@ -1,7 +1,7 @@
 //! Checks the safety properties of a cluster during a run. A violation is a contradiction for longer than
-//! [`MAX_CONTRADICTION`], two nodes under leases that forbid each other's sends, a lease of a generation that is over, or
-//! different revisions under one number. The checker evaluates what each node may send, as a request would, and shares no
-//! code with the machines' own decision.
+//! [`MAX_CONTRADICTION`], two nodes under leases that forbid each other's sends, a lease of a generation that is over,
+//! or different revisions under one number. The checker evaluates what each node may send, as a request would, and
+//! shares no code with the machines' own decision.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
--- a/crates/model-checks/src/seeded_run.rs
+++ b/crates/model-checks/src/seeded_run.rs
@@ -1,5 +1,6 @@
-//! A randomized run of a small cluster, reproducible by its seed. Clients call all nodes while balancers crash, lose their
-//! state, are paused and are cut off. At the end all faults are healed, and the history and all policy states are checked.
+//! A randomized run of a small cluster, reproducible by its seed. Clients call all nodes while balancers crash, lose
+//! their state, are paused and are cut off. At the end all faults are healed, and the history and all policy states are
+//! checked.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -457,7 +458,8 @@
         self.report.recovery_time = self.cluster.now - healed_at;
     }
 
-    /// Checks that all committed revisions are in all policy states, and that equal log indexes have equal policy states.
+    /// Checks that all committed revisions are in all policy states, and that equal log indexes have equal policy
+    /// states.
     fn check_final_states(&mut self, ended_at: Duration) {
         let mut committed_commands = BTreeMap::new();
         for completed in &self.history {
--- a/crates/model-checks/src/simulated_cluster.rs
+++ b/crates/model-checks/src/simulated_cluster.rs
@@ -461,8 +461,8 @@
         self.run_until(self.now + time);
     }
 
-    /// Advances simulated time while the condition holds, evaluated every 5 ms. Returns the elapsed time, or `None` if the
-    /// condition still holds at the limit.
+    /// Advances simulated time while the condition holds, evaluated every 5 ms. Returns the elapsed time, or `None` if
+    /// the condition still holds at the limit.
     pub fn run_while(
         &mut self,
         limit: Duration,
--- a/crates/model-checks/tests/known_failures.rs
+++ b/crates/model-checks/tests/known_failures.rs
@@ -20,9 +20,9 @@
     Transport::new(config).expect("a transport of two nodes")
 }
 
-/// Simulates two transports that send each other a message at this interval, such as 25 ms. The second one restarts at 2 s;
-/// until 5 s the link delivers nothing to the first. Returns the time from then until the first one knows the second one's
-/// new incarnation.
+/// Simulates two transports that send each other a message at this interval, such as 25 ms. The second one restarts at
+/// 2 s; until 5 s the link delivers nothing to the first. Returns the time from then until the first one knows the
+/// second one's new incarnation.
 fn time_until_known_again(message_interval: Duration) -> Option<Duration> {
     let mut transports = [transport(0, 1), transport(1, 2)];
     let mut timers: [Option<Duration>; 2] = [None; 2];
--- a/crates/model-checks/tests/published_policy.rs
+++ b/crates/model-checks/tests/published_policy.rs
@@ -1,10 +1,11 @@
-//! Publication of the policy that requests read: one value that is replaced as a whole. `loom` explores the interleavings of
-//! a writer and two readers over a stand-in for `arc-swap`, and a stress test runs threads on the real implementation.
+//! Publication of the policy that requests read: one value that is replaced as a whole. `loom` explores the
+//! interleavings of a writer and two readers over a stand-in for `arc-swap`, and a stress test runs threads on the real
+//! implementation.
 //!
-//! `arc-swap` itself can't run under `loom`. The stand-in assumes its guarantee that a load returns one whole value and keeps
-//! it alive. The test checks the protocol built on it: a lease comes with its own rules, generations never go back for one
-//! reader, a value lives while it is in use, and a change notification is never ahead of the value. The same checks detect
-//! a protocol that publishes rules and lease one after the other.
+//! `arc-swap` itself can't run under `loom`. The stand-in assumes its guarantee that a load returns one whole value and
+//! keeps it alive. The test checks the protocol built on it: a lease comes with its own rules, generations never go
+//! back for one reader, a value lives while it is in use, and a change notification is never ahead of the value. The
+//! same checks detect a protocol that publishes rules and lease one after the other.
 
 use loom::sync::atomic::{AtomicUsize, Ordering};
 use loom::sync::{Arc, Mutex};
