--- a/crates/model-checks/src/seeded_run.rs
+++ b/crates/model-checks/src/seeded_run.rs
@@ -302,7 +302,8 @@
         let mut document = Document::default();
         let bits = self.cluster.random_below(16);
         let cells = [2, 3, 5, 6].into_iter().enumerate();
-        document.out.cells = cells.filter(|(n, _)| bits & 1 << n != 0).map(|(_, p)| p).collect();
+        document.out.cells =
+            cells.filter(|(n, _)| bits & 1 << n != 0).map(|(_, cell)| cell).collect();
         if self.cluster.random_below(2) == 0 {
             let cell = 2 + self.cluster.random_below(2) as u32;
             document.class_exclusions.insert("a".into(), [cell].into());
