--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -7,9 +7,9 @@
 //! | --- | --- |
 //! | `requests` | a request arrives, its body or its deadline ends, its client disconnects |
 //! | `attempts` | an attempt starts or ends |
-//! | `list_watch` | a watch on the endpoint list reports, discovery moves |
-//! | `endpoint_list` | a list, a cordon or the subset changes which upstreams there are |
-//! | `policy_updates` | the cluster has another routing policy in force |
+//! | `list_watch` | a watch on the endpoint list reports, the discovery service moves to another address |
+//! | `endpoint_list` | a list, a cordon or the subset changes the set of upstreams |
+//! | `policy_updates` | another routing policy takes effect in the cluster |
 //! | `timers` | a timer is due |
 
 mod attempts;
@@ -42,29 +42,31 @@
 pub use handle::EngineHandle;
 use state::EngineState;
 
-/// Why an engine can't be created.
+/// An error that prevents the creation of an engine.
 #[derive(Debug, thiserror::Error)]
 pub enum EngineError {
-    /// The decision module can't work by the settings.
+    /// The decision module rejects the settings.
     #[error("settings: {0}")]
     Settings(#[from] SettingsError),
-    /// The subset of the fleet can't have the size that the configuration asks for.
+    /// The configured size of the subset of upstreams is not possible.
     #[error("subset: {0}")]
     Subset(#[from] SizeError),
 }
 
-/// The engine, to be run as one task.
+/// The engine. Runs as one task.
 pub struct Engine {
     state: EngineState,
     events: mpsc::UnboundedReceiver<EngineEvent>,
 }
 
 impl Engine {
-    /// An engine that knows the upstreams of the configuration, corrected by the list that the previous process received
-    /// last, and that has begun to watch the endpoint list.
+    /// Creates an engine and opens its watch on the endpoint list.
+    ///
+    /// The engine starts with the upstreams of the configuration, updated by the last list that the previous process
+    /// received.
     ///
     /// # Errors
-    /// The configuration can't be used.
+    /// Fails if the settings or the size of the subset can't be used.
     pub fn new(
         config: &Config,
         restored_list: Option<RestoredList>,
@@ -89,7 +91,7 @@
         Ok((Self { state, events }, handle))
     }
 
-    /// Handles events and timers until nobody can send an event any more.
+    /// Handles events and timers until all senders of events are dropped.
     pub async fn run(mut self) {
         loop {
             let next_timer = self.state.timers.next_due();
@@ -114,8 +116,7 @@
 }
 
 impl EngineState {
-    /// Checks what may have changed since the last event without one of its own: the policy in force, and whether the
-    /// endpoint list has expired.
+    /// Checks the state that can change without an event: the policy in force, and whether the endpoint list has expired.
     fn check_what_time_has_changed(&mut self) {
         self.apply_policy_in_force();
         self.check_list_expiry();
@@ -154,7 +155,7 @@
         }
     }
 
-    /// Has the decision module continue from what another process of this balancer has learned.
+    /// Passes the estimates that another process of this balancer has learned to the decision module.
     fn import_learned(&mut self, learned: &Learned) {
         match self.balancer.recall(self.clock.now(), learned) {
             Ok(()) => tracing::info!("imported learned state of previous process"),
--- a/crates/gateway/src/engine/attempts.rs
+++ b/crates/gateway/src/engine/attempts.rs
@@ -1,5 +1,5 @@
-//! The attempts of requests: starting one, within the limits and checks that hold for it, and taking in its end. Making
-//! it is left to `upstreams`.
+//! Starts and cancels the attempts of requests, within their limits and checks, and handles their ends. The module
+//! `upstreams` carries the attempts out.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -23,11 +23,11 @@
 pub(super) struct Attempt {
     server: ServerId,
     started_at: Instant,
-    /// Where the upstream runs, if it was known.
+    /// Location of the upstream, if it was known at the start of the attempt.
     location: Option<Location>,
-    /// How the attempt ended; nothing while it is in flight.
+    /// Outcome of the attempt; `None` while it is in flight.
     outcome: Option<Outcome>,
-    /// Present while the attempt is in flight. Dropping it closes the attempt's connection.
+    /// The task of the attempt while it is in flight. Dropping the task closes the attempt's connection.
     task: Option<AbortOnDrop>,
 }
 
@@ -37,14 +37,15 @@
         self.task.is_some()
     }
 
-    /// What later attempts need to know of it.
+    /// Returns the data about this attempt that the checks of later attempts need.
     pub(super) fn as_prior(&self) -> PriorAttempt {
         PriorAttempt { location: self.location, outcome: self.outcome }
     }
 }
 
 impl ActiveRequest {
-    /// The limits of an attempt that starts at `now`. A `timeout` of zero allows it all the time that is left.
+    /// Computes the limits of an attempt that starts at `now`. With a `timeout` of zero, only the request's deadline limits
+    /// the attempt.
     fn attempt_limits(
         &self,
         now: Instant,
@@ -67,7 +68,7 @@
 }
 
 impl EngineState {
-    /// Starts an attempt that the decision module has asked for, or ends it as moot if it may not be made any more.
+    /// Starts an attempt that the decision module has requested, or ends it as moot if it is no longer allowed.
     pub(super) fn start_attempt(
         &mut self,
         id: RequestId,
@@ -104,7 +105,7 @@
         self.spawn_attempt(id, attempt, guard);
     }
 
-    /// The guard that checks an attempt right before its first byte; none for an unknown upstream or request.
+    /// Creates the guard that checks an attempt immediately before its first byte; `None` for an unknown upstream or request.
     fn send_guard(
         &self,
         id: RequestId,
@@ -123,7 +124,7 @@
         }))
     }
 
-    /// Runs an attempt in a task of its own, which reports its end.
+    /// Spawns a task that runs an attempt and reports its end.
     fn spawn_attempt(&mut self, id: RequestId, attempt: usize, guard: SendGuard) {
         let Some(active) = self.requests.get_mut(&id) else { return };
         let pool = self.pool.clone();
@@ -146,13 +147,13 @@
         }
     }
 
-    /// Ends an attempt that has no task, once the present actions are carried out.
+    /// Queues the end of an attempt that has no task. The end is handled after the current actions are executed.
     fn finish_later(&mut self, request: RequestId, attempt: usize, outcome: Outcome) {
         let result = AttemptResult::without_response(outcome);
         self.finished_here.push_back(FinishedAttempt { request, attempt, result });
     }
 
-    /// Takes in the end of an attempt. The first response becomes the final answer.
+    /// Handles the end of an attempt. The first response becomes the final answer.
     pub(super) fn on_attempt_finished(&mut self, finished: FinishedAttempt) {
         let FinishedAttempt { request: id, attempt, result } = finished;
         let Some(active) = self.requests.get_mut(&id) else { return };
@@ -185,7 +186,7 @@
         self.remove_if_finished(id);
     }
 
-    /// Whether another attempt of this request there takes no effect twice. Counts it if it could.
+    /// Whether another attempt of this request at `location` can't take effect twice. Counts a violation if it can.
     fn is_retry_safe(&self, id: RequestId, server: ServerId, location: Option<Location>) -> bool {
         let Some(active) = self.requests.get(&id) else { return false };
         let class = &self.limits.classes[active.class];
--- a/crates/gateway/src/engine/clock.rs
+++ b/crates/gateway/src/engine/clock.rs
@@ -5,7 +5,7 @@
 use hollowpaddle_policy::interface::Time;
 use tokio::time::Instant;
 
-/// A monotonic clock that is set to Unix time once, so that the times of endpoint lists need no further mapping.
+/// A monotonic clock that is set to Unix time once at its start, so that times in endpoint lists need no conversion.
 #[derive(Clone, Copy)]
 pub(super) struct Clock {
     start: Instant,
@@ -13,33 +13,33 @@
 }
 
 impl Clock {
-    /// A clock that starts now, at this Unix time.
+    /// Creates a clock that starts now, at the Unix time `unix_now`.
     pub(super) fn new(unix_now: Duration) -> Self {
         Self { start: Instant::now(), start_unix_us: unix_now.as_micros() as i64 }
     }
 
-    /// The instant at which the clock was started.
+    /// Returns the instant at which the clock was started.
     pub(super) fn start(&self) -> Instant {
         self.start
     }
 
-    /// The Unix time at which the clock was started.
+    /// Returns the Unix time at which the clock was started.
     pub(super) fn start_unix(&self) -> Duration {
         Duration::from_micros(self.start_unix_us as u64)
     }
 
-    /// The decision module's time now.
+    /// Returns the current time of the decision module.
     pub(super) fn now(&self) -> Time {
         self.time(Instant::now())
     }
 
-    /// The decision module's time at `instant`.
+    /// Converts `instant` to the decision module's time.
     pub(super) fn time(&self, instant: Instant) -> Time {
         let since_start = instant.saturating_duration_since(self.start);
         Time(self.start_unix_us + since_start.as_micros() as i64)
     }
 
-    /// The instant of a time of the decision module; of one before the start, the start.
+    /// Converts a time of the decision module to an instant. A time before the clock's start maps to the start.
     pub(super) fn instant(&self, time: Time) -> Instant {
         self.start + Duration::from_micros((time.0 - self.start_unix_us).max(0) as u64)
     }
--- a/crates/gateway/src/engine/endpoint_list.rs
+++ b/crates/gateway/src/engine/endpoint_list.rs
@@ -1,5 +1,5 @@
-//! Takes in endpoint lists and cordons, and passes to the decision module the part of the fleet that it is to know.
-//! Obtaining lists is left to `list_watch`, and their interpretation to `membership`.
+//! Applies endpoint lists and cordons, and passes to the decision module the subset of upstreams that it is to know. The
+//! module `list_watch` obtains lists, and `membership` interprets them.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -16,7 +16,7 @@
 use crate::restored_list::RestoredList;
 use crate::start_times::Delivery;
 
-/// How often the subset is reviewed, where there is one.
+/// How often the subset is reviewed, if one is configured.
 const SUBSET_REVIEW_INTERVAL: Duration = Duration::from_secs(1);
 
 impl EngineState {
@@ -32,10 +32,10 @@
         self.forget_departed_upstreams();
     }
 
-    /// Applies the list that the previous process received last over the one of the configuration.
+    /// Applies the last list that the previous process received over the list of the configuration.
     ///
-    /// Discovery is asked for its complete list afterwards: where its versions have started anew, changes alone would not
-    /// bring back what this list removed.
+    /// Discovery is asked for its complete list afterwards: if its version numbers have restarted, changes alone would not
+    /// restore the upstreams that this list removed.
     pub(super) fn apply_restored_list(&mut self, restored: RestoredList) {
         let RestoredList { list, whole: is_complete } = restored;
         let members = list.members.len();
@@ -52,17 +52,17 @@
         self.upstreams.restart_versions();
     }
 
-    /// Cordons these upstreams, and lets all others back.
+    /// Cordons the named upstreams, and uncordons all others.
     pub(super) fn cordon(&mut self, names: &BTreeSet<String>) {
         let changed = self.upstreams.cordon(names, Instant::now());
-        // A cordoned upstream is about to be restarted, which would reset its idle connections.
+        // A cordoned upstream is usually about to be restarted, which would reset its idle connections.
         for member in &changed {
             self.pool.close_idle(member.id);
         }
         self.publish_members(ListKind::LocalChange, changed);
     }
 
-    /// Passes to the decision module what has changed of the upstreams, as far as it is to know them.
+    /// Passes changes of upstreams to the decision module, limited to the subset if there is one.
     pub(super) fn publish_members(&mut self, kind: ListKind, members: Vec<Member>) {
         self.ready.set(self.upstreams.any_open() && !self.list_watch.is_expired);
         let now = self.clock.now();
@@ -78,7 +78,7 @@
         self.queue_members(kind, list);
     }
 
-    /// Passes on the next part of a long list, if one is due.
+    /// Passes the next part of a long list to the decision module, if one is due.
     pub(super) fn publish_next_part(&mut self) {
         if !self.update_queue.is_due() {
             return;
@@ -87,7 +87,7 @@
         self.publish_part(ListKind::LocalChange, &part);
     }
 
-    /// Removes from the subset what has left it, and widens it while too much of it is out of reach.
+    /// Removes upstreams that have left the subset, and widens the subset while too many of its upstreams are unhealthy.
     pub(super) fn review_subset(&mut self) {
         let now = self.clock.now();
         self.arm_subset_review();
@@ -107,14 +107,14 @@
         self.timers.arm(Instant::now() + SUBSET_REVIEW_INTERVAL, Timer::ReviewSubset);
     }
 
-    /// Queues changes for the decision module, and passes on their first part.
+    /// Queues changes for the decision module, and passes their first part to it.
     fn queue_members(&mut self, kind: ListKind, members: Vec<Member>) {
         let last_listed = |id| self.upstreams.member(id);
         let part = self.update_queue.queue_list(kind, members, last_listed);
         self.publish_part(part.kind, &part.members);
     }
 
-    /// Passes a part of a list to the decision module. The rest follows behind the events that have come by now.
+    /// Passes a part of a list to the decision module. The next part follows after the events that are already queued.
     fn publish_part(&mut self, kind: ListKind, list: &[Member]) {
         if self.update_queue.is_due() {
             let _ = self.events.send(EngineEvent::NextListPart);
@@ -122,14 +122,14 @@
         self.notify_policy(Event::Members { kind, list });
     }
 
-    /// Drops upstreams that are gone and that no attempt uses any more.
+    /// Removes departed upstreams that no attempt uses any more.
     fn forget_departed_upstreams(&mut self) {
         for id in self.upstreams.forget_departed() {
             self.pool.close_idle(id);
         }
     }
 
-    /// Passes the list on to the other balancers.
+    /// Reports the list to the cluster, for the other balancers.
     fn share_list_with_cluster(&self, list: &List, kind: ListKind) {
         let Some(cluster) = &self.cluster else { return };
         let entries = list.members.iter().map(|m| (m.id.to_string(), shared_phase(m.phase)));
@@ -141,7 +141,7 @@
     }
 }
 
-/// The phase of an upstream in the terms of the cluster's messages.
+/// Converts the phase of an upstream to the type that the cluster's messages use.
 fn shared_phase(phase: Phase) -> lists::Phase {
     match phase {
         Phase::Serving => lists::Phase::Serving,
--- a/crates/gateway/src/engine/event.rs
+++ b/crates/gateway/src/engine/event.rs
@@ -18,61 +18,61 @@
 use crate::membership::Part;
 use crate::response_body::ResponseBody;
 
-/// An event for the engine. Events are handled in the order in which they were sent.
+/// An event for the engine, which handles events in the order in which they were sent.
 pub enum EngineEvent {
     /// A client's request is ready to be forwarded.
     RequestArrived {
-        /// The id that the request was given.
+        /// Id assigned to the request.
         id: RequestId,
-        /// What the decision module needs to know of it.
+        /// Properties of the request for the decision module.
         arrival: Arrival,
-        /// The request as upstreams get it.
+        /// The request as forwarded to upstreams.
         forwarded: ForwardedRequest,
-        /// Takes the final answer.
+        /// Receives the final answer.
         reply: oneshot::Sender<Reply>,
     },
     /// The client of a request has disconnected.
     ClientDisconnected(RequestId),
-    /// The last byte of a streamed body was received and handed to its upstream's connection.
+    /// The last byte of a streamed body was received and passed to the upstream's connection.
     BodyReceived(RequestId),
     /// An attempt has ended.
     AttemptFinished(FinishedAttempt),
-    /// A watch on the endpoint list has something to report.
+    /// A watch on the endpoint list reports an event.
     Watch {
-        /// Serial number of the watch, which tells it from earlier ones.
+        /// Serial number of the watch, unique among all watches of this process.
         serial: u64,
-        /// The report.
+        /// The reported event.
         event: WatchEvent,
     },
-    /// The discovery service has this address from now on.
+    /// The discovery service has moved to this address.
     DiscoveryMoved(SocketAddr),
-    /// Asks whether an endpoint list has named this upstream.
+    /// Asks whether any endpoint list has named an upstream.
     HasNamed {
         /// The upstream's name.
         name: String,
-        /// Takes the answer.
+        /// Receives the answer.
         reply: oneshot::Sender<bool>,
     },
-    /// Operators have cordoned these upstreams and no others.
+    /// Operators have set the cordoned upstreams; all others are uncordoned.
     Cordon {
-        /// Names of the upstreams.
+        /// Names of the cordoned upstreams.
         names: BTreeSet<String>,
-        /// Notified once no new attempt goes to them.
+        /// Notified once no new attempt goes to the cordoned upstreams.
         done: oneshot::Sender<()>,
     },
-    /// The cluster of balancers reports a change.
+    /// The cluster of balancers reports an event.
     Cluster(ClusterEvent),
-    /// The next part of a long endpoint list is due to the decision module.
+    /// The next part of a long endpoint list is due to be passed to the decision module.
     NextListPart,
-    /// Asks for what the decision module has learned.
+    /// Asks for the estimates that the decision module has learned.
     ExportLearned(oneshot::Sender<Learned>),
-    /// Has the decision module continue from what another process of this balancer has learned.
+    /// Passes the estimates that another process of this balancer has learned to the decision module.
     ImportLearned(Box<Learned>),
     /// Asks for a part of the endpoint list.
     ReadList {
-        /// Handle of the first upstream of the part.
+        /// Handle of the first upstream in the part.
         from: u32,
-        /// Takes the part, and whether a live watch vouches for the list.
+        /// Receives the part, and whether a live watch confirms that the list is up to date.
         reply: oneshot::Sender<(Part, bool)>,
     },
 }
@@ -83,25 +83,25 @@
     pub request: RequestId,
     /// Index of the attempt among those of its request, from 0.
     pub attempt: usize,
-    /// How the attempt ended.
+    /// Result of the attempt.
     pub result: AttemptResult,
 }
 
-/// A request as the decision module needs to know it.
+/// The properties of a request that the decision module uses.
 pub struct Arrival {
-    /// Index of its class in the settings.
+    /// Index of the request's class in the settings.
     pub class: usize,
-    /// Index of its tenant in the settings.
+    /// Index of the request's tenant in the settings.
     pub tenant: usize,
-    /// Hash of the session that it belongs to, if any.
+    /// Hash of the session id of the request, if any.
     pub key: Option<u64>,
     /// When the client gives up.
     pub client_deadline: Instant,
     /// The client's estimate of the service time.
     pub cost_guess: Option<SignedDuration>,
-    /// Whether the client says that this is a retry of its own.
+    /// Whether the client marked the request as a retry.
     pub resent: bool,
-    /// Shared with the client's connection.
+    /// Cancellation state of the request, shared with the client's connection.
     pub cancellation: Rc<Cancellation>,
 }
 
@@ -111,12 +111,12 @@
     Served(Response<ResponseBody>),
     /// The request was rejected, and a retry is harmless.
     Refused {
-        /// How long the client should wait before a retry; zero for no advice.
+        /// How long the client should wait before a retry; zero if no time is recommended.
         retry_after: SignedDuration,
     },
     /// The request failed, and may have run.
     Failed {
-        /// Whether it ran out of time.
+        /// Whether the request timed out.
         late: bool,
     },
 }
--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -1,4 +1,5 @@
-//! The engine as other tasks reach it: clients' connections by [`EngineHandle`], the admin API by [`AdminHandle`].
+//! Handles through which other tasks reach the engine: [`EngineHandle`] for clients' connections, [`AdminHandle`] for the
+//! admin API.
 
 use std::cell::Cell;
 use std::collections::BTreeSet;
@@ -20,7 +21,7 @@
 use crate::membership::Part;
 use crate::upstreams::UnsolicitedBytes;
 
-/// The engine as the admin API and the state store reach it.
+/// A handle to the engine for the admin API and the state store.
 #[derive(Clone)]
 pub struct AdminHandle {
     events: mpsc::UnboundedSender<EngineEvent>,
@@ -32,61 +33,62 @@
 }
 
 impl AdminHandle {
-    /// Whether there is an upstream to send to.
+    /// Whether any upstream can receive requests.
     pub fn ready(&self) -> bool {
         self.ready.get()
     }
 
-    /// Whether discovery has delivered a list since the start.
+    /// Whether discovery has delivered a list since this process started.
     pub fn heard(&self) -> bool {
         self.has_received_list.get()
     }
 
-    /// Whether the endpoint list is too old to be acted on.
+    /// Whether the endpoint list is too old to be used.
     pub fn is_list_expired(&self) -> bool {
         self.list_expiry.is_over(Instant::now())
     }
 
-    /// How often this balancer has violated its invariants.
+    /// Returns the counts of invariant violations of this balancer.
     pub fn violations(&self) -> &Violations {
         &self.violations
     }
 
-    /// How often upstreams have sent bytes that no request asked for.
+    /// Returns the counts of unsolicited bytes from upstreams.
     pub fn unsolicited(&self) -> &UnsolicitedBytes {
         &self.unsolicited
     }
 
-    /// Whether an endpoint list has named this upstream.
+    /// Whether any endpoint list has named this upstream.
     pub async fn has_named(&self, name: String) -> bool {
         let (reply, answer) = oneshot::channel();
         let _ = self.events.send(EngineEvent::HasNamed { name, reply });
         answer.await.unwrap_or(false)
     }
 
-    /// What the decision module has learned so far; nothing, if the engine has ended.
+    /// Returns the estimates that the decision module has learned; `None` if the engine has ended.
     pub async fn learned(&self) -> Option<Learned> {
         let (reply, answer) = oneshot::channel();
         let _ = self.events.send(EngineEvent::ExportLearned(reply));
         answer.await.ok()
     }
 
-    /// Has the decision module continue from what another process of this balancer has learned.
+    /// Passes the estimates that another process of this balancer has learned to the decision module.
     pub fn recall(&self, learned: Learned) {
         let _ = self.events.send(EngineEvent::ImportLearned(Box::new(learned)));
     }
 
-    /// The part of the endpoint list that begins at handle `from`, and whether a live watch vouches for the list; nothing,
-    /// if the engine has ended.
+    /// Returns the part of the endpoint list that begins at handle `from`, and whether a live watch confirms that the list
+    /// is up to date; `None` if the engine has ended.
     pub async fn list(&self, from: u32) -> Option<(Part, bool)> {
         let (reply, answer) = oneshot::channel();
         let _ = self.events.send(EngineEvent::ReadList { from, reply });
         answer.await.ok()
     }
 
-    /// Cordons these upstreams, and lets all others back.
+    /// Cordons the named upstreams, and uncordons all others.
     ///
-    /// The engine is notified at once. The returned future ends once it has acted, and tells whether it has.
+    /// The engine is notified at once. The returned future completes once the engine has applied the cordon, and returns
+    /// whether it has.
     pub fn cordon(&self, names: BTreeSet<String>) -> impl Future<Output = bool> + use<> {
         let (done, answer) = oneshot::channel();
         let _ = self.events.send(EngineEvent::Cordon { names, done });
@@ -94,14 +96,14 @@
     }
 }
 
-/// The engine as clients' connections reach it.
+/// A handle to the engine for clients' connections.
 pub struct EngineHandle {
     admin: AdminHandle,
     next_id: Cell<u64>,
 }
 
 impl EngineHandle {
-    /// A handle on the engine with this state.
+    /// Creates a handle to the engine with this state.
     pub(super) fn new(state: &EngineState) -> Self {
         let admin = AdminHandle {
             events: state.events.clone(),
@@ -114,39 +116,40 @@
         Self { admin, next_id: Cell::new(0) }
     }
 
-    /// The engine as the admin API reaches it.
+    /// Returns a handle for the admin API.
     pub fn admin_handle(&self) -> AdminHandle {
         self.admin.clone()
     }
 
-    /// Whether there is an upstream to send to.
+    /// Whether any upstream can receive requests.
     pub fn is_ready(&self) -> bool {
         self.admin.ready()
     }
 
-    /// Where violations of invariants are counted.
+    /// Returns the counts of invariant violations.
     pub fn violations(&self) -> &Violations {
         self.admin.violations()
     }
 
-    /// Notifies the engine of changes in the cluster of balancers.
+    /// Returns a function that notifies the engine of events in the cluster of balancers.
     pub fn cluster_notifier(&self) -> impl Fn(ClusterEvent) + use<> {
         let events = self.admin.events.clone();
         move |event| drop(events.send(EngineEvent::Cluster(event)))
     }
 
-    /// Notifies the engine of discovery's address.
+    /// Returns a function that notifies the engine of the address of discovery.
     pub fn discovery_updater(&self) -> impl Fn(SocketAddr) + use<> {
         let events = self.admin.events.clone();
         move |discovery| drop(events.send(EngineEvent::DiscoveryMoved(discovery)))
     }
 
-    /// The id of the next request.
+    /// Allocates the id of the next request.
     pub fn next_id(&self) -> RequestId {
         RequestId(self.next_id.replace(self.next_id.get() + 1))
     }
 
-    /// Hands in a request and waits for its final answer. Dropped before that, it reports that the client has gone.
+    /// Submits a request and waits for its final answer. Dropping the future before that reports that the client has
+    /// disconnected.
     pub async fn submit(
         &self,
         id: RequestId,
@@ -168,18 +171,18 @@
     }
 }
 
-/// Cancels a request whose client has gone before the final answer.
+/// Cancels a request whose client disconnects before the final answer.
 struct CancelOnDrop<'a> {
     id: RequestId,
     cancellation: Rc<Cancellation>,
-    /// Nothing once there is an answer.
+    /// `None` once the request is answered.
     events: Option<&'a mpsc::UnboundedSender<EngineEvent>>,
 }
 
 impl Drop for CancelOnDrop<'_> {
     fn drop(&mut self) {
         if let Some(events) = self.events {
-            // Attempts must see it at once, and the event may wait behind many others.
+            // Attempts must see the cancellation at once, while the event may wait behind many others.
             self.cancellation.cancel();
             let _ = events.send(EngineEvent::ClientDisconnected(self.id));
         }
--- a/crates/gateway/src/engine/list_watch.rs
+++ b/crates/gateway/src/engine/list_watch.rs
@@ -1,5 +1,5 @@
-//! The engine's watches on the endpoint list: opening them, what their reports and their end mean, and whether the list has
-//! expired. Applying a list is left to `endpoint_list`, and the protocol of a watch to `discovery`.
+//! The engine's watches on the endpoint list: opens them, handles their reports and ends, and checks whether the list has
+//! expired. The module `endpoint_list` applies lists, and `discovery` implements the protocol of a watch.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -19,41 +19,43 @@
 use crate::start_times::Delivery;
 use crate::tasks::AbortOnDrop;
 
-/// How often discovery is called at most because other balancers have a newer list. All balancers share the cost of calls.
+/// The least time between two calls of discovery that are made because other balancers have a newer list. All balancers
+/// share the cost of calls.
 const MIN_REFRESH_INTERVAL: Duration = Duration::from_secs(2);
-/// The least time between two calls for a pushed list. The agent that pushes it runs on this machine and answers at no
-/// cost, but one that ends each watch at once must not be called without pause.
+/// The least time between two calls for a pushed list. Calls to the agent that pushes the list are cheap, since the agent
+/// runs on this machine, but an agent that ends each watch at once must not be called in a busy loop.
 const MIN_REOPEN_INTERVAL: Duration = Duration::from_millis(100);
 
-/// A watch on the endpoint list, or the call for one.
+/// A watch on the endpoint list, or the call that opens one.
 struct Watch {
-    /// Tells it from earlier watches.
+    /// Unique among the watches of this process.
     serial: u64,
-    /// The version whose successors were asked for.
+    /// The list version after which the watch was asked to start.
     from_version: u64,
     opened_at: Instant,
-    /// Whether it delivers every change that discovery has, as far as is known.
+    /// Whether the watch is assumed to deliver every change that discovery has.
     is_live: bool,
     _task: AbortOnDrop,
 }
 
-/// What is known of the watches on the endpoint list.
+/// State of the watches on the endpoint list.
 pub(super) struct ListWatch {
     discovery: SocketAddr,
-    /// The version of the list in hand, which watches ask to follow.
+    /// The version of the current list, after which new watches are asked to start.
     pub(super) revision: u64,
-    /// The watch that delivered the last first list. It stays until the next one has delivered its own.
+    /// The newest watch that has delivered a list. A newer watch replaces it by delivering its own first list.
     active: Option<Watch>,
-    /// The watch that has delivered nothing yet.
+    /// The watch that is being opened and has not delivered a list.
     pending: Option<Watch>,
     last_serial: u64,
-    /// The first watch whose versions can be compared with those of the list in hand.
+    /// Serial of the first watch whose versions can be compared with those of the current list.
     first_comparable_serial: u64,
-    /// Whether discovery has moved and has delivered nothing from its new address: versions are still those of the old.
+    /// Whether discovery has moved and has delivered nothing from its new address, so that versions are those of the old
+    /// address.
     awaits_moved_discovery: bool,
-    /// Whether the decision module decides when to call discovery; otherwise the list is pushed.
+    /// Whether the decision module decides when to call discovery. If not, the list is pushed.
     pub(super) polls_list: bool,
-    /// Whether discovery has delivered a list since the start.
+    /// Whether discovery has delivered a list since this process started.
     pub(super) has_received_list: Rc<Cell<bool>>,
     pub(super) freshness: Freshness,
     /// Whether the decision module was notified that the list has expired.
@@ -64,7 +66,7 @@
 }
 
 impl ListWatch {
-    /// No watch is open yet.
+    /// Creates the state before the first watch is opened.
     pub(super) fn new(discovery: SocketAddr, polls_list: bool, freshness: Freshness) -> Self {
         Self {
             discovery,
@@ -88,7 +90,7 @@
         self.active.as_ref().is_some_and(|watch| watch.is_live)
     }
 
-    /// Whether `serial` is the live watch.
+    /// Whether the watch with this serial is the live one.
     fn is_live_watch(&self, serial: u64) -> bool {
         self.active.as_ref().is_some_and(|watch| watch.serial == serial && watch.is_live)
     }
@@ -101,7 +103,7 @@
         self.pending.as_ref().is_some_and(|watch| watch.serial == serial)
     }
 
-    /// Marks the active watch as one that may miss changes. Returns whether it was live.
+    /// Marks the active watch as not live, if it has this serial. Returns whether it was live.
     fn mark_not_live(&mut self, serial: u64) -> bool {
         let active = self.active.as_mut().filter(|watch| watch.serial == serial);
         active.is_some_and(|watch| std::mem::take(&mut watch.is_live))
@@ -109,7 +111,7 @@
 }
 
 impl EngineState {
-    /// Takes in a report of a watch.
+    /// Handles an event reported by a watch.
     pub(super) fn on_watch_event(&mut self, serial: u64, event: WatchEvent) {
         match event {
             WatchEvent::List(list) => self.on_list(serial, &list),
@@ -120,9 +122,9 @@
         }
     }
 
-    /// A watch has delivered a list. The list was sent to this balancer, so it counts even if the watch was replaced since.
+    /// Handles a list that a watch has delivered. The list is applied even if another watch has replaced this one since.
     fn on_list(&mut self, serial: u64, list: &List) {
-        // Its versions can't be compared with those of the discovery that has delivered since.
+        // Versions of this watch can't be compared with those of the discovery service that has delivered lists since.
         if serial < self.list_watch.first_comparable_serial {
             return;
         }
@@ -136,7 +138,7 @@
             complete_until: (received_before && !versions_restarted)
                 .then(|| freshness.complete_until(now)),
         };
-        // A list from any other than the live watch says nothing of the subscription.
+        // Only lists of the live watch show that the subscription works.
         let is_live = self.list_watch.is_live_watch(serial);
         let kind = match (is_live, list.complete) {
             (true, true) => ListKind::Complete,
@@ -150,11 +152,11 @@
         self.apply_list(list, kind, delivery);
     }
 
-    /// Makes the pending watch the active one if this is its first list. Returns whether versions start anew with it.
+    /// Makes the pending watch the active one if this is its first list. Returns whether version numbers restart with it.
     ///
-    /// A discovery that numbers its versions in another way, as one does that was restarted, answers a call for what
-    /// follows a version with all that it has. This is judged only for the watch that is pending: the first list of one
-    /// that another has overtaken must not undo what the other has delivered.
+    /// A discovery service that does not know the version in a call, for example after a restart, answers with its complete
+    /// list. Only the first list of the pending watch is tested for that: the first list of a watch that a newer watch has
+    /// replaced must not undo the newer one's changes.
     fn activate_pending(&mut self, serial: u64, list: &List) -> bool {
         let watches = &mut self.list_watch;
         let Some(watch) = watches.pending.take_if(|watch| watch.serial == serial) else {
@@ -173,7 +175,7 @@
         versions_restarted
     }
 
-    /// The live watch has delivered a list: no change is missing any more.
+    /// Handles a list of the live watch, after which no change is missing.
     fn on_list_up_to_date(&mut self) {
         self.list_watch.call_timeout = CallTimeout::default();
         self.list_watch.freshness.vouched();
@@ -182,7 +184,7 @@
         }
     }
 
-    /// A watch has sent nothing, not even a heartbeat, for [`discovery::SILENCE_TIMEOUT`].
+    /// Handles a watch that has sent nothing, not even a heartbeat, for [`discovery::SILENCE_TIMEOUT`].
     fn on_watch_silent(&mut self, serial: u64) {
         if !self.list_watch.mark_not_live(serial) {
             return;
@@ -195,7 +197,7 @@
         }
     }
 
-    /// The active watch has ended. Of one that was silent before, that is known already.
+    /// Handles the end of the active watch. If the watch was silent before, its loss was handled then.
     fn on_watch_ended(&mut self) {
         let was_live = self.list_watch.active.take().is_some_and(|watch| watch.is_live);
         if was_live {
@@ -206,7 +208,7 @@
         }
     }
 
-    /// The call for a watch has ended without a list.
+    /// Handles the end of a call for a watch that has delivered no list.
     fn on_call_ended(&mut self, end: WatchEnd) {
         let Some(call) = self.list_watch.pending.take() else { return };
         let is_crowded = self.list_watch.freshness.is_crowded();
@@ -216,7 +218,7 @@
         }
     }
 
-    /// A call for a watch has failed, and no other watch is live.
+    /// Handles the failure of a call for a watch while no other watch is live.
     fn on_call_failed(&mut self, call: &Watch, end: WatchEnd) {
         let polls_list = self.list_watch.polls_list;
         if !polls_list || end != WatchEnd::ListCallRejected {
@@ -234,7 +236,8 @@
         }
     }
 
-    /// No watch is live and none is being opened. `failed_call` is the call that failed, if that is the reason.
+    /// Handles the state in which no watch is live and none is being opened. `failed_call` is the failed call, if a failed
+    /// call is the reason.
     fn on_no_live_watch(&mut self, failed_call: Option<&Watch>) {
         if self.list_watch.polls_list {
             self.notify_policy(Event::Members { kind: ListKind::Unavailable, list: &[] });
@@ -245,7 +248,8 @@
         self.timers.arm(reopen_at, Timer::OpenWatch);
     }
 
-    /// Has the decision module stop sending once the list is too old. Called before every event that could lead to a send.
+    /// Notifies the decision module once the list has expired, so that it stops sending. Called before every event that
+    /// could lead to a send.
     pub(super) fn check_list_expiry(&mut self) {
         let watches = &mut self.list_watch;
         if watches.is_expired || !watches.freshness.expiry().is_over(Instant::now()) {
@@ -257,7 +261,8 @@
         self.notify_policy(Event::ListExpired);
     }
 
-    /// Calls discovery because another balancer has a newer list, but not again and again where discovery lags behind.
+    /// Calls discovery because another balancer has a newer list, at most once per [`MIN_REFRESH_INTERVAL`] in case
+    /// discovery lags behind.
     pub(super) fn refresh_list(&mut self) {
         if self.list_watch.pending.is_some() {
             return;
@@ -271,7 +276,7 @@
         self.open_watch();
     }
 
-    /// Follows discovery to another address. Upstreams, their connections and all that was learned of them stay.
+    /// Switches to another address of discovery. Upstreams, their connections and their learned estimates are retained.
     pub(super) fn on_discovery_moved(&mut self, discovery: SocketAddr) {
         let watches = &mut self.list_watch;
         if watches.discovery == discovery {
@@ -280,7 +285,7 @@
         }
         tracing::info!(%discovery, "discovery address changed");
         watches.discovery = discovery;
-        // What the old address delivers counts until the new one has delivered.
+        // Lists from the old address remain valid until the new address has delivered a list.
         watches.awaits_moved_discovery = true;
         if let Some(active) = &mut watches.active {
             active.is_live = false;
@@ -290,7 +295,9 @@
         self.open_watch();
     }
 
-    /// Opens a watch, unless one is being opened: its end is always reported, and a list that it waits for would be lost.
+    /// Opens a watch, unless one is being opened.
+    ///
+    /// A pending watch is never replaced, since the list that it waits for would be lost. Its end is always reported.
     pub(super) fn open_watch(&mut self) {
         let watches = &mut self.list_watch;
         if watches.pending.is_some() {
@@ -298,8 +305,8 @@
         }
         watches.last_serial += 1;
         let serial = watches.last_serial;
-        // A discovery at another address may number its versions in another way. Asked for all that follows 0, it
-        // delivers everything.
+        // A discovery service at another address may number its versions differently. A call from version 0 returns the
+        // complete list.
         let from_version = if watches.awaits_moved_discovery { 0 } else { watches.revision };
         let events = self.events.clone();
         let report = move |event| drop(events.send(EngineEvent::Watch { serial, event }));
--- a/crates/gateway/src/engine/policy_updates.rs
+++ b/crates/gateway/src/engine/policy_updates.rs
@@ -1,4 +1,4 @@
-//! Applies the routing policy that the cluster has in force: the engine knows that there is one, not what it says.
+//! Applies the routing policy that is in force in the cluster, without interpreting its contents.
 
 use hollowpaddle_policy::interface::{ListKind, RequestId, ServerId, Status};
 use tokio::time::Instant;
@@ -7,7 +7,7 @@
 use crate::send_guard::PolicyCheck;
 
 impl EngineState {
-    /// Applies the policy in force if it is another than the one applied last.
+    /// Applies the policy in force if it differs from the last applied policy.
     ///
     /// Called before every event that could lead to a send, since a lease may have ended while the process did not run.
     pub(super) fn apply_policy_in_force(&mut self) {
@@ -28,9 +28,10 @@
         }
     }
 
-    /// The check that an attempt makes right before its first byte: whether the policy in force by then allows it.
+    /// Returns a check for an attempt: whether the policy in force at the moment of the check permits the attempt.
     ///
-    /// Returns nothing if there is no cluster, or no such request.
+    /// Attempts run the check immediately before their first byte. Returns `None` if there is no cluster, or no such
+    /// request.
     pub(super) fn policy_check(&self, server: ServerId, id: RequestId) -> Option<PolicyCheck> {
         let cluster = self.cluster.clone()?;
         let class = self.requests.get(&id)?.class;
--- a/crates/gateway/src/engine/requests.rs
+++ b/crates/gateway/src/engine/requests.rs
@@ -1,5 +1,5 @@
-//! The requests that are owed a final answer or have attempts in flight: their arrival, their deadline, and their one
-//! final answer. Attempts are left to `attempts`.
+//! The requests that await a final answer or have attempts in flight: their arrival, their deadline, and their one final
+//! answer. The module `attempts` handles their attempts.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -17,31 +17,31 @@
 use crate::forwarded_request::ForwardedRequest;
 use crate::invariants::Invariant;
 
-/// The decision module works to a deadline this much before the client's, which leaves time for the way to the client and
-/// for a busy moment of this process.
+/// How much earlier than the client's deadline the decision module's deadline is, at most. The headroom covers the way of
+/// the response to the client and scheduling delays of this process.
 const MAX_HEADROOM: Duration = Duration::from_millis(15);
-/// The headroom is at most this part of the time that the client waits: a request with 15 ms still has to be sent.
+/// The headroom is at most the client's timeout divided by this: a request with a timeout of 15 ms still has to be sent.
 const HEADROOM_DIVISOR: u32 = 8;
-/// The engine answers by itself when this part of the headroom is left, if the decision module has not answered by then.
+/// The engine answers on its own when the headroom divided by this is left and the decision module has not answered.
 const ENGINE_ANSWER_DIVISOR: u32 = 3;
 
-/// A request that is owed a final answer or has attempts in flight.
+/// A request that awaits a final answer or has attempts in flight.
 pub(super) struct ActiveRequest {
     pub(super) forwarded: Rc<ForwardedRequest>,
-    /// Taken by the final answer.
+    /// Receives the final answer; `None` once the request is answered.
     pub(super) reply: Option<oneshot::Sender<Reply>>,
-    /// Read by attempts right before they write.
+    /// Checked by each attempt immediately before its first byte is written.
     pub(super) cancellation: Rc<Cancellation>,
-    /// The deadline that the decision module works to.
+    /// The deadline given to the decision module.
     pub(super) deadline: Instant,
-    /// How long the client waits, from the last byte of its request on.
+    /// How long the client waits after the last byte of its request.
     client_timeout: Duration,
-    /// How much earlier than the client's deadline `deadline` is.
+    /// The time between `deadline` and the client's deadline.
     headroom: Duration,
-    /// Index of its class in the settings.
+    /// Index of the request's class in the settings.
     pub(super) class: usize,
     pub(super) attempts: Vec<Attempt>,
-    /// Outcome of the attempt that ended last.
+    /// Outcome of the most recently ended attempt.
     pub(super) last_outcome: Option<Outcome>,
 }
 
@@ -67,12 +67,12 @@
         self.reply.is_none()
     }
 
-    /// The number of attempts that have not ended.
+    /// Counts the attempts that have not ended.
     pub(super) fn attempts_in_flight(&self) -> usize {
         self.attempts.iter().filter(|attempt| attempt.is_in_flight()).count()
     }
 
-    /// What is known of its attempts, for the rule that nothing takes effect twice.
+    /// Returns the attempts so far, for the check that no request takes effect twice.
     pub(super) fn prior_attempts(&self) -> Vec<PriorAttempt> {
         self.attempts.iter().map(Attempt::as_prior).collect()
     }
@@ -82,23 +82,23 @@
         self.deadline + self.headroom
     }
 
-    /// From the last byte of a streamed body to the decision module's deadline.
+    /// Returns the time from the last byte of a streamed body to the decision module's deadline.
     pub(super) fn response_timeout(&self) -> Duration {
         self.client_timeout - self.headroom
     }
 
-    /// When the engine answers by itself.
+    /// When the engine answers on its own.
     fn engine_answer_at(&self) -> Instant {
         self.deadline + (self.headroom - self.headroom / ENGINE_ANSWER_DIVISOR)
     }
 
-    /// Whether its body is being streamed: the time that its client waits has not begun.
+    /// Whether the request's body is being streamed, so that the client's timeout has not started.
     fn is_streaming(&self) -> bool {
         let body = self.forwarded.streamed_body();
         body.is_some_and(|body| body.is_spent() && !body.is_complete())
     }
 
-    /// Starts the time that the client waits, with the last byte of a streamed body.
+    /// Restarts the client's timeout at the last byte of a streamed body.
     fn restart_deadline(&mut self) {
         let client_deadline = Instant::now() + self.client_timeout;
         self.deadline = client_deadline - self.headroom;
@@ -106,7 +106,7 @@
 }
 
 impl EngineState {
-    /// Takes in a request and has the decision module decide on it.
+    /// Registers a request and passes it to the decision module.
     pub(super) fn on_request(
         &mut self,
         id: RequestId,
@@ -129,7 +129,7 @@
         self.notify_policy(Event::Request(request));
     }
 
-    /// The last byte of a streamed body is out: from here on the request has the time that its client waits.
+    /// Handles the last byte of a streamed body, at which the client's timeout starts.
     pub(super) fn on_body_received(&mut self, id: RequestId) {
         let Some(active) = self.requests.get_mut(&id) else { return };
         if active.is_answered() {
@@ -141,7 +141,7 @@
         self.notify_policy(Event::BodyReceived { request: id, send_deadline });
     }
 
-    /// The client has gone: nothing is owed to it any more.
+    /// Handles the disconnection of the client, after which the request needs no answer.
     pub(super) fn on_client_disconnected(&mut self, id: RequestId) {
         let Some(active) = self.requests.get_mut(&id) else { return };
         if active.reply.take().is_some() {
@@ -153,7 +153,7 @@
 
     /// Answers a request that the decision module still owes its answer when the client is about to give up.
     pub(super) fn on_request_deadline(&mut self, id: RequestId) {
-        // The end of a streamed body moves the deadline, and arms another timer.
+        // The end of a streamed body moves the deadline and arms another timer, so this one may be early.
         let is_early = |active: &ActiveRequest| {
             active.is_streaming() || Instant::now() < active.engine_answer_at()
         };
@@ -167,7 +167,7 @@
         self.remove_if_finished(id);
     }
 
-    /// Rejects a request. Where the rejection would be untrue, since the request may have run, it fails instead.
+    /// Rejects a request, or fails it if it may have run: a rejection promises that a retry is harmless.
     pub(super) fn reject(&mut self, id: RequestId, retry_after: SignedDuration) {
         let reply = if self.is_rejection_safe(id) {
             Reply::Refused { retry_after }
@@ -178,14 +178,14 @@
         self.remove_if_finished(id);
     }
 
-    /// Fails a request, as a timeout if its last attempt was one.
+    /// Fails a request, as a timeout if its last attempt timed out.
     pub(super) fn fail(&mut self, id: RequestId) {
         let last_outcome = self.requests.get(&id).and_then(|active| active.last_outcome);
         self.answer(id, Reply::Failed { late: last_outcome == Some(Outcome::Timeout) });
         self.remove_if_finished(id);
     }
 
-    /// Gives the final answer. Returns whether there was none before.
+    /// Sends the final answer unless the request has one already. Returns whether the answer was sent.
     pub(super) fn answer(&mut self, id: RequestId, reply: Reply) -> bool {
         let Some(active) = self.requests.get_mut(&id) else { return false };
         let Some(sender) = active.reply.take() else { return false };
@@ -194,7 +194,7 @@
         true
     }
 
-    /// Removes a request that is answered and has no attempt in flight.
+    /// Removes the request if it is answered and has no attempt in flight.
     pub(super) fn remove_if_finished(&mut self, id: RequestId) {
         let is_finished =
             |active: &ActiveRequest| active.is_answered() && active.attempts_in_flight() == 0;
@@ -203,7 +203,7 @@
         }
     }
 
-    /// Whether a rejection, which says that a retry is harmless, is true of this request. Counts it if it is not.
+    /// Whether this request may be rejected, which promises that a retry is harmless. Counts a violation if it may not.
     fn is_rejection_safe(&self, id: RequestId) -> bool {
         let Some(active) = self.requests.get(&id) else { return true };
         let class = &self.limits.classes[active.class];
--- a/crates/gateway/src/engine/retry_safety.rs
+++ b/crates/gateway/src/engine/retry_safety.rs
@@ -1,18 +1,18 @@
-//! Checks that neither a retry nor a rejection can break the rule that nothing takes effect twice.
+//! Checks that neither a retry nor a rejection can cause a request to take effect twice.
 //!
-//! The decision module decides on retries. This check repeats the rule from what was really sent, so that a fault of one
-//! is no fault of both.
+//! The decision module decides on retries. This check applies the same rule independently, to the attempts that were
+//! really sent, so that a fault in one of the two does not break the rule.
 
 use hollowpaddle_policy::interface::{Class, Effect, Group, Outcome};
 
 use crate::location::Location;
 
-/// An attempt that was made before.
+/// An earlier attempt of a request.
 #[derive(Clone, Copy, Debug)]
 pub struct PriorAttempt {
-    /// Where its upstream runs, if that was known.
+    /// Location of the attempt's upstream, if known.
     pub location: Option<Location>,
-    /// How it ended; nothing while it is in flight.
+    /// Outcome of the attempt; `None` while it is in flight.
     pub outcome: Option<Outcome>,
 }
 
@@ -22,7 +22,7 @@
     }
 }
 
-/// Whether another attempt at `location` may follow these.
+/// Whether another attempt at `location` may follow the attempts in `prior`.
 pub fn is_retry_safe(class: &Class, prior: &[PriorAttempt], location: Option<Location>) -> bool {
     let mut may_have_run = prior.iter().filter(|attempt| attempt.may_have_run());
     match class.effect {
@@ -34,7 +34,7 @@
     }
 }
 
-/// Whether a rejection, which says that a retry is harmless, may follow these.
+/// Whether a rejection, which promises that a retry is harmless, may follow the attempts in `prior`.
 pub fn is_rejection_safe(class: &Class, prior: &[PriorAttempt]) -> bool {
     match class.effect {
         Effect::Safe => true,
@@ -43,7 +43,9 @@
     }
 }
 
-/// Whether two upstreams drop one another's repeats. One at an unknown location is in no group.
+/// Whether two upstreams belong to one deduplication group, and so drop each other's repeated requests.
+///
+/// An upstream at an unknown location belongs only to the group of all upstreams.
 fn is_same_group(group: Group, one: Option<Location>, other: Option<Location>) -> bool {
     let (Some(one), Some(other)) = (one, other) else { return group == Group::All };
     match group {
--- a/crates/gateway/src/engine/retry_safety/tests.rs
+++ b/crates/gateway/src/engine/retry_safety/tests.rs
@@ -1,4 +1,4 @@
-//! Each effect against each way in which an earlier attempt can have ended.
+//! Tests each class effect against each outcome of an earlier attempt.
 
 use hollowpaddle_policy::interface::SignedDuration;
 
--- a/crates/gateway/src/engine/state.rs
+++ b/crates/gateway/src/engine/state.rs
@@ -1,5 +1,7 @@
-//! The state of the engine, and its exchange with the decision module: every event goes to the module in the order in which
-//! it came, and every action is carried out in the order in which the module gave it. Decides nothing.
+//! The state of the engine, and its exchange with the decision module.
+//!
+//! Every event goes to the decision module in the order of arrival, and every action is executed in the order in which the
+//! module returns them. The engine makes no decisions of its own.
 
 use std::cell::Cell;
 use std::collections::VecDeque;
@@ -35,46 +37,46 @@
 pub(super) struct RequestLimits {
     /// The classes, by their index.
     pub(super) classes: Vec<Class>,
-    /// Attempts that one request may have in all.
+    /// Maximum number of attempts of one request in total.
     pub(super) max_attempts: usize,
     /// Whether a request may have two attempts in flight.
     pub(super) allows_hedging: bool,
 }
 
-/// What the handlers of all event sources share.
+/// The state shared by the handlers of all event sources.
 pub(super) struct EngineState {
     pub(super) balancer: Balancer,
     pub(super) clock: Clock,
     pub(super) timers: Timers,
-    /// Where the engine's tasks report, and the engine itself.
+    /// The channel to which the engine's tasks, and the engine itself, send events.
     pub(super) events: mpsc::UnboundedSender<EngineEvent>,
     pub(super) requests: FxHashMap<RequestId, ActiveRequest>,
     pub(super) limits: RequestLimits,
-    /// Ends of attempts that no task reports. They are handled once the present actions are carried out.
+    /// Ends of attempts that no task reports. The engine handles them after the current actions are executed.
     pub(super) finished_here: VecDeque<FinishedAttempt>,
     pub(super) network: Rc<dyn Network>,
     pub(super) pool: Rc<Pool>,
     pub(super) upstreams: Membership,
-    /// Which part of the fleet the decision module knows; nothing, if it knows all of it.
+    /// The subset of upstreams that the decision module knows; `None` if it knows all of them.
     pub(super) subset: Option<Subsetting>,
     pub(super) update_queue: UpdateQueue,
     pub(super) list_watch: ListWatch,
-    /// Whether there is an upstream to send to.
+    /// Whether any upstream can receive requests.
     pub(super) ready: Rc<Cell<bool>>,
     pub(super) violations: Violations,
-    /// The cluster's routing policy, where there is a cluster.
+    /// Reads the routing policy of the cluster; `None` without a cluster.
     pub(super) cluster: Option<Rc<dyn PolicyReader>>,
     /// The policy that was applied last.
     pub(super) applied_policy: Option<PolicySnapshot>,
-    /// Empty; kept for its capacity.
+    /// An empty buffer, reused to avoid allocations.
     actions: Vec<Action>,
 }
 
 impl EngineState {
-    /// The state before any list is known.
+    /// Creates the state before any list is known.
     ///
     /// # Errors
-    /// The settings or the subset's size can't be used.
+    /// Fails if the settings or the size of the subset can't be used.
     pub(super) fn new(
         config: &Config,
         pool: Rc<Pool>,
@@ -118,7 +120,7 @@
         })
     }
 
-    /// Hands an event to the decision module, and carries out its actions until nothing is left to report to it.
+    /// Passes an event to the decision module, executes its actions, and handles the attempts that end in doing so.
     pub(super) fn notify_policy(&mut self, event: Event) {
         self.apply_event(event);
         self.handle_finished_here();
@@ -131,7 +133,7 @@
         }
     }
 
-    /// Hands an event to the decision module, and carries out the actions that it answers with.
+    /// Passes an event to the decision module, and executes the actions that it returns.
     pub(super) fn apply_event(&mut self, event: Event) {
         self.balancer.handle(self.clock.now(), event, &mut self.actions);
         for _ in 0..self.balancer.take_overdrafts() {
@@ -163,17 +165,17 @@
             }
             Action::CloseIdle { server } => self.pool.close_idle(server),
             Action::Subscribe => self.open_watch(),
-            // Upstreams take no probes here, and the decision module sends none where that is so.
+            // Upstreams accept no probes here, and the decision module then requests none.
             Action::Probe { .. } => {}
         }
     }
 }
 
-/// The settings of the decision module.
+/// Derives the settings of the decision module from the configuration.
 fn policy_settings(config: &Config, has_cluster: bool) -> Settings {
     let mut settings = config.facts.settings();
     settings.bars_classes = has_cluster;
-    // What is sent at the very end of a window may be written one stall later.
+    // An attempt sent at the very end of a window may be written one process stall later.
     let max_stall = SignedDuration(MAX_PROCESS_STALL.as_micros() as i64);
     for class in &mut settings.classes {
         class.window = SignedDuration((class.window.0 - max_stall.0).max(0));
--- a/crates/gateway/src/engine/timers.rs
+++ b/crates/gateway/src/engine/timers.rs
@@ -1,4 +1,4 @@
-//! The engine's timers: the queue of those that are armed, and what each does when it is due.
+//! The engine's timers: the queue of armed timers, and the action of each timer when it is due.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -8,22 +8,22 @@
 
 use super::state::EngineState;
 
-/// What is done when a timer is due. Timers that are due at the same time fire in the order of these variants.
+/// The action of a timer. Timers that are due at the same time fire in the order of these variants.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) enum Timer {
-    /// Wakes the decision module, which armed the timer with this token.
+    /// Notifies the decision module, which armed the timer with this token.
     Policy(u64),
-    /// Answers a request that is about to run out of time.
+    /// Answers a request shortly before its client's deadline.
     RequestDeadline(RequestId),
-    /// Opens a watch on the endpoint list if no live one is left.
+    /// Opens a watch on the endpoint list if no watch is live.
     OpenWatch,
-    /// Reviews which part of the fleet the decision module knows.
+    /// Reviews the subset of upstreams that the decision module knows.
     ReviewSubset,
-    /// Wakes the engine, which checks the age of the endpoint list on every turn.
+    /// Wakes the engine, which checks the age of the endpoint list in every iteration of its loop.
     ListExpiry,
 }
 
-/// The armed timers, the earliest first. A timer can't be disarmed; one that is no longer needed does nothing.
+/// The armed timers, the earliest first. Timers can't be disarmed; an obsolete timer has no effect when it fires.
 #[derive(Default)]
 pub(super) struct Timers(BinaryHeap<Reverse<(Instant, Timer)>>);
 
@@ -38,7 +38,7 @@
         self.0.peek().map(|Reverse((at, _))| *at)
     }
 
-    /// Takes the earliest timer if it is due at `now`.
+    /// Removes and returns the earliest timer if it is due at `now`.
     fn take_due(&mut self, now: Instant) -> Option<Timer> {
         if self.next_due()? > now {
             return None;
