--- a/crates/gateway/src/clients/response.rs
+++ b/crates/gateway/src/clients/response.rs
@@ -20,15 +20,15 @@
 pub(super) fn from_reply(reply: Reply) -> ClientResponse {
     match reply {
         Reply::Served(response) => from_upstream(response),
-        Reply::Refused { retry_after } => {
+        Reply::Rejected { retry_after } => {
             let mut response = empty(StatusCode::SERVICE_UNAVAILABLE);
             if let Some(value) = retry_after_seconds(retry_after) {
                 response.headers_mut().insert(RETRY_AFTER, value);
             }
             response
         }
-        Reply::Failed { late: true } => empty(StatusCode::GATEWAY_TIMEOUT),
-        Reply::Failed { late: false } => empty(StatusCode::BAD_GATEWAY),
+        Reply::Failed { timed_out: true } => empty(StatusCode::GATEWAY_TIMEOUT),
+        Reply::Failed { timed_out: false } => empty(StatusCode::BAD_GATEWAY),
     }
 }
 
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -109,7 +109,7 @@
                 },
                 () = timer => {}
             }
-            self.state.check_what_time_has_changed();
+            self.state.check_time_dependent_state();
             self.state.fire_timers();
         }
     }
@@ -117,13 +117,13 @@
 
 impl EngineState {
     /// Checks the state that can change without an event: the policy in force, and whether the endpoint list has expired.
-    fn check_what_time_has_changed(&mut self) {
+    fn check_time_dependent_state(&mut self) {
         self.apply_policy_in_force();
         self.check_list_expiry();
     }
 
     fn handle_event(&mut self, event: EngineEvent) {
-        self.check_what_time_has_changed();
+        self.check_time_dependent_state();
         match event {
             EngineEvent::RequestArrived { id, arrival, forwarded, reply } => {
                 self.on_request(id, arrival, forwarded, reply);
@@ -132,7 +132,7 @@
             EngineEvent::BodyReceived(id) => self.on_body_received(id),
             EngineEvent::AttemptFinished(finished) => {
                 self.on_attempt_finished(finished);
-                self.handle_finished_here();
+                self.handle_finished_without_task();
             }
             EngineEvent::Watch { serial, event } => self.on_watch_event(serial, event),
             EngineEvent::DiscoveryMoved(discovery) => self.on_discovery_moved(discovery),
--- a/crates/gateway/src/engine/attempts.rs
+++ b/crates/gateway/src/engine/attempts.rs
@@ -98,7 +98,7 @@
         });
         let guard = if is_allowed { self.send_guard(id, server, limits) } else { None };
         let Some(guard) = guard else {
-            self.finish_later(id, attempt, Outcome::Moot);
+            self.finish_without_task(id, attempt, Outcome::Moot);
             return;
         };
         tracing::debug!(request = id.0, attempt, upstream = server.0, "attempt started");
@@ -143,14 +143,14 @@
         let active = self.requests.get_mut(&id);
         let cancelled = active.and_then(|active| active.attempts.get_mut(attempt));
         if cancelled.is_some_and(|cancelled| cancelled.task.take().is_some()) {
-            self.finish_later(id, attempt, Outcome::Cancelled);
+            self.finish_without_task(id, attempt, Outcome::Cancelled);
         }
     }
 
     /// Queues the end of an attempt that has no task. The end is handled after the current actions are executed.
-    fn finish_later(&mut self, request: RequestId, attempt: usize, outcome: Outcome) {
+    fn finish_without_task(&mut self, request: RequestId, attempt: usize, outcome: Outcome) {
         let result = AttemptResult::without_response(outcome);
-        self.finished_here.push_back(FinishedAttempt { request, attempt, result });
+        self.finished_without_task.push_back(FinishedAttempt { request, attempt, result });
     }
 
     /// Handles the end of an attempt. The first response becomes the final answer.
--- a/crates/gateway/src/engine/event.rs
+++ b/crates/gateway/src/engine/event.rs
@@ -110,14 +110,14 @@
     /// An upstream's response.
     Served(Response<ResponseBody>),
     /// The request was rejected, and a retry is harmless.
-    Refused {
+    Rejected {
         /// How long the client should wait before a retry; zero if no time is recommended.
         retry_after: SignedDuration,
     },
     /// The request failed, and may have run.
     Failed {
         /// Whether the request timed out.
-        late: bool,
+        timed_out: bool,
     },
 }
 
--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -39,7 +39,7 @@
     }
 
     /// Whether discovery has delivered a list since this process started.
-    pub fn heard(&self) -> bool {
+    pub fn has_received_list(&self) -> bool {
         self.has_received_list.get()
     }
 
@@ -73,7 +73,7 @@
     }
 
     /// Passes the estimates that another process of this balancer has learned to the decision module.
-    pub fn recall(&self, learned: Learned) {
+    pub fn import_learned(&self, learned: Learned) {
         let _ = self.events.send(EngineEvent::ImportLearned(Box::new(learned)));
     }
 
@@ -167,7 +167,7 @@
         let mut cancel_on_drop = CancelOnDrop { id, cancellation, events: Some(events) };
         let answer = answer.await;
         cancel_on_drop.events = None;
-        answer.unwrap_or(Reply::Failed { late: false })
+        answer.unwrap_or(Reply::Failed { timed_out: false })
     }
 }
 
--- a/crates/gateway/src/engine/requests.rs
+++ b/crates/gateway/src/engine/requests.rs
@@ -160,7 +160,7 @@
         if self.requests.get(&id).is_some_and(is_early) {
             return;
         }
-        if self.answer(id, Reply::Failed { late: true }) {
+        if self.answer(id, Reply::Failed { timed_out: true }) {
             tracing::warn!(request = id.0, "request answered at its deadline");
             self.notify_policy(Event::ClientCancelled(id));
         }
@@ -170,9 +170,9 @@
     /// Rejects a request, or fails it if it may have run: a rejection promises that a retry is harmless.
     pub(super) fn reject(&mut self, id: RequestId, retry_after: SignedDuration) {
         let reply = if self.is_rejection_safe(id) {
-            Reply::Refused { retry_after }
+            Reply::Rejected { retry_after }
         } else {
-            Reply::Failed { late: false }
+            Reply::Failed { timed_out: false }
         };
         self.answer(id, reply);
         self.remove_if_finished(id);
@@ -181,7 +181,7 @@
     /// Fails a request, as a timeout if its last attempt timed out.
     pub(super) fn fail(&mut self, id: RequestId) {
         let last_outcome = self.requests.get(&id).and_then(|active| active.last_outcome);
-        self.answer(id, Reply::Failed { late: last_outcome == Some(Outcome::Timeout) });
+        self.answer(id, Reply::Failed { timed_out: last_outcome == Some(Outcome::Timeout) });
         self.remove_if_finished(id);
     }
 
--- a/crates/gateway/src/engine/state.rs
+++ b/crates/gateway/src/engine/state.rs
@@ -53,7 +53,7 @@
     pub(super) requests: FxHashMap<RequestId, ActiveRequest>,
     pub(super) limits: RequestLimits,
     /// Ends of attempts that no task reports. The engine handles them after the current actions are executed.
-    pub(super) finished_here: VecDeque<FinishedAttempt>,
+    pub(super) finished_without_task: VecDeque<FinishedAttempt>,
     pub(super) network: Rc<dyn Network>,
     pub(super) pool: Rc<Pool>,
     pub(super) upstreams: Membership,
@@ -105,7 +105,7 @@
             events,
             requests: FxHashMap::default(),
             limits,
-            finished_here: VecDeque::new(),
+            finished_without_task: VecDeque::new(),
             network,
             pool,
             upstreams: Membership::new(config, sends_end_after, start_times),
@@ -123,12 +123,12 @@
     /// Passes an event to the decision module, executes its actions, and handles the attempts that end in doing so.
     pub(super) fn notify_policy(&mut self, event: Event) {
         self.apply_event(event);
-        self.handle_finished_here();
+        self.handle_finished_without_task();
     }
 
     /// Handles the ends of attempts that no task reports.
-    pub(super) fn handle_finished_here(&mut self) {
-        while let Some(finished) = self.finished_here.pop_front() {
+    pub(super) fn handle_finished_without_task(&mut self) {
+        while let Some(finished) = self.finished_without_task.pop_front() {
             self.on_attempt_finished(finished);
         }
     }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -79,7 +79,7 @@
         self.engine.ready()
     }
     fn has_list(&self) -> bool {
-        self.engine.heard()
+        self.engine.has_received_list()
     }
     fn has_named(&self, name: String) -> impl Future<Output = bool> {
         self.engine.has_named(name)
@@ -94,7 +94,7 @@
         self.engine.learned()
     }
     fn recall(&self, learned: Learned) {
-        self.engine.recall(learned);
+        self.engine.import_learned(learned);
     }
     fn start_status(&self) -> serde_json::Value {
         let mut status = match &self.state_store {
--- a/crates/gateway/src/state_store.rs
+++ b/crates/gateway/src/state_store.rs
@@ -104,7 +104,7 @@
         let learned = payload.take_trusted_estimates(learned_age);
         let is_restored = learned.is_some();
         if let Some(learned) = learned {
-            engine.recall(learned);
+            engine.import_learned(learned);
         }
         let recovered_copy = payload.recovered_copy(&set_aside);
         let start_report = StartReport {
--- a/crates/gateway/src/upstreams.rs
+++ b/crates/gateway/src/upstreams.rs
@@ -1,16 +1,16 @@
-//! Attempts at upstreams and the connections for them. Whether and where an attempt is made is left to the engine.
+//! Sends attempts to upstreams and manages their connections. The engine decides whether and where an attempt is made.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `pool` | keeps idle connections, and closes those of no more use |
-//! | `connection` | one connection, and whether it can be used again |
-//! | `connect` | takes an idle connection or opens one, within the limit on descriptors |
-//! | `exchange` | sends one request and tells how the attempt ended |
-//! | `spares` | which upstreams get a spare connection |
-//! | `send_progress` | how much of a request was handed to the kernel |
+//! | `pool` | holds idle connections, and closes those that can't be used any more |
+//! | `connection` | represents one connection, and checks whether it can be reused |
+//! | `connect` | takes an idle connection or opens a new one, within the limit on descriptors |
+//! | `exchange` | sends one request and determines the outcome of the attempt |
+//! | `spares` | decides which upstreams get a spare connection |
+//! | `send_progress` | tracks how much of a request was handed to the kernel |
 //! | `response` | receives the response |
-//! | `unsolicited` | counts bytes that upstreams send out of turn |
-//! | `load_report` | reads the load report in a response's headers |
+//! | `unsolicited` | counts connections on which upstreams send bytes without a request |
+//! | `load_report` | parses the load report in a response's headers |
 
 mod connect;
 mod connection;
--- a/crates/gateway/src/upstreams/connect.rs
+++ b/crates/gateway/src/upstreams/connect.rs
@@ -19,18 +19,19 @@
 use crate::stream::ObservedStream;
 use crate::tasks::AbortOnDrop;
 
-/// First pause after a connection that this machine could not open; each further one is twice as long.
+/// Initial delay before a retry after this machine failed to open a connection. The delay doubles with each retry.
 const LOCAL_RETRY_MIN: Duration = Duration::from_millis(2);
-/// Longest pause between such tries.
+/// Maximum delay between two retries after failures of this machine.
 const LOCAL_RETRY_MAX: Duration = Duration::from_millis(50);
-/// How long an attempt waits at least for this machine to open connections again. A machine that is out of ports for a
-/// moment must not spend all attempts of its requests within that moment.
+/// The least time for which an attempt retries after failures of this machine. A machine that is briefly out of ports must
+/// not use up all attempts of its requests in that time.
 const LOCAL_RETRY_TIME: Duration = Duration::from_secs(2);
 
-/// Connections to one upstream that rest at a time at most; beyond, requests wait. Each takes some of its capacity.
-const MAX_RESTING_CONNECTIONS: usize = 16;
+/// No spare connection is opened to an upstream with this many idle ones, since each takes some of its capacity. Requests
+/// then wait for an idle connection.
+const MAX_IDLE_FOR_SPARE: usize = 16;
 
-/// Why there is no connection to an upstream.
+/// The reason why no connection to an upstream is available.
 #[derive(Debug, thiserror::Error)]
 pub(super) enum ConnectError {
     /// All descriptors for upstreams are in use.
@@ -39,22 +40,22 @@
     /// This machine could not open a connection.
     #[error("local: {0}")]
     Local(io::Error),
-    /// This machine has no route to any upstream, as far as is known.
+    /// This machine has no route to this upstream, and perhaps to none.
     #[error("no route: {0}")]
     NoRoute(io::Error),
-    /// This machine has no route to this upstream, but to others.
+    /// This machine has no route to this upstream, but reaches others.
     #[error("no route: {0}")]
     NoRouteToUpstream(io::Error),
     /// The upstream refused the connection, or the network does not reach it.
     #[error("{0}")]
     Refused(io::Error),
-    /// The attempt may not be written any more.
+    /// The guard denies the attempt.
     #[error("withheld")]
     SendDenied,
-    /// The connection did not come up in time.
-    #[error("not up in time")]
+    /// The connection was not established in time.
+    #[error("connect timeout")]
     TimedOut,
-    /// The connection came up and can't be used.
+    /// The connection was established, but the HTTP handshake failed.
     #[error("{0}")]
     Handshake(hyper::Error),
 }
@@ -68,12 +69,12 @@
         }
     }
 
-    /// Whether the upstream has nothing to do with it, as far as is known: nothing has reached it.
+    /// Whether this machine is the cause, as far as is known, since nothing has reached the upstream.
     fn is_local(&self) -> bool {
         matches!(self, Self::NoDescriptor | Self::Local(_) | Self::NoRoute(_) | Self::SendDenied)
     }
 
-    /// How an attempt ends for which there is no connection.
+    /// Returns the outcome of an attempt that fails with this error.
     pub(super) fn outcome(&self) -> Outcome {
         if self.is_local() { Outcome::Moot } else { Outcome::ConnectFailed }
     }
@@ -96,10 +97,10 @@
 }
 
 impl Pool {
-    /// Provides a connection for an attempt.
+    /// Acquires a connection for an attempt.
     ///
-    /// Errors of this machine are waited out for as long as a connection may take to come up, since no upstream is to
-    /// blame for them. A connection that becomes idle meanwhile will do.
+    /// Connecting is retried after errors of this machine for as long as a connection may take to be established, since no
+    /// upstream is at fault for them. A connection that becomes idle meanwhile is used.
     pub(super) async fn acquire(
         self: &Rc<Self>,
         guard: &SendGuard,
@@ -113,17 +114,17 @@
             if let Some(connection) = self.take_idle(server, address) {
                 return Ok(connection);
             }
-            // A new connection costs its upstream more than one such wait costs the request.
-            if let Some(rested_at) = self.rested_at(server) {
+            // A new connection costs its upstream more than the short wait for an idle one costs the request.
+            if let Some(reusable_at) = self.reusable_at(server) {
                 if guard.check().is_err() {
                     return Err(ConnectError::SendDenied);
                 }
-                let wait = self.spares.note_wait(server, Instant::now());
+                let wait = self.spares.record_wait(server, Instant::now());
                 if wait.needs_spare {
                     self.open_spare(guard);
                 }
-                // Either will do: a connection that has rested, or the spare.
-                let _ = timeout_at(rested_at, wait.opened.notified()).await;
+                // Whichever is first: an idle connection becomes reusable, or the spare is open.
+                let _ = timeout_at(reusable_at, wait.opened.notified()).await;
                 continue;
             }
             let cause = match self.connect(address).await {
@@ -143,30 +144,31 @@
         }
     }
 
-    /// Opens a connection beside those that an upstream has, if a descriptor is free and not too many rest. No attempt
-    /// depends on it.
+    /// Opens an additional connection to an upstream in the background, if a descriptor is free and the upstream has fewer
+    /// than [`MAX_IDLE_FOR_SPARE`] idle connections. No attempt fails with it.
     fn open_spare(self: &Rc<Self>, guard: &SendGuard) {
         let has_descriptor = self.open_connections.get() < self.max_connections;
-        if !has_descriptor || self.idle_connections(guard.upstream()) >= MAX_RESTING_CONNECTIONS {
+        if !has_descriptor || self.idle_connections(guard.upstream()) >= MAX_IDLE_FOR_SPARE {
             return;
         }
         let (pool, server, target) = (self.clone(), guard.upstream(), guard.target().clone());
-        self.spares.note_opening(server);
+        self.spares.record_opening(server);
         tokio::task::spawn_local(async move {
             match pool.connect(target.address.get()).await {
                 Ok(connection) => {
                     pool.put_idle(server, &target, connection);
-                    pool.spares.note_opened(server);
+                    pool.spares.record_opened(server);
                 }
                 Err(cause) => {
                     tracing::debug!(upstream = server.0, %cause, "spare connection failed");
-                    pool.spares.note_failed(server, Instant::now());
+                    pool.spares.record_failure(server, Instant::now());
                 }
             }
         });
     }
 
-    /// Tells a missing route to one upstream from a network that is down: another connection has come up since.
+    /// Distinguishes a missing route to one upstream from a network that is down: in the first case, another connection was
+    /// established after `since`.
     fn recognise_missing_route(&self, cause: ConnectError, since: Instant) -> ConnectError {
         let others_are_reached = self.last_connected.get().is_some_and(|at| at >= since);
         match cause {
@@ -177,7 +179,7 @@
         }
     }
 
-    /// Opens a connection, at the cost of the one that has been idle for longest if no descriptor is left.
+    /// Opens a connection. If no descriptor is left, the longest idle connection is closed for it.
     async fn connect(&self, address: SocketAddr) -> Result<Connection, ConnectError> {
         if self.open_connections.get() >= self.max_connections && !self.close_longest_idle() {
             return Err(ConnectError::NoDescriptor);
@@ -206,7 +208,7 @@
             address,
             is_reused: false,
             idle_since: now,
-            rested_at: now,
+            reusable_at: now,
             read_at_last_response: 0,
             _task: AbortOnDrop(task),
         })
--- a/crates/gateway/src/upstreams/connection.rs
+++ b/crates/gateway/src/upstreams/connection.rs
@@ -15,24 +15,25 @@
 pub(super) struct Connection {
     pub(super) sender: SendRequest<UpstreamRequestBody>,
     pub(super) traffic: Traffic,
-    /// Gone once the connection has ended.
+    /// The stream, which is dropped when the connection ends.
     pub(super) stream: WeakStream,
     pub(super) address: SocketAddr,
-    /// Whether the connection was idle in the pool before this attempt.
+    /// Whether the connection served an earlier attempt and was idle in the pool before this one.
     pub(super) is_reused: bool,
     pub(super) idle_since: Instant,
-    /// From when on it may be used: a response that comes before then belongs to an earlier request, or to none.
-    pub(super) rested_at: Instant,
-    /// Bytes read by the end of the last response.
+    /// When the connection may be used for the next request. A response that arrives earlier belongs to an earlier request,
+    /// or to none.
+    pub(super) reusable_at: Instant,
+    /// The number of bytes read up to the end of the last response.
     pub(super) read_at_last_response: u64,
     pub(super) _task: AbortOnDrop,
 }
 
 impl Connection {
-    /// Whether it is open and has nothing unread.
+    /// Whether the connection is open and has no unread bytes.
     ///
-    /// A close may have arrived for which the connection's own task has not been woken yet. A request that is written
-    /// after it is lost as a reset.
+    /// The upstream's close may have arrived before the connection's own task was woken for it. A request written after
+    /// that close would end in a reset.
     pub(super) fn is_open(&self) -> bool {
         is_open_and_quiet(&self.stream)
     }
@@ -42,7 +43,7 @@
         self.traffic.bytes_read() > self.read_at_last_response
     }
 
-    /// Whether bytes came while it was idle, read or not. The end of the stream does not count.
+    /// Whether bytes arrived while the connection was idle, read or unread. The end of the stream does not count.
     pub(super) fn has_received_unsolicited(&self) -> bool {
         let has_unread_bytes = |stream: SharedStream| {
             let stream = stream.borrow();
@@ -51,10 +52,10 @@
         self.has_read_unsolicited() || self.stream.upgrade().is_some_and(has_unread_bytes)
     }
 
-    /// Notes that a response has ended here, after which it rests for so long.
-    pub(super) fn mark_idle(&mut self, rest: Duration) {
+    /// Marks the connection as idle after a response, and as not reusable for `reuse_delay`.
+    pub(super) fn mark_idle(&mut self, reuse_delay: Duration) {
         self.idle_since = Instant::now();
-        self.rested_at = self.idle_since + rest;
+        self.reusable_at = self.idle_since + reuse_delay;
         self.read_at_last_response = self.traffic.bytes_read();
     }
 }
--- a/crates/gateway/src/upstreams/exchange.rs
+++ b/crates/gateway/src/upstreams/exchange.rs
@@ -1,4 +1,4 @@
-//! One attempt: sends a request at most once, right after its guard has agreed, and tells how that ended.
+//! One attempt: sends a request at most once, immediately after its guard has allowed it, and determines the outcome.
 
 use std::rc::Rc;
 
@@ -17,19 +17,19 @@
 use crate::send_guard::SendGuard;
 use crate::streamed_body::UpstreamRequestBody;
 
-/// The least number of bytes around the name and the value of a header: `: ` and the end of the line.
+/// The least number of bytes in a header line besides the name and the value: `: ` and the end of the line.
 const HEADER_LINE_OVERHEAD: usize = 4;
 
-/// Why there is no response to a request.
+/// The reason why a request got no response.
 enum SendFailure {
-    /// An idle connection was closed before a byte was written: this was no attempt yet.
+    /// A reused connection was closed before a byte was written, so the request can be sent on another connection.
     ConnectionClosed,
-    /// The attempt has ended.
+    /// The attempt has ended with this outcome.
     Ended(Outcome),
 }
 
 impl Pool {
-    /// Makes one attempt, within the limits of its guard. Only the beginning of a long response has to come in time.
+    /// Makes one attempt, within the limits of its guard. Of a long response, only the beginning has to arrive in time.
     pub async fn attempt(
         self: &Rc<Self>,
         forwarded: &ForwardedRequest,
@@ -44,7 +44,7 @@
             if let Ok(result) = timeout_at(deadline, &mut exchange).await {
                 return result;
             }
-            // A streamed body may have moved the deadline, and so may the last byte of the request.
+            // The progress of a streamed body, or the last byte of the request, may have moved the deadline.
             if Instant::now() >= attempt_deadline(forwarded, &progress, limits) {
                 let outcome = outcome_of_timeout(forwarded, &progress, limits);
                 return AttemptResult::without_response(outcome);
@@ -69,7 +69,7 @@
                 self.put_idle(guard.upstream(), guard.target(), connection);
                 return AttemptResult::without_response(Outcome::Moot);
             }
-            // The upstream may have moved meanwhile. Who is at its old address now is not known.
+            // The upstream may have moved meanwhile, and another process may use its old address now.
             if connection.address != guard.target().address.get() {
                 continue;
             }
@@ -84,7 +84,7 @@
     }
 }
 
-/// When an attempt has to end, as things stand.
+/// Computes the current deadline of an attempt.
 fn attempt_deadline(
     forwarded: &ForwardedRequest,
     progress: &SendProgress,
@@ -95,7 +95,7 @@
     if is_being_sent { deadline.min(limits.send_by) } else { deadline }
 }
 
-/// How an attempt ended that has run out of time.
+/// Determines the outcome of an attempt that has reached its deadline.
 fn outcome_of_timeout(
     forwarded: &ForwardedRequest,
     progress: &SendProgress,
@@ -108,11 +108,11 @@
     if progress.is_unsent() && Instant::now() < forwarded.attempt_deadline(limits) {
         return Outcome::Moot;
     }
-    // What was not sent completely can't have run.
+    // A request that was not sent completely can't have run.
     if progress.is_incomplete() { Outcome::ConnectFailed } else { Outcome::Timeout }
 }
 
-/// Sends the request on this connection, and waits for the head of the response.
+/// Sends the request on a connection, and waits for the head of the response.
 async fn send(
     connection: &mut Connection,
     forwarded: &ForwardedRequest,
@@ -129,7 +129,8 @@
     let Ok(response) = connection.sender.send_request(request).await else {
         return Err(failure(connection, forwarded, guard, progress));
     };
-    // The upstream has not begun: this response is to another request, or to none.
+    // Upstreams process a request only once its last byte is received, so an earlier response belongs to another request
+    // or to none.
     if response.status() == StatusCode::OK && progress.was_answered_early() {
         let is_incomplete = progress.is_incomplete();
         let outcome = if is_incomplete { Outcome::ConnectFailed } else { Outcome::Reset };
@@ -138,21 +139,21 @@
     Ok(response)
 }
 
-/// What it means that the connection has ended without a response.
+/// Determines the failure of an attempt whose connection has ended without a response.
 fn failure(
     connection: &Connection,
     forwarded: &ForwardedRequest,
     guard: &SendGuard,
     progress: &SendProgress,
 ) -> SendFailure {
-    // The guard is asked again before the first byte, and may have denied it.
+    // The stream checks the guard again before the first byte, and the guard may have denied the send.
     if progress.is_unsent() && guard.check().is_err() {
         return SendFailure::Ended(Outcome::Moot);
     }
     if connection.is_reused && progress.is_unsent() && !forwarded.is_spent() {
         return SendFailure::ConnectionClosed;
     }
-    // The client broke off, which says nothing of the upstream: it does not have the complete request.
+    // The client did not complete its body, so the upstream has no complete request and is not at fault.
     if forwarded.client_fault().is_some() {
         return SendFailure::Ended(Outcome::Moot);
     }
@@ -162,7 +163,7 @@
     SendFailure::Ended(Outcome::Reset)
 }
 
-/// The request for one attempt, which announces what is left of the time; nothing, if it can't be built.
+/// Builds the request for one attempt, which announces the remaining time; `None` if the header can't be built.
 fn request(
     forwarded: &ForwardedRequest,
     limits: AttemptLimits,
--- a/crates/gateway/src/upstreams/exchange/tests.rs
+++ b/crates/gateway/src/upstreams/exchange/tests.rs
@@ -1,4 +1,4 @@
-//! What counts as sent of a request.
+//! Tests when a request counts as unsent, incomplete or complete.
 
 use std::time::Duration;
 
@@ -37,7 +37,7 @@
         !progress.is_unsent() && progress.is_incomplete(),
         "head and body are longer than the body"
     );
-    // `POST /api HTTP/1.1`, X-Deadline-Ms and the body, and not a byte less.
+    // The complete request: the request line, `X-Deadline-Ms` and the body.
     let complete = "POST /api HTTP/1.1\r\nx-deadline-ms: 0\r\n\r\n0123456789".len();
     traffic.count_written(complete - 10);
     assert!(!progress.is_incomplete());
--- a/crates/gateway/src/upstreams/load_report.rs
+++ b/crates/gateway/src/upstreams/load_report.rs
@@ -1,22 +1,22 @@
-//! Reads the load report that upstreams send with their responses.
+//! Parses the load reports that upstreams send with their responses.
 
 use hollowpaddle_policy::interface::Report;
 use hollowpaddle_policy::settings::Field;
 use hyper::header::HeaderMap;
 
-/// Values outside of this range are no plausible load.
+/// Values outside this range are ignored as implausible.
 const PLAUSIBLE_VALUES: std::ops::RangeInclusive<f64> = 0.0..=1e6;
 
 /// The fields that reports may have, by their names in the settings.
 pub(super) struct ReportFields(Vec<(String, Field)>);
 
 impl ReportFields {
-    /// The fields of these names.
+    /// Creates the set of fields with these names.
     pub(super) fn new(names: &[String]) -> Self {
         Self(names.iter().map(|name| (name.clone(), Field::named(name))).collect())
     }
 
-    /// Reads `X-Load: TEXT name=value, name=value`. What is malformed, unknown or implausible is left out.
+    /// Parses the header `X-Load: TEXT name=value, name=value`. Malformed, unknown and implausible fields are ignored.
     pub(super) fn read(&self, headers: &HeaderMap) -> Report {
         let mut report = Report::default();
         let header = headers.get("x-load").and_then(|value| value.to_str().ok());
--- a/crates/gateway/src/upstreams/load_report/tests.rs
+++ b/crates/gateway/src/upstreams/load_report/tests.rs
@@ -1,4 +1,4 @@
-//! Load reports, well formed and not.
+//! Tests the parsing of well-formed and malformed load reports.
 
 use super::*;
 
--- a/crates/gateway/src/upstreams/pool.rs
+++ b/crates/gateway/src/upstreams/pool.rs
@@ -1,5 +1,5 @@
-//! The idle connections to all upstreams: which may be used again, and which are closed. Opening connections is left to
-//! `connect`.
+//! The pool of idle connections to all upstreams: selects connections for reuse, and closes idle ones. The module `connect`
+//! opens connections.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -19,29 +19,29 @@
 use crate::bodies::MemoryBudget;
 use crate::config::Config;
 
-/// Idle connections are closed at this share of the upstream's own limit: a request that crosses with its close would end
-/// as a reset, after which an unsafe request can't be retried.
+/// Idle connections are closed at this share of the upstream's keep-alive time: a request that crosses with the upstream's
+/// close would end in a reset, after which an unsafe request can't be retried.
 const IDLE_SHARE_OF_KEEPALIVE: f64 = 0.75;
-/// Keep-alive time of upstreams where the settings name none, in milliseconds.
+/// Keep-alive time of upstreams, in milliseconds, if the settings give none.
 const DEFAULT_KEEPALIVE_MS: f64 = 5000.0;
-/// Time for a connection to come up where the settings name none, in milliseconds.
+/// Timeout for establishing a connection, in milliseconds, if the settings give none.
 const DEFAULT_CONNECT_TIMEOUT_MS: f64 = 250.0;
-/// Times in the settings are below this bound, in milliseconds.
+/// Upper bound of plausible times in the settings, in milliseconds.
 const MAX_TIMEOUT_MS: f64 = 1e7;
-/// Idle connections are closed after this time at the latest: each takes some of its upstream's capacity, and spare ones
-/// would pile up.
+/// Idle connections are closed after this time at the latest: each takes some of its upstream's capacity, and spare
+/// connections would accumulate.
 const MAX_IDLE_TIME: Duration = Duration::from_millis(1500);
-/// How long a connection stays unused after a response: an upstream's second response, up to 20 ms late, would be taken
-/// for that of the next request.
-const REST: Duration = Duration::from_millis(20);
+/// How long a connection is not reused after a response: an upstream may send a second response up to 20 ms late, which
+/// would be taken for the response to the next request.
+const REUSE_DELAY: Duration = Duration::from_millis(20);
 /// How often idle connections are checked.
 const REAP_INTERVAL: Duration = Duration::from_millis(250);
-/// How long a connection may take to be ready again after a response.
+/// How long a connection may take to become ready for another request after a response.
 const READY_TIMEOUT: Duration = Duration::from_millis(10);
-/// Responses that are being received, or not yet written to clients, may take this part of the memory together.
+/// Responses that are being received, or not yet written to clients, may use the memory limit divided by this in total.
 const RESPONSE_MEMORY_DIVISOR: usize = 4;
 
-/// The connections to all upstreams.
+/// The pool of connections to all upstreams.
 pub struct Pool {
     pub(super) network: Rc<dyn Network>,
     idle: RefCell<FxHashMap<ServerId, Vec<Connection>>>,
@@ -51,14 +51,14 @@
     pub(super) max_connections: usize,
     idle_timeout: Duration,
     pub(super) connect_timeout: Duration,
-    /// When a connection last came up. Nothing sets it, so no upstream's route counts as missing.
+    /// When a connection was last established. Nothing sets this, so no upstream's route counts as missing.
     pub(super) last_connected: Cell<Option<Instant>>,
     pub(super) response_memory: MemoryBudget,
     pub(super) report_fields: ReportFields,
 }
 
 impl Pool {
-    /// An empty pool of at most `max_connections`, and a task that checks its idle connections for as long as it is used.
+    /// Creates an empty pool of at most `max_connections`, and spawns a task that checks its idle connections.
     pub fn new(max_connections: usize, config: &Config, network: Rc<dyn Network>) -> Rc<Self> {
         let limits = &config.facts.policy_limits;
         let keepalive = milliseconds(limits.keepalive, DEFAULT_KEEPALIVE_MS);
@@ -91,7 +91,7 @@
         self.idle.borrow_mut().remove(&server);
     }
 
-    /// Closes connections that have been idle for too long, were closed by the upstream, or have sent unsolicited bytes.
+    /// Removes connections that have been idle for too long, were closed by the upstream, or have received unsolicited bytes.
     fn reap(&self) {
         self.idle.borrow_mut().retain(|server, connections| {
             connections.retain(|connection| {
@@ -103,17 +103,17 @@
             });
             !connections.is_empty()
         });
-        self.spares.forget_old_waits();
+        self.spares.remove_old_waits();
     }
 
     fn is_usable(&self, connection: &Connection) -> bool {
         !connection.sender.is_closed() && connection.idle_since.elapsed() < self.idle_timeout
     }
 
-    /// Takes the connection used last of those that have rested, so that the others can time out.
+    /// Takes the most recently used of the reusable connections, so that the others can time out.
     pub(super) fn take_idle(&self, server: ServerId, address: SocketAddr) -> Option<Connection> {
         loop {
-            let connection = self.take_rested(server)?;
+            let connection = self.take_reusable(server)?;
             let is_usable = self.is_usable(&connection);
             if is_usable && connection.address == address && connection.is_open() {
                 return Some(Connection { is_reused: true, ..connection });
@@ -124,39 +124,39 @@
         }
     }
 
-    fn take_rested(&self, server: ServerId) -> Option<Connection> {
+    fn take_reusable(&self, server: ServerId) -> Option<Connection> {
         let now = Instant::now();
         let mut idle = self.idle.borrow_mut();
         let connections = idle.get_mut(&server)?;
-        // One that was put back unused may stand behind those that have not rested.
-        let index = connections.iter().rposition(|connection| connection.rested_at <= now)?;
+        // A connection that was put back unused may follow others that are not reusable yet.
+        let index = connections.iter().rposition(|connection| connection.reusable_at <= now)?;
         Some(connections.remove(index))
     }
 
-    /// The number of idle connections to this upstream.
+    /// Counts the idle connections to an upstream.
     pub(super) fn idle_connections(&self, server: ServerId) -> usize {
         self.idle.borrow().get(&server).map_or(0, Vec::len)
     }
 
-    /// When the first of the idle connections to this upstream has rested; nothing if there are none.
-    pub(super) fn rested_at(&self, server: ServerId) -> Option<Instant> {
+    /// When the first of the idle connections to an upstream becomes reusable; `None` without idle connections.
+    pub(super) fn reusable_at(&self, server: ServerId) -> Option<Instant> {
         let idle = self.idle.borrow();
-        idle.get(&server)?.iter().map(|connection| connection.rested_at).min()
+        idle.get(&server)?.iter().map(|connection| connection.reusable_at).min()
     }
 
-    /// Where unsolicited bytes are counted, by upstream.
+    /// Returns the counts of unsolicited bytes by upstream.
     pub fn unsolicited(&self) -> UnsolicitedBytes {
         self.unsolicited.clone()
     }
 
-    /// Puts a connection into the pool. To an upstream that is draining or gone there will be no other request.
+    /// Puts a connection into the pool, or closes it if its upstream is draining or removed and gets no more requests.
     pub(super) fn put_idle(&self, server: ServerId, target: &UpstreamTarget, idle: Connection) {
         if target.closed_from.get().is_none() {
             self.idle.borrow_mut().entry(server).or_default().push(idle);
         }
     }
 
-    /// Puts a connection whose response has ended into the pool, if it can be used again.
+    /// Returns a connection to the pool after its response has ended, if it can be reused.
     pub(super) async fn release(
         &self,
         server: ServerId,
@@ -164,15 +164,15 @@
         mut connection: Connection,
     ) {
         if let Ok(Ok(())) = timeout(READY_TIMEOUT, connection.sender.ready()).await {
-            connection.mark_idle(REST);
+            connection.mark_idle(REUSE_DELAY);
             self.put_idle(server, target, connection);
         }
     }
 
-    /// Closes the connection that has been idle for longest. Returns whether there was one.
+    /// Closes the longest idle connection. Returns whether there was one.
     pub(super) fn close_longest_idle(&self) -> bool {
         let mut idle = self.idle.borrow_mut();
-        // The connections of each upstream are in order of age, the oldest first.
+        // The connections of each upstream are ordered by age, the oldest first.
         let longest_idle = idle
             .iter()
             .filter_map(|(server, connections)| Some((connections.first()?.idle_since, *server)))
@@ -185,7 +185,7 @@
     }
 }
 
-/// A time of the settings, or the default if it is not set or makes no sense.
+/// Converts a time in the settings, or the default if the time is not set or not plausible.
 fn milliseconds(setting: f64, default: f64) -> Duration {
     let is_plausible = setting > 0.0 && setting < MAX_TIMEOUT_MS;
     let milliseconds = if is_plausible { setting } else { default };
--- a/crates/gateway/src/upstreams/response.rs
+++ b/crates/gateway/src/upstreams/response.rs
@@ -1,4 +1,4 @@
-//! Receives the response to an attempt: a short one to its end, of a long one the beginning.
+//! Receives the response to an attempt: a short response completely, and the beginning of a long one.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -16,7 +16,7 @@
 use crate::send_guard::SendGuard;
 
 impl Pool {
-    /// Receives a response as far as its client has to wait for it. A short one only counts once it is complete.
+    /// Receives a short response completely, or a long response up to the point from which it is streamed to its client.
     pub(super) async fn receive_response(
         self: &Rc<Self>,
         guard: &SendGuard,
@@ -35,7 +35,8 @@
             ResponseStart::Long { first, rest, length } if outcome == Outcome::Ok => {
                 self.stream_response(guard, connection, first, rest, length)
             }
-            // Nothing is passed on of a failure, nor of a response that is truncated or too large. That one has run.
+            // Long error responses and truncated or oversized responses are not forwarded. A request whose `200` response is
+            // truncated or oversized may have run.
             ResponseStart::Long { .. } | ResponseStart::Unusable => {
                 let outcome = if outcome == Outcome::Ok { Outcome::Reset } else { outcome };
                 return AttemptResult { report, ..AttemptResult::without_response(outcome) };
@@ -45,7 +46,8 @@
         AttemptResult { outcome, report, response }
     }
 
-    /// The body of a long response. Its connection closes with it, unless the response ends well.
+    /// Creates the body of a long response. Its connection returns to the pool if the response ends properly, and is closed
+    /// otherwise.
     fn stream_response(
         self: &Rc<Self>,
         guard: &SendGuard,
@@ -71,7 +73,8 @@
     }
 }
 
-/// What the head of a response says of the attempt (PROTOCOL: `X-Not-Run` marks a request that was not begun).
+/// Determines the outcome of the attempt from the head of its response (PROTOCOL: `X-Not-Run` marks a request whose
+/// processing was not started).
 fn outcome(head: &Parts) -> Outcome {
     let has_not_run = head.headers.get("x-not-run").is_some_and(|value| value == "1");
     match head.status {
--- a/crates/gateway/src/upstreams/spares.rs
+++ b/crates/gateway/src/upstreams/spares.rs
@@ -1,5 +1,5 @@
-//! Which upstreams get a spare connection: those where requests keep waiting for a connection to rest. Opening it is left
-//! to `connect`, closing it to the idle time of the pool.
+//! Decides which upstreams get a spare connection: those for which requests repeatedly wait until an idle connection becomes
+//! reusable. The module `connect` opens spare connections, and the pool closes them by their idle time.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -10,27 +10,27 @@
 use tokio::sync::Notify;
 use tokio::time::Instant;
 
-/// Two waits for connections to one upstream within this time show that it needs a spare.
-const WAIT_MEMORY: Duration = Duration::from_millis(250);
+/// An upstream needs a spare connection if two requests wait for its connections within this time.
+const SPARE_WINDOW: Duration = Duration::from_millis(250);
 
 /// The waits for connections, by upstream.
 #[derive(Default)]
 pub(super) struct Spares(RefCell<FxHashMap<ServerId, Demand>>);
 
-/// How much one upstream needs a spare.
+/// The need of one upstream for a spare connection.
 struct Demand {
     last_wait: Instant,
-    /// When the last spare could not be opened. None is tried for [`WAIT_MEMORY`] from then on.
+    /// When a spare connection last failed to open. No other is tried for [`SPARE_WINDOW`] after that.
     failed_at: Option<Instant>,
-    /// Whether a spare is being opened. There is one at a time.
+    /// Whether a spare connection is being opened. At most one is opened at a time.
     is_opening: bool,
-    /// Notifies the requests that wait once a spare is open.
+    /// Notifies waiting requests once a spare connection is open.
     opened: Rc<Notify>,
 }
 
 impl Spares {
-    /// Notes that a request waits for a connection to rest. Returns what tells it that a spare is open.
-    pub(super) fn note_wait(&self, server: ServerId, now: Instant) -> Wait {
+    /// Records that a request waits until an idle connection becomes reusable.
+    pub(super) fn record_wait(&self, server: ServerId, now: Instant) -> Wait {
         let mut demands = self.0.borrow_mut();
         let Some(demand) = demands.get_mut(&server) else {
             let opened = Rc::<Notify>::default();
@@ -44,47 +44,47 @@
             return Wait { needs_spare: false, opened };
         };
         let last_wait = std::mem::replace(&mut demand.last_wait, now);
-        let is_recent = |at: Instant| now.duration_since(at) < WAIT_MEMORY;
+        let is_recent = |at: Instant| now.duration_since(at) < SPARE_WINDOW;
         let has_failed = demand.failed_at.is_some_and(is_recent);
         let needs_spare = !demand.is_opening && !has_failed && is_recent(last_wait);
         Wait { needs_spare, opened: demand.opened.clone() }
     }
 
-    /// Notes that a spare is being opened.
-    pub(super) fn note_opening(&self, server: ServerId) {
+    /// Records that a spare connection is being opened.
+    pub(super) fn record_opening(&self, server: ServerId) {
         if let Some(demand) = self.0.borrow_mut().get_mut(&server) {
             demand.is_opening = true;
         }
     }
 
-    /// Notes that a spare is open, and notifies those that wait.
-    pub(super) fn note_opened(&self, server: ServerId) {
+    /// Records that a spare connection is open, and notifies waiting requests.
+    pub(super) fn record_opened(&self, server: ServerId) {
         if let Some(demand) = self.0.borrow_mut().get_mut(&server) {
             demand.is_opening = false;
             demand.opened.notify_waiters();
         }
     }
 
-    /// Notes that a spare could not be opened. Those that wait go on waiting.
-    pub(super) fn note_failed(&self, server: ServerId, now: Instant) {
+    /// Records that a spare connection failed to open. Waiting requests continue to wait.
+    pub(super) fn record_failure(&self, server: ServerId, now: Instant) {
         if let Some(demand) = self.0.borrow_mut().get_mut(&server) {
             demand.is_opening = false;
             demand.failed_at = Some(now);
         }
     }
 
-    /// Forgets upstreams without a recent wait.
-    pub(super) fn forget_old_waits(&self) {
+    /// Removes upstreams without a recent wait.
+    pub(super) fn remove_old_waits(&self) {
         let is_recent =
-            |demand: &mut Demand| demand.is_opening || demand.last_wait.elapsed() < WAIT_MEMORY;
+            |demand: &mut Demand| demand.is_opening || demand.last_wait.elapsed() < SPARE_WINDOW;
         self.0.borrow_mut().retain(|_, demand| is_recent(demand));
     }
 }
 
 /// One request's wait for a connection.
 pub(super) struct Wait {
-    /// Whether a spare is to be opened.
+    /// Whether a spare connection has to be opened.
     pub(super) needs_spare: bool,
-    /// Notified once a spare is open.
+    /// Notified once a spare connection is open.
     pub(super) opened: Rc<Notify>,
 }
--- a/crates/gateway/src/upstreams/unsolicited.rs
+++ b/crates/gateway/src/upstreams/unsolicited.rs
@@ -1,4 +1,4 @@
-//! Counts how often each upstream has sent bytes that no request asked for.
+//! Counts how often each upstream has sent unsolicited bytes: bytes that are no response to a request.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -7,10 +7,10 @@
 use hollowpaddle_policy::interface::ServerId;
 use rustc_hash::FxHashMap;
 
-/// Most upstreams that are counted one by one. Those beyond count in the total alone.
+/// The largest number of upstreams with a count of their own. Further upstreams are counted in the total only.
 const MAX_COUNTED_UPSTREAMS: usize = 1024;
 
-/// The counts, shared by all who hold one of these.
+/// The counts of unsolicited bytes, shared by all clones.
 #[derive(Clone, Default)]
 pub struct UnsolicitedBytes(Rc<RefCell<Counts>>);
 
@@ -21,7 +21,7 @@
 }
 
 impl UnsolicitedBytes {
-    /// Counts a connection on which an upstream has sent unsolicited bytes.
+    /// Counts one connection on which an upstream has sent unsolicited bytes.
     pub(super) fn count(&self, upstream: ServerId) {
         let mut counts = self.0.borrow_mut();
         counts.total += 1;
@@ -41,7 +41,7 @@
         tracing::warn!(upstream = upstream.0, count, "unsolicited bytes from upstream");
     }
 
-    /// The counts as the admin API shows them: in all, and by the handle of the upstream that the log names.
+    /// Returns the counts as the admin API shows them: in total, and by the upstream handles that appear in the log.
     pub fn counts(&self) -> serde_json::Value {
         let counts = self.0.borrow();
         let by_upstream: BTreeMap<u32, u64> =
