--- a/crates/gateway/src/attempt.rs
+++ b/crates/gateway/src/attempt.rs
@@ -1,5 +1,5 @@
-//! What an attempt at an upstream is given and what it comes to. Making it is left to `upstreams`, and whether it may be
-//! written to `send_guard`.
+//! The limits, the target and the result of an attempt. The module `upstreams` carries attempts out, and `send_guard`
+//! decides whether an attempt may be written.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -11,25 +11,25 @@
 
 use crate::response_body::ResponseBody;
 
-/// How long an attempt may take.
+/// The time limits of an attempt.
 #[derive(Clone, Copy, Debug)]
 pub struct AttemptLimits {
-    /// When the attempt ends; with a streamed body, when that must have begun to go out.
+    /// When the attempt must have ended; with a streamed body, when sending the body must have started.
     pub deadline: Instant,
-    /// When the last byte of the request must be written, unless its body is streamed: a later one is outside the window
-    /// in which upstreams recognise a repeat.
+    /// When the last byte of the request must be written, unless its body is streamed. A later byte is outside the window
+    /// in which upstreams recognise a repeated request.
     pub send_by: Instant,
-    /// From the last byte of a streamed body to the response.
+    /// The time from the last byte of a streamed body to the response.
     pub response_timeout: Duration,
     /// When the client gives up.
     pub client_deadline: Instant,
-    /// When the window for repeats ends, if an earlier attempt may have run.
+    /// When the window for repeated requests ends, if an earlier attempt may have run.
     pub retry_window_end: Option<Instant>,
 }
 
-/// How an attempt ended.
+/// The result of an attempt.
 pub struct AttemptResult {
-    /// The outcome that the decision module is told.
+    /// The outcome reported to the decision module.
     pub outcome: Outcome,
     /// The load report that came with the response.
     pub report: Report,
@@ -38,17 +38,17 @@
 }
 
 impl AttemptResult {
-    /// A result that has neither a response nor a load report.
+    /// Creates a result that has neither a response nor a load report.
     pub fn without_response(outcome: Outcome) -> Self {
         Self { outcome, report: Report::default(), response: None }
     }
 }
 
-/// What may change about an upstream while an attempt waits for its connection.
+/// The data of an upstream that may change while an attempt waits for a connection.
 #[derive(Debug)]
 pub struct UpstreamTarget {
-    /// The address that the endpoint list gives.
+    /// The address in the endpoint list.
     pub address: Cell<SocketAddr>,
-    /// When sends must have ended, if the upstream is draining or gone.
+    /// From when on nothing may be sent to the upstream, if it is draining or removed.
     pub closed_from: Cell<Option<Instant>>,
 }
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -1,15 +1,15 @@
-//! The side that faces clients: an HTTP server that receives requests, hands them to the engine, and answers each once.
+//! The HTTP server for clients: receives requests, submits them to the engine, and sends one response to each.
 //!
 //! | module | job |
 //! | --- | --- |
-//! | `accept` | accepts connections from the first moment to the last one after SIGTERM |
+//! | `accept` | accepts connections, from the start until after SIGTERM |
 //! | `conversation` | serves one connection until it closes |
-//! | `intake` | receives a request, and checks and reads its head |
-//! | `request_head` | whether a head is well formed, and what goes on to an upstream |
-//! | `response` | the responses that clients get |
-//! | `open_ids` | the ids of the requests that are open |
+//! | `intake` | receives a request, checks its head, and submits the request to the engine |
+//! | `request_head` | validates the head of a request, and derives the head for upstreams |
+//! | `response` | builds the responses to clients |
+//! | `open_ids` | tracks the ids of open requests |
 //!
-//! How long a connection may stay, and which one gives way, is left to `connections`; how it closes, to `closing`.
+//! The module `connections` enforces the timeouts of connections and evicts them; `closing` closes them.
 
 mod accept;
 mod conversation;
@@ -34,10 +34,10 @@
 use crate::tasks::CloseSignal;
 use open_ids::OpenIds;
 
-/// How long after `quiesce` idle connections stay open. The front asks every 0.1 s whether clients may come, and sends them
-/// for 0.2 s more.
+/// How long idle connections stay open after `quiesce`. The front polls the readiness every 0.1 s, and continues to send
+/// clients for up to 0.2 s after that.
 const QUIESCE_NOTICE: Duration = Duration::from_millis(600);
-/// Request bodies that are received or buffered may take this part of the memory together.
+/// Request bodies that are received or buffered may use the memory limit divided by this in total.
 const BODY_MEMORY_DIVISOR: usize = 8;
 
 /// The server that clients connect to.
@@ -45,7 +45,7 @@
     engine: EngineHandle,
     facts: Facts,
     classes: Vec<ClassRules>,
-    /// The longest deadline of all classes.
+    /// The longest deadline among all classes.
     max_deadline: Duration,
     connections: Rc<Connections>,
     open_ids: OpenIds,
@@ -53,20 +53,20 @@
     stall_detector: Rc<StallDetector>,
     /// Whether the process is shutting down.
     is_stopping: Cell<bool>,
-    /// By when all requests must be answered, once the process is shutting down.
+    /// When all requests must be answered, if the process is shutting down.
     answer_by: Cell<Option<Instant>>,
-    /// Whether operators send clients away.
+    /// Whether operators have quiesced this balancer, so that its clients are to use another one.
     is_quiesced: Cell<bool>,
-    /// How often operators have changed that.
+    /// Number of changes of `is_quiesced`.
     quiesce_serial: Cell<u64>,
-    /// Shared by all connections that there are; sent to have each of them close once nothing is open on it.
+    /// Shared by all current connections. When the signal is sent, each connection closes once no request is open on it.
     close_signal: RefCell<Rc<CloseSignal>>,
 }
 
-/// What a class asks of its requests.
+/// Requirements of a class on its requests.
 struct ClassRules {
     effect: Effect,
-    /// No client waits longer than this.
+    /// Upper bound of the deadlines that clients may announce.
     max_deadline: Duration,
 }
 
@@ -78,7 +78,7 @@
 }
 
 impl ClientServer {
-    /// A server that hands requests to `engine`, with as many connections as `budget` allows.
+    /// Creates a server that submits requests to `engine`, with as many connections as `budget` allows.
     pub fn new(config: &Config, engine: EngineHandle, budget: &Budget) -> Self {
         let settings = config.facts.settings();
         let classes: Vec<ClassRules> = settings.classes.iter().map(ClassRules::of).collect();
@@ -100,9 +100,9 @@
         }
     }
 
-    /// Sends clients away, or takes them again.
+    /// Quiesces this balancer, or ends the quiescence.
     ///
-    /// Requests that are open are answered. Idle connections are closed once the front has had time to notice.
+    /// Open requests are answered. Idle connections are closed once the front has had time to notice the changed readiness.
     pub fn quiesce(self: &Rc<Self>, quiesced: bool) {
         if self.is_quiesced.replace(quiesced) == quiesced {
             return;
@@ -121,13 +121,13 @@
         }
     }
 
-    /// Closes all connections that there are now, each once nothing is open on it.
+    /// Closes all current connections, each once no request is open on it.
     fn close_connections(&self) {
         self.close_signal.take().send();
     }
 
-    /// Whether clients should go elsewhere.
-    fn turns_clients_away(&self) -> bool {
+    /// Whether clients should use another balancer.
+    fn is_quiesced_or_stopping(&self) -> bool {
         self.is_stopping.get() || self.is_quiesced.get()
     }
 }
--- a/crates/gateway/src/clients/accept.rs
+++ b/crates/gateway/src/clients/accept.rs
@@ -1,4 +1,4 @@
-//! Accepts clients' connections, from the first moment to the last one after SIGTERM.
+//! Accepts clients' connections, from the start until after SIGTERM, and shuts the server down.
 
 use std::cell::Cell;
 use std::future::Future;
@@ -10,44 +10,46 @@
 
 use super::ClientServer;
 
-/// How long connections are still accepted after SIGTERM: the front needs a moment to notice.
+/// How long connections are still accepted after SIGTERM, until the front has noticed the changed readiness.
 const ACCEPT_AFTER_STOP: Duration = Duration::from_millis(500);
-/// The backlog counts as empty once no connection was accepted from it for so long.
+/// The backlog counts as empty once no connection was accepted from it for this time.
 const BACKLOG_EMPTY_AFTER: Duration = Duration::from_millis(5);
-/// How long the backlog is accepted at the end, while nothing fails. What is left in it is reset with the listener.
+/// How long the backlog is accepted at the end, while no accept fails. Closing the listener resets the connections that are
+/// left in the backlog.
 const BACKLOG_TIME: Duration = Duration::from_millis(50);
-/// The same where an accept failed or no slot was free: one failure must not end it.
+/// How long the backlog is accepted at the end if an accept has failed or no slot was free, so that one failure does not end
+/// the accepting.
 const BACKLOG_TIME_AFTER_FAILURE: Duration = Duration::from_millis(500);
-/// All requests are answered by the longest deadline and so long after SIGTERM. SIGKILL comes no sooner than the longest
-/// deadline and 0.7 s after SIGTERM (PROTOCOL, 'Figures').
+/// All requests are answered within the longest deadline plus this margin after SIGTERM. SIGKILL follows SIGTERM no sooner
+/// than after the longest deadline plus 0.7 s (PROTOCOL, 'Figures').
 const ANSWER_MARGIN: Duration = Duration::from_millis(620);
-/// How often the end looks whether connections are left.
+/// How often the shutdown checks whether connections are left.
 const SHUTDOWN_POLL_INTERVAL: Duration = Duration::from_millis(5);
-/// The last responses are given so many polls to be written. A count of polls, since a busy machine may hold this process
-/// up for longer than any span.
+/// The number of polls for which the shutdown waits until the last responses are written. This is a number of polls and not
+/// a time, since a busy machine may stall this process for longer than any fixed time.
 const SHUTDOWN_POLLS_FOR_WRITES: u32 = 10;
-/// How much longer the end waits for long responses that are being streamed.
+/// How much longer the shutdown waits for long responses that are being streamed.
 const STREAMING_SHUTDOWN_TIME: Duration = Duration::from_secs(30);
-/// Pause for the connection that was evicted.
+/// Delay before the next accept while an evicted connection closes.
 const EVICTION_BACKOFF: Duration = Duration::from_millis(1);
-/// Pause after a failed accept, so that a full descriptor table does not become a busy loop.
+/// Delay after a failed accept, so that a full descriptor table does not cause a busy loop.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// What came of one try to accept a connection.
+/// The outcome of one call to accept a connection.
 #[derive(Clone, Copy, PartialEq, Eq)]
-enum Accepted {
+enum AcceptOutcome {
     /// A connection was accepted and is being served.
     Connection,
-    /// A connection was over before it was accepted.
+    /// A connection was aborted before it was accepted.
     Aborted,
-    /// All slots for clients are taken. One of them was evicted, if any could be.
+    /// All slots for clients are in use. One connection was evicted, if any could be.
     NoSlot,
     /// The machine has no resources for another connection.
     NoResources,
 }
 
-impl Accepted {
-    /// Waits as long as the next try has to.
+impl AcceptOutcome {
+    /// Waits until the next call may be made.
     async fn back_off(self) {
         match self {
             Self::Connection => {}
@@ -59,8 +61,8 @@
 }
 
 impl ClientServer {
-    /// Serves from the end of `opens` to that of `stop`, then finishes what was accepted. Connections that another process
-    /// which has `succeeded` this one can accept are left to it.
+    /// Serves from the completion of `opens` to that of `stop`, then finishes the accepted connections. If another process
+    /// has `succeeded` this one, the connections in the backlog are left to that process.
     pub async fn serve(
         self: Rc<Self>,
         mut listener: Box<dyn Listener>,
@@ -98,14 +100,15 @@
         self.finish_connections().await;
     }
 
-    /// From here on each response asks its client to go elsewhere. New connections still find this process.
+    /// Starts the shutdown: from here on, each response asks its client to close the connection. New connections are still
+    /// accepted.
     fn start_shutdown(&self) {
         tracing::info!("shutdown started");
         self.is_stopping.set(true);
         self.answer_by.set(Some(Instant::now() + self.max_deadline + ANSWER_MARGIN));
     }
 
-    /// Waits for the connections that are left: until all requests must be answered, and for long responses beyond that.
+    /// Waits for the remaining connections: until all requests must be answered, and beyond that for streamed responses.
     async fn finish_connections(&self) {
         let answer_by = self.answer_by.get().unwrap_or_else(Instant::now);
         let mut polls_after = 0;
@@ -127,14 +130,14 @@
         }
     }
 
-    /// Accepts what is left in the backlog at the end.
+    /// Accepts the connections that are left in the backlog at the end.
     async fn accept_backlog(self: &Rc<Self>, listener: &mut dyn Listener) {
         let started_at = Instant::now();
         let mut until = started_at + BACKLOG_TIME;
         while Instant::now() < until {
             let accepted = timeout(BACKLOG_EMPTY_AFTER, self.accept_one(listener)).await;
             let Ok(accepted) = accepted else { return };
-            if accepted != Accepted::Connection {
+            if accepted != AcceptOutcome::Connection {
                 until = started_at + BACKLOG_TIME_AFTER_FAILURE;
             }
             accepted.back_off().await;
@@ -142,22 +145,22 @@
         tracing::warn!("backlog not empty at shutdown");
     }
 
-    async fn accept_one(self: &Rc<Self>, listener: &mut dyn Listener) -> Accepted {
-        // Left in the backlog, a client waits a moment. Accepted without a descriptor, it would be dropped.
+    async fn accept_one(self: &Rc<Self>, listener: &mut dyn Listener) -> AcceptOutcome {
+        // A connection left in the backlog waits for a moment; accepted without a free slot, it would have to be dropped.
         if self.connections.is_full() {
             self.connections.evict();
-            return Accepted::NoSlot;
+            return AcceptOutcome::NoSlot;
         }
         match accept(listener).await {
             Ok((stream, _)) => {
                 self.serve_connection(stream);
-                Accepted::Connection
+                AcceptOutcome::Connection
             }
             Err(cause) => {
                 tracing::warn!(%cause, "accept failed");
                 match AcceptFailure::of(&cause) {
-                    AcceptFailure::Connection => Accepted::Aborted,
-                    AcceptFailure::NoRoom => Accepted::NoResources,
+                    AcceptFailure::Connection => AcceptOutcome::Aborted,
+                    AcceptFailure::NoRoom => AcceptOutcome::NoResources,
                 }
             }
         }
--- a/crates/gateway/src/clients/conversation.rs
+++ b/crates/gateway/src/clients/conversation.rs
@@ -1,5 +1,5 @@
-//! Serves one client's connection: its requests one after another, until it closes. What a request comes to is left to
-//! `intake`.
+//! Serves one client's connection: its requests one after another, until the connection closes. The module `intake` answers
+//! requests for `/api`.
 
 use std::convert::Infallible;
 use std::future::poll_fn;
@@ -27,19 +27,20 @@
 use crate::stream::{ObservedStream, RawHead, ReadAhead};
 use crate::tasks::CloseSignal;
 
-/// How long a connection that has had no request is given before it closes: clients send their first request right away.
+/// How long a connection without a request so far stays open after a close is requested. Clients send their first request
+/// right after connecting.
 const FIRST_REQUEST_TIME: Duration = Duration::from_millis(100);
-/// How long bytes that have come on a connection are given to be read before it closes.
+/// How long a connection with unread bytes stays open after a close is requested, so that the bytes are read.
 const UNREAD_BYTES_TIME: Duration = Duration::from_millis(2);
 
-/// A client's connection as requests on it see it.
+/// The state of a client's connection that its requests use.
 pub(super) struct ClientStream {
     pub(super) stream: SharedStream,
     pub(super) raw_head: RawHead,
     pub(super) read_ahead: ReadAhead,
 }
 
-/// Counts a request that was received completely and got no response, though its client stayed.
+/// Counts a violation if a request was received completely and got no response, though its client stayed connected.
 struct ResponseCheck<'a> {
     violations: &'a Violations,
     client: &'a ClientStream,
@@ -61,26 +62,26 @@
 
 impl Drop for ResponseCheck<'_> {
     fn drop(&mut self) {
-        let has_client_left = self.client.stream.borrow().has_ended();
+        let has_client_disconnected = self.client.stream.borrow().has_ended();
         let is_received = self.client.read_ahead.is_request_complete();
-        if !self.is_answered && is_received && !has_client_left {
+        if !self.is_answered && is_received && !has_client_disconnected {
             self.violations.count(Invariant::Unanswered, None, None);
         }
     }
 }
 
 impl ClientServer {
-    /// Serves a connection that was accepted, in a task of its own.
+    /// Spawns a task that serves an accepted connection.
     pub(super) fn serve_connection(self: &Rc<Self>, stream: Box<dyn Stream>) {
         let (io, stream, traffic) = ObservedStream::new(stream);
-        // Taken here and not in the task: the slot counts before the next connection is accepted, and a task that first ran
-        // after a signal to close would wait for one that is never sent.
+        // The slot and the signal are taken here and not in the task: the slot must count before the next connection is
+        // accepted, and a task that first runs after a close signal would wait for a later signal that is never sent.
         let slot = self.connections.open(traffic);
         let close_signal = self.close_signal.borrow().clone();
         tokio::task::spawn_local(self.clone().converse(io, stream, slot, close_signal));
     }
 
-    /// Serves all requests of one connection and closes it.
+    /// Serves all requests of one connection, then closes the connection.
     async fn converse(
         self: Rc<Self>,
         io: ObservedStream,
@@ -97,7 +98,7 @@
         self.close_connection(&client, &slot, reason).await;
     }
 
-    /// Serves requests until the connection has to close. Returns why; nothing, if the client has closed it.
+    /// Serves requests until the connection has to close. Returns the reason, or `None` if the client has closed it.
     async fn serve_requests(
         &self,
         io: ObservedStream,
@@ -108,16 +109,16 @@
         let state = slot.connection();
         let service = service_fn(|request| self.respond(request, slot, client));
         let connection = http1::Builder::new()
-            .header_read_timeout(None) // The limits in `connections` hold.
+            .header_read_timeout(None) // The module `connections` enforces the timeouts.
             .max_buf_size(HEAD_LIMIT)
             .max_headers(HEAD_LINES)
             .serve_connection(TokioIo::new(io), service);
         tokio::pin!(connection);
-        let time_to_close = time_to_close(close_signal, state, client);
-        tokio::pin!(time_to_close);
+        let close_requested = close_requested(close_signal, state, client);
+        tokio::pin!(close_requested);
         let mut is_closing = false;
         loop {
-            // The connection first: its limits are judged by what has passed on it.
+            // The connection is polled first, since its timeouts depend on the bytes that have passed on it.
             tokio::select! {
                 biased;
                 _ = &mut connection => {
@@ -133,7 +134,7 @@
                     tracing::debug!(connection = slot.id(), "client disconnected");
                     return None;
                 }
-                () = &mut time_to_close, if !is_closing => {
+                () = &mut close_requested, if !is_closing => {
                     is_closing = true;
                     connection.as_mut().graceful_shutdown();
                 }
@@ -151,7 +152,7 @@
         let state = slot.connection();
         let mode = state.close_mode(reason);
         tracing::debug!(connection = slot.id(), ?reason, ?mode, "connection closing");
-        // Where the next client needs the slot, no more is waited for than what is there.
+        // If the next client needs the slot, the connection is closed without lingering.
         let is_slot_needed = state.is_evicted() && self.connections.is_full();
         state.start_closing();
         tokio::select! {
@@ -173,14 +174,14 @@
         slot.connection().start_request();
         let mut check = ResponseCheck::new(self.engine.violations(), client);
         let mut response = self.route(request, client).await;
-        // Where a request makes no sense, neither does what follows on its connection.
-        let makes_no_sense =
+        // Bytes that follow an invalid request on its connection can't be interpreted.
+        let is_invalid =
             response.status().is_client_error() || client.read_ahead.has_overflowed();
-        if self.turns_clients_away() || makes_no_sense {
+        if self.is_quiesced_or_stopping() || is_invalid {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             slot.connection().announce_close();
         }
-        // The next request begins behind this one's last byte, which has come; if not, the connection closes.
+        // The next request begins after the last byte of this one. If that byte was not received, the connection closes.
         client.raw_head.start_next();
         check.answered(response.status());
         match response.body_mut() {
@@ -202,7 +203,7 @@
     }
 
     fn readiness(&self) -> StatusCode {
-        if self.engine.is_ready() && !self.turns_clients_away() {
+        if self.engine.is_ready() && !self.is_quiesced_or_stopping() {
             StatusCode::OK
         } else {
             StatusCode::SERVICE_UNAVAILABLE
@@ -210,7 +211,7 @@
     }
 }
 
-/// Ends once the client has closed its connection while its request is open.
+/// Completes once the client has closed its connection while its request is open.
 async fn client_end(state: &Connection, client: &ClientStream) {
     poll_fn(|cx| {
         if state.is_request_open() {
@@ -222,10 +223,10 @@
     .await;
 }
 
-/// Ends once the connection is to close, and what has come on it by then has had time to be read.
-async fn time_to_close(close_signal: &CloseSignal, state: &Connection, client: &ClientStream) {
+/// Completes once the close signal was sent and the bytes received before it have had time to be read.
+async fn close_requested(close_signal: &CloseSignal, state: &Connection, client: &ClientStream) {
     close_signal.sent().await;
-    // A request that has come was sent before the close.
+    // Unread bytes may be a request that was sent before the client could see the close.
     let has_unread_bytes = !client.stream.borrow().is_quiet();
     if state.is_new() {
         sleep(FIRST_REQUEST_TIME).await;
--- a/crates/gateway/src/clients/intake.rs
+++ b/crates/gateway/src/clients/intake.rs
@@ -1,4 +1,4 @@
-//! Receives a client's request, checks and reads its head, and hands it to the engine.
+//! Receives a client's request, checks and parses its head, and submits the request to the engine.
 
 use std::time::Duration;
 
@@ -23,20 +23,21 @@
 
 /// The largest body that a client may send, in bytes.
 const MAX_BODY_BYTES: usize = 32 << 20;
-/// A body of up to this size, in bytes, is buffered for as long as its request is open. A longer one is streamed, and can't
-/// be sent again.
+/// The largest body that is buffered while its request is open, in bytes. A longer body is streamed, and can't be sent
+/// again.
 const MAX_BUFFERED_BODY_BYTES: usize = 2 << 20;
-/// How a body must come: within 2 s, or as slowly as 60 KiB/s. A client that stops halfway is owed a response within 3 s.
+/// The least pace of a body: 2 s plus the time that it takes at 60 KiB/s. A client that stops halfway must get a response
+/// within 3 s.
 const BODY_PACE: Pace = Pace {
     max_bytes: MAX_BODY_BYTES,
     base_time: Duration::from_secs(2),
     time_per_byte: Duration::from_nanos(1_000_000_000 / (60 << 10)),
 };
 
-/// A body as it goes to an upstream.
+/// A body that is ready to be forwarded.
 struct ReadyBody {
     body: ForwardedBody,
-    /// In bytes, if it is known.
+    /// Length of the body in bytes, if known.
     length: Option<u64>,
 }
 
@@ -55,8 +56,8 @@
             Ok(ready) => ready,
             Err(error) => return response::from_body_error(error),
         };
-        // The time of a request counts from its last byte (PROTOCOL, 'Figures'), also if this process did not run to read
-        // it. Of a streamed body the engine notes the end.
+        // The deadline of a request counts from the arrival of its last byte (PROTOCOL, 'Figures'), even if this process
+        // stalled before reading that byte. For a streamed body, the engine restarts the deadline at the end of the body.
         let now = Instant::now();
         let received_at = now.checked_sub(client.raw_head.read_delay()).unwrap_or(now);
         let Some(_open_id) = self.open_ids.open(&head.headers) else {
@@ -70,7 +71,7 @@
         self.forward(head, ready, arrival).await
     }
 
-    /// Receives the body of a request, up to its end or until it is known to be long.
+    /// Receives the body of a request to its end, or until the body is too long to be buffered.
     async fn receive(&self, body: Incoming, client: &ClientStream) -> Result<ReadyBody, BodyError> {
         let received =
             receive_body(body, BODY_PACE, MAX_BUFFERED_BODY_BYTES, &self.body_memory).await?;
@@ -87,7 +88,7 @@
         })
     }
 
-    /// Hands a request to the engine, and makes the response of its final answer.
+    /// Submits a request to the engine, and builds the response from the final answer.
     async fn forward(&self, head: Parts, ready: ReadyBody, arrival: Arrival) -> ClientResponse {
         let id = self.engine.next_id();
         let client_id = head.headers.get("x-request-id");
@@ -107,7 +108,7 @@
         }
     }
 
-    /// Reads what the decision module needs to know of a request.
+    /// Parses the properties of a request that the decision module uses.
     fn arrival(
         &self,
         head: &Parts,
@@ -120,7 +121,7 @@
             return Err(Malformed("method"));
         }
         let announced = announced_deadline(&head.headers).ok_or(Malformed("X-Deadline-Ms"))?;
-        // No client waits longer than its class's deadline, whatever it says.
+        // The deadline that the client announces is limited by that of its class.
         let deadline = received_at + announced.min(self.classes[class].max_deadline);
         let client_deadline =
             self.answer_by.get().map_or(deadline, |answer_by| answer_by.min(deadline));
@@ -139,14 +140,14 @@
         })
     }
 
-    /// Index of the class that the request names.
+    /// Returns the index of the class that the request names.
     fn class(&self, headers: &HeaderMap) -> Result<usize, Malformed> {
         let name = text(headers, "x-class").ok_or(Malformed("X-Class"))?;
         let position = self.facts.services.iter().position(|service| service.name == name);
         position.ok_or(Malformed("X-Class"))
     }
 
-    /// Index of the tenant that the request names; 0 where the settings define none.
+    /// Returns the index of the tenant that the request names; 0 if the settings define no tenants.
     fn tenant(&self, headers: &HeaderMap) -> Result<usize, Malformed> {
         if self.facts.tenants.is_empty() {
             return Ok(0);
@@ -156,7 +157,7 @@
     }
 }
 
-/// Whether a request may be one of a class with this effect.
+/// Whether the method, key and body of a request are valid for a class with this effect.
 fn fits_effect(effect: Effect, head: &Parts, has_no_body: bool) -> bool {
     let key = head.headers.get("idempotency-key");
     match effect {
@@ -166,7 +167,7 @@
     }
 }
 
-/// How long the client says that it waits; nothing, if that is no positive number of milliseconds.
+/// Parses the deadline that the client announces; `None` unless it is a positive number of milliseconds.
 fn announced_deadline(headers: &HeaderMap) -> Option<Duration> {
     let digits = text(headers, "x-deadline-ms")?;
     if !digits.bytes().all(|byte| byte.is_ascii_digit()) {
@@ -176,7 +177,7 @@
     Some(Duration::from_millis(milliseconds))
 }
 
-/// The value of a header, if it is text.
+/// Returns the value of a header, if it is visible ASCII text.
 fn text<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     headers.get(name).and_then(|value| value.to_str().ok())
 }
--- a/crates/gateway/src/clients/open_ids.rs
+++ b/crates/gateway/src/clients/open_ids.rs
@@ -1,4 +1,4 @@
-//! The ids of the requests that are open. Two open requests of one id could not be told apart at an upstream.
+//! Tracks the ids of open requests, since an upstream could not distinguish two open requests with the same id.
 
 use std::cell::RefCell;
 
@@ -9,21 +9,21 @@
 #[derive(Default)]
 pub(super) struct OpenIds(RefCell<FxHashSet<TenantRequestId>>);
 
-/// The id of a request, and its tenant: tenants choose ids without knowing of each other.
+/// The id of a request and its tenant. Tenants choose ids independently, so ids are unique within a tenant only.
 #[derive(Clone, PartialEq, Eq, Hash)]
 struct TenantRequestId {
     tenant: Option<HeaderValue>,
     id: HeaderValue,
 }
 
-/// The id of an open request, until it is dropped.
+/// Registration of the id of an open request. Dropping it removes the id.
 pub(super) struct OpenId<'a> {
     ids: &'a OpenIds,
     id: TenantRequestId,
 }
 
 impl OpenIds {
-    /// Notes the id in these headers as open; nothing, if there is none or it is open already.
+    /// Registers the id in these headers as open. Returns `None` if there is no id or it is open already.
     pub(super) fn open(&self, headers: &HeaderMap) -> Option<OpenId<'_>> {
         let id = headers.get("x-request-id")?.clone();
         let id = TenantRequestId { tenant: headers.get("x-tenant").cloned(), id };
--- a/crates/gateway/src/clients/request_head.rs
+++ b/crates/gateway/src/clients/request_head.rs
@@ -1,4 +1,4 @@
-//! Checks the head of a client's request, and makes of it the head that upstreams get.
+//! Validates the head of a client's request, and derives the head that upstreams get.
 
 use hyper::Uri;
 use hyper::header::{
@@ -12,7 +12,7 @@
 /// The longest id of a request, in bytes.
 const MAX_REQUEST_ID_LENGTH: usize = 128;
 
-/// Headers that mean nothing when they come twice.
+/// Headers that must not be repeated.
 const SINGLE_HEADERS: [&str; 7] = [
     "host",
     "x-request-id",
@@ -23,19 +23,20 @@
     "content-length",
 ];
 
-/// Headers beside those that `Connection` names and that hyper knows, which concern one connection only.
+/// Hop-by-hop headers that hyper defines no constant for.
 const OTHER_HOP_BY_HOP_HEADERS: [&str; 4] =
     ["keep-alive", "proxy-connection", "proxy-authenticate", "proxy-authorization"];
 
-/// A request makes no sense. Names what is wrong with it.
+/// A request is malformed. Names the faulty part.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("malformed: {0}")]
 pub(super) struct Malformed(pub(super) &'static str);
 
-/// Checks that the request is framed and named such that nothing behind this server can read it in another way.
+/// Checks that the framing and the identification of a request are unambiguous, so that no upstream can interpret the
+/// request differently.
 ///
 /// # Errors
-/// What is wrong.
+/// Names the first faulty part of the head.
 pub(super) fn check(head: &Parts, raw: &RawHead) -> Result<(), Malformed> {
     check_transfer_encoding(head, raw)?;
     check_target(head)?;
@@ -55,7 +56,7 @@
     Ok(())
 }
 
-/// The one transfer coding is `chunked`, alone (RFC 9112, 6.1 and 7.1), and there is no other length beside it.
+/// Checks that a `Transfer-Encoding` is `chunked` only (RFC 9112, 6.1 and 7.1), without another length.
 fn check_transfer_encoding(head: &Parts, raw: &RawHead) -> Result<(), Malformed> {
     let mut codings = head.headers.get_all(TRANSFER_ENCODING).iter();
     let Some(coding) = codings.next() else { return Ok(()) };
@@ -69,7 +70,7 @@
     Ok(())
 }
 
-/// A target in absolute form names the host once more (RFC 9112, 3.2.2).
+/// Checks that a target in absolute form names the same host as the `Host` header (RFC 9112, 3.2.2).
 fn check_target(head: &Parts) -> Result<(), Malformed> {
     let host = head.headers.get(HOST).map_or(&[][..], |value| value.as_bytes());
     if head.uri.authority().is_some_and(|authority| authority.as_str().as_bytes() != host) {
@@ -78,13 +79,13 @@
     Ok(())
 }
 
-/// The target as an upstream is to see it (RFC 9112, 3.2.1).
+/// Converts the target to origin form, for upstreams (RFC 9112, 3.2.1).
 pub(super) fn origin_form(target: Uri) -> Uri {
     let path = target.path_and_query().cloned();
     path.map_or(target, Uri::from)
 }
 
-/// The headers that go to an upstream with a body of so many bytes; one of unknown length goes in chunks.
+/// Derives the headers for an upstream, for a body of `length` bytes. A body of unknown length is sent in chunks.
 pub(super) fn forwarded_headers(mut headers: HeaderMap, length: Option<u64>) -> HeaderMap {
     remove_hop_by_hop(&mut headers);
     headers.remove(EXPECT);
@@ -92,12 +93,12 @@
     if let Some(length) = length.filter(|length| *length > 0) {
         headers.insert(CONTENT_LENGTH, HeaderValue::from(length));
     }
-    // An HTTP/1.1 request without a host can't be read.
+    // An HTTP/1.1 request without a host is invalid.
     headers.entry(HOST).or_insert(HeaderValue::from_static("api.internal"));
     headers
 }
 
-/// Removes the headers that concern one connection only (RFC 9110, 7.6.1).
+/// Removes the hop-by-hop headers (RFC 9110, 7.6.1).
 pub(super) fn remove_hop_by_hop(headers: &mut HeaderMap) {
     let named: Vec<HeaderName> = headers
         .get_all(CONNECTION)
@@ -117,7 +118,7 @@
     }
 }
 
-/// The value of the first cookie of this name.
+/// Returns the value of the first cookie of this name.
 pub(super) fn cookie<'a>(headers: &'a HeaderMap, name: &str) -> Option<&'a str> {
     let lines = headers.get_all(COOKIE).iter().filter_map(|value| value.to_str().ok());
     let pairs = lines.flat_map(|line| line.split(';'));
--- a/crates/gateway/src/clients/response.rs
+++ b/crates/gateway/src/clients/response.rs
@@ -1,4 +1,4 @@
-//! The responses that clients get: those of upstreams without what concerns this balancer only, and its own.
+//! Builds the responses to clients: upstreams' responses without internal headers, and the balancer's own responses.
 
 use bytes::Bytes;
 use hollowpaddle_policy::interface::SignedDuration;
@@ -13,10 +13,10 @@
 /// A response to a client.
 pub(super) type ClientResponse = Response<ResponseBody>;
 
-/// Headers with which upstreams report to balancers.
+/// Headers by which upstreams report to balancers, which clients do not get.
 const INTERNAL_HEADERS: [&str; 2] = ["x-load", "x-not-run"];
 
-/// The response for a final answer.
+/// Builds the response for a final answer.
 pub(super) fn from_reply(reply: Reply) -> ClientResponse {
     match reply {
         Reply::Served(response) => from_upstream(response),
@@ -32,7 +32,7 @@
     }
 }
 
-/// An upstream's response as its client gets it.
+/// Converts an upstream's response to the response for the client.
 fn from_upstream(response: Response<ResponseBody>) -> ClientResponse {
     let (mut head, body) = response.into_parts();
     remove_hop_by_hop(&mut head.headers);
@@ -45,7 +45,7 @@
     response
 }
 
-/// The response to a client whose body was not received.
+/// Builds the response to a request whose body was not received.
 pub(super) fn from_body_error(error: BodyError) -> ClientResponse {
     match error {
         BodyError::Malformed => malformed(Malformed("body")),
@@ -55,21 +55,21 @@
     }
 }
 
-/// The response to a request that makes no sense.
+/// Builds the response to a malformed request.
 pub(super) fn malformed(error: Malformed) -> ClientResponse {
     let mut response = Response::new(Bytes::from(format!("{error}\n")).into());
     *response.status_mut() = StatusCode::BAD_REQUEST;
     response
 }
 
-/// A response without a body.
+/// Builds a response without a body.
 pub(super) fn empty(status: StatusCode) -> ClientResponse {
     let mut response = Response::new(Bytes::new().into());
     *response.status_mut() = status;
     response
 }
 
-/// `Retry-After` in decimal seconds; nothing for no advice.
+/// Formats `Retry-After` in decimal seconds; `None` if no time is recommended.
 fn retry_after_seconds(span: SignedDuration) -> Option<HeaderValue> {
     if span.0 <= 0 {
         return None;
--- a/crates/gateway/src/forwarded_request.rs
+++ b/crates/gateway/src/forwarded_request.rs
@@ -1,4 +1,4 @@
-//! A client's request as it is forwarded, the same for each of its attempts. Sending it is left to `upstreams`.
+//! A client's request as it is forwarded, shared by all its attempts. The module `upstreams` sends it.
 
 use std::rc::Rc;
 
@@ -11,13 +11,13 @@
 use crate::bodies::BodyError;
 use crate::streamed_body::StreamedBody;
 
-/// A request as upstreams get it, but for the deadline that each attempt announces.
+/// A request as upstreams get it, except for the deadline, which each attempt announces anew.
 pub struct ForwardedRequest {
     /// The client's method.
     pub method: Method,
     /// The target in origin form.
     pub uri: Uri,
-    /// The headers that are not about the client's connection.
+    /// The end-to-end headers.
     pub headers: HeaderMap,
     /// The body.
     pub body: ForwardedBody,
@@ -25,14 +25,14 @@
 
 /// The body of a forwarded request.
 pub enum ForwardedBody {
-    /// The complete body, for any number of attempts.
+    /// A complete body, which any number of attempts can send.
     Buffered(Bytes),
-    /// A body that is still being received, for one attempt.
+    /// A body that is still being received, which only one attempt can send.
     Streamed(Rc<StreamedBody>),
 }
 
 impl ForwardedRequest {
-    /// The body, if it is streamed.
+    /// Returns the body, if it is streamed.
     pub fn streamed_body(&self) -> Option<&Rc<StreamedBody>> {
         match &self.body {
             ForwardedBody::Buffered(_) => None,
@@ -40,17 +40,17 @@
         }
     }
 
-    /// Whether the request can't be sent again, since a part of its streamed body was.
+    /// Whether a part of a streamed body was sent, so that the request can't be sent again.
     pub fn is_spent(&self) -> bool {
         self.streamed_body().is_some_and(|body| body.is_spent())
     }
 
-    /// What the client did wrong with its streamed body.
+    /// Returns the error in the client's streamed body, if there is one.
     pub fn client_fault(&self) -> Option<BodyError> {
         self.streamed_body().and_then(|body| body.client_fault())
     }
 
-    /// When an attempt with these limits has to end, as things stand.
+    /// Computes the current deadline of an attempt with these limits.
     pub fn attempt_deadline(&self, limits: AttemptLimits) -> Instant {
         match self.streamed_body() {
             Some(body) => body.attempt_deadline(limits.deadline, limits.response_timeout),
--- a/crates/gateway/src/send_guard.rs
+++ b/crates/gateway/src/send_guard.rs
@@ -1,9 +1,9 @@
-//! Decides whether an attempt may be written, right before its first byte, and checks right after that byte that it should
-//! have been.
+//! Decides immediately before the first byte of an attempt whether the attempt may be written, and verifies immediately
+//! after that byte that the write was within the limits.
 //!
-//! Between reading the clock and writing, the process may stand still for [`MAX_PROCESS_STALL`], and no program can close
-//! that gap. So the guard works to limits that are that much earlier than those that hold, and the check afterwards goes
-//! by the ones that hold.
+//! The process may stall for up to [`MAX_PROCESS_STALL`] between reading the clock and writing, which no program can
+//! prevent. The guard therefore applies limits that are earlier than the real ones by that time, and the verification
+//! applies the real limits.
 
 use std::cell::Cell;
 use std::fmt;
@@ -18,60 +18,60 @@
 use crate::freshness::Expiry;
 use crate::invariants::{Invariant, Violations};
 
-/// How long the process may be held up between reading its clock and writing.
+/// The longest stall of the process between reading its clock and writing.
 pub const MAX_PROCESS_STALL: Duration = Duration::from_millis(150);
-/// Sends to a draining upstream end this long before its grace period does: notice of the drain may be read one stall late,
-/// and the send may be late by another.
+/// Sends to a draining upstream end this long before its grace period does: the notice of the drain may be read one stall
+/// late, and the send may be another stall late.
 pub const DRAIN_MARGIN: Duration = Duration::from_millis(300);
-/// What each limit allows beyond itself on sockets (PROTOCOL, "The rules on sockets").
+/// The tolerance of each time limit on sockets (PROTOCOL, "The rules on sockets").
 const SOCKET_TOLERANCE: Duration = Duration::from_millis(50);
-/// An attempt that begins this long after the end of its request is a violation.
+/// An attempt that starts more than this after the cancellation of its request is a violation.
 const CANCELLATION_TOLERANCE: Duration = Duration::from_millis(100);
-/// How much longer the deadline announced to an upstream may be than what its client has left.
+/// How much later than the client's deadline the deadline announced to an upstream may be.
 const DEADLINE_TOLERANCE: Duration = Duration::from_millis(150);
 
-/// Why an attempt may not be written.
+/// The reason why an attempt may not be written.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum SendDenied {
-    /// The request is answered, or its client has gone.
+    /// The request is answered, or its client has disconnected.
     RequestOver,
-    /// The time of the attempt, or the window for repeats, is over.
+    /// The deadline of the attempt, or the end of the retry window, has passed.
     TooLate,
-    /// The upstream is draining or gone.
+    /// The upstream is draining or removed.
     UpstreamDraining,
-    /// The endpoint list is too old to be acted on.
+    /// The endpoint list is too old to be used.
     ListExpired,
-    /// The routing policy in force does not allow it any more.
+    /// The routing policy in force does not permit the attempt.
     ForbiddenByPolicy,
 }
 
-/// Whether the routing policy allows an attempt at the moment of the call.
+/// Returns whether the routing policy permits an attempt at the moment of the call.
 pub type PolicyCheck = Box<dyn Fn() -> bool>;
 
-/// What has to hold for one attempt to be written.
+/// The conditions under which one attempt may be written.
 pub struct SendGuardParts {
-    /// The request that the attempt is for.
+    /// The request of the attempt.
     pub request: RequestId,
-    /// The upstream that it goes to.
+    /// The upstream of the attempt.
     pub upstream: ServerId,
-    /// How long it may take.
+    /// The time limits of the attempt.
     pub limits: AttemptLimits,
-    /// Until when the upstream may be sent to.
+    /// The address of the upstream, and until when requests may be sent to it.
     pub target: Rc<UpstreamTarget>,
-    /// Whether the request is over.
+    /// The cancellation state of the request.
     pub cancellation: Rc<Cancellation>,
-    /// When the endpoint list expires.
+    /// The expiry of the endpoint list.
     pub list_expiry: Expiry,
-    /// What the routing policy says, where there is one.
+    /// The check of the routing policy, if there is one.
     pub policy_check: Option<PolicyCheck>,
-    /// Where violations are counted.
+    /// Counts violations.
     pub violations: Violations,
 }
 
 /// The guard of one attempt.
 pub struct SendGuard {
     parts: SendGuardParts,
-    /// The deadline that was announced to the upstream, as a span.
+    /// The time left until the deadline, as announced to the upstream.
     announced_deadline: Cell<Option<Duration>>,
 }
 
@@ -85,22 +85,22 @@
 }
 
 impl SendGuard {
-    /// A guard over these parts.
+    /// Creates a guard for these conditions.
     pub fn new(parts: SendGuardParts) -> Self {
         Self { parts, announced_deadline: Cell::new(None) }
     }
 
-    /// The upstream that the attempt goes to.
+    /// Returns the upstream of the attempt.
     pub fn upstream(&self) -> ServerId {
         self.parts.upstream
     }
 
-    /// Where that upstream is, and until when it may be sent to.
+    /// Returns the address of the upstream, and until when requests may be sent to it.
     pub fn target(&self) -> &Rc<UpstreamTarget> {
         &self.parts.target
     }
 
-    /// How long the attempt may take.
+    /// Returns the time limits of the attempt.
     pub fn limits(&self) -> AttemptLimits {
         self.parts.limits
     }
@@ -108,7 +108,7 @@
     /// Checks whether the attempt may be written now.
     ///
     /// # Errors
-    /// Why it may not.
+    /// Returns the reason why the attempt may not be written.
     pub fn check(&self) -> Result<(), SendDenied> {
         let now = Instant::now();
         let SendGuardParts { limits, target, .. } = &self.parts;
@@ -135,7 +135,7 @@
         self.announced_deadline.set(Some(deadline));
     }
 
-    /// Checks an attempt whose first bytes have just been handed to the kernel, and counts each rule that it violates.
+    /// Verifies an attempt whose first bytes have just been handed to the kernel, and counts each violated limit.
     pub fn verify_sent(&self) {
         let now = Instant::now();
         let SendGuardParts { limits, target, cancellation, .. } = &self.parts;
@@ -149,8 +149,8 @@
         if cancellation.cancelled_at().is_some_and(|at| now > at + CANCELLATION_TOLERANCE) {
             self.count(Invariant::SentAfterEnd);
         }
-        let client_has_left = limits.client_deadline.saturating_duration_since(now);
-        let max_announced = client_has_left + DEADLINE_TOLERANCE;
+        let client_time_left = limits.client_deadline.saturating_duration_since(now);
+        let max_announced = client_time_left + DEADLINE_TOLERANCE;
         if self.announced_deadline.get().is_some_and(|announced| announced > max_announced) {
             self.count(Invariant::DeadlineOverstated);
         }
