--- a/crates/gateway/src/bodies.rs
+++ b/crates/gateway/src/bodies.rs
@@ -1,5 +1,5 @@
-//! Memory for the bodies of requests and responses, and the receiving of a client's body within it. Passing on a body that
-//! is still being received is left to `streamed_body`.
+//! Memory budgets for the bodies of requests and responses, and the buffering of a client's body within its budget. The
+//! module `streamed_body` forwards bodies while they are received.
 
 use std::sync::Arc;
 use std::sync::atomic::{AtomicUsize, Ordering::Relaxed};
@@ -10,28 +10,28 @@
 use hyper::body::Body;
 use tokio::time::{Instant, timeout_at};
 
-/// The memory that all bodies of one kind may take together.
+/// The memory that all bodies of one kind may use in total.
 ///
-/// It is atomic because `Bytes` requires so of its owner; there is one thread.
+/// The counter is atomic because `Bytes::from_owner` requires a `Send` owner; all uses are on one thread.
 #[derive(Clone)]
 pub struct MemoryBudget {
     used: Arc<AtomicUsize>,
     capacity: usize,
 }
 
-/// A part of a [`MemoryBudget`], given back when it is dropped.
+/// A part of a [`MemoryBudget`], released when it is dropped.
 pub struct MemoryReservation {
     budget: MemoryBudget,
     bytes: usize,
 }
 
 impl MemoryBudget {
-    /// A budget of `capacity` bytes.
+    /// Creates a budget of `capacity` bytes.
     pub fn new(capacity: usize) -> Self {
         Self { used: Arc::default(), capacity }
     }
 
-    /// Reserves so many bytes, if they are left.
+    /// Reserves `bytes` bytes, if they are available.
     pub fn reserve(&self, bytes: usize) -> Option<MemoryReservation> {
         let mut reservation = MemoryReservation { budget: self.clone(), bytes: 0 };
         reservation.grow_to(bytes).then_some(reservation)
@@ -39,7 +39,8 @@
 }
 
 impl MemoryReservation {
-    /// Grows to so many bytes. Returns whether they were left; if not, the reservation stays as it is.
+    /// Grows the reservation to `bytes` bytes in total. Returns whether they were available; if not, the reservation stays
+    /// unchanged.
     pub fn grow_to(&mut self, bytes: usize) -> bool {
         let additional = bytes.saturating_sub(self.bytes);
         let used = self.budget.used.load(Relaxed);
@@ -58,14 +59,14 @@
     }
 }
 
-/// A body that holds its reservation until its last copy is dropped, that of a slow reader too.
+/// A body that holds its reservation until its last shared copy is dropped, even by a slow reader.
 pub struct ReservedBytes {
     body: BytesMut,
     _reservation: MemoryReservation,
 }
 
 impl ReservedBytes {
-    /// The body as shared bytes.
+    /// Converts a body and its reservation to shared bytes.
     pub fn share(body: BytesMut, reservation: MemoryReservation) -> Bytes {
         Bytes::from_owner(Self { body, _reservation: reservation })
     }
@@ -77,59 +78,59 @@
     }
 }
 
-/// Why a client's body was not received.
+/// The reason why a client's body was not received.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum BodyError {
-    /// It ends early or can't be read.
+    /// The body ends early or can't be parsed.
     Malformed,
-    /// It is longer than a body may be.
+    /// The body exceeds the size limit.
     TooLarge,
-    /// It comes more slowly than a client may send.
+    /// The client sends the body more slowly than the required pace.
     TooSlow,
-    /// There is no memory for it now.
+    /// The memory budget is used up.
     OutOfMemory,
 }
 
-/// How much a client may send, and how slowly.
+/// The size limit and the required pace of a client's body.
 #[derive(Clone, Copy, Debug)]
 pub struct Pace {
     /// The largest body, in bytes.
     pub max_bytes: usize,
-    /// The time that every body may take.
+    /// The time that a body of any size may take.
     pub base_time: Duration,
-    /// The time that it may take in addition for each byte received.
+    /// The additional time that a body may take for each byte received.
     pub time_per_byte: Duration,
 }
 
 impl Pace {
-    /// How long a client may take for so many bytes.
+    /// Returns how long a client may take for `bytes` bytes.
     pub fn time_allowed(&self, bytes: usize) -> Duration {
         let bytes = u32::try_from(bytes).unwrap_or(u32::MAX);
         self.base_time + self.time_per_byte.saturating_mul(bytes)
     }
 }
 
-/// What was received of a client's body.
+/// A client's body, or the beginning of a long one.
 #[derive(Debug)]
 pub enum ReceivedBody<B> {
-    /// All of it.
+    /// The complete body.
     Complete(Bytes),
-    /// The beginning of one that is longer than what is buffered.
+    /// The beginning of a body that is too long to be buffered.
     Long {
-        /// What was received.
+        /// The bytes received so far.
         first: Bytes,
-        /// What is still to come.
+        /// The body that is still to be received.
         rest: B,
-        /// The length of the body in bytes, if it is known.
+        /// The length of the body in bytes, if known.
         length: Option<u64>,
     },
 }
 
-/// Receives a client's body to its end, or until it has more than `max_buffered` bytes. Nothing is received of a body that
-/// announces more.
+/// Receives a client's body to its end, or until more than `max_buffered` bytes were received. Nothing is received of a body
+/// with a longer announced length.
 ///
 /// # Errors
-/// The body is malformed, too large or too slow, or `budget` has no memory left for it.
+/// Fails if the body is malformed, too large or too slow, or if `budget` has no memory left for it.
 pub async fn receive_body<B>(
     mut body: B,
     pace: Pace,
--- a/crates/gateway/src/bodies/tests.rs
+++ b/crates/gateway/src/bodies/tests.rs
@@ -1,4 +1,4 @@
-//! Receiving of bodies within memory and time.
+//! Tests the receiving of bodies within limits of memory and time.
 
 use super::*;
 use crate::bodies::trickle::trickle;
@@ -31,7 +31,7 @@
     assert_eq!(budget.used.load(Relaxed), 0);
 }
 
-/// All of it, if it is not long.
+/// Receives a body that is short enough to be buffered.
 async fn complete<B>(body: B, pace: Pace, budget: &MemoryBudget) -> Result<Bytes, BodyError>
 where
     B: Body<Data = Bytes> + Unpin + std::fmt::Debug,
@@ -43,9 +43,9 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn client_must_keep_pace() {
+async fn body_below_the_required_pace_is_rejected() {
     let budget = MemoryBudget::new(10);
-    // 6 bytes may take 100 + 60 ms, and each must come in the time of those before it.
+    // 6 bytes may take 100 + 60 ms, and each byte must arrive within the time allowed for the bytes before it.
     let taken = complete(trickle(6, 22), PACE, &budget).await;
     assert_eq!(taken.expect("in time").len(), 6);
     assert_eq!(complete(trickle(6, 35), PACE, &budget).await, Err(BodyError::TooSlow));
@@ -54,7 +54,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn body_beyond_the_buffer_limit_is_left_to_streaming() {
+async fn body_beyond_the_buffer_limit_is_streamed() {
     let budget = MemoryBudget::new(10);
     let long = Pace { max_bytes: 20, ..PACE };
     let body = Full::new(Bytes::from_static(b"12345678"));
@@ -63,7 +63,7 @@
         matches!(taken, ReceivedBody::Long { ref first, length: Some(8), .. } if first.is_empty()),
         "{taken:?}"
     );
-    // One that announces nothing is read until it is known to be long.
+    // A body without an announced length is received until it exceeds the buffer limit.
     let taken = receive_body(trickle(9, 1), long, 6, &budget).await.expect("not too long");
     assert!(
         matches!(taken, ReceivedBody::Long { ref first, length: None, .. } if first.len() == 7)
--- a/crates/gateway/src/bodies/trickle.rs
+++ b/crates/gateway/src/bodies/trickle.rs
@@ -1,4 +1,4 @@
-//! Slow bodies for tests.
+//! Bodies for tests that arrive slowly.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -8,7 +8,7 @@
 use bytes::Bytes;
 use hyper::body::{Body, Frame};
 
-/// A body that another task sends.
+/// A body whose bytes are sent by another task.
 #[derive(Debug)]
 pub struct Trickle(tokio::sync::mpsc::Receiver<Bytes>);
 
@@ -23,7 +23,7 @@
     }
 }
 
-/// A body of so many bytes, of which one comes every `interval_ms` milliseconds.
+/// Creates a body of `bytes` bytes, one of which arrives every `interval_ms` milliseconds.
 pub fn trickle(bytes: usize, interval_ms: u64) -> Trickle {
     let (sender, receiver) = tokio::sync::mpsc::channel(1);
     tokio::spawn(async move {
--- a/crates/gateway/src/cancellation.rs
+++ b/crates/gateway/src/cancellation.rs
@@ -1,4 +1,5 @@
-//! Says whether a request may still be forwarded: not once it has its final answer, nor once its client has gone.
+//! The cancellation of a request: a request that has its final answer, or whose client has disconnected, must not be
+//! forwarded any more.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -14,26 +15,26 @@
 }
 
 impl Cancellation {
-    /// The state of a request that was received on `client`.
+    /// Creates the state of a request that was received on the connection `client`.
     pub fn new(client: &SharedStream) -> Rc<Self> {
         Rc::new(Self { cancelled_at: Cell::new(None), client: Rc::downgrade(client) })
     }
 
-    /// Cancels the request. The first call sets the time.
+    /// Cancels the request. Only the first call sets the time of the cancellation.
     pub fn cancel(&self) {
         let at = self.cancelled_at.get().unwrap_or_else(Instant::now);
         self.cancelled_at.set(Some(at));
     }
 
-    /// When the request was cancelled, if it was.
+    /// Returns when the request was cancelled, if it was.
     pub fn cancelled_at(&self) -> Option<Instant> {
         self.cancelled_at.get()
     }
 
     /// Whether the request was cancelled or its client has closed the connection.
     ///
-    /// The connection is looked at too, since an attempt may be ready to write in the same turn of the event loop in which
-    /// the client closes, and since hyper does not look for a close behind a pipelined request.
+    /// The connection is checked as well, since an attempt may be ready to write in the same iteration of the event loop in
+    /// which the client closes, and since hyper does not detect a close after a pipelined request.
     pub fn is_cancelled(&self) -> bool {
         let is_connected = |client: SharedStream| !client.borrow().has_ended();
         self.cancelled_at.get().is_some() || !self.client.upgrade().is_some_and(is_connected)
--- a/crates/gateway/src/clients/conversation.rs
+++ b/crates/gateway/src/clients/conversation.rs
@@ -175,8 +175,7 @@
         let mut check = ResponseCheck::new(self.engine.violations(), client);
         let mut response = self.route(request, client).await;
         // Bytes that follow an invalid request on its connection can't be interpreted.
-        let is_invalid =
-            response.status().is_client_error() || client.read_ahead.has_overflowed();
+        let is_invalid = response.status().is_client_error() || client.read_ahead.has_overflowed();
         if self.is_quiesced_or_stopping() || is_invalid {
             response.headers_mut().insert(CONNECTION, HeaderValue::from_static("close"));
             slot.connection().announce_close();
--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -1,5 +1,5 @@
-//! Clients' connections: what each of them is doing, how long it may go on like that, and which one gives way when there is
-//! no slot for the next. Serving them is left to `clients`.
+//! Tracks the state of clients' connections, enforces their timeouts, and selects the connection to evict when no slot is
+//! free for the next. The module `clients` serves the connections.
 
 use std::cell::{Cell, RefCell};
 use std::future::poll_fn;
@@ -15,44 +15,46 @@
 use crate::closing::{CloseMode, CloseReason};
 use crate::stream::Traffic;
 
-/// How long after the connection came up its first head may begin, and how long after its first byte a head must be
-/// complete. With the time for a body it stays under the 3 s within which a client that stops halfway is owed a response.
+/// How long after connecting a client may take to start its first head, and how long after its first byte a head may take
+/// to be complete. With the time for a body, this stays below the 3 s within which a client that stops halfway must get a
+/// response.
 const HEAD_TIMEOUT: Duration = Duration::from_millis(2400);
 /// How long an idle connection stays open.
 const IDLE_TIMEOUT: Duration = Duration::from_secs(4);
-/// An idle connection that served a request within this time does not give way.
+/// An idle connection that served a request within this time is not evicted.
 const MIN_IDLE_BEFORE_EVICTION: Duration = Duration::from_secs(2);
-/// A connection that sends no complete head for so long may give way: clients send a request right away.
+/// A connection that sends no complete head for this time may be evicted, since clients send a request right away.
 const MIN_SILENCE_BEFORE_EVICTION: Duration = Duration::from_millis(250);
-/// A client that takes nothing of a streamed response for so long has gone. It would hold an upstream's connection too.
+/// A client that reads nothing of a streamed response for this time counts as gone. Its connection would also keep an
+/// upstream's connection in use.
 const CLIENT_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What is known of one connection.
+/// The state of one connection.
 pub struct Connection {
     traffic: Traffic,
     state: Cell<State>,
-    /// Whether a response told the client that the connection closes behind it.
+    /// Whether a response has announced that the connection closes after it.
     is_close_announced: Cell<bool>,
     evicted: Notify,
 }
 
 #[derive(Clone, Copy)]
 enum State {
-    /// No request came yet. `head_begun` is when the first head began.
+    /// No request was received yet. `head_begun` is when the first head began.
     New { since: Instant, head_begun: Option<Instant> },
     /// A request is open.
     RequestOpen,
     /// A long response is being streamed; `written` bytes were written at `since`.
     Streaming { since: Instant, written: u64 },
-    /// The last response was given at `since`, with `read` bytes read by then. `head_begun` is when the next head began.
+    /// The last request was answered at `since`, with `read` bytes read by then. `head_begun` is when the next head began.
     Idle { since: Instant, read: u64, head_begun: Option<Instant> },
-    /// Only read to its end, so that the last response is not lost to a reset.
+    /// The connection is only read to its end, so that a reset does not destroy the last response.
     Closing { since: Instant },
-    /// Told to give way. `head_begun` is whether the next head had begun.
+    /// The connection was evicted. `head_begun` is whether the next head had begun.
     Evicted { head_begun: bool },
 }
 
-/// The order in which connections give way: first those without a request, then by how long they have been like that.
+/// The order of eviction: connections without a request first, and among these and the others the longest waiting first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionRank {
     has_served: bool,
@@ -60,17 +62,17 @@
 }
 
 impl Connection {
-    /// Notes that a request has come.
+    /// Records that a request has arrived.
     pub fn start_request(&self) {
         self.state.set(State::RequestOpen);
     }
 
-    /// Notes that a response tells the client that the connection closes.
+    /// Records that a response announces the close of the connection.
     pub fn announce_close(&self) {
         self.is_close_announced.set(true);
     }
 
-    /// How the connection is to be closed for this reason, as things stand.
+    /// Determines how to close the connection in its current state for this reason.
     pub fn close_mode(&self, reason: CloseReason) -> CloseMode {
         let is_answering = matches!(self.state.get(), State::RequestOpen | State::Streaming { .. });
         let is_exchange_over = is_answering || reason == CloseReason::ExchangeOver;
@@ -81,12 +83,12 @@
         }
     }
 
-    /// Notes that the connection is being closed from this side.
+    /// Records that this side is closing the connection.
     pub fn start_closing(&self) {
         self.state.set(State::Closing { since: Instant::now() });
     }
 
-    /// Whether no request came yet.
+    /// Whether no request was received yet.
     pub fn is_new(&self) -> bool {
         matches!(self.state.get(), State::New { .. })
     }
@@ -101,7 +103,7 @@
         }
     }
 
-    /// Whether the connection was told to give way.
+    /// Whether the connection was evicted.
     pub fn is_evicted(&self) -> bool {
         matches!(self.state.get(), State::Evicted { .. })
     }
@@ -111,13 +113,13 @@
         matches!(self.state.get(), State::RequestOpen)
     }
 
-    /// Whether a request is open, or was answered and may be followed by another.
+    /// Whether a request is open, or was answered so that another may follow.
     fn is_in_use(&self) -> bool {
         let state = self.state.get();
         matches!(state, State::RequestOpen | State::Streaming { .. } | State::Idle { .. })
     }
 
-    /// When the connection is overdue, as things stand. Notes what has passed on it since the last call.
+    /// Returns when the connection times out in its current state. Records the traffic since the last call.
     fn update_deadline(&self) -> Option<Instant> {
         match self.state.get() {
             State::New { since, head_begun } => {
@@ -151,14 +153,14 @@
 
     /// Since when the connection is idle, if its response is written and the next head has not begun.
     ///
-    /// Closing it then costs the client no request: one that crosses with the close is sent once more.
+    /// Closing an idle connection costs the client no request: a request that crosses with the close is sent again.
     fn idle_since(&self) -> Option<Instant> {
         let State::Idle { since, read, .. } = self.state.get() else { return None };
         let is_idle = self.traffic.bytes_read() == read && !self.traffic.is_write_blocked();
         is_idle.then_some(since)
     }
 
-    /// The connection's place in the order of eviction, if it may give way by now.
+    /// Returns the connection's rank in the order of eviction, if it may be evicted now.
     fn eviction_rank(&self, now: Instant) -> Option<EvictionRank> {
         let silent_since = |since| EvictionRank { has_served: false, since };
         let (rank, min_time) = match self.state.get() {
@@ -183,8 +185,7 @@
         self.evicted.notify_one();
     }
 
-    /// Ends once the connection has to give way. A request that comes between the eviction and its being noticed keeps the
-    /// connection.
+    /// Completes once the connection is evicted. A request that arrives before the eviction is noticed cancels it.
     pub async fn evicted(&self) {
         loop {
             self.evicted.notified().await;
@@ -194,8 +195,8 @@
         }
     }
 
-    /// Ends once the connection is overdue or has to give way. To be polled by the connection's own task, whenever
-    /// something has passed on it.
+    /// Completes once the connection has timed out or is evicted. The connection's own task has to poll this after any
+    /// traffic.
     pub async fn overdue(&self) {
         let mut timer = pin!(sleep_until(Instant::now()));
         let is_overdue = poll_fn(|cx| {
@@ -220,16 +221,16 @@
     }
 }
 
-/// All connections, up to a limit.
+/// All open connections, up to a limit.
 pub struct Connections {
     open: RefCell<FxHashMap<u64, Rc<Connection>>>,
     next_id: Cell<u64>,
     max_open: usize,
-    /// The number of connections in use above which idle ones are closed.
+    /// The number of connections in use above which idle connections are closed.
     max_in_use_with_idle: usize,
 }
 
-/// The slot that a connection takes until it is dropped.
+/// The slot of a connection. Dropping it frees the slot.
 pub struct ConnectionSlot(Slot);
 
 #[derive(Clone)]
@@ -239,7 +240,7 @@
     id: u64,
 }
 
-/// A response that is being streamed. Its request is over when it is dropped.
+/// A response that is being streamed. Dropping the guard ends the response's request.
 pub struct StreamingGuard(Slot);
 
 impl Drop for StreamingGuard {
@@ -251,23 +252,23 @@
 }
 
 impl ConnectionSlot {
-    /// The connection in this slot.
+    /// Returns the connection in this slot.
     pub fn connection(&self) -> &Connection {
         &self.0.connection
     }
 
-    /// The number of the connection, for the log.
+    /// Returns the id of the connection, for the log.
     pub fn id(&self) -> u64 {
         self.0.id
     }
 
-    /// Notes that the request was answered.
+    /// Records that the request was answered.
     pub fn finish_request(&self) {
         self.0.finish_request();
     }
 
-    /// Notes that a long response has begun. The request is open until the guard is dropped, so that the connection does not
-    /// count as idle meanwhile.
+    /// Records that a streamed response has begun. The request stays open until the guard is dropped, so that the connection
+    /// does not count as idle meanwhile.
     pub fn start_streaming(&self) -> StreamingGuard {
         let written = self.0.connection.traffic.bytes_written();
         self.0.connection.state.set(State::Streaming { since: Instant::now(), written });
@@ -276,8 +277,8 @@
 }
 
 impl Slot {
-    /// Notes that the request was answered, and closes the connection that has been idle for longest if many are in use:
-    /// clients that send one request and keep their connection would soon have all that they may open.
+    /// Records that the request was answered, and evicts the longest idle connection if many are in use: clients that send
+    /// one request and keep their connection open would soon use up all slots.
     fn finish_request(&self) {
         let read = self.connection.traffic.bytes_read();
         self.connection.state.set(State::Idle { since: Instant::now(), read, head_begun: None });
@@ -285,7 +286,7 @@
             return;
         }
         let open = self.connections.open.borrow();
-        // Not this one: its response is yet to be written.
+        // This connection is excluded, since its response is not written yet.
         let others = open.iter().filter(|(id, _)| **id != self.id);
         let idle = others.filter_map(|(_, other)| Some((other.idle_since()?, other)));
         if let Some((_, longest_idle)) = idle.min_by_key(|(since, _)| *since) {
@@ -301,7 +302,8 @@
 }
 
 impl Connections {
-    /// No connections yet, and at most `max_open`. Idle ones are closed while more than `max_in_use_with_idle` are in use.
+    /// Creates an empty table for at most `max_open` connections. Idle connections are closed while more than
+    /// `max_in_use_with_idle` are in use.
     pub fn new(max_open: usize, max_in_use_with_idle: usize) -> Rc<Self> {
         Rc::new(Self {
             open: RefCell::default(),
@@ -311,7 +313,7 @@
         })
     }
 
-    /// The number of connections.
+    /// Counts the open connections.
     pub fn len(&self) -> usize {
         self.open.borrow().len()
     }
@@ -323,7 +325,7 @@
         self.open.borrow().values().any(is_streaming)
     }
 
-    /// Whether all slots are taken.
+    /// Whether all slots are in use.
     pub fn is_full(&self) -> bool {
         self.len() >= self.max_open
     }
@@ -335,7 +337,7 @@
                 > self.max_in_use_with_idle
     }
 
-    /// Gives a slot to a new connection.
+    /// Allocates a slot for a new connection.
     pub fn open(self: &Rc<Self>, traffic: Traffic) -> ConnectionSlot {
         let id = self.next_id.replace(self.next_id.get() + 1);
         let connection = Rc::new(Connection {
@@ -348,8 +350,8 @@
         ConnectionSlot(Slot { connection, connections: self.clone(), id })
     }
 
-    /// Tells a connection that has no request open to give way: the one that has sent no request for longest, else the one
-    /// that has been idle for longest. Silent connections must not keep every other client out.
+    /// Evicts one connection without an open request: the one that has sent no request for longest, otherwise the longest
+    /// idle one. Silent connections must not block all other clients.
     pub fn evict(&self) {
         let now = Instant::now();
         let open = self.open.borrow();
--- a/crates/gateway/src/connections/tests.rs
+++ b/crates/gateway/src/connections/tests.rs
@@ -1,4 +1,4 @@
-//! Which connections give way, and which are overdue.
+//! Tests which connections are evicted, and which time out.
 
 use tokio::time::{advance, timeout};
 
@@ -17,7 +17,7 @@
     all.evict();
     assert!(
         !is_evicted(&slots[1]).await && !is_evicted(&slots[2]).await,
-        "they have had no time to ask"
+        "new connections have had no time to send a request"
     );
     advance(MIN_SILENCE_BEFORE_EVICTION).await;
     slots[1].finish_request();
@@ -69,18 +69,18 @@
         traffic.count_written(1);
         assert!(
             overdue(CLIENT_STALL_TIMEOUT - Duration::from_millis(1)).await.is_err(),
-            "it still reads"
+            "the client still reads"
         );
         all.evict();
         assert!(!is_evicted(&slot).await);
     }
-    assert!(overdue(Duration::from_millis(2)).await.is_ok(), "it has gone");
+    assert!(overdue(Duration::from_millis(2)).await.is_ok(), "the client has stalled");
     assert!(all.any_streaming());
     drop(response);
     assert!(!all.any_streaming());
     assert!(
         overdue(IDLE_TIMEOUT - Duration::from_millis(1)).await.is_err(),
-        "kept from its end on"
+        "idle timeout counts from the end of the response"
     );
     assert!(overdue(Duration::from_millis(2)).await.is_ok());
 }
--- a/crates/gateway/src/engine/retry_safety/tests.rs
+++ b/crates/gateway/src/engine/retry_safety/tests.rs
@@ -56,7 +56,7 @@
 }
 
 #[test]
-fn retries_safe_requests_whatever_came_before() {
+fn retries_safe_requests_after_any_outcome() {
     let class = class(Effect::Safe, Group::All);
     let attempts = MAY_HAVE_RUN.map(|outcome| prior(1, outcome));
     assert!(is_retry_safe(&class, &attempts, location(2)) && is_rejection_safe(&class, &attempts));
--- a/crates/gateway/src/location.rs
+++ b/crates/gateway/src/location.rs
@@ -1,4 +1,4 @@
-//! Where an upstream runs, as far as idempotency goes: upstreams of one place recognise one another's repeated requests.
+//! The location of an upstream. Upstreams at the same location recognise each other's repeated requests.
 
 /// The zone and the cell of an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
--- a/crates/gateway/src/response_body.rs
+++ b/crates/gateway/src/response_body.rs
@@ -1,5 +1,5 @@
-//! The body of a response on its way to a client. A short one is passed on once it is complete. A long one is passed on while
-//! it is received, with no more of it in memory than the buffers of both connections hold.
+//! The body of a response to a client. A short body is forwarded once it is complete. A long body is forwarded while it is
+//! received, with only the buffers of both connections in memory.
 
 use std::future::Future;
 use std::pin::Pin;
@@ -13,45 +13,45 @@
 
 use crate::bodies::{MemoryBudget, ReservedBytes};
 
-/// A response up to this size, in bytes, is passed on once it is complete (PROTOCOL: bodies hold at most 64 KiB).
+/// The largest response that is buffered until it is complete, in bytes (PROTOCOL: bodies hold at most 64 KiB).
 const MAX_BUFFERED_BYTES: usize = 64 << 10;
-/// The largest response, in bytes. One that announces more, or sends it, would be received until its client gives up.
+/// The largest response, in bytes. A larger one could otherwise be received until its client gives up.
 const MAX_RESPONSE_BYTES: u64 = 64 << 20;
-/// How long an upstream may send nothing more of a response before the response is truncated, so that its client can tell.
+/// How long an upstream may send no more of a response before the response is truncated in a way that its client can detect.
 const UPSTREAM_SILENCE_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// Why the rest of a response is not passed on.
+/// The reason why a response is truncated.
 #[derive(Debug, thiserror::Error)]
 pub enum TruncatedBody {
-    /// The connection ended, or what was received can't be read.
-    #[error("the answer broke off: {0}")]
+    /// The connection to the upstream ended, or the response can't be parsed.
+    #[error("connection to upstream failed: {0}")]
     Broken(hyper::Error),
-    /// Nothing was received for too long.
-    #[error("the upstream fell silent in an answer")]
+    /// Nothing was received for [`UPSTREAM_SILENCE_TIMEOUT`].
+    #[error("upstream stopped sending")]
     Silent,
-    /// It is longer than any response may be.
-    #[error("the answer does not end")]
+    /// The response exceeds the size limit.
+    #[error("response exceeds size limit")]
     TooLarge,
 }
 
-/// What was received of a response when its client need not wait any longer.
+/// A response body, received as far as necessary before it is forwarded.
 pub enum ResponseStart {
-    /// All of it.
+    /// The complete body.
     Complete(Bytes),
-    /// The beginning of a long one.
+    /// The beginning of a long body.
     Long {
-        /// What was received; not empty.
+        /// The bytes received so far; not empty.
         first: Bytes,
-        /// What is still to come.
+        /// The body that is still to be received.
         rest: Incoming,
-        /// The length of the body in bytes, if it is known.
+        /// The length of the body in bytes, if known.
         length: Option<u64>,
     },
-    /// It broke off or is too large, or there is no memory for it.
+    /// The body is truncated or too large, or the memory budget is used up.
     Unusable,
 }
 
-/// Receives a response to its end, or until it is known to be long.
+/// Receives a response body to its end, or until it is too long to be buffered.
 pub async fn receive_start(mut body: Incoming, budget: &MemoryBudget) -> ResponseStart {
     let length = body.size_hint().exact();
     if length.is_some_and(|length| length > MAX_RESPONSE_BYTES) {
@@ -79,7 +79,7 @@
     ResponseStart::Complete(ReservedBytes::share(received, reservation))
 }
 
-/// The body of a response on its way to a client.
+/// The body of a response to a client.
 pub enum ResponseBody {
     /// A body that was received completely.
     Complete(Full<Bytes>),
@@ -93,25 +93,25 @@
     }
 }
 
-/// A response that is passed on while it is received.
+/// A response that is forwarded while it is received.
 pub struct StreamedResponse {
     first: Option<Bytes>,
     rest: Incoming,
     length: Option<u64>,
     bytes_sent: u64,
     silence_timer: Pin<Box<Sleep>>,
-    /// Called once the response has ended as it should.
+    /// Called once the response is complete.
     on_complete: Option<Box<dyn FnOnce()>>,
-    /// Dropped once the response is over, well or not.
+    /// Dropped once the response has ended, complete or not.
     attachments: Vec<Box<dyn Attachment>>,
 }
 
-/// Whatever has to last as long as a response.
+/// A value that is dropped together with a response, such as the connection that delivers it.
 pub trait Attachment {}
 impl<T> Attachment for T {}
 
 impl StreamedResponse {
-    /// A response that begins with `first`. `on_complete` is called once it has ended as it should.
+    /// Creates a response that begins with `first`. `on_complete` is called once the response is complete.
     pub fn new(
         first: Bytes,
         rest: Incoming,
@@ -129,7 +129,7 @@
         }
     }
 
-    /// Keeps `attachment` until the response is over.
+    /// Holds `attachment` until the response has ended.
     pub fn attach(&mut self, attachment: impl Attachment + 'static) {
         self.attachments.push(Box::new(attachment));
     }
--- a/crates/gateway/src/shared_stream.rs
+++ b/crates/gateway/src/shared_stream.rs
@@ -1,15 +1,15 @@
-//! A TCP stream that outlives the HTTP library's use of it, shared with whoever has to look at it. Reading and writing are
-//! left to `stream`.
+//! A TCP stream that is shared between the HTTP library and the tasks that inspect or close it, and that outlives the
+//! library's use of it. The module `stream` implements reading and writing.
 
 use std::cell::RefCell;
 use std::rc::{Rc, Weak};
 
 use hollowpaddle_net::Stream;
 
-/// A stream with several owners on the one thread.
+/// A stream with several owners on one thread.
 pub type SharedStream = Rc<RefCell<Box<dyn Stream>>>;
 
-/// A stream that may be gone already.
+/// A weak reference to a shared stream, which may be dropped already.
 pub type WeakStream = Weak<RefCell<Box<dyn Stream>>>;
 
 /// Whether the stream is open and holds no unread bytes.
--- a/crates/gateway/src/stall_detector.rs
+++ b/crates/gateway/src/stall_detector.rs
@@ -1,26 +1,26 @@
-//! Notices that this process did not run for a while, and tells how long what is read right after that had waited. A process
-//! that was stopped for seconds would otherwise give requests their whole deadline from when it reads them.
+//! Detects that this process did not run for a while, and determines how long the bytes read after that had been received.
+//! A process that was stopped for seconds would otherwise count the deadlines of requests from when it reads them.
 
 use std::cell::Cell;
 use std::time::Duration;
 
 use tokio::time::Instant;
 
-/// A process that has read nothing for so long may have been idle, or may not have run: the two look alike from here, so
-/// what it reads next is asked how long it has been there. A process may be held up for 150 ms at any time, and what came
-/// meanwhile has that much less time left.
+/// After this time without a read, the kernel is asked how long the next bytes have been waiting. The process may have been
+/// idle or stalled, which it can't tell apart by itself. A process may stall for 150 ms at any time, and requests that
+/// arrive meanwhile have that much less time left.
 const MIN_STALL: Duration = Duration::from_millis(120);
-/// For how long after a stall reads are still checked, at most: not everything that waited is read at once.
+/// How long after a stall reads are checked at most, since not all waiting bytes are read at once.
 const MAX_CATCH_UP: Duration = Duration::from_secs(1);
 
-/// When clients' bytes were last read, on any connection.
+/// Detects stalls of this process by the times at which clients' bytes are read, on any connection.
 pub struct StallDetector {
     last_read: Cell<Instant>,
-    /// The last span in which nothing was read.
+    /// The last interval of at least [`MIN_STALL`] in which nothing was read.
     last_stall: Cell<Option<Stall>>,
 }
 
-/// A span in which nothing was read.
+/// An interval in which nothing was read.
 #[derive(Clone, Copy)]
 struct Stall {
     from: Instant,
@@ -34,10 +34,10 @@
 }
 
 impl StallDetector {
-    /// Notes that something is being read, and returns how long it had waited.
+    /// Records a read, and returns how long the bytes had been received before it.
     ///
-    /// `since_received` tells how long the last bytes of it have been there, if that is known. It is only asked after a
-    /// stall. Nothing can have waited for longer than since the read before the stall.
+    /// `since_received` returns the time since the last bytes were received, if known. It is called only after a stall. The
+    /// result is limited to the time since the last read before the stall.
     pub fn on_read(&self, since_received: impl FnOnce() -> Option<Duration>) -> Duration {
         let now = Instant::now();
         let last_read = self.last_read.replace(now);
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -1,5 +1,6 @@
-//! A TCP stream that tells more than the HTTP library does: what was read and written, the head of a request as it came, and
-//! what a client sends while its request is open. Also the place where an attempt's guard is asked before its first byte.
+//! A TCP stream wrapper that observes data which the HTTP library does not expose: the bytes read and written, the raw head
+//! of a request, and the bytes that a client sends while its request is open. It also checks the guard of an attempt before
+//! the attempt's first byte.
 
 use std::cell::{Cell, RefCell};
 use std::io::{ErrorKind, IoSlice, Result};
@@ -18,13 +19,13 @@
 use crate::shared_stream::SharedStream;
 use crate::stall_detector::StallDetector;
 
-/// How many bytes are read ahead at once.
+/// The number of bytes that are read ahead at once.
 const READ_AHEAD_CHUNK: usize = 4 << 10;
-/// How many bytes behind a request are dropped at most to see the client's close behind them. Without a bound a client could
-/// keep this process reading for as long as its request is open.
+/// The largest number of bytes after a request that are dropped in order to detect the client's close. Without a limit, a
+/// client could keep this process reading for as long as its request is open.
 const MAX_DROPPED_BYTES: usize = 4 << 20;
 
-/// The bytes that have passed on a stream.
+/// Counts the bytes read and written on a stream.
 #[derive(Clone, Default)]
 pub struct Traffic(Rc<TrafficState>);
 
@@ -34,40 +35,41 @@
     bytes_written: Cell<u64>,
     /// Whether the last write had to wait.
     is_write_blocked: Cell<bool>,
-    /// The guard to be asked before the next write.
-    guard_to_ask: RefCell<Option<Rc<SendGuard>>>,
-    /// The guard that has agreed, until the write behind it is verified.
+    /// The guard to be checked before the next write.
+    guard_to_check: RefCell<Option<Rc<SendGuard>>>,
+    /// The guard that has allowed the next write, until that write is verified.
     guard_to_verify: RefCell<Option<Rc<SendGuard>>>,
-    /// What was written when the first byte was received after the guard was set.
+    /// The value of `bytes_written` at the first byte received after the guard was set.
     written_at_first_read: Cell<Option<u64>>,
 }
 
 impl Traffic {
-    /// Bytes read from the stream.
+    /// Returns the number of bytes read from the stream.
     pub fn bytes_read(&self) -> u64 {
         self.0.bytes_read.get()
     }
 
-    /// Bytes handed to the kernel. What was not handed over can't have run.
+    /// Returns the number of bytes handed to the kernel. A request that was not handed over can't have run.
     pub fn bytes_written(&self) -> u64 {
         self.0.bytes_written.get()
     }
 
-    /// Whether something is left to be written that the kernel could not take yet.
+    /// Whether bytes are left to be written that the kernel could not take yet.
     pub fn is_write_blocked(&self) -> bool {
         self.0.is_write_blocked.get()
     }
 
-    /// Has the next write fail if `guard` denies it, or if something unread has come by then.
+    /// Makes the next write fail if `guard` denies it, or if unread bytes have arrived by then.
     ///
-    /// The guard is asked right before the first byte: other tasks may run between handing a message over and writing it.
+    /// The guard is checked immediately before the first byte, since other tasks may run between the submission of a request
+    /// to the HTTP library and the write.
     pub fn guard_next_write(&self, guard: Rc<SendGuard>) {
-        self.0.guard_to_ask.replace(Some(guard));
+        self.0.guard_to_check.replace(Some(guard));
         self.0.guard_to_verify.take();
         self.0.written_at_first_read.set(None);
     }
 
-    /// What was written when the first byte was received after the guard was last set.
+    /// Returns the number of bytes written when the first byte was received after the guard was last set.
     pub fn written_at_first_read(&self) -> Option<u64> {
         self.0.written_at_first_read.get()
     }
@@ -85,10 +87,9 @@
     }
 }
 
-/// The head of the request that comes on a stream, byte for byte.
+/// The head of the request on a stream, byte for byte as it was received.
 ///
-/// The HTTP library drops a `Content-Length` beside a `Transfer-Encoding` silently, and whoever smuggles a second request in
-/// a body sends both.
+/// The HTTP library silently drops a `Content-Length` next to a `Transfer-Encoding`. Request smuggling sends both headers.
 #[derive(Clone)]
 pub struct RawHead {
     captured: Rc<RefCell<CapturedHead>>,
@@ -98,37 +99,37 @@
 #[derive(Default)]
 struct CapturedHead {
     bytes: Vec<u8>,
-    is_stopped: bool,
-    /// How long what was read last had waited to be read.
+    is_paused: bool,
+    /// How long the last bytes had been received before they were read.
     read_delay: Duration,
 }
 
 impl RawHead {
-    /// An empty head, for one connection.
+    /// Creates an empty head for one connection.
     pub fn new(stall_detector: &Rc<StallDetector>) -> Self {
         Self { captured: Rc::default(), stall_detector: stall_detector.clone() }
     }
 
-    /// How long what was read last had waited to be read, because this process did not run.
+    /// Returns how long the last bytes had been received before they were read, because this process did not run.
     pub fn read_delay(&self) -> Duration {
         self.captured.borrow().read_delay
     }
 
-    /// Begins with the next head.
+    /// Starts to capture the next head.
     pub fn start_next(&self) {
         let mut captured = self.captured.borrow_mut();
         captured.bytes.clear();
-        captured.is_stopped = false;
+        captured.is_paused = false;
     }
 
-    /// Captures nothing more until the next head.
+    /// Stops capturing until the next head.
     pub fn stop(&self) {
-        self.captured.borrow_mut().is_stopped = true;
+        self.captured.borrow_mut().is_paused = true;
     }
 
     fn append(&self, bytes: &[u8]) {
         let mut captured = self.captured.borrow_mut();
-        if !captured.is_stopped {
+        if !captured.is_paused {
             let capacity = HEAD_LIMIT.saturating_sub(captured.bytes.len());
             captured.bytes.extend_from_slice(&bytes[..bytes.len().min(capacity)]);
         }
@@ -140,7 +141,7 @@
         self.captured.borrow_mut().read_delay = read_delay;
     }
 
-    /// Whether what was captured is the head of this request, and gives its length in one way only.
+    /// Whether the captured bytes are the head of this request and specify the body's length at most once.
     pub fn has_single_length(&self, method: &str, target: &str, id: &[u8]) -> bool {
         let captured = self.captured.borrow();
         let mut headers = [httparse::EMPTY_HEADER; HEAD_LINES];
@@ -158,29 +159,29 @@
     }
 }
 
-/// Reads what a client sends while its request is open and the HTTP library reads nothing.
+/// Reads the bytes that a client sends while its request is open and the HTTP library reads nothing.
 ///
-/// The library looks for the client's close only where it holds nothing unread, so one byte behind a request would hide it,
-/// and the request would be forwarded after its client has gone.
+/// The library detects the client's close only if it holds no unread bytes. A single byte after a request would hide the
+/// close, and the request would be forwarded after its client has disconnected.
 #[derive(Clone, Default)]
 pub struct ReadAhead(Rc<ReadAheadState>);
 
 #[derive(Default)]
 struct ReadAheadState {
-    /// What the library is given later, up to the size of a head.
+    /// The bytes to be passed to the library later, up to the size of a head.
     bytes: RefCell<BytesMut>,
     is_request_complete: Cell<bool>,
     dropped_bytes: Cell<usize>,
 }
 
 impl ReadAhead {
-    /// A request begins. What comes belongs to it.
+    /// Records the start of a request, to which the following bytes belong.
     pub fn start_request(&self) {
         self.0.is_request_complete.set(false);
     }
 
-    /// The request was received. Of what comes behind it the size of a head is kept for the next request, and the rest is
-    /// dropped: a client sends one request at a time.
+    /// Records that the request was received completely. Up to the size of a head, the bytes after it are buffered for the
+    /// next request. Further bytes are dropped, since a client sends one request at a time.
     pub fn finish_request(&self) {
         self.0.is_request_complete.set(true);
     }
@@ -190,7 +191,7 @@
         self.0.is_request_complete.get()
     }
 
-    /// Whether something was dropped, so that nothing that follows on the connection makes sense.
+    /// Whether bytes were dropped, so that the following bytes on the connection can't be interpreted.
     pub fn has_overflowed(&self) -> bool {
         self.0.dropped_bytes.get() > 0
     }
@@ -213,7 +214,7 @@
             }
             if capacity == 0 {
                 self.0.dropped_bytes.set(self.0.dropped_bytes.get() + buf.filled().len());
-                // Others are served between two chunks of a flood.
+                // Other tasks get to run between two chunks of a flood.
                 cx.waker().wake_by_ref();
                 return Poll::Pending;
             }
@@ -221,12 +222,12 @@
         }
     }
 
-    /// Whether more may be dropped. What is behind a body that is still received is left to flow control.
+    /// Whether more bytes may be dropped. While a body is still being received, flow control stops the client instead.
     fn may_drop(&self) -> bool {
         self.is_request_complete() && self.0.dropped_bytes.get() < MAX_DROPPED_BYTES
     }
 
-    /// Moves what was read ahead into `buf`. Returns whether there was anything.
+    /// Moves bytes that were read ahead into `buf`. Returns whether there were any.
     fn take_into(&self, buf: &mut ReadBuf<'_>) -> bool {
         let mut kept = self.0.bytes.borrow_mut();
         let bytes = kept.len().min(buf.remaining());
@@ -235,7 +236,7 @@
     }
 }
 
-/// The stream as the HTTP library uses it.
+/// The stream that the HTTP library uses.
 pub struct ObservedStream {
     inner: SharedStream,
     traffic: Traffic,
@@ -244,7 +245,7 @@
 }
 
 impl ObservedStream {
-    /// The stream for the HTTP library, the same for its owner, and the bytes that pass on it.
+    /// Wraps a stream. Returns the wrapper for the HTTP library, the shared stream for the owner, and the traffic counts.
     pub fn new(stream: Box<dyn Stream>) -> (Self, SharedStream, Traffic) {
         let inner = Rc::new(RefCell::new(stream));
         let traffic = Traffic::default();
@@ -257,16 +258,16 @@
         (observed, inner, traffic)
     }
 
-    /// Captures the heads of requests in `raw_head`, and reads what is in `read_ahead` first.
+    /// Captures the heads of requests in `raw_head`, and serves reads from `read_ahead` first.
     pub fn with_capture(self, raw_head: &RawHead, read_ahead: &ReadAhead) -> Self {
         let (raw_head, read_ahead) = (Some(raw_head.clone()), Some(read_ahead.clone()));
         Self { raw_head, read_ahead, ..self }
     }
 
-    /// Asks the guard of the next write, if there is one. Bytes that are there before a request is written can't be its
-    /// response, but would be taken for it.
-    fn ask_guard(&self) -> Result<()> {
-        let Some(guard) = self.traffic.0.guard_to_ask.take() else { return Ok(()) };
+    /// Checks the guard of the next write, if there is one. Bytes received before a request is written can't be its response,
+    /// but would be taken for the response.
+    fn check_guard(&self) -> Result<()> {
+        let Some(guard) = self.traffic.0.guard_to_check.take() else { return Ok(()) };
         if guard.check().is_ok() && self.inner.borrow().is_quiet() {
             self.traffic.0.guard_to_verify.replace(Some(guard));
             return Ok(());
@@ -274,7 +275,7 @@
         Err(ErrorKind::ConnectionAborted.into())
     }
 
-    /// Takes in the result of a write.
+    /// Records the result of a write.
     fn on_written(&self, written: Poll<Result<usize>>) -> Poll<Result<usize>> {
         self.traffic.0.is_write_blocked.set(written.is_pending());
         if let Poll::Ready(Ok(bytes)) = written {
@@ -309,7 +310,7 @@
 
 impl AsyncWrite for ObservedStream {
     fn poll_write(self: Pin<&mut Self>, cx: &mut Context<'_>, buf: &[u8]) -> Poll<Result<usize>> {
-        self.ask_guard()?;
+        self.check_guard()?;
         let written = Pin::new(&mut *self.inner.borrow_mut()).poll_write(cx, buf);
         self.on_written(written)
     }
@@ -319,7 +320,7 @@
         cx: &mut Context<'_>,
         bufs: &[IoSlice<'_>],
     ) -> Poll<Result<usize>> {
-        self.ask_guard()?;
+        self.check_guard()?;
         let written = Pin::new(&mut *self.inner.borrow_mut()).poll_write_vectored(cx, bufs);
         self.on_written(written)
     }
--- a/crates/gateway/src/stream/tests.rs
+++ b/crates/gateway/src/stream/tests.rs
@@ -1,4 +1,4 @@
-//! The head of a request as it came.
+//! Tests the check of a request's raw head.
 
 use super::*;
 
@@ -7,7 +7,7 @@
     let raw = RawHead::new(&Rc::default());
     let plain = |text: &str| {
         raw.start_next();
-        // In pieces, as it may come.
+        // The head may arrive in several reads.
         text.as_bytes().chunks(7).for_each(|piece| raw.append(piece));
         raw.stop();
         raw.append(b"Content-Length: 1\r\n");
@@ -16,11 +16,11 @@
     let head = "POST /api?x HTTP/1.1\r\nHost: a\r\nX-Request-Id: r1\r\n";
     let (te, cl) = ("Transfer-Encoding: chunked\r\n", "content-LENGTH: 3\r\n");
     assert!(plain(&format!("{head}{te}\r\n0\r\n\r\n")));
-    // In a body it is no header.
+    // A `Content-Length` in a body is no header.
     assert!(plain(&format!("{head}{te}\r\n13\r\n\r\nContent-Length: 3\r\n\r\n0\r\n\r\n")));
     assert!(!plain(&format!("{head}{te}{cl}\r\n0\r\n\r\n")));
     assert!(!plain(&format!("{head}{cl}{te}\r\n0\r\n\r\n")));
-    assert!(!plain(&format!("{head}{te}")), "not whole");
+    assert!(!plain(&format!("{head}{te}")), "incomplete head");
     let others = [("/api?x", "/api"), ("r1", "r2"), ("POST", "PUT"), ("POST", "\r\n0")];
     for (this, other) in others {
         assert!(!plain(&format!("{head}{te}\r\n").replace(this, other)), "{other}");
--- a/crates/gateway/src/streamed_body.rs
+++ b/crates/gateway/src/streamed_body.rs
@@ -1,6 +1,7 @@
-//! A client's long body on its way to an upstream while it is received: at a least pace, bounded, and for one attempt.
+//! Forwards a client's long body to an upstream while it is received, with a required pace and a size limit, for a single
+//! attempt.
 //!
-//! No more of it is in memory than the buffers of both connections hold, and what was received before it was known to be
+//! In memory are only the buffers of both connections, and the bytes that were received before the body was known to be
 //! long.
 
 use std::cell::{Cell, RefCell};
@@ -16,21 +17,22 @@
 
 use crate::bodies::{BodyError, Pace};
 
-/// How long an upstream may take nothing of a body before it counts as silent; the client would wait for ever.
+/// How long an upstream may read nothing of a body before the attempt times out. Without a limit, the client would wait
+/// for ever.
 const UPSTREAM_STALL_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// The rest of a body does not come. What the client is told is in [`StreamedBody::client_fault`].
+/// The rest of a client's body can't be received. [`StreamedBody::client_fault`] determines the response to the client.
 #[derive(Debug, thiserror::Error)]
-#[error("the client's body breaks off: {0:?}")]
-pub struct BodyBrokenOff(BodyError);
+#[error("request body incomplete: {0:?}")]
+pub struct IncompleteRequestBody(BodyError);
 
-/// A body that is passed on while it is received.
+/// A body that is forwarded while it is received.
 pub struct StreamedBody<B = Incoming> {
     source: RefCell<Source<B>>,
-    /// In bytes; nothing for a chunked body.
+    /// Length in bytes; `None` for a chunked body.
     length: Option<u64>,
     bytes_sent: Cell<u64>,
-    /// When the upstream's connection last took a part of it.
+    /// When the upstream's connection last took a part of the body.
     last_sent_at: Cell<Option<Instant>>,
     completed_at: Cell<Option<Instant>>,
     client_fault: Cell<Option<BodyError>>,
@@ -39,19 +41,19 @@
 
 /// The client's side of a streamed body.
 struct Source<B> {
-    /// What had been received when the body was known to be long.
+    /// The bytes that were received before the body was known to be long.
     first: Bytes,
     rest: B,
     pace: Pace,
-    /// How long the client was waited for before. The time that the upstream takes is not the client's.
+    /// The total time of completed waits for the client. The time that the upstream takes does not count.
     waited: Duration,
-    /// Since when the client is waited for, if it is.
+    /// When the current wait for the client began, if there is one.
     waiting_since: Option<Instant>,
     timer: Pin<Box<Sleep>>,
 }
 
 impl<B: Body<Data = Bytes> + Unpin> StreamedBody<B> {
-    /// A body that begins with `first`, and has `length` bytes in all if that is known. The client's pace is measured from
+    /// Creates a body that begins with `first` and has `length` bytes in total, if known. The client's pace is measured from
     /// the first read on.
     pub fn new(first: Bytes, rest: B, length: Option<u64>, pace: Pace) -> Rc<Self> {
         let source = Source {
@@ -73,39 +75,39 @@
         })
     }
 
-    /// Has `notify` called once the last byte was handed to the upstream's connection.
+    /// Sets a function to be called once the last byte was passed to the upstream's connection.
     pub fn on_complete(&self, notify: impl FnOnce() + 'static) {
         *self.on_complete.borrow_mut() = Some(Box::new(notify));
     }
 
-    /// Whether a part of the body was handed on, so that it can't be sent again.
+    /// Whether a part of the body was passed to an upstream's connection, so that the body can't be sent again.
     pub fn is_spent(&self) -> bool {
         self.last_sent_at.get().is_some()
     }
 
-    /// Whether the last byte was handed on.
+    /// Whether the last byte was passed to the upstream's connection.
     pub fn is_complete(&self) -> bool {
         self.completed_at.get().is_some()
     }
 
-    /// The number of bytes handed on so far.
+    /// Returns the number of bytes passed to the upstream's connection so far.
     pub fn bytes_sent(&self) -> u64 {
         self.bytes_sent.get()
     }
 
-    /// What the client did wrong.
+    /// Returns the error in the client's body, if there is one.
     pub fn client_fault(&self) -> Option<BodyError> {
         self.client_fault.get()
     }
 
-    /// When an attempt that sends this body has to end, as things stand: it has until `begin_by` to begin, then a while for
-    /// the upstream to take more, then `response_timeout` for the response.
+    /// Computes the current deadline of an attempt that sends this body: `begin_by` until the body is started, then
+    /// [`UPSTREAM_STALL_TIMEOUT`] for the upstream to read more, and `response_timeout` after the last byte.
     pub fn attempt_deadline(&self, begin_by: Instant, response_timeout: Duration) -> Instant {
         if let Some(completed_at) = self.completed_at.get() {
             return completed_at + response_timeout;
         }
         let Some(last_sent_at) = self.last_sent_at.get() else { return begin_by };
-        // While the client is waited for, its pace is the limit.
+        // While the body waits for the client, only the required pace limits the attempt.
         let waits_for_client = self.source.borrow().waiting_since.is_some();
         let since = if waits_for_client { Instant::now() } else { last_sent_at };
         since + UPSTREAM_STALL_TIMEOUT
@@ -127,12 +129,15 @@
         }
     }
 
-    fn break_off(&self, fault: BodyError) -> Poll<Option<Result<Bytes, BodyBrokenOff>>> {
+    fn fail(&self, fault: BodyError) -> Poll<Option<Result<Bytes, IncompleteRequestBody>>> {
         self.client_fault.set(Some(fault));
-        Poll::Ready(Some(Err(BodyBrokenOff(fault))))
+        Poll::Ready(Some(Err(IncompleteRequestBody(fault))))
     }
 
-    fn poll_data(&self, cx: &mut Context<'_>) -> Poll<Option<Result<Bytes, BodyBrokenOff>>> {
+    fn poll_data(
+        &self,
+        cx: &mut Context<'_>,
+    ) -> Poll<Option<Result<Bytes, IncompleteRequestBody>>> {
         let source = &mut *self.source.borrow_mut();
         if !source.first.is_empty() {
             let first = std::mem::take(&mut source.first);
@@ -142,7 +147,7 @@
         loop {
             let Poll::Ready(frame) = Pin::new(&mut source.rest).poll_frame(cx) else {
                 return match source.poll_too_slow(self.bytes_sent.get(), cx) {
-                    Poll::Ready(()) => self.break_off(BodyError::TooSlow),
+                    Poll::Ready(()) => self.fail(BodyError::TooSlow),
                     Poll::Pending => Poll::Pending,
                 };
             };
@@ -152,11 +157,11 @@
                     self.complete();
                     return Poll::Ready(None);
                 }
-                Some(Err(_)) => return self.break_off(BodyError::Malformed),
+                Some(Err(_)) => return self.fail(BodyError::Malformed),
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else { continue };
                     if self.bytes_sent.get() + data.len() as u64 > source.pace.max_bytes as u64 {
-                        return self.break_off(BodyError::TooLarge);
+                        return self.fail(BodyError::TooLarge);
                     }
                     self.count_sent(&data);
                     return Poll::Ready(Some(Ok(data)));
@@ -167,7 +172,7 @@
 }
 
 impl<B> Source<B> {
-    /// Waits for the client. Ready once it has taken longer than it may for so many bytes.
+    /// Waits for the client. Ready once the client has taken longer than allowed for `bytes_received` bytes.
     fn poll_too_slow(&mut self, bytes_received: u64, cx: &mut Context<'_>) -> Poll<()> {
         let since = *self.waiting_since.get_or_insert_with(Instant::now);
         let allowed = self.pace.time_allowed(bytes_received as usize);
@@ -185,7 +190,7 @@
     }
 }
 
-/// The body of a request as an upstream's connection takes it.
+/// The request body that is passed to an upstream's connection.
 pub enum UpstreamRequestBody {
     /// A body that was received completely.
     Buffered(Full<Bytes>),
@@ -195,12 +200,12 @@
 
 impl Body for UpstreamRequestBody {
     type Data = Bytes;
-    type Error = BodyBrokenOff;
+    type Error = IncompleteRequestBody;
 
     fn poll_frame(
         self: Pin<&mut Self>,
         cx: &mut Context<'_>,
-    ) -> Poll<Option<Result<Frame<Bytes>, BodyBrokenOff>>> {
+    ) -> Poll<Option<Result<Frame<Bytes>, IncompleteRequestBody>>> {
         match self.get_mut() {
             Self::Buffered(body) => Pin::new(body)
                 .poll_frame(cx)
--- a/crates/gateway/src/streamed_body/tests.rs
+++ b/crates/gateway/src/streamed_body/tests.rs
@@ -1,4 +1,4 @@
-//! The pace of clients, the patience with upstreams, and the end of a streamed body.
+//! Tests the required pace of clients, the stall timeout of upstreams, and the end of a streamed body.
 
 use std::future::poll_fn;
 
@@ -18,14 +18,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn client_must_keep_pace_but_is_not_blamed_for_a_slow_upstream() {
-    // 100 ms, and 10 ms more for each byte: one each 9 ms may come for ever.
+async fn slow_client_is_rejected_but_a_slow_upstream_does_not_count() {
+    // The pace allows 100 ms plus 10 ms per byte, so a client that sends one byte every 9 ms is never too slow.
     let body = StreamedBody::new(Bytes::from_static(b"ab"), trickle(60, 9), None, PACE);
     assert!(!body.is_spent());
     for _ in 0..30 {
         assert!(next(&body).await.expect("more").is_ok());
     }
-    // What waits here meanwhile is not late.
+    // Bytes that wait for the upstream meanwhile are not late.
     sleep(Duration::from_secs(5)).await;
     while let Some(data) = next(&body).await {
         data.expect("in time");
@@ -67,7 +67,7 @@
     assert_eq!(
         body.attempt_deadline(begin_by, timeout),
         now + UPSTREAM_STALL_TIMEOUT,
-        "its upstream takes no more"
+        "the upstream reads no more"
     );
     next(&body).await;
     assert_eq!(body.attempt_deadline(begin_by, timeout), now + Duration::from_millis(50) + timeout);
--- a/crates/gateway/src/tasks.rs
+++ b/crates/gateway/src/tasks.rs
@@ -1,4 +1,4 @@
-//! Tasks that live no longer than whoever started them, and a signal to many of them.
+//! Tasks that are aborted with their owner, and a signal to many tasks.
 
 use std::cell::Cell;
 use std::pin::pin;
@@ -15,7 +15,7 @@
     }
 }
 
-/// A signal that is sent once and wakes all who wait for it, in the order in which they began to wait.
+/// A signal that is sent once and wakes all waiting tasks, in the order in which they began to wait.
 ///
 /// `tokio::sync::watch` wakes in random order, which would make runs in virtual time differ from one another.
 #[derive(Default)]
@@ -25,13 +25,13 @@
 }
 
 impl CloseSignal {
-    /// Sends the signal.
+    /// Sends the signal to all tasks that wait for it now or later.
     pub fn send(&self) {
         self.is_sent.set(true);
         self.waiting.notify_waiters();
     }
 
-    /// Ends once the signal is sent.
+    /// Completes once the signal is sent.
     pub async fn sent(&self) {
         let mut waiting = pin!(self.waiting.notified());
         waiting.as_mut().enable();
