--- a/crates/gateway/tests/orders/main.rs
+++ b/crates/gateway/tests/orders/main.rs
@@ -1,53 +1,60 @@
-//! Every order: one balancer, whole, on a simulated network under a paused clock, between clients, upstreams and two
-//! discoveries that do what a drawn plan says, to the millisecond and to the turn of the loop. Whatever the order of a
-//! request's last byte, its client's close, a connection's coming up, the list's word, an answer's pieces, SIGTERM,
-//! SIGHUP and the timers, the rules hold, and with them the bounds of 0.1 s for clients that have left and of 6 s for
-//! what discovery has to tell. `judge.rs` says which, from what the peers saw alone.
-
-mod draw;
-mod judge;
-mod kept;
+//! Tests the rules of the balancer under many orders of events.
+//!
+//! Each test runs one complete balancer on a simulated network with a paused clock. Clients, upstreams and two discovery
+//! services follow a generated plan, exact to the millisecond and to the turn of the event loop. The plans vary the order
+//! of the last byte of a request, the disconnection of its client, the establishment of connections, changes of the
+//! endpoint list, the parts of a response, SIGTERM, SIGHUP and the timers. The rules must hold in each order, as must the
+//! bounds of 0.1 s for clients that have disconnected and of 6 s for changes of the endpoint list. The module `checker`
+//! checks them from the observations of the peers alone.
+
+mod checker;
 mod peers;
+mod regressions;
+mod strategies;
 
 use std::cell::RefCell;
 use std::rc::Rc;
 
 use proptest::test_runner::{Config, RngAlgorithm, TestCaseError, TestRng, TestRunner};
 
-/// Plays drawn plans, always the same ones, until one breaks a rule.
-fn hold(cases: u32, seed: u8, plans: impl proptest::strategy::Strategy<Value = peers::Plan>) {
+/// Runs generated plans, which are the same for the same seed, until one violates a rule.
+fn check_plans(
+    cases: u32,
+    seed: u8,
+    plans: impl proptest::strategy::Strategy<Value = peers::Plan>,
+) {
     let config = Config { cases, failure_persistence: None, ..Config::default() };
     let rng = TestRng::from_seed(RngAlgorithm::ChaCha, &[seed; 32]);
     let mut runner = TestRunner::new_with_rng(config, rng);
-    let sums = Rc::new(RefCell::new(judge::Sums::default()));
+    let coverage = Rc::new(RefCell::new(checker::Coverage::default()));
     let run = runner.run(&plans, |plan| {
-        let seen = peers::play(&plan);
-        sums.borrow_mut().add(&plan, &seen);
-        judge::judge(&plan, &seen).map_err(TestCaseError::fail)
+        let observations = peers::run_plan(&plan);
+        coverage.borrow_mut().add(&plan, &observations);
+        checker::check_run(&plan, &observations).map_err(TestCaseError::fail)
     });
-    if let Err(broken) = run {
-        panic!("{broken}");
+    if let Err(failure) = run {
+        panic!("{failure}");
     }
-    // What never came to pass was not tested.
-    sums.borrow().all_came_to_pass();
+    // A rule is not tested by plans in which its situation never occurs.
+    coverage.borrow().assert_sufficient();
 }
 
 #[test]
-fn the_rules_hold_in_every_order_of_a_request_and_its_upstreams() {
-    hold(150, 1, draw::attempts());
+fn rules_hold_in_every_order_of_requests_and_upstream_responses() {
+    check_plans(150, 1, strategies::attempts());
 }
 
 #[test]
-fn the_rules_hold_in_every_order_of_clients_that_leave() {
-    hold(150, 2, draw::leaving());
+fn rules_hold_in_every_order_of_client_disconnections() {
+    check_plans(150, 2, strategies::disconnections());
 }
 
 #[test]
-fn the_rules_hold_in_every_order_of_a_stop() {
-    hold(150, 3, draw::stopping());
+fn rules_hold_in_every_order_of_a_shutdown() {
+    check_plans(150, 3, strategies::shutdowns());
 }
 
 #[test]
-fn the_rules_hold_in_every_order_of_the_lists_word() {
-    hold(200, 4, draw::lists());
+fn rules_hold_in_every_order_of_list_changes() {
+    check_plans(200, 4, strategies::list_changes());
 }
--- a/crates/gateway/tests/orders/peers.rs
+++ b/crates/gateway/tests/orders/peers.rs
@@ -1,4 +1,4 @@
-//! What a plan says, the peers that do it, and what they saw.
+//! Plans, the simulated peers that follow a plan, and the observations of the peers.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -15,16 +15,16 @@
 use tokio::task::{LocalSet, spawn_local, yield_now};
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
-/// A moment of a plan: so many milliseconds after the start, and so many turns of the loop after that.
+/// A moment or a delay in a plan: a number of milliseconds, and a number of turns of the event loop after these.
 #[derive(Clone, Copy, Debug, Default, PartialEq)]
-pub struct When {
+pub struct Timing {
     pub ms: u64,
     pub turns: u8,
 }
 
-/// The settings that a plan draws.
+/// The generated settings of the balancer and the network.
 #[derive(Clone, Debug)]
-pub struct Site {
+pub struct BalancerSettings {
     pub max_attempts: usize,
     pub hedging: bool,
     pub window_ms: u64,
@@ -32,7 +32,7 @@
     pub connect_ms: u64,
     pub deadline_ms: u64,
     pub pushed: bool,
-    /// From any machine to any other, one way.
+    /// One-way network delay between any two machines.
     pub delay_ms: u64,
 }
 
@@ -44,170 +44,175 @@
 }
 
 #[derive(Clone, Debug)]
-pub struct Ask {
+pub struct PlannedRequest {
     pub class: Class,
-    /// Written so long after the answer before it, or after the connection came up.
-    pub pause: When,
-    /// Written behind the request before it, whatever becomes of that.
-    pub behind: bool,
-    /// Its last byte follows the others so much later.
-    pub last_byte: Option<When>,
+    /// Delay after the previous answer, or after the connection was established.
+    pub delay: Timing,
+    /// Whether the request is written right after the previous one, without waiting for an answer.
+    pub pipelined: bool,
+    /// Delay of the request's last byte after the other bytes.
+    pub last_byte_delay: Option<Timing>,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub enum Way {
+pub enum DisconnectKind {
     Close,
     Reset,
 }
 
 #[derive(Clone, Debug)]
 pub struct Client {
-    pub comes: When,
-    pub asks: Vec<Ask>,
-    /// It leaves at this moment, whatever is open.
-    pub leaves: Option<(When, Way)>,
+    pub connects_at: Timing,
+    pub requests: Vec<PlannedRequest>,
+    /// The moment at which the client disconnects, even with open requests.
+    pub disconnect: Option<(Timing, DisconnectKind)>,
 }
 
-/// What an upstream does with a request, so long after its last byte.
+/// The behaviour of an upstream on a request.
 #[derive(Clone, Debug)]
-pub enum Does {
-    /// Answers, and so long after the first half the rest; then it closes, if it does.
-    Serves {
-        rest: When,
-        closes: Option<When>,
-    },
-    /// Turns it away, unrun.
-    TurnsAway,
-    Errs,
-    /// Resets the connection with nothing, or with half of an answer, written.
-    Breaks {
-        half: bool,
-    },
-    Hangs,
+pub enum Behaviour {
+    /// Sends a response in two parts, and optionally closes the connection after that.
+    Serve { second_half_delay: Timing, close_delay: Option<Timing> },
+    /// Rejects the request as not run.
+    Reject,
+    /// Sends a response with status 500.
+    Fail,
+    /// Resets the connection, with no byte or a part of a response written.
+    Reset { after_half: bool },
+    /// Never answers.
+    Hang,
 }
 
 #[derive(Clone, Debug)]
 pub struct Upstream {
     pub cell: u32,
-    /// Its requests in turn, over and over.
-    pub does: Vec<(When, Does)>,
-    /// How late its connections come up, in turn, over and over; never: `None`.
-    pub connects: Vec<Option<When>>,
+    /// Behaviours on successive requests, in a cycle, each with its delay after the last byte of the request.
+    pub behaviours: Vec<(Timing, Behaviour)>,
+    /// Delays of successive connections, in a cycle; `None` for a connection that is never established.
+    pub connect_delays: Vec<Option<Timing>>,
 }
 
-/// What discovery does.
+/// An action of the discovery services.
 #[derive(Clone, Debug)]
-pub enum Act {
-    /// An upstream drains from here on, or is gone.
-    Drains(usize),
-    Deleted(usize),
-    /// Watches that are open fall silent; nothing is told on them any more.
-    Silent,
-    /// Watches that are open end.
-    EndsWatches,
-    /// Nobody is heard for so many milliseconds.
-    Down(u64),
-}
-
+pub enum DiscoveryAction {
+    /// Marks an upstream as draining.
+    Drain(usize),
+    /// Marks an upstream as deleted.
+    Delete(usize),
+    /// Silences the open watches: nothing more is sent on them.
+    Silence,
+    /// Ends the open watches.
+    CloseWatches,
+    /// Makes discovery unavailable for this many milliseconds.
+    Outage(u64),
+}
+
+/// The plan of one run.
 #[derive(Clone, Debug)]
 pub struct Plan {
-    pub site: Site,
+    pub settings: BalancerSettings,
     pub upstreams: Vec<Upstream>,
     pub clients: Vec<Client>,
-    pub discovery: Vec<(When, Act)>,
-    pub reload: Option<When>,
-    pub stop: Option<When>,
+    pub discovery: Vec<(Timing, DiscoveryAction)>,
+    pub reload: Option<Timing>,
+    pub stop: Option<Timing>,
 }
 
-/// One attempt, as its upstream saw it.
+/// One attempt, as observed by its upstream. Times count from the start of the run.
 #[derive(Clone, Debug)]
-pub struct Attempt {
+pub struct ObservedAttempt {
     pub id: String,
     pub upstream: usize,
-    pub began: Duration,
-    pub whole: Option<Duration>,
-    /// Turned away, and when that was written.
-    pub never_ran: Option<Duration>,
-    /// Its answer is written, or its connection is closed by either side.
-    pub over: Option<Duration>,
+    pub started_at: Duration,
+    /// When the last byte of the request was received.
+    pub complete_at: Option<Duration>,
+    /// When a rejection was written, if the upstream rejected the request.
+    pub rejected_at: Option<Duration>,
+    /// When the response was written or either side closed the connection.
+    pub ended_at: Option<Duration>,
 }
 
-/// One request, as its client saw it.
+/// One request, as observed by its client. Times count from the start of the run.
 #[derive(Clone, Debug)]
-pub struct Request {
+pub struct ObservedRequest {
     pub id: String,
     pub class: Class,
-    pub whole: Option<Duration>,
-    /// Its connection's last answer before, for one that was written behind another.
-    pub turn: Option<Duration>,
-    /// When, with which status and body.
+    /// When the last byte of the request was written.
+    pub complete_at: Option<Duration>,
+    /// When the previous request on the connection was answered, for a pipelined request.
+    pub previous_answered_at: Option<Duration>,
+    /// Time, status and body of the answer.
     pub answer: Option<(Duration, u16, String)>,
-    /// Its client left.
-    pub left: Option<Duration>,
-    /// The balancer closed the connection before an answer.
-    pub closed: Option<Duration>,
+    /// When the client disconnected without an answer.
+    pub disconnected_at: Option<Duration>,
+    /// When the balancer closed the connection without an answer.
+    pub closed_at: Option<Duration>,
 }
 
-/// What was seen.
+/// The observations of all peers in one run.
 #[derive(Debug, Default)]
-pub struct Seen {
-    pub attempts: Vec<Attempt>,
-    pub requests: Vec<Request>,
-    /// Bytes that nobody asked for.
-    pub stray: Vec<String>,
-    /// When an upstream's drain or end was made known to discovery, when a discovery that can be reached had it for
-    /// six seconds, and when it was first written to the balancer.
-    pub told: Vec<Option<Told>>,
-    pub stopped: Option<Duration>,
-    /// The balancer ended.
-    pub ended: Option<Duration>,
-}
-
+pub struct Observations {
+    pub attempts: Vec<ObservedAttempt>,
+    pub requests: Vec<ObservedRequest>,
+    /// Bytes received by clients that are no answer to a request.
+    pub unsolicited: Vec<String>,
+    /// The delivery of each upstream's drain or deletion, if there was one, by upstream.
+    pub deliveries: Vec<Option<ChangeDelivery>>,
+    /// When the balancer was asked to stop.
+    pub stopped_at: Option<Duration>,
+    /// When the balancer ended.
+    pub ended_at: Option<Duration>,
+}
+
+/// The delivery of a change of the endpoint list to the balancer.
 #[derive(Clone, Copy, Debug)]
-pub struct Told {
-    pub had: Duration,
-    pub written: Option<Duration>,
-    /// Up to when discovery was last down, if it was since.
-    pub reachable: Duration,
-}
-
-impl Told {
-    /// When it counts as told.
-    pub fn counts(&self) -> Duration {
-        let at_last = self.had.max(self.reachable) + Duration::from_secs(6);
-        self.written.map_or(at_last, |at| at.min(at_last))
+pub struct ChangeDelivery {
+    /// When discovery learned of the change.
+    pub changed_at: Duration,
+    /// When the change was first written to the balancer.
+    pub written_at: Option<Duration>,
+    /// End of the last discovery outage, or zero.
+    pub reachable_from: Duration,
+}
+
+impl ChangeDelivery {
+    /// When the change counts as delivered: when it was written, but at most 6 s after a reachable discovery had it.
+    pub fn effective_at(&self) -> Duration {
+        let latest = self.changed_at.max(self.reachable_from) + Duration::from_secs(6);
+        self.written_at.map_or(latest, |at| at.min(latest))
     }
 }
 
+/// The state shared by all peers of one run.
 struct World {
     start: Instant,
-    seen: RefCell<Seen>,
-    site: Site,
-    /// Connections that began to come up, by upstream.
-    connects: RefCell<Vec<usize>>,
+    observations: RefCell<Observations>,
+    settings: BalancerSettings,
+    /// Number of connections that the balancer has begun to open, by upstream.
+    connect_counts: RefCell<Vec<usize>>,
 }
 
 impl World {
     fn now(&self) -> Duration {
         self.start.elapsed()
     }
-    async fn at(&self, when: When) {
-        sleep_until(self.start + Duration::from_millis(when.ms)).await;
-        turns(when).await;
+    async fn wait_until(&self, moment: Timing) {
+        sleep_until(self.start + Duration::from_millis(moment.ms)).await;
+        yield_turns(moment).await;
     }
 }
 
-async fn turns(when: When) {
-    for _ in 0..when.turns {
+async fn yield_turns(delay: Timing) {
+    for _ in 0..delay.turns {
         yield_now().await;
     }
 }
 
-async fn pass(when: When) {
-    if when.ms > 0 {
-        sleep(Duration::from_millis(when.ms)).await;
+async fn wait(delay: Timing) {
+    if delay.ms > 0 {
+        sleep(Duration::from_millis(delay.ms)).await;
     }
-    turns(when).await;
+    yield_turns(delay).await;
 }
 
 fn ip(last: u8) -> IpAddr {
@@ -223,25 +228,25 @@
     SocketAddr::new(ip(10 + number as u8), 80)
 }
 
-/// The network as the balancer sees it: connections to upstreams come up as late as the plan says.
-struct Late {
+/// The network of the balancer, which delays connections to upstreams as planned.
+struct DelayedNetwork {
     inner: Rc<dyn Network>,
     world: Rc<World>,
     upstreams: Vec<Upstream>,
 }
 
-impl Network for Late {
+impl Network for DelayedNetwork {
     fn connect(&self, to: SocketAddr) -> Soon<'_, io::Result<Box<dyn Stream>>> {
         Box::pin(async move {
             let number = (0..self.upstreams.len()).find(|u| upstream(*u) == to);
-            if let Some((u, of)) = number.map(|u| (u, &self.upstreams[u].connects)) {
+            if let Some((u, delays)) = number.map(|u| (u, &self.upstreams[u].connect_delays)) {
                 let n = {
-                    let connects = &mut self.world.connects.borrow_mut()[u];
-                    *connects += 1;
-                    *connects - 1
+                    let count = &mut self.world.connect_counts.borrow_mut()[u];
+                    *count += 1;
+                    *count - 1
                 };
-                match of[n % of.len()] {
-                    Some(late) => pass(late).await,
+                match delays[n % delays.len()] {
+                    Some(delay) => wait(delay).await,
                     None => std::future::pending().await,
                 }
             }
@@ -259,86 +264,90 @@
     }
 }
 
-/// The configuration that this plan's balancer has, with the discovery of this number.
-pub fn config(plan: &Plan, of: u8) -> Config {
-    let site = &plan.site;
+/// Builds the configuration of the balancer, with the discovery service of this number.
+pub fn config(plan: &Plan, discovery_number: u8) -> Config {
+    let settings = &plan.settings;
     let class = |name: &str, effect: &str| {
-        json!({"Name": name, "Aim": site.deadline_ms as f64 * 0.6, "Deadline": site.deadline_ms as f64,
-            "LateValue": 0.5, "Effect": effect, "Group": "cell", "Window": site.window_ms as f64})
+        json!({"Name": name, "Aim": settings.deadline_ms as f64 * 0.6, "Deadline": settings.deadline_ms as f64,
+            "LateValue": 0.5, "Effect": effect, "Group": "cell", "Window": settings.window_ms as f64})
     };
-    let entry = |(i, u): (usize, &Upstream)| listed(i, u.cell, "SERVING");
+    let entry = |(i, u): (usize, &Upstream)| list_entry(i, u.cell, "SERVING");
     let known: Vec<Value> = plan.upstreams.iter().enumerate().map(entry).collect();
     let file = json!({
-        "name": "n0", "listen": balancer().to_string(), "discovery": discovery(of).to_string(),
+        "name": "n0", "listen": balancer().to_string(), "discovery": discovery(discovery_number).to_string(),
         "seed": "8c1f30d27a5be964",
         "limits": {"memory_mb": 64, "sockets": 256},
         "known": {"revision": 1, "complete": true, "members": known},
         "settings": {
             "Balancers": 1, "Position": 0, "Zone": 0, "Zones": ["a"], "MachineTypes": ["m"], "Tick": 1.0,
-            "RegistryMode": if site.pushed { "automatic" } else { "subscribe" },
+            "RegistryMode": if settings.pushed { "automatic" } else { "subscribe" },
             "Services": [class("look", "retryable"), class("hold", "dedup"), class("pay", "fragile")],
-            "PolicyLimits": {"MaxAttempts": site.max_attempts, "SecondCopies": site.hedging,
+            "PolicyLimits": {"MaxAttempts": settings.max_attempts, "SecondCopies": settings.hedging,
                 "Cancelling": true, "RetryAfter": true, "MaxRetryAfter": 500.0,
-                "ConnectTimeout": site.connect_ms as f64, "Keepalive": 5000.0, "StreamsPerConn": 1},
+                "ConnectTimeout": settings.connect_ms as f64, "Keepalive": 5000.0, "StreamsPerConn": 1},
             "Safety": {"Cold": 5000.0, "ColdFrom": 0.2, "FallMultiple": 3.0, "TipAfter": 1000.0,
-                "DrainGrace": site.grace_ms as f64, "AnswerSlack": 20.0, "AskEvery": 2000.0},
+                "DrainGrace": settings.grace_ms as f64, "AnswerSlack": 20.0, "AskEvery": 2000.0},
         },
     });
     Config::parse("plan", file.to_string().as_bytes(), |_| None).expect("a configuration")
 }
 
-fn listed(number: usize, cell: u32, phase: &str) -> Value {
+fn list_entry(number: usize, cell: u32, phase: &str) -> Value {
     json!({"id": format!("s-{number}"), "host_port": upstream(number).to_string(), "locality": "a",
         "flavor": "m", "cell": cell, "phase": phase, "size": 1.0, "up_since_ms": 0})
 }
 
-/// Plays a plan to its end.
-pub fn play(plan: &Plan) -> Seen {
+/// Runs a plan to its end, in virtual time.
+pub fn run_plan(plan: &Plan) -> Observations {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
-    runtime.expect("a runtime").block_on(LocalSet::new().run_until(played(plan.clone())))
+    runtime.expect("a runtime").block_on(LocalSet::new().run_until(run_balancer(plan.clone())))
 }
 
-async fn played(plan: Plan) -> Seen {
-    let delay = Duration::from_millis(plan.site.delay_ms);
+async fn run_balancer(plan: Plan) -> Observations {
+    let delay = Duration::from_millis(plan.settings.delay_ms);
     let fabric = Fabric::new(Duration::from_secs(1_000_000), move |_, _| delay);
     let world = Rc::new(World {
         start: Instant::now(),
-        seen: RefCell::new(Seen { told: vec![None; plan.upstreams.len()], ..Seen::default() }),
-        site: plan.site.clone(),
-        connects: RefCell::new(vec![0; plan.upstreams.len()]),
+        observations: RefCell::new(Observations {
+            deliveries: vec![None; plan.upstreams.len()],
+            ..Observations::default()
+        }),
+        settings: plan.settings.clone(),
+        connect_counts: RefCell::new(vec![0; plan.upstreams.len()]),
     });
-    for (number, is) in plan.upstreams.iter().enumerate() {
+    for (number, spec) in plan.upstreams.iter().enumerate() {
         let listener = fabric.host(upstream(number).ip()).listen(upstream(number)).expect("free");
-        spawn_local(serves(world.clone(), number, is.clone(), listener));
+        spawn_local(run_upstream(world.clone(), number, spec.clone(), listener));
     }
     let cells: Vec<u32> = plan.upstreams.iter().map(|u| u.cell).collect();
-    let registry = Rc::new(Registry::new(world.clone(), &cells));
+    let service = Rc::new(DiscoveryService::new(world.clone(), &cells));
     for number in 0..2 {
         let at = discovery(number);
         let listener = fabric.host(at.ip()).listen(at).expect("free");
-        spawn_local(registry.clone().accepts(listener));
+        spawn_local(service.clone().accept_watches(listener));
     }
-    spawn_local(registry.acts(plan.discovery.clone()));
+    spawn_local(service.run_actions(plan.discovery.clone()));
 
-    let (stop, stopped) = oneshot::channel::<()>();
+    let (stop, stop_received) = oneshot::channel::<()>();
     let (reload, reloads) = mpsc::unbounded_channel();
     let host = fabric.host(balancer().ip());
     let listener = host.listen(balancer()).expect("free");
-    let network = Late { inner: host, world: world.clone(), upstreams: plan.upstreams.clone() };
+    let network =
+        DelayedNetwork { inner: host, world: world.clone(), upstreams: plan.upstreams.clone() };
     let serving = serve(
         config(&plan, 0),
         Rc::new(network),
         listener,
         Provided::default(),
         reloads,
-        async move { drop(stopped.await) },
+        async move { drop(stop_received.await) },
     );
     let serving = spawn_local(serving);
-    if let Some(when) = plan.reload {
+    if let Some(moment) = plan.reload {
         let (world, config, reload) = (world.clone(), config(&plan, 1), reload.clone());
         spawn_local(async move {
-            world.at(when).await;
+            world.wait_until(moment).await;
             let _ = reload.send(config);
         });
     }
@@ -346,42 +355,42 @@
         .clients
         .iter()
         .enumerate()
-        .map(|(number, is)| {
+        .map(|(number, spec)| {
             let network = fabric.host(ip(100 + number as u8));
-            spawn_local(asks(world.clone(), number, is.clone(), network))
+            spawn_local(run_client(world.clone(), number, spec.clone(), network))
         })
         .collect();
-    let through = {
+    let clients_done = {
         async move {
             for client in clients {
                 client.await.expect("a client's task");
             }
         }
     };
-    let stops = {
-        let (world, last) = (world.clone(), Duration::from_secs(9));
+    let stopping = {
+        let (world, default_length) = (world.clone(), Duration::from_secs(9));
         async move {
             match plan.stop {
-                Some(when) => world.at(when).await,
-                None => sleep(last).await,
+                Some(moment) => world.wait_until(moment).await,
+                None => sleep(default_length).await,
             }
-            world.seen.borrow_mut().stopped = Some(world.now());
+            world.observations.borrow_mut().stopped_at = Some(world.now());
             let _ = stop.send(());
         }
     };
-    let whole = async { tokio::join!(through, stops) };
-    timeout(Duration::from_secs(60), whole).await.expect("all clients are through in time");
-    let ended = timeout(Duration::from_secs(60), serving).await.expect("the balancer ends");
-    ended.expect("its task").expect("it served to its end");
-    world.seen.borrow_mut().ended = Some(world.now());
+    let run = async { tokio::join!(clients_done, stopping) };
+    timeout(Duration::from_secs(60), run).await.expect("all clients finish in time");
+    let result = timeout(Duration::from_secs(60), serving).await.expect("the balancer ends");
+    result.expect("the balancer's task").expect("the balancer ends without an error");
+    world.observations.borrow_mut().ended_at = Some(world.now());
     drop(reload);
-    world.seen.take()
+    world.observations.take()
 }
 
-// ---------------------------------------------------------------- a client
+// Clients
 
-/// A request as it goes on the wire.
-fn text(id: &str, class: Class, deadline_ms: u64) -> String {
+/// Formats a request as it is sent.
+fn request_text(id: &str, class: Class, deadline_ms: u64) -> String {
     let (method, name, key) = match class {
         Class::Safe => ("GET", "look", String::new()),
         Class::Keyed => ("POST", "hold", format!("Idempotency-Key: {id}\r\nContent-Length: 1\r\n")),
@@ -394,76 +403,78 @@
     )
 }
 
-async fn asks(world: Rc<World>, number: usize, is: Client, network: Rc<dyn Network>) {
-    world.at(is.comes).await;
+async fn run_client(world: Rc<World>, number: usize, spec: Client, network: Rc<dyn Network>) {
+    world.wait_until(spec.connects_at).await;
     let Ok(stream) = network.connect(balancer()).await else { return };
     let stream = Rc::new(RefCell::new(Some(stream)));
     let open = Rc::new(RefCell::new(Vec::<usize>::new()));
-    let talk = talk(&world, number, &is, &stream, &open);
-    let Some((when, way)) = is.leaves else { return talk.await };
+    let conversation = send_requests(&world, number, &spec, &stream, &open);
+    let Some((moment, kind)) = spec.disconnect else { return conversation.await };
     tokio::select! {
         biased;
-        () = talk => {}
-        () = world.at(when) => {
+        () = conversation => {}
+        () = world.wait_until(moment) => {
             let now = world.now();
-            let mut seen = world.seen.borrow_mut();
+            let mut observations = world.observations.borrow_mut();
             for i in open.borrow().iter() {
-                seen.requests[*i].left = Some(now);
+                observations.requests[*i].disconnected_at = Some(now);
             }
-            match (stream.take(), way) {
-                (Some(stream), Way::Reset) => stream.reset(),
+            match (stream.take(), kind) {
+                (Some(stream), DisconnectKind::Reset) => stream.reset(),
                 (stream, _) => drop(stream),
             }
         }
     }
 }
 
-/// A stream that can be taken away between two polls.
-type Taken = RefCell<Option<Box<dyn Stream>>>;
+/// A stream that can be removed between two polls.
+type TakeableStream = RefCell<Option<Box<dyn Stream>>>;
 
-async fn write(stream: &Taken, bytes: &[u8]) -> bool {
-    let mut from = 0;
-    while from < bytes.len() {
-        let wrote = std::future::poll_fn(|cx| match stream.borrow_mut().as_mut() {
-            Some(s) => tokio::io::AsyncWrite::poll_write(std::pin::Pin::new(s), cx, &bytes[from..]),
+async fn write(stream: &TakeableStream, bytes: &[u8]) -> bool {
+    let mut position = 0;
+    while position < bytes.len() {
+        let written_bytes = std::future::poll_fn(|cx| match stream.borrow_mut().as_mut() {
+            Some(s) => {
+                tokio::io::AsyncWrite::poll_write(std::pin::Pin::new(s), cx, &bytes[position..])
+            }
             None => std::task::Poll::Ready(Ok(0)),
         });
-        match wrote.await {
-            Ok(n) if n > 0 => from += n,
+        match written_bytes.await {
+            Ok(n) if n > 0 => position += n,
             _ => return false,
         }
     }
     true
 }
 
-/// Reads on; `None` at its end.
-async fn read_more(stream: &Taken, held: &mut Vec<u8>) -> Option<()> {
-    let mut some = [0; 1024];
+/// Reads more bytes into `buffer`; `None` at the end of the stream.
+async fn read_more(stream: &TakeableStream, buffer: &mut Vec<u8>) -> Option<()> {
+    let mut chunk = [0; 1024];
     let read = std::future::poll_fn(|cx| {
-        let mut buf = tokio::io::ReadBuf::new(&mut some);
+        let mut buf = tokio::io::ReadBuf::new(&mut chunk);
         let mut stream = stream.borrow_mut();
         let Some(s) = stream.as_mut() else { return std::task::Poll::Pending };
         let read = tokio::io::AsyncRead::poll_read(std::pin::Pin::new(s), cx, &mut buf);
         read.map_ok(|()| buf.filled().len())
     });
     let n = read.await.ok().filter(|n| *n > 0)?;
-    held.extend_from_slice(&some[..n]);
+    buffer.extend_from_slice(&chunk[..n]);
     Some(())
 }
 
-/// The next message: its first line, its head, its body by length; `None` where the connection ends first.
-async fn message(stream: &Taken, held: &mut Vec<u8>) -> Option<(String, String)> {
+/// Reads the next message, and returns its head and body; `None` if the connection ends first.
+async fn read_message(stream: &TakeableStream, buffer: &mut Vec<u8>) -> Option<(String, String)> {
     loop {
-        if let Some(end) = held.windows(4).position(|w| w == b"\r\n\r\n") {
-            let head = String::from_utf8_lossy(&held[..end]).into_owned();
+        if let Some(end) = buffer.windows(4).position(|w| w == b"\r\n\r\n") {
+            let head = String::from_utf8_lossy(&buffer[..end]).into_owned();
             let length = header(&head, "content-length").parse().unwrap_or(0usize);
-            if held.len() >= end + 4 + length {
-                let body = String::from_utf8_lossy(&held[end + 4..end + 4 + length]).into_owned();
-                held.drain(..end + 4 + length);
+            if buffer.len() >= end + 4 + length {
+                let body = String::from_utf8_lossy(&buffer[end + 4..end + 4 + length]).into_owned();
+                buffer.drain(..end + 4 + length);
                 return Some((head, body));
             }
         }
-        read_more(stream, held).await?;
+        read_more(stream, buffer).await?;
     }
 }
 
@@ -472,151 +483,158 @@
     lines.find(|(n, _)| n.eq_ignore_ascii_case(name)).map_or("", |(_, v)| v.trim())
 }
 
-async fn talk(
+async fn send_requests(
     world: &World,
     number: usize,
-    is: &Client,
-    stream: &Taken,
+    spec: &Client,
+    stream: &TakeableStream,
     open: &RefCell<Vec<usize>>,
 ) {
-    let mut held = Vec::new();
-    // Those that are written and not answered yet.
-    let mut owed = std::collections::VecDeque::new();
-    let mut asks = is.asks.iter().enumerate().peekable();
-    while let Some((n, ask)) = asks.next() {
-        if !ask.behind {
-            pass(ask.pause).await;
+    let mut buffer = Vec::new();
+    // Indices of the requests that are written and not answered.
+    let mut unanswered = std::collections::VecDeque::new();
+    let mut planned_requests = spec.requests.iter().enumerate().peekable();
+    while let Some((n, planned)) = planned_requests.next() {
+        if !planned.pipelined {
+            wait(planned.delay).await;
         }
         let id = format!("c{number}-{n}");
-        let text = text(&id, ask.class, world.site.deadline_ms);
-        let request = Request {
+        let request_text = request_text(&id, planned.class, world.settings.deadline_ms);
+        let request = ObservedRequest {
             id,
-            class: ask.class,
-            whole: None,
-            turn: None,
+            class: planned.class,
+            complete_at: None,
+            previous_answered_at: None,
             answer: None,
-            left: None,
-            closed: None,
+            disconnected_at: None,
+            closed_at: None,
         };
-        let place = {
-            let mut seen = world.seen.borrow_mut();
-            seen.requests.push(request);
-            seen.requests.len() - 1
+        let index = {
+            let mut observations = world.observations.borrow_mut();
+            observations.requests.push(request);
+            observations.requests.len() - 1
         };
-        open.borrow_mut().push(place);
-        owed.push_back(place);
-        let split = text.len() - usize::from(ask.last_byte.is_some());
-        let mut wrote = write(stream, &text.as_bytes()[..split]).await;
-        if let Some(when) = ask.last_byte {
-            pass(when).await;
-            wrote = wrote && write(stream, &text.as_bytes()[split..]).await;
+        open.borrow_mut().push(index);
+        unanswered.push_back(index);
+        let split = request_text.len() - usize::from(planned.last_byte_delay.is_some());
+        let mut is_written = write(stream, &request_text.as_bytes()[..split]).await;
+        if let Some(delay) = planned.last_byte_delay {
+            wait(delay).await;
+            is_written = is_written && write(stream, &request_text.as_bytes()[split..]).await;
         }
-        if wrote {
-            world.seen.borrow_mut().requests[place].whole = Some(world.now());
+        if is_written {
+            world.observations.borrow_mut().requests[index].complete_at = Some(world.now());
         }
-        if asks.peek().is_some_and(|(_, next)| next.behind) {
+        if planned_requests.peek().is_some_and(|(_, next)| next.pipelined) {
             continue;
         }
-        while let Some(place) = owed.pop_front() {
-            let Some((head, body)) = message(stream, &mut held).await else {
-                let mut seen = world.seen.borrow_mut();
-                for place in std::iter::once(place).chain(owed.drain(..)) {
-                    seen.requests[place].closed = Some(world.now());
+        while let Some(index) = unanswered.pop_front() {
+            let Some((head, body)) = read_message(stream, &mut buffer).await else {
+                let mut observations = world.observations.borrow_mut();
+                for index in std::iter::once(index).chain(unanswered.drain(..)) {
+                    observations.requests[index].closed_at = Some(world.now());
                 }
                 return;
             };
-            let mut seen = world.seen.borrow_mut();
+            let mut observations = world.observations.borrow_mut();
             let status = head.split(' ').nth(1).and_then(|s| s.parse().ok()).unwrap_or(0);
-            seen.requests[place].answer = Some((world.now(), status, body));
-            open.borrow_mut().retain(|p| *p != place);
-            if let Some(next) = owed.front() {
-                seen.requests[*next].turn = Some(world.now());
+            observations.requests[index].answer = Some((world.now(), status, body));
+            open.borrow_mut().retain(|p| *p != index);
+            if let Some(next) = unanswered.front() {
+                observations.requests[*next].previous_answered_at = Some(world.now());
             }
         }
     }
-    // It idles until the balancer ends the connection, and hears no more.
-    while read_more(stream, &mut held).await.is_some() {}
-    if !held.is_empty() {
-        let stray = String::from_utf8_lossy(&held).into_owned();
-        world.seen.borrow_mut().stray.push(stray);
+    // The connection stays idle until the balancer closes it, and must receive no more bytes.
+    while read_more(stream, &mut buffer).await.is_some() {}
+    if !buffer.is_empty() {
+        let unsolicited = String::from_utf8_lossy(&buffer).into_owned();
+        world.observations.borrow_mut().unsolicited.push(unsolicited);
     }
 }
 
-// ---------------------------------------------------------------- an upstream
+// Upstreams
 
-async fn serves(world: Rc<World>, number: usize, is: Upstream, mut listener: Box<dyn Listener>) {
-    let (is, asked) = (Rc::new(is), Rc::new(Cell::new(0)));
+async fn run_upstream(
+    world: Rc<World>,
+    number: usize,
+    spec: Upstream,
+    mut listener: Box<dyn Listener>,
+) {
+    let (spec, request_count) = (Rc::new(spec), Rc::new(Cell::new(0)));
     while let Ok((stream, _)) = accept(&mut *listener).await {
-        let (world, is, asked) = (world.clone(), is.clone(), asked.clone());
+        let (world, spec, request_count) = (world.clone(), spec.clone(), request_count.clone());
         spawn_local(async move {
             let mut open = Vec::new();
-            let end = converses(&world, number, &is, &asked, stream, &mut open).await;
+            let stream_to_close =
+                serve_connection(&world, number, &spec, &request_count, stream, &mut open).await;
             let now = world.now();
-            let mut seen = world.seen.borrow_mut();
-            for place in open {
-                seen.attempts[place].over.get_or_insert(now);
+            let mut observations = world.observations.borrow_mut();
+            for index in open {
+                observations.attempts[index].ended_at.get_or_insert(now);
             }
-            drop(end);
+            drop(stream_to_close);
         });
     }
 }
 
-/// All requests of one connection; the stream is given back if it is to be closed in order.
-async fn converses(
+/// Serves all requests of one connection. Returns the stream if it is to be closed without a reset.
+async fn serve_connection(
     world: &World,
     number: usize,
-    is: &Upstream,
-    asked: &Cell<usize>,
+    spec: &Upstream,
+    request_count: &Cell<usize>,
     mut stream: Box<dyn Stream>,
     open: &mut Vec<usize>,
 ) -> Option<Box<dyn Stream>> {
-    let mut held = Vec::new();
+    let mut buffer = Vec::new();
     loop {
-        let mut began = None;
+        let mut first_byte_at = None;
         let (head, length) = loop {
-            if let Some(end) = held.windows(4).position(|w: &[u8]| w == b"\r\n\r\n") {
-                let head = String::from_utf8_lossy(&held[..end]).into_owned();
-                held.drain(..end + 4);
+            if let Some(end) = buffer.windows(4).position(|w: &[u8]| w == b"\r\n\r\n") {
+                let head = String::from_utf8_lossy(&buffer[..end]).into_owned();
+                buffer.drain(..end + 4);
                 let length = header(&head, "content-length").parse().unwrap_or(0usize);
                 break (head, length);
             }
-            let mut some = [0; 1024];
-            let n = stream.read(&mut some).await.ok().filter(|n| *n > 0)?;
-            began.get_or_insert(world.now());
-            held.extend_from_slice(&some[..n]);
+            let mut chunk = [0; 1024];
+            let n = stream.read(&mut chunk).await.ok().filter(|n| *n > 0)?;
+            first_byte_at.get_or_insert(world.now());
+            buffer.extend_from_slice(&chunk[..n]);
         };
-        let place = {
-            let mut seen = world.seen.borrow_mut();
-            seen.attempts.push(Attempt {
+        let index = {
+            let mut observations = world.observations.borrow_mut();
+            observations.attempts.push(ObservedAttempt {
                 id: header(&head, "x-request-id").to_string(),
                 upstream: number,
-                began: began.unwrap_or(world.now()),
-                whole: None,
-                never_ran: None,
-                over: None,
+                started_at: first_byte_at.unwrap_or(world.now()),
+                complete_at: None,
+                rejected_at: None,
+                ended_at: None,
             });
-            seen.attempts.len() - 1
+            observations.attempts.len() - 1
         };
-        open.push(place);
-        while held.len() < length {
-            let mut some = [0; 1024];
-            let n = stream.read(&mut some).await.ok().filter(|n| *n > 0)?;
-            held.extend_from_slice(&some[..n]);
+        open.push(index);
+        while buffer.len() < length {
+            let mut chunk = [0; 1024];
+            let n = stream.read(&mut chunk).await.ok().filter(|n| *n > 0)?;
+            buffer.extend_from_slice(&chunk[..n]);
         }
-        held.drain(..length);
-        world.seen.borrow_mut().attempts[place].whole = Some(world.now());
-        let (after, does) = &is.does[asked.replace(asked.get() + 1) % is.does.len()];
+        buffer.drain(..length);
+        world.observations.borrow_mut().attempts[index].complete_at = Some(world.now());
+        let (delay, behaviour) = &spec.behaviours
+            [request_count.replace(request_count.get() + 1) % spec.behaviours.len()];
         let body = format!("{}@{number}", header(&head, "x-request-id"));
-        let does = acts(world, place, *after, does, &body, &mut stream);
-        // Whatever it is about, the balancer's close ends it.
-        let over = |world: &World| {
-            world.seen.borrow_mut().attempts[place].over.get_or_insert(world.now());
+        let response = respond(world, index, *delay, behaviour, &body, &mut stream);
+        // If the connection closes, `run_upstream` records the end of the attempt.
+        let mark_ended = |world: &World| {
+            world.observations.borrow_mut().attempts[index].ended_at.get_or_insert(world.now());
         };
-        match does.await {
-            Acted::Keeps => over(world),
-            Acted::Closes => return Some(stream),
-            Acted::Resets => {
-                over(world);
+        match response.await {
+            NextStep::KeepOpen => mark_ended(world),
+            NextStep::Close => return Some(stream),
+            NextStep::Reset => {
+                mark_ended(world);
                 stream.reset();
                 return None;
             }
@@ -624,98 +642,104 @@
     }
 }
 
-enum Acted {
-    Keeps,
-    Closes,
-    Resets,
+/// What an upstream does with its connection after a response.
+enum NextStep {
+    KeepOpen,
+    Close,
+    Reset,
 }
 
-async fn acts(
+async fn respond(
     world: &World,
-    place: usize,
-    after: When,
-    does: &Does,
+    index: usize,
+    delay: Timing,
+    behaviour: &Behaviour,
     body: &str,
     stream: &mut Box<dyn Stream>,
-) -> Acted {
-    if !waits(stream, after).await {
-        return Acted::Closes;
+) -> NextStep {
+    if !wait_while_connected(stream, delay).await {
+        return NextStep::Close;
     }
-    let whole = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
-    let (first, second) = whole.split_at(whole.len() - 2);
-    match does {
-        Does::Serves { rest, closes } => {
-            let wrote = stream.write_all(first.as_bytes()).await.is_ok();
-            if !wrote || !waits(stream, *rest).await {
-                return Acted::Closes;
+    let response = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len());
+    let (first, second) = response.split_at(response.len() - 2);
+    match behaviour {
+        Behaviour::Serve { second_half_delay, close_delay } => {
+            let is_written = stream.write_all(first.as_bytes()).await.is_ok();
+            if !is_written || !wait_while_connected(stream, *second_half_delay).await {
+                return NextStep::Close;
             }
             if stream.write_all(second.as_bytes()).await.is_err() {
-                return Acted::Closes;
+                return NextStep::Close;
             }
-            let Some(closes) = closes else { return Acted::Keeps };
-            world.seen.borrow_mut().attempts[place].over = Some(world.now());
-            pass(*closes).await;
-            Acted::Closes
+            let Some(close_delay) = close_delay else { return NextStep::KeepOpen };
+            world.observations.borrow_mut().attempts[index].ended_at = Some(world.now());
+            wait(*close_delay).await;
+            NextStep::Close
         }
-        Does::TurnsAway => {
-            world.seen.borrow_mut().attempts[place].never_ran = Some(world.now());
-            let answer =
+        Behaviour::Reject => {
+            world.observations.borrow_mut().attempts[index].rejected_at = Some(world.now());
+            let response =
                 "HTTP/1.1 503 Service Unavailable\r\nX-Not-Run: 1\r\nContent-Length: 0\r\n\r\n";
-            let _ = stream.write_all(answer.as_bytes()).await;
-            Acted::Keeps
+            let _ = stream.write_all(response.as_bytes()).await;
+            NextStep::KeepOpen
         }
-        Does::Errs => {
-            let answer = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
-            let _ = stream.write_all(answer.as_bytes()).await;
-            Acted::Keeps
+        Behaviour::Fail => {
+            let response = "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n";
+            let _ = stream.write_all(response.as_bytes()).await;
+            NextStep::KeepOpen
         }
-        Does::Breaks { half } => {
-            if *half {
+        Behaviour::Reset { after_half } => {
+            if *after_half {
                 let _ = stream.write_all(first.as_bytes()).await;
             }
-            Acted::Resets
+            NextStep::Reset
         }
-        Does::Hangs => {
-            waits(stream, When { ms: 60_000, turns: 0 }).await;
-            Acted::Closes
+        Behaviour::Hang => {
+            wait_while_connected(stream, Timing { ms: 60_000, turns: 0 }).await;
+            NextStep::Close
         }
     }
 }
 
-/// Waits so long; whether the balancer was still there then. It sends nothing while its request is open.
-async fn waits(stream: &mut Box<dyn Stream>, when: When) -> bool {
+/// Waits for `delay`. Returns whether the balancer was still connected then. The balancer must send nothing more while its
+/// request is open.
+async fn wait_while_connected(stream: &mut Box<dyn Stream>, delay: Timing) -> bool {
     let mut byte = [0; 1];
     tokio::select! {
         biased;
         read = stream.read(&mut byte) => {
-            assert!(!matches!(read, Ok(1..)), "a request behind one that is open");
+            assert!(!matches!(read, Ok(1..)), "the balancer sent bytes while its request is open");
             false
         }
-        () = pass(when) => true,
+        () = wait(delay) => true,
     }
 }
 
-// ---------------------------------------------------------------- discovery
+// Discovery
 
-/// What both discoveries know, and their watches.
-struct Registry {
+/// The state that both discovery services share, and their watches.
+struct DiscoveryService {
     world: Rc<World>,
     revision: Cell<u64>,
-    /// By upstream: its cell and phase.
+    /// Cell and phase of each upstream.
     list: RefCell<Vec<(u32, &'static str)>>,
     down_until: Cell<Option<Instant>>,
-    /// Told of each change: the line, or that watches end or are silent from here on.
-    watches: RefCell<Vec<mpsc::UnboundedSender<Watch>>>,
+    /// Senders to the tasks of all watches.
+    watches: RefCell<Vec<mpsc::UnboundedSender<WatchMessage>>>,
 }
 
+/// A message to the task of a watch.
 #[derive(Clone)]
-enum Watch {
+enum WatchMessage {
+    /// Writes a line that announces changes of these upstreams.
     Line(String, Vec<usize>),
-    Silent,
-    Ends,
+    /// Writes nothing any more.
+    Silence,
+    /// Resets the connection.
+    Close,
 }
 
-impl Registry {
+impl DiscoveryService {
     fn new(world: Rc<World>, cells: &[u32]) -> Self {
         Self {
             world,
@@ -726,66 +750,69 @@
         }
     }
 
-    fn down(&self) -> bool {
+    fn is_down(&self) -> bool {
         self.down_until.get().is_some_and(|until| Instant::now() < until)
     }
 
     fn entry(&self, number: usize) -> Value {
         let (cell, phase) = self.list.borrow()[number];
-        listed(number, cell, phase)
+        list_entry(number, cell, phase)
     }
 
-    fn tell(&self, watch: &Watch) {
+    fn notify_watches(&self, watch: &WatchMessage) {
         self.watches.borrow_mut().retain(|w| w.send(watch.clone()).is_ok());
     }
 
-    async fn acts(self: Rc<Self>, acts: Vec<(When, Act)>) {
-        for (when, act) in acts {
-            self.world.at(when).await;
-            match act {
-                Act::Drains(u) => self.changes(u, "DRAINING"),
-                Act::Deleted(u) => self.changes(u, "DELETED"),
-                Act::Silent => self.tell(&Watch::Silent),
-                Act::EndsWatches => self.tell(&Watch::Ends),
-                Act::Down(ms) => {
+    async fn run_actions(self: Rc<Self>, actions: Vec<(Timing, DiscoveryAction)>) {
+        for (moment, action) in actions {
+            self.world.wait_until(moment).await;
+            match action {
+                DiscoveryAction::Drain(u) => self.change_phase(u, "DRAINING"),
+                DiscoveryAction::Delete(u) => self.change_phase(u, "DELETED"),
+                DiscoveryAction::Silence => self.notify_watches(&WatchMessage::Silence),
+                DiscoveryAction::CloseWatches => self.notify_watches(&WatchMessage::Close),
+                DiscoveryAction::Outage(ms) => {
                     let until = Instant::now() + Duration::from_millis(ms);
                     self.down_until.set(Some(until));
-                    let reachable = until - self.world.start;
-                    for told in self.world.seen.borrow_mut().told.iter_mut().flatten() {
-                        told.reachable = told.reachable.max(reachable);
+                    let reachable_from = until - self.world.start;
+                    for delivery in
+                        self.world.observations.borrow_mut().deliveries.iter_mut().flatten()
+                    {
+                        delivery.reachable_from = delivery.reachable_from.max(reachable_from);
                     }
-                    self.tell(&Watch::Ends);
+                    self.notify_watches(&WatchMessage::Close);
                 }
             }
         }
     }
 
-    fn changes(&self, number: usize, phase: &'static str) {
+    fn change_phase(&self, number: usize, phase: &'static str) {
         if self.list.borrow()[number].1 != "SERVING" {
             return;
         }
         self.revision.set(self.revision.get() + 1);
         self.list.borrow_mut()[number].1 = phase;
-        let had = self.world.now();
-        let down = self.down_until.get().map_or(Duration::ZERO, |at| at - self.world.start);
-        let told = Told { had, written: None, reachable: down };
-        self.world.seen.borrow_mut().told[number] = Some(told);
+        let changed_at = self.world.now();
+        let reachable_from =
+            self.down_until.get().map_or(Duration::ZERO, |at| at - self.world.start);
+        let delivery = ChangeDelivery { changed_at, written_at: None, reachable_from };
+        self.world.observations.borrow_mut().deliveries[number] = Some(delivery);
         let line = json!({"revision": self.revision.get(), "complete": false,
             "members": [self.entry(number)]});
-        self.tell(&Watch::Line(line.to_string(), vec![number]));
+        self.notify_watches(&WatchMessage::Line(line.to_string(), vec![number]));
     }
 
-    async fn accepts(self: Rc<Self>, mut listener: Box<dyn Listener>) {
+    async fn accept_watches(self: Rc<Self>, mut listener: Box<dyn Listener>) {
         while let Ok((stream, _)) = accept(&mut *listener).await {
-            if self.down() {
+            if self.is_down() {
                 stream.reset();
                 continue;
             }
-            spawn_local(self.clone().watched(stream));
+            spawn_local(self.clone().serve_watch(stream));
         }
     }
 
-    async fn watched(self: Rc<Self>, mut stream: Box<dyn Stream>) {
+    async fn serve_watch(self: Rc<Self>, mut stream: Box<dyn Stream>) {
         let mut head = Vec::new();
         while !head.ends_with(b"\r\n\r\n") {
             let mut byte = [0; 1];
@@ -794,36 +821,39 @@
                 _ => return,
             }
         }
-        if self.down() {
+        if self.is_down() {
             return stream.reset();
         }
-        let (tell, mut told) = mpsc::unbounded_channel();
-        self.watches.borrow_mut().push(tell);
+        let (sender, mut messages) = mpsc::unbounded_channel();
+        self.watches.borrow_mut().push(sender);
         let all = 0..self.list.borrow().len();
-        let gone = |u: &usize| self.list.borrow()[*u].1 == "DELETED";
-        let members: Vec<Value> = all.clone().filter(|u| !gone(u)).map(|u| self.entry(u)).collect();
+        let is_deleted = |u: &usize| self.list.borrow()[*u].1 == "DELETED";
+        let members: Vec<Value> =
+            all.clone().filter(|u| !is_deleted(u)).map(|u| self.entry(u)).collect();
         let list = json!({"revision": self.revision.get(), "complete": true, "members": members});
-        let out = all.filter(|u| self.list.borrow()[*u].1 != "SERVING").collect();
+        let unavailable = all.filter(|u| self.list.borrow()[*u].1 != "SERVING").collect();
         let start = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
-        let mut next = Watch::Line(list.to_string(), out);
+        let mut next = WatchMessage::Line(list.to_string(), unavailable);
         if stream.write_all(start.as_bytes()).await.is_err() {
             return;
         }
-        let mut silent = false;
+        let mut is_silent = false;
         loop {
             match next {
-                Watch::Silent => silent = true,
-                Watch::Ends => return stream.reset(),
-                Watch::Line(..) if silent => {}
-                Watch::Line(line, numbers) => {
+                WatchMessage::Silence => is_silent = true,
+                WatchMessage::Close => return stream.reset(),
+                WatchMessage::Line(..) if is_silent => {}
+                WatchMessage::Line(line, numbers) => {
                     let chunk = format!("{:x}\r\n{line}\n\r\n", line.len() + 1);
                     if stream.write_all(chunk.as_bytes()).await.is_err() {
                         return;
                     }
                     let now = self.world.now();
-                    for told in numbers {
-                        if let Some(told) = &mut self.world.seen.borrow_mut().told[told] {
-                            told.written.get_or_insert(now);
+                    for number in numbers {
+                        if let Some(delivery) =
+                            &mut self.world.observations.borrow_mut().deliveries[number]
+                        {
+                            delivery.written_at.get_or_insert(now);
                         }
                     }
                 }
@@ -831,13 +861,13 @@
             let mut byte = [0; 1];
             next = tokio::select! {
                 biased;
-                told = told.recv() => match told {
-                    Some(told) => told,
+                message = messages.recv() => match message {
+                    Some(message) => message,
                     None => return,
                 },
-                // The balancer let it go.
+                // The balancer has closed the watch.
                 _ = stream.read(&mut byte) => return,
-                () = sleep(Duration::from_secs(2)) => Watch::Line(String::new(), Vec::new()),
+                () = sleep(Duration::from_secs(2)) => WatchMessage::Line(String::new(), Vec::new()),
             };
         }
     }
