--- a/crates/gateway/tests/attempts/main.rs
+++ b/crates/gateway/tests/attempts/main.rs
@@ -1,8 +1,8 @@
-//! Attempts at an upstream by a whole balancer on a simulated network: what comes between the module's word to send
-//! and the first byte, and between the first byte and the last of an answer.
+//! Tests attempts of a complete balancer at one upstream on a simulated network: the time between the decision to send and
+//! the first byte, and between the first byte and the end of the response.
 
-mod answers;
-mod connects;
-mod listed;
-mod rig;
-mod window;
+mod connecting;
+mod harness;
+mod list_changes;
+mod responses;
+mod retry_window;
