--- a/crates/gateway/src/admin/server.rs
+++ b/crates/gateway/src/admin/server.rs
@@ -23,7 +23,7 @@
 use super::{Admin, ManagedBalancer};
 use crate::cluster::admin_api::{AdminRequest, AdminResponse, is_cluster_path};
 use crate::config::CALLERS;
-use crate::http::{HEAD_LIMIT, HEAD_LINES};
+use crate::http::{MAX_HEAD_BYTES, MAX_HEADER_LINES};
 use crate::tasks::AbortOnDrop;
 
 /// Time in which a call must be read and its answer be written. A connection that takes longer is closed.
@@ -65,8 +65,8 @@
         let connection = http1::Builder::new()
             .keep_alive(false)
             .header_read_timeout(None)
-            .max_buf_size(HEAD_LIMIT)
-            .max_headers(HEAD_LINES)
+            .max_buf_size(MAX_HEAD_BYTES)
+            .max_headers(MAX_HEADER_LINES)
             .serve_connection(TokioIo::new(stream), service);
         let _ = timeout(CALL_TIMEOUT, connection).await;
     }
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -3,7 +3,7 @@
 //! | module | job |
 //! | --- | --- |
 //! | `accept` | accepts connections, from the start until after SIGTERM |
-//! | `conversation` | serves one connection until it closes |
+//! | `client_connection` | serves one connection until it closes |
 //! | `intake` | receives a request, checks its head, and submits the request to the engine |
 //! | `request_head` | validates the head of a request, and derives the head for upstreams |
 //! | `response` | builds the responses to clients |
@@ -12,7 +12,7 @@
 //! The module `connections` enforces the timeouts of connections and evicts them; `closing` closes them.
 
 mod accept;
-mod conversation;
+mod client_connection;
 mod intake;
 mod open_ids;
 mod request_head;
@@ -54,7 +54,7 @@
     /// Whether the process is shutting down.
     is_stopping: Cell<bool>,
     /// When all requests must be answered, if the process is shutting down.
-    answer_by: Cell<Option<Instant>>,
+    answer_deadline: Cell<Option<Instant>>,
     /// Whether operators have quiesced this balancer, so that its clients are to use another one.
     is_quiesced: Cell<bool>,
     /// Number of changes of `is_quiesced`.
@@ -93,7 +93,7 @@
             body_memory: MemoryBudget::new(config.memory / BODY_MEMORY_DIVISOR),
             stall_detector: Rc::default(),
             is_stopping: Cell::new(false),
-            answer_by: Cell::new(None),
+            answer_deadline: Cell::new(None),
             is_quiesced: Cell::new(false),
             quiesce_serial: Cell::new(0),
             close_signal: RefCell::default(),
--- a/crates/gateway/src/clients/accept.rs
+++ b/crates/gateway/src/clients/accept.rs
@@ -61,19 +61,19 @@
 }
 
 impl ClientServer {
-    /// Serves from the completion of `opens` to that of `stop`, then finishes the accepted connections. If another process
-    /// has `succeeded` this one, the connections in the backlog are left to that process.
+    /// Serves from the completion of `open` to that of `stop`, then finishes the accepted connections. If
+    /// `has_successor` returns true, the connections in the backlog are left to the process that succeeds this one.
     pub async fn serve(
         self: Rc<Self>,
         mut listener: Box<dyn Listener>,
-        opens: impl Future<Output = ()>,
+        open: impl Future<Output = ()>,
         stop: impl Future<Output = ()>,
-        succeeded: impl Fn() -> bool,
+        has_successor: impl Fn() -> bool,
     ) {
         let has_opened = Cell::new(false);
         {
             let accepting = async {
-                opens.await;
+                open.await;
                 has_opened.set(true);
                 self.accept_forever(&mut *listener).await;
             };
@@ -84,13 +84,13 @@
                 () = stop => {}
             }
             self.start_shutdown();
-            if succeeded() {
+            if has_successor() {
                 tracing::info!("listener left to newer process");
             } else {
                 let _ = timeout(ACCEPT_AFTER_STOP, accepting).await;
             }
         }
-        if has_opened.get() && !succeeded() {
+        if has_opened.get() && !has_successor() {
             // Closed connections free slots for those in the backlog.
             self.close_connections();
             self.accept_backlog(&mut *listener).await;
@@ -105,16 +105,16 @@
     fn start_shutdown(&self) {
         tracing::info!("shutdown started");
         self.is_stopping.set(true);
-        self.answer_by.set(Some(Instant::now() + self.max_deadline + ANSWER_MARGIN));
+        self.answer_deadline.set(Some(Instant::now() + self.max_deadline + ANSWER_MARGIN));
     }
 
     /// Waits for the remaining connections: until all requests must be answered, and beyond that for streamed responses.
     async fn finish_connections(&self) {
-        let answer_by = self.answer_by.get().unwrap_or_else(Instant::now);
+        let answer_deadline = self.answer_deadline.get().unwrap_or_else(Instant::now);
         let mut polls_after = 0;
         while self.connections.len() > 0 && polls_after < SHUTDOWN_POLLS_FOR_WRITES {
             sleep(SHUTDOWN_POLL_INTERVAL).await;
-            polls_after += u32::from(Instant::now() >= answer_by);
+            polls_after += u32::from(Instant::now() >= answer_deadline);
         }
         let streaming = async {
             while self.connections.any_streaming() {
--- a/crates/gateway/src/clients/conversation.rs
+++ b/crates/gateway/src/clients/client_connection.rs
@@ -20,7 +20,7 @@
 use super::response::{self, ClientResponse};
 use crate::closing::{CloseReason, close};
 use crate::connections::{Connection, ConnectionSlot};
-use crate::http::{HEAD_LIMIT, HEAD_LINES};
+use crate::http::{MAX_HEAD_BYTES, MAX_HEADER_LINES};
 use crate::invariants::{Invariant, Violations};
 use crate::response_body::ResponseBody;
 use crate::shared_stream::SharedStream;
@@ -53,7 +53,7 @@
         Self { violations, client, started_at: Instant::now(), is_answered: false }
     }
 
-    fn answered(&mut self, status: StatusCode) {
+    fn record_answer(&mut self, status: StatusCode) {
         self.is_answered = true;
         let elapsed_ms = self.started_at.elapsed().as_millis() as u64;
         tracing::debug!(status = status.as_u16(), elapsed_ms, "request answered");
@@ -78,11 +78,11 @@
         // accepted, and a task that first runs after a close signal would wait for a later signal that is never sent.
         let slot = self.connections.open(traffic);
         let close_signal = self.close_signal.borrow().clone();
-        tokio::task::spawn_local(self.clone().converse(io, stream, slot, close_signal));
+        tokio::task::spawn_local(self.clone().serve_and_close(io, stream, slot, close_signal));
     }
 
     /// Serves all requests of one connection, then closes the connection.
-    async fn converse(
+    async fn serve_and_close(
         self: Rc<Self>,
         io: ObservedStream,
         stream: SharedStream,
@@ -110,8 +110,8 @@
         let service = service_fn(|request| self.respond(request, slot, client));
         let connection = http1::Builder::new()
             .header_read_timeout(None) // The module `connections` enforces the timeouts.
-            .max_buf_size(HEAD_LIMIT)
-            .max_headers(HEAD_LINES)
+            .max_buf_size(MAX_HEAD_BYTES)
+            .max_headers(MAX_HEADER_LINES)
             .serve_connection(TokioIo::new(io), service);
         tokio::pin!(connection);
         let close_requested = close_requested(close_signal, state, client);
@@ -130,7 +130,7 @@
                     let is_evicted = state.is_evicted();
                     return Some(if is_evicted { CloseReason::Evicted } else { CloseReason::Overdue });
                 }
-                () = client_end(state, client) => {
+                () = client_disconnected(state, client) => {
                     tracing::debug!(connection = slot.id(), "client disconnected");
                     return None;
                 }
@@ -182,7 +182,7 @@
         }
         // The next request begins after the last byte of this one. If that byte was not received, the connection closes.
         client.raw_head.start_next();
-        check.answered(response.status());
+        check.record_answer(response.status());
         match response.body_mut() {
             ResponseBody::Complete(_) => slot.finish_request(),
             ResponseBody::Streamed(body) => body.attach(slot.start_streaming()),
@@ -211,10 +211,10 @@
 }
 
 /// Completes once the client has closed its connection while its request is open.
-async fn client_end(state: &Connection, client: &ClientStream) {
+async fn client_disconnected(state: &Connection, client: &ClientStream) {
     poll_fn(|cx| {
         if state.is_request_open() {
-            client.read_ahead.poll_client_end(&client.stream, cx)
+            client.read_ahead.poll_client_close(&client.stream, cx)
         } else {
             Poll::Pending
         }
--- a/crates/gateway/src/clients/intake.rs
+++ b/crates/gateway/src/clients/intake.rs
@@ -11,7 +11,7 @@
 use tokio::time::Instant;
 
 use super::ClientServer;
-use super::conversation::ClientStream;
+use super::client_connection::ClientStream;
 use super::request_head::{self, Malformed};
 use super::response::{self, ClientResponse};
 use crate::bodies::{BodyError, Pace, ReceivedBody, receive_body};
@@ -123,8 +123,10 @@
         let announced = announced_deadline(&head.headers).ok_or(Malformed("X-Deadline-Ms"))?;
         // The deadline that the client announces is limited by that of its class.
         let deadline = received_at + announced.min(self.classes[class].max_deadline);
-        let client_deadline =
-            self.answer_by.get().map_or(deadline, |answer_by| answer_by.min(deadline));
+        let client_deadline = self
+            .answer_deadline
+            .get()
+            .map_or(deadline, |answer_deadline| answer_deadline.min(deadline));
         let cost_hint = text(&head.headers, "x-cost-hint");
         let cost_hint_us = cost_hint.and_then(|hint| hint.trim().parse::<f64>().ok());
         Ok(Arrival {
@@ -135,7 +137,7 @@
             cost_guess: cost_hint_us
                 .filter(|us| us.is_finite() && *us > 0.0)
                 .map(|us| SignedDuration(us as i64)),
-            resent: text(&head.headers, "x-retry") == Some("1"),
+            is_client_retry: text(&head.headers, "x-retry") == Some("1"),
             cancellation: Cancellation::new(client),
         })
     }
--- a/crates/gateway/src/closing.rs
+++ b/crates/gateway/src/closing.rs
@@ -12,13 +12,13 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::time::{sleep, timeout};
 
-use crate::http::HEAD_LIMIT;
+use crate::http::MAX_HEAD_BYTES;
 use crate::shared_stream::SharedStream;
 
 /// How long a client may take to close its side after the balancer's close, and to read the last bytes before that.
 const LINGER_TIME: Duration = Duration::from_millis(500);
 /// The largest number of bytes that are read and dropped after the last response.
-const LINGER_BYTES: usize = 4 << 20;
+const MAX_LINGER_BYTES: usize = 4 << 20;
 /// Delay between a crossing request and the reset, so that bytes in flight to the client arrive first.
 const RESET_DELAY: Duration = Duration::from_millis(20);
 /// The response to a head that was not complete in time.
@@ -68,10 +68,10 @@
     };
 }
 
-/// Reads and drops further bytes, up to [`LINGER_BYTES`].
+/// Reads and drops further bytes, up to [`MAX_LINGER_BYTES`].
 async fn drain(stream: &SharedStream) {
-    let mut discarded = vec![0; HEAD_LIMIT];
-    let mut remaining = LINGER_BYTES;
+    let mut discarded = vec![0; MAX_HEAD_BYTES];
+    let mut remaining = MAX_LINGER_BYTES;
     while remaining > 0 {
         let read = poll_fn(|cx| {
             let mut buf = ReadBuf::new(&mut discarded);
--- a/crates/gateway/src/engine/attempts.rs
+++ b/crates/gateway/src/engine/attempts.rs
@@ -87,7 +87,7 @@
             && attempt < self.limits.max_attempts
             && (self.limits.allows_hedging || active.attempts_in_flight() == 0)
             && now < limits.deadline.min(limits.send_by)
-            && !active.forwarded.is_spent()
+            && !active.forwarded.is_body_started()
             && !self.list_watch.freshness.expiry().is_over(now);
         active.attempts.push(Attempt {
             server,
@@ -163,7 +163,7 @@
         let server = ended.server;
         let elapsed = ended.started_at.elapsed();
         active.last_outcome = Some(result.outcome);
-        let is_body_spent = active.forwarded.is_spent();
+        let is_body_started = active.forwarded.is_body_started();
         tracing::debug!(
             request = id.0,
             attempt,
@@ -178,7 +178,7 @@
         let is_answered = self.requests.get(&id).is_none_or(ActiveRequest::is_answered);
         let latency = SignedDuration(elapsed.as_micros() as i64);
         let answer = Answer {
-            spent: is_body_spent,
+            spent: is_body_started,
             report: result.report,
             ..Answer::new(id, attempt, server, result.outcome, latency, is_answered)
         };
--- a/crates/gateway/src/engine/event.rs
+++ b/crates/gateway/src/engine/event.rs
@@ -100,7 +100,7 @@
     /// The client's estimate of the service time.
     pub cost_guess: Option<SignedDuration>,
     /// Whether the client marked the request as a retry.
-    pub resent: bool,
+    pub is_client_retry: bool,
     /// Cancellation state of the request, shared with the client's connection.
     pub cancellation: Rc<Cancellation>,
 }
--- a/crates/gateway/src/engine/requests.rs
+++ b/crates/gateway/src/engine/requests.rs
@@ -95,7 +95,7 @@
     /// Whether the request's body is being streamed, so that the client's timeout has not started.
     fn is_streaming(&self) -> bool {
         let body = self.forwarded.streamed_body();
-        body.is_some_and(|body| body.is_spent() && !body.is_complete())
+        body.is_some_and(|body| body.is_started() && !body.is_complete())
     }
 
     /// Restarts the client's timeout at the last byte of a streamed body.
@@ -120,7 +120,7 @@
             tenant: arrival.tenant,
             key: arrival.key,
             cost_guess: arrival.cost_guess,
-            resent: arrival.resent,
+            resent: arrival.is_client_retry,
             flows: is_streamed,
             ..Request::new(id, arrival.class, self.clock.time(active.deadline))
         };
--- a/crates/gateway/src/forwarded_request.rs
+++ b/crates/gateway/src/forwarded_request.rs
@@ -41,8 +41,8 @@
     }
 
     /// Whether a part of a streamed body was sent, so that the request can't be sent again.
-    pub fn is_spent(&self) -> bool {
-        self.streamed_body().is_some_and(|body| body.is_spent())
+    pub fn is_body_started(&self) -> bool {
+        self.streamed_body().is_some_and(|body| body.is_started())
     }
 
     /// Returns the error in the client's streamed body, if there is one.
--- a/crates/gateway/src/stream.rs
+++ b/crates/gateway/src/stream.rs
@@ -14,7 +14,7 @@
 use hollowpaddle_net::Stream;
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
-use crate::http::{HEAD_LIMIT, HEAD_LINES};
+use crate::http::{MAX_HEAD_BYTES, MAX_HEADER_LINES};
 use crate::send_guard::SendGuard;
 use crate::shared_stream::SharedStream;
 use crate::stall_detector::StallDetector;
@@ -130,7 +130,7 @@
     fn append(&self, bytes: &[u8]) {
         let mut captured = self.captured.borrow_mut();
         if !captured.is_paused {
-            let capacity = HEAD_LIMIT.saturating_sub(captured.bytes.len());
+            let capacity = MAX_HEAD_BYTES.saturating_sub(captured.bytes.len());
             captured.bytes.extend_from_slice(&bytes[..bytes.len().min(capacity)]);
         }
     }
@@ -144,7 +144,7 @@
     /// Whether the captured bytes are the head of this request and specify the body's length at most once.
     pub fn has_single_length(&self, method: &str, target: &str, id: &[u8]) -> bool {
         let captured = self.captured.borrow();
-        let mut headers = [httparse::EMPTY_HEADER; HEAD_LINES];
+        let mut headers = [httparse::EMPTY_HEADER; MAX_HEADER_LINES];
         let mut head = httparse::Request::new(&mut headers);
         if !head.parse(&captured.bytes).is_ok_and(|status| status.is_complete()) {
             return false;
@@ -197,10 +197,10 @@
     }
 
     /// Ready once the client has closed or reset its connection.
-    pub fn poll_client_end(&self, stream: &SharedStream, cx: &mut Context<'_>) -> Poll<()> {
-        let mut kept = self.0.bytes.borrow_mut();
+    pub fn poll_client_close(&self, stream: &SharedStream, cx: &mut Context<'_>) -> Poll<()> {
+        let mut buffered = self.0.bytes.borrow_mut();
         loop {
-            let capacity = HEAD_LIMIT - kept.len();
+            let capacity = MAX_HEAD_BYTES - buffered.len();
             if capacity == 0 && !self.may_drop() {
                 return Poll::Pending;
             }
@@ -218,7 +218,7 @@
                 cx.waker().wake_by_ref();
                 return Poll::Pending;
             }
-            kept.extend_from_slice(buf.filled());
+            buffered.extend_from_slice(buf.filled());
         }
     }
 
@@ -229,9 +229,9 @@
 
     /// Moves bytes that were read ahead into `buf`. Returns whether there were any.
     fn take_into(&self, buf: &mut ReadBuf<'_>) -> bool {
-        let mut kept = self.0.bytes.borrow_mut();
-        let bytes = kept.len().min(buf.remaining());
-        buf.put_slice(&kept.split_to(bytes));
+        let mut buffered = self.0.bytes.borrow_mut();
+        let bytes = buffered.len().min(buf.remaining());
+        buf.put_slice(&buffered.split_to(bytes));
         bytes > 0
     }
 }
--- a/crates/gateway/src/streamed_body.rs
+++ b/crates/gateway/src/streamed_body.rs
@@ -81,7 +81,7 @@
     }
 
     /// Whether a part of the body was passed to an upstream's connection, so that the body can't be sent again.
-    pub fn is_spent(&self) -> bool {
+    pub fn is_started(&self) -> bool {
         self.last_sent_at.get().is_some()
     }
 
--- a/crates/gateway/src/streamed_body/tests.rs
+++ b/crates/gateway/src/streamed_body/tests.rs
@@ -21,7 +21,7 @@
 async fn slow_client_is_rejected_but_a_slow_upstream_does_not_count() {
     // The pace allows 100 ms plus 10 ms per byte, so a client that sends one byte every 9 ms is never too slow.
     let body = StreamedBody::new(Bytes::from_static(b"ab"), trickle(60, 9), None, PACE);
-    assert!(!body.is_spent());
+    assert!(!body.is_started());
     for _ in 0..30 {
         assert!(next(&body).await.expect("more").is_ok());
     }
--- a/crates/gateway/src/upstreams/connect.rs
+++ b/crates/gateway/src/upstreams/connect.rs
@@ -14,7 +14,7 @@
 use super::connection::Connection;
 use super::pool::Pool;
 use super::send_progress::SendProgress;
-use crate::http::{HEAD_LIMIT, HEAD_LINES};
+use crate::http::{MAX_HEAD_BYTES, MAX_HEADER_LINES};
 use crate::send_guard::SendGuard;
 use crate::stream::ObservedStream;
 use crate::tasks::AbortOnDrop;
@@ -191,8 +191,8 @@
         let (io, stream, traffic) = ObservedStream::new(stream);
         let stream = Rc::downgrade(&stream);
         let (sender, connection) = http1::Builder::new()
-            .max_buf_size(HEAD_LIMIT)
-            .max_headers(HEAD_LINES)
+            .max_buf_size(MAX_HEAD_BYTES)
+            .max_headers(MAX_HEADER_LINES)
             .handshake(TokioIo::new(io))
             .await
             .map_err(ConnectError::Handshake)?;
--- a/crates/gateway/src/upstreams/exchange.rs
+++ b/crates/gateway/src/upstreams/exchange.rs
@@ -90,7 +90,7 @@
     progress: &SendProgress,
     limits: AttemptLimits,
 ) -> Instant {
-    let is_being_sent = !forwarded.is_spent() && progress.is_incomplete();
+    let is_being_sent = !forwarded.is_body_started() && progress.is_incomplete();
     let deadline = forwarded.attempt_deadline(limits);
     if is_being_sent { deadline.min(limits.send_by) } else { deadline }
 }
@@ -150,7 +150,7 @@
     if progress.is_unsent() && guard.check().is_err() {
         return SendFailure::Ended(Outcome::Moot);
     }
-    if connection.is_reused && progress.is_unsent() && !forwarded.is_spent() {
+    if connection.is_reused && progress.is_unsent() && !forwarded.is_body_started() {
         return SendFailure::ConnectionClosed;
     }
     // The client did not complete its body, so the upstream has no complete request and is not at fault.
--- a/crates/gateway/src/upstreams/unsolicited.rs
+++ b/crates/gateway/src/upstreams/unsolicited.rs
@@ -25,14 +25,14 @@
     pub(super) fn count(&self, upstream: ServerId) {
         let mut counts = self.0.borrow_mut();
         counts.total += 1;
-        let has_room = counts.by_upstream.len() < MAX_COUNTED_UPSTREAMS;
+        let has_capacity = counts.by_upstream.len() < MAX_COUNTED_UPSTREAMS;
         let count = match counts.by_upstream.get_mut(&upstream) {
             Some(count) => {
                 *count += 1;
                 *count
             }
             None => {
-                if has_room {
+                if has_capacity {
                     counts.by_upstream.insert(upstream, 1);
                 }
                 1
