--- a/crates/gateway/src/connections.rs
+++ b/crates/gateway/src/connections.rs
@@ -54,7 +54,7 @@
     Evicted { head_begun: bool },
 }
 
-/// The order of eviction: connections without a request first, and among these and the others the longest waiting first.
+/// The order of eviction: connections without a request precede idle ones, and in each group the longest waiting is first.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 struct EvictionRank {
     has_served: bool,
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -1,7 +1,7 @@
-//! The engine: one task that owns the decision module, the table of requests and the timers, and to which all other tasks
-//! report as [`EngineEvent`]s. It decides nothing itself.
+//! The engine: one task that owns the decision module, the table of requests and the timers. All other tasks report to the
+//! engine by [`EngineEvent`]s. The decision module makes all decisions.
 //!
-//! Each source of events has a module of its own over the one `EngineState`:
+//! Each source of events has its own module, and all of them share one `EngineState`:
 //!
 //! | module | events |
 //! | --- | --- |
--- a/crates/gateway/src/engine/requests.rs
+++ b/crates/gateway/src/engine/requests.rs
@@ -151,7 +151,7 @@
         self.remove_if_finished(id);
     }
 
-    /// Answers a request that the decision module still owes its answer when the client is about to give up.
+    /// Answers a request shortly before the client's deadline, if the decision module has not answered by then.
     pub(super) fn on_request_deadline(&mut self, id: RequestId) {
         // The end of a streamed body moves the deadline and arms another timer, so this one may be early.
         let is_early = |active: &ActiveRequest| {
--- a/crates/gateway/src/engine/state.rs
+++ b/crates/gateway/src/engine/state.rs
@@ -120,7 +120,7 @@
         })
     }
 
-    /// Passes an event to the decision module, executes its actions, and handles the attempts that end in doing so.
+    /// Passes an event to the decision module, executes the resulting actions, and handles attempts that end meanwhile.
     pub(super) fn notify_policy(&mut self, event: Event) {
         self.apply_event(event);
         self.handle_finished_without_task();
--- a/crates/gateway/src/send_guard.rs
+++ b/crates/gateway/src/send_guard.rs
@@ -18,7 +18,7 @@
 use crate::freshness::Expiry;
 use crate::invariants::{Invariant, Violations};
 
-/// The longest stall of the process between reading its clock and writing.
+/// The longest stall of the process between reading its clock and writing that the limits allow for.
 pub const MAX_PROCESS_STALL: Duration = Duration::from_millis(150);
 /// Sends to a draining upstream end this long before its grace period does: the notice of the drain may be read one stall
 /// late, and the send may be another stall late.
--- a/crates/gateway/src/upstreams/connect.rs
+++ b/crates/gateway/src/upstreams/connect.rs
@@ -80,7 +80,7 @@
     }
 }
 
-/// Counts a descriptor for as long as it is open.
+/// Counts a descriptor as open until it is dropped.
 struct OpenDescriptor(Rc<Cell<usize>>);
 
 impl OpenDescriptor {
@@ -145,7 +145,7 @@
     }
 
     /// Opens an additional connection to an upstream in the background, if a descriptor is free and the upstream has fewer
-    /// than [`MAX_IDLE_FOR_SPARE`] idle connections. No attempt fails with it.
+    /// than [`MAX_IDLE_FOR_SPARE`] idle connections. A failure of this connection fails no attempt.
     fn open_spare(self: &Rc<Self>, guard: &SendGuard) {
         let has_descriptor = self.open_connections.get() < self.max_connections;
         if !has_descriptor || self.idle_connections(guard.upstream()) >= MAX_IDLE_FOR_SPARE {
--- a/crates/gateway/src/upstreams/spares.rs
+++ b/crates/gateway/src/upstreams/spares.rs
@@ -1,5 +1,5 @@
-//! Decides which upstreams get a spare connection: those for which requests repeatedly wait until an idle connection becomes
-//! reusable. The module `connect` opens spare connections, and the pool closes them by their idle time.
+//! Decides which upstreams get a spare connection. An upstream gets one if requests repeatedly wait until an idle connection
+//! becomes reusable. The module `connect` opens spare connections, and the pool closes them by their idle time.
 
 use std::cell::RefCell;
 use std::rc::Rc;
