--- a/crates/gateway/src/bodies.rs
+++ b/crates/gateway/src/bodies.rs
@@ -85,28 +85,28 @@
     Malformed,
     /// The body exceeds the size limit.
     TooLarge,
-    /// The client sends the body more slowly than the required pace.
+    /// The client sends the body below the minimum rate.
     TooSlow,
     /// The memory budget is used up.
     OutOfMemory,
 }
 
-/// The size limit and the required pace of a client's body.
+/// The size limit and the minimum rate of a client's body.
 #[derive(Clone, Copy, Debug)]
-pub struct Pace {
+pub struct BodyLimits {
     /// The largest body, in bytes.
     pub max_bytes: usize,
     /// The time that a body of any size may take.
-    pub base_time: Duration,
+    pub base_timeout: Duration,
     /// The additional time that a body may take for each byte received.
-    pub time_per_byte: Duration,
+    pub timeout_per_byte: Duration,
 }
 
-impl Pace {
+impl BodyLimits {
     /// Returns how long a client may take for `bytes` bytes.
-    pub fn time_allowed(&self, bytes: usize) -> Duration {
+    pub fn timeout_for(&self, bytes: usize) -> Duration {
         let bytes = u32::try_from(bytes).unwrap_or(u32::MAX);
-        self.base_time + self.time_per_byte.saturating_mul(bytes)
+        self.base_timeout + self.timeout_per_byte.saturating_mul(bytes)
     }
 }
 
@@ -133,7 +133,7 @@
 /// Fails if the body is malformed, too large or too slow, or if `budget` has no memory left for it.
 pub async fn receive_body<B>(
     mut body: B,
-    pace: Pace,
+    limits: BodyLimits,
     max_buffered: usize,
     budget: &MemoryBudget,
 ) -> Result<ReceivedBody<B>, BodyError>
@@ -143,7 +143,7 @@
     let started_at = Instant::now();
     let length = body.size_hint().exact();
     let announced = usize::try_from(body.size_hint().lower()).unwrap_or(usize::MAX);
-    if announced > pace.max_bytes {
+    if announced > limits.max_bytes {
         return Err(BodyError::TooLarge);
     }
     if announced > max_buffered {
@@ -152,14 +152,14 @@
     let mut reservation = budget.reserve(announced).ok_or(BodyError::OutOfMemory)?;
     let mut received = BytesMut::with_capacity(announced);
     loop {
-        let deadline = started_at + pace.time_allowed(received.len());
+        let deadline = started_at + limits.timeout_for(received.len());
         let frame = timeout_at(deadline, body.frame()).await.map_err(|_| BodyError::TooSlow)?;
         let Some(frame) = frame else {
             return Ok(ReceivedBody::Complete(ReservedBytes::share(received, reservation)));
         };
         let Ok(data) = frame.map_err(|_| BodyError::Malformed)?.into_data() else { continue };
         let size = received.len() + data.len();
-        if size > pace.max_bytes {
+        if size > limits.max_bytes {
             return Err(BodyError::TooLarge);
         }
         if !reservation.grow_to(size) {
@@ -174,6 +174,6 @@
 }
 
 #[cfg(test)]
-mod tests;
+pub mod slow_body;
 #[cfg(test)]
-pub mod trickle;
+mod tests;
--- a/crates/gateway/src/bodies/trickle.rs
+++ b/crates/gateway/src/bodies/slow_body.rs
@@ -10,9 +10,9 @@
 
 /// A body whose bytes are sent by another task.
 #[derive(Debug)]
-pub struct Trickle(tokio::sync::mpsc::Receiver<Bytes>);
+pub struct SlowBody(tokio::sync::mpsc::Receiver<Bytes>);
 
-impl Body for Trickle {
+impl Body for SlowBody {
     type Data = Bytes;
     type Error = Infallible;
     fn poll_frame(
@@ -24,7 +24,7 @@
 }
 
 /// Creates a body of `bytes` bytes, one of which arrives every `interval_ms` milliseconds.
-pub fn trickle(bytes: usize, interval_ms: u64) -> Trickle {
+pub fn slow_body(bytes: usize, interval_ms: u64) -> SlowBody {
     let (sender, receiver) = tokio::sync::mpsc::channel(1);
     tokio::spawn(async move {
         for _ in 0..bytes {
@@ -34,5 +34,5 @@
             }
         }
     });
-    Trickle(receiver)
+    SlowBody(receiver)
 }
--- a/crates/gateway/src/bodies/tests.rs
+++ b/crates/gateway/src/bodies/tests.rs
@@ -1,62 +1,62 @@
 //! Tests the receiving of bodies within limits of memory and time.
 
 use super::*;
-use crate::bodies::trickle::trickle;
+use crate::bodies::slow_body::slow_body;
 use http_body_util::Full;
 
-const PACE: Pace = Pace {
+const LIMITS: BodyLimits = BodyLimits {
     max_bytes: 6,
-    base_time: Duration::from_millis(100),
-    time_per_byte: Duration::from_millis(10),
+    base_timeout: Duration::from_millis(100),
+    timeout_per_byte: Duration::from_millis(10),
 };
 
 #[tokio::test]
 async fn body_uses_memory_until_its_last_copy_is_dropped() {
     let budget = MemoryBudget::new(10);
     let body = || Full::new(Bytes::from_static(b"123456"));
-    let first = complete(body(), PACE, &budget).await.expect("there is memory");
+    let first = complete(body(), LIMITS, &budget).await.expect("there is memory");
     assert_eq!(first, "123456");
-    assert_eq!(complete(body(), PACE, &budget).await, Err(BodyError::OutOfMemory));
+    assert_eq!(complete(body(), LIMITS, &budget).await, Err(BodyError::OutOfMemory));
     let part = first.slice(2..3);
     drop(first);
     assert_eq!(
-        complete(body(), PACE, &budget).await,
+        complete(body(), LIMITS, &budget).await,
         Err(BodyError::OutOfMemory),
         "a copy is left"
     );
     drop(part);
-    let short = Pace { max_bytes: 5, ..PACE };
+    let short = BodyLimits { max_bytes: 5, ..LIMITS };
     assert_eq!(complete(body(), short, &budget).await, Err(BodyError::TooLarge));
-    assert!(complete(body(), PACE, &budget).await.is_ok());
+    assert!(complete(body(), LIMITS, &budget).await.is_ok());
     assert_eq!(budget.used.load(Relaxed), 0);
 }
 
 /// Receives a body that is short enough to be buffered.
-async fn complete<B>(body: B, pace: Pace, budget: &MemoryBudget) -> Result<Bytes, BodyError>
+async fn complete<B>(body: B, limits: BodyLimits, budget: &MemoryBudget) -> Result<Bytes, BodyError>
 where
     B: Body<Data = Bytes> + Unpin + std::fmt::Debug,
 {
-    match receive_body(body, pace, 6, budget).await? {
+    match receive_body(body, limits, 6, budget).await? {
         ReceivedBody::Complete(body) => Ok(body),
         long => panic!("not complete: {long:?}"),
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn body_below_the_required_pace_is_rejected() {
+async fn body_below_the_minimum_rate_is_rejected() {
     let budget = MemoryBudget::new(10);
     // 6 bytes may take 100 + 60 ms, and each byte must arrive within the time allowed for the bytes before it.
-    let taken = complete(trickle(6, 22), PACE, &budget).await;
+    let taken = complete(slow_body(6, 22), LIMITS, &budget).await;
     assert_eq!(taken.expect("in time").len(), 6);
-    assert_eq!(complete(trickle(6, 35), PACE, &budget).await, Err(BodyError::TooSlow));
-    assert_eq!(complete(trickle(1, 200), PACE, &budget).await, Err(BodyError::TooSlow));
-    assert_eq!(complete(trickle(7, 1), PACE, &budget).await, Err(BodyError::TooLarge));
+    assert_eq!(complete(slow_body(6, 35), LIMITS, &budget).await, Err(BodyError::TooSlow));
+    assert_eq!(complete(slow_body(1, 200), LIMITS, &budget).await, Err(BodyError::TooSlow));
+    assert_eq!(complete(slow_body(7, 1), LIMITS, &budget).await, Err(BodyError::TooLarge));
 }
 
 #[tokio::test(start_paused = true)]
 async fn body_beyond_the_buffer_limit_is_streamed() {
     let budget = MemoryBudget::new(10);
-    let long = Pace { max_bytes: 20, ..PACE };
+    let long = BodyLimits { max_bytes: 20, ..LIMITS };
     let body = Full::new(Bytes::from_static(b"12345678"));
     let taken = receive_body(body, long, 6, &budget).await.expect("not too long");
     assert!(
@@ -64,7 +64,7 @@
         "{taken:?}"
     );
     // A body without an announced length is received until it exceeds the buffer limit.
-    let taken = receive_body(trickle(9, 1), long, 6, &budget).await.expect("not too long");
+    let taken = receive_body(slow_body(9, 1), long, 6, &budget).await.expect("not too long");
     assert!(
         matches!(taken, ReceivedBody::Long { ref first, length: None, .. } if first.len() == 7)
     );
--- a/crates/gateway/src/clients/intake.rs
+++ b/crates/gateway/src/clients/intake.rs
@@ -14,7 +14,7 @@
 use super::client_connection::ClientStream;
 use super::request_head::{self, Malformed};
 use super::response::{self, ClientResponse};
-use crate::bodies::{BodyError, Pace, ReceivedBody, receive_body};
+use crate::bodies::{BodyError, BodyLimits, ReceivedBody, receive_body};
 use crate::cancellation::Cancellation;
 use crate::engine::Arrival;
 use crate::forwarded_request::{ForwardedBody, ForwardedRequest};
@@ -26,12 +26,12 @@
 /// The largest body that is buffered while its request is open, in bytes. A longer body is streamed, and can't be sent
 /// again.
 const MAX_BUFFERED_BODY_BYTES: usize = 2 << 20;
-/// The least pace of a body: 2 s plus the time that it takes at 60 KiB/s. A client that stops halfway must get a response
-/// within 3 s.
-const BODY_PACE: Pace = Pace {
+/// The limits on a client's body. A body may take 2 s plus the time that it takes at 60 KiB/s, since a client that stops
+/// halfway must get a response within 3 s.
+const BODY_LIMITS: BodyLimits = BodyLimits {
     max_bytes: MAX_BODY_BYTES,
-    base_time: Duration::from_secs(2),
-    time_per_byte: Duration::from_nanos(1_000_000_000 / (60 << 10)),
+    base_timeout: Duration::from_secs(2),
+    timeout_per_byte: Duration::from_nanos(1_000_000_000 / (60 << 10)),
 };
 
 /// A body that is ready to be forwarded.
@@ -74,7 +74,7 @@
     /// Receives the body of a request to its end, or until the body is too long to be buffered.
     async fn receive(&self, body: Incoming, client: &ClientStream) -> Result<ReadyBody, BodyError> {
         let received =
-            receive_body(body, BODY_PACE, MAX_BUFFERED_BODY_BYTES, &self.body_memory).await?;
+            receive_body(body, BODY_LIMITS, MAX_BUFFERED_BODY_BYTES, &self.body_memory).await?;
         Ok(match received {
             ReceivedBody::Complete(body) => {
                 client.read_ahead.finish_request();
@@ -82,7 +82,7 @@
                 ReadyBody { body: ForwardedBody::Buffered(body), length }
             }
             ReceivedBody::Long { first, rest, length } => {
-                let body = StreamedBody::new(first, rest, length, BODY_PACE);
+                let body = StreamedBody::new(first, rest, length, BODY_LIMITS);
                 ReadyBody { body: ForwardedBody::Streamed(body), length }
             }
         })
--- a/crates/gateway/src/streamed_body.rs
+++ b/crates/gateway/src/streamed_body.rs
@@ -1,4 +1,4 @@
-//! Forwards a client's long body to an upstream while it is received, with a required pace and a size limit, for a single
+//! Forwards a client's long body to an upstream while it is received, with a minimum rate and a size limit, for a single
 //! attempt.
 //!
 //! In memory are only the buffers of both connections, and the bytes that were received before the body was known to be
@@ -15,7 +15,7 @@
 use hyper::body::{Body, Frame, Incoming, SizeHint};
 use tokio::time::{Instant, Sleep, sleep};
 
-use crate::bodies::{BodyError, Pace};
+use crate::bodies::{BodyError, BodyLimits};
 
 /// How long an upstream may read nothing of a body before the attempt times out. Without a limit, the client would wait
 /// for ever.
@@ -44,7 +44,7 @@
     /// The bytes that were received before the body was known to be long.
     first: Bytes,
     rest: B,
-    pace: Pace,
+    limits: BodyLimits,
     /// The total time of completed waits for the client. The time that the upstream takes does not count.
     waited: Duration,
     /// When the current wait for the client began, if there is one.
@@ -53,13 +53,13 @@
 }
 
 impl<B: Body<Data = Bytes> + Unpin> StreamedBody<B> {
-    /// Creates a body that begins with `first` and has `length` bytes in total, if known. The client's pace is measured from
+    /// Creates a body that begins with `first` and has `length` bytes in total, if known. The client's rate is measured from
     /// the first read on.
-    pub fn new(first: Bytes, rest: B, length: Option<u64>, pace: Pace) -> Rc<Self> {
+    pub fn new(first: Bytes, rest: B, length: Option<u64>, limits: BodyLimits) -> Rc<Self> {
         let source = Source {
             first,
             rest,
-            pace,
+            limits,
             waited: Duration::ZERO,
             waiting_since: None,
             timer: Box::pin(sleep(Duration::ZERO)),
@@ -107,7 +107,7 @@
             return completed_at + response_timeout;
         }
         let Some(last_sent_at) = self.last_sent_at.get() else { return begin_by };
-        // While the body waits for the client, only the required pace limits the attempt.
+        // While the body waits for the client, only the minimum rate of the body limits the attempt.
         let waits_for_client = self.source.borrow().waiting_since.is_some();
         let since = if waits_for_client { Instant::now() } else { last_sent_at };
         since + UPSTREAM_STALL_TIMEOUT
@@ -146,7 +146,7 @@
         }
         loop {
             let Poll::Ready(frame) = Pin::new(&mut source.rest).poll_frame(cx) else {
-                return match source.poll_too_slow(self.bytes_sent.get(), cx) {
+                return match source.poll_timeout(self.bytes_sent.get(), cx) {
                     Poll::Ready(()) => self.fail(BodyError::TooSlow),
                     Poll::Pending => Poll::Pending,
                 };
@@ -160,7 +160,7 @@
                 Some(Err(_)) => return self.fail(BodyError::Malformed),
                 Some(Ok(frame)) => {
                     let Ok(data) = frame.into_data() else { continue };
-                    if self.bytes_sent.get() + data.len() as u64 > source.pace.max_bytes as u64 {
+                    if self.bytes_sent.get() + data.len() as u64 > source.limits.max_bytes as u64 {
                         return self.fail(BodyError::TooLarge);
                     }
                     self.count_sent(&data);
@@ -173,9 +173,9 @@
 
 impl<B> Source<B> {
     /// Waits for the client. Ready once the client has taken longer than allowed for `bytes_received` bytes.
-    fn poll_too_slow(&mut self, bytes_received: u64, cx: &mut Context<'_>) -> Poll<()> {
+    fn poll_timeout(&mut self, bytes_received: u64, cx: &mut Context<'_>) -> Poll<()> {
         let since = *self.waiting_since.get_or_insert_with(Instant::now);
-        let allowed = self.pace.time_allowed(bytes_received as usize);
+        let allowed = self.limits.timeout_for(bytes_received as usize);
         let deadline = since + allowed.saturating_sub(self.waited);
         if self.timer.deadline() != deadline {
             self.timer.as_mut().reset(deadline);
--- a/crates/gateway/src/streamed_body/tests.rs
+++ b/crates/gateway/src/streamed_body/tests.rs
@@ -1,14 +1,14 @@
-//! Tests the required pace of clients, the stall timeout of upstreams, and the end of a streamed body.
+//! Tests the minimum rate of clients, the stall timeout of upstreams, and the end of a streamed body.
 
 use std::future::poll_fn;
 
 use super::*;
-use crate::bodies::trickle::trickle;
+use crate::bodies::slow_body::slow_body;
 
-const PACE: Pace = Pace {
+const LIMITS: BodyLimits = BodyLimits {
     max_bytes: 100,
-    base_time: Duration::from_millis(100),
-    time_per_byte: Duration::from_millis(10),
+    base_timeout: Duration::from_millis(100),
+    timeout_per_byte: Duration::from_millis(10),
 };
 
 async fn next<B: Body<Data = Bytes> + Unpin>(
@@ -19,8 +19,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn slow_client_is_rejected_but_a_slow_upstream_does_not_count() {
-    // The pace allows 100 ms plus 10 ms per byte, so a client that sends one byte every 9 ms is never too slow.
-    let body = StreamedBody::new(Bytes::from_static(b"ab"), trickle(60, 9), None, PACE);
+    // The limits allow 100 ms plus 10 ms per byte, so a client that sends one byte every 9 ms is never too slow.
+    let body = StreamedBody::new(Bytes::from_static(b"ab"), slow_body(60, 9), None, LIMITS);
     assert!(!body.is_started());
     for _ in 0..30 {
         assert!(next(&body).await.expect("more").is_ok());
@@ -31,7 +31,7 @@
         data.expect("in time");
     }
     assert_eq!((body.bytes_sent(), body.is_complete(), body.client_fault()), (62, true, None));
-    let slow = StreamedBody::new(Bytes::new(), trickle(60, 30), None, PACE);
+    let slow = StreamedBody::new(Bytes::new(), slow_body(60, 30), None, LIMITS);
     let mut last = None;
     while let Some(Ok(_)) = last.insert(next(&slow).await) {}
     assert_eq!(last, Some(Some(Err(BodyError::TooSlow))));
@@ -41,7 +41,7 @@
 #[tokio::test(start_paused = true)]
 async fn completion_is_notified_once_and_too_large_body_never_completes() {
     let notified = Rc::new(Cell::new(0));
-    let body = StreamedBody::new(Bytes::from_static(b"ab"), trickle(3, 1), Some(5), PACE);
+    let body = StreamedBody::new(Bytes::from_static(b"ab"), slow_body(3, 1), Some(5), LIMITS);
     let count = notified.clone();
     body.on_complete(move || count.set(count.get() + 1));
     for expected in [0, 0, 0, 1] {
@@ -50,8 +50,8 @@
     }
     assert!(next(&body).await.is_none());
     assert_eq!(notified.get(), 1);
-    let short = Pace { max_bytes: 4, ..PACE };
-    let body = StreamedBody::new(Bytes::from_static(b"ab"), trickle(3, 1), None, short);
+    let short = BodyLimits { max_bytes: 4, ..LIMITS };
+    let body = StreamedBody::new(Bytes::from_static(b"ab"), slow_body(3, 1), None, short);
     let mut last = None;
     while let Some(Ok(_)) = last.insert(next(&body).await) {}
     assert_eq!((last, body.is_complete()), (Some(Some(Err(BodyError::TooLarge))), false));
@@ -59,7 +59,7 @@
 
 #[tokio::test(start_paused = true)]
 async fn attempt_waits_for_upstream_to_read_then_for_response() {
-    let body = StreamedBody::new(Bytes::from_static(b"ab"), trickle(1, 50), Some(3), PACE);
+    let body = StreamedBody::new(Bytes::from_static(b"ab"), slow_body(1, 50), Some(3), LIMITS);
     let (now, timeout) = (Instant::now(), Duration::from_secs(1));
     let begin_by = now + Duration::from_secs(3);
     assert_eq!(body.attempt_deadline(begin_by, timeout), begin_by);
--- a/crates/gateway/src/upstreams/exchange.rs
+++ b/crates/gateway/src/upstreams/exchange.rs
@@ -101,7 +101,7 @@
     progress: &SendProgress,
     limits: AttemptLimits,
 ) -> Outcome {
-    // The upstream is to blame neither for errors of this machine nor for a short window.
+    // Neither an error of this machine nor a short retry window is a fault of the upstream.
     if progress.is_local_retry() {
         return Outcome::Moot;
     }
