--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -35,7 +35,7 @@
 use open_ids::OpenIds;
 
 /// How long idle connections stay open after `quiesce`. The front polls the readiness every 0.1 s, and continues to send
-/// clients for up to 0.2 s after that.
+/// clients for 0.2 s after that.
 const QUIESCE_NOTICE: Duration = Duration::from_millis(600);
 /// Request bodies that are received or buffered may use the memory limit divided by this in total.
 const BODY_MEMORY_DIVISOR: usize = 8;
--- a/crates/gateway/src/clients/intake.rs
+++ b/crates/gateway/src/clients/intake.rs
@@ -26,8 +26,8 @@
 /// The largest body that is buffered while its request is open, in bytes. A longer body is streamed, and can't be sent
 /// again.
 const MAX_BUFFERED_BODY_BYTES: usize = 2 << 20;
-/// The limits on a client's body. A body may take 2 s plus the time that it takes at 60 KiB/s, since a client that stops
-/// halfway must get a response within 3 s.
+/// The limits on a client's body. A body may take 2 s plus the time that it takes at 60 KiB/s. A client that stops halfway
+/// must get a response within 3 s.
 const BODY_LIMITS: BodyLimits = BodyLimits {
     max_bytes: MAX_BODY_BYTES,
     base_timeout: Duration::from_secs(2),
--- a/crates/gateway/src/stream/tests.rs
+++ b/crates/gateway/src/stream/tests.rs
@@ -5,7 +5,7 @@
 #[test]
 fn accepts_head_of_this_request_with_a_single_length() {
     let raw = RawHead::new(&Rc::default());
-    let plain = |text: &str| {
+    let is_accepted = |text: &str| {
         raw.start_next();
         // The head may arrive in several reads.
         text.as_bytes().chunks(7).for_each(|piece| raw.append(piece));
@@ -15,14 +15,14 @@
     };
     let head = "POST /api?x HTTP/1.1\r\nHost: a\r\nX-Request-Id: r1\r\n";
     let (te, cl) = ("Transfer-Encoding: chunked\r\n", "content-LENGTH: 3\r\n");
-    assert!(plain(&format!("{head}{te}\r\n0\r\n\r\n")));
+    assert!(is_accepted(&format!("{head}{te}\r\n0\r\n\r\n")));
     // A `Content-Length` in a body is no header.
-    assert!(plain(&format!("{head}{te}\r\n13\r\n\r\nContent-Length: 3\r\n\r\n0\r\n\r\n")));
-    assert!(!plain(&format!("{head}{te}{cl}\r\n0\r\n\r\n")));
-    assert!(!plain(&format!("{head}{cl}{te}\r\n0\r\n\r\n")));
-    assert!(!plain(&format!("{head}{te}")), "incomplete head");
+    assert!(is_accepted(&format!("{head}{te}\r\n13\r\n\r\nContent-Length: 3\r\n\r\n0\r\n\r\n")));
+    assert!(!is_accepted(&format!("{head}{te}{cl}\r\n0\r\n\r\n")));
+    assert!(!is_accepted(&format!("{head}{cl}{te}\r\n0\r\n\r\n")));
+    assert!(!is_accepted(&format!("{head}{te}")), "incomplete head");
     let others = [("/api?x", "/api"), ("r1", "r2"), ("POST", "PUT"), ("POST", "\r\n0")];
     for (this, other) in others {
-        assert!(!plain(&format!("{head}{te}\r\n").replace(this, other)), "{other}");
+        assert!(!is_accepted(&format!("{head}{te}\r\n").replace(this, other)), "{other}");
     }
 }
--- a/crates/gateway/src/streamed_body.rs
+++ b/crates/gateway/src/streamed_body.rs
@@ -100,13 +100,13 @@
         self.client_fault.get()
     }
 
-    /// Computes the current deadline of an attempt that sends this body: `begin_by` until the body is started, then
+    /// Computes the current deadline of an attempt that sends this body: `start_deadline` until the body is started, then
     /// [`UPSTREAM_STALL_TIMEOUT`] for the upstream to read more, and `response_timeout` after the last byte.
-    pub fn attempt_deadline(&self, begin_by: Instant, response_timeout: Duration) -> Instant {
+    pub fn attempt_deadline(&self, start_deadline: Instant, response_timeout: Duration) -> Instant {
         if let Some(completed_at) = self.completed_at.get() {
             return completed_at + response_timeout;
         }
-        let Some(last_sent_at) = self.last_sent_at.get() else { return begin_by };
+        let Some(last_sent_at) = self.last_sent_at.get() else { return start_deadline };
         // While the body waits for the client, only the minimum rate of the body limits the attempt.
         let waits_for_client = self.source.borrow().waiting_since.is_some();
         let since = if waits_for_client { Instant::now() } else { last_sent_at };
--- a/crates/gateway/src/streamed_body/tests.rs
+++ b/crates/gateway/src/streamed_body/tests.rs
@@ -61,14 +61,17 @@
 async fn attempt_waits_for_upstream_to_read_then_for_response() {
     let body = StreamedBody::new(Bytes::from_static(b"ab"), slow_body(1, 50), Some(3), LIMITS);
     let (now, timeout) = (Instant::now(), Duration::from_secs(1));
-    let begin_by = now + Duration::from_secs(3);
-    assert_eq!(body.attempt_deadline(begin_by, timeout), begin_by);
+    let start_deadline = now + Duration::from_secs(3);
+    assert_eq!(body.attempt_deadline(start_deadline, timeout), start_deadline);
     next(&body).await;
     assert_eq!(
-        body.attempt_deadline(begin_by, timeout),
+        body.attempt_deadline(start_deadline, timeout),
         now + UPSTREAM_STALL_TIMEOUT,
         "the upstream reads no more"
     );
     next(&body).await;
-    assert_eq!(body.attempt_deadline(begin_by, timeout), now + Duration::from_millis(50) + timeout);
+    assert_eq!(
+        body.attempt_deadline(start_deadline, timeout),
+        now + Duration::from_millis(50) + timeout
+    );
 }
--- a/crates/gateway/src/upstreams/spares.rs
+++ b/crates/gateway/src/upstreams/spares.rs
@@ -29,7 +29,8 @@
 }
 
 impl Spares {
-    /// Records that a request waits until an idle connection becomes reusable.
+    /// Records that a request waits until an idle connection becomes reusable. Returns whether a spare connection has to be
+    /// opened, and the notification of the next one that is open.
     pub(super) fn record_wait(&self, server: ServerId, now: Instant) -> Wait {
         let mut demands = self.0.borrow_mut();
         let Some(demand) = demands.get_mut(&server) else {
