--- a/crates/gateway/src/bodies/trickle.rs
+++ b/crates/gateway/src/bodies/slow_body.rs
@@ -1,4 +1,4 @@
-//! Slow bodies for tests.
+//! Bodies for tests that arrive slowly.
 
 use std::convert::Infallible;
 use std::pin::Pin;
@@ -8,11 +8,11 @@
 use bytes::Bytes;
 use hyper::body::{Body, Frame};
 
-/// A body that another task sends.
+/// A body whose bytes are sent by another task.
 #[derive(Debug)]
-pub struct Trickle(tokio::sync::mpsc::Receiver<Bytes>);
+pub struct SlowBody(tokio::sync::mpsc::Receiver<Bytes>);
 
-impl Body for Trickle {
+impl Body for SlowBody {
     type Data = Bytes;
     type Error = Infallible;
     fn poll_frame(
@@ -23,8 +23,8 @@
     }
 }
 
-/// A body of so many bytes, of which one comes every `interval_ms` milliseconds.
-pub fn trickle(bytes: usize, interval_ms: u64) -> Trickle {
+/// Creates a body of `bytes` bytes, one of which arrives every `interval_ms` milliseconds.
+pub fn slow_body(bytes: usize, interval_ms: u64) -> SlowBody {
     let (sender, receiver) = tokio::sync::mpsc::channel(1);
     tokio::spawn(async move {
         for _ in 0..bytes {
@@ -34,5 +34,5 @@
             }
         }
     });
-    Trickle(receiver)
+    SlowBody(receiver)
 }
