--- a/crates/gateway/src/clients/response.rs
+++ b/crates/gateway/src/clients/response.rs
@@ -74,5 +74,5 @@
     if span.0 <= 0 {
         return None;
     }
-    HeaderValue::from_str(&format!("{:.3}", span.f() / 1e6)).ok()
+    HeaderValue::from_str(&format!("{:.3}", span.as_micros_f64() / 1e6)).ok()
 }
--- a/crates/gateway/src/engine/attempts.rs
+++ b/crates/gateway/src/engine/attempts.rs
@@ -5,7 +5,7 @@
 use std::time::Duration;
 
 use hollowpaddle_policy::interface::{
-    Answer, Event, Outcome, RequestId, ServerId, SignedDuration, Time,
+    CompletedAttempt, Event, Outcome, RequestId, ServerId, SignedDuration, Time,
 };
 use tokio::time::Instant;
 
@@ -176,12 +176,12 @@
         }
         let is_answered = self.requests.get(&id).is_none_or(ActiveRequest::is_answered);
         let latency = SignedDuration(elapsed.as_micros() as i64);
-        let answer = Answer {
-            spent: is_body_spent,
+        let answer = CompletedAttempt {
+            body_consumed: is_body_spent,
             report: result.report,
-            ..Answer::new(id, attempt, server, result.outcome, latency, is_answered)
+            ..CompletedAttempt::new(id, attempt, server, result.outcome, latency, is_answered)
         };
-        self.apply_event(Event::Answered(answer));
+        self.apply_event(Event::AttemptCompleted(answer));
         self.remove_if_finished(id);
     }
 
--- a/crates/gateway/src/engine/endpoint_list.rs
+++ b/crates/gateway/src/engine/endpoint_list.rs
@@ -91,7 +91,7 @@
     pub(super) fn review_subset(&mut self) {
         let now = self.clock.now();
         self.arm_subset_review();
-        let (all, healthy) = self.balancer.standing(now);
+        let (all, healthy) = self.balancer.upstream_counts(now);
         let Some(subset) = &mut self.subset else { return };
         let last_listed = |id| self.upstreams.member(id);
         let mut changed = subset.expire(now, last_listed);
--- a/crates/gateway/src/engine/requests.rs
+++ b/crates/gateway/src/engine/requests.rs
@@ -121,7 +121,7 @@
             key: arrival.key,
             cost_guess: arrival.cost_guess,
             resent: arrival.resent,
-            flows: is_streamed,
+            streams_body: is_streamed,
             ..Request::new(id, arrival.class, self.clock.time(active.deadline))
         };
         self.timers.arm(active.engine_answer_at(), Timer::RequestDeadline(id));
--- a/crates/gateway/src/membership/record.rs
+++ b/crates/gateway/src/membership/record.rs
@@ -40,7 +40,7 @@
             id,
             identity: stable_hash(&self.name),
             zone: self.listing.zone,
-            kind: self.listing.machine_type,
+            machine_type: self.listing.machine_type,
             cell: self.listing.cell,
             status: self.listing.status,
             weight: self.listing.weight,
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -145,7 +145,7 @@
     let pool = Pool::new(budget.upstreams, &config, network.clone());
     let (restored, restored_list) = match stored_state {
         Some(stored) => {
-            let meaning = config.facts.meaning();
+            let meaning = config.facts.numbering_hash();
             let (restored, list) =
                 Restored::read(stored, network.unix_now(), &config.known, meaning);
             (Some(restored), list)
--- a/crates/gateway/src/state_store/restored.rs
+++ b/crates/gateway/src/state_store/restored.rs
@@ -23,7 +23,7 @@
 
 impl Restored {
     /// Reads what was found at `now` (Unix time) under settings of this
-    /// [meaning](hollowpaddle_policy::settings::Facts::meaning), and records this start. Returns with it what applies of the
+    /// [meaning](hollowpaddle_policy::settings::Facts::numbering_hash), and records this start. Returns with it what applies of the
     /// stored endpoint list, over the list `known` to the configuration.
     pub fn read(
         stored: StoredState,
--- a/crates/gateway/src/update_queue/tests.rs
+++ b/crates/gateway/src/update_queue/tests.rs
@@ -129,7 +129,7 @@
     let changed = [
         Member { identity: 8, ..listed },
         Member { zone: 1, ..listed },
-        Member { kind: 1, ..listed },
+        Member { machine_type: 1, ..listed },
         Member { cell: 1, ..listed },
         Member { status: Status::Draining, ..listed },
         Member { status: Status::Gone, ..listed },
--- a/crates/policy/benches/fleet/mod.rs
+++ b/crates/policy/benches/fleet/mod.rs
@@ -7,8 +7,8 @@
 use std::time::{Duration, Instant};
 
 use hollowpaddle_policy::interface::{
-    Action, Answer, Class, Effect, Event, Group, ListKind, Member, Outcome, Request, RequestId,
-    ServerId, Settings, SignedDuration, Time,
+    Action, Class, CompletedAttempt, Effect, Event, Group, ListKind, Member, Outcome, Request,
+    RequestId, ServerId, Settings, SignedDuration, Time,
 };
 use oorandom::Rand64;
 
@@ -170,8 +170,8 @@
                         let latency = SignedDuration(at - sent);
                         let id = RequestId(request);
                         let of = ServerId(server);
-                        let answer = Answer::new(id, 0, of, Outcome::Ok, latency, true);
-                        self.deliver(Event::Answered(answer));
+                        let answer = CompletedAttempt::new(id, 0, of, Outcome::Ok, latency, true);
+                        self.deliver(Event::AttemptCompleted(answer));
                     }
                 }
                 continue;
--- a/crates/policy/src/breakers.rs
+++ b/crates/policy/src/breakers.rs
@@ -32,7 +32,7 @@
             // The attempt was sent before the pause began: the same fault, counted already.
             return;
         }
-        self.until = now.plus(SignedDuration::of(pause * f64::from(1 << self.faults)));
+        self.until = now.plus(SignedDuration::from_micros_f64(pause * f64::from(1 << self.faults)));
         self.faults = (self.faults + 1).min(doublings);
     }
 }
--- a/crates/policy/src/capacity.rs
+++ b/crates/policy/src/capacity.rs
@@ -124,9 +124,9 @@
     /// The number of the group of each class.
     group_of_class: Vec<u32>,
     /// Groups by the machine types that they are bound to.
-    by_kind: FxHashMap<u32, Vec<u32>>,
+    by_machine_type: FxHashMap<u32, Vec<u32>>,
     /// Groups that are bound to no machine type.
-    any_kind: Vec<u32>,
+    any_machine_type: Vec<u32>,
     /// Groups whose sums have changed since the last sweep.
     changed: Vec<u32>,
     /// This balancer's part of the sums as of the last sweep, at most 1.
@@ -140,15 +140,15 @@
         let mut groups = Self {
             groups: vec![CapacityGroup::default()],
             group_of_class: Vec::new(),
-            by_kind: FxHashMap::default(),
-            any_kind: Vec::new(),
+            by_machine_type: FxHashMap::default(),
+            any_machine_type: Vec::new(),
             changed: Vec::new(),
             part: 0.0,
         };
         let mut shared = FxHashMap::default();
         shared.insert((&None, &None), 0);
         for (number, class) in settings.classes.iter().enumerate() {
-            let bounds = (&class.zones, &class.kinds);
+            let bounds = (&class.zones, &class.machine_types);
             let can_be_barred = settings.bars_classes && number < BARRED_CLASSES;
             let found = shared.get(&bounds).copied().filter(|_| !can_be_barred);
             let group = found.unwrap_or_else(|| {
@@ -167,11 +167,11 @@
     fn add(&mut self, number: usize, class: &Class) -> u32 {
         let group = self.groups.len() as u32;
         self.groups.push(CapacityGroup { class: Some(number), ..CapacityGroup::default() });
-        match &class.kinds {
-            None => self.any_kind.push(group),
-            Some(kinds) => {
-                for &kind in kinds {
-                    let groups = self.by_kind.entry(kind).or_default();
+        match &class.machine_types {
+            None => self.any_machine_type.push(group),
+            Some(machine_types) => {
+                for &machine_type in machine_types {
+                    let groups = self.by_machine_type.entry(machine_type).or_default();
                     if groups.last() != Some(&group) {
                         groups.push(group);
                     }
@@ -185,11 +185,11 @@
     /// requests of a class.
     pub(crate) fn groups_of_upstream(
         &self,
-        kind: u32,
+        machine_type: u32,
         serves: impl Fn(usize) -> bool,
     ) -> GroupList {
-        let bound = self.by_kind.get(&kind).into_iter().flatten();
-        let candidates = self.any_kind.iter().chain(bound).copied();
+        let bound = self.by_machine_type.get(&machine_type).into_iter().flatten();
+        let candidates = self.any_machine_type.iter().chain(bound).copied();
         let open = |group: &u32| self.groups[*group as usize].class.is_none_or(&serves);
         let mut list: Vec<u32> = std::iter::once(0).chain(candidates.filter(open)).collect();
         list.sort_unstable();
--- a/crates/policy/src/gauges.rs
+++ b/crates/policy/src/gauges.rs
@@ -8,7 +8,7 @@
     /// is not known.
     pub fn upstream(&self, id: ServerId, t_qos: SignedDuration) -> Option<(u32, u32, f64)> {
         let s = &self.upstreams.servers[*self.upstreams.by_id.get(&id)? as usize];
-        Some((s.in_flight, Self::k(s, 0), self.n_rate(s) * t_qos.f()))
+        Some((s.in_flight, Self::k(s, 0), self.n_rate(s) * t_qos.as_micros_f64()))
     }
 
     /// Sets how many balancers send to each upstream that this one knows; at first all of the
@@ -26,7 +26,7 @@
     }
 
     /// Live upstreams, and how many of them are not ejected for all classes.
-    pub fn standing(&self, now: Time) -> (usize, usize) {
-        self.upstreams.standing(now)
+    pub fn upstream_counts(&self, now: Time) -> (usize, usize) {
+        self.upstreams.upstream_counts(now)
     }
 }
--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -12,7 +12,7 @@
 mod time;
 
 pub use action::{Action, Refusal};
-pub use attempt::{Answer, Outcome, Report};
+pub use attempt::{CompletedAttempt, Outcome, Report};
 pub use class::{Class, Effect, Group, Tenant};
 pub use config::{Limits, Prices, Reports, Rules, ScoringMix, Settings, SettingsError};
 pub use event::Event;
--- a/crates/policy/src/interface/attempt.rs
+++ b/crates/policy/src/interface/attempt.rs
@@ -34,7 +34,7 @@
 
 /// The outcome of an attempt, as the caller saw it.
 #[derive(Clone, Copy, Debug)]
-pub struct Answer {
+pub struct CompletedAttempt {
     /// The request.
     pub request: RequestId,
     /// The number of the attempt, from 0.
@@ -48,12 +48,12 @@
     /// The request is over.
     pub last: bool,
     /// A part of its body was passed on and not stored: it can't be sent again.
-    pub spent: bool,
+    pub body_consumed: bool,
     /// What the upstream reported of itself.
     pub report: Report,
 }
 
-impl Answer {
+impl CompletedAttempt {
     /// An outcome without a load report.
     pub fn new(
         request: RequestId,
@@ -63,8 +63,8 @@
         latency: SignedDuration,
         last: bool,
     ) -> Self {
-        let (spent, report) = (false, Report::default());
-        Self { request, attempt, server, outcome, latency, last, spent, report }
+        let (body_consumed, report) = (false, Report::default());
+        Self { request, attempt, server, outcome, latency, last, body_consumed, report }
     }
 }
 
--- a/crates/policy/src/interface/class.rs
+++ b/crates/policy/src/interface/class.rs
@@ -51,7 +51,7 @@
     /// The only zones that its requests may be sent to; `None` for all.
     pub zones: Option<Vec<u32>>,
     /// The only machine types that its requests may be sent to; `None` for all.
-    pub kinds: Option<Vec<u32>>,
+    pub machine_types: Option<Vec<u32>>,
 }
 
 /// A tenant and its quota.
@@ -78,7 +78,7 @@
             streaming: false,
             in_order: false,
             zones: None,
-            kinds: None,
+            machine_types: None,
         }
     }
 }
--- a/crates/policy/src/interface/config.rs
+++ b/crates/policy/src/interface/config.rs
@@ -166,7 +166,7 @@
     pub bars_classes: bool,
     /// A hash of what the numbers of classes, zones and machine types stand for. What a balancer
     /// has learned under another one does not apply here; see [`crate::learned`].
-    pub meaning: u64,
+    pub numbering_hash: u64,
 }
 
 impl Settings {
@@ -191,7 +191,7 @@
             marks_retry: false,
             reports: Reports::None,
             bars_classes: false,
-            meaning: 0,
+            numbering_hash: 0,
         }
     }
 
--- a/crates/policy/src/interface/event.rs
+++ b/crates/policy/src/interface/event.rs
@@ -1,6 +1,6 @@
 //! Events that the caller delivers.
 
-use super::attempt::{Answer, Report};
+use super::attempt::{CompletedAttempt, Report};
 use super::member::{ListKind, Member, ServerId};
 use super::request::{Request, RequestId};
 use super::time::{SignedDuration, Time};
@@ -30,7 +30,7 @@
         send_deadline: Time,
     },
     /// An attempt has ended.
-    Answered(Answer),
+    AttemptCompleted(CompletedAttempt),
     /// The answer has begun to stream: the request needs no decision any more.
     Started(RequestId),
     /// The client no longer waits and needs no answer.
--- a/crates/policy/src/interface/member.rs
+++ b/crates/policy/src/interface/member.rs
@@ -27,7 +27,7 @@
     /// Its zone.
     pub zone: u32,
     /// Its machine type.
-    pub kind: u32,
+    pub machine_type: u32,
     /// Its cell.
     pub cell: u32,
     /// Its status.
@@ -48,7 +48,7 @@
             id,
             identity: u64::from(id.0),
             zone: 0,
-            kind: 0,
+            machine_type: 0,
             cell: 0,
             status: Status::Live,
             weight: 1.0,
--- a/crates/policy/src/interface/request.rs
+++ b/crates/policy/src/interface/request.rs
@@ -29,7 +29,7 @@
     /// [`Event::BodyReceived`](crate::interface::Event::BodyReceived) reports its last byte. The
     /// client's time counts from there; until then, `send_deadline` says when it must have been
     /// sent.
-    pub flows: bool,
+    pub streams_body: bool,
     /// The only zone and cell that it may be sent to: they hold the state that it needs, or may
     /// have run it before.
     pub sticky_cell: Option<(u32, u32)>,
@@ -47,7 +47,7 @@
             cost_guess: None,
             resent: false,
             write: false,
-            flows: false,
+            streams_body: false,
             sticky_cell: None,
         }
     }
--- a/crates/policy/src/interface/time.rs
+++ b/crates/policy/src/interface/time.rs
@@ -21,11 +21,11 @@
 
 impl SignedDuration {
     /// Its length in microseconds.
-    pub fn f(self) -> f64 {
+    pub fn as_micros_f64(self) -> f64 {
         self.0 as f64
     }
     /// The span of a number of microseconds, cut to whole ones; 0 if it is not a number.
-    pub fn of(us: f64) -> SignedDuration {
+    pub fn from_micros_f64(us: f64) -> SignedDuration {
         SignedDuration(us as i64)
     }
 }
--- a/crates/policy/src/learned.rs
+++ b/crates/policy/src/learned.rs
@@ -17,10 +17,10 @@
 /// microsecond.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Learned {
-    /// [`crate::interface::Settings::meaning`] of the settings under which it was learned; 0 if an
+    /// [`crate::interface::Settings::numbering_hash`] of the settings under which it was learned; 0 if an
     /// older build stored it.
-    #[serde(default)]
-    meaning: u64,
+    #[serde(default, rename = "meaning")]
+    numbering_hash: u64,
     ts: f64,
     #[serde(rename = "good")]
     baseline_ts: f64,
@@ -30,7 +30,8 @@
     answers: f64,
     any_rate: f64,
     classes: Vec<ClassLearned>,
-    kinds: Vec<KindLearned>,
+    #[serde(rename = "kinds")]
+    machine_types: Vec<MachineTypeLearned>,
     upstreams: Vec<UpstreamLearned>,
 }
 
@@ -50,7 +51,7 @@
 
 /// What was learned of one machine type.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
-struct KindLearned {
+struct MachineTypeLearned {
     warm_rate: f64,
     /// The concurrency level in use.
     #[serde(rename = "lanes")]
@@ -59,7 +60,7 @@
     levels: Vec<(f64, f64)>,
 }
 
-impl KindLearned {
+impl MachineTypeLearned {
     /// The concurrency levels, unless the one in use is none that a balancer chooses.
     fn concurrency_levels(&self) -> Option<ConcurrencyLevels> {
         let mut levels = ConcurrencyLevels::FRESH;
@@ -92,7 +93,7 @@
     Classes(usize, usize),
     /// The classes, zones or machine types differ.
     #[error("it was learned of other classes, zones or kinds")]
-    Meaning,
+    Numbering,
     /// Some figure is none that a balancer could have stored.
     #[error("a figure of it is out of range")]
     InvalidFigure,
@@ -124,7 +125,7 @@
             && self.ts > 0.0
             && self.baseline_ts > 0.0
             && self.classes.iter().all(ClassLearned::is_sound)
-            && self.kinds.iter().all(KindLearned::is_sound)
+            && self.machine_types.iter().all(MachineTypeLearned::is_sound)
             && self.upstreams.iter().all(UpstreamLearned::is_sound)
     }
 }
@@ -147,7 +148,7 @@
     }
 }
 
-impl KindLearned {
+impl MachineTypeLearned {
     fn is_sound(&self) -> bool {
         let are_plain = |level: &(f64, f64)| is_plain(level.0) && is_plain(level.1);
         is_plain(self.warm_rate) && self.levels.iter().all(are_plain)
@@ -165,15 +166,17 @@
     pub fn learned(&self) -> Learned {
         let fleet = &self.fleet;
         Learned {
-            meaning: self.settings.meaning,
+            numbering_hash: self.settings.numbering_hash,
             ts: fleet.ts,
             baseline_ts: fleet.baseline_ts,
             leeway: fleet.leeway,
             tolerable_wait: fleet.tolerable_wait,
             answers: fleet.answers,
-            any_rate: self.upstreams.kinds.any_rate,
+            any_rate: self.upstreams.machine_types.any_rate,
             classes: (0..fleet.mean_latency.len()).map(|c| self.learned_of_class(c)).collect(),
-            kinds: (0..self.upstreams.kinds.len()).map(|k| self.learned_of_kind(k)).collect(),
+            machine_types: (0..self.upstreams.machine_types.len())
+                .map(|k| self.learned_of_machine_type(k))
+                .collect(),
             upstreams: self.learned_of_upstreams(),
         }
     }
@@ -188,12 +191,13 @@
         }
     }
 
-    fn learned_of_kind(&self, kind: usize) -> KindLearned {
-        let kinds = &self.upstreams.kinds;
-        let known = kinds.known_levels(kind).into_iter().flat_map(|levels| &levels.level);
-        KindLearned {
-            warm_rate: kinds.rate(kind as u32),
-            level: kinds.levels(kind as u32).count,
+    fn learned_of_machine_type(&self, machine_type: usize) -> MachineTypeLearned {
+        let machine_types = &self.upstreams.machine_types;
+        let known =
+            machine_types.known_levels(machine_type).into_iter().flat_map(|levels| &levels.level);
+        MachineTypeLearned {
+            warm_rate: machine_types.rate(machine_type as u32),
+            level: machine_types.levels(machine_type as u32).count,
             levels: known.map(|level| (level.all, level.expected)).collect(),
         }
     }
@@ -224,15 +228,19 @@
             return Err(RecallError::Classes(learned.classes.len(), classes));
         }
         // Classes are numbered: under other settings the same number stands for another class.
-        if learned.meaning != self.settings.meaning {
-            return Err(RecallError::Meaning);
+        if learned.numbering_hash != self.settings.numbering_hash {
+            return Err(RecallError::Numbering);
         }
         if !learned.is_sound() {
             return Err(RecallError::InvalidFigure);
         }
         self.recall_fleet(now, learned);
-        for (kind, was) in learned.kinds.iter().enumerate() {
-            self.upstreams.kinds.restore(kind, was.warm_rate, was.concurrency_levels());
+        for (machine_type, was) in learned.machine_types.iter().enumerate() {
+            self.upstreams.machine_types.restore(
+                machine_type,
+                was.warm_rate,
+                was.concurrency_levels(),
+            );
         }
         self.recall_upstreams(now, learned);
         self.refresh_fleet(now);
@@ -254,7 +262,7 @@
             fleet.latency_deviation[class] = was.latency_deviation;
             fleet.unanswered_share[class] = was.unanswered_share;
         }
-        self.upstreams.kinds.any_rate = learned.any_rate;
+        self.upstreams.machine_types.any_rate = learned.any_rate;
         self.ranks.restore_parts(learned.classes.iter().map(|c| c.wait_part).collect());
         (0..learned.classes.len()).for_each(|class| self.reset_hedge_delay(class));
     }
--- a/crates/policy/src/list_polling.rs
+++ b/crates/policy/src/list_polling.rs
@@ -106,9 +106,11 @@
         let due = !self.subscribed && self.next.is_some_and(|next| now >= next);
         if due {
             self.polled_at = Some(now);
-            let repeat = SignedDuration::of(self.poll_interval.f() * REPEAT_OF_INTERVAL)
-                .0
-                .min(SILENCE_TIMEOUT.0 + PAUSE.0);
+            let repeat = SignedDuration::from_micros_f64(
+                self.poll_interval.as_micros_f64() * REPEAT_OF_INTERVAL,
+            )
+            .0
+            .min(SILENCE_TIMEOUT.0 + PAUSE.0);
             self.next = Some(now.plus(SignedDuration(repeat)));
         }
         due
@@ -138,13 +140,14 @@
     pub fn rejected(&mut self, now: Time, jitter: f64) {
         self.subscription_ended(now);
         self.polled_at = None;
-        let longest =
-            (self.balancers / LATE_CALLS_PER_SECOND * SECOND_US).max(MIN_LONGEST_PAUSE.f());
-        let longest = longest.min(self.poll_interval.f() * LONGEST_PAUSE_OF_INTERVAL);
-        let shortest = (self.balancers / CALLS_PER_SECOND * SECOND_US).max(MIN_REJECTED_PAUSE.f());
-        let pause = now.since(self.missing_since).f().max(shortest).min(longest);
+        let longest = (self.balancers / LATE_CALLS_PER_SECOND * SECOND_US)
+            .max(MIN_LONGEST_PAUSE.as_micros_f64());
+        let longest = longest.min(self.poll_interval.as_micros_f64() * LONGEST_PAUSE_OF_INTERVAL);
+        let shortest =
+            (self.balancers / CALLS_PER_SECOND * SECOND_US).max(MIN_REJECTED_PAUSE.as_micros_f64());
+        let pause = now.since(self.missing_since).as_micros_f64().max(shortest).min(longest);
         let share = CERTAIN_PART + (1.0 - CERTAIN_PART) * jitter;
-        self.next = self.next.map(|_| now.plus(SignedDuration::of(pause * share)));
+        self.next = self.next.map(|_| now.plus(SignedDuration::from_micros_f64(pause * share)));
     }
 
     /// The list has been missing from now on, if there was a subscription.
@@ -157,6 +160,8 @@
     /// A random wait of `longest` at most.
     fn backoff(&self, longest: SignedDuration, jitter: f64) -> SignedDuration {
         let share = JITTER_OF_INTERVAL * f64::from(1 << self.failures);
-        SignedDuration::of(jitter * (share * self.poll_interval.f()).min(longest.f()))
+        SignedDuration::from_micros_f64(
+            jitter * (share * self.poll_interval.as_micros_f64()).min(longest.as_micros_f64()),
+        )
     }
 }
--- a/crates/policy/src/machine_types.rs
+++ b/crates/policy/src/machine_types.rs
@@ -80,7 +80,8 @@
 impl MachineTypes {
     /// No type is known yet.
     pub(crate) fn new(settings: &Settings) -> Self {
-        let bound = settings.classes.iter().filter_map(|c| c.kinds.as_ref()).flatten().max();
+        let bound =
+            settings.classes.iter().filter_map(|c| c.machine_types.as_ref()).flatten().max();
         let named = bound.map_or(0, |last| last.saturating_add(1));
         Self {
             types: Vec::new(),
@@ -95,8 +96,8 @@
 
     /// The number under which figures of a machine type are kept; there is a place for it from then
     /// on.
-    pub(crate) fn enter(&mut self, kind: u32) -> u32 {
-        let index = kind.min(self.limit - 1);
+    pub(crate) fn enter(&mut self, machine_type: u32) -> u32 {
+        let index = machine_type.min(self.limit - 1);
         if index as usize >= self.types.len() {
             self.types.resize_with(index as usize + 1, MachineType::default);
         }
@@ -111,26 +112,26 @@
     // ------------------------------------------------------------ warm upstreams and what they serve
 
     /// An upstream of this weight has become warm, or is not any more.
-    pub(crate) fn change_warm(&mut self, kind: u32, weight: f64, is_warm: bool) {
-        let of = &mut self.types[kind as usize];
+    pub(crate) fn change_warm(&mut self, machine_type: u32, weight: f64, is_warm: bool) {
+        let of = &mut self.types[machine_type as usize];
         if is_warm {
             of.warm_weight.add(weight);
         } else {
             of.warm_weight.sub(weight);
         }
-        self.active.insert(kind as usize);
-        self.count_unknown(kind as usize);
+        self.active.insert(machine_type as usize);
+        self.count_unknown(machine_type as usize);
     }
 
     /// A warm upstream has served one request.
-    pub(crate) fn count_served(&mut self, kind: u32) {
-        self.types[kind as usize].served += 1.0;
-        self.active.insert(kind as usize);
+    pub(crate) fn count_served(&mut self, machine_type: u32) {
+        self.types[machine_type as usize].served += 1.0;
+        self.active.insert(machine_type as usize);
     }
 
     /// Answers a microsecond that one unit of weight of a type has been seen to give lately.
-    pub(crate) fn rate(&self, kind: u32) -> f64 {
-        self.types.get(kind as usize).map_or(0.0, |t| t.rate)
+    pub(crate) fn rate(&self, machine_type: u32) -> f64 {
+        self.types.get(machine_type as usize).map_or(0.0, |t| t.rate)
     }
 
     /// Decays counts and peaks, and takes in what was served since.
@@ -141,8 +142,8 @@
     pub(crate) fn refresh(&mut self, decay: Decay) {
         let mut is_past_changed = false;
         let mut served = 0.0;
-        for &kind in &self.active {
-            let of = &mut self.types[kind];
+        for &machine_type in &self.active {
+            let of = &mut self.types[machine_type];
             of.served *= decay.count;
             served += of.served;
             let past = (of.past_weight * decay.count).max(of.warm_weight.get());
@@ -154,8 +155,8 @@
         }
         decay.update_peak(&mut self.any_rate, served, self.past_weight);
         let types = &mut self.types;
-        self.active.retain(|&kind| {
-            let of = &mut types[kind];
+        self.active.retain(|&machine_type| {
+            let of = &mut types[machine_type];
             decay.update_peak(&mut of.rate, of.served, of.past_weight);
             of.served != 0.0 || of.rate != 0.0 || of.past_weight != of.warm_weight.get()
         });
@@ -164,28 +165,28 @@
     // ------------------------------------------------------------ concurrency levels
 
     /// The concurrency levels of a type.
-    pub(crate) fn levels(&self, kind: u32) -> &ConcurrencyLevels {
-        self.types[kind as usize].levels.as_deref().unwrap_or(&FRESH)
+    pub(crate) fn levels(&self, machine_type: u32) -> &ConcurrencyLevels {
+        self.types[machine_type as usize].levels.as_deref().unwrap_or(&FRESH)
     }
 
     /// The concurrency levels of a type, to book work in.
-    pub(crate) fn levels_mut(&mut self, kind: u32) -> &mut ConcurrencyLevels {
-        let of = &mut self.types[kind as usize];
+    pub(crate) fn levels_mut(&mut self, machine_type: u32) -> &mut ConcurrencyLevels {
+        let of = &mut self.types[machine_type as usize];
         if !std::mem::replace(&mut of.has_new_work, true) {
-            self.with_new_work.push(kind as usize);
+            self.with_new_work.push(machine_type as usize);
         }
         of.levels.get_or_insert_with(|| Box::new(ConcurrencyLevels::FRESH))
     }
 
     /// Ends a round for the types for which work was booked.
     pub(crate) fn choose_levels(&mut self) {
-        for kind in std::mem::take(&mut self.with_new_work) {
-            let of = &mut self.types[kind];
+        for machine_type in std::mem::take(&mut self.with_new_work) {
+            let of = &mut self.types[machine_type];
             of.has_new_work = false;
             if let Some(levels) = &mut of.levels {
                 levels.choose();
             }
-            self.count_unknown(kind);
+            self.count_unknown(machine_type);
         }
     }
 
@@ -194,8 +195,8 @@
         self.unknown == 0
     }
 
-    fn count_unknown(&mut self, kind: usize) {
-        let of = &mut self.types[kind];
+    fn count_unknown(&mut self, machine_type: usize) {
+        let of = &mut self.types[machine_type];
         let known = of.levels.as_deref().unwrap_or(&FRESH).next_probe().is_known;
         let is_unknown = of.warm_weight.get() != 0.0 && !known;
         let was_unknown = std::mem::replace(&mut of.is_unknown, is_unknown);
@@ -205,13 +206,18 @@
     // ------------------------------------------------------------ what is restored
 
     /// The concurrency levels of a type, unless no work was seen.
-    pub(crate) fn known_levels(&self, kind: usize) -> Option<&ConcurrencyLevels> {
-        self.types[kind].levels.as_deref()
+    pub(crate) fn known_levels(&self, machine_type: usize) -> Option<&ConcurrencyLevels> {
+        self.types[machine_type].levels.as_deref()
     }
 
     /// Sets the rate of a type, and its levels if they are given; work of the present round stays.
-    pub(crate) fn restore(&mut self, kind: usize, rate: f64, levels: Option<ConcurrencyLevels>) {
-        let Some(of) = self.types.get_mut(kind) else { return };
+    pub(crate) fn restore(
+        &mut self,
+        machine_type: usize,
+        rate: f64,
+        levels: Option<ConcurrencyLevels>,
+    ) {
+        let Some(of) = self.types.get_mut(machine_type) else { return };
         of.rate = rate;
         let is_informative = |levels: &ConcurrencyLevels| of.levels.is_some() || !levels.is_fresh();
         if let Some(mut levels) = levels.filter(is_informative) {
@@ -221,7 +227,7 @@
             }
             of.levels = Some(Box::new(levels));
         }
-        self.active.insert(kind);
-        self.count_unknown(kind);
+        self.active.insert(machine_type);
+        self.count_unknown(machine_type);
     }
 }
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -137,7 +137,7 @@
                 self.give_up_all(queued, Refusal::ListExpired, out);
             }
             Event::Request(request) => self.request(now, request, out),
-            Event::Answered(answer) => self.outcome(now, answer, out),
+            Event::AttemptCompleted(answer) => self.outcome(now, answer, out),
             Event::BodyReceived { request, send_deadline } => {
                 self.body_complete(now, request, send_deadline)
             }
--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -33,7 +33,7 @@
         self.queue.insert(now, id, entry);
         let is_within_quota = self.is_within_quota(now, request.tenant);
         let wait = waiting_for_key as f64 * self.fleet.mean_latency[request.class];
-        let earliest_start = now.plus(SignedDuration::of(wait));
+        let earliest_start = now.plus(SignedDuration::from_micros_f64(wait));
         let at_once = self.pick_at_once(now, &request, is_within_quota);
         if earliest_start >= queue_deadline {
             return self.refuse(id, Refusal::DeadlineTooClose, out);
@@ -97,7 +97,8 @@
         let (classes, mean) = (&self.settings.classes, &self.fleet.mean_latency);
         self.ranks.refresh(|c| Figures {
             value: classes[c].priority_weight / mean[c].max(1.0),
-            bearable: classes[c].latency_objective.f() * MAX_WAIT_OF_OBJECTIVE - mean[c],
+            bearable: classes[c].latency_objective.as_micros_f64() * MAX_WAIT_OF_OBJECTIVE
+                - mean[c],
         });
         self.fleet.tolerable_wait = self.ranks.least_bearable().max(0.0);
     }
@@ -114,7 +115,7 @@
     pub(super) fn refuse(&mut self, request: RequestId, reason: Refusal, out: &mut Vec<Action>) {
         let longest = self.settings.limits.max_retry_after;
         let retry_after =
-            SignedDuration::of(self.fleet.ts + self.fleet.tolerable_wait).min(longest);
+            SignedDuration::from_micros_f64(self.fleet.ts + self.fleet.tolerable_wait).min(longest);
         out.push(Action::Refuse { request, retry_after, reason });
         self.end(request);
     }
--- a/crates/policy/src/policy/concurrency.rs
+++ b/crates/policy/src/policy/concurrency.rs
@@ -34,13 +34,13 @@
     /// Only the balancer's own upstreams are probed, so that probes of different balancers do not
     /// meet.
     pub(super) fn refresh_probes(&mut self, now: Time) {
-        let are_levels_known = self.upstreams.kinds.are_levels_known();
+        let are_levels_known = self.upstreams.machine_types.are_levels_known();
         let length = if are_levels_known { PROBE_OF_TS } else { FIRST_PROBE_OF_TS };
-        if now.since(self.fleet.probed_at).f() < self.fleet.ts * length {
+        if now.since(self.fleet.probed_at).as_micros_f64() < self.fleet.ts * length {
             return;
         }
         self.fleet.probed_at = now;
-        self.upstreams.kinds.choose_levels();
+        self.upstreams.machine_types.choose_levels();
         for i in std::mem::take(&mut self.probed) {
             self.upstreams.servers[i].probe = 0;
             self.refresh_availability(now, i);
@@ -76,7 +76,7 @@
         let sharers = self.upstreams.sharers;
         let share = (1.0 / (sharers * sharers)).min(MAX_FIRST_PROBES);
         for &i in candidates {
-            let levels = self.upstreams.kinds.levels(self.upstreams.servers[i].type_index);
+            let levels = self.upstreams.machine_types.levels(self.upstreams.servers[i].type_index);
             let (current, next) = (levels.count, levels.next_probe());
             if !next.is_known && self.rng.rand_float() < share {
                 self.start_probe(now, i, (next.level - current) as i32);
@@ -88,7 +88,7 @@
     fn start_later_probe(&mut self, now: Time, candidates: &[usize]) {
         let higher = self.sample(candidates);
         let lower = self.sample(candidates);
-        let levels = self.upstreams.kinds.levels(self.upstreams.servers[higher].type_index);
+        let levels = self.upstreams.machine_types.levels(self.upstreams.servers[higher].type_index);
         let (current, next) = (levels.count, levels.next_probe());
         if !next.is_known {
             return;
@@ -96,7 +96,8 @@
         if self.rng.rand_float() < LATER_PROBES * candidates.len() as f64 {
             self.start_probe(now, higher, (next.level - current) as i32);
         } else {
-            let levels = self.upstreams.kinds.levels(self.upstreams.servers[lower].type_index);
+            let levels =
+                self.upstreams.machine_types.levels(self.upstreams.servers[lower].type_index);
             let fewer = (levels.count - 1).min((levels.count / 3).max(1));
             self.start_probe(now, lower, -(fewer as i32));
         }
@@ -125,14 +126,14 @@
     /// levels below, which lasted for no time, they would make these look faster than they are.
     pub(super) fn count_level(&mut self, now: Time, server: usize, answered: Option<usize>) {
         let s = &self.upstreams.servers[server];
-        let passed = now.since(s.in_flight_changed).f();
+        let passed = now.since(s.in_flight_changed).as_micros_f64();
         let level = s.in_flight as usize;
         let ts = self.ts(s);
         let is_at_once = answered.is_some() && passed < ts * AT_ONCE_OF_TS;
         let done_at = if is_at_once { level.max(s.level_at_last_answer as usize) } else { level };
         if self.is_representative(now, s) && (1..=MAX_CONCURRENCY).contains(&level) {
             let work = answered.map_or(0.0, |class| self.fleet.mean_latency[class] / self.fleet.ts);
-            let levels = &mut self.upstreams.kinds.levels_mut(s.type_index).level;
+            let levels = &mut self.upstreams.machine_types.levels_mut(s.type_index).level;
             levels[level].time += passed.min(ts * MAX_GAP_OF_TS);
             levels[done_at.min(MAX_CONCURRENCY)].done += work;
         }
--- a/crates/policy/src/policy/dispatch.rs
+++ b/crates/policy/src/policy/dispatch.rs
@@ -116,11 +116,11 @@
     /// responsible for the time.
     pub(super) fn body_complete(&mut self, now: Time, id: RequestId, send_deadline: Time) {
         let margin = self.give_up_margin();
-        let Some(entry) = self.queue.get_mut(id).filter(|e| e.flows) else { return };
+        let Some(entry) = self.queue.get_mut(id).filter(|e| e.streams_body) else { return };
         entry.set_deadlines(now, &self.settings.classes[entry.class], send_deadline, margin);
-        entry.flows = false;
+        entry.streams_body = false;
         // What was passed on while it arrived is not stored.
-        entry.spent = true;
+        entry.body_consumed = true;
         let in_flight = |a: &&mut Attempt| a.state == AttemptState::InFlight;
         if let Some(attempt) = entry.attempts.last_mut().filter(in_flight) {
             let had_lost_slot = attempt.slot_released;
--- a/crates/policy/src/policy/estimation.rs
+++ b/crates/policy/src/policy/estimation.rs
@@ -19,7 +19,7 @@
 
 /// T_QoS in microseconds: one target for all, the mean latency objective of the classes.
 pub(super) fn t_qos(settings: &Settings) -> f64 {
-    settings.classes.iter().map(|c| c.latency_objective.f()).sum::<f64>()
+    settings.classes.iter().map(|c| c.latency_objective.as_micros_f64()).sum::<f64>()
         / settings.classes.len() as f64
 }
 
@@ -56,7 +56,7 @@
 
     /// Requests that upstreams of its machine type run side by side.
     pub(super) fn concurrency(&self, s: &Server) -> f64 {
-        self.upstreams.kinds.levels(s.type_index).count as f64
+        self.upstreams.machine_types.levels(s.type_index).count as f64
     }
 
     /// K_i, at most N_i.
@@ -82,7 +82,7 @@
     /// concurrency level gets more done, it is assumed to, or a fresh balancer would reject
     /// requests beside idle upstreams.
     fn n_optimistic(&self, s: &Server) -> f64 {
-        let levels = self.upstreams.kinds.levels(s.type_index);
+        let levels = self.upstreams.machine_types.levels(s.type_index);
         let next = levels.next_probe();
         let gain = if next.is_known { 1.0 } else { next.level as f64 / levels.count as f64 };
         self.n_rate(s) * gain
--- a/crates/policy/src/policy/hedging.rs
+++ b/crates/policy/src/policy/hedging.rs
@@ -33,7 +33,7 @@
     is_overdue: bool,
     is_hedge_due: bool,
     /// The client's body is still arriving, so that the delay is not the upstream's fault.
-    flows: bool,
+    streams_body: bool,
 }
 
 impl Balancer {
@@ -47,10 +47,10 @@
             return (at, at);
         }
         let overdue_after = mean + OVERDUE_DEVIATIONS * deviation;
-        let latest_hedge = tracked.queue_deadline.since(tracked.sent).f() - mean;
+        let latest_hedge = tracked.queue_deadline.since(tracked.sent).as_micros_f64() - mean;
         let hedge_after = overdue_after.min(latest_hedge).max(mean * MIN_HEDGE_MEANS);
-        let overdue_at = tracked.sent.plus(SignedDuration::of(overdue_after));
-        (overdue_at, tracked.sent.plus(SignedDuration::of(hedge_after)))
+        let overdue_at = tracked.sent.plus(SignedDuration::from_micros_f64(overdue_after));
+        (overdue_at, tracked.sent.plus(SignedDuration::from_micros_f64(hedge_after)))
     }
 
     /// Recomputes the least delay after which attempts of a class may be due, from its mean
@@ -60,7 +60,7 @@
         let deviation = self.fleet.latency_deviation[class];
         let least = (mean + OVERDUE_DEVIATIONS * deviation).min(mean * MIN_HEDGE_MEANS);
         let objective = self.settings.classes[class].latency_objective;
-        let delay = if mean == 0.0 { objective } else { SignedDuration::of(least) };
+        let delay = if mean == 0.0 { objective } else { SignedDuration::from_micros_f64(least) };
         self.tracker.set_hedge_delay(class, delay);
     }
 
@@ -106,7 +106,7 @@
             overdue_at,
             is_overdue: attempt.overdue || now >= overdue_at,
             is_hedge_due: attempt.hedge_due || now >= hedge_at,
-            flows: entry.flows,
+            streams_body: entry.streams_body,
         };
         tracked.was_due = true;
         self.tracker.retain(tracked);
@@ -119,13 +119,13 @@
         let is_hedged = self.may_hedge(now, &due);
         let is_lost = self.is_lost(now, &due);
         let s = &mut self.upstreams.servers[server];
-        if is_lost && !due.flows && s.last_answered_sent <= due.attempt.sent {
+        if is_lost && !due.streams_body && s.last_answered_sent <= due.attempt.sent {
             // Of those not overtaken, one is given up between two answers of an upstream.
             s.last_answered_sent = Time(i64::MIN);
         }
-        if due.is_overdue && !due.attempt.overdue && !due.flows {
+        if due.is_overdue && !due.attempt.overdue && !due.streams_body {
             let mean = self.fleet.mean_latency[due.class].max(1.0);
-            s.estimate.learn(Outcome::Timeout, now.since(due.attempt.sent).f(), mean);
+            s.estimate.learn(Outcome::Timeout, now.since(due.attempt.sent).as_micros_f64(), mean);
             s.by_class.get_mut(due.class).trip(now, mean, MAX_CLASS_PAUSE_DOUBLINGS);
         }
         if is_hedged {
@@ -161,7 +161,7 @@
             && self.hedge_budget >= 1.0
             && !entry.is_finished
             && !entry.is_queued
-            && !entry.flows
+            && !entry.streams_body
             && now < entry.queue_deadline
             && self.has_upstream(now, entry)
     }
@@ -177,6 +177,8 @@
         let is_overtaken = answered > sent;
         let has_timed_out =
             answered > Time(i64::MIN) && now >= due.overdue_at.plus(due.overdue_at.since(sent));
-        due.is_overdue && !due.attempt.slot_released && (is_overtaken || has_timed_out || due.flows)
+        due.is_overdue
+            && !due.attempt.slot_released
+            && (is_overtaken || has_timed_out || due.streams_body)
     }
 }
--- a/crates/policy/src/policy/outlier.rs
+++ b/crates/policy/src/policy/outlier.rs
@@ -4,7 +4,7 @@
 
 use super::Balancer;
 use crate::estimate::SLOWNESS_GAIN;
-use crate::interface::{Action, Answer, Outcome, Time};
+use crate::interface::{Action, CompletedAttempt, Outcome, Time};
 use crate::request_state::{Attempt, AttemptState};
 
 /// First pause of an upstream that rejected a request or can't be reached, in mean service times.
@@ -17,7 +17,7 @@
 
 impl Balancer {
     /// An attempt has ended: books its outcome, then retries or ends its request.
-    pub(super) fn outcome(&mut self, now: Time, answer: Answer, out: &mut Vec<Action>) {
+    pub(super) fn outcome(&mut self, now: Time, answer: CompletedAttempt, out: &mut Vec<Action>) {
         let Some(entry) = self.queue.get_mut(answer.request) else { return };
         let in_flight = |a: &&mut Attempt| a.state == AttemptState::InFlight;
         let Some(attempt) = entry.attempts.get_mut(answer.attempt).filter(in_flight) else {
@@ -29,8 +29,8 @@
             AttemptState::MayHaveRun
         };
         let attempt = *attempt;
-        entry.spent |= answer.spent;
-        entry.flows &= !answer.spent;
+        entry.body_consumed |= answer.body_consumed;
+        entry.streams_body &= !answer.body_consumed;
         let (class, ordering_key) = (entry.class, entry.ordering_key);
         if matches!(answer.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
             // It may still be running at the upstream.
@@ -47,12 +47,15 @@
     }
 
     /// Updates all estimates by an outcome, and frees the slot of its attempt.
-    fn learn(&mut self, now: Time, class: usize, attempt: Attempt, answer: &Answer) {
+    fn learn(&mut self, now: Time, class: usize, attempt: Attempt, answer: &CompletedAttempt) {
         let server = attempt.server;
         let outcome = answer.outcome;
         let is_ok = outcome == Outcome::Ok;
         // One absurd latency must not put the mean of its class out of reach.
-        let latency = answer.latency.f().clamp(1.0, self.settings.classes[class].deadline.f());
+        let latency = answer
+            .latency
+            .as_micros_f64()
+            .clamp(1.0, self.settings.classes[class].deadline.as_micros_f64());
         self.count_level(now, server, is_ok.then_some(class));
         // A probed upstream runs more requests than it usually does: its latency says nothing of
         // its speed.
@@ -87,7 +90,7 @@
     fn count_served(&mut self, now: Time, server: usize, outcome: Outcome) {
         let s = &self.upstreams.servers[server];
         if outcome == Outcome::Ok && self.warm_up_share(now, s).is_none() {
-            self.upstreams.kinds.count_served(s.type_index);
+            self.upstreams.machine_types.count_served(s.type_index);
         }
     }
 
--- a/crates/policy/src/policy/retry.rs
+++ b/crates/policy/src/policy/retry.rs
@@ -8,7 +8,7 @@
     /// Whether a request may be attempted now, at the upstreams of its [`Self::affinity`]. Nothing
     /// else decides this.
     pub(super) fn may_attempt(&self, now: Time, entry: &RequestState) -> bool {
-        let is_used_up = entry.spent || entry.attempts.len() >= self.max_attempts;
+        let is_used_up = entry.body_consumed || entry.attempts.len() >= self.max_attempts;
         if entry.is_finished || now >= self.send_by(entry) || is_used_up || self.expired {
             return false;
         }
--- a/crates/policy/src/policy/slow_start.rs
+++ b/crates/policy/src/policy/slow_start.rs
@@ -29,7 +29,7 @@
         if age >= rules.warm_up {
             return None;
         }
-        let grown = (age.f() / rules.warm_up.f()).max(0.0);
+        let grown = (age.as_micros_f64() / rules.warm_up.as_micros_f64()).max(0.0);
         let initial = rules.warm_up_initial_share;
         Some(initial + (1.0 - initial) * grown)
     }
@@ -44,8 +44,9 @@
     fn earned_sends(&self, now: Time, s: &Server) -> Option<f64> {
         let share = self.warm_up_share(now, s)?;
         let pace = self.warm_up_pace(s) * share;
-        let earned = s.earned_sends + now.since(s.earned_at).f().max(0.0) * pace;
-        let retained = pace * self.settings.rules.overload_window.f() * RETENTION_OF_WINDOW;
+        let earned = s.earned_sends + now.since(s.earned_at).as_micros_f64().max(0.0) * pace;
+        let retained =
+            pace * self.settings.rules.overload_window.as_micros_f64() * RETENTION_OF_WINDOW;
         if retained >= 1.0 {
             return Some(earned.min(1.0));
         }
@@ -55,9 +56,10 @@
     /// Sends per microsecond that this balancer may direct at an upstream like `s` once it is warm.
     fn warm_up_pace(&self, s: &Server) -> f64 {
         let fleet = &self.fleet;
-        let kinds = &self.upstreams.kinds;
-        let observed_for_type = kinds.rate(s.type_index);
-        let observed = if observed_for_type > 0.0 { observed_for_type } else { kinds.any_rate };
+        let machine_types = &self.upstreams.machine_types;
+        let observed_for_type = machine_types.rate(s.type_index);
+        let observed =
+            if observed_for_type > 0.0 { observed_for_type } else { machine_types.any_rate };
         let observed = s.weight * observed;
         let multiple = self.settings.rules.overload_multiple.max(1.0);
         // With every upstream warming up, or nothing observed yet, some pace must remain.
@@ -82,12 +84,13 @@
     /// until then.
     pub(super) fn next_send_at(&self, now: Time, s: &Server) -> Time {
         let pace = self.warm_up_pace(s);
-        let passed = now.since(s.earned_at).f().max(0.0);
+        let passed = now.since(s.earned_at).as_micros_f64().max(0.0);
         let earned = s.earned_sends + passed * pace * self.warm_up_share(now, s).unwrap_or(1.0);
         let missing = earned.floor() + 1.0 - s.earned_sends;
         let earned_at_share_of = |at: Time| {
             let share = self.warm_up_share(at, s).unwrap_or(1.0);
-            s.earned_at.plus(SignedDuration::of((missing / (pace * share)).min(MAX_WAIT_US)))
+            s.earned_at
+                .plus(SignedDuration::from_micros_f64((missing / (pace * share)).min(MAX_WAIT_US)))
         };
         // The share that is reached by the first estimate gives an earlier one.
         earned_at_share_of(earned_at_share_of(now)).max(now.plus(SignedDuration(1)))
@@ -106,12 +109,12 @@
     /// all paces.
     pub(super) fn decay_rates(&mut self, now: Time) {
         let last = std::mem::replace(&mut self.fleet.decayed_at, now);
-        let elapsed = now.since(last).f();
+        let elapsed = now.since(last).as_micros_f64();
         self.fleet.paced_ts = self.fleet.ts;
-        let window = self.settings.rules.overload_window.f().max(1.0);
-        let warm_up = self.settings.rules.warm_up.f().max(1.0);
+        let window = self.settings.rules.overload_window.as_micros_f64().max(1.0);
+        let warm_up = self.settings.rules.warm_up.as_micros_f64().max(1.0);
         let count = (-elapsed / window).exp();
         let peak = (-elapsed / warm_up).exp();
-        self.upstreams.kinds.refresh(Decay { count, window, peak });
+        self.upstreams.machine_types.refresh(Decay { count, window, peak });
     }
 }
--- a/crates/policy/src/quotas.rs
+++ b/crates/policy/src/quotas.rs
@@ -40,7 +40,7 @@
 impl Quotas {
     /// No tenant has sent anything yet.
     pub(crate) fn new(settings: &Settings, now: Time) -> Self {
-        let deadlines = settings.classes.iter().map(|c| c.deadline.f());
+        let deadlines = settings.classes.iter().map(|c| c.deadline.as_micros_f64());
         Self {
             started: now,
             balancers: f64::from(settings.balancers),
@@ -59,7 +59,8 @@
             self.order.push_back(tenant);
             Bucket { tokens: 1.0, refilled_at: self.started }
         });
-        bucket.tokens = (bucket.tokens + rate * now.since(bucket.refilled_at).f()).min(most);
+        bucket.tokens =
+            (bucket.tokens + rate * now.since(bucket.refilled_at).as_micros_f64()).min(most);
         bucket.refilled_at = now;
         bucket.tokens
     }
@@ -75,7 +76,7 @@
     /// Checks a few buckets and drops those that are full; `settings` gives the quotas.
     pub(crate) fn drop_full(&mut self, now: Time, settings: &Settings) {
         // Before that, a bucket that is not stored may not be full.
-        if now.since(self.started).f() < self.longest_deadline {
+        if now.since(self.started).as_micros_f64() < self.longest_deadline {
             return;
         }
         for _ in 0..BUCKETS_PER_CALL.min(self.order.len()) {
@@ -83,7 +84,7 @@
             let quota = settings.tenants.get(tenant as usize).map_or(0.0, |t| t.quota_rps);
             let (rate, most) = self.rate_and_most(quota);
             let bucket = self.buckets[&tenant];
-            if bucket.tokens + rate * now.since(bucket.refilled_at).f() >= most {
+            if bucket.tokens + rate * now.since(bucket.refilled_at).as_micros_f64() >= most {
                 self.buckets.remove(&tenant);
             } else {
                 self.order.push_back(tenant);
--- a/crates/policy/src/quotas/tests.rs
+++ b/crates/policy/src/quotas/tests.rs
@@ -26,9 +26,10 @@
 impl Dense {
     fn refill(&mut self, now: Time, settings: &Settings, tenant: usize) -> f64 {
         let rate = settings.tenants[tenant].quota_rps / 1e6 / f64::from(settings.balancers);
-        let most = rate * settings.classes.iter().map(|c| c.deadline.f()).fold(0.0, f64::max);
+        let most =
+            rate * settings.classes.iter().map(|c| c.deadline.as_micros_f64()).fold(0.0, f64::max);
         let q = &mut self.buckets[tenant];
-        q.tokens = (q.tokens + rate * now.since(q.refilled_at).f()).min(most.max(1.0));
+        q.tokens = (q.tokens + rate * now.since(q.refilled_at).as_micros_f64()).min(most.max(1.0));
         q.refilled_at = now;
         q.tokens
     }
--- a/crates/policy/src/request_state.rs
+++ b/crates/policy/src/request_state.rs
@@ -90,9 +90,9 @@
     /// Requests of the same key run one after another.
     pub(crate) ordering_key: Option<u64>,
     /// Its body is still arriving: the delay of its attempt is no upstream's fault.
-    pub(crate) flows: bool,
+    pub(crate) streams_body: bool,
     /// Part of its body was passed on and not stored: it can't be sent again.
-    pub(crate) spent: bool,
+    pub(crate) body_consumed: bool,
     /// The only zone and cell that it may be sent to.
     pub(crate) sticky_cell: Option<(u32, u32)>,
 }
@@ -112,8 +112,8 @@
             sub_queue: SubQueue::Fresh(0),
             is_enqueued: false,
             ordering_key: request.key.filter(|_| in_order),
-            flows: request.flows,
-            spent: false,
+            streams_body: request.streams_body,
+            body_consumed: false,
             sticky_cell: request.sticky_cell,
         }
     }
--- a/crates/policy/src/settings/conversion.rs
+++ b/crates/policy/src/settings/conversion.rs
@@ -11,7 +11,7 @@
     /// A hash of what the numbers of classes, zones and machine types stand for.
     ///
     /// It is equal for two settings exactly if these names stand in the same order in both.
-    pub fn meaning(&self) -> u64 {
+    pub fn numbering_hash(&self) -> u64 {
         let classes: Vec<&str> = self.services.iter().map(|s| s.name.as_str()).collect();
         stable_hash(&format!("{classes:?} {:?} {:?}", self.zones, self.machine_types))
     }
@@ -36,7 +36,7 @@
             marks_retry: self.client_habits.marks_retry,
             reports: self.stats.how.reports(),
             bars_classes: false,
-            meaning: self.meaning(),
+            numbering_hash: self.numbering_hash(),
         }
     }
 
@@ -62,7 +62,7 @@
             streaming: self.streaming,
             in_order: self.by_arrival,
             zones: self.zones_allowed.clone(),
-            kinds: self.bound_to.clone(),
+            machine_types: self.bound_to.clone(),
         }
     }
 }
--- a/crates/policy/src/upstreams.rs
+++ b/crates/policy/src/upstreams.rs
@@ -49,7 +49,7 @@
     /// Classes that some upstream is ejected for.
     ejected_classes: FxHashMap<u32, EjectedClass>,
     /// Figures by machine type.
-    pub(crate) kinds: MachineTypes,
+    pub(crate) machine_types: MachineTypes,
     /// When the availability of an upstream may change by itself.
     pub(crate) timers: Timers,
 }
@@ -66,7 +66,7 @@
             zoned: settings.classes.iter().any(|c| c.group == Group::Zone),
             capacity_groups: CapacityGroups::new(&settings),
             ejected_classes: FxHashMap::default(),
-            kinds: MachineTypes::new(&settings),
+            machine_types: MachineTypes::new(&settings),
             timers: Timers::default(),
             sharers: f64::from(settings.balancers),
             settings,
@@ -81,11 +81,11 @@
 
     /// The capacity groups that an upstream belongs to.
     fn groups_of(&self, s: &Server) -> GroupList {
-        self.capacity_groups.groups_of_upstream(s.kind, |class| {
+        self.capacity_groups.groups_of_upstream(s.machine_type, |class| {
             let c = &self.settings.classes[class];
             !(self.settings.bars_classes && bars(s.barred_classes, class))
                 && c.zones.as_ref().is_none_or(|z| z.contains(&s.zone))
-                && c.kinds.as_ref().is_none_or(|k| k.contains(&s.kind))
+                && c.machine_types.as_ref().is_none_or(|k| k.contains(&s.machine_type))
         })
     }
 
@@ -153,7 +153,7 @@
     }
 
     /// Live upstreams, and how many of them are not ejected.
-    pub(crate) fn standing(&self, now: Time) -> (usize, usize) {
+    pub(crate) fn upstream_counts(&self, now: Time) -> (usize, usize) {
         let all = (0..self.ring.len()).map(|j| &self.servers[self.ring.at(j).slot]);
         (self.ring.len(), all.filter(|s| now >= s.breaker.until).count())
     }
--- a/crates/policy/src/upstreams/availability.rs
+++ b/crates/policy/src/upstreams/availability.rs
@@ -32,7 +32,7 @@
         let area = self.area(self.servers[server].zone);
         let s = &mut self.servers[server];
         if std::mem::replace(&mut s.is_warm, warm) != warm {
-            self.kinds.change_warm(s.type_index, s.weight, warm);
+            self.machine_types.change_warm(s.type_index, s.weight, warm);
         }
         let was_partly_ejected = std::mem::replace(&mut s.is_partly_ejected, partly_ejected);
         let is_available = key != Key::OUT;
--- a/crates/policy/src/upstreams/list.rs
+++ b/crates/policy/src/upstreams/list.rs
@@ -60,8 +60,8 @@
             if entry.weight > 0.0 && entry.weight.is_finite() { entry.weight } else { 1.0 };
         let known = self.by_id.get(&entry.id).map(|slot| *slot as usize);
         if let Some(s) = known.map(|i| &self.servers[i]) {
-            let same = (s.zone, s.kind, s.cell, s.status)
-                == (entry.zone, entry.kind, entry.cell, entry.status);
+            let same = (s.zone, s.machine_type, s.cell, s.status)
+                == (entry.zone, entry.machine_type, entry.cell, entry.status);
             if same
                 && (s.started, s.weight, s.barred_classes)
                     == (entry.started, weight, entry.barred_classes)
@@ -79,10 +79,10 @@
         self.withdraw(now, server);
         let s = &mut self.servers[server];
         let restarted = s.started != entry.started && entry.started.is_some();
-        (s.zone, s.kind, s.cell) = (entry.zone, entry.kind, entry.cell);
+        (s.zone, s.machine_type, s.cell) = (entry.zone, entry.machine_type, entry.cell);
         (s.status, s.started, s.weight, s.barred_classes) =
             (entry.status, entry.started, weight, entry.barred_classes);
-        s.type_index = self.kinds.enter(entry.kind);
+        s.type_index = self.machine_types.enter(entry.machine_type);
         let capacity_groups = self.groups_of(&self.servers[server]);
         self.servers[server].capacity_groups = capacity_groups;
         self.enlist(server, 1);
--- a/crates/policy/src/upstreams/server.rs
+++ b/crates/policy/src/upstreams/server.rs
@@ -13,7 +13,7 @@
     pub(crate) id: ServerId,
     pub(crate) zone: u32,
     /// Its machine type as the list has it.
-    pub(super) kind: u32,
+    pub(super) machine_type: u32,
     /// The number under which figures of its machine type are kept.
     pub(crate) type_index: u32,
     pub(crate) cell: u32,
@@ -73,7 +73,7 @@
         Self {
             id: member.id,
             zone: member.zone,
-            kind: 0,
+            machine_type: 0,
             type_index: 0,
             cell: member.cell,
             cell_index: 0,
@@ -118,7 +118,7 @@
             id: self.id,
             identity: self.identity,
             zone: self.zone,
-            kind: self.kind,
+            machine_type: self.machine_type,
             cell: self.cell,
             status: self.status,
             weight: self.weight,
--- a/crates/policy/tests/cold.rs
+++ b/crates/policy/tests/cold.rs
@@ -214,7 +214,7 @@
     /// What the settings allow of its capacity so long after a start, at least.
     fn share(&self, age: i64) -> f64 {
         let rules = &self.settings.rules;
-        let grown = (age as f64 / rules.warm_up.f()).clamp(0.0, 1.0);
+        let grown = (age as f64 / rules.warm_up.as_micros_f64()).clamp(0.0, 1.0);
         rules.warm_up_initial_share + (1.0 - rules.warm_up_initial_share) * grown
     }
 
@@ -339,8 +339,9 @@
             {
                 let outcome = if ok { Outcome::Ok } else { Outcome::Full };
                 let (id, of, took) = (RequestId(request), ServerId(of as u32), self.now - sent);
-                let answer = Answer::new(id, attempt, of, outcome, SignedDuration(took), ok);
-                self.deliver(p, Event::Answered(answer));
+                let answer =
+                    CompletedAttempt::new(id, attempt, of, outcome, SignedDuration(took), ok);
+                self.deliver(p, Event::AttemptCompleted(answer));
             }
             Due::Go(i) | Due::Back(i) => {
                 let up = due == Due::Back(i);
@@ -383,7 +384,8 @@
                 while upstream.sent[from] + rules.overload_window.0 < *at {
                     from += 1;
                 }
-                let able = self.rate(i) * self.share(at - started) * rules.overload_window.f();
+                let able =
+                    self.rate(i) * self.share(at - started) * rules.overload_window.as_micros_f64();
                 let n = rules.overload_multiple * able;
                 let part = (through + 1 - from) as f64 / (n + 2.0 * n.sqrt() + 2.0);
                 if part > worst.2 {
--- a/crates/policy/tests/common/mod.rs
+++ b/crates/policy/tests/common/mod.rs
@@ -22,7 +22,7 @@
         streaming: false,
         in_order: false,
         zones: None,
-        kinds: None,
+        machine_types: None,
     }
 }
 
@@ -65,7 +65,7 @@
         marks_retry: false,
         reports: Reports::None,
         bars_classes: false,
-        meaning: 7,
+        numbering_hash: 7,
     }
 }
 
@@ -74,7 +74,7 @@
         id: ServerId(id),
         identity: u64::from(id) * 7919,
         zone,
-        kind: 0,
+        machine_type: 0,
         cell: id / 2,
         status: Status::Live,
         weight: 1.0,
@@ -222,7 +222,8 @@
             over: false,
         };
         self.asked.insert(id, asked);
-        let request = Request { flows: true, ..Request::new(RequestId(id), class, send_deadline) };
+        let request =
+            Request { streams_body: true, ..Request::new(RequestId(id), class, send_deadline) };
         self.deliver(Event::Request(request));
     }
 
@@ -251,17 +252,17 @@
             l.0 = self.now;
         }
         asked.over |= outcome == Outcome::Ok;
-        let answer = Answer {
+        let answer = CompletedAttempt {
             request: RequestId(id),
             attempt,
             server: t.server,
             outcome,
             latency: self.now.since(t.sent),
             last: asked.over,
-            spent,
+            body_consumed: spent,
             report: Report::default(),
         };
-        self.deliver(Event::Answered(answer));
+        self.deliver(Event::AttemptCompleted(answer));
     }
 
     pub fn gone(&mut self, id: u64) {
@@ -305,7 +306,10 @@
         let class = &self.settings.classes[mine.class];
         let m = &self.members[&server.0];
         assert!(class.zones.as_ref().is_none_or(|z| z.contains(&m.zone)), "{id} out of its zones");
-        assert!(class.kinds.as_ref().is_none_or(|k| k.contains(&m.kind)), "{id} out of its kinds");
+        assert!(
+            class.machine_types.as_ref().is_none_or(|k| k.contains(&m.machine_type)),
+            "{id} out of its kinds"
+        );
         if !class.in_order || mine.key.is_none() || !mine.tries.is_empty() {
             return;
         }
--- a/crates/policy/tests/formats.rs
+++ b/crates/policy/tests/formats.rs
@@ -54,7 +54,7 @@
                 streaming: true,
                 in_order: true,
                 zones: Some(vec![0, 2]),
-                kinds: Some(vec![1]),
+                machine_types: Some(vec![1]),
             },
             Class {
                 effect: Effect::Unsafe,
@@ -106,7 +106,7 @@
         marks_retry: true,
         reports: Reports::Probes,
         bars_classes: false,
-        meaning: MEANING_OF_ALL_KEYS,
+        numbering_hash: MEANING_OF_ALL_KEYS,
     }
 }
 
@@ -121,7 +121,7 @@
     settings.rules.overload_multiple = 3.0;
     settings.rules.overload_window = SignedDuration(1_000_000);
     settings.mix.whole = 0.0;
-    settings.meaning = MEANING_OF_REQUIRED_KEYS;
+    settings.numbering_hash = MEANING_OF_REQUIRED_KEYS;
     settings
 }
 
@@ -252,7 +252,7 @@
     }
     for (error, message) in [
         (RecallError::Classes(2, 3), "it was learned of 2 classes, and there are 3"),
-        (RecallError::Meaning, "it was learned of other classes, zones or kinds"),
+        (RecallError::Numbering, "it was learned of other classes, zones or kinds"),
         (RecallError::InvalidFigure, "a figure of it is out of range"),
     ] {
         assert_eq!(error.to_string(), message);
--- a/crates/policy/tests/indexed.rs
+++ b/crates/policy/tests/indexed.rs
@@ -49,7 +49,7 @@
     class.late_priority_weight = pick(rng, &[0.0, 0.5]);
     class.in_order = pick(rng, &[false, false, true]);
     class.zones = pick(rng, &[None, None, Some(vec![0]), Some(vec![1, 2])]);
-    class.kinds = pick(rng, &[None, None, Some(vec![1])]);
+    class.machine_types = pick(rng, &[None, None, Some(vec![1])]);
     class
 }
 
@@ -116,7 +116,7 @@
         let m = Member {
             identity: rng.rand_u64(),
             zone: rng.rand_range(0..3) as u32,
-            kind: rng.rand_range(0..3) as u32,
+            machine_type: rng.rand_range(0..3) as u32,
             cell: rng.rand_range(0..4) as u32,
             weight: pick(rng, &[1.0, 1.0, 2.0, f64::NAN]),
             started: pick(rng, &[None, Some(self.now)]),
@@ -227,7 +227,7 @@
             self.open.retain(|id| *id != request);
         }
         let latency = self.now.since(sent);
-        self.deliver(Event::Answered(Answer::new(
+        self.deliver(Event::AttemptCompleted(CompletedAttempt::new(
             request, attempt, server, outcome, latency, last,
         )));
     }
@@ -270,7 +270,7 @@
             }
             m.status = status;
             if moves {
-                m.kind = (m.kind + 1) % 3;
+                m.machine_type = (m.machine_type + 1) % 3;
             }
             let m = *m;
             named.retain(|n: &Member| n.id != m.id);
--- a/crates/policy/tests/learned.rs
+++ b/crates/policy/tests/learned.rs
@@ -70,10 +70,10 @@
     assert_eq!(new.balancer.learned(), before);
     // So many classes as here, but others.
     let mut others = settings();
-    others.meaning += 1;
+    others.numbering_hash += 1;
     let mut new = World::with_servers(others, 4);
     let before = new.balancer.learned();
-    assert_eq!(new.balancer.recall(new.now, &learned), Err(RecallError::Meaning));
+    assert_eq!(new.balancer.recall(new.now, &learned), Err(RecallError::Numbering));
     assert_eq!(new.balancer.learned(), before);
     let mut new = World::with_servers(settings(), 4);
     let before = new.balancer.learned();
@@ -107,8 +107,11 @@
         serde_json::from_value::<Facts>(recorded).expect("facts")
     };
     let ours = facts(["a", "b"], ["x", "y"], ["k", "l"], 100.0);
-    assert_eq!(ours.settings().meaning, ours.meaning());
-    assert_eq!(facts(["a", "b"], ["x", "y"], ["k", "l"], 900.0).meaning(), ours.meaning());
+    assert_eq!(ours.settings().numbering_hash, ours.numbering_hash());
+    assert_eq!(
+        facts(["a", "b"], ["x", "y"], ["k", "l"], 900.0).numbering_hash(),
+        ours.numbering_hash()
+    );
     for other in [
         facts(["b", "a"], ["x", "y"], ["k", "l"], 100.0),
         facts(["a", "c"], ["x", "y"], ["k", "l"], 100.0),
@@ -116,6 +119,6 @@
         facts(["a", "b"], ["x", "y"], ["l", "k"], 100.0),
         facts(["a", "b"], ["k", "l"], ["x", "y"], 100.0),
     ] {
-        assert_ne!(other.meaning(), ours.meaning());
+        assert_ne!(other.numbering_hash(), ours.numbering_hash());
     }
 }
--- a/crates/policy/tests/machine_types.rs
+++ b/crates/policy/tests/machine_types.rs
@@ -6,13 +6,15 @@
 /// Where a request of this class is sent, before one upstream of each machine type.
 fn sent_to(class: usize, bound_to: &[u32], listed: &[u32]) -> Option<ServerId> {
     let bound = |kind: &u32| Class {
-        kinds: Some(vec![*kind]),
+        machine_types: Some(vec![*kind]),
         ..Class::safe(SignedDuration(200_000), SignedDuration(1_000_000))
     };
     let settings = Settings::basic(bound_to.iter().map(bound).collect());
     let mut module = Balancer::new(settings, 1, Time(0)).expect("sound settings");
-    let member =
-        |(i, kind): (usize, &u32)| Member { kind: *kind, ..Member::live(ServerId(i as u32)) };
+    let member = |(i, kind): (usize, &u32)| Member {
+        machine_type: *kind,
+        ..Member::live(ServerId(i as u32))
+    };
     let list: Vec<Member> = listed.iter().enumerate().map(member).collect();
     let mut out = Vec::new();
     module.handle(Time(0), Event::Members { kind: ListKind::Restored, list: &list }, &mut out);
--- a/crates/policy/tests/rules.rs
+++ b/crates/policy/tests/rules.rs
@@ -223,7 +223,10 @@
             Happening::Status { id, status, young } => {
                 let started = young.then_some(w.now);
                 let kind = id / 6;
-                w.list(ListKind::Update, &[Member { status, started, kind, ..member(id, id % 2) }]);
+                w.list(
+                    ListKind::Update,
+                    &[Member { status, started, machine_type: kind, ..member(id, id % 2) }],
+                );
             }
             Happening::Whole { count } => {
                 let list: Vec<_> = (0..count).map(|i| member(i, i % 2)).collect();
@@ -252,7 +255,7 @@
             (SignedDuration(30 * MS), SignedDuration(50 * MS));
         (s.classes[SAFE].in_order, s.classes[KEYED].in_order) = (order, order);
         s.classes[UNSAFE].zones = zones.then(|| vec![1]);
-        s.classes[SAFE].kinds = kinds.then(|| vec![0]);
+        s.classes[SAFE].machine_types = kinds.then(|| vec![0]);
         let mut w = World::with_servers(s, 4);
         play(&mut w, events);
         // Whatever happened, every client has one answer once its time is up.
@@ -308,7 +311,7 @@
     let start = cluster[0].0.now.plus(SignedDuration(-2000 * MS));
     for t in &sent {
         let within = sent.iter().filter(|s| (0..1000 * MS).contains(&s.since(*t).0)).count();
-        let share = 0.2 + 0.8 * t.since(start).f() / (10_000.0 * MS as f64);
+        let share = 0.2 + 0.8 * t.since(start).as_micros_f64() / (10_000.0 * MS as f64);
         let most = 3.0 * share * 50.0;
         assert!(within as f64 <= most, "{within} within a second, {most} are its limit");
     }
@@ -322,7 +325,7 @@
         w.list(ListKind::Update, &[Member { weight, ..member(id, 0) }]);
     }
     let future = Some(Time(w.now.0 + 3_600_000 * MS));
-    w.list(ListKind::Update, &[Member { started: future, kind: u32::MAX, ..member(4, 0) }]);
+    w.list(ListKind::Update, &[Member { started: future, machine_type: u32::MAX, ..member(4, 0) }]);
     for id in 0..60 {
         w.request(id, SAFE);
         w.pass(SignedDuration(10 * MS));
@@ -344,14 +347,14 @@
 fn absurd_latency_does_not_distort_the_mean() {
     // Failure: one absurd latency put the mean of its class out of reach for good.
     let mut w = World::with_servers(settings(), 2);
-    let answer = |id: u64, latency| Answer {
+    let answer = |id: u64, latency| CompletedAttempt {
         request: RequestId(id),
         attempt: 0,
         server: ServerId(0),
         outcome: Outcome::Ok,
         latency,
         last: true,
-        spent: false,
+        body_consumed: false,
         report: Report { inflight: Some(f64::NAN), qps: Some(-1.0), ..Report::default() },
     };
     for id in 0..40 {
@@ -360,14 +363,14 @@
         let latency = if id < 4 { odd } else { SignedDuration(20 * MS) };
         w.asked.get_mut(&id).expect("asked").over = true;
         w.now = w.now.plus(SignedDuration(20 * MS));
-        w.balancer.handle(w.now, Event::Answered(answer(id, latency)), &mut vec![]);
+        w.balancer.handle(w.now, Event::AttemptCompleted(answer(id, latency)), &mut vec![]);
     }
     let (_, k, n) = w.balancer.upstream(ServerId(0), SignedDuration(200 * MS)).unwrap();
     assert!(k >= 1 && n > 0.1, "K {k}, N {n}");
     // Repeated, late and unknown events change nothing.
     let mut out = vec![];
-    w.balancer.handle(w.now, Event::Answered(answer(39, SignedDuration(MS))), &mut out);
-    w.balancer.handle(w.now, Event::Answered(answer(999, SignedDuration(MS))), &mut out);
+    w.balancer.handle(w.now, Event::AttemptCompleted(answer(39, SignedDuration(MS))), &mut out);
+    w.balancer.handle(w.now, Event::AttemptCompleted(answer(999, SignedDuration(MS))), &mut out);
     w.balancer.handle(w.now, Event::ClientCancelled(RequestId(999)), &mut out);
     w.balancer.handle(w.now, Event::Started(RequestId(999)), &mut out);
     assert!(out.is_empty());
--- a/crates/policy/tests/scanning/policy.rs
+++ b/crates/policy/tests/scanning/policy.rs
@@ -126,7 +126,7 @@
 impl Figures for Settings {
     /// T_QoS: one target for all, the mean of the class aims.
     fn t_qos(&self) -> f64 {
-        self.classes.iter().map(|c| c.latency_objective.f()).sum::<f64>()
+        self.classes.iter().map(|c| c.latency_objective.as_micros_f64()).sum::<f64>()
             / self.classes.len() as f64
     }
 
@@ -159,7 +159,7 @@
         if now < self.until {
             return; // Sent before the pause began: the same trouble, already counted.
         }
-        self.until = now.plus(SignedDuration::of(pause * f64::from(1 << self.faults)));
+        self.until = now.plus(SignedDuration::from_micros_f64(pause * f64::from(1 << self.faults)));
         self.faults = (self.faults + 1).min(doublings);
     }
 }
@@ -168,7 +168,7 @@
 struct Server {
     id: ServerId,
     zone: u32,
-    kind: u32,
+    machine_type: u32,
     cell: u32,
     status: Status,
     weight: f64,
@@ -354,7 +354,7 @@
 
     /// Requests that upstreams of its kind run side by side.
     fn lanes(&self, s: &Server) -> f64 {
-        self.fleet.lanes[s.kind as usize].count as f64
+        self.fleet.lanes[s.machine_type as usize].count as f64
     }
 
     /// K_i = 2*TP_i / TS_i + 1 for an upstream that runs one request at a time, and one more for each further
@@ -373,7 +373,7 @@
     /// The same as admission counts on it. Nobody has seen yet that more lanes win nothing: until then they are
     /// hoped for, or a fresh proxy refuses beside upstreams that have room.
     fn n_hoped(&self, s: &Server) -> f64 {
-        let lanes = &self.fleet.lanes[s.kind as usize];
+        let lanes = &self.fleet.lanes[s.machine_type as usize];
         let (next, known) = lanes.next();
         self.n_rate(s) * if known { 1.0 } else { next as f64 / lanes.count as f64 }
     }
@@ -385,10 +385,10 @@
 
     fn refresh_lanes(&mut self, now: Time) {
         let warm = |s: &&Server| s.status == Status::Live && self.cold_share(now, s).is_none();
-        let of = |s: &Server| self.fleet.lanes[s.kind as usize].next().1;
+        let of = |s: &Server| self.fleet.lanes[s.machine_type as usize].next().1;
         let known = self.servers.iter().filter(warm).all(of);
         let round = if known { TRIAL_OF_TS } else { FIRST_TRIAL_OF_TS };
-        if now.since(self.fleet.tried).f() < self.fleet.ts * round {
+        if now.since(self.fleet.tried).as_micros_f64() < self.fleet.ts * round {
             return;
         }
         self.fleet.tried = now;
@@ -406,7 +406,7 @@
         let sharers = f64::from(self.settings.balancers);
         let first = (1.0 / (sharers * sharers)).min(0.5);
         for &i in &own {
-            let lanes = &self.fleet.lanes[self.servers[i].kind as usize];
+            let lanes = &self.fleet.lanes[self.servers[i].machine_type as usize];
             let (next, known) = lanes.next();
             if !known && self.rng.rand_float() < first {
                 self.servers[i].trial = (next - lanes.count) as i32;
@@ -414,7 +414,7 @@
         }
         let [more, fewer] =
             [(), ()].map(|()| own[self.rng.rand_range(0..own.len() as u64) as usize]);
-        let lanes = &self.fleet.lanes[self.servers[more].kind as usize];
+        let lanes = &self.fleet.lanes[self.servers[more].machine_type as usize];
         let (next, known) = lanes.next();
         if !known {
             return;
@@ -422,7 +422,7 @@
         if self.rng.rand_float() < TRIALS_LATER * own.len() as f64 {
             self.servers[more].trial = (next - lanes.count) as i32;
         } else {
-            let count = self.fleet.lanes[self.servers[fewer].kind as usize].count;
+            let count = self.fleet.lanes[self.servers[fewer].machine_type as usize].count;
             self.servers[fewer].trial = -((count - 1).min((count / 3).max(1)) as i32);
         }
     }
@@ -445,8 +445,8 @@
     /// lanes as were in use were given up again and again.
     fn count_level(&mut self, now: Time, server: usize, answered: Option<usize>) {
         let s = &self.servers[server];
-        let passed = now.since(s.changed).f();
-        let (kind, level, ts) = (s.kind as usize, s.in_flight as usize, self.ts(s));
+        let passed = now.since(s.changed).as_micros_f64();
+        let (kind, level, ts) = (s.machine_type as usize, s.in_flight as usize, self.ts(s));
         let at_once = answered.is_some() && passed < ts * AT_ONCE_OF_TS;
         let done_at = if at_once { level.max(s.done_at) } else { level };
         if self.fair(now, s) && (1..=MOST_LANES).contains(&level) {
@@ -477,7 +477,7 @@
     /// Requests out at an upstream, its K_i, and its N_i within the time `t`; for gauges.
     pub fn upstream(&self, id: ServerId, t: SignedDuration) -> Option<(u32, u32, f64)> {
         let s = &self.servers[*self.by_id.get(&id)?];
-        Some((s.in_flight, self.k(s, 0), self.n_rate(s) * t.f()))
+        Some((s.in_flight, self.k(s, 0), self.n_rate(s) * t.as_micros_f64()))
     }
 
     fn refresh_fleet(&mut self, now: Time) {
@@ -554,7 +554,8 @@
         let ahead = entry.turn.and_then(|k| self.lines.get(&k)).map_or(0, |l| l.waiting.len());
         self.requests.insert(r.id, entry);
         let in_share = self.in_share(now, r.tenant);
-        let starts = now.plus(SignedDuration::of(ahead as f64 * self.fleet.mean[r.class]));
+        let starts =
+            now.plus(SignedDuration::from_micros_f64(ahead as f64 * self.fleet.mean[r.class]));
         let held = |id: &RequestId| {
             let e = self.requests.get(id).filter(|e| e.held);
             e.is_some_and(|e| !e.attempts.is_empty() || self.has_turn(now, *id, e))
@@ -594,7 +595,7 @@
     fn refresh_admission(&mut self) {
         let f = &mut self.fleet;
         let classes = &self.settings.classes;
-        let bear = |(c, m): (&Class, &f64)| c.latency_objective.f() * HOLD_OF_AIM - m;
+        let bear = |(c, m): (&Class, &f64)| c.latency_objective.as_micros_f64() * HOLD_OF_AIM - m;
         f.bearable = classes.iter().zip(&f.mean).map(bear).fold(f64::MAX, f64::min).max(0.0);
         let value = |c: usize, m: &[f64]| classes[c].priority_weight / m[c].max(1.0);
         for c in 0..classes.len() {
@@ -609,7 +610,8 @@
     fn refuse(&mut self, request: RequestId, reason: Refusal, out: &mut Vec<Action>) {
         // By then all that is queued now has ended: who comes sooner stands behind the same queue.
         let most = self.settings.limits.max_retry_after;
-        let retry_after = SignedDuration::of(self.fleet.ts + self.fleet.bearable).min(most);
+        let retry_after =
+            SignedDuration::from_micros_f64(self.fleet.ts + self.fleet.bearable).min(most);
         out.push(Action::Refuse { request, retry_after, reason });
         self.end(request);
     }
@@ -773,7 +775,7 @@
     fn open_to(&self, class: Option<usize>, s: &Server) -> bool {
         let Some(c) = class.map(|c| &self.settings.classes[c]) else { return true };
         c.zones.as_ref().is_none_or(|z| z.contains(&s.zone))
-            && c.kinds.as_ref().is_none_or(|k| k.contains(&s.kind))
+            && c.machine_types.as_ref().is_none_or(|k| k.contains(&s.machine_type))
     }
 
     /// What does not pass by waiting: drain, placement, effect, group, attempts.
@@ -826,7 +828,7 @@
         }
     }
 
-    fn outcome(&mut self, now: Time, a: Answer, out: &mut Vec<Action>) {
+    fn outcome(&mut self, now: Time, a: CompletedAttempt, out: &mut Vec<Action>) {
         let Some(e) = self.requests.get_mut(&a.request) else { return };
         let Some(attempt) = e.attempts.get_mut(a.attempt).filter(|t| t.fate == Fate::Out) else {
             return;
@@ -849,10 +851,13 @@
         self.dispatch(now, out);
     }
 
-    fn learn(&mut self, now: Time, class: usize, attempt: Attempt, a: &Answer) {
+    fn learn(&mut self, now: Time, class: usize, attempt: Attempt, a: &CompletedAttempt) {
         let server = attempt.server;
         // Failure: one absurd latency put the mean of its class out of reach for good.
-        let latency = a.latency.f().clamp(1.0, self.settings.classes[class].deadline.f());
+        let latency = a
+            .latency
+            .as_micros_f64()
+            .clamp(1.0, self.settings.classes[class].deadline.as_micros_f64());
         self.count_level(now, server, (a.outcome == Outcome::Ok).then_some(class));
         // Failure: a second lane on trial made an upstream look slow, and drove its proxy into the parts of
         // others.
@@ -928,9 +933,12 @@
             return (a.sent.plus(class.latency_objective), a.sent.plus(class.latency_objective));
         }
         let patience = mean + PATIENCE * dev;
-        let left = e.hold_until.since(a.sent).f() - mean;
+        let left = e.hold_until.since(a.sent).as_micros_f64() - mean;
         let again = patience.min(left).max(mean * LEAST_PATIENCE);
-        (a.sent.plus(SignedDuration::of(patience)), a.sent.plus(SignedDuration::of(again)))
+        (
+            a.sent.plus(SignedDuration::from_micros_f64(patience)),
+            a.sent.plus(SignedDuration::from_micros_f64(again)),
+        )
     }
 
     /// Watches what is out. What is overdue is a fault of its upstream in its class; in time for a second
@@ -963,7 +971,7 @@
             }
             if late && !a.overdue {
                 let mean = self.fleet.mean[class].max(1.0);
-                s.est.learn(Outcome::Timeout, now.since(a.sent).f(), mean);
+                s.est.learn(Outcome::Timeout, now.since(a.sent).as_micros_f64(), mean);
                 s.by_class[class].trip(now, mean, CLASS_DOUBLINGS);
             }
             if again {
@@ -1039,7 +1047,7 @@
         if age >= rules.warm_up {
             return None;
         }
-        let grown = (age.f() / rules.warm_up.f()).max(0.0);
+        let grown = (age.as_micros_f64() / rules.warm_up.as_micros_f64()).max(0.0);
         Some(rules.warm_up_initial_share + (1.0 - rules.warm_up_initial_share) * grown)
     }
 
@@ -1050,8 +1058,8 @@
     /// Sends that a young upstream has earned by now, one at most; `None` once warm.
     fn earned(&self, now: Time, s: &Server) -> Option<f64> {
         let pace = self.warm_rate(s) * self.cold_share(now, s)?;
-        let earned = s.tokens + now.since(s.refilled).f().max(0.0) * pace;
-        let kept = pace * self.settings.rules.overload_window.f() * KEPT_OF_WINDOW;
+        let earned = s.tokens + now.since(s.refilled).as_micros_f64().max(0.0) * pace;
+        let kept = pace * self.settings.rules.overload_window.as_micros_f64() * KEPT_OF_WINDOW;
         let over = earned > 1.0 + kept;
         Some(if kept >= 1.0 {
             earned.min(1.0)
@@ -1065,7 +1073,7 @@
     /// Answers per microsecond that one warm upstream like `s` has been seen to give.
     fn warm_rate(&self, s: &Server) -> f64 {
         let f = &self.fleet;
-        let like = f.warm_rate.get(s.kind as usize).copied().unwrap_or(0.0);
+        let like = f.warm_rate.get(s.machine_type as usize).copied().unwrap_or(0.0);
         let rate = s.weight * if like > 0.0 { like } else { f.any_rate };
         let multiple = self.settings.rules.overload_multiple.max(1.0);
         // Failure: with every upstream young, or nothing observed yet, none got any work.
@@ -1092,7 +1100,7 @@
         if self.cold_share(now, s).is_some() {
             return;
         }
-        let kind = s.kind as usize;
+        let kind = s.machine_type as usize;
         if self.fleet.warm_served.len() <= kind {
             self.fleet.warm_served.resize(kind + 1, 0.0);
         }
@@ -1100,7 +1108,7 @@
     }
 
     fn refresh_warm(&mut self, now: Time) {
-        let elapsed = now.since(self.fleet.counted).f();
+        let elapsed = now.since(self.fleet.counted).as_micros_f64();
         self.fleet.counted = now;
         self.fleet.warm_served.resize(self.fleet.lanes.len(), 0.0);
         let mut weight = vec![0.0; self.fleet.warm_served.len()];
@@ -1112,13 +1120,13 @@
             if let Some(earned) = self.earned(now, s) {
                 let s = &mut self.servers[i];
                 (s.tokens, s.refilled) = (earned, now);
-            } else if let Some(w) = weight.get_mut(s.kind as usize) {
+            } else if let Some(w) = weight.get_mut(s.machine_type as usize) {
                 *w += s.weight;
             }
         }
         self.fleet.paced = self.fleet.ts;
-        let window = self.settings.rules.overload_window.f().max(1.0);
-        let cold = self.settings.rules.warm_up.f().max(1.0);
+        let window = self.settings.rules.overload_window.as_micros_f64().max(1.0);
+        let cold = self.settings.rules.warm_up.as_micros_f64().max(1.0);
         let f = &mut self.fleet;
         let decay = (-elapsed / window).exp();
         f.warm_served.iter_mut().for_each(|w| *w *= decay);
@@ -1149,8 +1157,9 @@
         let rate =
             self.settings.tenants[tenant].quota_rps / 1e6 / f64::from(self.settings.balancers);
         // A share unused for the life of a request is gone: the fleet did not wait for it.
-        let most = rate * self.settings.classes.iter().map(|c| c.deadline.f()).fold(0.0, f64::max);
-        q.tokens = (q.tokens + rate * now.since(q.counted).f()).min(most.max(1.0));
+        let most = rate
+            * self.settings.classes.iter().map(|c| c.deadline.as_micros_f64()).fold(0.0, f64::max);
+        q.tokens = (q.tokens + rate * now.since(q.counted).as_micros_f64()).min(most.max(1.0));
         q.counted = now;
         q.tokens >= 1.0
     }
@@ -1216,7 +1225,7 @@
         match event {
             Event::Members { kind, list } => self.members(now, kind, list, out),
             Event::Request(r) => self.request(now, r, out),
-            Event::Answered(a) => self.outcome(now, a, out),
+            Event::AttemptCompleted(a) => self.outcome(now, a, out),
             Event::Started(id) | Event::ClientCancelled(id) => self.end(id),
             // It knows of no request whose body still comes.
             Event::BodyReceived { .. } => {}
@@ -1378,7 +1387,8 @@
         let known = self.by_id.get(&m.id).map(|i| &self.servers[*i]);
         let weight = if m.weight > 0.0 && m.weight.is_finite() { m.weight } else { 1.0 };
         if let Some(s) = known.filter(|s| s.started == m.started && s.weight == weight) {
-            let same = (s.zone, s.kind, s.cell) == (m.zone, m.kind.min(255), m.cell);
+            let same =
+                (s.zone, s.machine_type, s.cell) == (m.zone, m.machine_type.min(255), m.cell);
             // Where the whole list comes, all were gone a moment ago.
             if same && self.listed.get(&m.id).copied().unwrap_or(s.status) == m.status {
                 let i = self.by_id[&m.id];
@@ -1392,7 +1402,7 @@
             self.servers.push(Server {
                 id: m.id,
                 zone: m.zone,
-                kind: m.kind.min(255),
+                machine_type: m.machine_type.min(255),
                 cell: m.cell,
                 status: m.status,
                 weight: 1.0,
@@ -1413,7 +1423,7 @@
                 close_until: now,
             });
         }
-        let kind = m.kind.min(255) as usize;
+        let kind = m.machine_type.min(255) as usize;
         if self.fleet.lanes.len() <= kind {
             self.fleet.lanes.resize_with(kind + 1, Lanes::new);
         }
@@ -1424,7 +1434,7 @@
             s.breaker = Breaker::default();
             s.by_class.fill(Breaker::default());
         }
-        (s.zone, s.kind, s.cell) = (m.zone, m.kind.min(255), m.cell);
+        (s.zone, s.machine_type, s.cell) = (m.zone, m.machine_type.min(255), m.cell);
         (s.status, s.started) = (m.status, m.started);
         s.weight = weight;
         self.servers[i].k = self.k_exact(&self.servers[i]);
--- a/crates/policy/tests/scanning/state.rs
+++ b/crates/policy/tests/scanning/state.rs
@@ -105,7 +105,8 @@
         for (i, c) in self.classes.iter().enumerate() {
             let like = |r: &Room| {
                 let of = r.class.map(|o| &self.classes[o]);
-                of.map(|o| (&o.zones, &o.kinds)).unwrap_or((&None, &None)) == (&c.zones, &c.kinds)
+                of.map(|o| (&o.zones, &o.machine_types)).unwrap_or((&None, &None))
+                    == (&c.zones, &c.machine_types)
             };
             room_of.push(rooms.iter().position(like).unwrap_or_else(|| {
                 rooms.push(Room { class: Some(i), ..Room::default() });
--- a/crates/policy/tests/service_fleet/mod.rs
+++ b/crates/policy/tests/service_fleet/mod.rs
@@ -56,7 +56,7 @@
 /// Settings with so many classes, each bound to its own machine type.
 pub fn settings(classes: usize, tenants: usize) -> Settings {
     let class = |kind: usize| Class {
-        kinds: Some(vec![kind as u32]),
+        machine_types: Some(vec![kind as u32]),
         priority_weight: 1.0 + (kind % 7) as f64,
         ..Class::safe(SignedDuration(200_000), SignedDuration(1_000_000))
     };
@@ -82,7 +82,7 @@
     let idle = (0..classes).filter(|class| !in_use.contains(class));
     let kinds: Vec<usize> = in_use.iter().copied().chain(idle).collect();
     let member = |i: u32| Member {
-        kind: kinds[i as usize % classes] as u32,
+        machine_type: kinds[i as usize % classes] as u32,
         zone: i / classes as u32 % ZONES,
         cell: i / 8,
         identity: u64::from(i).wrapping_mul(0x9e37_79b9_7f4a_7c15),
@@ -156,8 +156,8 @@
                 self.served += 1;
                 let latency = SignedDuration(at - sent);
                 let (id, of) = (RequestId(request), ServerId(server));
-                let answer = Answer::new(id, 0, of, self.outcome, latency, true);
-                self.handle(Event::Answered(answer));
+                let answer = CompletedAttempt::new(id, 0, of, self.outcome, latency, true);
+                self.handle(Event::AttemptCompleted(answer));
             }
         }
     }
--- a/crates/policy/tests/slopes.rs
+++ b/crates/policy/tests/slopes.rs
@@ -123,11 +123,11 @@
     let mut settings = settings(3, 0);
     // Trees are kept by zone then, and one class goes to all of them.
     settings.classes[0].group = Group::Zone;
-    settings.classes[0].kinds = None;
+    settings.classes[0].machine_types = None;
     let before = bytes_in_use();
     let mut module = Balancer::new(settings, 1, Time(0)).expect("sound settings");
     let odd = |i: u32| Member {
-        kind: u32::MAX - i * 800_000,
+        machine_type: u32::MAX - i * 800_000,
         zone: u32::MAX - i * 700_000,
         cell: i,
         ..Member::live(ServerId(i))
@@ -147,7 +147,7 @@
     // All classes share three machine types, so that many class breakers meet at each of few upstreams.
     let mut shared = settings(CLASSES_IN_USE, 0);
     for (number, class) in shared.classes.iter_mut().enumerate() {
-        class.kinds = Some(vec![number as u32 % 3]);
+        class.machine_types = Some(vec![number as u32 % 3]);
     }
     let (mut fleet, _) = ServiceFleet::new(30, shared, CLASSES_IN_USE);
     fleet.run(20_000);
--- a/crates/policy/tests/start.rs
+++ b/crates/policy/tests/start.rs
@@ -106,9 +106,15 @@
                 Due::Answer(request, server, sent) => {
                     self.served += 1;
                     let (id, of) = (RequestId(request), ServerId(server));
-                    let answer =
-                        Answer::new(id, 0, of, Outcome::Ok, SignedDuration(at - sent), true);
-                    self.deliver(Event::Answered(answer));
+                    let answer = CompletedAttempt::new(
+                        id,
+                        0,
+                        of,
+                        Outcome::Ok,
+                        SignedDuration(at - sent),
+                        true,
+                    );
+                    self.deliver(Event::AttemptCompleted(answer));
                     self.due.push(Reverse((at, Due::Client)));
                 }
             }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,8 +1,8 @@
 //! One balancer, and the names on the wire that its handles stand for.
 
 use hollowpaddle_policy::interface::{
-    Action, Answer, Event, ListKind, Member, Outcome, Report, Request, RequestId, ServerId,
-    SettingsError, Status, Time,
+    Action, CompletedAttempt, Event, ListKind, Member, Outcome, Report, Request, RequestId,
+    ServerId, SettingsError, Status, Time,
 };
 use hollowpaddle_policy::policy::Balancer;
 use hollowpaddle_policy::settings::{Field, key_hash, span, stable_hash};
@@ -106,7 +106,7 @@
             cost_guess: message.cost_guess.map(span),
             resent: message.is_resent,
             write: message.is_write,
-            flows: false,
+            streams_body: false,
             sticky_cell: None,
         };
         let name: Box<str> = message.request.as_ref().into();
@@ -127,17 +127,17 @@
         let outcome = outcome(message.status_code)?;
         let Some(&id) = self.request_ids.get(message.request.as_ref()) else { return Ok(()) };
         let Some(&server) = self.servers.get(message.upstream.as_ref()) else { return Ok(()) };
-        let answer = Answer {
+        let answer = CompletedAttempt {
             request: RequestId(id),
             attempt: message.attempt,
             server,
             outcome,
             latency: span(message.latency),
             last: message.is_final,
-            spent: false,
+            body_consumed: false,
             report: self.report(message.load_report.as_ref()),
         };
-        self.balancer.handle(now, Event::Answered(answer), &mut self.actions);
+        self.balancer.handle(now, Event::AttemptCompleted(answer), &mut self.actions);
         if let Some(request) = self.requests.get_mut(&id) {
             request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
             request.is_over |= message.is_final;
@@ -190,7 +190,7 @@
             id: self.server_id(name),
             identity: stable_hash(name),
             zone: line.zone,
-            kind: line.kind,
+            machine_type: line.machine_type,
             cell: line.cell,
             status: match line.status {
                 wire::Status::Live => Status::Live,
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -226,7 +226,7 @@
     pub zone: u32,
     /// Its machine type.
     #[serde(default, rename = "Type")]
-    pub kind: u32,
+    pub machine_type: u32,
     /// Its cell.
     #[serde(default, rename = "Pack")]
     pub cell: u32,
