--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -1,14 +1,14 @@
-//! The facade of the decision module: [`Balancer`] takes events and returns actions. No clock, no
-//! I/O, no threads.
+//! The facade of the decision module: [`Balancer`] takes events and returns actions. The module
+//! reads no clock, does no I/O and starts no threads.
 //!
-//! The design is that of Ould Deye et al.: a first-come queue, at most `K_i = 2*TP_i/TS_i + 1`
-//! attempts in flight for each upstream, and rejection once queued plus in-flight requests reach
-//! the sum of `N_i = T_QoS / (2*TP_i + TS_i)`.
+//! The design is that of Ould Deye et al.: a first-come, first-served queue, at most
+//! `K_i = 2*TP_i/TS_i + 1` attempts in flight for each upstream, and rejection once queued plus
+//! in-flight requests reach the sum of `N_i = T_QoS / (2*TP_i + TS_i)`.
 //!
-//! Every decision stands in a module of its own. A request passes through `admission`,
-//! `dispatch` and `selection`; an outcome through `outlier` and `retry`; time through
-//! `hedging`, `sweep` and `concurrency`; a list through `membership`. What they share is
-//! `estimation` (K_i and N_i), `slow_start` and `fair_share`.
+//! Each decision has a module of its own. A request passes through `admission`, `dispatch` and
+//! `selection`, and the outcome of an attempt through `outlier` and `retry`. Timers drive
+//! `hedging`, `sweep` and `concurrency`; the endpoint list drives `membership`. All of these
+//! modules use `estimation` (K_i and N_i), `slow_start` and `fair_share`.
 
 mod admission;
 mod concurrency;
@@ -43,54 +43,57 @@
 /// Token of the timer for polls of the endpoint list.
 const LIST_POLL_TIMER: u64 = 2;
 
-/// The decisions of one balancer: which upstream, whether to retry, what is rejected.
+/// Decides for one balancer which upstream a request is sent to, whether it is retried, and whether
+/// it is rejected.
 ///
-/// It is a state machine: the caller delivers each event to [`Self::handle`] and carries out the
-/// actions in their order.
+/// A `Balancer` is a state machine: the caller delivers each event to [`Self::handle`] and carries
+/// out the returned actions in order.
 #[derive(Debug)]
 pub struct Balancer {
     pub(crate) settings: Arc<Settings>,
     /// T_QoS in microseconds.
     t_qos: f64,
     rng: Rand64,
-    /// Whether the first event has come.
+    /// Whether the first event has been delivered.
     started: bool,
     pub(crate) upstreams: Upstreams,
-    /// Live requests, and the order of those that wait.
+    /// Live requests, and the order of the queued ones.
     queue: Queue,
     /// Index on the ring at which the next sweep begins.
     sweep_position: usize,
-    /// Upstreams that the last sweep has left to the events that follow.
+    /// Number of upstreams that the last sweep left to the following events.
     sweep_remaining: usize,
     /// Slots of upstreams with a concurrency probe.
     probed: Vec<usize>,
-    /// Slots of upstreams that left, and whose idle connections are still closed again and again.
+    /// Slots of draining or withdrawn upstreams whose idle connections each sweep still closes.
     closing: Vec<usize>,
-    /// Attempts in flight, by when they may be overdue.
+    /// Attempts in flight, ordered by the time at which they may become overdue.
     tracker: AttemptTracker,
-    /// Attempts that may still be hedged.
+    /// Number of hedges that may still be sent.
     hedge_budget: f64,
     pub(crate) max_attempts: usize,
     pub(crate) fleet: FleetEstimates,
-    /// Classes by priority for their work.
+    /// Classes ranked by priority weight per unit of work.
     pub(crate) ranks: Ranks,
-    /// What each tenant may still send within its quota.
+    /// Token buckets of the tenants.
     quotas: Quotas,
     list_poller: ListPoller,
-    /// Whether the list is too old to be acted on.
+    /// Whether the endpoint list is too old to be acted on.
     expired: bool,
-    /// Sends that slow start had not allowed.
+    /// Number of sends that slow start did not allow, since the last
+    /// [`Self::take_overdrafts`].
     overdrafts: u64,
 }
 
 impl Balancer {
-    /// Creates a balancer that knows its settings and nothing else.
+    /// Creates a balancer with these settings and without upstreams.
     ///
-    /// Its first event starts its timers: deliver the list that there is right away, if only an
-    /// empty [`ListKind::Restored`](crate::interface::ListKind::Restored).
+    /// The first event starts the timers of the balancer, so the caller delivers its stored
+    /// endpoint list at once, or else an empty
+    /// [`ListKind::Restored`](crate::interface::ListKind::Restored).
     ///
     /// # Errors
-    /// The settings have no safe reading; see [`Settings::checked`].
+    /// Returns an error if [`Settings::checked`] rejects the settings.
     pub fn new(settings: Settings, seed: u64, now: Time) -> Result<Self, SettingsError> {
         let settings = Arc::new(settings.checked()?);
         let t_qos = estimation::t_qos(&settings);
@@ -119,7 +122,7 @@
         })
     }
 
-    /// Takes in an event at the time `now`, and appends the actions that it leads to, in order.
+    /// Handles an event at the time `now`, and appends the resulting actions to `out` in order.
     pub fn handle(&mut self, now: Time, event: Event, out: &mut Vec<Action>) {
         if !std::mem::replace(&mut self.started, true) {
             self.start(now, out);
@@ -147,13 +150,13 @@
         }
     }
 
-    /// Returns how many sends slow start had not allowed since the last call. Each is a fault of
-    /// this module.
+    /// Returns the number of sends since the last call that slow start did not allow. Each of them
+    /// is a bug in this module.
     pub fn take_overdrafts(&mut self) -> u64 {
         std::mem::take(&mut self.overdrafts)
     }
 
-    /// Does a bounded part of what has become due, before the event itself.
+    /// Does a bounded amount of due work before the event itself is handled.
     fn catch_up(&mut self, now: Time, event: &Event) {
         for _ in 0..self.sweep_slice() {
             let Some(server) = self.upstreams.timers.due(now.0) else { break };
@@ -171,12 +174,13 @@
         }
     }
 
-    /// How long before its objective passes a queued request is given up: two sweeps.
+    /// Returns how long before the end of its latency objective a queued request is given up: the
+    /// time of two sweeps.
     fn give_up_margin(&self) -> SignedDuration {
         SignedDuration(2 * sweep::sweep_every(&self.settings).0)
     }
 
-    /// Starts the timers, with the first event.
+    /// Starts the timers when the first event is delivered.
     fn start(&mut self, now: Time, out: &mut Vec<Action>) {
         self.list_poller = ListPoller::new(&self.settings, now, self.rng.rand_float());
         self.arm_list_poll(out);
--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -1,6 +1,7 @@
-//! Admits or rejects a request that arrives, by the wait that the fleet's capacity lets it expect.
+//! Admits or rejects an arriving request, according to the wait that the capacity of the upstreams
+//! implies for it.
 //!
-//! When an admitted request is sent is for [`super::dispatch`] to say.
+//! [`super::dispatch`] decides when an admitted request is sent.
 
 use super::Balancer;
 use super::selection::Slots;
@@ -8,14 +9,15 @@
 use crate::ranks::Figures;
 use crate::request_state::RequestState;
 
-/// Share of the latency objective that wait and service may take on average: the rest is for the
-/// spread of service.
+/// Share of the latency objective that wait plus mean service time may take. The rest is reserved
+/// for the variation of service times.
 const MAX_WAIT_OF_OBJECTIVE: f64 = 0.7;
-/// Share of the tolerable wait that the class of least priority for its work may use.
+/// Share of the tolerable wait that the class with the least priority weight per unit of work may
+/// use.
 const MIN_WAIT_PART: f64 = 0.2;
 
 impl Balancer {
-    /// A client's request has arrived; it is sent, queued or rejected.
+    /// Sends, queues or rejects a request that a client has sent.
     pub(super) fn request(&mut self, now: Time, request: Request, out: &mut Vec<Action>) {
         let id = request.id;
         let Some(class) = self.settings.classes.get(request.class).filter(|_| !self.expired) else {
@@ -55,8 +57,8 @@
         }
     }
 
-    /// The upstream for a request that comes to an empty queue. Such a request is not rejected
-    /// while a slot is free.
+    /// Returns the upstream for a request that arrives while the queue is empty. Such a request is
+    /// never rejected while a slot is free.
     fn pick_at_once(
         &mut self,
         now: Time,
@@ -71,28 +73,29 @@
         self.pick(now, request.id, Slots::Ordinary).ok()
     }
 
-    /// Whether queued requests and attempts in flight stay below the sum of N_i.
+    /// Returns whether queued requests plus attempts in flight stay below the sum of N_i.
     ///
-    /// T_QoS is the same for all classes: the wait that even the tightest one tolerates. With
-    /// longer ones, classes with a long objective would fill the queue and starve the others.
-    /// Classes of less priority for their work, and tenants beyond their quota, get a smaller part
-    /// of it.
+    /// T_QoS is the same for all classes: the longest wait that even the class with the tightest
+    /// latency objective tolerates. With a T_QoS per class, classes with a long objective would
+    /// fill the queue and starve the others. Classes with less priority weight per unit of work,
+    /// and tenants beyond their quota, may use a smaller share of this wait.
     fn admits(&self, class: usize, is_within_quota: bool) -> bool {
         let part = if is_within_quota { self.wait_part(class) } else { 0.0 };
         let load = self.upstreams.capacity_groups.load(class);
         let n = load.n_per_time * (self.fleet.ts + self.fleet.tolerable_wait * part);
-        // With no list yet there is no N_i to sum: the request waits for an upstream until its
-        // deadline.
+        // Before the first endpoint list the sum of N_i is zero, and the request is queued until
+        // an upstream is listed or its deadline passes.
         n == 0.0 || ((load.queued + load.in_flight) as f64) < n.max(1.0)
     }
 
-    /// Share of the tolerable wait that a class may use.
+    /// Returns the share of the tolerable wait that a class may use.
     pub(crate) fn wait_part(&self, class: usize) -> f64 {
         let ranked = || MIN_WAIT_PART + (1.0 - MIN_WAIT_PART) * self.ranks.rank(class);
         self.ranks.restored_part(class).unwrap_or_else(ranked)
     }
 
-    /// Recomputes the tolerable wait, and how classes rank by their priority for their work.
+    /// Recomputes the tolerable wait, and the ranks of the classes by priority weight per unit of
+    /// work.
     pub(super) fn refresh_admission(&mut self) {
         let (classes, mean) = (&self.settings.classes, &self.fleet.mean_latency);
         self.ranks.refresh(|c| Figures {
@@ -103,15 +106,15 @@
         self.fleet.tolerable_wait = self.ranks.least_bearable().max(0.0);
     }
 
-    /// Whether one more request of a tenant is within its quota. A rejected request uses none of
-    /// it.
+    /// Returns whether one more request of a tenant is within its quota. A rejected request uses
+    /// up no quota.
     fn is_within_quota(&mut self, now: Time, tenant: usize) -> bool {
         let Some(of) = self.settings.tenants.get(tenant) else { return true };
         self.quotas.refill(now, tenant, of.quota_rps) >= 1.0
     }
 
-    /// Rejects a request, with the time after which all that is queued now has ended as its retry
-    /// advice.
+    /// Rejects a request. Its Retry-After is the time by which all requests that are queued now
+    /// should have been served.
     pub(super) fn refuse(&mut self, request: RequestId, reason: Refusal, out: &mut Vec<Action>) {
         let longest = self.settings.limits.max_retry_after;
         let retry_after =
@@ -120,7 +123,7 @@
         self.end(request);
     }
 
-    /// Ends a request. It is dropped once none of its attempts is in flight.
+    /// Finishes a request, and removes it once none of its attempts is in flight.
     pub(super) fn end(&mut self, id: RequestId) {
         let Some(entry) = self.queue.get_mut(id) else { return };
         entry.is_finished = true;
--- a/crates/policy/src/policy/concurrency.rs
+++ b/crates/policy/src/policy/concurrency.rs
@@ -1,7 +1,7 @@
-//! Probes how many requests upstreams of each machine type run side by side, by sending some of
-//! them more or fewer.
+//! Probes how many requests upstreams of each machine type run concurrently, by sending some of
+//! these upstreams more or fewer attempts than usual.
 //!
-//! What the probes show is evaluated by [`crate::concurrency_levels`].
+//! [`crate::concurrency_levels`] evaluates the results of the probes.
 
 use super::Balancer;
 use super::sweep::{CROSS_ZONE_DISTANCE, OWN_DISTANCE};
@@ -9,30 +9,32 @@
 use crate::interface::Time;
 use crate::upstreams::Server;
 
-/// Length of a probe, in mean service times: a few answers at each level.
+/// Length of a probe, in mean service times: long enough for a few answers at each level.
 const PROBE_OF_TS: f64 = 4.0;
-/// Length of a probe while too little is known of some machine type, in mean service times.
+/// Length of a probe, in mean service times, while the levels of some machine type are unmeasured.
 const FIRST_PROBE_OF_TS: f64 = 1.5;
-/// Largest share of the balancer's own upstreams that is probed while too little is known of their
-/// type.
+/// Largest share of the balancer's own upstreams that is probed while the levels of their machine
+/// type are unmeasured.
 const MAX_FIRST_PROBES: f64 = 0.5;
-/// Share of the upstreams that is probed with a higher level once enough is known.
+/// Share of the upstreams that is probed at a higher level once the levels are measured.
 const LATER_PROBES: f64 = 1.0 / 96.0;
 /// Most of the balancer's own upstreams that probes are chosen from.
 const MAX_PROBE_CANDIDATES: usize = 256;
-/// Answers within this time of one another, in mean service times, were worked on side by side.
+/// Answers that arrive within this time of one another, in mean service times, count as served
+/// concurrently.
 const AT_ONCE_OF_TS: f64 = 0.05;
-/// Most of a time without an answer that counts, in mean service times: a longer one is due to a
-/// fault.
+/// Longest interval without an answer that counts in full, in mean service times. A longer
+/// interval is due to a fault.
 const MAX_GAP_OF_TS: f64 = 5.0;
-/// An upstream this many times slower than the mean says nothing of its machine type.
+/// An upstream this many times slower than the mean is not representative of its machine type.
 const SUSPECT_SLOWNESS: f64 = 2.0;
 
 impl Balancer {
-    /// Ends the present probes and starts the next, if their time is over.
+    /// Ends the present probes and starts the next ones, if the present ones have lasted long
+    /// enough.
     ///
-    /// Only the balancer's own upstreams are probed, so that probes of different balancers do not
-    /// meet.
+    /// A balancer probes only its own upstreams, so that two balancers do not probe the same
+    /// upstream.
     pub(super) fn refresh_probes(&mut self, now: Time) {
         let are_levels_known = self.upstreams.machine_types.are_levels_known();
         let length = if are_levels_known { PROBE_OF_TS } else { FIRST_PROBE_OF_TS };
@@ -52,8 +54,8 @@
         }
     }
 
-    /// The balancer's own upstreams that represent their machine type, evenly thinned out in a
-    /// large fleet.
+    /// Returns the balancer's own upstreams that are representative of their machine type. Among
+    /// many upstreams, every n-th one is taken.
     fn probe_candidates(&self, now: Time) -> Vec<usize> {
         let part = self.upstreams.own_part();
         let near = self.upstreams.near(&part, OWN_DISTANCE);
@@ -68,10 +70,10 @@
             .collect()
     }
 
-    /// Probes a random part of the upstreams of whose type too little is known.
+    /// Probes a random part of the upstreams whose machine type has unmeasured levels.
     ///
-    /// Fewer where many balancers share an upstream: each learns for itself, and their probes add
-    /// up.
+    /// Where many balancers share an upstream, each of them probes fewer: every balancer learns for
+    /// itself, and the probes of all balancers add up.
     fn start_first_probes(&mut self, now: Time, candidates: &[usize]) {
         let sharers = self.upstreams.sharers;
         let share = (1.0 / (sharers * sharers)).min(MAX_FIRST_PROBES);
@@ -84,7 +86,7 @@
         }
     }
 
-    /// Probes one upstream, now and then with a higher level, else with a lower one.
+    /// Probes one upstream, occasionally at a higher level and otherwise at a lower one.
     fn start_later_probe(&mut self, now: Time, candidates: &[usize]) {
         let higher = self.sample(candidates);
         let lower = self.sample(candidates);
@@ -107,23 +109,26 @@
         candidates[self.rng.rand_range(0..candidates.len() as u64) as usize]
     }
 
-    /// Lets an upstream have `change` more attempts in flight than K_i, or fewer.
+    /// Allows an upstream `change` more attempts in flight than K_i, or fewer if `change` is
+    /// negative.
     fn start_probe(&mut self, now: Time, server: usize, change: i32) {
         self.upstreams.servers[server].probe = change;
         self.probed.push(server);
         self.refresh_availability(now, server);
     }
 
-    /// Whether an upstream says something of its machine type: it is warm and no outlier.
+    /// Returns whether an upstream is representative of its machine type: neither warming up nor an
+    /// outlier.
     fn is_representative(&self, now: Time, s: &Server) -> bool {
         s.estimate.slow <= SUSPECT_SLOWNESS && self.warm_up_share(now, s).is_none()
     }
 
-    /// Books the time since an upstream's attempts in flight last changed, and the work of the
-    /// answer that ends it; `answered` is the class of that answer.
+    /// Records the time since an upstream's number of attempts in flight last changed. If an answer
+    /// ends this interval, `answered` is its class, and its work is recorded too.
     ///
-    /// Answers that come all at once are booked at the level of the first of them. Booked at the
-    /// levels below, which lasted for no time, they would make these look faster than they are.
+    /// Answers that arrive at the same time are recorded at the level of the first of them. The
+    /// lower levels last for no time between such answers: work recorded there would overestimate
+    /// their throughput.
     pub(super) fn count_level(&mut self, now: Time, server: usize, answered: Option<usize>) {
         let s = &self.upstreams.servers[server];
         let passed = now.since(s.in_flight_changed).as_micros_f64();
--- a/crates/policy/src/policy/dispatch.rs
+++ b/crates/policy/src/policy/dispatch.rs
@@ -1,4 +1,4 @@
-//! Queues requests and sends them, first come, first served, as slots become free.
+//! Queues requests, and sends them first come, first served as slots become free.
 
 use super::Balancer;
 use super::selection::{NoUpstream, Slots};
@@ -6,11 +6,11 @@
 use crate::interface::{Action, RequestId, Time};
 use crate::request_state::{Attempt, AttemptState, SubQueue};
 
-/// Hedges that each first attempt adds to the budget: more would overload a fleet that is slow.
+/// Hedges that each first attempt adds to the budget. More hedges would overload a slow fleet.
 const HEDGES_PER_REQUEST: f64 = 0.3;
 
 impl Balancer {
-    /// Queues a request, before all others or behind them.
+    /// Queues a request at the head or at the end of the queue.
     pub(super) fn hold(&mut self, id: RequestId, at_head: bool) {
         let Some(entry) = self.queue.get(id) else { return };
         let (class, queue_deadline) = (entry.class, entry.queue_deadline);
@@ -27,7 +27,7 @@
         }
     }
 
-    /// Takes a request out of the queue, if it is there.
+    /// Removes a request from the queue, if it is queued.
     pub(super) fn release(&mut self, id: RequestId) {
         let queued = self.queue.get(id).filter(|e| e.is_queued);
         if let Some(class) = queued.map(|e| e.class) {
@@ -36,15 +36,15 @@
         }
     }
 
-    /// Whether this balancer's part of the slots that a class may use is taken.
+    /// Returns whether this balancer's share of the slots that a class may use is taken.
     pub(super) fn is_at_limit(&self, class: usize) -> bool {
         let load = self.upstreams.capacity_groups.load(class);
         load.in_flight as f64 >= load.slots.max(1.0)
     }
 
-    /// Sends queued requests in their order, as long as upstreams have free slots.
+    /// Sends queued requests in order, as long as upstreams have free slots.
     ///
-    /// A request that waits for its ordering key or finds no slot holds up only those in its
+    /// A request that waits for its ordering key or finds no slot delays only the requests of its
     /// sub-queue.
     pub(super) fn dispatch(&mut self, now: Time, out: &mut Vec<Action>) {
         let mut scan = self.queue.scan();
@@ -59,8 +59,8 @@
             match self.pick(now, id, slots) {
                 Ok(server) => {
                     self.send(now, id, server, out);
-                    // With the last ordinary slot taken, those of probes open to retries that found
-                    // none.
+                    // Once the last ordinary slot is taken, the slots of probes become available
+                    // to retries that found no slot before.
                     if slots == Slots::Ordinary && self.is_at_limit(class) {
                         scan.reopen();
                     }
@@ -92,8 +92,8 @@
         out.push(Action::Send { request: id, server, timeout, send_by });
     }
 
-    /// Tracks the latest attempt of a request from now on; `takes_slot` is false if it has a slot
-    /// already.
+    /// Starts to track the latest attempt of a request. `takes_slot` is false if the attempt
+    /// already has a slot.
     fn track_latest(&mut self, now: Time, request: RequestId, takes_slot: bool) {
         let Some(entry) = self.queue.get(request) else { return };
         let Some(latest) = entry.attempts.last() else { return };
@@ -112,14 +112,14 @@
         self.refresh_availability(now, server);
     }
 
-    /// The body of a request has been passed on completely: from here on its upstream is
-    /// responsible for the time.
+    /// Handles the end of a streamed request body: from now on the upstream is responsible for the
+    /// latency.
     pub(super) fn body_complete(&mut self, now: Time, id: RequestId, send_deadline: Time) {
         let margin = self.give_up_margin();
         let Some(entry) = self.queue.get_mut(id).filter(|e| e.streams_body) else { return };
         entry.set_deadlines(now, &self.settings.classes[entry.class], send_deadline, margin);
         entry.streams_body = false;
-        // What was passed on while it arrived is not stored.
+        // A body that was streamed to the upstream is not stored.
         entry.body_consumed = true;
         let in_flight = |a: &&mut Attempt| a.state == AttemptState::InFlight;
         if let Some(attempt) = entry.attempts.last_mut().filter(in_flight) {
--- a/crates/policy/src/policy/estimation.rs
+++ b/crates/policy/src/policy/estimation.rs
@@ -1,9 +1,9 @@
-//! Derives the capacity of each upstream from its estimates: K_i, the attempts that it is kept busy
-//! with, and N_i, those that it can answer in time.
+//! Derives the capacity of each upstream from its estimates. K_i is the number of attempts in
+//! flight that keeps the upstream busy; N_i is the number of attempts that it can answer in time.
 //!
 //! With TP_i the propagation time of an upstream and TS_i its mean service time, `K_i = 2*TP_i /
-//! TS_i + c` and `N_i = c * T_QoS / (2*TP_i + TS_i)`, where c is the number of requests that it
-//! runs at once. `tp2` is 2*TP_i.
+//! TS_i + c` and `N_i = c * T_QoS / (2*TP_i + TS_i)`, where c is the number of requests that the
+//! upstream runs concurrently. `tp2` is 2*TP_i.
 
 use super::Balancer;
 use super::fair_share::MIN_LEEWAY;
@@ -12,18 +12,19 @@
 use crate::interface::{Settings, Time};
 use crate::upstreams::Server;
 
-/// TS of the fleet before its first answer, as a share of T_QoS.
+/// TS of the upstreams before the first answer, as a share of T_QoS.
 const TS_PRIOR_OF_QOS: f64 = 0.25;
-/// Least weight of an answer in the fleet's means.
+/// Least weight of an answer in the means over all upstreams.
 const MIN_MEAN_GAIN: f64 = 0.02;
 
-/// T_QoS in microseconds: one target for all, the mean latency objective of the classes.
+/// Returns T_QoS in microseconds: the mean latency objective of the classes, used as one target for
+/// all of them.
 pub(super) fn t_qos(settings: &Settings) -> f64 {
     settings.classes.iter().map(|c| c.latency_objective.as_micros_f64()).sum::<f64>()
         / settings.classes.len() as f64
 }
 
-/// What is assumed of the fleet before its first answer.
+/// Returns the estimates that are assumed before the first answer of an upstream.
 pub(super) fn prior(t_qos: f64, classes: usize, now: Time) -> FleetEstimates {
     let ts = t_qos * TS_PRIOR_OF_QOS;
     FleetEstimates {
@@ -44,43 +45,46 @@
 }
 
 impl Balancer {
-    /// TS_i in microseconds.
+    /// Returns TS_i in microseconds.
     pub(super) fn ts(&self, s: &Server) -> f64 {
         self.fleet.ts * s.estimate.slow
     }
 
-    /// 2*TP_i in microseconds; the fleet's mean while nothing is known of the upstream.
+    /// Returns 2*TP_i in microseconds, or the mean over all upstreams if the upstream has no
+    /// estimate yet.
     fn tp2(&self, s: &Server) -> f64 {
         s.estimate.tp2.unwrap_or(self.fleet.tp2)
     }
 
-    /// Requests that upstreams of its machine type run side by side.
+    /// Returns how many requests an upstream of this machine type runs concurrently.
     pub(super) fn concurrency(&self, s: &Server) -> f64 {
         self.upstreams.machine_types.levels(s.type_index).count as f64
     }
 
-    /// K_i, at most N_i.
+    /// Returns K_i, limited to N_i.
     fn k_exact(&self, s: &Server) -> f64 {
         let k = self.tp2(s) / self.ts(s) + self.concurrency(s);
         k.min(self.n_rate(s) * self.t_qos)
     }
 
-    /// K_i in whole attempts, with `probe` more or fewer. At least one, or the upstream would never
-    /// be estimated anew.
+    /// Returns K_i in whole attempts, plus the change `probe` of a concurrency probe. The result is
+    /// at least one, since an upstream without attempts would never get a new estimate.
     pub(crate) fn k(s: &Server, probe: i32) -> u32 {
         (s.k as i32 + probe).max(1) as u32
     }
 
-    /// Updates K_i and N_i of an upstream, and the sums over the fleet with them.
+    /// Updates K_i and N_i of an upstream, and the sums of its capacity groups.
     pub(super) fn update(&mut self, server: usize) {
         let s = &self.upstreams.servers[server];
         let capacity = Capacity { k: self.k_exact(s), n: self.n_optimistic(s) };
         self.upstreams.sum(server, capacity);
     }
 
-    /// N_i per microsecond as admission counts on it: while it is unknown whether a higher
-    /// concurrency level gets more done, it is assumed to, or a fresh balancer would reject
-    /// requests beside idle upstreams.
+    /// Returns N_i per microsecond for admission.
+    ///
+    /// While the next concurrency level is unmeasured, it is assumed to have a proportionally
+    /// higher throughput. Without this assumption a new balancer would reject requests while
+    /// upstreams are idle.
     fn n_optimistic(&self, s: &Server) -> f64 {
         let levels = self.upstreams.machine_types.levels(s.type_index);
         let next = levels.next_probe();
@@ -88,15 +92,16 @@
         self.n_rate(s) * gain
     }
 
-    /// N_i per microsecond.
+    /// Returns N_i per microsecond.
     pub(crate) fn n_rate(&self, s: &Server) -> f64 {
         self.concurrency(s) / (self.tp2(s) + self.ts(s))
     }
 
-    /// Takes an answer into the fleet's TS and into the mean and deviation of its class.
+    /// Adds the latency of an answer to TS, and to the mean and deviation of its class.
     ///
-    /// A prior counts as one answer and each answer for its part of all, until there are enough for
-    /// a moving mean.
+    /// Each value starts as the plain mean of all answers, where the prior counts as one answer.
+    /// Once the weight of a new answer has fallen to [`MIN_MEAN_GAIN`], the value becomes a moving
+    /// mean.
     pub(super) fn learn_latency(&mut self, class: usize, latency: f64) {
         let next_gain = |answers: &mut f64| {
             *answers += 1.0;
--- a/crates/policy/src/policy/fair_share.rs
+++ b/crates/policy/src/policy/fair_share.rs
@@ -1,38 +1,39 @@
-//! Sets this balancer's limit on attempts in flight: its even part of the fleet's slots, times a
-//! leeway that it learns.
+//! Sets this balancer's limit on attempts in flight: an even share of all slots, times a leeway that
+//! the balancer learns.
 
 use super::Balancer;
 use crate::estimate::MAX_SLOWNESS;
 use crate::interface::Outcome;
 
-/// Least and first leeway, in even parts of the fleet's slots: clients are never spread evenly over
-/// balancers.
+/// Least and initial leeway, in even shares of all slots. It is above one since clients are never
+/// spread evenly over balancers.
 pub(super) const MIN_LEEWAY: f64 = 1.2;
-/// Relative change of the leeway by one answer at the limit.
+/// Relative change of the leeway by one answer while the balancer is at its limit.
 const LEEWAY_GAIN: f64 = 0.02;
-/// An answer counts as congested if it took this many times as long as in good times.
+/// An answer shows congestion if it took this many times the uncongested service time.
 const CONGESTED_LATENCY: f64 = 1.5;
-/// The leeway falls this many times faster than it grows, since it is others' part that it takes.
+/// The leeway falls this many times faster than it grows, since it takes slots from other balancers.
 const LEEWAY_FALL: f64 = 1.5;
-/// It falls this many times faster again where an upstream rejected a request.
+/// A request that an upstream rejected lowers the leeway this many times more than a congested
+/// answer.
 const REJECTED_FALL: f64 = 6.0;
-/// An even part of more upstreams than this makes the leeway fall faster: its bursts even out by
-/// themselves.
+/// With more upstreams than this in an even share, the leeway falls faster: bursts average out over
+/// many upstreams.
 const SMALL_PART: f64 = 3.0;
-/// Weight of a longer service time in that of good times, per answer.
+/// Weight of an answer in the uncongested service time while that grows.
 const BASELINE_GAIN: f64 = 1.0 / 1024.0;
 
 impl Balancer {
-    /// The part of the fleet's slots that this balancer may use, at most 1. (The design's one
-    /// balancer uses all.)
+    /// Returns the share of all slots that this balancer may use, at most 1. (The single balancer of
+    /// the design uses all of them.)
     pub(super) fn part(&self) -> f64 {
         (self.fleet.leeway / self.upstreams.sharers).min(1.0)
     }
 
-    /// Moves the leeway by an answer that took `latency`, in mean latencies of its class.
+    /// Adjusts the leeway after an attempt that took `latency`, in mean latencies of its class.
     ///
-    /// It grows as long as the fleet answers as in good times, so that the balancers that remain
-    /// after a loss use the whole fleet, and falls when the fleet is congested.
+    /// The leeway grows while the upstreams are uncongested, so that the remaining balancers use
+    /// all upstreams after the loss of a balancer. It falls when the upstreams are congested.
     pub(super) fn adjust_leeway(&mut self, latency: f64, outcome: Outcome) {
         let latency = match outcome {
             Outcome::Ok => latency.min(MAX_SLOWNESS),
@@ -40,8 +41,8 @@
             _ => return,
         };
         self.learn_baseline();
-        // Only answers at the limit say whether it is too high: otherwise each heavy request would
-        // lower it.
+        // Only answers at the limit show whether the limit is too high. If all answers counted,
+        // each heavy request would lower the leeway.
         let load = self.upstreams.capacity_groups.fleet_load();
         let is_below_limit = load.in_flight as f64 + 1.0 < load.slots;
         if is_below_limit && outcome == Outcome::Ok {
@@ -56,8 +57,7 @@
         fleet.leeway = fleet.leeway.clamp(MIN_LEEWAY, MIN_LEEWAY.max(self.upstreams.sharers));
     }
 
-    /// Lets the service time of good times follow TS: at once if it is shorter, slowly if it is
-    /// longer.
+    /// Lets the uncongested service time follow TS: at once if TS is shorter, slowly if TS is longer.
     fn learn_baseline(&mut self) {
         let fleet = &mut self.fleet;
         let change = fleet.ts - fleet.baseline_ts;
--- a/crates/policy/src/policy/hedging.rs
+++ b/crates/policy/src/policy/hedging.rs
@@ -1,8 +1,8 @@
-//! Finds attempts that are overdue, releases their slots, and hedges them with a second attempt
-//! elsewhere.
+//! Finds overdue attempts, releases their slots, and hedges them with a second attempt at another
+//! upstream.
 //!
-//! Which upstream the second attempt goes to is for [`super::selection`] to say; that it goes out,
-//! for [`super::dispatch`].
+//! [`super::selection`] chooses the upstream of the second attempt, and [`super::dispatch`] sends
+//! it.
 
 use super::Balancer;
 use super::outlier::MAX_CLASS_PAUSE_DOUBLINGS;
@@ -10,34 +10,36 @@
 use crate::interface::{Outcome, RequestId, SignedDuration, Time};
 use crate::request_state::{Attempt, AttemptState};
 
-/// Due attempts that each event checks.
+/// Number of due attempts that each event checks.
 pub(super) const CHECKS_PER_EVENT: usize = 4;
-/// An attempt is overdue this many mean deviations past its class's mean latency.
+/// An attempt is overdue this many mean deviations after the mean latency of its class.
 const OVERDUE_DEVIATIONS: f64 = 3.0;
 /// The shortest hedge delay, in mean latencies of the class.
 const MIN_HEDGE_MEANS: f64 = 1.5;
-/// A class is hedged only if more than this share of its late attempts was never answered: more
-/// load would not help a fleet that is merely slow.
+/// A class is hedged only if more than this share of its late attempts was never answered. If
+/// upstreams are merely slow, the additional load of hedges does not help.
 const HEDGE_THRESHOLD: f64 = 0.4;
 
-/// An attempt that has just been found late, hedgeable or both.
+/// An attempt that is overdue or due for a hedge.
 struct DueAttempt {
     request: RequestId,
     /// Its number among the attempts of the request.
     number: usize,
     class: usize,
-    /// As it was before this check.
+    /// The state of the attempt before this check.
     attempt: Attempt,
-    /// When it became overdue.
+    /// When the attempt became overdue.
     overdue_at: Time,
     is_overdue: bool,
     is_hedge_due: bool,
-    /// The client's body is still arriving, so that the delay is not the upstream's fault.
+    /// Whether the client is still sending the request body: then the upstream is not responsible
+    /// for the delay.
     streams_body: bool,
 }
 
 impl Balancer {
-    /// When an attempt is overdue, and when it must be hedged for the second attempt to be in time.
+    /// Returns when an attempt becomes overdue, and when it must be hedged so that the second
+    /// attempt can be answered in time.
     fn due_times(&self, tracked: &TrackedAttempt) -> (Time, Time) {
         let mean = self.fleet.mean_latency[tracked.class];
         let deviation = self.fleet.latency_deviation[tracked.class];
@@ -53,8 +55,8 @@
         (overdue_at, tracked.sent.plus(SignedDuration::from_micros_f64(hedge_after)))
     }
 
-    /// Recomputes the least delay after which attempts of a class may be due, from its mean
-    /// latency.
+    /// Recomputes, from the mean latency of a class, the least delay after which its attempts may be
+    /// due.
     pub(crate) fn reset_hedge_delay(&mut self, class: usize) {
         let mean = self.fleet.mean_latency[class];
         let deviation = self.fleet.latency_deviation[class];
@@ -74,9 +76,9 @@
 
     /// Checks at most `limit` of the attempts that may be due.
     ///
-    /// This guards against upstreams that hang or vanish, lost answers, stalls, a class that goes
-    /// unanswered and dead connections. Its limit: where requests of one class differ widely, a
-    /// heavy one looks lost.
+    /// This guards against upstreams that hang or vanish, lost answers, stalls, a class that an
+    /// upstream never answers, and dead connections. Its limitation: where the requests of one class
+    /// differ widely, a heavy request looks lost.
     pub(super) fn check_due(&mut self, now: Time, limit: usize) {
         for _ in 0..limit {
             let Some(tracked) = self.tracker.next() else { return };
@@ -86,7 +88,7 @@
         }
     }
 
-    /// The attempt, if it is due. One that is still in flight stays tracked.
+    /// Returns the attempt if it is due. An attempt that is still in flight remains tracked.
     fn find_due(&mut self, now: Time, mut tracked: TrackedAttempt) -> Option<DueAttempt> {
         let (overdue_at, hedge_at) = self.due_times(&tracked);
         if now < overdue_at.min(hedge_at) && !tracked.was_due {
@@ -94,8 +96,8 @@
             return None;
         }
         let entry = self.queue.get(tracked.request)?;
-        // An attempt whose body was complete only later is tracked anew from then on, with another
-        // time of sending.
+        // When a streamed body is complete, its attempt is tracked again with a new time of
+        // sending; the entry with the former time is dropped here.
         let is_tracked = |a: &&Attempt| a.state == AttemptState::InFlight && a.sent == tracked.sent;
         let attempt = entry.attempts.get(tracked.attempt).filter(is_tracked).copied()?;
         let due = DueAttempt {
@@ -113,14 +115,16 @@
         Some(due)
     }
 
-    /// Counts an overdue attempt as a fault, hedges it, and releases its slot if it counts as lost.
+    /// Counts an overdue attempt as a fault, hedges it if that may help, and releases its slot if the
+    /// attempt counts as lost.
     fn handle_due(&mut self, now: Time, due: DueAttempt) {
         let server = due.attempt.server;
         let is_hedged = self.may_hedge(now, &due);
         let is_lost = self.is_lost(now, &due);
         let s = &mut self.upstreams.servers[server];
         if is_lost && !due.streams_body && s.last_answered_sent <= due.attempt.sent {
-            // Of those not overtaken, one is given up between two answers of an upstream.
+            // At most one attempt that no later attempt overtook counts as lost between two answers
+            // of an upstream.
             s.last_answered_sent = Time(i64::MIN);
         }
         if due.is_overdue && !due.attempt.overdue && !due.streams_body {
@@ -148,8 +152,9 @@
         }
     }
 
-    /// Whether a second attempt may go out now: the first has just become late enough, a second one
-    /// promises an answer, slots are idle, and the budget lasts.
+    /// Returns whether a second attempt may be sent now: the first attempt has just become due for a
+    /// hedge, a second attempt is likely to be answered, slots are idle, and the hedge budget is not
+    /// used up.
     fn may_hedge(&self, now: Time, due: &DueAttempt) -> bool {
         let Some(entry) = self.queue.get(due.request) else { return false };
         let load = self.upstreams.capacity_groups.load(due.class);
@@ -166,11 +171,12 @@
             && self.has_upstream(now, entry)
     }
 
-    /// Whether an overdue attempt counts as lost, so that its slot is free again.
+    /// Returns whether an overdue attempt counts as lost, so that its slot is released.
     ///
-    /// An attempt is lost once a later one was answered by the same upstream. Where K_i is one
-    /// there is no later one: then time alone decides. While its body arrives, the client is the
-    /// slow one, and the slot is taken again once the body is complete.
+    /// An attempt counts as lost once the same upstream has answered a later attempt. Where K_i is
+    /// one there is no later attempt, so that only a timeout applies. An attempt whose body is still
+    /// arriving also releases its slot, since the client causes the delay; it takes a slot again
+    /// when the body is complete.
     fn is_lost(&self, now: Time, due: &DueAttempt) -> bool {
         let answered = self.upstreams.servers[due.attempt.server].last_answered_sent;
         let sent = due.attempt.sent;
--- a/crates/policy/src/policy/membership.rs
+++ b/crates/policy/src/policy/membership.rs
@@ -1,5 +1,5 @@
-//! Takes in the endpoint list, polls it where that is needed, and closes idle connections to
-//! upstreams that leave.
+//! Applies the endpoint list, polls it where the deployment requires that, and closes idle
+//! connections to draining and withdrawn upstreams.
 
 use super::sweep::{CROSS_ZONE_DISTANCE, Sweep};
 use super::{Balancer, LIST_POLL_TIMER};
@@ -9,7 +9,7 @@
 use crate::upstreams::{Change, Server};
 
 impl Balancer {
-    /// Takes in a list event, then sends what can be sent now.
+    /// Applies a list event, then sends the queued requests that find a slot now.
     pub(super) fn members(
         &mut self,
         now: Time,
@@ -44,13 +44,13 @@
         self.dispatch(now, out);
     }
 
-    /// Resets what is known of an upstream that restarted, and closes idle connections to one that
-    /// leaves.
+    /// Resets the estimates of an upstream that restarted, and closes the idle connections to an
+    /// upstream that drains or was withdrawn.
     fn apply_change(&mut self, now: Time, change: &Change, out: &mut Vec<Action>) {
         let s = &mut self.upstreams.servers[change.server];
         if change.restarted {
-            // A random part of the first send is already earned, so that balancers do not all send
-            // at once.
+            // A random part of the first send is already earned, so that the balancers do not all
+            // send at the same time.
             (s.earned_sends, s.earned_at) = (self.rng.rand_float(), now);
             s.estimate.slow = Estimate::NONE.slow;
             s.breaker = Breaker::default();
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Drops upstreams that are gone, and takes them out of the fleet's mean propagation time.
+    /// Removes withdrawn upstreams, also from the mean propagation time of all upstreams.
     fn forget_departed(&mut self, now: Time) {
         let fleet = &mut self.fleet;
         self.upstreams.forget(now, |estimate| {
@@ -72,10 +72,11 @@
         });
     }
 
-    /// Closes idle connections to an upstream that drains or is gone, where a rule asks for it.
+    /// Closes idle connections to a draining or withdrawn upstream, where a rule requires it.
     ///
-    /// Called on the notice, after each outcome there and once a sweep for as long as the rule
-    /// allows: a connection may become idle a moment after the outcome that used it.
+    /// This is called when the upstream starts to drain, after each outcome of an attempt there, and
+    /// in each sweep until the time limit of the rule: a connection may become idle a moment after
+    /// the outcome of its last attempt.
     pub(super) fn close_idle_connections(
         &mut self,
         now: Time,
@@ -94,7 +95,8 @@
         }
     }
 
-    /// Closes idle connections to all upstreams that left not long ago.
+    /// Closes idle connections to all upstreams that started to drain or were withdrawn within the
+    /// time limit of the rule.
     pub(super) fn close_idle_of_departed(&mut self, now: Time, out: &mut Vec<Action>) {
         let is_over = |s: &Server| s.status == Status::Live || now > s.close_idle_until;
         self.closing.sort_unstable();
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Subscribes to the list, if that is due.
+    /// Subscribes to the endpoint list, if a poll is due.
     pub(super) fn poll_list(&mut self, now: Time, out: &mut Vec<Action>) {
         if self.list_poller.poll_if_due(now) {
             out.push(Action::Subscribe);
@@ -113,7 +115,7 @@
         }
     }
 
-    /// Arms a timer of its own for the next poll: sweeps may be too seldom for it.
+    /// Arms a separate timer for the next poll, since sweeps may be too rare for it.
     pub(super) fn arm_list_poll(&self, out: &mut Vec<Action>) {
         out.extend(self.list_poller.next().map(|at| Action::Arm { token: LIST_POLL_TIMER, at }));
     }
--- a/crates/policy/src/policy/outlier.rs
+++ b/crates/policy/src/policy/outlier.rs
@@ -1,22 +1,25 @@
-//! Takes in the outcomes of attempts: learns from them, and ejects upstreams that fail for a while.
+//! Handles the outcomes of attempts: updates the estimates, and temporarily ejects upstreams that
+//! fail.
 //!
-//! What becomes of the request is for [`super::retry`] to say.
+//! [`super::retry`] decides whether the request is retried.
 
 use super::Balancer;
 use crate::estimate::SLOWNESS_GAIN;
 use crate::interface::{Action, CompletedAttempt, Outcome, Time};
 use crate::request_state::{Attempt, AttemptState};
 
-/// First pause of an upstream that rejected a request or can't be reached, in mean service times.
+/// First ejection time of an upstream that rejected a request or is unreachable, in mean service
+/// times.
 const PAUSE_OF_TS: f64 = 0.5;
-/// Most doublings of that pause: a dead upstream is tried about every thirty service times.
+/// Most doublings of that ejection time: a dead upstream gets an attempt about every thirty service
+/// times.
 const MAX_PAUSE_DOUBLINGS: u32 = 6;
-/// Most doublings of the pause of one class at an upstream. Each try costs a request, so that
-/// pauses may grow long.
+/// Most doublings of the ejection time of one class at an upstream. It may grow long, since each
+/// new attempt risks a request.
 pub(super) const MAX_CLASS_PAUSE_DOUBLINGS: u32 = 10;
 
 impl Balancer {
-    /// An attempt has ended: books its outcome, then retries or ends its request.
+    /// Records the outcome of an attempt, then retries or finishes its request.
     pub(super) fn outcome(&mut self, now: Time, answer: CompletedAttempt, out: &mut Vec<Action>) {
         let Some(entry) = self.queue.get_mut(answer.request) else { return };
         let in_flight = |a: &&mut Attempt| a.state == AttemptState::InFlight;
@@ -33,7 +36,7 @@
         entry.streams_body &= !answer.body_consumed;
         let (class, ordering_key) = (entry.class, entry.ordering_key);
         if matches!(answer.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
-            // It may still be running at the upstream.
+            // The attempt may still be running at the upstream.
             self.queue.rest_key(ordering_key, now.plus(self.settings.rules.ordering_key_rest));
         }
         self.learn(now, class, attempt, &answer);
@@ -46,19 +49,19 @@
         self.dispatch(now, out);
     }
 
-    /// Updates all estimates by an outcome, and frees the slot of its attempt.
+    /// Updates all estimates with an outcome, and releases the slot of its attempt.
     fn learn(&mut self, now: Time, class: usize, attempt: Attempt, answer: &CompletedAttempt) {
         let server = attempt.server;
         let outcome = answer.outcome;
         let is_ok = outcome == Outcome::Ok;
-        // One absurd latency must not put the mean of its class out of reach.
+        // A single implausible latency must not distort the mean of its class.
         let latency = answer
             .latency
             .as_micros_f64()
             .clamp(1.0, self.settings.classes[class].deadline.as_micros_f64());
         self.count_level(now, server, is_ok.then_some(class));
-        // A probed upstream runs more requests than it usually does: its latency says nothing of
-        // its speed.
+        // A probed upstream runs more requests than usual, so its latency does not reflect its
+        // speed.
         let s = &self.upstreams.servers[server];
         let is_probe = s.in_flight > Self::k(s, 0);
         if is_ok && !is_probe {
@@ -69,7 +72,7 @@
         let mean = if mean > 0.0 { mean } else { self.fleet.ts };
         self.adjust_leeway(latency / mean, outcome);
         self.learn_unanswered(class, attempt, outcome);
-        // An overdue attempt was counted as timed out when it became overdue.
+        // An overdue attempt was already counted as timed out when it became overdue.
         let is_counted = attempt.overdue && outcome == Outcome::Timeout;
         let says_nothing = is_counted || is_ok && is_probe;
         if !says_nothing {
@@ -83,10 +86,11 @@
         self.refresh_availability(now, server);
     }
 
-    /// Counts what warm upstreams of a machine type served, which slow start paces sends by.
+    /// Counts an answer of a warm upstream for its machine type. Slow start paces sends by this
+    /// count.
     ///
-    /// Sends are no measure: under overload those of all balancers add up to a multiple of what an
-    /// upstream can do.
+    /// Sends would be a wrong measure: under overload, the sends of all balancers add up to a
+    /// multiple of the capacity of an upstream.
     fn count_served(&mut self, now: Time, server: usize, outcome: Outcome) {
         let s = &self.upstreams.servers[server];
         if outcome == Outcome::Ok && self.warm_up_share(now, s).is_none() {
@@ -102,7 +106,7 @@
         }
     }
 
-    /// Updates the estimate of one upstream, and the fleet's sum of propagation times with it.
+    /// Updates the estimates of one upstream, and the sum of the propagation times of all upstreams.
     fn learn_slowness(&mut self, server: usize, outcome: Outcome, latency: f64, mean: f64) {
         let estimate = &mut self.upstreams.servers[server].estimate;
         let before = estimate.tp2;
@@ -111,8 +115,8 @@
         self.fleet.tp2_count += usize::from(before.is_none() && estimate.tp2.is_some());
     }
 
-    /// Ejects an upstream after a fault, for all classes or for the one concerned; an answer ends
-    /// both.
+    /// Ejects an upstream after a fault, either for all classes or for the class of the attempt. An
+    /// answer ends both kinds of ejection.
     fn eject_or_restore(
         &mut self,
         now: Time,
--- a/crates/policy/src/policy/retry.rs
+++ b/crates/policy/src/policy/retry.rs
@@ -1,12 +1,13 @@
-//! Decides whether and where a request may be attempted (again), and how it ends if it may not.
+//! Decides whether and where a request may be attempted, and how it ends if no further attempt is
+//! allowed.
 
 use super::Balancer;
 use crate::interface::{Action, Effect, Group, Refusal, RequestId, Time};
 use crate::request_state::{Affinity, AttemptState, RequestState};
 
 impl Balancer {
-    /// Whether a request may be attempted now, at the upstreams of its [`Self::affinity`]. Nothing
-    /// else decides this.
+    /// Returns whether a request may be attempted now, at the upstreams of its [`Self::affinity`].
+    /// This is the only place that decides it.
     pub(super) fn may_attempt(&self, now: Time, entry: &RequestState) -> bool {
         let is_used_up = entry.body_consumed || entry.attempts.len() >= self.max_attempts;
         if entry.is_finished || now >= self.send_by(entry) || is_used_up || self.expired {
@@ -25,8 +26,9 @@
         }
     }
 
-    /// Until when a request may be sent: upstreams drop a repeat only within the window of each
-    /// attempt that may have run.
+    /// Returns the time until which a request may be sent. For a request with an idempotency key,
+    /// it ends with the first deduplication window of its attempts that may have run: afterwards an
+    /// upstream might run the request a second time.
     pub(super) fn send_by(&self, entry: &RequestState) -> Time {
         let class = &self.settings.classes[entry.class];
         if class.effect != Effect::Keyed {
@@ -36,8 +38,9 @@
         windows.fold(entry.send_deadline, Time::min)
     }
 
-    /// Where a request may be sent: to the cell that it sticks to, and once a keyed one may have
-    /// run, only to the upstreams that drop its repeats.
+    /// Returns the upstreams that a request may be sent to: those of its sticky cell, if it has one.
+    /// Once a request with an idempotency key may have run, only the upstreams that drop its repeats
+    /// remain.
     pub(super) fn affinity(&self, entry: &RequestState) -> Affinity {
         let class = &self.settings.classes[entry.class];
         let first_run = entry.may_have_run().next().map(|a| &self.upstreams.servers[a.server]);
@@ -51,16 +54,16 @@
         }
     }
 
-    /// Whether there is a live upstream, free or not, that a request may be sent to and where it is
-    /// not in flight.
+    /// Returns whether a request may be sent to some live upstream, with or without a free slot, at
+    /// which the request is not in flight already.
     pub(super) fn has_upstream(&self, now: Time, entry: &RequestState) -> bool {
         let in_flight = entry.attempts.iter().filter(|a| a.state == AttemptState::InFlight);
         let busy: Vec<usize> = in_flight.map(|a| a.server).collect();
         self.may_attempt(now, entry) && self.upstreams.any(entry.class, self.affinity(entry), &busy)
     }
 
-    /// Whether a request may be rejected, which promises that it is harmless to send it again.
-    /// Nothing else decides this.
+    /// Returns whether a request may be rejected. A rejection promises the client that it is safe to
+    /// send the request again. This is the only place that decides it.
     fn may_refuse(&self, entry: &RequestState) -> bool {
         let class = &self.settings.classes[entry.class];
         match class.effect {
@@ -70,7 +73,7 @@
         }
     }
 
-    /// After an attempt that did not serve a request: queues it for a retry, or ends it.
+    /// Queues a request for a retry after a failed attempt, or finishes the request.
     pub(super) fn retry_or_finish(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let Some(entry) = self.queue.get(id) else { return };
         if entry.is_finished {
@@ -86,7 +89,7 @@
         }
     }
 
-    /// Rejects a request if that is safe, else fails it.
+    /// Rejects a request if that is safe, or else fails it.
     fn give_up(&mut self, id: RequestId, reason: Refusal, out: &mut Vec<Action>) {
         let Some(entry) = self.queue.get(id) else { return };
         if self.may_refuse(entry) {
@@ -97,8 +100,8 @@
         }
     }
 
-    /// Gives up queued requests. One that was queued for a hedge only leaves the queue: its first
-    /// attempt may still be answered.
+    /// Gives up queued requests. A request that is queued for a hedge only leaves the queue, since
+    /// its first attempt may still be answered.
     pub(super) fn give_up_all(
         &mut self,
         queued: Vec<RequestId>,
--- a/crates/policy/src/policy/selection.rs
+++ b/crates/policy/src/policy/selection.rs
@@ -1,4 +1,4 @@
-//! Selects the upstream of an attempt: the one of least cost with a free slot.
+//! Selects the upstream of an attempt: the upstream of least cost that has a free slot.
 
 use hollowpaddle_ordered_collections::tournament::Key;
 
@@ -7,32 +7,32 @@
 use crate::request_state::{Affinity, AttemptState, RequestState};
 use crate::upstreams::{Availability, Server};
 
-/// Why a request finds no upstream now.
+/// The reason for which a request cannot be sent now.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum NoUpstream {
-    /// The request may not be sent now, or only where it is in flight already.
+    /// The request may not be sent now, or only to an upstream at which it is already in flight.
     RequestBlocked,
-    /// No upstream that it may be sent to has a free slot.
+    /// None of the upstreams that the request may be sent to has a free slot.
     NoFreeSlot,
 }
 
-/// Which slots are taken into account.
+/// The slots among which an attempt is placed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Slots {
-    /// The ordinary ones.
+    /// The ordinary slots of an upstream.
     Ordinary,
-    /// Those that concurrency probes add, once the ordinary ones of an upstream are taken.
+    /// The slots that a concurrency probe adds; available once the ordinary slots are taken.
     Probe,
 }
 
 impl Balancer {
-    /// Whether an upstream may be sent a request of a class now.
+    /// Returns whether a request of a class may be sent to an upstream now.
     fn is_free(&self, now: Time, class: usize, server: usize, slots: Slots) -> bool {
         let s = &self.upstreams.servers[server];
         let has_slot = match slots {
             Slots::Ordinary => s.in_flight < Self::k(s, s.probe.min(0)),
-            // Idle slots of a probed upstream are idle since it is slow: a probe must not fill
-            // them.
+            // If ordinary slots of a probed upstream are idle, the upstream is slow, and a probe
+            // must not fill them.
             Slots::Probe => s.in_flight < Self::k(s, s.probe) && s.in_flight >= Self::k(s, 0),
         };
         let is_ejected = s.by_class.is_ejected(now, class) && !self.upstreams.is_panicking(class);
@@ -44,8 +44,8 @@
             && self.has_earned_send(now, s)
     }
 
-    /// Recomputes whether an upstream is available, and sets a timer for when that may change by
-    /// itself.
+    /// Recomputes whether an upstream is available, and sets a timer for the next time at which this
+    /// may change without an event.
     pub(super) fn refresh_availability(&mut self, now: Time, server: usize) {
         let s = &self.upstreams.servers[server];
         let is_live = s.status == Status::Live;
@@ -64,7 +64,7 @@
         self.upstreams.set_availability(now, server, availability);
     }
 
-    /// When the availability of an upstream changes next by the passing of time.
+    /// Returns when the availability of an upstream next changes by the passing of time alone.
     fn next_change(
         &self,
         now: Time,
@@ -89,8 +89,9 @@
             .min()
     }
 
-    /// The upstream of least cost with a free slot, of those that a request may be sent to. One
-    /// that already failed it comes last; one where it is in flight is left out.
+    /// Returns the upstream of least cost with a free slot, among those that the request may be sent
+    /// to. Upstreams that already failed the request come last, and upstreams at which the request is
+    /// in flight are excluded.
     pub(super) fn pick(
         &mut self,
         now: Time,
@@ -117,7 +118,8 @@
             let best = self.upstreams.cell(zone, cell).filter(is_candidate).min_by_key(key);
             return best.map_or(repeated, Ok);
         }
-        // What was available when it was refreshed last is checked once more before it is sent to.
+        // The index may be out of date: an upstream that was available at its last refresh is
+        // checked again.
         while let Some(i) = self.upstreams.best(class, affinity, &tried) {
             if self.upstreams.satisfies(affinity, i) && self.is_free(now, class, i, slots) {
                 return Ok(i);
@@ -127,8 +129,8 @@
         repeated
     }
 
-    /// The upstream of least cost among those that failed a request before; one where it is in
-    /// flight blocks it.
+    /// Returns the upstream of least cost among those that failed the request before. If only
+    /// upstreams at which the request is in flight have free slots, the request is blocked.
     fn pick_tried(
         &self,
         now: Time,
--- a/crates/policy/src/policy/slow_start.rs
+++ b/crates/policy/src/policy/slow_start.rs
@@ -1,7 +1,8 @@
-//! Limits what upstreams that are warming up are sent, so that all balancers together do not
-//! overload them.
+//! Limits the sends to upstreams that are warming up, so that all balancers together do not overload
+//! them.
 //!
-//! Each such upstream has a token bucket: it earns sends at a pace that grows while it warms up.
+//! Each upstream that is warming up has a token bucket, which earns sends at a pace that grows during
+//! the warm-up.
 
 use super::Balancer;
 use super::sweep::OWN_DISTANCE;
@@ -9,20 +10,21 @@
 use crate::machine_types::Decay;
 use crate::upstreams::Server;
 
-/// Pace to an upstream that lies next to this balancer on the ring, as a share of
-/// [`crate::interface::Rules::overload_multiple`]. Few balancers lie next to the same one.
+/// Pace of sends to an upstream next to this balancer on the ring, as a share of
+/// [`crate::interface::Rules::overload_multiple`]. Few balancers are next to the same upstream.
 const OWNER_PACE: f64 = 1.0 / 3.0;
-/// Most of that multiple that all balancers together send by the rates that each has observed.
+/// Largest share of that multiple that all balancers together send by their observed rates.
 const OBSERVED_PACE: f64 = 0.5;
-/// How long an earned send is kept, as a share of [`crate::interface::Rules::overload_window`]. Kept for
-/// longer, the unused sends of many balancers would go out in one burst.
+/// Time for which an earned send is retained, as a share of
+/// [`crate::interface::Rules::overload_window`]. With a longer time, the unused sends of many
+/// balancers would go out in one burst.
 const RETENTION_OF_WINDOW: f64 = 0.25;
-/// The longest wait for an earned send that is calculated with, in microseconds.
+/// Upper limit of a computed wait for an earned send, in microseconds.
 const MAX_WAIT_US: f64 = 1e15;
 
 impl Balancer {
-    /// Share of its capacity that an upstream which is warming up has for certain; `None` once it
-    /// is warm.
+    /// Returns the least share of its full capacity that a warming-up upstream has now; `None` once
+    /// the upstream is warm.
     pub(super) fn warm_up_share(&self, now: Time, s: &Server) -> Option<f64> {
         let rules = &self.settings.rules;
         let age = now.since(s.started?);
@@ -34,13 +36,13 @@
         Some(initial + (1.0 - initial) * grown)
     }
 
-    /// Whether slow start allows a send to an upstream now.
+    /// Returns whether slow start allows a send to an upstream now.
     pub(super) fn has_earned_send(&self, now: Time, s: &Server) -> bool {
         self.earned_sends(now, s).is_none_or(|sends| sends >= 1.0)
     }
 
-    /// Sends that an upstream which is warming up has earned by now and not used; `None` once it is
-    /// warm.
+    /// Returns the sends that a warming-up upstream has earned by now and not used; `None` once the
+    /// upstream is warm.
     fn earned_sends(&self, now: Time, s: &Server) -> Option<f64> {
         let share = self.warm_up_share(now, s)?;
         let pace = self.warm_up_pace(s) * share;
@@ -53,7 +55,8 @@
         Some(if earned > 1.0 + retained { earned.fract() } else { earned })
     }
 
-    /// Sends per microsecond that this balancer may direct at an upstream like `s` once it is warm.
+    /// Returns the sends per microsecond that this balancer may direct at an upstream like `s` once
+    /// that is warm.
     fn warm_up_pace(&self, s: &Server) -> f64 {
         let fleet = &self.fleet;
         let machine_types = &self.upstreams.machine_types;
@@ -62,16 +65,16 @@
             if observed_for_type > 0.0 { observed_for_type } else { machine_types.any_rate };
         let observed = s.weight * observed;
         let multiple = self.settings.rules.overload_multiple.max(1.0);
-        // With every upstream warming up, or nothing observed yet, some pace must remain.
+        // If all upstreams are warming up or no rate has been observed yet, an even pace applies.
         let even = multiple / self.upstreams.sharers / fleet.paced_ts;
-        // Bounded, since balancers that each observe little overestimate the rate.
+        // The observed rate is bounded, since a balancer with few observations overestimates it.
         let by_observation = if observed > 0.0 {
             observed.min(even * OBSERVED_PACE * self.concurrency(s))
         } else {
             even
         };
-        // The balancers next to an upstream send it most, so that an even part of the pace would
-        // leave it idle.
+        // The balancers next to an upstream send most of its requests: an even share of the pace
+        // would leave the upstream idle.
         let by_ownership = if s.distance <= OWN_DISTANCE {
             multiple * OWNER_PACE * self.concurrency(s) / fleet.paced_ts
         } else {
@@ -80,8 +83,8 @@
         by_observation.max(by_ownership)
     }
 
-    /// A time no later than that at which an upstream will have earned a send: its share grows
-    /// until then.
+    /// Returns a lower bound of the time at which an upstream will have earned its next send. The
+    /// bound is not exact, since the share of the upstream grows until then.
     pub(super) fn next_send_at(&self, now: Time, s: &Server) -> Time {
         let pace = self.warm_up_pace(s);
         let passed = now.since(s.earned_at).as_micros_f64().max(0.0);
@@ -92,12 +95,12 @@
             s.earned_at
                 .plus(SignedDuration::from_micros_f64((missing / (pace * share)).min(MAX_WAIT_US)))
         };
-        // The share that is reached by the first estimate gives an earlier one.
+        // The share at the time of the first estimate gives an earlier second estimate.
         earned_at_share_of(earned_at_share_of(now)).max(now.plus(SignedDuration(1)))
     }
 
-    /// Books what an upstream has earned by now, before its pace changes, and takes `spent` sends
-    /// off.
+    /// Updates the earned sends of an upstream to the present time, before its pace changes, and
+    /// subtracts `spent` sends.
     pub(super) fn book_earned_sends(&mut self, now: Time, server: usize, spent: f64) {
         if let Some(earned) = self.earned_sends(now, &self.upstreams.servers[server]) {
             let s = &mut self.upstreams.servers[server];
@@ -105,8 +108,8 @@
         }
     }
 
-    /// Decays the observed rates by the time since the last call, and takes over TS as the base of
-    /// all paces.
+    /// Decays the observed rates by the time since the last call, and makes the present TS the base
+    /// of all paces.
     pub(super) fn decay_rates(&mut self, now: Time) {
         let last = std::mem::replace(&mut self.fleet.decayed_at, now);
         let elapsed = now.since(last).as_micros_f64();
--- a/crates/policy/src/policy/sweep.rs
+++ b/crates/policy/src/policy/sweep.rs
@@ -1,41 +1,41 @@
-//! Refreshes what is known of each upstream and of the fleet, in slices, so that no event takes
-//! long.
+//! Refreshes the derived state of each upstream and of all upstreams together, in slices, so that no
+//! single event takes long.
 
 use super::Balancer;
 use crate::interface::{Settings, SignedDuration, Time};
 
-/// A fleet of up to this many upstreams is swept at once.
+/// Up to this number, all upstreams are refreshed by one sweep.
 const SMALL_FLEET: usize = 256;
-/// Upstreams of a larger fleet that one sweep refreshes; each event that follows refreshes one of
-/// the rest.
+/// Number of upstreams that one sweep refreshes if there are more than [`SMALL_FLEET`]. Each
+/// following event refreshes one of the others.
 const SWEEP_SLICE: usize = 64;
-/// If more than this share of a class's upstreams is ejected for it, the whole fleet is slow, and
-/// none counts as ejected.
+/// Panic threshold: if more than this share of the upstreams of a class is ejected for the class,
+/// all upstreams are slow, and ejection is ignored.
 const PANIC_SHARE: f64 = 0.75;
-/// Distance that an upstream in another zone adds where crossing has a price, in even parts of the
-/// fleet.
+/// Distance added for an upstream in another zone where crossing zones has a price, in even shares
+/// of the upstreams.
 pub(super) const CROSS_ZONE_DISTANCE: f64 = 1.0;
 /// Added to the distance in the cost of an upstream, so that slowness also counts where the
 /// distance is zero.
 const MIN_DISTANCE: f64 = 0.1;
-/// Upstreams within this distance are the balancer's own, in even parts of the fleet.
+/// A balancer's own upstreams are those within this distance, in even shares of the upstreams.
 pub(super) const OWN_DISTANCE: f64 = 0.5;
-/// Time between sweeps, as a share of the shortest latency objective: queued requests are rejected
-/// close to their limit.
+/// Time between sweeps, as a share of the shortest latency objective. It is small, so that a queued
+/// request is given up close to the end of its objective.
 const SWEEP_OF_OBJECTIVE: f64 = 1.0 / 32.0;
 
-/// What a sweep is for.
+/// The occasion of a sweep.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(super) enum Sweep {
-    /// The timer: refreshes the fleet's figures and the concurrency probes too.
+    /// The timer: also refreshes the statistics of all upstreams and the concurrency probes.
     Timer,
-    /// A new list: refreshes the fleet's figures too.
+    /// A new endpoint list: also refreshes the statistics of all upstreams.
     List,
-    /// What is left of the last sweep.
+    /// The remainder of the previous sweep.
     Rest,
 }
 
-/// Time between sweeps.
+/// Returns the time between sweeps.
 pub(super) fn sweep_every(settings: &Settings) -> SignedDuration {
     let objectives = settings.classes.iter().map(|c| c.latency_objective.0);
     let shortest = objectives.min().unwrap_or(0);
@@ -43,12 +43,13 @@
 }
 
 impl Balancer {
-    /// Upstreams that one sweep refreshes.
+    /// Returns the number of upstreams that one sweep refreshes.
     pub(super) fn sweep_slice(&self) -> usize {
         if self.upstreams.ring.len() <= SMALL_FLEET { SMALL_FLEET } else { SWEEP_SLICE }
     }
 
-    /// Refreshes the next upstreams of the ring, at most `limit`, and with them what `sweep` says.
+    /// Refreshes the next `limit` upstreams of the ring at most, and what this kind of sweep covers
+    /// besides.
     pub(super) fn sweep(&mut self, now: Time, limit: usize, sweep: Sweep) {
         let all = self.upstreams.ring.len();
         let indexes: Vec<usize> =
@@ -74,8 +75,8 @@
         self.refresh_admission();
     }
 
-    /// Refreshes distance and earned sends of the upstreams at these indexes of the ring; returns
-    /// their slots.
+    /// Refreshes the distance and the earned sends of the upstreams at these indexes of the ring, and
+    /// returns their slots.
     fn refresh_distances(&mut self, now: Time, indexes: &[usize]) -> Vec<usize> {
         let slots: Vec<usize> = indexes.iter().map(|i| self.upstreams.ring.at(*i).slot).collect();
         self.upstreams.preload(&slots);
@@ -91,8 +92,8 @@
         slots
     }
 
-    /// Refreshes the cost of an upstream (slower and more distant ones cost more), its capacity and
-    /// availability.
+    /// Refreshes the cost, capacity and availability of an upstream. Slower and more distant
+    /// upstreams cost more.
     pub(crate) fn refresh(&mut self, now: Time, server: usize) {
         let s = &mut self.upstreams.servers[server];
         s.cost = (MIN_DISTANCE + s.distance) * s.estimate.slow * s.estimate.slow;
@@ -100,7 +101,8 @@
         self.refresh_availability(now, server);
     }
 
-    /// Refreshes the fleet's mean propagation time, the observed rates and the ejected shares.
+    /// Refreshes the mean propagation time of all upstreams, the observed rates, and the classes for
+    /// which the panic threshold is reached.
     pub(crate) fn refresh_fleet(&mut self, now: Time) {
         if self.fleet.tp2_count > 0 {
             self.fleet.tp2 = self.fleet.tp2_sum.get() / self.fleet.tp2_count as f64;
