--- a/crates/policy/src/capacity.rs
+++ b/crates/policy/src/capacity.rs
@@ -268,11 +268,16 @@
     }
 
     /// Replaces what an upstream adds to the sums of these groups.
-    pub(crate) fn sum(&mut self, list: &[u32], was: Option<Capacity>, now: Option<Capacity>) {
+    pub(crate) fn replace_capacity(
+        &mut self,
+        list: &[u32],
+        previous: Option<Capacity>,
+        next: Option<Capacity>,
+    ) {
         for &number in list {
             let group = &mut self.groups[number as usize];
-            group.k.change(was.map(|c| c.k), now.map(|c| c.k));
-            group.n.change(was.map(|c| c.n), now.map(|c| c.n));
+            group.k.change(previous.map(|c| c.k), next.map(|c| c.k));
+            group.n.change(previous.map(|c| c.n), next.map(|c| c.n));
             if !std::mem::replace(&mut group.is_changed, true) {
                 self.changed.push(number);
             }
--- a/crates/policy/src/policy/estimation.rs
+++ b/crates/policy/src/policy/estimation.rs
@@ -77,7 +77,7 @@
     pub(super) fn update(&mut self, server: usize) {
         let s = &self.upstreams.servers[server];
         let capacity = Capacity { k: self.k_exact(s), n: self.n_optimistic(s) };
-        self.upstreams.sum(server, capacity);
+        self.upstreams.set_capacity(server, capacity);
     }
 
     /// Returns N_i per microsecond for admission.
--- a/crates/policy/src/policy/membership.rs
+++ b/crates/policy/src/policy/membership.rs
@@ -28,11 +28,11 @@
                 self.expired = false;
             }
         }
-        let changes = self.upstreams.list(now, kind, list);
+        let changes = self.upstreams.apply_list(now, kind, list);
         for change in &changes {
             self.apply_change(now, change, out);
         }
-        self.forget_departed(now);
+        self.remove_departed(now);
         for change in &changes {
             if let Some((index, part)) = self.upstreams.find(change.server) {
                 let distance = self.upstreams.distance(index, &part, CROSS_ZONE_DISTANCE);
@@ -56,7 +56,7 @@
             s.breaker = Breaker::default();
             s.by_class.reset_all();
         }
-        if change.was != Some(s.status) {
+        if change.previous_status != Some(s.status) {
             s.close_idle_until = now.plus(self.settings.rules.idle_close_limit);
             self.closing.push(change.server);
             self.close_idle_connections(now, change.server, out);
@@ -64,9 +64,9 @@
     }
 
     /// Removes withdrawn upstreams, also from the mean propagation time of all upstreams.
-    fn forget_departed(&mut self, now: Time) {
+    fn remove_departed(&mut self, now: Time) {
         let fleet = &mut self.fleet;
-        self.upstreams.forget(now, |estimate| {
+        self.upstreams.remove_departed(now, |estimate| {
             fleet.tp2_sum.change(estimate.tp2, None);
             fleet.tp2_count -= usize::from(estimate.tp2.is_some());
         });
--- a/crates/policy/src/policy/retry.rs
+++ b/crates/policy/src/policy/retry.rs
@@ -59,7 +59,8 @@
     pub(super) fn has_upstream(&self, now: Time, entry: &RequestState) -> bool {
         let in_flight = entry.attempts.iter().filter(|a| a.state == AttemptState::InFlight);
         let busy: Vec<usize> = in_flight.map(|a| a.server).collect();
-        self.may_attempt(now, entry) && self.upstreams.any(entry.class, self.affinity(entry), &busy)
+        self.may_attempt(now, entry)
+            && self.upstreams.has_live(entry.class, self.affinity(entry), &busy)
     }
 
     /// Returns whether a request may be rejected. A rejection promises the client that it is safe to
--- a/crates/policy/src/upstreams.rs
+++ b/crates/policy/src/upstreams.rs
@@ -1,6 +1,6 @@
-//! The fleet as the module keeps it: records of all upstreams, and the indexes over them.
+//! Stores the records of all upstreams, and the indexes over them.
 //!
-//! Answers questions at a cost that does not grow with the fleet, and decides nothing.
+//! Queries cost the same however many upstreams there are. This module makes no decisions.
 
 use std::hint::black_box;
 use std::sync::Arc;
@@ -28,29 +28,31 @@
 #[derive(Debug)]
 pub(crate) struct Upstreams {
     settings: Arc<Settings>,
-    /// Balancers that send to each upstream known here: all of them, unless each has a subset of
-    /// the fleet.
+    /// Number of balancers that send to each known upstream: all balancers, unless each has a subset
+    /// of the upstreams.
     pub(crate) sharers: f64,
-    /// By slot. An upstream has its slot until it is gone and no live request was sent there.
+    /// Upstreams by slot. A withdrawn upstream retains its slot while some live request has an
+    /// attempt there.
     pub(crate) servers: Chunked<Server>,
-    /// Slots that are free.
+    /// Free slots.
     vacant: Vec<usize>,
-    /// Slots of upstreams that are gone and not dropped yet.
+    /// Slots of withdrawn upstreams that are not removed yet.
     departed: Vec<usize>,
     /// Slots by the handle of the upstream.
     pub(crate) by_id: FxHashMap<ServerId, u32>,
-    /// Live upstreams by identity; each zone is a part of its own where crossing has a price.
+    /// Live upstreams by identity. Each zone is a separate part where crossing zones has a price.
     pub(crate) ring: Ring,
     /// Slots of live upstreams by zone and cell.
     cells: FxHashMap<(u32, u32), Vec<u32>>,
-    /// Whether the group of some keyed class is a zone: then trees are kept by zone.
+    /// Whether the deduplication group of some class is a zone. If so, the trees of available
+    /// upstreams are divided by zone.
     zoned: bool,
     pub(crate) capacity_groups: CapacityGroups,
-    /// Classes that some upstream is ejected for.
+    /// Classes for which at least one upstream is ejected.
     ejected_classes: FxHashMap<u32, EjectedClass>,
-    /// Figures by machine type.
+    /// Statistics by machine type.
     pub(crate) machine_types: MachineTypes,
-    /// When the availability of an upstream may change by itself.
+    /// Times at which the availability of an upstream may change without an event.
     pub(crate) timers: Timers,
 }
 
@@ -73,13 +75,13 @@
         }
     }
 
-    /// Whether an upstream may be sent requests of a class: it is of a zone and machine type that
-    /// the class allows, and the class is not barred from it.
+    /// Returns whether requests of a class may be sent to an upstream: the class allows the zone and
+    /// machine type of the upstream, and is not barred from it.
     pub(crate) fn serves(&self, class: usize, s: &Server) -> bool {
         s.capacity_groups.binary_search(&self.capacity_groups.group_of_class(class)).is_ok()
     }
 
-    /// The capacity groups that an upstream belongs to.
+    /// Returns the capacity groups that an upstream belongs to.
     fn groups_of(&self, s: &Server) -> GroupList {
         self.capacity_groups.groups_of_upstream(s.machine_type, |class| {
             let c = &self.settings.classes[class];
@@ -89,7 +91,7 @@
         })
     }
 
-    /// Whether an upstream is one of those that a request may be sent to.
+    /// Returns whether an upstream satisfies the affinity of a request.
     pub(crate) fn satisfies(&self, affinity: Affinity, server: usize) -> bool {
         let s = &self.servers[server];
         match affinity {
@@ -99,71 +101,73 @@
         }
     }
 
-    /// The area whose trees an upstream of this zone stands in.
+    /// Returns the area whose trees contain the upstreams of this zone.
     fn area(&self, zone: u32) -> u32 {
         if self.zoned { zone } else { 0 }
     }
 
-    /// Sets K_i and N_i of an upstream, and updates the sums of its capacity groups, in which it
-    /// counts while it is live.
-    pub(crate) fn sum(&mut self, server: usize, now: Capacity) {
+    /// Sets K_i and N_i of an upstream, and updates the sums of its capacity groups. The sums include
+    /// the upstream while it is live.
+    pub(crate) fn set_capacity(&mut self, server: usize, capacity: Capacity) {
         let s = &mut self.servers[server];
-        let was = Capacity { k: s.k, n: s.n };
-        (s.k, s.n) = (now.k, now.n);
+        let previous = Capacity { k: s.k, n: s.n };
+        (s.k, s.n) = (capacity.k, capacity.n);
         let is_live = s.status == Status::Live;
         let was_summed = std::mem::replace(&mut s.is_summed, is_live);
-        let (was, now) = (Some(was).filter(|_| was_summed), Some(now).filter(|_| is_live));
-        if was != now {
-            self.capacity_groups.sum(&s.capacity_groups, was, now);
+        let (previous, next) =
+            (Some(previous).filter(|_| was_summed), Some(capacity).filter(|_| is_live));
+        if previous != next {
+            self.capacity_groups.replace_capacity(&s.capacity_groups, previous, next);
         }
     }
 
-    /// The live upstreams of a cell.
+    /// Returns the live upstreams of a cell.
     pub(crate) fn cell(&self, zone: u32, cell: u32) -> impl Iterator<Item = usize> {
         self.cells.get(&(zone, cell)).into_iter().flatten().map(|slot| *slot as usize)
     }
 
-    /// Whether there is a live upstream that a request may be sent to, beside some.
-    pub(crate) fn any(&self, class: usize, affinity: Affinity, beside: &[usize]) -> bool {
-        let open = |i: &usize| {
+    /// Returns whether a request may be sent to some live upstream other than `excluded`.
+    pub(crate) fn has_live(&self, class: usize, affinity: Affinity, excluded: &[usize]) -> bool {
+        let is_eligible = |i: &usize| {
             let s = &self.servers[*i];
             s.status == Status::Live && self.serves(class, s) && self.satisfies(affinity, *i)
         };
         match affinity {
             Affinity::Any => {
-                let taken = beside.iter().filter(|i| open(i)).collect::<FxHashSet<_>>().len();
-                self.capacity_groups.of_class(class).live > taken
+                let eligible = excluded.iter().filter(|i| is_eligible(i));
+                let excluded_count = eligible.collect::<FxHashSet<_>>().len();
+                self.capacity_groups.of_class(class).live > excluded_count
             }
             Affinity::Cell(zone, cell) => {
-                self.cell(zone, cell).any(|i| open(&i) && !beside.contains(&i))
+                self.cell(zone, cell).any(|i| is_eligible(&i) && !excluded.contains(&i))
             }
             Affinity::Zone(_) => {
                 let mut all = (0..self.ring.len()).map(|j| self.ring.at(j).slot);
-                all.any(|i| open(&i) && !beside.contains(&i))
+                all.any(|i| is_eligible(&i) && !excluded.contains(&i))
             }
         }
     }
 
-    /// Adds to the attempts in flight at an upstream, and in every capacity group that it belongs
-    /// to.
+    /// Adds `change` to the attempts in flight at an upstream, and to those of its capacity groups.
     pub(crate) fn count_in_flight(&mut self, server: usize, change: i32) {
         let s = &mut self.servers[server];
         s.in_flight = s.in_flight.saturating_add_signed(change);
         self.capacity_groups.count(&s.capacity_groups, 0, change as isize);
     }
 
-    /// Live upstreams, and how many of them are not ejected.
+    /// Returns the number of live upstreams, and the number of those that are not ejected for all
+    /// classes.
     pub(crate) fn upstream_counts(&self, now: Time) -> (usize, usize) {
         let all = (0..self.ring.len()).map(|j| &self.servers[self.ring.at(j).slot]);
         (self.ring.len(), all.filter(|s| now >= s.breaker.until).count())
     }
 
-    /// Reads what a sweep over these upstreams needs: the processor overlaps reads that do not
-    /// depend on each other.
+    /// Reads the data that a sweep over these upstreams needs, so that the processor overlaps these
+    /// independent reads.
     ///
-    /// `black_box` keeps the compiler from removing these reads, whose results are not used. It
-    /// answers the benchmark `capacity`, in which a sweep over a large fleet waited for memory once
-    /// for each read.
+    /// Without this step, a sweep over many upstreams waits for memory once for each read, as the
+    /// benchmark `capacity` shows. `black_box` keeps the compiler from removing the reads, whose
+    /// results are not used.
     pub(crate) fn preload(&self, slots: &[usize]) {
         for &slot in slots {
             let s = &self.servers[slot];
@@ -175,7 +179,8 @@
     }
 }
 
-/// Whether the bit of a class is set. Classes from the 65th on have none and are never barred.
+/// Returns whether the bit of a class is set. Classes from the 65th on have no bit and are never
+/// barred.
 fn bars(barred_classes: u64, class: usize) -> bool {
     u32::try_from(class)
         .ok()
--- a/crates/policy/src/upstreams/availability.rs
+++ b/crates/policy/src/upstreams/availability.rs
@@ -1,7 +1,7 @@
-//! Keeps the upstreams with a free slot in order of cost, for all classes and for those that some
-//! upstream is ejected for.
+//! Orders the upstreams with a free slot by cost, for all classes together and separately for each
+//! class for which some upstream is ejected.
 //!
-//! Whether an upstream has a free slot is for [`crate::policy`] to say.
+//! [`crate::policy`] decides whether an upstream has a free slot.
 
 use hollowpaddle_ordered_collections::tournament::Key;
 
@@ -10,18 +10,19 @@
 use crate::interface::Time;
 use crate::request_state::Affinity;
 
-/// Whether an upstream can be sent to as of now.
+/// The present availability of an upstream.
 pub(crate) struct Availability {
-    /// Its key if it has a free slot and is not ejected for all classes, else [`Key::OUT`].
+    /// The upstream's key if it has a free slot and is not ejected for all classes, otherwise
+    /// [`Key::OUT`].
     pub(crate) key: Key,
-    /// It is live and not warming up.
+    /// Whether the upstream is live and not warming up.
     pub(crate) warm: bool,
-    /// It is ejected for some class.
+    /// Whether the upstream is ejected for some class.
     pub(crate) partly_ejected: bool,
 }
 
 impl Upstreams {
-    /// Books the availability of an upstream.
+    /// Records the availability of an upstream.
     pub(crate) fn set_availability(
         &mut self,
         now: Time,
@@ -57,8 +58,7 @@
         }
     }
 
-    /// Counts an upstream with the classes that it is ejected for now, and no longer with the
-    /// previous ones.
+    /// Updates the ejection counts of all classes to those for which an upstream is ejected now.
     fn count_ejections(&mut self, now: Time, server: usize) {
         let s = &self.servers[server];
         let ejected = s.by_class.ejected(now).map(|b| b.class).filter(|_| s.is_partly_ejected);
@@ -78,7 +78,7 @@
         }
     }
 
-    /// Sets the key of an upstream in the trees of the classes that some upstream is ejected for.
+    /// Sets the key of an upstream in the trees of all classes for which some upstream is ejected.
     fn set_class_availability(&mut self, now: Time, server: usize, key: Key) {
         let area = self.area(self.servers[server].zone);
         let s = &self.servers[server];
@@ -92,12 +92,13 @@
         }
     }
 
-    /// Whether so many upstreams are ejected for a class that none counts as ejected for it.
+    /// Returns whether the panic threshold is reached, so that ejection is ignored for a class.
     pub(crate) fn is_panicking(&self, class: usize) -> bool {
         self.ejected_classes.get(&(class as u32)).is_some_and(|ejected| ejected.is_panicking)
     }
 
-    /// Recomputes for which classes more than `share` of their upstreams is ejected.
+    /// Recomputes the classes for which the panic threshold is reached: more than `share` of the
+    /// upstreams of the class are ejected.
     pub(crate) fn refresh_panic(&mut self, share: f64) {
         let groups = &mut self.capacity_groups;
         self.ejected_classes.retain(|class, ejected| {
@@ -110,8 +111,8 @@
         });
     }
 
-    /// The upstream with the least key of those available to a class, without some of them. As of
-    /// their last refresh.
+    /// Returns the upstream with the least key that is available to a class, except for the
+    /// upstreams `without`. Availability is as of the last refresh of each upstream.
     pub(crate) fn best(
         &mut self,
         class: usize,
--- a/crates/policy/src/upstreams/list.rs
+++ b/crates/policy/src/upstreams/list.rs
@@ -1,6 +1,6 @@
-//! Takes in the endpoint list: upstreams that join, change and leave.
+//! Applies the endpoint list: adds, changes and removes upstreams.
 //!
-//! What follows for estimates and connections is for [`crate::policy`] to say.
+//! [`crate::policy`] decides on the consequences for estimates and connections.
 
 use hollowpaddle_ordered_collections::ring::Place;
 use hollowpaddle_ordered_collections::tournament::Key;
@@ -12,18 +12,18 @@
 use crate::estimate::Estimate;
 use crate::interface::{ListKind, Member, ServerId, Status, Time};
 
-/// An upstream that an entry of a list added or changed.
+/// An upstream that an entry of the endpoint list added or changed.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Change {
-    /// Its slot.
+    /// Slot of the upstream.
     pub(crate) server: usize,
-    /// Its status before; `None` if it was not known.
-    pub(crate) was: Option<Status>,
-    /// The list says that it has restarted since.
+    /// Previous status; `None` if the upstream was unknown.
+    pub(crate) previous_status: Option<Status>,
+    /// Whether the upstream has restarted since, according to the list.
     pub(crate) restarted: bool,
 }
 
-/// Places on the ring that a list frees and takes.
+/// Places on the ring that a list removes and adds.
 #[derive(Default)]
 struct RingChange {
     removed: Vec<Place>,
@@ -31,11 +31,11 @@
 }
 
 impl Upstreams {
-    /// Takes in a list, and returns the upstreams that it changed. They count as unavailable until
-    /// they are refreshed.
-    pub(crate) fn list(&mut self, now: Time, kind: ListKind, list: &[Member]) -> Vec<Change> {
+    /// Applies a list event, and returns the changed upstreams. They count as unavailable until they
+    /// are refreshed.
+    pub(crate) fn apply_list(&mut self, now: Time, kind: ListKind, list: &[Member]) -> Vec<Change> {
         let mut changed = Vec::new();
-        let mut moved = RingChange::default();
+        let mut ring_change = RingChange::default();
         if !kind.is_part() {
             let listed: FxHashSet<ServerId> = list.iter().map(|m| m.id).collect();
             let unlisted = self.by_id.iter().filter(|(id, _)| !listed.contains(id));
@@ -43,26 +43,31 @@
             unlisted.sort_unstable();
             for i in unlisted {
                 let s = &self.servers[i];
-                let gone = Member { status: Status::Gone, ..s.member() };
-                changed.extend(self.apply_entry(now, &gone, &mut moved));
+                let withdrawn = Member { status: Status::Gone, ..s.member() };
+                changed.extend(self.apply_entry(now, &withdrawn, &mut ring_change));
             }
         }
         for entry in list {
-            changed.extend(self.apply_entry(now, entry, &mut moved));
+            changed.extend(self.apply_entry(now, entry, &mut ring_change));
         }
-        self.ring.change(&moved.removed, &moved.added);
+        self.ring.change(&ring_change.removed, &ring_change.added);
         changed
     }
 
-    /// Applies one entry of a list; returns the upstream if that changes anything.
-    fn apply_entry(&mut self, now: Time, entry: &Member, moved: &mut RingChange) -> Option<Change> {
+    /// Applies one entry of a list, and returns the upstream if the entry changes anything.
+    fn apply_entry(
+        &mut self,
+        now: Time,
+        entry: &Member,
+        ring_change: &mut RingChange,
+    ) -> Option<Change> {
         let weight =
             if entry.weight > 0.0 && entry.weight.is_finite() { entry.weight } else { 1.0 };
         let known = self.by_id.get(&entry.id).map(|slot| *slot as usize);
         if let Some(s) = known.map(|i| &self.servers[i]) {
-            let same = (s.zone, s.machine_type, s.cell, s.status)
+            let has_same_listing = (s.zone, s.machine_type, s.cell, s.status)
                 == (entry.zone, entry.machine_type, entry.cell, entry.status);
-            if same
+            if has_same_listing
                 && (s.started, s.weight, s.barred_classes)
                     == (entry.started, weight, entry.barred_classes)
             {
@@ -70,13 +75,13 @@
             }
         }
         let server = known.unwrap_or_else(|| self.add(now, entry));
-        let was = self.servers[server].status;
-        if was == Status::Live {
-            moved.removed.push(self.place_of(server));
+        let previous_status = self.servers[server].status;
+        if previous_status == Status::Live {
+            ring_change.removed.push(self.place_of(server));
         }
-        self.enlist(server, -1);
+        self.count_member(server, -1);
         self.servers[server].status = Status::Gone;
-        self.withdraw(now, server);
+        self.remove_from_sums(now, server);
         let s = &mut self.servers[server];
         let restarted = s.started != entry.started && entry.started.is_some();
         (s.zone, s.machine_type, s.cell) = (entry.zone, entry.machine_type, entry.cell);
@@ -85,16 +90,16 @@
         s.type_index = self.machine_types.enter(entry.machine_type);
         let capacity_groups = self.groups_of(&self.servers[server]);
         self.servers[server].capacity_groups = capacity_groups;
-        self.enlist(server, 1);
+        self.count_member(server, 1);
         match entry.status {
-            Status::Live => moved.added.push(self.place_of(server)),
+            Status::Live => ring_change.added.push(self.place_of(server)),
             Status::Draining => {}
             Status::Gone => self.departed.push(server),
         }
-        Some(Change { server, was: known.map(|_| was), restarted })
+        Some(Change { server, previous_status: known.map(|_| previous_status), restarted })
     }
 
-    /// Adds an upstream that was not known, and returns its slot.
+    /// Adds an unknown upstream, and returns its slot.
     fn add(&mut self, now: Time, member: &Member) -> usize {
         let slot = self.vacant.pop().unwrap_or(self.servers.len());
         let new = Server::new(now, member);
@@ -107,8 +112,8 @@
         slot
     }
 
-    /// Takes an upstream that is not live any more out of all sums and trees.
-    fn withdraw(&mut self, now: Time, server: usize) {
+    /// Removes an upstream that is no longer live from all sums and trees.
+    fn remove_from_sums(&mut self, now: Time, server: usize) {
         let s = &self.servers[server];
         if s.is_warm || s.is_summed {
             let unchanged = Capacity { k: s.k, n: s.n };
@@ -117,13 +122,13 @@
                 server,
                 Availability { key: Key::OUT, warm: false, partly_ejected: false },
             );
-            self.sum(server, unchanged);
+            self.set_capacity(server, unchanged);
         }
     }
 
-    /// Adds an upstream to its cell and capacity groups (`change` 1) or takes it out (-1). One that
-    /// is not live counts only with its attempts in flight.
-    fn enlist(&mut self, server: usize, change: isize) {
+    /// Adds an upstream to its cell and capacity groups (`change` is 1) or removes it (-1). Of an
+    /// upstream that is not live, only the attempts in flight count.
+    fn count_member(&mut self, server: usize, change: isize) {
         let s = &self.servers[server];
         let live = if s.status == Status::Live { change } else { 0 };
         self.capacity_groups.count(&s.capacity_groups, live, change * s.in_flight as isize);
@@ -153,10 +158,11 @@
         }
     }
 
-    /// Drops upstreams that are gone, and calls `dropped` with the estimate of each.
+    /// Removes withdrawn upstreams, and calls `on_removal` with the estimate of each.
     ///
-    /// One stays as long as a live request was sent there: where that may be retried depends on it.
-    pub(crate) fn forget(&mut self, now: Time, mut dropped: impl FnMut(&Estimate)) {
+    /// An upstream remains while some live request has an attempt there, since its zone and cell
+    /// determine where the request may be retried.
+    pub(crate) fn remove_departed(&mut self, now: Time, mut on_removal: impl FnMut(&Estimate)) {
         for i in std::mem::take(&mut self.departed) {
             let s = &self.servers[i];
             if s.status != Status::Gone || self.by_id.get(&s.id) != Some(&(i as u32)) {
@@ -166,7 +172,7 @@
                 self.departed.push(i);
                 continue;
             }
-            dropped(&s.estimate);
+            on_removal(&s.estimate);
             self.by_id.remove(&s.id);
             self.vacant.push(i);
         }
--- a/crates/policy/src/upstreams/server.rs
+++ b/crates/policy/src/upstreams/server.rs
@@ -1,4 +1,5 @@
-//! One upstream: what the endpoint list says of it, and what the module has estimated.
+//! The record of one upstream: its entry in the endpoint list, and the estimates and state of this
+//! balancer.
 
 use hollowpaddle_ordered_collections::tournament::Key;
 
@@ -7,17 +8,17 @@
 use crate::estimate::Estimate;
 use crate::interface::{Member, ServerId, Status, Time};
 
-/// One upstream.
+/// The record of one upstream.
 #[derive(Debug)]
 pub(crate) struct Server {
     pub(crate) id: ServerId,
     pub(crate) zone: u32,
-    /// Its machine type as the list has it.
+    /// Machine type in the endpoint list.
     pub(super) machine_type: u32,
-    /// The number under which figures of its machine type are kept.
+    /// Index of the statistics of the machine type.
     pub(crate) type_index: u32,
     pub(crate) cell: u32,
-    /// Its index among the live upstreams of its cell.
+    /// Index among the live upstreams of the cell.
     pub(super) cell_index: u32,
     pub(crate) status: Status,
     pub(crate) weight: f64,
@@ -27,48 +28,50 @@
     pub(crate) in_flight: u32,
     /// When `in_flight` last changed.
     pub(crate) in_flight_changed: Time,
-    /// Concurrency level at which its last answer was booked; 0 if something was sent since.
+    /// Concurrency level for which the last answer was recorded; 0 if a request was sent since.
     pub(crate) level_at_last_answer: u32,
-    /// Trips when it rejects a request or cannot be reached.
+    /// Breaker for all classes. It trips when the upstream rejects a request or is unreachable.
     pub(crate) breaker: Breaker,
-    /// Trip for a class when its attempts time out, break or end in errors.
+    /// Breakers by class. They trip when an attempt times out, its connection breaks, or it ends in
+    /// an error.
     pub(crate) by_class: ClassBreakers,
-    /// When the latest of its attempts that were answered was sent.
+    /// Latest time of sending among the attempts that the upstream has answered.
     pub(crate) last_answered_sent: Time,
     pub(crate) estimate: Estimate,
-    /// K_i as of its last answer or sweep.
+    /// K_i as of the last answer or sweep.
     pub(crate) k: f64,
-    /// N_i per microsecond as of its last answer or sweep.
+    /// N_i per microsecond as of the last answer or sweep.
     pub(crate) n: f64,
-    /// Cost of sending to it as of its last sweep; the least is selected.
+    /// Cost of sending to the upstream as of the last sweep; the upstream of least cost is selected.
     pub(crate) cost: f64,
     /// Sends that slow start allowed as of `earned_at`.
     pub(crate) earned_sends: f64,
     pub(crate) earned_at: Time,
-    /// Attempts more or fewer than K_i that a concurrency probe lets it have.
+    /// Change of the attempts in flight, relative to K_i, during a concurrency probe.
     pub(crate) probe: i32,
-    /// Distance from this balancer's own point on the ring, in even parts of the fleet.
+    /// Distance from this balancer's own point on the ring, in even shares of the upstreams.
     pub(crate) distance: f64,
-    /// Until when its idle connections are closed after it left, where a rule asks for it.
+    /// Time until which idle connections to the draining or withdrawn upstream are closed, where a
+    /// rule requires it.
     pub(crate) close_idle_until: Time,
-    /// Attempts of live requests that were sent there.
+    /// Number of attempts of live requests that were sent to the upstream.
     pub(crate) attempt_refs: u32,
     pub(super) capacity_groups: GroupList,
-    /// Whether K_i and N_i are in the sums of its capacity groups.
+    /// Whether the sums of the capacity groups include K_i and N_i.
     pub(super) is_summed: bool,
-    /// Whether its weight is in that of the warm upstreams of its machine type.
+    /// Whether the warm weight of the machine type includes the weight of the upstream.
     pub(super) is_warm: bool,
-    /// Whether it was ejected for some class as of its last refresh.
+    /// Whether the upstream was ejected for some class as of the last refresh.
     pub(super) is_partly_ejected: bool,
-    /// Whether it had a free slot as of its last refresh.
+    /// Whether the upstream had a free slot as of the last refresh.
     pub(super) was_available: bool,
-    /// Its cost as of its last refresh.
+    /// Cost as of the last refresh.
     pub(super) cost_when_available: f64,
 }
 
 impl Server {
-    /// An upstream of which nothing but its entry in the list is known. It counts as gone until the
-    /// entry is applied.
+    /// Creates the record of an upstream from its entry in the list. The upstream counts as
+    /// withdrawn until the entry is applied.
     pub(super) fn new(now: Time, member: &Member) -> Self {
         Self {
             id: member.id,
@@ -107,12 +110,13 @@
         }
     }
 
-    /// The key by which it is selected: its cost, and its identity where that is the same.
+    /// Returns the key by which the upstream is selected: its cost, and its identity between
+    /// upstreams of equal cost.
     pub(crate) fn key(&self) -> Key {
         Key::of(self.cost, self.identity)
     }
 
-    /// The entry of the list that named it.
+    /// Returns the list entry of the upstream.
     pub(super) fn member(&self) -> Member {
         Member {
             id: self.id,
