--- a/crates/policy/src/breakers.rs
+++ b/crates/policy/src/breakers.rs
@@ -1,17 +1,17 @@
-//! Circuit breakers, which eject an upstream for a while after a fault: one for all classes, and
-//! one for each class.
+//! Circuit breakers, which eject an upstream temporarily after a fault: one breaker for all classes,
+//! and one for each class.
 //!
-//! Which outcome is a fault is for [`crate::policy`] to say.
+//! [`crate::policy`] decides which outcomes are faults.
 
 use crate::interface::{SignedDuration, Time};
 
-/// A circuit breaker: open for a pause after a fault, and for twice as long after each further
-/// fault in a row.
+/// A circuit breaker. It is open for a pause after a fault, and for twice as long after each further
+/// consecutive fault.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Breaker {
     /// When the pause ends.
     pub(crate) until: Time,
-    /// Doublings of the next pause.
+    /// Number of doublings of the next pause.
     pub(crate) faults: u32,
 }
 
@@ -22,14 +22,14 @@
 }
 
 impl Breaker {
-    /// Takes in a fault. The first pause lasts `pause` microseconds, and is doubled at most
-    /// `doublings` times.
+    /// Opens the breaker after a fault. The first pause lasts `pause` microseconds, and is doubled
+    /// at most `doublings` times.
     ///
-    /// The doubling keeps the upstreams of a lost zone, which stay listed for long, from being
-    /// tried again all the time.
+    /// A lost zone remains in the endpoint list for a long time. The doubling limits the attempts
+    /// that its upstreams get meanwhile.
     pub(crate) fn trip(&mut self, now: Time, pause: f64, doublings: u32) {
         if now < self.until {
-            // The attempt was sent before the pause began: the same fault, counted already.
+            // The attempt was sent before the pause began: its fault is already counted.
             return;
         }
         self.until = now.plus(SignedDuration::from_micros_f64(pause * f64::from(1 << self.faults)));
@@ -44,24 +44,23 @@
     pub(crate) breaker: Breaker,
 }
 
-/// The state of an upstream that has had faults.
+/// The breakers of an upstream that has had faults.
 #[derive(Debug, Default)]
 struct State {
-    /// By class, in ascending order.
+    /// Breakers in ascending order of class.
     breakers: Vec<ClassBreaker>,
-    /// Classes that the counts over the fleet have this upstream as ejected for, in ascending
-    /// order.
+    /// Classes whose ejection counts include this upstream, in ascending order.
     counted: Vec<u32>,
 }
 
-/// All class breakers of one upstream. One without faults holds only an empty pointer.
+/// All class breakers of one upstream. Without faults it is only an empty pointer.
 #[derive(Debug, Default)]
 pub(crate) struct ClassBreakers {
     state: Option<Box<State>>,
 }
 
 impl ClassBreakers {
-    /// The breaker of a class, made if it had no fault before.
+    /// Returns the breaker of a class, and creates it if the class had no fault before.
     pub(crate) fn get_mut(&mut self, class: usize) -> &mut Breaker {
         let state = self.state.get_or_insert_default();
         let class = class as u32;
@@ -72,14 +71,14 @@
         &mut state.breakers[at].breaker
     }
 
-    /// Whether the upstream is ejected for a class.
+    /// Returns whether the upstream is ejected for a class.
     pub(crate) fn is_ejected(&self, now: Time, class: usize) -> bool {
         let Some(state) = &self.state else { return false };
         let found = state.breakers.binary_search_by_key(&(class as u32), |b| b.class);
         found.is_ok_and(|at| now < state.breakers[at].breaker.until)
     }
 
-    /// The breakers of the classes that the upstream is ejected for, by class.
+    /// Returns the breakers of the classes for which the upstream is ejected, by class.
     pub(crate) fn ejected(&self, now: Time) -> impl Iterator<Item = &ClassBreaker> {
         let breakers = self.state.iter().flat_map(|state| &state.breakers);
         breakers.filter(move |b| now < b.breaker.until)
@@ -102,8 +101,8 @@
         self.drop_if_empty();
     }
 
-    /// Replaces the classes that this upstream is counted as ejected for, and returns the previous
-    /// ones.
+    /// Replaces the classes whose ejection counts include this upstream, and returns the previous
+    /// classes.
     pub(crate) fn count(&mut self, classes: Vec<u32>) -> Vec<u32> {
         if self.state.is_none() && classes.is_empty() {
             return classes;
--- a/crates/policy/src/capacity.rs
+++ b/crates/policy/src/capacity.rs
@@ -1,7 +1,7 @@
 //! Capacity groups: the sets of upstreams that classes may be sent to, with their load, capacity
 //! and available upstreams.
 //!
-//! An upstream touches only the groups that it belongs to. Decides nothing.
+//! A change of an upstream updates only the groups that contain it. This module makes no decisions.
 
 use std::hint::black_box;
 
@@ -11,21 +11,21 @@
 use crate::interface::{Class, Settings};
 use crate::sums::{Rates, Sum};
 
-/// Classes that [`crate::interface::Member::barred_classes`] has a bit for: only these can be barred from a
-/// single upstream, and need sums of their own for it.
+/// Number of classes that [`crate::interface::Member::barred_classes`] has a bit for. Only these
+/// classes can be barred from a single upstream, so that they need separate sums.
 const BARRED_CLASSES: usize = u64::BITS as usize;
 
 /// Upstreams with a free slot, by cost.
 #[derive(Clone, Debug, Default)]
 pub(crate) struct Trees {
-    /// Those that are ejected for no class.
+    /// Upstreams that are not ejected for any class.
     pub(crate) fully_available: TournamentTree,
-    /// Those that are ejected for some class.
+    /// Upstreams that are ejected for some class.
     pub(crate) partly_ejected: TournamentTree,
 }
 
-/// One value for each area that has upstreams; there are few. An area is a zone if the group of
-/// some keyed class is a zone, else the whole fleet.
+/// One value for each area that has upstreams; there are few areas. An area is a zone if the
+/// deduplication group of some class is a zone; otherwise there is one area for all upstreams.
 #[derive(Clone, Debug)]
 pub(crate) struct ByArea<T> {
     /// In ascending order of area.
@@ -39,7 +39,7 @@
 }
 
 impl<T: Default> ByArea<T> {
-    /// The value of an area, made if there is none.
+    /// Returns the value of an area, and creates it if it does not exist.
     pub(crate) fn get_mut(&mut self, area: u32) -> &mut T {
         let at = self.entries.partition_point(|e| e.0 < area);
         if self.entries.get(at).is_none_or(|e| e.0 != area) {
@@ -48,13 +48,13 @@
         &mut self.entries[at].1
     }
 
-    /// The values of one area, or of all.
+    /// Returns the value of one area, or the values of all areas for `None`.
     pub(crate) fn within(&mut self, area: Option<u32>) -> impl Iterator<Item = &mut T> {
         let entries = self.entries.iter_mut().filter(move |e| area.is_none_or(|a| a == e.0));
         entries.map(|e| &mut e.1)
     }
 
-    /// One value for each value that there is.
+    /// Applies a function to the value of each area.
     pub(crate) fn map<U>(&self, of: impl Fn(&T) -> U) -> ByArea<U> {
         ByArea { entries: self.entries.iter().map(|(area, t)| (*area, of(t))).collect() }
     }
@@ -62,49 +62,50 @@
 
 /// Load and capacity of the upstreams that one set of classes may be sent to.
 ///
-/// The first group is the whole fleet. A class that is bound to zones or machine types has a group
-/// of its own: judged by the whole fleet, it would queue for slots that it can never have.
+/// The first group contains all upstreams. A class that is bound to zones or machine types has a
+/// separate group: with the capacity of all upstreams, its requests would be queued for slots that
+/// they can never use.
 #[derive(Debug, Default)]
 pub(crate) struct CapacityGroup {
-    /// A class that is bound in this way; `None` for the whole fleet.
+    /// A class of the group; `None` for the group of all upstreams.
     class: Option<usize>,
-    /// Requests of its classes that are queued.
+    /// Number of queued requests of the classes of the group.
     queued: usize,
-    /// Attempts in flight at its upstreams.
+    /// Number of attempts in flight at upstreams of the group.
     in_flight: usize,
-    /// Its live upstreams.
+    /// Number of live upstreams of the group.
     pub(crate) live: usize,
-    /// The sum of K_i over its live upstreams.
+    /// Sum of K_i over the live upstreams.
     k: Sum,
-    /// The sum of N_i per microsecond over its live upstreams.
+    /// Sum of N_i per microsecond over the live upstreams.
     n: Rates,
     /// `k` as of the last sweep.
     swept_k: f64,
     /// `n` as of the last sweep.
     swept_n: f64,
-    /// `k` or `n` has changed since the last sweep.
+    /// Whether `k` or `n` has changed since the last sweep.
     is_changed: bool,
-    /// Some class is sent by its trees.
+    /// Whether some class selects upstreams by the trees of the group.
     has_class: bool,
     pub(crate) trees: ByArea<Trees>,
-    /// Its classes that some upstream is ejected for.
+    /// Classes of the group for which some upstream is ejected.
     pub(crate) ejected_classes: Vec<u32>,
 }
 
-/// The load of a capacity group, and this balancer's part of its capacity.
+/// The load of a capacity group, and this balancer's share of its capacity.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct GroupLoad {
-    /// Requests queued.
+    /// Number of queued requests.
     pub(crate) queued: usize,
-    /// Attempts in flight.
+    /// Number of attempts in flight.
     pub(crate) in_flight: usize,
-    /// This balancer's part of the sum of K_i.
+    /// This balancer's share of the sum of K_i.
     pub(crate) slots: f64,
-    /// This balancer's part of the sum of N_i per microsecond.
+    /// This balancer's share of the sum of N_i per microsecond.
     pub(crate) n_per_time: f64,
 }
 
-/// What an upstream adds to the sums of its capacity groups.
+/// The contribution of an upstream to the sums of its capacity groups.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub(crate) struct Capacity {
     /// K_i.
@@ -113,8 +114,8 @@
     pub(crate) n: f64,
 }
 
-/// The numbers of the capacity groups that an upstream belongs to, in ascending order; the first is
-/// the whole fleet.
+/// The numbers of the capacity groups that an upstream belongs to, in ascending order. The first
+/// number is that of the group of all upstreams.
 pub(crate) type GroupList = Box<[u32]>;
 
 /// All capacity groups, by number.
@@ -123,19 +124,19 @@
     groups: Vec<CapacityGroup>,
     /// The number of the group of each class.
     group_of_class: Vec<u32>,
-    /// Groups by the machine types that they are bound to.
+    /// Groups that are bound to machine types, by machine type.
     by_machine_type: FxHashMap<u32, Vec<u32>>,
-    /// Groups that are bound to no machine type.
+    /// Groups that are not bound to machine types.
     any_machine_type: Vec<u32>,
     /// Groups whose sums have changed since the last sweep.
     changed: Vec<u32>,
-    /// This balancer's part of the sums as of the last sweep, at most 1.
-    part: f64,
+    /// This balancer's share of the sums as of the last sweep, at most 1.
+    share: f64,
 }
 
 impl CapacityGroups {
-    /// One group for the whole fleet, one for each set of upstreams that some class is bound to,
-    /// and one for each class that can be barred from single upstreams.
+    /// Creates one group for all upstreams, one for each set of upstreams that some class is bound
+    /// to, and one for each class that can be barred from single upstreams.
     pub(crate) fn new(settings: &Settings) -> Self {
         let mut groups = Self {
             groups: vec![CapacityGroup::default()],
@@ -143,7 +144,7 @@
             by_machine_type: FxHashMap::default(),
             any_machine_type: Vec::new(),
             changed: Vec::new(),
-            part: 0.0,
+            share: 0.0,
         };
         let mut shared = FxHashMap::default();
         shared.insert((&None, &None), 0);
@@ -181,8 +182,8 @@
         group
     }
 
-    /// The groups of an upstream of this machine type, where `serves` says whether it may be sent
-    /// requests of a class.
+    /// Returns the groups of an upstream of this machine type. `serves` returns whether requests of a
+    /// class may be sent to the upstream.
     pub(crate) fn groups_of_upstream(
         &self,
         machine_type: u32,
@@ -190,40 +191,40 @@
     ) -> GroupList {
         let bound = self.by_machine_type.get(&machine_type).into_iter().flatten();
         let candidates = self.any_machine_type.iter().chain(bound).copied();
-        let open = |group: &u32| self.groups[*group as usize].class.is_none_or(&serves);
-        let mut list: Vec<u32> = std::iter::once(0).chain(candidates.filter(open)).collect();
+        let is_served = |group: &u32| self.groups[*group as usize].class.is_none_or(&serves);
+        let mut list: Vec<u32> = std::iter::once(0).chain(candidates.filter(is_served)).collect();
         list.sort_unstable();
         list.dedup();
         list.into_boxed_slice()
     }
 
-    /// The number of the group of a class.
+    /// Returns the number of the group of a class.
     pub(crate) fn group_of_class(&self, class: usize) -> u32 {
         self.group_of_class[class]
     }
 
-    /// The group of a class.
+    /// Returns the group of a class.
     pub(crate) fn of_class(&self, class: usize) -> &CapacityGroup {
         &self.groups[self.group_of_class[class] as usize]
     }
 
-    /// The group of a class, to change it.
+    /// Returns the group of a class for changes.
     pub(crate) fn of_class_mut(&mut self, class: usize) -> &mut CapacityGroup {
         &mut self.groups[self.group_of_class[class] as usize]
     }
 
-    /// A group by its number, if some class is sent by its trees.
+    /// Returns the group of this number, if some class selects upstreams by its trees.
     pub(crate) fn get_mut(&mut self, group: u32) -> Option<&mut CapacityGroup> {
         Some(&mut self.groups[group as usize]).filter(|r| r.has_class)
     }
 
-    /// The load of the group of a class.
+    /// Returns the load of the group of a class.
     pub(crate) fn load(&self, class: usize) -> GroupLoad {
         self.load_of(self.of_class(class))
     }
 
-    /// The load of the whole fleet.
-    pub(crate) fn fleet_load(&self) -> GroupLoad {
+    /// Returns the load of all upstreams.
+    pub(crate) fn total_load(&self) -> GroupLoad {
         self.load_of(&self.groups[0])
     }
 
@@ -231,8 +232,8 @@
         GroupLoad {
             queued: group.queued,
             in_flight: group.in_flight,
-            slots: group.swept_k * self.part,
-            n_per_time: group.swept_n * self.part,
+            slots: group.swept_k * self.share,
+            n_per_time: group.swept_n * self.share,
         }
     }
 
@@ -247,7 +248,7 @@
 
     // ------------------------------------------------------------ counts and sums
 
-    /// Adds to the live upstreams and the attempts in flight of these groups.
+    /// Adds to the numbers of live upstreams and attempts in flight of these groups.
     pub(crate) fn count(&mut self, list: &[u32], live: isize, in_flight: isize) {
         for &group in list {
             let group = &mut self.groups[group as usize];
@@ -256,10 +257,11 @@
         }
     }
 
-    /// Adds to the queued requests of the group of a class, and of the whole fleet.
+    /// Adds to the number of queued requests of the group of a class and of the group of all
+    /// upstreams.
     pub(crate) fn count_queued(&mut self, class: usize, change: isize) {
-        let fleet = &mut self.groups[0];
-        fleet.queued = fleet.queued.saturating_add_signed(change);
+        let all = &mut self.groups[0];
+        all.queued = all.queued.saturating_add_signed(change);
         let own_group = self.group_of_class[class] as usize;
         if own_group != 0 {
             let group = &mut self.groups[own_group];
@@ -267,7 +269,7 @@
         }
     }
 
-    /// Replaces what an upstream adds to the sums of these groups.
+    /// Replaces the contribution of an upstream to the sums of these groups.
     pub(crate) fn replace_capacity(
         &mut self,
         list: &[u32],
@@ -284,10 +286,10 @@
         }
     }
 
-    /// Ends a sweep: from now on [`GroupLoad`] gives the present sums, of which `part` is this
-    /// balancer's.
-    pub(crate) fn sweep(&mut self, part: f64) {
-        self.part = part;
+    /// Ends a sweep: from now on, [`GroupLoad`] is based on the present sums and on the `share` of
+    /// this balancer.
+    pub(crate) fn sweep(&mut self, share: f64) {
+        self.share = share;
         for number in self.changed.drain(..) {
             let group = &mut self.groups[number as usize];
             group.is_changed = false;
@@ -296,26 +298,26 @@
     }
 }
 
-/// A class that some upstream is ejected for, and the upstreams of its group that it may still be
-/// sent to.
+/// A class for which some upstream is ejected, with the partly ejected upstreams of its group that
+/// are still available to it.
 #[derive(Debug)]
 pub(crate) struct EjectedClass {
-    /// Live upstreams that are ejected for it.
+    /// Number of live upstreams that are ejected for this class.
     pub(crate) count: usize,
-    /// So many are ejected for it that none counts as ejected.
+    /// Whether the panic threshold is reached, so that ejection is ignored for this class.
     pub(crate) is_panicking: bool,
-    /// Available upstreams that are ejected for some class, but not for this one.
+    /// Available upstreams that are ejected for some class, but not for this class.
     pub(crate) available: ByArea<TournamentTree>,
 }
 
 impl EjectedClass {
-    /// A class that no upstream of its group was ejected for so far.
+    /// Creates the state of a class for which no upstream of its group is ejected yet.
     pub(crate) fn new(group: &CapacityGroup) -> Self {
         let available = group.trees.map(|trees| trees.partly_ejected.clone());
         Self { count: 0, is_panicking: false, available }
     }
 
-    /// The key of an upstream for this class.
+    /// Returns the key of an upstream for this class.
     pub(crate) fn key(&self, key: Key, is_ejected: bool) -> Key {
         if is_ejected && !self.is_panicking { Key::OUT } else { key }
     }
--- a/crates/policy/src/chunked.rs
+++ b/crates/policy/src/chunked.rs
@@ -5,10 +5,10 @@
 
 use std::ops::{Index, IndexMut};
 
-/// Items in one allocation.
+/// Number of items in one allocation.
 const CHUNK: usize = 128;
 
-/// Items by number, in allocations of equal size.
+/// Items by index, in allocations of equal size.
 #[derive(Debug)]
 pub(crate) struct Chunked<T> {
     chunks: Vec<Vec<T>>,
@@ -21,7 +21,7 @@
 }
 
 impl<T> Chunked<T> {
-    /// How many items there are.
+    /// Returns the number of items.
     pub(crate) fn len(&self) -> usize {
         match self.chunks.split_last() {
             Some((last, full)) => full.len() * CHUNK + last.len(),
@@ -29,7 +29,7 @@
         }
     }
 
-    /// Adds an item behind all others.
+    /// Appends an item.
     pub(crate) fn push(&mut self, item: T) {
         if self.chunks.last().is_none_or(|last| last.len() == CHUNK) {
             self.chunks.push(Vec::with_capacity(CHUNK));
@@ -43,13 +43,13 @@
 impl<T> Index<usize> for Chunked<T> {
     type Output = T;
 
-    fn index(&self, number: usize) -> &T {
-        &self.chunks[number / CHUNK][number % CHUNK]
+    fn index(&self, index: usize) -> &T {
+        &self.chunks[index / CHUNK][index % CHUNK]
     }
 }
 
 impl<T> IndexMut<usize> for Chunked<T> {
-    fn index_mut(&mut self, number: usize) -> &mut T {
-        &mut self.chunks[number / CHUNK][number % CHUNK]
+    fn index_mut(&mut self, index: usize) -> &mut T {
+        &mut self.chunks[index / CHUNK][index % CHUNK]
     }
 }
--- a/crates/policy/src/concurrency_levels.rs
+++ b/crates/policy/src/concurrency_levels.rs
@@ -1,41 +1,41 @@
-//! Estimates how many requests upstreams of one machine type run side by side, from how often their
-//! answers come.
+//! Estimates how many requests upstreams of one machine type run concurrently, from the rate of
+//! their answers.
 //!
-//! The design's upstreams run one request at a time, and none reports how many it runs. The
-//! concurrency level of an upstream is the number of its attempts in flight. How long answers take
-//! at each level would mislead: attempts that end before their neighbour does are the short ones,
-//! which makes one core look like two.
+//! The upstreams of the design run one request at a time, and no upstream reports its concurrency.
+//! The concurrency level of an upstream is the number of its attempts in flight. The latency at each
+//! level would be misleading: of two concurrent attempts, the short one ends first, so that one core
+//! would look like two.
 
-/// Most requests that an upstream is assumed to run side by side.
+/// Most requests that an upstream is assumed to run concurrently.
 pub(crate) const MAX_CONCURRENCY: usize = 32;
-/// Weight, in answers, of the prior that no more gets done at a level than at the one below.
+/// Weight, in answers, of the prior that a level has the same throughput as the next lower level.
 const LEVEL_PRIOR_ANSWERS: f64 = 16.0;
-/// Answers at one level after which the weight of all of them is halved.
+/// Number of answers at one level after which the weight of all of them is halved.
 const LEVEL_MEMORY_ANSWERS: f64 = 128.0;
-/// Answers at the level in use that complete a round.
+/// Number of answers at the level in use that complete a round.
 const LEVEL_ROUND_ANSWERS: f64 = 8.0;
-/// The lowest level that reaches this share of the best throughput is used: more would be bought
-/// with latency.
+/// The lowest level that reaches this share of the best throughput is used. Additional throughput
+/// at higher levels would cost latency.
 const SUFFICIENT_THROUGHPUT: f64 = 0.75;
 
-/// What is known of one level. Work counts in mean answers.
+/// Statistics of one concurrency level. The unit of work is the mean answer.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct LevelStats {
     /// Time spent at the level in this round, in microseconds.
     pub(crate) time: f64,
     /// Work done at the level in this round.
     pub(crate) done: f64,
-    /// Work done at the level in all rounds.
+    /// Work done at the level in all rounds, with older answers at a lower weight.
     pub(crate) all: f64,
-    /// Work that the level in use would have done in the same time. A fleet that slows down as a
-    /// whole changes neither against the other.
+    /// Work that the level in use would have done in the same time. The ratio to `all` remains the
+    /// same when all upstreams slow down together.
     pub(crate) expected: f64,
 }
 
 impl LevelStats {
     const NONE: Self = Self { time: 0.0, done: 0.0, all: 0.0, expected: 0.0 };
 
-    /// Ends a round in which the level in use got `rate` done per microsecond.
+    /// Ends a round in which the level in use did `rate` work per microsecond.
     fn end_round(&mut self, rate: f64) {
         self.all += self.done;
         self.expected += self.time * rate;
@@ -46,69 +46,71 @@
         }
     }
 
-    /// Throughput over that of the level in use, where `below` is that of the next lower level.
+    /// Returns the throughput relative to the level in use. `below` is the relative throughput of
+    /// the next lower level.
     fn throughput(&self, below: f64) -> f64 {
         (self.all + LEVEL_PRIOR_ANSWERS * below) / (self.expected + LEVEL_PRIOR_ANSWERS)
     }
 }
 
-/// The level that a probe uses next.
+/// The level of the next probe.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct NextProbe {
     pub(crate) level: usize,
-    /// Whether enough is known of it to do without.
+    /// Whether enough answers have been measured at this level, so that a probe is not needed.
     pub(crate) is_known: bool,
 }
 
 /// The concurrency levels of one machine type.
 #[derive(Clone, Debug)]
 pub(crate) struct ConcurrencyLevels {
-    /// The level in use: how many requests an upstream is assumed to run side by side.
-    pub(crate) count: usize,
-    /// By level; the first is not used.
-    pub(crate) level: [LevelStats; MAX_CONCURRENCY + 1],
+    /// The level in use: the number of requests that an upstream is assumed to run concurrently.
+    pub(crate) current: usize,
+    /// Statistics by level; level 0 is not used.
+    pub(crate) stats: [LevelStats; MAX_CONCURRENCY + 1],
 }
 
 impl ConcurrencyLevels {
-    /// Before any work was seen.
-    pub(crate) const FRESH: Self =
-        Self { count: 1, level: [LevelStats::NONE; MAX_CONCURRENCY + 1] };
+    /// The levels before any answer.
+    pub(crate) const INITIAL: Self =
+        Self { current: 1, stats: [LevelStats::NONE; MAX_CONCURRENCY + 1] };
 
-    /// Whether nothing is known that a choice could rest on.
-    pub(crate) fn is_fresh(&self) -> bool {
-        self.count == 1 && self.level.iter().all(|l| l.all == 0.0 && l.expected == 0.0)
+    /// Returns whether no round has been completed, so that no level could be chosen.
+    pub(crate) fn is_initial(&self) -> bool {
+        self.current == 1 && self.stats.iter().all(|l| l.all == 0.0 && l.expected == 0.0)
     }
 
-    /// Ends a round, if enough was seen, and chooses the lowest level of sufficient throughput.
+    /// Ends a round, if it has enough answers, and chooses the lowest level of sufficient
+    /// throughput.
     pub(crate) fn choose(&mut self) {
-        let in_use = self.level[self.count];
+        let in_use = self.stats[self.current];
         if in_use.done < LEVEL_ROUND_ANSWERS {
             return;
         }
         let rate = in_use.done / in_use.time.max(1.0);
         let mut throughput = [0.0; MAX_CONCURRENCY + 1];
-        let (mut highest_seen, mut best) = (1, 0.0);
+        let (mut highest_measured, mut best) = (1, 0.0);
         for n in 1..=MAX_CONCURRENCY {
             let below = if n == 1 { 1.0 } else { throughput[n - 1] };
-            self.level[n].end_round(rate);
-            throughput[n] = self.level[n].throughput(below);
-            if self.level[n].expected > 0.0 {
-                highest_seen = n;
+            self.stats[n].end_round(rate);
+            throughput[n] = self.stats[n].throughput(below);
+            if self.stats[n].expected > 0.0 {
+                highest_measured = n;
                 best = throughput[n].max(best);
             }
         }
         let is_sufficient = |n: &usize| throughput[*n] >= SUFFICIENT_THROUGHPUT * best;
-        let chosen = (1..=highest_seen).find(is_sufficient).unwrap_or(1);
-        if chosen != self.count {
-            self.count = chosen;
-            self.level.iter_mut().for_each(|l| l.expected *= throughput[chosen]);
+        let chosen = (1..=highest_measured).find(is_sufficient).unwrap_or(1);
+        if chosen != self.current {
+            self.current = chosen;
+            self.stats.iter_mut().for_each(|l| l.expected *= throughput[chosen]);
         }
     }
 
-    /// The level to probe next: twice the one in use, since a single step may gain less than
-    /// [`SUFFICIENT_THROUGHPUT`] asks for.
+    /// Returns the level to probe next: twice the level in use. A single step might gain less than
+    /// [`SUFFICIENT_THROUGHPUT`] requires.
     pub(crate) fn next_probe(&self) -> NextProbe {
-        let level = (2 * self.count).min(MAX_CONCURRENCY);
-        NextProbe { level, is_known: self.level[level].expected >= LEVEL_PRIOR_ANSWERS }
+        let level = (2 * self.current).min(MAX_CONCURRENCY);
+        NextProbe { level, is_known: self.stats[level].expected >= LEVEL_PRIOR_ANSWERS }
     }
 }
--- a/crates/policy/src/estimate.rs
+++ b/crates/policy/src/estimate.rs
@@ -1,31 +1,33 @@
-//! Estimates propagation time and slowness of one upstream from its answers.
+//! Estimates the propagation time and the slowness of one upstream from its answers.
 
 use crate::interface::Outcome;
 
-/// Weight of a new answer in a moving mean: about the last eight answers count.
+/// Weight of a new answer in a moving mean, so that about the last eight answers count.
 pub(crate) const SLOWNESS_GAIN: f64 = 0.125;
-/// Least slowness that a failed attempt counts with.
+/// Least slowness that is recorded for a failed attempt.
 const FAULT_SLOWNESS: f64 = 5.0;
-/// Most slowness that one answer counts with: a heavy request must not make its upstream look slow.
+/// Greatest slowness that is recorded for one answer. A heavy request must not make its upstream
+/// look slow.
 pub(crate) const MAX_SLOWNESS: f64 = 10.0;
 
-/// The estimates for one upstream: its round trip is split into 2*TP + TS.
+/// The estimates for one upstream, whose round trip is split into 2*TP + TS.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Estimate {
-    /// 2*TP in microseconds: the least round trip of an attempt that was rejected unseen; `None`
-    /// before the first.
+    /// 2*TP in microseconds: the least round trip of an attempt that the upstream rejected without
+    /// processing it; `None` before the first such attempt.
     pub(crate) tp2: Option<f64>,
-    /// Slowness: service time, with the wait at the upstream, over the fleet's mean for the same
-    /// class. TS_i is this times the fleet's mean, whatever mix of classes the upstream was sent.
+    /// Slowness: service time, including the wait at the upstream, divided by the mean of all
+    /// upstreams for the same class. TS_i is the slowness times the mean TS, whatever mix of
+    /// classes the upstream serves.
     pub(crate) slow: f64,
 }
 
 impl Estimate {
-    /// Before any answer: as fast as the fleet's mean.
+    /// The estimate before any answer: the upstream is as fast as the mean.
     pub(crate) const NONE: Self = Self { tp2: None, slow: 1.0 };
 
-    /// Takes in an outcome after `latency`, where the fleet's mean latency for its class is `mean`;
-    /// both in microseconds.
+    /// Updates the estimate with an outcome after `latency`. `mean` is the mean latency of the
+    /// class over all upstreams. Both are in microseconds.
     pub(crate) fn learn(&mut self, outcome: Outcome, latency: f64, mean: f64) {
         if outcome == Outcome::Full {
             self.tp2 = Some(self.tp2.map_or(latency, |t| t.min(latency)));
@@ -33,7 +35,8 @@
         let service = (latency - self.tp2.unwrap_or(0.0)).max(1.0) / mean;
         let service = match outcome {
             Outcome::Ok => service,
-            // A quick error must not make its upstream look fast, or it would be sent more.
+            // A quick error must not make its upstream look fast, since the upstream would then
+            // attract more requests.
             Outcome::Error | Outcome::Timeout | Outcome::Reset => service.max(FAULT_SLOWNESS),
             _ => return,
         };
--- a/crates/policy/src/learned.rs
+++ b/crates/policy/src/learned.rs
@@ -1,8 +1,8 @@
-//! What a balancer has learned of its fleet, in the form that is stored and from which the next
-//! process goes on.
+//! The estimates that a balancer has learned, in the form in which they are stored and restored by
+//! the next process.
 //!
-//! Names on the wire are those of stored files. What the figures mean is for [`crate::policy`] to
-//! say.
+//! The serialized names are those of stored files. [`crate::policy`] defines the meaning of the
+//! values.
 
 use rustc_hash::FxHashMap;
 use serde::{Deserialize, Serialize};
@@ -13,12 +13,12 @@
 use crate::policy::Balancer;
 use crate::upstreams::Server;
 
-/// What a balancer has learned. Times and latencies are in microseconds, rates in answers per
-/// microsecond.
+/// The estimates that a balancer has learned. Times and latencies are in microseconds, rates in
+/// answers per microsecond.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 pub struct Learned {
-    /// [`crate::interface::Settings::numbering_hash`] of the settings under which it was learned; 0 if an
-    /// older build stored it.
+    /// [`crate::interface::Settings::numbering_hash`] of the settings under which the estimates were
+    /// learned; 0 if an older build stored them.
     #[serde(default, rename = "meaning")]
     numbering_hash: u64,
     ts: f64,
@@ -35,7 +35,7 @@
     upstreams: Vec<UpstreamLearned>,
 }
 
-/// What was learned of one class.
+/// Learned estimates for one class.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct ClassLearned {
     answers: f64,
@@ -46,73 +46,74 @@
     #[serde(rename = "hopeless")]
     unanswered_share: f64,
     #[serde(rename = "part")]
-    wait_part: f64,
+    wait_share: f64,
 }
 
-/// What was learned of one machine type.
+/// Learned estimates for one machine type.
 #[derive(Clone, Debug, Default, PartialEq, Serialize, Deserialize)]
 struct MachineTypeLearned {
     warm_rate: f64,
     /// The concurrency level in use.
     #[serde(rename = "lanes")]
     level: usize,
-    /// By level: work done, and the work that the level in use would have done.
+    /// For each level, the work done and the work that the level in use would have done.
     levels: Vec<(f64, f64)>,
 }
 
 impl MachineTypeLearned {
-    /// The concurrency levels, unless the one in use is none that a balancer chooses.
+    /// Returns the concurrency levels; `None` if the level in use is not a valid level.
     fn concurrency_levels(&self) -> Option<ConcurrencyLevels> {
-        let mut levels = ConcurrencyLevels::FRESH;
-        if !(1..levels.level.len()).contains(&self.level) {
+        let mut levels = ConcurrencyLevels::INITIAL;
+        if !(1..levels.stats.len()).contains(&self.level) {
             return None;
         }
-        levels.count = self.level;
-        for (level, learned) in levels.level.iter_mut().zip(&self.levels) {
+        levels.current = self.level;
+        for (level, learned) in levels.stats.iter_mut().zip(&self.levels) {
             (level.all, level.expected) = *learned;
         }
         Some(levels)
     }
 }
 
-/// What was learned of one upstream.
+/// Learned estimates for one upstream.
 #[derive(Clone, Debug, PartialEq, Serialize, Deserialize)]
 struct UpstreamLearned {
-    /// The same in every process, unlike the handle of the upstream.
+    /// Hash of the name, which is the same in every process, unlike the handle of the upstream.
     identity: u64,
     started: Option<i64>,
     tp2: Option<f64>,
     slow: f64,
 }
 
-/// Why a balancer cannot go on from what was learned elsewhere.
+/// The reason for which a balancer rejects learned estimates.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum RecallError {
-    /// The settings differ: number of classes there, and here.
+    /// The number of classes differs: the number in the learned estimates, and in these settings.
     #[error("it was learned of {0} classes, and there are {1}")]
     Classes(usize, usize),
-    /// The classes, zones or machine types differ.
+    /// The names or the order of classes, zones or machine types differ.
     #[error("it was learned of other classes, zones or kinds")]
     Numbering,
-    /// Some figure is none that a balancer could have stored.
+    /// Some value is out of the range that a balancer can store.
     #[error("a figure of it is out of range")]
     InvalidFigure,
 }
 
 impl Learned {
-    /// What was learned of the fleet, without what was learned of single upstreams.
+    /// Returns these estimates without those for single upstreams.
     pub fn without_upstreams(self) -> Self {
         Self { upstreams: Vec::new(), ..self }
     }
 
-    /// Whether both rest on the same answers: each answer changes TS or a mean latency.
+    /// Returns whether both are based on the same answers: each answer changes TS or a mean latency.
     pub fn has_same_answers(&self, other: &Self) -> bool {
         let means = |l: &Self| l.classes.iter().map(|c| c.mean_latency).collect::<Vec<_>>();
         self.ts == other.ts && means(self) == means(other)
     }
 
-    /// Whether every figure is one that a balancer could have stored: finite, and none negative.
-    fn is_sound(&self) -> bool {
+    /// Returns whether a balancer could have stored these values: all are finite, and none is
+    /// negative.
+    fn is_valid(&self) -> bool {
         let fleet = [
             self.ts,
             self.baseline_ts,
@@ -121,48 +122,52 @@
             self.answers,
             self.any_rate,
         ];
-        fleet.into_iter().all(is_plain)
+        fleet.into_iter().all(is_finite_and_non_negative)
             && self.ts > 0.0
             && self.baseline_ts > 0.0
-            && self.classes.iter().all(ClassLearned::is_sound)
-            && self.machine_types.iter().all(MachineTypeLearned::is_sound)
-            && self.upstreams.iter().all(UpstreamLearned::is_sound)
+            && self.classes.iter().all(ClassLearned::is_valid)
+            && self.machine_types.iter().all(MachineTypeLearned::is_valid)
+            && self.upstreams.iter().all(UpstreamLearned::is_valid)
     }
 }
 
-/// Whether a figure is finite and not negative.
-fn is_plain(figure: f64) -> bool {
-    figure.is_finite() && figure >= 0.0
+/// Returns whether a value is finite and not negative.
+fn is_finite_and_non_negative(value: f64) -> bool {
+    value.is_finite() && value >= 0.0
 }
 
 impl ClassLearned {
-    fn is_sound(&self) -> bool {
+    fn is_valid(&self) -> bool {
         let figures = [
             self.answers,
             self.mean_latency,
             self.latency_deviation,
             self.unanswered_share,
-            self.wait_part,
+            self.wait_share,
         ];
-        figures.into_iter().all(is_plain)
+        figures.into_iter().all(is_finite_and_non_negative)
     }
 }
 
 impl MachineTypeLearned {
-    fn is_sound(&self) -> bool {
-        let are_plain = |level: &(f64, f64)| is_plain(level.0) && is_plain(level.1);
-        is_plain(self.warm_rate) && self.levels.iter().all(are_plain)
+    fn is_valid(&self) -> bool {
+        let is_valid_level = |level: &(f64, f64)| {
+            is_finite_and_non_negative(level.0) && is_finite_and_non_negative(level.1)
+        };
+        is_finite_and_non_negative(self.warm_rate) && self.levels.iter().all(is_valid_level)
     }
 }
 
 impl UpstreamLearned {
-    fn is_sound(&self) -> bool {
-        is_plain(self.slow) && self.slow > 0.0 && self.tp2.is_none_or(is_plain)
+    fn is_valid(&self) -> bool {
+        is_finite_and_non_negative(self.slow)
+            && self.slow > 0.0
+            && self.tp2.is_none_or(is_finite_and_non_negative)
     }
 }
 
 impl Balancer {
-    /// Returns what it has learned so far. Costs a pass over the fleet.
+    /// Returns the estimates that the balancer has learned so far. The call visits all upstreams.
     pub fn learned(&self) -> Learned {
         let fleet = &self.fleet;
         Learned {
@@ -187,17 +192,17 @@
             mean_latency: self.fleet.mean_latency[class],
             latency_deviation: self.fleet.latency_deviation[class],
             unanswered_share: self.fleet.unanswered_share[class],
-            wait_part: self.wait_part(class),
+            wait_share: self.wait_share(class),
         }
     }
 
     fn learned_of_machine_type(&self, machine_type: usize) -> MachineTypeLearned {
         let machine_types = &self.upstreams.machine_types;
         let known =
-            machine_types.known_levels(machine_type).into_iter().flat_map(|levels| &levels.level);
+            machine_types.known_levels(machine_type).into_iter().flat_map(|levels| &levels.stats);
         MachineTypeLearned {
             warm_rate: machine_types.rate(machine_type as u32),
-            level: machine_types.levels(machine_type as u32).count,
+            level: machine_types.levels(machine_type as u32).current,
             levels: known.map(|level| (level.all, level.expected)).collect(),
         }
     }
@@ -216,22 +221,24 @@
         upstreams
     }
 
-    /// Goes on from what another process of this balancer has learned, in place of what this one
-    /// has. Of the upstreams, only those are recalled that are listed here and have not restarted
+    /// Replaces the estimates of this balancer by those that a previous process has learned.
+    /// Estimates for an upstream are restored only if the upstream is listed and has not restarted
     /// since.
     ///
     /// # Errors
-    /// It does not fit these settings, or is not sound; nothing has changed then.
+    /// Returns an error if the estimates do not fit these settings or contain an invalid value. The
+    /// balancer is unchanged then.
     pub fn recall(&mut self, now: Time, learned: &Learned) -> Result<(), RecallError> {
         let classes = self.fleet.mean_latency.len();
         if learned.classes.len() != classes {
             return Err(RecallError::Classes(learned.classes.len(), classes));
         }
-        // Classes are numbered: under other settings the same number stands for another class.
+        // Classes are identified by number. Under other settings, the same number may stand for
+        // another class.
         if learned.numbering_hash != self.settings.numbering_hash {
             return Err(RecallError::Numbering);
         }
-        if !learned.is_sound() {
+        if !learned.is_valid() {
             return Err(RecallError::InvalidFigure);
         }
         self.recall_fleet(now, learned);
@@ -263,7 +270,7 @@
             fleet.unanswered_share[class] = was.unanswered_share;
         }
         self.upstreams.machine_types.any_rate = learned.any_rate;
-        self.ranks.restore_parts(learned.classes.iter().map(|c| c.wait_part).collect());
+        self.ranks.restore_wait_shares(learned.classes.iter().map(|c| c.wait_share).collect());
         (0..learned.classes.len()).for_each(|class| self.reset_hedge_delay(class));
     }
 
--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -6,7 +6,7 @@
 use super::Balancer;
 use super::selection::Slots;
 use crate::interface::{Action, Refusal, Request, RequestId, SignedDuration, Time};
-use crate::ranks::Figures;
+use crate::ranks::ClassFigures;
 use crate::request_state::RequestState;
 
 /// Share of the latency objective that wait plus mean service time may take. The rest is reserved
@@ -14,7 +14,7 @@
 const MAX_WAIT_OF_OBJECTIVE: f64 = 0.7;
 /// Share of the tolerable wait that the class with the least priority weight per unit of work may
 /// use.
-const MIN_WAIT_PART: f64 = 0.2;
+const MIN_WAIT_SHARE: f64 = 0.2;
 
 impl Balancer {
     /// Sends, queues or rejects a request that a client has sent.
@@ -36,18 +36,18 @@
         let is_within_quota = self.is_within_quota(now, request.tenant);
         let wait = waiting_for_key as f64 * self.fleet.mean_latency[request.class];
         let earliest_start = now.plus(SignedDuration::from_micros_f64(wait));
-        let at_once = self.pick_at_once(now, &request, is_within_quota);
+        let immediate_server = self.pick_immediately(now, &request, is_within_quota);
         if earliest_start >= queue_deadline {
             return self.refuse(id, Refusal::DeadlineTooClose, out);
         }
-        if at_once.is_none() && !self.admits(request.class, is_within_quota) {
+        if immediate_server.is_none() && !self.admits(request.class, is_within_quota) {
             let reason = if is_within_quota { Refusal::QueueFull } else { Refusal::OverQuota };
             return self.refuse(id, reason, out);
         }
         if is_within_quota {
             self.quotas.spend(request.tenant);
         }
-        if let Some(server) = at_once {
+        if let Some(server) = immediate_server {
             return self.send(now, id, server, out);
         }
         self.hold(id, false);
@@ -59,7 +59,7 @@
 
     /// Returns the upstream for a request that arrives while the queue is empty. Such a request is
     /// never rejected while a slot is free.
-    fn pick_at_once(
+    fn pick_immediately(
         &mut self,
         now: Time,
         request: &Request,
@@ -80,30 +80,30 @@
     /// fill the queue and starve the others. Classes with less priority weight per unit of work,
     /// and tenants beyond their quota, may use a smaller share of this wait.
     fn admits(&self, class: usize, is_within_quota: bool) -> bool {
-        let part = if is_within_quota { self.wait_part(class) } else { 0.0 };
+        let wait_share = if is_within_quota { self.wait_share(class) } else { 0.0 };
         let load = self.upstreams.capacity_groups.load(class);
-        let n = load.n_per_time * (self.fleet.ts + self.fleet.tolerable_wait * part);
+        let n = load.n_per_time * (self.fleet.ts + self.fleet.tolerable_wait * wait_share);
         // Before the first endpoint list the sum of N_i is zero, and the request is queued until
         // an upstream is listed or its deadline passes.
         n == 0.0 || ((load.queued + load.in_flight) as f64) < n.max(1.0)
     }
 
     /// Returns the share of the tolerable wait that a class may use.
-    pub(crate) fn wait_part(&self, class: usize) -> f64 {
-        let ranked = || MIN_WAIT_PART + (1.0 - MIN_WAIT_PART) * self.ranks.rank(class);
-        self.ranks.restored_part(class).unwrap_or_else(ranked)
+    pub(crate) fn wait_share(&self, class: usize) -> f64 {
+        let ranked = || MIN_WAIT_SHARE + (1.0 - MIN_WAIT_SHARE) * self.ranks.rank(class);
+        self.ranks.restored_wait_share(class).unwrap_or_else(ranked)
     }
 
     /// Recomputes the tolerable wait, and the ranks of the classes by priority weight per unit of
     /// work.
     pub(super) fn refresh_admission(&mut self) {
         let (classes, mean) = (&self.settings.classes, &self.fleet.mean_latency);
-        self.ranks.refresh(|c| Figures {
-            value: classes[c].priority_weight / mean[c].max(1.0),
-            bearable: classes[c].latency_objective.as_micros_f64() * MAX_WAIT_OF_OBJECTIVE
+        self.ranks.refresh(|c| ClassFigures {
+            priority: classes[c].priority_weight / mean[c].max(1.0),
+            tolerable_wait: classes[c].latency_objective.as_micros_f64() * MAX_WAIT_OF_OBJECTIVE
                 - mean[c],
         });
-        self.fleet.tolerable_wait = self.ranks.least_bearable().max(0.0);
+        self.fleet.tolerable_wait = self.ranks.shortest_tolerable_wait().max(0.0);
     }
 
     /// Returns whether one more request of a tenant is within its quota. A rejected request uses
--- a/crates/policy/src/policy/concurrency.rs
+++ b/crates/policy/src/policy/concurrency.rs
@@ -79,7 +79,7 @@
         let share = (1.0 / (sharers * sharers)).min(MAX_FIRST_PROBES);
         for &i in candidates {
             let levels = self.upstreams.machine_types.levels(self.upstreams.servers[i].type_index);
-            let (current, next) = (levels.count, levels.next_probe());
+            let (current, next) = (levels.current, levels.next_probe());
             if !next.is_known && self.rng.rand_float() < share {
                 self.start_probe(now, i, (next.level - current) as i32);
             }
@@ -91,7 +91,7 @@
         let higher = self.sample(candidates);
         let lower = self.sample(candidates);
         let levels = self.upstreams.machine_types.levels(self.upstreams.servers[higher].type_index);
-        let (current, next) = (levels.count, levels.next_probe());
+        let (current, next) = (levels.current, levels.next_probe());
         if !next.is_known {
             return;
         }
@@ -100,7 +100,7 @@
         } else {
             let levels =
                 self.upstreams.machine_types.levels(self.upstreams.servers[lower].type_index);
-            let fewer = (levels.count - 1).min((levels.count / 3).max(1));
+            let fewer = (levels.current - 1).min((levels.current / 3).max(1));
             self.start_probe(now, lower, -(fewer as i32));
         }
     }
@@ -138,7 +138,7 @@
         let done_at = if is_at_once { level.max(s.level_at_last_answer as usize) } else { level };
         if self.is_representative(now, s) && (1..=MAX_CONCURRENCY).contains(&level) {
             let work = answered.map_or(0.0, |class| self.fleet.mean_latency[class] / self.fleet.ts);
-            let levels = &mut self.upstreams.machine_types.levels_mut(s.type_index).level;
+            let levels = &mut self.upstreams.machine_types.levels_mut(s.type_index).stats;
             levels[level].time += passed.min(ts * MAX_GAP_OF_TS);
             levels[done_at.min(MAX_CONCURRENCY)].done += work;
         }
--- a/crates/policy/src/policy/dispatch.rs
+++ b/crates/policy/src/policy/dispatch.rs
@@ -85,7 +85,7 @@
         self.upstreams.servers[server].attempt_refs += 1;
         self.track_latest(now, id, true);
         if is_first {
-            let most = self.upstreams.capacity_groups.fleet_load().slots.max(1.0);
+            let most = self.upstreams.capacity_groups.total_load().slots.max(1.0);
             self.hedge_budget = (self.hedge_budget + HEDGES_PER_REQUEST).min(most);
         }
         let server = self.upstreams.servers[server].id;
--- a/crates/policy/src/policy/estimation.rs
+++ b/crates/policy/src/policy/estimation.rs
@@ -58,7 +58,7 @@
 
     /// Returns how many requests an upstream of this machine type runs concurrently.
     pub(super) fn concurrency(&self, s: &Server) -> f64 {
-        self.upstreams.machine_types.levels(s.type_index).count as f64
+        self.upstreams.machine_types.levels(s.type_index).current as f64
     }
 
     /// Returns K_i, limited to N_i.
@@ -88,7 +88,7 @@
     fn n_optimistic(&self, s: &Server) -> f64 {
         let levels = self.upstreams.machine_types.levels(s.type_index);
         let next = levels.next_probe();
-        let gain = if next.is_known { 1.0 } else { next.level as f64 / levels.count as f64 };
+        let gain = if next.is_known { 1.0 } else { next.level as f64 / levels.current as f64 };
         self.n_rate(s) * gain
     }
 
--- a/crates/policy/src/policy/fair_share.rs
+++ b/crates/policy/src/policy/fair_share.rs
@@ -19,14 +19,14 @@
 const REJECTED_FALL: f64 = 6.0;
 /// With more upstreams than this in an even share, the leeway falls faster: bursts average out over
 /// many upstreams.
-const SMALL_PART: f64 = 3.0;
+const SMALL_EVEN_SHARE: f64 = 3.0;
 /// Weight of an answer in the uncongested service time while that grows.
 const BASELINE_GAIN: f64 = 1.0 / 1024.0;
 
 impl Balancer {
     /// Returns the share of all slots that this balancer may use, at most 1. (The single balancer of
     /// the design uses all of them.)
-    pub(super) fn part(&self) -> f64 {
+    pub(super) fn capacity_share(&self) -> f64 {
         (self.fleet.leeway / self.upstreams.sharers).min(1.0)
     }
 
@@ -43,16 +43,16 @@
         self.learn_baseline();
         // Only answers at the limit show whether the limit is too high. If all answers counted,
         // each heavy request would lower the leeway.
-        let load = self.upstreams.capacity_groups.fleet_load();
+        let load = self.upstreams.capacity_groups.total_load();
         let is_below_limit = load.in_flight as f64 + 1.0 < load.slots;
         if is_below_limit && outcome == Outcome::Ok {
             return;
         }
         let fleet = &mut self.fleet;
         let is_congested = latency * fleet.ts / fleet.baseline_ts > CONGESTED_LATENCY;
-        let even_part = self.upstreams.ring.len() as f64 / self.upstreams.sharers;
+        let even_share = self.upstreams.ring.len() as f64 / self.upstreams.sharers;
         let rejected = if outcome == Outcome::Ok { 1.0 } else { REJECTED_FALL };
-        let fall = LEEWAY_FALL * (even_part / SMALL_PART).max(1.0) * rejected;
+        let fall = LEEWAY_FALL * (even_share / SMALL_EVEN_SHARE).max(1.0) * rejected;
         fleet.leeway *= 1.0 + LEEWAY_GAIN * if is_congested { -fall } else { 1.0 };
         fleet.leeway = fleet.leeway.clamp(MIN_LEEWAY, MIN_LEEWAY.max(self.upstreams.sharers));
     }
--- a/crates/policy/src/policy/sweep.rs
+++ b/crates/policy/src/policy/sweep.rs
@@ -70,8 +70,8 @@
             return;
         }
         self.sweep_remaining = all - indexes.len();
-        let part = self.part();
-        self.upstreams.capacity_groups.sweep(part);
+        let share = self.capacity_share();
+        self.upstreams.capacity_groups.sweep(share);
         self.refresh_admission();
     }
 
--- a/crates/policy/src/sums.rs
+++ b/crates/policy/src/sums.rs
@@ -1,12 +1,12 @@
-//! Exact sums over the fleet.
+//! Exact sums over all upstreams.
 
 use hollowpaddle_ordered_collections::total::Total;
 
-/// A sum over the fleet of figures below 8 million.
+/// A sum of values below 8 million.
 pub(crate) type Sum = Total<40>;
 
-/// A sum over the fleet of rates, below 128 a microsecond.
+/// A sum of rates below 128 per microsecond.
 pub(crate) type Rates = Total<56>;
 
-/// A sum over the fleet of times, in microseconds below 2^33.
+/// A sum of times below 2^33 microseconds.
 pub(crate) type Times = Total<30>;
--- a/crates/policy/src/upstreams/list.rs
+++ b/crates/policy/src/upstreams/list.rs
@@ -87,7 +87,7 @@
         (s.zone, s.machine_type, s.cell) = (entry.zone, entry.machine_type, entry.cell);
         (s.status, s.started, s.weight, s.barred_classes) =
             (entry.status, entry.started, weight, entry.barred_classes);
-        s.type_index = self.machine_types.enter(entry.machine_type);
+        s.type_index = self.machine_types.get_or_add(entry.machine_type);
         let capacity_groups = self.groups_of(&self.servers[server]);
         self.servers[server].capacity_groups = capacity_groups;
         self.count_member(server, 1);
