--- a/crates/gateway/src/update_queue.rs
+++ b/crates/gateway/src/update_queue.rs
@@ -36,11 +36,20 @@
 
     fn of(member: &Member) -> Self {
         // Destructured, so that a field that is added to `Member` can't be left out.
-        let Member { id: _, identity, zone, kind, cell, status, weight, started, barred_classes } =
-            *member;
+        let Member {
+            id: _,
+            identity,
+            zone,
+            machine_type,
+            cell,
+            status,
+            weight,
+            started,
+            barred_classes,
+        } = *member;
         let mut hasher = FxHasher::default();
         hasher.write_u64(identity);
-        hasher.write_u64(u64::from(zone) << 32 | u64::from(kind));
+        hasher.write_u64(u64::from(zone) << 32 | u64::from(machine_type));
         hasher.write_u32(cell);
         hasher.write_u64(weight.to_bits());
         hasher.write_u64(barred_classes);
