--- a/crates/policy/src/attempt_tracker.rs
+++ b/crates/policy/src/attempt_tracker.rs
@@ -1,6 +1,7 @@
-//! Tracks attempts in flight, so that those that may be overdue are found without a scan of all.
+//! Tracks attempts in flight, so that potentially overdue attempts are found without a scan of all
+//! attempts.
 //!
-//! When an attempt is overdue, and what follows, is for [`crate::policy`] to say.
+//! [`crate::policy`] decides when an attempt is overdue, and on the consequences.
 
 use std::collections::VecDeque;
 
@@ -8,63 +9,64 @@
 
 use crate::interface::{RequestId, SignedDuration, Time};
 
-/// An attempt that may still be in flight, with what says when it is overdue: its request costs
-/// more to look up.
+/// An attempt that may still be in flight, with the data that determines when it is overdue. The
+/// data is copied here since a lookup of the request costs more.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct TrackedAttempt {
-    /// Its number in the order of sending; set by [`AttemptTracker::track`].
+    /// Number in the order of sending; set by [`AttemptTracker::track`].
     pub(crate) order: u64,
     pub(crate) request: RequestId,
-    /// Its number among the attempts of the request.
+    /// Number among the attempts of the request.
     pub(crate) attempt: usize,
     pub(crate) class: usize,
     pub(crate) sent: Time,
     pub(crate) queue_deadline: Time,
-    /// It was overdue or due for a hedge before.
+    /// Whether an earlier check found the attempt overdue or due for a hedge.
     pub(crate) was_due: bool,
 }
 
 /// Attempts of one class that are not due yet.
 #[derive(Debug)]
 struct ClassAttempts {
-    /// In the order of sending, which is that of becoming due. Some have ended.
+    /// Attempts in the order of sending, which is also the order in which they become due. Some of
+    /// them have ended.
     attempts: VecDeque<TrackedAttempt>,
-    /// They may be due this long after they were sent.
+    /// Time after which an attempt may be due.
     hedge_delay: SignedDuration,
 }
 
 impl ClassAttempts {
-    /// When the first may be due, as a key.
+    /// Returns the time at which the first attempt may be due, as a key.
     fn first_due(&self) -> Key {
         let first = self.attempts.front();
         first.map_or(Key::OUT, |a| time_key(a.sent.plus(self.hedge_delay)))
     }
 }
 
-/// A key that orders as times do.
+/// Returns a key that has the same order as times.
 fn time_key(at: Time) -> Key {
     Key(at.0 as u64 ^ 1 << 63, 0)
 }
 
-/// All attempts that may be in flight. Those that may be due are gone through in rounds.
+/// All attempts that may be in flight. Attempts that may be due are checked in rounds.
 #[derive(Debug)]
 pub(crate) struct AttemptTracker {
     classes: Vec<ClassAttempts>,
-    /// Classes by when their first attempt may be due.
+    /// Classes by the time at which their first attempt may be due.
     next_due: TournamentTree,
-    /// Attempts of all classes that may be due, in the order of sending: first those that this
-    /// round has not reached, then those that it has retained.
+    /// Attempts of all classes that may be due, in the order of sending: first the attempts that
+    /// this round has not reached, then the attempts that it has retained.
     due: VecDeque<TrackedAttempt>,
-    /// Attempts that may be due since this round began.
+    /// Attempts that may have become due since this round began.
     newly_due: Vec<TrackedAttempt>,
-    /// Attempts tracked so far.
+    /// Number of attempts tracked so far.
     tracked: u64,
-    /// Attempts that this round has not reached.
+    /// Number of attempts that this round has not reached.
     remaining: usize,
 }
 
 impl AttemptTracker {
-    /// Tracks nothing yet; `hedge_delays` are those of the classes.
+    /// Creates a tracker without attempts, with the hedge delay of each class.
     pub(crate) fn new(hedge_delays: impl Iterator<Item = SignedDuration>) -> Self {
         let empty = |hedge_delay| ClassAttempts { attempts: VecDeque::new(), hedge_delay };
         Self {
@@ -87,14 +89,14 @@
         }
     }
 
-    /// Sets how long after they were sent attempts of a class may be due.
+    /// Sets the time after which attempts of a class may be due.
     pub(crate) fn set_hedge_delay(&mut self, class: usize, hedge_delay: SignedDuration) {
         self.classes[class].hedge_delay = hedge_delay;
         self.next_due.set(class, self.classes[class].first_due());
     }
 
     /// Collects attempts that may be due by now for the next round, at most `limit` of each class.
-    /// Those that are not in flight any more are dropped.
+    /// Attempts that are no longer in flight are dropped.
     pub(crate) fn collect_due(
         &mut self,
         now: Time,
@@ -125,10 +127,10 @@
         }
     }
 
-    /// Begins a round over all attempts that may be due. Costs a merge, not a sort: they are many
-    /// in a large fleet.
+    /// Begins a round over all attempts that may be due. The cost is that of a merge and not of a
+    /// sort, since there are many attempts with many upstreams.
     pub(crate) fn begin_round(&mut self) {
-        // Those retained were sent before those not reached.
+        // The retained attempts were sent before the attempts that the round has not reached.
         self.due.rotate_left(self.remaining);
         self.newly_due.sort_unstable_by_key(|a| a.order);
         if let Some(first) = self.newly_due.first() {
@@ -140,14 +142,14 @@
         self.remaining = self.due.len();
     }
 
-    /// The next attempt of the round, until that is over. It is tracked no more unless it is
-    /// retained.
+    /// Returns the next attempt of the round; `None` at its end. The attempt is no longer tracked
+    /// unless it is retained.
     pub(crate) fn next(&mut self) -> Option<TrackedAttempt> {
         self.remaining = self.remaining.checked_sub(1)?;
         self.due.pop_front()
     }
 
-    /// Keeps tracking an attempt that [`Self::next`] returned.
+    /// Continues to track an attempt that [`Self::next`] returned.
     pub(crate) fn retain(&mut self, attempt: TrackedAttempt) {
         self.due.push_back(attempt);
     }
--- a/crates/policy/src/lib.rs
+++ b/crates/policy/src/lib.rs
@@ -1,7 +1,8 @@
 //! The decision module of an HTTP load balancer that runs as a cluster of balancers.
 //!
 //! Each balancer owns one [`policy::Balancer`], delivers [`interface::Event`]s to it, and carries
-//! out the [`interface::Action`]s that it returns. The module does no I/O and reads no clock.
+//! out the [`interface::Action`]s that the balancer returns. The module does no I/O and reads no
+//! clock.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -129,7 +129,7 @@
         }
         self.catch_up(now, &event);
         match event {
-            Event::Members { kind, list } => self.members(now, kind, list, out),
+            Event::Members { kind, list } => self.on_members(now, kind, list, out),
             Event::ListCallRejected => {
                 self.list_poller.rejected(now, self.rng.rand_float());
                 self.arm_list_poll(out);
@@ -139,13 +139,13 @@
                 let queued = self.queue.queued();
                 self.give_up_all(queued, Refusal::ListExpired, out);
             }
-            Event::Request(request) => self.request(now, request, out),
-            Event::AttemptCompleted(answer) => self.outcome(now, answer, out),
+            Event::Request(request) => self.on_request(now, request, out),
+            Event::AttemptCompleted(completed) => self.on_attempt_completed(now, completed, out),
             Event::BodyReceived { request, send_deadline } => {
-                self.body_complete(now, request, send_deadline)
+                self.on_body_received(now, request, send_deadline)
             }
-            Event::Started(id) | Event::ClientCancelled(id) => self.end(id),
-            Event::Timer(token) => self.timer(now, token, out),
+            Event::Started(id) | Event::ClientCancelled(id) => self.finish(id),
+            Event::Timer(token) => self.on_timer(now, token, out),
             Event::HealthChecked { .. } => {}
         }
     }
@@ -192,15 +192,15 @@
         out.push(Action::Arm { token: SWEEP_TIMER, at });
     }
 
-    fn timer(&mut self, now: Time, token: u64, out: &mut Vec<Action>) {
+    fn on_timer(&mut self, now: Time, token: u64, out: &mut Vec<Action>) {
         match token {
             LIST_POLL_TIMER => self.poll_list(now, out),
-            SWEEP_TIMER => self.sweep_timer(now, out),
+            SWEEP_TIMER => self.on_sweep_timer(now, out),
             _ => {}
         }
     }
 
-    fn sweep_timer(&mut self, now: Time, out: &mut Vec<Action>) {
+    fn on_sweep_timer(&mut self, now: Time, out: &mut Vec<Action>) {
         let slice = self.sweep_slice();
         self.collect_due(now, slice);
         self.tracker.begin_round();
--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -18,7 +18,7 @@
 
 impl Balancer {
     /// Sends, queues or rejects a request that a client has sent.
-    pub(super) fn request(&mut self, now: Time, request: Request, out: &mut Vec<Action>) {
+    pub(super) fn on_request(&mut self, now: Time, request: Request, out: &mut Vec<Action>) {
         let id = request.id;
         let Some(class) = self.settings.classes.get(request.class).filter(|_| !self.expired) else {
             let reason = if self.expired { Refusal::ListExpired } else { Refusal::UnknownClass };
@@ -50,7 +50,7 @@
         if let Some(server) = immediate_server {
             return self.send(now, id, server, out);
         }
-        self.hold(id, false);
+        self.enqueue(id, false);
         self.dispatch(now, out);
         if self.queue.get(id).is_some_and(|e| e.is_queued) {
             self.queue.give_up_at(queue_deadline, id);
@@ -120,15 +120,15 @@
         let retry_after =
             SignedDuration::from_micros_f64(self.fleet.ts + self.fleet.tolerable_wait).min(longest);
         out.push(Action::Refuse { request, retry_after, reason });
-        self.end(request);
+        self.finish(request);
     }
 
     /// Finishes a request, and removes it once none of its attempts is in flight.
-    pub(super) fn end(&mut self, id: RequestId) {
+    pub(super) fn finish(&mut self, id: RequestId) {
         let Some(entry) = self.queue.get_mut(id) else { return };
         entry.is_finished = true;
         let is_in_flight = entry.is_in_flight();
-        self.release(id);
+        self.dequeue(id);
         if is_in_flight {
             return;
         }
--- a/crates/policy/src/policy/concurrency.rs
+++ b/crates/policy/src/policy/concurrency.rs
@@ -129,7 +129,7 @@
     /// Answers that arrive at the same time are recorded at the level of the first of them. The
     /// lower levels last for no time between such answers: work recorded there would overestimate
     /// their throughput.
-    pub(super) fn count_level(&mut self, now: Time, server: usize, answered: Option<usize>) {
+    pub(super) fn record_level(&mut self, now: Time, server: usize, answered: Option<usize>) {
         let s = &self.upstreams.servers[server];
         let passed = now.since(s.in_flight_changed).as_micros_f64();
         let level = s.in_flight as usize;
--- a/crates/policy/src/policy/dispatch.rs
+++ b/crates/policy/src/policy/dispatch.rs
@@ -11,7 +11,7 @@
 
 impl Balancer {
     /// Queues a request at the head or at the end of the queue.
-    pub(super) fn hold(&mut self, id: RequestId, at_head: bool) {
+    pub(super) fn enqueue(&mut self, id: RequestId, at_head: bool) {
         let Some(entry) = self.queue.get(id) else { return };
         let (class, queue_deadline) = (entry.class, entry.queue_deadline);
         let is_fresh = entry.attempts.is_empty() && entry.sticky_cell.is_none();
@@ -20,7 +20,7 @@
         } else {
             SubQueue::Retry(class, self.affinity(entry))
         };
-        self.queue.hold(id, sub_queue, at_head);
+        self.queue.enqueue(id, sub_queue, at_head);
         self.upstreams.capacity_groups.count_queued(class, 1);
         if !is_fresh {
             self.queue.give_up_at(queue_deadline, id);
@@ -28,10 +28,10 @@
     }
 
     /// Removes a request from the queue, if it is queued.
-    pub(super) fn release(&mut self, id: RequestId) {
+    pub(super) fn dequeue(&mut self, id: RequestId) {
         let queued = self.queue.get(id).filter(|e| e.is_queued);
         if let Some(class) = queued.map(|e| e.class) {
-            self.queue.release(id);
+            self.queue.dequeue(id);
             self.upstreams.capacity_groups.count_queued(class, -1);
         }
     }
@@ -75,8 +75,8 @@
     pub(super) fn send(&mut self, now: Time, id: RequestId, server: usize, out: &mut Vec<Action>) {
         let has_earned_send = self.has_earned_send(now, &self.upstreams.servers[server]);
         self.overdrafts += u64::from(!has_earned_send);
-        self.book_earned_sends(now, server, 1.0);
-        self.release(id);
+        self.update_earned_sends(now, server, 1.0);
+        self.dequeue(id);
         let Some(send_by) = self.queue.get(id).map(|e| self.send_by(e)) else { return };
         let Some(entry) = self.queue.get_mut(id) else { return };
         let is_first = entry.attempts.is_empty();
@@ -107,14 +107,14 @@
             queue_deadline: entry.queue_deadline,
             was_due: false,
         });
-        self.count_level(now, server, None);
+        self.record_level(now, server, None);
         self.upstreams.count_in_flight(server, i32::from(takes_slot));
         self.refresh_availability(now, server);
     }
 
     /// Handles the end of a streamed request body: from now on the upstream is responsible for the
     /// latency.
-    pub(super) fn body_complete(&mut self, now: Time, id: RequestId, send_deadline: Time) {
+    pub(super) fn on_body_received(&mut self, now: Time, id: RequestId, send_deadline: Time) {
         let margin = self.give_up_margin();
         let Some(entry) = self.queue.get_mut(id).filter(|e| e.streams_body) else { return };
         entry.set_deadlines(now, &self.settings.classes[entry.class], send_deadline, margin);
@@ -123,9 +123,9 @@
         entry.body_consumed = true;
         let in_flight = |a: &&mut Attempt| a.state == AttemptState::InFlight;
         if let Some(attempt) = entry.attempts.last_mut().filter(in_flight) {
-            let had_lost_slot = attempt.slot_released;
+            let had_released_slot = attempt.slot_released;
             *attempt = Attempt::new(attempt.server, now);
-            self.track_latest(now, id, had_lost_slot);
+            self.track_latest(now, id, had_released_slot);
         }
     }
 }
--- a/crates/policy/src/policy/hedging.rs
+++ b/crates/policy/src/policy/hedging.rs
@@ -134,10 +134,10 @@
         }
         if is_hedged {
             self.hedge_budget -= 1.0;
-            self.hold(due.request, true);
+            self.enqueue(due.request, true);
         }
         if is_lost {
-            self.count_level(now, server, None);
+            self.record_level(now, server, None);
             self.upstreams.count_in_flight(server, -1);
         }
         let entry = self.queue.get_mut(due.request);
--- a/crates/policy/src/policy/membership.rs
+++ b/crates/policy/src/policy/membership.rs
@@ -10,7 +10,7 @@
 
 impl Balancer {
     /// Applies a list event, then sends the queued requests that find a slot now.
-    pub(super) fn members(
+    pub(super) fn on_members(
         &mut self,
         now: Time,
         kind: ListKind,
--- a/crates/policy/src/policy/outlier.rs
+++ b/crates/policy/src/policy/outlier.rs
@@ -20,46 +20,51 @@
 
 impl Balancer {
     /// Records the outcome of an attempt, then retries or finishes its request.
-    pub(super) fn outcome(&mut self, now: Time, answer: CompletedAttempt, out: &mut Vec<Action>) {
-        let Some(entry) = self.queue.get_mut(answer.request) else { return };
+    pub(super) fn on_attempt_completed(
+        &mut self,
+        now: Time,
+        completed: CompletedAttempt,
+        out: &mut Vec<Action>,
+    ) {
+        let Some(entry) = self.queue.get_mut(completed.request) else { return };
         let in_flight = |a: &&mut Attempt| a.state == AttemptState::InFlight;
-        let Some(attempt) = entry.attempts.get_mut(answer.attempt).filter(in_flight) else {
+        let Some(attempt) = entry.attempts.get_mut(completed.attempt).filter(in_flight) else {
             return;
         };
-        attempt.state = if answer.outcome.never_ran() {
+        attempt.state = if completed.outcome.never_ran() {
             AttemptState::NeverRan
         } else {
             AttemptState::MayHaveRun
         };
         let attempt = *attempt;
-        entry.body_consumed |= answer.body_consumed;
-        entry.streams_body &= !answer.body_consumed;
+        entry.body_consumed |= completed.body_consumed;
+        entry.streams_body &= !completed.body_consumed;
         let (class, ordering_key) = (entry.class, entry.ordering_key);
-        if matches!(answer.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
+        if matches!(completed.outcome, Outcome::Timeout | Outcome::Reset | Outcome::Cancelled) {
             // The attempt may still be running at the upstream.
             self.queue.rest_key(ordering_key, now.plus(self.settings.rules.ordering_key_rest));
         }
-        self.learn(now, class, attempt, &answer);
+        self.learn(now, class, attempt, &completed);
         self.close_idle_connections(now, attempt.server, out);
-        if answer.last || answer.outcome == Outcome::Ok {
-            self.end(answer.request);
+        if completed.last || completed.outcome == Outcome::Ok {
+            self.finish(completed.request);
         } else {
-            self.retry_or_finish(now, answer.request, out);
+            self.retry_or_finish(now, completed.request, out);
         }
         self.dispatch(now, out);
     }
 
     /// Updates all estimates with an outcome, and releases the slot of its attempt.
-    fn learn(&mut self, now: Time, class: usize, attempt: Attempt, answer: &CompletedAttempt) {
+    fn learn(&mut self, now: Time, class: usize, attempt: Attempt, completed: &CompletedAttempt) {
         let server = attempt.server;
-        let outcome = answer.outcome;
+        let outcome = completed.outcome;
         let is_ok = outcome == Outcome::Ok;
         // A single implausible latency must not distort the mean of its class.
-        let latency = answer
+        let latency = completed
             .latency
             .as_micros_f64()
             .clamp(1.0, self.settings.classes[class].deadline.as_micros_f64());
-        self.count_level(now, server, is_ok.then_some(class));
+        self.record_level(now, server, is_ok.then_some(class));
         // A probed upstream runs more requests than usual, so its latency does not reflect its
         // speed.
         let s = &self.upstreams.servers[server];
@@ -73,9 +78,9 @@
         self.adjust_leeway(latency / mean, outcome);
         self.learn_unanswered(class, attempt, outcome);
         // An overdue attempt was already counted as timed out when it became overdue.
-        let is_counted = attempt.overdue && outcome == Outcome::Timeout;
-        let says_nothing = is_counted || is_ok && is_probe;
-        if !says_nothing {
+        let is_already_counted = attempt.overdue && outcome == Outcome::Timeout;
+        let is_uninformative = is_already_counted || is_ok && is_probe;
+        if !is_uninformative {
             self.learn_slowness(server, outcome, latency, mean);
         }
         self.eject_or_restore(now, class, attempt, outcome, mean);
--- a/crates/policy/src/policy/retry.rs
+++ b/crates/policy/src/policy/retry.rs
@@ -78,13 +78,13 @@
     pub(super) fn retry_or_finish(&mut self, now: Time, id: RequestId, out: &mut Vec<Action>) {
         let Some(entry) = self.queue.get(id) else { return };
         if entry.is_finished {
-            return self.end(id);
+            return self.finish(id);
         }
         if entry.is_queued || entry.is_in_flight() {
             return;
         }
         if now < entry.queue_deadline && self.has_upstream(now, entry) {
-            self.hold(id, true);
+            self.enqueue(id, true);
         } else {
             self.give_up(id, Refusal::AttemptsFailed, out);
         }
@@ -97,7 +97,7 @@
             self.refuse(id, reason, out);
         } else {
             out.push(Action::Fail { request: id });
-            self.end(id);
+            self.finish(id);
         }
     }
 
@@ -111,7 +111,7 @@
     ) {
         for id in queued {
             if self.queue.get(id).is_some_and(RequestState::is_in_flight) {
-                self.release(id);
+                self.dequeue(id);
             } else {
                 self.give_up(id, reason, out);
             }
--- a/crates/policy/src/policy/slow_start.rs
+++ b/crates/policy/src/policy/slow_start.rs
@@ -101,7 +101,7 @@
 
     /// Updates the earned sends of an upstream to the present time, before its pace changes, and
     /// subtracts `spent` sends.
-    pub(super) fn book_earned_sends(&mut self, now: Time, server: usize, spent: f64) {
+    pub(super) fn update_earned_sends(&mut self, now: Time, server: usize, spent: f64) {
         if let Some(earned) = self.earned_sends(now, &self.upstreams.servers[server]) {
             let s = &mut self.upstreams.servers[server];
             (s.earned_sends, s.earned_at) = (earned - spent, now);
--- a/crates/policy/src/policy/sweep.rs
+++ b/crates/policy/src/policy/sweep.rs
@@ -87,7 +87,7 @@
             }
             let distance = self.upstreams.distance(index, &part, CROSS_ZONE_DISTANCE);
             self.upstreams.servers[slot].distance = distance;
-            self.book_earned_sends(now, slot, 0.0);
+            self.update_earned_sends(now, slot, 0.0);
         }
         slots
     }
--- a/crates/policy/src/quotas.rs
+++ b/crates/policy/src/quotas.rs
@@ -1,4 +1,5 @@
-//! Token buckets of tenants, of which only those that are not full are stored. Decides nothing.
+//! Token buckets of tenants. Only buckets that are not full are stored. This module makes no
+//! decisions.
 
 use std::collections::VecDeque;
 
@@ -14,31 +15,32 @@
     refilled_at: Time,
 }
 
-/// Buckets that one call of [`Quotas::drop_full`] checks.
+/// Number of buckets that one call of [`Quotas::drop_full`] checks.
 const BUCKETS_PER_CALL: usize = 4;
-/// A table of more entries than this is made smaller when an eighth of it is in use.
+/// A table with more entries than this shrinks when less than an eighth of it is in use.
 const RETAINED_CAPACITY: usize = 1024;
 
 /// The buckets of all tenants.
 ///
-/// One that is not stored held one token at the start and has been refilled since. A bucket is
-/// dropped when it is full and would be full by that rule too, so that no decision depends on it.
+/// A bucket that is not stored is equivalent to one that held one token at the start and has been
+/// refilled since. A bucket is dropped when it is full and would also be full by this rule, so that
+/// no decision depends on whether it is stored.
 #[derive(Debug)]
 pub(crate) struct Quotas {
     /// When the balancer started.
     started: Time,
-    /// Balancers over which each quota is spread.
+    /// Number of balancers over which each quota is spread.
     balancers: f64,
-    /// A bucket holds the tokens of this many microseconds at most: the longest deadline of a
-    /// class.
+    /// The longest deadline of a class, in microseconds. A bucket holds at most the tokens of this
+    /// time.
     longest_deadline: f64,
     buckets: FxHashMap<u32, Bucket>,
-    /// The tenants of these buckets, in the order in which they are checked.
+    /// The tenants of the stored buckets, in the order in which they are checked.
     order: VecDeque<u32>,
 }
 
 impl Quotas {
-    /// No tenant has sent anything yet.
+    /// Creates the buckets of a balancer that has not received a request yet.
     pub(crate) fn new(settings: &Settings, now: Time) -> Self {
         let deadlines = settings.classes.iter().map(|c| c.deadline.as_micros_f64());
         Self {
@@ -50,8 +52,8 @@
         }
     }
 
-    /// Refills the bucket of a tenant and returns its tokens; `quota_rps` is its quota in requests
-    /// a second over all balancers.
+    /// Refills the bucket of a tenant and returns its tokens. `quota_rps` is the quota of the tenant
+    /// in requests a second over all balancers.
     pub(crate) fn refill(&mut self, now: Time, tenant: usize, quota_rps: f64) -> f64 {
         let Ok(tenant) = u32::try_from(tenant) else { return 1.0 };
         let (rate, most) = self.rate_and_most(quota_rps);
@@ -65,7 +67,7 @@
         bucket.tokens
     }
 
-    /// Takes one token out of a bucket that was just refilled.
+    /// Removes one token from a bucket that was just refilled.
     pub(crate) fn spend(&mut self, tenant: usize) {
         let bucket = u32::try_from(tenant).ok().and_then(|t| self.buckets.get_mut(&t));
         if let Some(bucket) = bucket {
@@ -73,9 +75,9 @@
         }
     }
 
-    /// Checks a few buckets and drops those that are full; `settings` gives the quotas.
+    /// Checks a few buckets and drops the full ones. `settings` contains the quotas.
     pub(crate) fn drop_full(&mut self, now: Time, settings: &Settings) {
-        // Before that, a bucket that is not stored may not be full.
+        // Before the longest deadline has passed, a bucket that is not stored may not be full.
         if now.since(self.started).as_micros_f64() < self.longest_deadline {
             return;
         }
@@ -93,13 +95,13 @@
         self.shrink();
     }
 
-    /// Tokens refilled per microsecond, and the most that a bucket holds.
+    /// Returns the tokens refilled per microsecond, and the most tokens that a bucket holds.
     fn rate_and_most(&self, quota_rps: f64) -> (f64, f64) {
         let rate = quota_rps / 1e6 / self.balancers;
         (rate, (rate * self.longest_deadline).max(1.0))
     }
 
-    /// Gives memory back after many buckets were dropped.
+    /// Releases memory after many buckets were dropped.
     fn shrink(&mut self) {
         let retained = RETAINED_CAPACITY.max(self.buckets.len() * 8);
         if self.buckets.capacity() > retained {
--- a/crates/policy/src/quotas/tests.rs
+++ b/crates/policy/src/quotas/tests.rs
@@ -1,4 +1,4 @@
-//! Buckets that come and go against buckets that always exist.
+//! Compares buckets that are dropped and created again with buckets that always exist.
 
 use proptest::prelude::*;
 
@@ -18,7 +18,7 @@
     settings
 }
 
-/// The dense bookkeeping: a bucket for each tenant from the start on.
+/// The reference: a bucket for each tenant from the start.
 struct Dense {
     buckets: Vec<Bucket>,
 }
@@ -28,10 +28,11 @@
         let rate = settings.tenants[tenant].quota_rps / 1e6 / f64::from(settings.balancers);
         let most =
             rate * settings.classes.iter().map(|c| c.deadline.as_micros_f64()).fold(0.0, f64::max);
-        let q = &mut self.buckets[tenant];
-        q.tokens = (q.tokens + rate * now.since(q.refilled_at).as_micros_f64()).min(most.max(1.0));
-        q.refilled_at = now;
-        q.tokens
+        let bucket = &mut self.buckets[tenant];
+        bucket.tokens = (bucket.tokens + rate * now.since(bucket.refilled_at).as_micros_f64())
+            .min(most.max(1.0));
+        bucket.refilled_at = now;
+        bucket.tokens
     }
 }
 
--- a/crates/policy/src/request_state.rs
+++ b/crates/policy/src/request_state.rs
@@ -1,59 +1,59 @@
-//! What the module keeps of each request and of its attempts.
+//! The state of each request and of its attempts.
 
 use hollowpaddle_ordered_collections::waiting::Ticket;
 
 use crate::interface::{Class, Request, SignedDuration, Time};
 
-/// The sub-queue in which a request waits. If its first request finds no free slot, none of the
-/// others does.
+/// The sub-queue of a queued request. If the first request of a sub-queue finds no free slot, the
+/// others find none either.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) enum SubQueue {
-    /// Retries of one class, by where they may still be sent.
+    /// Retries of one class, by the upstreams that they may still be sent to.
     Retry(usize, Affinity),
     /// Requests that were never sent, by capacity group.
     Fresh(u32),
 }
 
-/// The upstreams that a request may be sent to, beside what its class says.
+/// The upstreams that a request is restricted to, in addition to the restrictions of its class.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub(crate) enum Affinity {
-    /// All of them.
+    /// All upstreams.
     Any,
-    /// Those of one zone.
+    /// The upstreams of one zone.
     Zone(u32),
-    /// Those of one zone and cell.
+    /// The upstreams of one zone and cell.
     Cell(u32, u32),
 }
 
-/// What is known of the execution of an attempt.
+/// Whether an attempt has ended, and whether it may have run.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum AttemptState {
-    /// It has no outcome yet.
+    /// The attempt has no outcome yet.
     InFlight,
-    /// Its outcome proves that it never ran.
+    /// The outcome proves that the attempt never ran.
     NeverRan,
-    /// It ran, or may have.
+    /// The attempt ran or may have run.
     MayHaveRun,
 }
 
 /// One attempt of a request.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct Attempt {
-    /// The slot of its upstream.
+    /// The slot of the upstream.
     pub(crate) server: usize,
-    /// When it was sent; if the body arrived while it was passed on, when that was complete.
+    /// When the attempt was sent; for a streamed body, when the body was complete.
     pub(crate) sent: Time,
     pub(crate) state: AttemptState,
-    /// It has been unanswered for too long.
+    /// Whether the attempt has been unanswered for too long.
     pub(crate) overdue: bool,
-    /// It was still in flight when a hedge had to be sent to be in time.
+    /// Whether the attempt was still in flight at the latest time for a hedge.
     pub(crate) hedge_due: bool,
-    /// Its slot was released before its outcome came.
+    /// Whether the slot was released before the outcome of the attempt.
     pub(crate) slot_released: bool,
 }
 
 impl Attempt {
-    /// An attempt that is sent now.
+    /// Creates an attempt that is sent now.
     pub(crate) fn new(server: usize, sent: Time) -> Self {
         Self {
             server,
@@ -72,33 +72,36 @@
     pub(crate) class: usize,
     /// When the client gives up.
     pub(crate) send_deadline: Time,
-    /// From then on an answer has no value.
+    /// Time after which an answer has no value.
     pub(crate) valuable_until: Time,
-    /// When it is given up if it is still queued.
+    /// When the request is given up if it is still queued.
     pub(crate) queue_deadline: Time,
-    /// It waits for a slot or for its ordering key.
+    /// Whether the request waits for a slot or for its ordering key.
     pub(crate) is_queued: bool,
-    /// It needs no answer any more.
+    /// Whether the request needs no answer any more.
     pub(crate) is_finished: bool,
     pub(crate) attempts: Vec<Attempt>,
-    /// While it is queued: its place in the order of all sub-queues.
+    /// Position in the order of all sub-queues; valid while the request is queued.
     pub(crate) ticket: Ticket,
-    /// While it is queued: its sub-queue.
+    /// Sub-queue of the request; valid while the request is queued.
     pub(crate) sub_queue: SubQueue,
-    /// It stands in its sub-queue, and does not wait for its ordering key.
-    pub(crate) is_enqueued: bool,
-    /// Requests of the same key run one after another.
+    /// Whether the request is in its sub-queue, and does not wait for its ordering key.
+    pub(crate) is_in_sub_queue: bool,
+    /// Requests with the same ordering key run one after another.
     pub(crate) ordering_key: Option<u64>,
-    /// Its body is still arriving: the delay of its attempt is no upstream's fault.
+    /// Whether the request body is still arriving, so that the upstream is not responsible for the
+    /// delay of the attempt.
     pub(crate) streams_body: bool,
-    /// Part of its body was passed on and not stored: it can't be sent again.
+    /// Whether a part of the request body was streamed and not stored, so that the request can't be
+    /// sent again.
     pub(crate) body_consumed: bool,
-    /// The only zone and cell that it may be sent to.
+    /// The zone and cell that the request is restricted to.
     pub(crate) sticky_cell: Option<(u32, u32)>,
 }
 
 impl RequestState {
-    /// A request that has just arrived. Its deadlines are set by [`Self::set_deadlines`].
+    /// Creates the state of a request that has just arrived. [`Self::set_deadlines`] sets its
+    /// deadlines.
     pub(crate) fn new(request: &Request, in_order: bool) -> Self {
         Self {
             class: request.class,
@@ -110,7 +113,7 @@
             attempts: Vec::new(),
             ticket: Ticket::default(),
             sub_queue: SubQueue::Fresh(0),
-            is_enqueued: false,
+            is_in_sub_queue: false,
             ordering_key: request.key.filter(|_| in_order),
             streams_body: request.streams_body,
             body_consumed: false,
@@ -120,9 +123,10 @@
 
     /// Sets the deadlines of a request that is complete as of now.
     ///
-    /// It is queued only while its latency objective can be met, also where a late answer keeps
-    /// some value: else, under lasting overload, the whole queue would be served late. It is given
-    /// up `margin` before that, while a rejection is still harmless.
+    /// A request is queued only while its latency objective can be met, even if a late answer
+    /// retains some value. Otherwise, under lasting overload, the whole queue would be served late.
+    /// The request is given up `margin` before the end of its objective, when a rejection is still
+    /// harmless.
     pub(crate) fn set_deadlines(
         &mut self,
         now: Time,
@@ -137,17 +141,17 @@
         self.queue_deadline = objective_at.plus(SignedDuration(-margin.0));
     }
 
-    /// Whether some attempt has no outcome yet.
+    /// Returns whether some attempt has no outcome yet.
     pub(crate) fn is_in_flight(&self) -> bool {
         self.attempts.iter().any(|a| a.state == AttemptState::InFlight)
     }
 
-    /// Whether every attempt provably never ran.
+    /// Returns whether every attempt provably never ran.
     pub(crate) fn all_never_ran(&self) -> bool {
         self.may_have_run().next().is_none()
     }
 
-    /// Attempts that may have run, those in flight included.
+    /// Returns the attempts that may have run, including those in flight.
     pub(crate) fn may_have_run(&self) -> impl Iterator<Item = &Attempt> {
         self.attempts.iter().filter(|a| a.state != AttemptState::NeverRan)
     }
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -1,6 +1,6 @@
-//! The deployment's settings as they are written in JSON, for every program that hosts a balancer.
+//! The settings of a deployment in JSON, for all programs that host a balancer.
 //!
-//! This is the one place that reads their names and units. Times are in milliseconds;
+//! Only this module knows the names and units of the settings. Times are in milliseconds;
 //! [`Facts::settings`] converts them.
 
 use serde::Deserialize;
@@ -10,30 +10,30 @@
 
 mod conversion;
 
-/// Converts milliseconds to a span of whole microseconds; 0 if it is not a number.
+/// Converts milliseconds to a duration, rounded to whole microseconds; zero for NaN.
 pub fn span(ms: f64) -> SignedDuration {
     SignedDuration((ms * 1000.0).round() as i64)
 }
 
-/// The FNV-1a hash of a text: the same at every balancer and in every build.
+/// Returns the FNV-1a hash of a text, which is the same at every balancer and in every build.
 pub fn stable_hash(text: &str) -> u64 {
     text.bytes()
         .fold(0xcbf2_9ce4_8422_2325, |h, b| (h ^ u64::from(b)).wrapping_mul(0x0100_0000_01b3))
 }
 
-/// The value of a routing key: of hex digits their number, of any other text its hash.
+/// Returns the value of a routing key: the number if the key is hexadecimal, otherwise its hash.
 pub fn key_hash(key: &str) -> u64 {
     u64::from_str_radix(key, 16).unwrap_or_else(|_| stable_hash(key))
 }
 
-/// What one value of a load report stands for.
+/// A field of a load report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Field {
     /// Requests in progress.
     InFlight,
-    /// Requests waiting.
+    /// Queued requests.
     Queue,
-    /// Share of its cores that is busy.
+    /// Share of the cores that is busy.
     Util,
     /// Recent service time in milliseconds.
     Service,
@@ -41,12 +41,12 @@
     Qps,
     /// Errors per second.
     Eps,
-    /// A name that this build does not know.
+    /// A field that this build does not know.
     Other,
 }
 
 impl Field {
-    /// The field of this name.
+    /// Returns the field of this name.
     pub fn named(name: &str) -> Self {
         match name {
             "inflight" => Field::InFlight,
@@ -81,12 +81,12 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Facts {
-    /// Balancers of the cluster.
+    /// Number of balancers of the cluster.
     pub balancers: u32,
-    /// The number of this balancer among them, from 0.
+    /// Number of this balancer in the cluster, from 0.
     #[serde(default)]
     pub position: u32,
-    /// The zone of this balancer.
+    /// Zone of this balancer.
     #[serde(default)]
     pub zone: u32,
     /// Names of the zones, by number.
@@ -97,16 +97,16 @@
     pub machine_types: Vec<String>,
     /// Least time between two deliveries of events, in milliseconds.
     pub tick: f64,
-    /// How the endpoint list comes.
+    /// How discovery delivers the endpoint list.
     pub registry_mode: RegistryMode,
     /// Request classes, by number.
     pub services: Vec<Service>,
     /// Tenants, by number.
     #[serde(default)]
     pub tenants: Tenants,
-    /// What the deployment allows.
+    /// Limits and optional features that the deployment sets.
     pub policy_limits: PolicyLimits,
-    /// Figures of the rules.
+    /// Parameters of the rules.
     pub safety: Safety,
     /// Prices.
     #[serde(default)]
@@ -114,22 +114,23 @@
     /// Load reports.
     #[serde(default)]
     pub stats: Stats,
-    /// How the service is scored.
+    /// Weights of the parts of the service score.
     #[serde(default)]
     pub scoring_mix: ScoringMix,
-    /// What clients do.
+    /// Behaviour of clients.
     #[serde(default)]
     pub client_habits: ClientHabits,
-    /// What value counts by.
+    /// The unit by which value is counted.
     #[serde(default)]
     pub counted_by: CountedBy,
-    /// Priority weight of a request beyond the quota of its tenant, as a part of that of its class.
+    /// Priority weight of a request beyond the quota of its tenant, as a share of the priority
+    /// weight of its class.
     #[serde(default = "one")]
     #[serde(rename = "OverShareWorth")]
     pub over_quota_weight: f64,
 }
 
-/// Weights of the parts that the service is scored by.
+/// Weights of the parts of the service score.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct ScoringMix {
@@ -143,32 +144,32 @@
     pub worst_tenant: f64,
 }
 
-/// What clients do.
+/// Behaviour of clients.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct ClientHabits {
-    /// Clients mark requests that they send again.
+    /// Whether clients mark requests that they send again.
     pub marks_retry: bool,
 }
 
-/// What value counts by.
+/// The unit by which value is counted.
 #[derive(Clone, Debug, Deserialize, Default, PartialEq)]
 #[serde(rename_all = "lowercase")]
 pub enum CountedBy {
-    /// The request.
+    /// Value is counted per request.
     #[default]
     Request,
-    /// The unit of work.
+    /// Value is counted per unit of work.
     Work,
 }
 
-/// How the endpoint list comes.
+/// How discovery delivers the endpoint list.
 #[derive(Clone, Debug, Deserialize, PartialEq)]
 #[serde(rename_all = "lowercase")]
 pub enum RegistryMode {
-    /// Without being asked for.
+    /// Discovery sends the list without a request.
     Automatic,
-    /// By a subscription that must be asked for.
+    /// The balancer must subscribe to the list.
     Subscribe,
 }
 
@@ -176,7 +177,7 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Service {
-    /// Its name.
+    /// Name of the class.
     #[serde(default)]
     pub name: String,
     /// An answer within this time has its full value.
@@ -184,34 +185,34 @@
     pub latency_objective: f64,
     /// The longest time that a client waits.
     pub deadline: f64,
-    /// Whether its requests may be repeated.
+    /// Whether requests of the class may be repeated.
     pub effect: Effect,
-    /// Which upstreams drop repeats of a request with an idempotency key.
+    /// The upstreams that drop repeats of a request with an idempotency key.
     #[serde(default)]
     pub group: Group,
     /// Priority weight of one request.
     #[serde(default = "one")]
     pub importance: f64,
-    /// Part of its value that an answer has after the latency objective.
+    /// Part of the value that an answer retains after the latency objective.
     #[serde(default)]
     pub late_value: f64,
-    /// For how long upstreams drop repeats.
+    /// How long upstreams drop repeats.
     #[serde(default)]
     pub window: f64,
     /// The latency objective grows by this multiple of a request's own work.
     #[serde(default)]
     #[serde(rename = "AimStretch")]
     pub objective_stretch: f64,
-    /// The answer is a stream.
+    /// Whether answers are streams.
     #[serde(default)]
     pub streaming: bool,
-    /// Requests that share a key run one after another, in the order of arrival.
+    /// Whether requests that share a key run one after another, in the order of arrival.
     #[serde(default)]
     pub by_arrival: bool,
-    /// The only zones that its requests may be sent to, by number.
+    /// The zones that requests of the class may be sent to, by number; `None` for all.
     #[serde(default)]
     pub zones_allowed: Option<Vec<u32>>,
-    /// The only machine types that its requests may be sent to, by number.
+    /// The machine types that requests of the class may be sent to, by number; `None` for all.
     #[serde(default)]
     pub bound_to: Option<Vec<u32>>,
 }
@@ -220,47 +221,47 @@
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "lowercase")]
 pub enum Effect {
-    /// It may be repeated freely.
+    /// The request may be repeated freely.
     Retryable,
-    /// It has an idempotency key.
+    /// The request has an idempotency key.
     Dedup,
-    /// It must never run twice.
+    /// The request must never run twice.
     Fragile,
 }
 
-/// Which upstreams drop one another's repeats.
+/// The set of upstreams that recognizes repeats of a request with an idempotency key.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "lowercase")]
 pub enum Group {
-    /// All of them.
+    /// All upstreams.
     #[default]
     All,
-    /// Those of one zone.
+    /// The upstreams of one zone.
     Zone,
-    /// Those of one cell.
+    /// The upstreams of one cell.
     Cell,
 }
 
-/// What the deployment allows; times in milliseconds.
+/// Limits and optional features that the deployment sets; times in milliseconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct PolicyLimits {
     /// Most attempts of one request.
     pub max_attempts: usize,
-    /// Requests may be hedged.
+    /// Whether requests may be hedged.
     #[serde(default)]
     #[serde(rename = "SecondCopies")]
     pub hedging: bool,
-    /// Attempts may be cancelled.
+    /// Whether attempts may be cancelled.
     #[serde(default)]
     pub cancelling: bool,
-    /// Health checks may be sent to upstreams.
+    /// Whether health checks may be sent to upstreams.
     #[serde(default)]
     pub probes: bool,
-    /// Rejections carry advice on when to retry.
+    /// Whether rejections carry a Retry-After.
     #[serde(default)]
     pub retry_after: bool,
-    /// Longest advice that a client follows.
+    /// Longest Retry-After that clients respect.
     #[serde(default)]
     pub max_retry_after: f64,
     /// A connection that is not open within this time counts as failed.
@@ -269,58 +270,59 @@
     /// Idle connections close after this time.
     #[serde(default)]
     pub keepalive: f64,
-    /// Attempts that one connection carries at once, at most.
+    /// Most concurrent attempts on one connection.
     #[serde(default)]
     pub streams_per_conn: u32,
-    /// Balancers may send messages to one another.
+    /// Whether balancers may send messages to one another.
     #[serde(default)]
     pub peer_messages: bool,
 }
 
-/// Figures of the rules; times in milliseconds.
+/// Parameters of the rules; times in milliseconds.
 #[derive(Clone, Debug, Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Safety {
-    /// A change of the list counts as known after this time without an answer, where the list is
-    /// polled.
+    /// Interval of polls of the endpoint list, where it is polled. A change counts as known after
+    /// this time without an answer.
     #[serde(default)]
     #[serde(rename = "AskEvery")]
     pub list_poll_interval: f64,
-    /// How long after the notice of a drain a send may still go out.
+    /// Time for which sends are still allowed after an upstream is reported as draining.
     #[serde(default)]
     pub drain_grace: f64,
-    /// A final answer counts until this long after the client's deadline.
+    /// A final answer counts until this time after the client's deadline.
     #[serde(default)]
     pub answer_slack: f64,
-    /// Time after which a starting upstream has all of its capacity.
+    /// Time after which a starting upstream has its full capacity.
     pub cold: f64,
-    /// Share of its capacity that a starting upstream has at least.
+    /// Least share of its full capacity that a starting upstream has, from 0 to 1.
     #[serde(rename = "ColdFrom")]
     pub warm_up_initial_share: f64,
-    /// A starting upstream is overloaded by this multiple of its present capacity.
+    /// A starting upstream is overloaded when it is sent more than this many times its present
+    /// capacity for [`Self::overload_window`].
     #[serde(rename = "FallMultiple")]
     pub overload_multiple: f64,
-    /// How long it must be sent that much to be overloaded.
+    /// Time for which the sends must exceed [`Self::overload_multiple`] to overload an upstream.
     #[serde(rename = "TipAfter")]
     pub overload_window: f64,
-    /// Idle connections to a draining upstream must be closed within this time; 0 where no rule
-    /// says so.
+    /// Idle connections to a draining upstream must be closed within this time; zero where no rule
+    /// requires it.
     #[serde(default)]
     #[serde(rename = "DrainClose")]
     pub idle_close_limit: f64,
-    /// How long an ordering key rests after an attempt that may still be running.
+    /// Time for which an ordering key is blocked after an attempt that may still be running.
     #[serde(default)]
     #[serde(rename = "TurnGap")]
     pub ordering_key_rest: f64,
 }
 
-/// Prices, each per first attempt, as parts of the value of all requests.
+/// Prices, each per first attempt, as shares of the value of all requests.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Prices {
     /// An attempt that crosses zones.
     pub cross_zone: f64,
-    /// Upstream work that served no answer, per work offered.
+    /// Upstream work that led to no answer, per work offered.
     pub waste: f64,
     /// A new connection.
     pub handshake: f64,
@@ -331,25 +333,25 @@
     pub late_failure: f64,
 }
 
-/// Load reports of upstreams.
+/// Settings of the load reports of upstreams.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "PascalCase", default)]
 pub struct Stats {
-    /// What each value of a report stands for, in order.
+    /// Names of the values of a report, in order.
     pub names: Vec<String>,
-    /// How reports come.
+    /// How upstreams deliver reports.
     pub how: How,
 }
 
-/// How load reports come.
+/// How upstreams deliver load reports.
 #[derive(Clone, Debug, Deserialize, Default)]
 #[serde(rename_all = "lowercase")]
 pub enum How {
-    /// With answers and health checks.
+    /// Answers and health checks carry load reports.
     Piggyback,
-    /// With health checks only.
+    /// Only health checks carry load reports.
     Pull,
-    /// Not at all.
+    /// Upstreams deliver no load reports.
     #[default]
     Silent,
 }
--- a/crates/policy/src/settings/conversion.rs
+++ b/crates/policy/src/settings/conversion.rs
@@ -1,5 +1,5 @@
-//! Converts the deployment's settings to those of a balancer: names become indexes, milliseconds
-//! become microseconds.
+//! Converts the settings of a deployment to those of a balancer: names become indexes, and
+//! milliseconds become microseconds.
 
 use super::{
     CountedBy, Effect, Facts, Group, How, PolicyLimits, Prices, RegistryMode, Safety, ScoringMix,
@@ -8,15 +8,15 @@
 use crate::interface;
 
 impl Facts {
-    /// A hash of what the numbers of classes, zones and machine types stand for.
+    /// Returns a hash of the names that the numbers of classes, zones and machine types stand for.
     ///
-    /// It is equal for two settings exactly if these names stand in the same order in both.
+    /// The hashes of two settings are equal exactly when both list the same names in the same order.
     pub fn numbering_hash(&self) -> u64 {
         let classes: Vec<&str> = self.services.iter().map(|s| s.name.as_str()).collect();
         stable_hash(&format!("{classes:?} {:?} {:?}", self.zones, self.machine_types))
     }
 
-    /// The settings of a balancer: names become indexes, milliseconds become microseconds.
+    /// Returns the settings of a balancer.
     pub fn settings(&self) -> interface::Settings {
         interface::Settings {
             classes: self.services.iter().map(Service::class).collect(),
--- a/crates/policy/src/tenants.rs
+++ b/crates/policy/src/tenants.rs
@@ -1,4 +1,4 @@
-//! The tenants that settings name: a compact table, shared by all copies of the settings.
+//! The tenants of the settings, in a compact table that all copies of the settings share.
 
 use std::fmt;
 use std::sync::Arc;
@@ -7,7 +7,7 @@
 use serde::de::{Error, SeqAccess, Visitor};
 use serde::{Deserialize, Deserializer};
 
-/// One tenant as the settings state it.
+/// One tenant in the settings.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 struct Stated {
@@ -22,53 +22,53 @@
 /// One tenant of a [`Tenants`] table.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct TenantRef<'a> {
-    /// Its name, as requests carry it.
+    /// Name of the tenant in requests.
     pub name: &'a str,
-    /// Its quota: requests a second over all balancers.
+    /// Quota in requests a second over all balancers.
     pub quota_rps: f64,
-    /// Its part of the service.
+    /// Share of the service that belongs to the tenant.
     pub share: f64,
 }
 
-/// Quota and share; many tenants have the same.
+/// Quota and share of a tenant. Many tenants have the same values.
 #[derive(Clone, Copy, Debug)]
-struct Terms {
+struct QuotaAndShare {
     quota_rps: f64,
     share: f64,
 }
 
-/// All names in one piece of text, all numbers in arrays: 12 bytes for a tenant beside its name,
-/// and 16 for each distinct pair of quota and share.
+/// All names in one string and all numbers in arrays. A tenant takes 12 bytes besides its name, and
+/// each distinct pair of quota and share takes 16 bytes.
 #[derive(Debug, Default)]
 struct Table {
     names: Box<str>,
-    /// Where each tenant's name ends in `names`.
+    /// End of each tenant's name in `names`.
     ends: Box<[u32]>,
-    /// Tenants in the order of their names, of equal names in that of their numbers.
+    /// Tenants in the order of their names; tenants of equal names in the order of their numbers.
     by_name: Box<[u32]>,
-    terms: Box<[Terms]>,
-    /// Each tenant's place in `terms`.
-    terms_of: Box<[u32]>,
+    quotas_and_shares: Box<[QuotaAndShare]>,
+    /// Index in `quotas_and_shares` for each tenant.
+    quota_indexes: Box<[u32]>,
 }
 
-/// The tenants that settings name, by number. A copy shares the table.
+/// The tenants of the settings, by number. Clones share one table.
 #[derive(Clone, Default)]
 pub struct Tenants {
     table: Arc<Table>,
 }
 
 impl Tenants {
-    /// How many there are.
+    /// Returns the number of tenants.
     pub fn len(&self) -> usize {
         self.table.ends.len()
     }
 
-    /// Whether there is none.
+    /// Returns whether there are no tenants.
     pub fn is_empty(&self) -> bool {
         self.table.ends.is_empty()
     }
 
-    /// The number of the first tenant of this name. Costs a binary search.
+    /// Returns the number of the first tenant of this name, by a binary search.
     pub fn position(&self, name: &str) -> Option<usize> {
         let table = &self.table;
         let at = table.by_name.partition_point(|tenant| table.name(*tenant as usize) < name);
@@ -76,11 +76,12 @@
         (table.name(found) == name).then_some(found)
     }
 
-    /// All of them, by number.
+    /// Returns all tenants, by number.
     pub fn iter(&self) -> impl Iterator<Item = TenantRef<'_>> {
         let table = &self.table;
         (0..self.len()).map(|tenant| {
-            let Terms { quota_rps, share } = table.terms[table.terms_of[tenant] as usize];
+            let QuotaAndShare { quota_rps, share } =
+                table.quotas_and_shares[table.quota_indexes[tenant] as usize];
             TenantRef { name: table.name(tenant), quota_rps, share }
         })
     }
@@ -99,29 +100,30 @@
     }
 }
 
-/// Collects tenants one by one.
+/// Builds a table tenant by tenant.
 #[derive(Default)]
 struct Builder {
     names: String,
     ends: Vec<u32>,
-    terms: Vec<Terms>,
-    terms_of: Vec<u32>,
-    /// Places in `terms` by the bits of quota and share.
-    known: FxHashMap<(u64, u64), u32>,
+    quotas_and_shares: Vec<QuotaAndShare>,
+    quota_indexes: Vec<u32>,
+    /// Indexes in `quotas_and_shares` by the bits of quota and share.
+    index_by_bits: FxHashMap<(u64, u64), u32>,
 }
 
 impl Builder {
-    /// Adds a tenant; `None` if the table would pass what 32 bits can number.
+    /// Adds a tenant; returns `None` if an index of the table would exceed 32 bits.
     fn add(&mut self, tenant: &Stated) -> Option<()> {
         self.names.push_str(&tenant.name);
         self.ends.push(u32::try_from(self.names.len()).ok()?);
-        let place = u32::try_from(self.terms.len()).ok()?;
+        let place = u32::try_from(self.quotas_and_shares.len()).ok()?;
         let bits = (tenant.quota_rps.to_bits(), tenant.share.to_bits());
-        let found = *self.known.entry(bits).or_insert(place);
+        let found = *self.index_by_bits.entry(bits).or_insert(place);
         if found == place {
-            self.terms.push(Terms { quota_rps: tenant.quota_rps, share: tenant.share });
+            self.quotas_and_shares
+                .push(QuotaAndShare { quota_rps: tenant.quota_rps, share: tenant.share });
         }
-        self.terms_of.push(found);
+        self.quota_indexes.push(found);
         Some(())
     }
 
@@ -130,8 +132,8 @@
             names: self.names.into_boxed_str(),
             ends: self.ends.into_boxed_slice(),
             by_name: Box::default(),
-            terms: self.terms.into_boxed_slice(),
-            terms_of: self.terms_of.into_boxed_slice(),
+            quotas_and_shares: self.quotas_and_shares.into_boxed_slice(),
+            quota_indexes: self.quota_indexes.into_boxed_slice(),
         };
         let mut by_name: Box<[u32]> = (0..table.ends.len() as u32).collect();
         by_name.sort_unstable_by_key(|tenant| (table.name(*tenant as usize), *tenant));
