--- a/crates/ordered-collections/src/lib.rs
+++ b/crates/ordered-collections/src/lib.rs
@@ -1,14 +1,14 @@
-//! Data structures that keep an order while it changes, so that nothing has to be scanned for the
-//! first item.
+//! Data structures that maintain an order while items change, so that the first item is found
+//! without a scan.
 //!
-//! [`tournament`] gives the least of many keys, [`timers`] what is due, [`waiting`] the first item
-//! of many queues with one order of arrival, [`ring`] a sorted list in parts, [`total`] an exact
-//! sum. They know nothing of load balancing.
+//! [`tournament`] finds the least of many keys, [`timers`] the timers that are due, and
+//! [`sub_queues`] the first item of many queues with a common order of arrival. [`ring`] is a sorted
+//! list in parts, and [`total`] an exact sum. None of them depends on load balancing.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 pub mod ring;
+pub mod sub_queues;
 pub mod timers;
 pub mod total;
 pub mod tournament;
-pub mod waiting;
--- a/crates/ordered-collections/src/ring.rs
+++ b/crates/ordered-collections/src/ring.rs
@@ -1,48 +1,47 @@
-//! A sorted list in parts, which gives the index of each item in its part.
+//! A sorted list that is divided into parts and finds the index of each item.
 
-/// An item: its part, its name there, and the slot that it stands for.
+/// An item of the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Place {
-    /// The part; each has a range of indexes of its own.
+    /// The part of the list. Each part is one range of indexes.
     pub part: u32,
-    /// Orders the items of one part.
+    /// The sort key within the part.
     pub name: u64,
-    /// The slot of the caller.
+    /// The caller's slot for this item.
     pub slot: usize,
 }
 
-/// Places in order. A few changes cost a search and a move of memory each; more cost one pass over
-/// the places.
+/// A sorted list of places. Each of a few changes costs a search and a move of memory; many changes
+/// together cost one pass over the list.
 #[derive(Clone, Debug, Default)]
 pub struct Ring {
     places: Vec<Place>,
-    /// The parts that have places, in order, each with its first index.
+    /// The parts that are not empty, in order, each with its first index.
     parts: Vec<(u32, usize)>,
 }
 
-/// Up to this many changes at once are made one by one; more are merged in one pass over the
-/// places.
+/// Up to this many changes are made one by one. More changes are merged in one pass over the list.
 const MAX_SINGLE_CHANGES: usize = 4;
-/// The table grows by at least one part in this many.
+/// The list grows by at least its length divided by this number.
 const GROWTH_DIVISOR: usize = 8;
 
 impl Ring {
-    /// The number of places.
+    /// Returns the number of places.
     pub fn len(&self) -> usize {
         self.places.len()
     }
 
-    /// Whether there is no place.
+    /// Returns whether there are no places.
     pub fn is_empty(&self) -> bool {
         self.places.is_empty()
     }
 
-    /// The place at this index.
+    /// Returns the place at an index.
     pub fn at(&self, index: usize) -> Place {
         self.places[index]
     }
 
-    /// All places of a part, as a range of indexes.
+    /// Returns the range of indexes of a part.
     pub fn part(&self, part: u32) -> std::ops::Range<usize> {
         let at = self.parts.partition_point(|p| p.0 < part);
         let begin = |at: usize| self.parts.get(at).map_or(self.places.len(), |p| p.1);
@@ -50,12 +49,12 @@
         begin(at)..begin(at + usize::from(exists))
     }
 
-    /// The index of a place, if it is there.
+    /// Returns the index of a place, if the list contains it.
     pub fn find(&self, place: Place) -> Option<usize> {
         self.places.binary_search(&place).ok()
     }
 
-    /// Removes places and adds others. Removing one that is not there and adding one that is has no
+    /// Removes places and adds others. Removing an absent place or adding a present one has no
     /// effect.
     pub fn change(&mut self, removed: &[Place], added: &[Place]) {
         self.change_places(removed, added);
@@ -93,7 +92,7 @@
         self.places.truncate(retained);
     }
 
-    /// Merges from the last place to the first, so that each moves once.
+    /// Merges the new places from the last to the first, so that each place moves once.
     fn insert_all(&mut self, added: &[Place]) {
         let mut added = added.to_vec();
         added.sort_unstable();
--- a/crates/ordered-collections/src/timers.rs
+++ b/crates/ordered-collections/src/timers.rs
@@ -1,9 +1,9 @@
-//! One pending timer for each of many slots.
+//! Timers for many slots, at most one pending timer for each.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
 
-/// The pending timers, at most one for each slot. Times are in whatever unit the caller counts in.
+/// The pending timers, at most one for each slot. The caller chooses the unit of times.
 #[derive(Clone, Debug, Default)]
 pub struct Timers {
     heap: BinaryHeap<Reverse<(i64, usize)>>,
@@ -12,8 +12,8 @@
 }
 
 impl Timers {
-    /// Sets the timer of a slot to `at`. An earlier one that is pending stays: a caller that is
-    /// called too early sets the timer again.
+    /// Sets the timer of a slot to `at`. An earlier pending timer remains: a caller that is notified
+    /// too early sets the timer again.
     pub fn set(&mut self, slot: usize, at: i64) {
         if slot >= self.pending.len() {
             self.pending.resize(slot + 1, i64::MAX);
@@ -24,7 +24,7 @@
         }
     }
 
-    /// Takes the slot whose timer is due first, if it is due by `now`.
+    /// Removes the earliest timer if it is due by `now`, and returns its slot.
     pub fn due(&mut self, now: i64) -> Option<usize> {
         while let Some(&Reverse((at, slot))) = self.heap.peek() {
             if at > now {
--- a/crates/ordered-collections/src/total.rs
+++ b/crates/ordered-collections/src/total.rs
@@ -1,10 +1,9 @@
-//! An exact sum of many figures that are added, changed and removed.
+//! An exact sum of many values that are added, changed and removed.
 
-/// A sum in fixed point: taking away what was added leaves exactly what was there before, in any
-/// order, after any number of changes. `2^BITS` steps make one; a figure of `2^(63-BITS)` or more
-/// counts as that.
+/// A fixed-point sum. Subtracting an added value restores the previous sum exactly, in any order and
+/// after any number of changes. One is `2^BITS` steps; a value of `2^(63-BITS)` or more saturates.
 ///
-/// A floating-point sum would gather an error with each change, so that a limit that equals the sum
+/// A floating-point sum would accumulate an error with each change, so that a limit equal to the sum
 /// would be missed.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq)]
 pub struct Total<const BITS: u32> {
@@ -14,28 +13,28 @@
 impl<const BITS: u32> Total<BITS> {
     const ONE: f64 = (1u64 << BITS) as f64;
 
-    fn steps(figure: f64) -> i128 {
-        // NaN counts as zero; `as` saturates.
-        i128::from((figure * Self::ONE) as i64)
+    fn steps(value: f64) -> i128 {
+        // `as` converts NaN to zero and saturates.
+        i128::from((value * Self::ONE) as i64)
     }
 
-    /// Adds a figure.
-    pub fn add(&mut self, figure: f64) {
-        self.steps = self.steps.saturating_add(Self::steps(figure));
+    /// Adds a value.
+    pub fn add(&mut self, value: f64) {
+        self.steps = self.steps.saturating_add(Self::steps(value));
     }
 
-    /// Subtracts a figure that was added.
-    pub fn sub(&mut self, figure: f64) {
-        self.steps = self.steps.saturating_sub(Self::steps(figure));
+    /// Subtracts a value that was added before.
+    pub fn sub(&mut self, value: f64) {
+        self.steps = self.steps.saturating_sub(Self::steps(value));
     }
 
-    /// Replaces one figure by another, where either may be absent.
+    /// Replaces one value by another. Either of them may be absent.
     pub fn change(&mut self, previous: Option<f64>, next: Option<f64>) {
-        previous.into_iter().for_each(|figure| self.sub(figure));
-        next.into_iter().for_each(|figure| self.add(figure));
+        previous.into_iter().for_each(|value| self.sub(value));
+        next.into_iter().for_each(|value| self.add(value));
     }
 
-    /// The sum.
+    /// Returns the sum.
     pub fn get(&self) -> f64 {
         self.steps as f64 / Self::ONE
     }
--- a/crates/ordered-collections/src/tournament.rs
+++ b/crates/ordered-collections/src/tournament.rs
@@ -1,61 +1,62 @@
-//! The least of many keys, kept while keys change: a tournament tree (Knuth, The Art of Computer Programming, vol. 3,
-//! 5.4.1).
+//! A tournament tree, which finds the least of many changing keys (Knuth, The Art of Computer
+//! Programming, vol. 3, 5.4.1).
 
 use rustc_hash::FxHashMap;
 
-/// A key: the lesser first number wins, of equals the lesser second one, of those the lesser slot.
+/// A key of a slot. The least key wins; keys are compared by the first number, then by the second
+/// number. Between equal keys, the lesser slot wins.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub struct Key(pub u64, pub u64);
 
 impl Key {
-    /// The key of a slot that does not take part.
-    pub const OUT: Key = Key(u64::MAX, u64::MAX);
+    /// The key of an absent slot.
+    pub const ABSENT: Key = Key(u64::MAX, u64::MAX);
 
-    /// A key that orders as `first` does, NaN like infinity.
+    /// Creates a key with the order of `first`, where NaN is ordered like infinity.
     pub fn of(first: f64, second: u64) -> Self {
         let bits = if first.is_nan() { f64::INFINITY.to_bits() } else { first.to_bits() };
-        // With all bits of negative numbers flipped, and the sign bit of others, bits order as
-        // numbers do.
+        // With all bits of negative numbers and the sign bit of other numbers flipped, the bits
+        // have the order of the numbers.
         Key(if bits >> 63 == 1 { !bits } else { bits | 1 << 63 }, second)
     }
 }
 
-/// Slots with keys, and which of them has the least. Changing a key costs O(log n), asking for the
-/// least O(1), where n is the most slots that took part at once. Slots that take no part use no
-/// memory, however high their numbers.
+/// Slots with keys, and the slot with the least key. Changing a key costs O(log n) and finding the
+/// least key O(1), where n is the greatest number of slots that were present at the same time.
+/// Absent slots use no memory, however high their numbers.
 #[derive(Clone, Debug, Default)]
 pub struct TournamentTree {
-    /// The key of each leaf; a vacant one has [`Key::OUT`].
+    /// The key of each leaf; [`Key::ABSENT`] for a vacant leaf.
     keys: Vec<Key>,
     /// The slot of each leaf.
     slots: Vec<u32>,
-    /// The winning leaf of each match; that of nodes `2*i` and `2*i + 1` is at `i`, leaves begin at
-    /// `keys.len()`.
+    /// The winning leaf of each match. The match of nodes `2*i` and `2*i + 1` is at `i`, and the
+    /// leaves begin at `keys.len()`.
     tree: Vec<u32>,
     leaf_of: FxHashMap<u32, u32>,
     vacant: Vec<u32>,
-    /// Leaves below this number were used before.
+    /// The first leaf that has never been used.
     first_unused: u32,
 }
 
-/// A tree of more leaves than this gives its memory back when the last slot leaves it.
+/// A tree with more leaves than this releases its memory when the last slot is removed.
 const RETAINED_LEAVES: usize = 64;
 
 impl TournamentTree {
-    /// The key of a slot.
+    /// Returns the key of a slot.
     pub fn get(&self, slot: usize) -> Key {
-        self.leaf(slot).map_or(Key::OUT, |leaf| self.keys[leaf as usize])
+        self.leaf(slot).map_or(Key::ABSENT, |leaf| self.keys[leaf as usize])
     }
 
-    /// Gives a slot a key; [`Key::OUT`] takes it out.
+    /// Sets the key of a slot; [`Key::ABSENT`] removes the slot.
     ///
     /// # Panics
-    /// The slot's number is over `u32::MAX`.
+    /// Panics if the slot is greater than `u32::MAX`.
     pub fn set(&mut self, slot: usize, key: Key) {
         match self.leaf(slot) {
-            Some(leaf) if key == Key::OUT => self.remove(slot, leaf),
+            Some(leaf) if key == Key::ABSENT => self.remove(slot, leaf),
             Some(leaf) if self.keys[leaf as usize] != key => self.replay(leaf, key),
-            None if key != Key::OUT => {
+            None if key != Key::ABSENT => {
                 let leaf = self.insert(slot);
                 self.replay(leaf, key);
             }
@@ -63,30 +64,32 @@
         }
     }
 
-    /// The slot with the least key, and the key; `None` when no slot takes part.
+    /// Returns the least key and its slot; `None` if no slot is present.
     pub fn best(&self) -> Option<(Key, usize)> {
         let leaf = *self.tree.get(1)? as usize;
         let key = self.keys[leaf];
-        (key != Key::OUT).then_some((key, self.slots[leaf] as usize))
+        (key != Key::ABSENT).then_some((key, self.slots[leaf] as usize))
     }
 
-    /// The same without some slots. Costs O(log n) for each of them.
+    /// Returns the least key and its slot among all slots except `slots`. Each exception costs
+    /// O(log n).
     pub fn best_without(&mut self, slots: &[usize]) -> Option<(Key, usize)> {
         let leaves: Vec<u32> = slots.iter().filter_map(|slot| self.leaf(*slot)).collect();
         let mut keys = Vec::with_capacity(leaves.len());
         for &leaf in &leaves {
             keys.push(self.keys[leaf as usize]);
-            self.replay(leaf, Key::OUT);
+            self.replay(leaf, Key::ABSENT);
         }
         let best = self.best();
-        // In reverse: of a slot that is named twice, the key stored second is already [`Key::OUT`].
+        // Keys are restored in reverse order: for a slot that is listed twice, the second stored
+        // key is already `Key::ABSENT`.
         for (leaf, key) in leaves.into_iter().zip(keys).rev() {
             self.replay(leaf, key);
         }
         best
     }
 
-    /// Whether no slot takes part.
+    /// Returns whether no slot is present.
     pub fn is_empty(&self) -> bool {
         self.leaf_of.is_empty()
     }
@@ -110,7 +113,7 @@
     }
 
     fn remove(&mut self, slot: usize, leaf: u32) {
-        self.replay(leaf, Key::OUT);
+        self.replay(leaf, Key::ABSENT);
         self.leaf_of.remove(&(slot as u32));
         self.vacant.push(leaf);
         if self.leaf_of.is_empty() && self.keys.len() > RETAINED_LEAVES {
@@ -118,14 +121,14 @@
         }
     }
 
-    /// Gives a leaf its key and plays its matches again.
+    /// Sets the key of a leaf, and replays the matches of the leaf.
     fn replay(&mut self, leaf: u32, key: Key) {
         self.keys[leaf as usize] = key;
         let mut node = (self.keys.len() + leaf as usize) / 2;
         while node > 0 {
             let (a, b) = (self.tree[2 * node], self.tree[2 * node + 1]);
             let won = self.better(a, b);
-            // The same leaf wins with the same key: nothing changes further up.
+            // The same leaf wins with the same key, so that nothing changes further up.
             if self.tree[node] == won && won != leaf {
                 return;
             }
@@ -141,7 +144,7 @@
 
     fn grow(&mut self, least: usize) {
         let leaves = least.next_power_of_two().max(2);
-        self.keys.resize(leaves, Key::OUT);
+        self.keys.resize(leaves, Key::ABSENT);
         self.slots.resize(leaves, 0);
         self.tree = vec![0; 2 * leaves];
         for leaf in 0..leaves {
--- a/crates/ordered-collections/tests/models.rs
+++ b/crates/ordered-collections/tests/models.rs
@@ -1,17 +1,18 @@
-//! Each structure against the plainest thing that does the same.
+//! Compares each structure with the simplest model of the same behaviour.
 
 use std::collections::BTreeMap;
 
 use hollowpaddle_ordered_collections::ring::{Place, Ring};
+use hollowpaddle_ordered_collections::sub_queues::SubQueues;
 use hollowpaddle_ordered_collections::timers::Timers;
 use hollowpaddle_ordered_collections::total::Total;
 use hollowpaddle_ordered_collections::tournament::{Key, TournamentTree};
-use hollowpaddle_ordered_collections::waiting::Waiting;
+
 use proptest::prelude::*;
 
 fn key() -> impl Strategy<Value = Key> {
     prop_oneof![
-        1 => Just(Key::OUT),
+        1 => Just(Key::ABSENT),
         3 => (0..6u64, 0..3u64).prop_map(|(a, b)| Key(a, b)),
     ]
 }
@@ -26,13 +27,14 @@
         for (slot, key) in sets {
             collection.set(slot, key);
             plain.insert(slot, key);
-            let least = |but: &[usize]| {
-                let open = plain.iter().filter(|(s, k)| **k != Key::OUT && !but.contains(s));
-                open.map(|(s, k)| (*k, *s)).min()
+            let least = |without: &[usize]| {
+                let present =
+                    plain.iter().filter(|(s, k)| **k != Key::ABSENT && !without.contains(s));
+                present.map(|(s, k)| (*k, *s)).min()
             };
             prop_assert_eq!(collection.best(), least(&[]));
             prop_assert_eq!(collection.best_without(&without), least(&without));
-            // Asking without some changes nothing.
+            // A query without some slots changes nothing.
             prop_assert_eq!(collection.best(), least(&[]));
             prop_assert_eq!(collection.get(slot), key);
         }
@@ -46,11 +48,11 @@
 
     #[test]
     fn timers_fire_once_and_no_later_than_set(
-        asked in prop::collection::vec((0..20usize, 0..100i64), 1..100),
+        timers in prop::collection::vec((0..20usize, 0..100i64), 1..100),
         steps in prop::collection::vec(1..20i64, 1..20),
     ) {
         let (mut collection, mut plain) = (Timers::default(), BTreeMap::<usize, i64>::new());
-        for (slot, at) in asked {
+        for (slot, at) in timers {
             collection.set(slot, at);
             let first = plain.entry(slot).or_insert(at);
             *first = at.min(*first);
@@ -88,19 +90,19 @@
     ) {
         let place = |&(part, name): &(u32, u64)| Place { part, name, slot: name as usize };
         let (mut collection, mut plain) = (Ring::default(), std::collections::BTreeSet::new());
-        for (out, into) in changes {
-            let out: Vec<Place> = out.iter().map(place).collect();
-            let into: Vec<Place> = into.iter().map(place).collect();
-            collection.change(&out, &into);
-            out.iter().for_each(|p| { plain.remove(p); });
-            plain.extend(into.iter().copied());
+        for (removed, added) in changes {
+            let removed: Vec<Place> = removed.iter().map(place).collect();
+            let added: Vec<Place> = added.iter().map(place).collect();
+            collection.change(&removed, &added);
+            removed.iter().for_each(|p| { plain.remove(p); });
+            plain.extend(added.iter().copied());
             let all: Vec<Place> = (0..collection.len()).map(|i| collection.at(i)).collect();
             prop_assert_eq!(&all, &plain.iter().copied().collect::<Vec<_>>());
             for part in 0..4 {
-                let of: Vec<Place> = collection.part(part).map(|i| collection.at(i)).collect();
+                let found: Vec<Place> = collection.part(part).map(|i| collection.at(i)).collect();
                 let expected: Vec<Place> =
                     plain.iter().copied().filter(|p| p.part == part).collect();
-                prop_assert_eq!(of, expected);
+                prop_assert_eq!(found, expected);
             }
             for (i, p) in all.iter().enumerate() {
                 prop_assert_eq!(collection.find(*p), Some(i));
@@ -109,13 +111,13 @@
     }
 
     #[test]
-    fn waiting_has_one_order_over_all_sub_queues(
+    fn sub_queues_have_a_common_order_of_arrival(
         steps in prop::collection::vec((0..4u8, 0..3u8, any::<bool>()), 1..200),
     ) {
-        let (mut collection, mut plain) = (Waiting::<u8, u64>::default(), Vec::new());
+        let (mut collection, mut plain) = (SubQueues::<u8, u64>::default(), Vec::new());
         let mut next = 0;
-        for (what, sub_queue, head) in steps {
-            if what < 3 {
+        for (step, sub_queue, head) in steps {
+            if step < 3 {
                 let ticket = if head { collection.front_ticket() } else { collection.back_ticket() };
                 collection.put(sub_queue, ticket, next);
                 let at = if head { 0 } else { plain.len() };
@@ -126,20 +128,20 @@
                 prop_assert_eq!(collection.take(sub_queue, ticket), Some(item));
                 prop_assert_eq!(collection.take(sub_queue, ticket), None);
             }
-            let mut through: Vec<_> = Vec::new();
+            let mut all: Vec<_> = Vec::new();
             for sub_queue in collection.sub_queues() {
-                let (mut after, mut of) = (None, Vec::new());
+                let (mut after, mut items) = (None, Vec::new());
                 while let Some((ticket, item)) = collection.next(sub_queue, after) {
-                    of.push(item);
-                    through.push((ticket, item));
+                    items.push(item);
+                    all.push((ticket, item));
                     after = Some(ticket);
                 }
                 let expected: Vec<u64> =
                     plain.iter().filter(|p| p.0 == sub_queue).map(|p| p.2).collect();
-                prop_assert_eq!(of, expected);
+                prop_assert_eq!(items, expected);
             }
-            through.sort_unstable();
-            let order: Vec<u64> = through.iter().map(|t| t.1).collect();
+            all.sort_unstable();
+            let order: Vec<u64> = all.iter().map(|t| t.1).collect();
             prop_assert_eq!(order, plain.iter().map(|p| p.2).collect::<Vec<_>>());
             prop_assert_eq!(collection.is_empty(), plain.is_empty());
         }
@@ -149,7 +151,7 @@
 #[test]
 fn nan_orders_last() {
     assert!(Key::of(f64::NAN, 0) > Key::of(f64::MAX, 0));
-    assert!(Key::of(f64::NAN, u64::MAX) < Key::OUT);
+    assert!(Key::of(f64::NAN, u64::MAX) < Key::ABSENT);
     assert!(Key::of(-1.0, 0) < Key::of(0.0, 0));
     assert!(Key::of(f64::NEG_INFINITY, 0) < Key::of(-1.0, 0));
 }
--- a/crates/policy/src/attempt_tracker.rs
+++ b/crates/policy/src/attempt_tracker.rs
@@ -39,7 +39,7 @@
     /// Returns the time at which the first attempt may be due, as a key.
     fn first_due(&self) -> Key {
         let first = self.attempts.front();
-        first.map_or(Key::OUT, |a| time_key(a.sent.plus(self.hedge_delay)))
+        first.map_or(Key::ABSENT, |a| time_key(a.sent.plus(self.hedge_delay)))
     }
 }
 
@@ -117,7 +117,7 @@
             let first_due = class.first_due();
             if first_due <= time_key(now) {
                 over_limit.push(number);
-                self.next_due.set(number, Key::OUT);
+                self.next_due.set(number, Key::ABSENT);
             } else {
                 self.next_due.set(number, first_due);
             }
--- a/crates/policy/src/capacity.rs
+++ b/crates/policy/src/capacity.rs
@@ -319,6 +319,6 @@
 
     /// Returns the key of an upstream for this class.
     pub(crate) fn key(&self, key: Key, is_ejected: bool) -> Key {
-        if is_ejected && !self.is_panicking { Key::OUT } else { key }
+        if is_ejected && !self.is_panicking { Key::ABSENT } else { key }
     }
 }
--- a/crates/policy/src/policy/selection.rs
+++ b/crates/policy/src/policy/selection.rs
@@ -54,7 +54,7 @@
         let has_slot = s.in_flight < Self::k(s, s.probe.min(0));
         let is_free = is_live && has_slot && now >= s.breaker.until && has_earned_send;
         let availability = Availability {
-            key: if is_free { s.key() } else { Key::OUT },
+            key: if is_free { s.key() } else { Key::ABSENT },
             warm: is_live && !is_warming_up,
             partly_ejected: is_live && s.by_class.ejected(now).next().is_some(),
         };
--- a/crates/policy/src/queue.rs
+++ b/crates/policy/src/queue.rs
@@ -6,7 +6,7 @@
 use std::cmp::Reverse;
 use std::collections::{BinaryHeap, VecDeque};
 
-use hollowpaddle_ordered_collections::waiting::{Ticket, Waiting};
+use hollowpaddle_ordered_collections::sub_queues::{SubQueues, Ticket};
 use rustc_hash::FxHashMap;
 
 use crate::attempt_tracker::TrackedAttempt;
@@ -29,7 +29,7 @@
 #[derive(Debug, Default)]
 pub(crate) struct Queue {
     requests: FxHashMap<RequestId, RequestState>,
-    waiting: Waiting<SubQueue, RequestId>,
+    sub_queues: SubQueues<SubQueue, RequestId>,
     /// Times at which queued requests must be given up. Some of these requests are no longer queued.
     give_up_times: BinaryHeap<Reverse<(Time, RequestId)>>,
     key_queues: FxHashMap<u64, KeyQueue>,
@@ -69,7 +69,7 @@
 
     /// Returns whether all sub-queues are empty.
     pub(crate) fn is_empty(&self) -> bool {
-        self.waiting.is_empty()
+        self.sub_queues.is_empty()
     }
 
     /// Adds a request, as the last one of its ordering key.
@@ -106,7 +106,8 @@
     /// Queues a request at the head or at the end of the queue. A request with an ordering key
     /// enters its sub-queue only when it is the first request of the key and the key has rested.
     pub(crate) fn enqueue(&mut self, id: RequestId, sub_queue: SubQueue, at_head: bool) {
-        let ticket = if at_head { self.waiting.front_ticket() } else { self.waiting.back_ticket() };
+        let ticket =
+            if at_head { self.sub_queues.front_ticket() } else { self.sub_queues.back_ticket() };
         let Some(e) = self.requests.get_mut(&id) else { return };
         (e.is_queued, e.ticket, e.sub_queue) = (true, ticket, sub_queue);
         match e.ordering_key.filter(|_| e.attempts.is_empty()) {
@@ -165,7 +166,7 @@
     fn enter_sub_queue(&mut self, id: RequestId) {
         let Some(e) = self.requests.get_mut(&id) else { return };
         if !std::mem::replace(&mut e.is_in_sub_queue, true) {
-            self.waiting.put(e.sub_queue, e.ticket, id);
+            self.sub_queues.put(e.sub_queue, e.ticket, id);
         }
     }
 
@@ -173,7 +174,7 @@
     fn leave_sub_queue(&mut self, id: RequestId) {
         let Some(e) = self.requests.get_mut(&id) else { return };
         if std::mem::take(&mut e.is_in_sub_queue) {
-            self.waiting.take(e.sub_queue, e.ticket);
+            self.sub_queues.take(e.sub_queue, e.ticket);
         }
     }
 
@@ -237,7 +238,7 @@
 
     /// Begins a scan over all sub-queues.
     pub(crate) fn scan(&self) -> QueueScan {
-        let sub_queues = self.waiting.sub_queues();
+        let sub_queues = self.sub_queues.sub_queues();
         let open = sub_queues.into_iter().map(|sub_queue| (sub_queue, None)).collect();
         QueueScan { open, closed: Vec::new(), current: 0, ticket: None }
     }
@@ -245,7 +246,7 @@
     /// Returns the first request, in the order of arrival, that the scan has not passed.
     pub(crate) fn head(&self, scan: &mut QueueScan) -> Option<RequestId> {
         let first_of = |(index, (sub_queue, after)): (usize, &(SubQueue, _))| {
-            let (ticket, id) = self.waiting.next(*sub_queue, *after)?;
+            let (ticket, id) = self.sub_queues.next(*sub_queue, *after)?;
             Some((ticket, id, index))
         };
         let (ticket, id, index) = scan.open.iter().enumerate().filter_map(first_of).min()?;
--- a/crates/policy/src/request_state.rs
+++ b/crates/policy/src/request_state.rs
@@ -1,6 +1,6 @@
 //! The state of each request and of its attempts.
 
-use hollowpaddle_ordered_collections::waiting::Ticket;
+use hollowpaddle_ordered_collections::sub_queues::Ticket;
 
 use crate::interface::{Class, Request, SignedDuration, Time};
 
--- a/crates/policy/src/upstreams/availability.rs
+++ b/crates/policy/src/upstreams/availability.rs
@@ -13,7 +13,7 @@
 /// The present availability of an upstream.
 pub(crate) struct Availability {
     /// The upstream's key if it has a free slot and is not ejected for all classes, otherwise
-    /// [`Key::OUT`].
+    /// [`Key::ABSENT`].
     pub(crate) key: Key,
     /// Whether the upstream is live and not warming up.
     pub(crate) warm: bool,
@@ -36,7 +36,7 @@
             self.machine_types.change_warm(s.type_index, s.weight, warm);
         }
         let was_partly_ejected = std::mem::replace(&mut s.is_partly_ejected, partly_ejected);
-        let is_available = key != Key::OUT;
+        let is_available = key != Key::ABSENT;
         let was_available = std::mem::replace(&mut s.was_available, is_available);
         let previous_cost = std::mem::replace(&mut s.cost_when_available, s.cost);
         let is_unchanged =
@@ -45,7 +45,7 @@
             return;
         }
         let (key_if_full, key_if_partial) =
-            if partly_ejected { (Key::OUT, key) } else { (key, Key::OUT) };
+            if partly_ejected { (Key::ABSENT, key) } else { (key, Key::ABSENT) };
         for &number in &s.capacity_groups {
             let Some(group) = self.capacity_groups.get_mut(number) else { continue };
             let trees = group.trees.get_mut(area);
--- a/crates/policy/src/upstreams/list.rs
+++ b/crates/policy/src/upstreams/list.rs
@@ -120,7 +120,7 @@
             self.set_availability(
                 now,
                 server,
-                Availability { key: Key::OUT, warm: false, partly_ejected: false },
+                Availability { key: Key::ABSENT, warm: false, partly_ejected: false },
             );
             self.set_capacity(server, unchanged);
         }
--- a/crates/simulator-adapter/src/instance.rs
+++ b/crates/simulator-adapter/src/instance.rs
@@ -1,4 +1,4 @@
-//! One balancer, and the names on the wire that its handles stand for.
+//! One balancer, and the mapping between its handles and the names in the wire format.
 
 use hollowpaddle_policy::interface::{
     Action, CompletedAttempt, Event, ListKind, Member, Outcome, Report, Request, RequestId,
@@ -10,7 +10,7 @@
 
 use crate::wire::{self, Command};
 
-/// A time on the wire, in milliseconds, as the module takes it.
+/// Converts a time in milliseconds to a time of the decision module.
 pub fn time(ms: f64) -> Time {
     Time(span(ms).0)
 }
@@ -19,7 +19,7 @@
     us as f64 / 1000.0
 }
 
-/// A request that may still be named on the wire.
+/// A request that later messages or commands may still name.
 struct NamedRequest {
     name: Box<str>,
     attempts_in_flight: usize,
@@ -28,11 +28,11 @@
 
 /// One balancer of the cluster.
 pub struct Instance {
-    /// Its number on the wire.
+    /// Number of the balancer in the wire format.
     number: u64,
     balancer: Balancer,
     classes: usize,
-    /// What each value of a load report stands for.
+    /// The field of each value of a load report.
     report_fields: Vec<Field>,
     servers: FxHashMap<Box<str>, ServerId>,
     server_names: Vec<Box<str>>,
@@ -49,7 +49,7 @@
     /// Starts a balancer.
     ///
     /// # Errors
-    /// Its settings have no safe reading.
+    /// Returns an error if the settings are invalid.
     pub fn new(now: Time, init: &wire::Init) -> Result<Self, SettingsError> {
         let settings = &init.settings;
         let names = settings.stats.names.iter();
@@ -68,10 +68,10 @@
         })
     }
 
-    /// Delivers a message, and writes the commands that it leads to, each with a comma behind it.
+    /// Delivers a message, and writes the resulting commands, each followed by a comma.
     ///
     /// # Errors
-    /// A field has a value that stands for nothing.
+    /// Returns an error if a field has a value without a meaning.
     pub fn handle(
         &mut self,
         now: Time,
@@ -127,7 +127,7 @@
         let outcome = outcome(message.status_code)?;
         let Some(&id) = self.request_ids.get(message.request.as_ref()) else { return Ok(()) };
         let Some(&server) = self.servers.get(message.upstream.as_ref()) else { return Ok(()) };
-        let answer = CompletedAttempt {
+        let completed = CompletedAttempt {
             request: RequestId(id),
             attempt: message.attempt,
             server,
@@ -137,7 +137,7 @@
             body_consumed: false,
             report: self.report(message.load_report.as_ref()),
         };
-        self.balancer.handle(now, Event::AttemptCompleted(answer), &mut self.actions);
+        self.balancer.handle(now, Event::AttemptCompleted(completed), &mut self.actions);
         if let Some(request) = self.requests.get_mut(&id) {
             request.attempts_in_flight = request.attempts_in_flight.saturating_sub(1);
             request.is_over |= message.is_final;
@@ -203,7 +203,7 @@
         }
     }
 
-    /// The handle of an upstream, a new one if its name is new.
+    /// Returns the handle of an upstream, and creates a handle for a new name.
     fn server_id(&mut self, name: &str) -> ServerId {
         if let Some(&id) = self.servers.get(name) {
             return id;
@@ -227,7 +227,7 @@
         report
     }
 
-    /// Writes the actions of the module as commands, in their order.
+    /// Writes the actions of the decision module as commands, in order.
     fn flush(&mut self, out: &mut Vec<u8>) {
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
@@ -291,7 +291,7 @@
         write(out, &Command::Relay { balancer, request, upstream, timeout });
     }
 
-    /// Writes the final answer of a request, as `command` makes it.
+    /// Writes the final answer of a request, which `command` creates.
     fn write_end(
         &mut self,
         id: RequestId,
@@ -304,7 +304,7 @@
         self.forget(id.0);
     }
 
-    /// Drops the name of a request that is over and has no attempt in flight.
+    /// Removes a finished request without attempts in flight.
     fn forget(&mut self, id: u64) {
         let is_done = |r: &NamedRequest| r.is_over && r.attempts_in_flight == 0;
         if self.requests.get(&id).is_some_and(is_done)
@@ -321,7 +321,7 @@
     out.push(b',');
 }
 
-/// The outcome that a status code on the wire stands for.
+/// Returns the outcome that a status code stands for.
 fn outcome(status_code: u16) -> Result<Outcome, String> {
     Ok(match status_code {
         200 => Outcome::Ok,
--- a/crates/simulator-adapter/src/main.rs
+++ b/crates/simulator-adapter/src/main.rs
@@ -1,5 +1,5 @@
-//! Hosts many balancers on the simulator's wire: reads batches of messages, writes replies, decides
-//! nothing.
+//! Hosts many balancers for the simulator: reads batches of messages and writes replies in the
+//! simulator's wire format. This program makes no decisions.
 #![warn(missing_docs)]
 
 mod instance;
@@ -12,10 +12,10 @@
 use rustc_hash::FxHashMap;
 use wire::{Batch, BatchNumber, Event};
 
-/// What ends the adapter: a message for standard error.
+/// An error that ends the adapter: a message for standard error.
 type Failure = String;
 
-/// The balancers that run, by their number on the wire.
+/// The running balancers, by number in the wire format.
 type Instances = FxHashMap<u64, Instance>;
 
 fn main() -> ExitCode {
@@ -28,7 +28,7 @@
     }
 }
 
-/// Answers each line of standard input by one line of standard output, until the input ends.
+/// Answers each line of standard input with one line of standard output, until the input ends.
 fn run() -> Result<(), Failure> {
     let mut input = io::stdin().lock();
     let mut output = io::stdout().lock();
@@ -55,12 +55,12 @@
     }
 }
 
-/// Reads a batch; `last` is the number of the one before, for the message if that fails.
+/// Parses a batch. `last` is the number of the previous batch, for the error message.
 fn parse(line: &[u8], last: Option<u64>) -> Result<Batch<'_>, Failure> {
     serde_json::from_slice(line).map_err(|_| malformed(line, last))
 }
 
-/// Reads the line again, slowly, to name the batch and the field.
+/// Parses a malformed line again, more slowly, to name the batch and the field in the error message.
 fn malformed(line: &[u8], last: Option<u64>) -> Failure {
     let batch = match (serde_json::from_slice::<BatchNumber>(line), last) {
         (Ok(number), _) => format!("batch {}", number.batch),
@@ -76,7 +76,7 @@
     format!("{batch}: {error}")
 }
 
-/// Delivers the messages of a batch, and writes the commands that they lead to as one line.
+/// Delivers the messages of a batch, and writes the resulting commands as one line.
 fn answer(instances: &mut Instances, batch: &Batch, reply: &mut Vec<u8>) -> Result<(), Failure> {
     let _ = write!(reply, "{{\"batch\":{},\"cmds\":[", batch.batch);
     let empty = reply.len();
@@ -91,7 +91,8 @@
     Ok(())
 }
 
-/// Starts or stops a balancer, or delivers an event to it. One that does not run receives nothing.
+/// Starts or stops a balancer, or delivers an event to it. Events for balancers that are not running
+/// are ignored.
 fn deliver(
     instances: &mut Instances,
     ts: f64,
@@ -117,7 +118,7 @@
     Ok(())
 }
 
-/// The number of the balancer that a message is for.
+/// Returns the number of the balancer that a message is for.
 fn balancer_of(event: &Event) -> u64 {
     match event {
         Event::Init(message) => message.balancer,
--- a/crates/simulator-adapter/src/wire.rs
+++ b/crates/simulator-adapter/src/wire.rs
@@ -1,6 +1,6 @@
-//! The simulator's wire format: its names and types, borrowed from the input line.
+//! The names and types of the simulator's wire format. Text is borrowed from the input line.
 //!
-//! No other module spells a name of the wire.
+//! This is the only module that contains names of the wire format.
 
 use std::borrow::Cow;
 
@@ -8,23 +8,23 @@
 use hollowpaddle_policy::settings::Facts;
 use serde::{Deserialize, Serialize};
 
-/// Text that is borrowed from the line where it has no escapes.
+/// Text that is borrowed from the line unless it contains escapes.
 pub type Text<'a> = Cow<'a, str>;
 
-/// A line of input: messages to any balancers at one time.
+/// A line of input: messages for any balancers at one point in time.
 #[derive(Deserialize)]
 pub struct Batch<'a> {
-    /// The time of all its messages, in milliseconds.
+    /// The time of the messages, in milliseconds.
     #[serde(rename = "Ts")]
     pub ts: f64,
     /// The number of the batch.
     pub batch: u64,
-    /// Its messages, in order.
+    /// The messages, in order.
     #[serde(borrow)]
     pub msgs: Vec<Event<'a>>,
 }
 
-/// Only the number of a batch that could not be read completely.
+/// The number of a batch whose messages could not be parsed.
 #[derive(Deserialize)]
 pub struct BatchNumber {
     /// The number of the batch.
@@ -52,7 +52,7 @@
     Down(Down),
 }
 
-/// A client's request has arrived.
+/// Reports that a client's request has arrived.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Order<'a> {
@@ -62,13 +62,13 @@
     /// The name of the request.
     #[serde(borrow, rename = "Job")]
     pub request: Text<'a>,
-    /// Its class.
+    /// The number of the class.
     #[serde(rename = "TierClass")]
     pub class: usize,
-    /// Its tenant.
+    /// The number of the tenant.
     #[serde(default, rename = "Party")]
     pub tenant: usize,
-    /// Its routing key, if it has one.
+    /// The routing key, if the request has one.
     #[serde(borrow, default, rename = "Object")]
     pub routing_key: Option<Text<'a>>,
     /// When the client gives up, in milliseconds.
@@ -77,18 +77,18 @@
     /// Expected work on a reference core in milliseconds, if there is an estimate.
     #[serde(default)]
     pub cost_guess: Option<f64>,
-    /// The client has sent it before.
+    /// Whether the client has sent the request before.
     #[serde(default, rename = "Resent")]
     pub is_resent: bool,
-    /// It changes something.
+    /// Whether the request changes state.
     #[serde(default, rename = "Write")]
     pub is_write: bool,
 }
 
-/// The values of a load report, in the order that the settings name.
+/// The values of a load report, in the order of their names in the settings.
 pub type Row = ArrayVec<f64, 4>;
 
-/// An attempt has ended.
+/// Reports that an attempt has ended.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Outcome<'a> {
@@ -104,20 +104,20 @@
     /// The name of the upstream.
     #[serde(borrow)]
     pub upstream: Text<'a>,
-    /// How it ended; see `instance::outcome`.
+    /// The status code; see `instance::outcome`.
     #[serde(rename = "Rc")]
     pub status_code: u16,
-    /// How long it took, in milliseconds.
+    /// The duration in milliseconds.
     pub latency: f64,
-    /// The request is over.
+    /// Whether the request has its final answer.
     #[serde(default, rename = "Last")]
     pub is_final: bool,
-    /// The load report that came with it.
+    /// The load report of the upstream.
     #[serde(default, rename = "Metrics")]
     pub load_report: Option<Row>,
 }
 
-/// A timer is due.
+/// Reports that a timer is due.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct TimeoutFired {
@@ -128,7 +128,7 @@
     pub token: u64,
 }
 
-/// The client no longer waits.
+/// Reports that the client no longer waits for an answer.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Left<'a> {
@@ -140,7 +140,7 @@
     pub request: Text<'a>,
 }
 
-/// The answer has begun to stream.
+/// Reports that a streamed answer has begun.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Established<'a> {
@@ -152,27 +152,27 @@
     pub request: Text<'a>,
 }
 
-/// A health check has ended.
+/// Reports that a health check has ended.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Sampled<'a> {
     /// The balancer that it concerns.
     #[serde(rename = "Who")]
     pub balancer: u64,
-    /// How it ended; see `instance::outcome`.
+    /// The status code; see `instance::outcome`.
     #[serde(rename = "Rc")]
     pub status_code: u16,
-    /// How long it took, in milliseconds.
+    /// The duration in milliseconds.
     pub latency: f64,
     /// The name of the upstream.
     #[serde(borrow)]
     pub upstream: Text<'a>,
-    /// The load report that came with it.
+    /// The load report of the upstream.
     #[serde(default, rename = "Metrics")]
     pub load_report: Option<Row>,
 }
 
-/// A message from another balancer; ignored.
+/// A message from another balancer, which is ignored.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Memo {
@@ -181,7 +181,7 @@
     pub balancer: u64,
 }
 
-/// The balancer has stopped.
+/// Reports that the balancer has stopped.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Down {
@@ -199,7 +199,7 @@
     pub balancer: u64,
     /// The kind of list event.
     pub kind: ListKind,
-    /// Its entries.
+    /// The entries of the event.
     #[serde(borrow, default, rename = "Lines")]
     pub members: Vec<Line<'a>>,
 }
@@ -221,21 +221,21 @@
     /// The name of the upstream.
     #[serde(borrow)]
     pub upstream: Text<'a>,
-    /// Its zone.
+    /// The number of the zone.
     #[serde(default, rename = "Az")]
     pub zone: u32,
-    /// Its machine type.
+    /// The number of the machine type.
     #[serde(default, rename = "Type")]
     pub machine_type: u32,
-    /// Its cell.
+    /// The number of the cell.
     #[serde(default, rename = "Pack")]
     pub cell: u32,
-    /// Its status.
+    /// The status.
     pub status: Status,
     /// Relative size; 1 where unknown.
     #[serde(default = "one", rename = "CapacityHint")]
     pub weight: f64,
-    /// When it last started, in milliseconds; 0 if that is long ago.
+    /// When the upstream last started, in milliseconds; 0 if that is long ago.
     #[serde(default, rename = "OnlineSince")]
     pub started: f64,
 }
@@ -253,17 +253,17 @@
     Dead,
 }
 
-/// The balancer starts.
+/// Starts a balancer.
 #[derive(Deserialize)]
 #[serde(rename_all = "PascalCase")]
 pub struct Init {
     /// The balancer that it concerns.
     #[serde(rename = "Who")]
     pub balancer: u64,
-    /// The seed of its random numbers.
+    /// The seed of the random number generator.
     #[serde(rename = "Entropy")]
     pub seed: u64,
-    /// Its settings.
+    /// The settings.
     #[serde(rename = "Facts")]
     pub settings: Facts,
 }
