--- a/crates/policy/tests/allocation/mod.rs
+++ b/crates/policy/tests/allocation/mod.rs
@@ -1,37 +1,37 @@
-//! An allocator that counts the bytes in use. A program that counts names it as its `#[global_allocator]`.
+//! An allocator that counts the bytes in use. A program uses it as its `#[global_allocator]`.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::sync::atomic::{AtomicUsize, Ordering};
 
-/// Bytes that are allocated now.
+/// Number of bytes in use.
 static IN_USE: AtomicUsize = AtomicUsize::new(0);
 
-/// The system's allocator, counted.
+/// The system allocator with a count of the bytes in use.
 pub struct Counting;
 
-// SAFETY: every call is passed on to the system's allocator as it came.
+// SAFETY: every call is forwarded unchanged to the system allocator.
 unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         IN_USE.fetch_add(layout.size(), Ordering::Relaxed);
-        // SAFETY: as the caller promises.
+        // SAFETY: the caller upholds the contract of the same method of `System`.
         unsafe { System.alloc(layout) }
     }
 
     unsafe fn dealloc(&self, memory: *mut u8, layout: Layout) {
         IN_USE.fetch_sub(layout.size(), Ordering::Relaxed);
-        // SAFETY: as the caller promises.
+        // SAFETY: the caller upholds the contract of the same method of `System`.
         unsafe { System.dealloc(memory, layout) }
     }
 
     unsafe fn realloc(&self, memory: *mut u8, layout: Layout, size: usize) -> *mut u8 {
         IN_USE.fetch_add(size, Ordering::Relaxed);
         IN_USE.fetch_sub(layout.size(), Ordering::Relaxed);
-        // SAFETY: as the caller promises.
+        // SAFETY: the caller upholds the contract of the same method of `System`.
         unsafe { System.realloc(memory, layout, size) }
     }
 }
 
-/// Bytes that are allocated now.
+/// Returns the number of bytes in use.
 pub fn bytes_in_use() -> usize {
     IN_USE.load(Ordering::Relaxed)
 }
--- a/crates/policy/tests/indexed.rs
+++ b/crates/policy/tests/indexed.rs
@@ -1,4 +1,4 @@
-//! The module that keeps an order against the one that scanned: the same events, action for action.
+//! Compares the indexed decision module with the scanning one: the same events must lead to the same actions.
 
 mod scanning;
 
@@ -10,7 +10,7 @@
 
 const MS: i64 = 1000;
 
-/// A day drawn from a seed: settings, fleet and all that happens to it.
+/// A random scenario of a seed: settings, upstreams and events.
 struct Scenario {
     rng: Rand64,
     now: Time,
@@ -19,14 +19,15 @@
     scanned: scanning::policy::Balancer,
     members: BTreeMap<u32, Member>,
     fresh: u32,
-    /// Attempts that are out: request, number, upstream, when sent, when an answer comes.
-    out: Vec<(RequestId, usize, ServerId, Time, Time)>,
+    /// Attempts in flight: the request, the number of the attempt, the upstream, the time of sending, and the time of the
+    /// answer.
+    in_flight: Vec<(RequestId, usize, ServerId, Time, Time)>,
     attempts: BTreeMap<u64, usize>,
     /// Requests with no final answer.
     open: Vec<RequestId>,
     timers: Vec<(u64, Time)>,
     last: u64,
-    /// How many of each there were, to show that the day was one.
+    /// Numbers of actions, which show that the scenario contains some of each.
     sends: usize,
     refusals: usize,
     fails: usize,
@@ -94,7 +95,7 @@
             settings,
             members: BTreeMap::new(),
             fresh: 0,
-            out: Vec::new(),
+            in_flight: Vec::new(),
             attempts: BTreeMap::new(),
             open: Vec::new(),
             timers: Vec::new(),
@@ -104,12 +105,12 @@
             fails: 0,
         };
         let n = scenario.rng.rand_range(0..most);
-        let list: Vec<Member> = (0..n).map(|_| scenario.newcomer()).collect();
+        let list: Vec<Member> = (0..n).map(|_| scenario.new_member()).collect();
         scenario.deliver(Event::Members { kind: ListKind::Restored, list: &list });
         scenario
     }
 
-    fn newcomer(&mut self) -> Member {
+    fn new_member(&mut self) -> Member {
         let id = self.fresh;
         self.fresh += 1;
         let rng = &mut self.rng;
@@ -130,7 +131,7 @@
         let (mut indexed, mut scanned) = (Vec::new(), Vec::new());
         self.indexed.handle(self.now, event, &mut indexed);
         self.scanned.handle(self.now, event, &mut scanned);
-        // The order in which idle connections are closed means nothing.
+        // The order in which idle connections are closed is irrelevant.
         let close = |a: &Action| matches!(a, Action::CloseIdle { .. });
         let (mut closed, indexed): (Vec<_>, Vec<_>) = indexed.into_iter().partition(close);
         let (mut was_closed, scanned): (Vec<_>, Vec<_>) = scanned.into_iter().partition(close);
@@ -158,18 +159,18 @@
         assert_eq!(indexed, scanned, "at {:?} after {event:?}", self.now);
         assert_eq!(closed, was_closed, "at {:?} after {event:?}", self.now);
         for action in indexed {
-            self.obey(action);
+            self.apply_action(action);
         }
     }
 
-    fn obey(&mut self, action: Action) {
+    fn apply_action(&mut self, action: Action) {
         match action {
             Action::Send { request, server, timeout, .. } => {
                 self.sends += 1;
                 let n = self.attempts.entry(request.0).or_default();
                 let takes = pick(&mut self.rng, &[0, 1, 2, 5, 5, 10, 20, 40, 100, 100_000]) * MS;
                 let takes = takes.min(timeout.0) + self.rng.rand_range(0..1000) as i64;
-                self.out.push((
+                self.in_flight.push((
                     request,
                     *n,
                     server,
@@ -191,13 +192,13 @@
         }
     }
 
-    /// Lets time pass to `end`: timers and answers come when they are due.
-    fn pass(&mut self, end: Time) {
+    /// Advances the time to `end`, and delivers timers and answers when they are due.
+    fn advance(&mut self, end: Time) {
         loop {
             let timer = (0..self.timers.len()).min_by_key(|&i| self.timers[i].1);
-            let answer = (0..self.out.len()).min_by_key(|&i| self.out[i].4);
+            let answer = (0..self.in_flight.len()).min_by_key(|&i| self.in_flight[i].4);
             let timer_at = timer.map_or(Time(i64::MAX), |i| self.timers[i].1);
-            let answer_at = answer.map_or(Time(i64::MAX), |i| self.out[i].4);
+            let answer_at = answer.map_or(Time(i64::MAX), |i| self.in_flight[i].4);
             if timer_at.min(answer_at) > end {
                 break;
             }
@@ -214,8 +215,8 @@
 
     fn answer(&mut self, i: usize) {
         use Outcome::{ConnectFailed, Error, Full, Ok, Reset, Timeout};
-        let (request, attempt, server, sent, _) = self.out.swap_remove(i);
-        // Some upstreams answer well, some badly, some turn all away.
+        let (request, attempt, server, sent, _) = self.in_flight.swap_remove(i);
+        // Most upstreams mostly serve requests, some mostly fail them, and some mostly reject them.
         let outcomes: &[Outcome] = match server.0 % 7 {
             5 => &[Error, Reset, Timeout, Ok],
             6 => &[Full, ConnectFailed, Full, Ok],
@@ -253,7 +254,7 @@
         let most = if self.rng.rand_float() < 0.1 { ids.len() as u64 + 40 } else { 4 };
         for _ in 0..self.rng.rand_range(1..most + 1) {
             if ids.is_empty() || self.rng.rand_float() < 0.3 {
-                let m = self.newcomer();
+                let m = self.new_member();
                 named.push(m);
                 continue;
             }
@@ -276,12 +277,12 @@
             named.retain(|n: &Member| n.id != m.id);
             named.push(m);
         }
-        let whole = self.rng.rand_float() < 0.2;
-        if whole {
+        let is_complete = self.rng.rand_float() < 0.2;
+        if is_complete {
             self.members.retain(|_, m| m.status != Status::Gone);
             named = self.members.values().copied().collect();
         }
-        let kind = match (whole, pick(&mut self.rng, &[true, true, false])) {
+        let kind = match (is_complete, pick(&mut self.rng, &[true, true, false])) {
             (true, true) => ListKind::Complete,
             (true, false) => ListKind::Restored,
             (false, _) => ListKind::Update,
@@ -291,12 +292,12 @@
 
     fn play(&mut self, events: usize) {
         for _ in 0..events {
-            // A day has calm and crowded hours.
-            let crowded = self.now.0 / (500 * MS) % 2 == 0;
-            let waits = if crowded { [0, 100, 500, 1000] } else { [0, 1000, 5000, 20_000] };
+            // Periods of low and high load alternate.
+            let is_high_load = self.now.0 / (500 * MS) % 2 == 0;
+            let waits = if is_high_load { [0, 100, 500, 1000] } else { [0, 1000, 5000, 20_000] };
             let wait = pick(&mut self.rng, &waits);
             let end = self.now.plus(SignedDuration(wait));
-            self.pass(end);
+            self.advance(end);
             match self.rng.rand_range(0..100) {
                 0..4 => self.list(),
                 4..6 if !self.open.is_empty() => {
@@ -318,21 +319,21 @@
 
 #[test]
 fn acts_as_the_scanning_module() {
-    // Always the same days, so that the verdict is the same too; the long run has a hundred thousand.
+    // The seeds are fixed, so that the result is reproducible. The long run has a hundred thousand scenarios.
     (0..150).for_each(|seed| drop(scenario(seed, 60, 500)));
 }
 
 #[test]
 fn scenarios_contain_every_kind_of_event() {
-    let days: Vec<Scenario> = (0..30).map(|seed| scenario(seed, 60, 500)).collect();
-    let sum = |of: fn(&Scenario) -> usize| days.iter().map(of).sum::<usize>();
+    let scenarios: Vec<Scenario> = (0..30).map(|seed| scenario(seed, 60, 500)).collect();
+    let sum = |count: fn(&Scenario) -> usize| scenarios.iter().map(count).sum::<usize>();
     assert!(sum(|d| d.sends) > 2000, "{} sends", sum(|d| d.sends));
     assert!(sum(|d| d.refusals) > 500, "{} refusals", sum(|d| d.refusals));
     assert!(sum(|d| d.fails) > 100, "{} fails", sum(|d| d.fails));
 }
 
-/// Days on which a send in the middle of a look through the queue took the last ordinary slot. Failure: repeats that
-/// are bound alike waited behind the first of them that had found none, though lanes on trial had opened to them.
+/// In these scenarios, a send during a scan of the queue took the last ordinary slot. Guards against retries with the same
+/// affinity that wait behind the first one without a slot, although slots of probes have become available to them.
 #[test]
 fn probe_slots_open_to_retries_during_a_scan() {
     for seed in [7077, 50_770, 54_711, 71_012] {
@@ -342,7 +343,7 @@
 
 /// The long run: `cargo test --release -p hollowpaddle-policy --test indexed -- --ignored`.
 #[test]
-#[ignore = "a minute: 100,000 days"]
+#[ignore = "a minute: 100,000 scenarios"]
 fn acts_as_the_scanning_module_in_a_hundred_thousand_scenarios() {
     let threads = std::thread::available_parallelism().map_or(2, usize::from) as u64;
     let differ = std::sync::Mutex::new(Vec::new());
@@ -360,6 +361,6 @@
         }
     });
     let differ = differ.into_inner().expect("no panic while it was held");
-    println!("days that differ: {differ:?}");
-    assert!(differ.is_empty(), "{} days differ", differ.len());
+    println!("seeds of scenarios that differ: {differ:?}");
+    assert!(differ.is_empty(), "{} scenarios differ", differ.len());
 }
--- a/crates/policy/tests/service_fleet/mod.rs
+++ b/crates/policy/tests/service_fleet/mod.rs
@@ -1,5 +1,5 @@
-//! A fleet of many services in virtual time around one module: each class is bound to a machine type of its own, and only
-//! some classes get requests. Measures the module alone.
+//! Many services in virtual time around one module: each class is bound to a separate machine type, and only some classes
+//! get requests. Only the time of the module is measured.
 
 #![allow(dead_code)] // each program uses its own part
 
@@ -17,7 +17,7 @@
 pub const CLASSES_IN_USE: usize = 30;
 /// Zones of the target fleet.
 const ZONES: u32 = 11;
-/// Entries of one part in which the gateway hands a long list over.
+/// Number of entries of one part, in which the gateway delivers a long list.
 const PART: usize = 64;
 /// Mean latency of an answer, in microseconds.
 const MEAN_LATENCY: f64 = 20_000.0;
@@ -28,7 +28,7 @@
     Answer { request: u64, server: u32, sent: i64 },
 }
 
-/// What some events cost.
+/// The cost of a number of events.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Cost {
     pub spent: Duration,
@@ -36,7 +36,7 @@
     pub events: u64,
 }
 
-/// One balancer and its fleet.
+/// One balancer and its upstreams.
 pub struct ServiceFleet {
     pub module: Balancer,
     rng: Rand64,
@@ -49,15 +49,15 @@
     cost: Cost,
     pub served: u64,
     pub refused: u64,
-    /// How answers end.
+    /// The outcome of all attempts.
     pub outcome: Outcome,
 }
 
-/// Settings with so many classes, each bound to its own machine type.
+/// Returns settings with this number of classes, each bound to a separate machine type.
 pub fn settings(classes: usize, tenants: usize) -> Settings {
-    let class = |kind: usize| Class {
-        machine_types: Some(vec![kind as u32]),
-        priority_weight: 1.0 + (kind % 7) as f64,
+    let class = |machine_type: usize| Class {
+        machine_types: Some(vec![machine_type as u32]),
+        priority_weight: 1.0 + (machine_type % 7) as f64,
         ..Class::safe(SignedDuration(200_000), SignedDuration(1_000_000))
     };
     let mut s = Settings::basic((0..classes).map(class).collect());
@@ -70,19 +70,19 @@
     s
 }
 
-/// So many classes that get requests, spread evenly over all.
+/// Returns the classes that get requests, spread evenly over all classes.
 fn spread(used: usize, classes: usize) -> Vec<usize> {
     (0..used).map(|n| n * classes / used).collect()
 }
 
-/// Live upstreams, spread evenly over the machine types of the classes, those of classes in use first: they have upstreams
-/// also in a fleet of fewer upstreams than classes.
+/// Returns live upstreams, spread evenly over the machine types of the classes. The classes in use come first, so that they
+/// have upstreams even if there are fewer upstreams than classes.
 pub fn members(upstreams: u32, classes: usize, used: usize) -> Vec<Member> {
     let in_use = spread(used, classes);
     let idle = (0..classes).filter(|class| !in_use.contains(class));
-    let kinds: Vec<usize> = in_use.iter().copied().chain(idle).collect();
+    let machine_types: Vec<usize> = in_use.iter().copied().chain(idle).collect();
     let member = |i: u32| Member {
-        machine_type: kinds[i as usize % classes] as u32,
+        machine_type: machine_types[i as usize % classes] as u32,
         zone: i / classes as u32 % ZONES,
         cell: i / 8,
         identity: u64::from(i).wrapping_mul(0x9e37_79b9_7f4a_7c15),
@@ -92,7 +92,7 @@
 }
 
 impl ServiceFleet {
-    /// A balancer that has been given its list, and what that cost. So many of its classes get requests.
+    /// Creates a balancer of which `used` classes get requests, and returns it with the cost of applying its list.
     pub fn new(upstreams: u32, settings: Settings, used: usize) -> (Self, Cost) {
         let classes = settings.classes.len();
         let mut fleet = Self {
@@ -148,7 +148,7 @@
         self.out = out;
     }
 
-    fn happen(&mut self, at: i64, due: Due) {
+    fn step(&mut self, at: i64, due: Due) {
         self.now = at;
         match due {
             Due::Timer(token) => self.handle(Event::Timer(token)),
@@ -171,7 +171,7 @@
         self.handle(Event::Request(Request { tenant, ..Request::new(id, class, until) }));
     }
 
-    /// Lets so many requests come; what the events of that time cost.
+    /// Runs until this number of requests has arrived, and returns the cost of the events.
     pub fn run(&mut self, requests: u64) -> Cost {
         self.cost = Cost::default();
         let end = self.last + requests;
@@ -180,7 +180,7 @@
             let first = self.due.peek().map_or(i64::MAX, |d| d.0.0);
             if first as f64 <= self.next {
                 if let Some(Reverse((at, due))) = self.due.pop() {
-                    self.happen(at, due);
+                    self.step(at, due);
                 }
                 continue;
             }
@@ -191,13 +191,13 @@
         self.cost
     }
 
-    /// Lets time pass without requests; what the events of that time cost.
+    /// Advances the time without requests, and returns the cost of the events.
     pub fn rest(&mut self, span: SignedDuration) -> Cost {
         self.cost = Cost::default();
         let end = self.now + span.0;
         while let Some(&Reverse((at, due))) = self.due.peek().filter(|d| d.0.0 <= end) {
             self.due.pop();
-            self.happen(at, due);
+            self.step(at, due);
         }
         self.now = end;
         self.cost
--- a/crates/policy/tests/slopes.rs
+++ b/crates/policy/tests/slopes.rs
@@ -1,5 +1,5 @@
-//! What one more upstream, class or tenant costs the module, in bytes and in work. Each bound is a named constant; the
-//! fleet that they are for stands in `docs/CAPACITY.md`.
+//! The cost of one more upstream, class or tenant for the module, in memory and time. Each bound is a named constant;
+//! `docs/CAPACITY.md` describes the target fleet of the bounds.
 
 mod allocation;
 mod service_fleet;
@@ -17,36 +17,36 @@
 #[global_allocator]
 static ALLOCATOR: Counting = Counting;
 
-/// One more upstream, its place in every order included. 39,000 of them hold 20 MB.
+/// Most bytes of one more upstream, including its entries in all indexes. 39,000 upstreams use 20 MB.
 const BYTES_PER_UPSTREAM: usize = 520;
-/// One more class that gets no requests, with its settings, before any number of upstreams.
+/// Most bytes of one more class without requests, including its settings, for any number of upstreams.
 const BYTES_PER_IDLE_CLASS: usize = 2500;
-/// One more tenant that sends nothing: its quota and share in the settings.
+/// Most bytes of one more tenant without requests: its quota and share in the settings.
 const BYTES_PER_IDLE_TENANT: usize = 17;
-/// One more tenant in the table of names, beside its name, where few distinct quotas are in use.
+/// Most bytes of one more tenant in the table of names, besides its name, where few distinct quotas are in use.
 const BYTES_BESIDE_NAME: usize = 13;
-/// One upstream of a machine type and zone that nobody named, beside its like, in a list of nonsense.
+/// Most bytes of one upstream of an unknown machine type and zone, in an invalid list of such upstreams.
 const BYTES_PER_ODD_UPSTREAM: usize = 1200;
-/// What may be left once all upstreams have answered again, as a share of what faults added: timers and queues keep the
-/// capacity that they grew to.
+/// Largest share of the memory added by faults that may be retained once all upstreams answer again: timers and queues
+/// retain their capacity.
 const RETAINED_AFTER_FAULTS: f64 = 0.5;
-/// An idle second with 1,300 classes against one with three, before the same upstreams. It was over 300 while the module
-/// walked all classes; the machine that runs this may be busy.
+/// Largest ratio of the time of an idle second with 1,300 classes to that with three classes, for the same upstreams. The
+/// ratio was over 300 while the module iterated over all classes. The bound allows for a busy machine.
 const IDLE_COST_BY_CLASSES: f64 = 5.0;
-/// A request with 1,300 classes against one with three, where three get requests.
+/// Largest ratio of the time of a request with 1,300 classes to that with three classes, where three classes get requests.
 const REQUEST_COST_BY_CLASSES: f64 = 5.0;
-/// An idle second before 8,000 upstreams against one before 1,000.
+/// Largest ratio of the time of an idle second with 8,000 upstreams to that with 1,000.
 const IDLE_COST_BY_UPSTREAMS: f64 = 5.0;
-/// Rounds of a timing; the least counts.
+/// Rounds of a timing; the shortest counts.
 const ROUNDS: u32 = 5;
 
-/// The allocator counts for the whole process: one test at a time.
-fn alone() -> MutexGuard<'static, ()> {
-    static ONE: Mutex<()> = Mutex::new(());
-    ONE.lock().unwrap_or_else(PoisonError::into_inner)
+/// Serializes the tests, since the allocator counts for the whole process.
+fn lock_allocator() -> MutexGuard<'static, ()> {
+    static LOCK: Mutex<()> = Mutex::new(());
+    LOCK.lock().unwrap_or_else(PoisonError::into_inner)
 }
 
-/// Bytes that a module holds after some traffic.
+/// Returns the bytes in use by a module after some traffic.
 fn bytes(upstreams: u32, classes: usize, tenants: usize) -> usize {
     let before = bytes_in_use();
     let used = CLASSES_IN_USE.min(classes);
@@ -60,7 +60,7 @@
     (0..ROUNDS).map(|_| round().spent).min().expect("some rounds")
 }
 
-/// What an idle second and a thousand requests cost, where three classes get requests.
+/// Returns the time of an idle second and of a thousand requests, where three classes get requests.
 fn costs(upstreams: u32, classes: usize) -> (Duration, Duration) {
     let (mut fleet, _) = ServiceFleet::new(upstreams, settings(classes, 0), 3);
     fleet.run(1000);
@@ -71,7 +71,7 @@
 
 #[test]
 fn one_more_upstream_costs_a_bounded_number_of_bytes_whatever_the_classes() {
-    let _alone = alone();
+    let _lock = lock_allocator();
     for classes in [3, 1300] {
         let (few, many) = (bytes(4000, classes, 0), bytes(12_000, classes, 0));
         let each = (many - few) / 8000;
@@ -82,18 +82,18 @@
 
 #[test]
 fn one_more_idle_class_costs_a_bounded_number_of_bytes_whatever_the_upstreams() {
-    let _alone = alone();
+    let _lock = lock_allocator();
     for upstreams in [64, 8000] {
         let (few, many) = (bytes(upstreams, 100, 0), bytes(upstreams, 1300, 0));
         let each = (many - few) / 1200;
         println!("{upstreams} upstreams: {each} bytes");
-        assert!(each <= BYTES_PER_IDLE_CLASS, "{each} bytes before {upstreams} upstreams");
+        assert!(each <= BYTES_PER_IDLE_CLASS, "{each} bytes with {upstreams} upstreams");
     }
 }
 
 #[test]
 fn one_more_idle_tenant_costs_its_settings_alone() {
-    let _alone = alone();
+    let _lock = lock_allocator();
     let (few, many) = (bytes(64, 3, 1000), bytes(64, 3, 101_000));
     let each = (many - few) / 100_000;
     println!("{each} bytes");
@@ -103,7 +103,7 @@
 #[test]
 fn one_more_tenant_costs_its_name_and_a_few_bytes_and_a_copy_of_the_table_none() {
     const TENANTS: usize = 100_000;
-    let _alone = alone();
+    let _lock = lock_allocator();
     let name = |i: usize| format!("tenant-{i:06}");
     let entry = |i| json!({"Name": name(i), "QuotaRps": (i % 7) as f64, "Share": 0.5});
     let list = json!((0..TENANTS).map(entry).collect::<Vec<_>>()).to_string();
@@ -119,9 +119,9 @@
 #[test]
 fn unnamed_machine_types_and_zones_grow_no_table_beyond_the_upstreams() {
     const UPSTREAMS: u32 = 5000;
-    let _alone = alone();
+    let _lock = lock_allocator();
     let mut settings = settings(3, 0);
-    // Trees are kept by zone then, and one class goes to all of them.
+    // The trees are divided by zone, and one class is sent to all zones.
     settings.classes[0].group = Group::Zone;
     settings.classes[0].machine_types = None;
     let before = bytes_in_use();
@@ -143,8 +143,8 @@
 
 #[test]
 fn class_breakers_are_dropped_once_upstreams_answer_again() {
-    let _alone = alone();
-    // All classes share three machine types, so that many class breakers meet at each of few upstreams.
+    let _lock = lock_allocator();
+    // All classes share three machine types, so that each of the few upstreams has many class breakers.
     let mut shared = settings(CLASSES_IN_USE, 0);
     for (number, class) in shared.classes.iter_mut().enumerate() {
         class.machine_types = Some(vec![number as u32 % 3]);
@@ -161,16 +161,16 @@
         fleet.run(20_000);
     }
     let left = bytes_in_use().saturating_sub(before);
-    println!("{added} bytes were added, {left} are left");
+    println!("{added} bytes added, {left} bytes retained");
     assert!(
         left as f64 <= RETAINED_AFTER_FAULTS * added as f64,
-        "{left} bytes of {added} are left"
+        "{left} of {added} bytes retained"
     );
 }
 
 #[test]
 fn idle_classes_cost_neither_an_idle_second_nor_a_request_anything() {
-    let _alone = alone();
+    let _lock = lock_allocator();
     let ((idle, request), (idle_of_many, request_of_many)) = (costs(1000, 3), costs(1000, 1300));
     println!("idle {idle:?} and {idle_of_many:?}, requests {request:?} and {request_of_many:?}");
     let ratio = idle_of_many.as_secs_f64() / idle.as_secs_f64();
@@ -181,7 +181,7 @@
 
 #[test]
 fn idle_upstreams_cost_an_idle_second_little() {
-    let _alone = alone();
+    let _lock = lock_allocator();
     let ((few, _), (many, _)) = (costs(1000, 1300), costs(8000, 1300));
     println!("{few:?} and {many:?}");
     let ratio = many.as_secs_f64() / few.as_secs_f64();
--- a/crates/policy/tests/start.rs
+++ b/crates/policy/tests/start.rs
@@ -1,4 +1,4 @@
-//! The first seconds: nothing is known yet, and that must not be taken for knowing that nothing is there.
+//! The first seconds of a balancer, in which missing estimates must not count as missing capacity.
 
 use std::cmp::Reverse;
 use std::collections::BinaryHeap;
@@ -17,16 +17,16 @@
     Answer(u64, u32, i64),
 }
 
-/// Clients that each have one request out, and one more a moment after its end, before idle upstreams that answer
-/// everything in 100 ms.
-struct Morning {
+/// A new balancer with clients that each have one request in flight and send the next one when it ends, and with idle
+/// upstreams that answer every request after the same time.
+struct FreshBalancer {
     balancer: Balancer,
     now: i64,
     due: BinaryHeap<Reverse<(i64, Due)>>,
     last: u64,
     served: u64,
     refused: u64,
-    /// How long an upstream takes to answer.
+    /// Time that an upstream takes to answer, in microseconds.
     answer: i64,
 }
 
@@ -50,7 +50,7 @@
     s
 }
 
-impl Morning {
+impl FreshBalancer {
     fn new(settings: Settings, upstreams: u32, clients: usize) -> Self {
         Self::with_answers_after(ANSWER, settings, upstreams, clients)
     }
@@ -86,7 +86,7 @@
         }
     }
 
-    /// What was served and refused until then, since the last time.
+    /// Runs until `ms`, and returns the numbers of requests that were served and rejected since the last call.
     fn until(&mut self, ms: i64) -> (u64, u64) {
         (self.served, self.refused) = (0, 0);
         while let Some(Reverse((at, due))) = self.due.pop() {
@@ -123,13 +123,13 @@
     }
 }
 
-// Guards against a fresh process that refuses a burst by what it assumes of upstreams that nobody has asked yet.
+// Guards against a new process that rejects a burst because of its assumptions about upstreams without any answer.
 #[test]
 fn the_first_burst_of_a_fresh_balancer_is_not_refused_before_idle_upstreams() {
     for (upstreams, burst) in [(4, 16), (4, 32), (8, 64)] {
-        let mut m = Morning::with_answers_after(5 * MS, settings(3, 1), upstreams, burst);
+        let mut m = FreshBalancer::with_answers_after(5 * MS, settings(3, 1), upstreams, burst);
         let (served, refused) = m.until(100);
-        assert_eq!(refused, 0, "{burst} requests before {upstreams} upstreams, {served} served");
+        assert_eq!(refused, 0, "{burst} requests for {upstreams} upstreams, {served} served");
     }
 }
 
@@ -138,7 +138,7 @@
     for upstreams in [8, 64, 256] {
         for share in [1, 2, 4] {
             let clients = upstreams as usize / share;
-            let mut m = Morning::new(settings(3, 1), upstreams, clients);
+            let mut m = FreshBalancer::new(settings(3, 1), upstreams, clients);
             let (served, refused) = m.until(2000);
             assert_eq!(refused, 0, "{clients} clients at {upstreams} upstreams, {served} served");
             assert!(served as usize >= clients * 18, "{served} served");
@@ -149,12 +149,12 @@
 #[test]
 fn the_first_two_seconds_serve_nearly_what_later_ones_do() {
     for clients in [64, 128, 200] {
-        let mut m = Morning::new(settings(3, 1), 64, clients);
+        let mut m = FreshBalancer::new(settings(3, 1), 64, clients);
         let (first, refused) = m.until(2000);
         m.until(6000);
         let (steady, later) = m.until(8000);
         println!(
-            "{clients} clients: {first} served and {refused} refused, later {steady} and {later}"
+            "{clients} clients: {first} served and {refused} rejected, later {steady} and {later}"
         );
         assert!(first as f64 >= 0.9 * steady as f64, "{clients} clients: {first} against {steady}");
         assert!(steady as f64 >= 0.95 * (clients * 20) as f64, "{clients} clients: {steady} later");
--- a/crates/policy/tests/tenants.rs
+++ b/crates/policy/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! The compact table of tenants against the list that it was read from.
+//! Compares the compact table of tenants with the list that it was read from.
 
 use hollowpaddle_policy::tenants::{TenantRef, Tenants};
 use proptest::prelude::*;
@@ -11,22 +11,22 @@
 proptest! {
     #[test]
     fn table_holds_all_tenants_and_finds_the_first_of_a_name(
-        stated in prop::collection::vec(("[a-cé]{0,3}", 0..4u32, 0..3u32), 0..40),
-        asked in "[a-cé]{0,3}",
+        tenants in prop::collection::vec(("[a-cé]{0,3}", 0..4u32, 0..3u32), 0..40),
+        other_name in "[a-cé]{0,3}",
     ) {
         let entry = |(name, quota, share): &(String, u32, u32)| {
             json!({"Name": name, "QuotaRps": quota, "Share": share})
         };
-        let table = read(&json!(stated.iter().map(entry).collect::<Vec<_>>()));
-        prop_assert_eq!((table.len(), table.is_empty()), (stated.len(), stated.is_empty()));
-        let expected = stated.iter().map(|(name, quota, share)| TenantRef {
+        let table = read(&json!(tenants.iter().map(entry).collect::<Vec<_>>()));
+        prop_assert_eq!((table.len(), table.is_empty()), (tenants.len(), tenants.is_empty()));
+        let expected = tenants.iter().map(|(name, quota, share)| TenantRef {
             name,
             quota_rps: f64::from(*quota),
             share: f64::from(*share),
         });
         prop_assert!(table.iter().eq(expected));
-        for name in stated.iter().map(|t| &t.0).chain([&asked]) {
-            let first = stated.iter().position(|t| t.0 == *name);
+        for name in tenants.iter().map(|t| &t.0).chain([&other_name]) {
+            let first = tenants.iter().position(|t| t.0 == *name);
             prop_assert_eq!(table.position(name), first);
         }
     }
