--- a/crates/policy/tests/list_polling/cluster.rs
+++ b/crates/policy/tests/list_polling/cluster.rs
@@ -1,5 +1,5 @@
-//! Balancers that ask one discovery for the list, in virtual time. Discovery works through calls in turn, so many a
-//! second, turns away at once whoever would wait too long, and fails calls that have.
+//! Balancers that poll one discovery service for the list, in virtual time. Discovery handles calls one after another at a
+//! fixed rate. It rejects a call at once that would wait too long, and fails a call that has waited too long.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BinaryHeap, VecDeque};
@@ -11,26 +11,27 @@
 
 pub const MS: i64 = 1000;
 pub const SECOND: i64 = 1000 * MS;
-/// A watch says something so often.
-pub const BEAT: i64 = 2 * SECOND;
+/// Interval of the heartbeats of a watch, in microseconds.
+pub const HEARTBEAT_INTERVAL: i64 = 2 * SECOND;
 
-/// What discovery can do.
+/// The capacity of discovery.
 #[derive(Clone, Copy, Debug)]
 pub struct Capacity {
-    /// Calls a second.
+    /// Calls per second.
     pub rate: i64,
-    /// It fails a call that has waited so long for its turn, and turns away at once who would.
-    pub waits: i64,
-    /// Whether calls that were given up are worked through all the same.
+    /// Longest wait of a call in microseconds. Discovery fails a call that has waited longer, and rejects a call at once
+    /// that would wait longer.
+    pub max_wait: i64,
+    /// Whether discovery also serves calls that their callers have given up.
     pub serves_given_up: bool,
 }
 
-/// What becomes of calls and watches while discovery can't be reached.
+/// The behaviour of calls and watches while discovery is unreachable.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Down {
-    /// Connections are refused; watches are reset.
+    /// Connections are refused, and watches are reset.
     Refuses,
-    /// Nothing comes back; watches are open and silent.
+    /// Calls get no reply, and watches are open and silent.
     Silent,
 }
 
@@ -38,17 +39,18 @@
 pub enum Due {
     Reachability(bool),
     Timer(usize, u64),
-    /// The caller gives this call up.
+    /// The caller gives the call up.
     GivenUp(usize, u64),
-    /// Discovery takes no more.
+    /// Discovery rejects the call.
     ListCallRejected(usize, u64),
-    /// It has waited too long at discovery.
+    /// The call has waited too long at discovery.
     Expired(usize, u64),
-    /// A watch is found silent.
+    /// A balancer detects that its watch is silent.
     FoundSilent(usize),
-    Turn,
-    /// All watches fall silent, with discovery as it was.
-    Hush,
+    /// Discovery serves the next call.
+    ServeCall,
+    /// All watches fall silent, while discovery remains reachable.
+    SilenceWatches,
     /// All watches end.
     Reset,
 }
@@ -59,17 +61,18 @@
     order: u64,
     rng: Rand64,
     balancers: Vec<Balancer>,
-    /// The call that is out, by balancer.
+    /// The call in flight, by balancer.
     call: Vec<Option<u64>>,
-    /// Whether it has a watch, by balancer.
+    /// Whether the watch is open, by balancer.
     watch: Vec<bool>,
-    /// When it was told, by balancer.
-    told: Vec<Vec<i64>>,
+    /// Times at which the balancer received the list, by balancer.
+    notified: Vec<Vec<i64>>,
     calls: BTreeMap<i64, u64>,
     last: u64,
-    /// Calls that discovery turned away at once, and turns that it spent on calls that had been given up.
-    pub turned_away: u64,
-    pub turns_in_vain: u64,
+    /// Number of calls that discovery rejected at once.
+    pub rejected: u64,
+    /// Number of calls that discovery served although they had been given up.
+    pub wasted_calls: u64,
     up: bool,
     down: Down,
     queue: VecDeque<(usize, u64)>,
@@ -78,7 +81,7 @@
 }
 
 impl Cluster {
-    /// So many balancers that start now, and ask by these settings.
+    /// Creates `n` balancers that start now and poll at this interval.
     pub fn new(n: usize, list_poll_interval: i64, capacity: Capacity, down: Down) -> Self {
         let mut settings = Settings::basic(vec![Class::safe(
             SignedDuration(60 * SECOND),
@@ -97,11 +100,11 @@
             balancers: (0..n).map(balancer).collect(),
             call: vec![None; n],
             watch: vec![false; n],
-            told: vec![Vec::new(); n],
+            notified: vec![Vec::new(); n],
             calls: BTreeMap::new(),
             last: 0,
-            turned_away: 0,
-            turns_in_vain: 0,
+            rejected: 0,
+            wasted_calls: 0,
             up: true,
             down,
             queue: VecDeque::new(),
@@ -125,22 +128,22 @@
         for action in actions {
             match action {
                 Action::Arm { token, at } => self.at(at.0, Due::Timer(i, token)),
-                Action::Subscribe => self.asks(i),
+                Action::Subscribe => self.poll(i),
                 _ => {}
             }
         }
     }
 
-    /// The call or the watch of this balancer fails.
-    fn fails(&mut self, i: usize) {
+    /// Fails the call or the watch of a balancer.
+    fn fail(&mut self, i: usize) {
         (self.call[i], self.watch[i]) = (None, false);
         self.deliver(i, Event::Members { kind: ListKind::Unavailable, list: &[] });
     }
 
-    fn asks(&mut self, i: usize) {
-        assert!(!self.watch[i], "it has a watch");
+    fn poll(&mut self, i: usize) {
+        assert!(!self.watch[i], "polls although its watch is open");
         if self.call[i].is_some() {
-            return; // The shell has one call out at most.
+            return; // The gateway has at most one call in flight.
         }
         *self.calls.entry(self.now / SECOND).or_default() += 1;
         self.last += 1;
@@ -150,37 +153,37 @@
             (true, _) if self.is_full() => self.at(self.now, Due::ListCallRejected(i, call)),
             (true, _) => {
                 self.queue.push_back((i, call));
-                // Who is served with the last of that time is served.
-                self.at(self.now + self.capacity.waits + 1, Due::Expired(i, call));
+                // A call that is served exactly at the limit is served.
+                self.at(self.now + self.capacity.max_wait + 1, Due::Expired(i, call));
                 self.at(self.now + CALL_TIMEOUT.0, Due::GivenUp(i, call));
                 if !std::mem::replace(&mut self.busy, true) {
-                    self.at(self.now + self.turn(), Due::Turn);
+                    self.at(self.now + self.call_time(), Due::ServeCall);
                 }
             }
-            // It comes back once this event is over.
+            // The failure is delivered after this event.
             (false, Down::Refuses) => self.at(self.now, Due::Expired(i, call)),
-            // No connection comes up.
+            // No connection opens.
             (false, Down::Silent) => self.at(self.now + SILENCE_TIMEOUT.0, Due::GivenUp(i, call)),
         }
     }
 
-    /// Time for one call.
-    fn turn(&self) -> i64 {
+    /// Returns the time that discovery takes for one call.
+    fn call_time(&self) -> i64 {
         SECOND / self.capacity.rate
     }
 
-    /// Whether one more call would wait too long.
+    /// Returns whether one more call would wait too long.
     fn is_full(&self) -> bool {
-        (self.queue.len() as i64 + 1) * self.turn() > self.capacity.waits
+        (self.queue.len() as i64 + 1) * self.call_time() > self.capacity.max_wait
     }
 
-    /// A watch says something every 2 s, each at a time of its own.
-    fn hush(&mut self, i: usize) {
-        let since = (self.rng.rand_float() * BEAT as f64) as i64;
+    /// Silences a watch. Its last heartbeat was at a random time within the heartbeat interval of 2 s.
+    fn silence_watch(&mut self, i: usize) {
+        let since = (self.rng.rand_float() * HEARTBEAT_INTERVAL as f64) as i64;
         self.at(self.now - since + SILENCE_TIMEOUT.0, Due::FoundSilent(i));
     }
 
-    /// Plays one event.
+    /// Handles one event.
     pub fn on(&mut self, due: Due) {
         match due {
             Due::Timer(i, token) => self.deliver(i, Event::Timer(token)),
@@ -190,29 +193,33 @@
                     self.queue.retain(|waits| *waits != (i, call));
                 }
                 if self.call[i] == Some(call) {
-                    self.fails(i);
+                    self.fail(i);
                 }
             }
             Due::ListCallRejected(i, call) => {
-                assert_eq!(self.call[i].take(), Some(call), "it waits for the answer");
-                self.turned_away += 1;
+                assert_eq!(
+                    self.call[i].take(),
+                    Some(call),
+                    "the rejected call is the call in flight"
+                );
+                self.rejected += 1;
                 self.deliver(i, Event::ListCallRejected);
             }
-            Due::FoundSilent(i) if self.watch[i] => self.fails(i),
+            Due::FoundSilent(i) if self.watch[i] => self.fail(i),
             Due::FoundSilent(_) => {}
-            Due::Turn => {
+            Due::ServeCall => {
                 match self.queue.pop_front() {
                     Some((i, call)) if self.call[i] == Some(call) => {
                         (self.call[i], self.watch[i]) = (None, true);
-                        self.told[i].push(self.now);
+                        self.notified[i].push(self.now);
                         self.deliver(i, Event::Members { kind: ListKind::Complete, list: &[] });
                     }
-                    Some(_) => self.turns_in_vain += 1,
+                    Some(_) => self.wasted_calls += 1,
                     None => {}
                 }
                 self.busy = !self.queue.is_empty();
                 if self.busy {
-                    self.at(self.now + self.turn(), Due::Turn);
+                    self.at(self.now + self.call_time(), Due::ServeCall);
                 }
             }
             Due::Reachability(up) => {
@@ -221,30 +228,30 @@
                     let waiting = std::mem::take(&mut self.queue);
                     for i in 0..self.balancers.len() {
                         match self.down {
-                            Down::Refuses if self.watch[i] => self.fails(i),
-                            Down::Silent if self.watch[i] => self.hush(i),
+                            Down::Refuses if self.watch[i] => self.fail(i),
+                            Down::Silent if self.watch[i] => self.silence_watch(i),
                             _ => {}
                         }
                     }
                     if self.down == Down::Refuses {
-                        waiting.into_iter().for_each(|(i, _)| self.fails(i));
+                        waiting.into_iter().for_each(|(i, _)| self.fail(i));
                     }
                 }
             }
-            Due::Hush => (0..self.balancers.len())
+            Due::SilenceWatches => (0..self.balancers.len())
                 .filter(|i| self.watch[*i])
                 .collect::<Vec<_>>()
                 .into_iter()
-                .for_each(|i| self.hush(i)),
+                .for_each(|i| self.silence_watch(i)),
             Due::Reset => (0..self.balancers.len())
                 .filter(|i| self.watch[*i])
                 .collect::<Vec<_>>()
                 .into_iter()
-                .for_each(|i| self.fails(i)),
+                .for_each(|i| self.fail(i)),
         }
     }
 
-    /// Plays all that is due up to this time.
+    /// Handles all events that are due up to a time.
     pub fn until(&mut self, at: i64) {
         while self.due.peek().is_some_and(|Reverse((t, ..))| *t <= at) {
             let Some(Reverse((t, _, due))) = self.due.pop() else { return };
@@ -254,16 +261,17 @@
         self.now = at;
     }
 
-    /// How late each balancer was told of what discovery had from then on: the first word after that counts.
+    /// Returns, in ascending order, the delay of each balancer's first list since `from`.
     pub fn late(&self, from: i64) -> Vec<i64> {
-        let late =
-            |told: &Vec<i64>| told.iter().find(|t| **t >= from).map_or(i64::MAX, |t| t - from);
-        let mut late: Vec<i64> = self.told.iter().map(late).collect();
+        let late = |notified: &Vec<i64>| {
+            notified.iter().find(|t| **t >= from).map_or(i64::MAX, |t| t - from)
+        };
+        let mut late: Vec<i64> = self.notified.iter().map(late).collect();
         late.sort_unstable();
         late
     }
 
-    /// Most calls in a second from then on.
+    /// Returns the most calls within a second since `from`.
     pub fn most_calls(&self, from: i64) -> u64 {
         self.calls.range(from / SECOND..).map(|(_, n)| *n).max().unwrap_or(0)
     }
--- a/crates/simulator-adapter/tests/adapter.rs
+++ b/crates/simulator-adapter/tests/adapter.rs
@@ -1,18 +1,18 @@
-//! The adapter as a process on its wire.
+//! Runs the adapter as a process and checks its replies.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
 
 use serde_json::{Value, json};
 
-fn drill(input: &str) -> Output {
+fn run(input: &str) -> Output {
     let mut child = Command::new(env!("CARGO_BIN_EXE_hollowpaddle-simulator-adapter"))
         .stdin(Stdio::piped())
         .stdout(Stdio::piped())
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // The adapter may end at the first bad line, before it has read the rest.
+    // The adapter may exit at the first malformed line, before it has read the rest.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
     child.wait_with_output().expect("the adapter ends")
 }
@@ -51,7 +51,7 @@
 
 #[test]
 fn request_is_relayed_with_its_balancer_named() {
-    let output = drill(&format!(
+    let output = run(&format!(
         "{}{}",
         batch(1, 1000.0, json!([init(3), list(3), init(4), list(4)])),
         batch(2, 1001.5, json!([order(3, "rq_a", 1200.0), order(4, "rq_b", 1200.0)])),
@@ -67,7 +67,7 @@
 
 #[test]
 fn stopped_instance_starts_with_nothing() {
-    let output = drill(&format!(
+    let output = run(&format!(
         "{}{}",
         batch(1, 1000.0, json!([init(3), list(3), order(3, "rq_a", 1200.0)])),
         batch(
@@ -83,12 +83,12 @@
     assert!(output.status.success());
     let replies = replies(&output);
     assert_eq!(relays(&replies[0]).len(), 1);
-    assert!(relays(&replies[1]).is_empty(), "it knows no upstream yet");
+    assert!(relays(&replies[1]).is_empty(), "a new instance knows no upstreams");
 }
 
 #[test]
 fn an_unsafe_request_that_may_have_run_is_failed() {
-    let output = drill(&format!(
+    let output = run(&format!(
         "{}{}",
         batch(1, 1000.0, json!([init(0), list(0), order(0, "rq_a", 1200.0)])),
         batch(
@@ -108,7 +108,7 @@
 
 #[test]
 fn order_placement_and_closing_settings_reach_the_module() {
-    // Failure: the adapter passed none of ByArrival, TurnGap, ZonesAllowed, BoundTo and DrainClose on.
+    // Guards against an adapter that ignores ByArrival, TurnGap, ZonesAllowed, BoundTo and DrainClose.
     let mut start = init(0);
     let facts = &mut start["Init"]["Facts"];
     facts["Services"] = json!([
@@ -119,19 +119,19 @@
     facts["Safety"]["TurnGap"] = json!(30.0);
     let line = |name: &str, az: u32, status: &str| json!({"Upstream": name, "Az": az, "Type": 0, "Status": status});
     let lines = |kind: &str, lines: Value| json!({"Membership": {"Who": 0, "Kind": kind, "Generation": 1, "Lines": lines}});
-    let ask = |job: &str, class: u32, key: &str| json!({"Order": {"Who": 0, "Job": job, "TierClass": class, "DropDead": 1300.0, "Object": key}});
+    let order = |job: &str, class: u32, key: &str| json!({"Order": {"Who": 0, "Job": job, "TierClass": class, "DropDead": 1300.0, "Object": key}});
     let all: Vec<_> = (0..4).map(|i| line(&format!("10.0.0.{i}:80"), i % 2, "live")).collect();
-    let output = drill(&format!(
+    let output = run(&format!(
         "{}{}{}",
         batch(1, 1000.0, json!([start, lines("restored", json!(all))])),
         batch(
             2,
             1001.0,
             json!([
-                ask("a", 0, "00ff"),
-                ask("b", 0, "00ff"),
-                ask("c", 1, "0001"),
-                ask("d", 2, "0002")
+                order("a", 0, "00ff"),
+                order("b", 0, "00ff"),
+                order("c", 1, "0001"),
+                order("d", 2, "0002")
             ])
         ),
         batch(3, 1002.0, json!([lines("update", json!([line("10.0.0.1:80", 1, "quiescing")]))])),
@@ -140,14 +140,18 @@
     let replies = replies(&output);
     let sent = relays(&replies[1]);
     let jobs: Vec<_> = sent.iter().map(|r| r["Job"].as_str().unwrap()).collect();
-    assert_eq!(jobs, ["a", "c"], "b waits for its turn, d has no upstream of its kind");
+    assert_eq!(
+        jobs,
+        ["a", "c"],
+        "b waits for its ordering key, d has no upstream of its machine type"
+    );
     let at = sent[1]["Upstream"].as_str().unwrap();
-    assert!(["10.0.0.1:80", "10.0.0.3:80"].contains(&at), "c goes to zone 1: {at}");
+    assert!(["10.0.0.1:80", "10.0.0.3:80"].contains(&at), "c is sent to zone 1: {at}");
     assert_eq!(cmds(&replies[2], "FreeLinks")[0]["Upstream"], "10.0.0.1:80");
 }
 
-fn complaint(line: &str) -> String {
-    let output = drill(&format!("{}{line}\n", batch(7, 1.0, json!([]))));
+fn error_message(line: &str) -> String {
+    let output = run(&format!("{}{line}\n", batch(7, 1.0, json!([]))));
     assert_eq!(output.status.code(), Some(1));
     let text = String::from_utf8(output.stderr).expect("UTF-8");
     assert_eq!(text.lines().count(), 1, "{text}");
@@ -158,20 +162,20 @@
 #[test]
 fn malformed_input_is_named_in_one_line() {
     let text =
-        complaint(r#"{"Ts":2,"batch":8,"msgs":[{"Order":{"Who":1,"Job":"a","TierClass":0}}]}"#);
+        error_message(r#"{"Ts":2,"batch":8,"msgs":[{"Order":{"Who":1,"Job":"a","TierClass":0}}]}"#);
     assert!(text.contains("batch 8") && text.contains("DropDead"), "{text}");
-    let text = complaint(r#"{"Ts":2,"batch":8,"msgs":[{"Order":{"Who":"x"}}]}"#);
+    let text = error_message(r#"{"Ts":2,"batch":8,"msgs":[{"Order":{"Who":"x"}}]}"#);
     assert!(text.contains("batch 8") && text.contains("Who"), "{text}");
-    let text = complaint(r#"{"Ts":2,"batch":8,"msgs":[{"Surprise":{"Who":1}}]}"#);
+    let text = error_message(r#"{"Ts":2,"batch":8,"msgs":[{"Surprise":{"Who":1}}]}"#);
     assert!(text.contains("batch 8") && text.contains("Surprise"), "{text}");
-    let text = complaint(r#"{"Ts":2,"batch":"#);
+    let text = error_message(r#"{"Ts":2,"batch":"#);
     assert!(text.contains("the batch after 7"), "{text}");
-    let odd = json!([init(3), list(3), order(3, "rq_a", 1200.0), {"Result": {"Who": 3,
+    let unknown_outcome = json!([init(3), list(3), order(3, "rq_a", 1200.0), {"Result": {"Who": 3,
         "Job": "rq_a", "Go": 0, "Upstream": "10.0.0.1:80", "Rc": 299, "Latency": 9.0}}]);
-    let text = complaint(batch(8, 1000.0, odd).trim());
+    let text = error_message(batch(8, 1000.0, unknown_outcome).trim());
     assert!(text.contains("batch 8") && text.contains("Rc"), "{text}");
     let mut bad = init(1);
     bad["Init"]["Facts"]["Services"] = json!([]);
-    let text = complaint(batch(8, 2.0, json!([bad])).trim());
+    let text = error_message(batch(8, 2.0, json!([bad])).trim());
     assert!(text.contains("batch 8") && text.contains("Facts"), "{text}");
 }
--- a/crates/simulator-adapter/tests/formats.rs
+++ b/crates/simulator-adapter/tests/formats.rs
@@ -1,4 +1,4 @@
-//! The simulator's wire as the program speaks it: every message and key that it reads, every command that it writes.
+//! The simulator's wire format: every message and key that the adapter reads, and every command that it writes.
 
 use std::io::Write;
 use std::process::{Command, Output, Stdio};
@@ -6,7 +6,7 @@
 use serde_json::{Value, json};
 use wire::Command as WireCommand;
 
-// The decision module never asks for some of the commands: their form is taken from the module that writes them.
+// The decision module never uses some of the commands, so that their form is checked in the module that writes them.
 #[allow(dead_code)]
 #[path = "../src/wire.rs"]
 mod wire;
@@ -21,12 +21,12 @@
         .stderr(Stdio::piped())
         .spawn()
         .expect("the adapter starts");
-    // The adapter may end at a bad line, before it has read the rest.
+    // The adapter may exit at a malformed line, before it has read the rest.
     let _ = child.stdin.take().expect("piped").write_all(input.as_bytes());
     child.wait_with_output().expect("the adapter ends")
 }
 
-/// What the adapter says against its input, without the name of the program.
+/// Returns the error message of the adapter for an input, without the name of the program.
 fn error_message(input: &str) -> String {
     let output = run(input);
     assert_eq!(output.status.code(), Some(1), "{input}");
@@ -83,7 +83,7 @@
     }
 }
 
-/// Every event that is read, with all its keys but the enumerated ones.
+/// Returns every event that the adapter reads, with all keys except the enumerated ones.
 fn events() -> Vec<(&'static str, Value)> {
     let line = json!({
         "Upstream": "10.0.0.1:80", "Az": 1, "Type": 1, "Pack": 1, "Status": "live", "CapacityHint": 1.5,
@@ -130,7 +130,7 @@
     format!("{}\n", json!({"Ts": 1000.5, "batch": 1, "msgs": [{event: body}]}))
 }
 
-/// A value of a type that no key has.
+/// Returns a value of a type that no key has.
 fn wrong_value() -> Value {
     json!({"": true})
 }
