--- a/crates/policy/tests/indexed.rs
+++ b/crates/policy/tests/indexed.rs
@@ -144,8 +144,8 @@
             for t in [format!("{:?}", self.indexed), format!("{:?}", self.scanned)] {
                 for m in [
                     format!("id: ServerId({}),", server.0),
-                    format!("RequestId({}): Entry", request.0),
-                    "rooms: ".to_string(),
+                    format!("RequestId({}): RequestState", request.0),
+                    "capacity_groups: ".to_string(),
                     "warm_served: ".to_string(),
                 ] {
                     if let Some(i) = t.find(&m) {
--- a/crates/policy/tests/scanning/state.rs
+++ b/crates/policy/tests/scanning/state.rs
@@ -1,12 +1,12 @@
-//! Plain records of the scanning module.
+//! Data types of the scanning module.
 
 use std::collections::VecDeque;
 
 use hollowpaddle_policy::interface::*;
 
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub(crate) enum Fate {
-    Out,
+pub(crate) enum AttemptState {
+    InFlight,
     NeverRan,
     MayHaveRun,
 }
@@ -15,104 +15,116 @@
 pub(crate) struct Attempt {
     pub(crate) server: usize,
     pub(crate) sent: Time,
-    pub(crate) fate: Fate,
-    /// Unanswered for too long.
+    pub(crate) state: AttemptState,
+    /// Whether the attempt has been unanswered for too long.
     pub(crate) overdue: bool,
-    /// Out at the time when a second copy had to go to be in time.
-    pub(crate) asked: bool,
-    /// Its slot was given back before its outcome came.
-    pub(crate) freed: bool,
+    /// Whether the attempt was still in flight at the latest time for a hedge.
+    pub(crate) hedge_due: bool,
+    /// Whether the slot was released before the outcome of the attempt.
+    pub(crate) slot_released: bool,
 }
 
 impl Attempt {
     pub(crate) fn new(server: usize, sent: Time) -> Self {
-        Self { server, sent, fate: Fate::Out, overdue: false, asked: false, freed: false }
+        Self {
+            server,
+            sent,
+            state: AttemptState::InFlight,
+            overdue: false,
+            hedge_due: false,
+            slot_released: false,
+        }
     }
 }
 
 #[derive(Debug)]
-pub(crate) struct Entry {
+pub(crate) struct RequestState {
     pub(crate) class: usize,
     pub(crate) send_deadline: Time,
-    /// When an answer stops being worth anything.
-    pub(crate) worth_until: Time,
-    /// When a held request must be given up.
-    pub(crate) hold_until: Time,
-    pub(crate) held: bool,
-    pub(crate) ended: bool,
+    /// Time after which an answer has no value.
+    pub(crate) valuable_until: Time,
+    /// When a queued request must be given up.
+    pub(crate) queue_deadline: Time,
+    pub(crate) is_queued: bool,
+    pub(crate) is_finished: bool,
     pub(crate) attempts: Vec<Attempt>,
-    /// The key whose turn it waits for.
-    pub(crate) turn: Option<u64>,
+    /// The ordering key of the request.
+    pub(crate) ordering_key: Option<u64>,
 }
 
-/// The requests of one key that are to run in turn, and until when the key rests.
+/// The requests of one ordering key, which run one after another, and the time until which the key
+/// rests.
 #[derive(Debug)]
-pub(crate) struct Line {
+pub(crate) struct KeyQueue {
     pub(crate) waiting: VecDeque<RequestId>,
     pub(crate) rest_until: Time,
 }
 
-/// What the upstreams that one set of classes may be sent to hold and can hold. The first room is the whole
-/// fleet; a class bound to zones or kinds has a room of its own. Failure: refused and held by the sums of the
-/// whole fleet, a bound class queued behind slots it could never have.
+/// Load and capacity of the upstreams that one set of classes may be sent to. The first group
+/// contains all upstreams. A class that is bound to zones or machine types has a separate group:
+/// with the capacity of all upstreams, its requests were queued for slots that they could never
+/// use.
 #[derive(Debug, Default)]
-pub(crate) struct Room {
-    /// A class that is bound so; `None` for the whole fleet.
+pub(crate) struct CapacityGroup {
+    /// A class of the group; `None` for the group of all upstreams.
     pub(crate) class: Option<usize>,
     pub(crate) queued: usize,
     pub(crate) in_flight: usize,
-    /// This proxy's part of the sum of K_i, and of the sum of 1 / (2*TP_i + TS_i), over live upstreams.
+    /// This balancer's share of the sum of K_i, and of the sum of 1 / (2*TP_i + TS_i), over the
+    /// live upstreams.
     pub(crate) slots: f64,
     pub(crate) n_per_time: f64,
 }
 
-/// A tenant's share at this proxy, as a bucket of requests.
+/// The token bucket of a tenant at this balancer. A token is one request.
 #[derive(Debug)]
-pub(crate) struct Quota {
+pub(crate) struct Bucket {
     pub(crate) tokens: f64,
-    pub(crate) counted: Time,
+    pub(crate) refilled_at: Time,
 }
 
-/// What is known of so many requests side by side at upstreams of one kind.
+/// Statistics of one concurrency level of a machine type.
 #[derive(Clone, Copy, Debug, Default)]
-pub(crate) struct Level {
-    /// This round: time spent at the level, and work done there.
+pub(crate) struct LevelStats {
+    /// Time spent at the level and work done there in this round.
     pub(crate) time: f64,
     pub(crate) done: f64,
-    /// Of all rounds: work done, and what the level in use would have done in that time. A fleet that slows
-    /// down as a whole changes neither against the other.
+    /// Work done in all rounds, and the work that the level in use would have done in the same
+    /// time. Their ratio remains the same when all upstreams slow down together.
     pub(crate) all: f64,
     pub(crate) expected: f64,
 }
 
-impl Entry {
-    pub(crate) fn out(&self) -> bool {
-        self.attempts.iter().any(|a| a.fate == Fate::Out)
+impl RequestState {
+    pub(crate) fn is_in_flight(&self) -> bool {
+        self.attempts.iter().any(|a| a.state == AttemptState::InFlight)
     }
     pub(crate) fn all_never_ran(&self) -> bool {
-        self.attempts.iter().all(|a| a.fate == Fate::NeverRan)
+        self.attempts.iter().all(|a| a.state == AttemptState::NeverRan)
     }
 }
 
-pub(crate) trait Rooms {
-    fn rooms(&self) -> (Vec<Room>, Vec<usize>);
+pub(crate) trait CapacityGroups {
+    fn capacity_groups(&self) -> (Vec<CapacityGroup>, Vec<usize>);
 }
 
-impl Rooms for Settings {
-    /// One room for the whole fleet, and one for each set of upstreams that some class is bound to.
-    fn rooms(&self) -> (Vec<Room>, Vec<usize>) {
-        let (mut rooms, mut room_of) = (vec![Room::default()], Vec::new());
+impl CapacityGroups for Settings {
+    /// Returns one group for all upstreams, one for each set of upstreams that some class is bound
+    /// to, and the index of the group of each class.
+    fn capacity_groups(&self) -> (Vec<CapacityGroup>, Vec<usize>) {
+        let (mut capacity_groups, mut group_of_class) =
+            (vec![CapacityGroup::default()], Vec::new());
         for (i, c) in self.classes.iter().enumerate() {
-            let like = |r: &Room| {
+            let like = |r: &CapacityGroup| {
                 let of = r.class.map(|o| &self.classes[o]);
                 of.map(|o| (&o.zones, &o.machine_types)).unwrap_or((&None, &None))
                     == (&c.zones, &c.machine_types)
             };
-            room_of.push(rooms.iter().position(like).unwrap_or_else(|| {
-                rooms.push(Room { class: Some(i), ..Room::default() });
-                rooms.len() - 1
+            group_of_class.push(capacity_groups.iter().position(like).unwrap_or_else(|| {
+                capacity_groups.push(CapacityGroup { class: Some(i), ..CapacityGroup::default() });
+                capacity_groups.len() - 1
             }));
         }
-        (rooms, room_of)
+        (capacity_groups, group_of_class)
     }
 }
