--- a/crates/policy/src/upstreams/list.rs
+++ b/crates/policy/src/upstreams/list.rs
@@ -35,7 +35,7 @@
     /// are refreshed.
     pub(crate) fn apply_list(&mut self, now: Time, kind: ListKind, list: &[Member]) -> Vec<Change> {
         let mut changed = Vec::new();
-        let mut ring_change = RingChange::default();
+        let mut ring = RingChange::default();
         if !kind.is_part() {
             let listed: FxHashSet<ServerId> = list.iter().map(|m| m.id).collect();
             let unlisted = self.by_id.iter().filter(|(id, _)| !listed.contains(id));
@@ -44,23 +44,18 @@
             for i in unlisted {
                 let s = &self.servers[i];
                 let withdrawn = Member { status: Status::Gone, ..s.member() };
-                changed.extend(self.apply_entry(now, &withdrawn, &mut ring_change));
+                changed.extend(self.apply_entry(now, &withdrawn, &mut ring));
             }
         }
         for entry in list {
-            changed.extend(self.apply_entry(now, entry, &mut ring_change));
+            changed.extend(self.apply_entry(now, entry, &mut ring));
         }
-        self.ring.change(&ring_change.removed, &ring_change.added);
+        self.ring.change(&ring.removed, &ring.added);
         changed
     }
 
     /// Applies one entry of a list, and returns the upstream if the entry changes anything.
-    fn apply_entry(
-        &mut self,
-        now: Time,
-        entry: &Member,
-        ring_change: &mut RingChange,
-    ) -> Option<Change> {
+    fn apply_entry(&mut self, now: Time, entry: &Member, ring: &mut RingChange) -> Option<Change> {
         let weight =
             if entry.weight > 0.0 && entry.weight.is_finite() { entry.weight } else { 1.0 };
         let known = self.by_id.get(&entry.id).map(|slot| *slot as usize);
@@ -77,7 +72,7 @@
         let server = known.unwrap_or_else(|| self.add(now, entry));
         let previous_status = self.servers[server].status;
         if previous_status == Status::Live {
-            ring_change.removed.push(self.place_of(server));
+            ring.removed.push(self.place_of(server));
         }
         self.count_member(server, -1);
         self.servers[server].status = Status::Gone;
@@ -92,7 +87,7 @@
         self.servers[server].capacity_groups = capacity_groups;
         self.count_member(server, 1);
         match entry.status {
-            Status::Live => ring_change.added.push(self.place_of(server)),
+            Status::Live => ring.added.push(self.place_of(server)),
             Status::Draining => {}
             Status::Gone => self.departed.push(server),
         }
