--- a/crates/policy/src/concurrency_levels.rs
+++ b/crates/policy/src/concurrency_levels.rs
@@ -24,32 +24,32 @@
     /// Time spent at the level in this round, in microseconds.
     pub(crate) time: f64,
     /// Work done at the level in this round.
-    pub(crate) done: f64,
+    pub(crate) work: f64,
     /// Work done at the level in all rounds, with older answers at a lower weight.
-    pub(crate) all: f64,
-    /// Work that the level in use would have done in the same time. The ratio to `all` remains the
+    pub(crate) total_work: f64,
+    /// Work that the level in use would have done in the same time. The ratio to `total_work` remains the
     /// same when all upstreams slow down together.
-    pub(crate) expected: f64,
+    pub(crate) expected_work: f64,
 }
 
 impl LevelStats {
-    const NONE: Self = Self { time: 0.0, done: 0.0, all: 0.0, expected: 0.0 };
+    const NONE: Self = Self { time: 0.0, work: 0.0, total_work: 0.0, expected_work: 0.0 };
 
     /// Ends a round in which the level in use did `rate` work per microsecond.
     fn end_round(&mut self, rate: f64) {
-        self.all += self.done;
-        self.expected += self.time * rate;
-        (self.time, self.done) = (0.0, 0.0);
-        if self.all > LEVEL_MEMORY_ANSWERS {
-            self.all /= 2.0;
-            self.expected /= 2.0;
+        self.total_work += self.work;
+        self.expected_work += self.time * rate;
+        (self.time, self.work) = (0.0, 0.0);
+        if self.total_work > LEVEL_MEMORY_ANSWERS {
+            self.total_work /= 2.0;
+            self.expected_work /= 2.0;
         }
     }
 
     /// Returns the throughput relative to the level in use. `below` is the relative throughput of
     /// the next lower level.
     fn throughput(&self, below: f64) -> f64 {
-        (self.all + LEVEL_PRIOR_ANSWERS * below) / (self.expected + LEVEL_PRIOR_ANSWERS)
+        (self.total_work + LEVEL_PRIOR_ANSWERS * below) / (self.expected_work + LEVEL_PRIOR_ANSWERS)
     }
 }
 
@@ -77,24 +77,25 @@
 
     /// Returns whether no round has been completed, so that no level could be chosen.
     pub(crate) fn is_initial(&self) -> bool {
-        self.current == 1 && self.stats.iter().all(|l| l.all == 0.0 && l.expected == 0.0)
+        self.current == 1
+            && self.stats.iter().all(|l| l.total_work == 0.0 && l.expected_work == 0.0)
     }
 
     /// Ends a round, if it has enough answers, and chooses the lowest level of sufficient
     /// throughput.
     pub(crate) fn choose(&mut self) {
         let in_use = self.stats[self.current];
-        if in_use.done < LEVEL_ROUND_ANSWERS {
+        if in_use.work < LEVEL_ROUND_ANSWERS {
             return;
         }
-        let rate = in_use.done / in_use.time.max(1.0);
+        let rate = in_use.work / in_use.time.max(1.0);
         let mut throughput = [0.0; MAX_CONCURRENCY + 1];
         let (mut highest_measured, mut best) = (1, 0.0);
         for n in 1..=MAX_CONCURRENCY {
             let below = if n == 1 { 1.0 } else { throughput[n - 1] };
             self.stats[n].end_round(rate);
             throughput[n] = self.stats[n].throughput(below);
-            if self.stats[n].expected > 0.0 {
+            if self.stats[n].expected_work > 0.0 {
                 highest_measured = n;
                 best = throughput[n].max(best);
             }
@@ -103,7 +104,7 @@
         let chosen = (1..=highest_measured).find(is_sufficient).unwrap_or(1);
         if chosen != self.current {
             self.current = chosen;
-            self.stats.iter_mut().for_each(|l| l.expected *= throughput[chosen]);
+            self.stats.iter_mut().for_each(|l| l.expected_work *= throughput[chosen]);
         }
     }
 
@@ -111,6 +112,6 @@
     /// [`SUFFICIENT_THROUGHPUT`] requires.
     pub(crate) fn next_probe(&self) -> NextProbe {
         let level = (2 * self.current).min(MAX_CONCURRENCY);
-        NextProbe { level, is_known: self.stats[level].expected >= LEVEL_PRIOR_ANSWERS }
+        NextProbe { level, is_known: self.stats[level].expected_work >= LEVEL_PRIOR_ANSWERS }
     }
 }
--- a/crates/policy/src/estimate.rs
+++ b/crates/policy/src/estimate.rs
@@ -19,12 +19,12 @@
     /// Slowness: service time, including the wait at the upstream, divided by the mean of all
     /// upstreams for the same class. TS_i is the slowness times the mean TS, whatever mix of
     /// classes the upstream serves.
-    pub(crate) slow: f64,
+    pub(crate) slowness: f64,
 }
 
 impl Estimate {
     /// The estimate before any answer: the upstream is as fast as the mean.
-    pub(crate) const NONE: Self = Self { tp2: None, slow: 1.0 };
+    pub(crate) const NONE: Self = Self { tp2: None, slowness: 1.0 };
 
     /// Updates the estimate with an outcome after `latency`. `mean` is the mean latency of the
     /// class over all upstreams. Both are in microseconds.
@@ -40,6 +40,6 @@
             Outcome::Error | Outcome::Timeout | Outcome::Reset => service.max(FAULT_SLOWNESS),
             _ => return,
         };
-        self.slow += (service.min(MAX_SLOWNESS) - self.slow) * SLOWNESS_GAIN;
+        self.slowness += (service.min(MAX_SLOWNESS) - self.slowness) * SLOWNESS_GAIN;
     }
 }
--- a/crates/policy/src/learned.rs
+++ b/crates/policy/src/learned.rs
@@ -69,7 +69,7 @@
         }
         levels.current = self.level;
         for (level, learned) in levels.stats.iter_mut().zip(&self.levels) {
-            (level.all, level.expected) = *learned;
+            (level.total_work, level.expected_work) = *learned;
         }
         Some(levels)
     }
@@ -114,7 +114,7 @@
     /// Returns whether a balancer could have stored these values: all are finite, and none is
     /// negative.
     fn is_valid(&self) -> bool {
-        let fleet = [
+        let overall = [
             self.ts,
             self.baseline_ts,
             self.leeway,
@@ -122,7 +122,7 @@
             self.answers,
             self.any_rate,
         ];
-        fleet.into_iter().all(is_finite_and_non_negative)
+        overall.into_iter().all(is_finite_and_non_negative)
             && self.ts > 0.0
             && self.baseline_ts > 0.0
             && self.classes.iter().all(ClassLearned::is_valid)
@@ -169,16 +169,16 @@
 impl Balancer {
     /// Returns the estimates that the balancer has learned so far. The call visits all upstreams.
     pub fn learned(&self) -> Learned {
-        let fleet = &self.fleet;
+        let overall = &self.overall;
         Learned {
             numbering_hash: self.settings.numbering_hash,
-            ts: fleet.ts,
-            baseline_ts: fleet.baseline_ts,
-            leeway: fleet.leeway,
-            tolerable_wait: fleet.tolerable_wait,
-            answers: fleet.answers,
+            ts: overall.ts,
+            baseline_ts: overall.baseline_ts,
+            leeway: overall.leeway,
+            tolerable_wait: overall.tolerable_wait,
+            answers: overall.answers,
             any_rate: self.upstreams.machine_types.any_rate,
-            classes: (0..fleet.mean_latency.len()).map(|c| self.learned_of_class(c)).collect(),
+            classes: (0..overall.mean_latency.len()).map(|c| self.learned_of_class(c)).collect(),
             machine_types: (0..self.upstreams.machine_types.len())
                 .map(|k| self.learned_of_machine_type(k))
                 .collect(),
@@ -188,10 +188,10 @@
 
     fn learned_of_class(&self, class: usize) -> ClassLearned {
         ClassLearned {
-            answers: self.fleet.answers_by_class[class],
-            mean_latency: self.fleet.mean_latency[class],
-            latency_deviation: self.fleet.latency_deviation[class],
-            unanswered_share: self.fleet.unanswered_share[class],
+            answers: self.overall.answers_by_class[class],
+            mean_latency: self.overall.mean_latency[class],
+            latency_deviation: self.overall.latency_deviation[class],
+            unanswered_share: self.overall.unanswered_share[class],
             wait_share: self.wait_share(class),
         }
     }
@@ -203,7 +203,7 @@
         MachineTypeLearned {
             warm_rate: machine_types.rate(machine_type as u32),
             level: machine_types.levels(machine_type as u32).current,
-            levels: known.map(|level| (level.all, level.expected)).collect(),
+            levels: known.map(|level| (level.total_work, level.expected_work)).collect(),
         }
     }
 
@@ -214,7 +214,7 @@
             identity: s.identity,
             started: s.started.map(|t| t.0),
             tp2: s.estimate.tp2,
-            slow: s.estimate.slow,
+            slow: s.estimate.slowness,
         };
         let mut upstreams: Vec<UpstreamLearned> = known.map(learned).collect();
         upstreams.sort_unstable_by_key(|u| u.identity);
@@ -229,7 +229,7 @@
     /// Returns an error if the estimates do not fit these settings or contain an invalid value. The
     /// balancer is unchanged then.
     pub fn recall(&mut self, now: Time, learned: &Learned) -> Result<(), RecallError> {
-        let classes = self.fleet.mean_latency.len();
+        let classes = self.overall.mean_latency.len();
         if learned.classes.len() != classes {
             return Err(RecallError::Classes(learned.classes.len(), classes));
         }
@@ -241,7 +241,7 @@
         if !learned.is_valid() {
             return Err(RecallError::InvalidFigure);
         }
-        self.recall_fleet(now, learned);
+        self.recall_overall(now, learned);
         for (machine_type, was) in learned.machine_types.iter().enumerate() {
             self.upstreams.machine_types.restore(
                 machine_type,
@@ -250,24 +250,24 @@
             );
         }
         self.recall_upstreams(now, learned);
-        self.refresh_fleet(now);
+        self.refresh_overall(now);
         Ok(())
     }
 
-    fn recall_fleet(&mut self, now: Time, learned: &Learned) {
-        let fleet = &mut self.fleet;
-        fleet.ts = learned.ts;
-        fleet.baseline_ts = learned.baseline_ts;
-        fleet.leeway = learned.leeway;
-        fleet.tolerable_wait = learned.tolerable_wait;
-        fleet.answers = learned.answers;
-        fleet.paced_ts = learned.ts;
-        fleet.decayed_at = now;
+    fn recall_overall(&mut self, now: Time, learned: &Learned) {
+        let overall = &mut self.overall;
+        overall.ts = learned.ts;
+        overall.baseline_ts = learned.baseline_ts;
+        overall.leeway = learned.leeway;
+        overall.tolerable_wait = learned.tolerable_wait;
+        overall.answers = learned.answers;
+        overall.paced_ts = learned.ts;
+        overall.decayed_at = now;
         for (class, was) in learned.classes.iter().enumerate() {
-            fleet.answers_by_class[class] = was.answers;
-            fleet.mean_latency[class] = was.mean_latency;
-            fleet.latency_deviation[class] = was.latency_deviation;
-            fleet.unanswered_share[class] = was.unanswered_share;
+            overall.answers_by_class[class] = was.answers;
+            overall.mean_latency[class] = was.mean_latency;
+            overall.latency_deviation[class] = was.latency_deviation;
+            overall.unanswered_share[class] = was.unanswered_share;
         }
         self.upstreams.machine_types.any_rate = learned.any_rate;
         self.ranks.restore_wait_shares(learned.classes.iter().map(|c| c.wait_share).collect());
@@ -284,11 +284,11 @@
             let s = &mut self.upstreams.servers[slot];
             let started = s.started.map(|t| t.0);
             if let Some(was) = by_identity.get(&s.identity).filter(|u| u.started == started) {
-                let recalled = Estimate { tp2: was.tp2, slow: was.slow };
+                let recalled = Estimate { tp2: was.tp2, slowness: was.slow };
                 let before = std::mem::replace(&mut s.estimate, recalled);
-                self.fleet.tp2_sum.change(before.tp2, was.tp2);
-                self.fleet.tp2_count += usize::from(was.tp2.is_some());
-                self.fleet.tp2_count -= usize::from(before.tp2.is_some());
+                self.overall.tp2_sum.change(before.tp2, was.tp2);
+                self.overall.tp2_count += usize::from(was.tp2.is_some());
+                self.overall.tp2_count -= usize::from(before.tp2.is_some());
             }
             self.refresh(now, slot);
         }
--- a/crates/policy/src/machine_types.rs
+++ b/crates/policy/src/machine_types.rs
@@ -229,7 +229,7 @@
         if let Some(mut levels) = levels.filter(is_informative) {
             let present = entry.levels.as_deref().unwrap_or(&INITIAL_LEVELS);
             for (level, present) in levels.stats.iter_mut().zip(&present.stats) {
-                (level.time, level.done) = (present.time, present.done);
+                (level.time, level.work) = (present.time, present.work);
             }
             entry.levels = Some(Box::new(levels));
         }
--- a/crates/policy/src/fleet.rs
+++ b/crates/policy/src/overall.rs
@@ -5,7 +5,7 @@
 
 /// This balancer's estimates over all upstreams.
 #[derive(Debug, Default)]
-pub(crate) struct FleetEstimates {
+pub(crate) struct OverallEstimates {
     /// TS: the mean service time of all answers.
     pub(crate) ts: f64,
     /// Number of answers that `ts` is based on.
--- a/crates/policy/src/policy.rs
+++ b/crates/policy/src/policy.rs
@@ -28,9 +28,9 @@
 use oorandom::Rand64;
 
 use crate::attempt_tracker::AttemptTracker;
-use crate::fleet::FleetEstimates;
 use crate::interface::{Action, Event, Refusal, Settings, SettingsError, SignedDuration, Time};
 use crate::list_polling::ListPoller;
+use crate::overall::OverallEstimates;
 use crate::queue::Queue;
 use crate::quotas::Quotas;
 use crate::ranks::Ranks;
@@ -72,7 +72,7 @@
     /// Number of hedges that may still be sent.
     hedge_budget: f64,
     pub(crate) max_attempts: usize,
-    pub(crate) fleet: FleetEstimates,
+    pub(crate) overall: OverallEstimates,
     /// Classes ranked by priority weight per unit of work.
     pub(crate) ranks: Ranks,
     /// Token buckets of the tenants.
@@ -112,7 +112,7 @@
             tracker: AttemptTracker::new(objectives),
             hedge_budget: 1.0,
             max_attempts: settings.limits.max_attempts,
-            fleet: estimation::prior(t_qos, classes, now),
+            overall: estimation::prior(t_qos, classes, now),
             ranks: Ranks::new(classes, 1.0),
             quotas: Quotas::new(&settings, now),
             list_poller: ListPoller::new(&settings, now, 0.0),
--- a/crates/policy/src/policy/admission.rs
+++ b/crates/policy/src/policy/admission.rs
@@ -34,7 +34,7 @@
         let waiting_for_key = self.queue.waiting_for_key(entry.ordering_key);
         self.queue.insert(now, id, entry);
         let is_within_quota = self.is_within_quota(now, request.tenant);
-        let wait = waiting_for_key as f64 * self.fleet.mean_latency[request.class];
+        let wait = waiting_for_key as f64 * self.overall.mean_latency[request.class];
         let earliest_start = now.plus(SignedDuration::from_micros_f64(wait));
         let immediate_server = self.pick_immediately(now, &request, is_within_quota);
         if earliest_start >= queue_deadline {
@@ -82,7 +82,7 @@
     fn admits(&self, class: usize, is_within_quota: bool) -> bool {
         let wait_share = if is_within_quota { self.wait_share(class) } else { 0.0 };
         let load = self.upstreams.capacity_groups.load(class);
-        let n = load.n_per_time * (self.fleet.ts + self.fleet.tolerable_wait * wait_share);
+        let n = load.n_per_time * (self.overall.ts + self.overall.tolerable_wait * wait_share);
         // Before the first endpoint list the sum of N_i is zero, and the request is queued until
         // an upstream is listed or its deadline passes.
         n == 0.0 || ((load.queued + load.in_flight) as f64) < n.max(1.0)
@@ -97,13 +97,13 @@
     /// Recomputes the tolerable wait, and the ranks of the classes by priority weight per unit of
     /// work.
     pub(super) fn refresh_admission(&mut self) {
-        let (classes, mean) = (&self.settings.classes, &self.fleet.mean_latency);
+        let (classes, mean) = (&self.settings.classes, &self.overall.mean_latency);
         self.ranks.refresh(|c| ClassFigures {
             priority: classes[c].priority_weight / mean[c].max(1.0),
             tolerable_wait: classes[c].latency_objective.as_micros_f64() * MAX_WAIT_OF_OBJECTIVE
                 - mean[c],
         });
-        self.fleet.tolerable_wait = self.ranks.shortest_tolerable_wait().max(0.0);
+        self.overall.tolerable_wait = self.ranks.shortest_tolerable_wait().max(0.0);
     }
 
     /// Returns whether one more request of a tenant is within its quota. A rejected request uses
@@ -118,7 +118,8 @@
     pub(super) fn refuse(&mut self, request: RequestId, reason: Refusal, out: &mut Vec<Action>) {
         let longest = self.settings.limits.max_retry_after;
         let retry_after =
-            SignedDuration::from_micros_f64(self.fleet.ts + self.fleet.tolerable_wait).min(longest);
+            SignedDuration::from_micros_f64(self.overall.ts + self.overall.tolerable_wait)
+                .min(longest);
         out.push(Action::Refuse { request, retry_after, reason });
         self.finish(request);
     }
--- a/crates/policy/src/policy/concurrency.rs
+++ b/crates/policy/src/policy/concurrency.rs
@@ -38,10 +38,10 @@
     pub(super) fn refresh_probes(&mut self, now: Time) {
         let are_levels_known = self.upstreams.machine_types.are_levels_known();
         let length = if are_levels_known { PROBE_OF_TS } else { FIRST_PROBE_OF_TS };
-        if now.since(self.fleet.probed_at).as_micros_f64() < self.fleet.ts * length {
+        if now.since(self.overall.probed_at).as_micros_f64() < self.overall.ts * length {
             return;
         }
-        self.fleet.probed_at = now;
+        self.overall.probed_at = now;
         self.upstreams.machine_types.choose_levels();
         for i in std::mem::take(&mut self.probed) {
             self.upstreams.servers[i].probe = 0;
@@ -120,7 +120,7 @@
     /// Returns whether an upstream is representative of its machine type: neither warming up nor an
     /// outlier.
     fn is_representative(&self, now: Time, s: &Server) -> bool {
-        s.estimate.slow <= SUSPECT_SLOWNESS && self.warm_up_share(now, s).is_none()
+        s.estimate.slowness <= SUSPECT_SLOWNESS && self.warm_up_share(now, s).is_none()
     }
 
     /// Records the time since an upstream's number of attempts in flight last changed. If an answer
@@ -137,10 +137,11 @@
         let is_at_once = answered.is_some() && passed < ts * AT_ONCE_OF_TS;
         let done_at = if is_at_once { level.max(s.level_at_last_answer as usize) } else { level };
         if self.is_representative(now, s) && (1..=MAX_CONCURRENCY).contains(&level) {
-            let work = answered.map_or(0.0, |class| self.fleet.mean_latency[class] / self.fleet.ts);
+            let work =
+                answered.map_or(0.0, |class| self.overall.mean_latency[class] / self.overall.ts);
             let levels = &mut self.upstreams.machine_types.levels_mut(s.type_index).stats;
             levels[level].time += passed.min(ts * MAX_GAP_OF_TS);
-            levels[done_at.min(MAX_CONCURRENCY)].done += work;
+            levels[done_at.min(MAX_CONCURRENCY)].work += work;
         }
         let s = &mut self.upstreams.servers[server];
         s.in_flight_changed = now;
--- a/crates/policy/src/policy/estimation.rs
+++ b/crates/policy/src/policy/estimation.rs
@@ -8,8 +8,8 @@
 use super::Balancer;
 use super::fair_share::MIN_LEEWAY;
 use crate::capacity::Capacity;
-use crate::fleet::FleetEstimates;
 use crate::interface::{Settings, Time};
+use crate::overall::OverallEstimates;
 use crate::upstreams::Server;
 
 /// TS of the upstreams before the first answer, as a share of T_QoS.
@@ -25,9 +25,9 @@
 }
 
 /// Returns the estimates that are assumed before the first answer of an upstream.
-pub(super) fn prior(t_qos: f64, classes: usize, now: Time) -> FleetEstimates {
+pub(super) fn prior(t_qos: f64, classes: usize, now: Time) -> OverallEstimates {
     let ts = t_qos * TS_PRIOR_OF_QOS;
-    FleetEstimates {
+    OverallEstimates {
         ts,
         answers: 1.0,
         answers_by_class: vec![0.0; classes],
@@ -40,20 +40,20 @@
         baseline_ts: t_qos,
         decayed_at: now,
         paced_ts: ts,
-        ..FleetEstimates::default()
+        ..OverallEstimates::default()
     }
 }
 
 impl Balancer {
     /// Returns TS_i in microseconds.
     pub(super) fn ts(&self, s: &Server) -> f64 {
-        self.fleet.ts * s.estimate.slow
+        self.overall.ts * s.estimate.slowness
     }
 
     /// Returns 2*TP_i in microseconds, or the mean over all upstreams if the upstream has no
     /// estimate yet.
     fn tp2(&self, s: &Server) -> f64 {
-        s.estimate.tp2.unwrap_or(self.fleet.tp2)
+        s.estimate.tp2.unwrap_or(self.overall.tp2)
     }
 
     /// Returns how many requests an upstream of this machine type runs concurrently.
@@ -107,13 +107,13 @@
             *answers += 1.0;
             MIN_MEAN_GAIN.max(1.0 / *answers)
         };
-        let fleet = &mut self.fleet;
-        fleet.ts += (latency - fleet.ts) * next_gain(&mut fleet.answers);
-        let mean = &mut fleet.mean_latency[class];
+        let overall = &mut self.overall;
+        overall.ts += (latency - overall.ts) * next_gain(&mut overall.answers);
+        let mean = &mut overall.mean_latency[class];
         let is_first = *mean == 0.0;
         let deviation = if is_first { latency / 2.0 } else { (latency - *mean).abs() };
-        let gain = next_gain(&mut fleet.answers_by_class[class]);
-        let mean_deviation = &mut fleet.latency_deviation[class];
+        let gain = next_gain(&mut overall.answers_by_class[class]);
+        let mean_deviation = &mut overall.latency_deviation[class];
         *mean_deviation += (deviation - *mean_deviation) * gain;
         *mean += (latency - *mean) * gain;
         self.ranks.change(class);
--- a/crates/policy/src/policy/fair_share.rs
+++ b/crates/policy/src/policy/fair_share.rs
@@ -27,7 +27,7 @@
     /// Returns the share of all slots that this balancer may use, at most 1. (The single balancer of
     /// the design uses all of them.)
     pub(super) fn capacity_share(&self) -> f64 {
-        (self.fleet.leeway / self.upstreams.sharers).min(1.0)
+        (self.overall.leeway / self.upstreams.sharers).min(1.0)
     }
 
     /// Adjusts the leeway after an attempt that took `latency`, in mean latencies of its class.
@@ -48,20 +48,20 @@
         if is_below_limit && outcome == Outcome::Ok {
             return;
         }
-        let fleet = &mut self.fleet;
-        let is_congested = latency * fleet.ts / fleet.baseline_ts > CONGESTED_LATENCY;
+        let overall = &mut self.overall;
+        let is_congested = latency * overall.ts / overall.baseline_ts > CONGESTED_LATENCY;
         let even_share = self.upstreams.ring.len() as f64 / self.upstreams.sharers;
         let rejected = if outcome == Outcome::Ok { 1.0 } else { REJECTED_FALL };
         let fall = LEEWAY_FALL * (even_share / SMALL_EVEN_SHARE).max(1.0) * rejected;
-        fleet.leeway *= 1.0 + LEEWAY_GAIN * if is_congested { -fall } else { 1.0 };
-        fleet.leeway = fleet.leeway.clamp(MIN_LEEWAY, MIN_LEEWAY.max(self.upstreams.sharers));
+        overall.leeway *= 1.0 + LEEWAY_GAIN * if is_congested { -fall } else { 1.0 };
+        overall.leeway = overall.leeway.clamp(MIN_LEEWAY, MIN_LEEWAY.max(self.upstreams.sharers));
     }
 
     /// Lets the uncongested service time follow TS: at once if TS is shorter, slowly if TS is longer.
     fn learn_baseline(&mut self) {
-        let fleet = &mut self.fleet;
-        let change = fleet.ts - fleet.baseline_ts;
-        let is_shorter = fleet.ts < fleet.baseline_ts;
-        fleet.baseline_ts += if is_shorter { change } else { change * BASELINE_GAIN };
+        let overall = &mut self.overall;
+        let change = overall.ts - overall.baseline_ts;
+        let is_shorter = overall.ts < overall.baseline_ts;
+        overall.baseline_ts += if is_shorter { change } else { change * BASELINE_GAIN };
     }
 }
--- a/crates/policy/src/policy/hedging.rs
+++ b/crates/policy/src/policy/hedging.rs
@@ -23,7 +23,7 @@
 /// An attempt that is overdue or due for a hedge.
 struct DueAttempt {
     request: RequestId,
-    /// Its number among the attempts of the request.
+    /// Number among the attempts of the request.
     number: usize,
     class: usize,
     /// The state of the attempt before this check.
@@ -41,8 +41,8 @@
     /// Returns when an attempt becomes overdue, and when it must be hedged so that the second
     /// attempt can be answered in time.
     fn due_times(&self, tracked: &TrackedAttempt) -> (Time, Time) {
-        let mean = self.fleet.mean_latency[tracked.class];
-        let deviation = self.fleet.latency_deviation[tracked.class];
+        let mean = self.overall.mean_latency[tracked.class];
+        let deviation = self.overall.latency_deviation[tracked.class];
         if mean == 0.0 {
             let objective = self.settings.classes[tracked.class].latency_objective;
             let at = tracked.sent.plus(objective);
@@ -58,8 +58,8 @@
     /// Recomputes, from the mean latency of a class, the least delay after which its attempts may be
     /// due.
     pub(crate) fn reset_hedge_delay(&mut self, class: usize) {
-        let mean = self.fleet.mean_latency[class];
-        let deviation = self.fleet.latency_deviation[class];
+        let mean = self.overall.mean_latency[class];
+        let deviation = self.overall.latency_deviation[class];
         let least = (mean + OVERDUE_DEVIATIONS * deviation).min(mean * MIN_HEDGE_MEANS);
         let objective = self.settings.classes[class].latency_objective;
         let delay = if mean == 0.0 { objective } else { SignedDuration::from_micros_f64(least) };
@@ -128,9 +128,9 @@
             s.last_answered_sent = Time(i64::MIN);
         }
         if due.is_overdue && !due.attempt.overdue && !due.streams_body {
-            let mean = self.fleet.mean_latency[due.class].max(1.0);
+            let mean = self.overall.mean_latency[due.class].max(1.0);
             s.estimate.learn(Outcome::Timeout, now.since(due.attempt.sent).as_micros_f64(), mean);
-            s.by_class.get_mut(due.class).trip(now, mean, MAX_CLASS_PAUSE_DOUBLINGS);
+            s.class_breakers.get_mut(due.class).trip(now, mean, MAX_CLASS_PAUSE_DOUBLINGS);
         }
         if is_hedged {
             self.hedge_budget -= 1.0;
@@ -161,7 +161,7 @@
         let has_idle_slots = load.queued == 0 && (load.in_flight as f64) < load.slots;
         due.is_hedge_due
             && !due.attempt.hedge_due
-            && self.fleet.unanswered_share[due.class] > HEDGE_THRESHOLD
+            && self.overall.unanswered_share[due.class] > HEDGE_THRESHOLD
             && has_idle_slots
             && self.hedge_budget >= 1.0
             && !entry.is_finished
--- a/crates/policy/src/policy/membership.rs
+++ b/crates/policy/src/policy/membership.rs
@@ -52,9 +52,9 @@
             // A random part of the first send is already earned, so that the balancers do not all
             // send at the same time.
             (s.earned_sends, s.earned_at) = (self.rng.rand_float(), now);
-            s.estimate.slow = Estimate::NONE.slow;
+            s.estimate.slowness = Estimate::NONE.slowness;
             s.breaker = Breaker::default();
-            s.by_class.reset_all();
+            s.class_breakers.reset_all();
         }
         if change.previous_status != Some(s.status) {
             s.close_idle_until = now.plus(self.settings.rules.idle_close_limit);
@@ -65,10 +65,10 @@
 
     /// Removes withdrawn upstreams, also from the mean propagation time of all upstreams.
     fn remove_departed(&mut self, now: Time) {
-        let fleet = &mut self.fleet;
+        let overall = &mut self.overall;
         self.upstreams.remove_departed(now, |estimate| {
-            fleet.tp2_sum.change(estimate.tp2, None);
-            fleet.tp2_count -= usize::from(estimate.tp2.is_some());
+            overall.tp2_sum.change(estimate.tp2, None);
+            overall.tp2_count -= usize::from(estimate.tp2.is_some());
         });
     }
 
--- a/crates/policy/src/policy/outlier.rs
+++ b/crates/policy/src/policy/outlier.rs
@@ -73,8 +73,8 @@
             self.learn_latency(class, latency);
         }
         self.count_served(now, server, outcome);
-        let mean = self.fleet.mean_latency[class];
-        let mean = if mean > 0.0 { mean } else { self.fleet.ts };
+        let mean = self.overall.mean_latency[class];
+        let mean = if mean > 0.0 { mean } else { self.overall.ts };
         self.adjust_leeway(latency / mean, outcome);
         self.learn_unanswered(class, attempt, outcome);
         // An overdue attempt was already counted as timed out when it became overdue.
@@ -106,7 +106,7 @@
     /// Updates the share of attempts that were late enough to be hedged and were never answered.
     fn learn_unanswered(&mut self, class: usize, attempt: Attempt, outcome: Outcome) {
         if attempt.hedge_due && outcome != Outcome::Cancelled {
-            let share = &mut self.fleet.unanswered_share[class];
+            let share = &mut self.overall.unanswered_share[class];
             *share += (f64::from(outcome != Outcome::Ok) - *share) * SLOWNESS_GAIN;
         }
     }
@@ -116,8 +116,8 @@
         let estimate = &mut self.upstreams.servers[server].estimate;
         let before = estimate.tp2;
         estimate.learn(outcome, latency, mean);
-        self.fleet.tp2_sum.change(before, estimate.tp2);
-        self.fleet.tp2_count += usize::from(before.is_none() && estimate.tp2.is_some());
+        self.overall.tp2_sum.change(before, estimate.tp2);
+        self.overall.tp2_count += usize::from(before.is_none() && estimate.tp2.is_some());
     }
 
     /// Ejects an upstream after a fault, either for all classes or for the class of the attempt. An
@@ -133,15 +133,15 @@
         let s = &mut self.upstreams.servers[attempt.server];
         match outcome {
             Outcome::Full | Outcome::ConnectFailed => {
-                s.breaker.trip(now, self.fleet.ts * PAUSE_OF_TS, MAX_PAUSE_DOUBLINGS);
+                s.breaker.trip(now, self.overall.ts * PAUSE_OF_TS, MAX_PAUSE_DOUBLINGS);
             }
             Outcome::Ok => {
                 s.last_answered_sent = s.last_answered_sent.max(attempt.sent);
                 s.breaker.faults = 0;
-                s.by_class.reset(class);
+                s.class_breakers.reset(class);
             }
             Outcome::Error | Outcome::Timeout | Outcome::Reset if !attempt.overdue => {
-                s.by_class.get_mut(class).trip(now, mean, MAX_CLASS_PAUSE_DOUBLINGS);
+                s.class_breakers.get_mut(class).trip(now, mean, MAX_CLASS_PAUSE_DOUBLINGS);
             }
             _ => {}
         }
--- a/crates/policy/src/policy/selection.rs
+++ b/crates/policy/src/policy/selection.rs
@@ -35,7 +35,8 @@
             // must not fill them.
             Slots::Probe => s.in_flight < Self::k(s, s.probe) && s.in_flight >= Self::k(s, 0),
         };
-        let is_ejected = s.by_class.is_ejected(now, class) && !self.upstreams.is_panicking(class);
+        let is_ejected =
+            s.class_breakers.is_ejected(now, class) && !self.upstreams.is_panicking(class);
         has_slot
             && !is_ejected
             && s.status == Status::Live
@@ -56,7 +57,7 @@
         let availability = Availability {
             key: if is_free { s.key() } else { Key::ABSENT },
             warm: is_live && !is_warming_up,
-            partly_ejected: is_live && s.by_class.ejected(now).next().is_some(),
+            partly_ejected: is_live && s.class_breakers.ejected(now).next().is_some(),
         };
         if is_live && let Some(at) = self.next_change(now, s, is_warming_up, has_earned_send) {
             self.upstreams.timers.set(server, at.0);
@@ -80,7 +81,7 @@
             Some(_) if !has_earned_send => Some(self.next_send_at(now, s)),
             _ => None,
         };
-        let ejected_until = s.by_class.ejected(now).map(|b| b.breaker.until);
+        let ejected_until = s.class_breakers.ejected(now).map(|b| b.breaker.until);
         [Some(s.breaker.until), warm_at, earned_at]
             .into_iter()
             .flatten()
--- a/crates/policy/src/policy/slow_start.rs
+++ b/crates/policy/src/policy/slow_start.rs
@@ -58,7 +58,7 @@
     /// Returns the sends per microsecond that this balancer may direct at an upstream like `s` once
     /// that is warm.
     fn warm_up_pace(&self, s: &Server) -> f64 {
-        let fleet = &self.fleet;
+        let overall = &self.overall;
         let machine_types = &self.upstreams.machine_types;
         let observed_for_type = machine_types.rate(s.type_index);
         let observed =
@@ -66,7 +66,7 @@
         let observed = s.weight * observed;
         let multiple = self.settings.rules.overload_multiple.max(1.0);
         // If all upstreams are warming up or no rate has been observed yet, an even pace applies.
-        let even = multiple / self.upstreams.sharers / fleet.paced_ts;
+        let even = multiple / self.upstreams.sharers / overall.paced_ts;
         // The observed rate is bounded, since a balancer with few observations overestimates it.
         let by_observation = if observed > 0.0 {
             observed.min(even * OBSERVED_PACE * self.concurrency(s))
@@ -76,7 +76,7 @@
         // The balancers next to an upstream send most of its requests: an even share of the pace
         // would leave the upstream idle.
         let by_ownership = if s.distance <= OWN_DISTANCE {
-            multiple * OWNER_PACE * self.concurrency(s) / fleet.paced_ts
+            multiple * OWNER_PACE * self.concurrency(s) / overall.paced_ts
         } else {
             0.0
         };
@@ -111,9 +111,9 @@
     /// Decays the observed rates by the time since the last call, and makes the present TS the base
     /// of all paces.
     pub(super) fn decay_rates(&mut self, now: Time) {
-        let last = std::mem::replace(&mut self.fleet.decayed_at, now);
+        let last = std::mem::replace(&mut self.overall.decayed_at, now);
         let elapsed = now.since(last).as_micros_f64();
-        self.fleet.paced_ts = self.fleet.ts;
+        self.overall.paced_ts = self.overall.ts;
         let window = self.settings.rules.overload_window.as_micros_f64().max(1.0);
         let warm_up = self.settings.rules.warm_up.as_micros_f64().max(1.0);
         let count = (-elapsed / window).exp();
--- a/crates/policy/src/policy/sweep.rs
+++ b/crates/policy/src/policy/sweep.rs
@@ -5,8 +5,8 @@
 use crate::interface::{Settings, SignedDuration, Time};
 
 /// Up to this number, all upstreams are refreshed by one sweep.
-const SMALL_FLEET: usize = 256;
-/// Number of upstreams that one sweep refreshes if there are more than [`SMALL_FLEET`]. Each
+const FULL_SWEEP_LIMIT: usize = 256;
+/// Number of upstreams that one sweep refreshes if there are more than [`FULL_SWEEP_LIMIT`]. Each
 /// following event refreshes one of the others.
 const SWEEP_SLICE: usize = 64;
 /// Panic threshold: if more than this share of the upstreams of a class is ejected for the class,
@@ -45,7 +45,7 @@
 impl Balancer {
     /// Returns the number of upstreams that one sweep refreshes.
     pub(super) fn sweep_slice(&self) -> usize {
-        if self.upstreams.ring.len() <= SMALL_FLEET { SMALL_FLEET } else { SWEEP_SLICE }
+        if self.upstreams.ring.len() <= FULL_SWEEP_LIMIT { FULL_SWEEP_LIMIT } else { SWEEP_SLICE }
     }
 
     /// Refreshes the next `limit` upstreams of the ring at most, and what this kind of sweep covers
@@ -56,7 +56,7 @@
             (0..limit.min(all)).map(|n| (self.sweep_position + n) % all).collect();
         let slots = self.refresh_distances(now, &indexes);
         if sweep != Sweep::Rest {
-            self.refresh_fleet(now);
+            self.refresh_overall(now);
         }
         if sweep == Sweep::Timer {
             self.refresh_probes(now);
@@ -96,16 +96,16 @@
     /// upstreams cost more.
     pub(crate) fn refresh(&mut self, now: Time, server: usize) {
         let s = &mut self.upstreams.servers[server];
-        s.cost = (MIN_DISTANCE + s.distance) * s.estimate.slow * s.estimate.slow;
+        s.cost = (MIN_DISTANCE + s.distance) * s.estimate.slowness * s.estimate.slowness;
         self.update(server);
         self.refresh_availability(now, server);
     }
 
     /// Refreshes the mean propagation time of all upstreams, the observed rates, and the classes for
     /// which the panic threshold is reached.
-    pub(crate) fn refresh_fleet(&mut self, now: Time) {
-        if self.fleet.tp2_count > 0 {
-            self.fleet.tp2 = self.fleet.tp2_sum.get() / self.fleet.tp2_count as f64;
+    pub(crate) fn refresh_overall(&mut self, now: Time) {
+        if self.overall.tp2_count > 0 {
+            self.overall.tp2 = self.overall.tp2_sum.get() / self.overall.tp2_count as f64;
         }
         self.decay_rates(now);
         self.upstreams.refresh_panic(PANIC_SHARE);
--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -136,7 +136,7 @@
 pub struct ScoringMix {
     /// The whole run.
     pub whole: f64,
-    /// Its worst window of time.
+    /// The worst time window of the run.
     pub worst_window: f64,
     /// The worst-served class.
     pub worst_class: f64,
--- a/crates/policy/src/upstreams/availability.rs
+++ b/crates/policy/src/upstreams/availability.rs
@@ -61,7 +61,8 @@
     /// Updates the ejection counts of all classes to those for which an upstream is ejected now.
     fn count_ejections(&mut self, now: Time, server: usize) {
         let s = &self.servers[server];
-        let ejected = s.by_class.ejected(now).map(|b| b.class).filter(|_| s.is_partly_ejected);
+        let ejected =
+            s.class_breakers.ejected(now).map(|b| b.class).filter(|_| s.is_partly_ejected);
         let ejected: Vec<u32> = ejected.filter(|class| self.serves(*class as usize, s)).collect();
         for &class in &ejected {
             let group = self.capacity_groups.of_class_mut(class as usize);
@@ -71,7 +72,7 @@
             };
             self.ejected_classes.entry(class).or_insert_with(new).count += 1;
         }
-        for class in self.servers[server].by_class.count(ejected) {
+        for class in self.servers[server].class_breakers.count(ejected) {
             if let Some(previous) = self.ejected_classes.get_mut(&class) {
                 previous.count -= 1;
             }
@@ -86,7 +87,7 @@
             let Some(group) = self.capacity_groups.get_mut(number) else { continue };
             for class in &group.ejected_classes {
                 let Some(ejected) = self.ejected_classes.get_mut(class) else { continue };
-                let key = ejected.key(key, s.by_class.is_ejected(now, *class as usize));
+                let key = ejected.key(key, s.class_breakers.is_ejected(now, *class as usize));
                 ejected.available.get_mut(area).set(server, key);
             }
         }
--- a/crates/policy/src/upstreams/server.rs
+++ b/crates/policy/src/upstreams/server.rs
@@ -34,7 +34,7 @@
     pub(crate) breaker: Breaker,
     /// Breakers by class. They trip when an attempt times out, its connection breaks, or it ends in
     /// an error.
-    pub(crate) by_class: ClassBreakers,
+    pub(crate) class_breakers: ClassBreakers,
     /// Latest time of sending among the attempts that the upstream has answered.
     pub(crate) last_answered_sent: Time,
     pub(crate) estimate: Estimate,
@@ -89,7 +89,7 @@
             in_flight_changed: now,
             level_at_last_answer: 0,
             breaker: Breaker::default(),
-            by_class: ClassBreakers::default(),
+            class_breakers: ClassBreakers::default(),
             last_answered_sent: Time(i64::MIN),
             estimate: Estimate::NONE,
             k: 1.0,
--- a/crates/policy/tests/scanning/policy.rs
+++ b/crates/policy/tests/scanning/policy.rs
@@ -212,7 +212,7 @@
     /// Breaker for all classes, which trips when the upstream rejects a request or is unreachable;
     /// and breakers by class, which trip when an attempt is unanswered or ends in an error.
     breaker: Breaker,
-    by_class: Vec<Breaker>,
+    class_breakers: Vec<Breaker>,
     /// Latest time of sending among the attempts that the upstream has answered.
     last_answered_sent: Time,
     estimate: Estimate,
@@ -252,7 +252,7 @@
     hedge_budget: f64,
     /// By class: whether the panic threshold is reached, so that ejection is ignored.
     is_panicking: Vec<bool>,
-    fleet: FleetEstimates,
+    overall: OverallEstimates,
     /// Token buckets of the tenants.
     quotas: Vec<Bucket>,
     list_poller: ListPoller,
@@ -352,7 +352,7 @@
 
 /// This balancer's estimates over all upstreams.
 #[derive(Debug, Default)]
-struct FleetEstimates {
+struct OverallEstimates {
     ts: f64,
     answers: f64,
     answers_by_class: Vec<f64>,
@@ -387,16 +387,16 @@
 
 impl Balancer {
     fn ts(&self, s: &Server) -> f64 {
-        self.fleet.ts * s.estimate.slow
+        self.overall.ts * s.estimate.slow
     }
 
     fn tp2(&self, s: &Server) -> f64 {
-        s.estimate.tp2.unwrap_or(self.fleet.tp2)
+        s.estimate.tp2.unwrap_or(self.overall.tp2)
     }
 
     /// Returns how many requests an upstream of this machine type runs concurrently.
     fn concurrency(&self, s: &Server) -> f64 {
-        self.fleet.levels[s.machine_type as usize].current as f64
+        self.overall.levels[s.machine_type as usize].current as f64
     }
 
     /// Returns K_i, limited to N_i: 2*TP_i / TS_i + 1 for an upstream that runs one request at a
@@ -416,7 +416,7 @@
     /// assumed to have a proportionally higher throughput. Without this assumption a new balancer
     /// would reject requests while upstreams are idle.
     fn n_optimistic(&self, s: &Server) -> f64 {
-        let levels = &self.fleet.levels[s.machine_type as usize];
+        let levels = &self.overall.levels[s.machine_type as usize];
         let (next, known) = levels.next();
         self.n_rate(s) * if known { 1.0 } else { next as f64 / levels.current as f64 }
     }
@@ -428,14 +428,14 @@
 
     fn refresh_probes(&mut self, now: Time) {
         let warm = |s: &&Server| s.status == Status::Live && self.warm_up_share(now, s).is_none();
-        let of = |s: &Server| self.fleet.levels[s.machine_type as usize].next().1;
+        let of = |s: &Server| self.overall.levels[s.machine_type as usize].next().1;
         let known = self.servers.iter().filter(warm).all(of);
         let round = if known { PROBE_OF_TS } else { FIRST_PROBE_OF_TS };
-        if now.since(self.fleet.probed_at).as_micros_f64() < self.fleet.ts * round {
+        if now.since(self.overall.probed_at).as_micros_f64() < self.overall.ts * round {
             return;
         }
-        self.fleet.probed_at = now;
-        self.fleet.levels.iter_mut().for_each(ConcurrencyLevels::choose);
+        self.overall.probed_at = now;
+        self.overall.levels.iter_mut().for_each(ConcurrencyLevels::choose);
         // One own upstream at a time is probed, or a random part of them, at most half, while the
         // next level is unmeasured. With six cores that were measured one by one, a quarter of the
         // requests was rejected during the first minute of a quiet run. Only own upstreams are
@@ -453,7 +453,7 @@
         let sharers = f64::from(self.settings.balancers);
         let first = (1.0 / (sharers * sharers)).min(0.5);
         for &i in &own {
-            let levels = &self.fleet.levels[self.servers[i].machine_type as usize];
+            let levels = &self.overall.levels[self.servers[i].machine_type as usize];
             let (next, known) = levels.next();
             if !known && self.rng.rand_float() < first {
                 self.servers[i].probe = (next - levels.current) as i32;
@@ -461,7 +461,7 @@
         }
         let [more, fewer] =
             [(), ()].map(|()| own[self.rng.rand_range(0..own.len() as u64) as usize]);
-        let levels = &self.fleet.levels[self.servers[more].machine_type as usize];
+        let levels = &self.overall.levels[self.servers[more].machine_type as usize];
         let (next, known) = levels.next();
         if !known {
             return;
@@ -469,7 +469,7 @@
         if self.rng.rand_float() < LATER_PROBES * own.len() as f64 {
             self.servers[more].probe = (next - levels.current) as i32;
         } else {
-            let count = self.fleet.levels[self.servers[fewer].machine_type as usize].current;
+            let count = self.overall.levels[self.servers[fewer].machine_type as usize].current;
             self.servers[fewer].probe = -((count - 1).min((count / 3).max(1)) as i32);
         }
     }
@@ -477,7 +477,7 @@
     /// Returns the share of all slots that this balancer may use. (The single balancer of the
     /// design uses all of them.)
     fn capacity_share(&self) -> f64 {
-        (self.fleet.leeway / f64::from(self.settings.balancers)).min(1.0)
+        (self.overall.leeway / f64::from(self.settings.balancers)).min(1.0)
     }
 
     /// Returns whether an upstream is representative of its machine type: neither warming up nor an
@@ -500,10 +500,10 @@
         let at_once = answered.is_some() && passed < ts * AT_ONCE_OF_TS;
         let level_at_last_answer = if at_once { level.max(s.level_at_last_answer) } else { level };
         if self.is_representative(now, s) && (1..=MAX_CONCURRENCY).contains(&level) {
-            let of = &mut self.fleet.levels[machine_type].stats;
+            let of = &mut self.overall.levels[machine_type].stats;
             of[level].time += passed.min(ts * MAX_GAP_OF_TS);
             of[level_at_last_answer.min(MAX_CONCURRENCY)].done +=
-                answered.map_or(0.0, |class| self.fleet.mean_latency[class] / self.fleet.ts);
+                answered.map_or(0.0, |class| self.overall.mean_latency[class] / self.overall.ts);
         }
         let s = &mut self.servers[server];
         (s.in_flight_changed, s.level_at_last_answer) =
@@ -514,7 +514,7 @@
     /// counts as one answer, and each answer for its share of all answers, until the values become
     /// moving means.
     fn learn_latency(&mut self, class: usize, latency: f64) {
-        let f = &mut self.fleet;
+        let f = &mut self.overall;
         let gain = |seen: &mut f64| {
             *seen += 1.0;
             MIN_MEAN_GAIN.max(1.0 / *seen)
@@ -533,19 +533,19 @@
         Some((s.in_flight, self.k(s, 0), self.n_rate(s) * t.as_micros_f64()))
     }
 
-    fn refresh_fleet(&mut self, now: Time) {
+    fn refresh_overall(&mut self, now: Time) {
         let (mut tp2, mut seen) = (0.0, 0.0);
         for t in self.servers.iter().filter_map(|s| s.estimate.tp2) {
             tp2 += t;
             seen += 1.0;
         }
         if seen > 0.0 {
-            self.fleet.tp2 = tp2 / seen;
+            self.overall.tp2 = tp2 / seen;
         }
         let shut = |c: usize| {
             let open = |i: &&usize| self.serves(Some(c), &self.servers[**i]);
             let (all, shut) = self.order.iter().filter(open).fold((0.0, 0.0), |(all, shut), &i| {
-                (all + 1.0, shut + f64::from(now < self.servers[i].by_class[c].until))
+                (all + 1.0, shut + f64::from(now < self.servers[i].class_breakers[c].until))
             });
             shut > all * PANIC_SHARE
         };
@@ -616,8 +616,9 @@
             entry.ordering_key.and_then(|k| self.key_queues.get(&k)).map_or(0, |l| l.waiting.len());
         self.requests.insert(r.id, entry);
         let is_within_quota = self.is_within_quota(now, r.tenant);
-        let starts = now
-            .plus(SignedDuration::from_micros_f64(ahead as f64 * self.fleet.mean_latency[r.class]));
+        let starts = now.plus(SignedDuration::from_micros_f64(
+            ahead as f64 * self.overall.mean_latency[r.class],
+        ));
         let is_queued = |id: &RequestId| {
             let e = self.requests.get(id).filter(|e| e.is_queued);
             e.is_some_and(|e| !e.attempts.is_empty() || self.may_run_in_order(now, *id, e))
@@ -654,16 +655,16 @@
     fn admits(&self, class: usize, is_within_quota: bool) -> bool {
         // Guards against a tenant that sends three times its quota and takes the share of other
         // tenants while all upstreams are full.
-        let part = if is_within_quota { self.fleet.wait_share[class] } else { 0.0 };
+        let part = if is_within_quota { self.overall.wait_share[class] } else { 0.0 };
         let group = &self.capacity_groups[self.group_of_class[class]];
-        let n = group.n_per_time * (self.fleet.ts + self.fleet.tolerable_wait * part);
+        let n = group.n_per_time * (self.overall.ts + self.overall.tolerable_wait * part);
         // Before the first endpoint list the sum of N_i is zero, and the request is queued until an
         // upstream is listed or its deadline passes.
         n == 0.0 || ((group.queued + group.in_flight) as f64) < n.max(1.0)
     }
 
     fn refresh_admission(&mut self) {
-        let f = &mut self.fleet;
+        let f = &mut self.overall;
         let classes = &self.settings.classes;
         let bear = |(c, m): (&Class, &f64)| {
             c.latency_objective.as_micros_f64() * MAX_WAIT_OF_OBJECTIVE - m
@@ -685,7 +686,8 @@
         // sooner waits behind the same queue.
         let most = self.settings.limits.max_retry_after;
         let retry_after =
-            SignedDuration::from_micros_f64(self.fleet.ts + self.fleet.tolerable_wait).min(most);
+            SignedDuration::from_micros_f64(self.overall.ts + self.overall.tolerable_wait)
+                .min(most);
         out.push(Action::Refuse { request, retry_after, reason });
         self.finish(request);
     }
@@ -813,7 +815,7 @@
             if s.in_flight >= self.k(s, probe) || (full && s.in_flight < self.k(s, 0)) {
                 continue;
             }
-            let shut = now < s.by_class[e.class].until && !self.is_panicking[e.class];
+            let shut = now < s.class_breakers[e.class].until && !self.is_panicking[e.class];
             if shut || now < s.breaker.until || !self.may_send(now, id, e, i) {
                 continue;
             }
@@ -964,12 +966,12 @@
         if a.outcome == Outcome::Ok {
             self.count_served(now, server);
         }
-        let mean = self.fleet.mean_latency[class];
-        let mean = if mean > 0.0 { mean } else { self.fleet.ts };
+        let mean = self.overall.mean_latency[class];
+        let mean = if mean > 0.0 { mean } else { self.overall.ts };
         self.adjust_leeway(latency / mean, a.outcome);
         let s = &mut self.servers[server];
         if attempt.hedge_due && a.outcome != Outcome::Cancelled {
-            let unanswered_share = &mut self.fleet.unanswered_share[class];
+            let unanswered_share = &mut self.overall.unanswered_share[class];
             *unanswered_share +=
                 (f64::from(a.outcome != Outcome::Ok) - *unanswered_share) * SLOWNESS_GAIN;
         }
@@ -979,15 +981,15 @@
         }
         match a.outcome {
             Outcome::Full | Outcome::ConnectFailed => {
-                s.breaker.trip(now, self.fleet.ts * PAUSE_OF_TS, MAX_PAUSE_DOUBLINGS);
+                s.breaker.trip(now, self.overall.ts * PAUSE_OF_TS, MAX_PAUSE_DOUBLINGS);
             }
             Outcome::Ok => {
                 s.last_answered_sent = s.last_answered_sent.max(attempt.sent);
                 s.breaker.faults = 0;
-                s.by_class[class] = Breaker::default();
+                s.class_breakers[class] = Breaker::default();
             }
             Outcome::Error | Outcome::Timeout | Outcome::Reset if !attempt.overdue => {
-                s.by_class[class].trip(now, mean, MAX_CLASS_PAUSE_DOUBLINGS);
+                s.class_breakers[class].trip(now, mean, MAX_CLASS_PAUSE_DOUBLINGS);
             }
             _ => {}
         }
@@ -1001,7 +1003,7 @@
     /// after which the remaining balancers kept the limits of a complete cluster and rejected
     /// requests while upstreams were idle.
     fn adjust_leeway(&mut self, latency: f64, outcome: Outcome) {
-        let f = &mut self.fleet;
+        let f = &mut self.overall;
         let latency = match outcome {
             Outcome::Ok => latency.min(MAX_SLOWNESS),
             Outcome::Full => MAX_SLOWNESS,
@@ -1031,7 +1033,8 @@
     /// attempt can be answered in time.
     fn due_times(&self, e: &RequestState, a: &Attempt) -> (Time, Time) {
         let class = &self.settings.classes[e.class];
-        let (mean, dev) = (self.fleet.mean_latency[e.class], self.fleet.latency_deviation[e.class]);
+        let (mean, dev) =
+            (self.overall.mean_latency[e.class], self.overall.latency_deviation[e.class]);
         if mean == 0.0 {
             return (a.sent.plus(class.latency_objective), a.sent.plus(class.latency_objective));
         }
@@ -1061,7 +1064,7 @@
             let (late, hedge_due) = (a.overdue || now >= late_at, a.hedge_due || now >= again_at);
             let group = &self.capacity_groups[self.group_of_class[e.class]];
             let idle = group.queued == 0 && (group.in_flight as f64) < group.slots;
-            let likely = self.fleet.unanswered_share[e.class] > HEDGE_THRESHOLD;
+            let likely = self.overall.unanswered_share[e.class] > HEDGE_THRESHOLD;
             let again = hedge_due && !a.hedge_due && likely && idle && self.hedge_budget >= 1.0;
             let again = again && !e.is_finished && !e.is_queued && now < e.queue_deadline;
             let again = again && self.order.iter().any(|&i| self.may_attempt_at(now, e, i));
@@ -1077,9 +1080,9 @@
                 s.last_answered_sent = Time(i64::MIN);
             }
             if late && !a.overdue {
-                let mean = self.fleet.mean_latency[class].max(1.0);
+                let mean = self.overall.mean_latency[class].max(1.0);
                 s.estimate.learn(Outcome::Timeout, now.since(a.sent).as_micros_f64(), mean);
-                s.by_class[class].trip(now, mean, MAX_CLASS_PAUSE_DOUBLINGS);
+                s.class_breakers[class].trip(now, mean, MAX_CLASS_PAUSE_DOUBLINGS);
             }
             if again {
                 self.hedge_budget -= 1.0;
@@ -1185,7 +1188,7 @@
     /// Returns the sends per microsecond that this balancer may direct at an upstream like `s` once
     /// that is warm.
     fn warm_up_pace(&self, s: &Server) -> f64 {
-        let f = &self.fleet;
+        let f = &self.overall;
         let like = f.warm_rate.get(s.machine_type as usize).copied().unwrap_or(0.0);
         let rate = s.weight * if like > 0.0 { like } else { f.any_rate };
         let multiple = self.settings.rules.overload_multiple.max(1.0);
@@ -1221,17 +1224,17 @@
             return;
         }
         let machine_type = s.machine_type as usize;
-        if self.fleet.warm_served.len() <= machine_type {
-            self.fleet.warm_served.resize(machine_type + 1, 0.0);
+        if self.overall.warm_served.len() <= machine_type {
+            self.overall.warm_served.resize(machine_type + 1, 0.0);
         }
-        self.fleet.warm_served[machine_type] += 1.0;
+        self.overall.warm_served[machine_type] += 1.0;
     }
 
     fn decay_rates(&mut self, now: Time) {
-        let elapsed = now.since(self.fleet.decayed_at).as_micros_f64();
-        self.fleet.decayed_at = now;
-        self.fleet.warm_served.resize(self.fleet.levels.len(), 0.0);
-        let mut weight = vec![0.0; self.fleet.warm_served.len()];
+        let elapsed = now.since(self.overall.decayed_at).as_micros_f64();
+        self.overall.decayed_at = now;
+        self.overall.warm_served.resize(self.overall.levels.len(), 0.0);
+        let mut weight = vec![0.0; self.overall.warm_served.len()];
         for i in 0..self.servers.len() {
             let s = &self.servers[i];
             if s.status != Status::Live {
@@ -1244,10 +1247,10 @@
                 *w += s.weight;
             }
         }
-        self.fleet.paced_ts = self.fleet.ts;
+        self.overall.paced_ts = self.overall.ts;
         let window = self.settings.rules.overload_window.as_micros_f64().max(1.0);
         let cold = self.settings.rules.warm_up.as_micros_f64().max(1.0);
-        let f = &mut self.fleet;
+        let f = &mut self.overall;
         let decay = (-elapsed / window).exp();
         f.warm_served.iter_mut().for_each(|w| *w *= decay);
         f.warm_rate.resize(weight.len(), 0.0);
@@ -1318,7 +1321,7 @@
             in_flight_attempts: Vec::new(),
             hedge_budget: 1.0,
             is_panicking: vec![false; classes],
-            fleet: FleetEstimates {
+            overall: OverallEstimates {
                 ts: t_qos * TS_PRIOR_OF_QOS,
                 mean_latency: vec![0.0; classes],
                 latency_deviation: vec![0.0; classes],
@@ -1333,7 +1336,7 @@
                 leeway: MIN_LEEWAY,
                 baseline_ts: t_qos,
                 decayed_at: now,
-                ..FleetEstimates::default()
+                ..OverallEstimates::default()
             },
             quotas: settings
                 .tenants
@@ -1385,7 +1388,7 @@
         self.check_due(now);
         self.decay_rates(now);
         self.refresh_probes(now);
-        self.refresh_fleet(now);
+        self.refresh_overall(now);
         self.give_up_expired(now, out);
         self.dispatch(now, out);
         self.key_queues.retain(|_, l| !l.waiting.is_empty() || now < l.rest_until);
@@ -1444,7 +1447,7 @@
         }
         self.refresh_distances();
         self.decay_rates(now);
-        self.refresh_fleet(now);
+        self.refresh_overall(now);
         self.dispatch(now, out);
     }
 
@@ -1545,7 +1548,7 @@
                 level_at_last_answer: 0,
                 in_flight_changed: now,
                 breaker: Breaker::default(),
-                by_class: vec![Breaker::default(); self.settings.classes.len()],
+                class_breakers: vec![Breaker::default(); self.settings.classes.len()],
                 last_answered_sent: Time(i64::MIN),
                 estimate: Estimate::NONE,
                 k: 1.0,
@@ -1557,15 +1560,15 @@
             });
         }
         let machine_type = m.machine_type.min(255) as usize;
-        if self.fleet.levels.len() <= machine_type {
-            self.fleet.levels.resize_with(machine_type + 1, ConcurrencyLevels::new);
+        if self.overall.levels.len() <= machine_type {
+            self.overall.levels.resize_with(machine_type + 1, ConcurrencyLevels::new);
         }
         let s = &mut self.servers[i];
         if s.started != m.started && m.started.is_some() {
             (s.earned_sends, s.earned_at) = (self.rng.rand_float(), now);
             s.estimate.slow = Estimate::NONE.slow;
             s.breaker = Breaker::default();
-            s.by_class.fill(Breaker::default());
+            s.class_breakers.fill(Breaker::default());
         }
         (s.zone, s.machine_type, s.cell) = (m.zone, m.machine_type.min(255), m.cell);
         (s.status, s.started) = (m.status, m.started);
--- a/crates/policy/tests/slow_start.rs
+++ b/crates/policy/tests/slow_start.rs
@@ -105,7 +105,7 @@
     incarnations: Vec<u32>,
     attempts: BTreeMap<u64, usize>,
     last: u64,
-    fleet: Vec<Upstream>,
+    upstreams: Vec<Upstream>,
     served: u64,
     /// Requests since [`BACK`].
     warming_up_requests: u64,
@@ -142,7 +142,7 @@
             jobs: VecDeque::new(),
             sent: Vec::new(),
         };
-        let fleet: Vec<Upstream> = (0..scenario.upstreams).map(upstream).collect();
+        let upstreams: Vec<Upstream> = (0..scenario.upstreams).map(upstream).collect();
         let balancer = |position| {
             let s = Settings { position, ..settings.clone() };
             Balancer::new(s, rng.rand_u64(), Time(0)).expect("sound settings")
@@ -160,7 +160,7 @@
             incarnations,
             attempts: BTreeMap::new(),
             last: 0,
-            fleet,
+            upstreams,
             served: 0,
             warming_up_requests: 0,
             warming_up_served: 0,
@@ -213,7 +213,7 @@
 
     /// Returns the requests per microsecond that a warm upstream serves.
     fn rate(&self, upstream: usize) -> f64 {
-        self.fleet[upstream].speed / WORK
+        self.upstreams[upstream].speed / WORK
     }
 
     /// Returns the least share of its capacity that an upstream has at this age.
@@ -224,7 +224,7 @@
     }
 
     fn until_next(&mut self, balancer: usize) -> i64 {
-        let all: f64 = (0..self.fleet.len()).map(|i| self.rate(i)).sum();
+        let all: f64 = (0..self.upstreams.len()).map(|i| self.rate(i)).sum();
         let parts = self.scenario.favoured + (self.balancers.len() - 1) as f64;
         let part = if balancer == 0 { self.scenario.favoured } else { 1.0 } / parts;
         (-(1.0 - self.rng.rand_float()).ln() / (all * self.scenario.load * part)) as i64
@@ -234,12 +234,12 @@
         let id = ServerId(upstream as u32);
         let identity = (upstream as u64 + 1).wrapping_mul(0x9e37_79b9_7f4a_7c15);
         let status = if up { Status::Live } else { Status::Gone };
-        let started = self.fleet[upstream].started.map(Time);
+        let started = self.upstreams[upstream].started.map(Time);
         Member { identity, status, started, ..Member::live(id) }
     }
 
     fn complete_list(&mut self, balancer: usize) {
-        let up = (0..self.fleet.len()).filter(|i| self.fleet[*i].up);
+        let up = (0..self.upstreams.len()).filter(|i| self.upstreams[*i].up);
         let list: Vec<Member> = up.map(|i| self.member(i, true)).collect();
         self.deliver(balancer, Event::Members { kind: ListKind::Complete, list: &list });
     }
@@ -255,7 +255,7 @@
                         *self.attempts.entry(request.0).and_modify(|n| *n += 1).or_default();
                     let to = server.0 as usize;
                     if self.warm_up_age(to).is_some() {
-                        self.fleet[to].sent.push(self.now);
+                        self.upstreams[to].sent.push(self.now);
                     }
                     let due = Due::Arrive(to, balancer, incarnation, request.0, attempt, self.now);
                     self.later(ONE_WAY_DELAY, due);
@@ -270,14 +270,14 @@
 
     /// Returns the time since the start of an upstream, while it is warming up.
     fn warm_up_age(&self, upstream: usize) -> Option<i64> {
-        let age = self.now - self.fleet[upstream].started?;
+        let age = self.now - self.upstreams[upstream].started?;
         (age < self.settings.rules.warm_up.0).then_some(age)
     }
 
     fn work(&mut self, upstream: usize) {
         let share = self.warm_up_age(upstream).map_or(1.0, |age| self.share(age));
         let takes = (1.0 / (self.rate(upstream) * share)) as i64;
-        let incarnation = self.fleet[upstream].incarnation;
+        let incarnation = self.upstreams[upstream].incarnation;
         self.later(takes, Due::Work(upstream, incarnation));
     }
 
@@ -320,28 +320,28 @@
             }
             Due::Arrive(to, p, incarnation, request, attempt, sent) => {
                 let job = (p, incarnation, request, attempt, sent);
-                if self.is_greedy() && self.fleet[to].up && self.warm_up_age(to).is_some() {
+                if self.is_greedy() && self.upstreams[to].up && self.warm_up_age(to).is_some() {
                     let took = (1.0 / self.rate(to)) as i64;
                     self.warming_up_served += 1;
                     let due = Due::Answer(p, incarnation, request, attempt, to, true, sent);
                     return self.later(took, due);
                 }
-                let held = self.fleet[to].jobs.len();
-                if !self.fleet[to].up || held >= UPSTREAM_QUEUE {
+                let held = self.upstreams[to].jobs.len();
+                if !self.upstreams[to].up || held >= UPSTREAM_QUEUE {
                     return self.answer(job, to, false);
                 }
-                self.fleet[to].jobs.push_back(job);
+                self.upstreams[to].jobs.push_back(job);
                 if held == 0 {
                     self.work(to);
                 }
             }
-            Due::Work(of, incarnation) if incarnation == self.fleet[of].incarnation => {
-                if let Some(job) = self.fleet[of].jobs.pop_front() {
+            Due::Work(of, incarnation) if incarnation == self.upstreams[of].incarnation => {
+                if let Some(job) = self.upstreams[of].jobs.pop_front() {
                     self.served += 1;
                     self.warming_up_served += u64::from(self.now >= BACK);
                     self.answer(job, of, true);
                 }
-                if !self.fleet[of].jobs.is_empty() {
+                if !self.upstreams[of].jobs.is_empty() {
                     self.work(of);
                 }
             }
@@ -357,18 +357,18 @@
             Due::Stop(i) | Due::Back(i) => {
                 let up = due == Due::Back(i);
                 if up {
-                    self.fleet[i].started = Some(self.now);
+                    self.upstreams[i].started = Some(self.now);
                 }
-                self.fleet[i].up = up;
-                self.fleet[i].incarnation += 1;
-                let held = std::mem::take(&mut self.fleet[i].jobs);
+                self.upstreams[i].up = up;
+                self.upstreams[i].incarnation += 1;
+                let held = std::mem::take(&mut self.upstreams[i].jobs);
                 held.into_iter().for_each(|job| self.answer(job, i, false));
                 for p in 0..self.balancers.len() {
                     let wait = self.rng.rand_range(0..self.scenario.spread as u64 + 1) as i64;
                     self.later(wait, Due::ListMessage(p, i, up));
                 }
             }
-            Due::ListMessage(p, i, up) if up == self.fleet[i].up => {
+            Due::ListMessage(p, i, up) if up == self.upstreams[i].up => {
                 let list = [self.member(i, up)];
                 self.deliver(p, Event::Members { kind: ListKind::Update, list: &list });
             }
@@ -388,7 +388,7 @@
     fn worst(&self) -> (usize, f64, f64) {
         let rules = &self.settings.rules;
         let mut worst = (0, 0.0, 0.0);
-        for (i, upstream) in self.fleet.iter().enumerate() {
+        for (i, upstream) in self.upstreams.iter().enumerate() {
             let Some(started) = upstream.started else { continue };
             let mut from = 0;
             for (through, at) in upstream.sent.iter().enumerate() {
