--- a/crates/policy/benches/capacity.rs
+++ b/crates/policy/benches/capacity.rs
@@ -1,6 +1,6 @@
-//! What the module costs by upstreams and classes: memory, the longest event, a request, an idle second.
-//! `cargo bench -p hollowpaddle-policy --bench capacity`; with numbers of upstreams, classes, classes in use and rounds
-//! behind `--`, that row.
+//! Measures the cost of the module by the numbers of upstreams and classes: memory, the longest event, a request and an
+//! idle second. Run with `cargo bench -p hollowpaddle-policy --bench capacity`. The numbers of upstreams, classes, classes
+//! in use and rounds after `--` select a single row.
 
 #[path = "../tests/allocation/mod.rs"]
 mod allocation;
@@ -14,13 +14,13 @@
 #[global_allocator]
 static ALLOCATOR: Counting = Counting;
 
-/// Rounds; figures are the least over them, since the machine interrupts some.
+/// Number of rounds. Each figure is the least over all rounds, since the machine interrupts some of them.
 const ROUNDS: u32 = 20;
-/// Times that the list is taken in by a new module, at most.
+/// Most times that a new module applies the list.
 const LOADS: u32 = 7;
-/// Requests of a round, and before the first one.
+/// Requests of a round, and before the first round.
 const REQUESTS: u64 = 1000;
-/// An idle round.
+/// Length of an idle round in seconds.
 const IDLE_SECONDS: u32 = 2;
 
 fn row(upstreams: u32, classes: usize, used: usize, rounds: u32) -> String {
@@ -51,7 +51,7 @@
 }
 
 fn main() {
-    // `cargo test` builds benches too and runs them with this.
+    // `cargo test` also builds benches and runs them with this argument.
     if std::env::args().any(|a| a == "--test") {
         return;
     }
--- a/crates/policy/benches/decisions.rs
+++ b/crates/policy/benches/decisions.rs
@@ -1,4 +1,4 @@
-//! What a request costs in the module, from its arrival to its answer, by size of the fleet and load.
+//! Measures the cost of a request in the module, from its arrival to its answer, by the number of upstreams and the load.
 
 mod fleet;
 
@@ -12,7 +12,7 @@
     for load in [0.6, 1.3] {
         for &n in sizes {
             let mut fleet = Fleet::<M>::new(n, load);
-            // Until all is learned.
+            // Run until the module has learned its estimates.
             fleet.run(u64::from(n) * 200);
             group.bench_function(BenchmarkId::new(format!("load {load}"), n), |b| {
                 b.iter_custom(|requests| fleet.run(requests).0);
--- a/crates/policy/benches/fleet/mod.rs
+++ b/crates/policy/benches/fleet/mod.rs
@@ -1,4 +1,4 @@
-//! A fleet in virtual time round one module: what the module itself costs, and nothing else.
+//! Upstreams in virtual time around one decision module. Only the time of the module is measured.
 
 #![allow(dead_code)] // each bench uses its own part
 
@@ -15,7 +15,7 @@
 #[path = "../../tests/scanning/mod.rs"]
 pub mod scanning;
 
-/// What is measured: the module, or the one that scanned.
+/// A module to measure: the indexed decision module or the scanning one.
 pub trait Module {
     fn new(settings: Settings) -> Self;
     fn deliver(&mut self, now: Time, event: Event, out: &mut Vec<Action>);
@@ -45,8 +45,8 @@
     Answer { request: u64, server: u32, sent: i64 },
 }
 
-/// One proxy before `n` upstreams that run one request at a time, at so much of what they can do; arrivals as of
-/// a Poisson process, exponential work.
+/// One balancer and `n` upstreams that run one request at a time, at a load relative to their capacity. Arrivals are a
+/// Poisson process, and the work of requests is distributed exponentially.
 pub struct Fleet<M> {
     pub module: M,
     rng: Rand64,
@@ -85,7 +85,7 @@
     s
 }
 
-/// The whole list of a fleet of this size; `started` as its entries say.
+/// Returns the complete list of `n` upstreams that all started at `started`.
 pub fn list(n: u32, started: Option<Time>) -> Vec<Member> {
     let name = |i: u32| u64::from(i).wrapping_mul(0x9e37_79b9_7f4a_7c15);
     let member =
@@ -94,7 +94,7 @@
 }
 
 impl<M: Module> Fleet<M> {
-    /// How long one whole list takes.
+    /// Delivers a complete list, and returns the time that the module took.
     pub fn deliver_list(&mut self, list: &[Member]) -> Duration {
         self.longest = Duration::ZERO;
         self.deliver(Event::Members { kind: ListKind::Complete, list });
@@ -122,12 +122,12 @@
         fleet
     }
 
-    fn draw(&mut self, mean: f64) -> f64 {
+    fn sample(&mut self, mean: f64) -> f64 {
         -mean * (1.0 - self.rng.rand_float()).ln()
     }
 
     fn next_arrival(&mut self) {
-        self.next += self.draw(self.gap);
+        self.next += self.sample(self.gap);
     }
 
     fn deliver(&mut self, event: Event) {
@@ -140,7 +140,7 @@
         for action in out.drain(..) {
             match action {
                 Action::Send { request, server, .. } => {
-                    let work = self.draw(WORK) as i64 + 1;
+                    let work = self.sample(WORK) as i64 + 1;
                     let free = &mut self.free_at[server.0 as usize];
                     *free = (*free).max(self.now) + work;
                     let due = Due::Answer { request: request.0, server: server.0, sent: self.now };
@@ -154,7 +154,7 @@
         self.out = out;
     }
 
-    /// Lets so many requests come; the time that the module took, and its longest event.
+    /// Runs until this number of requests has arrived, and returns the time that the module took and its longest event.
     pub fn run(&mut self, requests: u64) -> (Duration, Duration) {
         (self.spent, self.longest) = (Duration::ZERO, Duration::ZERO);
         let end = self.last + requests;
--- a/crates/policy/benches/scale.rs
+++ b/crates/policy/benches/scale.rs
@@ -1,6 +1,6 @@
-//! The table of `docs/scale.md`: microseconds a request and the longest event, before and after.
-//! `cargo bench -p hollowpaddle-policy --bench scale`; with a load and a size behind `--`, that row of the kept module
-//! alone.
+//! Prints the table of `docs/scale.md`: microseconds per request and the longest event, of the scanning module and of the
+//! indexed one ("kept"). Run with `cargo bench -p hollowpaddle-policy --bench scale`. A load and a number of upstreams after
+//! `--` select a single row of the indexed module.
 
 mod fleet;
 
@@ -8,12 +8,12 @@
 use hollowpaddle_policy::interface::{Member, Time};
 use hollowpaddle_policy::policy::Balancer;
 
-/// Rounds; the longest event is the least over them, since the machine interrupts some.
+/// Number of rounds. The longest event is the least over all rounds, since the machine interrupts some of them.
 const ROUNDS: u32 = 5;
 
 fn row<M: Module>(n: u32, load: f64) -> String {
     let mut fleet = Fleet::<M>::new(n, load);
-    // Until all is learned.
+    // Run until the module has learned its estimates.
     fleet.run(u64::from(n) * 40);
     let requests = u64::from(n) * 10;
     let rounds: Vec<(f64, f64)> = (0..ROUNDS)
@@ -27,8 +27,8 @@
     format!("{:.2} | {:.0} | {share:.0}", least(|r| r.0), least(|r| r.1))
 }
 
-/// What one whole list costs, in microseconds: one that changes nothing, one by which all have started anew, and one
-/// that names none of them any more.
+/// Returns the cost of one complete list in microseconds: of an unchanged list, of a list in which all upstreams have
+/// restarted, and of an empty list.
 fn lists(n: u32) -> String {
     let of = |list: &[Member]| {
         let round = || {
@@ -42,7 +42,7 @@
     format!("{same:.0} | {anew:.0} | {:.0}", of(&[]))
 }
 
-/// What telling all that was learned costs, in microseconds: one event of the engine's, each time it is saved.
+/// Returns the cost of [`Balancer::learned`] in microseconds. The engine calls it within one event for each save.
 fn learned(n: u32) -> f64 {
     let mut fleet = Fleet::<Balancer>::new(n, 0.6);
     fleet.run(u64::from(n) * 10);
@@ -55,7 +55,7 @@
 }
 
 fn main() {
-    // `cargo test` builds benches too and runs them with this.
+    // `cargo test` also builds benches and runs them with this argument.
     if std::env::args().any(|a| a == "--test") {
         return;
     }
@@ -72,7 +72,7 @@
     println!("| --- | --- | --- | --- | --- | --- | --- | --- |");
     for load in [0.6, 1.3] {
         for n in [64, 256, 1024, 4096, 10_000] {
-            // Beyond, it takes many minutes.
+            // With more upstreams, the scanning module takes many minutes.
             let was = if load > 1.0 && n > 1024 || n > 4096 {
                 "- | - | -".to_string()
             } else {
