--- a/crates/policy/src/interface.rs
+++ b/crates/policy/src/interface.rs
@@ -1,6 +1,6 @@
 //! The interface between a balancer and its caller: ids, time, settings, events and actions.
 //!
-//! Plain data; every decision is in [`crate::policy`].
+//! The types here are plain data; all decisions are made in [`crate::policy`].
 
 mod action;
 mod attempt;
@@ -12,7 +12,7 @@
 mod time;
 
 pub use action::{Action, Refusal};
-pub use attempt::{Answer, Outcome, Report};
+pub use attempt::{CompletedAttempt, Outcome, Report};
 pub use class::{Class, Effect, Group, Tenant};
 pub use config::{Limits, Prices, Reports, Rules, ScoringMix, Settings, SettingsError};
 pub use event::Event;
--- a/crates/policy/src/policy/membership.rs
+++ b/crates/policy/src/policy/membership.rs
@@ -1,5 +1,5 @@
-//! Takes in the endpoint list, polls it where that is needed, and closes idle connections to
-//! upstreams that leave.
+//! Applies the endpoint list, polls it where the deployment requires that, and closes idle
+//! connections to draining and withdrawn upstreams.
 
 use super::sweep::{CROSS_ZONE_DISTANCE, Sweep};
 use super::{Balancer, LIST_POLL_TIMER};
@@ -9,8 +9,8 @@
 use crate::upstreams::{Change, Server};
 
 impl Balancer {
-    /// Takes in a list event, then sends what can be sent now.
-    pub(super) fn members(
+    /// Applies a list event, then sends the queued requests that find a slot now.
+    pub(super) fn on_members(
         &mut self,
         now: Time,
         kind: ListKind,
@@ -28,11 +28,11 @@
                 self.expired = false;
             }
         }
-        let changes = self.upstreams.list(now, kind, list);
+        let changes = self.upstreams.apply_list(now, kind, list);
         for change in &changes {
             self.apply_change(now, change, out);
         }
-        self.forget_departed(now);
+        self.remove_departed(now);
         for change in &changes {
             if let Some((index, part)) = self.upstreams.find(change.server) {
                 let distance = self.upstreams.distance(index, &part, CROSS_ZONE_DISTANCE);
@@ -44,38 +44,39 @@
         self.dispatch(now, out);
     }
 
-    /// Resets what is known of an upstream that restarted, and closes idle connections to one that
-    /// leaves.
+    /// Resets the estimates of an upstream that restarted, and closes the idle connections to an
+    /// upstream that drains or was withdrawn.
     fn apply_change(&mut self, now: Time, change: &Change, out: &mut Vec<Action>) {
         let s = &mut self.upstreams.servers[change.server];
         if change.restarted {
-            // A random part of the first send is already earned, so that balancers do not all send
-            // at once.
+            // A random part of the first send is already earned, so that the balancers do not all
+            // send at the same time.
             (s.earned_sends, s.earned_at) = (self.rng.rand_float(), now);
-            s.estimate.slow = Estimate::NONE.slow;
+            s.estimate.slowness = Estimate::NONE.slowness;
             s.breaker = Breaker::default();
-            s.by_class.reset_all();
+            s.class_breakers.reset_all();
         }
-        if change.was != Some(s.status) {
+        if change.previous_status != Some(s.status) {
             s.close_idle_until = now.plus(self.settings.rules.idle_close_limit);
             self.closing.push(change.server);
             self.close_idle_connections(now, change.server, out);
         }
     }
 
-    /// Drops upstreams that are gone, and takes them out of the fleet's mean propagation time.
-    fn forget_departed(&mut self, now: Time) {
-        let fleet = &mut self.fleet;
-        self.upstreams.forget(now, |estimate| {
-            fleet.tp2_sum.change(estimate.tp2, None);
-            fleet.tp2_count -= usize::from(estimate.tp2.is_some());
+    /// Removes withdrawn upstreams, also from the mean propagation time of all upstreams.
+    fn remove_departed(&mut self, now: Time) {
+        let overall = &mut self.overall;
+        self.upstreams.remove_departed(now, |estimate| {
+            overall.tp2_sum.change(estimate.tp2, None);
+            overall.tp2_count -= usize::from(estimate.tp2.is_some());
         });
     }
 
-    /// Closes idle connections to an upstream that drains or is gone, where a rule asks for it.
+    /// Closes idle connections to a draining or withdrawn upstream, where a rule requires it.
     ///
-    /// Called on the notice, after each outcome there and once a sweep for as long as the rule
-    /// allows: a connection may become idle a moment after the outcome that used it.
+    /// This is called when the upstream starts to drain, after each outcome of an attempt there, and
+    /// in each sweep until the time limit of the rule: a connection may become idle a moment after
+    /// the outcome of its last attempt.
     pub(super) fn close_idle_connections(
         &mut self,
         now: Time,
@@ -94,7 +95,8 @@
         }
     }
 
-    /// Closes idle connections to all upstreams that left not long ago.
+    /// Closes idle connections to all upstreams that started to drain or were withdrawn within the
+    /// time limit of the rule.
     pub(super) fn close_idle_of_departed(&mut self, now: Time, out: &mut Vec<Action>) {
         let is_over = |s: &Server| s.status == Status::Live || now > s.close_idle_until;
         self.closing.sort_unstable();
@@ -105,7 +107,7 @@
         }
     }
 
-    /// Subscribes to the list, if that is due.
+    /// Subscribes to the endpoint list, if a poll is due.
     pub(super) fn poll_list(&mut self, now: Time, out: &mut Vec<Action>) {
         if self.list_poller.poll_if_due(now) {
             out.push(Action::Subscribe);
@@ -113,7 +115,7 @@
         }
     }
 
-    /// Arms a timer of its own for the next poll: sweeps may be too seldom for it.
+    /// Arms a separate timer for the next poll, since sweeps may be too rare for it.
     pub(super) fn arm_list_poll(&self, out: &mut Vec<Action>) {
         out.extend(self.list_poller.next().map(|at| Action::Arm { token: LIST_POLL_TIMER, at }));
     }
--- a/crates/policy/src/upstreams/availability.rs
+++ b/crates/policy/src/upstreams/availability.rs
@@ -1,7 +1,7 @@
-//! Keeps the upstreams with a free slot in order of cost, for all classes and for those that some
-//! upstream is ejected for.
+//! Orders the upstreams with a free slot by cost, for all classes together and separately for each
+//! class for which some upstream is ejected.
 //!
-//! Whether an upstream has a free slot is for [`crate::policy`] to say.
+//! [`crate::policy`] decides whether an upstream has a free slot.
 
 use hollowpaddle_ordered_collections::tournament::Key;
 
@@ -10,18 +10,19 @@
 use crate::interface::Time;
 use crate::request_state::Affinity;
 
-/// Whether an upstream can be sent to as of now.
+/// The present availability of an upstream.
 pub(crate) struct Availability {
-    /// Its key if it has a free slot and is not ejected for all classes, else [`Key::OUT`].
+    /// The upstream's key if it has a free slot and is not ejected for all classes, otherwise
+    /// [`Key::ABSENT`].
     pub(crate) key: Key,
-    /// It is live and not warming up.
+    /// Whether the upstream is live and not warming up.
     pub(crate) warm: bool,
-    /// It is ejected for some class.
+    /// Whether the upstream is ejected for some class.
     pub(crate) partly_ejected: bool,
 }
 
 impl Upstreams {
-    /// Books the availability of an upstream.
+    /// Records the availability of an upstream.
     pub(crate) fn set_availability(
         &mut self,
         now: Time,
@@ -32,10 +33,10 @@
         let area = self.area(self.servers[server].zone);
         let s = &mut self.servers[server];
         if std::mem::replace(&mut s.is_warm, warm) != warm {
-            self.kinds.change_warm(s.type_index, s.weight, warm);
+            self.machine_types.change_warm(s.type_index, s.weight, warm);
         }
         let was_partly_ejected = std::mem::replace(&mut s.is_partly_ejected, partly_ejected);
-        let is_available = key != Key::OUT;
+        let is_available = key != Key::ABSENT;
         let was_available = std::mem::replace(&mut s.was_available, is_available);
         let previous_cost = std::mem::replace(&mut s.cost_when_available, s.cost);
         let is_unchanged =
@@ -44,7 +45,7 @@
             return;
         }
         let (key_if_full, key_if_partial) =
-            if partly_ejected { (Key::OUT, key) } else { (key, Key::OUT) };
+            if partly_ejected { (Key::ABSENT, key) } else { (key, Key::ABSENT) };
         for &number in &s.capacity_groups {
             let Some(group) = self.capacity_groups.get_mut(number) else { continue };
             let trees = group.trees.get_mut(area);
@@ -57,11 +58,11 @@
         }
     }
 
-    /// Counts an upstream with the classes that it is ejected for now, and no longer with the
-    /// previous ones.
+    /// Updates the ejection counts of all classes to those for which an upstream is ejected now.
     fn count_ejections(&mut self, now: Time, server: usize) {
         let s = &self.servers[server];
-        let ejected = s.by_class.ejected(now).map(|b| b.class).filter(|_| s.is_partly_ejected);
+        let ejected =
+            s.class_breakers.ejected(now).map(|b| b.class).filter(|_| s.is_partly_ejected);
         let ejected: Vec<u32> = ejected.filter(|class| self.serves(*class as usize, s)).collect();
         for &class in &ejected {
             let group = self.capacity_groups.of_class_mut(class as usize);
@@ -71,14 +72,14 @@
             };
             self.ejected_classes.entry(class).or_insert_with(new).count += 1;
         }
-        for class in self.servers[server].by_class.count(ejected) {
+        for class in self.servers[server].class_breakers.count(ejected) {
             if let Some(previous) = self.ejected_classes.get_mut(&class) {
                 previous.count -= 1;
             }
         }
     }
 
-    /// Sets the key of an upstream in the trees of the classes that some upstream is ejected for.
+    /// Sets the key of an upstream in the trees of all classes for which some upstream is ejected.
     fn set_class_availability(&mut self, now: Time, server: usize, key: Key) {
         let area = self.area(self.servers[server].zone);
         let s = &self.servers[server];
@@ -86,18 +87,19 @@
             let Some(group) = self.capacity_groups.get_mut(number) else { continue };
             for class in &group.ejected_classes {
                 let Some(ejected) = self.ejected_classes.get_mut(class) else { continue };
-                let key = ejected.key(key, s.by_class.is_ejected(now, *class as usize));
+                let key = ejected.key(key, s.class_breakers.is_ejected(now, *class as usize));
                 ejected.available.get_mut(area).set(server, key);
             }
         }
     }
 
-    /// Whether so many upstreams are ejected for a class that none counts as ejected for it.
+    /// Returns whether the panic threshold is reached, so that ejection is ignored for a class.
     pub(crate) fn is_panicking(&self, class: usize) -> bool {
         self.ejected_classes.get(&(class as u32)).is_some_and(|ejected| ejected.is_panicking)
     }
 
-    /// Recomputes for which classes more than `share` of their upstreams is ejected.
+    /// Recomputes the classes for which the panic threshold is reached: more than `share` of the
+    /// upstreams of the class are ejected.
     pub(crate) fn refresh_panic(&mut self, share: f64) {
         let groups = &mut self.capacity_groups;
         self.ejected_classes.retain(|class, ejected| {
@@ -110,8 +112,8 @@
         });
     }
 
-    /// The upstream with the least key of those available to a class, without some of them. As of
-    /// their last refresh.
+    /// Returns the upstream with the least key that is available to a class, except for the
+    /// upstreams `without`. Availability is as of the last refresh of each upstream.
     pub(crate) fn best(
         &mut self,
         class: usize,
