--- a/crates/gateway/src/cluster/admin_api.rs
+++ b/crates/gateway/src/cluster/admin_api.rs
@@ -1,7 +1,7 @@
-//! The admin API of the cluster: requests of operators, as typed values, and what each hands to the machine.
+//! The admin API of the cluster: typed requests of operators, and the machine's event for each request.
 //!
-//! Reading calls, building answers and the JSON views are modules of their own. HTTP is left to the caller, and what
-//! becomes of a request to the [`Machine`].
+//! Submodules parse calls and build responses and JSON views. The caller handles HTTP, and the [`Machine`] carries out the
+//! requests.
 
 mod change;
 mod check;
@@ -27,10 +27,10 @@
 pub use parse::{AdminRequestError, is_cluster_path};
 pub use response::AdminResponse;
 
-/// How long a caller waits for a revision to be in force at every balancer, where the call names no time.
+/// Default time limit for a call that waits until a revision is in force at every balancer.
 const DEFAULT_ROLLOUT_WAIT: Duration = Duration::from_millis(1500);
 
-/// What an operator asks for.
+/// A request of an operator.
 #[derive(Clone, Debug, PartialEq)]
 pub enum AdminRequest {
     /// The state of the cluster as this balancer sees it.
@@ -43,7 +43,7 @@
     CommandOutcome(CommandId),
     /// A change of the policy log.
     Change(Box<Change>),
-    /// A change of the voters, and its id if the caller named one.
+    /// A change of the voters, with the command's id if the caller gave one.
     VoterChange(VoterChange, Option<CommandId>),
 }
 
@@ -51,16 +51,17 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct Change {
     what: PolicyChange,
-    /// Only report what the change would do.
+    /// Whether to report only the effect that the change would have.
     is_dry_run: bool,
-    /// Propose what does not fit the fleet as this balancer has it listed.
+    /// Whether to propose the change even if it doesn't fit the upstreams in this balancer's endpoint list.
     is_forced: bool,
-    /// Answer only once the revision is in force at every balancer, or after this time.
+    /// Maximum time that the response waits until the revision is in force at every balancer; `None` for no wait.
     wait: Option<Duration>,
-    /// The command's id, if the caller named one.
+    /// The command's id, if the caller gave one.
     id: Option<CommandId>,
 }
 
+/// The kinds of changes of the policy log.
 #[derive(Clone, Debug, PartialEq)]
 enum PolicyChange {
     Propose(RevisionOptions, Box<Document>),
@@ -73,10 +74,10 @@
     Alive(NodeId),
 }
 
-/// Terms on which a revision is proposed.
+/// Options of a proposed revision.
 #[derive(Clone, Debug, PartialEq)]
 struct RevisionOptions {
-    /// The revision that must be the newest, or the proposal is rejected.
+    /// The revision that must be the newest for the proposal to be accepted.
     base: Option<u64>,
     canary: Option<CanaryTerms>,
     forced: bool,
@@ -85,19 +86,19 @@
 /// A change of the voters.
 #[derive(Clone, Debug, PartialEq)]
 pub enum VoterChange {
-    /// One voter is replaced or removed.
+    /// Replaces or removes one voter.
     Replace {
-        /// The voter that is removed.
+        /// The voter to remove.
         removed: NodeId,
-        /// The balancer that replaces it, if any.
+        /// The balancer that replaces the removed voter, if any.
         replacement: Option<NodeId>,
     },
-    /// This balancer forces a new epoch with these voters.
+    /// Makes this balancer force a new epoch with these voters.
     ForceNewEpoch(Vec<NodeId>),
 }
 
 impl AdminRequest {
-    /// Takes an upstream out at all balancers, or back in.
+    /// Creates the request that cordons or uncordons an upstream at all balancers.
     pub fn cordon(name: &str, out: bool) -> Self {
         let name = name.to_string();
         let what = if out { PolicyChange::Cordon(name) } else { PolicyChange::Uncordon(name) };
@@ -105,13 +106,13 @@
         Self::Change(Box::new(Change { what, is_dry_run: false, is_forced: false, wait, id: None }))
     }
 
-    /// Whether the request is to be repeated while its answer is [`AdminResponse::again`].
+    /// Returns whether the admin server repeats the request while its response is [`AdminResponse::again`].
     pub fn is_retried(&self) -> bool {
         let Self::Change(change) = self else { return false };
         matches!(change.what, PolicyChange::Cordon(_) | PolicyChange::Uncordon(_))
     }
 
-    /// The id of the command that the caller named.
+    /// Returns the command's id, if the caller gave one.
     pub fn command_id(&self) -> Option<CommandId> {
         match self {
             Self::CommandOutcome(id) => Some(*id),
@@ -121,7 +122,7 @@
         }
     }
 
-    /// What the caller is told where the outcome is not known in time.
+    /// Returns the error text for an outcome that is not known in time.
     fn where_to_ask(&self) -> &'static str {
         match self {
             Self::VoterChange(..) => {
@@ -131,11 +132,11 @@
         }
     }
 
-    /// The event that hands the request to the machine. `id` is the id of its command; `facts` is the fleet as this balancer
-    /// has it listed.
+    /// Returns the machine's event for the request. `id` is the id of the request's command; `facts` describes the upstreams
+    /// in this balancer's endpoint list.
     ///
     /// # Errors
-    /// The answer, where the machine need not be involved: a view, or a rejection.
+    /// Returns the response as an error if the request needs no event: a view or a rejection.
     pub fn event(
         &self,
         ticket: u64,
--- a/crates/gateway/src/cluster/admin_api/change.rs
+++ b/crates/gateway/src/cluster/admin_api/change.rs
@@ -1,4 +1,4 @@
-//! Turns a change that an operator asked for into an entry of the policy log, or into an answer where none is needed.
+//! Converts an operator's change into an entry of the policy log, or into a response if no entry is needed.
 
 use std::collections::BTreeSet;
 
@@ -14,7 +14,7 @@
 use super::{AdminResponse, Change, PolicyChange, RevisionOptions};
 use crate::cluster::machine::{Event, Machine};
 
-/// What a change is made of and checked against.
+/// The data that changes are built from and checked against.
 struct Context<'a> {
     id: CommandId,
     facts: &'a FleetFacts,
@@ -23,7 +23,7 @@
 }
 
 impl Change {
-    /// The event that proposes the change. `Err` is an answer that needs no proposal.
+    /// Returns the event that proposes the change, or as `Err` a response that needs no proposal.
     pub(super) fn event(
         &self,
         ticket: u64,
@@ -82,7 +82,7 @@
         Ok(Entry::Rollback(options, to))
     }
 
-    /// Whether the change makes a revision, and not another entry of the log.
+    /// Returns whether the change creates a revision, and not another entry of the log.
     pub(super) fn is_revision(&self) -> bool {
         match self.what {
             PolicyChange::Propose(..)
@@ -98,14 +98,15 @@
 }
 
 impl Context<'_> {
-    /// Takes an upstream out. No revision can take out what the fallback policy allows: that has to exclude the upstream
-    /// first, and every balancer to confirm it.
+    /// Returns the entry that cordons an upstream. No revision can cordon an upstream that the fallback policy allows: first
+    /// the fallback policy has to exclude the upstream and every balancer has to confirm that change.
     fn cordon(&self, name: &str) -> Result<Entry, AdminResponse> {
         if !is_in_fallback_floor(self.policy, self.facts, name) {
             return self.change_cordons(|cordoned| cordoned.insert(name.to_string()));
         }
         let status = self.policy.status();
-        // One change of the fallback policy at a time: each retry that proposed one in vain would fill the log.
+        // Only one change of the fallback policy is proposed at a time, or retries would fill the log with proposals that
+        // are rejected.
         let is_under_way = status.awaits_fallback_confirmation || status.unconfirmed;
         if is_under_way || status.fallback_policy.except.contains(name) {
             return Err(AdminResponse::awaits_fallback(&self.machine.leases().seen().behind));
@@ -115,8 +116,9 @@
         self.fallback_policy(fallback_policy)
     }
 
-    /// Proposes the newest document with other cordons. It is based on the newest revision known here, so that a change
-    /// that came first is not undone: this one is then rejected, and the caller tries again.
+    /// Returns the entry that proposes the newest document with changed cordons. The proposal is based on the newest revision
+    /// that this balancer knows, so that it can't undo a concurrent change: if another change is committed first, the
+    /// proposal is rejected and the caller retries.
     fn change_cordons(
         &self,
         change: impl FnOnce(&mut BTreeSet<String>) -> bool,
@@ -137,7 +139,7 @@
         Ok(Entry::FallbackPolicy(self.id, fallback_policy, Box::new(self.facts.clone())))
     }
 
-    /// The options as the log has them, with the facts on no other upstreams than these.
+    /// Returns the options for the log entry, with facts only about the upstreams in `names`.
     fn proposal_options(
         &self,
         options: &RevisionOptions,
@@ -150,7 +152,7 @@
     }
 }
 
-/// Upstreams that a document names.
+/// Returns the names of the upstreams in a document.
 fn named_upstreams(document: &Document) -> BTreeSet<String> {
     let weights = document.weights.upstreams.keys();
     document.out.upstreams.iter().chain(weights).cloned().collect()
--- a/crates/gateway/src/cluster/admin_api/check.rs
+++ b/crates/gateway/src/cluster/admin_api/check.rs
@@ -1,4 +1,4 @@
-//! Checks a change against what this balancer knows of the cluster and the fleet, before anything is proposed.
+//! Checks a change, before it is proposed, against this balancer's state of the cluster and of the upstreams.
 
 use std::collections::BTreeSet;
 
@@ -10,7 +10,7 @@
 use super::{AdminRequest, AdminResponse, PolicyChange, VoterChange};
 use crate::cluster::machine::Machine;
 
-/// Why a change can't be made.
+/// A reason that makes a change impossible.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 enum ImpossibleChange {
     #[error("there is no balancer {node} in a bank of {cluster}")]
@@ -38,10 +38,10 @@
 }
 
 impl AdminRequest {
-    /// Rejects what can't be done, with the reason.
+    /// Checks that the request is possible.
     ///
     /// # Errors
-    /// The rejection.
+    /// Returns the rejection with its reason if the request is impossible.
     pub(super) fn check(&self, machine: &Machine, facts: &FleetFacts) -> Result<(), AdminResponse> {
         let checked = match self {
             Self::VoterChange(change, _) => change.check(machine),
@@ -109,7 +109,7 @@
     Ok(())
 }
 
-/// Whether this balancer can begin an epoch with these voters.
+/// Checks that this balancer can begin an epoch with these voters.
 fn check_new_epoch(voters: &[NodeId], machine: &Machine) -> Result<(), ImpossibleChange> {
     let node = machine.node_id();
     if voters.is_empty() || voters.len() > MAX_VOTERS {
@@ -124,8 +124,8 @@
     Ok(())
 }
 
-/// Whether the fleet has the cells that a fallback policy allows. A cell of which no upstream serves now can't be told from
-/// one that does not exist.
+/// Checks that each cell of a fallback policy has an upstream that serves. A cell whose upstreams all serve nothing now can't
+/// be distinguished from a cell that doesn't exist.
 fn check_cells(policy: &FallbackPolicy, facts: &FleetFacts) -> Result<(), ImpossibleChange> {
     let known: BTreeSet<u32> = facts.groups.iter().map(|group| group.cell).collect();
     let Some(&cell) = policy.cells.difference(&known).next() else { return Ok(()) };
--- a/crates/gateway/src/cluster/admin_api/fallback.rs
+++ b/crates/gateway/src/cluster/admin_api/fallback.rs
@@ -1,5 +1,5 @@
-//! What an operator's change must observe of the fallback policy: the mandatory part of it, and the floor that no revision
-//! takes out.
+//! Constraints of the fallback policy on an operator's change: its mandatory part, and the floor of upstreams that no revision
+//! can exclude.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,11 +10,11 @@
 
 use super::AdminResponse;
 
-/// Cells that a zone needs to get a mandatory fallback of its own: one of three would be too large a part of it.
+/// Minimum number of cells for a zone to have a mandatory fallback. One cell of three would be too large a part of the zone.
 const MIN_CELLS_FOR_FALLBACK: usize = 4;
 
-/// The mandatory fallback where the configuration names none: one cell of each zone that has enough of them, so that what
-/// can never be taken out is a small part. `cells` are by zone.
+/// Returns the mandatory fallback for a configuration that sets none: one cell of each zone with at least four cells, so that
+/// the part of a zone that can never be cordoned is small. `cells` are by zone.
 pub fn default_mandatory_fallback(cells: &BTreeMap<String, BTreeSet<u32>>) -> FallbackPolicy {
     let large_zones = cells.iter().filter(|(_, cells)| cells.len() >= MIN_CELLS_FOR_FALLBACK);
     FallbackPolicy::mandatory_fallback(
@@ -22,7 +22,7 @@
     )
 }
 
-/// Checks that a fallback policy includes the mandatory fallback, which a process without any state keeps sending to.
+/// Checks that a fallback policy includes the mandatory fallback, to which a process without any state sends requests.
 pub(super) fn check_mandatory_fallback(
     fallback_policy: &FallbackPolicy,
     facts: &FleetFacts,
@@ -45,7 +45,7 @@
     Err(AdminResponse { status: 409, ..AdminResponse::bad(&why) })
 }
 
-/// Whether the fallback floor in force allows sending to an upstream, so that no revision can take it out.
+/// Returns whether the fallback floor in force includes an upstream, so that no revision can cordon it.
 pub(super) fn is_in_fallback_floor(policy: &PolicyState, facts: &FleetFacts, name: &str) -> bool {
     let Some((cell, machine_type)) = facts.named.get(name) else { return false };
     let machine_type = facts.machine_types.get(usize::from(*machine_type)).map_or("", |t| t);
--- a/crates/gateway/src/cluster/admin_api/fleet_facts.rs
+++ b/crates/gateway/src/cluster/admin_api/fleet_facts.rs
@@ -1,4 +1,4 @@
-//! The fleet as this balancer has it listed, as facts against which a policy revision is checked.
+//! Facts about the upstreams in this balancer's endpoint list, against which a policy revision is checked.
 
 use std::collections::BTreeMap;
 
@@ -6,20 +6,20 @@
 
 use crate::members::{Entry as Member, Phase};
 
-/// The largest size that counts of one upstream.
+/// Maximum size of one upstream; larger sizes count as this one.
 const MAX_SIZE: f64 = 1e6;
 /// Capacity units of an upstream of size 1.
 const UNITS_PER_SIZE: f64 = 1000.0;
 
-/// Upstreams of one group, and their capacity together.
+/// Number of upstreams in one group, and their total capacity.
 #[derive(Default)]
 struct GroupTotals {
     upstreams: u16,
     capacity: u32,
 }
 
-/// The facts on the upstreams that serve, by `members` of the endpoint list, and on the classes of the settings. Groups
-/// beyond [`MAX_GROUPS`] are left out.
+/// Returns the facts about the serving upstreams among `members` of the endpoint list and about the classes of the settings.
+/// Groups beyond [`MAX_GROUPS`] are omitted.
 pub fn facts(members: &[Member], classes: &[ClassFacts]) -> FleetFacts {
     let mut facts = FleetFacts { classes: classes.to_vec(), ..FleetFacts::default() };
     let mut groups = BTreeMap::<(u32, u8, u8), GroupTotals>::new();
@@ -40,7 +40,7 @@
     facts
 }
 
-/// The place of a name in `names`, which is added where it is missing. Places beyond 255 count as 255.
+/// Returns the index of a name in `names`, and appends the name if it is missing. Indices above 255 become 255.
 fn index_of(names: &mut Vec<String>, name: &str) -> u8 {
     let index = names.iter().position(|n| n == name).unwrap_or_else(|| {
         names.push(name.to_string());
--- a/crates/gateway/src/cluster/admin_api/parse.rs
+++ b/crates/gateway/src/cluster/admin_api/parse.rs
@@ -1,5 +1,5 @@
-//! Reads one call of the admin API from its method, path, query and body. The only module that spells its paths and the
-//! keys of its bodies.
+//! Parses a call of the admin API from its method, path, query and body. No other module contains the API's paths or the keys
+//! of its bodies.
 
 use std::time::Duration;
 
@@ -15,17 +15,17 @@
     AdminRequest, Change, DEFAULT_ROLLOUT_WAIT, PolicyChange, RevisionOptions, VoterChange,
 };
 
-/// The longest wait that a call may ask for: the admin server closes a call after 2 s.
+/// Maximum wait that a call may request. The admin server closes a call after 2 s.
 const MAX_ROLLOUT_WAIT: Duration = Duration::from_millis(1800);
 /// Hexadecimal digits of a command id.
 const ID_DIGITS: usize = 32;
-/// First parts of the paths that belong to the cluster.
+/// Prefixes of the paths of the cluster's admin API.
 const PATHS: [&str; 4] = ["/admin/bank", "/admin/revisions", "/admin/charter", "/admin/council"];
 
-/// Why a call can't be read.
+/// An error in parsing a call.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum AdminRequestError {
-    /// Nothing is served under this method and path.
+    /// The method and path are unknown.
     #[error("there is no {method} {path}")]
     NoSuch {
         /// Method of the call.
@@ -33,7 +33,7 @@
         /// Path of the call.
         path: String,
     },
-    /// The body lacks something, or holds something else than expected.
+    /// The body is incomplete or has unexpected content.
     #[error("reading the call: {0}")]
     Body(String),
 }
@@ -44,7 +44,7 @@
     }
 }
 
-/// Keys of all bodies. Each call reads those that it knows, and ignores the other ones.
+/// Keys of the bodies of all calls. Each call reads the keys that apply to it and ignores the others.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 struct Body {
@@ -82,7 +82,7 @@
     members: Option<Vec<u16>>,
 }
 
-/// Whether a path belongs to the cluster's part of the admin API.
+/// Returns whether a path belongs to the cluster's admin API.
 pub fn is_cluster_path(path: &str) -> bool {
     PATHS.iter().any(|prefix| {
         path.strip_prefix(prefix).is_some_and(|rest| rest.is_empty() || rest.starts_with('/'))
@@ -90,10 +90,10 @@
 }
 
 impl AdminRequest {
-    /// Reads a call.
+    /// Parses a call.
     ///
     /// # Errors
-    /// Nothing is served there, or the body can't be read; the text says what was expected.
+    /// Returns an error if the path is unknown or the body can't be parsed. The error's text states the expected content.
     pub fn read(
         method: &str,
         path: &str,
@@ -131,7 +131,7 @@
             .map_err(|e| AdminRequestError::Body(format!("`{}`: {}", e.path(), e.inner())))
     }
 
-    /// The change of the voters that is posted under a path, if it is one of these.
+    /// Returns the change of the voters for the path of a POST request; `None` if the path is another one.
     fn voter_change(&self, path: &[&str]) -> Result<Option<VoterChange>, AdminRequestError> {
         let change = match path {
             ["council", "replace"] => {
@@ -147,7 +147,7 @@
         Ok(Some(change))
     }
 
-    /// The change of the policy log that is posted under a path, if it is one of these.
+    /// Returns the change of the policy log for the path of a POST request; `None` if the path is another one.
     fn policy_change(&self, path: &[&str]) -> Result<Option<PolicyChange>, AdminRequestError> {
         let member = || required(self.member, "member").map(NodeId);
         let change = match path {
@@ -176,7 +176,7 @@
         RevisionOptions { base, canary, forced: self.force }
     }
 
-    /// A change with what the body and the query say of carrying it out.
+    /// Combines a change with its options in the body and the query.
     fn change(&self, what: PolicyChange, query: &str) -> Result<Change, AdminRequestError> {
         let wait = self.rollout_wait()?;
         let id = self.command_id()?;
@@ -184,7 +184,7 @@
         Ok(Change { what, is_dry_run, is_forced: self.force, wait, id })
     }
 
-    /// The command's id, if the caller names one.
+    /// Returns the command's id, if the caller gave one.
     fn command_id(&self) -> Result<Option<CommandId>, AdminRequestError> {
         self.id.as_deref().map(command_id).transpose()
     }
@@ -211,7 +211,7 @@
     value.ok_or_else(|| AdminRequestError::missing(key))
 }
 
-/// Reads a command id: 32 hexadecimal digits, so that answers print it as the caller wrote it.
+/// Parses a command id. All 32 hexadecimal digits are required, so that responses print the id as the caller wrote it.
 fn command_id(text: &str) -> Result<CommandId, AdminRequestError> {
     let is_complete = text.len() == ID_DIGITS && text.bytes().all(|b| b.is_ascii_hexdigit());
     let id = u128::from_str_radix(text, 16).ok().filter(|_| is_complete).map(CommandId);
--- a/crates/gateway/src/cluster/admin_api/response.rs
+++ b/crates/gateway/src/cluster/admin_api/response.rs
@@ -1,4 +1,4 @@
-//! Answers of the admin API: an HTTP status and a JSON body.
+//! Responses of the admin API: an HTTP status and a JSON body.
 
 use std::time::Duration;
 
@@ -10,16 +10,17 @@
 use super::{AdminRequest, AdminRequestError};
 use crate::cluster::machine::ProposalResult;
 
-/// An answer to a call of the admin API.
+/// A response to a call of the admin API.
 #[derive(Clone, Debug, PartialEq)]
 pub struct AdminResponse {
     /// HTTP status (RFC 9110, 15).
     pub status: u16,
     /// JSON body.
     pub text: Value,
-    /// To be sent only once this revision is in force at every balancer, or after this time.
+    /// The revision that must be in force at every balancer before the response is sent, and the maximum wait for that.
     pub wait: Option<(u64, Duration)>,
-    /// Not done yet: a concurrent change came first, or another step has to be done before.
+    /// Whether the call may succeed when repeated, because a concurrent change was committed first or another step has to
+    /// precede.
     pub again: bool,
 }
 
@@ -32,7 +33,8 @@
         Self { status, ..Self::ok(json!({"ok": false, "id": id, "error": why})) }
     }
 
-    /// The fallback policy still allows what is to be taken out; `behind` have not confirmed its change.
+    /// Creates the response for a cordon of an upstream that the fallback policy still allows. The balancers in `behind` have not
+    /// confirmed the change of the fallback policy.
     pub(super) fn awaits_fallback(behind: &[(NodeId, Duration)]) -> Self {
         let behind: Vec<u16> = behind.iter().map(|(m, _)| m.0).collect();
         let why = "the charter allows it: it is put out once every member has agreed to let go of it; repeat this call, \
@@ -41,18 +43,18 @@
         Self { status: 202, again: true, ..Self::ok(text) }
     }
 
-    /// The call asks for something that makes no sense.
+    /// Creates the response to an invalid call.
     pub fn bad(why: &str) -> Self {
         Self { status: 400, ..Self::ok(json!({"ok": false, "error": why})) }
     }
 
-    /// The call can't be read.
+    /// Creates the response to a call that can't be parsed.
     pub fn unread(why: &AdminRequestError) -> Self {
         let status = if matches!(why, AdminRequestError::NoSuch { .. }) { 404 } else { 400 };
         Self { status, ..Self::bad(&why.to_string()) }
     }
 
-    /// The policy rejects the change.
+    /// Creates the response to a change that the policy state rejects.
     pub(super) fn refused(why: &Rejection) -> Self {
         let is_changing = matches!(why, Rejection::Changing { .. });
         let again = is_changing || matches!(why, Rejection::Lost { .. });
@@ -60,9 +62,9 @@
         Self { status, again, ..Self::ok(json!({"ok": false, "error": why.to_string()})) }
     }
 
-    /// The answer to `request`, whose command `id` had this `result`.
+    /// Creates the response to `request`, whose command `id` had this `result`.
     ///
-    /// With `fallback_pending` the entry that was proposed only prepares what was asked for: it is not done yet.
+    /// If `fallback_pending`, the proposed entry only prepares the requested change, which is not done yet.
     pub fn of(
         request: &AdminRequest,
         id: CommandId,
@@ -92,7 +94,8 @@
         }
     }
 
-    /// The log has the change as this revision, or as this entry where it makes no revision.
+    /// Creates the response to a change that is committed. `number` is the number of its revision, or of its entry if the change
+    /// creates no revision.
     fn accepted(request: &AdminRequest, number: u64, id: &str) -> Self {
         let change = match request {
             AdminRequest::Change(change) => Some(change),
--- a/crates/gateway/src/cluster/admin_api/views.rs
+++ b/crates/gateway/src/cluster/admin_api/views.rs
@@ -9,10 +9,10 @@
 use super::AdminResponse;
 use crate::cluster::machine::Machine;
 
-/// Most revisions that one answer lists.
+/// Maximum number of revisions in one response.
 const MAX_LISTED_REVISIONS: usize = 100;
 
-/// `GET /admin/bank`: the state of the cluster as this balancer sees it.
+/// Returns the body of `GET /admin/bank`: the state of the cluster as this balancer sees it.
 pub(super) fn cluster(machine: &Machine) -> Value {
     let status = machine.policy().status();
     let in_force = machine.in_force();
@@ -46,7 +46,7 @@
 
 fn voters(machine: &Machine) -> Value {
     let (replica, learner) = (machine.replica(), machine.learner());
-    // A replica that does not vote follows no changes of the voters, its learner does.
+    // The voters come from the learner, because a replica that is not a voter does not follow changes of the voters.
     let voter_set = machine.voters();
     json!({
         "members": voter_set.voters.iter().map(|m| m.0).collect::<Vec<_>>(),
@@ -58,7 +58,7 @@
     })
 }
 
-/// Balancers that have not confirmed the newest generation, and for how long.
+/// Returns the balancers that have not confirmed the newest generation, and the time that each has been behind.
 fn behind(nodes: &[(NodeId, Duration)]) -> Vec<Value> {
     nodes
         .iter()
@@ -66,7 +66,7 @@
         .collect()
 }
 
-/// `GET /admin/revisions`: the newest revisions, the newest first.
+/// Returns the body of `GET /admin/revisions`: the newest revisions, newest first.
 pub(super) fn revisions(policy: &PolicyState) -> Value {
     let newest_first = policy.revisions().rev().take(MAX_LISTED_REVISIONS);
     let revisions: Vec<Value> = newest_first
@@ -78,7 +78,7 @@
     json!({"ok": true, "newest": policy.newest(), "revisions": revisions})
 }
 
-/// `GET /admin/revisions/N`: one revision with its document.
+/// Returns the response to `GET /admin/revisions/N`: one revision with its document.
 pub(super) fn revision(policy: &PolicyState, number: u64) -> AdminResponse {
     match policy.kept(number) {
         Ok(revision) => AdminResponse::ok(json!({
--- a/crates/gateway/src/cluster/durable_log.rs
+++ b/crates/gateway/src/cluster/durable_log.rs
@@ -1,7 +1,7 @@
-//! The state directory of one balancer's cluster part: the consensus log and the confirmed fallback policy.
+//! The cluster's directory in a balancer's state directory: the consensus log and the confirmed fallback policy.
 //!
-//! Neither file is judged by its age, so nothing here reads a wall clock. What the stored state means is left to the
-//! packages that own it.
+//! The age of the two files doesn't matter, so this module reads no wall clock. The packages that own the stored state
+//! interpret it.
 
 use std::io;
 use std::path::Path;
@@ -14,30 +14,31 @@
 use hollowpaddle_revision::message::Generation;
 use serde::{Deserialize, Serialize};
 
-/// The age and the age limit given for a fallback policy: its generation alone says whether it counts.
+/// Time and age limit passed to the snapshot store for a fallback policy, whose generation alone decides whether it
+/// applies.
 const NO_DATE: Duration = Duration::ZERO;
 
-/// Why the durable log could not be opened, written or synced.
+/// An error in opening, writing or syncing the durable log.
 ///
-/// The texts are those of the causes, so that a log line reads the same wherever the error came from.
+/// The messages are those of the causes, so that log lines don't depend on where the error occurred.
 #[derive(Debug, thiserror::Error)]
 pub enum DurableLogError {
-    /// The directory can't be made or opened.
+    /// The directory can't be created or opened.
     #[error("{0}")]
     Directory(#[source] io::Error),
-    /// The consensus log refused a step.
+    /// An operation on the consensus log failed.
     #[error(transparent)]
     Log(#[from] consensus::StoreError),
-    /// The file of the fallback policy refused a step.
+    /// An operation on the fallback policy's file failed.
     #[error(transparent)]
     FallbackPolicy(#[from] hollowpaddle_snapshot::StoreError),
-    /// The fallback policy has no JSON form.
+    /// The fallback policy can't be encoded as JSON.
     #[error(transparent)]
     Encoding(#[from] serde_json::Error),
-    /// A failpoint made the step fail. Never in a released daemon.
+    /// A failpoint made the operation fail. This never occurs in a released daemon.
     #[error("{}", injected_text(.0))]
     Injected(Fault),
-    /// The disk did not answer in the time that the caller allows.
+    /// The disk did not respond within the caller's time limit.
     #[error("it did not answer in time")]
     TimedOut,
 }
@@ -49,54 +50,54 @@
     }
 }
 
-/// Storage that outlives the process. Each call returns once its effect is on disk, or says why it is not.
+/// Storage that survives a restart of the process.
 pub trait DurableLog {
     /// Appends the record with this number to the consensus log.
     ///
     /// # Errors
-    /// The record is not stored, or only a part of it is.
+    /// Returns an error if the record is not stored, or only in part.
     fn append(&mut self, number: u64, record: &Record) -> Result<(), DurableLogError>;
 
-    /// Syncs all appended records to the disk, and returns the number of the last one.
+    /// Syncs all appended records to the disk, and returns the number of the last record.
     ///
     /// # Errors
-    /// Records that were appended since the last sync may be lost with the machine.
+    /// Returns an error if records appended since the last sync may be lost when the machine fails.
     fn sync(&mut self) -> Result<u64, DurableLogError>;
 
     /// Writes and syncs the fallback policy of this generation.
     ///
     /// # Errors
-    /// The fallback policy that was stored before stays.
+    /// Returns an error if the fallback policy is not stored; the file then keeps the previous one.
     fn save_fallback_policy(
         &mut self,
         fallback_generation: Generation,
         fallback_policy: &FallbackPolicy,
     ) -> Result<(), DurableLogError>;
 
-    /// After a failure: prepares the log for a complete new record.
+    /// Prepares the log for a complete new record after a failure.
     ///
     /// # Errors
-    /// The disk still takes no records.
+    /// Returns an error if the disk still accepts no records.
     fn reset(&mut self) -> Result<(), DurableLogError>;
 }
 
-/// What a start found in the state directory, and the log in which the process goes on.
+/// The state found in the state directory at the start, and the durable log that this process continues.
 pub struct RecoveredState {
-    /// Takes what is to outlive this process.
+    /// The log for the state that must survive this process.
     pub durable_log: Box<dyn DurableLog + Send>,
-    /// State of this balancer's replica; `None` only where nothing was looked for.
+    /// State of this balancer's replica; `None` only if the log was not read.
     pub found: Option<DurableState>,
-    /// The fallback policy that was confirmed last, and its generation.
+    /// The last confirmed fallback policy and its generation.
     pub fallback_policy: Option<(Generation, FallbackPolicy)>,
 }
 
 /// Opens the directory at `path` and reads the state in it.
 ///
-/// `cluster` identifies the cluster and `name` the balancer. Files of another cluster or balancer, and damaged ones, are
-/// set aside and logged; the replica then counts as one that lost its state.
+/// `cluster` identifies the cluster and `name` the balancer. Files of another cluster or balancer and damaged files are set
+/// aside and logged; the replica then counts as having lost its state.
 ///
 /// # Errors
-/// The directory can't be made. The balancer then runs without durable state.
+/// Returns an error if the directory can't be created. The balancer then runs without durable state.
 pub fn open(
     path: &Path,
     cluster: u64,
@@ -110,7 +111,7 @@
     Ok(RecoveredState { durable_log: Box::new(files), found: Some(found), fallback_policy })
 }
 
-/// Opens the consensus log. One that can't be read stays closed, and the replica starts without state.
+/// Opens the consensus log. An unreadable log stays closed, and the replica starts without state.
 fn open_records(
     path: &Path,
     cluster: u64,
@@ -137,7 +138,7 @@
     }
 }
 
-/// Opens the file of the fallback policy, and reads the policy that was confirmed last.
+/// Opens the fallback policy's file, and reads the last confirmed policy.
 fn open_fallback_policy(
     path: &Path,
     name: &str,
@@ -156,7 +157,7 @@
     Ok((store, fallback_policy))
 }
 
-/// Payload of the file of the fallback policy.
+/// Payload of the fallback policy's file.
 #[derive(Serialize, Deserialize)]
 struct FallbackPolicyFile {
     #[serde(rename = "generation")]
@@ -173,7 +174,7 @@
 }
 
 impl StateFiles {
-    /// Carries out the pause or the crash that a failpoint planned for the step that gave `result`.
+    /// Carries out the pause or crash that a failpoint injects into the operation that returned `result`.
     fn after_step<T>(
         &mut self,
         result: Result<T, consensus::StoreError>,
--- a/crates/gateway/src/cluster/join.rs
+++ b/crates/gateway/src/cluster/join.rs
@@ -1,4 +1,4 @@
-//! Makes the two ends of this balancer's part of the cluster, by the configuration and the recovered state.
+//! Creates this balancer's cluster handle and cluster runtime from the configuration and the recovered state.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -19,13 +19,13 @@
 };
 use crate::config::{ClusterConfig, Config};
 
-/// Joins the cluster: returns the handle for the part that serves, and the runtime, which may run on another thread.
+/// Joins the cluster. Returns the handle for the engine and the admin API, and the runtime, which may run on another thread.
 ///
-/// `incarnation` names this process and is drawn at its start; 0 counts as 1. Without `recovered` state nothing that this
-/// balancer votes for outlives the process.
+/// `incarnation` identifies this process and is a random number chosen at the start; 0 counts as 1. Without `recovered`
+/// state this balancer's votes are lost when the process ends.
 ///
 /// # Errors
-/// The configuration describes no possible cluster.
+/// Returns an error if no cluster can have this configuration.
 pub fn join(
     config: &Config,
     cluster: &ClusterConfig,
@@ -63,7 +63,7 @@
     Ok((ClusterHandle { reader, events: event_receiver, calls: call_sender }, runtime))
 }
 
-/// What the configuration says of the machine; no recovered state.
+/// Returns the machine's setup by the configuration, without recovered state.
 fn setup(config: &Config, cluster: &ClusterConfig, incarnation: Incarnation) -> Setup {
     let size = cluster.peers.len() as u16;
     let cells = cells_by_zone(config);
@@ -84,7 +84,7 @@
         incarnation,
         seed: config.seed,
         voters,
-        // Equal at every balancer: nothing of it may come from endpoint lists, which differ.
+        // The bootstrap state must be equal at every balancer, so no part of it comes from endpoint lists, which differ.
         bootstrap: Bootstrap {
             members: size,
             mandatory_fallback: fallback_of(mandatory_cells),
@@ -92,7 +92,7 @@
             document: Document::default(),
         },
         mandatory_fallback,
-        // With a fallback policy in the configuration the first leader has nothing to propose.
+        // If the configuration has a fallback policy, the first leader proposes none.
         cells: if cluster.fallback_policy.is_some() { BTreeMap::new() } else { cells },
         directory: false,
         found: None,
@@ -100,7 +100,7 @@
     }
 }
 
-/// Cells of each zone in the list of upstreams that the configuration names.
+/// Returns the cells of each zone, by the upstreams in the configuration.
 fn cells_by_zone(config: &Config) -> BTreeMap<String, BTreeSet<u32>> {
     let mut cells = BTreeMap::<String, BTreeSet<u32>>::new();
     for entry in &config.known.members {
@@ -109,7 +109,7 @@
     cells
 }
 
-/// A fallback policy that allows these cells.
+/// Returns a fallback policy that allows exactly these cells.
 fn fallback_of(cells: &[u32]) -> FallbackPolicy {
     FallbackPolicy { cells: cells.iter().copied().collect(), ..FallbackPolicy::default() }
 }
--- a/crates/gateway/src/cluster/machine.rs
+++ b/crates/gateway/src/cluster/machine.rs
@@ -1,9 +1,9 @@
-//! One balancer's part of the cluster as one pure state machine over the transport, the replica, the log's learner, the
-//! policy state, the leases and the endpoint lists of other balancers.
+//! One balancer's membership in the cluster as a pure state machine, composed of the transport, the replica, the learner of
+//! the log, the policy state, the leases and the endpoint lists of other balancers.
 //!
-//! What passes between these is in `routing`, admin calls that wait for an answer in `pending_calls`, and the passing of
-//! time in `timers`. The machine has no clock, socket, file or thread: its driver
-//! ([`Runtime`](super::Runtime), or a simulation) has these.
+//! The module `routing` passes messages between these components, `pending_calls` holds admin calls that wait for an answer,
+//! and `timers` decides which component is due. The machine uses no clock, socket, file or thread. Its driver
+//! ([`Runtime`](super::Runtime), or a simulation) provides them.
 
 mod interface;
 mod pending_calls;
@@ -30,10 +30,10 @@
 pub use interface::{Action, Event, Setup, SetupError, StoppedUpstreams};
 pub use pending_calls::ProposalResult;
 
-/// Learners that must have an entry before it is acknowledged, where no durable log keeps it.
+/// Number of learners that must have an entry before the entry is acknowledged, if the replica has no durable log.
 const COPIES_WITHOUT_LOG: u8 = 2;
 
-/// The state machine.
+/// The state machine of one balancer in the cluster.
 pub struct Machine {
     setup: Setup,
     now: Duration,
@@ -41,22 +41,22 @@
     replica: Replica,
     learner: Learner,
     policy: PolicyState,
-    /// The last entry of the log that `policy` includes.
+    /// Index of the last log entry that is applied to `policy`.
     applied_index: consensus::LogIndex,
     leases: Leases,
     lists: Lists,
     stops: StoppedUpstreams,
     pending_calls: VecDeque<PendingCall>,
     last_proposal: u64,
-    /// Proposals made here, for which no admin call waits.
+    /// Proposals of this machine that no admin call waits for.
     own_proposals: BTreeSet<consensus::ProposalId>,
     is_leader: bool,
-    /// When a first fallback policy was proposed last.
+    /// Time of the last proposal of a first fallback policy.
     first_fallback_at: Option<Duration>,
-    /// The leader that the replica knows.
+    /// The leader that the replica reported last.
     leader: Option<NodeId>,
     timers: Timers,
-    /// Outputs of components that are yet to be routed, in their order.
+    /// Outputs of components that are not routed yet, in order.
     queue: VecDeque<ComponentAction>,
 }
 
@@ -70,10 +70,10 @@
 }
 
 impl Machine {
-    /// Makes the machine. `now` is the zero of its clock, or the time by it.
+    /// Creates the machine at time `now` of its clock.
     ///
     /// # Errors
-    /// There can be no cluster of this configuration.
+    /// Returns an error if no cluster can have this configuration.
     pub fn new(now: Duration, mut setup: Setup) -> Result<Self, SetupError> {
         let found = setup.found.take();
         let learner = new_learner(now, &setup);
@@ -102,67 +102,67 @@
         Ok(machine)
     }
 
-    /// This balancer.
+    /// Returns the id of this balancer.
     pub fn node_id(&self) -> NodeId {
         self.setup.node_id
     }
 
-    /// Time of the last event.
+    /// Returns the time of the last event.
     pub fn now(&self) -> Duration {
         self.now
     }
 
-    /// The rules in force here, and their lease.
+    /// Returns the rules in force at this balancer and their lease.
     pub fn in_force(&self) -> InForce {
         self.leases.in_force()
     }
 
-    /// What is known of endpoint lists here and at other balancers.
+    /// Returns the state of the endpoint lists of this balancer and of the others.
     pub fn lists(&self) -> &Lists {
         &self.lists
     }
 
-    /// The policy state, as far as the log is applied here.
+    /// Returns the policy state, which includes the log entries applied so far.
     pub fn policy(&self) -> &PolicyState {
         &self.policy
     }
 
-    /// Leases, generations, and which balancers have confirmed what.
+    /// Returns the leases, the generations and the confirmations of balancers.
     pub fn leases(&self) -> &Leases {
         &self.leases
     }
 
-    /// This balancer's replica, which may be a voter.
+    /// Returns this balancer's replica, which may be a voter.
     pub fn replica(&self) -> &Replica {
         &self.replica
     }
 
-    /// The learner through which this balancer follows the log.
+    /// Returns the learner with which this balancer follows the log.
     pub fn learner(&self) -> &Learner {
         &self.learner
     }
 
-    /// The transport to other balancers.
+    /// Returns the transport to other balancers.
     pub fn wire(&self) -> &Transport {
         &self.wire
     }
 
-    /// The voters, as far as the log is known here.
+    /// Returns the voters by the log entries that this balancer has.
     pub fn voters(&self) -> &consensus::VoterSet {
         self.learner.members()
     }
 
-    /// Number of balancers in the cluster.
+    /// Returns the number of balancers in the cluster.
     pub fn cluster_size(&self) -> u16 {
         self.setup.cluster
     }
 
-    /// The leader of the voters, as far as it is known here.
+    /// Returns the leader of the voters, if this balancer knows one.
     pub fn leader(&self) -> Option<NodeId> {
         self.leader.or(self.learner.leader())
     }
 
-    /// Takes in one event at `now`, in monotonic time since the machine's zero, and appends what is to be done to `actions`.
+    /// Handles one event at `now`, in monotonic time of the machine's clock, and appends the resulting actions to `actions`.
     pub fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         self.on_event(event, actions);
--- a/crates/gateway/src/cluster/machine/interface.rs
+++ b/crates/gateway/src/cluster/machine/interface.rs
@@ -1,4 +1,4 @@
-//! What the machine is given and what it returns: its configuration, events and actions.
+//! The interface of the machine: its configuration, events and actions.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -16,106 +16,106 @@
 
 use super::ProposalResult;
 
-/// Configuration of a [`Machine`](super::Machine), and the state that it recovers.
+/// Configuration of a [`Machine`](super::Machine), and the recovered state that the machine starts with.
 #[derive(Clone, Debug)]
 pub struct Setup {
-    /// This balancer.
+    /// Id of this balancer.
     pub node_id: NodeId,
     /// Number of balancers in the cluster.
     pub cluster: u16,
-    /// This process; not 0.
+    /// Incarnation of this process; not 0.
     pub incarnation: Incarnation,
-    /// Seed of all randomness, new with each process.
+    /// Seed of all random numbers, different in each process.
     pub seed: u64,
-    /// The first voters.
+    /// The initial voters.
     pub voters: Vec<NodeId>,
-    /// State with which the log begins; equal at every balancer.
+    /// Initial state of the log; equal at every balancer.
     pub bootstrap: Bootstrap,
-    /// What a process may send to that knows no fallback policy.
+    /// Policy that applies in a process without a fallback policy.
     pub mandatory_fallback: FallbackPolicy,
-    /// Cells by zone, as the configuration names them: where no fallback policy is set, the first leader proposes one of a
-    /// third of them. Empty: it proposes none.
+    /// Cells by zone, from the configuration. If no fallback policy is set, the first leader proposes one of a third of these
+    /// cells. If empty, the first leader proposes none.
     pub cells: BTreeMap<String, BTreeSet<u32>>,
-    /// Whether there is a durable log: votes and confirmations then wait until they are on disk.
+    /// Whether there is a durable log, so that votes and confirmations wait until they are on disk.
     pub directory: bool,
-    /// State of the replica that was found in the durable log.
+    /// State of the replica, recovered from the durable log.
     pub found: Option<DurableState>,
-    /// The fallback policy that was found on disk, and its generation.
+    /// The fallback policy recovered from disk, and its generation.
     pub fallback_policy: Option<(Generation, FallbackPolicy)>,
 }
 
-/// Why there can be no machine of this configuration.
+/// An error in the configuration of a machine.
 #[derive(Debug, thiserror::Error)]
 pub enum SetupError {
-    /// The transport can't be configured so.
+    /// The configuration of the transport is invalid.
     #[error(transparent)]
     Transport(#[from] peers::ConfigError),
-    /// The policy log can't begin so.
+    /// The initial policy state is invalid.
     #[error(transparent)]
     PolicyState(#[from] BootstrapError),
 }
 
-/// An input of the machine. A `ticket` names the admin call that is answered by [`Action::ProposalResult`].
+/// An input of the machine. A `ticket` identifies the admin call that [`Action::ProposalResult`] answers.
 #[derive(Debug)]
 pub enum Event<'a> {
     /// A datagram arrived.
     Datagram {
-        /// The balancer whose address it came from; `None` for an unknown address.
+        /// The balancer with the sender's address; `None` for an unknown address.
         from: Option<NodeId>,
-        /// Its content.
+        /// Content of the datagram.
         bytes: &'a [u8],
     },
-    /// The moment of the last [`Action::WakeAt`] has come.
+    /// The time of the last [`Action::WakeAt`] has come.
     Due,
     /// Records up to this number are on disk.
     Persisted(u64),
-    /// Writing or syncing failed; the text says why.
+    /// Writing or syncing failed, with the cause as a text.
     DiskFailed(String),
-    /// The disk takes records again.
+    /// The disk accepts records again.
     DiskWell,
     /// The fallback policy of this generation is on disk.
     FallbackPolicyPersisted(Generation),
-    /// An entry is to be appended to the policy log.
+    /// An admin call proposes an entry for the policy log.
     Propose {
-        /// Names the call.
+        /// Identifies the call.
         ticket: u64,
-        /// The command's id, if the policy answers it by id.
+        /// Id of the command, if the policy state records its outcome under an id.
         id: Option<CommandId>,
         /// The entry.
         entry: Entry,
     },
-    /// The outcome of a command that was sent to any balancer is wanted.
+    /// An admin call asks for the outcome of a command that was sent to any balancer.
     QueryOutcome {
-        /// Names the call.
+        /// Identifies the call.
         ticket: u64,
         /// Id of the command.
         id: CommandId,
     },
-    /// This balancer's discovery delivered entries or a complete list.
+    /// This balancer's discovery delivered changed entries or a complete list.
     EndpointList {
         /// Version of the list.
         version: u64,
-        /// Whether the list is complete: an upstream that it leaves out is gone.
+        /// Whether the list is complete, so that an upstream missing from the list is gone.
         whole: bool,
         /// Name and phase of each entry.
         entries: Vec<(String, Phase)>,
     },
-    /// This balancer's discovery counts the versions of its list from the beginning.
+    /// This balancer's discovery restarted the versions of its list.
     VersionsReset,
-    /// A voter is to be replaced or removed.
+    /// An admin call replaces or removes a voter.
     ReplaceVoter {
-        /// Names the call.
+        /// Identifies the call.
         ticket: u64,
-        /// The voter that is removed.
+        /// The voter to remove.
         removed: NodeId,
-        /// The balancer that replaces it, if any.
+        /// The balancer that replaces the removed voter, if any.
         replacement: Option<NodeId>,
     },
-    /// This balancer is to force a new epoch with these voters.
+    /// An admin call makes this balancer force a new epoch with the given voters.
     ForceNewEpoch {
-        /// Names the call.
+        /// Identifies the call.
         ticket: u64,
-        /// The voters.
+        /// Voters of the new epoch.
         voters: Vec<NodeId>,
     },
 }
@@ -125,20 +125,20 @@
 pub enum Action {
     /// Send a datagram.
     Transmit {
-        /// The balancer to whose address it goes.
+        /// The balancer that receives the datagram.
         to: NodeId,
-        /// Its content, at most 256 bytes.
+        /// Content of the datagram, at most 256 bytes.
         bytes: Vec<u8>,
     },
-    /// Hand in [`Event::Due`] at this time. Replaces the time given before.
+    /// Deliver [`Event::Due`] at this time, which replaces the time of an earlier `WakeAt`.
     WakeAt(Duration),
-    /// Requests read these rules from now on.
+    /// Publish the rules and the lease that apply to requests from now on.
     Publish(InForce),
-    /// Requests read these stopped upstreams from now on.
+    /// Publish the stopped upstreams that apply to requests from now on.
     Stop(StoppedUpstreams),
-    /// Another balancer has a newer endpoint list: poll discovery.
+    /// Poll discovery, because another balancer has a newer endpoint list.
     RefreshList,
-    /// Write and sync a record, in the order of the numbers.
+    /// Write and sync a record. Records are written in the order of their numbers.
     Persist {
         /// Number of the record.
         number: u64,
@@ -147,28 +147,28 @@
     },
     /// Write and sync a fallback policy.
     PersistFallbackPolicy {
-        /// Its generation.
+        /// Generation of the fallback policy.
         fallback_generation: Generation,
         /// The policy.
         fallback_policy: FallbackPolicy,
     },
     /// Answer an admin call.
     ProposalResult {
-        /// Names the call.
+        /// Identifies the call.
         ticket: u64,
-        /// What became of it.
+        /// Result of the call.
         answer: ProposalResult,
     },
-    /// Log that the state of the cluster changed: who leads, what was lost.
+    /// Log a change of the cluster's state, such as a new leader or a loss of state.
     Log(String),
 }
 
-/// What reports of other balancers forbid beside the rules.
+/// Restrictions that reports of other balancers add to the rules.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct StoppedUpstreams {
-    /// Upstreams that drain or are gone, by the report of another balancer.
+    /// Upstreams that another balancer reported as draining or gone.
     pub names: BTreeSet<String>,
-    /// Whether this balancer's endpoint list is older than the rules allow: requests then go only to upstreams of the
-    /// fallback policy, where there are any.
+    /// Whether this balancer's endpoint list is older than the rules allow. Requests then go only to upstreams of the fallback
+    /// policy, if there are any.
     pub old: bool,
 }
--- a/crates/gateway/src/cluster/machine/pending_calls.rs
+++ b/crates/gateway/src/cluster/machine/pending_calls.rs
@@ -1,4 +1,4 @@
-//! Admin calls that wait for an answer: from the proposal, through its place in the log, to the policy's answer.
+//! Admin calls that wait for an answer: from the proposal, to its index in the log, to the outcome in the policy state.
 
 use hollowpaddle_consensus::{self as consensus, LearnerEvent};
 use hollowpaddle_revision::entry::{CommandId, Entry};
@@ -6,30 +6,32 @@
 
 use super::{Action, Machine};
 
-/// Most calls that wait at once. One more, and the oldest is answered with [`ProposalResult::Unknown`].
+/// Maximum number of waiting calls. When a further call arrives, the oldest is answered with [`ProposalResult::Unknown`].
 const MAX_PENDING_CALLS: usize = 256;
 
-/// What became of a call.
+/// The result of an admin call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposalResult {
-    /// The command is committed, and the policy answers it: the number of its revision or entry, or why it is rejected.
+    /// The command is committed, and the policy state has its outcome: the number of its revision or entry, or the reason for
+    /// its rejection.
     Answered(Result<u64, Rejection>),
-    /// The entry is committed at this place of the log; the policy has no answer of its own to it.
+    /// The entry is committed at this index of the log, and the policy state records no outcome for it.
     Stands(consensus::LogIndex),
-    /// The entry is not in the log, and never will be.
+    /// The entry is not in the log and will never be committed.
     Never,
-    /// No balancer that knows could be reached. The entry may be committed, now or later.
+    /// No balancer that knows the outcome could be reached. The entry may be committed now or later.
     Unknown,
 }
 
-/// A call that waits for its answer.
+/// An admin call that waits for its answer.
 #[derive(Clone, Debug)]
 pub(super) struct PendingCall {
     ticket: u64,
-    /// The proposal by which the entry went to the log; `None` for a query.
+    /// The proposal of the call's entry; `None` for a query.
     proposal: Option<consensus::ProposalId>,
     id: Option<CommandId>,
-    /// Where the entry is committed. What is only applied here may still be lost with voters that lose their state.
+    /// Index at which the entry is committed. An entry that is only applied at this balancer can still be lost if voters lose
+    /// their state.
     index: Option<consensus::LogIndex>,
 }
 
@@ -58,14 +60,14 @@
         self.step_learner(LearnerEvent::Propose { id: proposal, bytes });
     }
 
-    /// Answers what became of a command, as far as the policy knows.
+    /// Answers with the outcome of a command in the policy state, or with [`ProposalResult::Unknown`].
     pub(super) fn query_outcome(&self, ticket: u64, id: CommandId, actions: &mut Vec<Action>) {
         let query = PendingCall { ticket, proposal: None, id: Some(id), index: None };
         let answer = self.answer_to(&query).unwrap_or(ProposalResult::Unknown);
         actions.push(Action::ProposalResult { ticket, answer });
     }
 
-    /// Adds a call that waits for its answer; returns the id of its proposal.
+    /// Adds a waiting call, and returns the id of its proposal.
     pub(super) fn add_call(
         &mut self,
         ticket: u64,
@@ -84,7 +86,7 @@
         proposal
     }
 
-    /// Takes in the outcome of a proposal.
+    /// Records the outcome of a proposal, and answers the calls that wait for it.
     pub(super) fn on_outcome(
         &mut self,
         id: consensus::ProposalId,
@@ -110,7 +112,7 @@
         }
     }
 
-    /// Answers the calls of a proposal that is not committed.
+    /// Answers and removes the calls of a proposal that is not committed.
     fn end_calls(
         &mut self,
         id: consensus::ProposalId,
@@ -127,7 +129,7 @@
         });
     }
 
-    /// Answers all calls that can be answered by now.
+    /// Answers and removes all calls whose answer is known.
     pub(super) fn answer_calls(&mut self, actions: &mut Vec<Action>) {
         for call in std::mem::take(&mut self.pending_calls) {
             match self.answer_to(&call) {
@@ -139,7 +141,7 @@
         }
     }
 
-    /// The answer to a call, if the policy or the log has it by now.
+    /// Returns the answer to a call, if the policy state or the log has it.
     fn answer_to(&self, call: &PendingCall) -> Option<ProposalResult> {
         let is_applied =
             call.proposal.is_none() || call.index.is_some_and(|index| index <= self.applied_index);
--- a/crates/gateway/src/cluster/machine/routing.rs
+++ b/crates/gateway/src/cluster/machine/routing.rs
@@ -1,4 +1,4 @@
-//! Routes what one component of the machine puts out to another component, or to the machine's driver.
+//! Routes the outputs of each component of the machine to another component or to the machine's driver.
 
 use hollowpaddle_consensus::{
     self as consensus, Entry, EntryPayload, LearnerAction, LearnerEvent, MessageBody,
@@ -33,7 +33,7 @@
         }
     }
 
-    /// Hands a message to the component of its channel. One that can't be decoded is dropped.
+    /// Passes a message to the component of its channel. A message that can't be decoded is dropped.
     fn deliver(&mut self, from: NodeId, incarnation: Incarnation, channel: Channel, bytes: &[u8]) {
         match channel {
             Channel::Consensus => {
@@ -56,12 +56,13 @@
                     self.step_lists(lists::Event::Message { from, message });
                 }
             }
-            // Session messages have no component here yet.
+            // The machine has no component for session messages.
             Channel::Sessions => {}
         }
     }
 
-    /// Sends a message of the replica or the learner, to another balancer or to the other one of these two here.
+    /// Sends a message of the replica or the learner to another balancer. A message to this balancer itself is passed directly
+    /// to its replica or learner.
     fn send_consensus(&mut self, to: NodeId, message: consensus::Message) {
         let channel = message.body.channel();
         if to == self.setup.node_id {
@@ -75,7 +76,7 @@
             return;
         }
         let mode = delivery_mode(&message.body);
-        // Neither makes a message that can't be encoded.
+        // Messages of the replica and the learner can always be encoded.
         if let Ok(message) = message.encode() {
             self.step_wire(peers::Event::Send { to, channel, message, mode });
         }
@@ -88,7 +89,7 @@
                 actions.push(Action::Persist { number, record });
             }
             consensus::Action::Leads { view, since } => {
-                actions.push(Action::Log(format!("leads the council, view {}", view.number)));
+                actions.push(Action::Log(format!("became leader of the voters in view {}", view.number)));
                 self.is_leader = true;
                 let (epoch, from) = (view.epoch, self.replica.op());
                 self.step_leases(leases::Event::Leads { since, epoch, from });
@@ -110,7 +111,7 @@
                 }
             }
             consensus::Action::StateLost(why) => {
-                actions.push(Action::Log(format!("its seat in the council has forgotten: {why}")));
+                actions.push(Action::Log(format!("replica of this balancer lost its state: {why}")));
             }
         }
     }
@@ -141,24 +142,24 @@
         };
         let applied = self.policy.apply(index.op(), bytes);
         if let Some(cause) = applied.unreadable.filter(|_| !bytes.is_empty()) {
-            actions.push(Action::Log(format!("entry {index} of the log: {cause}")));
+            actions.push(Action::Log(format!("log entry {index} can't be decoded: {cause}")));
         }
         self.applied_index = index;
         self.after_apply(actions);
     }
 
-    /// Replaces the policy state by a copy of it. One that can't be decoded leaves it as it is.
+    /// Replaces the policy state by a snapshot of it. If the snapshot can't be decoded, the policy state stays unchanged.
     fn reset_state(&mut self, index: consensus::LogIndex, state: &[u8], actions: &mut Vec<Action>) {
         match self.decode_state(state) {
             Ok(policy) => (self.policy, self.applied_index) = (policy, index),
             Err(cause) => {
-                actions.push(Action::Log(format!("a copy of the log at {index}: {cause}")));
+                actions.push(Action::Log(format!("policy state snapshot at {index} can't be decoded: {cause}")));
             }
         }
         self.after_apply(actions);
     }
 
-    /// Hands the policy state to what depends on it.
+    /// Passes the policy state to the components that depend on it.
     fn after_apply(&mut self, actions: &mut Vec<Action>) {
         self.answer_calls(actions);
         let (epoch, status) = (self.applied_index.epoch(), Box::new(self.policy.status()));
@@ -166,7 +167,7 @@
         self.step_leases(leases::Event::Applied { epoch, status });
     }
 
-    /// A copy without content is that of a log without entries.
+    /// Decodes a snapshot of the policy state. An empty snapshot is the bootstrap state of a log without entries.
     fn decode_state(&self, state: &[u8]) -> Result<PolicyState, DecodeError> {
         if state.is_empty() {
             return Ok(PolicyState::found(self.setup.bootstrap.clone())?);
@@ -174,12 +175,13 @@
         Ok(PolicyState::from_snapshot(state)?)
     }
 
-    /// The policy state as bytes, and the last entry that it includes.
+    /// Returns the policy state as bytes and the index of the last log entry applied to it. If the policy state can't be
+    /// encoded, logs the cause.
     fn encode_state(&self, actions: &mut Vec<Action>) -> Option<(consensus::LogIndex, Vec<u8>)> {
         match self.policy.image() {
             Ok(bytes) => Some((self.applied_index, bytes)),
             Err(cause) => {
-                actions.push(Action::Log(format!("no image of the rule book: {cause}")));
+                actions.push(Action::Log(format!("policy state snapshot can't be encoded: {cause}")));
                 None
             }
         }
@@ -194,7 +196,7 @@
         }
     }
 
-    /// Sends a message on endpoint lists to the parent and the children in the dissemination tree.
+    /// Sends a message about endpoint lists to the parent and the children in the dissemination tree.
     fn send_to_neighbours(&mut self, message: &[u8]) {
         let parent = self.learner.source();
         let neighbours: Vec<NodeId> = parent.into_iter().chain(self.learner.children()).collect();
@@ -240,7 +242,7 @@
                     self.step_learner(LearnerEvent::Propose { id, bytes });
                 }
             }
-            // The learner polls its source by itself, and is notified of new entries at once.
+            // The learner polls its source by itself and is notified of new entries immediately.
             leases::Action::Learn { .. } => {}
             leases::Action::ChangeParent { than } => {
                 self.step_learner(LearnerEvent::ChangeSource(than));
@@ -249,7 +251,7 @@
     }
 }
 
-/// Why a copy of the policy state can't be used.
+/// An error in decoding a snapshot of the policy state.
 #[derive(Debug, thiserror::Error)]
 enum DecodeError {
     #[error(transparent)]
@@ -258,7 +260,7 @@
     Image(#[from] hollowpaddle_revision::policy_state::snapshot::SnapshotError),
 }
 
-/// How a message of the replica or the learner is sent: large parts yield to everything else.
+/// Returns how a message of the replica or the learner is sent. Large parts yield to all other messages.
 fn delivery_mode(body: &MessageBody) -> DeliveryMode {
     match body {
         MessageBody::LogPart(_) | MessageBody::LearnerUpdate { part: Some(_), .. } => {
--- a/crates/gateway/src/cluster/machine/timers.rs
+++ b/crates/gateway/src/cluster/machine/timers.rs
@@ -1,4 +1,4 @@
-//! What the machine does as time passes: hands in what is due, and asks to be woken.
+//! The timers of the machine: passes due events to the components, and requests the next wake-up.
 
 use std::time::Duration;
 
@@ -10,28 +10,28 @@
 
 use super::{Action, Machine};
 
-/// Time between two ticks of a replica that votes.
+/// Interval between ticks of a replica that is a voter.
 const VOTER_TICK: Duration = Duration::from_millis(25);
-/// Time between two ticks of a replica that does not vote.
+/// Interval between ticks of a replica that is not a voter.
 const NON_VOTER_TICK: Duration = Duration::from_millis(100);
-/// Time between two ticks of the learner.
+/// Interval between ticks of the learner.
 const LEARNER_TICK: Duration = Duration::from_millis(50);
-/// Time after which a first fallback policy that is not in the log is proposed again.
+/// Time after which a first fallback policy that is not in the log yet is proposed again.
 const FIRST_FALLBACK_RETRY: Duration = Duration::from_secs(3);
 
-/// When each component is due next, and the wake-up that was asked for.
+/// The next due time of each component, and the requested wake-up.
 pub(super) struct Timers {
     pub(super) wire_due: Option<Duration>,
     pub(super) leases_due: Option<Duration>,
     pub(super) lists_due: Option<Duration>,
     replica_due: Duration,
     learner_due: Duration,
-    /// Time of the last [`Action::WakeAt`]; `None` once it has come.
+    /// Time of the last [`Action::WakeAt`]; `None` once that time has come.
     armed: Option<Duration>,
 }
 
 impl Timers {
-    /// The replica and the learner are due at once.
+    /// Creates the timers, with the replica and the learner due immediately.
     pub(super) fn new(now: Duration) -> Self {
         Self {
             wire_due: None,
@@ -43,12 +43,12 @@
         }
     }
 
-    /// The wake-up has come. What is due at this very moment needs another one.
+    /// Clears the requested wake-up once it has come. A component that is due at exactly this time needs another wake-up.
     pub(super) fn disarm(&mut self) {
         self.armed = None;
     }
 
-    /// Asks for a wake-up at the earliest time at which something is due, unless that is asked for already.
+    /// Requests a wake-up at the earliest due time of a component, unless that wake-up is already requested.
     pub(super) fn arm(&mut self, actions: &mut Vec<Action>) {
         let ticks = [Some(self.replica_due), Some(self.learner_due)];
         let dues = ticks.into_iter().chain([self.wire_due, self.leases_due, self.lists_due]);
@@ -60,13 +60,13 @@
     }
 }
 
-/// Clears `due` if it has come; whether it has.
+/// Clears `due` if its time has come, and returns whether it has.
 fn take_due(due: &mut Option<Duration>, now: Duration) -> bool {
     due.take_if(|at| *at <= now).is_some()
 }
 
 impl Machine {
-    /// Hands in everything that is due.
+    /// Passes an event to each component that is due.
     pub(super) fn run_due(&mut self) {
         if take_due(&mut self.timers.wire_due, self.now) {
             self.step_wire(peers::Event::Due);
@@ -93,8 +93,8 @@
         self.replica.members().has(self.setup.node_id)
     }
 
-    /// Proposes a fallback policy as leader of a cluster that was bootstrapped without one. Without any, a balancer that is
-    /// cut off for longer than its lease could send nowhere.
+    /// Proposes a fallback policy as leader of a cluster that was bootstrapped without one. Without a fallback policy, a
+    /// balancer that is disconnected for longer than its lease could not send to any upstream.
     fn propose_first_fallback(&mut self) {
         let is_retry_due = self
             .first_fallback_at
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -1,7 +1,7 @@
-//! This balancer's part of the cluster of balancers, as the rest of the process uses it: a reader of the agreed policy, a
-//! source of events and a way to make admin calls.
+//! This balancer's membership in the cluster of balancers: a reader of the agreed policy, a source of events and a channel
+//! for admin calls.
 //!
-//! The state machines ([`machine`]) run on a thread or task of their own ([`Runtime`]); what they decide is theirs.
+//! The state machines ([`machine`]) make all decisions. They run on a separate thread or task ([`Runtime`]).
 
 pub mod admin_api;
 mod durable_log;
@@ -22,55 +22,55 @@
 pub use published::{PolicySnapshot, PublishedPolicy};
 pub use runtime::{AdminCall, Runtime};
 
-/// The cluster as the engine knows it: that there is a policy, not where it comes from.
+/// The engine's view of the cluster, which hides where the policy comes from.
 pub trait PolicyReader {
-    /// The policy that applies now. Read it before each send.
+    /// Returns the policy that applies now. Callers read it before each send.
     fn current_policy(&self) -> PolicySnapshot;
 
-    /// Reports what discovery delivered to this balancer.
+    /// Reports an endpoint list that discovery delivered to this balancer.
     fn report_endpoint_list(&self, list: EndpointListEvent);
 }
 
-/// What discovery delivered, as reported to the cluster.
+/// A message of discovery, as reported to the cluster.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum EndpointListEvent {
-    /// Entries that changed, or a complete list.
+    /// Changed entries, or a complete list.
     List {
         /// Version of the list.
         version: u64,
-        /// Whether the list is complete: an upstream that it leaves out is gone.
+        /// Whether the list is complete, so that an upstream missing from the list is gone.
         whole: bool,
         /// Name and phase of each entry.
         entries: Vec<(String, Phase)>,
     },
-    /// Versions begin again: another discovery server counts them from here on.
+    /// Versions restart, because another discovery server assigns them from now on.
     VersionsReset,
 }
 
-/// What the cluster reports to the engine.
+/// An event that the cluster reports to the engine.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClusterEvent {
-    /// A different policy may apply than before.
+    /// The policy that applies may have changed.
     Changed,
-    /// Another balancer has a newer endpoint list: discovery is to be polled.
+    /// Another balancer has a newer endpoint list, so the engine has to poll discovery.
     RefreshList,
 }
 
-/// Connects the serving part of a balancer to its cluster [`Runtime`], which may run on another thread.
+/// Connects the engine and the admin API to the cluster [`Runtime`], which may run on another thread.
 pub struct ClusterHandle {
-    /// Reads the policy, and reports endpoint lists.
+    /// Reads the policy and reports endpoint lists.
     pub reader: Reader,
     /// Events for the engine.
     pub events: mpsc::UnboundedReceiver<ClusterEvent>,
-    /// Takes admin calls.
+    /// Sender of admin calls.
     pub calls: mpsc::UnboundedSender<AdminCall>,
 }
 
-/// Reads what the [`Runtime`] published, on the runtime's clock.
+/// Reads the policy that the [`Runtime`] published, on the runtime's clock.
 #[derive(Clone)]
 pub struct Reader {
     published: Arc<PublishedPolicy>,
-    /// Zero of the clock by which leases are dated.
+    /// Origin of the clock of lease times.
     epoch: Instant,
     lists: mpsc::UnboundedSender<EndpointListEvent>,
 }
@@ -81,7 +81,7 @@
     }
 
     fn report_endpoint_list(&self, list: EndpointListEvent) {
-        // Without a runtime nobody acts on lists any more.
+        // Sending fails only if the runtime has ended, and then no component needs the list.
         let _ = self.lists.send(list);
     }
 }
--- a/crates/gateway/src/cluster/published.rs
+++ b/crates/gateway/src/cluster/published.rs
@@ -1,7 +1,7 @@
-//! The policy that requests read: one value with its lease inside, replaced as a whole and read without a lock.
+//! The policy that requests read: a single value that includes its lease, is replaced as a whole and read without a lock.
 //!
-//! Read-copy-update by `arc-swap`: a reader never waits for the writer, never sees parts of two values, and keeps the
-//! value that it holds alive. Deciding what is published is left to the [`Machine`](super::Machine).
+//! The value is shared by read-copy-update with `arc-swap`: a reader never waits for the writer, never sees parts of two
+//! values, and keeps the value that it holds alive. The [`Machine`](super::Machine) decides what is published.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,17 +12,18 @@
 
 use crate::cluster::machine::StoppedUpstreams;
 
-/// The policy that applies at one moment.
+/// The policy that applies at a given time.
 #[derive(Clone, Debug)]
 pub struct PolicySnapshot {
-    /// The agreed rules while the lease lasts, the rules of the fallback policy after it.
+    /// The agreed rules until the lease expires, then the rules of the fallback policy.
     pub rules: Arc<Rules>,
-    /// Upstreams to which nothing new is sent, by the reports of other balancers.
+    /// Upstreams that get no new requests, because other balancers reported them as draining or gone.
     pub stops: Arc<StoppedUpstreams>,
 }
 
 impl PolicySnapshot {
-    /// Whether both are the same published values. A renewed lease keeps the identity of its rules.
+    /// Returns whether two snapshots share the same published values, compared by identity. Renewing a lease keeps the
+    /// identity of its rules.
     pub fn is(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.rules, &other.rules) && Arc::ptr_eq(&self.stops, &other.stops)
     }
@@ -44,14 +45,14 @@
     }
 }
 
-/// The published value. It has one writer and any number of readers.
+/// The published policy, with one writer and any number of readers.
 ///
-/// Each `now` is the time since the writer's epoch.
+/// The parameter `now` of the methods is the time since the origin of the writer's clock.
 #[derive(Debug)]
 pub struct PublishedPolicy(ArcSwap<PublishedValue>);
 
 impl PublishedPolicy {
-    /// Publishes `in_force` as the first value, with no stopped upstreams.
+    /// Creates the published policy from `in_force`, without stopped upstreams.
     pub fn new(in_force: InForce) -> Self {
         Self(ArcSwap::from_pointee(PublishedValue { in_force, stops: Arc::default() }))
     }
@@ -74,13 +75,13 @@
         !previous.at(now).is(&applies)
     }
 
-    /// The rules and their lease, as published last.
+    /// Returns the rules and the lease that were published last.
     pub fn in_force(&self) -> InForce {
         self.0.load().in_force.clone()
     }
 
-    /// The policy that applies at `now`. Read it right before each send: the process may have been paused since the last
-    /// read.
+    /// Returns the policy that applies at `now`. Callers read it right before each send, because the process may have been
+    /// paused since the last read.
     pub fn at(&self, now: Duration) -> PolicySnapshot {
         self.0.load().at(now)
     }
--- a/crates/gateway/src/cluster/runtime.rs
+++ b/crates/gateway/src/cluster/runtime.rs
@@ -1,6 +1,7 @@
-//! Drives the cluster's [`Machine`] with sockets, a disk and a clock: waits, hands in events and carries out actions.
+//! Drives the cluster's [`Machine`] with sockets, a disk and a clock: waits, passes events to the machine and carries out
+//! its actions.
 //!
-//! It decides nothing. In the daemon it has a thread of its own, in virtual time a task.
+//! The runtime makes no decisions. The daemon runs it on a separate thread, simulations in virtual time run it as a task.
 
 mod admin_calls;
 
@@ -25,45 +26,45 @@
 pub use admin_calls::AdminCall;
 use admin_calls::AdminCalls;
 
-/// Time from a failure of the disk to the next attempt to use it.
+/// Time from a disk failure to the next attempt to use the disk.
 const DISK_RETRY: Duration = Duration::from_secs(1);
-/// Time from a failed bind to the next: an earlier process of this balancer may still own the address.
+/// Time from a failed bind to the next attempt. An earlier process of this balancer may still own the address.
 const BIND_RETRY: Duration = Duration::from_millis(100);
-/// Pause after a failed receive. No such error closes the socket, and one that repeats must not keep the thread busy.
+/// Pause after a failed receive. Receive errors don't close the socket, and a repeated error must not keep the thread busy.
 const RECEIVE_RETRY: Duration = Duration::from_millis(1);
 
-/// The machine and everything that it runs on.
+/// The machine with its sockets, clock, disk and channels.
 pub struct Runtime {
     /// The state machine.
     pub machine: Machine,
-    /// Zero of the machine's clock.
+    /// Origin of the machine's clock.
     pub epoch: Instant,
-    /// Where datagrams of other balancers arrive.
+    /// Address that receives the datagrams of other balancers.
     pub listen: SocketAddr,
     /// Address of each balancer of the cluster, this one included; the index is its [`NodeId`].
     pub peers: Vec<SocketAddr>,
-    /// What requests read.
+    /// The policy that requests read.
     pub published: Arc<PublishedPolicy>,
     /// Events for the engine.
     pub events: mpsc::UnboundedSender<ClusterEvent>,
-    /// What discovery delivered.
+    /// Receiver of the endpoint lists that discovery delivered.
     pub lists: mpsc::UnboundedReceiver<EndpointListEvent>,
-    /// Calls of the admin API. Once their senders are gone the runtime ends.
+    /// Receiver of admin API calls. The runtime ends once all senders are dropped.
     pub calls: mpsc::UnboundedReceiver<AdminCall>,
-    /// What outlives the process; `None` where the balancer has no state directory.
+    /// State that survives a restart; `None` if the balancer has no state directory.
     pub durable_log: Option<Box<dyn DurableLog + Send>>,
-    /// Failpoints of the steps taken here.
+    /// Failpoints of the runtime's steps.
     pub points: Points,
 }
 
 /// State of the event loop.
 struct RunState {
     nodes: FxHashMap<SocketAddr, NodeId>,
-    /// When the machine asked to be woken.
+    /// Time of the wake-up that the machine requested.
     wake_at: Option<Instant>,
-    /// When the disk is to be tried again.
+    /// Time of the next attempt to use the disk after a failure.
     disk_retry_at: Option<Instant>,
-    /// When the lease of the published policy ends, if no other follows.
+    /// Expiry of the published policy's lease, unless the lease is renewed.
     lease_ends_at: Option<Instant>,
     is_disk_failing: bool,
     has_unsynced_records: bool,
@@ -84,13 +85,13 @@
         }
     }
 
-    /// The earliest moment at which something is due without an event.
+    /// Returns the earliest time at which a timer expires.
     fn next_due(&self) -> Option<Instant> {
         let call = self.admin_calls.next_timeout();
         [self.wake_at, self.disk_retry_at, self.lease_ends_at, call].into_iter().flatten().min()
     }
 
-    /// Notes a failure of the disk, which is logged once until it is over; the event for the machine.
+    /// Records a disk failure and returns the event for the machine. Logs only the first failure until the disk recovers.
     fn on_disk_failure(&mut self, cause: &DurableLogError) -> Event<'static> {
         let cause = cause.to_string();
         if !self.is_disk_failing {
@@ -103,7 +104,7 @@
 }
 
 impl Runtime {
-    /// Runs until the last sender of admin calls is gone.
+    /// Runs until the last sender of admin calls is dropped.
     pub async fn run(mut self, network: Rc<dyn Network>) {
         let mut socket = self.bind(&*network).await;
         tracing::info!(listen = %self.listen, peers = self.peers.len(), "joined the cluster");
@@ -137,7 +138,7 @@
         }
     }
 
-    /// Binds the socket for datagrams of other balancers, however long that takes.
+    /// Binds the socket for datagrams of other balancers, with retries until the bind succeeds.
     async fn bind(&self, network: &dyn Network) -> Box<dyn Datagrams> {
         loop {
             match network.datagrams(self.listen) {
@@ -179,7 +180,7 @@
         }
     }
 
-    /// Hands in one event, and carries out everything that follows from it.
+    /// Passes one event to the machine, and carries out the resulting actions until none are left.
     async fn dispatch(&mut self, event: Event<'_>, state: &mut RunState, socket: &dyn Datagrams) {
         let mut actions = Vec::new();
         self.machine.handle(self.epoch.elapsed(), event, &mut actions);
@@ -190,7 +191,7 @@
                     next.push(event);
                 }
             }
-            // One sync for all records of this round.
+            // A single sync covers all records that this round appended.
             next.extend(self.sync_records(state));
             for event in next.drain(..) {
                 self.machine.handle(self.epoch.elapsed(), event, &mut actions);
@@ -198,7 +199,7 @@
         }
     }
 
-    /// Carries out one action; returns the event that reports its result.
+    /// Carries out one action, and returns the event that reports the result, if the action has one.
     fn carry_out(
         &mut self,
         action: Action,
@@ -234,7 +235,7 @@
     fn transmit(&self, to: NodeId, bytes: &[u8], socket: &dyn Datagrams) {
         let Some(address) = self.peers.get(usize::from(to.0)) else { return };
         for _ in 0..copies(self.points.meet("bank.transmit", Kind::Send)) {
-            // The protocols take any datagram as one that may be lost.
+            // The protocols tolerate the loss of any datagram, so a send error is ignored.
             let _ = socket.send(bytes, *address);
         }
     }
@@ -255,11 +256,12 @@
     }
 
     fn notify(&self, event: ClusterEvent) {
-        // Without an engine nobody acts on events any more.
+        // Sending fails only if the engine has ended, and then no component needs the event.
         let _ = self.events.send(event);
     }
 
-    /// Syncs the records that were appended since the last sync, if any; returns the event that reports its result.
+    /// Syncs the records appended since the last sync, and returns the event that reports the result. Returns `None` if no
+    /// record was appended.
     fn sync_records(&mut self, state: &mut RunState) -> Option<Event<'static>> {
         if !std::mem::take(&mut state.has_unsynced_records) {
             return None;
@@ -294,7 +296,7 @@
     }
 }
 
-/// Ends at `at`, or never.
+/// Waits until `at`, or forever if there is no time.
 async fn wait_until(at: Option<Instant>) {
     match at {
         Some(at) => sleep_until(at).await,
@@ -302,7 +304,7 @@
     }
 }
 
-/// How many copies of a datagram go on, by the fault that a failpoint planned for it.
+/// Returns the number of copies of a datagram to pass on, by the fault that a failpoint injects.
 fn copies(fault: Option<Fault>) -> usize {
     match fault {
         Some(Fault::Lose) => 0,
--- a/crates/gateway/src/cluster/runtime/admin_calls.rs
+++ b/crates/gateway/src/cluster/runtime/admin_calls.rs
@@ -1,5 +1,5 @@
-//! Admin calls in progress: those that wait for the machine's answer, and those that wait for a revision to be in force
-//! at every balancer.
+//! Admin calls in progress: calls waiting for the machine's answer, and calls waiting until a revision is in force at every
+//! balancer.
 
 use hollowpaddle_net::Datagrams;
 use hollowpaddle_revision::entry::{CommandId, Entry};
@@ -15,28 +15,28 @@
 
 /// A call of the admin API.
 pub struct AdminCall {
-    /// What the operator asks for.
+    /// The operator's request.
     pub request: AdminRequest,
-    /// The fleet as this balancer has it listed.
+    /// The upstreams in this balancer's endpoint list.
     pub facts: FleetFacts,
-    /// When the caller must have a response, whatever is known by then.
+    /// Time by which the caller gets a response, even if the outcome is unknown then.
     pub deadline: Instant,
-    /// Takes the response.
+    /// Sender of the response.
     pub reply: oneshot::Sender<AdminResponse>,
 }
 
-/// A caller that waits for the machine's answer.
+/// A call that waits for the machine's answer.
 struct PendingCommand {
     reply: oneshot::Sender<AdminResponse>,
     request: AdminRequest,
     id: CommandId,
-    /// Whether the entry proposed is the fallback policy that has to change before what was asked for.
+    /// Whether the proposed entry is a change of the fallback policy that must precede the requested change.
     fallback_pending: bool,
-    /// When it is answered that the outcome is unknown.
+    /// Time at which the call is answered with an unknown outcome.
     deadline: Instant,
 }
 
-/// A caller that waits until a revision is in force at every balancer.
+/// A call that waits until a revision is in force at every balancer.
 struct RolloutWait {
     reply: oneshot::Sender<AdminResponse>,
     response: AdminResponse,
@@ -44,29 +44,29 @@
     until: Instant,
 }
 
-/// The calls in progress.
+/// The admin calls in progress.
 #[derive(Default)]
 pub(super) struct AdminCalls {
-    /// By ticket.
+    /// Calls waiting for the machine's answer, by ticket.
     pending: FxHashMap<u64, PendingCommand>,
     rollouts: Vec<RolloutWait>,
     last_ticket: u64,
 }
 
 impl AdminCalls {
-    /// Whether a caller waits for the rollout of a revision.
+    /// Returns whether a call waits for the rollout of a revision.
     pub(super) fn has_rollouts(&self) -> bool {
         !self.rollouts.is_empty()
     }
 
-    /// When the first wait for an answer or a rollout is over.
+    /// Returns the earliest deadline of a call that waits for an answer or a rollout.
     pub(super) fn next_timeout(&self) -> Option<Instant> {
         let commands = self.pending.values().map(|command| command.deadline);
         let rollouts = self.rollouts.iter().map(|wait| wait.until);
         commands.chain(rollouts).min()
     }
 
-    /// Answers the calls whose time is over: the outcome is unknown.
+    /// Answers the calls whose deadline has passed with an unknown outcome.
     pub(super) fn answer_expired(&mut self) {
         let now = Instant::now();
         let expired: Vec<u64> = self
@@ -80,7 +80,7 @@
         }
     }
 
-    /// Answers the call with this ticket, or has it wait for the rollout of its revision.
+    /// Answers the call with this ticket, or makes the call wait for the rollout of its revision.
     pub(super) fn answer(&mut self, ticket: u64, result: &ProposalResult) {
         let Some(command) = self.pending.remove(&ticket) else { return };
         let PendingCommand { reply, request, id, fallback_pending, deadline } = command;
@@ -94,7 +94,8 @@
         }
     }
 
-    /// Answers callers whose revision is in force at every balancer by `status`, and those whose time is over.
+    /// Answers the calls whose revision is in force at every balancer according to `status`, and the calls whose deadline has
+    /// passed.
     pub(super) fn answer_rollouts(&mut self, status: &PolicyStatus) {
         let now = Instant::now();
         for mut wait in std::mem::take(&mut self.rollouts) {
@@ -112,7 +113,7 @@
 }
 
 impl Runtime {
-    /// Answers a call that needs nobody else, and hands in any other.
+    /// Answers a call that needs no event of the machine, and passes the event of any other call to the machine.
     pub(super) async fn on_admin_call(
         &mut self,
         call: AdminCall,
@@ -137,8 +138,8 @@
         }
     }
 
-    /// An id for a command that the caller did not name. It is unique: no two processes share an incarnation, and none
-    /// uses a ticket twice.
+    /// Returns an id for a command for which the caller gave none. The id is unique, because no two processes share an
+    /// incarnation and a process never reuses a ticket.
     fn fresh_command_id(&self, ticket: u64) -> CommandId {
         let incarnation = u128::from(self.machine.wire().own_incarnation().0);
         let node_id = u128::from(self.machine.node_id().0);
