--- a/crates/gateway/src/cluster/admin_api/check.rs
+++ b/crates/gateway/src/cluster/admin_api/check.rs
@@ -124,8 +124,8 @@
     Ok(())
 }
 
-/// Checks that each cell of a fallback policy has an upstream that serves. A cell whose upstreams all serve nothing now can't
-/// be distinguished from a cell that doesn't exist.
+/// Checks that each cell of a fallback policy has an upstream that serves. A cell without a serving
+/// upstream can't be distinguished from a cell that doesn't exist.
 fn check_cells(policy: &FallbackPolicy, facts: &FleetFacts) -> Result<(), ImpossibleChange> {
     let known: BTreeSet<u32> = facts.groups.iter().map(|group| group.cell).collect();
     let Some(&cell) = policy.cells.difference(&known).next() else { return Ok(()) };
--- a/crates/gateway/src/cluster/runtime/admin_calls.rs
+++ b/crates/gateway/src/cluster/runtime/admin_calls.rs
@@ -17,7 +17,7 @@
 pub struct AdminCall {
     /// The operator's request.
     pub request: AdminRequest,
-    /// The upstreams in this balancer's endpoint list.
+    /// Facts about the upstreams in this balancer's endpoint list.
     pub facts: FleetFacts,
     /// Time by which the caller gets a response, even if the outcome is unknown then.
     pub deadline: Instant,
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -1,5 +1,5 @@
-//! One watch on the endpoint list: the call to discovery, the lists that it delivers, and its silence or end. When to open
-//! a watch, and what a list means, is left to the engine.
+//! One watch on the endpoint list: the call to discovery, the lists that the watch delivers, and the end or silence of the
+//! watch. The engine decides when to open a watch, and interprets the lists.
 
 use std::convert::Infallible;
 use std::net::SocketAddr;
@@ -20,32 +20,34 @@
 use crate::members::List;
 use crate::tasks::AbortOnDrop;
 
-/// A watch that has delivered nothing, not even a heartbeat, for so long is dead, and so is a connection that has not come
-/// up: a machine that is cut off sends no reset.
+/// Time after which a watch without lists and heartbeats, or a connection attempt without a result, counts as dead. A machine
+/// that is disconnected sends no TCP reset.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_micros(list_polling::SILENCE_TIMEOUT.0 as u64);
-/// How long the first call that discovery has accepted is waited for.
+/// Timeout of the first call that discovery has accepted.
 const FIRST_CALL_TIMEOUT: Duration = Duration::from_micros(list_polling::CALL_TIMEOUT.0 as u64);
-/// An error status that comes sooner than this after the call began is a rejection: the call did not wait for its turn.
+/// An error status that arrives within this time after the start of the call is a rejection: the call did not wait in a queue
+/// of discovery.
 const REJECTION_TIME: Duration = Duration::from_millis(200);
 
-/// How long a call that discovery has accepted is waited for.
+/// Timeout of a call that discovery has accepted.
 #[derive(Debug, Default)]
 pub struct CallTimeout {
-    /// Calls without an answer while discovery was crowded, since the last list.
+    /// Calls without a response while discovery was overloaded, since the last list.
     unanswered_calls: u32,
 }
 
 impl CallTimeout {
-    /// The timeout of the next call.
+    /// Returns the timeout of the next call.
     pub fn current(&self) -> Duration {
         let doublings = self.unanswered_calls.min(list_polling::MAX_CALL_TIMEOUT_DOUBLINGS);
         FIRST_CALL_TIMEOUT * (1 << doublings)
     }
 
-    /// Learns from the end of a call.
+    /// Doubles the timeout after a call without a response to an overloaded discovery, because the call may still have been
+    /// waiting in discovery's queue.
     ///
-    /// A call without an answer may still have been waiting for its turn only where discovery is known to be crowded.
-    /// Elsewhere it hung, and longer waits would delay the list.
+    /// If discovery is not known to be overloaded, a call without a response hung, and a longer timeout would only delay the
+    /// list.
     pub fn call_ended(&mut self, end: WatchEnd, is_crowded: bool) {
         if end == WatchEnd::Unanswered && is_crowded {
             self.unanswered_calls += 1;
@@ -53,26 +55,26 @@
     }
 }
 
-/// What a watch reports.
+/// An event that a watch reports.
 pub enum WatchEvent {
-    /// The endpoint list, or a change to it.
+    /// The complete endpoint list, or a change to it.
     List(List),
-    /// Nothing has come for [`SILENCE_TIMEOUT`]. Lists that come after all are still reported.
+    /// No data has arrived for [`SILENCE_TIMEOUT`]. Lists that arrive later are still reported.
     Silent,
-    /// The watch is over. This is its last report.
+    /// The watch has ended. This is its last event.
     Ended(WatchEnd),
 }
 
-/// How a watch, or the call for one, has ended.
+/// The reason for the end of a watch or of the call that opens one.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum WatchEnd {
-    /// No connection came up.
+    /// No connection was established.
     Unreachable,
-    /// Discovery rejected the call at once: it works, and is crowded.
+    /// Discovery rejected the call immediately, so discovery is reachable and overloaded.
     ListCallRejected,
-    /// Discovery accepted the call and then failed it, or ended a watch.
+    /// Discovery accepted the call and then failed it, or ended the watch.
     Failed,
-    /// Discovery accepted the call and has not answered in time.
+    /// Discovery accepted the call and did not respond in time.
     Unanswered,
 }
 
@@ -80,24 +82,24 @@
 enum WatchError {
     #[error("connect: {0}")]
     Connect(#[from] std::io::Error),
-    #[error("no connection in time")]
+    #[error("connection timed out")]
     ConnectTimeout,
     #[error("{0}")]
     Http(#[from] hyper::Error),
-    #[error("answered {0}")]
+    #[error("unexpected status {0}")]
     Status(hyper::StatusCode),
-    #[error("no answer in time")]
+    #[error("response timed out")]
     Unanswered(#[from] tokio::time::error::Elapsed),
     #[error("{0}")]
     Malformed(#[from] ListError),
-    #[error("ended")]
+    #[error("stream ended")]
     Ended,
     #[error("request: {0}")]
     Request(#[from] hyper::http::Error),
 }
 
 impl WatchError {
-    /// What the error tells of discovery, `elapsed` after the call began.
+    /// Classifies the error by the state of discovery that it shows. `elapsed` is the time since the start of the call.
     fn watch_end(&self, elapsed: Duration) -> WatchEnd {
         match self {
             Self::Connect(_) | Self::ConnectTimeout => WatchEnd::Unreachable,
@@ -112,8 +114,8 @@
     }
 }
 
-/// Watches for lists that follow version `revision`, and reports them until the watch ends. A call that discovery has
-/// accepted is waited for as long as `call_timeout`.
+/// Watches for lists that follow version `revision`, and reports them until the watch ends. `call_timeout` limits the wait for
+/// the response to a call that discovery has accepted.
 pub async fn watch(
     network: Rc<dyn Network>,
     address: SocketAddr,
@@ -130,7 +132,7 @@
     report(WatchEvent::Ended(cause.watch_end(elapsed)));
 }
 
-/// Calls discovery, and reports what it delivers until that ends.
+/// Calls discovery, and reports the delivered lists until the watch ends.
 async fn run(
     network: &dyn Network,
     address: SocketAddr,
@@ -156,14 +158,14 @@
     }
 }
 
-/// What discovery has delivered to a watch so far.
+/// The response body of a watch, and the state of reading it.
 struct WatchBody {
     body: Incoming,
     reader: ListReader,
     /// The version that the watch follows.
     revision: u64,
     answer_by: Instant,
-    /// Whether the first list has begun. A long one may take longer to come than a call may wait.
+    /// Whether the first list has begun. A long list may take longer to arrive than the timeout of the call.
     has_begun: bool,
     /// Whether a list was delivered.
     has_delivered: bool,
@@ -171,7 +173,7 @@
 }
 
 impl WatchBody {
-    /// The next frame, however long it takes once a silence is reported.
+    /// Returns the next frame. After a silence is reported, the wait has no timeout.
     async fn next_frame(
         &mut self,
         report: &impl Fn(WatchEvent),
@@ -183,7 +185,7 @@
         } else {
             match timeout(SILENCE_TIMEOUT, self.body.frame()).await {
                 Ok(frame) => frame,
-                // A watch that has never delivered anything is of no use.
+                // A silent watch that has never delivered a list counts as failed.
                 Err(elapsed) if !self.has_delivered => return Err(elapsed.into()),
                 Err(_) => {
                     tracing::info!(revision = self.revision, "watch silent");
@@ -196,7 +198,7 @@
         Ok(frame.ok_or(WatchError::Ended)??)
     }
 
-    /// Reads a frame, and reports each list that ends in it. White space between lists is a heartbeat.
+    /// Reads a frame, and reports each list that ends in the frame. White space between lists is a heartbeat.
     async fn read(
         &mut self,
         frame: Frame<Bytes>,
@@ -217,7 +219,7 @@
     }
 }
 
-/// Asks for lists that follow version `revision`. Returns the body of the response, and the task that receives it.
+/// Requests the lists that follow version `revision`. Returns the body of the response and the task that receives it.
 async fn call(
     stream: Box<dyn Stream>,
     address: SocketAddr,
--- a/crates/gateway/src/freshness.rs
+++ b/crates/gateway/src/freshness.rs
@@ -1,10 +1,11 @@
-//! How long the endpoint list may be acted on while no live watch vouches for it. Pure; asking for a newer list is left to
-//! the decision module.
+//! Expiry of the endpoint list while no live watch confirms that the list is current. The functions are pure; the decision
+//! module requests newer lists.
 //!
-//! A change counts as delivered [`LIST_PROPAGATION_BOUND`] after discovery had it and could be reached, received or not, and
-//! after the grace period of a drain nothing may be sent by the old list (PROTOCOL, "Figures"). A balancer whose calls
-//! discovery keeps rejecting can miss such a change, so its list expires at that moment, and not before: while discovery
-//! can't be reached nothing counts, and the last known list is the best there is.
+//! A change counts as delivered [`LIST_PROPAGATION_BOUND`] after discovery had the change and could be reached, even if the
+//! balancer did not receive it. After the grace period of a drain no request may be sent by the old list (PROTOCOL,
+//! "Figures"). A balancer whose calls discovery keeps rejecting can miss a drain, so its list expires when the grace period of
+//! a missed drain would end, and not earlier. While discovery can't be reached no change counts as delivered, and the last
+//! known list stays in use.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -15,40 +16,41 @@
 
 use crate::discovery::WatchEnd;
 
-/// From the time that discovery has a change to the time that it counts as delivered.
+/// Time after which a change at discovery counts as delivered.
 const PROPAGATION_BOUND: Duration = Duration::from_micros(LIST_PROPAGATION_BOUND.0 as u64);
 
-/// When the endpoint list expires, shared with attempts, which read it right before their first byte.
+/// The expiry time of the endpoint list. The value is shared with attempts, which check it right before sending their first
+/// byte.
 #[derive(Clone, Debug, Default)]
 pub struct Expiry(Rc<Cell<Option<Instant>>>);
 
 impl Expiry {
-    /// Whether the list may not be acted on at this time.
+    /// Returns whether the list has expired at this time.
     pub fn is_over(&self, now: Instant) -> bool {
         self.0.get().is_some_and(|at| now >= at)
     }
 
-    /// When the list expires, as things stand.
+    /// Returns the current expiry time of the list, if any.
     pub fn at(&self) -> Option<Instant> {
         self.0.get()
     }
 }
 
-/// What is known of the age of the endpoint list.
+/// Tracks the age of the endpoint list.
 #[derive(Debug)]
 pub struct Freshness {
-    /// From a change that is missed to the last moment at which the old list may be acted on.
+    /// Maximum time from a missed change to the expiry of the old list.
     max_age: Duration,
-    /// Changes from then on may be missing; nothing while a live watch vouches for the list.
+    /// Changes after this time may be missing; `None` while a live watch confirms the list.
     missing_since: Option<Instant>,
-    /// Whether discovery has rejected a call since the list was last vouched for, so that it could be reached.
+    /// Whether discovery has rejected a call since the list was last confirmed, which shows that discovery was reachable.
     is_crowded: bool,
     expiry: Expiry,
 }
 
 impl Freshness {
-    /// At the start: changes from `now` on are missing until discovery delivers a list. Sends to a draining upstream end
-    /// `grace` after the notice.
+    /// Creates the state at the start of the process: changes after `now` are missing until discovery delivers a list. Sends to
+    /// a draining upstream end `grace` after the notice.
     pub fn new(grace: Duration, now: Instant) -> Self {
         Self {
             max_age: PROPAGATION_BOUND + grace,
@@ -58,54 +60,54 @@
         }
     }
 
-    /// When the list expires, as it stands at each moment.
+    /// Returns a shared handle to the expiry time of the list.
     pub fn expiry(&self) -> Expiry {
         self.expiry.clone()
     }
 
-    /// Whether discovery has rejected a call since the list was last vouched for.
+    /// Returns whether discovery has rejected a call since the list was last confirmed.
     pub fn is_crowded(&self) -> bool {
         self.is_crowded
     }
 
-    /// From when on a change counts as delivered that is received only now.
+    /// Returns the time at which a change that is received `now` counts as delivered.
     pub fn delivered(&self, now: Instant) -> Instant {
         self.missing_since.map_or(now, |since| now.min(since + PROPAGATION_BOUND))
     }
 
-    /// Until when no change is missing, as far as is known.
+    /// Returns the time up to which no change is missing.
     pub fn complete_until(&self, now: Instant) -> Instant {
         self.missing_since.unwrap_or(now)
     }
 
-    /// A live watch vouches for the list.
+    /// Records that a live watch confirms the list.
     pub fn vouched(&mut self) {
         self.missing_since = None;
         self.is_crowded = false;
         self.expiry.0.set(None);
     }
 
-    /// No live watch vouches for the list any more; the last one did until `since`.
+    /// Records that no live watch confirms the list any more. The last watch confirmed the list until `since`.
     pub fn unvouched(&mut self, since: Instant) {
         self.missing_since.get_or_insert(since);
     }
 
-    /// A call for the list that began at `started_at` has ended.
+    /// Records the end of a call for the list that began at `started_at`.
     pub fn call_ended(&mut self, end: WatchEnd, started_at: Instant, now: Instant) {
-        // A list that has expired stays so: an outage does not undo what had been delivered by then.
+        // An expired list stays expired: a later outage of discovery does not undo earlier deliveries.
         if self.expiry.is_over(now) {
             return;
         }
         let Some(since) = &mut self.missing_since else { return };
         match end {
             WatchEnd::ListCallRejected => self.is_crowded = true,
-            // Nobody was there: what changed before was not delivered to anybody.
+            // Discovery was unreachable, so earlier changes were not delivered to any balancer.
             WatchEnd::Unreachable => {
                 *since = started_at.max(*since);
                 self.is_crowded = false;
             }
-            // A discovery that is down may accept calls and fail them. Once it has rejected a call it is not down, and
-            // this call had waited too long for its turn.
+            // A discovery that is down may accept calls and fail them. If discovery has rejected a call, it is not down, and
+            // this call failed because it waited too long in discovery's queue.
             WatchEnd::Failed | WatchEnd::Unanswered if self.is_crowded => {}
             WatchEnd::Failed | WatchEnd::Unanswered => *since = now.max(*since),
         }
--- a/crates/gateway/src/freshness/tests.rs
+++ b/crates/gateway/src/freshness/tests.rs
@@ -6,7 +6,7 @@
     Duration::from_secs(n)
 }
 
-/// A list that a watch vouched for until `start`, and that no watch vouches for since.
+/// Returns the state of a list that a watch confirmed until `start` and that no watch has confirmed since.
 fn unvouched(start: Instant) -> Freshness {
     let mut freshness = Freshness::new(GRACE, start);
     freshness.vouched();
@@ -78,7 +78,7 @@
     freshness.call_ended(WatchEnd::ListCallRejected, start, start);
     let late = start + seconds(20);
     freshness.call_ended(WatchEnd::Unreachable, late, late);
-    assert!(freshness.expiry().is_over(late), "an outage undoes nothing that was delivered");
+    assert!(freshness.expiry().is_over(late), "an outage does not undo deliveries");
     freshness.vouched();
     assert!(!freshness.expiry().is_over(late));
 }
--- a/crates/gateway/src/list_reader.rs
+++ b/crates/gateway/src/list_reader.rs
@@ -1,7 +1,8 @@
-//! Reads endpoint lists from a stream of bytes, in whatever pieces it comes and however it is laid out. Pure.
+//! Reads endpoint lists from a stream of bytes, which may be split into arbitrary pieces and have any JSON layout. The reader
+//! does no I/O.
 //!
-//! A list is read entry by entry: the text of an entry is dropped at its last byte, and a compact record is retained. What
-//! stands around the entries (the outline) is retained as text until the list is complete.
+//! A list is parsed entry by entry: the text of an entry is dropped at its last byte, and a compact record is retained. The
+//! text around the entries (the outline) is retained until the list is complete.
 
 mod text;
 
@@ -13,77 +14,78 @@
 use crate::names::NameInterner;
 use text::Text;
 
-/// Bytes of one entry, with each run of white space counted as one. Entries have about 150; the rest is room for keys
-/// that this build does not know. Without a bound an entry that never ends takes all memory.
+/// Maximum number of bytes of one entry; a run of white space counts as one byte. Entries have about 150 bytes, and the rest
+/// is room for keys that this build does not know. Without a limit, an endless entry would use all memory.
 pub const MAX_ENTRY_LENGTH: usize = 64 << 10;
-/// Bytes of a list outside of its entries, counted in the same way. They hold a version and a flag; the rest is room for
-/// keys that this build does not know. Without a bound a list that never ends takes all memory.
+/// Maximum number of bytes of a list outside of its entries; a run of white space counts as one byte. The outline holds a
+/// version and a flag, and the rest is room for keys that this build does not know. Without a limit, an endless list would use
+/// all memory.
 pub const MAX_OUTLINE_LENGTH: usize = 256 << 10;
-/// Objects and arrays within each other, the list itself included: what `serde_json` reads.
+/// Maximum depth of nested objects and arrays, including the list itself. `serde_json` has the same limit.
 pub const MAX_DEPTH: usize = 127;
-/// Entries received of one list: two and a half times the 39,000 upstreams that the largest deployment in sight has.
-/// Without a bound a list that never ends takes all memory.
+/// Maximum number of entries of one list: two and a half times the 39,000 upstreams of the largest expected deployment.
+/// Without a limit, an endless list would use all memory.
 pub const MAX_ENTRIES: usize = 100_000;
-/// Bytes of all ids of one list: on average 160 for each of [`MAX_ENTRIES`]. Without a bound ids as long as an entry may
-/// be would take gigabytes.
+/// Maximum number of bytes of all ids of one list: on average 160 for each of [`MAX_ENTRIES`]. Without a limit, ids as long as
+/// [`MAX_ENTRY_LENGTH`] would use gigabytes.
 pub const MAX_ID_BYTES: usize = 16 << 20;
-/// A stream is best handed over in pieces of at most so many bytes, with a chance for other tasks in between: about
-/// fifty entries, which take a fraction of a millisecond to read.
+/// Number of bytes after which a caller of [`ListReader::take`] should yield to other tasks: about fifty entries, which take a
+/// fraction of a millisecond to read.
 pub const PIECE_LENGTH: usize = 8 << 10;
 
-/// Why there are no more lists in a stream.
+/// An error that ends the reading of a stream.
 #[derive(Debug, thiserror::Error)]
 pub enum ListError {
-    /// Text that is no list.
-    #[error("text that is no list: {0}")]
+    /// The text is not a valid endpoint list.
+    #[error("invalid endpoint list: {0}")]
     Malformed(#[from] serde_json::Error),
-    /// An entry that is too long, or never ends.
-    #[error("an entry of more than {MAX_ENTRY_LENGTH} bytes")]
+    /// An entry is too long or endless.
+    #[error("entry longer than {MAX_ENTRY_LENGTH} bytes")]
     EntryTooLong,
-    /// Too much text around the entries.
-    #[error("a list with more than {MAX_OUTLINE_LENGTH} bytes beside its entries")]
+    /// The text around the entries is too long.
+    #[error("list with more than {MAX_OUTLINE_LENGTH} bytes outside of its entries")]
     OutlineTooLong,
-    /// Too many values within each other.
-    #[error("a list with more than {MAX_DEPTH} values within each other")]
+    /// Values are nested too deeply.
+    #[error("list with more than {MAX_DEPTH} nested values")]
     TooDeep,
-    /// Too many entries.
-    #[error("a list of more than {MAX_ENTRIES} entries")]
+    /// The list has too many entries.
+    #[error("list with more than {MAX_ENTRIES} entries")]
     TooManyEntries,
-    /// Ids that are too long all together.
-    #[error("a list with more than {MAX_ID_BYTES} bytes of ids")]
+    /// The total length of the ids is too large.
+    #[error("list with more than {MAX_ID_BYTES} bytes of ids")]
     IdsTooLong,
 }
 
-/// Reads lists from a stream. Each byte is read once, however small the pieces.
+/// Reads lists from a stream. Each byte is read once, even if the pieces are small.
 #[derive(Default)]
 pub struct ListReader {
     position: Position,
     /// The list without its entries.
     outline: Text,
-    /// Where in the outline the key begins that is being read.
+    /// Offset in the outline of the key that is being read.
     key_start: Option<usize>,
-    /// The next string directly within the list is a key.
+    /// Whether the next string at the top level of the list is a key.
     expects_key: bool,
-    /// The key of the entries has come, and its value has not begun.
+    /// Whether the key `members` has been read and its value has not begun.
     expects_members: bool,
     /// The entry that is being read.
     entry: Text,
     received: ReceivedEntries,
 }
 
-/// What the next byte belongs to.
+/// The part of the list that the next byte belongs to.
 #[derive(Clone, Copy, Default)]
 enum Position {
     /// The outline.
     #[default]
     Outline,
-    /// The array of entries, between two of them.
+    /// The array `members`, outside of an entry.
     Members(Expected),
     /// An entry.
     Entry,
 }
 
-/// What may come next between two entries.
+/// The tokens that may follow outside of an entry.
 #[derive(Clone, Copy, PartialEq)]
 enum Expected {
     EntryOrEnd,
@@ -99,23 +101,23 @@
     names: NameInterner,
 }
 
-/// The outline of a list, once it is whole.
+/// The outline of a complete list.
 #[derive(Deserialize)]
 struct Header {
     #[serde(default)]
     revision: u64,
     #[serde(default)]
     complete: bool,
-    /// Empty, as its entries were read before. Here it is made sure that it is an array.
+    /// Empty, since the entries were read before. Parsed to check that the value is an array.
     #[serde(default, rename = "members")]
     _members: Vec<IgnoredAny>,
 }
 
 impl ListReader {
-    /// Reads the next piece, and delivers each list that it completes, in order.
+    /// Reads the next piece of the stream, and delivers each list that the piece completes, in order.
     ///
     /// # Errors
-    /// The text is no list, or the list is beyond a limit. Nothing more can be read from this stream then.
+    /// Returns an error if the text is not a list or the list exceeds a limit. The stream can't be read further then.
     pub fn take(&mut self, piece: &[u8], mut deliver: impl FnMut(List)) -> Result<(), ListError> {
         for byte in piece {
             if let Some(list) = self.push(*byte)? {
@@ -147,15 +149,15 @@
             return Err(ListError::TooDeep);
         }
         if begins_members {
-            // Of a key that occurs twice the last one counts.
+            // The last value of a repeated key is used.
             self.received.clear();
             self.position = Position::Members(Expected::EntryOrEnd);
         }
-        // What doesn't begin as an object is none, and is read to no end of its own.
+        // Text that does not begin as an object is rejected at its first byte, since its end could not be determined.
         if self.outline.is_complete() { self.end_of_list().map(Some) } else { Ok(None) }
     }
 
-    /// Follows the keys directly within the list. Tells whether this byte begins the array of entries.
+    /// Tracks the keys at the top level of the list. Returns whether this byte begins the array of entries.
     fn follow_keys(&mut self, byte: u8) -> bool {
         if self.outline.is_empty() {
             self.expects_key = byte == b'{';
@@ -198,7 +200,7 @@
                 return Err(malformed("expected an entry in `members`"));
             }
             _ if expected == Expected::CommaOrEnd => {
-                return Err(malformed("expected `,` or `]` behind an entry of `members`"));
+                return Err(malformed("expected `,` or `]` after an entry of `members`"));
             }
             _ => {
                 self.position = Position::Entry;
@@ -209,7 +211,7 @@
     }
 
     fn push_to_entry(&mut self, byte: u8) -> Result<(), ListError> {
-        // A number or a word has no end of its own.
+        // A number or literal ends only at the byte that follows it.
         if self.entry.is_scalar() && (byte.is_ascii_whitespace() || matches!(byte, b',' | b']')) {
             self.end_of_entry()?;
             return self.push_between_entries(byte, Expected::CommaOrEnd);
--- a/crates/gateway/src/list_reader/tests.rs
+++ b/crates/gateway/src/list_reader/tests.rs
@@ -2,7 +2,7 @@
 
 use super::*;
 
-/// What comes out of these pieces.
+/// Returns the lists that the reader delivers for these pieces.
 fn read<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> Result<Vec<List>, ListError> {
     let (mut reader, mut read) = (ListReader::default(), Vec::new());
     for piece in pieces {
@@ -11,7 +11,7 @@
     Ok(read)
 }
 
-/// What `serde_json` makes of the whole text.
+/// Parses the complete text with `serde_json`.
 fn complete(text: &str) -> List {
     let value: Value = serde_json::from_str(text).expect("text");
     serde_json::from_value(value).expect("a list")
@@ -29,7 +29,7 @@
     for text in [list().to_string(), serde_json::to_string_pretty(&list()).expect("text")] {
         let expected = vec![complete(&text); 3];
         assert_eq!(expected[0].members.len(), 2);
-        // Heartbeats before, between and behind; two lists at once.
+        // Heartbeats precede, separate and follow the lists, and two lists follow each other directly.
         let text = format!("\n\r\n{text}\n\n\t{text}{text}\n");
         for at in 0..=text.len() {
             let (a, b) = text.as_bytes().split_at(at);
@@ -49,7 +49,7 @@
         "{\"revision\": 1\n 2}",
         "{\"members\": [{\"id\": \"a\", \"phase\": \"SERVING\", \"cell\": 1 2}]}",
     ] {
-        assert!(read([text.as_bytes()]).is_err(), "no 12");
+        assert!(read([text.as_bytes()]).is_err(), "1 and 2 are not joined to 12");
     }
 }
 
@@ -83,7 +83,7 @@
     for text in &texts[..texts.len() - 1] {
         assert!(matches!(read([text.as_bytes()]), Err(ListError::Malformed(_))), "{text:?}");
     }
-    // Only broken off.
+    // The last text is only truncated.
     assert_eq!(read([texts[texts.len() - 1].as_bytes()]).expect("nothing yet"), []);
 }
 
@@ -109,7 +109,7 @@
         assert_eq!(
             lists[0].members[0].phase,
             crate::members::Phase::Draining,
-            "the last one counts"
+            "the last value is used"
         );
         assert_eq!(lists[0].members[1].address, None);
     }
@@ -135,9 +135,9 @@
         let text = text(&"x".repeat(length - text("").len()));
         format!("{{\"members\":[{text}]}}")
     };
-    let lists = read([of_length(MAX_ENTRY_LENGTH).as_bytes()]).expect("within the bound");
+    let lists = read([of_length(MAX_ENTRY_LENGTH).as_bytes()]).expect("within the limit");
     assert_eq!(lists[0].members.len(), 1);
-    let error = read([of_length(MAX_ENTRY_LENGTH + 1).as_bytes()]).expect_err("beyond it");
+    let error = read([of_length(MAX_ENTRY_LENGTH + 1).as_bytes()]).expect_err("beyond the limit");
     assert!(matches!(error, ListError::EntryTooLong));
     assert!(error.to_string().contains("65536"), "{error}");
 }
@@ -146,13 +146,13 @@
 fn rejects_outline_beyond_its_length_limit() {
     let of_length = |length: usize| {
         let text = |more: &str| format!("{{\"more\":\"{more}\",\"members\":[]}}");
-        // Entries are no part of it.
+        // Entries are not part of the outline.
         let entry = "{\"id\":\"a\",\"phase\":\"SERVING\"}";
         text(&"x".repeat(length - text("").len())).replace("[]", &format!("[{entry},{entry}]"))
     };
-    let lists = read([of_length(MAX_OUTLINE_LENGTH).as_bytes()]).expect("within the bound");
+    let lists = read([of_length(MAX_OUTLINE_LENGTH).as_bytes()]).expect("within the limit");
     assert_eq!(lists[0].members.len(), 2);
-    let error = read([of_length(MAX_OUTLINE_LENGTH + 1).as_bytes()]).expect_err("beyond it");
+    let error = read([of_length(MAX_OUTLINE_LENGTH + 1).as_bytes()]).expect_err("beyond the limit");
     assert!(matches!(error, ListError::OutlineTooLong));
 }
 
@@ -176,12 +176,12 @@
     let of_count = |count: usize| {
         let entry = |i| format!("{{\"id\":\"{i}\",\"phase\":\"SERVING\"}},");
         let entries: String = (0..count).map(entry).collect();
-        // One that can't be read is not kept.
+        // The unreadable last entry is not counted.
         format!("{{\"members\":[{entries}{{}}]}}")
     };
-    let lists = read([of_count(MAX_ENTRIES).as_bytes()]).expect("within the bound");
+    let lists = read([of_count(MAX_ENTRIES).as_bytes()]).expect("within the limit");
     assert_eq!(lists[0].members.len(), MAX_ENTRIES);
-    let error = read([of_count(MAX_ENTRIES + 1).as_bytes()]).expect_err("beyond it");
+    let error = read([of_count(MAX_ENTRIES + 1).as_bytes()]).expect_err("beyond the limit");
     assert!(matches!(error, ListError::TooManyEntries));
     assert!(error.to_string().contains("100000"), "{error}");
 }
@@ -196,7 +196,7 @@
         format!("{{\"members\":[{}]}}", entries.join(","))
     };
     assert!(read([of_bytes(MAX_ID_BYTES).as_bytes()]).is_ok());
-    let error = read([of_bytes(MAX_ID_BYTES + 1).as_bytes()]).expect_err("beyond the bound");
+    let error = read([of_bytes(MAX_ID_BYTES + 1).as_bytes()]).expect_err("beyond the limit");
     assert!(matches!(error, ListError::IdsTooLong));
 }
 
@@ -211,12 +211,12 @@
         let piece = [b'1'; 1 << 10];
         while take(&piece).is_ok() {
             bytes += piece.len();
-            assert!(bytes <= MAX_OUTLINE_LENGTH, "no bound");
+            assert!(bytes <= MAX_OUTLINE_LENGTH, "no limit");
         }
         assert!(reader.outline.len() <= MAX_OUTLINE_LENGTH + 1);
         assert!(reader.entry.len() <= MAX_ENTRY_LENGTH + 1);
     }
-    // White space is no growth, nor are heartbeats.
+    // White space and heartbeats use no memory.
     for begin in ["", "{", "{\"members\": [", "{\"members\": [{"] {
         let mut reader = ListReader::default();
         reader.take(begin.as_bytes(), |_| panic!("a list")).expect("it begins");
--- a/crates/gateway/src/list_reader/text.rs
+++ b/crates/gateway/src/list_reader/text.rs
@@ -1,10 +1,11 @@
-//! The text of one JSON value, as far as it was received.
+//! The received part of the text of a JSON value.
 
-/// Collects the bytes of a value, with each run of white space outside of strings as one blank, and follows what is open.
+/// Collects the bytes of a value, reduces each run of white space outside of strings to one blank, and tracks open strings,
+/// objects and arrays.
 #[derive(Default)]
 pub(super) struct Text {
     bytes: Vec<u8>,
-    /// Objects and arrays that are open.
+    /// Number of open objects and arrays.
     depth: usize,
     in_string: bool,
     escaped: bool,
@@ -21,7 +22,7 @@
             return;
         }
         if byte.is_ascii_whitespace() {
-            // Between two values it may part them, and nothing stands before the first.
+            // White space may separate two values, so one blank stays. Leading white space is dropped.
             if self.bytes.last().is_some_and(|last| *last != b' ') {
                 self.bytes.push(b' ');
             }
@@ -36,42 +37,42 @@
         }
     }
 
-    /// Whether nothing is open. Of a number or a word there may be more to come.
+    /// Returns whether no string, object or array is open. A number or literal may still continue.
     pub(super) fn is_complete(&self) -> bool {
         !self.bytes.is_empty() && self.depth == 0 && !self.in_string
     }
 
-    /// Whether it began as a number or a word, or as nothing that a value begins with.
+    /// Returns whether the text begins like a number or literal, or with a byte that begins no JSON value.
     pub(super) fn is_scalar(&self) -> bool {
         self.bytes.first().is_some_and(|first| !matches!(first, b'{' | b'[' | b'"'))
     }
 
-    /// Whether the next byte belongs to a string.
+    /// Returns whether the next byte belongs to a string.
     pub(super) fn is_in_string(&self) -> bool {
         self.in_string
     }
 
-    /// Objects and arrays that are open.
+    /// Returns the number of open objects and arrays.
     pub(super) fn depth(&self) -> usize {
         self.depth
     }
 
-    /// Bytes so far.
+    /// Returns the number of bytes so far.
     pub(super) fn len(&self) -> usize {
         self.bytes.len()
     }
 
-    /// Whether nothing was received.
+    /// Returns whether the text is empty.
     pub(super) fn is_empty(&self) -> bool {
         self.bytes.is_empty()
     }
 
-    /// The text so far.
+    /// Returns the text so far.
     pub(super) fn bytes(&self) -> &[u8] {
         &self.bytes
     }
 
-    /// Begins the next value.
+    /// Clears the text for the next value.
     pub(super) fn clear(&mut self) {
         self.bytes.clear();
         (self.depth, self.in_string, self.escaped) = (0, false, false);
--- a/crates/gateway/src/members.rs
+++ b/crates/gateway/src/members.rs
@@ -1,5 +1,5 @@
-//! The endpoint list as discovery writes it: one record for each upstream, with names shared between records. What a list
-//! means is left to `membership`.
+//! The endpoint list in discovery's format: one record for each upstream, with names shared between records. The module
+//! `membership` interprets lists.
 
 use std::borrow::Cow;
 use std::net::SocketAddr;
@@ -11,39 +11,39 @@
 
 use crate::names::NameInterner;
 
-/// One message of discovery: the complete list, or the entries that changed.
+/// A message of discovery: the complete list, or the changed entries.
 #[derive(Clone, Debug, Default, PartialEq, Deserialize, Serialize)]
 pub struct List {
-    /// The version, from which a watch continues.
+    /// Version of the list, from which a watch continues.
     #[serde(default)]
     pub revision: u64,
     /// Whether this is the complete list.
     #[serde(default)]
     pub complete: bool,
-    /// The entries, in the order of discovery.
+    /// The entries, in discovery's order.
     #[serde(default, deserialize_with = "readable_entries")]
     pub members: Vec<Entry>,
 }
 
-/// One upstream, as the list describes it.
+/// A list entry for one upstream.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Entry {
-    /// The name, the same at every balancer. Shared by all that retain it.
+    /// Name of the upstream, equal at every balancer. The string is shared between all its holders.
     pub id: Arc<str>,
-    /// The address, which may differ between balancers and change over time. Nothing if the list has no valid one, as for
-    /// deleted or draining upstreams.
+    /// The address, which may differ between balancers and change over time. `None` if the list has no valid address, for
+    /// example for a deleted or draining upstream.
     pub address: Option<SocketAddr>,
     /// Name of the zone, shared between entries.
     pub zone: Arc<str>,
     /// Name of the machine type, shared between entries.
     pub machine_type: Arc<str>,
-    /// The group of upstreams that share the idempotency keys they have seen.
+    /// The cell: the group of upstreams that share the idempotency keys they have seen.
     pub cell: u32,
-    /// Whether it accepts requests.
+    /// Whether the upstream accepts requests.
     pub phase: Phase,
     /// The weight relative to other upstreams.
     pub size: f64,
-    /// When it last started, in milliseconds of Unix time; 0 for long ago.
+    /// Time of the upstream's last start, in milliseconds of Unix time; 0 for long ago.
     pub up_since_ms: f64,
 }
 
@@ -51,18 +51,18 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Deserialize, Serialize)]
 #[serde(rename_all = "UPPERCASE")]
 pub enum Phase {
-    /// It accepts requests.
+    /// The upstream accepts requests.
     Serving,
-    /// It finishes the requests that it has.
+    /// The upstream completes the requests that it has, and accepts no new ones.
     Draining,
-    /// It is gone.
+    /// The upstream is gone.
     Deleted,
-    /// A phase that this build does not know: nothing shows that it accepts requests.
+    /// A phase that this build does not know. The upstream is not assumed to accept requests.
     #[serde(other)]
     Unknown,
 }
 
-/// An entry with the keys that it has on the wire and in snapshots.
+/// An entry with its keys on the wire and in snapshots.
 #[derive(Deserialize, Serialize)]
 struct EntryText<'a> {
     #[serde(borrow)]
@@ -102,11 +102,11 @@
 }
 
 impl Entry {
-    /// Reads the JSON text of one entry. A value that is no entry is logged and gives nothing: it must not cost the list its
-    /// other entries.
+    /// Parses the JSON text of one entry. A value that is not an entry is logged and returned as `None`, so that the other
+    /// entries of the list stay usable.
     ///
     /// # Errors
-    /// The text is not JSON.
+    /// Returns an error if the text is not JSON.
     pub fn from_json(
         text: &[u8],
         names: &mut NameInterner,
@@ -114,7 +114,7 @@
         if let Ok(entry) = serde_json::from_slice::<EntryText>(text) {
             return Ok(Some(entry.into_entry(names)));
         }
-        // Slower, and of a key that occurs twice the last one counts.
+        // Slower, but accepts repeated keys, of which the last value is used.
         Ok(Self::from_value(serde_json::from_slice(text)?, names))
     }
 
@@ -145,7 +145,7 @@
     }
 }
 
-/// Reads entries one at a time, and leaves out those that can't be read.
+/// Deserializes entries one at a time, and skips unreadable entries.
 fn readable_entries<'de, D: Deserializer<'de>>(deserializer: D) -> Result<Vec<Entry>, D::Error> {
     struct Entries;
 
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -1,5 +1,6 @@
-//! Which upstreams there are, by endpoint lists that may come late, twice or out of order: names become the handles of the
-//! decision module, and what each list changes is put into the module's terms. Pure; connections are left to the engine.
+//! The set of upstreams, by endpoint lists that may arrive late, twice or out of order. Maps names to the handles of the
+//! decision module, and converts each list into changes for that module. The functions are pure; the engine manages
+//! connections.
 
 mod departed;
 mod list_update;
@@ -30,19 +31,20 @@
 use overlay::{Overlay, Policy};
 use record::UpstreamRecord;
 
-/// The upstreams that lists have named, by their handles.
+/// The upstreams that endpoint lists have named, by handle.
 ///
-/// The time that a list takes is proportional to its entries, and the memory to the upstreams: names are shared with the list
-/// that brought them.
+/// Applying a list takes time proportional to its entries. Memory is proportional to the number of upstreams, since names are
+/// shared with the entries of the list.
 pub struct Membership {
     handles: FxHashMap<Arc<str>, ServerId>,
     /// Boxed, since a hash table has capacity for up to twice its entries.
     records: FxHashMap<ServerId, Box<UpstreamRecord>>,
-    /// Those of them that are gone, until no attempt uses them any more.
+    /// Upstreams in `records` that are gone but may still be in use by an attempt.
     gone: FxHashSet<ServerId>,
-    /// A handle is never used twice, or an event of an upstream that is gone would be taken for another's.
+    /// The next unused handle. Handles are never reused, or an event of a departed upstream would be attributed to another
+    /// upstream.
     next_handle: u32,
-    /// The highest version that a list came with.
+    /// The highest version of a list so far.
     newest_revision: u64,
     departed: Departed,
     open_targets: OpenTargets,
@@ -50,40 +52,40 @@
     start_times: StartTimes,
     zones: NameTable,
     machine_types: NameTable,
-    /// How long sends to a draining upstream go on after the notice.
+    /// Time after the notice of a drain during which requests are still sent to the upstream.
     grace: Duration,
-    /// The number of lists applied so far.
+    /// Number of lists applied so far.
     lists_received: u64,
 }
 
-/// How many handles one [`Part`] covers: the engine has others to serve between two parts.
+/// Number of handles that one [`Part`] covers. The engine serves other tasks between two parts.
 const HANDLES_PER_PART: u32 = 512;
 
-/// A part of the endpoint list, as it is known here.
+/// A part of the current endpoint list.
 pub struct Part {
-    /// The entries.
+    /// The entries of this part.
     pub members: Vec<Entry>,
-    /// The handle at which the next part begins; nothing, if this is the last.
+    /// The handle at which the next part begins; `None` for the last part.
     pub next: Option<u32>,
-    /// The highest version that a list came with.
+    /// The highest version of a list so far.
     pub revision: u64,
-    /// How many lists were applied: parts with the same number are of the same list.
+    /// Number of lists applied so far. Parts with the same number belong to the same state of the list.
     pub lists: u64,
 }
 
-/// What a list changes.
+/// The changes that a list makes.
 pub struct ListChanges {
-    /// The kind of list that it is to the decision module.
+    /// The kind of the list for the decision module.
     pub kind: ListKind,
     /// The upstreams whose entries were applied.
     pub members: Vec<Member>,
-    /// Upstreams that have another address now. Idle connections to the old one are of no use.
+    /// Upstreams whose address has changed, so that idle connections to the old address have to be closed.
     pub moved: Vec<ServerId>,
 }
 
 impl Membership {
-    /// No upstreams yet. Sends to one that is draining or gone end `grace` after the notice. `start_times` corrects the times of
-    /// start that lists give.
+    /// Creates a membership without upstreams. Sends to an upstream that is draining or gone end `grace` after the notice.
+    /// `start_times` corrects the start times in lists.
     pub fn new(config: &Config, grace: Duration, start_times: StartTimes) -> Self {
         let classes = config.facts.services.iter().map(|service| service.name.as_str().into());
         Self {
@@ -103,34 +105,35 @@
         }
     }
 
-    /// Where an upstream is, and until when it may be sent to.
+    /// Returns the address of an upstream and the time at which sends to it end.
     pub fn target(&self, server: ServerId) -> Option<Rc<UpstreamTarget>> {
         self.records.get(&server).map(|k| k.target.clone())
     }
 
-    /// Where an upstream runs, by the last list that named it.
+    /// Returns the zone and cell of an upstream, by the last list that named it.
     pub fn location_of(&self, server: ServerId) -> Option<Location> {
         let listed = &self.records.get(&server)?.listing;
         Some(Location { zone: listed.zone, cell: listed.cell })
     }
 
-    /// Whether there is an upstream to send to.
+    /// Returns whether requests may be sent to any upstream.
     pub fn any_open(&self) -> bool {
         self.open_targets.is_any()
     }
 
-    /// The highest version that a list came with.
+    /// Returns the highest version of a list so far.
     pub fn newest_revision(&self) -> u64 {
         self.newest_revision
     }
 
-    /// What the decision module is told of an upstream now, if it is known. One that a complete list left out is as before.
+    /// Returns an upstream's current description for the decision module, if the upstream is known. An upstream missing from a
+    /// complete list keeps the status from its last entry.
     pub fn member(&self, server: ServerId) -> Option<Member> {
         let known = self.records.get(&server)?;
         Some(self.overlay.apply(known.member(server), &self.place(known)))
     }
 
-    /// The part of the list that begins at handle `from`. Cordons are no part of it.
+    /// Returns the part of the endpoint list that begins at handle `from`, without cordons.
     pub fn part(&self, from: u32) -> Part {
         let end = from.saturating_add(HANDLES_PER_PART);
         let handles = (from..end.min(self.next_handle)).map(ServerId);
@@ -160,21 +163,21 @@
         }
     }
 
-    /// From here on lists are numbered anew, by another discovery.
+    /// Restarts the versions of lists, because another discovery server assigns them from now on.
     pub fn restart_versions(&mut self) {
         self.newest_revision = 0;
         self.departed = Departed::default();
         self.records.values_mut().for_each(|k| k.revision = 0);
     }
 
-    /// Whether a list has named this upstream. Of those that are gone only the latest are remembered.
+    /// Returns whether a list or a cordon has named this upstream. Only the most recently removed upstreams are remembered.
     pub fn has_named(&self, name: &str) -> bool {
         self.handles.contains_key(name)
             || self.departed.contains(name)
             || self.overlay.cordoned.contains(name)
     }
 
-    /// Cordons the upstreams of these names, and no others. Returns those that this changes.
+    /// Cordons exactly the upstreams with these names, and uncordons all others. Returns the changed upstreams.
     pub fn cordon(&mut self, names: &BTreeSet<String>, now: Instant) -> Vec<Member> {
         let before = std::mem::replace(&mut self.overlay.cordoned, names.clone());
         let mut members = Vec::new();
@@ -190,9 +193,9 @@
         members
     }
 
-    /// Applies a routing policy over lists and cordons. Returns the upstreams that this changes.
+    /// Applies a routing policy, which overrides lists and cordons. Returns the changed upstreams.
     ///
-    /// An upstream that it excludes gets nothing more at once, not even an attempt that waits for its connection.
+    /// Sends to an upstream that the policy excludes end at once, even for an attempt that waits for its connection.
     pub fn apply_policy(&mut self, snapshot: PolicySnapshot, now: Instant) -> Vec<Member> {
         let is_restricted = snapshot.stops.old && self.is_any_in_fallback(&snapshot);
         let policy = Policy { snapshot: Some(snapshot), is_restricted };
@@ -205,7 +208,7 @@
                 members.push(member);
             }
         }
-        // Not in the order of the table, which differs between runs.
+        // Sorted, because the order of the hash table differs between runs.
         members.sort_unstable_by_key(|m| m.id);
         members.iter().for_each(|member| self.open_until(*member, now));
         members
@@ -216,7 +219,7 @@
         known.into_iter().any(|(_, known)| snapshot.rules.floor().allows(&self.place(known)))
     }
 
-    /// Ends sends to an upstream at `until`, unless it is live.
+    /// Ends sends to an upstream at `until`, unless the upstream is live.
     fn open_until(&mut self, member: Member, until: Instant) {
         let Some(known) = self.records.get(&member.id) else { return };
         match member.status {
@@ -225,7 +228,7 @@
         }
     }
 
-    /// An upstream and a class, to be checked against a policy later on.
+    /// Returns the combination of an upstream and a class, for later checks against a policy.
     pub fn route(&self, server: ServerId, class: usize) -> Option<Route> {
         let known = self.records.get(&server)?;
         Some(Route {
@@ -237,7 +240,7 @@
         })
     }
 
-    /// An upstream as policies see it.
+    /// Returns an upstream's description for routing policies.
     fn place<'a>(&'a self, known: &'a UpstreamRecord) -> RulesPlace<'a> {
         RulesPlace {
             name: &known.name,
--- a/crates/gateway/src/membership/departed.rs
+++ b/crates/gateway/src/membership/departed.rs
@@ -1,37 +1,37 @@
-//! Upstreams that lists have removed, remembered by name so that an older list does not bring them back.
+//! Upstreams that lists have removed. Their names are remembered so that an older list does not add them again.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
 
 use rustc_hash::FxHashMap;
 
-/// How many removed upstreams are remembered by name. Once one is forgotten, no list that is older than its removal adds
-/// unknown upstreams.
+/// Maximum number of removed upstreams that are remembered by name. Once a removed upstream is forgotten, lists older than its
+/// removal add no unknown upstreams.
 pub(super) const MAX_REMEMBERED: usize = 4096;
 
 /// Names of removed upstreams, with the version of the list that removed them.
 #[derive(Default)]
 pub(super) struct Departed {
     pub(super) versions: FxHashMap<Arc<str>, u64>,
-    /// The same in the order of removal.
+    /// Names and versions in the order of removal.
     pub(super) order: VecDeque<(Arc<str>, u64)>,
-    /// An unknown upstream that an older list than this names is gone: a complete list left it out, or its removal is
-    /// forgotten.
+    /// Lists below this version add no unknown upstreams: a complete list of this version did not name them, or their removal
+    /// may be forgotten.
     floor: u64,
 }
 
 impl Departed {
-    /// Notes a complete list of this version, which removes all that it leaves out.
+    /// Records the version of a complete list, which removes all upstreams that the list does not name.
     pub(super) fn raise_floor(&mut self, revision: u64) {
         self.floor = self.floor.max(revision);
     }
 
-    /// Whether an unknown upstream on a list of this version was removed since.
+    /// Returns whether an unknown upstream on a list of this version was removed by a later version.
     pub(super) fn was_removed_after(&self, name: &str, revision: u64) -> bool {
         revision < self.floor || self.versions.get(name).is_some_and(|at| revision < *at)
     }
 
-    /// Whether this name is remembered.
+    /// Returns whether this name is remembered.
     pub(super) fn contains(&self, name: &str) -> bool {
         self.versions.contains_key(name)
     }
--- a/crates/gateway/src/membership/list_update.rs
+++ b/crates/gateway/src/membership/list_update.rs
@@ -1,4 +1,4 @@
-//! Applies one endpoint list: which of its entries count, and which upstreams it adds, changes and removes.
+//! Applies an endpoint list: decides which entries are current, and adds, changes and removes upstreams.
 
 use std::cell::Cell;
 use std::net::SocketAddr;
@@ -16,9 +16,9 @@
 impl Membership {
     /// Applies a list.
     ///
-    /// A list that is older than another must not undo the notice of a drain. Of each upstream, only an entry that is no
-    /// older than the last one counts, and no upstream is removed because an older list leaves it out. An upstream that only
-    /// an older list names is added.
+    /// A list that is older than another must not undo the notice of a drain. For each upstream, only an entry that is no
+    /// older than the last applied one is used, and an older list removes no upstream that it does not name. An upstream that
+    /// only an older list names is added.
     pub fn update(
         &mut self,
         list: &List,
@@ -74,7 +74,7 @@
             }
             return;
         }
-        // Without a valid address the last one counts: the notice that an upstream drains must not be lost.
+        // An entry without a valid address keeps the last address, so that the notice of a drain is not lost.
         let last_address = known.map(|record| record.target.address.get());
         let Some(address) = entry.address.or(last_address) else {
             tracing::warn!(upstream = &*entry.id, "entry without valid address ignored");
@@ -101,7 +101,7 @@
         }
     }
 
-    /// Opens the target of an upstream that is live, and closes it at `closed_from` otherwise.
+    /// Opens the target of a live upstream, and closes the target of any other upstream at `closed_from`.
     fn open_or_close(&mut self, member: &Member, closed_from: Instant) {
         let Some(known) = self.records.get(&member.id) else { return };
         match member.status {
@@ -110,7 +110,7 @@
         }
     }
 
-    /// Removes the upstreams that the last list, a complete one, left out.
+    /// Removes the upstreams that the last list, which is complete, did not name.
     fn remove_unnamed(&mut self, closed_from: Instant) {
         for (id, known) in &self.records {
             if known.last_named_by != self.lists_received {
@@ -120,7 +120,7 @@
         }
     }
 
-    /// Forgets upstreams that are gone and that no attempt uses any more. Returns them: their idle connections are of no use.
+    /// Forgets departed upstreams that no attempt uses any more. Returns them, so that their idle connections can be closed.
     pub fn forget_departed(&mut self) -> Vec<ServerId> {
         let is_unused = |known: &UpstreamRecord| Rc::strong_count(&known.target) == 1;
         let unused = |id: &&ServerId| self.records.get(id).is_none_or(|known| is_unused(known));
@@ -137,7 +137,7 @@
         dropped
     }
 
-    /// The handle of an upstream, which is added if it is not known.
+    /// Returns the handle of an upstream, and adds the upstream if it is unknown.
     fn handle_of(&mut self, entry: &Entry, address: SocketAddr, listed: Listing) -> ServerId {
         if let Some(id) = self.handles.get(&entry.id) {
             return *id;
@@ -154,7 +154,7 @@
         id
     }
 
-    /// What an entry says of its upstream.
+    /// Converts an entry into a listing, with the corrected start time.
     fn listing(&self, entry: &Entry, known: Option<&UpstreamRecord>, reading: &Reading) -> Listing {
         let before = known.and_then(|known| known.listing.started);
         let corrected = |start| self.start_times.corrected(reading, &entry.id, start, before);
--- a/crates/gateway/src/membership/open_targets.rs
+++ b/crates/gateway/src/membership/open_targets.rs
@@ -1,20 +1,20 @@
-//! Opens and closes targets for sends, and counts those that are open.
+//! Opens and closes targets for sends, and counts the open targets.
 
 use tokio::time::Instant;
 
 use crate::attempt::UpstreamTarget;
 
-/// The number of open targets. All closing times are set here, so that it is always known.
+/// The number of open targets. All closing times are set through this type, so that the count stays correct.
 #[derive(Default)]
 pub(super) struct OpenTargets(usize);
 
 impl OpenTargets {
-    /// Whether any target is open.
+    /// Returns whether any target is open.
     pub(super) fn is_any(&self) -> bool {
         self.0 > 0
     }
 
-    /// Counts a new target, which is open.
+    /// Counts a new target, which starts open.
     pub(super) fn admit(&mut self) {
         self.0 += 1;
     }
--- a/crates/gateway/src/membership/overlay.rs
+++ b/crates/gateway/src/membership/overlay.rs
@@ -1,4 +1,4 @@
-//! What overrides the endpoint list: cordons of operators, and the routing policy in force.
+//! Overrides of the endpoint list: cordons of operators and the routing policy in force.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -8,10 +8,10 @@
 
 use crate::cluster::PolicySnapshot;
 
-/// Classes that [`Member::barred_classes`] has bits for.
+/// Number of classes that fit into the bits of [`Member::barred_classes`].
 const BARRED_BITS: usize = 64;
 
-/// What overrides the endpoint list.
+/// The overrides of the endpoint list.
 pub(super) struct Overlay {
     /// Names of the upstreams that operators have cordoned.
     pub(super) cordoned: BTreeSet<String>,
@@ -20,17 +20,17 @@
     pub(super) policy: Policy,
 }
 
-/// The routing policy, as far as it concerns upstreams.
+/// The routing policy and its restriction of upstreams.
 #[derive(Default)]
 pub(super) struct Policy {
-    /// The policy in force; nothing, where there is no cluster.
+    /// The policy in force; `None` if the balancer is in no cluster.
     pub(super) snapshot: Option<PolicySnapshot>,
-    /// Whether only upstreams of the fallback policy may be sent to, since the list is older than the policy allows.
+    /// Whether requests may go only to upstreams of the fallback policy, because the list is older than the policy allows.
     pub(super) is_restricted: bool,
 }
 
 impl Overlay {
-    /// No cordons and no policy.
+    /// Creates an overlay without cordons and without a policy.
     pub(super) fn new(classes: impl IntoIterator<Item = Arc<str>>) -> Self {
         Self {
             cordoned: BTreeSet::new(),
@@ -39,13 +39,13 @@
         }
     }
 
-    /// What the decision module is told of a listed upstream. One that is cordoned counts as draining, and so does one that the
-    /// policy in force closes to every class.
+    /// Returns the description of a listed upstream for the decision module. An upstream counts as draining if it is cordoned or
+    /// if the policy in force bars it for every class.
     pub(super) fn apply(&self, listed: Member, place: &Place) -> Member {
         self.apply_under(&self.policy, listed, place)
     }
 
-    /// The same under another policy.
+    /// Returns the description of a listed upstream for the decision module under the given policy.
     pub(super) fn apply_under(&self, policy: &Policy, listed: Member, place: &Place) -> Member {
         let mut member = listed;
         let is_live = listed.status == Status::Live;
@@ -67,7 +67,7 @@
     }
 }
 
-/// An upstream and a class, as routing policies see them.
+/// An upstream and a class, with the properties that routing policies check.
 pub struct Route {
     pub(super) name: Arc<str>,
     pub(super) cell: u32,
@@ -77,7 +77,7 @@
 }
 
 impl Route {
-    /// Whether this policy allows requests of the class there.
+    /// Returns whether the policy allows requests of the class to the upstream.
     pub fn is_permitted(&self, policy: &PolicySnapshot) -> bool {
         let place = Place {
             name: &self.name,
--- a/crates/gateway/src/membership/record.rs
+++ b/crates/gateway/src/membership/record.rs
@@ -1,4 +1,4 @@
-//! What is known of one upstream.
+//! The state of one upstream.
 
 use std::rc::Rc;
 use std::sync::Arc;
@@ -9,23 +9,23 @@
 use crate::attempt::UpstreamTarget;
 use crate::start_times::{CorrectedStart, ListedStart};
 
-/// One upstream.
+/// The state of one upstream.
 pub(super) struct UpstreamRecord {
     pub(super) name: Arc<str>,
     pub(super) target: Rc<UpstreamTarget>,
-    /// As last listed, whether it is cordoned or not.
+    /// Content of the last applied entry, without cordons.
     pub(super) listing: Listing,
     /// Version of the list whose entry was applied last.
     pub(super) revision: u64,
-    /// The last list that named it, as counted by `Membership::lists_received`.
+    /// Value of `Membership::lists_received` for the last list that named the upstream.
     pub(super) last_named_by: u64,
 }
 
-/// What a list says of an upstream, but for its name and address.
+/// Content of an upstream's entry, without the name and the address.
 #[derive(Clone, Copy)]
 pub(super) struct Listing {
     pub(super) weight: f64,
-    /// When it last started as listed, and by this machine's clock; nothing for long ago.
+    /// The last start as listed, and the last start by this machine's clock; `None` for long ago.
     pub(super) started: Option<(ListedStart, CorrectedStart)>,
     pub(super) zone: u32,
     pub(super) machine_type: u32,
@@ -34,7 +34,7 @@
 }
 
 impl UpstreamRecord {
-    /// The listed upstream in the decision module's terms.
+    /// Converts the listing for the decision module.
     pub(super) fn member(&self, id: ServerId) -> Member {
         Member {
             id,
--- a/crates/gateway/src/membership/tests.rs
+++ b/crates/gateway/src/membership/tests.rs
@@ -1,4 +1,4 @@
-//! Lists, cordons and policies in any order.
+//! Tests of lists, cordons and policies in different orders.
 
 use std::net::SocketAddr;
 
@@ -62,10 +62,10 @@
     };
     let mut seen = std::collections::HashSet::new();
     for i in 0..2000 {
-        // New ids at one address, gone by word or by being left out.
+        // Each new id at the same address replaces the previous one, which is either deleted or missing from a complete list.
         let (id, ids, targets) = apply_entry(&format!("s-{i}"), "SERVING", ListKind::Complete);
         assert_eq!((ids, targets), (1, 1));
-        assert!(seen.insert(id.expect("a member")), "a handle is used again");
+        assert!(seen.insert(id.expect("a member")), "a handle is reused");
         if i % 2 == 0 {
             let (_, ids, targets) = apply_entry(&format!("s-{i}"), "DELETED", ListKind::Update);
             assert_eq!((ids, targets), (0, 0));
@@ -82,19 +82,19 @@
     assert_eq!(apply(&mut of, &all, whole), (whole, 3, "a b c".into()));
     let drains = list(43, &[("a", "DRAINING"), ("b", "DELETED")]);
     assert_eq!(apply(&mut of, &drains, update), (update, 2, "c".into()));
-    // As another replica still has it: neither back, nor c gone by being left out. Nobody has said that d is
-    // gone, and no list that is newer would have named it.
+    // The older list of another discovery replica neither brings `a` and `b` back nor removes `c`, which it does not name.
+    // It adds `d`: no list has removed `d`, and the newer partial list would not have named it.
     let old = list(42, &[("a", "SERVING"), ("b", "SERVING"), ("d", "SERVING")]);
     assert_eq!(apply(&mut of, &old, whole), (update, 1, "c d".into()));
-    // Late, but news of c: the last word of it is older still.
+    // The list is late, but its entry for `c` is newer than the last applied one.
     let late = list(42, &[("c", "DRAINING"), ("a", "SERVING")]);
     assert_eq!(apply(&mut of, &late, update), (update, 1, "d".into()));
-    assert_eq!(apply(&mut of, &drains, update).1, 1, "said twice");
+    assert_eq!(apply(&mut of, &drains, update).1, 1, "the same list twice");
     let back = list(44, &[("a", "SERVING")]);
     assert_eq!(apply(&mut of, &back, update), (update, 1, "a d".into()));
     of.restart_versions();
     let other = list(7, &[("a", "DRAINING")]);
-    assert_eq!(apply(&mut of, &other, whole).0, whole, "another discovery's versions");
+    assert_eq!(apply(&mut of, &other, whole).0, whole, "versions of another discovery server");
 }
 
 #[test]
@@ -105,12 +105,12 @@
     let late = |revision| list(revision, &[("b", "SERVING")]);
     assert_eq!(apply(&mut of, &late(12), ListKind::Update).2, "a b");
     apply(&mut of, &list(16, &[("b", "DELETED"), ("e", "DELETED")]), ListKind::Update);
-    assert_eq!(apply(&mut of, &late(15), ListKind::Update).2, "a", "it left at 16");
-    // Of e the news that it is gone came before the news that it was there.
+    assert_eq!(apply(&mut of, &late(15), ListKind::Update).2, "a", "removed at 16");
+    // The removal of `e` arrives before the list that names `e`.
     assert_eq!(apply(&mut of, &list(15, &[("e", "SERVING")]), ListKind::Update).2, "a");
-    assert_eq!(apply(&mut of, &late(17), ListKind::Update).2, "a b", "and came back");
+    assert_eq!(apply(&mut of, &late(17), ListKind::Update).2, "a b", "added again");
     apply(&mut of, &list(20, &[("a", "SERVING")]), ListKind::Complete);
-    assert_eq!(apply(&mut of, &late(19), ListKind::Update).2, "a", "left out at 20");
+    assert_eq!(apply(&mut of, &late(19), ListKind::Update).2, "a", "missing from the complete list at 20");
 }
 
 #[test]
@@ -137,9 +137,9 @@
     let names = |names: &[&str]| names.iter().map(|n| n.to_string()).collect::<BTreeSet<_>>();
     let out = of.cordon(&names(&["a", "not-listed-yet"]), Instant::now());
     assert_eq!(out.iter().map(|m| m.status).collect::<Vec<_>>(), [Status::Draining]);
-    assert!(of.cordon(&names(&["a", "not-listed-yet"]), Instant::now()).is_empty(), "said twice");
+    assert!(of.cordon(&names(&["a", "not-listed-yet"]), Instant::now()).is_empty(), "the same cordons twice");
     assert_eq!(apply(&mut of, &both(2), ListKind::Complete).2, "b");
-    // Restarted meanwhile, gone and back, and one that comes later.
+    // `a` is removed and added again, and a cordoned upstream is listed for the first time.
     apply(&mut of, &list(3, &[("a", "DELETED")]), ListKind::Update);
     let back = list(4, &[("a", "SERVING"), ("not-listed-yet", "SERVING")]);
     assert_eq!(apply(&mut of, &back, ListKind::Update).2, "b");
@@ -161,7 +161,7 @@
     assert_eq!(apply(&mut of, &list(3, &[]), ListKind::Update).2, "b");
 }
 
-/// A policy with these rules, and a fallback policy with only these cells.
+/// Returns a policy with these rules, and a fallback policy with only these cells.
 fn rules(said: serde_json::Value, fallback_policy: &[u32]) -> PolicySnapshot {
     let said = serde_json::from_value(said).expect("a document");
     let fallback_policy = FallbackPolicy {
@@ -192,7 +192,7 @@
     of.update(&all, ListKind::Complete, Instant::now());
     let now = Instant::now();
     let nothing = rules(json!({}), &[]);
-    assert!(of.apply_policy(nothing.clone(), now).is_empty(), "they change nothing");
+    assert!(of.apply_policy(nothing.clone(), now).is_empty(), "an empty policy changes nothing");
     let said =
         json!({"out": {"upstreams": ["a"]}, "kept": {"log": [2]}, "weights": {"pods": {"3": 0.5}}});
     let some = rules(said, &[]);
@@ -202,7 +202,7 @@
     assert_eq!(told, [(out, 0b11, 1.0), (live, 0b10, 1.0), (live, 0, 0.5)]);
     let closed = |of: &Membership, id| of.records[&ServerId(id)].target.closed_from.get();
     assert_eq!((closed(&of, 0), closed(&of, 1)), (Some(now), None));
-    // A list names all of them again, operators let nobody back.
+    // A later list names the upstreams again, but the policy still applies.
     let again = of.update(&in_cells(2, &[("a", 1), ("b", 2)]), ListKind::Update, now);
     assert_eq!(again.members.iter().map(|m| m.status).collect::<Vec<_>>(), [out, live]);
     of.cordon(&["c".to_string()].into(), now);
@@ -232,8 +232,8 @@
     };
     assert_eq!(open(&mut of, &[2], &["a"], false), "bc");
     assert_eq!(open(&mut of, &[2], &[], true), "b");
-    assert_eq!(open(&mut of, &[9], &[], true), "abc", "refusing everything costs everything");
-    assert_eq!(open(&mut of, &[9], &[], false), "abc", "it comes back");
+    assert_eq!(open(&mut of, &[9], &[], true), "abc", "no restriction where it would exclude all upstreams");
+    assert_eq!(open(&mut of, &[9], &[], false), "abc", "the restriction ends");
 }
 
 #[test]
@@ -256,7 +256,7 @@
     let stops = StoppedUpstreams { names: ["b".to_string()].into(), old: false };
     assert!(
         !route.is_permitted(&snapshot(Rules::from_fallback_policy(&fallback_policy), stops)),
-        "a peer says that it drains"
+        "another balancer reports it as draining"
     );
     let nowhere = snapshot(
         Rules::from_fallback_policy(&FallbackPolicy::default()),
@@ -293,7 +293,7 @@
     ];
     let bare = serde_json::from_value(json!({"revision": 2, "members": members})).expect("a list");
     assert_eq!(apply(&mut of, &bare, ListKind::Update), (ListKind::Update, 2, "".into()));
-    assert_eq!(of.records[&of.handles["a"]].target.address.get(), at, "the last one stands");
+    assert_eq!(of.records[&of.handles["a"]].target.address.get(), at, "the last address stays");
     assert!(!of.has_named("c") && of.has_named("d"));
     let back = list(3, &[("a", "SERVING"), ("c", "SERVING")]);
     assert_eq!(apply(&mut of, &back, ListKind::Update).2, "a c");
@@ -313,7 +313,7 @@
     let a: BTreeSet<String> = ["a".to_string()].into();
     of.cordon(&a, now);
     assert!(!of.any_open() && agrees(&of));
-    // Closed twice and opened once.
+    // A target that is closed twice and opened once.
     of.update(&both(2), ListKind::Complete, now);
     of.apply_policy(rules(json!({"out": {"upstreams": ["a"]}}), &[]), now);
     assert!(!of.any_open() && agrees(&of));
--- a/crates/gateway/src/names.rs
+++ b/crates/gateway/src/names.rs
@@ -1,26 +1,26 @@
-//! Names of zones and machine types, held once however many upstreams carry them.
+//! Names of zones and machine types, each stored once and shared between upstreams.
 
 use std::sync::Arc;
 
 use rustc_hash::{FxHashMap, FxHashSet};
 
-/// Distinct names that one list may bring. The largest deployment in sight has 11 zones and 1,300 machine types.
-/// Without a bound a list of ever new names would be held as many strings.
+/// Maximum number of distinct names in one list. The largest expected deployment has 11 zones and 1,300 machine types. Without
+/// a limit, a list with a different name in each entry would store as many strings.
 pub const MAX_DISTINCT_NAMES: usize = 16_384;
-/// Length of such a name in bytes. Without a bound the number of names would bound no memory.
+/// Maximum length of a name in bytes. Without a limit, the maximum number of names would not limit memory.
 pub const MAX_NAME_LENGTH: usize = 256;
 
-/// Hands out one shared copy of each name of a list.
+/// Returns one shared copy of each name of a list.
 #[derive(Default)]
 pub struct NameInterner {
     names: FxHashSet<Arc<str>>,
 }
 
 impl NameInterner {
-    /// The shared copy of `name`.
+    /// Returns the shared copy of `name`.
     ///
-    /// A name beyond [`MAX_DISTINCT_NAMES`] or [`MAX_NAME_LENGTH`] becomes the empty one, which no settings define: its
-    /// upstream counts as one of an unknown zone or machine type.
+    /// A name beyond [`MAX_DISTINCT_NAMES`] or [`MAX_NAME_LENGTH`] becomes the empty name, which no settings define, so the
+    /// zone or machine type of the upstream counts as unknown.
     pub fn intern(&mut self, name: &str) -> Arc<str> {
         if let Some(shared) = self.names.get(name) {
             return shared.clone();
@@ -34,7 +34,7 @@
     }
 }
 
-/// The names that the settings define, each with its index there.
+/// The names in the settings, with their indices.
 pub struct NameTable {
     names: Vec<Arc<str>>,
     indices: FxHashMap<Arc<str>, u32>,
@@ -42,7 +42,7 @@
 }
 
 impl NameTable {
-    /// A table of these names. Of a name that occurs twice the first index counts.
+    /// Creates a table of these names. A repeated name has its first index.
     pub fn new(names: &[String]) -> Self {
         let names: Vec<Arc<str>> = names.iter().map(|name| name.as_str().into()).collect();
         let mut indices = FxHashMap::default();
@@ -52,12 +52,12 @@
         Self { names, indices, unknown: Arc::default() }
     }
 
-    /// The index of `name`; of one that the settings don't define, the first index that no name has.
+    /// Returns the index of `name`. For a name that is not in the settings, returns the number of names in the settings.
     pub fn index(&self, name: &str) -> u32 {
         self.indices.get(name).copied().unwrap_or(self.names.len() as u32)
     }
 
-    /// The name at `index`, or the empty one.
+    /// Returns the name at `index`, or the empty name if there is none.
     pub fn name(&self, index: u32) -> &Arc<str> {
         self.names.get(index as usize).unwrap_or(&self.unknown)
     }
--- a/crates/gateway/src/names/tests.rs
+++ b/crates/gateway/src/names/tests.rs
@@ -17,7 +17,7 @@
         assert_eq!(*names.intern(&i.to_string()), *i.to_string());
     }
     assert_eq!(&*names.intern("one too many"), "");
-    assert_eq!(&*names.intern("1"), "1", "names that are held stay");
+    assert_eq!(&*names.intern("1"), "1", "stored names stay known");
 }
 
 #[test]
--- a/crates/gateway/src/restored_list.rs
+++ b/crates/gateway/src/restored_list.rs
@@ -1,5 +1,5 @@
-//! What a start uses of the endpoint list that the process before it had last, until discovery delivers one. Pure
-//! functions; reading the stored list is left to the state store.
+//! The endpoint list that a process uses after its start until discovery delivers one, derived from the last list of the
+//! previous process. The functions are pure; the state store reads the stored list.
 
 use std::time::Duration;
 
@@ -8,17 +8,17 @@
 
 use crate::members::{List, Phase};
 
-/// A stored list, as far as it applies.
+/// The usable part of a stored list.
 #[derive(Debug)]
 pub struct RestoredList {
-    /// Entries, under the version of the list over which they are laid: whatever discovery delivers is newer.
+    /// The stored entries, with the version of the configuration's list, so that any list from discovery is newer.
     pub list: List,
-    /// Whether the list counts as complete: an upstream that it leaves out is gone.
+    /// Whether the list counts as complete, so that an upstream missing from the list is gone.
     pub whole: bool,
 }
 
-/// What applies of the list that discovery delivered `age` ago, over the list `known` to the configuration; `None` where
-/// that is as new, or the stored one is too old. `now` is Unix time.
+/// Returns the usable part of a stored list that discovery delivered `age` ago. `known` is the configuration's list. Returns
+/// `None` if the configuration's list is as new as the stored one, or if the stored list is too old. `now` is Unix time.
 pub fn restored_list(
     stored: &List,
     known: &List,
@@ -40,7 +40,8 @@
     Some(RestoredList { list, whole })
 }
 
-/// Upstreams that the old list alone names may be gone or replaced: they are warmed up as if they had just started.
+/// Marks the upstreams that only the stored list names as just started, so that they are warmed up. These upstreams may be gone
+/// or replaced by now.
 fn mark_newcomers_as_just_started(list: &mut List, known: &List, now: Duration) {
     let known_ids: FxHashSet<&str> = known.members.iter().map(|m| &*m.id).collect();
     for entry in &mut list.members {
--- a/crates/gateway/src/restored_list/tests.rs
+++ b/crates/gateway/src/restored_list/tests.rs
@@ -1,4 +1,4 @@
-//! Which of two lists applies, and how far an old one does.
+//! Tests of the choice between the stored list and the configuration's list, and of the use of an old list.
 
 use serde_json::json;
 
@@ -25,7 +25,7 @@
         assert_eq!(restored_list(&stored, &known, MINUTE, NOW).is_some(), applies, "{revision}");
     }
     let stored = list(0, &[("a", "SERVING")]);
-    assert!(restored_list(&stored, &List::default(), MINUTE, NOW).is_some(), "the only one");
+    assert!(restored_list(&stored, &List::default(), MINUTE, NOW).is_some(), "without a list in the configuration");
 }
 
 #[test]
@@ -43,6 +43,6 @@
     let known = list(5, &[("a", "SERVING"), ("c", "SERVING"), ("d", "SERVING")]);
     let old = restored_list(&stored, &known, 11 * MINUTE, NOW).expect("it applies");
     assert!(!old.whole);
-    assert_eq!(since(&old), [7.0, 1e9, 7.0], "only `b` is warmed up");
+    assert_eq!(since(&old), [7.0, 1e9, 7.0], "only `b` is marked as just started");
     assert!(restored_list(&stored, &known, 31 * 24 * 60 * MINUTE, NOW).is_none());
 }
--- a/crates/gateway/src/start_times.rs
+++ b/crates/gateway/src/start_times.rs
@@ -1,9 +1,11 @@
-//! Corrects the times of start that lists give, in Unix time, for a wall clock of this machine that may be wrong. Pure.
+//! Corrects the start times of upstreams in lists, which are in Unix time, for a wall clock of this machine that may be wrong.
+//! The functions are pure.
 //!
-//! Slow start goes by the age of an upstream, and the age by the difference of two machines' clocks. A wall clock that is an
-//! hour ahead makes every new upstream look warm, and one that is behind makes warm ones look as if they were still to start.
-//! This machine's clock is read once, at the start of the process. What contradicts it is corrected in the direction that
-//! overloads no upstream: one is taken for newer, never for older.
+//! Slow start depends on the age of an upstream, and the age depends on the difference between the clocks of two machines. A
+//! wall clock that is an hour ahead makes every new upstream look warm, and a wall clock that is behind makes warm upstreams
+//! look as if they had not started yet. This machine's clock is read once, at the start of the process. Start times that
+//! contradict this clock are corrected in the direction that overloads no upstream: an upstream is treated as newer, never as
+//! older.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -14,28 +16,28 @@
 
 use crate::members::Entry;
 
-/// How long after its start an upstream may be listed first, while the list is complete. One whose time of start lies further
-/// back has another clock than this machine.
+/// Maximum time from the start of an upstream to its first listing, while the list is complete. If the start time lies further
+/// back, the clocks of the upstream and of this machine differ.
 const MAX_LISTING_DELAY: Duration = Duration::from_secs(70);
-/// If nothing on a first list started within this time, the clock can't be checked by that list.
+/// If no upstream on a first list started within this time, that list can't confirm the clock.
 const CLOCK_CHECK_TIME: Duration = Duration::from_secs(600);
-/// Times of start that differ by less are the same start, listed again.
+/// Start times that differ by less than this belong to the same start.
 const SAME_START_TOLERANCE: Duration = Duration::from_secs(1);
-/// How many removed upstreams are remembered with their time of start.
+/// Maximum number of removed upstreams whose start times are remembered.
 const MAX_REMEMBERED: usize = 4096;
 
-/// A time of start as listed, in microseconds of Unix time by whichever clock; never 0, which lists use for long ago.
+/// A start time from a list, in microseconds of Unix time by an unknown clock; never 0, which lists use for long ago.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub struct ListedStart(std::num::NonZeroI64);
 
 impl ListedStart {
-    /// The time of start of an entry; nothing for long ago.
+    /// Returns the start time of an entry; `None` for long ago.
     pub fn of(entry: &Entry) -> Option<Self> {
         let microseconds = (entry.up_since_ms * 1000.0) as i64;
         std::num::NonZeroI64::new(microseconds.max(0)).map(Self)
     }
 
-    /// The time in milliseconds of Unix time, as lists have it.
+    /// Returns the start time in milliseconds of Unix time, the unit in lists.
     pub fn milliseconds(self) -> f64 {
         self.0.get() as f64 / 1000.0
     }
@@ -45,51 +47,51 @@
     }
 }
 
-/// A corrected time of start, in microseconds of Unix time by this process's clock.
+/// A corrected start time, in microseconds of Unix time by this process's clock.
 pub type CorrectedStart = std::num::NonZeroI64;
 
-/// When a list was received, and what was known before it.
+/// The times that apply to a received list.
 #[derive(Clone, Copy, Debug)]
 pub struct Delivery {
-    /// When its changes count as delivered.
+    /// Time at which the changes of the list count as delivered.
     pub at: Instant,
-    /// Now.
+    /// The current time.
     pub now: Instant,
-    /// Until when every new upstream was known; nothing before the first list of a discovery.
+    /// Time up to which all new upstreams are known; `None` before the first list of a discovery server.
     pub complete_until: Option<Instant>,
 }
 
 impl From<Instant> for Delivery {
-    /// The delivery of a list before which nothing is known.
+    /// Creates the times of a first list, received at `at`.
     fn from(at: Instant) -> Self {
         Self { at, now: at, complete_until: None }
     }
 }
 
-/// Corrects times of start by this process's clock.
+/// Corrects start times by this process's clock.
 #[derive(Debug)]
 pub struct StartTimes {
     origin: Instant,
     origin_unix: Duration,
-    /// How long an upstream warms up after its start.
+    /// Duration of an upstream's warm-up after its start.
     warm_up: Duration,
     departed: FxHashMap<Arc<str>, ListedStart>,
     departed_order: VecDeque<Arc<str>>,
 }
 
-/// How one list is read.
+/// The rules for correcting the start times of one list.
 #[derive(Clone, Copy, Debug)]
 pub struct Reading {
     now: i64,
-    /// Upstreams that are new on the list, or have another start than before, have started since then.
+    /// Upstreams that are new on the list or have another start time than before started after this time.
     started_since: Option<i64>,
-    /// Starts from this one on are counted from now, since nothing shows that the clock is right.
+    /// Start times from this one on are shifted towards now, because the list can't confirm the clock.
     unchecked_from: Option<i64>,
     newest: i64,
 }
 
 impl StartTimes {
-    /// By a clock that showed `origin_unix` at `origin`. Upstreams warm up for `warm_up` after their start.
+    /// Creates the state for a clock that showed `origin_unix` at `origin`. Upstreams warm up for `warm_up` after their start.
     pub fn new(origin: Instant, origin_unix: Duration, warm_up: Duration) -> Self {
         Self {
             origin,
@@ -100,7 +102,7 @@
         }
     }
 
-    /// How the times on this list are to be read.
+    /// Returns the rules for correcting the start times on this list.
     pub fn reading(&self, delivery: Delivery, entries: &[Entry]) -> Reading {
         let now = self.unix(delivery.now);
         let starts = || entries.iter().filter_map(ListedStart::of).map(|start| start.0.get());
@@ -108,7 +110,8 @@
         let warm_up = self.warm_up.as_micros() as i64;
         let is_unchecked = delivery.complete_until.is_none()
             && now - newest > CLOCK_CHECK_TIME.as_micros() as i64
-            // A fleet that was started at once proves nothing, and must not be slow-started as a whole.
+            // If most upstreams started at the same time, the list does not show that the clock is wrong, and the upstreams
+            // must not all be in slow start.
             && 2 * starts().filter(|start| *start >= newest - warm_up).count() <= entries.len();
         Reading {
             now,
@@ -118,8 +121,8 @@
         }
     }
 
-    /// The corrected start of an upstream that is `listed` with this one. `known` is the start that it was listed with before,
-    /// and its correction.
+    /// Returns the corrected start time of an upstream whose listed start time is `listed`. `known` is the previously listed
+    /// start time of the upstream and its correction.
     pub fn corrected(
         &self,
         reading: &Reading,
@@ -147,7 +150,7 @@
         CorrectedStart::new(corrected).unwrap_or(listed.0)
     }
 
-    /// Remembers the start of an upstream that was removed: it may return without a restart.
+    /// Remembers the start time of a removed upstream, which may return without a restart.
     pub fn departed(&mut self, name: &Arc<str>, listed: ListedStart) {
         if self.departed.insert(name.clone(), listed).is_some() {
             return;
@@ -160,7 +163,7 @@
         }
     }
 
-    /// Microseconds of Unix time by this process's clock.
+    /// Returns a time in microseconds of Unix time by this process's clock.
     fn unix(&self, at: Instant) -> i64 {
         let after = at.saturating_duration_since(self.origin).as_micros() as i64;
         let before = self.origin.saturating_duration_since(at).as_micros() as i64;
--- a/crates/gateway/src/start_times/tests.rs
+++ b/crates/gateway/src/start_times/tests.rs
@@ -1,4 +1,4 @@
-//! Lists as a right clock and wrong ones read them.
+//! Tests of start times in lists, read with a correct clock and with wrong ones.
 
 use serde_json::json;
 
@@ -6,18 +6,18 @@
 use crate::members::List;
 
 const HOUR: i64 = 3600;
-/// Unix time at the start of the process by a right clock, in seconds.
+/// Unix time at the start of the process by a correct clock, in seconds.
 const START: i64 = 1_800_000_000;
 const COLD: Duration = Duration::from_secs(20);
 
-/// The clock of a process that is so many seconds ahead.
+/// Returns the state of a process whose clock is `seconds_ahead` of the correct time.
 fn clock(seconds_ahead: i64) -> (StartTimes, Instant) {
     let origin = Instant::now();
     let unix = Duration::from_secs((START + seconds_ahead) as u64);
     (StartTimes::new(origin, unix, COLD), origin)
 }
 
-/// Entries that started so many seconds before `START`.
+/// Returns entries with start times `ages` seconds before `START`.
 fn entries(ages: &[i64]) -> Vec<Entry> {
     let entry = |(i, age): (usize, &i64)| {
         let up_since_ms = if *age == i64::MAX { 0 } else { (START - age) * 1000 };
@@ -29,7 +29,7 @@
     list.members
 }
 
-/// Ages in seconds that these entries are believed to have at `now`, none of them known before.
+/// Returns the corrected ages of these entries in seconds, with no earlier listing of any entry.
 fn ages(times: &StartTimes, delivery: Delivery, entries: &[Entry]) -> Vec<Option<i64>> {
     let reading = times.reading(delivery, entries);
     let age = |entry: &Entry| {
@@ -45,7 +45,7 @@
     let all = entries(&[0, 3, 300, 7 * HOUR, i64::MAX]);
     let expected = vec![Some(0), Some(3), Some(300), Some(7 * HOUR), None];
     assert_eq!(ages(&times, origin.into(), &all), expected);
-    // Nor does a late notice make a difference.
+    // A notice that arrives late makes no difference.
     let delivery = Delivery { complete_until: Some(origin), ..origin.into() };
     assert_eq!(ages(&times, delivery, &entries(&[60])), [Some(60)]);
 }
--- a/crates/gateway/src/subsetting.rs
+++ b/crates/gateway/src/subsetting.rs
@@ -1,8 +1,8 @@
-//! Restricts the decision module to a subset of the fleet, where one is configured. Which cells are in the subset is left to
-//! `hollowpaddle_subset`.
+//! Restricts the decision module to a subset of the upstreams, if the configuration has one. The package
+//! `hollowpaddle_subset` chooses the cells of the subset.
 //!
-//! Of the rest only the cells are retained. An upstream that joins the subset is looked up in the complete list, by
-//! `last_listed`.
+//! For upstreams outside of the subset only the cell and whether they are live are retained. An upstream that joins the subset
+//! is looked up in the complete list with the callback `last_listed`.
 
 use std::collections::BTreeMap;
 
@@ -10,18 +10,18 @@
 use hollowpaddle_subset::{Cell, Cluster, Size, SizeError, Subset};
 use rustc_hash::{FxHashMap, FxHashSet};
 
-/// The fleet as listed, and the part of it that the decision module knows.
+/// The listed upstreams, and the subset of them that the decision module knows.
 pub struct Subsetting {
     subset: Subset,
     fleet: FxHashMap<ServerId, Position>,
-    /// Upstreams of each cell that can be sent to.
+    /// Number of live upstreams of each cell.
     live: BTreeMap<Cell, usize>,
     /// The upstreams that the decision module knows.
     published: FxHashSet<ServerId>,
     balancers: u32,
 }
 
-/// What the subset depends on.
+/// The properties of an upstream that the subset depends on.
 #[derive(Clone, Copy, PartialEq)]
 struct Position {
     cell: Cell,
@@ -33,10 +33,10 @@
 }
 
 impl Subsetting {
-    /// An empty fleet.
+    /// Creates the state without upstreams.
     ///
     /// # Errors
-    /// The size can't be used.
+    /// Returns an error if the size is invalid.
     pub fn new(size: Size, cluster: Cluster) -> Result<Self, SizeError> {
         let balancers = cluster.balancers;
         let subset = Subset::new(size, cluster)?;
@@ -49,14 +49,15 @@
         })
     }
 
-    /// How many balancers of the cluster share each upstream that the decision module knows.
+    /// Returns the average number of balancers that share each upstream that the decision module knows.
     pub fn sharers(&self) -> f64 {
         let share = self.published.len() as f64 / self.fleet.len().max(1) as f64;
         f64::from(self.balancers) * share.min(1.0)
     }
 
-    /// Applies a list. Returns what the decision module is to be told of it: drains and removals of all upstreams that it
-    /// knows, and everything of those in the subset. `last_listed` finds a member as last listed.
+    /// Applies a list. Returns the changes for the decision module: all changes of upstreams in the subset, and drains and
+    /// removals of all other upstreams that the decision module knows. `last_listed` returns the last listed state of an
+    /// upstream.
     pub fn apply_list(
         &mut self,
         now: Time,
@@ -82,14 +83,14 @@
         let mut changes: Vec<Member> = members.iter().filter(concerns).copied().collect();
         if kind.is_part() {
             if has_moved {
-                // A member that the change of the subset concerns must not be named twice.
+                // A member that joins or leaves the subset must not be in the changes twice.
                 let joined_or_left = self.subset_changes(last_listed);
                 let named: FxHashSet<ServerId> = joined_or_left.iter().map(|m| m.id).collect();
                 changes.retain(|m| !named.contains(&m.id));
                 changes.extend(joined_or_left);
             }
         } else {
-            // A complete list: what it leaves out is gone.
+            // Upstreams that are missing from a complete list are gone.
             changes.retain(|m| self.subset.contains(cell(m)));
             self.published.clear();
         }
@@ -97,7 +98,7 @@
         changes
     }
 
-    /// Removes what has left the subset and has lingered. Returns what the decision module is to be told.
+    /// Removes the upstreams that left the subset and whose linger time is over. Returns the changes for the decision module.
     pub fn expire(
         &mut self,
         now: Time,
@@ -111,8 +112,8 @@
         changes
     }
 
-    /// Widens the subset while too few of its upstreams can be sent to: `healthy` of `all`. Returns what the decision module
-    /// is to be told.
+    /// Widens the subset while too few of its upstreams are healthy: `healthy` of `all`. Returns the changes for the decision
+    /// module.
     pub fn set_health(
         &mut self,
         now: Time,
@@ -128,7 +129,7 @@
         changes
     }
 
-    /// Notes a member. Returns whether that changes what the subset is computed from.
+    /// Updates the state of a member. Returns whether the inputs of the subset have changed.
     fn update_member(&mut self, member: &Member) -> bool {
         let position = Position { cell: cell(member), is_live: member.status == Status::Live };
         let before = match member.status {
@@ -154,14 +155,14 @@
         true
     }
 
-    /// Computes the subset anew. Returns whether it changed.
+    /// Recomputes the subset. Returns whether it changed.
     fn recompute(&mut self, now: Time) -> bool {
         let cells = self.live.iter();
         self.subset
             .set_fleet(now.0, cells.flat_map(|(cell, live)| std::iter::repeat_n(*cell, *live)))
     }
 
-    /// Members that have joined the subset, and those that have left it, which are gone for the decision module.
+    /// Returns the members that have joined the subset, and the members that have left it with the status `Gone`.
     fn subset_changes(&self, last_listed: impl Fn(ServerId) -> Option<Member>) -> Vec<Member> {
         let mut changes = Vec::new();
         for (id, position) in &self.fleet {
--- a/crates/gateway/src/subsetting/tests.rs
+++ b/crates/gateway/src/subsetting/tests.rs
@@ -5,7 +5,7 @@
     (0..n).map(of).collect()
 }
 
-/// Finds a member of this fleet.
+/// Returns a lookup of a member in this fleet.
 fn among(fleet: &[Member]) -> impl Fn(ServerId) -> Option<Member> {
     |id| fleet.iter().find(|m| m.id == id).copied()
 }
@@ -15,14 +15,14 @@
     Subsetting::new(size, Cluster { balancers: 10, position: 0 }).expect("a size")
 }
 
-/// What the module has after it was told.
+/// Applies changes to the upstreams that the decision module knows.
 fn apply(has: &mut FxHashMap<ServerId, Status>, kind: ListKind, told: &[Member]) {
     if kind != ListKind::Update {
         has.clear();
     }
     for m in told {
         match m.status {
-            Status::Gone => assert!(has.remove(&m.id).is_some(), "gone, and never there"),
+            Status::Gone => assert!(has.remove(&m.id).is_some(), "removed an unknown upstream"),
             status => drop(has.insert(m.id, status)),
         }
     }
@@ -38,9 +38,9 @@
         &of.apply_list(Time(0), ListKind::Complete, &all, among(&all)),
     );
     assert_eq!(has.len(), 40);
-    assert_eq!(of.sharers(), 1.0, "a tenth of the fleet each, of ten balancers");
+    assert_eq!(of.sharers(), 1.0, "ten balancers know a tenth of the upstreams each");
     let cells: FxHashSet<u32> = has.keys().map(|id| id.0 / 8).collect();
-    assert_eq!(cells.len(), 5, "whole cells");
+    assert_eq!(cells.len(), 5, "complete cells");
     let outside = all.iter().find(|m| !has.contains_key(&m.id)).expect("most are").id.0 as usize;
     let inside = has.keys().next().expect("some are").0 as usize;
     for i in [outside, inside] {
@@ -65,7 +65,7 @@
         &of.apply_list(Time(0), ListKind::Complete, &all, among(&all)),
     );
     let before: Vec<ServerId> = has.keys().copied().collect();
-    // Three cells of the five are deleted: others take their part at once.
+    // Three of the five cells are deleted, and other cells replace them at once.
     let mut gone: Vec<Member> = all.iter().filter(|m| has.contains_key(&m.id)).copied().collect();
     gone.truncate(24);
     gone.iter_mut().for_each(|m| m.status = Status::Gone);
@@ -75,7 +75,7 @@
         &of.apply_list(Time(1), ListKind::Update, &gone, among(&all)),
     );
     assert!(has.len() >= 36, "{} left", has.len());
-    // They come back: the ones that stood in for them linger.
+    // The deleted cells return, and their replacements linger.
     gone.iter_mut().for_each(|m| m.status = Status::Live);
     apply(
         &mut has,
@@ -100,18 +100,18 @@
         ListKind::Complete,
         &of.apply_list(Time(0), ListKind::Complete, &all, among(&all)),
     );
-    // Ten times as many come, and the subset grows with them.
+    // The number of upstreams grows tenfold, and the subset grows with it.
     let more: Vec<Member> = fleet(800).split_off(80);
     let told = of.apply_list(Time(1), ListKind::Update, &more, among(&fleet(800)));
     let named: FxHashSet<ServerId> = told.iter().map(|m| m.id).collect();
     assert!(named.len() > 8, "{} named", named.len());
-    assert_eq!(named.len(), told.len(), "somebody is named twice");
+    assert_eq!(named.len(), told.len(), "an upstream is named twice");
     apply(&mut has, ListKind::Update, &told);
-    // And leave again, with some of whom the module knows.
+    // The added upstreams are removed, including some that the decision module knows.
     let gone: Vec<Member> = more.iter().map(|m| Member { status: Status::Gone, ..*m }).collect();
     let told = of.apply_list(Time(2), ListKind::Update, &gone, among(&fleet(800)));
     let named: FxHashSet<ServerId> = told.iter().map(|m| m.id).collect();
-    assert_eq!(named.len(), told.len(), "somebody is named twice");
+    assert_eq!(named.len(), told.len(), "an upstream is named twice");
     apply(&mut has, ListKind::Update, &told);
     assert!(has.keys().all(|id| id.0 < 80));
 }
--- a/crates/gateway/src/update_queue.rs
+++ b/crates/gateway/src/update_queue.rs
@@ -1,5 +1,5 @@
-//! Hands long lists to the decision module in parts, so that no single event holds up the requests behind it. Pure; what is on
-//! a list, and what a subset leaves out, is decided before.
+//! Passes long lists to the decision module in parts, so that no single event delays the requests queued after it. The
+//! functions are pure. Membership and subsetting have determined the content of a list before.
 
 use std::collections::VecDeque;
 use std::hash::Hasher;
@@ -7,27 +7,27 @@
 use hollowpaddle_policy::interface::{ListKind, Member, ServerId, Status};
 use rustc_hash::{FxHashMap, FxHashSet, FxHasher};
 
-/// A list of up to this length is handed over as it is.
+/// Maximum length of a list that is passed on unsplit.
 const MAX_UNSPLIT_LENGTH: usize = 256;
-/// How many changes of a longer list are handed over at a time. 10,000 at once take the decision module 7 to 11 ms.
+/// Number of changes in one part of a longer list. The decision module takes 7 to 11 ms for 10,000 changes at once.
 const PART_LENGTH: usize = 64;
 
-/// What the decision module knows of each upstream, and the changes that are due to it.
+/// The state of each upstream in the decision module, and the queued changes for that module.
 ///
-/// Of what it knows only a fingerprint is retained. A copy of each member would be a third of the gateway's memory of an
+/// Only a fingerprint of each upstream's state is retained. A copy of each member would be a third of the gateway's memory per
 /// upstream.
 #[derive(Default)]
 pub struct UpdateQueue {
-    /// The latest state of each upstream, handed over or due.
+    /// Fingerprint of the latest state of each upstream, passed on or queued.
     latest: FxHashMap<ServerId, Fingerprint>,
-    /// The order in which changes are handed over. An upstream that is no longer in `waiting` is skipped.
+    /// The order in which changes are passed on. Upstreams that are no longer in `waiting` are skipped.
     due: VecDeque<ServerId>,
-    /// The changes that are due, as last listed.
+    /// The queued changes, with the last listed state of each upstream.
     waiting: FxHashMap<ServerId, Member>,
 }
 
-/// The status of an upstream, and a hash of all else. Two that differ in something else agree by chance, one time in 2^62; the
-/// decision module keeps the older one then, until the next change.
+/// The status of an upstream, and a hash of all other fields. Two different states of an upstream have the same hash with a
+/// probability of 1 in 2^62. The decision module then keeps the older state until the next change.
 #[derive(Clone, Copy, PartialEq)]
 struct Fingerprint(u64);
 
@@ -35,7 +35,7 @@
     const STATUS_BITS: u32 = 2;
 
     fn of(member: &Member) -> Self {
-        // Destructured, so that a field that is added to `Member` can't be left out.
+        // Destructured, so that adding a field to `Member` fails to compile here until the field is hashed.
         let Member { id: _, identity, zone, kind, cell, status, weight, started, barred_classes } =
             *member;
         let mut hasher = FxHasher::default();
@@ -68,13 +68,13 @@
 pub struct Part {
     /// The kind of list.
     pub kind: ListKind,
-    /// Its entries.
+    /// The entries.
     pub members: Vec<Member>,
 }
 
 impl UpdateQueue {
-    /// Queues a list, and returns what the decision module is to be told now. More may be due. `last_listed` finds an upstream
-    /// that a complete list left out, as listed before.
+    /// Queues a list, and returns the first part for the decision module. More parts may be due. `last_listed` returns the last
+    /// listed state of an upstream that is missing from a complete list.
     pub fn queue_list(
         &mut self,
         kind: ListKind,
@@ -84,7 +84,7 @@
         let is_short = members.len() <= MAX_UNSPLIT_LENGTH
             && self.latest.len() <= MAX_UNSPLIT_LENGTH
             && !self.is_due();
-        // At the start nothing is due, and there is nothing to compare with.
+        // The first list is passed on unsplit: no request waits yet, and there is no earlier state to compare with.
         if is_short || kind == ListKind::Unavailable || self.latest.is_empty() {
             if !kind.is_part() {
                 self.latest.clear();
@@ -127,18 +127,18 @@
         match member.status {
             Status::Live if is_new => self.due.push_back(member.id),
             Status::Live => {}
-            // First, also if it is due further back: an upstream that nothing may be sent to must be known at once. The
-            // other place is skipped then.
+            // Drains and removals go to the front, even if the upstream is queued further back, because the decision module
+            // must learn at once that no request may be sent to the upstream. The later position is skipped.
             Status::Draining | Status::Gone => self.due.push_front(member.id),
         }
     }
 
-    /// Whether more is due.
+    /// Returns whether changes are queued.
     pub fn is_due(&self) -> bool {
         !self.waiting.is_empty()
     }
 
-    /// The next part of what is due, in its latest state.
+    /// Removes and returns the next part of the queued changes, with the latest state of each upstream.
     pub fn next_part(&mut self) -> Vec<Member> {
         let mut part = Vec::with_capacity(PART_LENGTH.min(self.waiting.len()));
         while part.len() < PART_LENGTH
@@ -151,7 +151,7 @@
             part.push(member);
         }
         if !self.is_due() {
-            // Gives back memory for as many as the longest list.
+            // Frees the memory, whose capacity fits the longest list.
             (self.due, self.waiting) = Default::default();
         }
         part
--- a/crates/gateway/src/update_queue/tests.rs
+++ b/crates/gateway/src/update_queue/tests.rs
@@ -1,6 +1,6 @@
 use super::*;
 
-/// What is known of those that a whole list left out: nothing.
+/// Returns no last listed state for any upstream.
 fn nobody(_: ServerId) -> Option<Member> {
     None
 }
@@ -9,7 +9,7 @@
     (0..n).map(|i| Member::live(ServerId(i))).collect()
 }
 
-/// All that is told of a list, part by part, into what the module has.
+/// Applies all parts of a list to the upstreams that the decision module knows. Returns the number of parts.
 fn hand_over(of: &mut UpdateQueue, has: &mut FxHashMap<ServerId, Member>, part: Part) -> usize {
     let mut parts = 1;
     let mut tell = |kind: ListKind, members: Vec<Member>| {
@@ -33,11 +33,11 @@
 fn long_list_is_handed_over_in_parts_with_the_same_result() {
     let (mut of, mut has) = (UpdateQueue::default(), FxHashMap::default());
     let part = of.queue_list(ListKind::Restored, all(10_000), nobody);
-    assert_eq!(hand_over(&mut of, &mut has, part), 1, "nobody waits at the start");
-    // The same again changes nothing, and is still a word of the watch.
+    assert_eq!(hand_over(&mut of, &mut has, part), 1, "the first list is not split");
+    // The same list again changes no upstream, and is still passed on, because it confirms the watch.
     let part = of.queue_list(ListKind::Complete, all(10_000), nobody);
     assert_eq!(part, Part { kind: ListKind::Update, members: vec![] });
-    // Half are left out, and a tenth drains.
+    // Half of the upstreams are missing from the list, and a tenth of the rest drains.
     let mut list = all(5000);
     list[..500].iter_mut().for_each(|m| m.weight = 2.0);
     list[500..1000].iter_mut().for_each(|m| m.status = Status::Draining);
@@ -61,7 +61,7 @@
 
 #[test]
 fn due_upstream_that_starts_draining_goes_first_and_once() {
-    // Failure: it kept its place behind all that had started anew.
+    // Guards against a drain that keeps the position of an earlier queued change, behind all other changed upstreams.
     let (mut of, mut has) = (UpdateQueue::default(), FxHashMap::default());
     let part = of.queue_list(ListKind::Restored, all(1000), nobody);
     hand_over(&mut of, &mut has, part);
@@ -88,7 +88,7 @@
         of.queue_list(ListKind::Complete, all(1000).into_iter().map(drained).collect(), nobody);
     assert!(of.is_due());
     has.extend(part.members.into_iter().map(|m| (m.id, m)));
-    // In the middle of it the last one is live again, and the first is gone.
+    // While changes are queued, the last upstream becomes live again and the first is removed.
     let gone = Member { status: Status::Gone, ..Member::live(ServerId(0)) };
     let part = of.queue_list(ListKind::Update, vec![Member::live(ServerId(999)), gone], nobody);
     hand_over(&mut of, &mut has, part);
@@ -118,7 +118,7 @@
     told.sort_unstable_by_key(|m| m.id);
     assert_eq!(told, members[990..].iter().map(gone).collect::<Vec<_>>());
     assert!(!of.is_due());
-    // And once.
+    // The same list again removes none of them a second time.
     assert_eq!(of.queue_list(ListKind::Complete, members[..990].to_vec(), last).members, []);
 }
 
