--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -1,9 +1,9 @@
-//! The admin API of one balancer: takes operators' calls, stores the commands that apply where the next process finds
-//! them, and has the balancer carry them out.
+//! The admin API of one balancer: receives operators' calls, stores the commands in force for the next process, and passes
+//! them to the balancer.
 //!
-//! What a call means is in `hollowpaddle_operator_commands`, and how a command is carried out is the balancer's. The HTTP
-//! server and its routes are in `server`, single calls in `handlers`, and the processes of this balancer beside this one in
-//! `processes`.
+//! The package `hollowpaddle_operator_commands` defines the calls, and the balancer carries out the commands. The module
+//! `server` contains the HTTP server and its routes, `handlers` the individual calls, and `processes` the coordination with
+//! other processes of this balancer.
 
 mod handlers;
 mod processes;
@@ -23,46 +23,46 @@
 
 use crate::cluster::admin_api::{AdminRequest, AdminResponse};
 
-/// How long a change is retried while another process is in its way. Callers wait 1 s.
+/// Maximum time of retrying a change while another process blocks the store. Callers wait 1 s.
 const BUSY_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time between two attempts of anything that waits for another process or balancer.
+/// Interval between retries of an operation that waits for another process or balancer.
 const RETRY_INTERVAL: Duration = Duration::from_millis(10);
 
-/// What the program provides for its operators.
+/// The resources that the program provides for the admin API.
 #[derive(Default)]
 pub struct OperatorAccess {
-    /// Where operators call; `None`: nowhere.
+    /// Listener of the admin API; `None` if the admin API is disabled.
     pub listener: Option<Box<dyn Listener>>,
-    /// Where their commands are stored; without it, they end with the process.
+    /// Store of operator commands. Without a store, commands are lost when the process ends.
     pub store: Option<Store>,
 }
 
-/// The balancer, as far as operators have to do with it.
+/// The interface of the balancer for operator commands.
 pub trait ManagedBalancer {
-    /// Whether there is an upstream to send to.
+    /// Returns whether requests may be sent to any upstream.
     fn is_ready(&self) -> bool;
-    /// Whether discovery has delivered a list since the start.
+    /// Returns whether discovery has delivered a list since the start.
     fn has_list(&self) -> bool;
-    /// Whether a list has named this upstream.
+    /// Returns whether a list has named this upstream.
     fn has_named(&self, name: String) -> impl Future<Output = bool>;
-    /// Cordons these upstreams, and no others. The command goes out at once; the future waits until it is carried out, and
-    /// gives whether it is.
+    /// Cordons exactly these upstreams. The command is sent immediately. The returned future waits until the command is
+    /// carried out, and resolves to whether it was.
     fn cordon(&self, names: BTreeSet<String>) -> impl Future<Output = bool>;
-    /// Turns clients away, or accepts them again.
+    /// Starts or stops rejecting clients.
     fn quiesce(&self, quiesced: bool);
-    /// What was learned of the upstreams so far; `None` once the engine has ended.
+    /// Returns the estimates learned so far; `None` once the engine has ended.
     fn learned(&self) -> impl Future<Output = Option<Learned>>;
-    /// Goes on from what another process of this balancer has learned.
+    /// Restores the estimates that another process of this balancer has learned.
     fn recall(&self, learned: Learned);
-    /// How the start went and how saving for the next start goes, as JSON.
+    /// Returns the report of the start and the status of saving for the next start, as JSON.
     fn start_status(&self) -> serde_json::Value;
-    /// The copy of operators' commands that was found elsewhere than in the store.
+    /// Returns the copy of operator commands that was found outside of the store.
     fn recovered_copy(&self) -> RecoveredCopy;
-    /// Saves a copy of operators' commands, for the case that the store is lost.
+    /// Saves a copy of operator commands, in case the store is lost.
     fn save_copy(&self, copy: OperatorStateCopy);
-    /// Whether this balancer is one of a cluster that agrees on a policy.
+    /// Returns whether this balancer belongs to a cluster that agrees on a policy.
     fn is_clustered(&self) -> bool;
-    /// The cluster's answer to a request, given by `deadline`; `None` where there is no cluster.
+    /// Returns the cluster's response to a request, by `deadline`; `None` if there is no cluster.
     fn ask_cluster(
         &self,
         request: AdminRequest,
@@ -78,13 +78,13 @@
     /// The state that was applied last.
     state: RefCell<OperatorState>,
     started_at: Instant,
-    /// Other processes can see that this one serves.
+    /// Whether other processes can see that this process serves.
     is_serving: Cell<bool>,
-    /// The newest process for which this one has left what it learned.
+    /// Number of the newest process to which this process has handed off its learned estimates.
     handed_off_to: Cell<u64>,
 }
 
-/// The store with this process in it, and the state at the start.
+/// The store after this process has joined, and the state at the start.
 struct Joined {
     store: Option<Store>,
     registration: Option<ProcessRegistration>,
@@ -92,8 +92,8 @@
 }
 
 impl Joined {
-    /// Joins the processes of this balancer. A file that can't be read is set aside, and a lost one recovered as far as
-    /// there is a copy.
+    /// Joins the processes of this balancer. An unreadable file is set aside, and a lost file is recovered from the copy if
+    /// there is one.
     async fn through_store(mut store: Store, copy: &RecoveredCopy) -> Result<Self, StoreError> {
         let mut damage = None;
         if let Err(cause @ StoreError::Malformed { .. }) = store.read() {
@@ -110,7 +110,7 @@
         Ok(Self { store: Some(store), registration: Some(registration), state })
     }
 
-    /// Starts without a store. `damage` says why it can't be used, if there should be one.
+    /// Starts without a store. `damage` is the reason if the store can't be used.
     fn without_store(damage: Option<&str>, copy: &RecoveredCopy) -> Self {
         let mut state = OperatorState::default();
         state.recover(damage, copy);
@@ -131,8 +131,8 @@
 }
 
 impl<B: ManagedBalancer + 'static> Admin<B> {
-    /// Joins the processes of this balancer, and applies the commands found. A store that can't be used is no reason not to
-    /// serve: without it, commands end with the process.
+    /// Joins the processes of this balancer, and applies the stored commands. If the store can't be used, the balancer still
+    /// serves, but commands are lost when the process ends.
     pub async fn join(balancer: B, store: Option<Store>) -> Rc<Self> {
         let copy = balancer.recovered_copy();
         let joined = match store {
@@ -154,13 +154,13 @@
             is_serving: Cell::new(false),
             handed_off_to: Cell::new(0),
         };
-        // Whatever the copy contained, this state is newer.
+        // The joined state is newer than the recovered copy.
         admin.balancer.save_copy(joined.state.copy());
         admin.apply(joined.state).await;
         Rc::new(admin)
     }
 
-    /// Changes the state, stores it and applies it; whether the engine has carried it out.
+    /// Changes the state, stores the result and applies it. Returns whether the engine has carried it out.
     async fn change(&self, change: impl Fn(&mut OperatorState)) -> Result<bool, StoreError> {
         let state = retry_while_busy(|| match &mut *self.store.borrow_mut() {
             Some(store) => store.change(&change),
@@ -174,8 +174,8 @@
         Ok(self.apply(state).await)
     }
 
-    /// Applies the state. Nothing is awaited before the engine has its commands, so that it gets them in the order in which
-    /// the store changed.
+    /// Applies the state. The engine receives its commands before the first await, so that commands arrive in the order of
+    /// the changes to the store.
     async fn apply(&self, state: OperatorState) -> bool {
         self.balancer.quiesce(state.quiesced);
         let cordoned = self.balancer.cordon(state.cordoned.clone());
@@ -188,7 +188,7 @@
     }
 }
 
-/// Repeats `step` until no other process is in its way, or [`BUSY_TIMEOUT`] is over.
+/// Retries `step` while another process blocks the store, for at most [`BUSY_TIMEOUT`].
 async fn retry_while_busy<T>(
     mut step: impl FnMut() -> Result<T, StoreError>,
 ) -> Result<T, StoreError> {
--- a/crates/gateway/src/admin/handlers.rs
+++ b/crates/gateway/src/admin/handlers.rs
@@ -1,4 +1,4 @@
-//! What each call of the admin API does.
+//! The handlers of the admin API's calls.
 
 use std::time::Duration;
 
@@ -10,14 +10,14 @@
 use super::{Admin, ManagedBalancer, RETRY_INTERVAL};
 use crate::cluster::admin_api::{AdminRequest, AdminResponse};
 
-/// How long a cordon is retried at the cluster, while a concurrent change or another step comes first.
+/// Maximum time of retrying a cordon at the cluster while a concurrent change or another step has to precede.
 const CLUSTER_RETRY_TIMEOUT: Duration = Duration::from_millis(1500);
-/// How long before the deadline of a call the cluster has to answer it: the time to write the answer.
+/// Time before a call's deadline by which the cluster has to answer, so that the response can still be written.
 const CLUSTER_ANSWER_MARGIN: Duration = Duration::from_millis(100);
 
 impl<B: ManagedBalancer + 'static> Admin<B> {
-    /// `GET /admin/health`. The process counts as ready only once other processes can see it serve: an older one must find
-    /// this one when it is asked to end.
+    /// Handles `GET /admin/health`. The process counts as ready only once other processes can see that it serves, because an
+    /// older process that is asked to end must find this process.
     pub(super) fn health(&self) -> Answer {
         if self.is_serving.get() && self.balancer.is_ready() {
             success()
@@ -26,7 +26,7 @@
         }
     }
 
-    /// `GET /admin/start`: how the start went, and the commands that apply.
+    /// Returns the body of `GET /admin/start`: the report of the start, and the commands in force.
     pub(super) fn start_status(&self) -> serde_json::Value {
         let mut status = self.balancer.start_status();
         let state = self.state.borrow();
@@ -38,7 +38,7 @@
         status
     }
 
-    /// Carries out a command, and stores it.
+    /// Carries out and stores a command.
     pub(super) async fn carry_out(&self, call: Call, deadline: Instant) -> Answer {
         tracing::info!(?call, "operator command received");
         if let Call::Cordon(name) | Call::Uncordon(name) = &call
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Has the cluster answer a request by `deadline`. One of several cordons at once is rejected since another came first,
-    /// and is tried again.
+    /// Requests the cluster's response by `deadline`. A cordon that is rejected because a concurrent change was committed
+    /// first is retried.
     pub(super) async fn ask_cluster(&self, request: AdminRequest, deadline: Instant) -> Answer {
         tracing::info!(?request, "operator request to the cluster received");
         let until = Instant::now() + CLUSTER_RETRY_TIMEOUT;
@@ -81,7 +81,7 @@
     }
 }
 
-/// The request to the cluster that replaces a command of one balancer, if the cluster decides on it.
+/// Returns the cluster request that replaces a balancer's own command, if the cluster decides on this kind of command.
 fn cluster_request(call: &Call) -> Option<AdminRequest> {
     match call {
         Call::Cordon(name) => Some(AdminRequest::cordon(name, true)),
--- a/crates/gateway/src/admin/processes.rs
+++ b/crates/gateway/src/admin/processes.rs
@@ -1,5 +1,5 @@
-//! Several processes of one balancer side by side, as in a restart: which of them serves, and how what one has learned
-//! passes to the next.
+//! Coordination of several processes of one balancer, as in a restart: decides which process serves, and hands off learned
+//! estimates to the next process.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -9,17 +9,18 @@
 
 use super::{Admin, ManagedBalancer, RETRY_INTERVAL};
 
-/// Time between two reads of the store. Commands given to another process of this balancer take effect here that late.
+/// Interval between reads of the store. Commands to another process of this balancer take effect in this process with this
+/// delay.
 pub(super) const POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How long a start waits for what an older process has learned; that one reads the store every [`POLL_INTERVAL`].
+/// Maximum wait of a start for the learned estimates of an older process, which reads the store every [`POLL_INTERVAL`].
 const HANDOFF_TIMEOUT: Duration = Duration::from_millis(500);
-/// How long a start waits for discovery before it serves by the list as last known, which may name upstreams that are
-/// gone.
+/// Maximum wait of a start for discovery. After this time the process serves by the last known list, which may name
+/// upstreams that are gone.
 const FIRST_LIST_TIMEOUT: Duration = Duration::from_secs(1);
 
 impl<B: ManagedBalancer + 'static> Admin<B> {
-    /// Applies commands that were given to other processes, and tells these once this one can serve. Runs for as long as it
-    /// is polled.
+    /// Applies commands that other processes received, and announces to them when this process can serve. Runs while the
+    /// future is polled.
     pub async fn follow(self: Rc<Self>) {
         loop {
             let changed = self.store.borrow_mut().as_mut().map(Store::read_if_changed).transpose();
@@ -28,7 +29,8 @@
                 Ok(_) => {}
                 Err(cause) => tracing::error!(%cause, "operator commands unreadable"),
             }
-            // Even without a change: a command given here after a newer process has joined has read that change already.
+            // Checked even without a change: a command to this process after a newer process has joined has already read the
+            // change that the newer process made.
             self.hand_off_learned().await;
             if !self.is_serving.get() && self.can_serve() {
                 self.recall_learned().await;
@@ -38,36 +40,37 @@
         }
     }
 
-    /// Waits until clients may be accepted: at once, unless an older process of this balancer still serves them and this one
-    /// can't yet.
+    /// Waits until clients may be accepted. Returns immediately, unless an older process of this balancer still serves
+    /// clients and this process can't serve yet.
     pub async fn wait_to_open(&self) {
         let has_older =
             || self.is_any_alive(|state, number| state.started_before(number).collect());
         if has_older() {
             tracing::info!("waiting to serve: an older process of this balancer still does");
         }
-        // Checked again each time: once the older one is dead, only this one can answer clients, if only with an error.
+        // Checked in each iteration: once the older process is dead, only this process can answer clients, even if only with
+        // an error.
         while !self.is_serving.get() && has_older() {
             sleep(RETRY_INTERVAL).await;
         }
     }
 
-    /// Whether a process that was started later serves in the place of this one.
+    /// Returns whether a process that was started later serves in place of this process.
     pub fn is_succeeded(&self) -> bool {
         self.is_any_alive(|state, number| state.serving_after(number).collect())
     }
 
-    /// Whether one of the processes that `select` gives, by the state now and the number of this process, is alive.
+    /// Returns whether any process that `select` returns for the current state and the number of this process is alive.
     fn is_any_alive(&self, select: impl Fn(&OperatorState, u64) -> Vec<u64>) -> bool {
         let Some(own) = &self.registration else { return false };
         let store = self.store.borrow();
         let Some(store) = store.as_ref() else { return false };
-        // Not by `read_if_changed`, whose changes `follow` has yet to apply.
+        // `read_if_changed` is not used, because it would mark changes as read that `follow` has not applied yet.
         let state = store.read().unwrap_or_else(|_| self.state.borrow().clone());
         select(&state, own.number).into_iter().any(|number| store.is_alive(number))
     }
 
-    /// Leaves what was learned here to a process that was started since.
+    /// Hands off the learned estimates to a newer process, if there is one.
     async fn hand_off_learned(&self) {
         let Some(own) = &self.registration else { return };
         let newest = self.state.borrow().processes.keys().max().copied().unwrap_or(0);
@@ -83,7 +86,7 @@
         }
     }
 
-    /// Goes on from what an older process has learned, if that leaves it in time.
+    /// Restores the learned estimates of an older process, if that process hands them off in time.
     async fn recall_learned(&self) {
         let until = Instant::now() + HANDOFF_TIMEOUT;
         let newest_older = |state: &OperatorState, number| {
@@ -102,7 +105,7 @@
         }
     }
 
-    /// What the newest older process has left, if it can be read.
+    /// Reads the learned estimates that the newest older process has handed off.
     fn read_handoff(&self) -> Option<hollowpaddle_policy::learned::Learned> {
         let own = self.registration.as_ref()?;
         let older = self.state.borrow().started_before(own.number).next()?;
@@ -115,7 +118,7 @@
         self.balancer.is_ready() && (self.balancer.has_list() || has_waited())
     }
 
-    /// Lets other processes see that this one serves.
+    /// Announces to other processes that this process serves.
     async fn announce(&self) {
         if let Some(own) = &self.registration {
             let number = own.number;
--- a/crates/gateway/src/admin/server.rs
+++ b/crates/gateway/src/admin/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server of the admin API: connections, routes and JSON answers.
+//! The HTTP server of the admin API: connections, routes and JSON responses.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -26,19 +26,19 @@
 use crate::http::{HEAD_LIMIT, HEAD_LINES};
 use crate::tasks::AbortOnDrop;
 
-/// Time in which a call must be read and its answer be written. A connection that takes longer is closed.
+/// Maximum time to read a call and write its response. A connection that takes longer is closed.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time from the start of a connection by which its call has an answer, whatever has come of it.
+/// Maximum time from the start of a connection to the response, even if the outcome of the call is unknown.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1900);
-/// Wait after a failed accept.
+/// Pause after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// An answer to a call.
+/// A response to a call.
 pub(super) type Answer = Response<Full<Bytes>>;
 
 impl<B: ManagedBalancer + 'static> Admin<B> {
-    /// Accepts connections and answers their calls, for as long as it is polled. With [`CALLERS`] connections open, a new
-    /// one replaces the oldest.
+    /// Accepts connections and answers their calls while the future is polled. When [`CALLERS`] connections are open, a new
+    /// connection replaces the oldest.
     pub async fn serve(self: Rc<Self>, mut listener: Box<dyn Listener>) {
         let mut connections = VecDeque::<AbortOnDrop>::new();
         loop {
@@ -71,7 +71,7 @@
         let _ = timeout(CALL_TIMEOUT, connection).await;
     }
 
-    /// Reads and answers a call by `deadline`: a caller without an answer could not tell what became of it.
+    /// Reads and answers a call by `deadline`. A caller without a response could not know the outcome of the call.
     async fn answer(
         &self,
         request: Request<Incoming>,
--- a/crates/gateway/src/admin/tests.rs
+++ b/crates/gateway/src/admin/tests.rs
@@ -1,4 +1,4 @@
-//! Two processes of one balancer side by side.
+//! Tests of two concurrent processes of one balancer.
 
 use hollowpaddle_operator_commands::Call;
 use hyper::StatusCode;
@@ -7,7 +7,7 @@
 use super::processes::POLL_INTERVAL;
 use super::*;
 
-/// A balancer that does nothing, and has an upstream or none.
+/// A balancer that carries out no commands.
 struct Idle {
     is_ready: bool,
 }
@@ -60,9 +60,12 @@
         old.carry_out(Call::Quiesce, Instant::now() + BUSY_TIMEOUT).await.status(),
         StatusCode::OK
     );
-    let number = old.registration.as_ref().expect("it has a store").number;
+    let number = old.registration.as_ref().expect("a store").number;
     let _ = timeout(10 * POLL_INTERVAL, old.follow()).await;
-    assert!(store.read_handoff(number).is_some(), "the newer process would start from nothing");
+    assert!(
+        store.read_handoff(number).is_some(),
+        "the newer process would start without estimates"
+    );
 }
 
 #[tokio::test(start_paused = true)]
@@ -73,7 +76,7 @@
     let new = joined(&dir, false).await;
     let opens = new.wait_to_open();
     tokio::pin!(opens);
-    assert!(timeout(10 * POLL_INTERVAL, &mut opens).await.is_err(), "the older one serves");
+    assert!(timeout(10 * POLL_INTERVAL, &mut opens).await.is_err(), "the older process serves");
     drop(older);
-    timeout(10 * POLL_INTERVAL, &mut opens).await.expect("nobody else answers clients");
+    timeout(10 * POLL_INTERVAL, &mut opens).await.expect("no other process answers clients");
 }
--- a/crates/gateway/src/cluster/admin_api/change.rs
+++ b/crates/gateway/src/cluster/admin_api/change.rs
@@ -116,9 +116,9 @@
         self.fallback_policy(fallback_policy)
     }
 
-    /// Returns the entry that proposes the newest document with changed cordons. The proposal is based on the newest revision
-    /// that this balancer knows, so that it can't undo a concurrent change: if another change is committed first, the
-    /// proposal is rejected and the caller retries.
+    /// Returns the entry that proposes the newest document with changed cordons. The proposal is based on the newest
+    /// revision that this balancer knows, so that it can't undo a concurrent change: if another change is committed first,
+    /// the proposal is rejected and the caller retries.
     fn change_cordons(
         &self,
         change: impl FnOnce(&mut BTreeSet<String>) -> bool,
--- a/crates/gateway/src/cluster/admin_api/fallback.rs
+++ b/crates/gateway/src/cluster/admin_api/fallback.rs
@@ -1,5 +1,5 @@
-//! Constraints of the fallback policy on an operator's change: its mandatory part, and the floor of upstreams that no revision
-//! can exclude.
+//! Constraints of the fallback policy on an operator's change: its mandatory part, and the floor of upstreams that no
+//! revision can exclude.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -13,8 +13,8 @@
 /// Minimum number of cells for a zone to have a mandatory fallback. One cell of three would be too large a part of the zone.
 const MIN_CELLS_FOR_FALLBACK: usize = 4;
 
-/// Returns the mandatory fallback for a configuration that sets none: one cell of each zone with at least four cells, so that
-/// the part of a zone that can never be cordoned is small. `cells` are by zone.
+/// Returns the mandatory fallback for a configuration that sets none: one cell of each zone with at least four cells, so
+/// that the part of a zone that can never be cordoned is small. `cells` are by zone.
 pub fn default_mandatory_fallback(cells: &BTreeMap<String, BTreeSet<u32>>) -> FallbackPolicy {
     let large_zones = cells.iter().filter(|(_, cells)| cells.len() >= MIN_CELLS_FOR_FALLBACK);
     FallbackPolicy::mandatory_fallback(
--- a/crates/gateway/src/cluster/admin_api/parse.rs
+++ b/crates/gateway/src/cluster/admin_api/parse.rs
@@ -1,5 +1,5 @@
-//! Parses a call of the admin API from its method, path, query and body. No other module contains the API's paths or the keys
-//! of its bodies.
+//! Parses a call of the admin API from its method, path, query and body. No other module contains the API's paths or the
+//! keys of its bodies.
 
 use std::time::Duration;
 
--- a/crates/gateway/src/cluster/admin_api/response.rs
+++ b/crates/gateway/src/cluster/admin_api/response.rs
@@ -33,8 +33,8 @@
         Self { status, ..Self::ok(json!({"ok": false, "id": id, "error": why})) }
     }
 
-    /// Creates the response for a cordon of an upstream that the fallback policy still allows. The balancers in `behind` have not
-    /// confirmed the change of the fallback policy.
+    /// Creates the response for a cordon of an upstream that the fallback policy still allows. The balancers in `behind`
+    /// have not confirmed the change of the fallback policy.
     pub(super) fn awaits_fallback(behind: &[(NodeId, Duration)]) -> Self {
         let behind: Vec<u16> = behind.iter().map(|(m, _)| m.0).collect();
         let why = "the charter allows it: it is put out once every member has agreed to let go of it; repeat this call, \
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Creates the response to a change that is committed. `number` is the number of its revision, or of its entry if the change
-    /// creates no revision.
+    /// Creates the response to a change that is committed. `number` is the number of its revision, or of its entry if the
+    /// change creates no revision.
     fn accepted(request: &AdminRequest, number: u64, id: &str) -> Self {
         let change = match request {
             AdminRequest::Change(change) => Some(change),
--- a/crates/gateway/src/cluster/admin_api/tests.rs
+++ b/crates/gateway/src/cluster/admin_api/tests.rs
@@ -6,8 +6,8 @@
 
 use super::views::revisions;
 
-/// A snapshot of a policy state with a revision of each origin and in each state: five revisions numbered 0, 11, 13, 17 and 19
-/// with the same empty document. The snapshot's format identifies enum variants by position, not by name.
+/// A snapshot of a policy state with a revision of each origin and in each state: five revisions numbered 0, 11, 13, 17 and
+/// 19 with the same empty document. The snapshot's format identifies enum variants by position, not by name.
 const IMAGE: &[u8] = &[
     1, 1, 1, 0, 0, 1, 1, 0, 0, 1, 0, 1, 20, 19, 1, 13, 1, 17, 1, 19, 19, 0, 0, 1, 0, 0, 0, 0, 0, 0,
     0, 0, 0, 3, 100, 0, 0, 0, 5, 0, 0, 0, 1, 3, 11, 11, 0, 1, 178, 80, 1, 4, 13, 13, 0, 2, 178, 80,
--- a/crates/gateway/src/cluster/machine/interface.rs
+++ b/crates/gateway/src/cluster/machine/interface.rs
@@ -33,8 +33,8 @@
     pub bootstrap: Bootstrap,
     /// Policy that applies in a process without a fallback policy.
     pub mandatory_fallback: FallbackPolicy,
-    /// Cells by zone, from the configuration. If no fallback policy is set, the first leader proposes one of a third of these
-    /// cells. If empty, the first leader proposes none.
+    /// Cells by zone, from the configuration. If no fallback policy is set, the first leader proposes one of a third of
+    /// these cells. If empty, the first leader proposes none.
     pub cells: BTreeMap<String, BTreeSet<u32>>,
     /// Whether there is a durable log, so that votes and confirmations wait until they are on disk.
     pub directory: bool,
@@ -168,7 +168,7 @@
 pub struct StoppedUpstreams {
     /// Upstreams that another balancer reported as draining or gone.
     pub names: BTreeSet<String>,
-    /// Whether this balancer's endpoint list is older than the rules allow. Requests then go only to upstreams of the fallback
-    /// policy, if there are any.
+    /// Whether this balancer's endpoint list is older than the rules allow. Requests then go only to upstreams of the
+    /// fallback policy, if there are any.
     pub old: bool,
 }
--- a/crates/gateway/src/cluster/machine/pending_calls.rs
+++ b/crates/gateway/src/cluster/machine/pending_calls.rs
@@ -12,8 +12,8 @@
 /// The result of an admin call.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum ProposalResult {
-    /// The command is committed, and the policy state has its outcome: the number of its revision or entry, or the reason for
-    /// its rejection.
+    /// The command is committed, and the policy state has its outcome: the number of its revision or entry, or the reason
+    /// for its rejection.
     Answered(Result<u64, Rejection>),
     /// The entry is committed at this index of the log, and the policy state records no outcome for it.
     Stands(consensus::LogIndex),
@@ -30,8 +30,8 @@
     /// The proposal of the call's entry; `None` for a query.
     proposal: Option<consensus::ProposalId>,
     id: Option<CommandId>,
-    /// Index at which the entry is committed. An entry that is only applied at this balancer can still be lost if voters lose
-    /// their state.
+    /// Index at which the entry is committed. An entry that is only applied at this balancer can still be lost if voters
+    /// lose their state.
     index: Option<consensus::LogIndex>,
 }
 
--- a/crates/gateway/src/cluster/machine/routing.rs
+++ b/crates/gateway/src/cluster/machine/routing.rs
@@ -61,8 +61,8 @@
         }
     }
 
-    /// Sends a message of the replica or the learner to another balancer. A message to this balancer itself is passed directly
-    /// to its replica or learner.
+    /// Sends a message of the replica or the learner to another balancer. A message to this balancer itself is passed
+    /// directly to its replica or learner.
     fn send_consensus(&mut self, to: NodeId, message: consensus::Message) {
         let channel = message.body.channel();
         if to == self.setup.node_id {
@@ -89,7 +89,10 @@
                 actions.push(Action::Persist { number, record });
             }
             consensus::Action::Leads { view, since } => {
-                actions.push(Action::Log(format!("became leader of the voters in view {}", view.number)));
+                actions.push(Action::Log(format!(
+                    "became leader of the voters in view {}",
+                    view.number
+                )));
                 self.is_leader = true;
                 let (epoch, from) = (view.epoch, self.replica.op());
                 self.step_leases(leases::Event::Leads { since, epoch, from });
@@ -111,7 +114,8 @@
                 }
             }
             consensus::Action::StateLost(why) => {
-                actions.push(Action::Log(format!("replica of this balancer lost its state: {why}")));
+                actions
+                    .push(Action::Log(format!("replica of this balancer lost its state: {why}")));
             }
         }
     }
@@ -153,7 +157,9 @@
         match self.decode_state(state) {
             Ok(policy) => (self.policy, self.applied_index) = (policy, index),
             Err(cause) => {
-                actions.push(Action::Log(format!("policy state snapshot at {index} can't be decoded: {cause}")));
+                actions.push(Action::Log(format!(
+                    "policy state snapshot at {index} can't be decoded: {cause}"
+                )));
             }
         }
         self.after_apply(actions);
@@ -181,7 +187,8 @@
         match self.policy.image() {
             Ok(bytes) => Some((self.applied_index, bytes)),
             Err(cause) => {
-                actions.push(Action::Log(format!("policy state snapshot can't be encoded: {cause}")));
+                actions
+                    .push(Action::Log(format!("policy state snapshot can't be encoded: {cause}")));
                 None
             }
         }
--- a/crates/gateway/src/cluster/runtime/admin_calls.rs
+++ b/crates/gateway/src/cluster/runtime/admin_calls.rs
@@ -94,8 +94,8 @@
         }
     }
 
-    /// Answers the calls whose revision is in force at every balancer according to `status`, and the calls whose deadline has
-    /// passed.
+    /// Answers the calls whose revision is in force at every balancer according to `status`, and the calls whose deadline
+    /// has passed.
     pub(super) fn answer_rollouts(&mut self, status: &PolicyStatus) {
         let now = Instant::now();
         for mut wait in std::mem::take(&mut self.rollouts) {
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -1,7 +1,7 @@
-//! The configuration: environment variables and a JSON file, both given by the platform.
+//! The configuration: environment variables and a JSON file, both provided by the platform.
 //!
-//! The file's keys are in `file`, those of the cluster in `cluster`. What the settings mean is left to
-//! `hollowpaddle_policy`.
+//! The module `file` contains the file's keys, and `cluster` the keys of the cluster. The package `hollowpaddle_policy`
+//! interprets the settings.
 
 mod cluster;
 mod file;
@@ -17,27 +17,27 @@
 
 pub use cluster::ClusterConfig;
 
-/// Descriptors that are neither a client's nor an upstream's: standard streams, the event queue, the
-/// listener, the watch, signals.
+/// Number of descriptors that belong to neither clients nor upstreams: standard streams, the event queue, the listener, the
+/// watch and signals.
 const RESERVED: usize = 24;
-/// Most connections to the admin API at once. For one more, the oldest is closed.
+/// Maximum number of open connections to the admin API. A further connection closes the oldest one.
 pub const CALLERS: usize = 16;
-/// Descriptors of the admin API: the listener, its connections, the file that is read or written.
+/// Number of descriptors of the admin API: the listener, its connections, and the file that is read or written.
 const RESERVED_FOR_OPERATORS: usize = CALLERS + 4;
-/// Descriptors of the state store: the file that is written, and its directory.
+/// Number of descriptors of the state store: the file that is written, and its directory.
 const RESERVED_FOR_STATE: usize = 2;
-/// Descriptors of the cluster: its socket, its thread's event queue and waker, the log, its directory.
+/// Number of descriptors of the cluster: the socket, the thread's event queue and waker, the log and its directory.
 const RESERVED_FOR_CLUSTER: usize = 8;
-/// Fewest descriptors with which a balancer can serve.
+/// Minimum number of descriptors with which a balancer can serve.
 const MIN_SOCKETS: usize = 4 * RESERVED;
 
-/// Why the configuration can't be used.
+/// An error in the configuration.
 #[derive(Debug, thiserror::Error)]
 pub enum ConfigError {
-    /// No variable names the file.
+    /// The environment variable with the file's path is not set.
     #[error("LB_CONFIG is not set")]
     NoFile,
-    /// This file can't be read.
+    /// The file can't be read.
     #[error("{0}: {1}")]
     Unreadable(String, std::io::Error),
     /// A field of the file is missing, or has another type or value than expected.
@@ -45,53 +45,53 @@
     Malformed {
         /// Path of the file.
         path: String,
-        /// Path of the field in it.
+        /// Path of the field in the file.
         field: String,
-        /// What was expected.
+        /// Description of the expected value.
         cause: String,
-        /// Whether the text ends too early, as that of a file that is being written.
+        /// Whether the text is truncated, as in a file that is being written.
         is_truncated: bool,
     },
-    /// A value is no address.
+    /// A value is not an address.
     #[error("{name} is not an address: {value:?}")]
     BadAddress {
-        /// Variable or key.
+        /// Name of the environment variable or key.
         name: &'static str,
-        /// Its value.
+        /// Value of the variable or key.
         value: String,
     },
-    /// A switch has another value than `on` or `off`.
+    /// A switch has a value other than `on` or `off`.
     #[error(
         "{name} is {value:?}; expected `on`, `off`, or in the file an object of `council`, `charter`, `bedrock`"
     )]
     BadFleet {
-        /// `fleet` of the file, or `LB_FLEET`.
+        /// Name of the switch: the file's key `fleet`, or `LB_FLEET`.
         name: &'static str,
-        /// Its value.
+        /// Value of the switch.
         value: String,
     },
-    /// `peers` describes no cluster that this balancer belongs to.
+    /// The addresses in `peers` don't match the number of balancers, or don't include this balancer.
     #[error(
         "`peers` has {peers} addresses for {balancers} balancers, this one number {position}: expected one for each"
     )]
     BadPeers {
         /// Number of addresses.
         peers: usize,
-        /// Number of balancers by the settings.
+        /// Number of balancers in the settings.
         balancers: u32,
         /// Number of this balancer.
         position: u32,
     },
-    /// The voters include a number that no balancer has, or one twice.
+    /// The voters include a number that no balancer has, or a repeated number.
     #[error("`fleet.council` names {0}: expected numbers of balancers, each once")]
     BadCouncil(u16),
-    /// The limit on descriptors is too low to serve under.
+    /// The limit on descriptors is too low to serve.
     #[error("the limit of {0} sockets leaves no room to serve")]
     TooFewSockets(usize),
 }
 
 impl ConfigError {
-    /// Whether the file may just be incomplete, or the disk have failed once, so that another attempt may succeed.
+    /// Returns whether another attempt may succeed, because the file may be incomplete or a read of the disk failed.
     pub fn is_incomplete(&self) -> bool {
         match self {
             Self::Unreadable(..) => true,
@@ -103,47 +103,47 @@
 
 /// The configuration of one balancer.
 pub struct Config {
-    /// Its name, which stays over restarts.
+    /// Name of the balancer, which is the same after a restart.
     pub name: String,
-    /// Where clients connect.
+    /// Address on which the balancer accepts clients.
     pub listen: SocketAddr,
     /// Address of discovery, which delivers the endpoint list.
     pub discovery: SocketAddr,
-    /// Where operators reach the admin API, if they can.
+    /// Address of the admin API, if it is enabled.
     pub control: Option<SocketAddr>,
-    /// A directory of this balancer's own that outlives the process, if there is one.
+    /// Directory for state that survives a restart of this balancer, if the platform provides one.
     pub state_dir: Option<PathBuf>,
-    /// Seed of all randomness, new with each start.
+    /// Seed of all random numbers, different at each start.
     pub seed: u64,
-    /// Descriptors that the process may hold.
+    /// Maximum number of descriptors of the process.
     pub sockets: usize,
-    /// Memory that the process may use, in bytes.
+    /// Maximum memory of the process, in bytes.
     pub memory: usize,
-    /// The endpoint list as last known to the platform; it may be old.
+    /// The last endpoint list that the platform knew, which may be old.
     pub known: List,
     /// The settings.
     pub facts: Facts,
-    /// Size of the part of the upstreams to which this balancer keeps connections; `None`: all of them.
+    /// Size of the subset of upstreams to which this balancer keeps connections; `None` for all upstreams.
     pub subset: Option<Size>,
-    /// The cluster; `None` where the platform allows no messages between balancers, or where it is switched off.
+    /// The cluster; `None` if the platform allows no messages between balancers, or if the cluster is disabled.
     pub cluster: Option<ClusterConfig>,
 }
 
-/// Connections that each side may have.
+/// Maximum numbers of connections to clients and upstreams.
 pub struct Budget {
-    /// Connections of clients.
+    /// Maximum number of client connections.
     pub clients: usize,
-    /// Connections of clients in use beyond which idle ones are closed.
+    /// Number of client connections in use above which idle client connections are closed.
     pub clients_at_ease: usize,
-    /// Connections to upstreams.
+    /// Maximum number of connections to upstreams.
     pub upstreams: usize,
 }
 
 impl Config {
-    /// Reads the environment, and the file that it names, as they are now.
+    /// Reads the environment variables and the configuration file.
     ///
     /// # Errors
-    /// They lack something that is needed to serve, or contain something else than expected.
+    /// Returns an error if a required value is missing or a value is invalid.
     pub fn read() -> Result<Self, ConfigError> {
         let variable = |name: &str| std::env::var(name).ok();
         let path = variable("LB_CONFIG").ok_or(ConfigError::NoFile)?;
@@ -151,13 +151,13 @@
         Self::parse(&path, &text, variable)
     }
 
-    /// Reads the text of the file at `path`, and the environment by `variable`.
+    /// Parses the text of the file at `path`, with the environment variables that `variable` returns.
     ///
-    /// A variable goes before the file's key, except for discovery: the file may be replaced while the program runs, and the
-    /// environment can't be.
+    /// A variable has precedence over the file's key, except for discovery: the file may be replaced while the program runs,
+    /// but the environment can't change.
     ///
     /// # Errors
-    /// As [`Config::read`].
+    /// Returns the same errors as [`Config::read`].
     pub fn parse(
         path: &str,
         text: &[u8],
@@ -195,10 +195,10 @@
         })
     }
 
-    /// Divides the descriptors: half of those not reserved for each side.
+    /// Divides the descriptors that are not reserved equally between clients and upstreams.
     ///
-    /// Every attempt belongs to a client's request, so while clients keep to their half, upstreams never need more than
-    /// theirs. A part of the clients' half is kept free for clients that send a request.
+    /// Every attempt belongs to a client's request, so upstreams never need more than their half while clients stay within
+    /// theirs. A part of the clients' half is reserved for clients that send a request.
     pub fn budget(&self) -> Budget {
         let operators = if self.control.is_some() { RESERVED_FOR_OPERATORS } else { 0 };
         let state = if self.state_dir.is_some() { RESERVED_FOR_STATE } else { 0 };
--- a/crates/gateway/src/config/cluster.rs
+++ b/crates/gateway/src/config/cluster.rs
@@ -1,4 +1,4 @@
-//! The cluster's part of the configuration: the file's keys `peers`, `peer_listen` and `fleet`, and `LB_FLEET`.
+//! Configuration of the cluster: the file's keys `peers`, `peer_listen` and `fleet`, and the variable `LB_FLEET`.
 
 use std::net::SocketAddr;
 
@@ -8,28 +8,28 @@
 use super::ConfigError;
 use super::file::{File, parse_address};
 
-/// Most balancers of a cluster. Each keeps state for each other one.
+/// Maximum number of balancers in a cluster. Each balancer keeps state for every other one.
 const MAX_PEERS: usize = 1000;
 
-/// The cluster that this balancer belongs to, where the platform allows messages between balancers.
+/// The cluster of this balancer, if the platform allows messages between balancers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct ClusterConfig {
-    /// Where datagrams of other balancers arrive.
+    /// Address that receives the datagrams of other balancers.
     pub listen: SocketAddr,
-    /// Address of each balancer, this one included, in the order of their numbers.
+    /// Address of each balancer, including this one, ordered by number.
     pub peers: Vec<SocketAddr>,
     /// Number of this balancer.
     pub position: u16,
-    /// Numbers of the first voters; empty: chosen by the number of balancers.
+    /// Numbers of the initial voters. If empty, the voters are chosen by the number of balancers.
     pub voters: Vec<u16>,
-    /// Cells that no revision may take out; `None`: a third of each zone's.
+    /// Cells of the initial fallback policy, which no revision can exclude; `None` for a third of each zone's cells.
     pub fallback_policy: Option<Vec<u32>>,
-    /// Cells that can never be taken out; `None`: one of each zone.
+    /// Cells of the mandatory fallback, which can never be excluded; `None` for one cell of each zone.
     pub mandatory_fallback: Option<Vec<u32>>,
 }
 
 impl ClusterConfig {
-    /// Identifies the cluster. Stored state of another cluster is not used.
+    /// Returns the hash that identifies the cluster. Stored state of another cluster is not used.
     pub fn id(&self) -> u64 {
         let Self { peers, voters, fallback_policy, mandatory_fallback, .. } = self;
         let identity =
@@ -37,7 +37,7 @@
         hollowpaddle_policy::settings::stable_hash(&identity)
     }
 
-    /// This balancer.
+    /// Returns the id of this balancer.
     pub fn member(&self) -> NodeId {
         NodeId(self.position)
     }
@@ -51,11 +51,11 @@
     Switch(String),
     /// `true` or `false`.
     Enabled(bool),
-    /// On, with these terms.
+    /// Enables the cluster with these options.
     Cluster(FileCluster),
 }
 
-/// The terms in the file's key `fleet`.
+/// The options in the file's key `fleet`.
 #[derive(Clone, Default, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub(super) struct FileCluster {
@@ -68,7 +68,7 @@
 }
 
 impl FileCluster {
-    /// Checks that the voters are balancers of a cluster of this size, each named once.
+    /// Checks that each voter is the number of a balancer in a cluster of this size, and that no number is repeated.
     fn check_voters(&self, cluster_size: usize) -> Result<(), ConfigError> {
         for (i, voter) in self.voters.iter().enumerate() {
             if usize::from(*voter) >= cluster_size || self.voters[..i].contains(voter) {
@@ -79,8 +79,8 @@
     }
 }
 
-/// The cluster that the file describes, if balancers may send messages and it is not switched off. `variable` is the value of
-/// `LB_FLEET`, which goes before the file's switch.
+/// Returns the cluster that the file describes, if balancers may send messages and the cluster is not disabled. `variable`
+/// is the value of `LB_FLEET`, which has precedence over the file's switch.
 pub(super) fn parse(
     file: &File,
     variable: Option<String>,
--- a/crates/gateway/src/config/file.rs
+++ b/crates/gateway/src/config/file.rs
@@ -1,4 +1,4 @@
-//! The configuration file's keys, and their defaults. Keys that are not named here are ignored.
+//! The keys of the configuration file and their defaults. Unknown keys are ignored.
 
 use std::net::SocketAddr;
 
@@ -10,12 +10,13 @@
 use super::cluster::FileFleet;
 use crate::members::List;
 
-/// Descriptors that the process may hold, where the file names no limit.
+/// Default maximum number of descriptors.
 pub(super) const DEFAULT_SOCKETS: usize = 1024;
-/// Memory that the process may use, in MiB, where the file names no limit.
+/// Default memory limit, in MiB.
 pub(super) const DEFAULT_MEMORY_MIB: usize = 192;
 
-/// The file. `state_dir`, `subset` and `fleet` are keys of this program, the others the platform's.
+/// The configuration file. The keys `state_dir`, `subset` and `fleet` are specific to this program; the platform defines the
+/// others.
 #[derive(Deserialize)]
 pub(super) struct File {
     #[serde(default)]
@@ -45,7 +46,7 @@
     pub(super) fleet: Option<FileFleet>,
 }
 
-/// The part of the upstreams to which this balancer keeps connections.
+/// Size of the subset of upstreams to which this balancer keeps connections.
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FileSubset {
@@ -63,7 +64,7 @@
 }
 
 impl File {
-    /// Reads the text of the file at `path`.
+    /// Parses the text of the file at `path`.
     pub(super) fn parse(path: &str, text: &[u8]) -> Result<Self, ConfigError> {
         let mut reader = serde_json::Deserializer::from_slice(text);
         serde_path_to_error::deserialize(&mut reader).map_err(|e| {
@@ -78,7 +79,7 @@
         })
     }
 
-    /// The size of this balancer's part of the upstreams, if the file asks for a part.
+    /// Returns the size of the subset of upstreams, if the file configures a subset.
     pub(super) fn subset_size(&self) -> Option<Size> {
         let subset = self.subset.as_ref()?;
         let window = self.settings.services.iter().map(|s| s.window).fold(0.0, f64::max);
@@ -87,7 +88,7 @@
     }
 }
 
-/// Reads the address that `name` has.
+/// Parses the address in the variable or key `name`.
 pub(super) fn parse_address(name: &'static str, value: &str) -> Result<SocketAddr, ConfigError> {
     value.parse().map_err(|_| ConfigError::BadAddress { name, value: value.to_string() })
 }
--- a/crates/gateway/src/config/tests.rs
+++ b/crates/gateway/src/config/tests.rs
@@ -1,4 +1,4 @@
-//! The cluster's part of the configuration.
+//! Tests of the configuration of the cluster.
 
 use serde_json::{Value, json};
 
@@ -34,7 +34,7 @@
         assert_eq!(cluster(|f| f["fleet"] = off.clone(), None), None);
         assert!(
             cluster(|f| f["fleet"] = off.clone(), Some("on")).is_some(),
-            "the environment goes first"
+            "the environment has precedence"
         );
     }
     assert_eq!(cluster(|_| {}, Some("off")), None);
@@ -45,7 +45,7 @@
 #[test]
 fn rejects_impossible_clusters_with_what_was_expected() {
     let error = |change: &dyn Fn(&mut Value), fleet| match parsed(change, fleet) {
-        Ok(_) => panic!("it was taken"),
+        Ok(_) => panic!("the configuration was accepted"),
         Err(cause) => cause.to_string(),
     };
     assert!(error(&|_| {}, Some("perhaps")).contains("LB_FLEET is \"perhaps\""));
@@ -58,7 +58,7 @@
         );
     }
     assert!(error(&|f| f["fleet"] = json!({"counsel": [1]}), None).contains("fleet"));
-    // Where messages are not allowed, nothing of it is read.
+    // If messages are not allowed, the cluster's configuration is not parsed.
     let silent = |f: &mut Value| {
         f["settings"]["PolicyLimits"]["PeerMessages"] = json!(false);
         f["peers"] = json!(["nowhere"]);
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -20,13 +20,13 @@
 use crate::members::List;
 use crate::tasks::AbortOnDrop;
 
-/// Time after which a watch without lists and heartbeats, or a connection attempt without a result, counts as dead. A machine
-/// that is disconnected sends no TCP reset.
+/// Time after which a watch without lists and heartbeats, or a connection attempt without a result, counts as dead. A
+/// machine that is disconnected sends no TCP reset.
 pub const SILENCE_TIMEOUT: Duration = Duration::from_micros(list_polling::SILENCE_TIMEOUT.0 as u64);
 /// Timeout of the first call that discovery has accepted.
 const FIRST_CALL_TIMEOUT: Duration = Duration::from_micros(list_polling::CALL_TIMEOUT.0 as u64);
-/// An error status that arrives within this time after the start of the call is a rejection: the call did not wait in a queue
-/// of discovery.
+/// An error status that arrives within this time after the start of the call is a rejection: the call did not wait in a
+/// queue of discovery.
 const REJECTION_TIME: Duration = Duration::from_millis(200);
 
 /// Timeout of a call that discovery has accepted.
@@ -114,8 +114,8 @@
     }
 }
 
-/// Watches for lists that follow version `revision`, and reports them until the watch ends. `call_timeout` limits the wait for
-/// the response to a call that discovery has accepted.
+/// Watches for lists that follow version `revision`, and reports them until the watch ends. `call_timeout` limits the wait
+/// for the response to a call that discovery has accepted.
 pub async fn watch(
     network: Rc<dyn Network>,
     address: SocketAddr,
--- a/crates/gateway/src/freshness.rs
+++ b/crates/gateway/src/freshness.rs
@@ -3,9 +3,9 @@
 //!
 //! A change counts as delivered [`LIST_PROPAGATION_BOUND`] after discovery had the change and could be reached, even if the
 //! balancer did not receive it. After the grace period of a drain no request may be sent by the old list (PROTOCOL,
-//! "Figures"). A balancer whose calls discovery keeps rejecting can miss a drain, so its list expires when the grace period of
-//! a missed drain would end, and not earlier. While discovery can't be reached no change counts as delivered, and the last
-//! known list stays in use.
+//! "Figures"). A balancer whose calls discovery keeps rejecting can miss a drain, so its list expires when the grace period
+//! of a missed drain would end, and not earlier. While discovery can't be reached no change counts as delivered, and the
+//! last known list stays in use.
 
 use std::cell::Cell;
 use std::rc::Rc;
@@ -49,8 +49,8 @@
 }
 
 impl Freshness {
-    /// Creates the state at the start of the process: changes after `now` are missing until discovery delivers a list. Sends to
-    /// a draining upstream end `grace` after the notice.
+    /// Creates the state at the start of the process: changes after `now` are missing until discovery delivers a list. Sends
+    /// to a draining upstream end `grace` after the notice.
     pub fn new(grace: Duration, now: Instant) -> Self {
         Self {
             max_age: PROPAGATION_BOUND + grace,
--- a/crates/gateway/src/invariants.rs
+++ b/crates/gateway/src/invariants.rs
@@ -1,4 +1,4 @@
-//! Counts and logs violations of the rules that this balancer checks of itself while it runs. Every count but zero is a
+//! Counts and logs violations of the invariants that a balancer checks at run time. Every count above zero indicates a
 //! defect.
 
 use std::cell::Cell;
@@ -6,29 +6,29 @@
 
 use hollowpaddle_policy::interface::{RequestId, ServerId};
 
-/// What must never happen.
+/// An invariant, named after its violation.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Invariant {
-    /// A request was sent to an upstream past the grace period after notice that it is draining or gone.
+    /// A request was sent to an upstream after the grace period that follows the notice of its drain or removal.
     SentAfterDrain,
-    /// A retry of what may have run was sent past the window in which upstreams recognise it.
+    /// A retry of a request that may have been executed was sent after the window in which upstreams recognize the retry.
     SentAfterWindow,
-    /// A request was sent after its final answer or after its client had gone.
+    /// A request was sent after its final response or after its client had disconnected.
     SentAfterEnd,
-    /// The deadline announced to an upstream was longer than its client had left.
+    /// The deadline announced to an upstream was longer than the client's remaining time.
     DeadlineOverstated,
-    /// The decision module asked for an attempt that could take effect twice.
+    /// The decision module requested an attempt that could make a request take effect twice.
     UnsafeRepeat,
-    /// The decision module rejected a request that may have run.
+    /// The decision module rejected a request that may have been executed.
     RefusedAfterEffect,
-    /// A request that was received got no answer, though its client stayed.
+    /// A received request got no response although its client stayed connected.
     Unanswered,
-    /// The decision module sent an upstream that is warming up more than slow start allows.
+    /// The decision module sent more requests to a warming-up upstream than slow start allows.
     ColdOverdraft,
 }
 
 impl Invariant {
-    /// All invariants, in the order of their numbers.
+    /// All invariants, in declaration order.
     pub const ALL: [Self; 8] = [
         Self::SentAfterDrain,
         Self::SentAfterWindow,
@@ -40,7 +40,7 @@
         Self::ColdOverdraft,
     ];
 
-    /// The name in logs and in the admin API.
+    /// Returns the name in logs and in the admin API.
     pub fn name(self) -> &'static str {
         match self {
             Self::SentAfterDrain => "sent_after_drain",
@@ -55,12 +55,12 @@
     }
 }
 
-/// How often each invariant was violated since the start, shared by all that check one.
+/// Number of violations of each invariant since the start. Clones share the counts.
 #[derive(Clone, Debug, Default)]
 pub struct Violations(Rc<[Cell<u64>; Invariant::ALL.len()]>);
 
 impl Violations {
-    /// Counts one violation, and logs it.
+    /// Counts and logs one violation.
     pub fn count(
         &self,
         invariant: Invariant,
@@ -73,12 +73,12 @@
         tracing::error!(invariant = invariant.name(), request, upstream, "invariant violated");
     }
 
-    /// How often an invariant was violated.
+    /// Returns the number of violations of an invariant.
     pub fn of(&self, invariant: Invariant) -> u64 {
         self.0[invariant as usize].get()
     }
 
-    /// All counts by name.
+    /// Returns all counts by the name of the invariant.
     pub fn counts(&self) -> serde_json::Value {
         let count = |of: Invariant| (of.name().to_string(), self.of(of).into());
         serde_json::Value::Object(Invariant::ALL.into_iter().map(count).collect())
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -1,7 +1,7 @@
-//! The machine round the decision module, as a library: clients in front, upstreams behind, discovery beside.
+//! The runtime of one balancer as a library: connects the decision module to clients, upstreams and discovery.
 //!
-//! Everything runs on one thread. The tasks that do I/O tell the engine what happened and carry out
-//! what it says; only the engine touches the module.
+//! All tasks run on one thread. Tasks that do I/O report events to the engine and carry out its actions. Only the engine
+//! calls the decision module.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/gateway/src/list_reader.rs
+++ b/crates/gateway/src/list_reader.rs
@@ -1,5 +1,5 @@
-//! Reads endpoint lists from a stream of bytes, which may be split into arbitrary pieces and have any JSON layout. The reader
-//! does no I/O.
+//! Reads endpoint lists from a stream of bytes, which may be split into arbitrary pieces and have any JSON layout. The
+//! reader does no I/O.
 //!
 //! A list is parsed entry by entry: the text of an entry is dropped at its last byte, and a compact record is retained. The
 //! text around the entries (the outline) is retained until the list is complete.
@@ -18,19 +18,19 @@
 /// is room for keys that this build does not know. Without a limit, an endless entry would use all memory.
 pub const MAX_ENTRY_LENGTH: usize = 64 << 10;
 /// Maximum number of bytes of a list outside of its entries; a run of white space counts as one byte. The outline holds a
-/// version and a flag, and the rest is room for keys that this build does not know. Without a limit, an endless list would use
-/// all memory.
+/// version and a flag, and the rest is room for keys that this build does not know. Without a limit, an endless list would
+/// use all memory.
 pub const MAX_OUTLINE_LENGTH: usize = 256 << 10;
 /// Maximum depth of nested objects and arrays, including the list itself. `serde_json` has the same limit.
 pub const MAX_DEPTH: usize = 127;
 /// Maximum number of entries of one list: two and a half times the 39,000 upstreams of the largest expected deployment.
 /// Without a limit, an endless list would use all memory.
 pub const MAX_ENTRIES: usize = 100_000;
-/// Maximum number of bytes of all ids of one list: on average 160 for each of [`MAX_ENTRIES`]. Without a limit, ids as long as
-/// [`MAX_ENTRY_LENGTH`] would use gigabytes.
+/// Maximum number of bytes of all ids of one list: on average 160 for each of [`MAX_ENTRIES`]. Without a limit, ids as long
+/// as [`MAX_ENTRY_LENGTH`] would use gigabytes.
 pub const MAX_ID_BYTES: usize = 16 << 20;
-/// Number of bytes after which a caller of [`ListReader::take`] should yield to other tasks: about fifty entries, which take a
-/// fraction of a millisecond to read.
+/// Number of bytes after which a caller of [`ListReader::take`] should yield to other tasks: about fifty entries, which take
+/// a fraction of a millisecond to read.
 pub const PIECE_LENGTH: usize = 8 << 10;
 
 /// An error that ends the reading of a stream.
@@ -153,7 +153,7 @@
             self.received.clear();
             self.position = Position::Members(Expected::EntryOrEnd);
         }
-        // Text that does not begin as an object is rejected at its first byte, since its end could not be determined.
+        // Any text other than an object is rejected, a number or literal already at its first byte.
         if self.outline.is_complete() { self.end_of_list().map(Some) } else { Ok(None) }
     }
 
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -33,8 +33,8 @@
 
 /// The upstreams that endpoint lists have named, by handle.
 ///
-/// Applying a list takes time proportional to its entries. Memory is proportional to the number of upstreams, since names are
-/// shared with the entries of the list.
+/// Applying a list takes time proportional to its entries. Memory is proportional to the number of upstreams, since names
+/// are shared with the entries of the list.
 pub struct Membership {
     handles: FxHashMap<Arc<str>, ServerId>,
     /// Boxed, since a hash table has capacity for up to twice its entries.
@@ -126,8 +126,8 @@
         self.newest_revision
     }
 
-    /// Returns an upstream's current description for the decision module, if the upstream is known. An upstream missing from a
-    /// complete list keeps the status from its last entry.
+    /// Returns an upstream's current description for the decision module, if the upstream is known. An upstream missing from
+    /// a complete list keeps the status from its last entry.
     pub fn member(&self, server: ServerId) -> Option<Member> {
         let known = self.records.get(&server)?;
         Some(self.overlay.apply(known.member(server), &self.place(known)))
--- a/crates/gateway/src/membership/departed.rs
+++ b/crates/gateway/src/membership/departed.rs
@@ -5,8 +5,8 @@
 
 use rustc_hash::FxHashMap;
 
-/// Maximum number of removed upstreams that are remembered by name. Once a removed upstream is forgotten, lists older than its
-/// removal add no unknown upstreams.
+/// Maximum number of removed upstreams that are remembered by name. Once a removed upstream is forgotten, lists older than
+/// its removal add no unknown upstreams.
 pub(super) const MAX_REMEMBERED: usize = 4096;
 
 /// Names of removed upstreams, with the version of the list that removed them.
@@ -15,8 +15,8 @@
     pub(super) versions: FxHashMap<Arc<str>, u64>,
     /// Names and versions in the order of removal.
     pub(super) order: VecDeque<(Arc<str>, u64)>,
-    /// Lists below this version add no unknown upstreams: a complete list of this version did not name them, or their removal
-    /// may be forgotten.
+    /// Lists below this version add no unknown upstreams: a complete list of this version did not name them, or their
+    /// removal may be forgotten.
     floor: u64,
 }
 
--- a/crates/gateway/src/membership/list_update.rs
+++ b/crates/gateway/src/membership/list_update.rs
@@ -17,8 +17,8 @@
     /// Applies a list.
     ///
     /// A list that is older than another must not undo the notice of a drain. For each upstream, only an entry that is no
-    /// older than the last applied one is used, and an older list removes no upstream that it does not name. An upstream that
-    /// only an older list names is added.
+    /// older than the last applied one is used, and an older list removes no upstream that it does not name. An upstream
+    /// that only an older list names is added.
     pub fn update(
         &mut self,
         list: &List,
--- a/crates/gateway/src/membership/overlay.rs
+++ b/crates/gateway/src/membership/overlay.rs
@@ -39,8 +39,8 @@
         }
     }
 
-    /// Returns the description of a listed upstream for the decision module. An upstream counts as draining if it is cordoned or
-    /// if the policy in force bars it for every class.
+    /// Returns the description of a listed upstream for the decision module. An upstream counts as draining if it is
+    /// cordoned or if the policy in force bars it for every class.
     pub(super) fn apply(&self, listed: Member, place: &Place) -> Member {
         self.apply_under(&self.policy, listed, place)
     }
--- a/crates/gateway/src/membership/tests.rs
+++ b/crates/gateway/src/membership/tests.rs
@@ -62,7 +62,8 @@
     };
     let mut seen = std::collections::HashSet::new();
     for i in 0..2000 {
-        // Each new id at the same address replaces the previous one, which is either deleted or missing from a complete list.
+        // Each new id at the same address replaces the previous one, which is either deleted or missing from a complete
+        // list.
         let (id, ids, targets) = apply_entry(&format!("s-{i}"), "SERVING", ListKind::Complete);
         assert_eq!((ids, targets), (1, 1));
         assert!(seen.insert(id.expect("a member")), "a handle is reused");
@@ -110,7 +111,11 @@
     assert_eq!(apply(&mut of, &list(15, &[("e", "SERVING")]), ListKind::Update).2, "a");
     assert_eq!(apply(&mut of, &late(17), ListKind::Update).2, "a b", "added again");
     apply(&mut of, &list(20, &[("a", "SERVING")]), ListKind::Complete);
-    assert_eq!(apply(&mut of, &late(19), ListKind::Update).2, "a", "missing from the complete list at 20");
+    assert_eq!(
+        apply(&mut of, &late(19), ListKind::Update).2,
+        "a",
+        "missing from the complete list at 20"
+    );
 }
 
 #[test]
@@ -137,7 +142,10 @@
     let names = |names: &[&str]| names.iter().map(|n| n.to_string()).collect::<BTreeSet<_>>();
     let out = of.cordon(&names(&["a", "not-listed-yet"]), Instant::now());
     assert_eq!(out.iter().map(|m| m.status).collect::<Vec<_>>(), [Status::Draining]);
-    assert!(of.cordon(&names(&["a", "not-listed-yet"]), Instant::now()).is_empty(), "the same cordons twice");
+    assert!(
+        of.cordon(&names(&["a", "not-listed-yet"]), Instant::now()).is_empty(),
+        "the same cordons twice"
+    );
     assert_eq!(apply(&mut of, &both(2), ListKind::Complete).2, "b");
     // `a` is removed and added again, and a cordoned upstream is listed for the first time.
     apply(&mut of, &list(3, &[("a", "DELETED")]), ListKind::Update);
@@ -232,7 +240,11 @@
     };
     assert_eq!(open(&mut of, &[2], &["a"], false), "bc");
     assert_eq!(open(&mut of, &[2], &[], true), "b");
-    assert_eq!(open(&mut of, &[9], &[], true), "abc", "no restriction where it would exclude all upstreams");
+    assert_eq!(
+        open(&mut of, &[9], &[], true),
+        "abc",
+        "no restriction where it would exclude all upstreams"
+    );
     assert_eq!(open(&mut of, &[9], &[], false), "abc", "the restriction ends");
 }
 
--- a/crates/gateway/src/names.rs
+++ b/crates/gateway/src/names.rs
@@ -4,8 +4,8 @@
 
 use rustc_hash::{FxHashMap, FxHashSet};
 
-/// Maximum number of distinct names in one list. The largest expected deployment has 11 zones and 1,300 machine types. Without
-/// a limit, a list with a different name in each entry would store as many strings.
+/// Maximum number of distinct names in one list. The largest expected deployment has 11 zones and 1,300 machine types.
+/// Without a limit, a list with a different name in each entry would store as many strings.
 pub const MAX_DISTINCT_NAMES: usize = 16_384;
 /// Maximum length of a name in bytes. Without a limit, the maximum number of names would not limit memory.
 pub const MAX_NAME_LENGTH: usize = 256;
--- a/crates/gateway/src/restored_list.rs
+++ b/crates/gateway/src/restored_list.rs
@@ -40,8 +40,8 @@
     Some(RestoredList { list, whole })
 }
 
-/// Marks the upstreams that only the stored list names as just started, so that they are warmed up. These upstreams may be gone
-/// or replaced by now.
+/// Marks the upstreams that only the stored list names as just started, so that they are warmed up. These upstreams may be
+/// gone or replaced by now.
 fn mark_newcomers_as_just_started(list: &mut List, known: &List, now: Duration) {
     let known_ids: FxHashSet<&str> = known.members.iter().map(|m| &*m.id).collect();
     for entry in &mut list.members {
--- a/crates/gateway/src/restored_list/tests.rs
+++ b/crates/gateway/src/restored_list/tests.rs
@@ -25,7 +25,10 @@
         assert_eq!(restored_list(&stored, &known, MINUTE, NOW).is_some(), applies, "{revision}");
     }
     let stored = list(0, &[("a", "SERVING")]);
-    assert!(restored_list(&stored, &List::default(), MINUTE, NOW).is_some(), "without a list in the configuration");
+    assert!(
+        restored_list(&stored, &List::default(), MINUTE, NOW).is_some(),
+        "without a list in the configuration"
+    );
 }
 
 #[test]
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -1,7 +1,7 @@
-//! Serves one balancer from its start to its end: wires the engine, the client front, the state store, the cluster and the
-//! admin API to each other.
+//! Runs one balancer from its start to its end: connects the engine, the client server, the state store, the cluster and the
+//! admin API.
 //!
-//! Signals, sockets and the place of the configuration are left to the program.
+//! The program handles signals, provides sockets and locates the configuration.
 
 use std::collections::BTreeSet;
 use std::future::Future;
@@ -25,29 +25,29 @@
 use crate::tasks::AbortOnDrop;
 use crate::upstreams::Pool;
 
-/// What a balancer is provided with beside its sockets. It can serve without any of it.
+/// Optional resources of a balancer beside its sockets. A balancer can serve without any of them.
 #[derive(Default)]
 pub struct Provided {
-    /// How operators reach it.
+    /// Resources of the admin API.
     pub operator_access: OperatorAccess,
-    /// State of the process before, and where to save that of this one.
+    /// State of the previous process, and the saver for the state of this process.
     pub stored_state: Option<StoredState>,
-    /// Its part of the cluster.
+    /// Handle of the cluster.
     pub cluster: Option<ClusterHandle>,
 }
 
-/// Why a balancer did not serve to its end.
+/// An error that prevents a balancer from serving or ends it early.
 #[derive(Debug, thiserror::Error)]
 pub enum ServeError {
-    /// The configuration can't be used.
+    /// The configuration is invalid.
     #[error(transparent)]
     Engine(#[from] EngineError),
-    /// The engine has ended: no request can be answered any more, and the process is to be restarted.
+    /// The engine has ended, so no request can be answered any more, and the process has to be restarted.
     #[error("the engine ended")]
     EngineEnded,
 }
 
-/// The parts of the balancer that carry out operators' commands.
+/// The parts of the balancer that carry out operator commands.
 struct Balancer {
     engine: AdminHandle,
     front: Rc<ClientServer>,
@@ -55,14 +55,14 @@
     cluster: Option<AdminClient>,
 }
 
-/// Sends operators' requests to the cluster.
+/// Sends operator requests to the cluster.
 struct AdminClient {
     calls: mpsc::UnboundedSender<AdminCall>,
     classes: Vec<ClassFacts>,
 }
 
 impl Balancer {
-    /// All entries of the endpoint list, which the engine gives in parts; `None` once the engine has ended.
+    /// Returns all entries of the endpoint list, which the engine provides in parts; `None` once the engine has ended.
     async fn list_entries(&self) -> Option<Vec<Entry>> {
         let (mut entries, mut next) = (Vec::new(), Some(0));
         while let Some(from) = next {
@@ -126,12 +126,12 @@
     }
 }
 
-/// Serves clients on `listener`, and reaches everything else through `network`, until `stop`; then finishes what was
-/// accepted. Each configuration that arrives on `reloads` moves the endpoint watch to the discovery it names.
-/// Must run inside a `LocalSet`.
+/// Serves clients on `listener` until `stop`, then completes the accepted requests. All other connections use `network`.
+/// Each configuration that arrives on `reloads` moves the endpoint watch to its discovery address. Must run inside a
+/// `LocalSet`.
 ///
 /// # Errors
-/// The configuration can't be used, or the engine has ended.
+/// Returns an error if the configuration is invalid or the engine has ended.
 pub async fn serve(
     mut config: Config,
     network: Rc<dyn Network>,
@@ -160,7 +160,7 @@
         None => (None, None, None),
     };
     let (engine, handle) = Engine::new(&config, restored_list, pool, network, reader)?;
-    // The engine has its own records of the list; the rest of the configuration stays for as long as this serves.
+    // Frees the list, of which the engine has its own records. The rest of the configuration is needed while serving.
     config.known = List::default();
     let mut engine = AbortOnDrop(tokio::task::spawn_local(engine.run()));
     let _events = events.map(|events| forward_events(events, &handle));
@@ -169,7 +169,7 @@
     parts.serve(&mut engine, listener, stop).await
 }
 
-/// What the engine's start left to be served with.
+/// The parts of the balancer that are needed to serve once the engine runs.
 struct Parts {
     config: Config,
     budget: Budget,
@@ -180,7 +180,7 @@
 }
 
 impl Parts {
-    /// Serves clients and operators until `stop` or the engine's end, then saves for the last time.
+    /// Serves clients and operators until `stop` or the engine's end, then saves the state for the last time.
     async fn serve(
         self,
         engine: &mut AbortOnDrop,
@@ -189,7 +189,7 @@
     ) -> Result<(), ServeError> {
         let Self { config, budget, handle, operator_access, restored, admin_client } = self;
         let engine_admin = handle.admin_handle();
-        // Before any client comes: what is restored is there for the first.
+        // The state is restored before any client is accepted.
         let state_store =
             restored.map(|restored| StateStore::start(restored, handle.admin_handle()));
         let _saves =
@@ -219,7 +219,7 @@
     }
 }
 
-/// Passes the cluster's events to the engine, until the result is dropped.
+/// Passes the cluster's events to the engine until the returned guard is dropped.
 fn forward_events(
     mut events: mpsc::UnboundedReceiver<ClusterEvent>,
     handle: &EngineHandle,
@@ -232,7 +232,7 @@
     }))
 }
 
-/// Passes the address of discovery of each new configuration to the engine, until the result is dropped.
+/// Passes the discovery address of each new configuration to the engine until the returned guard is dropped.
 fn forward_reloads(
     mut reloads: mpsc::UnboundedReceiver<Config>,
     handle: &EngineHandle,
@@ -245,7 +245,7 @@
     }))
 }
 
-/// The classes of the settings, as policy revisions are checked against them.
+/// Returns the classes of the settings, against which policy revisions are checked.
 fn classes(config: &Config) -> Vec<ClassFacts> {
     let mut classes = Vec::new();
     for service in &config.facts.services {
--- a/crates/gateway/src/start_times.rs
+++ b/crates/gateway/src/start_times.rs
@@ -1,11 +1,11 @@
-//! Corrects the start times of upstreams in lists, which are in Unix time, for a wall clock of this machine that may be wrong.
-//! The functions are pure.
+//! Corrects the start times of upstreams in lists, which are in Unix time, for a wall clock of this machine that may be
+//! wrong. The functions are pure.
 //!
 //! Slow start depends on the age of an upstream, and the age depends on the difference between the clocks of two machines. A
 //! wall clock that is an hour ahead makes every new upstream look warm, and a wall clock that is behind makes warm upstreams
 //! look as if they had not started yet. This machine's clock is read once, at the start of the process. Start times that
-//! contradict this clock are corrected in the direction that overloads no upstream: an upstream is treated as newer, never as
-//! older.
+//! contradict this clock are corrected in the direction that overloads no upstream: an upstream is treated as newer, never
+//! as older.
 
 use std::collections::VecDeque;
 use std::sync::Arc;
@@ -16,8 +16,8 @@
 
 use crate::members::Entry;
 
-/// Maximum time from the start of an upstream to its first listing, while the list is complete. If the start time lies further
-/// back, the clocks of the upstream and of this machine differ.
+/// Maximum time from the start of an upstream to its first listing, while the list is complete. If the start time lies
+/// further back, the clocks of the upstream and of this machine differ.
 const MAX_LISTING_DELAY: Duration = Duration::from_secs(70);
 /// If no upstream on a first list started within this time, that list can't confirm the clock.
 const CLOCK_CHECK_TIME: Duration = Duration::from_secs(600);
@@ -91,7 +91,8 @@
 }
 
 impl StartTimes {
-    /// Creates the state for a clock that showed `origin_unix` at `origin`. Upstreams warm up for `warm_up` after their start.
+    /// Creates the state for a clock that showed `origin_unix` at `origin`. Upstreams warm up for `warm_up` after their
+    /// start.
     pub fn new(origin: Instant, origin_unix: Duration, warm_up: Duration) -> Self {
         Self {
             origin,
--- a/crates/gateway/src/state_store.rs
+++ b/crates/gateway/src/state_store.rs
@@ -1,7 +1,7 @@
-//! What a balancer saves for its next start, and what it restores at this one.
+//! Saves a balancer's state for its next start, and restores the state of the previous process.
 //!
-//! How far restored state is trusted is left to `hollowpaddle_recovery`, and the files to `hollowpaddle_snapshot`; here they
-//! meet the engine.
+//! The package `hollowpaddle_recovery` decides how far restored state is trusted, and `hollowpaddle_snapshot` manages the
+//! files. This module connects both to the engine.
 
 mod payload;
 mod restored;
@@ -23,21 +23,21 @@
 
 pub use restored::Restored;
 
-/// Time between two saves. A kill loses what was learned in it.
+/// Time between two saves. If the process is killed, the estimates learned since the last save are lost.
 const SAVE_INTERVAL: Duration = Duration::from_secs(2);
-/// How long the end of a process waits for its last save: a slow disk must not hold up a restart.
+/// Maximum wait of an ending process for its last save. A slow disk must not delay a restart.
 const LAST_SAVE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Time between two looks at the last save.
+/// Interval of checks whether the last save is complete.
 const LAST_SAVE_POLL: Duration = Duration::from_millis(5);
 
-/// Saves state for the next start, without making the caller wait.
+/// Saves state for the next start without blocking the caller.
 pub trait StateSaver {
-    /// Saves what `make_payload` returns as of `now` (Unix time), in place of what is not begun yet. The function may be
-    /// called later and on another thread.
+    /// Saves the payload that `make_payload` returns, as of `now` (Unix time). Replaces an earlier save that has not begun
+    /// yet. The function may be called later and on another thread.
     fn save(&self, now: Duration, make_payload: Box<dyn FnOnce() -> Vec<u8> + Send>);
-    /// Whether nothing waits to be written.
+    /// Returns whether no save is waiting or in progress.
     fn is_idle(&self) -> bool;
-    /// How saving goes.
+    /// Returns the status of saving.
     fn status(&self) -> Status;
 }
 
@@ -53,35 +53,35 @@
     }
 }
 
-/// State of the process before, and where to save that of this one.
+/// State of the previous process, and the saver for the state of this process.
 pub struct StoredState {
     /// Saves the state of this process.
     pub saver: Box<dyn StateSaver>,
-    /// What was found of the process before.
+    /// Stored state of the previous process.
     pub found: Found,
 }
 
-/// How a start went, as `GET /admin/start` shows it.
+/// Report of the start, as shown by `GET /admin/start`.
 #[derive(Serialize)]
 struct StartReport {
     /// `usual`, `without-snapshot` or `bare`.
     #[serde(rename = "way")]
     mode: &'static str,
-    /// `snapshot`: learned estimates were restored; `nothing`: they were not.
+    /// `snapshot` if learned estimates were restored, otherwise `nothing`.
     from: &'static str,
-    /// Age of the estimates, in seconds.
+    /// Age of the restored estimates, in seconds; `None` if none were restored.
     age_s: Option<f64>,
-    /// Age of the endpoint list that was restored, in seconds; `None`: the configuration's applies.
+    /// Age of the restored endpoint list, in seconds; `None` if the configuration's list applies.
     list_age_s: Option<f64>,
     /// Number of starts so far.
     starts: u64,
-    /// Starts just before this one that crashed.
+    /// Number of starts directly before this one that ended in a crash.
     crashes: usize,
-    /// Files that are not used, and why.
+    /// Files that are not used, with the reasons.
     set_aside: Vec<String>,
 }
 
-/// Saves the state of this process for as long as it serves.
+/// Saves the state of this process while it serves.
 pub struct StateStore {
     saver: Box<dyn StateSaver>,
     engine: AdminHandle,
@@ -92,12 +92,12 @@
     mode: StartMode,
     start_report: StartReport,
     recovered_copy: RecoveredCopy,
-    /// The engine's number of the endpoint list that the payload contains.
+    /// The engine's number of the endpoint list in the payload.
     list_number: Cell<u64>,
 }
 
 impl StateStore {
-    /// Restores what was found into the engine, and saves that this process has started.
+    /// Restores the stored state into the engine, and saves a record of this start.
     pub fn start(restored: Restored, engine: AdminHandle) -> Rc<Self> {
         let Restored { saver, now, mut payload, mode, list_age_s, set_aside } = restored;
         let learned_age = now.saturating_sub(Duration::from_millis(payload.learned_ms));
@@ -128,12 +128,12 @@
             recovered_copy,
             list_number: Cell::new(0),
         });
-        // Before anything can go wrong: the next start is to know of this one.
+        // The record of this start is saved first, so that the next start knows about it even if this process crashes early.
         store.save();
         store
     }
 
-    /// How this start went and how saving goes, for `GET /admin/start`.
+    /// Returns the report of this start and the status of saving, for `GET /admin/start`.
     pub fn start_status(&self) -> serde_json::Value {
         let Status { saved, failure, is_writing, superseded } = self.saver.status();
         let now = self.now();
@@ -151,18 +151,18 @@
         })
     }
 
-    /// The copy of operators' commands that was found at the start.
+    /// Returns the copy of operator commands that was found at the start.
     pub fn recovered_copy(&self) -> RecoveredCopy {
         self.recovered_copy.clone()
     }
 
-    /// Saves a copy of operators' commands at once: the call that changed them is about to be acknowledged.
+    /// Saves a copy of operator commands immediately, because the call that changed them is about to be acknowledged.
     pub fn save_copy(&self, copy: OperatorStateCopy) {
         self.payload.borrow_mut().operator_copy = Some(copy);
         self.save();
     }
 
-    /// Unix time, by the monotonic clock since the start.
+    /// Returns the Unix time, measured by the monotonic clock since the start.
     fn now(&self) -> Duration {
         self.started_unix + self.started_at.elapsed()
     }
@@ -173,7 +173,7 @@
         self.saver.save(self.now(), Box::new(make_payload));
     }
 
-    /// Saves every [`SAVE_INTERVAL`], for as long as it is polled.
+    /// Saves the state every [`SAVE_INTERVAL`] while the future is polled.
     pub async fn run(self: Rc<Self>) {
         let mut is_settled = false;
         loop {
@@ -187,7 +187,7 @@
         }
     }
 
-    /// Takes over what the engine knows by now. In minimal mode nothing is.
+    /// Copies the estimates and the endpoint list from the engine, except in minimal mode.
     async fn update(&self) {
         if self.mode == StartMode::Minimal {
             return;
@@ -199,15 +199,15 @@
     async fn update_estimates(&self) {
         let Some(learned) = self.engine.learned().await else { return };
         let mut payload = self.payload.borrow_mut();
-        // Estimates that rest on the same answers as before keep their age.
+        // Estimates based on the same responses as before keep their age.
         if !payload.learned.as_ref().is_some_and(|was| was.has_same_answers(&learned)) {
             payload.learned = Some(learned);
             payload.learned_ms = self.now().as_millis() as u64;
         }
     }
 
-    /// Takes over the endpoint list, part by part, if a watch on discovery vouches for it. One that changes meanwhile is
-    /// left to the next time.
+    /// Copies the endpoint list in parts, if a watch on discovery confirms the list. If the list changes during the copy,
+    /// the copy is left to the next update.
     async fn update_list(&self) {
         let Some((mut part, true)) = self.engine.list(0).await else { return };
         let (number, revision) = (part.lists, part.revision);
@@ -228,7 +228,7 @@
         self.payload.borrow_mut().list_ms = self.now().as_millis() as u64;
     }
 
-    /// Saves for the last time, as the process ends in order, and waits up to [`LAST_SAVE_TIMEOUT`] for that.
+    /// Saves for the last time at an orderly end of the process, and waits up to [`LAST_SAVE_TIMEOUT`] for the save.
     pub async fn finish(&self) {
         self.update().await;
         {
--- a/crates/gateway/src/state_store/payload.rs
+++ b/crates/gateway/src/state_store/payload.rs
@@ -1,4 +1,4 @@
-//! The payload of a balancer's snapshot: the only module that spells its keys.
+//! The payload of a balancer's snapshot. No other module contains the keys of the payload.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -10,51 +10,54 @@
 
 use crate::members::List;
 
-/// How far a time of an earlier start may lie in the future, since clocks differ. Beyond, its age is unknown.
+/// Maximum time that a stored time may lie in the future, since clocks differ. Beyond this, the age of the stored state is
+/// unknown.
 const MAX_CLOCK_SKEW: Duration = Duration::from_secs(5);
-/// The age that counts for a list of unknown age: it takes upstreams out, and none is gone because it leaves it out.
+/// Age assumed for a list of unknown age. A list of this age marks upstreams as draining, but does not remove upstreams that
+/// it does not name.
 const UNKNOWN_LIST_AGE: Duration = Duration::from_secs(24 * 3600);
 
-/// What is saved. A key that another build does not know is lost there.
+/// The saved state. A build that does not know a key drops it.
 #[derive(Clone, Default, Serialize, Deserialize)]
 #[serde(default, expecting = "struct State")]
 pub(super) struct Payload {
     pub(super) starts: StartHistory,
-    /// Identifies what the numbers and names of the settings meant when the rest was saved; 0 by an older build.
+    /// Hash that identifies the meaning of numbers and names in the settings at the time of the save; 0 from an older build.
     pub(super) meaning: u64,
     /// Estimates of the decision module.
     pub(super) learned: Option<Learned>,
-    /// When these were learned, in milliseconds of Unix time. Restoring them does not renew it.
+    /// Time at which the estimates were learned, in milliseconds of Unix time. Restoring the estimates keeps this time.
     pub(super) learned_ms: u64,
-    /// The endpoint list that discovery delivered last. Shared with what is being saved: it is as long as the fleet is large.
+    /// The last endpoint list from discovery. The list is shared with the save in progress, because its size is proportional
+    /// to the number of upstreams.
     #[serde(serialize_with = "serialize_list", deserialize_with = "deserialize_list")]
     pub(super) list: Option<Arc<List>>,
-    /// When that was, in milliseconds of Unix time.
+    /// Time at which the list was last known to be current, in milliseconds of Unix time.
     pub(super) list_ms: u64,
-    /// Copy of operators' commands. `None`: by an older build, or no process was here before.
+    /// Copy of operator commands. `None` if an older build saved the payload, or if there was no previous process.
     #[serde(rename = "said")]
     pub(super) operator_copy: Option<OperatorStateCopy>,
 }
 
 impl Payload {
-    /// Forgets the estimates and the list.
+    /// Discards the estimates and the list.
     pub(super) fn forget_fleet(&mut self) {
         self.learned = None;
         self.learned_ms = 0;
         self.list = None;
     }
 
-    /// Whether the estimates have an age that can be known at `now` (Unix time).
+    /// Returns whether the age of the estimates at `now` (Unix time) is known.
     pub(super) fn has_known_learned_age(&self, now: Duration) -> bool {
         age(now, self.learned_ms).is_some()
     }
 
-    /// The age of the list at `now` (Unix time).
+    /// Returns the age of the list at `now` (Unix time).
     pub(super) fn list_age(&self, now: Duration) -> Duration {
         age(now, self.list_ms).unwrap_or(UNKNOWN_LIST_AGE)
     }
 
-    /// The estimates that are trusted at this age. Others are dropped from the payload too.
+    /// Returns the estimates that are trusted at this age. If none are trusted, removes the estimates from the payload.
     pub(super) fn take_trusted_estimates(&mut self, age: Duration) -> Option<Learned> {
         if trust(RestoredState::Fleet, age) != Trust::Full {
             self.learned = None;
@@ -64,8 +67,8 @@
         Some(if has_upstreams { learned } else { learned.without_upstreams() })
     }
 
-    /// The copy of operators' commands, in every start mode and at any age of a snapshot. From here on it is not final: this
-    /// process may take commands.
+    /// Returns the copy of operator commands, which applies in every start mode and at any age of the snapshot. Marks the
+    /// copy in the payload as not final, because this process may accept further commands.
     pub(super) fn recovered_copy(&mut self, set_aside: &[String]) -> RecoveredCopy {
         match &mut self.operator_copy {
             Some(copy) => {
@@ -79,7 +82,7 @@
     }
 }
 
-/// Time from `then_ms` (milliseconds of Unix time) to `now`; `None` where one of the two clocks must be wrong.
+/// Returns the time from `then_ms` (milliseconds of Unix time) to `now`, or `None` if one of the two clocks must be wrong.
 fn age(now: Duration, then_ms: u64) -> Option<Duration> {
     let then = Duration::from_millis(then_ms);
     (then <= now + MAX_CLOCK_SKEW).then(|| now.saturating_sub(then))
--- a/crates/gateway/src/state_store/restored.rs
+++ b/crates/gateway/src/state_store/restored.rs
@@ -1,4 +1,4 @@
-//! Reads what a process before has saved, as far as it applies to this start.
+//! Reads the state that the previous process saved, and discards the parts that don't apply to this start.
 
 use std::time::Duration;
 
@@ -10,21 +10,21 @@
 use crate::members::List;
 use crate::restored_list::{RestoredList, restored_list};
 
-/// What was found at a start, as far as it applies.
+/// The stored state that applies to this start.
 pub struct Restored {
     pub(super) saver: Box<dyn StateSaver>,
     pub(super) now: Duration,
     pub(super) payload: Payload,
     pub(super) mode: StartMode,
     pub(super) list_age_s: Option<f64>,
-    /// Files that are not used, and why.
+    /// Files that are not used, with the reasons.
     pub(super) set_aside: Vec<String>,
 }
 
 impl Restored {
-    /// Reads what was found at `now` (Unix time) under settings of this
-    /// [meaning](hollowpaddle_policy::settings::Facts::meaning), and records this start. Returns with it what applies of the
-    /// stored endpoint list, over the list `known` to the configuration.
+    /// Reads the stored state at `now` (Unix time), and records this start. `meaning` is the
+    /// [meaning](hollowpaddle_policy::settings::Facts::meaning) of the current settings, and `known` the configuration's
+    /// list. Also returns the usable part of the stored endpoint list.
     pub fn read(
         stored: StoredState,
         now: Duration,
@@ -62,8 +62,8 @@
     }
 }
 
-/// Discards what was saved under settings of another meaning. Numbers of classes, zones and cells mean something else there,
-/// and a list of another deployment would take out every upstream of this one.
+/// Discards state that was saved under settings with another meaning, in which the numbers of classes, zones and cells
+/// differ. The list of another deployment would remove every upstream of this one.
 fn discard_other_settings(payload: &mut Payload, meaning: u64) {
     if std::mem::replace(&mut payload.meaning, meaning) == meaning {
         return;
@@ -74,17 +74,17 @@
     payload.forget_fleet();
 }
 
-/// Logs a file that is not used; the file and the reason as text.
+/// Logs a file that is not used, and returns its name and the reason as text.
 fn report_set_aside(aside: &SetAsideFile) -> String {
     let SetAsideFile { file, reason, moved_to } = aside;
     tracing::error!(file, %reason, moved_to, "snapshot set aside");
     format!("{file}: {reason}")
 }
 
-/// Reads the payload of a snapshot.
+/// Parses the payload of a snapshot.
 ///
 /// # Errors
-/// The payload is something else; the text says which snapshot's, and what was expected.
+/// Returns an error if the payload has another format. The text names the snapshot's generation and the expected content.
 fn read_payload(snapshot: &Snapshot) -> Result<Payload, String> {
     serde_json::from_slice(&snapshot.payload).map_err(|cause| {
         tracing::error!(%cause, "snapshot payload unreadable");
--- a/crates/gateway/src/state_store/tests.rs
+++ b/crates/gateway/src/state_store/tests.rs
@@ -1,4 +1,4 @@
-//! What a start restores of a snapshot, by the settings and the clock under which it was saved.
+//! Tests of restoring a snapshot that was saved under other settings or by another clock.
 
 use hollowpaddle_policy::interface::{Class, Settings, SignedDuration, Time};
 use hollowpaddle_policy::policy::Balancer;
@@ -10,7 +10,7 @@
 
 const NOW: Duration = Duration::from_secs(1_000_000);
 
-/// Saves nothing.
+/// A saver that discards all saves.
 struct NoSaver;
 
 impl StateSaver for NoSaver {
@@ -23,12 +23,14 @@
     }
 }
 
-/// A start whose settings mean `now`, on what a process has saved a second ago whose settings meant `then`.
+/// Restores, under settings with the meaning `now`, a state that was saved one second ago under settings with the meaning
+/// `then`.
 fn start(then: Option<u64>, now: u64) -> (Restored, Option<RestoredList>) {
     start_on(then, now, NOW - Duration::from_secs(1))
 }
 
-/// The same on what was saved at this time, by the clock of that process.
+/// Restores, under settings with the meaning `now`, a state that was saved under settings with the meaning `then` at the
+/// time `saved` by the clock of the previous process.
 fn start_on(then: Option<u64>, now: u64, saved: Duration) -> (Restored, Option<RestoredList>) {
     let settings = Settings::basic(vec![Class::safe(SignedDuration(1000), SignedDuration(2000))]);
     let learned = Balancer::new(settings, 1, Time(0)).expect("settings").learned();
@@ -52,31 +54,31 @@
 fn state_saved_under_other_settings_is_discarded() {
     let (same, list) = start(Some(u64::MAX), u64::MAX);
     assert!(same.payload.learned.is_some() && same.payload.list.is_some() && list.is_some());
-    // An older build did not say under which.
+    // An older build did not save the meaning of its settings.
     for then in [Some(7), None] {
         let (other, list) = start(then, 8);
         assert!(other.payload.learned.is_none() && list.is_none(), "{then:?}");
         assert!(other.payload.list.is_none() && other.list_age_s.is_none(), "{then:?}");
         assert!(
             other.payload.operator_copy.is_some(),
-            "operators' commands apply under any settings"
+            "operator commands apply under any settings"
         );
-        assert_eq!(other.payload.meaning, 8, "what is saved from here on is of these");
+        assert_eq!(other.payload.meaning, 8, "later saves have the current meaning");
     }
 }
 
 #[test]
 fn state_saved_by_a_clock_ahead_has_unknown_age() {
-    // One of the two clocks is wrong, and it may have been saved long ago.
+    // One of the two clocks is wrong, and the state may have been saved long ago.
     let (start, list) = start_on(Some(1), 1, NOW + Duration::from_secs(3600));
-    assert!(start.payload.learned.is_none(), "what was learned may be long over");
+    assert!(start.payload.learned.is_none(), "the estimates may be outdated");
     assert!(
         list.is_some_and(|list| !list.whole),
-        "whom it takes out is out, and nobody is gone by it"
+        "the list drains upstreams, but removes none that it does not name"
     );
     let (start, list) = start_on(Some(1), 1, NOW + Duration::from_millis(500));
     assert!(
         start.payload.learned.is_some() && list.is_some_and(|list| list.whole),
-        "nearly the same"
+        "a small clock difference is tolerated"
     );
 }
--- a/crates/gateway/src/subsetting.rs
+++ b/crates/gateway/src/subsetting.rs
@@ -1,8 +1,8 @@
 //! Restricts the decision module to a subset of the upstreams, if the configuration has one. The package
 //! `hollowpaddle_subset` chooses the cells of the subset.
 //!
-//! For upstreams outside of the subset only the cell and whether they are live are retained. An upstream that joins the subset
-//! is looked up in the complete list with the callback `last_listed`.
+//! For upstreams outside of the subset only the cell and whether they are live are retained. An upstream that joins the
+//! subset is looked up in the complete list with the callback `last_listed`.
 
 use std::collections::BTreeMap;
 
@@ -98,7 +98,8 @@
         changes
     }
 
-    /// Removes the upstreams that left the subset and whose linger time is over. Returns the changes for the decision module.
+    /// Removes the upstreams that left the subset and whose linger time is over. Returns the changes for the decision
+    /// module.
     pub fn expire(
         &mut self,
         now: Time,
@@ -112,8 +113,8 @@
         changes
     }
 
-    /// Widens the subset while too few of its upstreams are healthy: `healthy` of `all`. Returns the changes for the decision
-    /// module.
+    /// Widens the subset while too few of its upstreams are healthy: `healthy` of `all`. Returns the changes for the
+    /// decision module.
     pub fn set_health(
         &mut self,
         now: Time,
--- a/crates/gateway/src/update_queue.rs
+++ b/crates/gateway/src/update_queue.rs
@@ -14,8 +14,8 @@
 
 /// The state of each upstream in the decision module, and the queued changes for that module.
 ///
-/// Only a fingerprint of each upstream's state is retained. A copy of each member would be a third of the gateway's memory per
-/// upstream.
+/// Only a fingerprint of each upstream's state is retained. A copy of each member would be a third of the gateway's memory
+/// per upstream.
 #[derive(Default)]
 pub struct UpdateQueue {
     /// Fingerprint of the latest state of each upstream, passed on or queued.
@@ -73,8 +73,8 @@
 }
 
 impl UpdateQueue {
-    /// Queues a list, and returns the first part for the decision module. More parts may be due. `last_listed` returns the last
-    /// listed state of an upstream that is missing from a complete list.
+    /// Queues a list, and returns the first part for the decision module. More parts may be due. `last_listed` returns the
+    /// last listed state of an upstream that is missing from a complete list.
     pub fn queue_list(
         &mut self,
         kind: ListKind,
@@ -84,7 +84,7 @@
         let is_short = members.len() <= MAX_UNSPLIT_LENGTH
             && self.latest.len() <= MAX_UNSPLIT_LENGTH
             && !self.is_due();
-        // The first list is passed on unsplit: no request waits yet, and there is no earlier state to compare with.
+        // The first list is passed on unsplit: no changes are queued, and there is no earlier state to compare with.
         if is_short || kind == ListKind::Unavailable || self.latest.is_empty() {
             if !kind.is_part() {
                 self.latest.clear();
