--- a/crates/gateway/tests/attempts/listed.rs
+++ b/crates/gateway/tests/attempts/listed.rs
@@ -35,8 +35,8 @@
     .await;
 }
 
-/// The grace of the settings is 500 ms. A process may be held up for 150 ms before it reads the notice, and once more
-/// between its last look at the clock and the write.
+/// The grace of the settings is 500 ms. A process may be held up for 150 ms before it reads the notice, and once more between
+/// its last look at the clock and the write.
 #[tokio::test(start_paused = true)]
 async fn a_connection_that_comes_up_within_two_hold_ups_of_the_end_of_a_grace_is_not_used() {
     Rig::run(settings(), vec![], async |mut rig| {
