--- a/crates/ctl/src/in_process.rs
+++ b/crates/ctl/src/in_process.rs
@@ -9,7 +9,7 @@
 
 use hollowpaddle_failpoints::Points;
 use hollowpaddle_gateway::cluster;
-use hollowpaddle_gateway::{Config, OperatorAccess, Provided, StateSaver, StoredState, serve};
+use hollowpaddle_gateway::{Config, OperatorAccess, Resources, StateSaver, StoredState, serve};
 use hollowpaddle_operator_commands::Store;
 use hollowpaddle_policy::settings::stable_hash;
 use hollowpaddle_rehearsal::cluster::{Control, Launch, LaunchError, Launcher, Running};
@@ -68,14 +68,14 @@
             // A disk that plays tricks is the snapshot's; the bank's own is played by its tests.
             let dir = state_dir.as_ref().map(|dir| dir.join("bank"));
             let stored =
-                dir.and_then(|dir| cluster::open(&dir, of.id(), of.member(), &name, &points).ok());
+                dir.and_then(|dir| cluster::open(&dir, of.id(), of.node_id(), &name, &points).ok());
             cluster::join(&read, of, life, stored, points.clone())
         });
         let cluster = cluster.transpose().map_err(|e| fail(e.to_string()))?;
         let (cluster, shell) =
             cluster.map_or((None, None), |(link, shell)| (Some(link), Some(shell)));
         let provided =
-            Provided { operator_access: operating, stored_state: kept.transpose()?, cluster };
+            Resources { operator_access: operating, stored_state: kept.transpose()?, cluster };
         let (reload, reloads) = mpsc::unbounded_channel();
         let stop = Rc::new(Notify::new());
         let stopped = {
--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -53,7 +53,7 @@
     /// Returns the estimates learned so far; `None` once the engine has ended.
     fn learned(&self) -> impl Future<Output = Option<Learned>>;
     /// Restores the estimates that another process of this balancer has learned.
-    fn recall(&self, learned: Learned);
+    fn restore_learned(&self, learned: Learned);
     /// Returns the report of the start and the status of saving for the next start, as JSON.
     fn start_status(&self) -> serde_json::Value;
     /// Returns the copy of operator commands that was found outside of the store.
@@ -63,7 +63,7 @@
     /// Returns whether this balancer belongs to a cluster that agrees on a policy.
     fn is_clustered(&self) -> bool;
     /// Returns the cluster's response to a request, by `deadline`; `None` if there is no cluster.
-    fn ask_cluster(
+    fn request_from_cluster(
         &self,
         request: AdminRequest,
         deadline: Instant,
--- a/crates/gateway/src/admin/handlers.rs
+++ b/crates/gateway/src/admin/handlers.rs
@@ -49,7 +49,7 @@
         if self.balancer.is_clustered()
             && let Some(request) = cluster_request(&call)
         {
-            return self.ask_cluster(request, deadline).await;
+            return self.request_from_cluster(request, deadline).await;
         }
         match self.change(|state| apply_call(&call, state)).await {
             Ok(true) => success(),
@@ -63,14 +63,18 @@
 
     /// Requests the cluster's response by `deadline`. A cordon that is rejected because a concurrent change was committed
     /// first is retried.
-    pub(super) async fn ask_cluster(&self, request: AdminRequest, deadline: Instant) -> Answer {
+    pub(super) async fn request_from_cluster(
+        &self,
+        request: AdminRequest,
+        deadline: Instant,
+    ) -> Answer {
         tracing::info!(?request, "operator request to the cluster received");
         let until = Instant::now() + CLUSTER_RETRY_TIMEOUT;
         loop {
             let answer_by = deadline - CLUSTER_ANSWER_MARGIN;
-            match self.balancer.ask_cluster(request.clone(), answer_by).await {
+            match self.balancer.request_from_cluster(request.clone(), answer_by).await {
                 None => return failure(StatusCode::NOT_FOUND, "this balancer is in no bank"),
-                Some(AdminResponse { again: true, .. })
+                Some(AdminResponse { is_retryable: true, .. })
                     if request.is_retried() && Instant::now() < until =>
                 {
                     sleep(RETRY_INTERVAL).await;
--- a/crates/gateway/src/admin/processes.rs
+++ b/crates/gateway/src/admin/processes.rs
@@ -33,7 +33,7 @@
             // change that the newer process made.
             self.hand_off_learned().await;
             if !self.is_serving.get() && self.can_serve() {
-                self.recall_learned().await;
+                self.restore_learned().await;
                 self.announce().await;
             }
             sleep(POLL_INTERVAL).await;
@@ -87,14 +87,14 @@
     }
 
     /// Restores the learned estimates of an older process, if that process hands them off in time.
-    async fn recall_learned(&self) {
+    async fn restore_learned(&self) {
         let until = Instant::now() + HANDOFF_TIMEOUT;
         let newest_older = |state: &OperatorState, number| {
             state.started_before(number).next().into_iter().collect()
         };
         while self.is_any_alive(newest_older) {
             if let Some(learned) = self.read_handoff() {
-                self.balancer.recall(learned);
+                self.balancer.restore_learned(learned);
                 return;
             }
             if Instant::now() >= until {
--- a/crates/gateway/src/admin/server.rs
+++ b/crates/gateway/src/admin/server.rs
@@ -22,7 +22,7 @@
 
 use super::{Admin, ManagedBalancer};
 use crate::cluster::admin_api::{AdminRequest, AdminResponse, is_cluster_path};
-use crate::config::CALLERS;
+use crate::config::MAX_ADMIN_CONNECTIONS;
 use crate::http::{HEAD_LIMIT, HEAD_LINES};
 use crate::tasks::AbortOnDrop;
 
@@ -37,15 +37,15 @@
 pub(super) type Answer = Response<Full<Bytes>>;
 
 impl<B: ManagedBalancer + 'static> Admin<B> {
-    /// Accepts connections and answers their calls while the future is polled. When [`CALLERS`] connections are open, a new
-    /// connection replaces the oldest.
+    /// Accepts connections and answers their calls while the future is polled. When [`MAX_ADMIN_CONNECTIONS`] connections
+    /// are open, a new connection replaces the oldest.
     pub async fn serve(self: Rc<Self>, mut listener: Box<dyn Listener>) {
         let mut connections = VecDeque::<AbortOnDrop>::new();
         loop {
             match accept(&mut *listener).await {
                 Ok((stream, _)) => {
                     connections.retain(|connection| !connection.0.is_finished());
-                    while connections.len() >= CALLERS {
+                    while connections.len() >= MAX_ADMIN_CONNECTIONS {
                         connections.pop_front();
                     }
                     let connection = self.clone().serve_connection(stream);
@@ -105,8 +105,8 @@
     async fn answer_cluster_call(&self, head: &Parts, body: &[u8], deadline: Instant) -> Answer {
         let query = head.uri.query().unwrap_or_default();
         match AdminRequest::read(head.method.as_str(), head.uri.path(), query, body) {
-            Ok(request) => self.ask_cluster(request, deadline).await,
-            Err(cause) => cluster_answer(AdminResponse::unread(&cause)),
+            Ok(request) => self.request_from_cluster(request, deadline).await,
+            Err(cause) => cluster_answer(AdminResponse::unreadable(&cause)),
         }
     }
 
@@ -133,7 +133,7 @@
 
 pub(super) fn cluster_answer(response: AdminResponse) -> Answer {
     let status = StatusCode::from_u16(response.status);
-    json_answer(status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR), &response.text)
+    json_answer(status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR), &response.body)
 }
 
 fn json_answer(status: StatusCode, body: &serde_json::Value) -> Answer {
--- a/crates/gateway/src/admin/tests.rs
+++ b/crates/gateway/src/admin/tests.rs
@@ -29,7 +29,7 @@
     async fn learned(&self) -> Option<Learned> {
         Some(Learned::default())
     }
-    fn recall(&self, _: Learned) {}
+    fn restore_learned(&self, _: Learned) {}
     fn start_status(&self) -> serde_json::Value {
         serde_json::Value::Null
     }
@@ -40,7 +40,7 @@
     fn is_clustered(&self) -> bool {
         false
     }
-    async fn ask_cluster(&self, _: AdminRequest, _: Instant) -> Option<AdminResponse> {
+    async fn request_from_cluster(&self, _: AdminRequest, _: Instant) -> Option<AdminResponse> {
         None
     }
 }
--- a/crates/gateway/src/clients.rs
+++ b/crates/gateway/src/clients.rs
@@ -88,7 +88,7 @@
             facts: config.facts.clone(),
             classes,
             max_deadline: max_deadline.unwrap_or_default(),
-            connections: Connections::new(budget.clients, budget.clients_at_ease),
+            connections: Connections::new(budget.clients, budget.idle_close_threshold),
             open_ids: OpenIds::default(),
             body_memory: MemoryBudget::new(config.memory / BODY_MEMORY_DIVISOR),
             stall_detector: Rc::default(),
--- a/crates/gateway/src/cluster/admin_api.rs
+++ b/crates/gateway/src/cluster/admin_api.rs
@@ -23,7 +23,7 @@
 use crate::cluster::machine::{Event, Machine};
 
 pub use fallback::default_mandatory_fallback;
-pub use fleet_facts::facts;
+pub use fleet_facts::fleet_facts;
 pub use parse::{AdminRequestError, is_cluster_path};
 pub use response::AdminResponse;
 
@@ -99,14 +99,15 @@
 
 impl AdminRequest {
     /// Creates the request that cordons or uncordons an upstream at all balancers.
-    pub fn cordon(name: &str, out: bool) -> Self {
+    pub fn cordon(name: &str, is_cordoned: bool) -> Self {
         let name = name.to_string();
-        let what = if out { PolicyChange::Cordon(name) } else { PolicyChange::Uncordon(name) };
+        let what =
+            if is_cordoned { PolicyChange::Cordon(name) } else { PolicyChange::Uncordon(name) };
         let wait = Some(DEFAULT_ROLLOUT_WAIT);
         Self::Change(Box::new(Change { what, is_dry_run: false, is_forced: false, wait, id: None }))
     }
 
-    /// Returns whether the admin server repeats the request while its response is [`AdminResponse::again`].
+    /// Returns whether the admin server repeats the request while its response is [`AdminResponse::is_retryable`].
     pub fn is_retried(&self) -> bool {
         let Self::Change(change) = self else { return false };
         matches!(change.what, PolicyChange::Cordon(_) | PolicyChange::Uncordon(_))
@@ -123,7 +124,7 @@
     }
 
     /// Returns the error text for an outcome that is not known in time.
-    fn where_to_ask(&self) -> &'static str {
+    fn unknown_outcome_text(&self) -> &'static str {
         match self {
             Self::VoterChange(..) => {
                 "nobody who knows has answered; it may be done: GET /admin/bank tells the council"
--- a/crates/gateway/src/cluster/admin_api/change.rs
+++ b/crates/gateway/src/cluster/admin_api/change.rs
@@ -34,7 +34,7 @@
         let context = Context { id, facts, machine, policy: machine.policy() };
         let entry = self.entry(&context)?;
         if self.is_dry_run {
-            return Err(AdminResponse::bad("`dry` goes with revisions and rollbacks only"));
+            return Err(AdminResponse::bad_request("`dry` goes with revisions and rollbacks only"));
         }
         Ok(Event::Propose { ticket, id: Some(id), entry })
     }
@@ -124,7 +124,7 @@
         change: impl FnOnce(&mut BTreeSet<String>) -> bool,
     ) -> Result<Entry, AdminResponse> {
         let newest = self.policy.newest();
-        let retained = self.policy.kept(newest).map_err(|e| AdminResponse::refused(&e))?;
+        let retained = self.policy.kept(newest).map_err(|e| AdminResponse::rejected(&e))?;
         let mut document = (*retained.document).clone();
         if !change(&mut document.out.upstreams) {
             return Err(AdminResponse::ok(json!({"ok": true, "revision": newest})));
@@ -164,6 +164,6 @@
             let changes = serde_json::to_value(&difference).unwrap_or_default();
             AdminResponse::ok(json!({"ok": true, "dry": true, "changes": changes}))
         }
-        Err(why) => AdminResponse::refused(&why),
+        Err(why) => AdminResponse::rejected(&why),
     }
 }
--- a/crates/gateway/src/cluster/admin_api/check.rs
+++ b/crates/gateway/src/cluster/admin_api/check.rs
@@ -53,7 +53,10 @@
             },
             _ => Ok(()),
         };
-        checked.map_err(|why| AdminResponse { status: 409, ..AdminResponse::bad(&why.to_string()) })
+        checked.map_err(|why| AdminResponse {
+            status: 409,
+            ..AdminResponse::bad_request(&why.to_string())
+        })
     }
 }
 
--- a/crates/gateway/src/cluster/admin_api/fallback.rs
+++ b/crates/gateway/src/cluster/admin_api/fallback.rs
@@ -42,7 +42,7 @@
         "`{name}` is in pod {cell}, which is bedrock: whoever has forgotten everything and hears nobody sends there; \
          state `fleet.bedrock` in every balancer's configuration to choose others"
     );
-    Err(AdminResponse { status: 409, ..AdminResponse::bad(&why) })
+    Err(AdminResponse { status: 409, ..AdminResponse::bad_request(&why) })
 }
 
 /// Returns whether the fallback floor in force includes an upstream, so that no revision can cordon it.
--- a/crates/gateway/src/cluster/admin_api/fleet_facts.rs
+++ b/crates/gateway/src/cluster/admin_api/fleet_facts.rs
@@ -20,7 +20,7 @@
 
 /// Returns the facts about the serving upstreams among `members` of the endpoint list and about the classes of the settings.
 /// Groups beyond [`MAX_GROUPS`] are omitted.
-pub fn facts(members: &[Member], classes: &[ClassFacts]) -> FleetFacts {
+pub fn fleet_facts(members: &[Member], classes: &[ClassFacts]) -> FleetFacts {
     let mut facts = FleetFacts { classes: classes.to_vec(), ..FleetFacts::default() };
     let mut groups = BTreeMap::<(u32, u8, u8), GroupTotals>::new();
     for member in members.iter().filter(|m| m.phase == Phase::Serving) {
--- a/crates/gateway/src/cluster/admin_api/response.rs
+++ b/crates/gateway/src/cluster/admin_api/response.rs
@@ -16,17 +16,17 @@
     /// HTTP status (RFC 9110, 15).
     pub status: u16,
     /// JSON body.
-    pub text: Value,
+    pub body: Value,
     /// The revision that must be in force at every balancer before the response is sent, and the maximum wait for that.
-    pub wait: Option<(u64, Duration)>,
+    pub rollout_wait: Option<(u64, Duration)>,
     /// Whether the call may succeed when repeated, because a concurrent change was committed first or another step has to
     /// precede.
-    pub again: bool,
+    pub is_retryable: bool,
 }
 
 impl AdminResponse {
-    pub(super) fn ok(text: Value) -> Self {
-        Self { status: 200, text, wait: None, again: false }
+    pub(super) fn ok(body: Value) -> Self {
+        Self { status: 200, body, rollout_wait: None, is_retryable: false }
     }
 
     fn error(status: u16, id: &str, why: &str) -> Self {
@@ -39,27 +39,27 @@
         let behind: Vec<u16> = behind.iter().map(|(m, _)| m.0).collect();
         let why = "the charter allows it: it is put out once every member has agreed to let go of it; repeat this call, \
                    or say of those that are gone for good that they are dead";
-        let text = json!({"ok": false, "waiting": "charter", "behind": behind, "error": why});
-        Self { status: 202, again: true, ..Self::ok(text) }
+        let body = json!({"ok": false, "waiting": "charter", "behind": behind, "error": why});
+        Self { status: 202, is_retryable: true, ..Self::ok(body) }
     }
 
     /// Creates the response to an invalid call.
-    pub fn bad(why: &str) -> Self {
+    pub fn bad_request(why: &str) -> Self {
         Self { status: 400, ..Self::ok(json!({"ok": false, "error": why})) }
     }
 
     /// Creates the response to a call that can't be parsed.
-    pub fn unread(why: &AdminRequestError) -> Self {
+    pub fn unreadable(why: &AdminRequestError) -> Self {
         let status = if matches!(why, AdminRequestError::NoSuch { .. }) { 404 } else { 400 };
-        Self { status, ..Self::bad(&why.to_string()) }
+        Self { status, ..Self::bad_request(&why.to_string()) }
     }
 
     /// Creates the response to a change that the policy state rejects.
-    pub(super) fn refused(why: &Rejection) -> Self {
+    pub(super) fn rejected(why: &Rejection) -> Self {
         let is_changing = matches!(why, Rejection::Changing { .. });
-        let again = is_changing || matches!(why, Rejection::Lost { .. });
+        let is_retryable = is_changing || matches!(why, Rejection::Lost { .. });
         let status = if is_changing { 202 } else { 409 };
-        Self { status, again, ..Self::ok(json!({"ok": false, "error": why.to_string()})) }
+        Self { status, is_retryable, ..Self::ok(json!({"ok": false, "error": why.to_string()})) }
     }
 
     /// Creates the response to `request`, whose command `id` had this `result`.
@@ -74,23 +74,23 @@
         let id = format!("{:032x}", id.0);
         match result {
             ProposalResult::Answered(Ok(entry)) if fallback_pending => {
-                let text = json!({"ok": false, "waiting": "charter", "entry": entry, "id": id});
-                Self { status: 202, again: true, ..Self::ok(text) }
+                let body = json!({"ok": false, "waiting": "charter", "entry": entry, "id": id});
+                Self { status: 202, is_retryable: true, ..Self::ok(body) }
             }
             ProposalResult::Answered(Ok(number)) => Self::accepted(request, *number, &id),
             ProposalResult::Answered(Err(why)) => {
-                let mut response = Self::refused(why);
-                response.text["id"] = id.into();
+                let mut response = Self::rejected(why);
+                response.body["id"] = id.into();
                 response
             }
-            ProposalResult::Stands(index) => {
+            ProposalResult::Committed(index) => {
                 Self::ok(json!({"ok": true, "entry": index.to_string(), "id": id}))
             }
-            ProposalResult::Never => {
+            ProposalResult::NeverCommitted => {
                 let why = "it stands nowhere and never will: too long, too many under way, or not to be done";
                 Self::error(409, &id, why)
             }
-            ProposalResult::Unknown => Self::error(504, &id, request.where_to_ask()),
+            ProposalResult::Unknown => Self::error(504, &id, request.unknown_outcome_text()),
         }
     }
 
@@ -103,7 +103,7 @@
         };
         let key = if change.is_some_and(|c| !c.is_revision()) { "entry" } else { "revision" };
         let wait = change.filter(|c| c.is_revision()).and_then(|c| c.wait);
-        let text = json!({"ok": true, key: number, "id": id});
-        Self { wait: wait.map(|within| (number, within)), ..Self::ok(text) }
+        let body = json!({"ok": true, key: number, "id": id});
+        Self { rollout_wait: wait.map(|within| (number, within)), ..Self::ok(body) }
     }
 }
--- a/crates/gateway/src/cluster/admin_api/views.rs
+++ b/crates/gateway/src/cluster/admin_api/views.rs
@@ -39,8 +39,8 @@
         "council": voters(machine),
         "dead": status.dead.iter().map(|m| m.0).collect::<Vec<_>>(),
         "behind": behind(&seen.behind),
-        "words": serde_json::to_value(machine.wire().counts()).unwrap_or_default(),
-        "held_bytes": serde_json::to_value(machine.wire().held()).unwrap_or_default(),
+        "words": serde_json::to_value(machine.transport().counts()).unwrap_or_default(),
+        "held_bytes": serde_json::to_value(machine.transport().held()).unwrap_or_default(),
     })
 }
 
@@ -85,6 +85,6 @@
             "ok": true, "revision": number,
             "document": serde_json::to_value(&*revision.document).unwrap_or_default(),
         })),
-        Err(why) => AdminResponse { status: 404, ..AdminResponse::refused(&why) },
+        Err(why) => AdminResponse { status: 404, ..AdminResponse::rejected(&why) },
     }
 }
--- a/crates/gateway/src/cluster/durable_log.rs
+++ b/crates/gateway/src/cluster/durable_log.rs
@@ -86,7 +86,7 @@
     /// The log for the state that must survive this process.
     pub durable_log: Box<dyn DurableLog + Send>,
     /// State of this balancer's replica; `None` only if the log was not read.
-    pub found: Option<DurableState>,
+    pub replica_state: Option<DurableState>,
     /// The last confirmed fallback policy and its generation.
     pub fallback_policy: Option<(Generation, FallbackPolicy)>,
 }
@@ -103,12 +103,17 @@
     cluster: u64,
     node_id: NodeId,
     name: &str,
-    points: &Points,
+    failpoints: &Points,
 ) -> Result<RecoveredState, DurableLogError> {
-    let (records, found) = open_records(path, cluster, node_id, points)?;
+    let (records, replica_state) = open_records(path, cluster, node_id, failpoints)?;
     let (fallback_file, fallback_policy) = open_fallback_policy(path, name)?;
-    let files = StateFiles { records, fallback_policy: fallback_file, points: points.clone() };
-    Ok(RecoveredState { durable_log: Box::new(files), found: Some(found), fallback_policy })
+    let files =
+        StateFiles { records, fallback_policy: fallback_file, failpoints: failpoints.clone() };
+    Ok(RecoveredState {
+        durable_log: Box::new(files),
+        replica_state: Some(replica_state),
+        fallback_policy,
+    })
 }
 
 /// Opens the consensus log. An unreadable log stays closed, and the replica starts without state.
@@ -116,10 +121,10 @@
     path: &Path,
     cluster: u64,
     node_id: NodeId,
-    points: &Points,
+    failpoints: &Points,
 ) -> Result<(consensus::Store, DurableState), DurableLogError> {
     let directory = consensus::Directory::open(path).map_err(DurableLogError::Directory)?;
-    let opened = consensus::Store::open(directory.clone(), points.clone(), cluster, node_id);
+    let opened = consensus::Store::open(directory.clone(), failpoints.clone(), cluster, node_id);
     match opened {
         Ok((records, found)) => {
             if let Some(suspect) = &found.doubt {
@@ -132,7 +137,7 @@
         }
         Err(cause) => {
             tracing::error!(%cause, "consensus log unreadable, replica state lost");
-            let closed = consensus::Store::closed(directory, points.clone(), cluster, node_id);
+            let closed = consensus::Store::closed(directory, failpoints.clone(), cluster, node_id);
             Ok((closed, DurableState::default()))
         }
     }
@@ -170,7 +175,7 @@
 struct StateFiles {
     records: consensus::Store,
     fallback_policy: hollowpaddle_snapshot::Store,
-    points: Points,
+    failpoints: Points,
 }
 
 impl StateFiles {
@@ -180,10 +185,10 @@
         result: Result<T, consensus::StoreError>,
     ) -> Result<T, DurableLogError> {
         if self.records.take_pause() {
-            self.points.carry_out(Fault::Pause);
+            self.failpoints.carry_out(Fault::Pause);
         }
         if let Err(consensus::StoreError::Ended(_)) = &result {
-            self.points.carry_out(Fault::Crash);
+            self.failpoints.carry_out(Fault::Crash);
         }
         Ok(result?)
     }
@@ -205,7 +210,7 @@
         fallback_generation: Generation,
         fallback_policy: &FallbackPolicy,
     ) -> Result<(), DurableLogError> {
-        if let Some(fault) = self.points.meet("bank.charter", Kind::Write) {
+        if let Some(fault) = self.failpoints.meet("bank.charter", Kind::Write) {
             return Err(DurableLogError::Injected(fault));
         }
         let file =
--- a/crates/gateway/src/cluster/join.rs
+++ b/crates/gateway/src/cluster/join.rs
@@ -31,13 +31,13 @@
     cluster: &ClusterConfig,
     incarnation: u32,
     recovered: Option<RecoveredState>,
-    points: Points,
+    failpoints: Points,
 ) -> Result<(ClusterHandle, Runtime), SetupError> {
     let mut setup = setup(config, cluster, Incarnation(incarnation.max(1)));
     let mut durable_log = None;
     if let Some(recovered) = recovered {
-        setup.directory = true;
-        setup.found = recovered.found;
+        setup.has_durable_log = true;
+        setup.replica_state = recovered.replica_state;
         setup.fallback_policy = recovered.fallback_policy;
         durable_log = Some(recovered.durable_log);
     }
@@ -58,7 +58,7 @@
         calls: call_receiver,
         lists: list_receiver,
         durable_log,
-        points,
+        failpoints,
     };
     Ok((ClusterHandle { reader, events: event_receiver, calls: call_sender }, runtime))
 }
@@ -79,8 +79,8 @@
         voters => voters.iter().copied().map(NodeId).collect(),
     };
     Setup {
-        node_id: cluster.member(),
-        cluster: size,
+        node_id: cluster.node_id(),
+        cluster_size: size,
         incarnation,
         seed: config.seed,
         voters,
@@ -94,8 +94,8 @@
         mandatory_fallback,
         // If the configuration has a fallback policy, the first leader proposes none.
         cells: if cluster.fallback_policy.is_some() { BTreeMap::new() } else { cells },
-        directory: false,
-        found: None,
+        has_durable_log: false,
+        replica_state: None,
         fallback_policy: None,
     }
 }
@@ -103,7 +103,7 @@
 /// Returns the cells of each zone, by the upstreams in the configuration.
 fn cells_by_zone(config: &Config) -> BTreeMap<String, BTreeSet<u32>> {
     let mut cells = BTreeMap::<String, BTreeSet<u32>>::new();
-    for entry in &config.known.members {
+    for entry in &config.initial_list.members {
         cells.entry(entry.zone.to_string()).or_default().insert(entry.cell);
     }
     cells
--- a/crates/gateway/src/cluster/machine.rs
+++ b/crates/gateway/src/cluster/machine.rs
@@ -37,7 +37,7 @@
 pub struct Machine {
     setup: Setup,
     now: Duration,
-    wire: Transport,
+    transport: Transport,
     replica: Replica,
     learner: Learner,
     policy: PolicyState,
@@ -75,12 +75,12 @@
     /// # Errors
     /// Returns an error if no cluster can have this configuration.
     pub fn new(now: Duration, mut setup: Setup) -> Result<Self, SetupError> {
-        let found = setup.found.take();
+        let replica_state = setup.replica_state.take();
         let learner = new_learner(now, &setup);
         let source = learner.source();
         let mut machine = Self {
-            wire: new_wire(&setup)?,
-            replica: new_replica(now, &setup, found),
+            transport: new_transport(&setup)?,
+            replica: new_replica(now, &setup, replica_state),
             learner,
             policy: PolicyState::found(setup.bootstrap.clone())?,
             applied_index: consensus::LogIndex::default(),
@@ -143,8 +143,8 @@
     }
 
     /// Returns the transport to other balancers.
-    pub fn wire(&self) -> &Transport {
-        &self.wire
+    pub fn transport(&self) -> &Transport {
+        &self.transport
     }
 
     /// Returns the voters by the log entries that this balancer has.
@@ -154,7 +154,7 @@
 
     /// Returns the number of balancers in the cluster.
     pub fn cluster_size(&self) -> u16 {
-        self.setup.cluster
+        self.setup.cluster_size
     }
 
     /// Returns the leader of the voters, if this balancer knows one.
@@ -176,20 +176,22 @@
     fn on_event(&mut self, event: Event<'_>, actions: &mut Vec<Action>) {
         match event {
             Event::Datagram { from: Some(from), bytes } => {
-                self.step_wire(peers::Event::Received { from, bytes });
+                self.step_transport(peers::Event::Received { from, bytes });
+            }
+            Event::Datagram { from: None, .. } => {
+                self.step_transport(peers::Event::ReceivedFromUnknown)
             }
-            Event::Datagram { from: None, .. } => self.step_wire(peers::Event::ReceivedFromUnknown),
             Event::Due => self.timers.disarm(),
             Event::Persisted(through) => self.step_replica(consensus::Event::Persisted { through }),
             Event::DiskFailed(cause) => self.step_replica(consensus::Event::DiskFailed { cause }),
-            Event::DiskWell => self.step_replica(consensus::Event::DiskWell),
+            Event::DiskRecovered => self.step_replica(consensus::Event::DiskWell),
             Event::FallbackPolicyPersisted(fallback_generation) => {
                 self.step_leases(leases::Event::FallbackPolicyPersisted { fallback_generation });
             }
             Event::Propose { ticket, id, entry } => self.propose_entry(ticket, id, &entry, actions),
             Event::QueryOutcome { ticket, id } => self.query_outcome(ticket, id, actions),
-            Event::EndpointList { version, whole, entries } => {
-                self.step_lists(lists::Event::Own { version, whole, entries });
+            Event::EndpointList { version, is_complete, entries } => {
+                self.step_lists(lists::Event::Own { version, whole: is_complete, entries });
             }
             Event::VersionsReset => self.step_lists(lists::Event::VersionsReset),
             Event::ReplaceVoter { ticket, removed, replacement } => {
@@ -215,13 +217,13 @@
     fn force_new_epoch(&mut self, ticket: u64, voters: Vec<NodeId>, actions: &mut Vec<Action>) {
         let command = consensus::OperatorCommand::ForceNewEpoch { members: voters };
         self.step_replica(consensus::Event::OperatorCommand(command));
-        let answer = ProposalResult::Stands(self.applied_index);
+        let answer = ProposalResult::Committed(self.applied_index);
         actions.push(Action::ProposalResult { ticket, answer });
     }
 
-    fn step_wire(&mut self, event: peers::Event<'_>) {
+    fn step_transport(&mut self, event: peers::Event<'_>) {
         let mut actions = Vec::new();
-        self.wire.handle(self.now, event, &mut actions);
+        self.transport.handle(self.now, event, &mut actions);
         self.queue.extend(actions.into_iter().map(ComponentAction::Transport));
     }
 
@@ -255,34 +257,34 @@
     }
 }
 
-fn new_wire(setup: &Setup) -> Result<Transport, peers::ConfigError> {
+fn new_transport(setup: &Setup) -> Result<Transport, peers::ConfigError> {
     Transport::new(peers::Config {
         node_id: setup.node_id,
-        members: setup.cluster,
+        members: setup.cluster_size,
         incarnation: setup.incarnation,
         seed: setup.seed,
         budget: peers::Budget::default(),
     })
 }
 
-fn new_replica(now: Duration, setup: &Setup, found: Option<DurableState>) -> Replica {
+fn new_replica(now: Duration, setup: &Setup, replica_state: Option<DurableState>) -> Replica {
     let config = ReplicaConfig {
         node_id: setup.node_id,
         incarnation: setup.incarnation,
         voters: setup.voters.clone(),
-        cluster: setup.cluster,
-        directory: setup.directory,
-        copies: if setup.directory { 0 } else { COPIES_WITHOUT_LOG },
+        cluster: setup.cluster_size,
+        directory: setup.has_durable_log,
+        copies: if setup.has_durable_log { 0 } else { COPIES_WITHOUT_LOG },
         seed: setup.seed,
     };
-    Replica::new(now, config, found)
+    Replica::new(now, config, replica_state)
 }
 
 fn new_learner(now: Duration, setup: &Setup) -> Learner {
     let config = LearnerConfig {
         node_id: setup.node_id,
         voters: setup.voters.clone(),
-        cluster: setup.cluster,
+        cluster: setup.cluster_size,
         seed: setup.seed,
     };
     Learner::new(now, config)
--- a/crates/gateway/src/cluster/machine/interface.rs
+++ b/crates/gateway/src/cluster/machine/interface.rs
@@ -22,7 +22,7 @@
     /// Id of this balancer.
     pub node_id: NodeId,
     /// Number of balancers in the cluster.
-    pub cluster: u16,
+    pub cluster_size: u16,
     /// Incarnation of this process; not 0.
     pub incarnation: Incarnation,
     /// Seed of all random numbers, different in each process.
@@ -37,9 +37,9 @@
     /// these cells. If empty, the first leader proposes none.
     pub cells: BTreeMap<String, BTreeSet<u32>>,
     /// Whether there is a durable log, so that votes and confirmations wait until they are on disk.
-    pub directory: bool,
+    pub has_durable_log: bool,
     /// State of the replica, recovered from the durable log.
-    pub found: Option<DurableState>,
+    pub replica_state: Option<DurableState>,
     /// The fallback policy recovered from disk, and its generation.
     pub fallback_policy: Option<(Generation, FallbackPolicy)>,
 }
@@ -72,7 +72,7 @@
     /// Writing or syncing failed, with the cause as a text.
     DiskFailed(String),
     /// The disk accepts records again.
-    DiskWell,
+    DiskRecovered,
     /// The fallback policy of this generation is on disk.
     FallbackPolicyPersisted(Generation),
     /// An admin call proposes an entry for the policy log.
@@ -96,7 +96,7 @@
         /// Version of the list.
         version: u64,
         /// Whether the list is complete, so that an upstream missing from the list is gone.
-        whole: bool,
+        is_complete: bool,
         /// Name and phase of each entry.
         entries: Vec<(String, Phase)>,
     },
@@ -170,5 +170,5 @@
     pub names: BTreeSet<String>,
     /// Whether this balancer's endpoint list is older than the rules allow. Requests then go only to upstreams of the
     /// fallback policy, if there are any.
-    pub old: bool,
+    pub is_list_stale: bool,
 }
--- a/crates/gateway/src/cluster/machine/pending_calls.rs
+++ b/crates/gateway/src/cluster/machine/pending_calls.rs
@@ -16,9 +16,9 @@
     /// for its rejection.
     Answered(Result<u64, Rejection>),
     /// The entry is committed at this index of the log, and the policy state records no outcome for it.
-    Stands(consensus::LogIndex),
+    Committed(consensus::LogIndex),
     /// The entry is not in the log and will never be committed.
-    Never,
+    NeverCommitted,
     /// No balancer that knows the outcome could be reached. The entry may be committed now or later.
     Unknown,
 }
@@ -53,7 +53,7 @@
         actions: &mut Vec<Action>,
     ) {
         let Ok(bytes) = entry.to_bytes() else {
-            actions.push(Action::ProposalResult { ticket, answer: ProposalResult::Never });
+            actions.push(Action::ProposalResult { ticket, answer: ProposalResult::NeverCommitted });
             return;
         };
         let proposal = self.add_call(ticket, id, actions);
@@ -104,7 +104,7 @@
                 self.answer_calls(actions);
             }
             consensus::ProposalOutcome::Never => {
-                self.end_calls(id, &ProposalResult::Never, actions);
+                self.end_calls(id, &ProposalResult::NeverCommitted, actions);
             }
             consensus::ProposalOutcome::Unknown => {
                 self.end_calls(id, &ProposalResult::Unknown, actions);
@@ -153,7 +153,7 @@
                 let answer = self.policy.answer(id)?;
                 Some(ProposalResult::Answered(answer.outcome.clone()))
             }
-            None => call.index.map(ProposalResult::Stands),
+            None => call.index.map(ProposalResult::Committed),
         }
     }
 }
--- a/crates/gateway/src/cluster/machine/routing.rs
+++ b/crates/gateway/src/cluster/machine/routing.rs
@@ -14,7 +14,7 @@
 impl Machine {
     pub(super) fn route(&mut self, action: ComponentAction, actions: &mut Vec<Action>) {
         match action {
-            ComponentAction::Transport(action) => self.on_wire_action(action, actions),
+            ComponentAction::Transport(action) => self.on_transport_action(action, actions),
             ComponentAction::Replica(action) => self.on_replica_action(action, actions),
             ComponentAction::Learner(action) => self.on_learner_action(action, actions),
             ComponentAction::Leases(action) => self.on_lease_action(action, actions),
@@ -22,10 +22,10 @@
         }
     }
 
-    fn on_wire_action(&mut self, action: peers::Action, actions: &mut Vec<Action>) {
+    fn on_transport_action(&mut self, action: peers::Action, actions: &mut Vec<Action>) {
         match action {
             peers::Action::Transmit { to, bytes } => actions.push(Action::Transmit { to, bytes }),
-            peers::Action::WakeAt(at) => self.timers.wire_due = Some(at),
+            peers::Action::WakeAt(at) => self.timers.transport_due = Some(at),
             peers::Action::PeerRestarted { .. } => {}
             peers::Action::Deliver { from, incarnation, channel, message } => {
                 self.deliver(from, incarnation, channel, &message);
@@ -78,7 +78,7 @@
         let mode = delivery_mode(&message.body);
         // Messages of the replica and the learner can always be encoded.
         if let Ok(message) = message.encode() {
-            self.step_wire(peers::Event::Send { to, channel, message, mode });
+            self.step_transport(peers::Event::Send { to, channel, message, mode });
         }
     }
 
@@ -209,13 +209,13 @@
         let neighbours: Vec<NodeId> = parent.into_iter().chain(self.learner.children()).collect();
         for to in neighbours {
             let (channel, mode, message) = (Channel::Lists, DeliveryMode::Normal, message.to_vec());
-            self.step_wire(peers::Event::Send { to, channel, message, mode });
+            self.step_transport(peers::Event::Send { to, channel, message, mode });
         }
     }
 
     fn update_stops(&mut self, actions: &mut Vec<Action>) {
         let names = self.lists.stopped().map(str::to_string).collect();
-        let stops = StoppedUpstreams { names, old: self.lists.is_stale() };
+        let stops = StoppedUpstreams { names, is_list_stale: self.lists.is_stale() };
         if stops != self.stops {
             self.stops = stops.clone();
             actions.push(Action::Stop(stops));
@@ -227,11 +227,11 @@
             leases::Action::Send { to, message } => {
                 let (channel, message, mode) =
                     (Channel::Leases, message.to_bytes(), DeliveryMode::Urgent);
-                self.step_wire(peers::Event::Send { to, channel, message, mode });
+                self.step_transport(peers::Event::Send { to, channel, message, mode });
             }
             leases::Action::Publish(in_force) => actions.push(Action::Publish(in_force)),
             leases::Action::PersistFallbackPolicy { fallback_generation, fallback_policy } => {
-                if !self.setup.directory {
+                if !self.setup.has_durable_log {
                     self.step_leases(leases::Event::FallbackPolicyPersisted {
                         fallback_generation,
                     });
--- a/crates/gateway/src/cluster/machine/timers.rs
+++ b/crates/gateway/src/cluster/machine/timers.rs
@@ -21,7 +21,7 @@
 
 /// The next due time of each component, and the requested wake-up.
 pub(super) struct Timers {
-    pub(super) wire_due: Option<Duration>,
+    pub(super) transport_due: Option<Duration>,
     pub(super) leases_due: Option<Duration>,
     pub(super) lists_due: Option<Duration>,
     replica_due: Duration,
@@ -34,7 +34,7 @@
     /// Creates the timers, with the replica and the learner due immediately.
     pub(super) fn new(now: Duration) -> Self {
         Self {
-            wire_due: None,
+            transport_due: None,
             leases_due: None,
             lists_due: None,
             replica_due: now,
@@ -51,7 +51,7 @@
     /// Requests a wake-up at the earliest due time of a component, unless that wake-up is already requested.
     pub(super) fn arm(&mut self, actions: &mut Vec<Action>) {
         let ticks = [Some(self.replica_due), Some(self.learner_due)];
-        let dues = ticks.into_iter().chain([self.wire_due, self.leases_due, self.lists_due]);
+        let dues = ticks.into_iter().chain([self.transport_due, self.leases_due, self.lists_due]);
         let next = dues.flatten().min();
         if next != self.armed {
             self.armed = next;
@@ -68,8 +68,8 @@
 impl Machine {
     /// Passes an event to each component that is due.
     pub(super) fn run_due(&mut self) {
-        if take_due(&mut self.timers.wire_due, self.now) {
-            self.step_wire(peers::Event::Due);
+        if take_due(&mut self.timers.transport_due, self.now) {
+            self.step_transport(peers::Event::Due);
         }
         if take_due(&mut self.timers.leases_due, self.now) {
             self.step_leases(leases::Event::Due);
--- a/crates/gateway/src/cluster/mod.rs
+++ b/crates/gateway/src/cluster/mod.rs
@@ -39,7 +39,7 @@
         /// Version of the list.
         version: u64,
         /// Whether the list is complete, so that an upstream missing from the list is gone.
-        whole: bool,
+        is_complete: bool,
         /// Name and phase of each entry.
         entries: Vec<(String, Phase)>,
     },
@@ -51,7 +51,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum ClusterEvent {
     /// The policy that applies may have changed.
-    Changed,
+    PolicyChanged,
     /// Another balancer has a newer endpoint list, so the engine has to poll discovery.
     RefreshList,
 }
--- a/crates/gateway/src/cluster/published.rs
+++ b/crates/gateway/src/cluster/published.rs
@@ -24,7 +24,7 @@
 impl PolicySnapshot {
     /// Returns whether two snapshots share the same published values, compared by identity. Renewing a lease keeps the
     /// identity of its rules.
-    pub fn is(&self, other: &Self) -> bool {
+    pub fn is_same(&self, other: &Self) -> bool {
         Arc::ptr_eq(&self.rules, &other.rules) && Arc::ptr_eq(&self.stops, &other.stops)
     }
 }
@@ -72,7 +72,7 @@
     fn replace(&self, next: PublishedValue, now: Duration) -> bool {
         let applies = next.at(now);
         let previous = self.0.swap(Arc::new(next));
-        !previous.at(now).is(&applies)
+        !previous.at(now).is_same(&applies)
     }
 
     /// Returns the rules and the lease that were published last.
--- a/crates/gateway/src/cluster/runtime.rs
+++ b/crates/gateway/src/cluster/runtime.rs
@@ -54,7 +54,7 @@
     /// State that survives a restart; `None` if the balancer has no state directory.
     pub durable_log: Option<Box<dyn DurableLog + Send>>,
     /// Failpoints of the runtime's steps.
-    pub points: Points,
+    pub failpoints: Points,
 }
 
 /// State of the event loop.
@@ -155,7 +155,7 @@
         let now = Instant::now();
         if state.lease_ends_at.is_some_and(|at| at <= now) {
             state.lease_ends_at = None;
-            self.notify(ClusterEvent::Changed);
+            self.notify(ClusterEvent::PolicyChanged);
         }
         if state.disk_retry_at.is_some_and(|at| at <= now) {
             state.disk_retry_at = None;
@@ -163,7 +163,7 @@
         }
         if state.wake_at.is_some_and(|at| at <= now) {
             state.wake_at = None;
-            self.points.meet("bank.timer", Kind::Timer);
+            self.failpoints.meet("bank.timer", Kind::Timer);
             self.dispatch(Event::Due, state, socket).await;
         }
     }
@@ -175,7 +175,7 @@
         state: &mut RunState,
         socket: &dyn Datagrams,
     ) {
-        for _ in 0..copies(self.points.meet("bank.receive", Kind::Receive)) {
+        for _ in 0..copies(self.failpoints.meet("bank.receive", Kind::Receive)) {
             self.dispatch(Event::Datagram { from, bytes }, state, socket).await;
         }
     }
@@ -234,24 +234,24 @@
 
     fn transmit(&self, to: NodeId, bytes: &[u8], socket: &dyn Datagrams) {
         let Some(address) = self.peers.get(usize::from(to.0)) else { return };
-        for _ in 0..copies(self.points.meet("bank.transmit", Kind::Send)) {
+        for _ in 0..copies(self.failpoints.meet("bank.transmit", Kind::Send)) {
             // The protocols tolerate the loss of any datagram, so a send error is ignored.
             let _ = socket.send(bytes, *address);
         }
     }
 
     fn publish(&self, in_force: InForce, state: &mut RunState) {
-        self.points.meet("bank.publish", Kind::Handover);
+        self.failpoints.meet("bank.publish", Kind::Handover);
         state.lease_ends_at = Some(self.epoch + in_force.until);
         if self.published.write(in_force, self.epoch.elapsed()) {
-            self.notify(ClusterEvent::Changed);
+            self.notify(ClusterEvent::PolicyChanged);
         }
     }
 
     fn publish_stops(&self, stops: StoppedUpstreams) {
-        self.points.meet("bank.stop", Kind::Handover);
+        self.failpoints.meet("bank.stop", Kind::Handover);
         if self.published.stop(stops, self.epoch.elapsed()) {
-            self.notify(ClusterEvent::Changed);
+            self.notify(ClusterEvent::PolicyChanged);
         }
     }
 
@@ -278,7 +278,7 @@
             Ok(()) => {
                 tracing::info!("consensus log writable again");
                 state.is_disk_failing = false;
-                self.dispatch(Event::DiskWell, state, socket).await;
+                self.dispatch(Event::DiskRecovered, state, socket).await;
             }
             Err(_) => state.disk_retry_at = Some(Instant::now() + DISK_RETRY),
         }
@@ -288,8 +288,8 @@
 impl From<EndpointListEvent> for Event<'static> {
     fn from(list: EndpointListEvent) -> Self {
         match list {
-            EndpointListEvent::List { version, whole, entries } => {
-                Event::EndpointList { version, whole, entries }
+            EndpointListEvent::List { version, is_complete, entries } => {
+                Event::EndpointList { version, is_complete, entries }
             }
             EndpointListEvent::VersionsReset => Event::VersionsReset,
         }
--- a/crates/gateway/src/cluster/runtime/admin_calls.rs
+++ b/crates/gateway/src/cluster/runtime/admin_calls.rs
@@ -85,7 +85,7 @@
         let Some(command) = self.pending.remove(&ticket) else { return };
         let PendingCommand { reply, request, id, fallback_pending, deadline } = command;
         let response = AdminResponse::of(&request, id, result, fallback_pending);
-        match response.wait {
+        match response.rollout_wait {
             Some((revision, within)) => {
                 let until = (Instant::now() + within).min(deadline);
                 self.rollouts.push(RolloutWait { reply, response, revision, until });
@@ -103,7 +103,7 @@
                 && !status.unconfirmed
                 && status.target_revision.is_none();
             if is_everywhere || now >= wait.until {
-                wait.response.text["everywhere"] = is_everywhere.into();
+                wait.response.body["everywhere"] = is_everywhere.into();
                 let _ = wait.reply.send(wait.response);
             } else {
                 self.rollouts.push(wait);
@@ -141,7 +141,7 @@
     /// Returns an id for a command for which the caller gave none. The id is unique, because no two processes share an
     /// incarnation and a process never reuses a ticket.
     fn fresh_command_id(&self, ticket: u64) -> CommandId {
-        let incarnation = u128::from(self.machine.wire().own_incarnation().0);
+        let incarnation = u128::from(self.machine.transport().own_incarnation().0);
         let node_id = u128::from(self.machine.node_id().0);
         CommandId(incarnation << 96 | node_id << 64 | u128::from(ticket))
     }
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -19,17 +19,17 @@
 
 /// Number of descriptors that belong to neither clients nor upstreams: standard streams, the event queue, the listener, the
 /// watch and signals.
-const RESERVED: usize = 24;
+const RESERVED_DESCRIPTORS: usize = 24;
 /// Maximum number of open connections to the admin API. A further connection closes the oldest one.
-pub const CALLERS: usize = 16;
+pub const MAX_ADMIN_CONNECTIONS: usize = 16;
 /// Number of descriptors of the admin API: the listener, its connections, and the file that is read or written.
-const RESERVED_FOR_OPERATORS: usize = CALLERS + 4;
+const RESERVED_FOR_ADMIN_API: usize = MAX_ADMIN_CONNECTIONS + 4;
 /// Number of descriptors of the state store: the file that is written, and its directory.
 const RESERVED_FOR_STATE: usize = 2;
 /// Number of descriptors of the cluster: the socket, the thread's event queue and waker, the log and its directory.
 const RESERVED_FOR_CLUSTER: usize = 8;
 /// Minimum number of descriptors with which a balancer can serve.
-const MIN_SOCKETS: usize = 4 * RESERVED;
+const MIN_SOCKETS: usize = 4 * RESERVED_DESCRIPTORS;
 
 /// An error in the configuration.
 #[derive(Debug, thiserror::Error)]
@@ -54,7 +54,7 @@
     },
     /// A value is not an address.
     #[error("{name} is not an address: {value:?}")]
-    BadAddress {
+    InvalidAddress {
         /// Name of the environment variable or key.
         name: &'static str,
         /// Value of the variable or key.
@@ -64,7 +64,7 @@
     #[error(
         "{name} is {value:?}; expected `on`, `off`, or in the file an object of `council`, `charter`, `bedrock`"
     )]
-    BadFleet {
+    InvalidSwitch {
         /// Name of the switch: the file's key `fleet`, or `LB_FLEET`.
         name: &'static str,
         /// Value of the switch.
@@ -74,7 +74,7 @@
     #[error(
         "`peers` has {peers} addresses for {balancers} balancers, this one number {position}: expected one for each"
     )]
-    BadPeers {
+    InvalidPeers {
         /// Number of addresses.
         peers: usize,
         /// Number of balancers in the settings.
@@ -84,7 +84,7 @@
     },
     /// The voters include a number that no balancer has, or a repeated number.
     #[error("`fleet.council` names {0}: expected numbers of balancers, each once")]
-    BadCouncil(u16),
+    InvalidVoters(u16),
     /// The limit on descriptors is too low to serve.
     #[error("the limit of {0} sockets leaves no room to serve")]
     TooFewSockets(usize),
@@ -110,7 +110,7 @@
     /// Address of discovery, which delivers the endpoint list.
     pub discovery: SocketAddr,
     /// Address of the admin API, if it is enabled.
-    pub control: Option<SocketAddr>,
+    pub admin_listen: Option<SocketAddr>,
     /// Directory for state that survives a restart of this balancer, if the platform provides one.
     pub state_dir: Option<PathBuf>,
     /// Seed of all random numbers, different at each start.
@@ -120,7 +120,7 @@
     /// Maximum memory of the process, in bytes.
     pub memory: usize,
     /// The last endpoint list that the platform knew, which may be old.
-    pub known: List,
+    pub initial_list: List,
     /// The settings.
     pub facts: Facts,
     /// Size of the subset of upstreams to which this balancer keeps connections; `None` for all upstreams.
@@ -134,7 +134,7 @@
     /// Maximum number of client connections.
     pub clients: usize,
     /// Number of client connections in use above which idle client connections are closed.
-    pub clients_at_ease: usize,
+    pub idle_close_threshold: usize,
     /// Maximum number of connections to upstreams.
     pub upstreams: usize,
 }
@@ -183,12 +183,12 @@
             name: value("LB_NAME", file.name),
             listen: parse_address("LB_LISTEN", &value("LB_LISTEN", file.listen))?,
             discovery: parse_address("LB_DISCOVERY", &discovery)?,
-            control: control.map(|c| parse_address("LB_CONTROL", &c)).transpose()?,
+            admin_listen: control.map(|c| parse_address("LB_CONTROL", &c)).transpose()?,
             state_dir: state_dir.map(PathBuf::from),
             seed: hollowpaddle_policy::settings::key_hash(&file.seed.unwrap_or_default()),
             sockets,
             memory: file.limits.memory_mb.unwrap_or(DEFAULT_MEMORY_MIB) << 20,
-            known: file.known,
+            initial_list: file.known,
             subset,
             facts: file.settings,
             cluster,
@@ -200,11 +200,11 @@
     /// Every attempt belongs to a client's request, so upstreams never need more than their half while clients stay within
     /// theirs. A part of the clients' half is reserved for clients that send a request.
     pub fn budget(&self) -> Budget {
-        let operators = if self.control.is_some() { RESERVED_FOR_OPERATORS } else { 0 };
+        let operators = if self.admin_listen.is_some() { RESERVED_FOR_ADMIN_API } else { 0 };
         let state = if self.state_dir.is_some() { RESERVED_FOR_STATE } else { 0 };
         let cluster = if self.cluster.is_some() { RESERVED_FOR_CLUSTER } else { 0 };
-        let half = (self.sockets - RESERVED - operators - state - cluster) / 2;
-        Budget { clients: half, clients_at_ease: self.sockets / 4, upstreams: half }
+        let half = (self.sockets - RESERVED_DESCRIPTORS - operators - state - cluster) / 2;
+        Budget { clients: half, idle_close_threshold: self.sockets / 4, upstreams: half }
     }
 }
 
--- a/crates/gateway/src/config/cluster.rs
+++ b/crates/gateway/src/config/cluster.rs
@@ -38,7 +38,7 @@
     }
 
     /// Returns the id of this balancer.
-    pub fn member(&self) -> NodeId {
+    pub fn node_id(&self) -> NodeId {
         NodeId(self.position)
     }
 }
@@ -72,7 +72,7 @@
     fn check_voters(&self, cluster_size: usize) -> Result<(), ConfigError> {
         for (i, voter) in self.voters.iter().enumerate() {
             if usize::from(*voter) >= cluster_size || self.voters[..i].contains(voter) {
-                return Err(ConfigError::BadCouncil(*voter));
+                return Err(ConfigError::InvalidVoters(*voter));
             }
         }
         Ok(())
@@ -88,11 +88,11 @@
     if !file.settings.policy_limits.peer_messages || file.peers.is_empty() {
         return Ok(None);
     }
-    let (is_on_in_file, terms) = match &file.fleet {
+    let (is_on_in_file, options) = match &file.fleet {
         None => (true, FileCluster::default()),
         Some(FileFleet::Enabled(is_on)) => (*is_on, FileCluster::default()),
         Some(FileFleet::Switch(text)) => (parse_switch("`fleet`", text)?, FileCluster::default()),
-        Some(FileFleet::Cluster(terms)) => (true, terms.clone()),
+        Some(FileFleet::Cluster(options)) => (true, options.clone()),
     };
     let is_on = variable.map_or(Ok(is_on_in_file), |text| parse_switch("LB_FLEET", &text))?;
     if !is_on {
@@ -106,11 +106,11 @@
         .collect::<Result<Vec<_>, _>>()?;
     let (balancers, position) = (file.settings.balancers, file.settings.position);
     if peers.len() != balancers as usize || position >= balancers || peers.len() > MAX_PEERS {
-        return Err(ConfigError::BadPeers { peers: peers.len(), balancers, position });
+        return Err(ConfigError::InvalidPeers { peers: peers.len(), balancers, position });
     }
-    terms.check_voters(peers.len())?;
+    options.check_voters(peers.len())?;
     let position = position as u16;
-    let FileCluster { voters, fallback_policy, mandatory_fallback } = terms;
+    let FileCluster { voters, fallback_policy, mandatory_fallback } = options;
     Ok(Some(ClusterConfig { listen, peers, position, voters, fallback_policy, mandatory_fallback }))
 }
 
@@ -118,6 +118,6 @@
     match text {
         "on" | "" => Ok(true),
         "off" => Ok(false),
-        other => Err(ConfigError::BadFleet { name, value: other.to_string() }),
+        other => Err(ConfigError::InvalidSwitch { name, value: other.to_string() }),
     }
 }
--- a/crates/gateway/src/config/file.rs
+++ b/crates/gateway/src/config/file.rs
@@ -90,5 +90,5 @@
 
 /// Parses the address in the variable or key `name`.
 pub(super) fn parse_address(name: &'static str, value: &str) -> Result<SocketAddr, ConfigError> {
-    value.parse().map_err(|_| ConfigError::BadAddress { name, value: value.to_string() })
+    value.parse().map_err(|_| ConfigError::InvalidAddress { name, value: value.to_string() })
 }
--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -48,8 +48,8 @@
     ///
     /// If discovery is not known to be overloaded, a call without a response hung, and a longer timeout would only delay the
     /// list.
-    pub fn call_ended(&mut self, end: WatchEnd, is_crowded: bool) {
-        if end == WatchEnd::Unanswered && is_crowded {
+    pub fn call_ended(&mut self, end: WatchEnd, is_overloaded: bool) {
+        if end == WatchEnd::Unanswered && is_overloaded {
             self.unanswered_calls += 1;
         }
     }
@@ -210,7 +210,7 @@
             if index > 0 {
                 tokio::task::yield_now().await;
             }
-            self.reader.take(piece, |list| {
+            self.reader.feed(piece, |list| {
                 self.has_delivered = true;
                 report(WatchEvent::List(list));
             })?;
--- a/crates/gateway/src/engine.rs
+++ b/crates/gateway/src/engine.rs
@@ -75,7 +75,7 @@
         let (sender, events) = mpsc::unbounded_channel();
         let mut state = EngineState::new(config, pool, network, cluster, sender)?;
         let handle = EngineHandle::new(&state);
-        state.apply_list(&config.known, ListKind::Restored, Instant::now().into());
+        state.apply_list(&config.initial_list, ListKind::Restored, Instant::now().into());
         if let Some(restored_list) = restored_list {
             state.apply_restored_list(restored_list);
         }
@@ -141,12 +141,12 @@
                 let _ = done.send(());
             }
             // The policy in force is checked with every event.
-            EngineEvent::Cluster(ClusterEvent::Changed) => {}
+            EngineEvent::Cluster(ClusterEvent::PolicyChanged) => {}
             EngineEvent::Cluster(ClusterEvent::RefreshList) => self.refresh_list(),
             EngineEvent::ExportLearned(reply) => drop(reply.send(self.balancer.learned())),
             EngineEvent::ImportLearned(learned) => self.import_learned(&learned),
             EngineEvent::ReadList { from, reply } => {
-                let _ = reply.send((self.upstreams.part(from), self.list_watch.is_live()));
+                let _ = reply.send((self.upstreams.list_part(from), self.list_watch.is_live()));
             }
             EngineEvent::HasNamed { name, reply } => {
                 let _ = reply.send(self.upstreams.has_named(&name));
--- a/crates/gateway/src/engine/attempts.rs
+++ b/crates/gateway/src/engine/attempts.rs
@@ -191,7 +191,7 @@
         let class = &self.limits.classes[active.class];
         let is_safe = retry_safety::is_retry_safe(class, &active.prior_attempts(), location);
         if !is_safe {
-            self.violations.count(Invariant::UnsafeRepeat, Some(id), Some(server));
+            self.violations.count(Invariant::UnsafeRetry, Some(id), Some(server));
         }
         is_safe
     }
--- a/crates/gateway/src/engine/endpoint_list.rs
+++ b/crates/gateway/src/engine/endpoint_list.rs
@@ -37,7 +37,7 @@
     /// Discovery is asked for its complete list afterwards: where its versions have started anew, changes alone would not
     /// bring back what this list removed.
     pub(super) fn apply_restored_list(&mut self, restored: RestoredList) {
-        let RestoredList { list, whole: is_complete } = restored;
+        let RestoredList { list, is_complete } = restored;
         let members = list.members.len();
         tracing::info!(members, complete = is_complete, "restored endpoint list");
         let (update_kind, publish_kind) = if is_complete {
@@ -70,7 +70,7 @@
             Some(subset) => {
                 let last_listed = |id| self.upstreams.member(id);
                 let list = subset.apply_list(now, kind, &members, last_listed);
-                self.balancer.set_sharers(subset.sharers());
+                self.balancer.set_sharers(subset.balancers_per_upstream());
                 list
             }
             None => members,
@@ -96,7 +96,7 @@
         let last_listed = |id| self.upstreams.member(id);
         let mut changed = subset.expire(now, last_listed);
         changed.extend(subset.set_health(now, all, healthy, last_listed));
-        self.balancer.set_sharers(subset.sharers());
+        self.balancer.set_sharers(subset.balancers_per_upstream());
         if !changed.is_empty() {
             self.queue_members(ListKind::LocalChange, changed);
         }
@@ -135,7 +135,7 @@
         let entries = list.members.iter().map(|m| (m.id.to_string(), shared_phase(m.phase)));
         cluster.report_endpoint_list(EndpointListEvent::List {
             version: list.revision,
-            whole: kind == ListKind::Complete,
+            is_complete: kind == ListKind::Complete,
             entries: entries.collect(),
         });
     }
--- a/crates/gateway/src/engine/event.rs
+++ b/crates/gateway/src/engine/event.rs
@@ -15,7 +15,7 @@
 use crate::cluster::ClusterEvent;
 use crate::discovery::WatchEvent;
 use crate::forwarded_request::ForwardedRequest;
-use crate::membership::Part;
+use crate::membership::ListPart;
 use crate::response_body::ResponseBody;
 
 /// An event for the engine. Events are handled in the order in which they were sent.
@@ -73,7 +73,7 @@
         /// Handle of the first upstream of the part.
         from: u32,
         /// Takes the part, and whether a live watch vouches for the list.
-        reply: oneshot::Sender<(Part, bool)>,
+        reply: oneshot::Sender<(ListPart, bool)>,
     },
 }
 
--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -17,7 +17,7 @@
 use crate::forwarded_request::ForwardedRequest;
 use crate::freshness::Expiry;
 use crate::invariants::Violations;
-use crate::membership::Part;
+use crate::membership::ListPart;
 use crate::upstreams::UnsolicitedBytes;
 
 /// The engine as the admin API and the state store reach it.
@@ -78,7 +78,7 @@
 
     /// The part of the endpoint list that begins at handle `from`, and whether a live watch vouches for the list; nothing,
     /// if the engine has ended.
-    pub async fn list(&self, from: u32) -> Option<(Part, bool)> {
+    pub async fn list(&self, from: u32) -> Option<(ListPart, bool)> {
         let (reply, answer) = oneshot::channel();
         let _ = self.events.send(EngineEvent::ReadList { from, reply });
         answer.await.ok()
--- a/crates/gateway/src/engine/list_watch.rs
+++ b/crates/gateway/src/engine/list_watch.rs
@@ -176,7 +176,7 @@
     /// The live watch has delivered a list: no change is missing any more.
     fn on_list_up_to_date(&mut self) {
         self.list_watch.call_timeout = CallTimeout::default();
-        self.list_watch.freshness.vouched();
+        self.list_watch.freshness.mark_confirmed();
         if std::mem::take(&mut self.list_watch.is_expired) {
             tracing::info!("endpoint list is up to date again");
         }
@@ -189,7 +189,7 @@
         }
         let now = Instant::now();
         let silent_since = now.checked_sub(discovery::SILENCE_TIMEOUT).unwrap_or(now);
-        self.list_watch.freshness.unvouched(silent_since);
+        self.list_watch.freshness.mark_unconfirmed(silent_since);
         if self.list_watch.pending.is_none() {
             self.on_no_live_watch(None);
         }
@@ -199,7 +199,7 @@
     fn on_watch_ended(&mut self) {
         let was_live = self.list_watch.active.take().is_some_and(|watch| watch.is_live);
         if was_live {
-            self.list_watch.freshness.unvouched(Instant::now());
+            self.list_watch.freshness.mark_unconfirmed(Instant::now());
         }
         if was_live && self.list_watch.pending.is_none() {
             self.on_no_live_watch(None);
@@ -209,8 +209,8 @@
     /// The call for a watch has ended without a list.
     fn on_call_ended(&mut self, end: WatchEnd) {
         let Some(call) = self.list_watch.pending.take() else { return };
-        let is_crowded = self.list_watch.freshness.is_crowded();
-        self.list_watch.call_timeout.call_ended(end, is_crowded);
+        let is_overloaded = self.list_watch.freshness.is_overloaded();
+        self.list_watch.call_timeout.call_ended(end, is_overloaded);
         if !self.list_watch.is_live() {
             self.on_call_failed(&call, end);
         }
@@ -285,7 +285,7 @@
         if let Some(active) = &mut watches.active {
             active.is_live = false;
         }
-        watches.freshness.unvouched(Instant::now());
+        watches.freshness.mark_unconfirmed(Instant::now());
         watches.pending = None;
         self.open_watch();
     }
--- a/crates/gateway/src/engine/policy_updates.rs
+++ b/crates/gateway/src/engine/policy_updates.rs
@@ -13,7 +13,7 @@
     pub(super) fn apply_policy_in_force(&mut self) {
         let Some(cluster) = &self.cluster else { return };
         let policy = cluster.current_policy();
-        if self.applied_policy.as_ref().is_some_and(|applied| applied.is(&policy)) {
+        if self.applied_policy.as_ref().is_some_and(|applied| applied.is_same(&policy)) {
             return;
         }
         self.applied_policy = Some(policy.clone());
@@ -38,7 +38,7 @@
         let applied = self.applied_policy.clone();
         Some(Box::new(move || {
             let policy = cluster.current_policy();
-            let is_unchanged = applied.as_ref().is_some_and(|applied| applied.is(&policy));
+            let is_unchanged = applied.as_ref().is_some_and(|applied| applied.is_same(&policy));
             is_unchanged || route.as_ref().is_some_and(|route| route.is_permitted(&policy))
         }))
     }
--- a/crates/gateway/src/engine/requests.rs
+++ b/crates/gateway/src/engine/requests.rs
@@ -209,7 +209,7 @@
         let class = &self.limits.classes[active.class];
         let is_safe = retry_safety::is_rejection_safe(class, &active.prior_attempts());
         if !is_safe {
-            self.violations.count(Invariant::RefusedAfterEffect, Some(id), None);
+            self.violations.count(Invariant::RejectedAfterEffect, Some(id), None);
         }
         is_safe
     }
--- a/crates/gateway/src/engine/state.rs
+++ b/crates/gateway/src/engine/state.rs
@@ -135,7 +135,7 @@
     pub(super) fn apply_event(&mut self, event: Event) {
         self.balancer.handle(self.clock.now(), event, &mut self.actions);
         for _ in 0..self.balancer.take_overdrafts() {
-            self.violations.count(Invariant::ColdOverdraft, None, None);
+            self.violations.count(Invariant::SlowStartExceeded, None, None);
         }
         let mut actions = std::mem::take(&mut self.actions);
         for action in actions.drain(..) {
--- a/crates/gateway/src/freshness.rs
+++ b/crates/gateway/src/freshness.rs
@@ -44,7 +44,7 @@
     /// Changes after this time may be missing; `None` while a live watch confirms the list.
     missing_since: Option<Instant>,
     /// Whether discovery has rejected a call since the list was last confirmed, which shows that discovery was reachable.
-    is_crowded: bool,
+    is_overloaded: bool,
     expiry: Expiry,
 }
 
@@ -55,7 +55,7 @@
         Self {
             max_age: PROPAGATION_BOUND + grace,
             missing_since: Some(now),
-            is_crowded: false,
+            is_overloaded: false,
             expiry: Expiry::default(),
         }
     }
@@ -66,8 +66,8 @@
     }
 
     /// Returns whether discovery has rejected a call since the list was last confirmed.
-    pub fn is_crowded(&self) -> bool {
-        self.is_crowded
+    pub fn is_overloaded(&self) -> bool {
+        self.is_overloaded
     }
 
     /// Returns the time at which a change that is received `now` counts as delivered.
@@ -81,14 +81,14 @@
     }
 
     /// Records that a live watch confirms the list.
-    pub fn vouched(&mut self) {
+    pub fn mark_confirmed(&mut self) {
         self.missing_since = None;
-        self.is_crowded = false;
+        self.is_overloaded = false;
         self.expiry.0.set(None);
     }
 
     /// Records that no live watch confirms the list any more. The last watch confirmed the list until `since`.
-    pub fn unvouched(&mut self, since: Instant) {
+    pub fn mark_unconfirmed(&mut self, since: Instant) {
         self.missing_since.get_or_insert(since);
     }
 
@@ -100,19 +100,19 @@
         }
         let Some(since) = &mut self.missing_since else { return };
         match end {
-            WatchEnd::ListCallRejected => self.is_crowded = true,
+            WatchEnd::ListCallRejected => self.is_overloaded = true,
             // Discovery was unreachable, so earlier changes were not delivered to any balancer.
             WatchEnd::Unreachable => {
                 *since = started_at.max(*since);
-                self.is_crowded = false;
+                self.is_overloaded = false;
             }
             // A discovery that is down may accept calls and fail them. If discovery has rejected a call, it is not down, and
             // this call failed because it waited too long in discovery's queue.
-            WatchEnd::Failed | WatchEnd::Unanswered if self.is_crowded => {}
+            WatchEnd::Failed | WatchEnd::Unanswered if self.is_overloaded => {}
             WatchEnd::Failed | WatchEnd::Unanswered => *since = now.max(*since),
         }
         let expires_at = *since + self.max_age;
-        self.expiry.0.set(self.is_crowded.then_some(expires_at));
+        self.expiry.0.set(self.is_overloaded.then_some(expires_at));
     }
 }
 
--- a/crates/gateway/src/freshness/tests.rs
+++ b/crates/gateway/src/freshness/tests.rs
@@ -7,17 +7,17 @@
 }
 
 /// Returns the state of a list that a watch confirmed until `start` and that no watch has confirmed since.
-fn unvouched(start: Instant) -> Freshness {
+fn mark_unconfirmed(start: Instant) -> Freshness {
     let mut freshness = Freshness::new(GRACE, start);
-    freshness.vouched();
-    freshness.unvouched(start);
+    freshness.mark_confirmed();
+    freshness.mark_unconfirmed(start);
     freshness
 }
 
 #[test]
 fn expires_when_a_missed_change_counts_as_delivered_and_its_grace_is_over() {
     let start = Instant::now();
-    let mut freshness = unvouched(start);
+    let mut freshness = mark_unconfirmed(start);
     let expiry = freshness.expiry();
     freshness.call_ended(WatchEnd::ListCallRejected, start + seconds(1), start + seconds(1));
     let at = start + PROPAGATION_BOUND + GRACE;
@@ -29,7 +29,7 @@
 #[test]
 fn further_rejection_does_not_postpone_expiry() {
     let start = Instant::now();
-    let mut freshness = unvouched(start);
+    let mut freshness = mark_unconfirmed(start);
     for second in 1..8 {
         let now = start + seconds(second);
         freshness.call_ended(WatchEnd::ListCallRejected, now, now);
@@ -40,7 +40,7 @@
 #[test]
 fn never_expires_while_discovery_can_not_be_reached() {
     let start = Instant::now();
-    let mut freshness = unvouched(start);
+    let mut freshness = mark_unconfirmed(start);
     for second in 0..60 {
         let now = start + seconds(second);
         for ending in [WatchEnd::Unreachable, WatchEnd::Failed, WatchEnd::Unanswered] {
@@ -53,7 +53,7 @@
 #[test]
 fn age_restarts_when_discovery_could_not_be_reached() {
     let start = Instant::now();
-    let mut freshness = unvouched(start);
+    let mut freshness = mark_unconfirmed(start);
     let down = start + seconds(5);
     freshness.call_ended(WatchEnd::ListCallRejected, start, start);
     freshness.call_ended(WatchEnd::Unreachable, down, down + seconds(2));
@@ -65,7 +65,7 @@
 #[test]
 fn crowded_discovery_that_fails_an_accepted_call_is_still_reachable() {
     let start = Instant::now();
-    let mut freshness = unvouched(start);
+    let mut freshness = mark_unconfirmed(start);
     freshness.call_ended(WatchEnd::ListCallRejected, start, start);
     freshness.call_ended(WatchEnd::Failed, start, start + seconds(3));
     assert_eq!(freshness.expiry().at(), Some(start + PROPAGATION_BOUND + GRACE));
@@ -74,22 +74,22 @@
 #[test]
 fn stays_expired_until_a_watch_vouches_for_it() {
     let start = Instant::now();
-    let mut freshness = unvouched(start);
+    let mut freshness = mark_unconfirmed(start);
     freshness.call_ended(WatchEnd::ListCallRejected, start, start);
     let late = start + seconds(20);
     freshness.call_ended(WatchEnd::Unreachable, late, late);
     assert!(freshness.expiry().is_over(late), "an outage does not undo deliveries");
-    freshness.vouched();
+    freshness.mark_confirmed();
     assert!(!freshness.expiry().is_over(late));
 }
 
 #[test]
 fn change_received_late_counts_from_its_delivery() {
     let start = Instant::now();
-    let mut freshness = unvouched(start);
+    let mut freshness = mark_unconfirmed(start);
     let (soon, late) = (start + seconds(1), start + seconds(7));
     assert_eq!(freshness.delivered(soon), soon);
     assert_eq!(freshness.delivered(late), start + PROPAGATION_BOUND);
-    freshness.vouched();
+    freshness.mark_confirmed();
     assert_eq!(freshness.delivered(late), late);
 }
--- a/crates/gateway/src/invariants.rs
+++ b/crates/gateway/src/invariants.rs
@@ -18,13 +18,13 @@
     /// The deadline announced to an upstream was longer than the client's remaining time.
     DeadlineOverstated,
     /// The decision module requested an attempt that could make a request take effect twice.
-    UnsafeRepeat,
+    UnsafeRetry,
     /// The decision module rejected a request that may have been executed.
-    RefusedAfterEffect,
+    RejectedAfterEffect,
     /// A received request got no response although its client stayed connected.
     Unanswered,
     /// The decision module sent more requests to a warming-up upstream than slow start allows.
-    ColdOverdraft,
+    SlowStartExceeded,
 }
 
 impl Invariant {
@@ -34,10 +34,10 @@
         Self::SentAfterWindow,
         Self::SentAfterEnd,
         Self::DeadlineOverstated,
-        Self::UnsafeRepeat,
-        Self::RefusedAfterEffect,
+        Self::UnsafeRetry,
+        Self::RejectedAfterEffect,
         Self::Unanswered,
-        Self::ColdOverdraft,
+        Self::SlowStartExceeded,
     ];
 
     /// Returns the name in logs and in the admin API.
@@ -47,10 +47,10 @@
             Self::SentAfterWindow => "sent_after_window",
             Self::SentAfterEnd => "sent_after_end",
             Self::DeadlineOverstated => "deadline_overstated",
-            Self::UnsafeRepeat => "unsafe_repeat",
-            Self::RefusedAfterEffect => "refused_after_effect",
+            Self::UnsafeRetry => "unsafe_repeat",
+            Self::RejectedAfterEffect => "refused_after_effect",
             Self::Unanswered => "unanswered",
-            Self::ColdOverdraft => "cold_overdraft",
+            Self::SlowStartExceeded => "cold_overdraft",
         }
     }
 }
--- a/crates/gateway/src/lib.rs
+++ b/crates/gateway/src/lib.rs
@@ -47,5 +47,5 @@
 pub use admin::OperatorAccess;
 pub use config::{Config, ConfigError};
 pub use engine::EngineError;
-pub use serve::{Provided, ServeError, serve};
+pub use serve::{Resources, ServeError, serve};
 pub use state_store::{StateSaver, StoredState};
--- a/crates/gateway/src/list_reader.rs
+++ b/crates/gateway/src/list_reader.rs
@@ -29,7 +29,7 @@
 /// Maximum number of bytes of all ids of one list: on average 160 for each of [`MAX_ENTRIES`]. Without a limit, ids as long
 /// as [`MAX_ENTRY_LENGTH`] would use gigabytes.
 pub const MAX_ID_BYTES: usize = 16 << 20;
-/// Number of bytes after which a caller of [`ListReader::take`] should yield to other tasks: about fifty entries, which take
+/// Number of bytes after which a caller of [`ListReader::feed`] should yield to other tasks: about fifty entries, which take
 /// a fraction of a millisecond to read.
 pub const PIECE_LENGTH: usize = 8 << 10;
 
@@ -80,7 +80,7 @@
     #[default]
     Outline,
     /// The array `members`, outside of an entry.
-    Members(Expected),
+    BetweenEntries(Expected),
     /// An entry.
     Entry,
 }
@@ -118,7 +118,7 @@
     ///
     /// # Errors
     /// Returns an error if the text is not a list or the list exceeds a limit. The stream can't be read further then.
-    pub fn take(&mut self, piece: &[u8], mut deliver: impl FnMut(List)) -> Result<(), ListError> {
+    pub fn feed(&mut self, piece: &[u8], mut deliver: impl FnMut(List)) -> Result<(), ListError> {
         for byte in piece {
             if let Some(list) = self.push(*byte)? {
                 deliver(list);
@@ -130,7 +130,9 @@
     fn push(&mut self, byte: u8) -> Result<Option<List>, ListError> {
         match self.position {
             Position::Outline => self.push_to_outline(byte),
-            Position::Members(expected) => self.push_between_entries(byte, expected).map(|()| None),
+            Position::BetweenEntries(expected) => {
+                self.push_between_entries(byte, expected).map(|()| None)
+            }
             Position::Entry => self.push_to_entry(byte).map(|()| None),
         }
     }
@@ -151,7 +153,7 @@
         if begins_members {
             // The last value of a repeated key is used.
             self.received.clear();
-            self.position = Position::Members(Expected::EntryOrEnd);
+            self.position = Position::BetweenEntries(Expected::EntryOrEnd);
         }
         // Any text other than an object is rejected, a number or literal already at its first byte.
         if self.outline.is_complete() { self.end_of_list().map(Some) } else { Ok(None) }
@@ -190,7 +192,7 @@
         match byte {
             byte if byte.is_ascii_whitespace() => {}
             b',' if expected == Expected::CommaOrEnd => {
-                self.position = Position::Members(Expected::Entry);
+                self.position = Position::BetweenEntries(Expected::Entry);
             }
             b']' if expected != Expected::Entry => {
                 self.outline.push(byte);
@@ -232,7 +234,7 @@
     fn end_of_entry(&mut self) -> Result<(), ListError> {
         let entry = Entry::from_json(self.entry.bytes(), &mut self.received.names)?;
         self.entry.clear();
-        self.position = Position::Members(Expected::CommaOrEnd);
+        self.position = Position::BetweenEntries(Expected::CommaOrEnd);
         match entry {
             Some(entry) => self.received.push(entry),
             None => Ok(()),
--- a/crates/gateway/src/list_reader/tests.rs
+++ b/crates/gateway/src/list_reader/tests.rs
@@ -6,7 +6,7 @@
 fn read<'a>(pieces: impl IntoIterator<Item = &'a [u8]>) -> Result<Vec<List>, ListError> {
     let (mut reader, mut read) = (ListReader::default(), Vec::new());
     for piece in pieces {
-        reader.take(piece, |list| read.push(list))?;
+        reader.feed(piece, |list| read.push(list))?;
     }
     Ok(read)
 }
@@ -206,7 +206,7 @@
         ["{\"a\": \"", "{\"members\": [\"", "{\"members\": [{\"id\": \"", "{\"members\": [7"];
     for begin in begun {
         let (mut reader, mut bytes) = (ListReader::default(), 0);
-        let mut take = |piece: &[u8]| reader.take(piece, |_| panic!("a list"));
+        let mut take = |piece: &[u8]| reader.feed(piece, |_| panic!("a list"));
         take(begin.as_bytes()).expect("it begins");
         let piece = [b'1'; 1 << 10];
         while take(&piece).is_ok() {
@@ -219,9 +219,9 @@
     // White space and heartbeats use no memory.
     for begin in ["", "{", "{\"members\": [", "{\"members\": [{"] {
         let mut reader = ListReader::default();
-        reader.take(begin.as_bytes(), |_| panic!("a list")).expect("it begins");
+        reader.feed(begin.as_bytes(), |_| panic!("a list")).expect("it begins");
         for _ in 0..100 {
-            reader.take(&[b' '; 1 << 16], |_| panic!("a list")).expect("heartbeats");
+            reader.feed(&[b' '; 1 << 16], |_| panic!("a list")).expect("heartbeats");
         }
         assert!(reader.outline.len() + reader.entry.len() <= begin.len() + 2);
     }
--- a/crates/gateway/src/list_reader/text.rs
+++ b/crates/gateway/src/list_reader/text.rs
@@ -16,9 +16,9 @@
     pub(super) fn push(&mut self, byte: u8) {
         if self.in_string {
             self.bytes.push(byte);
-            let ends = byte == b'"' && !self.escaped;
+            let is_end = byte == b'"' && !self.escaped;
             self.escaped = byte == b'\\' && !self.escaped;
-            self.in_string = !ends;
+            self.in_string = !is_end;
             return;
         }
         if byte.is_ascii_whitespace() {
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -58,11 +58,11 @@
     lists_received: u64,
 }
 
-/// Number of handles that one [`Part`] covers. The engine serves other tasks between two parts.
+/// Number of handles that one [`ListPart`] covers. The engine serves other tasks between two parts.
 const HANDLES_PER_PART: u32 = 512;
 
 /// A part of the current endpoint list.
-pub struct Part {
+pub struct ListPart {
     /// The entries of this part.
     pub members: Vec<Entry>,
     /// The handle at which the next part begins; `None` for the last part.
@@ -129,28 +129,28 @@
     /// Returns an upstream's current description for the decision module, if the upstream is known. An upstream missing from
     /// a complete list keeps the status from its last entry.
     pub fn member(&self, server: ServerId) -> Option<Member> {
-        let known = self.records.get(&server)?;
-        Some(self.overlay.apply(known.member(server), &self.place(known)))
+        let record = self.records.get(&server)?;
+        Some(self.overlay.apply(record.member(server), &self.place(record)))
     }
 
     /// Returns the part of the endpoint list that begins at handle `from`, without cordons.
-    pub fn part(&self, from: u32) -> Part {
+    pub fn list_part(&self, from: u32) -> ListPart {
         let end = from.saturating_add(HANDLES_PER_PART);
         let handles = (from..end.min(self.next_handle)).map(ServerId);
         let members = handles
             .filter(|id| !self.gone.contains(id))
             .filter_map(|id| self.records.get(&id))
-            .map(|known| self.entry(known))
+            .map(|record| self.entry(record))
             .collect();
         let next = (end < self.next_handle).then_some(end);
-        Part { members, next, revision: self.newest_revision, lists: self.lists_received }
+        ListPart { members, next, revision: self.newest_revision, lists: self.lists_received }
     }
 
-    fn entry(&self, known: &UpstreamRecord) -> Entry {
-        let listed = &known.listing;
+    fn entry(&self, record: &UpstreamRecord) -> Entry {
+        let listed = &record.listing;
         Entry {
-            id: known.name.clone(),
-            address: Some(known.target.address.get()),
+            id: record.name.clone(),
+            address: Some(record.target.address.get()),
             zone: self.zones.name(listed.zone).clone(),
             machine_type: self.machine_types.name(listed.machine_type).clone(),
             cell: listed.cell,
@@ -197,12 +197,12 @@
     ///
     /// Sends to an upstream that the policy excludes end at once, even for an attempt that waits for its connection.
     pub fn apply_policy(&mut self, snapshot: PolicySnapshot, now: Instant) -> Vec<Member> {
-        let is_restricted = snapshot.stops.old && self.is_any_in_fallback(&snapshot);
+        let is_restricted = snapshot.stops.is_list_stale && self.is_any_in_fallback(&snapshot);
         let policy = Policy { snapshot: Some(snapshot), is_restricted };
         let before = std::mem::replace(&mut self.overlay.policy, policy);
         let mut members = Vec::new();
-        for (id, known) in self.records.iter().filter(|(id, _)| !self.gone.contains(id)) {
-            let (listed, place) = (known.member(*id), self.place(known));
+        for (id, record) in self.records.iter().filter(|(id, _)| !self.gone.contains(id)) {
+            let (listed, place) = (record.member(*id), self.place(record));
             let member = self.overlay.apply(listed, &place);
             if member != self.overlay.apply_under(&before, listed, &place) {
                 members.push(member);
@@ -215,38 +215,38 @@
     }
 
     fn is_any_in_fallback(&self, snapshot: &PolicySnapshot) -> bool {
-        let known = self.records.iter().filter(|(id, _)| !self.gone.contains(id));
-        known.into_iter().any(|(_, known)| snapshot.rules.floor().allows(&self.place(known)))
+        let record = self.records.iter().filter(|(id, _)| !self.gone.contains(id));
+        record.into_iter().any(|(_, record)| snapshot.rules.floor().allows(&self.place(record)))
     }
 
     /// Ends sends to an upstream at `until`, unless the upstream is live.
     fn open_until(&mut self, member: Member, until: Instant) {
-        let Some(known) = self.records.get(&member.id) else { return };
+        let Some(record) = self.records.get(&member.id) else { return };
         match member.status {
-            Status::Live => self.open_targets.open(&known.target),
-            _ => self.open_targets.close_by(&known.target, until),
+            Status::Live => self.open_targets.open(&record.target),
+            _ => self.open_targets.close_by(&record.target, until),
         }
     }
 
     /// Returns the combination of an upstream and a class, for later checks against a policy.
     pub fn route(&self, server: ServerId, class: usize) -> Option<Route> {
-        let known = self.records.get(&server)?;
+        let record = self.records.get(&server)?;
         Some(Route {
-            name: known.name.clone(),
-            cell: known.listing.cell,
-            machine_type: self.machine_types.name(known.listing.machine_type).clone(),
-            zone: self.zones.name(known.listing.zone).clone(),
+            name: record.name.clone(),
+            cell: record.listing.cell,
+            machine_type: self.machine_types.name(record.listing.machine_type).clone(),
+            zone: self.zones.name(record.listing.zone).clone(),
             class: self.overlay.classes.get(class)?.clone(),
         })
     }
 
     /// Returns an upstream's description for routing policies.
-    fn place<'a>(&'a self, known: &'a UpstreamRecord) -> RulesPlace<'a> {
+    fn place<'a>(&'a self, record: &'a UpstreamRecord) -> RulesPlace<'a> {
         RulesPlace {
-            name: &known.name,
-            cell: known.listing.cell,
-            machine_type: self.machine_types.name(known.listing.machine_type),
-            zone: self.zones.name(known.listing.zone),
+            name: &record.name,
+            cell: record.listing.cell,
+            machine_type: self.machine_types.name(record.listing.machine_type),
+            zone: self.zones.name(record.listing.zone),
         }
     }
 }
--- a/crates/gateway/src/membership/list_update.rs
+++ b/crates/gateway/src/membership/list_update.rs
@@ -11,7 +11,7 @@
 use super::{ListChanges, Membership};
 use crate::attempt::UpstreamTarget;
 use crate::members::{Entry, List, Phase};
-use crate::start_times::{Delivery, ListedStart, Reading};
+use crate::start_times::{Delivery, ListCorrection, ListedStart};
 
 impl Membership {
     /// Applies a list.
@@ -42,11 +42,11 @@
             self.departed.raise_floor(list.revision);
         }
         let closed_from = delivery.at + self.grace;
-        let reading = self.start_times.reading(delivery, &list.members);
+        let correction = self.start_times.correction(delivery, &list.members);
         let members = Vec::with_capacity(list.members.len());
         let mut changes = ListChanges { kind, members, moved: Vec::new() };
         for entry in &list.members {
-            self.apply_entry(entry, list.revision, closed_from, &reading, &mut changes);
+            self.apply_entry(entry, list.revision, closed_from, &correction, &mut changes);
         }
         if !kind.is_part() {
             self.remove_unnamed(closed_from);
@@ -60,27 +60,28 @@
         entry: &Entry,
         revision: u64,
         closed_from: Instant,
-        reading: &Reading,
+        correction: &ListCorrection,
         changes: &mut ListChanges,
     ) {
-        let known = self.handles.get(&entry.id).and_then(|id| self.records.get(id));
-        if known.is_some_and(|record| revision < record.revision) {
+        let record = self.handles.get(&entry.id).and_then(|id| self.records.get(id));
+        if record.is_some_and(|record| revision < record.revision) {
             return;
         }
         let is_deleted = entry.phase == Phase::Deleted;
-        if known.is_none() && (is_deleted || self.departed.was_removed_after(&entry.id, revision)) {
+        if record.is_none() && (is_deleted || self.departed.was_removed_after(&entry.id, revision))
+        {
             if is_deleted {
                 self.departed.remember(&entry.id, revision);
             }
             return;
         }
         // An entry without a valid address keeps the last address, so that the notice of a drain is not lost.
-        let last_address = known.map(|record| record.target.address.get());
+        let last_address = record.map(|record| record.target.address.get());
         let Some(address) = entry.address.or(last_address) else {
             tracing::warn!(upstream = &*entry.id, "entry without valid address ignored");
             return;
         };
-        let listed = self.listing(entry, known.map(|known| &**known), reading);
+        let listed = self.listing(entry, record.map(|record| &**record), correction);
         let id = self.handle_of(entry, address, listed);
         if is_deleted {
             self.departed.remember(&entry.id, revision);
@@ -88,13 +89,13 @@
         } else {
             self.gone.remove(&id);
         }
-        let Some(known) = self.records.get_mut(&id) else { return };
-        if known.target.address.replace(address) != address {
+        let Some(record) = self.records.get_mut(&id) else { return };
+        if record.target.address.replace(address) != address {
             changes.moved.push(id);
         }
-        known.last_named_by = self.lists_received;
-        known.revision = revision;
-        known.listing = listed;
+        record.last_named_by = self.lists_received;
+        record.revision = revision;
+        record.listing = listed;
         if let Some(member) = self.member(id) {
             self.open_or_close(&member, closed_from);
             changes.members.push(member);
@@ -103,34 +104,34 @@
 
     /// Opens the target of a live upstream, and closes the target of any other upstream at `closed_from`.
     fn open_or_close(&mut self, member: &Member, closed_from: Instant) {
-        let Some(known) = self.records.get(&member.id) else { return };
+        let Some(record) = self.records.get(&member.id) else { return };
         match member.status {
-            Status::Live => self.open_targets.open(&known.target),
-            Status::Draining | Status::Gone => self.open_targets.close(&known.target, closed_from),
+            Status::Live => self.open_targets.open(&record.target),
+            Status::Draining | Status::Gone => self.open_targets.close(&record.target, closed_from),
         }
     }
 
     /// Removes the upstreams that the last list, which is complete, did not name.
     fn remove_unnamed(&mut self, closed_from: Instant) {
-        for (id, known) in &self.records {
-            if known.last_named_by != self.lists_received {
+        for (id, record) in &self.records {
+            if record.last_named_by != self.lists_received {
                 self.gone.insert(*id);
-                self.open_targets.close(&known.target, closed_from);
+                self.open_targets.close(&record.target, closed_from);
             }
         }
     }
 
     /// Forgets departed upstreams that no attempt uses any more. Returns them, so that their idle connections can be closed.
     pub fn forget_departed(&mut self) -> Vec<ServerId> {
-        let is_unused = |known: &UpstreamRecord| Rc::strong_count(&known.target) == 1;
-        let unused = |id: &&ServerId| self.records.get(id).is_none_or(|known| is_unused(known));
+        let is_unused = |record: &UpstreamRecord| Rc::strong_count(&record.target) == 1;
+        let unused = |id: &&ServerId| self.records.get(id).is_none_or(|record| is_unused(record));
         let dropped: Vec<ServerId> = self.gone.iter().filter(unused).copied().collect();
         for id in &dropped {
             self.gone.remove(id);
-            if let Some(known) = self.records.remove(id) {
-                self.handles.remove(&known.name);
-                if let Some((start, _)) = known.listing.started {
-                    self.start_times.departed(&known.name, start);
+            if let Some(record) = self.records.remove(id) {
+                self.handles.remove(&record.name);
+                if let Some((start, _)) = record.listing.started {
+                    self.start_times.departed(&record.name, start);
                 }
             }
         }
@@ -149,15 +150,21 @@
         let target = UpstreamTarget { address: Cell::new(address), closed_from: Cell::new(None) };
         let target = Rc::new(target);
         self.open_targets.admit();
-        let known = UpstreamRecord { name, target, listing: listed, revision: 0, last_named_by: 0 };
-        self.records.insert(id, Box::new(known));
+        let record =
+            UpstreamRecord { name, target, listing: listed, revision: 0, last_named_by: 0 };
+        self.records.insert(id, Box::new(record));
         id
     }
 
     /// Converts an entry into a listing, with the corrected start time.
-    fn listing(&self, entry: &Entry, known: Option<&UpstreamRecord>, reading: &Reading) -> Listing {
-        let before = known.and_then(|known| known.listing.started);
-        let corrected = |start| self.start_times.corrected(reading, &entry.id, start, before);
+    fn listing(
+        &self,
+        entry: &Entry,
+        record: Option<&UpstreamRecord>,
+        correction: &ListCorrection,
+    ) -> Listing {
+        let before = record.and_then(|record| record.listing.started);
+        let corrected = |start| self.start_times.corrected(correction, &entry.id, start, before);
         Listing {
             weight: entry.size,
             started: ListedStart::of(entry).map(|start| (start, corrected(start))),
--- a/crates/gateway/src/restored_list/tests.rs
+++ b/crates/gateway/src/restored_list/tests.rs
@@ -19,10 +19,14 @@
 
 #[test]
 fn newer_of_two_lists_applies_and_of_equal_ones_the_configurations() {
-    let known = list(5, &[("a", "SERVING")]);
+    let initial_list = list(5, &[("a", "SERVING")]);
     for (revision, applies) in [(4, false), (5, false), (6, true)] {
         let stored = list(revision, &[("a", "DRAINING")]);
-        assert_eq!(restored_list(&stored, &known, MINUTE, NOW).is_some(), applies, "{revision}");
+        assert_eq!(
+            restored_list(&stored, &initial_list, MINUTE, NOW).is_some(),
+            applies,
+            "{revision}"
+        );
     }
     let stored = list(0, &[("a", "SERVING")]);
     assert!(
@@ -33,19 +37,19 @@
 
 #[test]
 fn recent_list_applies_complete_under_the_version_of_the_configurations() {
-    let (stored, known) =
+    let (stored, initial_list) =
         (list(9, &[("a", "DRAINING"), ("b", "SERVING")]), list(5, &[("c", "SERVING")]));
-    let recent = restored_list(&stored, &known, 10 * MINUTE, NOW).expect("it applies");
-    assert!(recent.whole && recent.list.revision == 5, "{recent:?}");
+    let recent = restored_list(&stored, &initial_list, 10 * MINUTE, NOW).expect("it applies");
+    assert!(recent.is_complete && recent.list.revision == 5, "{recent:?}");
     assert_eq!(since(&recent), [7.0, 7.0]);
 }
 
 #[test]
 fn old_list_takes_upstreams_out_and_warms_newcomers_up() {
     let stored = list(9, &[("a", "DRAINING"), ("b", "SERVING"), ("c", "SERVING")]);
-    let known = list(5, &[("a", "SERVING"), ("c", "SERVING"), ("d", "SERVING")]);
-    let old = restored_list(&stored, &known, 11 * MINUTE, NOW).expect("it applies");
-    assert!(!old.whole);
+    let initial_list = list(5, &[("a", "SERVING"), ("c", "SERVING"), ("d", "SERVING")]);
+    let old = restored_list(&stored, &initial_list, 11 * MINUTE, NOW).expect("it applies");
+    assert!(!old.is_complete);
     assert_eq!(since(&old), [7.0, 1e9, 7.0], "only `b` is marked as just started");
-    assert!(restored_list(&stored, &known, 31 * 24 * 60 * MINUTE, NOW).is_none());
+    assert!(restored_list(&stored, &initial_list, 31 * 24 * 60 * MINUTE, NOW).is_none());
 }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -16,7 +16,7 @@
 
 use crate::admin::{Admin, ManagedBalancer, OperatorAccess};
 use crate::clients::ClientServer;
-use crate::cluster::admin_api::{AdminRequest, AdminResponse, facts};
+use crate::cluster::admin_api::{AdminRequest, AdminResponse, fleet_facts};
 use crate::cluster::{AdminCall, ClusterEvent, ClusterHandle, PolicyReader};
 use crate::config::{Budget, Config};
 use crate::engine::{AdminHandle, Engine, EngineError, EngineHandle};
@@ -27,7 +27,7 @@
 
 /// Optional resources of a balancer beside its sockets. A balancer can serve without any of them.
 #[derive(Default)]
-pub struct Provided {
+pub struct Resources {
     /// Resources of the admin API.
     pub operator_access: OperatorAccess,
     /// State of the previous process, and the saver for the state of this process.
@@ -50,7 +50,7 @@
 /// The parts of the balancer that carry out operator commands.
 struct Balancer {
     engine: AdminHandle,
-    front: Rc<ClientServer>,
+    client_server: Rc<ClientServer>,
     state_store: Option<Rc<StateStore>>,
     cluster: Option<AdminClient>,
 }
@@ -88,12 +88,12 @@
         self.engine.cordon(names)
     }
     fn quiesce(&self, quiesced: bool) {
-        self.front.quiesce(quiesced);
+        self.client_server.quiesce(quiesced);
     }
     fn learned(&self) -> impl Future<Output = Option<Learned>> {
         self.engine.learned()
     }
-    fn recall(&self, learned: Learned) {
+    fn restore_learned(&self, learned: Learned) {
         self.engine.recall(learned);
     }
     fn start_status(&self) -> serde_json::Value {
@@ -117,9 +117,13 @@
     fn is_clustered(&self) -> bool {
         self.cluster.is_some()
     }
-    async fn ask_cluster(&self, request: AdminRequest, deadline: Instant) -> Option<AdminResponse> {
+    async fn request_from_cluster(
+        &self,
+        request: AdminRequest,
+        deadline: Instant,
+    ) -> Option<AdminResponse> {
         let cluster = self.cluster.as_ref()?;
-        let facts = facts(&self.list_entries().await?, &cluster.classes);
+        let facts = fleet_facts(&self.list_entries().await?, &cluster.classes);
         let (reply, answer) = oneshot::channel();
         cluster.calls.send(AdminCall { request, facts, deadline, reply }).ok()?;
         answer.await.ok()
@@ -136,18 +140,18 @@
     mut config: Config,
     network: Rc<dyn Network>,
     listener: Box<dyn Listener>,
-    provided: Provided,
+    resources: Resources,
     reloads: mpsc::UnboundedReceiver<Config>,
     stop: impl Future<Output = ()>,
 ) -> Result<(), ServeError> {
-    let Provided { operator_access, stored_state, cluster } = provided;
+    let Resources { operator_access, stored_state, cluster } = resources;
     let budget = config.budget();
     let pool = Pool::new(budget.upstreams, &config, network.clone());
     let (restored, restored_list) = match stored_state {
         Some(stored) => {
             let meaning = config.facts.meaning();
             let (restored, list) =
-                Restored::read(stored, network.unix_now(), &config.known, meaning);
+                Restored::read(stored, network.unix_now(), &config.initial_list, meaning);
             (Some(restored), list)
         }
         None => (None, None),
@@ -161,16 +165,17 @@
     };
     let (engine, handle) = Engine::new(&config, restored_list, pool, network, reader)?;
     // Frees the list, of which the engine has its own records. The rest of the configuration is needed while serving.
-    config.known = List::default();
+    config.initial_list = List::default();
     let mut engine = AbortOnDrop(tokio::task::spawn_local(engine.run()));
     let _events = events.map(|events| forward_events(events, &handle));
     let _reloads = forward_reloads(reloads, &handle);
-    let parts = Parts { config, budget, handle, operator_access, restored, admin_client };
-    parts.serve(&mut engine, listener, stop).await
+    let serving_parts =
+        ServingParts { config, budget, handle, operator_access, restored, admin_client };
+    serving_parts.serve(&mut engine, listener, stop).await
 }
 
 /// The parts of the balancer that are needed to serve once the engine runs.
-struct Parts {
+struct ServingParts {
     config: Config,
     budget: Budget,
     handle: EngineHandle,
@@ -179,7 +184,7 @@
     admin_client: Option<AdminClient>,
 }
 
-impl Parts {
+impl ServingParts {
     /// Serves clients and operators until `stop` or the engine's end, then saves the state for the last time.
     async fn serve(
         self,
@@ -194,10 +199,10 @@
             restored.map(|restored| StateStore::start(restored, handle.admin_handle()));
         let _saves =
             state_store.clone().map(|store| AbortOnDrop(tokio::task::spawn_local(store.run())));
-        let front = Rc::new(ClientServer::new(&config, handle, &budget));
+        let client_server = Rc::new(ClientServer::new(&config, handle, &budget));
         let balancer = Balancer {
             engine: engine_admin,
-            front: front.clone(),
+            client_server: client_server.clone(),
             state_store: state_store.clone(),
             cluster: admin_client,
         };
@@ -206,7 +211,8 @@
         let _admin_server = operator_access
             .listener
             .map(|listener| AbortOnDrop(tokio::task::spawn_local(admin.clone().serve(listener))));
-        let serve = front.serve(listener, admin.wait_to_open(), stop, || admin.is_succeeded());
+        let serve =
+            client_server.serve(listener, admin.wait_to_open(), stop, || admin.is_succeeded());
         let served = tokio::select! {
             biased;
             () = serve => Ok(()),
--- a/crates/gateway/src/start_times.rs
+++ b/crates/gateway/src/start_times.rs
@@ -81,7 +81,7 @@
 
 /// The rules for correcting the start times of one list.
 #[derive(Clone, Copy, Debug)]
-pub struct Reading {
+pub struct ListCorrection {
     now: i64,
     /// Upstreams that are new on the list or have another start time than before started after this time.
     started_since: Option<i64>,
@@ -104,7 +104,7 @@
     }
 
     /// Returns the rules for correcting the start times on this list.
-    pub fn reading(&self, delivery: Delivery, entries: &[Entry]) -> Reading {
+    pub fn correction(&self, delivery: Delivery, entries: &[Entry]) -> ListCorrection {
         let now = self.unix(delivery.now);
         let starts = || entries.iter().filter_map(ListedStart::of).map(|start| start.0.get());
         let newest = starts().max().unwrap_or(now);
@@ -114,7 +114,7 @@
             // If most upstreams started at the same time, the list does not show that the clock is wrong, and the upstreams
             // must not all be in slow start.
             && 2 * starts().filter(|start| *start >= newest - warm_up).count() <= entries.len();
-        Reading {
+        ListCorrection {
             now,
             started_since: delivery.complete_until.map(|at| self.unix(at)),
             unchecked_from: is_unchecked.then_some(newest - warm_up),
@@ -126,7 +126,7 @@
     /// start time of the upstream and its correction.
     pub fn corrected(
         &self,
-        reading: &Reading,
+        correction: &ListCorrection,
         name: &str,
         listed: ListedStart,
         known: Option<(ListedStart, CorrectedStart)>,
@@ -138,15 +138,15 @@
         }
         let start = listed.0.get();
         let returns = self.departed.get(name).is_some_and(|before| before.is_same_start(listed));
-        let since = reading.started_since.filter(|_| !returns);
+        let since = correction.started_since.filter(|_| !returns);
         let is_too_old = since.is_some_and(|at| start < at - MAX_LISTING_DELAY.as_micros() as i64);
-        let is_unchecked = reading.unchecked_from.is_some_and(|from| start >= from);
+        let is_unchecked = correction.unchecked_from.is_some_and(|from| start >= from);
         let corrected = if is_too_old {
-            reading.now
+            correction.now
         } else if is_unchecked {
-            reading.now - (reading.newest - start)
+            correction.now - (correction.newest - start)
         } else {
-            start.min(reading.now)
+            start.min(correction.now)
         };
         CorrectedStart::new(corrected).unwrap_or(listed.0)
     }
--- a/crates/gateway/src/start_times/tests.rs
+++ b/crates/gateway/src/start_times/tests.rs
@@ -8,13 +8,13 @@
 const HOUR: i64 = 3600;
 /// Unix time at the start of the process by a correct clock, in seconds.
 const START: i64 = 1_800_000_000;
-const COLD: Duration = Duration::from_secs(20);
+const WARM_UP: Duration = Duration::from_secs(20);
 
 /// Returns the state of a process whose clock is `seconds_ahead` of the correct time.
 fn clock(seconds_ahead: i64) -> (StartTimes, Instant) {
     let origin = Instant::now();
     let unix = Duration::from_secs((START + seconds_ahead) as u64);
-    (StartTimes::new(origin, unix, COLD), origin)
+    (StartTimes::new(origin, unix, WARM_UP), origin)
 }
 
 /// Returns entries with start times `ages` seconds before `START`.
@@ -31,10 +31,10 @@
 
 /// Returns the corrected ages of these entries in seconds, with no earlier listing of any entry.
 fn ages(times: &StartTimes, delivery: Delivery, entries: &[Entry]) -> Vec<Option<i64>> {
-    let reading = times.reading(delivery, entries);
+    let correction = times.correction(delivery, entries);
     let age = |entry: &Entry| {
-        let believed = times.corrected(&reading, &entry.id, ListedStart::of(entry)?, None);
-        Some((reading.now - believed.get()) / 1_000_000)
+        let corrected = times.corrected(&correction, &entry.id, ListedStart::of(entry)?, None);
+        Some((correction.now - corrected.get()) / 1_000_000)
     };
     entries.iter().map(age).collect()
 }
@@ -88,12 +88,12 @@
     let (times, origin) = clock(HOUR);
     let listed = ListedStart::of(&entries(&[1])[0]).expect("a start");
     let nearly = std::num::NonZeroI64::new(listed.0.get() - 900_000).map(ListedStart);
-    let believed = CorrectedStart::new(START * 1_000_000).expect("not 0");
+    let corrected = CorrectedStart::new(START * 1_000_000).expect("not 0");
     let delivery = Delivery { complete_until: Some(origin), ..origin.into() };
-    let reading = times.reading(delivery, &[]);
+    let correction = times.correction(delivery, &[]);
     for again in [Some(listed), nearly].into_iter().flatten() {
-        let known = Some((listed, believed));
-        assert_eq!(times.corrected(&reading, "s-0", again, known), believed);
+        let known = Some((listed, corrected));
+        assert_eq!(times.corrected(&correction, "s-0", again, known), corrected);
     }
 }
 
--- a/crates/gateway/src/state_store/restored.rs
+++ b/crates/gateway/src/state_store/restored.rs
@@ -23,12 +23,12 @@
 
 impl Restored {
     /// Reads the stored state at `now` (Unix time), and records this start. `meaning` is the
-    /// [meaning](hollowpaddle_policy::settings::Facts::meaning) of the current settings, and `known` the configuration's
-    /// list. Also returns the usable part of the stored endpoint list.
+    /// [meaning](hollowpaddle_policy::settings::Facts::meaning) of the current settings, and `initial_list` the
+    /// configuration's list. Also returns the usable part of the stored endpoint list.
     pub fn read(
         stored: StoredState,
         now: Duration,
-        known: &List,
+        initial_list: &List,
         meaning: u64,
     ) -> (Self, Option<RestoredList>) {
         let StoredState { saver, found } = stored;
@@ -53,7 +53,7 @@
         }
         let list_age = payload.list_age(now);
         let stored_list = payload.list.as_ref();
-        let list = stored_list.and_then(|list| restored_list(list, known, list_age, now));
+        let list = stored_list.and_then(|list| restored_list(list, initial_list, list_age, now));
         let list_age_s = list.is_some().then_some(list_age.as_secs_f64());
         if list.is_none() {
             payload.list = None;
--- a/crates/gateway/src/state_store/tests.rs
+++ b/crates/gateway/src/state_store/tests.rs
@@ -23,31 +23,40 @@
     }
 }
 
-/// Restores, under settings with the meaning `now`, a state that was saved one second ago under settings with the meaning
-/// `then`.
-fn start(then: Option<u64>, now: u64) -> (Restored, Option<RestoredList>) {
-    start_on(then, now, NOW - Duration::from_secs(1))
+/// Restores, under settings with the meaning `current_meaning`, a state that was saved one second ago under settings with
+/// the meaning `saved_meaning`.
+fn start(saved_meaning: Option<u64>, current_meaning: u64) -> (Restored, Option<RestoredList>) {
+    start_on(saved_meaning, current_meaning, NOW - Duration::from_secs(1))
 }
 
-/// Restores, under settings with the meaning `now`, a state that was saved under settings with the meaning `then` at the
-/// time `saved` by the clock of the previous process.
-fn start_on(then: Option<u64>, now: u64, saved: Duration) -> (Restored, Option<RestoredList>) {
+/// Restores, under settings with the meaning `current_meaning`, a state that was saved under settings with the meaning
+/// `saved_meaning` at the time `saved_at` by the clock of the previous process.
+fn start_on(
+    saved_meaning: Option<u64>,
+    current_meaning: u64,
+    saved_at: Duration,
+) -> (Restored, Option<RestoredList>) {
     let settings = Settings::basic(vec![Class::safe(SignedDuration(1000), SignedDuration(2000))]);
     let learned = Balancer::new(settings, 1, Time(0)).expect("settings").learned();
-    let at = saved.as_millis() as u64;
+    let at = saved_at.as_millis() as u64;
     let entry = json!({"id": "s-0", "host_port": "10.0.0.1:80", "phase": "DRAINING"});
     let mut state = json!({
         "learned": learned, "learned_ms": at, "list_ms": at,
         "list": {"revision": 900, "complete": true, "members": [entry]},
         "said": {"cordoned": ["s-7"]},
     });
-    if let Some(then) = then {
-        state["meaning"] = then.into();
+    if let Some(saved_meaning) = saved_meaning {
+        state["meaning"] = saved_meaning.into();
     }
     let payload = state.to_string().into_bytes();
     let snapshot = Some(Snapshot { generation: 1, age: Duration::from_secs(1), payload });
     let found = Found { snapshot, aside: Vec::new() };
-    Restored::read(StoredState { saver: Box::new(NoSaver), found }, NOW, &List::default(), now)
+    Restored::read(
+        StoredState { saver: Box::new(NoSaver), found },
+        NOW,
+        &List::default(),
+        current_meaning,
+    )
 }
 
 #[test]
@@ -55,10 +64,10 @@
     let (same, list) = start(Some(u64::MAX), u64::MAX);
     assert!(same.payload.learned.is_some() && same.payload.list.is_some() && list.is_some());
     // An older build did not save the meaning of its settings.
-    for then in [Some(7), None] {
-        let (other, list) = start(then, 8);
-        assert!(other.payload.learned.is_none() && list.is_none(), "{then:?}");
-        assert!(other.payload.list.is_none() && other.list_age_s.is_none(), "{then:?}");
+    for saved_meaning in [Some(7), None] {
+        let (other, list) = start(saved_meaning, 8);
+        assert!(other.payload.learned.is_none() && list.is_none(), "{saved_meaning:?}");
+        assert!(other.payload.list.is_none() && other.list_age_s.is_none(), "{saved_meaning:?}");
         assert!(
             other.payload.operator_copy.is_some(),
             "operator commands apply under any settings"
@@ -73,12 +82,12 @@
     let (start, list) = start_on(Some(1), 1, NOW + Duration::from_secs(3600));
     assert!(start.payload.learned.is_none(), "the estimates may be outdated");
     assert!(
-        list.is_some_and(|list| !list.whole),
+        list.is_some_and(|list| !list.is_complete),
         "the list drains upstreams, but removes none that it does not name"
     );
     let (start, list) = start_on(Some(1), 1, NOW + Duration::from_millis(500));
     assert!(
-        start.payload.learned.is_some() && list.is_some_and(|list| list.whole),
+        start.payload.learned.is_some() && list.is_some_and(|list| list.is_complete),
         "a small clock difference is tolerated"
     );
 }
--- a/crates/gateway/src/subsetting.rs
+++ b/crates/gateway/src/subsetting.rs
@@ -13,7 +13,7 @@
 /// The listed upstreams, and the subset of them that the decision module knows.
 pub struct Subsetting {
     subset: Subset,
-    fleet: FxHashMap<ServerId, Position>,
+    upstreams: FxHashMap<ServerId, Placement>,
     /// Number of live upstreams of each cell.
     live: BTreeMap<Cell, usize>,
     /// The upstreams that the decision module knows.
@@ -23,7 +23,7 @@
 
 /// The properties of an upstream that the subset depends on.
 #[derive(Clone, Copy, PartialEq)]
-struct Position {
+struct Placement {
     cell: Cell,
     is_live: bool,
 }
@@ -42,7 +42,7 @@
         let subset = Subset::new(size, cluster)?;
         Ok(Self {
             subset,
-            fleet: FxHashMap::default(),
+            upstreams: FxHashMap::default(),
             live: BTreeMap::new(),
             published: FxHashSet::default(),
             balancers,
@@ -50,8 +50,8 @@
     }
 
     /// Returns the average number of balancers that share each upstream that the decision module knows.
-    pub fn sharers(&self) -> f64 {
-        let share = self.published.len() as f64 / self.fleet.len().max(1) as f64;
+    pub fn balancers_per_upstream(&self) -> f64 {
+        let share = self.published.len() as f64 / self.upstreams.len().max(1) as f64;
         f64::from(self.balancers) * share.min(1.0)
     }
 
@@ -71,7 +71,7 @@
         let mut is_changed = false;
         if !kind.is_part() {
             is_changed = true;
-            self.fleet.clear();
+            self.upstreams.clear();
             self.live.clear();
         }
         for member in members {
@@ -132,13 +132,13 @@
 
     /// Updates the state of a member. Returns whether the inputs of the subset have changed.
     fn update_member(&mut self, member: &Member) -> bool {
-        let position = Position { cell: cell(member), is_live: member.status == Status::Live };
+        let placement = Placement { cell: cell(member), is_live: member.status == Status::Live };
         let before = match member.status {
-            Status::Gone => self.fleet.remove(&member.id),
-            Status::Live | Status::Draining => self.fleet.insert(member.id, position),
+            Status::Gone => self.upstreams.remove(&member.id),
+            Status::Live | Status::Draining => self.upstreams.insert(member.id, placement),
         };
         let before = before.filter(|p| p.is_live).map(|p| p.cell);
-        let after = position.is_live.then_some(position.cell);
+        let after = placement.is_live.then_some(placement.cell);
         if before == after {
             return false;
         }
@@ -166,9 +166,9 @@
     /// Returns the members that have joined the subset, and the members that have left it with the status `Gone`.
     fn subset_changes(&self, last_listed: impl Fn(ServerId) -> Option<Member>) -> Vec<Member> {
         let mut changes = Vec::new();
-        for (id, position) in &self.fleet {
+        for (id, placement) in &self.upstreams {
             let is_published = self.published.contains(id);
-            if self.subset.contains(position.cell) == is_published {
+            if self.subset.contains(placement.cell) == is_published {
                 continue;
             }
             let member = match last_listed(*id) {
--- a/crates/gateway/src/subsetting/tests.rs
+++ b/crates/gateway/src/subsetting/tests.rs
@@ -16,75 +16,79 @@
 }
 
 /// Applies changes to the upstreams that the decision module knows.
-fn apply(has: &mut FxHashMap<ServerId, Status>, kind: ListKind, told: &[Member]) {
+fn apply(known: &mut FxHashMap<ServerId, Status>, kind: ListKind, changes: &[Member]) {
     if kind != ListKind::Update {
-        has.clear();
+        known.clear();
     }
-    for m in told {
+    for m in changes {
         match m.status {
-            Status::Gone => assert!(has.remove(&m.id).is_some(), "removed an unknown upstream"),
-            status => drop(has.insert(m.id, status)),
+            Status::Gone => assert!(known.remove(&m.id).is_some(), "removed an unknown upstream"),
+            status => drop(known.insert(m.id, status)),
         }
     }
 }
 
 #[test]
 fn policy_knows_complete_cells_and_every_drain_among_them() {
-    let (mut of, mut has) = (subsetting(), FxHashMap::default());
+    let (mut subsetting, mut known) = (subsetting(), FxHashMap::default());
     let mut all = fleet(400);
     apply(
-        &mut has,
+        &mut known,
         ListKind::Complete,
-        &of.apply_list(Time(0), ListKind::Complete, &all, among(&all)),
+        &subsetting.apply_list(Time(0), ListKind::Complete, &all, among(&all)),
     );
-    assert_eq!(has.len(), 40);
-    assert_eq!(of.sharers(), 1.0, "ten balancers know a tenth of the upstreams each");
-    let cells: FxHashSet<u32> = has.keys().map(|id| id.0 / 8).collect();
+    assert_eq!(known.len(), 40);
+    assert_eq!(
+        subsetting.balancers_per_upstream(),
+        1.0,
+        "ten balancers know a tenth of the upstreams each"
+    );
+    let cells: FxHashSet<u32> = known.keys().map(|id| id.0 / 8).collect();
     assert_eq!(cells.len(), 5, "complete cells");
-    let outside = all.iter().find(|m| !has.contains_key(&m.id)).expect("most are").id.0 as usize;
-    let inside = has.keys().next().expect("some are").0 as usize;
+    let outside = all.iter().find(|m| !known.contains_key(&m.id)).expect("most are").id.0 as usize;
+    let inside = known.keys().next().expect("some are").0 as usize;
     for i in [outside, inside] {
         all[i].status = Status::Draining;
         apply(
-            &mut has,
+            &mut known,
             ListKind::Update,
-            &of.apply_list(Time(1), ListKind::Update, &all[i..i + 1], among(&all)),
+            &subsetting.apply_list(Time(1), ListKind::Update, &all[i..i + 1], among(&all)),
         );
     }
-    assert_eq!(has.get(&all[inside].id), Some(&Status::Draining));
-    assert!(!has.contains_key(&all[outside].id));
+    assert_eq!(known.get(&all[inside].id), Some(&Status::Draining));
+    assert!(!known.contains_key(&all[outside].id));
 }
 
 #[test]
 fn upstream_that_left_the_subset_is_removed_once_it_has_lingered() {
-    let (mut of, mut has) = (subsetting(), FxHashMap::default());
+    let (mut subsetting, mut known) = (subsetting(), FxHashMap::default());
     let all = fleet(400);
     apply(
-        &mut has,
+        &mut known,
         ListKind::Complete,
-        &of.apply_list(Time(0), ListKind::Complete, &all, among(&all)),
+        &subsetting.apply_list(Time(0), ListKind::Complete, &all, among(&all)),
     );
-    let before: Vec<ServerId> = has.keys().copied().collect();
+    let before: Vec<ServerId> = known.keys().copied().collect();
     // Three of the five cells are deleted, and other cells replace them at once.
-    let mut gone: Vec<Member> = all.iter().filter(|m| has.contains_key(&m.id)).copied().collect();
+    let mut gone: Vec<Member> = all.iter().filter(|m| known.contains_key(&m.id)).copied().collect();
     gone.truncate(24);
     gone.iter_mut().for_each(|m| m.status = Status::Gone);
     apply(
-        &mut has,
+        &mut known,
         ListKind::Update,
-        &of.apply_list(Time(1), ListKind::Update, &gone, among(&all)),
+        &subsetting.apply_list(Time(1), ListKind::Update, &gone, among(&all)),
     );
-    assert!(has.len() >= 36, "{} left", has.len());
+    assert!(known.len() >= 36, "{} left", known.len());
     // The deleted cells return, and their replacements linger.
     gone.iter_mut().for_each(|m| m.status = Status::Live);
     apply(
-        &mut has,
+        &mut known,
         ListKind::Update,
-        &of.apply_list(Time(2), ListKind::Update, &gone, among(&all)),
+        &subsetting.apply_list(Time(2), ListKind::Update, &gone, among(&all)),
     );
-    assert!(has.len() > 40);
-    apply(&mut has, ListKind::Update, &of.expire(Time(1500), among(&all)));
-    let mut after: Vec<ServerId> = has.keys().copied().collect();
+    assert!(known.len() > 40);
+    apply(&mut known, ListKind::Update, &subsetting.expire(Time(1500), among(&all)));
+    let mut after: Vec<ServerId> = known.keys().copied().collect();
     let mut before = before;
     before.sort_unstable();
     after.sort_unstable();
@@ -93,37 +97,37 @@
 
 #[test]
 fn no_upstream_is_named_twice_when_the_subset_changes_with_the_list() {
-    let (mut of, mut has) = (subsetting(), FxHashMap::default());
+    let (mut subsetting, mut known) = (subsetting(), FxHashMap::default());
     let all = fleet(80);
     apply(
-        &mut has,
+        &mut known,
         ListKind::Complete,
-        &of.apply_list(Time(0), ListKind::Complete, &all, among(&all)),
+        &subsetting.apply_list(Time(0), ListKind::Complete, &all, among(&all)),
     );
     // The number of upstreams grows tenfold, and the subset grows with it.
     let more: Vec<Member> = fleet(800).split_off(80);
-    let told = of.apply_list(Time(1), ListKind::Update, &more, among(&fleet(800)));
-    let named: FxHashSet<ServerId> = told.iter().map(|m| m.id).collect();
+    let changes = subsetting.apply_list(Time(1), ListKind::Update, &more, among(&fleet(800)));
+    let named: FxHashSet<ServerId> = changes.iter().map(|m| m.id).collect();
     assert!(named.len() > 8, "{} named", named.len());
-    assert_eq!(named.len(), told.len(), "an upstream is named twice");
-    apply(&mut has, ListKind::Update, &told);
+    assert_eq!(named.len(), changes.len(), "an upstream is named twice");
+    apply(&mut known, ListKind::Update, &changes);
     // The added upstreams are removed, including some that the decision module knows.
     let gone: Vec<Member> = more.iter().map(|m| Member { status: Status::Gone, ..*m }).collect();
-    let told = of.apply_list(Time(2), ListKind::Update, &gone, among(&fleet(800)));
-    let named: FxHashSet<ServerId> = told.iter().map(|m| m.id).collect();
-    assert_eq!(named.len(), told.len(), "an upstream is named twice");
-    apply(&mut has, ListKind::Update, &told);
-    assert!(has.keys().all(|id| id.0 < 80));
+    let changes = subsetting.apply_list(Time(2), ListKind::Update, &gone, among(&fleet(800)));
+    let named: FxHashSet<ServerId> = changes.iter().map(|m| m.id).collect();
+    assert_eq!(named.len(), changes.len(), "an upstream is named twice");
+    apply(&mut known, ListKind::Update, &changes);
+    assert!(known.keys().all(|id| id.0 < 80));
 }
 
 #[test]
 fn subset_that_is_silent_is_widened() {
-    let (mut of, mut has) = (subsetting(), FxHashMap::default());
+    let (mut subsetting, mut known) = (subsetting(), FxHashMap::default());
     apply(
-        &mut has,
+        &mut known,
         ListKind::Complete,
-        &of.apply_list(Time(0), ListKind::Complete, &fleet(400), among(&fleet(400))),
+        &subsetting.apply_list(Time(0), ListKind::Complete, &fleet(400), among(&fleet(400))),
     );
-    apply(&mut has, ListKind::Update, &of.set_health(Time(1), 40, 3, among(&fleet(400))));
-    assert_eq!(has.len(), 80);
+    apply(&mut known, ListKind::Update, &subsetting.set_health(Time(1), 40, 3, among(&fleet(400))));
+    assert_eq!(known.len(), 80);
 }
--- a/crates/gateway/src/update_queue.rs
+++ b/crates/gateway/src/update_queue.rs
@@ -99,11 +99,11 @@
         }
         if !kind.is_part() {
             let named: FxHashSet<ServerId> = members.iter().map(|m| m.id).collect();
-            let left_out =
+            let missing =
                 self.latest.iter().filter(|(id, known)| !named.contains(id) && !known.is_gone());
-            let mut left_out: Vec<ServerId> = left_out.map(|(id, _)| *id).collect();
-            left_out.sort_unstable();
-            for id in left_out {
+            let mut missing: Vec<ServerId> = missing.map(|(id, _)| *id).collect();
+            missing.sort_unstable();
+            for id in missing {
                 let member = last_listed(id).unwrap_or_else(|| Member::live(id));
                 self.queue_change(Member { status: Status::Gone, ..member });
             }
--- a/crates/gateway/tests/attempts/rig.rs
+++ b/crates/gateway/tests/attempts/rig.rs
@@ -11,7 +11,7 @@
 use std::task::{Context, Poll};
 use std::time::Duration;
 
-use hollowpaddle_gateway::{Config, Provided, serve};
+use hollowpaddle_gateway::{Config, Resources, serve};
 use hollowpaddle_net::{Datagrams, Listener, Network, Soon, Stream, accept};
 use hollowpaddle_simnet::Fabric;
 use serde_json::{Value, json};
@@ -247,7 +247,7 @@
             let (_reload, reloads) = mpsc::unbounded_channel();
             let stop = std::future::pending();
             let config = config.unwrap_or_else(|e| panic!("{e}"));
-            let provided = Provided::default();
+            let provided = Resources::default();
             spawn_local(serve(config, network, listener, provided, reloads, stop));
             let client = fabric.host(IpAddr::from([10, 0, 3, 1]));
             test(Rig { links, seen, list, client }).await;
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hollowpaddle_gateway::{Config, Provided, serve};
+use hollowpaddle_gateway::{Config, Resources, serve};
 use hollowpaddle_net::{Network, Stream, accept};
 use hollowpaddle_policy::list_polling::{APPLY_MARGIN, LIST_PROPAGATION_BOUND};
 use hollowpaddle_simnet::Fabric;
@@ -203,7 +203,7 @@
         let listener = host(1).listen(at(1)).expect("free");
         let (_reloads, reloads) = mpsc::unbounded_channel();
         let never = std::future::pending();
-        spawn_local(serve(config, host(1), listener, Provided::default(), reloads, never));
+        spawn_local(serve(config, host(1), listener, Resources::default(), reloads, never));
         sleep(ms(100)).await;
         spawn_local(client(host(5)));
         let from = script(discovery.clone()).await;
--- a/crates/gateway/tests/list_memory.rs
+++ b/crates/gateway/tests/list_memory.rs
@@ -89,7 +89,7 @@
     let (mut reader, mut lists, mut longest) = (ListReader::default(), Vec::new(), Duration::ZERO);
     for piece in text.as_bytes().chunks(PIECE_LENGTH) {
         let begun = Instant::now();
-        reader.take(piece, |list| lists.push(list)).expect("a list");
+        reader.feed(piece, |list| lists.push(list)).expect("a list");
         longest = longest.max(begun.elapsed());
     }
     (lists.pop().expect("a whole list"), longest)
@@ -205,11 +205,11 @@
         let before = ALLOCATED.load(Ordering::Relaxed);
         PEAK.store(before, Ordering::Relaxed);
         let mut reader = ListReader::default();
-        reader.take(begin.as_bytes(), |_| ()).expect("it begins");
+        reader.feed(begin.as_bytes(), |_| ()).expect("it begins");
         let times = 2 * MAX_BYTES_OF_READING / text.len().max(100);
         let taken = (0..times).take_while(|i| {
             let text = text.replace('#', &i.to_string());
-            reader.take(text.as_bytes(), |_| ()).is_ok()
+            reader.feed(text.as_bytes(), |_| ()).is_ok()
         });
         let taken = taken.count();
         let peak = PEAK.load(Ordering::Relaxed) - before;
--- a/crates/gateway/tests/list_reading.rs
+++ b/crates/gateway/tests/list_reading.rs
@@ -14,7 +14,7 @@
     let (mut rest, mut lengths) = (text, lengths.iter().cycle());
     while !rest.is_empty() {
         let length = lengths.next().copied().unwrap_or(1).clamp(1, rest.len());
-        reader.take(&rest[..length], |list| lists.push(list))?;
+        reader.feed(&rest[..length], |list| lists.push(list))?;
         rest = &rest[length..];
     }
     Ok(lists)
--- a/crates/gateway/tests/orders/peers.rs
+++ b/crates/gateway/tests/orders/peers.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hollowpaddle_gateway::{Config, Provided, serve};
+use hollowpaddle_gateway::{Config, Resources, serve};
 use hollowpaddle_net::{Datagrams, Listener, Network, Soon, Stream, accept};
 use hollowpaddle_simnet::Fabric;
 use serde_json::{Value, json};
@@ -330,7 +330,7 @@
         config(&plan, 0),
         Rc::new(network),
         listener,
-        Provided::default(),
+        Resources::default(),
         reloads,
         async move { drop(stopped.await) },
     );
--- a/crates/model-checks/src/history.rs
+++ b/crates/model-checks/src/history.rs
@@ -45,8 +45,10 @@
             ProposalResult::Answered(Err(Rejection::Lost { newest, .. })) => {
                 Some(Self::Lost(*newest))
             }
-            ProposalResult::Answered(Err(_)) | ProposalResult::Never => Some(Self::Refused),
-            ProposalResult::Stands(_) | ProposalResult::Unknown => None,
+            ProposalResult::Answered(Err(_)) | ProposalResult::NeverCommitted => {
+                Some(Self::Refused)
+            }
+            ProposalResult::Committed(_) | ProposalResult::Unknown => None,
         }
     }
 }
--- a/crates/model-checks/src/world.rs
+++ b/crates/model-checks/src/world.rs
@@ -268,7 +268,7 @@
         };
         let setup = Setup {
             node_id: NodeId(at),
-            cluster: plan.size,
+            cluster_size: plan.size,
             // Lives are drawn: they don't grow.
             incarnation: Incarnation((seed as u32).max(1)),
             seed,
@@ -281,8 +281,8 @@
             },
             mandatory_fallback: fallback_policy(&[1]),
             cells: BTreeMap::new(),
-            directory: plan.directory,
-            found: plan.directory.then(|| node.disk.replica.clone()),
+            has_durable_log: plan.directory,
+            replica_state: plan.directory.then(|| node.disk.replica.clone()),
             fallback_policy: if plan.directory { node.disk.fallback_policy.clone() } else { None },
         };
         // The plan names a possible bank: members and figures are within the bounds of each machine.
--- a/crates/scale-harness/src/workers.rs
+++ b/crates/scale-harness/src/workers.rs
@@ -13,7 +13,7 @@
 
 use hollowpaddle_failpoints::Points;
 use hollowpaddle_gateway::cluster;
-use hollowpaddle_gateway::{Config, ConfigError, Provided, ServeError, serve};
+use hollowpaddle_gateway::{Config, ConfigError, Resources, ServeError, serve};
 use hollowpaddle_net::{Listener, Network, Tcp};
 use tokio::sync::{mpsc, oneshot};
 use tokio::task::{JoinHandle as Task, LocalSet, spawn_local};
@@ -217,7 +217,7 @@
     network: Rc<dyn Network>,
     listener: Box<dyn Listener>,
 ) -> Result<(), WorkerError> {
-    let (mut provided, mut _cluster) = (Provided::default(), None);
+    let (mut provided, mut _cluster) = (Resources::default(), None);
     if let Some(cluster) = &config.cluster {
         let incarnation = config.seed as u32;
         let failpoints = Points::from_environment().map_err(|e| io::Error::other(e.to_string()))?;
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -14,7 +14,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hollowpaddle_gateway::{Config, OperatorAccess, Provided, serve};
+use hollowpaddle_gateway::{Config, OperatorAccess, Resources, serve};
 use hollowpaddle_net::{Listener, Network, Tcp};
 use hollowpaddle_operator_commands::Store;
 use tokio::signal::unix::{SignalKind, signal};
@@ -72,8 +72,8 @@
     let stop = async move {
         terminate.recv().await;
     };
-    let provided = Provided { operator_access, stored_state, cluster };
-    let served = serve(config, Rc::new(Tcp), listener, provided, reloads, stop).await;
+    let resources = Resources { operator_access, stored_state, cluster };
+    let served = serve(config, Rc::new(Tcp), listener, resources, reloads, stop).await;
     served.map_err(|e| e.to_string())
 }
 
@@ -91,8 +91,9 @@
 
 /// The admin API's listener, and the store of operators' commands under `$TMPDIR`, which several balancers may share.
 fn operator_access(config: &Config) -> Result<OperatorAccess, String> {
-    let Some(control) = config.control else { return Ok(OperatorAccess::default()) };
-    let listener = Tcp.listen(control).map_err(|e| format!("listen on {control}: {e}"))?;
+    let Some(admin_listen) = config.admin_listen else { return Ok(OperatorAccess::default()) };
+    let listener =
+        Tcp.listen(admin_listen).map_err(|e| format!("listen on {admin_listen}: {e}"))?;
     let store = operator_store(&config.name);
     tracing::info!("operators at {}", listener.local_addr());
     Ok(OperatorAccess { listener: Some(listener), store })
