--- a/crates/gateway/src/cluster/durable_log.rs
+++ b/crates/gateway/src/cluster/durable_log.rs
@@ -39,7 +39,7 @@
     #[error("{}", injected_text(.0))]
     Injected(Fault),
     /// The disk did not respond within the caller's time limit.
-    #[error("it did not answer in time")]
+    #[error("disk did not respond in time")]
     TimedOut,
 }
 
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -1,5 +1,6 @@
-//! From discovery's having a drain to the last request that goes to whoever drains: one balancer on a simulated network,
-//! under a paused clock, with a discovery that is silent, refuses or ends its watches at every point of its calls.
+//! Tests of the time from a drain at discovery to the last request to the draining upstream. One balancer runs on a
+//! simulated network under a paused clock, with a discovery server that becomes silent, refuses calls or ends watches at
+//! different points of its calls.
 
 use std::cell::Cell;
 use std::net::{IpAddr, SocketAddr};
@@ -17,11 +18,12 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 const TICK: Duration = Duration::from_millis(5);
-/// After the start, and between the moments at which something happens to discovery, in milliseconds.
-const WARM: u64 = 4000;
-const STEP: u64 = 243;
-const BEAT: Duration = Duration::from_secs(2);
-/// From the settings below.
+/// Time from the start to the fault of discovery, in milliseconds.
+const WARM_UP_MS: u64 = 4000;
+/// Difference between the offsets at which faults of discovery begin or end, in milliseconds.
+const OFFSET_STEP_MS: u64 = 243;
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
+/// The `DrainGrace` of the settings.
 const GRACE: Duration = Duration::from_millis(500);
 
 fn at(host: u8) -> SocketAddr {
@@ -32,39 +34,44 @@
     Duration::from_millis(ms)
 }
 
-/// What discovery is like just now.
+/// The current faults and state of the discovery server.
 #[derive(Default)]
 struct Discovery {
-    /// Nothing comes up, and nothing is refused.
+    /// Connection attempts are neither accepted nor refused.
     vanished: Cell<bool>,
+    /// Connection attempts are refused.
     refuses: Cell<bool>,
-    /// Connections are taken, and nothing is written on any.
+    /// Connections are accepted, and no data is written on any of them.
     mute: Cell<bool>,
-    /// Connections before this one say nothing ever again, or are reset.
+    /// No data is ever written on connections with a lower number than this.
     silent_before: Cell<u64>,
+    /// Connections with a lower number than this are reset.
     reset_before: Cell<u64>,
+    /// Number of accepted connections.
     opened: Cell<u64>,
-    /// When requests came to the two upstreams last, and which of them drains.
-    seen: [Rc<Cell<Option<Instant>>>; 2],
-    drains: Cell<Option<usize>>,
+    /// Time of the last request to each of the two upstreams.
+    last_requests: [Rc<Cell<Option<Instant>>>; 2],
+    /// Index of the draining upstream.
+    draining: Cell<Option<usize>>,
 }
 
 impl Discovery {
     fn list(&self) -> String {
-        let phase = |i| if self.drains.get() == Some(i) { "DRAINING" } else { "SERVING" };
+        let phase = |i| if self.draining.get() == Some(i) { "DRAINING" } else { "SERVING" };
         let entry = |id: &str, host, phase: &str| {
             json!({"id": id, "host_port": at(host).to_string(), "locality": "a", "flavor": "m", "cell": 0,
                 "phase": phase, "size": 1.0, "up_since_ms": 0})
         };
-        let revision = if self.drains.get().is_some() { 43 } else { 42 };
+        let revision = if self.draining.get().is_some() { 43 } else { 42 };
         let members = [entry("a", 3, phase(0)), entry("b", 4, phase(1))];
         let list = json!({"revision": revision, "complete": true, "members": members});
         serde_json::to_string_pretty(&list).expect("text")
     }
 
-    /// From now on the one drains that was sent to last.
+    /// Starts draining the upstream that received the last request.
     fn drain(&self) -> Instant {
-        self.drains.set(Some(usize::from(self.seen[1].get() > self.seen[0].get())));
+        self.draining
+            .set(Some(usize::from(self.last_requests[1].get() > self.last_requests[0].get())));
         Instant::now()
     }
 
@@ -75,9 +82,9 @@
                 listener.hush(self.vanished.get());
                 tokio::select! {
                     biased;
-                    came = accept(&mut *listener) => {
+                    accepted = accept(&mut *listener) => {
                         let id = self.opened.replace(self.opened.get() + 1);
-                        spawn_local(self.clone().converse(id, came.expect("accepted").0));
+                        spawn_local(self.clone().converse(id, accepted.expect("accepted").0));
                     }
                     () = sleep(TICK) => {}
                 }
@@ -93,8 +100,8 @@
         if read_head(&mut *stream).await.is_none() {
             return;
         }
-        let mut said = None;
-        let mut beat = Instant::now();
+        let mut written = None;
+        let mut last_write = Instant::now();
         loop {
             if id < self.reset_before.get() {
                 return stream.reset();
@@ -103,19 +110,19 @@
                 return std::future::pending().await;
             }
             if !self.mute.get() {
-                let text = if said.is_none() {
+                let text = if written.is_none() {
                     let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
                     stream.write_all(head.as_bytes()).await.expect("room");
                     self.list()
-                } else if said != Some(self.drains.get()) {
+                } else if written != Some(self.draining.get()) {
                     self.list()
-                } else if beat + BEAT <= Instant::now() {
+                } else if last_write + HEARTBEAT_INTERVAL <= Instant::now() {
                     String::new()
                 } else {
                     sleep(TICK).await;
                     continue;
                 };
-                (said, beat) = (Some(self.drains.get()), Instant::now());
+                (written, last_write) = (Some(self.draining.get()), Instant::now());
                 let text = text + "\n";
                 let chunk = format!("{:x}\r\n{text}\r\n", text.len());
                 if stream.write_all(chunk.as_bytes()).await.is_err() {
@@ -127,7 +134,7 @@
     }
 }
 
-/// Reads up to the empty line.
+/// Reads a message up to the empty line after its head.
 async fn read_head(stream: &mut dyn Stream) -> Option<String> {
     let (mut head, mut byte) = (Vec::new(), [0]);
     while !head.ends_with(b"\r\n\r\n") {
@@ -137,29 +144,29 @@
     String::from_utf8(head).ok()
 }
 
-async fn upstream(network: Rc<dyn Network>, host: u8, seen: Rc<Cell<Option<Instant>>>) {
+async fn upstream(network: Rc<dyn Network>, host: u8, last_request: Rc<Cell<Option<Instant>>>) {
     let mut listener = network.listen(at(host)).expect("free");
     loop {
         let (mut stream, _) = accept(&mut *listener).await.expect("accepted");
-        let seen = seen.clone();
+        let last_request = last_request.clone();
         spawn_local(async move {
             while read_head(&mut *stream).await.is_some() {
-                seen.set(Some(Instant::now()));
-                let answer = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
-                stream.write_all(answer).await.expect("room");
+                last_request.set(Some(Instant::now()));
+                let response = b"HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok";
+                stream.write_all(response).await.expect("room");
             }
         });
     }
 }
 
 async fn client(network: Rc<dyn Network>) {
-    let mut stream = network.connect(at(1)).await.expect("it listens");
+    let mut stream = network.connect(at(1)).await.expect("a listening balancer");
     for i in 0.. {
         let request = format!(
             "GET /api HTTP/1.1\r\nHost: a\r\nX-Request-Id: r{i}\r\nX-Class: read\r\nX-Deadline-Ms: 5000\r\n\r\n"
         );
         stream.write_all(request.as_bytes()).await.expect("room");
-        let head = read_head(&mut *stream).await.expect("an answer").to_lowercase();
+        let head = read_head(&mut *stream).await.expect("a response").to_lowercase();
         let length = head.split("content-length: ").nth(1).expect("a length");
         let length: usize = length.split("\r\n").next().expect("a line").parse().expect("a number");
         stream.read_exact(&mut vec![0; length]).await.expect("a body");
@@ -181,11 +188,11 @@
                 "DrainGrace": GRACE.as_millis() as f64, "AnswerSlack": 20.0, "AskEvery": list_poll_interval},
         },
     });
-    Config::parse("a file", text.to_string().as_bytes(), |_| None).expect("sound")
+    Config::parse("a file", text.to_string().as_bytes(), |_| None).expect("a valid configuration")
 }
 
-/// Runs a balancer for a while. `script` says what becomes of discovery, and returns when it has the drain and can be
-/// reached. How much later the last request went to whoever drains.
+/// Runs a balancer and returns the time from a drain to the last request to the draining upstream. `script` injects the
+/// faults of discovery, and returns the time at which discovery has the drain and can be reached.
 fn last_send<F: Future<Output = Instant>>(
     config: Config,
     script: impl FnOnce(Rc<Discovery>) -> F,
@@ -197,72 +204,77 @@
         let host = |n: u8| fabric.host(at(n).ip());
         let discovery = Rc::<Discovery>::default();
         spawn_local(discovery.clone().listen(host(2)));
-        let seen = discovery.seen.clone();
-        spawn_local(upstream(host(3), 3, seen[0].clone()));
-        spawn_local(upstream(host(4), 4, seen[1].clone()));
+        let last_requests = discovery.last_requests.clone();
+        spawn_local(upstream(host(3), 3, last_requests[0].clone()));
+        spawn_local(upstream(host(4), 4, last_requests[1].clone()));
         let listener = host(1).listen(at(1)).expect("free");
         let (_reloads, reloads) = mpsc::unbounded_channel();
         let never = std::future::pending();
         spawn_local(serve(config, host(1), listener, Resources::default(), reloads, never));
         sleep(ms(100)).await;
         spawn_local(client(host(5)));
-        let from = script(discovery.clone()).await;
-        sleep_until(from + ms(10_000)).await;
-        let drained = discovery.drains.get().expect("one of them");
-        let stays = seen[1 - drained].get();
-        assert!(stays.is_some_and(|at| at.elapsed() < ms(100)), "nobody is served");
-        seen[drained].get().expect("it was sent to").saturating_duration_since(from)
+        let drained_at = script(discovery.clone()).await;
+        sleep_until(drained_at + ms(10_000)).await;
+        let draining = discovery.draining.get().expect("a draining upstream");
+        let serving = last_requests[1 - draining].get();
+        assert!(serving.is_some_and(|at| at.elapsed() < ms(100)), "no requests are served");
+        last_requests[draining].get().expect("a request").saturating_duration_since(drained_at)
     })
 }
 
-/// The longest over many offsets, spread over what a call and the waits around it take.
+/// Returns the maximum result over offsets that cover the duration of a call and the waits around it.
 fn worst(name: &str, run: impl Fn(Duration) -> Duration) -> Duration {
-    let (worst, of) = (0..24).map(|i| (run(ms(STEP * i)), i)).max().expect("some");
-    println!("{name}: the last send {} ms after, at offset {} ms", worst.as_millis(), STEP * of);
+    let (worst, of) = (0..24).map(|i| (run(ms(OFFSET_STEP_MS * i)), i)).max().expect("some");
+    println!(
+        "{name}: the last send {} ms after, at offset {} ms",
+        worst.as_millis(),
+        OFFSET_STEP_MS * of
+    );
     worst
 }
 
-/// What was told in time, and obeyed within the grace.
-fn in_time() -> Duration {
+/// Returns the maximum time from a drain to the last request: the propagation bound without the margin for applying a list,
+/// and the grace period.
+fn max_drain_time() -> Duration {
     Duration::from_micros((LIST_PROPAGATION_BOUND.0 - APPLY_MARGIN.0) as u64) + GRACE
 }
 
 #[test]
-fn a_watch_that_falls_silent_costs_no_news_its_time() {
+fn drain_is_applied_in_time_after_a_watch_falls_silent() {
     for (mode, list_poll_interval) in
         [("subscribe", 2000.0), ("subscribe", 600_000.0), ("automatic", 2000.0)]
     {
         let late =
             worst(&format!("{mode}, asked every {list_poll_interval} ms, silent"), |offset| {
                 last_send(config(mode, list_poll_interval), |discovery| async move {
-                    sleep(ms(WARM) + offset).await;
+                    sleep(ms(WARM_UP_MS) + offset).await;
                     discovery.silent_before.set(discovery.opened.get());
                     discovery.drain()
                 })
             });
-        assert!(late <= in_time(), "{mode} {list_poll_interval}: {late:?}");
+        assert!(late <= max_drain_time(), "{mode} {list_poll_interval}: {late:?}");
     }
 }
 
 #[test]
-fn a_watch_that_ends_costs_no_news_its_time() {
+fn drain_is_applied_in_time_after_a_watch_ends() {
     for (mode, list_poll_interval) in
         [("subscribe", 2000.0), ("subscribe", 600_000.0), ("automatic", 2000.0)]
     {
         let late =
             worst(&format!("{mode}, asked every {list_poll_interval} ms, reset"), |offset| {
                 last_send(config(mode, list_poll_interval), |discovery| async move {
-                    sleep(ms(WARM) + offset).await;
+                    sleep(ms(WARM_UP_MS) + offset).await;
                     discovery.reset_before.set(discovery.opened.get());
                     discovery.drain()
                 })
             });
-        assert!(late <= in_time(), "{mode} {list_poll_interval}: {late:?}");
+        assert!(late <= max_drain_time(), "{mode} {list_poll_interval}: {late:?}");
     }
 }
 
 #[test]
-fn whatever_calls_failed_or_hung_news_is_in_force_in_time_once_discovery_is_back() {
+fn drain_is_applied_in_time_once_discovery_recovers_from_failed_or_hung_calls() {
     for list_poll_interval in [2000.0, 600_000.0] {
         for (name, vanishes, refuses, mute) in [
             ("vanishes", true, false, false),
@@ -271,7 +283,7 @@
         ] {
             let late = worst(&format!("asked every {list_poll_interval} ms, {name}"), |offset| {
                 last_send(config("subscribe", list_poll_interval), move |discovery| async move {
-                    sleep(ms(WARM)).await;
+                    sleep(ms(WARM_UP_MS)).await;
                     let before = discovery.opened.get();
                     discovery.vanished.set(vanishes);
                     discovery.refuses.set(refuses);
@@ -282,7 +294,7 @@
                         discovery.silent_before.set(before);
                     }
                     sleep(ms(8000) + offset).await;
-                    // Whatever was out then is lost.
+                    // Calls that were in flight get no response.
                     discovery.silent_before.set(discovery.opened.get());
                     discovery.vanished.set(false);
                     discovery.refuses.set(false);
@@ -290,16 +302,16 @@
                     discovery.drain()
                 })
             });
-            assert!(late <= in_time(), "{name} {list_poll_interval}: {late:?}");
+            assert!(late <= max_drain_time(), "{name} {list_poll_interval}: {late:?}");
         }
     }
 }
 
 #[test]
-fn what_an_agent_gets_at_its_return_counts_at_once() {
+fn list_received_after_a_silence_is_applied_at_once() {
     let late = worst("an agent that is silent for a while", |offset| {
         last_send(config("automatic", 2000.0), |discovery| async move {
-            sleep(ms(WARM)).await;
+            sleep(ms(WARM_UP_MS)).await;
             discovery.mute.set(true);
             sleep(ms(8000) + offset).await;
             discovery.mute.set(false);
--- a/crates/gateway/tests/formats/main.rs
+++ b/crates/gateway/tests/formats/main.rs
@@ -1,6 +1,6 @@
-//! Formats that the gateway reads, held against literal data beside this file: the configuration with every known key,
-//! messages for wrong values, which name the key, and files of the state directory. A rename inside the program must
-//! not change any of it.
+//! Tests of the formats that the gateway reads, against literal data in this folder: the configuration with every known key,
+//! the error messages for wrong values, which contain the key, and files of the state directory. Renames in the program must
+//! not change these formats.
 
 mod stored_files;
 
@@ -8,10 +8,10 @@
 use serde_json::Value;
 
 const COMPLETE: &str = include_str!("complete.json");
-/// Lines of a JSON pointer, a value that can't stand there, and the message for it, parted by ` | `.
+/// Lines with a JSON pointer, a wrong value for it and the expected message, separated by ` | `.
 const WRONG_VALUES: &str = include_str!("wrong_values.txt");
 
-/// Reads the file with nothing set in the environment.
+/// Parses the file without environment variables.
 fn parse(file: &Value) -> Result<Config, ConfigError> {
     Config::parse("config.json", file.to_string().as_bytes(), |_| None)
 }
@@ -20,7 +20,8 @@
     serde_json::from_str(COMPLETE).expect("JSON")
 }
 
-/// The message for the complete file with one more or another value, up to the place in the text; `none` if it is taken.
+/// Returns the error message for the complete file with one added or replaced value, without the position in the text.
+/// Returns `none` if the file is accepted.
 fn message_with(pointer: &str, wrong: Value) -> String {
     let mut file = complete();
     match file.pointer_mut(pointer) {
@@ -35,7 +36,7 @@
     message.split(" at line ").next().unwrap_or_default().to_string()
 }
 
-/// JSON pointers to all values below this one.
+/// Collects the JSON pointers to all values below this one.
 fn pointers_below(value: &Value, pointer: &str, found: &mut Vec<String>) {
     let children: Vec<(String, &Value)> = match value {
         Value::Object(object) => object.iter().map(|(key, child)| (key.clone(), child)).collect(),
@@ -67,7 +68,7 @@
 fn each_key_of_the_complete_file_has_a_wrong_value() {
     let mut pointers = Vec::new();
     pointers_below(&complete(), "", &mut pointers);
-    // Entries of the list that can't be read are left out, not reported.
+    // Unreadable entries of the list are skipped, not reported.
     pointers.retain(|pointer| !pointer.starts_with("/known/members/"));
     let listed: Vec<&str> = WRONG_VALUES.lines().filter_map(|l| l.split(" | ").next()).collect();
     let missing: Vec<_> = pointers.iter().filter(|p| !listed.contains(&p.as_str())).collect();
--- a/crates/gateway/tests/formats/stored_files.rs
+++ b/crates/gateway/tests/formats/stored_files.rs
@@ -1,4 +1,4 @@
-//! Files of the cluster's part of a state directory, as an earlier build has written them.
+//! Tests with files of the cluster's state directory that an earlier build has written.
 
 use std::fs;
 use std::path::Path;
@@ -7,7 +7,7 @@
 use hollowpaddle_gateway::cluster::open;
 use hollowpaddle_peer_transport::NodeId;
 
-/// As written by balancer `n0`, number 0 of the cluster of this identity.
+/// The consensus log of balancer `n0`, which is number 0 of the cluster [`CLUSTER_ID`].
 const LOG: &[u8] = include_bytes!("state/council.log");
 const FALLBACK_POLICY: &str = include_str!("state/snapshot");
 const CLUSTER_ID: u64 = 0x14ae_4031_ab1a_dfd6;
@@ -37,7 +37,7 @@
     payload_of(&fs::read_to_string(path).expect("a file")).to_string()
 }
 
-/// What lies behind the first line.
+/// Returns the text after the first line.
 fn payload_of(text: &str) -> &str {
     text.split_once('\n').expect("a first line").1
 }
--- a/crates/gateway/tests/list_memory.rs
+++ b/crates/gateway/tests/list_memory.rs
@@ -1,4 +1,5 @@
-//! Memory that the list of upstreams takes, counted by the allocator, and time that reading it takes at a stretch.
+//! Tests of the memory of the endpoint list, counted by the allocator. They also print the longest time for one piece of a
+//! list.
 
 use std::alloc::{GlobalAlloc, Layout, System};
 use std::net::SocketAddr;
@@ -17,23 +18,23 @@
 use hollowpaddle_policy::interface::ListKind;
 use serde_json::json;
 
-/// Counts the bytes that are allocated now, and the most so far.
+/// An allocator that counts the allocated bytes and their peak.
 struct Counting;
 
 static ALLOCATED: AtomicUsize = AtomicUsize::new(0);
 static PEAK: AtomicUsize = AtomicUsize::new(0);
 
-// SAFETY: all calls are passed on to the system's allocator as they are.
+// SAFETY: all calls are passed unchanged to the system's allocator.
 unsafe impl GlobalAlloc for Counting {
     unsafe fn alloc(&self, layout: Layout) -> *mut u8 {
         let now = ALLOCATED.fetch_add(layout.size(), Ordering::Relaxed) + layout.size();
         PEAK.fetch_max(now, Ordering::Relaxed);
-        // SAFETY: as the caller guarantees.
+        // SAFETY: the caller upholds the allocator's contract.
         unsafe { System.alloc(layout) }
     }
     unsafe fn dealloc(&self, memory: *mut u8, layout: Layout) {
         ALLOCATED.fetch_sub(layout.size(), Ordering::Relaxed);
-        // SAFETY: as the caller guarantees.
+        // SAFETY: the caller upholds the allocator's contract.
         unsafe { System.dealloc(memory, layout) }
     }
 }
@@ -41,20 +42,21 @@
 #[global_allocator]
 static ALLOCATOR: Counting = Counting;
 
-/// Bytes that one more upstream may take in the gateway, outside of the decision module: 32 MB for 39,000 upstreams are
-/// 860 bytes each, and half of that is the module's.
+/// Maximum number of bytes for each additional upstream in the gateway, outside of the decision module: 32 MB for 39,000
+/// upstreams are 860 bytes each, of which half is for the decision module.
 const MAX_BYTES_PER_UPSTREAM: f64 = 400.0;
-/// Bytes that it may take for a moment, while its list is read and taken in. What is free again stays with the process.
+/// Maximum number of bytes for each additional upstream at the peak, while its list is read and applied. The process keeps
+/// the memory that is freed again.
 const MAX_PEAK_BYTES_PER_UPSTREAM: f64 = 860.0;
-/// Bytes that reading one list may take, whatever comes: records of [`MAX_ENTRIES`] entries, in a vector that doubles and
-/// is copied for it, and their ids with what the allocator needs to know of each; beside them the entry and the outline
-/// that are being read, once more as they are parsed.
+/// Maximum number of bytes for reading any list: the records of [`MAX_ENTRIES`] entries in a vector that is copied to double
+/// its capacity, the ids with the allocator's overhead for each, and the current entry and outline, as text and as parsed
+/// values.
 const MAX_BYTES_OF_READING: usize = 4 * MAX_ENTRIES * size_of::<Entry>()
     + MAX_ENTRIES * 2 * size_of::<usize>()
     + MAX_ID_BYTES
     + 8 * (MAX_ENTRY_LENGTH + MAX_OUTLINE_LENGTH);
-/// Tests take turns: the counts are those of the process.
-static TURN: Mutex<()> = Mutex::new(());
+/// Serializes the tests, because the allocator's counts are those of the whole process.
+static TEST_LOCK: Mutex<()> = Mutex::new(());
 const ZONES: usize = 11;
 const MACHINE_TYPES: usize = 1300;
 
@@ -71,7 +73,7 @@
     Config::parse("config.json", file.to_string().as_bytes(), |_| None).expect("a configuration")
 }
 
-/// A whole list of so many upstreams.
+/// Returns the text of a complete list of `count` upstreams.
 fn text(revision: u64, count: usize) -> String {
     let entry = |i: usize| {
         let address = SocketAddr::from(([10, (i >> 16) as u8, (i >> 8) as u8, i as u8], 8080));
@@ -84,30 +86,31 @@
     format!("{{\"revision\":{revision},\"complete\":true,\"members\":[{entries}]}}")
 }
 
-/// Reads a list piece by piece; the list, and the longest time for one piece.
+/// Reads a list piece by piece. Returns the list and the longest time for one piece.
 fn read(text: &str) -> (List, Duration) {
     let (mut reader, mut lists, mut longest) = (ListReader::default(), Vec::new(), Duration::ZERO);
     for piece in text.as_bytes().chunks(PIECE_LENGTH) {
-        let begun = Instant::now();
+        let started_at = Instant::now();
         reader.feed(piece, |list| lists.push(list)).expect("a list");
-        longest = longest.max(begun.elapsed());
+        longest = longest.max(started_at.elapsed());
     }
-    (lists.pop().expect("a whole list"), longest)
+    (lists.pop().expect("a complete list"), longest)
 }
 
-/// What holds the list in a running balancer, up to the decision module.
+/// The parts of a balancer that store the list, without the decision module.
 struct Holders {
     membership: Membership,
     update_queue: UpdateQueue,
 }
 
 impl Holders {
-    fn take(&mut self, list: &List) -> Duration {
-        let begun = Instant::now();
-        let told = self.membership.update(list, ListKind::Complete, tokio::time::Instant::now());
+    fn apply(&mut self, list: &List) -> Duration {
+        let started_at = Instant::now();
+        let changes = self.membership.update(list, ListKind::Complete, tokio::time::Instant::now());
         let last = |id| self.membership.member(id);
-        let mut part = self.update_queue.queue_list(told.kind, told.members, last).members.len();
-        let longest = begun.elapsed();
+        let mut part =
+            self.update_queue.queue_list(changes.kind, changes.members, last).members.len();
+        let longest = started_at.elapsed();
         while self.update_queue.is_due() {
             part += self.update_queue.next_part().len();
         }
@@ -117,25 +120,25 @@
     }
 }
 
-/// Upstreams in one change of the list.
+/// Number of upstreams in one change of the list.
 const CHANGED: usize = 8;
 
 impl Holders {
-    /// The median time of a change of [`CHANGED`] upstreams.
-    fn take_changes(&mut self, count: usize) -> Duration {
+    /// Returns the median time of applying a change of [`CHANGED`] upstreams.
+    fn apply_changes(&mut self, count: usize) -> Duration {
         let entries = read(&text(3, count)).0.members;
         let mut times: Vec<Duration> = Vec::new();
         for (i, changed) in entries.chunks_exact(CHANGED).take(100).enumerate() {
             let revision = 3 + i as u64;
             let mut list = List { revision, complete: false, members: changed.to_vec() };
             list.members.iter_mut().for_each(|entry| entry.phase = Phase::Draining);
-            let begun = Instant::now();
+            let started_at = Instant::now();
             let now = tokio::time::Instant::now();
-            let told = self.membership.update(&list, ListKind::Update, now);
+            let changes = self.membership.update(&list, ListKind::Update, now);
             let last = |id| self.membership.member(id);
-            let part = self.update_queue.queue_list(told.kind, told.members, last);
+            let part = self.update_queue.queue_list(changes.kind, changes.members, last);
             assert!(self.membership.any_open() && self.membership.forget_departed().is_empty());
-            times.push(begun.elapsed());
+            times.push(started_at.elapsed());
             assert_eq!(part.members.len(), CHANGED);
         }
         times.sort_unstable();
@@ -143,8 +146,8 @@
     }
 }
 
-/// Bytes that a list of so many upstreams takes for good, and at the most.
-fn bytes_held(config: &Config, count: usize) -> (f64, f64) {
+/// Returns the retained bytes and the peak bytes of a list of `count` upstreams.
+fn bytes_retained(config: &Config, count: usize) -> (f64, f64) {
     let (first, second) = (text(1, count), text(2, count));
     let before = ALLOCATED.load(Ordering::Relaxed);
     PEAK.store(before, Ordering::Relaxed);
@@ -155,41 +158,42 @@
     let mut steps = Vec::new();
     for text in [&first, &second] {
         let (list, piece) = read(text);
-        steps.push((piece, holders.take(&list)));
+        steps.push((piece, holders.apply(&list)));
     }
-    let held = ALLOCATED.load(Ordering::Relaxed) - before;
+    let retained = ALLOCATED.load(Ordering::Relaxed) - before;
     let peak = PEAK.load(Ordering::Relaxed) - before;
-    println!("{count} upstreams: a change of {CHANGED} takes {:?}", holders.take_changes(count));
+    println!("{count} upstreams: a change of {CHANGED} takes {:?}", holders.apply_changes(count));
     println!(
-        "{count} upstreams: {held} bytes held, {peak} at the peak; longest piece and update {steps:?}"
+        "{count} upstreams: {retained} bytes retained, {peak} at the peak; longest piece and update {steps:?}"
     );
-    (held as f64, peak as f64)
+    (retained as f64, peak as f64)
 }
 
 #[test]
-fn one_more_upstream_takes_no_more_bytes_than_its_bound() {
-    let _turn = TURN.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+fn memory_per_upstream_stays_within_its_bound() {
+    let _guard = TEST_LOCK.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
     let config = config();
-    // Hash tables double at seven eighths of a power of two: the slope is taken over counts that lie alike to that, and
-    // the largest one lies right behind such a step.
+    // Hash tables double at seven eighths of a power of two. The slope is computed between counts at the same position
+    // relative to these steps, and the largest count lies directly after a step.
     for (few, many) in [(1000, 32_000), (1250, 40_000)] {
-        let (few_held, few_peak) = bytes_held(&config, few);
-        let (many_held, many_peak) = bytes_held(&config, many);
+        let (few_retained, few_peak) = bytes_retained(&config, few);
+        let (many_retained, many_peak) = bytes_retained(&config, many);
         let slope =
             |few_bytes: f64, many_bytes: f64| (many_bytes - few_bytes) / (many - few) as f64;
-        let (held, peak) = (slope(few_held, many_held), slope(few_peak, many_peak));
-        println!("{few} to {many}: {held:.0} bytes for one more, {peak:.0} at the peak");
-        assert!(held <= MAX_BYTES_PER_UPSTREAM, "{held}");
+        let (retained, peak) = (slope(few_retained, many_retained), slope(few_peak, many_peak));
+        println!("{few} to {many}: {retained:.0} bytes per upstream, {peak:.0} at the peak");
+        assert!(retained <= MAX_BYTES_PER_UPSTREAM, "{retained}");
         assert!(peak <= MAX_PEAK_BYTES_PER_UPSTREAM, "{peak}");
     }
 }
 
 #[test]
-fn reading_takes_no_more_bytes_than_its_bound_whatever_comes() {
-    let _turn = TURN.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
+fn memory_of_reading_any_list_stays_within_its_bound() {
+    let _guard = TEST_LOCK.lock().unwrap_or_else(|poisoned| poisoned.into_inner());
     let long_id = "x".repeat(MAX_ENTRY_LENGTH / 2);
     let repeated = [
-        // Too many entries, too many bytes of ids, names that all differ, entries that are none, lists without end.
+        // Too many entries, too many bytes of ids, distinct names, values that are not entries, repeated lists, and a list
+        // without an end.
         ("{\"members\":[", "{\"id\":\"a\",\"phase\":\"DELETED\"},".to_string(), true),
         ("{\"members\":[", format!("{{\"id\":\"{long_id}\",\"phase\":\"DELETED\"}},"), true),
         (
@@ -201,11 +205,11 @@
         ("", "{\"members\":[{\"id\":\"a\",\"phase\":\"SERVING\"}]}\n".into(), false),
         ("{\"a\":[", "[],".into(), true),
     ];
-    for (begin, text, is_given_up) in repeated {
+    for (begin, text, is_rejected) in repeated {
         let before = ALLOCATED.load(Ordering::Relaxed);
         PEAK.store(before, Ordering::Relaxed);
         let mut reader = ListReader::default();
-        reader.feed(begin.as_bytes(), |_| ()).expect("it begins");
+        reader.feed(begin.as_bytes(), |_| ()).expect("a valid beginning");
         let times = 2 * MAX_BYTES_OF_READING / text.len().max(100);
         let taken = (0..times).take_while(|i| {
             let text = text.replace('#', &i.to_string());
@@ -217,7 +221,7 @@
         println!(
             "{begin}{shown}: {taken} of {times} taken, {peak} bytes of {MAX_BYTES_OF_READING}"
         );
-        assert_eq!(taken < times, is_given_up);
+        assert_eq!(taken < times, is_rejected);
         assert!(peak <= MAX_BYTES_OF_READING, "{peak}");
     }
 }
--- a/crates/gateway/tests/list_reading.rs
+++ b/crates/gateway/tests/list_reading.rs
@@ -1,4 +1,5 @@
-//! Lists of upstreams in every layout, order of keys and split, against what `serde_json` makes of the whole text.
+//! Compares the list reader, on lists in any layout, order of keys and split into pieces, with `serde_json` on the complete
+//! text.
 
 use std::fmt::Write;
 
@@ -8,7 +9,7 @@
 use proptest::prelude::*;
 use serde_json::{Value, json};
 
-/// What comes out of `text` in pieces of these lengths, in turn.
+/// Reads `text` in pieces whose lengths cycle through `lengths`.
 fn read(text: &[u8], lengths: &[usize]) -> Result<Vec<List>, ListError> {
     let (mut reader, mut lists) = (ListReader::default(), Vec::new());
     let (mut rest, mut lengths) = (text, lengths.iter().cycle());
@@ -20,13 +21,13 @@
     Ok(lists)
 }
 
-/// The reference: the whole text as a value, and the list from that.
-fn whole(text: &str) -> Option<List> {
+/// Parses the complete text with `serde_json`, as the reference.
+fn reference(text: &str) -> Option<List> {
     let value: Value = serde_json::from_str(text).ok()?;
     value.is_object().then(|| serde_json::from_value(value).ok())?
 }
 
-/// A string with whatever could be taken for the end of something.
+/// Generates strings with characters that could be mistaken for the end of a value.
 fn string() -> impl Strategy<Value = String> {
     let odd = prop::sample::select(vec![
         "{", "}", "[", "]", "\"", "\\", ",", ":", " ", "\n", "ä", "members",
@@ -51,13 +52,13 @@
     })
 }
 
-/// Keys of lists and entries, and others.
+/// Generates the keys of lists and entries, and other keys.
 fn key() -> impl Strategy<Value = String> {
     let known = ["members", "revision", "complete", "id", "host_port", "phase"];
     prop_oneof![prop::sample::select(known.map(str::to_string).to_vec()), string()]
 }
 
-/// An entry that can be read, with keys that nobody knows.
+/// Generates readable entries with an additional unknown key.
 fn entry() -> impl Strategy<Value = Value> {
     let phase = prop::sample::select(vec!["SERVING", "DRAINING", "DELETED", "RESTING"]);
     let address = prop::sample::select(vec!["127.0.0.1:80", "[::1]:8080", "", "nowhere"]);
@@ -71,7 +72,7 @@
     )
 }
 
-/// A list as keys and values in the order in which they are written; keys may occur twice.
+/// Generates lists as keys and values in the order of writing. Keys may be repeated.
 fn list() -> impl Strategy<Value = Vec<(String, Value)>> {
     let members = vec(prop_oneof![4 => entry(), 1 => any_value()], 0..6).prop_map(Value::from);
     let field = prop_oneof![
@@ -84,7 +85,7 @@
     vec(field, 0..6)
 }
 
-/// Writes this with the white space of `spaces` between all parts, in turn.
+/// Writes JSON text with the white space of `spaces`, in turn, between all parts.
 struct Layout<'a> {
     text: String,
     spaces: std::iter::Cycle<std::slice::Iter<'a, &'static str>>,
@@ -157,13 +158,13 @@
 
 proptest! {
     #[test]
-    fn a_list_reads_as_serde_json_reads_the_whole(
+    fn reads_each_list_like_serde_json(
         fields in list(),
         layout in layout(),
         lengths in vec(1..200usize, 1..8),
     ) {
         let text = write(&fields, &layout);
-        match (whole(&text), read(text.as_bytes(), &lengths)) {
+        match (reference(&text), read(text.as_bytes(), &lengths)) {
             (Some(expected), Ok(lists)) => prop_assert_eq!(lists, vec![expected]),
             (None, Err(ListError::Malformed(_))) => {}
             (expected, read) => prop_assert!(false, "{text}: {expected:?}, but {read:?}"),
@@ -171,14 +172,14 @@
     }
 
     #[test]
-    fn lists_that_follow_one_another_are_read_one_by_one(
+    fn reads_consecutive_lists_one_by_one(
         lists in vec((list(), layout()), 0..5),
-        parted in prop::sample::select(vec!["", "\n", "\n\n \n"]),
+        separator in prop::sample::select(vec!["", "\n", "\n\n \n"]),
         lengths in vec(1..200usize, 1..8),
     ) {
         let texts: Vec<String> = lists.iter().map(|(fields, layout)| write(fields, layout)).collect();
-        let expected: Vec<List> = texts.iter().map_while(|text| whole(text)).collect();
-        let read = read(texts.join(parted).as_bytes(), &lengths);
+        let expected: Vec<List> = texts.iter().map_while(|text| reference(text)).collect();
+        let read = read(texts.join(separator).as_bytes(), &lengths);
         if expected.len() == texts.len() {
             prop_assert_eq!(read.expect("lists"), expected);
         } else {
@@ -187,7 +188,7 @@
     }
 
     #[test]
-    fn a_list_that_breaks_off_is_none(
+    fn truncated_list_is_not_delivered(
         fields in list(),
         layout in layout(),
         at in 0.0..1.0f64,
@@ -195,14 +196,14 @@
     ) {
         let text = write(&fields, &layout);
         let end = ((text.trim_end().len() - 1) as f64 * at) as usize;
-        // Malformed values are found before the end or there; lists never are.
+        // Malformed values may be found before the end, but no list is complete.
         if let Ok(lists) = read(&text.as_bytes()[..end], &lengths) {
             prop_assert_eq!(lists, vec![]);
         }
     }
 
     #[test]
-    fn any_bytes_are_lists_or_an_error(
+    fn any_bytes_give_lists_or_an_error(
         begin in prop::sample::select(vec!["", "{", "{\"members\":[", "{\"members\":[{\"id\":\"a\",", "{\"a\":["]),
         bytes in vec(prop_oneof![any::<u8>(), prop::sample::select(br#"{}[]",:\ 1tn"#.to_vec())], 0..400),
         lengths in vec(1..50usize, 1..8),
@@ -210,9 +211,9 @@
         let text = [begin.as_bytes(), &bytes].concat();
         let split = read(&text, &lengths);
         let at_once = read(&text, &[text.len()]);
-        prop_assert_eq!(format!("{split:?}"), format!("{at_once:?}"), "by the split alone");
+        prop_assert_eq!(format!("{split:?}"), format!("{at_once:?}"), "the result depends on the split");
         let Ok(lists) = split else { return Ok(()) };
-        // What was read says the same to whoever reads it whole.
+        // The lists are equal to those that `serde_json` reads from the complete text.
         let values = serde_json::Deserializer::from_slice(&text).into_iter::<Value>();
         let expected: Vec<Value> = values.map_while(Result::ok).collect();
         prop_assert_eq!(lists.len(), expected.len());
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -1,7 +1,7 @@
-//! The daemon: one balancer on this machine's sockets. It reads signals and environment variables, wires the parts and
-//! gives the exit code; everything else is left to the gateway.
+//! The daemon: one balancer on this machine's sockets. The daemon handles signals and environment variables, connects the
+//! components and returns the exit code. The gateway does everything else.
 //!
-//! A library too, so that a rehearsal can run the very daemon that it rehearses.
+//! The daemon is also a library, so that a rehearsal can run the daemon's own code.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -21,18 +21,18 @@
 use tokio::sync::mpsc;
 use tokio::task::LocalSet;
 
-/// Environment variable with the descriptor of a clients' listener that is handed down, so that the next process can share
-/// it.
+/// Environment variable with the descriptor of an inherited listener for clients, which lets the next process share the
+/// listener.
 const PASSED_SOCKET: &str = "LB_PASSED_SOCKET";
-/// Environment variable with the lowest level that is logged; `info` without it. At `debug` the log follows each request.
+/// Environment variable with the minimum log level; the default is `info`. At `debug` each request is logged.
 const LOG_LEVEL: &str = "LB_LOG";
-/// How long a start waits for stored state: a disk that hangs is no reason not to serve.
+/// Maximum wait of a start for stored state, so that the balancer serves even if the disk hangs.
 const LOAD_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// Runs the daemon to its end, and logs to standard error.
+/// Runs the daemon until its end, and logs to standard error.
 ///
-/// It reads `LB_NAME`, `LB_LISTEN`, `LB_DISCOVERY` and `LB_CONFIG`, and where they are set `LB_CONTROL`, `LB_STATE_DIR`,
-/// `LB_PASSED_SOCKET` and `LB_LOG`.
+/// The daemon reads the environment variables `LB_NAME`, `LB_LISTEN`, `LB_DISCOVERY` and `LB_CONFIG`, and optionally
+/// `LB_CONTROL`, `LB_STATE_DIR`, `LB_PASSED_SOCKET` and `LB_LOG`.
 pub fn main() -> ExitCode {
     let level = std::env::var(LOG_LEVEL).ok().and_then(|level| level.parse().ok());
     tracing_subscriber::fmt()
@@ -56,7 +56,7 @@
 }
 
 async fn run() -> Result<(), String> {
-    // Before anything else: until there is a handler, the signal ends the process.
+    // The signal handlers are installed first, because SIGHUP ends the process as long as there is no handler.
     let hangup = signal(SignalKind::hangup()).map_err(|e| format!("SIGHUP: {e}"))?;
     let mut terminate = signal(SignalKind::terminate()).map_err(|e| format!("SIGTERM: {e}"))?;
     let config = reload::read_at_start().await.map_err(|e| e.to_string())?;
@@ -64,7 +64,7 @@
     let operator_access = operator_access(&config)?;
     let stored_state = state::load(&config);
     let cluster = cluster::start(&config)?;
-    // The bound address, not the one asked for: with port 0 nothing else tells where clients connect.
+    // Logs the bound address, not the configured one: with port 0 the log is the only source of the port.
     let bound = listener.local_addr();
     let (reload, reloads) = mpsc::unbounded_channel();
     tokio::task::spawn_local(reload::read_on(hangup, reload));
@@ -77,7 +77,7 @@
     served.map_err(|e| e.to_string())
 }
 
-/// The clients' listener: the one that the platform hands down, or one of our own.
+/// Returns the listener for clients: the inherited one if the platform passes a descriptor, otherwise a new one.
 fn listen(config: &Config) -> Result<Box<dyn Listener>, String> {
     if let Some(passed) = std::env::var(PASSED_SOCKET).ok().filter(|p| !p.is_empty()) {
         let descriptor: i32 = passed
@@ -89,21 +89,22 @@
     Tcp.listen(config.listen).map_err(|e| format!("listen on {}: {e}", config.listen))
 }
 
-/// The admin API's listener, and the store of operators' commands under `$TMPDIR`, which several balancers may share.
+/// Opens the admin API's listener, and the store of operator commands under `$TMPDIR`, a directory that several balancers
+/// may share.
 fn operator_access(config: &Config) -> Result<OperatorAccess, String> {
-    let Some(admin_listen) = config.admin_listen else { return Ok(OperatorAccess::default()) };
-    let listener =
-        Tcp.listen(admin_listen).map_err(|e| format!("listen on {admin_listen}: {e}"))?;
+    let Some(address) = config.admin_listen else { return Ok(OperatorAccess::default()) };
+    let listener = Tcp.listen(address).map_err(|e| format!("listen on {address}: {e}"))?;
     let store = operator_store(&config.name);
     tracing::info!("operators at {}", listener.local_addr());
     Ok(OperatorAccess { listener: Some(listener), store })
 }
 
-/// The store of operators' commands to the balancer of this name. That it can't be opened is no reason not to serve.
+/// Opens the store of commands to the balancer of this name. Returns `None` if the store can't be opened, so that the
+/// balancer still serves.
 fn operator_store(name: &str) -> Option<Store> {
     let parent = std::env::var_os("TMPDIR")?;
-    let plain = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
-    let name: String = name.chars().map(plain).collect();
+    let sanitize = |c: char| if c.is_ascii_alphanumeric() || c == '-' { c } else { '_' };
+    let name: String = name.chars().map(sanitize).collect();
     match Store::open(Path::new(&parent).join(format!("hollowpaddle-{name}"))) {
         Ok(store) => Some(store),
         Err(cause) => {
--- a/src/main.rs
+++ b/src/main.rs
@@ -1,4 +1,4 @@
-//! The daemon as a program; the library does everything.
+//! The daemon's executable, which runs the library's `main`.
 #![forbid(unsafe_code)]
 
 use std::process::ExitCode;
--- a/src/state.rs
+++ b/src/state.rs
@@ -1,4 +1,4 @@
-//! State of the process before: loads it from the state directory, and starts saving that of this process there.
+//! Loads the state of the previous process from the state directory, and starts saving the state of this process to it.
 
 use std::fmt::Display;
 use std::sync::mpsc;
@@ -10,17 +10,18 @@
 
 use crate::LOAD_TIMEOUT;
 
-/// Loads the state, where the platform provides a state directory. Nothing that is wrong with it is a reason not to serve.
+/// Loads the stored state, if the platform provides a state directory. Returns `None` after any error, so that the balancer
+/// still serves.
 pub fn load(config: &Config) -> Option<StoredState> {
     let dir = config.state_dir.clone()?;
-    let shown = dir.display().to_string();
+    let displayed_dir = dir.display().to_string();
     let without_state = |cause: &dyn Display| {
-        tracing::error!(dir = shown, %cause, "state not saved for the next start");
+        tracing::error!(dir = displayed_dir, %cause, "state not saved for the next start");
         None
     };
     let (sender, loaded) = mpsc::channel();
     let (name, now) = (config.name.clone(), Tcp.unix_now());
-    // On a thread of its own, which is left behind where the disk hangs.
+    // A separate thread loads the state. The thread is abandoned if the disk hangs.
     std::thread::spawn(move || {
         let opened = Directory::open(dir).map(|dir| open(dir, &name, now));
         let _ = sender.send(opened);
@@ -28,7 +29,7 @@
     let (store, found) = match loaded.recv_timeout(LOAD_TIMEOUT) {
         Ok(Ok(opened)) => opened,
         Ok(Err(cause)) => return without_state(&cause),
-        Err(_) => return without_state(&"it did not answer in time"),
+        Err(_) => return without_state(&"disk did not respond in time"),
     };
     match start_saver(store) {
         Ok(saver) => Some(StoredState { saver: Box::new(saver), found }),
@@ -42,8 +43,8 @@
     (store, found)
 }
 
-/// Starts the thread that saves. A failure is logged once when it begins and once when it is over: saves come every other
-/// second.
+/// Starts the thread that saves the state. Since saves occur every other second, a failure is logged only when it begins and
+/// when it is over.
 fn start_saver(store: Store) -> std::io::Result<Saver> {
     let mut is_failing = false;
     Saver::start(store, move |status: &Status| {
