--- a/crates/gateway/src/admin/processes.rs
+++ b/crates/gateway/src/admin/processes.rs
@@ -21,7 +21,7 @@
 impl<B: ManagedBalancer + 'static> Admin<B> {
     /// Applies commands that other processes received, and announces to them when this process can serve. Runs while the
     /// future is polled.
-    pub async fn follow(self: Rc<Self>) {
+    pub async fn follow_store(self: Rc<Self>) {
         loop {
             let changed = self.store.borrow_mut().as_mut().map(Store::read_if_changed).transpose();
             match changed {
@@ -42,7 +42,7 @@
 
     /// Waits until clients may be accepted. Returns immediately, unless an older process of this balancer still serves
     /// clients and this process can't serve yet.
-    pub async fn wait_to_open(&self) {
+    pub async fn wait_to_serve(&self) {
         let has_older =
             || self.is_any_alive(|state, number| state.started_before(number).collect());
         if has_older() {
@@ -65,7 +65,7 @@
         let Some(own) = &self.registration else { return false };
         let store = self.store.borrow();
         let Some(store) = store.as_ref() else { return false };
-        // `read_if_changed` is not used, because it would mark changes as read that `follow` has not applied yet.
+        // `read_if_changed` is not used, because it would mark changes as read that `follow_store` has not applied yet.
         let state = store.read().unwrap_or_else(|_| self.state.borrow().clone());
         select(&state, own.number).into_iter().any(|number| store.is_alive(number))
     }
--- a/crates/gateway/src/admin/server.rs
+++ b/crates/gateway/src/admin/server.rs
@@ -83,12 +83,12 @@
         let body = match timeout_at(deadline, Limited::new(body, limit).collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(_)) => {
-                let why = "the body is too long or ends early";
-                return Ok(failure(StatusCode::PAYLOAD_TOO_LARGE, why));
+                let reason = "the body is too long or ends early";
+                return Ok(failure(StatusCode::PAYLOAD_TOO_LARGE, reason));
             }
             Err(_) => {
-                let why = "the body did not come in time";
-                return Ok(failure(StatusCode::REQUEST_TIMEOUT, why));
+                let reason = "the body did not come in time";
+                return Ok(failure(StatusCode::REQUEST_TIMEOUT, reason));
             }
         };
         let answer = async {
@@ -127,8 +127,8 @@
     json_answer(StatusCode::OK, &serde_json::json!({"ok": true}))
 }
 
-pub(super) fn failure(status: StatusCode, why: &str) -> Answer {
-    json_answer(status, &serde_json::json!({"ok": false, "error": why}))
+pub(super) fn failure(status: StatusCode, reason: &str) -> Answer {
+    json_answer(status, &serde_json::json!({"ok": false, "error": reason}))
 }
 
 pub(super) fn cluster_answer(response: AdminResponse) -> Answer {
--- a/crates/gateway/src/admin/tests.rs
+++ b/crates/gateway/src/admin/tests.rs
@@ -51,7 +51,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn learned_estimates_are_handed_off_though_a_command_comes_before_the_next_poll() {
+async fn hands_off_learned_estimates_despite_a_command_before_the_next_poll() {
     let dir = tempfile::tempdir().expect("a directory");
     let old = joined(&dir, true).await;
     let mut store = Store::open(dir.path()).expect("a store");
@@ -61,7 +61,7 @@
         StatusCode::OK
     );
     let number = old.registration.as_ref().expect("a store").number;
-    let _ = timeout(10 * POLL_INTERVAL, old.follow()).await;
+    let _ = timeout(10 * POLL_INTERVAL, old.follow_store()).await;
     assert!(
         store.read_handoff(number).is_some(),
         "the newer process would start without estimates"
@@ -69,14 +69,14 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn process_that_is_not_ready_opens_once_the_older_process_is_dead() {
+async fn unready_process_serves_once_the_older_process_is_dead() {
     let dir = tempfile::tempdir().expect("a directory");
     let mut store = Store::open(dir.path()).expect("a store");
     let (older, _) = store.join().expect("an older process joins");
     let new = joined(&dir, false).await;
-    let opens = new.wait_to_open();
-    tokio::pin!(opens);
-    assert!(timeout(10 * POLL_INTERVAL, &mut opens).await.is_err(), "the older process serves");
+    let wait = new.wait_to_serve();
+    tokio::pin!(wait);
+    assert!(timeout(10 * POLL_INTERVAL, &mut wait).await.is_err(), "the older process serves");
     drop(older);
-    timeout(10 * POLL_INTERVAL, &mut opens).await.expect("no other process answers clients");
+    timeout(10 * POLL_INTERVAL, &mut wait).await.expect("no other process answers clients");
 }
--- a/crates/gateway/src/cluster/admin_api/change.rs
+++ b/crates/gateway/src/cluster/admin_api/change.rs
@@ -164,6 +164,6 @@
             let changes = serde_json::to_value(&difference).unwrap_or_default();
             AdminResponse::ok(json!({"ok": true, "dry": true, "changes": changes}))
         }
-        Err(why) => AdminResponse::rejected(&why),
+        Err(reason) => AdminResponse::rejected(&reason),
     }
 }
--- a/crates/gateway/src/cluster/admin_api/check.rs
+++ b/crates/gateway/src/cluster/admin_api/check.rs
@@ -53,9 +53,9 @@
             },
             _ => Ok(()),
         };
-        checked.map_err(|why| AdminResponse {
+        checked.map_err(|reason| AdminResponse {
             status: 409,
-            ..AdminResponse::bad_request(&why.to_string())
+            ..AdminResponse::bad_request(&reason.to_string())
         })
     }
 }
--- a/crates/gateway/src/cluster/admin_api/fallback.rs
+++ b/crates/gateway/src/cluster/admin_api/fallback.rs
@@ -38,11 +38,11 @@
             && (!fallback_policy.cells.contains(cell) || fallback_policy.except.contains(*name))
     });
     let Some((name, (cell, _))) = excluded else { return Ok(()) };
-    let why = format!(
+    let reason = format!(
         "`{name}` is in pod {cell}, which is bedrock: whoever has forgotten everything and hears nobody sends there; \
          state `fleet.bedrock` in every balancer's configuration to choose others"
     );
-    Err(AdminResponse { status: 409, ..AdminResponse::bad_request(&why) })
+    Err(AdminResponse { status: 409, ..AdminResponse::bad_request(&reason) })
 }
 
 /// Returns whether the fallback floor in force includes an upstream, so that no revision can cordon it.
--- a/crates/gateway/src/cluster/admin_api/response.rs
+++ b/crates/gateway/src/cluster/admin_api/response.rs
@@ -29,37 +29,37 @@
         Self { status: 200, body, rollout_wait: None, is_retryable: false }
     }
 
-    fn error(status: u16, id: &str, why: &str) -> Self {
-        Self { status, ..Self::ok(json!({"ok": false, "id": id, "error": why})) }
+    fn error(status: u16, id: &str, reason: &str) -> Self {
+        Self { status, ..Self::ok(json!({"ok": false, "id": id, "error": reason})) }
     }
 
     /// Creates the response for a cordon of an upstream that the fallback policy still allows. The balancers in `behind`
     /// have not confirmed the change of the fallback policy.
     pub(super) fn awaits_fallback(behind: &[(NodeId, Duration)]) -> Self {
         let behind: Vec<u16> = behind.iter().map(|(m, _)| m.0).collect();
-        let why = "the charter allows it: it is put out once every member has agreed to let go of it; repeat this call, \
+        let reason = "the charter allows it: it is put out once every member has agreed to let go of it; repeat this call, \
                    or say of those that are gone for good that they are dead";
-        let body = json!({"ok": false, "waiting": "charter", "behind": behind, "error": why});
+        let body = json!({"ok": false, "waiting": "charter", "behind": behind, "error": reason});
         Self { status: 202, is_retryable: true, ..Self::ok(body) }
     }
 
     /// Creates the response to an invalid call.
-    pub fn bad_request(why: &str) -> Self {
-        Self { status: 400, ..Self::ok(json!({"ok": false, "error": why})) }
+    pub fn bad_request(reason: &str) -> Self {
+        Self { status: 400, ..Self::ok(json!({"ok": false, "error": reason})) }
     }
 
     /// Creates the response to a call that can't be parsed.
-    pub fn unreadable(why: &AdminRequestError) -> Self {
-        let status = if matches!(why, AdminRequestError::NoSuch { .. }) { 404 } else { 400 };
-        Self { status, ..Self::bad_request(&why.to_string()) }
+    pub fn unreadable(reason: &AdminRequestError) -> Self {
+        let status = if matches!(reason, AdminRequestError::NoSuch { .. }) { 404 } else { 400 };
+        Self { status, ..Self::bad_request(&reason.to_string()) }
     }
 
     /// Creates the response to a change that the policy state rejects.
-    pub(super) fn rejected(why: &Rejection) -> Self {
-        let is_changing = matches!(why, Rejection::Changing { .. });
-        let is_retryable = is_changing || matches!(why, Rejection::Lost { .. });
+    pub(super) fn rejected(reason: &Rejection) -> Self {
+        let is_changing = matches!(reason, Rejection::Changing { .. });
+        let is_retryable = is_changing || matches!(reason, Rejection::Lost { .. });
         let status = if is_changing { 202 } else { 409 };
-        Self { status, is_retryable, ..Self::ok(json!({"ok": false, "error": why.to_string()})) }
+        Self { status, is_retryable, ..Self::ok(json!({"ok": false, "error": reason.to_string()})) }
     }
 
     /// Creates the response to `request`, whose command `id` had this `result`.
@@ -78,8 +78,8 @@
                 Self { status: 202, is_retryable: true, ..Self::ok(body) }
             }
             ProposalResult::Answered(Ok(number)) => Self::accepted(request, *number, &id),
-            ProposalResult::Answered(Err(why)) => {
-                let mut response = Self::rejected(why);
+            ProposalResult::Answered(Err(reason)) => {
+                let mut response = Self::rejected(reason);
                 response.body["id"] = id.into();
                 response
             }
@@ -87,8 +87,8 @@
                 Self::ok(json!({"ok": true, "entry": index.to_string(), "id": id}))
             }
             ProposalResult::NeverCommitted => {
-                let why = "it stands nowhere and never will: too long, too many under way, or not to be done";
-                Self::error(409, &id, why)
+                let reason = "it stands nowhere and never will: too long, too many under way, or not to be done";
+                Self::error(409, &id, reason)
             }
             ProposalResult::Unknown => Self::error(504, &id, request.unknown_outcome_text()),
         }
--- a/crates/gateway/src/cluster/admin_api/views.rs
+++ b/crates/gateway/src/cluster/admin_api/views.rs
@@ -85,6 +85,6 @@
             "ok": true, "revision": number,
             "document": serde_json::to_value(&*revision.document).unwrap_or_default(),
         })),
-        Err(why) => AdminResponse { status: 404, ..AdminResponse::rejected(&why) },
+        Err(reason) => AdminResponse { status: 404, ..AdminResponse::rejected(&reason) },
     }
 }
--- a/crates/gateway/src/cluster/runtime.rs
+++ b/crates/gateway/src/cluster/runtime.rs
@@ -65,7 +65,7 @@
     /// Time of the next attempt to use the disk after a failure.
     disk_retry_at: Option<Instant>,
     /// Expiry of the published policy's lease, unless the lease is renewed.
-    lease_ends_at: Option<Instant>,
+    lease_expires_at: Option<Instant>,
     is_disk_failing: bool,
     has_unsynced_records: bool,
     admin_calls: AdminCalls,
@@ -78,7 +78,7 @@
             nodes: nodes.collect(),
             wake_at: None,
             disk_retry_at: None,
-            lease_ends_at: None,
+            lease_expires_at: None,
             is_disk_failing: false,
             has_unsynced_records: false,
             admin_calls: AdminCalls::default(),
@@ -88,7 +88,7 @@
     /// Returns the earliest time at which a timer expires.
     fn next_due(&self) -> Option<Instant> {
         let call = self.admin_calls.next_timeout();
-        [self.wake_at, self.disk_retry_at, self.lease_ends_at, call].into_iter().flatten().min()
+        [self.wake_at, self.disk_retry_at, self.lease_expires_at, call].into_iter().flatten().min()
     }
 
     /// Records a disk failure and returns the event for the machine. Logs only the first failure until the disk recovers.
@@ -153,8 +153,8 @@
 
     async fn on_due(&mut self, state: &mut RunState, socket: &dyn Datagrams) {
         let now = Instant::now();
-        if state.lease_ends_at.is_some_and(|at| at <= now) {
-            state.lease_ends_at = None;
+        if state.lease_expires_at.is_some_and(|at| at <= now) {
+            state.lease_expires_at = None;
             self.notify(ClusterEvent::PolicyChanged);
         }
         if state.disk_retry_at.is_some_and(|at| at <= now) {
@@ -242,7 +242,7 @@
 
     fn publish(&self, in_force: InForce, state: &mut RunState) {
         self.failpoints.meet("bank.publish", Kind::Handover);
-        state.lease_ends_at = Some(self.epoch + in_force.until);
+        state.lease_expires_at = Some(self.epoch + in_force.until);
         if self.published.write(in_force, self.epoch.elapsed()) {
             self.notify(ClusterEvent::PolicyChanged);
         }
--- a/crates/gateway/src/config/tests.rs
+++ b/crates/gateway/src/config/tests.rs
@@ -22,7 +22,7 @@
 }
 
 #[test]
-fn cluster_is_configured_where_messages_are_allowed_and_it_is_not_switched_off() {
+fn cluster_is_configured_unless_messages_are_disallowed_or_it_is_disabled() {
     let config = cluster(|_| {}, None).expect("a cluster");
     assert_eq!((config.position, config.peers.len(), config.listen.port()), (1, 3, 3));
     assert_eq!(
@@ -43,7 +43,7 @@
 }
 
 #[test]
-fn rejects_impossible_clusters_with_what_was_expected() {
+fn rejects_invalid_clusters_with_the_expected_value() {
     let error = |change: &dyn Fn(&mut Value), fleet| match parsed(change, fleet) {
         Ok(_) => panic!("the configuration was accepted"),
         Err(cause) => cause.to_string(),
@@ -59,9 +59,9 @@
     }
     assert!(error(&|f| f["fleet"] = json!({"counsel": [1]}), None).contains("fleet"));
     // If messages are not allowed, the cluster's configuration is not parsed.
-    let silent = |f: &mut Value| {
+    let without_messages = |f: &mut Value| {
         f["settings"]["PolicyLimits"]["PeerMessages"] = json!(false);
         f["peers"] = json!(["nowhere"]);
     };
-    assert_eq!(cluster(silent, Some("perhaps")), None);
+    assert_eq!(cluster(without_messages, Some("perhaps")), None);
 }
--- a/crates/gateway/src/freshness/tests.rs
+++ b/crates/gateway/src/freshness/tests.rs
@@ -15,7 +15,7 @@
 }
 
 #[test]
-fn expires_when_a_missed_change_counts_as_delivered_and_its_grace_is_over() {
+fn expires_after_the_grace_period_of_a_missed_change() {
     let start = Instant::now();
     let mut freshness = mark_unconfirmed(start);
     let expiry = freshness.expiry();
@@ -38,14 +38,14 @@
 }
 
 #[test]
-fn never_expires_while_discovery_can_not_be_reached() {
+fn never_expires_while_discovery_is_unreachable() {
     let start = Instant::now();
     let mut freshness = mark_unconfirmed(start);
     for second in 0..60 {
         let now = start + seconds(second);
-        for ending in [WatchEnd::Unreachable, WatchEnd::Failed, WatchEnd::Unanswered] {
-            freshness.call_ended(ending, now, now);
-            assert_eq!(freshness.expiry().at(), None, "{ending:?} after {second} s");
+        for end in [WatchEnd::Unreachable, WatchEnd::Failed, WatchEnd::Unanswered] {
+            freshness.call_ended(end, now, now);
+            assert_eq!(freshness.expiry().at(), None, "{end:?} after {second} s");
         }
     }
 }
@@ -63,7 +63,7 @@
 }
 
 #[test]
-fn crowded_discovery_that_fails_an_accepted_call_is_still_reachable() {
+fn overloaded_discovery_that_fails_an_accepted_call_counts_as_reachable() {
     let start = Instant::now();
     let mut freshness = mark_unconfirmed(start);
     freshness.call_ended(WatchEnd::ListCallRejected, start, start);
@@ -72,7 +72,7 @@
 }
 
 #[test]
-fn stays_expired_until_a_watch_vouches_for_it() {
+fn stays_expired_until_a_watch_confirms_the_list() {
     let start = Instant::now();
     let mut freshness = mark_unconfirmed(start);
     freshness.call_ended(WatchEnd::ListCallRejected, start, start);
--- a/crates/gateway/src/list_reader/tests.rs
+++ b/crates/gateway/src/list_reader/tests.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn text_that_is_no_list_ends_the_stream() {
+fn invalid_text_ends_the_stream() {
     let texts = [
         "nothing",
         "}",
@@ -88,7 +88,7 @@
 }
 
 #[test]
-fn unreadable_entry_costs_no_other_entry() {
+fn unreadable_entry_does_not_affect_other_entries() {
     let entries = [
         "{\"id\": \"a\", \"phase\": \"SERVING\", \"phase\": \"DRAINING\"}",
         "{}",
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -215,8 +215,8 @@
     }
 
     fn is_any_in_fallback(&self, snapshot: &PolicySnapshot) -> bool {
-        let record = self.records.iter().filter(|(id, _)| !self.gone.contains(id));
-        record.into_iter().any(|(_, record)| snapshot.rules.floor().allows(&self.place(record)))
+        let mut records = self.records.iter().filter(|(id, _)| !self.gone.contains(id));
+        records.any(|(_, record)| snapshot.rules.floor().allows(&self.place(record)))
     }
 
     /// Ends sends to an upstream at `until`, unless the upstream is live.
--- a/crates/gateway/src/membership/tests.rs
+++ b/crates/gateway/src/membership/tests.rs
@@ -54,7 +54,7 @@
 }
 
 #[test]
-fn no_handle_is_used_twice() {
+fn handles_are_never_reused() {
     let mut upstreams = membership();
     let mut apply_entry = |id: &str, phase: &str, kind| {
         let changes = upstreams.update(&list(0, &[(id, phase)]), kind, Instant::now());
@@ -77,7 +77,7 @@
 }
 
 #[test]
-fn older_list_undoes_nothing_of_a_newer_one() {
+fn older_list_does_not_undo_a_newer_one() {
     let mut upstreams = membership();
     let (update, complete) = (ListKind::Update, ListKind::Complete);
     let all = list(41, &[("a", "SERVING"), ("b", "SERVING"), ("c", "SERVING")]);
@@ -104,7 +104,7 @@
 }
 
 #[test]
-fn older_list_adds_unknown_upstreams_unless_they_were_removed_since() {
+fn older_list_adds_unknown_upstreams_unless_removed_later() {
     let mut upstreams = membership();
     apply(&mut upstreams, &list(10, &[("a", "SERVING")]), ListKind::Complete);
     apply(&mut upstreams, &list(14, &[("a", "SERVING")]), ListKind::Update);
@@ -141,7 +141,7 @@
 }
 
 #[test]
-fn no_list_undoes_a_cordon() {
+fn lists_do_not_undo_a_cordon() {
     let mut upstreams = membership();
     let both = |revision| list(revision, &[("a", "SERVING"), ("b", "SERVING")]);
     apply(&mut upstreams, &both(1), ListKind::Complete);
@@ -234,7 +234,7 @@
 }
 
 #[test]
-fn expired_list_leaves_upstreams_of_the_fallback_policy_if_there_are_any() {
+fn stale_list_restricts_requests_to_the_fallback_policy_if_it_has_upstreams() {
     let mut upstreams = membership();
     upstreams.overlay.classes = vec!["alarm".into()];
     upstreams.update(
@@ -267,7 +267,7 @@
 }
 
 #[test]
-fn fallback_policy_leaves_only_its_cells() {
+fn fallback_policy_allows_only_its_cells() {
     let mut upstreams = membership();
     upstreams.overlay.classes = vec!["alarm".into()];
     upstreams.update(&in_cells(1, &[("a", 1), ("b", 2)]), ListKind::Complete, Instant::now());
@@ -338,32 +338,32 @@
 }
 
 #[test]
-fn count_of_open_targets_agrees_with_closing_times() {
+fn count_of_open_targets_matches_closing_times() {
     let mut upstreams = membership();
     upstreams.overlay.classes = vec!["alarm".into()];
     let is_open = |known: &UpstreamRecord| known.target.closed_from.get().is_none();
-    let agrees = |upstreams: &Membership| {
+    let is_consistent = |upstreams: &Membership| {
         upstreams.any_open() == upstreams.records.values().any(|k| is_open(k))
     };
     assert!(!upstreams.any_open());
     let now = Instant::now();
     let both = |revision| list(revision, &[("a", "SERVING"), ("b", "DRAINING")]);
     upstreams.update(&both(1), ListKind::Complete, now);
-    assert!(upstreams.any_open() && agrees(&upstreams));
+    assert!(upstreams.any_open() && is_consistent(&upstreams));
     let a: BTreeSet<String> = ["a".to_string()].into();
     upstreams.cordon(&a, now);
-    assert!(!upstreams.any_open() && agrees(&upstreams));
+    assert!(!upstreams.any_open() && is_consistent(&upstreams));
     // A target that is closed twice and opened once.
     upstreams.update(&both(2), ListKind::Complete, now);
     upstreams.apply_policy(rules(json!({"out": {"upstreams": ["a"]}}), &[]), now);
-    assert!(!upstreams.any_open() && agrees(&upstreams));
+    assert!(!upstreams.any_open() && is_consistent(&upstreams));
     upstreams.cordon(&BTreeSet::new(), now);
     upstreams.apply_policy(rules(json!({}), &[]), now);
-    assert!(upstreams.any_open() && agrees(&upstreams));
+    assert!(upstreams.any_open() && is_consistent(&upstreams));
     upstreams.update(&list(3, &[]), ListKind::Complete, now);
-    assert!(!upstreams.any_open() && agrees(&upstreams));
+    assert!(!upstreams.any_open() && is_consistent(&upstreams));
     upstreams.forget_departed();
     assert!(!upstreams.any_open() && upstreams.records.is_empty() && upstreams.gone.is_empty());
     upstreams.update(&both(4), ListKind::Complete, now);
-    assert!(upstreams.any_open() && agrees(&upstreams));
+    assert!(upstreams.any_open() && is_consistent(&upstreams));
 }
--- a/crates/gateway/src/restored_list/tests.rs
+++ b/crates/gateway/src/restored_list/tests.rs
@@ -13,12 +13,12 @@
     serde_json::from_value(json!({"revision": revision, "members": members})).expect("a list")
 }
 
-fn since(of: &RestoredList) -> Vec<f64> {
-    of.list.members.iter().map(|m| m.up_since_ms).collect()
+fn start_times(restored: &RestoredList) -> Vec<f64> {
+    restored.list.members.iter().map(|m| m.up_since_ms).collect()
 }
 
 #[test]
-fn newer_of_two_lists_applies_and_of_equal_ones_the_configurations() {
+fn stored_list_applies_only_if_newer_than_the_initial_list() {
     let initial_list = list(5, &[("a", "SERVING")]);
     for (revision, applies) in [(4, false), (5, false), (6, true)] {
         let stored = list(revision, &[("a", "DRAINING")]);
@@ -36,20 +36,20 @@
 }
 
 #[test]
-fn recent_list_applies_complete_under_the_version_of_the_configurations() {
+fn recent_list_counts_as_complete_with_the_version_of_the_initial_list() {
     let (stored, initial_list) =
         (list(9, &[("a", "DRAINING"), ("b", "SERVING")]), list(5, &[("c", "SERVING")]));
     let recent = restored_list(&stored, &initial_list, 10 * MINUTE, NOW).expect("it applies");
     assert!(recent.is_complete && recent.list.revision == 5, "{recent:?}");
-    assert_eq!(since(&recent), [7.0, 7.0]);
+    assert_eq!(start_times(&recent), [7.0, 7.0]);
 }
 
 #[test]
-fn old_list_takes_upstreams_out_and_warms_newcomers_up() {
+fn old_list_drains_upstreams_and_marks_new_ones_as_just_started() {
     let stored = list(9, &[("a", "DRAINING"), ("b", "SERVING"), ("c", "SERVING")]);
     let initial_list = list(5, &[("a", "SERVING"), ("c", "SERVING"), ("d", "SERVING")]);
     let old = restored_list(&stored, &initial_list, 11 * MINUTE, NOW).expect("it applies");
     assert!(!old.is_complete);
-    assert_eq!(since(&old), [7.0, 1e9, 7.0], "only `b` is marked as just started");
+    assert_eq!(start_times(&old), [7.0, 1e9, 7.0], "only `b` is marked as just started");
     assert!(restored_list(&stored, &initial_list, 31 * 24 * 60 * MINUTE, NOW).is_none());
 }
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -197,7 +197,7 @@
         // The state is restored before any client is accepted.
         let state_store =
             restored.map(|restored| StateStore::start(restored, handle.admin_handle()));
-        let _saves =
+        let _periodic_saves =
             state_store.clone().map(|store| AbortOnDrop(tokio::task::spawn_local(store.run())));
         let client_server = Rc::new(ClientServer::new(&config, handle, &budget));
         let balancer = Balancer {
@@ -207,12 +207,12 @@
             cluster: admin_client,
         };
         let admin = Admin::join(balancer, operator_access.store).await;
-        let _follows = AbortOnDrop(tokio::task::spawn_local(admin.clone().follow()));
+        let _store_follower = AbortOnDrop(tokio::task::spawn_local(admin.clone().follow_store()));
         let _admin_server = operator_access
             .listener
             .map(|listener| AbortOnDrop(tokio::task::spawn_local(admin.clone().serve(listener))));
         let serve =
-            client_server.serve(listener, admin.wait_to_open(), stop, || admin.is_succeeded());
+            client_server.serve(listener, admin.wait_to_serve(), stop, || admin.is_succeeded());
         let served = tokio::select! {
             biased;
             () = serve => Ok(()),
--- a/crates/gateway/src/start_times/tests.rs
+++ b/crates/gateway/src/start_times/tests.rs
@@ -59,7 +59,7 @@
 }
 
 #[test]
-fn fleet_that_was_started_at_once_counts_as_warm() {
+fn upstreams_started_at_the_same_time_count_as_warm() {
     let (times, origin) = clock(0);
     assert_eq!(
         ages(&times, origin.into(), &entries(&[HOUR, HOUR + 1, HOUR + 2])),
@@ -84,7 +84,7 @@
 }
 
 #[test]
-fn start_that_is_listed_again_keeps_its_correction() {
+fn repeated_start_keeps_its_correction() {
     let (times, origin) = clock(HOUR);
     let listed = ListedStart::of(&entries(&[1])[0]).expect("a start");
     let nearly = std::num::NonZeroI64::new(listed.0.get() - 900_000).map(ListedStart);
--- a/crates/gateway/src/state_store.rs
+++ b/crates/gateway/src/state_store.rs
@@ -200,7 +200,7 @@
         let Some(learned) = self.engine.learned().await else { return };
         let mut payload = self.payload.borrow_mut();
         // Estimates based on the same responses as before keep their age.
-        if !payload.learned.as_ref().is_some_and(|was| was.has_same_answers(&learned)) {
+        if !payload.learned.as_ref().is_some_and(|previous| previous.has_same_answers(&learned)) {
             payload.learned = Some(learned);
             payload.learned_ms = self.now().as_millis() as u64;
         }
@@ -237,8 +237,8 @@
             payload.operator_copy.get_or_insert_default().is_final = true;
         }
         self.save();
-        let until = Instant::now() + LAST_SAVE_TIMEOUT;
-        while !self.saver.is_idle() && Instant::now() < until {
+        let deadline = Instant::now() + LAST_SAVE_TIMEOUT;
+        while !self.saver.is_idle() && Instant::now() < deadline {
             sleep(LAST_SAVE_POLL).await;
         }
     }
--- a/crates/gateway/src/state_store/payload.rs
+++ b/crates/gateway/src/state_store/payload.rs
@@ -82,10 +82,10 @@
     }
 }
 
-/// Returns the time from `then_ms` (milliseconds of Unix time) to `now`, or `None` if one of the two clocks must be wrong.
-fn age(now: Duration, then_ms: u64) -> Option<Duration> {
-    let then = Duration::from_millis(then_ms);
-    (then <= now + MAX_CLOCK_SKEW).then(|| now.saturating_sub(then))
+/// Returns the time from `stored_ms` (milliseconds of Unix time) to `now`, or `None` if one of the two clocks must be wrong.
+fn age(now: Duration, stored_ms: u64) -> Option<Duration> {
+    let stored_at = Duration::from_millis(stored_ms);
+    (stored_at <= now + MAX_CLOCK_SKEW).then(|| now.saturating_sub(stored_at))
 }
 
 fn serialize_list<S: Serializer>(
--- a/crates/gateway/src/subsetting.rs
+++ b/crates/gateway/src/subsetting.rs
@@ -78,9 +78,9 @@
             is_changed |= self.update_member(member);
         }
         let has_moved = if is_changed { self.recompute(now) } else { self.subset.expire(now.0) };
-        let concerns =
+        let is_relevant =
             |m: &&Member| self.subset.contains(cell(m)) || self.published.contains(&m.id);
-        let mut changes: Vec<Member> = members.iter().filter(concerns).copied().collect();
+        let mut changes: Vec<Member> = members.iter().filter(is_relevant).copied().collect();
         if kind.is_part() {
             if has_moved {
                 // A member that joins or leaves the subset must not be in the changes twice.
--- a/crates/gateway/src/subsetting/tests.rs
+++ b/crates/gateway/src/subsetting/tests.rs
@@ -1,12 +1,12 @@
 use super::*;
 
 fn fleet(n: u32) -> Vec<Member> {
-    let of = |i: u32| Member { cell: i / 8, ..Member::live(ServerId(i)) };
-    (0..n).map(of).collect()
+    let member = |i: u32| Member { cell: i / 8, ..Member::live(ServerId(i)) };
+    (0..n).map(member).collect()
 }
 
 /// Returns a lookup of a member in this fleet.
-fn among(fleet: &[Member]) -> impl Fn(ServerId) -> Option<Member> {
+fn lookup_in(fleet: &[Member]) -> impl Fn(ServerId) -> Option<Member> {
     |id| fleet.iter().find(|m| m.id == id).copied()
 }
 
@@ -29,13 +29,13 @@
 }
 
 #[test]
-fn policy_knows_complete_cells_and_every_drain_among_them() {
+fn policy_knows_complete_cells_and_every_drain_in_them() {
     let (mut subsetting, mut known) = (subsetting(), FxHashMap::default());
     let mut all = fleet(400);
     apply(
         &mut known,
         ListKind::Complete,
-        &subsetting.apply_list(Time(0), ListKind::Complete, &all, among(&all)),
+        &subsetting.apply_list(Time(0), ListKind::Complete, &all, lookup_in(&all)),
     );
     assert_eq!(known.len(), 40);
     assert_eq!(
@@ -52,7 +52,7 @@
         apply(
             &mut known,
             ListKind::Update,
-            &subsetting.apply_list(Time(1), ListKind::Update, &all[i..i + 1], among(&all)),
+            &subsetting.apply_list(Time(1), ListKind::Update, &all[i..i + 1], lookup_in(&all)),
         );
     }
     assert_eq!(known.get(&all[inside].id), Some(&Status::Draining));
@@ -60,13 +60,13 @@
 }
 
 #[test]
-fn upstream_that_left_the_subset_is_removed_once_it_has_lingered() {
+fn upstream_that_left_the_subset_is_removed_after_its_linger_time() {
     let (mut subsetting, mut known) = (subsetting(), FxHashMap::default());
     let all = fleet(400);
     apply(
         &mut known,
         ListKind::Complete,
-        &subsetting.apply_list(Time(0), ListKind::Complete, &all, among(&all)),
+        &subsetting.apply_list(Time(0), ListKind::Complete, &all, lookup_in(&all)),
     );
     let before: Vec<ServerId> = known.keys().copied().collect();
     // Three of the five cells are deleted, and other cells replace them at once.
@@ -76,7 +76,7 @@
     apply(
         &mut known,
         ListKind::Update,
-        &subsetting.apply_list(Time(1), ListKind::Update, &gone, among(&all)),
+        &subsetting.apply_list(Time(1), ListKind::Update, &gone, lookup_in(&all)),
     );
     assert!(known.len() >= 36, "{} left", known.len());
     // The deleted cells return, and their replacements linger.
@@ -84,10 +84,10 @@
     apply(
         &mut known,
         ListKind::Update,
-        &subsetting.apply_list(Time(2), ListKind::Update, &gone, among(&all)),
+        &subsetting.apply_list(Time(2), ListKind::Update, &gone, lookup_in(&all)),
     );
     assert!(known.len() > 40);
-    apply(&mut known, ListKind::Update, &subsetting.expire(Time(1500), among(&all)));
+    apply(&mut known, ListKind::Update, &subsetting.expire(Time(1500), lookup_in(&all)));
     let mut after: Vec<ServerId> = known.keys().copied().collect();
     let mut before = before;
     before.sort_unstable();
@@ -102,18 +102,18 @@
     apply(
         &mut known,
         ListKind::Complete,
-        &subsetting.apply_list(Time(0), ListKind::Complete, &all, among(&all)),
+        &subsetting.apply_list(Time(0), ListKind::Complete, &all, lookup_in(&all)),
     );
     // The number of upstreams grows tenfold, and the subset grows with it.
     let more: Vec<Member> = fleet(800).split_off(80);
-    let changes = subsetting.apply_list(Time(1), ListKind::Update, &more, among(&fleet(800)));
+    let changes = subsetting.apply_list(Time(1), ListKind::Update, &more, lookup_in(&fleet(800)));
     let named: FxHashSet<ServerId> = changes.iter().map(|m| m.id).collect();
     assert!(named.len() > 8, "{} named", named.len());
     assert_eq!(named.len(), changes.len(), "an upstream is named twice");
     apply(&mut known, ListKind::Update, &changes);
     // The added upstreams are removed, including some that the decision module knows.
     let gone: Vec<Member> = more.iter().map(|m| Member { status: Status::Gone, ..*m }).collect();
-    let changes = subsetting.apply_list(Time(2), ListKind::Update, &gone, among(&fleet(800)));
+    let changes = subsetting.apply_list(Time(2), ListKind::Update, &gone, lookup_in(&fleet(800)));
     let named: FxHashSet<ServerId> = changes.iter().map(|m| m.id).collect();
     assert_eq!(named.len(), changes.len(), "an upstream is named twice");
     apply(&mut known, ListKind::Update, &changes);
@@ -121,13 +121,17 @@
 }
 
 #[test]
-fn subset_that_is_silent_is_widened() {
+fn unhealthy_subset_is_widened() {
     let (mut subsetting, mut known) = (subsetting(), FxHashMap::default());
     apply(
         &mut known,
         ListKind::Complete,
-        &subsetting.apply_list(Time(0), ListKind::Complete, &fleet(400), among(&fleet(400))),
+        &subsetting.apply_list(Time(0), ListKind::Complete, &fleet(400), lookup_in(&fleet(400))),
+    );
+    apply(
+        &mut known,
+        ListKind::Update,
+        &subsetting.set_health(Time(1), 40, 3, lookup_in(&fleet(400))),
     );
-    apply(&mut known, ListKind::Update, &subsetting.set_health(Time(1), 40, 3, among(&fleet(400))));
     assert_eq!(known.len(), 80);
 }
--- a/crates/gateway/src/update_queue/tests.rs
+++ b/crates/gateway/src/update_queue/tests.rs
@@ -34,7 +34,7 @@
 }
 
 #[test]
-fn long_list_is_handed_over_in_parts_with_the_same_result() {
+fn long_list_is_passed_on_in_parts_with_the_same_result() {
     let (mut queue, mut known) = (UpdateQueue::default(), FxHashMap::default());
     let part = queue.queue_list(ListKind::Restored, all(10_000), none_listed);
     assert_eq!(apply_all_parts(&mut queue, &mut known, part), 1, "the first list is not split");
@@ -105,7 +105,7 @@
 }
 
 #[test]
-fn short_list_is_handed_over_as_it_is() {
+fn short_list_is_passed_on_unsplit() {
     let mut queue = UpdateQueue::default();
     for kind in [ListKind::Restored, ListKind::Complete, ListKind::Update, ListKind::LocalChange] {
         let part = queue.queue_list(kind, all(200), none_listed);
@@ -115,7 +115,7 @@
 }
 
 #[test]
-fn upstreams_that_a_complete_list_leaves_out_are_removed_as_last_listed() {
+fn upstreams_missing_from_a_complete_list_are_removed_as_last_listed() {
     let mut queue = UpdateQueue::default();
     let last = |id| Some(Member { zone: 3, cell: 7, ..Member::live(id) });
     let members: Vec<Member> = (0..1000).map(ServerId).filter_map(last).collect();
@@ -131,7 +131,7 @@
 }
 
 #[test]
-fn change_of_any_field_is_handed_over() {
+fn change_of_any_field_changes_the_fingerprint() {
     let listed = Member::live(ServerId(7));
     let started = Some(hollowpaddle_policy::interface::Time(0));
     let changed = [
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -224,11 +224,11 @@
 
 /// Returns the maximum result over offsets that cover the duration of a call and the waits around it.
 fn worst(name: &str, run: impl Fn(Duration) -> Duration) -> Duration {
-    let (worst, of) = (0..24).map(|i| (run(ms(OFFSET_STEP_MS * i)), i)).max().expect("some");
+    let (worst, step) = (0..24).map(|i| (run(ms(OFFSET_STEP_MS * i)), i)).max().expect("some");
     println!(
         "{name}: the last send {} ms after, at offset {} ms",
         worst.as_millis(),
-        OFFSET_STEP_MS * of
+        OFFSET_STEP_MS * step
     );
     worst
 }
