--- a/crates/gateway/src/membership/list_update.rs
+++ b/crates/gateway/src/membership/list_update.rs
@@ -149,7 +149,7 @@
         self.handles.insert(name.clone(), id);
         let target = UpstreamTarget { address: Cell::new(address), closed_from: Cell::new(None) };
         let target = Rc::new(target);
-        self.open_targets.admit();
+        self.open_targets.add_open();
         let record =
             UpstreamRecord { name, target, listing: listed, revision: 0, last_named_by: 0 };
         self.records.insert(id, Box::new(record));
--- a/crates/gateway/src/membership/open_targets.rs
+++ b/crates/gateway/src/membership/open_targets.rs
@@ -15,7 +15,7 @@
     }
 
     /// Counts a new target, which starts open.
-    pub(super) fn admit(&mut self) {
+    pub(super) fn add_open(&mut self) {
         self.0 += 1;
     }
 
--- a/crates/gateway/src/start_times.rs
+++ b/crates/gateway/src/start_times.rs
@@ -105,7 +105,7 @@
 
     /// Returns the rules for correcting the start times on this list.
     pub fn correction(&self, delivery: Delivery, entries: &[Entry]) -> ListCorrection {
-        let now = self.unix(delivery.now);
+        let now = self.unix_microseconds(delivery.now);
         let starts = || entries.iter().filter_map(ListedStart::of).map(|start| start.0.get());
         let newest = starts().max().unwrap_or(now);
         let warm_up = self.warm_up.as_micros() as i64;
@@ -116,7 +116,7 @@
             && 2 * starts().filter(|start| *start >= newest - warm_up).count() <= entries.len();
         ListCorrection {
             now,
-            started_since: delivery.complete_until.map(|at| self.unix(at)),
+            started_since: delivery.complete_until.map(|at| self.unix_microseconds(at)),
             unchecked_from: is_unchecked.then_some(newest - warm_up),
             newest,
         }
@@ -165,7 +165,7 @@
     }
 
     /// Returns a time in microseconds of Unix time by this process's clock.
-    fn unix(&self, at: Instant) -> i64 {
+    fn unix_microseconds(&self, at: Instant) -> i64 {
         let after = at.saturating_duration_since(self.origin).as_micros() as i64;
         let before = self.origin.saturating_duration_since(at).as_micros() as i64;
         self.origin_unix.as_micros() as i64 + after - before
--- a/crates/gateway/src/update_queue/tests.rs
+++ b/crates/gateway/src/update_queue/tests.rs
@@ -38,7 +38,7 @@
     let (mut queue, mut known) = (UpdateQueue::default(), FxHashMap::default());
     let part = queue.queue_list(ListKind::Restored, all(10_000), none_listed);
     assert_eq!(apply_all_parts(&mut queue, &mut known, part), 1, "the first list is not split");
-    // The same list again changes no upstream, and is still passed on, because it confirms the watch.
+    // The same list again changes no upstream, and is still passed on, because it shows that the watch is alive.
     let part = queue.queue_list(ListKind::Complete, all(10_000), none_listed);
     assert_eq!(part, Part { kind: ListKind::Update, members: vec![] });
     // Half of the upstreams are missing from the list, and a tenth of the rest drains.
