--- a/crates/gateway/src/list_reader.rs
+++ b/crates/gateway/src/list_reader.rs
@@ -46,7 +46,7 @@
     #[error("list with more than {MAX_OUTLINE_LENGTH} bytes outside of its entries")]
     OutlineTooLong,
     /// Values are nested too deeply.
-    #[error("list with more than {MAX_DEPTH} nested values")]
+    #[error("list nested deeper than {MAX_DEPTH} levels")]
     TooDeep,
     /// The list has too many entries.
     #[error("list with more than {MAX_ENTRIES} entries")]
--- a/crates/gateway/src/membership.rs
+++ b/crates/gateway/src/membership.rs
@@ -37,7 +37,7 @@
 /// are shared with the entries of the list.
 pub struct Membership {
     handles: FxHashMap<Arc<str>, ServerId>,
-    /// Boxed, since a hash table has capacity for up to twice its entries.
+    /// Records are boxed, because a hash table has capacity for up to twice its entries.
     records: FxHashMap<ServerId, Box<UpstreamRecord>>,
     /// Upstreams in `records` that are gone but may still be in use by an attempt.
     gone: FxHashSet<ServerId>,
--- a/crates/gateway/src/state_store.rs
+++ b/crates/gateway/src/state_store.rs
@@ -64,7 +64,7 @@
 /// Report of the start, as shown by `GET /admin/start`.
 #[derive(Serialize)]
 struct StartReport {
-    /// `usual`, `without-snapshot` or `bare`.
+    /// Mode of the start: `usual`, `without-snapshot` or `bare`.
     #[serde(rename = "way")]
     mode: &'static str,
     /// `snapshot` if learned estimates were restored, otherwise `nothing`.
