--- a/crates/gateway/src/admin.rs
+++ b/crates/gateway/src/admin.rs
@@ -94,7 +94,7 @@
 impl Joined {
     /// Joins the processes of this balancer. An unreadable file is set aside, and a lost file is recovered from the copy if
     /// there is one.
-    async fn through_store(mut store: Store, copy: &RecoveredCopy) -> Result<Self, StoreError> {
+    async fn with_store(mut store: Store, copy: &RecoveredCopy) -> Result<Self, StoreError> {
         let mut damage = None;
         if let Err(cause @ StoreError::Malformed { .. }) = store.read() {
             let aside = store.set_aside()?;
@@ -137,7 +137,7 @@
         let copy = balancer.recovered_copy();
         let joined = match store {
             None => Joined::without_store(None, &copy),
-            Some(store) => match Joined::through_store(store, &copy).await {
+            Some(store) => match Joined::with_store(store, &copy).await {
                 Ok(joined) => joined,
                 Err(cause) => {
                     tracing::error!(%cause, "operator commands not stored: repeat them after each start");
--- a/crates/gateway/src/admin/processes.rs
+++ b/crates/gateway/src/admin/processes.rs
@@ -56,7 +56,7 @@
     }
 
     /// Returns whether a process that was started later serves in place of this process.
-    pub fn is_succeeded(&self) -> bool {
+    pub fn has_successor(&self) -> bool {
         self.is_any_alive(|state, number| state.serving_after(number).collect())
     }
 
--- a/crates/gateway/src/cluster/join.rs
+++ b/crates/gateway/src/cluster/join.rs
@@ -70,9 +70,10 @@
     let mandatory_cells = cluster.mandatory_fallback.as_deref().unwrap_or_default();
     let mandatory_fallback = match &cluster.mandatory_fallback {
         None => admin_api::default_mandatory_fallback(&cells),
-        Some(cells) => fallback_of(cells),
+        Some(cells) => fallback_policy_of(cells),
     };
-    let mut fallback_policy = fallback_of(cluster.fallback_policy.as_deref().unwrap_or_default());
+    let mut fallback_policy =
+        fallback_policy_of(cluster.fallback_policy.as_deref().unwrap_or_default());
     fallback_policy.cells.extend(mandatory_cells);
     let voters = match cluster.voters.as_slice() {
         [] => default_voters(size),
@@ -87,7 +88,7 @@
         // The bootstrap state must be equal at every balancer, so no part of it comes from endpoint lists, which differ.
         bootstrap: Bootstrap {
             members: size,
-            mandatory_fallback: fallback_of(mandatory_cells),
+            mandatory_fallback: fallback_policy_of(mandatory_cells),
             fallback_policy,
             document: Document::default(),
         },
@@ -110,6 +111,6 @@
 }
 
 /// Returns a fallback policy that allows exactly these cells.
-fn fallback_of(cells: &[u32]) -> FallbackPolicy {
+fn fallback_policy_of(cells: &[u32]) -> FallbackPolicy {
     FallbackPolicy { cells: cells.iter().copied().collect(), ..FallbackPolicy::default() }
 }
--- a/crates/gateway/src/cluster/machine/timers.rs
+++ b/crates/gateway/src/cluster/machine/timers.rs
@@ -51,8 +51,9 @@
     /// Requests a wake-up at the earliest due time of a component, unless that wake-up is already requested.
     pub(super) fn arm(&mut self, actions: &mut Vec<Action>) {
         let ticks = [Some(self.replica_due), Some(self.learner_due)];
-        let dues = ticks.into_iter().chain([self.transport_due, self.leases_due, self.lists_due]);
-        let next = dues.flatten().min();
+        let due_times =
+            ticks.into_iter().chain([self.transport_due, self.leases_due, self.lists_due]);
+        let next = due_times.flatten().min();
         if next != self.armed {
             self.armed = next;
             actions.extend(next.map(Action::WakeAt));
--- a/crates/gateway/src/config.rs
+++ b/crates/gateway/src/config.rs
@@ -70,7 +70,7 @@
         /// Value of the switch.
         value: String,
     },
-    /// The addresses in `peers` don't match the number of balancers, or don't include this balancer.
+    /// The number of addresses in `peers` is wrong or too large, or this balancer's number is out of range.
     #[error(
         "`peers` has {peers} addresses for {balancers} balancers, this one number {position}: expected one for each"
     )]
--- a/crates/gateway/src/list_reader.rs
+++ b/crates/gateway/src/list_reader.rs
@@ -138,7 +138,7 @@
     }
 
     fn push_to_outline(&mut self, byte: u8) -> Result<Option<List>, ListError> {
-        let begins_members = self.follow_keys(byte);
+        let begins_members = self.track_keys(byte);
         let was_in_string = self.outline.is_in_string();
         self.outline.push(byte);
         if was_in_string && !self.outline.is_in_string() {
@@ -160,7 +160,7 @@
     }
 
     /// Tracks the keys at the top level of the list. Returns whether this byte begins the array of entries.
-    fn follow_keys(&mut self, byte: u8) -> bool {
+    fn track_keys(&mut self, byte: u8) -> bool {
         if self.outline.is_empty() {
             self.expects_key = byte == b'{';
             return false;
--- a/crates/gateway/src/list_reader/tests.rs
+++ b/crates/gateway/src/list_reader/tests.rs
@@ -202,9 +202,9 @@
 
 #[test]
 fn endless_text_is_rejected_within_the_limits() {
-    let begun =
+    let beginnings =
         ["{\"a\": \"", "{\"members\": [\"", "{\"members\": [{\"id\": \"", "{\"members\": [7"];
-    for begin in begun {
+    for begin in beginnings {
         let (mut reader, mut bytes) = (ListReader::default(), 0);
         let mut take = |piece: &[u8]| reader.feed(piece, |_| panic!("a list"));
         take(begin.as_bytes()).expect("it begins");
--- a/crates/gateway/src/serve.rs
+++ b/crates/gateway/src/serve.rs
@@ -212,7 +212,7 @@
             .listener
             .map(|listener| AbortOnDrop(tokio::task::spawn_local(admin.clone().serve(listener))));
         let serve =
-            client_server.serve(listener, admin.wait_to_serve(), stop, || admin.is_succeeded());
+            client_server.serve(listener, admin.wait_to_serve(), stop, || admin.has_successor());
         let served = tokio::select! {
             biased;
             () = serve => Ok(()),
--- a/crates/gateway/src/state_store/payload.rs
+++ b/crates/gateway/src/state_store/payload.rs
@@ -41,7 +41,7 @@
 
 impl Payload {
     /// Discards the estimates and the list.
-    pub(super) fn forget_fleet(&mut self) {
+    pub(super) fn discard_estimates_and_list(&mut self) {
         self.learned = None;
         self.learned_ms = 0;
         self.list = None;
--- a/crates/gateway/src/state_store/restored.rs
+++ b/crates/gateway/src/state_store/restored.rs
@@ -45,7 +45,7 @@
         if mode > StartMode::Normal {
             let crashes = payload.starts.crash_count();
             tracing::error!(crashes, mode = mode.name(), "crash loop detected");
-            payload.forget_fleet();
+            payload.discard_estimates_and_list();
         }
         discard_other_settings(&mut payload, meaning);
         if !payload.has_known_learned_age(now) {
@@ -71,7 +71,7 @@
     if payload.learned.is_some() || payload.list.is_some() {
         tracing::warn!("stored state discarded: saved under other classes, zones or machine types");
     }
-    payload.forget_fleet();
+    payload.discard_estimates_and_list();
 }
 
 /// Logs a file that is not used, and returns its name and the reason as text.
--- a/crates/gateway/src/subsetting.rs
+++ b/crates/gateway/src/subsetting.rs
@@ -77,17 +77,18 @@
         for member in members {
             is_changed |= self.update_member(member);
         }
-        let has_moved = if is_changed { self.recompute(now) } else { self.subset.expire(now.0) };
+        let has_subset_changed =
+            if is_changed { self.recompute(now) } else { self.subset.expire(now.0) };
         let is_relevant =
             |m: &&Member| self.subset.contains(cell(m)) || self.published.contains(&m.id);
         let mut changes: Vec<Member> = members.iter().filter(is_relevant).copied().collect();
         if kind.is_part() {
-            if has_moved {
+            if has_subset_changed {
                 // A member that joins or leaves the subset must not be in the changes twice.
-                let joined_or_left = self.subset_changes(last_listed);
-                let named: FxHashSet<ServerId> = joined_or_left.iter().map(|m| m.id).collect();
+                let joined_and_left = self.subset_changes(last_listed);
+                let named: FxHashSet<ServerId> = joined_and_left.iter().map(|m| m.id).collect();
                 changes.retain(|m| !named.contains(&m.id));
-                changes.extend(joined_or_left);
+                changes.extend(joined_and_left);
             }
         } else {
             // Upstreams that are missing from a complete list are gone.
--- a/crates/gateway/src/subsetting/tests.rs
+++ b/crates/gateway/src/subsetting/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-fn fleet(n: u32) -> Vec<Member> {
+fn upstreams(n: u32) -> Vec<Member> {
     let member = |i: u32| Member { cell: i / 8, ..Member::live(ServerId(i)) };
     (0..n).map(member).collect()
 }
 
-/// Returns a lookup of a member in this fleet.
-fn lookup_in(fleet: &[Member]) -> impl Fn(ServerId) -> Option<Member> {
-    |id| fleet.iter().find(|m| m.id == id).copied()
+/// Returns a lookup of a member among these upstreams.
+fn lookup_in(upstreams: &[Member]) -> impl Fn(ServerId) -> Option<Member> {
+    |id| upstreams.iter().find(|m| m.id == id).copied()
 }
 
 fn subsetting() -> Subsetting {
@@ -31,7 +31,7 @@
 #[test]
 fn policy_knows_complete_cells_and_every_drain_in_them() {
     let (mut subsetting, mut known) = (subsetting(), FxHashMap::default());
-    let mut all = fleet(400);
+    let mut all = upstreams(400);
     apply(
         &mut known,
         ListKind::Complete,
@@ -62,7 +62,7 @@
 #[test]
 fn upstream_that_left_the_subset_is_removed_after_its_linger_time() {
     let (mut subsetting, mut known) = (subsetting(), FxHashMap::default());
-    let all = fleet(400);
+    let all = upstreams(400);
     apply(
         &mut known,
         ListKind::Complete,
@@ -98,22 +98,24 @@
 #[test]
 fn no_upstream_is_named_twice_when_the_subset_changes_with_the_list() {
     let (mut subsetting, mut known) = (subsetting(), FxHashMap::default());
-    let all = fleet(80);
+    let all = upstreams(80);
     apply(
         &mut known,
         ListKind::Complete,
         &subsetting.apply_list(Time(0), ListKind::Complete, &all, lookup_in(&all)),
     );
     // The number of upstreams grows tenfold, and the subset grows with it.
-    let more: Vec<Member> = fleet(800).split_off(80);
-    let changes = subsetting.apply_list(Time(1), ListKind::Update, &more, lookup_in(&fleet(800)));
+    let more: Vec<Member> = upstreams(800).split_off(80);
+    let changes =
+        subsetting.apply_list(Time(1), ListKind::Update, &more, lookup_in(&upstreams(800)));
     let named: FxHashSet<ServerId> = changes.iter().map(|m| m.id).collect();
     assert!(named.len() > 8, "{} named", named.len());
     assert_eq!(named.len(), changes.len(), "an upstream is named twice");
     apply(&mut known, ListKind::Update, &changes);
     // The added upstreams are removed, including some that the decision module knows.
     let gone: Vec<Member> = more.iter().map(|m| Member { status: Status::Gone, ..*m }).collect();
-    let changes = subsetting.apply_list(Time(2), ListKind::Update, &gone, lookup_in(&fleet(800)));
+    let changes =
+        subsetting.apply_list(Time(2), ListKind::Update, &gone, lookup_in(&upstreams(800)));
     let named: FxHashSet<ServerId> = changes.iter().map(|m| m.id).collect();
     assert_eq!(named.len(), changes.len(), "an upstream is named twice");
     apply(&mut known, ListKind::Update, &changes);
@@ -126,12 +128,17 @@
     apply(
         &mut known,
         ListKind::Complete,
-        &subsetting.apply_list(Time(0), ListKind::Complete, &fleet(400), lookup_in(&fleet(400))),
+        &subsetting.apply_list(
+            Time(0),
+            ListKind::Complete,
+            &upstreams(400),
+            lookup_in(&upstreams(400)),
+        ),
     );
     apply(
         &mut known,
         ListKind::Update,
-        &subsetting.set_health(Time(1), 40, 3, lookup_in(&fleet(400))),
+        &subsetting.set_health(Time(1), 40, 3, lookup_in(&upstreams(400))),
     );
     assert_eq!(known.len(), 80);
 }
--- a/crates/gateway/tests/list_memory.rs
+++ b/crates/gateway/tests/list_memory.rs
@@ -98,12 +98,12 @@
 }
 
 /// The parts of a balancer that store the list, without the decision module.
-struct Holders {
+struct ListState {
     membership: Membership,
     update_queue: UpdateQueue,
 }
 
-impl Holders {
+impl ListState {
     fn apply(&mut self, list: &List) -> Duration {
         let started_at = Instant::now();
         let changes = self.membership.update(list, ListKind::Complete, tokio::time::Instant::now());
@@ -123,7 +123,7 @@
 /// Number of upstreams in one change of the list.
 const CHANGED: usize = 8;
 
-impl Holders {
+impl ListState {
     /// Returns the median time of applying a change of [`CHANGED`] upstreams.
     fn apply_changes(&mut self, count: usize) -> Duration {
         let entries = read(&text(3, count)).0.members;
@@ -154,15 +154,18 @@
     let now = tokio::time::Instant::now();
     let start_times = StartTimes::new(now, Duration::ZERO, Duration::ZERO);
     let membership = Membership::new(config, Duration::from_millis(400), start_times);
-    let mut holders = Holders { membership, update_queue: UpdateQueue::default() };
+    let mut list_state = ListState { membership, update_queue: UpdateQueue::default() };
     let mut steps = Vec::new();
     for text in [&first, &second] {
         let (list, piece) = read(text);
-        steps.push((piece, holders.apply(&list)));
+        steps.push((piece, list_state.apply(&list)));
     }
     let retained = ALLOCATED.load(Ordering::Relaxed) - before;
     let peak = PEAK.load(Ordering::Relaxed) - before;
-    println!("{count} upstreams: a change of {CHANGED} takes {:?}", holders.apply_changes(count));
+    println!(
+        "{count} upstreams: a change of {CHANGED} takes {:?}",
+        list_state.apply_changes(count)
+    );
     println!(
         "{count} upstreams: {retained} bytes retained, {peak} at the peak; longest piece and update {steps:?}"
     );
--- a/src/lib.rs
+++ b/src/lib.rs
@@ -67,7 +67,7 @@
     // Logs the bound address, not the configured one: with port 0 the log is the only source of the port.
     let bound = listener.local_addr();
     let (reload, reloads) = mpsc::unbounded_channel();
-    tokio::task::spawn_local(reload::read_on(hangup, reload));
+    tokio::task::spawn_local(reload::read_after_signals(hangup, reload));
     tracing::info!(name = config.name, "listening on {bound}");
     let stop = async move {
         terminate.recv().await;
--- a/src/reload.rs
+++ b/src/reload.rs
@@ -28,7 +28,7 @@
 
 /// Reads the configuration after each SIGHUP, and sends it to `reload`. The old configuration stays in use while the file
 /// can't be used. A file that is read while being written is retried, or the balancer would miss a new address of discovery.
-pub async fn read_on(mut hangup: Signal, reload: UnboundedSender<Config>) {
+pub async fn read_after_signals(mut hangup: Signal, reload: UnboundedSender<Config>) {
     let mut is_due = hangup.recv().await.is_some();
     while is_due {
         is_due = tokio::select! {
