--- a/crates/gateway/src/discovery.rs
+++ b/crates/gateway/src/discovery.rs
@@ -92,7 +92,7 @@
     Unanswered(#[from] tokio::time::error::Elapsed),
     #[error("{0}")]
     Malformed(#[from] ListError),
-    #[error("stream ended")]
+    #[error("ended")]
     Ended,
     #[error("request: {0}")]
     Request(#[from] hyper::http::Error),
