--- a/crates/gateway/src/admin/server.rs
+++ b/crates/gateway/src/admin/server.rs
@@ -1,4 +1,4 @@
-//! The HTTP server of the admin API: connections, routes and JSON answers.
+//! The HTTP server of the admin API: connections, routes and JSON responses.
 
 use std::collections::VecDeque;
 use std::convert::Infallible;
@@ -22,30 +22,30 @@
 
 use super::{Admin, ManagedBalancer};
 use crate::cluster::admin_api::{AdminRequest, AdminResponse, is_cluster_path};
-use crate::config::CALLERS;
+use crate::config::MAX_ADMIN_CONNECTIONS;
 use crate::http::{MAX_HEAD_BYTES, MAX_HEADER_LINES};
 use crate::tasks::AbortOnDrop;
 
-/// Time in which a call must be read and its answer be written. A connection that takes longer is closed.
+/// Maximum time to read a call and write its response. A connection that takes longer is closed.
 const CALL_TIMEOUT: Duration = Duration::from_secs(2);
-/// Time from the start of a connection by which its call has an answer, whatever has come of it.
+/// Maximum time from the start of a connection to the response, even if the outcome of the call is unknown.
 const ANSWER_TIMEOUT: Duration = Duration::from_millis(1900);
-/// Wait after a failed accept.
+/// Pause after a failed accept.
 const ACCEPT_BACKOFF: Duration = Duration::from_millis(20);
 
-/// An answer to a call.
+/// A response to a call.
 pub(super) type Answer = Response<Full<Bytes>>;
 
 impl<B: ManagedBalancer + 'static> Admin<B> {
-    /// Accepts connections and answers their calls, for as long as it is polled. With [`CALLERS`] connections open, a new
-    /// one replaces the oldest.
+    /// Accepts connections and answers their calls while the future is polled. When [`MAX_ADMIN_CONNECTIONS`] connections
+    /// are open, a new connection replaces the oldest.
     pub async fn serve(self: Rc<Self>, mut listener: Box<dyn Listener>) {
         let mut connections = VecDeque::<AbortOnDrop>::new();
         loop {
             match accept(&mut *listener).await {
                 Ok((stream, _)) => {
                     connections.retain(|connection| !connection.0.is_finished());
-                    while connections.len() >= CALLERS {
+                    while connections.len() >= MAX_ADMIN_CONNECTIONS {
                         connections.pop_front();
                     }
                     let connection = self.clone().serve_connection(stream);
@@ -71,7 +71,7 @@
         let _ = timeout(CALL_TIMEOUT, connection).await;
     }
 
-    /// Reads and answers a call by `deadline`: a caller without an answer could not tell what became of it.
+    /// Reads and answers a call by `deadline`. A caller without a response could not know the outcome of the call.
     async fn answer(
         &self,
         request: Request<Incoming>,
@@ -83,12 +83,12 @@
         let body = match timeout_at(deadline, Limited::new(body, limit).collect()).await {
             Ok(Ok(body)) => body.to_bytes(),
             Ok(Err(_)) => {
-                let why = "the body is too long or ends early";
-                return Ok(failure(StatusCode::PAYLOAD_TOO_LARGE, why));
+                let reason = "the body is too long or ends early";
+                return Ok(failure(StatusCode::PAYLOAD_TOO_LARGE, reason));
             }
             Err(_) => {
-                let why = "the body did not come in time";
-                return Ok(failure(StatusCode::REQUEST_TIMEOUT, why));
+                let reason = "the body did not come in time";
+                return Ok(failure(StatusCode::REQUEST_TIMEOUT, reason));
             }
         };
         let answer = async {
@@ -105,8 +105,8 @@
     async fn answer_cluster_call(&self, head: &Parts, body: &[u8], deadline: Instant) -> Answer {
         let query = head.uri.query().unwrap_or_default();
         match AdminRequest::read(head.method.as_str(), head.uri.path(), query, body) {
-            Ok(request) => self.ask_cluster(request, deadline).await,
-            Err(cause) => cluster_answer(AdminResponse::unread(&cause)),
+            Ok(request) => self.request_from_cluster(request, deadline).await,
+            Err(cause) => cluster_answer(AdminResponse::unreadable(&cause)),
         }
     }
 
@@ -127,13 +127,13 @@
     json_answer(StatusCode::OK, &serde_json::json!({"ok": true}))
 }
 
-pub(super) fn failure(status: StatusCode, why: &str) -> Answer {
-    json_answer(status, &serde_json::json!({"ok": false, "error": why}))
+pub(super) fn failure(status: StatusCode, reason: &str) -> Answer {
+    json_answer(status, &serde_json::json!({"ok": false, "error": reason}))
 }
 
 pub(super) fn cluster_answer(response: AdminResponse) -> Answer {
     let status = StatusCode::from_u16(response.status);
-    json_answer(status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR), &response.text)
+    json_answer(status.unwrap_or(StatusCode::INTERNAL_SERVER_ERROR), &response.body)
 }
 
 fn json_answer(status: StatusCode, body: &serde_json::Value) -> Answer {
--- a/crates/gateway/src/admin/tests.rs
+++ b/crates/gateway/src/admin/tests.rs
@@ -1,4 +1,4 @@
-//! Two processes of one balancer side by side.
+//! Tests of two concurrent processes of one balancer.
 
 use hollowpaddle_operator_commands::Call;
 use hyper::StatusCode;
@@ -7,7 +7,7 @@
 use super::processes::POLL_INTERVAL;
 use super::*;
 
-/// A balancer that does nothing, and has an upstream or none.
+/// A balancer that carries out no commands.
 struct Idle {
     is_ready: bool,
 }
@@ -29,7 +29,7 @@
     async fn learned(&self) -> Option<Learned> {
         Some(Learned::default())
     }
-    fn recall(&self, _: Learned) {}
+    fn restore_learned(&self, _: Learned) {}
     fn start_status(&self) -> serde_json::Value {
         serde_json::Value::Null
     }
@@ -40,7 +40,7 @@
     fn is_clustered(&self) -> bool {
         false
     }
-    async fn ask_cluster(&self, _: AdminRequest, _: Instant) -> Option<AdminResponse> {
+    async fn request_from_cluster(&self, _: AdminRequest, _: Instant) -> Option<AdminResponse> {
         None
     }
 }
@@ -51,7 +51,7 @@
 }
 
 #[tokio::test(start_paused = true)]
-async fn learned_estimates_are_handed_off_though_a_command_comes_before_the_next_poll() {
+async fn hands_off_learned_estimates_despite_a_command_before_the_next_poll() {
     let dir = tempfile::tempdir().expect("a directory");
     let old = joined(&dir, true).await;
     let mut store = Store::open(dir.path()).expect("a store");
@@ -60,20 +60,23 @@
         old.carry_out(Call::Quiesce, Instant::now() + BUSY_TIMEOUT).await.status(),
         StatusCode::OK
     );
-    let number = old.registration.as_ref().expect("it has a store").number;
-    let _ = timeout(10 * POLL_INTERVAL, old.follow()).await;
-    assert!(store.read_handoff(number).is_some(), "the newer process would start from nothing");
+    let number = old.registration.as_ref().expect("a store").number;
+    let _ = timeout(10 * POLL_INTERVAL, old.follow_store()).await;
+    assert!(
+        store.read_handoff(number).is_some(),
+        "the newer process would start without estimates"
+    );
 }
 
 #[tokio::test(start_paused = true)]
-async fn process_that_is_not_ready_opens_once_the_older_process_is_dead() {
+async fn unready_process_serves_once_the_older_process_is_dead() {
     let dir = tempfile::tempdir().expect("a directory");
     let mut store = Store::open(dir.path()).expect("a store");
     let (older, _) = store.join().expect("an older process joins");
     let new = joined(&dir, false).await;
-    let opens = new.wait_to_open();
-    tokio::pin!(opens);
-    assert!(timeout(10 * POLL_INTERVAL, &mut opens).await.is_err(), "the older one serves");
+    let wait = new.wait_to_serve();
+    tokio::pin!(wait);
+    assert!(timeout(10 * POLL_INTERVAL, &mut wait).await.is_err(), "the older process serves");
     drop(older);
-    timeout(10 * POLL_INTERVAL, &mut opens).await.expect("nobody else answers clients");
+    timeout(10 * POLL_INTERVAL, &mut wait).await.expect("no other process answers clients");
 }
--- a/crates/gateway/src/cluster/join.rs
+++ b/crates/gateway/src/cluster/join.rs
@@ -1,4 +1,4 @@
-//! Makes the two ends of this balancer's part of the cluster, by the configuration and the recovered state.
+//! Creates this balancer's cluster handle and cluster runtime from the configuration and the recovered state.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::sync::Arc;
@@ -19,25 +19,25 @@
 };
 use crate::config::{ClusterConfig, Config};
 
-/// Joins the cluster: returns the handle for the part that serves, and the runtime, which may run on another thread.
+/// Joins the cluster. Returns the handle for the engine and the admin API, and the runtime, which may run on another thread.
 ///
-/// `incarnation` names this process and is drawn at its start; 0 counts as 1. Without `recovered` state nothing that this
-/// balancer votes for outlives the process.
+/// `incarnation` identifies this process and is a random number chosen at the start; 0 counts as 1. Without `recovered`
+/// state this balancer's votes are lost when the process ends.
 ///
 /// # Errors
-/// The configuration describes no possible cluster.
+/// Returns an error if no cluster can have this configuration.
 pub fn join(
     config: &Config,
     cluster: &ClusterConfig,
     incarnation: u32,
     recovered: Option<RecoveredState>,
-    points: Points,
+    failpoints: Points,
 ) -> Result<(ClusterHandle, Runtime), SetupError> {
     let mut setup = setup(config, cluster, Incarnation(incarnation.max(1)));
     let mut durable_log = None;
     if let Some(recovered) = recovered {
-        setup.directory = true;
-        setup.found = recovered.found;
+        setup.has_durable_log = true;
+        setup.replica_state = recovered.replica_state;
         setup.fallback_policy = recovered.fallback_policy;
         durable_log = Some(recovered.durable_log);
     }
@@ -58,58 +58,59 @@
         calls: call_receiver,
         lists: list_receiver,
         durable_log,
-        points,
+        failpoints,
     };
     Ok((ClusterHandle { reader, events: event_receiver, calls: call_sender }, runtime))
 }
 
-/// What the configuration says of the machine; no recovered state.
+/// Returns the machine's setup by the configuration, without recovered state.
 fn setup(config: &Config, cluster: &ClusterConfig, incarnation: Incarnation) -> Setup {
     let size = cluster.peers.len() as u16;
     let cells = cells_by_zone(config);
     let mandatory_cells = cluster.mandatory_fallback.as_deref().unwrap_or_default();
     let mandatory_fallback = match &cluster.mandatory_fallback {
         None => admin_api::default_mandatory_fallback(&cells),
-        Some(cells) => fallback_of(cells),
+        Some(cells) => fallback_policy_of(cells),
     };
-    let mut fallback_policy = fallback_of(cluster.fallback_policy.as_deref().unwrap_or_default());
+    let mut fallback_policy =
+        fallback_policy_of(cluster.fallback_policy.as_deref().unwrap_or_default());
     fallback_policy.cells.extend(mandatory_cells);
     let voters = match cluster.voters.as_slice() {
         [] => default_voters(size),
         voters => voters.iter().copied().map(NodeId).collect(),
     };
     Setup {
-        node_id: cluster.member(),
-        cluster: size,
+        node_id: cluster.node_id(),
+        cluster_size: size,
         incarnation,
         seed: config.seed,
         voters,
-        // Equal at every balancer: nothing of it may come from endpoint lists, which differ.
+        // The bootstrap state must be equal at every balancer, so no part of it comes from endpoint lists, which differ.
         bootstrap: Bootstrap {
             members: size,
-            mandatory_fallback: fallback_of(mandatory_cells),
+            mandatory_fallback: fallback_policy_of(mandatory_cells),
             fallback_policy,
             document: Document::default(),
         },
         mandatory_fallback,
-        // With a fallback policy in the configuration the first leader has nothing to propose.
+        // If the configuration has a fallback policy, the first leader proposes none.
         cells: if cluster.fallback_policy.is_some() { BTreeMap::new() } else { cells },
-        directory: false,
-        found: None,
+        has_durable_log: false,
+        replica_state: None,
         fallback_policy: None,
     }
 }
 
-/// Cells of each zone in the list of upstreams that the configuration names.
+/// Returns the cells of each zone, by the upstreams in the configuration.
 fn cells_by_zone(config: &Config) -> BTreeMap<String, BTreeSet<u32>> {
     let mut cells = BTreeMap::<String, BTreeSet<u32>>::new();
-    for entry in &config.known.members {
+    for entry in &config.initial_list.members {
         cells.entry(entry.zone.to_string()).or_default().insert(entry.cell);
     }
     cells
 }
 
-/// A fallback policy that allows these cells.
-fn fallback_of(cells: &[u32]) -> FallbackPolicy {
+/// Returns a fallback policy that allows exactly these cells.
+fn fallback_policy_of(cells: &[u32]) -> FallbackPolicy {
     FallbackPolicy { cells: cells.iter().copied().collect(), ..FallbackPolicy::default() }
 }
--- a/crates/gateway/src/engine/handle.rs
+++ b/crates/gateway/src/engine/handle.rs
@@ -18,7 +18,7 @@
 use crate::forwarded_request::ForwardedRequest;
 use crate::freshness::Expiry;
 use crate::invariants::Violations;
-use crate::membership::Part;
+use crate::membership::ListPart;
 use crate::upstreams::UnsolicitedBytes;
 
 /// A handle to the engine for the admin API and the state store.
@@ -79,7 +79,7 @@
 
     /// Returns the part of the endpoint list that begins at handle `from`, and whether a live watch confirms that the list
     /// is up to date; `None` if the engine has ended.
-    pub async fn list(&self, from: u32) -> Option<(Part, bool)> {
+    pub async fn list(&self, from: u32) -> Option<(ListPart, bool)> {
         let (reply, answer) = oneshot::channel();
         let _ = self.events.send(EngineEvent::ReadList { from, reply });
         answer.await.ok()
--- a/crates/gateway/src/freshness/tests.rs
+++ b/crates/gateway/src/freshness/tests.rs
@@ -6,18 +6,18 @@
     Duration::from_secs(n)
 }
 
-/// A list that a watch vouched for until `start`, and that no watch vouches for since.
-fn unvouched(start: Instant) -> Freshness {
+/// Returns the state of a list that a watch confirmed until `start` and that no watch has confirmed since.
+fn mark_unconfirmed(start: Instant) -> Freshness {
     let mut freshness = Freshness::new(GRACE, start);
-    freshness.vouched();
-    freshness.unvouched(start);
+    freshness.mark_confirmed();
+    freshness.mark_unconfirmed(start);
     freshness
 }
 
 #[test]
-fn expires_when_a_missed_change_counts_as_delivered_and_its_grace_is_over() {
+fn expires_after_the_grace_period_of_a_missed_change() {
     let start = Instant::now();
-    let mut freshness = unvouched(start);
+    let mut freshness = mark_unconfirmed(start);
     let expiry = freshness.expiry();
     freshness.call_ended(WatchEnd::ListCallRejected, start + seconds(1), start + seconds(1));
     let at = start + PROPAGATION_BOUND + GRACE;
@@ -29,7 +29,7 @@
 #[test]
 fn further_rejection_does_not_postpone_expiry() {
     let start = Instant::now();
-    let mut freshness = unvouched(start);
+    let mut freshness = mark_unconfirmed(start);
     for second in 1..8 {
         let now = start + seconds(second);
         freshness.call_ended(WatchEnd::ListCallRejected, now, now);
@@ -38,14 +38,14 @@
 }
 
 #[test]
-fn never_expires_while_discovery_can_not_be_reached() {
+fn never_expires_while_discovery_is_unreachable() {
     let start = Instant::now();
-    let mut freshness = unvouched(start);
+    let mut freshness = mark_unconfirmed(start);
     for second in 0..60 {
         let now = start + seconds(second);
-        for ending in [WatchEnd::Unreachable, WatchEnd::Failed, WatchEnd::Unanswered] {
-            freshness.call_ended(ending, now, now);
-            assert_eq!(freshness.expiry().at(), None, "{ending:?} after {second} s");
+        for end in [WatchEnd::Unreachable, WatchEnd::Failed, WatchEnd::Unanswered] {
+            freshness.call_ended(end, now, now);
+            assert_eq!(freshness.expiry().at(), None, "{end:?} after {second} s");
         }
     }
 }
@@ -53,7 +53,7 @@
 #[test]
 fn age_restarts_when_discovery_could_not_be_reached() {
     let start = Instant::now();
-    let mut freshness = unvouched(start);
+    let mut freshness = mark_unconfirmed(start);
     let down = start + seconds(5);
     freshness.call_ended(WatchEnd::ListCallRejected, start, start);
     freshness.call_ended(WatchEnd::Unreachable, down, down + seconds(2));
@@ -63,33 +63,33 @@
 }
 
 #[test]
-fn crowded_discovery_that_fails_an_accepted_call_is_still_reachable() {
+fn overloaded_discovery_that_fails_an_accepted_call_counts_as_reachable() {
     let start = Instant::now();
-    let mut freshness = unvouched(start);
+    let mut freshness = mark_unconfirmed(start);
     freshness.call_ended(WatchEnd::ListCallRejected, start, start);
     freshness.call_ended(WatchEnd::Failed, start, start + seconds(3));
     assert_eq!(freshness.expiry().at(), Some(start + PROPAGATION_BOUND + GRACE));
 }
 
 #[test]
-fn stays_expired_until_a_watch_vouches_for_it() {
+fn stays_expired_until_a_watch_confirms_the_list() {
     let start = Instant::now();
-    let mut freshness = unvouched(start);
+    let mut freshness = mark_unconfirmed(start);
     freshness.call_ended(WatchEnd::ListCallRejected, start, start);
     let late = start + seconds(20);
     freshness.call_ended(WatchEnd::Unreachable, late, late);
-    assert!(freshness.expiry().is_over(late), "an outage undoes nothing that was delivered");
-    freshness.vouched();
+    assert!(freshness.expiry().is_over(late), "an outage does not undo deliveries");
+    freshness.mark_confirmed();
     assert!(!freshness.expiry().is_over(late));
 }
 
 #[test]
 fn change_received_late_counts_from_its_delivery() {
     let start = Instant::now();
-    let mut freshness = unvouched(start);
+    let mut freshness = mark_unconfirmed(start);
     let (soon, late) = (start + seconds(1), start + seconds(7));
     assert_eq!(freshness.delivered(soon), soon);
     assert_eq!(freshness.delivered(late), start + PROPAGATION_BOUND);
-    freshness.vouched();
+    freshness.mark_confirmed();
     assert_eq!(freshness.delivered(late), late);
 }
--- a/crates/gateway/src/state_store/restored.rs
+++ b/crates/gateway/src/state_store/restored.rs
@@ -1,4 +1,4 @@
-//! Reads what a process before has saved, as far as it applies to this start.
+//! Reads the state that the previous process saved, and discards the parts that don't apply to this start.
 
 use std::time::Duration;
 
@@ -10,25 +10,25 @@
 use crate::members::List;
 use crate::restored_list::{RestoredList, restored_list};
 
-/// What was found at a start, as far as it applies.
+/// The stored state that applies to this start.
 pub struct Restored {
     pub(super) saver: Box<dyn StateSaver>,
     pub(super) now: Duration,
     pub(super) payload: Payload,
     pub(super) mode: StartMode,
     pub(super) list_age_s: Option<f64>,
-    /// Files that are not used, and why.
+    /// Files that are not used, with the reasons.
     pub(super) set_aside: Vec<String>,
 }
 
 impl Restored {
-    /// Reads what was found at `now` (Unix time) under settings of this
-    /// [meaning](hollowpaddle_policy::settings::Facts::numbering_hash), and records this start. Returns with it what applies of the
-    /// stored endpoint list, over the list `known` to the configuration.
+    /// Reads the stored state at `now` (Unix time), and records this start. `meaning` is the
+    /// [meaning](hollowpaddle_policy::settings::Facts::numbering_hash) of the current settings, and `initial_list` the
+    /// configuration's list. Also returns the usable part of the stored endpoint list.
     pub fn read(
         stored: StoredState,
         now: Duration,
-        known: &List,
+        initial_list: &List,
         meaning: u64,
     ) -> (Self, Option<RestoredList>) {
         let StoredState { saver, found } = stored;
@@ -45,7 +45,7 @@
         if mode > StartMode::Normal {
             let crashes = payload.starts.crash_count();
             tracing::error!(crashes, mode = mode.name(), "crash loop detected");
-            payload.forget_fleet();
+            payload.discard_estimates_and_list();
         }
         discard_other_settings(&mut payload, meaning);
         if !payload.has_known_learned_age(now) {
@@ -53,7 +53,7 @@
         }
         let list_age = payload.list_age(now);
         let stored_list = payload.list.as_ref();
-        let list = stored_list.and_then(|list| restored_list(list, known, list_age, now));
+        let list = stored_list.and_then(|list| restored_list(list, initial_list, list_age, now));
         let list_age_s = list.is_some().then_some(list_age.as_secs_f64());
         if list.is_none() {
             payload.list = None;
@@ -62,8 +62,8 @@
     }
 }
 
-/// Discards what was saved under settings of another meaning. Numbers of classes, zones and cells mean something else there,
-/// and a list of another deployment would take out every upstream of this one.
+/// Discards state that was saved under settings with another meaning, in which the numbers of classes, zones and cells
+/// differ. The list of another deployment would remove every upstream of this one.
 fn discard_other_settings(payload: &mut Payload, meaning: u64) {
     if std::mem::replace(&mut payload.meaning, meaning) == meaning {
         return;
@@ -71,20 +71,20 @@
     if payload.learned.is_some() || payload.list.is_some() {
         tracing::warn!("stored state discarded: saved under other classes, zones or machine types");
     }
-    payload.forget_fleet();
+    payload.discard_estimates_and_list();
 }
 
-/// Logs a file that is not used; the file and the reason as text.
+/// Logs a file that is not used, and returns its name and the reason as text.
 fn report_set_aside(aside: &SetAsideFile) -> String {
     let SetAsideFile { file, reason, moved_to } = aside;
     tracing::error!(file, %reason, moved_to, "snapshot set aside");
     format!("{file}: {reason}")
 }
 
-/// Reads the payload of a snapshot.
+/// Parses the payload of a snapshot.
 ///
 /// # Errors
-/// The payload is something else; the text says which snapshot's, and what was expected.
+/// Returns an error if the payload has another format. The text names the snapshot's generation and the expected content.
 fn read_payload(snapshot: &Snapshot) -> Result<Payload, String> {
     serde_json::from_slice(&snapshot.payload).map_err(|cause| {
         tracing::error!(%cause, "snapshot payload unreadable");
--- a/crates/gateway/src/subsetting.rs
+++ b/crates/gateway/src/subsetting.rs
@@ -1,8 +1,8 @@
-//! Restricts the decision module to a subset of the fleet, where one is configured. Which cells are in the subset is left to
-//! `hollowpaddle_subset`.
+//! Restricts the decision module to a subset of the upstreams, if the configuration has one. The package
+//! `hollowpaddle_subset` chooses the cells of the subset.
 //!
-//! Of the rest only the cells are retained. An upstream that joins the subset is looked up in the complete list, by
-//! `last_listed`.
+//! For upstreams outside of the subset only the cell and whether they are live are retained. An upstream that joins the
+//! subset is looked up in the complete list with the callback `last_listed`.
 
 use std::collections::BTreeMap;
 
@@ -10,20 +10,20 @@
 use hollowpaddle_subset::{Cell, Cluster, Size, SizeError, Subset};
 use rustc_hash::{FxHashMap, FxHashSet};
 
-/// The fleet as listed, and the part of it that the decision module knows.
+/// The listed upstreams, and the subset of them that the decision module knows.
 pub struct Subsetting {
     subset: Subset,
-    fleet: FxHashMap<ServerId, Position>,
-    /// Upstreams of each cell that can be sent to.
+    upstreams: FxHashMap<ServerId, Placement>,
+    /// Number of live upstreams of each cell.
     live: BTreeMap<Cell, usize>,
     /// The upstreams that the decision module knows.
     published: FxHashSet<ServerId>,
     balancers: u32,
 }
 
-/// What the subset depends on.
+/// The properties of an upstream that the subset depends on.
 #[derive(Clone, Copy, PartialEq)]
-struct Position {
+struct Placement {
     cell: Cell,
     is_live: bool,
 }
@@ -33,30 +33,31 @@
 }
 
 impl Subsetting {
-    /// An empty fleet.
+    /// Creates the state without upstreams.
     ///
     /// # Errors
-    /// The size can't be used.
+    /// Returns an error if the size is invalid.
     pub fn new(size: Size, cluster: Cluster) -> Result<Self, SizeError> {
         let balancers = cluster.balancers;
         let subset = Subset::new(size, cluster)?;
         Ok(Self {
             subset,
-            fleet: FxHashMap::default(),
+            upstreams: FxHashMap::default(),
             live: BTreeMap::new(),
             published: FxHashSet::default(),
             balancers,
         })
     }
 
-    /// How many balancers of the cluster share each upstream that the decision module knows.
-    pub fn sharers(&self) -> f64 {
-        let share = self.published.len() as f64 / self.fleet.len().max(1) as f64;
+    /// Returns the average number of balancers that share each upstream that the decision module knows.
+    pub fn balancers_per_upstream(&self) -> f64 {
+        let share = self.published.len() as f64 / self.upstreams.len().max(1) as f64;
         f64::from(self.balancers) * share.min(1.0)
     }
 
-    /// Applies a list. Returns what the decision module is to be told of it: drains and removals of all upstreams that it
-    /// knows, and everything of those in the subset. `last_listed` finds a member as last listed.
+    /// Applies a list. Returns the changes for the decision module: all changes of upstreams in the subset, and drains and
+    /// removals of all other upstreams that the decision module knows. `last_listed` returns the last listed state of an
+    /// upstream.
     pub fn apply_list(
         &mut self,
         now: Time,
@@ -70,26 +71,27 @@
         let mut is_changed = false;
         if !kind.is_part() {
             is_changed = true;
-            self.fleet.clear();
+            self.upstreams.clear();
             self.live.clear();
         }
         for member in members {
             is_changed |= self.update_member(member);
         }
-        let has_moved = if is_changed { self.recompute(now) } else { self.subset.expire(now.0) };
-        let concerns =
+        let has_subset_changed =
+            if is_changed { self.recompute(now) } else { self.subset.expire(now.0) };
+        let is_relevant =
             |m: &&Member| self.subset.contains(cell(m)) || self.published.contains(&m.id);
-        let mut changes: Vec<Member> = members.iter().filter(concerns).copied().collect();
+        let mut changes: Vec<Member> = members.iter().filter(is_relevant).copied().collect();
         if kind.is_part() {
-            if has_moved {
-                // A member that the change of the subset concerns must not be named twice.
-                let joined_or_left = self.subset_changes(last_listed);
-                let named: FxHashSet<ServerId> = joined_or_left.iter().map(|m| m.id).collect();
+            if has_subset_changed {
+                // A member that joins or leaves the subset must not be in the changes twice.
+                let joined_and_left = self.subset_changes(last_listed);
+                let named: FxHashSet<ServerId> = joined_and_left.iter().map(|m| m.id).collect();
                 changes.retain(|m| !named.contains(&m.id));
-                changes.extend(joined_or_left);
+                changes.extend(joined_and_left);
             }
         } else {
-            // A complete list: what it leaves out is gone.
+            // Upstreams that are missing from a complete list are gone.
             changes.retain(|m| self.subset.contains(cell(m)));
             self.published.clear();
         }
@@ -97,7 +99,8 @@
         changes
     }
 
-    /// Removes what has left the subset and has lingered. Returns what the decision module is to be told.
+    /// Removes the upstreams that left the subset and whose linger time is over. Returns the changes for the decision
+    /// module.
     pub fn expire(
         &mut self,
         now: Time,
@@ -111,8 +114,8 @@
         changes
     }
 
-    /// Widens the subset while too few of its upstreams can be sent to: `healthy` of `all`. Returns what the decision module
-    /// is to be told.
+    /// Widens the subset while too few of its upstreams are healthy: `healthy` of `all`. Returns the changes for the
+    /// decision module.
     pub fn set_health(
         &mut self,
         now: Time,
@@ -128,15 +131,15 @@
         changes
     }
 
-    /// Notes a member. Returns whether that changes what the subset is computed from.
+    /// Updates the state of a member. Returns whether the inputs of the subset have changed.
     fn update_member(&mut self, member: &Member) -> bool {
-        let position = Position { cell: cell(member), is_live: member.status == Status::Live };
+        let placement = Placement { cell: cell(member), is_live: member.status == Status::Live };
         let before = match member.status {
-            Status::Gone => self.fleet.remove(&member.id),
-            Status::Live | Status::Draining => self.fleet.insert(member.id, position),
+            Status::Gone => self.upstreams.remove(&member.id),
+            Status::Live | Status::Draining => self.upstreams.insert(member.id, placement),
         };
         let before = before.filter(|p| p.is_live).map(|p| p.cell);
-        let after = position.is_live.then_some(position.cell);
+        let after = placement.is_live.then_some(placement.cell);
         if before == after {
             return false;
         }
@@ -154,19 +157,19 @@
         true
     }
 
-    /// Computes the subset anew. Returns whether it changed.
+    /// Recomputes the subset. Returns whether it changed.
     fn recompute(&mut self, now: Time) -> bool {
         let cells = self.live.iter();
         self.subset
             .set_fleet(now.0, cells.flat_map(|(cell, live)| std::iter::repeat_n(*cell, *live)))
     }
 
-    /// Members that have joined the subset, and those that have left it, which are gone for the decision module.
+    /// Returns the members that have joined the subset, and the members that have left it with the status `Gone`.
     fn subset_changes(&self, last_listed: impl Fn(ServerId) -> Option<Member>) -> Vec<Member> {
         let mut changes = Vec::new();
-        for (id, position) in &self.fleet {
+        for (id, placement) in &self.upstreams {
             let is_published = self.published.contains(id);
-            if self.subset.contains(position.cell) == is_published {
+            if self.subset.contains(placement.cell) == is_published {
                 continue;
             }
             let member = match last_listed(*id) {
--- a/crates/gateway/src/subsetting/tests.rs
+++ b/crates/gateway/src/subsetting/tests.rs
@@ -1,13 +1,13 @@
 use super::*;
 
-fn fleet(n: u32) -> Vec<Member> {
-    let of = |i: u32| Member { cell: i / 8, ..Member::live(ServerId(i)) };
-    (0..n).map(of).collect()
+fn upstreams(n: u32) -> Vec<Member> {
+    let member = |i: u32| Member { cell: i / 8, ..Member::live(ServerId(i)) };
+    (0..n).map(member).collect()
 }
 
-/// Finds a member of this fleet.
-fn among(fleet: &[Member]) -> impl Fn(ServerId) -> Option<Member> {
-    |id| fleet.iter().find(|m| m.id == id).copied()
+/// Returns a lookup of a member among these upstreams.
+fn lookup_in(upstreams: &[Member]) -> impl Fn(ServerId) -> Option<Member> {
+    |id| upstreams.iter().find(|m| m.id == id).copied()
 }
 
 fn subsetting() -> Subsetting {
@@ -15,76 +15,80 @@
     Subsetting::new(size, Cluster { balancers: 10, position: 0 }).expect("a size")
 }
 
-/// What the module has after it was told.
-fn apply(has: &mut FxHashMap<ServerId, Status>, kind: ListKind, told: &[Member]) {
+/// Applies changes to the upstreams that the decision module knows.
+fn apply(known: &mut FxHashMap<ServerId, Status>, kind: ListKind, changes: &[Member]) {
     if kind != ListKind::Update {
-        has.clear();
+        known.clear();
     }
-    for m in told {
+    for m in changes {
         match m.status {
-            Status::Gone => assert!(has.remove(&m.id).is_some(), "gone, and never there"),
-            status => drop(has.insert(m.id, status)),
+            Status::Gone => assert!(known.remove(&m.id).is_some(), "removed an unknown upstream"),
+            status => drop(known.insert(m.id, status)),
         }
     }
 }
 
 #[test]
-fn policy_knows_complete_cells_and_every_drain_among_them() {
-    let (mut of, mut has) = (subsetting(), FxHashMap::default());
-    let mut all = fleet(400);
+fn policy_knows_complete_cells_and_every_drain_in_them() {
+    let (mut subsetting, mut known) = (subsetting(), FxHashMap::default());
+    let mut all = upstreams(400);
     apply(
-        &mut has,
+        &mut known,
         ListKind::Complete,
-        &of.apply_list(Time(0), ListKind::Complete, &all, among(&all)),
+        &subsetting.apply_list(Time(0), ListKind::Complete, &all, lookup_in(&all)),
     );
-    assert_eq!(has.len(), 40);
-    assert_eq!(of.sharers(), 1.0, "a tenth of the fleet each, of ten balancers");
-    let cells: FxHashSet<u32> = has.keys().map(|id| id.0 / 8).collect();
-    assert_eq!(cells.len(), 5, "whole cells");
-    let outside = all.iter().find(|m| !has.contains_key(&m.id)).expect("most are").id.0 as usize;
-    let inside = has.keys().next().expect("some are").0 as usize;
+    assert_eq!(known.len(), 40);
+    assert_eq!(
+        subsetting.balancers_per_upstream(),
+        1.0,
+        "ten balancers know a tenth of the upstreams each"
+    );
+    let cells: FxHashSet<u32> = known.keys().map(|id| id.0 / 8).collect();
+    assert_eq!(cells.len(), 5, "complete cells");
+    let outside = all.iter().find(|m| !known.contains_key(&m.id)).expect("most are").id.0 as usize;
+    let inside = known.keys().next().expect("some are").0 as usize;
     for i in [outside, inside] {
         all[i].status = Status::Draining;
         apply(
-            &mut has,
+            &mut known,
             ListKind::Update,
-            &of.apply_list(Time(1), ListKind::Update, &all[i..i + 1], among(&all)),
+            &subsetting.apply_list(Time(1), ListKind::Update, &all[i..i + 1], lookup_in(&all)),
         );
     }
-    assert_eq!(has.get(&all[inside].id), Some(&Status::Draining));
-    assert!(!has.contains_key(&all[outside].id));
+    assert_eq!(known.get(&all[inside].id), Some(&Status::Draining));
+    assert!(!known.contains_key(&all[outside].id));
 }
 
 #[test]
-fn upstream_that_left_the_subset_is_removed_once_it_has_lingered() {
-    let (mut of, mut has) = (subsetting(), FxHashMap::default());
-    let all = fleet(400);
+fn upstream_that_left_the_subset_is_removed_after_its_linger_time() {
+    let (mut subsetting, mut known) = (subsetting(), FxHashMap::default());
+    let all = upstreams(400);
     apply(
-        &mut has,
+        &mut known,
         ListKind::Complete,
-        &of.apply_list(Time(0), ListKind::Complete, &all, among(&all)),
+        &subsetting.apply_list(Time(0), ListKind::Complete, &all, lookup_in(&all)),
     );
-    let before: Vec<ServerId> = has.keys().copied().collect();
-    // Three cells of the five are deleted: others take their part at once.
-    let mut gone: Vec<Member> = all.iter().filter(|m| has.contains_key(&m.id)).copied().collect();
+    let before: Vec<ServerId> = known.keys().copied().collect();
+    // Three of the five cells are deleted, and other cells replace them at once.
+    let mut gone: Vec<Member> = all.iter().filter(|m| known.contains_key(&m.id)).copied().collect();
     gone.truncate(24);
     gone.iter_mut().for_each(|m| m.status = Status::Gone);
     apply(
-        &mut has,
+        &mut known,
         ListKind::Update,
-        &of.apply_list(Time(1), ListKind::Update, &gone, among(&all)),
+        &subsetting.apply_list(Time(1), ListKind::Update, &gone, lookup_in(&all)),
     );
-    assert!(has.len() >= 36, "{} left", has.len());
-    // They come back: the ones that stood in for them linger.
+    assert!(known.len() >= 36, "{} left", known.len());
+    // The deleted cells return, and their replacements linger.
     gone.iter_mut().for_each(|m| m.status = Status::Live);
     apply(
-        &mut has,
+        &mut known,
         ListKind::Update,
-        &of.apply_list(Time(2), ListKind::Update, &gone, among(&all)),
+        &subsetting.apply_list(Time(2), ListKind::Update, &gone, lookup_in(&all)),
     );
-    assert!(has.len() > 40);
-    apply(&mut has, ListKind::Update, &of.expire(Time(1500), among(&all)));
-    let mut after: Vec<ServerId> = has.keys().copied().collect();
+    assert!(known.len() > 40);
+    apply(&mut known, ListKind::Update, &subsetting.expire(Time(1500), lookup_in(&all)));
+    let mut after: Vec<ServerId> = known.keys().copied().collect();
     let mut before = before;
     before.sort_unstable();
     after.sort_unstable();
@@ -93,37 +97,48 @@
 
 #[test]
 fn no_upstream_is_named_twice_when_the_subset_changes_with_the_list() {
-    let (mut of, mut has) = (subsetting(), FxHashMap::default());
-    let all = fleet(80);
+    let (mut subsetting, mut known) = (subsetting(), FxHashMap::default());
+    let all = upstreams(80);
     apply(
-        &mut has,
+        &mut known,
         ListKind::Complete,
-        &of.apply_list(Time(0), ListKind::Complete, &all, among(&all)),
+        &subsetting.apply_list(Time(0), ListKind::Complete, &all, lookup_in(&all)),
     );
-    // Ten times as many come, and the subset grows with them.
-    let more: Vec<Member> = fleet(800).split_off(80);
-    let told = of.apply_list(Time(1), ListKind::Update, &more, among(&fleet(800)));
-    let named: FxHashSet<ServerId> = told.iter().map(|m| m.id).collect();
+    // The number of upstreams grows tenfold, and the subset grows with it.
+    let more: Vec<Member> = upstreams(800).split_off(80);
+    let changes =
+        subsetting.apply_list(Time(1), ListKind::Update, &more, lookup_in(&upstreams(800)));
+    let named: FxHashSet<ServerId> = changes.iter().map(|m| m.id).collect();
     assert!(named.len() > 8, "{} named", named.len());
-    assert_eq!(named.len(), told.len(), "somebody is named twice");
-    apply(&mut has, ListKind::Update, &told);
-    // And leave again, with some of whom the module knows.
+    assert_eq!(named.len(), changes.len(), "an upstream is named twice");
+    apply(&mut known, ListKind::Update, &changes);
+    // The added upstreams are removed, including some that the decision module knows.
     let gone: Vec<Member> = more.iter().map(|m| Member { status: Status::Gone, ..*m }).collect();
-    let told = of.apply_list(Time(2), ListKind::Update, &gone, among(&fleet(800)));
-    let named: FxHashSet<ServerId> = told.iter().map(|m| m.id).collect();
-    assert_eq!(named.len(), told.len(), "somebody is named twice");
-    apply(&mut has, ListKind::Update, &told);
-    assert!(has.keys().all(|id| id.0 < 80));
+    let changes =
+        subsetting.apply_list(Time(2), ListKind::Update, &gone, lookup_in(&upstreams(800)));
+    let named: FxHashSet<ServerId> = changes.iter().map(|m| m.id).collect();
+    assert_eq!(named.len(), changes.len(), "an upstream is named twice");
+    apply(&mut known, ListKind::Update, &changes);
+    assert!(known.keys().all(|id| id.0 < 80));
 }
 
 #[test]
-fn subset_that_is_silent_is_widened() {
-    let (mut of, mut has) = (subsetting(), FxHashMap::default());
+fn unhealthy_subset_is_widened() {
+    let (mut subsetting, mut known) = (subsetting(), FxHashMap::default());
     apply(
-        &mut has,
+        &mut known,
         ListKind::Complete,
-        &of.apply_list(Time(0), ListKind::Complete, &fleet(400), among(&fleet(400))),
+        &subsetting.apply_list(
+            Time(0),
+            ListKind::Complete,
+            &upstreams(400),
+            lookup_in(&upstreams(400)),
+        ),
+    );
+    apply(
+        &mut known,
+        ListKind::Update,
+        &subsetting.set_health(Time(1), 40, 3, lookup_in(&upstreams(400))),
     );
-    apply(&mut has, ListKind::Update, &of.set_health(Time(1), 40, 3, among(&fleet(400))));
-    assert_eq!(has.len(), 80);
+    assert_eq!(known.len(), 80);
 }
--- a/crates/gateway/tests/orders/peers.rs
+++ b/crates/gateway/tests/orders/peers.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hollowpaddle_gateway::{Config, Provided, serve};
+use hollowpaddle_gateway::{Config, Resources, serve};
 use hollowpaddle_net::{Datagrams, Listener, Network, Soon, Stream, accept};
 use hollowpaddle_simnet::Fabric;
 use serde_json::{Value, json};
@@ -339,7 +339,7 @@
         config(&plan, 0),
         Rc::new(network),
         listener,
-        Provided::default(),
+        Resources::default(),
         reloads,
         async move { drop(stop_received.await) },
     );
--- a/crates/model-checks/src/history.rs
+++ b/crates/model-checks/src/history.rs
@@ -47,8 +47,10 @@
             ProposalResult::Answered(Err(Rejection::Lost { newest, .. })) => {
                 Some(Self::Conflict(*newest))
             }
-            ProposalResult::Answered(Err(_)) | ProposalResult::Never => Some(Self::Rejected),
-            ProposalResult::Stands(_) | ProposalResult::Unknown => None,
+            ProposalResult::Answered(Err(_)) | ProposalResult::NeverCommitted => {
+                Some(Self::Rejected)
+            }
+            ProposalResult::Committed(_) | ProposalResult::Unknown => None,
         }
     }
 }
--- a/crates/model-checks/src/simulated_cluster.rs
+++ b/crates/model-checks/src/simulated_cluster.rs
@@ -271,7 +271,7 @@
         };
         let setup = Setup {
             node_id: NodeId(node_id),
-            cluster: config.size,
+            cluster_size: config.size,
             // Incarnations are random, so they don't increase.
             incarnation: Incarnation((seed as u32).max(1)),
             seed,
@@ -284,8 +284,8 @@
             },
             mandatory_fallback: fallback_policy(&[1]),
             cells: BTreeMap::new(),
-            directory: config.has_directories,
-            found: config.has_directories.then(|| node.disk.replica.clone()),
+            has_durable_log: config.has_directories,
+            replica_state: config.has_directories.then(|| node.disk.replica.clone()),
             fallback_policy: if config.has_directories {
                 node.disk.fallback_policy.clone()
             } else {
