--- a/crates/policy/src/settings.rs
+++ b/crates/policy/src/settings.rs
@@ -192,10 +192,12 @@
     pub group: Group,
     /// Priority weight of one request.
     #[serde(default = "one")]
-    pub importance: f64,
+    #[serde(rename = "Importance")]
+    pub priority_weight: f64,
     /// Part of the value that an answer retains after the latency objective.
     #[serde(default)]
-    pub late_value: f64,
+    #[serde(rename = "LateValue")]
+    pub late_priority_weight: f64,
     /// How long upstreams drop repeats.
     #[serde(default)]
     pub window: f64,
@@ -208,7 +210,8 @@
     pub streaming: bool,
     /// Whether requests that share a key run one after another, in the order of arrival.
     #[serde(default)]
-    pub by_arrival: bool,
+    #[serde(rename = "ByArrival")]
+    pub in_order: bool,
     /// The zones that requests of the class may be sent to, by number; `None` for all.
     #[serde(default)]
     pub zones_allowed: Option<Vec<u32>>,
@@ -294,7 +297,8 @@
     #[serde(default)]
     pub answer_slack: f64,
     /// Time after which a starting upstream has its full capacity.
-    pub cold: f64,
+    #[serde(rename = "Cold")]
+    pub warm_up: f64,
     /// Least share of its full capacity that a starting upstream has, from 0 to 1.
     #[serde(rename = "ColdFrom")]
     pub warm_up_initial_share: f64,
--- a/crates/policy/src/settings/conversion.rs
+++ b/crates/policy/src/settings/conversion.rs
@@ -53,14 +53,14 @@
         interface::Class {
             latency_objective: span(self.latency_objective),
             deadline: span(self.deadline),
-            priority_weight: self.importance,
-            late_priority_weight: self.late_value,
+            priority_weight: self.priority_weight,
+            late_priority_weight: self.late_priority_weight,
             effect: self.effect.effect(),
             group: self.group.group(),
             window: span(self.window),
             objective_stretch: self.objective_stretch,
             streaming: self.streaming,
-            in_order: self.by_arrival,
+            in_order: self.in_order,
             zones: self.zones_allowed.clone(),
             machine_types: self.bound_to.clone(),
         }
@@ -107,7 +107,7 @@
     fn rules(&self) -> interface::Rules {
         interface::Rules {
             warm_up_initial_share: self.warm_up_initial_share,
-            warm_up: span(self.cold),
+            warm_up: span(self.warm_up),
             overload_multiple: self.overload_multiple,
             overload_window: span(self.overload_window),
             drain_grace: span(self.drain_grace),
