--- a/crates/policy/src/upstreams.rs
+++ b/crates/policy/src/upstreams.rs
@@ -134,8 +134,8 @@
         };
         match affinity {
             Affinity::Any => {
-                let eligible = excluded.iter().filter(|i| is_eligible(i));
-                let excluded_count = eligible.collect::<FxHashSet<_>>().len();
+                let excluded_count =
+                    excluded.iter().filter(|i| is_eligible(i)).collect::<FxHashSet<_>>().len();
                 self.capacity_groups.of_class(class).live > excluded_count
             }
             Affinity::Cell(zone, cell) => {
