--- a/crates/sessions/src/claims.rs
+++ b/crates/sessions/src/claims.rs
@@ -29,7 +29,7 @@
     pub(crate) fn claim(&mut self, session: SessionId, waiter: Option<Waiter>, ctx: &mut Context) {
         if let Some(claim) = self.claims.get_mut(&session) {
             if let Some(waiter) = waiter
-                && has_room_for(&claim.waiters, &waiter)
+                && has_capacity_for(&claim.waiters, &waiter)
             {
                 claim.waiters.push(waiter);
             }
@@ -63,7 +63,7 @@
         let min_epoch = self.store.evicted_epoch.max(self.store.epoch(session));
         let claim = OwnershipClaim {
             number: self.next_number(),
-            asked_at: ctx.now,
+            requested_at: ctx.now,
             answered: BTreeSet::new(),
             min_epoch,
             initial_min_epoch: min_epoch,
@@ -78,7 +78,7 @@
         let number = self.next_number();
         if let Some(claim) = self.claims.get_mut(&session) {
             claim.number = number;
-            claim.asked_at = now;
+            claim.requested_at = now;
             claim.answered.clear();
         }
     }
@@ -87,10 +87,10 @@
     pub(crate) fn retry_claim(&mut self, session: SessionId, ctx: &mut Context) {
         let Some(claim) = self.claims.get(&session) else { return };
         let (own_zone, number) = (self.zone(), claim.number);
-        let is_open = |zone: &Zone| Some(*zone) != own_zone && !claim.answered.contains(zone);
-        let open_zones = self.table.zones().filter(is_open);
+        let is_unanswered = |zone: &Zone| Some(*zone) != own_zone && !claim.answered.contains(zone);
+        let unanswered_zones = self.table.zones().filter(is_unanswered);
         let owners: Vec<NodeId> =
-            open_zones.filter_map(|zone| self.table.owner(session, zone)).collect();
+            unanswered_zones.filter_map(|zone| self.table.owner(session, zone)).collect();
         if owners.is_empty() {
             return self.try_own(session, ctx);
         }
@@ -145,14 +145,14 @@
         } else {
             self.lost_owners.uncertain_until(session, self.retention_ms)
         };
-        let above = min_epoch
+        let epoch_floor = min_epoch
             .max(self.store.evicted_epoch)
             .max(self.store.epoch(session))
             .max(Epoch::of_table(self.table.version));
         let cells = &self.cells;
         self.store.update(now, session, hash_cell, |record| {
             if !has_received {
-                record.epoch = above.next();
+                record.epoch = epoch_floor.next();
             }
             if !cells.iter().any(|weighted| weighted.cell == record.cell) {
                 record.cell = hash_cell.unwrap_or(UNKNOWN_CELL);
@@ -246,8 +246,8 @@
         let claim = self.claims.get_mut(&session).filter(|claim| claim.number == number);
         let Some(claim) = claim else { return };
         claim.min_epoch = claim.min_epoch.max(min_epoch).max(record.epoch);
-        let asked_at = claim.asked_at;
-        if record.is_informative() && !self.import(ctx.now, asked_at, record) {
+        let requested_at = claim.requested_at;
+        if record.is_informative() && !self.import(ctx.now, requested_at, record) {
             return self.abandon_claim(session, ctx);
         }
         if let Some(claim) = self.claims.get_mut(&session) {
@@ -266,7 +266,7 @@
 }
 
 /// Whether a balancer can be added to those that wait for a claim: each request waits once.
-fn has_room_for(waiters: &[Waiter], new: &Waiter) -> bool {
+fn has_capacity_for(waiters: &[Waiter], new: &Waiter) -> bool {
     let is_same = |waiter: &Waiter| (waiter.from, waiter.number) == (new.from, new.number);
     waiters.len() < MAX_WAITERS && !waiters.iter().any(is_same)
 }
--- a/crates/sessions/src/lost_owners.rs
+++ b/crates/sessions/src/lost_owners.rs
@@ -114,12 +114,12 @@
     fn uncertain_due_to(&self, owner: &LostOwner, retention_ms: u64) -> u64 {
         let zone = owner.slot.zone;
         let table = self.old_tables.get(&owner.version);
-        let is_alone = table.is_none_or(|table| table.in_zone(zone).len() < 2);
-        let mut until = if is_alone { owner.lost_at.saturating_add(retention_ms) } else { 0 };
+        let has_no_replica = table.is_none_or(|table| table.in_zone(zone).len() < 2);
+        let mut until = if has_no_replica { owner.lost_at.saturating_add(retention_ms) } else { 0 };
         for other in &self.lost {
             if other.slot.zone == zone && other.slot != owner.slot {
-                let both_lost = other.lost_at.min(owner.lost_at);
-                until = until.max(both_lost.saturating_add(retention_ms));
+                let earlier_loss_at = other.lost_at.min(owner.lost_at);
+                until = until.max(earlier_loss_at.saturating_add(retention_ms));
             }
         }
         until
--- a/crates/sessions/src/message.rs
+++ b/crates/sessions/src/message.rs
@@ -108,7 +108,7 @@
     #[error(
         "a word about vans is torn, of another version, or has {0} bytes behind it: it is dropped"
     )]
-    Torn(usize),
+    Malformed(usize),
     /// A list in it is longer than any balancer writes.
     #[error(
         "a word about vans names {0} records or keys; no balancer names as many: it is dropped"
@@ -127,10 +127,10 @@
     if bytes.len() > MAX_MESSAGE_BYTES {
         return Err(MessageError::TooLong(bytes.len()));
     }
-    let ((version, mut message), rest) =
-        postcard::take_from_bytes::<(u64, Message)>(bytes).map_err(|_| MessageError::Torn(0))?;
+    let ((version, mut message), rest) = postcard::take_from_bytes::<(u64, Message)>(bytes)
+        .map_err(|_| MessageError::Malformed(0))?;
     if !rest.is_empty() {
-        return Err(MessageError::Torn(rest.len()));
+        return Err(MessageError::Malformed(rest.len()));
     }
     check_bounds(&mut message)?;
     Ok((version, message))
@@ -144,15 +144,15 @@
                 return Err(MessageError::TooMany(chunk.records.len()));
             }
             chunk.records.iter_mut().try_for_each(check_record)?;
-            chunk.uncertain_for.iter_mut().for_each(cut_span);
+            chunk.uncertain_for.iter_mut().for_each(clamp_span);
             Ok(())
         }
         Message::RouteResponse { outcome: RouteOutcome::Wait { ms }, .. } => {
-            cut_span(ms);
+            clamp_span(ms);
             Ok(())
         }
         Message::Replicate { key, .. } => {
-            cut_span(&mut key.expires_in);
+            clamp_span(&mut key.expires_in);
             Ok(())
         }
         _ => Ok(()),
@@ -160,15 +160,15 @@
 }
 
 fn check_record(record: &mut SessionRecord) -> Result<(), MessageError> {
-    cut_span(&mut record.uncertain_for);
-    record.keys.iter_mut().for_each(|key| cut_span(&mut key.expires_in));
+    clamp_span(&mut record.uncertain_for);
+    record.keys.iter_mut().for_each(|key| clamp_span(&mut key.expires_in));
     if record.keys.len() > MAX_RECORD_KEYS {
         return Err(MessageError::TooMany(record.keys.len()));
     }
     Ok(())
 }
 
-fn cut_span(span: &mut u64) {
+fn clamp_span(span: &mut u64) {
     *span = (*span).min(MAX_SPAN_MS);
 }
 
--- a/crates/sessions/src/message/formats.rs
+++ b/crates/sessions/src/message/formats.rs
@@ -67,7 +67,7 @@
 }
 
 #[test]
-fn messages_keep_their_bytes() {
+fn encoded_messages_equal_the_pinned_bytes() {
     let data: Vec<&str> = include_str!("../../tests/formats/messages.txt").lines().collect();
     let hex = |bytes: Vec<u8>| bytes.iter().map(|byte| format!("{byte:02x}")).collect::<String>();
     let written =
--- a/crates/sessions/src/message/tests.rs
+++ b/crates/sessions/src/message/tests.rs
@@ -32,7 +32,7 @@
     );
     let bytes = encode(7, &Message::Transfer { claim: 1, record: session_record(2) });
     assert!(matches!(decode(&bytes), Ok((7, Message::Transfer { claim: 1, .. }))));
-    assert_eq!(decode(&[bytes.as_slice(), &[0]].concat()), Err(MessageError::Torn(1)));
+    assert_eq!(decode(&[bytes.as_slice(), &[0]].concat()), Err(MessageError::Malformed(1)));
     assert_eq!(
         decode(&[0; MAX_MESSAGE_BYTES + 1]),
         Err(MessageError::TooLong(MAX_MESSAGE_BYTES + 1))
--- a/crates/sessions/src/ownership.rs
+++ b/crates/sessions/src/ownership.rs
@@ -37,9 +37,9 @@
             return self.claim(session, Some(waiter), ctx);
         }
         let is_local = from == self.config.node_id;
-        let has_room =
+        let has_capacity =
             self.permits.len() < MAX_PERMITS || self.permits.contains_key(&(session, from));
-        if !is_local && !has_room {
+        if !is_local && !has_capacity {
             self.permits.retain(|_, until| *until > ctx.now);
             return;
         }
--- a/crates/sessions/src/reconfiguration.rs
+++ b/crates/sessions/src/reconfiguration.rs
@@ -30,12 +30,12 @@
         self.slot = slot.filter(|slot| slot.incarnation == self.config.incarnation);
         self.slot_until = if self.slot.is_some() { until } else { 0 };
         // Without a slot in between, others may own what this balancer owned.
-        let has_kept_slot = self.slot.is_some_and(|slot| slot.since <= old.version);
+        let retains_slot = self.slot.is_some_and(|slot| slot.since <= old.version);
         self.record_lost_owners(&old, ctx.now);
         self.cache.clear();
         self.pending.reset_permissions();
-        self.settle_transfers(has_kept_slot, ctx.now);
-        self.reassign_sessions(has_kept_slot, &old, ctx.now);
+        self.settle_transfers(retains_slot, ctx.now);
+        self.reassign_sessions(retains_slot, &old, ctx.now);
         self.start_fetches(ctx);
         self.restart_claims(ctx);
         self.finish_fetching(ctx);
@@ -55,17 +55,17 @@
     /// Settles transfers that the change interrupts. A record that was not sent stays. One that a receiver which is
     /// still there may have accepted is settled with that. Of one that a lost receiver may have accepted a tombstone
     /// remains.
-    fn settle_transfers(&mut self, has_kept_slot: bool, now: u64) {
+    fn settle_transfers(&mut self, retains_slot: bool, now: u64) {
         let sessions: Vec<SessionId> = self.outgoing.keys().copied().collect();
         for session in sessions {
             let Some(transfer) = self.outgoing.get(&session) else { continue };
-            if has_kept_slot && transfer.is_sent && self.table.has(&transfer.to) {
+            if retains_slot && transfer.is_sent && self.table.has(&transfer.to) {
                 continue;
             }
-            let stays = has_kept_slot && !transfer.is_sent;
+            let remains_owner = retains_slot && !transfer.is_sent;
             let epoch = transfer.epoch;
             self.outgoing.remove(&session);
-            if !stays {
+            if !remains_owner {
                 // The record exists: it is retained during its transfer.
                 let _ = self.store.update(now, session, None, |record| {
                     record.ownership = Ownership::Tombstone;
@@ -76,9 +76,9 @@
     }
 
     /// Makes tombstones of the sessions that have another owner now, and notes what to report to each new owner.
-    fn reassign_sessions(&mut self, has_kept_slot: bool, old: &OwnershipTable, now: u64) {
+    fn reassign_sessions(&mut self, retains_slot: bool, old: &OwnershipTable, now: u64) {
         self.outbox.clear();
-        let mut reassignment = self.reassignment(has_kept_slot, old, now);
+        let mut reassignment = self.reassignment(retains_slot, old, now);
         for session in reassignment.tombstones {
             let _ = self.store.update(now, session, None, |record| {
                 record.ownership = Ownership::Tombstone;
@@ -90,7 +90,7 @@
         }
     }
 
-    fn reassignment(&self, has_kept_slot: bool, old: &OwnershipTable, now: u64) -> Reassignment {
+    fn reassignment(&self, retains_slot: bool, old: &OwnershipTable, now: u64) -> Reassignment {
         let node_id = self.config.node_id;
         let was_in_zone = |node: NodeId| old.zone_of(node) == self.zone();
         // Of sessions that this balancer owned only a new slot can be the owner now. Looking at all slots would stop the
@@ -98,18 +98,21 @@
         let slots = self.zone().map_or(&[][..], |zone| self.table.in_zone(zone));
         let nodes = slots.iter().map(|slot| slot.node);
         let new_nodes: Vec<NodeId> = nodes.filter(|node| !was_in_zone(*node)).collect();
-        let has_kept_slot = has_kept_slot && was_in_zone(node_id);
+        let retains_slot = retains_slot && was_in_zone(node_id);
         let is_still_owner = |session: SessionId| {
             let ranks_first = |new: &NodeId| !OwnershipTable::ranks_before(session, *new, node_id);
-            has_kept_slot && new_nodes.iter().all(ranks_first)
+            retains_slot && new_nodes.iter().all(ranks_first)
         };
         let mut result = Reassignment::default();
         for (session, record) in self.store.iter() {
-            let is_held = record.ownership != Ownership::Tombstone;
-            let is_unaffected =
-                if is_held { is_still_owner(session) } else { !record.is_in_window(now) };
+            let is_owned_or_received = record.ownership != Ownership::Tombstone;
+            let is_unaffected = if is_owned_or_received {
+                is_still_owner(session)
+            } else {
+                !record.is_in_window(now)
+            };
             if !is_unaffected {
-                self.reassign_session(session, record, has_kept_slot, now, &mut result);
+                self.reassign_session(session, record, retains_slot, now, &mut result);
             }
         }
         result
@@ -119,21 +122,21 @@
         &self,
         session: SessionId,
         record: &Record,
-        has_kept_slot: bool,
+        retains_slot: bool,
         now: u64,
         result: &mut Reassignment,
     ) {
-        let is_held = record.ownership != Ownership::Tombstone;
+        let is_owned_or_received = record.ownership != Ownership::Tombstone;
         let Some(owner) = self.owner_in_zone(session) else {
             result.tombstones.push(session);
             return;
         };
         let is_owner = owner == self.config.node_id;
-        let keeps_record = is_owner && has_kept_slot;
-        if is_held && !keeps_record && !self.outgoing.contains_key(&session) {
+        let retains_record = is_owner && retains_slot;
+        if is_owned_or_received && !retains_record && !self.outgoing.contains_key(&session) {
             result.tombstones.push(session);
         }
-        if !is_owner && (is_held || record.is_in_window(now)) {
+        if !is_owner && (is_owned_or_received || record.is_in_window(now)) {
             result.reports.insert((owner, session));
         }
     }
--- a/crates/sessions/src/record_store.rs
+++ b/crates/sessions/src/record_store.rs
@@ -166,7 +166,7 @@
         let mut record = match self.records.get(&session) {
             Some(record) => *record,
             None => {
-                self.make_room(now)?;
+                self.evict_if_full(now)?;
                 Record::EMPTY
             }
         };
@@ -285,7 +285,7 @@
         }
     }
 
-    fn make_room(&mut self, now: u64) -> Result<(), StoreFull> {
+    fn evict_if_full(&mut self, now: u64) -> Result<(), StoreFull> {
         if self.records.len() < self.max_records {
             return Ok(());
         }
@@ -318,12 +318,12 @@
         }
     }
 
-    /// Imports what another balancer reported when it was asked at `asked_at`: its times count from then on. 0 stands for
+    /// Imports what another balancer reported when it was asked at `requested_at`: its times count from then on. 0 stands for
     /// a moment that is not known. As long as keys matter for which there is no room, the session is uncertain.
     pub fn import(
         &mut self,
         now: u64,
-        asked_at: u64,
+        requested_at: u64,
         hash_cell: Option<Cell>,
         imported: &SessionRecord,
     ) -> Result<(), StoreFull> {
@@ -339,7 +339,7 @@
         for key in imported.keys.iter().filter(|key| key.expires_in > 0) {
             let expires_at = now.saturating_add(key.expires_in);
             let entry = KeyEntry {
-                first_permit_at: to_ticks(asked_at.saturating_sub(key.first_permit_ago)),
+                first_permit_at: to_ticks(requested_at.saturating_sub(key.first_permit_ago)),
                 expires_at: to_ticks_rounded_up(expires_at),
                 request: 0,
                 requester: NodeId(0),
--- a/crates/sessions/src/requests.rs
+++ b/crates/sessions/src/requests.rs
@@ -43,7 +43,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PendingRequest {
     pub request: Request,
-    pub asked_at: u64,
+    pub requested_at: u64,
     /// When it is routed without a record.
     pub give_up_at: u64,
     /// It waits for the end of a key's window, not for a response.
--- a/crates/sessions/src/routing_client.rs
+++ b/crates/sessions/src/routing_client.rs
@@ -51,7 +51,7 @@
         let number = self.next_number();
         let pending = PendingRequest {
             request,
-            asked_at: ctx.now,
+            requested_at: ctx.now,
             give_up_at: ctx.now.saturating_add(wait),
             waits_for_window: false,
             attempts: 0,
@@ -169,7 +169,7 @@
         let Some(pending) = self.pending.get(number) else { return };
         // It expires here before it does at the owner: it counts from the request on.
         let duration = drift_lower_bound(u64::from(cache_ms));
-        let until = pending.asked_at.saturating_add(duration).min(self.slot_until);
+        let until = pending.requested_at.saturating_add(duration).min(self.slot_until);
         if cache_ms > 0 && from != self.config.node_id && now < until {
             self.cache.insert(pending.request.session, CachedRecord { route, until });
         }
@@ -215,7 +215,7 @@
             let routed = RoutedRequest { session, key: None, number, until };
             return self.route_by_record(request.id, routed, route, ctx);
         };
-        let permit_end = pending.asked_at.saturating_add(drift_lower_bound(PERMIT_MS));
+        let permit_end = pending.requested_at.saturating_add(drift_lower_bound(PERMIT_MS));
         let until = permit_end.min(self.slot_until);
         if ctx.now >= until {
             return self.route_without_record(&request, ctx);
@@ -250,7 +250,7 @@
         let window = to_millis(self.config.dedup_window);
         let window_end = until.saturating_add(max_delay).saturating_add(window);
         KeyEntry {
-            first_permit_at: to_ticks(pending.asked_at),
+            first_permit_at: to_ticks(pending.requested_at),
             expires_at: to_ticks_rounded_up(window_end),
             request: number,
             requester: self.config.node_id,
@@ -309,7 +309,7 @@
                 let number = self.next_number();
                 let retry_at = ctx.now.saturating_add(REQUEST_RETRY_MS).min(pending.give_up_at);
                 self.timers.set(retry_at, Timer::Request(number));
-                self.pending.insert(number, PendingRequest { asked_at: ctx.now, ..pending });
+                self.pending.insert(number, PendingRequest { requested_at: ctx.now, ..pending });
             }
         }
         if !self.routed.has_unsent(ctx.now, session) {
--- a/crates/sessions/src/state.rs
+++ b/crates/sessions/src/state.rs
@@ -83,7 +83,7 @@
     /// The number of this round of requests.
     pub number: u32,
     /// When this round began.
-    pub asked_at: u64,
+    pub requested_at: u64,
     /// The zones that have answered it.
     pub answered: BTreeSet<Zone>,
     /// The new ownership has to be above this epoch.
@@ -340,10 +340,10 @@
         }
     }
 
-    /// Imports what another balancer reported of a session when it was asked at `asked_at`. Returns `false` if there is
+    /// Imports what another balancer reported of a session when it was asked at `requested_at`. Returns `false` if there is
     /// no room for it.
-    pub(crate) fn import(&mut self, now: u64, asked_at: u64, record: &SessionRecord) -> bool {
+    pub(crate) fn import(&mut self, now: u64, requested_at: u64, record: &SessionRecord) -> bool {
         let hash_cell = self.hash_cell(record.session);
-        self.store.import(now, asked_at, hash_cell, record).is_ok()
+        self.store.import(now, requested_at, hash_cell, record).is_ok()
     }
 }
--- a/crates/sessions/src/time.rs
+++ b/crates/sessions/src/time.rs
@@ -4,7 +4,7 @@
 
 /// Moments are counted from so long before the start of the process, in ms: what others report may have happened before
 /// it, and moment 0 stands for a time that is not known, longer ago than any window.
-const BEFORE_START_MS: u64 = 1 << 20;
+const START_OFFSET_MS: u64 = 1 << 20;
 
 /// The length of a tick. Ticks fit 32 bits for 497 days and saturate then; a process as old as that grants no permits.
 const TICK_MS: u64 = 10;
@@ -16,12 +16,12 @@
 
 /// The moment at `time` since the start of the process.
 pub(crate) fn to_moment(time: Duration) -> u64 {
-    to_millis(time).saturating_add(BEFORE_START_MS)
+    to_millis(time).saturating_add(START_OFFSET_MS)
 }
 
 /// The time since the start of the process at a moment.
 pub(crate) fn to_duration(moment: u64) -> Duration {
-    Duration::from_millis(moment.saturating_sub(BEFORE_START_MS))
+    Duration::from_millis(moment.saturating_sub(START_OFFSET_MS))
 }
 
 /// The last tick that is not later than the moment.
--- a/crates/sessions/src/transfers.rs
+++ b/crates/sessions/src/transfers.rs
@@ -106,14 +106,17 @@
             self.on_transfer_ack(from, session, sent_epoch, true, ctx.now);
         }
         let known = self.store.get(session);
-        let is_held = known.is_some_and(|known| known.ownership != Ownership::Tombstone);
+        let is_owned_or_received =
+            known.is_some_and(|known| known.ownership != Ownership::Tombstone);
         let sender = self.peer_owner(from, session);
-        let Some(sender) = sender.filter(|_| !is_held && epoch > self.store.evicted_epoch) else {
+        let Some(sender) =
+            sender.filter(|_| !is_owned_or_received && epoch > self.store.evicted_epoch)
+        else {
             return self.reject_transfer(from, session, epoch, ctx);
         };
         let claim = self.claims.get(&session).filter(|claim| claim.number == number);
-        let asked_at = claim.map_or(0, |claim| claim.asked_at);
-        if !self.import(ctx.now, asked_at, record) {
+        let requested_at = claim.map_or(0, |claim| claim.requested_at);
+        if !self.import(ctx.now, requested_at, record) {
             self.abandon_claim(session, ctx);
             return self.reject_transfer(from, session, epoch, ctx);
         }
@@ -179,16 +182,16 @@
             return;
         }
         self.outgoing.remove(&session);
-        let stays = !is_accepted && self.is_owner(session);
+        let remains_owner = !is_accepted && self.is_owner(session);
         // The record exists: it is retained during its transfer.
         let _ = self.store.update(now, session, None, |record| {
-            record.ownership = if stays { Ownership::Owned } else { Ownership::Tombstone };
+            record.ownership = if remains_owner { Ownership::Owned } else { Ownership::Tombstone };
             record.epoch = epoch;
         });
         self.retain_record(session, now);
         if is_accepted {
             self.metrics.transferred_out += 1;
-        } else if !stays && let Some(owner) = self.owner_in_zone(session) {
+        } else if !remains_owner && let Some(owner) = self.owner_in_zone(session) {
             self.outbox.entry(owner).or_default().push(session);
         }
     }
