--- a/crates/sessions/src/claims.rs
+++ b/crates/sessions/src/claims.rs
@@ -1,11 +1,13 @@
-//! Claims the ownership of a session: asks the owners in all other zones, and owns once each has answered.
+//! Claims the ownership of a session from the owners in all other zones.
 //!
-//! 1. An owner that is asked about a session it has no record of sends a claim request to the owners in all other zones.
-//! 2. One that owns the session transfers it (see [`transfers`](crate::transfers)).
-//! 3. One that does not answers that it has no record, with what it knows. If it claims the session itself, the zone that
-//!    precedes the other for this session gets an answer, and the other's claim starts over: **whoever answers with no
-//!    record voids its own claim** (Ricart and Agrawala 1981, with zones for processes). So of two zones that both know
-//!    nothing one owns.
+//! 1. An owner that gets a route request of a session without a record sends claim requests to the owners in all other
+//!    zones. The claimant owns the session once all of them have answered.
+//! 2. An owner in another zone that owns the session transfers it (see [`transfers`](crate::transfers)).
+//! 3. An owner in another zone that does not own the session answers with [`Message::NoRecord`] and its knowledge of
+//!    the session. If two zones claim the same session, only the zone that precedes the other for this session gets an
+//!    answer, and the claim of the other zone starts over: **a balancer that answers with no record voids its own
+//!    claim** (Ricart and Agrawala 1981, with zones in place of processes). So of two zones without a record only one
+//!    becomes the owner.
 
 use std::collections::BTreeSet;
 
@@ -19,13 +21,14 @@
 use crate::state::{Context, OwnershipClaim, Sessions, TRANSFER_RETRY_MS, Timer, Waiter};
 use crate::time::to_ticks_rounded_up;
 
-/// The most balancers that wait for one claim. Others ask again by themselves.
+/// The largest number of requests that wait for one claim. Other requests are retried by their senders.
 const MAX_WAITERS: usize = 8;
-/// The most claims that wait for room. Beyond it the oldest is dropped: whoever asked for it has gone on without.
+/// The largest number of queued claims. Beyond the limit, the oldest claim is dropped, whose requests have been routed
+/// without a record by then.
 const MAX_WAITING_CLAIMS: usize = 1_024;
 
 impl Sessions {
-    /// Claims a session, or lets one more balancer wait for a claim under way.
+    /// Claims a session, or adds a waiter to the claim in progress.
     pub(crate) fn claim(&mut self, session: SessionId, waiter: Option<Waiter>, ctx: &mut Context) {
         if let Some(claim) = self.claims.get_mut(&session) {
             if let Some(waiter) = waiter
@@ -42,7 +45,8 @@
         self.start_claim(session, waiter, ctx);
     }
 
-    /// Queues a claim for which there is no room. The newest is started first; those who wait for it ask again.
+    /// Queues a claim because the maximum number of claims is in progress. The newest queued claim is started first.
+    /// The queue holds no waiters, since balancers retry their route requests.
     fn queue_claim(&mut self, session: SessionId) {
         if !self.waiting_claims.contains(&session) {
             self.waiting_claims.push_back(session);
@@ -53,7 +57,7 @@
         }
     }
 
-    /// Starts a claim. Its first messages are sent by a timer that is due at once.
+    /// Starts a claim. A timer that is due at once sends the first claim requests.
     pub(crate) fn start_claim(
         &mut self,
         session: SessionId,
@@ -73,7 +77,7 @@
         self.timers.set(ctx.now, Timer::Claim(session));
     }
 
-    /// Starts over the claim's round of requests: earlier answers do not count.
+    /// Starts a new round of a claim's requests, in which earlier answers do not count.
     fn restart_claim(&mut self, session: SessionId, now: u64) {
         let number = self.next_number();
         if let Some(claim) = self.claims.get_mut(&session) {
@@ -83,7 +87,7 @@
         }
     }
 
-    /// Asks the owners in all zones that have not answered, again and again.
+    /// Sends claim requests to the owners in all zones that have not answered, repeatedly until they answer.
     pub(crate) fn retry_claim(&mut self, session: SessionId, ctx: &mut Context) {
         let Some(claim) = self.claims.get(&session) else { return };
         let (own_zone, number) = (self.zone(), claim.number);
@@ -106,12 +110,12 @@
         self.timers.set(ctx.now.saturating_add(TRANSFER_RETRY_MS), Timer::Claim(session));
     }
 
-    /// Whether the record was transferred to this balancer, which does not own it yet.
+    /// Whether the record was transferred to this balancer but is not owned yet.
     pub(crate) fn has_received(&self, session: SessionId) -> bool {
         self.store.get(session).is_some_and(|record| record.ownership == Ownership::Received)
     }
 
-    /// Owns the session if all that have to be asked have answered.
+    /// Takes ownership of a claimed session if all other zones have answered.
     pub(crate) fn try_own(&mut self, session: SessionId, ctx: &mut Context) {
         let Some(claim) = self.claims.get(&session) else { return };
         let own_zone = self.zone();
@@ -120,8 +124,9 @@
         if !is_complete || !self.fetches.is_empty() || !self.holds_slot(ctx.now) {
             return;
         }
-        // Of three zones, one may have answered that it has no record and then have received it from another one that
-        // answers so since: that one knows a higher epoch. Then all are asked once more.
+        // With three zones, zone A may answer that it has no record, then receive the record from zone B, which answers
+        // after the transfer that it has no record either. The answer of zone B has a higher epoch, so a higher epoch
+        // than at the start of the round requires another round.
         if claim.min_epoch > claim.initial_min_epoch && self.table.zones().count() > 2 {
             self.restart_claim(session, ctx.now);
             if let Some(claim) = self.claims.get_mut(&session) {
@@ -135,8 +140,8 @@
         self.start_waiting_claims(ctx);
     }
 
-    /// Makes this balancer the owner of a session, under an epoch above `min_epoch` unless the record was transferred
-    /// with one.
+    /// Makes this balancer the owner of a session, under the epoch of a transferred record or otherwise a new epoch
+    /// above `min_epoch`.
     fn own(&mut self, session: SessionId, min_epoch: Epoch, now: u64) -> Result<(), StoreFull> {
         let hash_cell = self.hash_cell(session);
         let has_received = self.has_received(session);
@@ -175,7 +180,7 @@
                 let request = RouteRequest { number, session, key, is_first };
                 self.on_route_request(from, request, ctx);
             } else if key.is_some() {
-                // Without a record nobody could say later where the key was executed.
+                // Without a record, the cell in which the key is executed would be unknown later.
                 self.send_full(from, number, ctx);
             }
         }
@@ -186,7 +191,7 @@
         self.send(to, Message::RouteResponse { number, outcome }, ctx);
     }
 
-    /// Starts waiting claims, the newest first, while there is room.
+    /// Starts queued claims, the newest first, up to the maximum number of claims in progress.
     fn start_waiting_claims(&mut self, ctx: &mut Context) {
         while self.claims.len() < self.config.max_claims
             && let Some(next) = self.waiting_claims.pop_back()
@@ -198,7 +203,8 @@
         }
     }
 
-    /// The slot of `from`, if it is the owner of the session in another zone and this balancer is the one in its own.
+    /// Returns the slot of `from`, if `from` is the owner of the session in another zone and this balancer is the owner
+    /// in its own zone.
     pub(crate) fn peer_owner(&self, from: NodeId, session: SessionId) -> Option<OwnerSlot> {
         let slot = *self.table.slot(from)?;
         let is_peer =
@@ -206,7 +212,8 @@
         (is_peer && self.is_owner(session)).then_some(slot)
     }
 
-    /// Answers a claim to a session that this balancer does not own with what it knows, unless its own claim precedes.
+    /// Answers the claim of a session that this balancer does not own with its knowledge of the session, unless this
+    /// balancer's own claim precedes the claimant's.
     pub(crate) fn answer_no_record(
         &mut self,
         claimant: OwnerSlot,
@@ -215,7 +222,7 @@
     ) {
         let session = request.session;
         if self.claims.contains_key(&session) {
-            // A zone that has received the record precedes all others; there is one such at most.
+            // A zone that has received the record precedes all others. At most one zone has received it.
             let is_preceded =
                 self.zone().is_some_and(|zone| precedes(session, zone, claimant.zone));
             if !request.has_record && is_preceded {
@@ -232,7 +239,7 @@
         self.send(claimant.node, message, ctx);
     }
 
-    /// Takes in that the owner in another zone has no record, and what it knows.
+    /// Handles the answer that the owner in another zone has no record, and imports that owner's knowledge.
     pub(crate) fn on_no_record(
         &mut self,
         from: NodeId,
@@ -256,7 +263,7 @@
         self.try_own(session, ctx);
     }
 
-    /// Abandons a claim, because there is no room for what others know of the session.
+    /// Abandons a claim, because the store has no capacity for the session's record.
     pub(crate) fn abandon_claim(&mut self, session: SessionId, ctx: &mut Context) {
         let Some(claim) = self.claims.remove(&session) else { return };
         for waiter in claim.waiters.iter().filter(|waiter| waiter.key.is_some()) {
@@ -265,7 +272,7 @@
     }
 }
 
-/// Whether a balancer can be added to those that wait for a claim: each request waits once.
+/// Whether a waiter can be added to the waiters of a claim, in which each request waits once.
 fn has_capacity_for(waiters: &[Waiter], new: &Waiter) -> bool {
     let is_same = |waiter: &Waiter| (waiter.from, waiter.number) == (new.from, new.number);
     waiters.len() < MAX_WAITERS && !waiters.iter().any(is_same)
--- a/crates/sessions/src/config.rs
+++ b/crates/sessions/src/config.rs
@@ -4,45 +4,45 @@
 
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 
-/// How long a permit to send one keyed attempt is valid, from the request for it on. A shorter one would expire on the
-/// way when datagrams are lost; a longer one delays each transfer.
+/// How long a permit to send one keyed attempt is valid, counted from the request for the permit. A shorter permit
+/// would expire before it arrives when datagrams are lost and sent again; a longer one delays each transfer.
 pub const PERMIT_DURATION: Duration = Duration::from_millis(100);
 
 /// [`PERMIT_DURATION`] in milliseconds.
 pub(crate) const PERMIT_MS: u64 = PERMIT_DURATION.as_millis() as u64;
 
-/// The identity of a balancer, and the figures that all balancers agree on.
+/// The identity of a balancer, and the limits that are the same at all balancers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Config {
-    /// The balancer.
+    /// This balancer.
     pub node_id: NodeId,
-    /// Its incarnation.
+    /// The balancer's incarnation.
     pub incarnation: Incarnation,
-    /// Whether no process of this cluster can have sent a keyed request within [`Config::retention`] before this one
-    /// started: the very first start of the platform. When in doubt, `false`.
+    /// Whether no process of this cluster can have sent a keyed request within [`Config::retention`] before this
+    /// process started, which holds at the very first start of the platform. Use `false` if unsure.
     pub first_start: bool,
-    /// How long cells drop repeated requests. Together with [`Config::max_execution_delay`] 100 s at most: spans in
-    /// messages are bounded, and keys would be forgotten too early.
+    /// How long cells drop repeated requests. The sum of this window and [`Config::max_execution_delay`] is 100 s at
+    /// most: spans in messages are bounded, so a longer sum would drop keys too early.
     pub dedup_window: Duration,
-    /// An attempt that was sent is executed within this time or never: the longest deadline.
+    /// The longest time from the sending of an attempt to its execution: the longest deadline.
     pub max_execution_delay: Duration,
-    /// The longest wait for a record.
+    /// The longest wait of a request for a record.
     pub max_wait: Duration,
-    /// A wait for a record takes at most one part in so many of a request's remaining time.
+    /// The remaining time of a request divided by this number bounds the request's wait for a record.
     pub wait_divisor: u32,
-    /// The most records.
+    /// The largest number of records.
     pub max_records: usize,
-    /// The most keys inside their windows.
+    /// The largest number of keys inside their windows.
     pub max_keys: usize,
-    /// The most ownership claims at a time, so that a mass arrival does not take all datagrams and finish no transfer in
-    /// time.
+    /// The largest number of concurrent ownership claims. Without this limit, many sessions that arrive at once would
+    /// use all datagrams, and no transfer would complete in time.
     pub max_claims: usize,
-    /// How long a cached record may be used, which is how long a transfer waits for a holder that does not respond.
+    /// How long a cached record may be used. A transfer waits up to this time for a holder that does not respond.
     pub cache_ttl: Duration,
 }
 
 impl Config {
-    /// A configuration with the usual figures.
+    /// Returns the default configuration of a balancer.
     pub fn new(node_id: NodeId, incarnation: Incarnation) -> Self {
         Self {
             node_id,
@@ -59,7 +59,8 @@
         }
     }
 
-    /// After this time nothing that was sent can matter any more: it has been executed, and cells have forgotten it.
+    /// Returns the time after which an attempt has no effect any more: the attempt has been executed or never will be,
+    /// and cells have forgotten its key.
     pub fn retention(&self) -> Duration {
         PERMIT_DURATION * 2 + self.max_execution_delay + self.dedup_window
     }
--- a/crates/sessions/src/ids.rs
+++ b/crates/sessions/src/ids.rs
@@ -1,4 +1,4 @@
-//! Identifiers of sessions, idempotency keys, places and ownerships; holds no logic but the order of epochs.
+//! Identifiers of sessions, idempotency keys, cells, zones and ownerships. The only logic is the order of epochs.
 
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use serde::{Deserialize, Serialize};
@@ -16,33 +16,34 @@
     pub(crate) const MAX: Self = Self(u64::MAX);
 }
 
-/// A cell: upstreams that drop each other's repeated requests, by its number in the agreed revision.
+/// A cell, by its number in the agreed revision. The upstreams of a cell drop each other's repeated requests.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Cell(pub u16);
 
-/// Stands for a cell that nobody knows. A cell that has this number is never sent a repeated keyed request.
+/// Stands for an unknown cell. A cell that has this number is never sent a repeated keyed request.
 pub(crate) const UNKNOWN_CELL: Cell = Cell(u16::MAX);
 
-/// A zone, by its number in the settings.
+/// A zone, by its number in the configuration.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Zone(pub u16);
 
-/// The ownership of a record: each one has a higher epoch than all before it.
+/// The number of one ownership of a record. Each ownership has a higher epoch than all earlier ones of the record.
 ///
-/// The upper 32 bits are the version of the ownership table under which it began. A balancer that has lost its state is
-/// not in that table, so an ownership that begins anew is above the lost one.
+/// The upper 32 bits are the version of the ownership table under which the ownership began. A balancer that has lost
+/// its state is not in that table until a newer version names its new incarnation, so its next ownership has a higher
+/// epoch than the lost one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Epoch(pub u64);
 
 impl Epoch {
-    /// The lowest epoch under a version of the ownership table.
+    /// Returns the lowest epoch under a version of the ownership table.
     pub(crate) const fn of_table(version: u64) -> Self {
         Self(version << 32)
     }
 
-    /// The next epoch.
+    /// Returns the next higher epoch.
     pub(crate) const fn next(self) -> Self {
         Self(self.0.saturating_add(1))
     }
@@ -53,11 +54,12 @@
 pub struct OwnerSlot {
     /// The balancer.
     pub node: NodeId,
-    /// Its incarnation. A process that has restarted has no slot until a table names its new incarnation.
+    /// The balancer's incarnation. A process that has restarted has no slot until a table names its new incarnation.
     pub incarnation: Incarnation,
-    /// The zone that it is in.
+    /// The balancer's zone.
     pub zone: Zone,
-    /// The version of the table that gave the slot; all versions since have it. A balancer that was left out and is back
-    /// has a new slot, since whatever it owned may have been taken over.
+    /// The version of the table that introduced the slot; all later versions up to the present one contain it. A
+    /// balancer that was missing from a version and returns gets a new slot, since other balancers may have taken over
+    /// its sessions.
     pub since: u64,
 }
--- a/crates/sessions/src/interface.rs
+++ b/crates/sessions/src/interface.rs
@@ -1,4 +1,4 @@
-//! Events and actions of [`Sessions`](crate::Sessions); holds no logic.
+//! Events and actions of [`Sessions`](crate::Sessions). The module holds no logic.
 
 use std::time::Duration;
 
@@ -7,152 +7,154 @@
 use crate::ids::{Cell, Epoch, IdempotencyKey, OwnerSlot, SessionId, Zone};
 use crate::rendezvous::WeightedCell;
 
-/// How often a request may be executed, by its class.
+/// How often a request may be executed.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Idempotency {
     /// Any number of times.
     Idempotent,
-    /// Repeatedly only within the cell that drops its repeats, for as long as that remembers the key.
+    /// Repeatedly, but only in the cell that drops the request's repeats, for as long as the cell remembers the key.
     Keyed(IdempotencyKey),
-    /// Once.
+    /// At most once.
     NotIdempotent,
 }
 
 /// Whether an attempt was executed (PROTOCOL, 'Balancers to upstreams').
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum ExecutionStatus {
-    /// It was.
+    /// The attempt was executed.
     Executed,
-    /// It was not, and will not be.
+    /// The attempt was not executed and will not be.
     NotExecuted,
-    /// It may have been, or may yet be.
+    /// The attempt may have been executed, or may still be.
     Unknown,
 }
 
-/// What happens to a balancer.
+/// An input of the state machine.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// A request has arrived. It is answered by one [`Action::Route`].
+    /// A request has arrived. Each request results in one [`Action::Route`].
     Request {
-        /// Its id, unique among the requests that are not routed yet.
+        /// The id of the request, unique among the requests that are not routed yet.
         id: u64,
-        /// Its session.
+        /// The session of the request.
         session: SessionId,
-        /// How often it may be executed.
+        /// How often the request may be executed.
         idempotency: Idempotency,
-        /// Whether its key was never sent before: clients mark retries, and this request is not marked.
+        /// Whether the key was never sent before: clients mark retries, and this request is not marked.
         first: bool,
-        /// When its client stops waiting, in time since the start of the process.
+        /// When the client stops waiting, in time since the start of the process.
         deadline: Duration,
     },
-    /// The attempt that was routed under this id has been sent, or will not be.
+    /// The attempt that was routed under this id has been sent, or will not be sent.
     Sent {
         /// The id of the request.
         id: u64,
     },
-    /// All attempts of a keyed request are over.
+    /// All attempts of a keyed request have ended.
     Finished {
         /// The id of the request.
         id: u64,
-        /// The worst status of all attempts.
+        /// The combined status of all attempts: [`ExecutionStatus::NotExecuted`] only if it holds for each attempt.
         status: ExecutionStatus,
     },
     /// A message from another balancer whose incarnation the transport has verified.
     Message {
         /// The sender.
         from: NodeId,
-        /// Its incarnation.
+        /// The sender's incarnation.
         incarnation: Incarnation,
         /// The encoded message.
         message: Vec<u8>,
     },
-    /// The cluster has agreed on an ownership table. A table without a slot must not be made before the time has passed
-    /// for which that slot was given, by the clock and drift of the giver.
+    /// The cluster has agreed on an ownership table. A table that omits a slot must not be created before the slot's
+    /// validity has ended by the clock of the node that granted the slot, with an allowance for clock drift.
     TableChanged {
-        /// The version of the table. A lower one than the present is ignored.
+        /// The version of the table. A version lower than the present one is ignored.
         version: u64,
-        /// Until when the own slot is valid, in time since the start of the process.
+        /// Until when this balancer's slot is valid, in time since the start of the process.
         until: Duration,
         /// All slots.
         slots: Vec<OwnerSlot>,
     },
-    /// The own slot is valid for longer.
+    /// The validity of this balancer's slot is extended.
     SlotExtended {
-        /// The version of the table. Another one than the present is ignored.
+        /// The version of the table. A version other than the present one is ignored.
         version: u64,
-        /// Until when.
+        /// Until when the slot is valid, in time since the start of the process.
         until: Duration,
     },
-    /// The cluster has agreed that the lease of a zone is over: none of its balancers owns anything.
+    /// The cluster has agreed that the lease of a zone has ended: no balancer of the zone owns any record.
     ZoneLeaseEnded {
         /// The zone.
         zone: Zone,
-        /// The version of the table from now on: the present one without that zone.
+        /// The version of the new table, which is the present one without the zone.
         version: u64,
     },
-    /// The cells in force have changed. Those that are not named are excluded.
+    /// The cells in force have changed. Cells that are not listed are excluded.
     CellsChanged {
-        /// The revision. A lower one than the present is ignored.
+        /// The revision. A revision lower than the present one is ignored.
         revision: u64,
         /// All cells with their weights.
         cells: Vec<WeightedCell>,
     },
-    /// The time of [`Action::WakeAt`] has come.
+    /// The time of the last [`Action::WakeAt`] has been reached.
     Due,
 }
 
-/// Where a request goes.
+/// The routing decision for a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RoutingDecision {
-    /// Send it to a cell. A keyed request is sent before `until` or routed anew, so the caller checks the time right
-    /// before the send.
+    /// Send the request to a cell. A keyed request is sent before `until` or routed again, so the caller checks the
+    /// time immediately before sending.
     Send {
         /// The cell.
         cell: Cell,
-        /// The ownership under which it is sent; `None` if it is routed by hash because no record was available in time.
+        /// The epoch under which the request is sent; `None` if the request is routed by hash because no record was
+        /// available in time.
         epoch: Option<Epoch>,
-        /// When the permit to send ends.
+        /// When the permit to send ends, in time since the start of the process.
         until: Duration,
     },
-    /// Reject it: it was not executed and will not be, so that a retry is harmless (429, 503).
+    /// Reject the request, which was not executed and will not be, so that the client can retry safely (429, 503).
     Reject(RoutingFailure),
-    /// Fail it without that promise: its key may have been executed.
+    /// Fail the request, whose key may have been executed: a retry is not known to be safe.
     Fail(RoutingFailure),
 }
 
-/// Why a request is sent nowhere.
+/// The reason why a request is rejected or fails.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum RoutingFailure {
     /// This balancer has no valid slot.
     NoSlot,
-    /// The owner did not answer in time, so it is not known where the key may have been executed.
+    /// The owner did not answer in time, so the cell in which the key may have been executed is unknown.
     NoRecord,
-    /// As many keys as can be remembered are inside their windows.
+    /// The key cannot be stored: every stored key is still inside its window.
     Full,
-    /// The key may have been executed in a cell that is excluded, and its window ends after the request's deadline.
+    /// The key may have been executed in a cell to which it cannot be sent again, such as an excluded one, and its
+    /// window ends after the request's deadline.
     MayHaveExecuted,
     /// No cell is in force.
     NoCell,
 }
 
-/// What is to be done.
+/// An output of the state machine, which the caller carries out.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// A request is routed.
+    /// Route a request.
     Route {
         /// The id of the request.
         id: u64,
-        /// Where it goes.
+        /// The cell to send the request to, or the reason why it is not sent.
         decision: RoutingDecision,
     },
-    /// Send a message. It may be lost.
+    /// Send a message, which may be lost.
     Send {
         /// The receiver.
         to: NodeId,
-        /// The encoded message, at most [`MAX_MESSAGE_BYTES`](crate::MAX_MESSAGE_BYTES) long. All messages but those of
-        /// a change of the ownership table fit a datagram.
+        /// The encoded message, at most [`MAX_MESSAGE_BYTES`](crate::MAX_MESSAGE_BYTES) long. All messages fit in a
+        /// datagram, except those that are sent after a change of the ownership table.
         message: Vec<u8>,
     },
-    /// Report [`Event::Due`] at this time. It replaces any earlier one.
+    /// Report [`Event::Due`] at this time, which replaces any earlier wake-up time.
     WakeAt(Duration),
 }
--- a/crates/sessions/src/key_entry.rs
+++ b/crates/sessions/src/key_entry.rs
@@ -6,23 +6,24 @@
 use crate::session_record::KeyRecord;
 use crate::time::{ticks_to_ms, to_ticks};
 
-/// A key that may have been executed: 16 bytes.
+/// A key that may have been executed. An entry takes 16 bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct KeyEntry {
-    /// No permit to send it was granted before.
+    /// A lower bound of the time of the first permit to send the key.
     pub first_permit_at: u32,
-    /// From then on it is as if it had never been sent.
+    /// The tick from which the key has no effect any more, as if it had never been sent.
     pub expires_at: u32,
-    /// The number of the only request that was permitted to send it; 0 if there were several, or it is not known.
+    /// The number of the only request that was permitted to send the key; 0 if several requests were, or the request is
+    /// unknown.
     pub request: u32,
-    /// The balancer whose request that was.
+    /// The balancer that made this request.
     pub requester: NodeId,
-    /// The cell that it was sent to.
+    /// The cell that the key was sent to.
     pub cell: Cell,
 }
 
 impl KeyEntry {
-    /// Merges what another entry knows of the key: what either says may be so.
+    /// Merges another entry of the key: the result allows for everything that either entry allows for.
     pub fn merge(&mut self, other: KeyEntry) {
         if self.cell != other.cell {
             self.cell = UNKNOWN_CELL;
@@ -34,12 +35,12 @@
         }
     }
 
-    /// Whether its window has ended.
+    /// Whether the window of the key has ended.
     pub fn has_expired(&self, now: u64) -> bool {
         self.expires_at <= to_ticks(now)
     }
 
-    /// The entry as messages carry it.
+    /// Converts the entry to the record that messages carry.
     pub fn to_record(self, key: IdempotencyKey, now: u64) -> KeyRecord {
         KeyRecord {
             key,
--- a/crates/sessions/src/key_log.rs
+++ b/crates/sessions/src/key_log.rs
@@ -1,4 +1,4 @@
-//! Keys that this balancer itself sends or replicates, besides those of the records that it owns.
+//! Keys that this balancer itself sends or replicates, besides the keys of the records that it owns.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,11 +7,12 @@
 use crate::record_store::MAX_EXPIRED_PER_STEP;
 use crate::time::to_ticks;
 
-/// The most keys in each log, 80 bytes each: 1,200 keyed requests a second. Beyond it keyed requests are rejected, since
-/// a key that is forgotten both here and at a lost owner might be executed twice.
+/// The largest number of keys in each log, of 80 bytes each, which allows 1,200 keyed requests per second. If
+/// [`ReplicatedKeys`] is full, keyed requests are rejected, since a key that is missing both here and at a lost owner
+/// might be executed twice.
 const MAX_KEYS: usize = 16_384;
 
-/// Keys that this balancer has sent, or replicates for an owner. It reports them if the owner is lost.
+/// Keys that this balancer has sent, or replicates for an owner, and reports if the owner is lost.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct ReplicatedKeys {
     entries: BTreeMap<(SessionId, IdempotencyKey), KeyEntry>,
@@ -23,7 +24,7 @@
         self.entries.len()
     }
 
-    /// Adds a key, or merges it with what is known of it. Returns `false` if there is no room.
+    /// Adds a key, or merges it with the stored entry of the key. Returns `false` if the log is full.
     pub fn add(&mut self, session: SessionId, key: IdempotencyKey, entry: KeyEntry) -> bool {
         if let Some(old) = self.entries.get_mut(&(session, key)) {
             self.by_expiry.remove(&(old.expires_at, session, key));
@@ -49,7 +50,7 @@
         }
     }
 
-    /// The keys of one session.
+    /// Returns the keys of one session.
     pub fn of_session(
         &self,
         session: SessionId,
@@ -58,12 +59,12 @@
         self.entries.range(range).map(|((_, key), entry)| (*key, entry))
     }
 
-    /// All keys, in the order of their sessions.
+    /// Returns all keys, in the order of their sessions.
     pub fn iter(&self) -> impl Iterator<Item = (SessionId, IdempotencyKey, KeyEntry)> {
         self.entries.iter().map(|((session, key), entry)| (*session, *key, *entry))
     }
 
-    /// Drops [`MAX_EXPIRED_PER_STEP`] keys at most whose windows have ended.
+    /// Drops at most [`MAX_EXPIRED_PER_STEP`] expired keys.
     pub fn drop_expired(&mut self, now: u64) {
         for _ in 0..MAX_EXPIRED_PER_STEP {
             let first = self.by_expiry.first().copied();
@@ -83,8 +84,8 @@
     expires_at: u32,
 }
 
-/// Where this balancer has sent each key, under whichever session. Records are found by session, so they do not show a
-/// key that was sent to another cell under another session.
+/// The cell to which this balancer has sent each key, under any session. Records are indexed by session, so a record
+/// does not show that one of its keys was sent to another cell under another session.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct SentKeys {
     entries: BTreeMap<IdempotencyKey, SentKey>,
@@ -92,8 +93,8 @@
 }
 
 impl SentKeys {
-    /// Records that a key is sent to a cell. Returns `false` if it may have been executed in another cell under another
-    /// session, and must not be sent.
+    /// Records that a key is sent to a cell. Returns `false` if the key must not be sent, because it may have been
+    /// executed in another cell under another session.
     pub fn record(
         &mut self,
         now: u64,
@@ -108,7 +109,7 @@
             }
             self.by_expiry.remove(&(sent.expires_at, key));
         }
-        // Dropping the oldest matters only to a key that is sent under two sessions.
+        // Dropping the key that expires first affects only keys that are sent under two sessions.
         if self.entries.len() >= MAX_KEYS
             && let Some((_, oldest)) = self.by_expiry.pop_first()
         {
@@ -119,7 +120,7 @@
         true
     }
 
-    /// Drops [`MAX_EXPIRED_PER_STEP`] keys at most whose windows have ended.
+    /// Drops at most [`MAX_EXPIRED_PER_STEP`] expired keys.
     pub fn drop_expired(&mut self, now: u64) {
         for _ in 0..MAX_EXPIRED_PER_STEP {
             let first = self.by_expiry.first().copied();
--- a/crates/sessions/src/lost_owners.rs
+++ b/crates/sessions/src/lost_owners.rs
@@ -1,4 +1,5 @@
-//! Which owners were lost lately, and for how long keys may matter that nobody left knows of. Times are in ms.
+//! Tracks the owners that were lost within the retention time, and how long keys that only lost owners knew may still
+//! be inside their windows. Times are in ms.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,8 +8,8 @@
 use crate::ids::{OwnerSlot, SessionId, Zone};
 use crate::ownership_table::OwnershipTable;
 
-/// The most old tables that are retained to know whose owner was lost. Beyond it every session is uncertain for the
-/// retention time.
+/// The largest number of old tables that are retained to find the sessions whose owners were lost. If an older table is
+/// dropped, every session is uncertain for the retention time.
 const MAX_OLD_TABLES: usize = 16;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -19,20 +20,20 @@
     version: u64,
 }
 
-/// The owners that were lost lately.
+/// The owners that were lost within the retention time.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct LostOwners {
     lost: Vec<LostOwner>,
     old_tables: BTreeMap<u64, OwnershipTable>,
-    /// When each of the old tables was replaced.
+    /// The moments at which the old tables were replaced, by version.
     replaced_at: BTreeMap<u64, u64>,
-    /// What was lost before is not known; it matters until then.
+    /// The moment until which every session is uncertain, because of losses that cannot be attributed to a session.
     pub all_uncertain_until: u64,
 }
 
 impl LostOwners {
-    /// Records the first table of this process, which knows neither what its previous incarnation knew nor what others
-    /// lost before.
+    /// Records the first table of this process. The process knows neither the keys of its previous incarnation nor the
+    /// earlier losses of other owners.
     pub fn record_first_table(
         &mut self,
         now: u64,
@@ -48,7 +49,7 @@
         }
     }
 
-    /// Records that one table replaces another, and drops what is older than the retention time.
+    /// Records that table `new` replaces table `old`, and drops losses and tables older than the retention time.
     pub fn record_change(
         &mut self,
         now: u64,
@@ -61,7 +62,8 @@
         let version = old.version;
         let lost = old.slots().filter(|slot| !new.has(slot));
         self.lost.extend(lost.map(|slot| LostOwner { lost_at: now, slot: *slot, version }));
-        // Retained even if nobody was lost: the owners of a session are looked up in all of these.
+        // The table is retained even if no owner was lost, since the owners of a session are looked up in all old
+        // tables.
         self.old_tables.insert(version, old.clone());
         self.replaced_at.insert(version, now);
         let used: BTreeSet<u64> = self.lost.iter().map(|lost| lost.version).collect();
@@ -78,8 +80,8 @@
         self.replaced_at.retain(|version, _| old_tables.contains_key(version));
     }
 
-    /// Until when a key of this session may have been executed where nobody left knows of, because both its sender and
-    /// the owner that permitted it were lost; 0 if that is impossible.
+    /// Returns the moment until which a key of this session may have been executed in an unknown cell, because both the
+    /// key's sender and the owner that permitted the key were lost; 0 if there is no such key.
     pub fn uncertain_until(&self, session: SessionId, retention_ms: u64) -> u64 {
         let mut until = self.all_uncertain_until;
         if self.lost.is_empty() {
@@ -94,7 +96,7 @@
         until
     }
 
-    /// Until when that holds for any session: what is reported to a new owner.
+    /// Returns an upper bound of [`Self::uncertain_until`] for all sessions, which is reported to new owners.
     pub fn max_uncertain_until(&self, retention_ms: u64) -> u64 {
         let due_to_each = self.lost.iter().map(|lost| self.uncertain_due_to(lost, retention_ms));
         due_to_each.fold(self.all_uncertain_until, u64::max)
@@ -110,7 +112,8 @@
         owners
     }
 
-    /// Until when it matters that this owner was lost: if another one of its zone was lost too, or there was no other.
+    /// Returns the moment until which the loss of this owner makes its sessions uncertain; 0 unless another owner of
+    /// the zone was lost too, or the zone had no other owner.
     fn uncertain_due_to(&self, owner: &LostOwner, retention_ms: u64) -> u64 {
         let zone = owner.slot.zone;
         let table = self.old_tables.get(&owner.version);
--- a/crates/sessions/src/machine.rs
+++ b/crates/sessions/src/machine.rs
@@ -1,4 +1,4 @@
-//! Dispatches events, messages and timers to the parts of the protocol.
+//! Dispatches events, messages and timers to the modules of the protocol.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -15,7 +15,7 @@
 use crate::time::{to_duration, to_moment};
 
 impl Sessions {
-    /// Takes in an event at `now`, in time since the start of the process, and appends what is to be done.
+    /// Handles an event at `now`, in time since the start of the process, and appends the resulting actions.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         let now = to_moment(now);
         let mut ctx = Context { now, actions, local_messages: VecDeque::new() };
@@ -58,12 +58,13 @@
                 }
             }
             Event::CellsChanged { revision, cells } => self.on_cells(revision, cells),
-            // A timer that fires a little early is set anew.
+            // `schedule_wake` sets the timer again if it fired too early.
             Event::Due => self.next_wake = None,
         }
     }
 
-    /// Handles a message of another balancer, if its incarnation has a slot and it acts on the same ownership table.
+    /// Handles a message of another balancer, if the sender's incarnation has a slot and the sender uses the same
+    /// version of the ownership table.
     fn on_encoded_message(
         &mut self,
         from: NodeId,
--- a/crates/sessions/src/message.rs
+++ b/crates/sessions/src/message.rs
@@ -1,28 +1,29 @@
-//! Messages between balancers about sessions, and their encoding: `postcard`, each message after the version of the
-//! ownership table that its sender acts on.
+//! Messages between balancers about sessions, and their encoding with `postcard`. Each encoded message begins with the
+//! version of the ownership table that the sender uses.
 
 use serde::{Deserialize, Serialize};
 
 use crate::ids::{Cell, Epoch, IdempotencyKey, SessionId};
 use crate::session_record::{KeyRecord, MAX_RECORD_KEYS, SessionRecord};
 
-/// The longest message, in bytes. All messages but those of a change of the ownership table, and records with more than
-/// eight keys, fit a datagram.
+/// The largest size of a message, in bytes. All messages fit in a datagram, except those that are sent after a change
+/// of the ownership table and records with more than eight keys.
 pub const MAX_MESSAGE_BYTES: usize = 1600;
-/// The bytes of a chunk that its records take.
+/// The largest size of the records in a chunk, in bytes.
 pub(crate) const MAX_CHUNK_BYTES: usize = 900;
-/// The most records in a chunk.
+/// The largest number of records in a chunk.
 const MAX_CHUNK_RECORDS: usize = 128;
-/// Spans in messages are cut to this, in ms: a wrong one from a faulty peer blocks a key for so long, not for ever.
+/// The upper bound to which spans in messages are clamped, in ms, so that a wrong span from a faulty peer does not
+/// block a key for longer.
 const MAX_SPAN_MS: u64 = 120_000;
 
-/// Asks the owner in the same zone where a request goes.
+/// Asks the owner in the same zone for the route of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct RouteRequest {
     /// The number of the request at the sender.
     pub number: u32,
     pub session: SessionId,
-    /// Its idempotency key, if it has one.
+    /// The idempotency key of the request, if it has one.
     pub key: Option<IdempotencyKey>,
     /// Whether the key was never sent before.
     pub is_first: bool,
@@ -31,11 +32,11 @@
 /// The owner's answer to a [`RouteRequest`].
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) enum RouteOutcome {
-    /// Send it to this cell under this ownership. The record may be cached for so long, in ms.
+    /// Send the request to this cell under this epoch. The record may be cached for `cache_ms`.
     Permit { cell: Cell, epoch: Epoch, cache_ms: u32 },
-    /// Do not send it before this time has passed.
+    /// Do not send the request before this time has passed.
     Wait { ms: u64 },
-    /// There is no room for another key.
+    /// The record store has no capacity for another key.
     Full,
 }
 
@@ -45,13 +46,13 @@
     /// The number of the claim at the sender.
     pub claim: u32,
     pub session: SessionId,
-    /// The new ownership has to be above this epoch.
+    /// The epoch of the new ownership has to be above this one.
     pub min_epoch: Epoch,
-    /// The sender has received the record already and lacks only this answer.
+    /// Whether the sender has already received the record and only lacks answers from other zones.
     pub has_record: bool,
 }
 
-/// The records that a former owner has for a new one, from an offset on.
+/// The records that a previous owner has for a new one, from an offset on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct RecordChunk {
     /// As in [`Message::FetchRecords`].
@@ -59,70 +60,75 @@
     /// As in [`Message::FetchRecords`].
     pub offset: u32,
     pub records: Vec<SessionRecord>,
-    /// In the last chunk: for how long, in ms, keys may matter that were lost together with their owners.
+    /// In the last chunk, for how long, in ms, keys that were lost together with their owners may still be inside their
+    /// windows. `None` in all other chunks.
     pub uncertain_for: Option<u64>,
 }
 
 /// A message between balancers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) enum Message {
-    /// To the owner in the same zone: where does this request go?
+    /// Asks the owner in the same zone for the route of a request.
     RouteRequest(RouteRequest),
-    /// The owner's answer to the request of this number.
+    /// Answers the route request of this number.
     RouteResponse { number: u32, outcome: RouteOutcome },
-    /// To the owner: the attempt that was permitted for this request was not executed.
+    /// Notifies the owner that the attempt that was permitted for this request was not executed.
     AttemptNotRun { number: u32, session: SessionId, key: IdempotencyKey },
-    /// To another balancer of the zone, before the owner itself sends a keyed request: remember the key.
+    /// Asks another balancer of the zone to store a key, before the owner itself sends the keyed request.
     Replicate { number: u32, session: SessionId, key: KeyRecord },
-    /// The key is remembered.
+    /// Confirms that the key is stored.
     ReplicateAck { number: u32 },
-    /// To holders of permits and cached records: use them no more.
+    /// Revokes the permits and cached records of a holder.
     Revoke { session: SessionId, epoch: Epoch },
-    /// They are not used any more, and nothing that was routed under them is still to be sent.
+    /// Confirms that the revoked permits and records are not used any more, and that no request that was routed by them
+    /// is still to be sent.
     RevokeAck { session: SessionId, epoch: Epoch },
-    /// To the owners in all other zones: the session is here now.
+    /// Claims the ownership of a session from the owner in another zone.
     ClaimRequest(ClaimRequest),
-    /// The receiver of the claim does not own the session; what it knows of it. The new ownership has to be above
-    /// `min_epoch`.
+    /// Answers a claim of a session that the receiver of the claim does not own, with the receiver's knowledge of the
+    /// session. The epoch of the new ownership has to be above `min_epoch`.
     NoRecord { claim: u32, min_epoch: Epoch, record: SessionRecord },
-    /// The receiver of the claim owned the session, which now belongs to the claimant under the record's epoch.
+    /// Transfers a session that the receiver of the claim owned to the claimant, under the record's epoch.
     Transfer { claim: u32, record: SessionRecord },
-    /// The transfer is accepted, or rejected and to be claimed anew.
+    /// Accepts a transfer, or rejects it, so that the session has to be claimed again.
     TransferAck { session: SessionId, epoch: Epoch, is_accepted: bool },
-    /// To all balancers of the zone after a change of the ownership table: which records do you have for me, from this
-    /// offset on?
+    /// Asks all balancers of the zone, after a change of the ownership table, for the records that they have for the
+    /// sender, from this offset on.
     FetchRecords { started_at: u64, offset: u32 },
-    /// The answer.
+    /// Answers a request for records.
     RecordChunk(RecordChunk),
 }
 
-/// Why a message cannot be decoded.
+/// The reason why a message cannot be decoded.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// It is longer than any message.
+    /// The message has this many bytes, more than [`MAX_MESSAGE_BYTES`].
     #[error(
-        "a word about vans of {0} bytes was to be read; the longest has {MAX_MESSAGE_BYTES}: it is dropped"
+        "session message of {0} bytes exceeds the limit of {MAX_MESSAGE_BYTES} bytes; message dropped"
     )]
     TooLong(usize),
-    /// It is no message of this version, is cut short, or has so many bytes behind it.
+    /// The message is truncated, of another version, or followed by this many bytes.
     #[error(
-        "a word about vans is torn, of another version, or has {0} bytes behind it: it is dropped"
+        "session message is truncated, of another version, or has {0} trailing bytes; message dropped"
     )]
     Malformed(usize),
-    /// A list in it is longer than any balancer writes.
-    #[error(
-        "a word about vans names {0} records or keys; no balancer names as many: it is dropped"
-    )]
+    /// A list in the message has this many entries, more than any balancer writes.
+    #[error("session message lists {0} records or keys, which exceeds the limit; message dropped")]
     TooMany(usize),
 }
 
-/// Encodes a message under a version of the ownership table.
+/// Encodes a message, preceded by the version of the sender's ownership table.
 pub(crate) fn encode(version: u64, message: &Message) -> Vec<u8> {
     postcard::to_allocvec(&(version, message))
         .expect("messages hold nothing that postcard cannot encode")
 }
 
-/// Decodes a message and the version of its sender's ownership table, and cuts its spans to [`MAX_SPAN_MS`].
+/// Decodes a message and the version of the sender's ownership table, and clamps the message's spans to
+/// [`MAX_SPAN_MS`].
+///
+/// # Errors
+///
+/// Returns an error if the message or a list in it is too long, or if the bytes are not exactly one message.
 pub(crate) fn decode(bytes: &[u8]) -> Result<(u64, Message), MessageError> {
     if bytes.len() > MAX_MESSAGE_BYTES {
         return Err(MessageError::TooLong(bytes.len()));
--- a/crates/sessions/src/message/formats.rs
+++ b/crates/sessions/src/message/formats.rs
@@ -1,5 +1,5 @@
-//! Pins the messages byte for byte. The expected bytes are data under `tests/formats/`, one case a line, never computed: a
-//! rename in the code must leave them as they are.
+//! Compares the encoded messages byte for byte with the pinned ones in `tests/formats/messages.txt`, one case per line.
+//! The pinned bytes are data and never computed. A rename in the code must leave them unchanged.
 
 use super::{ClaimRequest, Message, RecordChunk, RouteOutcome, RouteRequest, decode, encode};
 use crate::ids::{Cell, Epoch, IdempotencyKey, SessionId};
--- a/crates/sessions/src/message/tests.rs
+++ b/crates/sessions/src/message/tests.rs
@@ -1,4 +1,4 @@
-//! Bounds of the encoding, and reading of arbitrary bytes.
+//! Tests the bounds of the encoding and the decoding of arbitrary bytes.
 
 use proptest::prelude::*;
 
--- a/crates/sessions/src/ownership.rs
+++ b/crates/sessions/src/ownership.rs
@@ -1,5 +1,6 @@
-//! What an owner answers to the balancers of its zone: where a request goes, and that permits are revoked. How a record
-//! comes to be owned is decided in [`claims`](crate::claims), how it is given up in [`transfers`](crate::transfers).
+//! The owner's side of routing: answers the route requests of the balancers of its zone, and grants and revokes
+//! permits. A balancer becomes the owner of a record in [`claims`](crate::claims) and gives the record up in
+//! [`transfers`](crate::transfers).
 
 use hollowpaddle_peer_transport::NodeId;
 
@@ -11,16 +12,17 @@
 use crate::state::{Context, Sessions, Waiter};
 use crate::time::{ticks_to_ms, to_millis, to_ticks, to_ticks_rounded_up};
 
-/// The most permits and cached records at other balancers at a time. Beyond it requests wait for some to end.
+/// The largest number of concurrent permits and cached records at other balancers. At the limit, requests wait until
+/// some of them end.
 const MAX_PERMITS: usize = 8_192;
 
-/// A span of this clock after which `ms` have passed on any other clock, which may be slower by 1 in 100.
+/// Returns a span of this clock within which `ms` pass on any other clock, which may be slower by 1 in 100.
 fn drift_upper_bound(ms: u64) -> u64 {
     ms + ms.div_ceil(100)
 }
 
 impl Sessions {
-    /// Answers where a request goes, or claims the session first.
+    /// Answers a route request, or claims the session first.
     pub(crate) fn on_route_request(
         &mut self,
         from: NodeId,
@@ -52,15 +54,15 @@
         self.send(from, Message::RouteResponse { number, outcome }, ctx);
     }
 
-    /// Decides where a request of an owned session goes; `None` if no cell is in force.
+    /// Decides the route of a request of an owned session. Returns `None` if no cell is in force.
     fn route(&mut self, session: SessionId, waiter: Waiter, now: u64) -> Option<RouteOutcome> {
         let hash_cell = self.hash_cell(session);
         let mut record = *self.store.get(session)?;
         if !self.is_in_force(record.cell) {
-            // The session's cell is excluded: new requests go to another one.
+            // The session's cell is excluded, so new requests go to another cell.
             record.cell = hash_cell?;
         }
-        // The record exists, so there is room for it.
+        // The update cannot fail, because the record exists.
         let _ = self.store.update(now, session, hash_cell, |stored| stored.cell = record.cell);
         let Some(key) = waiter.key else { return Some(self.permit(&record)) };
         match self.store.key(session, key).copied().filter(|entry| !entry.has_expired(now)) {
@@ -74,12 +76,12 @@
         RouteOutcome::Permit { cell: record.cell, epoch: record.epoch, cache_ms }
     }
 
-    /// The moment until which a request that is permitted now may be sent, by this clock.
+    /// Returns the moment, by this clock, until which a request that is permitted now may be sent.
     fn permit_end(&self, now: u64) -> u64 {
         now.saturating_add(drift_upper_bound(PERMIT_MS))
     }
 
-    /// The tick from which on a key that is permitted now does not matter any more.
+    /// Returns the tick at which a key that is permitted now expires.
     fn key_expiry(&self, now: u64) -> u32 {
         let max_delay = to_millis(self.config.max_execution_delay);
         let window = to_millis(self.config.dedup_window);
@@ -87,8 +89,8 @@
         to_ticks_rounded_up(last_execution.saturating_add(window))
     }
 
-    /// A key that may have been executed goes to its cell again, as long as that surely remembers it; otherwise it waits
-    /// for the end of its window.
+    /// Routes a key that may have been executed. The key is sent to its cell again as long as the cell is certain to
+    /// remember it, and otherwise waits for the end of its window.
     fn route_known_key(
         &mut self,
         session: SessionId,
@@ -111,11 +113,12 @@
         if entry.cell == record.cell {
             return self.permit(record);
         }
-        // A cached record says where new requests go, and this one goes elsewhere.
+        // A cached record holds the cell of new requests, and this request goes to another cell.
         RouteOutcome::Permit { cell: entry.cell, epoch: record.epoch, cache_ms: 0 }
     }
 
-    /// A new key goes to the session's cell. While the session is uncertain, only a key that was never sent does.
+    /// Routes a new key to the session's cell. While the session is uncertain, only a key that was never sent before is
+    /// permitted.
     fn route_new_key(
         &mut self,
         session: SessionId,
@@ -141,7 +144,7 @@
         }
     }
 
-    /// The holders of permits and cached records of a session, and until when.
+    /// Returns the holders of permits and cached records of a session, and the moments at which these end.
     fn permits_of(&self, session: SessionId) -> impl Iterator<Item = (NodeId, u64)> {
         let range = (session, NodeId(0))..=(session, NodeId(u16::MAX));
         self.permits.range(range).map(|((_, holder), until)| (*holder, *until))
@@ -157,7 +160,7 @@
         let Some(epoch) = self.store.get(session).map(|record| record.epoch) else { return };
         let permits: Vec<(NodeId, u64)> = self.permits_of(session).collect();
         for (holder, until) in permits {
-            // A balancer that has lost its slot may use nothing any more.
+            // A balancer that has lost its slot may not use permits or cached records any more.
             if until <= ctx.now || self.table.slot(holder).is_none() {
                 self.permits.remove(&(session, holder));
             } else {
@@ -166,7 +169,7 @@
         }
     }
 
-    /// Records that a holder has stopped using its permits, which a transfer waits for.
+    /// Removes the permits that a holder has stopped using, and continues the transfer that waits for this.
     pub(crate) fn on_revoke_ack(
         &mut self,
         from: NodeId,
--- a/crates/sessions/src/ownership_table.rs
+++ b/crates/sessions/src/ownership_table.rs
@@ -1,5 +1,5 @@
-//! The agreed ownership table: who has a slot, and who owns the record of a session in each zone. What was lost with
-//! those who lost their slots is tracked in [`lost_owners`](crate::lost_owners).
+//! The agreed ownership table: the balancers that have a slot, and the owner of each session in each zone. Owners that
+//! have lost their slots are tracked in [`lost_owners`](crate::lost_owners).
 
 use std::cmp::Reverse;
 use std::collections::BTreeMap;
@@ -28,54 +28,55 @@
         Self { version, zones, slots }
     }
 
-    /// The table without the slots of a zone.
+    /// Returns the table without the slots of a zone, under a new version.
     pub fn without(&self, zone: Zone, version: u64) -> Self {
         let others = self.slots.values().filter(|slot| slot.zone != zone);
         Self::new(version, &others.copied().collect::<Vec<OwnerSlot>>())
     }
 
-    /// The slot of a node.
+    /// Returns the slot of a node.
     pub fn slot(&self, node: NodeId) -> Option<&OwnerSlot> {
         self.slots.get(&node)
     }
 
-    /// All slots, in the order of their nodes.
+    /// Returns all slots, in the order of their nodes.
     pub fn slots(&self) -> impl Iterator<Item = &OwnerSlot> + '_ {
         self.slots.values()
     }
 
-    /// The zone of a node that has a slot.
+    /// Returns the zone of a node that has a slot.
     pub fn zone_of(&self, node: NodeId) -> Option<Zone> {
         self.slots.get(&node).map(|slot| slot.zone)
     }
 
-    /// Whether the table has exactly this slot.
+    /// Whether the table contains exactly this slot.
     pub fn has(&self, slot: &OwnerSlot) -> bool {
         self.slots.get(&slot.node) == Some(slot)
     }
 
-    /// The slots in a zone.
+    /// Returns the slots in a zone.
     pub fn in_zone(&self, zone: Zone) -> &[OwnerSlot] {
         self.zones.get(&zone).map_or(&[], Vec::as_slice)
     }
 
-    /// All zones.
+    /// Returns all zones.
     pub fn zones(&self) -> impl Iterator<Item = Zone> + '_ {
         self.zones.keys().copied()
     }
 
-    /// Of two nodes in a zone, whether one ranks before the other as the owner of a session's record.
+    /// Whether node `one` ranks before node `other` of the same zone as the owner of a session's record.
     pub fn ranks_before(session: SessionId, one: NodeId, other: NodeId) -> bool {
         owner_rank(session, one) > owner_rank(session, other)
     }
 
-    /// The owner of a session's record in a zone.
+    /// Returns the owner of a session's record in a zone.
     pub fn owner(&self, session: SessionId, zone: Zone) -> Option<NodeId> {
         let nodes = self.in_zone(zone).iter().map(|slot| slot.node);
         nodes.max_by_key(|node| owner_rank(session, *node))
     }
 
-    /// The other nodes of a zone, in the order in which they replicate the keys that its owner itself sends.
+    /// Returns the nodes of a zone other than `owner`, in the order in which they replicate the keys that the owner
+    /// itself sends.
     pub fn replicas(&self, session: SessionId, zone: Zone, owner: NodeId) -> Vec<NodeId> {
         let nodes = self.in_zone(zone).iter().map(|slot| slot.node);
         let mut replicas: Vec<NodeId> = nodes.filter(|node| *node != owner).collect();
@@ -84,13 +85,13 @@
     }
 }
 
-/// The owner of a session in a zone is the node of the highest rank.
+/// Returns the rank of a node as the owner of a session. The node of the highest rank in a zone is the owner.
 fn owner_rank(session: SessionId, node: NodeId) -> (u64, NodeId) {
     (score(Candidates::Owners, session, node.0), node)
 }
 
-/// Whether zone `one` precedes `other` when both claim a session at the same time. The order is total, and differs by
-/// session.
+/// Whether zone `one` precedes zone `other` when both claim a session at the same time. The order is total, and differs
+/// between sessions.
 pub(crate) fn precedes(session: SessionId, one: Zone, other: Zone) -> bool {
     let rank = |zone: Zone| (score(Candidates::Zones, session, zone.0), zone);
     rank(one) > rank(other)
--- a/crates/sessions/src/reconfiguration.rs
+++ b/crates/sessions/src/reconfiguration.rs
@@ -1,5 +1,5 @@
-//! Changes of the ownership table: transfers that it interrupts are settled, and sessions that have another owner now
-//! become tombstones and are reported to it. The new owner fetches the reports (see
+//! Changes of the ownership table. A change settles the transfers that it interrupts. The records of sessions that have
+//! another owner now become tombstones, and the new owner fetches these records (see
 //! [`record_fetch`](crate::record_fetch)).
 
 use std::collections::BTreeSet;
@@ -13,23 +13,23 @@
 use crate::state::{Context, RecordFetch, Sessions};
 use crate::time::ticks_to_ms;
 
-/// What a change of the ownership table means for the sessions of this balancer.
+/// The effects of a change of the ownership table on the sessions of this balancer.
 #[derive(Default)]
 struct Reassignment {
-    /// Sessions that this balancer does not own any more.
+    /// The sessions that this balancer does not own any more.
     tombstones: Vec<SessionId>,
-    /// Sessions to be reported, with their new owners.
+    /// The sessions to be reported, with their new owners.
     reports: BTreeSet<(NodeId, SessionId)>,
 }
 
 impl Sessions {
-    /// Puts another ownership table in force. The own slot is valid until `until`, if the table has one.
+    /// Puts another ownership table in force. This balancer's slot, if the table has one, is valid until `until`.
     pub(crate) fn reconfigure(&mut self, table: OwnershipTable, until: u64, ctx: &mut Context) {
         let old = std::mem::replace(&mut self.table, table);
         let slot = self.table.slot(self.config.node_id).copied();
         self.slot = slot.filter(|slot| slot.incarnation == self.config.incarnation);
         self.slot_until = if self.slot.is_some() { until } else { 0 };
-        // Without a slot in between, others may own what this balancer owned.
+        // If a table in between had no slot of this balancer, others may own the sessions that this balancer owned.
         let retains_slot = self.slot.is_some_and(|slot| slot.since <= old.version);
         self.record_lost_owners(&old, ctx.now);
         self.cache.clear();
@@ -52,9 +52,12 @@
         }
     }
 
-    /// Settles transfers that the change interrupts. A record that was not sent stays. One that a receiver which is
-    /// still there may have accepted is settled with that. Of one that a lost receiver may have accepted a tombstone
-    /// remains.
+    /// Settles the transfers that the change interrupts:
+    ///
+    /// - If this balancer has retained its slot, a record that was not sent stays here.
+    /// - If both balancers have retained their slots, the transfer of a record that was sent continues until the
+    ///   receiver acknowledges it.
+    /// - Otherwise the record becomes a tombstone, since the receiver or another balancer may own the session.
     fn settle_transfers(&mut self, retains_slot: bool, now: u64) {
         let sessions: Vec<SessionId> = self.outgoing.keys().copied().collect();
         for session in sessions {
@@ -66,7 +69,7 @@
             let epoch = transfer.epoch;
             self.outgoing.remove(&session);
             if !remains_owner {
-                // The record exists: it is retained during its transfer.
+                // The update cannot fail, because a record is retained during its transfer.
                 let _ = self.store.update(now, session, None, |record| {
                     record.ownership = Ownership::Tombstone;
                     record.epoch = epoch;
@@ -75,7 +78,8 @@
         }
     }
 
-    /// Makes tombstones of the sessions that have another owner now, and notes what to report to each new owner.
+    /// Turns the records of sessions that have another owner now into tombstones, and collects the sessions to be
+    /// reported to each new owner.
     fn reassign_sessions(&mut self, retains_slot: bool, old: &OwnershipTable, now: u64) {
         self.outbox.clear();
         let mut reassignment = self.reassignment(retains_slot, old, now);
@@ -93,8 +97,8 @@
     fn reassignment(&self, retains_slot: bool, old: &OwnershipTable, now: u64) -> Reassignment {
         let node_id = self.config.node_id;
         let was_in_zone = |node: NodeId| old.zone_of(node) == self.zone();
-        // Of sessions that this balancer owned only a new slot can be the owner now. Looking at all slots would stop the
-        // cluster's thread for too long: 200,000 records, 150 slots.
+        // Only a balancer with a new slot can have replaced this balancer as the owner of a session. A comparison with
+        // all slots would block the cluster's thread for too long: 200,000 records, 150 slots.
         let slots = self.zone().map_or(&[][..], |zone| self.table.in_zone(zone));
         let nodes = slots.iter().map(|slot| slot.node);
         let new_nodes: Vec<NodeId> = nodes.filter(|node| !was_in_zone(*node)).collect();
@@ -141,8 +145,8 @@
         }
     }
 
-    /// Reports the keys that this balancer has sent or replicated to the owners of their sessions, or takes them into its
-    /// own records.
+    /// Collects the sessions of the keys that this balancer has sent or replicated, so that they are reported to their
+    /// owners. Keys of sessions that this balancer owns are imported into its own records.
     fn reassign_replicated_keys(&mut self, reports: &mut BTreeSet<(NodeId, SessionId)>, now: u64) {
         let keys: Vec<_> = self.replicated_keys.iter().collect();
         for (session, key, entry) in keys {
@@ -161,7 +165,7 @@
         }
     }
 
-    /// Asks all others of the zone for the records that they have for this balancer.
+    /// Asks all other balancers of the zone for the records that they have for this balancer.
     fn start_fetches(&mut self, ctx: &mut Context) {
         self.fetches.clear();
         let node_id = self.config.node_id;
@@ -174,7 +178,7 @@
         }
     }
 
-    /// Claims anew what was being claimed, if this balancer is the owner still.
+    /// Restarts the claims in progress of sessions that are still assigned to this balancer.
     fn restart_claims(&mut self, ctx: &mut Context) {
         self.waiting_claims.clear();
         for session in std::mem::take(&mut self.claims).into_keys() {
--- a/crates/sessions/src/record_cache.rs
+++ b/crates/sessions/src/record_cache.rs
@@ -1,4 +1,4 @@
-//! Records of other owners that this balancer may use for a while.
+//! Cached records of other owners, which this balancer may use until they expire.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -6,14 +6,14 @@
 use crate::record_store::MAX_EXPIRED_PER_STEP;
 use crate::requests::Route;
 
-/// The most cached records.
+/// The largest number of cached records.
 const MAX_CACHED: usize = 8_192;
 
 /// A cached record.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct CachedRecord {
     pub route: Route,
-    /// The moment until which it may be used.
+    /// The moment until which the record may be used.
     pub until: u64,
 }
 
@@ -29,7 +29,7 @@
         self.records.get(&session)
     }
 
-    /// Caches a record, if necessary in place of the one that expires first.
+    /// Caches a record. If the cache is full, removes the record that expires first.
     pub fn insert(&mut self, session: SessionId, record: CachedRecord) {
         self.remove(session);
         if self.records.len() >= MAX_CACHED
@@ -41,7 +41,7 @@
         self.records.insert(session, record);
     }
 
-    /// Removes a record of this ownership or an earlier one.
+    /// Removes the record of a session if its epoch is this one or an earlier one.
     pub fn revoke(&mut self, session: SessionId, epoch: Epoch) {
         if self.get(session).is_some_and(|record| record.route.epoch <= epoch) {
             self.remove(session);
@@ -59,7 +59,7 @@
         self.by_expiry.clear();
     }
 
-    /// Drops [`MAX_EXPIRED_PER_STEP`] records at most that may not be used any more.
+    /// Drops at most [`MAX_EXPIRED_PER_STEP`] expired records.
     pub fn drop_expired(&mut self, now: u64) {
         for _ in 0..MAX_EXPIRED_PER_STEP {
             let first = self.by_expiry.first().copied();
--- a/crates/sessions/src/record_fetch.rs
+++ b/crates/sessions/src/record_fetch.rs
@@ -1,5 +1,5 @@
-//! Fetches the records that the other balancers of the zone have for a new owner, after a change of the ownership table.
-//! Until all have reported, no session without a record here is owned.
+//! Fetches the records that the other balancers of the zone have for a new owner, after a change of the ownership
+//! table. A session without a local record can only be owned after all these balancers have reported their records.
 
 use hollowpaddle_peer_transport::NodeId;
 
@@ -8,15 +8,15 @@
 use crate::session_record::SessionRecord;
 use crate::state::{Context, Sessions, TRANSFER_RETRY_MS, Timer};
 
-/// An estimate of the bytes of a record without keys in a chunk.
+/// The estimated size of a record without keys in a chunk, in bytes.
 const RECORD_BYTES: usize = 30;
-/// An estimate of the bytes of a key in a chunk.
+/// The estimated size of a key in a chunk, in bytes.
 const KEY_BYTES: usize = 20;
-/// The bytes of a chunk that stay free for the last record.
+/// The size that is reserved in a chunk for the last record, in bytes.
 const RESERVED_BYTES: usize = 100;
 
 impl Sessions {
-    /// Asks another balancer for its next records, again and again.
+    /// Asks another balancer for its next records, repeatedly until it answers.
     pub(crate) fn retry_fetch(&mut self, from: NodeId, ctx: &mut Context) {
         let Some(fetch) = self.fetches.get(&from) else { return };
         let (started_at, offset) = (fetch.started_at, fetch.offset);
@@ -24,7 +24,7 @@
         self.timers.set(ctx.now.saturating_add(2 * TRANSFER_RETRY_MS), Timer::Fetch(from));
     }
 
-    /// Answers with the records for another balancer, from an offset on.
+    /// Answers a request for the records of another balancer's sessions, from an offset on.
     pub(crate) fn on_fetch_records(
         &mut self,
         from: NodeId,
@@ -38,8 +38,8 @@
         let sessions = self.outbox.get(&from).map_or(&[][..], Vec::as_slice);
         let Some(remaining) = sessions.get(offset as usize..) else { return };
         let records = self.next_records(remaining, ctx.now);
-        // A transfer that began under an older table may still come back here, so it is settled before everything is
-        // reported.
+        // The receiver may still reject a transfer that began under an older table, and the record then stays here. The
+        // last chunk is therefore sent only after all these transfers have ended.
         let version = self.table.version;
         let is_settled = self.outgoing.values().all(|t| t.table_version == version);
         let is_last = records.len() == remaining.len() && is_settled;
@@ -49,7 +49,7 @@
         self.send(from, Message::RecordChunk(chunk), ctx);
     }
 
-    /// The records of the first of these sessions, as many as fit a chunk.
+    /// Returns the records of the first of these sessions, as many as fit in a chunk.
     fn next_records(&self, sessions: &[SessionId], now: u64) -> Vec<SessionRecord> {
         let (mut records, mut bytes) = (Vec::new(), 0);
         for session in sessions {
@@ -63,7 +63,7 @@
         records
     }
 
-    /// All that this balancer knows of a session, as a former owner, as a sender and as a replica.
+    /// Returns all that this balancer knows of a session as a previous owner, a sender and a replica.
     fn known_record(&self, session: SessionId, now: u64) -> SessionRecord {
         let mut record = self.store.export(now, session);
         for (key, entry) in self.replicated_keys.of_session(session) {
@@ -84,7 +84,7 @@
         record
     }
 
-    /// Takes in the records that another balancer has for this one.
+    /// Imports the records that another balancer has for this one.
     pub(crate) fn on_record_chunk(&mut self, from: NodeId, chunk: &RecordChunk, ctx: &mut Context) {
         let Some(fetch) = self.fetches.get_mut(&from) else { return };
         if (fetch.started_at, fetch.offset) != (chunk.started_at, chunk.offset) {
@@ -94,7 +94,7 @@
         fetch.offset = chunk.offset.saturating_add(count);
         for record in chunk.records.iter().filter(|record| record.is_informative()) {
             if !self.import(ctx.now, chunk.started_at, record) {
-                // Something is known that there is no room for: it may concern any session without a record.
+                // The store has no capacity for the record, so every session without a record is uncertain.
                 let uncertain_until = &mut self.lost_owners.all_uncertain_until;
                 *uncertain_until =
                     (*uncertain_until).max(ctx.now.saturating_add(self.retention_ms));
@@ -113,12 +113,12 @@
         self.finish_fetching(ctx);
     }
 
-    /// Owns what is claimed, once all others of the zone have reported.
+    /// Takes ownership of the claimed sessions, once all other balancers of the zone have reported their records.
     pub(crate) fn finish_fetching(&mut self, ctx: &mut Context) {
         if !self.fetches.is_empty() {
             return;
         }
-        // What others report about lost owners holds for a process that has just started, too.
+        // A process that has just started knows of no lost owners itself, so the reports of the others apply.
         if let Some(reported) = self.initial_uncertain_until.take() {
             let uncertain_until = &mut self.lost_owners.all_uncertain_until;
             *uncertain_until = (*uncertain_until).min(reported);
--- a/crates/sessions/src/record_store.rs
+++ b/crates/sessions/src/record_store.rs
@@ -1,5 +1,6 @@
 //! The records of one balancer and the keys inside their windows, both bounded, and the order in which records are
-//! evicted. Knows nothing of messages or other balancers. Moments are in ms, stored times in ticks (see [`crate::time`]).
+//! evicted. The store is independent of messages and of other balancers. Moments are in ms, stored times in ticks (see
+//! [`crate::time`]).
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,59 +11,59 @@
 use crate::session_record::{MAX_SESSION_KEYS, SessionRecord};
 use crate::time::{ticks_to_ms, to_ticks, to_ticks_rounded_up};
 
-/// The most expired entries that one step drops; the others wait for the next step.
+/// The largest number of expired entries that one step drops. Later steps drop the others.
 pub(crate) const MAX_EXPIRED_PER_STEP: usize = 32;
 
-/// Who owns a record.
+/// The ownership of a record, as this balancer knows it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Ownership {
-    /// Another balancer or nobody: the record says what was known here.
+    /// Another balancer or none owns the record, which holds the knowledge of a previous owner.
     Tombstone,
-    /// This balancer, once all others that it asked have answered.
+    /// The record was transferred to this balancer, which owns it once the owners in all other zones have answered.
     Received,
-    /// This balancer.
+    /// This balancer owns the record.
     Owned,
 }
 
 /// The order in which records are evicted, first to last.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 enum EvictionClass {
-    /// Owned by another balancer, which knows as much.
+    /// Not owned by this balancer; a current owner knows as much.
     Tombstone,
-    /// Owned, with the cell that the hash chooses too.
+    /// Owned, with the same cell as the hash chooses.
     MatchesHash,
-    /// Owned, with another cell.
+    /// Owned, with another cell than the hash chooses.
     DiffersFromHash,
-    /// Retained because something of it is inside a window.
+    /// Retained because a key or an uncertainty of the record is inside its window.
     InWindow,
 }
 
-/// The place of a record in the order of eviction.
+/// The position of a record in the order of eviction.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 struct EvictionRank {
     class: EvictionClass,
-    /// The end of the window inside one, otherwise the last use.
+    /// The end of the window for a record inside one, otherwise the time of the last use.
     ticks: u32,
     session: SessionId,
 }
 
-/// One record: 32 bytes.
+/// One record, which takes 32 bytes.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Record {
     pub epoch: Epoch,
     last_used: u32,
     retained_until: u32,
-    /// Until then any key of the session may have been executed in any cell.
+    /// The tick until which any key of the session may have been executed in any cell.
     pub uncertain_until: u32,
     pub cell: Cell,
     pub ownership: Ownership,
     class: EvictionClass,
-    /// Whether the cell was the one that the hash chooses, when the record was last used.
+    /// Whether the record's cell equalled the hash's choice when the two were last compared.
     matches_hash: bool,
 }
 
 impl Record {
-    /// The tombstone of a session of which nothing is known.
+    /// The tombstone of an unknown session.
     const EMPTY: Self = Self {
         epoch: Epoch(0),
         last_used: 0,
@@ -74,7 +75,7 @@
         matches_hash: false,
     };
 
-    /// Whether something of the record is inside a window.
+    /// Whether a key or an uncertainty of the record is inside its window.
     pub fn is_in_window(&self, now: u64) -> bool {
         self.retained_until > to_ticks(now)
     }
@@ -86,7 +87,7 @@
     }
 }
 
-/// There is no room for another record or key: everything that is stored has to be retained.
+/// The error that the store has no capacity for another record or key, because every stored one has to be retained.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct StoreFull;
 
@@ -100,7 +101,7 @@
     max_keys: usize,
     /// The highest epoch of all evicted records.
     pub evicted_epoch: Epoch,
-    /// How many records were evicted.
+    /// The number of records that were evicted.
     pub evicted: u64,
 }
 
@@ -129,7 +130,7 @@
         self.records.get(&session)
     }
 
-    /// The epoch of a session's record; the lowest one if there is no record.
+    /// Returns the epoch of a session's record, or the lowest epoch if there is no record.
     pub fn epoch(&self, session: SessionId) -> Epoch {
         self.get(session).map_or(Epoch::default(), |record| record.epoch)
     }
@@ -139,7 +140,7 @@
         self.get(session).is_some_and(|record| record.ownership == Ownership::Owned)
     }
 
-    /// All records, in the order of their sessions.
+    /// Returns all records, in the order of their sessions.
     pub fn iter(&self) -> impl Iterator<Item = (SessionId, &Record)> + '_ {
         self.records.iter().map(|(session, record)| (*session, record))
     }
@@ -148,14 +149,18 @@
         self.keys.get(&(session, key))
     }
 
-    /// The keys of one session.
+    /// Returns the keys of one session.
     pub fn keys(&self, session: SessionId) -> impl Iterator<Item = (IdempotencyKey, &KeyEntry)> {
         let range = (session, IdempotencyKey::MIN)..=(session, IdempotencyKey::MAX);
         self.keys.range(range).map(|((_, key), entry)| (*key, entry))
     }
 
-    /// Updates a record, which is created if there is none. `hash_cell` is the cell that the hash chooses now, if the
-    /// caller has looked at that.
+    /// Updates a record, or creates it if there is none. `hash_cell` is the cell that the hash chooses now; `None`
+    /// leaves the comparison with the record's cell as it was.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`StoreFull`] if a new record is needed and none can be evicted for it.
     pub fn update(
         &mut self,
         now: u64,
@@ -185,7 +190,7 @@
     pub fn retain_until(&mut self, now: u64, session: SessionId, until: u64) {
         if self.records.contains_key(&session) {
             let until = to_ticks_rounded_up(until);
-            // The record exists, so there is room for it.
+            // The update cannot fail, because the record exists.
             let _ = self.update(now, session, None, |record| {
                 record.retained_until = record.retained_until.max(until);
             });
@@ -203,7 +208,11 @@
         self.records.insert(session, record);
     }
 
-    /// Adds a key that may be executed from now on. If the store is full, the key must not be sent.
+    /// Adds a key that may be executed from now on, or merges it with the stored entry of the key.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`StoreFull`] if the store or the session has too many keys. The key must not be sent then.
     pub fn add_key(
         &mut self,
         now: u64,
@@ -244,7 +253,7 @@
         }
     }
 
-    /// Extends the window of a key, and sets the only request that is permitted to send it.
+    /// Extends the window of a key, and sets the only request that is permitted to send the key.
     pub fn extend_key(
         &mut self,
         now: u64,
@@ -260,7 +269,7 @@
         }
     }
 
-    /// Drops keys whose windows have ended, of [`MAX_EXPIRED_PER_STEP`] records at most.
+    /// Drops the expired keys of at most [`MAX_EXPIRED_PER_STEP`] records.
     pub fn drop_expired(&mut self, now: u64) {
         let first =
             EvictionRank { class: EvictionClass::InWindow, ticks: 0, session: SessionId(0) };
@@ -302,7 +311,7 @@
         Ok(())
     }
 
-    /// Exports all that is known of a session, for another balancer.
+    /// Exports the record and the keys of a session, for another balancer.
     pub fn export(&self, now: u64, session: SessionId) -> SessionRecord {
         let keys = self.keys(session).map(|(key, entry)| entry.to_record(key, now));
         let keys = keys.filter(|key| key.expires_in > 0).collect();
@@ -318,8 +327,13 @@
         }
     }
 
-    /// Imports what another balancer reported when it was asked at `requested_at`: its times count from then on. 0 stands for
-    /// a moment that is not known. As long as keys matter for which there is no room, the session is uncertain.
+    /// Imports the record that another balancer reported in answer to a request of `requested_at`. Ages in the record
+    /// are subtracted from `requested_at`, where 0 stands for an unknown moment. If some of the keys cannot be stored,
+    /// the session is uncertain until these keys expire.
+    ///
+    /// # Errors
+    ///
+    /// Returns [`StoreFull`] if there is no capacity for the record.
     pub fn import(
         &mut self,
         now: u64,
--- a/crates/sessions/src/record_store/tests.rs
+++ b/crates/sessions/src/record_store/tests.rs
@@ -1,4 +1,4 @@
-//! Bounds of the store and the order of eviction.
+//! Tests the bounds of the store and the order of eviction.
 
 use super::*;
 use crate::time::to_ticks_rounded_up;
@@ -21,34 +21,38 @@
             (record.ownership, record.cell) = (state, Cell(cell))
         })
     };
-    // Used in this order: one with a key, one with the cell of the hash, one with another cell, two tombstones.
-    put_record(&mut store, 10, 1, Ownership::Owned, 1, 1).expect("room");
-    store.add_key(10, SessionId(1), IdempotencyKey(1), key_entry(1000)).expect("room");
-    put_record(&mut store, 20, 2, Ownership::Owned, 1, 1).expect("room");
-    put_record(&mut store, 30, 3, Ownership::Owned, 1, 2).expect("room");
-    put_record(&mut store, 40, 4, Ownership::Tombstone, 1, 1).expect("room");
-    put_record(&mut store, 50, 5, Ownership::Tombstone, 1, 1).expect("room");
+    // The records in the order of use: one with a key, one with the cell of the hash, one with another cell, two
+    // tombstones.
+    put_record(&mut store, 10, 1, Ownership::Owned, 1, 1).expect("the store has capacity");
+    store
+        .add_key(10, SessionId(1), IdempotencyKey(1), key_entry(1000))
+        .expect("the store has capacity");
+    put_record(&mut store, 20, 2, Ownership::Owned, 1, 1).expect("the store has capacity");
+    put_record(&mut store, 30, 3, Ownership::Owned, 1, 2).expect("the store has capacity");
+    put_record(&mut store, 40, 4, Ownership::Tombstone, 1, 1).expect("the store has capacity");
+    put_record(&mut store, 50, 5, Ownership::Tombstone, 1, 1).expect("the store has capacity");
     let mut evicted = Vec::new();
     for session in 10..14 {
         let before: BTreeSet<SessionId> = store.records.keys().copied().collect();
-        put_record(&mut store, 100, session, Ownership::Owned, 1, 2).expect("room");
-        // The new record must stay for the next round: it is inside a window.
+        put_record(&mut store, 100, session, Ownership::Owned, 1, 2)
+            .expect("the store has capacity");
+        // Retains the new record inside a window, so that the next round does not evict it.
         store.retain_until(100, SessionId(session), 2000);
         evicted.extend(before.into_iter().filter(|s| store.get(*s).is_none()));
     }
     assert_eq!(
         evicted,
         [SessionId(4), SessionId(5), SessionId(2), SessionId(3)],
-        "tombstones, as the hash, others; oldest use first"
+        "tombstones, records that match the hash, others; within each class the oldest use first"
     );
     assert_eq!(
         put_record(&mut store, 500, 20, Ownership::Owned, 1, 1),
         Err(StoreFull),
-        "all are inside a window"
+        "all records are inside a window"
     );
     assert!(store.key(SessionId(1), IdempotencyKey(1)).is_some());
     put_record(&mut store, 1000, 20, Ownership::Owned, 1, 1)
-        .expect("the window of the first has ended");
+        .expect("the window of the first record has ended");
     assert_eq!((store.get(SessionId(1)), store.key_count()), (None, 0));
 }
 
@@ -56,7 +60,7 @@
 fn keys_are_bounded_in_total_and_per_session() {
     let mut store = RecordStore::new(100, 20);
     for session in [1, 2] {
-        store.update(0, SessionId(session), None, |_| ()).expect("room");
+        store.update(0, SessionId(session), None, |_| ()).expect("the store has capacity");
     }
     let fill = |store: &mut RecordStore, session, n| {
         (0..n)
@@ -71,6 +75,6 @@
     assert!(second[..4].iter().all(Result::is_ok) && second[4].is_err());
     assert!(
         store.add_key(500, SessionId(2), IdempotencyKey(9), key_entry(900)).is_ok(),
-        "their windows have ended"
+        "the windows of the stored keys have ended"
     );
 }
--- a/crates/sessions/src/rendezvous.rs
+++ b/crates/sessions/src/rendezvous.rs
@@ -1,16 +1,17 @@
-//! Rendezvous hashing (Thaler and Ravishankar 1998) with weights: which cell, owner or zone comes first for a session.
-//! It uses integers only, so that every build chooses alike; `rendezvous_hash` needs floats for weights.
+//! Rendezvous hashing (Thaler and Ravishankar 1998) with weights: chooses the first cell, owner or zone for a session.
+//! The hash uses integers only, so that every build makes the same choice; the crate `rendezvous_hash` needs floats for
+//! weights.
 
 use crate::ids::{Cell, SessionId};
 
-/// SplitMix64's finalizer (Steele, Lea and Flood 2014): each bit of the input affects half of the output.
+/// The finalizer of SplitMix64 (Steele, Lea and Flood 2014): each bit of the input affects half of the output bits.
 pub(crate) const fn mix(mut x: u64) -> u64 {
     x = (x ^ (x >> 30)).wrapping_mul(0xbf58_476d_1ce4_e5b9);
     x = (x ^ (x >> 27)).wrapping_mul(0x94d0_49bb_1331_11eb);
     x ^ (x >> 31)
 }
 
-/// What is chosen among. The order of cells must be independent of that of owners.
+/// The kind of candidates for a choice. The order of cells must be independent of the order of owners.
 #[derive(Clone, Copy)]
 pub(crate) enum Candidates {
     Cells = 1,
@@ -18,20 +19,21 @@
     Zones = 3,
 }
 
-/// The score of a candidate for a session: the highest one is chosen, or the lowest [`cost`] by weight.
+/// Returns the score of a candidate for a session. The candidate with the highest score is chosen, or with weights the
+/// candidate with the lowest [`cost`].
 pub(crate) const fn score(candidates: Candidates, session: SessionId, candidate: u16) -> u64 {
     mix(mix(session.0 ^ (candidates as u64) << 56)
         .wrapping_add((candidate as u64).wrapping_mul(0x9e37_79b9_7f4a_7c15)))
 }
 
-/// The binary digits of [`minus_log2`] after the point.
+/// The number of fractional bits of [`minus_log2`].
 const FRACTION_BITS: u32 = 24;
 
-/// `-log2((x + 1) / 2^64)` as a fixed-point number, by repeated squaring.
+/// Returns `-log2((x + 1) / 2^64)` as a fixed-point number, by repeated squaring.
 fn minus_log2(x: u64) -> u64 {
     let x = x | 1;
     let leading_zeros = u64::from(x.leading_zeros());
-    // Between 1 and 2, with 63 binary digits after the point.
+    // Between 1 and 2, with 63 fractional bits.
     let mut mantissa = x << leading_zeros;
     let mut fraction = 0u64;
     for _ in 0..FRACTION_BITS {
@@ -44,7 +46,7 @@
             mantissa = square as u64;
         }
     }
-    // log2 is (63 - leading_zeros) + fraction, and the result is 64 less that.
+    // log2(x) is (63 - leading_zeros) + fraction, and the result is 64 - log2(x).
     ((leading_zeros + 1) << FRACTION_BITS) - fraction
 }
 
@@ -53,12 +55,13 @@
 pub struct WeightedCell {
     /// The cell.
     pub cell: Cell,
-    /// Its weight in thousandths; 0 takes no sessions.
+    /// The weight of the cell in thousandths. A cell of weight 0 gets no sessions.
     pub weight: u16,
 }
 
-/// Chooses the cell of a session without a record: the same at everyone who has the same cells and weights, in any
-/// order. A cell that is removed moves only its own sessions; one of half the weight has half as many.
+/// Chooses the cell of a session that has no record. All balancers with the same cells and weights, in any order,
+/// choose the same cell. The removal of a cell moves only the cell's own sessions; a cell of half the weight gets half
+/// as many sessions.
 pub fn cell_for(session: SessionId, cells: &[WeightedCell]) -> Option<Cell> {
     let candidates = cells.iter().filter(|candidate| candidate.weight > 0);
     let first = candidates.min_by_key(|candidate| (cost(session, candidate), candidate.cell));
--- a/crates/sessions/src/rendezvous/tests.rs
+++ b/crates/sessions/src/rendezvous/tests.rs
@@ -1,4 +1,4 @@
-//! The distribution of sessions over weighted cells.
+//! Tests the distribution of sessions over weighted cells.
 
 use super::*;
 
--- a/crates/sessions/src/replication.rs
+++ b/crates/sessions/src/replication.rs
@@ -1,5 +1,5 @@
-//! Replicates keys that an owner itself sends: it would be the only one to know them, so another balancer of its zone
-//! has to remember each before it is sent.
+//! Replicates the keys that an owner itself sends. Without replication only the owner would know these keys, so another
+//! balancer of the zone has to store each key before the request is sent.
 
 use hollowpaddle_peer_transport::NodeId;
 
@@ -12,26 +12,26 @@
 use crate::time::to_ticks_rounded_up;
 
 impl Sessions {
-    /// The balancers that replicate the keys of a session that this owner sends, in the order of preference.
+    /// Returns the balancers that replicate the keys that this owner sends for a session, in the order of preference.
     pub(crate) fn replicas(&self, session: SessionId) -> Vec<NodeId> {
         let Some(zone) = self.zone() else { return Vec::new() };
         self.table.replicas(session, zone, self.config.node_id)
     }
 
-    /// Asks a replica to remember the key of a permitted request.
+    /// Asks a replica to store the key of a permitted request.
     pub(crate) fn replicate_key(&self, number: u32, pending: &PendingRequest, ctx: &mut Context) {
         let session = pending.request.session;
         let Some(key) = pending.request.key() else { return };
         let Some(entry) = self.store.key(session, key) else { return };
         let key = entry.to_record(key, ctx.now);
         let replicas = self.replicas(session);
-        // Another one at each attempt, since a replica may be down.
+        // Each attempt uses another replica, since a replica may be down.
         if let Some(to) = replicas.get(pending.attempts % replicas.len().max(1)) {
             self.send(*to, Message::Replicate { number, session, key }, ctx);
         }
     }
 
-    /// Remembers a key for the owner.
+    /// Stores a key for the owner.
     pub(crate) fn on_replicate(
         &mut self,
         from: NodeId,
@@ -41,7 +41,7 @@
         ctx: &mut Context,
     ) {
         let expires_at = to_ticks_rounded_up(ctx.now.saturating_add(key.expires_in));
-        // The first permit is not known here: it counts as too long ago to send the key again.
+        // The time of the first permit is unknown here. The value 0 is too long ago for the key to be sent again.
         let entry = KeyEntry {
             first_permit_at: 0,
             expires_at,
@@ -55,8 +55,8 @@
         }
     }
 
-    /// Sends the request whose key a replica remembers now, if this balancer still owns the record under the epoch that
-    /// permitted it. Otherwise it asks anew.
+    /// Sends the request whose key a replica has stored, if this balancer still owns the record under the epoch that
+    /// permitted the request. Otherwise the request waits for a new permit.
     pub(crate) fn on_replicate_ack(&mut self, number: u32, ctx: &mut Context) {
         let Some(pending) = self.pending.get_mut(number) else { return };
         let Some(route) = pending.permitted.take() else { return };
--- a/crates/sessions/src/requests.rs
+++ b/crates/sessions/src/requests.rs
@@ -1,13 +1,16 @@
-//! The requests of one balancer: those that wait for a record, and those that were routed by one and are not over.
+//! The requests of one balancer: requests that wait for a record, and requests that were routed by a record and have
+//! not ended.
 
 use std::collections::{BTreeMap, BTreeSet};
 
 use crate::ids::{Cell, Epoch, IdempotencyKey, SessionId};
 use crate::interface::Idempotency;
 
-/// The most requests that wait for a record. Beyond it a request is routed at once, as if the owner had not answered.
+/// The largest number of requests that wait for a record. At the limit, a request is routed at once, as if the owner
+/// had not answered.
 const MAX_PENDING: usize = 4_096;
-/// The most routed requests. Of those beyond it the owner does not learn that they were not executed.
+/// The largest number of routed requests. Beyond the limit, the oldest requests are removed, and the owner is not
+/// notified if a removed request is not executed.
 const MAX_ROUTED: usize = 16_384;
 
 /// A request as the caller reported it.
@@ -16,14 +19,14 @@
     pub id: u64,
     pub session: SessionId,
     pub idempotency: Idempotency,
-    /// Whether its key was never sent before.
+    /// Whether the key was never sent before.
     pub is_first: bool,
-    /// The moment at which its client stops waiting.
+    /// The moment at which the client stops waiting.
     pub deadline: u64,
 }
 
 impl Request {
-    /// Its idempotency key, if it has one.
+    /// Returns the idempotency key of the request, if it has one.
     pub fn key(&self) -> Option<IdempotencyKey> {
         match self.idempotency {
             Idempotency::Keyed(key) => Some(key),
@@ -32,7 +35,7 @@
     }
 }
 
-/// Where a request may be sent, and under which ownership.
+/// The cell to which a request may be sent, and the epoch of the ownership that permits this.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Route {
     pub cell: Cell,
@@ -44,13 +47,14 @@
 pub(crate) struct PendingRequest {
     pub request: Request,
     pub requested_at: u64,
-    /// When it is routed without a record.
+    /// The moment at which the request is routed without a record.
     pub give_up_at: u64,
-    /// It waits for the end of a key's window, not for a response.
+    /// Whether the request waits for the end of a key's window, not for a response.
     pub waits_for_window: bool,
-    /// How often the owner or a replica was asked.
+    /// The number of messages to the owner or a replica so far.
     pub attempts: usize,
-    /// This balancer is the owner and has permitted it; it is sent once a replica knows the key.
+    /// The route that this balancer, as the owner, has permitted. The request is sent once a replica has stored the
+    /// key.
     pub permitted: Option<Route>,
 }
 
@@ -85,13 +89,13 @@
         Some(pending)
     }
 
-    /// The numbers of a session's requests, in order.
+    /// Returns the numbers of a session's requests, in order.
     pub fn numbers(&self, session: SessionId) -> Vec<u32> {
         let range = (session, 0)..=(session, u32::MAX);
         self.by_session.range(range).map(|(_, number)| *number).collect()
     }
 
-    /// Drops all permissions: another ownership table is in force, and the requests are routed anew.
+    /// Drops all permissions after a change of the ownership table, so that the requests are routed again.
     pub fn reset_permissions(&mut self) {
         self.by_number.values_mut().for_each(|pending| pending.permitted = None);
     }
@@ -102,17 +106,17 @@
 pub(crate) struct RoutedRequest {
     pub session: SessionId,
     pub key: Option<IdempotencyKey>,
-    /// The number under which it was permitted.
+    /// The number under which the request was permitted.
     pub number: u32,
-    /// It is sent before this moment or not at all.
+    /// The moment before which the request is sent, or not at all.
     pub until: u64,
 }
 
-/// The requests that were routed by a record and are not over, by their ids.
+/// The requests that were routed by a record and have not ended, by their ids.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct RoutedRequests {
     by_id: BTreeMap<u64, RoutedRequest>,
-    /// Those that may still be sent, by session.
+    /// The requests that may still be sent, by session.
     unsent: BTreeSet<(SessionId, u64)>,
 }
 
@@ -127,7 +131,7 @@
         }
     }
 
-    /// Records that a request was sent or will not be. Returns its session.
+    /// Records that a request was sent or will not be sent. Returns the session of the request.
     pub fn mark_sent(&mut self, id: u64) -> Option<SessionId> {
         let routed = self.by_id.get(&id)?;
         let session = routed.session;
--- a/crates/sessions/src/routing_client.rs
+++ b/crates/sessions/src/routing_client.rs
@@ -1,5 +1,5 @@
-//! Routes the requests of this balancer: by a record at hand, by the owner's answer, or by hash when there is none in
-//! time. What the owner answers is decided in [`ownership`](crate::ownership).
+//! Routes the requests of this balancer: by an owned or cached record, by the owner's answer, or by hash if no answer
+//! arrives in time. The owner's side is in [`ownership`](crate::ownership).
 
 use hollowpaddle_peer_transport::NodeId;
 
@@ -13,16 +13,18 @@
 use crate::state::{Context, Sessions, Timer};
 use crate::time::{to_duration, to_millis, to_ticks, to_ticks_rounded_up};
 
-/// A route request is repeated after this time, in ms: several times within the longest wait, since datagrams are lost.
+/// The time after which a route request is sent again, in ms. As datagrams may be lost, the longest wait allows several
+/// retries.
 const REQUEST_RETRY_MS: u64 = 6;
 
-/// A span of another balancer's clock has not passed within this span of the own clock, which may be faster by 1 in 100.
+/// Returns a span of this clock, which may be faster by 1 in 100, within which `ms` have not passed on another
+/// balancer's clock.
 fn drift_lower_bound(ms: u64) -> u64 {
     ms - ms / 100
 }
 
 impl Sessions {
-    /// Routes a request, or asks its owner where it goes.
+    /// Routes a request, or asks the owner of the session for the route.
     pub(crate) fn on_request(&mut self, request: Request, ctx: &mut Context) {
         let is_keyed = request.key().is_some();
         if self.cells.is_empty() {
@@ -69,7 +71,7 @@
         let Some(pending) = self.pending.get(number).cloned() else { return };
         let request = pending.request;
         if pending.waits_for_window {
-            // The window has ended; the request starts over.
+            // The window has ended, so the request is handled again as a new one.
             self.pending.remove(number);
             return self.on_request(request, ctx);
         }
@@ -95,8 +97,8 @@
         self.timers.set(retry_at, Timer::Request(number));
     }
 
-    /// Routes a request that the owner did not answer in time. A keyed one may have been executed somewhere, so it is
-    /// rejected; others go by hash.
+    /// Routes a request that the owner did not answer in time. A keyed request is rejected, since its key may have been
+    /// executed in an unknown cell; other requests are routed by hash.
     fn route_without_record(&mut self, request: &Request, ctx: &mut Context) {
         if request.key().is_some() {
             let rejection = RoutingDecision::Reject(RoutingFailure::NoRecord);
@@ -106,7 +108,7 @@
     }
 
     fn route_by_hash(&mut self, request: &Request, ctx: &mut Context) {
-        // A record that is not owned is still a better guess: the session's state may be in its cell.
+        // A record that is not owned is still a better choice than the hash: its cell may have the session's state.
         let recorded = self.store.get(request.session).map(|record| record.cell);
         let recorded = recorded.filter(|cell| self.is_in_force(*cell));
         let decision = match recorded.or_else(|| self.hash_cell(request.session)) {
@@ -164,10 +166,10 @@
         }
     }
 
-    /// Caches the record that another owner has answered with.
+    /// Caches the record in the answer of another owner.
     fn cache_record(&mut self, from: NodeId, number: u32, route: Route, cache_ms: u32, now: u64) {
         let Some(pending) = self.pending.get(number) else { return };
-        // It expires here before it does at the owner: it counts from the request on.
+        // The duration counts from the request on, so the record expires here before it does at the owner.
         let duration = drift_lower_bound(u64::from(cache_ms));
         let until = pending.requested_at.saturating_add(duration).min(self.slot_until);
         if cache_ms > 0 && from != self.config.node_id && now < until {
@@ -203,7 +205,7 @@
         }
     }
 
-    /// Routes a permitted request. A keyed one is remembered first, since it may be executed from now on.
+    /// Routes a permitted request. The key of a keyed request is stored first, since it may be executed from now on.
     pub(crate) fn use_permit(&mut self, number: u32, route: Route, ctx: &mut Context) {
         let Some(pending) = self.pending.remove(number) else { return };
         let request = pending.request;
@@ -238,7 +240,7 @@
         self.route_by_record(request.id, routed, route, ctx);
     }
 
-    /// What this balancer remembers of a key that it sends itself until `until`.
+    /// Returns the entry of a key that this balancer itself may send until `until`.
     fn own_key_entry(
         &self,
         number: u32,
@@ -258,14 +260,14 @@
         }
     }
 
-    /// Drops what has expired, a little at a time.
+    /// Drops a bounded number of expired keys and cached records.
     pub(crate) fn drop_expired(&mut self, now: u64) {
         self.replicated_keys.drop_expired(now);
         self.sent_keys.drop_expired(now);
         self.cache.drop_expired(now);
     }
 
-    /// Records that a request was sent or will not be, which a transfer may wait for.
+    /// Records that a request was sent or will not be sent, and continues a transfer that waits for this.
     pub(crate) fn on_sent(&mut self, id: u64, ctx: &mut Context) {
         let Some(session) = self.routed.mark_sent(id) else { return };
         if self.outgoing.contains_key(&session) {
@@ -273,7 +275,7 @@
         }
     }
 
-    /// Records that all attempts of a request are over. A key that was not executed is forgotten.
+    /// Records that all attempts of a request have ended. A key that was not executed is removed here and at the owner.
     pub(crate) fn on_finished(&mut self, id: u64, status: ExecutionStatus, ctx: &mut Context) {
         self.on_sent(id, ctx);
         let Some(RoutedRequest { session, key, number, .. }) = self.routed.remove(id) else {
@@ -290,7 +292,8 @@
         }
     }
 
-    /// Stops using what the owner has permitted under this epoch, and acknowledges it once nothing is still to be sent.
+    /// Stops using the permits and the cached record of this epoch. Acknowledges the revocation if no routed request of
+    /// the session is still to be sent.
     pub(crate) fn on_revoke(
         &mut self,
         from: NodeId,
@@ -299,7 +302,8 @@
         ctx: &mut Context,
     ) {
         self.cache.revoke(session, epoch);
-        // Responses to earlier requests may be on their way under the epoch that ends: the requests get new numbers.
+        // Responses under the epoch that ends may still be in flight. The requests get new numbers, so that these
+        // responses are ignored.
         for number in self.pending.numbers(session) {
             let is_answered = |p: &PendingRequest| p.waits_for_window || p.permitted.is_some();
             if self.pending.get(number).is_some_and(is_answered) {
--- a/crates/sessions/src/state.rs
+++ b/crates/sessions/src/state.rs
@@ -1,5 +1,5 @@
-//! The state of one balancer's session records, and what all parts of the protocol use of it. The parts themselves are
-//! in the modules above: [`routing_client`](crate::routing_client), [`ownership`](crate::ownership),
+//! The state of one balancer's session records, and the operations on it that all modules of the protocol share. The
+//! protocol itself is in [`routing_client`](crate::routing_client), [`ownership`](crate::ownership),
 //! [`claims`](crate::claims), [`transfers`](crate::transfers) and [`reconfiguration`](crate::reconfiguration).
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
@@ -21,23 +21,23 @@
 use crate::session_record::SessionRecord;
 use crate::time::{to_millis, to_moment, to_ticks};
 
-/// Messages of claims and transfers are repeated after this time, in ms, until they are answered.
+/// The time after which an unanswered message of a claim or a transfer is sent again, in ms.
 pub(crate) const TRANSFER_RETRY_MS: u64 = 6;
 
-/// What is due at a moment.
+/// A task that is due at a moment.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) enum Timer {
-    /// Ask again where the request of this number goes.
+    /// Continue with the pending request of this number.
     Request(u32),
-    /// Ask again for the ownership of a session.
+    /// Send the claim requests of a session again.
     Claim(SessionId),
-    /// Repeat the transfer of a session.
+    /// Repeat the current step of the transfer of a session.
     Transfer(SessionId),
-    /// Ask a balancer again for its records.
+    /// Ask a balancer for its records again.
     Fetch(NodeId),
 }
 
-/// Timers, each set once at most.
+/// The timers that are set. Each timer has one moment at most.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Timers {
     by_moment: BTreeSet<(u64, Timer)>,
@@ -45,7 +45,7 @@
 }
 
 impl Timers {
-    /// Sets a timer, in place of its earlier moment.
+    /// Sets a timer, which replaces the timer's earlier moment.
     pub fn set(&mut self, moment: u64, timer: Timer) {
         if let Some(before) = self.moments.insert(timer, moment) {
             self.by_moment.remove(&(before, timer));
@@ -53,12 +53,12 @@
         self.by_moment.insert((moment, timer));
     }
 
-    /// The next moment at which a timer is due.
+    /// Returns the next moment at which a timer is due.
     pub fn next(&self) -> Option<u64> {
         self.by_moment.first().map(|(moment, _)| *moment)
     }
 
-    /// Takes the next timer that is due.
+    /// Removes and returns the next timer that is due.
     pub fn take_due(&mut self, now: u64) -> Option<Timer> {
         let due = self.by_moment.first().copied().filter(|(moment, _)| *moment <= now)?;
         self.by_moment.remove(&due);
@@ -71,24 +71,24 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Waiter {
     pub from: NodeId,
-    /// The number of its request.
+    /// The number of the route request at the waiting balancer.
     pub number: u32,
     pub key: Option<IdempotencyKey>,
     pub is_first: bool,
 }
 
-/// A claim to the ownership of a session, for which the owners in all other zones are asked.
+/// A claim of the ownership of a session, which the owners in all other zones have to answer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct OwnershipClaim {
-    /// The number of this round of requests.
+    /// The number of the present round of claim requests.
     pub number: u32,
-    /// When this round began.
+    /// When the round began.
     pub requested_at: u64,
-    /// The zones that have answered it.
+    /// The zones that have answered in the round.
     pub answered: BTreeSet<Zone>,
-    /// The new ownership has to be above this epoch.
+    /// The epoch of the new ownership has to be above this one.
     pub min_epoch: Epoch,
-    /// `min_epoch` when this round began.
+    /// The `min_epoch` at the start of the round.
     pub initial_min_epoch: Epoch,
     pub waiters: Vec<Waiter>,
 }
@@ -101,22 +101,22 @@
     pub claim: u32,
     /// The epoch of the new ownership.
     pub epoch: Epoch,
-    /// Whether the record was sent, so that the receiver may own it.
+    /// Whether the record was sent, so that the receiver may own the session.
     pub is_sent: bool,
-    /// The version of the ownership table under which it began.
+    /// The version of the ownership table under which the transfer began.
     pub table_version: u64,
 }
 
-/// The records that another balancer of the zone is asked for after a change of the ownership table.
+/// The progress of fetching the records of another balancer of the zone after a change of the ownership table.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct RecordFetch {
-    /// When it began: what is reported is from then or later.
+    /// When the fetch began. All reported records are from this moment or later.
     pub started_at: u64,
-    /// How many records were received.
+    /// The number of records that were received.
     pub offset: u32,
 }
 
-/// What has happened so far.
+/// Counters since the start of the process.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct SessionMetrics {
     /// Requests that were routed by a record.
@@ -131,17 +131,17 @@
     pub transferred_in: u64,
     /// Records that were transferred to another zone.
     pub transferred_out: u64,
-    /// Records that were evicted to make room.
+    /// Records that were evicted because the store was full.
     pub evicted: u64,
     /// Messages that could not be decoded.
     pub undecodable: u64,
     /// Messages from an incarnation without a slot, or under another ownership table.
     pub stale: u64,
-    /// Claims that waited for room and were dropped for newer ones.
+    /// Queued claims that were dropped in favour of newer ones.
     pub dropped_claims: u64,
 }
 
-/// How many keys are remembered inside their windows.
+/// The number of keys that are stored inside their windows.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct KeyCounts {
     /// Keys of records.
@@ -150,23 +150,23 @@
     pub replicated: usize,
 }
 
-/// How many ownerships change.
+/// The number of changes of ownership in progress.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub struct TransferCounts {
-    /// Claims under way.
+    /// Claims in progress.
     pub claims: usize,
-    /// Transfers to other zones under way.
+    /// Transfers to other zones in progress.
     pub outgoing: usize,
-    /// Claims that wait for room.
+    /// Claims that are queued because [`Config::max_claims`] are in progress.
     pub waiting: usize,
 }
 
-/// One step of the state machine: its moment, and what it results in.
+/// The context of one step of the state machine: the moment and the results.
 pub(crate) struct Context<'a> {
     /// The moment of the event, in ms (see [`crate::time`]).
     pub now: u64,
     pub actions: &'a mut Vec<Action>,
-    /// Messages to this balancer itself, which are handled in the same step.
+    /// Messages from this balancer to itself, which are handled in the same step.
     pub local_messages: VecDeque<Message>,
 }
 
@@ -174,31 +174,31 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Sessions {
     pub(crate) config: Config,
-    /// What is older than this does not matter any more, in ms.
+    /// [`Config::retention`] in ms.
     pub(crate) retention_ms: u64,
     pub(crate) slot: Option<OwnerSlot>,
     /// The moment until which the slot is valid.
     pub(crate) slot_until: u64,
     pub(crate) table: OwnershipTable,
     pub(crate) lost_owners: LostOwners,
-    /// While the records for the first table of this process are fetched: until when every session is uncertain by what
-    /// the others have reported so far.
+    /// The moment until which every session is uncertain according to the reports of the other balancers so far. `None`
+    /// except while the records for the first table of this process are fetched.
     pub(crate) initial_uncertain_until: Option<u64>,
     pub(crate) cells: Vec<WeightedCell>,
     pub(crate) cells_revision: u64,
     pub(crate) store: RecordStore,
     pub(crate) claims: BTreeMap<SessionId, OwnershipClaim>,
-    /// Sessions to be claimed once there is room, the newest last.
+    /// Sessions whose claims are queued because the maximum number of claims is in progress, the newest last.
     pub(crate) waiting_claims: VecDeque<SessionId>,
     pub(crate) outgoing: BTreeMap<SessionId, OutgoingTransfer>,
-    /// Until when another balancer may use a record or a permit of this owner.
+    /// The moments until which other balancers may use a record or a permit of this owner.
     pub(crate) permits: BTreeMap<(SessionId, NodeId), u64>,
     pub(crate) cache: RecordCache,
     pub(crate) pending: PendingRequests,
     pub(crate) routed: RoutedRequests,
     pub(crate) replicated_keys: ReplicatedKeys,
     pub(crate) sent_keys: SentKeys,
-    /// After a change of the ownership table: the sessions that are reported to each new owner.
+    /// The sessions that are reported to each new owner after a change of the ownership table.
     pub(crate) outbox: BTreeMap<NodeId, Vec<SessionId>>,
     pub(crate) fetches: BTreeMap<NodeId, RecordFetch>,
     pub(crate) timers: Timers,
@@ -208,7 +208,7 @@
 }
 
 impl Sessions {
-    /// The state of a process that has just started and knows nothing yet.
+    /// Creates the state of a process that has just started, without a slot, cells or records.
     pub fn new(config: Config) -> Self {
         Self {
             retention_ms: to_millis(config.retention()),
@@ -239,34 +239,35 @@
         }
     }
 
-    /// The cell of a session that is known at `now` without asking anybody, by an owned or cached record: what most
-    /// requests need.
+    /// Returns the cell of a session by an owned or cached record that is usable at `now`. Most requests are routed by
+    /// such a record, without a message to another balancer.
     pub fn known_cell(&self, now: Duration, session: SessionId) -> Option<Cell> {
         self.usable_record(to_moment(now), session).map(|(route, _)| route.cell)
     }
 
-    /// The epoch under which this balancer claims to own a session's record at `now`.
+    /// Returns the epoch under which this balancer owns a session's record at `now`, or `None` if it does not own the
+    /// record.
     pub fn owned_epoch(&self, now: Duration, session: SessionId) -> Option<Epoch> {
         let owns = self.store.is_owned(session) && !self.outgoing.contains_key(&session);
         (owns && self.holds_slot(to_moment(now))).then(|| self.store.epoch(session))
     }
 
-    /// What has happened so far.
+    /// Returns the counters since the start of the process.
     pub fn metrics(&self) -> SessionMetrics {
         SessionMetrics { evicted: self.store.evicted, ..self.metrics.clone() }
     }
 
-    /// How many records there are.
+    /// Returns the number of records.
     pub fn record_count(&self) -> usize {
         self.store.len()
     }
 
-    /// How many keys are remembered inside their windows.
+    /// Returns the number of keys that are stored inside their windows.
     pub fn key_counts(&self) -> KeyCounts {
         KeyCounts { of_records: self.store.key_count(), replicated: self.replicated_keys.len() }
     }
 
-    /// How many ownerships change.
+    /// Returns the number of changes of ownership in progress.
     pub fn transfer_counts(&self) -> TransferCounts {
         TransferCounts {
             claims: self.claims.len(),
@@ -275,23 +276,24 @@
         }
     }
 
-    /// Whether the own slot is valid. Ticks that have saturated cannot say when a window ends.
+    /// Whether this balancer's slot is valid. A slot is not valid once ticks saturate, since ticks then cannot
+    /// represent the end of a window.
     pub(crate) fn holds_slot(&self, now: u64) -> bool {
         let is_representable = to_ticks(now.saturating_add(self.retention_ms)) < u32::MAX;
         self.slot.is_some() && now < self.slot_until && is_representable
     }
 
-    /// The zone of the own slot.
+    /// Returns the zone of this balancer's slot.
     pub(crate) fn zone(&self) -> Option<Zone> {
         self.slot.map(|slot| slot.zone)
     }
 
-    /// The owner of a session in the own zone.
+    /// Returns the owner of a session in this balancer's zone.
     pub(crate) fn owner_in_zone(&self, session: SessionId) -> Option<NodeId> {
         self.table.owner(session, self.zone()?)
     }
 
-    /// Whether this balancer is the owner of a session in its own zone.
+    /// Whether the ownership table assigns a session to this balancer in its zone.
     pub(crate) fn is_owner(&self, session: SessionId) -> bool {
         self.owner_in_zone(session) == Some(self.config.node_id)
     }
@@ -301,18 +303,19 @@
         self.cells.iter().any(|weighted| weighted.cell == cell)
     }
 
-    /// The cell that the hash chooses for a session.
+    /// Returns the cell that the hash chooses for a session.
     pub(crate) fn hash_cell(&self, session: SessionId) -> Option<Cell> {
         cell_for(session, &self.cells)
     }
 
-    /// A number that no request or claim of this process under way has.
+    /// Returns a number that no pending request or claim of this process has.
     pub(crate) fn next_number(&mut self) -> u32 {
         self.last_number = self.last_number.wrapping_add(1).max(1);
         self.last_number
     }
 
-    /// Where requests of a session go by a record that may be used now, and until when: an owned one, or a cached one.
+    /// Returns the route of a session's requests by an owned or cached record that is usable now, and the moment until
+    /// which the route is valid.
     pub(crate) fn usable_record(&self, now: u64, session: SessionId) -> Option<(Route, u64)> {
         if !self.holds_slot(now) {
             return None;
@@ -330,7 +333,7 @@
         self.is_in_force(route.cell).then_some((route, until))
     }
 
-    /// Sends a message, or queues it for this step if it is to this balancer itself.
+    /// Sends a message. A message to this balancer itself is queued and handled in the same step.
     pub(crate) fn send(&self, to: NodeId, message: Message, ctx: &mut Context) {
         if to == self.config.node_id {
             ctx.local_messages.push_back(message);
@@ -340,8 +343,8 @@
         }
     }
 
-    /// Imports what another balancer reported of a session when it was asked at `requested_at`. Returns `false` if there is
-    /// no room for it.
+    /// Imports the record of a session that another balancer reported in answer to a request of `requested_at`. Returns
+    /// `false` if the store has no capacity for the record.
     pub(crate) fn import(&mut self, now: u64, requested_at: u64, record: &SessionRecord) -> bool {
         let hash_cell = self.hash_cell(record.session);
         self.store.import(now, requested_at, hash_cell, record).is_ok()
--- a/crates/sessions/src/transfers.rs
+++ b/crates/sessions/src/transfers.rs
@@ -1,10 +1,11 @@
 //! Transfers the ownership of a session to another zone.
 //!
-//! 1. The owner that is asked for a session permits nothing more, and revokes its permits or waits until they have ended.
-//! 2. It sends all that it knows under the next epoch, repeatedly until the receiver has acknowledged it.
-//! 3. What remains is a tombstone: it says what was known here, and owns nothing.
+//! 1. The owner that receives a claim of a session grants no more permits, and revokes the existing ones or waits until
+//!    they have ended.
+//! 2. The owner sends the record under the next epoch, repeatedly until the receiver has acknowledged the record.
+//! 3. The owner's record becomes a tombstone, which retains the owner's knowledge without ownership.
 //!
-//! How the receiver comes to own the record is decided in [`claims`](crate::claims).
+//! The receiver takes ownership of the record in [`claims`](crate::claims).
 
 use hollowpaddle_peer_transport::NodeId;
 
@@ -15,8 +16,8 @@
 use crate::state::{Context, OutgoingTransfer, Sessions, TRANSFER_RETRY_MS, Timer};
 
 impl Sessions {
-    /// Answers a claim of the owner in another zone: starts the transfer of an owned session, or says that there is no
-    /// record.
+    /// Answers a claim of the owner in another zone: starts the transfer of an owned session, or answers that there is
+    /// no record.
     pub(crate) fn on_claim_request(
         &mut self,
         from: NodeId,
@@ -58,12 +59,13 @@
         self.timers.set(ctx.now.saturating_add(TRANSFER_RETRY_MS), Timer::Transfer(session));
     }
 
-    /// Retains a record for as long as anything that happened so far may matter.
+    /// Retains a record for [`Config::retention`](crate::Config::retention), after which no earlier attempt has an
+    /// effect.
     fn retain_record(&mut self, session: SessionId, now: u64) {
         self.store.retain_until(now, session, now.saturating_add(self.retention_ms));
     }
 
-    /// Sends the record, once nothing can be sent under the old epoch any more.
+    /// Sends the record, if no request can be sent under the old epoch any more.
     pub(crate) fn try_transfer(&mut self, session: SessionId, ctx: &mut Context) {
         if self.has_permits(session)
             || self.routed.has_unsent(ctx.now, session)
@@ -78,7 +80,7 @@
         self.send(to, Message::Transfer { claim, record }, ctx);
     }
 
-    /// Repeats the step of a transfer that is not acknowledged yet.
+    /// Repeats the current step of a transfer that is not acknowledged yet.
     pub(crate) fn retry_transfer(&mut self, session: SessionId, ctx: &mut Context) {
         let Some(transfer) = self.outgoing.get(&session) else { return };
         if !transfer.is_sent {
@@ -100,7 +102,8 @@
         if self.store.get(session).is_some_and(|known| known.epoch >= epoch) {
             return self.acknowledge_transfer(from, session, epoch, true, ctx);
         }
-        // A receiver that transfers the record back has received it, though its acknowledgement was lost.
+        // A transfer of the record back to this balancer proves that the sender had received it, even if its
+        // acknowledgement was lost.
         let sent = self.outgoing.get(&session).filter(|t| t.is_sent && t.to.node == from);
         if let Some(sent_epoch) = sent.map(|t| t.epoch).filter(|sent_epoch| *sent_epoch < epoch) {
             self.on_transfer_ack(from, session, sent_epoch, true, ctx.now);
@@ -123,7 +126,7 @@
         self.accept_transfer(sender, session, epoch, ctx);
     }
 
-    /// Accepts a record that was imported, and owns it once the owners in all other zones have answered.
+    /// Accepts an imported record. This balancer owns the record once the owners in all other zones have answered.
     fn accept_transfer(
         &mut self,
         sender: OwnerSlot,
@@ -132,7 +135,7 @@
         ctx: &mut Context,
     ) {
         let hash_cell = self.hash_cell(session);
-        // It was imported just now, so there is room for it.
+        // The update cannot fail, because the record was just imported.
         let _ = self.store.update(ctx.now, session, hash_cell, |record| {
             record.ownership = Ownership::Received;
         });
@@ -148,8 +151,8 @@
         self.try_own(session, ctx);
     }
 
-    /// Rejects a transfer: the session stays with its owner. The same message may arrive again when it could be accepted,
-    /// so this balancer never accepts one of this epoch.
+    /// Rejects a transfer, so that the session stays with its owner. A duplicate of the message may arrive when the
+    /// transfer could be accepted, so this balancer accepts no transfer of this epoch or a lower one from now on.
     fn reject_transfer(&mut self, to: NodeId, session: SessionId, epoch: Epoch, ctx: &mut Context) {
         self.store.evicted_epoch = self.store.evicted_epoch.max(epoch);
         self.acknowledge_transfer(to, session, epoch, false, ctx);
@@ -183,7 +186,7 @@
         }
         self.outgoing.remove(&session);
         let remains_owner = !is_accepted && self.is_owner(session);
-        // The record exists: it is retained during its transfer.
+        // The update cannot fail, because a record is retained during its transfer.
         let _ = self.store.update(now, session, None, |record| {
             record.ownership = if remains_owner { Ownership::Owned } else { Ownership::Tombstone };
             record.epoch = epoch;
