--- a/crates/sessions/tests/formats.rs
+++ b/crates/sessions/tests/formats.rs
@@ -1,10 +1,10 @@
-//! Pins what balancers must choose alike without a message: the cell of a session that has no record. The messages themselves
-//! are private; their bytes are pinned in `src/message/formats.rs`.
+//! Pins the cell of sessions without a record, which all balancers must choose alike without exchanging a message. The
+//! messages are private to the package, so their bytes are pinned in `src/message/formats.rs`.
 
 use hollowpaddle_sessions::{Cell, SessionId, WeightedCell, cell_for};
 
 #[test]
-fn sessions_keep_their_cells() {
+fn cell_of_each_session_is_stable() {
     let cells = [(1, 1000), (2, 500), (3, 1000), (300, 250)];
     let cells = cells.map(|(number, weight)| WeightedCell { cell: Cell(number), weight });
     let chosen: Vec<u16> = (0..16)
--- a/crates/sessions/tests/protocol.rs
+++ b/crates/sessions/tests/protocol.rs
@@ -1,4 +1,4 @@
-//! Hard cases of the protocol: a few balancers, whose messages and time the test controls.
+//! Tests edge cases of the protocol with a few balancers, whose messages and time the tests control.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::time::Duration;
@@ -9,86 +9,100 @@
     PERMIT_DURATION, RoutingDecision, RoutingFailure, SessionId, Sessions, WeightedCell, Zone,
 };
 
-/// Balancers 0 to `each` in zone 0, the next ones in zone 1. Messages take `delay_ms`.
+/// A cluster of two zones with the same number of balancers each, in which messages take `delay_ms`. Balancers are
+/// numbered from 0 on in zone 0, then in zone 1.
 struct Cluster {
     now: u64,
     machines: BTreeMap<u16, Sessions>,
+    /// The messages in flight: time of delivery, sender, receiver, bytes.
     messages: VecDeque<(u64, u16, u16, Vec<u8>)>,
-    decided: BTreeMap<u64, (u64, RoutingDecision)>,
+    /// The time and the decision of each routed request, by its id.
+    decisions: BTreeMap<u64, (u64, RoutingDecision)>,
+    /// Whether all messages are lost.
     is_muted: bool,
-    /// Each message arrives once more with some bytes changed, as from a faulty peer.
+    /// The random numbers for corrupted messages. If set, each message is delivered a second time with some bytes
+    /// changed, as from a faulty peer.
     corruption: Option<oorandom::Rand32>,
-    /// All messages so far, with sender and receiver.
+    /// The messages delivered so far: sender, receiver, bytes.
     delivered: Vec<(u16, u16, Vec<u8>)>,
     delay_ms: u64,
-    sent: u64,
-    id: u64,
+    sent_messages: u64,
+    last_id: u64,
 }
 
 fn ms(n: u64) -> Duration {
     Duration::from_millis(n)
 }
 
-fn cells(out: &[u16]) -> Event {
-    let cells =
-        (0..4).filter(|p| !out.contains(p)).map(|p| WeightedCell { cell: Cell(p), weight: 1000 });
-    Event::CellsChanged { revision: 1 + out.len() as u64, cells: cells.collect() }
+fn cells_except(excluded: &[u16]) -> Event {
+    let cells = (0..4)
+        .filter(|p| !excluded.contains(p))
+        .map(|p| WeightedCell { cell: Cell(p), weight: 1000 });
+    Event::CellsChanged { revision: 1 + excluded.len() as u64, cells: cells.collect() }
 }
 
 impl Cluster {
-    fn new(each: u16, change: impl Fn(&mut Config)) -> Self {
+    fn new(balancers_per_zone: u16, configure: impl Fn(&mut Config)) -> Self {
         let mut machines = BTreeMap::new();
-        for m in 0..2 * each {
-            let mut config = Config::new(NodeId(m), Incarnation(1));
+        for balancer in 0..2 * balancers_per_zone {
+            let mut config = Config::new(NodeId(balancer), Incarnation(1));
             config.first_start = true;
-            change(&mut config);
-            machines.insert(m, Sessions::new(config));
+            configure(&mut config);
+            machines.insert(balancer, Sessions::new(config));
         }
-        let (messages, decided) = (VecDeque::new(), BTreeMap::new());
+        let (messages, decisions) = (VecDeque::new(), BTreeMap::new());
         let mut cluster = Self {
             now: 1,
             machines,
             messages,
-            decided,
+            decisions,
             is_muted: false,
             corruption: None,
             delivered: Vec::new(),
             delay_ms: 1,
-            sent: 0,
-            id: 0,
+            sent_messages: 0,
+            last_id: 0,
         };
-        let slots: Vec<OwnerSlot> = (0..2 * each)
-            .map(|m| OwnerSlot {
-                node: NodeId(m),
+        let slots: Vec<OwnerSlot> = (0..2 * balancers_per_zone)
+            .map(|balancer| OwnerSlot {
+                node: NodeId(balancer),
                 incarnation: Incarnation(1),
-                zone: Zone(m / each),
+                zone: Zone(balancer / balancers_per_zone),
                 since: 1,
             })
             .collect();
-        for m in 0..2 * each {
-            cluster.deliver(m, cells(&[]));
+        for balancer in 0..2 * balancers_per_zone {
+            cluster.deliver(balancer, cells_except(&[]));
             cluster.deliver(
-                m,
+                balancer,
                 Event::TableChanged { version: 1, until: ms(1 << 30), slots: slots.clone() },
             );
         }
-        cluster.pass(100);
+        cluster.advance(100);
         cluster
     }
 
-    fn deliver(&mut self, m: u16, event: Event) {
+    fn deliver(&mut self, balancer: u16, event: Event) {
         let mut actions = Vec::new();
-        let Some(machine) = self.machines.get_mut(&m) else { return };
+        let Some(machine) = self.machines.get_mut(&balancer) else { return };
         machine.handle(ms(self.now), event, &mut actions);
         for action in actions {
             match action {
                 Action::Route { id, decision } => {
-                    assert!(self.decided.insert(id, (self.now, decision)).is_none(), "{id} twice");
+                    assert!(
+                        self.decisions.insert(id, (self.now, decision)).is_none(),
+                        "request {id} was routed twice"
+                    );
                 }
                 Action::Send { to, message } => {
-                    self.sent += 1;
+                    self.sent_messages += 1;
                     if !self.is_muted {
-                        self.messages.push_back((self.now + self.delay_ms, m, to.0, message));
+                        self.messages.push_back((
+                            self.now + self.delay_ms,
+                            balancer,
+                            to.0,
+                            message,
+                        ));
                     }
                 }
                 Action::WakeAt(_) => {}
@@ -96,11 +110,11 @@
         }
     }
 
-    /// Lets time pass, 1 ms at a time.
-    fn pass(&mut self, time: u64) {
-        for _ in 0..time {
+    /// Advances the time in steps of 1 ms, and delivers messages and timers.
+    fn advance(&mut self, time_ms: u64) {
+        for _ in 0..time_ms {
             self.now += 1;
-            while self.messages.front().is_some_and(|w| w.0 <= self.now) {
+            while self.messages.front().is_some_and(|message| message.0 <= self.now) {
                 let Some((_, from, to, message)) = self.messages.pop_front() else { break };
                 let mut corrupted = message.clone();
                 self.delivered.push((from, to, message.clone()));
@@ -123,32 +137,43 @@
                     );
                 }
             }
-            let all: Vec<u16> = self.machines.keys().copied().collect();
-            all.into_iter().for_each(|m| self.deliver(m, Event::Due));
+            let balancers: Vec<u16> = self.machines.keys().copied().collect();
+            balancers.into_iter().for_each(|balancer| self.deliver(balancer, Event::Due));
         }
     }
 
-    fn begin(&mut self, m: u16, session: u64, idempotency: Idempotency) -> u64 {
-        self.id += 1;
-        let (id, deadline) = (self.id, ms(self.now + 1850));
+    fn start_request(&mut self, balancer: u16, session: u64, idempotency: Idempotency) -> u64 {
+        self.last_id += 1;
+        let (id, deadline) = (self.last_id, ms(self.now + 1850));
         self.deliver(
-            m,
+            balancer,
             Event::Request { id, session: SessionId(session), idempotency, first: false, deadline },
         );
         id
     }
 
-    fn ask(&mut self, m: u16, session: u64, idempotency: Idempotency) -> RoutingDecision {
-        let id = self.begin(m, session, idempotency);
-        self.pass(40);
-        self.deliver(m, Event::Sent { id });
-        let (at, decision) = self.decided[&id];
+    /// Starts a request, and returns its routing decision after 40 ms.
+    fn request(
+        &mut self,
+        balancer: u16,
+        session: u64,
+        idempotency: Idempotency,
+    ) -> RoutingDecision {
+        let id = self.start_request(balancer, session, idempotency);
+        self.advance(40);
+        self.deliver(balancer, Event::Sent { id });
+        let (at, decision) = self.decisions[&id];
         let _ = at;
         decision
     }
 
-    fn cell(&mut self, m: u16, session: u64, idempotency: Idempotency) -> Option<Cell> {
-        match self.ask(m, session, idempotency) {
+    fn request_cell(
+        &mut self,
+        balancer: u16,
+        session: u64,
+        idempotency: Idempotency,
+    ) -> Option<Cell> {
+        match self.request(balancer, session, idempotency) {
             RoutingDecision::Send { cell, .. } => Some(cell),
             _ => None,
         }
@@ -160,40 +185,52 @@
 }
 
 #[test]
-fn key_of_an_excluded_cell_goes_nowhere_else_and_new_keys_go_on() {
+fn key_of_an_excluded_cell_is_sent_to_no_other_cell_and_new_keys_are() {
     let mut cluster = Cluster::new(3, |_| ());
-    let Some(cell) = cluster.cell(0, 7, keyed(1)) else { panic!("the first goes") };
-    for m in 0..6 {
-        cluster.deliver(m, cells(&[cell.0]));
+    let Some(cell) = cluster.request_cell(0, 7, keyed(1)) else {
+        panic!("the first request is sent")
+    };
+    for balancer in 0..6 {
+        cluster.deliver(balancer, cells_except(&[cell.0]));
     }
-    for m in [0, 4, 1] {
+    for balancer in [0, 4, 1] {
         assert_eq!(
-            cluster.ask(m, 7, keyed(1)),
+            cluster.request(balancer, 7, keyed(1)),
             RoutingDecision::Fail(RoutingFailure::MayHaveExecuted),
-            "at {m}"
+            "at {balancer}"
         );
     }
-    let (one, other) = (cluster.cell(4, 7, keyed(2)), cluster.cell(1, 7, Idempotency::Idempotent));
-    assert!(one.is_some() && one != Some(cell) && one == other, "{one:?} {other:?}");
-    // The cell is in force again: the repeat goes there and nowhere else.
-    for m in 0..6 {
+    let (keyed_cell, unkeyed_cell) =
+        (cluster.request_cell(4, 7, keyed(2)), cluster.request_cell(1, 7, Idempotency::Idempotent));
+    assert!(
+        keyed_cell.is_some() && keyed_cell != Some(cell) && keyed_cell == unkeyed_cell,
+        "{keyed_cell:?} {unkeyed_cell:?}"
+    );
+    // The excluded cell is in force again, so the repeat is sent to this cell only.
+    for balancer in 0..6 {
         let all = (0..4).map(|p| WeightedCell { cell: Cell(p), weight: 1000 }).collect();
-        cluster.deliver(m, Event::CellsChanged { revision: 9, cells: all });
+        cluster.deliver(balancer, Event::CellsChanged { revision: 9, cells: all });
     }
-    assert_eq!(cluster.cell(2, 7, keyed(1)), Some(cell));
-    assert_eq!(cluster.cell(2, 7, keyed(3)), one, "where the van's state is now");
+    assert_eq!(cluster.request_cell(2, 7, keyed(1)), Some(cell));
+    assert_eq!(
+        cluster.request_cell(2, 7, keyed(3)),
+        keyed_cell,
+        "a new key is sent to the cell that has the session's state now"
+    );
 }
 
 #[test]
 fn repeat_near_the_end_of_its_window_waits_if_its_deadline_allows() {
     let mut cluster =
         Cluster::new(1, |c| (c.dedup_window, c.max_execution_delay) = (ms(1000), ms(100)));
-    let Some(cell) = cluster.cell(0, 7, keyed(1)) else { panic!("the first goes") };
-    cluster.deliver(0, cells(&[cell.0]));
-    cluster.deliver(1, cells(&[cell.0]));
-    let (from, id) = (cluster.now, cluster.begin(0, 7, keyed(1)));
-    cluster.pass(1500);
-    let (at, decision) = cluster.decided[&id];
+    let Some(cell) = cluster.request_cell(0, 7, keyed(1)) else {
+        panic!("the first request is sent")
+    };
+    cluster.deliver(0, cells_except(&[cell.0]));
+    cluster.deliver(1, cells_except(&[cell.0]));
+    let (from, id) = (cluster.now, cluster.start_request(0, 7, keyed(1)));
+    cluster.advance(1500);
+    let (at, decision) = cluster.decisions[&id];
     assert!(
         matches!(decision, RoutingDecision::Send { cell: other, .. } if other != cell),
         "{decision:?}"
@@ -208,10 +245,10 @@
     for (idempotency, session) in
         [(Idempotency::Idempotent, 1), (Idempotency::NotIdempotent, 2), (keyed(1), 3)]
     {
-        for m in 0..6 {
-            let (from, id) = (cluster.now, cluster.begin(m, session, idempotency));
-            cluster.pass(30);
-            let (at, decision) = cluster.decided[&id];
+        for balancer in 0..6 {
+            let (from, id) = (cluster.now, cluster.start_request(balancer, session, idempotency));
+            cluster.advance(30);
+            let (at, decision) = cluster.decisions[&id];
             assert!(at - from <= 25, "{idempotency:?} waited for {} ms", at - from);
             match decision {
                 RoutingDecision::Send { cell, epoch, .. } => {
@@ -230,7 +267,7 @@
             }
         }
     }
-    // A twentieth of 200 ms.
+    // The request may wait for a twentieth of its 200 ms.
     let (from, deadline) = (cluster.now, ms(cluster.now + 200));
     cluster.deliver(
         0,
@@ -242,17 +279,19 @@
             deadline,
         },
     );
-    cluster.pass(30);
-    assert_eq!(cluster.decided[&9_999].0 - from, 10);
+    cluster.advance(30);
+    assert_eq!(cluster.decisions[&9_999].0 - from, 10);
 }
 
 #[test]
 fn key_under_two_sessions_goes_to_one_cell_from_one_balancer() {
     let mut cluster = Cluster::new(2, |_| ());
-    let Some(cell) = cluster.cell(0, 1, keyed(5)) else { panic!("the first goes") };
+    let Some(cell) = cluster.request_cell(0, 1, keyed(5)) else {
+        panic!("the first request is sent")
+    };
     let mut failed = 0;
     for session in 2..20 {
-        match cluster.ask(0, session, keyed(5)) {
+        match cluster.request(0, session, keyed(5)) {
             RoutingDecision::Send { cell: other, .. } => assert_eq!(other, cell),
             other => {
                 assert_eq!(other, RoutingDecision::Fail(RoutingFailure::MayHaveExecuted));
@@ -260,34 +299,37 @@
             }
         }
     }
-    assert!(failed > 5, "vans of four pods");
+    assert!(failed > 5, "the sessions are spread over four cells");
 }
 
 #[test]
-fn key_that_was_not_executed_is_free_again_and_its_permit_ends() {
+fn unexecuted_key_can_be_sent_to_another_cell_and_its_permit_ends() {
     let mut cluster = Cluster::new(2, |_| ());
-    let id = cluster.begin(0, 7, keyed(1));
-    cluster.pass(20);
-    let (at, RoutingDecision::Send { cell, until, .. }) = cluster.decided[&id] else {
-        panic!("it goes")
+    let id = cluster.start_request(0, 7, keyed(1));
+    cluster.advance(20);
+    let (at, RoutingDecision::Send { cell, until, .. }) = cluster.decisions[&id] else {
+        panic!("the request is sent")
     };
     assert!(until <= ms(at) + PERMIT_DURATION);
     cluster.deliver(0, Event::Finished { id, status: ExecutionStatus::NotExecuted });
-    cluster.pass(20);
-    for m in 0..4 {
-        cluster.deliver(m, cells(&[cell.0]));
+    cluster.advance(20);
+    for balancer in 0..4 {
+        cluster.deliver(balancer, cells_except(&[cell.0]));
     }
-    assert!(cluster.cell(1, 7, keyed(1)).is_some_and(|p| p != cell), "nobody ran it");
+    assert!(
+        cluster.request_cell(1, 7, keyed(1)).is_some_and(|p| p != cell),
+        "no cell executed the key"
+    );
 }
 
 #[test]
 fn without_a_slot_only_requests_without_a_key_are_sent() {
     let mut cluster = Cluster::new(2, |_| ());
-    cluster.cell(0, 7, keyed(1));
+    cluster.request_cell(0, 7, keyed(1));
     cluster.now = 1 << 31;
-    assert_eq!(cluster.ask(0, 7, keyed(2)), RoutingDecision::Reject(RoutingFailure::NoSlot));
+    assert_eq!(cluster.request(0, 7, keyed(2)), RoutingDecision::Reject(RoutingFailure::NoSlot));
     assert!(matches!(
-        cluster.ask(0, 7, Idempotency::NotIdempotent),
+        cluster.request(0, 7, Idempotency::NotIdempotent),
         RoutingDecision::Send { epoch: None, .. }
     ));
     assert_eq!(cluster.machines[&0].owned_epoch(ms(cluster.now), SessionId(7)), None);
@@ -298,73 +340,77 @@
     let mut cluster = Cluster::new(2, |_| ());
     let old: Vec<u64> = (0..40).collect();
     for session in &old {
-        assert!(cluster.cell(0, *session, keyed(*session)).is_some());
+        assert!(cluster.request_cell(0, *session, keyed(*session)).is_some());
     }
     cluster.machines.remove(&0);
     cluster.machines.remove(&1);
     assert_eq!(
-        cluster.ask(2, 3, keyed(3)),
+        cluster.request(2, 3, keyed(3)),
         RoutingDecision::Reject(RoutingFailure::NoRecord),
-        "its owner is not given up"
+        "the lease of the owner's zone has not ended"
     );
-    for m in [2, 3] {
-        cluster.deliver(m, Event::ZoneLeaseEnded { zone: Zone(0), version: 2 });
+    for balancer in [2, 3] {
+        cluster.deliver(balancer, Event::ZoneLeaseEnded { zone: Zone(0), version: 2 });
     }
     for session in &old {
         assert_eq!(
-            cluster.ask(2, *session, keyed(*session)),
+            cluster.request(2, *session, keyed(*session)),
             RoutingDecision::Fail(RoutingFailure::MayHaveExecuted)
         );
-        assert!(cluster.cell(3, *session, Idempotency::Idempotent).is_some());
+        assert!(cluster.request_cell(3, *session, Idempotency::Idempotent).is_some());
     }
-    cluster.pass(15_000);
-    assert!(old.iter().all(|session| cluster.cell(2, *session, keyed(*session)).is_some()));
+    cluster.advance(15_000);
+    assert!(old.iter().all(|session| cluster.request_cell(2, *session, keyed(*session)).is_some()));
 }
 
 #[test]
 fn mass_arrival_is_paced_and_the_newest_sessions_go_first() {
     let mut cluster = Cluster::new(5, |_| ());
     cluster.delay_ms = 5;
-    let at = |cluster: &Cluster, m: u16| cluster.machines[&m].transfer_counts();
-    let (mut most, mut messages, users) = (0, 0, 20_000u64);
+    let counts = |cluster: &Cluster, balancer: u16| cluster.machines[&balancer].transfer_counts();
+    let (mut max_claims, mut max_messages, users) = (0, 0, 20_000u64);
     for session in 0..users {
-        // Ten per millisecond, at any balancer of the zone.
-        let m = 5 + (session % 5) as u16;
-        cluster.begin(
-            m,
+        // Ten requests arrive per millisecond, at all balancers of the zone in turn.
+        let balancer = 5 + (session % 5) as u16;
+        cluster.start_request(
+            balancer,
             session.wrapping_mul(0x9e37_79b9_7f4a_7c15),
             if session % 4 == 0 { keyed(session) } else { Idempotency::Idempotent },
         );
         if session % 10 == 9 {
-            let before = cluster.sent;
-            cluster.pass(1);
-            messages = messages.max(cluster.sent - before);
-            most = (5..10).map(|m| at(&cluster, m).claims).fold(most, usize::max);
+            let before = cluster.sent_messages;
+            cluster.advance(1);
+            max_messages = max_messages.max(cluster.sent_messages - before);
+            max_claims = (5..10)
+                .map(|balancer| counts(&cluster, balancer).claims)
+                .fold(max_claims, usize::max);
         }
     }
-    cluster.pass(200);
-    assert!(most <= 256, "{most} moves under way");
-    let went = cluster
-        .decided
+    cluster.advance(200);
+    assert!(max_claims <= 256, "{max_claims} concurrent claims at one balancer");
+    let routed_by_record = cluster
+        .decisions
         .values()
-        .filter(|(_, v)| matches!(v, RoutingDecision::Send { epoch: Some(_), .. }))
+        .filter(|(_, decision)| matches!(decision, RoutingDecision::Send { epoch: Some(_), .. }))
         .count();
     println!(
-        "{went} of {users} by their record, at most {most} moves under way at one, {messages} words in 1 ms"
+        "{routed_by_record} of {users} requests routed by record, at most {max_claims} concurrent claims at one \
+         balancer, at most {max_messages} messages in 1 ms"
     );
-    assert_eq!(cluster.decided.len() as u64, users);
-    assert!(went as u64 > users * 9 / 10, "{went}");
-    // With far too little room the newest claims are served and the oldest dropped.
+    assert_eq!(cluster.decisions.len() as u64, users);
+    assert!(routed_by_record as u64 > users * 9 / 10, "{routed_by_record}");
+    // With only one claim at a time, the newest queued claims are served and the oldest ones are dropped.
     let mut cluster = Cluster::new(1, |c| c.max_claims = 1);
     cluster.delay_ms = 5;
-    let ids: Vec<u64> =
-        (0..6).map(|session| cluster.begin(1, session + 100, Idempotency::Idempotent)).collect();
-    cluster.pass(24);
+    let ids: Vec<u64> = (0..6)
+        .map(|session| cluster.start_request(1, session + 100, Idempotency::Idempotent))
+        .collect();
+    cluster.advance(24);
     let by_record: Vec<bool> = ids
         .iter()
         .map(|id| {
             matches!(
-                cluster.decided.get(id),
+                cluster.decisions.get(id),
                 Some((_, RoutingDecision::Send { epoch: Some(_), .. }))
             )
         })
@@ -372,7 +418,7 @@
     assert_eq!(
         by_record,
         [true, false, false, false, false, true],
-        "the first began, the newest is next"
+        "the first claim was started at once, and the newest one next"
     );
 }
 
@@ -383,55 +429,58 @@
         RoutingDecision::Send { epoch, .. } => epoch,
         _ => None,
     };
-    let first = epoch(cluster.ask(0, 1, Idempotency::Idempotent));
+    let first = epoch(cluster.request(0, 1, Idempotency::Idempotent));
     assert!(first.is_some());
     for session in 2..6 {
-        assert!(epoch(cluster.ask(0, session, Idempotency::Idempotent)).is_some());
+        assert!(epoch(cluster.request(0, session, Idempotency::Idempotent)).is_some());
     }
     assert!(
         cluster.machines[&0].owned_epoch(ms(cluster.now), SessionId(1)).is_none(),
-        "it was forgotten"
+        "the record was evicted"
     );
-    let (there, here) = (
-        epoch(cluster.ask(1, 1, Idempotency::Idempotent)),
-        epoch(cluster.ask(0, 1, Idempotency::Idempotent)),
+    let (in_other_zone, returned) = (
+        epoch(cluster.request(1, 1, Idempotency::Idempotent)),
+        epoch(cluster.request(0, 1, Idempotency::Idempotent)),
+    );
+    assert!(
+        first < in_other_zone && in_other_zone < returned,
+        "{first:?} {in_other_zone:?} {returned:?}"
     );
-    assert!(first < there && there < here, "{first:?} {there:?} {here:?}");
 }
 
 #[test]
 fn arbitrary_messages_never_panic_and_all_requests_are_routed() {
-    let mut decided = 0;
+    let mut decisions = 0;
     for seed in 0..60 {
         let mut cluster = Cluster::new(2, |c| c.max_records = 40);
         cluster.corruption = Some(oorandom::Rand32::new(seed));
         for n in 0..60 {
-            let m = (n * 7 % 4) as u16;
+            let balancer = (n * 7 % 4) as u16;
             let idempotency = if n % 3 == 0 { Idempotency::Idempotent } else { keyed(n % 11) };
-            cluster.begin(m, n % 9, idempotency);
-            cluster.pass(3);
+            cluster.start_request(balancer, n % 9, idempotency);
+            cluster.advance(3);
             if n == 30 {
-                let slot = |m| OwnerSlot {
-                    node: NodeId(m),
+                let slot = |balancer| OwnerSlot {
+                    node: NodeId(balancer),
                     incarnation: Incarnation(1),
-                    zone: Zone(m / 2),
+                    zone: Zone(balancer / 2),
                     since: 1,
                 };
                 let slots: Vec<OwnerSlot> = (0..3).map(slot).collect();
-                for m in 0..3 {
+                for balancer in 0..3 {
                     let until = ms(1 << 30);
                     cluster.deliver(
-                        m,
+                        balancer,
                         Event::TableChanged { version: 2, until, slots: slots.clone() },
                     );
                 }
             }
         }
-        cluster.pass(2_000);
-        assert_eq!(cluster.decided.len(), 60, "seed {seed}");
-        decided += cluster.decided.len();
+        cluster.advance(2_000);
+        assert_eq!(cluster.decisions.len(), 60, "seed {seed}");
+        decisions += cluster.decisions.len();
     }
-    assert_eq!(decided, 3_600);
+    assert_eq!(decisions, 3_600);
 }
 
 #[test]
@@ -440,21 +489,29 @@
         (c.dedup_window, c.max_execution_delay) = (ms(200), ms(50));
         c.max_records = if c.node_id == NodeId(1) { 1 } else { 100 };
     });
-    assert!(cluster.cell(1, 2, keyed(1)).is_some(), "which fills the one");
-    assert!(cluster.cell(0, 1, Idempotency::Idempotent).is_some());
-    let owns = |cluster: &Cluster, m: u16| {
-        cluster.machines[&m].owned_epoch(ms(cluster.now), SessionId(1)).is_some()
+    assert!(
+        cluster.request_cell(1, 2, keyed(1)).is_some(),
+        "the record of session 2 fills the store of balancer 1"
+    );
+    assert!(cluster.request_cell(0, 1, Idempotency::Idempotent).is_some());
+    let owns = |cluster: &Cluster, balancer: u16| {
+        cluster.machines[&balancer].owned_epoch(ms(cluster.now), SessionId(1)).is_some()
     };
     assert!(owns(&cluster, 0));
-    cluster.ask(1, 1, Idempotency::Idempotent);
-    assert!(owns(&cluster, 0) && !owns(&cluster, 1), "there is no room for it");
-    cluster.pass(1_000);
-    for (from, to, message) in cluster.delivered.clone().into_iter().filter(|w| w.1 == 1) {
+    cluster.request(1, 1, Idempotency::Idempotent);
+    assert!(
+        owns(&cluster, 0) && !owns(&cluster, 1),
+        "the store of balancer 1 has no capacity for the record"
+    );
+    cluster.advance(1_000);
+    for (from, to, message) in
+        cluster.delivered.clone().into_iter().filter(|message| message.1 == 1)
+    {
         cluster.deliver(
             to,
             Event::Message { from: NodeId(from), incarnation: Incarnation(1), message },
         );
         cluster.messages.clear();
-        assert!(!(owns(&cluster, 0) && owns(&cluster, 1)), "two own it");
+        assert!(!(owns(&cluster, 0) && owns(&cluster, 1)), "two balancers own the session");
     }
 }
--- a/crates/sessions/tests/sim/mod.rs
+++ b/crates/sessions/tests/sim/mod.rs
@@ -1,6 +1,7 @@
-//! Simulates a cluster with users, cells, an agreed ownership table and a network that fail by a seed. A checker sees only
-//! what was sent to cells (time, balancer, user, key, cell) and what balancers claim to own; it shares no code with them.
-#![allow(dead_code)] // Each test uses a part of it.
+//! Simulates a cluster with users, cells, an agreed ownership table and a network, with faults that are derived from a
+//! seed. The checker reads only the requests that were sent to cells (time, balancer, user, key, cell) and the
+//! ownership that balancers report. The checker shares no code with the balancers.
+#![allow(dead_code)] // Each test uses only a part of the simulation.
 
 use std::collections::{BTreeMap, BTreeSet, BinaryHeap};
 use std::time::Duration;
@@ -13,33 +14,34 @@
 };
 use oorandom::Rand64;
 
-/// The figures of one scenario. Times are in µs of true time.
+/// The parameters of one simulation run. Times are in µs of true time.
 #[derive(Clone)]
 pub struct Scenario {
     pub seed: u64,
     pub zones: u16,
-    pub each: u16,
+    pub balancers_per_zone: u16,
     pub users: u64,
-    pub length: u64,
-    pub loss: f64,
-    pub copies: f64,
+    pub duration: u64,
+    pub loss_rate: f64,
+    pub duplication_rate: f64,
     /// The mean time between faults; 0 for none.
-    pub faults: u64,
-    /// How often users send, and the share of steps in which they move to another zone.
-    pub interval: u64,
-    pub drive: f64,
-    /// Cells are excluded and come back.
+    pub mean_fault_interval: u64,
+    /// The mean time between requests of a user.
+    pub request_interval: u64,
+    /// The probability that a user moves to another zone before a request.
+    pub move_probability: f64,
+    /// Whether cells are excluded and put in force again.
     pub excludes_cells: bool,
-    /// Without records: each request goes by its zone's hash.
-    pub off: bool,
-    /// Clients mark retries.
-    pub marked: bool,
-    /// Nothing can have been sent before the start.
+    /// Whether balancers route without records, each request by the hash of its zone.
+    pub without_records: bool,
+    /// Whether clients mark retries.
+    pub marks_retries: bool,
+    /// Whether no request can have been sent before the start.
     pub first_start: bool,
-    pub points: Points,
-    /// Shorter windows than the platform's, so that more ends in a second.
-    pub window: u64,
-    pub run: u64,
+    pub failpoints: Points,
+    /// Shorter than on the platform, so that more windows end within a second.
+    pub dedup_window: u64,
+    pub max_execution_delay: u64,
     pub lease: u64,
 }
 
@@ -48,75 +50,109 @@
         Self {
             seed,
             zones: 2,
-            each: 3,
+            balancers_per_zone: 3,
             users: 6,
-            length: 3_200_000,
-            loss: 0.0,
-            copies: 0.0,
-            faults: 0,
-            interval: 120_000,
-            drive: 0.15,
+            duration: 3_200_000,
+            loss_rate: 0.0,
+            duplication_rate: 0.0,
+            mean_fault_interval: 0,
+            request_interval: 120_000,
+            move_probability: 0.15,
             excludes_cells: false,
-            off: false,
-            marked: false,
+            without_records: false,
+            marks_retries: false,
             first_start: true,
-            points: Points::none(),
-            window: 1_500_000,
-            run: 300_000,
+            failpoints: Points::none(),
+            dedup_window: 1_500_000,
+            max_execution_delay: 300_000,
             lease: 400_000,
         }
     }
 }
 
-/// What a run has found.
+/// The results of a run.
 #[derive(Default, Debug)]
 pub struct Findings {
     pub executed_twice: Vec<String>,
-    pub claims: Vec<String>,
+    /// Two owners at a time, epochs that decrease, sends under an old epoch, and requests that were routed twice.
+    pub ownership_violations: Vec<String>,
     pub keyed: u64,
-    pub allowed: u64,
+    pub keyed_permitted: u64,
     pub keyed_sent: u64,
-    pub refused: BTreeMap<String, u64>,
-    pub plain: u64,
-    pub at_their_cell: u64,
+    pub rejected_or_failed: BTreeMap<String, u64>,
+    pub unkeyed_sent: u64,
+    pub unkeyed_at_last_cell: u64,
     pub waits: Vec<u64>,
-    pub late_waits: u64,
-    pub moves: Vec<u64>,
+    pub overlong_waits: u64,
+    pub takeover_times: Vec<u64>,
     pub messages: u64,
     pub longest_message: usize,
     pub unrouted: u64,
     pub repeats_sent: u64,
-    pub owned_after: u64,
+    pub permitted_after_faults: u64,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
 enum SimEvent {
-    Message { from: NodeId, incarnation: Incarnation, to: NodeId, bytes: Vec<u8> },
-    Wake { of: NodeId, incarnation: Incarnation, at: u64 },
-    User { user: u64 },
-    Press { user: u64, key: u64, zone: u16, left: u32 },
-    Sent { of: NodeId, incarnation: Incarnation, id: u64 },
-    Done { of: NodeId, incarnation: Incarnation, id: u64, status: ExecutionStatus },
-    Agreement,
-    OwnershipTable { of: NodeId },
+    Message {
+        from: NodeId,
+        incarnation: Incarnation,
+        to: NodeId,
+        bytes: Vec<u8>,
+    },
+    Wake {
+        of: NodeId,
+        incarnation: Incarnation,
+        at: u64,
+    },
+    UserStep {
+        user: u64,
+    },
+    RepeatKey {
+        user: u64,
+        key: u64,
+        zone: u16,
+        remaining: u32,
+    },
+    Sent {
+        of: NodeId,
+        incarnation: Incarnation,
+        id: u64,
+    },
+    Done {
+        of: NodeId,
+        incarnation: Incarnation,
+        id: u64,
+        status: ExecutionStatus,
+    },
+    RunAgreement,
+    OwnershipTable {
+        of: NodeId,
+    },
     Fault,
-    Repair { what: u8, which: u16 },
+    /// Ends a fault: `kind` 0 is a crash, 1 a pause, any other a partition.
+    Recover {
+        kind: u8,
+        balancer: u16,
+    },
     ExcludeCell,
-    CellsChanged { of: NodeId },
+    CellsChanged {
+        of: NodeId,
+    },
 }
 
 #[derive(Clone, Debug, PartialEq, Eq)]
-struct Due {
+struct ScheduledEvent {
     at: u64,
     order: u64,
-    what: SimEvent,
+    event: SimEvent,
 }
-impl Ord for Due {
+impl Ord for ScheduledEvent {
     fn cmp(&self, other: &Self) -> std::cmp::Ordering {
         (other.at, other.order).cmp(&(self.at, self.order))
     }
 }
-impl PartialOrd for Due {
+impl PartialOrd for ScheduledEvent {
     fn partial_cmp(&self, other: &Self) -> Option<std::cmp::Ordering> {
         Some(self.cmp(other))
     }
@@ -127,59 +163,69 @@
     incarnation: Incarnation,
     machine: Option<Sessions>,
     started_at: u64,
-    /// How much faster its clock runs, in ppm.
-    rate: i64,
-    paused: u64,
-    cut_council: bool,
-    table: u64,
-    cells: u64,
+    /// The drift of the balancer's clock, in ppm; positive if the clock is fast.
+    clock_drift_ppm: i64,
+    paused_until: u64,
+    cannot_reach_agreement: bool,
+    table_version: u64,
+    cells_revision: u64,
     requests: BTreeMap<u64, PendingRequest>,
-    claims: BTreeMap<u64, Epoch>,
+    /// The epochs of the sessions that the balancer owned at the last check, by user.
+    owned_epochs: BTreeMap<u64, Epoch>,
 }
 
 #[derive(Clone)]
 struct PendingRequest {
     user: u64,
     key: Option<u64>,
-    at: u64,
-    repeat: bool,
+    requested_at: u64,
+    is_repeat: bool,
 }
 
 struct CellState {
-    /// The keys that it remembers, and until when.
-    known: BTreeMap<u64, u64>,
+    /// The keys that the cell remembers, and the times at which it forgets them.
+    forgotten_at: BTreeMap<u64, u64>,
 }
 
 struct Execution {
-    at: u64,
-    sent: u64,
+    executed_at: u64,
+    sent_at: u64,
     cell: u16,
-    by: u16,
+    balancer: u16,
 }
 
 pub struct Simulation {
     pub scenario: Scenario,
     now: u64,
     order: u64,
-    queue: BinaryHeap<Due>,
+    queue: BinaryHeap<ScheduledEvent>,
     rng: Rand64,
-    all: Vec<Balancer>,
+    balancers: Vec<Balancer>,
     cells: BTreeMap<u16, CellState>,
-    out: BTreeSet<u16>,
+    excluded_cells: BTreeSet<u16>,
+    /// The excluded cells of each revision.
     revisions: Vec<BTreeSet<u16>>,
-    status: BTreeMap<u64, Vec<Execution>>,
-    /// The agreed tables by version, and until when each slot was given (true time).
+    /// The attempts that reached a cell, by key.
+    executions: BTreeMap<u64, Vec<Execution>>,
+    /// The agreed tables, by version.
     tables: Vec<Vec<OwnerSlot>>,
-    given: BTreeMap<NodeId, u64>,
-    cut: bool,
-    at_site: BTreeMap<u64, u16>,
+    /// The true times until which slots are granted.
+    granted_until: BTreeMap<NodeId, u64>,
+    /// Whether zones cannot reach each other.
+    is_partitioned: bool,
+    zone_of_user: BTreeMap<u64, u16>,
+    /// The cell of the last request of each user.
     last_cell: BTreeMap<u64, u16>,
-    highest: BTreeMap<u64, (Epoch, NodeId)>,
-    arrived: BTreeMap<u64, (u64, u16)>,
+    highest_epochs: BTreeMap<u64, (Epoch, NodeId)>,
+    /// The time and zone of each user's last move, until a balancer of this zone owns the session.
+    arrivals: BTreeMap<u64, (u64, u16)>,
     next_id: u64,
     next_key: u64,
-    pub found: Findings,
-    pub crash_at: Option<(u64, bool)>,
+    pub findings: Findings,
+    /// The step, that is the number of a message, at which a balancer crashes: the receiver if the second value is
+    /// true, otherwise the sender.
+    pub crash_at_step: Option<(u64, bool)>,
+    /// The number of messages sent so far.
     pub step: u64,
 }
 
@@ -188,202 +234,211 @@
 impl Simulation {
     pub fn new(scenario: Scenario) -> Self {
         let mut rng = Rand64::new(u128::from(scenario.seed) * 7919 + 13);
-        let mut all = Vec::new();
+        let mut balancers = Vec::new();
         for zone in 0..scenario.zones {
-            for _ in 0..scenario.each {
-                let rate = rng.rand_range(0..8_000) as i64 - 4_000;
-                all.push(Balancer {
+            for _ in 0..scenario.balancers_per_zone {
+                let clock_drift_ppm = rng.rand_range(0..8_000) as i64 - 4_000;
+                balancers.push(Balancer {
                     zone,
                     incarnation: Incarnation(1),
                     machine: None,
                     started_at: 0,
-                    rate,
-                    paused: 0,
-                    cut_council: false,
-                    table: 0,
-                    cells: 0,
+                    clock_drift_ppm,
+                    paused_until: 0,
+                    cannot_reach_agreement: false,
+                    table_version: 0,
+                    cells_revision: 0,
                     requests: BTreeMap::new(),
-                    claims: BTreeMap::new(),
+                    owned_epochs: BTreeMap::new(),
                 });
             }
         }
         let cells = (0..scenario.zones * CELLS_PER_ZONE)
-            .map(|p| (p, CellState { known: BTreeMap::new() }))
+            .map(|p| (p, CellState { forgotten_at: BTreeMap::new() }))
             .collect();
-        let mut world = Self {
+        let mut simulation = Self {
             now: 1_000,
             order: 0,
             queue: BinaryHeap::new(),
             rng,
-            all,
+            balancers,
             cells,
-            out: BTreeSet::new(),
+            excluded_cells: BTreeSet::new(),
             revisions: vec![BTreeSet::new()],
-            status: BTreeMap::new(),
+            executions: BTreeMap::new(),
             tables: vec![Vec::new()],
-            given: BTreeMap::new(),
-            cut: false,
-            at_site: BTreeMap::new(),
+            granted_until: BTreeMap::new(),
+            is_partitioned: false,
+            zone_of_user: BTreeMap::new(),
             last_cell: BTreeMap::new(),
-            highest: BTreeMap::new(),
-            arrived: BTreeMap::new(),
+            highest_epochs: BTreeMap::new(),
+            arrivals: BTreeMap::new(),
             next_id: 0,
             next_key: 0,
-            found: Findings::default(),
-            crash_at: None,
+            findings: Findings::default(),
+            crash_at_step: None,
             step: 0,
             scenario,
         };
-        for m in 0..world.all.len() {
-            world.start(m);
-        }
-        world.push(1, SimEvent::Agreement);
-        for user in 0..world.scenario.users {
-            let zone = world.rng.rand_range(0..u64::from(world.scenario.zones)) as u16;
-            world.at_site.insert(user, zone);
-            if world.scenario.interval > 0 {
-                let after = 400_000 + world.rng.rand_range(0..world.scenario.interval);
-                world.push(after, SimEvent::User { user });
+        for balancer in 0..simulation.balancers.len() {
+            simulation.start(balancer);
+        }
+        simulation.push(1, SimEvent::RunAgreement);
+        for user in 0..simulation.scenario.users {
+            let zone = simulation.rng.rand_range(0..u64::from(simulation.scenario.zones)) as u16;
+            simulation.zone_of_user.insert(user, zone);
+            if simulation.scenario.request_interval > 0 {
+                let after =
+                    400_000 + simulation.rng.rand_range(0..simulation.scenario.request_interval);
+                simulation.push(after, SimEvent::UserStep { user });
             }
         }
-        if world.scenario.faults > 0 {
-            let after = 500_000 + world.rng.rand_range(0..world.scenario.faults);
-            world.push(after, SimEvent::Fault);
+        if simulation.scenario.mean_fault_interval > 0 {
+            let after =
+                500_000 + simulation.rng.rand_range(0..simulation.scenario.mean_fault_interval);
+            simulation.push(after, SimEvent::Fault);
         }
-        if world.scenario.excludes_cells {
-            world.push(700_000, SimEvent::ExcludeCell);
+        if simulation.scenario.excludes_cells {
+            simulation.push(700_000, SimEvent::ExcludeCell);
         }
-        world
+        simulation
     }
 
-    fn push(&mut self, after: u64, what: SimEvent) {
+    fn push(&mut self, after: u64, event: SimEvent) {
         self.order += 1;
-        self.queue.push(Due { at: self.now + after, order: self.order, what });
+        self.queue.push(ScheduledEvent { at: self.now + after, order: self.order, event });
     }
 
-    fn is_likely(&mut self, share: f64) -> bool {
-        self.rng.rand_float() < share
+    fn sample_bool(&mut self, probability: f64) -> bool {
+        self.rng.rand_float() < probability
     }
 
-    fn start(&mut self, m: usize) {
-        let mut config = Config::new(NodeId(m as u16), self.all[m].incarnation);
-        config.first_start = self.scenario.first_start && self.all[m].incarnation == Incarnation(1);
-        config.dedup_window = Duration::from_micros(self.scenario.window);
-        config.max_execution_delay = Duration::from_micros(self.scenario.run);
-        let b = &mut self.all[m];
+    fn start(&mut self, balancer: usize) {
+        let mut config = Config::new(NodeId(balancer as u16), self.balancers[balancer].incarnation);
+        config.first_start =
+            self.scenario.first_start && self.balancers[balancer].incarnation == Incarnation(1);
+        config.dedup_window = Duration::from_micros(self.scenario.dedup_window);
+        config.max_execution_delay = Duration::from_micros(self.scenario.max_execution_delay);
+        let b = &mut self.balancers[balancer];
         b.machine = Some(Sessions::new(config));
         b.started_at = self.now;
-        b.table = 0;
-        b.cells = 0;
+        b.table_version = 0;
+        b.cells_revision = 0;
         b.requests.clear();
-        b.claims.clear();
-        self.deliver_cells(m);
+        b.owned_epochs.clear();
+        self.deliver_cells(balancer);
     }
 
-    fn deliver_cells(&mut self, m: usize) {
+    fn deliver_cells(&mut self, balancer: usize) {
         let revision = self.revisions.len() as u64;
-        let zone = self.all[m].zone;
-        let out = self.revisions.last().cloned().unwrap_or_default();
-        let near = |p: u16| p / CELLS_PER_ZONE == zone;
-        let cells = (0..self.scenario.zones * CELLS_PER_ZONE).filter(|p| !out.contains(p));
-        // Each zone's own cells are chosen, others are usable.
+        let zone = self.balancers[balancer].zone;
+        let excluded = self.revisions.last().cloned().unwrap_or_default();
+        let is_in_zone = |p: u16| p / CELLS_PER_ZONE == zone;
+        let cells = (0..self.scenario.zones * CELLS_PER_ZONE).filter(|p| !excluded.contains(p));
+        // The weights prefer the cells of the balancer's zone; the other cells are usable.
         let cells = cells
-            .map(|p| WeightedCell { cell: Cell(p), weight: if near(p) { 1000 } else { 1 } })
+            .map(|p| WeightedCell { cell: Cell(p), weight: if is_in_zone(p) { 1000 } else { 1 } })
             .collect();
-        self.all[m].cells = revision;
-        self.deliver(m, Event::CellsChanged { revision, cells });
+        self.balancers[balancer].cells_revision = revision;
+        self.deliver(balancer, Event::CellsChanged { revision, cells });
     }
 
-    fn local(&self, m: usize, at: u64) -> Duration {
-        let since = at.saturating_sub(self.all[m].started_at) as i64;
-        Duration::from_micros((since + since * self.all[m].rate / 1_000_000) as u64)
+    /// Converts a true time to a balancer's time.
+    fn local_time(&self, balancer: usize, at: u64) -> Duration {
+        let since = at.saturating_sub(self.balancers[balancer].started_at) as i64;
+        Duration::from_micros(
+            (since + since * self.balancers[balancer].clock_drift_ppm / 1_000_000) as u64,
+        )
     }
 
-    /// The true time at a balancer's time.
-    fn true_time(&self, m: usize, local: Duration) -> u64 {
-        let span = local.as_micros() as i64;
-        let mut at = self.all[m].started_at + (span - span * self.all[m].rate / 1_000_000) as u64;
-        while self.local(m, at) < local {
+    /// Converts a balancer's time to the true time.
+    fn true_time(&self, balancer: usize, local_time: Duration) -> u64 {
+        let span = local_time.as_micros() as i64;
+        let mut at = self.balancers[balancer].started_at
+            + (span - span * self.balancers[balancer].clock_drift_ppm / 1_000_000) as u64;
+        while self.local_time(balancer, at) < local_time {
             at += 20;
         }
         at
     }
 
-    fn is_alive(&self, m: usize) -> bool {
-        self.all[m].machine.is_some()
+    fn is_alive(&self, balancer: usize) -> bool {
+        self.balancers[balancer].machine.is_some()
     }
 
-    fn deliver(&mut self, m: usize, event: Event) {
-        if self.now < self.all[m].paused {
-            // A paused balancer handles it once it goes on, which is late.
+    fn deliver(&mut self, balancer: usize, event: Event) {
+        if self.now < self.balancers[balancer].paused_until {
+            // A paused balancer handles no event now. Messages and wake-ups are delivered again after the pause.
             return;
         }
-        let now = self.local(m, self.now);
-        let Some(machine) = self.all[m].machine.as_mut() else { return };
+        let now = self.local_time(balancer, self.now);
+        let Some(machine) = self.balancers[balancer].machine.as_mut() else { return };
         let mut actions = Vec::new();
         machine.handle(now, event, &mut actions);
         for action in actions {
-            if !self.is_alive(m) {
+            if !self.is_alive(balancer) {
                 return;
             }
-            self.act(m, action);
+            self.handle_action(balancer, action);
         }
-        if self.is_alive(m) {
-            self.look(m);
+        if self.is_alive(balancer) {
+            self.check_ownership(balancer);
         }
     }
 
-    fn act(&mut self, m: usize, action: Action) {
+    fn handle_action(&mut self, balancer: usize, action: Action) {
         match action {
             Action::WakeAt(at) => {
-                let (at, incarnation) =
-                    (self.true_time(m, at).max(self.now), self.all[m].incarnation);
+                let (at, incarnation) = (
+                    self.true_time(balancer, at).max(self.now),
+                    self.balancers[balancer].incarnation,
+                );
                 let after = at - self.now;
-                self.push(after, SimEvent::Wake { of: NodeId(m as u16), incarnation, at });
+                self.push(after, SimEvent::Wake { of: NodeId(balancer as u16), incarnation, at });
             }
-            Action::Send { to, message } => self.send(m, to, message),
-            Action::Route { id, decision } => self.decided(m, id, decision),
+            Action::Send { to, message } => self.send(balancer, to, message),
+            Action::Route { id, decision } => self.on_decision(balancer, id, decision),
         }
     }
 
-    fn send(&mut self, m: usize, to: NodeId, bytes: Vec<u8>) {
-        self.found.messages += 1;
-        self.found.longest_message = self.found.longest_message.max(bytes.len());
+    fn send(&mut self, balancer: usize, to: NodeId, bytes: Vec<u8>) {
+        self.findings.messages += 1;
+        self.findings.longest_message = self.findings.longest_message.max(bytes.len());
         self.step += 1;
-        if let Some((step, receiver)) = self.crash_at
+        if let Some((step, receiver)) = self.crash_at_step
             && step == self.step
         {
-            let who = if receiver { usize::from(to.0) } else { m };
-            self.crash(who);
+            let crashed = if receiver { usize::from(to.0) } else { balancer };
+            self.crash(crashed);
             if !receiver {
                 return;
             }
         }
         let mut copies = 1;
-        match self.scenario.points.of(m as u32).pass("sessions.send", Kind::Send) {
+        match self.scenario.failpoints.of(balancer as u32).pass("sessions.send", Kind::Send) {
             Some(Fault::Lose) => return,
             Some(Fault::Copy) => copies = 2,
-            Some(Fault::Crash) => return self.crash(m),
-            Some(Fault::Pause) => self.pause(m, 3 * self.scenario.lease),
+            Some(Fault::Crash) => return self.crash(balancer),
+            Some(Fault::Pause) => self.pause(balancer, 3 * self.scenario.lease),
             _ => {}
         }
-        if self.is_likely(self.scenario.copies) {
+        if self.sample_bool(self.scenario.duplication_rate) {
             copies = 2;
         }
-        let t = usize::from(to.0);
-        let crossing = self.all[m].zone != self.all[t].zone;
+        let receiver = usize::from(to.0);
+        let crosses_zones = self.balancers[balancer].zone != self.balancers[receiver].zone;
         for _ in 0..copies {
-            if self.is_likely(self.scenario.loss) || (crossing && self.cut) {
+            if self.sample_bool(self.scenario.loss_rate) || (crosses_zones && self.is_partitioned) {
                 continue;
             }
-            let mut after = if crossing { 2_000 } else { 200 } + self.rng.rand_range(0..1_500);
-            if self.scenario.copies > 0.0 && self.is_likely(0.02) {
+            let mut after = if crosses_zones { 2_000 } else { 200 } + self.rng.rand_range(0..1_500);
+            if self.scenario.duplication_rate > 0.0 && self.sample_bool(0.02) {
                 after += self.rng.rand_range(0..600_000);
             }
-            let from = NodeId(m as u16);
+            let from = NodeId(balancer as u16);
             let message = SimEvent::Message {
                 from,
-                incarnation: self.all[m].incarnation,
+                incarnation: self.balancers[balancer].incarnation,
                 to,
                 bytes: bytes.clone(),
             };
@@ -391,42 +446,47 @@
         }
     }
 
-    fn decided(&mut self, m: usize, id: u64, decision: RoutingDecision) {
-        let Some(pending) = self.all[m].requests.get(&id).cloned() else {
-            self.found.claims.push(format!("request {id} was placed twice at {m}"));
+    fn on_decision(&mut self, balancer: usize, id: u64, decision: RoutingDecision) {
+        let Some(pending) = self.balancers[balancer].requests.get(&id).cloned() else {
+            self.findings
+                .ownership_violations
+                .push(format!("request {id} was routed twice at balancer {balancer}"));
             return;
         };
-        self.all[m].requests.remove(&id);
-        let waited = self.now - pending.at;
-        self.found.waits.push(waited);
-        // Once another balancer owns it, nothing is sent under the epoch before.
+        self.balancers[balancer].requests.remove(&id);
+        let waited = self.now - pending.requested_at;
+        self.findings.waits.push(waited);
+        // Once another balancer owns the session, no request may be sent under the earlier epoch.
         if let RoutingDecision::Send { epoch: Some(epoch), .. } = decision
-            && let Some(highest) = self.highest.get(&pending.user).filter(|h| h.0 > epoch)
+            && let Some(highest) = self.highest_epochs.get(&pending.user).filter(|h| h.0 > epoch)
         {
-            let what =
-                format!("van {}: sent by {m} under {epoch:?} after {highest:?}", pending.user);
-            self.found.claims.push(what);
+            let violation = format!(
+                "session of user {}: sent by balancer {balancer} under {epoch:?} after {highest:?}",
+                pending.user
+            );
+            self.findings.ownership_violations.push(violation);
         }
         let RoutingDecision::Send { cell, until, .. } = decision else {
             if pending.key.is_some() {
-                *self.found.refused.entry(format!("{decision:?}")).or_default() += 1;
+                *self.findings.rejected_or_failed.entry(format!("{decision:?}")).or_default() += 1;
             }
             return;
         };
-        // Keyed requests may have waited for the end of a window, and a paused balancer is late.
-        let stood = self.all[m].paused >= pending.at;
-        self.found.late_waits += u64::from(waited > 27_000 && pending.key.is_none() && !stood);
-        let (incarnation, of) = (self.all[m].incarnation, NodeId(m as u16));
+        // Keyed requests may wait for the end of a window, and a paused balancer routes requests late.
+        let was_paused = self.balancers[balancer].paused_until >= pending.requested_at;
+        self.findings.overlong_waits +=
+            u64::from(waited > 27_000 && pending.key.is_none() && !was_paused);
+        let (incarnation, of) = (self.balancers[balancer].incarnation, NodeId(balancer as u16));
         let Some(key) = pending.key else {
             self.push(10, SimEvent::Sent { of, incarnation, id });
-            self.found.plain += 1;
-            let at = *self.last_cell.get(&pending.user).unwrap_or(&cell.0);
-            self.found.at_their_cell += u64::from(at == cell.0);
+            self.findings.unkeyed_sent += 1;
+            let last_cell = *self.last_cell.get(&pending.user).unwrap_or(&cell.0);
+            self.findings.unkeyed_at_last_cell += u64::from(last_cell == cell.0);
             self.last_cell.insert(pending.user, cell.0);
             self.push(
                 30_000,
                 SimEvent::Done {
-                    of: NodeId(m as u16),
+                    of: NodeId(balancer as u16),
                     incarnation,
                     id,
                     status: ExecutionStatus::Executed,
@@ -434,15 +494,15 @@
             );
             return;
         };
-        self.found.allowed += 1;
-        // The caller checks the time right before the send, and may be paused in between.
-        let sent =
-            self.now + if self.is_likely(0.02) { self.rng.rand_range(0..200_000) } else { 10 };
-        if self.local(m, sent) >= until {
+        self.findings.keyed_permitted += 1;
+        // The caller checks the permit immediately before sending, and may be paused between routing and this check.
+        let sent_at =
+            self.now + if self.sample_bool(0.02) { self.rng.rand_range(0..200_000) } else { 10 };
+        if self.local_time(balancer, sent_at) >= until {
             self.push(
-                sent - self.now,
+                sent_at - self.now,
                 SimEvent::Done {
-                    of: NodeId(m as u16),
+                    of: NodeId(balancer as u16),
                     incarnation,
                     id,
                     status: ExecutionStatus::NotExecuted,
@@ -450,184 +510,215 @@
             );
             return;
         }
-        self.push(sent - self.now, SimEvent::Sent { of, incarnation, id });
-        self.found.keyed_sent += 1;
-        self.found.repeats_sent += u64::from(pending.repeat);
-        let runs = match self.rng.rand_range(0..10) {
+        self.push(sent_at - self.now, SimEvent::Sent { of, incarnation, id });
+        self.findings.keyed_sent += 1;
+        self.findings.repeats_sent += u64::from(pending.is_repeat);
+        let executed_at = match self.rng.rand_range(0..10) {
             0 => None,
-            1 | 2 => Some(sent + self.rng.rand_range(0..self.scenario.run)),
-            _ => Some(sent + 5_000),
+            1 | 2 => Some(sent_at + self.rng.rand_range(0..self.scenario.max_execution_delay)),
+            _ => Some(sent_at + 5_000),
         };
-        let status = match runs {
+        let status = match executed_at {
             None => [ExecutionStatus::NotExecuted, ExecutionStatus::Unknown]
                 [usize::from(self.rng.rand_range(0..2) == 1)],
-            Some(at) if at > sent + 50_000 => ExecutionStatus::Unknown,
+            Some(at) if at > sent_at + 50_000 => ExecutionStatus::Unknown,
             Some(_) => ExecutionStatus::Executed,
         };
-        if let Some(at) = runs {
-            self.runs(key, Execution { at, sent, cell: cell.0, by: m as u16 });
+        if let Some(executed_at) = executed_at {
+            self.record_execution(
+                key,
+                Execution { executed_at, sent_at, cell: cell.0, balancer: balancer as u16 },
+            );
         }
         self.last_cell.insert(pending.user, cell.0);
-        let after = sent - self.now + 50_000;
-        self.push(after, SimEvent::Done { of: NodeId(m as u16), incarnation, id, status });
+        let after = sent_at - self.now + 50_000;
+        self.push(after, SimEvent::Done { of: NodeId(balancer as u16), incarnation, id, status });
     }
 
-    /// A cell executes a key unless it remembers it. Later executions are checked in their order.
-    fn runs(&mut self, key: u64, status: Execution) {
-        self.status.entry(key).or_default().push(status);
+    /// Records the execution of an attempt. [`Self::check`] later sorts the executions by time and leaves out those of
+    /// keys that the cell remembered.
+    fn record_execution(&mut self, key: u64, execution: Execution) {
+        self.executions.entry(key).or_default().push(execution);
     }
 
+    /// Checks that no key is executed twice.
     fn check(&mut self) {
-        for (key, all) in &mut self.status {
-            all.sort_by_key(|r| r.at);
+        for (key, executions) in &mut self.executions {
+            executions.sort_by_key(|execution| execution.executed_at);
             let mut effects: Vec<&Execution> = Vec::new();
-            for status in all.iter() {
-                let window = self.scenario.window;
-                if effects.iter().any(|e| e.cell == status.cell && status.at < e.at + window) {
+            for execution in executions.iter() {
+                let window = self.scenario.dedup_window;
+                if effects.iter().any(|e| {
+                    e.cell == execution.cell && execution.executed_at < e.executed_at + window
+                }) {
                     continue;
                 }
-                if let Some(before) = effects.last().filter(|e| status.at < e.at + window) {
-                    self.found.executed_twice.push(format!(
-                        "key {key} ran in pod {} at {} (by {}) and in pod {} at {} (by {})",
-                        before.cell, before.at, before.by, status.cell, status.at, status.by
+                if let Some(before) =
+                    effects.last().filter(|e| execution.executed_at < e.executed_at + window)
+                {
+                    self.findings.executed_twice.push(format!(
+                        "key {key} was executed in cell {} at {} (from balancer {}) and in cell {} at {} (from balancer {})",
+                        before.cell,
+                        before.executed_at,
+                        before.balancer,
+                        execution.cell,
+                        execution.executed_at,
+                        execution.balancer
                     ));
                 }
-                // The same cell has forgotten it: the repeat was sent too late after the first.
+                // If the cell did not drop the repeat, the repeat must have been sent at least a window after the
+                // previous attempt.
                 if let Some(before) = effects.last()
-                    && status.sent < before.sent + window
+                    && execution.sent_at < before.sent_at + window
                 {
-                    self.found.executed_twice.push(format!(
-                        "key {key} was sent at {} and again at {}, and both ran",
-                        before.sent, status.sent
+                    self.findings.executed_twice.push(format!(
+                        "key {key} was sent at {} and again at {}, and both attempts were executed",
+                        before.sent_at, execution.sent_at
                     ));
                 }
-                effects.push(status);
+                effects.push(execution);
             }
         }
     }
 
-    /// Checks what one balancer claims against the claims of all others at this moment.
-    fn look(&mut self, m: usize) {
+    /// Checks the ownership that one balancer reports against the ownership that all others report at this moment.
+    fn check_ownership(&mut self, balancer: usize) {
         for user in 0..self.scenario.users {
             let session = session(user);
-            let claim =
+            let owned_epoch =
                 |b: &Balancer, now| b.machine.as_ref().and_then(|s| s.owned_epoch(now, session));
-            let mine = claim(&self.all[m], self.local(m, self.now));
-            let before = self.all[m].claims.get(&user).copied();
-            if mine == before {
+            let own = owned_epoch(&self.balancers[balancer], self.local_time(balancer, self.now));
+            let previous = self.balancers[balancer].owned_epochs.get(&user).copied();
+            if own == previous {
                 continue;
             }
-            let Some(epoch) = mine else {
-                self.all[m].claims.remove(&user);
+            let Some(epoch) = own else {
+                self.balancers[balancer].owned_epochs.remove(&user);
                 continue;
             };
-            self.all[m].claims.insert(user, epoch);
-            for other in 0..self.all.len() {
-                let now = self.local(other, self.now);
-                if other != m
-                    && let Some(theirs) = claim(&self.all[other], now)
+            self.balancers[balancer].owned_epochs.insert(user, epoch);
+            for other in 0..self.balancers.len() {
+                let now = self.local_time(other, self.now);
+                if other != balancer
+                    && let Some(other_epoch) = owned_epoch(&self.balancers[other], now)
                 {
-                    self.found.claims.push(format!(
-                        "van {user} at {}: {m} owns it under {epoch:?}, {other} under {theirs:?}",
+                    self.findings.ownership_violations.push(format!(
+                        "session of user {user} at {} µs: balancer {balancer} owns it under {epoch:?}, \
+                         balancer {other} under {other_epoch:?}",
                         self.now
                     ));
                 }
             }
-            let highest = self.highest.entry(user).or_insert((epoch, NodeId(m as u16)));
-            if epoch < highest.0 || (epoch == highest.0 && highest.1 != NodeId(m as u16)) {
-                self.found.claims.push(format!("van {user}: {epoch:?} at {m} after {highest:?}"));
+            let highest =
+                self.highest_epochs.entry(user).or_insert((epoch, NodeId(balancer as u16)));
+            if epoch < highest.0 || (epoch == highest.0 && highest.1 != NodeId(balancer as u16)) {
+                self.findings.ownership_violations.push(format!(
+                    "session of user {user}: {epoch:?} at {balancer} after {highest:?}"
+                ));
             }
-            *highest = (epoch, NodeId(m as u16));
-            if let Some((at, zone)) = self.arrived.get(&user).copied()
-                && zone == self.all[m].zone
+            *highest = (epoch, NodeId(balancer as u16));
+            if let Some((at, zone)) = self.arrivals.get(&user).copied()
+                && zone == self.balancers[balancer].zone
             {
-                self.found.moves.push(self.now - at);
-                self.arrived.remove(&user);
+                self.findings.takeover_times.push(self.now - at);
+                self.arrivals.remove(&user);
             }
         }
     }
 
-    pub fn request(&mut self, m: usize, user: u64, key: Option<u64>, repeat: bool) {
-        if !self.is_alive(m) || self.now < self.all[m].paused {
+    pub fn request(&mut self, balancer: usize, user: u64, key: Option<u64>, is_repeat: bool) {
+        if !self.is_alive(balancer) || self.now < self.balancers[balancer].paused_until {
             return;
         }
         self.next_id += 1;
         let id = self.next_id;
         let idempotency =
             key.map_or(Idempotency::Idempotent, |k| Idempotency::Keyed(IdempotencyKey(k)));
-        self.found.keyed += u64::from(key.is_some());
-        self.all[m].requests.insert(id, PendingRequest { user, key, at: self.now, repeat });
-        let first = self.scenario.marked && !repeat;
-        if self.scenario.off {
+        self.findings.keyed += u64::from(key.is_some());
+        self.balancers[balancer]
+            .requests
+            .insert(id, PendingRequest { user, key, requested_at: self.now, is_repeat });
+        let first = self.scenario.marks_retries && !is_repeat;
+        if self.scenario.without_records {
             let cells: Vec<u16> = (0..self.scenario.zones * CELLS_PER_ZONE)
-                .filter(|p| p / CELLS_PER_ZONE == self.all[m].zone && !self.out.contains(p))
+                .filter(|p| {
+                    p / CELLS_PER_ZONE == self.balancers[balancer].zone
+                        && !self.excluded_cells.contains(p)
+                })
                 .collect();
             let Some(cell) = cells.get(user as usize % cells.len().max(1)) else { return };
             let until = Duration::from_secs(1 << 30);
-            return self.decided(
-                m,
+            return self.on_decision(
+                balancer,
                 id,
                 RoutingDecision::Send { cell: Cell(*cell), epoch: None, until },
             );
         }
-        let deadline = self.local(m, self.now) + Duration::from_millis(1850);
+        let deadline = self.local_time(balancer, self.now) + Duration::from_millis(1850);
         self.deliver(
-            m,
+            balancer,
             Event::Request { id, session: session(user), idempotency, first, deadline },
         );
     }
 
-    pub fn member_of(&mut self, zone: u16) -> Option<usize> {
-        let n = self.rng.rand_range(0..u64::from(self.scenario.each)) as usize;
-        let m = usize::from(zone * self.scenario.each) + n;
-        (self.is_alive(m) && self.now >= self.all[m].paused).then_some(m)
+    /// Returns a random balancer of a zone, or `None` if that balancer is crashed or paused.
+    pub fn random_balancer(&mut self, zone: u16) -> Option<usize> {
+        let n = self.rng.rand_range(0..u64::from(self.scenario.balancers_per_zone)) as usize;
+        let balancer = usize::from(zone * self.scenario.balancers_per_zone) + n;
+        (self.is_alive(balancer) && self.now >= self.balancers[balancer].paused_until)
+            .then_some(balancer)
     }
 
-    pub fn crash(&mut self, m: usize) {
-        let b = &mut self.all[m];
+    pub fn crash(&mut self, balancer: usize) {
+        let b = &mut self.balancers[balancer];
         if b.machine.take().is_none() {
             return;
         }
         b.incarnation = Incarnation(b.incarnation.0 + 1);
         b.requests.clear();
-        b.claims.clear();
+        b.owned_epochs.clear();
         let after = 20_000 + self.rng.rand_range(0..400_000);
-        self.push(after, SimEvent::Repair { what: 0, which: m as u16 });
+        self.push(after, SimEvent::Recover { kind: 0, balancer: balancer as u16 });
     }
 
-    pub fn pause(&mut self, m: usize, time: u64) {
-        self.all[m].paused = self.now + time;
-        self.push(time + 1, SimEvent::Repair { what: 1, which: m as u16 });
+    pub fn pause(&mut self, balancer: usize, time: u64) {
+        self.balancers[balancer].paused_until = self.now + time;
+        self.push(time + 1, SimEvent::Recover { kind: 1, balancer: balancer as u16 });
     }
 
-    /// The agreement on slots: a balancer that is reached keeps its slot; another one loses it once the given time is over.
-    fn agreement(&mut self) {
+    /// Runs a round of the agreement on slots. A reachable balancer retains its slot; an unreachable one loses its slot
+    /// once the granted time has passed.
+    fn run_agreement(&mut self) {
         let mut slots = self.tables.last().cloned().unwrap_or_default();
         let version = self.tables.len() as u64;
         let mut changed = false;
-        for m in 0..self.all.len() {
-            let (node, incarnation) = (NodeId(m as u16), self.all[m].incarnation);
-            let reached =
-                self.is_alive(m) && self.now >= self.all[m].paused && !self.all[m].cut_council;
+        for balancer in 0..self.balancers.len() {
+            let (node, incarnation) =
+                (NodeId(balancer as u16), self.balancers[balancer].incarnation);
+            let is_reachable = self.is_alive(balancer)
+                && self.now >= self.balancers[balancer].paused_until
+                && !self.balancers[balancer].cannot_reach_agreement;
             let slot = slots.iter().position(|s| s.node == node);
-            let over = self.given.get(&node).is_none_or(|until| *until <= self.now);
+            let has_ended = self.granted_until.get(&node).is_none_or(|until| *until <= self.now);
             match slot {
-                // A previous incarnation ends as soon as the new one is reached; a silent one ends with its lease.
+                // The slot of a previous incarnation ends as soon as the new incarnation is reachable, and the slot of
+                // an unreachable balancer with its lease.
                 Some(at)
-                    if (slots[at].incarnation != incarnation && reached) || (!reached && over) =>
+                    if (slots[at].incarnation != incarnation && is_reachable)
+                        || (!is_reachable && has_ended) =>
                 {
                     slots.remove(at);
                     changed = true;
-                    if reached {
-                        let zone = Zone(self.all[m].zone);
+                    if is_reachable {
+                        let zone = Zone(self.balancers[balancer].zone);
                         slots.push(OwnerSlot { node, incarnation, zone, since: version });
                     }
                 }
-                None if reached => {
+                None if is_reachable => {
                     slots.push(OwnerSlot {
                         node,
                         incarnation,
-                        zone: Zone(self.all[m].zone),
+                        zone: Zone(self.balancers[balancer].zone),
                         since: version,
                     });
                     changed = true;
@@ -637,249 +728,266 @@
         }
         if changed {
             self.tables.push(slots);
-            for m in 0..self.all.len() {
+            for balancer in 0..self.balancers.len() {
                 let after = self.rng.rand_range(0..60_000);
-                self.push(after, SimEvent::OwnershipTable { of: NodeId(m as u16) });
+                self.push(after, SimEvent::OwnershipTable { of: NodeId(balancer as u16) });
             }
         }
-        for m in 0..self.all.len() {
-            if self.all[m].table > 0 {
-                self.slot(m);
+        for balancer in 0..self.balancers.len() {
+            if self.balancers[balancer].table_version > 0 {
+                self.extend_slot(balancer);
             }
         }
-        self.push(50_000, SimEvent::Agreement);
+        self.push(50_000, SimEvent::RunAgreement);
     }
 
-    /// A balancer learns that its slot is valid for longer, if the newest table has it.
-    fn slot(&mut self, m: usize) {
-        if !self.is_alive(m) || self.now < self.all[m].paused || self.all[m].cut_council {
+    /// Extends a balancer's slot, if the newest table contains the slot.
+    fn extend_slot(&mut self, balancer: usize) {
+        if !self.is_alive(balancer)
+            || self.now < self.balancers[balancer].paused_until
+            || self.balancers[balancer].cannot_reach_agreement
+        {
             return;
         }
-        let (node, incarnation) = (NodeId(m as u16), self.all[m].incarnation);
+        let (node, incarnation) = (NodeId(balancer as u16), self.balancers[balancer].incarnation);
         let newest = self.tables.len() as u64 - 1;
-        let held = self.tables.last().and_then(|t| t.iter().find(|s| s.node == node)).copied();
-        if held.is_none_or(|s| s.incarnation != incarnation || self.all[m].table < s.since)
-            && self.all[m].table > 0
+        let slot = self.tables.last().and_then(|t| t.iter().find(|s| s.node == node)).copied();
+        if slot.is_none_or(|s| {
+            s.incarnation != incarnation || self.balancers[balancer].table_version < s.since
+        }) && self.balancers[balancer].table_version > 0
         {
             return;
         }
-        let until = self.local(m, self.now) + Duration::from_micros(self.scenario.lease * 99 / 100);
-        self.given.insert(node, self.now + self.scenario.lease * 101 / 100);
-        let version = self.all[m].table;
+        let until = self.local_time(balancer, self.now)
+            + Duration::from_micros(self.scenario.lease * 99 / 100);
+        self.granted_until.insert(node, self.now + self.scenario.lease * 101 / 100);
+        let version = self.balancers[balancer].table_version;
         if version <= newest {
-            self.deliver(m, Event::SlotExtended { version, until });
+            self.deliver(balancer, Event::SlotExtended { version, until });
         }
     }
 
-    fn table(&mut self, m: usize) {
-        if !self.is_alive(m) || self.now < self.all[m].paused || self.all[m].cut_council {
+    fn deliver_table(&mut self, balancer: usize) {
+        if !self.is_alive(balancer)
+            || self.now < self.balancers[balancer].paused_until
+            || self.balancers[balancer].cannot_reach_agreement
+        {
             return;
         }
         let version = self.tables.len() as u64 - 1;
-        if version <= self.all[m].table {
+        if version <= self.balancers[balancer].table_version {
             return;
         }
         let slots = self.tables[version as usize].clone();
-        let (node, incarnation) = (NodeId(m as u16), self.all[m].incarnation);
+        let (node, incarnation) = (NodeId(balancer as u16), self.balancers[balancer].incarnation);
         let lease = Duration::from_micros(self.scenario.lease * 99 / 100);
         let mut until = Duration::ZERO;
         if slots.iter().any(|s| (s.node, s.incarnation) == (node, incarnation)) {
-            until = self.local(m, self.now) + lease;
-            self.given.insert(node, self.now + self.scenario.lease * 101 / 100);
+            until = self.local_time(balancer, self.now) + lease;
+            self.granted_until.insert(node, self.now + self.scenario.lease * 101 / 100);
         }
-        self.all[m].table = version;
-        self.deliver(m, Event::TableChanged { version, until, slots });
+        self.balancers[balancer].table_version = version;
+        self.deliver(balancer, Event::TableChanged { version, until, slots });
     }
 
-    fn fault(&mut self) {
-        let m = self.rng.rand_range(0..self.all.len() as u64) as usize;
+    fn inject_fault(&mut self) {
+        let balancer = self.rng.rand_range(0..self.balancers.len() as u64) as usize;
         let time = self.rng.rand_range(10_000..3 * self.scenario.lease);
         match self.rng.rand_range(0..6) {
-            0 | 1 => self.crash(m),
-            2 => self.pause(m, time),
+            0 | 1 => self.crash(balancer),
+            2 => self.pause(balancer, time),
             3 => {
-                // Zones do not reach each other, and one of them does not reach the agreement.
-                self.cut = true;
+                // Zones cannot reach each other, and one of them cannot take part in the agreement.
+                self.is_partitioned = true;
                 let zone = self.rng.rand_range(0..u64::from(self.scenario.zones)) as u16;
-                for b in self.all.iter_mut().filter(|b| b.zone == zone) {
-                    b.cut_council = true;
+                for b in self.balancers.iter_mut().filter(|b| b.zone == zone) {
+                    b.cannot_reach_agreement = true;
                 }
-                self.push(2 * time, SimEvent::Repair { what: 2, which: 0 });
+                self.push(2 * time, SimEvent::Recover { kind: 2, balancer: 0 });
             }
             4 => {
-                self.all[m].cut_council = true;
-                self.push(time, SimEvent::Repair { what: 2, which: 0 });
+                self.balancers[balancer].cannot_reach_agreement = true;
+                self.push(time, SimEvent::Recover { kind: 2, balancer: 0 });
             }
             _ => {
-                let zone = self.all[m].zone;
-                for m in 0..self.all.len() {
-                    if self.all[m].zone == zone && self.is_likely(0.8) {
-                        self.crash(m);
+                let zone = self.balancers[balancer].zone;
+                for balancer in 0..self.balancers.len() {
+                    if self.balancers[balancer].zone == zone && self.sample_bool(0.8) {
+                        self.crash(balancer);
                     }
                 }
             }
         }
-        let after = self.scenario.faults / 2 + self.rng.rand_range(0..self.scenario.faults);
+        let after = self.scenario.mean_fault_interval / 2
+            + self.rng.rand_range(0..self.scenario.mean_fault_interval);
         self.push(after, SimEvent::Fault);
     }
 
-    fn exclude_some_cell(&mut self) {
+    fn toggle_random_cell(&mut self) {
         let p = self.rng.rand_range(0..u64::from(self.scenario.zones * CELLS_PER_ZONE)) as u16;
-        if !self.out.remove(&p) && self.out.len() < 2 {
-            self.out.insert(p);
+        if !self.excluded_cells.remove(&p) && self.excluded_cells.len() < 2 {
+            self.excluded_cells.insert(p);
         }
-        self.revisions.push(self.out.clone());
-        for m in 0..self.all.len() {
+        self.revisions.push(self.excluded_cells.clone());
+        for balancer in 0..self.balancers.len() {
             let after = self.rng.rand_range(0..300_000);
-            self.push(after, SimEvent::CellsChanged { of: NodeId(m as u16) });
+            self.push(after, SimEvent::CellsChanged { of: NodeId(balancer as u16) });
         }
         self.push(400_000, SimEvent::ExcludeCell);
     }
 
-    fn user(&mut self, user: u64) {
-        let zone = self.at_site[&user];
-        let drives = self.scenario.drive;
-        if self.scenario.zones > 1 && self.is_likely(drives) {
+    fn run_user_step(&mut self, user: u64) {
+        let zone = self.zone_of_user[&user];
+        let move_probability = self.scenario.move_probability;
+        if self.scenario.zones > 1 && self.sample_bool(move_probability) {
             let to = (zone + 1 + self.rng.rand_range(0..u64::from(self.scenario.zones - 1)) as u16)
                 % self.scenario.zones;
-            self.at_site.insert(user, to);
-            let here = self.all.iter().filter(|b| b.zone == to);
-            // A session that was used there before is there already.
-            if !here.clone().any(|b| b.claims.contains_key(&user)) {
-                self.arrived.insert(user, (self.now, to));
+            self.zone_of_user.insert(user, to);
+            let new_zone = self.balancers.iter().filter(|b| b.zone == to);
+            // A session that the new zone already owns needs no transfer.
+            if !new_zone.clone().any(|b| b.owned_epochs.contains_key(&user)) {
+                self.arrivals.insert(user, (self.now, to));
             }
         }
-        let zone = self.at_site[&user];
-        let keyed = self.is_likely(0.6);
-        if let Some(m) = self.member_of(zone) {
+        let zone = self.zone_of_user[&user];
+        let keyed = self.sample_bool(0.6);
+        if let Some(balancer) = self.random_balancer(zone) {
             if keyed {
                 self.next_key += 1;
                 let key = self.next_key;
-                self.request(m, user, Some(key), false);
-                if self.is_likely(0.6) {
-                    // The key is repeated here, there, or in both zones at once.
-                    let left = self.rng.rand_range(0..3) as u32;
-                    let after = self.press_after();
+                self.request(balancer, user, Some(key), false);
+                if self.sample_bool(0.6) {
+                    // The key is repeated in the same zone, in another one, or in both at once.
+                    let remaining = self.rng.rand_range(0..3) as u32;
+                    let after = self.sample_repeat_delay();
                     let to = self.rng.rand_range(0..u64::from(self.scenario.zones)) as u16;
-                    self.push(after, SimEvent::Press { user, key, zone: to, left });
-                    if self.is_likely(0.3) {
-                        self.push(after, SimEvent::Press { user, key, zone: zone ^ 1, left: 0 });
+                    self.push(after, SimEvent::RepeatKey { user, key, zone: to, remaining });
+                    if self.sample_bool(0.3) {
+                        self.push(
+                            after,
+                            SimEvent::RepeatKey { user, key, zone: zone ^ 1, remaining: 0 },
+                        );
                     }
                 }
             } else {
-                self.request(m, user, None, false);
+                self.request(balancer, user, None, false);
             }
         }
-        let interval = self.scenario.interval;
+        let interval = self.scenario.request_interval;
         let after = interval / 2 + self.rng.rand_range(0..interval);
-        self.push(after, SimEvent::User { user });
+        self.push(after, SimEvent::UserStep { user });
     }
 
-    fn press_after(&mut self) -> u64 {
+    fn sample_repeat_delay(&mut self) -> u64 {
         match self.rng.rand_range(0..4) {
             0 => self.rng.rand_range(0..2_000),
             1 => self.rng.rand_range(0..60_000),
-            _ => self.rng.rand_range(0..self.scenario.window),
+            _ => self.rng.rand_range(0..self.scenario.dedup_window),
         }
     }
 
-    fn handle(&mut self, what: SimEvent) {
-        match what {
+    fn handle(&mut self, event: SimEvent) {
+        match event {
             SimEvent::Message { from, incarnation, to, bytes } => {
-                let t = usize::from(to.0);
-                if self.now < self.all[t].paused {
-                    // Sockets keep it for a paused balancer.
-                    let after = self.all[t].paused - self.now + 2;
+                let receiver = usize::from(to.0);
+                if self.now < self.balancers[receiver].paused_until {
+                    // The socket of a paused balancer buffers the message.
+                    let after = self.balancers[receiver].paused_until - self.now + 2;
                     return self.push(after, SimEvent::Message { from, incarnation, to, bytes });
                 }
                 // The transport delivers no message of a previous incarnation.
-                if self.all[usize::from(from.0)].incarnation == incarnation {
-                    self.deliver(t, Event::Message { from, incarnation, message: bytes });
+                if self.balancers[usize::from(from.0)].incarnation == incarnation {
+                    self.deliver(receiver, Event::Message { from, incarnation, message: bytes });
                 }
             }
             SimEvent::Wake { of, incarnation, at } => {
-                let m = usize::from(of.0);
-                if self.all[m].incarnation == incarnation {
-                    if self.now < self.all[m].paused {
-                        let after = self.all[m].paused - self.now + 1;
+                let balancer = usize::from(of.0);
+                if self.balancers[balancer].incarnation == incarnation {
+                    if self.now < self.balancers[balancer].paused_until {
+                        let after = self.balancers[balancer].paused_until - self.now + 1;
                         return self.push(after, SimEvent::Wake { of, incarnation, at });
                     }
-                    self.deliver(m, Event::Due);
+                    self.deliver(balancer, Event::Due);
                 }
             }
-            SimEvent::User { user } => self.user(user),
-            SimEvent::Press { user, key, zone, left } => {
-                if let Some(m) = self.member_of(zone % self.scenario.zones) {
-                    self.request(m, user, Some(key), true);
+            SimEvent::UserStep { user } => self.run_user_step(user),
+            SimEvent::RepeatKey { user, key, zone, remaining } => {
+                if let Some(balancer) = self.random_balancer(zone % self.scenario.zones) {
+                    self.request(balancer, user, Some(key), true);
                 }
-                if left > 0 {
-                    let after = self.press_after();
+                if remaining > 0 {
+                    let after = self.sample_repeat_delay();
                     let zone = self.rng.rand_range(0..u64::from(self.scenario.zones)) as u16;
-                    self.push(after, SimEvent::Press { user, key, zone, left: left - 1 });
+                    self.push(
+                        after,
+                        SimEvent::RepeatKey { user, key, zone, remaining: remaining - 1 },
+                    );
                 }
             }
             SimEvent::Sent { of, incarnation, id } => {
-                if self.all[usize::from(of.0)].incarnation == incarnation {
+                if self.balancers[usize::from(of.0)].incarnation == incarnation {
                     self.deliver(usize::from(of.0), Event::Sent { id });
                 }
             }
             SimEvent::Done { of, incarnation, id, status } => {
-                let m = usize::from(of.0);
-                if self.all[m].incarnation == incarnation {
-                    self.deliver(m, Event::Finished { id, status });
+                let balancer = usize::from(of.0);
+                if self.balancers[balancer].incarnation == incarnation {
+                    self.deliver(balancer, Event::Finished { id, status });
                 }
             }
-            SimEvent::Agreement => self.agreement(),
-            SimEvent::OwnershipTable { of } => self.table(usize::from(of.0)),
-            SimEvent::Fault => self.fault(),
-            SimEvent::Repair { what: 0, which } => {
-                self.start(usize::from(which));
+            SimEvent::RunAgreement => self.run_agreement(),
+            SimEvent::OwnershipTable { of } => self.deliver_table(usize::from(of.0)),
+            SimEvent::Fault => self.inject_fault(),
+            SimEvent::Recover { kind: 0, balancer } => {
+                self.start(usize::from(balancer));
                 let after = self.rng.rand_range(50_000..150_000);
-                self.push(after, SimEvent::OwnershipTable { of: NodeId(which) });
+                self.push(after, SimEvent::OwnershipTable { of: NodeId(balancer) });
             }
-            SimEvent::Repair { what: 1, which } => {
-                self.push(0, SimEvent::OwnershipTable { of: NodeId(which) });
-                self.push(0, SimEvent::CellsChanged { of: NodeId(which) });
-                self.deliver(usize::from(which), Event::Due);
+            SimEvent::Recover { kind: 1, balancer } => {
+                self.push(0, SimEvent::OwnershipTable { of: NodeId(balancer) });
+                self.push(0, SimEvent::CellsChanged { of: NodeId(balancer) });
+                self.deliver(usize::from(balancer), Event::Due);
             }
-            SimEvent::Repair { .. } => {
-                self.cut = false;
-                for m in 0..self.all.len() {
-                    self.all[m].cut_council = false;
-                    self.push(1_000, SimEvent::OwnershipTable { of: NodeId(m as u16) });
+            SimEvent::Recover { .. } => {
+                self.is_partitioned = false;
+                for balancer in 0..self.balancers.len() {
+                    self.balancers[balancer].cannot_reach_agreement = false;
+                    self.push(1_000, SimEvent::OwnershipTable { of: NodeId(balancer as u16) });
                 }
             }
-            SimEvent::ExcludeCell => self.exclude_some_cell(),
+            SimEvent::ExcludeCell => self.toggle_random_cell(),
             SimEvent::CellsChanged { of } => self.deliver_cells(usize::from(of.0)),
         }
     }
 
-    /// Runs until a time.
+    /// Runs until the true time `until`.
     pub fn run_until(&mut self, until: u64) {
         while self.queue.peek().is_some_and(|d| d.at <= until) {
             let Some(due) = self.queue.pop() else { return };
             self.now = self.now.max(due.at);
-            self.handle(due.what);
+            self.handle(due.event);
         }
         self.now = self.now.max(until);
     }
 
-    /// Runs the scenario and checks it.
+    /// Runs the scenario and checks the executions.
     pub fn run(mut self) -> Findings {
-        self.run_until(self.scenario.length);
+        self.run_until(self.scenario.duration);
         self.end()
     }
 
+    /// Ends the run, checks the executions and counts the requests that were not routed in time.
     pub fn end(mut self) -> Findings {
         self.check();
-        let goes_on = |b: &&Balancer| b.paused + 100_000 < self.now;
-        let open = self.all.iter().filter(goes_on).flat_map(|b| b.requests.values());
-        self.found.unrouted = open.filter(|a| a.at + 2_200_000 < self.now).count() as u64;
-        self.found
+        let is_running = |b: &&Balancer| b.paused_until + 100_000 < self.now;
+        let pending = self.balancers.iter().filter(is_running).flat_map(|b| b.requests.values());
+        self.findings.unrouted =
+            pending.filter(|request| request.requested_at + 2_200_000 < self.now).count() as u64;
+        self.findings
     }
 
-    pub fn machine(&self, m: usize) -> Option<&Sessions> {
-        self.all[m].machine.as_ref()
+    pub fn machine(&self, balancer: usize) -> Option<&Sessions> {
+        self.balancers[balancer].machine.as_ref()
     }
 
     pub fn now(&self) -> u64 {
@@ -887,16 +995,16 @@
     }
 
     /// Moves a user to a zone.
-    pub fn drive(&mut self, user: u64, zone: u16) {
-        self.at_site.insert(user, zone);
-        self.arrived.insert(user, (self.now, zone));
+    pub fn move_user(&mut self, user: u64, zone: u16) {
+        self.zone_of_user.insert(user, zone);
+        self.arrivals.insert(user, (self.now, zone));
     }
 
     pub fn exclude_cell(&mut self, cell: u16) {
-        self.out.insert(cell);
-        self.revisions.push(self.out.clone());
-        for m in 0..self.all.len() {
-            self.deliver_cells(m);
+        self.excluded_cells.insert(cell);
+        self.revisions.push(self.excluded_cells.clone());
+        for balancer in 0..self.balancers.len() {
+            self.deliver_cells(balancer);
         }
     }
 }
@@ -906,22 +1014,22 @@
 }
 
 /// Runs scenarios, three at a time, and returns the findings of each in order.
-pub fn run_scenarios(all: Vec<Scenario>) -> Vec<(Scenario, Findings)> {
-    let parts = 3;
-    let mut out: Vec<(usize, Scenario, Findings)> = std::thread::scope(|scope| {
-        let all = &all;
-        let part = |p: usize| {
+pub fn run_scenarios(scenarios: Vec<Scenario>) -> Vec<(Scenario, Findings)> {
+    let thread_count = 3;
+    let mut results: Vec<(usize, Scenario, Findings)> = std::thread::scope(|scope| {
+        let scenarios = &scenarios;
+        let run_part = |part: usize| {
             move || -> Vec<(usize, Scenario, Findings)> {
-                let mine = all.iter().enumerate().skip(p).step_by(parts);
-                mine.map(|(n, scenario)| {
+                let part = scenarios.iter().enumerate().skip(part).step_by(thread_count);
+                part.map(|(n, scenario)| {
                     (n, scenario.clone(), Simulation::new(scenario.clone()).run())
                 })
                 .collect()
             }
         };
-        let threads: Vec<_> = (0..parts).map(|p| scope.spawn(part(p))).collect();
-        threads.into_iter().flat_map(|t| t.join().expect("a day panicked")).collect()
+        let threads: Vec<_> = (0..thread_count).map(|part| scope.spawn(run_part(part))).collect();
+        threads.into_iter().flat_map(|t| t.join().expect("a simulation panicked")).collect()
     });
-    out.sort_by_key(|(n, ..)| *n);
-    out.into_iter().map(|(_, scenario, found)| (scenario, found)).collect()
+    results.sort_by_key(|(n, ..)| *n);
+    results.into_iter().map(|(_, scenario, findings)| (scenario, findings)).collect()
 }
