--- a/crates/sessions/src/lib.rs
+++ b/crates/sessions/src/lib.rs
@@ -29,7 +29,7 @@
 //!    requests without a key are routed by hash and keyed ones are rejected:
 //!    `protocol::waits_are_bounded_and_only_keyed_requests_are_rejected`.
 //! 5. **A key whose cell is excluded is sent to no other cell** before its window ends; new keys of the session are
-//!    (`protocol::key_of_an_excluded_cell_is_sent_to_no_other_cell_and_new_keys_are`). If a key may have been executed
+//!    (`protocol::key_of_an_excluded_cell_is_sent_to_no_other_cell_unlike_new_keys`). If a key may have been executed
 //!    in an unknown cell, because all balancers that knew the cell were lost, its request waits for the end of the
 //!    window if the deadline allows, and fails otherwise
 //!    (`protocol::sessions_of_a_lost_zone_are_taken_over_and_their_keys_wait`,
--- a/crates/sessions/src/message.rs
+++ b/crates/sessions/src/message.rs
@@ -55,9 +55,9 @@
 /// The records that a previous owner has for a new one, from an offset on.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub(crate) struct RecordChunk {
-    /// As in [`Message::FetchRecords`].
+    /// The `started_at` of the [`Message::FetchRecords`] that the chunk answers.
     pub started_at: u64,
-    /// As in [`Message::FetchRecords`].
+    /// The `offset` of the [`Message::FetchRecords`] that the chunk answers.
     pub offset: u32,
     pub records: Vec<SessionRecord>,
     /// In the last chunk, for how long, in ms, keys that were lost together with their owners may still be inside their
@@ -93,7 +93,7 @@
     /// Accepts a transfer, or rejects it, so that the session has to be claimed again.
     TransferAck { session: SessionId, epoch: Epoch, is_accepted: bool },
     /// Asks all balancers of the zone, after a change of the ownership table, for the records that they have for the
-    /// sender, from this offset on.
+    /// sender, from this offset on. `started_at` is the moment at which the fetch began, by the sender's clock.
     FetchRecords { started_at: u64, offset: u32 },
     /// Answers a request for records.
     RecordChunk(RecordChunk),
--- a/crates/sessions/src/record_store.rs
+++ b/crates/sessions/src/record_store.rs
@@ -14,7 +14,7 @@
 /// The largest number of expired entries that one step drops. Later steps drop the others.
 pub(crate) const MAX_EXPIRED_PER_STEP: usize = 32;
 
-/// The ownership of a record, as this balancer knows it.
+/// The state of a record's ownership at this balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) enum Ownership {
     /// Another balancer or none owns the record, which holds the knowledge of a previous owner.
@@ -53,7 +53,7 @@
     pub epoch: Epoch,
     last_used: u32,
     retained_until: u32,
-    /// The tick until which any key of the session may have been executed in any cell.
+    /// The tick until which the session is uncertain: any key of the session may have been executed in any cell.
     pub uncertain_until: u32,
     pub cell: Cell,
     pub ownership: Ownership,
@@ -91,7 +91,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct StoreFull;
 
-/// Records and keys.
+/// A bounded store of records and of the keys inside their windows.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct RecordStore {
     records: BTreeMap<SessionId, Record>,
--- a/crates/sessions/src/routing_client.rs
+++ b/crates/sessions/src/routing_client.rs
@@ -66,7 +66,8 @@
         self.retry_request(number, ctx);
     }
 
-    /// Asks the owner or a replica again, or routes the request without a record once its wait is over.
+    /// Sends a message for a pending request to the owner or a replica, or routes the request without a record once its
+    /// wait has ended.
     pub(crate) fn retry_request(&mut self, number: u32, ctx: &mut Context) {
         let Some(pending) = self.pending.get(number).cloned() else { return };
         let request = pending.request;
--- a/crates/sessions/src/session_record.rs
+++ b/crates/sessions/src/session_record.rs
@@ -28,7 +28,7 @@
     pub epoch: Epoch,
     /// The cell that new requests go to.
     pub cell: Cell,
-    /// For how long any key of the session may have been executed in any cell, in ms.
+    /// For how long the session is uncertain, in ms: any key of the session may have been executed in any cell.
     pub uncertain_for: u64,
     pub keys: Vec<KeyRecord>,
 }
--- a/crates/sessions/tests/protocol.rs
+++ b/crates/sessions/tests/protocol.rs
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn key_of_an_excluded_cell_is_sent_to_no_other_cell_and_new_keys_are() {
+fn key_of_an_excluded_cell_is_sent_to_no_other_cell_unlike_new_keys() {
     let mut cluster = Cluster::new(3, |_| ());
     let Some(cell) = cluster.request_cell(0, 7, keyed(1)) else {
         panic!("the first request is sent")
@@ -284,7 +284,7 @@
 }
 
 #[test]
-fn key_under_two_sessions_goes_to_one_cell_from_one_balancer() {
+fn balancer_sends_key_of_two_sessions_to_one_cell() {
     let mut cluster = Cluster::new(2, |_| ());
     let Some(cell) = cluster.request_cell(0, 1, keyed(5)) else {
         panic!("the first request is sent")
--- a/crates/sessions/tests/sim/mod.rs
+++ b/crates/sessions/tests/sim/mod.rs
@@ -76,19 +76,32 @@
     pub executed_twice: Vec<String>,
     /// Two owners at a time, epochs that decrease, sends under an old epoch, and requests that were routed twice.
     pub ownership_violations: Vec<String>,
+    /// All keyed requests.
     pub keyed: u64,
+    /// Keyed requests that were permitted.
     pub keyed_permitted: u64,
+    /// Keyed requests that were sent before their permits ended.
     pub keyed_sent: u64,
+    /// Keyed requests that were rejected or failed, by decision.
     pub rejected_or_failed: BTreeMap<String, u64>,
+    /// Requests without a key that were sent.
     pub unkeyed_sent: u64,
+    /// Requests without a key that were sent to the cell of the user's previous request.
     pub unkeyed_at_last_cell: u64,
+    /// The times from the arrival of a request to its decision.
     pub waits: Vec<u64>,
+    /// Requests without a key that waited over 27 ms at a balancer that was not paused.
     pub overlong_waits: u64,
+    /// The times from a user's move until a balancer of the new zone owned the session.
     pub takeover_times: Vec<u64>,
     pub messages: u64,
+    /// The size of the longest message, in bytes.
     pub longest_message: usize,
+    /// Requests without a decision long after their deadlines.
     pub unrouted: u64,
+    /// Repeats of keyed requests that were sent.
     pub repeats_sent: u64,
+    /// Keyed requests that were permitted after the faults of the run.
     pub permitted_after_faults: u64,
 }
 
@@ -545,6 +558,7 @@
     fn check(&mut self) {
         for (key, executions) in &mut self.executions {
             executions.sort_by_key(|execution| execution.executed_at);
+            // The executions that no cell dropped as repeats.
             let mut effects: Vec<&Execution> = Vec::new();
             for execution in executions.iter() {
                 let window = self.scenario.dedup_window;
@@ -557,7 +571,8 @@
                     effects.last().filter(|e| execution.executed_at < e.executed_at + window)
                 {
                     self.findings.executed_twice.push(format!(
-                        "key {key} was executed in cell {} at {} (from balancer {}) and in cell {} at {} (from balancer {})",
+                        "key {key} was executed in cell {} at {} (from balancer {}) and in cell {} at {} \
+                         (from balancer {})",
                         before.cell,
                         before.executed_at,
                         before.balancer,
