--- a/crates/sessions/src/reconfiguration.rs
+++ b/crates/sessions/src/reconfiguration.rs
@@ -1,5 +1,5 @@
-//! Changes of the ownership table: transfers that it interrupts are settled, and sessions that have another owner now
-//! become tombstones and are reported to it. The new owner fetches the reports (see
+//! Changes of the ownership table. A change settles the transfers that it interrupts. The records of sessions that have
+//! another owner now become tombstones, and the new owner fetches these records (see
 //! [`record_fetch`](crate::record_fetch)).
 
 use std::collections::BTreeSet;
@@ -13,29 +13,29 @@
 use crate::state::{Context, RecordFetch, Sessions};
 use crate::time::ticks_to_ms;
 
-/// What a change of the ownership table means for the sessions of this balancer.
+/// The effects of a change of the ownership table on the sessions of this balancer.
 #[derive(Default)]
 struct Reassignment {
-    /// Sessions that this balancer does not own any more.
+    /// The sessions that this balancer does not own any more.
     tombstones: Vec<SessionId>,
-    /// Sessions to be reported, with their new owners.
+    /// The sessions to be reported, with their new owners.
     reports: BTreeSet<(NodeId, SessionId)>,
 }
 
 impl Sessions {
-    /// Puts another ownership table in force. The own slot is valid until `until`, if the table has one.
+    /// Puts another ownership table in force. This balancer's slot, if the table has one, is valid until `until`.
     pub(crate) fn reconfigure(&mut self, table: OwnershipTable, until: u64, ctx: &mut Context) {
         let old = std::mem::replace(&mut self.table, table);
         let slot = self.table.slot(self.config.node_id).copied();
         self.slot = slot.filter(|slot| slot.incarnation == self.config.incarnation);
         self.slot_until = if self.slot.is_some() { until } else { 0 };
-        // Without a slot in between, others may own what this balancer owned.
-        let has_kept_slot = self.slot.is_some_and(|slot| slot.since <= old.version);
+        // If a table in between had no slot of this balancer, others may own the sessions that this balancer owned.
+        let retains_slot = self.slot.is_some_and(|slot| slot.since <= old.version);
         self.record_lost_owners(&old, ctx.now);
         self.cache.clear();
         self.pending.reset_permissions();
-        self.settle_transfers(has_kept_slot, ctx.now);
-        self.reassign_sessions(has_kept_slot, &old, ctx.now);
+        self.settle_transfers(retains_slot, ctx.now);
+        self.reassign_sessions(retains_slot, &old, ctx.now);
         self.start_fetches(ctx);
         self.restart_claims(ctx);
         self.finish_fetching(ctx);
@@ -52,21 +52,24 @@
         }
     }
 
-    /// Settles transfers that the change interrupts. A record that was not sent stays. One that a receiver which is
-    /// still there may have accepted is settled with that. Of one that a lost receiver may have accepted a tombstone
-    /// remains.
-    fn settle_transfers(&mut self, has_kept_slot: bool, now: u64) {
+    /// Settles the transfers that the change interrupts:
+    ///
+    /// - If this balancer has retained its slot, a record that was not sent stays here.
+    /// - If both balancers have retained their slots, the transfer of a record that was sent continues until the
+    ///   receiver acknowledges it.
+    /// - Otherwise the record becomes a tombstone, since the receiver or another balancer may own the session.
+    fn settle_transfers(&mut self, retains_slot: bool, now: u64) {
         let sessions: Vec<SessionId> = self.outgoing.keys().copied().collect();
         for session in sessions {
             let Some(transfer) = self.outgoing.get(&session) else { continue };
-            if has_kept_slot && transfer.is_sent && self.table.has(&transfer.to) {
+            if retains_slot && transfer.is_sent && self.table.has(&transfer.to) {
                 continue;
             }
-            let stays = has_kept_slot && !transfer.is_sent;
+            let remains_owner = retains_slot && !transfer.is_sent;
             let epoch = transfer.epoch;
             self.outgoing.remove(&session);
-            if !stays {
-                // The record exists: it is retained during its transfer.
+            if !remains_owner {
+                // The update cannot fail, because a record is retained during its transfer.
                 let _ = self.store.update(now, session, None, |record| {
                     record.ownership = Ownership::Tombstone;
                     record.epoch = epoch;
@@ -75,10 +78,11 @@
         }
     }
 
-    /// Makes tombstones of the sessions that have another owner now, and notes what to report to each new owner.
-    fn reassign_sessions(&mut self, has_kept_slot: bool, old: &OwnershipTable, now: u64) {
+    /// Turns the records of sessions that have another owner now into tombstones, and collects the sessions to be
+    /// reported to each new owner.
+    fn reassign_sessions(&mut self, retains_slot: bool, old: &OwnershipTable, now: u64) {
         self.outbox.clear();
-        let mut reassignment = self.reassignment(has_kept_slot, old, now);
+        let mut reassignment = self.reassignment(retains_slot, old, now);
         for session in reassignment.tombstones {
             let _ = self.store.update(now, session, None, |record| {
                 record.ownership = Ownership::Tombstone;
@@ -90,26 +94,29 @@
         }
     }
 
-    fn reassignment(&self, has_kept_slot: bool, old: &OwnershipTable, now: u64) -> Reassignment {
+    fn reassignment(&self, retains_slot: bool, old: &OwnershipTable, now: u64) -> Reassignment {
         let node_id = self.config.node_id;
         let was_in_zone = |node: NodeId| old.zone_of(node) == self.zone();
-        // Of sessions that this balancer owned only a new slot can be the owner now. Looking at all slots would stop the
-        // cluster's thread for too long: 200,000 records, 150 slots.
+        // Only a balancer with a new slot can have replaced this balancer as the owner of a session. A comparison with
+        // all slots would block the cluster's thread for too long: 200,000 records, 150 slots.
         let slots = self.zone().map_or(&[][..], |zone| self.table.in_zone(zone));
         let nodes = slots.iter().map(|slot| slot.node);
         let new_nodes: Vec<NodeId> = nodes.filter(|node| !was_in_zone(*node)).collect();
-        let has_kept_slot = has_kept_slot && was_in_zone(node_id);
+        let retains_slot = retains_slot && was_in_zone(node_id);
         let is_still_owner = |session: SessionId| {
             let ranks_first = |new: &NodeId| !OwnershipTable::ranks_before(session, *new, node_id);
-            has_kept_slot && new_nodes.iter().all(ranks_first)
+            retains_slot && new_nodes.iter().all(ranks_first)
         };
         let mut result = Reassignment::default();
         for (session, record) in self.store.iter() {
-            let is_held = record.ownership != Ownership::Tombstone;
-            let is_unaffected =
-                if is_held { is_still_owner(session) } else { !record.is_in_window(now) };
+            let is_owned_or_received = record.ownership != Ownership::Tombstone;
+            let is_unaffected = if is_owned_or_received {
+                is_still_owner(session)
+            } else {
+                !record.is_in_window(now)
+            };
             if !is_unaffected {
-                self.reassign_session(session, record, has_kept_slot, now, &mut result);
+                self.reassign_session(session, record, retains_slot, now, &mut result);
             }
         }
         result
@@ -119,27 +126,27 @@
         &self,
         session: SessionId,
         record: &Record,
-        has_kept_slot: bool,
+        retains_slot: bool,
         now: u64,
         result: &mut Reassignment,
     ) {
-        let is_held = record.ownership != Ownership::Tombstone;
+        let is_owned_or_received = record.ownership != Ownership::Tombstone;
         let Some(owner) = self.owner_in_zone(session) else {
             result.tombstones.push(session);
             return;
         };
         let is_owner = owner == self.config.node_id;
-        let keeps_record = is_owner && has_kept_slot;
-        if is_held && !keeps_record && !self.outgoing.contains_key(&session) {
+        let retains_record = is_owner && retains_slot;
+        if is_owned_or_received && !retains_record && !self.outgoing.contains_key(&session) {
             result.tombstones.push(session);
         }
-        if !is_owner && (is_held || record.is_in_window(now)) {
+        if !is_owner && (is_owned_or_received || record.is_in_window(now)) {
             result.reports.insert((owner, session));
         }
     }
 
-    /// Reports the keys that this balancer has sent or replicated to the owners of their sessions, or takes them into its
-    /// own records.
+    /// Collects the sessions of the keys that this balancer has sent or replicated, so that they are reported to their
+    /// owners. Keys of sessions that this balancer owns are imported into its own records.
     fn reassign_replicated_keys(&mut self, reports: &mut BTreeSet<(NodeId, SessionId)>, now: u64) {
         let keys: Vec<_> = self.replicated_keys.iter().collect();
         for (session, key, entry) in keys {
@@ -158,7 +165,7 @@
         }
     }
 
-    /// Asks all others of the zone for the records that they have for this balancer.
+    /// Asks all other balancers of the zone for the records that they have for this balancer.
     fn start_fetches(&mut self, ctx: &mut Context) {
         self.fetches.clear();
         let node_id = self.config.node_id;
@@ -171,7 +178,7 @@
         }
     }
 
-    /// Claims anew what was being claimed, if this balancer is the owner still.
+    /// Restarts the claims in progress of sessions that are still assigned to this balancer.
     fn restart_claims(&mut self, ctx: &mut Context) {
         self.waiting_claims.clear();
         for session in std::mem::take(&mut self.claims).into_keys() {
