--- a/crates/checker/src/cluster/mod.rs
+++ b/crates/checker/src/cluster/mod.rs
@@ -1,7 +1,7 @@
 //! What a bank's balancers agreed on, held against what they sent: judged from stand-in nodes' account of what reached them
 //! and from what the doors answered. It knows rules as plain sets of names, and shares no code with whoever keeps them.
 //!
-//! **A contradiction**, in words. An upstream is *forbidden* to a class by a revision that has it, its pod, its kind or its
+//! **A contradiction**, in answers. An upstream is *forbidden* to a class by a revision that has it, its pod, its kind or its
 //! site out, or keeps the class from its pod; unless the charter of the same door's word allows it. Take the
 //! revisions in the order of their numbers, those of a log founded later after all of one before: a *stretch* is as many after one another as forbid it. A stretch *is acted
 //! on* wherever a door says that its balancer holds a lease and is at a revision of the stretch, or at the step towards one; and
@@ -15,7 +15,7 @@
 //! each send there after `first` contradicts. Before `next` it does so for as long as it comes after `first`: nobody
 //! allows it any more, so whoever sends has stayed behind. From `next` on the sender may as well be ahead of the others:
 //! it contradicts for the shorter of that, and of the time from it to `last`. The longest of all is `contradiction_s`,
-//! and must not be above [`BOUND`].
+//! and must not be above [`MAX_CONTRADICTION_S`].
 //!
 //! Nobody's word excuses a send, least of all the sender's: who sends is told by nodes. Words only say what others
 //! refuse. So a balancer that says nothing, or too much, of itself can't look better by it; one that says that it
@@ -30,27 +30,27 @@
 
 use std::collections::{BTreeMap, BTreeSet};
 
-use hollowpaddle_scenario::record::{At, Observation, Played};
+use hollowpaddle_scenario::record::{At, CompletedRun, Observation};
 use hollowpaddle_scenario::scenario::Expect;
 use serde::Serialize;
 
 pub use contradiction::Contradiction;
-pub use in_force::{Change, InForce, Moment};
+pub use in_force::{Change, InForce, PolicySample};
 
 use crate::Case;
 use admin_answers::AdminAnswers;
 
 /// T: the longest contradiction that a bank promises, in seconds (docs/design/cluster.md).
-pub const BOUND: f64 = 3.0;
+pub const MAX_CONTRADICTION_S: f64 = 3.0;
 /// Contradictions that are told in full.
-const TOLD: usize = 20;
+const MAX_CONTRADICTIONS: usize = 20;
 
 /// What came of a bank's rule book on a day with acts on it.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Bank {
+pub struct PolicyReport {
     /// The longest contradiction that was seen, in seconds.
     pub contradiction_s: f64,
-    /// The longest that may be, in seconds; times are told apart as [`crate::Exactness`] says, on top.
+    /// The longest that may be, in seconds; times are told apart as [`crate::TimingTolerance`] says, on top.
     pub bound_s: f64,
     /// The longest ones, one for each stretch, upstream and class.
     pub contradictions: Vec<Contradiction>,
@@ -72,57 +72,58 @@
     pub logs: usize,
     /// Yeses that came to nothing since nobody who knew of them could be asked when another log was founded: all were down,
     /// frozen or cut off.
-    pub forgotten: usize,
+    #[serde(rename = "forgotten")]
+    pub unrecoverable: usize,
     /// Broken promises, a line each.
     pub broken: Vec<String>,
     /// Over time: under a lease, and at the newest revision.
-    pub over_time: Vec<Moment>,
+    pub over_time: Vec<PolicySample>,
 }
 
 /// Judges it; `None` for a day without acts on the rule book.
-pub fn of(played: &Played, slack_s: f64) -> Option<Bank> {
+pub fn of(played: &CompletedRun, slack_s: f64) -> Option<PolicyReport> {
     let (scenario, plan) = (&played.scenario, &played.plan);
-    if plan.bank.is_empty() || !scenario.bank.agrees() {
+    if plan.policy_actions.is_empty() || !scenario.cluster.agrees() {
         return None;
     }
     let case = Case { scenario, plan, trace: &played.trace, slack: 0 };
-    let words = AdminAnswers::of(&case);
-    let mut bank = Bank { bound_s: BOUND, ..Bank::default() };
-    let mut all = contradiction::all(&case, &words, played.began, &mut bank);
-    all.sort_by(|a, b| b.for_s.total_cmp(&a.for_s).then(a.at_s.total_cmp(&b.at_s)));
-    bank.contradiction_s = all.first().map_or(0.0, |c| c.for_s);
-    let beyond = all.iter().filter(|c| c.for_s > BOUND + slack_s).count();
+    let answers = AdminAnswers::of(&case);
+    let mut report = PolicyReport { bound_s: MAX_CONTRADICTION_S, ..PolicyReport::default() };
+    let mut all = contradiction::all(&case, &answers, played.began, &mut report);
+    all.sort_by(|a, b| b.duration_s.total_cmp(&a.duration_s).then(a.at_s.total_cmp(&b.at_s)));
+    report.contradiction_s = all.first().map_or(0.0, |c| c.duration_s);
+    let beyond = all.iter().filter(|c| c.duration_s > MAX_CONTRADICTION_S + slack_s).count();
     if let Some(longest) = all.first().filter(|_| beyond > 0) {
-        bank.broken.push(format!(
-            "contradicting rules were acted on for {:.3} s, {BOUND:.1} s at most ({beyond} such stretches): {longest}",
-            longest.for_s
+        report.broken.push(format!(
+            "contradicting rules were acted on for {:.3} s, {MAX_CONTRADICTION_S:.1} s at most ({beyond} such stretches): {longest}",
+            longest.duration_s
         ));
     }
-    all.truncate(TOLD);
-    bank.contradictions = all;
-    bank.logs = words.logs();
-    answers(&case, &words, &mut bank);
-    bank.in_force_s = in_force::of(&case, &words, played.began);
-    bank.over_time = in_force::over_time(&case, &words, played.began);
-    Some(bank)
+    all.truncate(MAX_CONTRADICTIONS);
+    report.contradictions = all;
+    report.logs = answers.logs();
+    check_answers(&case, &answers, &mut report);
+    report.in_force_s = in_force::of(&case, &answers, played.began);
+    report.over_time = in_force::over_time(&case, &answers, played.began);
+    Some(report)
 }
 
 /// What was answered: each question one answer, each number one content, and no yes is lost.
-fn answers(case: &Case, words: &AdminAnswers, bank: &mut Bank) {
+fn check_answers(case: &Case, answers: &AdminAnswers, report: &mut PolicyReport) {
     let mut ids: BTreeMap<(u32, u32), Option<&str>> = BTreeMap::new();
     let mut tries: BTreeMap<u32, u32> = BTreeMap::new();
-    let mut said: BTreeMap<&str, BTreeSet<Result<u64, ()>>> = BTreeMap::new();
+    let mut answers_by_id: BTreeMap<&str, BTreeSet<Result<u64, ()>>> = BTreeMap::new();
     let mut ended: BTreeMap<u32, Option<bool>> = BTreeMap::new();
-    let mut granted: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
+    let mut committed: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
     for line in case.trace {
         match &line.seen {
-            Observation::Said { call, tries: t, id, .. } => {
-                bank.calls += 1;
+            Observation::OperatorCall { call, tries: t, id, .. } => {
+                report.calls += 1;
                 ids.insert((*call, *t), id.as_deref());
                 tries.insert(*call, *t);
                 ended.entry(*call).or_insert(None);
             }
-            Observation::Heard { call, verb, status: Some(status), number, .. } => {
+            Observation::OperatorAnswer { call, verb, status: Some(status), number, .. } => {
                 let id = tries.get(call).and_then(|t| ids.get(&(*call, *t))).copied().flatten();
                 let answer = match (status, number) {
                     (200, Some(number)) => Ok(*number),
@@ -135,41 +136,46 @@
                 };
                 ended.insert(*call, Some(answer.is_ok()));
                 if let Some(id) = id {
-                    said.entry(id).or_default().insert(answer);
+                    answers_by_id.entry(id).or_default().insert(answer);
                     if let Some(number) = answer.ok().filter(|_| verb.revises()) {
-                        granted.entry(number).or_default().insert(id);
+                        committed.entry(number).or_default().insert(id);
                     }
                 }
             }
             _ => {}
         }
     }
-    bank.changes = words.granted.len();
-    bank.refused = ended.values().filter(|e| **e == Some(false)).count();
-    bank.unanswered = ended.values().filter(|e| e.is_none()).count();
-    for (id, answers) in said.iter().filter(|(_, answers)| answers.len() > 1) {
-        bank.broken
-            .push(format!("the question {id} was answered in {} ways: {answers:?}", answers.len()));
+    report.changes = answers.committed.len();
+    report.refused = ended.values().filter(|e| **e == Some(false)).count();
+    report.unanswered = ended.values().filter(|e| e.is_none()).count();
+    for (id, distinct) in answers_by_id.iter().filter(|(_, distinct)| distinct.len() > 1) {
+        report.broken.push(format!(
+            "the question {id} was answered in {} ways: {distinct:?}",
+            distinct.len()
+        ));
     }
-    for (number, ids) in granted.iter().filter(|(_, ids)| ids.len() > 1 && bank.logs < 2) {
-        bank.broken
+    for (number, ids) in committed.iter().filter(|(_, ids)| ids.len() > 1 && report.logs < 2) {
+        report
+            .broken
             .push(format!("revision {number} was the answer to {} questions: {ids:?}", ids.len()));
     }
-    for (log, number) in &words.twofold {
-        bank.broken.push(format!(
+    for (log, number) in &answers.conflicting {
+        report.broken.push(format!(
             "doors tell of two contents of revision {number} of one log, the {log}. of the day"
         ));
     }
     // A log that is founded on a copy goes on with its numbers.
-    let newest = words.newest_at_end();
-    let lost =
-        words.granted.iter().filter(|(number, _)| newest.is_some_and(|newest| newest.1 < number.1));
+    let newest = answers.newest_at_end();
+    let lost = answers
+        .committed
+        .iter()
+        .filter(|(number, _)| newest.is_some_and(|newest| newest.1 < number.1));
     for (number, at) in lost {
-        if !words.could_be_asked(*number) {
-            bank.forgotten += 1;
+        if !answers.was_recoverable(*number) {
+            report.unrecoverable += 1;
             continue;
         }
-        bank.broken.push(format!(
+        report.broken.push(format!(
             "revision {} was granted at {:.3} s, somebody who knew it could be asked whenever a log was founded \
              since, and at the end the newest that any door knows is {}",
             number.1,
@@ -180,25 +186,26 @@
 }
 
 /// What was expected of the rule book and not shown, a line each.
-pub(crate) fn missed(expect: &Expect, bank: &Bank) -> Vec<String> {
-    let mut missed = Vec::new();
+pub(crate) fn missed_expectations(expect: &Expect, report: &PolicyReport) -> Vec<String> {
+    let mut missed_expectations = Vec::new();
     let most = expect.contradiction.map(|d| d.as_secs_f64());
-    if let Some(most) = most.filter(|most| bank.contradiction_s > *most) {
-        let found = bank.contradiction_s;
-        missed.push(format!("contradicting rules for {found:.3} s; at most {most:.3} s expected"));
+    if let Some(most) = most.filter(|most| report.contradiction_s > *most) {
+        let found = report.contradiction_s;
+        missed_expectations
+            .push(format!("contradicting rules for {found:.3} s; at most {most:.3} s expected"));
     }
     if let Some(most) = expect.in_force.map(|d| d.as_secs_f64()) {
-        for change in &bank.in_force_s.changes {
-            match change.all_s {
+        for change in &report.in_force_s.changes {
+            match change.in_force_all_s {
                 Some(took) if took <= most && change.missing == 0 => {}
                 // Nobody looked for as long as it may take.
                 _ if change.missing > 0 && change.watched_s < most => {}
                 _ if change.superseded => {}
-                Some(took) if change.missing == 0 => missed.push(format!(
+                Some(took) if change.missing == 0 => missed_expectations.push(format!(
                     "revision {} was in force everywhere {took:.3} s after the yes; at most {most:.3} s expected",
                     change.revision
                 )),
-                _ => missed.push(format!(
+                _ => missed_expectations.push(format!(
                     "revision {} was not in force at {} balancers that were well in the {:.1} s after the yes; {most:.3} s \
                      expected",
                     change.revision, change.missing, change.watched_s
@@ -206,7 +213,7 @@
             }
         }
     }
-    missed
+    missed_expectations
 }
 
 /// Seconds from the first client.
--- a/crates/checker/src/lib.rs
+++ b/crates/checker/src/lib.rs
@@ -5,14 +5,14 @@
 #![warn(missing_docs)]
 
 pub mod cluster;
-mod cold;
 mod drains;
-pub mod fleet;
 mod floors;
+pub mod recovery;
 pub mod report;
 mod requests;
 mod service;
 mod sessions;
+mod warm_up;
 
 use std::time::Duration;
 
@@ -24,7 +24,7 @@
 
 pub use floors::Floor;
 pub use service::{ClassService, Counts, Service};
-pub use sessions::{Run, Sessions, Twice};
+pub use sessions::{DuplicateEffect, EffectRun, SessionReport};
 
 /// Which rule was broken, and how.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize)]
@@ -130,12 +130,12 @@
 
 /// How exactly times can be told apart.
 #[derive(Clone, Copy, Debug, PartialEq)]
-pub struct Exactness {
+pub struct TimingTolerance {
     /// Limits of time are this much longer: what passes between a program's act and a stand-in's seeing it.
     pub slack: Duration,
 }
 
-impl Exactness {
+impl TimingTolerance {
     /// Of real sockets: the platform's own allowance (PROTOCOL, 'The rules on sockets').
     pub const LIVE: Self = Self { slack: Duration::from_millis(50) };
 
@@ -148,7 +148,7 @@
 
 /// The judge's findings, and what the run was like.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Verdict {
+pub struct CheckResult {
     /// Broken rules in order of time; none is well.
     pub findings: Vec<Finding>,
     /// How clients were served.
@@ -156,20 +156,25 @@
     /// What had to be served at least, and was or was not.
     pub floors: Vec<Floor>,
     /// How vans fared, on a day that has some.
-    pub sessions: Option<Sessions>,
+    pub sessions: Option<SessionReport>,
 }
 
 /// Judges a run.
-pub fn judge(scenario: &Scenario, plan: &Plan, trace: &[Line], exact: Exactness) -> Verdict {
+pub fn check(
+    scenario: &Scenario,
+    plan: &Plan,
+    trace: &[Line],
+    exact: TimingTolerance,
+) -> CheckResult {
     let case = Case { scenario, plan, trace, slack: exact.slack.as_micros() as u64 };
     let mut findings = Vec::new();
-    requests::judge(&case, &mut findings);
-    drains::judge(&case, &mut findings);
-    cold::judge(&case, &mut findings);
+    requests::check(&case, &mut findings);
+    drains::check(&case, &mut findings);
+    warm_up::check(&case, &mut findings);
     crashes(&case, &mut findings);
     findings.sort_by_key(|f| (f.at, f.violation, f.request));
-    let (service, floors) = (service::reckon(&case), floors::of(&case));
-    Verdict { findings, service, floors, sessions: sessions::of(&case) }
+    let (service, floors) = (service::report(&case), floors::of(&case));
+    CheckResult { findings, service, floors, sessions: sessions::of(&case) }
 }
 
 /// What is judged.
--- a/crates/checker/src/fleet/contention.rs
+++ b/crates/checker/src/recovery/contention.rs
@@ -21,14 +21,14 @@
 
 #[derive(Clone, Copy, Debug, Default)]
 struct Node {
-    up: bool,
+    is_up: bool,
     /// Warm from here on.
-    warm: At,
-    holds: i64,
+    warm_at: At,
+    in_flight: i64,
     /// With what nobody waits for, until about then.
-    busy: At,
+    busy_until: At,
     /// Faults that keep it from answering anyone.
-    dark: u32,
+    unreachable_faults: u32,
 }
 
 /// Reckons it for one run.
@@ -38,39 +38,50 @@
     let mut serving: FxHashSet<(usize, usize)> = FxHashSet::default();
     let mut cut: FxHashMap<(usize, usize), u32> = FxHashMap::default();
     let mut attempts: FxHashMap<u32, (usize, f64)> = FxHashMap::default();
-    let mut asked: FxHashMap<u32, usize> = FxHashMap::default();
+    let mut balancers: FxHashMap<u32, usize> = FxHashMap::default();
     // Nodes that hold nothing, whatever else is with them.
     let mut idle: FxHashSet<usize> = FxHashSet::default();
     let mut sent = 0u64;
     for line in run.case.trace {
         match &line.seen {
             Observation::Up { node, cold_ms, .. } => {
-                let warm = At(line.at.0 + (*cold_ms * 1e3) as u64);
-                nodes[*node] = Node { up: true, warm, dark: nodes[*node].dark, ..Node::default() };
+                let warm_at = At(line.at.0 + (*cold_ms * 1e3) as u64);
+                nodes[*node] = Node {
+                    is_up: true,
+                    warm_at,
+                    unreachable_faults: nodes[*node].unreachable_faults,
+                    ..Node::default()
+                };
                 idle.insert(*node);
             }
-            Observation::Down { node } | Observation::Tipped { node } => nodes[*node].up = false,
-            Observation::Warmth { node, share } if *share >= 1.0 => {
-                nodes[*node].warm = nodes[*node].warm.min(line.at);
+            Observation::Down { node } | Observation::Overloaded { node } => {
+                nodes[*node].is_up = false
+            }
+            Observation::WarmUpProgress { node, share } if *share >= 1.0 => {
+                nodes[*node].warm_at = nodes[*node].warm_at.min(line.at);
             }
             Observation::Fault { fault, begins } => {
-                let acts = run.case.plan.acts.iter().filter(|a| a.fault == *fault);
-                let Some(act) = acts.into_iter().find(|a| a.begins == *begins) else { continue };
-                let by: i64 = if *begins { 1 } else { -1 };
-                for node in &act.nodes {
+                let events = run.case.plan.fault_events.iter().filter(|a| a.fault == *fault);
+                let Some(event) = events.into_iter().find(|a| a.begins == *begins) else {
+                    continue;
+                };
+                let change: i64 = if *begins { 1 } else { -1 };
+                for node in &event.nodes {
                     match &run.case.scenario.faults[*fault].kind {
                         FaultKind::Vanish => {
-                            nodes[*node].dark = nodes[*node].dark.saturating_add_signed(by as i32);
+                            nodes[*node].unreachable_faults = nodes[*node]
+                                .unreachable_faults
+                                .saturating_add_signed(change as i32);
                         }
                         FaultKind::Unreachable { balancers } => balancers.iter().for_each(|b| {
                             let entry = cut.entry((*b, *node)).or_default();
-                            *entry = entry.saturating_add_signed(by as i32);
+                            *entry = entry.saturating_add_signed(change as i32);
                         }),
                         _ => {}
                     }
                 }
             }
-            Observation::Told { balancer, node, phase, .. } => {
+            Observation::ListUpdate { balancer, node, phase, .. } => {
                 if *phase == Phase::Serving {
                     serving.insert((*balancer, *node));
                 } else {
@@ -79,38 +90,38 @@
             }
             Observation::Attempt { attempt, node, dark: false, work_ms, .. } => {
                 attempts.insert(*attempt, (*node, *work_ms));
-                nodes[*node].holds += 1;
+                nodes[*node].in_flight += 1;
                 idle.remove(node);
             }
-            Observation::Ended { attempt, fate } => {
+            Observation::Ended { attempt, outcome } => {
                 let Some((node, work_ms)) = attempts.remove(attempt) else { continue };
                 // What its balancer gave up goes on there, at a speed that is about 1.
-                if *fate == AttemptOutcome::Abandoned {
+                if *outcome == AttemptOutcome::Abandoned {
                     let over = At(line.at.0 + (work_ms * 1e3) as u64);
-                    nodes[node].busy = nodes[node].busy.max(over);
+                    nodes[node].busy_until = nodes[node].busy_until.max(over);
                 }
-                nodes[node].holds -= 1;
-                if nodes[node].holds <= 0 {
+                nodes[node].in_flight -= 1;
+                if nodes[node].in_flight <= 0 {
                     idle.insert(node);
                 }
             }
             Observation::Sent { request, balancer, .. } => {
                 sent += 1;
-                asked.insert(*request, *balancer);
+                balancers.insert(*request, *balancer);
             }
             Observation::Answered { request, status: 429 | 503, .. } => {
                 contention.refused += 1;
-                let Some(balancer) = asked.get(request).copied() else { continue };
-                let could = |n: &usize| {
+                let Some(balancer) = balancers.get(request).copied() else { continue };
+                let is_usable = |n: &usize| {
                     let node = nodes[*n];
-                    node.up
-                        && node.dark == 0
-                        && node.warm <= line.at
-                        && node.busy <= line.at
+                    node.is_up
+                        && node.unreachable_faults == 0
+                        && node.warm_at <= line.at
+                        && node.busy_until <= line.at
                         && serving.contains(&(balancer, *n))
                         && cut.get(&(balancer, *n)).is_none_or(|c| *c == 0)
                 };
-                if idle.iter().any(could) {
+                if idle.iter().any(is_usable) {
                     contention.beside_idle += 1;
                 }
             }
--- a/crates/checker/src/fleet/full_service.rs
+++ b/crates/checker/src/recovery/full_service.rs
@@ -8,20 +8,20 @@
 
 use serde::Serialize;
 
-use hollowpaddle_scenario::plan::Act;
+use hollowpaddle_scenario::plan::FaultEvent;
 use hollowpaddle_scenario::record::Observation;
 use hollowpaddle_scenario::scenario::FaultKind;
 
 use super::{Run, STEP_S, is_load};
-use crate::service::asked;
+use crate::service::client_requests;
 
 /// How far below its twin service may be and still be full.
-const WITHIN: f64 = 0.02;
+const MAX_SHORTFALL: f64 = 0.02;
 /// Standard errors that chance may take it further.
-const ERRORS: f64 = 3.0;
+const MAX_STANDARD_ERRORS: f64 = 3.0;
 /// Steps of a window, and of the stretch over which all windows have to be well.
-const WINDOW: usize = 10;
-const STRETCH: usize = 30;
+const WINDOW_STEPS: usize = 10;
+const FULL_STEPS: usize = 30;
 
 /// Faults that overlap, and what came of them.
 #[derive(Clone, Debug, PartialEq, Serialize)]
@@ -46,43 +46,43 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Cell {
-    got: f64,
-    asked: f64,
+struct Weights {
+    earned: f64,
+    possible: f64,
     squares: f64,
 }
 
-impl Cell {
+impl Weights {
     fn ratio(self) -> Option<f64> {
-        (self.asked > 0.0).then(|| self.got / self.asked)
+        (self.possible > 0.0).then(|| self.earned / self.possible)
     }
 }
 
 /// Worth asked and served by step: prefix sums, for the whole first and then for each class.
-pub(super) struct Series(Vec<Vec<Cell>>);
+pub(super) struct Series(Vec<Vec<Weights>>);
 
 impl Series {
     pub(super) fn of(run: &Run) -> Self {
         let steps = (run.case.scenario.length.as_secs_f64() / STEP_S).ceil() as usize;
         let classes = run.case.scenario.classes.len();
-        let mut all = vec![vec![Cell::default(); steps + 1]; classes + 1];
-        for one in asked(&run.case) {
-            let (got, wanted) = one.worth(&run.case);
-            let step = ((one.due.as_secs_f64() / STEP_S) as usize).min(steps - 1);
-            for series in [0, one.class + 1] {
-                let cell = &mut all[series][step + 1];
-                cell.got += got;
-                cell.asked += wanted;
-                cell.squares += wanted * wanted;
+        let mut all = vec![vec![Weights::default(); steps + 1]; classes + 1];
+        for request in client_requests(&run.case) {
+            let (earned, possible) = request.weights(&run.case);
+            let step = ((request.due.as_secs_f64() / STEP_S) as usize).min(steps - 1);
+            for series in [0, request.class + 1] {
+                let weights = &mut all[series][step + 1];
+                weights.earned += earned;
+                weights.possible += possible;
+                weights.squares += possible * possible;
             }
         }
         for series in &mut all {
             for i in 1..series.len() {
                 let before = series[i - 1];
-                let cell = &mut series[i];
-                cell.got += before.got;
-                cell.asked += before.asked;
-                cell.squares += before.squares;
+                let weights = &mut series[i];
+                weights.earned += before.earned;
+                weights.possible += before.possible;
+                weights.squares += before.squares;
             }
         }
         Self(all)
@@ -92,32 +92,39 @@
         self.0[0].len() - 1
     }
 
-    fn sum(&self, series: usize, from: usize, steps: usize) -> Cell {
+    fn sum(&self, series: usize, from: usize, steps: usize) -> Weights {
         let (a, b) = (self.0[series][from], self.0[series][(from + steps).min(self.steps())]);
-        Cell { got: b.got - a.got, asked: b.asked - a.asked, squares: b.squares - a.squares }
+        Weights {
+            earned: b.earned - a.earned,
+            possible: b.possible - a.possible,
+            squares: b.squares - a.squares,
+        }
     }
 
     /// Service in windows of 1 s, one a step.
     pub(super) fn over_time(&self) -> Vec<Option<f64>> {
-        let windows = self.steps().saturating_sub(WINDOW) + 1;
-        (0..windows).map(|from| self.sum(0, from, WINDOW).ratio()).collect()
+        let windows = self.steps().saturating_sub(WINDOW_STEPS) + 1;
+        (0..windows).map(|from| self.sum(0, from, WINDOW_STEPS).ratio()).collect()
     }
 
     /// Whether service was not what it is in the twin.
     fn is_short(&self, control_run: &Self, series: usize, from: usize, steps: usize) -> bool {
-        let (here, there) = (self.sum(series, from, steps), control_run.sum(series, from, steps));
-        let (Some(p), Some(q)) = (here.ratio(), there.ratio()) else { return false };
-        let chance = |p: f64, cell: Cell| p * (1.0 - p) * cell.squares / (cell.asked * cell.asked);
-        let error = (chance(p, here) + chance(q, there)).sqrt();
-        q - p > WITHIN.max(ERRORS * error)
+        let (run_service, control) =
+            (self.sum(series, from, steps), control_run.sum(series, from, steps));
+        let (Some(p), Some(q)) = (run_service.ratio(), control.ratio()) else { return false };
+        let variance = |p: f64, weights: Weights| {
+            p * (1.0 - p) * weights.squares / (weights.possible * weights.possible)
+        };
+        let error = (variance(p, run_service) + variance(q, control)).sqrt();
+        q - p > MAX_SHORTFALL.max(MAX_STANDARD_ERRORS * error)
     }
 
     /// Whether from a step on, for 3 s, service was full.
     fn is_full(&self, control_run: &Self, from: usize) -> bool {
         (0..self.0.len()).all(|series| {
-            let windows = from..=from + STRETCH - WINDOW;
-            windows.into_iter().all(|at| !self.is_short(control_run, series, at, WINDOW))
-                && !self.is_short(control_run, series, from, STRETCH)
+            let windows = from..=from + FULL_STEPS - WINDOW_STEPS;
+            windows.into_iter().all(|at| !self.is_short(control_run, series, at, WINDOW_STEPS))
+                && !self.is_short(control_run, series, from, FULL_STEPS)
         })
     }
 }
@@ -136,19 +143,20 @@
         if is_load(&f.kind) {
             continue;
         }
-        let acts: Vec<&Act> = run.case.plan.acts.iter().filter(|a| a.fault == fault).collect();
-        let Some(from) = acts.first().map(|a| a.at.as_secs_f64()) else { continue };
+        let events: Vec<&FaultEvent> =
+            run.case.plan.fault_events.iter().filter(|a| a.fault == fault).collect();
+        let Some(from) = events.first().map(|a| a.at.as_secs_f64()) else { continue };
         let end = if f.kind.is_instant() { Some(from) } else { None };
-        let end = end.or(acts.last().map(|a| a.at.as_secs_f64())).unwrap_or(from);
+        let end = end.or(events.last().map(|a| a.at.as_secs_f64())).unwrap_or(from);
         let up = match f.kind {
             FaultKind::BalancerKill { .. } | FaultKind::BalancerRestart { .. } => {
-                let last = |b: &usize| acts.iter().rev().find(|a| a.balancers.contains(b));
-                let mut struck: Vec<usize> =
-                    acts.iter().flat_map(|a| a.balancers.clone()).collect();
-                struck.sort_unstable();
-                struck.dedup();
+                let last = |b: &usize| events.iter().rev().find(|a| a.balancers.contains(b));
+                let mut affected: Vec<usize> =
+                    events.iter().flat_map(|a| a.balancers.clone()).collect();
+                affected.sort_unstable();
+                affected.dedup();
                 let up = |b: &usize| ready(run, *b, last(b).map_or(end, |a| a.at.as_secs_f64()));
-                struck.iter().map(up).try_fold(end, |max, up| up.map(|up| max.max(up)))
+                affected.iter().map(up).try_fold(end, |max, up| up.map(|up| max.max(up)))
             }
             _ => Some(end),
         };
@@ -168,7 +176,7 @@
 }
 
 /// Faults that overlap, together.
-pub(super) fn episodes(run: &Run, here: &Series, control_run: &Series) -> Vec<Episode> {
+pub(super) fn episodes(run: &Run, run_service: &Series, control_run: &Series) -> Vec<Episode> {
     let mut groups: Vec<Vec<Span>> = Vec::new();
     for span in spans(run) {
         let open = groups
@@ -186,34 +194,42 @@
         .enumerate()
         .map(|(n, group)| {
             let until = starts.get(n + 1).copied().unwrap_or(length).min(length);
-            episode(run, here, control_run, group, until)
+            episode(run, run_service, control_run, group, until)
         })
         .collect()
 }
 
-fn episode(run: &Run, here: &Series, control_run: &Series, group: &[Span], until: f64) -> Episode {
-    let step = |s: f64| ((s / STEP_S).ceil().max(0.0) as usize).min(here.steps());
+fn episode(
+    run: &Run,
+    run_service: &Series,
+    control_run: &Series,
+    group: &[Span],
+    until: f64,
+) -> Episode {
+    let step = |s: f64| ((s / STEP_S).ceil().max(0.0) as usize).min(run_service.steps());
     let name = |s: &Span| run.case.scenario.faults[s.fault].kind.name().to_string();
     let mut faults: Vec<(usize, String)> = group.iter().map(|s| (s.fault, name(s))).collect();
     faults.sort();
     let from_s = group[0].from;
     let up_s = group.iter().try_fold(from_s, |max, s| s.up.map(|up| max.max(up)));
-    let last = step(until).saturating_sub(STRETCH);
+    let last = step(until).saturating_sub(FULL_STEPS);
     let full = up_s.and_then(|up| {
-        let full = (step(up)..=last).find(|at| here.is_full(control_run, *at))?;
+        let full = (step(up)..=last).find(|at| run_service.is_full(control_run, *at))?;
         Some((full as f64 * STEP_S - up).max(0.0))
     });
-    let windows = step(from_s)..=step(until).saturating_sub(WINDOW);
+    let windows = step(from_s)..=step(until).saturating_sub(WINDOW_STEPS);
     let lowest = windows
         .filter_map(|at| {
-            let (here, control_run) = (here.sum(0, at, WINDOW), control_run.sum(0, at, WINDOW));
-            Some((here.ratio()?, control_run.ratio()?))
+            let (run_service, control_run) =
+                (run_service.sum(0, at, WINDOW_STEPS), control_run.sum(0, at, WINDOW_STEPS));
+            Some((run_service.ratio()?, control_run.ratio()?))
         })
         .min_by(|a, b| (a.0 - a.1).total_cmp(&(b.0 - b.1)));
     let (lowest, lowest_of_control) = lowest.unwrap_or((1.0, 1.0));
     let steps = step(until).saturating_sub(step(from_s));
-    let (got, would) = (here.sum(0, step(from_s), steps), control_run.sum(0, step(from_s), steps));
-    let a_second = would.asked / (steps as f64 * STEP_S).max(STEP_S);
+    let (earned, control_total) =
+        (run_service.sum(0, step(from_s), steps), control_run.sum(0, step(from_s), steps));
+    let possible_per_second = control_total.possible / (steps as f64 * STEP_S).max(STEP_S);
     Episode {
         faults: faults.into_iter().map(|(_, name)| name).collect(),
         from_s,
@@ -222,6 +238,10 @@
         watched_s: up_s.map_or(0.0, |up| (last as f64 * STEP_S - up).max(0.0)),
         lowest,
         lowest_of_control,
-        lost_s: if a_second > 0.0 { (would.got - got.got) / a_second } else { 0.0 },
+        lost_s: if possible_per_second > 0.0 {
+            (control_total.earned - earned.earned) / possible_per_second
+        } else {
+            0.0
+        },
     }
 }
--- a/crates/checker/src/fleet/mod.rs
+++ b/crates/checker/src/recovery/mod.rs
@@ -8,12 +8,12 @@
 //! - **Stale** ([`Stale`]): decisions on what had been told to be otherwise, with its age.
 
 mod contention;
-mod expect;
+mod expectations;
 mod full_service;
-mod stale;
+mod stale_sends;
 mod stampede;
 
-use hollowpaddle_scenario::record::{At, Played};
+use hollowpaddle_scenario::record::{At, CompletedRun};
 use hollowpaddle_scenario::scenario::FaultKind;
 use serde::Serialize;
 
@@ -21,7 +21,7 @@
 
 pub use contention::Contention;
 pub use full_service::Episode;
-pub use stale::{Stale, StaleSends};
+pub use stale_sends::{StaleReport, StaleSends};
 pub use stampede::{Peak, Stampede};
 
 /// Points of the lines over time: one each so long, in seconds.
@@ -44,7 +44,7 @@
     #[serde(rename = "twin_crowd")]
     pub control_contention: Contention,
     /// Decisions on old knowledge.
-    pub stale: Stale,
+    pub stale: StaleReport,
     /// Service over time, in windows of 1 s, one each [`RecoveryReport::step_s`]: run and twin.
     pub service: Vec<Option<f64>>,
     /// See `service`.
@@ -53,7 +53,8 @@
     /// Seconds from one window to the next.
     pub step_s: f64,
     /// What the scenario expects and the run did not show, in words, by how much.
-    pub missed: Vec<String>,
+    #[serde(rename = "missed")]
+    pub missed_expectations: Vec<String>,
 }
 
 /// One run, with its times counted from the first client on.
@@ -63,7 +64,7 @@
 }
 
 impl<'a> Run<'a> {
-    fn of(played: &'a Played) -> Self {
+    fn of(played: &'a CompletedRun) -> Self {
         let (scenario, plan) = (&played.scenario, &played.plan);
         Self { case: Case { scenario, plan, trace: &played.trace, slack: 0 }, began: played.began }
     }
@@ -74,29 +75,30 @@
     }
 }
 
-/// Reckons it. `whole` is the run's service as a whole.
-pub fn account(
-    played: &Played,
-    control_run: &Played,
-    whole: f64,
+/// Reckons it. `overall_service` is the run's service as a whole.
+pub fn compare_with_control(
+    played: &CompletedRun,
+    control_run: &CompletedRun,
+    overall_service: f64,
     control_service: f64,
 ) -> RecoveryReport {
-    let (run, calm) = (Run::of(played), Run::of(control_run));
-    let (here, there) = (full_service::Series::of(&run), full_service::Series::of(&calm));
-    let mut account = RecoveryReport {
+    let (run, control) = (Run::of(played), Run::of(control_run));
+    let (here, there) = (full_service::Series::of(&run), full_service::Series::of(&control));
+    let mut report = RecoveryReport {
         control_service,
         episodes: full_service::episodes(&run, &here, &there),
-        stampede: stampede::rushes(&run, &calm),
+        stampede: stampede::measure(&run, &control),
         contention: contention::of(&run),
-        control_contention: contention::of(&calm),
-        stale: stale::of(&run),
+        control_contention: contention::of(&control),
+        stale: stale_sends::of(&run),
         service: here.over_time(),
         service_of_control: there.over_time(),
         step_s: STEP_S,
-        missed: Vec::new(),
+        missed_expectations: Vec::new(),
     };
-    account.missed = expect::missed(&played.scenario.expect, &account, whole);
-    account
+    report.missed_expectations =
+        expectations::missed_expectations(&played.scenario.expect, &report, overall_service);
+    report
 }
 
 /// Whether a fault is one that its twin has as well: it is drawn into the arrivals.
--- a/crates/checker/src/fleet/stale.rs
+++ b/crates/checker/src/recovery/stale_sends.rs
@@ -20,51 +20,55 @@
 
 /// Decisions on what had been told to be otherwise.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
-pub struct Stale {
+pub struct StaleReport {
     /// The balancer had been told.
-    pub told: StaleSends,
+    #[serde(rename = "told")]
+    pub informed: StaleSends,
     /// The list knew, and the balancer had not been told.
-    pub untold: StaleSends,
+    #[serde(rename = "untold")]
+    pub uninformed: StaleSends,
 }
 
 /// Reckons it for one run.
-pub(super) fn of(run: &Run) -> Stale {
-    let mut told: FxHashMap<(usize, usize), (u64, Option<At>)> = FxHashMap::default();
+pub(super) fn of(run: &Run) -> StaleReport {
+    let mut updates: FxHashMap<(usize, usize), (u64, Option<At>)> = FxHashMap::default();
     let mut listed: FxHashMap<usize, At> = FxHashMap::default();
-    let mut stale = Stale::default();
-    let mut who = [Vec::new(), Vec::new()];
+    let mut stale = StaleReport::default();
+    let mut balancers = [Vec::new(), Vec::new()];
     for line in run.case.trace {
         match &line.seen {
             Observation::Listed { node, phase: Phase::Serving, .. } => drop(listed.remove(node)),
             Observation::Listed { node, .. } => {
                 listed.entry(*node).or_insert(line.at);
             }
-            Observation::Told { balancer, node, phase, revision, .. } => {
-                let word = told.entry((*balancer, *node)).or_default();
+            Observation::ListUpdate { balancer, node, phase, revision, .. } => {
+                let update = updates.entry((*balancer, *node)).or_default();
                 // An older word that comes after a newer one takes nothing back.
-                if *revision >= word.0 {
+                if *revision >= update.0 {
                     let closed = (*phase != Phase::Serving).then_some(line.at);
-                    *word = (*revision, closed.map(|at| word.1.unwrap_or(at)));
+                    *update = (*revision, closed.map(|at| update.1.unwrap_or(at)));
                 }
             }
             Observation::Attempt { node, balancer, first, .. } => {
-                let own = told.get(&(*balancer, *node)).and_then(|w| w.1);
-                let other = listed.get(node).copied().filter(|_| own.is_none());
-                let kinds = [(own, &mut stale.told), (other, &mut stale.untold)];
-                for ((since, sends), who) in kinds.into_iter().zip(&mut who) {
+                let updated_at = updates.get(&(*balancer, *node)).and_then(|w| w.1);
+                let listed_at = listed.get(node).copied().filter(|_| updated_at.is_none());
+                let cases = [(updated_at, &mut stale.informed), (listed_at, &mut stale.uninformed)];
+                for ((since, sends), balancers) in cases.into_iter().zip(&mut balancers) {
                     let Some(since) = since.filter(|since| *since < *first) else { continue };
                     sends.sends += 1;
                     sends.oldest_ms = sends.oldest_ms.max(first.ms_since(since));
-                    who.push(*balancer);
+                    balancers.push(*balancer);
                 }
             }
             _ => {}
         }
     }
-    for (sends, mut who) in [&mut stale.told, &mut stale.untold].into_iter().zip(who) {
-        who.sort_unstable();
-        who.dedup();
-        sends.balancers = who.len() as u64;
+    for (sends, mut balancers) in
+        [&mut stale.informed, &mut stale.uninformed].into_iter().zip(balancers)
+    {
+        balancers.sort_unstable();
+        balancers.dedup();
+        sends.balancers = balancers.len() as u64;
     }
     stale
 }
--- a/crates/checker/src/fleet/stampede.rs
+++ b/crates/checker/src/recovery/stampede.rs
@@ -9,9 +9,9 @@
 use super::{Run, STEP_S, is_load};
 
 /// Steps of a second.
-const SECOND: usize = 10;
+const STEPS_PER_SECOND: usize = 10;
 /// What there may be least of in the twin: nothing is no measure.
-const LEAST: u64 = 1;
+const MIN_CONTROL: u64 = 1;
 
 /// The worst second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
@@ -31,7 +31,8 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Stampede {
     /// `connects`, `list-calls`, `attempts` or `datagrams`.
-    pub what: &'static str,
+    #[serde(rename = "what")]
+    pub kind: &'static str,
     /// Over all balancers.
     pub all: Peak,
     /// For the upstream that had most of it in a second, where it goes to upstreams.
@@ -40,13 +41,13 @@
     pub over_time: Vec<u64>,
 }
 
-const KINDS: [&str; 4] = ["connects", "list-calls", "attempts", "datagrams"];
+const EVENT_KINDS: [&str; 4] = ["connects", "list-calls", "attempts", "datagrams"];
 
 /// What kind a line is of, and of which upstream.
 fn kind(seen: &Observation) -> Option<(usize, Option<usize>)> {
     match seen {
-        Observation::Linked { node, .. } => Some((0, Some(*node))),
-        Observation::Called { .. } => Some((1, None)),
+        Observation::Connected { node, .. } => Some((0, Some(*node))),
+        Observation::ListCall { .. } => Some((1, None)),
         Observation::Attempt { node, .. } => Some((2, Some(*node))),
         Observation::Datagram { .. } => Some((3, None)),
         _ => None,
@@ -62,13 +63,13 @@
 
 /// Counts of each second that begins at a step.
 fn seconds(steps: &[u64]) -> Vec<u64> {
-    let windows = steps.len().saturating_sub(SECOND) + 1;
-    let mut sum: u64 = steps.iter().take(SECOND).sum();
+    let windows = steps.len().saturating_sub(STEPS_PER_SECOND) + 1;
+    let mut sum: u64 = steps.iter().take(STEPS_PER_SECOND).sum();
     let mut all = Vec::with_capacity(windows);
     for from in 0..windows {
         all.push(sum);
         sum -= steps.get(from).copied().unwrap_or(0);
-        sum += steps.get(from + SECOND).copied().unwrap_or(0);
+        sum += steps.get(from + STEPS_PER_SECOND).copied().unwrap_or(0);
     }
     all
 }
@@ -77,7 +78,7 @@
 fn count(run: &Run) -> Vec<Steps> {
     let steps = (run.case.scenario.length.as_secs_f64() / STEP_S).ceil() as usize;
     let empty = Steps { all: vec![0; steps], by_node: FxHashMap::default() };
-    let mut counts = vec![empty; KINDS.len()];
+    let mut counts = vec![empty; EVENT_KINDS.len()];
     for line in run.case.trace {
         let Some((kind, node)) = kind(&line.seen) else { continue };
         let at = run.seconds(line.at) / STEP_S;
@@ -96,45 +97,48 @@
 fn busiest(steps: &Steps) -> Vec<u64> {
     let mut most = vec![0; seconds(&steps.all).len()];
     for node in steps.by_node.values() {
-        for (most, here) in most.iter_mut().zip(seconds(node)) {
-            *most = here.max(*most);
+        for (most, count) in most.iter_mut().zip(seconds(node)) {
+            *most = count.max(*most);
         }
     }
     most
 }
 
 /// The worst second from a step on. Before the first fault a run is its twin, and both begin as a fresh bank does.
-fn peak(here: &[u64], control_run: &[u64], from: usize) -> Peak {
-    let seconds = here.iter().enumerate().skip(from);
+fn peak(run_counts: &[u64], control_run: &[u64], from: usize) -> Peak {
+    let seconds = run_counts.iter().enumerate().skip(from);
     let (at, peak) = seconds.max_by_key(|(i, n)| (**n, usize::MAX - i)).unwrap_or((from, &0));
     // Three figures of a count are always to be had.
-    let mut usual = Histogram::<u64>::new(3).ok();
-    if let Some(h) = &mut usual {
+    let mut histogram = Histogram::<u64>::new(3).ok();
+    if let Some(h) = &mut histogram {
         control_run.iter().skip(from).for_each(|n| h.saturating_record(*n));
     }
-    let usual = usual.map_or(0, |h| h.value_at_quantile(0.99));
+    let control_p99 = histogram.map_or(0, |h| h.value_at_quantile(0.99));
     Peak {
         peak: *peak,
         at_s: at as f64 * STEP_S,
-        control_run: usual,
-        times: *peak as f64 / usual.max(LEAST) as f64,
+        control_run: control_p99,
+        times: *peak as f64 / control_p99.max(MIN_CONTROL) as f64,
     }
 }
 
 /// All kinds.
-pub(super) fn rushes(run: &Run, control_run: &Run) -> Vec<Stampede> {
-    let (here, there) = (count(run), count(control_run));
+pub(super) fn measure(run: &Run, control_run: &Run) -> Vec<Stampede> {
+    let (run_counts, control_counts) = (count(run), count(control_run));
     let faults = run.case.scenario.faults.iter().filter(|f| !is_load(&f.kind));
     let first = faults.map(|f| f.start.as_secs_f64()).fold(f64::INFINITY, f64::min);
     // A second that is cut by the first fault's beginning is one of its seconds.
-    let from =
-        if first.is_finite() { ((first / STEP_S) as usize + 1).saturating_sub(SECOND) } else { 0 };
-    let rush = |(n, what): (usize, &&'static str)| Stampede {
-        what,
-        all: peak(&seconds(&here[n].all), &seconds(&there[n].all), from),
-        busiest: (!here[n].by_node.is_empty())
-            .then(|| peak(&busiest(&here[n]), &busiest(&there[n]), from)),
-        over_time: seconds(&here[n].all),
+    let from = if first.is_finite() {
+        ((first / STEP_S) as usize + 1).saturating_sub(STEPS_PER_SECOND)
+    } else {
+        0
     };
-    KINDS.iter().enumerate().map(rush).collect()
+    let stampede = |(n, kind): (usize, &&'static str)| Stampede {
+        kind,
+        all: peak(&seconds(&run_counts[n].all), &seconds(&control_counts[n].all), from),
+        busiest: (!run_counts[n].by_node.is_empty())
+            .then(|| peak(&busiest(&run_counts[n]), &busiest(&control_counts[n]), from)),
+        over_time: seconds(&run_counts[n].all),
+    };
+    EVENT_KINDS.iter().enumerate().map(stampede).collect()
 }
--- a/crates/checker/src/report.rs
+++ b/crates/checker/src/report.rs
@@ -5,18 +5,20 @@
 
 use serde::Serialize;
 
-use crate::cluster::{self, Bank};
-use crate::fleet::{RecoveryReport, account};
-use crate::{Exactness, Finding, Floor, Service, Sessions, Verdict, Violation, judge};
-use hollowpaddle_scenario::record::{Line, Observation, Played, Resources, digest};
+use crate::cluster::{self, PolicyReport};
+use crate::recovery::{RecoveryReport, compare_with_control};
+use crate::{
+    CheckResult, Finding, Floor, Service, SessionReport, TimingTolerance, Violation, check,
+};
+use hollowpaddle_scenario::record::{CompletedRun, Line, Observation, Resources, digest};
 use hollowpaddle_scenario::scenario::Expect;
 
 /// Version of the JSON form. It changes when a field changes its name or meaning, not when one is added.
 pub const VERSION: u32 = 1;
 /// Broken rules that are told in full on paper; JSON has all of them.
-const TOLD: usize = 10;
+const MAX_PRINTED: usize = 10;
 /// Lines of a history that are told on paper.
-const HISTORY: usize = 24;
+const MAX_HISTORY_LINES: usize = 24;
 
 /// All that is told of one run.
 #[derive(Clone, Debug, Serialize)]
@@ -42,38 +44,45 @@
     /// How clients were served.
     pub service: Service,
     /// How often each rule was broken, by name.
-    pub breaches: BTreeMap<&'static str, usize>,
+    #[serde(rename = "breaches")]
+    pub violations: BTreeMap<&'static str, usize>,
     /// Every broken rule with its whole history.
     pub findings: Vec<Finding>,
     /// The most that each balancer used, where that is known.
     pub resources: Vec<Option<Resources>>,
     /// Cold nodes that fell over, whoever pushed them.
-    pub tipped: Vec<usize>,
+    #[serde(rename = "tipped")]
+    pub overloaded_nodes: Vec<usize>,
     /// What had to be served at least, and was or was not.
     pub floors: Vec<Floor>,
     /// How vans fared, on a day that has some.
     #[serde(skip_serializing_if = "Option::is_none")]
-    pub sessions: Option<Sessions>,
+    pub sessions: Option<SessionReport>,
     /// What came of the bank's rule book, on a day with acts on it.
-    #[serde(skip_serializing_if = "Option::is_none")]
-    pub bank: Option<Bank>,
+    #[serde(rename = "bank", skip_serializing_if = "Option::is_none")]
+    pub policy: Option<PolicyReport>,
     /// How the bank came through its faults, where its twin was played too.
-    pub account: Option<RecoveryReport>,
+    #[serde(rename = "account")]
+    pub recovery: Option<RecoveryReport>,
 }
 
 impl Report {
     /// Judges a run, and sums it up.
-    pub fn of(played: &Played) -> Self {
+    pub fn of(played: &CompletedRun) -> Self {
         let scenario = &played.scenario;
-        let exact = if played.simulated { Exactness::simulated(scenario) } else { Exactness::LIVE };
-        let Verdict { findings, service, floors, sessions } =
-            judge(scenario, &played.plan, &played.trace, exact);
-        let mut breaches = BTreeMap::new();
+        let tolerance = if played.simulated {
+            TimingTolerance::simulated(scenario)
+        } else {
+            TimingTolerance::LIVE
+        };
+        let CheckResult { findings, service, floors, sessions } =
+            check(scenario, &played.plan, &played.trace, tolerance);
+        let mut violations = BTreeMap::new();
         for finding in &findings {
-            *breaches.entry(finding.violation.name()).or_insert(0) += 1;
+            *violations.entry(finding.violation.name()).or_insert(0) += 1;
         }
-        let tipped = |l: &Line| match l.seen {
-            Observation::Tipped { node } => Some(node),
+        let overloaded = |l: &Line| match l.seen {
+            Observation::Overloaded { node } => Some(node),
             _ => None,
         };
         Self {
@@ -84,41 +93,46 @@
             plan_digest: played.plan.digest(),
             trace_digest: digest(&played.trace),
             length_s: scenario.length.as_secs_f64(),
-            size: (scenario.bank.count, scenario.fleet.nodes),
-            slack_ms: exact.slack.as_secs_f64() * 1e3,
+            size: (scenario.cluster.count, scenario.fleet.nodes),
+            slack_ms: tolerance.slack.as_secs_f64() * 1e3,
             service,
-            breaches,
+            violations,
             findings,
             resources: played.resources.clone(),
-            tipped: played.trace.iter().filter_map(tipped).collect(),
+            overloaded_nodes: played.trace.iter().filter_map(overloaded).collect(),
             floors,
             sessions,
-            bank: cluster::of(played, exact.slack.as_secs_f64()),
-            account: None,
+            policy: cluster::of(played, tolerance.slack.as_secs_f64()),
+            recovery: None,
         }
     }
 
     /// The same, and how the bank came through its faults: against the same plan played without them.
-    pub fn with_control(played: &Played, control_run: &Played) -> Self {
+    pub fn with_control(played: &CompletedRun, control_run: &CompletedRun) -> Self {
         let report = Self::of(played);
-        let control_service = Self::of(control_run).service.whole;
-        let mut account = account(played, control_run, report.service.whole, control_service);
+        let control_service = Self::of(control_run).service.overall;
+        let mut recovery =
+            compare_with_control(played, control_run, report.service.overall, control_service);
         if let Some(sessions) = &report.sessions {
-            account.missed.extend(missed_of_vans(&played.scenario.expect, sessions));
+            recovery
+                .missed_expectations
+                .extend(missed_session_expectations(&played.scenario.expect, sessions));
         }
-        if let Some(bank) = &report.bank {
-            account.missed.extend(cluster::missed(&played.scenario.expect, bank));
+        if let Some(policy) = &report.policy {
+            recovery
+                .missed_expectations
+                .extend(cluster::missed_expectations(&played.scenario.expect, policy));
         }
-        Self { account: Some(account), ..report }
+        Self { recovery: Some(recovery), ..report }
     }
 
     /// What the scenario expects and the run did not show.
-    pub fn missed(&self) -> &[String] {
-        self.account.as_ref().map_or(&[], |a| &a.missed)
+    pub fn missed_expectations(&self) -> &[String] {
+        self.recovery.as_ref().map_or(&[], |a| &a.missed_expectations)
     }
 
     /// The floors that were missed.
-    pub fn under(&self) -> impl Iterator<Item = &Floor> {
+    pub fn missed_floors(&self) -> impl Iterator<Item = &Floor> {
         self.floors.iter().filter(|f| f.is_missed())
     }
 
@@ -128,13 +142,13 @@
     }
 
     /// Whether the bank kept what it promises of its rule book.
-    pub fn bank_is_clean(&self) -> bool {
-        self.bank.as_ref().is_none_or(|bank| bank.broken.is_empty())
+    pub fn policy_is_clean(&self) -> bool {
+        self.policy.as_ref().is_none_or(|policy| policy.broken.is_empty())
     }
 
     /// Whether this one was broken.
     pub fn has(&self, violation: Violation) -> bool {
-        self.breaches.contains_key(violation.name())
+        self.violations.contains_key(violation.name())
     }
 
     /// For people.
@@ -157,9 +171,14 @@
         writeln!(
             out,
             "\nservice {:.3}   worst 10 s {:.3} (from {} s)   worst class {:.3}",
-            s.whole, s.worst_stretch, s.worst_stretch_at_s, s.worst_class
+            s.overall, s.worst_window, s.worst_window_start_s, s.worst_class
+        )?;
+        writeln!(
+            out,
+            "{}  {:.1} s a mark, ▁ none to █ all",
+            sparkline(&s.over_time),
+            s.interval_s
         )?;
-        writeln!(out, "{}  {:.1} s a mark, ▁ none to █ all", sparkline(&s.over_time), s.part_s)?;
         writeln!(
             out,
             "\n{:<16}{:>8}{:>8}{:>7}{:>8}{:>7}{:>6}{:>7}{:>9}{:>8}{:>8}{:>8}",
@@ -183,13 +202,13 @@
                 out,
                 "{:<16}{:>8}{:>8}{:>7}{:>8}{:>7}{:>6}{:>7}{:>9.3}{:>8}{:>8}{:>8}",
                 c.name,
-                n.asked,
+                n.requests,
                 n.in_time,
                 n.late,
                 n.refused,
                 n.failed,
                 n.unanswered + n.unreachable,
-                n.left,
+                n.abandoned,
                 c.service,
                 ms(0),
                 ms(2),
@@ -202,11 +221,11 @@
             "repeats {}, attempts {} ({:.3} a request), turned away {}, cold nodes fallen over {}",
             n.repeats,
             n.attempts,
-            n.attempts as f64 / (n.asked.max(1)) as f64,
-            n.turned_away,
-            self.tipped.len()
+            n.attempts as f64 / (n.requests.max(1)) as f64,
+            n.rejected_attempts,
+            self.overloaded_nodes.len()
         )?;
-        for floor in self.under() {
+        for floor in self.missed_floors() {
             writeln!(out, "UNDER ITS FLOOR {}", floor.text())?;
         }
         for (i, used) in self.resources.iter().enumerate() {
@@ -219,18 +238,18 @@
         if let Some(sessions) = &self.sessions {
             write_sessions(sessions, out)?;
         }
-        if let Some(bank) = &self.bank {
-            write_bank(bank, out)?;
+        if let Some(policy) = &self.policy {
+            write_policy(policy, out)?;
         }
-        if let Some(account) = &self.account {
-            write_account(account, out)?;
+        if let Some(recovery) = &self.recovery {
+            write_recovery(recovery, out)?;
         }
         if self.is_clean() {
             return writeln!(out, "\nno rule broken");
         }
-        let kinds: Vec<String> = self.breaches.iter().map(|(n, c)| format!("{n} {c}")).collect();
+        let kinds: Vec<String> = self.violations.iter().map(|(n, c)| format!("{n} {c}")).collect();
         writeln!(out, "\nRULES BROKEN: {}", kinds.join(", "))?;
-        for finding in self.findings.iter().take(TOLD) {
+        for finding in self.findings.iter().take(MAX_PRINTED) {
             writeln!(
                 out,
                 "\nrule {} {} at {:.3} s: {}",
@@ -239,61 +258,63 @@
                 finding.at.0 as f64 / 1e6,
                 finding.what
             )?;
-            for line in finding.history.iter().take(HISTORY) {
+            for line in finding.history.iter().take(MAX_HISTORY_LINES) {
                 let seen = serde_json::to_string(&line.seen).unwrap_or_default();
                 writeln!(out, "  {:>10.3}  {seen}", line.at.0 as f64 / 1e6)?;
             }
-            if finding.history.len() > HISTORY {
-                writeln!(out, "  ... and {} more", finding.history.len() - HISTORY)?;
+            if finding.history.len() > MAX_HISTORY_LINES {
+                writeln!(out, "  ... and {} more", finding.history.len() - MAX_HISTORY_LINES)?;
             }
         }
-        if self.findings.len() > TOLD {
-            writeln!(out, "\n... and {} more; --json has all", self.findings.len() - TOLD)?;
+        if self.findings.len() > MAX_PRINTED {
+            writeln!(out, "\n... and {} more; --json has all", self.findings.len() - MAX_PRINTED)?;
         }
         Ok(())
     }
 }
 
 /// What was expected of vans and not shown, a line each.
-fn missed_of_vans(expect: &Expect, sessions: &Sessions) -> Vec<String> {
-    let mut missed = Vec::new();
+fn missed_session_expectations(expect: &Expect, sessions: &SessionReport) -> Vec<String> {
+    let mut missed_expectations = Vec::new();
     if let Some(most) = expect.ran_twice.filter(|most| sessions.ran_twice > *most) {
         let (twice, all) = (sessions.ran_twice, sessions.effects);
-        missed.push(format!(
+        missed_expectations.push(format!(
             "{twice} of {all} keyed effects ran in more than one pod; at most {most} expected"
         ));
     }
-    if let Some(least) = expect.at_their_pod.filter(|least| sessions.at_their_pod < *least) {
-        let share = sessions.at_their_pod;
-        missed.push(format!("vans at their pod: {share:.3} of runs; at least {least:.3} expected"));
+    if let Some(least) = expect.in_previous_cell.filter(|least| sessions.in_previous_cell < *least)
+    {
+        let share = sessions.in_previous_cell;
+        missed_expectations
+            .push(format!("vans at their pod: {share:.3} of runs; at least {least:.3} expected"));
     }
-    missed
+    missed_expectations
 }
 
-fn write_sessions(s: &Sessions, out: &mut String) -> std::fmt::Result {
+fn write_sessions(s: &SessionReport, out: &mut String) -> std::fmt::Result {
     writeln!(
         out,
         "\nvans: {} moved; {} of {} keyed effects ran in more than one pod; at their pod {:.3} of {} runs, as \
          strangers {}",
-        s.moved, s.ran_twice, s.effects, s.at_their_pod, s.runs, s.as_strangers
+        s.moved, s.ran_twice, s.effects, s.in_previous_cell, s.runs, s.in_unknown_cells
     )?;
-    for twice in s.twice.iter().take(TOLD) {
-        let run = |r: &crate::Run| {
+    for duplicate in s.duplicates.iter().take(MAX_PRINTED) {
+        let run = |r: &crate::EffectRun| {
             format!(
                 "node {} of pod {} by n{} at {:.3} s",
                 r.node,
-                r.pod,
+                r.cell,
                 r.balancer,
                 r.at.0 as f64 / 1e6
             )
         };
-        let runs: Vec<String> = twice.runs.iter().map(run).collect();
-        writeln!(out, "  the effect of request {}: {}", twice.first, runs.join("; "))?;
+        let runs: Vec<String> = duplicate.runs.iter().map(run).collect();
+        writeln!(out, "  the effect of request {}: {}", duplicate.original, runs.join("; "))?;
     }
     Ok(())
 }
 
-fn write_bank(b: &Bank, out: &mut String) -> std::fmt::Result {
+fn write_policy(b: &PolicyReport, out: &mut String) -> std::fmt::Result {
     let f = &b.in_force_s;
     writeln!(
         out,
@@ -306,14 +327,14 @@
         b.contradiction_s, b.bound_s, b.contradicting, b.sends
     )?;
     for contradiction in b.contradictions.iter().take(3) {
-        writeln!(out, "  {:.3} s: {contradiction}", contradiction.for_s)?;
+        writeln!(out, "  {:.3} s: {contradiction}", contradiction.duration_s)?;
     }
     writeln!(
         out,
         "from yes to in force: 99 % {:.3} s, all {:.3} s at most, {:.3} s in the middle",
         f.at_99, f.at_all, f.median
     )?;
-    for c in f.changes.iter().take(TOLD) {
+    for c in f.changes.iter().take(MAX_PRINTED) {
         let s = |s: Option<f64>| s.map_or("-".to_string(), |s| format!("{s:.3}"));
         let over = if c.superseded { ", a newer one came first" } else { "" };
         writeln!(
@@ -321,8 +342,8 @@
             "  revision {} at {:.3} s: 99 % {} s, all {} s, {} excused, {} not seen{over}",
             c.revision,
             c.at_s,
-            s(c.most_s),
-            s(c.all_s),
+            s(c.in_force_99_s),
+            s(c.in_force_all_s),
             c.excused,
             c.missing
         )?;
@@ -331,7 +352,7 @@
         writeln!(
             out,
             "{} logs: a majority of the council had forgotten; {} yeses gone, which nobody could be asked for",
-            b.logs, b.forgotten
+            b.logs, b.unrecoverable
         )?;
     }
     for broken in &b.broken {
@@ -340,14 +361,14 @@
     Ok(())
 }
 
-fn write_account(account: &RecoveryReport, out: &mut String) -> std::fmt::Result {
+fn write_recovery(recovery: &RecoveryReport, out: &mut String) -> std::fmt::Result {
     let seconds = |s: Option<f64>| s.map_or("-".to_string(), |s| format!("{s:.1}"));
     writeln!(
         out,
         "\nagainst the same day without its faults: service {:.3}",
-        account.control_service
+        recovery.control_service
     )?;
-    for e in &account.episodes {
+    for e in &recovery.episodes {
         let full = match e.full_service_s {
             Some(s) => format!("full service {s:.1} s after that"),
             None => format!("no full service in {:.1} s", e.watched_s),
@@ -368,30 +389,30 @@
         "{:<12}{:>9}{:>9}{:>9}{:>9}{:>12}{:>9}{:>9}",
         "stampede", "worst 1 s", "at s", "twin p99", "times", "busiest one", "twin p99", "times"
     )?;
-    for r in &account.stampede {
-        write!(out, "{:<12}{:>9}{:>9.1}", r.what, r.all.peak, r.all.at_s)?;
+    for r in &recovery.stampede {
+        write!(out, "{:<12}{:>9}{:>9.1}", r.kind, r.all.peak, r.all.at_s)?;
         write!(out, "{:>9}{:>9.1}", r.all.control_run, r.all.times)?;
         match r.busiest {
             Some(b) => writeln!(out, "{:>12}{:>9}{:>9.1}", b.peak, b.control_run, b.times)?,
             None => writeln!(out)?,
         }
     }
-    let (c, t) = (account.contention, account.control_contention);
+    let (c, t) = (recovery.contention, recovery.control_contention);
     writeln!(
         out,
         "crowd: {} of {} refusals beside an idle node, {:.3} of what was sent (twin {:.3})",
         c.beside_idle, c.refused, c.share, t.share
     )?;
-    let stale = |s: crate::fleet::StaleSends| {
+    let stale = |s: crate::recovery::StaleSends| {
         format!("{} by {} balancers, oldest {:.0} ms", s.sends, s.balancers, s.oldest_ms)
     };
     writeln!(
         out,
         "stale sends: {}; to what only the list knew: {}",
-        stale(account.stale.told),
-        stale(account.stale.untold)
+        stale(recovery.stale.informed),
+        stale(recovery.stale.uninformed)
     )?;
-    for missed in &account.missed {
+    for missed in &recovery.missed_expectations {
         writeln!(out, "EXPECTED: {missed}")?;
     }
     Ok(())
--- a/crates/checker/src/requests.rs
+++ b/crates/checker/src/requests.rs
@@ -23,45 +23,45 @@
 impl Attempt {
     /// Whether its outcome proves that it never ran.
     fn never_ran(&self) -> bool {
-        matches!(self.ended, Some((_, AttemptOutcome::TurnedAway)))
+        matches!(self.ended, Some((_, AttemptOutcome::Rejected)))
     }
 
     /// Until when it was out, on an open connection.
-    fn out_until(&self) -> Option<At> {
+    fn in_flight_until(&self) -> Option<At> {
         let ended = self.ended.map(|(at, _)| at);
         ended.into_iter().chain(self.closed).min()
     }
 }
 
 #[derive(Clone, Copy, Debug)]
-enum End {
+enum RequestEnd {
     Answered { status: u16, attempt: Option<u32> },
     Broken { begun: bool },
-    Left,
-    GaveUp,
+    ClientLeft,
+    TimedOut,
 }
 
 #[derive(Clone, Debug, Default)]
-struct Story {
+struct RequestHistory {
     /// When, to which balancer and which start of it.
     sent: Option<(At, usize, u32)>,
     /// The sending before that one, if its connection closed with no answer and it was sent once more, and when.
     closed: Option<(At, usize, u32)>,
     attempts: Vec<Attempt>,
-    end: Option<(At, End)>,
+    end: Option<(At, RequestEnd)>,
 }
 
 /// So long after its client has gone an attempt of a request may still begin, in microseconds: what was under way.
-const LEFT: u64 = 100_000;
+const ABANDON_GRACE_US: u64 = 100_000;
 /// So many attempts of a run that begin later are put down to chance.
-const LATE_ATTEMPTS: usize = 2;
+const ALLOWED_LATE_ATTEMPTS: usize = 2;
 /// A request that waited as its client left is sent on for nobody so much later, in microseconds.
-const FOR_NOBODY: u64 = 300_000;
+const ABANDONED_SEND_US: u64 = 300_000;
 /// Fewer of them fail no run, nor do so many or fewer out of all that waited so.
-const LEAST_FOR_NOBODY: usize = 5;
-const SHARE_FOR_NOBODY: f64 = 0.25;
+const MIN_ABANDONED_SENDS: usize = 5;
+const MAX_ABANDONED_SHARE: f64 = 0.25;
 /// So long after it was thawed a balancer answers what waited meanwhile, in microseconds.
-const TO_WAKE: u64 = 250_000;
+const THAW_GRACE_US: u64 = 250_000;
 
 /// The life of one start of a balancer.
 #[derive(Clone, Debug, Default)]
@@ -73,9 +73,9 @@
     exited: Option<At>,
 }
 
-pub fn judge(case: &Case, findings: &mut Vec<Finding>) {
-    let mut stories: BTreeMap<u32, Story> = BTreeMap::new();
-    let mut whose: FxHashMap<u32, u32> = FxHashMap::default();
+pub fn check(case: &Case, findings: &mut Vec<Finding>) {
+    let mut histories: BTreeMap<u32, RequestHistory> = BTreeMap::new();
+    let mut request_of: FxHashMap<u32, u32> = FxHashMap::default();
     let mut process_runs: FxHashMap<(usize, u32), ProcessRun> = FxHashMap::default();
     let mut found = Vec::new();
     for line in case.trace {
@@ -85,44 +85,44 @@
         };
         match &line.seen {
             Observation::Sent { request, balancer, start, again, .. } => {
-                let story = stories.entry(*request).or_default();
-                let before = story.sent.replace((at, *balancer, *start));
+                let history = histories.entry(*request).or_default();
+                let before = history.sent.replace((at, *balancer, *start));
                 if let Some((_, balancer, start)) = before.filter(|_| *again) {
-                    story.closed = Some((at, balancer, start));
+                    history.closed = Some((at, balancer, start));
                 }
             }
             // Sent, its connection closed, and nobody there as its client asked once more.
             Observation::Unreachable { request, .. } => {
-                let story = stories.entry(*request).or_default();
-                if let Some((_, balancer, start)) = story.sent {
-                    story.closed = Some((at, balancer, start));
+                let history = histories.entry(*request).or_default();
+                if let Some((_, balancer, start)) = history.sent {
+                    history.closed = Some((at, balancer, start));
                 }
             }
             Observation::Answered { request, status, attempt, .. } => {
-                let end = End::Answered { status: *status, attempt: *attempt };
-                stories.entry(*request).or_default().end = Some((at, end));
+                let end = RequestEnd::Answered { status: *status, attempt: *attempt };
+                histories.entry(*request).or_default().end = Some((at, end));
             }
             Observation::Broken { request, begun } => {
-                stories.entry(*request).or_default().end =
-                    Some((at, End::Broken { begun: *begun }));
+                histories.entry(*request).or_default().end =
+                    Some((at, RequestEnd::Broken { begun: *begun }));
             }
-            Observation::Left { request } => {
-                stories.entry(*request).or_default().end = Some((at, End::Left));
+            Observation::ClientLeft { request } => {
+                histories.entry(*request).or_default().end = Some((at, RequestEnd::ClientLeft));
             }
-            Observation::GaveUp { request } => {
-                stories.entry(*request).or_default().end = Some((at, End::GaveUp));
+            Observation::ClientTimedOut { request } => {
+                histories.entry(*request).or_default().end = Some((at, RequestEnd::TimedOut));
             }
             Observation::Extra { balancer, request, bytes } => {
                 let what = format!("{bytes} bytes came on a connection with no request open");
                 found.push((Violation::AnsweredTwice, at, Some(*balancer), *request, what));
             }
-            Observation::Stranger { node, balancer, what } => {
+            Observation::AlteredRequest { node, balancer, what } => {
                 let what = format!("node {node} was sent what no client sent: {what}");
                 found.push((Violation::Altered, at, Some(*balancer), None, what));
             }
             Observation::Attempt { attempt, request, node, balancer, start, first, .. } => {
-                whose.insert(*attempt, *request);
-                stories.entry(*request).or_default().attempts.push(Attempt {
+                request_of.insert(*attempt, *request);
+                histories.entry(*request).or_default().attempts.push(Attempt {
                     number: *attempt,
                     node: *node,
                     balancer: *balancer,
@@ -132,11 +132,15 @@
                     closed: None,
                 });
             }
-            Observation::Ended { attempt, fate } => {
-                with(&mut stories, &whose, *attempt, |a| a.ended = a.ended.or(Some((at, *fate))));
+            Observation::Ended { attempt, outcome } => {
+                update_attempt(&mut histories, &request_of, *attempt, |a| {
+                    a.ended = a.ended.or(Some((at, *outcome)))
+                });
             }
             Observation::Closed { attempt } => {
-                with(&mut stories, &whose, *attempt, |a| a.closed = a.closed.or(Some(at)));
+                update_attempt(&mut histories, &request_of, *attempt, |a| {
+                    a.closed = a.closed.or(Some(at))
+                });
             }
             Observation::Stopping { balancer, start } => {
                 process_run(balancer, start, &|l| l.stopping = Some(at));
@@ -156,101 +160,105 @@
             _ => {}
         }
     }
-    for (request, story) in &mut stories {
-        story.attempts.sort_by_key(|a| (a.first, a.number));
+    for (request, history) in &mut histories {
+        history.attempts.sort_by_key(|a| (a.first, a.number));
         let process_run = |of: Option<(At, usize, u32)>| {
             of.and_then(|(_, b, s)| process_runs.get(&(b, s)).cloned()).unwrap_or_default()
         };
-        let (now, before) = (process_run(story.sent), process_run(story.closed));
-        let mut judged = Judged { case, request: *request, story, found: Vec::new() };
-        judged.closed_with_no_answer(before);
-        judged.answer(now);
-        judged.effects();
-        found.append(&mut judged.found);
+        let (now, before) = (process_run(history.sent), process_run(history.closed));
+        let mut request_check =
+            RequestCheck { case, request: *request, history, found: Vec::new() };
+        request_check.closed_with_no_answer(before);
+        request_check.answer(now);
+        request_check.effects();
+        found.append(&mut request_check.found);
     }
-    gone(case, &stories, &process_runs, &mut found);
+    check_abandoned(case, &histories, &process_runs, &mut found);
     // Only what is told of is looked up again.
     for (violation, at, balancer, request, what) in found {
-        let history = request.map(|r| history(case.trace, &whose, r)).unwrap_or_default();
+        let history =
+            request.map(|r| trace_of_request(case.trace, &request_of, r)).unwrap_or_default();
         findings.push(Finding { violation, at, balancer, request, what, history });
     }
 }
 
 /// What was sent on for clients that had gone.
-fn gone(
+fn check_abandoned(
     case: &Case,
-    stories: &BTreeMap<u32, Story>,
+    histories: &BTreeMap<u32, RequestHistory>,
     process_runs: &FxHashMap<(usize, u32), ProcessRun>,
     found: &mut Vec<Found>,
 ) {
-    let (mut late, mut waited, mut for_nobody) = (Vec::new(), 0, Vec::new());
-    for (request, story) in stories {
+    let (mut late, mut waited, mut abandoned_sends) = (Vec::new(), 0, Vec::new());
+    for (request, history) in histories {
         // Whose time was up has lost its request, which is told as that.
-        let Some((left, End::Left)) = story.end else { continue };
+        let Some((left, RequestEnd::ClientLeft)) = history.end else { continue };
         // Who is frozen hears of it once it is thawed.
-        let heard = |a: &Attempt| {
+        let client_left_known = |a: &Attempt| {
             let pauses =
                 process_runs.get(&(a.balancer, a.start)).map_or(&[][..], |l| &l.pauses[..]);
-            let asleep = pauses.iter().filter(|(from, to)| {
-                from.0 <= left.0 + LEFT && to.is_none_or(|to| left <= to && to <= a.first)
+            let freezes = pauses.iter().filter(|(from, to)| {
+                from.0 <= left.0 + ABANDON_GRACE_US
+                    && to.is_none_or(|to| left <= to && to <= a.first)
             });
-            let thawed = asleep.filter_map(|(_, to)| to.map(|to| At(to.0 + TO_WAKE)));
+            let thawed = freezes.filter_map(|(_, to)| to.map(|to| At(to.0 + THAW_GRACE_US)));
             thawed.max().unwrap_or(left).max(left)
         };
-        let after = |a: &&Attempt, by: u64| a.first.0 > heard(a).0 + by + case.slack;
-        late.extend(story.attempts.iter().filter(|a| after(a, LEFT)).map(|a| {
+        let after = |a: &&Attempt, by: u64| a.first.0 > client_left_known(a).0 + by + case.slack;
+        late.extend(history.attempts.iter().filter(|a| after(a, ABANDON_GRACE_US)).map(|a| {
             let ms = a.first.ms_since(left);
             (a.first, a.balancer, *request, format!("{ms:.1} ms after its client left"))
         }));
-        if story.attempts.iter().any(|a| a.first <= left) {
+        if history.attempts.iter().any(|a| a.first <= left) {
             continue;
         }
         waited += 1;
-        let first = story.attempts.first();
-        for_nobody.extend(first.filter(|a| after(a, FOR_NOBODY)).map(|a| a.first));
+        let first = history.attempts.first();
+        abandoned_sends.extend(first.filter(|a| after(a, ABANDONED_SEND_US)).map(|a| a.first));
     }
     late.sort();
-    for (at, balancer, request, how) in late.into_iter().skip(LATE_ATTEMPTS) {
-        let what = format!("an attempt began {how}; {LATE_ATTEMPTS} such cases came before it");
+    for (at, balancer, request, how) in late.into_iter().skip(ALLOWED_LATE_ATTEMPTS) {
+        let what =
+            format!("an attempt began {how}; {ALLOWED_LATE_ATTEMPTS} such cases came before it");
         found.push((Violation::SentAfterLeaving, at, Some(balancer), Some(request), what));
     }
-    let so_many = for_nobody.len();
-    if so_many >= LEAST_FOR_NOBODY && so_many as f64 > SHARE_FOR_NOBODY * f64::from(waited) {
+    let count = abandoned_sends.len();
+    if count >= MIN_ABANDONED_SENDS && count as f64 > MAX_ABANDONED_SHARE * f64::from(waited) {
         let what = format!(
-            "of {waited} requests whose clients left while they waited, {so_many} were sent on over {} ms later",
-            FOR_NOBODY / 1000
+            "of {waited} requests whose clients left while they waited, {count} were sent on over {} ms later",
+            ABANDONED_SEND_US / 1000
         );
-        let at = for_nobody.into_iter().max().unwrap_or_default();
+        let at = abandoned_sends.into_iter().max().unwrap_or_default();
         found.push((Violation::SentForNobody, at, None, None, what));
     }
 }
 
-fn with(
-    stories: &mut BTreeMap<u32, Story>,
-    whose: &FxHashMap<u32, u32>,
+fn update_attempt(
+    histories: &mut BTreeMap<u32, RequestHistory>,
+    request_of: &FxHashMap<u32, u32>,
     attempt: u32,
     f: impl FnOnce(&mut Attempt),
 ) {
-    let story = whose.get(&attempt).and_then(|r| stories.get_mut(r));
-    if let Some(a) = story.and_then(|s| s.attempts.iter_mut().find(|a| a.number == attempt)) {
+    let history = request_of.get(&attempt).and_then(|r| histories.get_mut(r));
+    if let Some(a) = history.and_then(|s| s.attempts.iter_mut().find(|a| a.number == attempt)) {
         f(a);
     }
 }
 
 /// All that was seen of a request.
-fn history(trace: &[Line], whose: &FxHashMap<u32, u32>, request: u32) -> Vec<Line> {
+fn trace_of_request(trace: &[Line], request_of: &FxHashMap<u32, u32>, request: u32) -> Vec<Line> {
     let of = |line: &&Line| match &line.seen {
         Observation::Sent { request: r, .. }
         | Observation::Unreachable { request: r, .. }
         | Observation::Answered { request: r, .. }
         | Observation::Broken { request: r, .. }
-        | Observation::Left { request: r }
-        | Observation::GaveUp { request: r }
+        | Observation::ClientLeft { request: r }
+        | Observation::ClientTimedOut { request: r }
         | Observation::Attempt { request: r, .. } => *r == request,
         Observation::Extra { request: r, .. } => *r == Some(request),
         Observation::Ran { attempt }
         | Observation::Ended { attempt, .. }
-        | Observation::Closed { attempt } => whose.get(attempt) == Some(&request),
+        | Observation::Closed { attempt } => request_of.get(attempt) == Some(&request),
         _ => false,
     };
     trace.iter().filter(of).cloned().collect()
@@ -258,14 +266,14 @@
 
 type Found = (Violation, At, Option<usize>, Option<u32>, String);
 
-struct Judged<'a> {
+struct RequestCheck<'a> {
     case: &'a Case<'a>,
     request: u32,
-    story: &'a Story,
+    history: &'a RequestHistory,
     found: Vec<Found>,
 }
 
-impl Judged<'_> {
+impl RequestCheck<'_> {
     fn found(&mut self, violation: Violation, at: At, balancer: usize, what: String) {
         self.found.push((violation, at, Some(balancer), Some(self.request), what));
     }
@@ -273,59 +281,61 @@
     /// Rule 1: one that was read from a connection that had rested, sent on, and left without an answer as its balancer
     /// closed that connection, is lost, though its client asked once more. One that was not read is not.
     fn closed_with_no_answer(&mut self, process_run: ProcessRun) {
-        let Some((at, balancer, start)) = self.story.closed else { return };
-        let again_at = self.story.sent.map(|(_, b, s)| (b, s));
-        let of_it = |a: &&Attempt| {
+        let Some((at, balancer, start)) = self.history.closed else { return };
+        let resent_to = self.history.sent.map(|(_, b, s)| (b, s));
+        let is_candidate = |a: &&Attempt| {
             (a.balancer, a.start) == (balancer, start)
-                && (again_at != Some((balancer, start)) || a.first <= at)
+                && (resent_to != Some((balancer, start)) || a.first <= at)
+        };
+        let Some(forwarded) = self.history.attempts.iter().find(is_candidate).cloned() else {
+            return;
         };
-        let Some(sent_on) = self.story.attempts.iter().find(of_it).cloned() else { return };
-        if self.excused(process_run, at) {
+        if self.is_excused(process_run, at) {
             return;
         }
         let what = format!(
             "read by n{balancer} and sent on to node {}, and the connection ended with no answer",
-            sent_on.node
+            forwarded.node
         );
         self.found(Violation::Lost, at, balancer, what);
     }
 
     /// Rule 1.
     fn answer(&mut self, process_run: ProcessRun) {
-        let Some((sent, balancer, _)) = self.story.sent else { return };
-        let Some((at, end)) = self.story.end else { return };
+        let Some((sent, balancer, _)) = self.history.sent else { return };
+        let Some((at, end)) = self.history.end else { return };
         let after = at.ms_since(sent);
         match end {
-            End::Left => {}
+            RequestEnd::ClientLeft => {}
             // Begun and not finished, the client can tell: it has failed.
-            End::Broken { begun: true } => {}
-            End::Broken { begun: false } | End::GaveUp => {
-                if self.excused(process_run, at) {
+            RequestEnd::Broken { begun: true } => {}
+            RequestEnd::Broken { begun: false } | RequestEnd::TimedOut => {
+                if self.is_excused(process_run, at) {
                     return;
                 }
                 let how = match end {
-                    End::GaveUp => "nothing had come",
+                    RequestEnd::TimedOut => "nothing had come",
                     _ => "the connection ended with no answer",
                 };
                 let what = format!("taken by n{balancer}, and {how} {after:.1} ms after that");
                 self.found(Violation::Lost, at, balancer, what);
             }
-            End::Answered { status: 200, attempt } => {
-                let made = |a: &&Attempt| Some(a.number) == attempt;
-                let made = self.story.attempts.iter().find(made);
-                let whole = |a: &Attempt| {
+            RequestEnd::Answered { status: 200, attempt } => {
+                let producer = |a: &&Attempt| Some(a.number) == attempt;
+                let producer = self.history.attempts.iter().find(producer);
+                let is_complete = |a: &Attempt| {
                     matches!(a.ended, Some((_, AttemptOutcome::Served | AttemptOutcome::Dropped)))
                 };
-                if !made.is_some_and(whole) {
+                if !producer.is_some_and(is_complete) {
                     let what = "answered 200 with what no node made for it".to_string();
                     self.found(Violation::ForeignAnswer, at, balancer, what);
                 }
             }
-            End::Answered { .. } => {}
+            RequestEnd::Answered { .. } => {}
         }
-        if matches!(end, End::Answered { .. }) {
+        if matches!(end, RequestEnd::Answered { .. }) {
             let late = |a: &&Attempt| a.first.0 > at.0 + self.case.slack;
-            let late: Vec<Attempt> = self.story.attempts.iter().filter(late).cloned().collect();
+            let late: Vec<Attempt> = self.history.attempts.iter().filter(late).cloned().collect();
             for a in late {
                 let ms = a.first.ms_since(at);
                 let what = format!("sent to node {} {ms:.1} ms after its final answer", a.node);
@@ -336,11 +346,11 @@
 
     /// Whether the balancer was killed before it could answer: the request is its client's to retry. Nor can one
     /// answer that is frozen; one that was thawed some time before the client gave up can.
-    fn excused(&self, process_run: ProcessRun, at: At) -> bool {
-        let asleep = |(from, to): &(At, Option<At>)| {
-            *from <= at && to.is_none_or(|to| at.0 <= to.0 + TO_WAKE + self.case.slack)
+    fn is_excused(&self, process_run: ProcessRun, at: At) -> bool {
+        let freezes = |(from, to): &(At, Option<At>)| {
+            *from <= at && to.is_none_or(|to| at.0 <= to.0 + THAW_GRACE_US + self.case.slack)
         };
-        if process_run.pauses.iter().any(asleep) {
+        if process_run.pauses.iter().any(freezes) {
             return true;
         }
         // The client may hear of it a moment before we do.
@@ -362,11 +372,11 @@
     fn effects(&mut self) {
         let class =
             &self.case.scenario.classes[self.case.plan.arrivals[self.request as usize].class];
-        let attempts = self.story.attempts.clone();
+        let attempts = self.history.attempts.clone();
         for (i, next) in attempts.iter().enumerate() {
             let earlier = &attempts[..i];
             let open = |a: &&Attempt| {
-                a.out_until().is_none_or(|until| until.0 > next.first.0 + self.case.slack)
+                a.in_flight_until().is_none_or(|until| until.0 > next.first.0 + self.case.slack)
             };
             if let Some(other) = earlier.iter().find(open) {
                 let what = format!(
@@ -381,31 +391,33 @@
                 self.found(Violation::TooManyAttempts, next.first, next.balancer, what);
                 continue;
             }
-            let Some(may) = earlier.iter().find(|a| !a.never_ran()) else { continue };
+            let Some(possible_run) = earlier.iter().find(|a| !a.never_ran()) else { continue };
             match class.effect {
                 Effect::Safe => {}
                 Effect::Unsafe => {
                     let what = format!(
                         "unsafe, may have run at node {}, and sent to node {} {:.1} ms after that",
-                        may.node,
+                        possible_run.node,
                         next.node,
-                        next.first.ms_since(may.first)
+                        next.first.ms_since(possible_run.first)
                     );
                     self.found(Violation::ResentUnsafe, next.first, next.balancer, what);
                 }
                 Effect::Keyed => {
-                    let since = next.first.ms_since(may.first);
-                    if !self.same_group(class.group, may.node, next.node) {
+                    let since = next.first.ms_since(possible_run.first);
+                    if !self.same_group(class.group, possible_run.node, next.node) {
                         let what = format!(
                             "keyed, may have run at node {}, and sent to node {} of another group",
-                            may.node, next.node
+                            possible_run.node, next.node
                         );
                         self.found(Violation::ResentElsewhere, next.first, next.balancer, what);
-                    } else if next.first.0 > may.first.0 + micros(class.window) + self.case.slack {
+                    } else if next.first.0
+                        > possible_run.first.0 + micros(class.window) + self.case.slack
+                    {
                         let what = format!(
                             "keyed, may have run at node {}, and sent again {since:.1} ms after \
                              that: its group remembers for {:.1} ms",
-                            may.node,
+                            possible_run.node,
                             class.window.as_secs_f64() * 1e3
                         );
                         self.found(Violation::ResentTooLate, next.first, next.balancer, what);
@@ -413,16 +425,20 @@
                 }
             }
         }
-        let Some((at, End::Answered { status: status @ (429 | 503), .. })) = self.story.end else {
+        let Some((at, RequestEnd::Answered { status: status @ (429 | 503), .. })) =
+            self.history.end
+        else {
             return;
         };
-        let harmless = class.effect == Effect::Safe
+        let is_repeatable = class.effect == Effect::Safe
             || (class.effect == Effect::Keyed && class.group == Group::All);
         // What came to a node after the refusal is another breach.
-        let may = attempts.iter().find(|a| !a.never_ran() && a.first.0 <= at.0 + self.case.slack);
-        if let Some(may) = may.filter(|_| !harmless) {
-            let what = format!("answered {status}, and it may have run at node {}", may.node);
-            self.found(Violation::RefusedAfterRun, at, may.balancer, what);
+        let possible_run =
+            attempts.iter().find(|a| !a.never_ran() && a.first.0 <= at.0 + self.case.slack);
+        if let Some(possible_run) = possible_run.filter(|_| !is_repeatable) {
+            let what =
+                format!("answered {status}, and it may have run at node {}", possible_run.node);
+            self.found(Violation::RefusedAfterRun, at, possible_run.balancer, what);
         }
     }
 
--- a/crates/checker/src/sessions.rs
+++ b/crates/checker/src/sessions.rs
@@ -11,11 +11,11 @@
 use hollowpaddle_scenario::scenario::Effect;
 
 /// So many effects that ran in several pods are told in full.
-const TOLD: usize = 20;
+const MAX_DUPLICATES: usize = 20;
 
 /// How vans fared.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
-pub struct Sessions {
+pub struct SessionReport {
     /// Vans that moved within the day.
     pub moved: usize,
     /// Keyed effects that ran, each counted once.
@@ -23,28 +23,32 @@
     /// Of those, that ran in more than one pod: no pod can drop what another ran.
     pub ran_twice: u64,
     /// The first of them.
-    pub twice: Vec<Twice>,
+    #[serde(rename = "twice")]
+    pub duplicates: Vec<DuplicateEffect>,
     /// Runs of vans' requests.
     pub runs: u64,
     /// Of those, in a pod that did not know the van.
-    pub as_strangers: u64,
+    #[serde(rename = "as_strangers")]
+    pub in_unknown_cells: u64,
     /// Share of runs in the pod of the van's run before, over all but each van's first; 1 where there are
     /// none.
-    pub at_their_pod: f64,
+    #[serde(rename = "at_their_pod")]
+    pub in_previous_cell: f64,
 }
 
 /// An effect that ran in more than one pod.
 #[derive(Clone, Debug, PartialEq, Serialize)]
-pub struct Twice {
+pub struct DuplicateEffect {
     /// The request that its key came with first, by place in the plan.
-    pub first: u32,
+    #[serde(rename = "first")]
+    pub original: u32,
     /// Each run: when, of which request, by which balancer, at which node, in which pod.
-    pub runs: Vec<Run>,
+    pub runs: Vec<EffectRun>,
 }
 
 /// One run of an effect.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
-pub struct Run {
+pub struct EffectRun {
     /// When it was taken into work.
     pub at: At,
     /// By place in the plan.
@@ -54,57 +58,59 @@
     /// By place among the machines.
     pub node: usize,
     /// Its cell.
-    pub pod: u32,
+    #[serde(rename = "pod")]
+    pub cell: u32,
 }
 
 /// Reckons it; `None` for a day without vans.
-pub fn of(case: &Case) -> Option<Sessions> {
-    let forgotten = super::micros(case.scenario.vans.as_ref()?.forgotten);
+pub fn of(case: &Case) -> Option<SessionReport> {
+    let expiry = super::micros(case.scenario.sessions.as_ref()?.session_expiry);
     let plan = case.plan;
-    let moved = plan.vans.iter().filter(|van| van.away.is_some()).count();
-    let mut sessions = Sessions { moved, ..Sessions::default() };
-    let mut attempts: FxHashMap<u32, Run> = FxHashMap::default();
-    let mut effects: BTreeMap<u32, Vec<Run>> = BTreeMap::new();
-    let mut known: FxHashMap<(u32, u32), At> = FxHashMap::default();
-    let mut last: FxHashMap<u32, u32> = FxHashMap::default();
-    let (mut stayed, mut came) = (0_u64, 0_u64);
+    let moved = plan.sessions.iter().filter(|session| session.visit.is_some()).count();
+    let mut sessions = SessionReport { moved, ..SessionReport::default() };
+    let mut attempts: FxHashMap<u32, EffectRun> = FxHashMap::default();
+    let mut effects: BTreeMap<u32, Vec<EffectRun>> = BTreeMap::new();
+    let mut last_run: FxHashMap<(u32, u32), At> = FxHashMap::default();
+    let mut previous_cell: FxHashMap<u32, u32> = FxHashMap::default();
+    let (mut in_same_cell, mut counted) = (0_u64, 0_u64);
     for line in case.trace {
         match line.seen {
             Observation::Attempt { attempt, request, node, balancer, .. } => {
-                let pod = plan.machines[node].cell;
-                let run = Run { at: line.at, request, balancer, node, pod };
+                let cell = plan.machines[node].cell;
+                let run = EffectRun { at: line.at, request, balancer, node, cell };
                 attempts.insert(attempt, run);
             }
             // From here on it may have had its effect, whatever its balancer hears of it.
             Observation::Ran { attempt } => {
                 let Some(run) = attempts.get(&attempt) else { continue };
-                let run = Run { at: line.at, ..*run };
+                let run = EffectRun { at: line.at, ..*run };
                 let arrival = &plan.arrivals[run.request as usize];
-                let Some((van, _)) = arrival.van else { continue };
+                let Some((session, _)) = arrival.session else { continue };
                 sessions.runs += 1;
-                let before = known.insert((run.pod, van), run.at);
-                let is_known = before.is_some_and(|b| run.at.0 - b.0 < forgotten);
-                sessions.as_strangers += u64::from(!is_known);
-                if let Some(before) = last.insert(van, run.pod) {
-                    came += 1;
-                    stayed += u64::from(before == run.pod);
+                let before = last_run.insert((run.cell, session), run.at);
+                let is_known = before.is_some_and(|b| run.at.0 - b.0 < expiry);
+                sessions.in_unknown_cells += u64::from(!is_known);
+                if let Some(before) = previous_cell.insert(session, run.cell) {
+                    counted += 1;
+                    in_same_cell += u64::from(before == run.cell);
                 }
                 if case.scenario.classes[arrival.class].effect == Effect::Keyed {
-                    effects.entry(arrival.first).or_default().push(run);
+                    effects.entry(arrival.original).or_default().push(run);
                 }
             }
             _ => {}
         }
     }
     sessions.effects = effects.len() as u64;
-    for (first, runs) in effects {
-        if runs.iter().any(|run| run.pod != runs[0].pod) {
+    for (original, runs) in effects {
+        if runs.iter().any(|run| run.cell != runs[0].cell) {
             sessions.ran_twice += 1;
-            if sessions.twice.len() < TOLD {
-                sessions.twice.push(Twice { first, runs });
+            if sessions.duplicates.len() < MAX_DUPLICATES {
+                sessions.duplicates.push(DuplicateEffect { original, runs });
             }
         }
     }
-    sessions.at_their_pod = if came == 0 { 1.0 } else { stayed as f64 / came as f64 };
+    sessions.in_previous_cell =
+        if counted == 0 { 1.0 } else { in_same_cell as f64 / counted as f64 };
     Some(sessions)
 }
--- a/crates/checker/src/cold.rs
+++ b/crates/checker/src/warm_up.rs
@@ -8,14 +8,14 @@
 
 use super::{Case, Finding, Violation, micros};
 use hollowpaddle_scenario::record::{At, Line, Observation, Phase};
-use hollowpaddle_scenario::scenario::{borne, pressing};
+use hollowpaddle_scenario::scenario::{cold_node_limit, counted_work};
 
 /// Of the work that pushed it over, so much must come from balancers that were told of its start.
-const TOLD_SHARE: f64 = 2.0 / 3.0;
+const MIN_INFORMED_SHARE: f64 = 2.0 / 3.0;
 /// Rounding is no break, in requests.
-const NOTHING: f64 = 1e-9;
+const ROUNDING: f64 = 1e-9;
 /// A start and the list's word of it lie no further apart.
-const SAME_START: u64 = 1000;
+const SAME_START_US: u64 = 1000;
 
 /// One cold start.
 struct Start {
@@ -23,16 +23,16 @@
     until: At,
     full: f64,
     /// Who was told of it.
-    told: FxHashSet<usize>,
+    informed: FxHashSet<usize>,
     sent: VecDeque<(At, f64, bool)>,
     sum: f64,
-    over: bool,
+    is_over: bool,
 }
 
-pub fn judge(case: &Case, findings: &mut Vec<Finding>) {
+pub fn check(case: &Case, findings: &mut Vec<Finding>) {
     let rules = &case.scenario.rules;
     let mean = case.scenario.mean_work();
-    let (cold_from, cold) = case.scenario.told_of_cold();
+    let (cold_from, cold) = case.scenario.advertised_warm_up();
     let window = micros(rules.tip_after);
     let mut starts: FxHashMap<usize, Start> = FxHashMap::default();
     for line in case.trace {
@@ -45,19 +45,19 @@
                         at: line.at,
                         until,
                         full: *full,
-                        told: FxHashSet::default(),
+                        informed: FxHashSet::default(),
                         sent: VecDeque::new(),
                         sum: 0.0,
-                        over: false,
+                        is_over: false,
                     },
                 );
             }
             Observation::Down { node } => drop(starts.remove(node)),
-            Observation::Told { balancer, node, phase: Phase::Serving, since, .. } => {
+            Observation::ListUpdate { balancer, node, phase: Phase::Serving, since, .. } => {
                 if let Some(start) = starts.get_mut(node)
-                    && since.0.abs_diff(start.at.0) <= SAME_START
+                    && since.0.abs_diff(start.at.0) <= SAME_START_US
                 {
-                    start.told.insert(*balancer);
+                    start.informed.insert(*balancer);
                 }
             }
             Observation::Attempt { node, balancer, dark: false, work_ms, .. } => {
@@ -65,8 +65,8 @@
                 if line.at >= start.until {
                     continue;
                 }
-                let told = start.told.contains(balancer);
-                start.sent.push_back((line.at, *work_ms, told));
+                let informed = start.informed.contains(balancer);
+                start.sent.push_back((line.at, *work_ms, informed));
                 start.sum += work_ms;
                 while let Some((at, work, _)) = start.sent.front().copied()
                     && at.0 + window < line.at.0
@@ -74,17 +74,18 @@
                     start.sent.pop_front();
                     start.sum -= work;
                 }
-                let grown = line.at.ms_since(start.at) / (cold.as_secs_f64() * 1e3).max(1e-9);
-                let share = cold_from + (1.0 - cold_from) * grown.min(1.0);
-                let able = start.full * share * window as f64 / 1e3;
-                let n = rules.fall_multiple * able / mean;
-                let sent = pressing(start.sent.iter().map(|(_, w, _)| *w), mean) / mean;
-                if start.over || sent <= borne(n) + NOTHING {
+                let progress = line.at.ms_since(start.at) / (cold.as_secs_f64() * 1e3).max(1e-9);
+                let share = cold_from + (1.0 - cold_from) * progress.min(1.0);
+                let capacity = start.full * share * window as f64 / 1e3;
+                let n = rules.fall_multiple * capacity / mean;
+                let sent = counted_work(start.sent.iter().map(|(_, w, _)| *w), mean) / mean;
+                if start.is_over || sent <= cold_node_limit(n) + ROUNDING {
                     continue;
                 }
-                start.over = true;
-                let known: f64 = start.sent.iter().filter(|(_, _, t)| *t).map(|(_, w, _)| w).sum();
-                if known < TOLD_SHARE * start.sum {
+                start.is_over = true;
+                let informed_work: f64 =
+                    start.sent.iter().filter(|(_, _, t)| *t).map(|(_, w, _)| w).sum();
+                if informed_work < MIN_INFORMED_SHARE * start.sum {
                     continue;
                 }
                 let what = format!(
@@ -92,8 +93,8 @@
                      {:.1} s, and its budget is {n:.1}, so that it bears {:.1}; {:.1} came from balancers that knew",
                     line.at.ms_since(start.at) / 1e3,
                     rules.tip_after.as_secs_f64(),
-                    borne(n),
-                    known / mean
+                    cold_node_limit(n),
+                    informed_work / mean
                 );
                 findings.push(Finding {
                     violation: Violation::PushedOver,
@@ -116,8 +117,8 @@
             && line.at <= to
             && match &line.seen {
                 Observation::Up { node: n, .. }
-                | Observation::Warmth { node: n, .. }
-                | Observation::Told { node: n, .. }
+                | Observation::WarmUpProgress { node: n, .. }
+                | Observation::ListUpdate { node: n, .. }
                 | Observation::Attempt { node: n, .. } => *n == node,
                 _ => false,
             }
--- a/crates/checker/tests/formats.rs
+++ b/crates/checker/tests/formats.rs
@@ -2,13 +2,14 @@
 
 use std::collections::BTreeMap;
 
-use hollowpaddle_checker::cluster::{Bank, Change, Contradiction, InForce, Moment};
-use hollowpaddle_checker::fleet::{
-    Contention, Episode, Peak, RecoveryReport, Stale, StaleSends, Stampede,
+use hollowpaddle_checker::cluster::{Change, Contradiction, InForce, PolicyReport, PolicySample};
+use hollowpaddle_checker::recovery::{
+    Contention, Episode, Peak, RecoveryReport, StaleReport, StaleSends, Stampede,
 };
 use hollowpaddle_checker::report::{Report, VERSION};
 use hollowpaddle_checker::{
-    ClassService, Counts, Finding, Floor, Run, Service, Sessions, Twice, Violation,
+    ClassService, Counts, DuplicateEffect, EffectRun, Finding, Floor, Service, SessionReport,
+    Violation,
 };
 use hollowpaddle_scenario::record::{At, Line, Observation, Resources};
 use serde_json::{Value, json};
@@ -32,47 +33,47 @@
         size: (8, 9),
         slack_ms: 9.5,
         service: Service {
-            whole: 11.5,
-            worst_stretch: 12.5,
-            worst_stretch_at_s: 13,
+            overall: 11.5,
+            worst_window: 12.5,
+            worst_window_start_s: 13,
             worst_class: 14.5,
             counts: Counts {
-                asked: 16,
+                requests: 16,
                 in_time: 17,
                 late: 18,
                 refused: 19,
                 failed: 20,
                 unanswered: 21,
                 unreachable: 22,
-                left: 23,
+                abandoned: 23,
                 repeats: 24,
                 attempts: 25,
-                turned_away: 26,
+                rejected_attempts: 26,
             },
             classes: vec![ClassService {
                 name: "text-29".into(),
                 service: 30.5,
                 counts: Counts {
-                    asked: 32,
+                    requests: 32,
                     in_time: 33,
                     late: 34,
                     refused: 35,
                     failed: 36,
                     unanswered: 37,
                     unreachable: 38,
-                    left: 39,
+                    abandoned: 39,
                     repeats: 40,
                     attempts: 41,
-                    turned_away: 42,
+                    rejected_attempts: 42,
                 },
                 latency_ms: Some([44.05, 44.15, 44.25, 44.35, 44.45]),
             }],
             over_time: vec![Some(47.5)],
             served_over_time: vec![49],
             unserved_over_time: vec![51],
-            part_s: 52.5,
+            interval_s: 52.5,
         },
-        breaches: BTreeMap::from([("lost", 53)]),
+        violations: BTreeMap::from([("lost", 53)]),
         findings: vec![Finding {
             violation: Violation::Lost,
             at: At(57),
@@ -82,30 +83,35 @@
             history: vec![line()],
         }],
         resources: vec![Some(Resources { memory_kib: 68, descriptors: 69, cpu_ms: 70 })],
-        tipped: vec![72],
-        floors: vec![Floor { of: "text-75".into(), served: 76.5, can: 77.5, wants: 78.5 }],
-        sessions: Some(Sessions {
+        overloaded_nodes: vec![72],
+        floors: vec![Floor {
+            scope: "text-75".into(),
+            served: 76.5,
+            achievable: 77.5,
+            required: 78.5,
+        }],
+        sessions: Some(SessionReport {
             moved: 81,
             effects: 82,
             ran_twice: 83,
-            twice: vec![Twice {
-                first: 86,
-                runs: vec![Run { at: At(89), request: 90, balancer: 91, node: 92, pod: 93 }],
+            duplicates: vec![DuplicateEffect {
+                original: 86,
+                runs: vec![EffectRun { at: At(89), request: 90, balancer: 91, node: 92, cell: 93 }],
             }],
             runs: 94,
-            as_strangers: 95,
-            at_their_pod: 96.5,
+            in_unknown_cells: 95,
+            in_previous_cell: 96.5,
         }),
-        bank: Some(Bank {
+        policy: Some(PolicyReport {
             contradiction_s: 99.5,
             bound_s: 100.5,
             contradictions: vec![Contradiction {
-                for_s: 103.5,
+                duration_s: 103.5,
                 at_s: 104.5,
                 balancer: 105,
                 request: 106,
                 node: 107,
-                pod: 108,
+                cell: 108,
                 class: "text-109".into(),
                 revision: 110,
                 other: 111,
@@ -121,8 +127,8 @@
                 changes: vec![Change {
                     revision: 122,
                     at_s: 123.5,
-                    most_s: Some(125.5),
-                    all_s: Some(127.5),
+                    in_force_99_s: Some(125.5),
+                    in_force_all_s: Some(127.5),
                     excused: 128,
                     missing: 129,
                     watched_s: 130.5,
@@ -134,11 +140,11 @@
             unanswered: 134,
             calls: 135,
             logs: 136,
-            forgotten: 137,
+            unrecoverable: 137,
             broken: vec!["text-139".into()],
-            over_time: vec![Moment { at_s: 142.5, leased: 143.5, newest: 144.5 }],
+            over_time: vec![PolicySample { at_s: 142.5, leased: 143.5, newest: 144.5 }],
         }),
-        account: Some(RecoveryReport {
+        recovery: Some(RecoveryReport {
             control_service: 147.5,
             episodes: vec![Episode {
                 faults: vec!["text-151".into()],
@@ -151,21 +157,21 @@
                 lost_s: 160.5,
             }],
             stampede: vec![Stampede {
-                what: "text-163",
+                kind: "text-163",
                 all: Peak { peak: 165, at_s: 166.5, control_run: 167, times: 168.5 },
                 busiest: Some(Peak { peak: 171, at_s: 172.5, control_run: 173, times: 174.5 }),
                 over_time: vec![176],
             }],
             contention: Contention { refused: 178, beside_idle: 179, share: 180.5 },
             control_contention: Contention { refused: 182, beside_idle: 183, share: 184.5 },
-            stale: Stale {
-                told: StaleSends { sends: 187, oldest_ms: 188.5, balancers: 189 },
-                untold: StaleSends { sends: 191, oldest_ms: 192.5, balancers: 193 },
+            stale: StaleReport {
+                informed: StaleSends { sends: 187, oldest_ms: 188.5, balancers: 189 },
+                uninformed: StaleSends { sends: 191, oldest_ms: 192.5, balancers: 193 },
             },
             service: vec![Some(196.5)],
             service_of_control: vec![Some(199.5)],
             step_s: 200.5,
-            missed: vec!["text-202".into()],
+            missed_expectations: vec!["text-202".into()],
         }),
     }
 }
@@ -178,7 +184,7 @@
 
 #[test]
 fn parts_that_a_run_does_not_have_are_left_out_or_null() {
-    let report = Report { sessions: None, bank: None, account: None, ..report() };
+    let report = Report { sessions: None, policy: None, recovery: None, ..report() };
     let mut expected: Value = serde_json::from_str(REPORT).expect("JSON");
     let expected_keys = expected.as_object_mut().expect("an object");
     expected_keys.remove("sessions");
@@ -213,8 +219,8 @@
 }
 
 #[test]
-fn floor_is_told_in_the_same_words() {
-    let floor = Floor { of: "cell 1".into(), served: 0.5, can: 0.875, wants: 0.75 };
+fn floor_text_is_unchanged() {
+    let floor = Floor { scope: "cell 1".into(), served: 0.5, achievable: 0.875, required: 0.75 };
     let text = "cell 1: 0.500 served of 0.875 that can be had, and 0.750 is wanted";
     assert_eq!(floor.text(), text);
 }
--- a/crates/checker/tests/sessions.rs
+++ b/crates/checker/tests/sessions.rs
@@ -1,6 +1,6 @@
 //! The account of vans, on traces written by hand.
 
-use hollowpaddle_checker::{Exactness, Sessions, judge};
+use hollowpaddle_checker::{SessionReport, TimingTolerance, check};
 use hollowpaddle_scenario::plan::Plan;
 use hollowpaddle_scenario::record::{At, AttemptOutcome, Line, Observation};
 use hollowpaddle_scenario::scenario::Scenario;
@@ -45,14 +45,14 @@
 "#;
 
 /// Runs of requests at nodes, in seconds; nodes 0 and 2 are one pod, 4 and 6 another, 1 and 3 a third.
-fn sessions(runs: &[(f64, u32, usize)]) -> Sessions {
-    let (scenario, plan) = drawn();
+fn sessions(runs: &[(f64, u32, usize)]) -> SessionReport {
+    let (scenario, plan) = scenario_and_plan();
     let mut lines = Vec::new();
     for (attempt, &(s, request, node)) in (0..).zip(runs) {
         let at = At((s * 1e6) as u64);
-        let mut saw = |seen| lines.push(Line { at, seen });
+        let mut record = |seen| lines.push(Line { at, seen });
         let (balancer, start, dark, work_ms) = (0, 1, false, 100.0);
-        saw(Observation::Attempt {
+        record(Observation::Attempt {
             attempt,
             request,
             node,
@@ -62,62 +62,66 @@
             dark,
             work_ms,
         });
-        saw(Observation::Ran { attempt });
-        saw(Observation::Ended { attempt, fate: AttemptOutcome::Abandoned });
+        record(Observation::Ran { attempt });
+        record(Observation::Ended { attempt, outcome: AttemptOutcome::Abandoned });
     }
-    let verdict = judge(&scenario, &plan, &lines, Exactness::LIVE);
-    verdict.sessions.expect("it has vans")
+    let result = check(&scenario, &plan, &lines, TimingTolerance::LIVE);
+    result.sessions.expect("it has vans")
 }
 
-fn drawn() -> (Scenario, Plan) {
+fn scenario_and_plan() -> (Scenario, Plan) {
     let scenario = Scenario::read("by-hand.toml", DAY).expect("sound");
-    let plan = Plan::draw(&scenario, 1);
+    let plan = Plan::generate(&scenario, 1);
     (scenario, plan)
 }
 
 /// A request that is pressed again, and the press.
-fn pressed() -> (u32, u32) {
-    let (_, plan) = drawn();
-    let again = plan.arrivals.iter().enumerate().find(|(n, a)| a.first as usize != *n);
+fn resubmission() -> (u32, u32) {
+    let (_, plan) = scenario_and_plan();
+    let again = plan.arrivals.iter().enumerate().find(|(n, a)| a.original as usize != *n);
     let (again, arrival) = again.expect("one is");
-    (arrival.first, again as u32)
+    (arrival.original, again as u32)
 }
 
 /// So many requests of one van, of a class.
-fn of_one_van(class: usize, count: usize) -> Vec<u32> {
-    let (_, plan) = drawn();
-    let mine = |(n, a): (usize, &hollowpaddle_scenario::plan::Arrival)| {
-        let is_mine = a.class == class && a.van.is_some_and(|v| v.0 == 0) && a.first as usize == n;
-        is_mine.then_some(n as u32)
+fn requests_of_one_session(class: usize, count: usize) -> Vec<u32> {
+    let (_, plan) = scenario_and_plan();
+    let request_of_session = |(n, a): (usize, &hollowpaddle_scenario::plan::Arrival)| {
+        let is_of_session =
+            a.class == class && a.session.is_some_and(|v| v.0 == 0) && a.original as usize == n;
+        is_of_session.then_some(n as u32)
     };
-    plan.arrivals.iter().enumerate().filter_map(mine).take(count).collect()
+    plan.arrivals.iter().enumerate().filter_map(request_of_session).take(count).collect()
 }
 
 #[test]
-fn a_key_that_ran_in_two_pods_ran_twice_and_one_that_ran_twice_in_one_did_not() {
-    let (first, again) = pressed();
+fn an_effect_ran_twice_only_if_it_ran_in_two_cells() {
+    let (first, again) = resubmission();
     let apart = sessions(&[(1.0, first, 0), (2.0, again, 4)]);
-    assert_eq!((apart.effects, apart.ran_twice, apart.twice.len()), (1, 1, 1));
-    let twice = &apart.twice[0];
-    assert_eq!((twice.first, twice.runs[1].request, twice.runs[1].node), (first, again, 4));
-    let one_pod = sessions(&[(1.0, first, 0), (2.0, again, 2)]);
-    assert_eq!((one_pod.effects, one_pod.ran_twice), (1, 0));
+    assert_eq!((apart.effects, apart.ran_twice, apart.duplicates.len()), (1, 1, 1));
+    let duplicate = &apart.duplicates[0];
+    assert_eq!(
+        (duplicate.original, duplicate.runs[1].request, duplicate.runs[1].node),
+        (first, again, 4)
+    );
+    let one_cell = sessions(&[(1.0, first, 0), (2.0, again, 2)]);
+    assert_eq!((one_cell.effects, one_cell.ran_twice), (1, 0));
     // Two effects in two pods are two effects.
-    let [one, other] = of_one_van(0, 2)[..] else { panic!("two") };
+    let [one, other] = requests_of_one_session(0, 2)[..] else { panic!("two") };
     let two = sessions(&[(1.0, one, 0), (2.0, other, 4)]);
     assert_eq!((two.effects, two.ran_twice), (2, 0));
     // Whoever changes nothing may run where it likes.
-    let safe = of_one_van(1, 1)[0];
+    let safe = requests_of_one_session(1, 1)[0];
     assert_eq!(sessions(&[(1.0, safe, 0), (1.5, safe, 4)]).ran_twice, 0);
 }
 
 #[test]
-fn a_van_is_at_its_pod_where_its_run_before_was_and_a_stranger_where_it_was_not_of_late() {
-    let all = of_one_van(1, 5);
+fn runs_are_counted_by_previous_cell_and_by_cells_that_know_the_session() {
+    let all = requests_of_one_session(1, 5);
     let at = |runs: &[(f64, usize)]| {
         let runs: Vec<_> = runs.iter().zip(&all).map(|((s, node), r)| (*s, *r, *node)).collect();
         let s = sessions(&runs);
-        (s.runs, s.at_their_pod, s.as_strangers)
+        (s.runs, s.in_previous_cell, s.in_unknown_cells)
     };
     assert_eq!(at(&[(1.0, 0)]), (1, 1.0, 1), "its first is nobody's to choose");
     assert_eq!(at(&[(1.0, 0), (2.0, 2), (3.0, 0)]), (3, 1.0, 1), "one pod");
@@ -127,9 +131,9 @@
 }
 
 #[test]
-fn a_day_without_vans_has_no_account_of_them() {
+fn a_scenario_without_sessions_has_no_session_report() {
     let text = &DAY[..DAY.find("[vans]").expect("there")];
     let scenario = Scenario::read("by-hand.toml", text).expect("sound");
-    let plan = Plan::draw(&scenario, 1);
-    assert_eq!(judge(&scenario, &plan, &[], Exactness::LIVE).sessions, None);
+    let plan = Plan::generate(&scenario, 1);
+    assert_eq!(check(&scenario, &plan, &[], TimingTolerance::LIVE).sessions, None);
 }
--- a/crates/ctl/src/picture.rs
+++ b/crates/ctl/src/picture.rs
@@ -1,8 +1,8 @@
 //! A run as a picture: service over time against its twin's, and what came at once, with the faults drawn in.
 
 use hollowpaddle_charts::{DrawError, Line, Panel, Picture, Span};
-use hollowpaddle_rehearsal::judge::cluster::{Bank, Moment};
-use hollowpaddle_rehearsal::judge::fleet::RecoveryReport;
+use hollowpaddle_rehearsal::judge::cluster::{PolicyReport, PolicySample};
+use hollowpaddle_rehearsal::judge::recovery::RecoveryReport;
 use hollowpaddle_rehearsal::report::Report;
 
 /// Kinds of what came at once that are drawn beside one another: attempts would dwarf them.
@@ -17,12 +17,12 @@
         points: values.iter().enumerate().map(|(n, v)| (time(n), *v)).collect(),
     };
     let counts = |what: &&str| {
-        let rush = account.stampede.iter().find(|r| r.what == *what)?;
+        let rush = account.stampede.iter().find(|r| r.kind == *what)?;
         let points = rush.over_time.iter().enumerate();
         let points = points.map(|(n, v)| (time(n), Some(*v as f64))).collect();
         Some(Line { name: what.to_string(), points })
     };
-    let span = |e: &hollowpaddle_rehearsal::judge::fleet::Episode| Span {
+    let span = |e: &hollowpaddle_rehearsal::judge::recovery::Episode| Span {
         name: e.faults.join(", "),
         from: e.from_s,
         to: e.up_s.unwrap_or(report.length_s),
@@ -42,7 +42,7 @@
             top: None,
         },
     ];
-    panels.extend(report.bank.as_ref().map(rule_book));
+    panels.extend(report.policy.as_ref().map(rule_book));
     Picture {
         title: format!(
             "{}, seed {}, {}: {} balancers, {} nodes",
@@ -56,8 +56,8 @@
 }
 
 /// Who holds a lease, and who is at the newest revision; its caption has the figures.
-fn rule_book(bank: &Bank) -> Panel {
-    let line = |name: &str, of: fn(&Moment) -> f64| Line {
+fn rule_book(bank: &PolicyReport) -> Panel {
+    let line = |name: &str, of: fn(&PolicySample) -> f64| Line {
         name: name.to_string(),
         points: bank.over_time.iter().map(|m| (m.at_s, Some(of(m)))).collect(),
     };
--- a/crates/ctl/src/rehearse.rs
+++ b/crates/ctl/src/rehearse.rs
@@ -8,7 +8,7 @@
 
 use hollowpaddle_rehearsal::plan::Plan;
 use hollowpaddle_rehearsal::process::Processes;
-use hollowpaddle_rehearsal::record::{Played, write_trace};
+use hollowpaddle_rehearsal::record::{CompletedRun, write_trace};
 use hollowpaddle_rehearsal::report::Report;
 use hollowpaddle_rehearsal::run::{play_plan_live, play_plan_virtual};
 use hollowpaddle_rehearsal::scenario::{self, Scenario};
@@ -150,12 +150,12 @@
     }
     let mut scenario = read(&arguments.scenario)?;
     if let Some(count) = arguments.balancers {
-        if count == 0 || count > scenario::MOST_BALANCERS as usize {
-            let most = scenario::MOST_BALANCERS;
+        if count == 0 || count > scenario::MAX_BALANCERS as usize {
+            let most = scenario::MAX_BALANCERS;
             return Err(format!("--balancers {count}: expected a number from 1 to {most}"));
         }
         let beyond = |f: &scenario::Fault| {
-            let named = f.kind.strikes_balancers().then_some(f.selection.places.as_ref()).flatten();
+            let named = f.kind.targets_balancers().then_some(f.selection.places.as_ref()).flatten();
             named.is_some_and(|all| all.iter().any(|b| *b >= count))
         };
         if let Some(f) = scenario.faults.iter().find(|f| beyond(f)) {
@@ -165,7 +165,7 @@
                 f.line, arguments.scenario
             ));
         }
-        scenario.bank.count = count;
+        scenario.cluster.count = count;
     }
     if let Some(load) = arguments.load {
         if scenario.load.closed.is_some() || !(load > 0.0 && load <= 100.0) {
@@ -190,7 +190,7 @@
 
 /// Whether the twin is to be played.
 fn wants_twin(arguments: &Arguments, scenario: &Scenario) -> bool {
-    let breaks = scenario.faults.iter().any(|f| f.kind.strikes_balancers());
+    let breaks = scenario.faults.iter().any(|f| f.kind.targets_balancers());
     let asked = arguments.control_run || arguments.picture.is_some();
     !arguments.no_twin && (asked || breaks || scenario.expect != scenario::Expect::default())
 }
@@ -198,7 +198,7 @@
 fn one(arguments: &Arguments) -> Result<bool, String> {
     let scenario = asked_for(arguments)?;
     let from = Instant::now();
-    let plan = Plan::draw(&scenario, arguments.seed);
+    let plan = Plan::generate(&scenario, arguments.seed);
     let twin_plan = wants_twin(arguments, &scenario).then(|| plan.control_run());
     let in_virtual_time = arguments.virtual_time || arguments.swept && !arguments.live;
     let (played, control_run) = if in_virtual_time {
@@ -227,7 +227,7 @@
         print!("{}", report.text());
         println!("played in {:.1} s", from.elapsed().as_secs_f64());
     }
-    Ok(report.is_clean() && report.bank_is_clean() && report.missed().is_empty())
+    Ok(report.is_clean() && report.policy_is_clean() && report.missed_expectations().is_empty())
 }
 
 /// Plays a plan with real processes, and says how far it is.
@@ -236,7 +236,7 @@
     scenario: &Scenario,
     plan: Plan,
     which: &'static str,
-) -> Result<Played, String> {
+) -> Result<CompletedRun, String> {
     let command = match &arguments.balancer {
         Some(command) => command.clone(),
         None => own_daemon()?,
@@ -262,7 +262,7 @@
     Ok(format!("'{}' daemon", own.display().to_string().replace('\'', "'\\''")))
 }
 
-fn keep(arguments: &Arguments, played: &Played, report: &Report) -> Result<(), String> {
+fn keep(arguments: &Arguments, played: &CompletedRun, report: &Report) -> Result<(), String> {
     if let Some(path) = &arguments.trace {
         let mut out = create(path)?;
         let written = write_trace(&played.trace, &mut out).and_then(|()| out.flush());
@@ -271,7 +271,7 @@
     if let Some(path) = &arguments.json {
         write_json(path, report)?;
     }
-    if let (Some(path), Some(account)) = (&arguments.picture, &report.account) {
+    if let (Some(path), Some(account)) = (&arguments.picture, &report.recovery) {
         let svg = picture::svg(report, account).map_err(|e| e.to_string())?;
         let mut out = create(path)?;
         let written = out.write_all(svg.as_bytes()).and_then(|()| out.flush());
@@ -293,7 +293,7 @@
             Ok(report) => {
                 simulated += report.length_s;
                 rules.add(&report);
-                if !report.is_clean() || !report.bank_is_clean() {
+                if !report.is_clean() || !report.policy_is_clean() {
                     broken.push(report);
                 }
             }
@@ -309,8 +309,8 @@
     broken.sort_by_key(|r| r.seed);
     failed.sort();
     for report in &broken {
-        let kinds = report.breaches.iter().map(|(n, c)| format!("{n} {c}"));
-        let promises = report.bank.iter().flat_map(|b| b.broken.iter().cloned());
+        let kinds = report.violations.iter().map(|(n, c)| format!("{n} {c}"));
+        let promises = report.policy.iter().flat_map(|b| b.broken.iter().cloned());
         let all: Vec<String> = kinds.chain(promises).collect();
         println!("seed {}: {}", report.seed, all.join(", "));
     }
@@ -349,7 +349,7 @@
 
 impl Rules {
     fn add(&mut self, report: &Report) {
-        let Some(bank) = &report.bank else { return };
+        let Some(bank) = &report.policy else { return };
         self.days += 1;
         self.changes += bank.changes;
         self.refused += bank.refused;
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -65,7 +65,7 @@
             idle: RefCell::default(),
             places: Semaphore::new(stage.scenario.clients.connections as usize),
         };
-        let doors = (0..stage.scenario.bank.count).map(door).collect();
+        let doors = (0..stage.scenario.cluster.count).map(door).collect();
         Rc::new(Self { stage: stage.clone(), doors })
     }
 
@@ -107,14 +107,14 @@
     /// there is one there.
     fn choose(&self, request: u32) -> Option<usize> {
         let mut all: Vec<usize> = (0..self.doors.len()).filter(|b| self.taken_in(*b)).collect();
-        if let Some((_, site)) = self.stage.arrival(request).van {
-            let (bank, fleet) = (&self.stage.scenario.bank, &self.stage.scenario.fleet);
+        if let Some((_, site)) = self.stage.arrival(request).session {
+            let (bank, fleet) = (&self.stage.scenario.cluster, &self.stage.scenario.fleet);
             let here = |b: &usize| bank.zone_of(*b, fleet) == site;
             if all.iter().any(here) {
                 all.retain(here);
             }
         }
-        let draw = self.stage.arrival(request).entry;
+        let draw = self.stage.arrival(request).balancer_sample;
         (!all.is_empty()).then(|| all[(draw % all.len() as u64) as usize])
     }
 
@@ -137,11 +137,11 @@
                 End::NotRun { .. } => true,
                 End::Failed => class.effect != Effect::Unsafe,
             };
-            let Some(next) = stage.arrival(request).again.filter(|_| harmless) else { break };
+            let Some(next) = stage.arrival(request).next_repeat.filter(|_| harmless) else { break };
             let advice = if let End::NotRun { retry_after } = end { retry_after } else { None };
-            let draw = (stage.arrival(next).entry >> 32) as f64 / f64::from(u32::MAX);
+            let draw = (stage.arrival(next).balancer_sample >> 32) as f64 / f64::from(u32::MAX);
             let wait = repeats.wait.mul_f64(0.5 + draw);
-            let wait = advice.filter(|_| repeats.heed).unwrap_or(wait);
+            let wait = advice.filter(|_| repeats.honors_retry_after).unwrap_or(wait);
             if Instant::now() + wait >= until {
                 break;
             }
@@ -189,7 +189,7 @@
                 again,
             });
             kept.last = Some(request);
-            let (sent, leaves) = (Instant::now(), stage.arrival(request).leaves);
+            let (sent, leaves) = (Instant::now(), stage.arrival(request).abandoned_after);
             let answer = timeout_at(sent + left + PATIENCE, async {
                 tokio::select! {
                     biased;
@@ -204,11 +204,11 @@
             });
             match answer.await {
                 Err(_) => {
-                    stage.record.saw(Observation::GaveUp { request });
+                    stage.record.saw(Observation::ClientTimedOut { request });
                     return End::Failed;
                 }
                 Ok(None) => {
-                    stage.record.saw(Observation::Left { request });
+                    stage.record.saw(Observation::ClientLeft { request });
                     return End::Over;
                 }
                 Ok(Some(Ok(message))) => {
--- a/crates/rehearsal/src/cluster.rs
+++ b/crates/rehearsal/src/cluster.rs
@@ -17,7 +17,7 @@
 use crate::node::count;
 use crate::peers::{Addresses, Peers};
 use crate::record::{Observation, Resources};
-use crate::scenario::{Effect, FaultKind, Group, RuleBook, Scenario, Way};
+use crate::scenario::{Effect, FaultKind, Group, LinkDirection, PolicySettings, Scenario};
 use crate::stage::{Stage, Who};
 use crate::stored::{COPY_EVERY, DiskTroubles, Stored};
 
@@ -141,12 +141,12 @@
     ) -> std::io::Result<Rc<Self>> {
         let link = || {
             let (ground, record) = (stage.ground.clone(), stage.record.clone());
-            let (count, seed) = (stage.scenario.bank.count, stage.plan.seed);
+            let (count, seed) = (stage.scenario.cluster.count, stage.plan.seed);
             Peers::new(ground, count, seed, move |seen| record.saw(seen))
         };
-        let peers = stage.scenario.bank.peers.then(link).transpose()?;
+        let peers = stage.scenario.cluster.peers.then(link).transpose()?;
         let stored = Stored::new(&stage.scenario, stage.plan.seed)?;
-        let slots = (0..stage.scenario.bank.count).map(|_| Slot::default()).collect();
+        let slots = (0..stage.scenario.cluster.count).map(|_| Slot::default()).collect();
         let bank = Rc::new(Self {
             stage: stage.clone(),
             list: list.clone(),
@@ -194,7 +194,7 @@
             discovery: self.list.address(balancer),
             config: self.config(balancer, &name, address, start),
             network: self.stage.ground.network(Who::Balancer(balancer)),
-            state: self.stage.scenario.bank.keeps_state.then(|| directory.join("state")),
+            state: self.stage.scenario.cluster.persists_state.then(|| directory.join("state")),
             disk: self.stored.disk(balancer),
             directory,
             control,
@@ -237,7 +237,7 @@
     /// Where operators call, the same after a restart.
     fn door(&self, balancer: usize) -> std::io::Result<Option<SocketAddr>> {
         let scenario = &self.stage.scenario;
-        let wanted = scenario.bank.keeps_state || !scenario.acts.is_empty();
+        let wanted = scenario.cluster.persists_state || !scenario.policy_actions.is_empty();
         if !wanted || self.slots.borrow()[balancer].door.is_some() {
             return Ok(self.slots.borrow()[balancer].door);
         }
@@ -275,7 +275,7 @@
 
     /// Whoever leads is cut off from all others, or is so no longer.
     pub fn cut_off(&self, key: usize, balancer: usize, begins: bool) {
-        let cut = FaultKind::LinksCut { way: Way::Both, open: 0.0 };
+        let cut = FaultKind::LinksCut { direction: LinkDirection::Both, open_share: 0.0 };
         self.links(self.stage.scenario.faults.len() + key, &cut, &[balancer], begins);
         self.stage.record.saw(Observation::CutOff { balancer, begins });
     }
@@ -291,7 +291,7 @@
         let Some(control) = self.slots.borrow_mut()[balancer].control.take() else { return };
         self.stage.record.saw(Observation::Killed { balancer, start });
         control.kill();
-        let (bank, notice) = (self.clone(), self.stage.scenario.bank.notice);
+        let (bank, notice) = (self.clone(), self.stage.scenario.cluster.notice);
         spawn_local(async move {
             sleep(notice).await;
             if bank.stage.start_of(balancer) == start {
@@ -344,7 +344,7 @@
         let bank = self.clone();
         spawn_local(async move {
             if begins {
-                sleep(bank.stage.scenario.bank.notice).await;
+                sleep(bank.stage.scenario.cluster.notice).await;
                 if bank.stage.start_of(balancer) == start && bank.is_paused(balancer) {
                     bank.clients.part(balancer);
                 }
@@ -413,7 +413,7 @@
 
     /// Has all read their configuration again. Only the list's address is new in it.
     pub fn reload(&self) {
-        for balancer in 0..self.stage.scenario.bank.count {
+        for balancer in 0..self.stage.scenario.cluster.count {
             let (address, start) = {
                 let slots = self.slots.borrow();
                 (slots[balancer].address, slots[balancer].start)
@@ -458,15 +458,15 @@
         let seed = self.stage.plan.balancer_seeds[balancer].wrapping_add(u64::from(start));
         let subset = |(times, least)| json!({"times": times, "least": least});
         let mut config = json!({
-            "subset": scenario.bank.subset.map(subset),
+            "subset": scenario.cluster.subset.map(subset),
             "name": name,
             "listen": listen.to_string(),
             "discovery": self.list.address(balancer).to_string(),
             "seed": format!("{seed:016x}"),
             "limits": {
                 "cores": 1.0,
-                "memory_mb": scenario.bank.memory_mb,
-                "sockets": scenario.bank.sockets,
+                "memory_mb": scenario.cluster.memory_mb,
+                "sockets": scenario.cluster.sockets,
             },
             "known": self.slots.borrow()[balancer].known,
             "settings": settings(scenario, balancer),
@@ -479,7 +479,7 @@
             config["peer_listen"] = listen.to_string().into();
             config["peers"] = peers.iter().map(ToString::to_string).collect();
             config["peers_all"] = all.to_string().into();
-            if let Some(fleet) = fleet(&scenario.bank.book) {
+            if let Some(fleet) = fleet(&scenario.cluster.policy) {
                 config["fleet"] = fleet;
             }
         }
@@ -488,18 +488,19 @@
 }
 
 /// Our own key about the bank, where the scenario says anything of it.
-fn fleet(book: &RuleBook) -> Option<Value> {
-    if book.off {
+fn fleet(book: &PolicySettings) -> Option<Value> {
+    if book.is_off {
         return Some("off".into());
     }
-    if *book == (RuleBook { look: book.look, ..RuleBook::default() }) {
+    if *book == (PolicySettings { poll_interval: book.poll_interval, ..PolicySettings::default() })
+    {
         return None;
     }
-    let mut fleet = json!({"council": book.council});
-    if let Some(pods) = &book.charter {
+    let mut fleet = json!({"council": book.voters});
+    if let Some(pods) = &book.fallback_cells {
         fleet["charter"] = pods.clone().into();
     }
-    if let Some(pods) = &book.bedrock {
+    if let Some(pods) = &book.mandatory_fallback_cells {
         fleet["bedrock"] = pods.clone().into();
     }
     Some(fleet)
@@ -509,14 +510,14 @@
 pub fn settings(scenario: &Scenario, balancer: usize) -> Value {
     let ms = |d: Duration| d.as_secs_f64() * 1e3;
     let rules = &scenario.rules;
-    let kinds = &scenario.fleet.kinds;
+    let kinds = &scenario.fleet.machine_types;
     let service = |c: &crate::scenario::Class| {
         json!({
             "Name": c.name,
-            "Aim": ms(c.aim),
+            "Aim": ms(c.latency_objective),
             "Deadline": ms(c.deadline),
-            "Importance": c.worth,
-            "LateValue": c.late_worth,
+            "Importance": c.priority_weight,
+            "LateValue": c.late_weight,
             "Effect": match c.effect {
                 Effect::Safe => "retryable",
                 Effect::Keyed => "dedup",
@@ -531,9 +532,9 @@
             "Streaming": false,
         })
     };
-    let (cold_from, cold) = scenario.told_of_cold();
+    let (cold_from, cold) = scenario.advertised_warm_up();
     json!({
-        "Balancers": scenario.bank.count,
+        "Balancers": scenario.cluster.count,
         "Position": balancer,
         "Zone": balancer % scenario.fleet.zones.len(),
         "Zones": scenario.fleet.zones,
@@ -547,7 +548,7 @@
             "MaxAttempts": rules.max_attempts,
             "SecondCopies": false,
             "Cancelling": true,
-            "PeerMessages": scenario.bank.peers,
+            "PeerMessages": scenario.cluster.peers,
             "Probes": false,
             "RetryAfter": true,
             "MaxRetryAfter": ms(rules.max_retry_after),
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -9,7 +9,7 @@
 #![warn(missing_docs)]
 
 pub use hollowpaddle_checker::{self as judge, report};
-pub use hollowpaddle_scenario::{book, plan, record, scenario};
+pub use hollowpaddle_scenario::{plan, policy_actions, record, scenario};
 
 pub mod clients;
 pub mod cluster;
--- a/crates/rehearsal/src/list.rs
+++ b/crates/rehearsal/src/list.rs
@@ -114,10 +114,10 @@
             free: Cell::new(Instant::now()),
             doors: RefCell::default(),
             watches: Cell::new(0),
-            deaf: RefCell::new(vec![0; stage.scenario.bank.count]),
+            deaf: RefCell::new(vec![0; stage.scenario.cluster.count]),
             cuts: stage.scenario.faults.iter().any(|f| f.kind == FaultKind::ListCut),
         });
-        for balancer in 0..stage.scenario.bank.count {
+        for balancer in 0..stage.scenario.cluster.count {
             list.open_door(balancer)?;
         }
         let publishing = Rc::downgrade(&list);
@@ -155,7 +155,7 @@
     /// It can't listen.
     pub fn relocate(self: &Rc<Self>) -> std::io::Result<()> {
         self.doors.borrow_mut().clear();
-        for balancer in 0..self.stage.scenario.bank.count {
+        for balancer in 0..self.stage.scenario.cluster.count {
             self.open_door(balancer)?;
         }
         let (list, old) = (self.clone(), self.generation.replace(self.generation.get() + 1));
@@ -291,7 +291,7 @@
         };
         if cut || watch.get().is_some() {
             let record = &self.stage.record;
-            record.saw(Observation::Unheard { balancer, watch: watch.get() });
+            record.saw(Observation::ListCallFailed { balancer, watch: watch.get() });
         }
         if cut {
             talk.reset();
@@ -312,11 +312,11 @@
                 _ = talk.end() => return,
                 () = self.audible(balancer) => {}
             }
-            self.stage.record.saw(Observation::Called { balancer });
+            self.stage.record.saw(Observation::ListCall { balancer });
             if self.is_down() || !self.turn().await {
                 let answer = b"HTTP/1.1 503 -\r\nContent-Length: 0\r\n\r\n";
                 let _ = talk.write(answer).await;
-                self.stage.record.saw(Observation::Unheard { balancer, watch: None });
+                self.stage.record.saw(Observation::ListCallFailed { balancer, watch: None });
                 continue;
             }
             let pairs = query.trim_start_matches('?').split('&');
@@ -326,7 +326,7 @@
             let from = value("index").and_then(|(_, v)| v.parse().ok()).unwrap_or(0);
             if value("stream").is_some() {
                 let number = self.watches.replace(self.watches.get() + 1);
-                self.stage.record.saw(Observation::Asked { balancer, watch: number });
+                self.stage.record.saw(Observation::WatchStarted { balancer, watch: number });
                 watch.set(Some(number));
                 let _ = self.watch(balancer, from, talk).await;
                 return;
@@ -337,7 +337,7 @@
                 return;
             }
             self.told(balancer, told);
-            self.stage.record.saw(Observation::Asked { balancer, watch: u64::MAX });
+            self.stage.record.saw(Observation::WatchStarted { balancer, watch: u64::MAX });
         }
     }
 
@@ -433,7 +433,13 @@
 
     fn told(&self, balancer: usize, what: Vec<Told>) {
         for Told { node, entry: Entry { phase, since }, revision } in what {
-            self.stage.record.saw(Observation::Told { balancer, node, phase, since, revision });
+            self.stage.record.saw(Observation::ListUpdate {
+                balancer,
+                node,
+                phase,
+                since,
+                revision,
+            });
         }
     }
 
@@ -468,9 +474,9 @@
         "id": machine.id,
         "host_port": node.address(balancer).to_string(),
         "locality": scenario.fleet.zones[machine.zone],
-        "flavor": scenario.fleet.kinds[machine.kind].name,
+        "flavor": scenario.fleet.machine_types[machine.machine_type].name,
         "cell": machine.cell,
-        "phase": phase.word(),
+        "phase": phase.name(),
         "size": 1.0,
         "up_since_ms": up,
     })
--- a/crates/rehearsal/src/node/mod.rs
+++ b/crates/rehearsal/src/node/mod.rs
@@ -21,7 +21,7 @@
 
 use crate::plan::Machine;
 use crate::record::{At, Observation};
-use crate::scenario::Kind;
+use crate::scenario::MachineType;
 use crate::stage::{Stage, Who};
 use crate::watched::Watched;
 use model::{Model, WarmUpFall};
@@ -52,7 +52,7 @@
     /// Its place among the machines.
     pub place: usize,
     machine: Machine,
-    kind: Kind,
+    kind: MachineType,
     troubles: RefCell<Troubles>,
     /// The process, while there is one.
     process: RefCell<Option<Process>>,
@@ -107,8 +107,8 @@
     /// A node that does not run yet.
     pub fn new(stage: &Rc<Stage>, place: usize) -> Rc<Self> {
         let machine = stage.plan.machines[place].clone();
-        let kind = stage.scenario.fleet.kinds[machine.kind].clone();
-        let balancers = stage.scenario.bank.count;
+        let kind = stage.scenario.fleet.machine_types[machine.machine_type].clone();
+        let balancers = stage.scenario.cluster.count;
         let troubles = Troubles { cut: vec![0; balancers], ..Troubles::default() };
         let life = Life { cut: vec![false; balancers], ..Life::default() };
         Rc::new(Self {
@@ -175,7 +175,7 @@
         let network = self.stage.ground.network(Who::Node(self.place));
         let mut addresses = self.addresses.borrow().clone();
         let anywhere = self.stage.ground.address(Who::Node(self.place));
-        addresses.resize(self.stage.scenario.bank.count, anywhere);
+        addresses.resize(self.stage.scenario.cluster.count, anywhere);
         let mut listeners = Vec::new();
         for address in &mut addresses {
             let listener = network.listen(*address)?;
@@ -320,7 +320,7 @@
         process.model.advance(now, &mut finished);
         let warmth = process.model.warmth();
         if (warmth * 100.0).floor() > (before * 100.0).floor() {
-            self.stage.record.saw(Observation::Warmth { node: self.place, share: warmth });
+            self.stage.record.saw(Observation::WarmUpProgress { node: self.place, share: warmth });
         }
         for id in finished {
             if let Some(done) = process.waiting.remove(&id) {
--- a/crates/rehearsal/src/node/model.rs
+++ b/crates/rehearsal/src/node/model.rs
@@ -3,7 +3,7 @@
 
 use std::collections::VecDeque;
 
-use crate::scenario::{Kind, borne, pressing};
+use crate::scenario::{MachineType, cold_node_limit, counted_work};
 
 /// Milliseconds from the start of the run.
 pub type Ms = f64;
@@ -50,7 +50,7 @@
 /// One node.
 #[derive(Clone, Debug)]
 pub struct Model {
-    kind: Kind,
+    kind: MachineType,
     speed: f64,
     /// Times slower than it should be, by a fault.
     pub slow: f64,
@@ -70,7 +70,7 @@
 
 impl Model {
     /// A node that starts at `now`; warm from the first if `cold` is 0.
-    pub fn start(kind: &Kind, speed: f64, now: Ms, cold: Ms, fall: WarmUpFall) -> Self {
+    pub fn start(kind: &MachineType, speed: f64, now: Ms, cold: Ms, fall: WarmUpFall) -> Self {
         Self {
             kind: kind.clone(),
             speed,
@@ -120,9 +120,9 @@
             return 0.0;
         }
         let cores = f64::from(self.kind.cores);
-        let contention = (self.held() as f64 / cores - self.kind.crowding_from).max(0.0);
+        let contention = (self.held() as f64 / cores - self.kind.contention_threshold).max(0.0);
         let fit =
-            (1.0 - self.kind.crowding_loss * contention / (1.0 + contention)).max(LEAST_SPEED);
+            (1.0 - self.kind.contention_loss * contention / (1.0 + contention)).max(LEAST_SPEED);
         let all = self.speed * running.min(cores) * self.warmth() * fit / self.slow;
         all / running
     }
@@ -209,7 +209,8 @@
         }
         let WarmUpFall { multiple, window, mean } = self.fall;
         let able = self.full() * self.warmth() * window;
-        pressing(self.sent.iter().map(|(_, w)| *w), mean) > borne(multiple * able / mean) * mean
+        counted_work(self.sent.iter().map(|(_, w)| *w), mean)
+            > cold_node_limit(multiple * able / mean) * mean
     }
 }
 
@@ -218,8 +219,8 @@
     use super::*;
     use std::time::Duration;
 
-    fn kind() -> Kind {
-        Kind {
+    fn kind() -> MachineType {
+        MachineType {
             name: "k".into(),
             share: 1.0,
             cores: 2,
@@ -227,8 +228,8 @@
             speed_cv: 0.0,
             slots: 3,
             queue: 1,
-            crowding_from: 1.5,
-            crowding_loss: 0.5,
+            contention_threshold: 1.5,
+            contention_loss: 0.5,
             cold_from: 0.25,
             cold: Duration::from_secs(10),
             connections: 10,
--- a/crates/rehearsal/src/node/serving.rs
+++ b/crates/rehearsal/src/node/serving.rs
@@ -49,7 +49,7 @@
             p.model.bother(self.kind.handshake_ms);
             p.connections > self.kind.connections
         };
-        self.stage.record.saw(Observation::Linked { node: self.place, balancer });
+        self.stage.record.saw(Observation::Connected { node: self.place, balancer });
         let ended = {
             let over = over(&mut life, process, balancer);
             tokio::select! {
@@ -80,7 +80,11 @@
                     return record.saw(Observation::Partial { node: self.place, balancer });
                 }
                 Ok(Err(Ended::Malformed(what))) => {
-                    return record.saw(Observation::Stranger { node: self.place, balancer, what });
+                    return record.saw(Observation::AlteredRequest {
+                        node: self.place,
+                        balancer,
+                        what,
+                    });
                 }
             };
             if !self.request(balancer, talk, message, crowded).await {
@@ -117,7 +121,7 @@
         let request = match self.known(&message) {
             Ok(request) => request,
             Err(what) => {
-                record.saw(Observation::Stranger { node: self.place, balancer, what });
+                record.saw(Observation::AlteredRequest { node: self.place, balancer, what });
                 let _ = talk.write(answer(400, "", "").as_bytes()).await;
                 return false;
             }
@@ -140,7 +144,7 @@
         });
         if dark {
             let _lost = OnDrop::new(|| {
-                record.saw(Observation::Ended { attempt, fate: AttemptOutcome::Died })
+                record.saw(Observation::Ended { attempt, outcome: AttemptOutcome::Died })
             });
             let _ = talk.end().await;
             _lost.cancel();
@@ -149,18 +153,18 @@
         }
         let fate = self.run(talk, attempt, request, work_ms, crowded).await;
         let Some(fate) = fate else { return false };
-        record.saw(Observation::Ended { attempt, fate });
+        record.saw(Observation::Ended { attempt, outcome: fate });
         let load = self.load_header();
         let text = match fate {
             AttemptOutcome::Served | AttemptOutcome::Dropped => {
                 answer(200, &load, &format!("{} {attempt}", self.stage.arrival(request).id))
             }
             AttemptOutcome::Error => answer(500, &load, ""),
-            AttemptOutcome::Spoilt => self.spoilt(),
+            AttemptOutcome::Malformed => self.spoilt(),
             _ => answer(503, &format!("X-Not-Run: 1\r\n{load}"), ""),
         };
         let written = talk.write(text.as_bytes()).await.is_ok();
-        if written && fate == AttemptOutcome::Spoilt {
+        if written && fate == AttemptOutcome::Malformed {
             // The connection stays open, and is of no further use.
             let _ = talk.end().await;
             return false;
@@ -179,7 +183,7 @@
     ) -> Option<AttemptOutcome> {
         let record = &self.stage.record;
         if crowded || self.drains() {
-            return Some(AttemptOutcome::TurnedAway);
+            return Some(AttemptOutcome::Rejected);
         }
         if self.seen_before(request) {
             return Some(AttemptOutcome::Dropped);
@@ -191,12 +195,12 @@
             let process = process.as_mut()?;
             match process.model.arrive(attempt, work_ms) {
                 Verdict::Taken => {}
-                Verdict::Full => return Some(AttemptOutcome::TurnedAway),
+                Verdict::Full => return Some(AttemptOutcome::Rejected),
                 Verdict::Tipped => {
                     self.tipped.set(true);
-                    record.saw(Observation::Tipped { node: self.place });
+                    record.saw(Observation::Overloaded { node: self.place });
                     self.changed.notify_one();
-                    return Some(AttemptOutcome::TurnedAway);
+                    return Some(AttemptOutcome::Rejected);
                 }
             }
             process.waiting.insert(attempt, tell);
@@ -206,8 +210,9 @@
         self.stage.got_to_know(request, self.machine.cell);
         record.saw(Observation::Ran { attempt });
         // Dropped here, its node has died with it.
-        let died =
-            OnDrop::new(|| record.saw(Observation::Ended { attempt, fate: AttemptOutcome::Died }));
+        let died = OnDrop::new(|| {
+            record.saw(Observation::Ended { attempt, outcome: AttemptOutcome::Died })
+        });
         tokio::select! {
             biased;
             done = done => {
@@ -217,7 +222,7 @@
                 died.cancel();
                 // The work goes on; nobody waits for it.
                 record.saw(Observation::Closed { attempt });
-                record.saw(Observation::Ended { attempt, fate: AttemptOutcome::Abandoned });
+                record.saw(Observation::Ended { attempt, outcome: AttemptOutcome::Abandoned });
                 return None;
             }
         }
@@ -228,7 +233,7 @@
         };
         let well: f64 = self.troubles.borrow().spoil.iter().map(|s| 1.0 - s).product();
         Some(if spoil >= well {
-            AttemptOutcome::Spoilt
+            AttemptOutcome::Malformed
         } else if error < self.kind.error_rate {
             self.errors.set(self.errors.get() + 1);
             AttemptOutcome::Error
--- a/crates/rehearsal/src/operator.rs
+++ b/crates/rehearsal/src/operator.rs
@@ -10,8 +10,8 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::book::Call;
 use crate::cluster::Bank;
+use crate::policy_actions::Call;
 use crate::record::{At, Observation};
 use crate::scenario::OperatorVerb;
 use crate::stage::{Stage, Who};
@@ -47,7 +47,8 @@
 
     /// Looks at every door from now on, one after another within each round.
     pub fn look(self: &Rc<Self>) {
-        let (count, every) = (self.stage.scenario.bank.count, self.stage.scenario.bank.book.look);
+        let (count, every) =
+            (self.stage.scenario.cluster.count, self.stage.scenario.cluster.policy.poll_interval);
         for balancer in 0..count {
             let operator = self.clone();
             spawn_local(async move {
@@ -69,15 +70,17 @@
         let told = timeout(NO_LOOK, self.call(balancer, "GET", "/admin/bank", &Value::Null)).await;
         let Ok(Some((200, text))) = told else { return };
         let Some(seen) = stands(balancer, start, asked, &text) else { return };
-        let Observation::Stands { revision, towards, newest, leader, held, epoch, .. } = seen
+        let Observation::BalancerStatus {
+            revision, target, newest, leader, has_lease, epoch, ..
+        } = seen
         else {
             return;
         };
-        if let Some(leader) = leader.filter(|_| held) {
+        if let Some(leader) = leader.filter(|_| has_lease) {
             self.leaders.borrow_mut().insert(balancer, (Instant::now(), leader));
         }
         self.stage.record.saw(seen);
-        let wanted = [Some(revision), towards, Some(newest)].into_iter().flatten();
+        let wanted = [Some(revision), target, Some(newest)].into_iter().flatten();
         let known = |n: &u64| self.told.borrow().contains(&(balancer, start, epoch, *n));
         if wanted.clone().any(|n| !known(&n)) {
             self.fetch(balancer, start, epoch).await;
@@ -133,14 +136,14 @@
 
     /// Says one thing, and asks again at the next door for as long as nobody has answered.
     pub async fn say(self: Rc<Self>, call: Call) {
-        let (from, count) = (Instant::now(), self.stage.scenario.bank.count);
-        let (mut tries, mut door, mut to) = (0, call.door, None);
+        let (from, count) = (Instant::now(), self.stage.scenario.cluster.count);
+        let (mut tries, mut door, mut to) = (0, call.balancer, None);
         loop {
-            if call.back.is_some() && to.is_none() {
-                to = self.revision_before(door, call.back.unwrap_or(1)).await;
+            if call.rollback_steps.is_some() && to.is_none() {
+                to = self.revision_before(door, call.rollback_steps.unwrap_or(1)).await;
             }
             // Whom it is to go back to is asked at another door, where this one can't tell.
-            if call.back.is_none() || to.is_some() {
+            if call.rollback_steps.is_none() || to.is_some() {
                 let answered = self.say_once(&call, door, tries, to).await;
                 tries += 1;
                 match answered {
@@ -152,7 +155,7 @@
             } else {
                 door = (door + 1) % count;
             }
-            if from.elapsed() >= call.patience {
+            if from.elapsed() >= call.retry_for {
                 return;
             }
             sleep(AGAIN).await;
@@ -163,7 +166,7 @@
         let mut body = call.body.clone();
         let id = call.id.map(|id| match call.verb {
             // What was refused since another one was on its way is a new question.
-            OperatorVerb::Charter => format!("{:032x}", id.wrapping_add(u128::from(tries))),
+            OperatorVerb::FallbackPolicy => format!("{:032x}", id.wrapping_add(u128::from(tries))),
             _ => format!("{id:032x}"),
         });
         if let Some(id) = &id {
@@ -173,7 +176,7 @@
             body["to"] = to.into();
         }
         let (number, verb) = (call.number, call.verb);
-        let said = Observation::Said {
+        let said = Observation::OperatorCall {
             call: number,
             tries,
             balancer: door,
@@ -190,13 +193,13 @@
         let why = text.and_then(|t| t["error"].as_str().map(str::to_string));
         let status = told.as_ref().map(|(status, _)| *status);
         let call = call.number;
-        self.stage.record.saw(Observation::Heard {
+        self.stage.record.saw(Observation::OperatorAnswer {
             call,
             balancer: door,
             verb,
             status,
             number,
-            everywhere,
+            in_force_everywhere: everywhere,
             why,
         });
         status
@@ -242,18 +245,18 @@
         let all = v.as_array().into_iter().flatten().filter_map(Value::as_u64);
         all.filter_map(|n| u32::try_from(n).ok()).collect()
     };
-    Some(Observation::Stands {
+    Some(Observation::BalancerStatus {
         balancer,
         start,
         asked,
         revision: text["revision"].as_u64()?,
-        towards: text["towards"].as_u64(),
+        target: text["towards"].as_u64(),
         newest: text["newest"].as_u64()?,
-        held: text["lease"]["held"].as_bool()?,
+        has_lease: text["lease"]["held"].as_bool()?,
         unconfirmed: text["unconfirmed"].as_bool()?,
-        charter: numbers(&text["charter"]["pods"]),
-        except: texts(&text["charter"]["except"]),
-        awaited: text["charter"]["awaited"].as_bool()?,
+        fallback_cells: numbers(&text["charter"]["pods"]),
+        fallback_exceptions: texts(&text["charter"]["except"]),
+        fallback_pending: text["charter"]["awaited"].as_bool()?,
         leader: text["council"]["leader"].as_u64().and_then(|n| usize::try_from(n).ok()),
         epoch: epoch_of(text),
     })
--- a/crates/rehearsal/src/peers.rs
+++ b/crates/rehearsal/src/peers.rs
@@ -16,7 +16,7 @@
 use tokio::time::sleep;
 
 use crate::record::Observation;
-use crate::scenario::{FaultKind, Way};
+use crate::scenario::{FaultKind, LinkDirection};
 use crate::stage::{Testbed, Who};
 
 /// So many balancers a live run may have that may send one another datagrams: a relay holds a descriptor for each
@@ -140,18 +140,22 @@
             return self.end(fault);
         }
         let (way, crossing, does) = match kind {
-            FaultKind::LinksCut { way, open } => (*way, true, Does::Cut { open: *open }),
-            FaultKind::LinksBad { way, trouble } => (*way, false, Does::Bad(trouble.clone())),
+            FaultKind::LinksCut { direction, open_share } => {
+                (*direction, true, Does::Cut { open: *open_share })
+            }
+            FaultKind::LinksBad { direction, trouble } => {
+                (*direction, false, Does::Bad(trouble.clone()))
+            }
             _ => return,
         };
         let set: Set = struck.iter().copied().collect();
-        if way != Way::In {
+        if way != LinkDirection::In {
             let from = Some(set.clone());
             self.begin(fault, Rule { from, to: None, crossing, does: does.clone() });
         }
-        if way != Way::Out {
+        if way != LinkDirection::Out {
             // What goes within the set is struck once, with what they say.
-            let crossing = crossing || way == Way::Both;
+            let crossing = crossing || way == LinkDirection::Both;
             self.begin(fault, Rule { from: None, to: Some(set), crossing, does });
         }
     }
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -8,16 +8,16 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::book::{Doing, Planned};
 use crate::clients::{Clients, PATIENCE};
 use crate::cluster::{Bank, LaunchError, Launcher};
 use crate::list::NodeList;
 use crate::node::Node;
 use crate::operator::Operator;
 use crate::peers::MOST_LIVE;
-use crate::plan::{Act, Plan};
-use crate::record::{Observation, Phase, Played};
-use crate::scenario::{Closed, FaultKind, Scenario, Strike};
+use crate::plan::{FaultEvent, Plan};
+use crate::policy_actions::{PlannedAction, PlannedStep};
+use crate::record::{CompletedRun, Observation, Phase};
+use crate::scenario::{Closed, FaultKind, LeaderFault, Scenario};
 use crate::stage::{Stage, Testbed, Who};
 
 /// Clients come when all balancers are ready, or after this.
@@ -81,8 +81,8 @@
     scenario: &Scenario,
     seed: u64,
     launcher: Rc<dyn Launcher>,
-) -> Result<Played, RunError> {
-    play_plan_virtual(scenario, Plan::draw(scenario, seed), launcher)
+) -> Result<CompletedRun, RunError> {
+    play_plan_virtual(scenario, Plan::generate(scenario, seed), launcher)
 }
 
 /// The same of a plan that was drawn before.
@@ -93,7 +93,7 @@
     scenario: &Scenario,
     plan: Plan,
     launcher: Rc<dyn Launcher>,
-) -> Result<Played, RunError> {
+) -> Result<CompletedRun, RunError> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build()?;
     LocalSet::new().block_on(&runtime, async {
@@ -111,8 +111,8 @@
     seed: u64,
     launcher: Rc<dyn Launcher>,
     progress: impl Fn(Progress) + 'static,
-) -> Result<Played, RunError> {
-    play_plan_live(scenario, Plan::draw(scenario, seed), launcher, progress)
+) -> Result<CompletedRun, RunError> {
+    play_plan_live(scenario, Plan::generate(scenario, seed), launcher, progress)
 }
 
 /// The same of a plan that was drawn before.
@@ -124,15 +124,15 @@
     plan: Plan,
     launcher: Rc<dyn Launcher>,
     progress: impl Fn(Progress) + 'static,
-) -> Result<Played, RunError> {
+) -> Result<CompletedRun, RunError> {
     for fault in &scenario.faults {
         if let Some(why) = fault.kind.virtual_only() {
             let (line, kind) = (fault.line, fault.kind.name());
             return Err(RunError::VirtualOnly { line, kind, why });
         }
     }
-    if scenario.bank.peers && scenario.bank.count > MOST_LIVE {
-        return Err(RunError::TooManyPeers(scenario.bank.count));
+    if scenario.cluster.peers && scenario.cluster.count > MOST_LIVE {
+        return Err(RunError::TooManyPeers(scenario.cluster.count));
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
@@ -158,7 +158,7 @@
     ground: Testbed,
     launcher: Rc<dyn Launcher>,
     progress: impl Fn(Progress) + 'static,
-) -> Result<Played, RunError> {
+) -> Result<CompletedRun, RunError> {
     let stage = Stage::new(scenario, plan, ground);
     let scenario = &stage.scenario;
     let nodes: Vec<Rc<Node>> =
@@ -169,12 +169,12 @@
     let list = NodeList::start(&stage, &nodes)?;
     let clients = Clients::new(&stage);
     let bank = Bank::new(&stage, &list, &clients, launcher)?;
-    for balancer in 0..scenario.bank.count {
+    for balancer in 0..scenario.cluster.count {
         bank.start(balancer)?;
     }
     let started = Instant::now();
-    let ready = || (0..scenario.bank.count).filter(|b| clients.taken_in(*b)).count();
-    while ready() < scenario.bank.count && started.elapsed() < READY {
+    let ready = || (0..scenario.cluster.count).filter(|b| clients.taken_in(*b)).count();
+    while ready() < scenario.cluster.count && started.elapsed() < READY {
         if let Some(early) = bank.ended_early() {
             bank.end();
             return Err(early.into());
@@ -198,7 +198,7 @@
         spawn_local(world.clone().tipping(node.clone()));
     }
     let (began, zero) = (stage.record.now(), Instant::now());
-    if !scenario.acts.is_empty() {
+    if !scenario.policy_actions.is_empty() {
         world.operator.look();
         spawn_local(world.clone().operators(zero));
     }
@@ -216,7 +216,7 @@
     });
     match scenario.load.closed {
         None => {
-            for request in 0..stage.plan.firsts {
+            for request in 0..stage.plan.original_count {
                 sleep_until(zero + stage.arrival(request).at).await;
                 spawn_local(clients.clone().ask(request));
             }
@@ -240,7 +240,7 @@
     if let Some(failed) = world.failed.take() {
         return Err(failed);
     }
-    Ok(Played {
+    Ok(CompletedRun {
         scenario: scenario.clone(),
         plan: stage.plan.clone(),
         trace,
@@ -258,7 +258,7 @@
         let (stage, clients, turn) = (stage.clone(), clients.clone(), turn.clone());
         spawn_local(async move {
             sleep_until(zero + closed.pause * n / closed.clients).await;
-            while Instant::now() < end && turn.get() < stage.plan.firsts {
+            while Instant::now() < end && turn.get() < stage.plan.original_count {
                 let request = turn.replace(turn.get() + 1);
                 clients.clone().ask(request).await;
                 sleep(closed.pause).await;
@@ -269,7 +269,7 @@
 
 impl World {
     async fn faults(self: Rc<Self>, zero: Instant) {
-        for act in self.stage.plan.acts.clone() {
+        for act in self.stage.plan.fault_events.clone() {
             sleep_until(zero + act.at).await;
             self.stage.record.saw(Observation::Fault { fault: act.fault, begins: act.begins });
             self.strike(&act);
@@ -278,19 +278,19 @@
 
     /// What operators do, and what is done to whoever leads then.
     async fn operators(self: Rc<Self>, zero: Instant) {
-        for Planned { at, act, doing } in self.stage.plan.bank.clone() {
+        for PlannedAction { at, action, step } in self.stage.plan.policy_actions.clone() {
             sleep_until(zero + at).await;
-            match doing {
-                Doing::Call(call) => drop(spawn_local(self.operator.clone().say(call))),
-                Doing::Leader(strike, length) => {
-                    spawn_local(self.clone().strike_leader(act, strike, length));
+            match step {
+                PlannedStep::Call(call) => drop(spawn_local(self.operator.clone().say(call))),
+                PlannedStep::Leader(strike, length) => {
+                    spawn_local(self.clone().strike_leader(action, strike, length));
                 }
             }
         }
     }
 
     /// Strikes whoever leads, as soon as the doors tell who that is; nobody, if they can't for a while.
-    async fn strike_leader(self: Rc<Self>, act: usize, strike: Strike, length: Duration) {
+    async fn strike_leader(self: Rc<Self>, act: usize, strike: LeaderFault, length: Duration) {
         let from = Instant::now();
         let leader = loop {
             match self.operator.leader() {
@@ -301,9 +301,9 @@
         };
         for begins in [true, false] {
             match strike {
-                Strike::Killed => drop(self.well(self.bank.hold_down(leader, begins))),
-                Strike::Paused => self.bank.pause(leader, begins),
-                Strike::CutOff => self.bank.cut_off(act, leader, begins),
+                LeaderFault::Killed => drop(self.well(self.bank.hold_down(leader, begins))),
+                LeaderFault::Paused => self.bank.pause(leader, begins),
+                LeaderFault::CutOff => self.bank.cut_off(act, leader, begins),
             }
             if begins {
                 sleep(length).await;
@@ -346,7 +346,7 @@
         }
     }
 
-    fn strike(self: &Rc<Self>, act: &Act) {
+    fn strike(self: &Rc<Self>, act: &FaultEvent) {
         let begins = act.begins;
         let list = &self.stage.scenario.list;
         let struck = act.nodes.iter().map(|n| &self.nodes[*n]);
@@ -372,7 +372,7 @@
                 }
             }),
             FaultKind::Replace { .. } if begins => {
-                for (node, newcomer) in struck.zip(&act.newcomers) {
+                for (node, newcomer) in struck.zip(&act.replacements) {
                     if node.go() {
                         self.gone(node, list.notice);
                     } else {
@@ -382,7 +382,7 @@
                 }
             }
             FaultKind::Replace { same_address } => {
-                for (old, new) in act.nodes.iter().zip(&act.newcomers) {
+                for (old, new) in act.nodes.iter().zip(&act.replacements) {
                     if self.void.borrow().contains(new) {
                         continue;
                     }
--- a/crates/rehearsal/src/stage.rs
+++ b/crates/rehearsal/src/stage.rs
@@ -182,7 +182,7 @@
     pub fn new(scenario: Scenario, plan: Plan, ground: Testbed) -> Rc<Self> {
         let index = |(i, a): (usize, &Arrival)| (a.id.clone(), i as u32);
         let requests = plan.arrivals.iter().enumerate().map(index).collect();
-        let starts = RefCell::new(vec![0; scenario.bank.count]);
+        let starts = RefCell::new(vec![0; scenario.cluster.count]);
         let epoch = ground.network(Who::Clients(0)).unix_now();
         Rc::new(Self {
             scenario,
@@ -233,7 +233,7 @@
             arrival.key,
             left.as_millis(),
         );
-        if arrival.first != request && self.scenario.clients.repeats.marked {
+        if arrival.original != request && self.scenario.clients.repeats.marked {
             text.push_str("X-Retry: 1\r\n");
         }
         if class.effect == Effect::Keyed {
@@ -257,19 +257,19 @@
 
     /// Its key, for a keyed one; a repeat has that of the first.
     pub fn idempotency_key(&self, request: u32) -> String {
-        let arrival = self.arrival(self.arrival(request).first);
+        let arrival = self.arrival(self.arrival(request).original);
         format!("{:016x}{}", arrival.key, arrival.id)
     }
 
     /// What a request is on this pod, in milliseconds of a core of speed 1: more for a van that the pod does not know.
     pub fn work_ms(&self, request: u32, pod: u32) -> f64 {
         let arrival = self.arrival(request);
-        let stranger = match (&self.scenario.vans, arrival.van) {
+        let stranger = match (&self.scenario.sessions, arrival.session) {
             (Some(vans), Some((van, _))) => {
                 let known = self.known.borrow();
                 let until = known.get(&(pod, van));
                 let known = until.is_some_and(|until| *until > tokio::time::Instant::now());
-                if known { 0.0 } else { vans.stranger_work_ms }
+                if known { 0.0 } else { vans.unknown_session_work_ms }
             }
             _ => 0.0,
         };
@@ -278,8 +278,10 @@
 
     /// A request has been taken into work in this pod: it knows the van from here on.
     pub fn got_to_know(&self, request: u32, pod: u32) {
-        if let (Some(vans), Some((van, _))) = (&self.scenario.vans, self.arrival(request).van) {
-            let until = tokio::time::Instant::now() + vans.forgotten;
+        if let (Some(vans), Some((van, _))) =
+            (&self.scenario.sessions, self.arrival(request).session)
+        {
+            let until = tokio::time::Instant::now() + vans.session_expiry;
             self.known.borrow_mut().insert((pod, van), until);
         }
     }
@@ -287,7 +289,7 @@
     /// The effect that a keyed request is to have: of requests with one key, the same. Days without vans tell repeats
     /// apart, as they always did: what was swept stays as it was.
     pub fn effect(&self, request: u32) -> u32 {
-        if self.scenario.vans.is_some() { self.arrival(request).first } else { request }
+        if self.scenario.sessions.is_some() { self.arrival(request).original } else { request }
     }
 
     /// Its body; none for a safe one.
--- a/crates/rehearsal/src/stored.rs
+++ b/crates/rehearsal/src/stored.rs
@@ -97,11 +97,11 @@
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
         rng.set_stream(STREAM);
         Ok(Self {
-            disks: (0..scenario.bank.count).map(|_| Rc::default()).collect(),
+            disks: (0..scenario.cluster.count).map(|_| Rc::default()).collect(),
             folder: folder("rehearsal-state-")?,
-            keeps: scenario.bank.keeps_state,
+            keeps: scenario.cluster.persists_state,
             oldest: scenario.faults.iter().filter_map(age).max(),
-            copies: RefCell::new(vec![VecDeque::new(); scenario.bank.count]),
+            copies: RefCell::new(vec![VecDeque::new(); scenario.cluster.count]),
             rng: RefCell::new(rng),
         })
     }
--- a/crates/rehearsal/src/sweep.rs
+++ b/crates/rehearsal/src/sweep.rs
@@ -16,8 +16,9 @@
 use crate::report::Report;
 use crate::run::{RunError, play_virtual};
 use crate::scenario::{
-    Bank, Class, Clients, Effect, Expect, Fault, FaultKind, Fleet, Group, Kind, ListService, Load,
-    Repeats, RuleBook, Rules, Scenario, Selection, Shape, Trouble, Way,
+    Class, Clients, Cluster, Effect, Expect, Fault, FaultKind, Fleet, Group, LinkDirection,
+    ListService, Load, MachineType, PolicySettings, Repeats, Rules, Scenario, Selection, Shape,
+    Trouble,
 };
 
 /// What one seed came to.
@@ -43,7 +44,7 @@
     let length = rng.random_range(15..25u32);
     let count = rng.random_range(1..=3usize);
     let nodes = rng.random_range(8..=20usize);
-    let kind = |name: &str, share, speed, rng: &mut ChaCha8Rng| Kind {
+    let kind = |name: &str, share, speed, rng: &mut ChaCha8Rng| MachineType {
         name: name.to_string(),
         share,
         cores: rng.random_range(1..=2),
@@ -51,8 +52,8 @@
         speed_cv: 0.15,
         slots: rng.random_range(4..=8),
         queue: rng.random_range(0..=2),
-        crowding_from: 1.1 + 0.4 * rng.random::<f64>(),
-        crowding_loss: 0.6,
+        contention_threshold: 1.1 + 0.4 * rng.random::<f64>(),
+        contention_loss: 0.6,
         cold_from: 0.15 + 0.2 * rng.random::<f64>(),
         cold: ms(rng.random_range(4_000..12_000)),
         connections: rng.random_range(20..60),
@@ -65,10 +66,10 @@
         share,
         work_ms,
         work_cv: 0.5,
-        aim: ms(700),
+        latency_objective: ms(700),
         deadline: ms(1750),
-        worth,
-        late_worth: 0.4,
+        priority_weight: worth,
+        late_weight: 0.4,
         effect,
         group: Group::Cell,
         window: ms(6_000),
@@ -91,22 +92,22 @@
             zones,
             nodes,
             cell_size: rng.random_range(2..=4),
-            kinds,
+            machine_types: kinds,
             same_zone: Duration::ZERO,
             cross_zone: ms(rng.random_range(0..=8)),
         },
-        bank: Bank {
+        cluster: Cluster {
             count,
             memory_mb: 64,
             sockets: 512,
             notice: ms(1500),
             subset: None,
             peers: false,
-            keeps_state: false,
-            book: RuleBook::default(),
+            persists_state: false,
+            policy: PolicySettings::default(),
         },
-        clients: Clients { leave_share: 0.01, connections: 160, repeats: Repeats::default() },
-        vans: None,
+        clients: Clients { abandon_share: 0.01, connections: 160, repeats: Repeats::default() },
+        sessions: None,
         classes,
         load: Load {
             of_capacity: 0.4 + 0.7 * rng.random::<f64>(),
@@ -137,7 +138,7 @@
             keepalive: ms(5_000),
         },
         faults,
-        acts: Vec::new(),
+        policy_actions: Vec::new(),
         expect: Expect::default(),
     }
 }
@@ -162,7 +163,7 @@
             share: 0.03 * rng.random::<f64>(),
             factor: 5.0 + 15.0 * rng.random::<f64>(),
         },
-        13 => FaultKind::BalancerKill { spread: Duration::ZERO, again: None },
+        13 => FaultKind::BalancerKill { spread: Duration::ZERO, cycle: None },
         14 => FaultKind::BalancerRestart { spread: Duration::ZERO },
         _ => FaultKind::ListMove,
     };
@@ -174,7 +175,7 @@
     Fault {
         start: ms(rng.random_range(1_000..length * 1000 - 4_000)),
         length: ms(rng.random_range(500..10_000)),
-        selection: match (kind.strikes_nodes(), kind.strikes_balancers()) {
+        selection: match (kind.targets_nodes(), kind.targets_balancers()) {
             (true, _) => selection,
             (_, true) => Selection { places: Some(vec![balancer]), ..Selection::default() },
             _ => Selection::default(),
@@ -192,7 +193,7 @@
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(stream);
     (day.name, day.about) = (format!("sweep-{of}-{seed}"), about.to_string());
-    day.bank.count = rng.random_range(3..=8);
+    day.cluster.count = rng.random_range(3..=8);
     let length = day.length.as_secs() as u32;
     (day, rng, length)
 }
@@ -202,14 +203,14 @@
 pub fn fleet_scenario(seed: u64) -> Scenario {
     let about = "random faults of a bank, on top of random others";
     let (mut day, mut rng, length) = bank_day(seed, 98, "fleets", about);
-    (day.bank.peers, day.bank.keeps_state) = (true, rng.random());
+    (day.cluster.peers, day.cluster.persists_state) = (true, rng.random());
     for _ in 0..rng.random_range(2..=5) {
-        let fault = bank_fault(&mut rng, length, &day.bank);
+        let fault = bank_fault(&mut rng, length, &day.cluster);
         day.faults.push(fault);
     }
     // From a stream of its own: days that were swept before there were such faults stay as they were but for these.
     rng.set_stream(97);
-    if day.bank.keeps_state && rng.random::<f64>() < 0.4 {
+    if day.cluster.persists_state && rng.random::<f64>() < 0.4 {
         let slow = FaultKind::StateSlow { by: ms(rng.random_range(1_000..30_000)) };
         let kind = if rng.random() { FaultKind::StateFull } else { slow };
         day.faults.push(Fault {
@@ -229,18 +230,18 @@
 pub fn comeback_scenario(seed: u64) -> Scenario {
     let about = "a bank that comes back with old copies to another fleet, on top of random faults";
     let (mut day, mut rng, length) = bank_day(seed, 96, "comebacks", about);
-    day.bank.keeps_state = true;
+    day.cluster.persists_state = true;
     let down = rng.random_range(2_000..length * 1000 / 2);
     let away = rng.random_range(300..4_000);
     let share = |share: f64| Selection { share: Some(share), ..Selection::default() };
     let mut strike = |kind: FaultKind, start: u32, length: u32, selection: Selection| {
         let (start, length) = (ms(start), ms(length));
-        let group = kind.strikes_balancers().then(|| "back".to_string());
+        let group = kind.targets_balancers().then(|| "back".to_string());
         day.faults.push(Fault { start, length, selection, kind, group, line: 0 });
     };
     let struck = share(0.5 + 0.5 * rng.random::<f64>());
     let spread = ms(rng.random_range(0..500));
-    strike(FaultKind::BalancerKill { spread, again: None }, down, away, struck.clone());
+    strike(FaultKind::BalancerKill { spread, cycle: None }, down, away, struck.clone());
     let age = ms(rng.random_range(1_000..12_000));
     strike(FaultKind::StateOld { age }, down + away / 2, 0, struck);
     let replaced = share(0.2 + 0.4 * rng.random::<f64>());
@@ -263,19 +264,19 @@
     day
 }
 
-fn bank_fault(rng: &mut ChaCha8Rng, length: u32, bank: &Bank) -> Fault {
-    let way = [Way::Both, Way::Out, Way::In][rng.random_range(0..3)];
-    let kind = match rng.random_range(0..if bank.keeps_state { 12 } else { 8 }) {
-        0 => FaultKind::BalancerKill { spread: ms(rng.random_range(0..2_000)), again: None },
+fn bank_fault(rng: &mut ChaCha8Rng, length: u32, bank: &Cluster) -> Fault {
+    let way = [LinkDirection::Both, LinkDirection::Out, LinkDirection::In][rng.random_range(0..3)];
+    let kind = match rng.random_range(0..if bank.persists_state { 12 } else { 8 }) {
+        0 => FaultKind::BalancerKill { spread: ms(rng.random_range(0..2_000)), cycle: None },
         1 => FaultKind::BalancerKill {
             spread: Duration::ZERO,
-            again: Some((ms(rng.random_range(100..1_000)), ms(rng.random_range(200..3_000)))),
+            cycle: Some((ms(rng.random_range(100..1_000)), ms(rng.random_range(200..3_000)))),
         },
         2 => FaultKind::BalancerRestart { spread: ms(rng.random_range(0..3_000)) },
         3 => FaultKind::BalancerPause,
-        4 => FaultKind::LinksCut { way, open: 0.5 * rng.random::<f64>() },
+        4 => FaultKind::LinksCut { direction: way, open_share: 0.5 * rng.random::<f64>() },
         5 => FaultKind::LinksBad {
-            way,
+            direction: way,
             trouble: Trouble {
                 loss: 0.5 * rng.random::<f64>(),
                 delay: ms(rng.random_range(0..500)),
--- a/crates/rehearsal/tests/broken_balancers.rs
+++ b/crates/rehearsal/tests/broken_balancers.rs
@@ -105,9 +105,9 @@
     let report = play(Fault::None);
     assert!(report.is_clean(), "{}", report.text());
     // The day gives each fault something to go wrong with.
-    assert!(report.service.counts.asked > 500, "{}", report.text());
+    assert!(report.service.counts.requests > 500, "{}", report.text());
     assert!(report.service.counts.failed > 5, "{}", report.text());
-    assert!(report.service.whole > 0.8, "{}", report.text());
+    assert!(report.service.overall > 0.8, "{}", report.text());
 }
 
 #[test]
@@ -134,7 +134,7 @@
     });
     let mut wrong = Vec::new();
     for ((fault, violation, rule), report) in all.iter().zip(reports) {
-        let names: Vec<&str> = report.breaches.keys().copied().collect();
+        let names: Vec<&str> = report.violations.keys().copied().collect();
         if names != [violation.name()] || violation.rule() != *rule {
             wrong.push(format!("{fault:?}: {names:?}\n{}", report.text()));
         }
@@ -149,7 +149,7 @@
 fn one_that_ends_by_itself_has_crashed_and_what_it_held_is_lost() {
     let report = play(Fault::Crashes);
     assert!(report.has(Violation::Crashed), "{}", report.text());
-    let others = report.breaches.keys().filter(|n| !["crashed", "lost"].contains(*n)).count();
+    let others = report.violations.keys().filter(|n| !["crashed", "lost"].contains(*n)).count();
     assert_eq!(others, 0, "{}", report.text());
 }
 
@@ -173,7 +173,7 @@
 fn caught(fault: Fault, day: &Scenario, names: &[Violation]) {
     let [well, broken] = both(fault, day);
     assert!(well.is_clean(), "{}", well.text());
-    let found: Vec<&str> = broken.breaches.keys().copied().collect();
+    let found: Vec<&str> = broken.violations.keys().copied().collect();
     let names: Vec<&str> = names.iter().map(|b| b.name()).collect();
     assert_eq!(found, names, "{}", broken.text());
 }
@@ -228,7 +228,7 @@
     let day = changed(&[]);
     for (fault, floor) in [(Fault::ShutsOutAClass, "log"), (Fault::TiresOfWork, "third 3")] {
         let [well, broken] = both(fault, &day);
-        let under = |r: &Report| r.under().map(|f| f.of.clone()).collect::<Vec<_>>();
+        let under = |r: &Report| r.missed_floors().map(|f| f.scope.clone()).collect::<Vec<_>>();
         assert_eq!(under(&well), Vec::<String>::new(), "{}", well.text());
         assert_eq!(under(&broken), [floor], "{}", broken.text());
         assert!(broken.is_clean() && broken.text().contains("UNDER ITS FLOOR"));
--- a/crates/rehearsal/tests/broken_banks.rs
+++ b/crates/rehearsal/tests/broken_banks.rs
@@ -90,7 +90,7 @@
 
 fn play(fault: Fault) -> Report {
     let day = Scenario::read("broken.toml", DAY).unwrap_or_else(|e| panic!("{e}"));
-    let plan = Plan::draw(&day, 3);
+    let plan = Plan::generate(&day, 3);
     let of = |plan| play_plan_virtual(&day, plan, Rc::new(Scripted(fault))).expect("it plays");
     Report::with_control(&of(plan.clone()), &of(plan.control_run()))
 }
@@ -98,8 +98,8 @@
 #[test]
 fn the_correct_bank_has_nothing_told_of_it() {
     let report = play(Fault::None);
-    assert!(report.is_clean() && report.missed().is_empty(), "{}", report.text());
-    let account = report.account.as_ref().expect("there is a twin");
+    assert!(report.is_clean() && report.missed_expectations().is_empty(), "{}", report.text());
+    let account = report.recovery.as_ref().expect("there is a twin");
     // The day gives each fault something to go wrong with.
     assert!(account.episodes.len() == 2 && account.episodes[0].lowest < 0.2, "{}", report.text());
 }
@@ -114,7 +114,7 @@
     ];
     for (fault, heading) in all {
         let report = play(fault);
-        let missed = report.missed();
+        let missed = report.missed_expectations();
         assert!(!missed.is_empty(), "{fault:?}: {}", report.text());
         assert!(missed.iter().all(|m| m.starts_with(heading)), "{fault:?}: {missed:#?}");
     }
@@ -123,6 +123,6 @@
 #[test]
 fn one_that_forgets_that_it_was_frozen_loses_what_waited() {
     let report = play(Fault::ForgetsItWasFrozen);
-    let names: Vec<&str> = report.breaches.keys().copied().collect();
+    let names: Vec<&str> = report.violations.keys().copied().collect();
     assert_eq!(names, [Violation::Lost.name()], "{}", report.text());
 }
--- a/crates/rehearsal/tests/broken_rules.rs
+++ b/crates/rehearsal/tests/broken_rules.rs
@@ -62,8 +62,8 @@
 #[test]
 fn one_that_keeps_to_the_charter_past_its_lease_passes() {
     let report = play(Fault::DeafToTheBook);
-    let bank = report.bank.as_ref().expect("there are acts");
-    assert!(report.is_clean() && report.bank_is_clean(), "{}", report.text());
+    let bank = report.policy.as_ref().expect("there are acts");
+    assert!(report.is_clean() && report.policy_is_clean(), "{}", report.text());
     assert_eq!(bank.changes, 2, "{}", report.text());
     // It holds its lease for two seconds, and is seen doing so.
     assert!((0.5..2.0).contains(&bank.contradiction_s), "{}", report.text());
@@ -73,10 +73,10 @@
 #[test]
 fn one_that_ignores_its_lease_is_caught() {
     let report = play(Fault::IgnoresItsLease);
-    let bank = report.bank.as_ref().expect("there are acts");
+    let bank = report.policy.as_ref().expect("there are acts");
     assert!(report.is_clean(), "none of the four rules: {}", report.text());
     assert_eq!(bank.broken.len(), 1, "{}", report.text());
     assert!((12.0..15.0).contains(&bank.contradiction_s), "{}", report.text());
-    assert!(bank.contradictions.iter().all(|c| c.balancer == 1 && c.pod == 2), "{bank:?}");
+    assert!(bank.contradictions.iter().all(|c| c.balancer == 1 && c.cell == 2), "{bank:?}");
     assert!(report.text().contains("PROMISE BROKEN"), "{}", report.text());
 }
--- a/crates/rehearsal/tests/peers.rs
+++ b/crates/rehearsal/tests/peers.rs
@@ -7,7 +7,7 @@
 use hollowpaddle_net::{DATAGRAM, Datagrams, receive};
 use hollowpaddle_rehearsal::peers::Peers;
 use hollowpaddle_rehearsal::record::Observation;
-use hollowpaddle_rehearsal::scenario::{FaultKind, Trouble, Way};
+use hollowpaddle_rehearsal::scenario::{FaultKind, LinkDirection, Trouble};
 use hollowpaddle_rehearsal::stage::{Testbed, Who};
 use hollowpaddle_simnet::Fabric;
 use tokio::task::LocalSet;
@@ -83,7 +83,7 @@
         self.ends[0].send(b"stolen", others).expect("sent");
         assert_eq!(self.come(2).await, []);
         // Cut one way: what 0 says reaches nobody, what it is told reaches it.
-        let cut = FaultKind::LinksCut { way: Way::Out, open: 0.0 };
+        let cut = FaultKind::LinksCut { direction: LinkDirection::Out, open_share: 0.0 };
         self.peers.strike(4, &cut, &[0], true);
         self.send(0, 1, b"lost");
         self.send(1, 0, b"heard");
@@ -99,7 +99,7 @@
             delay: Duration::from_millis(20),
             ..Trouble::default()
         };
-        let bad = FaultKind::LinksBad { way: Way::Both, trouble };
+        let bad = FaultKind::LinksBad { direction: LinkDirection::Both, trouble };
         self.peers.strike(5, &bad, &[0, 1], true);
         for (from, to) in [(0, 1), (0, 2), (2, 0)] {
             self.send(from, to, b"abc");
--- a/crates/rehearsal/tests/standins.rs
+++ b/crates/rehearsal/tests/standins.rs
@@ -68,7 +68,7 @@
 /// Runs a test on a stage of its own, with four nodes that run.
 fn on_stage<F: Future<Output = ()>>(test: impl FnOnce(Rc<Stage>, Vec<Rc<Node>>) -> F) {
     let scenario = Scenario::read("by-hand.toml", DAY).expect("sound");
-    let plan = Plan::draw(&scenario, 1);
+    let plan = Plan::generate(&scenario, 1);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -102,7 +102,7 @@
 
 fn fates(stage: &Stage) -> Vec<AttemptOutcome> {
     let fate = |l: hollowpaddle_rehearsal::record::Line| match l.seen {
-        Observation::Ended { fate, .. } => Some(fate),
+        Observation::Ended { outcome, .. } => Some(outcome),
         _ => None,
     };
     stage.record.take().into_iter().filter_map(fate).collect()
@@ -135,7 +135,7 @@
         fates.sort_by_key(|f| format!("{f:?}"));
         assert_eq!(
             fates,
-            [AttemptOutcome::Served, AttemptOutcome::Served, AttemptOutcome::TurnedAway]
+            [AttemptOutcome::Served, AttemptOutcome::Served, AttemptOutcome::Rejected]
         );
     });
 }
@@ -331,7 +331,7 @@
         assert!(from.elapsed() >= 3 * SECOND && from.elapsed() < 4 * SECOND);
         assert_eq!((&second["complete"], phases(&second)), (&false.into(), vec!["DRAINING"]));
         let told = |l: &hollowpaddle_rehearsal::record::Line| {
-            let at = Observation::Told {
+            let at = Observation::ListUpdate {
                 balancer: 0,
                 node: 2,
                 phase: Phase::Draining,
@@ -429,7 +429,7 @@
         // 50 ms each, and at most 100 ms of waiting.
         assert_eq!(answers, [200, 200, 200, 503, 503]);
         let failed = |l: &hollowpaddle_rehearsal::record::Line| {
-            matches!(l.seen, Observation::Unheard { balancer: 1, watch: None })
+            matches!(l.seen, Observation::ListCallFailed { balancer: 1, watch: None })
         };
         assert_eq!(stage.record.take().iter().filter(|l| failed(l)).count(), 2);
     });
--- a/crates/rehearsal/tests/vans.rs
+++ b/crates/rehearsal/tests/vans.rs
@@ -74,7 +74,7 @@
 
 fn play(text: &str) -> Report {
     let day = day(text);
-    let plan = Plan::draw(&day, 2);
+    let plan = Plan::generate(&day, 2);
     let of =
         |plan| play_plan_virtual(&day, plan, Rc::new(Scripted(Fault::None))).expect("it plays");
     Report::with_control(&of(plan.clone()), &of(plan.control_run()))
@@ -83,7 +83,7 @@
 #[test]
 fn a_pod_works_more_for_a_stranger_and_drops_what_it_ran_whoever_asks_again() {
     let scenario = day(DAY);
-    let plan = Plan::draw(&scenario, 1);
+    let plan = Plan::generate(&scenario, 1);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
         .start_paused(true)
@@ -95,11 +95,11 @@
         let nodes: Vec<_> = (0..8).map(|n| Node::new(&stage, n)).collect();
         nodes.iter().for_each(|n| n.start(false, None).expect("it listens"));
         let arrivals = &stage.plan.arrivals;
-        let again = (0..arrivals.len() as u32).find(|n| arrivals[*n as usize].first != *n);
+        let again = (0..arrivals.len() as u32).find(|n| arrivals[*n as usize].original != *n);
         let again = again.expect("one is pressed again");
-        let first = arrivals[again as usize].first;
+        let first = arrivals[again as usize].original;
         let other = (0..arrivals.len() as u32).find(|n| {
-            ![first, again].contains(n) && stage.arrival(*n).van == stage.arrival(first).van
+            ![first, again].contains(n) && stage.arrival(*n).session == stage.arrival(first).session
         });
         let other = other.expect("the van sends more");
         let ask = async |node: usize, request| {
@@ -125,7 +125,7 @@
         let forgotten = ask(0, first).await;
         assert!(near(forgotten, 65), "window and memory are over: {forgotten} ms");
         let fates = stage.record.take().into_iter().filter_map(|l| match l.seen {
-            Observation::Ended { fate, .. } => Some(fate),
+            Observation::Ended { outcome, .. } => Some(outcome),
             _ => None,
         });
         use AttemptOutcome::{Dropped, Served};
@@ -136,13 +136,13 @@
 #[test]
 fn vans_come_to_the_balancers_of_their_site() {
     let day = day(DAY);
-    let plan = Plan::draw(&day, 2);
+    let plan = Plan::generate(&day, 2);
     let played = play_plan_virtual(&day, plan, Rc::new(Scripted(Fault::None))).expect("it plays");
     let mut sent = 0;
     for line in &played.trace {
         let Observation::Sent { request, balancer, .. } = line.seen else { continue };
-        let site = played.plan.arrivals[request as usize].van.expect("a van's").1;
-        assert_eq!(day.bank.zone_of(balancer, &day.fleet), site);
+        let site = played.plan.arrivals[request as usize].session.expect("a van's").1;
+        assert_eq!(day.cluster.zone_of(balancer, &day.fleet), site);
         sent += 1;
     }
     assert!(sent > 500, "{sent}");
@@ -153,9 +153,9 @@
     let report = play(DAY);
     let sessions = report.sessions.as_ref().expect("it has vans");
     // A bank that knows nothing of vans: chance takes a press to the pod of the first, or not.
-    assert!(sessions.ran_twice > 3 && sessions.at_their_pod < 0.6, "{}", report.text());
-    assert!(sessions.as_strangers > 80, "{}", report.text());
-    let missed = report.missed();
+    assert!(sessions.ran_twice > 3 && sessions.in_previous_cell < 0.6, "{}", report.text());
+    assert!(sessions.in_unknown_cells > 80, "{}", report.text());
+    let missed = report.missed_expectations();
     assert!(
         missed.len() == 1 && missed[0].contains("ran in more than one pod; at most 0"),
         "{missed:#?}"
@@ -163,10 +163,10 @@
     assert!(report.text().contains("keyed effects ran in more than one pod"));
     let json = serde_json::to_value(&report).expect("JSON");
     assert_eq!(json["sessions"]["ran_twice"], sessions.ran_twice);
-    assert_eq!(json["sessions"]["at_their_pod"], sessions.at_their_pod);
+    assert_eq!(json["sessions"]["at_their_pod"], sessions.in_previous_cell);
 
     let shared = play(&DAY.replace("window_ms", "group = \"all\"\nwindow_ms"));
     let sessions = shared.sessions.as_ref().expect("it has vans");
     assert_eq!(sessions.ran_twice, 0, "{}", shared.text());
-    assert!(shared.missed().is_empty() && sessions.effects > 500, "{}", shared.text());
+    assert!(shared.missed_expectations().is_empty() && sessions.effects > 500, "{}", shared.text());
 }
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -3,8 +3,8 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub mod book;
 pub mod plan;
+pub mod policy_actions;
 pub mod record;
 pub mod scenario;
-pub mod vans;
+pub mod user_sessions;
