--- a/crates/rehearsal/src/stage.rs
+++ b/crates/rehearsal/src/stage.rs
@@ -230,7 +230,7 @@
             class.effect.method(),
             self.target(request),
             class.name,
-            arrival.key,
+            arrival.session_id,
             left.as_millis(),
         );
         if arrival.original != request && self.scenario.clients.repeats.marked {
@@ -258,7 +258,7 @@
     /// Its key, for a keyed one; a repeat has that of the first.
     pub fn idempotency_key(&self, request: u32) -> String {
         let arrival = self.arrival(self.arrival(request).original);
-        format!("{:016x}{}", arrival.key, arrival.id)
+        format!("{:016x}{}", arrival.session_id, arrival.id)
     }
 
     /// What a request is on this pod, in milliseconds of a core of speed 1: more for a van that the pod does not know.
--- a/crates/scenario/src/lib.rs
+++ b/crates/scenario/src/lib.rs
@@ -1,5 +1,6 @@
-//! A day to be played: [`scenario`] says what it holds, [`plan`] draws what is left to chance, [`record`] is the
-//! account of what was seen. Who plays it, and who judges it, stand on this and not on one another.
+//! Scenarios of a rehearsal: [`scenario`] describes one, [`plan`] generates its random parts ahead of the run, and
+//! [`record`] holds the trace of what was observed. The crates that run a scenario and that check its trace both depend
+//! on this crate and not on each other.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/scenario/src/plan.rs
+++ b/crates/scenario/src/plan.rs
@@ -1,5 +1,5 @@
-//! What chance decides about a run, drawn ahead: arrivals, work, machines, who is struck and when. A pure
-//! function of scenario and seed, the same for live and virtual runs.
+//! The random parts of a run, generated ahead of it: arrivals, work, machines, and the targets and times of faults. A
+//! plan is a pure function of scenario and seed, and is the same for live and virtual runs.
 
 use std::fmt;
 use std::time::Duration;
@@ -16,29 +16,31 @@
 /// One client's request.
 #[derive(Clone, PartialEq)]
 pub struct Arrival {
-    /// From the start of the run.
+    /// Time of the request since the start of the run.
     pub at: Duration,
-    /// By index.
+    /// Index of the class.
     pub class: usize,
-    /// On a core of speed 1.
+    /// Work in milliseconds of a core of speed 1.
     pub work_ms: f64,
-    /// `X-Request-Id`.
+    /// Value of the `X-Request-Id` header.
     pub id: String,
-    /// What it is about.
-    pub key: u64,
-    /// The front's draw among balancers.
+    /// Session id in the cookie. The idempotency key of the request begins with it.
+    pub session_id: u64,
+    /// Random number by which the front end picks a balancer.
     pub balancer_sample: u64,
-    /// When its client goes away, counted from its sending, if it does.
+    /// Time from sending until the client leaves without waiting for the answer; `None` if the client waits.
     pub abandoned_after: Option<Duration>,
-    /// The request that its client makes if this one is not served, if it does.
+    /// Index of the request that the client sends if this one is not served; `None` if the client does not repeat.
     pub next_repeat: Option<u32>,
-    /// The request that it repeats; its own place, if it repeats none.
+    /// Index of the request that this one repeats; its own index for an original request.
     pub original: u32,
-    /// Whose it is, and at which site its van is then, by index among the zones; on days with vans.
+    /// Index of the user session and of the zone that the session is in at that time; `None` in scenarios without user
+    /// sessions.
     pub session: Option<(u32, usize)>,
 }
 
-/// As it was before there were vans, where there are none: digests of earlier days stay.
+/// Prints the original names, and leaves out the session where there is none, because [`Plan::digest`] hashes this text:
+/// digests of scenarios without user sessions stay the same.
 impl fmt::Debug for Arrival {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
@@ -46,7 +48,7 @@
             class,
             work_ms,
             id,
-            key,
+            session_id,
             balancer_sample,
             abandoned_after,
             next_repeat,
@@ -55,7 +57,7 @@
         } = self;
         let mut s = f.debug_struct("Arrival");
         s.field("at", at).field("class", class).field("work_ms", work_ms).field("id", id);
-        s.field("key", key).field("entry", balancer_sample).field("leaves", abandoned_after);
+        s.field("key", session_id).field("entry", balancer_sample).field("leaves", abandoned_after);
         s.field("again", next_repeat).field("first", original);
         if session.is_some() {
             s.field("van", session);
@@ -64,22 +66,23 @@
     }
 }
 
-/// One machine.
+/// One machine that runs an upstream.
 #[derive(Clone, PartialEq)]
 pub struct Machine {
-    /// As in the list; tells nothing else.
+    /// Identifier in the node list.
     pub id: String,
-    /// By index.
+    /// Index of the machine type.
     pub machine_type: usize,
-    /// By index.
+    /// Index of the zone.
     pub zone: usize,
-    /// Nodes of one cell share the keys they have seen.
+    /// Number of the cell, whose nodes share the keys that they have seen.
     pub cell: u32,
-    /// True speed of its cores.
+    /// Actual speed of its cores.
     pub speed: f64,
-    /// For what chance does at this machine during the run.
+    /// Seed of the random behaviour of this machine during the run.
     pub seed: u64,
-    /// Not there at the start: it comes for the machine at this place, perhaps at its address.
+    /// For a machine that is absent at the start: the index of the machine that it replaces, and whether it takes over
+    /// that machine's address.
     pub replaces: Option<(usize, bool)>,
 }
 
@@ -97,17 +100,17 @@
 /// The beginning or the end of a fault.
 #[derive(Clone, PartialEq)]
 pub struct FaultEvent {
-    /// From the start of the run.
+    /// Time since the start of the run.
     pub at: Duration,
-    /// Which fault, by its place in the scenario.
+    /// Index of the fault in the scenario.
     pub fault: usize,
-    /// Its beginning, or its end.
+    /// Whether the fault begins; otherwise it ends.
     pub begins: bool,
-    /// Whom it strikes, by place among the machines.
+    /// Indexes of the affected machines.
     pub nodes: Vec<usize>,
-    /// For [`FaultKind::Replace`]: who comes for each of them.
+    /// For [`FaultKind::Replace`]: the indexes of the replacements, one for each affected machine.
     pub replacements: Vec<usize>,
-    /// Whom it strikes, by number among the balancers.
+    /// Numbers of the affected balancers.
     pub balancers: Vec<usize>,
 }
 
@@ -122,29 +125,29 @@
     }
 }
 
-/// All that is drawn ahead.
+/// All random parts of a run.
 #[derive(Clone, PartialEq)]
 pub struct Plan {
-    /// What it was drawn from.
+    /// Seed that the plan was generated from.
     pub seed: u64,
-    /// In order of time, and behind them the repeats that some may be followed by. In a closed loop the order is
-    /// that in which clients have their turns.
+    /// Original requests in order of time, followed by the repeats that may follow them. In a closed loop the original
+    /// requests are in the order in which clients send them.
     pub arrivals: Vec<Arrival>,
-    /// How many of them are no repeats.
+    /// Number of original requests, which are no repeats.
     pub original_count: u32,
-    /// Those of the start first, then the newcomers.
+    /// Machines that are present at the start, followed by the replacements.
     pub machines: Vec<Machine>,
-    /// In order of time.
+    /// Fault events in order of time.
     pub fault_events: Vec<FaultEvent>,
-    /// Seeds of the balancers, by number; each start adds its own count.
+    /// Seeds of the balancers by number; each start of a balancer adds the number of that start.
     pub balancer_seeds: Vec<u64>,
-    /// Whose requests they are, on days with vans.
+    /// User sessions that the requests belong to; empty in scenarios without them.
     pub sessions: Vec<UserSession>,
-    /// What is done to the bank's rule book, in order of time.
+    /// Operator actions on the routing policy, in order of time.
     pub policy_actions: Vec<PlannedAction>,
 }
 
-/// See [`Arrival`].
+/// Prints the original names, and leaves out empty sessions and policy actions, because [`Plan::digest`] hashes this text.
 impl fmt::Debug for Plan {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         let Self {
@@ -172,7 +175,7 @@
     }
 }
 
-/// Streams of chance: what is drawn in one moves nothing in another.
+// Numbers of the random streams. Samples taken from one stream do not affect another.
 const MACHINES: u64 = 1;
 const ARRIVALS: u64 = 2;
 const SHAPE: u64 = 3;
@@ -184,9 +187,9 @@
 const POLICY_ACTIONS: u64 = 9;
 const POLICY_ACTION_NODES: u64 = 10;
 
-/// Bursts of [`Shape::Bursty`] last so long.
+/// Length of a burst of [`Shape::Bursty`], in seconds.
 const BURST_S: f64 = 1.0;
-/// One round of [`Shape::Wave`].
+/// Period of [`Shape::Wave`], in seconds.
 const WAVE_PERIOD_S: f64 = 20.0;
 
 fn stream(seed: u64, number: u64) -> ChaCha8Rng {
@@ -195,8 +198,8 @@
     rng
 }
 
-/// A number around `mean`; never below a tenth of it.
-fn around(rng: &mut impl Rng, mean: f64, cv: f64) -> f64 {
+/// Returns a normally distributed number of the given mean and coefficient of variation, at least a tenth of the mean.
+fn sample_around(rng: &mut impl Rng, mean: f64, cv: f64) -> f64 {
     match Normal::new(mean, mean * cv) {
         Ok(normal) if cv > 0.0 => normal.sample(rng).max(mean / 10.0),
         _ => mean,
@@ -204,12 +207,12 @@
 }
 
 impl Plan {
-    /// Draws a plan.
+    /// Generates the plan of a scenario and seed.
     pub fn generate(scenario: &Scenario, seed: u64) -> Self {
         let mut machines = machines(scenario, &mut stream(seed, MACHINES));
         let fault_events = fault_events(scenario, seed, &mut machines);
         let mut arrivals = match scenario.load.closed {
-            Some(closed) => turns(scenario, seed, closed),
+            Some(closed) => closed_loop_arrivals(scenario, seed, closed),
             None => arrivals(scenario, seed, &machines[..scenario.fleet.nodes]),
         };
         for (place, arrival) in arrivals.iter_mut().enumerate() {
@@ -244,14 +247,15 @@
         }
     }
 
-    /// The same day on which nothing goes wrong: its arrivals, bursts included, its machines, and what operators say.
+    /// Returns the plan of the control run: the same arrivals (bursts included), machines and operator calls, without
+    /// faults.
     pub fn control_run(&self) -> Self {
         let mut control_run = Self { fault_events: Vec::new(), ..self.clone() };
         control_run.policy_actions.retain(|p| matches!(p.step, PlannedStep::Call(_)));
         control_run
     }
 
-    /// SHA-256 over all that was drawn, in hexadecimal: equal plans have equal digests.
+    /// Returns the SHA-256 of the plan's `Debug` text in hexadecimal. Equal plans have equal digests.
     pub fn digest(&self) -> String {
         let mut hash = Sha256::new();
         hash.update(format!("{self:?}"));
@@ -259,7 +263,7 @@
     }
 }
 
-/// Bytes in hexadecimal.
+/// Formats bytes in hexadecimal.
 pub fn hex(bytes: &[u8]) -> String {
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
@@ -278,7 +282,7 @@
         machine_type,
         zone,
         cell,
-        speed: around(rng, k.speed, k.speed_cv),
+        speed: sample_around(rng, k.speed, k.speed_cv),
         seed: rng.next_u64(),
         replaces,
     }
@@ -287,13 +291,13 @@
 fn machines(scenario: &Scenario, rng: &mut ChaCha8Rng) -> Vec<Machine> {
     let fleet = &scenario.fleet;
     let total: f64 = fleet.machine_types.iter().map(|k| k.share).sum();
-    // Kinds by quota and not by lot: a small fleet has the mix that was asked for.
+    // Machine types are assigned by quota and not at random, so that a small fleet has the configured mix, too.
     let mut machine_types = Vec::with_capacity(fleet.nodes);
     let mut cumulative_share = 0.0;
     for (i, machine_type) in fleet.machine_types.iter().enumerate() {
         cumulative_share += machine_type.share / total.max(f64::MIN_POSITIVE);
-        let count_selected = (cumulative_share * fleet.nodes as f64).round() as usize;
-        machine_types.resize(count_selected.min(fleet.nodes).max(machine_types.len()), i);
+        let count = (cumulative_share * fleet.nodes as f64).round() as usize;
+        machine_types.resize(count.min(fleet.nodes).max(machine_types.len()), i);
     }
     machine_types.resize(fleet.nodes, fleet.machine_types.len() - 1);
     shuffle(&mut machine_types, rng);
@@ -309,8 +313,8 @@
     }
 }
 
-/// Whom a selection strikes: of those it allows, the first in `order`, up to its share of them. `place` says zone and
-/// cell of each.
+/// Returns the members that a selection covers: the first in `order` of those that it allows, up to its share of them.
+/// `place` returns the zone and the cell of a member.
 pub(crate) fn select(
     selection: &Selection,
     place: impl Fn(usize) -> (usize, Option<u32>),
@@ -324,16 +328,16 @@
     };
     let allowed: Vec<usize> = order.iter().filter(allowed).copied().collect();
     let share = selection.share.unwrap_or(1.0);
-    let mut count_selected = (share * allowed.len() as f64).round() as usize;
+    let mut count = (share * allowed.len() as f64).round() as usize;
     if share > 0.0 {
-        count_selected = count_selected.max(1);
+        count = count.max(1);
     }
-    let mut all: Vec<usize> = allowed.into_iter().take(count_selected).collect();
+    let mut all: Vec<usize> = allowed.into_iter().take(count).collect();
     all.sort_unstable();
     all
 }
 
-/// Orders in which faults take whom they strike: shuffled for each, and one for all of a group.
+/// Orders in which faults select their targets: a shuffled order for each fault, and a common one for each group.
 pub(crate) struct SelectionOrders {
     rng: ChaCha8Rng,
     count: usize,
@@ -365,7 +369,7 @@
     let mut fault_events = Vec::new();
     for (place, fault) in scenario.faults.iter().enumerate() {
         let group = fault.group.as_deref();
-        // Drawn for every fault, also where it is for nothing: days that were swept once stay as they were.
+        // Every fault takes an order, needed or not: plans of seeds that were swept before stay the same.
         let order = node_orders.next(group);
         if fault.kind.targets_balancers() {
             let order = balancer_orders.next(group);
@@ -406,7 +410,7 @@
     fault_events
 }
 
-/// The acts of a fault that strikes balancers: all at once, one after another, or over and over.
+/// Returns the events of a fault of balancers: all at once, one after another, or repeated.
 fn balancer_events(
     fault: usize,
     f: &Fault,
@@ -445,21 +449,21 @@
     fault_events
 }
 
-/// How many times the mean rate there is at a time, by shape alone.
-fn swing(scenario: &Scenario, slots: &[f64], t: f64) -> f64 {
+/// Returns the request rate at a time as a multiple of the mean rate, by the shape of the load alone.
+fn shape_factor(scenario: &Scenario, burst_factors: &[f64], t: f64) -> f64 {
     let (swing, length) = (scenario.load.swing, scenario.length.as_secs_f64());
-    let turn = std::f64::consts::TAU;
+    let full_turn = std::f64::consts::TAU;
     match scenario.load.shape {
         Shape::Steady => 1.0,
-        Shape::Wave => 1.0 + swing * (turn * t / WAVE_PERIOD_S).sin(),
-        Shape::Bursty => slots.get((t / BURST_S) as usize).copied().unwrap_or(1.0),
+        Shape::Wave => 1.0 + swing * (full_turn * t / WAVE_PERIOD_S).sin(),
+        Shape::Bursty => burst_factors.get((t / BURST_S) as usize).copied().unwrap_or(1.0),
         Shape::Ramp => 1.0 - swing + 2.0 * swing * t / length,
-        Shape::Round => 1.0 - swing * (turn * t / length).cos(),
+        Shape::Round => 1.0 - swing * (full_turn * t / length).cos(),
     }
 }
 
-/// How many times as many come by the faults that run at a time.
-fn burst(scenario: &Scenario, at: Duration) -> f64 {
+/// Returns the factor by which the active faults raise the request rate at a time.
+fn burst_factor(scenario: &Scenario, at: Duration) -> f64 {
     let on = scenario.faults.iter().filter(|f| at >= f.start && at < f.start + f.length);
     on.map(|f| if let FaultKind::Burst { factor } = f.kind { factor } else { 1.0 }).product()
 }
@@ -468,8 +472,8 @@
     let mut rng = stream(seed, ARRIVALS);
     let mut shape_rng = stream(seed, SHAPE);
     let length = scenario.length.as_secs_f64();
-    let slots: Vec<f64> = (0..=(length / BURST_S) as usize)
-        .map(|_| around(&mut shape_rng, 1.0, scenario.load.swing))
+    let burst_factors: Vec<f64> = (0..=(length / BURST_S) as usize)
+        .map(|_| sample_around(&mut shape_rng, 1.0, scenario.load.swing))
         .collect();
     let capacity: f64 = machines
         .iter()
@@ -479,8 +483,8 @@
     let work: f64 =
         scenario.classes.iter().map(|c| c.share * c.work_ms).sum::<f64>() / shares.max(1e-9);
     let mean = scenario.load.of_capacity * capacity / work.max(1e-9);
-    // Thinned from the highest rate there can be.
-    let top = slots.iter().fold(1.0 + scenario.load.swing, |a, b| a.max(*b))
+    // A Poisson process of the highest possible rate, thinned to the rate of each moment.
+    let top = burst_factors.iter().fold(1.0 + scenario.load.swing, |a, b| a.max(*b))
         * scenario
             .faults
             .iter()
@@ -494,11 +498,11 @@
             return arrivals;
         }
         let at = Duration::from_micros((t * 1e6) as u64);
-        let rate = swing(scenario, &slots, t) * burst(scenario, at);
-        // Every candidate draws the same amount of chance, taken or not.
-        let taken = rng.random::<f64>() * top < rate;
+        let rate = shape_factor(scenario, &burst_factors, t) * burst_factor(scenario, at);
+        // Every candidate consumes the same number of samples, accepted or not.
+        let accepted = rng.random::<f64>() * top < rate;
         let arrival = arrival(scenario, at, shares, &mut rng);
-        if taken {
+        if accepted {
             arrivals.push(arrival);
         }
     }
@@ -527,7 +531,7 @@
             work_ms *= factor;
         }
     }
-    let (key, balancer_sample, when) = (rng.next_u64(), rng.next_u64(), rng.random::<f64>());
+    let (session_id, balancer_sample, when) = (rng.next_u64(), rng.next_u64(), rng.random::<f64>());
     let id = format!("{:016x}", rng.next_u64());
     let abandoned_after = usual < scenario.clients.abandon_share;
     let abandoned_after = abandoned_after.then(|| c.latency_objective.mul_f64(when));
@@ -536,7 +540,7 @@
         class,
         work_ms,
         id,
-        key,
+        session_id,
         balancer_sample,
         abandoned_after,
         next_repeat: None,
@@ -545,8 +549,8 @@
     }
 }
 
-/// As many requests as clients of a closed loop can make at the very most.
-fn turns(scenario: &Scenario, seed: u64, closed: Closed) -> Vec<Arrival> {
+/// Generates as many requests as the clients of a closed loop can send at most.
+fn closed_loop_arrivals(scenario: &Scenario, seed: u64, closed: Closed) -> Vec<Arrival> {
     let mut rng = stream(seed, ARRIVALS);
     let shares: f64 = scenario.classes.iter().map(|c| c.share).sum();
     let each = scenario.length.as_secs_f64() / closed.pause.as_secs_f64();
@@ -554,7 +558,7 @@
     (0..all).map(|_| arrival(scenario, Duration::ZERO, shares, &mut rng)).collect()
 }
 
-/// Adds the repeats that clients make, should it come to that.
+/// Appends the repeats that clients send for requests that are not served.
 fn repeats(scenario: &Scenario, seed: u64, arrivals: &mut Vec<Arrival>) {
     let mut rng = stream(seed, REPEATS);
     let of = &scenario.clients.repeats;
@@ -574,9 +578,8 @@
     }
 }
 
-/// What a class's requests look like on the wire.
 impl Effect {
-    /// Safe ones are GET, others POST.
+    /// Returns the HTTP method: GET for safe requests, POST for others.
     pub fn method(self) -> &'static str {
         if self == Effect::Safe { "GET" } else { "POST" }
     }
--- a/crates/scenario/src/policy_actions.rs
+++ b/crates/scenario/src/policy_actions.rs
@@ -1,5 +1,6 @@
-//! What chance decides about acts on the bank's rule book: whom they are about, and by which names they are asked. Calls
-//! are made ready here as the doors take them; the stand-in operator sends them as they are.
+//! The random parts of operator actions on the routing policy: their targets, and the ids of the calls. The calls are
+//! prepared here as the admin API takes them; the stand-in operator sends them unchanged, but for the parts that
+//! [`Call::body`] leaves open.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -15,14 +16,14 @@
     Selection,
 };
 
-/// One thing that is done at one moment, drawn ahead.
+/// One step of an action on the routing policy, generated ahead of the run.
 #[derive(Clone, PartialEq)]
 pub struct PlannedAction {
-    /// From the first request on.
+    /// Time since the first request.
     pub at: Duration,
-    /// Which act, by its place in the scenario.
+    /// Index of the action in the scenario.
     pub action: usize,
-    /// What.
+    /// What the step does.
     pub step: PlannedStep,
 }
 
@@ -35,35 +36,35 @@
     }
 }
 
-/// See [`PlannedAction`].
+/// What a [`PlannedAction`] does.
 #[derive(Clone, Debug, PartialEq)]
 pub enum PlannedStep {
-    /// A call of the doors.
+    /// A call of the admin API.
     Call(Call),
-    /// Whoever leads is struck, for so long.
+    /// A fault of the current leader, for this long.
     Leader(LeaderFault, Duration),
 }
 
-/// A call of one door; of others after it, where no answer comes.
+/// A call of the admin API of one balancer, and of other balancers after it if no answer comes.
 #[derive(Clone, PartialEq)]
 pub struct Call {
-    /// Ever new.
+    /// Number of the call, unique in the plan.
     pub number: u32,
-    /// Which door first.
+    /// Balancer that is called first.
     pub balancer: usize,
-    /// What it is.
+    /// Command of the call.
     pub verb: OperatorVerb,
-    /// Its path.
+    /// Path of the HTTP request.
     pub path: &'static str,
-    /// Its body, but for the name of the question and for which revision a rollback is to.
+    /// Body of the HTTP request, without the call's id and without the target revision of a rollback.
     pub body: Value,
-    /// The name of the question, for calls that can have one: the same with every repeat.
+    /// Id of the command, the same for every retry; `None` for commands that take no id.
     pub id: Option<u128>,
-    /// For a rollback: to so many revisions before the newest.
+    /// For a rollback: how many revisions before the newest its target is.
     pub rollback_steps: Option<u32>,
-    /// Of whom it is, for words about members.
+    /// Balancer that a command about a member names.
     pub member: Option<usize>,
-    /// For so long it is asked again where no answer came.
+    /// How long the call is retried while no answer comes.
     pub retry_for: Duration,
 }
 
@@ -79,7 +80,7 @@
     }
 }
 
-/// Draws all of them, in order of time.
+/// Generates the steps of all actions of a scenario, in order of time.
 pub(crate) fn generate(
     scenario: &Scenario,
     machines: &[Machine],
@@ -120,7 +121,7 @@
     select(selection, place, order)
 }
 
-/// The calls that an act comes to at one door; the names of questions are drawn after this, for those that have one.
+/// Returns the calls of an action at one balancer. Calls that take an id get a placeholder, which the caller replaces.
 fn calls(
     action: &PolicyAction,
     balancer: usize,
@@ -186,7 +187,7 @@
     all
 }
 
-/// As a door takes it.
+/// Returns the document of a revision in the JSON form of the admin API.
 fn document_json(document: &RevisionDocument, machines: &[Machine]) -> Value {
     let upstreams: Vec<&str> = document.nodes.iter().map(|n| machines[*n].id.as_str()).collect();
     let mut excluded_cells: BTreeMap<&str, Vec<u32>> = BTreeMap::new();
--- a/crates/scenario/tests/scenarios.rs
+++ b/crates/scenario/tests/scenarios.rs
@@ -157,8 +157,8 @@
         );
         if let Some(next) = a.next_repeat.map(|n| &with.arrivals[n as usize]) {
             assert_eq!(
-                (next.original, next.class, next.key, next.work_ms),
-                (a.original, a.class, a.key, a.work_ms)
+                (next.original, next.class, next.session_id, next.work_ms),
+                (a.original, a.class, a.session_id, a.work_ms)
             );
             assert!(next.id != a.id && next.next_repeat.is_some());
         }
--- a/crates/scenario/tests/user_sessions.rs
+++ b/crates/scenario/tests/user_sessions.rs
@@ -105,7 +105,7 @@
     for arrival in &plan.arrivals[..plan.original_count as usize] {
         let (van, site) = arrival.session.expect("a van's");
         let van = &plan.sessions[van as usize];
-        assert_eq!((arrival.key, site), (van.session_id, van.zone_at(arrival.at)));
+        assert_eq!((arrival.session_id, site), (van.session_id, van.zone_at(arrival.at)));
     }
     assert_eq!(plan, Plan::generate(&scenario, 4));
     assert_ne!(plan.sessions, Plan::generate(&scenario, 5).sessions);
@@ -126,8 +126,8 @@
             "{place}"
         );
         assert_eq!(
-            (first.key, first.class, first.work_ms),
-            (arrival.key, arrival.class, arrival.work_ms)
+            (first.session_id, first.class, first.work_ms),
+            (arrival.session_id, arrival.class, arrival.work_ms)
         );
         assert_eq!(day(DAY).classes[arrival.class].effect, Effect::Keyed);
         assert_ne!(first.session.map(|v| v.1), arrival.session.map(|v| v.1), "another site");
