--- a/crates/scenario/tests/formats.rs
+++ b/crates/scenario/tests/formats.rs
@@ -1,4 +1,4 @@
-//! The trace of a run and the scenarios that a run is drawn from, exactly as they are written and read.
+//! The written form of a trace, and scenario files with every key, exactly as they are written and read.
 
 use std::time::Duration;
 
@@ -117,7 +117,7 @@
     ]
 }
 
-/// The time of the first line; each later one is a microsecond later.
+/// Time of the first line in microseconds. Each further line is a microsecond later.
 const FIRST_LINE: u64 = 1000;
 
 fn trace() -> Vec<Line> {
@@ -141,8 +141,8 @@
 }
 
 #[test]
-fn values_that_a_trace_enumerates_keep_their_names() {
-    for (fate, name) in [
+fn enumerated_values_of_a_trace_have_fixed_names() {
+    for (outcome, name) in [
         (AttemptOutcome::Served, "served"),
         (AttemptOutcome::Dropped, "dropped"),
         (AttemptOutcome::Error, "error"),
@@ -151,7 +151,7 @@
         (AttemptOutcome::Died, "died"),
         (AttemptOutcome::Abandoned, "abandoned"),
     ] {
-        assert_eq!(json!(fate), name);
+        assert_eq!(json!(outcome), name);
     }
     for (phase, name) in
         [(Phase::Serving, "SERVING"), (Phase::Draining, "DRAINING"), (Phase::Deleted, "DELETED")]
@@ -173,7 +173,7 @@
 }
 
 #[test]
-fn missing_values_and_resources_keep_their_form() {
+fn missing_values_and_resources_have_a_fixed_form() {
     let unanswered =
         Observation::Answered { request: 1, status: 503, attempt: None, retry_after_ms: None };
     assert_eq!(
@@ -185,7 +185,7 @@
 }
 
 #[test]
-fn scenarios_with_every_key_are_drawn_to_the_same_plan() {
+fn scenarios_with_every_key_give_the_same_plan() {
     for (text, seed, plan_digest) in [
         (EVERY_KEY, 1, "9c9254eae40fbcd7791daba92740ae3e3c3d5a437bbfcfa51e2089799743a5ef"),
         (CLOSED_LOOP, 1, "ca7625e828f77a5547d5a85a4b6275d613dc7468db3d59fd08394b8baa5ac493"),
@@ -199,7 +199,7 @@
     Duration::from_millis(milliseconds)
 }
 
-/// The parts of the scenario with every key of which the plan holds little or nothing.
+/// Checks the parts of a scenario that the plan does not contain in full.
 #[test]
 fn every_key_is_read_into_the_field_that_it_names() {
     let scenario = Scenario::read("scenario.toml", EVERY_KEY).expect("every key is known");
@@ -219,7 +219,7 @@
         handshake_ms: 5.0,
         error_rate: 0.01,
     };
-    let book = PolicySettings {
+    let policy = PolicySettings {
         is_off: false,
         voters: vec![0, 1, 2],
         fallback_cells: Some(vec![0, 1]),
@@ -234,7 +234,7 @@
         subset: Some((5.0, 10)),
         peers: true,
         persists_state: true,
-        policy: book,
+        policy,
     };
     let repeats = Repeats {
         share: 0.5,
@@ -281,7 +281,7 @@
         contradiction: Some(ms(3_000)),
         in_force: Some(ms(4_000)),
     };
-    let vans = UserSessions {
+    let sessions = UserSessions {
         count: 20,
         unknown_session_work_ms: 3.0,
         session_expiry: ms(500_000),
@@ -304,7 +304,7 @@
     assert_eq!(scenario.list, list);
     assert_eq!(scenario.rules, rules);
     assert_eq!(scenario.expect, expect);
-    assert_eq!(scenario.sessions, Some(vans));
+    assert_eq!(scenario.sessions, Some(sessions));
 }
 
 #[test]
--- a/crates/scenario/tests/scenarios.rs
+++ b/crates/scenario/tests/scenarios.rs
@@ -1,11 +1,11 @@
-//! Scenario files and plans: every mistake is told with its line, and a plan is a pure function.
+//! Scenario files and plans: every problem is reported with its line, and a plan is a pure function of scenario and seed.
 
 use hollowpaddle_scenario::plan::Plan;
 use hollowpaddle_scenario::policy_actions::{Call, PlannedAction, PlannedStep};
 use hollowpaddle_scenario::scenario::{OperatorVerb, Scenario};
 use proptest::prelude::*;
 
-const SOUND: &str = r#"name = "sound"
+const VALID: &str = r#"name = "sound"
 length_s = 20
 
 [fleet]
@@ -58,7 +58,7 @@
 }
 
 #[test]
-fn what_ships_is_sound() {
+fn shipped_scenarios_are_valid() {
     let folder = concat!(env!("CARGO_MANIFEST_DIR"), "/../../rehearsals");
     let mut seen = 0;
     for entry in std::fs::read_dir(folder).expect("the folder") {
@@ -74,15 +74,15 @@
 }
 
 #[test]
-fn all_mistakes_are_told_at_once_each_with_its_line() {
-    let text = SOUND
+fn all_problems_are_reported_at_once_with_their_lines() {
+    let text = VALID
         .replace("length_s = 20", "length_s = \"long\"")
         .replace("nodes = 10", "nodes = 0\ncolour = \"red\"")
         .replace("effect = \"safe\"", "effect = \"harmless\"")
         .replace("kind = \"die\"", "kind = \"dye\"")
         .replace("factor = 3\n", "")
         .replace("nodes = [1, 4]", "nodes = [1, 4.5]");
-    let told = problems(&text);
+    let messages = problems(&text);
     let expected = [
         "day.toml:2:12: `length_s` is a text: expected a number from 1 to 86400",
         "day.toml:6:9: `fleet.nodes` is 0: expected a number from 1 to 10000",
@@ -93,56 +93,60 @@
         "day.toml:44:13: `faults.nodes`: expected a list of whole numbers from 0 to",
     ];
     for (i, start) in expected.iter().enumerate() {
-        let line = told.get(i).map(String::as_str).unwrap_or("nothing");
-        assert!(line.starts_with(start), "expected {start}\ngot {line}\nof {told:#?}");
+        let line = messages.get(i).map(String::as_str).unwrap_or("nothing");
+        assert!(line.starts_with(start), "expected {start}\ngot {line}\nof {messages:#?}");
     }
-    assert_eq!(told.len(), expected.len(), "{told:#?}");
+    assert_eq!(messages.len(), expected.len(), "{messages:#?}");
 }
 
 #[test]
-fn a_text_that_is_no_toml_says_where() {
-    let told = problems("name = \"x\"\nlength_s = = 4\n");
-    assert!(told[0].starts_with("day.toml:2:12: this is not TOML"), "{told:?}");
+fn invalid_toml_is_reported_with_its_position() {
+    let messages = problems("name = \"x\"\nlength_s = = 4\n");
+    assert!(messages[0].starts_with("day.toml:2:12: this is not TOML"), "{messages:?}");
 }
 
 #[test]
-fn what_lacks_its_main_parts_says_which() {
-    let told = problems("");
+fn missing_main_parts_are_reported() {
+    let messages = problems("");
     for part in ["no class", "no fleet", "`name` is missing", "`length_s` is missing"] {
-        assert!(told.iter().any(|t| t.contains(part)), "{part}: {told:?}");
+        assert!(messages.iter().any(|t| t.contains(part)), "{part}: {messages:?}");
     }
 }
 
 #[test]
-fn a_fault_that_strikes_nobody_or_an_aim_past_the_deadline_is_a_mistake() {
-    let told = problems(&SOUND.replace(
+fn a_fault_without_targets_and_an_objective_past_the_deadline_are_rejected() {
+    let messages = problems(&VALID.replace(
         "share = 0.3\ngroup = \"g\"\n\n[[faults]]\nkind = \"slow\"",
         "[[faults]]\nkind = \"slow\"",
     ));
-    assert!(told.iter().any(|t| t.contains("strikes no node")), "{told:?}");
-    let told = problems(&SOUND.replace("aim_ms = 500", "aim_ms = 5000"));
-    assert!(told.iter().any(|t| t.contains("later than the deadline")), "{told:?}");
+    assert!(messages.iter().any(|t| t.contains("strikes no node")), "{messages:?}");
+    let messages = problems(&VALID.replace("aim_ms = 500", "aim_ms = 5000"));
+    assert!(messages.iter().any(|t| t.contains("later than the deadline")), "{messages:?}");
 }
 
 #[test]
-fn a_closed_loop_has_no_shape_and_an_end() {
-    let closed = SOUND.replace("of_capacity = 0.5\nshape = \"wave\"", "closed = 8\npause_ms = 20");
-    let scenario = Scenario::read("day.toml", &closed).expect("sound");
+fn a_closed_loop_has_no_shape_and_a_limited_size() {
+    let closed = VALID.replace("of_capacity = 0.5\nshape = \"wave\"", "closed = 8\npause_ms = 20");
+    let scenario = Scenario::read("day.toml", &closed).expect("valid");
     let plan = Plan::generate(&scenario, 7);
-    // Nobody has more than one turn a pause.
+    // No client sends more than one request per pause.
     assert_eq!(plan.arrivals.len(), 8 * (20_000 / 20 + 1));
-    let told = problems(&SOUND.replace("of_capacity = 0.5", "closed = 8"));
-    assert!(told.iter().any(|t| t.contains("`shape` means nothing for a closed loop")), "{told:?}");
-    let told =
+    let messages = problems(&VALID.replace("of_capacity = 0.5", "closed = 8"));
+    assert!(
+        messages.iter().any(|t| t.contains("`shape` means nothing for a closed loop")),
+        "{messages:?}"
+    );
+    let messages =
         problems(&closed.replace("closed = 8\npause_ms = 20", "closed = 9000\npause_ms = 1"));
-    assert!(told.iter().any(|t| t.contains("5000000 are the most")), "{told:?}");
+    assert!(messages.iter().any(|t| t.contains("5000000 are the most")), "{messages:?}");
 }
 
 #[test]
-fn repeats_follow_their_firsts_and_move_nothing_else() {
-    let with = SOUND.to_string() + "\n[clients]\nrepeat_share = 0.5\nrepeats = 2\n";
-    let draw = |text: &str| Plan::generate(&Scenario::read("day.toml", text).expect("sound"), 7);
-    let (with, without) = (draw(&with), draw(SOUND));
+fn repeats_follow_their_originals_and_change_nothing_else() {
+    let with = VALID.to_string() + "\n[clients]\nrepeat_share = 0.5\nrepeats = 2\n";
+    let generate =
+        |text: &str| Plan::generate(&Scenario::read("day.toml", text).expect("valid"), 7);
+    let (with, without) = (generate(&with), generate(VALID));
     let original_count = with.original_count as usize;
     assert_eq!(original_count, without.arrivals.len());
     let repeats = with.arrivals.len() - original_count;
@@ -167,20 +171,20 @@
 
 #[test]
 fn a_plan_is_a_pure_function_of_scenario_and_seed() {
-    let scenario = Scenario::read("day.toml", SOUND).expect("sound");
+    let scenario = Scenario::read("day.toml", VALID).expect("valid");
     let (a, b, c) =
         (Plan::generate(&scenario, 7), Plan::generate(&scenario, 7), Plan::generate(&scenario, 8));
     assert_eq!((&a, a.digest()), (&b, b.digest()));
     assert_ne!(a.digest(), c.digest());
     assert!(a.arrivals.is_sorted_by_key(|r| r.at) && a.fault_events.is_sorted_by_key(|x| x.at));
-    // Half of what ten cores of speed 1 can do, in requests of 50 ms, for 20 s.
-    let asked = a.arrivals.len() as f64;
-    assert!((asked - 2000.0).abs() < 400.0, "{asked}");
+    // Half of the capacity of ten cores of speed 1, in requests of 50 ms, for 20 s.
+    let requests = a.arrivals.len() as f64;
+    assert!((requests - 2000.0).abs() < 400.0, "{requests}");
 }
 
 #[test]
-fn faults_of_one_group_strike_the_same_nodes() {
-    let scenario = Scenario::read("day.toml", SOUND).expect("sound");
+fn faults_of_one_group_select_the_same_nodes() {
+    let scenario = Scenario::read("day.toml", VALID).expect("valid");
     for seed in 0..20 {
         let plan = Plan::generate(&scenario, seed);
         let of = |fault| plan.fault_events.iter().find(|a| a.fault == fault).expect("it strikes");
@@ -197,8 +201,8 @@
 }
 
 #[test]
-fn what_one_fault_draws_moves_nothing_else() {
-    let with = Scenario::read("day.toml", SOUND).expect("sound");
+fn the_samples_of_one_fault_change_nothing_else() {
+    let with = Scenario::read("day.toml", VALID).expect("valid");
     let mut without = with.clone();
     without.faults.clear();
     let (a, b) = (Plan::generate(&with, 3), Plan::generate(&without, 3));
@@ -207,49 +211,51 @@
 }
 
 #[test]
-fn faults_of_balancers_strike_whom_they_say_when_they_say() {
-    let bank = SOUND.replace("count = 2", "count = 10\npeers = true\nkeeps_state = true");
+fn faults_of_balancers_select_the_configured_balancers_at_the_configured_times() {
+    let cluster = VALID.replace("count = 2", "count = 10\npeers = true\nkeeps_state = true");
     let fault =
         |kind: &str, more: &str| format!("\n[[faults]]\nkind = \"{kind}\"\nstart_s = 4\n{more}\n");
-    let acts = |faults: &str| {
-        let scenario = Scenario::read("day.toml", &format!("{bank}{faults}")).expect("sound");
+    let events = |faults: &str| {
+        let scenario = Scenario::read("day.toml", &format!("{cluster}{faults}")).expect("valid");
         let of = |a: &hollowpaddle_scenario::plan::FaultEvent| a.fault >= 3;
         Plan::generate(&scenario, 7).fault_events.into_iter().filter(of).collect::<Vec<_>>()
     };
-    let zone = acts(&fault("balancer-pause", "length_s = 2\nzone = \"b\""));
+    let zone = events(&fault("balancer-pause", "length_s = 2\nzone = \"b\""));
     assert_eq!((zone.len(), &zone[0].balancers), (2, &vec![1, 3, 5, 7, 9]));
-    // One after another, each away for as long.
-    let spread = acts(&fault("balancer-kill", "length_s = 1\nspread_s = 2\nbalancers = [2, 4, 6]"));
+    // One after another, each down for the same time.
+    let spread =
+        events(&fault("balancer-kill", "length_s = 1\nspread_s = 2\nbalancers = [2, 4, 6]"));
     let of = |begins| -> Vec<(u128, usize)> {
-        let acts = spread.iter().filter(|a| a.begins == begins);
-        acts.map(|a| (a.at.as_millis(), a.balancers[0])).collect()
+        let events = spread.iter().filter(|a| a.begins == begins);
+        events.map(|a| (a.at.as_millis(), a.balancers[0])).collect()
     };
     assert_eq!(of(true), [(4000, 2), (5000, 4), (6000, 6)]);
     assert_eq!(of(false), [(5000, 2), (6000, 4), (7000, 6)]);
-    // Over and over, and up at the end.
-    let again = acts(&fault("balancer-kill", "length_s = 3\ndown_s = 0.5\nup_s = 1\nbalancer = 1"));
+    // Repeated kills, and up at the end.
+    let again =
+        events(&fault("balancer-kill", "length_s = 3\ndown_s = 0.5\nup_s = 1\nbalancer = 1"));
     let times: Vec<(u128, bool)> = again.iter().map(|a| (a.at.as_millis(), a.begins)).collect();
     assert_eq!(times, [(4000, true), (4500, false), (5500, true), (6000, false)]);
-    // Faults of one group strike the same ones, and draw from a stream of their own.
+    // Faults of one group select the same balancers, and take their samples from a stream of their own.
     let both = fault("list-cut", "length_s = 2\nshare = 0.3\ngroup = \"deaf\"")
         + &fault("links-cut", "length_s = 2\nshare = 0.3\ngroup = \"deaf\"\nway = \"in\"");
-    let both = acts(&both);
+    let both = events(&both);
     assert_eq!(both[0].balancers.len(), 3);
     assert!(both.iter().all(|a| a.balancers == both[0].balancers));
-    let lone = Plan::generate(&Scenario::read("day.toml", SOUND).expect("sound"), 7);
+    let alone = Plan::generate(&Scenario::read("day.toml", VALID).expect("valid"), 7);
     let with =
-        Scenario::read("day.toml", &format!("{SOUND}{}", fault("balancer-restart", "share = 1.0")));
-    let with = Plan::generate(&with.expect("sound"), 7);
+        Scenario::read("day.toml", &format!("{VALID}{}", fault("balancer-restart", "share = 1.0")));
+    let with = Plan::generate(&with.expect("valid"), 7);
     assert_eq!(
-        (lone.arrivals, &lone.fault_events[0].nodes),
+        (alone.arrivals, &alone.fault_events[0].nodes),
         (with.arrivals, &with.fault_events[1].nodes)
     );
 }
 
 #[test]
-fn a_fault_of_balancers_without_whom_or_what_it_needs_is_a_mistake() {
-    let told = |kind: &str, more: &str| {
-        problems(&format!("{SOUND}\n[[faults]]\nkind = \"{kind}\"\nstart_s = 4\n{more}\n"))
+fn a_fault_of_balancers_without_targets_or_required_settings_is_rejected() {
+    let messages = |kind: &str, more: &str| {
+        problems(&format!("{VALID}\n[[faults]]\nkind = \"{kind}\"\nstart_s = 4\n{more}\n"))
     };
     for (kind, more, what) in [
         ("balancer-kill", "length_s = 1", "strikes no balancer"),
@@ -264,26 +270,26 @@
         ("clock-step", "share = 0.5", "`faults.by_s` is missing"),
         ("balancer-pause", "share = 0.5", "`faults.length_s` is missing"),
     ] {
-        let told = told(kind, more);
-        assert!(told.iter().any(|t| t.contains(what)), "{what}: {told:#?}");
+        let messages = messages(kind, more);
+        assert!(messages.iter().any(|t| t.contains(what)), "{what}: {messages:#?}");
     }
-    let told = problems(&format!("{SOUND}\n[expect]\nfull_service_s = \"soon\"\nspeed = 1\n"));
+    let messages = problems(&format!("{VALID}\n[expect]\nfull_service_s = \"soon\"\nspeed = 1\n"));
     assert!(
-        told[0].contains("`expect.full_service_s`") && told[1].contains("`expect.speed`"),
-        "{told:#?}"
+        messages[0].contains("`expect.full_service_s`") && messages[1].contains("`expect.speed`"),
+        "{messages:#?}"
     );
 }
 
 proptest! {
     #[test]
-    fn no_text_is_a_panic(text in "\\PC{0,300}") {
+    fn no_text_causes_a_panic(text in "\\PC{0,300}") {
         let _ = Scenario::read("any.toml", &text);
     }
 
     #[test]
-    fn no_change_of_a_sound_file_is_a_panic(at in 0usize..SOUND.len(), cut in 0usize..30, new in "[ -~\n]{0,8}") {
-        let end = (at + cut).min(SOUND.len());
-        let text = format!("{}{new}{}", &SOUND[..at], &SOUND[end..]);
+    fn no_change_of_a_valid_file_causes_a_panic(at in 0usize..VALID.len(), cut in 0usize..30, new in "[ -~\n]{0,8}") {
+        let end = (at + cut).min(VALID.len());
+        let text = format!("{}{new}{}", &VALID[..at], &VALID[end..]);
         match Scenario::read("any.toml", &text) {
             Ok(scenario) => drop(Plan::generate(&scenario, 1).digest()),
             Err(problems) => {
@@ -296,7 +302,7 @@
     }
 }
 
-const BANK: &str = r#"
+const POLICY_ACTIONS: &str = r#"
 [[bank]]
 at_s = 4
 doors = [0, 1]
@@ -315,18 +321,18 @@
 length_s = 2
 "#;
 
-fn with_bank(acts: &str) -> String {
-    format!("{}{acts}", SOUND.replace("count = 2", "count = 2\npeers = true"))
+fn with_policy_actions(events: &str) -> String {
+    format!("{}{events}", VALID.replace("count = 2", "count = 2\npeers = true"))
 }
 
 #[test]
-fn acts_on_the_rule_book_are_drawn_ahead_and_a_twin_has_no_struck_leader() {
-    let day = Scenario::read("day.toml", &with_bank(BANK)).expect("sound");
-    let plan = Plan::generate(&day, 3);
-    assert_eq!(plan, Plan::generate(&day, 3));
-    assert_ne!(plan.digest(), Plan::generate(&day, 4).digest());
+fn policy_actions_are_planned_ahead_and_a_control_run_has_no_leader_faults() {
+    let scenario = Scenario::read("day.toml", &with_policy_actions(POLICY_ACTIONS)).expect("valid");
+    let plan = Plan::generate(&scenario, 3);
+    assert_eq!(plan, Plan::generate(&scenario, 3));
+    assert_ne!(plan.digest(), Plan::generate(&scenario, 4).digest());
     let calls: Vec<&Call> = plan.policy_actions.iter().filter_map(call).collect();
-    // Two of ten are cordoned, each by a call; then the revision at either door, each a question of its own.
+    // Two of ten nodes are cordoned, each by a call. Then the revision is sent to both balancers, each with an id of its own.
     let verbs: Vec<OperatorVerb> = calls.iter().map(|c| c.verb).collect();
     assert_eq!(
         verbs,
@@ -345,9 +351,9 @@
     assert_eq!(calls[2].body["wait"], "all");
     assert_eq!((plan.policy_actions.len(), plan.control_run().policy_actions.len()), (5, 4));
     assert_eq!(
-        Plan::generate(&day, 3).arrivals,
-        Plan::generate(&sound(), 3).arrivals,
-        "nothing else moved"
+        Plan::generate(&scenario, 3).arrivals,
+        Plan::generate(&valid_scenario(), 3).arrivals,
+        "nothing else changed"
     );
 }
 
@@ -358,14 +364,14 @@
     }
 }
 
-fn sound() -> Scenario {
-    Scenario::read("day.toml", SOUND).expect("sound")
+fn valid_scenario() -> Scenario {
+    Scenario::read("day.toml", VALID).expect("valid")
 }
 
 #[test]
-fn what_is_wrong_about_the_rule_book_is_told_with_its_place() {
-    let told = |text: &str| problems(text).join("\n");
-    let alone = told(&format!("{SOUND}{BANK}"));
+fn problems_of_policy_actions_are_reported_with_their_positions() {
+    let messages = |text: &str| problems(text).join("\n");
+    let alone = messages(&format!("{VALID}{POLICY_ACTIONS}"));
     assert!(alone.contains("these balancers agree on nothing"), "{alone}");
     let wrong = [
         ("doors = [0, 1]", "doors = [0, 2]", "from 0 to 1"),
@@ -380,11 +386,15 @@
         ("at_s = 6", "at_s = 6\nhow = 1", "bank.how"),
     ];
     for (from, to, what) in wrong {
-        let changed = BANK.replacen(from, to, 1);
-        assert_ne!(changed, BANK, "{from}");
-        let told = told(&with_bank(&changed));
-        assert!(told.contains(what) && told.starts_with("day.toml:"), "{to}: {told}");
+        let changed = POLICY_ACTIONS.replacen(from, to, 1);
+        assert_ne!(changed, POLICY_ACTIONS, "{from}");
+        let messages = messages(&with_policy_actions(&changed));
+        assert!(messages.contains(what) && messages.starts_with("day.toml:"), "{to}: {messages}");
     }
-    let charter = SOUND.replace("count = 2", "count = 2\ncharter = [0]");
-    assert!(told(&charter).contains("`balancers.charter` means nothing"), "{}", told(&charter));
+    let charter = VALID.replace("count = 2", "count = 2\ncharter = [0]");
+    assert!(
+        messages(&charter).contains("`balancers.charter` means nothing"),
+        "{}",
+        messages(&charter)
+    );
 }
--- a/crates/scenario/tests/user_sessions.rs
+++ b/crates/scenario/tests/user_sessions.rs
@@ -1,4 +1,4 @@
-//! Vans: what a scenario may say of them, and that what chance decides about them is as it says.
+//! User sessions: validation of their settings, and the random parts that are generated from them.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -6,7 +6,7 @@
 use hollowpaddle_scenario::plan::Plan;
 use hollowpaddle_scenario::scenario::{Effect, Scenario};
 
-const DAY: &str = r#"name = "vans"
+const SCENARIO: &str = r#"name = "vans"
 length_s = 20
 
 [fleet]
@@ -44,7 +44,7 @@
 again_after_ms = 200
 "#;
 
-fn day(text: &str) -> Scenario {
+fn scenario(text: &str) -> Scenario {
     Scenario::read("vans.toml", text).unwrap_or_else(|e| panic!("{e}"))
 }
 
@@ -54,8 +54,10 @@
 }
 
 #[test]
-fn mistakes_are_told_with_their_lines() {
-    let line = |text: &str| 1 + DAY.lines().position(|l| l.starts_with(text)).expect("it is there");
+fn problems_are_reported_with_their_lines() {
+    let line = |text: &str| {
+        1 + SCENARIO.lines().position(|l| l.starts_with(text)).expect("the line exists")
+    };
     for (from, to, at, what) in [
         ("count = 300", "count = 0", line("count"), "`vans.count`"),
         ("move_share = 0.5", "move_share = 2", line("move_share"), "`vans.move_share`"),
@@ -71,52 +73,53 @@
         ("of_capacity = 0.4", "closed = 3", line("[vans]"), "a closed loop has none"),
         ("again_share", "agian_share", line("again_share"), "agian_share"),
     ] {
-        let wrong = DAY.replace(from, to);
-        assert_ne!(wrong, DAY, "{from}");
-        let told = problems(&wrong);
-        let told = told.first().expect("one");
+        let wrong = SCENARIO.replace(from, to);
+        assert_ne!(wrong, SCENARIO, "{from}");
+        let messages = problems(&wrong);
+        let message = messages.first().expect("one");
         assert!(
-            told.starts_with(&format!("vans.toml:{at}:")) && told.contains(what),
-            "{to}: {told}"
+            message.starts_with(&format!("vans.toml:{at}:")) && message.contains(what),
+            "{to}: {message}"
         );
     }
 }
 
 #[test]
-fn each_request_is_a_vans_and_comes_from_where_it_is() {
-    let scenario = day(DAY);
+fn each_request_belongs_to_a_session_and_comes_from_its_zone() {
+    let scenario = scenario(SCENARIO);
     let plan = Plan::generate(&scenario, 4);
     let moved = plan.sessions.iter().filter(|v| v.visit.is_some()).count();
     assert!((120..180).contains(&moved), "{moved} of 300 at one half");
-    let sids: BTreeSet<u64> = plan.sessions.iter().map(|v| v.session_id).collect();
-    assert_eq!(sids.len(), 300);
-    for van in &plan.sessions {
-        let Some((away, from, to)) = van.visit else { continue };
+    let session_ids: BTreeSet<u64> = plan.sessions.iter().map(|v| v.session_id).collect();
+    assert_eq!(session_ids.len(), 300);
+    for session in &plan.sessions {
+        let Some((zone, from, to)) = session.visit else { continue };
         let moment = Duration::from_millis(1);
         assert!(
             from >= Duration::from_secs(5)
                 && from <= Duration::from_secs(15)
-                && away != van.initial_zone
+                && zone != session.initial_zone
         );
         assert_eq!(to, Some(from + Duration::from_secs(3)));
-        let sites = [from - moment, from, from + Duration::from_secs(3)].map(|at| van.zone_at(at));
-        assert_eq!(sites, [van.initial_zone, away, van.initial_zone]);
+        let zones =
+            [from - moment, from, from + Duration::from_secs(3)].map(|at| session.zone_at(at));
+        assert_eq!(zones, [session.initial_zone, zone, session.initial_zone]);
     }
     for arrival in &plan.arrivals[..plan.original_count as usize] {
-        let (van, site) = arrival.session.expect("a van's");
-        let van = &plan.sessions[van as usize];
-        assert_eq!((arrival.session_id, site), (van.session_id, van.zone_at(arrival.at)));
+        let (session, zone) = arrival.session.expect("it belongs to a session");
+        let session = &plan.sessions[session as usize];
+        assert_eq!((arrival.session_id, zone), (session.session_id, session.zone_at(arrival.at)));
     }
     assert_eq!(plan, Plan::generate(&scenario, 4));
     assert_ne!(plan.sessions, Plan::generate(&scenario, 5).sessions);
 }
 
 #[test]
-fn what_is_pressed_again_is_keyed_and_comes_from_the_other_site_right_after_the_move() {
-    let plan = Plan::generate(&day(DAY), 4);
+fn resubmissions_are_keyed_and_come_from_the_other_zone_right_after_the_move() {
+    let plan = Plan::generate(&scenario(SCENARIO), 4);
     let original_count = &plan.arrivals[..plan.original_count as usize];
     assert!(original_count.is_sorted_by_key(|a| a.at));
-    let mut pressed = 0;
+    let mut resubmitted = 0;
     for (place, arrival) in
         original_count.iter().enumerate().filter(|(n, a)| a.original as usize != *n)
     {
@@ -129,30 +132,32 @@
             (first.session_id, first.class, first.work_ms),
             (arrival.session_id, arrival.class, arrival.work_ms)
         );
-        assert_eq!(day(DAY).classes[arrival.class].effect, Effect::Keyed);
-        assert_ne!(first.session.map(|v| v.1), arrival.session.map(|v| v.1), "another site");
+        assert_eq!(scenario(SCENARIO).classes[arrival.class].effect, Effect::Keyed);
+        assert_ne!(first.session.map(|v| v.1), arrival.session.map(|v| v.1), "another zone");
         let after = arrival.at - first.at;
         assert!(
             after >= Duration::from_millis(200) && after <= Duration::from_millis(1200),
             "{after:?}"
         );
-        pressed += 1;
+        resubmitted += 1;
     }
-    assert!(pressed > 20, "{pressed}");
-    let none = Plan::generate(&day(&DAY.replace("again_share = 0.8", "again_share = 0")), 4);
-    assert_eq!(none.arrivals.len(), plan.arrivals.len() - pressed);
-    // With nothing else moved: the day is the same but for them.
+    assert!(resubmitted > 20, "{resubmitted}");
+    let none =
+        Plan::generate(&scenario(&SCENARIO.replace("again_share = 0.8", "again_share = 0")), 4);
+    assert_eq!(none.arrivals.len(), plan.arrivals.len() - resubmitted);
+    // Nothing else changes: the plans are the same but for the resubmissions.
     let others = plan.arrivals.iter().enumerate().filter(|(n, a)| a.original as usize == *n);
     assert!(others.map(|(_, a)| &a.id).eq(none.arrivals.iter().map(|a| &a.id)));
 }
 
 #[test]
-fn a_day_without_vans_is_drawn_as_it_always_was() {
-    let without = &DAY[..DAY.find("[vans]").expect("there")];
-    let plan = Plan::generate(&day(without), 4);
+fn a_plan_without_sessions_keeps_its_digest() {
+    let without = &SCENARIO[..SCENARIO.find("[vans]").expect("the section exists")];
+    let plan = Plan::generate(&scenario(without), 4);
     let text = format!("{plan:?}");
-    assert!(!text.contains("van"), "its digest would be another one");
-    let with = Plan::generate(&day(&DAY.replace("again_share = 0.8", "again_share = 0")), 4);
+    assert!(!text.contains("van"), "the digest would change");
+    let with =
+        Plan::generate(&scenario(&SCENARIO.replace("again_share = 0.8", "again_share = 0")), 4);
     let ids = |plan: &Plan| plan.arrivals.iter().map(|a| (a.at, a.id.clone())).collect::<Vec<_>>();
     assert_eq!(ids(&plan), ids(&with));
 }
