--- a/crates/checker/src/recovery/contention.rs
+++ b/crates/checker/src/recovery/contention.rs
@@ -1,5 +1,5 @@
-//! Crowd: refusals while a node that could have taken the request stood idle. Nobody harms anybody here; each balancer
-//! guards its own small part of the room, and chance fills one part while the next stands empty.
+//! Contention: rejections while a node that could have taken the request was idle. No rule is violated by them: each balancer
+//! limits its own small share of the capacity, and random arrivals fill one share while another is empty.
 
 use hollowpaddle_scenario::record::{At, AttemptOutcome, Observation, Phase};
 use hollowpaddle_scenario::scenario::FaultKind;
@@ -8,38 +8,40 @@
 
 use super::Run;
 
-/// Refusals, and those of them beside idle nodes.
+/// Rejections, and those beside idle nodes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Contention {
-    /// Answers 429 and 503.
+    /// Number of answers 429 and 503.
     pub refused: u64,
-    /// While a node that the balancer had been told of, up, warm and in its reach, held nothing.
+    /// Number of these while a node without requests was up, warm, known to the balancer and in its reach.
     pub beside_idle: u64,
-    /// Those over all requests that were sent, 0 to 1.
+    /// Rejections beside idle nodes over all sent requests, 0 to 1.
     pub share: f64,
 }
 
+/// State of a node at a moment.
 #[derive(Clone, Copy, Debug, Default)]
 struct Node {
     is_up: bool,
-    /// Warm from here on.
+    /// Time from which on the node is warm.
     warm_at: At,
+    /// Number of attempts at the node.
     in_flight: i64,
-    /// With what nobody waits for, until about then.
+    /// Time until which the node probably works on abandoned requests.
     busy_until: At,
-    /// Faults that keep it from answering anyone.
-    unreachable_faults: u32,
+    /// Number of active faults that silence the node.
+    silencing_faults: u32,
 }
 
-/// Reckons it for one run.
+/// Computes the contention of one run.
 pub(super) fn of(run: &Run) -> Contention {
     let mut contention = Contention::default();
     let mut nodes = vec![Node::default(); run.case.plan.machines.len()];
     let mut serving: FxHashSet<(usize, usize)> = FxHashSet::default();
     let mut cut: FxHashMap<(usize, usize), u32> = FxHashMap::default();
     let mut attempts: FxHashMap<u32, (usize, f64)> = FxHashMap::default();
-    let mut balancers: FxHashMap<u32, usize> = FxHashMap::default();
-    // Nodes that hold nothing, whatever else is with them.
+    let mut balancer_of: FxHashMap<u32, usize> = FxHashMap::default();
+    // Nodes without attempts, whatever their other state.
     let mut idle: FxHashSet<usize> = FxHashSet::default();
     let mut sent = 0u64;
     for line in run.case.trace {
@@ -49,7 +51,7 @@
                 nodes[*node] = Node {
                     is_up: true,
                     warm_at,
-                    unreachable_faults: nodes[*node].unreachable_faults,
+                    silencing_faults: nodes[*node].silencing_faults,
                     ..Node::default()
                 };
                 idle.insert(*node);
@@ -69,9 +71,8 @@
                 for node in &event.nodes {
                     match &run.case.scenario.faults[*fault].kind {
                         FaultKind::Vanish => {
-                            nodes[*node].unreachable_faults = nodes[*node]
-                                .unreachable_faults
-                                .saturating_add_signed(change as i32);
+                            nodes[*node].silencing_faults =
+                                nodes[*node].silencing_faults.saturating_add_signed(change as i32);
                         }
                         FaultKind::Unreachable { balancers } => balancers.iter().for_each(|b| {
                             let entry = cut.entry((*b, *node)).or_default();
@@ -95,7 +96,7 @@
             }
             Observation::Ended { attempt, outcome } => {
                 let Some((node, work_ms)) = attempts.remove(attempt) else { continue };
-                // What its balancer gave up goes on there, at a speed that is about 1.
+                // An abandoned request keeps running on the node, at a speed of about 1.
                 if *outcome == AttemptOutcome::Abandoned {
                     let over = At(line.at.0 + (work_ms * 1e3) as u64);
                     nodes[node].busy_until = nodes[node].busy_until.max(over);
@@ -107,15 +108,15 @@
             }
             Observation::Sent { request, balancer, .. } => {
                 sent += 1;
-                balancers.insert(*request, *balancer);
+                balancer_of.insert(*request, *balancer);
             }
             Observation::Answered { request, status: 429 | 503, .. } => {
                 contention.refused += 1;
-                let Some(balancer) = balancers.get(request).copied() else { continue };
+                let Some(balancer) = balancer_of.get(request).copied() else { continue };
                 let is_usable = |n: &usize| {
                     let node = nodes[*n];
                     node.is_up
-                        && node.unreachable_faults == 0
+                        && node.silencing_faults == 0
                         && node.warm_at <= line.at
                         && node.busy_until <= line.at
                         && serving.contains(&(balancer, *n))
--- a/crates/checker/src/recovery/full_service.rs
+++ b/crates/checker/src/recovery/full_service.rs
@@ -1,10 +1,10 @@
-//! Time to full service: from the instant at which the last one struck was up again until, for 3 s, service was what it
-//! is in the twin: as a whole and in every class.
+//! Time to full service: from the moment at which the last affected member is up again until the service equals that of the
+//! control run for 3 s, as a whole and in every class.
 //!
-//! Windows of 1 s, ten a second, may each lie 0.02 below the twin's, or as far as three standard errors of the
-//! difference, where those are more: with a few requests a window chance alone is worth more than 0.02. The 3 s as a
-//! whole are held to the same, where chance weighs less. Faults that overlap are one episode: the time belongs to all
-//! of them together, and counts from the last one's end.
+//! Each window of 1 s, of which ten begin every second, may lie 0.02 below that of the control run, or three standard errors
+//! of the difference if these are more: with few requests in a window the random error alone exceeds 0.02. The same limit
+//! holds for the 3 s as a whole, where the random error is smaller. Faults that overlap form one episode, whose time counts
+//! from the end of the last fault.
 
 use serde::Serialize;
 
@@ -15,36 +15,39 @@
 use super::{Run, STEP_S, is_load};
 use crate::service::client_requests;
 
-/// How far below its twin service may be and still be full.
+/// Difference from the service of the control run up to which service counts as full.
 const MAX_SHORTFALL: f64 = 0.02;
-/// Standard errors that chance may take it further.
+/// Difference that counts as random, in standard errors.
 const MAX_STANDARD_ERRORS: f64 = 3.0;
-/// Steps of a window, and of the stretch over which all windows have to be well.
+/// Length of a window, in steps.
 const WINDOW_STEPS: usize = 10;
+/// Time for which service has to be full, in steps.
 const FULL_STEPS: usize = 30;
 
-/// Faults that overlap, and what came of them.
+/// Faults that overlap, and the recovery from them.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Episode {
-    /// Their kinds, in the order of the scenario.
+    /// Kinds of the faults, in the order of the scenario.
     pub faults: Vec<String>,
-    /// When the first began, in seconds from the first client.
+    /// Begin of the first fault, in seconds from the first client.
     pub from_s: f64,
-    /// When the last one struck was up again.
+    /// Time at which the last affected member was up again, in seconds from the first client; `None` if one never was.
     pub up_s: Option<f64>,
-    /// From then until full service, in seconds; `None` if that was not seen.
+    /// Time from `up_s` until full service, in seconds; `None` if service did not become full.
     pub full_service_s: Option<f64>,
-    /// So long it was looked for: to the next fault, or to the end of the run, less the 3 s that it takes to tell.
+    /// Time from `up_s` in which full service could be found, in seconds: until 3 s before the next fault or the end of the
+    /// run, since service has to be full for 3 s.
     pub watched_s: f64,
-    /// The lowest service in windows of 1 s from the first fault's beginning on, and the twin's in that window.
+    /// Service in the window of 1 s, from the begin of the first fault, that lies furthest below the control run.
     pub lowest: f64,
-    /// See `lowest`.
+    /// Service of the control run in the same window.
     #[serde(rename = "lowest_of_twin")]
     pub lowest_of_control: f64,
-    /// Worth that the twin served and the run did not, from the first fault's beginning on, in seconds of full load.
+    /// Weight that the control run served and the run did not, from the begin of the first fault, in seconds of full load.
     pub lost_s: f64,
 }
 
+/// Sums of weights: earned, possible, and squares of the possible ones.
 #[derive(Clone, Copy, Debug, Default)]
 struct Weights {
     earned: f64,
@@ -53,12 +56,13 @@
 }
 
 impl Weights {
+    /// Returns the service; `None` without requests.
     fn ratio(self) -> Option<f64> {
         (self.possible > 0.0).then(|| self.earned / self.possible)
     }
 }
 
-/// Worth asked and served by step: prefix sums, for the whole first and then for each class.
+/// Prefix sums of weights by step: first of all classes together, then of each class.
 pub(super) struct Series(Vec<Vec<Weights>>);
 
 impl Series {
@@ -92,6 +96,7 @@
         self.0[0].len() - 1
     }
 
+    /// Returns the sums over some steps of a series.
     fn sum(&self, series: usize, from: usize, steps: usize) -> Weights {
         let (a, b) = (self.0[series][from], self.0[series][(from + steps).min(self.steps())]);
         Weights {
@@ -101,13 +106,13 @@
         }
     }
 
-    /// Service in windows of 1 s, one a step.
+    /// Returns the service in windows of 1 s, one for each step.
     pub(super) fn over_time(&self) -> Vec<Option<f64>> {
         let windows = self.steps().saturating_sub(WINDOW_STEPS) + 1;
         (0..windows).map(|from| self.sum(0, from, WINDOW_STEPS).ratio()).collect()
     }
 
-    /// Whether service was not what it is in the twin.
+    /// Returns whether the service of some steps was below that of the control run.
     fn is_short(&self, control_run: &Self, series: usize, from: usize, steps: usize) -> bool {
         let (run_service, control) =
             (self.sum(series, from, steps), control_run.sum(series, from, steps));
@@ -119,7 +124,7 @@
         q - p > MAX_SHORTFALL.max(MAX_STANDARD_ERRORS * error)
     }
 
-    /// Whether from a step on, for 3 s, service was full.
+    /// Returns whether service was full for 3 s from a step.
     fn is_full(&self, control_run: &Self, from: usize) -> bool {
         (0..self.0.len()).all(|series| {
             let windows = from..=from + FULL_STEPS - WINDOW_STEPS;
@@ -129,14 +134,14 @@
     }
 }
 
-/// A fault's beginning, and when the last one it struck was up again.
+/// Begin of a fault, and the time at which the last affected member was up again, in seconds.
 struct Span {
     fault: usize,
     from: f64,
     up: Option<f64>,
 }
 
-/// From when to when each fault lasted.
+/// Returns the span of each fault, in order of time.
 fn spans(run: &Run) -> Vec<Span> {
     let mut spans: Vec<Span> = Vec::new();
     for (fault, f) in run.case.scenario.faults.iter().enumerate() {
@@ -166,7 +171,7 @@
     spans
 }
 
-/// When a balancer was first ready after a time.
+/// Returns the time at which a balancer first became ready after a time.
 fn ready(run: &Run, balancer: usize, after: f64) -> Option<f64> {
     let at = |l: &hollowpaddle_scenario::record::Line| match l.seen {
         Observation::Ready { balancer: b, .. } if b == balancer => Some(run.seconds(l.at)),
@@ -175,7 +180,7 @@
     run.case.trace.iter().filter_map(at).find(|at| *at >= after)
 }
 
-/// Faults that overlap, together.
+/// Returns the episodes of a run.
 pub(super) fn episodes(run: &Run, run_service: &Series, control_run: &Series) -> Vec<Episode> {
     let mut groups: Vec<Vec<Span>> = Vec::new();
     for span in spans(run) {
@@ -199,6 +204,7 @@
         .collect()
 }
 
+/// Computes the recovery from the faults of one episode, which ends at `until`.
 fn episode(
     run: &Run,
     run_service: &Series,
--- a/crates/checker/src/recovery/mod.rs
+++ b/crates/checker/src/recovery/mod.rs
@@ -1,11 +1,12 @@
-//! How a bank came through what broke it, against its *twin*: the same plan without the faults. Reckoned from what the
-//! stand-ins saw, as the rules are.
+//! Recovery of a cluster from faults, compared with a control run of the same plan without faults. Computed from the
+//! observations of the stand-ins, as the rules are.
 //!
-//! - **Time to full service** ([`Episode`]): how long after the last one struck was up again service was what it is
-//!   in the twin.
-//! - **Stampede** ([`Stampede`]): what came all at once, against the twin's 99th percentile of a second.
-//! - **Crowd** ([`Contention`]): refusals while a node that could have taken the request stood idle.
-//! - **Stale** ([`Stale`]): decisions on what had been told to be otherwise, with its age.
+//! - **Time to full service** ([`Episode`]): time from the restart of the last affected member until the service equals
+//!   that of the control run.
+//! - **Stampede** ([`Stampede`]): number of events in the worst second, against the 99th percentile of the seconds of the
+//!   control run.
+//! - **Contention** ([`Contention`]): rejections while a node that could have taken the request was idle.
+//! - **Stale sends** ([`StaleReport`]): sends to nodes that were known to take nothing new, with the age of that knowledge.
 
 mod contention;
 mod expectations;
@@ -24,40 +25,40 @@
 pub use stale_sends::{StaleReport, StaleSends};
 pub use stampede::{Peak, Stampede};
 
-/// Points of the lines over time: one each so long, in seconds.
+/// Step of the series over time, in seconds.
 const STEP_S: f64 = 0.1;
 
-/// How a bank came through its faults.
+/// Recovery of a cluster from the faults of a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct RecoveryReport {
-    /// Service of the twin's whole run, 0 to 1.
+    /// Service of the whole control run, 0 to 1.
     #[serde(rename = "twin_service")]
     pub control_service: f64,
-    /// Faults that overlap, together; in order of time.
+    /// Episodes, each of which joins faults that overlap, in order of time.
     pub episodes: Vec<Episode>,
-    /// What came at once, by kind.
+    /// Worst second of each kind of event.
     pub stampede: Vec<Stampede>,
-    /// Refusals beside idle nodes: of the run, and of its twin.
+    /// Rejections beside idle nodes in the run.
     #[serde(rename = "crowd")]
     pub contention: Contention,
-    /// See `contention`.
+    /// Rejections beside idle nodes in the control run.
     #[serde(rename = "twin_crowd")]
     pub control_contention: Contention,
-    /// Decisions on old knowledge.
+    /// Sends to nodes that were known to take nothing new.
     pub stale: StaleReport,
-    /// Service over time, in windows of 1 s, one each [`RecoveryReport::step_s`]: run and twin.
+    /// Service of the run over time, in windows of 1 s, one for each [`RecoveryReport::step_s`].
     pub service: Vec<Option<f64>>,
-    /// See `service`.
+    /// Service of the control run over time, in the same windows.
     #[serde(rename = "service_of_twin")]
     pub service_of_control: Vec<Option<f64>>,
     /// Seconds from one window to the next.
     pub step_s: f64,
-    /// What the scenario expects and the run did not show, in words, by how much.
+    /// Messages about missed expectations, each with the shortfall.
     #[serde(rename = "missed")]
     pub missed_expectations: Vec<String>,
 }
 
-/// One run, with its times counted from the first client on.
+/// One run, whose times are counted from the first client.
 struct Run<'a> {
     case: Case<'a>,
     began: At,
@@ -69,13 +70,13 @@
         Self { case: Case { scenario, plan, trace: &played.trace, slack: 0 }, began: played.began }
     }
 
-    /// Seconds from the first client; below 0 before that.
+    /// Returns the seconds from the first client; negative before it.
     fn seconds(&self, at: At) -> f64 {
         (at.0 as f64 - self.began.0 as f64) / 1e6
     }
 }
 
-/// Reckons it. `overall_service` is the run's service as a whole.
+/// Compares a run with its control run. `overall_service` is the service of the whole run.
 pub fn compare_with_control(
     played: &CompletedRun,
     control_run: &CompletedRun,
@@ -83,16 +84,17 @@
     control_service: f64,
 ) -> RecoveryReport {
     let (run, control) = (Run::of(played), Run::of(control_run));
-    let (here, there) = (full_service::Series::of(&run), full_service::Series::of(&control));
+    let (run_series, control_series) =
+        (full_service::Series::of(&run), full_service::Series::of(&control));
     let mut report = RecoveryReport {
         control_service,
-        episodes: full_service::episodes(&run, &here, &there),
+        episodes: full_service::episodes(&run, &run_series, &control_series),
         stampede: stampede::measure(&run, &control),
         contention: contention::of(&run),
         control_contention: contention::of(&control),
         stale: stale_sends::of(&run),
-        service: here.over_time(),
-        service_of_control: there.over_time(),
+        service: run_series.over_time(),
+        service_of_control: control_series.over_time(),
         step_s: STEP_S,
         missed_expectations: Vec::new(),
     };
@@ -101,7 +103,7 @@
     report
 }
 
-/// Whether a fault is one that its twin has as well: it is drawn into the arrivals.
+/// Returns whether a fault is part of the arrivals, so that the control run has it, too.
 fn is_load(kind: &FaultKind) -> bool {
     matches!(kind, FaultKind::Burst { .. } | FaultKind::Heavy { .. })
 }
--- a/crates/checker/src/recovery/stale_sends.rs
+++ b/crates/checker/src/recovery/stale_sends.rs
@@ -1,5 +1,5 @@
-//! Stale: sends to a node that the list had said takes nothing new. Those that the balancer itself had been told of
-//! (within the grace of rule 3 they break nothing), and those of which the list knew and it had not been told.
+//! Stale sends: sends to a node after the node list recorded that it takes nothing new. They are counted apart by whether
+//! the balancer had received the update. Within the grace period of rule 3 they are no violation.
 
 use hollowpaddle_scenario::record::{At, Observation, Phase};
 use rustc_hash::FxHashMap;
@@ -7,29 +7,29 @@
 
 use super::Run;
 
-/// Sends on old knowledge, of one kind.
+/// Stale sends of one kind.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct StaleSends {
-    /// How many.
+    /// Number of sends.
     pub sends: u64,
-    /// How old the word against the oldest was, in milliseconds.
+    /// Largest time from the update to a send, in milliseconds.
     pub oldest_ms: f64,
-    /// Balancers that made such.
+    /// Number of balancers with stale sends.
     pub balancers: u64,
 }
 
-/// Decisions on what had been told to be otherwise.
+/// Stale sends of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct StaleReport {
-    /// The balancer had been told.
+    /// Sends after the balancer had received the update.
     #[serde(rename = "told")]
     pub informed: StaleSends,
-    /// The list knew, and the balancer had not been told.
+    /// Sends after the list had recorded the change, and before the balancer received the update.
     #[serde(rename = "untold")]
     pub uninformed: StaleSends,
 }
 
-/// Reckons it for one run.
+/// Counts the stale sends of one run.
 pub(super) fn of(run: &Run) -> StaleReport {
     let mut updates: FxHashMap<(usize, usize), (u64, Option<At>)> = FxHashMap::default();
     let mut listed: FxHashMap<usize, At> = FxHashMap::default();
@@ -43,7 +43,7 @@
             }
             Observation::ListUpdate { balancer, node, phase, revision, .. } => {
                 let update = updates.entry((*balancer, *node)).or_default();
-                // An older word that comes after a newer one takes nothing back.
+                // An older update that arrives after a newer one is ignored.
                 if *revision >= update.0 {
                     let closed = (*phase != Phase::Serving).then_some(line.at);
                     *update = (*revision, closed.map(|at| update.1.unwrap_or(at)));
--- a/crates/checker/src/recovery/stampede.rs
+++ b/crates/checker/src/recovery/stampede.rs
@@ -1,5 +1,5 @@
-//! Stampede: how much came in the worst second, over all balancers and for the busiest upstream, against the 99th
-//! percentile of the twin's seconds.
+//! Stampede: number of events in the worst second, over all balancers and for the busiest upstream, against the 99th
+//! percentile of the seconds of the control run.
 
 use hdrhistogram::Histogram;
 use hollowpaddle_scenario::record::Observation;
@@ -8,26 +8,26 @@
 
 use super::{Run, STEP_S, is_load};
 
-/// Steps of a second.
+/// Number of steps of a second.
 const STEPS_PER_SECOND: usize = 10;
-/// What there may be least of in the twin: nothing is no measure.
+/// Least number for the control run in a ratio, which avoids a division by zero.
 const MIN_CONTROL: u64 = 1;
 
 /// The worst second.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Peak {
-    /// So many in it.
+    /// Number of events in that second.
     pub peak: u64,
-    /// When it began, in seconds from the first client.
+    /// Begin of that second, in seconds from the first client.
     pub at_s: f64,
-    /// The 99th percentile of the twin's seconds.
+    /// 99th percentile of the seconds of the control run.
     #[serde(rename = "twin")]
-    pub control_run: u64,
-    /// One over the other, 1 for a twin that had none.
+    pub control_p99: u64,
+    /// Ratio of `peak` to `control_p99`, where a `control_p99` of 0 counts as 1.
     pub times: f64,
 }
 
-/// One kind of thing that can come all at once.
+/// Worst second of one kind of event.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Stampede {
     /// `connects`, `list-calls`, `attempts` or `datagrams`.
@@ -35,15 +35,16 @@
     pub kind: &'static str,
     /// Over all balancers.
     pub all: Peak,
-    /// For the upstream that had most of it in a second, where it goes to upstreams.
+    /// For the busiest upstream of that second, for events at upstreams.
     pub busiest: Option<Peak>,
-    /// How many over all in each second, one second each [`super::RecoveryReport::step_s`].
+    /// Number of events over all balancers in each second, one for each [`super::RecoveryReport::step_s`].
     pub over_time: Vec<u64>,
 }
 
+/// Names of the kinds of events.
 const EVENT_KINDS: [&str; 4] = ["connects", "list-calls", "attempts", "datagrams"];
 
-/// What kind a line is of, and of which upstream.
+/// Returns the kind of an event, as an index into [`EVENT_KINDS`], and its upstream.
 fn kind(seen: &Observation) -> Option<(usize, Option<usize>)> {
     match seen {
         Observation::Connected { node, .. } => Some((0, Some(*node))),
@@ -54,14 +55,14 @@
     }
 }
 
-/// Counts by step: over all, and by upstream.
+/// Numbers of events by step: over all, and by upstream.
 #[derive(Clone, Default)]
 struct Steps {
     all: Vec<u64>,
     by_node: FxHashMap<usize, Vec<u64>>,
 }
 
-/// Counts of each second that begins at a step.
+/// Returns the number of events in each second that begins at a step.
 fn seconds(steps: &[u64]) -> Vec<u64> {
     let windows = steps.len().saturating_sub(STEPS_PER_SECOND) + 1;
     let mut sum: u64 = steps.iter().take(STEPS_PER_SECOND).sum();
@@ -74,7 +75,7 @@
     all
 }
 
-/// Counts of a run, from the first client on.
+/// Counts the events of a run from the first client, by kind.
 fn count(run: &Run) -> Vec<Steps> {
     let steps = (run.case.scenario.length.as_secs_f64() / STEP_S).ceil() as usize;
     let empty = Steps { all: vec![0; steps], by_node: FxHashMap::default() };
@@ -93,7 +94,7 @@
     counts
 }
 
-/// Of each second, the most that any upstream had.
+/// Returns the largest number of events of any upstream in each second.
 fn busiest(steps: &Steps) -> Vec<u64> {
     let mut most = vec![0; seconds(&steps.all).len()];
     for node in steps.by_node.values() {
@@ -104,11 +105,12 @@
     most
 }
 
-/// The worst second from a step on. Before the first fault a run is its twin, and both begin as a fresh bank does.
+/// Returns the worst second from a step on. Seconds before the first fault are left out: until then the run equals its
+/// control run, and both begin with the start of the cluster.
 fn peak(run_counts: &[u64], control_run: &[u64], from: usize) -> Peak {
     let seconds = run_counts.iter().enumerate().skip(from);
     let (at, peak) = seconds.max_by_key(|(i, n)| (**n, usize::MAX - i)).unwrap_or((from, &0));
-    // Three figures of a count are always to be had.
+    // A histogram with three significant digits can always be created.
     let mut histogram = Histogram::<u64>::new(3).ok();
     if let Some(h) = &mut histogram {
         control_run.iter().skip(from).for_each(|n| h.saturating_record(*n));
@@ -117,17 +119,17 @@
     Peak {
         peak: *peak,
         at_s: at as f64 * STEP_S,
-        control_run: control_p99,
+        control_p99,
         times: *peak as f64 / control_p99.max(MIN_CONTROL) as f64,
     }
 }
 
-/// All kinds.
+/// Returns the worst second of each kind of event.
 pub(super) fn measure(run: &Run, control_run: &Run) -> Vec<Stampede> {
     let (run_counts, control_counts) = (count(run), count(control_run));
     let faults = run.case.scenario.faults.iter().filter(|f| !is_load(&f.kind));
     let first = faults.map(|f| f.start.as_secs_f64()).fold(f64::INFINITY, f64::min);
-    // A second that is cut by the first fault's beginning is one of its seconds.
+    // A second in which the first fault begins counts as one after its begin.
     let from = if first.is_finite() {
         ((first / STEP_S) as usize + 1).saturating_sub(STEPS_PER_SECOND)
     } else {
--- a/crates/checker/src/report.rs
+++ b/crates/checker/src/report.rs
@@ -1,4 +1,4 @@
-//! What is told of a run: a table for people, and JSON for machines.
+//! The report on a run: a table for readers, and JSON for programs.
 
 use std::collections::BTreeMap;
 use std::fmt::Write;
@@ -13,61 +13,61 @@
 use hollowpaddle_scenario::record::{CompletedRun, Line, Observation, Resources, digest};
 use hollowpaddle_scenario::scenario::Expect;
 
-/// Version of the JSON form. It changes when a field changes its name or meaning, not when one is added.
+/// Version of the JSON form. It changes when a field changes its name or meaning, and not when a field is added.
 pub const VERSION: u32 = 1;
-/// Broken rules that are told in full on paper; JSON has all of them.
+/// Largest number of findings, and of other items, in the table. JSON has all of them.
 const MAX_PRINTED: usize = 10;
-/// Lines of a history that are told on paper.
+/// Largest number of history lines of a finding in the table.
 const MAX_HISTORY_LINES: usize = 24;
 
-/// All that is told of one run.
+/// Report on one run.
 #[derive(Clone, Debug, Serialize)]
 pub struct Report {
     /// [`VERSION`].
     pub version: u32,
-    /// The scenario's name.
+    /// Name of the scenario.
     pub scenario: String,
-    /// What the plan was drawn from.
+    /// Seed of the plan.
     pub seed: u64,
     /// `live` or `virtual`.
     pub mode: &'static str,
-    /// SHA-256 of the plan: the same scenario and seed have the same, in either mode.
+    /// SHA-256 of the plan. It is the same for the same scenario and seed, in either mode.
     pub plan_digest: String,
-    /// SHA-256 of the account: in virtual time the same build has the same.
+    /// SHA-256 of the trace. In virtual time it is the same for the same build, scenario and seed.
     pub trace_digest: String,
-    /// Length of the run, in seconds.
+    /// Length of the scenario, in seconds.
     pub length_s: f64,
-    /// Balancers and nodes at the start.
+    /// Number of balancers and of nodes at the start.
     pub size: (usize, usize),
-    /// Limits of time were taken so much longer, in milliseconds.
+    /// Tolerance of time limits, in milliseconds.
     pub slack_ms: f64,
-    /// How clients were served.
+    /// Service of clients.
     pub service: Service,
-    /// How often each rule was broken, by name.
+    /// Number of violations, by the name of the violation.
     #[serde(rename = "breaches")]
     pub violations: BTreeMap<&'static str, usize>,
-    /// Every broken rule with its whole history.
+    /// All violations, each with its whole history.
     pub findings: Vec<Finding>,
-    /// The most that each balancer used, where that is known.
+    /// Peak resource usage of each balancer, where it is known.
     pub resources: Vec<Option<Resources>>,
-    /// Cold nodes that fell over, whoever pushed them.
+    /// Nodes that failed under too much work while they were warming up, whatever the cause.
     #[serde(rename = "tipped")]
     pub overloaded_nodes: Vec<usize>,
-    /// What had to be served at least, and was or was not.
+    /// Floors of the service, met or missed.
     pub floors: Vec<Floor>,
-    /// How vans fared, on a day that has some.
+    /// Figures of user sessions, for scenarios with sessions.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub sessions: Option<SessionReport>,
-    /// What came of the bank's rule book, on a day with acts on it.
+    /// Figures of the routing policy, for scenarios with policy actions.
     #[serde(rename = "bank", skip_serializing_if = "Option::is_none")]
     pub policy: Option<PolicyReport>,
-    /// How the bank came through its faults, where its twin was played too.
+    /// Comparison with the control run; `None` without one.
     #[serde(rename = "account")]
     pub recovery: Option<RecoveryReport>,
 }
 
 impl Report {
-    /// Judges a run, and sums it up.
+    /// Checks a run, and reports on it.
     pub fn of(played: &CompletedRun) -> Self {
         let scenario = &played.scenario;
         let tolerance = if played.simulated {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// The same, and how the bank came through its faults: against the same plan played without them.
+    /// Checks a run, and reports on it with a comparison with its control run, which has the same plan without faults.
     pub fn with_control(played: &CompletedRun, control_run: &CompletedRun) -> Self {
         let report = Self::of(played);
         let control_service = Self::of(control_run).service.overall;
@@ -126,32 +126,32 @@
         Self { recovery: Some(recovery), ..report }
     }
 
-    /// What the scenario expects and the run did not show.
+    /// Returns the expectations of the scenario that the run missed.
     pub fn missed_expectations(&self) -> &[String] {
         self.recovery.as_ref().map_or(&[], |a| &a.missed_expectations)
     }
 
-    /// The floors that were missed.
+    /// Returns the floors that were missed.
     pub fn missed_floors(&self) -> impl Iterator<Item = &Floor> {
         self.floors.iter().filter(|f| f.is_missed())
     }
 
-    /// Whether no rule was broken.
+    /// Returns whether the run has no violations.
     pub fn is_clean(&self) -> bool {
         self.findings.is_empty()
     }
 
-    /// Whether the bank kept what it promises of its rule book.
+    /// Returns whether the cluster kept the guarantees of its routing policy.
     pub fn policy_is_clean(&self) -> bool {
         self.policy.as_ref().is_none_or(|policy| policy.broken.is_empty())
     }
 
-    /// Whether this one was broken.
+    /// Returns whether the run has a violation of this kind.
     pub fn has(&self, violation: Violation) -> bool {
         self.violations.contains_key(violation.name())
     }
 
-    /// For people.
+    /// Formats the report as a table for readers.
     pub fn text(&self) -> String {
         let mut out = String::new();
         // Writing to a string cannot fail.
@@ -273,7 +273,7 @@
     }
 }
 
-/// What was expected of vans and not shown, a line each.
+/// Returns a message for each expectation about user sessions that was missed.
 fn missed_session_expectations(expect: &Expect, sessions: &SessionReport) -> Vec<String> {
     let mut missed_expectations = Vec::new();
     if let Some(most) = expect.ran_twice.filter(|most| sessions.ran_twice > *most) {
@@ -291,6 +291,7 @@
     missed_expectations
 }
 
+/// Writes the figures of user sessions.
 fn write_sessions(s: &SessionReport, out: &mut String) -> std::fmt::Result {
     writeln!(
         out,
@@ -314,19 +315,20 @@
     Ok(())
 }
 
-fn write_policy(b: &PolicyReport, out: &mut String) -> std::fmt::Result {
-    let f = &b.in_force_s;
+/// Writes the figures of the routing policy.
+fn write_policy(p: &PolicyReport, out: &mut String) -> std::fmt::Result {
+    let f = &p.in_force_s;
     writeln!(
         out,
         "\nrule book: {} revisions granted, {} questions refused, {} unanswered, {} calls",
-        b.changes, b.refused, b.unanswered, b.calls
+        p.changes, p.refused, p.unanswered, p.calls
     )?;
     writeln!(
         out,
         "longest contradiction {:.3} s ({:.1} s at most); {} of {} sends to what a revision forbids contradict",
-        b.contradiction_s, b.bound_s, b.contradicting, b.sends
+        p.contradiction_s, p.bound_s, p.contradicting, p.sends
     )?;
-    for contradiction in b.contradictions.iter().take(3) {
+    for contradiction in p.contradictions.iter().take(3) {
         writeln!(out, "  {:.3} s: {contradiction}", contradiction.duration_s)?;
     }
     writeln!(
@@ -348,19 +350,20 @@
             c.missing
         )?;
     }
-    if b.logs > 1 {
+    if p.logs > 1 {
         writeln!(
             out,
             "{} logs: a majority of the council had forgotten; {} yeses gone, which nobody could be asked for",
-            b.logs, b.unrecoverable
+            p.logs, p.unrecoverable
         )?;
     }
-    for broken in &b.broken {
+    for broken in &p.broken {
         writeln!(out, "PROMISE BROKEN: {broken}")?;
     }
     Ok(())
 }
 
+/// Writes the comparison with the control run.
 fn write_recovery(recovery: &RecoveryReport, out: &mut String) -> std::fmt::Result {
     let seconds = |s: Option<f64>| s.map_or("-".to_string(), |s| format!("{s:.1}"));
     writeln!(
@@ -391,17 +394,17 @@
     )?;
     for r in &recovery.stampede {
         write!(out, "{:<12}{:>9}{:>9.1}", r.kind, r.all.peak, r.all.at_s)?;
-        write!(out, "{:>9}{:>9.1}", r.all.control_run, r.all.times)?;
+        write!(out, "{:>9}{:>9.1}", r.all.control_p99, r.all.times)?;
         match r.busiest {
-            Some(b) => writeln!(out, "{:>12}{:>9}{:>9.1}", b.peak, b.control_run, b.times)?,
+            Some(b) => writeln!(out, "{:>12}{:>9}{:>9.1}", b.peak, b.control_p99, b.times)?,
             None => writeln!(out)?,
         }
     }
-    let (c, t) = (recovery.contention, recovery.control_contention);
+    let (run, control) = (recovery.contention, recovery.control_contention);
     writeln!(
         out,
         "crowd: {} of {} refusals beside an idle node, {:.3} of what was sent (twin {:.3})",
-        c.beside_idle, c.refused, c.share, t.share
+        run.beside_idle, run.refused, run.share, control.share
     )?;
     let stale = |s: crate::recovery::StaleSends| {
         format!("{} by {} balancers, oldest {:.0} ms", s.sends, s.balancers, s.oldest_ms)
@@ -418,6 +421,7 @@
     Ok(())
 }
 
+/// Draws values from 0 to 1 as a row of bars.
 fn sparkline(points: &[Option<f64>]) -> String {
     const BARS: [char; 8] = ['▁', '▂', '▃', '▄', '▅', '▆', '▇', '█'];
     let bar = |p: &Option<f64>| p.map_or(' ', |x| BARS[((x * 8.0) as usize).min(BARS.len() - 1)]);
--- a/crates/checker/src/requests.rs
+++ b/crates/checker/src/requests.rs
@@ -1,4 +1,4 @@
-//! Rules 1 and 2: each request's story, from its client's side and from the nodes'.
+//! Rules 1 and 2: the history of each request, as its client and the nodes observed it.
 
 use std::collections::BTreeMap;
 
@@ -8,31 +8,35 @@
 use hollowpaddle_scenario::record::{At, AttemptOutcome, Line, Observation};
 use hollowpaddle_scenario::scenario::{Effect, Group};
 
-/// One attempt, as its node saw it.
+/// One attempt, as its node observed it.
 #[derive(Clone, Debug)]
 struct Attempt {
     number: u32,
     node: usize,
     balancer: usize,
     start: u32,
+    /// Time of the first byte at the node.
     first: At,
+    /// Time and kind of the outcome.
     ended: Option<(At, AttemptOutcome)>,
+    /// Time at which its connection closed.
     closed: Option<At>,
 }
 
 impl Attempt {
-    /// Whether its outcome proves that it never ran.
+    /// Returns whether the outcome proves that the request did not run.
     fn never_ran(&self) -> bool {
         matches!(self.ended, Some((_, AttemptOutcome::Rejected)))
     }
 
-    /// Until when it was out, on an open connection.
+    /// Returns the time until which the attempt was in flight on an open connection; `None` if it still is.
     fn in_flight_until(&self) -> Option<At> {
         let ended = self.ended.map(|(at, _)| at);
         ended.into_iter().chain(self.closed).min()
     }
 }
 
+/// How a request ended for its client.
 #[derive(Clone, Copy, Debug)]
 enum RequestEnd {
     Answered { status: u16, attempt: Option<u32> },
@@ -41,38 +45,41 @@
     TimedOut,
 }
 
+/// History of one request.
 #[derive(Clone, Debug, Default)]
 struct RequestHistory {
-    /// When, to which balancer and which start of it.
+    /// Time of the last sending, the balancer, and the number of the balancer's start.
     sent: Option<(At, usize, u32)>,
-    /// The sending before that one, if its connection closed with no answer and it was sent once more, and when.
+    /// The previous sending, if its connection closed without an answer: time of the close, balancer and start.
     closed: Option<(At, usize, u32)>,
     attempts: Vec<Attempt>,
     end: Option<(At, RequestEnd)>,
 }
 
-/// So long after its client has gone an attempt of a request may still begin, in microseconds: what was under way.
+/// Time after its client left during which an attempt may still begin, in microseconds, because it was under way.
 const ABANDON_GRACE_US: u64 = 100_000;
-/// So many attempts of a run that begin later are put down to chance.
+/// Number of attempts of a run that may begin later, as random events.
 const ALLOWED_LATE_ATTEMPTS: usize = 2;
-/// A request that waited as its client left is sent on for nobody so much later, in microseconds.
+/// Time after which a request that waited when its client left counts as forwarded without need, in microseconds.
 const ABANDONED_SEND_US: u64 = 300_000;
-/// Fewer of them fail no run, nor do so many or fewer out of all that waited so.
+/// Least number of such requests that is a violation.
 const MIN_ABANDONED_SENDS: usize = 5;
+/// Share of all requests that waited when their clients left, up to which such requests are no violation.
 const MAX_ABANDONED_SHARE: f64 = 0.25;
-/// So long after it was thawed a balancer answers what waited meanwhile, in microseconds.
-const THAW_GRACE_US: u64 = 250_000;
+/// Time after its resumption within which a balancer answers requests that waited meanwhile, in microseconds.
+const RESUME_GRACE_US: u64 = 250_000;
 
-/// The life of one start of a balancer.
+/// The run of one process of a balancer.
 #[derive(Clone, Debug, Default)]
 struct ProcessRun {
-    /// From when to when it was frozen.
+    /// Begin and end of each suspension.
     pauses: Vec<(At, Option<At>)>,
     stopping: Option<At>,
     killed: Option<At>,
     exited: Option<At>,
 }
 
+/// Finds violations of rules 1 and 2.
 pub fn check(case: &Case, findings: &mut Vec<Finding>) {
     let mut histories: BTreeMap<u32, RequestHistory> = BTreeMap::new();
     let mut request_of: FxHashMap<u32, u32> = FxHashMap::default();
@@ -86,12 +93,12 @@
         match &line.seen {
             Observation::Sent { request, balancer, start, again, .. } => {
                 let history = histories.entry(*request).or_default();
-                let before = history.sent.replace((at, *balancer, *start));
-                if let Some((_, balancer, start)) = before.filter(|_| *again) {
+                let previous = history.sent.replace((at, *balancer, *start));
+                if let Some((_, balancer, start)) = previous.filter(|_| *again) {
                     history.closed = Some((at, balancer, start));
                 }
             }
-            // Sent, its connection closed, and nobody there as its client asked once more.
+            // The connection closed after the request was sent, and the client could not connect to send it again.
             Observation::Unreachable { request, .. } => {
                 let history = histories.entry(*request).or_default();
                 if let Some((_, balancer, start)) = history.sent {
@@ -165,16 +172,16 @@
         let process_run = |of: Option<(At, usize, u32)>| {
             of.and_then(|(_, b, s)| process_runs.get(&(b, s)).cloned()).unwrap_or_default()
         };
-        let (now, before) = (process_run(history.sent), process_run(history.closed));
+        let (last_run, previous_run) = (process_run(history.sent), process_run(history.closed));
         let mut request_check =
             RequestCheck { case, request: *request, history, found: Vec::new() };
-        request_check.closed_with_no_answer(before);
-        request_check.answer(now);
-        request_check.effects();
+        request_check.check_closed_connection(previous_run);
+        request_check.check_answer(last_run);
+        request_check.check_effects();
         found.append(&mut request_check.found);
     }
     check_abandoned(case, &histories, &process_runs, &mut found);
-    // Only what is told of is looked up again.
+    // Trace lines are looked up only for findings.
     for (violation, at, balancer, request, what) in found {
         let history =
             request.map(|r| trace_of_request(case.trace, &request_of, r)).unwrap_or_default();
@@ -182,7 +189,7 @@
     }
 }
 
-/// What was sent on for clients that had gone.
+/// Finds attempts that began after their clients had left.
 fn check_abandoned(
     case: &Case,
     histories: &BTreeMap<u32, RequestHistory>,
@@ -191,18 +198,18 @@
 ) {
     let (mut late, mut waited, mut abandoned_sends) = (Vec::new(), 0, Vec::new());
     for (request, history) in histories {
-        // Whose time was up has lost its request, which is told as that.
+        // A request whose deadline has passed is reported as lost.
         let Some((left, RequestEnd::ClientLeft)) = history.end else { continue };
-        // Who is frozen hears of it once it is thawed.
+        // A suspended balancer notices that the client left once it is resumed.
         let client_left_known = |a: &Attempt| {
             let pauses =
                 process_runs.get(&(a.balancer, a.start)).map_or(&[][..], |l| &l.pauses[..]);
-            let freezes = pauses.iter().filter(|(from, to)| {
+            let suspensions = pauses.iter().filter(|(from, to)| {
                 from.0 <= left.0 + ABANDON_GRACE_US
                     && to.is_none_or(|to| left <= to && to <= a.first)
             });
-            let thawed = freezes.filter_map(|(_, to)| to.map(|to| At(to.0 + THAW_GRACE_US)));
-            thawed.max().unwrap_or(left).max(left)
+            let resumed = suspensions.filter_map(|(_, to)| to.map(|to| At(to.0 + RESUME_GRACE_US)));
+            resumed.max().unwrap_or(left).max(left)
         };
         let after = |a: &&Attempt, by: u64| a.first.0 > client_left_known(a).0 + by + case.slack;
         late.extend(history.attempts.iter().filter(|a| after(a, ABANDON_GRACE_US)).map(|a| {
@@ -233,6 +240,7 @@
     }
 }
 
+/// Applies a change to an attempt, if it is known.
 fn update_attempt(
     histories: &mut BTreeMap<u32, RequestHistory>,
     request_of: &FxHashMap<u32, u32>,
@@ -245,7 +253,7 @@
     }
 }
 
-/// All that was seen of a request.
+/// Returns the trace lines of a request.
 fn trace_of_request(trace: &[Line], request_of: &FxHashMap<u32, u32>, request: u32) -> Vec<Line> {
     let of = |line: &&Line| match &line.seen {
         Observation::Sent { request: r, .. }
@@ -264,8 +272,10 @@
     trace.iter().filter(of).cloned().collect()
 }
 
+/// A finding without its history: violation, time, balancer, request and description.
 type Found = (Violation, At, Option<usize>, Option<u32>, String);
 
+/// Check of one request.
 struct RequestCheck<'a> {
     case: &'a Case<'a>,
     request: u32,
@@ -274,13 +284,14 @@
 }
 
 impl RequestCheck<'_> {
+    /// Records a finding.
     fn found(&mut self, violation: Violation, at: At, balancer: usize, what: String) {
         self.found.push((violation, at, Some(balancer), Some(self.request), what));
     }
 
-    /// Rule 1: one that was read from a connection that had rested, sent on, and left without an answer as its balancer
-    /// closed that connection, is lost, though its client asked once more. One that was not read is not.
-    fn closed_with_no_answer(&mut self, process_run: ProcessRun) {
+    /// Rule 1: a request is lost if its balancer read it from a reused connection, forwarded it, and closed the connection
+    /// without an answer, although the client sends it again. A request that the balancer did not read is not lost.
+    fn check_closed_connection(&mut self, process_run: ProcessRun) {
         let Some((at, balancer, start)) = self.history.closed else { return };
         let resent_to = self.history.sent.map(|(_, b, s)| (b, s));
         let is_candidate = |a: &&Attempt| {
@@ -300,14 +311,14 @@
         self.found(Violation::Lost, at, balancer, what);
     }
 
-    /// Rule 1.
-    fn answer(&mut self, process_run: ProcessRun) {
+    /// Rule 1: checks the answer, and the attempts after it.
+    fn check_answer(&mut self, process_run: ProcessRun) {
         let Some((sent, balancer, _)) = self.history.sent else { return };
         let Some((at, end)) = self.history.end else { return };
         let after = at.ms_since(sent);
         match end {
             RequestEnd::ClientLeft => {}
-            // Begun and not finished, the client can tell: it has failed.
+            // The client can tell from a truncated answer that the request failed.
             RequestEnd::Broken { begun: true } => {}
             RequestEnd::Broken { begun: false } | RequestEnd::TimedOut => {
                 if self.is_excused(process_run, at) {
@@ -344,32 +355,32 @@
         }
     }
 
-    /// Whether the balancer was killed before it could answer: the request is its client's to retry. Nor can one
-    /// answer that is frozen; one that was thawed some time before the client gave up can.
+    /// Returns whether the balancer could not answer: it was killed, so that the client has to retry, or it was suspended
+    /// until shortly before the client gave up.
     fn is_excused(&self, process_run: ProcessRun, at: At) -> bool {
-        let freezes = |(from, to): &(At, Option<At>)| {
-            *from <= at && to.is_none_or(|to| at.0 <= to.0 + THAW_GRACE_US + self.case.slack)
+        let was_suspended = |(from, to): &(At, Option<At>)| {
+            *from <= at && to.is_none_or(|to| at.0 <= to.0 + RESUME_GRACE_US + self.case.slack)
         };
-        if process_run.pauses.iter().any(freezes) {
+        if process_run.pauses.iter().any(was_suspended) {
             return true;
         }
-        // The client may hear of it a moment before we do.
-        let before = |then: Option<At>| then.is_some_and(|t| t.0 <= at.0 + self.case.slack);
-        if !before(process_run.killed) {
+        // The client may notice a kill shortly before it is recorded.
+        let happened = |time: Option<At>| time.is_some_and(|t| t.0 <= at.0 + self.case.slack);
+        if !happened(process_run.killed) {
             return false;
         }
-        // What a kill finds unanswered once a stop had its time is lost: the longest deadline and 0.7 s after
-        // SIGTERM (PROTOCOL, 'Figures'). One that comes sooner is a kill as at any time.
-        let longest = self.case.scenario.classes.iter().map(|c| c.deadline).max();
-        let time = micros(longest.unwrap_or_default()) + 700_000;
+        // A shutdown has the longest deadline and 0.7 s after SIGTERM (PROTOCOL, 'Figures'). Requests without an answer at
+        // a later kill are lost. A kill before that counts as at any other time.
+        let longest_deadline = self.case.scenario.classes.iter().map(|c| c.deadline).max();
+        let shutdown_us = micros(longest_deadline.unwrap_or_default()) + 700_000;
         match (process_run.stopping, process_run.killed) {
-            (Some(stop), Some(kill)) => kill.0.saturating_sub(stop.0) < time,
+            (Some(stop), Some(kill)) => kill.0.saturating_sub(stop.0) < shutdown_us,
             _ => true,
         }
     }
 
-    /// Rule 2.
-    fn effects(&mut self) {
+    /// Rule 2: checks resends, and rejections of requests that may have run.
+    fn check_effects(&mut self) {
         let class =
             &self.case.scenario.classes[self.case.plan.arrivals[self.request as usize].class];
         let attempts = self.history.attempts.clone();
@@ -432,7 +443,7 @@
         };
         let is_repeatable = class.effect == Effect::Safe
             || (class.effect == Effect::Keyed && class.group == Group::All);
-        // What came to a node after the refusal is another breach.
+        // An attempt that reached a node after the rejection is another violation.
         let possible_run =
             attempts.iter().find(|a| !a.never_ran() && a.first.0 <= at.0 + self.case.slack);
         if let Some(possible_run) = possible_run.filter(|_| !is_repeatable) {
@@ -442,6 +453,7 @@
         }
     }
 
+    /// Returns whether two nodes are in one group, so that they drop each other's repeats.
     fn same_group(&self, group: Group, a: usize, b: usize) -> bool {
         let (a, b) = (&self.case.plan.machines[a], &self.case.plan.machines[b]);
         match group {
--- a/crates/checker/src/service.rs
+++ b/crates/checker/src/service.rs
@@ -1,4 +1,5 @@
-//! How clients were served: worth answered in time over worth asked for, as a whole and where it was worst.
+//! Service of clients: the weight of requests answered in time over the weight of all requests, as a whole, over time and
+//! by class.
 
 use std::time::Duration;
 
@@ -8,85 +9,87 @@
 use super::Case;
 use hollowpaddle_scenario::record::{At, Observation};
 
-/// Width of the stretch that the worst one is sought among, in seconds.
+/// Length of the windows that the worst window is chosen from, in seconds.
 const WINDOW_S: usize = 10;
-/// Points of the line over time.
+/// Largest number of intervals of the service over time.
 const MAX_INTERVALS: usize = 60;
-/// Longest latency that is told apart, in microseconds.
+/// Largest recorded latency, in microseconds; longer ones count as this.
 const MAX_LATENCY_US: u64 = 600_000_000;
 
-/// How many requests ended how.
+/// Numbers of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Asked for by clients. A request and its repeats are one, from the first's sending to the last's end.
+    /// Requests of clients. A request and its repeats count as one, from the first sending to the end of the last repeat.
     #[serde(rename = "asked")]
     pub requests: u64,
-    /// 200 within the class's aim.
+    /// Requests answered with 200 within the class's latency objective.
     pub in_time: u64,
-    /// 200 after it.
+    /// Requests answered with 200 after the latency objective.
     pub late: u64,
-    /// 429 or 503.
+    /// Requests answered with 429 or 503.
     pub refused: u64,
-    /// Any other answer, or one that broke off.
+    /// Requests with any other answer, or a truncated one.
     pub failed: u64,
-    /// No answer.
+    /// Requests without an answer.
     pub unanswered: u64,
-    /// The front had nobody to send to, or nobody took the connection.
+    /// Requests for which the front end had no balancer, or could not connect to one.
     pub unreachable: u64,
-    /// The client went away first.
+    /// Requests whose client left before the answer.
     #[serde(rename = "left")]
     pub abandoned: u64,
-    /// Repeats that clients made, over all classes.
+    /// Repeats that clients sent. Counted over all classes only.
     pub repeats: u64,
-    /// Whole requests that reached nodes.
+    /// Complete requests that reached nodes. Counted over all classes only.
     pub attempts: u64,
-    /// Of those, turned away by their nodes.
+    /// Attempts that nodes rejected. Counted over all classes only.
     #[serde(rename = "turned_away")]
     pub rejected_attempts: u64,
 }
 
-/// One class's part.
+/// Service of one class.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ClassService {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Worth answered over worth asked for, 0 to 1.
+    /// Weight of served requests over the weight of all requests, 0 to 1.
     pub service: f64,
-    /// Its requests.
+    /// Requests of the class.
     pub counts: Counts,
-    /// Latency of what was served, in milliseconds: at 50, 90, 99 and 99.9 percent, and the most.
+    /// Latency of served requests, in milliseconds: 50th, 90th, 99th and 99.9th percentile, and maximum.
     pub latency_ms: Option<[f64; 5]>,
 }
 
-/// How clients were served. Ratios are worth over worth, 0 to 1; what its client left counts in neither.
+/// Service of clients. Ratios are the weight of served requests over the weight of all requests, 0 to 1; requests that
+/// their clients abandoned count in neither.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Service {
-    /// Over the whole run.
+    /// Service of the whole run.
     #[serde(rename = "whole")]
     pub overall: f64,
-    /// Over the worst 10 s, by when requests were due.
+    /// Service of the worst 10 s, by the time at which requests were due.
     #[serde(rename = "worst_stretch")]
     pub worst_window: f64,
-    /// When those began, in seconds from the first client.
+    /// Begin of the worst 10 s, in seconds from the first client.
     #[serde(rename = "worst_stretch_at_s")]
     pub worst_window_start_s: usize,
-    /// Over the worst class.
+    /// Service of the worst class.
     pub worst_class: f64,
-    /// All requests.
+    /// Requests of all classes.
     pub counts: Counts,
-    /// By class.
+    /// Service by class.
     pub classes: Vec<ClassService>,
-    /// Over time, in equal parts of the run.
+    /// Service over time, in equal intervals of the run.
     pub over_time: Vec<Option<f64>>,
-    /// Requests served in each of these parts, by when they were asked for.
+    /// Number of served requests by interval in which they were due.
     pub served_over_time: Vec<u64>,
-    /// And not served.
+    /// Number of requests that were not served, by interval in which they were due.
     pub unserved_over_time: Vec<u64>,
-    /// Seconds that one of these parts lasts.
+    /// Length of an interval, in seconds.
     #[serde(rename = "part_s")]
     pub interval_s: f64,
 }
 
+/// Sums of earned and possible weights.
 #[derive(Clone, Copy, Default)]
 struct Sum {
     earned: f64,
@@ -104,6 +107,7 @@
     }
 }
 
+/// Last observation of a request at its client.
 #[derive(Clone, Copy)]
 enum LastEvent {
     Answered(At, u16),
@@ -112,7 +116,7 @@
     Unreachable,
 }
 
-/// How a request and its repeats came to their end.
+/// Outcome of a request and its repeats.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum RequestOutcome {
     InTime,
@@ -121,18 +125,18 @@
     Failed,
     Unreachable,
     Unanswered,
-    /// Its client went away; it counts on neither side.
+    /// The client left; the request counts neither as served nor as requested.
     Abandoned,
 }
 
-/// One request of a client's, its repeats included.
+/// One request of a client, its repeats included.
 #[derive(Clone, Copy, Debug)]
 pub(crate) struct ClientRequest {
-    /// When it was due, from the first client on.
+    /// Time at which the request was due, from the first client.
     pub(crate) due: Duration,
     pub(crate) class: usize,
     pub(crate) outcome: RequestOutcome,
-    /// From its sending to its answer, in microseconds, for one that was served.
+    /// Time from the first sending to the answer in microseconds, for a served request.
     pub(crate) latency_us: u64,
     pub(crate) repeats: u64,
 }
@@ -142,7 +146,7 @@
         matches!(self.outcome, RequestOutcome::InTime | RequestOutcome::Late)
     }
 
-    /// What came of it, and what was asked for, in worth.
+    /// Returns the earned weight and the possible weight.
     pub(crate) fn weights(&self, case: &Case) -> (f64, f64) {
         let class = &case.scenario.classes[self.class];
         match self.outcome {
@@ -156,7 +160,7 @@
     }
 }
 
-/// What became of every request that a client asked, in the order of the plan.
+/// Returns all requests that clients sent, with their outcomes, in the order of the plan.
 pub(crate) fn client_requests(case: &Case) -> Vec<ClientRequest> {
     let classes = &case.scenario.classes;
     let arrivals = &case.plan.arrivals;
@@ -177,14 +181,14 @@
             _ => {}
         }
     }
-    let closed = case.scenario.load.closed.is_some();
+    let is_closed_loop = case.scenario.load.closed.is_some();
     let began = sent.iter().flatten().min().copied().unwrap_or_default();
     let mut all = Vec::with_capacity(case.plan.original_count as usize);
     for (i, arrival) in arrivals[..case.plan.original_count as usize].iter().enumerate() {
-        if closed && sent[i].is_none() && ended[i].is_none() {
-            continue; // No client had its turn.
+        if is_closed_loop && sent[i].is_none() && ended[i].is_none() {
+            continue; // The run ended before a client sent it.
         }
-        // What counts is how the last of a request and its repeats ended.
+        // The last repeat that was sent decides the outcome.
         let (mut last, mut repeats) = (i, 0);
         while let Some(next) = arrivals[last].next_repeat.map(|n| n as usize)
             && (sent[next].is_some() || ended[next].is_some())
@@ -193,7 +197,7 @@
             repeats += 1;
         }
         let due = match sent[i] {
-            Some(at) if closed => Duration::from_micros(at.0 - began.0),
+            Some(at) if is_closed_loop => Duration::from_micros(at.0 - began.0),
             _ => arrival.at,
         };
         let mut latency_us = 0;
@@ -214,6 +218,7 @@
     all
 }
 
+/// Computes the service of a run.
 pub fn report(case: &Case) -> Service {
     let classes = &case.scenario.classes;
     let mut counts = Counts::default();
@@ -306,7 +311,7 @@
     }
 }
 
-/// The worst stretch: when it began, and its service. A shorter run is one stretch.
+/// Returns the begin and the service of the worst window. A run that is shorter than a window is one window.
 fn worst_window(by_second: &[Sum], seconds: usize) -> (usize, f64) {
     let last = seconds.saturating_sub(WINDOW_S);
     let window = |from: usize| {
--- a/crates/checker/tests/formats.rs
+++ b/crates/checker/tests/formats.rs
@@ -158,8 +158,8 @@
             }],
             stampede: vec![Stampede {
                 kind: "text-163",
-                all: Peak { peak: 165, at_s: 166.5, control_run: 167, times: 168.5 },
-                busiest: Some(Peak { peak: 171, at_s: 172.5, control_run: 173, times: 174.5 }),
+                all: Peak { peak: 165, at_s: 166.5, control_p99: 167, times: 168.5 },
+                busiest: Some(Peak { peak: 171, at_s: 172.5, control_p99: 173, times: 174.5 }),
                 over_time: vec![176],
             }],
             contention: Contention { refused: 178, beside_idle: 179, share: 180.5 },
--- a/crates/checker/tests/recovery.rs
+++ b/crates/checker/tests/recovery.rs
@@ -173,12 +173,12 @@
     let recovery = Report::with_control(&played, &control_run).recovery.expect("there is a twin");
     let of = |kind| recovery.stampede.iter().find(|r| r.kind == kind).expect("known");
     let (connects, busiest) = (of("connects").all, of("connects").busiest.expect("goes to nodes"));
-    assert_eq!((connects.peak, connects.control_run, connects.times), (32, 2, 16.0));
+    assert_eq!((connects.peak, connects.control_p99, connects.times), (32, 2, 16.0));
     assert!((11.2..=12.4).contains(&connects.at_s), "{}", connects.at_s);
-    assert_eq!((busiest.peak, busiest.control_run), (30, 1));
+    assert_eq!((busiest.peak, busiest.control_p99), (30, 1));
     let calls = of("list-calls");
     assert_eq!(
-        (calls.all.peak, calls.all.control_run, calls.all.times, calls.busiest),
+        (calls.all.peak, calls.all.control_p99, calls.all.times, calls.busiest),
         (3, 0, 3.0, None)
     );
     assert_eq!(of("datagrams").all.peak, 0);
