--- a/crates/checker/src/cluster/admin_answers.rs
+++ b/crates/checker/src/cluster/admin_answers.rs
@@ -1,5 +1,5 @@
-//! What doors said, as evidence: contents of revisions, who was known to act on what and when, and who was struck. What it
-//! proves is reckoned elsewhere.
+//! Answers of the admin API as evidence: contents of revisions, the policy state of each balancer over time, and the outages
+//! of balancers. The conclusions are drawn in the other modules.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,11 +10,12 @@
 
 use crate::Case;
 
-/// A revision: its log, and its number there. Logs are counted as doors first told of them: a bank that has forgotten
-/// everything may give one that it founds a smaller name than the one before had. 0 is that of whoever knows none.
+/// A revision: its log, and its number in that log. Logs are numbered in the order in which answers first named them, since a
+/// cluster that has lost all state may bootstrap a log with a smaller epoch than the previous one. Log 0 stands for a
+/// balancer that knows no log.
 pub(super) type RevisionId = (u32, u64);
 
-/// What a revision forbids, as a door told it.
+/// What a revision forbids.
 #[derive(Clone, Debug, Default, PartialEq)]
 pub(super) struct Content {
     upstreams: BTreeSet<String>,
@@ -25,6 +26,7 @@
 }
 
 impl Content {
+    /// Reads the content from the document of a revision.
     fn of(document: &Value) -> Self {
         let texts = |v: &Value| -> BTreeSet<String> {
             let all = v.as_array().into_iter().flatten();
@@ -47,7 +49,7 @@
         }
     }
 
-    /// Whether it forbids a class of requests a machine.
+    /// Returns whether the revision forbids a machine to a class of requests.
     pub(super) fn forbids(&self, scenario: &Scenario, machine: &Machine, class: usize) -> bool {
         let excluded_cells = self.excluded_cells.get(&scenario.classes[class].name);
         self.cells.contains(&machine.cell)
@@ -58,30 +60,38 @@
     }
 }
 
-/// One door's word: its balancer holds a lease, and is at this.
+/// One status answer of a balancer.
 #[derive(Clone, Debug)]
 pub(super) struct StatusAnswer {
-    /// When it was asked for, and when it came.
+    /// Time at which the status was requested.
     pub(super) asked: At,
+    /// Time at which the answer arrived.
     pub(super) received: At,
+    /// Number of the balancer.
     pub(super) balancer: usize,
+    /// Index into [`AdminAnswers::policy_states`].
     pub(super) policy_state: usize,
+    /// Number of the start of the balancer's process.
     pub(super) start: u32,
+    /// Revision that the balancer acts on.
     pub(super) revision: RevisionId,
+    /// Newest revision that the balancer knows.
     pub(super) newest: RevisionId,
+    /// Whether the balancer holds a lease.
     pub(super) has_lease: bool,
 }
 
-/// What one can be at: a revision, the step towards another, and the charter over both.
+/// Policy state of a balancer: its revision, the revision that it is moving to, and the fallback policy.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub(super) struct PolicyState {
     pub(super) revision: RevisionId,
     pub(super) target: Option<RevisionId>,
+    /// Allowed cells and excepted upstreams of each fallback policy that may be in force.
     fallback_policies: Vec<(BTreeSet<u32>, BTreeSet<String>)>,
 }
 
 impl PolicyState {
-    /// Whether the charter allows a machine, whatever a revision says.
+    /// Returns whether a fallback policy allows a machine, whatever a revision forbids.
     pub(super) fn is_allowed_by_fallback(&self, machine: &Machine) -> bool {
         self.fallback_policies
             .iter()
@@ -89,38 +99,44 @@
     }
 }
 
-/// All that doors said, and who was struck when.
+/// The answers of the admin API in a run, and the outages of balancers.
 #[derive(Default)]
 pub(super) struct AdminAnswers {
+    /// Contents of the revisions.
     pub(super) contents: BTreeMap<RevisionId, Content>,
-    /// Numbers of which two contents were told.
+    /// Revisions that were reported with two different contents.
     pub(super) conflicting: BTreeSet<RevisionId>,
+    /// Status answers in the order of their arrival.
     pub(super) statuses: Vec<StatusAnswer>,
+    /// All policy states that were reported.
     pub(super) policy_states: Vec<PolicyState>,
-    /// The first yes for each revision.
+    /// Time of the first successful answer that named each revision.
     pub(super) committed: BTreeMap<RevisionId, At>,
-    /// Where a yes said that it is in force everywhere.
+    /// Time and balancer of the first answer that a revision is in force everywhere.
     pub(super) in_force_everywhere: BTreeMap<RevisionId, (At, usize)>,
-    /// When a revision was first asked for at the earliest: the call that got its number.
+    /// Time of the first call that returned the number of each revision.
     pub(super) requested_at: BTreeMap<RevisionId, At>,
-    /// When a door first knew a number, or a later one.
+    /// Time at which an answer first named each revision.
     known: BTreeMap<RevisionId, At>,
-    /// By balancer: while it was down, frozen or cut off.
+    /// Times in which each balancer was down, suspended or cut off.
     pub(super) outages: Vec<Vec<(At, At)>>,
-    /// By balancer: from when on operators said that it is dead, until they said that it is not.
+    /// Times in which operators declared each balancer dead.
     pub(super) dead: Vec<Vec<(At, At)>>,
-    /// By process, a balancer's start: from when to when it ran.
+    /// Begin and end of each process, by balancer and start.
     runs: BTreeMap<(usize, u32), (At, At)>,
+    /// Time of the last line of the trace.
     pub(super) end: At,
 }
 
-/// Longer than a founding asks for copies before a door first tells of it.
+/// Time before the first report of a new log within which its bootstrap collected copies, in microseconds. The actual time
+/// is shorter.
 const GATHERING_US: u64 = 3_000_000;
 
+/// End of a span that has not ended.
 const EVER: At = At(u64::MAX);
 
 impl AdminAnswers {
-    /// All of a day.
+    /// Collects the answers and outages of a run.
     pub(super) fn of(case: &Case) -> Self {
         let count = case.scenario.cluster.count;
         let mut all = Self {
@@ -129,7 +145,7 @@
             end: case.trace.last().map_or(At(0), |l| l.at),
             ..Self::default()
         };
-        let frozen = all.record_outages(case);
+        let suspensions = all.record_outages(case);
         let mut index: BTreeMap<PolicyState, usize> = BTreeMap::new();
         let mut fallback_policies: BTreeSet<(BTreeSet<u32>, BTreeSet<String>)> = BTreeSet::new();
         let mut call_times: BTreeMap<u32, At> = BTreeMap::new();
@@ -189,10 +205,10 @@
                     let (revision, newest) = ((log, *revision), (log, *newest));
                     let target = target.map(|n| (log, n));
                     all.known.entry(newest).or_insert(line.at);
-                    let taken_while_frozen = frozen[*balancer]
+                    let taken_while_suspended = suspensions[*balancer]
                         .iter()
                         .any(|(from, to)| *from <= line.at && *asked <= *to);
-                    if taken_while_frozen {
+                    if taken_while_suspended {
                         continue;
                     }
                     let policy = (
@@ -200,7 +216,7 @@
                         fallback_exceptions.iter().cloned().collect(),
                     );
                     fallback_policies.insert(policy.clone());
-                    // While another one is on its way whatever either allows is allowed.
+                    // While a change of the fallback policy is pending, both policies may be in force.
                     let fallback_policies = if *fallback_pending {
                         fallback_policies.iter().cloned().collect()
                     } else {
@@ -243,7 +259,8 @@
         all
     }
 
-    /// The log that a door means which names a number at a time: that of its next word that knows it, or of its last.
+    /// Returns the log of a revision number that a balancer returned at a time: the log of its next status that knows the
+    /// number, or of its last status before.
     fn log_of(&self, at: At, balancer: usize, number: u64) -> u32 {
         let next = self
             .statuses
@@ -254,13 +271,13 @@
         next.or_else(last).map_or(0, |w| w.newest.0)
     }
 
-    /// When a revision was first known at any door, itself or a later one.
+    /// Returns the time at which a balancer first knew the revision or a later one.
     pub(super) fn known(&self, number: RevisionId) -> Option<At> {
         self.known.range(number..).map(|(_, at)| *at).min()
     }
 
-    /// Whether at each founding of another log somebody who had known the revision could be asked: it had run for a
-    /// while, was not frozen, and cut off from nobody. What nobody can tell is gone.
+    /// Returns whether at each bootstrap of a later log a balancer that knew the revision was reachable: it had been running
+    /// for a while, and was neither suspended nor cut off. Otherwise the revision may be lost.
     pub(super) fn was_recoverable(&self, number: RevisionId) -> bool {
         let mut processes: BTreeMap<(usize, u32), At> = BTreeMap::new();
         for status in self.statuses.iter().filter(|w| w.newest >= number && w.newest.0 == number.0)
@@ -281,10 +298,10 @@
         })
     }
 
-    /// Notes who was down, frozen or cut off; the times of frozen ones.
+    /// Records the outages of balancers, and returns their suspensions.
     fn record_outages(&mut self, case: &Case) -> Vec<Vec<(At, At)>> {
         let count = case.scenario.cluster.count;
-        let mut frozen: Vec<Vec<(At, At)>> = vec![Vec::new(); count];
+        let mut suspensions: Vec<Vec<(At, At)>> = vec![Vec::new(); count];
         let mut cut: Vec<Vec<(At, At)>> = vec![Vec::new(); count];
         let mut down: Vec<Option<At>> = vec![Some(At(0)); count];
         let close = |all: &mut Vec<(At, At)>, at: At| {
@@ -294,8 +311,12 @@
         };
         for line in case.trace {
             match &line.seen {
-                Observation::Paused { balancer, .. } => frozen[*balancer].push((line.at, EVER)),
-                Observation::Resumed { balancer, .. } => close(&mut frozen[*balancer], line.at),
+                Observation::Paused { balancer, .. } => {
+                    suspensions[*balancer].push((line.at, EVER))
+                }
+                Observation::Resumed { balancer, .. } => {
+                    close(&mut suspensions[*balancer], line.at)
+                }
                 Observation::CutOff { balancer, begins: true } => {
                     cut[*balancer].push((line.at, EVER))
                 }
@@ -308,7 +329,7 @@
                 Observation::Killed { balancer, start }
                 | Observation::Stopping { balancer, start }
                 | Observation::Exited { balancer, start, .. } => {
-                    close(&mut frozen[*balancer], line.at);
+                    close(&mut suspensions[*balancer], line.at);
                     down[*balancer].get_or_insert(line.at);
                     if let Some(run) = self.runs.get_mut(&(*balancer, *start)) {
                         run.1 = run.1.min(line.at);
@@ -355,12 +376,13 @@
             if let Some(from) = down[balancer] {
                 self.outages[balancer].push((from, EVER));
             }
-            self.outages[balancer].extend(frozen[balancer].iter().chain(&cut[balancer]).copied());
+            self.outages[balancer]
+                .extend(suspensions[balancer].iter().chain(&cut[balancer]).copied());
         }
-        frozen
+        suspensions
     }
 
-    /// The newest revision that any door knew in the last word that it gave.
+    /// Returns the newest revision in the last status answers of all balancers.
     pub(super) fn newest_at_end(&self) -> Option<RevisionId> {
         let mut last: BTreeMap<usize, RevisionId> = BTreeMap::new();
         for status in &self.statuses {
@@ -369,7 +391,7 @@
         last.into_values().max()
     }
 
-    /// How many logs there were: each that is founded anew is one more.
+    /// Returns the number of logs.
     pub(super) fn logs(&self) -> usize {
         let all: BTreeSet<u32> =
             self.statuses.iter().map(|w| w.newest.0).filter(|log| *log > 0).collect();
--- a/crates/checker/src/cluster/contradiction.rs
+++ b/crates/checker/src/cluster/contradiction.rs
@@ -1,5 +1,5 @@
-//! Sends to what somebody else forbade at that time: for how long rules contradicted each other. The module above says
-//! what counts.
+//! Sends to upstreams that another balancer forbade at that time, and the durations of these contradictions. The parent
+//! module defines them.
 
 use std::collections::BTreeMap;
 use std::fmt;
@@ -12,35 +12,36 @@
 use super::{PolicyReport, seconds};
 use crate::Case;
 
-/// A revision that no call got came into being so long before a door knew it, at most.
+/// Longest time from the creation of a revision until a balancer knows it, in microseconds, for revisions that no call
+/// returned.
 const MAX_UNSEEN_US: u64 = 500_000;
 
-/// Two balancers that acted on contradicting rules.
+/// Two balancers that acted on contradicting revisions.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Contradiction {
-    /// For how long, in seconds.
+    /// Duration, in seconds.
     #[serde(rename = "for_s")]
     pub duration_s: f64,
-    /// When the send came that shows it, from the first client.
+    /// Time of the contradicting send, in seconds from the first client.
     pub at_s: f64,
-    /// Who sent.
+    /// Number of the sending balancer.
     pub balancer: usize,
-    /// Which request, by place in the plan.
+    /// Index of the request.
     pub request: u32,
-    /// To which machine, by place.
+    /// Index of the node.
     pub node: usize,
-    /// Its pod.
+    /// Cell of the node.
     #[serde(rename = "pod")]
     pub cell: u32,
-    /// Of which class.
+    /// Class of the request.
     pub class: String,
-    /// The first revision of those that forbid it.
+    /// First revision of the range that forbids the node.
     pub revision: u64,
-    /// Who was known to forbid it then: the first, or where the sender was ahead the last.
+    /// Number of the balancer that forbade the node: the first that did, or the last if the sender was ahead.
     pub other: usize,
-    /// Since when, or until when.
+    /// Time since which it did, or until which if the sender was ahead, in seconds from the first client.
     pub other_at_s: f64,
-    /// The sender was ahead of the others, and not behind.
+    /// Whether the sender was ahead of the other balancer; otherwise it was behind.
     pub ahead: bool,
 }
 
@@ -56,20 +57,20 @@
     }
 }
 
-/// A time, and whose word it is.
+/// Time of a status answer, and the balancer that gave it.
 type Evidence = (At, usize);
 
-/// As many revisions after one another as forbid something.
+/// Successive revisions that forbid a node to a class, as the parent module defines them.
 struct ForbiddingRange {
     from: RevisionId,
     first: Evidence,
     last: Evidence,
-    /// When what follows was asked for; never, if nothing does.
+    /// Time at which the revision after the range was requested; `None` if there is no such revision.
     next: Option<At>,
 }
 
-/// Each rule set's first and last word.
-fn evidence(answers: &AdminAnswers) -> Vec<Option<(Evidence, Evidence)>> {
+/// Returns the first and the last evidence of each policy state under a lease.
+fn evidence_by_state(answers: &AdminAnswers) -> Vec<Option<(Evidence, Evidence)>> {
     let mut evidence: Vec<Option<(Evidence, Evidence)>> = vec![None; answers.policy_states.len()];
     for status in answers.statuses.iter().filter(|w| w.has_lease) {
         let (received, asked) =
@@ -80,20 +81,20 @@
     evidence
 }
 
-/// When a revision was asked for at the earliest.
+/// Returns the earliest time at which a revision was requested.
 fn requested_at(answers: &AdminAnswers, number: RevisionId) -> Option<At> {
     let guess = answers.known(number).map(|at| At(at.0.saturating_sub(MAX_UNSEEN_US)));
     answers.requested_at.get(&number).copied().or(guess)
 }
 
-/// The longest one of each stretch, for each machine and class.
-pub(super) fn all(
+/// Returns the longest contradiction of each range, for each node and class.
+pub(super) fn longest_of_each_range(
     case: &Case,
     answers: &AdminAnswers,
     began: At,
     report: &mut PolicyReport,
 ) -> Vec<Contradiction> {
-    let evidence = evidence(answers);
+    let evidence = evidence_by_state(answers);
     let mut ranges: FxHashMap<(usize, usize), Vec<ForbiddingRange>> = FxHashMap::default();
     let mut longest: BTreeMap<(usize, usize, RevisionId), Contradiction> = BTreeMap::new();
     for line in case.trace {
@@ -101,20 +102,20 @@
             continue;
         };
         let class = case.plan.arrivals[*request as usize].class;
-        let of = ranges
+        let node_ranges = ranges
             .entry((*node, class))
-            .or_insert_with(|| of(case, answers, &evidence, *node, class));
-        if of.is_empty() {
+            .or_insert_with(|| ranges_of(case, answers, &evidence, *node, class));
+        if node_ranges.is_empty() {
             continue;
         }
         report.sends += 1;
         if answers.dead[*balancer].iter().any(|(from, to)| from <= first && first <= to) {
             continue;
         }
-        let Some(range) = of.iter().rev().find(|s| s.first.0 < *first) else { continue };
+        let Some(range) = node_ranges.iter().rev().find(|s| s.first.0 < *first) else { continue };
         let behind = first.0 - range.first.0.0;
-        let before = range.next.is_none_or(|next| *first < next);
-        let ahead = if before { u64::MAX } else { range.last.0.0.saturating_sub(first.0) };
+        let is_before_next = range.next.is_none_or(|next| *first < next);
+        let ahead = if is_before_next { u64::MAX } else { range.last.0.0.saturating_sub(first.0) };
         let micros = behind.min(ahead);
         if micros == 0 {
             continue;
@@ -143,8 +144,8 @@
     longest.into_values().collect()
 }
 
-/// The stretches of one machine and class that were acted on, in the order of their numbers.
-fn of(
+/// Returns the ranges of one node and class that a balancer acted on, in the order of their revisions.
+fn ranges_of(
     case: &Case,
     answers: &AdminAnswers,
     evidence: &[Option<(Evidence, Evidence)>],
@@ -155,7 +156,7 @@
     let forbids = |number: &RevisionId| {
         answers.contents.get(number).map(|c| c.forbids(case.scenario, machine, class))
     };
-    // By number: the first revision of its stretch, where it is of one.
+    // The first revision of its range, for each revision of a range.
     let mut range_of: BTreeMap<RevisionId, RevisionId> = BTreeMap::new();
     let mut followers: BTreeMap<RevisionId, RevisionId> = BTreeMap::new();
     let mut open: Option<RevisionId> = None;
@@ -183,21 +184,22 @@
     };
     for (state, evidence) in answers.policy_states.iter().zip(evidence) {
         let Some((first, last)) = evidence else { continue };
-        let of = [Some(state.revision), state.target].into_iter().flatten();
-        let Some(from) = of.filter_map(|n| range_of.get(&n)).next() else { continue };
+        let revisions = [Some(state.revision), state.target].into_iter().flatten();
+        let Some(from) = revisions.filter_map(|n| range_of.get(&n)).next() else { continue };
         if !state.is_allowed_by_fallback(machine) {
             note(*from, *first, *last);
         }
     }
-    // In force everywhere, said once: what the charter allows is none of it, as far as any word of that revision says.
+    // An answer that a revision is in force everywhere counts once, unless all status answers of that revision have a
+    // fallback policy that allows the node.
     for (number, mark) in &answers.in_force_everywhere {
         let Some(from) = range_of.get(number) else { continue };
-        let chartered = answers
+        let allowed_by_fallback = answers
             .policy_states
             .iter()
             .filter(|r| r.revision == *number)
             .all(|r| r.is_allowed_by_fallback(machine));
-        if !chartered {
+        if !allowed_by_fallback {
             note(*from, *mark, *mark);
         }
     }
--- a/crates/checker/src/cluster/in_force.rs
+++ b/crates/checker/src/cluster/in_force.rs
@@ -1,4 +1,4 @@
-//! How long it took from a yes until a revision was in force, and how the bank stood over time, by looks at the doors.
+//! Times from the commit of a revision until it was in force, and the state of the cluster over time, from status answers.
 
 use std::collections::BTreeMap;
 
@@ -9,58 +9,59 @@
 use super::seconds;
 use crate::Case;
 
-/// Points over time, one each so long.
+/// Interval of the samples over time, in microseconds.
 const SAMPLE_INTERVAL_US: u64 = 250_000;
-/// A word of a door counts for so long.
+/// Age up to which a status answer counts, in microseconds.
 const MAX_STATUS_AGE_US: u64 = 1_500_000;
 
-/// From yes to in force, over all revisions of a day.
+/// Times from commit to in force, over all revisions of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct InForce {
-    /// The longest until 99 % of the balancers that were well had it in force, in seconds.
+    /// Longest time until 99 % of the healthy balancers had a revision in force, in seconds.
     pub at_99: f64,
-    /// The longest until all of them had.
+    /// Longest time until all healthy balancers had a revision in force, in seconds.
     pub at_all: f64,
-    /// The median of those until all of them had.
+    /// Median time until all healthy balancers had a revision in force, in seconds.
     pub median: f64,
-    /// Each revision that was granted.
+    /// All committed revisions.
     pub changes: Vec<Change>,
 }
 
-/// One revision that was granted.
+/// One committed revision.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Change {
-    /// Its number.
+    /// Number of the revision.
     pub revision: u64,
-    /// When the yes came, from the first client.
+    /// Time of the successful answer, in seconds from the first client.
     pub at_s: f64,
-    /// Until 99 % had it in force under a lease, in seconds; `None` if that was never seen.
+    /// Time until 99 % of the healthy balancers had the revision in force under a lease, in seconds; `None` if they never had.
     #[serde(rename = "most_s")]
     pub in_force_99_s: Option<f64>,
-    /// Until all had.
+    /// Time until the last healthy balancer known to have the revision in force had it, in seconds.
     #[serde(rename = "all_s")]
     pub in_force_all_s: Option<f64>,
-    /// Balancers that are no part of this: down, frozen or cut off in that time.
+    /// Number of balancers that are not counted: down, suspended, cut off or declared dead in that time.
     pub excused: usize,
-    /// Balancers that were well, and of which it was never seen.
+    /// Number of healthy balancers that never had the revision in force, as far as was observed.
     pub missing: usize,
-    /// From the yes to the end.
+    /// Time from the successful answer to the end of the run, in seconds.
     pub watched_s: f64,
-    /// A newer one was granted before it was in force everywhere.
+    /// Whether a newer revision was committed before this one was in force everywhere.
     pub superseded: bool,
 }
 
-/// How the bank stood at a moment.
+/// State of the cluster at a moment.
 #[derive(Clone, Copy, Debug, PartialEq, Serialize)]
 pub struct PolicySample {
-    /// From the first client, in seconds.
+    /// Time of the sample, in seconds from the first client.
     pub at_s: f64,
     /// Share of all balancers that hold a lease.
     pub leased: f64,
-    /// Share of all that hold one at the newest revision that was granted by then.
+    /// Share of all balancers that hold a lease and are at the newest revision committed by then.
     pub newest: f64,
 }
 
+/// Computes the times of all committed revisions.
 pub(super) fn of(case: &Case, answers: &AdminAnswers, began: At) -> InForce {
     let mut all = InForce::default();
     let count = case.scenario.cluster.count;
@@ -113,6 +114,7 @@
     InForce { at_99, at_all, median, ..all }
 }
 
+/// Samples the state of the cluster over time.
 pub(super) fn over_time(case: &Case, answers: &AdminAnswers, began: At) -> Vec<PolicySample> {
     let count = case.scenario.cluster.count as f64;
     let (mut last, mut next) = (BTreeMap::new(), 0);
--- a/crates/checker/src/cluster/mod.rs
+++ b/crates/checker/src/cluster/mod.rs
@@ -1,28 +1,31 @@
-//! What a bank's balancers agreed on, held against what they sent: judged from stand-in nodes' account of what reached them
-//! and from what the doors answered. It knows rules as plain sets of names, and shares no code with whoever keeps them.
+//! Checks the replicated routing policy: compares the revisions that balancers reported through the admin API with the
+//! attempts that stand-in nodes received. The check treats a revision as plain sets of names, and shares no code with the
+//! implementation of the policy.
 //!
-//! **A contradiction**, in answers. An upstream is *forbidden* to a class by a revision that has it, its pod, its kind or its
-//! site out, or keeps the class from its pod; unless the charter of the same door's word allows it. Take the
-//! revisions in the order of their numbers, those of a log founded later after all of one before: a *stretch* is as many after one another as forbid it. A stretch *is acted
-//! on* wherever a door says that its balancer holds a lease and is at a revision of the stretch, or at the step towards one; and
-//! everywhere, where a door said of one that it is in force everywhere. With
+//! **Contradictions.** A revision *forbids* an upstream to a class if it excludes the upstream, its cell, its machine type or
+//! its zone, or excludes the cell for that class; unless the fallback policy in the same status answer allows the upstream.
+//! Revisions are ordered by number, and all revisions of a log precede those of a log that was bootstrapped later. A *range*
+//! is a maximal run of successive revisions that forbid the upstream. A balancer *acts on* a range if a status answer says
+//! that it holds a lease and is at a revision of the range, or is moving to one. All balancers act on it if an answer says
+//! that a revision of the range is in force everywhere. The times of a range are
 //!
-//! - `first`: when it could first be known that anybody acts on the stretch (the answer's coming), and
-//! - `last`: when somebody last did (the question's going), and
-//! - `next`: when the first revision after the stretch that allows it was first asked for (without a call that got
-//!   that number: half a second before any door knew it),
+//! - `first`: the first time at which an answer showed that a balancer acts on the range (the arrival of the answer),
+//! - `last`: the last time at which a balancer is known to act on it (the sending of the request for its status), and
+//! - `next`: the time at which the first revision after the range that allows the upstream was requested. For a revision
+//!   without a call that returned its number, it is half a second before a balancer first knew the revision.
 //!
-//! each send there after `first` contradicts. Before `next` it does so for as long as it comes after `first`: nobody
-//! allows it any more, so whoever sends has stayed behind. From `next` on the sender may as well be ahead of the others:
-//! it contradicts for the shorter of that, and of the time from it to `last`. The longest of all is `contradiction_s`,
-//! and must not be above [`MAX_CONTRADICTION_S`].
+//! Every send to the upstream after `first` is a contradiction. Before `next` its duration is the time since `first`: no
+//! revision allows the upstream any more, so the sender is behind. From `next` on the sender may be ahead of the others
+//! instead: then the duration is the shorter of the time since `first` and the time until `last`. The longest duration is
+//! `contradiction_s`, which must not exceed [`MAX_CONTRADICTION_S`].
 //!
-//! Nobody's word excuses a send, least of all the sender's: who sends is told by nodes. Words only say what others
-//! refuse. So a balancer that says nothing, or too much, of itself can't look better by it; one that says that it
-//! forbids what it allows makes the others look worse. What is seen is shorter than what was by up to one look at the doors
-//! (100 ms, usually). Left out are: words that were asked for before or while their balancer was frozen, and told after it
-//! (they are older than they look); sends of a balancer that operators said is dead, from that word on (nobody waits for
-//! it, and it was their word); attempts at most, weights and figures, which no single send shows.
+//! Sends are taken from the observations of nodes, and no status answer excuses a send. Status answers only show what other
+//! balancers forbid. So a balancer cannot hide a contradiction by answers about itself, and one that wrongly reports that it
+//! forbids an upstream adds contradictions of the others. Measured durations may be too short by up to one polling interval
+//! of the status (usually 100 ms). Not counted are: status answers that were requested before or during a suspension of their
+//! balancer and arrived after it, since they are older than their arrival suggests; sends of a balancer that operators
+//! declared dead, from that command on, since the others do not wait for it; limits of attempts, weights and other numbers,
+//! which a single send does not show.
 
 mod admin_answers;
 mod contradiction;
@@ -40,47 +43,47 @@
 use crate::Case;
 use admin_answers::AdminAnswers;
 
-/// T: the longest contradiction that a bank promises, in seconds (docs/design/cluster.md).
+/// T: the longest contradiction that a cluster guarantees, in seconds (docs/design/cluster.md).
 pub const MAX_CONTRADICTION_S: f64 = 3.0;
-/// Contradictions that are told in full.
+/// Largest number of contradictions in the report.
 const MAX_CONTRADICTIONS: usize = 20;
 
-/// What came of a bank's rule book on a day with acts on it.
+/// Report on the replicated routing policy of a run.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct PolicyReport {
-    /// The longest contradiction that was seen, in seconds.
+    /// Longest contradiction, in seconds.
     pub contradiction_s: f64,
-    /// The longest that may be, in seconds; times are told apart as [`crate::TimingTolerance`] says, on top.
+    /// Longest allowed contradiction, in seconds, without the tolerance of [`crate::TimingTolerance`].
     pub bound_s: f64,
-    /// The longest ones, one for each stretch, upstream and class.
+    /// Longest contradictions, at most one for each range, upstream and class.
     pub contradictions: Vec<Contradiction>,
-    /// Sends to what a revision of the day forbids, in whatever time.
+    /// Number of sends to upstreams that some revision of the run forbids, at any time.
     pub sends: u64,
-    /// Of those, that contradict for however short a time.
+    /// Number of these sends that contradict, for however short a time.
     pub contradicting: u64,
-    /// From a yes until it was in force.
+    /// Times from the commit of a revision until it was in force.
     pub in_force_s: InForce,
-    /// Questions that were answered with yes and a revision's number.
+    /// Number of revisions that a successful answer named.
     pub changes: usize,
-    /// Questions of any kind that were answered with no.
+    /// Number of calls that were rejected.
     pub refused: usize,
-    /// That nobody answered.
+    /// Number of calls that got no final answer.
     pub unanswered: usize,
-    /// Calls of doors, repeats among them.
+    /// Number of calls of the admin API, retries included.
     pub calls: usize,
-    /// Logs that there were: one more each time a majority of the council had forgotten, or operators said so.
+    /// Number of logs: a new one is bootstrapped when a majority of the voters has lost its state, or on an operator command.
     pub logs: usize,
-    /// Yeses that came to nothing since nobody who knew of them could be asked when another log was founded: all were down,
-    /// frozen or cut off.
+    /// Number of committed revisions that were lost because no balancer that knew them was reachable when a new log was
+    /// bootstrapped: all were down, suspended or cut off.
     #[serde(rename = "forgotten")]
     pub unrecoverable: usize,
-    /// Broken promises, a line each.
+    /// Violated guarantees, one message each.
     pub broken: Vec<String>,
-    /// Over time: under a lease, and at the newest revision.
+    /// Shares of balancers with a lease and at the newest revision, over time.
     pub over_time: Vec<PolicySample>,
 }
 
-/// Judges it; `None` for a day without acts on the rule book.
+/// Checks the routing policy of a run; `None` for scenarios without policy actions.
 pub fn of(played: &CompletedRun, slack_s: f64) -> Option<PolicyReport> {
     let (scenario, plan) = (&played.scenario, &played.plan);
     if plan.policy_actions.is_empty() || !scenario.cluster.agrees() {
@@ -89,18 +92,21 @@
     let case = Case { scenario, plan, trace: &played.trace, slack: 0 };
     let answers = AdminAnswers::of(&case);
     let mut report = PolicyReport { bound_s: MAX_CONTRADICTION_S, ..PolicyReport::default() };
-    let mut all = contradiction::all(&case, &answers, played.began, &mut report);
-    all.sort_by(|a, b| b.duration_s.total_cmp(&a.duration_s).then(a.at_s.total_cmp(&b.at_s)));
-    report.contradiction_s = all.first().map_or(0.0, |c| c.duration_s);
-    let beyond = all.iter().filter(|c| c.duration_s > MAX_CONTRADICTION_S + slack_s).count();
-    if let Some(longest) = all.first().filter(|_| beyond > 0) {
+    let mut contradictions =
+        contradiction::longest_of_each_range(&case, &answers, played.began, &mut report);
+    contradictions
+        .sort_by(|a, b| b.duration_s.total_cmp(&a.duration_s).then(a.at_s.total_cmp(&b.at_s)));
+    report.contradiction_s = contradictions.first().map_or(0.0, |c| c.duration_s);
+    let beyond =
+        contradictions.iter().filter(|c| c.duration_s > MAX_CONTRADICTION_S + slack_s).count();
+    if let Some(longest) = contradictions.first().filter(|_| beyond > 0) {
         report.broken.push(format!(
             "contradicting rules were acted on for {:.3} s, {MAX_CONTRADICTION_S:.1} s at most ({beyond} such stretches): {longest}",
             longest.duration_s
         ));
     }
-    all.truncate(MAX_CONTRADICTIONS);
-    report.contradictions = all;
+    contradictions.truncate(MAX_CONTRADICTIONS);
+    report.contradictions = contradictions;
     report.logs = answers.logs();
     check_answers(&case, &answers, &mut report);
     report.in_force_s = in_force::of(&case, &answers, played.began);
@@ -108,12 +114,13 @@
     Some(report)
 }
 
-/// What was answered: each question one answer, each number one content, and no yes is lost.
+/// Checks the answers to operators: each command has one answer, each revision number one content, and no committed revision
+/// is lost.
 fn check_answers(case: &Case, answers: &AdminAnswers, report: &mut PolicyReport) {
     let mut ids: BTreeMap<(u32, u32), Option<&str>> = BTreeMap::new();
     let mut tries: BTreeMap<u32, u32> = BTreeMap::new();
     let mut answers_by_id: BTreeMap<&str, BTreeSet<Result<u64, ()>>> = BTreeMap::new();
-    let mut ended: BTreeMap<u32, Option<bool>> = BTreeMap::new();
+    let mut outcomes: BTreeMap<u32, Option<bool>> = BTreeMap::new();
     let mut committed: BTreeMap<u64, BTreeSet<&str>> = BTreeMap::new();
     for line in case.trace {
         match &line.seen {
@@ -121,7 +128,7 @@
                 report.calls += 1;
                 ids.insert((*call, *t), id.as_deref());
                 tries.insert(*call, *t);
-                ended.entry(*call).or_insert(None);
+                outcomes.entry(*call).or_insert(None);
             }
             Observation::OperatorAnswer { call, verb, status: Some(status), number, .. } => {
                 let id = tries.get(call).and_then(|t| ids.get(&(*call, *t))).copied().flatten();
@@ -129,12 +136,12 @@
                     (200, Some(number)) => Ok(*number),
                     (409, _) => Err(()),
                     (200, None) => {
-                        ended.insert(*call, Some(true));
+                        outcomes.insert(*call, Some(true));
                         continue;
                     }
                     _ => continue,
                 };
-                ended.insert(*call, Some(answer.is_ok()));
+                outcomes.insert(*call, Some(answer.is_ok()));
                 if let Some(id) = id {
                     answers_by_id.entry(id).or_default().insert(answer);
                     if let Some(number) = answer.ok().filter(|_| verb.revises()) {
@@ -146,8 +153,8 @@
         }
     }
     report.changes = answers.committed.len();
-    report.refused = ended.values().filter(|e| **e == Some(false)).count();
-    report.unanswered = ended.values().filter(|e| e.is_none()).count();
+    report.refused = outcomes.values().filter(|e| **e == Some(false)).count();
+    report.unanswered = outcomes.values().filter(|e| e.is_none()).count();
     for (id, distinct) in answers_by_id.iter().filter(|(_, distinct)| distinct.len() > 1) {
         report.broken.push(format!(
             "the question {id} was answered in {} ways: {distinct:?}",
@@ -164,7 +171,7 @@
             "doors tell of two contents of revision {number} of one log, the {log}. of the day"
         ));
     }
-    // A log that is founded on a copy goes on with its numbers.
+    // A log that is bootstrapped from a copy continues its numbers.
     let newest = answers.newest_at_end();
     let lost = answers
         .committed
@@ -185,27 +192,26 @@
     }
 }
 
-/// What was expected of the rule book and not shown, a line each.
+/// Returns a message for each expectation about the policy that was missed.
 pub(crate) fn missed_expectations(expect: &Expect, report: &PolicyReport) -> Vec<String> {
-    let mut missed_expectations = Vec::new();
+    let mut missed = Vec::new();
     let most = expect.contradiction.map(|d| d.as_secs_f64());
     if let Some(most) = most.filter(|most| report.contradiction_s > *most) {
         let found = report.contradiction_s;
-        missed_expectations
-            .push(format!("contradicting rules for {found:.3} s; at most {most:.3} s expected"));
+        missed.push(format!("contradicting rules for {found:.3} s; at most {most:.3} s expected"));
     }
     if let Some(most) = expect.in_force.map(|d| d.as_secs_f64()) {
         for change in &report.in_force_s.changes {
             match change.in_force_all_s {
                 Some(took) if took <= most && change.missing == 0 => {}
-                // Nobody looked for as long as it may take.
+                // The run ended before the expected time was over.
                 _ if change.missing > 0 && change.watched_s < most => {}
                 _ if change.superseded => {}
-                Some(took) if change.missing == 0 => missed_expectations.push(format!(
+                Some(took) if change.missing == 0 => missed.push(format!(
                     "revision {} was in force everywhere {took:.3} s after the yes; at most {most:.3} s expected",
                     change.revision
                 )),
-                _ => missed_expectations.push(format!(
+                _ => missed.push(format!(
                     "revision {} was not in force at {} balancers that were well in the {:.1} s after the yes; {most:.3} s \
                      expected",
                     change.revision, change.missing, change.watched_s
@@ -213,10 +219,10 @@
             }
         }
     }
-    missed_expectations
+    missed
 }
 
-/// Seconds from the first client.
+/// Returns the seconds from the first client.
 fn seconds(at: At, began: At) -> f64 {
     (at.0 as f64 - began.0 as f64) / 1e6
 }
