--- a/crates/checker/src/requests.rs
+++ b/crates/checker/src/requests.rs
@@ -91,10 +91,10 @@
             f(process_runs.entry((*b, *s)).or_default());
         };
         match &line.seen {
-            Observation::Sent { request, balancer, start, again, .. } => {
+            Observation::Sent { request, balancer, start, resent, .. } => {
                 let history = histories.entry(*request).or_default();
                 let previous = history.sent.replace((at, *balancer, *start));
-                if let Some((_, balancer, start)) = previous.filter(|_| *again) {
+                if let Some((_, balancer, start)) = previous.filter(|_| *resent) {
                     history.closed = Some((at, balancer, start));
                 }
             }
--- a/crates/checker/tests/cluster.rs
+++ b/crates/checker/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! Contradictions, answers and times in force, on accounts written by hand.
+//! Contradictions, answers and times in force, on hand-written traces.
 
 use hollowpaddle_checker::cluster::{self, PolicyReport};
 use hollowpaddle_scenario::plan::Plan;
@@ -6,8 +6,8 @@
 use hollowpaddle_scenario::scenario::{OperatorVerb, Scenario};
 use serde_json::json;
 
-/// Zones a and b alternate: nodes 0 and 2 are pod 0, 4 and 6 pod 2, 1 and 3 pod 1, 5 and 7 pod 3.
-const DAY: &str = r#"
+/// Zones a and b alternate: nodes 0 and 2 are cell 0, 4 and 6 cell 2, 1 and 3 cell 1, 5 and 7 cell 3.
+const SCENARIO: &str = r#"
 name = "by hand"
 length_s = 40
 
@@ -51,7 +51,7 @@
 struct TraceBuilder(Vec<(f64, Observation)>);
 
 impl TraceBuilder {
-    /// All run; revision 5 forbids pod 2.
+    /// Creates a trace in which all balancers run, and revision 5 forbids cell 2.
     fn new() -> Self {
         let mut trace = Self(Vec::new());
         for balancer in 0..3 {
@@ -68,7 +68,7 @@
         self
     }
 
-    /// What a revision holds: its log, and its number there.
+    /// Adds the document of a revision, which is named by its log and its number there.
     fn revision(
         &mut self,
         s: f64,
@@ -150,7 +150,7 @@
     }
 
     fn check(&mut self) -> PolicyReport {
-        let scenario = Scenario::read("by-hand.toml", DAY).expect("sound");
+        let scenario = Scenario::read("by-hand.toml", SCENARIO).expect("valid");
         self.0.sort_by(|a, b| a.0.total_cmp(&b.0));
         let lines =
             self.0.iter().map(|(s, seen)| Line { at: at(*s), seen: seen.clone() }).collect();
@@ -158,7 +158,7 @@
         let (began, resources) = (At(0), Vec::new());
         let played =
             CompletedRun { scenario, plan, trace: lines, began, resources, simulated: true };
-        cluster::of(&played, 0.01).expect("there are acts")
+        cluster::of(&played, 0.01).expect("the scenario has policy actions")
     }
 }
 
@@ -201,7 +201,7 @@
     trace.revision(20.2, (1, 9), json!({})).status(20.1, 20.2, 0, 9, true).sends(20.5, 0, 4);
     let report = trace.check();
     assert!(near(report.contradiction_s, 3.5) && report.contradictions[0].ahead, "{report:?}");
-    // Before anybody had asked for it, it can only have stayed behind.
+    // Before the new revision was requested, the sender can only be behind.
     let report = trace.sends(19.0, 2, 4).check();
     assert!(near(report.contradiction_s, 9.0) && !report.contradictions[0].ahead, "{report:?}");
 }
@@ -230,7 +230,7 @@
         a.status(9.9, 10.0, 1, 5, true);
     };
     assert_eq!(contradicting(&plain), 1);
-    // Without a lease it acts on the charter; and what that allows no revision forbids.
+    // A balancer without a lease acts on the fallback policy, and no revision forbids what that allows.
     assert_eq!(
         contradicting(&|a| {
             a.status(9.9, 10.0, 1, 5, false);
@@ -243,20 +243,20 @@
         }),
         0
     );
-    // Frozen between the question and the answer: nobody knows of which moment it tells.
+    // The balancer was suspended between request and answer, so that the time of the status is unknown.
     let frozen = |a: &mut TraceBuilder| {
         a.add(9.95, Observation::Paused { balancer: 1, start: 1 })
             .add(9.99, Observation::Resumed { balancer: 1, start: 1 });
         plain(a);
     };
     assert_eq!(contradicting(&frozen), 0);
-    // Operators said that it is dead.
+    // Operators declared the sender dead.
     let dead = |a: &mut TraceBuilder| {
         plain(a);
         a.call(12.0, 0, OperatorVerb::Dead, "d");
     };
     assert_eq!(contradicting(&dead), 0);
-    // The log was founded anew without that revision.
+    // A new log was bootstrapped without that revision.
     let new_log = |a: &mut TraceBuilder| {
         plain(a);
         a.revision(14.0, (2, 0), json!({})).status_of(13.9, 14.0, 1, (2, 0, None), true, &[0]);
@@ -351,7 +351,7 @@
     let change = &report.in_force_s.changes[0];
     assert_eq!((change.excused, change.missing, change.in_force_99_s), (0, 1, None), "{report:?}");
     assert!(near(report.in_force_s.at_all, 0.6), "{report:?}");
-    // Cut off when it could have been told.
+    // A balancer that was cut off at that time is not counted.
     trace
         .add(20.0, Observation::Fault { fault: 0, begins: true })
         .add(25.0, Observation::Fault { fault: 0, begins: false });
--- a/crates/checker/tests/formats.rs
+++ b/crates/checker/tests/formats.rs
@@ -20,7 +20,7 @@
     Line { at: At(1), seen: Observation::Ran { attempt: 2 } }
 }
 
-/// A report with a value of its own in every field.
+/// Returns a report with a distinct value in every field.
 fn report() -> Report {
     Report {
         version: 2,
--- a/crates/checker/tests/recovery.rs
+++ b/crates/checker/tests/recovery.rs
@@ -1,4 +1,4 @@
-//! The account of a bank on traces written by hand: each figure where it is known beforehand.
+//! The recovery report on hand-written traces whose figures are known.
 
 use hollowpaddle_checker::recovery::RecoveryReport;
 use hollowpaddle_checker::report::Report;
@@ -6,7 +6,7 @@
 use hollowpaddle_scenario::record::{At, AttemptOutcome, CompletedRun, Line, Observation, Phase};
 use hollowpaddle_scenario::scenario::Scenario;
 
-const DAY: &str = r#"
+const SCENARIO: &str = r#"
 name = "by hand"
 length_s = 40
 
@@ -45,18 +45,18 @@
 share = 0.5
 "#;
 
-/// The first client could come so long after the account began, in microseconds.
+/// Time of the first client after the start of the trace, in microseconds.
 const BEGAN: u64 = 700_000;
 
 fn scenario_with(more: &str) -> Scenario {
-    Scenario::read("hand.toml", &format!("{DAY}{more}")).unwrap_or_else(|e| panic!("{e}"))
+    Scenario::read("hand.toml", &format!("{SCENARIO}{more}")).unwrap_or_else(|e| panic!("{e}"))
 }
 
 fn at(seconds: f64) -> At {
     At(BEGAN + (seconds * 1e6) as u64)
 }
 
-/// A run on which each request is served at once or refused, as `served` says by its number, class and time.
+/// Returns a run in which each request is served at once or rejected. `served` decides by its index, class and time.
 fn run(
     scenario: &Scenario,
     served: impl Fn(usize, usize, f64) -> bool,
@@ -67,7 +67,7 @@
     for (i, a) in plan.arrivals.iter().enumerate() {
         let (request, class, due) = (i as u32, a.class, a.at.as_secs_f64());
         let status = if served(i, class, due) { 200 } else { 503 };
-        let sent = Observation::Sent { request, balancer: i % 4, start: 1, class, again: false };
+        let sent = Observation::Sent { request, balancer: i % 4, start: 1, class, resent: false };
         let answered =
             Observation::Answered { request, status, attempt: None, retry_after_ms: None };
         trace.push(Line { at: at(due), seen: sent });
@@ -78,7 +78,8 @@
     CompletedRun { scenario, plan, trace, began, resources: Vec::new(), simulated: true }
 }
 
-/// The two that the fault of the day strikes are ready again at this time.
+/// Returns the lines at which the two balancers that the fault of the scenario kills are ready again; the last one at
+/// `seconds`.
 fn ready_again(scenario: &Scenario, seconds: f64) -> Vec<Line> {
     let events = Plan::generate(scenario, 1).fault_events;
     let killed =
@@ -93,13 +94,13 @@
 fn recovery_of(scenario: &Scenario, played: &CompletedRun) -> RecoveryReport {
     let mut control_run = run(scenario, |_, _, _| true, vec![]);
     control_run.plan = control_run.plan.control_run();
-    Report::with_control(played, &control_run).recovery.expect("there is a twin")
+    Report::with_control(played, &control_run).recovery.expect("there is a control run")
 }
 
 #[test]
 fn time_to_full_service_counts_from_the_last_restart_until_service_is_full() {
     let scenario = scenario_with("");
-    // One in ten is refused from the fault's beginning until 17 s; the last one is up at 13 s.
+    // One in ten requests is rejected from the begin of the fault until 17 s. The last balancer is up at 13 s.
     let short =
         |until: f64| move |i: usize, _, t: f64| t < 10.0 || t >= until || !i.is_multiple_of(10);
     let recovery_until =
@@ -111,12 +112,12 @@
         (episode.faults.as_slice(), episode.up_s),
         (&["balancer-kill".to_string()][..], Some(13.0))
     );
-    let took = episode.full_service_s.expect("it comes back");
-    // A window in which next to nothing is missing is full: up to 1 s of one is in the time before.
+    let took = episode.full_service_s.expect("service becomes full");
+    // A window with hardly any rejections is full, so that it may begin up to 1 s before the end of the rejections.
     assert!((3.0..=4.1).contains(&took), "{took}");
     assert!((0.7..=1.0).contains(&episode.lost_s), "a tenth of 7 s: {}", episode.lost_s);
     assert!(episode.lowest < 0.95 && episode.lowest_of_control == 1.0);
-    // Whole at once, and never.
+    // Service is full at once, or never.
     assert_eq!(recovery_until(12.0).episodes[0].full_service_s, Some(0.0));
     let never = &recovery_until(40.0).episodes[0];
     assert_eq!((never.full_service_s, never.watched_s), (None, 24.0));
@@ -129,7 +130,7 @@
         !(10.0..20.0).contains(&t) || class == 0 || !i.is_multiple_of(8)
     };
     let recovery = recovery_of(&scenario, &run(&scenario, short, ready_again(&scenario, 13.0)));
-    let took = recovery.episodes[0].full_service_s.expect("it comes back");
+    let took = recovery.episodes[0].full_service_s.expect("service becomes full");
     assert!((6.0..=7.1).contains(&took), "{took}");
 }
 
@@ -140,13 +141,13 @@
         \n[[faults]]\nkind = \"drain\"\nstart_s = 30\nlength_s = 1\nnodes = [2]\n";
     let scenario = scenario_with(more);
     let all = |_, _, _| true;
-    // The kill's last one is up at 13 s, and a node is away until 20 s: full service is theirs together.
+    // The last killed balancer is up at 13 s, and a node is down until 20 s: both faults form one episode.
     let episodes =
         recovery_of(&scenario, &run(&scenario, all, ready_again(&scenario, 13.0))).episodes;
     let names: Vec<Vec<String>> = episodes.iter().map(|e| e.faults.clone()).collect();
     assert_eq!(names, [vec!["balancer-kill", "die"], vec!["drain"]]);
     assert_eq!((episodes[0].up_s, episodes[0].full_service_s), (Some(20.0), Some(0.0)));
-    // It was looked for until the next fault began, less the 3 s that it takes to tell.
+    // Full service was looked for until 3 s before the next fault.
     assert_eq!(episodes[0].watched_s, 7.0);
     let mut lines = ready_again(&scenario, 13.0);
     lines.pop();
@@ -160,7 +161,7 @@
     let link =
         |s: f64, node| Line { at: at(s), seen: Observation::Connected { node, balancer: 0 } };
     let call = |s: f64| Line { at: at(s), seen: Observation::ListCall { balancer: 0 } };
-    // Two a second usually, and before the fault a rush that is no part of it.
+    // Two connects a second, and a burst before the fault that does not count.
     let usual: Vec<Line> =
         (0..80).map(|n| link(f64::from(n) * 0.5 + 0.01, n as usize % 4)).collect();
     let burst = |from: f64, count| (0..count).map(move |n| link(from + f64::from(n) * 0.01, 3));
@@ -170,7 +171,8 @@
     let played = run(&scenario, |_, _, _| true, more);
     let mut control_run = run(&scenario, |_, _, _| true, usual);
     control_run.plan = control_run.plan.control_run();
-    let recovery = Report::with_control(&played, &control_run).recovery.expect("there is a twin");
+    let recovery =
+        Report::with_control(&played, &control_run).recovery.expect("there is a control run");
     let of = |kind| recovery.stampede.iter().find(|r| r.kind == kind).expect("known");
     let (connects, busiest) = (of("connects").all, of("connects").busiest.expect("goes to nodes"));
     assert_eq!((connects.peak, connects.control_p99, connects.times), (32, 2, 16.0));
@@ -218,16 +220,16 @@
     };
     let ended = |attempt, s, outcome| Line {
         at: at(s),
-        seen: Observation::Ended { attempt, outcome: outcome },
+        seen: Observation::Ended { attempt, outcome },
     };
-    // Node 0 is warm and known to balancers 0 and 1, node 1 cold until 30 s; the others do not run.
+    // Node 0 is warm and known to balancers 0 and 1. Node 1 is cold until 30 s. The other nodes do not run.
     let lines = vec![
         up(0, 0.0),
         up(1, 30_700.0),
         update(0, 0),
         update(1, 0),
         update(0, 1),
-        // Node 0 has something in work from 5 s to 10 s, and until 10.01 s with what was given up.
+        // Node 0 works on an attempt from 5 s to 10 s, and on the abandoned request until 10.01 s.
         busy(1, 5.0, 0),
         ended(1, 10.0, AttemptOutcome::Abandoned),
         fault(20.0, true),
@@ -243,12 +245,12 @@
         assert_eq!(contention.refused, refused.count() as u64);
         contention.beside_idle as f64 / contention.refused as f64
     };
-    // Half of the balancers have heard of node 0.
+    // Half of the balancers know node 0.
     let half = |share: f64| (0.45..=0.55).contains(&share);
     assert!(half(refuse_between(2.0, 4.9)));
-    assert_eq!(refuse_between(5.0, 9.9), 0.0, "it is busy");
+    assert_eq!(refuse_between(5.0, 9.9), 0.0, "the node is busy");
     assert!(half(refuse_between(10.1, 19.9)));
-    assert_eq!(refuse_between(20.0, 24.9), 0.0, "out of reach, and the other is cold");
+    assert_eq!(refuse_between(20.0, 24.9), 0.0, "node 0 is out of reach, and node 1 is cold");
     // From 30 s on node 1 is warm: balancer 0 knows both, balancer 1 one of them.
     assert!(half(refuse_between(31.0, 39.0)));
 }
@@ -281,7 +283,7 @@
         listed(2.0, Phase::Draining),
         update(2.2, Phase::Draining, 2),
         send(2.5, 0),
-        // Said again, and an older word after it, take nothing back.
+        // A repeated update, and an older one after it, change nothing.
         update(2.6, Phase::Deleted, 3),
         update(2.7, Phase::Serving, 1),
         send(3.2, 0),
@@ -329,7 +331,7 @@
     for (line, start) in missed.iter().zip(starts) {
         assert!(line.starts_with(start), "expected {start}\ngot {line}");
     }
-    // All of it shown, nothing is told.
+    // Without missed expectations there are no messages.
     let healthy =
         recovery_of(&scenario, &run(&scenario, |_, _, _| true, ready_again(&scenario, 13.0)));
     assert_eq!(healthy.missed_expectations, Vec::<String>::new());
--- a/crates/checker/tests/rules.rs
+++ b/crates/checker/tests/rules.rs
@@ -1,4 +1,4 @@
-//! The judge on accounts written by hand: each rule right at its limit, on either side of it.
+//! The four rules on hand-written traces: each limit is tested on either side of it.
 
 use std::time::Duration;
 
@@ -7,7 +7,7 @@
 use hollowpaddle_scenario::record::{At, AttemptOutcome, Line, Observation, Phase};
 use hollowpaddle_scenario::scenario::Scenario;
 
-const DAY: &str = r#"
+const SCENARIO: &str = r#"
 name = "by hand"
 length_s = 60
 
@@ -52,7 +52,7 @@
 of_capacity = 0.2
 "#;
 
-/// Nodes 0, 2 are one cell, 4, 6 another of the same zone.
+/// Builder of a trace. Nodes 0 and 2 are one cell, 4 and 6 another cell of the same zone.
 struct TraceBuilder {
     scenario: Scenario,
     plan: Plan,
@@ -61,16 +61,16 @@
 
 impl TraceBuilder {
     fn new() -> Self {
-        Self::of(DAY)
+        Self::of(SCENARIO)
     }
 
-    fn of(day: &str) -> Self {
-        let scenario = Scenario::read("by-hand.toml", day).expect("sound");
+    fn of(scenario: &str) -> Self {
+        let scenario = Scenario::read("by-hand.toml", scenario).expect("valid");
         let plan = Plan::generate(&scenario, 1);
         Self { scenario, plan, lines: Vec::new() }
     }
 
-    /// The first request of a class.
+    /// Returns the first request of a class.
     fn request(&self, class: usize) -> u32 {
         self.plan.arrivals.iter().position(|a| a.class == class).expect("one of each") as u32
     }
@@ -86,7 +86,7 @@
 
     fn sent(&mut self, ms: f64, class: usize) -> &mut Self {
         let request = self.request(class);
-        self.at(ms, Observation::Sent { request, balancer: 0, start: 1, class, again: false })
+        self.at(ms, Observation::Sent { request, balancer: 0, start: 1, class, resent: false })
     }
 
     fn answered(&mut self, ms: f64, class: usize, status: u16, attempt: Option<u32>) -> &mut Self {
@@ -116,7 +116,7 @@
     }
 
     fn ended(&mut self, ms: f64, attempt: u32, outcome: AttemptOutcome) -> &mut Self {
-        self.at(ms, Observation::Ended { attempt, outcome: outcome })
+        self.at(ms, Observation::Ended { attempt, outcome })
     }
 
     fn list_update(
@@ -158,7 +158,7 @@
 const KEYED: usize = 2;
 
 #[test]
-fn a_drain_told_490_ms_before_a_send_is_in_time_and_510_ms_is_not() {
+fn a_send_490_ms_after_a_drain_update_is_allowed_and_one_after_510_ms_is_not() {
     for (after, violations) in [(490.0, vec![]), (510.0, vec![Violation::SentToDrained])] {
         let mut trace = TraceBuilder::new();
         trace.list_update(1000.0, 0, 3, Phase::Draining, 2);
@@ -169,7 +169,7 @@
 }
 
 #[test]
-fn a_drain_binds_only_the_balancer_that_was_told() {
+fn a_drain_update_binds_only_the_balancer_that_received_it() {
     let mut trace = TraceBuilder::new();
     trace.list_update(1000.0, 1, 3, Phase::Draining, 2);
     trace.sent(5000.0, SAFE).attempt(5000.0, SAFE, 1, 3).ended(5100.0, 1, AttemptOutcome::Served);
@@ -181,7 +181,7 @@
 }
 
 #[test]
-fn an_older_word_takes_a_drain_back_neither_and_a_newer_one_does() {
+fn only_a_newer_update_revokes_a_drain() {
     for (revision, violations) in [(2, vec![Violation::SentToDrained]), (4, vec![])] {
         let mut trace = TraceBuilder::new();
         trace.list_update(1000.0, 0, 3, Phase::Draining, 3).list_update(
@@ -202,8 +202,9 @@
 }
 
 #[test]
-fn whoever_has_not_asked_for_too_long_counts_as_told() {
-    // It asked at 1 s, the node was listed as gone at 2 s; where it has to ask within 3 s, from 5 s on it counts as told.
+fn a_balancer_that_has_not_polled_for_too_long_counts_as_informed() {
+    // The balancer polls at 1 s, and the node is listed as gone at 2 s. It has to poll every 3 s, so that it counts as
+    // informed from 5 s on.
     for (sent, violations) in [(5_490.0, vec![]), (5_510.0, vec![Violation::SentToDrained])] {
         let mut trace = TraceBuilder::new();
         trace.scenario.rules.ask_every = Duration::from_secs(3);
@@ -216,14 +217,15 @@
         );
         trace.answered(sent + 9.0, SAFE, 200, Some(1));
         assert_eq!(trace.violations(), violations, "{sent}");
-        // While it watches, it is told when it is told.
+        // A balancer with an open watch counts as informed only when it receives the update.
         trace.lines[0].seen = Observation::WatchStarted { balancer: 0, watch: 7 };
         assert_eq!(trace.violations(), vec![]);
     }
 }
 
-/// A node is listed as draining at 2 s, and a balancer that was never told sends there at that time; `also` happened.
-fn untold(sent: f64, also: &[(f64, Observation)]) -> Vec<Violation> {
+/// Returns the violations if a node is listed as draining at 2 s, and a balancer that received no update sends to it at
+/// `sent`. `also`: further observations.
+fn violations_without_update(sent: f64, also: &[(f64, Observation)]) -> Vec<Violation> {
     let mut trace = TraceBuilder::new();
     trace.list_update(100.0, 0, 3, Phase::Serving, 1);
     trace.at(1000.0, Observation::WatchStarted { balancer: 0, watch: 7 });
@@ -236,16 +238,20 @@
 }
 
 #[test]
-fn a_change_counts_as_told_6_s_after_the_list_had_it_whatever_came_of_watches_and_calls() {
-    // A watch that fell silent, calls that failed or were given up: 6 s, and the grace of 0.5 s.
+fn a_balancer_counts_as_informed_6_s_after_a_change_whatever_its_calls_returned() {
+    // A silent watch, failed calls and abandoned calls: 6 s, and the grace period of 0.5 s.
     let failed = |ms| (ms, Observation::ListCallFailed { balancer: 0, watch: Some(7) });
     let called = |ms| (ms, Observation::ListCall { balancer: 0 });
     for also in [vec![], vec![failed(3000.0)], vec![failed(2500.0), called(2600.0), called(7000.0)]]
     {
-        assert_eq!(untold(8_490.0, &also), vec![], "{also:?}");
-        assert_eq!(untold(8_510.0, &also), vec![Violation::SentToDrained], "{also:?}");
+        assert_eq!(violations_without_update(8_490.0, &also), vec![], "{also:?}");
+        assert_eq!(
+            violations_without_update(8_510.0, &also),
+            vec![Violation::SentToDrained],
+            "{also:?}"
+        );
     }
-    // What it has heard of the node since is newer.
+    // An update about the node that the balancer received later takes precedence.
     let list_update = Observation::ListUpdate {
         balancer: 0,
         node: 3,
@@ -253,8 +259,8 @@
         since: At(0),
         revision: 3,
     };
-    assert_eq!(untold(30_000.0, &[(3000.0, list_update)]), vec![]);
-    // Another's ears are its own.
+    assert_eq!(violations_without_update(30_000.0, &[(3000.0, list_update)]), vec![]);
+    // Updates to another balancer do not count.
     let other = Observation::ListUpdate {
         balancer: 1,
         node: 3,
@@ -262,22 +268,28 @@
         since: At(0),
         revision: 3,
     };
-    assert_eq!(untold(8_510.0, &[(3000.0, other)]), vec![Violation::SentToDrained]);
+    assert_eq!(
+        violations_without_update(8_510.0, &[(3000.0, other)]),
+        vec![Violation::SentToDrained]
+    );
 }
 
 #[test]
-fn what_keeps_a_balancer_from_the_list_has_the_6_s_count_anew() {
+fn the_6_s_start_again_when_the_list_becomes_reachable() {
     let started = |ms| (ms, Observation::Started { balancer: 0, start: 2 });
-    assert_eq!(untold(11_490.0, &[started(5000.0)]), vec![]);
-    assert_eq!(untold(11_510.0, &[started(5000.0)]), vec![Violation::SentToDrained]);
-    let frozen = [(4000.0, PAUSED), (9000.0, RESUMED)];
-    assert_eq!(untold(15_490.0, &frozen), vec![]);
-    assert_eq!(untold(15_510.0, &frozen), vec![Violation::SentToDrained]);
-    for (kind, who) in [("list-down", ""), ("list-cut", "balancers = [0]")] {
+    assert_eq!(violations_without_update(11_490.0, &[started(5000.0)]), vec![]);
+    assert_eq!(
+        violations_without_update(11_510.0, &[started(5000.0)]),
+        vec![Violation::SentToDrained]
+    );
+    let suspended = [(4000.0, PAUSED), (9000.0, RESUMED)];
+    assert_eq!(violations_without_update(15_490.0, &suspended), vec![]);
+    assert_eq!(violations_without_update(15_510.0, &suspended), vec![Violation::SentToDrained]);
+    for (kind, selection) in [("list-down", ""), ("list-cut", "balancers = [0]")] {
         let fault =
-            format!("[[faults]]\nkind = \"{kind}\"\nstart_s = 1.5\nlength_s = 6.5\n{who}\n");
-        let out = |sent: f64| {
-            let mut trace = TraceBuilder::of(&format!("{DAY}\n{fault}"));
+            format!("[[faults]]\nkind = \"{kind}\"\nstart_s = 1.5\nlength_s = 6.5\n{selection}\n");
+        let violations_at = |sent: f64| {
+            let mut trace = TraceBuilder::of(&format!("{SCENARIO}\n{fault}"));
             trace.scenario.rules.ask_every = Duration::from_secs(60);
             trace.list_update(100.0, 0, 3, Phase::Serving, 1);
             trace.at(1500.0, Observation::Fault { fault: 0, begins: true });
@@ -291,13 +303,14 @@
             trace.answered(sent + 9.0, SAFE, 200, Some(1));
             trace.violations()
         };
-        assert_eq!(out(14_490.0), vec![], "{kind}");
-        assert_eq!(out(14_510.0), vec![Violation::SentToDrained], "{kind}");
+        assert_eq!(violations_at(14_490.0), vec![], "{kind}");
+        assert_eq!(violations_at(14_510.0), vec![Violation::SentToDrained], "{kind}");
     }
 }
 
-/// So many requests, each sent at 1 s, left at 1.2 s and first sent on so long after that; `first` had an attempt before.
-fn left(all: usize, after_ms: f64, so_many: usize, first: bool) -> Vec<Violation> {
+/// Returns the violations for `all` requests, each sent at 1 s and abandoned at 1.2 s, of which `late` are forwarded
+/// `after_ms` later. `first`: all had an attempt before.
+fn violations_after_leaving(all: usize, after_ms: f64, late: usize, first: bool) -> Vec<Violation> {
     let mut trace = TraceBuilder::new();
     let safe: Vec<u32> = (0u32..)
         .zip(&trace.plan.arrivals)
@@ -307,7 +320,7 @@
     for (n, &request) in safe.iter().enumerate() {
         trace.at(
             1000.0,
-            Observation::Sent { request, balancer: 0, start: 1, class: SAFE, again: false },
+            Observation::Sent { request, balancer: 0, start: 1, class: SAFE, resent: false },
         );
         let attempt = |trace: &mut TraceBuilder, ms: f64, attempt: u32| {
             let (first, dark, work_ms) = (at(ms), false, 100.0);
@@ -328,7 +341,7 @@
             attempt(&mut trace, 1100.0, n as u32);
         }
         trace.at(1200.0, Observation::ClientLeft { request });
-        if n < so_many {
+        if n < late {
             attempt(&mut trace, 1200.0 + after_ms, 1000 + n as u32);
         }
     }
@@ -336,44 +349,54 @@
 }
 
 #[test]
-fn what_begins_over_a_tenth_of_a_second_after_its_client_left_is_a_break_from_the_third_on() {
+fn attempts_over_100_ms_after_their_clients_left_are_violations_from_the_third_on() {
     for first in [false, true] {
-        assert_eq!(left(30, 104.0, 30, first), vec![], "within it, and 5 ms for the account");
-        assert_eq!(left(30, 106.0, 2, first), vec![]);
-        assert_eq!(left(30, 106.0, 3, first), vec![Violation::SentAfterLeaving]);
-        assert_eq!(left(30, 106.0, 5, first), vec![Violation::SentAfterLeaving; 3]);
+        assert_eq!(
+            violations_after_leaving(30, 104.0, 30, first),
+            vec![],
+            "within 100 ms and the tolerance of 5 ms"
+        );
+        assert_eq!(violations_after_leaving(30, 106.0, 2, first), vec![]);
+        assert_eq!(
+            violations_after_leaving(30, 106.0, 3, first),
+            vec![Violation::SentAfterLeaving]
+        );
+        assert_eq!(
+            violations_after_leaving(30, 106.0, 5, first),
+            vec![Violation::SentAfterLeaving; 3]
+        );
     }
 }
 
 #[test]
-fn a_quarter_of_those_that_waited_as_their_clients_left_may_be_sent_on_and_no_more() {
-    let abandoned_sends = |all, after, so_many, first| {
-        left(all, after, so_many, first).contains(&Violation::SentForNobody)
+fn at_most_a_quarter_of_abandoned_waiting_requests_may_be_forwarded() {
+    let abandoned_sends = |all, after, late, first| {
+        violations_after_leaving(all, after, late, first).contains(&Violation::SentForNobody)
     };
     assert!(!abandoned_sends(20, 306.0, 5, false), "a quarter");
     assert!(abandoned_sends(19, 306.0, 5, false), "over a quarter");
     assert!(!abandoned_sends(19, 304.0, 5, false), "within 0.3 s");
     assert!(!abandoned_sends(4, 306.0, 4, false), "fewer than five");
-    assert!(!abandoned_sends(19, 306.0, 5, true), "they did not wait for their first");
+    assert!(!abandoned_sends(19, 306.0, 5, true), "requests with an earlier attempt did not wait");
 }
 
 #[test]
-fn what_was_read_after_a_shutdown_and_sent_on_is_lost_if_its_connection_ends_with_no_answer() {
+fn a_request_forwarded_during_shutdown_is_lost_if_its_connection_ends_without_an_answer() {
     let stopping = Observation::Stopping { balancer: 0, start: 1 };
     let exited = Observation::Exited { balancer: 0, start: 1, code: Some(0) };
     let killed = Observation::Killed { balancer: 0, start: 1 };
-    let again = |sent_on: bool, end: &[(f64, &Observation)]| {
+    let resent = |forwarded: bool, end: &[(f64, &Observation)]| {
         let mut trace = TraceBuilder::new();
         trace.append(1000.0, &stopping);
         trace.sent(1100.0, SAFE);
-        if sent_on {
+        if forwarded {
             trace.attempt(1110.0, SAFE, 1, 0).ended(1300.0, 1, AttemptOutcome::Abandoned);
         }
         end.iter().for_each(|(ms, seen)| trace.append(*ms, seen));
-        // Its client asks once more, and is served.
+        // The client sends the request again, and is served.
         let request = trace.request(SAFE);
         let (balancer, class) = (0, SAFE);
-        trace.at(1210.0, Observation::Sent { request, balancer, start: 2, class, again: true });
+        trace.at(1210.0, Observation::Sent { request, balancer, start: 2, class, resent: true });
         trace.attempt(1310.0, SAFE, 2, 0);
         if let Some(Line { seen: Observation::Attempt { start, .. }, .. }) = trace.lines.last_mut()
         {
@@ -383,15 +406,15 @@
         trace.lines.sort_by_key(|l| l.at);
         trace.violations()
     };
-    assert_eq!(again(false, &[(1200.0, &exited)]), vec![], "it was never read");
-    assert_eq!(again(true, &[(1200.0, &exited)]), vec![Violation::Lost]);
-    assert_eq!(again(true, &[(1200.0, &killed)]), vec![], "nobody can answer who was killed");
-    // On a connection of its own there is no asking again, whether or not it was sent on.
-    for sent_on in [false, true] {
+    assert_eq!(resent(false, &[(1200.0, &exited)]), vec![], "the request was never read");
+    assert_eq!(resent(true, &[(1200.0, &exited)]), vec![Violation::Lost]);
+    assert_eq!(resent(true, &[(1200.0, &killed)]), vec![], "a killed balancer cannot answer");
+    // On a new connection the client does not send the request again, whether or not it was forwarded.
+    for forwarded in [false, true] {
         let mut trace = TraceBuilder::new();
         trace.append(1000.0, &stopping);
         trace.sent(1100.0, SAFE);
-        if sent_on {
+        if forwarded {
             trace.attempt(1110.0, SAFE, 1, 0).ended(1300.0, 1, AttemptOutcome::Abandoned);
         }
         let request = trace.request(SAFE);
@@ -400,7 +423,7 @@
     }
 }
 
-/// Which floors are missed where this share of the requests is served, by class and third of the day.
+/// Returns the missed floors if this share of the requests is served, by class and third of the run.
 fn missed_floors(share: impl Fn(usize, usize) -> f64) -> Vec<String> {
     let mut trace = TraceBuilder::new();
     for node in 0..8 {
@@ -415,7 +438,7 @@
         seen[class][third] += 1.0;
         let served = ((k + 1.0) * share).floor() > (k * share).floor();
         let status = if served { 200 } else { 503 };
-        trace.at(ms, Observation::Sent { request, balancer: 0, start: 1, class, again: false });
+        trace.at(ms, Observation::Sent { request, balancer: 0, start: 1, class, resent: false });
         let answered =
             Observation::Answered { request, status, attempt: None, retry_after_ms: None };
         trace.at(ms + 10.0, answered);
@@ -427,7 +450,7 @@
 }
 
 #[test]
-fn the_day_each_third_and_each_class_has_its_floor() {
+fn the_run_each_third_and_each_class_have_a_floor() {
     assert_eq!(missed_floors(|_, _| 1.0), Vec::<String>::new());
     assert_eq!(missed_floors(|_, _| 0.52), Vec::<String>::new());
     assert_eq!(missed_floors(|_, _| 0.47), ["the day", "safe", "unsafe", "keyed"]);
@@ -440,7 +463,7 @@
 }
 
 #[test]
-fn an_unsafe_request_may_go_again_only_if_its_connection_broke_before_its_last_byte() {
+fn an_unsafe_request_may_be_resent_only_if_its_connection_broke_before_its_last_byte() {
     let mut trace = TraceBuilder::new();
     trace.sent(1000.0, UNSAFE).at(1010.0, Observation::Partial { node: 0, balancer: 0 });
     trace.attempt(1020.0, UNSAFE, 1, 2).ended(1100.0, 1, AttemptOutcome::Served);
@@ -466,11 +489,11 @@
     );
     trace.attempt(1020.0, UNSAFE, 2, 2).ended(1025.0, 2, AttemptOutcome::Rejected);
     trace.answered(1030.0, UNSAFE, 503, None);
-    assert_eq!(trace.violations(), vec![], "turned away twice, and refused");
+    assert_eq!(trace.violations(), vec![], "rejected twice by nodes, and then by the balancer");
 }
 
 #[test]
-fn a_keyed_request_keeps_to_its_cell_and_window() {
+fn a_keyed_request_is_resent_only_to_its_cell_and_within_its_window() {
     let cases = [
         (2, 900.0, vec![]),
         (4, 900.0, vec![Violation::ResentElsewhere]),
@@ -494,7 +517,7 @@
 }
 
 #[test]
-fn two_at_a_time_are_told_from_one_after_the_other() {
+fn concurrent_attempts_are_distinguished_from_successive_ones() {
     for (closed, violations) in [(1020.0, vec![]), (1040.0, vec![Violation::TwoAtOnce])] {
         let mut trace = TraceBuilder::new();
         trace.sent(1000.0, SAFE).attempt(1000.0, SAFE, 1, 0);
@@ -505,8 +528,8 @@
 }
 
 #[test]
-fn what_a_killed_balancer_held_is_its_clients_to_retry_and_silence_is_a_breach() {
-    let silent = |end: &dyn Fn(&mut TraceBuilder)| {
+fn requests_of_a_killed_balancer_are_excused_and_missing_answers_are_violations() {
+    let violations_without_answer = |end: &dyn Fn(&mut TraceBuilder)| {
         let mut trace = TraceBuilder::new();
         trace.sent(1000.0, SAFE);
         end(&mut trace);
@@ -517,13 +540,13 @@
     let killed = Observation::Killed { balancer: 0, start: 1 };
     let other = Observation::Killed { balancer: 1, start: 1 };
     let stopping = Observation::Stopping { balancer: 0, start: 1 };
-    assert_eq!(silent(&|_| {}), vec![Violation::Lost]);
-    assert_eq!(silent(&|a| a.append(1500.0, &killed)), vec![]);
-    assert_eq!(silent(&|a| a.append(1500.0, &other)), vec![Violation::Lost]);
-    assert_eq!(silent(&|a| a.append(4000.0, &killed)), vec![Violation::Lost]);
-    // A kill sooner than the longest deadline (2 s) and 0.7 s after SIGTERM is one as at any time, also for what came
-    // after SIGTERM; from then on a planned end must have finished what it took.
-    let stopped = |kill: f64| {
+    assert_eq!(violations_without_answer(&|_| {}), vec![Violation::Lost]);
+    assert_eq!(violations_without_answer(&|a| a.append(1500.0, &killed)), vec![]);
+    assert_eq!(violations_without_answer(&|a| a.append(1500.0, &other)), vec![Violation::Lost]);
+    assert_eq!(violations_without_answer(&|a| a.append(4000.0, &killed)), vec![Violation::Lost]);
+    // A kill sooner than the longest deadline (2 s) and 0.7 s after SIGTERM counts as at any other time, also for requests
+    // after SIGTERM. From then on a shutdown must have answered all requests that the balancer took.
+    let violations_after_stop = |kill: f64| {
         let mut trace = TraceBuilder::new();
         trace.append(1500.0, &stopping);
         trace.sent(3000.0, SAFE).append(kill, &killed);
@@ -531,13 +554,13 @@
         trace.at(5050.0, Observation::ClientTimedOut { request });
         trace.violations()
     };
-    assert_eq!(stopped(4199.9), vec![]);
-    assert_eq!(stopped(4200.0), vec![Violation::Lost]);
-    assert_eq!(stopped(4900.0), vec![Violation::Lost]);
+    assert_eq!(violations_after_stop(4199.9), vec![]);
+    assert_eq!(violations_after_stop(4200.0), vec![Violation::Lost]);
+    assert_eq!(violations_after_stop(4900.0), vec![Violation::Lost]);
 }
 
 #[test]
-fn a_client_that_left_is_owed_nothing_and_an_answer_that_breaks_off_has_failed() {
+fn an_abandoned_request_needs_no_answer_and_a_truncated_answer_is_no_loss() {
     let mut trace = TraceBuilder::new();
     let (safe, keyed) = (trace.request(SAFE), trace.request(KEYED));
     trace.sent(1000.0, SAFE).at(1200.0, Observation::ClientLeft { request: safe });
@@ -549,7 +572,7 @@
 }
 
 #[test]
-fn an_answer_must_be_one_that_a_node_made_for_this_request() {
+fn an_answer_must_come_from_a_node_that_ran_the_request() {
     for (attempt, violations) in [
         (Some(1), vec![]),
         (None, vec![Violation::ForeignAnswer]),
@@ -571,8 +594,9 @@
     }
 }
 
-/// A cold start of node 3 at 1 s: 0.23 s later a core at 0.25 and a little has a budget of 4 x 0.267 x 2,000 ms in 2 s, N =
-/// 21.4 requests of 100 ms; with twice the root of that and two it bears 32.6.
+/// Returns the violations of rule 4 after a cold start of node 3 at 1 s. 0.23 s later a core with a capacity of slightly over
+/// 0.25 has a budget of 4 x 0.267 x 2,000 ms in 2 s: N = 21.4 requests of 100 ms. With twice the root of N and two more, 32.6
+/// are allowed.
 fn warm_up_violations(
     sends: usize,
     by: impl Fn(usize) -> usize,
@@ -583,7 +607,7 @@
     for &balancer in informed {
         trace.list_update_since(1100.0, balancer, 3, Phase::Serving, 2, 1000.0);
     }
-    // Of one request; what else is wrong with that is not asked here.
+    // All attempts belong to one request. Violations of the other rules by that are ignored.
     for i in 0..sends {
         let ms = 1200.0 + i as f64;
         trace.attempt_by(ms, SAFE, i as u32, 3, by(i)).ended(
@@ -596,16 +620,16 @@
 }
 
 #[test]
-fn a_cold_node_bears_so_much_from_all_balancers_together() {
+fn a_cold_node_has_one_limit_for_all_balancers_together() {
     assert_eq!(warm_up_violations(32, |_| 0, &[0]), vec![]);
     assert_eq!(warm_up_violations(33, |_| 0, &[0]), vec![Violation::PushedOver]);
-    // Sixteen or seventeen from each is nothing that one of them could see.
+    // Neither balancer alone exceeds the limit with its 16 or 17 requests.
     assert_eq!(warm_up_violations(33, |i| i % 2, &[0, 1]), vec![Violation::PushedOver]);
 }
 
 #[test]
-fn a_cold_node_has_the_budget_that_the_settings_allow_also_where_it_can_do_more() {
-    // Warm from its work, at the same age.
+fn the_limit_of_a_cold_node_follows_the_settings_even_if_its_capacity_is_larger() {
+    // A node of the same age that completed work has warmed.
     let mut trace = TraceBuilder::new();
     trace.at(1000.0, Observation::Up { node: 3, full: 1.0, cold_from: 0.25, cold_ms: 10_000.0 });
     trace.list_update_since(1100.0, 0, 3, Phase::Serving, 2, 1000.0);
@@ -618,7 +642,7 @@
 }
 
 #[test]
-fn one_heavy_request_is_chance_at_a_cold_node_and_two_are_not() {
+fn a_cold_node_tolerates_one_heavy_request_and_not_two() {
     for (heavy, violations) in [(1, vec![]), (2, vec![Violation::PushedOver])] {
         let mut trace = TraceBuilder::new();
         trace
@@ -639,12 +663,12 @@
 }
 
 #[test]
-fn whoever_was_not_told_of_a_start_can_not_have_known() {
+fn a_balancer_without_an_update_of_the_start_is_excused() {
     assert_eq!(warm_up_violations(33, |_| 0, &[]), vec![], "the list was stale");
     assert_eq!(
         warm_up_violations(33, |i| i % 2, &[0]),
         vec![],
-        "half of it came from one that was not told"
+        "half of it came from a balancer without the update"
     );
     assert_eq!(
         warm_up_violations(33, |i| usize::from(i % 4 == 3), &[0]),
@@ -656,8 +680,8 @@
 const RESUMED: Observation = Observation::Resumed { balancer: 0, start: 1 };
 
 #[test]
-fn who_is_frozen_at_a_deadline_is_excused_and_who_was_thawed_well_before_it_is_not() {
-    // Its client gives up 1,000 ms after it sent.
+fn a_balancer_suspended_at_a_deadline_is_excused_and_one_resumed_well_before_is_not() {
+    // The client gives up 1,000 ms after it sent the request.
     let violations_when_paused = |pause: f64, resume: Option<f64>| {
         let mut a = TraceBuilder::new();
         a.sent(1000.0, 0);
@@ -672,7 +696,11 @@
     };
     assert_eq!(violations_when_paused(900.0, None), []);
     assert_eq!(violations_when_paused(1500.0, Some(2500.0)), []);
-    assert_eq!(violations_when_paused(900.0, Some(1760.0)), [], "it needs a moment");
+    assert_eq!(
+        violations_when_paused(900.0, Some(1760.0)),
+        [],
+        "it needs some time after its resumption"
+    );
     assert_eq!(violations_when_paused(900.0, Some(1740.0)), [Violation::Lost]);
     assert_eq!(
         violations_when_paused(2100.0, Some(2500.0)),
@@ -682,7 +710,7 @@
 }
 
 #[test]
-fn who_is_told_of_a_drain_while_frozen_knows_it_from_its_thaw_on() {
+fn a_drain_update_during_a_suspension_counts_from_the_resumption() {
     let sent = |list_update: f64, pause: f64, resume: f64, first: f64| {
         let mut a = TraceBuilder::new();
         a.list_update(0.0, 0, 1, Phase::Serving, 1).list_update(
@@ -699,7 +727,7 @@
     };
     assert_eq!(sent(3000.0, 2000.0, 6000.0, 6490.0), []);
     assert_eq!(sent(3000.0, 2000.0, 6000.0, 6510.0), [Violation::SentToDrained]);
-    // Told right before, it may not have read it; told long before, it had its time.
+    // An update right before the suspension may be unread. One long before it was in time.
     assert_eq!(sent(1900.0, 2000.0, 6000.0, 6400.0), []);
     assert_eq!(sent(1000.0, 2000.0, 6000.0, 6400.0), [Violation::SentToDrained]);
 }
--- a/crates/checker/tests/sessions.rs
+++ b/crates/checker/tests/sessions.rs
@@ -1,11 +1,11 @@
-//! The account of vans, on traces written by hand.
+//! The session report on hand-written traces.
 
 use hollowpaddle_checker::{SessionReport, TimingTolerance, check};
 use hollowpaddle_scenario::plan::Plan;
 use hollowpaddle_scenario::record::{At, AttemptOutcome, Line, Observation};
 use hollowpaddle_scenario::scenario::Scenario;
 
-const DAY: &str = r#"
+const SCENARIO: &str = r#"
 name = "by hand"
 length_s = 60
 
@@ -44,7 +44,8 @@
 again_within_ms = 8000
 "#;
 
-/// Runs of requests at nodes, in seconds; nodes 0 and 2 are one pod, 4 and 6 another, 1 and 3 a third.
+/// Returns the report on runs, each with its time in seconds, request and node. Nodes 0 and 2 are one cell, 4 and 6 another,
+/// and 1 and 3 a third.
 fn sessions(runs: &[(f64, u32, usize)]) -> SessionReport {
     let (scenario, plan) = scenario_and_plan();
     let mut lines = Vec::new();
@@ -66,16 +67,16 @@
         record(Observation::Ended { attempt, outcome: AttemptOutcome::Abandoned });
     }
     let result = check(&scenario, &plan, &lines, TimingTolerance::LIVE);
-    result.sessions.expect("it has vans")
+    result.sessions.expect("the scenario has sessions")
 }
 
 fn scenario_and_plan() -> (Scenario, Plan) {
-    let scenario = Scenario::read("by-hand.toml", DAY).expect("sound");
+    let scenario = Scenario::read("by-hand.toml", SCENARIO).expect("valid");
     let plan = Plan::generate(&scenario, 1);
     (scenario, plan)
 }
 
-/// A request that is pressed again, and the press.
+/// Returns a request that is resubmitted, and its resubmission.
 fn resubmission() -> (u32, u32) {
     let (_, plan) = scenario_and_plan();
     let again = plan.arrivals.iter().enumerate().find(|(n, a)| a.original as usize != *n);
@@ -83,7 +84,7 @@
     (arrival.original, again as u32)
 }
 
-/// So many requests of one van, of a class.
+/// Returns some requests of one session and class.
 fn requests_of_one_session(class: usize, count: usize) -> Vec<u32> {
     let (_, plan) = scenario_and_plan();
     let request_of_session = |(n, a): (usize, &hollowpaddle_scenario::plan::Arrival)| {
@@ -106,11 +107,11 @@
     );
     let one_cell = sessions(&[(1.0, first, 0), (2.0, again, 2)]);
     assert_eq!((one_cell.effects, one_cell.ran_twice), (1, 0));
-    // Two effects in two pods are two effects.
+    // Different effects in different cells did not run twice.
     let [one, other] = requests_of_one_session(0, 2)[..] else { panic!("two") };
     let two = sessions(&[(1.0, one, 0), (2.0, other, 4)]);
     assert_eq!((two.effects, two.ran_twice), (2, 0));
-    // Whoever changes nothing may run where it likes.
+    // Safe requests may run in any cell.
     let safe = requests_of_one_session(1, 1)[0];
     assert_eq!(sessions(&[(1.0, safe, 0), (1.5, safe, 4)]).ran_twice, 0);
 }
@@ -123,17 +124,21 @@
         let s = sessions(&runs);
         (s.runs, s.in_previous_cell, s.in_unknown_cells)
     };
-    assert_eq!(at(&[(1.0, 0)]), (1, 1.0, 1), "its first is nobody's to choose");
-    assert_eq!(at(&[(1.0, 0), (2.0, 2), (3.0, 0)]), (3, 1.0, 1), "one pod");
-    assert_eq!(at(&[(1.0, 0), (2.0, 4), (3.0, 0)]), (3, 0.0, 2), "known where it was before");
+    assert_eq!(at(&[(1.0, 0)]), (1, 1.0, 1), "the first run does not count");
+    assert_eq!(at(&[(1.0, 0), (2.0, 2), (3.0, 0)]), (3, 1.0, 1), "one cell");
+    assert_eq!(
+        at(&[(1.0, 0), (2.0, 4), (3.0, 0)]),
+        (3, 0.0, 2),
+        "the previous cell still knows the session"
+    );
     assert_eq!(at(&[(1.0, 0), (2.0, 4), (3.0, 4), (4.0, 4), (5.0, 1)]), (5, 0.5, 3));
     assert_eq!(at(&[(1.0, 0), (11.0, 0), (20.9, 0)]), (3, 1.0, 2), "forgotten after 10 s");
 }
 
 #[test]
 fn a_scenario_without_sessions_has_no_session_report() {
-    let text = &DAY[..DAY.find("[vans]").expect("there")];
-    let scenario = Scenario::read("by-hand.toml", text).expect("sound");
+    let text = &SCENARIO[..SCENARIO.find("[vans]").expect("there")];
+    let scenario = Scenario::read("by-hand.toml", text).expect("valid");
     let plan = Plan::generate(&scenario, 1);
     assert_eq!(check(&scenario, &plan, &[], TimingTolerance::LIVE).sessions, None);
 }
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -186,7 +186,7 @@
                 balancer,
                 start,
                 class: class_index,
-                again,
+                resent: again,
             });
             kept.last = Some(request);
             let (sent, leaves) = (Instant::now(), stage.arrival(request).abandoned_after);
--- a/crates/scenario/src/record.rs
+++ b/crates/scenario/src/record.rs
@@ -52,9 +52,16 @@
 #[derive(Clone, Debug, PartialEq, Serialize)]
 #[serde(tag = "saw", rename_all = "kebab-case")]
 pub enum Observation {
-    /// A client wrote the last byte of a request. `again`: the client sent the request once more, because the connection
+    /// A client wrote the last byte of a request. `resent`: the client sent the request once more, because the connection
     /// had closed without an answer.
-    Sent { request: u32, balancer: usize, start: u32, class: usize, again: bool },
+    Sent {
+        request: u32,
+        balancer: usize,
+        start: u32,
+        class: usize,
+        #[serde(rename = "again")]
+        resent: bool,
+    },
     /// A client could not connect to a balancer.
     Unreachable { request: u32, balancer: usize },
     /// A complete answer arrived. `attempt`: the attempt that produced the body, if the body names one.
--- a/crates/scenario/tests/formats.rs
+++ b/crates/scenario/tests/formats.rs
@@ -21,7 +21,7 @@
 /// One event of each kind, in the order in which the type lists them.
 fn events() -> Vec<Observation> {
     vec![
-        Observation::Sent { request: 1, balancer: 2, start: 3, class: 4, again: true },
+        Observation::Sent { request: 1, balancer: 2, start: 3, class: 4, resent: true },
         Observation::Unreachable { request: 6, balancer: 7 },
         Observation::Answered {
             request: 8,
