--- a/crates/checker/src/cluster/admin_answers.rs
+++ b/crates/checker/src/cluster/admin_answers.rs
@@ -64,7 +64,7 @@
 #[derive(Clone, Debug)]
 pub(super) struct StatusAnswer {
     /// Time at which the status was requested.
-    pub(super) asked: At,
+    pub(super) requested_at: At,
     /// Time at which the answer arrived.
     pub(super) received: At,
     /// Number of the balancer.
@@ -171,8 +171,14 @@
                     ..
                 } => {
                     if let Some(number) = number.filter(|_| verb.revises()) {
-                        let asked = call_times.get(call).copied();
-                        answered.push((line.at, *balancer, number, asked, *in_force_everywhere));
+                        let requested_at = call_times.get(call).copied();
+                        answered.push((
+                            line.at,
+                            *balancer,
+                            number,
+                            requested_at,
+                            *in_force_everywhere,
+                        ));
                     }
                 }
                 Observation::Revision { epoch, number, document, .. } => {
@@ -189,7 +195,7 @@
                 Observation::BalancerStatus {
                     balancer,
                     start,
-                    asked,
+                    requested_at,
                     revision,
                     target,
                     newest,
@@ -207,7 +213,7 @@
                     all.known.entry(newest).or_insert(line.at);
                     let taken_while_suspended = suspensions[*balancer]
                         .iter()
-                        .any(|(from, to)| *from <= line.at && *asked <= *to);
+                        .any(|(from, to)| *from <= line.at && *requested_at <= *to);
                     if taken_while_suspended {
                         continue;
                     }
@@ -228,11 +234,11 @@
                     if policy_state == next {
                         all.policy_states.push(state);
                     }
-                    let (asked, received, balancer, has_lease) =
-                        (*asked, line.at, *balancer, *has_lease);
+                    let (requested_at, received, balancer, has_lease) =
+                        (*requested_at, line.at, *balancer, *has_lease);
                     let start = *start;
                     all.statuses.push(StatusAnswer {
-                        asked,
+                        requested_at,
                         received,
                         balancer,
                         start,
@@ -245,12 +251,12 @@
                 _ => {}
             }
         }
-        for (at, balancer, number, asked, in_force_everywhere) in answered {
+        for (at, balancer, number, requested_at, in_force_everywhere) in answered {
             let number = (all.log_of(at, balancer, number), number);
             all.committed.entry(number).or_insert(at);
-            if let Some(asked) = asked {
-                let first = all.requested_at.entry(number).or_insert(asked);
-                *first = (*first).min(asked);
+            if let Some(requested_at) = requested_at {
+                let earliest = all.requested_at.entry(number).or_insert(requested_at);
+                *earliest = (*earliest).min(requested_at);
             }
             if in_force_everywhere {
                 all.in_force_everywhere.entry(number).or_insert((at, balancer));
@@ -265,7 +271,7 @@
         let next = self
             .statuses
             .iter()
-            .find(|w| w.balancer == balancer && w.asked >= at && w.newest.1 >= number);
+            .find(|w| w.balancer == balancer && w.requested_at >= at && w.newest.1 >= number);
         let last =
             || self.statuses.iter().rev().find(|w| w.balancer == balancer && w.received <= at);
         next.or_else(last).map_or(0, |w| w.newest.0)
--- a/crates/checker/src/cluster/contradiction.rs
+++ b/crates/checker/src/cluster/contradiction.rs
@@ -73,10 +73,10 @@
 fn evidence_by_state(answers: &AdminAnswers) -> Vec<Option<(Evidence, Evidence)>> {
     let mut evidence: Vec<Option<(Evidence, Evidence)>> = vec![None; answers.policy_states.len()];
     for status in answers.statuses.iter().filter(|w| w.has_lease) {
-        let (received, asked) =
-            ((status.received, status.balancer), (status.asked, status.balancer));
-        let (first, last) = evidence[status.policy_state].unwrap_or((received, asked));
-        evidence[status.policy_state] = Some((first.min(received), last.max(asked)));
+        let (received, requested) =
+            ((status.received, status.balancer), (status.requested_at, status.balancer));
+        let (first, last) = evidence[status.policy_state].unwrap_or((received, requested));
+        evidence[status.policy_state] = Some((first.min(received), last.max(requested)));
     }
     evidence
 }
--- a/crates/checker/src/cluster/in_force.rs
+++ b/crates/checker/src/cluster/in_force.rs
@@ -62,7 +62,7 @@
 }
 
 /// Computes the times of all committed revisions.
-pub(super) fn of(case: &Case, answers: &AdminAnswers, began: At) -> InForce {
+pub(super) fn times(case: &Case, answers: &AdminAnswers, began: At) -> InForce {
     let mut all = InForce::default();
     let count = case.scenario.cluster.count;
     let committed: Vec<(RevisionId, At)> =
--- a/crates/checker/src/cluster/mod.rs
+++ b/crates/checker/src/cluster/mod.rs
@@ -84,7 +84,7 @@
 }
 
 /// Checks the routing policy of a run; `None` for scenarios without policy actions.
-pub fn of(played: &CompletedRun, slack_s: f64) -> Option<PolicyReport> {
+pub fn check_policy(played: &CompletedRun, slack_s: f64) -> Option<PolicyReport> {
     let (scenario, plan) = (&played.scenario, &played.plan);
     if plan.policy_actions.is_empty() || !scenario.cluster.agrees() {
         return None;
@@ -109,7 +109,7 @@
     report.contradictions = contradictions;
     report.logs = answers.logs();
     check_answers(&case, &answers, &mut report);
-    report.in_force_s = in_force::of(&case, &answers, played.began);
+    report.in_force_s = in_force::times(&case, &answers, played.began);
     report.over_time = in_force::over_time(&case, &answers, played.began);
     Some(report)
 }
--- a/crates/checker/src/drains.rs
+++ b/crates/checker/src/drains.rs
@@ -197,7 +197,7 @@
     listed: Option<&Vec<(At, Phase)>>,
     now: At,
 ) -> Option<At> {
-    if !case.scenario.list.asked || !connection.open_watches.is_empty() {
+    if !case.scenario.list.is_polled || !connection.open_watches.is_empty() {
         return None;
     }
     let interval =
--- a/crates/checker/src/floors.rs
+++ b/crates/checker/src/floors.rs
@@ -63,7 +63,7 @@
 }
 
 /// Computes the floors of a run.
-pub(crate) fn of(case: &Case) -> Vec<Floor> {
+pub(crate) fn compute(case: &Case) -> Vec<Floor> {
     let all = client_requests(case);
     let is_counted = |a: &&ClientRequest| {
         !matches!(a.outcome, RequestOutcome::Unreachable | RequestOutcome::Abandoned)
--- a/crates/checker/src/lib.rs
+++ b/crates/checker/src/lib.rs
@@ -173,8 +173,8 @@
     warm_up::check(&case, &mut findings);
     find_crashes(&case, &mut findings);
     findings.sort_by_key(|f| (f.at, f.violation, f.request));
-    let (service, floors) = (service::report(&case), floors::of(&case));
-    CheckResult { findings, service, floors, sessions: sessions::of(&case) }
+    let (service, floors) = (service::report(&case), floors::compute(&case));
+    CheckResult { findings, service, floors, sessions: sessions::report(&case) }
 }
 
 /// The run to check.
--- a/crates/checker/src/recovery/contention.rs
+++ b/crates/checker/src/recovery/contention.rs
@@ -34,7 +34,7 @@
 }
 
 /// Computes the contention of one run.
-pub(super) fn of(run: &Run) -> Contention {
+pub(super) fn measure(run: &Run) -> Contention {
     let mut contention = Contention::default();
     let mut nodes = vec![Node::default(); run.case.plan.machines.len()];
     let mut serving: FxHashSet<(usize, usize)> = FxHashSet::default();
--- a/crates/checker/src/recovery/stale_sends.rs
+++ b/crates/checker/src/recovery/stale_sends.rs
@@ -30,7 +30,7 @@
 }
 
 /// Counts the stale sends of one run.
-pub(super) fn of(run: &Run) -> StaleReport {
+pub(super) fn count(run: &Run) -> StaleReport {
     let mut updates: FxHashMap<(usize, usize), (u64, Option<At>)> = FxHashMap::default();
     let mut listed: FxHashMap<usize, At> = FxHashMap::default();
     let mut stale = StaleReport::default();
--- a/crates/checker/src/report.rs
+++ b/crates/checker/src/report.rs
@@ -102,7 +102,7 @@
             overloaded_nodes: played.trace.iter().filter_map(overloaded).collect(),
             floors,
             sessions,
-            policy: cluster::of(played, tolerance.slack.as_secs_f64()),
+            policy: cluster::check_policy(played, tolerance.slack.as_secs_f64()),
             recovery: None,
         }
     }
--- a/crates/checker/src/sessions.rs
+++ b/crates/checker/src/sessions.rs
@@ -63,7 +63,7 @@
 }
 
 /// Computes the figures; `None` for scenarios without user sessions.
-pub fn of(case: &Case) -> Option<SessionReport> {
+pub fn report(case: &Case) -> Option<SessionReport> {
     let expiry = super::micros(case.scenario.sessions.as_ref()?.session_expiry);
     let plan = case.plan;
     let moved = plan.sessions.iter().filter(|session| session.visit.is_some()).count();
--- a/crates/checker/tests/cluster.rs
+++ b/crates/checker/tests/cluster.rs
@@ -80,18 +80,18 @@
 
     fn status(
         &mut self,
-        asked: f64,
+        requested: f64,
         received: f64,
         balancer: usize,
         revision: u64,
         has_lease: bool,
     ) -> &mut Self {
-        self.status_of(asked, received, balancer, (1, revision, None), has_lease, &[0])
+        self.status_of(requested, received, balancer, (1, revision, None), has_lease, &[0])
     }
 
     fn status_of(
         &mut self,
-        asked: f64,
+        requested: f64,
         received: f64,
         balancer: usize,
         (epoch, revision, target): (u32, u64, Option<u64>),
@@ -102,11 +102,11 @@
         let status = Observation::BalancerStatus {
             balancer,
             start: 1,
-            asked: at(asked),
+            requested_at: at(requested),
             revision,
-            target: target,
+            target,
             newest,
-            has_lease: has_lease,
+            has_lease,
             unconfirmed: false,
             fallback_cells: fallback_cells.to_vec(),
             fallback_exceptions: Vec::new(),
@@ -158,7 +158,7 @@
         let (began, resources) = (At(0), Vec::new());
         let played =
             CompletedRun { scenario, plan, trace: lines, began, resources, simulated: true };
-        cluster::of(&played, 0.01).expect("the scenario has policy actions")
+        cluster::check_policy(&played, 0.01).expect("the scenario has policy actions")
     }
 }
 
--- a/crates/checker/tests/recovery.rs
+++ b/crates/checker/tests/recovery.rs
@@ -218,10 +218,8 @@
             work_ms: 10.0,
         },
     };
-    let ended = |attempt, s, outcome| Line {
-        at: at(s),
-        seen: Observation::Ended { attempt, outcome },
-    };
+    let ended =
+        |attempt, s, outcome| Line { at: at(s), seen: Observation::Ended { attempt, outcome } };
     // Node 0 is warm and known to balancers 0 and 1. Node 1 is cold until 30 s. The other nodes do not run.
     let lines = vec![
         up(0, 0.0),
--- a/crates/rehearsal/src/cluster.rs
+++ b/crates/rehearsal/src/cluster.rs
@@ -540,7 +540,7 @@
         "Zones": scenario.fleet.zones,
         "MachineTypes": kinds.iter().map(|k| k.name.clone()).collect::<Vec<_>>(),
         "Tick": 5.0,
-        "RegistryMode": if scenario.list.asked { "subscribe" } else { "automatic" },
+        "RegistryMode": if scenario.list.is_polled { "subscribe" } else { "automatic" },
         "CountedBy": "work",
         "ClientHabits": {"MarksRetry": true},
         "Services": scenario.classes.iter().map(service).collect::<Vec<_>>(),
--- a/crates/rehearsal/src/list.rs
+++ b/crates/rehearsal/src/list.rs
@@ -344,7 +344,7 @@
     /// Waits for its turn at the service; `false` if that would take too long.
     async fn turn(&self) -> bool {
         let list = &self.stage.scenario.list;
-        if !list.asked {
+        if !list.is_polled {
             return true;
         }
         let start = self.free.get().max(Instant::now());
@@ -392,7 +392,7 @@
                     biased;
                     () = revision.changed() => break,
                     _ = talk.end() => return Ok(()),
-                    () = sleep(BEAT), if self.stage.scenario.list.asked => {}
+                    () = sleep(BEAT), if self.stage.scenario.list.is_polled => {}
                 }
                 if self.deaf.borrow()[balancer] > 0 {
                     continue;
--- a/crates/rehearsal/src/operator.rs
+++ b/crates/rehearsal/src/operator.rs
@@ -248,7 +248,7 @@
     Some(Observation::BalancerStatus {
         balancer,
         start,
-        asked,
+        requested_at: asked,
         revision: text["revision"].as_u64()?,
         target: text["towards"].as_u64(),
         newest: text["newest"].as_u64()?,
--- a/crates/rehearsal/src/sweep.rs
+++ b/crates/rehearsal/src/sweep.rs
@@ -116,7 +116,7 @@
             closed: None,
         },
         list: ListService {
-            asked: rng.random::<f64>() < 0.8,
+            is_polled: rng.random::<f64>() < 0.8,
             notice: ms(rng.random_range(500..3_000)),
             silent_notice: ms(rng.random_range(1_500..6_000)),
             add: ms(rng.random_range(200..1_500)),
--- a/crates/rehearsal/src/sweep/book.rs
+++ b/crates/rehearsal/src/sweep/book.rs
@@ -27,7 +27,7 @@
     day.fleet.nodes = rng.random_range(24..=36);
     day.fleet.cell_size = 3;
     day.load.of_capacity = 0.3 + 0.3 * rng.random::<f64>();
-    day.list.asked = rng.random::<f64>() < 0.5;
+    day.list.is_polled = rng.random::<f64>() < 0.5;
     day.faults.retain(|f| f.kind.targets_nodes() && f.selection.places.is_none());
     day.faults.truncate(2);
     let cells = day.fleet.cells() as u32;
--- a/crates/scenario/src/record.rs
+++ b/crates/scenario/src/record.rs
@@ -137,7 +137,7 @@
     Ready { balancer: usize, start: u32 },
     /// A balancer was killed.
     Killed { balancer: usize, start: u32 },
-    /// A balancer was asked to shut down.
+    /// A balancer got the signal to shut down.
     Stopping { balancer: usize, start: u32 },
     /// A balancer was suspended.
     Paused { balancer: usize, start: u32 },
@@ -171,13 +171,14 @@
         in_force_everywhere: bool,
         why: Option<String>,
     },
-    /// The admin API returned the status of a balancer. `asked`: time of the call. `target`: revision that the balancer is
+    /// The admin API returned the status of a balancer. `requested_at`: time of the call. `target`: revision that the balancer is
     /// moving to. `newest`: newest revision that it knows.
     #[serde(rename = "stands")]
     BalancerStatus {
         balancer: usize,
         start: u32,
-        asked: At,
+        #[serde(rename = "asked")]
+        requested_at: At,
         revision: u64,
         #[serde(rename = "towards")]
         target: Option<u64>,
--- a/crates/scenario/src/scenario/mod.rs
+++ b/crates/scenario/src/scenario/mod.rs
@@ -269,7 +269,7 @@
 #[derive(Clone, Debug, PartialEq)]
 pub struct ListService {
     /// Whether balancers call the list; otherwise an agent on their machine pushes updates to them.
-    pub asked: bool,
+    pub is_polled: bool,
     /// Time from the end of a process until the list records it.
     pub notice: Duration,
     /// Time from the silence of a machine until the list records it.
--- a/crates/scenario/src/scenario/read.rs
+++ b/crates/scenario/src/scenario/read.rs
@@ -255,7 +255,7 @@
 
 fn list(t: Option<Table>, file: &File) -> ListService {
     optional(t, file, |t| ListService {
-        asked: t.flag("asked", true),
+        is_polled: t.flag("asked", true),
         notice: t.time("notice_s", 0.0..=3600.0, Some(3.0)),
         silent_notice: t.time("silent_notice_s", 0.0..=3600.0, Some(8.0)),
         add: t.time("add_s", 0.0..=3600.0, Some(1.0)),
--- a/crates/scenario/tests/formats.rs
+++ b/crates/scenario/tests/formats.rs
@@ -92,7 +92,7 @@
         Observation::BalancerStatus {
             balancer: 99,
             start: 100,
-            asked: At(101),
+            requested_at: At(101),
             revision: 102,
             target: Some(104),
             newest: 105,
@@ -246,7 +246,7 @@
     let clients = Clients { abandon_share: 0.05, connections: 200, repeats };
     let load = Load { of_capacity: 0.1, shape: Shape::Wave, swing: 0.4, closed: None };
     let list = ListService {
-        asked: false,
+        is_polled: false,
         notice: ms(2_000),
         silent_notice: ms(7_000),
         add: ms(2_000),
