--- a/crates/scenario/src/plan.rs
+++ b/crates/scenario/src/plan.rs
@@ -192,6 +192,7 @@
 /// Period of [`Shape::Wave`], in seconds.
 const WAVE_PERIOD_S: f64 = 20.0;
 
+/// Returns the random number generator of a stream.
 fn stream(seed: u64, number: u64) -> ChaCha8Rng {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(number);
@@ -215,17 +216,20 @@
             Some(closed) => closed_loop_arrivals(scenario, seed, closed),
             None => arrivals(scenario, seed, &machines[..scenario.fleet.nodes]),
         };
-        for (place, arrival) in arrivals.iter_mut().enumerate() {
-            arrival.original = place as u32;
+        for (index, arrival) in arrivals.iter_mut().enumerate() {
+            arrival.original = index as u32;
         }
         let sessions = match &scenario.sessions {
-            Some(of) => {
-                user_sessions::generate(scenario, of, &mut stream(seed, SESSIONS), &mut arrivals)
-            }
+            Some(settings) => user_sessions::generate(
+                scenario,
+                settings,
+                &mut stream(seed, SESSIONS),
+                &mut arrivals,
+            ),
             None => Vec::new(),
         };
         let original_count = arrivals.len() as u32;
-        repeats(scenario, seed, &mut arrivals);
+        add_repeats(scenario, seed, &mut arrivals);
         let mut rng = stream(seed, BALANCERS);
         let balancer_seeds = (0..scenario.cluster.count).map(|_| rng.next_u64()).collect();
         let mut nodes = SelectionOrders::new(seed, POLICY_ACTION_NODES, scenario.fleet.nodes);
@@ -268,6 +272,7 @@
     bytes.iter().map(|b| format!("{b:02x}")).collect()
 }
 
+/// Generates one machine.
 fn machine(
     scenario: &Scenario,
     machine_type: usize,
@@ -276,18 +281,19 @@
     replaces: Option<(usize, bool)>,
     rng: &mut ChaCha8Rng,
 ) -> Machine {
-    let k = &scenario.fleet.machine_types[machine_type];
+    let properties = &scenario.fleet.machine_types[machine_type];
     Machine {
         id: format!("s-{:08x}", rng.next_u32()),
         machine_type,
         zone,
         cell,
-        speed: sample_around(rng, k.speed, k.speed_cv),
+        speed: sample_around(rng, properties.speed, properties.speed_cv),
         seed: rng.next_u64(),
         replaces,
     }
 }
 
+/// Generates the machines that are present at the start.
 fn machines(scenario: &Scenario, rng: &mut ChaCha8Rng) -> Vec<Machine> {
     let fleet = &scenario.fleet;
     let total: f64 = fleet.machine_types.iter().map(|k| k.share).sum();
@@ -301,12 +307,13 @@
     }
     machine_types.resize(fleet.nodes, fleet.machine_types.len() - 1);
     shuffle(&mut machine_types, rng);
-    let place = |(n, machine_type)| {
+    let machine_at = |(n, machine_type)| {
         machine(scenario, machine_type, fleet.zone_of(n), fleet.cell_of(n), None, rng)
     };
-    machine_types.into_iter().enumerate().map(place).collect()
+    machine_types.into_iter().enumerate().map(machine_at).collect()
 }
 
+/// Shuffles a slice (Fisher-Yates).
 fn shuffle<T>(all: &mut [T], rng: &mut impl Rng) {
     for i in (1..all.len()).rev() {
         all.swap(i, rng.random_range(0..=i));
@@ -314,14 +321,14 @@
 }
 
 /// Returns the members that a selection covers: the first in `order` of those that it allows, up to its share of them.
-/// `place` returns the zone and the cell of a member.
+/// `location` returns the zone and the cell of a member.
 pub(crate) fn select(
     selection: &Selection,
-    place: impl Fn(usize) -> (usize, Option<u32>),
+    location: impl Fn(usize) -> (usize, Option<u32>),
     order: &[usize],
 ) -> Vec<usize> {
     let allowed = |&&n: &&usize| {
-        let (zone, cell) = place(n);
+        let (zone, cell) = location(n);
         selection.zone.is_none_or(|z| z == zone)
             && selection.cell.is_none_or(|c| Some(c) == cell)
             && selection.places.as_ref().is_none_or(|all| all.contains(&n))
@@ -345,16 +352,17 @@
 }
 
 impl SelectionOrders {
-    fn new(seed: u64, stream_of: u64, count: usize) -> Self {
-        Self { rng: stream(seed, stream_of), count, groups: Vec::new() }
+    fn new(seed: u64, stream_number: u64, count: usize) -> Self {
+        Self { rng: stream(seed, stream_number), count, groups: Vec::new() }
     }
 
+    /// Returns the next order. All calls for one group return the same order.
     pub(crate) fn next(&mut self, group: Option<&str>) -> Vec<usize> {
         let mut order: Vec<usize> = (0..self.count).collect();
         shuffle(&mut order, &mut self.rng);
         let Some(name) = group else { return order };
         match self.groups.iter().find(|(n, _)| n == name) {
-            Some((_, of_group)) => of_group.clone(),
+            Some((_, group_order)) => group_order.clone(),
             None => {
                 self.groups.push((name.to_string(), order.clone()));
                 order
@@ -363,11 +371,12 @@
     }
 }
 
+/// Generates the fault events, and adds the replacements to the machines.
 fn fault_events(scenario: &Scenario, seed: u64, machines: &mut Vec<Machine>) -> Vec<FaultEvent> {
     let mut node_orders = SelectionOrders::new(seed, FAULTS, scenario.fleet.nodes);
     let mut balancer_orders = SelectionOrders::new(seed, BALANCER_FAULTS, scenario.cluster.count);
     let mut fault_events = Vec::new();
-    for (place, fault) in scenario.faults.iter().enumerate() {
+    for (index, fault) in scenario.faults.iter().enumerate() {
         let group = fault.group.as_deref();
         // Every fault takes an order, needed or not: plans of seeds that were swept before stay the same.
         let order = node_orders.next(group);
@@ -375,12 +384,12 @@
             let order = balancer_orders.next(group);
             let zone = |b| (scenario.cluster.zone_of(b, &scenario.fleet), None);
             let balancers = select(&fault.selection, zone, &order);
-            fault_events.extend(balancer_events(place, fault, balancers, scenario.length));
+            fault_events.extend(balancer_events(index, fault, balancers, scenario.length));
             continue;
         }
         let nodes = if fault.kind.targets_nodes() {
-            let where_is = |n: usize| (machines[n].zone, Some(machines[n].cell));
-            select(&fault.selection, where_is, &order)
+            let location = |n: usize| (machines[n].zone, Some(machines[n].cell));
+            select(&fault.selection, location, &order)
         } else {
             Vec::new()
         };
@@ -397,7 +406,7 @@
         }
         let event = |at, begins| FaultEvent {
             at,
-            fault: place,
+            fault: index,
             begins,
             nodes: nodes.clone(),
             replacements: replacements.clone(),
@@ -415,7 +424,7 @@
     fault: usize,
     f: &Fault,
     selected: Vec<usize>,
-    most: Duration,
+    scenario_length: Duration,
 ) -> Vec<FaultEvent> {
     let event = |at, begins, balancers: &[usize]| FaultEvent {
         at,
@@ -436,13 +445,13 @@
     }
     let mut fault_events = Vec::new();
     for (n, balancer) in selected.iter().enumerate() {
-        let one = std::slice::from_ref(balancer);
+        let balancer = std::slice::from_ref(balancer);
         let mut at = f.start + spread.mul_f64(n as f64 / (selected.len().max(2) - 1) as f64);
         let end = at + f.length;
         let (down, up) = cycle.unwrap_or((f.length, Duration::ZERO));
-        while at < end && at <= f.start + most {
-            fault_events.push(event(at, true, one));
-            fault_events.push(event((at + down).min(end), false, one));
+        while at < end && at <= f.start + scenario_length {
+            fault_events.push(event(at, true, balancer));
+            fault_events.push(event((at + down).min(end), false, balancer));
             at += down + up.max(Duration::from_millis(1));
         }
     }
@@ -468,6 +477,7 @@
     on.map(|f| if let FaultKind::Burst { factor } = f.kind { factor } else { 1.0 }).product()
 }
 
+/// Generates the requests of an open loop.
 fn arrivals(scenario: &Scenario, seed: u64, machines: &[Machine]) -> Vec<Arrival> {
     let mut rng = stream(seed, ARRIVALS);
     let mut shape_rng = stream(seed, SHAPE);
@@ -508,6 +518,7 @@
     }
 }
 
+/// Generates one request.
 fn arrival(scenario: &Scenario, at: Duration, shares: f64, rng: &mut ChaCha8Rng) -> Arrival {
     let mut sample = rng.random::<f64>() * shares;
     let class = scenario.classes.iter().position(|c| {
@@ -516,7 +527,7 @@
     });
     let class = class.unwrap_or(scenario.classes.len() - 1);
     let c = &scenario.classes[class];
-    let (usual, heavy) = (rng.random::<f64>(), rng.random::<f64>());
+    let (abandon_sample, heavy_sample) = (rng.random::<f64>(), rng.random::<f64>());
     let mut work_ms = match LogNormal::from_mean_cv(c.work_ms, c.work_cv) {
         Ok(spread) if c.work_cv > 0.0 => spread.sample(rng),
         _ => c.work_ms,
@@ -524,7 +535,7 @@
     for fault in &scenario.faults {
         if let FaultKind::Heavy { class: of, share, factor } = fault.kind
             && of == class
-            && heavy < share
+            && heavy_sample < share
             && at >= fault.start
             && at < fault.start + fault.length
         {
@@ -533,7 +544,7 @@
     }
     let (session_id, balancer_sample, when) = (rng.next_u64(), rng.next_u64(), rng.random::<f64>());
     let id = format!("{:016x}", rng.next_u64());
-    let abandoned_after = usual < scenario.clients.abandon_share;
+    let abandoned_after = abandon_sample < scenario.clients.abandon_share;
     let abandoned_after = abandoned_after.then(|| c.latency_objective.mul_f64(when));
     Arrival {
         at,
@@ -553,21 +564,21 @@
 fn closed_loop_arrivals(scenario: &Scenario, seed: u64, closed: Closed) -> Vec<Arrival> {
     let mut rng = stream(seed, ARRIVALS);
     let shares: f64 = scenario.classes.iter().map(|c| c.share).sum();
-    let each = scenario.length.as_secs_f64() / closed.pause.as_secs_f64();
-    let all = closed.clients as usize * (each.ceil() as usize + 1);
+    let requests_per_client = scenario.length.as_secs_f64() / closed.pause.as_secs_f64();
+    let all = closed.clients as usize * (requests_per_client.ceil() as usize + 1);
     (0..all).map(|_| arrival(scenario, Duration::ZERO, shares, &mut rng)).collect()
 }
 
 /// Appends the repeats that clients send for requests that are not served.
-fn repeats(scenario: &Scenario, seed: u64, arrivals: &mut Vec<Arrival>) {
+fn add_repeats(scenario: &Scenario, seed: u64, arrivals: &mut Vec<Arrival>) {
     let mut rng = stream(seed, REPEATS);
-    let of = &scenario.clients.repeats;
+    let settings = &scenario.clients.repeats;
     for original in 0..arrivals.len() {
-        if of.share == 0.0 || rng.random::<f64>() >= of.share {
+        if settings.share == 0.0 || rng.random::<f64>() >= settings.share {
             continue;
         }
         let mut last = original;
-        for _ in 0..of.max_repeats {
+        for _ in 0..settings.max_repeats {
             let (balancer_sample, id) = (rng.next_u64(), format!("{:016x}", rng.next_u64()));
             let next =
                 Arrival { id, balancer_sample, next_repeat: None, ..arrivals[original].clone() };
--- a/crates/scenario/src/policy_actions.rs
+++ b/crates/scenario/src/policy_actions.rs
@@ -116,9 +116,10 @@
     all
 }
 
+/// Returns the indexes of the selected nodes.
 fn selected(selection: &Selection, machines: &[Machine], order: &[usize]) -> Vec<usize> {
-    let place = |n: usize| (machines[n].zone, Some(machines[n].cell));
-    select(selection, place, order)
+    let location = |n: usize| (machines[n].zone, Some(machines[n].cell));
+    select(selection, location, order)
 }
 
 /// Returns the calls of an action at one balancer. Calls that take an id get a placeholder, which the caller replaces.
--- a/crates/scenario/src/scenario/policy.rs
+++ b/crates/scenario/src/scenario/policy.rs
@@ -74,7 +74,7 @@
     },
     /// Rolls back to an earlier revision.
     Rollback {
-        /// Number of revisions to go back from the newest.
+        /// Number of revisions to go back from the newest; 1 is the one before it.
         steps: u32,
     },
     /// Cordons the selected upstreams, each by a call of its own.
