--- a/crates/checker/src/warm_up.rs
+++ b/crates/checker/src/warm_up.rs
@@ -10,7 +10,8 @@
 use hollowpaddle_scenario::record::{At, Line, Observation, Phase};
 use hollowpaddle_scenario::scenario::{cold_node_limit, counted_work};
 
-/// Least share of the work over the limit that must come from balancers that knew of the start.
+/// Least share of the work in the window that must come from balancers that knew of the start, for an overload to be a
+/// violation.
 const MIN_INFORMED_SHARE: f64 = 2.0 / 3.0;
 /// Tolerance of rounding errors, in requests.
 const ROUNDING: f64 = 1e-9;
@@ -19,14 +20,19 @@
 
 /// One cold start of a node.
 struct Start {
+    /// Time of the start.
     at: At,
+    /// Time at which the node is warm at the latest.
     until: At,
+    /// Work per millisecond of the warm node.
     full_speed: f64,
     /// Balancers that were notified of the start.
     informed: FxHashSet<usize>,
     /// Work of the attempts in the window: their time, their work, and whether their balancer knew of the start.
     sent: VecDeque<(At, f64, bool)>,
+    /// Sum of the work in the window, in milliseconds.
     sum: f64,
+    /// Whether the limit was exceeded already.
     is_over: bool,
 }
 
