--- a/crates/consensus/src/catch_up.rs
+++ b/crates/consensus/src/catch_up.rs
@@ -1,5 +1,5 @@
-//! Fetches the log of another node, as the state transfer of Viewstamped Replication, and enters a view with it;
-//! assembling the parts is left to `state_transfer`.
+//! Fetches the log of another node and enters a view with it: the state transfer of Viewstamped Replication. The
+//! parts are assembled in `state_transfer`.
 
 use hollowpaddle_peer_transport::NodeId;
 
@@ -14,7 +14,7 @@
 use crate::timing::VIEW_CHANGE_TIMEOUT;
 
 impl Replica {
-    /// Follows the leader of a view that has begun, and fetches its log.
+    /// Follows the leader of a view that has begun, and fetches the leader's log.
     pub(crate) fn follow(&mut self, view: View, heartbeat: &Heartbeat, actions: &mut Vec<Action>) {
         let is_same =
             |transfer: &StateTransfer| transfer.view == view && transfer.source == view.leader;
@@ -31,8 +31,8 @@
         self.start_transfer(StateTransfer::new(view.leader, view, first, heartbeat.op), actions);
     }
 
-    /// Number of the first entry to fetch of a log of this epoch: up to the committed entry all logs of an epoch
-    /// are the same. 0 for the whole log.
+    /// Returns the number of the first entry to fetch of a log of this epoch, or 0 for the whole log. All logs of an
+    /// epoch are the same up to a committed entry.
     pub(crate) fn first_needed(&self, epoch: u32) -> u64 {
         let is_same_epoch = !self.state_lost && self.last_normal_view.epoch == epoch;
         if is_same_epoch { self.commit + 1 } else { 0 }
@@ -110,7 +110,8 @@
         }
     }
 
-    /// A candidate takes over the best log of its voters. Entries that it missed can be delivered from it.
+    /// Replaces the candidate's log by the best log among its votes, which has the entries that the candidate lacked
+    /// and has yet to deliver.
     fn adopt_best_log(&mut self, transfer: StateTransfer, actions: &mut Vec<Action>) {
         let best = self.best_vote().map(|(_, vote)| vote);
         let is_other_epoch =
@@ -139,7 +140,7 @@
         self.try_lead_with_best_log(actions);
     }
 
-    /// A follower enters the view whose log it has fetched.
+    /// Enters a view as a follower, after its log was fetched.
     fn enter_fetched_view(&mut self, transfer: StateTransfer, actions: &mut Vec<Action>) {
         let view = transfer.view;
         let end = transfer.position().next_op;
@@ -166,7 +167,7 @@
         self.send(view.leader, ok, actions);
     }
 
-    /// Takes part in a view from now on, with its log.
+    /// Begins to take part in a view, with the log of that view.
     pub(crate) fn enter_view(
         &mut self,
         view: View,
@@ -192,7 +193,7 @@
         self.commit_through(commit, actions);
     }
 
-    /// Delivers the committed entries that were not delivered yet.
+    /// Delivers the committed entries that have not been delivered.
     pub(crate) fn deliver_committed(&mut self, actions: &mut Vec<Action>) {
         let epoch = self.last_normal_view.epoch;
         let continues = |last: &LogIndex| last.epoch() == epoch && last.op() >= self.log.start();
--- a/crates/consensus/src/dispatch.rs
+++ b/crates/consensus/src/dispatch.rs
@@ -1,4 +1,4 @@
-//! Which handler a message goes to, and whether it counts: messages of ended incarnations do not.
+//! Dispatches messages to their handlers, and drops messages of ended incarnations.
 
 use hollowpaddle_peer_transport::NodeId;
 
@@ -99,7 +99,7 @@
         }
     }
 
-    /// Takes over the incarnation counts of a message; `false` if the message does not count.
+    /// Merges the incarnation counts of a message, and returns whether the message is to be handled.
     fn merge_incarnations(
         &mut self,
         from: NodeId,
@@ -120,7 +120,7 @@
         if has_state && reported_own > own {
             self.incarnation_counts.insert(self.config.node_id, reported_own);
             self.lose_state(
-                "the others know another life of it: an old directory, or two processes",
+                "peers know another incarnation of this node: an old directory, or two processes",
                 actions,
             );
             return false;
@@ -128,12 +128,12 @@
         true
     }
 
-    /// Takes over the incarnation count of another voter. What its previous incarnation acknowledged counts no
-    /// longer.
+    /// Merges the incarnation count of another voter. A greater count voids the acknowledgements of the voter's
+    /// previous incarnation.
     fn merge_incarnation(&mut self, node: NodeId, count: u32) {
         let has_room = self.incarnation_counts.len() < MAX_VOTERS
             || self.incarnation_counts.contains_key(&node);
-        // Only voters: counts of others would take up the room for theirs.
+        // Counts of non-voters are dropped, since they would use up the limited number of counts.
         if node == self.config.node_id || !has_room || !self.voter_set.has(node) {
             return;
         }
@@ -147,8 +147,8 @@
         }
     }
 
-    /// Handles a message to a node that is not a voter: a leader may have made it one, or may be about to.
-    /// Whether the message is handled as by a voter.
+    /// Handles a message to a node that is not a voter, which a leader may have added or may be about to add as a
+    /// voter. Returns whether the message is also to be dispatched to the handlers of a voter.
     fn accepts_as_non_voter(
         &mut self,
         from: NodeId,
@@ -161,7 +161,7 @@
                 let voter_set = &heartbeat.voter_set;
                 if voter_set.voters.contains(&node_id) {
                     self.voter_set = voter_set.clone();
-                    self.lose_state("it is in the council from now on", actions);
+                    self.lose_state("this node has become a voter", actions);
                 } else if voter_set.joining == Some(node_id) {
                     let answer = Self::joining_heartbeat(voter_set.clone());
                     self.send(from, MessageBody::Heartbeat(answer), actions);
--- a/crates/consensus/src/durability.rs
+++ b/crates/consensus/src/durability.rs
@@ -1,5 +1,5 @@
-//! Sends no message before the records that it is based on are on disk, and handles a failing disk; writing the
-//! records is left to the store.
+//! Delays each message until the records that it is based on are on disk, and handles a failing disk. The store
+//! writes the records.
 
 use hollowpaddle_peer_transport::{Channel, NodeId};
 
@@ -8,13 +8,13 @@
 use crate::message::{Message, MessageBody, ReplicaStatus};
 use crate::replica::{AwaitingSync, Replica};
 
-/// Messages that wait for the disk at most. The oldest of more are dropped, as if they were lost: a disk that
-/// hangs would fill the memory.
+/// Largest number of messages that wait for the disk. Beyond it the oldest messages are dropped, as if lost in the
+/// network; otherwise the queue would exhaust the memory while the disk hangs.
 const MAX_MESSAGES_AWAITING_SYNC: usize = 4096;
 
 impl Replica {
-    /// Sends a message once all records that were issued before are on disk, so that nothing this replica ever
-    /// sends is based on state that it could lose.
+    /// Sends a message once all records that were issued before it are on disk, so that no message is based on
+    /// state that a crash could lose.
     pub(crate) fn send(&mut self, to: NodeId, body: MessageBody, actions: &mut Vec<Action>) {
         let incarnation_counts = self.incarnation_counts.clone();
         let message = Message { view: self.view, incarnation_counts, body };
@@ -38,7 +38,7 @@
         }
     }
 
-    /// Sends a message to all other voters, and to one that joins.
+    /// Sends a message to all other voters, and to the joining voter, if any.
     pub(crate) fn broadcast(&mut self, body: &MessageBody, actions: &mut Vec<Action>) {
         let mut receivers = self.voter_set.voters.clone();
         receivers.extend(self.voter_set.joining);
@@ -55,7 +55,7 @@
         }
     }
 
-    /// Gives records from now on greater numbers than this one, if none is under way.
+    /// Continues the record numbers after this number, if it is greater and no record awaits a sync.
     pub(crate) fn continue_numbers_after(&mut self, number: u64) {
         if self.issued == self.persisted && number > self.issued {
             self.issued = number;
@@ -98,7 +98,7 @@
 
     pub(crate) fn on_disk_failed(&mut self, actions: &mut Vec<Action>) {
         self.step_down(actions);
-        // What waited for the disk is never sent.
+        // Messages that wait for the disk are never sent.
         self.awaiting_sync.clear();
         self.loopback.clear();
         self.abandon_transitions();
@@ -112,10 +112,10 @@
             return;
         }
         self.persisted = self.issued;
-        self.lose_state("the disk failed, and takes records again", actions);
+        self.lose_state("the disk failed, and accepts records again", actions);
     }
 
-    /// Discards all state, since nothing that this process has promised counts any longer.
+    /// Discards all state and starts recovery, because the earlier promises of this process no longer count.
     pub(crate) fn lose_state(&mut self, reason: &'static str, actions: &mut Vec<Action>) {
         self.step_down(actions);
         self.awaiting_sync.clear();
--- a/crates/consensus/src/entry.rs
+++ b/crates/consensus/src/entry.rs
@@ -1,29 +1,29 @@
-//! Entries of the log, their indexes, and the proposals that they come from.
+//! Entries of the log, their indexes, and the ids and outcomes of proposals.
 
 use std::fmt;
 
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use serde::{Deserialize, Serialize};
 
-/// Largest command of an entry, in bytes. Larger ones are rejected, since every voter and learner holds
+/// Largest command of an entry, in bytes. Larger commands are rejected, since every voter and learner holds
 /// hundreds of entries.
 pub const MAX_ENTRY_BYTES: usize = 16 << 10;
 /// Bits of a [`LogIndex`] for the entry's number.
 const OP_BITS: u32 = 32;
-/// Upper bound of an encoded entry's bytes beside its command.
+/// Upper bound of the encoded length of an entry without its command, in bytes.
 const ENTRY_OVERHEAD_BYTES: usize = 32;
 
 /// A position in the log: the epoch in which the entry was committed, and its number, from 1.
 ///
-/// Numbers go on over epochs. An epoch that was bootstrapped from a copy without the latest entries assigns
-/// their numbers again, so only both together name an entry.
+/// Numbering continues across epochs. An epoch that was bootstrapped from a copy without the latest entries assigns
+/// the numbers of those entries again, so an entry is identified only by epoch and number together.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct LogIndex(pub u64);
 
 impl LogIndex {
-    /// The index of an epoch and a number below 2^32, which is a century at one entry a second.
+    /// Creates the index of an epoch and an entry number below 2^32, which is a century at one entry a second.
     pub const fn new(epoch: u32, op: u64) -> Self {
         Self((epoch as u64) << OP_BITS | (op & ((1 << OP_BITS) - 1)))
     }
@@ -45,16 +45,16 @@
     }
 }
 
-/// Identifies a proposal, so that repetitions of it become one entry.
+/// The id of a proposal. Repetitions of a proposal have the same id and become one entry.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct ProposalId {
     /// The node that proposed it.
     pub by: NodeId,
-    /// The process of that node.
+    /// The incarnation of the proposing process.
     pub incarnation: Incarnation,
-    /// Counted by that process.
+    /// Number of the proposal, counted by the proposing process.
     pub number: u64,
 }
 
@@ -63,9 +63,9 @@
 pub enum EntryPayload {
     /// A command of the state machine above, of at most [`MAX_ENTRY_BYTES`].
     Command(Vec<u8>),
-    /// Removes a voter. Another node may join in its place.
+    /// Removes a voter. Another node may replace it.
     RemoveVoter {
-        /// The voter.
+        /// The voter that is removed.
         removed: NodeId,
         /// The node that joins.
         replacement: Option<NodeId>,
@@ -77,14 +77,14 @@
 /// An entry of the log.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Entry {
-    /// The proposal that it came from.
+    /// The id of the proposal that became this entry.
     pub id: ProposalId,
-    /// Its content.
+    /// The content of the entry.
     pub what: EntryPayload,
 }
 
 impl Entry {
-    /// Upper bound of its encoded length in bytes.
+    /// Returns an upper bound of the encoded length, in bytes.
     pub(crate) fn encoded_bytes(&self) -> usize {
         match &self.what {
             EntryPayload::Command(bytes) => ENTRY_OVERHEAD_BYTES + bytes.len(),
@@ -96,11 +96,11 @@
 /// The outcome of a proposal.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ProposalOutcome {
-    /// It is committed at this index.
+    /// The proposal is committed at this index.
     Committed(LogIndex),
-    /// It is rejected, and will never be committed: it is larger than [`MAX_ENTRY_BYTES`], or an impossible
-    /// change of voters.
+    /// The proposal is rejected and will never be committed: its command is larger than [`MAX_ENTRY_BYTES`], or
+    /// its change of voters is impossible.
     Never,
-    /// No answer came in time. It may be committed, now or later; its id can be asked for.
+    /// No response arrived in time. The proposal may be committed now or later; its outcome can be queried by its id.
     Unknown,
 }
--- a/crates/consensus/src/epoch_bootstrap.rs
+++ b/crates/consensus/src/epoch_bootstrap.rs
@@ -1,5 +1,5 @@
-//! Bootstraps an epoch where a majority has lost its state, or where operators order it: who may, and when.
-//! Leading the epoch is left to `leadership`.
+//! Bootstraps an epoch after a majority has lost its state, or on an operator command: the conditions on which a
+//! replica begins or joins the bootstrap. The candidate becomes the leader in `leadership`.
 
 use std::time::Duration;
 
@@ -14,30 +14,30 @@
 use crate::timing::LEARNER_QUERY_PERIOD;
 use crate::voter_set::VoterSet;
 
-/// Time that each voter must have been without state before an epoch is bootstrapped. The leader of the epoch
-/// before has then had no majority for as long as a lease of 2 s lasts by any clock.
+/// Time for which each voter must have been without state before an epoch is bootstrapped. By then, the leader of the
+/// previous epoch has had no majority for at least the duration of a lease (2 s) on any node's clock.
 pub const EPOCH_BOOTSTRAP_DELAY: Duration = Duration::from_millis(2050);
 /// Delay of each voter after the one with the next lower node id.
 const BOOTSTRAP_STAGGER: Duration = Duration::from_millis(300);
-/// Time for which a voter must have asked its peers before it joins a bootstrap.
+/// Time for which a voter must have queried its peers before it joins a bootstrap.
 const MIN_QUERY_TIME: Duration = Duration::from_millis(300);
-/// Largest step of an epoch that is believed, so that a corrupted message does not use up all epochs.
+/// Largest accepted difference between two epochs, so that a corrupted message does not use up all epochs.
 const MAX_EPOCH_STEP: u32 = 1 << 24;
 
 impl Replica {
-    /// Bootstraps an epoch if so many voters have lost their state at one time that the others are no majority.
-    /// Then the epoch before is over, since nobody can learn its state from a majority.
+    /// Bootstraps an epoch if so many voters have lost their state at one time that the other voters are no majority.
+    /// The previous epoch has then ended, since its state can no longer be learned from a majority.
     pub(crate) fn consider_bootstrap(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let Some(recovery) = &self.recovery else { return };
         let without_state = self.voters_without_state(recovery);
         let last_loss = recovery.last_loss_of(&without_state);
-        // Each must have been asked again after the last of them was known to have lost its state.
+        // Each of these voters must have answered a request that was sent after the last state loss was reported.
         let confirmed: Vec<NodeId> = without_state
             .into_iter()
             .filter(|node| recovery.confirms_loss(*node, last_loss))
             .collect();
-        // This node has lost its state, too, and is among the remaining ones.
+        // This node has lost its state too, but counts among the remaining voters here.
         let remaining = self.voter_set.voters.len().saturating_sub(confirmed.len());
         if remaining > self.voter_set.majority() {
             return;
@@ -62,7 +62,7 @@
         self.voter_set.voters.iter().filter(has_lost_state).copied().collect()
     }
 
-    /// Bootstraps an epoch with the voters that operators name, because a majority is lost for good.
+    /// Bootstraps an epoch with the voters that operators name, after the permanent loss of a majority.
     pub(crate) fn force_epoch(&mut self, voters: &[NodeId], actions: &mut Vec<Action>) {
         if self.status == ReplicaStatus::DiskFailed || !voters.contains(&self.config.node_id) {
             return;
@@ -78,8 +78,8 @@
         self.begin_epoch_after(epoch, Some(bootstrap), actions);
     }
 
-    /// Whether a replica without state may join a bootstrap: it has asked a majority itself, and none of them knew
-    /// of a later view.
+    /// Whether a replica without state may join a bootstrap: a majority has responded to its status requests, and no
+    /// response knows of a later view.
     pub(crate) fn may_join_bootstrap(&self, candidate: NodeId, view: View) -> bool {
         let Some(recovery) = &self.recovery else { return self.state_lost };
         let reports = &recovery.reports;
@@ -92,7 +92,7 @@
             && reports.values().all(|report| report.view < view)
     }
 
-    /// Handles the position of a learner's copy of the log.
+    /// Handles a learner's report of the position of its copy of the log.
     pub(crate) fn on_learner_status(
         &mut self,
         from: NodeId,
@@ -102,8 +102,8 @@
         actions: &mut Vec<Action>,
     ) {
         if self.must_move_beyond(index) {
-            // An epoch was bootstrapped under a lower number than one that this learner knows, and learners never
-            // go back: the log goes on in a greater one.
+            // This epoch was bootstrapped with a lower number than the learner's epoch. Learners never return to a
+            // lower epoch, so the log continues in a greater one.
             self.begin_epoch_after(index.epoch(), None, actions);
             return;
         }
@@ -118,7 +118,7 @@
         self.adopt_voters(voter_set);
     }
 
-    /// Whether it leads an epoch that is lower than a learner's.
+    /// Whether this replica leads an epoch that is lower than a learner's epoch.
     fn must_move_beyond(&self, index: LogIndex) -> bool {
         let Some(leadership) = &self.leadership else { return false };
         let step = index.epoch().saturating_sub(self.last_normal_view.epoch);
@@ -128,20 +128,22 @@
 }
 
 impl RecoveryState {
-    /// When the last of these voters was first known to have lost its state, or this recovery began.
+    /// Returns the latest time at which one of these voters first reported the loss of its state, or the start of this
+    /// recovery if that is later.
     fn last_loss_of(&self, voters: &[NodeId]) -> Duration {
         let losses = voters.iter().filter_map(|node| self.state_losses.get(node));
         losses.map(|loss| loss.received_at).max().unwrap_or(self.began_at).max(self.began_at)
     }
 
-    /// Whether the same process of a voter that has lost its state answered a request sent since then.
+    /// Whether the process of a voter that reported the loss of its state has answered a request sent at `since` or
+    /// later.
     fn confirms_loss(&self, node: NodeId, since: Duration) -> bool {
         let Some(report) = self.reports.get(&node) else { return false };
         let loss = self.state_losses.get(&node).map(|loss| loss.own_incarnation);
         Duration::from_millis(report.asked_at_ms) >= since && loss == Some(report.own_incarnation)
     }
 
-    /// The greatest epoch that voters and learners have told.
+    /// Returns the greatest epoch that voters and learners have reported.
     fn latest_epoch(&self) -> u32 {
         let of_voters = self.reports.values().map(|report| report.view.epoch).max().unwrap_or(0);
         let of_learner = self.best_copy.map_or(0, |copy| copy.index.epoch());
--- a/crates/consensus/src/heartbeat.rs
+++ b/crates/consensus/src/heartbeat.rs
@@ -1,5 +1,4 @@
-//! Heartbeats between voters: what they tell, and what a received one leads to. Beginning a view is left to
-//! `view_change`.
+//! Heartbeats between voters: their content and the handling of received ones. Views are begun in `view_change`.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -13,13 +12,13 @@
 use crate::timing::{LEARNER_QUERY_PERIOD, PEER_TIMEOUT, VIEW_CHANGE_TIMEOUT};
 use crate::voter_set::{MAX_VOTERS, VoterSet};
 
-/// Heartbeats that a leader remembers, to match their answers.
+/// Number of sent heartbeats that a leader remembers, to match acknowledgements to them.
 const MAX_TRACKED_HEARTBEATS: usize = 16;
-/// Peers whose heartbeats are remembered at most.
+/// Largest number of peers whose heartbeats are remembered.
 const MAX_TRACKED_PEERS: usize = 2 * MAX_VOTERS;
 
 impl LeaderState {
-    /// Numbers a new heartbeat.
+    /// Assigns a number to a new heartbeat, and remembers the time at which it is sent.
     fn next_heartbeat(&mut self, now: Duration) -> u32 {
         self.heartbeat_number = self.heartbeat_number.wrapping_add(1).max(1);
         self.heartbeats.push_back(SentHeartbeat { number: self.heartbeat_number, sent_at: now });
@@ -35,7 +34,8 @@
         self.now.saturating_sub(peer.last_heartbeat_at) < PEER_TIMEOUT
     }
 
-    /// Whether it is connected to no leader: only then it begins a view, or takes part in another's.
+    /// Whether the replica is connected to no leader. Only a leaderless replica begins a view, or joins a view of a
+    /// candidate other than its leader.
     pub(crate) fn is_leaderless(&self) -> bool {
         if self.leadership.is_some() {
             return false;
@@ -48,12 +48,12 @@
         !self.peers.get(&self.view.leader).is_some_and(leads_view)
     }
 
-    /// Whether it has been leaderless for so long that its view counts as stuck.
+    /// Whether the replica has been leaderless for so long that its view counts as stuck.
     pub(crate) fn is_leaderless_for_long(&self) -> bool {
         self.leaderless_since.is_some_and(|since| self.has_passed(since, LEARNER_QUERY_PERIOD))
     }
 
-    /// Tells all voters where it stands. A leader acknowledges its own heartbeat.
+    /// Sends a heartbeat to all voters. A leader also acknowledges its own heartbeat.
     pub(crate) fn send_heartbeat(&mut self, actions: &mut Vec<Action>) {
         let now = self.now;
         let number = self.leadership.as_mut().map_or(0, |leader| leader.next_heartbeat(now));
@@ -76,7 +76,7 @@
             connected: connected.collect(),
             op: self.log.op(),
             commit: self.commit,
-            // The heartbeat waits for the issued records; with a failed disk nothing waits.
+            // The heartbeat is sent once the issued records are on disk. With a failed disk messages do not wait.
             persisted: if is_disk_failed { self.persisted } else { self.issued },
             number,
             voter_set: self.voter_set.clone(),
@@ -113,7 +113,7 @@
         self.follow_or_supersede(from, view, heartbeat, is_leader, actions);
     }
 
-    /// Whether a leader tells that this node was removed while it was disconnected.
+    /// Whether a leader's heartbeat shows that this node was removed while it was disconnected.
     fn is_removed_by(&self, view: View, heartbeat: &Heartbeat) -> bool {
         let reported = &heartbeat.voter_set;
         reported.changed_at > self.voter_set.changed_at
@@ -122,7 +122,7 @@
             && view >= self.view
     }
 
-    /// A leader tells a node that still takes itself for a voter that it is none.
+    /// Notifies a removed node that still acts as a voter, if this replica leads.
     fn notify_removed_voter(
         &mut self,
         to: NodeId,
@@ -165,11 +165,12 @@
         }
     }
 
-    /// Starts recovery if a leader shows that what this replica takes part in is void.
+    /// Starts recovery if a leader's heartbeat shows that the bootstrap or view of this replica is void, and returns
+    /// whether it did.
     fn recovers_under(&mut self, view: View, actions: &mut Vec<Action>) -> bool {
         if self.state_lost && view != self.view {
-            // There is a leader, so nothing is to be bootstrapped. A previous incarnation of this node may have
-            // promised a later view than that leader's, so it recovers like any that has lost its state.
+            // There is a leader, so no epoch is to be bootstrapped. A previous incarnation of this node may have
+            // promised a later view than that leader's, so this replica recovers like any that has lost its state.
             self.start_recovery(false);
             return true;
         }
@@ -179,9 +180,9 @@
         let is_stuck_in_change =
             self.status == ReplicaStatus::ViewChange && self.now > self.next_view_change;
         if (is_stuck_in_normal || is_stuck_in_change) && view.epoch < self.view.epoch {
-            // It promised an epoch that never began, and a majority goes on without it. A replica that loses its
-            // state need not keep its promises, so it recovers like one.
-            self.lose_state("it promised an epoch that never began", actions);
+            // This replica promised an epoch that never began, and a majority continues without it. A replica that has
+            // lost its state is not bound by its promises, so this one discards its state and recovers.
+            self.lose_state("this node promised an epoch that never began", actions);
             return true;
         }
         false
@@ -221,8 +222,8 @@
         self.commit_through(heartbeat.commit, actions);
     }
 
-    /// Whether a leader has to begin a new view for a voter that promised a later one which never began, and
-    /// can't come back to this one.
+    /// Whether this leader has to begin a new view, because a voter has promised a later view that never began and
+    /// so cannot return to the current view.
     fn must_supersede(&self, view: View, heartbeat: &Heartbeat) -> bool {
         let Some(leadership) = &self.leadership else { return false };
         view > self.view
@@ -232,7 +233,7 @@
             && self.now.saturating_sub(leadership.since) > VIEW_CHANGE_TIMEOUT
     }
 
-    /// A heartbeat from one that is not a voter, to be admitted by the leader.
+    /// Returns the heartbeat of a joining node, by which the leader admits it as a voter.
     pub(crate) fn joining_heartbeat(voter_set: VoterSet) -> Heartbeat {
         Heartbeat {
             status: ReplicaStatus::NonVoter,
--- a/crates/consensus/src/interface.rs
+++ b/crates/consensus/src/interface.rs
@@ -1,4 +1,4 @@
-//! The configuration, the events and the actions of a replica; handling them is left to [`crate::Replica`].
+//! The configuration, the events and the actions of a replica; [`crate::Replica`] handles the events.
 
 use std::time::Duration;
 
@@ -12,27 +12,27 @@
 /// The configuration of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct ReplicaConfig {
-    /// This node.
+    /// The id of this node.
     pub node_id: NodeId,
-    /// This process.
+    /// The incarnation of this process.
     pub incarnation: Incarnation,
-    /// The configured voters, which count until a peer tells of a later change.
+    /// The configured voters, which are used until a peer reports a later change of the voters.
     pub voters: Vec<NodeId>,
-    /// Number of nodes in the cluster, whose learners are asked for copies of the log.
+    /// Number of nodes in the cluster. A recovering replica queries the learners of all nodes for copies of the log.
     pub cluster: u16,
-    /// There is a state directory, so that messages wait for [`Event::Persisted`].
+    /// Whether the node has a state directory, so that messages wait for [`Event::Persisted`].
     pub directory: bool,
-    /// Number of learners that are not voters which must have an entry before its proposal is acknowledged, as
-    /// far as there are such learners. Without directories 2, with them 0.
+    /// Number of learners on non-voters that must have an entry before its proposal is acknowledged. If fewer
+    /// such learners report their position, all of them must have the entry. 2 without directories, 0 with them.
     pub copies: u8,
     /// Seed of timeouts and epochs.
     pub seed: u64,
 }
 
-/// A command of the operators.
+/// An operator command.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum OperatorCommand {
-    /// Replaces a voter, which may be dead. Answered like a proposal with this id.
+    /// Replaces a voter, which may be dead. The response is that of a proposal with this id.
     ReplaceVoter {
         /// Identifies the proposal.
         id: ProposalId,
@@ -41,8 +41,9 @@
         /// The node that joins.
         replacement: Option<NodeId>,
     },
-    /// Bootstraps an epoch with these voters on their best copy of the log, because a majority is lost for good.
-    /// If the majority is only disconnected the log forks, and the greater epoch wins when they meet.
+    /// Bootstraps an epoch with these voters and the best copy of the log that they have, after the permanent
+    /// loss of a majority. If the majority is only disconnected, the log forks, and the greater epoch
+    /// wins on reconnection.
     ForceNewEpoch {
         /// The voters of the new epoch.
         members: Vec<NodeId>,
@@ -52,13 +53,13 @@
 /// Input of a replica.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Event {
-    /// Time has passed: at least every 25 ms.
+    /// Reports the passage of time, at least every 25 ms.
     Tick,
     /// A message of the channel `Consensus` was received.
     Message {
         /// The sender.
         from: NodeId,
-        /// The sender's process.
+        /// The incarnation of the sender's process.
         incarnation: Incarnation,
         /// The message.
         message: Message,
@@ -68,78 +69,78 @@
         /// Number of the last record.
         through: u64,
     },
-    /// A record could not be written or synced.
+    /// A write or a sync of a record failed.
     DiskFailed {
         /// The error.
         cause: String,
     },
-    /// The directory takes records again, and is empty.
+    /// The directory is empty and accepts records again.
     DiskWell,
-    /// The state machine above made a snapshot at an entry.
+    /// The state machine above took a snapshot at an entry.
     Snapshot {
         /// The entry.
         index: LogIndex,
-        /// At most [`crate::MAX_SNAPSHOT_BYTES`] less 64 KiB.
+        /// The snapshot, of at most [`crate::MAX_SNAPSHOT_BYTES`] less 64 KiB.
         bytes: Vec<u8>,
     },
-    /// A learner that is not a voter has the log up to an entry.
+    /// A learner on a non-voter reports that it has the log up to an entry.
     LearnerAdvanced {
         /// The learner.
         by: NodeId,
         /// The entry.
         index: LogIndex,
     },
-    /// A command of the operators.
+    /// An operator command was received.
     OperatorCommand(OperatorCommand),
 }
 
-/// Output of a replica, to be carried out in order.
+/// Output of a replica. The runtime executes actions in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum Action {
-    /// Send a message to another node, or to this node's learner if its channel is `Log`.
+    /// Sends a message to another node, or to this node's learner if the message's channel is `Log`.
     Send {
         /// The receiver.
         to: NodeId,
         /// The message.
         message: Message,
     },
-    /// Write and sync a record, in the order of the numbers.
+    /// Writes and syncs a record, in the order of the record numbers.
     Persist {
-        /// Its number, counted over all processes that used the directory.
+        /// Number of the record, counted over all processes that used the directory.
         number: u64,
         /// The record.
         record: Record,
     },
-    /// The replica leads a view from now on, possibly after another one that it led.
+    /// The replica begins to lead a view, possibly directly after another view that it led.
     Leads {
         /// The view.
         view: View,
-        /// When it began to lead, on its own clock.
+        /// Time at which the replica began to lead, on its own clock.
         since: Duration,
     },
-    /// The replica leads no longer.
+    /// The replica stops leading.
     Follows,
-    /// A majority of the view answered a heartbeat, on which leases are based.
+    /// A majority of the view acknowledged a heartbeat. Leases are based on its time.
     Round {
-        /// When the heartbeat was sent, on the replica's clock.
+        /// Time at which the heartbeat was sent, on the replica's clock.
         began: Duration,
     },
-    /// An entry is committed. Each is delivered once per process and epoch, in order.
+    /// Delivers a committed entry. Each entry is delivered once per process and epoch, in order.
     Committed {
         /// The entry's index.
         index: LogIndex,
         /// The entry.
         entry: Entry,
     },
-    /// Replace the state by this snapshot, which voids everything delivered before.
+    /// Replaces the state of the state machine above by this snapshot, which voids all earlier deliveries.
     Reset {
-        /// The last entry in it.
+        /// The last entry in the snapshot.
         index: LogIndex,
-        /// The snapshot, with that of the state machine above.
+        /// The snapshot, including that of the state machine above.
         base: SnapshotBase,
     },
-    /// The log grows long, and [`Event::Snapshot`] is wanted.
+    /// Requests an [`Event::Snapshot`], because the log has grown long.
     SnapshotWanted,
-    /// The replica has lost its state, or its directory is not trusted; with the reason.
+    /// The replica has lost its state, or does not trust its directory. The text is the reason.
     StateLost(&'static str),
 }
--- a/crates/consensus/src/leadership.rs
+++ b/crates/consensus/src/leadership.rs
@@ -1,5 +1,5 @@
-//! How a candidate becomes the leader of its view: with a majority of votes and the best log among them. Fetching
-//! that log is left to `catch_up`.
+//! Makes a candidate the leader of its view, once it has a majority of votes and the best log among them. The best
+//! log is fetched in `catch_up`.
 
 use std::time::Duration;
 
@@ -14,16 +14,16 @@
 use crate::state_transfer::StateTransfer;
 use crate::timing::HEARTBEAT_INTERVAL;
 
-/// Time for which the candidate of a bootstrap waits for the votes of all voters, of which any may have the only
+/// Time for which the candidate of a bootstrap waits for the votes of all voters, since any voter may have the only
 /// copy of an entry.
 const ALL_VOTES_TIMEOUT: Duration = Duration::from_millis(300);
-/// Numbers from which a new epoch is chosen, beyond the last one.
+/// Size of the range above the last epoch from which a new epoch is chosen.
 const EPOCH_RANGE: u64 = 1 << 20;
 
 impl Replica {
-    /// The vote with the log to go on from: of those with state, the one of the latest normal view, and of those
-    /// the longest log. It has every committed entry of that epoch, since the majority that acknowledged the entry
-    /// intersects the one that voted.
+    /// Returns the vote with the best log: among the votes of voters with state, the one with the latest normal
+    /// view, and among equal views the one with the longest log. That log has every committed entry of its epoch,
+    /// since the majority that acknowledged an entry intersects the majority that voted.
     pub(crate) fn best_vote(&self) -> Option<(NodeId, DoViewChangeVote)> {
         let node_id = self.config.node_id;
         let votes = self.votes.iter().filter(|(_, vote)| !vote.state_lost);
@@ -32,7 +32,8 @@
         best.map(|(node, vote)| (*node, *vote))
     }
 
-    /// Leads, if a majority has voted and it has their best log; otherwise fetches that.
+    /// Begins to lead if a majority has voted and this replica has the best log among the votes; otherwise fetches the
+    /// best log.
     pub(crate) fn try_lead(&mut self, actions: &mut Vec<Action>) {
         if !self.has_enough_votes() {
             return;
@@ -45,7 +46,7 @@
         }
     }
 
-    /// Leads with the best log, which was just fetched, if a majority still votes for it.
+    /// Begins to lead with the best log, after it was fetched, if a majority still votes for this replica.
     pub(crate) fn try_lead_with_best_log(&mut self, actions: &mut Vec<Action>) {
         if self.has_enough_votes() {
             self.lead_if_allowed(actions);
@@ -56,7 +57,7 @@
         if self.transfer.is_some() {
             return false;
         }
-        // An incarnation that has ended does not vote, whatever it said.
+        // A vote of an ended incarnation does not count.
         let counts = &self.incarnation_counts;
         let is_current = |node: &NodeId, vote: &DoViewChangeVote| {
             vote.incarnation_count >= counts.get(node).copied().unwrap_or(0)
@@ -76,9 +77,9 @@
             return;
         }
         if !self.has_votes_of_one_epoch() {
-            // A voter that comes from another epoch may once have been in this one, and have lost the entries that
-            // it acknowledged. The log goes on in a new epoch, so that no index is assigned twice. Others may
-            // still vote before.
+            // A voter whose last normal view is of another epoch may have taken part in this epoch before, and have
+            // lost entries that it acknowledged. The log continues in a new epoch, so that no index is assigned
+            // twice. Until shortly before the timeout of the view change, further votes may arrive.
             if self.now + ALL_VOTES_TIMEOUT >= self.next_view_change {
                 self.begin_epoch_after(self.view.epoch, None, actions);
             }
@@ -90,7 +91,8 @@
         }
     }
 
-    /// Whether a majority of the votes comes from this view's epoch, or none does: then the epoch is new.
+    /// Whether a majority of the voters has voted with a log of this view's epoch, or no voter has, so that the epoch
+    /// is new.
     fn has_votes_of_one_epoch(&self) -> bool {
         let is_of_epoch = |vote: &DoViewChangeVote| {
             !vote.state_lost && vote.last_normal_view.epoch == self.view.epoch
@@ -100,8 +102,8 @@
         voters.is_empty() || self.voter_set.is_majority(voters)
     }
 
-    /// Whether the votes are a majority of the current voters, and of those after each change in the log: the
-    /// change may be committed.
+    /// Whether the votes are a majority of the current voters, and of the voters after each uncommitted change of
+    /// voters in the log. Such a change may have been committed by the previous leader.
     fn has_majority_of_each_voter_set(&self) -> bool {
         let mut voter_set = self.voter_set.clone();
         for op in self.commit + 1..=self.log.op() {
@@ -115,7 +117,7 @@
         true
     }
 
-    /// The last entry that any vote of the log's epoch knows to be committed.
+    /// Returns the number of the last entry that any vote of the log's epoch reports as committed.
     fn commit_of_votes(&self) -> u64 {
         let epoch = self.last_normal_view.epoch;
         let is_of_epoch =
@@ -124,7 +126,8 @@
         commits.max().unwrap_or(0).max(self.commit)
     }
 
-    /// The learner's copy for a bootstrap, if it goes beyond what the best vote knows to be committed.
+    /// Returns the learner's copy for a bootstrap, if its last entry is after the last entry that the best vote reports
+    /// as committed.
     fn better_learner_copy(&self, best: Option<(NodeId, DoViewChangeVote)>) -> Option<LearnerCopy> {
         let committed =
             best.map(|(_, vote)| LogIndex::new(vote.last_normal_view.epoch, vote.commit));
@@ -157,8 +160,8 @@
         }
     }
 
-    /// Leads the first view of an epoch with the log that there is. Its voters are those that bootstrap it, so
-    /// changes of voters in the log become empty commands.
+    /// Begins to lead the first view of an epoch, with the current log. The voters of the epoch are those of its
+    /// bootstrap, so changes of voters in the log are replaced by empty commands.
     fn lead_bootstrapped_epoch(&mut self, actions: &mut Vec<Action>) {
         let mut base = self.log.base().clone();
         base.voter_set = self.voter_set.clone();
@@ -184,7 +187,7 @@
 
     /// Begins the first view of an epoch that is greater than this one.
     ///
-    /// The epoch is chosen at random, so that two that are bootstrapped by disconnected halves differ.
+    /// The epoch is chosen at random, so that two disconnected halves of a cluster bootstrap different epochs.
     pub(crate) fn begin_epoch_after(
         &mut self,
         epoch: u32,
--- a/crates/consensus/src/learner.rs
+++ b/crates/consensus/src/learner.rs
@@ -1,5 +1,5 @@
-//! A learner, which every node runs: it learns the committed entries in order, passes them on to its children in
-//! the dissemination tree, and brings proposals to the leader. Voting is left to [`crate::Replica`].
+//! A learner, which every node runs. A learner learns the committed entries in order, forwards them to its children in
+//! the dissemination tree, and sends proposals to the leader. [`crate::Replica`] is the voter.
 
 mod children;
 mod interface;
@@ -27,19 +27,19 @@
 
 /// Interval at which a learner polls its source.
 pub const POLL_INTERVAL: Duration = Duration::from_millis(300);
-/// Time without a message, after two polls, after which a source is changed.
+/// Time without a message of the source, which covers two polls, after which the source is changed.
 pub const SOURCE_TIMEOUT: Duration = Duration::from_millis(700);
-/// Time since the leader was known to lead, by the source's messages, after which the source is changed.
+/// Time since the leader was last known to lead, according to the source, after which the source is changed.
 pub const MAX_LEADER_AGE: Duration = Duration::from_millis(1500);
-/// Time after which something that was requested or sent and has not arrived is repeated. It is also the interval
-/// of [`MAX_CHUNKS_PER_INTERVAL`].
+/// Time after which an unanswered request, or the sending of unconfirmed entries, is repeated. This is also the
+/// interval of [`MAX_CHUNKS_PER_INTERVAL`].
 const RETRY_INTERVAL: Duration = Duration::from_millis(100);
-/// Parts of a log, of 16 KiB at most, that a learner sends to all nodes within 100 ms: it bounds the burst when many
-/// catch up at once.
+/// Largest number of parts of a log, of at most 16 KiB each, that a learner sends to all nodes together within 100 ms.
+/// The limit bounds the burst when many nodes catch up at once.
 pub const MAX_CHUNKS_PER_INTERVAL: u32 = 32;
 /// Time after which the outcome of a proposal without an answer is reported as unknown.
 pub const PROPOSAL_TIMEOUT: Duration = Duration::from_secs(10);
-/// Proposals under way at one node. The outcome of one more is reported as unknown at once.
+/// Largest number of pending proposals at one node. The outcome of a further proposal is reported as unknown at once.
 pub const MAX_PENDING_PROPOSALS: usize = 256;
 
 /// A learner of the replicated log.
@@ -51,40 +51,40 @@
     epoch: u32,
     log: Log,
     voter_set: VoterSet,
-    /// The leader that it was told.
+    /// The last reported leader.
     leader: Option<NodeId>,
-    /// This process's replica is connected to the leader.
+    /// Whether this process's replica is connected to the leader.
     is_replica_connected: bool,
-    /// When the leader was known to lead, by the source.
+    /// Time at which the leader was last known to lead, according to the source.
     leader_seen_at: Option<Duration>,
     /// All nodes in the order of the dissemination tree.
     tree_order: Vec<NodeId>,
     source: Option<NodeId>,
-    /// Sources that were changed since the one of the tree.
+    /// Number of changes of the source since the source was the parent in the tree.
     source_changes: u32,
-    /// When the source was chosen.
+    /// Time at which the source was chosen.
     source_since: Duration,
-    /// When the source last sent something.
+    /// Time of the last message of the source.
     source_active_at: Duration,
     polled_at: Option<Duration>,
-    /// The source has entries that were requested and have not arrived.
+    /// Whether the source has entries that this learner lacks.
     is_behind: bool,
     snapshot: SnapshotAssembly,
     /// The epoch of the snapshot that is being fetched.
     snapshot_epoch: u32,
-    /// Counts requests to nodes other than the source.
+    /// Number of snapshot requests to nodes other than the source.
     other_requests: usize,
     children: BTreeMap<NodeId, Child>,
-    /// Parts sent in the current interval.
+    /// Number of parts sent in the current interval.
     chunks_sent: u32,
     chunk_interval_began: Duration,
     pending_proposals: BTreeMap<ProposalId, PendingProposal>,
-    /// Number of the entry at which a snapshot was wanted last.
+    /// Number of the entry at which a snapshot was last requested.
     snapshot_wanted_at: u64,
 }
 
 impl Learner {
-    /// A learner without entries.
+    /// Creates a learner without entries.
     pub fn new(now: Duration, config: LearnerConfig) -> Self {
         let voter_set = VoterSet::of(config.voters.iter().copied());
         let base = SnapshotBase { voter_set: voter_set.clone(), ..SnapshotBase::default() };
@@ -147,32 +147,32 @@
         }
     }
 
-    /// The last entry that it has.
+    /// Returns the index of the learner's last entry.
     pub fn at(&self) -> LogIndex {
         LogIndex::new(self.epoch, self.log.op())
     }
 
-    /// The node that it learns from.
+    /// Returns the node that this learner learns from.
     pub fn source(&self) -> Option<NodeId> {
         self.source
     }
 
-    /// The nodes that learn from it.
+    /// Returns the nodes that learn from this learner.
     pub fn children(&self) -> impl Iterator<Item = NodeId> {
         self.children.keys().copied()
     }
 
-    /// The leader that it was told.
+    /// Returns the last reported leader.
     pub fn leader(&self) -> Option<NodeId> {
         self.leader
     }
 
-    /// The voters that it knows.
+    /// Returns the current voters, as known to the learner.
     pub fn members(&self) -> &VoterSet {
         &self.voter_set
     }
 
-    /// A random number below `bound`.
+    /// Returns a random number below `bound`.
     fn sample(&mut self, bound: usize) -> usize {
         // A linear congruential generator (Knuth's MMIX), of which the upper bits are used.
         self.rng_state = self
@@ -240,7 +240,7 @@
         }
     }
 
-    /// Tells how far its copy of the log goes.
+    /// Reports the last entry of this learner's copy of the log.
     fn send_status(&self, to: NodeId, nonce: u64, actions: &mut Vec<LearnerAction>) {
         let (index, voter_set) = (self.at(), self.voter_set.clone());
         let body = MessageBody::LearnerStatusResponse { nonce, index, voter_set };
--- a/crates/consensus/src/learner/children.rs
+++ b/crates/consensus/src/learner/children.rs
@@ -1,4 +1,4 @@
-//! Passes the log on to the children in the dissemination tree, and to nodes that recover, at a bounded rate.
+//! Sends the log to the children in the dissemination tree and to recovering replicas, at a bounded rate.
 
 use std::time::Duration;
 
@@ -9,13 +9,14 @@
 use crate::learner_tree::MAX_CHILDREN;
 use crate::message::{LogPart, MessageBody};
 
-/// Children beyond those of the tree, whose own source is gone. More are not answered, and look elsewhere.
+/// Largest number of children whose own source has failed, in addition to the children in the tree. Polls of further
+/// nodes are not answered, so that those nodes choose another source.
 const MAX_EXTRA_CHILDREN: usize = 8;
 
 /// A node that learns from this one.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct Child {
-    /// The last entry that it has.
+    /// The last entry that the child has.
     index: LogIndex,
     heard_at: Duration,
     pushed_at: Duration,
@@ -28,7 +29,7 @@
         self.children.retain(|_, child| is_alive(child));
     }
 
-    /// Sends the entries from `first` on to the children that have all before.
+    /// Sends the entries from `first` on to the children that have all entries before `first`.
     pub(super) fn push_to_children(&mut self, first: u64, actions: &mut Vec<LearnerAction>) {
         let before = LogIndex::new(self.epoch, first - 1);
         let ready = self.children.iter().filter(|(_, child)| child.index >= before);
@@ -41,7 +42,7 @@
         }
     }
 
-    /// Repeats entries that were sent and not confirmed: a child can't know what was lost.
+    /// Resends entries that were sent and not confirmed, since a child does not know which messages were lost.
     pub(super) fn push_again(&mut self, actions: &mut Vec<LearnerAction>) {
         for (child, first) in self.children_to_repeat() {
             if first > self.log.start() && self.take_chunk_slot() {
@@ -54,7 +55,8 @@
         }
     }
 
-    /// The children that are behind, with the number of the first entry that each lacks.
+    /// Returns the children that are behind and due for a repetition, with the number of the first entry that each
+    /// lacks.
     fn children_to_repeat(&self) -> Vec<(NodeId, u64)> {
         let at = self.at();
         let is_behind = |child: &Child| {
@@ -66,7 +68,8 @@
         behind.map(|(node, child)| (*node, child.index.op() + 1)).collect()
     }
 
-    /// Whether another part may be sent in this interval. New entries go to all children at once; old ones wait.
+    /// Counts another part, and returns whether the limit of the current interval allows sending it. New entries are
+    /// sent to all children at once, while older entries may have to wait for a later interval.
     fn take_chunk_slot(&mut self) -> bool {
         if self.has_passed(self.chunk_interval_began, RETRY_INTERVAL) {
             self.chunks_sent = 0;
@@ -127,7 +130,7 @@
         }
     }
 
-    /// Sends a part of its copy to a recovering replica.
+    /// Sends a part of this learner's copy of the log to a recovering replica.
     pub(super) fn on_get_state(
         &mut self,
         from: NodeId,
--- a/crates/consensus/src/learner/interface.rs
+++ b/crates/consensus/src/learner/interface.rs
@@ -1,4 +1,4 @@
-//! The configuration, the events and the actions of a learner; handling them is left to [`crate::Learner`].
+//! The configuration, the events and the actions of a learner; [`crate::Learner`] handles the events.
 
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 
@@ -9,26 +9,26 @@
 /// The configuration of a learner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LearnerConfig {
-    /// This node.
+    /// The id of this node.
     pub node_id: NodeId,
     /// The configured voters.
     pub voters: Vec<NodeId>,
     /// Number of nodes in the cluster.
     pub cluster: u16,
-    /// Seed of the choice of sources.
+    /// Seed of the random choices of sources and of voters.
     pub seed: u64,
 }
 
 /// Input of a learner.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum LearnerEvent {
-    /// Time has passed: at least every 50 ms.
+    /// Reports the passage of time, at least every 50 ms.
     Tick,
     /// A message of the channel `Log` was received.
     Message {
         /// The sender.
         from: NodeId,
-        /// The sender's process.
+        /// The incarnation of the sender's process.
         incarnation: Incarnation,
         /// The message.
         message: Message,
@@ -47,14 +47,14 @@
         /// The snapshot.
         base: SnapshotBase,
     },
-    /// The leader that this process's replica is connected to ([`crate::Replica::leader`]), at each change.
+    /// Reports the leader that this process's replica is connected to ([`crate::Replica::leader`]), at each change.
     Leader(Option<NodeId>),
-    /// The state machine above made a snapshot at an entry. If all nodes make theirs at the same entries (every
-    /// 1,024) the snapshots are equal, and one can be fetched from several nodes.
+    /// The state machine above took a snapshot at an entry. If all nodes take snapshots at the same entries (every
+    /// 1,024), the snapshots are equal, and a snapshot can be fetched from several nodes.
     Snapshot {
         /// The entry.
         index: LogIndex,
-        /// At most [`crate::MAX_SNAPSHOT_BYTES`] less 64 KiB.
+        /// The snapshot, of at most [`crate::MAX_SNAPSHOT_BYTES`] less 64 KiB.
         bytes: Vec<u8>,
     },
     /// Proposes an entry.
@@ -64,7 +64,7 @@
         /// The command.
         bytes: Vec<u8>,
     },
-    /// Proposes that a voter is removed, or replaced.
+    /// Proposes to remove or replace a voter.
     ReplaceVoter {
         /// Identifies the proposal.
         id: ProposalId,
@@ -73,57 +73,58 @@
         /// The node that joins.
         replacement: Option<NodeId>,
     },
-    /// Leases, which are disseminated the same way, need another source than this one.
+    /// Requests a source other than this one, for the leases, which are disseminated through the same tree.
     ChangeSource(NodeId),
-    /// Asks for the outcome of a proposal whose answer did not come.
+    /// Queries the outcome of a proposal whose answer did not arrive.
     Ask {
         /// Identifies the proposal.
         id: ProposalId,
     },
 }
 
-/// Output of a learner, to be carried out in order.
+/// Output of a learner. The runtime executes actions in order.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub enum LearnerAction {
-    /// Send a message to another node, or to this node's replica if its channel is `Consensus`.
+    /// Sends a message to another node, or to this node's replica if the message's channel is `Consensus`.
     Send {
         /// The receiver.
         to: NodeId,
         /// The message.
         message: Message,
     },
-    /// An entry is committed. Each is delivered once per process and epoch, in order and without a gap.
+    /// Delivers a committed entry. Each entry is delivered once per process and epoch, in order and without a gap.
     Committed {
         /// The entry's index.
         index: LogIndex,
         /// The entry.
         entry: Entry,
     },
-    /// Replace the state by this snapshot, which voids everything delivered before. An empty state is that of a
-    /// log without entries.
+    /// Replaces the state of the state machine above by this snapshot, which voids all earlier deliveries. An empty
+    /// snapshot is that of a log without entries.
     Reset {
         /// The last entry in the snapshot.
         index: LogIndex,
         /// The snapshot of the state machine above.
         state: Vec<u8>,
     },
-    /// The node that it learns from has changed, and leases are disseminated the same way. `None`: it is the
-    /// root, or has none yet.
+    /// Reports a new source, from which leases are to be received as well. `None` if this node is the root or has no
+    /// source yet.
     Source(Option<NodeId>),
-    /// A child has the log up to an entry, to be handed to this process's replica as [`crate::Event::LearnerAdvanced`].
+    /// Reports that a child has the log up to an entry. The runtime passes the report to this process's replica as
+    /// [`crate::Event::LearnerAdvanced`].
     LearnerAdvanced {
         /// The child.
         by: NodeId,
         /// The entry.
         index: LogIndex,
     },
-    /// The outcome of a proposal.
+    /// Reports the outcome of a proposal.
     Answered {
         /// Identifies the proposal.
         id: ProposalId,
-        /// Its outcome.
+        /// The outcome of the proposal.
         outcome: ProposalOutcome,
     },
-    /// The log grows long, and [`LearnerEvent::Snapshot`] is wanted.
+    /// Requests a [`LearnerEvent::Snapshot`], because the log has grown long.
     SnapshotWanted,
 }
--- a/crates/consensus/src/learner/learning.rs
+++ b/crates/consensus/src/learner/learning.rs
@@ -1,4 +1,4 @@
-//! Learns committed entries and snapshots from the source, and delivers them in order.
+//! Receives committed entries and snapshots from the source, and delivers them in order.
 
 use std::time::Duration;
 
@@ -12,9 +12,9 @@
 use crate::state_transfer::SnapshotAssembly;
 use crate::voter_set::VoterSet;
 
-/// What another node tells of itself and of the leader.
+/// Another node's report of its own position, of the leader and of the voters.
 pub(super) struct Update {
-    /// The last entry that it has.
+    /// The last entry that the sender has.
     pub(super) index: LogIndex,
     pub(super) leader: Option<NodeId>,
     pub(super) voter_set: VoterSet,
@@ -22,14 +22,15 @@
 }
 
 impl Update {
-    /// Whether its sender, or one of its sources, has heard of the leader recently.
+    /// Whether the leader was recently known to lead, according to the sender or its sources.
     fn has_recent_leader(&self) -> bool {
         self.leader_age_ms < MAX_LEADER_AGE.as_millis() as u32
     }
 }
 
 impl Learner {
-    /// Delivers the next entry; `false` if it is not the next, or the log is full until a snapshot is made.
+    /// Delivers an entry, and returns whether it was delivered. An entry is not delivered if it is not the next one, or
+    /// if the log has no room until a snapshot is taken.
     pub(super) fn apply(
         &mut self,
         op: u64,
@@ -53,7 +54,7 @@
         true
     }
 
-    /// Replaces the log by a snapshot that is of a later epoch, or beyond the last entry.
+    /// Replaces the log by a snapshot, if the snapshot is of a later epoch or beyond the last entry.
     pub(super) fn adopt(
         &mut self,
         epoch: u32,
@@ -89,7 +90,7 @@
             && update.index.epoch() < self.epoch
             && update.has_recent_leader()
         {
-            // A learner never goes back, but the leader can go on in a greater epoch.
+            // A learner never returns to a lower epoch. The status lets the leader continue in a greater epoch.
             self.send_status(leader, 0, actions);
         }
         let before = self.at();
@@ -103,7 +104,7 @@
         self.request_next(from, has_new_entries, has_new_bytes, actions);
     }
 
-    /// Takes over what the source knows of the leader and the voters.
+    /// Adopts the leader and the voters that the source reports.
     fn learn_from_source(&mut self, update: &Update, actions: &mut Vec<LearnerAction>) {
         self.source_active_at = self.now;
         let age = Duration::from_millis(u64::from(update.leader_age_ms));
@@ -111,14 +112,14 @@
         if self.is_replica_connected || !update.has_recent_leader() {
             return;
         }
-        // The voters first: the leader is the root of the tree only as one of them.
+        // The voters are updated first, since only a voter becomes the root of the tree.
         if update.index.epoch() > self.epoch && !update.voter_set.voters.is_empty() {
             self.voter_set = update.voter_set.clone();
         }
         self.learn_leader(update.leader, actions);
     }
 
-    /// Adds a part of a log that goes up to `index`; whether it is new bytes of a snapshot.
+    /// Adds a part of a log whose last entry is at `index`, and returns whether the part has new bytes of a snapshot.
     fn add_part(
         &mut self,
         index: LogIndex,
@@ -159,8 +160,8 @@
         }
     }
 
-    /// Requests the next part. Only one is under way at a time, which paces the transfer; what has arrived is
-    /// confirmed at once, by the next request.
+    /// Requests the next part after new entries or bytes. The request also confirms the received part. Only one part is
+    /// in flight at a time, which paces the transfer.
     fn request_next(
         &mut self,
         from: NodeId,
@@ -171,7 +172,7 @@
         if !has_new_entries && !has_new_bytes {
             return;
         }
-        // What the update told may have changed the source.
+        // The update may have changed the source.
         let is_from_source = self.source == Some(from);
         let alternates = !has_new_entries && is_from_source;
         if !alternates || !self.request_chunk_from_other(actions) {
--- a/crates/consensus/src/learner/proposals.rs
+++ b/crates/consensus/src/learner/proposals.rs
@@ -1,4 +1,4 @@
-//! Brings proposals to the leader until their outcome is known, or their time is up.
+//! Sends proposals to the leader until their outcome is known or they time out.
 
 use std::time::Duration;
 
@@ -8,10 +8,10 @@
 use crate::entry::{EntryPayload, MAX_ENTRY_BYTES, ProposalId, ProposalOutcome};
 use crate::message::MessageBody;
 
-/// A proposal whose outcome is not known.
+/// A proposal whose outcome is not known yet.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct PendingProposal {
-    /// `None` only asks for the outcome.
+    /// The content of the entry; `None` only queries the outcome.
     payload: Option<EntryPayload>,
     began_at: Duration,
     sent_at: Duration,
@@ -42,7 +42,7 @@
             return;
         }
         if self.pending_proposals.len() >= MAX_PENDING_PROPOSALS {
-            // Not rejected: it may have been sent before.
+            // The proposal is not rejected, since it may have been sent before and be committed.
             actions.push(LearnerAction::Answered { id, outcome: ProposalOutcome::Unknown });
             return;
         }
@@ -52,7 +52,7 @@
         self.send_proposal(id, None, actions);
     }
 
-    /// Sends a proposal to `to`, the leader, or a voter that may know it.
+    /// Sends a proposal to `to`, else to the leader, else to a random voter, which may know the leader.
     fn send_proposal(
         &mut self,
         id: ProposalId,
@@ -63,7 +63,7 @@
         let any_voter = self.voter_set.voters.iter().nth(chosen).copied();
         let now = self.now;
         let Some(pending) = self.pending_proposals.get_mut(&id) else { return };
-        // A leader that did not answer may lead no longer.
+        // A leader that did not answer may no longer lead.
         let avoids_leader = pending.sent_at > pending.began_at && pending.attempts % 2 == 1;
         pending.sent_at = now;
         pending.attempts = pending.attempts.wrapping_add(1);
@@ -74,7 +74,7 @@
         }
     }
 
-    /// Reports the outcome of proposals without an answer as unknown.
+    /// Removes the proposals that have timed out, and reports their outcome as unknown.
     pub(super) fn expire_proposals(&mut self, actions: &mut Vec<LearnerAction>) {
         for id in self.proposals_where(|pending| pending.began_at, PROPOSAL_TIMEOUT) {
             self.pending_proposals.remove(&id);
@@ -88,7 +88,7 @@
         }
     }
 
-    /// The proposals for which `period` has passed since a time.
+    /// Returns the proposals for which `period` has passed since the time that `since` returns.
     fn proposals_where(
         &self,
         since: impl Fn(&PendingProposal) -> Duration,
@@ -115,7 +115,7 @@
             actions.push(LearnerAction::Answered { id, outcome });
             return;
         }
-        // A redirect is followed at once, but not in a circle.
+        // A redirect is followed at once, unless it leads back to the sender or to the known leader.
         let is_new = leader.is_some() && leader != Some(from) && leader != self.leader;
         if is_new {
             self.send_proposal(id, leader, actions);
--- a/crates/consensus/src/learner/source.rs
+++ b/crates/consensus/src/learner/source.rs
@@ -1,5 +1,5 @@
-//! The choice of the node that a learner learns from: its parent in the dissemination tree or, while that does
-//! not help, another node.
+//! The choice of a learner's source: the parent in the dissemination tree or, while the parent is silent or
+//! disconnected from the leader, another node.
 
 use std::time::Duration;
 
@@ -9,13 +9,13 @@
 use crate::learner_tree::{order, parent};
 use crate::message::MessageBody;
 
-/// Time after which a source that is not the tree's is left for the tree's.
+/// Time after which a learner returns from another source to its parent in the tree.
 const TREE_RETRY_INTERVAL: Duration = Duration::from_secs(5);
-/// Largest age of a leader that can be expressed, in milliseconds.
+/// Largest reported age of a known leader, in milliseconds.
 const MAX_AGE_MS: u128 = 1 << 30;
 
 impl Learner {
-    /// Time since the leader was known to lead, in milliseconds.
+    /// Returns the time since the leader was last known to lead, in milliseconds.
     pub(super) fn leader_age_ms(&self) -> u32 {
         if self.is_replica_connected {
             return 0;
@@ -44,13 +44,13 @@
         }
     }
 
-    /// Its position in the tree.
+    /// Returns the position of this node in the tree.
     fn tree_position(&self) -> usize {
         let is_self = |node: &NodeId| *node == self.config.node_id;
         self.tree_order.iter().position(is_self).unwrap_or(self.tree_order.len())
     }
 
-    /// Its parent in the tree.
+    /// Returns the parent of this node in the tree.
     pub(super) fn tree_source(&self) -> Option<NodeId> {
         parent(&self.tree_order, self.tree_position())
     }
@@ -66,7 +66,7 @@
         actions.push(LearnerAction::Source(source));
     }
 
-    /// The nodes that are nearer to the root, or voters, without itself and its source.
+    /// Returns the nodes that are voters or nearer to the root than this node, except this node and its source.
     pub(super) fn alternative_sources(&self) -> Vec<NodeId> {
         let voters = self.voter_set.voters.len();
         let nearer = self.tree_position().max(voters).min(self.tree_order.len());
@@ -74,7 +74,7 @@
         self.tree_order.iter().take(nearer).copied().filter(is_other).collect()
     }
 
-    /// Chooses a random other source that does not learn from this node.
+    /// Changes to a random other source that does not learn from this node.
     fn change_source(&mut self, actions: &mut Vec<LearnerAction>) {
         self.source_changes = self.source_changes.saturating_add(1);
         let mut candidates = self.alternative_sources();
@@ -86,7 +86,8 @@
         self.set_source(next, actions);
     }
 
-    /// Changes the source for the leases, but not at once again: the next one needs time to answer.
+    /// Changes the source on behalf of the leases, unless the source was chosen recently, since a new source needs time
+    /// to answer.
     pub(super) fn on_change_source(&mut self, unwanted: NodeId, actions: &mut Vec<LearnerAction>) {
         let is_settled = self.has_passed(self.source_since, SOURCE_TIMEOUT);
         if self.source == Some(unwanted) && is_settled {
@@ -94,7 +95,8 @@
         }
     }
 
-    /// Changes a source that is silent or disconnected from the leader, and returns to the tree's after a while.
+    /// Changes a source that is silent or disconnected from the leader, and returns to the parent in the tree after
+    /// [`TREE_RETRY_INTERVAL`].
     pub(super) fn check_source(&mut self, actions: &mut Vec<LearnerAction>) {
         let is_root = self.is_replica_connected && self.leader == Some(self.config.node_id);
         if is_root {
@@ -128,8 +130,8 @@
         self.send(source, body, actions);
     }
 
-    /// Requests the next bytes of the snapshot from a node that is not the source, in turns, so that a snapshot
-    /// comes from several nodes.
+    /// Requests the next bytes of the snapshot from a node other than the source, so that several nodes share the load
+    /// of a snapshot. The nodes take turns. Returns whether there is such a node.
     pub(super) fn request_chunk_from_other(&mut self, actions: &mut Vec<LearnerAction>) -> bool {
         let others = self.alternative_sources();
         self.other_requests = self.other_requests.wrapping_add(1);
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -1,5 +1,5 @@
-//! The log of a voter or a learner: a snapshot and the entries after it; fetching one from another node is left
-//! to `state_transfer`.
+//! The log of a voter or a learner: a snapshot and the entries after it. A log is fetched from another node in
+//! `state_transfer`.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -10,20 +10,21 @@
 use crate::message::{LogPart, MAX_CHUNK_BYTES};
 use crate::voter_set::VoterSet;
 
-/// Entries retained before a snapshot, so that a node that is slightly behind needs entries only.
+/// Number of entries retained before a snapshot, so that a node that is slightly behind needs no snapshot.
 pub const RETAINED_ENTRIES: u64 = 256;
-/// Largest number of entries in a log. Nothing is proposed beyond it until a snapshot shortens the log: a state
-/// machine that gives no snapshots would fill the memory of all.
+/// Largest number of entries in a log. Further proposals are not accepted until a snapshot shortens the log;
+/// otherwise a state machine that takes no snapshots would exhaust the memory of all nodes.
 pub const MAX_LOG_ENTRIES: usize = 8192;
-/// Largest number of bytes of a log's entries.
+/// Total length of a log's entries, in bytes, from which no entry is added. The last entry may exceed it.
 pub const MAX_LOG_BYTES: usize = 8 << 20;
-/// Proposal ids that are remembered. A repetition after more others is a new entry.
+/// Number of proposal ids that are remembered. A proposal that is repeated after more other proposals becomes a new
+/// entry.
 pub const MAX_REMEMBERED_PROPOSALS: usize = 1024;
 
 /// A snapshot at an entry of the log.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct SnapshotBase {
-    /// Number of the last entry in it.
+    /// Number of the last entry in the snapshot.
     pub op: u64,
     /// The voters after that entry.
     pub voter_set: VoterSet,
@@ -43,7 +44,7 @@
 
 impl EncodedSnapshot {
     fn new(base: &SnapshotBase) -> Self {
-        // Plain values can't fail to be encoded into a vector.
+        // Encoding plain values into a vector cannot fail.
         let bytes = postcard::to_stdvec(base).unwrap_or_default();
         let checksum = crc32fast::hash(&bytes);
         Self { bytes, checksum }
@@ -55,21 +56,21 @@
 pub struct Log {
     base: SnapshotBase,
     encoded_base: Arc<EncodedSnapshot>,
-    /// Number before the first retained entry.
+    /// Number of the entry before the first retained one.
     start: u64,
     entries: Vec<Entry>,
     bytes: usize,
 }
 
 impl Log {
-    /// A log without entries.
+    /// Creates a log without entries.
     pub fn new(base: SnapshotBase) -> Self {
         let encoded_base = Arc::new(EncodedSnapshot::new(&base));
         let start = base.op;
         Self { base, encoded_base, start, entries: Vec::new(), bytes: 0 }
     }
 
-    /// A log with entries; `start` is the number before the first of them.
+    /// Creates a log with entries; `start` is the number of the entry before the first of them.
     pub fn with(base: SnapshotBase, start: u64, entries: Vec<Entry>) -> Self {
         let mut log = Self::new(base);
         log.start = start.min(log.base.op);
@@ -78,37 +79,37 @@
         log
     }
 
-    /// The snapshot.
+    /// Returns the snapshot.
     pub fn base(&self) -> &SnapshotBase {
         &self.base
     }
 
-    /// CRC-32 of the encoded snapshot.
+    /// Returns the CRC-32 (IEEE 802.3) of the encoded snapshot.
     pub fn base_checksum(&self) -> u32 {
         self.encoded_base.checksum
     }
 
-    /// Number of the last entry.
+    /// Returns the number of the last entry.
     pub fn op(&self) -> u64 {
         self.start + self.entries.len() as u64
     }
 
-    /// Number before the first retained entry.
+    /// Returns the number of the entry before the first retained one.
     pub fn start(&self) -> u64 {
         self.start
     }
 
-    /// The retained entries.
+    /// Returns the retained entries.
     pub fn entries(&self) -> &[Entry] {
         &self.entries
     }
 
-    /// Whether another entry is within the bounds.
+    /// Whether the bounds of the log allow another entry.
     pub fn has_room(&self) -> bool {
         self.entries.len() < MAX_LOG_ENTRIES && self.bytes < MAX_LOG_BYTES
     }
 
-    /// The entry with this number, if it is retained.
+    /// Returns the entry with this number, if it is retained.
     pub fn get(&self, op: u64) -> Option<&Entry> {
         let position = op.checked_sub(self.start)?.checked_sub(1)?;
         self.entries.get(usize::try_from(position).ok()?)
@@ -135,7 +136,7 @@
         *self = Self::with(base, self.start + removed as u64, entries);
     }
 
-    /// The voters after this entry, which must not be before the snapshot.
+    /// Returns the voters after this entry, which must not be before the snapshot.
     pub fn voters_at(&self, op: u64) -> VoterSet {
         let mut voter_set = self.base.voter_set.clone();
         for op in self.base.op + 1..=op {
@@ -146,7 +147,7 @@
         voter_set
     }
 
-    /// The last [`MAX_REMEMBERED_PROPOSALS`] proposals up to this entry, with the numbers of their entries.
+    /// Returns the last [`MAX_REMEMBERED_PROPOSALS`] proposals up to this entry, with the numbers of their entries.
     pub fn proposals_at(&self, op: u64) -> BTreeMap<ProposalId, u64> {
         let mut proposals = self.base.proposals.clone();
         for op in self.base.op + 1..=op.min(self.op()) {
@@ -158,14 +159,14 @@
         proposals.split_off(forgotten).into_iter().collect()
     }
 
-    /// The snapshot at an entry, from the state machine's snapshot of it.
+    /// Returns the snapshot at an entry, given the state machine's snapshot at that entry.
     pub fn snapshot_at(&self, op: u64, state: Vec<u8>) -> SnapshotBase {
         let mut proposals: Vec<_> = self.proposals_at(op).into_iter().collect();
         proposals.sort_unstable_by_key(|(id, op)| (*op, *id));
         SnapshotBase { op, voter_set: self.voters_at(op), proposals, state }
     }
 
-    /// The entries from one number to another, as many as fit a message.
+    /// Returns the entries from `first` to `last`, as many as fit a message.
     pub fn entries_between(&self, first: u64, last: u64) -> Vec<Entry> {
         let mut bytes = 0;
         let mut entries = Vec::new();
@@ -180,8 +181,8 @@
         entries
     }
 
-    /// What a node that has everything before `first` needs next: entries up to `last`, or the bytes of the
-    /// snapshot from `offset`.
+    /// Returns the next part of the log for a node that has all entries before `first`: entries up to `last`, or the
+    /// bytes of the snapshot from `offset`.
     pub fn part(&self, first: u64, last: u64, offset: u32) -> LogPart {
         if first > self.start {
             return LogPart::Entries { first, entries: self.entries_between(first, last) };
--- a/crates/consensus/src/log_file.rs
+++ b/crates/consensus/src/log_file.rs
@@ -1,48 +1,55 @@
-//! The files of a directory as the store uses them, behind a trait so that tests can simulate a disk that is full,
-//! lies or fails; what the files hold is left to the store.
+//! File operations in a directory, behind a trait so that tests can simulate a disk that is full, lies or fails. The
+//! store defines the content of the files.
 
 use std::fs::{self, File, OpenOptions};
 use std::io::{self, Read, Write};
 use std::path::PathBuf;
 
-/// A directory. Names are plain file names, and the process may end after each call.
+/// The file operations of a store in one directory. Names are plain file names. The process may end after each call.
 pub trait Disk: Send {
     /// Reads at most `most` bytes of a file.
     ///
     /// # Errors
-    /// The file does not exist, or can't be read.
+    ///
+    /// The file does not exist, or cannot be read.
     fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>>;
     /// Replaces the content of a file.
     ///
     /// # Errors
-    /// It can't be written; the file may hold a part of it.
+    ///
+    /// The content cannot be written; the file may contain a part of it.
     fn write(&self, name: &str, bytes: &[u8]) -> io::Result<()>;
     /// Appends bytes to a file.
     ///
     /// # Errors
-    /// They can't be written; the file may hold a part of them.
+    ///
+    /// The bytes cannot be written; the file may contain a part of them.
     fn append(&self, name: &str, bytes: &[u8]) -> io::Result<()>;
     /// Shortens a file to `length` bytes.
     ///
     /// # Errors
-    /// It can't be shortened.
+    ///
+    /// The file cannot be shortened.
     fn truncate(&self, name: &str, length: u64) -> io::Result<()>;
     /// Syncs a file's content, so that it survives a crash of the machine.
     ///
     /// # Errors
-    /// It can't be synced.
+    ///
+    /// The content cannot be synced.
     fn sync(&self, name: &str) -> io::Result<()>;
-    /// Renames a file atomically, and replaces one that has the new name.
+    /// Renames a file atomically, and replaces any file with the new name.
     ///
     /// # Errors
-    /// The file does not exist, or can't be renamed.
+    ///
+    /// The file does not exist, or cannot be renamed.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
     /// Syncs the names of the files, so that they survive a crash of the machine.
     ///
     /// # Errors
-    /// They can't be synced.
+    ///
+    /// The names cannot be synced.
     fn sync_names(&self) -> io::Result<()>;
-    /// The file's path, for error messages.
+    /// Returns the path of a file, for error messages.
     fn place(&self, name: &str) -> String;
 }
 
@@ -54,7 +61,8 @@
     /// Opens a directory, and creates it if it does not exist.
     ///
     /// # Errors
-    /// It can't be created.
+    ///
+    /// The directory cannot be created.
     pub fn open(path: impl Into<PathBuf>) -> io::Result<Self> {
         let path = path.into();
         fs::create_dir_all(&path)?;
--- a/crates/consensus/src/log_record.rs
+++ b/crates/consensus/src/log_record.rs
@@ -1,5 +1,4 @@
-//! The records that a voter persists, and the state that they add up to; the file that holds them is left to the
-//! store.
+//! The records that a voter persists, and the state that results from applying them. The store writes them to a file.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,26 +6,27 @@
 use crate::log::{Log, SnapshotBase};
 use crate::message::{IncarnationCounts, View};
 
-/// A change of the state that survives the process.
+/// A change of a voter's durable state.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Record {
-    /// The voter takes part in no view before this one.
+    /// The voter promises not to take part in any view before this one.
     ViewPromise {
         /// The view.
         view: View,
-        /// The last view in which its status was normal.
+        /// The last view in which the voter's status was normal.
         last_normal_view: View,
-        /// The incarnation counts that it knows.
+        /// The incarnation counts that the voter knows.
         incarnation_counts: IncarnationCounts,
     },
-    /// Entries, which replace those from the first on.
+    /// Entries, which replace the log from their first number on.
     Entries {
         /// Number of the first entry.
         first: u64,
         /// Consecutive entries.
         entries: Vec<Entry>,
     },
-    /// The voter takes part in a view, with entries that replace those from the first on, as one change.
+    /// The voter enters a view, with entries that replace the log from their first number on. Both are one record, so
+    /// that they are persisted atomically.
     ViewStart {
         /// As in `ViewPromise`.
         view: View,
@@ -39,7 +39,8 @@
         /// As in `Entries`.
         entries: Vec<Entry>,
     },
-    /// All entries up to this one are committed. Written after a change of voters, so that a start knows them.
+    /// All entries up to this number are committed. Written after a change of voters, so that the voters are known at
+    /// a start.
     Commit {
         /// Number of the entry.
         commit: u64,
@@ -56,16 +57,16 @@
         incarnation_counts: IncarnationCounts,
         /// As in `Commit`.
         commit: u64,
-        /// The snapshot that the log begins with.
+        /// The snapshot at the beginning of the log.
         base: SnapshotBase,
-        /// Number before the first entry.
+        /// Number of the entry before the first of `entries`.
         start: u64,
         /// All retained entries.
         entries: Vec<Entry>,
     },
 }
 
-/// The state that the records of a directory add up to.
+/// The state that results from the records of a directory.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct State {
     /// As in [`Record::ViewPromise`].
@@ -99,7 +100,7 @@
         }
     }
 
-    /// The record of this state.
+    /// Returns the record of the complete state.
     pub(crate) fn to_record(&self) -> Record {
         Record::CompleteState {
             view: self.view,
@@ -113,10 +114,10 @@
     }
 }
 
-/// The state that a directory holds.
+/// The durable state of a directory.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct DurableState {
-    /// Number of its last record.
+    /// Number of the directory's last record.
     pub written: u64,
     /// `None` if the directory is new, or not trusted.
     pub state: Option<State>,
@@ -162,7 +163,7 @@
         }
     }
 
-    /// The state as one record.
+    /// Returns the state as one record, if there is any.
     pub(crate) fn to_record(&self) -> Option<Record> {
         self.state.as_ref().map(State::to_record)
     }
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -1,5 +1,5 @@
-//! Messages between voters and learners; how they are encoded is left to `message_encoding`, and what they lead
-//! to, to the replica and the learner.
+//! Messages between voters and learners. They are encoded in `message_encoding`, and handled by the replica and the
+//! learner.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fmt;
@@ -10,15 +10,16 @@
 use crate::entry::{Entry, EntryPayload, LogIndex, ProposalId, ProposalOutcome};
 use crate::voter_set::VoterSet;
 
-/// Largest number of bytes of entries, or of a snapshot, in one message. A longer message would delay all
-/// others to the same peer.
+/// Largest number of bytes of entries, or of a snapshot, in one message. A longer message would delay all other
+/// messages to the same peer.
 pub const MAX_CHUNK_BYTES: usize = 16 << 10;
 /// Largest encoded message, in bytes.
 pub const MAX_MESSAGE_BYTES: usize = 20 << 10;
-/// Largest encoded [`crate::SnapshotBase`], in bytes. It bounds the memory of whoever assembles one.
+/// Largest encoded [`crate::SnapshotBase`], in bytes. It bounds the memory of a node that assembles a
+/// snapshot.
 pub const MAX_SNAPSHOT_BYTES: usize = 2 << 20;
 
-/// A view: its leader and its place in the order of views, of which the greatest wins.
+/// A view. Views are ordered, and the greatest view wins.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
@@ -27,7 +28,7 @@
     pub epoch: u32,
     /// Number of the view within the epoch, as its leader knew it when it began the view.
     pub number: u32,
-    /// The leader. It orders two views that began with the same number.
+    /// The leader of the view. Its node id orders two views that began with the same number.
     pub leader: NodeId,
 }
 
@@ -41,7 +42,7 @@
     Entries {
         /// Number of the first entry.
         first: u64,
-        /// As many as fit a message.
+        /// The entries, as many as fit a message.
         entries: Vec<Entry>,
     },
     /// A part of a snapshot.
@@ -52,9 +53,9 @@
         total_bytes: u32,
         /// CRC-32 (IEEE 802.3) of the snapshot.
         checksum: u32,
-        /// Position of these bytes in the snapshot.
+        /// Position of the first of `bytes` in the snapshot.
         offset: u32,
-        /// At most [`MAX_CHUNK_BYTES`].
+        /// The bytes of the snapshot, at most [`MAX_CHUNK_BYTES`].
         bytes: Vec<u8>,
     },
 }
@@ -62,21 +63,21 @@
 /// The status of a replica.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum ReplicaStatus {
-    /// It is not a voter.
+    /// The replica is not a voter.
     NonVoter,
-    /// It has lost its state and does not vote.
+    /// The replica has lost its state and does not vote.
     WithoutState,
-    /// It has started with a directory, and has not yet heard whether its peers know of later state.
+    /// The replica has started with a directory, and does not yet know whether its peers know of later state.
     Recovering,
-    /// It takes part in a view change.
+    /// The replica takes part in a view change.
     ViewChange,
-    /// It takes part in its view.
+    /// The replica takes part in its view.
     Normal,
-    /// Its disk has failed, and it does not vote.
+    /// The disk of the replica has failed, and the replica does not vote.
     DiskFailed,
 }
 
-/// The text that the admin API prints.
+/// Writes the text that the admin API returns.
 impl fmt::Display for ReplicaStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         f.write_str(match self {
@@ -90,44 +91,44 @@
     }
 }
 
-/// What a voter tells all others every 100 ms.
+/// The state that a voter sends to all other voters every 100 ms.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Heartbeat {
     /// The sender's status.
     pub status: ReplicaStatus,
-    /// The sender leads its view, and a majority answered it recently.
+    /// Whether the sender leads its view, and a majority has acknowledged its heartbeats recently.
     pub is_leader: bool,
-    /// The sender is connected to no leader.
+    /// Whether the sender is connected to no leader.
     pub is_leaderless: bool,
     /// The voters that the sender is connected to.
     pub connected: BTreeSet<NodeId>,
-    /// Number of the last entry of its log.
+    /// Number of the last entry of the sender's log.
     pub op: u64,
-    /// Number of the last committed entry that it knows of.
+    /// Number of the last entry that the sender knows to be committed.
     pub commit: u64,
-    /// Number of its last record on disk. A restored old copy of the directory has a lower one.
+    /// Number of the sender's last record on disk. A restored old copy of the directory has a lower number.
     pub persisted: u64,
-    /// A leader's number of this heartbeat, to be answered by [`MessageBody::PrepareOk`]; 0 for others.
+    /// Number of a leader's heartbeat, which [`MessageBody::PrepareOk`] acknowledges; 0 if the sender does not lead.
     pub number: u32,
-    /// The voters that it knows.
+    /// The current voters, as known to the sender.
     pub voter_set: VoterSet,
 }
 
 /// The content of a message.
 ///
-/// Those that promise something count only if they come from the latest incarnation of their sender that the
-/// receiver knows of.
+/// A message that makes a promise is accepted only from the latest incarnation of its sender that the receiver knows
+/// of.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum MessageBody {
-    /// The sender is alive.
+    /// Reports the state of the sender, which is alive.
     Heartbeat(Heartbeat),
-    /// Replicates entries of the leader.
+    /// Replicates entries of the leader's log.
     Prepare {
         /// Number of the first entry.
         first: u64,
         /// Consecutive entries.
         entries: Vec<Entry>,
-        /// Number of the last committed entry.
+        /// Number of the last entry that the leader has committed.
         commit: u64,
     },
     /// Acknowledges entries and a heartbeat of the leader.
@@ -137,22 +138,22 @@
         /// The number of the leader's heartbeat; 0 for none.
         heartbeat: u32,
     },
-    /// The sender would lead the view of this message.
+    /// Asks for votes: the sender is the candidate for the view of this message.
     StartViewChange {
-        /// It bootstraps an epoch: a majority has lost its state, or operators ordered it.
+        /// Whether the view bootstraps an epoch, after a majority has lost its state or on an operator command.
         is_bootstrap: bool,
-        /// The voters that operators named for the epoch.
+        /// The voters of the epoch, if operators named them.
         voter_set: Option<VoterSet>,
     },
-    /// The sender takes part in no view before this message's.
+    /// Votes for the view of this message. The sender promises not to take part in any view before that one.
     DoViewChange {
-        /// The last view in which its status was normal.
+        /// The last view in which the sender's status was normal.
         last_normal_view: View,
-        /// Number of the last entry of its log.
+        /// Number of the last entry of the sender's log.
         op: u64,
-        /// Number of the last committed entry that it knows of.
+        /// Number of the last entry that the sender knows to be committed.
         commit: u64,
-        /// It has lost its state, so that the fields above mean nothing.
+        /// Whether the sender has lost its state, so that the other fields are meaningless.
         state_lost: bool,
     },
     /// Requests entries of a log, or bytes of its snapshot.
@@ -162,9 +163,9 @@
         /// Number of the snapshot's bytes that the sender has.
         offset: u32,
     },
-    /// The requested part of a log.
+    /// Sends the requested part of a log.
     LogPart(LogPart),
-    /// A recovering replica asks for its peers' status.
+    /// Requests the status of a peer, for a recovering replica.
     StatusRequest {
         /// Identifies the sender's recovery.
         nonce: u64,
@@ -179,38 +180,38 @@
         asked_at_ms: u64,
         /// The sender's status.
         status: ReplicaStatus,
-        /// The sender's own process.
+        /// The incarnation of the sender's process.
         own_incarnation: u64,
-        /// Number of the receiver's last record on disk that the sender knows of.
+        /// Number of the receiver's last record on disk, as known to the sender.
         persisted: u64,
-        /// Number of the last committed entry that the sender knows of.
+        /// Number of the last entry that the sender knows to be committed.
         commit: u64,
-        /// The voters that the sender knows.
+        /// The current voters, as known to the sender.
         voter_set: VoterSet,
     },
-    /// A replica that has lost its state begins the incarnation that the message counts for it.
+    /// Begins the incarnation that the message counts for its sender, a replica that has lost its state.
     Recovery {
         /// Identifies the sender's recovery.
         nonce: u64,
     },
-    /// Answers a recovery with the view of this message.
+    /// Answers a recovery message with the sender's view, which is the view of this message.
     RecoveryResponse {
-        /// As in the recovery.
+        /// As in the recovery message.
         nonce: u64,
-        /// Number of the last entry. It counts only from the leader of the latest view.
+        /// Number of the last entry of the sender's log. Used only from the leader of the latest view.
         op: u64,
-        /// The sender leads its view.
+        /// Whether the sender leads its view.
         is_leader: bool,
     },
-    /// Proposes an entry, or asks for its outcome.
+    /// Proposes an entry, or queries the outcome of a proposal.
     Propose {
         /// Identifies the proposal.
         id: ProposalId,
-        /// The entry's content; `None` only asks for the outcome.
+        /// The content of the entry; `None` only queries the outcome.
         what: Option<EntryPayload>,
     },
 
-    /// Asks a learner for the last entry of its copy of the log.
+    /// Queries a learner for the last entry of its copy of the log.
     LearnerStatusRequest {
         /// Identifies the sender's recovery.
         nonce: u64,
@@ -221,39 +222,40 @@
         nonce: u64,
         /// The last entry of the learner's copy.
         index: LogIndex,
-        /// The voters that it knows.
+        /// The current voters, as known to the learner.
         voter_set: VoterSet,
     },
-    /// Requests a learner's copy of the log.
+    /// Requests a part of a learner's copy of the log.
     GetLearnerState {
         /// As in `GetState`.
         first: u64,
         /// As in `GetState`.
         offset: u32,
     },
-    /// A learner polls its source, every 300 ms and after each change.
+    /// Polls the sender's source for updates, every 300 ms and after each change of the sender's log.
     LearnerPoll {
         /// The last entry that the learner has.
         index: LogIndex,
-        /// Number of the snapshot's bytes that it has.
+        /// Number of bytes that the learner has of a snapshot in transfer.
         offset: u32,
         /// Checksum of that snapshot.
         checksum: u32,
     },
-    /// A source tells its learner what is new, or that nothing is.
+    /// Sends new entries or snapshot bytes to a learner, or reports that there are none.
     LearnerUpdate {
         /// The last entry that the sender has.
         index: LogIndex,
-        /// The leader that the sender knows.
+        /// The current leader, as known to the sender.
         leader: Option<NodeId>,
-        /// The voters that the sender knows.
+        /// The current voters, as known to the sender.
         voter_set: VoterSet,
-        /// Time since the leader was known to lead, by the sender and its own sources, in milliseconds.
+        /// Time since the leader was last known to lead, according to the sender and its sources, in milliseconds.
         leader_age_ms: u32,
-        /// Part of the log that the receiver lacks.
+        /// The next part of the log that the receiver lacks, if any.
         part: Option<LogPart>,
     },
-    /// Requests bytes of a snapshot from a node that is not the sender's source, if it has the same snapshot.
+    /// Requests bytes of a snapshot from a node other than the sender's source. The node answers if it has the same
+    /// snapshot.
     SnapshotChunkRequest {
         /// Number of bytes that the sender has.
         offset: u32,
@@ -264,15 +266,15 @@
     ProposalResponse {
         /// Identifies the proposal.
         id: ProposalId,
-        /// Its outcome; `None` redirects to the leader.
+        /// The outcome of the proposal; `None` redirects to the leader.
         outcome: Option<ProposalOutcome>,
-        /// The leader that the sender knows.
+        /// The current leader, as known to the sender.
         leader: Option<NodeId>,
     },
 }
 
 impl MessageBody {
-    /// The channel of the receiver: `Consensus` for the replica, `Log` for the learner.
+    /// Returns the channel of the message's receiver: `Consensus` for the replica, `Log` for the learner.
     pub const fn channel(&self) -> Channel {
         match self {
             Self::LearnerStatusRequest { .. }
@@ -285,8 +287,8 @@
         }
     }
 
-    /// Whether it promises something for its sender's incarnation, so that it is dropped once a later
-    /// incarnation is known.
+    /// Whether the message makes a promise on behalf of its sender's incarnation, so that it is dropped once a
+    /// later incarnation is known.
     pub(crate) const fn is_promise(&self) -> bool {
         matches!(
             self,
@@ -305,9 +307,9 @@
 /// A message.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Message {
-    /// The sender's view. A learner sends its epoch alone.
+    /// The sender's view. In a message of a learner, only the epoch is set.
     pub view: View,
-    /// The incarnation counts that the sender knows, its own included.
+    /// The incarnation counts that the sender knows, including its own.
     pub incarnation_counts: IncarnationCounts,
     /// The content.
     pub body: MessageBody,
--- a/crates/consensus/src/message_encoding.rs
+++ b/crates/consensus/src/message_encoding.rs
@@ -1,29 +1,29 @@
-//! Encodes and decodes messages, within the bounds that every sender keeps.
+//! Encodes and decodes messages, and checks the bounds that every sender observes.
 
 use crate::message::{LogPart, MAX_CHUNK_BYTES, MAX_MESSAGE_BYTES, Message, MessageBody};
 use crate::voter_set::{MAX_VOTERS, VoterSet};
 
-/// Why bytes are no message.
+/// The error of encoding or decoding a message.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// They are longer than any message.
-    #[error("reading a word: {found} bytes, where {MAX_MESSAGE_BYTES} are the most; drop it")]
+    /// The message is longer than [`MAX_MESSAGE_BYTES`].
+    #[error("message of {found} bytes exceeds the limit of {MAX_MESSAGE_BYTES} bytes")]
     TooLong {
-        /// Their number.
+        /// Number of bytes.
         found: usize,
     },
-    /// They can't be decoded.
-    #[error("reading a word: it is damaged or of another version ({0}); drop it")]
+    /// The bytes cannot be decoded.
+    #[error("message is damaged or of another version: {0}")]
     Damaged(postcard::Error),
-    /// Bytes follow the message.
-    #[error("reading a word: {found} bytes behind its end, where none belong; drop it")]
+    /// Further bytes follow the message.
+    #[error("message is followed by {found} unexpected bytes")]
     Trailing {
-        /// Their number.
+        /// Number of bytes.
         found: usize,
     },
-    /// A collection in the message is larger than any sender makes it.
+    /// A collection in the message exceeds its bound, which no sender does.
     #[error(
-        "reading a word: it names more members than {MAX_VOTERS}, or bytes beyond {MAX_CHUNK_BYTES}; drop it"
+        "message has more than {MAX_VOTERS} voters, or a chunk of more than {MAX_CHUNK_BYTES} bytes"
     )]
     Unbounded,
 }
@@ -32,7 +32,9 @@
     /// Encodes the message in postcard's wire format.
     ///
     /// # Errors
-    /// It is longer than [`MAX_MESSAGE_BYTES`], which replicas and learners never produce.
+    ///
+    /// [`MessageError::TooLong`] if the message is longer than [`MAX_MESSAGE_BYTES`], which replicas and learners never
+    /// produce.
     pub fn encode(&self) -> Result<Vec<u8>, MessageError> {
         let bytes = postcard::to_stdvec(self).map_err(MessageError::Damaged)?;
         if bytes.len() > MAX_MESSAGE_BYTES {
@@ -44,7 +46,8 @@
     /// Decodes a message.
     ///
     /// # Errors
-    /// The bytes are too many, damaged, followed by others, or have a collection beyond its bound.
+    ///
+    /// The bytes are too long, damaged or followed by further bytes, or a collection exceeds its bound.
     pub fn decode(bytes: &[u8]) -> Result<Self, MessageError> {
         if bytes.len() > MAX_MESSAGE_BYTES {
             return Err(MessageError::TooLong { found: bytes.len() });
--- a/crates/consensus/src/proposals.rs
+++ b/crates/consensus/src/proposals.rs
@@ -1,5 +1,5 @@
-//! What a leader does with proposals: appends them to the log, and answers when they are committed; replicating
-//! the entries is left to `replication`.
+//! Proposals at the leader: they are appended to the log, and answered once committed. The entries are replicated in
+//! `replication`.
 
 use std::time::Duration;
 
@@ -12,14 +12,14 @@
 use crate::message::{MessageBody, ReplicaStatus};
 use crate::replica::Replica;
 
-/// Entries that are not committed yet, at most. Proposals beyond are not answered, and are repeated: without a
-/// majority the log would grow without bound.
+/// Largest number of uncommitted entries. Further proposals are not answered, so that their proposers repeat them;
+/// otherwise the log would grow without bound while there is no majority.
 pub const MAX_UNCOMMITTED_ENTRIES: u64 = 256;
-/// Proposals whose outcome nodes wait for, at most.
+/// Largest number of proposals for whose outcome a leader remembers the waiting nodes.
 const MAX_WAITING_PROPOSALS: usize = 1024;
-/// Time after which a learner that reported no position is not waited for.
+/// Time since the last report of a learner's position after which answers no longer wait for that learner.
 const LEARNER_POSITION_TIMEOUT: Duration = Duration::from_millis(1500);
-/// The incarnation in the id of a change of voters that the leader proposes itself.
+/// The incarnation in the id of a change of voters that the leader itself proposes.
 const LEADER_PROPOSAL_INCARNATION: Incarnation = Incarnation(u32::MAX);
 
 /// Whether an entry with this payload can never be committed.
@@ -34,11 +34,12 @@
 /// Whether a leader can append an entry to its log.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Appendable {
-    /// It can be appended now.
+    /// The entry can be appended now.
     Now,
-    /// Something else has to be committed first. The proposal is not answered, and is repeated.
+    /// Other entries must be committed, or voters become available, first. The proposal is not answered, so that its
+    /// proposer repeats it.
     Later,
-    /// The voters don't allow it. The proposal is answered with [`ProposalOutcome::Never`].
+    /// The current voters do not allow the change. The proposal is answered with [`ProposalOutcome::Never`].
     Never,
 }
 
@@ -76,7 +77,7 @@
         self.answer_committed(actions);
     }
 
-    /// Answers a proposal as the leader.
+    /// Sends the outcome of a proposal, as the leader.
     fn answer_proposal(
         &mut self,
         to: NodeId,
@@ -101,7 +102,8 @@
         if self.log.op() - self.commit >= MAX_UNCOMMITTED_ENTRIES || !self.log.has_room() {
             return Appendable::Later;
         }
-        // One change of voters at a time: two in a row could have majorities that do not intersect.
+        // Only one change of voters may be uncommitted: the majorities before and after two changes might not
+        // intersect.
         let is_settled = self.log.has_only_commands_after(self.commit);
         let is_allowed = match payload {
             EntryPayload::Command(_) => return Appendable::Now,
@@ -125,8 +127,8 @@
         }
     }
 
-    /// Whether the voters that remain without `removed` have a majority that takes part. One that has just joined does
-    /// not until it has recovered the log.
+    /// Whether the voters without `removed` have a connected majority in normal status. A voter that has just joined is
+    /// not in normal status until it has recovered the log.
     fn has_quorum_without(&self, removed: NodeId) -> bool {
         let mut remaining = self.voter_set.clone();
         remaining.voters.remove(&removed);
@@ -154,7 +156,7 @@
         self.send(self.config.node_id, ok, actions);
     }
 
-    /// Proposes the node that is to join as a voter, once it sends heartbeats.
+    /// Proposes to add the joining node as a voter, once it sends heartbeats.
     pub(crate) fn admit_joining_voter(&mut self, actions: &mut Vec<Action>) {
         let joining = self.voter_set.joining.filter(|_| self.leadership.is_some());
         let Some(joining) = joining else { return };
@@ -170,7 +172,7 @@
         }
     }
 
-    /// Answers the proposals whose entries are committed, and held by enough learners that are not voters.
+    /// Answers the proposals whose entries are committed and held by enough learners on non-voters.
     pub(crate) fn answer_committed(&mut self, actions: &mut Vec<Action>) {
         for answer in self.take_answerable() {
             let outcome = Some(ProposalOutcome::Committed(answer.index));
@@ -203,7 +205,7 @@
         answers
     }
 
-    /// The positions of the learners that are not voters and have reported recently.
+    /// Returns the positions of the learners on non-voters that have reported recently.
     fn learner_copies(&self) -> Vec<LogIndex> {
         let voters = &self.voter_set.voters;
         let mut positions = Vec::new();
@@ -217,7 +219,7 @@
     }
 }
 
-/// The answer to a proposal that is committed.
+/// The answer to a committed proposal, and the nodes that wait for it.
 struct CommittedAnswer {
     id: ProposalId,
     index: LogIndex,
--- a/crates/consensus/src/record_format.rs
+++ b/crates/consensus/src/record_format.rs
@@ -1,6 +1,6 @@
-//! The format of a voter's log file, to and from bytes; when files are written is left to the store.
+//! Encodes and parses a voter's log file. The store reads and writes the file.
 //!
-//! The file begins with a header, which says whose it is. Then come records, each as length, CRC-32 (IEEE 802.3),
+//! The file begins with a header, which identifies its owner. Then come records, each as length, CRC-32 (IEEE 802.3),
 //! number and content.
 
 use hollowpaddle_peer_transport::NodeId;
@@ -9,25 +9,26 @@
 
 /// Version of the file format.
 pub const VERSION: u32 = 1;
-/// Longest file, in bytes. A longer one is not trusted, since it would exhaust the memory of every start.
+/// Largest length of a file, in bytes. A longer file is not trusted, since reading it would exhaust the memory at every
+/// start.
 pub const MAX_FILE_BYTES: u64 = 64 << 20;
 
 const MAGIC: &[u8; 8] = b"hpcouncl";
-/// Magic, version, cluster, node, checksum.
+/// Length of the header: magic, version, cluster, node, checksum.
 const HEADER_BYTES: usize = 8 + 4 + 8 + 2 + 4;
-/// Length, checksum and number before a record.
+/// Length of the frame before a record: length, checksum, number.
 const FRAME_BYTES: usize = 4 + 4 + 8;
-/// Bytes behind a damaged record in which intact ones are searched.
+/// Number of bytes after a damaged record in which intact records are searched.
 const SEARCHED_BYTES: usize = 1 << 20;
-/// Largest gap between the numbers of two records: a greater number is damage.
+/// Largest gap between the numbers of two successive records. A greater gap is treated as damage.
 const MAX_NUMBER_GAP: u64 = 1 << 40;
 
-/// Why a file is not trusted.
+/// The reason why a file is not trusted.
 #[derive(Debug, thiserror::Error)]
 pub enum Corruption {
-    /// It is another balancer's, or of another cluster.
+    /// The file belongs to another node, or to another cluster.
     #[error(
-        "it is member {member}'s of bank {cluster:016x}, and this is member {node_id}'s of bank {own:016x}"
+        "the file belongs to node {member} of cluster {cluster:016x}, but this is node {node_id} of cluster {own:016x}"
     )]
     Foreign {
         /// The node in the file.
@@ -39,19 +40,19 @@
         /// This node's cluster.
         own: u64,
     },
-    /// It has no header of this version.
-    #[error("it does not begin as a council's log of version {VERSION}")]
+    /// The file has no intact header of this version.
+    #[error("the file has no intact header of a consensus log of version {VERSION}")]
     NoHead,
-    /// A record is damaged, and intact ones follow.
+    /// A record is damaged, and intact records follow.
     #[error(
-        "the record at byte {at} is damaged, and whole ones come behind it: the disk changed what it held"
+        "the record at byte {at} is damaged, and intact records follow: the disk changed stored data"
     )]
     Damaged {
-        /// The record's position.
+        /// Position of the damaged record in the file, in bytes.
         at: usize,
     },
-    /// It is longer than any.
-    #[error("it holds more than {MAX_FILE_BYTES} bytes")]
+    /// The file is longer than [`MAX_FILE_BYTES`].
+    #[error("the file is longer than {MAX_FILE_BYTES} bytes")]
     TooLong,
 }
 
@@ -65,11 +66,11 @@
 /// The content of a log file.
 pub(crate) struct ParsedLog {
     pub(crate) durable: DurableState,
-    /// Bytes up to the end of the last intact record.
+    /// Number of bytes up to the end of the last intact record.
     pub(crate) intact_bytes: usize,
 }
 
-/// The header of a file.
+/// Encodes the header of a file.
 pub(crate) fn encode_header(owner: Owner) -> Vec<u8> {
     let mut header = MAGIC.to_vec();
     header.extend(VERSION.to_le_bytes());
@@ -79,9 +80,9 @@
     header
 }
 
-/// A record with its length, checksum and number.
+/// Encodes a record with its length, checksum and number.
 pub(crate) fn encode_record(number: u64, record: &Record) -> Vec<u8> {
-    // Plain values can't fail to be encoded into a vector.
+    // Encoding plain values into a vector cannot fail.
     let content = postcard::to_stdvec(record).unwrap_or_default();
     let mut framed = (content.len() as u32).to_le_bytes().to_vec();
     framed.extend([0; 4]);
@@ -104,7 +105,7 @@
         durable.apply(found.number, found.record);
         at = found.end;
     }
-    // A torn tail has no intact record behind it; a record that the disk changed has.
+    // No intact record follows a torn tail. A damaged record that intact records follow was changed by the disk.
     let mut searched = at + 1..bytes.len().min(at + SEARCHED_BYTES);
     if searched.any(|at| record_at(bytes, at, durable.written).is_some()) {
         return Err(Corruption::Damaged { at });
@@ -133,16 +134,16 @@
 struct FoundRecord {
     number: u64,
     record: Record,
-    /// Position after it.
+    /// Position after the record.
     end: usize,
 }
 
-/// The intact record at a position, if there is one with a number above `above`.
+/// Returns the intact record at a position, if there is one and its number is above `above`.
 fn record_at(bytes: &[u8], at: usize, above: u64) -> Option<FoundRecord> {
     let front = bytes.get(at..at + FRAME_BYTES)?;
     let length = u32_at(front, 0) as usize;
     let (checksum, number) = (u32_at(front, 4), u64_at(front, 8));
-    // Checked first, since the checksum of an arbitrary length costs time.
+    // The number is checked first, since a checksum over an arbitrary length is expensive.
     if number <= above || number - above > MAX_NUMBER_GAP {
         return None;
     }
--- a/crates/consensus/src/recovery.rs
+++ b/crates/consensus/src/recovery.rs
@@ -1,5 +1,6 @@
-//! The recovery of a replica: how one that has lost its state votes again under a new incarnation count, and when
-//! a directory is trusted. Bootstrapping an epoch where a majority has lost its state is left to `epoch_bootstrap`.
+//! The recovery of a replica: a replica that has lost its state votes again under a new incarnation count, and a
+//! replica with a directory decides whether to trust it. After a majority has lost its state, `epoch_bootstrap`
+//! bootstraps an epoch.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,9 +18,10 @@
 use crate::timing::{HEARTBEAT_INTERVAL, LEARNER_QUERY_PERIOD, VIEW_CHANGE_TIMEOUT};
 use crate::voter_set::VoterSet;
 
-/// Time without an answer of a majority in a view after which a replica goes on from its directory.
+/// Time without responses of a majority in a view after which a replica resumes from its directory.
 pub const DIRECTORY_RECOVERY_TIMEOUT: Duration = Duration::from_millis(500);
-/// Learners that are asked for their copies in one interval of 100 ms: 300 within half a second.
+/// Number of learners that are queried for their copies of the log in one interval of 100 ms: 300 learners within half
+/// a second.
 const LEARNERS_PER_INTERVAL: u16 = 64;
 
 impl Replica {
@@ -64,7 +66,7 @@
         };
         recovery.due = now + HEARTBEAT_INTERVAL;
         if self.transfer.is_some() && now > self.next_view_change {
-            // The source of the transfer is gone: the peers are asked again which view stands.
+            // The source of the transfer no longer responds, so the peers are queried again for the current view.
             self.transfer = None;
             recovery.responses.clear();
         }
@@ -80,7 +82,7 @@
         self.advance_recovery(actions);
     }
 
-    /// Asks the next learners for their copies of the log.
+    /// Queries the next learners for the positions of their copies of the log.
     fn query_learners(&mut self, nonce: u64, actions: &mut Vec<Action>) {
         let cluster = self.config.cluster;
         let Some(recovery) = &mut self.recovery else { return };
@@ -106,8 +108,8 @@
         }
     }
 
-    /// Begins the next incarnation, once a majority in a view has answered: it knows all incarnations of this node
-    /// that ever voted.
+    /// Begins the next incarnation once a majority has responded in normal status. A majority knows all incarnations of
+    /// this node that have ever voted.
     fn begin_incarnation(&mut self, actions: &mut Vec<Action>) -> bool {
         let (now, own) = (self.now, self.own_incarnation_count());
         let voter_set = &self.voter_set;
@@ -133,7 +135,7 @@
         true
     }
 
-    /// Goes on from the directory, if no majority in a view has answered in time, and nobody knows of later state.
+    /// Resumes from the directory if no majority in a view has responded in time and no peer knows of later state.
     fn consider_directory(&mut self, actions: &mut Vec<Action>) {
         let Some(recovery) = &self.recovery else { return };
         let has_waited = match recovery.begun {
@@ -149,10 +151,10 @@
         let has_later_records = reports.clone().any(|report| report.persisted > self.persisted);
         let has_later_incarnation = reports.any(|report| report.our_incarnation_count > own);
         if has_later_records {
-            let reason = "the others know of more records: an old copy, or a sync lied";
+            let reason = "peers know of more records: the directory is an old copy, or a sync lied";
             self.lose_state(reason, actions);
         } else if has_later_incarnation {
-            let reason = "the others know a later life, which wrote nothing down";
+            let reason = "peers know a later incarnation of this node, which persisted no records";
             self.lose_state(reason, actions);
         } else {
             self.resume_from_directory(actions);
@@ -177,7 +179,7 @@
         asked_at_ms: u64,
         actions: &mut Vec<Action>,
     ) {
-        // The sender has restarted: its vote from before it lost its state is void.
+        // The sender has restarted, so its earlier vote without state is void.
         if self.votes.get(&from).is_some_and(|vote| vote.state_lost) {
             self.votes.remove(&from);
         }
@@ -205,8 +207,8 @@
             return;
         }
         if self.state_lost {
-            // Record numbers continue from what the peers know, so that a later start does not take its own
-            // directory for an old copy.
+            // Record numbers continue from the greatest number that the peers know, so that a later start does not
+            // mistake the new directory for an old copy.
             self.continue_numbers_after(report.persisted);
         }
         let Some(recovery) = &mut self.recovery else { return };
@@ -218,7 +220,7 @@
         self.adopt_voters(voter_set);
     }
 
-    /// Takes over a later set of voters. The configured voters count only if no peer knows of others.
+    /// Adopts a later set of voters. The configured voters apply only if no peer knows of a change.
     pub(crate) fn adopt_voters(&mut self, voter_set: &VoterSet) {
         let is_later = voter_set.changed_at > self.voter_set.changed_at;
         if !self.state_lost || !is_later || voter_set.voters.is_empty() {
@@ -232,7 +234,7 @@
     }
 
     pub(crate) fn on_recovery(&mut self, from: NodeId, nonce: u64, actions: &mut Vec<Action>) {
-        // A replica in a view change can't tell which view stands.
+        // A replica in a view change does not know the current view.
         if self.status != ReplicaStatus::Normal || !self.voter_set.voters.contains(&from) {
             return;
         }
@@ -293,7 +295,7 @@
         }
     }
 
-    /// The response of the latest view's leader, if it has answered.
+    /// Returns the response of the latest view's leader, if it has arrived.
     fn latest_leader(&self) -> Option<RecoveryReport> {
         let view = self.responses.values().map(|response| response.view).max()?;
         let leader = self.responses.get(&view.leader)?;
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -1,4 +1,4 @@
-//! A voter of the replicated log as a state machine: its state, and which handler an event goes to.
+//! A voter of the replicated log as a state machine: its state, and the dispatch of events to handlers.
 //!
 //! The handlers are in `dispatch` (messages), `durability`, `heartbeat`, `view_change`, `leadership`, `catch_up`,
 //! `replication`, `proposals`, `recovery` and `epoch_bootstrap`.
@@ -21,17 +21,17 @@
 use crate::timing::{HEARTBEAT_INTERVAL, QUORUM_LOSS_TIMEOUT, VIEW_CHANGE_TIMEOUT};
 use crate::voter_set::VoterSet;
 
-/// Learners whose positions are tracked at most.
+/// Largest number of learners whose positions are tracked.
 const MAX_TRACKED_LEARNERS: usize = 64;
-/// Shortest delay before a leaderless replica begins a view, in milliseconds.
+/// Shortest delay between the loss of the leader and the start of a view, in milliseconds.
 const MIN_ELECTION_DELAY_MS: u64 = 20;
 /// Random part of that delay, in milliseconds.
 const ELECTION_JITTER_MS: u64 = 130;
 
-/// A message that waits until the records before it are on disk.
+/// A message that is sent once the records issued before it are on disk.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct AwaitingSync {
-    /// Number of the last record that has to be on disk.
+    /// Number of the last record that must be on disk before the message is sent.
     pub(crate) record_number: u64,
     pub(crate) to: NodeId,
     pub(crate) message: Message,
@@ -45,13 +45,13 @@
     pub(crate) rng_state: u64,
     pub(crate) incarnation_counts: IncarnationCounts,
     pub(crate) view: View,
-    /// The last view in which its status was normal.
+    /// The last view in which the replica's status was normal.
     pub(crate) last_normal_view: View,
     pub(crate) status: ReplicaStatus,
-    /// It has lost its state, and has not fetched it from its peers yet.
+    /// Whether the replica has lost its state and not yet fetched the peers' state.
     pub(crate) state_lost: bool,
     pub(crate) log: Log,
-    /// Number of the last committed entry that it knows of.
+    /// Number of the last entry that is known to be committed.
     pub(crate) commit: u64,
     pub(crate) voter_set: VoterSet,
     /// Recent proposals, with the numbers of their entries.
@@ -59,35 +59,35 @@
     /// The last entry that was delivered.
     pub(crate) delivered: Option<LogIndex>,
     pub(crate) peers: BTreeMap<NodeId, PeerState>,
-    /// The greatest number of a view of this epoch that it knows of.
+    /// The greatest known number of a view of this epoch.
     pub(crate) highest_view_number: u32,
     pub(crate) votes: BTreeMap<NodeId, DoViewChangeVote>,
     pub(crate) bootstrap: Option<EpochBootstrap>,
-    /// Present while it leads.
+    /// Present while the replica leads its view.
     pub(crate) leadership: Option<LeaderState>,
     pub(crate) transfer: Option<StateTransfer>,
-    /// It begins no view before.
+    /// Earliest time at which the replica begins another view.
     pub(crate) next_view_change: Duration,
-    /// Since when it is connected to no leader.
+    /// Time since which the replica is connected to no leader.
     pub(crate) leaderless_since: Option<Duration>,
     pub(crate) heartbeat_due: Duration,
     pub(crate) recovery: Option<RecoveryState>,
     pub(crate) learner_positions: BTreeMap<NodeId, LearnerPosition>,
-    /// Number of the entry at which a snapshot was wanted last.
+    /// Number of the entry at which a snapshot was last requested.
     pub(crate) snapshot_wanted_at: u64,
-    /// The incarnation counts that were last persisted for a recovering peer.
+    /// The incarnation counts that were last persisted before a response to a recovering peer.
     pub(crate) persisted_counts: Option<IncarnationCounts>,
     /// Number of the last record on disk.
     pub(crate) persisted: u64,
-    /// Number of the last record that was to be persisted.
+    /// Number of the last record that was issued to be persisted.
     pub(crate) issued: u64,
     pub(crate) awaiting_sync: VecDeque<AwaitingSync>,
-    /// Messages to itself.
+    /// Messages from the replica to itself.
     pub(crate) loopback: VecDeque<Message>,
 }
 
 impl Replica {
-    /// A replica at its start, with the state of its directory, if it has one that could be read.
+    /// Creates a replica that starts recovery, with the state that was read from its directory, if any.
     pub fn new(now: Duration, config: ReplicaConfig, found: Option<DurableState>) -> Self {
         let mut replica = Self::without_state(now, config);
         let found = found.filter(|_| replica.config.directory);
@@ -133,7 +133,7 @@
         }
     }
 
-    /// Restores the state of the directory; `false` if there is none.
+    /// Restores the state of the directory, and returns whether there is any.
     fn restore_durable(&mut self, durable: DurableState) -> bool {
         self.issued = durable.written;
         self.persisted = durable.written;
@@ -151,7 +151,7 @@
     /// Handles one event. `now` is the time since the start of the process, and does not go back.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
-        // First of all: after a pause the replica may no longer lead.
+        // This check comes before any handler: after a pause the replica may no longer lead.
         self.step_down_without_quorum(actions);
         match event {
             Event::Tick => self.tick(actions),
@@ -189,13 +189,13 @@
         }
     }
 
-    /// Its status.
+    /// Returns the status of the replica.
     pub fn status(&self) -> ReplicaStatus {
         self.status
     }
 
-    /// The status that it tells others: one that takes part in a bootstrap, and has no state yet, still counts as
-    /// one that has lost it.
+    /// Returns the status that the replica reports to its peers. A replica that takes part in a bootstrap without
+    /// state still reports that it has lost its state.
     pub fn advertised_status(&self) -> ReplicaStatus {
         if self.state_lost && self.status == ReplicaStatus::ViewChange {
             ReplicaStatus::WithoutState
@@ -204,12 +204,12 @@
         }
     }
 
-    /// The view that it takes part in, or changes to.
+    /// Returns the view that the replica takes part in, or changes to.
     pub fn view(&self) -> View {
         self.view
     }
 
-    /// The leader that it is connected to.
+    /// Returns the leader that the replica is connected to, or the replica itself if it leads.
     pub fn leader(&self) -> Option<NodeId> {
         if self.leadership.is_some() {
             return Some(self.config.node_id);
@@ -218,27 +218,27 @@
         has_leader.then_some(self.view.leader)
     }
 
-    /// Number of the last entry of its log, committed or not.
+    /// Returns the number of the last entry of the log, committed or not.
     pub fn op(&self) -> u64 {
         self.log.op()
     }
 
-    /// The last committed entry that it knows of.
+    /// Returns the index of the last entry that is known to be committed.
     pub fn committed(&self) -> LogIndex {
         LogIndex::new(self.last_normal_view.epoch, self.commit)
     }
 
-    /// The voters that it knows.
+    /// Returns the current set of voters, as known to the replica.
     pub fn members(&self) -> &VoterSet {
         &self.voter_set
     }
 
-    /// Whether it takes part in a view or a view change.
+    /// Whether the replica takes part in a view or a view change.
     pub(crate) fn is_active(&self) -> bool {
         matches!(self.status, ReplicaStatus::Normal | ReplicaStatus::ViewChange)
     }
 
-    /// This node's incarnation count.
+    /// Returns this node's incarnation count.
     pub(crate) fn own_incarnation_count(&self) -> u32 {
         self.incarnation_count(self.config.node_id)
     }
@@ -252,13 +252,13 @@
         self.now.saturating_sub(since) >= period
     }
 
-    /// A random number below `bound`.
+    /// Returns a random number below `bound`.
     pub(crate) fn sample(&mut self, bound: u64) -> u64 {
         self.rng_state = self.rng_state.wrapping_add(split_mix::GOLDEN_GAMMA);
         split_mix::finalize(self.rng_state) % bound.max(1)
     }
 
-    /// A leader that no majority answers steps down.
+    /// Steps down if the replica leads and no majority has acknowledged a recent heartbeat.
     fn step_down_without_quorum(&mut self, actions: &mut Vec<Action>) {
         let Some(leadership) = &self.leadership else { return };
         let silence = self.now.saturating_sub(leadership.quorum_heartbeat_at);
@@ -275,7 +275,7 @@
         }
     }
 
-    /// Ends whatever is under way beside the normal operation of a view.
+    /// Abandons the state transfer, the bootstrap and the recovery in progress, if any.
     pub(crate) fn abandon_transitions(&mut self) {
         self.transfer = None;
         self.bootstrap = None;
@@ -307,7 +307,8 @@
             self.leaderless_since = None;
         } else if self.leaderless_since.is_none() {
             self.leaderless_since = Some(self.now);
-            // The others wait for this heartbeat; the one with the shortest delay begins the view change.
+            // Peers support a view change only after a heartbeat that reports the loss of the leader, so it is sent
+            // at once. The replica with the shortest delay begins the view change.
             self.heartbeat_due = self.now;
             let delay = MIN_ELECTION_DELAY_MS + self.sample(ELECTION_JITTER_MS);
             let earliest = self.now + Duration::from_millis(delay);
--- a/crates/consensus/src/replica_state.rs
+++ b/crates/consensus/src/replica_state.rs
@@ -1,4 +1,4 @@
-//! The parts of a replica's state that several of its protocols share; what they lead to is left to those.
+//! State that several protocols of a replica share. Each protocol's module contains the logic on it.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::time::Duration;
@@ -8,21 +8,21 @@
 use crate::entry::{LogIndex, ProposalId};
 use crate::message::{ReplicaStatus, View};
 
-/// What the last heartbeat of another voter told.
+/// The state of another voter, as its last heartbeat reported it.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct PeerState {
     pub(crate) last_heartbeat_at: Duration,
     pub(crate) view: View,
     pub(crate) status: ReplicaStatus,
-    /// It receives this node's heartbeats.
+    /// Whether the peer receives this node's heartbeats.
     pub(crate) receives_from_us: bool,
     pub(crate) is_leader: bool,
     pub(crate) is_leaderless: bool,
-    /// Number of its last record on disk.
+    /// Number of the peer's last record on disk.
     pub(crate) persisted: u64,
 }
 
-/// What a voter told that takes part in a view change.
+/// A voter's vote for a candidate in a view change.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct DoViewChangeVote {
     pub(crate) incarnation_count: u32,
@@ -32,29 +32,29 @@
     pub(crate) state_lost: bool,
 }
 
-/// A learner's copy of the log, up to an entry.
+/// A learner's copy of the log up to an entry.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct LearnerCopy {
     pub(crate) index: LogIndex,
     pub(crate) learner: NodeId,
 }
 
-/// The bootstrap of an epoch that is under way.
+/// An epoch bootstrap in progress.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct EpochBootstrap {
-    /// The best copy of a learner.
+    /// The most complete copy of the log that a learner has reported.
     pub(crate) copy: Option<LearnerCopy>,
-    /// Operators ordered it and named the voters.
+    /// Whether operators requested the bootstrap and named its voters.
     pub(crate) is_forced: bool,
     pub(crate) began_at: Duration,
 }
 
-/// What a leader knows of a follower, from its acknowledgements.
+/// The position of a follower, as its acknowledgements to the leader report it.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct Acknowledgement {
-    /// Number of the last entry that it has persisted.
+    /// Number of the last entry that the follower has persisted.
     pub(crate) op: u64,
-    /// When the latest heartbeat that it answered was sent.
+    /// Time at which the latest heartbeat that the follower acknowledged was sent.
     pub(crate) heartbeat_sent_at: Option<Duration>,
 }
 
@@ -69,41 +69,41 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct LeaderState {
     pub(crate) since: Duration,
-    /// When the latest heartbeat that a majority answered was sent.
+    /// Time at which the latest heartbeat that a majority acknowledged was sent.
     pub(crate) quorum_heartbeat_at: Duration,
     pub(crate) heartbeat_number: u32,
-    /// The latest heartbeats.
+    /// The latest heartbeats that were sent.
     pub(crate) heartbeats: VecDeque<SentHeartbeat>,
     pub(crate) acknowledgements: BTreeMap<NodeId, Acknowledgement>,
-    /// The nodes that wait for the outcome of each proposal.
+    /// The nodes that wait for the outcome of a proposal, by its id.
     pub(crate) waiting: BTreeMap<ProposalId, BTreeSet<NodeId>>,
 }
 
-/// When a learner reported its position in the log.
+/// A learner's position in the log, and the time of its report.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct LearnerPosition {
     pub(crate) index: LogIndex,
     pub(crate) reported_at: Duration,
 }
 
-/// What a peer answered to a status request.
+/// A peer's response to a status request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct StatusReport {
-    /// When it was asked, on this node's clock in milliseconds.
+    /// Time of the request on this node's clock, in milliseconds.
     pub(crate) asked_at_ms: u64,
     pub(crate) status: ReplicaStatus,
-    /// The peer's process.
+    /// The incarnation of the peer's process.
     pub(crate) own_incarnation: u64,
     /// Number of this node's last record on disk that the peer knows of.
     pub(crate) persisted: u64,
     pub(crate) commit: u64,
-    /// This node's incarnation count that the peer knows.
+    /// This node's incarnation count, as known to the peer.
     pub(crate) our_incarnation_count: u32,
     pub(crate) view: View,
     pub(crate) received_at: Duration,
 }
 
-/// When a process of a peer first reported that it has lost its state.
+/// The first report of a peer's process that it has lost its state.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct StateLossReport {
     pub(crate) own_incarnation: u64,
@@ -117,7 +117,7 @@
     pub(crate) since: Duration,
 }
 
-/// What a peer answered to a recovery.
+/// A peer's response to a recovery message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct RecoveryReport {
     pub(crate) view: View,
@@ -127,21 +127,21 @@
     pub(crate) incarnation_count: u32,
 }
 
-/// A recovery that is under way.
+/// A recovery in progress.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct RecoveryState {
     pub(crate) nonce: u64,
-    /// There is a directory, of which is not known yet whether to trust it.
+    /// Whether the node has state from a directory that is not yet known to be trustworthy.
     pub(crate) has_directory: bool,
     pub(crate) began_at: Duration,
-    /// When to ask again.
+    /// Time of the next requests to the peers.
     pub(crate) due: Duration,
     pub(crate) reports: BTreeMap<NodeId, StatusReport>,
     pub(crate) state_losses: BTreeMap<NodeId, StateLossReport>,
     pub(crate) begun: Option<BegunIncarnation>,
     pub(crate) responses: BTreeMap<NodeId, RecoveryReport>,
-    /// The best copy of a learner.
+    /// The most complete copy of the log that a learner has reported.
     pub(crate) best_copy: Option<LearnerCopy>,
-    /// The next learner to ask.
+    /// Node id of the next learner to query.
     pub(crate) next_learner: u16,
 }
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -1,5 +1,5 @@
-//! Normal operation of a view: entries are replicated, acknowledged and committed; what becomes of proposals is
-//! left to `proposals`.
+//! Normal operation of a view: entries are replicated, acknowledged and committed. Proposals are handled in
+//! `proposals`.
 
 use std::time::Duration;
 
@@ -11,11 +11,11 @@
 use crate::message::{MAX_SNAPSHOT_BYTES, MessageBody, ReplicaStatus, View};
 use crate::replica::Replica;
 
-/// Entries after which a snapshot is wanted.
+/// Number of entries after the last snapshot at which another snapshot is requested.
 pub const SNAPSHOT_INTERVAL_ENTRIES: u64 = 1024;
-/// Bytes that an entry may take beside its command.
+/// Largest encoded length of an entry without its command, in bytes.
 const ENTRY_MARGIN_BYTES: usize = 64;
-/// Bytes of a snapshot that are reserved for what consensus adds to it.
+/// Bytes of a snapshot that are reserved for the voters and the proposals in it.
 pub(crate) const SNAPSHOT_RESERVE_BYTES: usize = 64 << 10;
 
 impl Replica {
@@ -37,7 +37,7 @@
             self.send(from, MessageBody::GetState { first: op + 1, offset: 0 }, actions);
             return;
         }
-        // A view has one log, so the entries that are here already are the same.
+        // A view has one log, so the received entries that are already in this log are the same.
         let new = entries.into_iter().skip((op + 1 - first) as usize).collect();
         self.append_prepared(new, actions);
         if self.log.op() > op || commit == 0 {
@@ -83,7 +83,7 @@
         self.commit_acknowledged(actions);
     }
 
-    /// Reports the latest heartbeat that a majority answered, itself or a later one.
+    /// Reports the latest heartbeat such that a majority has acknowledged it or a later one.
     fn track_quorum_heartbeat(&mut self, actions: &mut Vec<Action>) {
         let Some(leadership) = &mut self.leadership else { return };
         let voters = &self.voter_set.voters;
@@ -98,8 +98,8 @@
         }
     }
 
-    /// Commits what a majority has acknowledged, one entry at a time: a change of voters counts for all entries
-    /// after it.
+    /// Commits the entries that a majority has acknowledged, one at a time, since a change of voters applies to all
+    /// entries after it.
     fn commit_acknowledged(&mut self, actions: &mut Vec<Action>) {
         let commit_before = self.commit;
         while let Some(leadership) = &self.leadership {
@@ -122,7 +122,7 @@
         }
     }
 
-    /// Commits everything up to this entry, as far as it is in the log.
+    /// Commits all entries up to this number, as far as the log has them.
     pub(crate) fn commit_through(&mut self, commit: u64, actions: &mut Vec<Action>) {
         let through = commit.min(self.log.op());
         let mut voters_changed = false;
--- a/crates/consensus/src/split_mix.rs
+++ b/crates/consensus/src/split_mix.rs
@@ -1,7 +1,7 @@
-//! The constants and the finalizer of SplitMix64 (Steele, Lea, Flood 2014), for random numbers and for hashes; not
-//! for secrets.
+//! The increment and the finalizer of SplitMix64 (Steele, Lea, Flood 2014), for random numbers and hashes, but not for
+//! secrets.
 
-/// The step from one state to the next: 2^64 divided by the golden ratio.
+/// The increment from one state to the next: 2^64 divided by the golden ratio.
 pub(crate) const GOLDEN_GAMMA: u64 = 0x9E37_79B9_7F4A_7C15;
 
 /// Mixes the bits of a state, as a bijection.
--- a/crates/consensus/src/state_transfer.rs
+++ b/crates/consensus/src/state_transfer.rs
@@ -1,5 +1,5 @@
-//! Assembles a log that is fetched from another node in bounded messages; which log is fetched from whom is left
-//! to the replica and the learner.
+//! Assembles a log that is fetched from another node in bounded messages. The replica and the learner choose the log
+//! and its source.
 
 use std::time::Duration;
 
@@ -9,25 +9,25 @@
 use crate::log::{Log, MAX_LOG_BYTES, MAX_LOG_ENTRIES, SnapshotBase};
 use crate::message::{LogPart, MAX_SNAPSHOT_BYTES, View};
 
-/// What a state transfer requests next.
+/// The position at which a state transfer continues.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) struct TransferPosition {
     /// Number of the next entry.
     pub(crate) next_op: u64,
-    /// Number of the snapshot's bytes that have arrived.
+    /// Number of received bytes of the snapshot.
     pub(crate) offset: u32,
 }
 
-/// Another node's log that is being fetched.
+/// A transfer of another node's log in progress.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct StateTransfer {
-    /// The node it is fetched from.
+    /// The node that the log is fetched from.
     pub(crate) source: NodeId,
-    /// The view it is fetched for.
+    /// The view that the log is fetched for.
     pub(crate) view: View,
     /// Number of the last entry that is needed.
     pub(crate) target: u64,
-    /// The source is a learner.
+    /// Whether the source is a learner.
     pub(crate) is_from_learner: bool,
     /// Time of the last request.
     pub(crate) requested_at: Duration,
@@ -40,7 +40,7 @@
 }
 
 impl StateTransfer {
-    /// Fetches the entries from `first` to `target`, or a snapshot and the entries after it.
+    /// Creates a transfer of the entries from `first` to `target`, or of a snapshot and the entries after it.
     pub(crate) fn new(source: NodeId, view: View, first: u64, target: u64) -> Self {
         Self {
             source,
@@ -56,13 +56,13 @@
         }
     }
 
-    /// What is needed next.
+    /// Returns the position at which the transfer continues.
     pub(crate) fn position(&self) -> TransferPosition {
         let next_op = self.first + self.entries.len() as u64;
         TransferPosition { next_op, offset: self.snapshot.offset() }
     }
 
-    /// Adds a part; `false` if it is not the next one.
+    /// Adds a part of the log, and returns whether it was the next one.
     pub(crate) fn add(&mut self, part: LogPart) -> bool {
         match part {
             LogPart::Entries { first, entries } => self.add_entries(first, entries),
@@ -82,7 +82,7 @@
 
     fn add_entries(&mut self, first: u64, entries: Vec<Entry>) -> bool {
         let is_next = first == self.position().next_op && !entries.is_empty();
-        // As for a log, whose last entry may go beyond the bound.
+        // The same bounds as those of a log, whose last entry may exceed the bound in bytes.
         let has_room = self.entries.len() < MAX_LOG_ENTRIES && self.entry_bytes < MAX_LOG_BYTES;
         if !is_next || !has_room {
             return false;
@@ -92,13 +92,14 @@
         true
     }
 
-    /// Whether everything has arrived. A log that begins anew (`first` is 0) needs a snapshot.
+    /// Whether all parts have arrived. A transfer of the whole log (`first` is 0) needs a snapshot.
     pub(crate) fn is_complete(&self) -> bool {
         let has_start = self.first > 0 || self.base.is_some();
         has_start && self.position().next_op > self.target
     }
 
-    /// The fetched log: a snapshot and its entries, or the given log with the fetched entries at its end.
+    /// Returns the fetched log: the snapshot and the entries after it, or the given log with the fetched entries at its
+    /// end.
     pub(crate) fn into_log(self, log: &Log) -> Log {
         if let Some(base) = self.base {
             let start = base.op;
@@ -113,7 +114,7 @@
     }
 }
 
-/// A snapshot that is assembled from its chunks.
+/// Assembles a snapshot from its chunks.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct SnapshotAssembly {
     op: u64,
@@ -123,22 +124,22 @@
 }
 
 impl SnapshotAssembly {
-    /// Number of bytes that have arrived.
+    /// Returns the number of received bytes.
     pub(crate) fn offset(&self) -> u32 {
         self.bytes.len() as u32
     }
 
-    /// Checksum of the snapshot.
+    /// Returns the checksum of the snapshot.
     pub(crate) fn checksum(&self) -> u32 {
         self.checksum
     }
 
-    /// Adds the next chunk, and returns the snapshot once it is complete and its checksum right.
+    /// Adds the next chunk. Returns the snapshot once it is complete and its checksum matches.
     pub(crate) fn add(&mut self, part: LogPart) -> Option<SnapshotBase> {
         let LogPart::Chunk { op, total_bytes, checksum, offset, bytes } = part else { return None };
         if (op, total_bytes, checksum) != (self.op, self.total_bytes, self.checksum) {
             if offset != 0 || total_bytes as usize > MAX_SNAPSHOT_BYTES {
-                // It is of another snapshot, which has to be begun at its start.
+                // The chunk is of another snapshot, whose assembly has to begin at its first chunk.
                 *self = Self::default();
                 return None;
             }
--- a/crates/consensus/src/store.rs
+++ b/crates/consensus/src/store.rs
@@ -1,12 +1,15 @@
-//! The file that holds a voter's records: appended to, synced, and rewritten when it grows long. What the records
-//! mean is left to the replica, and whether they are trusted is decided in `recovery`.
+//! Stores a voter's records in a file, which is appended to, synced, and rewritten when it grows long. The replica
+//! interprets the records, and decides in `recovery` whether to trust them.
 //!
-//! A file is cut off after its last intact record. That is safe: a record that was not synced was never
-//! acknowledged, since the replica holds its messages back until then. A sync that lied, a synced record that was
-//! damaged at the end, and a restored old copy look alike: the file holds fewer records than this voter has told its
-//! peers. They return that number at a start, and the voter then counts as one that has lost its state. It
-//! stays unnoticed only if none of the answering majority has received a message that was sent after the record was
-//! synced. A damaged record with intact ones behind it is no torn tail: such a file is not trusted.
+//! At a start, a file is truncated after its last intact record. The truncation is safe: a record that was not synced
+//! was never acknowledged, since the replica delays its messages until the sync.
+//!
+//! A sync that lied, damage to the last synced record, and a restored old copy have the same effect: the file has
+//! fewer records than this voter has reported to its peers. At a start the peers return the reported number, and the
+//! voter then counts as one that has lost its state. The loss remains undetected only if no voter of the responding
+//! majority has received a message that was sent after the lost record was synced.
+//!
+//! A damaged record that is followed by intact ones is not a torn tail, and such a file is not trusted.
 
 use std::io::{self, ErrorKind};
 
@@ -24,58 +27,59 @@
 
 /// The current file.
 const CURRENT_FILE: &str = "council.log";
-/// A file being written in place of the current one.
+/// The file that is being written to replace the current one.
 const REWRITTEN_FILE: &str = "council.new";
-/// A file that is not trusted.
+/// A former current file that is not trusted.
 const REJECTED_FILE: &str = "council.aside";
 
-/// A step on the disk failed.
+/// The error of a file operation of the store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
     /// The operating system reported an error.
     #[error(
-        "{file}: {doing}: {cause}; the directory must be this balancer's own, writable and with room"
+        "{file} could not be {doing}: {cause}; the directory must be this balancer's own, writable and with free space"
     )]
     Failed {
         /// The file.
         file: String,
-        /// What was to be done with it.
+        /// The operation on the file, as a past participle.
         doing: &'static str,
         /// The error.
         #[source]
         cause: io::Error,
     },
-    /// A failpoint ends the process here. The caller carries that out.
-    #[error("the process ends at {0}, by a plan of faults")]
+    /// A failpoint ends the process here. The caller has to end it.
+    #[error("failpoint {0} ends the process")]
     Ended(&'static str),
-    /// Records must have increasing numbers: a start would cut off all behind one that has not.
+    /// The record's number is not above that of the previous record. A start would discard that record and all records
+    /// after it.
     #[error(
-        "{file}: record {number} came after record {last}; carry out what the machine wants in its order"
+        "{file}: record {number} was appended after record {last}; records must be appended in increasing order"
     )]
     Order {
         /// The file.
         file: String,
         /// The record's number.
         number: u64,
-        /// The number of the record before.
+        /// The number of the previous record.
         last: u64,
     },
-    /// An earlier step failed, so that the end of the file is unknown until it is rewritten.
-    #[error("{file}: an earlier write failed; it has to be rewritten first")]
+    /// An earlier operation failed, so that the end of the file is unknown until the file is rewritten.
+    #[error("{file}: an earlier write failed; the file has to be rewritten first")]
     Unsure {
         /// The file.
         file: String,
     },
 }
 
-/// What a start finds in the directory.
+/// The content of a voter's directory at a start.
 #[derive(Debug, Default)]
 pub struct LoadedLog {
-    /// The state in the file; nothing if it is not trusted.
+    /// The state in the file; empty if the file is not trusted.
     pub durable: DurableState,
-    /// Why it is not trusted. The file was renamed.
+    /// The reason why the file is not trusted. Such a file has been renamed.
     pub doubt: Option<Corruption>,
-    /// Bytes of a torn tail that were cut off.
+    /// Number of bytes of a torn tail that were removed.
     pub torn: usize,
 }
 
@@ -88,7 +92,7 @@
     length: u64,
     /// Number of the last record that was appended.
     last_number: u64,
-    /// The end of the current file is known.
+    /// Whether the end of the current file is known.
     is_consistent: bool,
     pause: bool,
 }
@@ -97,7 +101,9 @@
     /// Opens the directory of a voter.
     ///
     /// # Errors
-    /// It can't be read or written. The voter then starts without state, and with `DiskFailed`.
+    ///
+    /// The file cannot be read or written. The replica must then start without state, and receive
+    /// [`crate::Event::DiskFailed`].
     pub fn open(
         disk: impl Disk + 'static,
         points: Points,
@@ -110,7 +116,7 @@
         Ok((store, loaded))
     }
 
-    /// A store whose directory could not be opened: [`Self::reset`] tries again.
+    /// Creates a store whose directory could not be opened. [`Self::reset`] tries to open it again.
     pub fn closed(
         disk: impl Disk + 'static,
         points: Points,
@@ -145,7 +151,7 @@
         }
     }
 
-    /// Cuts off a torn tail.
+    /// Removes a torn tail from the file.
     fn load_parsed(
         &mut self,
         parsed: ParsedLog,
@@ -154,7 +160,7 @@
         let length = parsed.intact_bytes as u64;
         let torn = file_bytes - parsed.intact_bytes;
         if torn > 0 {
-            let doing = "its torn tail cut off";
+            let doing = "truncated after its last intact record";
             self.step("council.cut", Kind::Write, CURRENT_FILE, doing, |store, _| {
                 store.disk.truncate(CURRENT_FILE, length)
             })?;
@@ -180,11 +186,12 @@
         Ok(bytes)
     }
 
-    /// Appends a record, which survives a crash once [`Self::sync`] has returned. A complete state survives at
-    /// once.
+    /// Appends a record, which survives a crash once [`Self::sync`] has returned. A complete state survives a crash
+    /// once this function has returned.
     ///
     /// # Errors
-    /// It can't be written. The voter is then told `DiskFailed`.
+    ///
+    /// The record cannot be written. The replica must then receive [`crate::Event::DiskFailed`].
     pub fn append(&mut self, number: u64, record: &Record) -> Result<(), StoreError> {
         self.check_consistent()?;
         let frame = encode_record(number, record);
@@ -197,7 +204,7 @@
             return self.rewrite(&frame);
         }
         self.is_consistent = false;
-        let doing = "a record appended";
+        let doing = "appended to";
         self.step("council.append", Kind::Write, CURRENT_FILE, doing, |store, is_short| {
             store.disk.append(CURRENT_FILE, first_half_if(is_short, &frame))
         })?;
@@ -210,27 +217,29 @@
         Ok(())
     }
 
-    /// Syncs all appended records, and returns the number of the last.
+    /// Syncs all appended records, and returns the number of the last one.
     ///
     /// # Errors
-    /// They can't be synced. What a failed sync left on disk is unknown, and another sync can't tell (fsyncgate,
-    /// 2018), so the file has to be rewritten before anything is appended.
+    ///
+    /// The records cannot be synced. The content on disk after a failed sync is unknown, and another sync does not
+    /// reveal it (fsyncgate, 2018), so the file has to be rewritten before another record is appended.
     pub fn sync(&mut self) -> Result<u64, StoreError> {
         self.check_consistent()?;
         self.sync_file(CURRENT_FILE)?;
         Ok(self.last_number)
     }
 
-    /// Begins an empty file after a failure. The voter is then told `DiskWell`.
+    /// Begins an empty file after a failure. The replica must then receive [`crate::Event::DiskWell`].
     ///
     /// # Errors
-    /// The directory still can't be written.
+    ///
+    /// The directory still cannot be written.
     pub fn reset(&mut self) -> Result<(), StoreError> {
         self.last_number = 0;
         self.rewrite(&[])
     }
 
-    /// Whether a failpoint pauses the process here. The caller carries that out before anything else.
+    /// Returns and clears whether a failpoint pauses the process here. The caller has to pause before any other action.
     pub fn take_pause(&mut self) -> bool {
         std::mem::take(&mut self.pause)
     }
@@ -242,7 +251,7 @@
         Err(StoreError::Unsure { file: self.disk.place(CURRENT_FILE) })
     }
 
-    /// Replaces all records by one of the complete state.
+    /// Replaces all records by one record of the complete state.
     fn compact(&mut self) -> Result<(), StoreError> {
         let bytes = self.read()?.unwrap_or_default();
         let parsed = parse(&bytes, self.owner).map_err(|corruption| {
@@ -257,7 +266,7 @@
         }
     }
 
-    /// Replaces the file atomically: the new one is written, synced and renamed, and its name is synced.
+    /// Replaces the file atomically: the new file is written, synced and renamed, and its name is synced.
     fn rewrite(&mut self, frames: &[u8]) -> Result<(), StoreError> {
         self.is_consistent = false;
         let mut bytes = encode_header(self.owner);
@@ -269,7 +278,7 @@
         self.step("council.rename", Kind::Rename, REWRITTEN_FILE, "renamed", |store, _| {
             store.disk.rename(REWRITTEN_FILE, CURRENT_FILE)
         })?;
-        let doing = "its name synced";
+        let doing = "synced in its directory";
         self.step("council.names", Kind::SyncNames, CURRENT_FILE, doing, |store, _| {
             store.disk.sync_names()
         })?;
@@ -285,7 +294,7 @@
         Ok(())
     }
 
-    /// Passes a failpoint and performs the operation, which is told whether to do only half of it.
+    /// Passes a failpoint and performs the operation, whose second argument is whether to perform only a part of it.
     fn step(
         &mut self,
         failpoint: &'static str,
--- a/crates/consensus/src/timing.rs
+++ b/crates/consensus/src/timing.rs
@@ -2,14 +2,14 @@
 
 use std::time::Duration;
 
-/// Interval between two heartbeats of a voter.
+/// Interval between successive heartbeats of a voter.
 pub const HEARTBEAT_INTERVAL: Duration = Duration::from_millis(100);
-/// Time without a heartbeat after which a peer counts as disconnected: four heartbeats in a row were lost.
+/// Time without a heartbeat after which a peer counts as disconnected: four successive heartbeats were lost.
 pub const PEER_TIMEOUT: Duration = Duration::from_millis(450);
-/// Time without a heartbeat that a majority answered after which a leader steps down.
+/// Time since the last heartbeat that a majority acknowledged after which a leader steps down.
 pub const QUORUM_LOSS_TIMEOUT: Duration = Duration::from_millis(600);
-/// Time after which a view that could not begin is tried again.
+/// Time after which a view change that has not succeeded is retried.
 pub(crate) const VIEW_CHANGE_TIMEOUT: Duration = Duration::from_millis(500);
-/// Time in which the learners' copies of the log are looked for before an epoch is bootstrapped. A view without
-/// a leader counts as stuck after the same time.
+/// Time for which learners are queried for copies of the log before an epoch is bootstrapped. A view without a leader
+/// counts as stuck after the same time.
 pub const LEARNER_QUERY_PERIOD: Duration = Duration::from_secs(1);
--- a/crates/consensus/src/view_change.rs
+++ b/crates/consensus/src/view_change.rs
@@ -1,4 +1,5 @@
-//! The view change: who may begin a view, and who takes part in it; leading it is left to `leadership`.
+//! The view change: the conditions on which a replica begins a view or takes part in one. A candidate becomes the
+//! leader in `leadership`.
 
 use std::time::Duration;
 
@@ -11,16 +12,16 @@
 use crate::timing::VIEW_CHANGE_TIMEOUT;
 use crate::voter_set::{MAX_VOTERS, VoterSet};
 
-/// Time after which a bootstrap that did not begin is given up.
+/// Time after the view change timeout at which a bootstrap that did not succeed is abandoned.
 const BOOTSTRAP_TIMEOUT: Duration = Duration::from_millis(1500);
-/// Random part of the time after which a view change is tried again, in milliseconds.
+/// Random part of the time after which a view change is retried, in milliseconds.
 const VIEW_CHANGE_JITTER_MS: u64 = 200;
-/// Votes that a candidate remembers at most.
+/// Largest number of votes that a candidate remembers.
 const MAX_TRACKED_VOTES: usize = 2 * MAX_VOTERS;
 
 impl Replica {
-    /// Whether it is connected in both directions to a majority without a leader. A voter that only some hear, or
-    /// that hears only some, never replaces a leader that others hear (OmniPaxos).
+    /// Whether the replica is connected in both directions to a majority of voters without a leader. A voter without
+    /// such a majority never replaces a leader that other voters are connected to (OmniPaxos).
     fn may_begin_view(&self) -> bool {
         let node_id = self.config.node_id;
         let supports = |node: &NodeId, peer: &PeerState| {
@@ -35,7 +36,7 @@
         self.voter_set.is_majority(supporters.map(|(node, _)| node).chain([&node_id]))
     }
 
-    /// Begins a view, if it is leaderless and may lead.
+    /// Begins a view if the replica is leaderless and may lead.
     pub(crate) fn consider_view_change(&mut self, is_leaderless: bool, actions: &mut Vec<Action>) {
         if !self.is_active() {
             return;
@@ -68,8 +69,8 @@
 
     pub(crate) fn begin_next_view(&mut self, actions: &mut Vec<Action>) {
         if self.last_normal_view.epoch != self.view.epoch && !self.state_lost {
-            // It took part in a bootstrap of which it knows no more. Its log is of another epoch, and somebody may
-            // have begun this one with another log, so it begins an epoch of its own.
+            // The replica joined a bootstrap whose outcome it does not know. Its log is of another epoch, and another
+            // voter may have begun this epoch with a different log, so the replica begins a new epoch.
             self.begin_epoch_after(self.view.epoch, None, actions);
             return;
         }
@@ -78,7 +79,7 @@
         self.begin_view(view, None, actions);
     }
 
-    /// Asks all voters to take part in a view that it would lead.
+    /// Asks all voters to take part in a view that this replica would lead.
     pub(crate) fn begin_view(
         &mut self,
         view: View,
@@ -90,7 +91,7 @@
         self.send_start_view_change(actions);
     }
 
-    /// Leaves its view for a later one, and promises to take part in none before it.
+    /// Leaves the current view for a later one, and promises not to take part in any view before that one.
     fn change_to(
         &mut self,
         view: View,
@@ -153,7 +154,7 @@
         }
     }
 
-    /// Whether it takes part in a later view that a candidate begins.
+    /// Whether this replica takes part in a later view that a candidate begins.
     fn takes_part_in(
         &self,
         candidate: NodeId,
--- a/crates/consensus/src/voter_set.rs
+++ b/crates/consensus/src/voter_set.rs
@@ -1,4 +1,4 @@
-//! The set of voters and its majorities, and how entries of the log change it.
+//! The set of voters, its majorities, and the changes of the set by entries of the log.
 
 use std::collections::BTreeSet;
 
@@ -7,33 +7,33 @@
 
 use crate::entry::EntryPayload;
 
-/// Largest number of voters, with those that are joining or leaving.
+/// Largest number of voters, including those that are joining or leaving.
 pub const MAX_VOTERS: usize = 16;
 
-/// The voters, from the commit of the entry that changed them.
+/// The voters. A change takes effect when its entry is committed.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct VoterSet {
     /// The nodes that vote.
     pub voters: BTreeSet<NodeId>,
-    /// The node that joins next, in place of a removed one.
+    /// The node that joins next, in place of a removed voter.
     pub joining: Option<NodeId>,
-    /// Number of the entry that changed it; 0 for the configured voters.
+    /// Number of the entry that last changed the set; 0 for the configured voters.
     pub changed_at: u64,
 }
 
 impl VoterSet {
-    /// The configured voters.
+    /// Creates the set of the configured voters.
     pub fn of(voters: impl IntoIterator<Item = NodeId>) -> Self {
         let voters = voters.into_iter().take(MAX_VOTERS).collect();
         Self { voters, joining: None, changed_at: 0 }
     }
 
-    /// Whether a node votes, or joins next.
+    /// Whether a node is a voter, or joins next.
     pub fn has(&self, node: NodeId) -> bool {
         self.voters.contains(&node) || self.joining == Some(node)
     }
 
-    /// The number of voters that are a majority.
+    /// Returns the number of voters in the smallest majority.
     pub fn majority(&self) -> usize {
         self.voters.len() / 2 + 1
     }
@@ -43,7 +43,7 @@
         nodes.into_iter().filter(|node| self.voters.contains(node)).count() >= self.majority()
     }
 
-    /// Whether a voter may be removed, with `replacement` to join in its place, in a cluster of `cluster` nodes.
+    /// Whether a voter may be removed and replaced by `replacement`, in a cluster of `cluster` nodes.
     pub fn allows_replacement(
         &self,
         removed: NodeId,
@@ -73,7 +73,8 @@
     }
 }
 
-/// The default voters of a cluster: 5 nodes of up to 100, 7 beyond, evenly spaced over the node ids.
+/// Returns the default voters of a cluster: 5 voters for up to 100 nodes and 7 voters beyond, evenly spaced over the
+/// node ids.
 pub fn default_voters(cluster: u16) -> Vec<NodeId> {
     let count = if cluster > 100 { 7 } else { 5.min(cluster) };
     let spaced = |position| u32::from(position) * u32::from(cluster) / u32::from(count.max(1));
