--- a/crates/consensus/src/catch_up.rs
+++ b/crates/consensus/src/catch_up.rs
@@ -14,7 +14,7 @@
 use crate::timing::VIEW_CHANGE_TIMEOUT;
 
 impl Replica {
-    /// Follows the leader of a view that has begun, and fetches the leader's log.
+    /// StoppedLeading the leader of a view that has begun, and fetches the leader's log.
     pub(crate) fn follow(&mut self, view: View, heartbeat: &Heartbeat, actions: &mut Vec<Action>) {
         let is_same =
             |transfer: &StateTransfer| transfer.view == view && transfer.source == view.leader;
--- a/crates/consensus/src/dispatch.rs
+++ b/crates/consensus/src/dispatch.rs
@@ -53,7 +53,7 @@
                 self.on_get_state(from, view, first, offset, actions)
             }
             MessageBody::LogPart(part) => self.on_part(from, view, part, actions),
-            MessageBody::Propose { id, what } => self.on_propose(from, id, what, actions),
+            MessageBody::Propose { id, payload } => self.on_propose(from, id, payload, actions),
             _ => {}
         }
     }
--- a/crates/consensus/src/durability.rs
+++ b/crates/consensus/src/durability.rs
@@ -49,7 +49,7 @@
     }
 
     pub(crate) fn persist(&mut self, record: Record, actions: &mut Vec<Action>) {
-        if self.config.directory && self.status != ReplicaStatus::DiskFailed {
+        if self.config.has_directory && self.status != ReplicaStatus::DiskFailed {
             self.issued += 1;
             actions.push(Action::Persist { number: self.issued, record });
         }
@@ -107,7 +107,7 @@
         self.send_heartbeat(actions);
     }
 
-    pub(crate) fn on_disk_well(&mut self, actions: &mut Vec<Action>) {
+    pub(crate) fn on_disk_recovered(&mut self, actions: &mut Vec<Action>) {
         if self.status != ReplicaStatus::DiskFailed {
             return;
         }
--- a/crates/consensus/src/entry.rs
+++ b/crates/consensus/src/entry.rs
@@ -80,13 +80,13 @@
     /// The id of the proposal that became this entry.
     pub id: ProposalId,
     /// The content of the entry.
-    pub what: EntryPayload,
+    pub payload: EntryPayload,
 }
 
 impl Entry {
     /// Returns an upper bound of the encoded length, in bytes.
     pub(crate) fn encoded_bytes(&self) -> usize {
-        match &self.what {
+        match &self.payload {
             EntryPayload::Command(bytes) => ENTRY_OVERHEAD_BYTES + bytes.len(),
             _ => ENTRY_OVERHEAD_BYTES,
         }
@@ -100,7 +100,7 @@
     Committed(LogIndex),
     /// The proposal is rejected and will never be committed: its command is larger than [`MAX_ENTRY_BYTES`], or
     /// its change of voters is impossible.
-    Never,
+    Rejected,
     /// No response arrived in time. The proposal may be committed now or later; its outcome can be queried by its id.
     Unknown,
 }
--- a/crates/consensus/src/epoch_bootstrap.rs
+++ b/crates/consensus/src/epoch_bootstrap.rs
@@ -71,9 +71,9 @@
         self.voter_set = VoterSet { changed_at, ..VoterSet::of(voters.iter().copied()) };
         let recovery = self.recovery.take();
         let copy = recovery.as_ref().and_then(|recovery| recovery.best_copy);
-        let known = recovery.as_ref().map_or(0, RecoveryState::latest_epoch);
-        let of_peers = self.peers.values().map(|peer| peer.view.epoch).max().unwrap_or(0);
-        let epoch = known.max(of_peers).max(self.view.epoch);
+        let recovery_epoch = recovery.as_ref().map_or(0, RecoveryState::latest_epoch);
+        let peer_epoch = self.peers.values().map(|peer| peer.view.epoch).max().unwrap_or(0);
+        let epoch = recovery_epoch.max(peer_epoch).max(self.view.epoch);
         let bootstrap = EpochBootstrap { copy, is_forced: true, began_at: self.now };
         self.begin_epoch_after(epoch, Some(bootstrap), actions);
     }
@@ -83,8 +83,8 @@
     pub(crate) fn may_join_bootstrap(&self, candidate: NodeId, view: View) -> bool {
         let Some(recovery) = &self.recovery else { return self.state_lost };
         let reports = &recovery.reports;
-        let has_queried =
-            self.has_passed(recovery.began_at, MIN_QUERY_TIME) && recovery.begun.is_none();
+        let has_queried = self.has_passed(recovery.began_at, MIN_QUERY_TIME)
+            && recovery.begun_incarnation.is_none();
         let answered = reports.keys().chain([&self.config.node_id]);
         has_queried
             && self.voter_set.is_majority(answered)
@@ -145,8 +145,8 @@
 
     /// Returns the greatest epoch that voters and learners have reported.
     fn latest_epoch(&self) -> u32 {
-        let of_voters = self.reports.values().map(|report| report.view.epoch).max().unwrap_or(0);
-        let of_learner = self.best_copy.map_or(0, |copy| copy.index.epoch());
-        of_voters.max(of_learner)
+        let voter_epoch = self.reports.values().map(|report| report.view.epoch).max().unwrap_or(0);
+        let learner_epoch = self.best_copy.map_or(0, |copy| copy.index.epoch());
+        voter_epoch.max(learner_epoch)
     }
 }
--- a/crates/consensus/src/interface.rs
+++ b/crates/consensus/src/interface.rs
@@ -19,12 +19,12 @@
     /// The configured voters, which are used until a peer reports a later change of the voters.
     pub voters: Vec<NodeId>,
     /// Number of nodes in the cluster. A recovering replica queries the learners of all nodes for copies of the log.
-    pub cluster: u16,
+    pub cluster_size: u16,
     /// Whether the node has a state directory, so that messages wait for [`Event::Persisted`].
-    pub directory: bool,
+    pub has_directory: bool,
     /// Number of learners on non-voters that must have an entry before its proposal is acknowledged. If fewer
     /// such learners report their position, all of them must have the entry. 2 without directories, 0 with them.
-    pub copies: u8,
+    pub required_learner_copies: u8,
     /// Seed of timeouts and epochs.
     pub seed: u64,
 }
@@ -46,7 +46,7 @@
     /// wins on reconnection.
     ForceNewEpoch {
         /// The voters of the new epoch.
-        members: Vec<NodeId>,
+        voters: Vec<NodeId>,
     },
 }
 
@@ -75,7 +75,7 @@
         cause: String,
     },
     /// The directory is empty and accepts records again.
-    DiskWell,
+    DiskRecovered,
     /// The state machine above took a snapshot at an entry.
     Snapshot {
         /// The entry.
@@ -112,18 +112,18 @@
         record: Record,
     },
     /// The replica begins to lead a view, possibly directly after another view that it led.
-    Leads {
+    StartedLeading {
         /// The view.
         view: View,
         /// Time at which the replica began to lead, on its own clock.
         since: Duration,
     },
     /// The replica stops leading.
-    Follows,
+    StoppedLeading,
     /// A majority of the view acknowledged a heartbeat. Leases are based on its time.
-    Round {
+    QuorumHeartbeat {
         /// Time at which the heartbeat was sent, on the replica's clock.
-        began: Duration,
+        sent_at: Duration,
     },
     /// Delivers a committed entry. Each entry is delivered once per process and epoch, in order.
     Committed {
--- a/crates/consensus/src/leadership.rs
+++ b/crates/consensus/src/leadership.rs
@@ -108,7 +108,7 @@
         let mut voter_set = self.voter_set.clone();
         for op in self.commit + 1..=self.log.op() {
             if let Some(entry) = self.log.get(op) {
-                voter_set.apply(op, &entry.what);
+                voter_set.apply(op, &entry.payload);
             }
             if !voter_set.is_majority(self.votes.keys()) {
                 return false;
@@ -180,7 +180,7 @@
         let leadership =
             LeaderState { since, quorum_heartbeat_at: since, ..LeaderState::default() };
         self.leadership = Some(leadership);
-        actions.push(Action::Leads { view, since });
+        actions.push(Action::StartedLeading { view, since });
         self.heartbeat_due = self.now + HEARTBEAT_INTERVAL;
         self.send_heartbeat(actions);
     }
@@ -201,8 +201,8 @@
 }
 
 fn without_voter_change(entry: &Entry) -> Entry {
-    match entry.what {
+    match entry.payload {
         EntryPayload::Command(_) => entry.clone(),
-        _ => Entry { id: entry.id, what: EntryPayload::Command(Vec::new()) },
+        _ => Entry { id: entry.id, payload: EntryPayload::Command(Vec::new()) },
     }
 }
--- a/crates/consensus/src/learner.rs
+++ b/crates/consensus/src/learner.rs
@@ -96,7 +96,7 @@
             leader: None,
             is_replica_connected: false,
             leader_seen_at: None,
-            tree_order: crate::learner_tree::order(config.cluster, &voter_set, None),
+            tree_order: crate::learner_tree::order(config.cluster_size, &voter_set, None),
             voter_set,
             source: None,
             source_changes: 0,
@@ -143,12 +143,12 @@
                 let payload = EntryPayload::RemoveVoter { removed, replacement };
                 self.start_proposal(id, Some(payload), actions);
             }
-            LearnerEvent::Ask { id } => self.start_proposal(id, None, actions),
+            LearnerEvent::QueryOutcome { id } => self.start_proposal(id, None, actions),
         }
     }
 
     /// Returns the index of the learner's last entry.
-    pub fn at(&self) -> LogIndex {
+    pub fn last_index(&self) -> LogIndex {
         LogIndex::new(self.epoch, self.log.op())
     }
 
@@ -168,7 +168,7 @@
     }
 
     /// Returns the current voters, as known to the learner.
-    pub fn members(&self) -> &VoterSet {
+    pub fn voter_set(&self) -> &VoterSet {
         &self.voter_set
     }
 
@@ -242,7 +242,7 @@
 
     /// Reports the last entry of this learner's copy of the log.
     fn send_status(&self, to: NodeId, nonce: u64, actions: &mut Vec<LearnerAction>) {
-        let (index, voter_set) = (self.at(), self.voter_set.clone());
+        let (index, voter_set) = (self.last_index(), self.voter_set.clone());
         let body = MessageBody::LearnerStatusResponse { nonce, index, voter_set };
         self.send(to, body, actions);
     }
--- a/crates/consensus/src/learner/children.rs
+++ b/crates/consensus/src/learner/children.rs
@@ -18,14 +18,14 @@
 pub(super) struct Child {
     /// The last entry that the child has.
     index: LogIndex,
-    heard_at: Duration,
+    polled_at: Duration,
     pushed_at: Duration,
 }
 
 impl Learner {
     pub(super) fn drop_silent_children(&mut self) {
         let now = self.now;
-        let is_alive = |child: &Child| now.saturating_sub(child.heard_at) < 2 * SOURCE_TIMEOUT;
+        let is_alive = |child: &Child| now.saturating_sub(child.polled_at) < 2 * SOURCE_TIMEOUT;
         self.children.retain(|_, child| is_alive(child));
     }
 
@@ -58,7 +58,7 @@
     /// Returns the children that are behind and due for a repetition, with the number of the first entry that each
     /// lacks.
     fn children_to_repeat(&self) -> Vec<(NodeId, u64)> {
-        let at = self.at();
+        let at = self.last_index();
         let is_behind = |child: &Child| {
             child.index.epoch() == at.epoch()
                 && child.index < at
@@ -81,7 +81,7 @@
 
     fn send_update(&self, to: NodeId, part: Option<LogPart>, actions: &mut Vec<LearnerAction>) {
         let body = MessageBody::LearnerUpdate {
-            index: self.at(),
+            index: self.last_index(),
             leader: self.leader,
             voter_set: self.voter_set.clone(),
             leader_age_ms: self.leader_age_ms(),
@@ -103,13 +103,13 @@
         if is_refused || from == self.config.node_id {
             return;
         }
-        let child = Child { index, heard_at: self.now, pushed_at: self.now };
+        let child = Child { index, polled_at: self.now, pushed_at: self.now };
         self.children.insert(from, child);
         if index.epoch() == self.epoch {
             actions.push(LearnerAction::LearnerAdvanced { by: from, index });
         }
         let mut part = None;
-        if index < self.at() && self.take_chunk_slot() {
+        if index < self.last_index() && self.take_chunk_slot() {
             let first = if index.epoch() == self.epoch { index.op() + 1 } else { 0 };
             let offset = if checksum == self.log.base_checksum() { offset } else { 0 };
             part = Some(self.log.part(first, self.log.op(), offset));
--- a/crates/consensus/src/learner/interface.rs
+++ b/crates/consensus/src/learner/interface.rs
@@ -14,7 +14,7 @@
     /// The configured voters.
     pub voters: Vec<NodeId>,
     /// Number of nodes in the cluster.
-    pub cluster: u16,
+    pub cluster_size: u16,
     /// Seed of the random choices of sources and of voters.
     pub seed: u64,
 }
@@ -76,7 +76,7 @@
     /// Requests a source other than this one, for the leases, which are disseminated through the same tree.
     ChangeSource(NodeId),
     /// Queries the outcome of a proposal whose answer did not arrive.
-    Ask {
+    QueryOutcome {
         /// Identifies the proposal.
         id: ProposalId,
     },
--- a/crates/consensus/src/learner/learning.rs
+++ b/crates/consensus/src/learner/learning.rs
@@ -40,7 +40,7 @@
         if op != self.log.op() + 1 || !self.log.has_room() {
             return false;
         }
-        self.voter_set.apply(op, &entry.what);
+        self.voter_set.apply(op, &entry.payload);
         self.log.push(entry.clone());
         if self.voter_set.changed_at == op {
             self.update_tree(actions);
@@ -62,7 +62,7 @@
         actions: &mut Vec<LearnerAction>,
     ) {
         let index = LogIndex::new(epoch, base.op);
-        let is_known = epoch == self.epoch && index <= self.at();
+        let is_known = epoch == self.epoch && index <= self.last_index();
         if is_known || epoch < self.epoch {
             return;
         }
@@ -93,14 +93,14 @@
             // A learner never returns to a lower epoch. The status lets the leader continue in a greater epoch.
             self.send_status(leader, 0, actions);
         }
-        let before = self.at();
+        let before = self.last_index();
         let has_new_bytes = self.add_part(update.index, part, actions);
-        let has_new_entries = self.at() > before;
+        let has_new_entries = self.last_index() > before;
         if has_new_entries {
             self.snapshot = SnapshotAssembly::default();
             self.push_entries_after(before, actions);
         }
-        self.is_behind = update.index > self.at();
+        self.is_behind = update.index > self.last_index();
         self.request_next(from, has_new_entries, has_new_bytes, actions);
     }
 
@@ -133,7 +133,7 @@
                 }
                 false
             }
-            Some(chunk @ LogPart::Chunk { .. }) if index > self.at() => {
+            Some(chunk @ LogPart::Chunk { .. }) if index > self.last_index() => {
                 self.add_chunk(index.epoch(), chunk, actions)
             }
             _ => false,
--- a/crates/consensus/src/learner/proposals.rs
+++ b/crates/consensus/src/learner/proposals.rs
@@ -26,7 +26,7 @@
         actions: &mut Vec<LearnerAction>,
     ) {
         if bytes.len() > MAX_ENTRY_BYTES {
-            actions.push(LearnerAction::Answered { id, outcome: ProposalOutcome::Never });
+            actions.push(LearnerAction::Answered { id, outcome: ProposalOutcome::Rejected });
         } else {
             self.start_proposal(id, Some(EntryPayload::Command(bytes)), actions);
         }
@@ -67,10 +67,10 @@
         let avoids_leader = pending.sent_at > pending.began_at && pending.attempts % 2 == 1;
         pending.sent_at = now;
         pending.attempts = pending.attempts.wrapping_add(1);
-        let what = pending.payload.clone();
+        let payload = pending.payload.clone();
         let leader = self.leader.filter(|_| !avoids_leader);
         if let Some(to) = to.or(leader).or(any_voter) {
-            self.send(to, MessageBody::Propose { id, what }, actions);
+            self.send(to, MessageBody::Propose { id, payload }, actions);
         }
     }
 
--- a/crates/consensus/src/learner/source.rs
+++ b/crates/consensus/src/learner/source.rs
@@ -26,7 +26,7 @@
 
     /// Computes the dissemination tree for the current leader and voters.
     pub(super) fn update_tree(&mut self, actions: &mut Vec<LearnerAction>) {
-        self.tree_order = order(self.config.cluster, &self.voter_set, self.leader);
+        self.tree_order = order(self.config.cluster_size, &self.voter_set, self.leader);
         if self.source_changes == 0 {
             self.set_source(self.tree_source(), actions);
         }
@@ -123,7 +123,7 @@
         self.polled_at = Some(self.now);
         let Some(source) = self.source else { return };
         let body = MessageBody::LearnerPoll {
-            index: self.at(),
+            index: self.last_index(),
             offset: self.snapshot.offset(),
             checksum: self.snapshot.checksum(),
         };
--- a/crates/consensus/src/learner_tree.rs
+++ b/crates/consensus/src/learner_tree.rs
@@ -16,11 +16,11 @@
 
 /// Returns all nodes in the order of the tree: the leader, the other voters, and then the other nodes, each group
 /// ordered by a hash of the node ids. The parent of position `p` is at position `(p - 1) / 8`.
-pub fn order(cluster: u16, voter_set: &VoterSet, leader: Option<NodeId>) -> Vec<NodeId> {
+pub fn order(cluster_size: u16, voter_set: &VoterSet, leader: Option<NodeId>) -> Vec<NodeId> {
     let voters = &voter_set.voters;
     let leader = leader.filter(|leader| voters.contains(leader));
-    let mut nodes: Vec<NodeId> = (0..cluster).map(NodeId).collect();
-    nodes.extend(voters.iter().filter(|voter| voter.0 >= cluster));
+    let mut nodes: Vec<NodeId> = (0..cluster_size).map(NodeId).collect();
+    nodes.extend(voters.iter().filter(|voter| voter.0 >= cluster_size));
     nodes.sort_unstable_by_key(|node| {
         (Some(*node) != leader, !voters.contains(node), hash(*node), *node)
     });
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -141,7 +141,7 @@
         let mut voter_set = self.base.voter_set.clone();
         for op in self.base.op + 1..=op {
             if let Some(entry) = self.get(op) {
-                voter_set.apply(op, &entry.what);
+                voter_set.apply(op, &entry.payload);
             }
         }
         voter_set
@@ -201,7 +201,7 @@
 
     /// Whether all entries after this number are commands.
     pub(crate) fn has_only_commands_after(&self, op: u64) -> bool {
-        let is_command = |entry: &Entry| matches!(entry.what, EntryPayload::Command(_));
+        let is_command = |entry: &Entry| matches!(entry.payload, EntryPayload::Command(_));
         (op + 1..=self.op()).all(|op| self.get(op).is_none_or(is_command))
     }
 }
--- a/crates/consensus/src/log_file.rs
+++ b/crates/consensus/src/log_file.rs
@@ -7,12 +7,12 @@
 
 /// The file operations of a store in one directory. Names are plain file names. The process may end after each call.
 pub trait Disk: Send {
-    /// Reads at most `most` bytes of a file.
+    /// Reads at most `max_bytes` bytes of a file.
     ///
     /// # Errors
     ///
     /// The file does not exist, or cannot be read.
-    fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>>;
+    fn read(&self, name: &str, max_bytes: u64) -> io::Result<Vec<u8>>;
     /// Replaces the content of a file.
     ///
     /// # Errors
@@ -50,7 +50,7 @@
     /// The names cannot be synced.
     fn sync_names(&self) -> io::Result<()>;
     /// Returns the path of a file, for error messages.
-    fn place(&self, name: &str) -> String;
+    fn path(&self, name: &str) -> String;
 }
 
 /// A directory of the file system.
@@ -71,9 +71,9 @@
 }
 
 impl Disk for Directory {
-    fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>> {
+    fn read(&self, name: &str, max_bytes: u64) -> io::Result<Vec<u8>> {
         let mut bytes = Vec::new();
-        File::open(self.0.join(name))?.take(most).read_to_end(&mut bytes)?;
+        File::open(self.0.join(name))?.take(max_bytes).read_to_end(&mut bytes)?;
         Ok(bytes)
     }
 
@@ -101,7 +101,7 @@
         File::open(&self.0)?.sync_all()
     }
 
-    fn place(&self, name: &str) -> String {
+    fn path(&self, name: &str) -> String {
         self.0.join(name).display().to_string()
     }
 }
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -208,7 +208,7 @@
         /// Identifies the proposal.
         id: ProposalId,
         /// The content of the entry; `None` only queries the outcome.
-        what: Option<EntryPayload>,
+        payload: Option<EntryPayload>,
     },
 
     /// Queries a learner for the last entry of its copy of the log.
--- a/crates/consensus/src/proposals.rs
+++ b/crates/consensus/src/proposals.rs
@@ -39,7 +39,7 @@
     /// Other entries must be committed, or voters become available, first. The proposal is not answered, so that its
     /// proposer repeats it.
     Later,
-    /// The current voters do not allow the change. The proposal is answered with [`ProposalOutcome::Never`].
+    /// The current voters do not allow the change. The proposal is answered with [`ProposalOutcome::Rejected`].
     Never,
 }
 
@@ -54,7 +54,7 @@
         let node_id = self.config.node_id;
         let is_rejected = payload.as_ref().is_some_and(is_impossible);
         if is_rejected || self.leadership.is_none() {
-            let outcome = is_rejected.then_some(ProposalOutcome::Never);
+            let outcome = is_rejected.then_some(ProposalOutcome::Rejected);
             let leader = self.leader().filter(|leader| *leader != node_id);
             self.send(from, MessageBody::ProposalResponse { id, outcome, leader }, actions);
             return;
@@ -65,10 +65,10 @@
                 return;
             };
             match self.appendable(&payload) {
-                Appendable::Now => self.append(Entry { id, what: payload }, actions),
+                Appendable::Now => self.append(Entry { id, payload }, actions),
                 Appendable::Later => return,
                 Appendable::Never => {
-                    self.answer_proposal(from, id, ProposalOutcome::Never, actions);
+                    self.answer_proposal(from, id, ProposalOutcome::Rejected, actions);
                     return;
                 }
             }
@@ -92,7 +92,7 @@
 
     fn await_outcome(&mut self, id: ProposalId, node: NodeId) {
         let Some(leadership) = &mut self.leadership else { return };
-        let waiting = &mut leadership.waiting;
+        let waiting = &mut leadership.waiting_nodes;
         if waiting.len() < MAX_WAITING_PROPOSALS || waiting.contains_key(&id) {
             waiting.entry(id).or_default().insert(node);
         }
@@ -111,8 +111,9 @@
                 return Appendable::Later;
             }
             EntryPayload::RemoveVoter { removed, replacement } => {
-                let cluster = self.config.cluster;
-                let is_allowed = self.voter_set.allows_replacement(*removed, *replacement, cluster);
+                let cluster_size = self.config.cluster_size;
+                let is_allowed =
+                    self.voter_set.allows_replacement(*removed, *replacement, cluster_size);
                 if is_allowed && !self.has_quorum_without(*removed) {
                     return Appendable::Later;
                 }
@@ -168,7 +169,7 @@
                 incarnation: LEADER_PROPOSAL_INCARNATION,
                 number: self.voter_set.changed_at,
             };
-            self.append(Entry { id, what: payload }, actions);
+            self.append(Entry { id, payload }, actions);
         }
     }
 
@@ -185,7 +186,7 @@
 
     fn take_answerable(&mut self) -> Vec<CommittedAnswer> {
         let positions = self.learner_copies();
-        let required = positions.len().min(usize::from(self.config.copies));
+        let required = positions.len().min(usize::from(self.config.required_learner_copies));
         let Some(leadership) = &mut self.leadership else { return Vec::new() };
         let (proposals, commit) = (&self.proposals, self.commit);
         let epoch = self.last_normal_view.epoch;
@@ -196,7 +197,7 @@
             (holders >= required).then_some(index)
         };
         let mut answers = Vec::new();
-        leadership.waiting.retain(|id, receivers| {
+        leadership.waiting_nodes.retain(|id, receivers| {
             let Some(index) = committed_index(id) else { return true };
             let receivers = std::mem::take(receivers).into_iter().collect();
             answers.push(CommittedAnswer { id: *id, index, receivers });
--- a/crates/consensus/src/record_format.rs
+++ b/crates/consensus/src/record_format.rs
@@ -19,7 +19,7 @@
 /// Length of the frame before a record: length, checksum, number.
 const FRAME_BYTES: usize = 4 + 4 + 8;
 /// Number of bytes after a damaged record in which intact records are searched.
-const SEARCHED_BYTES: usize = 1 << 20;
+const MAX_SEARCHED_BYTES: usize = 1 << 20;
 /// Largest gap between the numbers of two successive records. A greater gap is treated as damage.
 const MAX_NUMBER_GAP: u64 = 1 << 40;
 
@@ -28,28 +28,28 @@
 pub enum Corruption {
     /// The file belongs to another node, or to another cluster.
     #[error(
-        "the file belongs to node {member} of cluster {cluster:016x}, but this is node {node_id} of cluster {own:016x}"
+        "the file belongs to node {node_id} of cluster {cluster:016x}, not to node {own_node_id} of cluster {own_cluster:016x}"
     )]
     Foreign {
-        /// The node in the file.
-        member: u16,
-        /// The cluster in the file.
-        cluster: u64,
-        /// This node.
+        /// The node id in the file.
         node_id: u16,
-        /// This node's cluster.
-        own: u64,
+        /// The cluster id in the file.
+        cluster: u64,
+        /// The id of this node.
+        own_node_id: u16,
+        /// The id of this node's cluster.
+        own_cluster: u64,
     },
     /// The file has no intact header of this version.
     #[error("the file has no intact header of a consensus log of version {VERSION}")]
-    NoHead,
+    InvalidHeader,
     /// A record is damaged, and intact records follow.
     #[error(
-        "the record at byte {at} is damaged, and intact records follow: the disk changed stored data"
+        "the record at byte {position} is damaged, and intact records follow: the disk changed stored data"
     )]
     Damaged {
         /// Position of the damaged record in the file, in bytes.
-        at: usize,
+        position: usize,
     },
     /// The file is longer than [`MAX_FILE_BYTES`].
     #[error("the file is longer than {MAX_FILE_BYTES} bytes")]
@@ -100,32 +100,32 @@
     }
     check_header(bytes, owner)?;
     let mut durable = DurableState::default();
-    let mut at = HEADER_BYTES;
-    while let Some(found) = record_at(bytes, at, durable.written) {
+    let mut position = HEADER_BYTES;
+    while let Some(found) = record_at(bytes, position, durable.written) {
         durable.apply(found.number, found.record);
-        at = found.end;
+        position = found.end;
     }
     // No intact record follows a torn tail. A damaged record that intact records follow was changed by the disk.
-    let mut searched = at + 1..bytes.len().min(at + SEARCHED_BYTES);
-    if searched.any(|at| record_at(bytes, at, durable.written).is_some()) {
-        return Err(Corruption::Damaged { at });
+    let mut searched = position + 1..bytes.len().min(position + MAX_SEARCHED_BYTES);
+    if searched.any(|position| record_at(bytes, position, durable.written).is_some()) {
+        return Err(Corruption::Damaged { position });
     }
-    Ok(ParsedLog { durable, intact_bytes: at })
+    Ok(ParsedLog { durable, intact_bytes: position })
 }
 
 fn check_header(bytes: &[u8], owner: Owner) -> Result<(), Corruption> {
-    let header = bytes.get(..HEADER_BYTES).ok_or(Corruption::NoHead)?;
+    let header = bytes.get(..HEADER_BYTES).ok_or(Corruption::InvalidHeader)?;
     let checked = &header[..HEADER_BYTES - 4];
     let is_intact = &header[..8] == MAGIC
         && u32_at(header, 8) == VERSION
         && crc32fast::hash(checked) == u32_at(header, HEADER_BYTES - 4);
     if !is_intact {
-        return Err(Corruption::NoHead);
+        return Err(Corruption::InvalidHeader);
     }
-    let (cluster, member) = (u64_at(header, 12), u16::from_le_bytes([header[20], header[21]]));
-    if (cluster, member) != (owner.cluster, owner.node_id.0) {
-        let (node_id, own) = (owner.node_id.0, owner.cluster);
-        return Err(Corruption::Foreign { member, cluster, node_id, own });
+    let (cluster, node_id) = (u64_at(header, 12), u16::from_le_bytes([header[20], header[21]]));
+    if (cluster, node_id) != (owner.cluster, owner.node_id.0) {
+        let (own_node_id, own_cluster) = (owner.node_id.0, owner.cluster);
+        return Err(Corruption::Foreign { node_id, cluster, own_node_id, own_cluster });
     }
     Ok(())
 }
@@ -139,16 +139,16 @@
 }
 
 /// Returns the intact record at a position, if there is one and its number is above `above`.
-fn record_at(bytes: &[u8], at: usize, above: u64) -> Option<FoundRecord> {
-    let front = bytes.get(at..at + FRAME_BYTES)?;
-    let length = u32_at(front, 0) as usize;
-    let (checksum, number) = (u32_at(front, 4), u64_at(front, 8));
+fn record_at(bytes: &[u8], position: usize, above: u64) -> Option<FoundRecord> {
+    let frame = bytes.get(position..position + FRAME_BYTES)?;
+    let length = u32_at(frame, 0) as usize;
+    let (checksum, number) = (u32_at(frame, 4), u64_at(frame, 8));
     // The number is checked first, since a checksum over an arbitrary length is expensive.
     if number <= above || number - above > MAX_NUMBER_GAP {
         return None;
     }
-    let end = (at + FRAME_BYTES).checked_add(length)?;
-    let checked = bytes.get(at + 8..end)?;
+    let end = (position + FRAME_BYTES).checked_add(length)?;
+    let checked = bytes.get(position + 8..end)?;
     if crc32fast::hash(checked) != checksum {
         return None;
     }
@@ -156,10 +156,16 @@
     rest.is_empty().then_some(FoundRecord { number, record, end })
 }
 
-fn u32_at(bytes: &[u8], at: usize) -> u32 {
-    bytes.get(at..at + 4).and_then(|bytes| bytes.try_into().ok()).map_or(0, u32::from_le_bytes)
+fn u32_at(bytes: &[u8], position: usize) -> u32 {
+    bytes
+        .get(position..position + 4)
+        .and_then(|bytes| bytes.try_into().ok())
+        .map_or(0, u32::from_le_bytes)
 }
 
-fn u64_at(bytes: &[u8], at: usize) -> u64 {
-    bytes.get(at..at + 8).and_then(|bytes| bytes.try_into().ok()).map_or(0, u64::from_le_bytes)
+fn u64_at(bytes: &[u8], position: usize) -> u64 {
+    bytes
+        .get(position..position + 8)
+        .and_then(|bytes| bytes.try_into().ok())
+        .map_or(0, u64::from_le_bytes)
 }
--- a/crates/consensus/src/recovery.rs
+++ b/crates/consensus/src/recovery.rs
@@ -52,7 +52,7 @@
             due: self.now,
             reports: BTreeMap::new(),
             state_losses: BTreeMap::new(),
-            begun: None,
+            begun_incarnation: None,
             responses: BTreeMap::new(),
             best_copy: None,
             next_learner: 0,
@@ -70,7 +70,7 @@
             self.transfer = None;
             recovery.responses.clear();
         }
-        let (nonce, has_begun) = (recovery.nonce, recovery.begun.is_some());
+        let (nonce, has_begun) = (recovery.nonce, recovery.begun_incarnation.is_some());
         if !recovery.has_directory && !has_begun {
             self.query_learners(nonce, actions);
         }
@@ -84,11 +84,11 @@
 
     /// Queries the next learners for the positions of their copies of the log.
     fn query_learners(&mut self, nonce: u64, actions: &mut Vec<Action>) {
-        let cluster = self.config.cluster;
+        let cluster_size = self.config.cluster_size;
         let Some(recovery) = &mut self.recovery else { return };
         let first = recovery.next_learner;
-        let end = first.saturating_add(LEARNERS_PER_INTERVAL).min(cluster);
-        recovery.next_learner = if end >= cluster { 0 } else { end };
+        let end = first.saturating_add(LEARNERS_PER_INTERVAL).min(cluster_size);
+        recovery.next_learner = if end >= cluster_size { 0 } else { end };
         for learner in (first..end).map(NodeId) {
             self.send(learner, MessageBody::LearnerStatusRequest { nonce }, actions);
         }
@@ -101,7 +101,7 @@
         let Some(recovery) = &self.recovery else { return };
         if recovery.has_directory {
             self.consider_directory(actions);
-        } else if recovery.begun.is_none()
+        } else if recovery.begun_incarnation.is_none()
             && self.has_passed(recovery.began_at, LEARNER_QUERY_PERIOD)
         {
             self.consider_bootstrap(actions);
@@ -114,7 +114,7 @@
         let (now, own) = (self.now, self.own_incarnation_count());
         let voter_set = &self.voter_set;
         let Some(recovery) = &mut self.recovery else { return false };
-        if recovery.begun.is_some() {
+        if recovery.begun_incarnation.is_some() {
             return false;
         }
         let is_normal = |report: &StatusReport| {
@@ -128,7 +128,7 @@
         }
         let known = reports.values().map(|report| report.our_incarnation_count).max();
         let count = known.unwrap_or(0).max(own).saturating_add(1);
-        recovery.begun = Some(BegunIncarnation { count, since: now });
+        recovery.begun_incarnation = Some(BegunIncarnation { count, since: now });
         let nonce = recovery.nonce;
         self.incarnation_counts.insert(self.config.node_id, count);
         self.broadcast(&MessageBody::Recovery { nonce }, actions);
@@ -138,7 +138,7 @@
     /// Resumes from the directory if no majority in a view has responded in time and no peer knows of later state.
     fn consider_directory(&mut self, actions: &mut Vec<Action>) {
         let Some(recovery) = &self.recovery else { return };
-        let has_waited = match recovery.begun {
+        let has_waited = match recovery.begun_incarnation {
             Some(begun) => self.has_passed(begun.since, LEARNER_QUERY_PERIOD),
             None => self.has_passed(recovery.began_at, DIRECTORY_RECOVERY_TIMEOUT),
         };
@@ -256,7 +256,7 @@
     ) {
         let is_peer = self.voter_set.voters.contains(&from) && from != self.config.node_id;
         let Some(recovery) = &mut self.recovery else { return };
-        if !is_peer || recovery.nonce != nonce || recovery.begun.is_none() {
+        if !is_peer || recovery.nonce != nonce || recovery.begun_incarnation.is_none() {
             return;
         }
         recovery.responses.insert(from, report);
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -90,7 +90,7 @@
     /// Creates a replica that starts recovery, with the state that was read from its directory, if any.
     pub fn new(now: Duration, config: ReplicaConfig, found: Option<DurableState>) -> Self {
         let mut replica = Self::without_state(now, config);
-        let found = found.filter(|_| replica.config.directory);
+        let found = found.filter(|_| replica.config.has_directory);
         let has_state = found.is_some_and(|durable| replica.restore_durable(durable));
         replica.start_recovery(has_state);
         replica
@@ -160,7 +160,7 @@
             }
             Event::Persisted { through } => self.on_persisted(through, actions),
             Event::DiskFailed { cause: _ } => self.on_disk_failed(actions),
-            Event::DiskWell => self.on_disk_well(actions),
+            Event::DiskRecovered => self.on_disk_recovered(actions),
             Event::Snapshot { index, bytes } => self.on_snapshot(index, bytes, actions),
             Event::LearnerAdvanced { by, index } => self.on_learner_position(by, index, actions),
             Event::OperatorCommand(command) => self.on_operator_command(command, actions),
@@ -185,7 +185,7 @@
                 let payload = EntryPayload::RemoveVoter { removed, replacement };
                 self.on_propose(self.config.node_id, id, Some(payload), actions);
             }
-            OperatorCommand::ForceNewEpoch { members } => self.force_epoch(&members, actions),
+            OperatorCommand::ForceNewEpoch { voters } => self.force_epoch(&voters, actions),
         }
     }
 
@@ -229,7 +229,7 @@
     }
 
     /// Returns the current set of voters, as known to the replica.
-    pub fn members(&self) -> &VoterSet {
+    pub fn voter_set(&self) -> &VoterSet {
         &self.voter_set
     }
 
@@ -270,7 +270,7 @@
 
     pub(crate) fn step_down(&mut self, actions: &mut Vec<Action>) {
         if self.leadership.take().is_some() {
-            actions.push(Action::Follows);
+            actions.push(Action::StoppedLeading);
             self.next_view_change = self.now + VIEW_CHANGE_TIMEOUT;
         }
     }
--- a/crates/consensus/src/replica_state.rs
+++ b/crates/consensus/src/replica_state.rs
@@ -76,7 +76,7 @@
     pub(crate) heartbeats: VecDeque<SentHeartbeat>,
     pub(crate) acknowledgements: BTreeMap<NodeId, Acknowledgement>,
     /// The nodes that wait for the outcome of a proposal, by its id.
-    pub(crate) waiting: BTreeMap<ProposalId, BTreeSet<NodeId>>,
+    pub(crate) waiting_nodes: BTreeMap<ProposalId, BTreeSet<NodeId>>,
 }
 
 /// A learner's position in the log, and the time of its report.
@@ -138,7 +138,7 @@
     pub(crate) due: Duration,
     pub(crate) reports: BTreeMap<NodeId, StatusReport>,
     pub(crate) state_losses: BTreeMap<NodeId, StateLossReport>,
-    pub(crate) begun: Option<BegunIncarnation>,
+    pub(crate) begun_incarnation: Option<BegunIncarnation>,
     pub(crate) responses: BTreeMap<NodeId, RecoveryReport>,
     /// The most complete copy of the log that a learner has reported.
     pub(crate) best_copy: Option<LearnerCopy>,
--- a/crates/consensus/src/replication.rs
+++ b/crates/consensus/src/replication.rs
@@ -91,10 +91,10 @@
         let mut answered: Vec<Duration> =
             answers.filter_map(|(_, answer)| answer.heartbeat_sent_at).collect();
         answered.sort_unstable_by(|a, b| b.cmp(a));
-        let Some(began) = answered.get(self.voter_set.majority() - 1).copied() else { return };
-        if began > leadership.quorum_heartbeat_at {
-            leadership.quorum_heartbeat_at = began;
-            actions.push(Action::Round { began });
+        let Some(sent_at) = answered.get(self.voter_set.majority() - 1).copied() else { return };
+        if sent_at > leadership.quorum_heartbeat_at {
+            leadership.quorum_heartbeat_at = sent_at;
+            actions.push(Action::QuorumHeartbeat { sent_at });
         }
     }
 
@@ -129,9 +129,9 @@
         while self.commit < through {
             self.commit += 1;
             if let Some(entry) = self.log.get(self.commit)
-                && !matches!(entry.what, EntryPayload::Command(_))
+                && !matches!(entry.payload, EntryPayload::Command(_))
             {
-                self.voter_set.apply(self.commit, &entry.what);
+                self.voter_set.apply(self.commit, &entry.payload);
                 voters_changed = true;
             }
         }
--- a/crates/consensus/src/state_transfer/tests.rs
+++ b/crates/consensus/src/state_transfer/tests.rs
@@ -8,7 +8,7 @@
 use crate::message::{LogPart, View};
 
 fn entry(bytes: usize) -> Entry {
-    Entry { id: ProposalId::default(), what: EntryPayload::Command(vec![0; bytes]) }
+    Entry { id: ProposalId::default(), payload: EntryPayload::Command(vec![0; bytes]) }
 }
 
 /// Adds entries of this size, one in each part, until one is rejected. Returns the number and the total bytes of the
--- a/crates/consensus/src/store.rs
+++ b/crates/consensus/src/store.rs
@@ -37,26 +37,26 @@
 pub enum StoreError {
     /// The operating system reported an error.
     #[error(
-        "{file} could not be {doing}: {cause}; the directory must be this balancer's own, writable and with free space"
+        "{file} could not be {attempted}: {cause}; use a writable directory of this balancer alone with free space"
     )]
     Failed {
         /// The file.
         file: String,
         /// The operation on the file, as a past participle.
-        doing: &'static str,
+        attempted: &'static str,
         /// The error.
         #[source]
         cause: io::Error,
     },
     /// A failpoint ends the process here. The caller has to end it.
     #[error("failpoint {0} ends the process")]
-    Ended(&'static str),
+    FailpointCrash(&'static str),
     /// The record's number is not above that of the previous record. A start would discard that record and all records
     /// after it.
     #[error(
         "{file}: record {number} was appended after record {last}; records must be appended in increasing order"
     )]
-    Order {
+    OutOfOrder {
         /// The file.
         file: String,
         /// The record's number.
@@ -66,7 +66,7 @@
     },
     /// An earlier operation failed, so that the end of the file is unknown until the file is rewritten.
     #[error("{file}: an earlier write failed; the file has to be rewritten first")]
-    Unsure {
+    Inconsistent {
         /// The file.
         file: String,
     },
@@ -78,9 +78,9 @@
     /// The state in the file; empty if the file is not trusted.
     pub durable: DurableState,
     /// The reason why the file is not trusted. Such a file has been renamed.
-    pub doubt: Option<Corruption>,
+    pub corruption: Option<Corruption>,
     /// Number of bytes of a torn tail that were removed.
-    pub torn: usize,
+    pub torn_bytes: usize,
 }
 
 /// The store of one voter. Only one process may write at a time.
@@ -141,12 +141,12 @@
         };
         match parse(&bytes, self.owner) {
             Ok(parsed) => self.load_parsed(parsed, bytes.len()),
-            Err(doubt) => {
+            Err(corruption) => {
                 self.step("council.aside", Kind::Rename, CURRENT_FILE, "set aside", |store, _| {
                     store.disk.rename(CURRENT_FILE, REJECTED_FILE)
                 })?;
                 self.rewrite(&[])?;
-                Ok(LoadedLog { doubt: Some(doubt), ..LoadedLog::default() })
+                Ok(LoadedLog { corruption: Some(corruption), ..LoadedLog::default() })
             }
         }
     }
@@ -158,17 +158,17 @@
         file_bytes: usize,
     ) -> Result<LoadedLog, StoreError> {
         let length = parsed.intact_bytes as u64;
-        let torn = file_bytes - parsed.intact_bytes;
-        if torn > 0 {
-            let doing = "truncated after its last intact record";
-            self.step("council.cut", Kind::Write, CURRENT_FILE, doing, |store, _| {
+        let torn_bytes = file_bytes - parsed.intact_bytes;
+        if torn_bytes > 0 {
+            let attempted = "truncated after its last intact record";
+            self.step("council.cut", Kind::Write, CURRENT_FILE, attempted, |store, _| {
                 store.disk.truncate(CURRENT_FILE, length)
             })?;
             self.sync_file(CURRENT_FILE)?;
         }
         self.length = length;
         self.last_number = parsed.durable.written;
-        Ok(LoadedLog { durable: parsed.durable, doubt: None, torn })
+        Ok(LoadedLog { durable: parsed.durable, corruption: None, torn_bytes })
     }
 
     fn read(&mut self) -> Result<Option<Vec<u8>>, StoreError> {
@@ -196,16 +196,16 @@
         self.check_consistent()?;
         let frame = encode_record(number, record);
         if number <= self.last_number {
-            let file = self.disk.place(CURRENT_FILE);
-            return Err(StoreError::Order { file, number, last: self.last_number });
+            let file = self.disk.path(CURRENT_FILE);
+            return Err(StoreError::OutOfOrder { file, number, last: self.last_number });
         }
         if matches!(record, Record::CompleteState { .. }) {
             self.last_number = number;
             return self.rewrite(&frame);
         }
         self.is_consistent = false;
-        let doing = "appended to";
-        self.step("council.append", Kind::Write, CURRENT_FILE, doing, |store, is_short| {
+        let attempted = "appended to";
+        self.step("council.append", Kind::Write, CURRENT_FILE, attempted, |store, is_short| {
             store.disk.append(CURRENT_FILE, first_half_if(is_short, &frame))
         })?;
         self.is_consistent = true;
@@ -229,7 +229,7 @@
         Ok(self.last_number)
     }
 
-    /// Begins an empty file after a failure. The replica must then receive [`crate::Event::DiskWell`].
+    /// Begins an empty file after a failure. The replica must then receive [`crate::Event::DiskRecovered`].
     ///
     /// # Errors
     ///
@@ -248,7 +248,7 @@
         if self.is_consistent {
             return Ok(());
         }
-        Err(StoreError::Unsure { file: self.disk.place(CURRENT_FILE) })
+        Err(StoreError::Inconsistent { file: self.disk.path(CURRENT_FILE) })
     }
 
     /// Replaces all records by one record of the complete state.
@@ -257,7 +257,7 @@
         let parsed = parse(&bytes, self.owner).map_err(|corruption| {
             self.is_consistent = false;
             let cause = io::Error::new(ErrorKind::InvalidData, corruption.to_string());
-            StoreError::Failed { file: self.disk.place(CURRENT_FILE), doing: "read back", cause }
+            StoreError::Failed { file: self.disk.path(CURRENT_FILE), attempted: "read back", cause }
         })?;
         let durable = parsed.durable;
         match durable.to_record() {
@@ -278,8 +278,8 @@
         self.step("council.rename", Kind::Rename, REWRITTEN_FILE, "renamed", |store, _| {
             store.disk.rename(REWRITTEN_FILE, CURRENT_FILE)
         })?;
-        let doing = "synced in its directory";
-        self.step("council.names", Kind::SyncNames, CURRENT_FILE, doing, |store, _| {
+        let attempted = "synced in its directory";
+        self.step("council.names", Kind::SyncNames, CURRENT_FILE, attempted, |store, _| {
             store.disk.sync_names()
         })?;
         self.length = bytes.len() as u64;
@@ -300,7 +300,7 @@
         failpoint: &'static str,
         kind: Kind,
         file: &str,
-        doing: &'static str,
+        attempted: &'static str,
         mut operation: impl FnMut(&mut Self, bool) -> io::Result<()>,
     ) -> Result<(), StoreError> {
         let fault = self.points.pass(failpoint, kind);
@@ -310,12 +310,12 @@
                 self.pause = true;
                 operation(self, false)
             }
-            Some(Fault::Crash) => return Err(StoreError::Ended(failpoint)),
+            Some(Fault::Crash) => return Err(StoreError::FailpointCrash(failpoint)),
             Some(Fault::Lie) => Ok(()),
             Some(Fault::Short) => operation(self, true).and_then(|()| Err(no_space())),
             Some(fault) => Err(fault.error().unwrap_or_else(no_space)),
         };
-        result.map_err(|cause| StoreError::Failed { file: self.disk.place(file), doing, cause })
+        result.map_err(|cause| StoreError::Failed { file: self.disk.path(file), attempted, cause })
     }
 }
 
--- a/crates/consensus/src/voter_set.rs
+++ b/crates/consensus/src/voter_set.rs
@@ -43,14 +43,14 @@
         nodes.into_iter().filter(|node| self.voters.contains(node)).count() >= self.majority()
     }
 
-    /// Whether a voter may be removed and replaced by `replacement`, in a cluster of `cluster` nodes.
+    /// Whether a voter may be removed and replaced by `replacement`, in a cluster of `cluster_size` nodes.
     pub fn allows_replacement(
         &self,
         removed: NodeId,
         replacement: Option<NodeId>,
-        cluster: u16,
+        cluster_size: u16,
     ) -> bool {
-        let can_join = |node: NodeId| node.0 < cluster && !self.voters.contains(&node);
+        let can_join = |node: NodeId| node.0 < cluster_size && !self.voters.contains(&node);
         self.voters.contains(&removed) && self.voters.len() > 1 && replacement.is_none_or(can_join)
     }
 
@@ -75,8 +75,8 @@
 
 /// Returns the default voters of a cluster: 5 voters for up to 100 nodes and 7 voters beyond, evenly spaced over the
 /// node ids.
-pub fn default_voters(cluster: u16) -> Vec<NodeId> {
-    let count = if cluster > 100 { 7 } else { 5.min(cluster) };
-    let spaced = |position| u32::from(position) * u32::from(cluster) / u32::from(count.max(1));
+pub fn default_voters(cluster_size: u16) -> Vec<NodeId> {
+    let count = if cluster_size > 100 { 7 } else { 5.min(cluster_size) };
+    let spaced = |position| u32::from(position) * u32::from(cluster_size) / u32::from(count.max(1));
     (0..count).map(|position| NodeId(spaced(position) as u16)).collect()
 }
--- a/crates/consensus/tests/formats.rs
+++ b/crates/consensus/tests/formats.rs
@@ -45,7 +45,7 @@
 }
 
 fn command(number: u64) -> Entry {
-    Entry { id: proposal(number), what: EntryPayload::Command(b"command".to_vec()) }
+    Entry { id: proposal(number), payload: EntryPayload::Command(b"command".to_vec()) }
 }
 
 /// One entry of each kind.
@@ -54,9 +54,9 @@
     let remove = EntryPayload::RemoveVoter { removed: NodeId(5), replacement: None };
     vec![
         command(1),
-        Entry { id: proposal(2), what: replace },
-        Entry { id: proposal(3), what: EntryPayload::AddVoter(NodeId(6)) },
-        Entry { id: proposal(4), what: remove },
+        Entry { id: proposal(2), payload: replace },
+        Entry { id: proposal(3), payload: EntryPayload::AddVoter(NodeId(6)) },
+        Entry { id: proposal(4), payload: remove },
     ]
 }
 
@@ -147,8 +147,8 @@
         ("status_response", status_response),
         ("recovery", MessageBody::Recovery { nonce }),
         ("recovery_response", MessageBody::RecoveryResponse { nonce, op: 1001, is_leader: true }),
-        ("proposal", MessageBody::Propose { id: proposal(1), what: Some(command(1).what) }),
-        ("proposal_query", MessageBody::Propose { id: proposal(1), what: None }),
+        ("proposal", MessageBody::Propose { id: proposal(1), payload: Some(command(1).payload) }),
+        ("proposal_query", MessageBody::Propose { id: proposal(1), payload: None }),
         ("learner_status_request", MessageBody::LearnerStatusRequest { nonce }),
         ("learner_status_response", MessageBody::LearnerStatusResponse { nonce, index, voter_set }),
         (
@@ -164,7 +164,7 @@
             MessageBody::SnapshotChunkRequest { offset: 1001, checksum: 0xa1a2_a3a4 },
         ),
         ("proposal_committed", response(Some(ProposalOutcome::Committed(index)), None)),
-        ("proposal_rejected", response(Some(ProposalOutcome::Never), Some(NodeId(5)))),
+        ("proposal_rejected", response(Some(ProposalOutcome::Rejected), Some(NodeId(5)))),
         ("proposal_unknown", response(Some(ProposalOutcome::Unknown), Some(NodeId(5)))),
         ("proposal_redirected", response(None, Some(NodeId(5)))),
     ];
@@ -274,7 +274,11 @@
 fn open(directory: &Path, points: Points) -> Result<(Store, DurableState), StoreError> {
     let disk = Directory::open(directory).expect("a directory of its own");
     let (store, found) = Store::open(disk, points, CLUSTER, VOTER)?;
-    assert!(found.doubt.is_none() || found.durable == DurableState::default(), "{:?}", found.doubt);
+    assert!(
+        found.corruption.is_none() || found.durable == DurableState::default(),
+        "{:?}",
+        found.corruption
+    );
     Ok((store, found.durable))
 }
 
@@ -336,7 +340,7 @@
 fn learner(now: Duration, voter: NodeId) -> Learner {
     Learner::new(
         now,
-        LearnerConfig { node_id: NodeId(7), voters: vec![voter], cluster: 400, seed: 1 },
+        LearnerConfig { node_id: NodeId(7), voters: vec![voter], cluster_size: 400, seed: 1 },
     )
 }
 
--- a/crates/consensus/tests/incarnations.rs
+++ b/crates/consensus/tests/incarnations.rs
@@ -53,7 +53,7 @@
             .any(|a| matches!(a, Action::Send { message, .. } if which(&message.body)))
     }
     fn leads(&self) -> bool {
-        self.actions.iter().any(|a| matches!(a, Action::Leads { .. }))
+        self.actions.iter().any(|a| matches!(a, Action::StartedLeading { .. }))
     }
 }
 
@@ -61,7 +61,7 @@
 /// to it.
 fn candidate() -> (SingleReplica, Vec<NodeId>, MessageBody) {
     let (mut one, others) = SingleReplica::of(5, false);
-    let (view, members) = (one.replica.view(), one.replica.members().clone());
+    let (view, members) = (one.replica.view(), one.replica.voter_set().clone());
     for _ in 0..60 {
         one.tick();
         for other in &others {
@@ -110,10 +110,10 @@
     let (a, view) = (others[0], one.replica.view());
     let committed = one.replica.committed().op();
     let id = hollowpaddle_consensus::ProposalId::default();
-    let propose = |id| MessageBody::Propose { id, what: Some(EntryPayload::Command(vec![1])) };
+    let propose = |id| MessageBody::Propose { id, payload: Some(EntryPayload::Command(vec![1])) };
     one.receive(NodeId(0), View::default(), &[], propose(id));
     let b =
-        *one.replica.members().voters.iter().find(|m| **m != a && **m != view.leader).expect("b");
+        *one.replica.voter_set().voters.iter().find(|m| **m != a && **m != view.leader).expect("b");
     one.receive(b, view, &[(a, 1)], MessageBody::StatusRequest { nonce: 1, asked_at_ms: 1 });
     one.receive(a, view, &[], MessageBody::PrepareOk { op: committed + 1, heartbeat: 0 });
     assert_eq!(
@@ -134,7 +134,7 @@
         Event::DiskFailed { cause: "no space".to_string() },
         &mut one.actions,
     );
-    one.replica.handle(ms(one.now), Event::DiskWell, &mut one.actions);
+    one.replica.handle(ms(one.now), Event::DiskRecovered, &mut one.actions);
     one.tick();
     one.actions.clear();
     one.now += 100;
@@ -151,7 +151,7 @@
     let (nonce, incarnation_counts) = nonce.expect("it asks");
     // The incarnation counts that are known: some voters may have restarted while the cluster settled.
     let incarnations: Vec<(NodeId, u32)> = incarnation_counts.into_iter().collect();
-    let voter_set = one.replica.members().clone();
+    let voter_set = one.replica.voter_set().clone();
     let status_response = MessageBody::StatusResponse {
         nonce,
         asked_at_ms: one.now,
@@ -194,8 +194,9 @@
     });
     let heartbeat = heartbeat.expect("a leader's heartbeat has a number");
     one.actions.clear();
-    let quorum_heartbeats =
-        |one: &SingleReplica| one.actions.iter().any(|a| matches!(a, Action::Round { .. }));
+    let quorum_heartbeats = |one: &SingleReplica| {
+        one.actions.iter().any(|a| matches!(a, Action::QuorumHeartbeat { .. }))
+    };
     for other in [View { number: view.number + 1, ..view }, View { number: 0, ..view }] {
         one.receive(others[0], other, &[], MessageBody::PrepareOk { op: 0, heartbeat });
         assert!(!quorum_heartbeats(&one), "who answers is in another view");
--- a/crates/consensus/tests/learners.rs
+++ b/crates/consensus/tests/learners.rs
@@ -216,8 +216,8 @@
         let replica = simulation.nodes[3].replica.as_ref().expect("it runs");
         assert_eq!(replica.status(), ReplicaStatus::Normal, "seed {seed}: {}", simulation.states());
         assert!(
-            replica.members().voters.contains(&NodeId(3))
-                && !replica.members().voters.contains(&NodeId(dead))
+            replica.voter_set().voters.contains(&NodeId(3))
+                && !replica.voter_set().voters.contains(&NodeId(dead))
         );
         // Two of the four old voters die: with the new one there is a majority.
         let old: Vec<u16> = FIVE.iter().copied().filter(|m| *m != dead).take(2).collect();
@@ -247,11 +247,11 @@
     [0, 7, 14].iter().for_each(|m| simulation.crash(*m));
     simulation.for_ms(3000);
     assert_eq!(simulation.leader(), None);
-    let members = [21, 28, 1].map(NodeId).to_vec();
+    let voters = [21, 28, 1].map(NodeId).to_vec();
     simulation.event(
         21,
         hollowpaddle_consensus::Event::OperatorCommand(
-            hollowpaddle_consensus::OperatorCommand::ForceNewEpoch { members },
+            hollowpaddle_consensus::OperatorCommand::ForceNewEpoch { voters },
         ),
     );
     simulation.for_ms(4000);
--- a/crates/consensus/tests/messages.rs
+++ b/crates/consensus/tests/messages.rs
@@ -61,7 +61,8 @@
 
 #[test]
 fn only_impossible_proposals_are_rejected() {
-    let config = LearnerConfig { node_id: NodeId(3), voters: vec![NodeId(0)], cluster: 4, seed: 1 };
+    let config =
+        LearnerConfig { node_id: NodeId(3), voters: vec![NodeId(0)], cluster_size: 4, seed: 1 };
     let mut learner = Learner::new(ms(0), config);
     let id = |number| ProposalId { by: NodeId(3), incarnation: Incarnation(1), number };
     let mut actions = Vec::new();
@@ -87,7 +88,7 @@
             _ => None,
         })
         .collect();
-    assert_eq!(answered, [(1, ProposalOutcome::Never), (2, ProposalOutcome::Unknown)]);
+    assert_eq!(answered, [(1, ProposalOutcome::Rejected), (2, ProposalOutcome::Unknown)]);
 }
 
 #[test]
@@ -96,9 +97,9 @@
         node_id: NodeId(0),
         incarnation: Incarnation(1),
         voters: vec![NodeId(0)],
-        cluster: 1,
-        directory: true,
-        copies: 0,
+        cluster_size: 1,
+        has_directory: true,
+        required_learner_copies: 0,
         seed: 1,
     };
     let mut replica = Replica::new(ms(0), config, None);
@@ -113,7 +114,8 @@
     }
     let before = actions.len();
     (0..40).for_each(|_| tick(&mut replica, &mut actions));
-    let leads = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Leads { .. }));
+    let leads =
+        |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::StartedLeading { .. }));
     assert!(!leads(&actions), "its own vote is not on disk");
     assert!(actions[before..].iter().all(|a| !matches!(a, Action::Send { .. })));
     replica.handle(ms(2100), Event::Persisted { through: 1 }, &mut actions);
@@ -141,7 +143,7 @@
         4 => MessageBody::LogPart(LogPart::Entries { first: n, entries: Vec::new() }),
         5 => MessageBody::Propose {
             id,
-            what: Some(EntryPayload::RemoveVoter { removed: NodeId(from), replacement: None }),
+            payload: Some(EntryPayload::RemoveVoter { removed: NodeId(from), replacement: None }),
         },
         6 => MessageBody::Prepare { first: n, entries: Vec::new(), commit: n },
         _ => MessageBody::StartViewChange {
@@ -192,7 +194,8 @@
 #[test]
 fn a_learner_ignores_lower_epochs_and_reports_its_own_to_the_leader() {
     use hollowpaddle_consensus::{Entry, LearnerAction, LogIndex, SnapshotBase};
-    let config = LearnerConfig { node_id: NodeId(3), voters: vec![NodeId(0)], cluster: 4, seed: 1 };
+    let config =
+        LearnerConfig { node_id: NodeId(3), voters: vec![NodeId(0)], cluster_size: 4, seed: 1 };
     let mut learner = Learner::new(ms(0), config);
     let mut actions = Vec::new();
     let reset = |epoch, op| LearnerEvent::Reset {
@@ -201,8 +204,8 @@
     };
     learner.handle(ms(0), reset(9, 4), &mut actions);
     learner.handle(ms(0), reset(5, 70), &mut actions);
-    assert_eq!(learner.at(), LogIndex::new(9, 4));
-    let entry = Entry { id: ProposalId::default(), what: EntryPayload::Command(vec![1]) };
+    assert_eq!(learner.last_index(), LogIndex::new(9, 4));
+    let entry = Entry { id: ProposalId::default(), payload: EntryPayload::Command(vec![1]) };
     for (epoch, op) in [(5, 5), (9, 6), (9, 4)] {
         let index = LogIndex::new(epoch, op);
         learner.handle(
@@ -210,14 +213,14 @@
             LearnerEvent::Committed { index, entry: entry.clone() },
             &mut actions,
         );
-        assert_eq!(learner.at(), LogIndex::new(9, 4), "{index} does not come next");
+        assert_eq!(learner.last_index(), LogIndex::new(9, 4), "{index} does not come next");
     }
     learner.handle(
         ms(0),
         LearnerEvent::Committed { index: LogIndex::new(9, 5), entry },
         &mut actions,
     );
-    assert_eq!(learner.at(), LogIndex::new(9, 5));
+    assert_eq!(learner.last_index(), LogIndex::new(9, 5));
     let update = MessageBody::LearnerUpdate {
         index: LogIndex::new(5, 80),
         leader: Some(NodeId(0)),
--- a/crates/consensus/tests/simulation/disk.rs
+++ b/crates/consensus/tests/simulation/disk.rs
@@ -71,10 +71,10 @@
 }
 
 impl Disk for SimulatedDisk {
-    fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>> {
+    fn read(&self, name: &str, max_bytes: u64) -> io::Result<Vec<u8>> {
         let file = self.file(name)?;
         let bytes = &file.lock().unwrap().0;
-        Ok(bytes[..bytes.len().min(most as usize)].to_vec())
+        Ok(bytes[..bytes.len().min(max_bytes as usize)].to_vec())
     }
     fn write(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
         let file = Arc::new(Mutex::new((bytes.to_vec(), Vec::new())));
@@ -107,7 +107,7 @@
         files.synced = files.now.clone();
         Ok(())
     }
-    fn place(&self, name: &str) -> String {
+    fn path(&self, name: &str) -> String {
         name.into()
     }
 }
--- a/crates/consensus/tests/simulation/mod.rs
+++ b/crates/consensus/tests/simulation/mod.rs
@@ -209,15 +209,15 @@
             node_id: NodeId(who),
             incarnation: Incarnation(seed as u32),
             voters: self.voters.clone(),
-            cluster: self.size,
-            directory: self.directory,
-            copies: if self.learners { 2 } else { 0 },
+            cluster_size: self.size,
+            has_directory: self.directory,
+            required_learner_copies: if self.learners { 2 } else { 0 },
             seed,
         };
         let learner = LearnerConfig {
             node_id: NodeId(who),
             voters: self.voters.clone(),
-            cluster: config.cluster,
+            cluster_size: config.cluster_size,
             seed,
         };
         let learners = self.learners;
@@ -242,7 +242,7 @@
                 Err(e) => {
                     failed = true;
                     node.store = Some(Store::closed(disk, points, 1, NodeId(who)));
-                    if matches!(e, StoreError::Ended(_)) {
+                    if matches!(e, StoreError::FailpointCrash(_)) {
                         node.store = None;
                     }
                     DurableState::default()
@@ -377,7 +377,7 @@
     }
 
     fn check_committed(&mut self, index: LogIndex, entry: &Entry) {
-        let proposed_entry = (entry.id, digest(&entry.what));
+        let proposed_entry = (entry.id, digest(&entry.payload));
         let known = self.committed.entry(index).or_insert(proposed_entry);
         assert_eq!(*known, proposed_entry, "two entries at {index}");
     }
@@ -426,7 +426,7 @@
                 let full = io::Error::from(io::ErrorKind::StorageFull);
                 let done = if node.disk_fails {
                     let file = String::new();
-                    Err(StoreError::Failed { file, doing: "appended", cause: full })
+                    Err(StoreError::Failed { file, attempted: "appended", cause: full })
                 } else {
                     store.append(number, &record)
                 };
@@ -437,7 +437,7 @@
                 }
                 self.stored(who, done, paused);
             }
-            Action::Leads { view, since } => {
+            Action::StartedLeading { view, since } => {
                 let node = &mut self.nodes[who as usize];
                 let since = node.started + since;
                 node.leads = Some(view);
@@ -450,11 +450,11 @@
                     );
                 }
             }
-            Action::Follows => self.nodes[who as usize].leads = None,
-            Action::Round { began } => {
+            Action::StoppedLeading => self.nodes[who as usize].leads = None,
+            Action::QuorumHeartbeat { sent_at } => {
                 let node = &self.nodes[who as usize];
                 let (began, view) =
-                    (node.started + began, node.leads.expect("only a leader has rounds"));
+                    (node.started + sent_at, node.leads.expect("only a leader has rounds"));
                 for (newer, since) in self.led.range(view..).skip(1) {
                     assert!(
                         self.majority_lost_state || began <= *since,
@@ -493,7 +493,7 @@
     fn stored(&mut self, who: u16, done: Result<(), StoreError>, paused: bool) {
         match done {
             Ok(()) => {}
-            Err(StoreError::Ended(_)) => {
+            Err(StoreError::FailpointCrash(_)) => {
                 self.crash(who);
                 self.start_after(who, ms(300));
             }
@@ -601,7 +601,7 @@
                     if node.incarnation == incarnation && mute && !node.disk_fails {
                         let reset = node.store.as_mut().map(Store::reset);
                         if matches!(reset, Some(Ok(()))) {
-                            self.event(who, Event::DiskWell);
+                            self.event(who, Event::DiskRecovered);
                         } else if let Some(reset) = reset {
                             self.stored(who, reset, false);
                         }
@@ -643,7 +643,7 @@
         let message = Message {
             view: View::default(),
             incarnation_counts: BTreeMap::new(),
-            body: MessageBody::Propose { id, what: Some(EntryPayload::Command(bytes)) },
+            body: MessageBody::Propose { id, payload: Some(EntryPayload::Command(bytes)) },
         };
         self.event(at, Event::Message { from: NodeId(at), incarnation: Incarnation(0), message });
     }
--- a/crates/consensus/tests/store.rs
+++ b/crates/consensus/tests/store.rs
@@ -14,7 +14,7 @@
 
 fn entry(number: u64, length: usize) -> Entry {
     let id = ProposalId { by: NodeId(1), incarnation: Incarnation(1), number };
-    Entry { id, what: EntryPayload::Command(vec![number as u8; length]) }
+    Entry { id, payload: EntryPayload::Command(vec![number as u8; length]) }
 }
 
 /// Records as a voter issues them.
@@ -138,20 +138,26 @@
         disk.put(bytes);
         Store::open(disk, Points::none(), cluster, NodeId(node_id)).expect("readable").1
     };
-    assert!(matches!(open(bytes.clone(), 7, 2).doubt, Some(Corruption::Foreign { member: 1, .. })));
     assert!(matches!(
-        open(bytes.clone(), 8, 1).doubt,
+        open(bytes.clone(), 7, 2).corruption,
+        Some(Corruption::Foreign { node_id: 1, .. })
+    ));
+    assert!(matches!(
+        open(bytes.clone(), 8, 1).corruption,
         Some(Corruption::Foreign { cluster: 7, .. })
     ));
-    assert!(matches!(open(b"something else".to_vec(), 7, 1).doubt, Some(Corruption::NoHead)));
+    assert!(matches!(
+        open(b"something else".to_vec(), 7, 1).corruption,
+        Some(Corruption::InvalidHeader)
+    ));
     let mut changed = bytes.clone();
     changed[50] ^= 1;
     let found = open(changed, 7, 1);
-    assert!(matches!(found.doubt, Some(Corruption::Damaged { .. })), "{:?}", found.doubt);
+    assert!(matches!(found.corruption, Some(Corruption::Damaged { .. })), "{:?}", found.corruption);
     assert_eq!(found.durable, DurableState::default());
     for cut in (30..bytes.len()).step_by(997) {
         let found = open(bytes[..cut].to_vec(), 7, 1);
-        assert!(found.doubt.is_none(), "a torn tail is cut off: {cut}");
+        assert!(found.corruption.is_none(), "a torn tail is cut off: {cut}");
         assert!(found.durable.written < records().len() as u64);
     }
 }
@@ -169,7 +175,7 @@
     for (number, record) in (1..).zip(records()) {
         let done = store.append(number, &record).and_then(|()| store.sync());
         if failed {
-            assert!(matches!(done, Err(StoreError::Unsure { .. })));
+            assert!(matches!(done, Err(StoreError::Inconsistent { .. })));
         }
         failed |= done.is_err();
     }
--- a/crates/gateway/src/cluster/admin_api/views.rs
+++ b/crates/gateway/src/cluster/admin_api/views.rs
@@ -54,7 +54,7 @@
         "standing": replica.status().to_string(),
         "leader": machine.leader().map(|m| m.0),
         "source": learner.source().map(|m| m.0),
-        "log": learner.at().to_string(),
+        "log": learner.last_index().to_string(),
     })
 }
 
--- a/crates/gateway/src/cluster/durable_log.rs
+++ b/crates/gateway/src/cluster/durable_log.rs
@@ -127,11 +127,14 @@
     let opened = consensus::Store::open(directory.clone(), failpoints.clone(), cluster, node_id);
     match opened {
         Ok((records, found)) => {
-            if let Some(suspect) = &found.doubt {
+            if let Some(suspect) = &found.corruption {
                 tracing::error!(%suspect, "consensus log set aside, replica state lost");
             }
-            if found.torn > 0 {
-                tracing::warn!(bytes = found.torn, "incomplete end of the consensus log cut off");
+            if found.torn_bytes > 0 {
+                tracing::warn!(
+                    bytes = found.torn_bytes,
+                    "incomplete end of the consensus log cut off"
+                );
             }
             Ok((records, found.durable))
         }
@@ -187,7 +190,7 @@
         if self.records.take_pause() {
             self.failpoints.carry_out(Fault::Pause);
         }
-        if let Err(consensus::StoreError::Ended(_)) = &result {
+        if let Err(consensus::StoreError::FailpointCrash(_)) = &result {
             self.failpoints.carry_out(Fault::Crash);
         }
         Ok(result?)
--- a/crates/gateway/src/cluster/machine.rs
+++ b/crates/gateway/src/cluster/machine.rs
@@ -149,7 +149,7 @@
 
     /// Returns the voters by the log entries that this balancer has.
     pub fn voters(&self) -> &consensus::VoterSet {
-        self.learner.members()
+        self.learner.voter_set()
     }
 
     /// Returns the number of balancers in the cluster.
@@ -184,7 +184,7 @@
             Event::Due => self.timers.disarm(),
             Event::Persisted(through) => self.step_replica(consensus::Event::Persisted { through }),
             Event::DiskFailed(cause) => self.step_replica(consensus::Event::DiskFailed { cause }),
-            Event::DiskRecovered => self.step_replica(consensus::Event::DiskWell),
+            Event::DiskRecovered => self.step_replica(consensus::Event::DiskRecovered),
             Event::FallbackPolicyPersisted(fallback_generation) => {
                 self.step_leases(leases::Event::FallbackPolicyPersisted { fallback_generation });
             }
@@ -215,7 +215,7 @@
     }
 
     fn force_new_epoch(&mut self, ticket: u64, voters: Vec<NodeId>, actions: &mut Vec<Action>) {
-        let command = consensus::OperatorCommand::ForceNewEpoch { members: voters };
+        let command = consensus::OperatorCommand::ForceNewEpoch { voters };
         self.step_replica(consensus::Event::OperatorCommand(command));
         let answer = ProposalResult::Committed(self.applied_index);
         actions.push(Action::ProposalResult { ticket, answer });
@@ -272,9 +272,9 @@
         node_id: setup.node_id,
         incarnation: setup.incarnation,
         voters: setup.voters.clone(),
-        cluster: setup.cluster_size,
-        directory: setup.has_durable_log,
-        copies: if setup.has_durable_log { 0 } else { COPIES_WITHOUT_LOG },
+        cluster_size: setup.cluster_size,
+        has_directory: setup.has_durable_log,
+        required_learner_copies: if setup.has_durable_log { 0 } else { COPIES_WITHOUT_LOG },
         seed: setup.seed,
     };
     Replica::new(now, config, replica_state)
@@ -284,7 +284,7 @@
     let config = LearnerConfig {
         node_id: setup.node_id,
         voters: setup.voters.clone(),
-        cluster: setup.cluster_size,
+        cluster_size: setup.cluster_size,
         seed: setup.seed,
     };
     Learner::new(now, config)
--- a/crates/gateway/src/cluster/machine/pending_calls.rs
+++ b/crates/gateway/src/cluster/machine/pending_calls.rs
@@ -103,7 +103,7 @@
                 }
                 self.answer_calls(actions);
             }
-            consensus::ProposalOutcome::Never => {
+            consensus::ProposalOutcome::Rejected => {
                 self.end_calls(id, &ProposalResult::NeverCommitted, actions);
             }
             consensus::ProposalOutcome::Unknown => {
--- a/crates/gateway/src/cluster/machine/routing.rs
+++ b/crates/gateway/src/cluster/machine/routing.rs
@@ -88,7 +88,7 @@
             consensus::Action::Persist { number, record } => {
                 actions.push(Action::Persist { number, record });
             }
-            consensus::Action::Leads { view, since } => {
+            consensus::Action::StartedLeading { view, since } => {
                 actions.push(Action::Log(format!(
                     "became leader of the voters in view {}",
                     view.number
@@ -97,11 +97,13 @@
                 let (epoch, from) = (view.epoch, self.replica.op());
                 self.step_leases(leases::Event::Leads { since, epoch, from });
             }
-            consensus::Action::Follows => {
+            consensus::Action::StoppedLeading => {
                 self.is_leader = false;
                 self.step_leases(leases::Event::Follows);
             }
-            consensus::Action::Round { began } => self.step_leases(leases::Event::Round { began }),
+            consensus::Action::QuorumHeartbeat { sent_at } => {
+                self.step_leases(leases::Event::Round { began: sent_at });
+            }
             consensus::Action::Committed { index, entry } => {
                 self.step_learner(LearnerEvent::Committed { index, entry });
             }
@@ -140,7 +142,7 @@
 
     /// Applies a committed entry of the log.
     fn apply(&mut self, index: consensus::LogIndex, entry: &Entry, actions: &mut Vec<Action>) {
-        let bytes: &[u8] = match &entry.what {
+        let bytes: &[u8] = match &entry.payload {
             EntryPayload::Command(bytes) => bytes,
             _ => &[],
         };
--- a/crates/gateway/src/cluster/machine/timers.rs
+++ b/crates/gateway/src/cluster/machine/timers.rs
@@ -91,7 +91,7 @@
     }
 
     fn is_voter(&self) -> bool {
-        self.replica.members().has(self.setup.node_id)
+        self.replica.voter_set().has(self.setup.node_id)
     }
 
     /// Proposes a fallback policy as leader of a cluster that was bootstrapped without one. Without a fallback policy, a
--- a/crates/model-checks/src/consensus_model.rs
+++ b/crates/model-checks/src/consensus_model.rs
@@ -171,7 +171,7 @@
                 }
                 self.members[usize::from(node_id)].last_committed = Some(index);
             }
-            ReplicaAction::Leads { view, .. } => {
+            ReplicaAction::StartedLeading { view, .. } => {
                 self.leaders.insert(NodeId(node_id));
                 // A leader has all entries acknowledged in earlier views. A leader of an old view that learns of its
                 // election late is no violation: no member answers it.
@@ -326,9 +326,9 @@
         node_id: NodeId(node_id),
         incarnation: Incarnation(incarnation),
         voters: (0..MEMBERS).map(NodeId).collect(),
-        cluster: 0,
-        directory: bounds.has_directories,
-        copies: 0,
+        cluster_size: 0,
+        has_directory: bounds.has_directories,
+        required_learner_copies: 0,
         seed: u64::from(node_id) << 32 | u64::from(incarnation),
     }
 }
@@ -458,7 +458,7 @@
                 let id = ProposalId { by: CLIENT, incarnation: Incarnation(1), number };
                 let body = MessageBody::Propose {
                     id,
-                    what: Some(EntryPayload::Command(vec![state.proposals])),
+                    payload: Some(EntryPayload::Command(vec![state.proposals])),
                 };
                 let message = Message {
                     view: Default::default(),
--- a/crates/model-checks/src/safety_checker.rs
+++ b/crates/model-checks/src/safety_checker.rs
@@ -115,7 +115,7 @@
         };
         let mut has_changed = refresh_bits(&mut observation.rules, &published.rules);
         has_changed |= refresh_bits(&mut observation.fallback_policy, &published.fallback_policy);
-        let log_index = machine.learner().at();
+        let log_index = machine.learner().last_index();
         let position = (log_index.epoch(), log_index.op());
         if observation.position != position {
             has_changed = true;
--- a/crates/model-checks/src/seeded_run.rs
+++ b/crates/model-checks/src/seeded_run.rs
@@ -445,7 +445,7 @@
                         m.node_id(),
                         status.revision,
                         status.target_revision,
-                        m.learner().at(),
+                        m.learner().last_index(),
                         status.unconfirmed,
                         m.leader()
                     )
@@ -491,9 +491,9 @@
                 }
             }
             match &first {
-                None => first = Some((machine.learner().at(), policy.clone())),
+                None => first = Some((machine.learner().last_index(), policy.clone())),
                 Some((log_index, first_policy)) => {
-                    if machine.learner().at() == *log_index && policy != first_policy {
+                    if machine.learner().last_index() == *log_index && policy != first_policy {
                         violations.push(format!(
                             "{:?} has a different policy state at {log_index}",
                             machine.node_id()
--- a/crates/model-checks/src/simulated_cluster.rs
+++ b/crates/model-checks/src/simulated_cluster.rs
@@ -349,7 +349,7 @@
         let machines =
             self.nodes.iter().filter(|n| n.has_replica_state()).filter_map(|n| n.machine.as_ref());
         let latest =
-            machines.map(|m| m.replica().members()).max_by_key(|voter_set| voter_set.changed_at);
+            machines.map(|m| m.replica().voter_set()).max_by_key(|voter_set| voter_set.changed_at);
         latest.map_or(self.config.voters.clone(), |voter_set| {
             voter_set.voters.iter().map(|id| id.0).collect()
         })
