--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -33,7 +33,7 @@
 //! 8. A dead voter can be replaced: the new voter counts towards majorities, and the removed voter learns that it no
 //!    longer votes (`learners::a_dead_voter_is_replaced_and_the_new_one_counts`). After the permanent loss of a
 //!    majority, operators can continue the log in a new epoch
-//!    (`learners::operators_continue_without_a_majority_that_is_lost_for_good`).
+//!    (`learners::operators_continue_after_the_permanent_loss_of_a_majority`).
 //! 9. A learner has at most eight children from the tree, and at most eight more whose own source has failed
 //!    (`learners::learners_have_at_most_eight_children_and_agree_on_the_tree`). A learner finds another source if its
 //!    own is dead (`learners::children_of_dead_nodes_find_another_source`), and catches up with one part of 16 KiB in
--- a/crates/consensus/tests/formats.rs
+++ b/crates/consensus/tests/formats.rs
@@ -1,5 +1,5 @@
-//! What leaves a process, byte for byte as recorded in `tests/formats`: messages, a voter's log and the names of
-//! its files, snapshots, and the texts of the admin API.
+//! Formats that leave a process, byte for byte as recorded in `tests/formats`: messages, a voter's log and its file
+//! names, snapshots, and the texts of the admin API.
 
 #[path = "../../peer-transport/tests/formats/hex.rs"]
 mod hex;
@@ -48,7 +48,7 @@
     Entry { id: proposal(number), payload: EntryPayload::Command(b"command".to_vec()) }
 }
 
-/// One entry of each kind.
+/// Returns one entry of each kind.
 fn entries() -> Vec<Entry> {
     let replace = EntryPayload::RemoveVoter { removed: NodeId(4), replacement: Some(NodeId(6)) };
     let remove = EntryPayload::RemoveVoter { removed: NodeId(5), replacement: None };
@@ -93,7 +93,7 @@
     })
 }
 
-/// One message of each kind, by the name of its recorded bytes.
+/// Returns one message of each kind, with the name of its recorded bytes.
 fn messages() -> Vec<(&'static str, Message)> {
     let (nonce, index, voter_set) = (0x0102_0304_0506_0708, LogIndex::new(2, 1001), voters());
     let status_response = MessageBody::StatusResponse {
@@ -179,7 +179,7 @@
 }
 
 #[test]
-fn recorded_messages_are_read_as_what_they_were() {
+fn recorded_messages_decode_to_the_same_values() {
     for (name, message) in messages() {
         assert_eq!(Message::decode(&recorded(name)), Ok(message), "{name}");
     }
@@ -206,7 +206,7 @@
     }
 }
 
-/// One record of each kind, by the name of its recorded bytes, in an order in which a voter may write them.
+/// Returns one record of each kind, with the name of its recorded bytes, in an order in which a voter may write them.
 fn records() -> Vec<(&'static str, Record)> {
     let (view, last_normal_view, incarnation_counts) = (view(), last_normal_view(), incarnations());
     let complete = Record::CompleteState {
@@ -245,7 +245,7 @@
     ]
 }
 
-/// The state that these records add up to.
+/// Returns the state that results from applying [`records`].
 fn state() -> State {
     let log_entries = [&entries()[..], &entries()[..2], &[command(11), command(12)]].concat();
     let mut log = Log::with(SnapshotBase { op: 996, ..snapshot() }, 996, log_entries);
@@ -265,7 +265,7 @@
 }
 
 #[test]
-fn recorded_records_are_read_as_what_they_were() {
+fn recorded_records_decode_to_the_same_values() {
     for (name, record) in records() {
         assert_eq!(decode(&recorded(name)), Ok(record), "{name}");
     }
@@ -291,7 +291,7 @@
 }
 
 #[test]
-fn a_voter_s_log_has_its_recorded_bytes() {
+fn a_voter_log_has_its_recorded_bytes() {
     let directory = tempfile::tempdir().expect("made");
     let (mut store, _) = open(directory.path(), Points::none()).expect("new");
     let read_log = || fs::read(directory.path().join("council.log")).expect("its log");
@@ -305,7 +305,7 @@
 }
 
 #[test]
-fn a_recorded_voter_s_log_is_read_as_what_it_was() {
+fn a_recorded_voter_log_loads_the_same_state() {
     let directory = tempfile::tempdir().expect("made");
     fs::write(directory.path().join("council.log"), recorded("voter_log")).expect("written");
     let (_, durable) = open(directory.path(), Points::none()).expect("readable");
@@ -315,7 +315,7 @@
 }
 
 #[test]
-fn a_log_being_rewritten_and_one_set_aside_have_their_names() {
+fn rewritten_and_rejected_logs_have_their_file_names() {
     let rewritten = tempfile::tempdir().expect("made");
     let points = Points::armed(Plan::counting());
     open(tempfile::tempdir().expect("made").path(), points.clone()).expect("new");
@@ -332,7 +332,7 @@
 }
 
 #[test]
-fn a_snapshot_has_its_recorded_bytes_and_is_read_as_what_it_was() {
+fn a_snapshot_has_its_recorded_bytes_and_decodes_to_the_same_value() {
     assert_recorded([("snapshot", encode(&snapshot()))]);
     assert_eq!(decode(&recorded("snapshot")), Ok(snapshot()));
 }
@@ -344,9 +344,9 @@
     )
 }
 
-/// A learner holds its copy in memory, and sends it to a voter in these bytes.
+/// A learner has its copy of the log in memory, and sends it to a voter in the recorded bytes.
 #[test]
-fn a_learner_s_copy_has_its_recorded_bytes() {
+fn a_learner_copy_has_its_recorded_bytes() {
     let (voter, now) = (NodeId(4), Duration::ZERO);
     let mut learner = learner(now, voter);
     let mut actions = Vec::new();
@@ -377,7 +377,7 @@
 }
 
 #[test]
-fn a_recorded_learner_s_copy_is_read_as_what_it_was() {
+fn a_recorded_learner_copy_restores_the_same_log() {
     let (voter, now) = (NodeId(4), Duration::ZERO);
     let mut learner = learner(now, voter);
     let mut actions = Vec::new();
@@ -408,7 +408,7 @@
 }
 
 #[test]
-fn strings_of_the_admin_api_are_as_they_were() {
+fn texts_of_the_admin_api_are_unchanged() {
     let statuses = [
         (ReplicaStatus::NonVoter, "outside"),
         (ReplicaStatus::WithoutState, "blank"),
@@ -424,14 +424,14 @@
 }
 
 #[test]
-fn bounds_that_both_ends_rely_on_are_the_same() {
+fn bounds_of_messages_and_files_are_unchanged() {
     assert_eq!((MAX_VOTERS, MAX_ENTRY_BYTES, MAX_CHUNK_BYTES), (16, 16_384, 16_384));
     assert_eq!((MAX_MESSAGE_BYTES, MAX_SNAPSHOT_BYTES), (20_480, 2_097_152));
     assert_eq!((VERSION, MAX_FILE_BYTES), (1, 67_108_864));
 }
 
 #[test]
-fn every_recorded_form_is_compared() {
+fn every_recorded_format_is_compared() {
     let (messages, records) = (messages(), records());
     let named = messages.iter().map(|(name, _)| *name).chain(records.iter().map(|(name, _)| *name));
     let logs = ["voter_log_empty", "voter_log"];
--- a/crates/consensus/tests/messages.rs
+++ b/crates/consensus/tests/messages.rs
@@ -1,4 +1,4 @@
-//! The size and the decoding of messages, and how state machines handle messages that no node would send.
+//! The size and the decoding of messages, and the handling of messages that no node would send.
 
 mod simulation;
 
@@ -22,9 +22,9 @@
     simulation.run(ms(2500));
     for round in 0..40 {
         simulation.propose(simulation.leader().expect("leads"), vec![round; 64]);
-        simulation.for_ms(60);
+        simulation.run_for_ms(60);
     }
-    println!("longest frequent word: {} bytes", simulation.longest_frequent_message);
+    println!("longest frequent message: {} bytes", simulation.longest_frequent_message);
     assert!(
         (40..=200).contains(&simulation.longest_frequent_message),
         "{}",
@@ -43,17 +43,17 @@
 
 #[test]
 fn the_tree_of_300_nodes_has_three_levels_below_the_leader() {
-    let members = VoterSet::of(default_voters(300));
-    let order = order(300, &members, Some(NodeId(128)));
+    let voter_set = VoterSet::of(default_voters(300));
+    let order = order(300, &voter_set, Some(NodeId(128)));
     assert_eq!(order[0], NodeId(128));
     let mut deepest = 0;
-    for place in 0..300 {
-        let (mut at, mut steps) = (place, 0);
+    for position in 0..300 {
+        let (mut at, mut steps) = (position, 0);
         while let Some(source) = parent(&order, at) {
-            at = order.iter().position(|m| *m == source).expect("all are in it");
+            at = order.iter().position(|m| *m == source).expect("every node is in the tree");
             steps += 1;
         }
-        assert_eq!(at, 0, "all ways lead to the leader");
+        assert_eq!(at, 0, "the leader is the root of every path");
         deepest = deepest.max(steps);
     }
     assert_eq!(deepest, 3);
@@ -116,7 +116,7 @@
     (0..40).for_each(|_| tick(&mut replica, &mut actions));
     let leads =
         |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::StartedLeading { .. }));
-    assert!(!leads(&actions), "its own vote is not on disk");
+    assert!(!leads(&actions), "the vote of the replica is not on disk");
     assert!(actions[before..].iter().all(|a| !matches!(a, Action::Send { .. })));
     replica.handle(ms(2100), Event::Persisted { through: 1 }, &mut actions);
     assert!(leads(&actions));
@@ -180,12 +180,12 @@
         simulation.run(ms(2000));
         let replica = simulation.nodes[0].replica.as_mut().expect("runs");
         let mut actions = Vec::new();
-        for (place, (from, kind, n, m, epoch, bytes)) in messages_in_flight.into_iter().enumerate() {
+        for (position, (from, kind, n, m, epoch, bytes)) in messages_in_flight.into_iter().enumerate() {
             let mut message = message(arbitrary_body(from, kind, n, m, &bytes));
             let own = replica.view();
             message.view = if n % 3 == 0 { own } else { View { epoch, number: m, leader: NodeId(from) } };
             message.incarnation_counts.insert(NodeId(from), m % 3);
-            let now = ms(2000 + place as u64);
+            let now = ms(2000 + position as u64);
             replica.handle(now, Event::Message { from: NodeId(from), incarnation: Incarnation(m), message }, &mut actions);
         }
     }
@@ -213,7 +213,7 @@
             LearnerEvent::Committed { index, entry: entry.clone() },
             &mut actions,
         );
-        assert_eq!(learner.last_index(), LogIndex::new(9, 4), "{index} does not come next");
+        assert_eq!(learner.last_index(), LogIndex::new(9, 4), "{index} is not the next index");
     }
     learner.handle(
         ms(0),
--- a/crates/consensus/tests/simulation/disk.rs
+++ b/crates/consensus/tests/simulation/disk.rs
@@ -1,4 +1,4 @@
-//! A simulated disk that loses what was not synced.
+//! A simulated disk that may lose data that was not synced.
 
 use std::collections::BTreeMap;
 use std::io;
@@ -6,15 +6,15 @@
 
 use hollowpaddle_consensus::Disk;
 
-/// A disk in memory: what was written and not synced may be lost, or a part of it, when the process ends.
+/// A disk in memory. Data that was written and not synced may be lost, in whole or in part, at a crash.
 #[derive(Clone, Default)]
 pub struct SimulatedDisk(pub Arc<Mutex<Files>>);
 
-/// The content of a file, and what of it is synced.
+/// The current and the synced content of a file.
 type Content = Arc<Mutex<(Vec<u8>, Vec<u8>)>>;
 type Bytes = BTreeMap<String, Content>;
 
-/// The names of files, and what of them is synced.
+/// The files by name, as they are now and as they were last synced.
 #[derive(Default)]
 pub struct Files {
     now: Bytes,
@@ -22,8 +22,8 @@
 }
 
 impl SimulatedDisk {
-    /// Ends the machine: the random number `randomness` decides what remains of what was not synced.
-    pub fn end(&self, randomness: u64) {
+    /// Crashes the machine. The random number `randomness` decides how much of the unsynced data remains.
+    pub fn crash(&self, randomness: u64) {
         let mut files = self.0.lock().unwrap();
         if randomness & 1 == 0 {
             files.now = files.synced.clone();
@@ -34,11 +34,11 @@
             let (now, synced) = (file.0.clone(), file.1.clone());
             let common = now.iter().zip(&synced).take_while(|(a, b)| a == b).count();
             let rest = now.len().saturating_sub(common);
-            // Appended and not synced: some of it remains, and some of that as zeros.
+            // A part of the data that was appended and not synced remains, and its end may be zeros.
             file.0 = if common == synced.len() {
-                let some = if rest == 0 { 0 } else { (randomness >> 8) as usize % (rest + 1) };
-                let mut torn = now[..common + some].to_vec();
-                if randomness & 2 == 0 && some > 4 {
+                let remaining = if rest == 0 { 0 } else { (randomness >> 8) as usize % (rest + 1) };
+                let mut torn = now[..common + remaining].to_vec();
+                if randomness & 2 == 0 && remaining > 4 {
                     let end = torn.len();
                     torn[end - 4..].fill(0);
                 }
@@ -49,16 +49,16 @@
             file.1 = file.0.clone();
         }
     }
-    /// Whether it holds no complete record.
-    pub fn is_small(&self) -> bool {
+    /// Whether the log file is too short for a complete record.
+    pub fn has_no_complete_record(&self) -> bool {
         let files = self.0.lock().unwrap();
         files.now.get("council.log").is_none_or(|f| f.lock().unwrap().0.len() <= 120)
     }
-    pub fn copy(&self) -> Vec<u8> {
+    pub fn contents(&self) -> Vec<u8> {
         let files = self.0.lock().unwrap();
         files.now.get("council.log").map_or_else(Vec::new, |f| f.lock().unwrap().0.clone())
     }
-    pub fn put(&self, bytes: Vec<u8>) {
+    pub fn replace_contents(&self, bytes: Vec<u8>) {
         let file = Arc::new(Mutex::new((bytes.clone(), bytes)));
         let mut files = self.0.lock().unwrap();
         files.now.insert("council.log".into(), file.clone());
--- a/crates/consensus/tests/simulation/mod.rs
+++ b/crates/consensus/tests/simulation/mod.rs
@@ -1,6 +1,6 @@
-//! A cluster on a simulated network with simulated disks, and a record of what it committed and acknowledged that
-//! shares no code with it.
-#![allow(dead_code, reason = "each test uses its part")]
+//! A cluster on a simulated network with simulated disks. The simulation checks committed and acknowledged entries
+//! against its own record of them, which shares no code with the crate.
+#![allow(dead_code, reason = "each test uses a part of this module")]
 
 mod disk;
 
@@ -30,10 +30,10 @@
     Message(u16, u16, u32, u32, u64),
     Synced(u16, u32, u64),
     Start(u16),
-    Well(u16, u32),
+    DiskRecovered(u16, u32),
 }
 
-/// What a state machine above made of the log: the ids in their order.
+/// The log as applied by a state machine: the numbers and ids of the entries, in order.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct AppliedLog {
     pub ids: Vec<(u64, ProposalId)>,
@@ -44,18 +44,18 @@
 pub struct Node {
     pub replica: Option<Replica>,
     pub learner: Option<Learner>,
-    pub copy: AppliedLog,
+    pub learner_log: AppliedLog,
     pub source: Option<u16>,
     pub incarnation: u32,
     pub started: Duration,
     pub paused: Duration,
     pub disk: SimulatedDisk,
     pub store: Option<Store>,
-    /// A sync is under way.
+    /// Whether a sync is in progress.
     pub syncing: bool,
     pub disk_fails: bool,
-    pub app: AppliedLog,
-    pub leads: Option<View>,
+    pub replica_log: AppliedLog,
+    pub led_view: Option<View>,
     pub queued_events: Vec<Event>,
     pub queued_learner_events: Vec<LearnerEvent>,
 }
@@ -66,35 +66,35 @@
     pub nodes: Vec<Node>,
     pub voters: Vec<NodeId>,
     pub size: u16,
-    pub directory: bool,
+    pub has_directories: bool,
     pub points: Points,
     pub loss: f64,
-    pub late: bool,
-    pub cuts: BTreeSet<(u16, u16)>,
+    pub delays_messages: bool,
+    pub cut_links: BTreeSet<(u16, u16)>,
     queue: BinaryHeap<Reverse<(Duration, u64, SimulatedEvent)>>,
     messages_in_flight: BTreeMap<u64, Message>,
     seq: u64,
-    /// The committed entries by index, over all nodes: the id and a digest.
+    /// The committed entries of all nodes by index, as id and digest.
     pub committed: BTreeMap<LogIndex, (ProposalId, u64)>,
     pub acknowledged: BTreeMap<ProposalId, LogIndex>,
     pub proposed: u64,
-    /// When each view began to be led, in simulated time.
-    pub led: BTreeMap<View, Duration>,
+    /// The views that were led, with the simulated time at which their leader began to lead.
+    pub led_views: BTreeMap<View, Duration>,
     pub quorum_heartbeats: BTreeMap<View, Duration>,
-    /// A majority lost its state at one time after the first epoch began.
+    /// Whether a majority was without state at one time after the first epoch began.
     pub majority_lost_state: bool,
     pub state_losses: Vec<&'static str>,
     pub sent: u64,
     pub longest_message: usize,
     pub longest_frequent_message: usize,
-    pub snapshots: bool,
-    pub learners: bool,
-    /// Events to hand in once all actions of the current one are carried out, as the runtime does.
-    later: Vec<(u16, Event)>,
-    /// Smallest length of a snapshot.
-    pub state_len: usize,
+    pub takes_snapshots: bool,
+    pub has_learners: bool,
+    /// Events to be handled once all actions of the current event are executed, as in the runtime.
+    deferred_events: Vec<(u16, Event)>,
+    /// Smallest length of a snapshot, in bytes.
+    pub min_snapshot_bytes: usize,
     pub answered: BTreeMap<ProposalId, ProposalOutcome>,
-    /// Messages and bytes of the channel `Log`, by sender.
+    /// Numbers of messages and of bytes sent on the channel `Log`, by sender.
     pub learner_traffic: BTreeMap<u16, (u64, u64)>,
     trace: bool,
 }
@@ -105,14 +105,18 @@
 }
 
 impl AppliedLog {
-    fn take(&mut self, index: LogIndex, entry: &Entry) {
-        assert_eq!((index.epoch(), index.op()), (self.epoch, self.at + 1), "out of order");
+    fn apply(&mut self, index: LogIndex, entry: &Entry) {
+        assert_eq!(
+            (index.epoch(), index.op()),
+            (self.epoch, self.at + 1),
+            "entry delivered out of order"
+        );
         self.at += 1;
         self.ids.push((index.op(), entry.id));
     }
     fn reset(&mut self, index: LogIndex, state: &[u8], may_go_back: bool) {
         let before = LogIndex::new(self.epoch, self.at);
-        assert!(index >= before || may_go_back, "back to {index}");
+        assert!(index >= before || may_go_back, "the log is reset to the earlier index {index}");
         let ids = || postcard::take_from_bytes(state).unwrap().0;
         self.ids = if state.is_empty() { Vec::new() } else { ids() };
         (self.epoch, self.at) = (index.epoch(), index.op());
@@ -142,28 +146,28 @@
             nodes: Vec::new(),
             voters: voters.iter().map(|m| NodeId(*m)).collect(),
             size: nodes,
-            directory,
+            has_directories: directory,
             points,
             loss: 0.0,
-            late: false,
-            cuts: BTreeSet::new(),
+            delays_messages: false,
+            cut_links: BTreeSet::new(),
             queue: BinaryHeap::new(),
             messages_in_flight: BTreeMap::new(),
             seq: 0,
             committed: BTreeMap::new(),
             acknowledged: BTreeMap::new(),
             proposed: 0,
-            led: BTreeMap::new(),
+            led_views: BTreeMap::new(),
             quorum_heartbeats: BTreeMap::new(),
             majority_lost_state: false,
             state_losses: Vec::new(),
             sent: 0,
             longest_message: 0,
             longest_frequent_message: 0,
-            snapshots: false,
-            learners,
-            later: Vec::new(),
-            state_len: 0,
+            takes_snapshots: false,
+            has_learners: learners,
+            deferred_events: Vec::new(),
+            min_snapshot_bytes: 0,
             answered: BTreeMap::new(),
             learner_traffic: BTreeMap::new(),
             trace: std::env::var_os("TRACE").is_some(),
@@ -172,7 +176,7 @@
             simulation.nodes.push(Node {
                 replica: None,
                 learner: None,
-                copy: AppliedLog::default(),
+                learner_log: AppliedLog::default(),
                 source: None,
                 incarnation: 0,
                 started: Duration::ZERO,
@@ -181,8 +185,8 @@
                 store: None,
                 syncing: false,
                 disk_fails: false,
-                app: AppliedLog::default(),
-                leads: None,
+                replica_log: AppliedLog::default(),
+                led_view: None,
                 queued_events: Vec::new(),
                 queued_learner_events: Vec::new(),
             });
@@ -196,52 +200,52 @@
         self.queue.push(Reverse((at, self.seq, what)));
     }
 
-    pub fn happens(&mut self, share: f64) -> bool {
-        self.rng.rand_float() < share
+    pub fn sample_bool(&mut self, probability: f64) -> bool {
+        self.rng.rand_float() < probability
     }
     pub fn sample_below(&mut self, n: u64) -> u64 {
         self.rng.rand_range(0..n.max(1))
     }
 
-    pub fn start(&mut self, who: u16) {
+    pub fn start(&mut self, node_id: u16) {
         let (now, seed) = (self.now, self.rng.rand_u64());
         let config = ReplicaConfig {
-            node_id: NodeId(who),
+            node_id: NodeId(node_id),
             incarnation: Incarnation(seed as u32),
             voters: self.voters.clone(),
             cluster_size: self.size,
-            has_directory: self.directory,
-            required_learner_copies: if self.learners { 2 } else { 0 },
+            has_directory: self.has_directories,
+            required_learner_copies: if self.has_learners { 2 } else { 0 },
             seed,
         };
         let learner = LearnerConfig {
-            node_id: NodeId(who),
+            node_id: NodeId(node_id),
             voters: self.voters.clone(),
             cluster_size: config.cluster_size,
             seed,
         };
-        let learners = self.learners;
-        let node = &mut self.nodes[who as usize];
+        let learners = self.has_learners;
+        let node = &mut self.nodes[node_id as usize];
         node.incarnation += 1;
         node.started = now;
         node.paused = now;
         node.disk_fails = false;
         node.syncing = false;
         node.queued_events.clear();
-        (node.app, node.copy) = (AppliedLog::default(), AppliedLog::default());
-        (node.leads, node.source) = (None, None);
+        (node.replica_log, node.learner_log) = (AppliedLog::default(), AppliedLog::default());
+        (node.led_view, node.source) = (None, None);
         node.queued_learner_events.clear();
         let mut failed = false;
-        let found = self.directory.then(|| {
-            let (disk, points) = (node.disk.clone(), self.points.of(u32::from(who)));
-            match Store::open(disk.clone(), points.clone(), 1, NodeId(who)) {
+        let found = self.has_directories.then(|| {
+            let (disk, points) = (node.disk.clone(), self.points.of(u32::from(node_id)));
+            match Store::open(disk.clone(), points.clone(), 1, NodeId(node_id)) {
                 Ok((store, found)) => {
                     node.store = Some(store);
                     found.durable
                 }
                 Err(e) => {
                     failed = true;
-                    node.store = Some(Store::closed(disk, points, 1, NodeId(who)));
+                    node.store = Some(Store::closed(disk, points, 1, NodeId(node_id)));
                     if matches!(e, StoreError::FailpointCrash(_)) {
                         node.store = None;
                     }
@@ -250,65 +254,65 @@
             }
         });
         if failed && node.store.is_none() {
-            // A failpoint ended it at its start.
+            // A failpoint ended the process at its start.
             node.replica = None;
-            self.start_after(who, ms(300));
+            self.start_after(node_id, ms(300));
             return;
         }
         node.learner = learners.then(|| Learner::new(Duration::ZERO, learner));
         node.replica = Some(Replica::new(Duration::ZERO, config, found));
         let incarnation = node.incarnation;
-        self.push(now, SimulatedEvent::Tick(who, incarnation));
+        self.push(now, SimulatedEvent::Tick(node_id, incarnation));
         if failed {
-            self.event(who, Event::DiskFailed { cause: "unreadable".into() });
-            self.push(now + ms(700), SimulatedEvent::Well(who, incarnation));
+            self.handle_replica_event(node_id, Event::DiskFailed { cause: "unreadable".into() });
+            self.push(now + ms(700), SimulatedEvent::DiskRecovered(node_id, incarnation));
         }
     }
 
-    pub fn crash(&mut self, who: u16) {
+    pub fn crash(&mut self, node_id: u16) {
         if self.trace {
-            eprintln!("{:>6} {who} crashes", self.now.as_millis());
+            eprintln!("{:>6} {node_id} crashes", self.now.as_millis());
         }
-        let node = &mut self.nodes[who as usize];
+        let node = &mut self.nodes[node_id as usize];
         node.replica = None;
         node.learner = None;
-        node.leads = None;
+        node.led_view = None;
         node.store = None;
         let torn = self.rng.rand_u64();
-        self.nodes[who as usize].disk.end(torn);
+        self.nodes[node_id as usize].disk.crash(torn);
         self.track_majority();
     }
 
-    pub fn start_after(&mut self, who: u16, after: Duration) {
-        self.push(self.now + after, SimulatedEvent::Start(who));
+    pub fn start_after(&mut self, node_id: u16, after: Duration) {
+        self.push(self.now + after, SimulatedEvent::Start(node_id));
     }
 
-    pub fn pause(&mut self, who: u16, time: Duration) {
-        self.nodes[who as usize].paused = self.now + time;
+    pub fn pause(&mut self, node_id: u16, time: Duration) {
+        self.nodes[node_id as usize].paused = self.now + time;
     }
 
-    pub fn isolate(&mut self, who: u16) {
+    pub fn isolate(&mut self, node_id: u16) {
         for other in 0..self.nodes.len() as u16 {
-            self.cuts.insert((who, other));
-            self.cuts.insert((other, who));
+            self.cut_links.insert((node_id, other));
+            self.cut_links.insert((other, node_id));
         }
     }
 
-    /// Cuts all links that are not in this list.
-    pub fn only(&mut self, links: &[(u16, u16)]) {
+    /// Cuts all links except these, which work in both directions.
+    pub fn keep_only_links(&mut self, links: &[(u16, u16)]) {
         let n = self.nodes.len() as u16;
         for a in 0..n {
             for b in 0..n {
                 if !links.contains(&(a, b)) && !links.contains(&(b, a)) {
-                    self.cuts.insert((a, b));
+                    self.cut_links.insert((a, b));
                 }
             }
         }
     }
 
-    pub fn event(&mut self, who: u16, event: Event) {
+    pub fn handle_replica_event(&mut self, node_id: u16, event: Event) {
         let now = self.now;
-        let node = &mut self.nodes[who as usize];
+        let node = &mut self.nodes[node_id as usize];
         if now < node.paused {
             node.queued_events.push(event);
             return;
@@ -318,16 +322,16 @@
         replica.handle(now - node.started, event, &mut actions);
         let leader = replica.leader();
         for action in actions {
-            self.carry_out(who, action);
+            self.execute(node_id, action);
         }
-        if self.learners {
-            self.learn(who, LearnerEvent::Leader(leader));
+        if self.has_learners {
+            self.handle_learner_event(node_id, LearnerEvent::Leader(leader));
         }
     }
 
-    pub fn learn(&mut self, who: u16, event: LearnerEvent) {
+    pub fn handle_learner_event(&mut self, node_id: u16, event: LearnerEvent) {
         let now = self.now;
-        let node = &mut self.nodes[who as usize];
+        let node = &mut self.nodes[node_id as usize];
         if now < node.paused {
             node.queued_learner_events.push(event);
             return;
@@ -337,25 +341,25 @@
         learner.handle(now - node.started, event, &mut actions);
         for action in actions {
             match action {
-                LearnerAction::Send { to, message } => self.send(who, to.0, message),
+                LearnerAction::Send { to, message } => self.send(node_id, to.0, message),
                 LearnerAction::Committed { index, entry } => {
                     self.check_committed(index, &entry);
-                    let copy = &mut self.nodes[who as usize].copy;
-                    copy.take(index, &entry);
-                    if self.snapshots && index.op() % 64 == 0 {
-                        let mut bytes = postcard::to_stdvec(&copy.ids).unwrap();
-                        bytes.resize(bytes.len().max(self.state_len), 0);
-                        self.learn(who, LearnerEvent::Snapshot { index, bytes });
+                    let learner_log = &mut self.nodes[node_id as usize].learner_log;
+                    learner_log.apply(index, &entry);
+                    if self.takes_snapshots && index.op() % 64 == 0 {
+                        let mut bytes = postcard::to_stdvec(&learner_log.ids).unwrap();
+                        bytes.resize(bytes.len().max(self.min_snapshot_bytes), 0);
+                        self.handle_learner_event(node_id, LearnerEvent::Snapshot { index, bytes });
                     }
                 }
                 LearnerAction::Reset { index, state } => {
-                    self.nodes[who as usize].copy.reset(index, &state, false);
+                    self.nodes[node_id as usize].learner_log.reset(index, &state, false);
                 }
                 LearnerAction::Source(source) => {
-                    self.nodes[who as usize].source = source.map(|m| m.0);
+                    self.nodes[node_id as usize].source = source.map(|m| m.0);
                 }
                 LearnerAction::LearnerAdvanced { by, index } => {
-                    self.event(who, Event::LearnerAdvanced { by, index })
+                    self.handle_replica_event(node_id, Event::LearnerAdvanced { by, index })
                 }
                 LearnerAction::Answered { id, outcome } => {
                     self.answered.insert(id, outcome);
@@ -371,24 +375,24 @@
     fn check_acknowledged(&mut self, id: ProposalId, index: LogIndex) {
         let before = self.acknowledged.insert(id, index);
         let same_epoch = before.is_none_or(|b| b.epoch() != index.epoch() || b == index);
-        assert!(same_epoch, "{id:?} is two entries");
-        let there = self.committed.get(&index).map(|a| a.0);
-        assert_eq!(there, Some(id), "yes to what is not at {index}");
+        assert!(same_epoch, "{id:?} was committed as two entries");
+        let committed_id = self.committed.get(&index).map(|a| a.0);
+        assert_eq!(committed_id, Some(id), "the acknowledged proposal is not committed at {index}");
     }
 
     fn check_committed(&mut self, index: LogIndex, entry: &Entry) {
         let proposed_entry = (entry.id, digest(&entry.payload));
         let known = self.committed.entry(index).or_insert(proposed_entry);
-        assert_eq!(*known, proposed_entry, "two entries at {index}");
+        assert_eq!(*known, proposed_entry, "two different entries committed at {index}");
     }
 
-    fn carry_out(&mut self, who: u16, action: Action) {
+    fn execute(&mut self, node_id: u16, action: Action) {
         let now = self.now;
         if self.trace
             && let Action::Persist { number, record } = &action
         {
             eprintln!(
-                "{:>6} {who} persist {number} {:.40}",
+                "{:>6} {node_id} persist {number} {:.40}",
                 now.as_millis(),
                 format!("{record:?}")
             );
@@ -413,15 +417,15 @@
                 other => format!("{other:?}"),
             };
             if !description.is_empty() {
-                let status = self.nodes[who as usize].replica.as_ref().map(|c| c.status());
-                eprintln!("{:>6} {who} {status:?}: {description:.150}", now.as_millis());
+                let status = self.nodes[node_id as usize].replica.as_ref().map(|c| c.status());
+                eprintln!("{:>6} {node_id} {status:?}: {description:.150}", now.as_millis());
             }
         }
         match action {
-            Action::Send { to, message } => self.send(who, to.0, message),
+            Action::Send { to, message } => self.send(node_id, to.0, message),
             Action::Persist { number, record } => {
                 let after = ms(1 + self.sample_below(8));
-                let node = &mut self.nodes[who as usize];
+                let node = &mut self.nodes[node_id as usize];
                 let Some(store) = &mut node.store else { return };
                 let full = io::Error::from(io::ErrorKind::StorageFull);
                 let done = if node.disk_fails {
@@ -433,52 +437,58 @@
                 let paused = store.take_pause();
                 if done.is_ok() && !std::mem::replace(&mut node.syncing, true) {
                     let incarnation = node.incarnation;
-                    self.push(now + after, SimulatedEvent::Synced(who, incarnation, 0));
+                    self.push(now + after, SimulatedEvent::Synced(node_id, incarnation, 0));
                 }
-                self.stored(who, done, paused);
+                self.handle_store_result(node_id, done, paused);
             }
             Action::StartedLeading { view, since } => {
-                let node = &mut self.nodes[who as usize];
+                let node = &mut self.nodes[node_id as usize];
                 let since = node.started + since;
-                node.leads = Some(view);
-                let before = self.led.insert(view, since);
+                node.led_view = Some(view);
+                let before = self.led_views.insert(view, since);
                 assert_eq!(before, None, "{view:?} is led twice");
-                for (old, began) in &self.quorum_heartbeats {
+                for (old, sent_at) in &self.quorum_heartbeats {
                     assert!(
-                        self.majority_lost_state || *old >= view || *began <= since,
-                        "{old:?} has a round after {view:?} began"
+                        self.majority_lost_state || *old >= view || *sent_at <= since,
+                        "a majority of {old:?} acknowledged a heartbeat sent after {view:?} began"
                     );
                 }
             }
-            Action::StoppedLeading => self.nodes[who as usize].leads = None,
+            Action::StoppedLeading => self.nodes[node_id as usize].led_view = None,
             Action::QuorumHeartbeat { sent_at } => {
-                let node = &self.nodes[who as usize];
-                let (began, view) =
-                    (node.started + sent_at, node.leads.expect("only a leader has rounds"));
-                for (newer, since) in self.led.range(view..).skip(1) {
+                let node = &self.nodes[node_id as usize];
+                let (sent_at, view) = (
+                    node.started + sent_at,
+                    node.led_view.expect("only a leader sends numbered heartbeats"),
+                );
+                for (newer, since) in self.led_views.range(view..).skip(1) {
                     assert!(
-                        self.majority_lost_state || began <= *since,
-                        "{view:?} was answered a round of {began:?}; {newer:?} began {since:?}"
+                        self.majority_lost_state || sent_at <= *since,
+                        "a majority of {view:?} acknowledged a heartbeat of {sent_at:?}, but {newer:?} began at {since:?}"
                     );
                 }
-                self.quorum_heartbeats.insert(view, began);
+                self.quorum_heartbeats.insert(view, sent_at);
             }
             Action::Committed { index, entry } => {
                 self.check_committed(index, &entry);
-                let app = &mut self.nodes[who as usize].app;
-                app.take(index, &entry);
-                if self.snapshots && index.op() % 16 == 0 {
-                    let bytes = postcard::to_stdvec(&app.ids).unwrap();
-                    self.later.push((who, Event::Snapshot { index, bytes }));
+                let replica_log = &mut self.nodes[node_id as usize].replica_log;
+                replica_log.apply(index, &entry);
+                if self.takes_snapshots && index.op() % 16 == 0 {
+                    let bytes = postcard::to_stdvec(&replica_log.ids).unwrap();
+                    self.deferred_events.push((node_id, Event::Snapshot { index, bytes }));
                 }
-                if self.learners {
-                    self.learn(who, LearnerEvent::Committed { index, entry });
+                if self.has_learners {
+                    self.handle_learner_event(node_id, LearnerEvent::Committed { index, entry });
                 }
             }
             Action::Reset { index, base } => {
-                self.nodes[who as usize].app.reset(index, &base.state, self.majority_lost_state);
-                if self.learners {
-                    self.learn(who, LearnerEvent::Reset { index, base });
+                self.nodes[node_id as usize].replica_log.reset(
+                    index,
+                    &base.state,
+                    self.majority_lost_state,
+                );
+                if self.has_learners {
+                    self.handle_learner_event(node_id, LearnerEvent::Reset { index, base });
                 }
             }
             Action::SnapshotWanted => {}
@@ -489,29 +499,29 @@
         }
     }
 
-    /// Handles the result of a step on the disk.
-    fn stored(&mut self, who: u16, done: Result<(), StoreError>, paused: bool) {
+    /// Handles the result of a store operation.
+    fn handle_store_result(&mut self, node_id: u16, done: Result<(), StoreError>, paused: bool) {
         match done {
             Ok(()) => {}
             Err(StoreError::FailpointCrash(_)) => {
-                self.crash(who);
-                self.start_after(who, ms(300));
+                self.crash(node_id);
+                self.start_after(node_id, ms(300));
             }
             Err(_) => {
-                self.event(who, Event::DiskFailed { cause: "played".into() });
-                let incarnation = self.nodes[who as usize].incarnation;
-                self.push(self.now + ms(700), SimulatedEvent::Well(who, incarnation));
+                self.handle_replica_event(node_id, Event::DiskFailed { cause: "injected".into() });
+                let incarnation = self.nodes[node_id as usize].incarnation;
+                self.push(self.now + ms(700), SimulatedEvent::DiskRecovered(node_id, incarnation));
             }
         }
         if paused {
-            self.pause(who, ms(3000));
+            self.pause(node_id, ms(3000));
         }
     }
 
     fn send(&mut self, from: u16, to: u16, message: Message) {
         self.sent += 1;
         if self.sent.is_multiple_of(8) {
-            let bytes = message.encode().expect("every word is within its bound");
+            let bytes = message.encode().expect("every message is within its bound");
             assert_eq!(Message::decode(&bytes).as_ref(), Ok(&message));
             self.longest_message = self.longest_message.max(bytes.len());
             if matches!(
@@ -523,13 +533,13 @@
                 self.longest_frequent_message = self.longest_frequent_message.max(bytes.len());
             }
         }
-        if self.cuts.contains(&(from, to)) && from != to || self.happens(self.loss) {
+        if self.cut_links.contains(&(from, to)) && from != to || self.sample_bool(self.loss) {
             return;
         }
         if message.body.channel() == Channel::Log {
             let sent = self.learner_traffic.entry(from).or_default();
             sent.0 += 1;
-            if !self.learners {
+            if !self.has_learners {
                 if let MessageBody::ProposalResponse {
                     id,
                     outcome: Some(ProposalOutcome::Committed(index)),
@@ -542,7 +552,8 @@
             }
             sent.1 += message.encode().map_or(0, |b| b.len() as u64);
         }
-        let late = if self.late && self.happens(0.1) { self.sample_below(300) } else { 0 };
+        let late =
+            if self.delays_messages && self.sample_bool(0.1) { self.sample_below(300) } else { 0 };
         let after = ms(1 + self.sample_below(12) + late);
         self.seq += 1;
         let key = self.seq;
@@ -558,57 +569,65 @@
         {
             let Some(Reverse((at, _, what))) = self.queue.pop() else { break };
             self.now = at;
-            for (who, event) in std::mem::take(&mut self.later) {
-                self.event(who, event);
+            for (node_id, event) in std::mem::take(&mut self.deferred_events) {
+                self.handle_replica_event(node_id, event);
             }
             match what {
-                SimulatedEvent::Start(who) => {
-                    if self.nodes[who as usize].replica.is_none() {
-                        self.start(who);
+                SimulatedEvent::Start(node_id) => {
+                    if self.nodes[node_id as usize].replica.is_none() {
+                        self.start(node_id);
                     }
                 }
-                SimulatedEvent::Tick(who, incarnation) => {
-                    let node = &mut self.nodes[who as usize];
+                SimulatedEvent::Tick(node_id, incarnation) => {
+                    let node = &mut self.nodes[node_id as usize];
                     if node.incarnation == incarnation && node.replica.is_some() {
                         if self.now >= node.paused {
                             let queued_events = std::mem::take(&mut node.queued_events);
                             let late = std::mem::take(&mut node.queued_learner_events);
-                            queued_events.into_iter().for_each(|e| self.event(who, e));
-                            late.into_iter().for_each(|e| self.learn(who, e));
-                            self.event(who, Event::Tick);
-                            self.learn(who, LearnerEvent::Tick);
+                            queued_events
+                                .into_iter()
+                                .for_each(|e| self.handle_replica_event(node_id, e));
+                            late.into_iter().for_each(|e| self.handle_learner_event(node_id, e));
+                            self.handle_replica_event(node_id, Event::Tick);
+                            self.handle_learner_event(node_id, LearnerEvent::Tick);
                             self.track_majority();
                         }
-                        self.push(at + ms(25), SimulatedEvent::Tick(who, incarnation));
+                        self.push(at + ms(25), SimulatedEvent::Tick(node_id, incarnation));
                     }
                 }
                 SimulatedEvent::Message(from, to, incarnation, _, key) => {
                     if let Some(message) = self.messages_in_flight.remove(&key) {
                         let (from, incarnation) = (NodeId(from), Incarnation(incarnation));
                         if message.body.channel() == Channel::Log {
-                            self.learn(to, LearnerEvent::Message { from, incarnation, message });
+                            self.handle_learner_event(
+                                to,
+                                LearnerEvent::Message { from, incarnation, message },
+                            );
                         } else {
-                            self.event(to, Event::Message { from, incarnation, message });
+                            self.handle_replica_event(
+                                to,
+                                Event::Message { from, incarnation, message },
+                            );
                         }
                     }
                 }
-                SimulatedEvent::Well(who, incarnation) => {
-                    let node = &mut self.nodes[who as usize];
-                    let mute = node
+                SimulatedEvent::DiskRecovered(node_id, incarnation) => {
+                    let node = &mut self.nodes[node_id as usize];
+                    let has_failed_disk = node
                         .replica
                         .as_ref()
                         .is_some_and(|c| c.status() == ReplicaStatus::DiskFailed);
-                    if node.incarnation == incarnation && mute && !node.disk_fails {
+                    if node.incarnation == incarnation && has_failed_disk && !node.disk_fails {
                         let reset = node.store.as_mut().map(Store::reset);
                         if matches!(reset, Some(Ok(()))) {
-                            self.event(who, Event::DiskRecovered);
+                            self.handle_replica_event(node_id, Event::DiskRecovered);
                         } else if let Some(reset) = reset {
-                            self.stored(who, reset, false);
+                            self.handle_store_result(node_id, reset, false);
                         }
                     }
                 }
-                SimulatedEvent::Synced(who, incarnation, _) => {
-                    let node = &mut self.nodes[who as usize];
+                SimulatedEvent::Synced(node_id, incarnation, _) => {
+                    let node = &mut self.nodes[node_id as usize];
                     if node.incarnation != incarnation || node.replica.is_none() {
                         continue;
                     }
@@ -616,20 +635,20 @@
                     let Some(store) = &mut node.store else { continue };
                     let done = store.sync();
                     if self.trace {
-                        eprintln!("{:>6} {who} synced {done:?}", at.as_millis());
+                        eprintln!("{:>6} {node_id} synced {done:?}", at.as_millis());
                     }
                     let paused = store.take_pause();
                     if let Ok(through) = done {
-                        self.event(who, Event::Persisted { through });
+                        self.handle_replica_event(node_id, Event::Persisted { through });
                     }
-                    self.stored(who, done.map(|_| ()), paused);
+                    self.handle_store_result(node_id, done.map(|_| ()), paused);
                 }
             }
         }
         self.now = until;
     }
 
-    pub fn for_ms(&mut self, time: u64) {
+    pub fn run_for_ms(&mut self, time: u64) {
         self.run(self.now + ms(time));
     }
 
@@ -645,13 +664,16 @@
             incarnation_counts: BTreeMap::new(),
             body: MessageBody::Propose { id, payload: Some(EntryPayload::Command(bytes)) },
         };
-        self.event(at, Event::Message { from: NodeId(at), incarnation: Incarnation(0), message });
+        self.handle_replica_event(
+            at,
+            Event::Message { from: NodeId(at), incarnation: Incarnation(0), message },
+        );
     }
 
-    /// The leader of the latest view, if a majority takes part in it.
+    /// Returns the leader of the latest view, if a majority takes part in that view.
     pub fn leader(&self) -> Option<u16> {
-        let leads = |n: &&Node| n.replica.is_some() && n.leads.is_some();
-        let view = self.nodes.iter().filter(leads).filter_map(|n| n.leads).max()?;
+        let leads = |n: &&Node| n.replica.is_some() && n.led_view.is_some();
+        let view = self.nodes.iter().filter(leads).filter_map(|n| n.led_view).max()?;
         let takes_part = |n: &&Node| {
             n.replica
                 .as_ref()
@@ -668,16 +690,16 @@
             if self.leader().is_some() {
                 return Some((self.now - began).as_millis() as u64);
             }
-            self.for_ms(5);
+            self.run_for_ms(5);
         }
         None
     }
 
     fn track_majority(&mut self) {
-        let blank = |m: &&NodeId| {
+        let has_lost_state = |m: &&NodeId| {
             let node = &self.nodes[m.0 as usize];
             match &node.replica {
-                None => !self.directory || node.disk.is_small(),
+                None => !self.has_directories || node.disk.has_no_complete_record(),
                 Some(c) => {
                     matches!(
                         c.advertised_status(),
@@ -686,78 +708,98 @@
                 }
             }
         };
-        let knowing = self.voters.len() - self.voters.iter().filter(blank).count();
-        if !self.led.is_empty() && knowing * 2 <= self.voters.len() {
+        let voters_with_state =
+            self.voters.len() - self.voters.iter().filter(has_lost_state).count();
+        if !self.led_views.is_empty() && voters_with_state * 2 <= self.voters.len() {
             self.majority_lost_state = true;
         }
     }
 
-    /// Repairs everything, and asserts that all logs become equal, with every acknowledged entry.
+    /// Repairs all faults, and asserts that all logs become equal and have every acknowledged entry.
     pub fn heal_and_assert_consistent(&mut self, seed: u64) {
-        self.cuts.clear();
+        self.cut_links.clear();
         self.loss = 0.0;
-        for who in 0..self.nodes.len() as u16 {
-            self.nodes[who as usize].paused = self.now;
-            self.nodes[who as usize].disk_fails = false;
-            if self.nodes[who as usize].replica.is_none() {
-                self.start(who);
+        for node_id in 0..self.nodes.len() as u16 {
+            self.nodes[node_id as usize].paused = self.now;
+            self.nodes[node_id as usize].disk_fails = false;
+            if self.nodes[node_id as usize].replica.is_none() {
+                self.start(node_id);
             }
-            let incarnation = self.nodes[who as usize].incarnation;
-            self.push(self.now, SimulatedEvent::Well(who, incarnation));
+            let incarnation = self.nodes[node_id as usize].incarnation;
+            self.push(self.now, SimulatedEvent::DiskRecovered(node_id, incarnation));
         }
-        self.for_ms(5000);
+        self.run_for_ms(5000);
         let leader = self.leader();
         assert!(
             leader.is_some(),
-            "seed {seed}: no leader 5 s after everything is whole: {}",
+            "seed {seed}: no leader 5 s after all faults were repaired: {}",
             self.states()
         );
         for _ in 0..60 {
             let leader = self.leader().unwrap_or(0);
             self.propose(leader, vec![7]);
-            self.for_ms(100);
-            if self.all_alike() {
+            self.run_for_ms(100);
+            if self.logs_are_equal() {
                 break;
             }
         }
-        assert!(self.all_alike(), "seed {seed}: logs differ at rest: {}", self.states());
+        assert!(
+            self.logs_are_equal(),
+            "seed {seed}: logs differ without faults: {}",
+            self.states()
+        );
         if !self.majority_lost_state {
-            let app: BTreeMap<ProposalId, u64> = self.nodes[self.voters[0].0 as usize]
-                .app
+            let ops_by_id: BTreeMap<ProposalId, u64> = self.nodes[self.voters[0].0 as usize]
+                .replica_log
                 .ids
                 .iter()
                 .map(|(o, i)| (*i, *o))
                 .collect();
             for (id, index) in &self.acknowledged {
-                assert_eq!(app.get(id), Some(&index.op()), "seed {seed}: a yes to {id:?} is lost");
+                assert_eq!(
+                    ops_by_id.get(id),
+                    Some(&index.op()),
+                    "seed {seed}: acknowledged proposal {id:?} is lost"
+                );
             }
-            let foundings: BTreeSet<u32> = self.led.keys().map(|v| v.epoch).collect();
+            let epochs: BTreeSet<u32> = self.led_views.keys().map(|v| v.epoch).collect();
             assert!(
-                foundings.len() <= 1,
-                "seed {seed}: founded again with a majority that knows: {foundings:?}"
+                epochs.len() <= 1,
+                "seed {seed}: several epochs although a majority kept its state: {epochs:?}"
             );
         }
-        for (who, node) in self.nodes.iter().enumerate() {
+        for (node_id, node) in self.nodes.iter().enumerate() {
             let mut seen = BTreeSet::new();
             assert!(
-                node.app.ids.iter().all(|(_, id)| seen.insert(*id)),
-                "seed {seed}: an entry twice at {who}"
+                node.replica_log.ids.iter().all(|(_, id)| seen.insert(*id)),
+                "seed {seed}: node {node_id} delivered an entry twice"
             );
         }
     }
 
-    fn all_alike(&self) -> bool {
-        let first = &self.nodes[self.voters[0].0 as usize].app;
-        self.voters.iter().all(|m| self.nodes[m.0 as usize].app == *first) && !first.ids.is_empty()
+    fn logs_are_equal(&self) -> bool {
+        let first = &self.nodes[self.voters[0].0 as usize].replica_log;
+        self.voters.iter().all(|m| self.nodes[m.0 as usize].replica_log == *first)
+            && !first.ids.is_empty()
     }
 
     pub fn states(&self) -> String {
         let one = |n: &Node| match &n.replica {
             None => "down".to_string(),
             Some(c) => {
-                format!("{:?} {:?} leads {:?} at {}", c.status(), c.view(), n.leads, c.committed())
+                format!(
+                    "{:?} {:?} leads {:?} at {}",
+                    c.status(),
+                    c.view(),
+                    n.led_view,
+                    c.committed()
+                )
             }
         };
-        self.nodes.iter().enumerate().map(|(who, n)| format!("\n  {who}: {}", one(n))).collect()
+        self.nodes
+            .iter()
+            .enumerate()
+            .map(|(node_id, n)| format!("\n  {node_id}: {}", one(n)))
+            .collect()
     }
 }
--- a/crates/consensus/tests/store.rs
+++ b/crates/consensus/tests/store.rs
@@ -1,4 +1,4 @@
-//! The store under every fault at every failpoint, alone and in a cluster.
+//! The store with every fault at every failpoint, alone and in a cluster.
 
 mod simulation;
 
@@ -17,10 +17,10 @@
     Entry { id, payload: EntryPayload::Command(vec![number as u8; length]) }
 }
 
-/// Records as a voter issues them.
+/// Returns records in an order in which a voter issues them.
 fn records() -> Vec<Record> {
     let view = |number| View { epoch: 1, number, leader: NodeId(0) };
-    let whole = Record::CompleteState {
+    let complete_state = Record::CompleteState {
         view: view(1),
         last_normal_view: view(1),
         incarnation_counts: IncarnationCounts::new(),
@@ -36,7 +36,7 @@
     };
     let entries = |first| Record::Entries { first, entries: vec![entry(first, 300_000)] };
     let base = SnapshotBase { op: 3, state: vec![1; 1000], ..SnapshotBase::default() };
-    let turn = Record::ViewStart {
+    let view_start = Record::ViewStart {
         view: view(3),
         last_normal_view: view(3),
         incarnation_counts: IncarnationCounts::new(),
@@ -44,21 +44,21 @@
         entries: vec![entry(9, 10)],
     };
     vec![
-        whole.clone(),
+        complete_state.clone(),
         entries(1),
         entries(2),
         entries(3),
         entries(4),
         Record::Snapshot(base),
         promise(2),
-        turn,
+        view_start,
         Record::Commit { commit: 4 },
-        whole,
+        complete_state,
         entries(1),
     ]
 }
 
-/// Writes all records, two for each sync. Returns the last acknowledged record, and how the writing ended.
+/// Writes all records, two for each sync. Returns the number of the last acknowledged record and the result.
 fn write(disk: &SimulatedDisk, points: &Points) -> (u64, Result<(), StoreError>) {
     let mut acknowledged = 0;
     let mut run = || {
@@ -77,21 +77,21 @@
     (acknowledged, done)
 }
 
-fn model(through: u64) -> DurableState {
+fn expected_state(through: u64) -> DurableState {
     let mut durable = DurableState::default();
     (1..=through).zip(records()).for_each(|(n, r)| durable.apply(n, r));
     durable
 }
 
-fn steps() -> Vec<(Kind, &'static str)> {
+fn passed_failpoints() -> Vec<(Kind, &'static str)> {
     let points = Points::armed(Plan::counting());
-    write(&SimulatedDisk::default(), &points).1.expect("nothing goes wrong");
+    write(&SimulatedDisk::default(), &points).1.expect("no fault is injected");
     points.passed().iter().map(|p| (p.kind, p.name)).collect()
 }
 
 #[test]
 fn acknowledged_records_survive_a_fault_at_any_failpoint() {
-    let steps = steps();
+    let steps = passed_failpoints();
     let names: BTreeSet<&str> = steps.iter().map(|s| s.1).collect();
     println!("{} points: {names:?}", steps.len());
     let mut runs = 0;
@@ -101,27 +101,32 @@
                 runs += 1;
                 let disk = SimulatedDisk::default();
                 let (acknowledged, done) = write(&disk, &Points::armed(Plan::one(number, *fault)));
-                let fine = matches!(fault, Fault::Lie | Fault::Pause);
-                assert_eq!(done.is_ok(), fine, "{fault:?} at {name}");
-                disk.end(randomness * 77_777 + randomness);
+                let succeeds = matches!(fault, Fault::Lie | Fault::Pause);
+                assert_eq!(done.is_ok(), succeeds, "{fault:?} at {name}");
+                disk.crash(randomness * 77_777 + randomness);
                 let (mut store, found) = Store::open(disk.clone(), Points::none(), 7, NodeId(1))
-                    .expect("it is well again");
-                let what = format!("{fault:?} at point {number}, {name}, chance {randomness}");
+                    .expect("the disk works again");
+                let what = format!("{fault:?} at point {number}, {name}, randomness {randomness}");
                 let written = found.durable.written;
-                // What a lying sync lost is detected by asking the peers: see the tests with a cluster.
+                // A record that a lying sync lost is detected by the responses of the peers, in the tests with a cluster.
                 assert!(
                     written >= acknowledged || *fault == Fault::Lie,
                     "{what}: {written} of {acknowledged}"
                 );
-                let known = model(written);
+                let known = expected_state(written);
                 assert_eq!(found.durable.state, known.state, "{what}");
                 // Writing continues from the last record.
                 for (number, record) in (1..).zip(records()).skip(written as usize) {
-                    store.append(number, &record).expect("well");
+                    store.append(number, &record).expect("the disk works");
                 }
-                store.sync().expect("well");
-                let (_, last) = Store::open(disk, Points::none(), 7, NodeId(1)).expect("well");
-                assert_eq!(last.durable.state, model(records().len() as u64).state, "{what}");
+                store.sync().expect("the disk works");
+                let (_, last) =
+                    Store::open(disk, Points::none(), 7, NodeId(1)).expect("the disk works");
+                assert_eq!(
+                    last.durable.state,
+                    expected_state(records().len() as u64).state,
+                    "{what}"
+                );
             }
         }
     }
@@ -132,10 +137,10 @@
 fn foreign_or_damaged_files_are_rejected_and_renamed() {
     let disk = SimulatedDisk::default();
     write(&disk, &Points::none()).1.expect("written");
-    let bytes = disk.copy();
+    let bytes = disk.contents();
     let open = |bytes: Vec<u8>, cluster, node_id| {
         let disk = SimulatedDisk::default();
-        disk.put(bytes);
+        disk.replace_contents(bytes);
         Store::open(disk, Points::none(), cluster, NodeId(node_id)).expect("readable").1
     };
     assert!(matches!(
@@ -164,7 +169,7 @@
 
 #[test]
 fn a_failed_sync_is_not_masked_by_a_later_one() {
-    let points = steps();
+    let points = passed_failpoints();
     let sync = points.iter().enumerate().filter(|(_, p)| p.0 == Kind::Sync).nth(3).expect("four").0
         as u64
         + 1;
@@ -179,22 +184,22 @@
         }
         failed |= done.is_err();
     }
-    store.reset().expect("it takes records again");
-    store.append(1, &records()[0]).expect("well");
+    store.reset().expect("the store accepts records again");
+    store.append(1, &records()[0]).expect("the disk works");
 }
 
 #[test]
 fn a_fault_at_a_start_loses_no_records() {
     let written = SimulatedDisk::default();
     write(&written, &Points::none()).1.expect("written");
-    let torn = written.copy()[..written.copy().len() - 9].to_vec();
+    let torn = written.contents()[..written.contents().len() - 9].to_vec();
     let foreign = [b"something else".as_slice(), &torn].concat();
     for (bytes, intact_records) in
         [(torn, records().len() as u64 - 1), (foreign, 0), (Vec::new(), 0)]
     {
         let open = |plan: Plan| {
             let disk = SimulatedDisk::default();
-            disk.put(bytes.clone());
+            disk.replace_contents(bytes.clone());
             let points = Points::armed(plan);
             let opened = Store::open(disk.clone(), points.clone(), 7, NodeId(1));
             (disk, points, opened.map(|(_, found)| found.durable.written))
@@ -202,30 +207,30 @@
         for passed in open(Plan::counting()).1.passed() {
             for fault in passed.kind.faults() {
                 let (disk, _, _) = open(Plan::one(passed.number, *fault));
-                disk.end(passed.number);
+                disk.crash(passed.number);
                 let (_, found) =
-                    Store::open(disk, Points::none(), 7, NodeId(1)).expect("well again");
+                    Store::open(disk, Points::none(), 7, NodeId(1)).expect("the disk works again");
                 let what = format!("{fault:?} at {}", passed.name);
-                assert_eq!(found.durable.state, model(intact_records).state, "{what}");
+                assert_eq!(found.durable.state, expected_state(intact_records).state, "{what}");
             }
         }
     }
 }
 
-/// A short run of a cluster on simulated disks: bootstrap, entries, a restart of one voter, entries.
+/// Runs a cluster on simulated disks: bootstrap, entries, a restart of one voter, entries.
 fn scenario(points: &Points) -> Simulation {
     let mut simulation = Simulation::at_points(11, 3, &[0, 1, 2], true, false, points.clone());
     simulation.run(ms(2200));
     for round in 0..6u16 {
         simulation.propose(simulation.leader().unwrap_or(0), vec![round as u8; 20]);
-        simulation.for_ms(120);
+        simulation.run_for_ms(120);
         if round == 3 {
-            let who = (simulation.leader().unwrap_or(0) + 1) % 3;
-            simulation.crash(who);
-            simulation.start_after(who, ms(50));
+            let node_id = (simulation.leader().unwrap_or(0) + 1) % 3;
+            simulation.crash(node_id);
+            simulation.start_after(node_id, ms(50));
         }
     }
-    simulation.for_ms(300);
+    simulation.run_for_ms(300);
     simulation
 }
 
@@ -257,37 +262,40 @@
     let mut simulation = Simulation::new(5, 3, &[0, 1, 2], true);
     simulation.run(ms(2200));
     assert!(simulation.leader().is_some());
-    let old = simulation.nodes[1].disk.copy();
+    let old = simulation.nodes[1].disk.contents();
     for round in 0..10 {
         simulation.propose(simulation.leader().unwrap_or(0), vec![round]);
-        simulation.for_ms(100);
+        simulation.run_for_ms(100);
     }
-    // All restart at once, one of them on an earlier copy of its directory: with it, acknowledged entries would be
-    // lost.
+    // All voters restart at once, one of them with an old copy of its directory, which lacks acknowledged entries.
     (0..3).for_each(|m| simulation.crash(m));
-    simulation.nodes[1].disk.put(old.clone());
+    simulation.nodes[1].disk.replace_contents(old.clone());
     simulation.start(0);
     simulation.start(1);
-    simulation.for_ms(3000);
-    // No running voter knows better, so this is not detected. With one that kept running it is.
+    simulation.run_for_ms(3000);
+    // No running voter knows of later records, so the old copy is not detected. It is detected if a voter kept running.
     let mut simulation = Simulation::new(5, 3, &[0, 1, 2], true);
     simulation.run(ms(2200));
     for round in 0..10 {
         simulation.propose(simulation.leader().unwrap_or(0), vec![round]);
-        simulation.for_ms(100);
+        simulation.run_for_ms(100);
     }
     let leader = simulation.leader().expect("leads");
-    let (one, awake) = ((leader + 1) % 3, (leader + 2) % 3);
+    let (restored, running) = ((leader + 1) % 3, (leader + 2) % 3);
     simulation.isolate(leader);
-    simulation.crash(one);
-    simulation.nodes[one as usize].disk.put(old);
-    simulation.start(one);
-    simulation.for_ms(3000);
+    simulation.crash(restored);
+    simulation.nodes[restored as usize].disk.replace_contents(old);
+    simulation.start(restored);
+    simulation.run_for_ms(3000);
     assert!(
-        simulation.state_losses.iter().any(|why| why.contains("old copy")),
+        simulation.state_losses.iter().any(|reason| reason.contains("old copy")),
         "{:?}",
         simulation.state_losses
     );
-    assert_eq!(simulation.leader(), None, "{awake} alone has what was agreed: no majority");
+    assert_eq!(
+        simulation.leader(),
+        None,
+        "only voter {running} has the committed entries, which is no majority"
+    );
     simulation.heal_and_assert_consistent(5);
 }
