--- a/crates/consensus/src/dispatch.rs
+++ b/crates/consensus/src/dispatch.rs
@@ -62,12 +62,12 @@
         let Message { view, incarnation_counts, body } = message;
         let count_of = |node| incarnation_counts.get(&node).copied().unwrap_or(0);
         match body {
-            MessageBody::StatusRequest { nonce, asked_at_ms } => {
-                self.on_status_request(from, nonce, asked_at_ms, actions)
+            MessageBody::StatusRequest { nonce, requested_at_ms } => {
+                self.on_status_request(from, nonce, requested_at_ms, actions)
             }
             MessageBody::StatusResponse {
                 nonce,
-                asked_at_ms,
+                requested_at_ms,
                 status,
                 own_incarnation,
                 persisted,
@@ -75,7 +75,7 @@
                 voter_set,
             } => {
                 let report = StatusReport {
-                    asked_at_ms,
+                    requested_at_ms,
                     status,
                     own_incarnation,
                     persisted,
--- a/crates/consensus/src/epoch_bootstrap.rs
+++ b/crates/consensus/src/epoch_bootstrap.rs
@@ -140,7 +140,8 @@
     fn confirms_loss(&self, node: NodeId, since: Duration) -> bool {
         let Some(report) = self.reports.get(&node) else { return false };
         let loss = self.state_losses.get(&node).map(|loss| loss.own_incarnation);
-        Duration::from_millis(report.asked_at_ms) >= since && loss == Some(report.own_incarnation)
+        Duration::from_millis(report.requested_at_ms) >= since
+            && loss == Some(report.own_incarnation)
     }
 
     /// Returns the greatest epoch that voters and learners have reported.
--- a/crates/consensus/src/leadership.rs
+++ b/crates/consensus/src/leadership.rs
@@ -166,7 +166,7 @@
         let mut base = self.log.base().clone();
         base.voter_set = self.voter_set.clone();
         let entries = self.log.entries().iter().map(without_voter_change).collect();
-        let log = Log::with(base, self.log.start(), entries);
+        let log = Log::with_entries(base, self.log.start(), entries);
         let commit = self.commit_of_votes();
         self.state_lost = true;
         self.start_leading(log, commit, actions);
--- a/crates/consensus/src/learner.rs
+++ b/crates/consensus/src/learner.rs
@@ -96,7 +96,7 @@
             leader: None,
             is_replica_connected: false,
             leader_seen_at: None,
-            tree_order: crate::learner_tree::order(config.cluster_size, &voter_set, None),
+            tree_order: crate::learner_tree::tree_order(config.cluster_size, &voter_set, None),
             voter_set,
             source: None,
             source_changes: 0,
--- a/crates/consensus/src/learner/source.rs
+++ b/crates/consensus/src/learner/source.rs
@@ -6,7 +6,7 @@
 use hollowpaddle_peer_transport::NodeId;
 
 use super::{Learner, LearnerAction, MAX_LEADER_AGE, SOURCE_TIMEOUT};
-use crate::learner_tree::{order, parent};
+use crate::learner_tree::{tree_order, tree_parent};
 use crate::message::MessageBody;
 
 /// Time after which a learner returns from another source to its parent in the tree.
@@ -26,7 +26,7 @@
 
     /// Computes the dissemination tree for the current leader and voters.
     pub(super) fn update_tree(&mut self, actions: &mut Vec<LearnerAction>) {
-        self.tree_order = order(self.config.cluster_size, &self.voter_set, self.leader);
+        self.tree_order = tree_order(self.config.cluster_size, &self.voter_set, self.leader);
         if self.source_changes == 0 {
             self.set_source(self.tree_source(), actions);
         }
@@ -52,7 +52,7 @@
 
     /// Returns the parent of this node in the tree.
     pub(super) fn tree_source(&self) -> Option<NodeId> {
-        parent(&self.tree_order, self.tree_position())
+        tree_parent(&self.tree_order, self.tree_position())
     }
 
     fn set_source(&mut self, source: Option<NodeId>, actions: &mut Vec<LearnerAction>) {
--- a/crates/consensus/src/learner_tree.rs
+++ b/crates/consensus/src/learner_tree.rs
@@ -16,7 +16,7 @@
 
 /// Returns all nodes in the order of the tree: the leader, the other voters, and then the other nodes, each group
 /// ordered by a hash of the node ids. The parent of position `p` is at position `(p - 1) / 8`.
-pub fn order(cluster_size: u16, voter_set: &VoterSet, leader: Option<NodeId>) -> Vec<NodeId> {
+pub fn tree_order(cluster_size: u16, voter_set: &VoterSet, leader: Option<NodeId>) -> Vec<NodeId> {
     let voters = &voter_set.voters;
     let leader = leader.filter(|leader| voters.contains(leader));
     let mut nodes: Vec<NodeId> = (0..cluster_size).map(NodeId).collect();
@@ -28,7 +28,7 @@
 }
 
 /// Returns the parent of the node at this position of the order; `None` for the root.
-pub fn parent(order: &[NodeId], position: usize) -> Option<NodeId> {
+pub fn tree_parent(order: &[NodeId], position: usize) -> Option<NodeId> {
     let parent = position.checked_sub(1)? / MAX_CHILDREN;
     order.get(parent).copied()
 }
--- a/crates/consensus/src/lib.rs
+++ b/crates/consensus/src/lib.rs
@@ -77,7 +77,7 @@
     Learner, LearnerAction, LearnerConfig, LearnerEvent, MAX_CHUNKS_PER_INTERVAL, MAX_LEADER_AGE,
     MAX_PENDING_PROPOSALS, POLL_INTERVAL, PROPOSAL_TIMEOUT, SOURCE_TIMEOUT,
 };
-pub use learner_tree::{MAX_CHILDREN, order, parent};
+pub use learner_tree::{MAX_CHILDREN, tree_order, tree_parent};
 pub use log::{
     Log, MAX_LOG_BYTES, MAX_LOG_ENTRIES, MAX_REMEMBERED_PROPOSALS, RETAINED_ENTRIES, SnapshotBase,
 };
--- a/crates/consensus/src/log.rs
+++ b/crates/consensus/src/log.rs
@@ -71,7 +71,7 @@
     }
 
     /// Creates a log with entries; `start` is the number of the entry before the first of them.
-    pub fn with(base: SnapshotBase, start: u64, entries: Vec<Entry>) -> Self {
+    pub fn with_entries(base: SnapshotBase, start: u64, entries: Vec<Entry>) -> Self {
         let mut log = Self::new(base);
         log.start = start.min(log.base.op);
         log.bytes = entries.iter().map(Entry::encoded_bytes).sum();
@@ -133,7 +133,7 @@
         let removed = base.op.saturating_sub(RETAINED_ENTRIES).saturating_sub(self.start);
         let removed = (removed as usize).min(self.entries.len());
         let entries = self.entries.split_off(removed);
-        *self = Self::with(base, self.start + removed as u64, entries);
+        *self = Self::with_entries(base, self.start + removed as u64, entries);
     }
 
     /// Returns the voters after this entry, which must not be before the snapshot.
--- a/crates/consensus/src/log_record.rs
+++ b/crates/consensus/src/log_record.rs
@@ -118,7 +118,7 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct DurableState {
     /// Number of the directory's last record.
-    pub written: u64,
+    pub last_number: u64,
     /// `None` if the directory is new, or not trusted.
     pub state: Option<State>,
 }
@@ -126,7 +126,7 @@
 impl DurableState {
     /// Applies the next record.
     pub fn apply(&mut self, number: u64, record: Record) {
-        self.written = number;
+        self.last_number = number;
         match record {
             Record::CompleteState {
                 view,
@@ -137,7 +137,7 @@
                 start,
                 entries,
             } => {
-                let log = Log::with(base, start, entries);
+                let log = Log::with_entries(base, start, entries);
                 self.state =
                     Some(State { view, last_normal_view, incarnation_counts, commit, log });
             }
--- a/crates/consensus/src/message.rs
+++ b/crates/consensus/src/message.rs
@@ -170,14 +170,14 @@
         /// Identifies the sender's recovery.
         nonce: u64,
         /// Time of the request on the sender's clock, in milliseconds.
-        asked_at_ms: u64,
+        requested_at_ms: u64,
     },
     /// Answers a status request.
     StatusResponse {
         /// As in the request.
         nonce: u64,
         /// As in the request.
-        asked_at_ms: u64,
+        requested_at_ms: u64,
         /// The sender's status.
         status: ReplicaStatus,
         /// The incarnation of the sender's process.
--- a/crates/consensus/src/record_format.rs
+++ b/crates/consensus/src/record_format.rs
@@ -101,13 +101,13 @@
     check_header(bytes, owner)?;
     let mut durable = DurableState::default();
     let mut position = HEADER_BYTES;
-    while let Some(found) = record_at(bytes, position, durable.written) {
+    while let Some(found) = record_at(bytes, position, durable.last_number) {
         durable.apply(found.number, found.record);
         position = found.end;
     }
     // No intact record follows a torn tail. A damaged record that intact records follow was changed by the disk.
     let mut searched = position + 1..bytes.len().min(position + MAX_SEARCHED_BYTES);
-    if searched.any(|position| record_at(bytes, position, durable.written).is_some()) {
+    if searched.any(|position| record_at(bytes, position, durable.last_number).is_some()) {
         return Err(Corruption::Damaged { position });
     }
     Ok(ParsedLog { durable, intact_bytes: position })
--- a/crates/consensus/src/recovery.rs
+++ b/crates/consensus/src/recovery.rs
@@ -74,8 +74,8 @@
         if !recovery.has_directory && !has_begun {
             self.query_learners(nonce, actions);
         }
-        let asked_at_ms = now.as_millis() as u64;
-        self.broadcast(&MessageBody::StatusRequest { nonce, asked_at_ms }, actions);
+        let requested_at_ms = now.as_millis() as u64;
+        self.broadcast(&MessageBody::StatusRequest { nonce, requested_at_ms }, actions);
         if has_begun && self.transfer.is_none() {
             self.broadcast(&MessageBody::Recovery { nonce }, actions);
         }
@@ -176,7 +176,7 @@
         &mut self,
         from: NodeId,
         nonce: u64,
-        asked_at_ms: u64,
+        requested_at_ms: u64,
         actions: &mut Vec<Action>,
     ) {
         // The sender has restarted, so its earlier vote without state is void.
@@ -185,7 +185,7 @@
         }
         let response = MessageBody::StatusResponse {
             nonce,
-            asked_at_ms,
+            requested_at_ms,
             status: self.advertised_status(),
             own_incarnation: u64::from(self.config.incarnation.0),
             persisted: self.peers.get(&from).map_or(0, |peer| peer.persisted),
@@ -212,7 +212,7 @@
             self.continue_numbers_after(report.persisted);
         }
         let Some(recovery) = &mut self.recovery else { return };
-        let is_later = |known: &StatusReport| known.asked_at_ms > report.asked_at_ms;
+        let is_later = |known: &StatusReport| known.requested_at_ms > report.requested_at_ms;
         if recovery.reports.get(&from).is_some_and(is_later) {
             return;
         }
--- a/crates/consensus/src/replica.rs
+++ b/crates/consensus/src/replica.rs
@@ -135,8 +135,8 @@
 
     /// Restores the state of the directory, and returns whether there is any.
     fn restore_durable(&mut self, durable: DurableState) -> bool {
-        self.issued = durable.written;
-        self.persisted = durable.written;
+        self.issued = durable.last_number;
+        self.persisted = durable.last_number;
         let Some(state) = durable.state else { return false };
         self.view = state.view;
         self.last_normal_view = state.last_normal_view;
--- a/crates/consensus/src/replica_state.rs
+++ b/crates/consensus/src/replica_state.rs
@@ -90,7 +90,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct StatusReport {
     /// Time of the request on this node's clock, in milliseconds.
-    pub(crate) asked_at_ms: u64,
+    pub(crate) requested_at_ms: u64,
     pub(crate) status: ReplicaStatus,
     /// The incarnation of the peer's process.
     pub(crate) own_incarnation: u64,
--- a/crates/consensus/src/state_transfer.rs
+++ b/crates/consensus/src/state_transfer.rs
@@ -103,7 +103,7 @@
     pub(crate) fn into_log(self, log: &Log) -> Log {
         if let Some(base) = self.base {
             let start = base.op;
-            return Log::with(base, start, self.entries);
+            return Log::with_entries(base, start, self.entries);
         }
         let mut log = log.clone();
         log.truncate(self.first - 1);
--- a/crates/consensus/src/store.rs
+++ b/crates/consensus/src/store.rs
@@ -167,7 +167,7 @@
             self.sync_file(CURRENT_FILE)?;
         }
         self.length = length;
-        self.last_number = parsed.durable.written;
+        self.last_number = parsed.durable.last_number;
         Ok(LoadedLog { durable: parsed.durable, corruption: None, torn_bytes })
     }
 
@@ -261,7 +261,7 @@
         })?;
         let durable = parsed.durable;
         match durable.to_record() {
-            Some(complete) => self.rewrite(&encode_record(durable.written, &complete)),
+            Some(complete) => self.rewrite(&encode_record(durable.last_number, &complete)),
             None => Ok(()),
         }
     }
--- a/crates/consensus/tests/formats.rs
+++ b/crates/consensus/tests/formats.rs
@@ -98,7 +98,7 @@
     let (nonce, index, voter_set) = (0x0102_0304_0506_0708, LogIndex::new(2, 1001), voters());
     let status_response = MessageBody::StatusResponse {
         nonce,
-        asked_at_ms: 1001,
+        requested_at_ms: 1001,
         status: ReplicaStatus::ViewChange,
         own_incarnation: 1002,
         persisted: 1003,
@@ -143,7 +143,7 @@
         ("state_transfer_request", MessageBody::GetState { first: 1001, offset: 1002 }),
         ("state_transfer_entries", MessageBody::LogPart(entries_part())),
         ("state_transfer_snapshot_chunk", MessageBody::LogPart(snapshot_part())),
-        ("status_request", MessageBody::StatusRequest { nonce, asked_at_ms: 1001 }),
+        ("status_request", MessageBody::StatusRequest { nonce, requested_at_ms: 1001 }),
         ("status_response", status_response),
         ("recovery", MessageBody::Recovery { nonce }),
         ("recovery_response", MessageBody::RecoveryResponse { nonce, op: 1001, is_leader: true }),
@@ -248,7 +248,7 @@
 /// Returns the state that results from applying [`records`].
 fn state() -> State {
     let log_entries = [&entries()[..], &entries()[..2], &[command(11), command(12)]].concat();
-    let mut log = Log::with(SnapshotBase { op: 996, ..snapshot() }, 996, log_entries);
+    let mut log = Log::with_entries(SnapshotBase { op: 996, ..snapshot() }, 996, log_entries);
     log.rebase(snapshot());
     State {
         view: view(),
@@ -309,7 +309,7 @@
     let directory = tempfile::tempdir().expect("made");
     fs::write(directory.path().join("council.log"), recorded("voter_log")).expect("written");
     let (_, durable) = open(directory.path(), Points::none()).expect("readable");
-    assert_eq!(durable, DurableState { written: 46, state: Some(state()) });
+    assert_eq!(durable, DurableState { last_number: 46, state: Some(state()) });
     let log = durable.state.expect("read").log;
     assert_eq!((log.base(), log.start(), log.op()), (&snapshot(), 996, 1004));
 }
--- a/crates/consensus/tests/incarnations.rs
+++ b/crates/consensus/tests/incarnations.rs
@@ -62,7 +62,7 @@
 /// sent heartbeats in which they are leaderless and connected to the candidate.
 fn candidate() -> (SingleReplica, Vec<NodeId>, MessageBody) {
     let (mut single, others) = SingleReplica::of(5, false);
-    let (view, members) = (single.replica.view(), single.replica.voter_set().clone());
+    let (view, voter_set) = (single.replica.view(), single.replica.voter_set().clone());
     for _ in 0..60 {
         single.tick();
         for other in &others {
@@ -70,12 +70,12 @@
                 status: ReplicaStatus::Normal,
                 is_leader: false,
                 is_leaderless: true,
-                connected: members.voters.iter().copied().collect::<BTreeSet<_>>(),
+                connected: voter_set.voters.iter().copied().collect::<BTreeSet<_>>(),
                 op: 0,
                 commit: 0,
                 persisted: 0,
                 number: 0,
-                voter_set: members.clone(),
+                voter_set: voter_set.clone(),
             };
             single.receive(*other, view, &[], MessageBody::Heartbeat(heartbeat));
         }
@@ -121,8 +121,8 @@
         .voters
         .iter()
         .find(|m| **m != a && **m != view.leader)
-        .expect("b");
-    single.receive(b, view, &[(a, 1)], MessageBody::StatusRequest { nonce: 1, asked_at_ms: 1 });
+        .expect("another follower");
+    single.receive(b, view, &[(a, 1)], MessageBody::StatusRequest { nonce: 1, requested_at_ms: 1 });
     single.receive(a, view, &[], MessageBody::PrepareOk { op: committed + 1, heartbeat: 0 });
     assert_eq!(
         single.replica.committed().op(),
@@ -162,7 +162,7 @@
     let voter_set = single.replica.voter_set().clone();
     let status_response = MessageBody::StatusResponse {
         nonce,
-        asked_at_ms: single.now,
+        requested_at_ms: single.now,
         status: ReplicaStatus::Normal,
         own_incarnation: 1,
         persisted: 0,
--- a/crates/consensus/tests/learners.rs
+++ b/crates/consensus/tests/learners.rs
@@ -30,16 +30,16 @@
 
 fn logs_are_equal(simulation: &Simulation) -> bool {
     let copies = copies(simulation);
-    copies
-        .iter()
-        .all(|c| c.at == copies[0].at && c.epoch == copies[0].epoch && c.ids == copies[0].ids)
+    copies.iter().all(|c| {
+        c.last_op == copies[0].last_op && c.epoch == copies[0].epoch && c.ids == copies[0].ids
+    })
 }
 
 fn settle(simulation: &mut Simulation, within: u64) {
     let began = simulation.now;
     while !logs_are_equal(simulation) {
         simulation.run_for_ms(20);
-        let at: Vec<_> = copies(simulation).iter().map(|c| (c.epoch, c.at)).collect();
+        let at: Vec<_> = copies(simulation).iter().map(|c| (c.epoch, c.last_op)).collect();
         assert!(simulation.now < began + ms(within), "the logs differ after {within} ms: {at:?}");
     }
 }
@@ -54,8 +54,8 @@
         for at in 0..6 {
             let began = simulation.now;
             let id = propose(&mut simulation, at * (size / 6));
-            let entries = copies(&simulation)[0].at;
-            while !copies(&simulation).iter().all(|c| c.at > entries) {
+            let entries = copies(&simulation)[0].last_op;
+            while !copies(&simulation).iter().all(|c| c.last_op > entries) {
                 simulation.run_for_ms(5);
                 assert!(simulation.now < began + ms(5000));
             }
@@ -115,17 +115,17 @@
         simulation.run_for_ms(50);
     }
     simulation.run_for_ms(1500);
-    let entries = copies(&simulation)[0].at;
+    let entries = copies(&simulation)[0].last_op;
     assert!(entries >= 1000, "{entries}");
     let before: u64 = simulation.learner_traffic.values().map(|s| s.1).sum();
     simulation.start(30);
     let began = simulation.now;
-    while simulation.nodes[30].learner_log.at < entries {
+    while simulation.nodes[30].learner_log.last_op < entries {
         simulation.run_for_ms(20);
         assert!(
             simulation.now < began + ms(10_000),
             "at {} of {entries}",
-            simulation.nodes[30].learner_log.at
+            simulation.nodes[30].learner_log.last_op
         );
     }
     let bytes = simulation.learner_traffic.values().map(|s| s.1).sum::<u64>() - before;
@@ -275,6 +275,6 @@
     [0, 7, 14].iter().for_each(|m| simulation.start(*m));
     simulation.run_for_ms(4000);
     settle(&mut simulation, 3000);
-    let at = simulation.nodes[0].learner_log.at;
+    let at = simulation.nodes[0].learner_log.last_op;
     assert!(LogIndex::new(simulation.nodes[0].learner_log.epoch, at) > LogIndex::default());
 }
--- a/crates/consensus/tests/messages.rs
+++ b/crates/consensus/tests/messages.rs
@@ -5,7 +5,7 @@
 use hollowpaddle_consensus::{
     Action, EntryPayload, Event, IncarnationCounts, Learner, LearnerConfig, LearnerEvent, LogPart,
     MAX_MESSAGE_BYTES, Message, MessageBody, MessageError, ProposalId, ProposalOutcome, Replica,
-    ReplicaConfig, View, VoterSet, default_voters, order, parent,
+    ReplicaConfig, View, VoterSet, default_voters, tree_order, tree_parent,
 };
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use proptest::prelude::*;
@@ -44,12 +44,12 @@
 #[test]
 fn the_tree_of_300_nodes_has_three_levels_below_the_leader() {
     let voter_set = VoterSet::of(default_voters(300));
-    let order = order(300, &voter_set, Some(NodeId(128)));
+    let order = tree_order(300, &voter_set, Some(NodeId(128)));
     assert_eq!(order[0], NodeId(128));
     let mut deepest = 0;
     for position in 0..300 {
         let (mut at, mut steps) = (position, 0);
-        while let Some(source) = parent(&order, at) {
+        while let Some(source) = tree_parent(&order, at) {
             at = order.iter().position(|m| *m == source).expect("every node is in the tree");
             steps += 1;
         }
@@ -163,7 +163,7 @@
 
     #[test]
     fn rejects_trailing_bytes_and_messages_that_are_too_long(more in 1usize..20, nonce: u64) {
-        let mut bytes = message(MessageBody::StatusRequest { nonce, asked_at_ms: 1 }).encode().expect("short");
+        let mut bytes = message(MessageBody::StatusRequest { nonce, requested_at_ms: 1 }).encode().expect("short");
         bytes.extend(vec![0; more]);
         prop_assert_eq!(Message::decode(&bytes), Err(MessageError::Trailing { found: more }));
         bytes.resize(MAX_MESSAGE_BYTES + 1, 0);
--- a/crates/consensus/tests/simulation/mod.rs
+++ b/crates/consensus/tests/simulation/mod.rs
@@ -38,7 +38,7 @@
 pub struct AppliedLog {
     pub ids: Vec<(u64, ProposalId)>,
     pub epoch: u32,
-    pub at: u64,
+    pub last_op: u64,
 }
 
 pub struct Node {
@@ -108,18 +108,18 @@
     fn apply(&mut self, index: LogIndex, entry: &Entry) {
         assert_eq!(
             (index.epoch(), index.op()),
-            (self.epoch, self.at + 1),
+            (self.epoch, self.last_op + 1),
             "entry delivered out of order"
         );
-        self.at += 1;
+        self.last_op += 1;
         self.ids.push((index.op(), entry.id));
     }
     fn reset(&mut self, index: LogIndex, state: &[u8], may_go_back: bool) {
-        let before = LogIndex::new(self.epoch, self.at);
+        let before = LogIndex::new(self.epoch, self.last_op);
         assert!(index >= before || may_go_back, "the log is reset to the earlier index {index}");
         let ids = || postcard::take_from_bytes(state).unwrap().0;
         self.ids = if state.is_empty() { Vec::new() } else { ids() };
-        (self.epoch, self.at) = (index.epoch(), index.op());
+        (self.epoch, self.last_op) = (index.epoch(), index.op());
     }
 }
 
@@ -679,8 +679,8 @@
                 .as_ref()
                 .is_some_and(|c| c.view() == view && c.status() == ReplicaStatus::Normal)
         };
-        let members = VoterSet::of(self.voters.iter().copied());
-        (self.nodes.iter().filter(takes_part).count() >= members.majority())
+        let voter_set = VoterSet::of(self.voters.iter().copied());
+        (self.nodes.iter().filter(takes_part).count() >= voter_set.majority())
             .then_some(view.leader.0)
     }
 
--- a/crates/consensus/tests/store.rs
+++ b/crates/consensus/tests/store.rs
@@ -63,7 +63,7 @@
     let mut acknowledged = 0;
     let mut run = || {
         let (mut store, found) = Store::open(disk.clone(), points.clone(), 7, NodeId(1))?;
-        let from = found.durable.written;
+        let from = found.durable.last_number;
         for (number, record) in (1..).zip(records()).skip(from as usize) {
             store.append(number, &record)?;
             if number % 2 == 0 {
@@ -107,7 +107,7 @@
                 let (mut store, found) = Store::open(disk.clone(), Points::none(), 7, NodeId(1))
                     .expect("the disk works again");
                 let what = format!("{fault:?} at point {number}, {name}, randomness {randomness}");
-                let written = found.durable.written;
+                let written = found.durable.last_number;
                 // A record that a lying sync lost is detected by the responses of the peers, in the tests with a cluster.
                 assert!(
                     written >= acknowledged || *fault == Fault::Lie,
@@ -163,7 +163,7 @@
     for cut in (30..bytes.len()).step_by(997) {
         let found = open(bytes[..cut].to_vec(), 7, 1);
         assert!(found.corruption.is_none(), "a torn tail is cut off: {cut}");
-        assert!(found.durable.written < records().len() as u64);
+        assert!(found.durable.last_number < records().len() as u64);
     }
 }
 
@@ -202,7 +202,7 @@
             disk.replace_contents(bytes.clone());
             let points = Points::armed(plan);
             let opened = Store::open(disk.clone(), points.clone(), 7, NodeId(1));
-            (disk, points, opened.map(|(_, found)| found.durable.written))
+            (disk, points, opened.map(|(_, found)| found.durable.last_number))
         };
         for passed in open(Plan::counting()).1.passed() {
             for fault in passed.kind.faults() {
