--- a/crates/consensus/src/record_format.rs
+++ b/crates/consensus/src/record_format.rs
@@ -28,7 +28,7 @@
 pub enum Corruption {
     /// The file belongs to another node, or to another cluster.
     #[error(
-        "the file belongs to node {node_id} of cluster {cluster:016x}, not to node {own_node_id} of cluster {own_cluster:016x}"
+        "the file is of node {node_id} of cluster {cluster:016x}, not of node {own_node_id} of cluster {own_cluster:016x}"
     )]
     Foreign {
         /// The node id in the file.
--- a/crates/consensus/tests/simulation/mod.rs
+++ b/crates/consensus/tests/simulation/mod.rs
@@ -464,7 +464,7 @@
                 for (newer, since) in self.led_views.range(view..).skip(1) {
                     assert!(
                         self.majority_lost_state || sent_at <= *since,
-                        "a majority of {view:?} acknowledged a heartbeat of {sent_at:?}, but {newer:?} began at {since:?}"
+                        "{view:?} has a quorum heartbeat of {sent_at:?}, but {newer:?} began at {since:?}"
                     );
                 }
                 self.quorum_heartbeats.insert(view, sent_at);
--- a/crates/consensus/tests/store.rs
+++ b/crates/consensus/tests/store.rs
@@ -108,7 +108,7 @@
                     .expect("the disk works again");
                 let what = format!("{fault:?} at point {number}, {name}, randomness {randomness}");
                 let written = found.durable.last_number;
-                // A record that a lying sync lost is detected by the responses of the peers, in the tests with a cluster.
+                // A record that a lying sync lost is detected by the responses of the peers: see the tests with a cluster.
                 assert!(
                     written >= acknowledged || *fault == Fault::Lie,
                     "{what}: {written} of {acknowledged}"
--- a/crates/gateway/tests/formats/stored_files.rs
+++ b/crates/gateway/tests/formats/stored_files.rs
@@ -21,7 +21,7 @@
     let mut stored =
         open(directory.path(), CLUSTER_ID, NodeId(0), "n0", &points).expect("a directory");
     let found = stored.replica_state.expect("a log");
-    assert_eq!((found.written, found.state.is_some()), (3, true));
+    assert_eq!((found.last_number, found.state.is_some()), (3, true));
     let (generation, policy) = stored.fallback_policy.expect("a fallback policy");
     assert_eq!(serde_json::to_string(&generation).expect("JSON"), r#"{"epoch":638340,"index":0}"#);
     assert_eq!(
