--- a/crates/consensus/src/recovery.rs
+++ b/crates/consensus/src/recovery.rs
@@ -1,5 +1,6 @@
-//! The recovery of a replica: how one that has lost its state votes again under a new incarnation count, and when
-//! a directory is trusted. Bootstrapping an epoch where a majority has lost its state is left to `epoch_bootstrap`.
+//! The recovery of a replica: a replica that has lost its state votes again under a new incarnation count, and a
+//! replica with a directory decides whether to trust it. After a majority has lost its state, `epoch_bootstrap`
+//! bootstraps an epoch.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -17,9 +18,10 @@
 use crate::timing::{HEARTBEAT_INTERVAL, LEARNER_QUERY_PERIOD, VIEW_CHANGE_TIMEOUT};
 use crate::voter_set::VoterSet;
 
-/// Time without an answer of a majority in a view after which a replica goes on from its directory.
+/// Time without responses of a majority in a view after which a replica resumes from its directory.
 pub const DIRECTORY_RECOVERY_TIMEOUT: Duration = Duration::from_millis(500);
-/// Learners that are asked for their copies in one interval of 100 ms: 300 within half a second.
+/// Number of learners that are queried for their copies of the log in one interval of 100 ms: 300 learners within half
+/// a second.
 const LEARNERS_PER_INTERVAL: u16 = 64;
 
 impl Replica {
@@ -50,7 +52,7 @@
             due: self.now,
             reports: BTreeMap::new(),
             state_losses: BTreeMap::new(),
-            begun: None,
+            begun_incarnation: None,
             responses: BTreeMap::new(),
             best_copy: None,
             next_learner: 0,
@@ -64,29 +66,29 @@
         };
         recovery.due = now + HEARTBEAT_INTERVAL;
         if self.transfer.is_some() && now > self.next_view_change {
-            // The source of the transfer is gone: the peers are asked again which view stands.
+            // The source of the transfer no longer responds, so the peers are queried again for the current view.
             self.transfer = None;
             recovery.responses.clear();
         }
-        let (nonce, has_begun) = (recovery.nonce, recovery.begun.is_some());
+        let (nonce, has_begun) = (recovery.nonce, recovery.begun_incarnation.is_some());
         if !recovery.has_directory && !has_begun {
             self.query_learners(nonce, actions);
         }
-        let asked_at_ms = now.as_millis() as u64;
-        self.broadcast(&MessageBody::StatusRequest { nonce, asked_at_ms }, actions);
+        let requested_at_ms = now.as_millis() as u64;
+        self.broadcast(&MessageBody::StatusRequest { nonce, requested_at_ms }, actions);
         if has_begun && self.transfer.is_none() {
             self.broadcast(&MessageBody::Recovery { nonce }, actions);
         }
         self.advance_recovery(actions);
     }
 
-    /// Asks the next learners for their copies of the log.
+    /// Queries the next learners for the positions of their copies of the log.
     fn query_learners(&mut self, nonce: u64, actions: &mut Vec<Action>) {
-        let cluster = self.config.cluster;
+        let cluster_size = self.config.cluster_size;
         let Some(recovery) = &mut self.recovery else { return };
         let first = recovery.next_learner;
-        let end = first.saturating_add(LEARNERS_PER_INTERVAL).min(cluster);
-        recovery.next_learner = if end >= cluster { 0 } else { end };
+        let end = first.saturating_add(LEARNERS_PER_INTERVAL).min(cluster_size);
+        recovery.next_learner = if end >= cluster_size { 0 } else { end };
         for learner in (first..end).map(NodeId) {
             self.send(learner, MessageBody::LearnerStatusRequest { nonce }, actions);
         }
@@ -99,20 +101,20 @@
         let Some(recovery) = &self.recovery else { return };
         if recovery.has_directory {
             self.consider_directory(actions);
-        } else if recovery.begun.is_none()
+        } else if recovery.begun_incarnation.is_none()
             && self.has_passed(recovery.began_at, LEARNER_QUERY_PERIOD)
         {
             self.consider_bootstrap(actions);
         }
     }
 
-    /// Begins the next incarnation, once a majority in a view has answered: it knows all incarnations of this node
-    /// that ever voted.
+    /// Begins the next incarnation once a majority has responded in normal status. A majority knows all incarnations of
+    /// this node that have ever voted.
     fn begin_incarnation(&mut self, actions: &mut Vec<Action>) -> bool {
         let (now, own) = (self.now, self.own_incarnation_count());
         let voter_set = &self.voter_set;
         let Some(recovery) = &mut self.recovery else { return false };
-        if recovery.begun.is_some() {
+        if recovery.begun_incarnation.is_some() {
             return false;
         }
         let is_normal = |report: &StatusReport| {
@@ -126,17 +128,17 @@
         }
         let known = reports.values().map(|report| report.our_incarnation_count).max();
         let count = known.unwrap_or(0).max(own).saturating_add(1);
-        recovery.begun = Some(BegunIncarnation { count, since: now });
+        recovery.begun_incarnation = Some(BegunIncarnation { count, since: now });
         let nonce = recovery.nonce;
         self.incarnation_counts.insert(self.config.node_id, count);
         self.broadcast(&MessageBody::Recovery { nonce }, actions);
         true
     }
 
-    /// Goes on from the directory, if no majority in a view has answered in time, and nobody knows of later state.
+    /// Resumes from the directory if no majority in a view has responded in time and no peer knows of later state.
     fn consider_directory(&mut self, actions: &mut Vec<Action>) {
         let Some(recovery) = &self.recovery else { return };
-        let has_waited = match recovery.begun {
+        let has_waited = match recovery.begun_incarnation {
             Some(begun) => self.has_passed(begun.since, LEARNER_QUERY_PERIOD),
             None => self.has_passed(recovery.began_at, DIRECTORY_RECOVERY_TIMEOUT),
         };
@@ -149,10 +151,10 @@
         let has_later_records = reports.clone().any(|report| report.persisted > self.persisted);
         let has_later_incarnation = reports.any(|report| report.our_incarnation_count > own);
         if has_later_records {
-            let reason = "the others know of more records: an old copy, or a sync lied";
+            let reason = "peers know of more records: the directory is an old copy, or a sync lied";
             self.lose_state(reason, actions);
         } else if has_later_incarnation {
-            let reason = "the others know a later life, which wrote nothing down";
+            let reason = "peers know a later incarnation of this node, which persisted no records";
             self.lose_state(reason, actions);
         } else {
             self.resume_from_directory(actions);
@@ -174,16 +176,16 @@
         &mut self,
         from: NodeId,
         nonce: u64,
-        asked_at_ms: u64,
+        requested_at_ms: u64,
         actions: &mut Vec<Action>,
     ) {
-        // The sender has restarted: its vote from before it lost its state is void.
+        // The sender has restarted, so its earlier vote without state is void.
         if self.votes.get(&from).is_some_and(|vote| vote.state_lost) {
             self.votes.remove(&from);
         }
         let response = MessageBody::StatusResponse {
             nonce,
-            asked_at_ms,
+            requested_at_ms,
             status: self.advertised_status(),
             own_incarnation: u64::from(self.config.incarnation.0),
             persisted: self.peers.get(&from).map_or(0, |peer| peer.persisted),
@@ -205,12 +207,12 @@
             return;
         }
         if self.state_lost {
-            // Record numbers continue from what the peers know, so that a later start does not take its own
-            // directory for an old copy.
+            // Record numbers continue from the greatest number that the peers know, so that a later start does not
+            // mistake the new directory for an old copy.
             self.continue_numbers_after(report.persisted);
         }
         let Some(recovery) = &mut self.recovery else { return };
-        let is_later = |known: &StatusReport| known.asked_at_ms > report.asked_at_ms;
+        let is_later = |known: &StatusReport| known.requested_at_ms > report.requested_at_ms;
         if recovery.reports.get(&from).is_some_and(is_later) {
             return;
         }
@@ -218,7 +220,7 @@
         self.adopt_voters(voter_set);
     }
 
-    /// Takes over a later set of voters. The configured voters count only if no peer knows of others.
+    /// Adopts a later set of voters. The configured voters apply only if no peer knows of a change.
     pub(crate) fn adopt_voters(&mut self, voter_set: &VoterSet) {
         let is_later = voter_set.changed_at > self.voter_set.changed_at;
         if !self.state_lost || !is_later || voter_set.voters.is_empty() {
@@ -232,7 +234,7 @@
     }
 
     pub(crate) fn on_recovery(&mut self, from: NodeId, nonce: u64, actions: &mut Vec<Action>) {
-        // A replica in a view change can't tell which view stands.
+        // A replica in a view change does not know the current view.
         if self.status != ReplicaStatus::Normal || !self.voter_set.voters.contains(&from) {
             return;
         }
@@ -254,7 +256,7 @@
     ) {
         let is_peer = self.voter_set.voters.contains(&from) && from != self.config.node_id;
         let Some(recovery) = &mut self.recovery else { return };
-        if !is_peer || recovery.nonce != nonce || recovery.begun.is_none() {
+        if !is_peer || recovery.nonce != nonce || recovery.begun_incarnation.is_none() {
             return;
         }
         recovery.responses.insert(from, report);
@@ -293,7 +295,7 @@
         }
     }
 
-    /// The response of the latest view's leader, if it has answered.
+    /// Returns the response of the latest view's leader, if it has arrived.
     fn latest_leader(&self) -> Option<RecoveryReport> {
         let view = self.responses.values().map(|response| response.view).max()?;
         let leader = self.responses.get(&view.leader)?;
--- a/crates/consensus/tests/messages.rs
+++ b/crates/consensus/tests/messages.rs
@@ -1,11 +1,11 @@
-//! The size and the decoding of messages, and how state machines handle messages that no node would send.
+//! The size and the decoding of messages, and the handling of messages that no node would send.
 
 mod simulation;
 
 use hollowpaddle_consensus::{
     Action, EntryPayload, Event, IncarnationCounts, Learner, LearnerConfig, LearnerEvent, LogPart,
     MAX_MESSAGE_BYTES, Message, MessageBody, MessageError, ProposalId, ProposalOutcome, Replica,
-    ReplicaConfig, View, VoterSet, default_voters, order, parent,
+    ReplicaConfig, View, VoterSet, default_voters, tree_order, tree_parent,
 };
 use hollowpaddle_peer_transport::{Incarnation, NodeId};
 use proptest::prelude::*;
@@ -22,9 +22,9 @@
     simulation.run(ms(2500));
     for round in 0..40 {
         simulation.propose(simulation.leader().expect("leads"), vec![round; 64]);
-        simulation.for_ms(60);
+        simulation.run_for_ms(60);
     }
-    println!("longest frequent word: {} bytes", simulation.longest_frequent_message);
+    println!("longest frequent message: {} bytes", simulation.longest_frequent_message);
     assert!(
         (40..=200).contains(&simulation.longest_frequent_message),
         "{}",
@@ -43,17 +43,17 @@
 
 #[test]
 fn the_tree_of_300_nodes_has_three_levels_below_the_leader() {
-    let members = VoterSet::of(default_voters(300));
-    let order = order(300, &members, Some(NodeId(128)));
+    let voter_set = VoterSet::of(default_voters(300));
+    let order = tree_order(300, &voter_set, Some(NodeId(128)));
     assert_eq!(order[0], NodeId(128));
     let mut deepest = 0;
-    for place in 0..300 {
-        let (mut at, mut steps) = (place, 0);
-        while let Some(source) = parent(&order, at) {
-            at = order.iter().position(|m| *m == source).expect("all are in it");
+    for position in 0..300 {
+        let (mut at, mut steps) = (position, 0);
+        while let Some(source) = tree_parent(&order, at) {
+            at = order.iter().position(|m| *m == source).expect("every node is in the tree");
             steps += 1;
         }
-        assert_eq!(at, 0, "all ways lead to the leader");
+        assert_eq!(at, 0, "the leader is the root of every path");
         deepest = deepest.max(steps);
     }
     assert_eq!(deepest, 3);
@@ -61,7 +61,8 @@
 
 #[test]
 fn only_impossible_proposals_are_rejected() {
-    let config = LearnerConfig { node_id: NodeId(3), voters: vec![NodeId(0)], cluster: 4, seed: 1 };
+    let config =
+        LearnerConfig { node_id: NodeId(3), voters: vec![NodeId(0)], cluster_size: 4, seed: 1 };
     let mut learner = Learner::new(ms(0), config);
     let id = |number| ProposalId { by: NodeId(3), incarnation: Incarnation(1), number };
     let mut actions = Vec::new();
@@ -87,7 +88,7 @@
             _ => None,
         })
         .collect();
-    assert_eq!(answered, [(1, ProposalOutcome::Never), (2, ProposalOutcome::Unknown)]);
+    assert_eq!(answered, [(1, ProposalOutcome::Rejected), (2, ProposalOutcome::Unknown)]);
 }
 
 #[test]
@@ -96,9 +97,9 @@
         node_id: NodeId(0),
         incarnation: Incarnation(1),
         voters: vec![NodeId(0)],
-        cluster: 1,
-        directory: true,
-        copies: 0,
+        cluster_size: 1,
+        has_directory: true,
+        required_learner_copies: 0,
         seed: 1,
     };
     let mut replica = Replica::new(ms(0), config, None);
@@ -113,8 +114,9 @@
     }
     let before = actions.len();
     (0..40).for_each(|_| tick(&mut replica, &mut actions));
-    let leads = |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::Leads { .. }));
-    assert!(!leads(&actions), "its own vote is not on disk");
+    let leads =
+        |actions: &[Action]| actions.iter().any(|a| matches!(a, Action::StartedLeading { .. }));
+    assert!(!leads(&actions), "the vote of the replica is not on disk");
     assert!(actions[before..].iter().all(|a| !matches!(a, Action::Send { .. })));
     replica.handle(ms(2100), Event::Persisted { through: 1 }, &mut actions);
     assert!(leads(&actions));
@@ -141,7 +143,7 @@
         4 => MessageBody::LogPart(LogPart::Entries { first: n, entries: Vec::new() }),
         5 => MessageBody::Propose {
             id,
-            what: Some(EntryPayload::RemoveVoter { removed: NodeId(from), replacement: None }),
+            payload: Some(EntryPayload::RemoveVoter { removed: NodeId(from), replacement: None }),
         },
         6 => MessageBody::Prepare { first: n, entries: Vec::new(), commit: n },
         _ => MessageBody::StartViewChange {
@@ -161,7 +163,7 @@
 
     #[test]
     fn rejects_trailing_bytes_and_messages_that_are_too_long(more in 1usize..20, nonce: u64) {
-        let mut bytes = message(MessageBody::StatusRequest { nonce, asked_at_ms: 1 }).encode().expect("short");
+        let mut bytes = message(MessageBody::StatusRequest { nonce, requested_at_ms: 1 }).encode().expect("short");
         bytes.extend(vec![0; more]);
         prop_assert_eq!(Message::decode(&bytes), Err(MessageError::Trailing { found: more }));
         bytes.resize(MAX_MESSAGE_BYTES + 1, 0);
@@ -178,12 +180,12 @@
         simulation.run(ms(2000));
         let replica = simulation.nodes[0].replica.as_mut().expect("runs");
         let mut actions = Vec::new();
-        for (place, (from, kind, n, m, epoch, bytes)) in messages_in_flight.into_iter().enumerate() {
+        for (position, (from, kind, n, m, epoch, bytes)) in messages_in_flight.into_iter().enumerate() {
             let mut message = message(arbitrary_body(from, kind, n, m, &bytes));
             let own = replica.view();
             message.view = if n % 3 == 0 { own } else { View { epoch, number: m, leader: NodeId(from) } };
             message.incarnation_counts.insert(NodeId(from), m % 3);
-            let now = ms(2000 + place as u64);
+            let now = ms(2000 + position as u64);
             replica.handle(now, Event::Message { from: NodeId(from), incarnation: Incarnation(m), message }, &mut actions);
         }
     }
@@ -192,7 +194,8 @@
 #[test]
 fn a_learner_ignores_lower_epochs_and_reports_its_own_to_the_leader() {
     use hollowpaddle_consensus::{Entry, LearnerAction, LogIndex, SnapshotBase};
-    let config = LearnerConfig { node_id: NodeId(3), voters: vec![NodeId(0)], cluster: 4, seed: 1 };
+    let config =
+        LearnerConfig { node_id: NodeId(3), voters: vec![NodeId(0)], cluster_size: 4, seed: 1 };
     let mut learner = Learner::new(ms(0), config);
     let mut actions = Vec::new();
     let reset = |epoch, op| LearnerEvent::Reset {
@@ -201,8 +204,8 @@
     };
     learner.handle(ms(0), reset(9, 4), &mut actions);
     learner.handle(ms(0), reset(5, 70), &mut actions);
-    assert_eq!(learner.at(), LogIndex::new(9, 4));
-    let entry = Entry { id: ProposalId::default(), what: EntryPayload::Command(vec![1]) };
+    assert_eq!(learner.last_index(), LogIndex::new(9, 4));
+    let entry = Entry { id: ProposalId::default(), payload: EntryPayload::Command(vec![1]) };
     for (epoch, op) in [(5, 5), (9, 6), (9, 4)] {
         let index = LogIndex::new(epoch, op);
         learner.handle(
@@ -210,14 +213,14 @@
             LearnerEvent::Committed { index, entry: entry.clone() },
             &mut actions,
         );
-        assert_eq!(learner.at(), LogIndex::new(9, 4), "{index} does not come next");
+        assert_eq!(learner.last_index(), LogIndex::new(9, 4), "{index} is not the next index");
     }
     learner.handle(
         ms(0),
         LearnerEvent::Committed { index: LogIndex::new(9, 5), entry },
         &mut actions,
     );
-    assert_eq!(learner.at(), LogIndex::new(9, 5));
+    assert_eq!(learner.last_index(), LogIndex::new(9, 5));
     let update = MessageBody::LearnerUpdate {
         index: LogIndex::new(5, 80),
         leader: Some(NodeId(0)),
