--- a/crates/model-checks/src/change_limits.rs
+++ b/crates/model-checks/src/change_limits.rs
@@ -6,6 +6,7 @@
 
 use std::time::Duration;
 
+use hollowpaddle_gateway::cluster::machine::ProposalResult;
 use hollowpaddle_revision::document::Document;
 use hollowpaddle_revision::entry::{CommandId, Entry, ProposalOptions};
 use hollowpaddle_revision::fleet::{ClassFacts, FleetFacts, Group};
@@ -64,10 +65,20 @@
     let entry = Entry::Propose(Box::new(options), Box::new(document));
     let ticket = cluster.propose(leader, Some(id), entry);
     cluster.run_for(ANSWER_LIMIT);
-    let answer = cluster.proposal_results.get(&ticket).map(|(_, answer)| format!("{answer:?}"));
+    let answer = cluster.proposal_results.get(&ticket).map(|(_, answer)| answer_text(answer));
     Some(Outcome { fleet, in_force: count_in_force(&cluster, 1), answer })
 }
 
+/// Returns the text of a result in [`Outcome::answer`]. The variant names in the text are part of the output format and
+/// stay when a variant is renamed in the code.
+fn answer_text(result: &ProposalResult) -> String {
+    match result {
+        ProposalResult::Committed(index) => format!("Stands({index:?})"),
+        ProposalResult::NeverCommitted => "Never".to_string(),
+        ProposalResult::Answered(_) | ProposalResult::Unknown => format!("{result:?}"),
+    }
+}
+
 /// Returns the facts of a fleet of this size. It has [`CELLS`] cells, or as many as there are groups.
 fn facts_of(fleet: FleetSize) -> FleetFacts {
     let class = |number| ClassFacts {
