--- a/crates/gateway/src/cluster/admin_api/change.rs
+++ b/crates/gateway/src/cluster/admin_api/change.rs
@@ -48,9 +48,9 @@
                 context.change_cordons(|cordoned| cordoned.remove(name))
             }
             PolicyChange::FallbackPolicy(policy) => context.fallback_policy(policy.clone()),
-            PolicyChange::Confirm(number) => Ok(Entry::Confirm(context.id, *number)),
-            PolicyChange::Dead(member) => Ok(Entry::Dead(context.id, *member)),
-            PolicyChange::Alive(member) => Ok(Entry::Alive(context.id, *member)),
+            PolicyChange::Confirm(number) => Ok(Entry::ConfirmCanary(context.id, *number)),
+            PolicyChange::Dead(member) => Ok(Entry::MarkDead(context.id, *member)),
+            PolicyChange::Alive(member) => Ok(Entry::MarkAlive(context.id, *member)),
         }
     }
 
@@ -73,7 +73,7 @@
         options: &RevisionOptions,
         to: u64,
     ) -> Result<Entry, AdminResponse> {
-        let retained = context.policy.kept(to);
+        let retained = context.policy.retained_revision(to);
         let names = retained.map(|r| named_upstreams(&r.document)).unwrap_or_default();
         let options = context.proposal_options(options, &names);
         if self.is_dry_run {
@@ -109,7 +109,7 @@
         // are rejected.
         let is_under_way = status.awaits_fallback_confirmation || status.unconfirmed;
         if is_under_way || status.fallback_policy.except.contains(name) {
-            return Err(AdminResponse::awaits_fallback(&self.machine.leases().seen().behind));
+            return Err(AdminResponse::awaits_fallback(&self.machine.leases().status().missing));
         }
         let mut fallback_policy = (*status.fallback_policy).clone();
         fallback_policy.except.insert(name.to_string());
@@ -124,9 +124,10 @@
         change: impl FnOnce(&mut BTreeSet<String>) -> bool,
     ) -> Result<Entry, AdminResponse> {
         let newest = self.policy.newest();
-        let retained = self.policy.kept(newest).map_err(|e| AdminResponse::rejected(&e))?;
+        let retained =
+            self.policy.retained_revision(newest).map_err(|e| AdminResponse::rejected(&e))?;
         let mut document = (*retained.document).clone();
-        if !change(&mut document.out.upstreams) {
+        if !change(&mut document.exclusions.upstreams) {
             return Err(AdminResponse::ok(json!({"ok": true, "revision": newest})));
         }
         let options = RevisionOptions { base: Some(newest), canary: None, forced: true };
@@ -155,7 +156,7 @@
 /// Returns the names of the upstreams in a document.
 fn named_upstreams(document: &Document) -> BTreeSet<String> {
     let weights = document.weights.upstreams.keys();
-    document.out.upstreams.iter().chain(weights).cloned().collect()
+    document.exclusions.upstreams.iter().chain(weights).cloned().collect()
 }
 
 fn dry_run_answer(result: Result<Difference, Rejection>) -> AdminResponse {
--- a/crates/gateway/src/cluster/admin_api/response.rs
+++ b/crates/gateway/src/cluster/admin_api/response.rs
@@ -56,8 +56,8 @@
 
     /// Creates the response to a change that the policy state rejects.
     pub(super) fn rejected(reason: &Rejection) -> Self {
-        let is_changing = matches!(reason, Rejection::Changing { .. });
-        let is_retryable = is_changing || matches!(reason, Rejection::Lost { .. });
+        let is_changing = matches!(reason, Rejection::FallbackChangeInProgress { .. });
+        let is_retryable = is_changing || matches!(reason, Rejection::StaleBase { .. });
         let status = if is_changing { 202 } else { 409 };
         Self { status, is_retryable, ..Self::ok(json!({"ok": false, "error": reason.to_string()})) }
     }
--- a/crates/gateway/src/cluster/admin_api/views.rs
+++ b/crates/gateway/src/cluster/admin_api/views.rs
@@ -16,7 +16,7 @@
 pub(super) fn cluster(machine: &Machine) -> Value {
     let status = machine.policy().status();
     let in_force = machine.in_force();
-    let seen = machine.leases().seen();
+    let lease_status = machine.leases().status();
     json!({
         "ok": true,
         "member": machine.node_id().0,
@@ -25,20 +25,24 @@
         "newest": machine.policy().newest(),
         "stage": status.generation,
         "unconfirmed": status.unconfirmed,
-        "here": seen.here.len(),
-        "charter_confirmed": seen.fallback_policy.len(),
+        "here": lease_status.present.len(),
+        "charter_confirmed": lease_status.fallback_holders.len(),
         "charter": {
             "pods": status.fallback_policy.cells, "except": status.fallback_policy.except,
             "attempts": status.fallback_policy.attempts, "awaited": status.awaits_fallback_confirmation,
         },
-        "past_lease": {"pods": seen.past.cells, "except": seen.past.except, "attempts": seen.past.attempts},
+        "past_lease": {
+            "pods": lease_status.fallback_policy.cells,
+            "except": lease_status.fallback_policy.except,
+            "attempts": lease_status.fallback_policy.attempts,
+        },
         "lease": {
             "held": machine.now() < in_force.until,
             "left_s": in_force.until.saturating_sub(machine.now()).as_secs_f64(),
         },
         "council": voters(machine),
         "dead": status.dead.iter().map(|m| m.0).collect::<Vec<_>>(),
-        "behind": behind(&seen.behind),
+        "behind": behind(&lease_status.missing),
         "words": serde_json::to_value(machine.transport().counts()).unwrap_or_default(),
         "held_bytes": serde_json::to_value(machine.transport().held()).unwrap_or_default(),
     })
@@ -80,7 +84,7 @@
 
 /// Returns the response to `GET /admin/revisions/N`: one revision with its document.
 pub(super) fn revision(policy: &PolicyState, number: u64) -> AdminResponse {
-    match policy.kept(number) {
+    match policy.retained_revision(number) {
         Ok(revision) => AdminResponse::ok(json!({
             "ok": true, "revision": number,
             "document": serde_json::to_value(&*revision.document).unwrap_or_default(),
--- a/crates/gateway/src/cluster/machine.rs
+++ b/crates/gateway/src/cluster/machine.rs
@@ -82,7 +82,7 @@
             transport: new_transport(&setup)?,
             replica: new_replica(now, &setup, replica_state),
             learner,
-            policy: PolicyState::found(setup.bootstrap.clone())?,
+            policy: PolicyState::bootstrap(setup.bootstrap.clone())?,
             applied_index: consensus::LogIndex::default(),
             leases: new_leases(&setup),
             lists: Lists::default(),
@@ -191,7 +191,7 @@
             Event::Propose { ticket, id, entry } => self.propose_entry(ticket, id, &entry, actions),
             Event::QueryOutcome { ticket, id } => self.query_outcome(ticket, id, actions),
             Event::EndpointList { version, is_complete, entries } => {
-                self.step_lists(lists::Event::Own { version, whole: is_complete, entries });
+                self.step_lists(lists::Event::OwnList { version, is_complete, entries });
             }
             Event::VersionsReset => self.step_lists(lists::Event::VersionsReset),
             Event::ReplaceVoter { ticket, removed, replacement } => {
--- a/crates/gateway/src/cluster/machine/pending_calls.rs
+++ b/crates/gateway/src/cluster/machine/pending_calls.rs
@@ -150,7 +150,7 @@
         }
         match call.id {
             Some(id) => {
-                let answer = self.policy.answer(id)?;
+                let answer = self.policy.command_result(id)?;
                 Some(ProposalResult::Answered(answer.outcome.clone()))
             }
             None => call.index.map(ProposalResult::Committed),
--- a/crates/gateway/src/cluster/machine/routing.rs
+++ b/crates/gateway/src/cluster/machine/routing.rs
@@ -169,14 +169,14 @@
     fn after_apply(&mut self, actions: &mut Vec<Action>) {
         self.answer_calls(actions);
         let (epoch, status) = (self.applied_index.epoch(), Box::new(self.policy.status()));
-        self.step_lists(lists::Event::FallbackFloor(status.rules.oldest_list()));
+        self.step_lists(lists::Event::OldestAllowedVersion(status.rules.oldest_list()));
         self.step_leases(leases::Event::Applied { epoch, status });
     }
 
     /// Decodes a snapshot of the policy state. An empty snapshot is the bootstrap state of a log without entries.
     fn decode_state(&self, state: &[u8]) -> Result<PolicyState, DecodeError> {
         if state.is_empty() {
-            return Ok(PolicyState::found(self.setup.bootstrap.clone())?);
+            return Ok(PolicyState::bootstrap(self.setup.bootstrap.clone())?);
         }
         Ok(PolicyState::from_snapshot(state)?)
     }
@@ -184,7 +184,7 @@
     /// Returns the policy state as bytes and the index of the last log entry applied to it. If the policy state can't be
     /// encoded, logs the cause.
     fn encode_state(&self, actions: &mut Vec<Action>) -> Option<(consensus::LogIndex, Vec<u8>)> {
-        match self.policy.image() {
+        match self.policy.to_snapshot() {
             Ok(bytes) => Some((self.applied_index, bytes)),
             Err(cause) => {
                 actions
@@ -251,8 +251,8 @@
             }
             // The learner polls its source by itself and is notified of new entries immediately.
             leases::Action::Learn { .. } => {}
-            leases::Action::ChangeParent { than } => {
-                self.step_learner(LearnerEvent::ChangeSource(than));
+            leases::Action::ChangeParent { current } => {
+                self.step_learner(LearnerEvent::ChangeSource(current));
             }
         }
     }
--- a/crates/model-checks/src/change_limits.rs
+++ b/crates/model-checks/src/change_limits.rs
@@ -10,6 +10,7 @@
 use hollowpaddle_revision::document::Document;
 use hollowpaddle_revision::entry::{CommandId, Entry, ProposalOptions};
 use hollowpaddle_revision::fleet::{ClassFacts, FleetFacts, Group};
+use hollowpaddle_revision::policy_state::Rejection;
 use serde::Serialize;
 
 use crate::figures::{count_in_force, settled_cluster};
@@ -59,7 +60,7 @@
     let leader = cluster.leader()?;
     let id = CommandId(1);
     let mut document = Document { attempts: 3, ..Document::default() };
-    document.out.cells.insert(2);
+    document.exclusions.cells.insert(2);
     let options =
         ProposalOptions { id, base: None, canary: None, forced: false, facts: facts_of(fleet) };
     let entry = Entry::Propose(Box::new(options), Box::new(document));
@@ -75,6 +76,12 @@
     match result {
         ProposalResult::Committed(index) => format!("Stands({index:?})"),
         ProposalResult::NeverCommitted => "Never".to_string(),
+        ProposalResult::Answered(Err(Rejection::StaleBase { base, first, newest })) => {
+            format!("Answered(Err(Lost {{ base: {base}, first: {first}, newest: {newest} }}))")
+        }
+        ProposalResult::Answered(Err(Rejection::FallbackChangeInProgress { since })) => {
+            format!("Answered(Err(Changing {{ since: {since} }}))")
+        }
         ProposalResult::Answered(_) | ProposalResult::Unknown => format!("{result:?}"),
     }
 }
--- a/crates/model-checks/src/control_plane.rs
+++ b/crates/model-checks/src/control_plane.rs
@@ -238,7 +238,7 @@
         let Some(leader) = cluster.leader() else { break };
         let id = CommandId(u128::from(number));
         let mut document = Document { attempts: 3, ..Document::default() };
-        document.out.cells.insert([2, 3, 5, 6][number as usize % 4]);
+        document.exclusions.cells.insert([2, 3, 5, 6][number as usize % 4]);
         cluster.propose(leader, Some(id), propose_entry(id, None, document));
         cluster.run_for(BURST_GAP);
     }
--- a/crates/model-checks/src/figures.rs
+++ b/crates/model-checks/src/figures.rs
@@ -37,7 +37,7 @@
 
 fn document(number: u64) -> Document {
     let mut document = Document { attempts: 3, ..Document::default() };
-    document.out.cells.insert([2, 3, 5, 6][number as usize % 4]);
+    document.exclusions.cells.insert([2, 3, 5, 6][number as usize % 4]);
     document
 }
 
@@ -247,7 +247,8 @@
     let restored_at_all = cluster.now - started_at;
     let (_, first_commit_time) = commit_change(cluster, number + 1, ms(30_000))?;
     let machine = cluster.nodes.iter().find_map(|n| n.machine.as_ref())?;
-    let retained = revisions_before.iter().filter(|n| machine.policy().kept(**n).is_ok()).count();
+    let retained =
+        revisions_before.iter().filter(|n| machine.policy().retained_revision(**n).is_ok()).count();
     Some(FullRestart {
         leases_restored: [restored_at_99_percent, restored_at_all],
         revisions: [revisions_before.len(), retained],
--- a/crates/model-checks/src/history.rs
+++ b/crates/model-checks/src/history.rs
@@ -44,7 +44,7 @@
     pub fn from_result(result: &ProposalResult) -> Option<Self> {
         match result {
             ProposalResult::Answered(Ok(number)) => Some(Self::Committed(*number)),
-            ProposalResult::Answered(Err(Rejection::Lost { newest, .. })) => {
+            ProposalResult::Answered(Err(Rejection::StaleBase { newest, .. })) => {
                 Some(Self::Conflict(*newest))
             }
             ProposalResult::Answered(Err(_)) | ProposalResult::NeverCommitted => {
--- a/crates/model-checks/src/lease_model.rs
+++ b/crates/model-checks/src/lease_model.rs
@@ -109,8 +109,8 @@
 fn proposal(number: u8) -> Entry {
     let mut document = Document { attempts: 3, ..Document::default() };
     match number {
-        0 => document.out.cells.extend([3]),
-        1 => document.out.cells.extend([4]),
+        0 => document.exclusions.cells.extend([3]),
+        1 => document.exclusions.cells.extend([4]),
         2 => {
             return Entry::FallbackPolicy(
                 CommandId(103),
@@ -118,7 +118,7 @@
                 Box::new(crate::simulated_cluster::fleet_facts()),
             );
         }
-        _ => document.out.cells.extend([2, 3]),
+        _ => document.exclusions.cells.extend([2, 3]),
     }
     crate::simulated_cluster::propose_entry(CommandId(100 + u128::from(number)), None, document)
 }
@@ -157,7 +157,7 @@
             published: leases.in_force(),
             leases,
             // The mandatory fallback is part of the fallback policy, and the document is the default one.
-            policy: PolicyState::found(bootstrap).expect("a bootstrap within all bounds"),
+            policy: PolicyState::bootstrap(bootstrap).expect("a bootstrap within all bounds"),
             incarnation,
             started_at: now,
             forbidden_since: [None; 5],
--- a/crates/model-checks/src/seeded_run.rs
+++ b/crates/model-checks/src/seeded_run.rs
@@ -302,7 +302,7 @@
         let mut document = Document::default();
         let bits = self.cluster.random_below(16);
         let cells = [2, 3, 5, 6].into_iter().enumerate();
-        document.out.cells =
+        document.exclusions.cells =
             cells.filter(|(n, _)| bits & 1 << n != 0).map(|(_, cell)| cell).collect();
         if self.cluster.random_below(2) == 0 {
             let cell = 2 + self.cluster.random_below(2) as u32;
@@ -388,7 +388,7 @@
     /// Checks that a new revision is committed, and in force everywhere within 20 s.
     fn check_recovery(&mut self, healed_at: Duration) {
         let mut document = Document::default();
-        document.out.cells.insert(6);
+        document.exclusions.cells.insert(6);
         let id = CommandId(u128::MAX);
         let entry = propose_entry(id, None, document);
         let mut tickets = Vec::new();
@@ -476,7 +476,7 @@
             let Some(machine) = &node.machine else { continue };
             let policy = machine.policy();
             for (number, id) in &committed_commands {
-                let retained = policy.kept(*number).map(|k| k.origin).ok();
+                let retained = policy.retained_revision(*number).map(|k| k.origin).ok();
                 let is_same_command = match retained {
                     Some(Origin::Proposed(command) | Origin::Rollback(command, _)) => {
                         command == CommandId(*id)
--- a/crates/revision/src/canary.rs
+++ b/crates/revision/src/canary.rs
@@ -27,9 +27,9 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct CanaryMetric {
     /// Mean weight served over a period before the revision came into force.
-    pub before: u64,
+    pub served_before: u64,
     /// Mean weight served over a period since.
-    pub since: u64,
+    pub served_since: u64,
     /// Mean weight offered before. A cluster that is offered half as much serves half as much by no fault of a
     /// revision.
     pub offered_before: u64,
@@ -49,8 +49,8 @@
 impl CanaryMetric {
     /// How far the served share of the offered weight has fallen, in thousandths; `None` without data of both periods.
     fn fall(&self) -> Option<u16> {
-        let before = served_share(self.before, self.offered_before)?;
-        let since = served_share(self.since, self.offered_since)?;
+        let before = served_share(self.served_before, self.offered_before)?;
+        let since = served_share(self.served_since, self.offered_since)?;
         let fall = f64::from(THOUSANDTHS) * (1.0 - since / before);
         (before > 0.0).then(|| fall.clamp(0.0, f64::from(THOUSANDTHS)) as u16)
     }
@@ -68,7 +68,11 @@
 
     /// Whether, and why, a canary that has been in force for `since` without a confirmation is to be rolled back.
     /// Without a metric only the time decides.
-    pub fn verdict(&self, since: Duration, metric: Option<CanaryMetric>) -> Option<RollbackCause> {
+    pub fn rollback_cause(
+        &self,
+        since: Duration,
+        metric: Option<CanaryMetric>,
+    ) -> Option<RollbackCause> {
         let metric = metric.filter(|_| since >= SETTLE_TIME);
         if let Some(fall) = metric.and_then(|metric| metric.fall())
             && fall > self.fall
--- a/crates/revision/src/difference.rs
+++ b/crates/revision/src/difference.rs
@@ -21,21 +21,24 @@
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Difference {
     /// What would be excluded and is not.
-    pub out: Selection,
+    #[serde(rename = "out")]
+    pub added_exclusions: Selection,
     /// What is excluded and would not be.
-    pub back: Selection,
+    #[serde(rename = "back")]
+    pub removed_exclusions: Selection,
     /// Weights by what they apply to; 1 where none is stated.
     pub weights: BTreeMap<String, Changed<f64>>,
     /// Classes and cells that would be excluded and are not.
     #[serde(rename = "kept")]
-    pub added_exclusions: BTreeSet<(String, u32)>,
+    pub added_class_exclusions: BTreeSet<(String, u32)>,
     /// Classes and cells that are excluded and would not be.
     #[serde(rename = "free")]
-    pub removed_exclusions: BTreeSet<(String, u32)>,
+    pub removed_class_exclusions: BTreeSet<(String, u32)>,
     /// The most attempts of one request.
     pub attempts: Option<Changed<u8>>,
     /// The subset factor.
-    pub times: Option<Changed<f64>>,
+    #[serde(rename = "times")]
+    pub subset_factor: Option<Changed<f64>>,
     /// How many balancers the subset is made for.
     pub balancers: Option<Changed<Option<u16>>>,
     /// Lifetimes of sessions by class, in seconds; 0 for no sessions.
@@ -53,13 +56,13 @@
     pub fn of(from: &Document, to: &Document, fleet_conflicts: &[FleetConflict]) -> Self {
         let (old_exclusions, new_exclusions) = (class_exclusions(from), class_exclusions(to));
         Self {
-            out: to.out.without(&from.out),
-            back: from.out.without(&to.out),
+            added_exclusions: to.exclusions.without(&from.exclusions),
+            removed_exclusions: from.exclusions.without(&to.exclusions),
             weights: changed_weights(from, to),
-            added_exclusions: new_exclusions.difference(&old_exclusions).cloned().collect(),
-            removed_exclusions: old_exclusions.difference(&new_exclusions).cloned().collect(),
+            added_class_exclusions: new_exclusions.difference(&old_exclusions).cloned().collect(),
+            removed_class_exclusions: old_exclusions.difference(&new_exclusions).cloned().collect(),
             attempts: changed(from.attempts, to.attempts),
-            times: changed(from.times.number(), to.times.number()),
+            subset_factor: changed(from.subset_factor.number(), to.subset_factor.number()),
             balancers: changed(from.balancers, to.balancers),
             sessions: changed_sessions(from, to),
             oldest_list: changed(from.oldest_list, to.oldest_list),
--- a/crates/revision/src/document.rs
+++ b/crates/revision/src/document.rs
@@ -5,7 +5,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::figures::{Times, Weight};
+use crate::figures::{SubsetFactor, Weight};
 
 /// The longest encoded document, in bytes. A log entry also carries the facts about the fleet.
 pub const MAX_DOCUMENT_BYTES: usize = 10 << 10;
@@ -24,7 +24,7 @@
 /// The longest lifetime of a session, in seconds: one day.
 pub const MAX_SESSION_S: u32 = 86_400;
 /// The most balancers that a document can state for the subset.
-pub const MOST_BALANCERS: u16 = 1000;
+pub const MAX_SUBSET_BALANCERS: u16 = 1000;
 
 /// A part of the fleet: every upstream that one of the lists names.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
@@ -94,7 +94,8 @@
 #[serde(deny_unknown_fields, default)]
 pub struct Document {
     /// The part of the fleet that nothing is sent to.
-    pub out: Selection,
+    #[serde(rename = "out")]
+    pub exclusions: Selection,
     /// The parts of the fleet that less is sent to.
     pub weights: Weights,
     /// Cells that a class is not sent to, by class.
@@ -103,7 +104,8 @@
     /// The most attempts of one request, 1 to [`MAX_ATTEMPTS`].
     pub attempts: u8,
     /// The subset factor.
-    pub times: Times,
+    #[serde(rename = "times")]
+    pub subset_factor: SubsetFactor,
     /// How many balancers the subset is made for; the number of the settings if left out.
     pub balancers: Option<u16>,
     /// Classes that have sessions, and how long a session lasts after its last use, in seconds.
@@ -117,11 +119,11 @@
     /// The document that forbids nothing.
     fn default() -> Self {
         Self {
-            out: Selection::default(),
+            exclusions: Selection::default(),
             weights: Weights::default(),
             class_exclusions: BTreeMap::new(),
             attempts: MAX_ATTEMPTS,
-            times: Times::default(),
+            subset_factor: SubsetFactor::default(),
             balancers: None,
             sessions: BTreeMap::new(),
             oldest_list: 0,
@@ -213,11 +215,11 @@
     }
 
     fn check_lengths(&self) -> Result<(), DocumentError> {
-        let Self { out, weights, .. } = self;
-        check_length("out.upstreams", out.upstreams.len(), MAX_LISTED_UPSTREAMS)?;
-        check_length("out.pods", out.cells.len(), MAX_LISTED_CELLS)?;
-        check_length("out.flavours", out.machine_types.len(), MAX_LISTED_NAMES)?;
-        check_length("out.sites", out.zones.len(), MAX_LISTED_NAMES)?;
+        let Self { exclusions, weights, .. } = self;
+        check_length("out.upstreams", exclusions.upstreams.len(), MAX_LISTED_UPSTREAMS)?;
+        check_length("out.pods", exclusions.cells.len(), MAX_LISTED_CELLS)?;
+        check_length("out.flavours", exclusions.machine_types.len(), MAX_LISTED_NAMES)?;
+        check_length("out.sites", exclusions.zones.len(), MAX_LISTED_NAMES)?;
         check_length("weights.upstreams", weights.upstreams.len(), MAX_LISTED_UPSTREAMS)?;
         check_length("weights.pods", weights.cells.len(), MAX_LISTED_CELLS)?;
         check_length("weights.flavours", weights.machine_types.len(), MAX_LISTED_NAMES)?;
@@ -227,10 +229,10 @@
     }
 
     fn check_names(&self) -> Result<(), DocumentError> {
-        let Self { out, weights, .. } = self;
-        check_each_name("out.upstreams", &out.upstreams)?;
-        check_each_name("out.flavours", &out.machine_types)?;
-        check_each_name("out.sites", &out.zones)?;
+        let Self { exclusions, weights, .. } = self;
+        check_each_name("out.upstreams", &exclusions.upstreams)?;
+        check_each_name("out.flavours", &exclusions.machine_types)?;
+        check_each_name("out.sites", &exclusions.zones)?;
         check_each_name("weights.upstreams", weights.upstreams.keys())?;
         check_each_name("weights.flavours", weights.machine_types.keys())?;
         check_each_name("weights.sites", weights.zones.keys())?;
@@ -252,7 +254,8 @@
         if !(1..=MAX_ATTEMPTS).contains(&self.attempts) {
             return Err(field_error("attempts", self.attempts, "1 to 3"));
         }
-        if let Some(balancers) = self.balancers.filter(|b| !(1..=MOST_BALANCERS).contains(b)) {
+        if let Some(balancers) = self.balancers.filter(|b| !(1..=MAX_SUBSET_BALANCERS).contains(b))
+        {
             return Err(field_error("balancers", balancers, "1 to 1000, or none"));
         }
         if let Some(seconds) = self.sessions.values().find(|s| !(1..=MAX_SESSION_S).contains(*s)) {
@@ -270,11 +273,11 @@
     DocumentError::Field { field, found: found.to_string(), expected: expected.to_string() }
 }
 
-fn check_length(field: &'static str, found: usize, most: usize) -> Result<(), DocumentError> {
-    if found <= most {
+fn check_length(field: &'static str, found: usize, max: usize) -> Result<(), DocumentError> {
+    if found <= max {
         Ok(())
     } else {
-        Err(field_error(field, format!("{found} long"), format!("{most} at most")))
+        Err(field_error(field, format!("{found} long"), format!("{max} at most")))
     }
 }
 
--- a/crates/revision/src/entry.rs
+++ b/crates/revision/src/entry.rs
@@ -46,14 +46,14 @@
     /// States that every node that is not marked dead holds the fallback policy of this generation.
     FallbackPolicyConfirmed(u64),
     /// Confirms the canary of this revision.
-    Confirm(CommandId, u64),
+    ConfirmCanary(CommandId, u64),
     /// Rolls back the canary of this revision.
     AutomaticRollback(u64, RollbackCause),
     /// Marks a node dead: operators state that it acts on no policy and will not before it has learned the policy
     /// anew.
-    Dead(CommandId, NodeId),
-    /// Removes the mark of [`Entry::Dead`].
-    Alive(CommandId, NodeId),
+    MarkDead(CommandId, NodeId),
+    /// Removes the mark of [`Entry::MarkDead`].
+    MarkAlive(CommandId, NodeId),
 }
 
 /// Why an entry cannot be encoded or decoded.
@@ -85,9 +85,9 @@
         match self {
             Self::Propose(options, _) | Self::Rollback(options, _) => Some(options.id),
             Self::FallbackPolicy(id, ..)
-            | Self::Confirm(id, _)
-            | Self::Dead(id, _)
-            | Self::Alive(id, _) => Some(*id),
+            | Self::ConfirmCanary(id, _)
+            | Self::MarkDead(id, _)
+            | Self::MarkAlive(id, _) => Some(*id),
             Self::GenerationConfirmed(_)
             | Self::FallbackPolicyConfirmed(_)
             | Self::AutomaticRollback(..) => None,
--- a/crates/revision/src/fallback_policy.rs
+++ b/crates/revision/src/fallback_policy.rs
@@ -138,7 +138,7 @@
     }
 
     /// Whether one of the policies names this cell.
-    pub fn holds(&self, cell: u32) -> bool {
+    pub fn includes_cell(&self, cell: u32) -> bool {
         self.0.iter().any(|policy| policy.cells.contains(&cell))
     }
 
--- a/crates/revision/src/figures.rs
+++ b/crates/revision/src/figures.rs
@@ -54,7 +54,7 @@
 }
 
 /// A fraction of the usual weight, over 0 and at most 1, stored in thousandths. A weight of 0 is expressed by
-/// [`Document::out`](crate::document::Document::out).
+/// [`Document::exclusions`](crate::document::Document::exclusions).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Weight(u16);
 
@@ -80,10 +80,10 @@
 /// The subset factor: how many times its even share of the fleet a balancer connects to, 1 to 1000, stored in
 /// hundredths. The subset itself is chosen by `hollowpaddle-subset`.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
-pub struct Times(u32);
+pub struct SubsetFactor(u32);
 
 figure!(
-    Times,
+    SubsetFactor,
     u32,
     100.0,
     100.0,
@@ -91,7 +91,7 @@
     "1 to 1000 times the even part (below 1 upstreams are left out)"
 );
 
-impl Default for Times {
+impl Default for SubsetFactor {
     /// The usual factor, 4.
     fn default() -> Self {
         Self(400)
--- a/crates/revision/src/fleet.rs
+++ b/crates/revision/src/fleet.rs
@@ -170,26 +170,27 @@
         floor: &FallbackFloor,
     ) -> Vec<FleetConflict> {
         let mut forbidden: Vec<String> = Vec::new();
-        for cell in document.out.cells.iter().filter(|cell| floor.holds(**cell)) {
+        for cell in document.exclusions.cells.iter().filter(|cell| floor.includes_cell(**cell)) {
             forbidden.push(format!("pod {cell}"));
         }
-        for (class, cell) in document.excluded_class_cells().filter(|(_, cell)| floor.holds(*cell))
+        for (class, cell) in
+            document.excluded_class_cells().filter(|(_, cell)| floor.includes_cell(*cell))
         {
             forbidden.push(format!("class `{class}` at pod {cell}"));
         }
         if document.attempts < floor.attempts() {
             forbidden.push(format!("{} attempts", floor.attempts()));
         }
-        for group in self.groups.iter().filter(|group| floor.holds(group.cell)) {
+        for group in self.groups.iter().filter(|group| floor.includes_cell(group.cell)) {
             let place = self.place(group);
-            if document.out.zones.contains(place.zone) {
+            if document.exclusions.zones.contains(place.zone) {
                 forbidden.push(format!("site `{}` with its pod {}", place.zone, place.cell));
             }
-            if document.out.machine_types.contains(place.machine_type) {
+            if document.exclusions.machine_types.contains(place.machine_type) {
                 forbidden.push(format!("flavour `{}` in pod {}", place.machine_type, place.cell));
             }
         }
-        for name in &document.out.upstreams {
+        for name in &document.exclusions.upstreams {
             let allows = |cell| floor.allows(&Place { name, cell, machine_type: "", zone: "" });
             if self.named.get(name).is_some_and(|(cell, _)| allows(*cell)) {
                 forbidden.push(format!("upstream `{name}`"));
@@ -201,24 +202,24 @@
 
     /// The first name in the document that the fleet does not have.
     fn unknown_name(&self, document: &Document) -> Option<FleetConflict> {
-        let Document { out, weights, class_exclusions, sessions, .. } = document;
+        let Document { exclusions, weights, class_exclusions, sessions, .. } = document;
         let unknown =
             |what: &str, name: String| Some(FleetConflict::Unknown { what: what.into(), name });
-        let mut upstreams = out.upstreams.iter().chain(weights.upstreams.keys());
+        let mut upstreams = exclusions.upstreams.iter().chain(weights.upstreams.keys());
         if let Some(name) = upstreams.find(|name| !self.named.contains_key(*name)) {
             return unknown("upstream", name.clone());
         }
         let known: BTreeSet<u32> = self.groups.iter().map(|group| group.cell).collect();
         let excluded = class_exclusions.values().flatten();
-        let mut cells = out.cells.iter().chain(weights.cells.keys()).chain(excluded);
+        let mut cells = exclusions.cells.iter().chain(weights.cells.keys()).chain(excluded);
         if let Some(cell) = cells.find(|cell| !known.contains(cell)) {
             return unknown("pod", cell.to_string());
         }
-        let mut machine_types = out.machine_types.iter().chain(weights.machine_types.keys());
+        let mut machine_types = exclusions.machine_types.iter().chain(weights.machine_types.keys());
         if let Some(name) = machine_types.find(|name| !self.machine_types.contains(name)) {
             return unknown("flavour", name.clone());
         }
-        let mut zones = out.zones.iter().chain(weights.zones.keys());
+        let mut zones = exclusions.zones.iter().chain(weights.zones.keys());
         if let Some(name) = zones.find(|name| !self.zones.contains(name)) {
             return unknown("site", name.clone());
         }
@@ -253,7 +254,7 @@
         let is_member =
             |name: &str| self.named.get(name) == Some(&(group.cell, group.machine_type));
         let is_excluded = |name: &str| !rules.permits(&Place { name, ..self.place(group) }, "");
-        let excluded = rules.document().out.upstreams.iter();
+        let excluded = rules.document().exclusions.upstreams.iter();
         let excluded = excluded.filter(|name| is_member(name) && is_excluded(name)).count();
         u64::from(group.upstreams).saturating_sub(excluded as u64)
     }
@@ -280,7 +281,7 @@
         for ((zone, load), capacity) in self.zones.iter().zip(&self.load).zip(&zone_capacity) {
             let (zone, load, capacity) = (zone.clone(), u64::from(*load), *capacity);
             // The load of a zone that is excluded as a whole goes to the others.
-            if !rules.document().out.zones.contains(&zone) && load > capacity {
+            if !rules.document().exclusions.zones.contains(&zone) && load > capacity {
                 return Some(FleetConflict::NoCapacity { zone, load, capacity });
             }
         }
--- a/crates/revision/src/leases.rs
+++ b/crates/revision/src/leases.rs
@@ -106,7 +106,7 @@
         self.now = self.now.max(Duration::from_micros(to_micros(now)));
         self.started_at.get_or_insert(self.now);
         self.granted.drop_expired(self.now);
-        self.take_in(event, actions);
+        self.handle_event(event, actions);
         self.adopt_fallback(actions);
         self.confirm_generation(actions);
         self.renew(actions);
@@ -115,7 +115,7 @@
         self.schedule_wake(actions);
     }
 
-    fn take_in(&mut self, event: Event, actions: &mut Vec<Action>) {
+    fn handle_event(&mut self, event: Event, actions: &mut Vec<Action>) {
         match event {
             Event::Applied { epoch, status } => self.on_applied(epoch, *status),
             Event::Parent(node) => {
@@ -243,7 +243,7 @@
         };
         actions.push(Action::Send { to, message });
         if self.applied.is_some() && self.parent.take_timeout(self.now, self.config.lease) {
-            actions.push(Action::ChangeParent { than: to });
+            actions.push(Action::ChangeParent { current: to });
         }
     }
 
--- a/crates/revision/src/leases/granted.rs
+++ b/crates/revision/src/leases/granted.rs
@@ -67,7 +67,7 @@
         id: ChildId,
         report: ChildReport,
     ) -> bool {
-        if !self.0.contains_key(&id) && !self.has_room(now, id.node) {
+        if !self.0.contains_key(&id) && !self.has_capacity(now, id.node) {
             return false;
         }
         let child = self.0.entry(id).or_insert(Child {
@@ -86,7 +86,7 @@
         true
     }
 
-    fn has_room(&self, now: Duration, node: NodeId) -> bool {
+    fn has_capacity(&self, now: Duration, node: NodeId) -> bool {
         let others = self.0.iter().filter(|(id, child)| id.node != node && child.is_recent(now));
         others.count() < MAX_CHILDREN && self.0.len() < MAX_CHILD_RECORDS
     }
--- a/crates/revision/src/leases/interface.rs
+++ b/crates/revision/src/leases/interface.rs
@@ -158,6 +158,6 @@
     /// Find another parent: the present one has no room, or has granted nothing for as long as a lease lasts.
     ChangeParent {
         /// The present parent.
-        than: NodeId,
+        current: NodeId,
     },
 }
--- a/crates/revision/src/leases/leader.rs
+++ b/crates/revision/src/leases/leader.rs
@@ -22,7 +22,7 @@
 
     pub(super) fn propose(&mut self, actions: &mut Vec<Action>) {
         if self.leadership.is_some() {
-            self.note_missing_nodes();
+            self.record_missing_nodes();
         }
         let Some(entry) = self.due_proposal() else { return };
         let retry_since = self.now.saturating_sub(PROPOSAL_RETRY_INTERVAL);
@@ -40,32 +40,32 @@
         let status = &applied.status;
         if status.unconfirmed
             && self.confirmed == applied.generation
-            && self.now >= self.former_leases_end(leadership)
+            && self.now >= self.previous_leases_end(leadership)
         {
             return Some(Entry::GenerationConfirmed(applied.generation.index));
         }
         if let (Some(canary), Some(in_force)) = (status.canary, self.canary) {
             let age = self.now.saturating_sub(in_force.since);
-            if let Some(cause) = canary.terms.verdict(age, self.canary_metric) {
+            if let Some(cause) = canary.terms.rollback_cause(age, self.canary_metric) {
                 return Some(Entry::AutomaticRollback(canary.revision, cause));
             }
         }
         if !status.awaits_fallback_confirmation {
             return None;
         }
-        let awaits_fallback_confirmation =
+        let unconfirmed_nodes =
             NodeSet::first(status.members).without(&status.dead).without(&self.fallback.holders());
         let confirmed = Entry::FallbackPolicyConfirmed(status.fallback_generation);
-        awaits_fallback_confirmation.is_empty().then_some(confirmed)
+        unconfirmed_nodes.is_empty().then_some(confirmed)
     }
 
     /// When the leases that the previous leader may have granted have ended.
-    fn former_leases_end(&self, leadership: &Leadership) -> Duration {
+    fn previous_leases_end(&self, leadership: &Leadership) -> Duration {
         leadership.since.saturating_add(self.config.upper_bound(self.config.lease))
     }
 
     /// Notes since when each node that is not present has been missing.
-    fn note_missing_nodes(&mut self) {
+    fn record_missing_nodes(&mut self) {
         let Some(applied) = &self.applied else { return };
         let missing = NodeSet::first(applied.status.members).without(&self.present_nodes());
         let since = |node| self.missing.get(&node).copied().unwrap_or(self.now);
@@ -75,7 +75,7 @@
     /// The next time at which the leader may have something to propose.
     pub(super) fn leader_wake(&self) -> Option<Duration> {
         let leadership = self.leadership.as_ref()?;
-        let former_leases = Some(self.former_leases_end(leadership));
+        let previous_leases = Some(self.previous_leases_end(leadership));
         let retry = self
             .proposed
             .as_ref()
@@ -85,7 +85,7 @@
         let canary = canary.map(|(canary, in_force)| {
             in_force.since.saturating_add(Duration::from_secs(canary.terms.seconds.into()))
         });
-        let times = [former_leases, retry, canary].into_iter().flatten();
+        let times = [previous_leases, retry, canary].into_iter().flatten();
         times.filter(|at| *at > self.now).min()
     }
 }
--- a/crates/revision/src/leases/messages.rs
+++ b/crates/revision/src/leases/messages.rs
@@ -33,7 +33,7 @@
                 let sent_at = Duration::from_micros(sent_at_us);
                 if self.take_response(from, incarnation, sent_at) {
                     self.parent.record_response(self.now);
-                    self.take_grant(sent_at, generation, Duration::from_micros(duration_us));
+                    self.extend_lease(sent_at, generation, Duration::from_micros(duration_us));
                     self.learn_if_behind(from, generation, actions);
                 }
             }
@@ -98,7 +98,7 @@
     }
 
     /// Extends the own lease. It counts from the request on, and no longer than a lease lasts, whatever was granted.
-    fn take_grant(&mut self, sent_at: Duration, generation: Generation, duration: Duration) {
+    fn extend_lease(&mut self, sent_at: Duration, generation: Generation, duration: Duration) {
         let own = self.generation();
         if self.applied.is_none() || generation.epoch != own.epoch || generation > own {
             return;
@@ -125,7 +125,7 @@
 
     fn on_rejection(&mut self, from: NodeId, reason: LeaseRejection, actions: &mut Vec<Action>) {
         match reason {
-            LeaseRejection::Full => actions.push(Action::ChangeParent { than: from }),
+            LeaseRejection::Full => actions.push(Action::ChangeParent { current: from }),
             // One of the two has to catch up; another parent would reject the request as well.
             LeaseRejection::Generation => self.parent.record_response(self.now),
             LeaseRejection::Lease => {}
--- a/crates/revision/src/leases/status.rs
+++ b/crates/revision/src/leases/status.rs
@@ -16,24 +16,24 @@
     /// The generation that it acts on.
     pub generation: Generation,
     /// The nodes at and below it that were heard of recently at this generation.
-    pub here: NodeSet,
+    pub present: NodeSet,
     /// The nodes at and below it that hold the agreed fallback policy.
-    pub fallback_policy: NodeSet,
+    pub fallback_holders: NodeSet,
     /// What it keeps to without a lease: the mandatory fallback until it knows which policy it held before.
-    pub past: Arc<FallbackPolicy>,
+    pub fallback_policy: Arc<FallbackPolicy>,
     /// At the leader: the nodes that were not heard of at this generation, and since when on its clock.
-    pub behind: Vec<(NodeId, Duration)>,
+    pub missing: Vec<(NodeId, Duration)>,
 }
 
 impl Leases {
     /// The status for operators.
-    pub fn seen(&self) -> LeaseStatus {
+    pub fn status(&self) -> LeaseStatus {
         LeaseStatus {
             generation: self.generation(),
-            here: self.present_nodes(),
-            fallback_policy: self.fallback.holders(),
-            past: self.fallback.policy().clone(),
-            behind: self.missing.iter().map(|(node, since)| (*node, *since)).collect(),
+            present: self.present_nodes(),
+            fallback_holders: self.fallback.holders(),
+            fallback_policy: self.fallback.policy().clone(),
+            missing: self.missing.iter().map(|(node, since)| (*node, *since)).collect(),
         }
     }
 }
--- a/crates/revision/src/lists.rs
+++ b/crates/revision/src/lists.rs
@@ -56,7 +56,7 @@
     /// The newest version of the own list.
     newest: u64,
     /// The oldest version that may be acted on.
-    floor: u64,
+    oldest_allowed: u64,
     peer_stops: BTreeMap<String, PeerStop>,
     /// The versions that peers have last reported.
     peer_versions: BTreeMap<NodeId, u64>,
@@ -73,8 +73,8 @@
         let mut is_changed = false;
         let mut new_stops = Vec::new();
         match event {
-            Event::Own { version, whole, entries } => {
-                new_stops = self.on_own_list(version, whole, entries);
+            Event::OwnList { version, is_complete, entries } => {
+                new_stops = self.on_own_list(version, is_complete, entries);
                 is_changed = true;
             }
             Event::VersionsReset => self.reset_versions(),
@@ -82,7 +82,7 @@
                 new_stops = self.on_message(from, message, actions);
                 is_changed = !new_stops.is_empty();
             }
-            Event::FallbackFloor(floor) => self.floor = floor,
+            Event::OldestAllowedVersion(version) => self.oldest_allowed = version,
             Event::Due => {}
         }
         self.expire_stops();
@@ -133,7 +133,7 @@
         }
         let last = self.own.insert(name.clone(), OwnEntry { version, phase });
         if self.own.len() >= MAX_TRACKED_UPSTREAMS {
-            self.forget_one_gone_except(&name);
+            self.forget_ended_upstream_except(&name);
         }
         if self.peer_stops.get(&name).is_some_and(|stop| version > stop.version) {
             self.peer_stops.remove(&name);
@@ -145,11 +145,11 @@
     }
 
     /// Forgets one upstream that is gone, to make room.
-    fn forget_one_gone_except(&mut self, name: &str) {
+    fn forget_ended_upstream_except(&mut self, name: &str) {
         let mut own = self.own.iter();
-        let gone = own.find(|(other, entry)| entry.phase == Phase::Ended && *other != name);
-        if let Some(gone) = gone.map(|(gone, _)| gone.clone()) {
-            self.own.remove(&gone);
+        let ended = own.find(|(other, entry)| entry.phase == Phase::Ended && *other != name);
+        if let Some(ended) = ended.map(|(ended, _)| ended.clone()) {
+            self.own.remove(&ended);
         }
     }
 
@@ -176,7 +176,7 @@
         }
         let mut new_stops = Vec::new();
         for stop in message.stops {
-            if self.take_peer_stop(&stop) {
+            if self.record_peer_stop(&stop) {
                 new_stops.push(stop);
             }
         }
@@ -190,7 +190,7 @@
     }
 
     /// Takes in a peer's stop. Returns whether it is new.
-    fn take_peer_stop(&mut self, stop: &Stop) -> bool {
+    fn record_peer_stop(&mut self, stop: &Stop) -> bool {
         if stop.name.len() > MAX_NAME_BYTES {
             return false;
         }
@@ -201,7 +201,7 @@
         {
             return false;
         }
-        let has_room = self.peer_stops.len() < MAX_TRACKED_UPSTREAMS;
+        let has_capacity = self.peer_stops.len() < MAX_TRACKED_UPSTREAMS;
         let new = PeerStop {
             version: stop.version,
             ended: stop.ended,
@@ -214,7 +214,7 @@
                 *known = new;
                 true
             }
-            None if has_room => {
+            None if has_capacity => {
                 self.peer_stops.insert(stop.name.clone(), new);
                 true
             }
@@ -234,7 +234,7 @@
 
     /// Whether the own list is older than the agreed policy allows.
     pub fn is_stale(&self) -> bool {
-        self.newest < self.floor
+        self.newest < self.oldest_allowed
     }
 
     /// Whether the own list states that the upstream serves, and no peer has stopped it.
@@ -248,7 +248,10 @@
     /// With a list that is too old these are only the ones of the fallback policy, which no revision excludes. If that
     /// leaves none, they are all open ones: sending to an upstream that is gone costs a connection, refusing every
     /// request costs all of them.
-    pub fn among<'a>(&self, upstreams: impl IntoIterator<Item = (&'a str, bool)>) -> Vec<&'a str> {
+    pub fn select_allowed<'a>(
+        &self,
+        upstreams: impl IntoIterator<Item = (&'a str, bool)>,
+    ) -> Vec<&'a str> {
         let open: Vec<(&str, bool)> =
             upstreams.into_iter().filter(|(name, _)| self.is_open(name)).collect();
         let is_restricted = self.is_stale() && open.iter().any(|(_, is_fallback)| *is_fallback);
--- a/crates/revision/src/lists/interface.rs
+++ b/crates/revision/src/lists/interface.rs
@@ -59,11 +59,11 @@
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
     /// Its own discovery has delivered a list or an update.
-    Own {
+    OwnList {
         /// The version of the list.
         version: u64,
         /// Whether the list is complete: upstreams that it does not name are gone.
-        whole: bool,
+        is_complete: bool,
         /// Upstreams by name.
         entries: Vec<(String, Phase)>,
     },
@@ -77,7 +77,7 @@
         message: ListMessage,
     },
     /// The agreed policy states the oldest version of the list that may be acted on.
-    FallbackFloor(u64),
+    OldestAllowedVersion(u64),
     /// The time of [`Action::WakeAt`] has come.
     Due,
 }
@@ -87,7 +87,7 @@
 pub enum Action {
     /// Send the message to all neighbours in the dissemination tree.
     Broadcast(ListMessage),
-    /// The upstreams that may be sent to have changed: ask [`Lists::among`](super::Lists::among).
+    /// The upstreams that may be sent to have changed: ask [`Lists::select_allowed`](super::Lists::select_allowed).
     Changed,
     /// Poll the own discovery now: a peer has a newer list.
     Poll {
--- a/crates/revision/src/policy_state.rs
+++ b/crates/revision/src/policy_state.rs
@@ -43,7 +43,7 @@
     ///
     /// # Errors
     /// If a part of `bootstrap` is invalid.
-    pub fn found(bootstrap: Bootstrap) -> Result<Self, BootstrapError> {
+    pub fn bootstrap(bootstrap: Bootstrap) -> Result<Self, BootstrapError> {
         let Bootstrap { members, mandatory_fallback, fallback_policy, document } = bootstrap;
         if !(1..=MAX_NODES).contains(&members) {
             return Err(BootstrapError::NodeSet { found: members });
@@ -113,9 +113,9 @@
             Entry::FallbackPolicy(_, target, facts) => {
                 self.propose_fallback_change(index, target, &facts)
             }
-            Entry::Confirm(_, number) => self.confirm_canary(number),
-            Entry::Dead(_, node) => self.mark_dead(node).map(|()| index),
-            Entry::Alive(_, node) => self.mark_alive(node).map(|()| index),
+            Entry::ConfirmCanary(_, number) => self.confirm_canary(number),
+            Entry::MarkDead(_, node) => self.mark_dead(node).map(|()| index),
+            Entry::MarkAlive(_, node) => self.mark_alive(node).map(|()| index),
             Entry::GenerationConfirmed(generation) => {
                 self.confirm_generation(generation);
                 return None;
@@ -159,7 +159,7 @@
     ///
     /// # Errors
     /// The range of retained revisions, if this one is not among them.
-    pub fn kept(&self, number: u64) -> Result<&RetainedRevision, Rejection> {
+    pub fn retained_revision(&self, number: u64) -> Result<&RetainedRevision, Rejection> {
         self.history.get(number).ok_or_else(|| {
             let mut numbers = self.history.revisions().map(|(number, _)| number);
             let oldest = numbers.next().unwrap_or(0);
@@ -196,7 +196,7 @@
 
     /// The result of a command; `None` if it is not in the log, or more than
     /// [`MAX_RESULTS`](crate::history::MAX_RESULTS) commands came after it.
-    pub fn answer(&self, id: CommandId) -> Option<&ProposalResult> {
+    pub fn command_result(&self, id: CommandId) -> Option<&ProposalResult> {
         self.history.result(id)
     }
 
@@ -227,7 +227,7 @@
         facts: &FleetFacts,
     ) -> Result<Difference, Rejection> {
         document.check().map_err(|error| Rejection::Document(error.to_string()))?;
-        let newest = &self.kept(self.state.newest)?.document;
+        let newest = &self.retained_revision(self.state.newest)?.document;
         Ok(Difference::of(newest, document, &self.fleet_conflicts(document, facts)))
     }
 
@@ -236,7 +236,7 @@
     /// # Errors
     /// If the revision is not retained.
     pub fn dry_run_rollback(&self, to: u64, facts: &FleetFacts) -> Result<Difference, Rejection> {
-        self.dry_run(&self.kept(to)?.document, facts)
+        self.dry_run(&self.retained_revision(to)?.document, facts)
     }
 }
 
--- a/crates/revision/src/policy_state/fallback_change.rs
+++ b/crates/revision/src/policy_state/fallback_change.rs
@@ -41,7 +41,7 @@
     ) -> Result<u64, Rejection> {
         let Some(change) = &mut self.state.fallback_change else { return Ok(index) };
         if *target != self.state.fallback_policy {
-            return Err(Rejection::Changing { since: change.proposed_at });
+            return Err(Rejection::FallbackChangeInProgress { since: change.proposed_at });
         }
         if change.is_started {
             // What is in force stays made of both policies until the next generation. The old policy allows all that
--- a/crates/revision/src/policy_state/revisions.rs
+++ b/crates/revision/src/policy_state/revisions.rs
@@ -31,7 +31,7 @@
         options: &ProposalOptions,
         to: u64,
     ) -> Result<u64, Rejection> {
-        let document = (*self.kept(to)?.document).clone();
+        let document = (*self.retained_revision(to)?.document).clone();
         self.accept(index, options, document, Origin::Rollback(options.id, to))
     }
 
@@ -40,7 +40,7 @@
         let Some(canary) = self.state.canary.filter(|canary| canary.revision == number) else {
             return;
         };
-        let Ok(before) = self.kept(canary.before) else { return };
+        let Ok(before) = self.retained_revision(canary.before) else { return };
         let document = (*before.document).clone();
         self.append(index, document, Origin::AutomaticRollback(number, cause));
         self.state.canary = None;
@@ -94,7 +94,7 @@
         let newest = self.state.newest;
         let Some(base) = base.filter(|base| *base != newest) else { return Ok(()) };
         let first = self.history.first_after(base).unwrap_or(newest);
-        Err(Rejection::Lost { base, first, newest })
+        Err(Rejection::StaleBase { base, first, newest })
     }
 
     /// Makes a revision the newest and the next to come into force.
--- a/crates/revision/src/policy_state/snapshot.rs
+++ b/crates/revision/src/policy_state/snapshot.rs
@@ -69,7 +69,7 @@
     ///
     /// # Errors
     /// If it takes more than [`MAX_SNAPSHOT_BYTES`], which the bounds of its parts exclude.
-    pub fn image(&self) -> Result<Vec<u8>, SnapshotError> {
+    pub fn to_snapshot(&self) -> Result<Vec<u8>, SnapshotError> {
         let contents: Vec<&Arc<Document>> = self.history.contents().collect();
         let snapshot = Snapshot {
             version: VERSION,
--- a/crates/revision/src/rejection.rs
+++ b/crates/revision/src/rejection.rs
@@ -15,7 +15,7 @@
         "made against revision {base}, after which {first} came; the newest is {newest}: \
          look at that and propose again"
     )]
-    Lost {
+    StaleBase {
         /// The revision that it was made against.
         base: u64,
         /// The first retained revision after it.
@@ -56,7 +56,7 @@
         "another charter is on its way since entry {since}; wait until everyone has \
          confirmed it, or give the old one again to withdraw it"
     )]
-    Changing {
+    FallbackChangeInProgress {
         /// The index of the entry that proposed the change.
         since: u64,
     },
--- a/crates/revision/src/rules.rs
+++ b/crates/revision/src/rules.rs
@@ -37,7 +37,7 @@
     /// whatever a document states and whatever machines join a cell later.
     pub fn of(document: Document, floor: Arc<FallbackFloor>) -> Self {
         let boxed = |names: &BTreeSet<String>| names.iter().map(|n| n.as_str().into()).collect();
-        let Selection { upstreams, cells, machine_types, zones } = &document.out;
+        let Selection { upstreams, cells, machine_types, zones } = &document.exclusions;
         let exclusion = |(class, cells): (&String, &BTreeSet<u32>)| {
             (class.as_str().into(), cells.iter().copied().collect())
         };
@@ -97,8 +97,8 @@
     }
 
     /// The subset factor.
-    pub fn times(&self) -> f64 {
-        self.document.times.number()
+    pub fn subset_factor(&self) -> f64 {
+        self.document.subset_factor.number()
     }
 
     /// How many balancers the subset is made for, if the document states it.
@@ -135,12 +135,12 @@
             class_exclusions.entry(class.clone()).or_default().extend(cells);
         }
         let document = Document {
-            out: old.out.with(&new.out),
+            exclusions: old.exclusions.with(&new.exclusions),
             class_exclusions,
             attempts: old.attempts.min(new.attempts),
             oldest_list: old.oldest_list.max(new.oldest_list),
             weights: old.weights.clone(),
-            times: old.times,
+            subset_factor: old.subset_factor,
             balancers: old.balancers,
             sessions: old.sessions.clone(),
         };
@@ -152,9 +152,9 @@
     pub fn contradicts(&self, other: &Self) -> Option<Contradiction> {
         let (one, two) = (&self.document, &other.document);
         let is_same_floor = self.floor == other.floor;
-        let is_forbidden = |cell: u32| !is_same_floor || !self.floor.holds(cell);
-        None.or_else(|| selection_contradiction(&one.out, &two.out, is_forbidden))
-            .or_else(|| selection_contradiction(&two.out, &one.out, is_forbidden))
+        let is_forbidden = |cell: u32| !is_same_floor || !self.floor.includes_cell(cell);
+        None.or_else(|| selection_contradiction(&one.exclusions, &two.exclusions, is_forbidden))
+            .or_else(|| selection_contradiction(&two.exclusions, &one.exclusions, is_forbidden))
             .or_else(|| class_contradiction(one, two))
             .or_else(|| (self.attempts() != other.attempts()).then_some(Contradiction::Attempts))
             .or_else(|| (one.oldest_list != two.oldest_list).then_some(Contradiction::List))
--- a/crates/revision/tests/cluster.rs
+++ b/crates/revision/tests/cluster.rs
@@ -233,7 +233,7 @@
 
         let (mut cluster, cut) = fallback_policy(seed, Defect::None, |cluster, cut| {
             cluster.kill(cut);
-            cluster.commit_now(&Entry::Dead(CommandId(9), NodeId(cut as u16)));
+            cluster.commit_now(&Entry::MarkDead(CommandId(9), NodeId(cut as u16)));
         });
         cluster.run(18 * S);
         assert!(
--- a/crates/revision/tests/common/mod.rs
+++ b/crates/revision/tests/common/mod.rs
@@ -47,13 +47,13 @@
 }
 
 pub fn policy() -> PolicyState {
-    PolicyState::found(bootstrap(5)).expect("it can be founded")
+    PolicyState::bootstrap(bootstrap(5)).expect("it can be founded")
 }
 
 /// A document that excludes these cells.
 pub fn without(cells: &[u32]) -> Document {
     let mut document = Document::default();
-    document.out.cells = cells.iter().copied().collect();
+    document.exclusions.cells = cells.iter().copied().collect();
     document
 }
 
--- a/crates/revision/tests/documents.rs
+++ b/crates/revision/tests/documents.rs
@@ -29,7 +29,7 @@
     assert_eq!(postcard::from_bytes::<Document>(&bytes).unwrap(), document);
     let rules = Rules::of(document, floor(&[]));
     assert_eq!(
-        (rules.weight(&place(2)), rules.times(), rules.session_s("log")),
+        (rules.weight(&place(2)), rules.subset_factor(), rules.session_s("log")),
         (0.25, 3.5, Some(600))
     );
     for (json, expected) in [
@@ -48,7 +48,7 @@
         assert!(error.contains(expected), "{json}: {error}");
     }
     let mut long = Document::default();
-    long.out.upstreams =
+    long.exclusions.upstreams =
         (0..400).map(|i| format!("a-rather-long-name-of-an-upstream-{i}")).collect();
     assert!(matches!(long.check(), Err(DocumentError::TooLong { .. })));
 }
@@ -56,7 +56,7 @@
 #[test]
 fn rules_permit_what_the_fallback_floor_allows_whatever_a_document_states() {
     let mut document = without(&[1, 2]);
-    document.out.zones.insert("bilbao".into());
+    document.exclusions.zones.insert("bilbao".into());
     document.class_exclusions.insert("log".into(), BTreeSet::from([1, 6]));
     let rules = Rules::of(document, floor(&[0, 1]));
     let open_cells =
@@ -101,7 +101,7 @@
     assert_eq!(all, [FleetConflict::NoCellForClass { class: "log".into() }]);
     // The load of an excluded zone goes to the others, as far as they have capacity.
     let mut zone = Document::default();
-    zone.out.zones.insert("bilbao".into());
+    zone.exclusions.zones.insert("bilbao".into());
     assert_eq!(facts().fleet_conflicts(&Rules::of(zone.clone(), floor(&[]))), []);
     let full = hollowpaddle_revision::fleet::FleetFacts { load: vec![2500, 2500], ..facts() };
     assert_eq!(full.fleet_conflicts(&Rules::of(zone, floor(&[]))), [shortage("", 5000, 4000)]);
@@ -133,20 +133,25 @@
     let canary = CanaryTerms { seconds: 60, fall: 100 };
     let s = std::time::Duration::from_secs;
     let worth = |before, since, offered_since| {
-        Some(CanaryMetric { before, since, offered_before: 1000, offered_since })
+        Some(CanaryMetric {
+            served_before: before,
+            served_since: since,
+            offered_before: 1000,
+            offered_since,
+        })
     };
-    assert_eq!(canary.verdict(s(59), None), None);
-    assert_eq!(canary.verdict(s(60), None), Some(RollbackCause::NotConfirmed));
-    assert_eq!(canary.verdict(s(10), worth(900, 820, 1000)), None);
+    assert_eq!(canary.rollback_cause(s(59), None), None);
+    assert_eq!(canary.rollback_cause(s(60), None), Some(RollbackCause::NotConfirmed));
+    assert_eq!(canary.rollback_cause(s(10), worth(900, 820, 1000)), None);
     assert_eq!(
-        canary.verdict(s(10), worth(900, 800, 1000)),
+        canary.rollback_cause(s(10), worth(900, 800, 1000)),
         Some(RollbackCause::ServedWorthFell(111))
     );
-    assert_eq!(canary.verdict(s(4), worth(900, 0, 1000)), None, "too early to say");
+    assert_eq!(canary.rollback_cause(s(4), worth(900, 0, 1000)), None, "too early to say");
     // Half as much was offered, and all of it served.
-    assert_eq!(canary.verdict(s(10), worth(900, 450, 500)), None);
-    assert_eq!(canary.verdict(s(10), worth(900, 0, 0)), None);
-    assert_eq!(canary.verdict(s(10), worth(0, 0, 1000)), None);
+    assert_eq!(canary.rollback_cause(s(10), worth(900, 450, 500)), None);
+    assert_eq!(canary.rollback_cause(s(10), worth(900, 0, 0)), None);
+    assert_eq!(canary.rollback_cause(s(10), worth(0, 0, 1000)), None);
 }
 
 fn documents() -> impl Strategy<Value = Document> {
@@ -154,9 +159,9 @@
     (cells(), cells(), proptest::bool::ANY, 1_u8..=3, 0_u64..4).prop_map(
         |(out, kept, zone, attempts, oldest_list)| {
             let mut d = Document { attempts, oldest_list, ..Document::default() };
-            d.out.cells = out;
+            d.exclusions.cells = out;
             if zone {
-                d.out.zones.insert("oviedo".into());
+                d.exclusions.zones.insert("oviedo".into());
             }
             if !kept.is_empty() {
                 d.class_exclusions.insert("log".into(), kept);
--- a/crates/revision/tests/formats.rs
+++ b/crates/revision/tests/formats.rs
@@ -151,11 +151,11 @@
             Entry::FallbackPolicy(CommandId(0x2832), fallback_policy(), Box::new(facts())),
         ),
         ("fallback_confirmed", Entry::FallbackPolicyConfirmed(300)),
-        ("confirm_canary", Entry::Confirm(CommandId(0x2832), 11)),
+        ("confirm_canary", Entry::ConfirmCanary(CommandId(0x2832), 11)),
         ("take_back_unconfirmed", Entry::AutomaticRollback(11, RollbackCause::NotConfirmed)),
         ("take_back_after_fall", Entry::AutomaticRollback(11, RollbackCause::ServedWorthFell(300))),
-        ("node_dead", Entry::Dead(CommandId(0x2832), NodeId(300))),
-        ("node_alive", Entry::Alive(CommandId(0x2832), NodeId(300))),
+        ("node_dead", Entry::MarkDead(CommandId(0x2832), NodeId(300))),
+        ("node_alive", Entry::MarkAlive(CommandId(0x2832), NodeId(300))),
     ]
 }
 
@@ -233,7 +233,7 @@
     vec![
         (
             "made against revision 3, after which 4 came; the newest is 300: look at that and propose again",
-            Rejection::Lost { base: 3, first: 4, newest: 300 },
+            Rejection::StaleBase { base: 3, first: 4, newest: 300 },
         ),
         (
             "revision 3 is not kept; expected one of 4 to 300",
@@ -253,7 +253,7 @@
         (
             "another charter is on its way since entry 300; wait until everyone has confirmed it, \
              or give the old one again to withdraw it",
-            Rejection::Changing { since: 300 },
+            Rejection::FallbackChangeInProgress { since: 300 },
         ),
         (
             "there is no balancer 300 in a bank of 5",
@@ -279,7 +279,7 @@
         Entry::AutomaticRollback(5, RollbackCause::NotConfirmed),
         canary(8),
         Entry::AutomaticRollback(8, RollbackCause::ServedWorthFell(300)),
-        Entry::Dead(CommandId(10), NodeId(3)),
+        Entry::MarkDead(CommandId(10), NodeId(3)),
         common::propose(11, Some(3), without(&[2])),
         rollback(12, None, 1),
         canary(13),
@@ -328,7 +328,7 @@
     next(&mut confirmed, &Entry::FallbackPolicyConfirmed(4));
     let cases =
         vec![("bootstrap", policy()), ("busy", busy_state()), ("fallback_confirmed", confirmed)];
-    let write = |policy: &PolicyState| policy.image().unwrap();
+    let write = |policy: &PolicyState| policy.to_snapshot().unwrap();
     let read = |bytes: &[u8]| PolicyState::from_snapshot(bytes).unwrap();
     assert_bytes(include_str!("formats/snapshots.txt"), &cases, write, read);
 }
--- a/crates/revision/tests/leases.rs
+++ b/crates/revision/tests/leases.rs
@@ -96,7 +96,7 @@
     }
 
     fn generation(&self) -> Generation {
-        self.leases.seen().generation
+        self.leases.status().generation
     }
 
     fn until(&self) -> u64 {
@@ -180,7 +180,7 @@
         reason: LeaseRejection::Generation,
     };
     assert_eq!(one.request_lease(1700, 5, 1, 0, 0), expected);
-    assert_eq!(one.leases.seen().here.len(), 1, "and is not counted as being here");
+    assert_eq!(one.leases.status().present.len(), 1, "and is not counted as being here");
     // A child at a later generation is a source to learn from.
     one.request_lease(1800, 5, 1, 9, 9);
     assert!(one.actions.contains(&Action::Learn { from: NodeId(5), generation: generation(9) }));
@@ -358,8 +358,12 @@
     let mut policy = policy();
     next(&mut policy, &Entry::Propose(Box::new(options), Box::new(without(&[2]))));
     common::settle(&mut policy);
-    let fall =
-        Some(CanaryMetric { before: 900, since: 700, offered_before: 1000, offered_since: 1000 });
+    let fall = Some(CanaryMetric {
+        served_before: 900,
+        served_since: 700,
+        offered_before: 1000,
+        offered_since: 1000,
+    });
     for leads in [true, false] {
         let mut one = Balancer::usual();
         one.apply(0, &policy);
--- a/crates/revision/tests/lists.rs
+++ b/crates/revision/tests/lists.rs
@@ -15,9 +15,9 @@
 }
 
 fn own(version: u64, whole: bool, entries: &[(&str, Phase)]) -> Event {
-    Event::Own {
+    Event::OwnList {
         version,
-        whole,
+        is_complete: whole,
         entries: entries.iter().map(|(n, p)| (n.to_string(), *p)).collect(),
     }
 }
@@ -32,7 +32,7 @@
 
 /// The open upstreams; the fallback policy allows `a`.
 fn open(lists: &Lists) -> String {
-    lists.among(NAMES.map(|n| (n, n == "a"))).concat()
+    lists.select_allowed(NAMES.map(|n| (n, n == "a"))).concat()
 }
 
 fn all(lists: &mut Lists, version: u64) {
@@ -94,7 +94,7 @@
 fn stale_list_restricts_to_fallback_upstreams_unless_none_is_open() {
     let (mut lists, mut actions) = (Lists::default(), vec![]);
     all(&mut lists, 5);
-    lists.handle(s(2), Event::FallbackFloor(6), &mut actions);
+    lists.handle(s(2), Event::OldestAllowedVersion(6), &mut actions);
     assert_eq!(open(&lists), "a");
     assert!(actions.contains(&Action::Changed));
     lists.handle(s(2), message(7, vec![stop("a", 7)]), &mut actions);
--- a/crates/revision/tests/policy_state.rs
+++ b/crates/revision/tests/policy_state.rs
@@ -41,7 +41,7 @@
     let one = next(&mut policy, &propose(1, Some(0), without(&[2])));
     let two = next(&mut policy, &propose(2, Some(0), without(&[3])));
     assert_eq!(one.answered, Some((CommandId(1), Ok(1))));
-    let stale = Rejection::Lost { base: 0, first: 1, newest: 1 };
+    let stale = Rejection::StaleBase { base: 0, first: 1, newest: 1 };
     assert_eq!(two.answered, Some((CommandId(2), Err(stale.clone()))));
     // A repeated command gets the same result and has no further effect.
     assert_eq!(
@@ -52,9 +52,9 @@
         next(&mut policy, &propose(1, Some(1), without(&[3]))).answered,
         Some((CommandId(1), Ok(1)))
     );
-    assert_eq!(policy.answer(CommandId(1)).map(|a| a.outcome.clone()), Some(Ok(1)));
+    assert_eq!(policy.command_result(CommandId(1)).map(|a| a.outcome.clone()), Some(Ok(1)));
     assert_eq!(policy.newest(), 1);
-    assert_eq!(policy.answer(CommandId(3)), None);
+    assert_eq!(policy.command_result(CommandId(3)), None);
 }
 
 #[test]
@@ -114,7 +114,10 @@
     let mut fleet = facts();
     fleet.groups.retain(|g| g.cell != 2 && g.cell != 3);
     let difference = policy.dry_run_rollback(1, &fleet).unwrap();
-    assert!(difference.out.cells.contains(&2) && difference.back.cells.contains(&3));
+    assert!(
+        difference.added_exclusions.cells.contains(&2)
+            && difference.removed_exclusions.cells.contains(&3)
+    );
     assert!(
         difference.fleet_conflicts[0].contains("no pod `2`"),
         "{:?}",
@@ -163,14 +166,14 @@
     next(&mut policy, &Entry::AutomaticRollback(number, RollbackCause::NotConfirmed));
     assert_eq!(policy.newest(), second, "it is not that one's trial any more");
     next(&mut policy, &Entry::AutomaticRollback(second, RollbackCause::NotConfirmed));
-    let late = next(&mut policy, &Entry::Confirm(CommandId(4), second)).answered.unwrap().1;
+    let late = next(&mut policy, &Entry::ConfirmCanary(CommandId(4), second)).answered.unwrap().1;
     assert_eq!(late, Err(Rejection::NotOnCanary { number: second }));
     settle(&mut policy);
     assert_eq!(open_cells(&policy), [0, 1, 3, 4, 5, 6, 7]);
     // A confirmed canary stays.
     let third = next(&mut policy, &canary(5, &[7])).answered.unwrap().1.unwrap();
     assert_eq!(
-        next(&mut policy, &Entry::Confirm(CommandId(6), third)).answered.unwrap().1,
+        next(&mut policy, &Entry::ConfirmCanary(CommandId(6), third)).answered.unwrap().1,
         Ok(third)
     );
     next(&mut policy, &Entry::AutomaticRollback(third, RollbackCause::NotConfirmed));
@@ -193,8 +196,8 @@
     assert_eq!(status.fallback_policy.cells, [0, 4].into(), "one keeps to what both allow");
     assert!(
         status.awaits_fallback_confirmation
-            && status.rules.floor().holds(1)
-            && status.rules.floor().holds(6)
+            && status.rules.floor().includes_cell(1)
+            && status.rules.floor().includes_cell(6)
     );
     // Until it is confirmed neither may be forbidden, and no other change is accepted.
     for (id, cell) in [(2, 1), (3, 6)] {
@@ -206,7 +209,7 @@
     }
     assert!(matches!(
         next(&mut policy, &change(4, &[0, 4])).answered.unwrap().1,
-        Err(Rejection::Changing { .. })
+        Err(Rejection::FallbackChangeInProgress { .. })
     ));
     settle(&mut policy);
     next(&mut policy, &Entry::FallbackPolicyConfirmed(status.fallback_generation + 7));
@@ -236,7 +239,7 @@
     assert_eq!(policy.status().fallback_policy.cells, [0, 4].into());
     next(&mut policy, &change(10, &[0, 4, 6]));
     // A regression: the state decoded from a snapshot differed until the next generation.
-    assert_eq!(PolicyState::from_snapshot(&policy.image().unwrap()).unwrap(), policy);
+    assert_eq!(PolicyState::from_snapshot(&policy.to_snapshot().unwrap()).unwrap(), policy);
     settle(&mut policy);
     assert_eq!(
         (policy.status().fallback_policy.cells.len(), policy.status().awaits_fallback_confirmation),
@@ -247,11 +250,11 @@
 #[test]
 fn operators_mark_nodes_dead_and_alive() {
     let mut policy = policy();
-    next(&mut policy, &Entry::Dead(CommandId(1), NodeId(3)));
+    next(&mut policy, &Entry::MarkDead(CommandId(1), NodeId(3)));
     assert!(policy.status().dead.contains(NodeId(3)));
-    next(&mut policy, &Entry::Alive(CommandId(2), NodeId(3)));
+    next(&mut policy, &Entry::MarkAlive(CommandId(2), NodeId(3)));
     assert!(policy.status().dead.is_empty());
-    let refused = next(&mut policy, &Entry::Dead(CommandId(3), NodeId(5))).answered.unwrap().1;
+    let refused = next(&mut policy, &Entry::MarkDead(CommandId(3), NodeId(5))).answered.unwrap().1;
     assert_eq!(refused, Err(Rejection::UnknownNode { member: 5, members: 5 }));
 }
 
@@ -262,14 +265,14 @@
         // 1 kB each, all different.
         let mut document = without(&[2]);
         let name = |k: u32| format!("machine-of-the-fleet-{k:06}-{i:04}");
-        document.out.upstreams = (0..30).map(name).collect();
+        document.exclusions.upstreams = (0..30).map(name).collect();
         let mut proposal = options(u128::from(i), None);
         (proposal.forced, proposal.facts) = (true, FleetFacts::default());
         next(&mut policy, &Entry::Propose(Box::new(proposal), Box::new(document)));
         settle(&mut policy);
     }
     assert_eq!(policy.revisions().count(), MAX_REVISIONS);
-    let image = policy.image().unwrap();
+    let image = policy.to_snapshot().unwrap();
     println!("an image of 1,000 revisions of 1 kB and 2,000 answers: {} bytes", image.len());
     assert!((1_000_000..1_300_000).contains(&image.len()), "{}", image.len());
     let mut other = PolicyState::from_snapshot(&image).unwrap();
@@ -283,23 +286,30 @@
         assert!(PolicyState::from_snapshot(&image[..cut]).is_err());
     }
     // A thousand rollbacks between two contents share these.
-    let before = policy.image().unwrap().len();
+    let before = policy.to_snapshot().unwrap().len();
     let last: Vec<u64> = policy.revisions().rev().take(2).map(|(n, _)| n).collect();
     for i in 0..1000 {
         let mut proposal = options(1_000_000 + i, None);
         proposal.forced = true;
         next(&mut policy, &Entry::Rollback(Box::new(proposal), last[i as usize % 2]));
     }
-    assert!(policy.image().unwrap().len() < before / 8, "{}", policy.image().unwrap().len());
+    assert!(
+        policy.to_snapshot().unwrap().len() < before / 8,
+        "{}",
+        policy.to_snapshot().unwrap().len()
+    );
 }
 
 #[test]
 fn results_are_remembered_up_to_a_bound() {
     let mut policy = policy();
     for i in 0..MAX_RESULTS as u128 + 10 {
-        next(&mut policy, &Entry::Confirm(CommandId(i), 7));
+        next(&mut policy, &Entry::ConfirmCanary(CommandId(i), 7));
     }
-    assert_eq!((policy.answer(CommandId(9)), policy.answer(CommandId(10)).is_some()), (None, true));
+    assert_eq!(
+        (policy.command_result(CommandId(9)), policy.command_result(CommandId(10)).is_some()),
+        (None, true)
+    );
 }
 
 fn entries() -> impl Strategy<Value = (u8, u8, u8, bool)> {
@@ -328,7 +338,7 @@
                     Entry::FallbackPolicy(id, fallback_policy, Box::new(facts()))
                 }
                 7 => Entry::FallbackPolicyConfirmed(status.fallback_generation),
-                8 if flag => Entry::Confirm(id, policy.newest()),
+                8 if flag => Entry::ConfirmCanary(id, policy.newest()),
                 _ => Entry::AutomaticRollback(policy.newest(), RollbackCause::NotConfirmed),
             };
             let before = open_cells(&policy);
@@ -347,7 +357,7 @@
                 prop_assert!(number <= now.index);
             }
             if at % 7 == 0 {
-                other = PolicyState::from_snapshot(&other.image().unwrap()).unwrap();
+                other = PolicyState::from_snapshot(&other.to_snapshot().unwrap()).unwrap();
             }
             prop_assert_eq!(&policy, &other);
         }
@@ -367,7 +377,7 @@
         one.apply(2, &torn);
         one.apply(3, &entry[..at]);
         prop_assert!(one.apply(4, &[&entry[..], &[0]].concat()).unreadable.is_some());
-        let mut image = policy().image().unwrap();
+        let mut image = policy().to_snapshot().unwrap();
         let at = at % image.len();
         image[at] ^= 0x41;
         let _ = PolicyState::from_snapshot(&image);
--- a/crates/revision/tests/sim/mod.rs
+++ b/crates/revision/tests/sim/mod.rs
@@ -164,7 +164,7 @@
 impl Simulation {
     pub fn new(seed: u64, setting: Setting) -> Self {
         let members = setting.members;
-        let policy = PolicyState::found(common::bootstrap(members as u16)).unwrap();
+        let policy = PolicyState::bootstrap(common::bootstrap(members as u16)).unwrap();
         let always = [0, 4].iter().fold(1 << 16, |all, cell| all | 1 << cell | 1 << (cell + 8));
         let mut sim = Self {
             rng: Rand64::new(u128::from(seed) << 8 | 5),
@@ -495,7 +495,7 @@
         if let Some(to) =
             status.target_revision.filter(|_| self.setting.defect == Defect::NoRestrictPhase)
         {
-            let document = (*self.policy.kept(to).unwrap().document).clone();
+            let document = (*self.policy.retained_revision(to).unwrap().document).clone();
             status.rules = Arc::new(Rules::of(document, status.rules.floor().clone()));
         }
         let early = status.awaits_fallback_confirmation.then_some(status.fallback_generation);
@@ -715,7 +715,8 @@
         let complete = complete
             .max(self.log.iter().rposition(|s| s.awaits_fallback_confirmation).unwrap_or(0));
         let length = (self.log.len() - lost_entries.min(self.log.len() - 1)).max(complete + 1);
-        self.policy = PolicyState::found(common::bootstrap(self.setting.members as u16)).unwrap();
+        self.policy =
+            PolicyState::bootstrap(common::bootstrap(self.setting.members as u16)).unwrap();
         for index in 1..length {
             self.policy.apply(index as u64, &self.entries[index]);
         }
