--- a/crates/revision/src/canary.rs
+++ b/crates/revision/src/canary.rs
@@ -1,4 +1,5 @@
-//! Decides when a canary revision is rolled back; the leader supplies time and metrics, and proposes the rollback.
+//! Decides when a canary revision is rolled back. The leader supplies the time and the metrics, and proposes the
+//! rollback.
 
 use std::time::Duration;
 
@@ -8,46 +9,46 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct CanaryTerms {
-    /// The revision is rolled back unless it is confirmed within this time after it came into force; in seconds, 1 to
-    /// [`MAX_CANARY_SECONDS`].
+    /// Time after the revision came into force at which it is rolled back unless it has been confirmed; in seconds, 1
+    /// to [`MAX_CANARY_SECONDS`].
     pub seconds: u32,
-    /// The revision is rolled back when the priority weight served by the cluster falls by more than this; in
-    /// thousandths, 1 to 1000. At 1000 it is never rolled back for this reason.
+    /// Fall of the served share of the offered priority weight beyond which the revision is rolled back; in
+    /// thousandths, 1 to 1000. At 1000 the revision is never rolled back for a fall.
     pub fall: u16,
 }
 
-/// The longest canary, in seconds.
+/// Maximum duration of a canary, in seconds.
 pub const MAX_CANARY_SECONDS: u32 = 3600;
-/// No fall is looked for in this time after a revision came into force, so that earlier requests can finish.
+/// Time after a revision came into force during which the metric is ignored, so that earlier requests can finish.
 pub const SETTLE_TIME: Duration = Duration::from_secs(5);
-/// The unit of [`CanaryTerms::fall`]: so many parts make the whole.
+/// Number of units of [`CanaryTerms::fall`] in the whole.
 const THOUSANDTHS: u16 = 1000;
 
-/// Priority weight served by the whole cluster, in thousandths per second.
+/// Priority weight offered to and served by the whole cluster, in thousandths per second.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub struct CanaryMetric {
-    /// Mean weight served over a period before the revision came into force.
+    /// Mean weight served during a period before the revision came into force.
     pub served_before: u64,
-    /// Mean weight served over a period since.
+    /// Mean weight served during a period after the revision came into force.
     pub served_since: u64,
-    /// Mean weight offered before. A cluster that is offered half as much serves half as much by no fault of a
-    /// revision.
+    /// Mean weight offered during the period before. A cluster that is offered half as much serves half as much,
+    /// without any fault of the revision.
     pub offered_before: u64,
-    /// Mean weight offered since.
+    /// Mean weight offered during the period after.
     pub offered_since: u64,
 }
 
-/// Why a canary was rolled back.
+/// The cause for which a canary was rolled back.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum RollbackCause {
-    /// Nobody confirmed it in time.
+    /// The canary was not confirmed in time.
     NotConfirmed,
-    /// The served share of the offered weight fell by so many thousandths.
+    /// The served share of the offered priority weight fell by this many thousandths.
     ServedWorthFell(u16),
 }
 
 impl CanaryMetric {
-    /// How far the served share of the offered weight has fallen, in thousandths; `None` without data of both periods.
+    /// Returns the fall of the served share of the offered weight, in thousandths; `None` without data of both periods.
     fn fall(&self) -> Option<u16> {
         let before = served_share(self.served_before, self.offered_before)?;
         let since = served_share(self.served_since, self.offered_since)?;
@@ -61,13 +62,13 @@
 }
 
 impl CanaryTerms {
-    /// Whether the terms are within their bounds.
+    /// Returns whether the terms are within their bounds.
     pub fn is_valid(&self) -> bool {
         (1..=MAX_CANARY_SECONDS).contains(&self.seconds) && (1..=THOUSANDTHS).contains(&self.fall)
     }
 
-    /// Whether, and why, a canary that has been in force for `since` without a confirmation is to be rolled back.
-    /// Without a metric only the time decides.
+    /// Returns the cause for a rollback of a canary that has been in force for `since` without a confirmation; `None`
+    /// if the canary continues. Without a metric only the time decides.
     pub fn rollback_cause(
         &self,
         since: Duration,
--- a/crates/revision/src/difference.rs
+++ b/crates/revision/src/difference.rs
@@ -1,4 +1,4 @@
-//! Describes to operators what one document would change against another; decides nothing.
+//! Describes to operators the difference between two documents. Nothing is decided by it.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,51 +8,51 @@
 use crate::figures::Weight;
 use crate::fleet::FleetConflict;
 
-/// A value before and after.
+/// The old and the new value of a field.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Changed<T> {
-    /// The value in the newest revision.
+    /// The value in the old document.
     pub from: T,
-    /// The value that it would have.
+    /// The value in the new document.
     pub to: T,
 }
 
-/// What would change. The admin API serves it as JSON.
+/// The difference between an old and a new document. The admin API serves it as JSON.
 #[derive(Clone, Debug, Default, PartialEq, Serialize)]
 pub struct Difference {
-    /// What would be excluded and is not.
+    /// The parts of the fleet that only the new document excludes.
     #[serde(rename = "out")]
     pub added_exclusions: Selection,
-    /// What is excluded and would not be.
+    /// The parts of the fleet that only the old document excludes.
     #[serde(rename = "back")]
     pub removed_exclusions: Selection,
-    /// Weights by what they apply to; 1 where none is stated.
+    /// Changed weights by the part of the fleet, with 1 for a part without a stated weight.
     pub weights: BTreeMap<String, Changed<f64>>,
-    /// Classes and cells that would be excluded and are not.
+    /// Pairs of a class and a cell that only the new document excludes.
     #[serde(rename = "kept")]
     pub added_class_exclusions: BTreeSet<(String, u32)>,
-    /// Classes and cells that are excluded and would not be.
+    /// Pairs of a class and a cell that only the old document excludes.
     #[serde(rename = "free")]
     pub removed_class_exclusions: BTreeSet<(String, u32)>,
-    /// The most attempts of one request.
+    /// Maximum number of attempts of one request.
     pub attempts: Option<Changed<u8>>,
     /// The subset factor.
     #[serde(rename = "times")]
     pub subset_factor: Option<Changed<f64>>,
-    /// How many balancers the subset is made for.
+    /// Number of balancers for which the subset is calculated.
     pub balancers: Option<Changed<Option<u16>>>,
-    /// Lifetimes of sessions by class, in seconds; 0 for no sessions.
+    /// Lifetimes of sessions by class, in seconds; 0 for a class without sessions.
     pub sessions: BTreeMap<String, Changed<u32>>,
     /// The oldest endpoint list that may be acted on.
     #[serde(rename = "eldest_list")]
     pub oldest_list: Option<Changed<u64>>,
-    /// How the document conflicts with the fleet and the fallback policy.
+    /// Conflicts of the new document with the fleet and the fallback policy.
     #[serde(rename = "misfits")]
     pub fleet_conflicts: Vec<String>,
 }
 
 impl Difference {
-    /// Compares two documents. `fleet_conflicts` are those of `to`.
+    /// Compares two documents. `fleet_conflicts` are the conflicts of `to`.
     pub fn of(from: &Document, to: &Document, fleet_conflicts: &[FleetConflict]) -> Self {
         let (old_exclusions, new_exclusions) = (class_exclusions(from), class_exclusions(to));
         Self {
@@ -94,7 +94,7 @@
     all
 }
 
-/// The weights by a label in the users' words, such as `pod 3`.
+/// Returns the weights by the label of their part of the fleet in the admin API, such as `pod 3`.
 fn labelled_weights(document: &Document) -> BTreeMap<String, Weight> {
     let weights = &document.weights;
     let cells = weights.cells.iter().map(|(cell, weight)| (format!("pod {cell}"), *weight));
--- a/crates/revision/src/document.rs
+++ b/crates/revision/src/document.rs
@@ -1,5 +1,6 @@
-//! The content of a routing revision as operators write it, and the bounds of each field. Whether it fits the fleet
-//! and the fallback policy is checked in [`fleet`](crate::fleet); requests read [`rules`](crate::rules) made of it.
+//! The content of a routing revision as operators write it, and the bounds of each field. The module
+//! [`fleet`](crate::fleet) checks whether a document fits the fleet and the fallback policy; requests read the
+//! [`rules`](crate::rules) that are built from the document.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -7,32 +8,32 @@
 
 use crate::figures::{SubsetFactor, Weight};
 
-/// The longest encoded document, in bytes. A log entry also carries the facts about the fleet.
+/// Maximum length of an encoded document, in bytes. It leaves room in the log entry for the facts about the fleet.
 pub const MAX_DOCUMENT_BYTES: usize = 10 << 10;
-/// The longest JSON text that is read, in bytes; it bounds the memory that a request to the admin API takes.
+/// Maximum length of a JSON text, in bytes. It bounds the memory that a request to the admin API takes.
 pub const MAX_JSON_BYTES: usize = 64 << 10;
-/// The longest name of an upstream, machine type, zone or class, in bytes.
+/// Maximum length of the name of an upstream, machine type, zone or class, in bytes.
 pub const MAX_NAME_BYTES: usize = 64;
-/// The most upstreams in one list of a document. Larger sets are named by cell, machine type or zone.
+/// Maximum number of upstreams in one list of a document. Larger sets are named by cell, machine type or zone.
 pub const MAX_LISTED_UPSTREAMS: usize = 512;
-/// The most cells in one list of a document.
+/// Maximum number of cells in one list of a document.
 pub const MAX_LISTED_CELLS: usize = 512;
-/// The most machine types, zones or classes in one list of a document.
+/// Maximum number of machine types, zones or classes in one list of a document.
 pub const MAX_LISTED_NAMES: usize = 64;
-/// The most attempts of one request: the rule of the platform.
+/// Maximum number of attempts of one request, as the platform prescribes.
 pub const MAX_ATTEMPTS: u8 = 3;
-/// The longest lifetime of a session, in seconds: one day.
+/// Maximum lifetime of a session, in seconds: one day.
 pub const MAX_SESSION_S: u32 = 86_400;
-/// The most balancers that a document can state for the subset.
+/// Maximum of [`Document::balancers`].
 pub const MAX_SUBSET_BALANCERS: u16 = 1000;
 
-/// A part of the fleet: every upstream that one of the lists names.
+/// A part of the fleet: every upstream that at least one of the lists covers.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Selection {
     /// Upstreams by name.
     pub upstreams: BTreeSet<String>,
-    /// Cells by number; no two zones share a number.
+    /// Cells by number. Cell numbers are unique across zones.
     #[serde(rename = "pods")]
     pub cells: BTreeSet<u32>,
     /// Machine types by name.
@@ -44,12 +45,12 @@
 }
 
 impl Selection {
-    /// Whether the selection names nothing.
+    /// Returns whether the selection names nothing.
     pub fn is_empty(&self) -> bool {
         *self == Self::default()
     }
 
-    /// What this selection names and `other` does not.
+    /// Returns the part that this selection names and `other` does not.
     pub fn without(&self, other: &Self) -> Self {
         let difference =
             |a: &BTreeSet<String>, b: &BTreeSet<String>| a.difference(b).cloned().collect();
@@ -61,7 +62,7 @@
         }
     }
 
-    /// What this selection or `other` names.
+    /// Returns the union of this selection and `other`.
     pub fn with(&self, other: &Self) -> Self {
         let mut union = self.clone();
         union.upstreams.extend(other.upstreams.iter().cloned());
@@ -72,19 +73,19 @@
     }
 }
 
-/// Reduced weights. The weights that apply to one upstream multiply.
+/// Reduced weights. All weights that apply to one upstream are multiplied.
 #[derive(Clone, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Weights {
-    /// Of upstreams, by name.
+    /// Weights of upstreams, by name.
     pub upstreams: BTreeMap<String, Weight>,
-    /// Of cells, by number.
+    /// Weights of cells, by number.
     #[serde(rename = "pods")]
     pub cells: BTreeMap<u32, Weight>,
-    /// Of machine types, by name.
+    /// Weights of machine types, by name.
     #[serde(rename = "flavours")]
     pub machine_types: BTreeMap<String, Weight>,
-    /// Of zones, by name.
+    /// Weights of zones, by name.
     #[serde(rename = "sites")]
     pub zones: BTreeMap<String, Weight>,
 }
@@ -93,22 +94,23 @@
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields, default)]
 pub struct Document {
-    /// The part of the fleet that nothing is sent to.
+    /// The part of the fleet that receives no requests.
     #[serde(rename = "out")]
     pub exclusions: Selection,
-    /// The parts of the fleet that less is sent to.
+    /// The parts of the fleet that receive fewer requests than usual.
     pub weights: Weights,
-    /// Cells that a class is not sent to, by class.
+    /// By class, the cells that receive no requests of the class.
     #[serde(rename = "kept")]
     pub class_exclusions: BTreeMap<String, BTreeSet<u32>>,
-    /// The most attempts of one request, 1 to [`MAX_ATTEMPTS`].
+    /// Maximum number of attempts of one request, 1 to [`MAX_ATTEMPTS`].
     pub attempts: u8,
     /// The subset factor.
     #[serde(rename = "times")]
     pub subset_factor: SubsetFactor,
-    /// How many balancers the subset is made for; the number of the settings if left out.
+    /// Number of balancers for which the subset is calculated, 1 to [`MAX_SUBSET_BALANCERS`]; the number from the
+    /// settings if absent.
     pub balancers: Option<u16>,
-    /// Classes that have sessions, and how long a session lasts after its last use, in seconds.
+    /// Classes with sessions, and the lifetime of a session after its last use, in seconds.
     pub sessions: BTreeMap<String, u32>,
     /// The oldest endpoint list that may be acted on, by the version number of discovery.
     #[serde(rename = "eldest_list")]
@@ -116,7 +118,7 @@
 }
 
 impl Default for Document {
-    /// The document that forbids nothing.
+    /// Returns the document that forbids nothing.
     fn default() -> Self {
         Self {
             exclusions: Selection::default(),
@@ -134,12 +136,12 @@
 /// Why a document is rejected.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DocumentError {
-    /// The text is no JSON, or has a field that does not exist or cannot be read.
+    /// The text is not valid JSON, or has an unknown or unreadable field.
     #[error("reading the document at `{field}`: {cause}; correct that field")]
     Json {
         /// The path to the field.
         field: String,
-        /// What was found and what was expected.
+        /// The error of the JSON parser: what was found and what was expected.
         cause: String,
     },
     /// A field is outside its bounds.
@@ -147,9 +149,9 @@
     Field {
         /// The path to the field.
         field: &'static str,
-        /// Its value.
+        /// The value of the field.
         found: String,
-        /// The values that it may have.
+        /// The allowed values.
         expected: String,
     },
     /// Each field is within its bounds, but the document as a whole is too long.
@@ -158,9 +160,9 @@
          instead of upstreams"
     )]
     TooLong {
-        /// Its length in bytes.
+        /// Length of the document, in bytes.
         found: usize,
-        /// The most bytes that it may have.
+        /// Maximum length, in bytes.
         expected: usize,
     },
 }
@@ -169,7 +171,7 @@
     /// Reads and checks a document from the JSON of the admin API.
     ///
     /// # Errors
-    /// The field, what was found there and what was expected.
+    /// If the JSON or a field is invalid. The error names the field, the value found and the values expected.
     pub fn from_json(json: &[u8]) -> Result<Self, DocumentError> {
         if json.len() > MAX_JSON_BYTES {
             return Err(DocumentError::TooLong { found: json.len(), expected: MAX_JSON_BYTES });
@@ -187,12 +189,12 @@
         Ok(document)
     }
 
-    /// The length of the encoded document, in bytes.
+    /// Returns the length of the encoded document, in bytes.
     pub fn length(&self) -> usize {
         postcard::to_stdvec(self).map_or(usize::MAX, |bytes| bytes.len())
     }
 
-    /// Each class with each cell that it is not sent to, in order.
+    /// Returns all pairs of a class and a cell that receives no requests of the class, in order.
     pub(crate) fn excluded_class_cells(&self) -> impl Iterator<Item = (&str, u32)> {
         self.class_exclusions
             .iter()
@@ -202,7 +204,7 @@
     /// Checks the bounds of all fields.
     ///
     /// # Errors
-    /// The first field that is outside its bounds.
+    /// If a field is outside its bounds, or the document is too long. The error names the first such field.
     pub fn check(&self) -> Result<(), DocumentError> {
         self.check_lengths()?;
         self.check_names()?;
--- a/crates/revision/src/entry.rs
+++ b/crates/revision/src/entry.rs
@@ -1,4 +1,4 @@
-//! Commands in the replicated log and their encoding; [`policy_state`](crate::policy_state) executes them.
+//! Commands in the replicated log and their encoding; [`policy_state`](crate::policy_state) executes the commands.
 
 use hollowpaddle_peer_transport::NodeId;
 use serde::{Deserialize, Serialize};
@@ -9,15 +9,15 @@
 use crate::fallback_policy::FallbackPolicy;
 use crate::fleet::FleetFacts;
 
-/// The longest entry, in bytes: the bound of the replicated log.
+/// Maximum length of an entry, in bytes: the bound of the replicated log.
 pub const MAX_ENTRY_BYTES: usize = 16 << 10;
 
-/// The id of a command, chosen at random by the proposer: 128 bits, so that no two proposers choose the same. A
-/// command that is repeated under its id gets the first result and has no further effect.
+/// The id of a command, chosen at random by the proposer. It has 128 bits, so that no two proposers choose the same id.
+/// A command that is repeated under its id gets the first result and has no further effect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct CommandId(pub u128);
 
-/// The conditions under which a new revision is accepted, whatever its content.
+/// The options of a proposal of a new revision, besides its content.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ProposalOptions {
     /// The id of the command.
@@ -28,7 +28,7 @@
     pub canary: Option<CanaryTerms>,
     /// Accept the revision in spite of conflicts that operators may override.
     pub forced: bool,
-    /// The fleet as the leader knew it.
+    /// The facts about the fleet that the leader had when it made the proposal.
     pub facts: FleetFacts,
 }
 
@@ -39,20 +39,20 @@
     Propose(Box<ProposalOptions>, Box<Document>),
     /// Proposes a new revision with the content of the retained revision of this number.
     Rollback(Box<ProposalOptions>, u64),
-    /// States that no node acts on an older generation than the one with this index.
+    /// Confirms that no node acts on an older generation than the one with this index.
     GenerationConfirmed(u64),
     /// Proposes another fallback policy.
     FallbackPolicy(CommandId, FallbackPolicy, Box<FleetFacts>),
-    /// States that every node that is not marked dead holds the fallback policy of this generation.
+    /// Confirms that every node that is not marked dead holds the fallback policy of this generation.
     FallbackPolicyConfirmed(u64),
     /// Confirms the canary of this revision.
     ConfirmCanary(CommandId, u64),
     /// Rolls back the canary of this revision.
     AutomaticRollback(u64, RollbackCause),
-    /// Marks a node dead: operators state that it acts on no policy and will not before it has learned the policy
-    /// anew.
+    /// Marks a node dead: operators state that the node acts on no policy, and will not do so before it has learned the
+    /// policy anew.
     MarkDead(CommandId, NodeId),
-    /// Removes the mark of [`Entry::MarkDead`].
+    /// Revokes [`Entry::MarkDead`] for a node.
     MarkAlive(CommandId, NodeId),
 }
 
@@ -64,7 +64,7 @@
         "an entry of {found} bytes; expected {MAX_ENTRY_BYTES} at most: name pods or sites instead of upstreams"
     )]
     TooLong {
-        /// Its length in bytes.
+        /// Length of the entry, in bytes.
         found: usize,
     },
     /// The bytes hold no entry of this version.
@@ -72,15 +72,15 @@
         "{length} bytes are no entry of this version ({cause}); balancers of two versions are in one bank"
     )]
     Unreadable {
-        /// How many bytes there were.
+        /// Number of bytes.
         length: usize,
-        /// What was wrong with them.
+        /// The error of the decoder or encoder.
         cause: String,
     },
 }
 
 impl Entry {
-    /// The id of the command; `None` for entries that the leader proposes by itself, which have no result.
+    /// Returns the id of the command; `None` for entries that the leader proposes on its own, which have no result.
     pub(crate) fn command_id(&self) -> Option<CommandId> {
         match self {
             Self::Propose(options, _) | Self::Rollback(options, _) => Some(options.id),
@@ -97,7 +97,7 @@
     /// Encodes the entry for the log.
     ///
     /// # Errors
-    /// If it takes more than [`MAX_ENTRY_BYTES`].
+    /// If the encoded entry takes more than [`MAX_ENTRY_BYTES`].
     pub fn to_bytes(&self) -> Result<Vec<u8>, EntryError> {
         let bytes = postcard::to_stdvec(self)
             .map_err(|e| EntryError::Unreadable { length: 0, cause: e.to_string() })?;
@@ -108,7 +108,7 @@
     /// Decodes an entry of the log.
     ///
     /// # Errors
-    /// If the bytes hold no entry, are too many, or continue after it.
+    /// If the bytes hold no entry, are more than [`MAX_ENTRY_BYTES`], or continue after the entry.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, EntryError> {
         let length = bytes.len();
         if length > MAX_ENTRY_BYTES {
--- a/crates/revision/src/fallback_policy.rs
+++ b/crates/revision/src/fallback_policy.rs
@@ -1,5 +1,5 @@
-//! The fallback policy: what no revision can forbid, and what a balancer without a lease keeps to. Which one holds at
-//! which time is decided by [`policy_state`](crate::policy_state).
+//! The fallback policy: the sends that no revision can forbid, and that a balancer without a lease is limited to. The
+//! module [`policy_state`](crate::policy_state) decides which fallback policy is in force at a given time.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -8,17 +8,18 @@
 use crate::document::{MAX_ATTEMPTS, MAX_LISTED_CELLS, MAX_LISTED_UPSTREAMS, MAX_NAME_BYTES};
 use crate::place::Place;
 
-/// What no revision can forbid. A balancer whose lease has ended keeps to it, for as long as that lasts.
+/// The sends that no revision can forbid. A balancer whose lease has ended is limited to them until it has a lease
+/// again.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 #[serde(deny_unknown_fields)]
 pub struct FallbackPolicy {
     /// Cells that every class may be sent to.
     #[serde(rename = "pods")]
     pub cells: BTreeSet<u32>,
-    /// Upstreams of these cells that are not included, so that one of them can be cordoned without its whole cell.
+    /// Upstreams of these cells that are not included, so that one upstream can be cordoned without its whole cell.
     #[serde(default)]
     pub except: BTreeSet<String>,
-    /// The attempts that a request may always have, 1 to [`MAX_ATTEMPTS`].
+    /// Number of attempts that no revision can deny a request, 1 to [`MAX_ATTEMPTS`].
     pub attempts: u8,
 }
 
@@ -34,15 +35,15 @@
     /// A field is outside its bounds.
     #[error("checking the charter: `{field}` is {found}; expected {expected}")]
     Field {
-        /// The field.
+        /// Name of the field.
         field: String,
-        /// Its value.
+        /// The value of the field.
         found: String,
-        /// The values that it may have.
+        /// The allowed values.
         expected: String,
     },
-    /// Part of the mandatory fallback is missing. A balancer that has lost all state acts on that, so it would act
-    /// against the policy.
+    /// Part of the mandatory fallback is missing. A balancer that has lost all state acts on the mandatory fallback,
+    /// and would contradict the policy.
     #[error("the charter leaves out {what}, which is bedrock; expected all of it: keep that")]
     MandatoryFallback {
         /// The missing part.
@@ -54,7 +55,8 @@
     /// Checks the bounds of all fields, and that nothing of `mandatory_fallback` is missing.
     ///
     /// # Errors
-    /// The first check that fails.
+    /// If a field is outside its bounds or a part of `mandatory_fallback` is missing. The error describes the first
+    /// check that fails.
     pub fn check(&self, mandatory_fallback: &Self) -> Result<(), FallbackPolicyError> {
         self.check_fields()?;
         let missing = |what: String| Err(FallbackPolicyError::MandatoryFallback { what });
@@ -90,12 +92,12 @@
         Ok(())
     }
 
-    /// Whether the policy allows sending to this upstream.
+    /// Returns whether the policy allows sending to this upstream.
     pub fn allows(&self, place: &Place<'_>) -> bool {
         self.cells.contains(&place.cell) && !self.except.contains(place.name)
     }
 
-    /// The policy that allows what both allow.
+    /// Returns the intersection: the policy that allows what both policies allow.
     pub fn meet(&self, other: &Self) -> Self {
         Self {
             cells: self.cells.intersection(&other.cells).copied().collect(),
@@ -104,51 +106,53 @@
         }
     }
 
-    /// The usual fallback policy: a third of each zone's cells, rounded up, chosen by rendezvous hashing. Adding or
-    /// removing one cell changes the choice among the others as little as possible.
+    /// Returns the usual fallback policy: a third of each zone's cells, rounded up, chosen by rendezvous hashing.
+    /// Adding or removing one cell changes the choice among the others as little as possible.
     pub fn third(zones: &BTreeMap<String, BTreeSet<u32>>, attempts: u8) -> Self {
         let cells = choose_cells(zones, |cells| cells.div_ceil(3));
         Self { cells, except: BTreeSet::new(), attempts }
     }
 
-    /// The usual mandatory fallback: one cell of each zone, the first of those that [`FallbackPolicy::third`] chooses.
+    /// Returns the usual mandatory fallback: one cell of each zone, the first of those that [`FallbackPolicy::third`]
+    /// chooses.
     pub fn mandatory_fallback(zones: &BTreeMap<String, BTreeSet<u32>>) -> Self {
         Self { cells: choose_cells(zones, |_| 1), except: BTreeSet::new(), attempts: 1 }
     }
 }
 
-/// What no revision can forbid at a time: while the fallback policy changes, what either of the two allows.
+/// The sends that no revision can forbid at a given time. While the fallback policy changes, these are the sends that
+/// the old or the new policy allows.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct FallbackFloor(Vec<FallbackPolicy>);
 
 impl FallbackFloor {
-    /// The floor of one policy.
+    /// Returns the floor of one policy.
     pub fn of(fallback_policy: FallbackPolicy) -> Self {
         Self(vec![fallback_policy])
     }
 
-    /// The floor that allows what either policy allows.
+    /// Returns the floor that allows what either policy allows.
     pub fn either(one: FallbackPolicy, other: FallbackPolicy) -> Self {
         Self(if one == other { vec![one] } else { vec![one, other] })
     }
 
-    /// Whether one of the policies allows sending to this upstream.
+    /// Returns whether one of the policies allows sending to this upstream.
     pub fn allows(&self, place: &Place<'_>) -> bool {
         self.0.iter().any(|policy| policy.allows(place))
     }
 
-    /// Whether one of the policies names this cell.
+    /// Returns whether one of the policies includes this cell.
     pub fn includes_cell(&self, cell: u32) -> bool {
         self.0.iter().any(|policy| policy.cells.contains(&cell))
     }
 
-    /// The attempts that cannot be forbidden.
+    /// Returns the number of attempts that no revision can deny a request.
     pub fn attempts(&self) -> u8 {
         self.0.iter().map(|policy| policy.attempts).max().unwrap_or(1)
     }
 }
 
-/// Chooses `count(cells in the zone)` cells of each zone: those with the lowest hashes.
+/// Chooses `count(number of cells)` cells of each zone: those with the lowest hashes.
 fn choose_cells(
     zones: &BTreeMap<String, BTreeSet<u32>>,
     count: impl Fn(usize) -> usize,
@@ -163,7 +167,8 @@
     chosen
 }
 
-/// FNV-1a with the finalizer of SplitMix64: the same on every machine and in every build.
+/// Hashes a cell by FNV-1a with the finalizer of SplitMix64. The result is the same on every machine and in every
+/// build.
 fn hash_cell(zone: &str, cell: u32) -> u64 {
     const FNV_OFFSET_BASIS: u64 = 0xcbf2_9ce4_8422_2325;
     const FNV_PRIME: u64 = 0x0100_0000_01b3;
--- a/crates/revision/src/figures.rs
+++ b/crates/revision/src/figures.rs
@@ -1,20 +1,20 @@
-//! Fractions and multiples stored as whole numbers, so that documents can be compared, ordered and hashed. Documents
-//! check everything else about themselves.
+//! Fixed-point fractions and multiples, so that documents can be compared, ordered and hashed. The types check their
+//! range; [`document`](crate::document) checks all other bounds.
 
 use serde::de::Error as _;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// Implements conversion and encoding: a number in human-readable formats, the stored integer in binary ones.
+/// Implements conversion and encoding: as a number in human-readable formats, as the stored integer in binary formats.
 macro_rules! figure {
     ($name:ident, $integer:ty, $scale:expr, $min:expr, $max:expr, $expected:literal) => {
         impl $name {
             /// Rounds `number` to the nearest value that can be stored.
             ///
             /// # Errors
-            /// The range that was expected, if `number` is outside it or is not a number.
+            /// If `number` is NaN or outside the allowed range. The error states the range.
             pub fn of(number: f64) -> Result<Self, &'static str> {
                 let scaled = (number * $scale).round();
-                // A range contains no NaN.
+                // NaN is in no range, so it is rejected here, too.
                 if ($min..=$max).contains(&scaled) {
                     Ok(Self(scaled as $integer))
                 } else {
@@ -22,7 +22,7 @@
                 }
             }
 
-            /// The value as a floating-point number.
+            /// Returns the value as a floating-point number.
             pub fn number(self) -> f64 {
                 f64::from(self.0) / $scale
             }
@@ -53,8 +53,8 @@
     };
 }
 
-/// A fraction of the usual weight, over 0 and at most 1, stored in thousandths. A weight of 0 is expressed by
-/// [`Document::exclusions`](crate::document::Document::exclusions).
+/// A fraction of the usual weight, greater than 0 and at most 1, stored in thousandths. Upstreams that should have no
+/// weight are listed in [`Document::exclusions`](crate::document::Document::exclusions).
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Weight(u16);
 
@@ -68,17 +68,17 @@
 );
 
 impl Weight {
-    /// The usual weight.
+    /// The full, usual weight.
     pub const FULL: Self = Self(1000);
 
-    /// The weight in thousandths.
+    /// Returns the weight in thousandths.
     pub fn thousandths(self) -> u16 {
         self.0
     }
 }
 
-/// The subset factor: how many times its even share of the fleet a balancer connects to, 1 to 1000, stored in
-/// hundredths. The subset itself is chosen by `hollowpaddle-subset`.
+/// The subset factor: the size of a balancer's subset as a multiple of its even share of the fleet, 1 to 1000, stored
+/// in hundredths. `hollowpaddle-subset` chooses the subset.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SubsetFactor(u32);
 
@@ -92,7 +92,7 @@
 );
 
 impl Default for SubsetFactor {
-    /// The usual factor, 4.
+    /// Returns the usual factor, 4.
     fn default() -> Self {
         Self(400)
     }
--- a/crates/revision/src/fleet.rs
+++ b/crates/revision/src/fleet.rs
@@ -1,5 +1,5 @@
-//! Checks whether a document fits the fleet and the fallback policy. The facts are those that the leader knew when it
-//! proposed the entry; they are part of the entry, so that every balancer comes to the same result.
+//! Checks whether a document fits the fleet and the fallback policy. The leader records the facts about the fleet in
+//! the entry that it proposes, so that every balancer comes to the same result.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -10,70 +10,70 @@
 use crate::place::Place;
 use crate::rules::Rules;
 
-/// The most groups of upstreams in the facts.
+/// Maximum number of groups of upstreams in the facts.
 pub const MAX_GROUPS: usize = 512;
 
 /// The upstreams of one cell and machine type.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct Group {
-    /// Their cell.
+    /// Cell of the upstreams.
     pub cell: u32,
-    /// Their zone, by its index in [`FleetFacts::zones`].
+    /// Zone of the upstreams, by its index in [`FleetFacts::zones`].
     pub zone: u8,
-    /// Their machine type, by its index in [`FleetFacts::machine_types`].
+    /// Machine type of the upstreams, by its index in [`FleetFacts::machine_types`].
     pub machine_type: u8,
-    /// How many of them can be sent to.
+    /// Number of upstreams that can receive requests.
     pub upstreams: u16,
-    /// Their capacity together, in thousandths of work per second as the decision module measures it.
+    /// Total capacity of the upstreams, in thousandths of work per second as the decision module measures it.
     pub capacity: u32,
 }
 
-/// A class, and where its own settings allow it to go.
+/// A class, and the zones and machine types that its settings allow.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ClassFacts {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// Zones by index; empty for any.
+    /// Allowed zones by index; empty if all are allowed.
     pub zones: Vec<u8>,
-    /// Machine types by index; empty for any.
+    /// Allowed machine types by index; empty if all are allowed.
     pub machine_types: Vec<u8>,
 }
 
-/// The fleet as the leader knew it.
+/// The facts about the fleet that the leader had when it proposed an entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct FleetFacts {
-    /// Zones by name.
+    /// Names of the zones.
     pub zones: Vec<String>,
     /// The load of each zone, in the unit of [`Group::capacity`].
     pub load: Vec<u32>,
-    /// Machine types by name.
+    /// Names of the machine types.
     pub machine_types: Vec<String>,
-    /// The upstreams that can be sent to.
+    /// The upstreams that can receive requests, by cell and machine type.
     pub groups: Vec<Group>,
     /// The classes of requests.
     pub classes: Vec<ClassFacts>,
-    /// Of the upstreams that the document names, those that exist: their cell and the index of their machine type.
+    /// Cell and index of the machine type of each existing upstream that the document names.
     pub named: BTreeMap<String, (u32, u8)>,
 }
 
-/// Why a document does not fit the fleet or the fallback policy.
+/// A conflict of a document with the fleet or the fallback policy.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum FleetConflict {
-    /// The document names something that does not exist.
+    /// The document names a part of the fleet that does not exist.
     #[error("there is no {what} `{name}` now; expected names of the list: correct it, or force it")]
     Unknown {
-        /// The kind of thing.
+        /// The kind of part.
         what: String,
-        /// Its name.
+        /// The name in the document.
         name: String,
     },
-    /// A class could be sent nowhere.
+    /// No upstream would be left for a class.
     #[error("class `{class}` would have no pod; expected one at least: leave one in, or force it")]
     NoCellForClass {
-        /// The class.
+        /// Name of the class.
         class: String,
     },
-    /// What is left of a zone cannot carry its load.
+    /// The remaining capacity of a zone would be less than its load.
     #[error(
         "site `{zone}` has a load of {load} and would have room for {capacity} \
          (thousandths of work a second); leave more in, or force it"
@@ -81,28 +81,28 @@
     NoCapacity {
         /// The zone; empty for all zones together.
         zone: String,
-        /// Its present load.
+        /// Current load of the zone.
         load: u64,
-        /// The capacity that would be left.
+        /// Remaining capacity of the zone.
         capacity: u64,
     },
-    /// The fallback policy allows what the document forbids. This cannot be overridden: a balancer that is cut off
-    /// would go on with it.
+    /// The document forbids what the fallback policy allows. The conflict cannot be overridden, since a balancer that
+    /// is cut off would continue to send what the fallback policy allows.
     #[error("it forbids {what}, which the charter allows; take that out of the charter first")]
     FallbackPolicy {
-        /// What the document forbids.
+        /// The part of the fallback policy that the document forbids.
         what: String,
     },
     /// The facts are invalid.
     #[error("the fleet's facts can't be: {what}; the proposer's build is at fault")]
     FleetFacts {
-        /// What is invalid.
+        /// The invalid part of the facts.
         what: String,
     },
 }
 
 impl FleetConflict {
-    /// Whether a forced proposal is accepted in spite of this conflict.
+    /// Returns whether a forced proposal is accepted in spite of this conflict.
     pub fn is_overridable(&self) -> bool {
         !matches!(self, Self::FallbackPolicy { .. } | Self::FleetFacts { .. })
     }
@@ -112,7 +112,7 @@
     /// Checks the bounds and indices of the facts.
     ///
     /// # Errors
-    /// What is invalid.
+    /// If a part of the facts is invalid. The error describes the part.
     pub fn check(&self) -> Result<(), FleetConflict> {
         let invalid = |what: &str| Err(FleetConflict::FleetFacts { what: what.into() });
         let has_long_name = |names: &[String]| names.iter().any(|name| name.len() > MAX_NAME_BYTES);
@@ -146,7 +146,7 @@
         Ok(())
     }
 
-    /// All conflicts of these rules with the fleet, the gravest first.
+    /// Returns the conflicts of these rules with the fleet, the most serious first, [`MAX_LISTED_NAMES`] at most.
     pub fn fleet_conflicts(&self, rules: &Rules) -> Vec<FleetConflict> {
         if let Err(invalid) = self.check() {
             return vec![invalid];
@@ -163,7 +163,7 @@
         found
     }
 
-    /// What the document forbids although the floor allows it.
+    /// Returns a conflict for each part of the fleet that the document forbids although the floor allows it.
     pub(crate) fn fallback_conflicts(
         &self,
         document: &Document,
@@ -200,7 +200,7 @@
         forbidden.into_iter().map(|what| FleetConflict::FallbackPolicy { what }).collect()
     }
 
-    /// The first name in the document that the fleet does not have.
+    /// Returns a conflict for the first name in the document that does not exist in the fleet.
     fn unknown_name(&self, document: &Document) -> Option<FleetConflict> {
         let Document { exclusions, weights, class_exclusions, sessions, .. } = document;
         let unknown =
@@ -228,7 +228,7 @@
         unknown("class", name.clone())
     }
 
-    /// Whether some group can take requests of the class.
+    /// Returns whether at least one group can serve requests of the class.
     fn is_routable(&self, class: &ClassFacts, rules: &Rules) -> bool {
         self.groups.iter().any(|group| {
             (class.zones.is_empty() || class.zones.contains(&group.zone))
@@ -239,7 +239,7 @@
         })
     }
 
-    /// Where a group stands in the fleet. No upstream of it is named.
+    /// Returns the place of a group in the fleet, without the name of an upstream.
     fn place(&self, group: &Group) -> Place<'_> {
         Place {
             name: "",
@@ -249,7 +249,7 @@
         }
     }
 
-    /// How many upstreams of a group are not excluded by name.
+    /// Returns the number of upstreams of a group that are not excluded by name.
     fn remaining_upstreams(&self, group: &Group, rules: &Rules) -> u64 {
         let is_member =
             |name: &str| self.named.get(name) == Some(&(group.cell, group.machine_type));
@@ -259,8 +259,8 @@
         u64::from(group.upstreams).saturating_sub(excluded as u64)
     }
 
-    /// The capacity of a group under these rules. Weights of single upstreams are ignored: they lower it a little at
-    /// most.
+    /// Returns the capacity of a group under these rules. Weights of single upstreams are ignored, since they lower the
+    /// capacity only a little.
     fn remaining_capacity(&self, group: &Group, rules: &Rules) -> u64 {
         let place = self.place(group);
         if group.upstreams == 0 || !rules.permits(&place, "") {
@@ -270,7 +270,8 @@
         (f64::from(group.capacity) * rules.weight(&place) * fraction) as u64
     }
 
-    /// The first zone whose load exceeds its remaining capacity, or else all zones together if their load does.
+    /// Returns a conflict for the first zone whose load exceeds its remaining capacity, or else for all zones together
+    /// if their total load exceeds their total remaining capacity.
     fn capacity_shortage(&self, rules: &Rules) -> Option<FleetConflict> {
         let mut zone_capacity = vec![0_u64; self.zones.len()];
         for group in &self.groups {
@@ -280,7 +281,7 @@
         }
         for ((zone, load), capacity) in self.zones.iter().zip(&self.load).zip(&zone_capacity) {
             let (zone, load, capacity) = (zone.clone(), u64::from(*load), *capacity);
-            // The load of a zone that is excluded as a whole goes to the others.
+            // The load of a zone that is excluded as a whole moves to the other zones.
             if !rules.document().exclusions.zones.contains(&zone) && load > capacity {
                 return Some(FleetConflict::NoCapacity { zone, load, capacity });
             }
@@ -292,7 +293,7 @@
     }
 }
 
-/// The name at this index, or the last one if there are fewer; empty if there is none.
+/// Returns the name at this index, or the last name if there are fewer; empty if there are no names.
 fn name_at(names: &[String], index: u8) -> &str {
     let index = usize::from(index).min(names.len().saturating_sub(1));
     names.get(index).map_or("", String::as_str)
--- a/crates/revision/src/history.rs
+++ b/crates/revision/src/history.rs
@@ -1,5 +1,5 @@
-//! Retained revisions, which share equal contents, and the results of commands, both bounded. What a command does is
-//! decided by [`policy_state`](crate::policy_state).
+//! Retained revisions and the results of commands, both bounded in number. Revisions with equal contents share them.
+//! The module [`policy_state`](crate::policy_state) decides the effect of a command.
 
 use std::collections::{BTreeMap, BTreeSet, VecDeque};
 use std::fmt;
@@ -12,27 +12,28 @@
 use crate::entry::CommandId;
 use crate::rejection::Rejection;
 
-/// The most retained revisions. Beyond it the oldest cannot be rolled back to.
+/// Maximum number of retained revisions. Beyond it the oldest revisions are dropped and cannot be rolled back to.
 pub const MAX_REVISIONS: usize = 1000;
-/// The most bytes of all contents together, equal ones counted once. Beyond it the oldest revisions are dropped too.
+/// Maximum total length of all contents, in bytes, with equal contents counted once. Beyond it the oldest revisions are
+/// dropped, too.
 pub const MAX_CONTENT_BYTES: usize = 4 << 20;
-/// The most results of commands. Beyond it the result of the oldest command is forgotten.
+/// Maximum number of retained results. Beyond it the result of the oldest command is dropped.
 pub const MAX_RESULTS: usize = 4096;
 
-/// How a revision came about.
+/// The origin of a revision.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum Origin {
-    /// The cluster started with it.
+    /// The cluster started with the revision.
     Bootstrap,
-    /// It was proposed by this command.
+    /// This command proposed the revision.
     Proposed(CommandId),
-    /// This command rolled back to the revision of this number.
+    /// This command rolled back to the revision with this number.
     Rollback(CommandId, u64),
-    /// The canary of this number was rolled back.
+    /// The canary with this revision number was rolled back.
     AutomaticRollback(u64, RollbackCause),
 }
 
-/// The text that the admin API and the reports of rehearsals print.
+/// Writes the text that the admin API and the reports of rehearsals print.
 impl fmt::Display for Origin {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -49,22 +50,22 @@
     }
 }
 
-/// How far a revision has come.
+/// The status of a revision on its way into force.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub enum ChangeStatus {
-    /// It is the next to come into force.
+    /// The revision is the next to come into force.
     Pending,
-    /// The restrict phase of the change to it is under way: what it forbids is forbidden.
+    /// The restrict phase of the change to the revision is running: whatever the revision forbids is forbidden.
     Restricting,
-    /// It is in force.
+    /// The revision is in force.
     InForce,
-    /// It was in force, from the generation with this index on.
+    /// The revision was in force, starting with the generation of this index.
     Superseded(u64),
-    /// It never came into force, because the revision of this number replaced it before.
+    /// The revision never came into force, because the revision with this number replaced it while it was pending.
     Skipped(u64),
 }
 
-/// The text that the admin API prints.
+/// Writes the text that the admin API prints.
 impl fmt::Display for ChangeStatus {
     fn fmt(&self, f: &mut fmt::Formatter<'_>) -> fmt::Result {
         match self {
@@ -80,11 +81,11 @@
 /// A revision that can be rolled back to.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct RetainedRevision {
-    /// Its content, shared with other revisions of equal content.
+    /// The content, shared with other revisions of equal content.
     pub document: Arc<Document>,
-    /// How it came about.
+    /// The origin of the revision.
     pub origin: Origin,
-    /// The status that it has whenever it is not in force; `None` while it may still come into force.
+    /// The status of the revision whenever it is not in force; `None` while it may still come into force.
     pub(crate) final_status: Option<ChangeStatus>,
 }
 
@@ -93,7 +94,8 @@
 pub struct ProposalResult {
     /// The index of the command's entry.
     pub index: u64,
-    /// The number of the new or confirmed revision, or the index of another effect; or why there was none.
+    /// The number of the new or confirmed revision, or the index of the entry for other commands; or the reason for the
+    /// rejection.
     pub outcome: Result<u64, Rejection>,
 }
 
@@ -102,15 +104,15 @@
 pub(crate) struct History {
     revisions: BTreeMap<u64, RetainedRevision>,
     contents: BTreeSet<Arc<Document>>,
-    /// The encoded length of all contents, in bytes.
+    /// Encoded length of all contents, in bytes.
     content_bytes: usize,
     results: BTreeMap<CommandId, ProposalResult>,
-    /// The ids of `results` in the order of their entries.
+    /// The ids in `results`, in the order of the log entries.
     result_order: VecDeque<CommandId>,
 }
 
 impl History {
-    /// Retains a revision. If another one has an equal content, they share it.
+    /// Retains a revision, which shares its content with retained revisions of equal content.
     pub(crate) fn retain(
         &mut self,
         number: u64,
@@ -128,7 +130,7 @@
         self.revisions.insert(number, RetainedRevision { document, origin, final_status });
     }
 
-    /// Sets the status that a revision has whenever it is not in force.
+    /// Sets the status of a revision for whenever it is not in force.
     pub(crate) fn set_final_status(&mut self, number: u64, status: ChangeStatus) {
         if let Some(revision) = self.revisions.get_mut(&number) {
             revision.final_status = Some(status);
@@ -150,7 +152,7 @@
         }
     }
 
-    /// Records the result of a command, and forgets the oldest beyond the bound.
+    /// Records the result of a command and drops the oldest results beyond [`MAX_RESULTS`].
     pub(crate) fn record_result(&mut self, id: CommandId, result: ProposalResult) {
         if self.results.insert(id, result).is_none() {
             self.result_order.push_back(id);
@@ -162,32 +164,32 @@
         }
     }
 
-    /// A retained revision.
+    /// Returns the retained revision with this number.
     pub(crate) fn get(&self, number: u64) -> Option<&RetainedRevision> {
         self.revisions.get(&number)
     }
 
-    /// The number of the first retained revision after this one.
+    /// Returns the number of the first retained revision after this number.
     pub(crate) fn first_after(&self, number: u64) -> Option<u64> {
         self.revisions.range(number.saturating_add(1)..).next().map(|(number, _)| *number)
     }
 
-    /// All retained revisions, the oldest first.
+    /// Returns all retained revisions, oldest first.
     pub(crate) fn revisions(&self) -> impl DoubleEndedIterator<Item = (u64, &RetainedRevision)> {
         self.revisions.iter().map(|(number, revision)| (*number, revision))
     }
 
-    /// The distinct contents of all retained revisions, in their order.
+    /// Returns the distinct contents of all retained revisions, in the order of [`Document`].
     pub(crate) fn contents(&self) -> impl Iterator<Item = &Arc<Document>> {
         self.contents.iter()
     }
 
-    /// The result of a command.
+    /// Returns the result of a command, if it is retained.
     pub(crate) fn result(&self, id: CommandId) -> Option<&ProposalResult> {
         self.results.get(&id)
     }
 
-    /// All results in the order of their entries.
+    /// Returns all results, in the order of the log entries.
     pub(crate) fn results(&self) -> impl Iterator<Item = (CommandId, &ProposalResult)> {
         self.result_order.iter().filter_map(|id| self.results.get(id).map(|result| (*id, result)))
     }
--- a/crates/revision/src/leases.rs
+++ b/crates/revision/src/leases.rs
@@ -1,8 +1,9 @@
-//! Leases of one balancer: until when it may act on the agreed policy, whom it grants leases, which generation and
-//! which fallback policy are confirmed at and below it, and what it proposes as the leader.
+//! The leases of one balancer. The state machine decides how long the balancer may act on the agreed policy, grants
+//! leases to its children in the dissemination tree, tracks which generation and which fallback policy are confirmed at
+//! the balancer and below it, and makes the leader's proposals.
 //!
-//! What a generation means is decided by [`policy_state`](crate::policy_state), who leads by the replicated log. The
-//! caller persists, sends and publishes what the [`Action`]s ask for.
+//! The module [`policy_state`](crate::policy_state) determines the rules of a generation, and the replicated log
+//! determines the leader. The caller carries out the [`Action`]s: it persists, sends and publishes.
 
 mod fallback;
 mod granted;
@@ -29,7 +30,7 @@
 use crate::node_set::NodeSet;
 use crate::policy_state::PolicyStatus;
 
-/// The policy that this balancer has applied.
+/// The policy after the last entry that this balancer has applied.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct AppliedPolicy {
     generation: Generation,
@@ -45,7 +46,7 @@
 /// A lease that the parent has granted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Lease {
-    /// The generation that the parent acted on.
+    /// The generation that the parent acted on when it granted the lease.
     generation: Generation,
     until: Duration,
 }
@@ -54,7 +55,7 @@
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Leases {
     config: LeaseConfig,
-    /// The latest time that an event brought; an earlier time is ignored.
+    /// The latest time of any event; earlier times are ignored.
     now: Duration,
     /// The time of the first event.
     started_at: Option<Duration>,
@@ -63,21 +64,21 @@
     fallback: HeldFallback,
     parent: ParentLink,
     granted: GrantedLeases,
-    /// Neither this balancer nor any below it acts on an older generation than this.
+    /// Neither this balancer nor any below it in the tree acts on an older generation than this.
     confirmed: Generation,
     leadership: Option<Leadership>,
     canary: Option<CanaryInForce>,
     canary_metric: Option<CanaryMetric>,
     proposed: Option<SentProposal>,
-    /// At the leader: the nodes that were not heard of at the present generation, and since when.
+    /// At the leader: the nodes that have not recently reported the current generation, and since when.
     missing: BTreeMap<NodeId, Duration>,
     published: Option<InForce>,
     next_wake: Option<Duration>,
 }
 
 impl Leases {
-    /// The leases of a process that has just started: it holds none, and keeps to the stored fallback policy or else to
-    /// the mandatory fallback.
+    /// Returns the state of a process that has just started. The process holds no lease, and follows the stored
+    /// fallback policy or, without one, the mandatory fallback.
     pub fn new(config: LeaseConfig) -> Self {
         Self {
             fallback: HeldFallback::new(&config),
@@ -99,10 +100,10 @@
         }
     }
 
-    /// Takes in an event at `now`, in time since the start of the process, and appends what is to be done. Where `now`
-    /// is earlier than before, the latest time counts.
+    /// Handles an event at `now`, given as time since the start of the process, and appends the resulting actions. If
+    /// `now` is earlier than in a previous call, the latest time seen is used.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
-        // Messages carry times in microseconds.
+        // Messages carry times in microseconds, so a finer resolution would be lost.
         self.now = self.now.max(Duration::from_micros(to_micros(now)));
         self.started_at.get_or_insert(self.now);
         self.granted.drop_expired(self.now);
@@ -171,10 +172,11 @@
         self.applied.as_ref().map_or(Generation::default(), |applied| applied.generation)
     }
 
-    /// Until when this balancer may act on its generation and grant leases of it; `None` if it may not now.
+    /// Returns the time until which this balancer may act on its generation and grant leases for it; `None` if it holds
+    /// no lease.
     fn lease_end(&self) -> Option<Duration> {
         let generation = self.applied.as_ref()?.generation;
-        // A lease of another epoch may be for a policy that this log does not have.
+        // A lease of another epoch may be for a policy that is not in this log.
         let is_valid = |lease: &Lease| {
             if self.config.exact {
                 lease.generation == generation
@@ -189,12 +191,13 @@
         granted.max(led).filter(|until| self.now < *until)
     }
 
-    /// Adopts the agreed fallback policy, if this process knows what it held before, and counts itself as a holder.
+    /// Adopts the agreed fallback policy, if this process knows the policy of its earlier incarnations, and counts the
+    /// balancer as a holder.
     fn adopt_fallback(&mut self, actions: &mut Vec<Action>) {
         let Some(AppliedPolicy { generation, status }) = &self.applied else { return };
         let fallback_generation =
             Generation { epoch: generation.epoch, index: status.fallback_generation };
-        // A leader that has applied everything committed before it knows it.
+        // A leader that has applied everything committed before its election knows that policy.
         if self.caught_up_leadership().is_some_and(|leadership| leadership.last_round.is_some()) {
             self.fallback.mark_known();
         }
@@ -202,7 +205,7 @@
         self.fallback.adopt(fallback_generation, policy, self.config.node_id, actions);
     }
 
-    /// Confirms the present generation once nobody at or below this balancer acts on an older one.
+    /// Confirms the current generation once neither this balancer nor any below it acts on an older one.
     fn confirm_generation(&mut self, actions: &mut Vec<Action>) {
         let generation = self.generation();
         if self.applied.is_some()
@@ -222,7 +225,7 @@
         }
     }
 
-    /// Requests a lease from the parent when that is due.
+    /// Requests a lease from the parent if the next renewal is due.
     fn renew(&mut self, actions: &mut Vec<Action>) {
         let Some(to) = self.parent.node() else { return };
         if self.renewal_due_at().is_none_or(|due| self.now < due) {
@@ -252,14 +255,14 @@
         self.parent.renewal_due_at(self.now, remaining, &self.config)
     }
 
-    /// The nodes at and below this balancer that were heard of recently at its generation.
+    /// Returns this balancer and the nodes below it that have recently reported its generation.
     fn present_nodes(&self) -> NodeSet {
         let mut present = self.granted.present_nodes(self.now, self.generation());
         present.insert(self.config.node_id);
         present
     }
 
-    /// What requests read now.
+    /// Returns the rules in force at the time of the last event.
     pub fn in_force(&self) -> InForce {
         let fallback_policy = self.fallback.rules().clone();
         let agreed = self.applied.as_ref().map(|applied| applied.status.rules.clone());
@@ -290,7 +293,7 @@
     }
 }
 
-/// The first moment after `time`, at the resolution of messages.
+/// Returns the first time after `time` at the resolution of messages, 1 us.
 fn just_after(time: Duration) -> Duration {
     time.saturating_add(Duration::from_micros(1))
 }
--- a/crates/revision/src/leases/fallback.rs
+++ b/crates/revision/src/leases/fallback.rs
@@ -1,4 +1,5 @@
-//! The fallback policy that this balancer holds, and who else at and below it holds the agreed one.
+//! The fallback policy that this balancer holds, and the nodes at and below the balancer that hold the agreed fallback
+//! policy.
 
 use std::sync::Arc;
 
@@ -10,24 +11,26 @@
 use crate::node_set::NodeSet;
 use crate::rules::Rules;
 
-/// The fallback policy that this balancer keeps to without a lease.
+/// The fallback policy that this balancer follows without a lease.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(super) struct HeldFallback {
-    /// Whether this process knows what its earlier incarnations have confirmed, or has it stored.
+    /// Whether this process knows the fallback policy that its earlier incarnations have confirmed, from the stored
+    /// policy or from the log.
     is_known: bool,
     /// The generation of the policy; `None` for the mandatory fallback.
     generation: Option<Generation>,
     policy: Arc<FallbackPolicy>,
     rules: Arc<Rules>,
-    /// The generation that is persisted.
+    /// The generation of the last persisted policy.
     persisted: Option<Generation>,
-    /// The agreed generation, and the nodes at and below this balancer that hold it.
+    /// The generation of the agreed fallback policy.
     agreed: Generation,
+    /// The nodes at and below this balancer that hold the agreed fallback policy.
     holders: NodeSet,
 }
 
 impl HeldFallback {
-    /// The fallback policy of a process that has just started.
+    /// Returns the fallback policy of a process that has just started.
     pub(super) fn new(config: &LeaseConfig) -> Self {
         let (generation, policy) = match &config.stored {
             Some((generation, policy)) => (Some(*generation), policy),
@@ -52,17 +55,17 @@
         &self.rules
     }
 
-    /// The nodes at and below this balancer that hold the agreed generation.
+    /// Returns the nodes at and below this balancer that hold the agreed fallback policy.
     pub(super) fn holders(&self) -> NodeSet {
         self.holders
     }
 
-    /// The agreed generation and its holders, as renewals report them.
+    /// Returns the generation of the agreed fallback policy and its holders, as renewals report them.
     pub(super) fn holders_by_generation(&self) -> (Generation, NodeSet) {
         (self.agreed, self.holders)
     }
 
-    /// From now on this process knows what its earlier incarnations have confirmed.
+    /// Records that this process knows the fallback policy that its earlier incarnations have confirmed.
     pub(super) fn mark_known(&mut self) {
         self.is_known = true;
     }
@@ -71,15 +74,16 @@
         self.persisted = self.persisted.max(Some(generation));
     }
 
-    /// Adds holders of a generation that a child reports. Those of another than the agreed one do not count.
+    /// Adds the holders that a child reports for a generation. Holders of any generation but the agreed one are
+    /// ignored.
     pub(super) fn add_holders(&mut self, generation: Generation, nodes: &NodeSet) {
         if generation == self.agreed {
             self.holders.extend(nodes);
         }
     }
 
-    /// Adopts the agreed policy if it is later than the one held, and counts `node_id` as a holder once it is
-    /// persisted.
+    /// Adopts the agreed policy if it is later than the held policy. Counts `node_id` as a holder once the agreed
+    /// policy is persisted.
     pub(super) fn adopt(
         &mut self,
         generation: Generation,
--- a/crates/revision/src/leases/granted.rs
+++ b/crates/revision/src/leases/granted.rs
@@ -1,5 +1,5 @@
-//! The leases that this balancer has granted to its children, and what the children have confirmed. Whether it may
-//! grant any is decided by [`Leases`](super::Leases).
+//! The leases that this balancer has granted to its children, and the generations that the children have confirmed.
+//! [`Leases`](super::Leases) decides whether the balancer may grant a lease.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -9,12 +9,13 @@
 use crate::message::Generation;
 use crate::node_set::NodeSet;
 
-/// The most children: the eight of the tree, and as many that have lost their own parent. The log accepts as many
-/// learners, and a learner without a lease would keep to the fallback policy.
+/// Maximum number of children: the eight children in the tree, and as many nodes that have lost their own parent. The
+/// log accepts the same number of learners, and a learner without a lease would be limited to the fallback policy.
 pub const MAX_CHILDREN: usize = 16;
-/// A child that was not heard of for so long, three lost renewals, makes room for another. Its leases still count.
+/// Time without a report, about three lost renewals, after which a child no longer counts toward [`MAX_CHILDREN`]. Its
+/// leases still count.
 pub const CHILD_TIMEOUT: Duration = Duration::from_secs(1);
-/// The most records, including former children and previous incarnations. When they are full, new children are
+/// Maximum number of records, including former children and previous incarnations. At the maximum, new children are
 /// rejected, for the duration of a lease at most.
 const MAX_CHILD_RECORDS: usize = 64;
 
@@ -25,27 +26,27 @@
     pub(super) incarnation: Incarnation,
 }
 
-/// What a child reports when it requests a lease.
+/// The report of a child in its request for a lease.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 pub(super) struct ChildReport {
-    /// When it was sent, in microseconds of the child's clock.
+    /// Time at which the report was sent, in microseconds of the child's clock.
     pub(super) sent_at_us: u64,
     /// The generation that the child acts on.
     pub(super) generation: Generation,
-    /// Neither the child nor any node below it acts on an older generation than this.
+    /// Neither the child nor any node below it in the tree acts on an older generation than this.
     pub(super) confirmed: Generation,
-    /// The child and the nodes below it that were heard of recently at its generation.
+    /// The child, and the nodes below it that have recently reported the child's generation.
     pub(super) present: NodeSet,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Child {
-    /// The latest report, and the latest confirmation of all reports.
+    /// The latest report, with the latest confirmed generation of all reports.
     report: ChildReport,
     received_at: Duration,
-    /// All leases that it was granted have ended by then.
+    /// Time by which all leases granted to the child have ended.
     lease_end: Duration,
-    /// All leases of older generations than the present one have ended by then.
+    /// Time by which all leases granted to the child for older generations than the current one have ended.
     older_lease_end: Duration,
 }
 
@@ -60,7 +61,7 @@
 pub(super) struct GrantedLeases(BTreeMap<ChildId, Child>);
 
 impl GrantedLeases {
-    /// Records a child's report. Returns `false` if there is no room for the child.
+    /// Records a child's report. Returns `false` if no more children are accepted.
     pub(super) fn record_report(
         &mut self,
         now: Duration,
@@ -76,7 +77,8 @@
             lease_end: Duration::ZERO,
             older_lease_end: Duration::ZERO,
         });
-        // Messages may be reordered: a confirmation stays, and a later report is not replaced by an earlier one.
+        // Messages may be reordered: a confirmed generation never goes back, and an earlier report does not replace a
+        // later one.
         let confirmed = child.report.confirmed.max(report.confirmed);
         if report.sent_at_us >= child.report.sent_at_us {
             child.report = report;
@@ -91,33 +93,34 @@
         others.count() < MAX_CHILDREN && self.0.len() < MAX_CHILD_RECORDS
     }
 
-    /// Records that a child was granted a lease that it may count until `end`, by this balancer's clock.
+    /// Records a granted lease that the child may use until `end` on this balancer's clock.
     pub(super) fn record_grant(&mut self, id: ChildId, end: Duration) {
         if let Some(child) = self.0.get_mut(&id) {
             child.lease_end = child.lease_end.max(end);
         }
     }
 
-    /// Records what a former child has confirmed.
+    /// Records the generation that a former child has confirmed.
     pub(super) fn record_departure(&mut self, id: ChildId, confirmed: Generation) {
         if let Some(child) = self.0.get_mut(&id) {
             child.report.confirmed = child.report.confirmed.max(confirmed);
         }
     }
 
-    /// From now on all leases granted so far are of an older generation.
+    /// Starts a new generation: all leases granted so far count as leases of an older generation.
     pub(super) fn start_generation(&mut self) {
         for child in self.0.values_mut() {
             child.older_lease_end = child.older_lease_end.max(child.lease_end);
         }
     }
 
-    /// Drops children that were not heard of recently and hold no lease.
+    /// Drops children without a recent report and without a lease.
     pub(super) fn drop_expired(&mut self, now: Duration) {
         self.0.retain(|_, child| child.is_recent(now) || now <= child.lease_end);
     }
 
-    /// Until when somebody under a granted lease may act on an older generation than this; `None` if nobody does.
+    /// Returns the time until which a child, or a node below it, may act on an older generation than this under a
+    /// granted lease; `None` if no node does.
     pub(super) fn unconfirmed_until(
         &self,
         now: Duration,
@@ -130,7 +133,7 @@
         unconfirmed.map(|child| child.older_lease_end).max()
     }
 
-    /// The nodes below this balancer that were heard of recently at this generation.
+    /// Returns the nodes below this balancer that have recently reported this generation.
     pub(super) fn present_nodes(&self, now: Duration, generation: Generation) -> NodeSet {
         let mut present = NodeSet::default();
         for child in self.0.values() {
--- a/crates/revision/src/leases/interface.rs
+++ b/crates/revision/src/leases/interface.rs
@@ -1,4 +1,4 @@
-//! Configuration, events and actions of [`Leases`](super::Leases); holds no logic but the allowance for clock drift.
+//! Configuration, events and actions of [`Leases`](super::Leases), with the allowance for clock drift.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -12,37 +12,37 @@
 use crate::message::{Generation, Message};
 use crate::policy_state::PolicyStatus;
 
-/// The usual duration of a lease.
+/// Default duration of a lease.
 const LEASE: Duration = Duration::from_secs(2);
-/// The usual interval of renewals.
+/// Default interval between renewals.
 const RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
-/// The usual bound on clock drift, in thousandths.
+/// Default bound on clock drift, in thousandths.
 const DRIFT: u32 = 10;
 
-/// The identity of a balancer and the figures that all balancers agree on.
+/// The identity of a balancer and the lease parameters, which are the same at all balancers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct LeaseConfig {
     /// The balancer's number.
     pub node_id: NodeId,
-    /// Its incarnation: responses to requests of another one are ignored.
+    /// The balancer's incarnation. Responses to requests of another incarnation are ignored.
     pub incarnation: Incarnation,
-    /// How long a lease lasts.
+    /// Duration of a lease.
     pub lease: Duration,
-    /// By how many thousandths one clock may run faster or slower than another.
+    /// Maximum drift of one clock against another, in thousandths.
     pub drift: u32,
-    /// How often leases are renewed.
+    /// Interval between renewals of a lease.
     pub renewal: Duration,
-    /// Whether a lease holds only at the generation that it names. Otherwise it holds for later generations of the same
-    /// epoch too, which is as safe (see the design note) and keeps leases across changes.
+    /// Whether a lease is valid only for the generation that it names. Otherwise the lease is valid for later generations
+    /// of the same epoch, too, which is as safe (see the design note) and keeps leases across changes.
     pub exact: bool,
-    /// What no fallback policy can leave out, from the settings.
+    /// The mandatory fallback, which every fallback policy includes, from the settings.
     pub mandatory_fallback: FallbackPolicy,
     /// The persisted fallback policy and its generation.
     pub stored: Option<(Generation, FallbackPolicy)>,
 }
 
 impl LeaseConfig {
-    /// A configuration with the usual figures and nothing persisted.
+    /// Returns a configuration with the default parameters and no persisted fallback policy.
     pub fn usual(
         node_id: NodeId,
         incarnation: Incarnation,
@@ -60,12 +60,12 @@
         }
     }
 
-    /// A time on this clock within which `duration` has not passed on any other clock.
+    /// Returns a time span on this clock within which `duration` has not passed on any other clock.
     pub(super) fn lower_bound(&self, duration: Duration) -> Duration {
         duration.saturating_sub(self.drift_within(duration))
     }
 
-    /// A time on this clock after which `duration` has passed on every other clock.
+    /// Returns a time span on this clock after which `duration` has passed on every other clock.
     pub(super) fn upper_bound(&self, duration: Duration) -> Duration {
         duration.saturating_add(self.drift_within(duration))
     }
@@ -75,89 +75,91 @@
     }
 }
 
-/// What happens to a balancer.
+/// An input of [`Leases`](super::Leases).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// An entry was applied, in the order of the log. An epoch later than the last begins another log.
+    /// An entry was applied, in the order of the log. A later epoch than in the previous event begins another log.
     Applied {
         /// The epoch of the log.
         epoch: u32,
-        /// The policy after the entry.
+        /// The status of the policy after the entry.
         status: Box<PolicyStatus>,
     },
-    /// The node to request leases from: the source of the log.
+    /// The parent has changed: the node that leases are requested from, which is also the source of the log.
     Parent(Option<NodeId>),
     /// A message from a peer whose incarnation the transport has verified.
     Message {
         /// The sender.
         from: NodeId,
-        /// Its incarnation.
+        /// The sender's incarnation.
         incarnation: Incarnation,
         /// The message.
         message: Message,
     },
     /// This balancer has become the leader.
     Leads {
-        /// A time that is not before a majority elected it.
+        /// A time at or after the election of this leader by a majority.
         since: Duration,
-        /// The epoch of its log. Without it, entries applied of a log that was given up would count as caught up.
+        /// The epoch of the leader's log. It prevents entries applied from an abandoned log from counting as caught up.
         epoch: u32,
-        /// The last index of its log then. It grants no leases of its own before it has applied that entry.
+        /// The last index of the log at the election. The leader grants no leases of its own before it has applied the
+        /// entry with this index.
         from: u64,
     },
     /// A majority has answered a round of this leader.
     Round {
-        /// When the round began.
+        /// The start of the round.
         began: Duration,
     },
     /// This balancer is no longer the leader.
     Follows,
-    /// The fallback policy of an [`Action::PersistFallbackPolicy`] is persisted. Without a state directory this event
-    /// follows at once.
+    /// The fallback policy of an [`Action::PersistFallbackPolicy`] is persisted. Without a state directory the caller
+    /// reports this event at once.
     FallbackPolicyPersisted {
         /// The generation of the fallback policy.
         fallback_generation: Generation,
     },
-    /// The metric of the canary, at the leader; `None` if there is none yet.
+    /// At the leader: the metric of the canary; `None` if there is no metric yet.
     CanaryMetric(Option<CanaryMetric>),
     /// The time of [`Action::WakeAt`] has come.
     Due,
 }
 
-/// What is to be done.
+/// An output of [`Leases`](super::Leases), to be carried out by the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
-    /// Send a message. It may be lost.
+    /// Send a message. The message may be lost.
     Send {
         /// The receiver.
         to: NodeId,
         /// The message.
         message: Message,
     },
-    /// Publish what requests read from now on.
+    /// Publish the rules that requests read from now on.
     Publish(InForce),
-    /// Persist the fallback policy, then report [`Event::FallbackPolicyPersisted`]. The action is not repeated: a caller
-    /// that cannot write retries until a later one comes.
+    /// Persist the fallback policy, then report [`Event::FallbackPolicyPersisted`]. The action is not repeated: a
+    /// caller that fails to write retries until it succeeds or a later action replaces this one.
     PersistFallbackPolicy {
         /// The generation of the fallback policy.
         fallback_generation: Generation,
         /// The fallback policy.
         fallback_policy: Arc<FallbackPolicy>,
     },
-    /// Report [`Event::Due`] at this time. It replaces any earlier one.
+    /// Report [`Event::Due`] at this time, instead of any time requested earlier.
     WakeAt(Duration),
-    /// Propose an entry to the log, at the leader.
+    /// At the leader: propose an entry to the log.
     Propose(Entry),
     /// Learn the log from a peer that is at a later generation.
     Learn {
         /// The peer.
         from: NodeId,
-        /// Its generation.
+        /// The peer's generation.
         generation: Generation,
     },
-    /// Find another parent: the present one has no room, or has granted nothing for as long as a lease lasts.
+    /// Find another parent, since the current one accepts no more children, or has granted nothing for the duration of
+    /// a lease.
     ChangeParent {
-        /// The present parent.
+        /// The current parent.
         current: NodeId,
     },
 }
--- a/crates/revision/src/leases/leader.rs
+++ b/crates/revision/src/leases/leader.rs
@@ -1,5 +1,5 @@
-//! What a balancer does as the leader: it proposes that a generation or a fallback policy is confirmed and that a
-//! canary is rolled back, and notes which nodes are missing.
+//! The duties of the leader: it proposes the confirmation of a generation or of a fallback policy and the rollback of a
+//! canary, and records which nodes are missing.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 use crate::entry::Entry;
 use crate::node_set::NodeSet;
 
-/// A proposal that is not in the log is repeated after this time.
+/// Time after which a proposal that is not in the log is repeated.
 const PROPOSAL_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Leases {
-    /// The leadership, if this balancer has applied everything that was committed before it: until then it knows less
-    /// than others may act on.
+    /// Returns the leadership, if this balancer has applied everything that was committed before its election. Until
+    /// then other balancers may act on entries that this balancer does not know.
     pub(super) fn caught_up_leadership(&self) -> Option<&Leadership> {
         let position = self.applied.as_ref()?.position();
         self.leadership.as_ref().filter(|leadership| position >= leadership.caught_up_at)
@@ -59,12 +59,12 @@
         unconfirmed_nodes.is_empty().then_some(confirmed)
     }
 
-    /// When the leases that the previous leader may have granted have ended.
+    /// Returns the time by which all leases that the previous leader may have granted have ended.
     fn previous_leases_end(&self, leadership: &Leadership) -> Duration {
         leadership.since.saturating_add(self.config.upper_bound(self.config.lease))
     }
 
-    /// Notes since when each node that is not present has been missing.
+    /// Records since when each node that is not present has been missing.
     fn record_missing_nodes(&mut self) {
         let Some(applied) = &self.applied else { return };
         let missing = NodeSet::first(applied.status.members).without(&self.present_nodes());
@@ -72,7 +72,7 @@
         self.missing = missing.iter().map(|node| (node, since(node))).collect();
     }
 
-    /// The next time at which the leader may have something to propose.
+    /// Returns the next time at which the leader may have a proposal to make.
     pub(super) fn leader_wake(&self) -> Option<Duration> {
         let leadership = self.leadership.as_ref()?;
         let previous_leases = Some(self.previous_leases_end(leadership));
--- a/crates/revision/src/leases/messages.rs
+++ b/crates/revision/src/leases/messages.rs
@@ -1,4 +1,4 @@
-//! Handles messages of other balancers: requests for leases are granted or rejected, responses extend the own lease.
+//! Handles messages of other balancers: grants or rejects requests for leases, and extends the own lease by responses.
 
 use std::time::Duration;
 
@@ -52,7 +52,7 @@
         }
     }
 
-    /// Whether a response answers a pending renewal of this incarnation.
+    /// Returns whether a response answers a pending renewal of this incarnation, and removes that renewal.
     fn take_response(&mut self, from: NodeId, to: Incarnation, sent_at: Duration) -> bool {
         to == self.config.incarnation && self.parent.take_response(from, sent_at)
     }
@@ -74,13 +74,13 @@
         }
     }
 
-    /// Grants what remains of the own lease, if the child is at the same generation.
+    /// Grants the remaining time of the own lease, if the child is at the same generation.
     fn try_grant(
         &mut self,
         child: ChildId,
         report: ChildReport,
     ) -> Result<Duration, LeaseRejection> {
-        // Two balancers that are each other's parent would wait for each other.
+        // Two balancers that are each other's parent would wait for each other's lease.
         if self.parent.node() == Some(child.node) && self.leadership.is_none() {
             return Err(LeaseRejection::Full);
         }
@@ -97,7 +97,8 @@
         Ok(remaining)
     }
 
-    /// Extends the own lease. It counts from the request on, and no longer than a lease lasts, whatever was granted.
+    /// Extends the own lease. A lease counts from the time of the request, and lasts no longer than the configured
+    /// duration, whatever the parent has granted.
     fn extend_lease(&mut self, sent_at: Duration, generation: Generation, duration: Duration) {
         let own = self.generation();
         if self.applied.is_none() || generation.epoch != own.epoch || generation > own {
@@ -109,8 +110,9 @@
         if self.lease.is_none_or(|old| self.lease_rank(old) < self.lease_rank(new)) {
             self.lease = Some(new);
         }
-        // A lease that was requested so late comes from a round of the leader in this incarnation, so this process has
-        // applied whatever fallback policy its earlier incarnations have confirmed.
+        // A lease that was requested later than the longest lease after the start of this process comes from a round
+        // that the leader began during this incarnation. This process has then applied any fallback policy that its
+        // earlier incarnations have confirmed.
         let longest_lease = self.config.upper_bound(self.config.lease);
         let started_at = self.started_at.unwrap_or(self.now);
         if sent_at >= started_at.saturating_add(longest_lease) && generation == own {
@@ -118,7 +120,7 @@
         }
     }
 
-    /// The order in which leases replace each other.
+    /// Returns the rank of a lease; a lease of a higher rank replaces one of a lower rank.
     fn lease_rank(&self, lease: Lease) -> (Option<Generation>, Duration) {
         (self.config.exact.then_some(lease.generation), lease.until)
     }
@@ -126,7 +128,7 @@
     fn on_rejection(&mut self, from: NodeId, reason: LeaseRejection, actions: &mut Vec<Action>) {
         match reason {
             LeaseRejection::Full => actions.push(Action::ChangeParent { current: from }),
-            // One of the two has to catch up; another parent would reject the request as well.
+            // One of the two nodes has to catch up; another parent would reject the request, too.
             LeaseRejection::Generation => self.parent.record_response(self.now),
             LeaseRejection::Lease => {}
         }
--- a/crates/revision/src/leases/parent.rs
+++ b/crates/revision/src/leases/parent.rs
@@ -1,5 +1,5 @@
-//! The link to the parent: when a lease is requested, which responses count, and which former parents have to be
-//! notified. What the requests say is decided by [`Leases`](super::Leases).
+//! The link to the parent: decides when a lease is requested, which responses are accepted, and which former parents
+//! have to be notified. [`Leases`](super::Leases) decides the content of the requests.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -8,55 +8,57 @@
 
 use super::interface::LeaseConfig;
 
-/// The shortest time between two renewals, however fast the policy changes.
+/// Minimum time between two renewals, however fast the policy changes.
 const MIN_RENEWAL_INTERVAL: Duration = Duration::from_millis(20);
-/// The first retry of a renewal without a response; each further one waits twice as long, up to the usual interval.
+/// Delay before the first retry of a renewal without a response. The delay doubles with each further retry, up to the
+/// regular interval.
 const MIN_RENEWAL_RETRY: Duration = Duration::from_millis(60);
-/// The most doublings of [`MIN_RENEWAL_RETRY`].
+/// Maximum number of doublings of [`MIN_RENEWAL_RETRY`].
 const MAX_RETRY_DOUBLINGS: u32 = 8;
-/// Renewals are more frequent by this factor when less than half of a lease is left.
+/// Factor by which renewals are more frequent when less than half of a lease remains.
 const URGENT_RENEWAL_FACTOR: u32 = 3;
-/// The most former parents that are notified of confirmations. Any other waits for the end of its lease.
+/// Maximum number of former parents that are notified of confirmations. Any other former parent waits for the end of
+/// the lease that it granted.
 const MAX_FORMER_PARENTS: usize = 4;
-/// The most renewals that may still be answered. A response to an older one comes later than a lease lasts.
+/// Maximum number of pending renewals. A response to an older renewal arrives later than the duration of a lease.
 const MAX_PENDING_RENEWALS: usize = 32;
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct Parent {
     node: NodeId,
-    /// When it last granted something, or became the parent.
+    /// Time of the last response that shows the parent to be useful, or of the change to this parent.
     last_response: Duration,
 }
 
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 struct FormerParent {
     node: NodeId,
-    /// Until when it may count a lease of this balancer as running.
+    /// Time until which the former parent may regard a lease of this balancer as running.
     until: Duration,
 }
 
-/// The link to the present parent and its predecessors.
+/// The link to the current parent and to former parents.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct ParentLink {
     parent: Option<Parent>,
     former: Vec<FormerParent>,
-    /// When the renewals were sent that have no response yet.
+    /// Send times of the renewals that have no response yet.
     pending_renewals: VecDeque<Duration>,
-    /// The parent has to learn something that no renewal has reported.
+    /// Whether the parent has to be notified of a change that no renewal has reported yet.
     is_urgent: bool,
     last_renewal: Option<Duration>,
-    /// Renewals since the last one that was answered.
+    /// Number of renewals since the last one that was answered.
     unanswered: u32,
 }
 
 impl ParentLink {
-    /// The present parent.
+    /// Returns the current parent.
     pub(super) fn node(&self) -> Option<NodeId> {
         self.parent.as_ref().map(|parent| parent.node)
     }
 
-    /// Changes the parent. A former one counts its leases, also those that were lost on the way, for `longest_lease`
-    /// at most.
+    /// Changes the parent. A former parent regards the leases that it granted, including grants that were lost on the
+    /// way, as running for `longest_lease` at most.
     pub(super) fn change(&mut self, now: Duration, node: Option<NodeId>, longest_lease: Duration) {
         if self.node() == node {
             return;
@@ -78,12 +80,12 @@
         self.is_urgent = true;
     }
 
-    /// Former parents that may still count a lease as running.
+    /// Returns the former parents that may still regard a lease as running.
     pub(super) fn waiting_former_parents(&self, now: Duration) -> impl Iterator<Item = NodeId> {
         self.former.iter().filter(move |former| former.until > now).map(|former| former.node)
     }
 
-    /// Records that a renewal is sent.
+    /// Records that a renewal is sent at `now`.
     pub(super) fn record_renewal(&mut self, now: Duration) {
         self.is_urgent = false;
         self.last_renewal = Some(now);
@@ -94,7 +96,8 @@
         }
     }
 
-    /// Whether a response from `from` answers a pending renewal to the present parent. Each is answered once.
+    /// Returns whether a response from `from` answers a pending renewal to the current parent, and removes that
+    /// renewal, so that each renewal is answered once.
     pub(super) fn take_response(&mut self, from: NodeId, sent_at: Duration) -> bool {
         if self.node() != Some(from) {
             return false;
@@ -109,14 +112,15 @@
         true
     }
 
-    /// Records that the parent is of use: it has granted a lease, or another parent would not have.
+    /// Records that the parent is useful: it has granted a lease, or has rejected the request for a reason for which
+    /// any other parent would have rejected it, too.
     pub(super) fn record_response(&mut self, now: Duration) {
         if let Some(parent) = &mut self.parent {
             parent.last_response = now;
         }
     }
 
-    /// Whether the parent has granted nothing for `timeout`. Returns `true` once in that time.
+    /// Returns whether the parent has granted nothing for `timeout`. Returns `true` at most once in that time.
     pub(super) fn take_timeout(&mut self, now: Duration, timeout: Duration) -> bool {
         let Some(parent) = &mut self.parent else { return false };
         let is_timed_out = now > parent.last_response.saturating_add(timeout);
@@ -126,7 +130,8 @@
         is_timed_out
     }
 
-    /// When the next renewal is due, with so much of the lease remaining; `None` without a parent.
+    /// Returns the time at which the next renewal is due when `remaining` of the lease is left; `None` without a
+    /// parent.
     pub(super) fn renewal_due_at(
         &self,
         now: Duration,
--- a/crates/revision/src/leases/status.rs
+++ b/crates/revision/src/leases/status.rs
@@ -1,4 +1,5 @@
-//! What operators see of the leases: the generation, who is present and who is missing. Decides nothing.
+//! The status of the leases for operators: the generation, and the nodes that are present and missing. Nothing is
+//! decided by the status.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,20 +14,21 @@
 /// The status of one balancer's leases, for the admin API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseStatus {
-    /// The generation that it acts on.
+    /// The generation that the balancer acts on.
     pub generation: Generation,
-    /// The nodes at and below it that were heard of recently at this generation.
+    /// The balancer, and the nodes below it that have recently reported this generation.
     pub present: NodeSet,
-    /// The nodes at and below it that hold the agreed fallback policy.
+    /// The nodes at and below the balancer that hold the agreed fallback policy.
     pub fallback_holders: NodeSet,
-    /// What it keeps to without a lease: the mandatory fallback until it knows which policy it held before.
+    /// The fallback policy that the balancer follows without a lease: the mandatory fallback until the balancer knows
+    /// the policy of its earlier incarnations.
     pub fallback_policy: Arc<FallbackPolicy>,
-    /// At the leader: the nodes that were not heard of at this generation, and since when on its clock.
+    /// At the leader: the nodes that have not recently reported this generation, and since when on the leader's clock.
     pub missing: Vec<(NodeId, Duration)>,
 }
 
 impl Leases {
-    /// The status for operators.
+    /// Returns the status for operators.
     pub fn status(&self) -> LeaseStatus {
         LeaseStatus {
             generation: self.generation(),
--- a/crates/revision/src/lists.rs
+++ b/crates/revision/src/lists.rs
@@ -1,5 +1,5 @@
-//! Which upstreams may be sent to at all, by the own endpoint list and by the stops that peers report. The list itself,
-//! addresses and the grace period of draining upstreams are the gateway's concern.
+//! Decides which upstreams may receive requests, from the balancer's own endpoint list and from the stops that peers
+//! report. The gateway handles the list itself, the addresses and the grace period of draining upstreams.
 
 mod announcements;
 mod interface;
@@ -14,16 +14,17 @@
 use crate::document::MAX_NAME_BYTES;
 use crate::node_set::MAX_NODES;
 
-/// The most upstreams that are tracked, of the own list and of peers' stops each: four times the largest fleet. Peers'
-/// stops of others are ignored.
+/// Maximum number of upstreams tracked from the own list, and separately from peers' stops: four times the largest
+/// fleet. Peers' stops beyond the bound are ignored.
 pub const MAX_TRACKED_UPSTREAMS: usize = 4096;
-/// How long a peer's stop holds by itself. Draining is over by then, and a faulty peer cannot stop a fleet for ever.
+/// Lifetime of a peer's stop that the own list neither confirms nor contradicts. An upstream has finished draining by
+/// then, and a faulty peer cannot stop a fleet for ever.
 pub const STOP_TIMEOUT: Duration = Duration::from_secs(60);
-/// How long a peer's stop holds once the own list is as new and does not confirm it: replicas of discovery may
-/// disagree, and then each balancer follows its own.
+/// Lifetime of a peer's stop once the own list is as new as the stop and does not confirm it. Replicas of discovery may
+/// disagree; each balancer then follows its own replica.
 pub const DISAGREEMENT_TIMEOUT: Duration = Duration::from_secs(10);
 
-/// What the own list last stated about an upstream.
+/// The last entry of the own list for an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct OwnEntry {
     version: u64,
@@ -36,7 +37,7 @@
     version: u64,
     ended: bool,
     received_at: Duration,
-    /// Since when the own list is as new.
+    /// When the own list became as new as the stop; `None` while the list is older.
     matched_since: Option<Duration>,
 }
 
@@ -48,25 +49,25 @@
     }
 }
 
-/// The state machine of one balancer.
+/// The state machine of one balancer's endpoint lists and stops.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Lists {
     now: Duration,
     own: BTreeMap<String, OwnEntry>,
     /// The newest version of the own list.
     newest: u64,
-    /// The oldest version that may be acted on.
+    /// The oldest version of the own list that may be acted on without restriction.
     oldest_allowed: u64,
     peer_stops: BTreeMap<String, PeerStop>,
-    /// The versions that peers have last reported.
+    /// The last reported version of each peer's list.
     peer_versions: BTreeMap<NodeId, u64>,
-    /// The newest version that the own discovery was polled for.
+    /// The newest version for which the own discovery was polled.
     polled_for: u64,
     announcements: Announcements,
 }
 
 impl Lists {
-    /// Takes in an event at `now`, and appends what is to be done.
+    /// Handles an event at `now` and appends the resulting actions.
     pub fn handle(&mut self, now: Duration, event: Event, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         let before = (self.peer_stops.len(), self.is_stale());
@@ -92,7 +93,7 @@
         self.announcements.announce(self.now, self.newest, new_stops, actions);
     }
 
-    /// Takes in the own list. Returns the stops that peers have to learn.
+    /// Records a delivery of the own list. Returns the stops to announce to peers.
     fn on_own_list(
         &mut self,
         version: u64,
@@ -107,7 +108,7 @@
         }
         self.newest = self.newest.max(version);
         for (name, phase) in entries {
-            // A list that arrives late reverts nothing that a newer one stated.
+            // A list that arrives late does not revert the entries of a newer one.
             if self.own.get(&name).is_none_or(|last| version >= last.version) {
                 new_stops.extend(self.set_own(name, version, phase));
             }
@@ -115,7 +116,7 @@
         new_stops
     }
 
-    /// The upstreams that are not gone and that a complete list does not name.
+    /// Returns the upstreams that have not ended and that the complete list in `entries` does not name.
     fn missing_names(&self, entries: &[(String, Phase)]) -> Vec<String> {
         let named: BTreeSet<&String> = entries.iter().map(|(name, _)| name).collect();
         let own = self.own.iter();
@@ -124,7 +125,7 @@
         missing.map(|(name, _)| name.clone()).collect()
     }
 
-    /// Takes in what the own list states about an upstream. Returns the stop if it is new to peers.
+    /// Records the own list's phase of an upstream. Returns a stop if the upstream has just stopped serving.
     fn set_own(&mut self, name: String, version: u64, phase: Phase) -> Option<Stop> {
         if name.len() > MAX_NAME_BYTES
             || (self.own.len() >= MAX_TRACKED_UPSTREAMS && !self.own.contains_key(&name))
@@ -138,13 +139,13 @@
         if self.peer_stops.get(&name).is_some_and(|stop| version > stop.version) {
             self.peer_stops.remove(&name);
         }
-        // Nobody can have been sending to an upstream that was not listed before.
+        // No balancer can have been sending to an upstream that was not listed before.
         let last = last?;
         let is_new_stop = phase != Phase::Serving && last.phase != phase;
         is_new_stop.then_some(Stop { name, version, ended: phase == Phase::Ended })
     }
 
-    /// Forgets one upstream that is gone, to make room.
+    /// Forgets one ended upstream other than `name`, so that the own list stays below its bound.
     fn forget_ended_upstream_except(&mut self, name: &str) {
         let mut own = self.own.iter();
         let ended = own.find(|(other, entry)| entry.phase == Phase::Ended && *other != name);
@@ -153,8 +154,8 @@
         }
     }
 
-    /// Versions of the previous discovery cannot be compared with those to come: the own list's next statement about
-    /// each upstream decides.
+    /// Resets all known versions to 0, since versions of the previous discovery cannot be compared with those of its
+    /// replacement. The next entry of the own list for each upstream then takes effect.
     fn reset_versions(&mut self) {
         self.newest = 0;
         self.polled_for = 0;
@@ -163,7 +164,7 @@
         self.peer_versions.clear();
     }
 
-    /// Takes in a peer's message. Returns the stops that other peers have to learn.
+    /// Handles a peer's message. Returns the stops to announce to other peers.
     fn on_message(
         &mut self,
         from: NodeId,
@@ -189,13 +190,13 @@
         new_stops
     }
 
-    /// Takes in a peer's stop. Returns whether it is new.
+    /// Records a peer's stop. Returns whether the stop is new.
     fn record_peer_stop(&mut self, stop: &Stop) -> bool {
         if stop.name.len() > MAX_NAME_BYTES {
             return false;
         }
-        // A later statement of the own list counts more. At equal versions, replicas of discovery may disagree; then
-        // the upstream is stopped.
+        // An entry of a newer own list takes precedence. At equal versions replicas of discovery may disagree; the
+        // upstream is then stopped.
         if let Some(own) = self.own.get(&stop.name)
             && (own.version > stop.version || own.phase != Phase::Serving)
         {
@@ -222,7 +223,7 @@
         }
     }
 
-    /// Drops peers' stops that do not hold any more.
+    /// Drops peers' stops that have expired.
     fn expire_stops(&mut self) {
         let (now, newest) = (self.now, self.newest);
         for stop in self.peer_stops.values_mut() {
@@ -232,22 +233,23 @@
         self.peer_stops.retain(|_, stop| !stop.has_expired(now));
     }
 
-    /// Whether the own list is older than the agreed policy allows.
+    /// Returns whether the own list is older than the agreed policy allows.
     pub fn is_stale(&self) -> bool {
         self.newest < self.oldest_allowed
     }
 
-    /// Whether the own list states that the upstream serves, and no peer has stopped it.
+    /// Returns whether the own list states that the upstream serves and no peer has stopped the upstream.
     fn is_open(&self, name: &str) -> bool {
         let is_serving = self.own.get(name).is_some_and(|entry| entry.phase == Phase::Serving);
         is_serving && !self.peer_stops.contains_key(name)
     }
 
-    /// Of these upstreams, each with whether the fallback policy allows it, those that may be sent to.
+    /// Selects the upstreams that may receive requests. Each item is the name of an upstream and whether the fallback
+    /// policy allows that upstream.
     ///
-    /// With a list that is too old these are only the ones of the fallback policy, which no revision excludes. If that
-    /// leaves none, they are all open ones: sending to an upstream that is gone costs a connection, refusing every
-    /// request costs all of them.
+    /// While the own list is stale, only upstreams of the fallback policy are selected, which no revision excludes. If
+    /// the fallback policy allows none of them, all open upstreams are selected: sending to an upstream that has ended
+    /// costs a connection attempt, whereas refusing every request fails all requests.
     pub fn select_allowed<'a>(
         &self,
         upstreams: impl IntoIterator<Item = (&'a str, bool)>,
@@ -261,17 +263,17 @@
             .collect()
     }
 
-    /// Upstreams that peers have stopped, whatever the own list states.
+    /// Returns the upstreams that peers have stopped, whatever the own list states.
     pub fn stopped(&self) -> impl Iterator<Item = &str> {
         self.peer_stops.keys().map(String::as_str)
     }
 
-    /// The newest version of the own list.
+    /// Returns the newest version of the own list.
     pub fn newest(&self) -> u64 {
         self.newest
     }
 
-    /// The versions that peers have last reported.
+    /// Returns the last reported version of each peer's list.
     pub fn versions(&self) -> impl Iterator<Item = (NodeId, u64)> + '_ {
         self.peer_versions.iter().map(|(node, version)| (*node, *version))
     }
--- a/crates/revision/src/lists/announcements.rs
+++ b/crates/revision/src/lists/announcements.rs
@@ -1,4 +1,5 @@
-//! Announces the own list's version and new stops to the neighbours, each stop several times against loss.
+//! Announces the own list's version and new stops to the neighbours. Each stop is announced several times, since
+//! messages may be lost.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,11 +7,11 @@
 use super::interface::{Action, ListMessage, Stop};
 use crate::message::MAX_MESSAGE_BYTES;
 
-/// How often the version is announced.
+/// Interval between announcements of the version.
 const VERSION_INTERVAL: Duration = Duration::from_secs(1);
-/// When a stop is announced again, after its first announcement.
+/// Delays after the first announcement of a stop at which the stop is announced again.
 const REPEAT_DELAYS: [Duration; 2] = [Duration::from_millis(200), Duration::from_secs(1)];
-/// The most repeats that wait. Beyond it the earliest are dropped.
+/// Maximum number of pending repeats. Beyond it the earliest repeats are dropped.
 const MAX_PENDING_REPEATS: usize = 1024;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -22,14 +23,14 @@
 /// The announcements of one balancer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Announcements {
-    /// In the order in which they are due.
+    /// Pending repeats, ordered by due time.
     repeats: VecDeque<Repeat>,
     last: Option<Duration>,
     next_wake: Option<Duration>,
 }
 
 impl Announcements {
-    /// Announces new stops, the repeats that are due, and the version if that is due.
+    /// Announces new stops, the repeats that are due, and the version if its announcement is due.
     pub(super) fn announce(
         &mut self,
         now: Duration,
@@ -79,7 +80,8 @@
     }
 }
 
-/// Splits the stops into messages of at most [`MAX_MESSAGE_BYTES`]; without stops it is one message.
+/// Splits the stops into messages of at most [`MAX_MESSAGE_BYTES`]. Without stops, returns one message with the version
+/// alone.
 fn split_into_messages(version: u64, stops: Vec<Stop>) -> Vec<ListMessage> {
     let mut messages = Vec::new();
     let mut message = ListMessage { version, stops: vec![] };
--- a/crates/revision/src/lists/interface.rs
+++ b/crates/revision/src/lists/interface.rs
@@ -1,4 +1,4 @@
-//! Events and actions of [`Lists`](super::Lists), and the message between balancers; holds no logic but the encoding.
+//! Events and actions of [`Lists`](super::Lists), and the message between balancers with its encoding.
 
 use std::time::Duration;
 
@@ -7,41 +7,42 @@
 
 use crate::message::{MessageError, decode_message};
 
-/// What the own endpoint list states about an upstream.
+/// The phase of an upstream on the own endpoint list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum Phase {
-    /// It takes requests.
+    /// The upstream accepts requests.
     Serving,
-    /// It is draining: it finishes the requests that it has.
+    /// The upstream is draining: it finishes the requests in progress and accepts no new ones.
     Draining,
-    /// It is gone.
+    /// The upstream no longer exists.
     Ended,
 }
 
-/// An upstream that must not be sent to.
+/// A report that an upstream must not receive requests.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub struct Stop {
-    /// Its name.
+    /// Name of the upstream.
     pub name: String,
-    /// The version of the endpoint list that stated it.
+    /// The version of the endpoint list that stopped the upstream.
     pub version: u64,
-    /// Whether it is gone; otherwise it is draining.
+    /// Whether the upstream has ended; otherwise it is draining.
     pub ended: bool,
 }
 
-/// What a balancer tells its neighbours. It can never state that an upstream may be sent to.
+/// A message from a balancer to its neighbours. It can stop an upstream, but never state that an upstream may receive
+/// requests.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct ListMessage {
     /// The newest version of the sender's endpoint list.
     pub version: u64,
-    /// Upstreams that must not be sent to.
+    /// Upstreams that must not receive requests.
     pub stops: Vec<Stop>,
 }
 
 impl ListMessage {
     /// Encodes the message.
     pub fn to_bytes(&self) -> Vec<u8> {
-        // Numbers and names always encode.
+        // Encoding numbers and names cannot fail.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
@@ -49,25 +50,25 @@
     ///
     /// # Errors
     /// If the bytes hold no message, are more than [`MAX_MESSAGE_BYTES`](crate::message::MAX_MESSAGE_BYTES), or
-    /// continue after it.
+    /// continue after the message.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, MessageError> {
         decode_message(bytes)
     }
 }
 
-/// What happens to a balancer.
+/// An input of [`Lists`](super::Lists).
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event {
-    /// Its own discovery has delivered a list or an update.
+    /// The balancer's own discovery has delivered a list or an update.
     OwnList {
         /// The version of the list.
         version: u64,
-        /// Whether the list is complete: upstreams that it does not name are gone.
+        /// Whether the list is complete, so that upstreams which the list does not name have ended.
         is_complete: bool,
-        /// Upstreams by name.
+        /// Upstreams by name, with their phases.
         entries: Vec<(String, Phase)>,
     },
-    /// Its own discovery has been replaced by one that numbers its versions anew.
+    /// The balancer's own discovery has been replaced by one with unrelated version numbers.
     VersionsReset,
     /// A peer has sent a message.
     Message {
@@ -76,24 +77,25 @@
         /// The message.
         message: ListMessage,
     },
-    /// The agreed policy states the oldest version of the list that may be acted on.
+    /// The agreed policy has set the oldest version of the endpoint list that may be acted on.
     OldestAllowedVersion(u64),
     /// The time of [`Action::WakeAt`] has come.
     Due,
 }
 
-/// What is to be done.
+/// An output of [`Lists`](super::Lists), to be carried out by the caller.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Action {
     /// Send the message to all neighbours in the dissemination tree.
     Broadcast(ListMessage),
-    /// The upstreams that may be sent to have changed: ask [`Lists::select_allowed`](super::Lists::select_allowed).
+    /// The upstreams that may receive requests have changed:
+    /// call [`Lists::select_allowed`](super::Lists::select_allowed) again.
     Changed,
-    /// Poll the own discovery now: a peer has a newer list.
+    /// Poll the own discovery now, since a peer has a newer list.
     Poll {
-        /// The version that the peer has.
+        /// The version of the peer's list.
         version: u64,
     },
-    /// Report [`Event::Due`] at this time. It replaces any earlier one.
+    /// Report [`Event::Due`] at this time, instead of any time requested earlier.
     WakeAt(Duration),
 }
--- a/crates/revision/src/message.rs
+++ b/crates/revision/src/message.rs
@@ -1,5 +1,5 @@
 //! Messages between balancers about leases and policy generations, and their encoding; the module
-//! [`leases`](crate::leases) acts on them.
+//! [`leases`](crate::leases) handles the messages.
 
 use hollowpaddle_peer_transport::Incarnation;
 use serde::de::DeserializeOwned;
@@ -8,18 +8,18 @@
 use crate::codec::decode_exact;
 use crate::node_set::NodeSet;
 
-/// The longest message, in bytes. With the transport's frame it fits a datagram of 256 bytes.
+/// Maximum length of a message, in bytes. With the transport's frame, a message fits a datagram of 256 bytes.
 pub const MAX_MESSAGE_BYTES: usize = 208;
 
-/// A state of the agreed policy: it changes whenever the log changes what is in force. The greater of two is the
-/// later one.
+/// A version of the agreed policy. A new generation starts whenever an entry of the log changes the rules in force. The
+/// greater of two generations is the later one.
 #[derive(
     Clone, Copy, Debug, Default, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize,
 )]
 pub struct Generation {
-    /// How often the cluster has started a new log from a copy after a majority had lost the old one.
+    /// Number of times that the cluster has started a new log from a copy, after a majority had lost the previous log.
     pub epoch: u32,
-    /// The index of the log entry that changed what is in force.
+    /// Index of the log entry that started the generation.
     pub index: u64,
 }
 
@@ -28,21 +28,22 @@
 pub enum Message {
     /// A child requests a lease and reports its progress.
     Renew {
-        /// When the request was sent, in microseconds of the sender's clock. The response returns it; nobody else
-        /// interprets it.
+        /// Time at which the request was sent, in microseconds of the sender's clock. The response returns the time
+        /// unchanged; only the sender interprets it.
         sent_at_us: u64,
         /// The generation that the sender acts on.
         generation: Generation,
-        /// Neither the sender nor any node below it acts on an older generation than this.
+        /// Neither the sender nor any node below it in the tree acts on an older generation than this.
         confirmed: Generation,
-        /// The sender and the nodes below it that were heard of recently at its generation.
+        /// The sender, and the nodes below it that have recently reported the sender's generation.
         present: NodeSet,
-        /// While the fallback policy changes: its generation, and the nodes at and below the sender that hold it.
+        /// While the fallback policy changes: the generation of the new policy, and the nodes among the sender and
+        /// those below it that hold the new policy.
         fallback_holders: Option<(Generation, NodeSet)>,
     },
-    /// Tells a former parent what its former child has confirmed. It requests nothing and is not answered.
+    /// Informs a former parent of the sender's confirmed generation. The message requests nothing and has no response.
     Departed {
-        /// Neither the sender nor any node below it acts on an older generation than this.
+        /// Neither the sender nor any node below it in the tree acts on an older generation than this.
         confirmed: Generation,
     },
     /// Grants the requested lease.
@@ -53,10 +54,11 @@
         sent_at_us: u64,
         /// The generation that the lease is for.
         generation: Generation,
-        /// How long the lease holds, in microseconds from the request on.
+        /// Remaining time of the parent's lease, in microseconds. The child's lease lasts as long, counted from the
+        /// time of the request.
         duration_us: u64,
     },
-    /// Rejects the request for a lease.
+    /// Rejects a request for a lease.
     LeaseRejection {
         /// The incarnation that sent the request.
         incarnation: Incarnation,
@@ -64,19 +66,19 @@
         sent_at_us: u64,
         /// The generation that the parent acts on.
         generation: Generation,
-        /// Why there is no lease.
+        /// The reason for the rejection.
         reason: LeaseRejection,
     },
 }
 
-/// Why a request for a lease was rejected.
+/// The reason for which a request for a lease was rejected.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash, Serialize, Deserialize)]
 pub enum LeaseRejection {
-    /// Child and parent are at different generations; the one that is behind has to catch up.
+    /// Child and parent are at different generations; whichever is at the older generation has to catch up.
     Generation,
-    /// The parent holds no lease itself.
+    /// The parent holds no lease.
     Lease,
-    /// The parent has as many children as it accepts; the child has to find another parent.
+    /// The parent accepts no more children; the child has to find another parent.
     Full,
 }
 
@@ -86,9 +88,9 @@
     "{length} bytes are no word about leases ({cause}); a balancer of another version, or a broken one"
 )]
 pub struct MessageError {
-    /// How many bytes there were.
+    /// Number of bytes.
     pub length: usize,
-    /// What was wrong with them.
+    /// The error of the decoder.
     pub cause: String,
 }
 
@@ -105,14 +107,14 @@
 impl Message {
     /// Encodes the message in [`MAX_MESSAGE_BYTES`] at most.
     pub fn to_bytes(&self) -> Vec<u8> {
-        // Numbers and bounded sets always encode.
+        // Encoding numbers and bounded sets cannot fail.
         postcard::to_stdvec(self).unwrap_or_default()
     }
 
     /// Decodes a message.
     ///
     /// # Errors
-    /// If the bytes hold no message, are too many, or continue after it.
+    /// If the bytes hold no message, are more than [`MAX_MESSAGE_BYTES`], or continue after the message.
     pub fn from_bytes(bytes: &[u8]) -> Result<Self, MessageError> {
         decode_message(bytes)
     }
--- a/crates/revision/src/node_set.rs
+++ b/crates/revision/src/node_set.rs
@@ -1,17 +1,17 @@
-//! A compact set of balancers: a bit for each, 38 bytes for 300 of them.
+//! A compact set of balancers with one bit per balancer: 38 bytes for 300 balancers.
 
 use std::fmt;
 
 use hollowpaddle_peer_transport::NodeId;
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
-/// The most balancers of a cluster. A set of so many takes 64 bytes, and a message holds two sets.
+/// Maximum number of balancers in a cluster. A set of 512 balancers takes 64 bytes, and a message holds two sets.
 pub const MAX_NODES: u16 = 512;
 
-/// The length of the full bit set, in bytes.
+/// Length of the full bit set, in bytes.
 const BYTES: usize = MAX_NODES as usize / 8;
 
-/// A set of balancers with numbers below [`MAX_NODES`]. Others are never contained.
+/// A set of balancers with numbers below [`MAX_NODES`]. Balancers with other numbers are never contained.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct NodeSet([u8; BYTES]);
 
@@ -28,7 +28,7 @@
 }
 
 impl NodeSet {
-    /// The set of the first `count` balancers.
+    /// Returns the set of the first `count` balancers.
     pub fn first(count: u16) -> Self {
         (0..count).map(NodeId).collect()
     }
@@ -47,34 +47,34 @@
         }
     }
 
-    /// Whether a balancer is contained.
+    /// Returns whether the set contains the balancer.
     pub fn contains(&self, node: NodeId) -> bool {
         self.0.get(usize::from(node.0 / 8)).is_some_and(|byte| byte & (1 << (node.0 % 8)) != 0)
     }
 
-    /// Adds all of another set.
+    /// Adds all balancers of `other`.
     pub fn extend(&mut self, other: &Self) {
         self.0.iter_mut().zip(other.0).for_each(|(byte, more)| *byte |= more);
     }
 
-    /// The balancers that are not in `other`.
+    /// Returns the balancers of this set that are not in `other`.
     pub fn without(&self, other: &Self) -> Self {
         let mut difference = *self;
         difference.0.iter_mut().zip(other.0).for_each(|(byte, less)| *byte &= !less);
         difference
     }
 
-    /// How many balancers the set contains.
+    /// Returns the number of balancers in the set.
     pub fn len(&self) -> usize {
         self.0.iter().map(|b| b.count_ones() as usize).sum()
     }
 
-    /// Whether the set is empty.
+    /// Returns whether the set is empty.
     pub fn is_empty(&self) -> bool {
         self.0 == [0; BYTES]
     }
 
-    /// The balancers in ascending order.
+    /// Returns the balancers in ascending order.
     pub fn iter(&self) -> impl Iterator<Item = NodeId> + '_ {
         let bytes = self.0.iter().zip(0_u16..).filter(|(byte, _)| **byte != 0);
         bytes.flat_map(|(byte, at)| {
@@ -91,7 +91,7 @@
     }
 }
 
-/// Encodes the bytes up to the last that is not zero.
+/// Encodes the bytes of the bit set up to the last non-zero byte.
 impl Serialize for NodeSet {
     fn serialize<S: Serializer>(&self, serializer: S) -> Result<S::Ok, S::Error> {
         let used = self.0.iter().rposition(|b| *b != 0).map_or(0, |last| last + 1);
--- a/crates/revision/src/place.rs
+++ b/crates/revision/src/place.rs
@@ -1,14 +1,14 @@
-//! Where an upstream stands in the fleet, as far as routing rules refer to it.
+//! The place of an upstream in the fleet.
 
-/// An upstream, as far as routing rules refer to it.
+/// The properties of an upstream that routing rules refer to.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Place<'a> {
-    /// Its name on the endpoint list.
+    /// Name of the upstream on the endpoint list.
     pub name: &'a str,
-    /// Its cell (`cell` on the endpoint list).
+    /// Cell of the upstream (`cell` on the endpoint list).
     pub cell: u32,
-    /// Its machine type.
+    /// Machine type of the upstream.
     pub machine_type: &'a str,
-    /// Its zone (`locality` on the endpoint list).
+    /// Zone of the upstream (`locality` on the endpoint list).
     pub zone: &'a str,
 }
--- a/crates/revision/src/policy_state.rs
+++ b/crates/revision/src/policy_state.rs
@@ -1,5 +1,5 @@
-//! The replicated state machine of the routing policy: it applies the entries of the log and is the same at every
-//! balancer. It knows no time, network or lease; entries tell it which generations are confirmed.
+//! The replicated state machine of the routing policy. It applies the entries of the log and is the same at every
+//! balancer. It has no notion of time, network or leases; log entries state which generations are confirmed.
 
 mod fallback_change;
 mod in_force_rules;
@@ -34,12 +34,12 @@
     history: History,
     /// The rules in force, derived from the state.
     rules: Arc<Rules>,
-    /// What balancers without a lease keep to, derived from the state.
+    /// The fallback policy of balancers without a lease, derived from the state.
     effective_fallback: Arc<FallbackPolicy>,
 }
 
 impl PolicyState {
-    /// The state of a new cluster.
+    /// Returns the state of a new cluster.
     ///
     /// # Errors
     /// If a part of `bootstrap` is invalid.
@@ -101,7 +101,7 @@
 
     fn execute(&mut self, index: u64, entry: Entry) -> Option<(CommandId, Result<u64, Rejection>)> {
         let id = entry.command_id();
-        // A command that is in the log twice has its effect once.
+        // A command that is in the log twice has an effect only once.
         if let Some(id) = id
             && let Some(result) = self.history.result(id)
         {
@@ -155,10 +155,10 @@
         }
     }
 
-    /// The retained revision of this number.
+    /// Returns the retained revision with this number.
     ///
     /// # Errors
-    /// The range of retained revisions, if this one is not among them.
+    /// If the revision is not retained. The error states the range of retained revisions.
     pub fn retained_revision(&self, number: u64) -> Result<&RetainedRevision, Rejection> {
         self.history.get(number).ok_or_else(|| {
             let mut numbers = self.history.revisions().map(|(number, _)| number);
@@ -168,7 +168,7 @@
         })
     }
 
-    /// The status after the last applied entry.
+    /// Returns the status after the last applied entry.
     pub fn status(&self) -> PolicyStatus {
         let state = &self.state;
         let awaits_fallback_confirmation =
@@ -189,18 +189,18 @@
         }
     }
 
-    /// The number of the newest revision, in force or not: the base of the next proposal.
+    /// Returns the number of the newest revision, in force or not. It is the base of the next proposal.
     pub fn newest(&self) -> u64 {
         self.state.newest
     }
 
-    /// The result of a command; `None` if it is not in the log, or more than
-    /// [`MAX_RESULTS`](crate::history::MAX_RESULTS) commands came after it.
+    /// Returns the result of a command; `None` if the command is not in the log, or if
+    /// [`MAX_RESULTS`](crate::history::MAX_RESULTS) later commands have displaced its result.
     pub fn command_result(&self, id: CommandId) -> Option<&ProposalResult> {
         self.history.result(id)
     }
 
-    /// The status of a retained revision.
+    /// Returns the status of a retained revision; `None` if it is not retained.
     pub fn change_status(&self, number: u64) -> Option<ChangeStatus> {
         let revision = self.history.get(number)?;
         if number == self.state.in_force {
@@ -212,12 +212,12 @@
         Some(revision.final_status.unwrap_or(ChangeStatus::Pending))
     }
 
-    /// All retained revisions, the oldest first.
+    /// Returns all retained revisions, oldest first.
     pub fn revisions(&self) -> impl DoubleEndedIterator<Item = (u64, &RetainedRevision)> {
         self.history.revisions()
     }
 
-    /// What a document would change against the newest revision, and its conflicts. The state is not changed.
+    /// Returns the difference of a document from the newest revision, and its conflicts. The state is not changed.
     ///
     /// # Errors
     /// If the document is outside its bounds.
@@ -231,7 +231,7 @@
         Ok(Difference::of(newest, document, &self.fleet_conflicts(document, facts)))
     }
 
-    /// What a rollback to this revision would change.
+    /// Returns the difference that a rollback to this revision would make. The state is not changed.
     ///
     /// # Errors
     /// If the revision is not retained.
@@ -247,7 +247,7 @@
     let no_cells = FallbackPolicy { cells: BTreeSet::new(), ..mandatory_fallback.clone() };
     mandatory_fallback.check(&no_cells)?;
     fallback_policy.check(mandatory_fallback)?;
-    // The cells of excepted upstreams are not known yet, so each might be in a mandatory cell.
+    // The cells of excepted upstreams are not known yet, so each upstream might be in a mandatory cell.
     match fallback_policy.except.difference(&mandatory_fallback.except).next() {
         None => Ok(()),
         Some(name) => {
--- a/crates/revision/src/policy_state/fallback_change.rs
+++ b/crates/revision/src/policy_state/fallback_change.rs
@@ -1,5 +1,5 @@
-//! Changes of the fallback policy: their proposal, withdrawal and confirmation. When a change starts and completes is
-//! decided in `phases`.
+//! Changes of the fallback policy: proposal, withdrawal and confirmation. The module `phases` decides when a change
+//! starts and completes.
 
 use super::PolicyState;
 use super::replicated::FallbackChange;
@@ -8,7 +8,7 @@
 use crate::rejection::Rejection;
 
 impl PolicyState {
-    /// Proposes another fallback policy, or withdraws the running change if `target` is the present policy.
+    /// Proposes another fallback policy, or withdraws the running change if `target` is the current policy.
     pub(super) fn propose_fallback_change(
         &mut self,
         index: u64,
@@ -44,8 +44,8 @@
             return Err(Rejection::FallbackChangeInProgress { since: change.proposed_at });
         }
         if change.is_started {
-            // What is in force stays made of both policies until the next generation. The old policy allows all that
-            // both allow, so nobody has to confirm anything.
+            // The rules in force are derived from both policies until the next generation starts. The old policy allows
+            // everything that both policies allow, so no balancer has to confirm the withdrawal.
             change.is_withdrawn = true;
             change.is_confirmed = true;
         } else {
@@ -62,7 +62,7 @@
     ) -> Result<(), FallbackPolicyError> {
         let mandatory = &self.state.mandatory_fallback.cells;
         for name in target.except.difference(&self.state.fallback_policy.except) {
-            // An upstream that the endpoint list does not have may be in any cell.
+            // An upstream that is not on the endpoint list may be in any cell.
             let cell = facts.named.get(name).map(|(cell, _)| *cell);
             if cell.is_none_or(|cell| mandatory.contains(&cell)) {
                 let what = format!("upstream `{name}`");
@@ -89,7 +89,7 @@
         Ok(())
     }
 
-    /// Takes in that every balancer holds the fallback policy of this generation.
+    /// Records that every balancer holds the fallback policy of this generation.
     pub(super) fn confirm_fallback_change(&mut self, fallback_generation: u64) {
         if fallback_generation != self.state.fallback_generation {
             return;
--- a/crates/revision/src/policy_state/in_force_rules.rs
+++ b/crates/revision/src/policy_state/in_force_rules.rs
@@ -7,15 +7,15 @@
 use crate::history::History;
 use crate::rules::Rules;
 
-/// What is in force in a generation.
+/// The rules and the fallback policy in force during a generation.
 pub(super) struct InForceRules {
     /// The rules of balancers that hold a lease.
     pub(super) rules: Arc<Rules>,
-    /// What balancers without a lease keep to.
+    /// The fallback policy of balancers without a lease.
     pub(super) fallback_policy: Arc<FallbackPolicy>,
 }
 
-/// Derives what is in force from the replicated state.
+/// Derives the rules and the fallback policy in force from the replicated state.
 pub(super) fn in_force_rules(state: &ReplicatedState, history: &History) -> InForceRules {
     let current = &state.fallback_policy;
     let (floor, fallback_policy) = match state.started_fallback_change() {
--- a/crates/revision/src/policy_state/phases.rs
+++ b/crates/revision/src/policy_state/phases.rs
@@ -1,20 +1,20 @@
-//! The phases of a change: which generation follows once the present one is confirmed.
+//! The phases of a change: decides which generation follows once the current one is confirmed.
 
 use super::PolicyState;
 use crate::history::ChangeStatus;
 
 impl PolicyState {
-    /// Takes in that nobody acts on an older generation than this.
+    /// Records that no balancer acts on an older generation than this.
     pub(super) fn confirm_generation(&mut self, generation: u64) {
         if generation == self.state.generation {
             self.state.unconfirmed = false;
         }
     }
 
-    /// Starts the next generation, if the present one is confirmed and something waits.
+    /// Starts the next generation if the current one is confirmed and a phase is waiting.
     ///
-    /// One generation changes one thing, so that of the rules that anybody acts on at one moment, each allows all that
-    /// another one allows, or nothing beyond it.
+    /// Each generation starts a single phase. Of any two sets of rules on which balancers act at the same time, one
+    /// then allows everything that the other allows.
     pub(super) fn start_next_generation(&mut self, index: u64) {
         if self.state.unconfirmed || !self.start_next_phase(index) {
             return;
@@ -23,8 +23,8 @@
         self.state.unconfirmed = true;
     }
 
-    /// Starts the first phase that waits: the apply phase of the running change, the start or the end of a change of
-    /// the fallback policy, the restrict phase of the pending revision. Returns whether there is one.
+    /// Starts the first waiting phase, in this order: the apply phase of the running change, the start or the end of a
+    /// change of the fallback policy, the restrict phase of the pending revision. Returns whether a phase has started.
     fn start_next_phase(&mut self, index: u64) -> bool {
         let state = &mut self.state;
         if let Some(target) = state.target.take() {
--- a/crates/revision/src/policy_state/revisions.rs
+++ b/crates/revision/src/policy_state/revisions.rs
@@ -35,7 +35,7 @@
         self.accept(index, options, document, Origin::Rollback(options.id, to))
     }
 
-    /// Rolls back the canary of this revision, if it still runs and its predecessor is retained.
+    /// Rolls back the canary of this revision, if the canary is still running and the revision before it is retained.
     pub(super) fn roll_back_canary(&mut self, index: u64, number: u64, cause: RollbackCause) {
         let Some(canary) = self.state.canary.filter(|canary| canary.revision == number) else {
             return;
@@ -46,7 +46,7 @@
         self.state.canary = None;
     }
 
-    /// Ends the canary of this revision, which stays.
+    /// Confirms the canary of this revision: the canary ends and the revision remains.
     pub(super) fn confirm_canary(&mut self, number: u64) -> Result<u64, Rejection> {
         if self.state.canary.is_none_or(|canary| canary.revision != number) {
             return Err(Rejection::NotOnCanary { number });
@@ -55,7 +55,7 @@
         Ok(number)
     }
 
-    /// The conflicts of a document with the fleet and with what no new revision can forbid.
+    /// Returns the conflicts of a document with the fleet and with the floor that no new revision can forbid.
     pub(super) fn fleet_conflicts(
         &self,
         document: &Document,
@@ -81,8 +81,8 @@
         if let Some(conflict) = conflicts.into_iter().find(|conflict| !is_overridden(conflict)) {
             return Err(Rejection::FleetConflict(conflict));
         }
-        // A revision on top of a canary accepts the canary, unless it is one itself: then a rollback restores what
-        // was there before both.
+        // A revision that is proposed during a canary accepts the canary, unless the new revision is a canary, too: a
+        // rollback then restores the revision before both canaries.
         let before = self.state.canary.map_or(self.state.newest, |canary| canary.before);
         self.state.canary =
             options.canary.map(|terms| CanaryStatus { revision: index, before, terms });
--- a/crates/revision/src/policy_state/snapshot.rs
+++ b/crates/revision/src/policy_state/snapshot.rs
@@ -1,5 +1,5 @@
-//! Snapshots of the policy state as bytes, for balancers that are far behind and for the disk. They are decoded
-//! without trust in their content.
+//! Snapshots of the policy state as bytes, for balancers that are far behind and for the disk. Decoding checks the
+//! content and does not trust it.
 
 use std::collections::BTreeMap;
 use std::sync::Arc;
@@ -13,9 +13,9 @@
 use crate::history::{ChangeStatus, History, MAX_RESULTS, MAX_REVISIONS, Origin, ProposalResult};
 use crate::node_set::MAX_NODES;
 
-/// The version of the format.
+/// Version of the snapshot format.
 const VERSION: u8 = 1;
-/// The longest snapshot, in bytes. Contents take 4 MiB at most.
+/// Maximum length of a snapshot, in bytes. The contents of revisions take 4 MiB at most.
 pub const MAX_SNAPSHOT_BYTES: usize = 6 << 20;
 
 /// A snapshot as it is encoded.
@@ -26,14 +26,14 @@
     /// The contents of all revisions, each once.
     contents: Vec<Document>,
     revisions: Vec<StoredRevision>,
-    /// In the order in which the commands were applied.
+    /// The results, in the order in which the commands were applied.
     results: Vec<StoredResult>,
 }
 
 #[derive(Serialize, Deserialize)]
 struct StoredRevision {
     number: u64,
-    /// The index of its content in [`Snapshot::contents`].
+    /// Index of the revision's content in [`Snapshot::contents`].
     content: u32,
     origin: Origin,
     final_status: Option<ChangeStatus>,
@@ -51,15 +51,15 @@
     /// The snapshot is too long.
     #[error("the image of a rule book takes {found} bytes; expected {MAX_SNAPSHOT_BYTES} at most")]
     TooLong {
-        /// Its length in bytes.
+        /// Length of the snapshot, in bytes.
         found: usize,
     },
     /// The bytes hold no snapshot, or an invalid one.
     #[error("{length} bytes are no image of a rule book ({cause}); learn it from another balancer")]
     Unreadable {
-        /// How many bytes there were.
+        /// Number of bytes.
         length: usize,
-        /// What was wrong with them.
+        /// The error of the decoder or encoder.
         cause: String,
     },
 }
@@ -68,7 +68,7 @@
     /// Encodes the state.
     ///
     /// # Errors
-    /// If it takes more than [`MAX_SNAPSHOT_BYTES`], which the bounds of its parts exclude.
+    /// If the encoded state takes more than [`MAX_SNAPSHOT_BYTES`], which the bounds of its parts rule out.
     pub fn to_snapshot(&self) -> Result<Vec<u8>, SnapshotError> {
         let contents: Vec<&Arc<Document>> = self.history.contents().collect();
         let snapshot = Snapshot {
@@ -88,7 +88,7 @@
         if found > MAX_SNAPSHOT_BYTES { Err(SnapshotError::TooLong { found }) } else { Ok(bytes) }
     }
 
-    /// Decodes a state. The bytes may be anything; the caller vouches that the log agreed on this state.
+    /// Decodes a state from arbitrary bytes. The caller vouches that the cluster agreed on this state.
     ///
     /// # Errors
     /// If the bytes hold no valid state.
--- a/crates/revision/src/policy_state/status.rs
+++ b/crates/revision/src/policy_state/status.rs
@@ -1,4 +1,4 @@
-//! What [`PolicyState`](super::PolicyState) starts with and what it reports; holds no logic.
+//! The initial values of [`PolicyState`](super::PolicyState) and the values that it reports; holds no logic.
 
 use std::sync::Arc;
 
@@ -12,12 +12,12 @@
 use crate::rejection::Rejection;
 use crate::rules::Rules;
 
-/// What a cluster starts with: the same at every balancer, from its settings.
+/// The initial values of a cluster, from the settings. They are the same at every balancer.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Bootstrap {
-    /// How many balancers the cluster has, 1 to [`MAX_NODES`].
+    /// Number of balancers in the cluster, 1 to [`MAX_NODES`].
     pub members: u16,
-    /// What every fallback policy has to include.
+    /// The mandatory fallback, which every fallback policy has to include.
     pub mandatory_fallback: FallbackPolicy,
     /// The first fallback policy.
     pub fallback_policy: FallbackPolicy,
@@ -31,7 +31,7 @@
     /// There are no balancers, or too many.
     #[error("founding a bank of {found} balancers; expected 1 to {MAX_NODES}")]
     NodeSet {
-        /// How many there are.
+        /// Number of balancers.
         found: u16,
     },
     /// The first document is invalid.
@@ -45,18 +45,18 @@
 /// The effect of one log entry.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Applied {
-    /// The result of the command, if the entry was one. A command that was repeated gets its first result.
+    /// Id and result of the command, if the entry was a command. A repeated command gets its first result.
     pub answered: Option<(CommandId, Result<u64, Rejection>)>,
     /// Whether the generation has changed.
     pub generation: bool,
-    /// Why the entry could not be decoded. It had no effect, here and at every other balancer.
+    /// The error, if the entry could not be decoded. Such an entry has no effect at any balancer.
     pub unreadable: Option<EntryError>,
 }
 
 /// A running canary.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, Serialize, Deserialize)]
 pub struct CanaryStatus {
-    /// The revision that is the canary.
+    /// Number of the revision that runs as a canary.
     pub revision: u64,
     /// The revision that a rollback restores.
     pub before: u64,
@@ -69,25 +69,25 @@
 pub struct PolicyStatus {
     /// The index of the last applied entry.
     pub index: u64,
-    /// The index of the last entry that changed what is in force.
+    /// The index of the last entry that changed the rules in force.
     pub generation: u64,
-    /// Whether it is not yet confirmed that nobody acts on an older generation.
+    /// Whether it is not yet confirmed that no balancer acts on an older generation.
     pub unconfirmed: bool,
     /// The rules in force.
     pub rules: Arc<Rules>,
-    /// The revision that is in force, or was last if a change is under way.
+    /// The revision in force; during a change, the revision that was in force before the change.
     pub revision: u64,
-    /// The revision that a running change leads to.
+    /// The revision that the running change puts in force.
     pub target_revision: Option<u64>,
-    /// What a balancer without a lease keeps to.
+    /// The fallback policy of balancers without a lease.
     pub fallback_policy: Arc<FallbackPolicy>,
     /// The generation that set the fallback policy.
     pub fallback_generation: u64,
     /// Whether a change of the fallback policy waits for the confirmation of every balancer.
     pub awaits_fallback_confirmation: bool,
-    /// Balancers that are marked dead: their confirmations are not waited for.
+    /// Balancers that are marked dead. Changes do not wait for their confirmations.
     pub dead: NodeSet,
-    /// How many balancers the cluster has.
+    /// Number of balancers in the cluster.
     pub members: u16,
     /// The canary, if it is the revision in force.
     pub canary: Option<CanaryStatus>,
--- a/crates/revision/src/rejection.rs
+++ b/crates/revision/src/rejection.rs
@@ -1,5 +1,5 @@
-//! Why the replicated policy state rejects a command. Rejections are stored with the results of commands and must be
-//! equal at all replicas, so their texts are part of the format.
+//! The reasons for which the replicated policy state rejects a command. Rejections are stored with the results of
+//! commands and must be equal at all replicas, so their texts are part of the format.
 
 use serde::{Deserialize, Serialize};
 
@@ -7,7 +7,7 @@
 use crate::fallback_policy::FallbackPolicyError;
 use crate::fleet::FleetConflict;
 
-/// Why a command had no effect.
+/// The reason for which a command was rejected.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum Rejection {
     /// The proposal was made against a revision that is no longer the newest.
@@ -16,17 +16,17 @@
          look at that and propose again"
     )]
     StaleBase {
-        /// The revision that it was made against.
+        /// The revision that the proposal was made against.
         base: u64,
-        /// The first retained revision after it.
+        /// The first retained revision after the base.
         first: u64,
         /// The newest revision.
         newest: u64,
     },
-    /// The revision does not exist or is not retained any more.
+    /// The revision does not exist or is no longer retained.
     #[error("revision {number} is not kept; expected one of {oldest} to {newest}")]
     Unknown {
-        /// The number that was asked for.
+        /// Number of the revision in the command.
         number: u64,
         /// The oldest retained revision.
         oldest: u64,
@@ -45,27 +45,27 @@
     /// The revision to be confirmed is not a canary.
     #[error("revision {number} is not on trial; it was taken back, replaced, or had none")]
     NotOnCanary {
-        /// The number that was asked for.
+        /// Number of the revision in the command.
         number: u64,
     },
     /// The fallback policy is invalid.
     #[error("{0}")]
     FallbackPolicy(#[from] FallbackPolicyError),
-    /// The fallback policy is being changed already.
+    /// Another change of the fallback policy is in progress.
     #[error(
         "another charter is on its way since entry {since}; wait until everyone has \
          confirmed it, or give the old one again to withdraw it"
     )]
     FallbackChangeInProgress {
-        /// The index of the entry that proposed the change.
+        /// Index of the entry that proposed the change in progress.
         since: u64,
     },
     /// There is no such balancer in the cluster.
     #[error("there is no balancer {member} in a bank of {members}")]
     UnknownNode {
-        /// The number that was asked for.
+        /// Number of the balancer in the command.
         member: u16,
-        /// How many balancers there are.
+        /// Number of balancers in the cluster.
         members: u16,
     },
 }
--- a/crates/revision/src/rules.rs
+++ b/crates/revision/src/rules.rs
@@ -1,5 +1,5 @@
-//! Routing rules in the form that requests look up: a document under a fallback floor, and how two such rules
-//! contradict each other.
+//! Routing rules in the form that requests look up, built from a document and a fallback floor; detects contradictions
+//! between two sets of rules.
 
 use std::collections::BTreeSet;
 use std::sync::Arc;
@@ -8,19 +8,20 @@
 use crate::fallback_policy::{FallbackFloor, FallbackPolicy};
 pub use crate::place::Place;
 
-/// A class and the cells that it is not sent to, both sorted for binary search.
+/// A class and the cells that receive no requests of the class. The classes, and the cells of each class, are sorted
+/// for binary search.
 type ClassExclusion = (Box<str>, Box<[u32]>);
 
-/// Rules in force. They are immutable and replaced as a whole.
+/// A set of routing rules, immutable and replaced as a whole.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub struct Rules {
-    /// The document; in the restrict phase, what the old and the new document state together.
+    /// The document; in the restrict phase, the combination of the old and the new document.
     document: Document,
-    /// Allow only what the floor allows.
+    /// Whether the rules allow only what the floor allows.
     is_fallback_only: bool,
-    /// What the document cannot forbid.
+    /// The sends that the document cannot forbid.
     floor: Arc<FallbackFloor>,
-    /// What the document excludes, sorted for binary search.
+    /// The excluded parts of the fleet, sorted for binary search.
     excluded_upstreams: Box<[Box<str>]>,
     excluded_cells: Box<[u32]>,
     excluded_machine_types: Box<[Box<str>]>,
@@ -33,8 +34,8 @@
 }
 
 impl Rules {
-    /// Makes rules of a document under a floor, which is stronger than the document: nobody refuses what it allows,
-    /// whatever a document states and whatever machines join a cell later.
+    /// Builds rules from a document and a floor. The floor takes precedence: what the floor allows is permitted
+    /// whatever the document states and whatever machines join a cell later.
     pub fn of(document: Document, floor: Arc<FallbackFloor>) -> Self {
         let boxed = |names: &BTreeSet<String>| names.iter().map(|n| n.as_str().into()).collect();
         let Selection { upstreams, cells, machine_types, zones } = &document.exclusions;
@@ -53,15 +54,15 @@
         }
     }
 
-    /// Makes the rules of a balancer without a lease: it sends only to what the fallback policy allows, with that
-    /// policy's attempts. All other figures are the usual ones.
+    /// Builds the rules of a balancer without a lease, which sends only to upstreams that the fallback policy allows,
+    /// with the attempts of that policy. All other settings have their default values.
     pub fn from_fallback_policy(fallback_policy: &FallbackPolicy) -> Self {
         let document = Document { attempts: fallback_policy.attempts, ..Document::default() };
         let floor = Arc::new(FallbackFloor::of(fallback_policy.clone()));
         Self { is_fallback_only: true, ..Self::of(document, floor) }
     }
 
-    /// Whether a request of this class may be sent to this upstream.
+    /// Returns whether a request of this class may be sent to this upstream.
     pub fn permits(&self, place: &Place<'_>, class: &str) -> bool {
         self.floor.allows(place) || !(self.is_fallback_only || self.excludes(place, class))
     }
@@ -79,7 +80,7 @@
         found.is_some_and(|at| self.class_exclusions[at].1.binary_search(&cell).is_ok())
     }
 
-    /// The fraction of its usual weight that the upstream has, 0 to 1, whether or not it is excluded.
+    /// Returns the upstream's fraction of its usual weight, 0 to 1, whether or not the upstream is excluded.
     pub fn weight(&self, place: &Place<'_>) -> f64 {
         let weights = &self.document.weights;
         let factors = [
@@ -91,43 +92,45 @@
         factors.into_iter().flatten().map(|weight| weight.number()).product()
     }
 
-    /// The most attempts of one request, 1 to 3.
+    /// Returns the maximum number of attempts of one request, 1 to 3.
     pub fn attempts(&self) -> u8 {
         self.document.attempts.max(self.floor.attempts())
     }
 
-    /// The subset factor.
+    /// Returns the subset factor.
     pub fn subset_factor(&self) -> f64 {
         self.document.subset_factor.number()
     }
 
-    /// How many balancers the subset is made for, if the document states it.
+    /// Returns the number of balancers for which the subset is calculated, if the document states it.
     pub fn balancers(&self) -> Option<u16> {
         self.document.balancers
     }
 
-    /// How long a session of this class lasts after its last use, in seconds; `None` if the class has no sessions.
+    /// Returns the lifetime of a session of this class after its last use, in seconds; `None` if the class has no
+    /// sessions.
     pub fn session_s(&self, class: &str) -> Option<u32> {
         self.document.sessions.get(class).copied()
     }
 
-    /// The version of the oldest endpoint list that may be acted on.
+    /// Returns the version of the oldest endpoint list that may be acted on.
     pub fn oldest_list(&self) -> u64 {
         self.document.oldest_list
     }
 
-    /// The document that the rules were made of.
+    /// Returns the document from which the rules were built.
     pub fn document(&self) -> &Document {
         &self.document
     }
 
-    /// What the rules cannot forbid.
+    /// Returns the floor that the rules cannot forbid.
     pub fn floor(&self) -> &Arc<FallbackFloor> {
         &self.floor
     }
 
-    /// Makes the rules of the restrict phase between two revisions: whatever either forbids is forbidden. Figures that
-    /// forbid nothing (weights, subset, sessions) stay those of `old` until the apply phase. The floor is that of `new`.
+    /// Builds the rules of the restrict phase between two revisions, which forbid whatever the old or the new rules
+    /// forbid. Settings that forbid nothing (weights, subset, sessions) are taken from `old` until the apply phase. The
+    /// floor is taken from `new`.
     pub fn restrict(old: &Self, new: &Self) -> Self {
         let (old, new, floor) = (&old.document, &new.document, new.floor.clone());
         let mut class_exclusions = old.class_exclusions.clone();
@@ -147,8 +150,9 @@
         Self::of(document, floor)
     }
 
-    /// Finds something that one of the two allows and the other forbids. Exclusions are compared by name: two ways of
-    /// naming one part of the fleet count as a contradiction, since the fleet is not known here.
+    /// Returns the first contradiction found: something that one set of rules allows and the other forbids. Exclusions
+    /// are compared by name, since the fleet is not known here; two ways of naming one part of the fleet count as a
+    /// contradiction.
     pub fn contradicts(&self, other: &Self) -> Option<Contradiction> {
         let (one, two) = (&self.document, &other.document);
         let is_same_floor = self.floor == other.floor;
@@ -162,7 +166,7 @@
     }
 }
 
-/// The first thing that `one` excludes and `other` does not.
+/// Returns the first part of the fleet that `one` excludes and `other` does not.
 fn selection_contradiction(
     one: &Selection,
     other: &Selection,
@@ -176,7 +180,7 @@
         .or(first(&more.zones).map(Contradiction::Zone))
 }
 
-/// The first class and cell that only one of the documents excludes.
+/// Returns the first pair of a class and a cell that only one of the documents excludes.
 fn class_contradiction(one: &Document, other: &Document) -> Option<Contradiction> {
     let ours: Vec<(&str, u32)> = one.excluded_class_cells().collect();
     let theirs: Vec<(&str, u32)> = other.excluded_class_cells().collect();
@@ -187,20 +191,20 @@
     differs.map(|(class, cell)| Contradiction::ClassExclusion((*class).to_string(), *cell))
 }
 
-/// What one set of rules allows and another forbids.
+/// A contradiction: something that one set of rules allows and another forbids.
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum Contradiction {
-    /// An upstream is excluded by name.
+    /// Only one of the rules excludes this upstream by name.
     Upstream(String),
-    /// A cell is excluded.
+    /// Only one of the rules excludes this cell.
     Cell(u32),
-    /// A machine type is excluded.
+    /// Only one of the rules excludes this machine type.
     MachineType(String),
-    /// A zone is excluded.
+    /// Only one of the rules excludes this zone.
     Zone(String),
-    /// A class is not sent to a cell.
+    /// Only one of the rules excludes this class from this cell.
     ClassExclusion(String, u32),
-    /// The most attempts differ.
+    /// The maximum numbers of attempts differ.
     Attempts,
     /// The oldest endpoint lists that may be acted on differ.
     List,
