--- a/crates/gateway/src/cluster/machine/routing.rs
+++ b/crates/gateway/src/cluster/machine/routing.rs
@@ -95,7 +95,7 @@
                 )));
                 self.is_leader = true;
                 let (epoch, from) = (view.epoch, self.replica.op());
-                self.step_leases(leases::Event::Leads { since, epoch, from });
+                self.step_leases(leases::Event::Leads { since, epoch, last_index: from });
             }
             consensus::Action::Follows => {
                 self.is_leader = false;
@@ -145,7 +145,7 @@
             _ => &[],
         };
         let applied = self.policy.apply(index.op(), bytes);
-        if let Some(cause) = applied.unreadable.filter(|_| !bytes.is_empty()) {
+        if let Some(cause) = applied.decode_error.filter(|_| !bytes.is_empty()) {
             actions.push(Action::Log(format!("log entry {index} can't be decoded: {cause}")));
         }
         self.applied_index = index;
--- a/crates/model-checks/src/lease_model.rs
+++ b/crates/model-checks/src/lease_model.rs
@@ -340,7 +340,7 @@
             let status = Box::new(state.members[usize::from(node_id)].policy.status());
             state.handle_event(node_id, Event::Applied { epoch: 1, status });
         }
-        state.handle_event(0, Event::Leads { since: Duration::ZERO, epoch: 1, from: 0 });
+        state.handle_event(0, Event::Leads { since: Duration::ZERO, epoch: 1, last_index: 0 });
         state.assign_parents();
         // Longer than a lease: the first leader's wait is over, and all members know their fallback policy.
         for _ in 0..10 {
@@ -450,7 +450,7 @@
                 let (led_since, log_length) = (state.local_time(node_id), state.log.len() as u64);
                 state.handle_event(
                     node_id,
-                    Event::Leads { since: led_since, epoch: 1, from: log_length },
+                    Event::Leads { since: led_since, epoch: 1, last_index: log_length },
                 );
                 state.assign_parents();
             }
--- a/crates/revision/src/canary.rs
+++ b/crates/revision/src/canary.rs
@@ -44,7 +44,8 @@
     /// The canary was not confirmed in time.
     NotConfirmed,
     /// The served share of the offered priority weight fell by this many thousandths.
-    ServedWorthFell(u16),
+    #[serde(rename = "ServedWorthFell")]
+    ServedWeightFell(u16),
 }
 
 impl CanaryMetric {
@@ -78,7 +79,7 @@
         if let Some(fall) = metric.and_then(|metric| metric.fall())
             && fall > self.fall
         {
-            return Some(RollbackCause::ServedWorthFell(fall));
+            return Some(RollbackCause::ServedWeightFell(fall));
         }
         let time_limit = Duration::from_secs(u64::from(self.seconds));
         (since >= time_limit).then_some(RollbackCause::NotConfirmed)
--- a/crates/revision/src/difference.rs
+++ b/crates/revision/src/difference.rs
@@ -5,7 +5,7 @@
 use serde::Serialize;
 
 use crate::document::{Document, Selection};
-use crate::figures::Weight;
+use crate::fixed_point::Weight;
 use crate::fleet::FleetConflict;
 
 /// The old and the new value of a field.
--- a/crates/revision/src/document.rs
+++ b/crates/revision/src/document.rs
@@ -6,7 +6,7 @@
 
 use serde::{Deserialize, Serialize};
 
-use crate::figures::{SubsetFactor, Weight};
+use crate::fixed_point::{SubsetFactor, Weight};
 
 /// Maximum length of an encoded document, in bytes. It leaves room in the log entry for the facts about the fleet.
 pub const MAX_DOCUMENT_BYTES: usize = 10 << 10;
--- a/crates/revision/src/fallback_policy.rs
+++ b/crates/revision/src/fallback_policy.rs
@@ -98,7 +98,7 @@
     }
 
     /// Returns the intersection: the policy that allows what both policies allow.
-    pub fn meet(&self, other: &Self) -> Self {
+    pub fn intersection(&self, other: &Self) -> Self {
         Self {
             cells: self.cells.intersection(&other.cells).copied().collect(),
             except: self.except.union(&other.except).cloned().collect(),
@@ -132,7 +132,7 @@
     }
 
     /// Returns the floor that allows what either policy allows.
-    pub fn either(one: FallbackPolicy, other: FallbackPolicy) -> Self {
+    pub fn union(one: FallbackPolicy, other: FallbackPolicy) -> Self {
         Self(if one == other { vec![one] } else { vec![one, other] })
     }
 
--- a/crates/revision/src/figures.rs
+++ b/crates/revision/src/fixed_point.rs
@@ -5,7 +5,7 @@
 use serde::{Deserialize, Deserializer, Serialize, Serializer};
 
 /// Implements conversion and encoding: as a number in human-readable formats, as the stored integer in binary formats.
-macro_rules! figure {
+macro_rules! fixed_point {
     ($name:ident, $integer:ty, $scale:expr, $min:expr, $max:expr, $expected:literal) => {
         impl $name {
             /// Rounds `number` to the nearest value that can be stored.
@@ -58,7 +58,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct Weight(u16);
 
-figure!(
+fixed_point!(
     Weight,
     u16,
     1000.0,
@@ -82,7 +82,7 @@
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub struct SubsetFactor(u32);
 
-figure!(
+fixed_point!(
     SubsetFactor,
     u32,
     100.0,
--- a/crates/revision/src/history.rs
+++ b/crates/revision/src/history.rs
@@ -43,7 +43,7 @@
             Self::AutomaticRollback(revision, RollbackCause::NotConfirmed) => {
                 write!(f, "takenback({revision}, notconfirmed)")
             }
-            Self::AutomaticRollback(revision, RollbackCause::ServedWorthFell(by)) => {
+            Self::AutomaticRollback(revision, RollbackCause::ServedWeightFell(by)) => {
                 write!(f, "takenback({revision}, worthfell({by}))")
             }
         }
--- a/crates/revision/src/leases.rs
+++ b/crates/revision/src/leases.rs
@@ -126,8 +126,8 @@
             Event::Message { from, incarnation, message } => {
                 self.on_message(from, incarnation, message, actions);
             }
-            Event::Leads { since, epoch, from } => {
-                let caught_up_at = LogPosition { epoch, index: from };
+            Event::Leads { since, epoch, last_index } => {
+                let caught_up_at = LogPosition { epoch, index: last_index };
                 self.leadership = Some(Leadership::new(since, caught_up_at));
             }
             Event::Round { began } => {
@@ -187,8 +187,8 @@
         let granted = self.lease.filter(is_valid).map(|lease| lease.until);
         let round = self.caught_up_leadership().and_then(|leadership| leadership.last_round);
         let lower_bound = self.config.lower_bound(self.config.lease);
-        let led = round.map(|began| began.saturating_add(lower_bound));
-        granted.max(led).filter(|until| self.now < *until)
+        let round_lease_end = round.map(|began| began.saturating_add(lower_bound));
+        granted.max(round_lease_end).filter(|until| self.now < *until)
     }
 
     /// Adopts the agreed fallback policy, if this process knows the policy of its earlier incarnations, and counts the
--- a/crates/revision/src/leases/interface.rs
+++ b/crates/revision/src/leases/interface.rs
@@ -13,11 +13,11 @@
 use crate::policy_state::PolicyStatus;
 
 /// Default duration of a lease.
-const LEASE: Duration = Duration::from_secs(2);
+const DEFAULT_LEASE_DURATION: Duration = Duration::from_secs(2);
 /// Default interval between renewals.
-const RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
+const DEFAULT_RENEWAL_INTERVAL: Duration = Duration::from_millis(300);
 /// Default bound on clock drift, in thousandths.
-const DRIFT: u32 = 10;
+const DEFAULT_DRIFT_THOUSANDTHS: u32 = 10;
 
 /// The identity of a balancer and the lease parameters, which are the same at all balancers.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
@@ -51,9 +51,9 @@
         Self {
             node_id,
             incarnation,
-            lease: LEASE,
-            drift: DRIFT,
-            renewal: RENEWAL_INTERVAL,
+            lease: DEFAULT_LEASE_DURATION,
+            drift: DEFAULT_DRIFT_THOUSANDTHS,
+            renewal: DEFAULT_RENEWAL_INTERVAL,
             exact: false,
             mandatory_fallback,
             stored: None,
@@ -104,7 +104,7 @@
         epoch: u32,
         /// The last index of the log at the election. The leader grants no leases of its own before it has applied the
         /// entry with this index.
-        from: u64,
+        last_index: u64,
     },
     /// A majority has answered a round of this leader.
     Round {
--- a/crates/revision/src/lib.rs
+++ b/crates/revision/src/lib.rs
@@ -66,7 +66,7 @@
 pub mod document;
 pub mod entry;
 pub mod fallback_policy;
-pub mod figures;
+pub mod fixed_point;
 pub mod fleet;
 pub mod history;
 pub mod in_force;
--- a/crates/revision/src/lists.rs
+++ b/crates/revision/src/lists.rs
@@ -53,16 +53,16 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub struct Lists {
     now: Duration,
-    own: BTreeMap<String, OwnEntry>,
+    own_entries: BTreeMap<String, OwnEntry>,
     /// The newest version of the own list.
-    newest: u64,
+    newest_version: u64,
     /// The oldest version of the own list that may be acted on without restriction.
     oldest_allowed: u64,
     peer_stops: BTreeMap<String, PeerStop>,
     /// The last reported version of each peer's list.
     peer_versions: BTreeMap<NodeId, u64>,
     /// The newest version for which the own discovery was polled.
-    polled_for: u64,
+    polled_version: u64,
     announcements: Announcements,
 }
 
@@ -90,7 +90,7 @@
         if is_changed || before != (self.peer_stops.len(), self.is_stale()) {
             actions.push(Action::Changed);
         }
-        self.announcements.announce(self.now, self.newest, new_stops, actions);
+        self.announcements.announce(self.now, self.newest_version, new_stops, actions);
     }
 
     /// Records a delivery of the own list. Returns the stops to announce to peers.
@@ -101,16 +101,16 @@
         entries: Vec<(String, Phase)>,
     ) -> Vec<Stop> {
         let mut new_stops = Vec::new();
-        if is_complete && version >= self.newest {
+        if is_complete && version >= self.newest_version {
             for name in self.missing_names(&entries) {
-                new_stops.extend(self.set_own(name, version, Phase::Ended));
+                new_stops.extend(self.record_own_entry(name, version, Phase::Ended));
             }
         }
-        self.newest = self.newest.max(version);
+        self.newest_version = self.newest_version.max(version);
         for (name, phase) in entries {
             // A list that arrives late does not revert the entries of a newer one.
-            if self.own.get(&name).is_none_or(|last| version >= last.version) {
-                new_stops.extend(self.set_own(name, version, phase));
+            if self.own_entries.get(&name).is_none_or(|last| version >= last.version) {
+                new_stops.extend(self.record_own_entry(name, version, phase));
             }
         }
         new_stops
@@ -119,21 +119,22 @@
     /// Returns the upstreams that have not ended and that the complete list in `entries` does not name.
     fn missing_names(&self, entries: &[(String, Phase)]) -> Vec<String> {
         let named: BTreeSet<&String> = entries.iter().map(|(name, _)| name).collect();
-        let own = self.own.iter();
+        let own = self.own_entries.iter();
         let missing =
             own.filter(|(name, entry)| entry.phase != Phase::Ended && !named.contains(name));
         missing.map(|(name, _)| name.clone()).collect()
     }
 
     /// Records the own list's phase of an upstream. Returns a stop if the upstream has just stopped serving.
-    fn set_own(&mut self, name: String, version: u64, phase: Phase) -> Option<Stop> {
+    fn record_own_entry(&mut self, name: String, version: u64, phase: Phase) -> Option<Stop> {
         if name.len() > MAX_NAME_BYTES
-            || (self.own.len() >= MAX_TRACKED_UPSTREAMS && !self.own.contains_key(&name))
+            || (self.own_entries.len() >= MAX_TRACKED_UPSTREAMS
+                && !self.own_entries.contains_key(&name))
         {
             return None;
         }
-        let last = self.own.insert(name.clone(), OwnEntry { version, phase });
-        if self.own.len() >= MAX_TRACKED_UPSTREAMS {
+        let last = self.own_entries.insert(name.clone(), OwnEntry { version, phase });
+        if self.own_entries.len() >= MAX_TRACKED_UPSTREAMS {
             self.forget_ended_upstream_except(&name);
         }
         if self.peer_stops.get(&name).is_some_and(|stop| version > stop.version) {
@@ -147,19 +148,19 @@
 
     /// Forgets one ended upstream other than `name`, so that the own list stays below its bound.
     fn forget_ended_upstream_except(&mut self, name: &str) {
-        let mut own = self.own.iter();
+        let mut own = self.own_entries.iter();
         let ended = own.find(|(other, entry)| entry.phase == Phase::Ended && *other != name);
         if let Some(ended) = ended.map(|(ended, _)| ended.clone()) {
-            self.own.remove(&ended);
+            self.own_entries.remove(&ended);
         }
     }
 
     /// Resets all known versions to 0, since versions of the previous discovery cannot be compared with those of its
     /// replacement. The next entry of the own list for each upstream then takes effect.
     fn reset_versions(&mut self) {
-        self.newest = 0;
-        self.polled_for = 0;
-        self.own.values_mut().for_each(|entry| entry.version = 0);
+        self.newest_version = 0;
+        self.polled_version = 0;
+        self.own_entries.values_mut().for_each(|entry| entry.version = 0);
         self.peer_stops.values_mut().for_each(|stop| stop.version = 0);
         self.peer_versions.clear();
     }
@@ -183,8 +184,8 @@
         }
         let newest_stop = new_stops.iter().map(|stop| stop.version).max().unwrap_or(0);
         let version = message.version.max(newest_stop);
-        if version > self.newest.max(self.polled_for) {
-            self.polled_for = version;
+        if version > self.newest_version.max(self.polled_version) {
+            self.polled_version = version;
             actions.push(Action::Poll { version });
         }
         new_stops
@@ -197,7 +198,7 @@
         }
         // An entry of a newer own list takes precedence. At equal versions replicas of discovery may disagree; the
         // upstream is then stopped.
-        if let Some(own) = self.own.get(&stop.name)
+        if let Some(own) = self.own_entries.get(&stop.name)
             && (own.version > stop.version || own.phase != Phase::Serving)
         {
             return false;
@@ -225,9 +226,9 @@
 
     /// Drops peers' stops that have expired.
     fn expire_stops(&mut self) {
-        let (now, newest) = (self.now, self.newest);
+        let (now, newest_version) = (self.now, self.newest_version);
         for stop in self.peer_stops.values_mut() {
-            let is_matched = newest >= stop.version;
+            let is_matched = newest_version >= stop.version;
             stop.matched_since = is_matched.then(|| stop.matched_since.unwrap_or(now));
         }
         self.peer_stops.retain(|_, stop| !stop.has_expired(now));
@@ -235,12 +236,13 @@
 
     /// Returns whether the own list is older than the agreed policy allows.
     pub fn is_stale(&self) -> bool {
-        self.newest < self.oldest_allowed
+        self.newest_version < self.oldest_allowed
     }
 
     /// Returns whether the own list states that the upstream serves and no peer has stopped the upstream.
     fn is_open(&self, name: &str) -> bool {
-        let is_serving = self.own.get(name).is_some_and(|entry| entry.phase == Phase::Serving);
+        let is_serving =
+            self.own_entries.get(name).is_some_and(|entry| entry.phase == Phase::Serving);
         is_serving && !self.peer_stops.contains_key(name)
     }
 
@@ -270,7 +272,7 @@
 
     /// Returns the newest version of the own list.
     pub fn newest(&self) -> u64 {
-        self.newest
+        self.newest_version
     }
 
     /// Returns the last reported version of each peer's list.
--- a/crates/revision/src/lists/announcements.rs
+++ b/crates/revision/src/lists/announcements.rs
@@ -25,7 +25,7 @@
 pub(super) struct Announcements {
     /// Pending repeats, ordered by due time.
     repeats: VecDeque<Repeat>,
-    last: Option<Duration>,
+    last_announcement: Option<Duration>,
     next_wake: Option<Duration>,
 }
 
@@ -42,9 +42,9 @@
         self.schedule_repeats(now, &new_stops);
         stops.extend(new_stops);
         let is_version_due =
-            self.last.is_none_or(|last| now >= last.saturating_add(VERSION_INTERVAL));
+            self.last_announcement.is_none_or(|last| now >= last.saturating_add(VERSION_INTERVAL));
         if is_version_due || !stops.is_empty() {
-            self.last = Some(now);
+            self.last_announcement = Some(now);
             let messages = split_into_messages(version, stops);
             actions.extend(messages.into_iter().map(Action::Broadcast));
         }
@@ -70,7 +70,7 @@
     }
 
     fn schedule_wake(&mut self, actions: &mut Vec<Action>) {
-        let version = self.last.map(|last| last.saturating_add(VERSION_INTERVAL));
+        let version = self.last_announcement.map(|last| last.saturating_add(VERSION_INTERVAL));
         let repeat = self.repeats.front().map(|repeat| repeat.due);
         let next = [version, repeat].into_iter().flatten().min();
         if let Some(next) = next.filter(|at| self.next_wake != Some(*at)) {
--- a/crates/revision/src/policy_state.rs
+++ b/crates/revision/src/policy_state.rs
@@ -85,10 +85,10 @@
         self.state.index = index;
         let entry = match Entry::from_bytes(bytes) {
             Ok(entry) => entry,
-            Err(error) => return Applied { unreadable: Some(error), ..Applied::default() },
+            Err(error) => return Applied { decode_error: Some(error), ..Applied::default() },
         };
         let previous_generation = self.state.generation;
-        let answered = self.execute(index, entry);
+        let result = self.execute(index, entry);
         self.start_next_generation(index);
         let is_changed = self.state.generation != previous_generation;
         if is_changed {
@@ -96,7 +96,7 @@
             (self.rules, self.effective_fallback) = (in_force.rules, in_force.fallback_policy);
         }
         self.history.compact(&self.state.referenced_revisions().collect());
-        Applied { answered, generation: is_changed, unreadable: None }
+        Applied { result, is_generation_changed: is_changed, decode_error: None }
     }
 
     fn execute(&mut self, index: u64, entry: Entry) -> Option<(CommandId, Result<u64, Rejection>)> {
--- a/crates/revision/src/policy_state/in_force_rules.rs
+++ b/crates/revision/src/policy_state/in_force_rules.rs
@@ -20,8 +20,8 @@
     let current = &state.fallback_policy;
     let (floor, fallback_policy) = match state.started_fallback_change() {
         Some(change) => (
-            FallbackFloor::either(current.clone(), change.target.clone()),
-            current.meet(&change.target),
+            FallbackFloor::union(current.clone(), change.target.clone()),
+            current.intersection(&change.target),
         ),
         None => (FallbackFloor::of(current.clone()), current.clone()),
     };
--- a/crates/revision/src/policy_state/replicated.rs
+++ b/crates/revision/src/policy_state/replicated.rs
@@ -72,6 +72,6 @@
     pub(super) fn proposal_floor(&self) -> FallbackFloor {
         let current = &self.fallback_policy;
         let target = self.fallback_change.as_ref().map_or(current, |change| &change.target);
-        FallbackFloor::either(current.clone(), target.clone())
+        FallbackFloor::union(current.clone(), target.clone())
     }
 }
--- a/crates/revision/src/policy_state/status.rs
+++ b/crates/revision/src/policy_state/status.rs
@@ -46,11 +46,11 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Applied {
     /// Id and result of the command, if the entry was a command. A repeated command gets its first result.
-    pub answered: Option<(CommandId, Result<u64, Rejection>)>,
+    pub result: Option<(CommandId, Result<u64, Rejection>)>,
     /// Whether the generation has changed.
-    pub generation: bool,
+    pub is_generation_changed: bool,
     /// The error, if the entry could not be decoded. Such an entry has no effect at any balancer.
-    pub unreadable: Option<EntryError>,
+    pub decode_error: Option<EntryError>,
 }
 
 /// A running canary.
--- a/crates/revision/tests/documents.rs
+++ b/crates/revision/tests/documents.rs
@@ -145,7 +145,7 @@
     assert_eq!(canary.rollback_cause(s(10), worth(900, 820, 1000)), None);
     assert_eq!(
         canary.rollback_cause(s(10), worth(900, 800, 1000)),
-        Some(RollbackCause::ServedWorthFell(111))
+        Some(RollbackCause::ServedWeightFell(111))
     );
     assert_eq!(canary.rollback_cause(s(4), worth(900, 0, 1000)), None, "too early to say");
     // Half as much was offered, and all of it served.
@@ -213,8 +213,8 @@
             for name in ["u", "v"] {
                 let place = Place { name, cell, machine_type: "m1", zone: "a" };
                 let (x, y) = (a.allows(&place), b.allows(&place));
-                prop_assert_eq!(FallbackFloor::either(a.clone(), b.clone()).allows(&place), x || y);
-                prop_assert_eq!(a.meet(&b).allows(&place), x && y);
+                prop_assert_eq!(FallbackFloor::union(a.clone(), b.clone()).allows(&place), x || y);
+                prop_assert_eq!(a.intersection(&b).allows(&place), x && y);
             }
         }
     }
--- a/crates/revision/tests/formats.rs
+++ b/crates/revision/tests/formats.rs
@@ -153,7 +153,10 @@
         ("fallback_confirmed", Entry::FallbackPolicyConfirmed(300)),
         ("confirm_canary", Entry::ConfirmCanary(CommandId(0x2832), 11)),
         ("take_back_unconfirmed", Entry::AutomaticRollback(11, RollbackCause::NotConfirmed)),
-        ("take_back_after_fall", Entry::AutomaticRollback(11, RollbackCause::ServedWorthFell(300))),
+        (
+            "take_back_after_fall",
+            Entry::AutomaticRollback(11, RollbackCause::ServedWeightFell(300)),
+        ),
         ("node_dead", Entry::MarkDead(CommandId(0x2832), NodeId(300))),
         ("node_alive", Entry::MarkAlive(CommandId(0x2832), NodeId(300))),
     ]
@@ -170,7 +173,7 @@
         ("takenback(11, notconfirmed)", Origin::AutomaticRollback(11, RollbackCause::NotConfirmed)),
         (
             "takenback(11, worthfell(300))",
-            Origin::AutomaticRollback(11, RollbackCause::ServedWorthFell(300)),
+            Origin::AutomaticRollback(11, RollbackCause::ServedWeightFell(300)),
         ),
     ]
 }
@@ -278,7 +281,7 @@
         Entry::GenerationConfirmed(4),
         Entry::AutomaticRollback(5, RollbackCause::NotConfirmed),
         canary(8),
-        Entry::AutomaticRollback(8, RollbackCause::ServedWorthFell(300)),
+        Entry::AutomaticRollback(8, RollbackCause::ServedWeightFell(300)),
         Entry::MarkDead(CommandId(10), NodeId(3)),
         common::propose(11, Some(3), without(&[2])),
         rollback(12, None, 1),
--- a/crates/revision/tests/leases.rs
+++ b/crates/revision/tests/leases.rs
@@ -271,7 +271,7 @@
     let mut policy = policy();
     let mut one = Balancer::usual();
     one.apply(0, &policy)
-        .on(1000, Event::Leads { since: ms(1000), epoch: 1, from: 1 })
+        .on(1000, Event::Leads { since: ms(1000), epoch: 1, last_index: 1 })
         .on(1050, Event::Round { began: ms(1020) });
     assert!(matches!(
         one.request_lease(1100, 5, 1, 0, 0),
@@ -288,13 +288,14 @@
     assert_eq!(one.on(3600, Event::Due).proposal(), Some(&Entry::GenerationConfirmed(1)));
     assert_eq!(one.on(3700, Event::Follows).on(4300, Event::Due).proposal(), None);
     // Entries of another epoch do not count as caught up.
-    let lead = Event::Leads { since: ms(1300), epoch: 2, from: 0 };
+    let lead = Event::Leads { since: ms(1300), epoch: 2, last_index: 0 };
     let mut one = Balancer::usual();
     one.apply(0, &policy).on(1300, lead).on(1400, Event::Round { began: ms(1350) });
     assert_eq!(one.until(), 0);
     // A round from before the leadership was answered to another leader.
     let mut one = Balancer::usual();
-    one.apply(0, &common::policy()).on(1000, Event::Leads { since: ms(1000), epoch: 1, from: 0 });
+    one.apply(0, &common::policy())
+        .on(1000, Event::Leads { since: ms(1000), epoch: 1, last_index: 0 });
     assert_eq!(one.on(1050, Event::Round { began: ms(990) }).until(), 0);
 }
 
@@ -322,7 +323,7 @@
     let mut policy = policy();
     let smaller = FallbackPolicy { cells: [0, 4].into(), ..bootstrap(1).fallback_policy };
     let mut one = Balancer::usual();
-    one.apply(0, &policy).on(0, Event::Leads { since: ms(0), epoch: 1, from: 0 });
+    one.apply(0, &policy).on(0, Event::Leads { since: ms(0), epoch: 1, last_index: 0 });
     one.on(3000, Event::Round { began: ms(2900) });
     next(&mut policy, &Entry::FallbackPolicy(CommandId(1), smaller, Box::default()));
     one.apply(3100, &policy);
@@ -368,7 +369,7 @@
         let mut one = Balancer::usual();
         one.apply(0, &policy);
         if leads {
-            one.on(0, Event::Leads { since: ms(0), epoch: 1, from: 0 });
+            one.on(0, Event::Leads { since: ms(0), epoch: 1, last_index: 0 });
         }
         one.on(59_000, Event::Due);
         assert_eq!(one.proposal(), None);
@@ -378,10 +379,10 @@
             leads.then_some(&Entry::AutomaticRollback(1, RollbackCause::NotConfirmed))
         );
         let mut one = Balancer::usual();
-        one.apply(0, &policy).on(0, Event::Leads { since: ms(0), epoch: 1, from: 0 });
+        one.apply(0, &policy).on(0, Event::Leads { since: ms(0), epoch: 1, last_index: 0 });
         assert_eq!(
             one.on(10_000, Event::CanaryMetric(fall)).proposal(),
-            Some(&Entry::AutomaticRollback(1, RollbackCause::ServedWorthFell(222)))
+            Some(&Entry::AutomaticRollback(1, RollbackCause::ServedWeightFell(222)))
         );
     }
 }
@@ -438,7 +439,7 @@
                 (1, _) => _ = one.on(now, Event::Parent(Some(NodeId(from)))),
                 (2, _) => {
                     let since = ms(time % 30_000);
-                    one.on(now, Event::Leads { since, epoch: 1, from: time % 3 });
+                    one.on(now, Event::Leads { since, epoch: 1, last_index: time % 3 });
                 }
                 (3, _) => _ = one.on(time, Event::Round { began: Duration::from_micros(time) }),
                 (4, _) => {
--- a/crates/revision/tests/policy_state.rs
+++ b/crates/revision/tests/policy_state.rs
@@ -40,16 +40,16 @@
     let mut policy = policy();
     let one = next(&mut policy, &propose(1, Some(0), without(&[2])));
     let two = next(&mut policy, &propose(2, Some(0), without(&[3])));
-    assert_eq!(one.answered, Some((CommandId(1), Ok(1))));
+    assert_eq!(one.result, Some((CommandId(1), Ok(1))));
     let stale = Rejection::StaleBase { base: 0, first: 1, newest: 1 };
-    assert_eq!(two.answered, Some((CommandId(2), Err(stale.clone()))));
+    assert_eq!(two.result, Some((CommandId(2), Err(stale.clone()))));
     // A repeated command gets the same result and has no further effect.
     assert_eq!(
-        next(&mut policy, &propose(2, Some(1), without(&[3]))).answered,
+        next(&mut policy, &propose(2, Some(1), without(&[3]))).result,
         Some((CommandId(2), Err(stale)))
     );
     assert_eq!(
-        next(&mut policy, &propose(1, Some(1), without(&[3]))).answered,
+        next(&mut policy, &propose(1, Some(1), without(&[3]))).result,
         Some((CommandId(1), Ok(1)))
     );
     assert_eq!(policy.command_result(CommandId(1)).map(|a| a.outcome.clone()), Some(Ok(1)));
@@ -91,8 +91,8 @@
     let mut canary_options = options(2, None);
     canary_options.canary = Some(CanaryTerms { seconds: 60, fall: 1000 });
     next(&mut policy, &Entry::Propose(Box::new(canary_options), Box::new(without(&[3]))));
-    let back = next(&mut policy, &rollback(3, None, 1)).answered.unwrap().1.unwrap();
-    let further = next(&mut policy, &rollback(4, Some(back), 0)).answered.unwrap().1.unwrap();
+    let back = next(&mut policy, &rollback(3, None, 1)).result.unwrap().1.unwrap();
+    let further = next(&mut policy, &rollback(4, Some(back), 0)).result.unwrap().1.unwrap();
     assert!(further > back);
     settle(&mut policy);
     assert_eq!(open_cells(&policy), (0..8).collect::<Vec<_>>());
@@ -101,7 +101,7 @@
     let contents: Vec<_> =
         policy.revisions().map(|(_, k)| std::sync::Arc::as_ptr(&k.document)).collect();
     assert!(contents[0] == *contents.last().unwrap(), "content is shared");
-    let unknown = next(&mut policy, &rollback(5, None, 99)).answered.unwrap().1;
+    let unknown = next(&mut policy, &rollback(5, None, 99)).result.unwrap().1;
     assert_eq!(unknown, Err(Rejection::Unknown { number: 99, oldest: 0, newest: further }));
 }
 
@@ -126,12 +126,12 @@
     let mut proposal = options(3, None);
     proposal.facts = fleet;
     let refused =
-        next(&mut policy, &Entry::Rollback(Box::new(proposal.clone()), 1)).answered.unwrap().1;
+        next(&mut policy, &Entry::Rollback(Box::new(proposal.clone()), 1)).result.unwrap().1;
     assert!(matches!(refused, Err(Rejection::FleetConflict(FleetConflict::Unknown { .. }))));
     (proposal.id, proposal.forced) = (CommandId(4), true);
     assert!(
         next(&mut policy, &Entry::Rollback(Box::new(proposal.clone()), 1))
-            .answered
+            .result
             .unwrap()
             .1
             .is_ok()
@@ -139,7 +139,7 @@
     // Conflicts with the fallback policy cannot be overridden.
     proposal.id = CommandId(5);
     let refused =
-        next(&mut policy, &Entry::Propose(Box::new(proposal), Box::new(without(&[1])))).answered;
+        next(&mut policy, &Entry::Propose(Box::new(proposal), Box::new(without(&[1])))).result;
     assert!(matches!(
         refused.unwrap().1,
         Err(Rejection::FleetConflict(FleetConflict::FallbackPolicy { .. }))
@@ -156,24 +156,24 @@
     let mut policy = policy();
     next(&mut policy, &propose(1, None, without(&[2])));
     settle(&mut policy);
-    let number = next(&mut policy, &canary(2, &[3])).answered.unwrap().1.unwrap();
+    let number = next(&mut policy, &canary(2, &[3])).result.unwrap().1.unwrap();
     assert_eq!(policy.status().canary, None, "not in force yet");
     settle(&mut policy);
     assert_eq!(policy.status().canary.unwrap().revision, number);
     // A canary on top of it: both are rolled back to what was there before.
-    let second = next(&mut policy, &canary(3, &[6])).answered.unwrap().1.unwrap();
+    let second = next(&mut policy, &canary(3, &[6])).result.unwrap().1.unwrap();
     settle(&mut policy);
     next(&mut policy, &Entry::AutomaticRollback(number, RollbackCause::NotConfirmed));
     assert_eq!(policy.newest(), second, "it is not that one's trial any more");
     next(&mut policy, &Entry::AutomaticRollback(second, RollbackCause::NotConfirmed));
-    let late = next(&mut policy, &Entry::ConfirmCanary(CommandId(4), second)).answered.unwrap().1;
+    let late = next(&mut policy, &Entry::ConfirmCanary(CommandId(4), second)).result.unwrap().1;
     assert_eq!(late, Err(Rejection::NotOnCanary { number: second }));
     settle(&mut policy);
     assert_eq!(open_cells(&policy), [0, 1, 3, 4, 5, 6, 7]);
     // A confirmed canary stays.
-    let third = next(&mut policy, &canary(5, &[7])).answered.unwrap().1.unwrap();
+    let third = next(&mut policy, &canary(5, &[7])).result.unwrap().1.unwrap();
     assert_eq!(
-        next(&mut policy, &Entry::ConfirmCanary(CommandId(6), third)).answered.unwrap().1,
+        next(&mut policy, &Entry::ConfirmCanary(CommandId(6), third)).result.unwrap().1,
         Ok(third)
     );
     next(&mut policy, &Entry::AutomaticRollback(third, RollbackCause::NotConfirmed));
@@ -201,14 +201,14 @@
     );
     // Until it is confirmed neither may be forbidden, and no other change is accepted.
     for (id, cell) in [(2, 1), (3, 6)] {
-        let refused = next(&mut policy, &propose(id, None, without(&[cell]))).answered.unwrap().1;
+        let refused = next(&mut policy, &propose(id, None, without(&[cell]))).result.unwrap().1;
         assert!(matches!(
             refused,
             Err(Rejection::FleetConflict(FleetConflict::FallbackPolicy { .. }))
         ));
     }
     assert!(matches!(
-        next(&mut policy, &change(4, &[0, 4])).answered.unwrap().1,
+        next(&mut policy, &change(4, &[0, 4])).result.unwrap().1,
         Err(Rejection::FallbackChangeInProgress { .. })
     ));
     settle(&mut policy);
@@ -217,20 +217,20 @@
     next(&mut policy, &Entry::FallbackPolicyConfirmed(status.fallback_generation));
     settle(&mut policy);
     assert_eq!(policy.status().fallback_policy.cells, [0, 4, 6].into());
-    assert!(next(&mut policy, &propose(5, None, without(&[1]))).answered.unwrap().1.is_ok());
+    assert!(next(&mut policy, &propose(5, None, without(&[1]))).result.unwrap().1.is_ok());
     settle(&mut policy);
     // The policy cannot allow what a revision forbids, nor leave out the mandatory fallback.
-    let refused = next(&mut policy, &change(6, &[0, 1, 4, 6])).answered.unwrap().1;
+    let refused = next(&mut policy, &change(6, &[0, 1, 4, 6])).result.unwrap().1;
     assert!(matches!(refused, Err(Rejection::FleetConflict(FleetConflict::FallbackPolicy { .. }))));
     assert!(matches!(
-        next(&mut policy, &change(7, &[0])).answered.unwrap().1,
+        next(&mut policy, &change(7, &[0])).result.unwrap().1,
         Err(Rejection::FallbackPolicy(_))
     ));
     let mut except = fallback_policy(&[0, 4, 6]);
     except.except.insert("u0".into());
     let refused =
         next(&mut policy, &Entry::FallbackPolicy(CommandId(8), except, Box::new(facts())))
-            .answered
+            .result
             .unwrap()
             .1;
     assert!(matches!(refused, Err(Rejection::FallbackPolicy(_))), "u0 is in a bedrock pod");
@@ -254,7 +254,7 @@
     assert!(policy.status().dead.contains(NodeId(3)));
     next(&mut policy, &Entry::MarkAlive(CommandId(2), NodeId(3)));
     assert!(policy.status().dead.is_empty());
-    let refused = next(&mut policy, &Entry::MarkDead(CommandId(3), NodeId(5))).answered.unwrap().1;
+    let refused = next(&mut policy, &Entry::MarkDead(CommandId(3), NodeId(5))).result.unwrap().1;
     assert_eq!(refused, Err(Rejection::UnknownNode { member: 5, members: 5 }));
 }
 
@@ -317,8 +317,9 @@
 }
 
 proptest! {
-    /// For any entries: numbers only grow, an accepted proposal has its revision, what is in force after an entry allows
-    /// all of what it allowed before or nothing more, and two replicas, one of them restored from snapshots, are equal.
+    /// For any entries: numbers only grow, an accepted proposal has its revision, what is in force after an entry
+    /// allows all of what it allowed before or nothing more, and two replicas, one of them restored from snapshots, are
+    /// equal.
     #[test]
     fn any_entries_keep_numbers_growing_and_phases_nested(all in proptest::collection::vec(entries(), 1..60)) {
         let (mut policy, mut other) = (policy(), policy());
@@ -353,7 +354,7 @@
             last = policy.newest();
             // A balancer may keep to the fallback policy for ever: nothing in force forbids it.
             prop_assert!(now.fallback_policy.cells.iter().all(|p| after.contains(p)));
-            if let Some((_, Ok(number))) = applied.answered {
+            if let Some((_, Ok(number))) = applied.result {
                 prop_assert!(number <= now.index);
             }
             if at % 7 == 0 {
@@ -376,11 +377,11 @@
         torn[at] ^= 0x41;
         one.apply(2, &torn);
         one.apply(3, &entry[..at]);
-        prop_assert!(one.apply(4, &[&entry[..], &[0]].concat()).unreadable.is_some());
+        prop_assert!(one.apply(4, &[&entry[..], &[0]].concat()).decode_error.is_some());
         let mut image = policy().to_snapshot().unwrap();
         let at = at % image.len();
         image[at] ^= 0x41;
         let _ = PolicyState::from_snapshot(&image);
-        prop_assert!(one.apply(5, &vec![0; MAX_ENTRY_BYTES + 1]).unreadable.is_some());
+        prop_assert!(one.apply(5, &vec![0; MAX_ENTRY_BYTES + 1]).decode_error.is_some());
     }
 }
--- a/crates/revision/tests/sim/mod.rs
+++ b/crates/revision/tests/sim/mod.rs
@@ -545,7 +545,10 @@
         self.nodes[leader].parent = None;
         self.deliver(leader, Event::Parent(None));
         let from = self.log.len() as u64 - 1;
-        self.deliver(leader, Event::Leads { since: self.local(leader), epoch: self.epoch, from });
+        self.deliver(
+            leader,
+            Event::Leads { since: self.local(leader), epoch: self.epoch, last_index: from },
+        );
         let mut rank: Vec<usize> = (0..self.setting.members).filter(|m| *m != leader).collect();
         let by = leader % rank.len().max(1);
         rank.rotate_left(by);
@@ -690,9 +693,9 @@
         self.at(long, SimEvent::Heal);
     }
 
-    /// A majority dies and loses its state; the others go on with theirs. A new log is started after `wait`, which has to
-    /// be long enough for that majority to have run for longer than a lease: every node that answered a round of the old
-    /// leader has died before.
+    /// A majority dies and loses its state; the others go on with theirs. A new log is started after `wait`, which has
+    /// to be long enough for that majority to have run for longer than a lease: every node that answered a round of the
+    /// old leader has died before.
     pub fn lose_log(&mut self, wait: u64) {
         if self.log_is_lost {
             return;
