--- a/crates/revision/src/difference.rs
+++ b/crates/revision/src/difference.rs
@@ -1,4 +1,4 @@
-//! Describes to operators the difference between two documents. Nothing is decided by it.
+//! Describes the difference between two documents to operators; decides nothing.
 
 use std::collections::{BTreeMap, BTreeSet};
 
--- a/crates/revision/src/document.rs
+++ b/crates/revision/src/document.rs
@@ -133,7 +133,7 @@
     }
 }
 
-/// Why a document is rejected.
+/// An error while reading or checking a document.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum DocumentError {
     /// The text is not valid JSON, or has an unknown or unreadable field.
--- a/crates/revision/src/entry.rs
+++ b/crates/revision/src/entry.rs
@@ -56,7 +56,7 @@
     MarkAlive(CommandId, NodeId),
 }
 
-/// Why an entry cannot be encoded or decoded.
+/// An error while encoding or decoding an entry.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum EntryError {
     /// The entry is longer than the log allows.
--- a/crates/revision/src/fallback_policy.rs
+++ b/crates/revision/src/fallback_policy.rs
@@ -29,7 +29,7 @@
     }
 }
 
-/// Why a fallback policy is rejected.
+/// An error while checking a fallback policy.
 #[derive(Clone, Debug, PartialEq, Eq, Hash, Serialize, Deserialize, thiserror::Error)]
 pub enum FallbackPolicyError {
     /// A field is outside its bounds.
--- a/crates/revision/src/leases/interface.rs
+++ b/crates/revision/src/leases/interface.rs
@@ -32,8 +32,8 @@
     pub drift: u32,
     /// Interval between renewals of a lease.
     pub renewal: Duration,
-    /// Whether a lease is valid only for the generation that it names. Otherwise the lease is valid for later generations
-    /// of the same epoch, too, which is as safe (see the design note) and keeps leases across changes.
+    /// Whether a lease is valid only for the generation that it names. Otherwise the lease is valid for later
+    /// generations of the same epoch, too, which is as safe (see the design note) and keeps leases across changes.
     pub exact: bool,
     /// The mandatory fallback, which every fallback policy includes, from the settings.
     pub mandatory_fallback: FallbackPolicy,
--- a/crates/revision/src/policy_state/snapshot.rs
+++ b/crates/revision/src/policy_state/snapshot.rs
@@ -45,7 +45,7 @@
     result: ProposalResult,
 }
 
-/// Why a snapshot cannot be encoded or decoded.
+/// An error while encoding or decoding a snapshot.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum SnapshotError {
     /// The snapshot is too long.
--- a/crates/revision/src/policy_state/status.rs
+++ b/crates/revision/src/policy_state/status.rs
@@ -25,7 +25,7 @@
     pub document: Document,
 }
 
-/// Why a cluster cannot start.
+/// An error in the initial values of a cluster.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum BootstrapError {
     /// There are no balancers, or too many.
--- a/crates/revision/tests/cluster.rs
+++ b/crates/revision/tests/cluster.rs
@@ -1,4 +1,4 @@
-//! Clusters in virtual time, judged by an oracle that sees who acted on what.
+//! Tests of simulated clusters in virtual time. An oracle checks the rules on which each balancer acts.
 
 mod common;
 mod sim;
@@ -12,8 +12,8 @@
 use sim::oracle::Findings;
 use sim::{Defect, LEASES_EXPIRED, MS, S, Setting, Simulation};
 
-/// The bound on contradictions: a lease, and what is under way when it ends.
-const T: u64 = 3 * S;
+/// Bound on the duration of contradictions: a lease, and the attempts in flight when it ends.
+const CONTRADICTION_BOUND: u64 = 3 * S;
 
 fn random_setting(seed: u64) -> Setting {
     Setting {
@@ -29,10 +29,10 @@
     }
 }
 
-/// Runs the seeds on a few threads and returns the worst finding of each kind.
+/// Runs the seeds on three threads and returns the longest contradictions and the totals of all other findings.
 fn sweep(seeds: std::ops::Range<u64>, setting: impl Fn(u64) -> Setting + Sync) -> Findings {
     let (next, worst) = (AtomicU64::new(seeds.start), Mutex::new(Findings::default()));
-    let work = || loop {
+    let run_seeds = || loop {
         let seed = next.fetch_add(1, Ordering::Relaxed);
         if seed >= seeds.end {
             return;
@@ -52,7 +52,7 @@
     };
     std::thread::scope(|scope| {
         (0..3).for_each(|_| {
-            scope.spawn(work);
+            scope.spawn(run_seeds);
         });
     });
     worst.into_inner().unwrap()
@@ -62,19 +62,22 @@
 fn contradictions_stay_below_the_bound_under_any_faults() {
     let found = sweep(0..1000, random_setting);
     println!("{found:?}");
-    assert!(found.contradiction <= T, "{found:?}");
+    assert!(found.contradiction <= CONTRADICTION_BOUND, "{found:?}");
     assert_eq!((found.mutual, found.refused), (0, 0), "{found:?}");
-    assert!(found.contradiction > S, "the sweep is too tame to judge by: {found:?}");
+    assert!(
+        found.contradiction > S,
+        "the sweep causes too few contradictions to be conclusive: {found:?}"
+    );
     assert!(found.fallback_changes > 300, "{found:?}");
     assert!(found.without_lease * 2 < found.observations, "{found:?}");
 }
 
 #[test]
-#[ignore = "20,000 more, some minutes: `cargo test -p hollowpaddle-revision --test cluster -- --ignored wider`"]
+#[ignore = "20,000 further seeds take some minutes: `cargo test -p hollowpaddle-revision --test cluster -- --ignored wider`"]
 fn wider_sweep() {
     let found = sweep(1000..21_000, |seed| Setting { length: 30 * S, ..random_setting(seed) });
     println!("{found:?}");
-    assert!(found.contradiction <= T, "{found:?}");
+    assert!(found.contradiction <= CONTRADICTION_BOUND, "{found:?}");
     assert_eq!((found.mutual, found.refused), (0, 0), "{found:?}");
 }
 
@@ -91,17 +94,21 @@
         }
     };
     let complete = sweep(0..30, defect(Defect::None));
-    assert!(complete.contradiction <= T && complete.mutual == 0, "{complete:?}");
-    for what in [Defect::NoLease, Defect::NoRestrictPhase, Defect::NoConfirmation] {
-        let found = sweep(0..30, defect(what));
-        println!("{what:?}: {found:?}");
-        // Without a restrict phase or a confirmation, each contradiction still ends with a lease; but two nodes with
+    assert!(complete.contradiction <= CONTRADICTION_BOUND && complete.mutual == 0, "{complete:?}");
+    for defect_kind in [Defect::NoLease, Defect::NoRestrictPhase, Defect::NoConfirmation] {
+        let found = sweep(0..30, defect(defect_kind));
+        println!("{defect_kind:?}: {found:?}");
+        // Without a restrict phase or a confirmation, each contradiction still ends with a lease. But two nodes with
         // leases contradict each other, which must never happen.
-        match what {
+        match defect_kind {
             Defect::NoLease => {
-                assert!(found.contradiction > 2 * T && found.mutual > T, "{found:?}")
+                assert!(
+                    found.contradiction > 2 * CONTRADICTION_BOUND
+                        && found.mutual > CONTRADICTION_BOUND,
+                    "{found:?}"
+                )
             }
-            _ => assert!(found.mutual > S / 2, "{what:?}: {found:?}"),
+            _ => assert!(found.mutual > S / 2, "{defect_kind:?}: {found:?}"),
         }
     }
 }
@@ -120,11 +127,11 @@
     };
     let found = sweep(0..6, large);
     println!("{found:?}");
-    assert!(found.contradiction <= T, "{found:?}");
+    assert!(found.contradiction <= CONTRADICTION_BOUND, "{found:?}");
     assert_eq!((found.mutual, found.refused), (0, 0), "{found:?}");
 }
 
-/// All are killed while the apply phase is on its way, and restart one by one.
+/// All nodes are killed while the entry of the apply phase is being disseminated, and restart one by one.
 #[test]
 fn cluster_agrees_again_after_all_nodes_die_in_the_apply_phase() {
     for seed in 0..20 {
@@ -146,22 +153,29 @@
         {
             let now = cluster.now;
             cluster.run(now + MS);
-            assert!(cluster.now < 20 * S, "seed {seed}: no second step");
+            assert!(cluster.now < 20 * S, "seed {seed}: the apply phase did not start");
         }
         let now = cluster.now;
         cluster.run(now + 20 * MS);
         (0..36).for_each(|m| cluster.kill(m));
         let generation = cluster.log.last().unwrap().generation;
         cluster.run(39 * S);
-        let (there, leased) = cluster.at_generation(generation);
-        assert_eq!((there, cluster.log.last().unwrap().unconfirmed), (36, false), "seed {seed}");
+        let (nodes_at_generation, leased) = cluster.at_generation(generation);
+        assert_eq!(
+            (nodes_at_generation, cluster.log.last().unwrap().unconfirmed),
+            (36, false),
+            "seed {seed}"
+        );
         assert!(leased >= 30, "seed {seed}: {leased} hold leases");
         let found = cluster.finish();
-        assert!(found.contradiction <= T && found.mutual == 0, "seed {seed}: {found:?}");
+        assert!(
+            found.contradiction <= CONTRADICTION_BOUND && found.mutual == 0,
+            "seed {seed}: {found:?}"
+        );
     }
 }
 
-/// A majority loses the log, and a new one starts without its last entries.
+/// A majority loses the log, and a new log starts without the last entries of the lost one.
 #[test]
 fn new_log_waits_for_leases_of_the_previous_one() {
     let worst = |wait| {
@@ -176,11 +190,12 @@
         (0..60).map(|seed| one(seed).mutual).max()
     };
     assert_eq!(worst(LEASES_EXPIRED), Some(0));
-    assert!(worst(50 * MS) > Some(0), "too early it is caught");
+    assert!(worst(50 * MS) > Some(0), "the oracle detects a new log that starts too early");
 }
 
-/// One node is cut off with the old fallback policy while the others make it smaller; `then` decides what follows.
-fn fallback_policy(
+/// Runs a cluster in which one node is cut off with the old fallback policy while the other nodes change to a smaller
+/// policy, and then calls `then` with the number of the node. Returns the cluster and that number.
+fn change_fallback_with_unreachable_node(
     seed: u64,
     defect: Defect,
     then: impl Fn(&mut Simulation, usize),
@@ -196,63 +211,73 @@
     };
     let mut cluster = Simulation::new(seed, setting);
     cluster.run(5 * S);
-    let cut = (cluster.leader().unwrap() + 1) % 7;
-    cluster.cut(cut);
+    let unreachable = (cluster.leader().unwrap() + 1) % 7;
+    cluster.cut_off(unreachable);
     cluster.run(9 * S);
     let smaller = FallbackPolicy { cells: [0, 4].into(), ..common::bootstrap(7).fallback_policy };
     cluster.commit_now(&Entry::FallbackPolicy(CommandId(1), smaller, Box::default()));
     cluster.run(15 * S);
-    then(&mut cluster, cut);
-    (cluster, cut)
+    then(&mut cluster, unreachable);
+    (cluster, unreachable)
 }
 
 #[test]
 fn fallback_change_waits_for_unreachable_node_or_its_dead_mark() {
     let awaits_fallback_confirmation =
         |cluster: &Simulation| cluster.log.last().unwrap().awaits_fallback_confirmation;
-    let puts_out = |cluster: &mut Simulation, id| {
+    let excludes_cell = |cluster: &mut Simulation, id| {
         cluster.commit_now(&common::propose(id, None, common::without(&[1])));
         let now = cluster.now;
         cluster.run(now + 10 * S);
         cluster.log.last().unwrap().revision > 0
     };
     for seed in 0..12 {
-        let (mut cluster, _) = fallback_policy(seed, Defect::None, |_, _| ());
+        let (mut cluster, _) = change_fallback_with_unreachable_node(seed, Defect::None, |_, _| ());
         assert!(
-            awaits_fallback_confirmation(&cluster) && !puts_out(&mut cluster, 2),
-            "seed {seed}: without everybody's word"
+            awaits_fallback_confirmation(&cluster) && !excludes_cell(&mut cluster, 2),
+            "seed {seed}: the change is pending without the confirmation of every node"
         );
         cluster.heal();
         cluster.run(32 * S);
         assert!(
-            !awaits_fallback_confirmation(&cluster) && puts_out(&mut cluster, 3),
-            "seed {seed}: it is back, and says so"
+            !awaits_fallback_confirmation(&cluster) && excludes_cell(&mut cluster, 3),
+            "seed {seed}: the node is back and has confirmed"
         );
         let found = cluster.finish();
-        assert!(found.contradiction <= T && found.mutual == 0, "seed {seed}: {found:?}");
+        assert!(
+            found.contradiction <= CONTRADICTION_BOUND && found.mutual == 0,
+            "seed {seed}: {found:?}"
+        );
 
-        let (mut cluster, cut) = fallback_policy(seed, Defect::None, |cluster, cut| {
-            cluster.kill(cut);
-            cluster.commit_now(&Entry::MarkDead(CommandId(9), NodeId(cut as u16)));
-        });
+        let (mut cluster, unreachable) =
+            change_fallback_with_unreachable_node(seed, Defect::None, |cluster, unreachable| {
+                cluster.kill(unreachable);
+                cluster.commit_now(&Entry::MarkDead(CommandId(9), NodeId(unreachable as u16)));
+            });
         cluster.run(18 * S);
         assert!(
-            !awaits_fallback_confirmation(&cluster) && puts_out(&mut cluster, 2),
-            "seed {seed}: {cut} is dead, by operators' word"
+            !awaits_fallback_confirmation(&cluster) && excludes_cell(&mut cluster, 2),
+            "seed {seed}: operators have marked node {unreachable} dead"
         );
     }
-    let (mut cluster, _) = fallback_policy(0, Defect::UnconfirmedFallback, |_, _| ());
-    assert!(!awaits_fallback_confirmation(&cluster) && puts_out(&mut cluster, 2));
-    assert!(cluster.finish().contradiction > T, "without waiting for everybody it is caught");
+    let (mut cluster, _) =
+        change_fallback_with_unreachable_node(0, Defect::UnconfirmedFallback, |_, _| ());
+    assert!(!awaits_fallback_confirmation(&cluster) && excludes_cell(&mut cluster, 2));
+    assert!(
+        cluster.finish().contradiction > CONTRADICTION_BOUND,
+        "the oracle detects a change that does not wait for every node"
+    );
 }
 
-/// How long it takes from the commit until all act on the new rules alone, and what an idle cluster costs.
-fn figures(
+/// Measures the time from a commit until 99 % and all of the nodes act on the new rules alone, in milliseconds, and for
+/// an idle cluster the messages per second and node, the bytes per message, and the share of nodes that hold a lease.
+fn measure(
     members: usize,
     loss: f64,
     seeds: std::ops::Range<u64>,
 ) -> (Vec<u64>, Vec<u64>, f64, f64, f64) {
-    let (mut most, mut all, mut messages, mut bytes, mut leased) = (vec![], vec![], 0.0, 0.0, 0.0);
+    let (mut durations_99_percent, mut all, mut messages, mut bytes, mut leased) =
+        (vec![], vec![], 0.0, 0.0, 0.0);
     for seed in seeds.clone() {
         let setting = Setting {
             members,
@@ -276,15 +301,16 @@
         bytes += (cluster.bytes - before_bytes) as f64 / (cluster.messages - before) as f64;
         let committed_at = cluster.now;
         let index = cluster.commit_now(&common::propose(1, None, common::without(&[2])));
-        let mut late = None;
+        let mut at_99_percent = None;
         loop {
             let now = cluster.now;
             cluster.run(now + 5 * MS);
             let last = cluster.log.last().unwrap().clone();
             if last.revision == index as u64 {
-                let there = cluster.at_generation(last.generation).0;
-                late = late.or((there * 100 >= members * 99).then_some(cluster.now - committed_at));
-                if there == members {
+                let nodes_at_generation = cluster.at_generation(last.generation).0;
+                at_99_percent = at_99_percent.or((nodes_at_generation * 100 >= members * 99)
+                    .then_some(cluster.now - committed_at));
+                if nodes_at_generation == members {
                     break;
                 }
             }
@@ -293,49 +319,50 @@
                 "seed {seed}, {members} members, loss {loss}"
             );
         }
-        most.push(late.unwrap() / MS);
+        durations_99_percent.push(at_99_percent.unwrap() / MS);
         all.push((cluster.now - committed_at) / MS);
     }
-    most.sort_unstable();
+    durations_99_percent.sort_unstable();
     all.sort_unstable();
     let runs = (seeds.end - seeds.start) as f64;
-    (most, all, messages / runs, bytes / runs, leased / runs)
+    (durations_99_percent, all, messages / runs, bytes / runs, leased / runs)
 }
 
 #[test]
 fn idle_messages_do_not_grow_with_size_and_changes_apply_in_seconds() {
-    let (_, _, small, _, _) = figures(36, 0.0, 0..2);
-    let (_, all, large, _, leased) = figures(300, 0.1, 0..3);
-    let (_, _, _, _, bad) = figures(36, 0.3, 0..4);
-    assert!(bad > 0.99, "{bad} hold a lease with 30 % lost");
-    let (_, soon, ..) = figures(36, 0.1, 0..8);
-    assert!(soon[4] < 600, "{soon:?}");
-    assert!(large <= 1.3 * small && large < 8.0, "{small} and {large} words a second");
+    let (_, _, small, _, _) = measure(36, 0.0, 0..2);
+    let (_, all, large, _, leased) = measure(300, 0.1, 0..3);
+    let (_, _, _, _, leased_at_high_loss) = measure(36, 0.3, 0..4);
+    assert!(leased_at_high_loss > 0.99, "{leased_at_high_loss} hold a lease at a loss of 30 %");
+    let (_, at_99_percent, ..) = measure(36, 0.1, 0..8);
+    assert!(at_99_percent[4] < 600, "{at_99_percent:?}");
+    assert!(large <= 1.3 * small && large < 8.0, "{small} and {large} messages per second");
     assert!(leased > 0.99, "{leased}");
     assert!(all.iter().all(|ms| *ms <= 2000), "{all:?}");
 }
 
 #[test]
-#[ignore = "the note's table: `cargo test -p hollowpaddle-revision --test cluster -- --ignored --nocapture`"]
+#[ignore = "prints the table of the design note: `cargo test -p hollowpaddle-revision --test cluster -- --ignored --nocapture`"]
 fn table_of_figures() {
     println!(
-        "members loss | in force at 99 % p50 max | at all p50 max (ms) | words/s a member | bytes a word"
+        "members loss | in force at 99 % p50 max | at all p50 max (ms) | messages/s per member | bytes per message"
     );
     for members in [5, 36, 300] {
         for loss in [0.0, 0.1, 0.3] {
-            let (most, all, messages, bytes, leased) = figures(members, loss, 0..20);
+            let (durations_99_percent, all, messages, bytes, leased) =
+                measure(members, loss, 0..20);
             let (p50, max) = (|v: &Vec<u64>| v[v.len() / 2], |v: &Vec<u64>| v[v.len() - 1]);
             println!(
                 "{members:4} {loss:.1} | {:5} {:5} | {:5} {:5} | {messages:.2} | {bytes:.0} | {leased:.4}",
-                p50(&most),
-                max(&most),
+                p50(&durations_99_percent),
+                max(&durations_99_percent),
                 p50(&all),
                 max(&all)
             );
         }
     }
     println!(
-        "36 members, loss 0.1, changes a second, exact | hold a lease | words/s | contradiction, mutual (ms)"
+        "36 members, loss 0.1, changes per second, exact | hold a lease | messages/s | contradiction, mutual (ms)"
     );
     for (rate, exact) in [(1.0, false), (1.0, true), (40.0, false), (40.0, true)] {
         let setting = Setting {
--- a/crates/revision/tests/common/mod.rs
+++ b/crates/revision/tests/common/mod.rs
@@ -1,4 +1,4 @@
-//! A small fleet, and log entries about it.
+//! Helpers of the tests: a small fleet, and log entries about it.
 #![allow(dead_code)]
 
 use std::collections::{BTreeMap, BTreeSet};
@@ -10,7 +10,8 @@
 use hollowpaddle_revision::policy_state::{Applied, Bootstrap, PolicyState};
 use hollowpaddle_revision::rules::Place;
 
-/// Two zones of four cells, each with two machine types of four upstreams; a third of the capacity is needed.
+/// Returns the facts of a fleet of two zones. Each zone has four cells, and each cell two machine types with four
+/// upstreams each. The load is about a third of the capacity.
 pub fn facts() -> FleetFacts {
     let group = |cell: u32, machine_type| Group {
         cell,
@@ -31,7 +32,8 @@
     }
 }
 
-/// Cells 0 and 4 are the mandatory fallback; the fallback policy has 1 and 5 as well.
+/// Returns the initial values of a cluster. The mandatory fallback consists of cells 0 and 4; the fallback policy also
+/// includes cells 1 and 5.
 pub fn bootstrap(members: u16) -> Bootstrap {
     let fallback_policy = |cells: &[u32], attempts| FallbackPolicy {
         cells: cells.iter().copied().collect(),
@@ -47,10 +49,10 @@
 }
 
 pub fn policy() -> PolicyState {
-    PolicyState::bootstrap(bootstrap(5)).expect("it can be founded")
+    PolicyState::bootstrap(bootstrap(5)).expect("the initial values are valid")
 }
 
-/// A document that excludes these cells.
+/// Returns a document that excludes these cells.
 pub fn without(cells: &[u32]) -> Document {
     let mut document = Document::default();
     document.exclusions.cells = cells.iter().copied().collect();
@@ -75,7 +77,7 @@
     policy.apply(index, &entry.to_bytes().expect("short"))
 }
 
-/// Confirms each generation until nothing is under way.
+/// Confirms each generation until no change is running.
 pub fn settle(policy: &mut PolicyState) {
     while policy.status().unconfirmed {
         let generation = policy.status().generation;
@@ -87,7 +89,7 @@
     Place { name: "u", cell, machine_type: "m1", zone: if cell < 4 { "bilbao" } else { "oviedo" } }
 }
 
-/// The cells that may be sent to.
+/// Returns the cells to which the rules in force permit sending.
 pub fn open_cells(policy: &PolicyState) -> Vec<u32> {
     (0..8).filter(|p| policy.status().rules.permits(&place(*p), "log")).collect()
 }
--- a/crates/revision/tests/documents.rs
+++ b/crates/revision/tests/documents.rs
@@ -1,4 +1,4 @@
-//! Documents, rules and the fallback policy.
+//! Tests of documents, rules, fleet conflicts, fallback policies and canary terms.
 
 mod common;
 
@@ -20,9 +20,9 @@
 
 #[test]
 fn reads_documents_from_json_and_names_the_wrong_field() {
-    let good = br#"{"out": {"pods": [3], "sites": ["oviedo"]}, "weights": {"pods": {"2": 0.25}},
+    let valid_json = br#"{"out": {"pods": [3], "sites": ["oviedo"]}, "weights": {"pods": {"2": 0.25}},
         "kept": {"log": [7]}, "attempts": 2, "times": 3.5, "sessions": {"log": 600}, "eldest_list": 41}"#;
-    let document = Document::from_json(good).unwrap();
+    let document = Document::from_json(valid_json).unwrap();
     let again = Document::from_json(&serde_json::to_vec(&document).unwrap()).unwrap();
     assert_eq!(document, again);
     let bytes = postcard::to_stdvec(&document).unwrap();
@@ -66,12 +66,12 @@
 }
 
 #[test]
-fn fleet_conflicts_are_reported_gravest_first() {
+fn fleet_conflicts_are_reported_most_serious_first() {
     let conflicts =
         |document: Document| facts().fleet_conflicts(&Rules::of(document, floor(&[0, 4])));
     let json = |json: &str| conflicts(Document::from_json(json.as_bytes()).unwrap());
     assert_eq!(conflicts(without(&[1])), []);
-    // Without two cells of a zone 2000 are left for a load of 1300, without a third 1000.
+    // Without two cells of a zone, a capacity of 2000 remains for a load of 1300; without a third cell, 1000 remains.
     assert_eq!(conflicts(without(&[1, 2])), []);
     let shortage = |zone: &str, load, capacity| FleetConflict::NoCapacity {
         zone: zone.into(),
@@ -95,11 +95,11 @@
             .contains(&fallback_policy("flavour `m2` in pod 4"))
     );
     assert!(json(r#"{"kept": {"log": [0]}}"#).contains(&fallback_policy("class `log` at pod 0")));
-    let mut nowhere = Document::default();
-    nowhere.class_exclusions.insert("log".into(), (0..8).collect());
-    let all = facts().fleet_conflicts(&Rules::of(nowhere, floor(&[])));
+    let mut without_cells = Document::default();
+    without_cells.class_exclusions.insert("log".into(), (0..8).collect());
+    let all = facts().fleet_conflicts(&Rules::of(without_cells, floor(&[])));
     assert_eq!(all, [FleetConflict::NoCellForClass { class: "log".into() }]);
-    // The load of an excluded zone goes to the others, as far as they have capacity.
+    // The load of an excluded zone moves to the other zones, up to their capacity.
     let mut zone = Document::default();
     zone.exclusions.zones.insert("bilbao".into());
     assert_eq!(facts().fleet_conflicts(&Rules::of(zone.clone(), floor(&[]))), []);
@@ -129,10 +129,10 @@
 }
 
 #[test]
-fn canary_verdict_is_rollback_on_timeout_or_fall() {
+fn canary_is_rolled_back_on_timeout_or_fall() {
     let canary = CanaryTerms { seconds: 60, fall: 100 };
     let s = std::time::Duration::from_secs;
-    let worth = |before, since, offered_since| {
+    let served_weight = |before, since, offered_since| {
         Some(CanaryMetric {
             served_before: before,
             served_since: since,
@@ -142,29 +142,33 @@
     };
     assert_eq!(canary.rollback_cause(s(59), None), None);
     assert_eq!(canary.rollback_cause(s(60), None), Some(RollbackCause::NotConfirmed));
-    assert_eq!(canary.rollback_cause(s(10), worth(900, 820, 1000)), None);
+    assert_eq!(canary.rollback_cause(s(10), served_weight(900, 820, 1000)), None);
     assert_eq!(
-        canary.rollback_cause(s(10), worth(900, 800, 1000)),
+        canary.rollback_cause(s(10), served_weight(900, 800, 1000)),
         Some(RollbackCause::ServedWeightFell(111))
     );
-    assert_eq!(canary.rollback_cause(s(4), worth(900, 0, 1000)), None, "too early to say");
-    // Half as much was offered, and all of it served.
-    assert_eq!(canary.rollback_cause(s(10), worth(900, 450, 500)), None);
-    assert_eq!(canary.rollback_cause(s(10), worth(900, 0, 0)), None);
-    assert_eq!(canary.rollback_cause(s(10), worth(0, 0, 1000)), None);
+    assert_eq!(
+        canary.rollback_cause(s(4), served_weight(900, 0, 1000)),
+        None,
+        "before the settle time the metric is ignored"
+    );
+    // Half as much weight was offered, and the served share of it did not fall.
+    assert_eq!(canary.rollback_cause(s(10), served_weight(900, 450, 500)), None);
+    assert_eq!(canary.rollback_cause(s(10), served_weight(900, 0, 0)), None);
+    assert_eq!(canary.rollback_cause(s(10), served_weight(0, 0, 1000)), None);
 }
 
 fn documents() -> impl Strategy<Value = Document> {
     let cells = || proptest::collection::btree_set(0_u32..8, 0..4);
     (cells(), cells(), proptest::bool::ANY, 1_u8..=3, 0_u64..4).prop_map(
-        |(out, kept, zone, attempts, oldest_list)| {
+        |(excluded_cells, excluded_for_class, zone, attempts, oldest_list)| {
             let mut d = Document { attempts, oldest_list, ..Document::default() };
-            d.exclusions.cells = out;
+            d.exclusions.cells = excluded_cells;
             if zone {
                 d.exclusions.zones.insert("oviedo".into());
             }
-            if !kept.is_empty() {
-                d.class_exclusions.insert("log".into(), kept);
+            if !excluded_for_class.is_empty() {
+                d.class_exclusions.insert("log".into(), excluded_for_class);
             }
             d
         },
@@ -172,7 +176,7 @@
 }
 
 proptest! {
-    /// The model is what each of the two permits, upstream by upstream.
+    /// The model is the conjunction of both sets of rules, evaluated upstream by upstream.
     #[test]
     fn restricted_rules_allow_exactly_what_both_allow(a in documents(), b in documents(), cell in 0_u32..8) {
         let (a, b) = (Rules::of(a, floor(&[0, 4])), Rules::of(b, floor(&[0, 4])));
@@ -199,9 +203,10 @@
         let _ = Document::from_json(&bytes);
     }
 
-    /// The exact meaning of two fallback policies, upstream by upstream.
+    /// Compares the union and the intersection of two fallback policies with the policies themselves, upstream by
+    /// upstream.
     #[test]
-    fn floor_allows_what_either_policy_allows_and_meet_what_both_allow(
+    fn union_allows_what_either_policy_allows_and_intersection_what_both_allow(
         a in (proptest::collection::btree_set(0_u32..4, 0..4), proptest::bool::ANY),
         b in (proptest::collection::btree_set(0_u32..4, 0..4), proptest::bool::ANY),
     ) {
--- a/crates/revision/tests/formats.rs
+++ b/crates/revision/tests/formats.rs
@@ -1,5 +1,6 @@
-//! Pins what this package writes to other balancers, the log, the disk and the admin API. The expected text is data under
-//! `tests/formats/` or a literal here, never computed: a rename in the code must leave all of it as it is.
+//! Pins the formats of everything that this package writes to other balancers, the log, the disk and the admin API. The
+//! expected text is data under `tests/formats/` or a literal here, and is never computed, so that a rename in the code
+//! cannot change it unnoticed.
 
 mod common;
 
@@ -25,7 +26,8 @@
 
 type Cases<T> = Vec<(&'static str, T)>;
 
-/// Checks each value against its line in `data` (`case: bytes in hex`), reads that line back, and accepts no line more.
+/// Checks each encoded value against its line in `data` (`case: bytes in hex`), decodes the line again, and rejects
+/// additional lines.
 fn assert_bytes<T: Debug + PartialEq>(
     data: &str,
     cases: &Cases<T>,
@@ -43,7 +45,7 @@
     }
 }
 
-/// The same for values that stand inside the log or a snapshot.
+/// Checks values that are part of the log or of a snapshot like [`assert_bytes`], with their postcard encoding.
 fn assert_parts<T: Debug + PartialEq + Serialize + DeserializeOwned>(data: &str, cases: &Cases<T>) {
     let write = |value: &T| postcard::to_stdvec(value).unwrap();
     assert_bytes(data, cases, write, |bytes| postcard::from_bytes(bytes).unwrap());
@@ -55,7 +57,7 @@
     assert_eq!(printed, expected);
 }
 
-/// A document that names each part of the fleet.
+/// Returns a document that names each part of the fleet.
 fn document() -> Document {
     let json = include_str!("formats/document.json");
     Document::from_json(json.as_bytes()).unwrap()
@@ -90,7 +92,7 @@
     })
 }
 
-const TRIAL: CanaryTerms = CanaryTerms { seconds: 60, fall: 100 };
+const CANARY_TERMS: CanaryTerms = CanaryTerms { seconds: 60, fall: 100 };
 const GENERATION: Generation = Generation { epoch: 1, index: 300 };
 
 fn lease_messages() -> Cases<Message> {
@@ -143,7 +145,7 @@
     let document = Box::new(document());
     vec![
         ("propose", Entry::Propose(proposal(None), document.clone())),
-        ("propose_canary", Entry::Propose(proposal(Some(TRIAL)), document)),
+        ("propose_canary", Entry::Propose(proposal(Some(CANARY_TERMS)), document)),
         ("rollback", Entry::Rollback(proposal(None), 3)),
         ("generation_confirmed", Entry::GenerationConfirmed(300)),
         (
@@ -229,9 +231,9 @@
     ]
 }
 
-/// A rejection that holds one of the errors above is tried with one of its variants.
-fn refusals() -> Cases<Rejection> {
-    let (misfit, fallback_policy) =
+/// Returns all rejections. A rejection that wraps one of the errors above has one variant of that error.
+fn rejections() -> Cases<Rejection> {
+    let (conflict, fallback_policy) =
         (fleet_conflicts().remove(1), fallback_policy_errors().remove(1));
     vec![
         (
@@ -243,10 +245,10 @@
             Rejection::Unknown { number: 3, oldest: 4, newest: 300 },
         ),
         ("the document's error", Rejection::Document("the document's error".into())),
-        (misfit.0, Rejection::FleetConflict(misfit.1)),
+        (conflict.0, Rejection::FleetConflict(conflict.1)),
         (
             "a trial of 60 s and 100 thousandths; expected 1 to 3600 and 1 to 1000",
-            Rejection::CanaryTerms(TRIAL),
+            Rejection::CanaryTerms(CANARY_TERMS),
         ),
         (
             "revision 3 is not on trial; it was taken back, replaced, or had none",
@@ -265,10 +267,10 @@
     ]
 }
 
-/// A state in which each stored field differs from its usual value, by entries 1 to 13.
+/// Returns a state in which each stored field differs from its usual value, produced by entries 1 to 13.
 fn busy_state() -> PolicyState {
     let mut policy = policy();
-    let canary_options = |id| ProposalOptions { canary: Some(TRIAL), ..options(id, None) };
+    let canary_options = |id| ProposalOptions { canary: Some(CANARY_TERMS), ..options(id, None) };
     let canary = |id| Entry::Propose(Box::new(canary_options(id)), Box::new(without(&[3])));
     let mut to = policy.status().fallback_policy.as_ref().clone();
     to.attempts = 2;
@@ -340,7 +342,7 @@
 fn parts_of_snapshots_keep_their_bytes() {
     assert_parts(include_str!("formats/origins.txt"), &origins());
     assert_parts(include_str!("formats/fates.txt"), &change_statuses());
-    assert_parts(include_str!("formats/refusals.txt"), &refusals());
+    assert_parts(include_str!("formats/refusals.txt"), &rejections());
     assert_parts(include_str!("formats/misfits.txt"), &fleet_conflicts());
     assert_parts(include_str!("formats/charter_errors.txt"), &fallback_policy_errors());
     let answers = vec![
@@ -357,7 +359,7 @@
 fn admin_api_prints_origins_statuses_and_errors_as_before() {
     assert_text(&origins(), ToString::to_string);
     assert_text(&change_statuses(), ToString::to_string);
-    assert_text(&refusals(), ToString::to_string);
+    assert_text(&rejections(), ToString::to_string);
     assert_text(&fleet_conflicts(), ToString::to_string);
     assert_text(&fallback_policy_errors(), ToString::to_string);
 }
@@ -391,14 +393,14 @@
 #[test]
 fn posted_canary_terms_keep_their_json() {
     let text = r#"{"seconds":60,"fall":100}"#;
-    assert_eq!(serde_json::to_string(&TRIAL).unwrap(), text);
-    assert_eq!(serde_json::from_str::<CanaryTerms>(text).unwrap(), TRIAL);
+    assert_eq!(serde_json::to_string(&CANARY_TERMS).unwrap(), text);
+    assert_eq!(serde_json::from_str::<CanaryTerms>(text).unwrap(), CANARY_TERMS);
 }
 
 #[test]
 fn dry_runs_keep_their_json() {
     let found: Vec<FleetConflict> =
-        fleet_conflicts().into_iter().map(|(_, misfit)| misfit).skip(1).take(1).collect();
+        fleet_conflicts().into_iter().map(|(_, conflict)| conflict).skip(1).take(1).collect();
     let written =
         |from, to| serde_json::to_string(&Difference::of(from, to, &found)).unwrap() + "\n";
     let (usual, changed) = (Document::default(), document());
@@ -406,7 +408,7 @@
     assert_eq!(written(&changed, &usual), include_str!("formats/dry_run_back.json"));
 }
 
-/// The errors of the admin API name keys: as users wrote them, not as fields are called here.
+/// The errors of the admin API name keys as users write them, not as the fields are called in the code.
 #[test]
 fn errors_about_posted_documents_name_the_keys_as_before() {
     for line in include_str!("formats/document_errors.txt").lines() {
@@ -533,9 +535,10 @@
     }
 }
 
-/// Every balancer derives them from the settings: a build that chose others would disagree with its peers.
+/// Every balancer derives the usual fallback policies from the settings, so a build that chooses other cells would
+/// disagree with its peers.
 #[test]
-fn usual_fallback_policies_keep_their_pods() {
+fn usual_fallback_policies_keep_their_cells() {
     let zones = [("bilbao", 0..9), ("oviedo", 100..104)];
     let zones =
         zones.into_iter().map(|(zone, cells)| (zone.to_string(), cells.collect())).collect();
@@ -545,7 +548,7 @@
 }
 
 #[test]
-fn conflicts_with_the_fallback_policy_and_the_fleet_keep_their_words() {
+fn conflicts_with_the_fallback_policy_and_the_fleet_keep_their_texts() {
     let facts = FleetFacts { zones: vec!["oviedo".into()], ..facts() };
     let conflicts = |document: Document, cells: &[u32], attempts| -> Vec<String> {
         let policy = FallbackPolicy {
--- a/crates/revision/tests/leases.rs
+++ b/crates/revision/tests/leases.rs
@@ -1,4 +1,4 @@
-//! Leases of one balancer at a time; the test sends each message.
+//! Tests of the leases of a single balancer; the test sends each message.
 
 mod common;
 
@@ -16,15 +16,15 @@
 use hollowpaddle_revision::policy_state::PolicyState;
 use proptest::prelude::*;
 
-fn ms(ms: u64) -> Duration {
-    Duration::from_millis(ms)
+fn ms(milliseconds: u64) -> Duration {
+    Duration::from_millis(milliseconds)
 }
 
 fn generation(index: u64) -> Generation {
     Generation { epoch: 1, index }
 }
 
-/// One balancer, and its last actions.
+/// The leases of one balancer, and the actions of the last event.
 struct Balancer {
     leases: Leases,
     actions: Vec<Action>,
@@ -32,28 +32,28 @@
 
 impl Balancer {
     fn new(change: impl FnOnce(&mut LeaseConfig)) -> Self {
-        let mut terms =
+        let mut config =
             LeaseConfig::usual(NodeId(0), Incarnation(7), bootstrap(1).mandatory_fallback);
-        change(&mut terms);
-        Self { leases: Leases::new(terms), actions: vec![] }
+        change(&mut config);
+        Self { leases: Leases::new(config), actions: vec![] }
     }
 
     fn usual() -> Self {
         Self::new(|_| ())
     }
 
-    fn on(&mut self, now: u64, event: Event) -> &mut Self {
+    fn handle(&mut self, now: u64, event: Event) -> &mut Self {
         self.actions.clear();
         self.leases.handle(ms(now), event, &mut self.actions);
         self
     }
 
     fn apply(&mut self, now: u64, policy: &PolicyState) -> &mut Self {
-        self.on(now, Event::Applied { epoch: 1, status: Box::new(policy.status()) })
+        self.handle(now, Event::Applied { epoch: 1, status: Box::new(policy.status()) })
     }
 
     fn receive(&mut self, now: u64, from: u16, incarnation: u32, message: Message) -> &mut Self {
-        self.on(
+        self.handle(
             now,
             Event::Message { from: NodeId(from), incarnation: Incarnation(incarnation), message },
         )
@@ -80,12 +80,12 @@
             Action::Send { to, message } if to.0 == from => Some(message.clone()),
             _ => None,
         };
-        self.actions.iter().find_map(to).expect("each asking is answered")
+        self.actions.iter().find_map(to).expect("each request has a response")
     }
 
-    /// Requests a lease from node 1 and is granted one of `duration_ms`.
+    /// Requests a lease from node 1 and delivers a grant of `duration_ms`.
     fn obtain_lease(&mut self, now: u64, duration_ms: u64) -> &mut Self {
-        self.on(now, Event::Parent(Some(NodeId(1)))).on(now + 400, Event::Due);
+        self.handle(now, Event::Parent(Some(NodeId(1)))).handle(now + 400, Event::Due);
         let grant = Message::Grant {
             incarnation: Incarnation(7),
             sent_at_us: (now + 400) * 1000,
@@ -99,7 +99,7 @@
         self.leases.status().generation
     }
 
-    fn until(&self) -> u64 {
+    fn lease_end_ms(&self) -> u64 {
         self.leases.in_force().until.as_millis() as u64
     }
 
@@ -109,7 +109,7 @@
             .find_map(|a| if let Action::Propose(entry) = a { Some(entry) } else { None })
     }
 
-    /// The index that it reports to its parent as confirmed, if it does now.
+    /// Returns the index of the confirmed generation in the balancer's renewal, if the last event caused a renewal.
     fn reported_confirmation(&self) -> Option<u64> {
         let expected = |a: &Action| match a {
             Action::Send { message: Message::Renew { confirmed, .. }, .. } => Some(confirmed.index),
@@ -127,22 +127,22 @@
 
 #[test]
 fn lease_counts_from_the_request_and_ends_before_the_granters() {
-    let mut one = Balancer::usual();
-    one.apply(0, &policy()).obtain_lease(1000, 2000);
-    // Requested at 1400; 2000 less the drift of 1 in 100.
-    assert_eq!(one.until(), 1400 + 1980);
-    let in_force = one.leases.in_force();
+    let mut balancer = Balancer::usual();
+    balancer.apply(0, &policy()).obtain_lease(1000, 2000);
+    // The lease counts from the request at 1400 ms and lasts 2000 ms less the drift of 1 in 100.
+    assert_eq!(balancer.lease_end_ms(), 1400 + 1980);
+    let in_force = balancer.leases.in_force();
     assert!(matches!(in_force.at(ms(3379)), View::Agreed(_, s) if s == generation(0)));
     // A process that was paused for 20 s finds the lease ended.
     assert!(matches!(in_force.at(ms(23_379)), View::FallbackPolicy(_)));
-    // It grants what remains of its own lease.
-    let Message::Grant { duration_us, .. } = one.request_lease(2000, 5, 1, 0, 0) else {
+    // The balancer grants the remaining time of its own lease.
+    let Message::Grant { duration_us, .. } = balancer.request_lease(2000, 5, 1, 0, 0) else {
         panic!("a lease")
     };
     assert_eq!(duration_us, 1_380_000);
-    // No lease exceeds the configured duration, whatever was granted.
+    // No lease exceeds the configured duration, whatever the parent granted.
     assert_eq!(
-        Balancer::usual().apply(0, &policy()).obtain_lease(1000, 99_000).until(),
+        Balancer::usual().apply(0, &policy()).obtain_lease(1000, 99_000).lease_end_ms(),
         1400 + 1980
     );
 }
@@ -156,34 +156,43 @@
         duration_us: 2_000_000,
     };
     for (from, to, request_lease) in [(1, 6, 400_000), (1, 7, 400_001), (2, 7, 400_000)] {
-        let mut one = Balancer::usual();
-        one.apply(0, &policy()).on(0, Event::Parent(Some(NodeId(1)))).on(400, Event::Due);
-        one.receive(410, from, 1, grant(to, request_lease));
-        assert_eq!(one.until(), 0, "{from} {to} {request_lease}");
-        one.receive(420, 1, 1, grant(7, 400_000));
-        assert_eq!(one.until(), 400 + 1980);
+        let mut balancer = Balancer::usual();
+        balancer
+            .apply(0, &policy())
+            .handle(0, Event::Parent(Some(NodeId(1))))
+            .handle(400, Event::Due);
+        balancer.receive(410, from, 1, grant(to, request_lease));
+        assert_eq!(balancer.lease_end_ms(), 0, "{from} {to} {request_lease}");
+        balancer.receive(420, 1, 1, grant(7, 400_000));
+        assert_eq!(balancer.lease_end_ms(), 400 + 1980);
     }
 }
 
 #[test]
 fn rejects_lease_requests_of_another_generation() {
     let mut policy = policy();
-    let mut one = Balancer::usual();
-    one.apply(0, &policy).obtain_lease(1000, 2000);
-    assert!(matches!(one.request_lease(1500, 5, 1, 0, 0), Message::Grant { .. }));
+    let mut balancer = Balancer::usual();
+    balancer.apply(0, &policy).obtain_lease(1000, 2000);
+    assert!(matches!(balancer.request_lease(1500, 5, 1, 0, 0), Message::Grant { .. }));
     next(&mut policy, &propose(1, None, without(&[2])));
-    one.apply(1600, &policy);
+    balancer.apply(1600, &policy);
     let expected = Message::LeaseRejection {
         incarnation: Incarnation(1),
         sent_at_us: 1_700_000,
         generation: generation(1),
         reason: LeaseRejection::Generation,
     };
-    assert_eq!(one.request_lease(1700, 5, 1, 0, 0), expected);
-    assert_eq!(one.leases.status().present.len(), 1, "and is not counted as being here");
+    assert_eq!(balancer.request_lease(1700, 5, 1, 0, 0), expected);
+    assert_eq!(
+        balancer.leases.status().present.len(),
+        1,
+        "a rejected child does not count as present"
+    );
     // A child at a later generation is a source to learn from.
-    one.request_lease(1800, 5, 1, 9, 9);
-    assert!(one.actions.contains(&Action::Learn { from: NodeId(5), generation: generation(9) }));
+    balancer.request_lease(1800, 5, 1, 9, 9);
+    assert!(
+        balancer.actions.contains(&Action::Learn { from: NodeId(5), generation: generation(9) })
+    );
 }
 
 #[test]
@@ -191,43 +200,43 @@
     let mut policy = policy();
     next(&mut policy, &propose(1, None, without(&[2])));
     for exact in [false, true] {
-        let mut one = Balancer::new(|t| t.exact = exact);
-        one.apply(0, &common::policy()).obtain_lease(1000, 2000).apply(1500, &policy);
-        assert_eq!(one.until(), if exact { 0 } else { 1400 + 1980 });
+        let mut balancer = Balancer::new(|t| t.exact = exact);
+        balancer.apply(0, &common::policy()).obtain_lease(1000, 2000).apply(1500, &policy);
+        assert_eq!(balancer.lease_end_ms(), if exact { 0 } else { 1400 + 1980 });
     }
 }
 
 #[test]
 fn rejects_children_beyond_the_bound_until_one_times_out() {
-    let mut one = Balancer::usual();
-    one.apply(0, &policy()).obtain_lease(1000, 2000);
+    let mut balancer = Balancer::usual();
+    balancer.apply(0, &policy()).obtain_lease(1000, 2000);
     for child in 10..26 {
-        assert!(matches!(one.request_lease(1500, child, 1, 0, 0), Message::Grant { .. }));
+        assert!(matches!(balancer.request_lease(1500, child, 1, 0, 0), Message::Grant { .. }));
     }
     assert!(matches!(
-        one.request_lease(1500, 26, 1, 0, 0),
+        balancer.request_lease(1500, 26, 1, 0, 0),
         Message::LeaseRejection { reason: LeaseRejection::Full, .. }
     ));
     for child in 10..25 {
-        one.request_lease(2400, child, 1, 0, 0);
+        balancer.request_lease(2400, child, 1, 0, 0);
     }
-    assert!(matches!(one.request_lease(2600, 26, 1, 0, 0), Message::Grant { .. }));
+    assert!(matches!(balancer.request_lease(2600, 26, 1, 0, 0), Message::Grant { .. }));
 }
 
 #[test]
 fn generation_is_confirmed_once_all_children_confirm_or_their_leases_end() {
     let mut policy = policy();
     let begin = |policy: &mut PolicyState| {
-        let mut one = Balancer::usual();
-        one.apply(0, policy).obtain_lease(1000, 2000);
-        assert!(matches!(one.request_lease(1500, 5, 1, 0, 0), Message::Grant { .. }));
+        let mut balancer = Balancer::usual();
+        balancer.apply(0, policy).obtain_lease(1000, 2000);
+        assert!(matches!(balancer.request_lease(1500, 5, 1, 0, 0), Message::Grant { .. }));
         next(policy, &propose(policy.status().index.into(), None, without(&[2])));
-        one.apply(1600, policy);
-        assert_eq!(one.reported_confirmation(), Some(0));
-        one
+        balancer.apply(1600, policy);
+        assert_eq!(balancer.reported_confirmation(), Some(0));
+        balancer
     };
-    let mut one = begin(&mut policy);
-    one.receive(
+    let mut balancer = begin(&mut policy);
+    balancer.receive(
         1700,
         5,
         1,
@@ -239,96 +248,102 @@
             fallback_holders: None,
         },
     );
-    assert_eq!(one.reported_confirmation(), Some(1), "its word");
-    // The previous incarnation had leases of its own, which the new one does not confirm.
-    let mut one = begin(&mut common::policy());
-    one.request_lease(1700, 5, 2, 1, 1);
-    one.on(1800, Event::Due);
-    assert_ne!(one.reported_confirmation(), Some(1));
-    // Granted at 1500 for the remaining 1880, plus the drift of 1 in 100.
-    one.on(3390, Event::Due);
-    assert_ne!(one.reported_confirmation(), Some(1));
-    one.on(3500, Event::Due);
-    assert_eq!(one.reported_confirmation(), Some(1), "its end");
-    // A balancer that changes its parent notifies the former one.
-    let mut one = begin(&mut common::policy());
-    one.on(1650, Event::Parent(Some(NodeId(2)))).receive(
+    assert_eq!(balancer.reported_confirmation(), Some(1), "the child has confirmed");
+    // The previous incarnation of the child had a lease of its own, which the new incarnation does not confirm.
+    let mut balancer = begin(&mut common::policy());
+    balancer.request_lease(1700, 5, 2, 1, 1);
+    balancer.handle(1800, Event::Due);
+    assert_ne!(balancer.reported_confirmation(), Some(1));
+    // The lease was granted at 1500 ms for the remaining 1880 ms, plus the drift of 1 in 100.
+    balancer.handle(3390, Event::Due);
+    assert_ne!(balancer.reported_confirmation(), Some(1));
+    balancer.handle(3500, Event::Due);
+    assert_eq!(balancer.reported_confirmation(), Some(1), "the child's lease has ended");
+    // A balancer that changes its parent notifies the former parent.
+    let mut balancer = begin(&mut common::policy());
+    balancer.handle(1650, Event::Parent(Some(NodeId(2)))).receive(
         1700,
         5,
         1,
         Message::Departed { confirmed: generation(1) },
     );
     let message = Message::Departed { confirmed: generation(1) };
-    assert!(one.actions.contains(&Action::Send { to: NodeId(1), message }));
-    // A former child's notification confirms as well.
-    let mut one = begin(&mut common::policy());
-    one.receive(1700, 5, 1, Message::Departed { confirmed: generation(1) });
-    assert_eq!(one.reported_confirmation(), Some(1));
+    assert!(balancer.actions.contains(&Action::Send { to: NodeId(1), message }));
+    // The notification of a former child confirms the generation, too.
+    let mut balancer = begin(&mut common::policy());
+    balancer.receive(1700, 5, 1, Message::Departed { confirmed: generation(1) });
+    assert_eq!(balancer.reported_confirmation(), Some(1));
 }
 
 #[test]
 fn new_leader_grants_after_catching_up_and_confirms_after_former_leases_end() {
     let mut policy = policy();
-    let mut one = Balancer::usual();
-    one.apply(0, &policy)
-        .on(1000, Event::Leads { since: ms(1000), epoch: 1, last_index: 1 })
-        .on(1050, Event::Round { began: ms(1020) });
+    let mut balancer = Balancer::usual();
+    balancer
+        .apply(0, &policy)
+        .handle(1000, Event::Leads { since: ms(1000), epoch: 1, last_index: 1 })
+        .handle(1050, Event::Round { began: ms(1020) });
     assert!(matches!(
-        one.request_lease(1100, 5, 1, 0, 0),
+        balancer.request_lease(1100, 5, 1, 0, 0),
         Message::LeaseRejection { reason: LeaseRejection::Lease, .. }
     ));
     next(&mut policy, &propose(1, None, without(&[2])));
-    one.apply(1200, &policy);
-    assert_eq!(one.until(), 1020 + 1980);
-    assert!(matches!(one.request_lease(1300, 5, 1, 1, 1), Message::Grant { .. }));
-    assert_eq!(one.on(3019, Event::Due).proposal(), None, "2020 ms since it leads");
-    assert_eq!(one.on(3020, Event::Due).proposal(), Some(&Entry::GenerationConfirmed(1)));
+    balancer.apply(1200, &policy);
+    assert_eq!(balancer.lease_end_ms(), 1020 + 1980);
+    assert!(matches!(balancer.request_lease(1300, 5, 1, 1, 1), Message::Grant { .. }));
+    assert_eq!(
+        balancer.handle(3019, Event::Due).proposal(),
+        None,
+        "2020 ms have not passed since the balancer became the leader"
+    );
+    assert_eq!(balancer.handle(3020, Event::Due).proposal(), Some(&Entry::GenerationConfirmed(1)));
     // The proposal is repeated at intervals until it is in the log, and not after the leadership has ended.
-    assert_eq!(one.on(3100, Event::Due).proposal(), None);
-    assert_eq!(one.on(3600, Event::Due).proposal(), Some(&Entry::GenerationConfirmed(1)));
-    assert_eq!(one.on(3700, Event::Follows).on(4300, Event::Due).proposal(), None);
+    assert_eq!(balancer.handle(3100, Event::Due).proposal(), None);
+    assert_eq!(balancer.handle(3600, Event::Due).proposal(), Some(&Entry::GenerationConfirmed(1)));
+    assert_eq!(balancer.handle(3700, Event::Follows).handle(4300, Event::Due).proposal(), None);
     // Entries of another epoch do not count as caught up.
     let lead = Event::Leads { since: ms(1300), epoch: 2, last_index: 0 };
-    let mut one = Balancer::usual();
-    one.apply(0, &policy).on(1300, lead).on(1400, Event::Round { began: ms(1350) });
-    assert_eq!(one.until(), 0);
-    // A round from before the leadership was answered to another leader.
-    let mut one = Balancer::usual();
-    one.apply(0, &common::policy())
-        .on(1000, Event::Leads { since: ms(1000), epoch: 1, last_index: 0 });
-    assert_eq!(one.on(1050, Event::Round { began: ms(990) }).until(), 0);
+    let mut balancer = Balancer::usual();
+    balancer.apply(0, &policy).handle(1300, lead).handle(1400, Event::Round { began: ms(1350) });
+    assert_eq!(balancer.lease_end_ms(), 0);
+    // A round from before the leadership belongs to another leader.
+    let mut balancer = Balancer::usual();
+    balancer
+        .apply(0, &common::policy())
+        .handle(1000, Event::Leads { since: ms(1000), epoch: 1, last_index: 0 });
+    assert_eq!(balancer.handle(1050, Event::Round { began: ms(990) }).lease_end_ms(), 0);
 }
 
 #[test]
 fn keeps_to_mandatory_fallback_until_a_lease_of_this_incarnation() {
-    let mut one = Balancer::usual();
-    one.apply(100, &policy());
-    assert_eq!(one.open_cells(100), [0, 4], "bedrock");
-    // This lease may come from a round before the process started.
-    one.obtain_lease(200, 1000);
-    assert_eq!(one.open_cells(800).len(), 8);
-    assert_eq!(one.open_cells(5000), [0, 4]);
-    one.obtain_lease(2100, 1000);
-    assert_eq!(one.open_cells(5000), [0, 1, 4, 5], "the charter");
-    // A persisted policy holds at once, and only a later one replaces it.
+    let mut balancer = Balancer::usual();
+    balancer.apply(100, &policy());
+    assert_eq!(balancer.open_cells(100), [0, 4], "the mandatory fallback");
+    // This lease may come from a round that the leader began before the process started.
+    balancer.obtain_lease(200, 1000);
+    assert_eq!(balancer.open_cells(800).len(), 8);
+    assert_eq!(balancer.open_cells(5000), [0, 4]);
+    balancer.obtain_lease(2100, 1000);
+    assert_eq!(balancer.open_cells(5000), [0, 1, 4, 5], "the fallback policy");
+    // A persisted policy applies at once, and only a later policy replaces it.
     let fallback_policy =
         FallbackPolicy { cells: [0, 4, 6].into(), ..bootstrap(1).fallback_policy };
-    let mut one = Balancer::new(|t| t.stored = Some((generation(9), fallback_policy.clone())));
-    assert_eq!(one.apply(100, &policy()).open_cells(100), [0, 4, 6]);
-    assert_eq!(one.obtain_lease(3000, 1000).open_cells(9000), [0, 4, 6]);
+    let mut balancer = Balancer::new(|t| t.stored = Some((generation(9), fallback_policy.clone())));
+    assert_eq!(balancer.apply(100, &policy()).open_cells(100), [0, 4, 6]);
+    assert_eq!(balancer.obtain_lease(3000, 1000).open_cells(9000), [0, 4, 6]);
 }
 
 #[test]
 fn fallback_change_is_confirmed_by_each_holder_after_it_is_persisted() {
     let mut policy = policy();
     let smaller = FallbackPolicy { cells: [0, 4].into(), ..bootstrap(1).fallback_policy };
-    let mut one = Balancer::usual();
-    one.apply(0, &policy).on(0, Event::Leads { since: ms(0), epoch: 1, last_index: 0 });
-    one.on(3000, Event::Round { began: ms(2900) });
+    let mut balancer = Balancer::usual();
+    balancer.apply(0, &policy).handle(0, Event::Leads { since: ms(0), epoch: 1, last_index: 0 });
+    balancer.handle(3000, Event::Round { began: ms(2900) });
     next(&mut policy, &Entry::FallbackPolicy(CommandId(1), smaller, Box::default()));
-    one.apply(3100, &policy);
+    balancer.apply(3100, &policy);
     let is_persisted = |a: &Action| matches!(a, Action::PersistFallbackPolicy { fallback_generation, .. } if *fallback_generation == generation(1));
-    assert!(one.actions.iter().any(is_persisted));
+    assert!(balancer.actions.iter().any(is_persisted));
     let message = |members: &[u16], fallback_generation| Message::Renew {
         sent_at_us: 5,
         generation: generation(1),
@@ -340,16 +355,16 @@
         )),
     };
     next(&mut policy, &Entry::GenerationConfirmed(1));
-    one.apply(3200, &policy).receive(3300, 1, 1, message(&[1, 2], 1)).receive(
+    balancer.apply(3200, &policy).receive(3300, 1, 1, message(&[1, 2], 1)).receive(
         3300,
         3,
         1,
         message(&[3, 4], 0),
     );
-    one.receive(3400, 3, 1, message(&[3], 1)).receive(3500, 3, 1, message(&[4], 1));
-    assert_eq!(one.proposal(), None, "its own is not on disk yet");
-    one.on(3600, Event::FallbackPolicyPersisted { fallback_generation: generation(1) });
-    assert_eq!(one.proposal(), Some(&Entry::FallbackPolicyConfirmed(1)));
+    balancer.receive(3400, 3, 1, message(&[3], 1)).receive(3500, 3, 1, message(&[4], 1));
+    assert_eq!(balancer.proposal(), None, "the balancer has not persisted its own policy yet");
+    balancer.handle(3600, Event::FallbackPolicyPersisted { fallback_generation: generation(1) });
+    assert_eq!(balancer.proposal(), Some(&Entry::FallbackPolicyConfirmed(1)));
 }
 
 #[test]
@@ -366,22 +381,24 @@
         offered_since: 1000,
     });
     for leads in [true, false] {
-        let mut one = Balancer::usual();
-        one.apply(0, &policy);
+        let mut balancer = Balancer::usual();
+        balancer.apply(0, &policy);
         if leads {
-            one.on(0, Event::Leads { since: ms(0), epoch: 1, last_index: 0 });
+            balancer.handle(0, Event::Leads { since: ms(0), epoch: 1, last_index: 0 });
         }
-        one.on(59_000, Event::Due);
-        assert_eq!(one.proposal(), None);
-        one.on(60_001, Event::Due);
+        balancer.handle(59_000, Event::Due);
+        assert_eq!(balancer.proposal(), None);
+        balancer.handle(60_001, Event::Due);
         assert_eq!(
-            one.proposal(),
+            balancer.proposal(),
             leads.then_some(&Entry::AutomaticRollback(1, RollbackCause::NotConfirmed))
         );
-        let mut one = Balancer::usual();
-        one.apply(0, &policy).on(0, Event::Leads { since: ms(0), epoch: 1, last_index: 0 });
+        let mut balancer = Balancer::usual();
+        balancer
+            .apply(0, &policy)
+            .handle(0, Event::Leads { since: ms(0), epoch: 1, last_index: 0 });
         assert_eq!(
-            one.on(10_000, Event::CanaryMetric(fall)).proposal(),
+            balancer.handle(10_000, Event::CanaryMetric(fall)).proposal(),
             Some(&Entry::AutomaticRollback(1, RollbackCause::ServedWeightFell(222)))
         );
     }
@@ -391,16 +408,16 @@
 fn applies_later_epochs_and_ignores_older_ones() {
     let mut later = policy();
     next(&mut later, &propose(1, None, without(&[2])));
-    let mut one = Balancer::usual();
-    one.apply(0, &later).obtain_lease(3000, 2000);
-    one.on(3500, Event::Applied { epoch: 2, status: Box::new(policy().status()) });
+    let mut balancer = Balancer::usual();
+    balancer.apply(0, &later).obtain_lease(3000, 2000);
+    balancer.handle(3500, Event::Applied { epoch: 2, status: Box::new(policy().status()) });
     assert_eq!(
-        (one.generation(), one.until()),
+        (balancer.generation(), balancer.lease_end_ms()),
         (Generation { epoch: 2, index: 0 }, 0),
-        "its lease was of another log"
+        "the lease belonged to another log"
     );
-    one.apply(3600, &later);
-    assert_eq!(one.generation().epoch, 2);
+    balancer.apply(3600, &later);
+    assert_eq!(balancer.generation().epoch, 2);
 }
 
 #[test]
@@ -427,31 +444,31 @@
             (proptest::collection::vec(any::<u8>(), 0..24), 0_u16..4, any::<u64>(), 0_u8..6), 1..80,
         ),
     ) {
-        let mut one = Balancer::usual();
+        let mut balancer = Balancer::usual();
         let (mut policy, mut last) = (policy(), 0);
-        one.apply(0, &policy);
+        balancer.apply(0, &policy);
         for (bytes, from, time, kind) in all {
             let now = time % 20_000;
             last = last.max(now);
             let message = Message::from_bytes(&bytes).ok();
             match (kind, message) {
-                (0, Some(message)) => _ = one.receive(now, from, 1, message),
-                (1, _) => _ = one.on(now, Event::Parent(Some(NodeId(from)))),
+                (0, Some(message)) => _ = balancer.receive(now, from, 1, message),
+                (1, _) => _ = balancer.handle(now, Event::Parent(Some(NodeId(from)))),
                 (2, _) => {
                     let since = ms(time % 30_000);
-                    one.on(now, Event::Leads { since, epoch: 1, last_index: time % 3 });
+                    balancer.handle(now, Event::Leads { since, epoch: 1, last_index: time % 3 });
                 }
-                (3, _) => _ = one.on(time, Event::Round { began: Duration::from_micros(time) }),
+                (3, _) => _ = balancer.handle(time, Event::Round { began: Duration::from_micros(time) }),
                 (4, _) => {
                     next(&mut policy, &propose(u128::from(time), None, without(&[2])));
-                    one.apply(now, &policy);
+                    balancer.apply(now, &policy);
                 }
-                _ => _ = one.request_lease(now, from, bytes.len() as u32, time % 4, time % 3),
+                _ => _ = balancer.request_lease(now, from, bytes.len() as u32, time % 4, time % 3),
             }
             if kind == 3 {
                 last = last.max(time);
             }
-            prop_assert!(one.until() <= last.saturating_add(2000));
+            prop_assert!(balancer.lease_end_ms() <= last.saturating_add(2000));
         }
     }
 
--- a/crates/revision/tests/policy_state.rs
+++ b/crates/revision/tests/policy_state.rs
@@ -1,4 +1,4 @@
-//! The policy state after one entry and the next.
+//! Tests of the policy state, one log entry at a time.
 
 mod common;
 
@@ -91,18 +91,19 @@
     let mut canary_options = options(2, None);
     canary_options.canary = Some(CanaryTerms { seconds: 60, fall: 1000 });
     next(&mut policy, &Entry::Propose(Box::new(canary_options), Box::new(without(&[3]))));
-    let back = next(&mut policy, &rollback(3, None, 1)).result.unwrap().1.unwrap();
-    let further = next(&mut policy, &rollback(4, Some(back), 0)).result.unwrap().1.unwrap();
-    assert!(further > back);
+    let first_rollback = next(&mut policy, &rollback(3, None, 1)).result.unwrap().1.unwrap();
+    let second_rollback =
+        next(&mut policy, &rollback(4, Some(first_rollback), 0)).result.unwrap().1.unwrap();
+    assert!(second_rollback > first_rollback);
     settle(&mut policy);
     assert_eq!(open_cells(&policy), (0..8).collect::<Vec<_>>());
-    assert_eq!((policy.status().revision, policy.status().canary), (further, None));
-    assert_eq!(policy.change_status(back), Some(ChangeStatus::Skipped(further)));
+    assert_eq!((policy.status().revision, policy.status().canary), (second_rollback, None));
+    assert_eq!(policy.change_status(first_rollback), Some(ChangeStatus::Skipped(second_rollback)));
     let contents: Vec<_> =
         policy.revisions().map(|(_, k)| std::sync::Arc::as_ptr(&k.document)).collect();
     assert!(contents[0] == *contents.last().unwrap(), "content is shared");
     let unknown = next(&mut policy, &rollback(5, None, 99)).result.unwrap().1;
-    assert_eq!(unknown, Err(Rejection::Unknown { number: 99, oldest: 0, newest: further }));
+    assert_eq!(unknown, Err(Rejection::Unknown { number: 99, oldest: 0, newest: second_rollback }));
 }
 
 #[test]
@@ -125,9 +126,9 @@
     );
     let mut proposal = options(3, None);
     proposal.facts = fleet;
-    let refused =
+    let rejected =
         next(&mut policy, &Entry::Rollback(Box::new(proposal.clone()), 1)).result.unwrap().1;
-    assert!(matches!(refused, Err(Rejection::FleetConflict(FleetConflict::Unknown { .. }))));
+    assert!(matches!(rejected, Err(Rejection::FleetConflict(FleetConflict::Unknown { .. }))));
     (proposal.id, proposal.forced) = (CommandId(4), true);
     assert!(
         next(&mut policy, &Entry::Rollback(Box::new(proposal.clone()), 1))
@@ -138,10 +139,10 @@
     );
     // Conflicts with the fallback policy cannot be overridden.
     proposal.id = CommandId(5);
-    let refused =
+    let rejected =
         next(&mut policy, &Entry::Propose(Box::new(proposal), Box::new(without(&[1])))).result;
     assert!(matches!(
-        refused.unwrap().1,
+        rejected.unwrap().1,
         Err(Rejection::FleetConflict(FleetConflict::FallbackPolicy { .. }))
     ));
 }
@@ -160,17 +161,18 @@
     assert_eq!(policy.status().canary, None, "not in force yet");
     settle(&mut policy);
     assert_eq!(policy.status().canary.unwrap().revision, number);
-    // A canary on top of it: both are rolled back to what was there before.
+    // A canary that is proposed during a canary: both are rolled back to the revision before them.
     let second = next(&mut policy, &canary(3, &[6])).result.unwrap().1.unwrap();
     settle(&mut policy);
     next(&mut policy, &Entry::AutomaticRollback(number, RollbackCause::NotConfirmed));
-    assert_eq!(policy.newest(), second, "it is not that one's trial any more");
+    assert_eq!(policy.newest(), second, "the first canary has ended");
     next(&mut policy, &Entry::AutomaticRollback(second, RollbackCause::NotConfirmed));
-    let late = next(&mut policy, &Entry::ConfirmCanary(CommandId(4), second)).result.unwrap().1;
-    assert_eq!(late, Err(Rejection::NotOnCanary { number: second }));
+    let late_confirmation =
+        next(&mut policy, &Entry::ConfirmCanary(CommandId(4), second)).result.unwrap().1;
+    assert_eq!(late_confirmation, Err(Rejection::NotOnCanary { number: second }));
     settle(&mut policy);
     assert_eq!(open_cells(&policy), [0, 1, 3, 4, 5, 6, 7]);
-    // A confirmed canary stays.
+    // A confirmed canary remains in force.
     let third = next(&mut policy, &canary(5, &[7])).result.unwrap().1.unwrap();
     assert_eq!(
         next(&mut policy, &Entry::ConfirmCanary(CommandId(6), third)).result.unwrap().1,
@@ -193,17 +195,21 @@
     let mut policy = policy();
     next(&mut policy, &change(1, &[0, 4, 6]));
     let status = policy.status();
-    assert_eq!(status.fallback_policy.cells, [0, 4].into(), "one keeps to what both allow");
+    assert_eq!(
+        status.fallback_policy.cells,
+        [0, 4].into(),
+        "balancers without a lease keep to what both policies allow"
+    );
     assert!(
         status.awaits_fallback_confirmation
             && status.rules.floor().includes_cell(1)
             && status.rules.floor().includes_cell(6)
     );
-    // Until it is confirmed neither may be forbidden, and no other change is accepted.
+    // Until the change is confirmed, no revision may forbid what either policy allows, and no other change is accepted.
     for (id, cell) in [(2, 1), (3, 6)] {
-        let refused = next(&mut policy, &propose(id, None, without(&[cell]))).result.unwrap().1;
+        let rejected = next(&mut policy, &propose(id, None, without(&[cell]))).result.unwrap().1;
         assert!(matches!(
-            refused,
+            rejected,
             Err(Rejection::FleetConflict(FleetConflict::FallbackPolicy { .. }))
         ));
     }
@@ -213,32 +219,41 @@
     ));
     settle(&mut policy);
     next(&mut policy, &Entry::FallbackPolicyConfirmed(status.fallback_generation + 7));
-    assert!(policy.status().awaits_fallback_confirmation, "another generation's word");
+    assert!(
+        policy.status().awaits_fallback_confirmation,
+        "the confirmation of another generation has no effect"
+    );
     next(&mut policy, &Entry::FallbackPolicyConfirmed(status.fallback_generation));
     settle(&mut policy);
     assert_eq!(policy.status().fallback_policy.cells, [0, 4, 6].into());
     assert!(next(&mut policy, &propose(5, None, without(&[1]))).result.unwrap().1.is_ok());
     settle(&mut policy);
-    // The policy cannot allow what a revision forbids, nor leave out the mandatory fallback.
-    let refused = next(&mut policy, &change(6, &[0, 1, 4, 6])).result.unwrap().1;
-    assert!(matches!(refused, Err(Rejection::FleetConflict(FleetConflict::FallbackPolicy { .. }))));
+    // A fallback policy can neither allow what a revision forbids nor leave out the mandatory fallback.
+    let rejected = next(&mut policy, &change(6, &[0, 1, 4, 6])).result.unwrap().1;
+    assert!(matches!(
+        rejected,
+        Err(Rejection::FleetConflict(FleetConflict::FallbackPolicy { .. }))
+    ));
     assert!(matches!(
         next(&mut policy, &change(7, &[0])).result.unwrap().1,
         Err(Rejection::FallbackPolicy(_))
     ));
     let mut except = fallback_policy(&[0, 4, 6]);
     except.except.insert("u0".into());
-    let refused =
+    let rejected =
         next(&mut policy, &Entry::FallbackPolicy(CommandId(8), except, Box::new(facts())))
             .result
             .unwrap()
             .1;
-    assert!(matches!(refused, Err(Rejection::FallbackPolicy(_))), "u0 is in a bedrock pod");
+    assert!(
+        matches!(rejected, Err(Rejection::FallbackPolicy(_))),
+        "u0 is in a cell of the mandatory fallback"
+    );
     // A withdrawn change restores the old policy.
     next(&mut policy, &change(9, &[0, 4]));
     assert_eq!(policy.status().fallback_policy.cells, [0, 4].into());
     next(&mut policy, &change(10, &[0, 4, 6]));
-    // A regression: the state decoded from a snapshot differed until the next generation.
+    // Regression test: the state decoded from a snapshot differed until the next generation.
     assert_eq!(PolicyState::from_snapshot(&policy.to_snapshot().unwrap()).unwrap(), policy);
     settle(&mut policy);
     assert_eq!(
@@ -254,15 +269,15 @@
     assert!(policy.status().dead.contains(NodeId(3)));
     next(&mut policy, &Entry::MarkAlive(CommandId(2), NodeId(3)));
     assert!(policy.status().dead.is_empty());
-    let refused = next(&mut policy, &Entry::MarkDead(CommandId(3), NodeId(5))).result.unwrap().1;
-    assert_eq!(refused, Err(Rejection::UnknownNode { member: 5, members: 5 }));
+    let rejected = next(&mut policy, &Entry::MarkDead(CommandId(3), NodeId(5))).result.unwrap().1;
+    assert_eq!(rejected, Err(Rejection::UnknownNode { member: 5, members: 5 }));
 }
 
 #[test]
 fn thousand_revisions_are_retained_and_fit_a_snapshot() {
     let mut policy = policy();
     for i in 0..2000_u32 {
-        // 1 kB each, all different.
+        // Each document takes 1 kB, and all are different.
         let mut document = without(&[2]);
         let name = |k: u32| format!("machine-of-the-fleet-{k:06}-{i:04}");
         document.exclusions.upstreams = (0..30).map(name).collect();
@@ -272,20 +287,20 @@
         settle(&mut policy);
     }
     assert_eq!(policy.revisions().count(), MAX_REVISIONS);
-    let image = policy.to_snapshot().unwrap();
-    println!("an image of 1,000 revisions of 1 kB and 2,000 answers: {} bytes", image.len());
-    assert!((1_000_000..1_300_000).contains(&image.len()), "{}", image.len());
-    let mut other = PolicyState::from_snapshot(&image).unwrap();
+    let snapshot = policy.to_snapshot().unwrap();
+    println!("a snapshot of 1,000 revisions of 1 kB and 2,000 results: {} bytes", snapshot.len());
+    assert!((1_000_000..1_300_000).contains(&snapshot.len()), "{}", snapshot.len());
+    let mut other = PolicyState::from_snapshot(&snapshot).unwrap();
     assert_eq!(other, policy);
-    // Both apply the next entry alike.
+    // The original and the decoded state apply the next entry alike.
     let oldest = policy.revisions().next().unwrap().0;
     let entry = rollback(u128::MAX, None, oldest);
     let (one, two) = (next(&mut policy, &entry), next(&mut other, &entry));
     assert_eq!((one, &policy), (two, &other));
-    for cut in [0, 1, 100, image.len() - 1] {
-        assert!(PolicyState::from_snapshot(&image[..cut]).is_err());
+    for cut in [0, 1, 100, snapshot.len() - 1] {
+        assert!(PolicyState::from_snapshot(&snapshot[..cut]).is_err());
     }
-    // A thousand rollbacks between two contents share these.
+    // The revisions of a thousand rollbacks between two contents share the contents.
     let before = policy.to_snapshot().unwrap().len();
     let last: Vec<u64> = policy.revisions().rev().take(2).map(|(n, _)| n).collect();
     for i in 0..1000 {
@@ -317,9 +332,9 @@
 }
 
 proptest! {
-    /// For any entries: numbers only grow, an accepted proposal has its revision, what is in force after an entry
-    /// allows all of what it allowed before or nothing more, and two replicas, one of them restored from snapshots, are
-    /// equal.
+    /// For any entries: revision numbers only grow, and the number of an accepted proposal is at most the index of the
+    /// last entry. Of the rules in force before and after an entry, one set allows everything that the other allows.
+    /// Two replicas, one of them repeatedly restored from snapshots, are equal.
     #[test]
     fn any_entries_keep_numbers_growing_and_phases_nested(all in proptest::collection::vec(entries(), 1..60)) {
         let (mut policy, mut other) = (policy(), policy());
@@ -346,13 +361,13 @@
             let applied = next(&mut policy, &entry);
             prop_assert_eq!(&applied, &next(&mut other, &entry));
             let (after, now) = (open_cells(&policy), policy.status());
-            let within = |a: &[u32], b: &[u32]| a.iter().all(|p| b.contains(p));
-            prop_assert!(within(&before, &after) || within(&after, &before));
+            let is_subset = |a: &[u32], b: &[u32]| a.iter().all(|p| b.contains(p));
+            prop_assert!(is_subset(&before, &after) || is_subset(&after, &before));
             let is_confirmation = matches!(entry, Entry::GenerationConfirmed(_));
             prop_assert!(now.generation == status.generation || !status.unconfirmed || is_confirmation);
             prop_assert!(now.generation >= status.generation && policy.newest() >= last);
             last = policy.newest();
-            // A balancer may keep to the fallback policy for ever: nothing in force forbids it.
+            // A balancer may follow the fallback policy for ever, so no rules in force forbid what the policy allows.
             prop_assert!(now.fallback_policy.cells.iter().all(|p| after.contains(p)));
             if let Some((_, Ok(number))) = applied.result {
                 prop_assert!(number <= now.index);
@@ -372,16 +387,16 @@
         one.apply(1, &bytes);
         let _ = PolicyState::from_snapshot(&bytes);
         let entry = propose(1, None, Document::default()).to_bytes().unwrap();
-        let mut torn = entry.clone();
-        let at = at % torn.len();
-        torn[at] ^= 0x41;
-        one.apply(2, &torn);
+        let mut corrupt = entry.clone();
+        let at = at % corrupt.len();
+        corrupt[at] ^= 0x41;
+        one.apply(2, &corrupt);
         one.apply(3, &entry[..at]);
         prop_assert!(one.apply(4, &[&entry[..], &[0]].concat()).decode_error.is_some());
-        let mut image = policy().to_snapshot().unwrap();
-        let at = at % image.len();
-        image[at] ^= 0x41;
-        let _ = PolicyState::from_snapshot(&image);
+        let mut snapshot = policy().to_snapshot().unwrap();
+        let at = at % snapshot.len();
+        snapshot[at] ^= 0x41;
+        let _ = PolicyState::from_snapshot(&snapshot);
         prop_assert!(one.apply(5, &vec![0; MAX_ENTRY_BYTES + 1]).decode_error.is_some());
     }
 }
--- a/crates/revision/tests/sim/mod.rs
+++ b/crates/revision/tests/sim/mod.rs
@@ -1,5 +1,5 @@
-//! Simulates a cluster in virtual time: leases over a faulty network, and a log that is always right, has a changing
-//! leader and is learned late.
+//! Simulates a cluster in virtual time: leases over a faulty network, and a log that is always consistent, whose leader
+//! changes, and whose entries reach the nodes late.
 #![allow(dead_code)]
 
 pub mod oracle;
@@ -27,14 +27,14 @@
 pub const MS: u64 = 1000;
 pub const S: u64 = 1_000_000;
 
-/// After so long the last of the killed nodes has restarted and run for longer than a lease.
+/// Time after which the last of the killed nodes has restarted and run for longer than a lease, in microseconds.
 pub const LEASES_EXPIRED: u64 = 4 * S + 2100 * MS;
 
-/// A defect that the oracle has to find.
+/// A defect that the oracle has to detect.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Defect {
     None,
-    /// Nodes act on the agreed rules however long ago their lease ended.
+    /// Nodes act on the agreed rules after their lease has ended.
     NoLease,
     /// New rules apply at once, without the restrict phase.
     NoRestrictPhase,
@@ -47,12 +47,12 @@
 #[derive(Clone, Debug)]
 pub struct Setting {
     pub members: usize,
-    /// Children of a node in the dissemination tree.
+    /// Number of children of a node in the dissemination tree.
     pub fan: usize,
     pub loss: f64,
     pub length: u64,
     pub faults: usize,
-    /// Revisions a second.
+    /// Revisions per second.
     pub rate: f64,
     pub defect: Defect,
     pub exact: bool,
@@ -113,24 +113,25 @@
 struct Node {
     leases: Leases,
     incarnation: u32,
-    up: bool,
+    is_up: bool,
     started_at: u64,
-    /// Its clock's microseconds in a million of real ones.
+    /// Microseconds of the node's clock per million microseconds of real time.
     rate: u64,
-    paused: u64,
+    paused_until: u64,
     applied: Option<usize>,
-    /// Of the log that it has applied.
+    /// Epoch of the log that the node has applied.
     epoch: u32,
     in_force: InForce,
-    wake: Duration,
+    wake_at: Duration,
     parent: Option<usize>,
-    disk: bool,
+    has_state_directory: bool,
     stored: Option<(Generation, FallbackPolicy)>,
-    /// The view that it believes to lead.
-    leads: Option<u32>,
-    side: u8,
-    /// Its datagrams are dropped, or those to it.
+    /// The view that the node regards itself as the leader of.
+    leading_view: Option<u32>,
+    partition: u8,
+    /// Whether datagrams from the node are dropped.
     cannot_send: bool,
+    /// Whether datagrams to the node are dropped.
     cannot_receive: bool,
 }
 
@@ -143,8 +144,8 @@
     nodes: Vec<Node>,
     policy: PolicyState,
     epoch: u32,
-    /// A majority has lost the log: there is no leader until a new one is started.
-    log_is_lost: bool,
+    /// Whether a majority has lost the log. There is no leader until a new log is started.
+    is_log_lost: bool,
     entries: Vec<Vec<u8>>,
     /// The policy after each entry, by index.
     pub log: Vec<PolicyStatus>,
@@ -165,7 +166,7 @@
     pub fn new(seed: u64, setting: Setting) -> Self {
         let members = setting.members;
         let policy = PolicyState::bootstrap(common::bootstrap(members as u16)).unwrap();
-        let always = [0, 4].iter().fold(1 << 16, |all, cell| all | 1 << cell | 1 << (cell + 8));
+        let mandatory = [0, 4].iter().fold(1 << 16, |all, cell| all | 1 << cell | 1 << (cell + 8));
         let mut sim = Self {
             rng: Rand64::new(u128::from(seed) << 8 | 5),
             now: 0,
@@ -175,13 +176,13 @@
             log: vec![policy.status()],
             committed: vec![0],
             epoch: 1,
-            log_is_lost: false,
+            is_log_lost: false,
             entries: vec![vec![]],
             policy,
             leader: None,
             view: 0,
             leaderless_since: Some(0),
-            oracle: Oracle::new(always),
+            oracle: Oracle::new(mandatory),
             messages: 0,
             bytes: 0,
             proposal_count: 0,
@@ -190,9 +191,9 @@
             setting,
         };
         for m in 0..members {
-            let disk = sim.rng.rand_float() < 0.5;
+            let has_state_directory = sim.rng.rand_float() < 0.5;
             let rate = 995_000 + sim.rng.rand_range(0..10_000);
-            let node = sim.start_node(m, 1, rate, disk, None);
+            let node = sim.start_node(m, 1, rate, has_state_directory, None);
             sim.nodes.push(node);
             sim.at(0, SimEvent::Learn { m, through: 0, epoch: 1 });
         }
@@ -202,8 +203,8 @@
             let at = sim.rng.rand_range(S..length.max(S + 1));
             sim.at(at, SimEvent::Fault);
         }
-        for ev in [SimEvent::Rounds, SimEvent::Gossip, SimEvent::Tick] {
-            sim.at(0, ev);
+        for event in [SimEvent::Rounds, SimEvent::Gossip, SimEvent::Tick] {
+            sim.at(0, event);
         }
         if sim.setting.rate > 0.0 {
             sim.at(300 * MS, SimEvent::Propose);
@@ -216,38 +217,38 @@
         m: usize,
         incarnation: u32,
         rate: u64,
-        disk: bool,
+        has_state_directory: bool,
         stored: Option<(Generation, FallbackPolicy)>,
     ) -> Node {
         let mandatory_fallback = common::bootstrap(1).mandatory_fallback;
-        let mut terms =
+        let mut config =
             LeaseConfig::usual(NodeId(m as u16), Incarnation(incarnation), mandatory_fallback);
-        (terms.stored, terms.exact) = (stored.clone(), self.setting.exact);
-        let leases = Leases::new(terms);
+        (config.stored, config.exact) = (stored.clone(), self.setting.exact);
+        let leases = Leases::new(config);
         Node {
             in_force: leases.in_force(),
             leases,
             incarnation,
-            up: true,
+            is_up: true,
             started_at: self.now,
             rate,
-            paused: 0,
+            paused_until: 0,
             applied: None,
             epoch: 0,
-            wake: Duration::MAX,
+            wake_at: Duration::MAX,
             parent: None,
-            disk,
+            has_state_directory,
             stored,
-            leads: None,
-            side: 0,
+            leading_view: None,
+            partition: 0,
             cannot_send: false,
             cannot_receive: false,
         }
     }
 
-    fn at(&mut self, after: u64, ev: SimEvent) {
+    fn at(&mut self, after: u64, event: SimEvent) {
         self.seq += 1;
-        self.queue.insert((self.now + after, self.seq), ev);
+        self.queue.insert((self.now + after, self.seq), event);
     }
 
     fn local(&self, m: usize) -> Duration {
@@ -257,12 +258,16 @@
 
     fn is_reachable(&self, m: usize) -> bool {
         let p = &self.nodes[m];
-        p.up && p.paused <= self.now && p.side == 0 && !p.cannot_send && !p.cannot_receive
+        p.is_up
+            && p.paused_until <= self.now
+            && p.partition == 0
+            && !p.cannot_send
+            && !p.cannot_receive
     }
 
     fn reaches(&self, from: usize, to: usize) -> bool {
         let (a, b) = (&self.nodes[from], &self.nodes[to]);
-        a.up && b.up && a.side == b.side && !a.cannot_send && !b.cannot_receive
+        a.is_up && b.is_up && a.partition == b.partition && !a.cannot_send && !b.cannot_receive
     }
 
     fn delay(&mut self) -> u64 {
@@ -274,14 +279,14 @@
     }
 
     pub fn run(&mut self, until: u64) {
-        while let Some(((at, _), ev)) = self.queue.pop_first() {
+        while let Some(((at, _), event)) = self.queue.pop_first() {
             if at > until {
                 self.seq += 1;
-                self.queue.insert((at, self.seq), ev);
+                self.queue.insert((at, self.seq), event);
                 break;
             }
             self.now = at;
-            self.take(ev);
+            self.handle_event(event);
         }
         self.now = until;
     }
@@ -290,12 +295,12 @@
         let length = self.setting.length;
         self.run(length);
         let (fallback_changes, messages) = (self.fallback_changes, self.messages);
-        Findings { fallback_changes, messages, ..self.oracle.found() }
+        Findings { fallback_changes, messages, ..self.oracle.findings() }
     }
 
-    /// Handles an event; a paused process gets it later.
-    fn take(&mut self, ev: SimEvent) {
-        let whose = match &ev {
+    /// Handles an event, or postpones it while the process that it is for is paused.
+    fn handle_event(&mut self, event: SimEvent) {
+        let target_node = match &event {
             SimEvent::Message { to, .. } => Some((*to, None)),
             SimEvent::Wake { m, incarnation, .. }
             | SimEvent::Round { m, incarnation, .. }
@@ -304,17 +309,17 @@
             SimEvent::Learn { m, .. } => Some((*m, None)),
             _ => None,
         };
-        if let Some((m, incarnation)) = whose {
+        if let Some((m, incarnation)) = target_node {
             let p = &self.nodes[m];
-            if !p.up || incarnation.is_some_and(|l| l != p.incarnation) {
+            if !p.is_up || incarnation.is_some_and(|l| l != p.incarnation) {
                 return;
             }
-            if p.paused > self.now {
-                let after = p.paused - self.now;
-                return self.at(after, ev);
+            if p.paused_until > self.now {
+                let after = p.paused_until - self.now;
+                return self.at(after, event);
             }
         }
-        match ev {
+        match event {
             SimEvent::Message { to, from, incarnation, message } => {
                 self.deliver(
                     to,
@@ -326,8 +331,8 @@
                 );
             }
             SimEvent::Wake { m, at, .. } => {
-                if self.nodes[m].wake == at {
-                    self.nodes[m].wake = Duration::MAX;
+                if self.nodes[m].wake_at == at {
+                    self.nodes[m].wake_at = Duration::MAX;
                     self.deliver(m, Event::Due);
                 }
             }
@@ -335,29 +340,33 @@
             SimEvent::Bootstrap => self.bootstrap_again(),
             SimEvent::Commit { view, entry } => self.commit(view, &entry),
             SimEvent::Round { m, began, view, answered, .. } => {
-                // Answered by a majority that had not gone over to another view by then.
-                if self.nodes[m].leads == Some(view) && answered != u64::MAX {
+                // The round counts only if the node still leads the view in which a majority answered the round.
+                if self.nodes[m].leading_view == Some(view) && answered != u64::MAX {
                     self.deliver(m, Event::Round { began });
                 }
             }
             SimEvent::Persisted { m, fallback_generation, fallback_policy, .. } => {
-                if self.nodes[m].disk {
+                if self.nodes[m].has_state_directory {
                     self.nodes[m].stored = Some((fallback_generation, (*fallback_policy).clone()));
                 }
                 self.deliver(m, Event::FallbackPolicyPersisted { fallback_generation });
             }
             SimEvent::Parent { m, parent, .. } => {
                 self.nodes[m].parent = Some(parent);
-                let parent =
-                    (self.nodes[m].leads != Some(self.view)).then_some(NodeId(parent as u16));
+                let parent = (self.nodes[m].leading_view != Some(self.view))
+                    .then_some(NodeId(parent as u16));
                 self.deliver(m, Event::Parent(parent));
             }
             SimEvent::Restart { m } => {
-                if !self.nodes[m].up {
-                    let (incarnation, rate, disk) =
-                        (self.nodes[m].incarnation + 1, self.nodes[m].rate, self.nodes[m].disk);
-                    let stored = self.nodes[m].stored.clone().filter(|_| disk);
-                    self.nodes[m] = self.start_node(m, incarnation, rate, disk, stored);
+                if !self.nodes[m].is_up {
+                    let (incarnation, rate, has_state_directory) = (
+                        self.nodes[m].incarnation + 1,
+                        self.nodes[m].rate,
+                        self.nodes[m].has_state_directory,
+                    );
+                    let stored = self.nodes[m].stored.clone().filter(|_| has_state_directory);
+                    self.nodes[m] =
+                        self.start_node(m, incarnation, rate, has_state_directory, stored);
                     let after = self.delay();
                     let parent =
                         self.leader.filter(|l| *l != m).unwrap_or((m + 1) % self.setting.members);
@@ -368,7 +377,7 @@
             SimEvent::Heal => self
                 .nodes
                 .iter_mut()
-                .for_each(|p| (p.side, p.cannot_send, p.cannot_receive) = (0, false, false)),
+                .for_each(|p| (p.partition, p.cannot_send, p.cannot_receive) = (0, false, false)),
             SimEvent::Fault => self.fault(),
             SimEvent::Rounds => self.rounds(),
             SimEvent::Gossip => self.gossip(),
@@ -391,8 +400,11 @@
                     }
                 }
                 Action::PersistFallbackPolicy { fallback_generation, fallback_policy } => {
-                    let after =
-                        if self.nodes[m].disk { self.rng.rand_range(MS..40 * MS) } else { 0 };
+                    let after = if self.nodes[m].has_state_directory {
+                        self.rng.rand_range(MS..40 * MS)
+                    } else {
+                        0
+                    };
                     self.at(
                         after,
                         SimEvent::Persisted {
@@ -404,7 +416,7 @@
                     );
                 }
                 Action::WakeAt(at) => {
-                    self.nodes[m].wake = at;
+                    self.nodes[m].wake_at = at;
                     let p = &self.nodes[m];
                     let real = p.started_at
                         + (at.as_micros() as u64).saturating_mul(1_000_000) / p.rate
@@ -413,8 +425,10 @@
                     self.at(after, SimEvent::Wake { m, incarnation, at });
                 }
                 Action::Propose(entry) => {
-                    let (after, view) =
-                        (self.rng.rand_range(5 * MS..40 * MS), self.nodes[m].leads.unwrap_or(0));
+                    let (after, view) = (
+                        self.rng.rand_range(5 * MS..40 * MS),
+                        self.nodes[m].leading_view.unwrap_or(0),
+                    );
                     if matches!(entry, Entry::FallbackPolicyConfirmed(_)) {
                         self.fallback_changes += 1;
                     }
@@ -424,8 +438,9 @@
                 Action::ChangeParent { .. } => {
                     let (after, members) = (self.delay(), self.setting.members as u64);
                     let any = self.rng.rand_range(0..members) as usize;
-                    let leads = self.rng.rand_float() < 1.0 / (1.0 + members as f64 / 10.0);
-                    let parent = if leads { self.leader.unwrap_or(any) } else { any };
+                    let chooses_leader =
+                        self.rng.rand_float() < 1.0 / (1.0 + members as f64 / 10.0);
+                    let parent = if chooses_leader { self.leader.unwrap_or(any) } else { any };
                     if parent != m {
                         self.at(after, SimEvent::Parent { m, incarnation, parent });
                     }
@@ -443,7 +458,7 @@
             return;
         }
         let incarnation = self.nodes[from].incarnation;
-        // Duplicates arrive late, also at a later incarnation.
+        // Duplicates arrive late, and may arrive at a later incarnation.
         let copies = 1 + u64::from(self.rng.rand_float() < 0.03);
         for copy in 0..copies {
             if !self.is_lost() {
@@ -457,7 +472,7 @@
     }
 
     fn learn(&mut self, m: usize, through: usize, epoch: u32) {
-        // Entries of a log that was given up are ignored.
+        // Entries of an abandoned log are ignored.
         if epoch != self.epoch {
             return;
         }
@@ -469,7 +484,7 @@
             return;
         }
         self.nodes[m].applied = Some(through);
-        // A node that is far behind takes a snapshot.
+        // A node that is far behind applies a snapshot.
         let from = if through - first > 50 { through } else { first };
         for index in from..=through {
             let status = Box::new(self.log[index].clone());
@@ -513,7 +528,7 @@
         let unconfirmed = status.unconfirmed.then_some(status.generation);
         self.log.push(status);
         self.committed.push(self.now);
-        // The leader applies what it commits first, or a little later.
+        // The leader applies a committed entry at once, or a little later.
         let after = if self.rng.rand_float() < 0.2 { self.rng.rand_range(0..30 * MS) } else { 0 };
         let epoch = self.epoch;
         self.at(after, SimEvent::Learn { m: leader, through: index as usize, epoch });
@@ -528,20 +543,20 @@
     }
 
     fn elect(&mut self) {
-        let able: Vec<usize> =
+        let electable: Vec<usize> =
             (0..self.setting.members).filter(|m| self.is_reachable(*m)).collect();
-        // A majority of the cluster stands for one of the voters.
-        if able.len() * 2 <= self.setting.members || self.log_is_lost {
+        // The simulation requires a majority of the cluster in place of a majority of the voters.
+        if electable.len() * 2 <= self.setting.members || self.is_log_lost {
             return;
         }
         self.view += 1;
-        let leader = able[self.rng.rand_range(0..able.len() as u64) as usize];
+        let leader = electable[self.rng.rand_range(0..electable.len() as u64) as usize];
         if let Some(old) = self.leader.filter(|old| *old != leader && self.is_reachable(*old)) {
-            self.nodes[old].leads = None;
+            self.nodes[old].leading_view = None;
             self.deliver(old, Event::Follows);
         }
         (self.leader, self.leaderless_since) = (Some(leader), None);
-        self.nodes[leader].leads = Some(self.view);
+        self.nodes[leader].leading_view = Some(self.view);
         self.nodes[leader].parent = None;
         self.deliver(leader, Event::Parent(None));
         let from = self.log.len() as u64 - 1;
@@ -560,14 +575,17 @@
         }
     }
 
-    /// Rounds of all nodes that believe to lead, and elections.
+    /// Runs the rounds of all nodes that regard themselves as the leader, and elections.
     fn rounds(&mut self) {
         self.at(100 * MS, SimEvent::Rounds);
         for m in 0..self.setting.members {
             let p = &self.nodes[m];
-            let Some(view) = p.leads.filter(|_| p.up && p.paused <= self.now) else { continue };
+            let Some(view) = p.leading_view.filter(|_| p.is_up && p.paused_until <= self.now)
+            else {
+                continue;
+            };
             if view != self.view && self.is_reachable(m) {
-                self.nodes[m].leads = None;
+                self.nodes[m].leading_view = None;
                 self.deliver(m, Event::Follows);
                 continue;
             }
@@ -581,7 +599,7 @@
         }
         let leader_ok = self
             .leader
-            .is_some_and(|l| self.is_reachable(l) && self.nodes[l].leads == Some(self.view));
+            .is_some_and(|l| self.is_reachable(l) && self.nodes[l].leading_view == Some(self.view));
         self.leaderless_since =
             if leader_ok { None } else { self.leaderless_since.or(Some(self.now)) };
         let election_timeout = self.rng.rand_range(300 * MS..1200 * MS);
@@ -610,7 +628,7 @@
                 self.at(after, SimEvent::Learn { m, through, epoch });
             }
         }
-        // A leader has the whole log, even if it has not applied it yet.
+        // A leader has the whole log, even if it has not applied all entries yet.
         if let Some(leader) = self.leader.filter(|l| self.is_reachable(*l)) {
             let (after, through) = (self.rng.rand_range(0..200 * MS), self.log.len() - 1);
             self.at(after, SimEvent::Learn { m: leader, through, epoch: self.epoch });
@@ -622,10 +640,10 @@
         self.at(gap.max(MS), SimEvent::Propose);
         self.proposal_count += 1;
         let id = CommandId(self.proposal_count);
-        let on_trial = self.rng.rand_range(0..8) == 0;
-        let canary = on_trial
+        let is_canary = self.rng.rand_range(0..8) == 0;
+        let canary = is_canary
             .then_some(CanaryTerms { seconds: 1 + self.proposal_count as u32 % 4, fall: 1000 });
-        let ask = Box::new(ProposalOptions {
+        let options = Box::new(ProposalOptions {
             id,
             base: None,
             canary,
@@ -634,7 +652,7 @@
         });
         let sample = self.rng.rand_u64();
         let entry = match sample % 20 {
-            // The fallback policy changes now and then.
+            // The fallback policy changes occasionally.
             0 if self.rng.rand_float() * self.setting.rate < 2.0 => {
                 let cells =
                     [1, 5, 6].into_iter().filter(|p| sample >> 8 & 1 << p != 0).chain([0, 4]);
@@ -652,15 +670,15 @@
                     .get(sample as usize / 32 % retained.len().max(1))
                     .copied()
                     .unwrap_or(0);
-                Entry::Rollback(ask, to)
+                Entry::Rollback(options, to)
             }
-            _ => Entry::Propose(ask, Box::new(random_document(sample))),
+            _ => Entry::Propose(options, Box::new(random_document(sample))),
         };
         let (after, view) = (self.rng.rand_range(5 * MS..40 * MS), self.view);
         self.at(after, SimEvent::Commit { view, entry });
     }
 
-    /// One entry, at once.
+    /// Commits one entry at once and returns its index.
     pub fn commit_now(&mut self, entry: &Entry) -> usize {
         let view = self.view;
         self.commit(view, entry);
@@ -674,14 +692,15 @@
         let long = self.rng.rand_range(200 * MS..12 * S);
         match self.rng.rand_range(0..12) {
             0..=2 => self.kill(m),
-            3..=5 => self.nodes[m].paused = self.nodes[m].paused.max(self.now + long),
+            3..=5 => self.nodes[m].paused_until = self.nodes[m].paused_until.max(self.now + long),
             6 => self.nodes[m].cannot_send = true,
             7 => self.nodes[m].cannot_receive = true,
-            8 => self.nodes[m].side = 1,
+            8 => self.nodes[m].partition = 1,
             9 => {
-                let side = self.rng.rand_range(0..2) as u8 + 1;
+                let partition = self.rng.rand_range(0..2) as u8 + 1;
                 for p in &mut self.nodes {
-                    p.side = if self.rng.rand_float() < 0.33 { side } else { p.side };
+                    p.partition =
+                        if self.rng.rand_float() < 0.33 { partition } else { p.partition };
                 }
             }
             10 if self.rng.rand_float() < 0.3 => {
@@ -693,23 +712,23 @@
         self.at(long, SimEvent::Heal);
     }
 
-    /// A majority dies and loses its state; the others go on with theirs. A new log is started after `wait`, which has
-    /// to be long enough for that majority to have run for longer than a lease: every node that answered a round of the
-    /// old leader has died before.
+    /// Kills a majority of the nodes, which lose their state; the other nodes keep theirs. A new log is started after
+    /// `wait`. For a safe start `wait` has to be so long that each killed node has restarted and run for longer than a
+    /// lease, since every node that answered a round of the old leader has died before.
     pub fn lose_log(&mut self, wait: u64) {
-        if self.log_is_lost {
+        if self.is_log_lost {
             return;
         }
-        self.log_is_lost = true;
-        let most = self.setting.members / 2 + 1;
+        self.is_log_lost = true;
+        let majority = self.setting.members / 2 + 1;
         let first = self.leader.unwrap_or(0);
-        (0..most).for_each(|m| self.kill((first + m) % self.setting.members));
+        (0..majority).for_each(|m| self.kill((first + m) % self.setting.members));
         self.at(wait, SimEvent::Bootstrap);
     }
 
     /// Starts a new log from a copy that lacks the last entries, except those that changed the fallback policy.
     fn bootstrap_again(&mut self) {
-        let lost_entries = self.rng.rand_range(0..4) as usize;
+        let lost_entry_count = self.rng.rand_range(0..4) as usize;
         let complete = self
             .log
             .iter()
@@ -717,7 +736,7 @@
             .unwrap_or(0);
         let complete = complete
             .max(self.log.iter().rposition(|s| s.awaits_fallback_confirmation).unwrap_or(0));
-        let length = (self.log.len() - lost_entries.min(self.log.len() - 1)).max(complete + 1);
+        let length = (self.log.len() - lost_entry_count.min(self.log.len() - 1)).max(complete + 1);
         self.policy =
             PolicyState::bootstrap(common::bootstrap(self.setting.members as u16)).unwrap();
         for index in 1..length {
@@ -726,35 +745,35 @@
         self.entries.truncate(length);
         self.log.truncate(length);
         self.committed.truncate(length);
-        (self.epoch, self.log_is_lost, self.leader) = (self.epoch + 1, false, None);
+        (self.epoch, self.is_log_lost, self.leader) = (self.epoch + 1, false, None);
         self.leaderless_since = Some(self.now);
     }
 
     pub fn kill(&mut self, m: usize) {
-        self.nodes[m].up = false;
+        self.nodes[m].is_up = false;
         let after = self.rng.rand_range(50 * MS..4 * S);
         self.at(after, SimEvent::Restart { m });
     }
 
     pub fn pause(&mut self, m: usize, long: u64) {
-        self.nodes[m].paused = self.now + long;
+        self.nodes[m].paused_until = self.now + long;
     }
 
-    pub fn cut(&mut self, m: usize) {
-        self.nodes[m].side = 1;
+    pub fn cut_off(&mut self, m: usize) {
+        self.nodes[m].partition = 1;
     }
 
     pub fn heal(&mut self) {
         self.nodes
             .iter_mut()
-            .for_each(|p| (p.side, p.cannot_send, p.cannot_receive) = (0, false, false));
+            .for_each(|p| (p.partition, p.cannot_send, p.cannot_receive) = (0, false, false));
     }
 
     pub fn leader(&self) -> Option<usize> {
         self.leader
     }
 
-    /// What may be sent under these rules, as bits: cells for two classes, and numbers of attempts.
+    /// Returns the sends that these rules permit, as bits: cells for two classes, and numbers of attempts.
     fn mask(&mut self, rules: &Arc<Rules>) -> u32 {
         let key = Arc::as_ptr(rules) as usize;
         if let Some((_, mask)) = self.masks.get(&key) {
@@ -786,23 +805,23 @@
         self.at(tick, SimEvent::Tick);
         let mut observations = Vec::with_capacity(self.setting.members);
         for m in 0..self.setting.members {
-            if !self.nodes[m].up || self.nodes[m].paused > self.now {
+            if !self.nodes[m].is_up || self.nodes[m].paused_until > self.now {
                 continue;
             }
             let (in_force, now) = (self.nodes[m].in_force.clone(), self.local(m));
-            let never_ends =
+            let ignores_lease_end =
                 self.setting.defect == Defect::NoLease && in_force.until > Duration::ZERO;
             let (rules, has_lease) = match in_force.at(now) {
                 View::Agreed(..) => (&in_force.rules, true),
-                View::FallbackPolicy(_) if never_ends => (&in_force.rules, true),
+                View::FallbackPolicy(_) if ignores_lease_end => (&in_force.rules, true),
                 View::FallbackPolicy(_) => (&in_force.fallback_policy, false),
             };
             observations.push(Observation { sends: self.mask(rules), has_lease });
         }
-        self.oracle.look(self.now, &observations);
+        self.oracle.observe(self.now, &observations);
     }
 
-    /// How many nodes are at this generation or a later one, and how many hold a lease.
+    /// Returns the number of nodes at this generation or a later one, and the number of nodes that hold a lease.
     pub fn at_generation(&self, generation: u64) -> (usize, usize) {
         let at = |p: &&Node| p.in_force.generation.index >= generation;
         let members = 0..self.setting.members;
@@ -816,7 +835,7 @@
     }
 }
 
-/// A document with excluded cells, a class exclusion and a number of attempts.
+/// Returns a document with excluded cells, a class exclusion and a number of attempts.
 fn random_document(sample: u64) -> Document {
     let cells = |bits: u64| (1..8).filter(|p| *p != 4 && bits & 1 << p != 0).collect::<Vec<u32>>();
     let mut document = common::without(&cells(sample >> 8 & sample >> 16));
