--- a/crates/revision/tests/sim/mod.rs
+++ b/crates/revision/tests/sim/mod.rs
@@ -67,12 +67,12 @@
         message: Message,
     },
     Wake {
-        m: usize,
+        node_index: usize,
         incarnation: u32,
         at: Duration,
     },
     Learn {
-        m: usize,
+        node_index: usize,
         through: usize,
         epoch: u32,
     },
@@ -82,25 +82,25 @@
         entry: Entry,
     },
     Round {
-        m: usize,
+        node_index: usize,
         incarnation: u32,
         began: Duration,
         view: u32,
         answered: u64,
     },
     Persisted {
-        m: usize,
+        node_index: usize,
         incarnation: u32,
         fallback_generation: Generation,
         fallback_policy: Arc<FallbackPolicy>,
     },
     Parent {
-        m: usize,
+        node_index: usize,
         incarnation: u32,
         parent: usize,
     },
     Restart {
-        m: usize,
+        node_index: usize,
     },
     Heal,
     Fault,
@@ -190,12 +190,12 @@
             masks: BTreeMap::new(),
             setting,
         };
-        for m in 0..members {
+        for node_index in 0..members {
             let has_state_directory = sim.rng.rand_float() < 0.5;
             let rate = 995_000 + sim.rng.rand_range(0..10_000);
-            let node = sim.start_node(m, 1, rate, has_state_directory, None);
+            let node = sim.start_node(node_index, 1, rate, has_state_directory, None);
             sim.nodes.push(node);
-            sim.at(0, SimEvent::Learn { m, through: 0, epoch: 1 });
+            sim.at(0, SimEvent::Learn { node_index, through: 0, epoch: 1 });
         }
         sim.elect();
         let (faults, length) = (sim.setting.faults, sim.setting.length);
@@ -214,15 +214,18 @@
 
     fn start_node(
         &self,
-        m: usize,
+        node_index: usize,
         incarnation: u32,
         rate: u64,
         has_state_directory: bool,
         stored: Option<(Generation, FallbackPolicy)>,
     ) -> Node {
         let mandatory_fallback = common::bootstrap(1).mandatory_fallback;
-        let mut config =
-            LeaseConfig::usual(NodeId(m as u16), Incarnation(incarnation), mandatory_fallback);
+        let mut config = LeaseConfig::usual(
+            NodeId(node_index as u16),
+            Incarnation(incarnation),
+            mandatory_fallback,
+        );
         (config.stored, config.exact) = (stored.clone(), self.setting.exact);
         let leases = Leases::new(config);
         Node {
@@ -251,18 +254,18 @@
         self.queue.insert((self.now + after, self.seq), event);
     }
 
-    fn local(&self, m: usize) -> Duration {
-        let p = &self.nodes[m];
-        Duration::from_micros((self.now - p.started_at) * p.rate / 1_000_000)
+    fn local(&self, node_index: usize) -> Duration {
+        let node = &self.nodes[node_index];
+        Duration::from_micros((self.now - node.started_at) * node.rate / 1_000_000)
     }
 
-    fn is_reachable(&self, m: usize) -> bool {
-        let p = &self.nodes[m];
-        p.is_up
-            && p.paused_until <= self.now
-            && p.partition == 0
-            && !p.cannot_send
-            && !p.cannot_receive
+    fn is_reachable(&self, node_index: usize) -> bool {
+        let node = &self.nodes[node_index];
+        node.is_up
+            && node.paused_until <= self.now
+            && node.partition == 0
+            && !node.cannot_send
+            && !node.cannot_receive
     }
 
     fn reaches(&self, from: usize, to: usize) -> bool {
@@ -302,20 +305,22 @@
     fn handle_event(&mut self, event: SimEvent) {
         let target_node = match &event {
             SimEvent::Message { to, .. } => Some((*to, None)),
-            SimEvent::Wake { m, incarnation, .. }
-            | SimEvent::Round { m, incarnation, .. }
-            | SimEvent::Persisted { m, incarnation, .. }
-            | SimEvent::Parent { m, incarnation, .. } => Some((*m, Some(*incarnation))),
-            SimEvent::Learn { m, .. } => Some((*m, None)),
+            SimEvent::Wake { node_index, incarnation, .. }
+            | SimEvent::Round { node_index, incarnation, .. }
+            | SimEvent::Persisted { node_index, incarnation, .. }
+            | SimEvent::Parent { node_index, incarnation, .. } => {
+                Some((*node_index, Some(*incarnation)))
+            }
+            SimEvent::Learn { node_index, .. } => Some((*node_index, None)),
             _ => None,
         };
-        if let Some((m, incarnation)) = target_node {
-            let p = &self.nodes[m];
-            if !p.is_up || incarnation.is_some_and(|l| l != p.incarnation) {
+        if let Some((node_index, incarnation)) = target_node {
+            let node = &self.nodes[node_index];
+            if !node.is_up || incarnation.is_some_and(|l| l != node.incarnation) {
                 return;
             }
-            if p.paused_until > self.now {
-                let after = p.paused_until - self.now;
+            if node.paused_until > self.now {
+                let after = node.paused_until - self.now;
                 return self.at(after, event);
             }
         }
@@ -330,54 +335,59 @@
                     },
                 );
             }
-            SimEvent::Wake { m, at, .. } => {
-                if self.nodes[m].wake_at == at {
-                    self.nodes[m].wake_at = Duration::MAX;
-                    self.deliver(m, Event::Due);
+            SimEvent::Wake { node_index, at, .. } => {
+                if self.nodes[node_index].wake_at == at {
+                    self.nodes[node_index].wake_at = Duration::MAX;
+                    self.deliver(node_index, Event::Due);
                 }
             }
-            SimEvent::Learn { m, through, epoch } => self.learn(m, through, epoch),
+            SimEvent::Learn { node_index, through, epoch } => {
+                self.learn(node_index, through, epoch)
+            }
             SimEvent::Bootstrap => self.bootstrap_again(),
             SimEvent::Commit { view, entry } => self.commit(view, &entry),
-            SimEvent::Round { m, began, view, answered, .. } => {
+            SimEvent::Round { node_index, began, view, answered, .. } => {
                 // The round counts only if the node still leads the view in which a majority answered the round.
-                if self.nodes[m].leading_view == Some(view) && answered != u64::MAX {
-                    self.deliver(m, Event::Round { began });
+                if self.nodes[node_index].leading_view == Some(view) && answered != u64::MAX {
+                    self.deliver(node_index, Event::Round { began });
                 }
             }
-            SimEvent::Persisted { m, fallback_generation, fallback_policy, .. } => {
-                if self.nodes[m].has_state_directory {
-                    self.nodes[m].stored = Some((fallback_generation, (*fallback_policy).clone()));
+            SimEvent::Persisted { node_index, fallback_generation, fallback_policy, .. } => {
+                if self.nodes[node_index].has_state_directory {
+                    self.nodes[node_index].stored =
+                        Some((fallback_generation, (*fallback_policy).clone()));
                 }
-                self.deliver(m, Event::FallbackPolicyPersisted { fallback_generation });
+                self.deliver(node_index, Event::FallbackPolicyPersisted { fallback_generation });
             }
-            SimEvent::Parent { m, parent, .. } => {
-                self.nodes[m].parent = Some(parent);
-                let parent = (self.nodes[m].leading_view != Some(self.view))
+            SimEvent::Parent { node_index, parent, .. } => {
+                self.nodes[node_index].parent = Some(parent);
+                let parent = (self.nodes[node_index].leading_view != Some(self.view))
                     .then_some(NodeId(parent as u16));
-                self.deliver(m, Event::Parent(parent));
+                self.deliver(node_index, Event::Parent(parent));
             }
-            SimEvent::Restart { m } => {
-                if !self.nodes[m].is_up {
+            SimEvent::Restart { node_index } => {
+                if !self.nodes[node_index].is_up {
                     let (incarnation, rate, has_state_directory) = (
-                        self.nodes[m].incarnation + 1,
-                        self.nodes[m].rate,
-                        self.nodes[m].has_state_directory,
+                        self.nodes[node_index].incarnation + 1,
+                        self.nodes[node_index].rate,
+                        self.nodes[node_index].has_state_directory,
                     );
-                    let stored = self.nodes[m].stored.clone().filter(|_| has_state_directory);
-                    self.nodes[m] =
-                        self.start_node(m, incarnation, rate, has_state_directory, stored);
+                    let stored =
+                        self.nodes[node_index].stored.clone().filter(|_| has_state_directory);
+                    self.nodes[node_index] =
+                        self.start_node(node_index, incarnation, rate, has_state_directory, stored);
                     let after = self.delay();
-                    let parent =
-                        self.leader.filter(|l| *l != m).unwrap_or((m + 1) % self.setting.members);
-                    self.at(after, SimEvent::Parent { m, incarnation, parent });
-                    self.at(after, SimEvent::Learn { m, through: 0, epoch: self.epoch });
+                    let parent = self
+                        .leader
+                        .filter(|l| *l != node_index)
+                        .unwrap_or((node_index + 1) % self.setting.members);
+                    self.at(after, SimEvent::Parent { node_index, incarnation, parent });
+                    self.at(after, SimEvent::Learn { node_index, through: 0, epoch: self.epoch });
                 }
             }
-            SimEvent::Heal => self
-                .nodes
-                .iter_mut()
-                .for_each(|p| (p.partition, p.cannot_send, p.cannot_receive) = (0, false, false)),
+            SimEvent::Heal => self.nodes.iter_mut().for_each(|node| {
+                (node.partition, node.cannot_send, node.cannot_receive) = (0, false, false)
+            }),
             SimEvent::Fault => self.fault(),
             SimEvent::Rounds => self.rounds(),
             SimEvent::Gossip => self.gossip(),
@@ -386,21 +396,21 @@
         }
     }
 
-    fn deliver(&mut self, m: usize, event: Event) {
+    fn deliver(&mut self, node_index: usize, event: Event) {
         let (now, incarnation, mut actions) =
-            (self.local(m), self.nodes[m].incarnation, Vec::new());
-        self.nodes[m].leases.handle(now, event, &mut actions);
+            (self.local(node_index), self.nodes[node_index].incarnation, Vec::new());
+        self.nodes[node_index].leases.handle(now, event, &mut actions);
         for action in actions {
             match action {
-                Action::Send { to, message } => self.send(m, usize::from(to.0), message),
+                Action::Send { to, message } => self.send(node_index, usize::from(to.0), message),
                 Action::Publish(in_force) => {
                     let none = in_force.until == Duration::ZERO;
                     if !(self.setting.defect == Defect::NoLease && none) {
-                        self.nodes[m].in_force = in_force;
+                        self.nodes[node_index].in_force = in_force;
                     }
                 }
                 Action::PersistFallbackPolicy { fallback_generation, fallback_policy } => {
-                    let after = if self.nodes[m].has_state_directory {
+                    let after = if self.nodes[node_index].has_state_directory {
                         self.rng.rand_range(MS..40 * MS)
                     } else {
                         0
@@ -408,7 +418,7 @@
                     self.at(
                         after,
                         SimEvent::Persisted {
-                            m,
+                            node_index,
                             incarnation,
                             fallback_generation,
                             fallback_policy,
@@ -416,18 +426,18 @@
                     );
                 }
                 Action::WakeAt(at) => {
-                    self.nodes[m].wake_at = at;
-                    let p = &self.nodes[m];
-                    let real = p.started_at
-                        + (at.as_micros() as u64).saturating_mul(1_000_000) / p.rate
+                    self.nodes[node_index].wake_at = at;
+                    let node = &self.nodes[node_index];
+                    let real = node.started_at
+                        + (at.as_micros() as u64).saturating_mul(1_000_000) / node.rate
                         + 2;
                     let after = real.saturating_sub(self.now);
-                    self.at(after, SimEvent::Wake { m, incarnation, at });
+                    self.at(after, SimEvent::Wake { node_index, incarnation, at });
                 }
                 Action::Propose(entry) => {
                     let (after, view) = (
                         self.rng.rand_range(5 * MS..40 * MS),
-                        self.nodes[m].leading_view.unwrap_or(0),
+                        self.nodes[node_index].leading_view.unwrap_or(0),
                     );
                     if matches!(entry, Entry::FallbackPolicyConfirmed(_)) {
                         self.fallback_changes += 1;
@@ -437,12 +447,16 @@
                 Action::Learn { .. } => {}
                 Action::ChangeParent { .. } => {
                     let (after, members) = (self.delay(), self.setting.members as u64);
-                    let any = self.rng.rand_range(0..members) as usize;
+                    let random_node = self.rng.rand_range(0..members) as usize;
                     let chooses_leader =
                         self.rng.rand_float() < 1.0 / (1.0 + members as f64 / 10.0);
-                    let parent = if chooses_leader { self.leader.unwrap_or(any) } else { any };
-                    if parent != m {
-                        self.at(after, SimEvent::Parent { m, incarnation, parent });
+                    let parent = if chooses_leader {
+                        self.leader.unwrap_or(random_node)
+                    } else {
+                        random_node
+                    };
+                    if parent != node_index {
+                        self.at(after, SimEvent::Parent { node_index, incarnation, parent });
                     }
                 }
             }
@@ -471,29 +485,32 @@
         }
     }
 
-    fn learn(&mut self, m: usize, through: usize, epoch: u32) {
+    fn learn(&mut self, node_index: usize, through: usize, epoch: u32) {
         // Entries of an abandoned log are ignored.
         if epoch != self.epoch {
             return;
         }
-        if self.nodes[m].epoch != epoch {
-            (self.nodes[m].applied, self.nodes[m].epoch) = (None, epoch);
+        if self.nodes[node_index].epoch != epoch {
+            (self.nodes[node_index].applied, self.nodes[node_index].epoch) = (None, epoch);
         }
-        let first = self.nodes[m].applied.map_or(0, |a| a + 1);
+        let first = self.nodes[node_index].applied.map_or(0, |a| a + 1);
         if first > through {
             return;
         }
-        self.nodes[m].applied = Some(through);
+        self.nodes[node_index].applied = Some(through);
         // A node that is far behind applies a snapshot.
         let from = if through - first > 50 { through } else { first };
         for index in from..=through {
             let status = Box::new(self.log[index].clone());
-            self.deliver(m, Event::Applied { epoch, status });
+            self.deliver(node_index, Event::Applied { epoch, status });
         }
         for child in 0..self.setting.members {
-            if self.nodes[child].parent == Some(m) && self.reaches(m, child) && !self.is_lost() {
+            if self.nodes[child].parent == Some(node_index)
+                && self.reaches(node_index, child)
+                && !self.is_lost()
+            {
                 let after = self.delay();
-                self.at(after, SimEvent::Learn { m: child, through, epoch });
+                self.at(after, SimEvent::Learn { node_index: child, through, epoch });
             }
         }
     }
@@ -531,7 +548,7 @@
         // The leader applies a committed entry at once, or a little later.
         let after = if self.rng.rand_float() < 0.2 { self.rng.rand_range(0..30 * MS) } else { 0 };
         let epoch = self.epoch;
-        self.at(after, SimEvent::Learn { m: leader, through: index as usize, epoch });
+        self.at(after, SimEvent::Learn { node_index: leader, through: index as usize, epoch });
         if let Some(generation) =
             unconfirmed.filter(|_| self.setting.defect == Defect::NoConfirmation)
         {
@@ -544,7 +561,7 @@
 
     fn elect(&mut self) {
         let electable: Vec<usize> =
-            (0..self.setting.members).filter(|m| self.is_reachable(*m)).collect();
+            (0..self.setting.members).filter(|node_index| self.is_reachable(*node_index)).collect();
         // The simulation requires a majority of the cluster in place of a majority of the voters.
         if electable.len() * 2 <= self.setting.members || self.is_log_lost {
             return;
@@ -564,38 +581,40 @@
             leader,
             Event::Leads { since: self.local(leader), epoch: self.epoch, last_index: from },
         );
-        let mut rank: Vec<usize> = (0..self.setting.members).filter(|m| *m != leader).collect();
+        let mut rank: Vec<usize> =
+            (0..self.setting.members).filter(|node_index| *node_index != leader).collect();
         let by = leader % rank.len().max(1);
         rank.rotate_left(by);
         rank.insert(0, leader);
         for r in 1..rank.len() {
-            let (m, parent) = (rank[r], rank[(r - 1) / self.setting.fan]);
-            let (after, incarnation) = (self.delay() * 3, self.nodes[m].incarnation);
-            self.at(after, SimEvent::Parent { m, incarnation, parent });
+            let (node_index, parent) = (rank[r], rank[(r - 1) / self.setting.fan]);
+            let (after, incarnation) = (self.delay() * 3, self.nodes[node_index].incarnation);
+            self.at(after, SimEvent::Parent { node_index, incarnation, parent });
         }
     }
 
     /// Runs the rounds of all nodes that regard themselves as the leader, and elections.
     fn rounds(&mut self) {
         self.at(100 * MS, SimEvent::Rounds);
-        for m in 0..self.setting.members {
-            let p = &self.nodes[m];
-            let Some(view) = p.leading_view.filter(|_| p.is_up && p.paused_until <= self.now)
+        for node_index in 0..self.setting.members {
+            let node = &self.nodes[node_index];
+            let Some(view) =
+                node.leading_view.filter(|_| node.is_up && node.paused_until <= self.now)
             else {
                 continue;
             };
-            if view != self.view && self.is_reachable(m) {
-                self.nodes[m].leading_view = None;
-                self.deliver(m, Event::Follows);
+            if view != self.view && self.is_reachable(node_index) {
+                self.nodes[node_index].leading_view = None;
+                self.deliver(node_index, Event::Follows);
                 continue;
             }
-            if view != self.view || !self.is_reachable(m) {
+            if view != self.view || !self.is_reachable(node_index) {
                 continue;
             }
-            let (began, incarnation) = (self.local(m), self.nodes[m].incarnation);
+            let (began, incarnation) = (self.local(node_index), self.nodes[node_index].incarnation);
             let answered = self.now;
             let after = 2 * self.delay();
-            self.at(after, SimEvent::Round { m, incarnation, began, view, answered });
+            self.at(after, SimEvent::Round { node_index, incarnation, began, view, answered });
         }
         let leader_ok = self
             .leader
@@ -610,34 +629,34 @@
 
     fn gossip(&mut self) {
         self.at(100 * MS, SimEvent::Gossip);
-        for m in 0..self.setting.members {
-            let any = self.rng.rand_range(0..self.setting.members as u64) as usize;
+        for node_index in 0..self.setting.members {
+            let random_node = self.rng.rand_range(0..self.setting.members as u64) as usize;
             let chosen = if self.rng.rand_float() < 0.3 {
-                Some(any)
+                Some(random_node)
             } else {
-                self.nodes[m].parent.or(self.leader)
+                self.nodes[node_index].parent.or(self.leader)
             };
-            let Some(source) = chosen.filter(|s| *s != m) else { continue };
-            let both = self.reaches(source, m)
-                && self.reaches(m, source)
+            let Some(source) = chosen.filter(|s| *s != node_index) else { continue };
+            let both = self.reaches(source, node_index)
+                && self.reaches(node_index, source)
                 && !self.is_lost()
                 && !self.is_lost();
             let epoch = self.nodes[source].epoch;
             if let Some(through) = self.nodes[source].applied.filter(|_| both) {
                 let after = 2 * self.delay();
-                self.at(after, SimEvent::Learn { m, through, epoch });
+                self.at(after, SimEvent::Learn { node_index, through, epoch });
             }
         }
         // A leader has the whole log, even if it has not applied all entries yet.
         if let Some(leader) = self.leader.filter(|l| self.is_reachable(*l)) {
             let (after, through) = (self.rng.rand_range(0..200 * MS), self.log.len() - 1);
-            self.at(after, SimEvent::Learn { m: leader, through, epoch: self.epoch });
+            self.at(after, SimEvent::Learn { node_index: leader, through, epoch: self.epoch });
         }
     }
 
     fn propose(&mut self) {
-        let gap = (S as f64 / self.setting.rate * 2.0 * self.rng.rand_float()) as u64;
-        self.at(gap.max(MS), SimEvent::Propose);
+        let interval = (S as f64 / self.setting.rate * 2.0 * self.rng.rand_float()) as u64;
+        self.at(interval.max(MS), SimEvent::Propose);
         self.proposal_count += 1;
         let id = CommandId(self.proposal_count);
         let is_canary = self.rng.rand_range(0..8) == 0;
@@ -655,7 +674,7 @@
             // The fallback policy changes occasionally.
             0 if self.rng.rand_float() * self.setting.rate < 2.0 => {
                 let cells =
-                    [1, 5, 6].into_iter().filter(|p| sample >> 8 & 1 << p != 0).chain([0, 4]);
+                    [1, 5, 6].into_iter().filter(|cell| sample >> 8 & 1 << cell != 0).chain([0, 4]);
                 let fallback_policy = FallbackPolicy {
                     cells: cells.collect(),
                     ..common::bootstrap(1).fallback_policy
@@ -687,29 +706,36 @@
 
     fn fault(&mut self) {
         let members = self.setting.members as u64;
-        let m = self.rng.rand_range(0..members) as usize;
-        let m = if self.rng.rand_float() < 0.3 { self.leader.unwrap_or(m) } else { m };
-        let long = self.rng.rand_range(200 * MS..12 * S);
+        let node_index = self.rng.rand_range(0..members) as usize;
+        let node_index = if self.rng.rand_float() < 0.3 {
+            self.leader.unwrap_or(node_index)
+        } else {
+            node_index
+        };
+        let duration = self.rng.rand_range(200 * MS..12 * S);
         match self.rng.rand_range(0..12) {
-            0..=2 => self.kill(m),
-            3..=5 => self.nodes[m].paused_until = self.nodes[m].paused_until.max(self.now + long),
-            6 => self.nodes[m].cannot_send = true,
-            7 => self.nodes[m].cannot_receive = true,
-            8 => self.nodes[m].partition = 1,
+            0..=2 => self.kill(node_index),
+            3..=5 => {
+                self.nodes[node_index].paused_until =
+                    self.nodes[node_index].paused_until.max(self.now + duration)
+            }
+            6 => self.nodes[node_index].cannot_send = true,
+            7 => self.nodes[node_index].cannot_receive = true,
+            8 => self.nodes[node_index].partition = 1,
             9 => {
                 let partition = self.rng.rand_range(0..2) as u8 + 1;
-                for p in &mut self.nodes {
-                    p.partition =
-                        if self.rng.rand_float() < 0.33 { partition } else { p.partition };
+                for node in &mut self.nodes {
+                    node.partition =
+                        if self.rng.rand_float() < 0.33 { partition } else { node.partition };
                 }
             }
             10 if self.rng.rand_float() < 0.3 => {
-                (0..self.setting.members).for_each(|m| self.kill(m))
+                (0..self.setting.members).for_each(|node_index| self.kill(node_index))
             }
             11 if self.rng.rand_float() < 0.5 => self.lose_log(LEASES_EXPIRED),
             _ => self.elect(),
         }
-        self.at(long, SimEvent::Heal);
+        self.at(duration, SimEvent::Heal);
     }
 
     /// Kills a majority of the nodes, which lose their state; the other nodes keep theirs. A new log is started after
@@ -722,7 +748,7 @@
         self.is_log_lost = true;
         let majority = self.setting.members / 2 + 1;
         let first = self.leader.unwrap_or(0);
-        (0..majority).for_each(|m| self.kill((first + m) % self.setting.members));
+        (0..majority).for_each(|node_index| self.kill((first + node_index) % self.setting.members));
         self.at(wait, SimEvent::Bootstrap);
     }
 
@@ -749,24 +775,24 @@
         self.leaderless_since = Some(self.now);
     }
 
-    pub fn kill(&mut self, m: usize) {
-        self.nodes[m].is_up = false;
+    pub fn kill(&mut self, node_index: usize) {
+        self.nodes[node_index].is_up = false;
         let after = self.rng.rand_range(50 * MS..4 * S);
-        self.at(after, SimEvent::Restart { m });
+        self.at(after, SimEvent::Restart { node_index });
     }
 
-    pub fn pause(&mut self, m: usize, long: u64) {
-        self.nodes[m].paused_until = self.now + long;
+    pub fn pause(&mut self, node_index: usize, duration: u64) {
+        self.nodes[node_index].paused_until = self.now + duration;
     }
 
-    pub fn cut_off(&mut self, m: usize) {
-        self.nodes[m].partition = 1;
+    pub fn cut_off(&mut self, node_index: usize) {
+        self.nodes[node_index].partition = 1;
     }
 
     pub fn heal(&mut self) {
-        self.nodes
-            .iter_mut()
-            .for_each(|p| (p.partition, p.cannot_send, p.cannot_receive) = (0, false, false));
+        self.nodes.iter_mut().for_each(|node| {
+            (node.partition, node.cannot_send, node.cannot_receive) = (0, false, false)
+        });
     }
 
     pub fn leader(&self) -> Option<usize> {
@@ -804,11 +830,11 @@
         let tick = self.setting.tick;
         self.at(tick, SimEvent::Tick);
         let mut observations = Vec::with_capacity(self.setting.members);
-        for m in 0..self.setting.members {
-            if !self.nodes[m].is_up || self.nodes[m].paused_until > self.now {
+        for node_index in 0..self.setting.members {
+            if !self.nodes[node_index].is_up || self.nodes[node_index].paused_until > self.now {
                 continue;
             }
-            let (in_force, now) = (self.nodes[m].in_force.clone(), self.local(m));
+            let (in_force, now) = (self.nodes[node_index].in_force.clone(), self.local(node_index));
             let ignores_lease_end =
                 self.setting.defect == Defect::NoLease && in_force.until > Duration::ZERO;
             let (rules, has_lease) = match in_force.at(now) {
@@ -823,21 +849,23 @@
 
     /// Returns the number of nodes at this generation or a later one, and the number of nodes that hold a lease.
     pub fn at_generation(&self, generation: u64) -> (usize, usize) {
-        let at = |p: &&Node| p.in_force.generation.index >= generation;
+        let at = |node: &&Node| node.in_force.generation.index >= generation;
         let members = 0..self.setting.members;
-        let holds =
-            |m: &usize| matches!(self.nodes[*m].in_force.at(self.local(*m)), View::Agreed(..));
+        let holds = |node_index: &usize| {
+            matches!(self.nodes[*node_index].in_force.at(self.local(*node_index)), View::Agreed(..))
+        };
         (self.nodes.iter().filter(at).count(), members.filter(holds).count())
     }
 
-    pub fn leases(&self, m: usize) -> &Leases {
-        &self.nodes[m].leases
+    pub fn leases(&self, node_index: usize) -> &Leases {
+        &self.nodes[node_index].leases
     }
 }
 
 /// Returns a document with excluded cells, a class exclusion and a number of attempts.
 fn random_document(sample: u64) -> Document {
-    let cells = |bits: u64| (1..8).filter(|p| *p != 4 && bits & 1 << p != 0).collect::<Vec<u32>>();
+    let cells =
+        |bits: u64| (1..8).filter(|cell| *cell != 4 && bits & 1 << cell != 0).collect::<Vec<u32>>();
     let mut document = common::without(&cells(sample >> 8 & sample >> 16));
     let retained = cells(sample >> 24 & sample >> 32);
     if !retained.is_empty() {
