--- a/crates/gateway/src/cluster/machine/routing.rs
+++ b/crates/gateway/src/cluster/machine/routing.rs
@@ -95,7 +95,7 @@
                 )));
                 self.is_leader = true;
                 let (epoch, from) = (view.epoch, self.replica.op());
-                self.step_leases(leases::Event::Leads { since, epoch, from });
+                self.step_leases(leases::Event::Leads { since, epoch, last_index: from });
             }
             consensus::Action::StoppedLeading => {
                 self.is_leader = false;
@@ -147,7 +147,7 @@
             _ => &[],
         };
         let applied = self.policy.apply(index.op(), bytes);
-        if let Some(cause) = applied.unreadable.filter(|_| !bytes.is_empty()) {
+        if let Some(cause) = applied.decode_error.filter(|_| !bytes.is_empty()) {
             actions.push(Action::Log(format!("log entry {index} can't be decoded: {cause}")));
         }
         self.applied_index = index;
@@ -171,14 +171,14 @@
     fn after_apply(&mut self, actions: &mut Vec<Action>) {
         self.answer_calls(actions);
         let (epoch, status) = (self.applied_index.epoch(), Box::new(self.policy.status()));
-        self.step_lists(lists::Event::FallbackFloor(status.rules.oldest_list()));
+        self.step_lists(lists::Event::OldestAllowedVersion(status.rules.oldest_list()));
         self.step_leases(leases::Event::Applied { epoch, status });
     }
 
     /// Decodes a snapshot of the policy state. An empty snapshot is the bootstrap state of a log without entries.
     fn decode_state(&self, state: &[u8]) -> Result<PolicyState, DecodeError> {
         if state.is_empty() {
-            return Ok(PolicyState::found(self.setup.bootstrap.clone())?);
+            return Ok(PolicyState::bootstrap(self.setup.bootstrap.clone())?);
         }
         Ok(PolicyState::from_snapshot(state)?)
     }
@@ -186,7 +186,7 @@
     /// Returns the policy state as bytes and the index of the last log entry applied to it. If the policy state can't be
     /// encoded, logs the cause.
     fn encode_state(&self, actions: &mut Vec<Action>) -> Option<(consensus::LogIndex, Vec<u8>)> {
-        match self.policy.image() {
+        match self.policy.to_snapshot() {
             Ok(bytes) => Some((self.applied_index, bytes)),
             Err(cause) => {
                 actions
@@ -253,8 +253,8 @@
             }
             // The learner polls its source by itself and is notified of new entries immediately.
             leases::Action::Learn { .. } => {}
-            leases::Action::ChangeParent { than } => {
-                self.step_learner(LearnerEvent::ChangeSource(than));
+            leases::Action::ChangeParent { current } => {
+                self.step_learner(LearnerEvent::ChangeSource(current));
             }
         }
     }
--- a/crates/model-checks/src/lease_model.rs
+++ b/crates/model-checks/src/lease_model.rs
@@ -109,8 +109,8 @@
 fn proposal(number: u8) -> Entry {
     let mut document = Document { attempts: 3, ..Document::default() };
     match number {
-        0 => document.out.cells.extend([3]),
-        1 => document.out.cells.extend([4]),
+        0 => document.exclusions.cells.extend([3]),
+        1 => document.exclusions.cells.extend([4]),
         2 => {
             return Entry::FallbackPolicy(
                 CommandId(103),
@@ -118,7 +118,7 @@
                 Box::new(crate::simulated_cluster::fleet_facts()),
             );
         }
-        _ => document.out.cells.extend([2, 3]),
+        _ => document.exclusions.cells.extend([2, 3]),
     }
     crate::simulated_cluster::propose_entry(CommandId(100 + u128::from(number)), None, document)
 }
@@ -157,7 +157,7 @@
             published: leases.in_force(),
             leases,
             // The mandatory fallback is part of the fallback policy, and the document is the default one.
-            policy: PolicyState::found(bootstrap).expect("a bootstrap within all bounds"),
+            policy: PolicyState::bootstrap(bootstrap).expect("a bootstrap within all bounds"),
             incarnation,
             started_at: now,
             forbidden_since: [None; 5],
@@ -340,7 +340,7 @@
             let status = Box::new(state.members[usize::from(node_id)].policy.status());
             state.handle_event(node_id, Event::Applied { epoch: 1, status });
         }
-        state.handle_event(0, Event::Leads { since: Duration::ZERO, epoch: 1, from: 0 });
+        state.handle_event(0, Event::Leads { since: Duration::ZERO, epoch: 1, last_index: 0 });
         state.assign_parents();
         // Longer than a lease: the first leader's wait is over, and all members know their fallback policy.
         for _ in 0..10 {
@@ -450,7 +450,7 @@
                 let (led_since, log_length) = (state.local_time(node_id), state.log.len() as u64);
                 state.handle_event(
                     node_id,
-                    Event::Leads { since: led_since, epoch: 1, from: log_length },
+                    Event::Leads { since: led_since, epoch: 1, last_index: log_length },
                 );
                 state.assign_parents();
             }
--- a/crates/revision/src/leases/leader.rs
+++ b/crates/revision/src/leases/leader.rs
@@ -1,5 +1,5 @@
-//! What a balancer does as the leader: it proposes that a generation or a fallback policy is confirmed and that a
-//! canary is rolled back, and notes which nodes are missing.
+//! The duties of the leader: it proposes the confirmation of a generation or of a fallback policy and the rollback of a
+//! canary, and records which nodes are missing.
 
 use std::time::Duration;
 
@@ -9,12 +9,12 @@
 use crate::entry::Entry;
 use crate::node_set::NodeSet;
 
-/// A proposal that is not in the log is repeated after this time.
+/// Time after which a proposal that is not in the log is repeated.
 const PROPOSAL_RETRY_INTERVAL: Duration = Duration::from_millis(500);
 
 impl Leases {
-    /// The leadership, if this balancer has applied everything that was committed before it: until then it knows less
-    /// than others may act on.
+    /// Returns the leadership, if this balancer has applied everything that was committed before its election. Until
+    /// then other balancers may act on entries that this balancer does not know.
     pub(super) fn caught_up_leadership(&self) -> Option<&Leadership> {
         let position = self.applied.as_ref()?.position();
         self.leadership.as_ref().filter(|leadership| position >= leadership.caught_up_at)
@@ -22,7 +22,7 @@
 
     pub(super) fn propose(&mut self, actions: &mut Vec<Action>) {
         if self.leadership.is_some() {
-            self.note_missing_nodes();
+            self.record_missing_nodes();
         }
         let Some(entry) = self.due_proposal() else { return };
         let retry_since = self.now.saturating_sub(PROPOSAL_RETRY_INTERVAL);
@@ -40,42 +40,42 @@
         let status = &applied.status;
         if status.unconfirmed
             && self.confirmed == applied.generation
-            && self.now >= self.former_leases_end(leadership)
+            && self.now >= self.previous_leases_end(leadership)
         {
             return Some(Entry::GenerationConfirmed(applied.generation.index));
         }
         if let (Some(canary), Some(in_force)) = (status.canary, self.canary) {
             let age = self.now.saturating_sub(in_force.since);
-            if let Some(cause) = canary.terms.verdict(age, self.canary_metric) {
+            if let Some(cause) = canary.terms.rollback_cause(age, self.canary_metric) {
                 return Some(Entry::AutomaticRollback(canary.revision, cause));
             }
         }
         if !status.awaits_fallback_confirmation {
             return None;
         }
-        let awaits_fallback_confirmation =
+        let unconfirmed_nodes =
             NodeSet::first(status.members).without(&status.dead).without(&self.fallback.holders());
         let confirmed = Entry::FallbackPolicyConfirmed(status.fallback_generation);
-        awaits_fallback_confirmation.is_empty().then_some(confirmed)
+        unconfirmed_nodes.is_empty().then_some(confirmed)
     }
 
-    /// When the leases that the previous leader may have granted have ended.
-    fn former_leases_end(&self, leadership: &Leadership) -> Duration {
+    /// Returns the time by which all leases that the previous leader may have granted have ended.
+    fn previous_leases_end(&self, leadership: &Leadership) -> Duration {
         leadership.since.saturating_add(self.config.upper_bound(self.config.lease))
     }
 
-    /// Notes since when each node that is not present has been missing.
-    fn note_missing_nodes(&mut self) {
+    /// Records since when each node that is not present has been missing.
+    fn record_missing_nodes(&mut self) {
         let Some(applied) = &self.applied else { return };
         let missing = NodeSet::first(applied.status.members).without(&self.present_nodes());
         let since = |node| self.missing.get(&node).copied().unwrap_or(self.now);
         self.missing = missing.iter().map(|node| (node, since(node))).collect();
     }
 
-    /// The next time at which the leader may have something to propose.
+    /// Returns the next time at which the leader may have a proposal to make.
     pub(super) fn leader_wake(&self) -> Option<Duration> {
         let leadership = self.leadership.as_ref()?;
-        let former_leases = Some(self.former_leases_end(leadership));
+        let previous_leases = Some(self.previous_leases_end(leadership));
         let retry = self
             .proposed
             .as_ref()
@@ -85,7 +85,7 @@
         let canary = canary.map(|(canary, in_force)| {
             in_force.since.saturating_add(Duration::from_secs(canary.terms.seconds.into()))
         });
-        let times = [former_leases, retry, canary].into_iter().flatten();
+        let times = [previous_leases, retry, canary].into_iter().flatten();
         times.filter(|at| *at > self.now).min()
     }
 }
--- a/crates/revision/src/leases/status.rs
+++ b/crates/revision/src/leases/status.rs
@@ -1,4 +1,5 @@
-//! What operators see of the leases: the generation, who is present and who is missing. Decides nothing.
+//! The status of the leases for operators: the generation, and the nodes that are present and missing. Nothing is
+//! decided by the status.
 
 use std::sync::Arc;
 use std::time::Duration;
@@ -13,27 +14,28 @@
 /// The status of one balancer's leases, for the admin API.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct LeaseStatus {
-    /// The generation that it acts on.
+    /// The generation that the balancer acts on.
     pub generation: Generation,
-    /// The nodes at and below it that were heard of recently at this generation.
-    pub here: NodeSet,
-    /// The nodes at and below it that hold the agreed fallback policy.
-    pub fallback_policy: NodeSet,
-    /// What it keeps to without a lease: the mandatory fallback until it knows which policy it held before.
-    pub past: Arc<FallbackPolicy>,
-    /// At the leader: the nodes that were not heard of at this generation, and since when on its clock.
-    pub behind: Vec<(NodeId, Duration)>,
+    /// The balancer, and the nodes below it that have recently reported this generation.
+    pub present: NodeSet,
+    /// The nodes at and below the balancer that hold the agreed fallback policy.
+    pub fallback_holders: NodeSet,
+    /// The fallback policy that the balancer follows without a lease: the mandatory fallback until the balancer knows
+    /// the policy of its earlier incarnations.
+    pub fallback_policy: Arc<FallbackPolicy>,
+    /// At the leader: the nodes that have not recently reported this generation, and since when on the leader's clock.
+    pub missing: Vec<(NodeId, Duration)>,
 }
 
 impl Leases {
-    /// The status for operators.
-    pub fn seen(&self) -> LeaseStatus {
+    /// Returns the status for operators.
+    pub fn status(&self) -> LeaseStatus {
         LeaseStatus {
             generation: self.generation(),
-            here: self.present_nodes(),
-            fallback_policy: self.fallback.holders(),
-            past: self.fallback.policy().clone(),
-            behind: self.missing.iter().map(|(node, since)| (*node, *since)).collect(),
+            present: self.present_nodes(),
+            fallback_holders: self.fallback.holders(),
+            fallback_policy: self.fallback.policy().clone(),
+            missing: self.missing.iter().map(|(node, since)| (*node, *since)).collect(),
         }
     }
 }
--- a/crates/revision/src/lists/announcements.rs
+++ b/crates/revision/src/lists/announcements.rs
@@ -1,4 +1,5 @@
-//! Announces the own list's version and new stops to the neighbours, each stop several times against loss.
+//! Announces the own list's version and new stops to the neighbours. Each stop is announced several times, since
+//! messages may be lost.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -6,11 +7,11 @@
 use super::interface::{Action, ListMessage, Stop};
 use crate::message::MAX_MESSAGE_BYTES;
 
-/// How often the version is announced.
+/// Interval between announcements of the version.
 const VERSION_INTERVAL: Duration = Duration::from_secs(1);
-/// When a stop is announced again, after its first announcement.
+/// Delays after the first announcement of a stop at which the stop is announced again.
 const REPEAT_DELAYS: [Duration; 2] = [Duration::from_millis(200), Duration::from_secs(1)];
-/// The most repeats that wait. Beyond it the earliest are dropped.
+/// Maximum number of pending repeats. Beyond it the earliest repeats are dropped.
 const MAX_PENDING_REPEATS: usize = 1024;
 
 #[derive(Clone, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
@@ -22,14 +23,14 @@
 /// The announcements of one balancer.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(super) struct Announcements {
-    /// In the order in which they are due.
+    /// Pending repeats, ordered by due time.
     repeats: VecDeque<Repeat>,
-    last: Option<Duration>,
+    last_announcement: Option<Duration>,
     next_wake: Option<Duration>,
 }
 
 impl Announcements {
-    /// Announces new stops, the repeats that are due, and the version if that is due.
+    /// Announces new stops, the repeats that are due, and the version if its announcement is due.
     pub(super) fn announce(
         &mut self,
         now: Duration,
@@ -41,9 +42,9 @@
         self.schedule_repeats(now, &new_stops);
         stops.extend(new_stops);
         let is_version_due =
-            self.last.is_none_or(|last| now >= last.saturating_add(VERSION_INTERVAL));
+            self.last_announcement.is_none_or(|last| now >= last.saturating_add(VERSION_INTERVAL));
         if is_version_due || !stops.is_empty() {
-            self.last = Some(now);
+            self.last_announcement = Some(now);
             let messages = split_into_messages(version, stops);
             actions.extend(messages.into_iter().map(Action::Broadcast));
         }
@@ -69,7 +70,7 @@
     }
 
     fn schedule_wake(&mut self, actions: &mut Vec<Action>) {
-        let version = self.last.map(|last| last.saturating_add(VERSION_INTERVAL));
+        let version = self.last_announcement.map(|last| last.saturating_add(VERSION_INTERVAL));
         let repeat = self.repeats.front().map(|repeat| repeat.due);
         let next = [version, repeat].into_iter().flatten().min();
         if let Some(next) = next.filter(|at| self.next_wake != Some(*at)) {
@@ -79,7 +80,8 @@
     }
 }
 
-/// Splits the stops into messages of at most [`MAX_MESSAGE_BYTES`]; without stops it is one message.
+/// Splits the stops into messages of at most [`MAX_MESSAGE_BYTES`]. Without stops, returns one message with the version
+/// alone.
 fn split_into_messages(version: u64, stops: Vec<Stop>) -> Vec<ListMessage> {
     let mut messages = Vec::new();
     let mut message = ListMessage { version, stops: vec![] };
--- a/crates/revision/src/policy_state.rs
+++ b/crates/revision/src/policy_state.rs
@@ -1,5 +1,5 @@
-//! The replicated state machine of the routing policy: it applies the entries of the log and is the same at every
-//! balancer. It knows no time, network or lease; entries tell it which generations are confirmed.
+//! The replicated state machine of the routing policy. It applies the entries of the log and is the same at every
+//! balancer. It has no notion of time, network or leases; log entries state which generations are confirmed.
 
 mod fallback_change;
 mod in_force_rules;
@@ -34,16 +34,16 @@
     history: History,
     /// The rules in force, derived from the state.
     rules: Arc<Rules>,
-    /// What balancers without a lease keep to, derived from the state.
+    /// The fallback policy of balancers without a lease, derived from the state.
     effective_fallback: Arc<FallbackPolicy>,
 }
 
 impl PolicyState {
-    /// The state of a new cluster.
+    /// Returns the state of a new cluster.
     ///
     /// # Errors
     /// If a part of `bootstrap` is invalid.
-    pub fn found(bootstrap: Bootstrap) -> Result<Self, BootstrapError> {
+    pub fn bootstrap(bootstrap: Bootstrap) -> Result<Self, BootstrapError> {
         let Bootstrap { members, mandatory_fallback, fallback_policy, document } = bootstrap;
         if !(1..=MAX_NODES).contains(&members) {
             return Err(BootstrapError::NodeSet { found: members });
@@ -85,10 +85,10 @@
         self.state.index = index;
         let entry = match Entry::from_bytes(bytes) {
             Ok(entry) => entry,
-            Err(error) => return Applied { unreadable: Some(error), ..Applied::default() },
+            Err(error) => return Applied { decode_error: Some(error), ..Applied::default() },
         };
         let previous_generation = self.state.generation;
-        let answered = self.execute(index, entry);
+        let result = self.execute(index, entry);
         self.start_next_generation(index);
         let is_changed = self.state.generation != previous_generation;
         if is_changed {
@@ -96,12 +96,12 @@
             (self.rules, self.effective_fallback) = (in_force.rules, in_force.fallback_policy);
         }
         self.history.compact(&self.state.referenced_revisions().collect());
-        Applied { answered, generation: is_changed, unreadable: None }
+        Applied { result, is_generation_changed: is_changed, decode_error: None }
     }
 
     fn execute(&mut self, index: u64, entry: Entry) -> Option<(CommandId, Result<u64, Rejection>)> {
         let id = entry.command_id();
-        // A command that is in the log twice has its effect once.
+        // A command that is in the log twice has an effect only once.
         if let Some(id) = id
             && let Some(result) = self.history.result(id)
         {
@@ -113,9 +113,9 @@
             Entry::FallbackPolicy(_, target, facts) => {
                 self.propose_fallback_change(index, target, &facts)
             }
-            Entry::Confirm(_, number) => self.confirm_canary(number),
-            Entry::Dead(_, node) => self.mark_dead(node).map(|()| index),
-            Entry::Alive(_, node) => self.mark_alive(node).map(|()| index),
+            Entry::ConfirmCanary(_, number) => self.confirm_canary(number),
+            Entry::MarkDead(_, node) => self.mark_dead(node).map(|()| index),
+            Entry::MarkAlive(_, node) => self.mark_alive(node).map(|()| index),
             Entry::GenerationConfirmed(generation) => {
                 self.confirm_generation(generation);
                 return None;
@@ -155,11 +155,11 @@
         }
     }
 
-    /// The retained revision of this number.
+    /// Returns the retained revision with this number.
     ///
     /// # Errors
-    /// The range of retained revisions, if this one is not among them.
-    pub fn kept(&self, number: u64) -> Result<&RetainedRevision, Rejection> {
+    /// If the revision is not retained. The error states the range of retained revisions.
+    pub fn retained_revision(&self, number: u64) -> Result<&RetainedRevision, Rejection> {
         self.history.get(number).ok_or_else(|| {
             let mut numbers = self.history.revisions().map(|(number, _)| number);
             let oldest = numbers.next().unwrap_or(0);
@@ -168,7 +168,7 @@
         })
     }
 
-    /// The status after the last applied entry.
+    /// Returns the status after the last applied entry.
     pub fn status(&self) -> PolicyStatus {
         let state = &self.state;
         let awaits_fallback_confirmation =
@@ -189,18 +189,18 @@
         }
     }
 
-    /// The number of the newest revision, in force or not: the base of the next proposal.
+    /// Returns the number of the newest revision, in force or not. It is the base of the next proposal.
     pub fn newest(&self) -> u64 {
         self.state.newest
     }
 
-    /// The result of a command; `None` if it is not in the log, or more than
-    /// [`MAX_RESULTS`](crate::history::MAX_RESULTS) commands came after it.
-    pub fn answer(&self, id: CommandId) -> Option<&ProposalResult> {
+    /// Returns the result of a command; `None` if the command is not in the log, or if
+    /// [`MAX_RESULTS`](crate::history::MAX_RESULTS) later commands have displaced its result.
+    pub fn command_result(&self, id: CommandId) -> Option<&ProposalResult> {
         self.history.result(id)
     }
 
-    /// The status of a retained revision.
+    /// Returns the status of a retained revision; `None` if it is not retained.
     pub fn change_status(&self, number: u64) -> Option<ChangeStatus> {
         let revision = self.history.get(number)?;
         if number == self.state.in_force {
@@ -212,12 +212,12 @@
         Some(revision.final_status.unwrap_or(ChangeStatus::Pending))
     }
 
-    /// All retained revisions, the oldest first.
+    /// Returns all retained revisions, oldest first.
     pub fn revisions(&self) -> impl DoubleEndedIterator<Item = (u64, &RetainedRevision)> {
         self.history.revisions()
     }
 
-    /// What a document would change against the newest revision, and its conflicts. The state is not changed.
+    /// Returns the difference of a document from the newest revision, and its conflicts. The state is not changed.
     ///
     /// # Errors
     /// If the document is outside its bounds.
@@ -227,16 +227,16 @@
         facts: &FleetFacts,
     ) -> Result<Difference, Rejection> {
         document.check().map_err(|error| Rejection::Document(error.to_string()))?;
-        let newest = &self.kept(self.state.newest)?.document;
+        let newest = &self.retained_revision(self.state.newest)?.document;
         Ok(Difference::of(newest, document, &self.fleet_conflicts(document, facts)))
     }
 
-    /// What a rollback to this revision would change.
+    /// Returns the difference that a rollback to this revision would make. The state is not changed.
     ///
     /// # Errors
     /// If the revision is not retained.
     pub fn dry_run_rollback(&self, to: u64, facts: &FleetFacts) -> Result<Difference, Rejection> {
-        self.dry_run(&self.kept(to)?.document, facts)
+        self.dry_run(&self.retained_revision(to)?.document, facts)
     }
 }
 
@@ -247,7 +247,7 @@
     let no_cells = FallbackPolicy { cells: BTreeSet::new(), ..mandatory_fallback.clone() };
     mandatory_fallback.check(&no_cells)?;
     fallback_policy.check(mandatory_fallback)?;
-    // The cells of excepted upstreams are not known yet, so each might be in a mandatory cell.
+    // The cells of excepted upstreams are not known yet, so each upstream might be in a mandatory cell.
     match fallback_policy.except.difference(&mandatory_fallback.except).next() {
         None => Ok(()),
         Some(name) => {
