--- a/crates/revision/src/rejection.rs
+++ b/crates/revision/src/rejection.rs
@@ -15,6 +15,7 @@
         "made against revision {base}, after which {first} came; the newest is {newest}: \
          look at that and propose again"
     )]
+    #[serde(rename = "Lost")]
     StaleBase {
         /// The revision that the proposal was made against.
         base: u64,
