--- a/crates/gateway/src/cluster/admin_api/views.rs
+++ b/crates/gateway/src/cluster/admin_api/views.rs
@@ -40,7 +40,7 @@
         "dead": status.dead.iter().map(|m| m.0).collect::<Vec<_>>(),
         "behind": behind(&seen.behind),
         "words": serde_json::to_value(machine.transport().counts()).unwrap_or_default(),
-        "held_bytes": serde_json::to_value(machine.transport().held()).unwrap_or_default(),
+        "held_bytes": serde_json::to_value(machine.transport().memory_usage()).unwrap_or_default(),
     })
 }
 
--- a/crates/peer-transport/src/config.rs
+++ b/crates/peer-transport/src/config.rs
@@ -1,8 +1,9 @@
-//! The configuration of a transport, and its validation; reading it from a file is left to the daemon.
+//! The configuration of a transport, and its validation. The daemon reads it from a file.
 
 use crate::{Incarnation, MAX_DATAGRAM_BYTES, NodeId};
 
-/// Largest number of balancers in a cluster. Each costs some 400 bytes here, whether it was heard or not.
+/// Largest number of balancers in a cluster. Each takes some 400 bytes of the transport, even if no
+/// datagram was received from it.
 pub const MAX_CLUSTER_SIZE: u16 = 1_024;
 
 /// Smallest burst, in datagrams of full length.
@@ -21,11 +22,11 @@
     pub bytes: u32,
     /// Burst of bytes.
     pub bytes_burst: u32,
-    /// Handshakes a second, which are part of the datagrams. Without a bound of their own a handshake storm
+    /// Handshakes a second, which count as datagrams, too. Without a separate limit, many handshakes at once
     /// would delay urgent messages.
-    pub hellos: u32,
+    pub handshakes: u32,
     /// Burst of handshakes.
-    pub hellos_burst: u32,
+    pub handshakes_burst: u32,
 }
 
 impl Default for Budget {
@@ -37,8 +38,8 @@
             datagrams_burst: 256,
             bytes: 400_000,
             bytes_burst: 65_536,
-            hellos: 256,
-            hellos_burst: 64,
+            handshakes: 256,
+            handshakes_burst: 64,
         }
     }
 }
@@ -50,24 +51,24 @@
     pub node_id: NodeId,
     /// Number of balancers in the cluster, this one included: `NodeId(0)` to `NodeId(members - 1)`.
     pub members: u16,
-    /// Chosen at this process's start from the system's randomness, and not 0. If two consecutive
-    /// incarnations of a balancer choose the same number (one in 2^32), peers take the second for the first,
-    /// and drop its messages as duplicates until it has sent as many as the first.
+    /// The incarnation of this process: a random number from the operating system, other than 0. If two
+    /// consecutive incarnations of a balancer choose the same number (one in 2^32), peers take the second for
+    /// the first, and drop the messages of the second as duplicates until it has sent as many as the first.
     pub incarnation: Incarnation,
-    /// Seed of challenges and of handshake backoff. Chosen at the start, too, so that challenges differ
-    /// between balancers.
+    /// Seed of challenges and of handshake backoff. Each process chooses a random seed, so that challenges
+    /// differ between balancers.
     pub seed: u64,
     /// Limits on sending.
     pub budget: Budget,
 }
 
-/// Why a transport can't be set up.
+/// An invalid configuration of a transport.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConfigError {
     /// The cluster is empty or too large, or this balancer is not in it.
     #[error(
-        "setting up the wire of member {}: there are {members} members; expected 1 to {MAX_CLUSTER_SIZE}, this one \
-         among them",
+        "setting up the peer transport of balancer {}: the cluster has {members} balancers; expected 1 to \
+         {MAX_CLUSTER_SIZE}, this one included",
         .node_id.0
     )]
     Members {
@@ -77,13 +78,13 @@
         members: u16,
     },
     /// The incarnation is 0, which stands for an unknown one.
-    #[error("setting up the wire: this life is 0; draw another number")]
+    #[error("setting up the peer transport: the incarnation is 0; choose another number")]
     Incarnation,
-    /// A burst is too small: half of the bucket is reserved from bulk traffic, and a datagram must fit into
-    /// the other half.
+    /// A burst is too small, or a rate is 0. Bulk traffic may use only half of a bucket, and a datagram must
+    /// fit into that half.
     #[error(
-        "setting up the wire: a budget of {datagrams} datagrams and {bytes} bytes at once, {hellos} hellos; \
-         expected 8, {least} and 1 or more, and rates above 0"
+        "setting up the peer transport: bursts of {datagrams} datagrams, {bytes} bytes and {handshakes} \
+         handshakes; expected at least 8, {min_bytes} and 1, and rates above 0"
     )]
     Budget {
         /// Configured burst of datagrams.
@@ -91,9 +92,9 @@
         /// Configured burst of bytes.
         bytes: u32,
         /// Configured burst of handshakes.
-        hellos: u32,
+        handshakes: u32,
         /// The smallest burst of bytes.
-        least: u32,
+        min_bytes: u32,
     },
 }
 
@@ -116,16 +117,16 @@
         let min_bytes = MIN_BURST_DATAGRAMS * MAX_DATAGRAM_BYTES as u32;
         let has_bursts = self.datagrams_burst >= MIN_BURST_DATAGRAMS
             && self.bytes_burst >= min_bytes
-            && self.hellos_burst >= 1;
-        let has_rates = self.datagrams > 0 && self.bytes > 0 && self.hellos > 0;
+            && self.handshakes_burst >= 1;
+        let has_rates = self.datagrams > 0 && self.bytes > 0 && self.handshakes > 0;
         if has_bursts && has_rates {
             return Ok(());
         }
         Err(ConfigError::Budget {
             datagrams: self.datagrams_burst,
             bytes: self.bytes_burst,
-            hellos: self.hellos_burst,
-            least: min_bytes,
+            handshakes: self.handshakes_burst,
+            min_bytes,
         })
     }
 }
--- a/crates/peer-transport/src/datagram_faults.rs
+++ b/crates/peer-transport/src/datagram_faults.rs
@@ -1,20 +1,21 @@
-//! Maps failpoints to what happens to a datagram, alike for the daemon and the simulated network; carrying
-//! it out is left to them.
+//! Maps failpoints to outcomes of a datagram, alike for the daemon and the simulated network, which carry out
+//! the outcome.
 
 use hollowpaddle_failpoints::{Fault, Kind, Points};
 
 #[cfg(test)]
 mod tests;
 
-/// What happens to a datagram.
+/// What a failpoint does to a datagram.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[must_use]
 pub enum DatagramOutcome {
-    /// This many copies are passed on: usually one, none if it is lost, two if it is duplicated.
+    /// Number of copies that are passed on: one without a fault, none if the datagram is lost, two if it is
+    /// duplicated.
     Copies(usize),
     /// The process ends here, and the datagram is lost.
     Crash,
-    /// The process stops for longer than any lease; then one copy is passed on.
+    /// The process pauses for longer than any lease lasts; then one copy is passed on.
     Pause,
 }
 
--- a/crates/peer-transport/src/datagram_faults/tests.rs
+++ b/crates/peer-transport/src/datagram_faults/tests.rs
@@ -1,4 +1,4 @@
-//! Each fault of a datagram has its outcome.
+//! Each fault that a failpoint injects has its outcome.
 
 use hollowpaddle_failpoints::Plan;
 
--- a/crates/peer-transport/src/frame.rs
+++ b/crates/peer-transport/src/frame.rs
@@ -1,5 +1,4 @@
-//! The frame that one datagram holds, to and from bytes; which frames are accepted is left to
-//! [`crate::Transport`].
+//! Encoding and decoding of frames, one in each datagram. [`crate::Transport`] decides which frames are accepted.
 //!
 //! ```text
 //! version 1 | crc32 4 | kind 1 | from incarnation 4 | to incarnation 4 | sequence 5 | body (postcard)
@@ -16,7 +15,8 @@
 
 /// Version of the frame format. Frames of another version are dropped and counted.
 pub const VERSION: u8 = 1;
-/// Longest message that is sent unfragmented, in bytes: one datagram with its channel and length.
+/// Longest message that is sent unfragmented, in bytes: it fits one datagram together with its channel and
+/// length.
 pub const MAX_UNFRAGMENTED_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - 1 - 3;
 
 /// Bytes before the body.
@@ -24,20 +24,20 @@
 /// Length of a handshake, in bytes. Other frames are padded to it, so that a handshake is never longer than
 /// the frame that it answers.
 pub(crate) const HANDSHAKE_BYTES: usize = HEADER_BYTES + 9;
-/// Bytes of a message in each of its fragments but the last.
+/// Bytes of a message in each of its fragments except the last.
 pub(crate) const FRAGMENT_BYTES: usize = MAX_DATAGRAM_BYTES - HEADER_BYTES - 5;
-/// Fragments of the longest message.
+/// Number of fragments of the longest message.
 pub(crate) const MAX_FRAGMENTS: usize = MAX_MESSAGE_BYTES.div_ceil(FRAGMENT_BYTES);
-/// The last sequence number. At 2,000 datagrams a second to one peer it is reached after 17 years; then no more
-/// frames are sent.
+/// The last sequence number, after which no more frames are sent. At 2,000 datagrams a second to one peer this
+/// number is reached after 17 years.
 pub(crate) const MAX_SEQUENCE: u64 = (1 << (8 * SEQUENCE_BYTES)) - 1;
 
 /// Bytes of a sequence number in a frame.
 const SEQUENCE_BYTES: usize = 5;
-/// Bytes before the kind, which the checksum doesn't cover as they are.
+/// Bytes before the kind: the version, which the checksum covers separately, and the checksum itself.
 const UNCHECKED_BYTES: usize = 5;
 
-// A retransmission request has a bit for each fragment in a u128.
+// A retransmission request has one bit of a u128 for each fragment.
 const _: () = assert!(MAX_FRAGMENTS <= 128);
 
 /// One of the complete messages in a frame.
@@ -55,18 +55,20 @@
     }
 }
 
-/// The place of a fragment in its message.
+/// The position of a fragment in its message.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 pub(crate) struct FragmentHeader {
     pub(crate) channel: Channel,
-    /// The message's number is the frame's sequence number less this: unique, never reused, and two bytes.
+    /// The frame's sequence number minus the message's number. Message numbers are unique and never reused, and
+    /// their distance takes only two bytes.
     #[serde(with = "postcard::fixint::le")]
     pub(crate) sequence_distance: u16,
     pub(crate) index: u8,
     pub(crate) count: u8,
 }
 
-/// Names a fragmented message: the peer that sends or receives it, and its number among that peer's.
+/// Identifies a fragmented message: the peer that sends or receives the message, and its number among that
+/// peer's messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub(crate) struct MessageKey {
     pub(crate) peer: NodeId,
@@ -74,27 +76,27 @@
 }
 
 impl MessageKey {
-    /// The range of all keys of this peer up to this number.
+    /// Returns the range of all keys of this peer up to this number.
     pub(crate) fn range_through(peer: NodeId, number: u64) -> std::ops::RangeInclusive<Self> {
         Self { peer, number: 0 }..=Self { peer, number }
     }
 
-    /// The range of all keys of this peer.
+    /// Returns the range of all keys of this peer.
     pub(crate) fn range_of(peer: NodeId) -> std::ops::RangeInclusive<Self> {
         Self::range_through(peer, u64::MAX)
     }
 }
 
-/// A set with a bit for each of `count` fragments.
+/// Returns a set of `count` fragments, as one bit for each.
 pub(crate) fn all_fragments(count: u8) -> u128 {
     u128::MAX >> (128 - u32::from(count.clamp(1, 128)))
 }
 
-/// What a frame says.
+/// The body of a frame.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum Body<'a> {
-    /// Challenges the receiver (0: no challenge), responds to its challenge (0: no response), and tells whether
-    /// the addressed incarnation is the one that the sender has confirmed.
+    /// A challenge to the receiver (0: none), the response to the receiver's challenge (0: none), and whether the
+    /// sender has confirmed the addressed incarnation.
     Handshake { challenge: u32, response: u32, confirmed: bool },
     /// One or more complete messages.
     Messages(Vec<ChannelMessage<'a>>),
@@ -109,8 +111,8 @@
 pub(crate) struct Frame<'a> {
     pub(crate) from: Incarnation,
     pub(crate) to: Incarnation,
-    /// Counts the frames from one incarnation to one node, from 1. A handshake has no number of its own, and
-    /// repeats the last one.
+    /// Number of the frame among those from one incarnation to one node, from 1. A handshake has no number of
+    /// its own, and repeats the last one.
     pub(crate) sequence: u64,
     pub(crate) body: Body<'a>,
 }
@@ -125,16 +127,16 @@
     confirmed: bool,
 }
 
-/// Why bytes are no frame.
+/// Bytes that are not a frame.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub(crate) enum FrameError {
-    /// They are longer than a datagram.
+    /// The bytes are longer than a datagram.
     TooLong,
-    /// They have another version.
+    /// The frame format has another version.
     Version,
-    /// They are truncated, or their checksum is wrong.
+    /// The bytes are truncated, or their checksum is wrong.
     Corrupted,
-    /// Their checksum is right, and their content is invalid.
+    /// The checksum is right, and the content is invalid.
     Unreadable,
 }
 
@@ -157,7 +159,7 @@
         bytes
     }
 
-    /// Decodes a datagram between these two nodes.
+    /// Decodes a datagram from one node to the other.
     pub(crate) fn decode(from: NodeId, to: NodeId, bytes: &'a [u8]) -> Result<Self, FrameError> {
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(FrameError::TooLong);
@@ -173,7 +175,7 @@
         Self::decode_checked(rest, bytes.len() == HANDSHAKE_BYTES).ok_or(FrameError::Unreadable)
     }
 
-    /// Decodes bytes whose checksum is right. Only a frame of the shortest length may be padded.
+    /// Decodes bytes whose checksum is right. Only a frame as long as a handshake may be padded.
     fn decode_checked(mut rest: &'a [u8], may_be_padded: bool) -> Option<Self> {
         let [kind] = take(&mut rest)?;
         let from = Incarnation(u32::from_le_bytes(take(&mut rest)?));
@@ -242,8 +244,8 @@
     }
 }
 
-/// The messages of a frame, and the bytes after them. They are read one by one, so that a wrong count
-/// reserves no memory.
+/// Returns the messages of a frame, and the bytes after them. The messages are decoded one by one, so that a
+/// wrong count reserves no memory.
 fn decode_messages(bytes: &[u8]) -> Option<(Vec<ChannelMessage<'_>>, &[u8])> {
     let mut rest = bytes;
     let [count] = take(&mut rest)?;
@@ -257,7 +259,8 @@
 }
 
 impl FragmentHeader {
-    /// Whether such a fragment can exist: each but the last is full, and no message exceeds the longest.
+    /// Returns whether a message can have this fragment: each fragment except the last is full, and no message
+    /// exceeds the longest.
     fn is_valid(&self, data: &[u8], sequence: u64) -> bool {
         let (index, count) = (usize::from(self.index), usize::from(self.count));
         let is_last = index + 1 == count;
@@ -269,7 +272,7 @@
     }
 }
 
-/// Takes bytes from the front.
+/// Takes `N` bytes from the front.
 fn take<const N: usize>(bytes: &mut &[u8]) -> Option<[u8; N]> {
     let (first, rest) = bytes.split_first_chunk::<N>()?;
     *bytes = rest;
--- a/crates/peer-transport/src/handshake.rs
+++ b/crates/peer-transport/src/handshake.rs
@@ -1,5 +1,5 @@
-//! The handshake by which two processes learn each other's incarnation, by challenge and response; what is
-//! sent before and after it is left to `sending` and `receiving`.
+//! The handshake by which two processes learn each other's incarnation, by challenge and response. The
+//! modules `sending` and `receiving` handle all other frames.
 
 use crate::frame::{Body, Frame};
 use crate::peer::PendingMessage;
@@ -14,7 +14,7 @@
 }
 
 impl Transport {
-    /// Starts a handshake with a peer for which messages wait, and schedules the next one.
+    /// Starts a handshake with a peer for which messages wait, and schedules its repetition.
     pub(crate) fn start_handshake(&mut self, to: NodeId, actions: &mut Vec<Action>) {
         let incarnation = self.incarnation(to).unwrap_or(Incarnation(0));
         self.send_handshake(to, incarnation, 0, actions);
@@ -80,7 +80,7 @@
         self.pending_bytes = self.pending_bytes + peer.pending_bytes() - bytes_before;
     }
 
-    /// Handles a handshake: its response, its confirmation, and its challenge.
+    /// Handles a received handshake: its response, its confirmation, and its challenge.
     pub(crate) fn on_handshake(
         &mut self,
         from: NodeId,
@@ -109,8 +109,8 @@
         }
     }
 
-    /// Accepts the incarnation of a peer that has just responded. Everything exchanged with another one is
-    /// dropped, since nobody knows whether it still holds.
+    /// Confirms the incarnation of a peer that has just responded to a challenge. All messages to and from the
+    /// peer's previous incarnation are dropped, since they may no longer be valid.
     pub(crate) fn confirm(
         &mut self,
         from: NodeId,
@@ -136,7 +136,8 @@
         actions.push(Action::PeerRestarted { from, incarnation });
     }
 
-    /// A confirmed peer has shown that it has confirmed us: queues the messages that wait for it.
+    /// Records that a confirmed peer has confirmed this process, and queues the messages that wait for the
+    /// handshake.
     pub(crate) fn establish(&mut self, to: NodeId) {
         let Some(peer) = self.peers.get_mut(usize::from(to.0)) else { return };
         if peer.has_confirmed_us {
--- a/crates/peer-transport/src/interface.rs
+++ b/crates/peer-transport/src/interface.rs
@@ -1,4 +1,4 @@
-//! What goes into the transport and what comes out of it; what it does with them is in [`crate::Transport`].
+//! Input and output of the transport. [`crate::Transport`] implements the behaviour.
 
 use std::time::Duration;
 
@@ -6,15 +6,17 @@
 #[cfg(doc)]
 use crate::{MAX_DATAGRAM_BYTES, MAX_MESSAGE_BYTES, MAX_UNFRAGMENTED_BYTES};
 
-/// How urgent a message is: its priority, its share of the budget, and how long it may wait for it.
+/// How urgent a message is. The mode determines the message's priority, its share of the send budget, and how
+/// long it may wait for the budget.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord, Hash)]
 pub enum DeliveryMode {
-    /// Sent before all others and with the last token. Dropped after 250 ms in the queue. For leases,
-    /// heartbeats and votes.
+    /// Sent before all other messages, and may use the last token. Dropped after 250 ms in the queue. For
+    /// leases, heartbeats and votes.
     Urgent,
-    /// Leaves an eighth of a full bucket to urgent messages. Dropped after 500 ms.
+    /// Leaves an eighth of a full bucket to urgent messages. Dropped after 500 ms in the queue.
     Normal,
-    /// Leaves half of a full bucket to the others. Dropped after 2 s. For snapshots and catching up.
+    /// Leaves half of a full bucket to the other modes. Dropped after 2 s in the queue. For snapshots and
+    /// catch-up.
     Bulk,
 }
 
@@ -35,15 +37,15 @@
 /// Input of the transport.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Event<'a> {
-    /// A datagram came from the address of this peer.
+    /// A datagram was received from the address of this peer.
     Received {
-        /// The peer whose address in `peers` it came from.
+        /// The peer whose address in `peers` is the datagram's source.
         from: NodeId,
-        /// The datagram. One that was longer than [`MAX_DATAGRAM_BYTES`] is given with at least one byte more
-        /// than that.
+        /// The datagram. A datagram longer than [`MAX_DATAGRAM_BYTES`] may be truncated, but not to that length
+        /// or less.
         bytes: &'a [u8],
     },
-    /// A datagram came from an address that is not in `peers`. It is counted.
+    /// A datagram was received from an address that is not in `peers`, and is only counted.
     ReceivedFromUnknown,
     /// A message is to be sent. Its delivery is not guaranteed.
     Send {
@@ -56,7 +58,8 @@
         /// Its urgency.
         mode: DeliveryMode,
     },
-    /// The time of the last [`Action::WakeAt`] has come. Earlier and later calls do no harm but delay.
+    /// The time of the last [`Action::WakeAt`] has come. An earlier event has no other effect, and a later one
+    /// only delays sending.
     Due,
 }
 
@@ -76,16 +79,16 @@
         from: NodeId,
         /// The sender's incarnation, which the last [`Action::PeerRestarted`] of this peer announced.
         incarnation: Incarnation,
-        /// The component that it is for.
+        /// The receiver's component.
         channel: Channel,
         /// The message.
         message: Vec<u8>,
     },
-    /// Hand in [`Event::Due`] at this time or, if it has passed, once all pending events were handed in. It
-    /// replaces the time that was asked for before.
+    /// Pass [`Event::Due`] to the transport at this time or, if the time has passed, after all pending events.
+    /// This time replaces that of the previous [`Action::WakeAt`].
     WakeAt(Duration),
-    /// The peer has a new incarnation, or its first one that is known here: everything exchanged with a
-    /// previous one is void.
+    /// The peer has a new incarnation, or the first one that this process has confirmed. All messages exchanged
+    /// with a previous incarnation are void.
     PeerRestarted {
         /// The peer.
         from: NodeId,
@@ -94,10 +97,10 @@
     },
 }
 
-/// Bytes of messages in memory at this moment.
+/// Memory that messages take at present, in bytes.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Hash, serde::Serialize)]
 pub struct MemoryUsage {
-    /// Peers' messages of which fragments are missing.
+    /// Incomplete messages of peers.
     pub incoming: usize,
     /// Own fragmented messages, retained for retransmission.
     pub outgoing: usize,
--- a/crates/peer-transport/src/message.rs
+++ b/crates/peer-transport/src/message.rs
@@ -1,5 +1,5 @@
-//! Encoding of messages as bytes, for every component that sends to its peers; the types of the messages are
-//! left to their components.
+//! Encoding of messages as bytes, for every component that sends to its peers. Each component defines the types
+//! of its messages.
 
 use serde::Serialize;
 use serde::de::DeserializeOwned;
@@ -9,31 +9,31 @@
 #[cfg(test)]
 mod tests;
 
-/// Why bytes are no message of the requested type.
+/// Bytes that are not a message of the requested type.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum MessageError {
-    /// They are longer than any message may be.
+    /// The bytes are longer than any message may be.
     #[error(
-        "reading a word: {found} bytes, and {MAX_MESSAGE_BYTES} are the most; its sender must split it"
+        "decoding a message: {found} bytes, where {MAX_MESSAGE_BYTES} is the maximum; its sender must split it"
     )]
     TooLong {
-        /// Their number.
+        /// Number of bytes.
         found: usize,
     },
-    /// They are truncated, or of another version of the type.
-    #[error("reading a word of {length} bytes: {cause}; do both ends run the same version?")]
+    /// The bytes are truncated, or encode another version of the type.
+    #[error("decoding a message of {length} bytes: {cause}; do both ends run the same version?")]
     Malformed {
-        /// Their number.
+        /// Number of bytes.
         length: usize,
-        /// `postcard`'s error.
+        /// Error of `postcard`.
         cause: postcard::Error,
     },
-    /// They hold a complete message and more.
+    /// The bytes hold a complete message and further bytes.
     #[error(
-        "reading a word of {length} bytes: it ended {rest} bytes before; do both ends run the same version?"
+        "decoding a message of {length} bytes: {rest} bytes follow its end; do both ends run the same version?"
     )]
     Trailing {
-        /// Their number.
+        /// Number of bytes.
         length: usize,
         /// Number of bytes after the message.
         rest: usize,
@@ -44,17 +44,18 @@
 ///
 /// # Panics
 ///
-/// If the type's own `Serialize` fails, or starts a sequence without its length. No derived implementation
-/// does.
+/// If the type's `Serialize` fails, or starts a sequence without its length. Derived implementations do
+/// neither.
 pub fn encode<T: Serialize + ?Sized>(message: &T) -> Vec<u8> {
     postcard::to_allocvec(message)
-        .expect("derived types say the length of what they hold, and memory is not bounded")
+        .expect("derived types give the lengths of their sequences, and the buffer is not bounded")
 }
 
 /// Decodes a message that takes up all the bytes, which are at most [`MAX_MESSAGE_BYTES`].
 ///
-/// No input makes it panic, or reserve more than serde's cautious megabyte. A type with a sequence of empty
-/// elements (`Vec<()>`) must not be decoded with it, since its length costs no bytes.
+/// No input causes a panic, or an allocation beyond the megabyte that serde reserves in advance for a sequence.
+/// A type with a sequence of empty elements (`Vec<()>`) must not be decoded, since the elements take no bytes
+/// and the input does not bound their number.
 ///
 /// # Errors
 ///
--- a/crates/peer-transport/src/message/tests.rs
+++ b/crates/peer-transport/src/message/tests.rs
@@ -18,7 +18,7 @@
         let mut bytes = encode(&message);
         prop_assert_eq!(decode::<Message>(&bytes), Ok(message));
         let cut = decode::<Message>(&bytes[..bytes.len() - 1]);
-        prop_assert!(matches!(cut, Err(MessageError::Malformed { .. })), "cut");
+        prop_assert!(matches!(cut, Err(MessageError::Malformed { .. })), "truncated");
         bytes.push(0);
         let longer = decode::<Message>(&bytes);
         prop_assert!(matches!(longer, Err(MessageError::Trailing { rest: 1, .. })), "longer");
--- a/crates/peer-transport/src/metrics.rs
+++ b/crates/peer-transport/src/metrics.rs
@@ -1,13 +1,13 @@
-//! Counters of what was sent, received and dropped, by cause, for the admin API; they decide nothing.
+//! Counters of what was sent, received and dropped, by cause, for the admin API.
 //!
-//! The JSON keys are part of the admin API, so they keep their names where a field is called otherwise.
+//! The JSON keys are part of the admin API, so a renamed field keeps its former key.
 
 use serde::Serialize;
 
 /// Counters since the process's start.
 ///
-/// Each received datagram is in [`ReceivedMetrics`] or in [`DroppedMetrics`], once. Each message to send is
-/// counted once in [`MessageMetrics`], or still waits.
+/// Each received datagram is counted once, in [`ReceivedMetrics`] or in [`DroppedMetrics`]. Each message to send
+/// is counted once in [`MessageMetrics`], unless it is still queued.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize)]
 pub struct TransportMetrics {
     /// Datagrams that were sent.
@@ -29,7 +29,7 @@
 pub struct SentMetrics {
     /// All datagrams.
     pub datagrams: u64,
-    /// Their bytes.
+    /// Bytes of all datagrams.
     pub bytes: u64,
     /// Handshakes among them.
     #[serde(rename = "hellos")]
@@ -43,12 +43,12 @@
     /// Retransmission requests among them.
     #[serde(rename = "asks")]
     pub retransmission_requests: u64,
-    /// Handshakes that were due and not sent, because of the peer's limit, the limit of all, or an empty
-    /// bucket.
+    /// Handshakes that were due and not sent, because of the limit of the peer, the limit of all peers
+    /// together, or the send budget.
     #[serde(rename = "hellos_held_back")]
     pub suppressed_handshakes: u64,
-    /// Fragments that a peer requested and that were not sent: too many times, no longer retained, or of a
-    /// message that was not for that peer.
+    /// Fragments that a peer requested and that were not sent: they were requested too many times, were no longer
+    /// retained, or were part of a message to another peer.
     #[serde(rename = "pieces_refused")]
     pub refused_fragments: u64,
 }
@@ -93,9 +93,9 @@
     /// Truncated, corrupted, or from a balancer whose `peers` differ from ours.
     #[serde(rename = "torn")]
     pub corrupted: u64,
-    /// With a valid checksum and content that can't be read: a faulty build at the other end.
+    /// With a valid checksum and invalid content, which indicates a faulty build at the other end.
     pub unreadable: u64,
-    /// From a peer of which no incarnation is confirmed yet.
+    /// From a peer none of whose incarnations has been confirmed.
     pub unconfirmed: u64,
     /// From another incarnation of the peer than the confirmed one, or to a previous one of ours.
     #[serde(rename = "former_life")]
@@ -103,7 +103,7 @@
     /// Received before.
     #[serde(rename = "copy")]
     pub duplicate: u64,
-    /// Older than the receive window, so that a duplicate could not be told.
+    /// Older than the receive window, which can't detect whether they are duplicates.
     #[serde(rename = "late")]
     pub too_old: u64,
 }
@@ -111,10 +111,10 @@
 /// Outcomes of own messages.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash, Serialize)]
 pub struct MessageMetrics {
-    /// Sent completely, once. They need not have arrived.
+    /// Sent completely, whether or not they arrived.
     #[serde(rename = "said")]
     pub sent: u64,
-    /// Addressed to this balancer itself, or to none.
+    /// Addressed to this balancer itself, or to no balancer of the cluster.
     #[serde(rename = "nowhere")]
     pub no_such_peer: u64,
     /// Longer than a message may be.
@@ -131,7 +131,7 @@
     /// Dropped because the peer restarted while they waited.
     #[serde(rename = "former_life")]
     pub previous_incarnation: u64,
-    /// Dropped because all sequence numbers are used (after 17 years of the default budget).
+    /// Dropped because all sequence numbers are used (after 17 years at the default budget).
     #[serde(rename = "used_up")]
     pub sequences_exhausted: u64,
 }
--- a/crates/peer-transport/src/peer.rs
+++ b/crates/peer-transport/src/peer.rs
@@ -1,5 +1,5 @@
-//! The state of one peer: its incarnation, the handshake with it, and the messages that wait for that; sending
-//! them is left to the transport.
+//! The state of one peer: its incarnation, the handshake with the peer, and the messages that wait for the
+//! handshake. The transport sends these messages.
 
 use std::collections::VecDeque;
 use std::time::Duration;
@@ -9,25 +9,25 @@
 use crate::token_bucket::TokenBucket;
 use crate::{Channel, DeliveryMode, Incarnation};
 
-/// How long a challenge is valid. A later response is ignored, so that an incarnation which ended meanwhile is
-/// not confirmed.
+/// How long a challenge is valid. A later response is ignored, since the incarnation that sent it may have
+/// ended.
 pub(crate) const CHALLENGE_LIFETIME: Duration = Duration::from_secs(5);
 /// How long a message waits for the handshake.
 pub(crate) const HANDSHAKE_TIMEOUT: Duration = Duration::from_secs(1);
-/// Messages that wait for the handshake with one peer.
+/// Largest number of messages that wait for the handshake with one peer.
 const MAX_PENDING_MESSAGES: usize = 32;
-/// Their bytes: one of the longest messages.
+/// Largest size of the messages that wait for the handshake with one peer: enough for one of the longest.
 const MAX_PENDING_BYTES: usize = 24 << 10;
-/// Memory that a pending message takes beside its bytes.
+/// Memory that a pending message takes besides its bytes.
 const PENDING_OVERHEAD_BYTES: usize = 64;
 /// Upper bound of the first backoff between handshakes; it doubles each time (full jitter).
 const INITIAL_BACKOFF: Duration = Duration::from_millis(50);
 /// Largest upper bound of the backoff, which limits the delay where handshakes are lost.
 const MAX_BACKOFF: Duration = Duration::from_millis(500);
-/// Smallest backoff, so that no handshake is repeated within a round trip.
+/// Smallest backoff, which keeps a handshake from being repeated within a round trip.
 const MIN_BACKOFF: Duration = Duration::from_millis(10);
-/// Handshakes a second to one peer, whatever it sends: a peer that never confirms us, or a replay of its
-/// datagrams, causes no more.
+/// Handshakes a second to one peer. The limit holds, too, for a peer that never confirms this process, and for
+/// replays of a peer's datagrams.
 const HANDSHAKE_RATE: u32 = 5;
 /// Burst of handshakes to one peer.
 const HANDSHAKE_BURST: u32 = 8;
@@ -47,7 +47,7 @@
     }
 }
 
-/// A challenge under way.
+/// A challenge to which no response has been accepted.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash)]
 struct Challenge {
     nonce: u32,
@@ -64,16 +64,16 @@
 pub(crate) struct Peer {
     /// The incarnation that completed the handshake last.
     pub(crate) incarnation: Option<Incarnation>,
-    /// It has shown that it has confirmed our incarnation. Messages wait for that: those that overtake the
-    /// handshake would be dropped.
+    /// Whether the peer has shown that it has confirmed our incarnation. Messages wait until then, since the
+    /// peer would drop messages that overtake the handshake.
     pub(crate) has_confirmed_us: bool,
-    /// Sequence numbers received from it.
+    /// Sequence numbers received from the peer's incarnation.
     pub(crate) window: ReceiveWindow,
     /// The last sequence number sent to this node.
     pub(crate) last_sequence: u64,
     pub(crate) handshake_bucket: TokenBucket,
-    /// When the next handshake is due. Messages may wait only while this is set, so that each of them is sent
-    /// or dropped in time.
+    /// When the next handshake is due. Messages may wait only while a handshake is scheduled, so that each
+    /// message is sent or dropped in time.
     pub(crate) next_handshake: Option<Duration>,
     challenge: Option<Challenge>,
     /// Consecutive handshakes without a response.
@@ -98,8 +98,9 @@
         }
     }
 
-    /// The challenge for this peer. One is used until it is answered or expires: with a new one for each
-    /// handshake, whoever triggers handshakes could invalidate every response under way.
+    /// Returns the challenge for this peer. A challenge is used until it is answered or expires: with a new
+    /// challenge for each handshake, an attacker that triggers handshakes could invalidate all responses in
+    /// flight.
     pub(crate) fn challenge(&mut self, now: Duration, nonces: &mut Nonces) -> u32 {
         if let Some(challenge) = self.challenge.filter(|challenge| challenge.is_valid(now)) {
             return challenge.nonce;
@@ -109,15 +110,15 @@
         nonce
     }
 
-    /// Whether this is the response to the current challenge, which it uses up.
+    /// Returns whether this is the response to the current challenge, and if so removes the challenge.
     pub(crate) fn accept_response(&mut self, now: Duration, response: u32) -> bool {
         let is_match =
             |challenge: &mut Challenge| challenge.nonce == response && challenge.is_valid(now);
         self.challenge.take_if(is_match).is_some()
     }
 
-    /// Sets the incarnation that has responded. Sequence numbers up to `sequence` were used before, and are
-    /// not accepted.
+    /// Sets the incarnation that has responded. It has used sequence numbers up to `sequence` before, and
+    /// frames with these are not accepted.
     pub(crate) fn confirm(&mut self, incarnation: Incarnation, sequence: u64) {
         self.incarnation = Some(incarnation);
         self.has_confirmed_us = false;
@@ -125,25 +126,25 @@
         self.attempts = 0;
     }
 
-    /// Whether both ends have confirmed each other.
+    /// Returns whether both ends have confirmed each other.
     pub(crate) fn is_established(&self) -> bool {
         self.incarnation.is_some() && self.has_confirmed_us
     }
 
-    /// The time until the next handshake: exponential backoff with full jitter.
+    /// Returns the time until the next handshake: exponential backoff with full jitter.
     pub(crate) fn next_backoff(&mut self, rng: &mut Rng) -> Duration {
         let bound = INITIAL_BACKOFF.saturating_mul(1 << self.attempts.min(16)).min(MAX_BACKOFF);
         self.attempts = self.attempts.saturating_add(1);
         rng.sample_up_to(bound).max(MIN_BACKOFF)
     }
 
-    /// Ends the repeated handshakes; the next message starts anew.
+    /// Stops repeating handshakes; the next message starts with the initial backoff.
     pub(crate) fn reset_backoff(&mut self) {
         (self.attempts, self.next_handshake) = (0, None);
     }
 
-    /// Queues a message for the handshake; `false` if it exceeds this peer's bound, or the `available_bytes`
-    /// that all peers share.
+    /// Queues a message until the handshake completes. Returns `false` if the message exceeds this peer's
+    /// bounds, or the `available_bytes` that all peers share.
     pub(crate) fn push_pending(&mut self, pending: PendingMessage, available_bytes: usize) -> bool {
         let bytes = self.pending_bytes + pending.memory_bytes();
         let fits = self.pending.len() < MAX_PENDING_MESSAGES
--- a/crates/peer-transport/src/reassembly.rs
+++ b/crates/peer-transport/src/reassembly.rs
@@ -1,5 +1,5 @@
-//! Reassembles peers' fragmented messages, each at most once and within a memory bound; sending the requests for
-//! missing fragments is left to the transport.
+//! Reassembles peers' fragmented messages, each at most once and within a memory bound. The transport sends the
+//! requests for missing fragments.
 
 use std::cmp::Reverse;
 use std::collections::{BTreeMap, BTreeSet};
@@ -9,25 +9,28 @@
 use crate::token_bucket::TokenBucket;
 use crate::{Channel, NodeId};
 
-/// Bytes of all incomplete messages. To make room, the oldest message of the peer that uses most is abandoned;
-/// were it the oldest of all, a few peers that only begin messages would stop all others.
+/// Bytes of all incomplete messages. To make room, the oldest message of the peer that uses most memory is
+/// abandoned. If the oldest message of all peers were abandoned, a few peers that only begin messages would
+/// stop all others.
 const MAX_BYTES: usize = 1 << 20;
 /// Bytes of one peer's incomplete messages: three of the longest.
 const MAX_BYTES_PER_PEER: usize = 64 << 10;
-/// Time without a new fragment after which missing ones are requested; it grows by half with each request.
+/// Time without a new fragment after which missing fragments are requested. Each request extends the time to
+/// the next request by half.
 const INITIAL_REQUEST_DELAY: Duration = Duration::from_millis(40);
-/// Largest time between two requests.
+/// Longest time between two requests.
 const MAX_REQUEST_DELAY: Duration = Duration::from_millis(160);
-/// Requests for a message without a new fragment in between, before it is abandoned.
+/// Consecutive requests without a new fragment after which a message is abandoned.
 const MAX_REQUESTS: u8 = 20;
-/// Time from its first fragment after which a message is abandoned. Its sender retains it as long.
+/// Time from its first fragment after which a message is abandoned. The sender retains the message for the same
+/// time.
 const REASSEMBLY_TIMEOUT: Duration = crate::retransmission::RETENTION;
 /// Requests a second to one peer, however many messages it has begun.
 const REQUEST_RATE: u32 = 50;
 /// Burst of requests to one peer.
 const REQUEST_BURST: u32 = 8;
-/// Numbers of finished messages that are remembered for each peer. Fragments of older messages are ignored: a
-/// message that takes longer than 256 later ones from the same peer is lost.
+/// Finished messages whose numbers are retained for each peer. Fragments of older messages are ignored: a
+/// message is lost if 256 later messages of the same peer finish before it.
 const MAX_FINISHED_NUMBERS: usize = 256;
 
 /// An incomplete message.
@@ -40,7 +43,7 @@
     /// Length of the last fragment, once it is received.
     last_fragment_bytes: usize,
     started_at: Duration,
-    /// Its position in the order in which messages began.
+    /// Position in the order in which messages began.
     position: u64,
     request_due: Duration,
     /// Requests since the last new fragment.
@@ -52,7 +55,11 @@
         !self.received & all_fragments(self.fragment_count)
     }
 
-    /// Stores a fragment; if it adds nothing, the error says why.
+    /// Stores a fragment.
+    ///
+    /// # Errors
+    ///
+    /// `Duplicate` or `Inconsistent`, if the fragment is not stored.
     fn store(&mut self, header: &FragmentHeader, data: &[u8]) -> Result<(), FragmentOutcome> {
         if (self.channel, self.fragment_count) != (header.channel, header.count) {
             return Err(FragmentOutcome::Inconsistent);
@@ -80,7 +87,7 @@
         self.bytes
     }
 
-    /// Time until the next request: grows by half with each one.
+    /// Returns the time until the next request, which grows by half with each request.
     fn request_delay(&self) -> Duration {
         let mut delay = INITIAL_REQUEST_DELAY;
         for _ in 0..self.requests {
@@ -95,7 +102,7 @@
 struct Sender {
     /// Fragments of messages up to this number are ignored.
     floor: u64,
-    /// Messages that are complete or abandoned, so that a retransmitted fragment does not start them again.
+    /// Messages that are complete or abandoned, and that a retransmitted fragment must not start again.
     finished: BTreeSet<u64>,
     bytes: usize,
     request_bucket: TokenBucket,
@@ -119,16 +126,16 @@
     }
 }
 
-/// What receiving a fragment led to.
+/// Outcome of receiving a fragment.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub(crate) enum FragmentOutcome {
-    /// Other fragments are missing.
+    /// Other fragments of the message are missing.
     Incomplete,
-    /// It had been received, or its message is finished.
+    /// The fragment was received before, or its message is finished.
     Duplicate,
-    /// It contradicts other fragments of its message.
+    /// The fragment contradicts other fragments of its message.
     Inconsistent,
-    /// Its message is complete.
+    /// The fragment completes its message.
     Complete { channel: Channel, message: Vec<u8> },
 }
 
@@ -151,7 +158,8 @@
         self.senders.insert(from, Sender::new(floor));
     }
 
-    /// Adds a fragment from a confirmed incarnation. Its shape was checked with the frame.
+    /// Adds a fragment from a confirmed incarnation. Decoding the frame has checked the fragment's position and
+    /// length.
     pub(crate) fn add_fragment(
         &mut self,
         now: Duration,
@@ -208,7 +216,7 @@
         self.requests_due.insert((partial.request_due, key));
     }
 
-    /// Abandons messages until a new one of this many bytes is within the bounds.
+    /// Abandons messages until a new message of this many bytes fits the bounds.
     fn make_room(&mut self, from: NodeId, bytes: usize) {
         let exceeds = |sender: &Sender| sender.bytes + bytes > MAX_BYTES_PER_PEER;
         while self.senders.get(&from).is_some_and(exceeds) {
@@ -250,7 +258,7 @@
         self.partial.range(range).map(|(key, _)| *key).collect()
     }
 
-    /// Removes a message, and ignores its fragments from now on.
+    /// Removes a message, whose fragments are ignored from then on.
     fn finish(&mut self, key: MessageKey) -> Option<PartialMessage> {
         let partial = self.partial.remove(&key)?;
         self.requests_due.remove(&(partial.request_due, key));
@@ -259,14 +267,15 @@
         sender.bytes -= partial.bytes.len();
         sender.finish(key.number);
         if sender.finished.len() == MAX_FINISHED_NUMBERS {
-            // Fragments of messages up to the floor are ignored, so these can't be completed.
+            // Fragments of messages up to the floor are ignored, so that these messages can't be completed.
             let floor = sender.floor;
             self.abandon_all(self.keys_through(key.peer, floor));
         }
         Some(partial)
     }
 
-    /// The messages of which missing fragments are to be requested now. Abandons those that took too long.
+    /// Returns the messages whose missing fragments are to be requested now, and abandons the messages that took
+    /// too long.
     pub(crate) fn take_due_requests(&mut self, now: Duration) -> Vec<MessageKey> {
         let mut requests = Vec::new();
         while let Some((_, key)) = self.requests_due.first().filter(|(due, _)| *due <= now).copied()
@@ -289,17 +298,17 @@
         requests
     }
 
-    /// The missing fragments of a message, if it is still incomplete.
+    /// Returns the missing fragments of a message, if the message is still incomplete.
     pub(crate) fn missing(&self, key: MessageKey) -> Option<u128> {
         Some(self.partial.get(&key)?.missing())
     }
 
-    /// When fragments are to be requested next.
+    /// Returns the time of the next request for fragments.
     pub(crate) fn next_due(&self) -> Option<Duration> {
         self.requests_due.first().map(|(due, _)| *due)
     }
 
-    /// Number of messages abandoned since the last call.
+    /// Returns the number of messages abandoned since the last call.
     pub(crate) fn take_abandoned(&mut self) -> u64 {
         std::mem::take(&mut self.abandoned)
     }
--- a/crates/peer-transport/src/receive_window/tests.rs
+++ b/crates/peer-transport/src/receive_window/tests.rs
@@ -1,4 +1,4 @@
-//! The window compared with a set of all numbers, and its behaviour at the largest number.
+//! Compares the window with a set of all sequence numbers, and tests the largest sequence number.
 
 use std::collections::BTreeSet;
 
@@ -8,7 +8,7 @@
 
 proptest! {
     #[test]
-    fn nothing_is_new_twice_and_nothing_within_the_window_is_refused(
+    fn no_number_is_new_twice_and_no_number_within_the_window_is_too_old(
         floor in 0..300u64,
         steps in proptest::collection::vec((0..3_000u64, any::<bool>()), 1..400),
     ) {
--- a/crates/peer-transport/src/receiving.rs
+++ b/crates/peer-transport/src/receiving.rs
@@ -1,5 +1,5 @@
-//! What a received datagram leads to: which frames are accepted, and their content; the handshake is left to
-//! `handshake`.
+//! Handles received datagrams: decides which frames are accepted, and handles their content. The module
+//! `handshake` handles handshakes.
 
 use crate::frame::{Body, ChannelMessage, Frame, FrameError, HANDSHAKE_BYTES, MessageKey};
 use crate::handshake::Handshake;
@@ -52,7 +52,7 @@
             } else {
                 self.metrics.dropped.previous_incarnation += 1;
             }
-            // Both ends are to learn the other's current incarnation.
+            // A handshake shows each end the other's current incarnation.
             if frame_bytes >= HANDSHAKE_BYTES {
                 self.send_handshake(from, frame.from, 0, actions);
             }
@@ -61,7 +61,7 @@
         let Some(peer) = self.peer_mut(from) else { return };
         match peer.window.record(frame.sequence) {
             SequenceStatus::New => {
-                // The peer sends messages to confirmed incarnations only.
+                // The peer sends messages only to incarnations that it has confirmed.
                 self.establish(from);
                 self.receive_body(from, frame, actions);
             }
@@ -81,7 +81,7 @@
                 }
             }
             Body::Fragment(header, data) => {
-                // The frame's validation makes the distance less than the sequence number.
+                // Decoding the frame has checked that the distance is less than the sequence number.
                 let distance = u64::from(header.sequence_distance);
                 let key =
                     MessageKey { peer: from, number: frame.sequence.saturating_sub(distance) };
--- a/crates/peer-transport/src/retransmission.rs
+++ b/crates/peer-transport/src/retransmission.rs
@@ -1,5 +1,4 @@
-//! Own fragmented messages, retained as long as their receiver may request fragments again; requesting is left
-//! to the receiver.
+//! Own fragmented messages, retained as long as their receiver may request fragments again.
 
 use std::collections::BTreeMap;
 use std::time::Duration;
@@ -7,12 +6,12 @@
 use crate::frame::{FRAGMENT_BYTES, MessageKey, all_fragments};
 use crate::{Channel, DeliveryMode, NodeId};
 
-/// How long a message is retained. A receiver abandons it after the same time.
+/// How long a message is retained. The receiver abandons an incomplete message after the same time.
 pub(crate) const RETENTION: Duration = Duration::from_secs(4);
-/// Bytes retained at most; the oldest messages are dropped first. A leader sends an entry of 16 KiB to eight
-/// children: 128 KiB.
+/// Largest size of all retained messages, in bytes; the oldest messages are dropped first. A leader that sends
+/// an entry of 16 KiB to eight children needs 128 KiB.
 const MAX_RETAINED_BYTES: usize = 1 << 20;
-/// Retransmissions of a message, for each of its fragments, so that endless requests end.
+/// Retransmissions of a message at most, for each of its fragments. The limit ends endless requests.
 const MAX_RETRANSMISSIONS_PER_FRAGMENT: u32 = 4;
 
 /// A message to be fragmented.
@@ -28,7 +27,7 @@
     mode: DeliveryMode,
     bytes: Vec<u8>,
     expires_at: Duration,
-    /// Its position in the order of arrival.
+    /// Position in the order in which messages were retained.
     position: u64,
     /// Fragments in the send queue.
     queued: u128,
@@ -47,11 +46,11 @@
     }
 }
 
-/// What retaining a message led to.
+/// Outcome of retaining a message.
 pub(crate) struct Retained {
-    /// Messages that were dropped for it before they had been sent completely.
+    /// Older messages that were dropped to make room before they had been sent completely.
     pub(crate) dropped: u64,
-    /// Fragments of the message.
+    /// Number of fragments of the message.
     pub(crate) fragments: u8,
 }
 
@@ -61,16 +60,16 @@
     pub(crate) count: u8,
     pub(crate) data: Vec<u8>,
     pub(crate) is_retransmission: bool,
-    /// With it the message has been sent completely, once.
+    /// Whether each fragment of the message has now been sent at least once.
     pub(crate) completes_message: bool,
 }
 
-/// How a retransmission request is answered.
+/// The answer to a retransmission request.
 pub(crate) struct RetransmissionPlan {
-    /// Fragments to be queued. Those that are queued already are left out.
+    /// Fragments to be queued, without the fragments that are queued already.
     pub(crate) indices: Vec<u8>,
     pub(crate) mode: DeliveryMode,
-    /// Requested fragments that are refused.
+    /// Number of requested fragments that are refused.
     pub(crate) refused: u64,
 }
 
@@ -78,14 +77,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Hash)]
 pub(crate) struct RetransmissionBuffer {
     messages: BTreeMap<MessageKey, UnacknowledgedMessage>,
-    /// Keys in the order of arrival.
+    /// Keys in the order in which messages were retained.
     order: BTreeMap<u64, MessageKey>,
     last_position: u64,
     bytes: usize,
 }
 
 impl RetransmissionBuffer {
-    /// Retains a message that is longer than a datagram and at most `MAX_MESSAGE_BYTES`.
+    /// Retains a message that does not fit one datagram and at most `MAX_MESSAGE_BYTES`.
     pub(crate) fn retain(
         &mut self,
         now: Duration,
@@ -116,7 +115,7 @@
         Retained { dropped, fragments }
     }
 
-    /// Drops a message; returns 1 if it had not been sent completely.
+    /// Drops a message. Returns 1 if the message had not been sent completely, 0 otherwise.
     pub(crate) fn remove(&mut self, key: MessageKey) -> u64 {
         let Some(message) = self.messages.remove(&key) else { return 0 };
         self.order.remove(&message.position);
@@ -124,7 +123,7 @@
         u64::from(!message.is_sent())
     }
 
-    /// Drops expired messages; returns how many of them had not been sent completely.
+    /// Drops expired messages. Returns the number of messages that had not been sent completely.
     pub(crate) fn drop_expired(&mut self, now: Duration) -> u64 {
         let mut dropped = 0;
         while let Some(key) = self.order.first_key_value().map(|(_, key)| *key) {
@@ -136,7 +135,7 @@
         dropped
     }
 
-    /// Drops all messages to this peer; returns how many of them had not been sent completely.
+    /// Drops all messages to this peer. Returns the number of messages that had not been sent completely.
     pub(crate) fn clear_peer(&mut self, to: NodeId) -> u64 {
         let keys: Vec<MessageKey> =
             self.messages.range(MessageKey::range_of(to)).map(|(key, _)| *key).collect();
--- a/crates/peer-transport/src/rng.rs
+++ b/crates/peer-transport/src/rng.rs
@@ -6,8 +6,8 @@
 #[cfg(test)]
 mod tests;
 
-/// SplitMix64 (Steele, Lea, Flood 2014), which has a period of 2^64. Its state is one number, which a model
-/// checker needs.
+/// SplitMix64 (Steele, Lea, Flood 2014), which has a period of 2^64. Its state is a single number, as a model
+/// checker requires.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Rng(u64);
 
@@ -23,10 +23,10 @@
         z ^ (z >> 31)
     }
 
-    /// A duration from 0 to `max`, uniformly (full jitter).
+    /// Returns a uniformly distributed duration from 0 to `max` (full jitter).
     pub(crate) fn sample_up_to(&mut self, max: Duration) -> Duration {
         let nanos = u64::try_from(max.as_nanos()).unwrap_or(u64::MAX);
-        // The upper half of a 64 by 64 bit product, which is uniform but for one part in 2^64.
+        // The upper half of a product of two 64-bit numbers, which is uniform except for one part in 2^64.
         let sample = (u128::from(self.next()) * (u128::from(nanos) + 1)) >> 64;
         Duration::from_nanos(u64::try_from(sample).unwrap_or(nanos))
     }
@@ -34,8 +34,8 @@
 
 /// Source of handshake challenges.
 ///
-/// It is a bijection of a counter, so that none repeats before 2^32 others and a response to an earlier
-/// challenge can't by chance match a later one. 0 means no challenge and is left out.
+/// A challenge is a bijection of a counter, so that no challenge repeats before 2^32 others, and a response to
+/// an earlier challenge can't match a later one by chance. 0 means no challenge and is skipped.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct Nonces {
     key: [u32; 2],
--- a/crates/peer-transport/src/send_queue.rs
+++ b/crates/peer-transport/src/send_queue.rs
@@ -1,5 +1,5 @@
-//! Messages, fragments and requests that wait for the send budget: by urgency, and within one urgency in turns
-//! among peers; when they are sent is left to the transport.
+//! Messages, fragments and requests that wait for the send budget. More urgent items come first, and the peers
+//! with items of the same urgency take turns. The transport decides when an item is sent.
 
 use std::collections::{BTreeMap, VecDeque};
 use std::ops::Bound::{Excluded, Unbounded};
@@ -7,9 +7,9 @@
 
 use crate::{Channel, DeliveryMode, NodeId};
 
-/// Bytes that wait at most, of each urgency.
+/// Largest size of the queue of each urgency, in bytes.
 const MAX_QUEUED_BYTES: usize = 256 << 10;
-/// Memory that an item takes beside its message.
+/// Memory that an item takes besides its message.
 const ITEM_OVERHEAD_BYTES: usize = 64;
 
 /// Something to send to a peer.
@@ -48,12 +48,12 @@
 }
 
 impl SendQueue {
-    /// Appends an item to those of its urgency and peer; `false` if they take too much memory.
+    /// Appends an item to the queue of its urgency and peer. Returns `false` if the queue is full.
     pub(crate) fn push(&mut self, mode: DeliveryMode, to: NodeId, item: QueuedItem) -> bool {
         self.push_all(mode, to, [item])
     }
 
-    /// Appends all items or, if they take too much memory, none.
+    /// Appends all items or, if the queue is too full for them, none. Returns whether they were appended.
     pub(crate) fn push_all(
         &mut self,
         mode: DeliveryMode,
@@ -71,12 +71,12 @@
         fits
     }
 
-    /// The most urgent mode of which an item waits.
+    /// Returns the most urgent mode for which an item waits.
     pub(crate) fn most_urgent(&self) -> Option<DeliveryMode> {
         DeliveryMode::ALL.into_iter().find(|mode| !self.by_mode[*mode as usize].peers.is_empty())
     }
 
-    /// The peer whose turn it is among those of this urgency.
+    /// Returns the peer whose turn it is among the peers with items of this urgency.
     pub(crate) fn next_peer(&mut self, mode: DeliveryMode) -> Option<NodeId> {
         let queue = &mut self.by_mode[mode as usize];
         let after_last = queue.peers.range((Excluded(queue.last_peer), Unbounded)).next();
@@ -84,12 +84,12 @@
         Some(queue.last_peer)
     }
 
-    /// Removes this peer's first item.
+    /// Removes and returns this peer's first item.
     pub(crate) fn pop(&mut self, mode: DeliveryMode, to: NodeId) -> Option<QueuedItem> {
         self.pop_if(mode, to, |_| true)
     }
 
-    /// Removes this peer's first item if it matches.
+    /// Removes and returns this peer's first item if `matches` accepts it.
     pub(crate) fn pop_if(
         &mut self,
         mode: DeliveryMode,
--- a/crates/peer-transport/src/sending.rs
+++ b/crates/peer-transport/src/sending.rs
@@ -1,5 +1,5 @@
-//! What is sent and when: messages wait for the handshake, then in the queue for the send budget; the
-//! handshake is left to `handshake`.
+//! Sends messages: they wait for the handshake, then in the queue for the send budget. The module `handshake`
+//! handles handshakes.
 
 use crate::frame::{
     Body, ChannelMessage, FragmentHeader, Frame, HEADER_BYTES, MAX_SEQUENCE,
@@ -13,10 +13,11 @@
     Transport,
 };
 
-/// Bytes that wait for handshakes with all peers. Without a bound 1,000 silent peers would take 24 MB.
+/// Largest size of the messages that wait for handshakes with all peers, in bytes. Without this bound 1,000
+/// silent peers would take 24 MB.
 const MAX_PENDING_BYTES: usize = 512 << 10;
 
-/// All sequence numbers to a peer are used, so that nothing more can be sent to it.
+/// All sequence numbers to a peer are used, so that no more frames can be sent to the peer.
 struct SequencesExhausted;
 
 impl Transport {
@@ -50,7 +51,7 @@
         }
     }
 
-    /// Lets a message wait for the handshake.
+    /// Queues a message until the handshake completes.
     fn push_pending(&mut self, to: NodeId, pending: PendingMessage) {
         let available_bytes = MAX_PENDING_BYTES.saturating_sub(self.pending_bytes);
         self.drop_expired_pending(to);
@@ -100,8 +101,8 @@
         Ok(peer.last_sequence)
     }
 
-    /// Queues requests for missing fragments of peers' messages. One that does not fit is queued when it is
-    /// due again.
+    /// Queues requests for missing fragments of peers' messages. A request that does not fit the queue is queued
+    /// when it is due again.
     pub(crate) fn queue_retransmission_requests(&mut self) {
         for key in self.reassembly.take_due_requests(self.now) {
             let item = QueuedItem::RetransmissionRequest { message_number: key.number };
@@ -109,7 +110,7 @@
         }
     }
 
-    /// Sends queued items, the most urgent first, as far as the budget allows.
+    /// Sends queued items, the most urgent first, until the budget is used up.
     pub(crate) fn send_queued(&mut self, actions: &mut Vec<Action>) {
         while let Some(mode) = self.queue.most_urgent() {
             if self.budget.ready_at(mode) > self.now {
@@ -142,7 +143,7 @@
     }
 
     /// Sends a message, together with other messages to the same peer that fit the datagram, less urgent ones
-    /// included: a datagram costs more than its bytes.
+    /// included. This saves the cost of further datagrams, which is more than that of their bytes.
     fn send_batch(
         &mut self,
         mode: DeliveryMode,
@@ -162,7 +163,7 @@
         }
     }
 
-    /// Takes messages from the queue that fit one datagram with the first.
+    /// Takes messages from the queue that fit one datagram together with the first message.
     fn collect_batch(
         &mut self,
         mode: DeliveryMode,
@@ -173,7 +174,7 @@
         let mut length = HEADER_BYTES + 1 + ChannelMessage::encoded_bytes(first.1.len());
         let mut batch = vec![first];
         for mode in DeliveryMode::ALL.into_iter().skip(mode as usize) {
-            // Expired messages are taken, too, to drop them.
+            // Expired messages are taken from the queue, too, and dropped.
             let fits = |item: &QueuedItem, length: usize| match item {
                 QueuedItem::Message { message, deadline, .. } => {
                     let total = length + ChannelMessage::encoded_bytes(message.len());
@@ -198,8 +199,8 @@
     fn send_fragment(&mut self, key: MessageKey, index: u8, actions: &mut Vec<Action>) {
         let last_sequence =
             self.peers.get(usize::from(key.peer.0)).map_or(0, |peer| peer.last_sequence);
-        // The frame's own sequence number will be one more. Only a budget of ten times the default can exceed
-        // a u16 while the message is retained.
+        // The frame's own sequence number is the last one plus one. While the message is retained, only a budget
+        // of ten times the default lets the distance exceed a u16.
         let distance = last_sequence + 1 - key.number.min(last_sequence);
         let Ok(sequence_distance) = u16::try_from(distance) else {
             self.metrics.messages.budget_timeout += self.retransmission.remove(key);
@@ -220,7 +221,7 @@
         let Some(missing) = self.reassembly.missing(key) else { return };
         self.metrics.sent.retransmission_requests += 1;
         let body = Body::RetransmissionRequest { message_number: key.number, missing };
-        // Without a sequence number the request is lost like any datagram.
+        // If no sequence number is left, the request is dropped, which has the same effect as a lost datagram.
         _ = self.send_frame(key.peer, body, actions);
     }
 
--- a/crates/peer-transport/src/tests.rs
+++ b/crates/peer-transport/src/tests.rs
@@ -1,4 +1,5 @@
-//! Frames of a malicious peer and random frames: only tests inside the package can give them a valid checksum.
+//! Tests with random frames and with frames of a malicious peer. Only tests inside the package can give these
+//! frames a valid checksum.
 
 mod formats;
 
@@ -37,7 +38,7 @@
     actions
 }
 
-/// The challenge of the last handshake.
+/// Returns the challenge of the last handshake.
 fn challenge_in(actions: &[Action]) -> u32 {
     let mut handshakes = actions.iter().filter_map(|action| match action {
         Action::Transmit { bytes, .. } => match Frame::decode(LOCAL, PEER, bytes) {
@@ -86,13 +87,13 @@
         },
         1 => message(data),
         2 => {
-            let piece = FragmentHeader {
+            let fragment = FragmentHeader {
                 channel: Channel::Lists,
                 sequence_distance: *near as u16,
                 index: *index,
                 count: *count,
             };
-            Body::Fragment(piece, data)
+            Body::Fragment(fragment, data)
         }
         _ => Body::RetransmissionRequest {
             message_number: *near,
@@ -113,17 +114,17 @@
         prop_assert!(bytes.len() <= MAX_DATAGRAM_BYTES && (bytes.len() >= HANDSHAKE_BYTES || one.0 == 2));
         match Frame::decode(PEER, LOCAL, &bytes) {
             Ok(read) => prop_assert_eq!(read, frame),
-            // A fragment that no message has.
+            // The frame is a fragment that no message can have.
             Err(bad) => prop_assert_eq!((bad, one.0), (FrameError::Unreadable, 2)),
         }
         prop_assert_eq!(Frame::decode(NodeId(2), LOCAL, &bytes), Err(FrameError::Corrupted));
         prop_assert_eq!(Frame::decode(PEER, NodeId(2), &bytes), Err(FrameError::Corrupted));
-        prop_assert!(Frame::decode(PEER, LOCAL, &bytes[..bytes.len() - 1]).is_err(), "cut");
+        prop_assert!(Frame::decode(PEER, LOCAL, &bytes[..bytes.len() - 1]).is_err(), "truncated");
         let mut flipped = bytes.clone();
         flips.iter().filter(|bit| *bit / 8 < bytes.len()).for_each(|bit| flipped[bit / 8] ^= 1 << (bit % 8));
         if flipped != bytes {
             let read = Frame::decode(PEER, LOCAL, &flipped);
-            prop_assert!(matches!(read, Err(FrameError::Corrupted | FrameError::Version)), "up to four flips are found");
+            prop_assert!(matches!(read, Err(FrameError::Corrupted | FrameError::Version)), "up to four flipped bits are detected");
         }
     }
 
@@ -171,7 +172,7 @@
             }
             transport.handle(now, Event::Due, &mut actions);
         }
-        prop_assert!(transport.held().incoming <= 64 << 10);
+        prop_assert!(transport.memory_usage().incoming <= 64 << 10);
         prop_assert!(transport.counts().sent.retransmitted_fragments <= 4 * 89);
     }
 }
@@ -188,8 +189,8 @@
         message(b"who is there"),
     ));
     assert_eq!(transport.counts().dropped.unconfirmed, 1);
-    assert_ne!(first, 0, "it is challenged");
-    // A guess, a response to a previous incarnation of ours, and the right response too late.
+    assert_ne!(first, 0, "the handshake contains a challenge");
+    // A guessed response, a response to a previous incarnation of this node, and the right response too late.
     receive(&mut transport, now, Incarnation(8), Incarnation(5), 3, handshake(0, first ^ 1));
     receive(&mut transport, now, Incarnation(8), Incarnation(4), 3, handshake(0, first));
     receive(
@@ -216,7 +217,7 @@
     assert!(second != 0 && second != first);
     receive(&mut transport, now, Incarnation(8), Incarnation(5), 4, handshake(0, second));
     assert_eq!(transport.incarnation(PEER), Some(Incarnation(8)));
-    // A response counts once: the same one confirms no other incarnation.
+    // A response is accepted once: the same response confirms no other incarnation.
     receive(&mut transport, now, Incarnation(7), Incarnation(5), 4, handshake(0, second));
     assert_eq!(transport.incarnation(PEER), Some(Incarnation(8)));
 }
@@ -235,15 +236,15 @@
         1,
         message(b"one")
     )));
-    let piece = |sequence_distance, index| FragmentHeader {
+    let fragment = |sequence_distance, index| FragmentHeader {
         channel: Channel::Log,
         sequence_distance,
         index,
         count: 2,
     };
-    let first = Body::Fragment(piece(1, 0), &[7; FRAGMENT_BYTES]);
+    let first = Body::Fragment(fragment(1, 0), &[7; FRAGMENT_BYTES]);
     assert!(!delivers(receive(&mut transport, now, Incarnation(8), Incarnation(5), 3, first)));
-    // Another process of the same node, and the first one again.
+    // Another process of the same node is confirmed, and then the first process again.
     confirmed(&mut transport, now, Incarnation(9), 0);
     assert!(!delivers(receive(
         &mut transport,
@@ -263,9 +264,9 @@
         message(b"one")
     )));
     assert_eq!(transport.counts().dropped.too_old, 1);
-    // Message 2 began before the handshake; its fragments may have been reassembled then.
+    // Message 2 began before the handshake, so that its fragments may have been reassembled before.
     for index in [0, 1] {
-        let body = Body::Fragment(piece(3 + u16::from(index), index), &[7; FRAGMENT_BYTES]);
+        let body = Body::Fragment(fragment(3 + u16::from(index), index), &[7; FRAGMENT_BYTES]);
         assert!(!delivers(receive(
             &mut transport,
             now,
@@ -308,7 +309,7 @@
         .is_ok()
     };
     assert!(reads(1, 0, 2, FRAGMENT_BYTES, 2) && reads(1, 1, 2, 1, 2) && reads(1, 88, 89, 64, 2));
-    let ill = [
+    let invalid = [
         (0, 1, FRAGMENT_BYTES),
         (0, 0, FRAGMENT_BYTES),
         (2, 2, FRAGMENT_BYTES),
@@ -317,10 +318,10 @@
         (88, 89, 65),
         (0, 90, FRAGMENT_BYTES),
     ];
-    for (index, count, length) in ill {
+    for (index, count, length) in invalid {
         assert!(!reads(1, index, count, length, 2), "{index} of {count}, {length} bytes");
     }
-    assert!(!reads(2, 0, 2, FRAGMENT_BYTES, 2), "a message before the first");
+    assert!(!reads(2, 0, 2, FRAGMENT_BYTES, 2), "the number of a message before the first one");
 }
 
 #[test]
@@ -339,7 +340,7 @@
     transport.handle(now, Event::Due, &mut actions);
     let went = actions.iter().filter(|action| matches!(action, Action::Transmit { .. })).count();
     assert_eq!(
-        (went, transport.counts().messages.previous_incarnation, transport.held()),
+        (went, transport.counts().messages.previous_incarnation, transport.memory_usage()),
         (0, 2, crate::MemoryUsage::default())
     );
 }
@@ -369,7 +370,7 @@
     assert!(sent.refused_fragments > 89);
     for step in 0..40u16 {
         now += Duration::from_millis(500);
-        let piece =
+        let fragment =
             FragmentHeader { channel, sequence_distance: 1 + step, index: step as u8, count: 89 };
         receive(
             &mut transport,
@@ -377,10 +378,10 @@
             Incarnation(8),
             Incarnation(5),
             101 + u64::from(step),
-            Body::Fragment(piece, &[7; FRAGMENT_BYTES]),
+            Body::Fragment(fragment, &[7; FRAGMENT_BYTES]),
         );
         transport.handle(now, Event::Due, &mut actions);
-        assert_eq!(transport.held().incoming > 0, step < 8, "after {step} halves of a second");
+        assert_eq!(transport.memory_usage().incoming > 0, step < 8, "after {step} half seconds");
     }
 }
 
@@ -393,25 +394,25 @@
         let mut delivered = 0;
         for index in [0, 1] {
             sequence = 700.max(sequence + 1);
-            let piece = FragmentHeader {
+            let fragment = FragmentHeader {
                 channel: Channel::Log,
                 sequence_distance: (sequence - message) as u16,
                 index,
                 count: 2,
             };
-            let body = Body::Fragment(piece, &[7; FRAGMENT_BYTES]);
+            let body = Body::Fragment(fragment, &[7; FRAGMENT_BYTES]);
             let actions =
                 receive(transport, Duration::ZERO, Incarnation(8), Incarnation(5), sequence, body);
             delivered += actions.iter().filter(|a| matches!(a, Action::Deliver { .. })).count();
         }
         delivered
     };
-    // The numbers of the last 256 are remembered, and older ones are ignored.
+    // The numbers of the last 256 messages are retained, and fragments of older messages are ignored.
     let first: usize = (1..=600).map(|message| send(&mut transport, message)).sum();
     let again: usize = (1..=600).map(|message| send(&mut transport, message)).sum();
     assert_eq!((first, again), (600, 0));
     assert_eq!(
-        (transport.counts().received.duplicate_fragments, transport.held().incoming),
+        (transport.counts().received.duplicate_fragments, transport.memory_usage().incoming),
         (1_200, 0)
     );
 }
@@ -422,7 +423,7 @@
     for member in (1..30).map(NodeId) {
         transport.confirm(member, Incarnation(8), 0, &mut actions);
     }
-    let mut piece = |from, sequence, sequence_distance, index| {
+    let mut fragment = |from, sequence, sequence_distance, index| {
         let body = Body::Fragment(
             FragmentHeader { channel: Channel::Log, sequence_distance, index, count: 88 },
             &[7; FRAGMENT_BYTES],
@@ -432,13 +433,13 @@
         transport.handle(Duration::ZERO, Event::Received { from, bytes: &bytes }, &mut actions);
     };
     for index in 0..88 {
-        piece(honest, 2 + u64::from(index), 1 + u16::from(index), index);
-        for liar in (2..30).map(NodeId) {
-            piece(liar, 2 + u64::from(index), 1, 0);
+        fragment(honest, 2 + u64::from(index), 1 + u16::from(index), index);
+        for malicious in (2..30).map(NodeId) {
+            fragment(malicious, 2 + u64::from(index), 1, 0);
         }
     }
     let delivered = actions.iter().filter(|a| matches!(a, Action::Deliver { .. })).count();
-    assert_eq!((delivered, transport.held().incoming <= 1 << 20), (1, true));
+    assert_eq!((delivered, transport.memory_usage().incoming <= 1 << 20), (1, true));
 }
 
 #[test]
@@ -447,10 +448,11 @@
     let (mut now, mut sent_bytes, mut received_bytes, mut handshakes) = (Duration::ZERO, 0, 0, 0);
     for i in 0..4_000u32 {
         now += Duration::from_millis(1);
-        // The shortest frame of each kind.
-        let piece =
+        // Each body is the shortest of its kind.
+        let fragment =
             FragmentHeader { channel: Channel::Log, sequence_distance: 0, index: 1, count: 2 };
-        let body = [handshake(i + 1, i), message(&[]), Body::Fragment(piece, &[7])][i as usize % 3]
+        let body = [handshake(i + 1, i), message(&[]), Body::Fragment(fragment, &[7])]
+            [i as usize % 3]
             .clone();
         let bytes = Frame { from: Incarnation(i + 1), to: Incarnation(5), sequence: 1, body }
             .encode(PEER, LOCAL);
--- a/crates/peer-transport/src/tests/formats.rs
+++ b/crates/peer-transport/src/tests/formats.rs
@@ -11,8 +11,8 @@
 const SENDER: NodeId = NodeId(0x0102);
 const RECEIVER: NodeId = NodeId(0x0304);
 
-/// One datagram of each kind, by the name of its recorded bytes. `fragment` fills every fragment but the
-/// last.
+/// Returns one datagram of each kind, by the name of its recorded bytes. `fragment` is the content of every
+/// fragment except the last.
 fn datagrams(fragment: &[u8]) -> Vec<(&'static str, Frame<'_>)> {
     let frame = |body| Frame {
         from: Incarnation(0x1122_3344),
@@ -85,7 +85,7 @@
 }
 
 #[test]
-fn recorded_datagrams_are_read_as_what_they_were() {
+fn recorded_datagrams_decode_to_the_frames_that_they_encode() {
     let fragment = [0x5a; FRAGMENT_BYTES];
     for (name, frame) in datagrams(&fragment) {
         assert_eq!(Frame::decode(SENDER, RECEIVER, &recorded(name)), Ok(frame), "{name}");
--- a/crates/peer-transport/src/token_bucket.rs
+++ b/crates/peer-transport/src/token_bucket.rs
@@ -1,5 +1,5 @@
-//! Token buckets that bound the datagrams and bytes that a balancer sends; what is sent, and when, is left to
-//! the queue.
+//! Token buckets that bound the datagrams and bytes that a balancer sends. The send queue determines the order
+//! of the datagrams.
 
 use std::time::Duration;
 
@@ -12,14 +12,14 @@
 
 /// A token bucket, stored as the time at which it will be full (GCRA, ITU-T I.371).
 ///
-/// It needs no timer to be filled, and time spent in a pause earns one burst at most.
+/// No timer is needed to refill the bucket, and a pause of the process earns at most one burst.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct TokenBucket {
-    /// Nanoseconds that earn one token.
+    /// Time in which one token is added, in nanoseconds.
     token_nanos: u64,
-    /// Nanoseconds that fill the bucket.
+    /// Time in which an empty bucket is filled, in nanoseconds.
     capacity_nanos: u64,
-    /// When it is full, in nanoseconds since the process's start.
+    /// When the bucket is full, in nanoseconds since the process's start.
     full_at: u64,
 }
 
@@ -28,17 +28,17 @@
 }
 
 impl TokenBucket {
-    /// A full bucket of `burst` tokens that earns `rate` tokens a second.
+    /// Creates a full bucket of `burst` tokens, to which `rate` tokens a second are added.
     ///
     /// In any span of `w` seconds at most `burst + w * rate` tokens are taken.
     pub(crate) fn new(rate: u32, burst: u32) -> Self {
-        // Rounded up, so that it is never faster than configured.
+        // Rounded up, so that the rate never exceeds the configured one.
         let token_nanos = NANOS_PER_SECOND.div_ceil(u64::from(rate.max(1)));
         let capacity_nanos = token_nanos.saturating_mul(u64::from(burst));
         Self { token_nanos, capacity_nanos, full_at: 0 }
     }
 
-    /// The earliest time at which `tokens` can be taken so that the reserved share of the bucket stays.
+    /// Returns the earliest time at which `tokens` can be taken without using the reserved share of the bucket.
     fn ready_at(&self, tokens: u32, reserve: Reserve) -> Duration {
         let usable = self.capacity_nanos - reserve.of(self.capacity_nanos);
         let cost = self.token_nanos.saturating_mul(u64::from(tokens));
@@ -50,7 +50,7 @@
         self.full_at = self.full_at.max(nanos(now)).saturating_add(cost);
     }
 
-    /// Takes one token if there is one.
+    /// Takes one token if one is available, and returns whether it was.
     pub(crate) fn try_take(&mut self, now: Duration) -> bool {
         let is_ready = self.ready_at(1, Reserve::Nothing) <= now;
         if is_ready {
@@ -60,7 +60,7 @@
     }
 }
 
-/// The share of a bucket that a mode leaves to more urgent ones.
+/// The share of a bucket that a delivery mode leaves to more urgent modes.
 #[derive(Clone, Copy)]
 enum Reserve {
     Nothing,
@@ -78,7 +78,7 @@
     }
 }
 
-/// What a balancer may send to its peers, in datagrams and in bytes.
+/// The rate at which a balancer may send to its peers, in datagrams and in bytes.
 #[derive(Clone, Debug, PartialEq, Eq, Hash)]
 pub(crate) struct SendBudget {
     datagrams: TokenBucket,
@@ -90,7 +90,7 @@
         Self { datagrams, bytes }
     }
 
-    /// The earliest time at which a datagram of any length may be sent in this mode.
+    /// Returns the earliest time at which a datagram of any length may be sent in this mode.
     pub(crate) fn ready_at(&self, mode: DeliveryMode) -> Duration {
         let reserve = match mode {
             DeliveryMode::Urgent => Reserve::Nothing,
@@ -101,7 +101,7 @@
         datagram.max(self.bytes.ready_at(MAX_DATAGRAM_BYTES as u32, reserve))
     }
 
-    /// Charges a datagram of this length.
+    /// Takes the tokens for a datagram of this length.
     pub(crate) fn take(&mut self, now: Duration, bytes: usize) {
         self.datagrams.take(now, 1);
         self.bytes.take(now, u32::try_from(bytes).unwrap_or(u32::MAX));
--- a/crates/peer-transport/src/transport.rs
+++ b/crates/peer-transport/src/transport.rs
@@ -1,5 +1,5 @@
-//! The transport's state, and which handler an event goes to; the handlers are in the modules `handshake`,
-//! `receiving` and `sending`.
+//! The transport's state, and the dispatch of events to the handlers in the modules `handshake`, `receiving` and
+//! `sending`.
 
 use std::collections::BTreeSet;
 use std::time::Duration;
@@ -18,7 +18,7 @@
 pub struct Transport {
     pub(crate) config: Config,
     pub(crate) now: Duration,
-    /// By node id.
+    /// All balancers of the cluster, indexed by node id.
     pub(crate) peers: Vec<Peer>,
     /// When handshakes are due.
     pub(crate) handshakes_due: BTreeSet<(Duration, NodeId)>,
@@ -27,7 +27,7 @@
     pub(crate) queue: SendQueue,
     pub(crate) reassembly: ReassemblyBuffer,
     pub(crate) retransmission: RetransmissionBuffer,
-    /// Bytes that wait for handshakes with all peers.
+    /// Bytes of the messages that wait for handshakes, of all peers.
     pub(crate) pending_bytes: usize,
     pub(crate) rng: Rng,
     pub(crate) nonces: Nonces,
@@ -37,11 +37,11 @@
 }
 
 impl Transport {
-    /// A transport that has confirmed no peer.
+    /// Creates a transport that has confirmed no peer.
     ///
     /// # Errors
     ///
-    /// [`ConfigError`], if it can't work with this configuration.
+    /// [`ConfigError`] if the configuration is invalid.
     pub fn new(config: Config) -> Result<Self, ConfigError> {
         config.validate()?;
         let budget = &config.budget;
@@ -52,7 +52,7 @@
             now: Duration::ZERO,
             peers: (0..config.members).map(|_| Peer::new()).collect(),
             handshakes_due: BTreeSet::new(),
-            handshake_bucket: TokenBucket::new(budget.hellos, budget.hellos_burst),
+            handshake_bucket: TokenBucket::new(budget.handshakes, budget.handshakes_burst),
             budget: SendBudget::new(datagrams, bytes),
             queue: SendQueue::default(),
             reassembly: ReassemblyBuffer::default(),
@@ -66,13 +66,13 @@
         })
     }
 
-    /// Counters since the process's start.
+    /// Returns the counters since the process's start.
     pub fn counts(&self) -> &TransportMetrics {
         &self.metrics
     }
 
-    /// Bytes of messages in memory.
-    pub fn held(&self) -> MemoryUsage {
+    /// Returns the memory that messages take at present.
+    pub fn memory_usage(&self) -> MemoryUsage {
         MemoryUsage {
             incoming: self.reassembly.bytes(),
             outgoing: self.retransmission.bytes(),
@@ -81,18 +81,18 @@
         }
     }
 
-    /// This process's incarnation.
+    /// Returns this process's incarnation.
     pub fn own_incarnation(&self) -> Incarnation {
         self.config.incarnation
     }
 
-    /// The incarnation of a peer that completed the handshake last; `None` if none has.
+    /// Returns the peer's incarnation that completed the handshake last; `None` if no incarnation has.
     pub fn incarnation(&self, peer: NodeId) -> Option<Incarnation> {
         self.peers.get(usize::from(peer.0))?.incarnation
     }
 
-    /// Handles one event. `now` is monotonic time since the process's start; an earlier time than before
-    /// counts as that one.
+    /// Handles one event. `now` is monotonic time since the process's start; if it is earlier than the time of a
+    /// previous call, that previous time is used.
     pub fn handle(&mut self, now: Duration, event: Event<'_>, actions: &mut Vec<Action>) {
         self.now = self.now.max(now);
         match event {
@@ -117,7 +117,7 @@
         [send, handshake, self.reassembly.next_due()].into_iter().flatten().min()
     }
 
-    /// Does what is due by the clock.
+    /// Handles the timers that are due.
     fn run_timers(&mut self, actions: &mut Vec<Action>) {
         self.wake_at = None;
         self.metrics.messages.budget_timeout += self.retransmission.drop_expired(self.now);
--- a/crates/peer-transport/tests/bounds.rs
+++ b/crates/peer-transport/tests/bounds.rs
@@ -1,4 +1,4 @@
-//! Bounds on sending and on memory while everything fails.
+//! Bounds on sending and on memory under faults of the network and of processes.
 
 mod net;
 
@@ -10,10 +10,10 @@
 };
 use net::{Network, NetworkFaults, config, ms};
 
-/// A network in which every pair has completed the handshake.
+/// Returns a network in which every pair of nodes has completed the handshake.
 fn established_network(members: u16, seed: u64) -> Network {
     let mut net = Network::new(members, seed, NetworkFaults::default());
-    // Handshakes have a budget of their own: those of 60 nodes take a second.
+    // Handshakes have a separate budget: the handshakes of 60 nodes take a second.
     for apart in 1..members {
         (0..members)
             .for_each(|from| _ = net.send(from, (from + apart) % members, 8, DeliveryMode::Normal));
@@ -29,12 +29,12 @@
     net
 }
 
-/// Asserts that no span of time exceeds the rate and one burst.
-fn within(budget: &Budget, net: &Network, who: u16) {
+/// Asserts that in no span of time a node sends more than the rate and one burst allow.
+fn assert_within_budget(budget: &Budget, net: &Network, sender: u16) {
     let (mut datagrams, mut bytes, mut worst) = (0.0, 0.0, [f64::MAX; 2]);
-    for (at, .., length) in net.transmitted.iter().filter(|(_, from, ..)| from.0 == who) {
+    for (at, .., length) in net.transmitted.iter().filter(|(_, from, ..)| from.0 == sender) {
         let at = at.as_secs_f64();
-        // Each pair of times is compared, by the lowest value before this datagram.
+        // Comparing with the lowest value before this datagram covers each pair of times.
         worst[0] = worst[0].min(datagrams - at * f64::from(budget.datagrams));
         worst[1] = worst[1].min(bytes - at * f64::from(budget.bytes));
         (datagrams, bytes) = (datagrams + 1.0, bytes + *length as f64);
@@ -54,7 +54,8 @@
         net.faults =
             NetworkFaults { loss: 0.3, jitter_ms: 5, copies: 0.1, replays: 0.2, flips: 0.01 };
         for other in (1..24).map(NodeId) {
-            // All are silent: confirmed peers send nothing, and a new incarnation of node 0 hears nobody.
+            // All peers are silent: node 0 receives nothing from confirmed peers, nor does its next incarnation
+            // receive anything.
             if seed % 4 == 0 {
                 net.cut.insert((other, NodeId(0)));
             }
@@ -67,7 +68,7 @@
                 let length =
                     if (step + u64::from(other)) % 8 == 0 { MAX_MESSAGE_BYTES } else { 100 };
                 net.send(0, other, length, mode);
-                // Links are cut during messages, so that peers request fragments again and again.
+                // Links are cut while messages are sent, so that peers request fragments repeatedly.
                 if seed % 4 == 1 && net.rng.rand_range(0..10) == 0 {
                     let link = (NodeId(0), NodeId(other));
                     _ = net.cut.remove(&link) || net.cut.insert(link);
@@ -82,13 +83,14 @@
             }
             net.run(ms(10));
         }
-        let went = net.transmitted[before..].iter().filter(|(_, from, ..)| from.0 == 0).count();
-        assert!(went > 600, "seed {seed}: {went}");
-        // A new process has a full bucket: node 0 is checked only where it did not restart.
+        let datagrams =
+            net.transmitted[before..].iter().filter(|(_, from, ..)| from.0 == 0).count();
+        assert!(datagrams > 600, "seed {seed}: {datagrams}");
+        // A new process has a full bucket, so node 0 is checked only if it did not restart.
         if seed % 4 != 0 {
-            within(&Budget::default(), &net, 0);
+            assert_within_budget(&Budget::default(), &net, 0);
             assert!(net.counts(0).messages.budget_timeout > 0, "the bucket was never empty");
-            // Each of its messages has one outcome.
+            // Each message of node 0 has one outcome.
             net.run(Duration::from_secs(5));
             net.dispatch(NodeId(0), Event::Due);
             assert_eq!(net.finished_messages(0), 23 + 300 * 23, "{:?}", net.counts(0).messages);
@@ -96,7 +98,7 @@
             let handshakes = net.counts(0).sent.handshakes;
             assert!(
                 (100..=64 + 256 * 2).contains(&handshakes),
-                "{handshakes} hellos in 1.5 s to 23 silent peers"
+                "{handshakes} handshakes in 1.5 s to 23 silent peers"
             );
         }
     }
@@ -115,7 +117,7 @@
     let took = |message| net.delivered.get(&message).map(|at| *at - start);
     assert!(took(urgent).is_some_and(|took| took < ms(3)), "{:?}", took(urgent));
     assert!(took(other).is_some_and(|took| took < ms(5)), "{:?}", took(other));
-    within(&Budget::default(), &net, 0);
+    assert_within_budget(&Budget::default(), &net, 0);
 }
 
 #[test]
@@ -143,13 +145,13 @@
         }
         net.run(ms(10));
         for transport in net.transports.iter().flatten() {
-            let memory = transport.held();
+            let memory = transport.memory_usage();
             worst.incoming = worst.incoming.max(memory.incoming);
             worst.outgoing = worst.outgoing.max(memory.outgoing);
             worst.queued = worst.queued.max(memory.queued);
             worst.waiting = worst.waiting.max(memory.waiting);
         }
-        of_one = of_one.max(net.transports[57].as_ref().expect("up").held().incoming);
+        of_one = of_one.max(net.transports[57].as_ref().expect("up").memory_usage().incoming);
     }
     println!("worst {worst:?}, of one peer {of_one}");
     let reached = |memory: usize, most: usize| memory <= most && memory > most / 2;
@@ -163,11 +165,11 @@
     );
     assert!(reached(of_one, 64 << 10), "{of_one}");
     assert!(net.counts(0).delivered.abandoned > 0);
-    // All of it is released: senders retain messages for 4 s, as receivers do incomplete ones.
+    // All memory is released: senders retain messages for 4 s, and receivers retain incomplete messages as long.
     net.run(Duration::from_secs(9));
     for at in 0..60 {
         net.dispatch(NodeId(at), Event::Due);
-        let memory = net.transports[usize::from(at)].as_ref().expect("up").held();
+        let memory = net.transports[usize::from(at)].as_ref().expect("up").memory_usage();
         assert_eq!(memory, MemoryUsage::default(), "{at}");
     }
 }
@@ -192,10 +194,10 @@
     }
     let handshakes = transport.counts().sent.handshakes;
     assert!((400..=64 + 2 * 256).contains(&handshakes), "{handshakes} in 2 s");
-    // No message waits any more: no handshake is sent.
+    // Once no message waits, no handshake is sent.
     transport.handle(now + Duration::from_secs(2), Event::Due, &mut actions);
     assert_eq!(
-        (transport.counts().sent.handshakes, transport.held()),
+        (transport.counts().sent.handshakes, transport.memory_usage()),
         (handshakes, MemoryUsage::default())
     );
 }
--- a/crates/peer-transport/tests/formats.rs
+++ b/crates/peer-transport/tests/formats.rs
@@ -1,5 +1,5 @@
-//! What leaves a process beside frames, as literal text and recorded bytes: values in messages, and the JSON
-//! of the admin API. Frames are in `src/tests/formats.rs`.
+//! Formats other than frames, as literal text and recorded bytes: values in messages, and the JSON of the admin
+//! API. The formats of frames are tested in `src/tests/formats.rs`.
 
 use std::fmt::Debug;
 
@@ -28,11 +28,11 @@
     assert_encoding(Channel::Leases, &[2]);
     assert_encoding(Channel::Sessions, &[3]);
     assert_encoding(Channel::Lists, &[4]);
-    assert!(decode::<Channel>(&[5]).is_err(), "no other channel");
+    assert!(decode::<Channel>(&[5]).is_err(), "there is no other channel");
 }
 
 #[test]
-fn bounds_that_both_ends_rely_on_are_the_same() {
+fn bounds_that_both_ends_rely_on_are_unchanged() {
     assert_eq!(
         (VERSION, MAX_DATAGRAM_BYTES, MAX_UNFRAGMENTED_BYTES, MAX_MESSAGE_BYTES),
         (1, 256, 233, 20_480)
@@ -88,16 +88,16 @@
 #[test]
 fn counters_have_their_json_keys() {
     let sent = r#""sent":{"datagrams":1,"bytes":2,"hellos":3,"pieces":4,"pieces_again":5,"asks":6,"hellos_held_back":7,"pieces_refused":8}"#;
-    let heard = r#""heard":{"hellos":11,"words":12,"pieces":13,"pieces_again":14,"asks":15,"stale_nonces":16,"lives":17}"#;
+    let received = r#""heard":{"hellos":11,"words":12,"pieces":13,"pieces_again":14,"asks":15,"stale_nonces":16,"lives":17}"#;
     let dropped = r#""dropped":{"strange":21,"too_long":22,"version":23,"torn":24,"unreadable":25,"unconfirmed":26,"former_life":27,"copy":28,"late":29}"#;
-    let words = r#""words":{"said":31,"nowhere":32,"too_long":33,"no_room":34,"no_tokens":35,"waited_in_vain":36,"former_life":37,"used_up":38}"#;
+    let messages = r#""words":{"said":31,"nowhere":32,"too_long":33,"no_room":34,"no_tokens":35,"waited_in_vain":36,"former_life":37,"used_up":38}"#;
     let delivered = r#""delivered":{"words":41,"pieces_given_up":42}"#;
-    let expected = format!("{{{sent},{heard},{dropped},{words},{delivered}}}");
+    let expected = format!("{{{sent},{received},{dropped},{messages},{delivered}}}");
     assert_eq!(serde_json::to_string(&counts()).expect("plain numbers"), expected);
 }
 
 #[test]
-fn held_bytes_have_their_json_keys() {
+fn memory_usage_has_its_json_keys() {
     let memory = MemoryUsage { incoming: 1, outgoing: 2, queued: 3, waiting: 4 };
     let expected = r#"{"incoming":1,"outgoing":2,"queued":3,"waiting":4}"#;
     assert_eq!(serde_json::to_string(&memory).expect("plain numbers"), expected);
--- a/crates/peer-transport/tests/formats/hex.rs
+++ b/crates/peer-transport/tests/formats/hex.rs
@@ -4,7 +4,7 @@
 use std::fs;
 use std::path::Path;
 
-/// The bytes in `tests/formats/NAME.hex`, without white space.
+/// Returns the bytes in `tests/formats/NAME.hex`, without white space.
 pub fn recorded(name: &str) -> Vec<u8> {
     let file = format!("tests/formats/{name}.hex");
     let text = fs::read_to_string(Path::new(env!("CARGO_MANIFEST_DIR")).join(&file))
@@ -17,17 +17,17 @@
     digits.chunks(2).map(|pair| (pair[0] << 4 | pair[1]) as u8).collect()
 }
 
-/// Compares each case with its recorded bytes, and names all that differ.
+/// Compares each case with its recorded bytes, and names all cases that differ.
 pub fn assert_recorded<'a>(cases: impl IntoIterator<Item = (&'a str, Vec<u8>)>) {
     let changed: Vec<String> = cases
         .into_iter()
         .filter(|(name, bytes)| recorded(name) != *bytes)
         .map(|(name, bytes)| format!("{name}: {}", to_hex(&bytes)))
         .collect();
-    assert!(changed.is_empty(), "these forms have changed, to:\n{}", changed.join("\n"));
+    assert!(changed.is_empty(), "these formats have changed, to:\n{}", changed.join("\n"));
 }
 
-/// Asserts that each recorded file has a case, so that no case is lost from a table.
+/// Asserts that each recorded file has a case, so that no case can disappear from a table unnoticed.
 pub fn assert_all_recorded<'a>(names: impl IntoIterator<Item = &'a str>) {
     let directory = Path::new(env!("CARGO_MANIFEST_DIR")).join("tests/formats");
     let recorded: BTreeSet<String> = fs::read_dir(directory)
--- a/crates/peer-transport/tests/net/mod.rs
+++ b/crates/peer-transport/tests/net/mod.rs
@@ -1,6 +1,6 @@
-//! A simulated network of transports under one seed. It checks each delivery only by what was sent, by which
-//! process and to which.
-#![allow(dead_code, reason = "each test uses a part")]
+//! A simulated network of transports, which runs under one seed. It compares each delivered message with the
+//! sent one: content, sending process and receiving process.
+#![allow(dead_code, reason = "each test file uses a part")]
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::time::Duration;
@@ -26,7 +26,7 @@
 }
 
 pub fn transport(node_id: u16, members: u16, incarnation: u32) -> Transport {
-    Transport::new(config(node_id, members, incarnation)).expect("a sound configuration")
+    Transport::new(config(node_id, members, incarnation)).expect("a valid configuration")
 }
 
 /// Faults of the network, as probabilities from 0 to 1.
@@ -35,37 +35,37 @@
     pub loss: f64,
     pub copies: f64,
     pub flips: f64,
-    /// Probability that an earlier datagram of any time is replayed.
+    /// Probability that some earlier datagram is replayed.
     pub replays: f64,
-    /// Largest delay beyond 1 ms.
+    /// Largest delay in addition to 1 ms.
     pub jitter_ms: u64,
 }
 
 enum SimulatedEvent {
-    Arrives { from: NodeId, to: NodeId, bytes: Vec<u8> },
-    Due { at: NodeId },
+    Arrival { from: NodeId, to: NodeId, bytes: Vec<u8> },
+    Timer { at: NodeId },
 }
 
 pub struct Network {
     pub now: Duration,
     pub faults: NetworkFaults,
     pub transports: Vec<Option<Transport>>,
-    /// Cut links, by sender and receiver.
+    /// Links that lose all datagrams, by sender and receiver.
     pub cut: BTreeSet<(NodeId, NodeId)>,
     pub rng: Rand64,
-    /// The timer of each node.
+    /// When the timer of each node is due.
     wake: BTreeMap<NodeId, Duration>,
     agenda: BTreeMap<(Duration, u64), SimulatedEvent>,
     count: u64,
     incarnations: u32,
     every: Vec<(NodeId, NodeId, Vec<u8>)>,
-    /// Sent messages: sender, its incarnation, receiver and content.
+    /// Sent messages by id: sender, the sender's incarnation, receiver and content.
     sent_messages: BTreeMap<u64, (NodeId, Incarnation, NodeId, Vec<u8>)>,
-    /// The incarnation that each was sent to, if one was confirmed.
+    /// The incarnation that each message was sent to, if one was confirmed.
     intended_incarnations: BTreeMap<u64, Incarnation>,
     /// When each message was delivered.
     pub delivered: BTreeMap<u64, Duration>,
-    /// The incarnation of a peer that was announced last, by receiver and peer.
+    /// The incarnation that was last announced to a receiver, by receiver and peer.
     announced: BTreeMap<(NodeId, NodeId), Incarnation>,
     /// Datagrams received by the current process of each node.
     pub received: BTreeMap<NodeId, u64>,
@@ -99,13 +99,13 @@
         net
     }
 
-    /// Ends the process of this node, and starts another.
+    /// Ends the process of this node, and starts another one.
     pub fn restart(&mut self, member: u16) {
         self.incarnations += 1;
         let members = self.transports.len() as u16;
         let fresh = transport(member, members, self.incarnations);
         self.ended.extend(
-            self.transports[usize::from(member)].replace(fresh).map(|w| w.counts().clone()),
+            self.transports[usize::from(member)].replace(fresh).map(|ended| ended.counts().clone()),
         );
         self.announced.retain(|(at, _), _| at.0 != member);
         self.wake.remove(&NodeId(member));
@@ -137,29 +137,29 @@
                 Action::WakeAt(due) => {
                     let due = due.max(self.now);
                     self.wake.insert(at, due);
-                    self.plan(due, SimulatedEvent::Due { at });
+                    self.schedule(due, SimulatedEvent::Timer { at });
                 }
-                Action::Transmit { to, bytes } => self.pass(at, to, bytes),
+                Action::Transmit { to, bytes } => self.transmit(at, to, bytes),
                 Action::PeerRestarted { from, incarnation } => {
                     self.announced.insert((at, from), incarnation);
                 }
                 Action::Deliver { from, incarnation, channel, message } => {
                     let id = message.first_chunk::<8>().map(|id| u64::from_le_bytes(*id));
-                    let id = id.expect("a message that nobody sent");
+                    let id = id.expect("a message with an id");
                     assert_eq!(
                         self.sent_messages.get(&id),
                         Some(&(from, incarnation, at, message)),
-                        "delivered as it was sent, from its sender"
+                        "the delivered message is the one that was sent"
                     );
                     assert_eq!(
                         self.announced.get(&(at, from)),
                         Some(&incarnation),
-                        "from a previous incarnation"
+                        "the message is from a previous incarnation"
                     );
                     assert_eq!(
                         *self.intended_incarnations.get(&id).unwrap_or(&mine),
                         mine,
-                        "sent to another incarnation"
+                        "the message was sent to another incarnation"
                     );
                     assert_eq!(channel, Channel::Log);
                     assert_eq!(
@@ -172,54 +172,54 @@
         }
     }
 
-    fn plan(&mut self, at: Duration, happens: SimulatedEvent) {
+    fn schedule(&mut self, at: Duration, event: SimulatedEvent) {
         self.count += 1;
-        self.agenda.insert((at.max(self.now), self.count), happens);
+        self.agenda.insert((at.max(self.now), self.count), event);
     }
 
     fn sample(&mut self, share: f64) -> bool {
         self.rng.rand_float() < share
     }
 
-    fn pass(&mut self, from: NodeId, to: NodeId, bytes: Vec<u8>) {
+    fn transmit(&mut self, from: NodeId, to: NodeId, bytes: Vec<u8>) {
         assert!(bytes.len() <= hollowpaddle_peer_transport::MAX_DATAGRAM_BYTES);
         self.transmitted.push((self.now, from, to, bytes.len()));
         if self.faults.replays > 0.0 {
             self.every.push((from, to, bytes.clone()));
         }
-        let mut arrive = vec![(from, to, bytes.clone())];
+        let mut arrivals = vec![(from, to, bytes.clone())];
         if self.cut.contains(&(from, to)) || self.sample(self.faults.loss) {
-            arrive.clear();
+            arrivals.clear();
         } else if self.sample(self.faults.copies) {
-            arrive.push((from, to, bytes));
+            arrivals.push((from, to, bytes));
         }
         if self.sample(self.faults.replays) {
             let which = self.rng.rand_range(0..self.every.len() as u64) as usize;
-            arrive.push(self.every[which].clone());
+            arrivals.push(self.every[which].clone());
         }
-        for (from, to, mut bytes) in arrive {
+        for (from, to, mut bytes) in arrivals {
             if self.sample(self.faults.flips) {
                 let bit = self.rng.rand_range(0..bytes.len() as u64 * 8) as usize;
                 bytes[bit / 8] ^= 1 << (bit % 8);
             }
-            let late = self.rng.rand_range(0..self.faults.jitter_ms * 1_000 + 1);
-            let at = self.now + ms(1) + Duration::from_micros(late);
-            self.plan(at, SimulatedEvent::Arrives { from, to, bytes });
+            let delay_us = self.rng.rand_range(0..self.faults.jitter_ms * 1_000 + 1);
+            let at = self.now + ms(1) + Duration::from_micros(delay_us);
+            self.schedule(at, SimulatedEvent::Arrival { from, to, bytes });
         }
     }
 
-    /// Runs the simulation for this time.
+    /// Runs the simulation for this span of time.
     pub fn run(&mut self, span: Duration) {
         let end = self.now + span;
         while let Some(entry) = self.agenda.first_entry().filter(|entry| entry.key().0 <= end) {
-            let ((at, _), happens) = entry.remove_entry();
+            let ((at, _), event) = entry.remove_entry();
             self.now = at;
-            match happens {
-                SimulatedEvent::Arrives { from, to, bytes } => {
+            match event {
+                SimulatedEvent::Arrival { from, to, bytes } => {
                     *self.received.entry(to).or_default() += 1;
                     self.dispatch(to, Event::Received { from, bytes: &bytes });
                 }
-                SimulatedEvent::Due { at } => {
+                SimulatedEvent::Timer { at } => {
                     if self.wake.get(&at) == Some(&self.now) {
                         self.wake.remove(&at);
                         self.dispatch(at, Event::Due);
@@ -230,7 +230,7 @@
         self.now = end;
     }
 
-    /// All datagrams ever sent from one node to the other, if replays are enabled.
+    /// Returns all datagrams that were sent from one node to the other, if replays are enabled.
     pub fn every(&self, from: NodeId, to: NodeId) -> impl Iterator<Item = Vec<u8>> {
         self.every
             .iter()
@@ -239,31 +239,31 @@
     }
 
     pub fn counts(&self, member: u16) -> &TransportMetrics {
-        self.transports[usize::from(member)].as_ref().expect("it is up").counts()
+        self.transports[usize::from(member)].as_ref().expect("the node is running").counts()
     }
 
     /// Asserts that each datagram received by this node was counted once.
     pub fn assert_each_datagram_is_counted_once(&self, member: u16) {
         let counts = self.counts(member);
-        let (h, d) = (&counts.received, &counts.dropped);
-        let heard = h.handshakes + h.message_datagrams + h.fragments + h.retransmission_requests;
+        let (r, d) = (&counts.received, &counts.dropped);
+        let accepted = r.handshakes + r.message_datagrams + r.fragments + r.retransmission_requests;
         let dropped =
             d.unknown_source + d.too_long + d.unsupported_version + d.corrupted + d.unreadable;
         let dropped = dropped + d.unconfirmed + d.previous_incarnation + d.duplicate + d.too_old;
         let received = self.received.get(&NodeId(member)).copied().unwrap_or(0);
-        assert_eq!(heard + dropped, received, "{counts:#?}");
+        assert_eq!(accepted + dropped, received, "{counts:#?}");
     }
 
-    /// Number of the node's own messages that have an outcome.
+    /// Returns the number of the node's own messages that have an outcome.
     pub fn finished_messages(&self, member: u16) -> u64 {
-        let w = &self.counts(member).messages;
-        w.sent
-            + w.no_such_peer
-            + w.too_long
-            + w.queue_full
-            + w.budget_timeout
-            + w.handshake_timeout
-            + w.previous_incarnation
-            + w.sequences_exhausted
+        let messages = &self.counts(member).messages;
+        messages.sent
+            + messages.no_such_peer
+            + messages.too_long
+            + messages.queue_full
+            + messages.budget_timeout
+            + messages.handshake_timeout
+            + messages.previous_incarnation
+            + messages.sequences_exhausted
     }
 }
--- a/crates/peer-transport/tests/network.rs
+++ b/crates/peer-transport/tests/network.rs
@@ -24,11 +24,11 @@
             net.send(from, to, length, mode);
         }
         if restarts > 0 && net.rng.rand_range(0..restarts) == 0 {
-            let who = net.rng.rand_range(0..u64::from(members)) as u16;
-            net.restart(who);
-            // Every third time two processes end at once.
+            let member = net.rng.rand_range(0..u64::from(members)) as u16;
+            net.restart(member);
+            // In every third step, two processes restart at once.
             if step % 3 == 0 {
-                net.restart((who + 1) % members);
+                net.restart((member + 1) % members);
             }
         }
         net.run(ms(5));
@@ -44,8 +44,8 @@
 
 /// Run with `cargo test -p hollowpaddle-peer-transport --test network -- --ignored`.
 #[test]
-#[ignore = "43 s: 5,000 days"]
-fn delivers_messages_as_promised_for_five_thousand_more_seeds() {
+#[ignore = "43 s: 5,000 seeds"]
+fn delivers_messages_as_guaranteed_for_five_thousand_more_seeds() {
     check_seeds(60..5_060);
 }
 
@@ -57,13 +57,18 @@
         (0..5).for_each(|m| net.assert_each_datagram_is_counted_once(m));
         assert!(net.delivered.len() > 100, "seed {seed}: {}", net.delivered.len());
         let all = net.ended.iter().chain((0..5).map(|m| net.counts(m)));
-        let (former, copies, torn) = all.fold((0, 0, 0), |(f, c, t), counts| {
-            let d = &counts.dropped;
-            (f + d.previous_incarnation, c + d.duplicate, t + d.corrupted + d.unsupported_version)
-        });
+        let (previous_incarnation, duplicates, corrupted) =
+            all.fold((0, 0, 0), |(f, c, t), counts| {
+                let d = &counts.dropped;
+                (
+                    f + d.previous_incarnation,
+                    c + d.duplicate,
+                    t + d.corrupted + d.unsupported_version,
+                )
+            });
         assert!(
-            former > 20 && copies > 50 && torn > 10,
-            "the run had too few faults: {former}, {copies}, {torn}"
+            previous_incarnation > 20 && duplicates > 50 && corrupted > 10,
+            "the run had too few faults: {previous_incarnation}, {duplicates}, {corrupted}"
         );
     }
 }
@@ -85,17 +90,17 @@
         let mut sent_messages = 0;
         for m in 0..5 {
             let counts = net.counts(m);
-            let w = &counts.messages;
-            let lost = w.too_long
-                + w.queue_full
-                + w.budget_timeout
-                + w.handshake_timeout
-                + w.previous_incarnation
-                + w.sequences_exhausted;
-            assert_eq!(lost, 0, "{w:?}");
-            sent_messages += w.sent;
+            let messages = &counts.messages;
+            let lost = messages.too_long
+                + messages.queue_full
+                + messages.budget_timeout
+                + messages.handshake_timeout
+                + messages.previous_incarnation
+                + messages.sequences_exhausted;
+            assert_eq!(lost, 0, "{messages:?}");
+            sent_messages += messages.sent;
             net.assert_each_datagram_is_counted_once(m);
-            let memory = net.transports[usize::from(m)].as_ref().expect("up").held();
+            let memory = net.transports[usize::from(m)].as_ref().expect("up").memory_usage();
             assert_eq!((memory.queued, memory.waiting, memory.incoming), (0, 0, 0));
         }
         let no_such_peer: u64 = (0..5).map(|m| net.counts(m).messages.no_such_peer).sum();
@@ -115,7 +120,7 @@
             seed,
             NetworkFaults { loss: 0.3, jitter_ms: 5, ..NetworkFaults::default() },
         );
-        // Short messages complete the handshake first.
+        // The handshake completes with short messages.
         (0..20).for_each(|_| {
             net.send(0, 1, 20, DeliveryMode::Normal);
             net.run(ms(100));
@@ -133,13 +138,13 @@
     took.sort();
     let (median, slowest) = (took[took.len() / 2], took[took.len() - 1]);
     println!(
-        "{received} of 200 words of 89 pieces, in {median:?}, {slowest:?} at most; {} datagrams",
+        "{received} of 200 messages of 89 fragments, in {median:?}, {slowest:?} at most; {} datagrams",
         cost / 200
     );
     assert!(received >= 199, "{received} of 200");
     assert!(
         cost / 200 < 160 && median < ms(600),
-        "{} datagrams for 89 pieces, {median:?}",
+        "{} datagrams for 89 fragments, {median:?}",
         cost / 200
     );
 }
@@ -172,7 +177,7 @@
     assert_eq!(
         (transport.incarnation(NodeId(0)), net.delivered.len()),
         (None, delivered),
-        "a nonce was replayed"
+        "a replayed response confirmed an incarnation"
     );
     assert!(
         transport.counts().received.stale_responses > 0
@@ -189,10 +194,10 @@
         net.run(ms(50));
         net.restart(0);
         net.restart(1);
-        let words =
+        let messages =
             [net.send(0, 1, 50, DeliveryMode::Normal), net.send(1, 0, 900, DeliveryMode::Normal)];
         net.run(ms(30));
-        for message in words {
+        for message in messages {
             assert!(net.delivered.contains_key(&message), "seed {seed}");
         }
     }
