--- a/crates/ctl/src/in_process.rs
+++ b/crates/ctl/src/in_process.rs
@@ -183,8 +183,8 @@
     fn sync_names(&self) -> io::Result<()> {
         Ok(())
     }
-    fn place(&self, name: &str) -> String {
-        self.directory.place(name)
+    fn display_path(&self, name: &str) -> String {
+        self.directory.display_path(name)
     }
 }
 
--- a/crates/snapshot/src/disk.rs
+++ b/crates/snapshot/src/disk.rs
@@ -1,44 +1,43 @@
-//! The steps that the store takes on the files of one directory, as an interface, so that tests can simulate a disk that
-//! is full, slow or gone.
+//! The file operations of the store, as an interface: tests simulate a disk that is full, slow or missing.
 
 use std::fs::{self, File};
 use std::io::{self, Read, Write};
 use std::path::PathBuf;
 
-/// Files of one directory. Names are plain file names. A process may die after each call.
+/// The files of one directory, by their plain file names. The process may be killed after any call.
 pub trait Disk: Send {
-    /// Reads a file, at most its first `most` bytes.
+    /// Reads at most the first `max_bytes` bytes of a file.
     ///
     /// # Errors
-    /// There is no such file, or it can't be read.
-    fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>>;
+    /// The file does not exist, or can't be read.
+    fn read(&self, name: &str, max_bytes: u64) -> io::Result<Vec<u8>>;
 
-    /// Replaces the content of a file, which is made where it is missing.
+    /// Replaces the content of a file, and creates the file if it is missing.
     ///
     /// # Errors
-    /// The file can't be written, and may have a part of the content.
+    /// The file can't be written, and may contain a part of the content.
     fn write(&self, name: &str, bytes: &[u8]) -> io::Result<()>;
 
-    /// Syncs the content of a file: it then survives a crash of the machine.
+    /// Syncs the content of a file, which then survives a crash of the machine.
     ///
     /// # Errors
-    /// The content may be lost with the machine.
+    /// The content may be lost if the machine crashes.
     fn sync(&self, name: &str) -> io::Result<()>;
 
-    /// Renames a file in one atomic step, and replaces a file that has the new name.
+    /// Renames a file atomically, and replaces a file that has the new name.
     ///
     /// # Errors
-    /// There is no such file, or it can't be renamed.
+    /// The file does not exist, or can't be renamed.
     fn rename(&self, from: &str, to: &str) -> io::Result<()>;
 
-    /// Syncs the directory: the names of its files then survive a crash of the machine.
+    /// Syncs the directory; the names of its files then survive a crash of the machine.
     ///
     /// # Errors
-    /// Renames may be lost with the machine.
+    /// Renames may be lost if the machine crashes.
     fn sync_names(&self) -> io::Result<()>;
 
-    /// The path of a file, for messages.
-    fn place(&self, name: &str) -> String;
+    /// Returns the path of a file, for messages.
+    fn display_path(&self, name: &str) -> String;
 }
 
 /// A directory of the file system.
@@ -46,10 +45,10 @@
 pub struct Directory(PathBuf);
 
 impl Directory {
-    /// Opens the directory, and makes it where it is missing.
+    /// Opens the directory, and creates it if it is missing.
     ///
     /// # Errors
-    /// The directory can't be made.
+    /// The directory can't be created.
     pub fn open(path: impl Into<PathBuf>) -> io::Result<Self> {
         let path = path.into();
         fs::create_dir_all(&path)?;
@@ -58,9 +57,9 @@
 }
 
 impl Disk for Directory {
-    fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>> {
+    fn read(&self, name: &str, max_bytes: u64) -> io::Result<Vec<u8>> {
         let mut bytes = Vec::new();
-        File::open(self.0.join(name))?.take(most).read_to_end(&mut bytes)?;
+        File::open(self.0.join(name))?.take(max_bytes).read_to_end(&mut bytes)?;
         Ok(bytes)
     }
 
@@ -82,7 +81,7 @@
         File::open(&self.0)?.sync_all()
     }
 
-    fn place(&self, name: &str) -> String {
+    fn display_path(&self, name: &str) -> String {
         self.0.join(name).display().to_string()
     }
 }
--- a/crates/snapshot/src/format.rs
+++ b/crates/snapshot/src/format.rs
@@ -1,6 +1,6 @@
-//! The content of a snapshot file: one line of JSON ([`Header`]), and the payload behind it.
+//! The content of a snapshot file: one line of JSON ([`Header`]), followed by the payload.
 //!
-//! The header says whose the payload is, when it was written and what it sums to. Files are left to the store.
+//! The header contains the owner of the payload, the time of writing and a checksum. The store manages the files.
 
 use std::io;
 use std::time::Duration;
@@ -9,43 +9,44 @@
 
 /// Version of the format. A file of another version is not used.
 pub const FORMAT_VERSION: u32 = 1;
-/// The longest payload, in bytes. Without a bound one absurd snapshot would take the memory of every start after it.
+/// The longest payload, in bytes. Without a bound, one oversized snapshot would use up the memory of every later start.
 pub const MAX_PAYLOAD_BYTES: usize = 8 << 20;
-/// The longest header, in bytes, with the end of its line.
+/// The longest header, in bytes, including its newline.
 const MAX_HEADER_BYTES: usize = 4 << 10;
-/// Bytes to read of a file: enough to tell that it is too long.
+/// Bytes that are read of a file: enough to detect that it is too long.
 pub(crate) const MAX_FILE_BYTES: u64 = (MAX_HEADER_BYTES + MAX_PAYLOAD_BYTES + 1) as u64;
-/// How far in the future a snapshot may lie, since clocks differ. Beyond, its age is unknown.
+/// How far in the future the time of a snapshot may be, since clocks differ. The age of a snapshot from further in the
+/// future is unknown.
 const MAX_CLOCK_SKEW: Duration = Duration::from_secs(5);
-/// Names the format in each header.
+/// Name of the format in each header.
 const FORMAT_NAME: &str = "hollowpaddle-snapshot";
 
-/// A snapshot that is what was saved.
+/// A complete and undamaged snapshot.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Snapshot {
-    /// Number of the save under this name, from 1 on.
+    /// Number of the save under this name, from 1.
     pub generation: u64,
-    /// Age by the wall clock of the process that loads it; 0 for one from the near future.
+    /// Age by the wall clock of the process that loads the snapshot; 0 for a snapshot from the near future.
     pub age: Duration,
     /// The bytes that were saved.
     pub payload: Vec<u8>,
 }
 
-/// Why a file is not used.
+/// Reason why a file is not used.
 #[derive(Debug, thiserror::Error)]
 pub enum SuspectState {
-    /// The file is something else, or its first line is damaged.
+    /// The file is not a snapshot, or its first line is damaged.
     #[error("its first line is not that of a snapshot ({0})")]
     NoHeader(String),
-    /// The file is cut off, or longer than its header says.
+    /// The file is shorter or longer than its header states.
     #[error("it holds {found} bytes behind its first line, and was written with {expected}")]
     Truncated {
-        /// Bytes of payload by the header.
+        /// Bytes of the payload according to the header.
         expected: usize,
-        /// Bytes of payload in the file.
+        /// Bytes of the payload in the file.
         found: usize,
     },
-    /// Some byte of the file has changed.
+    /// The file has changed since it was written.
     #[error("its sum is {found:08x}, and was written as {expected:08x}")]
     ChecksumMismatch {
         /// Checksum in the header.
@@ -59,10 +60,10 @@
     /// This build does not read this version of the format.
     #[error("it is of version {0}; this build reads {FORMAT_VERSION}")]
     Version(u32),
-    /// The file was written this much later than now, by the clock.
+    /// The file was written this long after the present time, by the clock.
     #[error("it is {} s from the future: a clock was set back", .0.as_secs())]
     FromFuture(Duration),
-    /// The file is of this age, and older than the caller allows.
+    /// The file has this age, which is more than the caller allows.
     #[error("it is {} s old", .0.as_secs())]
     Expired(Duration),
     /// The file can't be read.
@@ -76,7 +77,7 @@
     }
 }
 
-/// The part of a header that every version has. It is read first: a later version may have other keys.
+/// The part of a header that every version has. It is parsed first, since a later version may have other keys.
 #[derive(Deserialize)]
 #[serde(expecting = "struct Form")]
 struct FormatId {
@@ -92,11 +93,11 @@
     version: u32,
     name: String,
     generation: u64,
-    /// Milliseconds of Unix time.
+    /// Unix time in milliseconds.
     written_ms: u64,
     /// Bytes of the payload.
     length: usize,
-    /// CRC-32 (IEEE 802.3) of all values above, as [`Header::checksum`] prints them, and of the payload.
+    /// CRC-32 (IEEE 802.3) of all fields above, as [`Header::checksum`] formats them, and of the payload.
     crc32: u32,
 }
 
@@ -121,7 +122,7 @@
         serde_json::from_slice(line).map_err(|e| SuspectState::no_header(&e))
     }
 
-    /// Checks that the header describes this payload, and that the payload is what was written.
+    /// Checks the length and the checksum of the payload.
     fn check_payload(&self, payload: &[u8]) -> Result<(), SuspectState> {
         if self.length != payload.len() {
             return Err(SuspectState::Truncated { expected: self.length, found: payload.len() });
@@ -133,7 +134,7 @@
         Ok(())
     }
 
-    /// The age of the file at `now` (Unix time).
+    /// Returns the age of the file at `now` (Unix time).
     fn age(&self, now: Duration) -> Result<Duration, SuspectState> {
         let written = Duration::from_millis(self.written_ms);
         if written > now + MAX_CLOCK_SKEW {
@@ -143,7 +144,7 @@
     }
 }
 
-/// The content of a file for this payload, written at `now` (Unix time).
+/// Returns the content of a file with this payload, written at `now` (Unix time).
 pub(crate) fn encode(
     name: &str,
     generation: u64,
@@ -166,10 +167,10 @@
     Ok(bytes)
 }
 
-/// Reads the content of a file at `now` (Unix time).
+/// Decodes the content of a file at `now` (Unix time).
 ///
 /// # Errors
-/// The content is not a complete snapshot of this name, or older than `max_age`.
+/// The content is not a complete snapshot of this name, or is older than `max_age`.
 pub(crate) fn decode(
     bytes: &[u8],
     name: &str,
--- a/crates/snapshot/src/lib.rs
+++ b/crates/snapshot/src/lib.rs
@@ -1,16 +1,18 @@
-//! State of one process for the next: the newest snapshot and the one before it, complete, dated, named and bounded. What a
-//! snapshot contains, and who may trust it at which age, is left to its owner.
+//! Stores the state of a process for the next process of the same balancer. There are two files, the newest snapshot and the
+//! previous one; each is complete, bounded in size, and contains its time and the name of its owner. The owner defines the
+//! content of a snapshot, and decides at which age it may be trusted.
 //!
-//! Guarantees, whatever happens to a directory, each with the test under `tests/` that holds the package to it:
+//! The following guarantees hold whatever happens to the directory. Each names the test under `tests/` that checks it:
 //!
-//! 1. What [`Store::load`] returns is byte for byte what some [`Store::save`] under this name was given. A file that is cut
-//!    or changed at any place, another owner's or a later build's is named and set aside (`damage`).
-//! 2. After a kill at any step of a start or a save, or an error or a lost write of the disk there, the next start finds the
-//!    last save that was acknowledged, or a later one; where a file can't be read or its write was lost, the acknowledged
-//!    save before it (`kills`).
-//! 3. A directory that can't be read or written is an error that says so, without a panic and without loss of what is there
+//! 1. [`Store::load`] returns a payload byte for byte as it was passed to a [`Store::save`] under this name. A file that is
+//!    truncated or changed anywhere, or that belongs to another owner or a later build, is reported and set aside
 //!    (`damage`).
-//! 4. Saving never blocks ([`Saver`]): there is one slot, and the newest snapshot takes it (`saver`).
+//! 2. The process may be killed at any step of a start or a save, or the disk may fail or lose a write at that step. The next
+//!    start then finds the last acknowledged save, or a later one. If a file can't be read or its write was lost, the start
+//!    finds the acknowledged save before it (`kills`).
+//! 3. A directory that can't be read or written causes an error that says so, without a panic and without loss of the files
+//!    that it contains (`damage`).
+//! 4. Saving never blocks ([`Saver`]): there is one slot, in which a newer snapshot replaces an older one (`saver`).
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/snapshot/src/saver.rs
+++ b/crates/snapshot/src/saver.rs
@@ -1,5 +1,5 @@
-//! Saves snapshots on a thread of its own, so that the caller never waits for a disk. There is one slot, and the newest
-//! snapshot takes it.
+//! Saves snapshots on a separate thread, so that the caller never waits for a disk. There is one slot, in which a newer
+//! snapshot replaces an older one.
 
 use std::sync::{Arc, Condvar, Mutex, MutexGuard, PoisonError};
 use std::thread;
@@ -7,20 +7,20 @@
 
 use crate::{Store, StoreError};
 
-/// How saving goes.
+/// The state of saving.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub struct Status {
-    /// Generation of the last save, and its time (Unix time).
+    /// Generation and Unix time of the last successful save.
     pub saved: Option<(u64, Duration)>,
-    /// Why saving has failed since then.
+    /// Error of the last attempt to save, if the attempt failed.
     pub failure: Option<String>,
     /// Whether a snapshot is being written.
     pub is_writing: bool,
-    /// Snapshots that were never written, because a newer one came first.
+    /// Number of snapshots that were never written, because a newer one replaced them.
     pub superseded: u64,
 }
 
-/// Makes the payload, on the thread that saves it.
+/// Creates the payload, on the thread that saves it.
 type MakePayload = Box<dyn FnOnce() -> Vec<u8> + Send>;
 
 /// A snapshot that is to be saved.
@@ -43,12 +43,12 @@
 }
 
 impl Shared {
-    /// Locks the slot. No panic can leave it inconsistent, so a poisoned lock is as good as any.
+    /// Locks the slot. A panic can't leave the slot inconsistent, so a poisoned lock is used like any other.
     fn slot(&self) -> MutexGuard<'_, Slot> {
         self.slot.lock().unwrap_or_else(PoisonError::into_inner)
     }
 
-    /// Waits for a snapshot to save; `None` once the saver is gone and the slot is empty.
+    /// Waits for a snapshot to save. Returns `None` once the saver is dropped and the slot is empty.
     fn next_job(&self) -> Option<Job> {
         let mut slot = self.slot();
         loop {
@@ -63,7 +63,7 @@
         }
     }
 
-    /// Records the result of a save; the status after it.
+    /// Records the result of a save, and returns the new status.
     fn finish_job(&self, now: Duration, result: Result<u64, StoreError>) -> Status {
         let mut slot = self.slot();
         slot.status.is_writing = false;
@@ -78,7 +78,7 @@
     }
 }
 
-/// Handle on the thread that saves. Once it is dropped the thread saves what is in the slot, and ends.
+/// Handle to the thread that saves. After the handle is dropped, the thread saves the snapshot in the slot and ends.
 pub struct Saver(Arc<Shared>);
 
 impl Saver {
@@ -91,20 +91,20 @@
         mut on_status: impl FnMut(&Status) + Send + 'static,
     ) -> std::io::Result<Self> {
         let shared = Arc::<Shared>::default();
-        let of_thread = shared.clone();
+        let thread_shared = shared.clone();
         thread::Builder::new().name("snapshot".to_string()).spawn(move || {
-            while let Some(Job { now, make_payload }) = of_thread.next_job() {
+            while let Some(Job { now, make_payload }) = thread_shared.next_job() {
                 let result = store.save(now, &make_payload());
-                let status = of_thread.finish_job(now, result);
-                of_thread.changed.notify_all();
+                let status = thread_shared.finish_job(now, result);
+                thread_shared.changed.notify_all();
                 on_status(&status);
             }
         })?;
         Ok(Self(shared))
     }
 
-    /// Puts a snapshot as of `now` (Unix time) into the slot, in place of one that is not begun yet. `make_payload` is called
-    /// on the thread that saves. Never waits for a disk.
+    /// Puts a snapshot as of `now` (Unix time) into the slot, in place of a snapshot whose save has not begun. The thread
+    /// that saves calls `make_payload`. Never waits for a disk.
     pub fn save(&self, now: Duration, make_payload: impl FnOnce() -> Vec<u8> + Send + 'static) {
         let mut slot = self.0.slot();
         let superseded = slot.next.replace(Job { now, make_payload: Box::new(make_payload) });
@@ -113,12 +113,12 @@
         self.0.changed.notify_all();
     }
 
-    /// How saving goes.
+    /// Returns the state of saving.
     pub fn status(&self) -> Status {
         self.0.slot().status.clone()
     }
 
-    /// Whether the slot is empty and nothing is being written.
+    /// Returns whether the slot is empty and no snapshot is being written.
     pub fn is_idle(&self) -> bool {
         let slot = self.0.slot();
         slot.next.is_none() && !slot.status.is_writing
--- a/crates/snapshot/src/store.rs
+++ b/crates/snapshot/src/store.rs
@@ -1,7 +1,7 @@
-//! The files of one snapshot and the one before it.
+//! The files of the newest snapshot and the previous one.
 //!
 //! A save writes `snapshot.new`, syncs it, renames `snapshot` to `snapshot.before` and `snapshot.new` to `snapshot`, and
-//! syncs the directory. After each of these steps one of `snapshot` and `snapshot.before` is complete, if one ever was.
+//! syncs the directory. After each of these steps, `snapshot` or `snapshot.before` is complete, if a snapshot was ever saved.
 
 use std::io::{self, ErrorKind};
 use std::time::Duration;
@@ -13,18 +13,18 @@
 const PREVIOUS_FILE: &str = "snapshot.before";
 const NEW_FILE: &str = "snapshot.new";
 
-/// A file that is not used, and what was done with it.
+/// A file that is not used and was moved aside.
 #[derive(Debug)]
 pub struct SetAsideFile {
     /// Path of the file.
     pub file: String,
-    /// Why it is not used.
+    /// Reason why the file is not used.
     pub reason: SuspectState,
-    /// Path to which it was moved; `None` where it could not be moved.
+    /// Path to which the file was moved; `None` if it could not be moved.
     pub moved_to: Option<String>,
 }
 
-/// What a start finds.
+/// The result of loading a snapshot.
 #[derive(Debug, Default)]
 pub struct Found {
     /// The newest snapshot that can be used.
@@ -33,23 +33,23 @@
     pub aside: Vec<SetAsideFile>,
 }
 
-/// Why a snapshot could not be saved.
+/// Error of saving a snapshot.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// A step on a file failed.
+    /// An operation on a file failed.
     #[error(
-        "{file}: {doing}: {cause}; the directory must be this balancer's own, writable and with room"
+        "{file}: {step}: {cause}; the directory must be this balancer's own, writable and with room"
     )]
     Failed {
         /// Path of the file.
         file: String,
-        /// The step, as text for the message.
-        doing: &'static str,
-        /// What happened.
+        /// The operation, as text for the message.
+        step: &'static str,
+        /// Error of the operation.
         #[source]
         cause: io::Error,
     },
-    /// The payload has this many bytes, and is too long.
+    /// The payload is too long; this is its length in bytes.
     #[error("a snapshot of {0} bytes: {MAX_PAYLOAD_BYTES} are the most")]
     TooLong(usize),
 }
@@ -62,22 +62,22 @@
 }
 
 impl Store {
-    /// Uses the directory `disk` for the balancer of this name.
+    /// Creates the store of the balancer of this name, in the directory `disk`.
     pub fn new(disk: impl Disk + 'static, name: &str) -> Self {
         Self { disk: Box::new(disk), name: name.to_string(), generation: 0 }
     }
 
-    /// Loads the newest complete snapshot of this name that is at most `max_age` old at `now` (Unix time). Any other file is
-    /// set aside under one name, so that none pile up.
+    /// Loads the newest complete snapshot of this name that is at most `max_age` old at `now` (Unix time). Unusable files
+    /// are set aside, each under a fixed name, so that they do not accumulate.
     pub fn load(&mut self, now: Duration, max_age: Duration) -> Found {
         let mut found = Found::default();
         for file in [CURRENT_FILE, PREVIOUS_FILE] {
-            let read = match self.disk.read(file, MAX_FILE_BYTES) {
+            let decoded = match self.disk.read(file, MAX_FILE_BYTES) {
                 Err(e) if e.kind() == ErrorKind::NotFound => continue,
                 Err(cause) => Err(SuspectState::Unreadable(cause)),
                 Ok(bytes) => format::decode(&bytes, &self.name, now, max_age),
             };
-            match read {
+            match decoded {
                 Ok(snapshot) => {
                     self.generation = self.generation.max(snapshot.generation);
                     let is_newer = |s: &Snapshot| s.generation >= snapshot.generation;
@@ -94,14 +94,14 @@
     fn set_aside(&self, file: &str, reason: SuspectState) -> SetAsideFile {
         let aside = format!("{file}.aside");
         let is_moved = self.disk.rename(file, &aside).is_ok();
-        let moved_to = is_moved.then(|| self.disk.place(&aside));
-        SetAsideFile { file: self.disk.place(file), reason, moved_to }
+        let moved_to = is_moved.then(|| self.disk.display_path(&aside));
+        SetAsideFile { file: self.disk.display_path(file), reason, moved_to }
     }
 
-    /// Saves a snapshot at `now` (Unix time), and returns its generation. The one before it is kept.
+    /// Saves a snapshot at `now` (Unix time), and returns its generation. The previous snapshot is retained.
     ///
     /// # Errors
-    /// The payload is too long, or the directory can't take it; the two snapshots of before are then still there.
+    /// The payload is too long, or an operation on a file failed. The two earlier snapshots then still exist.
     pub fn save(&mut self, now: Duration, payload: &[u8]) -> Result<u64, StoreError> {
         if payload.len() > MAX_PAYLOAD_BYTES {
             return Err(StoreError::TooLong(payload.len()));
@@ -125,7 +125,7 @@
         Ok(generation)
     }
 
-    fn failed(&self, file: &str, doing: &'static str, cause: io::Error) -> StoreError {
-        StoreError::Failed { file: self.disk.place(file), doing, cause }
+    fn failed(&self, file: &str, step: &'static str, cause: io::Error) -> StoreError {
+        StoreError::Failed { file: self.disk.display_path(file), step, cause }
     }
 }
--- a/crates/snapshot/tests/damage.rs
+++ b/crates/snapshot/tests/damage.rs
@@ -1,4 +1,4 @@
-//! Whatever happens to the files: what is loaded is what was saved, or nothing, and whoever loads is message which and why.
+//! Damaged files: a start loads a snapshot exactly as it was saved, or none, and reports each rejected file with the reason.
 
 use std::collections::BTreeMap;
 use std::path::Path;
@@ -36,9 +36,9 @@
 }
 
 impl Disk for Memory {
-    fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>> {
+    fn read(&self, name: &str, max_bytes: u64) -> io::Result<Vec<u8>> {
         let mut bytes = self.get(name).ok_or(io::ErrorKind::NotFound)?;
-        bytes.truncate(most as usize);
+        bytes.truncate(max_bytes as usize);
         Ok(bytes)
     }
     fn write(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
@@ -56,7 +56,7 @@
     fn sync_names(&self) -> io::Result<()> {
         Ok(())
     }
-    fn place(&self, name: &str) -> String {
+    fn display_path(&self, name: &str) -> String {
         name.to_string()
     }
 }
@@ -69,16 +69,16 @@
     tempfile::tempdir().expect("a directory")
 }
 
-/// The payload that a start finds, and how many files it sets aside.
+/// Returns the payload that a start finds, and the number of files that it sets aside.
 fn found(dir: &Path) -> (Option<Vec<u8>>, usize) {
     let found = store(dir, "n0").load(NOW, DAY);
     (found.snapshot.map(|s| s.payload), found.aside.len())
 }
 
 #[test]
-fn newest_snapshot_is_loaded_with_its_age_and_generations_go_on() {
+fn newest_snapshot_is_loaded_with_its_age_and_generations_continue() {
     let dir = dir();
-    assert_eq!(found(dir.path()), (None, 0), "nothing is no damage");
+    assert_eq!(found(dir.path()), (None, 0), "an empty directory is not damaged");
     let mut one = store(dir.path(), "n0");
     assert_eq!(one.save(NOW, b"first").expect("saved"), 1);
     assert_eq!(one.save(NOW + Duration::from_secs(5), b"second").expect("saved"), 2);
@@ -92,7 +92,7 @@
 }
 
 #[test]
-fn file_cut_at_any_byte_gives_the_snapshot_before_or_none() {
+fn file_truncated_at_any_byte_gives_the_previous_snapshot_or_none() {
     let dir = Memory::default();
     let mut one = dir.store("n0");
     one.save(NOW, b"the one before").expect("saved");
@@ -100,9 +100,9 @@
     let complete = dir.get("snapshot").expect("there");
     for at in 0..complete.len() {
         dir.put("snapshot", &complete[..at]);
-        assert_eq!(dir.found(), (Some(b"the one before".to_vec()), 1), "cut at {at}");
-        assert_eq!(dir.get("snapshot.aside").expect("kept"), complete[..at]);
-        assert_eq!(dir.get("snapshot"), None, "it is out of the way");
+        assert_eq!(dir.found(), (Some(b"the one before".to_vec()), 1), "truncated at {at}");
+        assert_eq!(dir.get("snapshot.aside").expect("set aside"), complete[..at]);
+        assert_eq!(dir.get("snapshot"), None, "the file was moved");
     }
     dir.put("snapshot", &[&complete[..], b"x"].concat());
     assert_eq!(dir.found().1, 1);
@@ -127,12 +127,16 @@
 fn reason_is_given_for_wrong_owner_version_age_and_future() {
     let dir = dir();
     let path = dir.path().join("snapshot");
-    let reason = |now: Duration, oldest| {
-        let mut found = store(dir.path(), "n0").load(now, oldest);
+    let reason = |now: Duration, max_age| {
+        let mut found = store(dir.path(), "n0").load(now, max_age);
         assert!(found.snapshot.is_none() && found.aside.len() == 1);
         let aside = found.aside.remove(0);
         assert!(aside.file.ends_with("snapshot"));
-        assert_eq!(aside.moved_to.is_none(), path.exists(), "moved, or where it was");
+        assert_eq!(
+            aside.moved_to.is_none(),
+            path.exists(),
+            "the file was moved, or is still at its path"
+        );
         aside.reason
     };
     store(dir.path(), "n1").save(NOW, b"x").expect("saved");
@@ -146,9 +150,9 @@
     assert!(matches!(reason(NOW, DAY), SuspectState::Version(2)));
     fs::write(&path, "{\"form\":\"other\",\"version\":1}\nx").expect("written");
     assert!(matches!(reason(NOW, DAY), SuspectState::NoHeader(_)));
-    fs::create_dir(&path).expect("a directory in its place");
+    fs::create_dir(&path).expect("a directory of the same name");
     assert!(matches!(reason(NOW, DAY), SuspectState::Unreadable(_)));
-    fs::remove_dir(&path).expect("out of the way");
+    fs::remove_dir(&path).expect("removed");
     // A small difference of clocks is no reason to set a snapshot aside.
     store(dir.path(), "n0").save(NOW + Duration::from_secs(3), b"x").expect("saved");
     assert_eq!(found(dir.path()), (Some(b"x".to_vec()), 0));
@@ -161,15 +165,15 @@
     one.save(NOW, b"kept").expect("saved");
     let long = vec![0; MAX_PAYLOAD_BYTES + 1];
     assert!(matches!(one.save(NOW, &long), Err(StoreError::TooLong(_))));
-    fs::create_dir(dir.path().join("snapshot.new")).expect("in the way");
-    let message = one.save(NOW, b"lost").expect_err("in the way").to_string();
+    fs::create_dir(dir.path().join("snapshot.new")).expect("blocked");
+    let message = one.save(NOW, b"lost").expect_err("blocked").to_string();
     assert!(
         message.contains("snapshot.new: written: ") && message.contains("writable and with room"),
         "{message}"
     );
     assert_eq!(found(dir.path()), (Some(b"kept".to_vec()), 0));
-    fs::remove_dir(dir.path().join("snapshot.new")).expect("out of the way");
-    // Removed under way, the directory is made again.
+    fs::remove_dir(dir.path().join("snapshot.new")).expect("removed");
+    // A directory that was removed while the store is in use is created again.
     fs::remove_dir_all(dir.path()).expect("removed");
     one.save(NOW, b"again").expect("saved");
     assert_eq!(found(dir.path()), (Some(b"again".to_vec()), 0));
--- a/crates/snapshot/tests/formats.rs
+++ b/crates/snapshot/tests/formats.rs
@@ -44,13 +44,13 @@
         let directory = tempfile::tempdir().expect("a directory");
         fs::write(directory.path().join(file), container).expect("written");
         let found = store(directory.path(), NAME).load(WRITTEN + DAY, DAY);
-        let snapshot = found.snapshot.expect("believed");
+        let snapshot = found.snapshot.expect("accepted");
         assert_eq!((snapshot.generation, &snapshot.payload[..]), (generation, payload));
     }
 }
 
 #[test]
-fn unreadable_container_is_renamed_and_its_file_before_the_rename_keeps_its_name() {
+fn unreadable_container_is_set_aside_and_file_names_are_unchanged() {
     let directory = tempfile::tempdir().expect("a directory");
     for file in ["snapshot", "snapshot.before"] {
         fs::write(directory.path().join(file), file).expect("written");
@@ -60,14 +60,14 @@
     for file in ["snapshot", "snapshot.before"] {
         assert_eq!(read(directory.path(), &format!("{file}.aside")), file.as_bytes());
     }
-    // A directory in the place of the file that is written first is in the way.
+    // A directory with the name of the file that is written first blocks the save.
     fs::create_dir(directory.path().join("snapshot.new")).expect("a directory");
-    let error = store.save(WRITTEN, FIRST_PAYLOAD).expect_err("in the way").to_string();
+    let error = store.save(WRITTEN, FIRST_PAYLOAD).expect_err("blocked").to_string();
     assert!(error.contains("/snapshot.new: written: "), "{error}");
 }
 
-/// The reason why these bytes are not believed by the balancer of this name at this time.
-fn reason(bytes: &[u8], name: &str, now: Duration) -> String {
+/// Returns the reason why the balancer of this name rejects these bytes at this time.
+fn rejection_reason(bytes: &[u8], name: &str, now: Duration) -> String {
     let directory = tempfile::tempdir().expect("a directory");
     fs::write(directory.path().join("snapshot"), bytes).expect("written");
     let found = store(directory.path(), name).load(now, DAY);
@@ -75,13 +75,13 @@
 }
 
 #[test]
-fn reasons_to_refuse_a_container_keep_their_text() {
+fn reasons_to_reject_a_container_keep_their_text() {
     let mut changed = FIRST.to_vec();
     *changed.last_mut().expect("a payload") ^= 1;
     let text = std::str::from_utf8(FIRST).expect("UTF-8");
     let later = text.replacen("\"version\":1", "\"version\":2", 1);
     let other = text.replacen("hollowpaddle-snapshot", "tar", 1);
-    let head_with_more = text.replacen("\"crc32\"", "\"more\":0,\"crc32\"", 1);
+    let header_with_unknown_field = text.replacen("\"crc32\"", "\"more\":0,\"crc32\"", 1);
     for (bytes, name, now, expected) in [
         (&b"x"[..], NAME, WRITTEN, "its first line is not that of a snapshot (it has no end)"),
         (
@@ -102,9 +102,9 @@
         (FIRST, NAME, WRITTEN - DAY, "it is 86400 s from the future: a clock was set back"),
         (FIRST, NAME, WRITTEN + 2 * DAY, "it is 172800 s old"),
     ] {
-        assert_eq!(reason(bytes, name, now), expected);
+        assert_eq!(rejection_reason(bytes, name, now), expected);
     }
-    let message = reason(head_with_more.as_bytes(), NAME, WRITTEN);
+    let message = rejection_reason(header_with_unknown_field.as_bytes(), NAME, WRITTEN);
     assert!(message.contains("unknown field `more`"), "{message}");
     let unreadable = SuspectState::Unreadable(io::Error::other("EIO"));
     assert_eq!(unreadable.to_string(), "it can't be read (EIO)");
--- a/crates/snapshot/tests/kills.rs
+++ b/crates/snapshot/tests/kills.rs
@@ -1,6 +1,5 @@
-//! Each fault at each step of a start and of saves, on a simulated disk
-//! and, killed and refused, in real processes: the next start finds the last save that was acknowledged, or a
-//! later one.
+//! Injects each fault at each step of a start and of saves, on a simulated disk and in real processes that are
+//! killed or whose file operations fail. The next start must find the last acknowledged save, or a later one.
 
 use std::env;
 use std::io;
@@ -23,12 +22,12 @@
     sync_names: "snapshot.sync-names",
 };
 
-/// The simulated disk, as the store uses one.
+/// A simulated disk that implements the interface of the store.
 struct SimulatedDisk(disk::Disk);
 
 impl Disk for SimulatedDisk {
-    fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>> {
-        self.0.read(name, most as usize)
+    fn read(&self, name: &str, max_bytes: u64) -> io::Result<Vec<u8>> {
+        self.0.read(name, max_bytes as usize)
     }
     fn write(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
         self.0.write(name, bytes)
@@ -42,17 +41,17 @@
     fn sync_names(&self) -> io::Result<()> {
         self.0.sync_names()
     }
-    fn place(&self, name: &str) -> String {
+    fn display_path(&self, name: &str) -> String {
         name.to_string()
     }
 }
 
-/// A real directory whose steps pass failpoints.
+/// A real directory whose operations pass failpoints.
 struct FailingDirectory(Directory, Points);
 
 impl FailingDirectory {
-    /// Passes one: an error, or whether half of it is to be done.
-    fn meet(&self, name: &'static str, kind: Kind) -> io::Result<Option<Fault>> {
+    /// Passes a failpoint. Returns its error, or the fault that makes the operation do only half of its work.
+    fn pass(&self, name: &'static str, kind: Kind) -> io::Result<Option<Fault>> {
         let fault = self.1.meet(name, kind);
         match fault.filter(|f| *f != Fault::Short).and_then(Fault::error) {
             Some(error) => Err(error),
@@ -62,35 +61,35 @@
 }
 
 impl Disk for FailingDirectory {
-    fn read(&self, name: &str, most: u64) -> io::Result<Vec<u8>> {
-        let fault = self.meet(NAMES.read, Kind::Read)?;
-        let mut bytes = self.0.read(name, most)?;
+    fn read(&self, name: &str, max_bytes: u64) -> io::Result<Vec<u8>> {
+        let fault = self.pass(NAMES.read, Kind::Read)?;
+        let mut bytes = self.0.read(name, max_bytes)?;
         if fault.is_some() {
             bytes.truncate(bytes.len() / 2);
         }
         Ok(bytes)
     }
     fn write(&self, name: &str, bytes: &[u8]) -> io::Result<()> {
-        let fault = self.meet(NAMES.write, Kind::Write)?;
+        let fault = self.pass(NAMES.write, Kind::Write)?;
         self.0.write(name, &bytes[..bytes.len() / 2])?;
         if let Some(error) = fault.and_then(Fault::error) {
             return Err(error);
         }
-        self.meet("snapshot.half-written", Kind::Step)?;
+        self.pass("snapshot.half-written", Kind::Step)?;
         self.0.write(name, bytes)
     }
     fn sync(&self, name: &str) -> io::Result<()> {
-        // A lie is for the played disk: a process that ends takes nothing of what it wrote with it.
-        self.meet(NAMES.sync, Kind::Sync).and_then(|_| self.0.sync(name))
+        // Only the simulated disk can report a sync that did not happen: the writes of a process survive its end.
+        self.pass(NAMES.sync, Kind::Sync).and_then(|_| self.0.sync(name))
     }
     fn rename(&self, from: &str, to: &str) -> io::Result<()> {
-        self.meet(NAMES.rename, Kind::Rename).and_then(|_| self.0.rename(from, to))
+        self.pass(NAMES.rename, Kind::Rename).and_then(|_| self.0.rename(from, to))
     }
     fn sync_names(&self) -> io::Result<()> {
-        self.meet(NAMES.sync_names, Kind::SyncNames).and_then(|_| self.0.sync_names())
+        self.pass(NAMES.sync_names, Kind::SyncNames).and_then(|_| self.0.sync_names())
     }
-    fn place(&self, name: &str) -> String {
-        self.0.place(name)
+    fn display_path(&self, name: &str) -> String {
+        self.0.display_path(name)
     }
 }
 
@@ -98,7 +97,7 @@
     format!("payload {n} ").repeat(100).into_bytes()
 }
 
-/// What was saved so far, the n-th with payload n: whether the save was acknowledged.
+/// The saves so far, the n-th with payload n: whether each was acknowledged.
 #[derive(Default)]
 struct Saves(Vec<bool>);
 
@@ -108,24 +107,24 @@
         self.0.push(result.is_ok());
     }
 
-    /// What was found must be the last acknowledged save, or a later one; where so many files were spoilt
-    /// under it, one before that, or nothing for both.
-    fn check(&self, found: Option<&Snapshot>, spoilt: usize) -> Result<(), String> {
+    /// Checks that a start found the last acknowledged save, or a later one. Each damaged file allows the
+    /// acknowledged save before that; two damaged files also allow that no snapshot is found.
+    fn check(&self, found: Option<&Snapshot>, damaged: usize) -> Result<(), String> {
         let acknowledged = || (0..self.0.len()).rev().filter(|n| self.0[*n]);
-        let from = acknowledged().nth(spoilt).unwrap_or(0);
+        let from = acknowledged().nth(damaged).unwrap_or(0);
         let payload_of = |n: &usize| found.is_some_and(|s| s.payload == payload(*n));
-        let is_it = (from..self.0.len()).any(|n| payload_of(&n));
-        if is_it || found.is_none() && spoilt > 1 {
+        let is_expected = (from..self.0.len()).any(|n| payload_of(&n));
+        if is_expected || found.is_none() && damaged > 1 {
             return Ok(());
         }
-        let which = (0..self.0.len()).find(payload_of);
+        let found_save = (0..self.0.len()).find(payload_of);
         let (last, all) = (acknowledged().next(), self.0.len());
-        Err(format!("found the save {which:?}; the last acknowledged was {last:?} of {all}"))
+        Err(format!("found the save {found_save:?}; the last acknowledged was {last:?} of {all}"))
     }
 }
 
-/// A start on two saves, two more of its own, the machine's end, another start.
-fn simulated(points: &Points, left: Left) -> Result<(), String> {
+/// Simulates a start after two saves, two more saves, a crash of the machine, and another start.
+fn run_on_simulated_disk(points: &Points, left: Left) -> Result<(), String> {
     let faulty = disk::Disk::with_names(points, NAMES);
     let sound = faulty.passing(&Points::none());
     let start = |disk: &disk::Disk| Store::new(SimulatedDisk(disk.clone()), "n0");
@@ -135,7 +134,7 @@
 
     let mut store = start(&faulty);
     let found = store.load(NOW, DAY);
-    // A file that could not be read was set aside; one whose sync was a lie may be gone.
+    // A file that could not be read was set aside; a file whose sync did not happen may be lost.
     let faults_that =
         |what: fn(&Passed) -> bool| points.passed().iter().filter(|p| what(p)).count();
     let unread =
@@ -153,12 +152,12 @@
     if lies == 0 && !found.aside.is_empty() {
         return Err(format!("set aside: {:?}", found.aside));
     }
-    // Whole again: the next save is kept, and nothing of what lies about is in its way.
+    // The directory is usable again: the next save is retained, whatever other files are left.
     saves.save(&mut store);
     sound.crash(Left::Synced);
     let found = start(&sound).load(NOW, DAY);
     if saves.0.last() != Some(&true) || lies == 0 && !found.aside.is_empty() {
-        return Err(format!("not whole: {:?} set aside", found.aside));
+        return Err(format!("not usable: {:?} set aside", found.aside));
     }
     saves.check(found.snapshot.as_ref(), 0)
 }
@@ -167,15 +166,16 @@
 fn fault_at_any_step_leaves_the_last_acknowledged_save_or_a_later_one() {
     let lefts = [Left::All, Left::Synced, Left::Torn].into_iter().chain((1..=5).map(Left::Drawn));
     for left in lefts {
-        let report = InTurn::all().and_pairs(7, 40).run(|points| simulated(points, left));
+        let report =
+            InTurn::all().and_pairs(7, 40).run(|points| run_on_simulated_disk(points, left));
         eprintln!("simulated, {left:?} left: {report}");
         assert!(report.is_clean(), "{left:?} left: {report}");
-        // Two reads; and a write, two syncs and two renames a save.
+        // Two reads, and for each save a write, two syncs and two renames.
         assert_eq!(report.points.len(), 12, "{report}");
     }
 }
 
-/// In the process that fails: a start and two saves. Does nothing in the test's own process.
+/// Runs a start and two saves in the process that fails. Does nothing in the process of the test itself.
 #[test]
 fn starts_and_saves() {
     let Ok(place) = env::var(PLACE) else { return };
@@ -190,19 +190,20 @@
     }
 }
 
-/// Environment variables that tell the test's own program, started once more, where it saves, and what.
+/// Environment variables for a further process of this test program: the directory, and the number of the first
+/// save.
 const PLACE: &str = "SNAPSHOT_SAVED_IN";
 const FROM: &str = "SNAPSHOT_SAVED_FROM";
 
-/// Three processes one after another, the second of them with a fault, and a start.
-fn in_processes(points: &Points) -> Result<(), String> {
+/// Runs three processes one after another, the second of them with a fault, and then a start.
+fn run_in_processes(points: &Points) -> Result<(), String> {
     let dir = tempfile::tempdir().map_err(|e| e.to_string())?;
     let (place, trace) = (dir.path().join("state"), dir.path().join("trace"));
     let mut saves = Saves::default();
     for process in 0..3 {
         let none = Points::none();
         let points = if process == 1 { points } else { &none };
-        one_process(points, &place, &trace, &mut saves)?;
+        run_process(points, &place, &trace, &mut saves)?;
     }
     let mut store = Store::new(Directory::open(&place).map_err(|e| e.to_string())?, "n0");
     let found = store.load(NOW, DAY);
@@ -210,7 +211,7 @@
     if found.aside.is_empty() { Ok(()) } else { Err(format!("set aside: {:?}", found.aside)) }
 }
 
-fn one_process(
+fn run_process(
     points: &Points,
     place: &Path,
     trace: &Path,
@@ -230,23 +231,23 @@
     points.take_in(trace).map_err(|e| e.to_string())?;
     let text = String::from_utf8_lossy(&output.stdout);
     for n in from..from + 2 {
-        // Begun as far as anybody knows: a process that was killed says nothing of what it did last.
+        // A process that was killed may have begun a save that it did not report.
         saves.0.push(text.contains(&format!("save {n}: yes")));
     }
     let killed = points.passed().iter().any(|p| p.fault == Some(Fault::Crash));
     match (output.status.signal(), output.status.success()) {
         (Some(9), _) if killed => Ok(()),
         (None, true) if !killed => Ok(()),
-        _ => Err(format!("it ended by itself: {}, {text}", output.status)),
+        _ => Err(format!("the process ended unexpectedly: {}, {text}", output.status)),
     }
 }
 
 #[test]
 fn process_killed_or_refused_at_any_step_leaves_the_last_acknowledged_save_or_a_later_one() {
     let faults = [Fault::Crash, Fault::NoSpace, Fault::Io, Fault::Short];
-    let report: Report = InTurn::all().only(&faults).run(in_processes);
+    let report: Report = InTurn::all().only(&faults).run(run_in_processes);
     eprintln!("in processes: {report}");
     assert!(report.is_clean(), "{report}");
-    // As played, and one in the middle of each write.
+    // The steps of the simulated disk, and one in the middle of each write.
     assert_eq!(report.points.len(), 14, "{report}");
 }
