--- a/crates/gateway/src/clients/accept.rs
+++ b/crates/gateway/src/clients/accept.rs
@@ -160,7 +160,7 @@
                 tracing::warn!(%cause, "accept failed");
                 match AcceptFailure::of(&cause) {
                     AcceptFailure::Connection => AcceptOutcome::Aborted,
-                    AcceptFailure::NoRoom => AcceptOutcome::NoResources,
+                    AcceptFailure::NoResources => AcceptOutcome::NoResources,
                 }
             }
         }
--- a/crates/gateway/src/cluster/runtime.rs
+++ b/crates/gateway/src/cluster/runtime.rs
@@ -11,7 +11,7 @@
 use std::time::Duration;
 
 use hollowpaddle_failpoints::{Fault, Kind, Points};
-use hollowpaddle_net::{DATAGRAM, Datagrams, Network, receive};
+use hollowpaddle_net::{Datagrams, MAX_DATAGRAM_BYTES, Network, receive};
 use hollowpaddle_peer_transport::NodeId;
 use hollowpaddle_revision::in_force::InForce;
 use rustc_hash::FxHashMap;
@@ -109,7 +109,7 @@
         let mut socket = self.bind(&*network).await;
         tracing::info!(listen = %self.listen, peers = self.peers.len(), "joined the cluster");
         let mut state = RunState::new(&self.peers);
-        let mut bytes = [0; DATAGRAM];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES];
         self.dispatch(Event::Due, &mut state, &*socket).await;
         loop {
             state.admin_calls.answer_expired();
--- a/crates/gateway/src/config/file.rs
+++ b/crates/gateway/src/config/file.rs
@@ -50,9 +50,9 @@
 #[derive(Deserialize)]
 #[serde(deny_unknown_fields)]
 pub(super) struct FileSubset {
-    #[serde(default = "Size::usual_times")]
+    #[serde(default = "Size::default_times")]
     pub(super) times: f64,
-    #[serde(default = "Size::usual_least")]
+    #[serde(default = "Size::default_min_upstreams")]
     pub(super) least: usize,
 }
 
@@ -84,7 +84,7 @@
         let subset = self.subset.as_ref()?;
         let window = self.settings.services.iter().map(|s| s.window).fold(0.0, f64::max);
         let linger = hollowpaddle_policy::settings::span(window).0;
-        Some(Size { times: subset.times, least: subset.least, linger, ..Size::default() })
+        Some(Size { times: subset.times, min_upstreams: subset.least, linger, ..Size::default() })
     }
 }
 
--- a/crates/gateway/src/state_store.rs
+++ b/crates/gateway/src/state_store.rs
@@ -180,7 +180,7 @@
             sleep(SAVE_INTERVAL).await;
             if !is_settled && self.started_at.elapsed() >= SETTLED_AFTER {
                 is_settled = true;
-                self.payload.borrow_mut().starts.settled();
+                self.payload.borrow_mut().starts.record_settled();
             }
             self.update().await;
             self.save();
@@ -233,7 +233,7 @@
         self.update().await;
         {
             let mut payload = self.payload.borrow_mut();
-            payload.starts.ended_in_order();
+            payload.starts.record_orderly_end();
             payload.operator_copy.get_or_insert_default().is_final = true;
         }
         self.save();
--- a/crates/gateway/src/subsetting/tests.rs
+++ b/crates/gateway/src/subsetting/tests.rs
@@ -11,7 +11,7 @@
 }
 
 fn subsetting() -> Subsetting {
-    let size = Size { times: 1.0, least: 16, linger: 1000, well: 0.5 };
+    let size = Size { times: 1.0, min_upstreams: 16, linger: 1000, min_healthy_share: 0.5 };
     Subsetting::new(size, Cluster { balancers: 10, position: 0 }).expect("a size")
 }
 
--- a/crates/gateway/tests/attempts/harness.rs
+++ b/crates/gateway/tests/attempts/harness.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use hollowpaddle_gateway::{Config, Resources, serve};
-use hollowpaddle_net::{Datagrams, Listener, Network, Soon, Stream, accept};
+use hollowpaddle_net::{Datagrams, Listener, LocalBoxFuture, Network, Stream, accept};
 use hollowpaddle_simnet::Fabric;
 use serde_json::{Value, json};
 use tokio::io::{AsyncRead, AsyncReadExt, AsyncWrite, AsyncWriteExt, ReadBuf};
@@ -87,7 +87,7 @@
 }
 
 impl Network for ControlledNetwork {
-    fn connect(&self, to: SocketAddr) -> Soon<'_, io::Result<Box<dyn Stream>>> {
+    fn connect(&self, to: SocketAddr) -> LocalBoxFuture<'_, io::Result<Box<dyn Stream>>> {
         if to == socket_address(DISCOVERY) {
             return self.inner.connect(to);
         }
--- a/crates/gateway/tests/discovery.rs
+++ b/crates/gateway/tests/discovery.rs
@@ -79,7 +79,7 @@
         loop {
             let mut listener = network.listen(at(2)).expect("free");
             while !self.refuses.get() {
-                listener.hush(self.vanished.get());
+                listener.set_silent(self.vanished.get());
                 tokio::select! {
                     biased;
                     accepted = accept(&mut *listener) => {
--- a/crates/gateway/tests/orders/peers.rs
+++ b/crates/gateway/tests/orders/peers.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use hollowpaddle_gateway::{Config, Resources, serve};
-use hollowpaddle_net::{Datagrams, Listener, Network, Soon, Stream, accept};
+use hollowpaddle_net::{Datagrams, Listener, LocalBoxFuture, Network, Stream, accept};
 use hollowpaddle_simnet::Fabric;
 use serde_json::{Value, json};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
@@ -236,7 +236,7 @@
 }
 
 impl Network for DelayedNetwork {
-    fn connect(&self, to: SocketAddr) -> Soon<'_, io::Result<Box<dyn Stream>>> {
+    fn connect(&self, to: SocketAddr) -> LocalBoxFuture<'_, io::Result<Box<dyn Stream>>> {
         Box::pin(async move {
             let number = (0..self.upstreams.len()).find(|u| upstream(*u) == to);
             if let Some((u, delays)) = number.map(|u| (u, &self.upstreams[u].connect_delays)) {
--- a/crates/net/src/errors.rs
+++ b/crates/net/src/errors.rs
@@ -31,7 +31,7 @@
     /// accepted at once.
     Connection,
     /// This machine or process lacks resources. Others wait, and can be accepted once there are some.
-    NoRoom,
+    NoResources,
 }
 
 impl AcceptFailure {
@@ -52,7 +52,7 @@
         ];
         match error.raw_os_error() {
             Some(code) if OF_CONNECTION.contains(&code) => Self::Connection,
-            _ => Self::NoRoom,
+            _ => Self::NoResources,
         }
     }
 }
--- a/crates/net/src/errors/tests.rs
+++ b/crates/net/src/errors/tests.rs
@@ -33,7 +33,7 @@
     for code in [libc::EMFILE, libc::ENFILE, libc::ENOBUFS, libc::ENOMEM, libc::EINVAL] {
         assert_eq!(
             AcceptFailure::of(&Error::from_raw_os_error(code)),
-            AcceptFailure::NoRoom,
+            AcceptFailure::NoResources,
             "{code}"
         );
     }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -20,10 +20,10 @@
 
 pub use errors::{AcceptFailure, is_local, is_transient};
 pub use tcp::Tcp;
-pub use udp::too_long;
+pub use udp::datagram_too_long;
 
 /// A boxed future that stays on its thread.
-pub type Soon<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
+pub type LocalBoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
 /// One connection. Dropped, it is closed in order if nothing is unread, and reset otherwise, as by the kernel.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin {
@@ -59,30 +59,30 @@
     /// The address that it listens at, with the chosen port if 0 was asked for.
     fn local_addr(&self) -> SocketAddr;
 
-    /// While hushed, new connections neither come up nor are refused, as with a machine that has vanished. For stand-ins in
+    /// While silent, new connections neither come up nor are refused, as with a machine that has vanished. For stand-ins in
     /// tests.
-    fn hush(&mut self, hushed: bool);
+    fn set_silent(&mut self, silent: bool);
 }
 
 /// The longest datagram between balancers, in bytes (PROTOCOL, 'Between balancers').
-pub const DATAGRAM: usize = 256;
+pub const MAX_DATAGRAM_BYTES: usize = 256;
 
 /// A socket for datagrams, which may be lost, late, duplicated and out of order.
 pub trait Datagrams {
-    /// Receives the next datagram. Returns its length and its sender. One longer than [`DATAGRAM`] is dropped.
+    /// Receives the next datagram. Returns its length and its sender. One longer than [`MAX_DATAGRAM_BYTES`] is dropped.
     ///
     /// # Errors
     /// Those of recvfrom(2). None of them is a reason to give the socket up.
     fn poll_receive(
         &mut self,
         cx: &mut Context<'_>,
-        into: &mut [u8; DATAGRAM],
+        into: &mut [u8; MAX_DATAGRAM_BYTES],
     ) -> Poll<io::Result<(usize, SocketAddr)>>;
 
     /// Sends a datagram without waiting: one for which there is no buffer is lost, as any other may be.
     ///
     /// # Errors
-    /// The datagram is longer than [`DATAGRAM`] ([`too_long`]), or was not sent. Whether one that was sent arrives is not
+    /// The datagram is longer than [`MAX_DATAGRAM_BYTES`] ([`datagram_too_long`]), or was not sent. Whether one that was sent arrives is not
     /// known.
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()>;
 
@@ -96,7 +96,7 @@
     ///
     /// # Errors
     /// Those of socket(2) and connect(2). [`is_local`] tells errors of this machine from those of the peer.
-    fn connect(&self, to: SocketAddr) -> Soon<'_, io::Result<Box<dyn Stream>>>;
+    fn connect(&self, to: SocketAddr) -> LocalBoxFuture<'_, io::Result<Box<dyn Stream>>>;
 
     /// Listens at an address. One that another listener of this process has just left can be used again at once.
     ///
@@ -128,7 +128,7 @@
 /// See [`Datagrams::poll_receive`].
 pub async fn receive(
     at: &mut dyn Datagrams,
-    into: &mut [u8; DATAGRAM],
+    into: &mut [u8; MAX_DATAGRAM_BYTES],
 ) -> io::Result<(usize, SocketAddr)> {
     std::future::poll_fn(|cx| at.poll_receive(cx, into)).await
 }
--- a/crates/net/src/tcp.rs
+++ b/crates/net/src/tcp.rs
@@ -14,7 +14,7 @@
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 use tokio::net::{TcpListener, TcpStream};
 
-use crate::{Datagrams, Listener, Network, Soon, Stream, is_transient};
+use crate::{Datagrams, Listener, LocalBoxFuture, Network, Stream, is_transient};
 
 /// How many connections may wait to be accepted. Beyond, a burst of clients loses its SYNs and waits a second for the next
 /// try.
@@ -25,7 +25,7 @@
 pub struct Tcp;
 
 impl Network for Tcp {
-    fn connect(&self, to: SocketAddr) -> Soon<'_, io::Result<Box<dyn Stream>>> {
+    fn connect(&self, to: SocketAddr) -> LocalBoxFuture<'_, io::Result<Box<dyn Stream>>> {
         Box::pin(async move {
             let stream = TcpStream::connect(to).await?;
             Ok(Box::new(Connection::new(stream)) as Box<dyn Stream>)
@@ -244,9 +244,9 @@
 struct BoundListener {
     listener: TcpListener,
     address: SocketAddr,
-    /// While hushed: connections of this process, which fill the backlog.
+    /// While silent: connections of this process, which fill the backlog.
     fillers: Vec<socket2::Socket>,
-    is_hushed: bool,
+    is_silent: bool,
     accept_waker: Option<Waker>,
 }
 
@@ -258,7 +258,7 @@
             listener,
             address,
             fillers: Vec::new(),
-            is_hushed: false,
+            is_silent: false,
             accept_waker: None,
         }))
     }
@@ -273,7 +273,7 @@
         cx: &mut Context<'_>,
     ) -> Poll<io::Result<(Box<dyn Stream>, SocketAddr)>> {
         // Accepting would free a place in the backlog.
-        if self.is_hushed {
+        if self.is_silent {
             self.accept_waker = Some(cx.waker().clone());
             return Poll::Pending;
         }
@@ -286,12 +286,12 @@
     }
 
     /// With the backlog full the kernel drops a SYN silently. That needs no privilege.
-    fn hush(&mut self, hushed: bool) {
-        if std::mem::replace(&mut self.is_hushed, hushed) == hushed {
+    fn set_silent(&mut self, silent: bool) {
+        if std::mem::replace(&mut self.is_silent, silent) == silent {
             return;
         }
         let socket = SockRef::from(&self.listener);
-        if !hushed {
+        if !silent {
             self.fillers.clear();
             let _ = socket.listen(BACKLOG);
             self.accept_waker.take().into_iter().for_each(Waker::wake);
--- a/crates/net/src/tcp/tests.rs
+++ b/crates/net/src/tcp/tests.rs
@@ -85,7 +85,7 @@
 async fn hushed_listener_neither_accepts_nor_refuses_until_it_is_back() {
     let mut listener = Tcp.listen(any()).expect("a port");
     let address = listener.local_addr();
-    listener.hush(true);
+    listener.set_silent(true);
     let try_it = || tokio::time::timeout(Duration::from_millis(300), Tcp.connect(address));
     // Whoever accepts all the time, as a stand-in does, must not make room again.
     for _ in 0..3 {
@@ -93,7 +93,7 @@
         assert!(accepting.await.is_err(), "accepted");
         assert!(try_it().await.is_err(), "it came up or was refused");
     }
-    listener.hush(false);
+    listener.set_silent(false);
     // The fillers that were let go are still in line; whoever comes now is behind them.
     let wait = Duration::from_secs(20);
     tokio::time::timeout(wait, Tcp.connect(address)).await.expect("in time").expect("taken");
--- a/crates/net/src/udp.rs
+++ b/crates/net/src/udp.rs
@@ -8,7 +8,7 @@
 use tokio::io::ReadBuf;
 use tokio::net::UdpSocket;
 
-use crate::{DATAGRAM, Datagrams};
+use crate::{Datagrams, MAX_DATAGRAM_BYTES};
 
 /// A UDP socket.
 pub(crate) struct Udp {
@@ -30,10 +30,10 @@
     fn poll_receive(
         &mut self,
         cx: &mut Context<'_>,
-        into: &mut [u8; DATAGRAM],
+        into: &mut [u8; MAX_DATAGRAM_BYTES],
     ) -> Poll<io::Result<(usize, SocketAddr)>> {
         // One byte more than a datagram may have shows a longer one, which the kernel would truncate.
-        let mut bytes = [0; DATAGRAM + 1];
+        let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let mut buf = ReadBuf::new(&mut bytes);
             let from = ready!(self.socket.poll_recv_from(cx, &mut buf))?;
@@ -46,8 +46,8 @@
     }
 
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
-        if bytes.len() > DATAGRAM {
-            return Err(too_long(bytes.len()));
+        if bytes.len() > MAX_DATAGRAM_BYTES {
+            return Err(datagram_too_long(bytes.len()));
         }
         // Not by the runtime, which would first wait until the socket is writable.
         SockRef::from(&self.socket).send_to(bytes, &to.into()).map(|_| ())
@@ -59,8 +59,10 @@
 }
 
 /// The error of [`Datagrams::send`] for a datagram of so many bytes, which is too long.
-pub fn too_long(bytes: usize) -> io::Error {
-    let what = format!("a datagram of {bytes} bytes: {DATAGRAM} are the most, send less at a time");
+pub fn datagram_too_long(bytes: usize) -> io::Error {
+    let what = format!(
+        "a datagram of {bytes} bytes: {MAX_DATAGRAM_BYTES} are the most, send less at a time"
+    );
     io::Error::new(ErrorKind::InvalidInput, what)
 }
 
--- a/crates/recovery/src/start_history.rs
+++ b/crates/recovery/src/start_history.rs
@@ -80,12 +80,12 @@
     }
 
     /// The present start ends in order: it is no crash. Those before it still count.
-    pub fn ended_in_order(&mut self) {
+    pub fn record_orderly_end(&mut self) {
         self.unfinished.pop();
     }
 
     /// The present start has served for [`SETTLED_AFTER`]: no earlier crash counts any more.
-    pub fn settled(&mut self) {
+    pub fn record_settled(&mut self) {
         self.unfinished.clear();
     }
 
--- a/crates/recovery/tests/crash_loops.rs
+++ b/crates/recovery/tests/crash_loops.rs
@@ -53,7 +53,7 @@
     let mut starts = StartHistory::default();
     for n in 0..20 {
         assert_eq!(starts.begin(NOON + seconds(3.0) * n), StartMode::Normal);
-        starts.ended_in_order();
+        starts.record_orderly_end();
     }
     assert_eq!((starts.count(), starts.crash_count()), (20, 0));
 }
@@ -63,7 +63,7 @@
     let mut starts = StartHistory::default();
     start_and_kill(&mut starts, NOON, seconds(2.0), 4);
     assert_eq!(starts.begin(NOON + seconds(8.0)), StartMode::WithoutSnapshot);
-    starts.ended_in_order();
+    starts.record_orderly_end();
     assert_eq!(starts.begin(NOON + seconds(9.0)), StartMode::WithoutSnapshot);
     assert_eq!(starts.crash_count(), 4);
 }
@@ -73,7 +73,7 @@
     let mut starts = StartHistory::default();
     start_and_kill(&mut starts, NOON, seconds(2.0), 8);
     assert_eq!(starts.begin(NOON + seconds(16.0)), StartMode::Minimal);
-    starts.settled();
+    starts.record_settled();
     assert_eq!(starts.begin(NOON + seconds(16.0) + SETTLED_AFTER), StartMode::Normal);
     let mut starts = StartHistory::default();
     start_and_kill(&mut starts, NOON, seconds(2.0), 8);
@@ -122,8 +122,8 @@
         for (ms, what) in steps {
             now += Duration::from_millis(ms);
             match what {
-                0 => starts.ended_in_order(),
-                1 => starts.settled(),
+                0 => starts.record_orderly_end(),
+                1 => starts.record_settled(),
                 2 => now -= Duration::from_millis(ms * 3 % 500_000),
                 _ => drop(starts.begin(now)),
             }
--- a/crates/recovery/tests/formats.rs
+++ b/crates/recovery/tests/formats.rs
@@ -22,7 +22,7 @@
 #[test]
 fn starts_are_written_and_read_byte_for_byte() {
     let mut one_ended = two_starts();
-    one_ended.ended_in_order();
+    one_ended.record_orderly_end();
     for (starts, text) in
         [(StartHistory::default(), NO_STARTS), (two_starts(), TWO_STARTS), (one_ended, ONE_ENDED)]
     {
--- a/crates/rehearsal/src/cluster.rs
+++ b/crates/rehearsal/src/cluster.rs
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hollowpaddle_net::{Network, Soon};
+use hollowpaddle_net::{LocalBoxFuture, Network};
 use serde_json::{Value, json};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
@@ -87,7 +87,7 @@
     /// A hand on it.
     pub control: Box<dyn Control>,
     /// Comes true once it has ended: its exit code, or `None` if it was killed.
-    pub ended: Soon<'static, Option<i32>>,
+    pub ended: LocalBoxFuture<'static, Option<i32>>,
 }
 
 /// Starts balancers.
--- a/crates/rehearsal/src/list.rs
+++ b/crates/rehearsal/src/list.rs
@@ -135,7 +135,7 @@
     fn open_door(self: &Rc<Self>, balancer: usize) -> std::io::Result<()> {
         let network = self.stage.ground.network(Who::List(balancer));
         let mut listener = network.listen(self.stage.ground.address(Who::List(balancer)))?;
-        listener.hush(self.troubles.borrow().down > 0);
+        listener.set_silent(self.troubles.borrow().down > 0);
         let address = listener.local_addr();
         let accepting = spawn_local(self.clone().accept(balancer, listener)).abort_handle();
         self.doors.borrow_mut().push(Door { balancer, address, accepting });
@@ -256,7 +256,7 @@
     async fn accept(self: Rc<Self>, balancer: usize, mut listener: Box<dyn Listener>) {
         let mut broken = self.broken.watch();
         loop {
-            listener.hush(self.is_out_of_reach(balancer));
+            listener.set_silent(self.is_out_of_reach(balancer));
             let next = std::future::poll_fn(|cx| listener.poll_accept(cx));
             tokio::select! {
                 biased;
--- a/crates/rehearsal/src/node/mod.rs
+++ b/crates/rehearsal/src/node/mod.rs
@@ -304,7 +304,7 @@
         if let Some(process) = &*self.process.borrow() {
             for (listener, cut) in process.listeners.iter().zip(&life.cut) {
                 if let Some(listener) = &mut *listener.borrow_mut() {
-                    listener.hush(life.silent || *cut);
+                    listener.set_silent(life.silent || *cut);
                 }
             }
         }
--- a/crates/rehearsal/src/peers.rs
+++ b/crates/rehearsal/src/peers.rs
@@ -10,7 +10,7 @@
 use std::time::Duration;
 
 use hollowpaddle_link_faults::{Does, Links, Rule, Set};
-use hollowpaddle_net::{DATAGRAM, Datagrams};
+use hollowpaddle_net::{Datagrams, MAX_DATAGRAM_BYTES};
 use hollowpaddle_simnet::{Datagram, Fabric};
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::sleep;
@@ -213,7 +213,7 @@
             let (peers, socket) = (Rc::downgrade(self), socket.clone());
             let (sender, whom) = (*sender, *whom);
             let relay = spawn_local(async move {
-                let mut bytes = [0; DATAGRAM];
+                let mut bytes = [0; MAX_DATAGRAM_BYTES];
                 loop {
                     let came =
                         std::future::poll_fn(|cx| socket.borrow_mut().poll_receive(cx, &mut bytes));
--- a/crates/rehearsal/tests/peers.rs
+++ b/crates/rehearsal/tests/peers.rs
@@ -4,7 +4,7 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use hollowpaddle_net::{DATAGRAM, Datagrams, receive};
+use hollowpaddle_net::{Datagrams, MAX_DATAGRAM_BYTES, receive};
 use hollowpaddle_rehearsal::peers::Peers;
 use hollowpaddle_rehearsal::record::Observation;
 use hollowpaddle_rehearsal::scenario::{FaultKind, Trouble, Way};
@@ -50,7 +50,7 @@
 
     /// All that comes to one: from whom, as it sees that, and what.
     async fn come(&mut self, to: usize) -> Vec<(usize, Vec<u8>)> {
-        let (mut all, mut bytes) = (Vec::new(), [0; DATAGRAM]);
+        let (mut all, mut bytes) = (Vec::new(), [0; MAX_DATAGRAM_BYTES]);
         let known = self.peers.addresses(to).peers;
         while let Ok(came) = timeout(self.soon, receive(&mut *self.ends[to], &mut bytes)).await {
             let (length, from) = came.expect("it comes");
--- a/crates/scale-harness/src/metered.rs
+++ b/crates/scale-harness/src/metered.rs
@@ -9,7 +9,9 @@
 use std::task::{Context, Poll, ready};
 use std::time::Duration;
 
-use hollowpaddle_net::{DATAGRAM, Datagrams, Listener, Network, Soon, Stream, Tcp};
+use hollowpaddle_net::{
+    Datagrams, Listener, LocalBoxFuture, MAX_DATAGRAM_BYTES, Network, Stream, Tcp,
+};
 use tokio::io::{AsyncRead, AsyncWrite, ReadBuf};
 
 /// Counters of one balancer. They outlive its restarts.
@@ -64,7 +66,7 @@
 }
 
 impl Network for MeteredNetwork {
-    fn connect(&self, to: SocketAddr) -> Soon<'_, io::Result<Box<dyn Stream>>> {
+    fn connect(&self, to: SocketAddr) -> LocalBoxFuture<'_, io::Result<Box<dyn Stream>>> {
         Box::pin(async move {
             let stream = Tcp.connect(to).await?;
             if to != self.discovery {
@@ -160,7 +162,7 @@
     fn poll_receive(
         &mut self,
         cx: &mut Context<'_>,
-        into: &mut [u8; DATAGRAM],
+        into: &mut [u8; MAX_DATAGRAM_BYTES],
     ) -> Poll<io::Result<(usize, SocketAddr)>> {
         let (length, from) = ready!(self.datagrams.poll_receive(cx, into))?;
         self.meter.datagrams_received.fetch_add(1, Ordering::Relaxed);
--- a/crates/simnet/src/datagrams.rs
+++ b/crates/simnet/src/datagrams.rs
@@ -9,7 +9,7 @@
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
 
-use hollowpaddle_net::{DATAGRAM, Datagrams, too_long};
+use hollowpaddle_net::{Datagrams, MAX_DATAGRAM_BYTES, datagram_too_long};
 use tokio::time::Instant;
 
 use crate::{Inner, Timer};
@@ -24,7 +24,7 @@
     pub from: SocketAddr,
     /// The receiver.
     pub to: SocketAddr,
-    /// The content; at most [`DATAGRAM`] bytes.
+    /// The content; at most [`MAX_DATAGRAM_BYTES`] bytes.
     pub bytes: Vec<u8>,
 }
 
@@ -71,7 +71,7 @@
     fn poll_receive(
         &mut self,
         cx: &mut Context<'_>,
-        into: &mut [u8; DATAGRAM],
+        into: &mut [u8; MAX_DATAGRAM_BYTES],
     ) -> Poll<io::Result<(usize, SocketAddr)>> {
         loop {
             let mut inbox = self.inbox.borrow_mut();
@@ -92,8 +92,8 @@
     }
 
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()> {
-        if bytes.len() > DATAGRAM {
-            return Err(too_long(bytes.len()));
+        if bytes.len() > MAX_DATAGRAM_BYTES {
+            return Err(datagram_too_long(bytes.len()));
         }
         let datagram = Datagram { from: self.address, to, bytes: bytes.to_vec() };
         // Taken out during the call, since the route may use the fabric.
--- a/crates/simnet/src/lib.rs
+++ b/crates/simnet/src/lib.rs
@@ -23,7 +23,7 @@
 use std::task::{Context, Poll, Waker};
 use std::time::Duration;
 
-use hollowpaddle_net::{Datagrams, Listener, Network, Soon, Stream};
+use hollowpaddle_net::{Datagrams, Listener, LocalBoxFuture, Network, Stream};
 use rustc_hash::FxHashMap;
 use tokio::time::{Instant, Sleep, sleep, sleep_until};
 
@@ -144,7 +144,7 @@
 }
 
 impl Network for Host {
-    fn connect(&self, to: SocketAddr) -> Soon<'_, io::Result<Box<dyn Stream>>> {
+    fn connect(&self, to: SocketAddr) -> LocalBoxFuture<'_, io::Result<Box<dyn Stream>>> {
         Box::pin(async move {
             let delay = self.fabric.delay(self.ip, to.ip());
             wait(delay).await;
@@ -247,8 +247,8 @@
         self.address
     }
 
-    fn hush(&mut self, hushed: bool) {
-        self.backlog.is_hushed.set(hushed);
+    fn set_silent(&mut self, silent: bool) {
+        self.backlog.is_hushed.set(silent);
     }
 }
 
--- a/crates/simnet/src/tests.rs
+++ b/crates/simnet/src/tests.rs
@@ -1,7 +1,7 @@
 //! What programs can tell of a connection, against what the kernel's return.
 
 use super::*;
-use hollowpaddle_net::{DATAGRAM, accept, receive};
+use hollowpaddle_net::{MAX_DATAGRAM_BYTES, accept, receive};
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::timeout;
 
@@ -82,9 +82,9 @@
     let refused = a.connect(at).await.err().expect("nobody listens");
     assert_eq!(refused.kind(), ErrorKind::ConnectionRefused);
     let mut listener = b.listen(at).expect("free");
-    listener.hush(true);
+    listener.set_silent(true);
     assert!(timeout(Duration::from_secs(9), a.connect(at)).await.is_err());
-    listener.hush(false);
+    listener.set_silent(false);
     let mut here = a.connect(at).await.expect("it is back");
     drop(listener);
     assert!(here.read(&mut [0]).await.is_err(), "never accepted");
@@ -122,8 +122,8 @@
     let here = a.datagrams(at(1, 0)).expect("free");
     let mut there = b.datagrams(at(2, 9)).expect("free");
     assert!(b.datagrams(at(2, 9)).is_err(), "taken");
-    assert!(here.send(&[0; DATAGRAM + 1], at(2, 9)).is_err(), "too long");
-    let mut bytes = [0; DATAGRAM];
+    assert!(here.send(&[0; MAX_DATAGRAM_BYTES + 1], at(2, 9)).is_err(), "too long");
+    let mut bytes = [0; MAX_DATAGRAM_BYTES];
     let from = Instant::now();
     here.send(b"one", at(2, 9)).expect("sent");
     let came = receive(&mut *there, &mut bytes).await.expect("it comes");
--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -20,8 +20,8 @@
 
 /// Default of [`Size::linger`]: 10 s in microseconds.
 const DEFAULT_LINGER: i64 = 10_000_000;
-/// Default of [`Size::well`].
-const DEFAULT_HEALTHY_SHARE: f64 = 0.5;
+/// Default of [`Size::min_healthy_share`].
+const DEFAULT_MIN_HEALTHY_SHARE: f64 = 0.5;
 /// Bound on the exponent of the doublings, beyond which every subset holds the whole fleet.
 const MAX_DOUBLINGS: u32 = 30;
 
@@ -32,29 +32,34 @@
     /// each upstream. Below 1 some would get no requests.
     pub times: f64,
     /// The least number of upstreams of each zone, where there are that many.
-    pub least: usize,
+    pub min_upstreams: usize,
     /// How long a cell that leaves the subset stays: the longest window in which a retry is bound to its group.
     pub linger: i64,
     /// The subset is doubled while less than this share of it can be sent to.
-    pub well: f64,
+    pub min_healthy_share: f64,
 }
 
 impl Size {
     /// The default of `times`.
-    pub fn usual_times() -> f64 {
+    pub fn default_times() -> f64 {
         4.0
     }
 
     /// The default of `least`.
-    pub fn usual_least() -> usize {
+    pub fn default_min_upstreams() -> usize {
         64
     }
 }
 
 impl Default for Size {
     fn default() -> Self {
-        let (times, least) = (Self::usual_times(), Self::usual_least());
-        Self { times, least, linger: DEFAULT_LINGER, well: DEFAULT_HEALTHY_SHARE }
+        let (times, min_upstreams) = (Self::default_times(), Self::default_min_upstreams());
+        Self {
+            times,
+            min_upstreams,
+            linger: DEFAULT_LINGER,
+            min_healthy_share: DEFAULT_MIN_HEALTHY_SHARE,
+        }
     }
 }
 
@@ -68,7 +73,7 @@
     Times(f64),
     /// The share of healthy upstreams is none.
     #[error("a share of {0} that is well; expected 0 to 1, 0.5 is usual")]
-    Well(f64),
+    HealthyShare(f64),
     /// The span is negative.
     #[error("lingers for {0}; expected the longest window of a class, 0 or more")]
     Linger(i64),
@@ -123,8 +128,8 @@
         if !(size.times.is_finite() && size.times >= 1.0) {
             return Err(SizeError::Times(size.times));
         }
-        if !(0.0..=1.0).contains(&size.well) {
-            return Err(SizeError::Well(size.well));
+        if !(0.0..=1.0).contains(&size.min_healthy_share) {
+            return Err(SizeError::HealthyShare(size.min_healthy_share));
         }
         if size.linger < 0 {
             return Err(SizeError::Linger(size.linger));
@@ -160,9 +165,9 @@
     pub fn set_health(&mut self, now: i64, all: usize, healthy: usize) -> bool {
         let share = if all == 0 { 1.0 } else { healthy as f64 / all as f64 };
         let covers_all = self.members.len() >= self.cells.len();
-        if share < self.size.well && !covers_all {
+        if share < self.size.min_healthy_share && !covers_all {
             self.doublings += 1;
-        } else if self.doublings > 0 && share > 1.0 - self.size.well / 2.0 {
+        } else if self.doublings > 0 && share > 1.0 - self.size.min_healthy_share / 2.0 {
             self.doublings -= 1;
         }
         self.recompute(now)
@@ -218,7 +223,7 @@
         let all: usize = ring.iter().map(|entry| entry.upstreams).sum();
         let even_part = all as f64 / f64::from(self.cluster.balancers);
         let factor = 2f64.powi(self.doublings.min(MAX_DOUBLINGS) as i32);
-        let enough = (even_part * self.size.times).max(self.size.least as f64) * factor;
+        let enough = (even_part * self.size.times).max(self.size.min_upstreams as f64) * factor;
         let point = (f64::from(self.cluster.position) * GOLDEN_RATIO).fract() * cell_count as f64;
         // The cell at the point first, then in turns the next one on either side, the nearer side first.
         let middle = point as usize % cell_count;
--- a/crates/subset/tests/subsets.rs
+++ b/crates/subset/tests/subsets.rs
@@ -5,7 +5,7 @@
 use hollowpaddle_subset::{Cell, Cluster, Size, SizeError, Subset};
 use proptest::prelude::*;
 
-const SIZE: Size = Size { times: 4.0, least: 8, linger: 100, well: 0.5 };
+const SIZE: Size = Size { times: 4.0, min_upstreams: 8, linger: 100, min_healthy_share: 0.5 };
 
 fn fleet(zones: u32, cells: u32, each: usize) -> Vec<Cell> {
     let cell = move |zone| (0..cells).map(move |cell| Cell { zone, cell });
@@ -114,7 +114,7 @@
     assert!(
         of(Size { times: f64::NAN, ..SIZE }).is_some_and(|e| e.to_string().contains("1 or more"))
     );
-    assert_eq!(of(Size { well: 1.5, ..SIZE }), Some(SizeError::Well(1.5)));
+    assert_eq!(of(Size { min_healthy_share: 1.5, ..SIZE }), Some(SizeError::HealthyShare(1.5)));
     assert_eq!(of(Size { linger: -1, ..SIZE }), Some(SizeError::Linger(-1)));
 }
 
@@ -135,7 +135,7 @@
             for zone in 0..3 {
                 let all: usize = fleet.iter().filter(|c| c.zone == zone).count();
                 let mine = fleet.iter().filter(|c| c.zone == zone && subset.contains(**c)).count();
-                prop_assert!(mine >= all.min(SIZE.least), "{} of {}", mine, all);
+                prop_assert!(mine >= all.min(SIZE.min_upstreams), "{} of {}", mine, all);
             }
             covered.extend(members(&subset, &fleet));
         }
