--- a/crates/recovery/src/start_history.rs
+++ b/crates/recovery/src/start_history.rs
@@ -1,5 +1,5 @@
-//! The starts of one balancer, as each start records them for the next: whether they are a crash loop, and what the next
-//! start does without.
+//! The history of a balancer's starts, which each start records for the next. The history shows whether the starts are a
+//! crash loop, and which start mode follows.
 
 use std::time::Duration;
 
@@ -7,28 +7,28 @@
 
 /// Time over which crashes are counted.
 pub const CRASH_WINDOW: Duration = Duration::from_secs(120);
-/// Crashes from which on a start uses no snapshot: it may be the cause.
+/// Number of crashes from which on a start uses no snapshot, since the snapshot may be the cause.
 pub const CRASH_LOOP_STARTS: usize = 3;
-/// Crashes from which on a start does only what the platform requires.
+/// Number of crashes from which on a start uses only the functions that the platform requires.
 pub const MINIMAL_MODE_STARTS: usize = 6;
-/// A start that has served for this long has not crashed, whatever ends it.
+/// Time after which a start that serves does not count as crashed, however it ends.
 pub const SETTLED_AFTER: Duration = Duration::from_secs(30);
-/// Most starts that are recorded: a loop of one a second must not fill a disk.
+/// Largest number of recorded starts, so that a loop of one start a second does not fill a disk.
 pub const MAX_RECORDED_STARTS: usize = 16;
 
-/// What a start uses. Ordered from all to least.
+/// The stored state and the functions that a start uses, ordered from most to least.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum StartMode {
-    /// Everything that was stored.
+    /// All stored state.
     Normal,
-    /// Nothing that was stored.
+    /// No stored state.
     WithoutSnapshot,
-    /// Nothing that was stored, and no function that the platform does not require.
+    /// No stored state, and only the functions that the platform requires.
     Minimal,
 }
 
 impl StartMode {
-    /// The name in the log and in `GET /admin/start`.
+    /// Returns the name in the log and in `GET /admin/start`.
     pub fn name(self) -> &'static str {
         match self {
             StartMode::Normal => "usual",
@@ -38,19 +38,19 @@
     }
 }
 
-/// A start that so far neither ended in order nor settled.
+/// A start that has neither ended in order nor settled.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(expecting = "struct Start")]
 struct UnfinishedStart {
-    /// Milliseconds of Unix time.
+    /// Unix time in milliseconds.
     at_ms: u64,
 }
 
-/// What one start records for the next.
+/// The history that one start records for the next.
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, expecting = "struct Starts")]
 pub struct StartHistory {
-    /// In their order; the present start is the last.
+    /// In the order of the starts; the present start is the last.
     #[serde(rename = "open")]
     unfinished: Vec<UnfinishedStart>,
     /// Number of starts so far.
@@ -58,11 +58,11 @@
 }
 
 impl StartHistory {
-    /// Records a start at `now` (Unix time), and returns what it is to use.
+    /// Records a start at `now` (Unix time), and returns its mode.
     pub fn begin(&mut self, now: Duration) -> StartMode {
         let now_ms = now.as_millis() as u64;
         let window_ms = CRASH_WINDOW.as_millis() as u64;
-        // A start in the future was recorded by a clock that was ahead. It may have been just now, so it counts from now.
+        // A start in the future was recorded while the clock was ahead. The start may be recent, so it counts as of now.
         for start in &mut self.unfinished {
             start.at_ms = start.at_ms.min(now_ms);
         }
@@ -79,22 +79,22 @@
         }
     }
 
-    /// The present start ends in order: it is no crash. Those before it still count.
+    /// Records that the present start ends in order, and is not a crash. Earlier crashes still count.
     pub fn record_orderly_end(&mut self) {
         self.unfinished.pop();
     }
 
-    /// The present start has served for [`SETTLED_AFTER`]: no earlier crash counts any more.
+    /// Records that the present start has served for [`SETTLED_AFTER`]. Earlier crashes no longer count.
     pub fn record_settled(&mut self) {
         self.unfinished.clear();
     }
 
-    /// Number of starts so far, the present one included.
+    /// Returns the number of starts so far, the present one included.
     pub fn count(&self) -> u64 {
         self.count
     }
 
-    /// Starts within [`CRASH_WINDOW`] before the present one that crashed.
+    /// Returns the number of starts that crashed within [`CRASH_WINDOW`] before the present one.
     pub fn crash_count(&self) -> usize {
         self.unfinished.len().saturating_sub(1)
     }
--- a/crates/recovery/tests/crash_loops.rs
+++ b/crates/recovery/tests/crash_loops.rs
@@ -1,4 +1,4 @@
-//! Crash loops are told from single kills, end by themselves, and are not caused by clock steps.
+//! Crash loops are distinguished from single kills, end without an operator, and are not caused by clock steps.
 
 use std::time::Duration;
 
@@ -14,21 +14,21 @@
     Duration::from_secs_f64(seconds)
 }
 
-/// The history as the next start reads it.
+/// Returns the history as the next start reads it.
 fn stored_and_read(starts: &StartHistory) -> StartHistory {
     serde_json::from_str(&serde_json::to_string(starts).expect("plain")).expect("readable")
 }
 
-/// Starts and kills once `every` so long; the mode of each start.
+/// Starts and kills the process `times` times, at this interval, and returns the mode of each start.
 fn start_and_kill(
     starts: &mut StartHistory,
     from: Duration,
-    every: Duration,
+    interval: Duration,
     times: u32,
 ) -> Vec<StartMode> {
     let start = |n| {
         *starts = stored_and_read(starts);
-        starts.begin(from + every * n)
+        starts.begin(from + interval * n)
     };
     (0..times).map(start).collect()
 }
@@ -46,10 +46,10 @@
 }
 
 #[test]
-fn one_kill_and_planned_restarts_are_no_crash_loop() {
+fn one_kill_and_planned_restarts_are_not_a_crash_loop() {
     let mut starts = StartHistory::default();
     assert_eq!(start_and_kill(&mut starts, NOON, seconds(1.5), 2), [StartMode::Normal; 2]);
-    // Releases, one after another, each ending in order.
+    // Planned restarts: each process ends in order.
     let mut starts = StartHistory::default();
     for n in 0..20 {
         assert_eq!(starts.begin(NOON + seconds(3.0) * n), StartMode::Normal);
@@ -82,7 +82,7 @@
 
 #[test]
 fn crashes_are_counted_within_the_window() {
-    // One in 50 s: three starts lie within it.
+    // With one start in 50 s, three starts lie within the window.
     let modes = start_and_kill(&mut StartHistory::default(), NOON, seconds(50.0), 30);
     assert!(modes.iter().all(|mode| *mode == StartMode::Normal));
     let modes = start_and_kill(&mut StartHistory::default(), NOON, seconds(35.0), 30);
@@ -90,23 +90,23 @@
 }
 
 #[test]
-fn clock_step_makes_no_crash_loop_and_hides_none_for_long() {
-    // Back by a day between two starts, and on again.
+fn clock_step_causes_no_crash_loop_and_hides_none_for_long() {
+    // The clock steps back by a day between two starts, and forward again.
     let mut starts = StartHistory::default();
     let day = seconds(86_400.0);
     let modes: Vec<StartMode> =
         [NOON, NOON - day, NOON].into_iter().map(|t| starts.begin(t)).collect();
     assert_eq!(modes, [StartMode::Normal; 3]);
-    // A loop under a clock that was set back is seen after as many crashes as any.
+    // Under a clock that was set back, a crash loop is detected after the same number of crashes.
     let mut starts = StartHistory::default();
     starts.begin(NOON);
     let modes = start_and_kill(&mut starts, NOON - day, seconds(2.0), 8);
     assert_eq!(
         modes[CRASH_LOOP_STARTS - 1],
         StartMode::WithoutSnapshot,
-        "the one from the future counts"
+        "the start from the future counts"
     );
-    // And left as any, though the one from the future never comes to pass.
+    // The crash loop ends as usual, although the time of the start from the future is never reached.
     assert_eq!(
         starts.begin(NOON - day + seconds(14.0) + CRASH_WINDOW + seconds(0.1)),
         StartMode::Normal
@@ -119,9 +119,9 @@
         steps in proptest::collection::vec((0u64..200_000, 0u8..4), 0..200),
     ) {
         let (mut starts, mut now) = (StartHistory::default(), NOON);
-        for (ms, what) in steps {
+        for (ms, action) in steps {
             now += Duration::from_millis(ms);
-            match what {
+            match action {
                 0 => starts.record_orderly_end(),
                 1 => starts.record_settled(),
                 2 => now -= Duration::from_millis(ms * 3 % 500_000),
--- a/crates/recovery/tests/formats.rs
+++ b/crates/recovery/tests/formats.rs
@@ -1,4 +1,4 @@
-//! The file of starts that one process leaves for the next, and the names of the start modes, byte for byte.
+//! The JSON of the start history, and the names of the start modes, byte for byte.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 const TWO_STARTS: &str = r#"{"open":[{"at_ms":1786000000123},{"at_ms":1786000001000}],"count":2}"#;
 const ONE_ENDED: &str = r#"{"open":[{"at_ms":1786000000123}],"count":2}"#;
 
-/// Two starts, of which none has ended in order.
+/// Returns a history of two starts, neither of which has ended in order.
 fn two_starts() -> StartHistory {
     let mut starts = StartHistory::default();
     starts.begin(FIRST_START);
--- a/crates/recovery/tests/trust.rs
+++ b/crates/recovery/tests/trust.rs
@@ -1,4 +1,4 @@
-//! What is trusted at which age, right at the limits.
+//! How far restored state is trusted just at and just beyond its maximum age.
 
 use std::time::Duration;
 
@@ -49,6 +49,6 @@
     assert_eq!(
         trust(RestoredState::OperatorState, max_age()),
         Trust::Full,
-        "no longer than it has to be"
+        "the maximum age is as short as possible"
     );
 }
