--- a/crates/operator-commands/src/call.rs
+++ b/crates/operator-commands/src/call.rs
@@ -1,40 +1,40 @@
-//! Reads one call of an operator from its method, path and body. Whether the call can be granted is left to the balancer.
+//! Parses one call of an operator from its method, path and body. The balancer decides whether the call succeeds.
 
 use serde::Deserialize;
 
-/// The longest body, in bytes: a name and a few braces.
+/// The longest body, in bytes: enough for a name and its JSON object.
 pub const BODY_LIMIT: usize = 4 << 10;
 /// The longest name of an upstream, in bytes.
 pub const NAME_LIMIT: usize = 512;
 
-/// What an operator asks for.
+/// A call of an operator.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Call {
-    /// Asks whether this process can serve.
+    /// Returns whether this process can serve.
     Health,
-    /// Asks what this process restored at its start, and how saving for the next start goes.
+    /// Returns what this process restored at its start, and the state of saving for the next start.
     Start,
-    /// Takes the upstream of this name out.
+    /// Cordons the upstream of this name, which then receives no new requests.
     Cordon(String),
-    /// Takes the upstream of this name back in.
+    /// Removes the cordon of the upstream of this name.
     Uncordon(String),
-    /// Confirms that the commands that apply are complete: the state is no longer suspect.
+    /// Confirms that the commands that apply are complete, so that the state is no longer suspect.
     Confirm,
-    /// Turns clients away.
+    /// Rejects clients.
     Quiesce,
     /// Accepts clients again.
     Resume,
 }
 
-/// Why a call can't be read.
+/// Reason why a call is invalid.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum CallError {
-    /// Nothing is served under this path.
+    /// There is no call under this path.
     #[error(
         "no such call; there are health, start, cordon, uncordon, confirm, quiesce and resume under /admin/"
     )]
     Unknown,
-    /// The path needs this method.
+    /// The path requires this method.
     #[error("the method must be {0}")]
     Method(&'static str),
     /// The body does not name an upstream.
@@ -43,7 +43,7 @@
 }
 
 impl CallError {
-    /// The HTTP status of the answer (RFC 9110, 15.5).
+    /// Returns the HTTP status of the response (RFC 9110, 15.5).
     pub fn status(&self) -> u16 {
         match self {
             Self::Unknown => 404,
@@ -60,10 +60,10 @@
 }
 
 impl Call {
-    /// Reads a call. A query is no part of `path`.
+    /// Parses a call. `path` is without the query.
     ///
     /// # Errors
-    /// Nothing is served under the path, it needs another method, or the body names no upstream.
+    /// There is no call under the path, the path requires another method, or the body does not name an upstream.
     pub fn read(method: &str, path: &str, body: &[u8]) -> Result<Self, CallError> {
         let command = path.strip_prefix("/admin/").ok_or(CallError::Unknown)?;
         let expected_method = match command {
@@ -86,7 +86,7 @@
     }
 }
 
-/// The name in the body of a cordon.
+/// Returns the name in the body of a cordon or uncordon call.
 fn upstream_name(body: &[u8]) -> Result<String, CallError> {
     let CordonBody { name } =
         serde_json::from_slice(body).map_err(|e| CallError::Body(e.to_string()))?;
--- a/crates/operator-commands/src/call/tests.rs
+++ b/crates/operator-commands/src/call/tests.rs
@@ -1,4 +1,4 @@
-//! Reading of calls.
+//! Parsing of calls.
 
 use proptest::prelude::*;
 
@@ -10,8 +10,8 @@
     assert_eq!(read("GET", "/admin/health", ""), Ok(Call::Health));
     assert_eq!(read("GET", "/admin/start", ""), Ok(Call::Start));
     assert_eq!(read("POST", "/admin/cordon", r#"{"name":"s-1"}"#), Ok(Call::Cordon("s-1".into())));
-    let more = r#" {"why":[1], "name":"s-1"} "#;
-    assert_eq!(read("POST", "/admin/uncordon", more), Ok(Call::Uncordon("s-1".into())));
+    let with_unknown_key = r#" {"why":[1], "name":"s-1"} "#;
+    assert_eq!(read("POST", "/admin/uncordon", with_unknown_key), Ok(Call::Uncordon("s-1".into())));
     assert_eq!(read("POST", "/admin/quiesce", "anything"), Ok(Call::Quiesce));
     assert_eq!(read("POST", "/admin/resume", ""), Ok(Call::Resume));
     assert_eq!(read("POST", "/admin/confirm", ""), Ok(Call::Confirm));
@@ -20,7 +20,7 @@
 #[test]
 fn rejects_other_methods_paths_and_bodies_with_their_status() {
     let status = |method, path, body: &str| {
-        Call::read(method, path, body.as_bytes()).expect_err("no call").status()
+        Call::read(method, path, body.as_bytes()).expect_err("an invalid call").status()
     };
     assert_eq!(status("GET", "/admin/cordon", r#"{"name":"s-1"}"#), 405);
     assert_eq!(status("POST", "/admin/health", ""), 405);
--- a/crates/operator-commands/src/lib.rs
+++ b/crates/operator-commands/src/lib.rs
@@ -1,5 +1,5 @@
-//! Commands of operators to one balancer: how a call is read, which commands apply (cordons and quiescing), and how that
-//! outlives a process. Carrying the commands out is left to the balancer.
+//! Operator commands to one balancer: parses the calls, and stores the commands that apply (cordons and quiescing) beyond the
+//! end of a process. The balancer carries the commands out.
 //!
 //! [`call`] and [`state`] are plain data; [`store`] shares the state between the processes of a balancer.
 #![forbid(unsafe_code)]
--- a/crates/operator-commands/src/state.rs
+++ b/crates/operator-commands/src/state.rs
@@ -1,5 +1,5 @@
-//! What applies of all commands of operators, and which processes of this balancer there are. Plain data; storing it is
-//! left to [`store`](crate::store).
+//! The operator commands that apply, and the processes of this balancer, as plain data. The module [`store`](crate::store)
+//! stores them.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -9,16 +9,17 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, expecting = "struct Said")]
 pub struct OperatorState {
-    /// Upstreams that an operator has cordoned, by their name in the endpoint list.
+    /// Names of the upstreams that an operator has cordoned, as in the endpoint list.
     pub cordoned: BTreeSet<String>,
-    /// Whether clients are turned away.
+    /// Whether clients are rejected.
     pub quiesced: bool,
     /// Number of starts so far.
     pub starts: u64,
-    /// Why commands may be missing here or taken back since, until an operator confirms the state.
+    /// Reason why the state may be outdated: commands may be missing, or may have been withdrawn since. The state is suspect
+    /// until an operator confirms it.
     #[serde(rename = "doubted", skip_serializing_if = "Option::is_none")]
     pub suspect: Option<String>,
-    /// Processes that were not yet seen dead, by the number of their start, and whether each serves.
+    /// Processes that have not been found dead, by the number of their start, and whether each serves.
     pub processes: BTreeMap<u64, bool>,
 }
 
@@ -26,14 +27,14 @@
 #[derive(Clone, Debug, Default, PartialEq, Eq, Serialize, Deserialize)]
 #[serde(default, expecting = "struct Words")]
 pub struct OperatorStateCopy {
-    /// As [`OperatorState::cordoned`].
+    /// See [`OperatorState::cordoned`].
     pub cordoned: BTreeSet<String>,
-    /// As [`OperatorState::quiesced`].
+    /// See [`OperatorState::quiesced`].
     pub quiesced: bool,
-    /// As [`OperatorState::suspect`].
+    /// See [`OperatorState::suspect`].
     #[serde(rename = "doubted")]
     pub suspect: Option<String>,
-    /// Whether the process that made the copy ended in order, so that no command came after it.
+    /// Whether the process that made the copy ended in order, so that no command followed the copy.
     #[serde(rename = "last")]
     pub is_final: bool,
 }
@@ -41,17 +42,17 @@
 /// The copy that a start finds.
 #[derive(Clone, Debug, Default, PartialEq, Eq)]
 pub enum RecoveredCopy {
-    /// There is none, and nothing says that there ever was.
+    /// There is no copy, and no sign that one ever existed.
     #[default]
     Absent,
-    /// A copy that can be read.
+    /// The copy can be read.
     Found(OperatorStateCopy),
-    /// There was a copy, and it is lost; the text says why.
+    /// The copy is lost, for this reason.
     Lost(String),
 }
 
 impl OperatorState {
-    /// A copy of the commands that apply now.
+    /// Returns a copy of the commands that apply now.
     pub fn copy(&self) -> OperatorStateCopy {
         OperatorStateCopy {
             cordoned: self.cordoned.clone(),
@@ -61,11 +62,11 @@
         }
     }
 
-    /// Adds the commands of a copy, where the file with the state is missing or damaged (`damage` says how).
+    /// Adds the commands of a copy, if the file with the state is missing or damaged. `damage` describes the damage.
     ///
-    /// A cordon that was taken back since costs an upstream until an operator looks; one that is forgotten sends requests to
-    /// a machine that somebody may be working on. So all commands of the copy apply, and the state is suspect unless the copy
-    /// is known to be final.
+    /// All commands of the copy apply, and the state is suspect unless the copy is known to be final. A cordon that was
+    /// withdrawn since the copy excludes an upstream until an operator intervenes. This costs less than a cordon that is lost,
+    /// after which requests are sent to a machine that may be under maintenance.
     pub fn recover(&mut self, damage: Option<&str>, copy: &RecoveredCopy) {
         if let RecoveredCopy::Found(copy) = copy {
             self.cordoned.extend(copy.cordoned.iter().cloned());
@@ -75,7 +76,7 @@
         self.suspect.get_or_insert(reason);
     }
 
-    /// Records a start, forgets processes that are not `is_alive`, and returns the number of the start, from 1 on.
+    /// Records a start, removes the processes for which `is_alive` is false, and returns the number of the start, from 1.
     pub fn add_process(&mut self, is_alive: impl Fn(u64) -> bool) -> u64 {
         self.processes.retain(|number, _| is_alive(*number));
         self.starts += 1;
@@ -88,19 +89,19 @@
         self.processes.insert(start, true);
     }
 
-    /// Processes that were started before this one, the newest first.
+    /// Returns the processes that were started before this one, the newest first.
     pub fn started_before(&self, start: u64) -> impl Iterator<Item = u64> + '_ {
         self.processes.range(..start).rev().map(|(number, _)| *number)
     }
 
-    /// Processes that were started after this one and serve, the newest first.
+    /// Returns the processes that were started after this one and serve, the newest first.
     pub fn serving_after(&self, start: u64) -> impl Iterator<Item = u64> + '_ {
         let after = self.processes.range(start + 1..).rev();
         after.filter(|(_, is_serving)| **is_serving).map(|(number, _)| *number)
     }
 }
 
-/// Why state that was recovered from this copy is suspect, if it is.
+/// Returns the reason why state that was recovered from this copy is suspect; `None` if the state is not suspect.
 fn suspicion(damage: Option<&str>, copy: &RecoveredCopy) -> Option<String> {
     match (copy, damage) {
         (RecoveredCopy::Found(copy), damage) => {
--- a/crates/operator-commands/src/state/tests.rs
+++ b/crates/operator-commands/src/state/tests.rs
@@ -3,7 +3,7 @@
 use super::*;
 
 #[test]
-fn starts_are_numbered_and_dead_processes_forgotten() {
+fn starts_are_numbered_and_dead_processes_removed() {
     let mut state = OperatorState::default();
     assert_eq!(state.add_process(|_| false), 1);
     state.mark_serving(1);
@@ -15,7 +15,7 @@
     state.mark_serving(2);
     assert_eq!(state.serving_after(1).collect::<Vec<_>>(), [2]);
     assert_eq!(state.serving_after(2).count(), 0);
-    // Both have died: nobody is before the next.
+    // Both processes are dead, so that no process precedes the next one.
     assert_eq!(state.add_process(|_| false), 3);
     assert_eq!(state.started_before(3).count(), 0);
 }
--- a/crates/operator-commands/src/store.rs
+++ b/crates/operator-commands/src/store.rs
@@ -1,7 +1,7 @@
 //! Shares the operators' state between the processes of one balancer, in a directory.
 //!
-//! The state is one JSON file, changed under a lock and replaced by a rename. Each process holds a lock on a file of its
-//! own, by which the others see that it is alive.
+//! The state is one JSON file, which is changed under a lock and replaced by a rename. Each process holds a lock on its own
+//! file, which shows the other processes that it is alive.
 
 use std::fs::{self, File, TryLockError};
 use std::io::{self, ErrorKind, Read, Write};
@@ -13,52 +13,53 @@
 const NEW_STATE_FILE: &str = "said.json.new";
 const ASIDE_STATE_FILE: &str = "said.json.aside";
 const LOCK_FILE: &str = "lock";
-/// The longest file that is read, in bytes. No balancer writes a longer one.
+/// The longest file that is read, in bytes. Balancers write no longer files.
 const MAX_FILE_BYTES: u64 = 4 << 20;
-/// Starts before the present one whose files are removed once their processes are dead.
+/// Number of starts before the present one whose files are removed once their processes are dead.
 const REMOVED_STARTS: u64 = 64;
 
-/// Why the store can't be used.
+/// Error of the store.
 #[derive(Debug, thiserror::Error)]
 pub enum StoreError {
-    /// A step on this file failed.
+    /// An operation on this file failed.
     #[error("{0}: {1}; the directory must be this balancer's own, and writable")]
     File(PathBuf, #[source] io::Error),
-    /// The file with the state contains something else.
+    /// The content of the file is not the state of a balancer.
     #[error(
-        "{path}, line {line}, column {column}: not what a balancer writes ({cause}); move it away"
+        "{path}, line {line}, column {column}: not the operator state of a balancer ({cause}); move the file away"
     )]
     Malformed {
         /// The file.
         path: PathBuf,
-        /// Line of the error, from 1 on.
+        /// Line of the error, from 1.
         line: usize,
-        /// Column of the error, from 1 on.
+        /// Column of the error, from 1.
         column: usize,
-        /// What was expected.
+        /// Error of the parser.
         cause: String,
     },
     /// Another process is changing the state; a later attempt may succeed.
-    #[error("{0}: another process is changing what stands")]
+    #[error("{0}: another process is changing the operator state")]
     Busy(PathBuf),
 }
 
 impl StoreError {
-    /// Whether a later attempt may succeed.
+    /// Returns whether a later attempt may succeed.
     pub fn is_busy(&self) -> bool {
         matches!(self, Self::Busy(_))
     }
 }
 
-/// Registers a process among the processes of its balancer, which see it alive for as long as this is held.
+/// Registers a process among the processes of its balancer. The others see the process as alive until the registration is
+/// dropped.
 #[derive(Debug)]
 pub struct ProcessRegistration {
-    /// Number of the process's start, from 1 on.
+    /// Number of the process's start, from 1.
     pub number: u64,
     _lock: File,
 }
 
-/// The directory, and what was last read from it.
+/// The directory, and the text of the state that was last read or written.
 #[derive(Debug)]
 pub struct Store {
     dir: PathBuf,
@@ -66,20 +67,20 @@
 }
 
 impl Store {
-    /// Opens the directory, and makes it where it is missing.
+    /// Opens the directory, and creates it if it is missing.
     ///
     /// # Errors
-    /// The directory can't be made.
+    /// The directory can't be created.
     pub fn open(dir: impl Into<PathBuf>) -> Result<Self, StoreError> {
         let dir = dir.into();
         fs::create_dir_all(&dir).map_err(|e| StoreError::File(dir.clone(), e))?;
         Ok(Self { dir, last_read: Vec::new() })
     }
 
-    /// Reads the state if it has changed since this or [`Store::change`] last returned it.
+    /// Reads the state if it has changed since this function or [`Store::change`] last returned it.
     ///
     /// # Errors
-    /// The file can't be read, or contains something else.
+    /// The file can't be read, or its content is not the state of a balancer.
     pub fn read_if_changed(&mut self) -> Result<Option<OperatorState>, StoreError> {
         let text = self.text()?;
         if text == self.last_read {
@@ -90,18 +91,19 @@
         Ok(Some(state))
     }
 
-    /// Reads the state, changed or not.
+    /// Reads the state, whether or not it has changed.
     ///
     /// # Errors
-    /// The file can't be read, or contains something else.
+    /// The file can't be read, or its content is not the state of a balancer.
     pub fn read(&self) -> Result<OperatorState, StoreError> {
         self.parse(&self.text()?)
     }
 
-    /// Changes the state, and returns it as it is then. Never waits for another process.
+    /// Changes the state, and returns the new state. Never waits for another process.
     ///
     /// # Errors
-    /// [`StoreError::Busy`] while another process changes it; else the file can't be read or written. Nothing has changed.
+    /// [`StoreError::Busy`] while another process changes the state; other errors if the file can't be read or written. The
+    /// state has not changed then.
     pub fn change(
         &mut self,
         change: impl FnOnce(&mut OperatorState),
@@ -130,20 +132,19 @@
             .map_err(|e| StoreError::File(new, e))
     }
 
-    /// Whether there is no state: before the first start, or after the file was lost.
+    /// Returns whether there is no state: before the first start, or after the file was lost.
     pub fn is_empty(&self) -> bool {
         self.text().is_ok_and(|text| text.is_empty())
     }
 
-    /// Moves a file that can't be read out of the way, and returns its new path. A file that was set aside before is
-    /// replaced.
+    /// Moves a state file that can't be read, and returns its new path. A file that was set aside before is replaced.
     ///
     /// # Errors
     /// The file can't be moved.
     pub fn set_aside(&mut self) -> Result<PathBuf, StoreError> {
         let (path, aside) = (self.dir.join(STATE_FILE), self.dir.join(ASIDE_STATE_FILE));
         match fs::rename(&path, &aside) {
-            // Another process of this balancer has moved it.
+            // Another process of this balancer has moved the file.
             Err(e) if e.kind() == ErrorKind::NotFound => {}
             moved => moved.map_err(|e| StoreError::File(path, e))?,
         }
@@ -151,10 +152,10 @@
         Ok(aside)
     }
 
-    /// Joins the processes of this balancer, and returns the state as it is then.
+    /// Registers this process among the processes of its balancer, and returns the new state.
     ///
     /// # Errors
-    /// As [`Store::change`]; or the process's own file can't be made or locked.
+    /// The errors of [`Store::change`]; or the process's own file can't be created or locked.
     pub fn join(&mut self) -> Result<(ProcessRegistration, OperatorState), StoreError> {
         let dir = self.dir.clone();
         let mut locked = None;
@@ -169,7 +170,8 @@
         Ok((ProcessRegistration { number, _lock }, state))
     }
 
-    /// Leaves `content` for later processes as the process of this start, in place of what it left before.
+    /// Writes `content` for later processes, as the handoff of the process of this start. An earlier handoff of the process
+    /// is replaced.
     ///
     /// # Errors
     /// The file can't be written.
@@ -181,12 +183,12 @@
             .map_err(|e| StoreError::File(path, e))
     }
 
-    /// What the process of this start has left for later processes, if anything.
+    /// Returns the handoff of the process of this start, if there is one.
     pub fn read_handoff(&self, number: u64) -> Option<Vec<u8>> {
         read_bounded(&handoff_path(&self.dir, number)).ok()
     }
 
-    /// Whether another process, that of this start, is alive. Meaningless for the process that asks.
+    /// Returns whether the process of this start is alive. The result is meaningless for the calling process itself.
     pub fn is_alive(&self, number: u64) -> bool {
         is_alive(&self.dir, number)
     }
@@ -239,14 +241,15 @@
 fn remove_files_of_dead(dir: &Path, state: &OperatorState, number: u64) {
     for start in number.saturating_sub(REMOVED_STARTS)..number {
         if !state.processes.contains_key(&start) {
-            // Most of them are gone already, and a file that stays does no harm.
+            // Most of these files have been removed already, and a remaining file does no harm.
             let _ = fs::remove_file(process_path(dir, start));
             let _ = fs::remove_file(handoff_path(dir, start));
         }
     }
 }
 
-/// Whether the process of this start is alive: the kernel releases its lock when it ends, however that happens.
+/// Returns whether the process of this start is alive: the kernel releases the lock of a process when it ends, for whatever
+/// reason.
 fn is_alive(dir: &Path, number: u64) -> bool {
     File::open(process_path(dir, number))
         .is_ok_and(|f| matches!(f.try_lock(), Err(TryLockError::WouldBlock)))
--- a/crates/operator-commands/tests/formats.rs
+++ b/crates/operator-commands/tests/formats.rs
@@ -1,4 +1,4 @@
-//! The file that operators' commands are stored in, its copy, and the calls of the admin API, byte for byte.
+//! The file with the operator state, the copy of the state, and the calls of the admin API, byte for byte.
 
 use std::collections::{BTreeMap, BTreeSet};
 use std::fs;
@@ -17,7 +17,7 @@
     ["cell-1/upstream-10".into(), "cell-1/upstream-9".into()].into()
 }
 
-/// A state with a value other than the default in each field.
+/// Returns a state with a value other than the default in each field.
 fn full_state() -> OperatorState {
     OperatorState {
         cordoned: cordoned_upstreams(),
@@ -28,7 +28,7 @@
     }
 }
 
-/// A copy with a value other than the default in each field.
+/// Returns a copy with a value other than the default in each field.
 fn full_copy() -> OperatorStateCopy {
     OperatorStateCopy {
         cordoned: cordoned_upstreams(),
@@ -38,7 +38,7 @@
     }
 }
 
-/// The names of the files in a directory, in alphabetical order.
+/// Returns the names of the files in a directory, in alphabetical order.
 fn file_names(directory: &Path) -> Vec<String> {
     let entries = fs::read_dir(directory).expect("a directory");
     let mut names: Vec<String> =
@@ -84,14 +84,14 @@
     store.set_aside().expect("moved");
     let names = ["left-1", "lock", "process-1", "process-2", "said.json.aside"];
     assert_eq!(file_names(directory.path()), names);
-    // The name of the file that is written before the rename: a directory in its place is in the way.
+    // A directory with the name of the file that is written before the rename blocks a change.
     fs::create_dir(directory.path().join("said.json.new")).expect("a directory");
     assert!(matches!(store.change(|_| {}), Err(StoreError::File(..))));
     drop(second);
 }
 
 #[test]
-fn calls_are_read_from_method_path_and_body() {
+fn calls_are_parsed_from_method_path_and_body() {
     let body = br#"{"name":"cell-1/upstream-9"}"#;
     let upstream = || "cell-1/upstream-9".to_string();
     for (method, path, call) in [
@@ -108,7 +108,7 @@
 }
 
 #[test]
-fn calls_that_cannot_be_read_keep_status_and_message() {
+fn invalid_calls_keep_status_and_message() {
     for (method, path, body, status, message) in [
         (
             "GET",
@@ -134,7 +134,7 @@
             r#"the body must be a JSON object {"name":"ID"}: a name has 1 to 512 bytes"#,
         ),
     ] {
-        let error = Call::read(method, path, body.as_bytes()).expect_err("no call");
+        let error = Call::read(method, path, body.as_bytes()).expect_err("an invalid call");
         assert_eq!((error.status(), error.to_string().as_str()), (status, message), "{path}");
     }
 }
@@ -144,18 +144,18 @@
     let copy = || {
         RecoveredCopy::Found(OperatorStateCopy { suspect: None, is_final: false, ..full_copy() })
     };
-    let lost = || RecoveredCopy::Lost("checksum".into());
+    let lost_copy = || RecoveredCopy::Lost("checksum".into());
     for (damage, copied, reason) in [
         (Some("line 1"), copy(), "put back from this balancer's snapshot: line 1"),
         (None, copy(), "put back from this balancer's snapshot: the file was gone"),
         (
             None,
-            lost(),
+            lost_copy(),
             "every cordon may be forgotten: the file was gone; and the copy of it is lost: checksum",
         ),
         (
             Some("line 1"),
-            lost(),
+            lost_copy(),
             "every cordon may be forgotten: line 1; and the copy of it is lost: checksum",
         ),
         (Some("line 1"), RecoveredCopy::Absent, "every cordon is forgotten: line 1"),
