--- a/crates/net/src/errors/tests.rs
+++ b/crates/net/src/errors/tests.rs
@@ -1,11 +1,11 @@
-//! Errors by their numbers, as Linux documents them.
+//! Classes of error numbers, as Linux documents these numbers.
 
 use std::io::Error;
 
 use super::*;
 
 #[test]
-fn tells_local_trouble_from_the_peers() {
+fn distinguishes_local_errors_from_those_of_the_peer() {
     for code in [
         libc::EADDRNOTAVAIL,
         libc::ENOBUFS,
@@ -40,7 +40,7 @@
 }
 
 #[test]
-fn an_end_of_the_connection_is_not_transient() {
+fn end_of_the_connection_is_not_transient() {
     for code in [libc::ECONNRESET, libc::ETIMEDOUT, libc::EPIPE] {
         assert!(!is_transient(&Error::from_raw_os_error(code)), "{code}");
     }
--- a/crates/net/src/lib.rs
+++ b/crates/net/src/lib.rs
@@ -1,7 +1,7 @@
-//! The network and the wall clock as an interface, and its implementation by the machine's own TCP and UDP. A program that
-//! uses a [`Network`] runs unchanged on a simulated one.
+//! An interface to the network and the wall clock, and its implementation with the machine's own TCP and UDP. A program that
+//! uses a [`Network`] runs unchanged on a simulated network.
 //!
-//! Timers are not part of it: everything waits by the runtime's clock (`tokio::time`), which a simulation pauses.
+//! Timers are not part of the interface: all code waits by the runtime's clock (`tokio::time`), which a simulation pauses.
 #![deny(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -25,42 +25,43 @@
 /// A boxed future that stays on its thread.
 pub type LocalBoxFuture<'a, T> = Pin<Box<dyn Future<Output = T> + 'a>>;
 
-/// One connection. Dropped, it is closed in order if nothing is unread, and reset otherwise, as by the kernel.
+/// A connection. Dropping it closes the connection in order if no bytes are unread, and resets it otherwise, as the kernel
+/// does.
 pub trait Stream: AsyncRead + AsyncWrite + Unpin {
-    /// Whether the connection is open and nothing is unread, not even its end.
+    /// Returns whether the connection is open and has neither unread bytes nor an unread end.
     fn is_quiet(&self) -> bool;
 
-    /// Whether the peer has closed or reset the connection, or ended its sending. Where the system reports it, also while
-    /// earlier bytes are unread.
+    /// Returns whether the peer has closed or reset the connection, or shut down its sending side. If the system reports
+    /// this, the result is also true while earlier bytes are unread.
     fn has_ended(&self) -> bool;
 
-    /// Ready once something is unread, the end of the stream included. Reads nothing.
+    /// Is ready once there are unread bytes or an unread end of the stream. Reads nothing.
     fn poll_unread(&mut self, cx: &mut Context<'_>) -> Poll<()>;
 
-    /// How long ago the last bytes were received by the kernel, read or not, if that is known: for a program that may not
-    /// have run when they came.
+    /// Returns the time since the kernel received the last bytes, read or not, if that is known. A program may not have run
+    /// when the bytes arrived.
     fn since_last_bytes(&self) -> Option<Duration>;
 
-    /// Resets the connection, as by the death of a process with unread data.
+    /// Resets the connection, as the kernel does when a process with unread data ends.
     fn reset(self: Box<Self>);
 }
 
 /// A listening socket.
 pub trait Listener {
-    /// Accepts the next connection. Returns its peer's address too.
+    /// Accepts the next connection. Returns the connection and the address of its peer.
     ///
     /// # Errors
-    /// Those of accept(2). None of them is a reason to give the listener up. [`AcceptFailure`] says what each means.
+    /// The errors of accept(2), which [`AcceptFailure`] classifies. The listener can be used after each of them.
     fn poll_accept(
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<io::Result<(Box<dyn Stream>, SocketAddr)>>;
 
-    /// The address that it listens at, with the chosen port if 0 was asked for.
+    /// Returns the listener's address, with the chosen port if port 0 was requested.
     fn local_addr(&self) -> SocketAddr;
 
-    /// While silent, new connections neither come up nor are refused, as with a machine that has vanished. For stand-ins in
-    /// tests.
+    /// While `silent`, new connections are neither established nor refused, as with a machine that has failed. For simulated
+    /// servers in tests.
     fn set_silent(&mut self, silent: bool);
 }
 
@@ -69,24 +70,25 @@
 
 /// A socket for datagrams, which may be lost, late, duplicated and out of order.
 pub trait Datagrams {
-    /// Receives the next datagram. Returns its length and its sender. One longer than [`MAX_DATAGRAM_BYTES`] is dropped.
+    /// Receives the next datagram. Returns its length and its sender. A datagram longer than [`MAX_DATAGRAM_BYTES`] is
+    /// dropped.
     ///
     /// # Errors
-    /// Those of recvfrom(2). None of them is a reason to give the socket up.
+    /// The errors of recvfrom(2). The socket can be used after each of them.
     fn poll_receive(
         &mut self,
         cx: &mut Context<'_>,
         into: &mut [u8; MAX_DATAGRAM_BYTES],
     ) -> Poll<io::Result<(usize, SocketAddr)>>;
 
-    /// Sends a datagram without waiting: one for which there is no buffer is lost, as any other may be.
+    /// Sends a datagram without waiting. A datagram for which there is no buffer is lost, as any datagram may be.
     ///
     /// # Errors
-    /// The datagram is longer than [`MAX_DATAGRAM_BYTES`] ([`datagram_too_long`]), or was not sent. Whether one that was sent arrives is not
-    /// known.
+    /// The datagram is longer than [`MAX_DATAGRAM_BYTES`] ([`datagram_too_long`]), or was not sent. A datagram that was sent
+    /// need not arrive.
     fn send(&self, bytes: &[u8], to: SocketAddr) -> io::Result<()>;
 
-    /// The address that it receives at, with the chosen port if 0 was asked for.
+    /// Returns the socket's address, with the chosen port if port 0 was requested.
     fn local_addr(&self) -> SocketAddr;
 }
 
@@ -95,10 +97,10 @@
     /// Opens a connection, without delays for small writes.
     ///
     /// # Errors
-    /// Those of socket(2) and connect(2). [`is_local`] tells errors of this machine from those of the peer.
+    /// The errors of socket(2) and connect(2). [`is_local`] distinguishes errors of this machine from those of the peer.
     fn connect(&self, to: SocketAddr) -> LocalBoxFuture<'_, io::Result<Box<dyn Stream>>>;
 
-    /// Listens at an address. One that another listener of this process has just left can be used again at once.
+    /// Listens at an address. An address that another listener of this process has just released can be used again at once.
     ///
     /// # Errors
     /// The address is in use, or is none of this machine's.
@@ -110,7 +112,8 @@
     /// The address is in use, or is none of this machine's.
     fn datagrams(&self, at: SocketAddr) -> io::Result<Box<dyn Datagrams>>;
 
-    /// The time since the Unix epoch, by the wall clock. To be read once and continued by the runtime's clock.
+    /// Returns the time since the Unix epoch, by the wall clock. Callers read the wall clock once, and add the elapsed time of
+    /// the runtime's clock.
     fn unix_now(&self) -> Duration;
 }
 
--- a/crates/net/src/tcp.rs
+++ b/crates/net/src/tcp.rs
@@ -1,4 +1,4 @@
-//! The machine's own network: TCP connections and listeners. Datagrams are left to `udp`.
+//! The machine's own network: TCP connections and listeners. Datagrams are in the module `udp`.
 
 mod info;
 
@@ -16,11 +16,11 @@
 
 use crate::{Datagrams, Listener, LocalBoxFuture, Network, Stream, is_transient};
 
-/// How many connections may wait to be accepted. Beyond, a burst of clients loses its SYNs and waits a second for the next
-/// try.
+/// Largest number of connections that wait to be accepted. If more clients connect at once, their SYNs are lost, and are
+/// retransmitted only after a second.
 const BACKLOG: i32 = 1024;
 
-/// The machine's own network, by the calling task's runtime.
+/// The machine's own network, used through the calling task's runtime.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Tcp;
 
@@ -35,7 +35,7 @@
     fn listen(&self, at: SocketAddr) -> io::Result<Box<dyn Listener>> {
         let domain = if at.is_ipv4() { socket2::Domain::IPV4 } else { socket2::Domain::IPV6 };
         let socket = socket2::Socket::new(domain, socket2::Type::STREAM, None)?;
-        // Connections of the listener before this one may still linger at the address.
+        // Connections of a previous listener may still linger at the address.
         socket.set_reuse_address(true)?;
         socket.set_nonblocking(true)?;
         socket.bind(&at.into())?;
@@ -53,20 +53,20 @@
 }
 
 impl Tcp {
-    /// Listens on a socket that this process inherited as this descriptor, bound and listening.
+    /// Returns a listener for a bound and listening socket that this process inherited as this descriptor.
     ///
-    /// Takes ownership of the descriptor: to be called once, before anything else can have used its number.
+    /// Takes ownership of the descriptor. Must be called once, before any other code can have reused the descriptor's number.
     ///
     /// # Errors
-    /// The descriptor is not open, or is no listening socket.
+    /// The descriptor is not open, or is not a listening socket.
     pub fn inherited(descriptor: i32) -> io::Result<Box<dyn Listener>> {
         let not_listening = || io::Error::new(ErrorKind::InvalidInput, "no listening socket");
         let link = std::fs::read_link(format!("/proc/self/fd/{descriptor}"))?;
         if !link.to_string_lossy().starts_with("socket:") {
             return Err(not_listening());
         }
-        // SAFETY: it is open, as the line above shows, and nothing else in this process owns it: it was there
-        // before the process began to run.
+        // SAFETY: the descriptor is open, as the check above shows, and no other code in this process owns it, since it was
+        // inherited.
         #[allow(unsafe_code)]
         let socket = unsafe { std::os::fd::OwnedFd::from_raw_fd(descriptor) };
         let socket = socket2::Socket::from(socket);
@@ -81,8 +81,8 @@
 
 /// A TCP connection.
 ///
-/// tokio takes a short read or write as a sign that the kernel is not ready, and waits for its next event. Linux guarantees no
-/// such thing, so the next call that would have to wait asks the kernel once itself.
+/// After a short read or write, tokio assumes that the kernel is not ready, and waits for the next event. Linux does not
+/// guarantee this, so the next call that would wait first makes one system call of its own.
 struct Connection {
     stream: TcpStream,
     was_read_short: bool,
@@ -91,12 +91,12 @@
 
 impl Connection {
     fn new(stream: TcpStream) -> Self {
-        // Without it small writes are delayed, but the connection can be used.
+        // If this fails, small writes are delayed, but the connection can be used.
         let _ = stream.set_nodelay(true);
         Self { stream, was_read_short: false, was_write_short: false }
     }
 
-    /// Looks at what was received without taking it. Nothing if there is nothing, or if that is not known just now.
+    /// Peeks at the received bytes. Returns `None` if there are none, or if the call failed with a transient error.
     fn peek(&self) -> Option<io::Result<usize>> {
         loop {
             match SockRef::from(&self.stream).peek(&mut [MaybeUninit::uninit()]) {
@@ -107,7 +107,7 @@
         }
     }
 
-    /// Writes once: by `poll_write` of tokio, or by `write_once` if the write before was short and tokio would wait.
+    /// Writes once: by `poll_write` of tokio, or by `write_once` if the previous write was short and tokio would wait.
     fn write(
         &mut self,
         length: usize,
@@ -145,7 +145,7 @@
     }
 
     fn has_ended(&self) -> bool {
-        // The poller reports the end whatever is unread. No data is asked for, so this costs no system call.
+        // The poller reports the end even if bytes are unread. The closure requests no data, so this costs no system call.
         #[cfg(target_os = "linux")]
         if self.stream.try_io(tokio::io::Interest::PRIORITY, || Ok(())).is_ok() {
             return true;
@@ -244,7 +244,7 @@
 struct BoundListener {
     listener: TcpListener,
     address: SocketAddr,
-    /// While silent: connections of this process, which fill the backlog.
+    /// Connections of this process that fill the backlog while the listener is silent.
     fillers: Vec<socket2::Socket>,
     is_silent: bool,
     accept_waker: Option<Waker>,
@@ -264,7 +264,8 @@
     }
 }
 
-/// How many connections fill a backlog of 0. Linux accepts one more than its size, and a few more tries cost nothing.
+/// Number of connections that fill a backlog of 0. Linux accepts one more than the size of the backlog, and a few further
+/// attempts cost nothing.
 const FILLER_COUNT: usize = 4;
 
 impl Listener for BoundListener {
@@ -272,7 +273,7 @@
         &mut self,
         cx: &mut Context<'_>,
     ) -> Poll<io::Result<(Box<dyn Stream>, SocketAddr)>> {
-        // Accepting would free a place in the backlog.
+        // While the listener is silent, accepting would free a place in the backlog.
         if self.is_silent {
             self.accept_waker = Some(cx.waker().clone());
             return Poll::Pending;
@@ -285,7 +286,7 @@
         self.address
     }
 
-    /// With the backlog full the kernel drops a SYN silently. That needs no privilege.
+    /// Fills the backlog, so that the kernel silently drops each SYN. This requires no privilege.
     fn set_silent(&mut self, silent: bool) {
         if std::mem::replace(&mut self.is_silent, silent) == silent {
             return;
--- a/crates/net/src/tcp/info.rs
+++ b/crates/net/src/tcp/info.rs
@@ -1,10 +1,11 @@
-//! What the kernel tells of a connection beyond what its calls return.
+//! Information of the kernel about a connection.
 
 use std::time::Duration;
 
 use tokio::net::TcpStream;
 
-/// How long ago the last data was received (tcp(7), `TCP_INFO`), in the resolution of the kernel's clock, some milliseconds.
+/// Returns the time since the last data was received (tcp(7), `TCP_INFO`). The resolution is that of the kernel's clock, some
+/// milliseconds.
 #[cfg(target_os = "linux")]
 pub(super) fn since_last_data(stream: &TcpStream) -> Option<Duration> {
     use std::mem::{MaybeUninit, offset_of, size_of};
@@ -23,13 +24,13 @@
     if result != 0 || (length as usize) < length_needed {
         return None;
     }
-    // SAFETY: it was zeroed, and any bytes are a valid `tcp_info`, which consists of integers.
+    // SAFETY: `info` was zeroed, and any bytes are a valid `tcp_info`, which consists of integers.
     #[allow(unsafe_code)]
     let info = unsafe { info.assume_init() };
     Some(Duration::from_millis(u64::from(info.tcpi_last_data_recv)))
 }
 
-/// Not known on this system.
+/// Returns `None`, since this system does not report the time.
 #[cfg(not(target_os = "linux"))]
 pub(super) fn since_last_data(_: &TcpStream) -> Option<Duration> {
     None
--- a/crates/net/src/udp.rs
+++ b/crates/net/src/udp.rs
@@ -1,4 +1,4 @@
-//! The machine's own network: datagrams by UDP.
+//! The machine's own network: UDP datagrams.
 
 use std::io::{self, ErrorKind};
 use std::net::SocketAddr;
@@ -32,7 +32,7 @@
         cx: &mut Context<'_>,
         into: &mut [u8; MAX_DATAGRAM_BYTES],
     ) -> Poll<io::Result<(usize, SocketAddr)>> {
-        // One byte more than a datagram may have shows a longer one, which the kernel would truncate.
+        // The additional byte shows that a datagram is too long, since the kernel truncates it to the buffer.
         let mut bytes = [0; MAX_DATAGRAM_BYTES + 1];
         loop {
             let mut buf = ReadBuf::new(&mut bytes);
@@ -49,7 +49,7 @@
         if bytes.len() > MAX_DATAGRAM_BYTES {
             return Err(datagram_too_long(bytes.len()));
         }
-        // Not by the runtime, which would first wait until the socket is writable.
+        // The call bypasses the runtime, which would first wait until the socket is writable.
         SockRef::from(&self.socket).send_to(bytes, &to.into()).map(|_| ())
     }
 
@@ -58,12 +58,12 @@
     }
 }
 
-/// The error of [`Datagrams::send`] for a datagram of so many bytes, which is too long.
+/// Returns the error of [`Datagrams::send`] for a datagram of this length in bytes, which is too long.
 pub fn datagram_too_long(bytes: usize) -> io::Error {
-    let what = format!(
-        "a datagram of {bytes} bytes: {MAX_DATAGRAM_BYTES} are the most, send less at a time"
+    let message = format!(
+        "a datagram of {bytes} bytes, where {MAX_DATAGRAM_BYTES} is the maximum; send less at a time"
     );
-    io::Error::new(ErrorKind::InvalidInput, what)
+    io::Error::new(ErrorKind::InvalidInput, message)
 }
 
 #[cfg(test)]
