--- a/crates/subset/src/lib.rs
+++ b/crates/subset/src/lib.rs
@@ -1,13 +1,14 @@
-//! Deterministic subsetting: which part of a large fleet one balancer of a cluster connects to. It is an arc of a ring of cells
-//! in each zone, around a point that only the balancer's own number decides.
+//! Deterministic subsetting: determines the subset of many upstreams to which one balancer of a cluster connects. In each zone
+//! the subset is an arc of a ring of cells, around a point that depends only on the balancer's own number.
 //!
-//! An arc consists of complete cells, so that a retry that is bound to the cell of its first attempt finds all of it. Points
-//! are multiples of the golden ratio: any run of numbers is spread evenly over the ring (the three-distance theorem), and no
-//! balancer's point moves when the cluster grows. Cells stand at their rank, so that arcs of one length hold equally many;
-//! one cell more or fewer moves the two ends of an arc and nothing else. A cell that leaves the arc lingers for as long as a
-//! retry may be bound to it. `docs/design/scale.md` compares the alternatives.
+//! An arc consists of complete cells, so that a retry that is bound to the cell of its first attempt finds the whole cell.
+//! Points are multiples of the golden ratio: consecutive numbers are spread evenly over the ring (the three-distance theorem),
+//! and no balancer's point moves when the cluster grows. Cells are placed by their rank, so that arcs of the same length
+//! contain the same number of cells. An additional or removed cell moves only the two ends of an arc. A cell that leaves the
+//! arc lingers in the subset for as long as a retry may be bound to the cell. `docs/design/scale.md` compares the alternatives.
 //!
-//! Pure: time and lists in, members out. Times and spans are in the unit of the caller.
+//! The package does no I/O: it takes the time and the endpoint lists, and returns the members of the subset. Times and spans
+//! are in the unit of the caller.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -22,30 +23,31 @@
 const DEFAULT_LINGER: i64 = 10_000_000;
 /// Default of [`Size::min_healthy_share`].
 const DEFAULT_MIN_HEALTHY_SHARE: f64 = 0.5;
-/// Bound on the exponent of the doublings, beyond which every subset holds the whole fleet.
+/// Largest exponent of the doublings. Beyond it, every subset contains all upstreams.
 const MAX_DOUBLINGS: u32 = 30;
 
 /// The size of a subset.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Size {
-    /// Multiple of this balancer's even part of each zone's upstreams, which is about the number of balancers that connect to
-    /// each upstream. Below 1 some would get no requests.
+    /// Size of the subset, as a multiple of this balancer's even share of each zone's upstreams. It is about the number of
+    /// balancers that connect to each upstream. Below 1 some upstreams would get no requests.
     pub times: f64,
-    /// The least number of upstreams of each zone, where there are that many.
+    /// Smallest number of upstreams of each zone, if the zone has that many.
     pub min_upstreams: usize,
-    /// How long a cell that leaves the subset stays: the longest window in which a retry is bound to its group.
+    /// How long a cell lingers in the subset after it has left the arc: the longest window in which a retry is bound to its
+    /// group.
     pub linger: i64,
-    /// The subset is doubled while less than this share of it can be sent to.
+    /// The subset is doubled while less than this share of its upstreams can be sent to.
     pub min_healthy_share: f64,
 }
 
 impl Size {
-    /// The default of `times`.
+    /// Returns the default of `times`.
     pub fn default_times() -> f64 {
         4.0
     }
 
-    /// The default of `least`.
+    /// Returns the default of `min_upstreams`.
     pub fn default_min_upstreams() -> usize {
         64
     }
@@ -63,19 +65,19 @@
     }
 }
 
-/// Why a size can't be used.
+/// An invalid size.
 #[derive(Clone, Debug, PartialEq, thiserror::Error)]
 pub enum SizeError {
-    /// Some upstreams would have no balancer.
+    /// The multiple is too small, so that some upstreams would have no balancer.
     #[error(
-        "a subset of {0} times the even part leaves upstreams out; expected 1 or more, 4 is usual"
+        "a subset of {0} times the even share leaves upstreams out; expected 1 or more, the default is 4"
     )]
     Times(f64),
-    /// The share of healthy upstreams is none.
-    #[error("a share of {0} that is well; expected 0 to 1, 0.5 is usual")]
+    /// The share of healthy upstreams is not between 0 and 1.
+    #[error("a share of {0} of healthy upstreams; expected 0 to 1, the default is 0.5")]
     HealthyShare(f64),
-    /// The span is negative.
-    #[error("lingers for {0}; expected the longest window of a class, 0 or more")]
+    /// The lingering time is negative.
+    #[error("a lingering time of {0}; expected the longest window of a class, 0 or more")]
     Linger(i64),
 }
 
@@ -88,7 +90,7 @@
     pub position: u32,
 }
 
-/// The cell of an upstream, the same at every balancer.
+/// The cell of an upstream, which is the same for all balancers.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, Hash, PartialOrd, Ord)]
 pub struct Cell {
     /// The zone.
@@ -102,28 +104,28 @@
 struct RingEntry {
     hash: u64,
     cell: Cell,
-    /// Its upstreams that can be sent to.
+    /// Number of the cell's upstreams that can be sent to.
     upstreams: usize,
 }
 
-/// A balancer's subset, which changes with lists and time.
+/// A balancer's subset, which changes with the endpoint lists and with time.
 #[derive(Clone, Debug)]
 pub struct Subset {
     size: Size,
     cluster: Cluster,
-    /// The number of upstreams of each cell that can be sent to, by the list.
+    /// The number of upstreams of each cell that can be sent to, according to the list.
     cells: BTreeMap<Cell, usize>,
-    /// The cells in the subset, and until when those stay that have left the arc.
+    /// The cells in the subset; for a cell that has left the arc, the time until which the cell lingers.
     members: FxHashMap<Cell, Option<i64>>,
-    /// How often the subset was doubled since too little of it was healthy.
+    /// Number of times that the subset is doubled at present, because too few of its upstreams were healthy.
     doublings: u32,
 }
 
 impl Subset {
-    /// An empty subset of a fleet that is not known yet.
+    /// Creates an empty subset, before any upstreams are known.
     ///
     /// # Errors
-    /// The size can't be used.
+    /// The size is invalid.
     pub fn new(size: Size, cluster: Cluster) -> Result<Self, SizeError> {
         if !(size.times.is_finite() && size.times >= 1.0) {
             return Err(SizeError::Times(size.times));
@@ -144,7 +146,8 @@
         })
     }
 
-    /// Replaces the fleet by the cells of all upstreams that can be sent to, one entry each. Returns whether the subset changed.
+    /// Replaces the upstreams by those that can be sent to, given as one cell for each upstream. Returns whether the subset
+    /// changed.
     pub fn set_fleet(&mut self, now: i64, upstreams: impl IntoIterator<Item = Cell>) -> bool {
         self.cells.clear();
         for cell in upstreams {
@@ -159,9 +162,10 @@
         self.recompute(now)
     }
 
-    /// Takes in that `healthy` of `all` upstreams of the subset can be sent to. Returns whether the subset changed.
+    /// Records that `healthy` of `all` upstreams of the subset can be sent to. Returns whether the subset changed.
     ///
-    /// A subset that is down or silent though the list still names it grows. It shrinks again once half of it would do.
+    /// The subset grows if too many of its upstreams are down or silent although the list names them. It shrinks again once
+    /// half of the subset would suffice.
     pub fn set_health(&mut self, now: i64, all: usize, healthy: usize) -> bool {
         let share = if all == 0 { 1.0 } else { healthy as f64 / all as f64 };
         let covers_all = self.members.len() >= self.cells.len();
@@ -173,24 +177,24 @@
         self.recompute(now)
     }
 
-    /// Removes cells that have lingered for long enough. Returns whether the subset changed.
+    /// Removes the cells whose lingering time has passed. Returns whether the subset changed.
     pub fn expire(&mut self, now: i64) -> bool {
         let before = self.members.len();
         self.members.retain(|_, until| until.is_none_or(|until| now < until));
         self.members.len() != before
     }
 
-    /// Whether the upstreams of a cell are in the subset.
+    /// Returns whether the upstreams of a cell are in the subset.
     pub fn contains(&self, cell: Cell) -> bool {
         self.members.contains_key(&cell)
     }
 
-    /// The number of cells in the subset.
+    /// Returns the number of cells in the subset.
     pub fn cell_count(&self) -> usize {
         self.members.len()
     }
 
-    /// Computes the arc of each zone anew. Returns whether the subset changed.
+    /// Recomputes the arc of each zone. Returns whether the subset changed.
     fn recompute(&mut self, now: i64) -> bool {
         let mut in_arcs: FxHashMap<Cell, ()> = FxHashMap::default();
         let mut rings: BTreeMap<u32, Vec<RingEntry>> = BTreeMap::new();
@@ -217,23 +221,23 @@
         self.expire(now) || changed
     }
 
-    /// The cells from this balancer's point outwards to both sides, until they have enough upstreams.
+    /// Returns the cells of the arc: from this balancer's point outwards to both sides, until they have enough upstreams.
     fn arc(&self, ring: &[RingEntry]) -> Vec<Cell> {
         let cell_count = ring.len();
         let all: usize = ring.iter().map(|entry| entry.upstreams).sum();
-        let even_part = all as f64 / f64::from(self.cluster.balancers);
+        let even_share = all as f64 / f64::from(self.cluster.balancers);
         let factor = 2f64.powi(self.doublings.min(MAX_DOUBLINGS) as i32);
-        let enough = (even_part * self.size.times).max(self.size.min_upstreams as f64) * factor;
+        let enough = (even_share * self.size.times).max(self.size.min_upstreams as f64) * factor;
         let point = (f64::from(self.cluster.position) * GOLDEN_RATIO).fract() * cell_count as f64;
-        // The cell at the point first, then in turns the next one on either side, the nearer side first.
+        // The arc begins with the cell at the point. Then the next cells on both sides alternate, the nearer side first.
         let middle = point as usize % cell_count;
         let up_first = point.fract() >= 0.5;
         let (mut up, mut down) = (0, 0);
         let mut upstreams = ring[middle].upstreams;
         let mut cells = vec![ring[middle].cell];
         while (upstreams as f64) < enough && cells.len() < cell_count {
-            let goes_up = if up == down { up_first } else { up < down };
-            let index = if goes_up {
+            let is_up = if up == down { up_first } else { up < down };
+            let index = if is_up {
                 up += 1;
                 (middle + up) % cell_count
             } else {
@@ -247,8 +251,8 @@
     }
 }
 
-/// The place of a cell on the ring: neighbours in number, which often share a rack, must not be neighbours there. The
-/// finalizer of SplitMix64 (Steele, Lea and Flood, OOPSLA 2014).
+/// Returns the hash of a cell, which determines its place on the ring: cells with neighbouring numbers, which often share a
+/// rack, must not be neighbours on the ring. Uses the finalizer of SplitMix64 (Steele, Lea and Flood, OOPSLA 2014).
 fn hash(cell: Cell) -> u64 {
     let mut z =
         (u64::from(cell.zone) << 32 | u64::from(cell.cell)).wrapping_add(0x9e37_79b9_7f4a_7c15);
--- a/crates/subset/tests/subsets.rs
+++ b/crates/subset/tests/subsets.rs
@@ -1,4 +1,4 @@
-//! Subsets are even, complete by cell, and move little.
+//! Subsets are of even size, consist of complete cells, and change little.
 
 use std::collections::{BTreeMap, BTreeSet};
 
@@ -24,7 +24,7 @@
 }
 
 #[test]
-fn each_upstream_has_about_as_many_balancers_as_asked() {
+fn each_upstream_has_about_the_requested_number_of_balancers() {
     for balancers in [5, 12, 25, 36, 100] {
         let fleet = fleet(2, 625, 8);
         let mut by_cell: BTreeMap<Cell, u32> = fleet.iter().map(|c| (*c, 0)).collect();
@@ -36,25 +36,30 @@
             members.iter().for_each(|c| *by_cell.get_mut(c).expect("listed") += 1);
         }
         let (least, most) = (by_cell.values().min(), by_cell.values().max());
-        // Four each, where points lie evenly; the golden ratio's are off by a gap or so at either end of an arc.
+        // If points were spaced evenly, each cell would have four balancers. The points of the golden ratio differ from that
+        // by about one gap at either end of an arc.
         assert!(least >= Some(&2) && most <= Some(&6), "{balancers}: {least:?} to {most:?}");
         let (least, most) = (sizes.iter().min(), sizes.iter().max());
-        assert_eq!(least, most, "{balancers}: subsets of one size");
+        assert_eq!(least, most, "{balancers}: all subsets have the same size");
     }
 }
 
 #[test]
 fn growing_cluster_removes_cells_and_adds_none() {
     let fleet = fleet(2, 100, 8);
-    let mut at_first = subset(5, 3, &fleet);
-    let before = members(&at_first, &fleet);
+    let mut subset_of_five = subset(5, 3, &fleet);
+    let before = members(&subset_of_five, &fleet);
     for (now, balancers) in (6..=36).enumerate() {
-        at_first.set_balancers(now as i64, balancers);
+        subset_of_five.set_balancers(now as i64, balancers);
     }
-    at_first.expire(1000);
-    let after = members(&at_first, &fleet);
+    subset_of_five.expire(1000);
+    let after = members(&subset_of_five, &fleet);
     assert!(after.is_subset(&before) && after.len() < before.len() / 4, "{}", after.len());
-    assert_eq!(after, members(&subset(36, 3, &fleet), &fleet), "as if it had been there all along");
+    assert_eq!(
+        after,
+        members(&subset(36, 3, &fleet), &fleet),
+        "the subset is that of a cluster of 36 from the beginning"
+    );
 }
 
 #[test]
@@ -65,16 +70,19 @@
         let (was, is) = (subset(36, position, &before), subset(36, position, &after));
         moved += members(&was, &after).symmetric_difference(&members(&is, &after)).count();
     }
-    // A rehash of all would move nearly all of 36 times 56 cells. Ends move by one cell at most, at either side.
+    // Hashing all cells anew would move nearly all of 36 times 56 cells. Each end of an arc moves by one cell at most.
     assert!(moved <= 36 * 4, "{moved} cells moved");
 }
 
 #[test]
-fn cell_that_left_lingers_as_long_as_a_retry_may_be_bound_to_it() {
+fn cell_that_left_the_arc_lingers_as_long_as_a_retry_may_be_bound_to_it() {
     let fleet = fleet(1, 100, 8);
     let mut subset = subset(10, 0, &fleet);
     let before = members(&subset, &fleet);
-    assert!(!subset.set_balancers(50, 20), "nobody is gone yet");
+    assert!(
+        !subset.set_balancers(50, 20),
+        "no cell is removed before its lingering time has passed"
+    );
     assert_eq!(members(&subset, &fleet), before);
     assert!(!subset.expire(149));
     assert!(subset.expire(150));
@@ -97,25 +105,29 @@
     let fleet = fleet(1, 100, 8);
     let mut subset = subset(10, 0, &fleet);
     let before = subset.cell_count();
-    assert!(subset.set_health(0, before * 8, 0), "all of it is down");
+    assert!(subset.set_health(0, before * 8, 0), "the subset grows if all its upstreams are down");
     assert!(subset.cell_count() > before);
     while subset.set_health(0, subset.cell_count() * 8, 0) {}
-    assert_eq!(subset.cell_count(), 100, "all that there is, and not for ever");
-    (1..20).for_each(|now| assert!(!subset.set_health(now, 800, 800), "nothing new"));
+    assert_eq!(subset.cell_count(), 100, "the subset grows up to all cells");
+    (1..20).for_each(|now| assert!(!subset.set_health(now, 800, 800), "the subset adds no cells"));
     subset.expire(1000);
     assert_eq!(subset.cell_count(), before);
 }
 
 #[test]
-fn invalid_size_says_what_is_expected() {
+fn invalid_size_is_rejected_with_the_expected_range() {
     let cluster = Cluster { balancers: 2, position: 0 };
-    let of = |size| Subset::new(size, cluster).err();
-    assert_eq!(of(Size { times: 0.5, ..SIZE }), Some(SizeError::Times(0.5)));
+    let error_of = |size| Subset::new(size, cluster).err();
+    assert_eq!(error_of(Size { times: 0.5, ..SIZE }), Some(SizeError::Times(0.5)));
     assert!(
-        of(Size { times: f64::NAN, ..SIZE }).is_some_and(|e| e.to_string().contains("1 or more"))
+        error_of(Size { times: f64::NAN, ..SIZE })
+            .is_some_and(|e| e.to_string().contains("1 or more"))
+    );
+    assert_eq!(
+        error_of(Size { min_healthy_share: 1.5, ..SIZE }),
+        Some(SizeError::HealthyShare(1.5))
     );
-    assert_eq!(of(Size { min_healthy_share: 1.5, ..SIZE }), Some(SizeError::HealthyShare(1.5)));
-    assert_eq!(of(Size { linger: -1, ..SIZE }), Some(SizeError::Linger(-1)));
+    assert_eq!(error_of(Size { linger: -1, ..SIZE }), Some(SizeError::Linger(-1)));
 }
 
 proptest! {
