--- a/crates/recovery/tests/formats.rs
+++ b/crates/recovery/tests/formats.rs
@@ -1,4 +1,4 @@
-//! The file of starts that one process leaves for the next, and the names of the start modes, byte for byte.
+//! The JSON of the start history, and the names of the start modes, byte for byte.
 
 use std::time::Duration;
 
@@ -11,7 +11,7 @@
 const TWO_STARTS: &str = r#"{"open":[{"at_ms":1786000000123},{"at_ms":1786000001000}],"count":2}"#;
 const ONE_ENDED: &str = r#"{"open":[{"at_ms":1786000000123}],"count":2}"#;
 
-/// Two starts, of which none has ended in order.
+/// Returns a history of two starts, neither of which has ended in order.
 fn two_starts() -> StartHistory {
     let mut starts = StartHistory::default();
     starts.begin(FIRST_START);
@@ -22,7 +22,7 @@
 #[test]
 fn starts_are_written_and_read_byte_for_byte() {
     let mut one_ended = two_starts();
-    one_ended.ended_in_order();
+    one_ended.record_orderly_end();
     for (starts, text) in
         [(StartHistory::default(), NO_STARTS), (two_starts(), TWO_STARTS), (one_ended, ONE_ENDED)]
     {
