--- a/crates/checker/src/fleet/expect.rs
+++ b/crates/checker/src/recovery/expectations.rs
@@ -1,14 +1,18 @@
-//! What a scenario expects, held against the account.
+//! Checks a recovery report against the expectations of the scenario.
 
 use hollowpaddle_scenario::scenario::Expect;
 
 use super::RecoveryReport;
 
-/// What was expected and not shown, a line each, with both figures.
-pub(super) fn missed(expect: &Expect, account: &RecoveryReport, whole: f64) -> Vec<String> {
+/// Returns a message for each missed expectation, with the actual and the expected figure.
+pub(super) fn missed_expectations(
+    expect: &Expect,
+    report: &RecoveryReport,
+    overall_service: f64,
+) -> Vec<String> {
     let mut missed = Vec::new();
     if let Some(most) = expect.full_service.map(|d| d.as_secs_f64()) {
-        for episode in &account.episodes {
+        for episode in &report.episodes {
             let (faults, from) = (episode.faults.join(", "), episode.from_s);
             match (episode.up_s, episode.full_service_s) {
                 (_, Some(took)) if took <= most => {}
@@ -28,39 +32,40 @@
             }
         }
     }
-    let times = [
+    let limits = [
         ("connects", expect.connects_times),
         ("list-calls", expect.list_calls_times),
         ("attempts", expect.attempts_times),
         ("datagrams", expect.datagrams_times),
     ];
-    for (what, most) in times {
-        let rush = account.stampede.iter().find(|r| r.what == what);
-        let (Some(most), Some(rush)) = (most, rush) else { continue };
-        for (peak, of) in [(Some(rush.all), "over all"), (rush.busiest, "at the busiest upstream")]
+    for (kind, most) in limits {
+        let stampede = report.stampede.iter().find(|r| r.kind == kind);
+        let (Some(most), Some(stampede)) = (most, stampede) else { continue };
+        for (peak, of) in
+            [(Some(stampede.all), "over all"), (stampede.busiest, "at the busiest upstream")]
         {
             let Some(peak) = peak.filter(|p| p.times > most) else { continue };
             missed.push(format!(
-                "{what} {of}: {} in the second from {:.1} s, {:.1} times the twin's {}; at most {most:.1} times \
+                "{kind} {of}: {} in the second from {:.1} s, {:.1} times the twin's {}; at most {most:.1} times \
                  expected",
-                peak.peak, peak.at_s, peak.times, peak.control_run
+                peak.peak, peak.at_s, peak.times, peak.control_p99
             ));
         }
     }
-    if let Some(most) = expect.crowd_share.filter(|most| account.contention.share > *most) {
+    if let Some(most) = expect.contention_share.filter(|most| report.contention.share > *most) {
         missed.push(format!(
             "refused beside idle nodes: {:.3} of all requests; at most {most:.3} expected",
-            account.contention.share
+            report.contention.share
         ));
     }
-    if let Some(most) = expect.stale.filter(|most| account.stale.told.sends > *most) {
+    if let Some(most) = expect.stale.filter(|most| report.stale.informed.sends > *most) {
         missed.push(format!(
             "stale sends: {}, the oldest {:.0} ms after the word against it; at most {most} expected",
-            account.stale.told.sends, account.stale.told.oldest_ms
+            report.stale.informed.sends, report.stale.informed.oldest_ms
         ));
     }
-    if let Some(least) = expect.service.filter(|least| whole < *least) {
-        missed.push(format!("service {whole:.3}; at least {least:.3} expected"));
+    if let Some(least) = expect.service.filter(|least| overall_service < *least) {
+        missed.push(format!("service {overall_service:.3}; at least {least:.3} expected"));
     }
     missed
 }
