--- a/crates/ctl/src/in_process.rs
+++ b/crates/ctl/src/in_process.rs
@@ -13,8 +13,8 @@
 use hollowpaddle_operator_commands::Store;
 use hollowpaddle_policy::settings::stable_hash;
 use hollowpaddle_rehearsal::cluster::{Control, Launch, LaunchError, Launcher, Running};
-use hollowpaddle_rehearsal::frozen::Frozen;
-use hollowpaddle_rehearsal::stored::DiskTroubles;
+use hollowpaddle_rehearsal::freeze::FreezeSwitch;
+use hollowpaddle_rehearsal::state_directories::DiskFaults;
 use hollowpaddle_snapshot::{Directory, Disk, Status};
 use tokio::sync::{Notify, mpsc};
 use tokio::task::{AbortHandle, LocalSet, spawn_local};
@@ -82,7 +82,7 @@
             let stop = stop.clone();
             async move { stop.notified().await }
         };
-        let frozen = Frozen::default();
+        let frozen = FreezeSwitch::default();
         let ice = frozen.clone();
         let task = spawn_local(async move {
             let tasks = LocalSet::new();
@@ -90,7 +90,7 @@
                 tasks.spawn_local(shell.run(network.clone()));
             }
             let serving = serve(read, network, listener, provided, reloads, stopped);
-            ice.hold(tasks.run_until(serving)).await.is_ok()
+            ice.run(tasks.run_until(serving)).await.is_ok()
         });
         let control = Gateway {
             frozen,
@@ -121,7 +121,7 @@
 /// thread would come between a save and a kill as chance has it.
 struct InTurn {
     store: Rc<RefCell<hollowpaddle_snapshot::Store>>,
-    troubles: Rc<DiskTroubles>,
+    troubles: Rc<DiskFaults>,
     full: Arc<AtomicBool>,
     /// While a slow write is under way: what waits behind it.
     next: Next,
@@ -189,7 +189,7 @@
 }
 
 struct Gateway {
-    frozen: Frozen,
+    frozen: FreezeSwitch,
     task: AbortHandle,
     stop: Rc<Notify>,
     reload: Box<dyn Fn(&str)>,
--- a/crates/ctl/src/rehearse.rs
+++ b/crates/ctl/src/rehearse.rs
@@ -181,9 +181,9 @@
 /// How a sweep draws its days.
 fn drawn(arguments: &Arguments) -> fn(u64) -> Scenario {
     match (arguments.fleets, arguments.comebacks, arguments.bank) {
-        (true, ..) => sweep::fleet_scenario,
-        (_, true, _) => sweep::comeback_scenario,
-        (.., true) => sweep::bank_scenario,
+        (true, ..) => sweep::cluster_scenario,
+        (_, true, _) => sweep::recovery_scenario,
+        (.., true) => sweep::policy_change_scenario,
         _ => sweep::scenario,
     }
 }
--- a/crates/ctl/tests/status.rs
+++ b/crates/ctl/tests/status.rs
@@ -2,7 +2,7 @@
 
 use std::process::{Command, Output};
 
-use hollowpaddle_rehearsal::fleet::until;
+use hollowpaddle_rehearsal::process_cluster::until;
 use hollowpaddle_rehearsal::scripted::*;
 
 const CTL: &str = env!("CARGO_BIN_EXE_hollowpaddlectl");
--- a/crates/rehearsal/src/cluster.rs
+++ b/crates/rehearsal/src/cluster.rs
@@ -17,9 +17,9 @@
 use crate::node::count;
 use crate::peers::{Addresses, Peers};
 use crate::record::{Observation, Resources};
+use crate::run_context::{Host, RunContext};
 use crate::scenario::{Effect, FaultKind, Group, LinkDirection, PolicySettings, Scenario};
-use crate::stage::{Stage, Who};
-use crate::stored::{COPY_EVERY, DiskTroubles, Stored};
+use crate::state_directories::{COPY_EVERY, DiskFaults, StateDirectories};
 
 /// After SIGTERM new connections go on coming for so long.
 const STOP_NOTICE: Duration = Duration::from_millis(300);
@@ -59,7 +59,7 @@
     /// `LB_STATE_DIR`, where a directory outlives the process.
     pub state: Option<PathBuf>,
     /// What is wrong with the disk under it.
-    pub disk: Rc<DiskTroubles>,
+    pub disk: Rc<DiskFaults>,
 }
 
 /// A hand on a running balancer.
@@ -77,7 +77,7 @@
         None
     }
     /// How it was started, and the last that it has written of itself, for people; empty where neither is known.
-    fn last_words(&self) -> String {
+    fn recent_log(&self) -> String {
         String::new()
     }
 }
@@ -104,71 +104,71 @@
     control: Option<Box<dyn Control>>,
     start: u32,
     address: Option<SocketAddr>,
-    door: Option<SocketAddr>,
+    admin_address: Option<SocketAddr>,
     /// How many faults keep it down, and how many frozen.
     down: u32,
     paused: u32,
     /// The list as it was told at its start.
-    known: Value,
+    initial_list: Value,
     peak: Resources,
     /// Processor time of the starts before this one.
     cpu_before: u64,
 }
 
 /// All balancers of a run.
-pub struct Bank {
-    stage: Rc<Stage>,
+pub struct Balancers {
+    context: Rc<RunContext>,
     list: Rc<NodeList>,
     clients: Rc<Clients>,
     launcher: Rc<dyn Launcher>,
     peers: Option<Rc<Peers>>,
-    stored: Stored,
+    state_directories: StateDirectories,
     slots: RefCell<Vec<Slot>>,
     /// The first that ended by itself before the front had taken it in.
-    ended_early: RefCell<Option<LaunchError>>,
+    early_exit: RefCell<Option<LaunchError>>,
 }
 
-impl Bank {
+impl Balancers {
     /// None is started yet.
     ///
     /// # Errors
     /// There are no addresses between them, or no place for what they store.
     pub fn new(
-        stage: &Rc<Stage>,
+        context: &Rc<RunContext>,
         list: &Rc<NodeList>,
         clients: &Rc<Clients>,
         launcher: Rc<dyn Launcher>,
     ) -> std::io::Result<Rc<Self>> {
         let link = || {
-            let (ground, record) = (stage.ground.clone(), stage.record.clone());
-            let (count, seed) = (stage.scenario.cluster.count, stage.plan.seed);
-            Peers::new(ground, count, seed, move |seen| record.saw(seen))
+            let (testbed, record) = (context.testbed.clone(), context.record.clone());
+            let (count, seed) = (context.scenario.cluster.count, context.plan.seed);
+            Peers::new(testbed, count, seed, move |seen| record.saw(seen))
         };
-        let peers = stage.scenario.cluster.peers.then(link).transpose()?;
-        let stored = Stored::new(&stage.scenario, stage.plan.seed)?;
-        let slots = (0..stage.scenario.cluster.count).map(|_| Slot::default()).collect();
-        let bank = Rc::new(Self {
-            stage: stage.clone(),
+        let peers = context.scenario.cluster.peers.then(link).transpose()?;
+        let state_directories = StateDirectories::new(&context.scenario, context.plan.seed)?;
+        let slots = (0..context.scenario.cluster.count).map(|_| Slot::default()).collect();
+        let balancers = Rc::new(Self {
+            context: context.clone(),
             list: list.clone(),
             clients: clients.clone(),
             launcher,
             peers,
-            stored,
+            state_directories,
             slots: RefCell::new(slots),
-            ended_early: RefCell::default(),
+            early_exit: RefCell::default(),
         });
-        if bank.stored.wants_copies() {
-            let bank = Rc::downgrade(&bank);
+        if balancers.state_directories.needs_copies() {
+            let balancers = Rc::downgrade(&balancers);
             spawn_local(async move {
-                while let Some(bank) = bank.upgrade() {
+                while let Some(balancers) = balancers.upgrade() {
                     // What could not be copied is missed by whoever wants it back.
-                    let _ = bank.stored.copy();
-                    drop(bank);
+                    let _ = balancers.state_directories.copy();
+                    drop(balancers);
                     sleep(COPY_EVERY).await;
                 }
             });
         }
-        Ok(bank)
+        Ok(balancers)
     }
 
     /// Starts a balancer, under its name and address.
@@ -182,42 +182,43 @@
             move |e: std::io::Error| LaunchError { name, what: format!("{what}: {e}") }
         };
         let address = self.address(balancer).map_err(fail("no address to listen on"))?;
-        let directory = self.stored.before_start(balancer).map_err(fail("its directory"))?;
-        let control = self.door(balancer).map_err(fail("no address for operators"))?;
-        let start = self.stage.next_start(balancer);
-        let known = self.list.known(balancer);
-        self.slots.borrow_mut()[balancer].known = known;
+        let directory = self.state_directories.prepare(balancer).map_err(fail("its directory"))?;
+        let control =
+            self.assign_admin_address(balancer).map_err(fail("no address for operators"))?;
+        let start = self.context.next_start(balancer);
+        let initial_list = self.list.initial_list(balancer);
+        self.slots.borrow_mut()[balancer].initial_list = initial_list;
         let launch = Launch {
             number: balancer,
             start,
             listen: address,
             discovery: self.list.address(balancer),
             config: self.config(balancer, &name, address, start),
-            network: self.stage.ground.network(Who::Balancer(balancer)),
-            state: self.stage.scenario.cluster.persists_state.then(|| directory.join("state")),
-            disk: self.stored.disk(balancer),
+            network: self.context.testbed.network(Host::Balancer(balancer)),
+            state: self.context.scenario.cluster.persists_state.then(|| directory.join("state")),
+            disk: self.state_directories.disk(balancer),
             directory,
             control,
             name,
         };
-        self.stage.record.saw(Observation::Started { balancer, start });
+        self.context.record.saw(Observation::Started { balancer, start });
         let Running { control, ended } = self.launcher.launch(launch)?;
         {
             let slot = &mut self.slots.borrow_mut()[balancer];
             slot.cpu_before += std::mem::take(&mut slot.peak.cpu_ms);
             if slot.paused > 0 {
                 control.pause(true);
-                self.stage.record.saw(Observation::Paused { balancer, start });
+                self.context.record.saw(Observation::Paused { balancer, start });
             }
             (slot.control, slot.start) = (Some(control), start);
         }
-        let bank = self.clone();
+        let balancers = self.clone();
         spawn_local(async move {
             let code = ended.await;
-            bank.ended(balancer, start, code);
+            balancers.ended(balancer, start, code);
         });
         let clients = self.clients.clone();
-        spawn_local(async move { clients.meet(balancer, address, start).await });
+        spawn_local(async move { clients.await_ready(balancer, address, start).await });
         Ok(())
     }
 
@@ -227,57 +228,57 @@
             return Ok(address);
         }
         // Its address is its own; nothing else takes the port that was free a moment ago.
-        let network = self.stage.ground.network(Who::Balancer(balancer));
-        let trial = network.listen(self.stage.ground.address(Who::Balancer(balancer)))?;
+        let network = self.context.testbed.network(Host::Balancer(balancer));
+        let trial = network.listen(self.context.testbed.address(Host::Balancer(balancer)))?;
         let address = trial.local_addr();
         self.slots.borrow_mut()[balancer].address = Some(address);
         Ok(address)
     }
 
     /// Where operators call, the same after a restart.
-    fn door(&self, balancer: usize) -> std::io::Result<Option<SocketAddr>> {
-        let scenario = &self.stage.scenario;
+    fn assign_admin_address(&self, balancer: usize) -> std::io::Result<Option<SocketAddr>> {
+        let scenario = &self.context.scenario;
         let wanted = scenario.cluster.persists_state || !scenario.policy_actions.is_empty();
-        if !wanted || self.slots.borrow()[balancer].door.is_some() {
-            return Ok(self.slots.borrow()[balancer].door);
+        if !wanted || self.slots.borrow()[balancer].admin_address.is_some() {
+            return Ok(self.slots.borrow()[balancer].admin_address);
         }
-        let network = self.stage.ground.network(Who::Balancer(balancer));
-        let trial = network.listen(self.stage.ground.address(Who::Balancer(balancer)))?;
-        let door = Some(trial.local_addr());
-        self.slots.borrow_mut()[balancer].door = door;
-        Ok(door)
+        let network = self.context.testbed.network(Host::Balancer(balancer));
+        let trial = network.listen(self.context.testbed.address(Host::Balancer(balancer)))?;
+        let admin_address = Some(trial.local_addr());
+        self.slots.borrow_mut()[balancer].admin_address = admin_address;
+        Ok(admin_address)
     }
 
     fn ended(&self, balancer: usize, start: u32, code: Option<i32>) {
         let mut slots = self.slots.borrow_mut();
         if slots[balancer].start == start {
             let control = slots[balancer].control.take();
-            if let Some(control) = control.filter(|_| !self.clients.taken_in(balancer)) {
+            if let Some(control) = control.filter(|_| !self.clients.in_rotation(balancer)) {
                 let how = code.map_or("by a signal".to_string(), |c| format!("with code {c}"));
-                let what = format!("it ended {how} before it was ready{}", control.last_words());
+                let what = format!("it ended {how} before it was ready{}", control.recent_log());
                 let early = LaunchError { name: format!("n{balancer}"), what };
-                self.ended_early.borrow_mut().get_or_insert(early);
+                self.early_exit.borrow_mut().get_or_insert(early);
             }
-            self.clients.part(balancer);
+            self.clients.remove_from_rotation(balancer);
         }
-        self.stage.record.saw(Observation::Exited { balancer, start, code });
+        self.context.record.saw(Observation::Exited { balancer, start, code });
     }
 
     /// What became of the first that ended by itself before the front had taken it in, if one did.
-    pub fn ended_early(&self) -> Option<LaunchError> {
-        self.ended_early.take()
+    pub fn early_exit(&self) -> Option<LaunchError> {
+        self.early_exit.take()
     }
 
     /// Where operators reach it, if it runs and there is such a door.
-    pub fn operators_door(&self, balancer: usize) -> Option<SocketAddr> {
-        self.slots.borrow()[balancer].door.filter(|_| self.runs(balancer))
+    pub fn admin_address(&self, balancer: usize) -> Option<SocketAddr> {
+        self.slots.borrow()[balancer].admin_address.filter(|_| self.runs(balancer))
     }
 
     /// Whoever leads is cut off from all others, or is so no longer.
     pub fn cut_off(&self, key: usize, balancer: usize, begins: bool) {
         let cut = FaultKind::LinksCut { direction: LinkDirection::Both, open_share: 0.0 };
-        self.links(self.stage.scenario.faults.len() + key, &cut, &[balancer], begins);
-        self.stage.record.saw(Observation::CutOff { balancer, begins });
+        self.set_link_fault(self.context.scenario.faults.len() + key, &cut, &[balancer], begins);
+        self.context.record.saw(Observation::CutOff { balancer, begins });
     }
 
     /// Whether it runs.
@@ -289,13 +290,13 @@
     pub fn kill(self: &Rc<Self>, balancer: usize) {
         let start = self.slots.borrow()[balancer].start;
         let Some(control) = self.slots.borrow_mut()[balancer].control.take() else { return };
-        self.stage.record.saw(Observation::Killed { balancer, start });
+        self.context.record.saw(Observation::Killed { balancer, start });
         control.kill();
-        let (bank, notice) = (self.clone(), self.stage.scenario.cluster.notice);
+        let (balancers, notice) = (self.clone(), self.context.scenario.cluster.notice);
         spawn_local(async move {
             sleep(notice).await;
-            if bank.stage.start_of(balancer) == start {
-                bank.clients.part(balancer);
+            if balancers.context.start_of(balancer) == start {
+                balancers.clients.remove_from_rotation(balancer);
             }
         });
     }
@@ -304,17 +305,17 @@
     ///
     /// # Errors
     /// It can't be started again.
-    pub fn hold_down(self: &Rc<Self>, balancer: usize, begins: bool) -> Result<(), LaunchError> {
+    pub fn set_down(self: &Rc<Self>, balancer: usize, begins: bool) -> Result<(), LaunchError> {
         count(&mut self.slots.borrow_mut()[balancer].down, begins);
         if begins {
             self.kill(balancer);
             return Ok(());
         }
-        self.back(balancer)
+        self.start_if_allowed(balancer)
     }
 
     /// Starts it, if nothing keeps it down and it does not run.
-    fn back(self: &Rc<Self>, balancer: usize) -> Result<(), LaunchError> {
+    fn start_if_allowed(self: &Rc<Self>, balancer: usize) -> Result<(), LaunchError> {
         if self.runs(balancer) || self.slots.borrow()[balancer].down > 0 {
             return Ok(());
         }
@@ -340,19 +341,19 @@
             true => Observation::Paused { balancer, start },
             false => Observation::Resumed { balancer, start },
         };
-        self.stage.record.saw(seen);
-        let bank = self.clone();
+        self.context.record.saw(seen);
+        let balancers = self.clone();
         spawn_local(async move {
             if begins {
-                sleep(bank.stage.scenario.cluster.notice).await;
-                if bank.stage.start_of(balancer) == start && bank.is_paused(balancer) {
-                    bank.clients.part(balancer);
+                sleep(balancers.context.scenario.cluster.notice).await;
+                if balancers.context.start_of(balancer) == start && balancers.is_paused(balancer) {
+                    balancers.clients.remove_from_rotation(balancer);
                 }
-            } else if let Some(address) = bank.slots.borrow()[balancer].address
-                && !bank.clients.taken_in(balancer)
+            } else if let Some(address) = balancers.slots.borrow()[balancer].address
+                && !balancers.clients.in_rotation(balancer)
             {
-                let clients = bank.clients.clone();
-                spawn_local(async move { clients.meet(balancer, address, start).await });
+                let clients = balancers.clients.clone();
+                spawn_local(async move { clients.await_ready(balancer, address, start).await });
             }
         });
     }
@@ -362,9 +363,9 @@
     }
 
     /// A fault of links begins or ends.
-    pub fn links(&self, fault: usize, kind: &FaultKind, struck: &[usize], begins: bool) {
+    pub fn set_link_fault(&self, fault: usize, kind: &FaultKind, affected: &[usize], begins: bool) {
         if let Some(peers) = &self.peers {
-            peers.strike(fault, kind, struck, begins);
+            peers.apply_fault(fault, kind, affected, begins);
         }
     }
 
@@ -372,15 +373,15 @@
     ///
     /// # Errors
     /// It can't be done.
-    pub fn stored(&self, balancer: usize, kind: &FaultKind) -> std::io::Result<()> {
-        let files = self.stored.strike(kind, balancer)?;
-        self.stage.record.saw(Observation::Stored { balancer, files });
+    pub fn damage_state(&self, balancer: usize, kind: &FaultKind) -> std::io::Result<()> {
+        let files = self.state_directories.apply_fault(kind, balancer)?;
+        self.context.record.saw(Observation::Stored { balancer, files });
         Ok(())
     }
 
     /// A fault of a balancer's disk begins or ends.
-    pub fn disk(&self, balancer: usize, kind: &FaultKind, begins: bool) {
-        self.stored.strike_disk(kind, balancer, begins);
+    pub fn set_disk_fault(&self, balancer: usize, kind: &FaultKind, begins: bool) {
+        self.state_directories.apply_disk_fault(kind, balancer, begins);
     }
 
     /// A planned restart: SIGTERM, SIGKILL if it takes too long, and a new start.
@@ -389,13 +390,13 @@
         if !self.runs(balancer) {
             return;
         }
-        self.stage.record.saw(Observation::Stopping { balancer, start });
+        self.context.record.saw(Observation::Stopping { balancer, start });
         if let Some(control) = &self.slots.borrow()[balancer].control {
             control.terminate();
         }
         sleep(STOP_NOTICE).await;
-        self.clients.part(balancer);
-        let longest = self.stage.scenario.classes.iter().map(|c| c.deadline).max();
+        self.clients.remove_from_rotation(balancer);
+        let longest = self.context.scenario.classes.iter().map(|c| c.deadline).max();
         let mut left = longest.unwrap_or_default() + STOP_KILL;
         let step = Duration::from_millis(20);
         while self.runs(balancer) && self.slots.borrow()[balancer].start == start {
@@ -406,14 +407,14 @@
             left = left.saturating_sub(step);
             sleep(step).await;
         }
-        if self.stage.start_of(balancer) == start {
-            let _ = self.back(balancer);
+        if self.context.start_of(balancer) == start {
+            let _ = self.start_if_allowed(balancer);
         }
     }
 
     /// Has all read their configuration again. Only the list's address is new in it.
     pub fn reload(&self) {
-        for balancer in 0..self.stage.scenario.cluster.count {
+        for balancer in 0..self.context.scenario.cluster.count {
             let (address, start) = {
                 let slots = self.slots.borrow();
                 (slots[balancer].address, slots[balancer].start)
@@ -454,8 +455,8 @@
     }
 
     fn config(&self, balancer: usize, name: &str, listen: SocketAddr, start: u32) -> String {
-        let scenario = &self.stage.scenario;
-        let seed = self.stage.plan.balancer_seeds[balancer].wrapping_add(u64::from(start));
+        let scenario = &self.context.scenario;
+        let seed = self.context.plan.balancer_seeds[balancer].wrapping_add(u64::from(start));
         let subset = |(times, least)| json!({"times": times, "least": least});
         let mut config = json!({
             "subset": scenario.cluster.subset.map(subset),
@@ -468,11 +469,11 @@
                 "memory_mb": scenario.cluster.memory_mb,
                 "sockets": scenario.cluster.sockets,
             },
-            "known": self.slots.borrow()[balancer].known,
+            "known": self.slots.borrow()[balancer].initial_list,
             "settings": settings(scenario, balancer),
         });
-        if let Some(door) = self.slots.borrow()[balancer].door {
-            config["control"] = door.to_string().into();
+        if let Some(admin_address) = self.slots.borrow()[balancer].admin_address {
+            config["control"] = admin_address.to_string().into();
         }
         if let Some(peers) = &self.peers {
             let Addresses { listen, peers, all } = peers.addresses(balancer);
--- a/crates/rehearsal/src/frozen.rs
+++ b/crates/rehearsal/src/freeze.rs
@@ -9,29 +9,29 @@
 
 /// A hand on it.
 #[derive(Clone, Default)]
-pub struct Frozen(Rc<Ice>);
+pub struct FreezeSwitch(Rc<SwitchState>);
 
 #[derive(Default)]
-struct Ice {
+struct SwitchState {
     frozen: Cell<bool>,
-    thaws: Cell<Option<Waker>>,
+    waker: Cell<Option<Waker>>,
 }
 
-impl Frozen {
+impl FreezeSwitch {
     /// Freezes it, or has it go on.
     pub fn set(&self, frozen: bool) {
         self.0.frozen.set(frozen);
         if !frozen {
-            self.0.thaws.take().into_iter().for_each(Waker::wake);
+            self.0.waker.take().into_iter().for_each(Waker::wake);
         }
     }
 
     /// Runs what can be frozen by this.
-    pub async fn hold<F: Future>(self, inner: F) -> F::Output {
+    pub async fn run<F: Future>(self, inner: F) -> F::Output {
         let mut inner = pin!(inner);
         poll_fn(|cx| {
             if self.0.frozen.get() {
-                self.0.thaws.set(Some(cx.waker().clone()));
+                self.0.waker.set(Some(cx.waker().clone()));
                 return Poll::Pending;
             }
             inner.as_mut().poll(cx)
--- a/crates/rehearsal/src/list.rs
+++ b/crates/rehearsal/src/list.rs
@@ -13,22 +13,22 @@
 use tokio::time::{Instant, sleep, sleep_until, timeout};
 
 use crate::node::{Node, count};
+use crate::ordered_watch::OrderedWatch;
 use crate::record::{At, Observation, Phase};
+use crate::run_context::{Host, RunContext};
 use crate::scenario::{FaultKind, Scenario};
-use crate::stage::{Stage, Who};
-use crate::watched::Watched;
-use crate::wire::{Exchange, Side};
+use crate::wire::{Direction, Exchange};
 
 /// While nothing changes, a watch says an empty line this often.
-const BEAT: Duration = Duration::from_secs(2);
+const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
 /// A list that has moved closes its old address's connections after this.
 const MOVE_GRACE: Duration = Duration::from_millis(1500);
 
 /// Who is out of reach is looked at this often.
-const LOOK: Duration = Duration::from_millis(100);
+const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
 /// Messages of a watch that may come again when the list is in disorder.
-const REMEMBERED: usize = 4;
+const MAX_REPLAYED: usize = 4;
 
 /// What the list knows of one node.
 #[derive(Clone, Copy, Debug, PartialEq)]
@@ -39,7 +39,7 @@
 
 /// A change that the list has not learned of yet.
 #[derive(Clone, Debug)]
-struct News {
+struct PendingChange {
     due: Instant,
     /// Later words about a node count, whatever their order here.
     serial: u64,
@@ -48,7 +48,7 @@
 }
 
 #[derive(Clone, Copy, Debug, Default)]
-struct Troubles {
+struct ActiveFaults {
     down: u32,
     stale: u32,
     disorder: u32,
@@ -57,36 +57,36 @@
 
 /// The node list.
 pub struct NodeList {
-    stage: Rc<Stage>,
+    context: Rc<RunContext>,
     nodes: Vec<Rc<Node>>,
     entries: RefCell<Vec<Option<(u64, Entry)>>>,
     /// Every change: its revision and the node.
     log: RefCell<Vec<(u64, usize)>>,
-    news: RefCell<Vec<News>>,
+    pending: RefCell<Vec<PendingChange>>,
     serial: Cell<u64>,
-    revision: Watched<u64>,
+    revision: OrderedWatch<u64>,
     /// Connections are counted by generations, and those up to this one must end.
-    broken: Watched<u64>,
+    broken: OrderedWatch<u64>,
     generation: Cell<u64>,
-    troubles: RefCell<Troubles>,
+    active_faults: RefCell<ActiveFaults>,
     /// When the service is free for its next call.
     free: Cell<Instant>,
-    doors: RefCell<Vec<Door>>,
+    endpoints: RefCell<Vec<Endpoint>>,
     watches: Cell<u64>,
     /// How many faults keep each balancer from hearing anything.
-    deaf: RefCell<Vec<u32>>,
+    silenced: RefCell<Vec<u32>>,
     /// Whether any fault does that.
     cuts: bool,
 }
 
 /// One address of the list.
-struct Door {
+struct Endpoint {
     balancer: usize,
     address: SocketAddr,
     accepting: AbortHandle,
 }
 
-impl Drop for Door {
+impl Drop for Endpoint {
     fn drop(&mut self) {
         self.accepting.abort();
     }
@@ -97,31 +97,31 @@
     ///
     /// # Errors
     /// It can't listen.
-    pub fn start(stage: &Rc<Stage>, nodes: &[Rc<Node>]) -> std::io::Result<Rc<Self>> {
+    pub fn start(context: &Rc<RunContext>, nodes: &[Rc<Node>]) -> std::io::Result<Rc<Self>> {
         let long_ago = Entry { phase: Phase::Serving, since: At(0) };
-        let known = |n: &Rc<Node>| n.serves().then_some((0, long_ago));
+        let initial_entry = |n: &Rc<Node>| n.serves().then_some((0, long_ago));
         let list = Rc::new(Self {
-            stage: stage.clone(),
+            context: context.clone(),
             nodes: nodes.to_vec(),
-            entries: RefCell::new(nodes.iter().map(known).collect()),
+            entries: RefCell::new(nodes.iter().map(initial_entry).collect()),
             log: RefCell::new((0..nodes.len()).map(|n| (1, n)).collect()),
-            news: RefCell::default(),
+            pending: RefCell::default(),
             serial: Cell::new(0),
-            revision: Watched::new(1),
-            broken: Watched::new(0),
+            revision: OrderedWatch::new(1),
+            broken: OrderedWatch::new(0),
             generation: Cell::new(1),
-            troubles: RefCell::default(),
+            active_faults: RefCell::default(),
             free: Cell::new(Instant::now()),
-            doors: RefCell::default(),
+            endpoints: RefCell::default(),
             watches: Cell::new(0),
-            deaf: RefCell::new(vec![0; stage.scenario.cluster.count]),
-            cuts: stage.scenario.faults.iter().any(|f| f.kind == FaultKind::ListCut),
+            silenced: RefCell::new(vec![0; context.scenario.cluster.count]),
+            cuts: context.scenario.faults.iter().any(|f| f.kind == FaultKind::ListCut),
         });
-        for balancer in 0..stage.scenario.cluster.count {
-            list.open_door(balancer)?;
+        for balancer in 0..context.scenario.cluster.count {
+            list.open_endpoint(balancer)?;
         }
         let publishing = Rc::downgrade(&list);
-        let period = stage.scenario.list.period;
+        let period = context.scenario.list.period;
         spawn_local(async move {
             loop {
                 sleep(period).await;
@@ -132,21 +132,21 @@
         Ok(list)
     }
 
-    fn open_door(self: &Rc<Self>, balancer: usize) -> std::io::Result<()> {
-        let network = self.stage.ground.network(Who::List(balancer));
-        let mut listener = network.listen(self.stage.ground.address(Who::List(balancer)))?;
-        listener.hush(self.troubles.borrow().down > 0);
+    fn open_endpoint(self: &Rc<Self>, balancer: usize) -> std::io::Result<()> {
+        let network = self.context.testbed.network(Host::List(balancer));
+        let mut listener = network.listen(self.context.testbed.address(Host::List(balancer)))?;
+        listener.hush(self.active_faults.borrow().down > 0);
         let address = listener.local_addr();
         let accepting = spawn_local(self.clone().accept(balancer, listener)).abort_handle();
-        self.doors.borrow_mut().push(Door { balancer, address, accepting });
+        self.endpoints.borrow_mut().push(Endpoint { balancer, address, accepting });
         Ok(())
     }
 
     /// Where a balancer finds it.
     pub fn address(&self, balancer: usize) -> SocketAddr {
-        let doors = self.doors.borrow();
-        let door = doors.iter().rev().find(|d| d.balancer == balancer);
-        door.map_or(SocketAddr::from(([127, 0, 0, 1], 1)), |d| d.address)
+        let endpoints = self.endpoints.borrow();
+        let endpoint = endpoints.iter().rev().find(|d| d.balancer == balancer);
+        endpoint.map_or(SocketAddr::from(([127, 0, 0, 1], 1)), |d| d.address)
     }
 
     /// Moves to other addresses. The old ones take no new connection, and close what is open a little later.
@@ -154,34 +154,34 @@
     /// # Errors
     /// It can't listen.
     pub fn relocate(self: &Rc<Self>) -> std::io::Result<()> {
-        self.doors.borrow_mut().clear();
-        for balancer in 0..self.stage.scenario.cluster.count {
-            self.open_door(balancer)?;
+        self.endpoints.borrow_mut().clear();
+        for balancer in 0..self.context.scenario.cluster.count {
+            self.open_endpoint(balancer)?;
         }
         let (list, old) = (self.clone(), self.generation.replace(self.generation.get() + 1));
         spawn_local(async move {
             sleep(MOVE_GRACE).await;
-            list.broken.change(|b| *b = old.max(*b));
+            list.broken.send_modify(|b| *b = old.max(*b));
         });
         Ok(())
     }
 
     /// A node's state has changed; the list learns of it `after` a while.
-    pub fn learn(&self, node: usize, phase: Phase, since: At, after: Duration) {
-        let late = self.troubles.borrow().late;
+    pub fn schedule_change(&self, node: usize, phase: Phase, since: At, after: Duration) {
+        let late = self.active_faults.borrow().late;
         let serial = self.serial.replace(self.serial.get() + 1);
         let (due, entry) = (Instant::now() + after + late, Entry { phase, since });
-        self.news.borrow_mut().push(News { due, serial, node, entry });
+        self.pending.borrow_mut().push(PendingChange { due, serial, node, entry });
     }
 
     /// Takes in what it has learned by now, and tells all watches.
     fn publish(&self) {
-        if self.troubles.borrow().stale > 0 {
+        if self.active_faults.borrow().stale > 0 {
             return;
         }
         let now = Instant::now();
-        let mut due: Vec<News> = Vec::new();
-        self.news.borrow_mut().retain(|n| {
+        let mut due: Vec<PendingChange> = Vec::new();
+        self.pending.borrow_mut().retain(|n| {
             let is = n.due <= now;
             if is {
                 due.push(n.clone());
@@ -191,70 +191,70 @@
         due.sort_by_key(|n| n.serial);
         let revision = *self.revision.get() + 1;
         let mut changed = false;
-        for news in due {
+        for pending in due {
             let mut entries = self.entries.borrow_mut();
-            let entry = &mut entries[news.node];
-            if entry.is_some_and(|(serial, e)| serial > news.serial || e == news.entry) {
+            let entry = &mut entries[pending.node];
+            if entry.is_some_and(|(serial, e)| serial > pending.serial || e == pending.entry) {
                 continue;
             }
-            *entry = Some((news.serial, news.entry));
+            *entry = Some((pending.serial, pending.entry));
             let mut log = self.log.borrow_mut();
-            log.retain(|(_, node)| *node != news.node);
-            log.push((revision, news.node));
+            log.retain(|(_, node)| *node != pending.node);
+            log.push((revision, pending.node));
             changed = true;
-            let Entry { phase, since } = news.entry;
-            self.stage.record.saw(Observation::Listed { node: news.node, phase, since });
+            let Entry { phase, since } = pending.entry;
+            self.context.record.saw(Observation::Listed { node: pending.node, phase, since });
         }
         if changed {
-            self.revision.change(|r| *r = revision);
+            self.revision.send_modify(|r| *r = revision);
         }
     }
 
     /// Out of reach: watches end, nothing new comes up.
     pub fn down(&self, begins: bool) {
-        count(&mut self.troubles.borrow_mut().down, begins);
+        count(&mut self.active_faults.borrow_mut().down, begins);
         if begins {
             let old = self.generation.replace(self.generation.get() + 1);
-            self.broken.change(|b| *b = old.max(*b));
+            self.broken.send_modify(|b| *b = old.max(*b));
         }
     }
 
     /// Answers, and learns nothing.
     pub fn stale(&self, begins: bool) {
-        count(&mut self.troubles.borrow_mut().stale, begins);
+        count(&mut self.active_faults.borrow_mut().stale, begins);
     }
 
     /// Says things twice, or older ones after newer ones.
     pub fn disorder(&self, begins: bool) {
-        count(&mut self.troubles.borrow_mut().disorder, begins);
+        count(&mut self.active_faults.borrow_mut().disorder, begins);
     }
 
     /// Learns so much later.
     pub fn late(&self, by: Duration, begins: bool) {
-        let mut troubles = self.troubles.borrow_mut();
-        let late = &mut troubles.late;
+        let mut active_faults = self.active_faults.borrow_mut();
+        let late = &mut active_faults.late;
         *late = if begins { *late + by } else { late.saturating_sub(by) };
     }
 
     /// Says nothing to one balancer: what is open stays open and silent, nothing new comes up.
     pub fn cut(&self, balancer: usize, begins: bool) {
-        count(&mut self.deaf.borrow_mut()[balancer], begins);
+        count(&mut self.silenced.borrow_mut()[balancer], begins);
     }
 
     /// Whether a balancer hears nothing.
     fn is_out_of_reach(&self, balancer: usize) -> bool {
-        self.is_down() || self.deaf.borrow()[balancer] > 0
+        self.is_down() || self.silenced.borrow()[balancer] > 0
     }
 
     /// Waits until a balancer can hear again.
-    async fn audible(&self, balancer: usize) {
-        while self.deaf.borrow()[balancer] > 0 {
-            sleep(LOOK).await;
+    async fn wait_until_reachable(&self, balancer: usize) {
+        while self.silenced.borrow()[balancer] > 0 {
+            sleep(POLL_INTERVAL).await;
         }
     }
 
     async fn accept(self: Rc<Self>, balancer: usize, mut listener: Box<dyn Listener>) {
-        let mut broken = self.broken.watch();
+        let mut broken = self.broken.subscribe();
         loop {
             listener.hush(self.is_out_of_reach(balancer));
             let next = std::future::poll_fn(|cx| listener.poll_accept(cx));
@@ -267,56 +267,56 @@
                     Err(_) => sleep(Duration::from_millis(5)).await,
                 },
                 // Look now and then whether it still is.
-                () = sleep(LOOK), if self.cuts || self.is_out_of_reach(balancer) => {}
+                () = sleep(POLL_INTERVAL), if self.cuts || self.is_out_of_reach(balancer) => {}
                 () = broken.changed() => {}
             }
         }
     }
 
     fn is_down(&self) -> bool {
-        self.troubles.borrow().down > 0
+        self.active_faults.borrow().down > 0
     }
 
-    async fn converse(self: Rc<Self>, balancer: usize, mut talk: Exchange) {
-        let (mut broken, generation) = (self.broken.watch(), self.generation.get());
+    async fn converse(self: Rc<Self>, balancer: usize, mut exchange: Exchange) {
+        let (mut broken, generation) = (self.broken.subscribe(), self.generation.get());
         let watch = Cell::new(None);
         let cut = tokio::select! {
             biased;
             () = async {
-                while *broken.see() < generation {
+                while *broken.borrow_and_update() < generation {
                     broken.changed().await;
                 }
             } => true,
-            () = self.calls(balancer, &mut talk, &watch) => false,
+            () = self.calls(balancer, &mut exchange, &watch) => false,
         };
         if cut || watch.get().is_some() {
-            let record = &self.stage.record;
+            let record = &self.context.record;
             record.saw(Observation::ListCallFailed { balancer, watch: watch.get() });
         }
         if cut {
-            talk.reset();
+            exchange.reset();
         }
     }
 
-    async fn calls(&self, balancer: usize, talk: &mut Exchange, watch: &Cell<Option<u64>>) {
-        while let Ok(call) = talk.message(Side::Requests).await {
+    async fn calls(&self, balancer: usize, exchange: &mut Exchange, watch: &Cell<Option<u64>>) {
+        while let Ok(call) = exchange.message(Direction::Requests).await {
             let target = call.start.1;
             let query = target.strip_prefix("/api/targets");
             let Some(query) = query.filter(|_| call.start.0 == "GET") else {
-                let _ = talk.write(b"HTTP/1.1 404 -\r\nContent-Length: 0\r\n\r\n").await;
+                let _ = exchange.write(b"HTTP/1.1 404 -\r\nContent-Length: 0\r\n\r\n").await;
                 continue;
             };
             // Whoever has let go meanwhile is told nothing.
             tokio::select! {
                 biased;
-                _ = talk.end() => return,
-                () = self.audible(balancer) => {}
+                _ = exchange.end() => return,
+                () = self.wait_until_reachable(balancer) => {}
             }
-            self.stage.record.saw(Observation::ListCall { balancer });
-            if self.is_down() || !self.turn().await {
+            self.context.record.saw(Observation::ListCall { balancer });
+            if self.is_down() || !self.wait_for_service().await {
                 let answer = b"HTTP/1.1 503 -\r\nContent-Length: 0\r\n\r\n";
-                let _ = talk.write(answer).await;
-                self.stage.record.saw(Observation::ListCallFailed { balancer, watch: None });
+                let _ = exchange.write(answer).await;
+                self.context.record.saw(Observation::ListCallFailed { balancer, watch: None });
                 continue;
             }
             let pairs = query.trim_start_matches('?').split('&');
@@ -326,24 +326,24 @@
             let from = value("index").and_then(|(_, v)| v.parse().ok()).unwrap_or(0);
             if value("stream").is_some() {
                 let number = self.watches.replace(self.watches.get() + 1);
-                self.stage.record.saw(Observation::WatchStarted { balancer, watch: number });
+                self.context.record.saw(Observation::WatchStarted { balancer, watch: number });
                 watch.set(Some(number));
-                let _ = self.watch(balancer, from, talk).await;
+                let _ = self.watch(balancer, from, exchange).await;
                 return;
             }
-            let (text, told) = self.line(balancer, 0);
+            let (text, updates) = self.line(balancer, 0);
             let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", text.len());
-            if talk.write((head + &text).as_bytes()).await.is_err() {
+            if exchange.write((head + &text).as_bytes()).await.is_err() {
                 return;
             }
-            self.told(balancer, told);
-            self.stage.record.saw(Observation::WatchStarted { balancer, watch: u64::MAX });
+            self.record_updates(balancer, updates);
+            self.context.record.saw(Observation::WatchStarted { balancer, watch: u64::MAX });
         }
     }
 
     /// Waits for its turn at the service; `false` if that would take too long.
-    async fn turn(&self) -> bool {
-        let list = &self.stage.scenario.list;
+    async fn wait_for_service(&self) -> bool {
+        let list = &self.context.scenario.list;
         if !list.asked {
             return true;
         }
@@ -357,48 +357,53 @@
         true
     }
 
-    async fn watch(&self, balancer: usize, from: u64, talk: &mut Exchange) -> std::io::Result<()> {
-        let mut revision = self.revision.watch();
+    async fn watch(
+        &self,
+        balancer: usize,
+        from: u64,
+        exchange: &mut Exchange,
+    ) -> std::io::Result<()> {
+        let mut revision = self.revision.subscribe();
         let mut at = from;
         // What may come again: messages of this watch, and the whole list as another replica still has it.
-        let mut before: VecDeque<(String, Vec<Told>)> = VecDeque::new();
+        let mut before: VecDeque<(String, Vec<Update>)> = VecDeque::new();
         before.push_back(self.line(balancer, 0));
-        talk.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
+        exchange.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
         loop {
             tokio::select! {
                 biased;
-                _ = talk.end(), if self.deaf.borrow()[balancer] > 0 => return Ok(()),
-                () = self.audible(balancer) => {}
+                _ = exchange.end(), if self.silenced.borrow()[balancer] > 0 => return Ok(()),
+                () = self.wait_until_reachable(balancer) => {}
             }
-            let newest = *revision.see();
-            let (text, told) = self.line(balancer, if at > newest { 0 } else { at });
+            let newest = *revision.borrow_and_update();
+            let (text, updates) = self.line(balancer, if at > newest { 0 } else { at });
             at = newest;
-            talk.chunk(&format!("{text}\n")).await?;
-            self.told(balancer, told.clone());
-            if self.troubles.borrow().disorder > 0 {
-                talk.chunk(&format!("{text}\n")).await?;
-                self.told(balancer, told.clone());
+            exchange.chunk(&format!("{text}\n")).await?;
+            self.record_updates(balancer, updates.clone());
+            if self.active_faults.borrow().disorder > 0 {
+                exchange.chunk(&format!("{text}\n")).await?;
+                self.record_updates(balancer, updates.clone());
                 if let Some((older, what)) = before.pop_front() {
-                    talk.chunk(&format!("{older}\n")).await?;
-                    self.told(balancer, what);
+                    exchange.chunk(&format!("{older}\n")).await?;
+                    self.record_updates(balancer, what);
                 }
             }
-            before.push_back((text, told));
-            if before.len() > REMEMBERED {
+            before.push_back((text, updates));
+            if before.len() > MAX_REPLAYED {
                 before.pop_front();
             }
             loop {
                 tokio::select! {
                     biased;
                     () = revision.changed() => break,
-                    _ = talk.end() => return Ok(()),
-                    () = sleep(BEAT), if self.stage.scenario.list.asked => {}
+                    _ = exchange.end() => return Ok(()),
+                    () = sleep(HEARTBEAT_INTERVAL), if self.context.scenario.list.asked => {}
                 }
-                if self.deaf.borrow()[balancer] > 0 {
+                if self.silenced.borrow()[balancer] > 0 {
                     continue;
                 }
                 // Late or not, a beat must not wait for a reader that has stopped reading.
-                if !matches!(timeout(BEAT, talk.chunk("\n")).await, Ok(Ok(()))) {
+                if !matches!(timeout(HEARTBEAT_INTERVAL, exchange.chunk("\n")).await, Ok(Ok(()))) {
                     return Ok(());
                 }
             }
@@ -406,34 +411,34 @@
     }
 
     /// What changed after a revision, or the whole list, as a line; and what it tells.
-    fn line(&self, balancer: usize, after: u64) -> (String, Vec<Told>) {
+    fn line(&self, balancer: usize, after: u64) -> (String, Vec<Update>) {
         let revision = *self.revision.get();
         let complete = after == 0;
         let (log, entries) = (self.log.borrow(), self.entries.borrow());
-        let mut told = Vec::new();
+        let mut updates = Vec::new();
         let mut members = Vec::new();
         for &(at, node) in log.iter() {
             let Some((_, entry)) = entries[node] else { continue };
             if at <= after {
                 continue;
             }
-            told.push(Told { node, entry, revision });
+            updates.push(Update { node, entry, revision });
             if complete && entry.phase == Phase::Deleted {
                 continue;
             }
             members.push(self.member(node, entry, balancer));
         }
         let line = json!({"revision": revision, "complete": complete, "members": members});
-        (line.to_string(), told)
+        (line.to_string(), updates)
     }
 
     fn member(&self, node: usize, entry: Entry, balancer: usize) -> serde_json::Value {
-        member(&self.stage, &self.nodes[node], entry.phase, entry.since, balancer)
+        member(&self.context, &self.nodes[node], entry.phase, entry.since, balancer)
     }
 
-    fn told(&self, balancer: usize, what: Vec<Told>) {
-        for Told { node, entry: Entry { phase, since }, revision } in what {
-            self.stage.record.saw(Observation::ListUpdate {
+    fn record_updates(&self, balancer: usize, what: Vec<Update>) {
+        for Update { node, entry: Entry { phase, since }, revision } in what {
+            self.context.record.saw(Observation::ListUpdate {
                 balancer,
                 node,
                 phase,
@@ -444,15 +449,15 @@
     }
 
     /// The whole list as it stands, for a balancer's start.
-    pub fn known(&self, balancer: usize) -> serde_json::Value {
-        let (text, told) = self.line(balancer, 0);
-        self.told(balancer, told);
+    pub fn initial_list(&self, balancer: usize) -> serde_json::Value {
+        let (text, updates) = self.line(balancer, 0);
+        self.record_updates(balancer, updates);
         serde_json::from_str(&text).unwrap_or_default()
     }
 }
 
 #[derive(Clone, Debug)]
-struct Told {
+struct Update {
     node: usize,
     entry: Entry,
     revision: u64,
@@ -460,16 +465,16 @@
 
 /// A node's entry in the list's own form.
 fn member(
-    stage: &Stage,
+    context: &RunContext,
     node: &Node,
     phase: Phase,
     since: At,
     balancer: usize,
 ) -> serde_json::Value {
-    let scenario: &Scenario = &stage.scenario;
-    let machine = &stage.plan.machines[node.place];
+    let scenario: &Scenario = &context.scenario;
+    let machine = &context.plan.machines[node.index];
     let up =
-        if since.0 == 0 { 0.0 } else { (stage.epoch.as_micros() as u64 + since.0) as f64 / 1e3 };
+        if since.0 == 0 { 0.0 } else { (context.epoch.as_micros() as u64 + since.0) as f64 / 1e3 };
     json!({
         "id": machine.id,
         "host_port": node.address(balancer).to_string(),
--- a/crates/rehearsal/src/node/mod.rs
+++ b/crates/rehearsal/src/node/mod.rs
@@ -19,16 +19,16 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 
+use crate::ordered_watch::OrderedWatch;
 use crate::plan::Machine;
 use crate::record::{At, Observation};
+use crate::run_context::{Host, RunContext};
 use crate::scenario::MachineType;
-use crate::stage::{Stage, Who};
-use crate::watched::Watched;
 use model::{Model, WarmUpFall};
 
 /// What keeps a node from being well, by how many faults.
 #[derive(Clone, Debug, Default)]
-struct Troubles {
+struct ActiveFaults {
     dead: u32,
     vanished: u32,
     draining: u32,
@@ -48,12 +48,12 @@
 
 /// One stand-in node.
 pub struct Node {
-    stage: Rc<Stage>,
+    context: Rc<RunContext>,
     /// Its place among the machines.
-    pub place: usize,
+    pub index: usize,
     machine: Machine,
     kind: MachineType,
-    troubles: RefCell<Troubles>,
+    active_faults: RefCell<ActiveFaults>,
     /// The process, while there is one.
     process: RefCell<Option<Process>>,
     /// When the process started; for the list.
@@ -62,7 +62,7 @@
     /// Where it listens, by balancer; kept for when it comes back.
     addresses: RefCell<Vec<SocketAddr>>,
     /// Told whenever anything about its life changes.
-    life: Watched<Life>,
+    state: OrderedWatch<ConnectionState>,
     rng: RefCell<ChaCha8Rng>,
     errors: Cell<u64>,
     reports: RefCell<VecDeque<(Instant, Load)>>,
@@ -71,7 +71,7 @@
 
 /// What connections must know of it.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Life {
+struct ConnectionState {
     /// Counts processes: a connection belongs to one.
     process: u64,
     alive: bool,
@@ -87,17 +87,17 @@
     connections: u32,
     wake: Rc<Notify>,
     tasks: Vec<AbortHandle>,
-    listeners: Vec<Door>,
+    listeners: Vec<SharedListener>,
 }
 
 /// A listener that its accepting task shares with its process, and loses with it.
-type Door = Rc<RefCell<Option<Box<dyn Listener>>>>;
+type SharedListener = Rc<RefCell<Option<Box<dyn Listener>>>>;
 
 impl Drop for Process {
     fn drop(&mut self) {
         // At once: an aborted task goes on holding what it has until its next turn, and the address with it.
-        for door in &self.listeners {
-            door.take();
+        for listener in &self.listeners {
+            listener.take();
         }
         self.tasks.iter().for_each(AbortHandle::abort);
     }
@@ -105,24 +105,24 @@
 
 impl Node {
     /// A node that does not run yet.
-    pub fn new(stage: &Rc<Stage>, place: usize) -> Rc<Self> {
-        let machine = stage.plan.machines[place].clone();
-        let kind = stage.scenario.fleet.machine_types[machine.machine_type].clone();
-        let balancers = stage.scenario.cluster.count;
-        let troubles = Troubles { cut: vec![0; balancers], ..Troubles::default() };
-        let life = Life { cut: vec![false; balancers], ..Life::default() };
+    pub fn new(context: &Rc<RunContext>, index: usize) -> Rc<Self> {
+        let machine = context.plan.machines[index].clone();
+        let kind = context.scenario.fleet.machine_types[machine.machine_type].clone();
+        let balancers = context.scenario.cluster.count;
+        let active_faults = ActiveFaults { cut: vec![0; balancers], ..ActiveFaults::default() };
+        let state = ConnectionState { cut: vec![false; balancers], ..ConnectionState::default() };
         Rc::new(Self {
-            stage: stage.clone(),
-            place,
+            context: context.clone(),
+            index,
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(machine.seed)),
             machine,
             kind,
-            troubles: RefCell::new(troubles),
+            active_faults: RefCell::new(active_faults),
             process: RefCell::default(),
             since: Cell::default(),
             tipped: Cell::new(false),
             addresses: RefCell::default(),
-            life: Watched::new(life),
+            state: OrderedWatch::new(state),
             errors: Cell::new(0),
             reports: RefCell::default(),
             changed: Rc::default(),
@@ -141,12 +141,12 @@
 
     /// Whether its process runs, on a machine that speaks.
     pub fn serves(&self) -> bool {
-        self.process.borrow().is_some() && self.troubles.borrow().vanished == 0
+        self.process.borrow().is_some() && self.active_faults.borrow().vanished == 0
     }
 
     /// Whether it wants nothing new.
     pub fn drains(&self) -> bool {
-        self.troubles.borrow().draining > 0
+        self.active_faults.borrow().draining > 0
     }
 
     /// Where a balancer reaches it.
@@ -172,10 +172,10 @@
         if let Some(at) = at {
             *self.addresses.borrow_mut() = at;
         }
-        let network = self.stage.ground.network(Who::Node(self.place));
+        let network = self.context.testbed.network(Host::Node(self.index));
         let mut addresses = self.addresses.borrow().clone();
-        let anywhere = self.stage.ground.address(Who::Node(self.place));
-        addresses.resize(self.stage.scenario.cluster.count, anywhere);
+        let anywhere = self.context.testbed.address(Host::Node(self.index));
+        addresses.resize(self.context.scenario.cluster.count, anywhere);
         let mut listeners = Vec::new();
         for address in &mut addresses {
             let listener = network.listen(*address)?;
@@ -184,7 +184,7 @@
         }
         *self.addresses.borrow_mut() = addresses;
 
-        let scenario = &self.stage.scenario;
+        let scenario = &self.context.scenario;
         let cold_ms = if cold { self.kind.cold.as_secs_f64() * 1e3 } else { 0.0 };
         let fall = WarmUpFall {
             multiple: scenario.rules.fall_multiple,
@@ -192,19 +192,19 @@
             mean: scenario.mean_work(),
         };
         let mut model = Model::start(&self.kind, self.machine.speed, self.now(), cold_ms, fall);
-        model.slow = self.troubles.borrow().slow.iter().product();
-        let record = &self.stage.record;
+        model.slow = self.active_faults.borrow().slow.iter().product();
+        let record = &self.context.record;
         self.since.set(if cold { record.now() } else { At(0) });
         record.saw(Observation::Up {
-            node: self.place,
+            node: self.index,
             full: model.full(),
             cold_from: self.kind.cold_from,
             cold_ms,
         });
         let wake = Rc::new(Notify::new());
-        self.life.change(|life| {
-            life.process += 1;
-            life.alive = true;
+        self.state.send_modify(|state| {
+            state.process += 1;
+            state.alive = true;
         });
         let mut tasks = Vec::new();
         for (balancer, listener) in listeners.iter().enumerate() {
@@ -223,69 +223,69 @@
     /// Ends its process: connections are reset, what was in work is lost.
     pub fn stop(&self) {
         if self.process.take().is_some() {
-            self.stage.record.saw(Observation::Down { node: self.place });
+            self.context.record.saw(Observation::Down { node: self.index });
         }
-        self.life.change(|life| life.alive = false);
+        self.state.send_modify(|state| state.alive = false);
     }
 
     fn now(&self) -> f64 {
-        self.stage.record.now().0 as f64 / 1e3
+        self.context.record.now().0 as f64 / 1e3
     }
 
     /// Whether it may run, as far as faults go.
     pub fn may_run(&self) -> bool {
-        let t = self.troubles.borrow();
+        let t = self.active_faults.borrow();
         t.dead == 0 && !t.gone && !self.tipped.get()
     }
 
     /// Its process dies, or could come back.
     pub fn die(&self, begins: bool) {
-        count(&mut self.troubles.borrow_mut().dead, begins);
+        count(&mut self.active_faults.borrow_mut().dead, begins);
         if begins {
             self.stop();
         }
     }
 
     /// It is gone for good. `false` if it was before.
-    pub fn go(&self) -> bool {
-        let before = std::mem::replace(&mut self.troubles.borrow_mut().gone, true);
+    pub fn retire(&self) -> bool {
+        let before = std::mem::replace(&mut self.active_faults.borrow_mut().gone, true);
         self.stop();
         !before
     }
 
     /// The machine says nothing any more, or is back: then everything on it begins anew.
     pub fn vanish(&self, begins: bool) {
-        count(&mut self.troubles.borrow_mut().vanished, begins);
-        let silent = self.troubles.borrow().vanished > 0;
+        count(&mut self.active_faults.borrow_mut().vanished, begins);
+        let silent = self.active_faults.borrow().vanished > 0;
         if !begins && !silent {
             self.stop();
         }
-        self.life.change(|life| life.silent = silent);
+        self.state.send_modify(|state| state.silent = silent);
         self.hush();
     }
 
     /// Whether the machine is silent.
     pub fn silent(&self) -> bool {
-        self.troubles.borrow().vanished > 0
+        self.active_faults.borrow().vanished > 0
     }
 
     /// Out of reach for one balancer. What it had open is reset when that is over.
     pub fn cut(&self, balancer: usize, begins: bool) {
-        count(&mut self.troubles.borrow_mut().cut[balancer], begins);
-        let cut = self.troubles.borrow().cut[balancer] > 0;
-        self.life.change(|life| life.cut[balancer] = cut);
+        count(&mut self.active_faults.borrow_mut().cut[balancer], begins);
+        let cut = self.active_faults.borrow().cut[balancer] > 0;
+        self.state.send_modify(|state| state.cut[balancer] = cut);
         self.hush();
     }
 
     /// Wants nothing new, or does again.
     pub fn drain(&self, begins: bool) {
-        count(&mut self.troubles.borrow_mut().draining, begins);
+        count(&mut self.active_faults.borrow_mut().draining, begins);
     }
 
     /// Slower by a factor.
     pub fn slow(&self, factor: f64, begins: bool) {
-        toggle(&mut self.troubles.borrow_mut().slow, factor, begins);
-        let slow = self.troubles.borrow().slow.iter().product();
+        toggle(&mut self.active_faults.borrow_mut().slow, factor, begins);
+        let slow = self.active_faults.borrow().slow.iter().product();
         self.advance();
         if let Some(process) = &mut *self.process.borrow_mut() {
             process.model.slow = slow;
@@ -295,16 +295,16 @@
 
     /// A share of its answers comes spoilt.
     pub fn spoil(&self, share: f64, begins: bool) {
-        toggle(&mut self.troubles.borrow_mut().spoil, share, begins);
+        toggle(&mut self.active_faults.borrow_mut().spoil, share, begins);
     }
 
     /// Has each listener say something or nothing, as things stand.
     fn hush(&self) {
-        let life = self.life.get().clone();
+        let state = self.state.get().clone();
         if let Some(process) = &*self.process.borrow() {
-            for (listener, cut) in process.listeners.iter().zip(&life.cut) {
+            for (listener, cut) in process.listeners.iter().zip(&state.cut) {
                 if let Some(listener) = &mut *listener.borrow_mut() {
-                    listener.hush(life.silent || *cut);
+                    listener.hush(state.silent || *cut);
                 }
             }
         }
@@ -320,7 +320,9 @@
         process.model.advance(now, &mut finished);
         let warmth = process.model.warmth();
         if (warmth * 100.0).floor() > (before * 100.0).floor() {
-            self.stage.record.saw(Observation::WarmUpProgress { node: self.place, share: warmth });
+            self.context
+                .record
+                .saw(Observation::WarmUpProgress { node: self.index, share: warmth });
         }
         for id in finished {
             if let Some(done) = process.waiting.remove(&id) {
@@ -352,7 +354,7 @@
 
     /// Reports its load, now and then.
     async fn report(self: Rc<Self>) {
-        let list = &self.stage.scenario.list;
+        let list = &self.context.scenario.list;
         let phase: f64 = self.rng.borrow_mut().random();
         sleep(list.report_period.mul_f64(phase)).await;
         let (mut served, mut errors) = (0, self.errors.get());
@@ -387,7 +389,7 @@
             Some((at, load)) if *at <= Instant::now() => *load,
             _ => return String::new(),
         };
-        let noise = self.stage.scenario.list.report_noise;
+        let noise = self.context.scenario.list.report_noise;
         let mut rng = self.rng.borrow_mut();
         let mut noisy = |x: f64| x * (1.0 + noise * (rng.random::<f64>() * 2.0 - 1.0));
         format!(
--- a/crates/rehearsal/src/node/model.rs
+++ b/crates/rehearsal/src/node/model.rs
@@ -15,7 +15,7 @@
 /// A node is warm once it has done this share of what it could have done in its whole cold time.
 const WARM_BY_WORK: f64 = 0.3;
 /// Rounding must not leave a request unfinished for ever.
-const NOTHING: f64 = 1e-6;
+const WORK_EPSILON: f64 = 1e-6;
 
 /// A request that the node holds.
 #[derive(Clone, Copy, Debug)]
@@ -38,9 +38,9 @@
 
 /// Whether a request was taken.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
+pub enum Admission {
     /// It is in work, or waits for a slot.
-    Taken,
+    Accepted,
     /// There is no room.
     Full,
     /// The node has just fallen over.
@@ -131,7 +131,7 @@
     pub fn next(&self) -> Option<Ms> {
         let pace = self.pace();
         let least = self.working.iter().map(|j| j.left).reduce(f64::min)?;
-        let done = self.now + least / pace.max(NOTHING);
+        let done = self.now + least / pace.max(WORK_EPSILON);
         let warming = self.cold > 0.0 && self.warmth() < 1.0;
         Some(if warming { done.min(self.now + WARMING_STEP) } else { done })
     }
@@ -159,7 +159,7 @@
     fn collect(&mut self, finished: &mut Vec<u32>) {
         let before = finished.len();
         self.working.retain(|job| {
-            let over = job.left <= NOTHING;
+            let over = job.left <= WORK_EPSILON;
             if over {
                 finished.push(job.id);
             }
@@ -173,11 +173,11 @@
     }
 
     /// A request comes at the time that it was last advanced to.
-    pub fn arrive(&mut self, id: u32, work: f64) -> Verdict {
-        if self.pushed(work) {
+    pub fn arrive(&mut self, id: u32, work: f64) -> Admission {
+        if self.is_overloaded(work) {
             self.working.clear();
             self.waiting.clear();
-            return Verdict::Tipped;
+            return Admission::Tipped;
         }
         let job = Job { id, left: work };
         if self.working.len() < self.kind.slots as usize {
@@ -185,20 +185,20 @@
         } else if self.waiting.len() < self.kind.queue as usize {
             self.waiting.push_back(job);
         } else {
-            return Verdict::Full;
+            return Admission::Full;
         }
-        Verdict::Taken
+        Admission::Accepted
     }
 
     /// Work besides requests, a handshake's: it delays what is in work, and counts as sent.
-    pub fn bother(&mut self, work: f64) {
+    pub fn add_handshake_work(&mut self, work: f64) {
         let n = self.working.len().max(1) as f64;
         self.working.iter_mut().for_each(|j| j.left += work / n);
     }
 
     /// Notes what is sent to a cold one, and whether that is too much: all that arrives counts, also what it
     /// turns away.
-    fn pushed(&mut self, work: f64) -> bool {
+    fn is_overloaded(&mut self, work: f64) -> bool {
         if self.cold <= 0.0 || self.now >= self.started + self.cold {
             return false;
         }
@@ -250,11 +250,14 @@
     fn cores_are_shared_and_the_waiting_room_is_bounded() {
         let mut m = Model::start(&kind(), 2.0, 0.0, 0.0, FALL);
         for id in 0..2 {
-            assert_eq!(m.arrive(id, 100.0), Verdict::Taken);
+            assert_eq!(m.arrive(id, 100.0), Admission::Accepted);
         }
         assert_eq!(m.next(), Some(50.0), "each has a core of speed 2");
-        assert_eq!((m.arrive(2, 100.0), m.arrive(3, 100.0)), (Verdict::Taken, Verdict::Taken));
-        assert_eq!(m.arrive(4, 100.0), Verdict::Full);
+        assert_eq!(
+            (m.arrive(2, 100.0), m.arrive(3, 100.0)),
+            (Admission::Accepted, Admission::Accepted)
+        );
+        assert_eq!(m.arrive(4, 100.0), Admission::Full);
         // Four on two cores is half a request a core over 1.5: a sixth of the speed is lost.
         let pace = 2.0 * 2.0 * (1.0 - 0.5 * 0.5 / 1.5) / 3.0;
         let next = m.next().expect("busy");
@@ -290,22 +293,22 @@
         let mut m = Model::start(&kind(), 1.0, 0.0, 10_000.0, FALL);
         // 0.25 of two cores for 2 s, four times: 40 requests, and by chance twice the root of that and two.
         let mut sent = 0.0;
-        while m.arrive(0, 100.0) != Verdict::Tipped {
+        while m.arrive(0, 100.0) != Admission::Tipped {
             sent += 100.0;
             assert!(sent <= 5400.0, "it bears {sent}");
         }
         assert_eq!(sent, 5400.0);
         let mut heavy = Model::start(&kind(), 1.0, 0.0, 10_000.0, FALL);
-        assert_eq!(heavy.arrive(0, 50_000.0), Verdict::Taken, "one heavy request is chance");
-        assert_eq!(heavy.arrive(0, 50_000.0), Verdict::Tipped, "two are not");
+        assert_eq!(heavy.arrive(0, 50_000.0), Admission::Accepted, "one heavy request is chance");
+        assert_eq!(heavy.arrive(0, 50_000.0), Admission::Tipped, "two are not");
         // The same a little at a time never pushes it over, nor does anything a warm one.
         let mut slow = Model::start(&kind(), 1.0, 0.0, 10_000.0, FALL);
         for i in 0..50 {
             finished(&mut slow, 60.0 * f64::from(i));
-            assert_ne!(slow.arrive(0, 100.0), Verdict::Tipped);
+            assert_ne!(slow.arrive(0, 100.0), Admission::Tipped);
         }
         let mut warm = Model::start(&kind(), 1.0, 0.0, 0.0, FALL);
-        assert!((0..500).all(|_| warm.arrive(0, 100.0) != Verdict::Tipped));
+        assert!((0..500).all(|_| warm.arrive(0, 100.0) != Admission::Tipped));
     }
 
     #[test]
--- a/crates/rehearsal/src/node/serving.rs
+++ b/crates/rehearsal/src/node/serving.rs
@@ -9,17 +9,17 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-use super::model::Verdict;
-use super::{Door, Node};
+use super::model::Admission;
+use super::{Node, SharedListener};
+use crate::ordered_watch::WatchReceiver;
 use crate::record::{At, AttemptOutcome, Observation};
 use crate::scenario::{Effect, Group};
-use crate::watched::Watcher;
-use crate::wire::{Ended, Exchange, Message, Side};
+use crate::wire::{ConnectionEnd, Direction, Exchange, Message};
 
 impl Node {
-    pub(super) async fn accept(self: Rc<Self>, balancer: usize, door: Door) {
+    pub(super) async fn accept(self: Rc<Self>, balancer: usize, listener: SharedListener) {
         loop {
-            let next = std::future::poll_fn(|cx| match &mut *door.borrow_mut() {
+            let next = std::future::poll_fn(|cx| match &mut *listener.borrow_mut() {
                 Some(listener) => listener.poll_accept(cx),
                 None => Poll::Pending,
             })
@@ -29,8 +29,8 @@
                 sleep(Duration::from_millis(5)).await;
                 continue;
             };
-            let life = self.life.watch();
-            spawn_local(self.clone().converse(balancer, Exchange::new(stream), life));
+            let state = self.state.subscribe();
+            spawn_local(self.clone().converse(balancer, Exchange::new(stream), state));
         }
     }
 
@@ -38,56 +38,59 @@
     async fn converse(
         self: Rc<Self>,
         balancer: usize,
-        mut talk: Exchange,
-        mut life: Watcher<super::Life>,
+        mut exchange: Exchange,
+        mut state: WatchReceiver<super::ConnectionState>,
     ) {
-        let process = life.see().process;
+        let process = state.borrow_and_update().process;
         let crowded = {
             let mut process = self.process.borrow_mut();
-            let Some(p) = &mut *process else { return talk.reset() };
+            let Some(p) = &mut *process else { return exchange.reset() };
             p.connections += 1;
-            p.model.bother(self.kind.handshake_ms);
+            p.model.add_handshake_work(self.kind.handshake_ms);
             p.connections > self.kind.connections
         };
-        self.stage.record.saw(Observation::Connected { node: self.place, balancer });
+        self.context.record.saw(Observation::Connected { node: self.index, balancer });
         let ended = {
-            let over = over(&mut life, process, balancer);
+            let wait_until_unusable = wait_until_unusable(&mut state, process, balancer);
             tokio::select! {
                 biased;
-                () = over => true,
-                () = self.requests(balancer, &mut talk, crowded) => false,
+                () = wait_until_unusable => true,
+                () = self.requests(balancer, &mut exchange, crowded) => false,
             }
         };
         if ended {
-            talk.reset();
+            exchange.reset();
         }
         if let Some(p) = &mut *self.process.borrow_mut()
-            && self.life.get().process == process
+            && self.state.get().process == process
         {
             p.connections -= 1;
         }
     }
 
-    async fn requests(self: &Rc<Self>, balancer: usize, talk: &mut Exchange, crowded: bool) {
-        let record = &self.stage.record;
+    async fn requests(self: &Rc<Self>, balancer: usize, exchange: &mut Exchange, crowded: bool) {
+        let record = &self.context.record;
         loop {
-            let idle = self.stage.scenario.rules.keepalive;
-            let message = match timeout(idle, talk.message(Side::Requests)).await {
+            let idle = self.context.scenario.rules.keepalive;
+            let message = match timeout(idle, exchange.message(Direction::Requests)).await {
                 Err(_) => return, // It has idled for too long.
                 Ok(Ok(message)) => message,
-                Ok(Err(Ended::Closed { inside: false } | Ended::Reset { inside: false })) => return,
-                Ok(Err(Ended::Closed { .. } | Ended::Reset { .. })) => {
-                    return record.saw(Observation::Partial { node: self.place, balancer });
+                Ok(Err(
+                    ConnectionEnd::Closed { inside: false }
+                    | ConnectionEnd::Reset { inside: false },
+                )) => return,
+                Ok(Err(ConnectionEnd::Closed { .. } | ConnectionEnd::Reset { .. })) => {
+                    return record.saw(Observation::Partial { node: self.index, balancer });
                 }
-                Ok(Err(Ended::Malformed(what))) => {
+                Ok(Err(ConnectionEnd::Malformed(what))) => {
                     return record.saw(Observation::AlteredRequest {
-                        node: self.place,
+                        node: self.index,
                         balancer,
                         what,
                     });
                 }
             };
-            if !self.request(balancer, talk, message, crowded).await {
+            if !self.request(balancer, exchange, message, crowded).await {
                 return;
             }
         }
@@ -96,15 +99,15 @@
     /// Which request this is, if it is one that a client sent, in its form.
     fn known(&self, message: &Message) -> Result<u32, String> {
         let id = message.header("x-request-id").ok_or("no X-Request-Id")?;
-        let request = self.stage.request(id).ok_or_else(|| format!("no client sent {id}"))?;
-        let class = self.stage.class(request);
+        let request = self.context.request(id).ok_or_else(|| format!("no client sent {id}"))?;
+        let class = self.context.class(request);
         let key = match class.effect {
-            Effect::Keyed => Some(self.stage.idempotency_key(request)),
+            Effect::Keyed => Some(self.context.idempotency_key(request)),
             _ => None,
         };
         let fits = message.start.0 == class.effect.method()
-            && message.start.1 == self.stage.target(request)
-            && message.body == self.stage.body(request)
+            && message.start.1 == self.context.target(request)
+            && message.body == self.context.body(request)
             && message.header("idempotency-key") == key.as_deref();
         if fits { Ok(request) } else { Err(format!("{id} was not sent in this form")) }
     }
@@ -113,29 +116,29 @@
     async fn request(
         self: &Rc<Self>,
         balancer: usize,
-        talk: &mut Exchange,
+        exchange: &mut Exchange,
         message: Message,
         crowded: bool,
     ) -> bool {
-        let record = &self.stage.record;
+        let record = &self.context.record;
         let request = match self.known(&message) {
             Ok(request) => request,
             Err(what) => {
-                record.saw(Observation::AlteredRequest { node: self.place, balancer, what });
-                let _ = talk.write(answer(400, "", "").as_bytes()).await;
+                record.saw(Observation::AlteredRequest { node: self.index, balancer, what });
+                let _ = exchange.write(answer(400, "", "").as_bytes()).await;
                 return false;
             }
         };
         let attempt = record.attempt();
-        let life = self.life.get().clone();
-        let dark = life.silent || life.cut[balancer];
+        let state = self.state.get().clone();
+        let dark = state.silent || state.cut[balancer];
         let first = At(record.now().0.saturating_sub(message.first.elapsed().as_micros() as u64));
-        let work_ms = self.stage.work_ms(request, self.machine.cell);
-        let start = self.stage.start_of(balancer);
+        let work_ms = self.context.work_ms(request, self.machine.cell);
+        let start = self.context.start_of(balancer);
         record.saw(Observation::Attempt {
             attempt,
             request,
-            node: self.place,
+            node: self.index,
             balancer,
             start,
             first,
@@ -146,27 +149,27 @@
             let _lost = OnDrop::new(|| {
                 record.saw(Observation::Ended { attempt, outcome: AttemptOutcome::Died })
             });
-            let _ = talk.end().await;
+            let _ = exchange.end().await;
             _lost.cancel();
             record.saw(Observation::Closed { attempt });
             return false;
         }
-        let fate = self.run(talk, attempt, request, work_ms, crowded).await;
-        let Some(fate) = fate else { return false };
-        record.saw(Observation::Ended { attempt, outcome: fate });
+        let outcome = self.run(exchange, attempt, request, work_ms, crowded).await;
+        let Some(outcome) = outcome else { return false };
+        record.saw(Observation::Ended { attempt, outcome: outcome });
         let load = self.load_header();
-        let text = match fate {
+        let text = match outcome {
             AttemptOutcome::Served | AttemptOutcome::Dropped => {
-                answer(200, &load, &format!("{} {attempt}", self.stage.arrival(request).id))
+                answer(200, &load, &format!("{} {attempt}", self.context.arrival(request).id))
             }
             AttemptOutcome::Error => answer(500, &load, ""),
             AttemptOutcome::Malformed => self.spoilt(),
             _ => answer(503, &format!("X-Not-Run: 1\r\n{load}"), ""),
         };
-        let written = talk.write(text.as_bytes()).await.is_ok();
-        if written && fate == AttemptOutcome::Malformed {
+        let written = exchange.write(text.as_bytes()).await.is_ok();
+        if written && outcome == AttemptOutcome::Malformed {
             // The connection stays open, and is of no further use.
-            let _ = talk.end().await;
+            let _ = exchange.end().await;
             return false;
         }
         written && !crowded
@@ -175,13 +178,13 @@
     /// Runs a request; `None` if its connection ended first.
     async fn run(
         self: &Rc<Self>,
-        talk: &mut Exchange,
+        exchange: &mut Exchange,
         attempt: u32,
         request: u32,
         work_ms: f64,
         crowded: bool,
     ) -> Option<AttemptOutcome> {
-        let record = &self.stage.record;
+        let record = &self.context.record;
         if crowded || self.drains() {
             return Some(AttemptOutcome::Rejected);
         }
@@ -194,11 +197,11 @@
             let mut process = self.process.borrow_mut();
             let process = process.as_mut()?;
             match process.model.arrive(attempt, work_ms) {
-                Verdict::Taken => {}
-                Verdict::Full => return Some(AttemptOutcome::Rejected),
-                Verdict::Tipped => {
+                Admission::Accepted => {}
+                Admission::Full => return Some(AttemptOutcome::Rejected),
+                Admission::Tipped => {
                     self.tipped.set(true);
-                    record.saw(Observation::Overloaded { node: self.place });
+                    record.saw(Observation::Overloaded { node: self.index });
                     self.changed.notify_one();
                     return Some(AttemptOutcome::Rejected);
                 }
@@ -207,7 +210,7 @@
             process.wake.notify_one();
         }
         self.remember(request);
-        self.stage.got_to_know(request, self.machine.cell);
+        self.context.remember_session(request, self.machine.cell);
         record.saw(Observation::Ran { attempt });
         // Dropped here, its node has died with it.
         let died = OnDrop::new(|| {
@@ -218,7 +221,7 @@
             done = done => {
                 done.ok()?;
             }
-            _ = talk.end() => {
+            _ = exchange.end() => {
                 died.cancel();
                 // The work goes on; nobody waits for it.
                 record.saw(Observation::Closed { attempt });
@@ -231,7 +234,7 @@
             let mut rng = self.rng.borrow_mut();
             (rng.random(), rng.random())
         };
-        let well: f64 = self.troubles.borrow().spoil.iter().map(|s| 1.0 - s).product();
+        let well: f64 = self.active_faults.borrow().spoil.iter().map(|s| 1.0 - s).product();
         Some(if spoil >= well {
             AttemptOutcome::Malformed
         } else if error < self.kind.error_rate {
@@ -244,7 +247,7 @@
 
     /// What remembers a keyed request's key: all nodes, those of a zone, or those of a cell.
     fn group(&self, request: u32) -> Option<u64> {
-        let class = self.stage.class(request);
+        let class = self.context.class(request);
         (class.effect == Effect::Keyed).then(|| match class.group {
             Group::All => 0,
             Group::Zone => 1 << 40 | self.machine.zone as u64,
@@ -254,14 +257,15 @@
 
     fn seen_before(&self, request: u32) -> bool {
         let Some(group) = self.group(request) else { return false };
-        let keys = self.stage.keys.borrow();
-        keys.get(&(group, self.stage.effect(request))).is_some_and(|until| *until > Instant::now())
+        let keys = self.context.keys.borrow();
+        keys.get(&(group, self.context.effect(request)))
+            .is_some_and(|until| *until > Instant::now())
     }
 
     fn remember(&self, request: u32) {
         if let Some(group) = self.group(request) {
-            let until = Instant::now() + self.stage.class(request).window;
-            self.stage.keys.borrow_mut().insert((group, self.stage.effect(request)), until);
+            let until = Instant::now() + self.context.class(request).window;
+            self.context.keys.borrow_mut().insert((group, self.context.effect(request)), until);
         }
     }
 
@@ -278,11 +282,15 @@
 }
 
 /// Ends when the connection must: its process is gone, or it is back in reach.
-async fn over(life: &mut Watcher<super::Life>, process: u64, balancer: usize) {
+async fn wait_until_unusable(
+    state: &mut WatchReceiver<super::ConnectionState>,
+    process: u64,
+    balancer: usize,
+) {
     let mut was_dark = false;
     loop {
         {
-            let now = life.see();
+            let now = state.borrow_and_update();
             // A machine that says nothing sends no reset either.
             let dark = now.silent || now.cut[balancer];
             if now.process != process || (!dark && (!now.alive || was_dark)) {
@@ -290,7 +298,7 @@
             }
             was_dark |= dark;
         }
-        life.changed().await;
+        state.changed().await;
     }
 }
 
--- a/crates/rehearsal/src/operator.rs
+++ b/crates/rehearsal/src/operator.rs
@@ -10,66 +10,74 @@
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep, timeout};
 
-use crate::cluster::Bank;
+use crate::cluster::Balancers;
 use crate::policy_actions::Call;
 use crate::record::{At, Observation};
+use crate::run_context::{Host, RunContext};
 use crate::scenario::OperatorVerb;
-use crate::stage::{Stage, Who};
-use crate::wire::{Exchange, Side};
+use crate::wire::{Direction, Exchange};
 
 /// A call without an answer by then has none: a door keeps no caller longer.
-const NO_ANSWER: Duration = Duration::from_millis(2_500);
+const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
 /// The same for a look, which nobody waits for.
-const NO_LOOK: Duration = Duration::from_millis(1_000);
+const POLL_TIMEOUT: Duration = Duration::from_millis(1_000);
 /// Between two tries.
-const AGAIN: Duration = Duration::from_millis(200);
+const RETRY_DELAY: Duration = Duration::from_millis(200);
 /// Revisions that one look fetches at most. What is left comes with the next ones.
-const FETCHED: usize = 16;
+const MAX_FETCHED: usize = 16;
 /// A word of who leads is as old at most.
-const LEADS: Duration = Duration::from_secs(1);
+const LEADER_MAX_AGE: Duration = Duration::from_secs(1);
 
 /// The stand-in operator of a run.
 pub struct Operator {
-    stage: Rc<Stage>,
-    bank: Rc<Bank>,
+    context: Rc<RunContext>,
+    balancers: Rc<Balancers>,
     /// Revisions whose content a door has told already, by balancer, start and epoch of the log.
-    told: RefCell<BTreeSet<(usize, u32, u32, u64)>>,
+    fetched_revisions: RefCell<BTreeSet<(usize, u32, u32, u64)>>,
     /// Who leads, as each door said last.
     leaders: RefCell<BTreeMap<usize, (Instant, usize)>>,
 }
 
 impl Operator {
     /// Looks at no door yet.
-    pub fn new(stage: &Rc<Stage>, bank: &Rc<Bank>) -> Rc<Self> {
-        let (told, leaders) = (RefCell::default(), RefCell::default());
-        Rc::new(Self { stage: stage.clone(), bank: bank.clone(), told, leaders })
+    pub fn new(context: &Rc<RunContext>, balancers: &Rc<Balancers>) -> Rc<Self> {
+        let (fetched_revisions, leaders) = (RefCell::default(), RefCell::default());
+        Rc::new(Self {
+            context: context.clone(),
+            balancers: balancers.clone(),
+            fetched_revisions,
+            leaders,
+        })
     }
 
     /// Looks at every door from now on, one after another within each round.
-    pub fn look(self: &Rc<Self>) {
-        let (count, every) =
-            (self.stage.scenario.cluster.count, self.stage.scenario.cluster.policy.poll_interval);
+    pub fn start_polling(self: &Rc<Self>) {
+        let (count, every) = (
+            self.context.scenario.cluster.count,
+            self.context.scenario.cluster.policy.poll_interval,
+        );
         for balancer in 0..count {
             let operator = self.clone();
             spawn_local(async move {
                 sleep(every * balancer as u32 / count as u32).await;
                 loop {
                     let from = Instant::now();
-                    operator.look_at(balancer).await;
+                    operator.poll(balancer).await;
                     sleep(every.saturating_sub(from.elapsed()).max(Duration::from_millis(1))).await;
                 }
             });
         }
     }
 
-    async fn look_at(&self, balancer: usize) {
-        if !self.bank.runs(balancer) {
+    async fn poll(&self, balancer: usize) {
+        if !self.balancers.runs(balancer) {
             return;
         }
-        let (start, asked) = (self.stage.start_of(balancer), self.stage.record.now());
-        let told = timeout(NO_LOOK, self.call(balancer, "GET", "/admin/bank", &Value::Null)).await;
-        let Ok(Some((200, text))) = told else { return };
-        let Some(seen) = stands(balancer, start, asked, &text) else { return };
+        let (start, asked) = (self.context.start_of(balancer), self.context.record.now());
+        let response =
+            timeout(POLL_TIMEOUT, self.call(balancer, "GET", "/admin/bank", &Value::Null)).await;
+        let Ok(Some((200, text))) = response else { return };
+        let Some(seen) = parse_status(balancer, start, asked, &text) else { return };
         let Observation::BalancerStatus {
             revision, target, newest, leader, has_lease, epoch, ..
         } = seen
@@ -79,9 +87,10 @@
         if let Some(leader) = leader.filter(|_| has_lease) {
             self.leaders.borrow_mut().insert(balancer, (Instant::now(), leader));
         }
-        self.stage.record.saw(seen);
+        self.context.record.saw(seen);
         let wanted = [Some(revision), target, Some(newest)].into_iter().flatten();
-        let known = |n: &u64| self.told.borrow().contains(&(balancer, start, epoch, *n));
+        let known =
+            |n: &u64| self.fetched_revisions.borrow().contains(&(balancer, start, epoch, *n));
         if wanted.clone().any(|n| !known(&n)) {
             self.fetch(balancer, start, epoch).await;
         }
@@ -89,29 +98,33 @@
 
     /// Has a door tell of the revisions that it has not told of in this life.
     async fn fetch(&self, balancer: usize, start: u32, epoch: u32) {
-        let all = timeout(NO_LOOK, self.call(balancer, "GET", "/admin/revisions", &Value::Null));
+        let all =
+            timeout(POLL_TIMEOUT, self.call(balancer, "GET", "/admin/revisions", &Value::Null));
         let Ok(Some((200, all))) = all.await else { return };
         let listed = all["revisions"].as_array().into_iter().flatten();
         let numbers = listed.filter_map(|r| r["revision"].as_u64());
-        let new = numbers.filter(|n| !self.told.borrow().contains(&(balancer, start, epoch, *n)));
-        let new: Vec<u64> = new.take(FETCHED).collect();
+        let new = numbers
+            .filter(|n| !self.fetched_revisions.borrow().contains(&(balancer, start, epoch, *n)));
+        let new: Vec<u64> = new.take(MAX_FETCHED).collect();
         let mut fetched = Vec::new();
         for number in new {
             let path = format!("/admin/revisions/{number}");
-            let told = timeout(NO_LOOK, self.call(balancer, "GET", &path, &Value::Null)).await;
-            let Ok(Some((200, mut text))) = told else { return };
+            let response =
+                timeout(POLL_TIMEOUT, self.call(balancer, "GET", &path, &Value::Null)).await;
+            let Ok(Some((200, mut text))) = response else { return };
             let document = text["document"].take();
             fetched.push((number, document));
         }
         // Of another log meanwhile, the same numbers may be other revisions.
-        let again = timeout(NO_LOOK, self.call(balancer, "GET", "/admin/bank", &Value::Null)).await;
+        let again =
+            timeout(POLL_TIMEOUT, self.call(balancer, "GET", "/admin/bank", &Value::Null)).await;
         let Ok(Some((200, text))) = again else { return };
-        if epoch_of(&text) != epoch || self.stage.start_of(balancer) != start {
+        if epoch_of(&text) != epoch || self.context.start_of(balancer) != start {
             return;
         }
         for (number, document) in fetched {
-            self.told.borrow_mut().insert((balancer, start, epoch, number));
-            self.stage.record.saw(Observation::Revision {
+            self.fetched_revisions.borrow_mut().insert((balancer, start, epoch, number));
+            self.context.record.saw(Observation::Revision {
                 balancer,
                 start,
                 epoch,
@@ -125,7 +138,7 @@
     pub fn leader(&self) -> Option<usize> {
         let mut votes: BTreeMap<usize, usize> = BTreeMap::new();
         for (at, leader) in self.leaders.borrow().values() {
-            if at.elapsed() < LEADS {
+            if at.elapsed() < LEADER_MAX_AGE {
                 *votes.entry(*leader).or_default() += 1;
             }
         }
@@ -135,34 +148,40 @@
     }
 
     /// Says one thing, and asks again at the next door for as long as nobody has answered.
-    pub async fn say(self: Rc<Self>, call: Call) {
-        let (from, count) = (Instant::now(), self.stage.scenario.cluster.count);
-        let (mut tries, mut door, mut to) = (0, call.balancer, None);
+    pub async fn execute(self: Rc<Self>, call: Call) {
+        let (from, count) = (Instant::now(), self.context.scenario.cluster.count);
+        let (mut tries, mut target, mut to) = (0, call.balancer, None);
         loop {
             if call.rollback_steps.is_some() && to.is_none() {
-                to = self.revision_before(door, call.rollback_steps.unwrap_or(1)).await;
+                to = self.revision_before(target, call.rollback_steps.unwrap_or(1)).await;
             }
             // Whom it is to go back to is asked at another door, where this one can't tell.
             if call.rollback_steps.is_none() || to.is_some() {
-                let answered = self.say_once(&call, door, tries, to).await;
+                let answered = self.call_once(&call, target, tries, to).await;
                 tries += 1;
                 match answered {
                     // Somebody has to do something first, and the same question is asked once: it takes a new one.
                     Some(202) => {}
                     Some(status) if status != 504 && status != 503 => return,
-                    _ => door = (door + 1) % count,
+                    _ => target = (target + 1) % count,
                 }
             } else {
-                door = (door + 1) % count;
+                target = (target + 1) % count;
             }
             if from.elapsed() >= call.retry_for {
                 return;
             }
-            sleep(AGAIN).await;
+            sleep(RETRY_DELAY).await;
         }
     }
 
-    async fn say_once(&self, call: &Call, door: usize, tries: u32, to: Option<u64>) -> Option<u16> {
+    async fn call_once(
+        &self,
+        call: &Call,
+        target: usize,
+        tries: u32,
+        to: Option<u64>,
+    ) -> Option<u16> {
         let mut body = call.body.clone();
         let id = call.id.map(|id| match call.verb {
             // What was refused since another one was on its way is a new question.
@@ -179,23 +198,23 @@
         let said = Observation::OperatorCall {
             call: number,
             tries,
-            balancer: door,
+            balancer: target,
             verb,
             id,
             member: call.member,
         };
-        self.stage.record.saw(said);
-        let told =
-            timeout(NO_ANSWER, self.call(door, "POST", call.path, &body)).await.ok().flatten();
-        let text = told.as_ref().map(|(_, text)| text);
+        self.context.record.saw(said);
+        let response =
+            timeout(CALL_TIMEOUT, self.call(target, "POST", call.path, &body)).await.ok().flatten();
+        let text = response.as_ref().map(|(_, text)| text);
         let number = text.and_then(|t| t["revision"].as_u64().or(t["entry"].as_u64()));
         let everywhere = text.is_some_and(|t| t["everywhere"] == json!(true));
         let why = text.and_then(|t| t["error"].as_str().map(str::to_string));
-        let status = told.as_ref().map(|(status, _)| *status);
+        let status = response.as_ref().map(|(status, _)| *status);
         let call = call.number;
-        self.stage.record.saw(Observation::OperatorAnswer {
+        self.context.record.saw(Observation::OperatorAnswer {
             call,
-            balancer: door,
+            balancer: target,
             verb,
             status,
             number,
@@ -206,9 +225,9 @@
     }
 
     /// The number of the revision that came so many before the newest, as a door lists them.
-    async fn revision_before(&self, door: usize, back: u32) -> Option<u64> {
-        let call = self.call(door, "GET", "/admin/revisions", &Value::Null);
-        let (_, text) = timeout(NO_LOOK, call).await.ok().flatten()?;
+    async fn revision_before(&self, target: usize, back: u32) -> Option<u64> {
+        let call = self.call(target, "GET", "/admin/revisions", &Value::Null);
+        let (_, text) = timeout(POLL_TIMEOUT, call).await.ok().flatten()?;
         let all: Vec<u64> =
             text["revisions"].as_array()?.iter().filter_map(|r| r["revision"].as_u64()).collect();
         all.get(back as usize).or(all.last()).copied()
@@ -217,13 +236,13 @@
     /// One call at a door: its status, and what it says.
     async fn call(
         &self,
-        door: usize,
+        target: usize,
         method: &str,
         path: &str,
         body: &Value,
     ) -> Option<(u16, Value)> {
-        let at = self.bank.operators_door(door)?;
-        let network = self.stage.ground.network(Who::Clients(door));
+        let at = self.balancers.admin_address(target)?;
+        let network = self.context.testbed.network(Host::Clients(target));
         let mut talk = Exchange::new(network.connect(at).await.ok()?);
         let body = if body.is_null() { String::new() } else { body.to_string() };
         let length = body.len();
@@ -231,13 +250,13 @@
             "{method} {path} HTTP/1.1\r\nHost: door\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}"
         );
         talk.write(call.as_bytes()).await.ok()?;
-        let answer = talk.message(Side::Answers).await.ok()?;
+        let answer = talk.message(Direction::Responses).await.ok()?;
         Some((answer.status(), serde_json::from_slice(&answer.body).unwrap_or_default()))
     }
 }
 
 /// What a door says of its balancer, as far as it is judged.
-fn stands(balancer: usize, start: u32, asked: At, text: &Value) -> Option<Observation> {
+fn parse_status(balancer: usize, start: u32, asked: At, text: &Value) -> Option<Observation> {
     let texts = |v: &Value| -> Vec<String> {
         v.as_array().into_iter().flatten().filter_map(|t| t.as_str().map(str::to_string)).collect()
     };
--- a/crates/rehearsal/src/watched.rs
+++ b/crates/rehearsal/src/ordered_watch.rs
@@ -17,16 +17,16 @@
 
 /// The value, for whoever changes it.
 #[derive(Debug, Default)]
-pub struct Watched<T>(Rc<Shared<T>>);
+pub struct OrderedWatch<T>(Rc<Shared<T>>);
 
 /// A view of it that knows which change it saw last.
 #[derive(Debug)]
-pub struct Watcher<T> {
-    of: Rc<Shared<T>>,
+pub struct WatchReceiver<T> {
+    shared: Rc<Shared<T>>,
     seen: u64,
 }
 
-impl<T> Watched<T> {
+impl<T> OrderedWatch<T> {
     /// Nobody waits yet.
     pub fn new(value: T) -> Self {
         let (value, version) = (RefCell::new(value), Cell::new(0));
@@ -39,35 +39,35 @@
     }
 
     /// Changes it, and wakes all that wait.
-    pub fn change(&self, f: impl FnOnce(&mut T)) {
+    pub fn send_modify(&self, f: impl FnOnce(&mut T)) {
         f(&mut self.0.value.borrow_mut());
         self.0.version.set(self.0.version.get() + 1);
         self.0.changed.notify_waiters();
     }
 
     /// One more that waits; what is there now counts as seen.
-    pub fn watch(&self) -> Watcher<T> {
-        Watcher { of: self.0.clone(), seen: self.0.version.get() }
+    pub fn subscribe(&self) -> WatchReceiver<T> {
+        WatchReceiver { shared: self.0.clone(), seen: self.0.version.get() }
     }
 }
 
-impl<T> Watcher<T> {
+impl<T> WatchReceiver<T> {
     /// As it is; counts as seen.
-    pub fn see(&mut self) -> Ref<'_, T> {
-        self.seen = self.of.version.get();
-        self.of.value.borrow()
+    pub fn borrow_and_update(&mut self) -> Ref<'_, T> {
+        self.seen = self.shared.version.get();
+        self.shared.value.borrow()
     }
 
     /// Ends once there is something that was not seen, and counts it as seen.
     pub async fn changed(&mut self) {
-        while self.seen == self.of.version.get() {
-            let mut notified = pin!(self.of.changed.notified());
+        while self.seen == self.shared.version.get() {
+            let mut notified = pin!(self.shared.changed.notified());
             notified.as_mut().enable();
-            if self.seen == self.of.version.get() {
+            if self.seen == self.shared.version.get() {
                 notified.await;
             }
         }
-        self.seen = self.of.version.get();
+        self.seen = self.shared.version.get();
     }
 }
 
@@ -77,24 +77,24 @@
     use tokio::task::{LocalSet, spawn_local};
 
     #[tokio::test]
-    async fn those_who_wait_wake_in_their_order_and_miss_nothing() {
-        let (value, order) = (Watched::new(0), Rc::new(RefCell::new(Vec::new())));
+    async fn waiters_wake_in_order_and_miss_no_change() {
+        let (value, order) = (OrderedWatch::new(0), Rc::new(RefCell::new(Vec::new())));
         LocalSet::new()
             .run_until(async {
                 let waits = |i: usize| {
-                    let (mut watcher, order) = (value.watch(), order.clone());
+                    let (mut watcher, order) = (value.subscribe(), order.clone());
                     spawn_local(async move {
                         for _ in 0..2 {
                             watcher.changed().await;
-                            order.borrow_mut().push((i, *watcher.see()));
+                            order.borrow_mut().push((i, *watcher.borrow_and_update()));
                         }
                     })
                 };
                 let tasks: Vec<_> = (0..20).map(waits).collect();
                 tokio::task::yield_now().await;
-                value.change(|v| *v = 1);
+                value.send_modify(|v| *v = 1);
                 tokio::task::yield_now().await;
-                value.change(|v| *v = 2);
+                value.send_modify(|v| *v = 2);
                 for task in tasks {
                     task.await.expect("it ends");
                 }
@@ -102,9 +102,9 @@
             .await;
         let expected: Vec<_> = (1..=2).flat_map(|v| (0..20).map(move |i| (i, v))).collect();
         assert_eq!(*order.borrow(), expected);
-        let mut late = value.watch();
-        value.change(|v| *v = 3);
+        let mut late = value.subscribe();
+        value.send_modify(|v| *v = 3);
         late.changed().await;
-        assert_eq!(*late.see(), 3);
+        assert_eq!(*late.borrow_and_update(), 3);
     }
 }
--- a/crates/rehearsal/src/peers.rs
+++ b/crates/rehearsal/src/peers.rs
@@ -16,8 +16,8 @@
 use tokio::time::sleep;
 
 use crate::record::Observation;
+use crate::run_context::{Host, Testbed};
 use crate::scenario::{FaultKind, LinkDirection};
-use crate::stage::{Testbed, Who};
 
 /// So many balancers a live run may have that may send one another datagrams: a relay holds a descriptor for each
 /// ordered pair of them, and a usual process may hold 1,024.
@@ -41,7 +41,7 @@
 
 /// Whom a datagram is for.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
-enum Whom {
+enum Recipient {
     One(usize),
     All,
 }
@@ -50,12 +50,12 @@
 
 /// The links of a run.
 pub struct Peers {
-    ground: Testbed,
-    tell: Box<dyn Fn(Observation)>,
+    testbed: Testbed,
+    observe: Box<dyn Fn(Observation)>,
     links: RefCell<Links>,
     listens: Vec<SocketAddr>,
     /// Live: what each balancer sends to.
-    sockets: BTreeMap<(usize, Whom), Socket>,
+    sockets: BTreeMap<(usize, Recipient), Socket>,
     relays: RefCell<Vec<AbortHandle>>,
 }
 
@@ -66,39 +66,40 @@
 }
 
 impl Peers {
-    /// For so many balancers that may send one another datagrams. Chance is drawn from `seed`; `tell` hears of every
+    /// For so many balancers that may send one another datagrams. Chance is drawn from `seed`; `observe` hears of every
     /// datagram.
     ///
     /// # Errors
     /// Live: an address can't be had.
     pub fn new(
-        ground: Testbed,
+        testbed: Testbed,
         count: usize,
         seed: u64,
-        tell: impl Fn(Observation) + 'static,
+        observe: impl Fn(Observation) + 'static,
     ) -> io::Result<Rc<Self>> {
         let (mut listens, mut sockets) = (Vec::new(), BTreeMap::new());
         let links = RefCell::new(Links::new(seed));
-        let fabric = ground.fabric();
+        let fabric = testbed.fabric();
         for balancer in 0..count {
-            let own = ground.address(Who::Balancer(balancer));
+            let own = testbed.address(Host::Balancer(balancer));
             if fabric.is_some() {
                 listens.push(SocketAddr::new(own.ip(), LISTEN));
                 continue;
             }
             // Its address is its own; nothing else takes the port that was free a moment ago.
-            let network = ground.network(Who::Balancer(balancer));
+            let network = testbed.network(Host::Balancer(balancer));
             listens.push(network.datagrams(own)?.local_addr());
-            let network = ground.network(Who::Peers(balancer));
-            let whom = (0..count).filter(|b| *b != balancer).map(Whom::One).chain([Whom::All]);
-            for whom in whom {
-                let socket = network.datagrams(ground.address(Who::Peers(balancer)))?;
-                sockets.insert((balancer, whom), Rc::new(RefCell::new(socket)));
+            let network = testbed.network(Host::Peers(balancer));
+            let recipient =
+                (0..count).filter(|b| *b != balancer).map(Recipient::One).chain([Recipient::All]);
+            for recipient in recipient {
+                let socket = network.datagrams(testbed.address(Host::Peers(balancer)))?;
+                sockets.insert((balancer, recipient), Rc::new(RefCell::new(socket)));
             }
         }
-        let (tell, relays) = (Box::new(tell), RefCell::default());
-        let peers = Rc::new(Self { ground, tell, links, listens, sockets, relays });
-        match peers.ground.fabric() {
+        let (observe, relays) = (Box::new(observe), RefCell::default());
+        let peers = Rc::new(Self { testbed, observe, links, listens, sockets, relays });
+        match peers.testbed.fabric() {
             Some(fabric) => peers.route(fabric),
             None => peers.relay(),
         }
@@ -107,21 +108,24 @@
 
     /// What a balancer is told of the others.
     pub fn addresses(&self, balancer: usize) -> Addresses {
-        let at = |whom: Whom| match (self.sockets.get(&(balancer, whom)), whom) {
+        let at = |recipient: Recipient| match (self.sockets.get(&(balancer, recipient)), recipient)
+        {
             (Some(socket), _) => socket.borrow().local_addr(),
-            (None, Whom::One(other)) if other == balancer => self.listens[balancer],
-            (None, Whom::One(other)) => self.seen_in_virtual_time(balancer, FIRST + other as u16),
-            (None, Whom::All) => self.seen_in_virtual_time(balancer, ALL),
+            (None, Recipient::One(other)) if other == balancer => self.listens[balancer],
+            (None, Recipient::One(other)) => {
+                self.seen_in_virtual_time(balancer, FIRST + other as u16)
+            }
+            (None, Recipient::All) => self.seen_in_virtual_time(balancer, ALL),
         };
         Addresses {
             listen: self.listens[balancer],
-            peers: (0..self.listens.len()).map(|other| at(Whom::One(other))).collect(),
-            all: at(Whom::All),
+            peers: (0..self.listens.len()).map(|other| at(Recipient::One(other))).collect(),
+            all: at(Recipient::All),
         }
     }
 
     fn seen_in_virtual_time(&self, by: usize, port: u16) -> SocketAddr {
-        SocketAddr::new(self.ground.address(Who::Peers(by)).ip(), port)
+        SocketAddr::new(self.testbed.address(Host::Peers(by)).ip(), port)
     }
 
     /// A rule is in force from now on, until [`Peers::end`] of its key.
@@ -135,7 +139,7 @@
     }
 
     /// A fault of links begins or ends.
-    pub fn strike(&self, fault: usize, kind: &FaultKind, struck: &[usize], begins: bool) {
+    pub fn apply_fault(&self, fault: usize, kind: &FaultKind, affected: &[usize], begins: bool) {
         if !begins {
             return self.end(fault);
         }
@@ -148,7 +152,7 @@
             }
             _ => return,
         };
-        let set: Set = struck.iter().copied().collect();
+        let set: Set = affected.iter().copied().collect();
         if way != LinkDirection::In {
             let from = Some(set.clone());
             self.begin(fault, Rule { from, to: None, crossing, does: does.clone() });
@@ -161,17 +165,22 @@
     }
 
     /// What becomes of what a balancer sends: to whom, how much later, and what.
-    fn pass(&self, from: usize, whom: Whom, bytes: &[u8]) -> Vec<(usize, Duration, Vec<u8>)> {
+    fn pass(
+        &self,
+        from: usize,
+        recipient: Recipient,
+        bytes: &[u8],
+    ) -> Vec<(usize, Duration, Vec<u8>)> {
         let count = self.listens.len();
-        let to: Vec<usize> = match whom {
-            Whom::One(other) => vec![other],
-            Whom::All => (0..count).filter(|b| *b != from).collect(),
+        let to: Vec<usize> = match recipient {
+            Recipient::One(other) => vec![other],
+            Recipient::All => (0..count).filter(|b| *b != from).collect(),
         };
         let mut arrive = Vec::new();
         for to in to {
             let copies = self.links.borrow_mut().pass(from, to, bytes);
             let seen = Observation::Datagram { from, to, bytes: bytes.len(), copies: copies.len() };
-            (self.tell)(seen);
+            (self.observe)(seen);
             arrive.extend(copies.into_iter().map(|(later, bytes)| (to, later, bytes)));
         }
         arrive
@@ -192,16 +201,20 @@
             return vec![(Duration::ZERO, Datagram { from, to, bytes })];
         }
         // Nothing but a balancer's own address sends, and nothing but what it was told is reached.
-        let (Who::Balancer(sender), Who::Peers(by)) = (Who::of(from.ip()), Who::of(to.ip())) else {
+        let (Host::Balancer(sender), Host::Peers(by)) =
+            (Host::from_ip(from.ip()), Host::from_ip(to.ip()))
+        else {
             return Vec::new();
         };
         if sender != by || self.listens.get(sender) != Some(&from) {
             return Vec::new();
         }
-        let whom = match to.port() {
-            ALL => Whom::All,
+        let recipient = match to.port() {
+            ALL => Recipient::All,
             port => match port.checked_sub(FIRST).map(usize::from) {
-                Some(other) if other < self.listens.len() && other != sender => Whom::One(other),
+                Some(other) if other < self.listens.len() && other != sender => {
+                    Recipient::One(other)
+                }
                 _ => return Vec::new(),
             },
         };
@@ -209,13 +222,13 @@
             let from = self.seen_in_virtual_time(to, FIRST + sender as u16);
             (later, Datagram { from, to: self.listens[to], bytes })
         };
-        self.pass(sender, whom, &bytes).into_iter().map(arrives).collect()
+        self.pass(sender, recipient, &bytes).into_iter().map(arrives).collect()
     }
 
     fn relay(self: &Rc<Self>) {
-        for ((sender, whom), socket) in &self.sockets {
+        for ((sender, recipient), socket) in &self.sockets {
             let (peers, socket) = (Rc::downgrade(self), socket.clone());
-            let (sender, whom) = (*sender, *whom);
+            let (sender, recipient) = (*sender, *recipient);
             let relay = spawn_local(async move {
                 let mut bytes = [0; DATAGRAM];
                 loop {
@@ -228,7 +241,7 @@
                     };
                     let Some(peers) = Weak::upgrade(&peers) else { return };
                     if peers.listens[sender] == from {
-                        peers.relayed(sender, whom, &bytes[..length]);
+                        peers.relayed(sender, recipient, &bytes[..length]);
                     }
                 }
             });
@@ -236,9 +249,9 @@
         }
     }
 
-    fn relayed(&self, sender: usize, whom: Whom, bytes: &[u8]) {
-        for (to, later, bytes) in self.pass(sender, whom, bytes) {
-            let Some(socket) = self.sockets.get(&(to, Whom::One(sender))).cloned() else {
+    fn relayed(&self, sender: usize, recipient: Recipient, bytes: &[u8]) {
+        for (to, later, bytes) in self.pass(sender, recipient, bytes) {
+            let Some(socket) = self.sockets.get(&(to, Recipient::One(sender))).cloned() else {
                 continue;
             };
             let listens = self.listens[to];
--- a/crates/rehearsal/src/process.rs
+++ b/crates/rehearsal/src/process.rs
@@ -11,7 +11,7 @@
 
 use crate::cluster::{Control, Launch, LaunchError, Launcher, Running};
 use crate::record::Resources;
-use crate::stored::folder;
+use crate::state_directories::temporary_directory;
 
 /// The kernel's clock ticks a second, in which it tells processor time (proc(5); 100 on all of Linux).
 const TICKS: u64 = 100;
@@ -24,7 +24,7 @@
 pub struct Processes {
     command: String,
     /// Where their configurations lie, and their logs unless they are wanted elsewhere; gone with us.
-    folder: tempfile::TempDir,
+    temporary_directory: tempfile::TempDir,
     /// Where their logs are wanted.
     logs: Option<PathBuf>,
 }
@@ -38,20 +38,24 @@
         if let Some(logs) = logs {
             fs::create_dir_all(logs)?;
         }
-        let folder = folder("rehearsal-")?;
-        Ok(Self { command: command.to_string(), folder, logs: logs.map(Path::to_path_buf) })
+        let temporary_directory = temporary_directory("rehearsal-")?;
+        Ok(Self {
+            command: command.to_string(),
+            temporary_directory,
+            logs: logs.map(Path::to_path_buf),
+        })
     }
 
     fn log(&self, launch: &Launch) -> PathBuf {
-        let folder = self.logs.as_deref().unwrap_or(self.folder.path());
-        folder.join(format!("{}-{}.log", launch.name, launch.start))
+        let log_directory = self.logs.as_deref().unwrap_or(self.temporary_directory.path());
+        log_directory.join(format!("{}-{}.log", launch.name, launch.start))
     }
 }
 
 impl Launcher for Processes {
     fn launch(&self, launch: Launch) -> Result<Running, LaunchError> {
         let fail = |what: String| LaunchError { name: launch.name.clone(), what };
-        let file = self.folder.path().join(format!("{}.json", launch.name));
+        let file = self.temporary_directory.path().join(format!("{}.json", launch.name));
         fs::write(&file, &launch.config).map_err(|e| fail(format!("its configuration: {e}")))?;
         let log = self.log(&launch);
         let errors = fs::File::create(&log).map_err(|e| fail(format!("its log: {e}")))?;
@@ -122,7 +126,7 @@
         }
     }
 
-    fn last_words(&self) -> String {
+    fn recent_log(&self) -> String {
         let text = fs::read(&self.log).unwrap_or_default();
         let text = String::from_utf8_lossy(&text[text.len().saturating_sub(LAST_BYTES)..]);
         let lines: Vec<&str> = text.lines().collect();
@@ -137,13 +141,13 @@
 
     fn resources(&self) -> Option<Resources> {
         let pid = self.pid.filter(|_| !self.over.get())?.as_raw_nonzero();
-        let folder = PathBuf::from(format!("/proc/{pid}"));
-        let status = fs::read_to_string(folder.join("status")).ok()?;
+        let proc_directory = PathBuf::from(format!("/proc/{pid}"));
+        let status = fs::read_to_string(proc_directory.join("status")).ok()?;
         let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:"))?;
         let memory_kib = peak.split_whitespace().next()?.parse().ok()?;
-        let descriptors = fs::read_dir(folder.join("fd")).ok()?.count() as u64;
+        let descriptors = fs::read_dir(proc_directory.join("fd")).ok()?.count() as u64;
         // The name may hold anything, parentheses too; what follows it does not.
-        let stat = fs::read_to_string(folder.join("stat")).ok()?;
+        let stat = fs::read_to_string(proc_directory.join("stat")).ok()?;
         let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
         let ticks: u64 =
             fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/process_cluster.rs
@@ -6,7 +6,7 @@
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::process::Command;
+use std::process;
 use std::rc::Rc;
 use std::sync::mpsc::{Receiver, channel};
 use std::thread::{self, JoinHandle};
@@ -19,15 +19,15 @@
 
 use crate::peers::{Addresses, Peers};
 use crate::record::Observation;
-use crate::scripted::{Client, Discovery, Node, SOON};
-use crate::stage::{Testbed, Who};
-use crate::stored::folder;
+use crate::run_context::{Host, Testbed};
+use crate::scripted::{Client, Discovery, EVENT_TIMEOUT, Node};
+use crate::state_directories::temporary_directory;
 
 /// Waits until something is so, and says what it was if that does not happen.
 pub fn until(what: &str, mut is: impl FnMut() -> bool) {
     let from = Instant::now();
     while !is() {
-        assert!(from.elapsed() < SOON, "{what}");
+        assert!(from.elapsed() < EVENT_TIMEOUT, "{what}");
         thread::sleep(std::time::Duration::from_millis(5));
     }
 }
@@ -35,51 +35,51 @@
 /// What lies between the members: a relay on a thread of its own.
 struct Relay {
     addresses: Vec<Addresses>,
-    orders: Option<UnboundedSender<Order>>,
+    commands: Option<UnboundedSender<RelayCommand>>,
     seen: Receiver<Observation>,
     thread: Option<JoinHandle<()>>,
 }
 
-enum Order {
+enum RelayCommand {
     Begin(usize, Rule),
     End(usize),
 }
 
 impl Relay {
     fn start(net: u8, count: usize) -> Self {
-        let ((orders, mut taken), (tell, seen)) = (unbounded_channel(), channel());
+        let ((commands, mut received), (observe, seen)) = (unbounded_channel(), channel());
         let (ready, addresses) = channel();
         let thread = thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let runtime = runtime.expect("a runtime");
             LocalSet::new().block_on(&runtime, async move {
-                let tell = move |seen| drop(tell.send(seen));
-                let ground = Testbed::Loopback { net };
-                let peers = Peers::new(ground, count, 1, tell).expect("addresses for a relay");
+                let observe = move |seen| drop(observe.send(seen));
+                let testbed = Testbed::Loopback { net };
+                let peers = Peers::new(testbed, count, 1, observe).expect("addresses for a relay");
                 let all = (0..count).map(|b| peers.addresses(b)).collect();
                 ready.send(all).expect("somebody waits");
-                while let Some(order) = taken.recv().await {
-                    match order {
-                        Order::Begin(key, rule) => peers.begin(key, rule),
-                        Order::End(key) => peers.end(key),
+                while let Some(command) = received.recv().await {
+                    match command {
+                        RelayCommand::Begin(key, rule) => peers.begin(key, rule),
+                        RelayCommand::End(key) => peers.end(key),
                     }
                 }
             });
         });
-        let addresses = addresses.recv_timeout(SOON).expect("the relay starts");
-        Self { addresses, orders: Some(orders), seen, thread: Some(thread) }
+        let addresses = addresses.recv_timeout(EVENT_TIMEOUT).expect("the relay starts");
+        Self { addresses, commands: Some(commands), seen, thread: Some(thread) }
     }
 
-    fn order(&self, order: Order) {
-        let sent = self.orders.as_ref().map(|o| o.send(order).is_ok());
+    fn command(&self, command: RelayCommand) {
+        let sent = self.commands.as_ref().map(|o| o.send(command).is_ok());
         assert_eq!(sent, Some(true), "the relay has ended");
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        // Without anybody to give orders it ends.
-        self.orders = None;
+        // Without anybody to give commands it ends.
+        self.commands = None;
         self.thread.take().into_iter().for_each(|t| drop(t.join()));
     }
 }
@@ -95,21 +95,21 @@
 }
 
 /// A bank of processes.
-pub struct Fleet {
+pub struct ProcessCluster {
     program: PathBuf,
     members: Vec<Member>,
     relay: Relay,
-    keys: RefCell<usize>,
-    _place: tempfile::TempDir,
+    next_fault_key: RefCell<usize>,
+    _directory: tempfile::TempDir,
 }
 
-impl Fleet {
+impl ProcessCluster {
     /// Starts `count` processes of `program`, each with this configuration under a name of its own, and waits until
     /// all listen. Each is told of the others and of operators, as on a platform that allows both.
     pub fn start(program: &str, count: usize, config: &Value) -> Self {
-        let place = folder("fleet-").expect("a folder");
+        let root = temporary_directory("fleet-").expect("a folder");
         let net = Testbed::loopback_net();
-        let (ground, relay) = (Testbed::Loopback { net }, Relay::start(net, count));
+        let (testbed, relay) = (Testbed::Loopback { net }, Relay::start(net, count));
         let member = |number: usize| {
             let mut config = config.clone();
             let Addresses { listen, peers, all } = &relay.addresses[number];
@@ -119,17 +119,17 @@
             config["settings"]["Balancers"] = count.into();
             config["settings"]["Position"] = number.into();
             config["settings"]["PolicyLimits"]["PeerMessages"] = true.into();
-            let directory = place.path().join(format!("n{number}"));
+            let directory = root.path().join(format!("n{number}"));
             std::fs::create_dir(&directory).expect("a directory");
-            let listen = ground.address(Who::Balancer(number));
+            let listen = testbed.address(Host::Balancer(number));
             let (name, discovery) = (format!("n{number}"), Rc::new(Discovery::start()));
             Member { name, config, listen, discovery, directory, node: None }
         };
         let members = (0..count).map(member).collect();
-        let (program, keys) = (PathBuf::from(program), RefCell::new(0));
-        let mut fleet = Self { program, members, relay, keys, _place: place };
-        fleet.start_all();
-        fleet
+        let (program, next_fault_key) = (PathBuf::from(program), RefCell::new(0));
+        let mut cluster = Self { program, members, relay, next_fault_key, _directory: root };
+        cluster.start_all();
+        cluster
     }
 
     /// How many there are, running or not.
@@ -141,8 +141,8 @@
     pub fn start_one(&mut self, number: usize) {
         let member = &mut self.members[number];
         assert!(member.node.is_none(), "{} runs already", member.name);
-        let mut command = Command::new(&self.program);
-        // An address is taken at its first start, and the same from then on.
+        let mut command = process::Command::new(&self.program);
+        // An address is received at its first start, and the same from then on.
         command.env("TMPDIR", &member.directory).env("LB_CONTROL", "127.0.0.1:0");
         command.env("LB_STATE_DIR", member.directory.join("state"));
         let discovery = member.discovery.clone();
@@ -219,16 +219,16 @@
         }
     }
 
-    /// What lies between the members is so from now on, until [`Fleet::heal`] of what this returns.
+    /// What lies between the members is so from now on, until [`ProcessCluster::heal`] of what this returns.
     pub fn break_links(&self, rule: Rule) -> usize {
-        let key = self.keys.replace_with(|k| *k + 1);
-        self.relay.order(Order::Begin(key, rule));
+        let key = self.next_fault_key.replace_with(|k| *k + 1);
+        self.relay.command(RelayCommand::Begin(key, rule));
         key
     }
 
-    /// Ends what [`Fleet::break_links`] began.
+    /// Ends what [`ProcessCluster::break_links`] began.
     pub fn heal(&self, key: usize) {
-        self.relay.order(Order::End(key));
+        self.relay.command(RelayCommand::End(key));
     }
 
     /// What a member is told of the others.
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -9,7 +9,7 @@
 use tokio::time::{Instant, sleep, sleep_until};
 
 use crate::clients::{Clients, PATIENCE};
-use crate::cluster::{Bank, LaunchError, Launcher};
+use crate::cluster::{Balancers, LaunchError, Launcher};
 use crate::list::NodeList;
 use crate::node::Node;
 use crate::operator::Operator;
@@ -17,17 +17,17 @@
 use crate::plan::{FaultEvent, Plan};
 use crate::policy_actions::{PlannedAction, PlannedStep};
 use crate::record::{CompletedRun, Observation, Phase};
+use crate::run_context::{Host, RunContext, Testbed};
 use crate::scenario::{Closed, FaultKind, LeaderFault, Scenario};
-use crate::stage::{Stage, Testbed, Who};
 
 /// Clients come when all balancers are ready, or after this.
-const READY: Duration = Duration::from_secs(30);
+const READY_TIMEOUT: Duration = Duration::from_secs(30);
 /// What balancers use is looked at this often.
-const MEASURE: Duration = Duration::from_millis(500);
+const MEASURE_INTERVAL: Duration = Duration::from_millis(500);
 /// Who leads is asked for so long, where that is to be struck.
-const LEADERLESS: Duration = Duration::from_secs(5);
+const LEADER_TIMEOUT: Duration = Duration::from_secs(5);
 /// After the last answer is due, so that what should not come has time to.
-const AFTER: Duration = Duration::from_millis(500);
+const SETTLE_TIME: Duration = Duration::from_millis(500);
 
 /// A run could not be played.
 #[derive(Debug, thiserror::Error)]
@@ -97,8 +97,8 @@
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build()?;
     LocalSet::new().block_on(&runtime, async {
-        let ground = Testbed::simulated(scenario, &plan);
-        play(scenario.clone(), plan, ground, launcher, |_| {}).await
+        let testbed = Testbed::simulated(scenario, &plan);
+        play(scenario.clone(), plan, testbed, launcher, |_| {}).await
     })
 }
 
@@ -141,126 +141,131 @@
 }
 
 struct World {
-    stage: Rc<Stage>,
+    context: Rc<RunContext>,
     nodes: Vec<Rc<Node>>,
     list: Rc<NodeList>,
-    bank: Rc<Bank>,
+    balancers: Rc<Balancers>,
     operator: Rc<Operator>,
     /// What kept a stand-in or a balancer from coming back: the run is not what was asked for.
     failed: RefCell<Option<RunError>>,
     /// Newcomers that do not come.
-    void: RefCell<Vec<usize>>,
+    cancelled_replacements: RefCell<Vec<usize>>,
 }
 
 async fn play(
     scenario: Scenario,
     plan: Plan,
-    ground: Testbed,
+    testbed: Testbed,
     launcher: Rc<dyn Launcher>,
     progress: impl Fn(Progress) + 'static,
 ) -> Result<CompletedRun, RunError> {
-    let stage = Stage::new(scenario, plan, ground);
-    let scenario = &stage.scenario;
+    let context = RunContext::new(scenario, plan, testbed);
+    let scenario = &context.scenario;
     let nodes: Vec<Rc<Node>> =
-        (0..stage.plan.machines.len()).map(|n| Node::new(&stage, n)).collect();
+        (0..context.plan.machines.len()).map(|n| Node::new(&context, n)).collect();
     for node in &nodes[..scenario.fleet.nodes] {
         node.start(false, None)?;
     }
-    let list = NodeList::start(&stage, &nodes)?;
-    let clients = Clients::new(&stage);
-    let bank = Bank::new(&stage, &list, &clients, launcher)?;
+    let list = NodeList::start(&context, &nodes)?;
+    let clients = Clients::new(&context);
+    let balancers = Balancers::new(&context, &list, &clients, launcher)?;
     for balancer in 0..scenario.cluster.count {
-        bank.start(balancer)?;
+        balancers.start(balancer)?;
     }
     let started = Instant::now();
-    let ready = || (0..scenario.cluster.count).filter(|b| clients.taken_in(*b)).count();
-    while ready() < scenario.cluster.count && started.elapsed() < READY {
-        if let Some(early) = bank.ended_early() {
-            bank.end();
+    let ready = || (0..scenario.cluster.count).filter(|b| clients.in_rotation(*b)).count();
+    while ready() < scenario.cluster.count && started.elapsed() < READY_TIMEOUT {
+        if let Some(early) = balancers.early_exit() {
+            balancers.end();
             return Err(early.into());
         }
         sleep(Duration::from_millis(5)).await;
     }
     if ready() == 0 {
-        bank.end();
-        return Err(RunError::NoneReady(READY));
+        balancers.end();
+        return Err(RunError::NoneReady(READY_TIMEOUT));
     }
     let world = Rc::new(World {
-        stage: stage.clone(),
+        context: context.clone(),
         nodes,
         list,
-        bank: bank.clone(),
-        operator: Operator::new(&stage, &bank),
+        balancers: balancers.clone(),
+        operator: Operator::new(&context, &balancers),
         failed: RefCell::default(),
-        void: RefCell::default(),
+        cancelled_replacements: RefCell::default(),
     });
     for node in &world.nodes {
-        spawn_local(world.clone().tipping(node.clone()));
+        spawn_local(world.clone().remove_when_overloaded(node.clone()));
     }
-    let (began, zero) = (stage.record.now(), Instant::now());
+    let (began, zero) = (context.record.now(), Instant::now());
     if !scenario.policy_actions.is_empty() {
-        world.operator.look();
-        spawn_local(world.clone().operators(zero));
+        world.operator.start_polling();
+        spawn_local(world.clone().run_policy_actions(zero));
     }
-    let faults = spawn_local(world.clone().faults(zero));
+    let faults = spawn_local(world.clone().run_faults(zero));
     let measure = spawn_local({
-        let (bank, stage) = (bank.clone(), stage.clone());
+        let (balancers, context) = (balancers.clone(), context.clone());
         async move {
             loop {
-                bank.measure();
-                let of = stage.scenario.length;
-                progress(Progress { at: zero.elapsed().min(of), of, open: stage.open.get() });
-                sleep(MEASURE).await;
+                balancers.measure();
+                let of = context.scenario.length;
+                progress(Progress { at: zero.elapsed().min(of), of, open: context.open.get() });
+                sleep(MEASURE_INTERVAL).await;
             }
         }
     });
     match scenario.load.closed {
         None => {
-            for request in 0..stage.plan.original_count {
-                sleep_until(zero + stage.arrival(request).at).await;
-                spawn_local(clients.clone().ask(request));
+            for request in 0..context.plan.original_count {
+                sleep_until(zero + context.arrival(request).at).await;
+                spawn_local(clients.clone().send_with_repeats(request));
             }
         }
-        Some(closed) => take_turns(&stage, &clients, closed, zero),
+        Some(closed) => start_closed_clients(&context, &clients, closed, zero),
     }
     sleep_until(zero + scenario.length).await;
     let longest = scenario.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
-    let end = Instant::now() + longest + PATIENCE + AFTER;
-    while stage.open.get() > 0 && Instant::now() < end {
+    let end = Instant::now() + longest + PATIENCE + SETTLE_TIME;
+    while context.open.get() > 0 && Instant::now() < end {
         sleep(Duration::from_millis(5)).await;
     }
-    sleep(AFTER).await;
+    sleep(SETTLE_TIME).await;
     clients.finish().await;
-    bank.measure();
+    balancers.measure();
     faults.abort();
     measure.abort();
-    let resources = bank.resources();
-    let trace = stage.record.take();
-    bank.end();
+    let resources = balancers.resources();
+    let trace = context.record.take();
+    balancers.end();
     if let Some(failed) = world.failed.take() {
         return Err(failed);
     }
     Ok(CompletedRun {
         scenario: scenario.clone(),
-        plan: stage.plan.clone(),
+        plan: context.plan.clone(),
         trace,
         began,
         resources,
-        simulated: stage.ground.is_simulated(),
+        simulated: context.testbed.is_simulated(),
     })
 }
 
 /// Clients that ask one request after another until the load ends. Their starts are spread over one pause.
-fn take_turns(stage: &Rc<Stage>, clients: &Rc<Clients>, closed: Closed, zero: Instant) {
+fn start_closed_clients(
+    context: &Rc<RunContext>,
+    clients: &Rc<Clients>,
+    closed: Closed,
+    zero: Instant,
+) {
     let turn = Rc::new(Cell::new(0));
-    let end = zero + stage.scenario.length;
+    let end = zero + context.scenario.length;
     for n in 0..closed.clients {
-        let (stage, clients, turn) = (stage.clone(), clients.clone(), turn.clone());
+        let (context, clients, turn) = (context.clone(), clients.clone(), turn.clone());
         spawn_local(async move {
             sleep_until(zero + closed.pause * n / closed.clients).await;
-            while Instant::now() < end && turn.get() < stage.plan.original_count {
+            while Instant::now() < end && turn.get() < context.plan.original_count {
                 let request = turn.replace(turn.get() + 1);
-                clients.clone().ask(request).await;
+                clients.clone().send_with_repeats(request).await;
                 sleep(closed.pause).await;
             }
         });
@@ -268,42 +273,49 @@
 }
 
 impl World {
-    async fn faults(self: Rc<Self>, zero: Instant) {
-        for act in self.stage.plan.fault_events.clone() {
-            sleep_until(zero + act.at).await;
-            self.stage.record.saw(Observation::Fault { fault: act.fault, begins: act.begins });
-            self.strike(&act);
+    async fn run_faults(self: Rc<Self>, zero: Instant) {
+        for event in self.context.plan.fault_events.clone() {
+            sleep_until(zero + event.at).await;
+            self.context
+                .record
+                .saw(Observation::Fault { fault: event.fault, begins: event.begins });
+            self.apply_fault(&event);
         }
     }
 
     /// What operators do, and what is done to whoever leads then.
-    async fn operators(self: Rc<Self>, zero: Instant) {
-        for PlannedAction { at, action, step } in self.stage.plan.policy_actions.clone() {
+    async fn run_policy_actions(self: Rc<Self>, zero: Instant) {
+        for PlannedAction { at, action, step } in self.context.plan.policy_actions.clone() {
             sleep_until(zero + at).await;
             match step {
-                PlannedStep::Call(call) => drop(spawn_local(self.operator.clone().say(call))),
-                PlannedStep::Leader(strike, length) => {
-                    spawn_local(self.clone().strike_leader(action, strike, length));
+                PlannedStep::Call(call) => drop(spawn_local(self.operator.clone().execute(call))),
+                PlannedStep::Leader(fault, length) => {
+                    spawn_local(self.clone().apply_leader_fault(action, fault, length));
                 }
             }
         }
     }
 
     /// Strikes whoever leads, as soon as the doors tell who that is; nobody, if they can't for a while.
-    async fn strike_leader(self: Rc<Self>, act: usize, strike: LeaderFault, length: Duration) {
+    async fn apply_leader_fault(
+        self: Rc<Self>,
+        event: usize,
+        fault: LeaderFault,
+        length: Duration,
+    ) {
         let from = Instant::now();
         let leader = loop {
             match self.operator.leader() {
                 Some(leader) => break leader,
-                None if from.elapsed() >= LEADERLESS => return,
+                None if from.elapsed() >= LEADER_TIMEOUT => return,
                 None => sleep(Duration::from_millis(20)).await,
             }
         };
         for begins in [true, false] {
-            match strike {
-                LeaderFault::Killed => drop(self.well(self.bank.hold_down(leader, begins))),
-                LeaderFault::Paused => self.bank.pause(leader, begins),
-                LeaderFault::CutOff => self.bank.cut_off(act, leader, begins),
+            match fault {
+                LeaderFault::Killed => drop(self.check(self.balancers.set_down(leader, begins))),
+                LeaderFault::Paused => self.balancers.pause(leader, begins),
+                LeaderFault::CutOff => self.balancers.cut_off(event, leader, begins),
             }
             if begins {
                 sleep(length).await;
@@ -312,16 +324,16 @@
     }
 
     /// A node that has fallen over stays down.
-    async fn tipping(self: Rc<Self>, node: Rc<Node>) {
+    async fn remove_when_overloaded(self: Rc<Self>, node: Rc<Node>) {
         loop {
             node.changed().await;
             node.stop();
-            self.gone(&node, self.stage.scenario.list.notice);
+            self.list_as_deleted(&node, self.context.scenario.list.notice);
         }
     }
 
     /// Whether it went well; the first time that it did not ends the run with an error.
-    fn well<T, E: Into<RunError>>(&self, done: Result<T, E>) -> bool {
+    fn check<T, E: Into<RunError>>(&self, done: Result<T, E>) -> bool {
         match done {
             Ok(_) => true,
             Err(error) => {
@@ -331,70 +343,88 @@
         }
     }
 
-    fn gone(&self, node: &Node, after: Duration) {
-        self.list.learn(node.place, Phase::Deleted, node.since(), after);
+    fn list_as_deleted(&self, node: &Node, after: Duration) {
+        self.list.schedule_change(node.index, Phase::Deleted, node.since(), after);
     }
 
     /// Starts a node again, if nothing keeps it down.
-    fn back(&self, node: &Rc<Node>) {
+    fn restart_if_allowed(&self, node: &Rc<Node>) {
         if node.serves() || !node.may_run() || node.silent() {
             return;
         }
-        if self.well(node.start(true, None)) {
+        if self.check(node.start(true, None)) {
             let phase = if node.drains() { Phase::Draining } else { Phase::Serving };
-            self.list.learn(node.place, phase, node.since(), self.stage.scenario.list.add);
+            self.list.schedule_change(
+                node.index,
+                phase,
+                node.since(),
+                self.context.scenario.list.add,
+            );
         }
     }
 
-    fn strike(self: &Rc<Self>, act: &FaultEvent) {
-        let begins = act.begins;
-        let list = &self.stage.scenario.list;
-        let struck = act.nodes.iter().map(|n| &self.nodes[*n]);
-        match &self.stage.scenario.faults[act.fault].kind {
-            FaultKind::Die => struck.for_each(|node| {
+    fn apply_fault(self: &Rc<Self>, event: &FaultEvent) {
+        let begins = event.begins;
+        let list = &self.context.scenario.list;
+        let affected = event.nodes.iter().map(|n| &self.nodes[*n]);
+        match &self.context.scenario.faults[event.fault].kind {
+            FaultKind::Die => affected.for_each(|node| {
                 node.die(begins);
-                if begins { self.gone(node, list.notice) } else { self.back(node) }
+                if begins {
+                    self.list_as_deleted(node, list.notice)
+                } else {
+                    self.restart_if_allowed(node)
+                }
             }),
-            FaultKind::Vanish => struck.for_each(|node| {
+            FaultKind::Vanish => affected.for_each(|node| {
                 node.vanish(begins);
-                if begins { self.gone(node, list.silent_notice) } else { self.back(node) }
+                if begins {
+                    self.list_as_deleted(node, list.silent_notice)
+                } else {
+                    self.restart_if_allowed(node)
+                }
             }),
             FaultKind::Unreachable { balancers } => {
-                struck.for_each(|node| balancers.iter().for_each(|b| node.cut(*b, begins)));
+                affected.for_each(|node| balancers.iter().for_each(|b| node.cut(*b, begins)));
             }
-            FaultKind::Drain => struck.for_each(|node| {
+            FaultKind::Drain => affected.for_each(|node| {
                 node.drain(begins);
                 if begins && node.serves() {
-                    self.list.learn(node.place, Phase::Draining, node.since(), Duration::ZERO);
+                    self.list.schedule_change(
+                        node.index,
+                        Phase::Draining,
+                        node.since(),
+                        Duration::ZERO,
+                    );
                 } else if !begins {
                     node.stop();
-                    self.back(node);
+                    self.restart_if_allowed(node);
                 }
             }),
             FaultKind::Replace { .. } if begins => {
-                for (node, newcomer) in struck.zip(&act.replacements) {
-                    if node.go() {
-                        self.gone(node, list.notice);
+                for (node, newcomer) in affected.zip(&event.replacements) {
+                    if node.retire() {
+                        self.list_as_deleted(node, list.notice);
                     } else {
                         // Somebody else comes for it already.
-                        self.void.borrow_mut().push(*newcomer);
+                        self.cancelled_replacements.borrow_mut().push(*newcomer);
                     }
                 }
             }
             FaultKind::Replace { same_address } => {
-                for (old, new) in act.nodes.iter().zip(&act.replacements) {
-                    if self.void.borrow().contains(new) {
+                for (old, new) in event.nodes.iter().zip(&event.replacements) {
+                    if self.cancelled_replacements.borrow().contains(new) {
                         continue;
                     }
                     let (old, new) = (&self.nodes[*old], &self.nodes[*new]);
                     let at = same_address.then(|| old.addresses());
-                    if self.well(new.start(true, at)) {
-                        self.list.learn(new.place, Phase::Serving, new.since(), list.add);
+                    if self.check(new.start(true, at)) {
+                        self.list.schedule_change(new.index, Phase::Serving, new.since(), list.add);
                     }
                 }
             }
-            FaultKind::Slow { factor } => struck.for_each(|node| node.slow(*factor, begins)),
-            FaultKind::Spoil { share } => struck.for_each(|node| node.spoil(*share, begins)),
+            FaultKind::Slow { factor } => affected.for_each(|node| node.slow(*factor, begins)),
+            FaultKind::Spoil { share } => affected.for_each(|node| node.spoil(*share, begins)),
             FaultKind::ListDown => self.list.down(begins),
             FaultKind::ListLate { by } => self.list.late(*by, begins),
             FaultKind::ListStale => self.list.stale(begins),
@@ -402,43 +432,46 @@
             // Drawn into the arrivals.
             FaultKind::Burst { .. } | FaultKind::Heavy { .. } => {}
             FaultKind::BalancerKill { .. } => {
-                for balancer in &act.balancers {
-                    self.well(self.bank.hold_down(*balancer, begins));
+                for balancer in &event.balancers {
+                    self.check(self.balancers.set_down(*balancer, begins));
                 }
             }
             FaultKind::BalancerRestart { .. } if begins => {
-                for balancer in &act.balancers {
-                    spawn_local(self.bank.clone().restart(*balancer));
+                for balancer in &event.balancers {
+                    spawn_local(self.balancers.clone().restart(*balancer));
                 }
             }
             FaultKind::BalancerPause => {
-                act.balancers.iter().for_each(|b| self.bank.pause(*b, begins));
+                event.balancers.iter().for_each(|b| self.balancers.pause(*b, begins));
             }
             kind @ (FaultKind::LinksCut { .. } | FaultKind::LinksBad { .. }) => {
-                self.bank.links(act.fault, kind, &act.balancers, begins);
+                self.balancers.set_link_fault(event.fault, kind, &event.balancers, begins);
             }
-            FaultKind::ListCut => act.balancers.iter().for_each(|b| self.list.cut(*b, begins)),
+            FaultKind::ListCut => event.balancers.iter().for_each(|b| self.list.cut(*b, begins)),
             kind @ (FaultKind::StateLost
             | FaultKind::StateOld { .. }
             | FaultKind::StateTorn { .. }
             | FaultKind::StateForeign)
                 if begins =>
             {
-                for balancer in &act.balancers {
-                    self.well(self.bank.stored(*balancer, kind));
+                for balancer in &event.balancers {
+                    self.check(self.balancers.damage_state(*balancer, kind));
                 }
             }
             kind @ (FaultKind::StateFull | FaultKind::StateSlow { .. }) => {
-                act.balancers.iter().for_each(|b| self.bank.disk(*b, kind, begins));
+                event
+                    .balancers
+                    .iter()
+                    .for_each(|b| self.balancers.set_disk_fault(*b, kind, begins));
             }
             FaultKind::ClockStep { by_ms } if begins => {
-                for balancer in &act.balancers {
-                    self.stage.ground.step_clock(Who::Balancer(*balancer), by_ms * 1000);
+                for balancer in &event.balancers {
+                    self.context.testbed.step_clock(Host::Balancer(*balancer), by_ms * 1000);
                 }
             }
             FaultKind::ListMove if begins => {
-                if self.well(self.list.relocate()) {
-                    self.bank.reload();
+                if self.check(self.list.relocate()) {
+                    self.balancers.reload();
                 }
             }
             FaultKind::BalancerRestart { .. }
--- a/crates/rehearsal/src/stage.rs
+++ b/crates/rehearsal/src/run_context.rs
@@ -15,7 +15,7 @@
 
 /// Whoever has an address.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Who {
+pub enum Host {
     /// A balancer, by number.
     Balancer(usize),
     /// The clients that come to it.
@@ -36,36 +36,36 @@
 /// Addresses used of each network of 256.
 const OF_NET: usize = 250;
 
-impl Who {
-    fn place(self) -> usize {
+impl Host {
+    fn index(self) -> usize {
         match self {
-            Who::Balancer(b) => b,
-            Who::Clients(b) => CLIENTS + b,
-            Who::List(b) => LISTS + b,
-            Who::Peers(b) => PEERS + b,
-            Who::Node(n) => NODES + n,
+            Host::Balancer(b) => b,
+            Host::Clients(b) => CLIENTS + b,
+            Host::List(b) => LISTS + b,
+            Host::Peers(b) => PEERS + b,
+            Host::Node(n) => NODES + n,
         }
     }
 
-    fn at(place: usize) -> Self {
-        match place {
-            n if n >= NODES => Who::Node(n - NODES),
-            n if n >= PEERS => Who::Peers(n - PEERS),
-            n if n >= LISTS => Who::List(n - LISTS),
-            n if n >= CLIENTS => Who::Clients(n - CLIENTS),
-            b => Who::Balancer(b),
+    fn at(index: usize) -> Self {
+        match index {
+            n if n >= NODES => Host::Node(n - NODES),
+            n if n >= PEERS => Host::Peers(n - PEERS),
+            n if n >= LISTS => Host::List(n - LISTS),
+            n if n >= CLIENTS => Host::Clients(n - CLIENTS),
+            b => Host::Balancer(b),
         }
     }
 
     fn ip(self, net: u8) -> IpAddr {
-        let place = self.place();
-        let (third, fourth) = ((place / OF_NET) as u8, (place % OF_NET + 1) as u8);
+        let index = self.index();
+        let (third, fourth) = ((index / OF_NET) as u8, (index % OF_NET + 1) as u8);
         IpAddr::V4(Ipv4Addr::new(127, net, third, fourth))
     }
 
     /// Whose address this is; a run has no other.
-    pub fn of(ip: IpAddr) -> Self {
-        let IpAddr::V4(ip) = ip else { return Who::Balancer(0) };
+    pub fn from_ip(ip: IpAddr) -> Self {
+        let IpAddr::V4(ip) = ip else { return Host::Balancer(0) };
         let [_, _, third, fourth] = ip.octets();
         Self::at(usize::from(third) * OF_NET + usize::from(fourth).saturating_sub(1))
     }
@@ -105,16 +105,16 @@
         let zones = scenario.fleet.zones.len();
         let of_node: Vec<usize> = plan.machines.iter().map(|m| m.zone).collect();
         let (same, cross) = (scenario.fleet.same_zone, scenario.fleet.cross_zone);
-        let zone = move |ip| match Who::of(ip) {
-            Who::Balancer(b) | Who::Clients(b) | Who::List(b) | Who::Peers(b) => b % zones,
-            Who::Node(n) => of_node.get(n).copied().unwrap_or(0),
+        let zone = move |ip| match Host::from_ip(ip) {
+            Host::Balancer(b) | Host::Clients(b) | Host::List(b) | Host::Peers(b) => b % zones,
+            Host::Node(n) => of_node.get(n).copied().unwrap_or(0),
         };
         let delay = move |a, b| if zone(a) == zone(b) { same } else { cross };
         Testbed::Simulated(Fabric::new(EPOCH, delay))
     }
 
     /// The network as this one sees it.
-    pub fn network(&self, who: Who) -> Rc<dyn Network> {
+    pub fn network(&self, who: Host) -> Rc<dyn Network> {
         match self {
             Testbed::Loopback { .. } => Rc::new(Tcp),
             Testbed::Simulated(fabric) => fabric.host(who.ip(SIMULATED)),
@@ -122,7 +122,7 @@
     }
 
     /// Its address; the port is left to be chosen.
-    pub fn address(&self, who: Who) -> SocketAddr {
+    pub fn address(&self, who: Host) -> SocketAddr {
         let net = match self {
             Testbed::Loopback { net } => *net,
             Testbed::Simulated(_) => SIMULATED,
@@ -131,7 +131,7 @@
     }
 
     /// Steps a simulated wall clock, in microseconds; the machine's own is nobody's to step.
-    pub fn step_clock(&self, who: Who, by_us: i64) {
+    pub fn step_clock(&self, who: Host, by_us: i64) {
         if let Testbed::Simulated(fabric) = self {
             fabric.step_clock(who.ip(SIMULATED), by_us);
         }
@@ -155,7 +155,7 @@
 const EPOCH: Duration = Duration::from_secs(1_786_000_000);
 
 /// What all stand-ins share.
-pub struct Stage {
+pub struct RunContext {
     /// What is played.
     pub scenario: Scenario,
     /// What was drawn.
@@ -163,7 +163,7 @@
     /// The account.
     pub record: Record,
     /// Network and addresses.
-    pub ground: Testbed,
+    pub testbed: Testbed,
     /// Unix time at the start of the account.
     pub epoch: Duration,
     requests: FxHashMap<String, u32>,
@@ -177,18 +177,18 @@
     pub open: Cell<usize>,
 }
 
-impl Stage {
+impl RunContext {
     /// For one run.
-    pub fn new(scenario: Scenario, plan: Plan, ground: Testbed) -> Rc<Self> {
+    pub fn new(scenario: Scenario, plan: Plan, testbed: Testbed) -> Rc<Self> {
         let index = |(i, a): (usize, &Arrival)| (a.id.clone(), i as u32);
         let requests = plan.arrivals.iter().enumerate().map(index).collect();
         let starts = RefCell::new(vec![0; scenario.cluster.count]);
-        let epoch = ground.network(Who::Clients(0)).unix_now();
+        let epoch = testbed.network(Host::Clients(0)).unix_now();
         Rc::new(Self {
             scenario,
             plan,
             record: Record::new(),
-            ground,
+            testbed,
             epoch,
             requests,
             starts,
@@ -277,7 +277,7 @@
     }
 
     /// A request has been taken into work in this pod: it knows the van from here on.
-    pub fn got_to_know(&self, request: u32, pod: u32) {
+    pub fn remember_session(&self, request: u32, pod: u32) {
         if let (Some(vans), Some((van, _))) =
             (&self.scenario.sessions, self.arrival(request).session)
         {
--- a/crates/rehearsal/src/scripted.rs
+++ b/crates/rehearsal/src/scripted.rs
@@ -16,9 +16,9 @@
 use serde_json::{Value, json};
 
 /// Longest wait for anything that has to happen.
-pub const SOON: Duration = Duration::from_secs(20);
+pub const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
 /// A connection to an upstream is used again once it has rested for less than this.
-pub const RESTED: Duration = Duration::from_millis(40);
+pub const IDLE_REUSE_LIMIT: Duration = Duration::from_millis(40);
 
 /// A message as it came: its first line, headers with lower-case names, and body.
 #[derive(Clone, Debug)]
@@ -77,29 +77,29 @@
 
 /// What an upstream does with a request.
 #[derive(Clone)]
-pub enum Does {
+pub enum Action {
     /// Writes this, and keeps the connection.
-    Answers(String),
+    Respond(String),
     /// Writes this, and closes the connection.
-    Ends(String),
+    RespondAndClose(String),
     /// Writes this, and closes the connection once it is told to.
-    EndsLater(String, Arc<std::sync::Mutex<Receiver<()>>>),
+    RespondThenClose(String, Arc<std::sync::Mutex<Receiver<()>>>),
     /// Writes this, and the same again once it is told to.
-    AnswersTwice(String, Arc<std::sync::Mutex<Receiver<()>>>),
+    RespondTwice(String, Arc<std::sync::Mutex<Receiver<()>>>),
     /// Nothing, on an open connection.
-    Hangs,
+    Hang,
     /// Answers once it is told to.
-    Waits(Arc<std::sync::Mutex<Receiver<()>>>),
+    RespondOnSignal(Arc<std::sync::Mutex<Receiver<()>>>),
 }
 
 /// 200 with this body.
-pub fn ok(body: &str) -> Does {
-    Does::Answers(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
+pub fn ok(body: &str) -> Action {
+    Action::Respond(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
 
 /// This status and these header lines, with no body.
-pub fn answers(status: &str, headers: &str) -> Does {
-    Does::Answers(format!("HTTP/1.1 {status}\r\n{headers}Content-Length: 0\r\n\r\n"))
+pub fn answers(status: &str, headers: &str) -> Action {
+    Action::Respond(format!("HTTP/1.1 {status}\r\n{headers}Content-Length: 0\r\n\r\n"))
 }
 
 /// What was seen at an upstream, in order.
@@ -123,18 +123,19 @@
 
 impl Upstream {
     /// Starts one that asks `does` what to do.
-    pub fn start(does: impl Fn(&Message) -> Does + Send + Sync + 'static) -> Self {
+    pub fn start(choose_action: impl Fn(&Message) -> Action + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (tell, seen) = channel();
-        let does = Arc::new(does);
+        let (events, seen) = channel();
+        let choose_action = Arc::new(choose_action);
         thread::spawn(move || {
             for stream in listener.incoming() {
-                let (stream, tell, does) = (stream.expect("accepted"), tell.clone(), does.clone());
+                let (stream, events, choose_action) =
+                    (stream.expect("accepted"), events.clone(), choose_action.clone());
                 thread::spawn(move || {
                     let peer = stream.peer_addr().expect("a peer");
-                    converse(stream, peer, &tell, &*does);
-                    let _ = tell.send(Observation::Closed);
+                    converse(stream, peer, &events, &*choose_action);
+                    let _ = events.send(Observation::Closed);
                 });
             }
         });
@@ -144,7 +145,7 @@
     /// The next request, past whatever else is seen.
     pub fn request(&self) -> (SocketAddr, Message) {
         loop {
-            match self.seen.recv_timeout(SOON).expect("a request") {
+            match self.seen.recv_timeout(EVENT_TIMEOUT).expect("a request") {
                 Observation::Request(from, message) => return (from, message),
                 _ => continue,
             }
@@ -160,33 +161,33 @@
 fn converse(
     stream: TcpStream,
     peer: SocketAddr,
-    tell: &Sender<Observation>,
-    does: &dyn Fn(&Message) -> Does,
+    events: &Sender<Observation>,
+    choose_action: &dyn Fn(&Message) -> Action,
 ) {
     let mut out = stream.try_clone().expect("a second handle");
     let mut reader = BufReader::new(stream);
     while let Some(message) = read_message(&mut reader) {
-        let _ = tell.send(Observation::Request(peer, message.clone()));
-        match does(&message) {
-            Does::Answers(text) => out.write_all(text.as_bytes()).unwrap_or(()),
-            Does::Ends(text) => {
+        let _ = events.send(Observation::Request(peer, message.clone()));
+        match choose_action(&message) {
+            Action::Respond(text) => out.write_all(text.as_bytes()).unwrap_or(()),
+            Action::RespondAndClose(text) => {
                 let _ = out.write_all(text.as_bytes());
                 return;
             }
-            Does::EndsLater(text, go) => {
+            Action::RespondThenClose(text, go) => {
                 let _ = out.write_all(text.as_bytes());
-                let _ = go.lock().expect("not poisoned").recv_timeout(SOON);
+                let _ = go.lock().expect("not poisoned").recv_timeout(EVENT_TIMEOUT);
                 return;
             }
-            Does::AnswersTwice(text, go) => {
+            Action::RespondTwice(text, go) => {
                 let _ = out.write_all(text.as_bytes());
-                let _ = go.lock().expect("not poisoned").recv_timeout(SOON);
+                let _ = go.lock().expect("not poisoned").recv_timeout(EVENT_TIMEOUT);
                 let _ = out.write_all(text.as_bytes());
-                let _ = tell.send(Observation::Wrote);
+                let _ = events.send(Observation::Wrote);
             }
-            Does::Hangs => {}
-            Does::Waits(go) => {
-                let _ = go.lock().expect("not poisoned").recv_timeout(SOON);
+            Action::Hang => {}
+            Action::RespondOnSignal(go) => {
+                let _ = go.lock().expect("not poisoned").recv_timeout(EVENT_TIMEOUT);
                 let _ = out.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
             }
         }
@@ -206,7 +207,7 @@
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
-        let (tell, watches) = channel();
+        let (events, watches) = channel();
         thread::spawn(move || {
             for stream in listener.incoming() {
                 let mut stream = stream.expect("accepted");
@@ -214,7 +215,7 @@
                 let Some(call) = read_message(&mut reader) else { continue };
                 let head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n";
                 let _ = stream.write_all(head.as_bytes());
-                let _ = tell.send((call.first, stream));
+                let _ = events.send((call.first, stream));
             }
         });
         Self { address, watches }
@@ -222,7 +223,7 @@
 
     /// The next watch.
     pub fn watch(&self) -> (String, TcpStream) {
-        self.watches.recv_timeout(SOON).expect("a watch")
+        self.watches.recv_timeout(EVENT_TIMEOUT).expect("a watch")
     }
 }
 
@@ -349,7 +350,7 @@
     /// Waits for its end.
     pub fn exit_code(&mut self) -> Option<i32> {
         let from = Instant::now();
-        while from.elapsed() < SOON {
+        while from.elapsed() < EVENT_TIMEOUT {
             if let Some(status) = self.child.try_wait().expect("a child") {
                 return status.code();
             }
@@ -391,7 +392,7 @@
     /// Those of connect(2).
     pub fn try_to(address: SocketAddr) -> std::io::Result<Self> {
         let stream = TcpStream::connect(address)?;
-        stream.set_read_timeout(Some(SOON))?;
+        stream.set_read_timeout(Some(EVENT_TIMEOUT))?;
         Ok(Self(BufReader::new(stream)))
     }
     /// Writes this.
--- a/crates/rehearsal/src/stored.rs
+++ b/crates/rehearsal/src/state_directories.rs
@@ -18,7 +18,7 @@
 
 /// A directory is copied this often, where an old copy is to be put back.
 pub const COPY_EVERY: Duration = Duration::from_millis(500);
-/// Chance of [`Stored::strike`] is a stream of its own.
+/// Chance of [`StateDirectories::apply_fault`] is a stream of its own.
 const STREAM: u64 = 8;
 
 /// A file's path in its directory, and what it holds.
@@ -26,13 +26,13 @@
 
 /// What is wrong with the disk that a directory lies on. For launchers that reach it by a seam of their own.
 #[derive(Debug, Default)]
-pub struct DiskTroubles {
+pub struct DiskFaults {
     full: Cell<u32>,
     /// Each write takes so much longer: faults that overlap add up.
     slow: Cell<Duration>,
 }
 
-impl DiskTroubles {
+impl DiskFaults {
     /// Whether there is no room.
     pub fn is_full(&self) -> bool {
         self.full.get() > 0
@@ -43,7 +43,7 @@
         self.slow.get()
     }
 
-    fn strike(&self, kind: &FaultKind, begins: bool) {
+    fn apply_fault(&self, kind: &FaultKind, begins: bool) {
         match kind {
             FaultKind::StateFull => {
                 let mut full = self.full.get();
@@ -67,16 +67,16 @@
 ///
 /// # Errors
 /// There is no place for it.
-pub fn folder(prefix: &str) -> io::Result<tempfile::TempDir> {
+pub fn temporary_directory(prefix: &str) -> io::Result<tempfile::TempDir> {
     let mut builder = tempfile::Builder::new();
     let builder = builder.prefix(prefix);
     builder.tempdir_in(MEMORY).or_else(|_| builder.tempdir())
 }
 
 /// The directories of a bank.
-pub struct Stored {
-    disks: Vec<Rc<DiskTroubles>>,
-    folder: tempfile::TempDir,
+pub struct StateDirectories {
+    disks: Vec<Rc<DiskFaults>>,
+    temporary_directory: tempfile::TempDir,
     keeps: bool,
     /// How long copies are kept; `None` if nobody wants any.
     oldest: Option<Duration>,
@@ -84,7 +84,7 @@
     rng: RefCell<ChaCha8Rng>,
 }
 
-impl Stored {
+impl StateDirectories {
     /// An empty directory for each balancer.
     ///
     /// # Errors
@@ -98,7 +98,7 @@
         rng.set_stream(STREAM);
         Ok(Self {
             disks: (0..scenario.cluster.count).map(|_| Rc::default()).collect(),
-            folder: folder("rehearsal-state-")?,
+            temporary_directory: temporary_directory("rehearsal-state-")?,
             keeps: scenario.cluster.persists_state,
             oldest: scenario.faults.iter().filter_map(age).max(),
             copies: RefCell::new(vec![VecDeque::new(); scenario.cluster.count]),
@@ -108,14 +108,14 @@
 
     /// A balancer's directory.
     pub fn directory(&self, balancer: usize) -> PathBuf {
-        self.folder.path().join(format!("n{balancer}"))
+        self.temporary_directory.path().join(format!("n{balancer}"))
     }
 
     /// Has the directory as a start is to find it.
     ///
     /// # Errors
     /// It can't be made or emptied.
-    pub fn before_start(&self, balancer: usize) -> io::Result<PathBuf> {
+    pub fn prepare(&self, balancer: usize) -> io::Result<PathBuf> {
         let directory = self.directory(balancer);
         // An empty one is left alone: a start is not to wait for a disk.
         let empty = fs::read_dir(&directory).is_ok_and(|mut all| all.next().is_none());
@@ -127,17 +127,17 @@
     }
 
     /// The disk that a balancer's directory lies on.
-    pub fn disk(&self, balancer: usize) -> Rc<DiskTroubles> {
+    pub fn disk(&self, balancer: usize) -> Rc<DiskFaults> {
         self.disks[balancer].clone()
     }
 
     /// A fault of a balancer's disk begins or ends.
-    pub fn strike_disk(&self, kind: &FaultKind, balancer: usize, begins: bool) {
-        self.disks[balancer].strike(kind, begins);
+    pub fn apply_disk_fault(&self, kind: &FaultKind, balancer: usize, begins: bool) {
+        self.disks[balancer].apply_fault(kind, begins);
     }
 
     /// Whether directories are to be copied now and then.
-    pub fn wants_copies(&self) -> bool {
+    pub fn needs_copies(&self) -> bool {
         self.oldest.is_some()
     }
 
@@ -161,7 +161,7 @@
     ///
     /// # Errors
     /// A directory can't be read or written.
-    pub fn strike(&self, kind: &FaultKind, balancer: usize) -> io::Result<usize> {
+    pub fn apply_fault(&self, kind: &FaultKind, balancer: usize) -> io::Result<usize> {
         let directory = self.directory(balancer);
         let put = match kind {
             FaultKind::StateLost => {
@@ -257,57 +257,63 @@
         Scenario::read("s.toml", &format!("{DAY}{more}")).expect("sound")
     }
 
-    fn kept() -> Stored {
+    fn kept() -> StateDirectories {
         let more = "keeps_state = true\n[[faults]]\nkind = \"state-old\"\nstart_s = 1\nage_s = 2\nshare = 1.0\n";
-        let stored = Stored::new(&day(more), 3).expect("a place");
+        let stored = StateDirectories::new(&day(more), 3).expect("a place");
         for balancer in 0..3 {
-            let inner = stored.before_start(balancer).expect("made").join("inner");
+            let inner = stored.prepare(balancer).expect("made").join("inner");
             fs::create_dir(&inner).expect("made");
             fs::write(inner.join("said"), format!("words of n{balancer}")).expect("written");
         }
         stored
     }
 
-    fn said(stored: &Stored, balancer: usize) -> Option<String> {
+    fn said(stored: &StateDirectories, balancer: usize) -> Option<String> {
         fs::read_to_string(stored.directory(balancer).join("inner/said")).ok()
     }
 
     #[test]
     fn what_is_not_kept_is_gone_at_the_next_start() {
-        let stored = Stored::new(&day(""), 3).expect("a place");
-        let directory = stored.before_start(1).expect("made");
+        let stored = StateDirectories::new(&day(""), 3).expect("a place");
+        let directory = stored.prepare(1).expect("made");
         fs::write(directory.join("x"), "x").expect("written");
-        stored.before_start(1).expect("emptied");
+        stored.prepare(1).expect("emptied");
         assert!(!directory.join("x").exists());
         let stored = kept();
-        stored.before_start(1).expect("left");
+        stored.prepare(1).expect("left");
         assert_eq!(said(&stored, 1).as_deref(), Some("words of n1"));
     }
 
     #[tokio::test(start_paused = true)]
     async fn it_can_be_lost_old_torn_or_anothers_and_nobody_else_is_touched() {
         let stored = kept();
-        assert!(stored.wants_copies());
+        assert!(stored.needs_copies());
         stored.copy().expect("copied");
         tokio::time::sleep(Duration::from_secs(2)).await;
         fs::write(stored.directory(0).join("inner/said"), "news").expect("written");
         stored.copy().expect("copied");
         let old = FaultKind::StateOld { age: Duration::from_secs(2) };
-        assert_eq!(stored.strike(&old, 0).expect("done"), 1);
+        assert_eq!(stored.apply_fault(&old, 0).expect("done"), 1);
         assert_eq!(said(&stored, 0).as_deref(), Some("words of n0"));
         let older = FaultKind::StateOld { age: Duration::from_secs(9) };
-        assert_eq!(stored.strike(&older, 0).expect("done"), 0);
+        assert_eq!(stored.apply_fault(&older, 0).expect("done"), 0);
         assert_eq!(said(&stored, 0), None, "so long ago there was nothing");
-        assert_eq!(stored.strike(&FaultKind::StateForeign, 0).expect("done"), 1);
+        assert_eq!(stored.apply_fault(&FaultKind::StateForeign, 0).expect("done"), 1);
         assert_eq!(said(&stored, 0).as_deref(), Some("words of n1"));
-        assert_eq!(stored.strike(&FaultKind::StateTorn { flipped: false }, 0).expect("done"), 1);
+        assert_eq!(
+            stored.apply_fault(&FaultKind::StateTorn { flipped: false }, 0).expect("done"),
+            1
+        );
         let torn = said(&stored, 0).expect("a text");
         assert!(torn.len() < 11 && "words of n1".starts_with(&torn), "{torn}");
-        assert_eq!(stored.strike(&FaultKind::StateTorn { flipped: true }, 2).expect("done"), 1);
+        assert_eq!(
+            stored.apply_fault(&FaultKind::StateTorn { flipped: true }, 2).expect("done"),
+            1
+        );
         let flipped = fs::read(stored.directory(2).join("inner/said")).expect("there");
         let differ = flipped.iter().zip(b"words of n2").filter(|(a, b)| a != b).count();
         assert_eq!((flipped.len(), differ), (11, 1));
-        assert_eq!(stored.strike(&FaultKind::StateLost, 2).expect("done"), 1);
+        assert_eq!(stored.apply_fault(&FaultKind::StateLost, 2).expect("done"), 1);
         assert_eq!((said(&stored, 2), said(&stored, 1).as_deref()), (None, Some("words of n1")));
     }
 }
--- a/crates/rehearsal/src/sweep.rs
+++ b/crates/rehearsal/src/sweep.rs
@@ -10,7 +10,7 @@
 use rand::{RngExt, SeedableRng};
 use rand_chacha::ChaCha8Rng;
 
-mod book;
+mod policy_changes;
 
 use crate::cluster::Launcher;
 use crate::report::Report;
@@ -30,7 +30,7 @@
     pub report: Result<Report, RunError>,
 }
 
-pub use book::bank_scenario;
+pub use policy_changes::policy_change_scenario;
 
 fn ms(ms: u32) -> Duration {
     Duration::from_millis(u64::from(ms))
@@ -61,14 +61,14 @@
         error_rate: 0.001,
     };
     let kinds = vec![kind("fast-1c", 0.7, 1.5, &mut rng), kind("std-1c", 0.3, 1.0, &mut rng)];
-    let class = |name: &str, share, work_ms, worth, effect| Class {
+    let class = |name: &str, share, work_ms, priority_weight, effect| Class {
         name: name.to_string(),
         share,
         work_ms,
         work_cv: 0.5,
         latency_objective: ms(700),
         deadline: ms(1750),
-        priority_weight: worth,
+        priority_weight,
         late_weight: 0.4,
         effect,
         group: Group::Cell,
@@ -188,32 +188,32 @@
 
 /// The day of the seed with a bank of several, what is drawn for it beyond that comes from this stream, and its length in
 /// seconds.
-fn bank_day(seed: u64, stream: u64, of: &str, about: &str) -> (Scenario, ChaCha8Rng, u32) {
-    let mut day = scenario(seed);
+fn base_scenario(seed: u64, stream: u64, of: &str, about: &str) -> (Scenario, ChaCha8Rng, u32) {
+    let mut scenario = scenario(seed);
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(stream);
-    (day.name, day.about) = (format!("sweep-{of}-{seed}"), about.to_string());
-    day.cluster.count = rng.random_range(3..=8);
-    let length = day.length.as_secs() as u32;
-    (day, rng, length)
+    (scenario.name, scenario.about) = (format!("sweep-{of}-{seed}"), about.to_string());
+    scenario.cluster.count = rng.random_range(3..=8);
+    let length = scenario.length.as_secs() as u32;
+    (scenario, rng, length)
 }
 
 /// A day of a bank that breaks: that of the seed, with more balancers, which may send one another datagrams and keep what
 /// they store, and two to five faults of balancers, links and stored state on top of its own.
-pub fn fleet_scenario(seed: u64) -> Scenario {
+pub fn cluster_scenario(seed: u64) -> Scenario {
     let about = "random faults of a bank, on top of random others";
-    let (mut day, mut rng, length) = bank_day(seed, 98, "fleets", about);
-    (day.cluster.peers, day.cluster.persists_state) = (true, rng.random());
+    let (mut scenario, mut rng, length) = base_scenario(seed, 98, "fleets", about);
+    (scenario.cluster.peers, scenario.cluster.persists_state) = (true, rng.random());
     for _ in 0..rng.random_range(2..=5) {
-        let fault = bank_fault(&mut rng, length, &day.cluster);
-        day.faults.push(fault);
+        let fault = cluster_fault(&mut rng, length, &scenario.cluster);
+        scenario.faults.push(fault);
     }
     // From a stream of its own: days that were swept before there were such faults stay as they were but for these.
     rng.set_stream(97);
-    if day.cluster.persists_state && rng.random::<f64>() < 0.4 {
+    if scenario.cluster.persists_state && rng.random::<f64>() < 0.4 {
         let slow = FaultKind::StateSlow { by: ms(rng.random_range(1_000..30_000)) };
         let kind = if rng.random() { FaultKind::StateFull } else { slow };
-        day.faults.push(Fault {
+        scenario.faults.push(Fault {
             kind,
             start: ms(rng.random_range(0..length * 1000 - 4_000)),
             length: ms(rng.random_range(500..15_000)),
@@ -222,28 +222,28 @@
             line: 0,
         });
     }
-    day
+    scenario
 }
 
 /// A day of a bank that keeps its state and comes back with an old copy of it, to a fleet of which a part was replaced or
 /// has left meanwhile, while the list is down, stale or late for some more seconds; and the faults of the seed's own day.
-pub fn comeback_scenario(seed: u64) -> Scenario {
+pub fn recovery_scenario(seed: u64) -> Scenario {
     let about = "a bank that comes back with old copies to another fleet, on top of random faults";
-    let (mut day, mut rng, length) = bank_day(seed, 96, "comebacks", about);
-    day.cluster.persists_state = true;
+    let (mut scenario, mut rng, length) = base_scenario(seed, 96, "comebacks", about);
+    scenario.cluster.persists_state = true;
     let down = rng.random_range(2_000..length * 1000 / 2);
     let away = rng.random_range(300..4_000);
     let share = |share: f64| Selection { share: Some(share), ..Selection::default() };
-    let mut strike = |kind: FaultKind, start: u32, length: u32, selection: Selection| {
+    let mut add_fault = |kind: FaultKind, start: u32, length: u32, selection: Selection| {
         let (start, length) = (ms(start), ms(length));
         let group = kind.targets_balancers().then(|| "back".to_string());
-        day.faults.push(Fault { start, length, selection, kind, group, line: 0 });
+        scenario.faults.push(Fault { start, length, selection, kind, group, line: 0 });
     };
-    let struck = share(0.5 + 0.5 * rng.random::<f64>());
+    let affected = share(0.5 + 0.5 * rng.random::<f64>());
     let spread = ms(rng.random_range(0..500));
-    strike(FaultKind::BalancerKill { spread, cycle: None }, down, away, struck.clone());
+    add_fault(FaultKind::BalancerKill { spread, cycle: None }, down, away, affected.clone());
     let age = ms(rng.random_range(1_000..12_000));
-    strike(FaultKind::StateOld { age }, down + away / 2, 0, struck);
+    add_fault(FaultKind::StateOld { age }, down + away / 2, 0, affected);
     let replaced = share(0.2 + 0.4 * rng.random::<f64>());
     let fleet = if rng.random() {
         FaultKind::Drain
@@ -251,7 +251,7 @@
         FaultKind::Replace { same_address: rng.random() }
     };
     let (from, long) = (down - rng.random_range(0..2_000), rng.random_range(1_000..8_000));
-    strike(fleet, from, long, replaced);
+    add_fault(fleet, from, long, replaced);
     let list = match rng.random_range(0..4) {
         0 => FaultKind::ListDown,
         1 => FaultKind::ListStale,
@@ -260,13 +260,14 @@
     };
     let cut =
         if matches!(list, FaultKind::ListCut) { share(rng.random()) } else { Selection::default() };
-    strike(list, down + away.saturating_sub(300), rng.random_range(500..8_000), cut);
-    day
+    add_fault(list, down + away.saturating_sub(300), rng.random_range(500..8_000), cut);
+    scenario
 }
 
-fn bank_fault(rng: &mut ChaCha8Rng, length: u32, bank: &Cluster) -> Fault {
-    let way = [LinkDirection::Both, LinkDirection::Out, LinkDirection::In][rng.random_range(0..3)];
-    let kind = match rng.random_range(0..if bank.persists_state { 12 } else { 8 }) {
+fn cluster_fault(rng: &mut ChaCha8Rng, length: u32, cluster: &Cluster) -> Fault {
+    let direction =
+        [LinkDirection::Both, LinkDirection::Out, LinkDirection::In][rng.random_range(0..3)];
+    let kind = match rng.random_range(0..if cluster.persists_state { 12 } else { 8 }) {
         0 => FaultKind::BalancerKill { spread: ms(rng.random_range(0..2_000)), cycle: None },
         1 => FaultKind::BalancerKill {
             spread: Duration::ZERO,
@@ -274,9 +275,9 @@
         },
         2 => FaultKind::BalancerRestart { spread: ms(rng.random_range(0..3_000)) },
         3 => FaultKind::BalancerPause,
-        4 => FaultKind::LinksCut { direction: way, open_share: 0.5 * rng.random::<f64>() },
+        4 => FaultKind::LinksCut { direction, open_share: 0.5 * rng.random::<f64>() },
         5 => FaultKind::LinksBad {
-            direction: way,
+            direction,
             trouble: Trouble {
                 loss: 0.5 * rng.random::<f64>(),
                 delay: ms(rng.random_range(0..500)),
@@ -295,7 +296,7 @@
     let selection = match rng.random_range(0..3) {
         0 => Selection { zone: Some(rng.random_range(0..2)), ..Selection::default() },
         1 => Selection {
-            places: Some(vec![rng.random_range(0..bank.count)]),
+            places: Some(vec![rng.random_range(0..cluster.count)]),
             ..Selection::default()
         },
         _ => Selection { share: Some(rng.random()), ..Selection::default() },
@@ -310,14 +311,14 @@
     }
 }
 
-/// Plays the scenarios that are `drawn` from these seeds in virtual time, on so many `threads` (as many as there are
+/// Plays the scenarios that are `make_scenario` from these seeds in virtual time, on so many `threads` (as many as there are
 /// processors, if none is said), and tells of each as it ends, in no order. `launcher` is asked once a run, on the run's own thread.
 pub fn sweep(
     seeds: std::ops::Range<u64>,
-    drawn: fn(u64) -> Scenario,
+    make_scenario: fn(u64) -> Scenario,
     threads: Option<NonZeroUsize>,
     launcher: impl Fn() -> Rc<dyn Launcher> + Send + Sync,
-    mut tell: impl FnMut(Swept),
+    mut report_run: impl FnMut(Swept),
 ) {
     let threads = threads.or(thread::available_parallelism().ok()).map_or(1, NonZeroUsize::get);
     let next = AtomicU64::new(seeds.start);
@@ -334,7 +335,7 @@
                     if seed >= end {
                         return;
                     }
-                    let played = play_virtual(&drawn(seed), seed, launcher());
+                    let played = play_virtual(&make_scenario(seed), seed, launcher());
                     let report = played.map(|p| Report::of(&p));
                     if sender.send(Swept { seed, report }).is_err() {
                         return;
@@ -344,7 +345,7 @@
         }
         drop(sender);
         for swept in receiver {
-            tell(swept);
+            report_run(swept);
         }
     });
 }
--- a/crates/rehearsal/src/sweep/book.rs
+++ b/crates/rehearsal/src/sweep/policy_changes.rs
@@ -4,7 +4,7 @@
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
 
-use super::{bank_day, ms};
+use super::{base_scenario, ms};
 use crate::scenario::{
     Fault, FaultKind, LeaderFault, LinkDirection, PolicyAction, PolicyActionKind, RevisionDocument,
     Scenario, Selection, Trouble,
@@ -17,24 +17,24 @@
 
 /// A day of a bank whose rules are changed while it breaks: a part of all datagrams lost (none, 10 % or 30 %), two to four of
 /// cuts, pauses, kills and restarts, and three to eight acts. Half of the seed's own faults of nodes and lists stay.
-pub fn bank_scenario(seed: u64) -> Scenario {
+pub fn policy_change_scenario(seed: u64) -> Scenario {
     let about = "operators change a bank's rules while it breaks";
-    let (mut day, mut rng, _) = bank_day(seed, STREAM, "bank", about);
+    let (mut scenario, mut rng, _) = base_scenario(seed, STREAM, "bank", about);
     let length = rng.random_range(28..40u32);
-    day.length = ms(length * 1000);
-    day.cluster.count = rng.random_range(3..=12);
-    day.cluster.peers = true;
-    day.fleet.nodes = rng.random_range(24..=36);
-    day.fleet.cell_size = 3;
-    day.load.of_capacity = 0.3 + 0.3 * rng.random::<f64>();
-    day.list.asked = rng.random::<f64>() < 0.5;
-    day.faults.retain(|f| f.kind.targets_nodes() && f.selection.places.is_none());
-    day.faults.truncate(2);
-    let cells = day.fleet.cells() as u32;
+    scenario.length = ms(length * 1000);
+    scenario.cluster.count = rng.random_range(3..=12);
+    scenario.cluster.peers = true;
+    scenario.fleet.nodes = rng.random_range(24..=36);
+    scenario.fleet.cell_size = 3;
+    scenario.load.of_capacity = 0.3 + 0.3 * rng.random::<f64>();
+    scenario.list.asked = rng.random::<f64>() < 0.5;
+    scenario.faults.retain(|f| f.kind.targets_nodes() && f.selection.places.is_none());
+    scenario.faults.truncate(2);
+    let cells = scenario.fleet.cells() as u32;
     if rng.random::<f64>() < 0.4 {
         // The first of each site are firm, and the rest can be put out.
-        day.cluster.policy.fallback_cells = Some(vec![0, 1, 2]);
-        day.cluster.policy.mandatory_fallback_cells = Some(vec![0, 1]);
+        scenario.cluster.policy.fallback_cells = Some(vec![0, 1, 2]);
+        scenario.cluster.policy.mandatory_fallback_cells = Some(vec![0, 1]);
     }
     let loss = [0.0, 0.1, 0.3][rng.random_range(0..3)];
     if loss > 0.0 {
@@ -42,28 +42,30 @@
         let kind = FaultKind::LinksBad { direction: LinkDirection::Both, trouble };
         let (start, length) = (ms(0), ms(length * 1000));
         let selection = Selection::default();
-        day.faults.push(Fault { kind, start, length, selection, group: None, line: 0 });
+        scenario.faults.push(Fault { kind, start, length, selection, group: None, line: 0 });
     }
     for _ in 0..rng.random_range(2..=4) {
-        let fault = fault(&mut rng, length, day.cluster.count);
-        day.faults.push(fault);
+        let fault = fault(&mut rng, length, scenario.cluster.count);
+        scenario.faults.push(fault);
     }
     for _ in 0..rng.random_range(3..=8) {
-        let act = act(&mut rng, length, day.cluster.count, cells, &day);
-        day.policy_actions.push(act);
+        let policy_action =
+            policy_action(&mut rng, length, scenario.cluster.count, cells, &scenario);
+        scenario.policy_actions.push(policy_action);
     }
-    day
+    scenario
 }
 
 fn fault(rng: &mut ChaCha8Rng, length: u32, count: usize) -> Fault {
-    let way = [LinkDirection::Both, LinkDirection::Both, LinkDirection::Out, LinkDirection::In]
-        [rng.random_range(0..4)];
+    let direction =
+        [LinkDirection::Both, LinkDirection::Both, LinkDirection::Out, LinkDirection::In]
+            [rng.random_range(0..4)];
     let kind = match rng.random_range(0..7) {
         0 | 1 => FaultKind::BalancerPause,
         2 => FaultKind::BalancerKill { spread: ms(rng.random_range(0..1_500)), cycle: None },
         3 => FaultKind::BalancerRestart { spread: ms(rng.random_range(0..3_000)) },
-        4 => FaultKind::LinksCut { direction: way, open_share: [0.0, 0.3][rng.random_range(0..2)] },
-        _ => FaultKind::LinksCut { direction: way, open_share: 0.0 },
+        4 => FaultKind::LinksCut { direction, open_share: [0.0, 0.3][rng.random_range(0..2)] },
+        _ => FaultKind::LinksCut { direction, open_share: 0.0 },
     };
     let selection = match rng.random_range(0..4) {
         0 => Selection { zone: Some(rng.random_range(0..2)), ..Selection::default() },
@@ -82,34 +84,37 @@
     }
 }
 
-fn act(
+fn policy_action(
     rng: &mut ChaCha8Rng,
     length: u32,
     count: usize,
-    cells: u32,
-    day: &Scenario,
+    cell_count: u32,
+    scenario: &Scenario,
 ) -> PolicyAction {
-    let door = rng.random_range(0..count);
-    let mut pods: Vec<u32> =
-        (0..rng.random_range(1..=3)).map(|_| rng.random_range(0..cells)).collect();
-    pods.sort_unstable();
-    pods.dedup();
-    let does = match rng.random_range(0..12) {
+    let balancer = rng.random_range(0..count);
+    let mut cells: Vec<u32> =
+        (0..rng.random_range(1..=3)).map(|_| rng.random_range(0..cell_count)).collect();
+    cells.sort_unstable();
+    cells.dedup();
+    let action = match rng.random_range(0..12) {
         0..=4 => {
             let many = rng.random_range(0..3);
-            let nodes = (0..many).map(|_| rng.random_range(0..day.fleet.nodes)).collect();
-            let class = &day.classes[rng.random_range(0..day.classes.len())].name;
-            let kept = rng.random::<f64>() < 0.3;
-            let pods = if rng.random::<f64>() < 0.8 { pods } else { Vec::new() };
-            let kept =
-                if kept { vec![(class.clone(), vec![rng.random_range(3..cells)])] } else { vec![] };
-            let says = RevisionDocument {
+            let nodes = (0..many).map(|_| rng.random_range(0..scenario.fleet.nodes)).collect();
+            let class = &scenario.classes[rng.random_range(0..scenario.classes.len())].name;
+            let has_exclusion = rng.random::<f64>() < 0.3;
+            let cells = if rng.random::<f64>() < 0.8 { cells } else { Vec::new() };
+            let excluded = if has_exclusion {
+                vec![(class.clone(), vec![rng.random_range(3..cell_count)])]
+            } else {
+                vec![]
+            };
+            let document = RevisionDocument {
                 nodes,
-                cells: pods,
-                excluded_cells: kept,
+                cells,
+                excluded_cells: excluded,
                 ..RevisionDocument::default()
             };
-            PolicyActionKind::Revise { document: says, force: true, canary_s: None }
+            PolicyActionKind::Revise { document, force: true, canary_s: None }
         }
         5 => PolicyActionKind::Revise {
             document: RevisionDocument::default(),
@@ -118,25 +123,25 @@
         },
         6 | 7 => PolicyActionKind::Rollback { steps: rng.random_range(1..=3) },
         8 => {
-            let places = Some(vec![rng.random_range(0..day.fleet.nodes)]);
+            let places = Some(vec![rng.random_range(0..scenario.fleet.nodes)]);
             PolicyActionKind::Cordon(Selection { places, ..Selection::default() })
         }
         9 => {
             // The firm ones, and others.
-            let mut charter = vec![0, 1];
-            charter.extend(pods.into_iter().filter(|p| *p > 1));
-            PolicyActionKind::FallbackPolicy { cells: charter }
+            let mut fallback_cells = vec![0, 1];
+            fallback_cells.extend(cells.into_iter().filter(|p| *p > 1));
+            PolicyActionKind::FallbackPolicy { cells: fallback_cells }
         }
         _ => {
-            let strike = [LeaderFault::Killed, LeaderFault::Paused, LeaderFault::CutOff]
+            let leader_fault = [LeaderFault::Killed, LeaderFault::Paused, LeaderFault::CutOff]
                 [rng.random_range(0..3)];
-            PolicyActionKind::Leader(strike, ms(rng.random_range(500..8_000)))
+            PolicyActionKind::Leader(leader_fault, ms(rng.random_range(500..8_000)))
         }
     };
     PolicyAction {
         at: ms(rng.random_range(FIRST_MS..length * 1000 - 5_000)),
-        balancers: vec![door],
-        kind: does,
+        balancers: vec![balancer],
+        kind: action,
         wait_for_all: rng.random(),
         retry_for: ms(8_000),
         line: 0,
--- a/crates/rehearsal/src/wire.rs
+++ b/crates/rehearsal/src/wire.rs
@@ -46,16 +46,16 @@
 
 /// Which way messages go.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
+pub enum Direction {
     /// From clients.
     Requests,
     /// To clients.
-    Answers,
+    Responses,
 }
 
 /// How a connection ended before a message was whole.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Ended {
+pub enum ConnectionEnd {
     /// In order; `inside` a message or between two.
     #[error("closed")]
     Closed {
@@ -107,16 +107,16 @@
         self.stream.reset();
     }
 
-    async fn fill(&mut self) -> Result<(), Ended> {
+    async fn fill(&mut self) -> Result<(), ConnectionEnd> {
         let read = self.stream.read_buf(&mut self.buffer).await;
         let inside = !self.buffer.is_empty();
         match read {
-            Ok(0) => Err(Ended::Closed { inside }),
+            Ok(0) => Err(ConnectionEnd::Closed { inside }),
             Ok(_) => {
                 self.first.get_or_insert_with(Instant::now);
                 Ok(())
             }
-            Err(_) => Err(Ended::Reset { inside }),
+            Err(_) => Err(ConnectionEnd::Reset { inside }),
         }
     }
 
@@ -124,16 +124,16 @@
     ///
     /// # Errors
     /// How the connection ended, or why what came is none.
-    pub async fn message(&mut self, side: Side) -> Result<Message, Ended> {
+    pub async fn message(&mut self, direction: Direction) -> Result<Message, ConnectionEnd> {
         if !self.buffer.is_empty() {
             self.first.get_or_insert_with(Instant::now);
         }
         loop {
-            if let Some((mut message, head, framing)) = parse(&self.buffer, side)? {
+            if let Some((mut message, head, framing)) = parse(&self.buffer, direction)? {
                 self.buffer.advance(head);
                 message.first = self.first.take().unwrap_or(message.first);
                 // Informational answers come ahead of the one that counts (RFC 9110, 15.2).
-                if side == Side::Answers && (100..200).contains(&message.status()) {
+                if direction == Direction::Responses && (100..200).contains(&message.status()) {
                     if !self.buffer.is_empty() {
                         self.first = Some(Instant::now());
                     }
@@ -147,10 +147,10 @@
         }
     }
 
-    async fn body(&mut self, framing: Framing) -> Result<Bytes, Ended> {
+    async fn body(&mut self, framing: Framing) -> Result<Bytes, ConnectionEnd> {
         let inside = |ended| match ended {
-            Ended::Closed { .. } => Ended::Closed { inside: true },
-            Ended::Reset { .. } => Ended::Reset { inside: true },
+            ConnectionEnd::Closed { .. } => ConnectionEnd::Closed { inside: true },
+            ConnectionEnd::Reset { .. } => ConnectionEnd::Reset { inside: true },
             other => other,
         };
         match framing {
@@ -163,8 +163,8 @@
             Framing::UntilClose => loop {
                 match self.fill().await {
                     Ok(()) if self.buffer.len() <= LONGEST_BODY => {}
-                    Ok(()) => return Err(Ended::Malformed("a body without end".into())),
-                    Err(Ended::Closed { .. }) => return Ok(self.buffer.split().freeze()),
+                    Ok(()) => return Err(ConnectionEnd::Malformed("a body without end".into())),
+                    Err(ConnectionEnd::Closed { .. }) => return Ok(self.buffer.split().freeze()),
                     Err(other) => return Err(inside(other)),
                 }
             },
@@ -180,10 +180,10 @@
                             self.fill().await.map_err(inside)?;
                             continue;
                         }
-                        Err(_) => return Err(Ended::Malformed("a chunk size".into())),
+                        Err(_) => return Err(ConnectionEnd::Malformed("a chunk size".into())),
                     };
                     if size > LONGEST_BODY - body.len().min(LONGEST_BODY) {
-                        return Err(Ended::Malformed("a body without end".into()));
+                        return Err(ConnectionEnd::Malformed("a body without end".into()));
                     }
                     while self.buffer.len() < size + 2 {
                         self.fill().await.map_err(inside)?;
@@ -199,13 +199,13 @@
     }
 
     /// Ends with the connection; what still comes before that is kept for the next message.
-    pub async fn end(&mut self) -> Ended {
+    pub async fn end(&mut self) -> ConnectionEnd {
         loop {
             if let Err(ended) = self.fill().await {
                 return ended;
             }
             if self.buffer.len() > LONGEST_HEAD + LONGEST_BODY {
-                return Ended::Malformed("more than anyone asked for".into());
+                return ConnectionEnd::Malformed("more than anyone asked for".into());
             }
         }
     }
@@ -214,7 +214,7 @@
     ///
     /// # Errors
     /// How the connection ended.
-    pub async fn some(&mut self) -> Result<Bytes, Ended> {
+    pub async fn some(&mut self) -> Result<Bytes, ConnectionEnd> {
         if self.buffer.is_empty() {
             self.fill().await?;
         }
@@ -249,17 +249,20 @@
 }
 
 /// Reads a head, if it is whole: how many bytes it took, and how its body is framed.
-fn parse(buffer: &[u8], side: Side) -> Result<Option<(Message, usize, Framing)>, Ended> {
+fn parse(
+    buffer: &[u8],
+    direction: Direction,
+) -> Result<Option<(Message, usize, Framing)>, ConnectionEnd> {
     let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
-    let bad = |e: httparse::Error| Ended::Malformed(e.to_string());
-    let (start, length) = match side {
-        Side::Requests => {
+    let bad = |e: httparse::Error| ConnectionEnd::Malformed(e.to_string());
+    let (start, length) = match direction {
+        Direction::Requests => {
             let mut head = httparse::Request::new(&mut headers);
             let status = head.parse(buffer).map_err(bad)?;
             let text = |t: Option<&str>| t.unwrap_or_default().to_string();
             ((text(head.method), text(head.path)), status)
         }
-        Side::Answers => {
+        Direction::Responses => {
             let mut head = httparse::Response::new(&mut headers);
             let status = head.parse(buffer).map_err(bad)?;
             let code = head.code.unwrap_or_default().to_string();
@@ -268,7 +271,7 @@
     };
     let httparse::Status::Complete(length) = length else {
         if buffer.len() > LONGEST_HEAD {
-            return Err(Ended::Malformed("a head without end".into()));
+            return Err(ConnectionEnd::Malformed("a head without end".into()));
         }
         return Ok(None);
     };
@@ -282,12 +285,12 @@
         .header("transfer-encoding")
         .is_some_and(|v| v.to_ascii_lowercase().trim_end().ends_with("chunked"));
     let announced = message.header("content-length");
-    let none = side == Side::Requests || matches!(message.status(), 204 | 304);
+    let none = direction == Direction::Requests || matches!(message.status(), 204 | 304);
     let framing = match announced {
         _ if chunked => Framing::Chunked,
         Some(text) => match text.trim().parse() {
             Ok(n) if n <= LONGEST_BODY => Framing::Length(n),
-            _ => return Err(Ended::Malformed(format!("a length of {text}"))),
+            _ => return Err(ConnectionEnd::Malformed(format!("a length of {text}"))),
         },
         None if none => Framing::Length(0),
         None => Framing::UntilClose,
@@ -317,7 +320,7 @@
         let (mut here, mut there) = pair().await;
         let text = "POST /api HTTP/1.1\r\nX-Request-Id: 7\r\nContent-Length: 3\r\n\r\nabc";
         let from = Instant::now();
-        let read = tokio::join!(there.message(Side::Requests), async {
+        let read = tokio::join!(there.message(Direction::Requests), async {
             for byte in text.as_bytes() {
                 here.write(&[*byte]).await.expect("open");
                 tokio::time::sleep(Duration::from_millis(1)).await;
@@ -338,9 +341,9 @@
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n";
         let long = "HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nnoXX";
         here.write(format!("{early}{chunked}{long}").as_bytes()).await.expect("open");
-        let first = there.message(Side::Answers).await.expect("whole");
+        let first = there.message(Direction::Responses).await.expect("whole");
         assert_eq!((first.status(), &first.body[..]), (200, &b"abc"[..]));
-        let second = there.message(Side::Answers).await.expect("whole");
+        let second = there.message(Direction::Responses).await.expect("whole");
         assert_eq!((second.status(), &second.body[..], there.left_over()), (503, &b"no"[..], 2));
     }
 
@@ -350,16 +353,19 @@
             let (mut here, mut there) = pair().await;
             here.write(text.as_bytes()).await.expect("open");
             drop(here);
-            let ended = there.message(Side::Answers).await.expect_err("nothing whole");
-            assert_eq!(ended, Ended::Closed { inside });
+            let ended = there.message(Direction::Responses).await.expect_err("nothing whole");
+            assert_eq!(ended, ConnectionEnd::Closed { inside });
         }
         let (mut here, mut there) = pair().await;
         here.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf").await.expect("open");
         here.reset();
-        let ended = there.message(Side::Answers).await.expect_err("cut short");
-        assert_eq!(ended, Ended::Reset { inside: true });
+        let ended = there.message(Direction::Responses).await.expect_err("cut short");
+        assert_eq!(ended, ConnectionEnd::Reset { inside: true });
         let (mut here, mut there) = pair().await;
         here.write(b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n").await.expect("open");
-        assert!(matches!(there.message(Side::Answers).await, Err(Ended::Malformed(_))));
+        assert!(matches!(
+            there.message(Direction::Responses).await,
+            Err(ConnectionEnd::Malformed(_))
+        ));
     }
 }
--- a/crates/rehearsal/tests/peers.rs
+++ b/crates/rehearsal/tests/peers.rs
@@ -7,8 +7,8 @@
 use hollowpaddle_net::{DATAGRAM, Datagrams, receive};
 use hollowpaddle_rehearsal::peers::Peers;
 use hollowpaddle_rehearsal::record::Observation;
+use hollowpaddle_rehearsal::run_context::{Host, Testbed};
 use hollowpaddle_rehearsal::scenario::{FaultKind, LinkDirection, Trouble};
-use hollowpaddle_rehearsal::stage::{Testbed, Who};
 use hollowpaddle_simnet::Fabric;
 use tokio::task::LocalSet;
 use tokio::time::timeout;
@@ -24,7 +24,7 @@
 }
 
 impl Bank {
-    fn new(ground: Testbed) -> Self {
+    fn new(testbed: Testbed) -> Self {
         let seen = Rc::<RefCell<Vec<_>>>::default();
         let tell = {
             let seen = seen.clone();
@@ -34,11 +34,11 @@
                 }
             }
         };
-        let soon = Duration::from_millis(if ground.is_simulated() { 100 } else { 300 });
-        let peers = Peers::new(ground.clone(), COUNT, 7, tell).expect("addresses");
+        let soon = Duration::from_millis(if testbed.is_simulated() { 100 } else { 300 });
+        let peers = Peers::new(testbed.clone(), COUNT, 7, tell).expect("addresses");
         let end = |b| {
             let listen = peers.addresses(b).listen;
-            ground.network(Who::Balancer(b)).datagrams(listen).expect("its own address")
+            testbed.network(Host::Balancer(b)).datagrams(listen).expect("its own address")
         };
         Self { ends: (0..COUNT).map(end).collect(), peers, seen, soon }
     }
@@ -84,14 +84,14 @@
         assert_eq!(self.come(2).await, []);
         // Cut one way: what 0 says reaches nobody, what it is told reaches it.
         let cut = FaultKind::LinksCut { direction: LinkDirection::Out, open_share: 0.0 };
-        self.peers.strike(4, &cut, &[0], true);
+        self.peers.apply_fault(4, &cut, &[0], true);
         self.send(0, 1, b"lost");
         self.send(1, 0, b"heard");
         self.send(1, 2, b"heard");
         assert_eq!(self.come(1).await, []);
         assert_eq!(self.come(0).await, [(1, b"heard".to_vec())]);
         assert_eq!(self.come(2).await, [(1, b"heard".to_vec())]);
-        self.peers.strike(4, &cut, &[0], false);
+        self.peers.apply_fault(4, &cut, &[0], false);
         // Each comes twice, later, with one bit flipped; within the set not four times.
         let trouble = Trouble {
             copies: 1.0,
@@ -100,7 +100,7 @@
             ..Trouble::default()
         };
         let bad = FaultKind::LinksBad { direction: LinkDirection::Both, trouble };
-        self.peers.strike(5, &bad, &[0, 1], true);
+        self.peers.apply_fault(5, &bad, &[0, 1], true);
         for (from, to) in [(0, 1), (0, 2), (2, 0)] {
             self.send(from, to, b"abc");
             let came = self.come(to).await;
@@ -121,8 +121,8 @@
 
 #[tokio::test(start_paused = true)]
 async fn in_virtual_time() {
-    let ground = Testbed::Simulated(Fabric::new(Duration::ZERO, |_, _| Duration::from_millis(2)));
-    LocalSet::new().run_until(Bank::new(ground).drill()).await;
+    let testbed = Testbed::Simulated(Fabric::new(Duration::ZERO, |_, _| Duration::from_millis(2)));
+    LocalSet::new().run_until(Bank::new(testbed).drill()).await;
 }
 
 #[tokio::test]
--- a/crates/rehearsal/tests/scripted/book.rs
+++ b/crates/rehearsal/tests/scripted/book.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use hollowpaddle_net::{Network, accept};
-use hollowpaddle_rehearsal::wire::{Exchange, Side};
+use hollowpaddle_rehearsal::wire::{Direction, Exchange};
 use serde_json::{Value, json};
 use tokio::task::spawn_local;
 use tokio::time::{Instant, sleep};
@@ -70,7 +70,7 @@
             let rules = self.clone();
             spawn_local(async move {
                 let mut talk = Exchange::new(stream);
-                let Ok(call) = talk.message(Side::Requests).await else { return };
+                let Ok(call) = talk.message(Direction::Requests).await else { return };
                 let body = serde_json::from_slice(&call.body).unwrap_or_default();
                 let text = rules.answer(&call.start.0, &call.start.1, &body);
                 let _ = talk.write(&answer(200, text.to_string().as_bytes())).await;
