--- a/crates/rehearsal/tests/scripted/mod.rs
+++ b/crates/rehearsal/tests/scripted/mod.rs
@@ -14,8 +14,8 @@
 use book::Rules;
 use hollowpaddle_net::{Network, accept};
 use hollowpaddle_rehearsal::cluster::{Control, Launch, LaunchError, Launcher, Running};
-use hollowpaddle_rehearsal::frozen::Frozen;
-use hollowpaddle_rehearsal::wire::{Exchange, Message, Side};
+use hollowpaddle_rehearsal::freeze::FreezeSwitch;
+use hollowpaddle_rehearsal::wire::{Direction, Exchange, Message};
 use serde_json::Value;
 use tokio::sync::Notify;
 use tokio::task::{AbortHandle, LocalSet, spawn_local};
@@ -138,7 +138,7 @@
         };
         let services = settings["Services"].as_array().expect("classes");
         let over = Rc::new(Notify::new());
-        let (frozen, thawed) = (Frozen::default(), Rc::<Cell<Option<Instant>>>::default());
+        let (frozen, thawed) = (FreezeSwitch::default(), Rc::<Cell<Option<Instant>>>::default());
         let balancer = Rc::new(Balancer {
             fault: self.0,
             discovery: launch.discovery,
@@ -193,7 +193,7 @@
                 biased;
                 () = over.notified() => {}
                 () = ended.over() => {}
-                () = ice.hold(tasks.run_until(run)) => {}
+                () = ice.run(tasks.run_until(run)) => {}
             }
         });
         let task_of = task.abort_handle();
@@ -205,7 +205,7 @@
 
 struct Hand {
     task: AbortHandle,
-    frozen: Frozen,
+    frozen: FreezeSwitch,
     thawed: Rc<Cell<Option<Instant>>>,
     ending: Rc<Ending>,
     at_once: bool,
@@ -283,7 +283,7 @@
             if self.fault == Fault::StopsAsking && self.start.elapsed() > Duration::from_secs(1) {
                 return std::future::pending().await;
             }
-            let Ok(list) = talk.message(Side::Answers).await else { return };
+            let Ok(list) = talk.message(Direction::Responses).await else { return };
             if list.status() == 200 {
                 self.listed(&serde_json::from_slice(&list.body).expect("JSON"));
             }
@@ -292,7 +292,7 @@
     }
 
     async fn converse(self: Rc<Self>, mut talk: Exchange) {
-        while let Ok(request) = talk.message(Side::Requests).await {
+        while let Ok(request) = talk.message(Direction::Requests).await {
             if request.start.1 == "/-/ready" {
                 let _ = talk.write(&answer(200, b"")).await;
                 continue;
@@ -463,7 +463,7 @@
         }
         text.push_str(&format!("Content-Length: {}\r\n\r\n{body}", body.len()));
         talk.write(text.as_bytes()).await.map_err(|_| Missed::Broke)?;
-        let answer = timeout_at(until, talk.message(Side::Answers)).await;
+        let answer = timeout_at(until, talk.message(Direction::Responses)).await;
         let message = answer.map_err(|_| Missed::Late)?.map_err(|_| Missed::Broke)?;
         self.idle.borrow_mut().entry(address).or_default().push(talk);
         Ok(message)
--- a/crates/rehearsal/tests/standins.rs
+++ b/crates/rehearsal/tests/standins.rs
@@ -7,9 +7,9 @@
 use hollowpaddle_rehearsal::node::Node;
 use hollowpaddle_rehearsal::plan::Plan;
 use hollowpaddle_rehearsal::record::{At, AttemptOutcome, Observation, Phase};
+use hollowpaddle_rehearsal::run_context::{Host, RunContext, Testbed};
 use hollowpaddle_rehearsal::scenario::Scenario;
-use hollowpaddle_rehearsal::stage::{Stage, Testbed, Who};
-use hollowpaddle_rehearsal::wire::{Ended, Exchange, Message, Side};
+use hollowpaddle_rehearsal::wire::{ConnectionEnd, Direction, Exchange, Message};
 use serde_json::Value;
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
@@ -66,7 +66,7 @@
 const SECOND: Duration = Duration::from_secs(1);
 
 /// Runs a test on a stage of its own, with four nodes that run.
-fn on_stage<F: Future<Output = ()>>(test: impl FnOnce(Rc<Stage>, Vec<Rc<Node>>) -> F) {
+fn on_stage<F: Future<Output = ()>>(test: impl FnOnce(Rc<RunContext>, Vec<Rc<Node>>) -> F) {
     let scenario = Scenario::read("by-hand.toml", DAY).expect("sound");
     let plan = Plan::generate(&scenario, 1);
     let runtime = tokio::runtime::Builder::new_current_thread()
@@ -75,48 +75,52 @@
         .build()
         .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let ground = Testbed::simulated(&scenario, &plan);
-        let stage = Stage::new(scenario, plan, ground);
-        let nodes: Vec<_> = (0..4).map(|n| Node::new(&stage, n)).collect();
+        let testbed = Testbed::simulated(&scenario, &plan);
+        let context = RunContext::new(scenario, plan, testbed);
+        let nodes: Vec<_> = (0..4).map(|n| Node::new(&context, n)).collect();
         nodes.iter().for_each(|n| n.start(false, None).expect("it listens"));
-        test(stage, nodes).await;
+        test(context, nodes).await;
     });
 }
 
 /// The nth request of a class.
-fn request(stage: &Stage, class: usize, nth: usize) -> u32 {
-    let mut all = stage.plan.arrivals.iter().enumerate().filter(|(_, a)| a.class == class);
+fn request(context: &RunContext, class: usize, nth: usize) -> u32 {
+    let mut all = context.plan.arrivals.iter().enumerate().filter(|(_, a)| a.class == class);
     all.nth(nth).expect("so many").0 as u32
 }
 
-async fn connect(stage: &Stage, node: &Node, balancer: usize) -> Exchange {
-    let network = stage.ground.network(Who::Balancer(balancer));
+async fn connect(context: &RunContext, node: &Node, balancer: usize) -> Exchange {
+    let network = context.testbed.network(Host::Balancer(balancer));
     Exchange::new(network.connect(node.address(balancer)).await.expect("it listens"))
 }
 
-async fn ask(stage: &Stage, talk: &mut Exchange, request: u32) -> Result<Message, Ended> {
-    let text = stage.request_text(request, SECOND);
+async fn ask(
+    context: &RunContext,
+    talk: &mut Exchange,
+    request: u32,
+) -> Result<Message, ConnectionEnd> {
+    let text = context.request_text(request, SECOND);
     talk.write(text.as_bytes()).await.expect("open");
-    talk.message(Side::Answers).await
+    talk.message(Direction::Responses).await
 }
 
-fn fates(stage: &Stage) -> Vec<AttemptOutcome> {
+fn fates(context: &RunContext) -> Vec<AttemptOutcome> {
     let fate = |l: hollowpaddle_rehearsal::record::Line| match l.seen {
         Observation::Ended { outcome, .. } => Some(outcome),
         _ => None,
     };
-    stage.record.take().into_iter().filter_map(fate).collect()
+    context.record.take().into_iter().filter_map(fate).collect()
 }
 
 #[test]
 fn a_node_works_as_long_as_its_work_takes_and_turns_away_what_it_has_no_room_for() {
-    on_stage(|stage, nodes| async move {
+    on_stage(|context, nodes| async move {
         let from = Instant::now();
         let ask_one = |nth| {
-            let (stage, node) = (stage.clone(), nodes[0].clone());
+            let (context, node) = (context.clone(), nodes[0].clone());
             spawn_local(async move {
-                let mut talk = connect(&stage, &node, 0).await;
-                let answer = ask(&stage, &mut talk, request(&stage, SAFE, nth)).await;
+                let mut talk = connect(&context, &node, 0).await;
+                let answer = ask(&context, &mut talk, request(&context, SAFE, nth)).await;
                 let answer = answer.expect("an answer");
                 (answer.status(), from.elapsed().as_millis())
             })
@@ -131,7 +135,7 @@
         let mut served: Vec<u128> = got.iter().filter(|g| g.0 == 200).map(|g| g.1).collect();
         served.sort_unstable();
         assert!((100..200).contains(&served[0]) && (200..400).contains(&served[1]), "{got:?}");
-        let mut fates = fates(&stage);
+        let mut fates = fates(&context);
         fates.sort_by_key(|f| format!("{f:?}"));
         assert_eq!(
             fates,
@@ -142,115 +146,124 @@
 
 #[test]
 fn a_keyed_repeat_is_dropped_by_its_cell_for_its_window_and_by_nobody_else() {
-    on_stage(|stage, nodes| async move {
-        let one = request(&stage, KEYED, 0);
-        let cells: Vec<u32> = (0..4).map(|n| stage.plan.machines[n].cell).collect();
+    on_stage(|context, nodes| async move {
+        let one = request(&context, KEYED, 0);
+        let cells: Vec<u32> = (0..4).map(|n| context.plan.machines[n].cell).collect();
         assert_eq!(cells, [0, 0, 1, 1]);
         for node in [0, 1, 2] {
-            let mut talk = connect(&stage, &nodes[node], 0).await;
-            assert_eq!(ask(&stage, &mut talk, one).await.expect("an answer").status(), 200);
+            let mut talk = connect(&context, &nodes[node], 0).await;
+            assert_eq!(ask(&context, &mut talk, one).await.expect("an answer").status(), 200);
         }
         sleep(SECOND).await;
-        let mut talk = connect(&stage, &nodes[1], 0).await;
-        assert_eq!(ask(&stage, &mut talk, one).await.expect("an answer").status(), 200);
+        let mut talk = connect(&context, &nodes[1], 0).await;
+        assert_eq!(ask(&context, &mut talk, one).await.expect("an answer").status(), 200);
         use AttemptOutcome::{Dropped, Served};
-        assert_eq!(fates(&stage), [Served, Dropped, Served, Served], "forgotten after the window");
+        assert_eq!(
+            fates(&context),
+            [Served, Dropped, Served, Served],
+            "forgotten after the window"
+        );
     });
 }
 
 #[test]
 fn a_draining_node_or_one_with_too_many_connections_turns_away() {
-    on_stage(|stage, nodes| async move {
+    on_stage(|context, nodes| async move {
         let mut held = Vec::new();
         for _ in 0..3 {
-            held.push(connect(&stage, &nodes[0], 0).await);
+            held.push(connect(&context, &nodes[0], 0).await);
             sleep(Duration::from_millis(1)).await;
         }
-        let mut over = connect(&stage, &nodes[0], 1).await;
-        let answer = ask(&stage, &mut over, request(&stage, SAFE, 0)).await.expect("an answer");
+        let mut over = connect(&context, &nodes[0], 1).await;
+        let answer = ask(&context, &mut over, request(&context, SAFE, 0)).await.expect("an answer");
         assert_eq!((answer.status(), answer.header("x-not-run")), (503, Some("1")));
-        let answer = ask(&stage, &mut held[0], request(&stage, SAFE, 1)).await.expect("an answer");
+        let answer =
+            ask(&context, &mut held[0], request(&context, SAFE, 1)).await.expect("an answer");
         assert_eq!(answer.status(), 200);
         nodes[0].drain(true);
-        let answer = ask(&stage, &mut held[0], request(&stage, SAFE, 2)).await.expect("an answer");
+        let answer =
+            ask(&context, &mut held[0], request(&context, SAFE, 2)).await.expect("an answer");
         assert_eq!((answer.status(), answer.header("x-not-run")), (503, Some("1")));
     });
 }
 
 #[test]
 fn a_process_that_dies_resets_and_refuses_and_comes_back_cold_at_its_address() {
-    on_stage(|stage, nodes| async move {
+    on_stage(|context, nodes| async move {
         let (node, address) = (nodes[0].clone(), nodes[0].address(0));
-        let mut talk = connect(&stage, &node, 0).await;
+        let mut talk = connect(&context, &node, 0).await;
         let killer = node.clone();
         spawn_local(async move {
             sleep(Duration::from_millis(50)).await;
             killer.die(true);
         });
-        let end = ask(&stage, &mut talk, request(&stage, SAFE, 0)).await.expect_err("it died");
-        assert!(matches!(end, Ended::Reset { .. }), "{end:?}");
-        assert_eq!(fates(&stage), [AttemptOutcome::Died]);
-        let network = stage.ground.network(Who::Balancer(0));
+        let end = ask(&context, &mut talk, request(&context, SAFE, 0)).await.expect_err("it died");
+        assert!(matches!(end, ConnectionEnd::Reset { .. }), "{end:?}");
+        assert_eq!(fates(&context), [AttemptOutcome::Died]);
+        let network = context.testbed.network(Host::Balancer(0));
         assert!(network.connect(address).await.is_err() && !node.serves());
         node.die(false);
         node.start(true, None).expect("it listens");
         assert_eq!(node.address(0), address);
         assert!(node.since() > At(0));
         let from = Instant::now();
-        let mut talk = connect(&stage, &node, 0).await;
-        ask(&stage, &mut talk, request(&stage, SAFE, 1)).await.expect("an answer");
+        let mut talk = connect(&context, &node, 0).await;
+        ask(&context, &mut talk, request(&context, SAFE, 1)).await.expect("an answer");
         assert!(from.elapsed() > Duration::from_millis(300), "cold: {:?}", from.elapsed());
     });
 }
 
 #[test]
 fn a_machine_that_vanishes_says_nothing_and_resets_when_it_is_back() {
-    on_stage(|stage, nodes| async move {
+    on_stage(|context, nodes| async move {
         let node = nodes[0].clone();
-        let mut talk = connect(&stage, &node, 0).await;
+        let mut talk = connect(&context, &node, 0).await;
         sleep(Duration::from_millis(1)).await;
         node.vanish(true);
-        let text = stage.request_text(request(&stage, SAFE, 0), SECOND);
+        let text = context.request_text(request(&context, SAFE, 0), SECOND);
         talk.write(text.as_bytes()).await.expect("taken by the kernel");
-        let silent = timeout(10 * SECOND, talk.message(Side::Answers)).await;
+        let silent = timeout(10 * SECOND, talk.message(Direction::Responses)).await;
         assert!(silent.is_err(), "{silent:?}");
-        let network = stage.ground.network(Who::Balancer(0));
+        let network = context.testbed.network(Host::Balancer(0));
         let never = timeout(10 * SECOND, network.connect(node.address(0))).await;
         assert!(never.is_err(), "it came up, or was refused");
-        let lines = stage.record.take();
+        let lines = context.record.take();
         let dark = |l: &hollowpaddle_rehearsal::record::Line| {
             matches!(l.seen, Observation::Attempt { dark: true, .. })
         };
         assert!(lines.iter().any(dark), "the judge must know of it: {lines:?}");
         node.vanish(false);
         node.start(true, None).expect("it listens");
-        let end = talk.message(Side::Answers).await.expect_err("of another life");
-        assert!(matches!(end, Ended::Reset { .. }), "{end:?}");
-        connect(&stage, &node, 0).await;
+        let end = talk.message(Direction::Responses).await.expect_err("of another life");
+        assert!(matches!(end, ConnectionEnd::Reset { .. }), "{end:?}");
+        connect(&context, &node, 0).await;
     });
 }
 
 #[test]
 fn a_cut_is_between_two_and_the_others_notice_nothing() {
-    on_stage(|stage, nodes| async move {
+    on_stage(|context, nodes| async move {
         let node = nodes[0].clone();
-        let mut cut = connect(&stage, &node, 1).await;
+        let mut cut = connect(&context, &node, 1).await;
         sleep(Duration::from_millis(1)).await;
         node.cut(1, true);
-        let text = stage.request_text(request(&stage, SAFE, 0), SECOND);
+        let text = context.request_text(request(&context, SAFE, 0), SECOND);
         cut.write(text.as_bytes()).await.expect("taken by the kernel");
-        let mut other = connect(&stage, &node, 0).await;
-        ask(&stage, &mut other, request(&stage, SAFE, 1)).await.expect("an answer");
-        assert!(timeout(2 * SECOND, cut.message(Side::Answers)).await.is_err());
+        let mut other = connect(&context, &node, 0).await;
+        ask(&context, &mut other, request(&context, SAFE, 1)).await.expect("an answer");
+        assert!(timeout(2 * SECOND, cut.message(Direction::Responses)).await.is_err());
         node.cut(1, false);
-        assert!(matches!(cut.message(Side::Answers).await, Err(Ended::Reset { .. })));
-        ask(&stage, &mut other, request(&stage, SAFE, 2)).await.expect("still there");
+        assert!(matches!(
+            cut.message(Direction::Responses).await,
+            Err(ConnectionEnd::Reset { .. })
+        ));
+        ask(&context, &mut other, request(&context, SAFE, 2)).await.expect("still there");
     });
 }
 
 #[test]
 fn a_cold_node_that_is_sent_too_much_stays_down() {
-    on_stage(|stage, nodes| async move {
+    on_stage(|context, nodes| async move {
         let node = nodes[0].clone();
         node.stop();
         node.start(true, None).expect("it listens");
@@ -260,16 +273,16 @@
             watching.stop();
         });
         // 0.25 of a core for 2 s, four times, and three requests: 23 of 100 ms.
-        let mut talk = connect(&stage, &node, 0).await;
+        let mut talk = connect(&context, &node, 0).await;
         let mut sent = 0;
         while !fallen.is_finished() {
-            let text = stage.request_text(request(&stage, SAFE, sent), SECOND);
+            let text = context.request_text(request(&context, SAFE, sent), SECOND);
             if talk.write(text.as_bytes()).await.is_err() {
                 break;
             }
-            let _ = timeout(Duration::from_millis(1), talk.message(Side::Answers)).await;
+            let _ = timeout(Duration::from_millis(1), talk.message(Direction::Responses)).await;
             if sent % 2 == 1 {
-                let network = stage.ground.network(Who::Balancer(0));
+                let network = context.testbed.network(Host::Balancer(0));
                 let Ok(stream) = network.connect(node.address(0)).await else { break };
                 talk = Exchange::new(stream);
             }
@@ -281,8 +294,8 @@
     });
 }
 
-async fn watch(stage: &Stage, list: &NodeList, index: u64) -> Lines {
-    let network = stage.ground.network(Who::Balancer(0));
+async fn watch(context: &RunContext, list: &NodeList, index: u64) -> Lines {
+    let network = context.testbed.network(Host::Balancer(0));
     let mut talk = Exchange::new(network.connect(list.address(0)).await.expect("it listens"));
     let call = format!("GET /api/targets?stream=1&index={index} HTTP/1.1\r\nHost: a\r\n\r\n");
     talk.write(call.as_bytes()).await.expect("open");
@@ -320,12 +333,12 @@
 
 #[test]
 fn the_list_tells_the_whole_first_and_then_what_changes_and_each_is_accounted_for() {
-    on_stage(|stage, nodes| async move {
-        let list = NodeList::start(&stage, &nodes).expect("it listens");
-        let mut lines = watch(&stage, &list, 0).await;
+    on_stage(|context, nodes| async move {
+        let list = NodeList::start(&context, &nodes).expect("it listens");
+        let mut lines = watch(&context, &list, 0).await;
         let first = lines.next().await.expect("a list");
         assert_eq!((&first["complete"], phases(&first).len()), (&true.into(), 4));
-        list.learn(2, Phase::Draining, At(0), 3 * SECOND);
+        list.schedule_change(2, Phase::Draining, At(0), 3 * SECOND);
         let from = Instant::now();
         let second = lines.next().await.expect("a change");
         assert!(from.elapsed() >= 3 * SECOND && from.elapsed() < 4 * SECOND);
@@ -340,20 +353,20 @@
             };
             l.seen == at
         };
-        assert_eq!(stage.record.take().iter().filter(|l| told(l)).count(), 1);
-        let mut later = watch(&stage, &list, 1).await;
+        assert_eq!(context.record.take().iter().filter(|l| told(l)).count(), 1);
+        let mut later = watch(&context, &list, 1).await;
         assert_eq!(phases(&later.next().await.expect("what changed since")), ["DRAINING"]);
     });
 }
 
 #[test]
 fn a_later_word_about_a_node_is_not_undone_by_one_that_was_slower() {
-    on_stage(|stage, nodes| async move {
-        let list = NodeList::start(&stage, &nodes).expect("it listens");
-        let mut lines = watch(&stage, &list, 0).await;
+    on_stage(|context, nodes| async move {
+        let list = NodeList::start(&context, &nodes).expect("it listens");
+        let mut lines = watch(&context, &list, 0).await;
         lines.next().await.expect("a list");
-        list.learn(1, Phase::Deleted, At(0), 5 * SECOND);
-        list.learn(1, Phase::Serving, At(7), SECOND);
+        list.schedule_change(1, Phase::Deleted, At(0), 5 * SECOND);
+        list.schedule_change(1, Phase::Serving, At(7), SECOND);
         assert_eq!(phases(&lines.next().await.expect("a change")), ["SERVING"]);
         assert_eq!(lines.next().await, None, "it is back by then");
     });
@@ -361,12 +374,12 @@
 
 #[test]
 fn a_list_in_trouble_is_silent_stale_or_out_of_its_order() {
-    on_stage(|stage, nodes| async move {
-        let list = NodeList::start(&stage, &nodes).expect("it listens");
-        let mut lines = watch(&stage, &list, 0).await;
+    on_stage(|context, nodes| async move {
+        let list = NodeList::start(&context, &nodes).expect("it listens");
+        let mut lines = watch(&context, &list, 0).await;
         lines.next().await.expect("a list");
         list.stale(true);
-        list.learn(0, Phase::Draining, At(0), Duration::ZERO);
+        list.schedule_change(0, Phase::Draining, At(0), Duration::ZERO);
         assert_eq!(lines.next().await, None);
         list.stale(false);
         list.disorder(true);
@@ -376,32 +389,32 @@
         assert_eq!(revisions, [Some(2), Some(2), Some(1)], "twice, and an older one after it");
         list.down(true);
         assert_eq!(lines.next().await, None);
-        let network = stage.ground.network(Who::Balancer(0));
+        let network = context.testbed.network(Host::Balancer(0));
         let never = timeout(10 * SECOND, network.connect(list.address(0))).await;
         assert!(never.is_err(), "it is out of reach");
         list.down(false);
         list.disorder(false);
         sleep(SECOND).await;
-        assert!(watch(&stage, &list, 0).await.next().await.is_some());
+        assert!(watch(&context, &list, 0).await.next().await.is_some());
     });
 }
 
 #[test]
 fn a_list_that_moves_is_at_its_new_address_and_closes_the_old_one_later() {
-    on_stage(|stage, nodes| async move {
-        let list = NodeList::start(&stage, &nodes).expect("it listens");
+    on_stage(|context, nodes| async move {
+        let list = NodeList::start(&context, &nodes).expect("it listens");
         let old = list.address(0);
-        let mut lines = watch(&stage, &list, 0).await;
+        let mut lines = watch(&context, &list, 0).await;
         lines.next().await.expect("a list");
         list.relocate().expect("it listens");
-        let mut anew = watch(&stage, &list, 0).await;
+        let mut anew = watch(&context, &list, 0).await;
         anew.next().await.expect("a list");
-        let network = stage.ground.network(Who::Balancer(0));
+        let network = context.testbed.network(Host::Balancer(0));
         assert!(network.connect(old).await.is_err() && list.address(0) != old);
-        list.learn(0, Phase::Draining, At(0), Duration::ZERO);
+        list.schedule_change(0, Phase::Draining, At(0), Duration::ZERO);
         assert!(lines.next().await.is_some(), "open for a moment more");
         sleep(2 * SECOND).await;
-        list.learn(1, Phase::Draining, At(0), Duration::ZERO);
+        list.schedule_change(1, Phase::Draining, At(0), Duration::ZERO);
         assert!(anew.next().await.is_some() && anew.next().await.is_some());
         assert_eq!(lines.next().await, None, "closed");
     });
@@ -409,17 +422,17 @@
 
 #[test]
 fn calls_wait_in_turn_and_one_that_would_wait_too_long_fails() {
-    on_stage(|stage, nodes| async move {
-        let list = NodeList::start(&stage, &nodes).expect("it listens");
+    on_stage(|context, nodes| async move {
+        let list = NodeList::start(&context, &nodes).expect("it listens");
         let call = || {
-            let (stage, list) = (stage.clone(), list.clone());
+            let (context, list) = (context.clone(), list.clone());
             spawn_local(async move {
-                let network = stage.ground.network(Who::Balancer(1));
+                let network = context.testbed.network(Host::Balancer(1));
                 let stream = network.connect(list.address(1)).await.expect("it listens");
                 let mut talk = Exchange::new(stream);
                 let text = b"GET /api/targets HTTP/1.1\r\nHost: a\r\n\r\n";
                 talk.write(text).await.expect("open");
-                talk.message(Side::Answers).await.expect("an answer").status()
+                talk.message(Direction::Responses).await.expect("an answer").status()
             })
         };
         let mut answers = Vec::new();
@@ -431,6 +444,6 @@
         let failed = |l: &hollowpaddle_rehearsal::record::Line| {
             matches!(l.seen, Observation::ListCallFailed { balancer: 1, watch: None })
         };
-        assert_eq!(stage.record.take().iter().filter(|l| failed(l)).count(), 2);
+        assert_eq!(context.record.take().iter().filter(|l| failed(l)).count(), 2);
     });
 }
--- a/crates/rehearsal/tests/vans.rs
+++ b/crates/rehearsal/tests/vans.rs
@@ -11,9 +11,9 @@
 use hollowpaddle_rehearsal::record::{AttemptOutcome, Observation};
 use hollowpaddle_rehearsal::report::Report;
 use hollowpaddle_rehearsal::run::play_plan_virtual;
+use hollowpaddle_rehearsal::run_context::{Host, RunContext, Testbed};
 use hollowpaddle_rehearsal::scenario::Scenario;
-use hollowpaddle_rehearsal::stage::{Stage, Testbed, Who};
-use hollowpaddle_rehearsal::wire::{Exchange, Side};
+use hollowpaddle_rehearsal::wire::{Direction, Exchange};
 use scripted::{Fault, Scripted};
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep};
@@ -90,26 +90,27 @@
         .build()
         .expect("a runtime");
     LocalSet::new().block_on(&runtime, async {
-        let ground = Testbed::simulated(&scenario, &plan);
-        let stage = Stage::new(scenario, plan, ground);
-        let nodes: Vec<_> = (0..8).map(|n| Node::new(&stage, n)).collect();
+        let testbed = Testbed::simulated(&scenario, &plan);
+        let context = RunContext::new(scenario, plan, testbed);
+        let nodes: Vec<_> = (0..8).map(|n| Node::new(&context, n)).collect();
         nodes.iter().for_each(|n| n.start(false, None).expect("it listens"));
-        let arrivals = &stage.plan.arrivals;
+        let arrivals = &context.plan.arrivals;
         let again = (0..arrivals.len() as u32).find(|n| arrivals[*n as usize].original != *n);
         let again = again.expect("one is pressed again");
         let first = arrivals[again as usize].original;
         let other = (0..arrivals.len() as u32).find(|n| {
-            ![first, again].contains(n) && stage.arrival(*n).session == stage.arrival(first).session
+            ![first, again].contains(n)
+                && context.arrival(*n).session == context.arrival(first).session
         });
         let other = other.expect("the van sends more");
         let ask = async |node: usize, request| {
-            let network = stage.ground.network(Who::Balancer(node % 2));
+            let network = context.testbed.network(Host::Balancer(node % 2));
             let mut talk =
                 Exchange::new(network.connect(nodes[node].address(0)).await.expect("it listens"));
-            let text = stage.request_text(request, Duration::from_secs(1));
+            let text = context.request_text(request, Duration::from_secs(1));
             talk.write(text.as_bytes()).await.expect("open");
             let from = Instant::now();
-            assert_eq!(talk.message(Side::Answers).await.expect("an answer").status(), 200);
+            assert_eq!(talk.message(Direction::Responses).await.expect("an answer").status(), 200);
             // Both ways lie within one site.
             from.elapsed().as_millis()
         };
@@ -124,7 +125,7 @@
         sleep(Duration::from_secs(5)).await;
         let forgotten = ask(0, first).await;
         assert!(near(forgotten, 65), "window and memory are over: {forgotten} ms");
-        let fates = stage.record.take().into_iter().filter_map(|l| match l.seen {
+        let fates = context.record.take().into_iter().filter_map(|l| match l.seen {
             Observation::Ended { outcome, .. } => Some(outcome),
             _ => None,
         });
--- a/crates/scale-harness/src/canary.rs
+++ b/crates/scale-harness/src/canary.rs
@@ -7,7 +7,7 @@
 use std::time::{Duration, Instant};
 
 use hollowpaddle_net::{Listener, Network, Tcp, accept};
-use hollowpaddle_rehearsal::wire::{Exchange, Message, Side};
+use hollowpaddle_rehearsal::wire::{Direction, Exchange, Message};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
@@ -108,7 +108,7 @@
 }
 
 async fn answer_all(slot: usize, mut talk: Exchange, requests: Requests) {
-    while talk.message(Side::Requests).await.is_ok() {
+    while talk.message(Direction::Requests).await.is_ok() {
         requests.lock().unwrap_or_else(PoisonError::into_inner)[slot] = Some(Instant::now());
         let body = slot.to_string();
         let head = format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n", body.len());
@@ -160,5 +160,5 @@
 async fn exchange(balancer: SocketAddr, request: &str) -> Option<Message> {
     let mut talk = Exchange::new(Tcp.connect(balancer).await.ok()?);
     talk.write(request.as_bytes()).await.ok()?;
-    talk.message(Side::Answers).await.ok()
+    talk.message(Direction::Responses).await.ok()
 }
--- a/crates/scale-harness/src/discovery.rs
+++ b/crates/scale-harness/src/discovery.rs
@@ -12,7 +12,7 @@
 
 use bytes::Bytes;
 use hollowpaddle_net::{Listener, Network, Tcp, accept};
-use hollowpaddle_rehearsal::wire::{Exchange, Message, Side};
+use hollowpaddle_rehearsal::wire::{Direction, Exchange, Message};
 use serde::Serialize;
 use tokio::sync::watch;
 use tokio::task::spawn_local;
@@ -310,7 +310,7 @@
     }
 
     async fn answer_calls(&mut self) -> io::Result<()> {
-        while let Ok(call) = self.talk.message(Side::Requests).await {
+        while let Ok(call) = self.talk.message(Direction::Requests).await {
             self.wait_until_answering().await;
             match Call::parse(&call) {
                 Call::Watch { from } => return self.watch(from).await,
--- a/crates/scale-harness/src/measure/upstreams.rs
+++ b/crates/scale-harness/src/measure/upstreams.rs
@@ -7,7 +7,7 @@
 use std::time::Duration;
 
 use hollowpaddle_net::{Listener, Network, Stream, Tcp, accept};
-use hollowpaddle_rehearsal::wire::{Exchange, Side};
+use hollowpaddle_rehearsal::wire::{Direction, Exchange};
 use tokio::task::spawn_local;
 use tokio::time::sleep;
 
@@ -72,7 +72,7 @@
 /// Answers each request on one connection until its caller leaves.
 async fn answer_all(stream: Box<dyn Stream>) {
     let mut talk = Exchange::new(stream);
-    while talk.message(Side::Requests).await.is_ok() {
+    while talk.message(Direction::Requests).await.is_ok() {
         if talk.write(ANSWER).await.is_err() {
             return;
         }
--- a/tests/fleet/admin_calls.rs
+++ b/tests/fleet/admin_calls.rs
@@ -3,7 +3,7 @@
 use std::net::SocketAddr;
 use std::process::Command;
 
-use hollowpaddle_rehearsal::fleet::{Fleet, until};
+use hollowpaddle_rehearsal::process_cluster::{ProcessCluster, until};
 use hollowpaddle_rehearsal::scripted::*;
 use serde_json::{Value, json};
 
@@ -54,12 +54,12 @@
 }
 
 /// Three balancers, all of them voters, that hold a lease.
-fn three_voters() -> (Fleet, Vec<SocketAddr>, Upstream) {
+fn three_voters() -> (ProcessCluster, Vec<SocketAddr>, Upstream) {
     cluster(3)
 }
 
 /// So many balancers that hold a lease, the first three of them voters.
-fn cluster(count: usize) -> (Fleet, Vec<SocketAddr>, Upstream) {
+fn cluster(count: usize) -> (ProcessCluster, Vec<SocketAddr>, Upstream) {
     let upstream = Upstream::start(|_| ok(""));
     let mut config = config(members(&[&upstream]));
     config["fleet"] = json!({"council": [0, 1, 2], "charter": [0], "bedrock": []});
--- a/tests/fleet/bank.rs
+++ b/tests/fleet/bank.rs
@@ -6,7 +6,7 @@
 
 use crate::start;
 use hollowpaddle_link_faults::{Does, Rule};
-use hollowpaddle_rehearsal::fleet::{Fleet, until};
+use hollowpaddle_rehearsal::process_cluster::{ProcessCluster, until};
 use hollowpaddle_rehearsal::scripted::*;
 use serde_json::{Value, json};
 
@@ -23,16 +23,16 @@
     (answer.status(), serde_json::from_slice(&answer.body).expect("JSON"))
 }
 
-fn door(fleet: &mut Fleet, number: usize) -> SocketAddr {
+fn door(fleet: &mut ProcessCluster, number: usize) -> SocketAddr {
     fleet.node(number).operators.expect("a door")
 }
 
-fn bank(fleet: &mut Fleet, number: usize) -> Value {
+fn bank(fleet: &mut ProcessCluster, number: usize) -> Value {
     call(door(fleet, number), "GET", "/admin/bank", &json!({})).1
 }
 
 /// Waits until these hold a lease.
-fn until_leased(fleet: &mut Fleet, numbers: &[usize]) {
+fn until_leased(fleet: &mut ProcessCluster, numbers: &[usize]) {
     for number in numbers {
         until(&format!("n{number} holds a lease"), || {
             bank(fleet, *number)["lease"]["held"] == json!(true)
@@ -41,7 +41,7 @@
 }
 
 /// Waits until these are at a revision or beyond.
-fn until_at(fleet: &mut Fleet, numbers: &[usize], revision: u64) {
+fn until_at(fleet: &mut ProcessCluster, numbers: &[usize], revision: u64) {
     for number in numbers {
         until(&format!("n{number} is at revision {revision}"), || {
             let bank = bank(fleet, *number);
@@ -51,7 +51,7 @@
 }
 
 /// Who leads, by the word of one that does, among these.
-fn leader(fleet: &mut Fleet, numbers: &[usize]) -> usize {
+fn leader(fleet: &mut ProcessCluster, numbers: &[usize]) -> usize {
     let mut leads = None;
     until("somebody leads", || {
         let told = bank(fleet, numbers[0])["council"]["leader"].as_u64().map(|n| n as usize);
@@ -71,7 +71,7 @@
 }
 
 /// Puts a document in force, or says why not.
-fn revise(fleet: &mut Fleet, number: usize, document: Value) -> u64 {
+fn revise(fleet: &mut ProcessCluster, number: usize, document: Value) -> u64 {
     let body = json!({"document": document, "wait": "all", "force": true});
     let (status, told) = call(door(fleet, number), "POST", "/admin/revisions", &body);
     assert_eq!(status, 200, "{told}");
@@ -79,7 +79,7 @@
 }
 
 /// Has one serve so many requests, all well.
-fn serves(fleet: &mut Fleet, number: usize, many: usize, name: &str) {
+fn serves(fleet: &mut ProcessCluster, number: usize, many: usize, name: &str) {
     let mut client = fleet.client(number);
     for n in 0..many {
         assert_eq!(client.ask(&read(&format!("{name}{number}-{n}"), 6000)).status(), 200);
--- a/tests/fleet/comeback.rs
+++ b/tests/fleet/comeback.rs
@@ -5,7 +5,7 @@
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
 use crate::{apart, start};
-use hollowpaddle_rehearsal::fleet::{Fleet, until};
+use hollowpaddle_rehearsal::process_cluster::{ProcessCluster, until};
 use hollowpaddle_rehearsal::scripted::*;
 use hollowpaddle_snapshot::{Directory, Store};
 use serde_json::{Value, json};
@@ -43,7 +43,8 @@
 fn stored_state_that_is_lost_torn_or_anothers_keeps_nobody_from_coming_back() {
     let upstream = Upstream::start(|_| ok("done"));
     let mut fleet = start(4, &apart(members(&[&upstream])));
-    let said = |fleet: &Fleet, n: usize| fleet.directory(n).join(format!("hollowpaddle-n{n}"));
+    let said =
+        |fleet: &ProcessCluster, n: usize| fleet.directory(n).join(format!("hollowpaddle-n{n}"));
     fleet.kill_all();
     fs::remove_dir_all(said(&fleet, 0)).expect("lost");
     let file = said(&fleet, 1).join("said.json");
@@ -66,18 +67,18 @@
 }
 
 /// What one says of its start.
-fn started(fleet: &mut Fleet, number: usize) -> Value {
+fn started(fleet: &mut ProcessCluster, number: usize) -> Value {
     let door = fleet.node(number).operators.expect("a door");
     let answer = Client::to(door).ask("GET /admin/start HTTP/1.1\r\nHost: a\r\n\r\n");
     serde_json::from_slice(&answer.body).expect("JSON")
 }
 
-fn from(fleet: &mut Fleet, number: usize) -> String {
+fn from(fleet: &mut ProcessCluster, number: usize) -> String {
     started(fleet, number)["start"]["from"].as_str().expect("a word").to_string()
 }
 
 /// Has each learn something, and waits until that is saved.
-fn taught(fleet: &mut Fleet) {
+fn taught(fleet: &mut ProcessCluster) {
     for number in 0..fleet.count() {
         for n in 0..20 {
             let id = format!("t{number}-{n}");
@@ -85,13 +86,14 @@
         }
     }
     for number in 0..fleet.count() {
-        let saved = |fleet: &mut Fleet| started(fleet, number)["saving"]["generation"].as_u64();
+        let saved =
+            |fleet: &mut ProcessCluster| started(fleet, number)["saving"]["generation"].as_u64();
         let before = saved(fleet).unwrap_or(0);
         until("what was learned is saved", || saved(fleet).is_some_and(|g| g >= before + 2));
     }
 }
 
-fn state(fleet: &Fleet, number: usize) -> PathBuf {
+fn state(fleet: &ProcessCluster, number: usize) -> PathBuf {
     fleet.directory(number).join("state")
 }
 
@@ -100,7 +102,7 @@
 }
 
 /// The store of one that does not run.
-fn store(fleet: &Fleet, number: usize) -> Store {
+fn store(fleet: &ProcessCluster, number: usize) -> Store {
     Store::new(Directory::open(state(fleet, number)).expect("a directory"), &format!("n{number}"))
 }
 
@@ -194,7 +196,7 @@
 fn cordons_outlive_the_file_that_holds_them_and_are_doubted_until_confirmed() {
     let (one, two) = (Upstream::start(|_| ok("one")), Upstream::start(|_| ok("two")));
     let mut fleet = start(3, &apart(members(&[&one, &two])));
-    let door = |fleet: &mut Fleet, n: usize| fleet.node(n).operators.expect("a door");
+    let door = |fleet: &mut ProcessCluster, n: usize| fleet.node(n).operators.expect("a door");
     for number in 0..3 {
         call(door(&mut fleet, number), "cordon", "s-0");
     }
@@ -210,7 +212,7 @@
     fleet.start_all();
     fleet.until_ready();
     let _ = one.requests_so_far();
-    let told = |fleet: &mut Fleet, n: usize| started(fleet, n)["said"].clone();
+    let told = |fleet: &mut ProcessCluster, n: usize| started(fleet, n)["said"].clone();
     for (number, why) in [(0, "the file was gone"), (1, "column"), (2, "may be forgotten")] {
         let said = told(&mut fleet, number);
         assert!(said["doubted"].as_str().is_some_and(|d| d.contains(why)), "{number}: {said}");
@@ -251,7 +253,7 @@
         (0..3).map(|i| member(&format!("s-{i}"), ups[i].address, phases[i])).collect()
     };
     tell(&mut watch, 900, &listed(["DRAINING", "SERVING", "SERVING"]));
-    let list = |fleet: &Fleet| {
+    let list = |fleet: &ProcessCluster| {
         let found = store(fleet, 0).load(now(), Duration::from_secs(60)).snapshot;
         let state = found.and_then(|s| serde_json::from_slice::<Value>(&s.payload).ok());
         state.map_or(0, |s| s["list"]["revision"].as_u64().unwrap_or(0))
--- a/tests/fleet/main.rs
+++ b/tests/fleet/main.rs
@@ -8,7 +8,7 @@
 mod frozen;
 mod scale;
 
-use hollowpaddle_rehearsal::fleet::Fleet;
+use hollowpaddle_rehearsal::process_cluster::ProcessCluster;
 use hollowpaddle_rehearsal::scripted::config;
 use serde_json::Value;
 
@@ -22,8 +22,8 @@
 }
 
 /// So many processes of the daemon with this configuration, all ready.
-fn start(count: usize, config: &Value) -> Fleet {
-    let mut fleet = Fleet::start(NODE, count, config);
+fn start(count: usize, config: &Value) -> ProcessCluster {
+    let mut fleet = ProcessCluster::start(NODE, count, config);
     fleet.until_ready();
     fleet
 }
--- a/tests/formats/admin_api.rs
+++ b/tests/formats/admin_api.rs
@@ -2,7 +2,7 @@
 
 use std::process::Command;
 
-use hollowpaddle_rehearsal::fleet::Fleet;
+use hollowpaddle_rehearsal::process_cluster::ProcessCluster;
 use hollowpaddle_rehearsal::scripted::*;
 use serde_json::json;
 
@@ -59,7 +59,7 @@
     known[1]["cell"] = 1.into();
     let mut config = config(known);
     config["fleet"] = json!({"charter": [0], "bedrock": []});
-    let mut fleet = Fleet::start(DAEMON, 3, &config);
+    let mut fleet = ProcessCluster::start(DAEMON, 3, &config);
     fleet.until_ready();
     let admin = fleet.node(0).operators.expect("an admin API");
     transcript::check(admin, include_str!("admin_of_cluster.txt"), &MASKED_IN_CLUSTER);
@@ -70,7 +70,7 @@
     let upstream = Upstream::start(|_| ok(""));
     let mut config = config(members(&[&upstream]));
     config["fleet"] = json!({"charter": [0], "bedrock": []});
-    let mut fleet = Fleet::start(DAEMON, 3, &config);
+    let mut fleet = ProcessCluster::start(DAEMON, 3, &config);
     fleet.until_ready();
     let admin = fleet.node(0).operators.expect("an admin API");
     fleet.kill(2);
--- a/tests/formats/state_directory.rs
+++ b/tests/formats/state_directory.rs
@@ -6,7 +6,7 @@
 use std::process::Command;
 use std::time::{Duration, SystemTime, UNIX_EPOCH};
 
-use hollowpaddle_rehearsal::fleet::Fleet;
+use hollowpaddle_rehearsal::process_cluster::ProcessCluster;
 use hollowpaddle_rehearsal::scripted::*;
 use hollowpaddle_snapshot::{Directory, Store};
 use serde_json::{Value, json};
@@ -89,7 +89,7 @@
     let upstream = Upstream::start(|_| ok(""));
     let mut config = config(members(&[&upstream]));
     config["fleet"] = json!({"charter": [0], "bedrock": []});
-    let mut fleet = Fleet::start(DAEMON, 3, &config);
+    let mut fleet = ProcessCluster::start(DAEMON, 3, &config);
     fleet.until_ready();
     let admin = fleet.node(0).operators.expect("an admin API");
     transcript::check(admin, include_str!("admin_before_stop.txt"), &["revision", "id", "entry"]);
--- a/tests/node/bad_clients.rs
+++ b/tests/node/bad_clients.rs
@@ -10,7 +10,7 @@
 
 /// Everything that comes until the connection ends, and whether it ended in order.
 fn rest(stream: &mut TcpStream) -> (String, bool) {
-    stream.set_read_timeout(Some(SOON)).expect("a limit");
+    stream.set_read_timeout(Some(EVENT_TIMEOUT)).expect("a limit");
     let mut all = Vec::new();
     let ended = stream.read_to_end(&mut all);
     assert!(!matches!(&ended, Err(e) if e.kind() == std::io::ErrorKind::WouldBlock), "left alone");
@@ -79,7 +79,7 @@
 fn the_id_of_an_open_request_is_taken_until_it_ends() {
     let (go, waits) = std::sync::mpsc::channel();
     let waits = std::sync::Arc::new(std::sync::Mutex::new(waits));
-    let upstream = Upstream::start(move |_| Does::Waits(waits.clone()));
+    let upstream = Upstream::start(move |_| Action::RespondOnSignal(waits.clone()));
     let node = start(&config(members(&[&upstream])));
     let mut first = node.client();
     first.send(&read("r", 5500));
@@ -98,7 +98,7 @@
     let start_upstream = || {
         let waits = waits.clone();
         Upstream::start(move |message| match message.header("x-tenant") {
-            "acme" => Does::Waits(waits.clone()),
+            "acme" => Action::RespondOnSignal(waits.clone()),
             _ => ok("ok"),
         })
     };
@@ -117,7 +117,7 @@
     first.send(&of("acme"));
     let begun = Instant::now();
     while upstreams.iter().all(|upstream| upstream.requests_so_far() == 0) {
-        assert!(begun.elapsed() < SOON, "it is not sent on");
+        assert!(begun.elapsed() < EVENT_TIMEOUT, "it is not sent on");
         std::thread::sleep(Duration::from_millis(1));
     }
     assert_eq!(node.client().ask(&of("other")).status(), 200);
--- a/tests/node/bodies.rs
+++ b/tests/node/bodies.rs
@@ -76,7 +76,7 @@
 
 #[test]
 fn one_that_gets_no_answer_is_failed_in_its_time() {
-    let upstream = Upstream::start(|_| Does::Hangs);
+    let upstream = Upstream::start(|_| Action::Hang);
     let node = start(&config(members(&[&upstream])));
     let body = long(3 * MB);
     let mut client = node.client();
@@ -110,7 +110,7 @@
     let node = start(&config(vec![member("s-0", address, "SERVING")]));
     let body = long(8 * MB);
     let mut stream = TcpStream::connect(node.address).expect("it accepts");
-    stream.set_read_timeout(Some(SOON)).expect("a limit");
+    stream.set_read_timeout(Some(EVENT_TIMEOUT)).expect("a limit");
     let text = head("r1", 5000, &format!("Content-Length: {}\r\n", body.len()));
     stream.write_all(text.as_bytes()).expect("written");
     stream.write_all(&body[..MB]).expect("written");
--- a/tests/node/forms.rs
+++ b/tests/node/forms.rs
@@ -61,7 +61,7 @@
 /// Sends this, and reads what comes for it: at first so much, then what `then` leaves.
 fn reads(node: &Node, first: usize, then: impl FnOnce()) -> Vec<u8> {
     let mut stream = TcpStream::connect(node.address).expect("it accepts");
-    stream.set_read_timeout(Some(SOON)).expect("a limit");
+    stream.set_read_timeout(Some(EVENT_TIMEOUT)).expect("a limit");
     stream.write_all(alarm("r1", 5000, "x").as_bytes()).expect("written");
     let mut all = vec![0; first];
     stream.read_exact(&mut all).expect("the beginning comes before the end");
@@ -81,7 +81,8 @@
     for begun in framed {
         let (go, waits) = channel();
         let waits = Arc::new(Mutex::new(waits));
-        let upstream = Upstream::start(move |_| Does::EndsLater(begun.clone(), waits.clone()));
+        let upstream =
+            Upstream::start(move |_| Action::RespondThenClose(begun.clone(), waits.clone()));
         let node = start(&config(members(&[&upstream])));
         let all = reads(&node, 90_000, || go.send(()).expect("the upstream waits"));
         let text = String::from_utf8_lossy(&all);
@@ -101,7 +102,7 @@
     let waits = Arc::new(Mutex::new(waits));
     let half = "x".repeat(100_000);
     let begun = format!("HTTP/1.1 200 OK\r\nContent-Length: 200000\r\n\r\n{half}");
-    let upstream = Upstream::start(move |_| Does::AnswersTwice(begun.clone(), waits.clone()));
+    let upstream = Upstream::start(move |_| Action::RespondTwice(begun.clone(), waits.clone()));
     let mut config = config(members(&[&upstream]));
     for service in config["settings"]["Services"].as_array_mut().expect("classes") {
         service["Deadline"] = 300.into();
@@ -109,7 +110,7 @@
     }
     let mut node = start(&config);
     let mut stream = TcpStream::connect(node.address).expect("it accepts");
-    stream.set_read_timeout(Some(SOON)).expect("a limit");
+    stream.set_read_timeout(Some(EVENT_TIMEOUT)).expect("a limit");
     stream.write_all(alarm("r1", 300, "x").as_bytes()).expect("written");
     let mut all = vec![0; 90_000];
     stream.read_exact(&mut all).expect("it begins");
--- a/tests/node/leaving.rs
+++ b/tests/node/leaving.rs
@@ -17,7 +17,7 @@
     let (go, waits) = channel();
     let waits = Arc::new(Mutex::new(waits));
     let upstream = Upstream::start(move |m| match m.header("x-request-id") {
-        "first" => Does::Waits(waits.clone()),
+        "first" => Action::RespondOnSignal(waits.clone()),
         _ => ok("ok"),
     });
     (upstream, go)
@@ -64,7 +64,7 @@
 fn wait_for(what: &str, holds: impl Fn() -> bool) {
     let from = Instant::now();
     while !holds() {
-        assert!(from.elapsed() < SOON, "{what}");
+        assert!(from.elapsed() < EVENT_TIMEOUT, "{what}");
         std::thread::sleep(Duration::from_millis(1));
     }
 }
@@ -159,7 +159,7 @@
     });
     for stream in taken.take() {
         stream.set_nonblocking(false).expect("a socket");
-        stream.set_read_timeout(Some(SOON)).expect("a limit");
+        stream.set_read_timeout(Some(EVENT_TIMEOUT)).expect("a limit");
         let mut all = Vec::new();
         let _ = (&stream).read_to_end(&mut all);
         assert_eq!(String::from_utf8_lossy(&all), "", "sent though its client had left");
--- a/tests/node/operators.rs
+++ b/tests/node/operators.rs
@@ -47,7 +47,7 @@
 fn until(what: &str, mut done: impl FnMut() -> bool) {
     let from = Instant::now();
     while !done() {
-        assert!(from.elapsed() < SOON, "{what}");
+        assert!(from.elapsed() < EVENT_TIMEOUT, "{what}");
         std::thread::sleep(std::time::Duration::from_millis(5));
     }
 }
@@ -135,7 +135,7 @@
     let (go, waits) = std::sync::mpsc::channel();
     let waits = std::sync::Arc::new(std::sync::Mutex::new(waits));
     let upstream = Upstream::start(move |m| match m.header("x-request-id") {
-        "slow" => Does::Waits(waits.clone()),
+        "slow" => Action::RespondOnSignal(waits.clone()),
         _ => ok("ok"),
     });
     let dir = dir();
--- a/tests/node/reload.rs
+++ b/tests/node/reload.rs
@@ -14,7 +14,7 @@
     let (_, watch) = node.discovery.watch();
     // A file that can't be used: the program stays on the old one.
     node.reconfigure("{");
-    std::thread::sleep(RESTED);
+    std::thread::sleep(IDLE_REUSE_LIMIT);
     assert_eq!(client.ask(&read("r2", 5000)).body, b"old");
 
     let moved = Discovery::start();
@@ -23,17 +23,17 @@
     let (call, mut second) = moved.watch();
     assert_eq!(call, "GET /api/targets?stream=1&index=0 HTTP/1.1", "another agent counts anew");
     // The upstream, its connection and the client's are as before.
-    std::thread::sleep(RESTED);
+    std::thread::sleep(IDLE_REUSE_LIMIT);
     assert_eq!(client.ask(&read("r3", 5000)).body, b"old");
     // Its revision is lower than the last one known.
     let list = json!({"revision": 7, "complete": true,
         "members": [member("s-9", new.address, "SERVING")]});
     chunk(&mut second, &format!("{list}\n"));
     let from = std::time::Instant::now();
-    std::thread::sleep(RESTED);
+    std::thread::sleep(IDLE_REUSE_LIMIT);
     while client.ask(&read("r4", 5000)).body != b"new" {
-        assert!(from.elapsed() < SOON, "the new list is not used");
-        std::thread::sleep(RESTED);
+        assert!(from.elapsed() < EVENT_TIMEOUT, "the new list is not used");
+        std::thread::sleep(IDLE_REUSE_LIMIT);
     }
     // The end of the old watch is no news any more; that of the new one is.
     drop(watch);
--- a/tests/node/serving.rs
+++ b/tests/node/serving.rs
@@ -74,12 +74,12 @@
     chunk(&mut watch, &format!("{list}\n"));
     let from = Instant::now();
     while client.ask(ready).status() != 200 {
-        assert!(from.elapsed() < SOON, "not ready with an upstream");
+        assert!(from.elapsed() < EVENT_TIMEOUT, "not ready with an upstream");
     }
 }
 
 /// A pair of upstreams of which the first that is asked does this, and every later request is served.
-fn first_does(does: Does) -> (Upstream, Upstream) {
+fn first_does(does: Action) -> (Upstream, Upstream) {
     let asked = Arc::new(AtomicUsize::new(0));
     let start = || {
         let (asked, does) = (asked.clone(), does.clone());
@@ -112,9 +112,9 @@
         answers("503 Service Unavailable", ""),
         answers("504 Gateway Timeout", ""),
         answers("500 Internal Server Error", "X-Not-Run: 1\r\n"),
-        Does::Ends(String::new()),
+        Action::RespondAndClose(String::new()),
         // Cut short: it must not pass for an answer.
-        Does::Ends("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_string()),
+        Action::RespondAndClose("HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf".to_string()),
     ];
     for does in may_have_run {
         let pair = first_does(does);
@@ -137,7 +137,7 @@
 
 #[test]
 fn a_silent_upstream_is_answered_for_before_the_deadline() {
-    let upstream = Upstream::start(|_| Does::Hangs);
+    let upstream = Upstream::start(|_| Action::Hang);
     let node = start(&config(members(&[&upstream])));
     let from = Instant::now();
     let answer = node.client().ask(&alarm("r1", 1500, "x"));
@@ -146,8 +146,8 @@
     assert!(from.elapsed() < Duration::from_millis(1500), "too late to arrive");
     // Its connection is of no more use, and closed.
     let from = Instant::now();
-    while !matches!(upstream.seen.recv_timeout(SOON), Ok(Observation::Closed)) {
-        assert!(from.elapsed() < SOON, "the connection stays");
+    while !matches!(upstream.seen.recv_timeout(EVENT_TIMEOUT), Ok(Observation::Closed)) {
+        assert!(from.elapsed() < EVENT_TIMEOUT, "the connection stays");
     }
 }
 
@@ -156,7 +156,7 @@
     let (go, waits) = channel();
     let waits = Arc::new(Mutex::new(waits));
     let upstream = Upstream::start(move |m| match m.header("x-request-id") {
-        "r1" => Does::Waits(waits.clone()),
+        "r1" => Action::RespondOnSignal(waits.clone()),
         _ => ok("own"),
     });
     let node = start(&config(members(&[&upstream])));
@@ -192,7 +192,7 @@
         let (go, waits) = channel();
         let waits = Arc::new(Mutex::new(waits));
         let upstream = Upstream::start(move |m| match m.header("x-request-id") {
-            "r1" => Does::EndsLater(
+            "r1" => Action::RespondThenClose(
                 "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok".to_string(),
                 waits.clone(),
             ),
@@ -203,7 +203,7 @@
         assert_eq!(client.ask(&alarm("r1", 5000, "x")).status(), 200);
         let close = || {
             go.send(()).expect("the upstream waits");
-            while !matches!(upstream.seen.recv_timeout(SOON), Ok(Observation::Closed)) {}
+            while !matches!(upstream.seen.recv_timeout(EVENT_TIMEOUT), Ok(Observation::Closed)) {}
         };
         node.signal("STOP");
         if close_first {
@@ -226,8 +226,8 @@
     let node = start(&config);
     assert_eq!(node.client().ask(&read("r1", 5000)).status(), 200);
     let from = Instant::now();
-    while !matches!(upstream.seen.recv_timeout(SOON), Ok(Observation::Closed)) {
-        assert!(from.elapsed() < SOON, "the connection stays");
+    while !matches!(upstream.seen.recv_timeout(EVENT_TIMEOUT), Ok(Observation::Closed)) {
+        assert!(from.elapsed() < EVENT_TIMEOUT, "the connection stays");
     }
     assert!(from.elapsed() < Duration::from_millis(3900), "closed too late: {:?}", from.elapsed());
 }
@@ -249,7 +249,7 @@
     chunk(&mut watch, b);
     let from = Instant::now();
     while client.ask(&read("r2", 5000)).body != b"new" {
-        assert!(from.elapsed() < SOON, "the new address is not used");
+        assert!(from.elapsed() < EVENT_TIMEOUT, "the new address is not used");
     }
     // An ended watch is asked for again, from where it ended.
     drop(watch);
@@ -288,7 +288,7 @@
     };
     let from = Instant::now();
     while !all_there() {
-        assert!(from.elapsed() < SOON, "the news was lost");
+        assert!(from.elapsed() < EVENT_TIMEOUT, "the news was lost");
     }
     for _ in 0..4 {
         assert!(all_there());
@@ -316,7 +316,7 @@
 
 #[test]
 fn what_is_refused_is_answered_at_once_and_told_when_to_come_back() {
-    let upstream = Upstream::start(|_| Does::Hangs);
+    let upstream = Upstream::start(|_| Action::Hang);
     let node = start(&config(members(&[&upstream])));
     let mut clients: Vec<Client> = (0..20).map(|_| node.client()).collect();
     clients.iter_mut().enumerate().for_each(|(i, c)| c.send(&read(&format!("r{i}"), 6000)));
@@ -410,7 +410,7 @@
     let (go, waits) = channel();
     let waits = Arc::new(Mutex::new(waits));
     let upstream = Upstream::start(move |m| match m.header("x-request-id") {
-        "r1" => Does::Waits(waits.clone()),
+        "r1" => Action::RespondOnSignal(waits.clone()),
         _ => ok("ok"),
     });
     let quick = Upstream::start(|_| ok("ok"));
@@ -434,7 +434,7 @@
 
 #[test]
 fn what_is_taken_last_before_the_end_has_its_whole_deadline() {
-    let upstream = Upstream::start(|_| Does::Hangs);
+    let upstream = Upstream::start(|_| Action::Hang);
     // Enough slots for all of them to be out until their deadlines.
     let many = (0..80).map(|i| member(&format!("s-{i}"), upstream.address, "SERVING")).collect();
     let mut config = config(many);
--- a/tests/node/spoilt.rs
+++ b/tests/node/spoilt.rs
@@ -13,7 +13,7 @@
 /// An upstream that answers `r1` in this way, and what comes after it properly.
 fn first_answers(text: String) -> Upstream {
     Upstream::start(move |m| match m.header("x-request-id") {
-        "r1" => Does::Answers(text.clone()),
+        "r1" => Action::Respond(text.clone()),
         _ => ok("own"),
     })
 }
@@ -79,7 +79,7 @@
     let (go, waits) = channel();
     let waits = Arc::new(Mutex::new(waits));
     let upstream = Upstream::start(move |m| match m.header("x-request-id") {
-        "r1" => Does::AnswersTwice(GOOD.to_string(), waits.clone()),
+        "r1" => Action::RespondTwice(GOOD.to_string(), waits.clone()),
         _ => ok("own"),
     });
     let node = start(&config(members(&[&upstream])));
@@ -89,7 +89,7 @@
     node.signal("STOP");
     go.send(()).expect("the upstream waits");
     client.send(&alarm("r2", 6000, "x"));
-    while !matches!(upstream.seen.recv_timeout(SOON), Ok(Observation::Wrote)) {}
+    while !matches!(upstream.seen.recv_timeout(EVENT_TIMEOUT), Ok(Observation::Wrote)) {}
     node.signal("CONT");
     assert_eq!(client.answer().expect("an answer").body, b"own");
 }
--- a/tests/node/stopping.rs
+++ b/tests/node/stopping.rs
@@ -20,7 +20,7 @@
     node.signal("TERM");
     let from = Instant::now();
     while node.client().ask(READY).status() != 503 {
-        assert!(from.elapsed() < SOON, "it has not heard");
+        assert!(from.elapsed() < EVENT_TIMEOUT, "it has not heard");
     }
 }
 
@@ -36,7 +36,7 @@
 
 fn connect(node: &Node) -> TcpStream {
     let stream = TcpStream::connect(node.address).expect("the backlog holds it");
-    stream.set_read_timeout(Some(SOON)).expect("a limit");
+    stream.set_read_timeout(Some(EVENT_TIMEOUT)).expect("a limit");
     stream
 }
 
@@ -176,7 +176,7 @@
 fn signals_that_come_while_it_ends_change_nothing() {
     let (go, waits) = channel();
     let waits = Arc::new(Mutex::new(waits));
-    let upstream = Upstream::start(move |_| Does::Waits(waits.clone()));
+    let upstream = Upstream::start(move |_| Action::RespondOnSignal(waits.clone()));
     let mut node = start(&config(members(&[&upstream])));
     let mut taken = node.client();
     taken.send(&read("r1", 5500));
@@ -210,7 +210,7 @@
 
 #[test]
 fn a_request_whose_last_byte_comes_late_is_answered_before_the_kill() {
-    let upstream = Upstream::start(|_| Does::Hangs);
+    let upstream = Upstream::start(|_| Action::Hang);
     let mut config = config(members(&[&upstream]));
     for class in 0..3 {
         config["settings"]["Services"][class]["Deadline"] = json!(1000.0);
--- a/tests/node/system_calls.rs
+++ b/tests/node/system_calls.rs
@@ -29,8 +29,8 @@
 fn serves_through_reads_and_writes_that_fall_short() {
     let body = "x".repeat(5000);
     let answer = ok(&body);
-    let Does::Answers(answer) = answer else { panic!("an answer") };
-    let upstream = Upstream::start(move |_| Does::Answers(answer.clone()));
+    let Action::Respond(answer) = answer else { panic!("an answer") };
+    let upstream = Upstream::start(move |_| Action::Respond(answer.clone()));
     for fault in [Fault::ShortSend(100), Fault::ShortReceive(100)] {
         let shim = shim();
         let node = start_with(&shim, &config(members(&[&upstream])));
--- a/tests/node/watches.rs
+++ b/tests/node/watches.rs
@@ -17,7 +17,7 @@
 fn served_by(client: &mut Client, body: &str) {
     let from = Instant::now();
     while client.ask(&read("r1", 5000)).body != body.as_bytes() {
-        assert!(from.elapsed() < SOON, "{body} is not heard of");
+        assert!(from.elapsed() < EVENT_TIMEOUT, "{body} is not heard of");
     }
 }
 
@@ -84,7 +84,7 @@
         served_by(&mut client, "c");
         // Overtaken by that, as another replica has it. It is the same discovery, and nothing is undone.
         chunk(&mut second, &at(44, true, &a).to_string());
-        first.set_read_timeout(Some(SOON)).expect("a time");
+        first.set_read_timeout(Some(EVENT_TIMEOUT)).expect("a time");
         assert_eq!(first.read(&mut [0]).unwrap_or(0), 0, "the first is let go");
         for _ in 0..4 {
             assert_eq!(client.ask(&read("r2", 5000)).body, b"c", "{mode}");
@@ -119,7 +119,7 @@
     // From its first word on its versions count, lower or not, and nothing that the old one says.
     chunk(&mut second, &at(7, true, &d).to_string());
     served_by(&mut client, "d");
-    first.set_read_timeout(Some(SOON)).expect("a time");
+    first.set_read_timeout(Some(EVENT_TIMEOUT)).expect("a time");
     assert_eq!(first.read(&mut [0]).unwrap_or(0), 0, "the old one is let go");
     chunk(&mut second, &at(8, false, &a).to_string());
     served_by(&mut client, "a");
@@ -157,7 +157,7 @@
     });
     let from = Instant::now();
     while client.ask(ready).status() != 200 {
-        assert!(from.elapsed() < SOON, "it is not ready");
+        assert!(from.elapsed() < EVENT_TIMEOUT, "it is not ready");
     }
     for _ in 0..4 {
         assert_eq!(client.ask(&read("r1", 5000)).body, b"only");
