--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -1,4 +1,4 @@
-//! Stand-in clients, and the front that deals them out among the balancers of their zone.
+//! Stand-in clients, and the front end that distributes them over the balancers of their zone.
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -13,32 +13,32 @@
 use crate::scenario::Effect;
 use crate::wire::{ConnectionEnd, Direction, Exchange, Message};
 
-/// How long after its deadline a client still takes an answer: the way there and back, and a busy moment.
-/// An answer later than this breaks rule 1.
+/// Time after its deadline for which a client still accepts an answer: the network round trip and
+/// scheduling delays. An answer later than this violates rule 1.
 pub const PATIENCE: Duration = Duration::from_millis(50);
-/// A balancer whose connections don't come up within this can't be reached.
+/// Timeout of a connection to a balancer.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
-/// The front asks a new balancer this often whether it is ready.
+/// Interval between readiness checks of a new balancer.
 const READY_POLL_INTERVAL: Duration = Duration::from_millis(50);
-/// How long one such question may take.
+/// Timeout of one readiness check.
 const READY_TIMEOUT: Duration = Duration::from_secs(1);
 
-/// A kept connection, and what it was opened for.
+/// A persistent connection to a balancer.
 struct PooledConnection {
     exchange: Exchange,
-    /// The balancer's start that accepted it.
+    /// The start of the balancer that accepted the connection.
     start: u32,
-    /// The last request on it.
+    /// The last request on this connection.
     last: Option<u32>,
 }
 
-/// What a client knows of its request in the end.
+/// The outcome of a request for its client.
 enum RequestOutcome {
-    /// It was served, or its client has gone.
+    /// The request was served, or its client has gone.
     Finished,
-    /// It never ran; when to come again, if that was said.
+    /// The request never ran; `retry_after` is the advised delay, if any.
     NotRun { retry_after: Option<Duration> },
-    /// It was not served, and may have run.
+    /// The request was not served, and may have run.
     Failed,
 }
 
@@ -49,14 +49,14 @@
     permits: Semaphore,
 }
 
-/// All clients, and their front.
+/// All clients and their front end.
 pub struct Clients {
     context: Rc<RunContext>,
     pools: Vec<BalancerPool>,
 }
 
 impl Clients {
-    /// No balancer is taken in yet.
+    /// Creates the clients, with no balancer in rotation.
     pub fn new(context: &Rc<RunContext>) -> Rc<Self> {
         let nowhere = SocketAddr::from(([127, 0, 0, 1], 1));
         let pool = |_| BalancerPool {
@@ -69,8 +69,8 @@
         Rc::new(Self { context: context.clone(), pools })
     }
 
-    /// A balancer has been started: asks whether it is ready until it is, and takes it in. Ends without that
-    /// once it is no longer that start of it.
+    /// Polls a started balancer until it is ready, and puts it into rotation. Stops when the
+    /// balancer has been started again meanwhile.
     pub async fn await_ready(&self, balancer: usize, address: SocketAddr, start: u32) {
         self.pools[balancer].address.set(address);
         let network = self.context.testbed.network(Host::Clients(balancer));
@@ -93,18 +93,18 @@
         }
     }
 
-    /// The front has noticed that a balancer is gone.
+    /// Takes a balancer out of rotation, since the front end has noticed that it is gone.
     pub fn remove_from_rotation(&self, balancer: usize) {
         self.pools[balancer].in_rotation.set(false);
     }
 
-    /// Whether the front sends to a balancer.
+    /// Returns whether the front end sends requests to a balancer.
     pub fn in_rotation(&self, balancer: usize) -> bool {
         self.pools[balancer].in_rotation.get()
     }
 
-    /// Whom the front sends a request to: one of those that it has taken in. A van's goes to its site, as long as
-    /// there is one there.
+    /// Returns the balancer for a request: one of those in rotation. Requests of a user session go
+    /// to a balancer of the session's zone, as long as there is one in rotation.
     fn choose(&self, request: u32) -> Option<usize> {
         let mut all: Vec<usize> = (0..self.pools.len()).filter(|b| self.in_rotation(*b)).collect();
         if let Some((_, session_zone)) = self.context.arrival(request).session {
@@ -118,7 +118,7 @@
         (!all.is_empty()).then(|| all[(draw % all.len() as u64) as usize])
     }
 
-    /// One client's request, from the front to its end, and its repeats.
+    /// Sends one client's request and its repeats, until the final outcome.
     pub async fn send_with_repeats(self: Rc<Self>, first: u32) {
         let context = &self.context;
         context.open.set(context.open.get() + 1);
@@ -131,7 +131,7 @@
                 Some(balancer) => self.send_once(balancer, request, left).await,
                 None => self.unreachable(usize::MAX, request),
             };
-            // What may have run is repeated where that does no harm.
+            // A request that may have run is repeated only if that is safe.
             let harmless = match end {
                 RequestOutcome::Finished => false,
                 RequestOutcome::NotRun { .. } => true,
@@ -159,11 +159,11 @@
         RequestOutcome::NotRun { retry_after: None }
     }
 
-    /// Asks once; the client waits for as long as is `left`.
+    /// Sends a request once; the client waits for `left`.
     async fn send_once(&self, balancer: usize, request: u32, left: Duration) -> RequestOutcome {
         let context = &self.context;
         let pool = &self.pools[balancer];
-        // Its client comes once there is a connection to be had.
+        // A client arrives only when a connection is free.
         let Ok(_place) = pool.permits.acquire().await else { return RequestOutcome::Finished };
         let mut again = false;
         loop {
@@ -180,7 +180,7 @@
             if connection.exchange.write(text.as_bytes()).await.is_err() {
                 if reused {
                     again = true;
-                    continue; // Closed before it was sent.
+                    continue; // The connection was closed before the request was sent.
                 }
                 return self.unreachable(balancer, request);
             }
@@ -227,7 +227,7 @@
                     }
                     return end;
                 }
-                // It crossed with the close of a connection that had idled.
+                // The request crossed with the close of an idle connection.
                 Ok(Some(Err(
                     ConnectionEnd::Closed { inside: false }
                     | ConnectionEnd::Reset { inside: false },
@@ -247,7 +247,7 @@
     }
 
     fn answered(&self, request: u32, message: &Message) -> RequestOutcome {
-        // The body of a node's answer names the request and the attempt.
+        // The body of an upstream's answer holds the request's id and the attempt.
         let text = String::from_utf8_lossy(&message.body);
         let attempt = match text.split_once(' ') {
             Some((id, attempt)) if id == self.context.arrival(request).id => attempt.parse().ok(),
@@ -266,7 +266,8 @@
         }
     }
 
-    /// A kept connection on which all is quiet. One on which something came unasked is told of.
+    /// Returns an idle connection without unread data. A connection on which unexpected data came
+    /// is recorded and dropped.
     async fn idle(&self, balancer: usize) -> Option<PooledConnection> {
         loop {
             let mut connection = self.pools[balancer].idle.borrow_mut().pop()?;
@@ -277,7 +278,7 @@
         }
     }
 
-    /// Notes what came on a connection that no request is open on.
+    /// Records the bytes that came on a connection without an open request.
     async fn record_unexpected_bytes(&self, balancer: usize, connection: &mut PooledConnection) {
         let bytes = connection.exchange.drain(Duration::ZERO).await;
         if bytes > 0 {
@@ -297,7 +298,7 @@
         Some(PooledConnection { exchange, start, last: None })
     }
 
-    /// At the end of a run: looks at what came unasked on all kept connections, and closes them.
+    /// Records unexpected bytes on all idle connections at the end of a run, and closes them.
     pub async fn finish(&self) {
         for (balancer, pool) in self.pools.iter().enumerate() {
             let connection = pool.idle.take();
--- a/crates/rehearsal/src/cluster.rs
+++ b/crates/rehearsal/src/cluster.rs
@@ -1,5 +1,5 @@
-//! The balancers of a run: how each is told what it needs, and its start, end and restart. What runs them (a
-//! process, or a library in this one) is a [`Launcher`]'s.
+//! The balancers of a run: their configuration, starts, stops and restarts. A [`Launcher`] runs
+//! them, as processes or as a library inside this process.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -21,62 +21,63 @@
 use crate::scenario::{Effect, FaultKind, Group, LinkDirection, PolicySettings, Scenario};
 use crate::state_directories::{COPY_EVERY, DiskFaults, StateDirectories};
 
-/// After SIGTERM new connections go on coming for so long.
+/// Time after SIGTERM during which new connections keep arriving.
 const STOP_NOTICE: Duration = Duration::from_millis(300);
-/// And SIGKILL comes this long after the longest deadline.
+/// Time from the longest deadline to SIGKILL.
 const STOP_KILL: Duration = Duration::from_millis(700);
 
 /// A balancer could not be started.
 #[derive(Debug, thiserror::Error)]
 #[error("balancer {name}: {what}")]
 pub struct LaunchError {
-    /// Its name.
+    /// Name of the balancer.
     pub name: String,
-    /// What was being done, and what happened.
+    /// The step that failed, and its error.
     pub what: String,
 }
 
-/// What a balancer is started with.
+/// Everything that a balancer is started with.
 pub struct Launch {
     /// `LB_NAME`.
     pub name: String,
-    /// Its number, from 0.
+    /// Number of the balancer, from 0.
     pub number: usize,
-    /// Which start of it this is, from 1.
+    /// Number of this start of the balancer, from 1.
     pub start: u32,
     /// `LB_LISTEN`.
     pub listen: SocketAddr,
     /// `LB_DISCOVERY`.
     pub discovery: SocketAddr,
-    /// The text of `LB_CONFIG`'s file.
+    /// Contents of the `LB_CONFIG` file.
     pub config: String,
-    /// The network as it sees it.
+    /// The network from the balancer's point of view.
     pub network: Rc<dyn Network>,
-    /// `$TMPDIR`, its own.
+    /// `TMPDIR`, one for each balancer.
     pub directory: PathBuf,
-    /// `LB_CONTROL`, where operators have a door.
+    /// `LB_CONTROL`, if the admin API is enabled.
     pub control: Option<SocketAddr>,
-    /// `LB_STATE_DIR`, where a directory outlives the process.
+    /// `LB_STATE_DIR`, if the scenario persists state.
     pub state: Option<PathBuf>,
-    /// What is wrong with the disk under it.
+    /// Faults of the disk that holds the directory.
     pub disk: Rc<DiskFaults>,
 }
 
-/// A hand on a running balancer.
+/// Controls a running balancer.
 pub trait Control {
-    /// Ends it outright.
+    /// Kills the balancer: SIGKILL.
     fn kill(&self);
-    /// Asks it to end: SIGTERM.
+    /// Requests termination: SIGTERM.
     fn terminate(&self);
-    /// Freezes it, or has it go on: SIGSTOP and SIGCONT.
+    /// Suspends or resumes the balancer: SIGSTOP and SIGCONT.
     fn pause(&self, paused: bool);
-    /// Replaces its configuration, and tells it so: SIGHUP.
+    /// Replaces the configuration and notifies the balancer: SIGHUP.
     fn reload(&self, config: &str);
-    /// What it uses.
+    /// Returns the resources in use, if known.
     fn resources(&self) -> Option<Resources> {
         None
     }
-    /// How it was started, and the last that it has written of itself, for people; empty where neither is known.
+    /// Returns how the balancer was started and the end of its log, for error messages; empty if
+    /// unknown.
     fn recent_log(&self) -> String {
         String::new()
     }
@@ -84,18 +85,18 @@
 
 /// A balancer that has been started.
 pub struct Running {
-    /// A hand on it.
+    /// Controls the balancer.
     pub control: Box<dyn Control>,
-    /// Comes true once it has ended: its exit code, or `None` if it was killed.
+    /// Resolves when the balancer has ended: to its exit code, or to `None` if it was killed.
     pub ended: Soon<'static, Option<i32>>,
 }
 
 /// Starts balancers.
 pub trait Launcher {
-    /// Starts one.
+    /// Starts a balancer.
     ///
     /// # Errors
-    /// It can't be started at all.
+    /// The balancer can't be started.
     fn launch(&self, launch: Launch) -> Result<Running, LaunchError>;
 }
 
@@ -105,13 +106,13 @@
     start: u32,
     address: Option<SocketAddr>,
     admin_address: Option<SocketAddr>,
-    /// How many faults keep it down, and how many frozen.
+    /// Number of active faults that keep the balancer down, and of those that suspend it.
     down: u32,
     paused: u32,
-    /// The list as it was told at its start.
+    /// The endpoint list in the configuration of the latest start.
     initial_list: Value,
     peak: Resources,
-    /// Processor time of the starts before this one.
+    /// Processor time of the previous starts, in milliseconds.
     cpu_before: u64,
 }
 
@@ -124,15 +125,15 @@
     peers: Option<Rc<Peers>>,
     state_directories: StateDirectories,
     slots: RefCell<Vec<Slot>>,
-    /// The first that ended by itself before the front had taken it in.
+    /// The first balancer that ended by itself before the front end put it into rotation.
     early_exit: RefCell<Option<LaunchError>>,
 }
 
 impl Balancers {
-    /// None is started yet.
+    /// Creates the balancers of a run; none is started.
     ///
     /// # Errors
-    /// There are no addresses between them, or no place for what they store.
+    /// The addresses between the balancers, or the state directories, can't be created.
     pub fn new(
         context: &Rc<RunContext>,
         list: &Rc<NodeList>,
@@ -161,7 +162,8 @@
             let balancers = Rc::downgrade(&balancers);
             spawn_local(async move {
                 while let Some(balancers) = balancers.upgrade() {
-                    // What could not be copied is missed by whoever wants it back.
+                    // A failed copy is ignored: a later fault that restores an old copy doesn't
+                    // find this one.
                     let _ = balancers.state_directories.copy();
                     drop(balancers);
                     sleep(COPY_EVERY).await;
@@ -171,10 +173,10 @@
         Ok(balancers)
     }
 
-    /// Starts a balancer, under its name and address.
+    /// Starts a balancer under its name and address.
     ///
     /// # Errors
-    /// There is no address for it, or the launcher's.
+    /// No address is free, the directory can't be prepared, or the launcher fails.
     pub fn start(self: &Rc<Self>, balancer: usize) -> Result<(), LaunchError> {
         let name = format!("n{balancer}");
         let fail = |what: &str| {
@@ -222,12 +224,13 @@
         Ok(())
     }
 
-    /// Where it listens, the same after a restart.
+    /// Returns the listening address, which is the same after a restart.
     fn address(&self, balancer: usize) -> std::io::Result<SocketAddr> {
         if let Some(address) = self.slots.borrow()[balancer].address {
             return Ok(address);
         }
-        // Its address is its own; nothing else takes the port that was free a moment ago.
+        // No other host uses this IP address, so the port stays free after the trial listener
+        // closes.
         let network = self.context.testbed.network(Host::Balancer(balancer));
         let trial = network.listen(self.context.testbed.address(Host::Balancer(balancer)))?;
         let address = trial.local_addr();
@@ -235,7 +238,7 @@
         Ok(address)
     }
 
-    /// Where operators call, the same after a restart.
+    /// Returns the address of the admin API, which is the same after a restart.
     fn assign_admin_address(&self, balancer: usize) -> std::io::Result<Option<SocketAddr>> {
         let scenario = &self.context.scenario;
         let wanted = scenario.cluster.persists_state || !scenario.policy_actions.is_empty();
@@ -264,29 +267,30 @@
         self.context.record.saw(Observation::Exited { balancer, start, code });
     }
 
-    /// What became of the first that ended by itself before the front had taken it in, if one did.
+    /// Returns the error of the first balancer that ended by itself before it was in rotation, if
+    /// any.
     pub fn early_exit(&self) -> Option<LaunchError> {
         self.early_exit.take()
     }
 
-    /// Where operators reach it, if it runs and there is such a door.
+    /// Returns the address of the admin API, if the balancer runs and has one.
     pub fn admin_address(&self, balancer: usize) -> Option<SocketAddr> {
         self.slots.borrow()[balancer].admin_address.filter(|_| self.runs(balancer))
     }
 
-    /// Whoever leads is cut off from all others, or is so no longer.
+    /// Cuts the leader off from all other balancers, or ends the cut.
     pub fn cut_off(&self, key: usize, balancer: usize, begins: bool) {
         let cut = FaultKind::LinksCut { direction: LinkDirection::Both, open_share: 0.0 };
         self.set_link_fault(self.context.scenario.faults.len() + key, &cut, &[balancer], begins);
         self.context.record.saw(Observation::CutOff { balancer, begins });
     }
 
-    /// Whether it runs.
+    /// Returns whether the balancer runs.
     pub fn runs(&self, balancer: usize) -> bool {
         self.slots.borrow()[balancer].control.is_some()
     }
 
-    /// Kills it; the front notices after a while.
+    /// Kills the balancer. The front end notices after the scenario's delay.
     pub fn kill(self: &Rc<Self>, balancer: usize) {
         let start = self.slots.borrow()[balancer].start;
         let Some(control) = self.slots.borrow_mut()[balancer].control.take() else { return };
@@ -301,10 +305,11 @@
         });
     }
 
-    /// A fault that keeps it down begins or ends. Of faults that overlap the last one's end brings it back.
+    /// Starts or ends a fault that keeps the balancer down. With overlapping faults, the end of the
+    /// last one starts the balancer again.
     ///
     /// # Errors
-    /// It can't be started again.
+    /// The balancer can't be started again.
     pub fn set_down(self: &Rc<Self>, balancer: usize, begins: bool) -> Result<(), LaunchError> {
         count(&mut self.slots.borrow_mut()[balancer].down, begins);
         if begins {
@@ -314,7 +319,7 @@
         self.start_if_allowed(balancer)
     }
 
-    /// Starts it, if nothing keeps it down and it does not run.
+    /// Starts the balancer if it is not running and no fault keeps it down.
     fn start_if_allowed(self: &Rc<Self>, balancer: usize) -> Result<(), LaunchError> {
         if self.runs(balancer) || self.slots.borrow()[balancer].down > 0 {
             return Ok(());
@@ -322,7 +327,7 @@
         self.start(balancer)
     }
 
-    /// A fault that freezes it begins or ends.
+    /// Starts or ends a fault that suspends the balancer.
     pub fn pause(self: &Rc<Self>, balancer: usize, begins: bool) {
         let (start, changes) = {
             let slot = &mut self.slots.borrow_mut()[balancer];
@@ -362,29 +367,29 @@
         self.slots.borrow()[balancer].paused > 0
     }
 
-    /// A fault of links begins or ends.
+    /// Starts or ends a fault of the links between balancers.
     pub fn set_link_fault(&self, fault: usize, kind: &FaultKind, affected: &[usize], begins: bool) {
         if let Some(peers) = &self.peers {
             peers.apply_fault(fault, kind, affected, begins);
         }
     }
 
-    /// Something happens to what a balancer stored.
+    /// Damages the stored state of a balancer.
     ///
     /// # Errors
-    /// It can't be done.
+    /// The state directory can't be read or written.
     pub fn damage_state(&self, balancer: usize, kind: &FaultKind) -> std::io::Result<()> {
         let files = self.state_directories.apply_fault(kind, balancer)?;
         self.context.record.saw(Observation::Stored { balancer, files });
         Ok(())
     }
 
-    /// A fault of a balancer's disk begins or ends.
+    /// Starts or ends a fault of a balancer's disk.
     pub fn set_disk_fault(&self, balancer: usize, kind: &FaultKind, begins: bool) {
         self.state_directories.apply_disk_fault(kind, balancer, begins);
     }
 
-    /// A planned restart: SIGTERM, SIGKILL if it takes too long, and a new start.
+    /// Restarts a balancer as planned: SIGTERM, SIGKILL if that takes too long, and a new start.
     pub async fn restart(self: Rc<Self>, balancer: usize) {
         let start = self.slots.borrow()[balancer].start;
         if !self.runs(balancer) {
@@ -412,7 +417,8 @@
         }
     }
 
-    /// Has all read their configuration again. Only the list's address is new in it.
+    /// Makes all balancers reload their configuration, in which only the address of the endpoint
+    /// list has changed.
     pub fn reload(&self) {
         for balancer in 0..self.context.scenario.cluster.count {
             let (address, start) = {
@@ -427,7 +433,7 @@
         }
     }
 
-    /// Looks at what each uses, and keeps the most.
+    /// Samples the resources of each balancer and keeps the maximum.
     pub fn measure(&self) {
         for slot in self.slots.borrow_mut().iter_mut() {
             let Some(now) = slot.control.as_ref().and_then(|c| c.resources()) else { continue };
@@ -437,7 +443,7 @@
         }
     }
 
-    /// The most that each used, where that is known.
+    /// Returns the peak resources of each balancer, where known.
     pub fn resources(&self) -> Vec<Option<Resources>> {
         let of =
             |slot: &Slot| Resources { cpu_ms: slot.peak.cpu_ms + slot.cpu_before, ..slot.peak };
@@ -445,7 +451,7 @@
         self.slots.borrow().iter().map(|s| known(of(s))).collect()
     }
 
-    /// Ends all of them.
+    /// Kills all balancers.
     pub fn end(&self) {
         for slot in self.slots.borrow_mut().iter_mut() {
             if let Some(control) = slot.control.take() {
@@ -480,34 +486,36 @@
             config["peer_listen"] = listen.to_string().into();
             config["peers"] = peers.iter().map(ToString::to_string).collect();
             config["peers_all"] = all.to_string().into();
-            if let Some(fleet) = fleet(&scenario.cluster.policy) {
-                config["fleet"] = fleet;
+            if let Some(cluster_key) = cluster_key(&scenario.cluster.policy) {
+                config["fleet"] = cluster_key;
             }
         }
         config.to_string()
     }
 }
 
-/// Our own key about the bank, where the scenario says anything of it.
-fn fleet(book: &PolicySettings) -> Option<Value> {
-    if book.is_off {
+/// Returns the cluster key of the configuration, which is the project's own, if the scenario sets
+/// any of it.
+fn cluster_key(settings: &PolicySettings) -> Option<Value> {
+    if settings.is_off {
         return Some("off".into());
     }
-    if *book == (PolicySettings { poll_interval: book.poll_interval, ..PolicySettings::default() })
+    if *settings
+        == (PolicySettings { poll_interval: settings.poll_interval, ..PolicySettings::default() })
     {
         return None;
     }
-    let mut fleet = json!({"council": book.voters});
-    if let Some(pods) = &book.fallback_cells {
-        fleet["charter"] = pods.clone().into();
+    let mut value = json!({"council": settings.voters});
+    if let Some(cells) = &settings.fallback_cells {
+        value["charter"] = cells.clone().into();
     }
-    if let Some(pods) = &book.mandatory_fallback_cells {
-        fleet["bedrock"] = pods.clone().into();
+    if let Some(cells) = &settings.mandatory_fallback_cells {
+        value["bedrock"] = cells.clone().into();
     }
-    Some(fleet)
+    Some(value)
 }
 
-/// The settings in the platform's own words.
+/// Returns the settings in the platform's own keys.
 pub fn settings(scenario: &Scenario, balancer: usize) -> Value {
     let ms = |d: Duration| d.as_secs_f64() * 1e3;
     let rules = &scenario.rules;
--- a/crates/rehearsal/src/freeze.rs
+++ b/crates/rehearsal/src/freeze.rs
@@ -1,5 +1,5 @@
-//! A balancer inside this process that can be frozen, as SIGSTOP freezes a process: nothing of it runs, what would wake it
-//! waits, and time goes on.
+//! Suspension of a balancer inside this process, as SIGSTOP suspends a process: none of its tasks
+//! run, wake-ups are deferred, and time goes on.
 
 use std::cell::Cell;
 use std::future::{Future, poll_fn};
@@ -7,7 +7,7 @@
 use std::rc::Rc;
 use std::task::{Poll, Waker};
 
-/// A hand on it.
+/// Suspends and resumes a future that runs under [`FreezeSwitch::run`].
 #[derive(Clone, Default)]
 pub struct FreezeSwitch(Rc<SwitchState>);
 
@@ -18,7 +18,7 @@
 }
 
 impl FreezeSwitch {
-    /// Freezes it, or has it go on.
+    /// Suspends or resumes the future.
     pub fn set(&self, frozen: bool) {
         self.0.frozen.set(frozen);
         if !frozen {
@@ -26,7 +26,7 @@
         }
     }
 
-    /// Runs what can be frozen by this.
+    /// Runs a future that this switch can suspend.
     pub async fn run<F: Future>(self, inner: F) -> F::Output {
         let mut inner = pin!(inner);
         poll_fn(|cx| {
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -1,10 +1,11 @@
-//! Rehearsals: a whole stand-in fleet with seeded faults round real balancers, and a judge of the four rules
-//! that knows nothing but what the stand-ins saw on their sockets.
+//! Rehearsals: stand-in clients, upstreams and discovery with seeded faults run around real
+//! balancers, and a checker verifies the four rules from nothing but what the stand-ins saw on
+//! their sockets.
 //!
-//! [`scenario`] says what is to be played, [`plan`] draws what is left to chance, [`run`] plays it in real
-//! time on loopback or in virtual time on a network inside the process, [`record`] is the account of it.
-//! Stand-ins can be used one by one: [`node`], [`list`], [`clients`]; [`wire`] is for peers of one's own, and
-//! [`scripted`] has some that a test scripts by hand.
+//! [`scenario`] describes a run, [`plan`] samples its random parts, [`run`] executes it in real
+//! time on loopback or in virtual time on a network inside the process, and [`record`] holds the
+//! trace. The stand-ins [`node`], [`list`] and [`clients`] can be used one by one. [`wire`] has the
+//! HTTP/1.1 connection for other peers, and [`scripted`] has peers that a test scripts.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/rehearsal/src/list.rs
+++ b/crates/rehearsal/src/list.rs
@@ -1,5 +1,6 @@
-//! The stand-in node list: late, of bounded capacity, and wrong in the ways a fault says. One address for
-//! each balancer, so that what each was told, and when, is known.
+//! The stand-in endpoint list: delayed, of limited capacity, and wrong in the ways that faults say.
+//! It has one address for each balancer, so that the content and time of each balancer's updates
+//! are known.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -19,29 +20,29 @@
 use crate::scenario::{FaultKind, Scenario};
 use crate::wire::{Direction, Exchange};
 
-/// While nothing changes, a watch says an empty line this often.
+/// Interval between the empty lines that a watch sends while nothing changes.
 const HEARTBEAT_INTERVAL: Duration = Duration::from_secs(2);
-/// A list that has moved closes its old address's connections after this.
+/// Time after a move of the list when connections at the old address are closed.
 const MOVE_GRACE: Duration = Duration::from_millis(1500);
 
-/// Who is out of reach is looked at this often.
+/// Interval between checks whether a balancer can be reached.
 const POLL_INTERVAL: Duration = Duration::from_millis(100);
 
-/// Messages of a watch that may come again when the list is in disorder.
+/// Number of recent messages of a watch that may be repeated while the list is in disorder.
 const MAX_REPLAYED: usize = 4;
 
-/// What the list knows of one node.
+/// The list's state of one node.
 #[derive(Clone, Copy, Debug, PartialEq)]
 struct Entry {
     phase: Phase,
     since: At,
 }
 
-/// A change that the list has not learned of yet.
+/// A change that the list doesn't publish before `due`.
 #[derive(Clone, Debug)]
 struct PendingChange {
     due: Instant,
-    /// Later words about a node count, whatever their order here.
+    /// The change with the highest number wins, whatever the order of publication.
     serial: u64,
     node: usize,
     entry: Entry,
@@ -55,31 +56,31 @@
     late: Duration,
 }
 
-/// The node list.
+/// The stand-in endpoint list.
 pub struct NodeList {
     context: Rc<RunContext>,
     nodes: Vec<Rc<Node>>,
     entries: RefCell<Vec<Option<(u64, Entry)>>>,
-    /// Every change: its revision and the node.
+    /// Revision and node of every change.
     log: RefCell<Vec<(u64, usize)>>,
     pending: RefCell<Vec<PendingChange>>,
     serial: Cell<u64>,
     revision: OrderedWatch<u64>,
-    /// Connections are counted by generations, and those up to this one must end.
+    /// The highest generation of connections that must be closed.
     broken: OrderedWatch<u64>,
     generation: Cell<u64>,
     active_faults: RefCell<ActiveFaults>,
-    /// When the service is free for its next call.
+    /// Time at which the service is free for its next call.
     free: Cell<Instant>,
     endpoints: RefCell<Vec<Endpoint>>,
     watches: Cell<u64>,
-    /// How many faults keep each balancer from hearing anything.
+    /// Number of active faults that cut each balancer off from the list.
     silenced: RefCell<Vec<u32>>,
-    /// Whether any fault does that.
+    /// Whether the scenario has such a fault.
     cuts: bool,
 }
 
-/// One address of the list.
+/// The list's address for one balancer.
 struct Endpoint {
     balancer: usize,
     address: SocketAddr,
@@ -93,10 +94,10 @@
 }
 
 impl NodeList {
-    /// A list that knows those `nodes` that run as serving from long ago, and listens.
+    /// Starts a list that has all running `nodes` as serving since long ago.
     ///
     /// # Errors
-    /// It can't listen.
+    /// The list can't listen.
     pub fn start(context: &Rc<RunContext>, nodes: &[Rc<Node>]) -> std::io::Result<Rc<Self>> {
         let long_ago = Entry { phase: Phase::Serving, since: At(0) };
         let initial_entry = |n: &Rc<Node>| n.serves().then_some((0, long_ago));
@@ -142,17 +143,18 @@
         Ok(())
     }
 
-    /// Where a balancer finds it.
+    /// Returns the list's address for a balancer.
     pub fn address(&self, balancer: usize) -> SocketAddr {
         let endpoints = self.endpoints.borrow();
         let endpoint = endpoints.iter().rev().find(|d| d.balancer == balancer);
         endpoint.map_or(SocketAddr::from(([127, 0, 0, 1], 1)), |d| d.address)
     }
 
-    /// Moves to other addresses. The old ones take no new connection, and close what is open a little later.
+    /// Moves the list to other addresses. The old ones accept no new connections, and open
+    /// connections are closed after [`MOVE_GRACE`].
     ///
     /// # Errors
-    /// It can't listen.
+    /// The list can't listen.
     pub fn relocate(self: &Rc<Self>) -> std::io::Result<()> {
         self.endpoints.borrow_mut().clear();
         for balancer in 0..self.context.scenario.cluster.count {
@@ -166,7 +168,7 @@
         Ok(())
     }
 
-    /// A node's state has changed; the list learns of it `after` a while.
+    /// Schedules a change of a node's state, which the list learns `after` a delay.
     pub fn schedule_change(&self, node: usize, phase: Phase, since: At, after: Duration) {
         let late = self.active_faults.borrow().late;
         let serial = self.serial.replace(self.serial.get() + 1);
@@ -174,7 +176,7 @@
         self.pending.borrow_mut().push(PendingChange { due, serial, node, entry });
     }
 
-    /// Takes in what it has learned by now, and tells all watches.
+    /// Applies the changes that are due and notifies all watches.
     fn publish(&self) {
         if self.active_faults.borrow().stale > 0 {
             return;
@@ -210,7 +212,7 @@
         }
     }
 
-    /// Out of reach: watches end, nothing new comes up.
+    /// Starts or ends an outage: watches end, and no new connection is accepted.
     pub fn down(&self, begins: bool) {
         count(&mut self.active_faults.borrow_mut().down, begins);
         if begins {
@@ -219,34 +221,36 @@
         }
     }
 
-    /// Answers, and learns nothing.
+    /// Starts or ends a fault in which the list answers but applies no changes.
     pub fn stale(&self, begins: bool) {
         count(&mut self.active_faults.borrow_mut().stale, begins);
     }
 
-    /// Says things twice, or older ones after newer ones.
+    /// Starts or ends a fault in which the list repeats messages, and sends older ones after newer
+    /// ones.
     pub fn disorder(&self, begins: bool) {
         count(&mut self.active_faults.borrow_mut().disorder, begins);
     }
 
-    /// Learns so much later.
+    /// Starts or ends an additional delay of changes.
     pub fn late(&self, by: Duration, begins: bool) {
         let mut active_faults = self.active_faults.borrow_mut();
         let late = &mut active_faults.late;
         *late = if begins { *late + by } else { late.saturating_sub(by) };
     }
 
-    /// Says nothing to one balancer: what is open stays open and silent, nothing new comes up.
+    /// Cuts one balancer off from the list, or ends the cut: open connections stay open and silent,
+    /// and no new connection is accepted.
     pub fn cut(&self, balancer: usize, begins: bool) {
         count(&mut self.silenced.borrow_mut()[balancer], begins);
     }
 
-    /// Whether a balancer hears nothing.
+    /// Returns whether a balancer can't reach the list.
     fn is_out_of_reach(&self, balancer: usize) -> bool {
         self.is_down() || self.silenced.borrow()[balancer] > 0
     }
 
-    /// Waits until a balancer can hear again.
+    /// Waits until the balancer is no longer cut off.
     async fn wait_until_reachable(&self, balancer: usize) {
         while self.silenced.borrow()[balancer] > 0 {
             sleep(POLL_INTERVAL).await;
@@ -266,7 +270,7 @@
                     }
                     Err(_) => sleep(Duration::from_millis(5)).await,
                 },
-                // Look now and then whether it still is.
+                // Check regularly whether the balancer can reach the list.
                 () = sleep(POLL_INTERVAL), if self.cuts || self.is_out_of_reach(balancer) => {}
                 () = broken.changed() => {}
             }
@@ -306,7 +310,7 @@
                 let _ = exchange.write(b"HTTP/1.1 404 -\r\nContent-Length: 0\r\n\r\n").await;
                 continue;
             };
-            // Whoever has let go meanwhile is told nothing.
+            // A caller that has closed the connection meanwhile gets no answer.
             tokio::select! {
                 biased;
                 _ = exchange.end() => return,
@@ -341,7 +345,7 @@
         }
     }
 
-    /// Waits for its turn at the service; `false` if that would take too long.
+    /// Waits for the service to be free. Returns `false` if that takes too long.
     async fn wait_for_service(&self) -> bool {
         let list = &self.context.scenario.list;
         if !list.asked {
@@ -365,7 +369,8 @@
     ) -> std::io::Result<()> {
         let mut revision = self.revision.subscribe();
         let mut at = from;
-        // What may come again: messages of this watch, and the whole list as another replica still has it.
+        // Messages that may be repeated: those of this watch, and the whole list as another replica
+        // still has it.
         let mut before: VecDeque<(String, Vec<Update>)> = VecDeque::new();
         before.push_back(self.line(balancer, 0));
         exchange.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
@@ -402,7 +407,7 @@
                 if self.silenced.borrow()[balancer] > 0 {
                     continue;
                 }
-                // Late or not, a beat must not wait for a reader that has stopped reading.
+                // A heartbeat must not wait for a client that has stopped reading.
                 if !matches!(timeout(HEARTBEAT_INTERVAL, exchange.chunk("\n")).await, Ok(Ok(()))) {
                     return Ok(());
                 }
@@ -410,7 +415,7 @@
         }
     }
 
-    /// What changed after a revision, or the whole list, as a line; and what it tells.
+    /// Returns the changes after a revision, or the whole list, as a line, and the updates in it.
     fn line(&self, balancer: usize, after: u64) -> (String, Vec<Update>) {
         let revision = *self.revision.get();
         let complete = after == 0;
@@ -448,7 +453,7 @@
         }
     }
 
-    /// The whole list as it stands, for a balancer's start.
+    /// Returns the whole current list, for a balancer's start.
     pub fn initial_list(&self, balancer: usize) -> serde_json::Value {
         let (text, updates) = self.line(balancer, 0);
         self.record_updates(balancer, updates);
@@ -463,7 +468,7 @@
     revision: u64,
 }
 
-/// A node's entry in the list's own form.
+/// Returns a node's entry in the list's JSON form.
 fn member(
     context: &RunContext,
     node: &Node,
--- a/crates/rehearsal/src/node/mod.rs
+++ b/crates/rehearsal/src/node/mod.rs
@@ -1,6 +1,6 @@
-//! A stand-in node: an upstream on its own addresses, one for each balancer, so that it knows who sent what
-//! and can be out of reach for one of them. What it does with time is [`model`]'s, its
-//! connections are `serving`'s; this is its life: starts, ends and troubles.
+//! A stand-in upstream, with one address for each balancer, so that it knows the sender of each
+//! request and can be unreachable for one of them. Its timing is in [`model`], its connections are
+//! in `serving`; this module has its starts, stops and faults.
 
 pub mod model;
 mod serving;
@@ -26,7 +26,7 @@
 use crate::scenario::MachineType;
 use model::{Model, WarmUpFall};
 
-/// What keeps a node from being well, by how many faults.
+/// Active faults of a node, by number or by factor.
 #[derive(Clone, Debug, Default)]
 struct ActiveFaults {
     dead: u32,
@@ -38,7 +38,7 @@
     spoil: Vec<f64>,
 }
 
-/// One load report.
+/// A load report.
 #[derive(Clone, Copy, Debug, Default)]
 struct Load {
     inflight: f64,
@@ -46,22 +46,22 @@
     eps: f64,
 }
 
-/// One stand-in node.
+/// A stand-in upstream.
 pub struct Node {
     context: Rc<RunContext>,
-    /// Its place among the machines.
+    /// Index of its machine in the plan.
     pub index: usize,
     machine: Machine,
     kind: MachineType,
     active_faults: RefCell<ActiveFaults>,
-    /// The process, while there is one.
+    /// The process, while it runs.
     process: RefCell<Option<Process>>,
-    /// When the process started; for the list.
+    /// Start time of the process, for the endpoint list.
     since: Cell<At>,
     tipped: Cell<bool>,
-    /// Where it listens, by balancer; kept for when it comes back.
+    /// Listening address for each balancer, reused after a restart.
     addresses: RefCell<Vec<SocketAddr>>,
-    /// Told whenever anything about its life changes.
+    /// The state that its connections watch.
     state: OrderedWatch<ConnectionState>,
     rng: RefCell<ChaCha8Rng>,
     errors: Cell<u64>,
@@ -69,15 +69,15 @@
     changed: Rc<Notify>,
 }
 
-/// What connections must know of it.
+/// The state of a node that its connections depend on.
 #[derive(Clone, Debug, Default, PartialEq)]
 struct ConnectionState {
-    /// Counts processes: a connection belongs to one.
+    /// Number of the current process; a connection belongs to one process.
     process: u64,
     alive: bool,
-    /// The machine says nothing.
+    /// Whether the machine is silent.
     silent: bool,
-    /// Balancers that it is out of reach for.
+    /// Whether each balancer is cut off from the node.
     cut: Vec<bool>,
 }
 
@@ -90,12 +90,13 @@
     listeners: Vec<SharedListener>,
 }
 
-/// A listener that its accepting task shares with its process, and loses with it.
+/// A listener shared by its accepting task and its process, and closed with the process.
 type SharedListener = Rc<RefCell<Option<Box<dyn Listener>>>>;
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // At once: an aborted task goes on holding what it has until its next turn, and the address with it.
+        // Closes the listeners at once: an aborted task holds its resources until it is polled
+        // again, and with them the address.
         for listener in &self.listeners {
             listener.take();
         }
@@ -104,7 +105,7 @@
 }
 
 impl Node {
-    /// A node that does not run yet.
+    /// Creates a node that doesn't run yet.
     pub fn new(context: &Rc<RunContext>, index: usize) -> Rc<Self> {
         let machine = context.plan.machines[index].clone();
         let kind = context.scenario.fleet.machine_types[machine.machine_type].clone();
@@ -129,45 +130,45 @@
         })
     }
 
-    /// Its id in the list.
+    /// Returns the node's id in the endpoint list.
     pub fn id(&self) -> &str {
         &self.machine.id
     }
 
-    /// When its process started.
+    /// Returns the start time of the process.
     pub fn since(&self) -> At {
         self.since.get()
     }
 
-    /// Whether its process runs, on a machine that speaks.
+    /// Returns whether the process runs on a machine that is not silent.
     pub fn serves(&self) -> bool {
         self.process.borrow().is_some() && self.active_faults.borrow().vanished == 0
     }
 
-    /// Whether it wants nothing new.
+    /// Returns whether the node drains.
     pub fn drains(&self) -> bool {
         self.active_faults.borrow().draining > 0
     }
 
-    /// Where a balancer reaches it.
+    /// Returns the node's address for a balancer.
     pub fn address(&self, balancer: usize) -> SocketAddr {
         self.addresses.borrow()[balancer]
     }
 
-    /// Where it is reached, for one that takes over its addresses.
+    /// Returns all addresses, for a replacement that takes them over.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.addresses.borrow().clone()
     }
 
-    /// Ends once the node has changed by itself: it has fallen over.
+    /// Waits until the node has been overloaded and must stop.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
 
-    /// Starts its process, at these addresses if there are any; `cold` or warm.
+    /// Starts the process, at these addresses if given, `cold` or warm.
     ///
     /// # Errors
-    /// It can't listen.
+    /// The node can't listen.
     pub fn start(self: &Rc<Self>, cold: bool, at: Option<Vec<SocketAddr>>) -> std::io::Result<()> {
         if let Some(at) = at {
             *self.addresses.borrow_mut() = at;
@@ -220,7 +221,7 @@
         Ok(())
     }
 
-    /// Ends its process: connections are reset, what was in work is lost.
+    /// Stops the process: connections are reset and requests in work are lost.
     pub fn stop(&self) {
         if self.process.take().is_some() {
             self.context.record.saw(Observation::Down { node: self.index });
@@ -232,13 +233,14 @@
         self.context.record.now().0 as f64 / 1e3
     }
 
-    /// Whether it may run, as far as faults go.
+    /// Returns whether no fault keeps the process from running.
     pub fn may_run(&self) -> bool {
         let t = self.active_faults.borrow();
         t.dead == 0 && !t.gone && !self.tipped.get()
     }
 
-    /// Its process dies, or could come back.
+    /// Starts or ends a fault that kills the process. At its end the caller starts the process
+    /// again.
     pub fn die(&self, begins: bool) {
         count(&mut self.active_faults.borrow_mut().dead, begins);
         if begins {
@@ -246,14 +248,15 @@
         }
     }
 
-    /// It is gone for good. `false` if it was before.
+    /// Removes the node for good. Returns `false` if it was removed before.
     pub fn retire(&self) -> bool {
         let before = std::mem::replace(&mut self.active_faults.borrow_mut().gone, true);
         self.stop();
         !before
     }
 
-    /// The machine says nothing any more, or is back: then everything on it begins anew.
+    /// Starts or ends a fault that silences the machine. At its end the process stops, and must be
+    /// started anew.
     pub fn vanish(&self, begins: bool) {
         count(&mut self.active_faults.borrow_mut().vanished, begins);
         let silent = self.active_faults.borrow().vanished > 0;
@@ -264,12 +267,13 @@
         self.hush();
     }
 
-    /// Whether the machine is silent.
+    /// Returns whether the machine is silent.
     pub fn silent(&self) -> bool {
         self.active_faults.borrow().vanished > 0
     }
 
-    /// Out of reach for one balancer. What it had open is reset when that is over.
+    /// Cuts the node off from one balancer, or ends the cut, which resets the connections that were
+    /// open.
     pub fn cut(&self, balancer: usize, begins: bool) {
         count(&mut self.active_faults.borrow_mut().cut[balancer], begins);
         let cut = self.active_faults.borrow().cut[balancer] > 0;
@@ -277,12 +281,12 @@
         self.hush();
     }
 
-    /// Wants nothing new, or does again.
+    /// Starts or ends draining.
     pub fn drain(&self, begins: bool) {
         count(&mut self.active_faults.borrow_mut().draining, begins);
     }
 
-    /// Slower by a factor.
+    /// Starts or ends a slowdown by a factor.
     pub fn slow(&self, factor: f64, begins: bool) {
         toggle(&mut self.active_faults.borrow_mut().slow, factor, begins);
         let slow = self.active_faults.borrow().slow.iter().product();
@@ -293,12 +297,12 @@
         }
     }
 
-    /// A share of its answers comes spoilt.
+    /// Starts or ends a fault that malforms a share of the answers.
     pub fn spoil(&self, share: f64, begins: bool) {
         toggle(&mut self.active_faults.borrow_mut().spoil, share, begins);
     }
 
-    /// Has each listener say something or nothing, as things stand.
+    /// Silences or reopens each listener according to the current faults.
     fn hush(&self) {
         let state = self.state.get().clone();
         if let Some(process) = &*self.process.borrow() {
@@ -310,7 +314,7 @@
         }
     }
 
-    /// Goes on to now, and tells whoever waits for what is done.
+    /// Advances the model to the current time and notifies the finished requests.
     fn advance(&self) {
         let now = self.now();
         let mut process = self.process.borrow_mut();
@@ -331,13 +335,13 @@
         }
     }
 
-    /// The process: finishes requests when their time has come.
+    /// Runs the process: finishes requests when they are due.
     async fn work(self: Rc<Self>, wake: Rc<Notify>) {
         loop {
             self.advance();
             let next = self.process.borrow().as_ref().and_then(|p| p.model.next());
             let wait = next.map(|at| Duration::from_secs_f64((at - self.now()).max(0.0) / 1e3));
-            // Rounded up: a moment too early there would be nothing to collect.
+            // Rounded up: just before that time nothing would be finished.
             let due = wait.map(|w| Instant::now() + w + Duration::from_micros(1));
             tokio::select! {
                 biased;
@@ -352,7 +356,7 @@
         }
     }
 
-    /// Reports its load, now and then.
+    /// Reports the load periodically.
     async fn report(self: Rc<Self>) {
         let list = &self.context.scenario.list;
         let phase: f64 = self.rng.borrow_mut().random();
@@ -401,7 +405,7 @@
     }
 }
 
-/// One more or one less of what may come several times at once.
+/// Increments or decrements the number of overlapping faults of one kind.
 pub(crate) fn count(of: &mut u32, begins: bool) {
     *of = if begins { *of + 1 } else { of.saturating_sub(1) };
 }
--- a/crates/rehearsal/src/node/model.rs
+++ b/crates/rehearsal/src/node/model.rs
@@ -1,5 +1,6 @@
-//! A node as a model: cores that are shared evenly, a bounded waiting room, crowding, a cold start, and the
-//! push that a cold one falls over at. Time goes in, what is done comes out; no I/O.
+//! Timing model of an upstream: evenly shared cores, a bounded queue, slowdown by contention,
+//! warm-up after a cold start, and overload of a cold node. A pure state machine over time, without
+//! I/O.
 
 use std::collections::VecDeque;
 
@@ -8,68 +9,68 @@
 /// Milliseconds from the start of the run.
 pub type Ms = f64;
 
-/// A cold node's speed is reckoned anew this often at least.
+/// Maximum interval between updates of a cold node's speed.
 const WARMING_STEP: Ms = 50.0;
-/// However crowded, so much of the speed is left.
+/// Share of the speed that is left under any contention.
 const LEAST_SPEED: f64 = 0.1;
-/// A node is warm once it has done this share of what it could have done in its whole cold time.
+/// Share of the work possible during the whole warm-up time after which a node is warm.
 const WARM_BY_WORK: f64 = 0.3;
-/// Rounding must not leave a request unfinished for ever.
+/// Remaining work that counts as none, so that rounding can't leave a request unfinished.
 const WORK_EPSILON: f64 = 1e-6;
 
-/// A request that the node holds.
+/// A request in the node.
 #[derive(Clone, Copy, Debug)]
 struct Job {
     id: u32,
-    /// Milliseconds of a core of speed 1.
+    /// Remaining work, in milliseconds of a core of speed 1.
     left: f64,
 }
 
-/// How a cold start goes, and what it bears.
+/// The load at which a cold node is overloaded and stops.
 #[derive(Clone, Copy, Debug)]
 pub struct WarmUpFall {
-    /// More than this multiple of the present capacity
+    /// Tolerated work, as a multiple of the current capacity.
     pub multiple: f64,
-    /// for this long,
+    /// Window over which the work is added up.
     pub window: Ms,
-    /// and what is put down to chance, where this is the work of a request in the mean.
+    /// Mean work of a request, which determines the tolerance for random fluctuation.
     pub mean: f64,
 }
 
-/// Whether a request was taken.
+/// Result of the arrival of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Admission {
-    /// It is in work, or waits for a slot.
+    /// The request runs, or waits for a slot.
     Accepted,
-    /// There is no room.
+    /// The queue is full.
     Full,
-    /// The node has just fallen over.
-    Tipped,
+    /// The node has just been overloaded and stops.
+    Overloaded,
 }
 
-/// One node.
+/// The model of one node.
 #[derive(Clone, Debug)]
 pub struct Model {
     kind: MachineType,
     speed: f64,
-    /// Times slower than it should be, by a fault.
+    /// Slowdown factor of the active faults.
     pub slow: f64,
     started: Ms,
     cold: Ms,
-    /// Work done since the start.
+    /// Work done since the start, in milliseconds of a core of speed 1.
     done: f64,
     working: Vec<Job>,
     waiting: VecDeque<Job>,
     now: Ms,
     fall: WarmUpFall,
-    /// While cold: what was sent when, and what could be done.
+    /// While cold: time and work of each request sent to the node within the window.
     sent: VecDeque<(Ms, f64)>,
-    /// Requests begun, by class of speed: for load reports.
+    /// Number of requests finished, for load reports.
     served: u64,
 }
 
 impl Model {
-    /// A node that starts at `now`; warm from the first if `cold` is 0.
+    /// Creates a node that starts at `now`; it is warm from the start if `cold` is 0.
     pub fn start(kind: &MachineType, speed: f64, now: Ms, cold: Ms, fall: WarmUpFall) -> Self {
         Self {
             kind: kind.clone(),
@@ -87,12 +88,12 @@
         }
     }
 
-    /// Work that it can do in a millisecond once warm.
+    /// Returns the work that the warm node can do per millisecond.
     pub fn full(&self) -> f64 {
         self.speed * f64::from(self.kind.cores)
     }
 
-    /// What it can do now, as a share of that.
+    /// Returns the current capacity as a share of the warm capacity.
     pub fn warmth(&self) -> f64 {
         if self.cold <= 0.0 {
             return 1.0;
@@ -103,17 +104,17 @@
         self.kind.cold_from + (1.0 - self.kind.cold_from) * grown
     }
 
-    /// Requests that it holds.
+    /// Returns the number of requests that run or wait.
     pub fn held(&self) -> usize {
         self.working.len() + self.waiting.len()
     }
 
-    /// Requests that it has finished.
+    /// Returns the number of finished requests.
     pub fn served(&self) -> u64 {
         self.served
     }
 
-    /// Speed of each request in work.
+    /// Returns the speed of each running request.
     fn pace(&self) -> f64 {
         let running = self.working.len() as f64;
         if running == 0.0 {
@@ -127,7 +128,7 @@
         all / running
     }
 
-    /// When something changes by itself next.
+    /// Returns the time of the next change without external events.
     pub fn next(&self) -> Option<Ms> {
         let pace = self.pace();
         let least = self.working.iter().map(|j| j.left).reduce(f64::min)?;
@@ -136,7 +137,7 @@
         Some(if warming { done.min(self.now + WARMING_STEP) } else { done })
     }
 
-    /// Goes on to `now`, and appends what was finished on the way.
+    /// Advances to `now` and appends the requests that have finished.
     pub fn advance(&mut self, now: Ms, finished: &mut Vec<u32>) {
         while let Some(next) = self.next().filter(|at| *at <= now) {
             self.work_until(next);
@@ -172,12 +173,12 @@
         }
     }
 
-    /// A request comes at the time that it was last advanced to.
+    /// Adds a request at the time to which the model was last advanced.
     pub fn arrive(&mut self, id: u32, work: f64) -> Admission {
         if self.is_overloaded(work) {
             self.working.clear();
             self.waiting.clear();
-            return Admission::Tipped;
+            return Admission::Overloaded;
         }
         let job = Job { id, left: work };
         if self.working.len() < self.kind.slots as usize {
@@ -190,14 +191,14 @@
         Admission::Accepted
     }
 
-    /// Work besides requests, a handshake's: it delays what is in work, and counts as sent.
+    /// Adds the work of a handshake, which delays the running requests.
     pub fn add_handshake_work(&mut self, work: f64) {
         let n = self.working.len().max(1) as f64;
         self.working.iter_mut().for_each(|j| j.left += work / n);
     }
 
-    /// Notes what is sent to a cold one, and whether that is too much: all that arrives counts, also what it
-    /// turns away.
+    /// Records work sent to a cold node, and returns whether that overloads it. Everything that
+    /// arrives counts, rejected requests too.
     fn is_overloaded(&mut self, work: f64) -> bool {
         if self.cold <= 0.0 || self.now >= self.started + self.cold {
             return false;
@@ -293,22 +294,22 @@
         let mut m = Model::start(&kind(), 1.0, 0.0, 10_000.0, FALL);
         // 0.25 of two cores for 2 s, four times: 40 requests, and by chance twice the root of that and two.
         let mut sent = 0.0;
-        while m.arrive(0, 100.0) != Admission::Tipped {
+        while m.arrive(0, 100.0) != Admission::Overloaded {
             sent += 100.0;
             assert!(sent <= 5400.0, "it bears {sent}");
         }
         assert_eq!(sent, 5400.0);
         let mut heavy = Model::start(&kind(), 1.0, 0.0, 10_000.0, FALL);
         assert_eq!(heavy.arrive(0, 50_000.0), Admission::Accepted, "one heavy request is chance");
-        assert_eq!(heavy.arrive(0, 50_000.0), Admission::Tipped, "two are not");
+        assert_eq!(heavy.arrive(0, 50_000.0), Admission::Overloaded, "two are not");
         // The same a little at a time never pushes it over, nor does anything a warm one.
         let mut slow = Model::start(&kind(), 1.0, 0.0, 10_000.0, FALL);
         for i in 0..50 {
             finished(&mut slow, 60.0 * f64::from(i));
-            assert_ne!(slow.arrive(0, 100.0), Admission::Tipped);
+            assert_ne!(slow.arrive(0, 100.0), Admission::Overloaded);
         }
         let mut warm = Model::start(&kind(), 1.0, 0.0, 0.0, FALL);
-        assert!((0..500).all(|_| warm.arrive(0, 100.0) != Admission::Tipped));
+        assert!((0..500).all(|_| warm.arrive(0, 100.0) != Admission::Overloaded));
     }
 
     #[test]
--- a/crates/rehearsal/src/node/serving.rs
+++ b/crates/rehearsal/src/node/serving.rs
@@ -1,4 +1,4 @@
-//! The connections of a stand-in node: which request came, whether it is taken, and how it ends.
+//! Connections of a stand-in upstream: checks, runs and answers the requests.
 
 use std::rc::Rc;
 use std::task::Poll;
@@ -25,7 +25,7 @@
             })
             .await;
             let Ok((stream, _)) = next else {
-                // None of accept's errors ends a listener.
+                // No error of accept ends a listener.
                 sleep(Duration::from_millis(5)).await;
                 continue;
             };
@@ -34,7 +34,7 @@
         }
     }
 
-    /// All requests of one connection.
+    /// Serves one connection until it ends.
     async fn converse(
         self: Rc<Self>,
         balancer: usize,
@@ -73,7 +73,7 @@
         loop {
             let idle = self.context.scenario.rules.keepalive;
             let message = match timeout(idle, exchange.message(Direction::Requests)).await {
-                Err(_) => return, // It has idled for too long.
+                Err(_) => return, // The connection has been idle for too long.
                 Ok(Ok(message)) => message,
                 Ok(Err(
                     ConnectionEnd::Closed { inside: false }
@@ -96,7 +96,7 @@
         }
     }
 
-    /// Which request this is, if it is one that a client sent, in its form.
+    /// Returns the request's index if a client has sent it in exactly this form.
     fn known(&self, message: &Message) -> Result<u32, String> {
         let id = message.header("x-request-id").ok_or("no X-Request-Id")?;
         let request = self.context.request(id).ok_or_else(|| format!("no client sent {id}"))?;
@@ -112,7 +112,7 @@
         if fits { Ok(request) } else { Err(format!("{id} was not sent in this form")) }
     }
 
-    /// One request; whether the connection goes on.
+    /// Serves one request. Returns whether the connection stays open.
     async fn request(
         self: &Rc<Self>,
         balancer: usize,
@@ -168,14 +168,14 @@
         };
         let written = exchange.write(text.as_bytes()).await.is_ok();
         if written && outcome == AttemptOutcome::Malformed {
-            // The connection stays open, and is of no further use.
+            // The connection stays open but can't be used again.
             let _ = exchange.end().await;
             return false;
         }
         written && !crowded
     }
 
-    /// Runs a request; `None` if its connection ended first.
+    /// Runs a request. Returns `None` if the connection ended first.
     async fn run(
         self: &Rc<Self>,
         exchange: &mut Exchange,
@@ -199,7 +199,7 @@
             match process.model.arrive(attempt, work_ms) {
                 Admission::Accepted => {}
                 Admission::Full => return Some(AttemptOutcome::Rejected),
-                Admission::Tipped => {
+                Admission::Overloaded => {
                     self.tipped.set(true);
                     record.saw(Observation::Overloaded { node: self.index });
                     self.changed.notify_one();
@@ -212,7 +212,7 @@
         self.remember(request);
         self.context.remember_session(request, self.machine.cell);
         record.saw(Observation::Ran { attempt });
-        // Dropped here, its node has died with it.
+        // If dropped before the end, the node has died during the request.
         let died = OnDrop::new(|| {
             record.saw(Observation::Ended { attempt, outcome: AttemptOutcome::Died })
         });
@@ -223,7 +223,7 @@
             }
             _ = exchange.end() => {
                 died.cancel();
-                // The work goes on; nobody waits for it.
+                // The work continues although the balancer has closed the connection.
                 record.saw(Observation::Closed { attempt });
                 record.saw(Observation::Ended { attempt, outcome: AttemptOutcome::Abandoned });
                 return None;
@@ -245,7 +245,8 @@
         })
     }
 
-    /// What remembers a keyed request's key: all nodes, those of a zone, or those of a cell.
+    /// Returns the group of nodes that share a keyed request's idempotency key: all, those of a
+    /// zone, or those of a cell.
     fn group(&self, request: u32) -> Option<u64> {
         let class = self.context.class(request);
         (class.effect == Effect::Keyed).then(|| match class.group {
@@ -269,7 +270,7 @@
         }
     }
 
-    /// An answer that no one can read, of one of several kinds.
+    /// Returns a malformed answer, of one of several kinds.
     fn spoilt(&self) -> String {
         let kind: u32 = self.rng.borrow_mut().random_range(0..4);
         match kind {
@@ -281,7 +282,8 @@
     }
 }
 
-/// Ends when the connection must: its process is gone, or it is back in reach.
+/// Waits until the connection must be closed: the process has ended, or a silent or cut-off node
+/// can be reached again.
 async fn wait_until_unusable(
     state: &mut WatchReceiver<super::ConnectionState>,
     process: u64,
@@ -291,7 +293,7 @@
     loop {
         {
             let now = state.borrow_and_update();
-            // A machine that says nothing sends no reset either.
+            // A silent machine sends no reset either.
             let dark = now.silent || now.cut[balancer];
             if now.process != process || (!dark && (!now.alive || was_dark)) {
                 return;
@@ -306,7 +308,7 @@
     format!("HTTP/1.1 {status} -\r\n{headers}Content-Length: {}\r\n\r\n{body}", body.len())
 }
 
-/// Does something when it is dropped, unless that was called off.
+/// Runs a function when dropped, unless cancelled.
 struct OnDrop<F: FnMut()>(Option<F>);
 
 impl<F: FnMut()> OnDrop<F> {
--- a/crates/rehearsal/src/operator.rs
+++ b/crates/rehearsal/src/operator.rs
@@ -1,5 +1,6 @@
-//! The stand-in operator: says at the doors what the day says, asks again at another door where no answer came, and looks
-//! at every door now and then. It believes nothing; all that it is told goes into the account.
+//! The stand-in operator: makes the scenario's calls at the admin APIs, retries at another balancer
+//! where no answer came, and polls every balancer's status. It trusts no answer; every answer is
+//! recorded in the trace.
 
 use std::cell::RefCell;
 use std::collections::{BTreeMap, BTreeSet};
@@ -17,29 +18,29 @@
 use crate::scenario::OperatorVerb;
 use crate::wire::{Direction, Exchange};
 
-/// A call without an answer by then has none: a door keeps no caller longer.
+/// Timeout of a call; the admin API answers within this time.
 const CALL_TIMEOUT: Duration = Duration::from_millis(2_500);
-/// The same for a look, which nobody waits for.
+/// Timeout of a status poll, which no action depends on.
 const POLL_TIMEOUT: Duration = Duration::from_millis(1_000);
-/// Between two tries.
+/// Delay between two attempts.
 const RETRY_DELAY: Duration = Duration::from_millis(200);
-/// Revisions that one look fetches at most. What is left comes with the next ones.
+/// Maximum number of revisions fetched by one poll. The rest is fetched by the next ones.
 const MAX_FETCHED: usize = 16;
-/// A word of who leads is as old at most.
+/// Maximum age of a balancer's statement about the leader.
 const LEADER_MAX_AGE: Duration = Duration::from_secs(1);
 
 /// The stand-in operator of a run.
 pub struct Operator {
     context: Rc<RunContext>,
     balancers: Rc<Balancers>,
-    /// Revisions whose content a door has told already, by balancer, start and epoch of the log.
+    /// Revisions already fetched from a balancer, by balancer, start, epoch of the log and number.
     fetched_revisions: RefCell<BTreeSet<(usize, u32, u32, u64)>>,
-    /// Who leads, as each door said last.
+    /// The leader, as each balancer reported last.
     leaders: RefCell<BTreeMap<usize, (Instant, usize)>>,
 }
 
 impl Operator {
-    /// Looks at no door yet.
+    /// Creates an operator that doesn't poll yet.
     pub fn new(context: &Rc<RunContext>, balancers: &Rc<Balancers>) -> Rc<Self> {
         let (fetched_revisions, leaders) = (RefCell::default(), RefCell::default());
         Rc::new(Self {
@@ -50,7 +51,7 @@
         })
     }
 
-    /// Looks at every door from now on, one after another within each round.
+    /// Starts polling every balancer, staggered within each interval.
     pub fn start_polling(self: &Rc<Self>) {
         let (count, every) = (
             self.context.scenario.cluster.count,
@@ -96,7 +97,7 @@
         }
     }
 
-    /// Has a door tell of the revisions that it has not told of in this life.
+    /// Fetches the revisions that were not fetched from this start of the balancer yet.
     async fn fetch(&self, balancer: usize, start: u32, epoch: u32) {
         let all =
             timeout(POLL_TIMEOUT, self.call(balancer, "GET", "/admin/revisions", &Value::Null));
@@ -115,7 +116,7 @@
             let document = text["document"].take();
             fetched.push((number, document));
         }
-        // Of another log meanwhile, the same numbers may be other revisions.
+        // If the log has changed meanwhile, the same numbers may mean other revisions.
         let again =
             timeout(POLL_TIMEOUT, self.call(balancer, "GET", "/admin/bank", &Value::Null)).await;
         let Ok(Some((200, text))) = again else { return };
@@ -134,7 +135,7 @@
         }
     }
 
-    /// Who leads, as most doors said a moment ago.
+    /// Returns the leader that most balancers reported recently.
     pub fn leader(&self) -> Option<usize> {
         let mut votes: BTreeMap<usize, usize> = BTreeMap::new();
         for (at, leader) in self.leaders.borrow().values() {
@@ -142,12 +143,12 @@
                 *votes.entry(*leader).or_default() += 1;
             }
         }
-        // Of as many, the lower number.
+        // Ties go to the lower number.
         let most = votes.into_iter().max_by_key(|(who, votes)| (*votes, std::cmp::Reverse(*who)));
         most.map(|(who, _)| who)
     }
 
-    /// Says one thing, and asks again at the next door for as long as nobody has answered.
+    /// Makes one call, and retries at the next balancer until one answers or the time is over.
     pub async fn execute(self: Rc<Self>, call: Call) {
         let (from, count) = (Instant::now(), self.context.scenario.cluster.count);
         let (mut tries, mut target, mut to) = (0, call.balancer, None);
@@ -155,12 +156,13 @@
             if call.rollback_steps.is_some() && to.is_none() {
                 to = self.revision_before(target, call.rollback_steps.unwrap_or(1)).await;
             }
-            // Whom it is to go back to is asked at another door, where this one can't tell.
+            // If this balancer can't tell the revision to roll back to, the next one is asked.
             if call.rollback_steps.is_none() || to.is_some() {
                 let answered = self.call_once(&call, target, tries, to).await;
                 tries += 1;
                 match answered {
-                    // Somebody has to do something first, and the same question is asked once: it takes a new one.
+                    // A step has to be taken first, so the call is repeated. The same id would
+                    // return the same answer, so the next attempt has a new one.
                     Some(202) => {}
                     Some(status) if status != 504 && status != 503 => return,
                     _ => target = (target + 1) % count,
@@ -184,7 +186,7 @@
     ) -> Option<u16> {
         let mut body = call.body.clone();
         let id = call.id.map(|id| match call.verb {
-            // What was refused since another one was on its way is a new question.
+            // A call rejected because another change was pending is a new call.
             OperatorVerb::FallbackPolicy => format!("{:032x}", id.wrapping_add(u128::from(tries))),
             _ => format!("{id:032x}"),
         });
@@ -224,7 +226,8 @@
         status
     }
 
-    /// The number of the revision that came so many before the newest, as a door lists them.
+    /// Returns the number of the revision this many steps before the newest, as listed by a
+    /// balancer.
     async fn revision_before(&self, target: usize, back: u32) -> Option<u64> {
         let call = self.call(target, "GET", "/admin/revisions", &Value::Null);
         let (_, text) = timeout(POLL_TIMEOUT, call).await.ok().flatten()?;
@@ -233,7 +236,7 @@
         all.get(back as usize).or(all.last()).copied()
     }
 
-    /// One call at a door: its status, and what it says.
+    /// Makes one call at a balancer's admin API. Returns the status and the body.
     async fn call(
         &self,
         target: usize,
@@ -255,7 +258,7 @@
     }
 }
 
-/// What a door says of its balancer, as far as it is judged.
+/// Parses a status answer, as far as the checker needs it.
 fn parse_status(balancer: usize, start: u32, asked: At, text: &Value) -> Option<Observation> {
     let texts = |v: &Value| -> Vec<String> {
         v.as_array().into_iter().flatten().filter_map(|t| t.as_str().map(str::to_string)).collect()
@@ -281,7 +284,7 @@
     })
 }
 
-/// Of the log that the balancer knows: the number before the dot.
+/// Returns the epoch of the log that the balancer knows: the number before the dot.
 fn epoch_of(text: &Value) -> u32 {
     let log = text["council"]["log"].as_str().unwrap_or_default();
     log.split('.').next().and_then(|epoch| epoch.parse().ok()).unwrap_or(0)
--- a/crates/rehearsal/src/ordered_watch.rs
+++ b/crates/rehearsal/src/ordered_watch.rs
@@ -1,5 +1,5 @@
-//! A value that others wait on for its changes. `tokio::sync::watch` wakes its receivers in an order that is
-//! drawn at random; this one wakes them in the order in which they began to wait, so that a run can be
+//! A watched value with a deterministic wake-up order. `tokio::sync::watch` wakes its receivers in
+//! random order. This one wakes them in the order in which they began to wait, so that a run can be
 //! repeated.
 
 use std::cell::{Cell, Ref, RefCell};
@@ -15,11 +15,11 @@
     changed: Notify,
 }
 
-/// The value, for whoever changes it.
+/// The sending side of the watched value.
 #[derive(Debug, Default)]
 pub struct OrderedWatch<T>(Rc<Shared<T>>);
 
-/// A view of it that knows which change it saw last.
+/// The receiving side, which remembers the last version it has seen.
 #[derive(Debug)]
 pub struct WatchReceiver<T> {
     shared: Rc<Shared<T>>,
@@ -27,38 +27,38 @@
 }
 
 impl<T> OrderedWatch<T> {
-    /// Nobody waits yet.
+    /// Creates a watched value without receivers.
     pub fn new(value: T) -> Self {
         let (value, version) = (RefCell::new(value), Cell::new(0));
         Self(Rc::new(Shared { value, version, changed: Notify::new() }))
     }
 
-    /// As it is.
+    /// Returns the current value.
     pub fn get(&self) -> Ref<'_, T> {
         self.0.value.borrow()
     }
 
-    /// Changes it, and wakes all that wait.
+    /// Modifies the value and wakes all waiting receivers.
     pub fn send_modify(&self, f: impl FnOnce(&mut T)) {
         f(&mut self.0.value.borrow_mut());
         self.0.version.set(self.0.version.get() + 1);
         self.0.changed.notify_waiters();
     }
 
-    /// One more that waits; what is there now counts as seen.
+    /// Returns a new receiver, for which the current value counts as seen.
     pub fn subscribe(&self) -> WatchReceiver<T> {
         WatchReceiver { shared: self.0.clone(), seen: self.0.version.get() }
     }
 }
 
 impl<T> WatchReceiver<T> {
-    /// As it is; counts as seen.
+    /// Returns the current value and marks it as seen.
     pub fn borrow_and_update(&mut self) -> Ref<'_, T> {
         self.seen = self.shared.version.get();
         self.shared.value.borrow()
     }
 
-    /// Ends once there is something that was not seen, and counts it as seen.
+    /// Waits for a value that was not seen yet, and marks it as seen.
     pub async fn changed(&mut self) {
         while self.seen == self.shared.version.get() {
             let mut notified = pin!(self.shared.changed.notified());
--- a/crates/rehearsal/src/peers.rs
+++ b/crates/rehearsal/src/peers.rs
@@ -1,6 +1,6 @@
-//! What lies between the balancers of a run: each sees every other under an address of its own, and whatever goes there
-//! passes the [`Links`]. In virtual time the network inside the process asks them; live a relay does, with a socket for
-//! each ordered pair.
+//! The network between the balancers of a run. Each balancer sees every other under a separate
+//! address, and all datagrams pass the [`Links`]. In virtual time the simulated network applies
+//! them; in live runs a relay does, with a socket for each ordered pair.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -19,27 +19,28 @@
 use crate::run_context::{Host, Testbed};
 use crate::scenario::{FaultKind, LinkDirection};
 
-/// So many balancers a live run may have that may send one another datagrams: a relay holds a descriptor for each
-/// ordered pair of them, and a usual process may hold 1,024.
+/// Maximum number of balancers with peer messages in a live run: the relay holds a descriptor for
+/// each ordered pair, and a process usually may hold 1,024.
 pub const MOST_LIVE: usize = 24;
 
-/// Ports in virtual time: where balancers receive, where one reaches all others, and from where on each other.
+/// Ports in virtual time: where balancers receive, the address of all others, and the first of the
+/// addresses of single others.
 const LISTEN: u16 = 7946;
 const ALL: u16 = 9999;
 const FIRST: u16 = 10_000;
 
-/// Where a balancer receives, and how it reaches the others.
+/// The address at which a balancer receives, and those of the other balancers.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Addresses {
     /// `peer_listen`.
     pub listen: SocketAddr,
-    /// `peers`, in the order of their numbers; its own is where it receives.
+    /// `peers`, by balancer number; the balancer's own entry is its listening address.
     pub peers: Vec<SocketAddr>,
     /// `peers_all`.
     pub all: SocketAddr,
 }
 
-/// Whom a datagram is for.
+/// The recipient of a datagram.
 #[derive(Clone, Copy, PartialEq, Eq, PartialOrd, Ord)]
 enum Recipient {
     One(usize),
@@ -48,13 +49,13 @@
 
 type Socket = Rc<RefCell<Box<dyn Datagrams>>>;
 
-/// The links of a run.
+/// The links between the balancers of a run.
 pub struct Peers {
     testbed: Testbed,
     observe: Box<dyn Fn(Observation)>,
     links: RefCell<Links>,
     listens: Vec<SocketAddr>,
-    /// Live: what each balancer sends to.
+    /// The relay's sockets in live runs, by sender and recipient.
     sockets: BTreeMap<(usize, Recipient), Socket>,
     relays: RefCell<Vec<AbortHandle>>,
 }
@@ -66,11 +67,11 @@
 }
 
 impl Peers {
-    /// For so many balancers that may send one another datagrams. Chance is drawn from `seed`; `observe` hears of every
-    /// datagram.
+    /// Creates the links between `count` balancers. `seed` seeds the random faults; `observe` is
+    /// called for every datagram.
     ///
     /// # Errors
-    /// Live: an address can't be had.
+    /// No address is free (live runs only).
     pub fn new(
         testbed: Testbed,
         count: usize,
@@ -86,7 +87,8 @@
                 listens.push(SocketAddr::new(own.ip(), LISTEN));
                 continue;
             }
-            // Its address is its own; nothing else takes the port that was free a moment ago.
+            // No other host uses this IP address, so the port stays free after the trial socket
+            // closes.
             let network = testbed.network(Host::Balancer(balancer));
             listens.push(network.datagrams(own)?.local_addr());
             let network = testbed.network(Host::Peers(balancer));
@@ -106,7 +108,7 @@
         Ok(peers)
     }
 
-    /// What a balancer is told of the others.
+    /// Returns the addresses in a balancer's configuration.
     pub fn addresses(&self, balancer: usize) -> Addresses {
         let at = |recipient: Recipient| match (self.sockets.get(&(balancer, recipient)), recipient)
         {
@@ -128,17 +130,17 @@
         SocketAddr::new(self.testbed.address(Host::Peers(by)).ip(), port)
     }
 
-    /// A rule is in force from now on, until [`Peers::end`] of its key.
+    /// Applies a rule from now on, until [`Peers::end`] with its key.
     pub fn begin(&self, key: usize, rule: Rule) {
         self.links.borrow_mut().begin(key, rule);
     }
 
-    /// The rules of this key are in force no longer.
+    /// Ends the rules with this key.
     pub fn end(&self, key: usize) {
         self.links.borrow_mut().end(key);
     }
 
-    /// A fault of links begins or ends.
+    /// Starts or ends a fault of links.
     pub fn apply_fault(&self, fault: usize, kind: &FaultKind, affected: &[usize], begins: bool) {
         if !begins {
             return self.end(fault);
@@ -158,13 +160,13 @@
             self.begin(fault, Rule { from, to: None, crossing, does: does.clone() });
         }
         if way != LinkDirection::Out {
-            // What goes within the set is struck once, with what they say.
+            // Datagrams within the set match only the first rule, so that the fault applies once.
             let crossing = crossing || way == LinkDirection::Both;
             self.begin(fault, Rule { from: None, to: Some(set), crossing, does });
         }
     }
 
-    /// What becomes of what a balancer sends: to whom, how much later, and what.
+    /// Returns the copies of a datagram that arrive: recipient, delay and content of each.
     fn pass(
         &self,
         from: usize,
@@ -196,11 +198,11 @@
 
     fn routed(&self, datagram: Datagram) -> Vec<(Duration, Datagram)> {
         let Datagram { from, to, bytes } = datagram;
-        // Nothing lies between one and itself.
+        // A datagram to the sender itself passes no link.
         if to == from && self.listens.contains(&to) {
             return vec![(Duration::ZERO, Datagram { from, to, bytes })];
         }
-        // Nothing but a balancer's own address sends, and nothing but what it was told is reached.
+        // Only a balancer's own address sends, and only configured addresses are reachable.
         let (Host::Balancer(sender), Host::Peers(by)) =
             (Host::from_ip(from.ip()), Host::from_ip(to.ip()))
         else {
@@ -234,7 +236,8 @@
                 loop {
                     let came =
                         std::future::poll_fn(|cx| socket.borrow_mut().poll_receive(cx, &mut bytes));
-                    // None of its errors ends an address; one that comes at once must not keep us busy.
+                    // No error ends a socket; the pause keeps an immediate error from causing a
+                    // busy loop.
                     let Ok((length, from)) = came.await else {
                         sleep(Duration::from_millis(1)).await;
                         continue;
--- a/crates/rehearsal/src/process.rs
+++ b/crates/rehearsal/src/process.rs
@@ -13,27 +13,29 @@
 use crate::record::Resources;
 use crate::state_directories::temporary_directory;
 
-/// The kernel's clock ticks a second, in which it tells processor time (proc(5); 100 on all of Linux).
+/// The kernel's clock ticks per second, the unit of processor time in proc(5); 100 on all of Linux.
 const TICKS: u64 = 100;
 
-/// So much of what a balancer wrote last is told when it could not be started.
+/// Limits on the log excerpt reported when a balancer could not be started.
 const LAST_BYTES: usize = 4096;
 const LAST_LINES: usize = 8;
 
-/// Starts balancers by a command, as the platform does: `/bin/sh -c`, the LB_* variables, a file.
+/// Starts balancers by a command, as the platform does: `/bin/sh -c`, the LB_* variables and a
+/// configuration file.
 pub struct Processes {
     command: String,
-    /// Where their configurations lie, and their logs unless they are wanted elsewhere; gone with us.
+    /// Directory of the configurations, and of the logs unless `logs` is set. Deleted on drop.
     temporary_directory: tempfile::TempDir,
-    /// Where their logs are wanted.
+    /// Directory for the logs, if one was requested.
     logs: Option<PathBuf>,
 }
 
 impl Processes {
-    /// `command` is the shell's to read. Each balancer's log goes to a file in `logs`, if there is one.
+    /// Creates a launcher that passes `command` to the shell. Each balancer's log goes to a file in
+    /// `logs`, if given.
     ///
     /// # Errors
-    /// There is no place for temporary files, or none for logs.
+    /// A directory for temporary files or logs can't be created.
     pub fn new(command: &str, logs: Option<&Path>) -> std::io::Result<Self> {
         if let Some(logs) = logs {
             fs::create_dir_all(logs)?;
@@ -81,7 +83,7 @@
         let control = Box::new(Process { pid, over: over.clone(), file, log, command });
         let ended = Box::pin(async move {
             let status = child.wait().await;
-            // From here on its number may be another's.
+            // The process id may be reused from here on.
             over.set(true);
             status.ok().and_then(|s| s.code())
         });
@@ -119,7 +121,7 @@
     }
 
     fn reload(&self, config: &str) {
-        // Replaced in one step: a reader never sees half of it.
+        // Replaced atomically, so that a reader never sees a partial file.
         let next = self.file.with_extension("next");
         if fs::write(&next, config).and_then(|()| fs::rename(&next, &self.file)).is_ok() {
             self.signal(Signal::HUP);
@@ -146,7 +148,8 @@
         let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:"))?;
         let memory_kib = peak.split_whitespace().next()?.parse().ok()?;
         let descriptors = fs::read_dir(proc_directory.join("fd")).ok()?.count() as u64;
-        // The name may hold anything, parentheses too; what follows it does not.
+        // The process name may hold any character, parentheses included; the fields after it may
+        // not.
         let stat = fs::read_to_string(proc_directory.join("stat")).ok()?;
         let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
         let ticks: u64 =
--- a/crates/rehearsal/src/process_cluster.rs
+++ b/crates/rehearsal/src/process_cluster.rs
@@ -1,7 +1,8 @@
-//! Several processes of a balancer on loopback, for tests that break something between them: each under a name, an
-//! address and a directory that outlive it, with upstreams and a discovery that the test scripts, and a relay between
-//! each two. Every wait is for an event, with a limit wide enough for a busy machine; every process ends with its owner.
-#![allow(clippy::missing_panics_doc)] // What can't happen in a sound test is a panic that says what did.
+//! Balancer processes on loopback, for tests that inject faults between them. Each has a name, an
+//! address and a directory that outlive the process, an endpoint list and upstreams that the test
+//! scripts, and a relay to each other process. Every wait is for an event, with a timeout wide
+//! enough for a busy machine, and every process ends with its owner.
+#![allow(clippy::missing_panics_doc)] // Unexpected conditions panic with a description.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
@@ -23,7 +24,7 @@
 use crate::scripted::{Client, Discovery, EVENT_TIMEOUT, Node};
 use crate::state_directories::temporary_directory;
 
-/// Waits until something is so, and says what it was if that does not happen.
+/// Waits until a condition holds. Panics with its description if it doesn't.
 pub fn until(what: &str, mut is: impl FnMut() -> bool) {
     let from = Instant::now();
     while !is() {
@@ -32,7 +33,7 @@
     }
 }
 
-/// What lies between the members: a relay on a thread of its own.
+/// A relay between the balancers, on a thread of its own.
 struct Relay {
     addresses: Vec<Addresses>,
     commands: Option<UnboundedSender<RelayCommand>>,
@@ -94,7 +95,7 @@
     node: Option<Node>,
 }
 
-/// A bank of processes.
+/// A cluster of balancer processes.
 pub struct ProcessCluster {
     program: PathBuf,
     members: Vec<Member>,
@@ -104,8 +105,8 @@
 }
 
 impl ProcessCluster {
-    /// Starts `count` processes of `program`, each with this configuration under a name of its own, and waits until
-    /// all listen. Each is told of the others and of operators, as on a platform that allows both.
+    /// Starts `count` processes of `program`, each with this configuration under its own name, and
+    /// waits until all listen. Peer messages and the admin API are enabled.
     pub fn start(program: &str, count: usize, config: &Value) -> Self {
         let root = temporary_directory("fleet-").expect("a folder");
         let net = Testbed::loopback_net();
@@ -132,12 +133,12 @@
         cluster
     }
 
-    /// How many there are, running or not.
+    /// Returns the number of balancers, running or not.
     pub fn count(&self) -> usize {
         self.members.len()
     }
 
-    /// Starts one that does not run, under its name and address, and waits until it listens.
+    /// Starts a stopped balancer under its name and address, and waits until it listens.
     pub fn start_one(&mut self, number: usize) {
         let member = &mut self.members[number];
         assert!(member.node.is_none(), "{} runs already", member.name);
@@ -151,7 +152,7 @@
         member.node = Some(node);
     }
 
-    /// Starts all that do not run.
+    /// Starts all stopped balancers.
     pub fn start_all(&mut self) {
         for number in 0..self.count() {
             if self.members[number].node.is_none() {
@@ -160,12 +161,12 @@
         }
     }
 
-    /// Kills one outright, and waits for its end.
+    /// Kills a balancer, and waits for its end.
     pub fn kill(&mut self, number: usize) {
         self.members[number].node = None;
     }
 
-    /// Kills all at once.
+    /// Kills all balancers at once.
     pub fn kill_all(&mut self) {
         for node in self.members.iter_mut().filter_map(|m| m.node.as_mut()) {
             let _ = node.child.kill();
@@ -173,44 +174,44 @@
         (0..self.count()).for_each(|n| self.kill(n));
     }
 
-    /// The process of one that runs.
+    /// Returns the process of a running balancer.
     pub fn node(&mut self, number: usize) -> &mut Node {
         let member = &mut self.members[number];
         member.node.as_mut().unwrap_or_else(|| panic!("n{number} does not run"))
     }
 
-    /// Freezes one.
+    /// Suspends a balancer.
     pub fn pause(&mut self, number: usize) {
         self.node(number).signal("STOP");
     }
 
-    /// Has a frozen one go on.
+    /// Resumes a suspended balancer.
     pub fn resume(&mut self, number: usize) {
         self.node(number).signal("CONT");
     }
 
-    /// What one stores, whether it runs or not.
+    /// Returns the directory of a balancer, running or not.
     pub fn directory(&self, number: usize) -> &Path {
         &self.members[number].directory
     }
 
-    /// The discovery of one, for what it is to be told.
+    /// Returns the endpoint list service of a balancer.
     pub fn discovery(&self, number: usize) -> &Discovery {
         &self.members[number].discovery
     }
 
-    /// A new connection to one.
+    /// Opens a connection to a balancer.
     pub fn client(&mut self, number: usize) -> Client {
         self.node(number).client()
     }
 
-    /// Whether one says that clients may come.
+    /// Returns whether a balancer reports itself ready.
     pub fn is_ready(&mut self, number: usize) -> bool {
         let Ok(mut client) = Client::try_to(self.node(number).address) else { return false };
         client.ask("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n").status() == 200
     }
 
-    /// Waits until all that run say that clients may come.
+    /// Waits until all running balancers report themselves ready.
     pub fn until_ready(&mut self) {
         for number in 0..self.count() {
             if self.members[number].node.is_some() {
@@ -219,24 +220,26 @@
         }
     }
 
-    /// What lies between the members is so from now on, until [`ProcessCluster::heal`] of what this returns.
+    /// Applies a rule to the links between balancers until [`ProcessCluster::heal`] with the
+    /// returned key.
     pub fn break_links(&self, rule: Rule) -> usize {
         let key = self.next_fault_key.replace_with(|k| *k + 1);
         self.relay.command(RelayCommand::Begin(key, rule));
         key
     }
 
-    /// Ends what [`ProcessCluster::break_links`] began.
+    /// Ends the rule of [`ProcessCluster::break_links`] with this key.
     pub fn heal(&self, key: usize) {
         self.relay.command(RelayCommand::End(key));
     }
 
-    /// What a member is told of the others.
+    /// Returns the peer addresses in a balancer's configuration.
     pub fn addresses(&self, number: usize) -> &Addresses {
         &self.relay.addresses[number]
     }
 
-    /// Datagrams that members sent since the last call: from whom, to whom, and how many copies of it arrive.
+    /// Returns the datagrams sent since the last call: sender, recipient and number of copies that
+    /// arrive.
     pub fn datagrams(&self) -> Vec<(usize, usize, usize)> {
         let one = |seen| match seen {
             Observation::Datagram { from, to, copies, .. } => Some((from, to, copies)),
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -1,4 +1,4 @@
-//! One run from the first start to the last answer: who is there, when clients come, and who strikes whom.
+//! One run from the first start to the last answer: participants, load and faults.
 
 use std::cell::{Cell, RefCell};
 use std::io;
@@ -20,16 +20,16 @@
 use crate::run_context::{Host, RunContext, Testbed};
 use crate::scenario::{Closed, FaultKind, LeaderFault, Scenario};
 
-/// Clients come when all balancers are ready, or after this.
+/// Timeout for all balancers to become ready; the load starts then in any case if one is ready.
 const READY_TIMEOUT: Duration = Duration::from_secs(30);
-/// What balancers use is looked at this often.
+/// Interval between samples of the balancers' resources.
 const MEASURE_INTERVAL: Duration = Duration::from_millis(500);
-/// Who leads is asked for so long, where that is to be struck.
+/// Maximum wait for a known leader before a fault of the leader is skipped.
 const LEADER_TIMEOUT: Duration = Duration::from_secs(5);
-/// After the last answer is due, so that what should not come has time to.
+/// Wait after the last answer is due, in which unexpected messages can arrive.
 const SETTLE_TIME: Duration = Duration::from_millis(500);
 
-/// A run could not be played.
+/// An error of a run.
 #[derive(Debug, thiserror::Error)]
 pub enum RunError {
     /// A stand-in could not listen.
@@ -38,19 +38,19 @@
     /// A balancer could not be started.
     #[error(transparent)]
     Launch(#[from] LaunchError),
-    /// The scenario holds what only virtual time has.
+    /// The scenario has a fault that exists only in virtual time.
     #[error(
         "line {line}: `{kind}` can be played in virtual time only, {why}; play it with --virtual, or take it out"
     )]
     VirtualOnly {
-        /// Of the file.
+        /// Line of the scenario file.
         line: usize,
-        /// Which kind of fault.
+        /// Kind of the fault.
         kind: &'static str,
-        /// Why.
+        /// Reason.
         why: &'static str,
     },
-    /// Too many balancers that may send one another datagrams.
+    /// Too many balancers with peer messages for a live run.
     #[error(
         "{0} balancers with `peers`: {MOST_LIVE} are the most in a live run, whose relay holds a descriptor for \
          each ordered pair; play it with --virtual, or with fewer"
@@ -61,19 +61,19 @@
     NoneReady(Duration),
 }
 
-/// How far a run is, for whoever waits.
+/// Progress of a run.
 #[derive(Clone, Copy, Debug)]
 pub struct Progress {
-    /// Of the run's own time.
+    /// Elapsed time of the run.
     pub at: Duration,
-    /// Its length.
+    /// Length of the run.
     pub of: Duration,
-    /// Requests whose end is not known yet.
+    /// Number of requests that are not finished.
     pub open: usize,
 }
 
-/// Plays a scenario in virtual time, on a network inside this process. The same scenario, seed and build give
-/// the same account, byte for byte.
+/// Runs a scenario in virtual time, on a network inside this process. The same scenario, seed and
+/// build give the same trace, byte for byte.
 ///
 /// # Errors
 /// A balancer can't be started, or none is ready.
@@ -85,7 +85,7 @@
     play_plan_virtual(scenario, Plan::generate(scenario, seed), launcher)
 }
 
-/// The same of a plan that was drawn before.
+/// Does the same with a plan generated before.
 ///
 /// # Errors
 /// See [`play_virtual`].
@@ -102,7 +102,7 @@
     })
 }
 
-/// Plays a scenario in real time, on this machine's loopback.
+/// Runs a scenario in real time, on this machine's loopback.
 ///
 /// # Errors
 /// A stand-in can't listen, a balancer can't be started, or none is ready.
@@ -115,7 +115,7 @@
     play_plan_live(scenario, Plan::generate(scenario, seed), launcher, progress)
 }
 
-/// The same of a plan that was drawn before.
+/// Does the same with a plan generated before.
 ///
 /// # Errors
 /// See [`play_live`].
@@ -146,9 +146,9 @@
     list: Rc<NodeList>,
     balancers: Rc<Balancers>,
     operator: Rc<Operator>,
-    /// What kept a stand-in or a balancer from coming back: the run is not what was asked for.
+    /// The first error of a restart of a stand-in or a balancer, which fails the run.
     failed: RefCell<Option<RunError>>,
-    /// Newcomers that do not come.
+    /// Replacement nodes that are not started.
     cancelled_replacements: RefCell<Vec<usize>>,
 }
 
@@ -250,7 +250,8 @@
     })
 }
 
-/// Clients that ask one request after another until the load ends. Their starts are spread over one pause.
+/// Starts clients that send one request after another until the load ends. Their starts are spread
+/// over one pause.
 fn start_closed_clients(
     context: &Rc<RunContext>,
     clients: &Rc<Clients>,
@@ -283,7 +284,7 @@
         }
     }
 
-    /// What operators do, and what is done to whoever leads then.
+    /// Makes the operators' calls and starts the faults of the leader, at their times.
     async fn run_policy_actions(self: Rc<Self>, zero: Instant) {
         for PlannedAction { at, action, step } in self.context.plan.policy_actions.clone() {
             sleep_until(zero + at).await;
@@ -296,7 +297,8 @@
         }
     }
 
-    /// Strikes whoever leads, as soon as the doors tell who that is; nobody, if they can't for a while.
+    /// Applies a fault to the leader as soon as the balancers report one. Does nothing if there is
+    /// none in time.
     async fn apply_leader_fault(
         self: Rc<Self>,
         event: usize,
@@ -323,7 +325,7 @@
         }
     }
 
-    /// A node that has fallen over stays down.
+    /// Stops a node that is overloaded; it stays down.
     async fn remove_when_overloaded(self: Rc<Self>, node: Rc<Node>) {
         loop {
             node.changed().await;
@@ -332,7 +334,7 @@
         }
     }
 
-    /// Whether it went well; the first time that it did not ends the run with an error.
+    /// Returns whether the result is `Ok`. The first error fails the run.
     fn check<T, E: Into<RunError>>(&self, done: Result<T, E>) -> bool {
         match done {
             Ok(_) => true,
@@ -347,7 +349,7 @@
         self.list.schedule_change(node.index, Phase::Deleted, node.since(), after);
     }
 
-    /// Starts a node again, if nothing keeps it down.
+    /// Starts a node again if it is down and no fault keeps it down.
     fn restart_if_allowed(&self, node: &Rc<Node>) {
         if node.serves() || !node.may_run() || node.silent() {
             return;
@@ -406,7 +408,7 @@
                     if node.retire() {
                         self.list_as_deleted(node, list.notice);
                     } else {
-                        // Somebody else comes for it already.
+                        // The node is being replaced already.
                         self.cancelled_replacements.borrow_mut().push(*newcomer);
                     }
                 }
@@ -429,7 +431,7 @@
             FaultKind::ListLate { by } => self.list.late(*by, begins),
             FaultKind::ListStale => self.list.stale(begins),
             FaultKind::ListDisorder => self.list.disorder(begins),
-            // Drawn into the arrivals.
+            // Part of the planned arrivals.
             FaultKind::Burst { .. } | FaultKind::Heavy { .. } => {}
             FaultKind::BalancerKill { .. } => {
                 for balancer in &event.balancers {
--- a/crates/rehearsal/src/run_context.rs
+++ b/crates/rehearsal/src/run_context.rs
@@ -1,4 +1,4 @@
-//! What all stand-ins of one run share: the plan, the account, the network and its addresses.
+//! State that all stand-ins of one run share: the plan, the trace, the network and its addresses.
 
 use std::cell::{Cell, RefCell};
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -13,27 +13,27 @@
 use crate::record::Record;
 use crate::scenario::{Effect, Scenario};
 
-/// Whoever has an address.
+/// A participant that has an address of its own.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Host {
     /// A balancer, by number.
     Balancer(usize),
-    /// The clients that come to it.
+    /// The clients of this balancer.
     Clients(usize),
-    /// The node list, as this balancer reaches it.
+    /// The endpoint list, at the address for this balancer.
     List(usize),
-    /// The other balancers, as this one reaches them.
+    /// The other balancers, at the addresses for this balancer.
     Peers(usize),
-    /// A machine, by place.
+    /// An upstream, by index of its machine.
     Node(usize),
 }
 
-/// Places among the addresses of one run.
+/// Offsets of each kind of host in the address range of one run.
 const CLIENTS: usize = 1000;
 const LISTS: usize = 2000;
 const PEERS: usize = 3000;
 const NODES: usize = 4000;
-/// Addresses used of each network of 256.
+/// Number of addresses used of each network of 256.
 const OF_NET: usize = 250;
 
 impl Host {
@@ -63,7 +63,7 @@
         IpAddr::V4(Ipv4Addr::new(127, net, third, fourth))
     }
 
-    /// Whose address this is; a run has no other.
+    /// Returns the host with this address. Every address of a run belongs to a host.
     pub fn from_ip(ip: IpAddr) -> Self {
         let IpAddr::V4(ip) = ip else { return Host::Balancer(0) };
         let [_, _, third, fourth] = ip.octets();
@@ -71,36 +71,36 @@
     }
 }
 
-/// The ground that a run stands on.
+/// The network that a run uses.
 #[derive(Clone)]
 pub enum Testbed {
-    /// This machine's loopback. Every run uses one of its networks, 127.x.0.0/16, drawn at random: two
-    /// runs at a time must not take each other's addresses.
+    /// This machine's loopback. Every run uses one of its networks, 127.x.0.0/16, chosen at random,
+    /// so that two concurrent runs don't take each other's addresses.
     Loopback {
-        /// The second part of its addresses.
+        /// The second octet of the addresses.
         net: u8,
     },
-    /// A network inside this process.
+    /// A simulated network inside this process.
     Simulated(Fabric),
 }
 
-/// The network of simulated runs.
+/// The second octet of addresses in simulated runs.
 const SIMULATED: u8 = 64;
 
 impl Testbed {
-    /// The loopback of this machine.
+    /// Returns a test bed on this machine's loopback.
     pub fn loopback() -> Self {
         Testbed::Loopback { net: Self::loopback_net() }
     }
 
-    /// A network of the loopback, drawn at random.
+    /// Returns the second octet of a random loopback network.
     pub fn loopback_net() -> u8 {
-        // Which one is nothing that a run depends on.
+        // No result of a run depends on the choice.
         let draw = Tcp.unix_now().subsec_nanos() ^ std::process::id();
         64 + (draw % 128) as u8
     }
 
-    /// A simulated network with the scenario's delays between zones.
+    /// Returns a simulated network with the scenario's delays between zones.
     pub fn simulated(scenario: &Scenario, plan: &Plan) -> Self {
         let zones = scenario.fleet.zones.len();
         let of_node: Vec<usize> = plan.machines.iter().map(|m| m.zone).collect();
@@ -113,7 +113,7 @@
         Testbed::Simulated(Fabric::new(EPOCH, delay))
     }
 
-    /// The network as this one sees it.
+    /// Returns the network from this host's point of view.
     pub fn network(&self, who: Host) -> Rc<dyn Network> {
         match self {
             Testbed::Loopback { .. } => Rc::new(Tcp),
@@ -121,7 +121,7 @@
         }
     }
 
-    /// Its address; the port is left to be chosen.
+    /// Returns the address of this host, with port 0 so that the port is assigned when it listens.
     pub fn address(&self, who: Host) -> SocketAddr {
         let net = match self {
             Testbed::Loopback { net } => *net,
@@ -130,14 +130,15 @@
         SocketAddr::new(who.ip(net), 0)
     }
 
-    /// Steps a simulated wall clock, in microseconds; the machine's own is nobody's to step.
+    /// Steps the host's simulated wall clock by this many microseconds. Has no effect on loopback,
+    /// where the machine's clock must not be stepped.
     pub fn step_clock(&self, who: Host, by_us: i64) {
         if let Testbed::Simulated(fabric) = self {
             fabric.step_clock(who.ip(SIMULATED), by_us);
         }
     }
 
-    /// The network inside this process, where there is one.
+    /// Returns the simulated network, if this run uses one.
     pub fn fabric(&self) -> Option<&Fabric> {
         match self {
             Testbed::Loopback { .. } => None,
@@ -151,34 +152,34 @@
     }
 }
 
-/// What a simulated run's wall clock says at its start: a morning in August.
+/// Unix time at the start of a simulated run: a morning in August.
 const EPOCH: Duration = Duration::from_secs(1_786_000_000);
 
-/// What all stand-ins share.
+/// State that all stand-ins share.
 pub struct RunContext {
-    /// What is played.
+    /// The scenario of this run.
     pub scenario: Scenario,
-    /// What was drawn.
+    /// The plan generated from the scenario and the seed.
     pub plan: Plan,
-    /// The account.
+    /// The trace of the run.
     pub record: Record,
     /// Network and addresses.
     pub testbed: Testbed,
-    /// Unix time at the start of the account.
+    /// Unix time at the start of the trace.
     pub epoch: Duration,
     requests: FxHashMap<String, u32>,
-    /// Which start of each balancer is running.
+    /// The number of the latest start of each balancer, from 1.
     starts: RefCell<Vec<u32>>,
-    /// Keys that each group of nodes has seen, and until when it drops them.
+    /// Idempotency keys that each group of nodes has seen, and the time at which each expires.
     pub keys: RefCell<FxHashMap<(u64, u32), tokio::time::Instant>>,
-    /// Vans that each pod knows, and until when.
+    /// User sessions that each cell knows, and the time at which each expires.
     known: RefCell<FxHashMap<(u32, u32), tokio::time::Instant>>,
-    /// Requests whose end is not known yet.
+    /// Number of requests that are not finished.
     pub open: Cell<usize>,
 }
 
 impl RunContext {
-    /// For one run.
+    /// Creates the state of one run.
     pub fn new(scenario: Scenario, plan: Plan, testbed: Testbed) -> Rc<Self> {
         let index = |(i, a): (usize, &Arrival)| (a.id.clone(), i as u32);
         let requests = plan.arrivals.iter().enumerate().map(index).collect();
@@ -198,29 +199,29 @@
         })
     }
 
-    /// The request of this id.
+    /// Returns the index of the request with this id.
     pub fn request(&self, id: &str) -> Option<u32> {
         self.requests.get(id).copied()
     }
 
-    /// What was drawn for a request.
+    /// Returns the planned arrival of a request.
     pub fn arrival(&self, request: u32) -> &Arrival {
         &self.plan.arrivals[request as usize]
     }
 
-    /// Which start of a balancer is running.
+    /// Returns the number of the balancer's latest start.
     pub fn start_of(&self, balancer: usize) -> u32 {
         self.starts.borrow().get(balancer).copied().unwrap_or(0)
     }
 
-    /// Counts a start.
+    /// Increments the balancer's start number and returns it.
     pub fn next_start(&self, balancer: usize) -> u32 {
         let mut starts = self.starts.borrow_mut();
         starts[balancer] += 1;
         starts[balancer]
     }
 
-    /// A request as its client writes it. `left`: how long the client waits.
+    /// Returns the request as its client writes it. `left` is the time until the client's deadline.
     pub fn request_text(&self, request: u32, left: Duration) -> String {
         let (arrival, class) = (self.arrival(request), self.class(request));
         let (id, body) = (&arrival.id, self.body(request));
@@ -245,23 +246,25 @@
         text + "\r\n" + &body
     }
 
-    /// The class of a request.
+    /// Returns the class of a request.
     pub fn class(&self, request: u32) -> &crate::scenario::Class {
         &self.scenario.classes[self.arrival(request).class]
     }
 
-    /// Its target on the wire.
+    /// Returns the request target on the wire.
     pub fn target(&self, request: u32) -> String {
         format!("/api?of={}", self.arrival(request).id)
     }
 
-    /// Its key, for a keyed one; a repeat has that of the first.
+    /// Returns the idempotency key of a keyed request. A repeat has the key of the original
+    /// request.
     pub fn idempotency_key(&self, request: u32) -> String {
         let arrival = self.arrival(self.arrival(request).original);
         format!("{:016x}{}", arrival.session_id, arrival.id)
     }
 
-    /// What a request is on this pod, in milliseconds of a core of speed 1: more for a van that the pod does not know.
+    /// Returns the work of a request in this cell, in milliseconds of a core of speed 1. A user
+    /// session that is unknown to the cell costs extra work.
     pub fn work_ms(&self, request: u32, pod: u32) -> f64 {
         let arrival = self.arrival(request);
         let stranger = match (&self.scenario.sessions, arrival.session) {
@@ -276,7 +279,7 @@
         arrival.work_ms + stranger
     }
 
-    /// A request has been taken into work in this pod: it knows the van from here on.
+    /// Records that this cell has started a request and so knows its user session from now on.
     pub fn remember_session(&self, request: u32, pod: u32) {
         if let (Some(vans), Some((van, _))) =
             (&self.scenario.sessions, self.arrival(request).session)
@@ -286,13 +289,14 @@
         }
     }
 
-    /// The effect that a keyed request is to have: of requests with one key, the same. Days without vans tell repeats
-    /// apart, as they always did: what was swept stays as it was.
+    /// Returns the id of the effect of a keyed request; requests with the same key share an effect.
+    /// In scenarios without user sessions each repeat has an effect of its own, so that the results
+    /// of earlier sweeps stay reproducible.
     pub fn effect(&self, request: u32) -> u32 {
         if self.scenario.sessions.is_some() { self.arrival(request).original } else { request }
     }
 
-    /// Its body; none for a safe one.
+    /// Returns the body of a request. A safe request has none.
     pub fn body(&self, request: u32) -> String {
         if self.class(request).effect == Effect::Safe {
             return String::new();
--- a/crates/rehearsal/src/scripted.rs
+++ b/crates/rehearsal/src/scripted.rs
@@ -1,7 +1,8 @@
-//! Peers that a test scripts by hand, on real sockets and threads: a client, upstreams and discovery, and a
-//! balancer as a process between them. All on ephemeral loopback ports; every wait is for an event, with a
-//! limit wide enough for a busy machine. What can't happen in a sound test is a panic that says what did.
-#![allow(clippy::missing_panics_doc)] // as said above, of all of them
+//! Peers that a test scripts, on real sockets and threads: a client, upstreams, an endpoint list
+//! service, and a balancer process between them. All use ephemeral loopback ports. Every wait is
+//! for an event, with a timeout wide enough for a busy machine. Unexpected conditions panic with a
+//! description.
+#![allow(clippy::missing_panics_doc)] // Unexpected conditions panic with a description.
 
 use std::collections::HashMap;
 use std::io::{BufRead, BufReader, Read, Write};
@@ -15,41 +16,41 @@
 
 use serde_json::{Value, json};
 
-/// Longest wait for anything that has to happen.
+/// Timeout of every wait for an expected event.
 pub const EVENT_TIMEOUT: Duration = Duration::from_secs(20);
-/// A connection to an upstream is used again once it has rested for less than this.
+/// Maximum idle time after which a connection to an upstream is still reused.
 pub const IDLE_REUSE_LIMIT: Duration = Duration::from_millis(40);
 
-/// A message as it came: its first line, headers with lower-case names, and body.
+/// A received message: first line, headers with lower-case names, and body.
 #[derive(Clone, Debug)]
 pub struct Message {
     /// Request line or status line.
     pub first: String,
-    /// By name, in lower case.
+    /// Header values by lower-case name.
     pub headers: HashMap<String, String>,
-    /// As it came.
+    /// Body as received.
     pub body: Vec<u8>,
 }
 
 impl Message {
-    /// Of an answer.
+    /// Returns the status of a response.
     pub fn status(&self) -> u16 {
         self.first.split(' ').nth(1).expect("a status").parse().expect("a number")
     }
-    /// Empty if there is none.
+    /// Returns the value of a header; empty if there is none.
     pub fn header(&self, name: &str) -> &str {
         self.headers.get(name).map_or("", String::as_str)
     }
 }
 
-/// One line; `None` at the end of the connection.
+/// Reads a line. Returns `None` at the end of the connection.
 fn line(stream: &mut BufReader<TcpStream>) -> Option<String> {
     let mut line = String::new();
     stream.read_line(&mut line).ok().filter(|n| *n > 0)?;
     Some(line.trim_end().to_string())
 }
 
-/// Reads one message; `None` where the connection ends first.
+/// Reads a message. Returns `None` if the connection ends first.
 pub fn read_message(stream: &mut BufReader<TcpStream>) -> Option<Message> {
     let first = line(stream)?;
     let mut headers = HashMap::new();
@@ -75,54 +76,54 @@
     Some(Message { first, headers, body })
 }
 
-/// What an upstream does with a request.
+/// How an upstream handles a request.
 #[derive(Clone)]
 pub enum Action {
-    /// Writes this, and keeps the connection.
+    /// Writes this text, and keeps the connection open.
     Respond(String),
-    /// Writes this, and closes the connection.
+    /// Writes this text, and closes the connection.
     RespondAndClose(String),
-    /// Writes this, and closes the connection once it is told to.
+    /// Writes this text, and closes the connection on a signal.
     RespondThenClose(String, Arc<std::sync::Mutex<Receiver<()>>>),
-    /// Writes this, and the same again once it is told to.
+    /// Writes this text, and writes it again on a signal.
     RespondTwice(String, Arc<std::sync::Mutex<Receiver<()>>>),
-    /// Nothing, on an open connection.
+    /// Doesn't answer, and keeps the connection open.
     Hang,
-    /// Answers once it is told to.
+    /// Answers on a signal.
     RespondOnSignal(Arc<std::sync::Mutex<Receiver<()>>>),
 }
 
-/// 200 with this body.
+/// Answers 200 with this body.
 pub fn ok(body: &str) -> Action {
     Action::Respond(format!("HTTP/1.1 200 OK\r\nContent-Length: {}\r\n\r\n{body}", body.len()))
 }
 
-/// This status and these header lines, with no body.
+/// Answers with this status and these header lines, without a body.
 pub fn answers(status: &str, headers: &str) -> Action {
     Action::Respond(format!("HTTP/1.1 {status}\r\n{headers}Content-Length: 0\r\n\r\n"))
 }
 
-/// What was seen at an upstream, in order.
+/// An event at an upstream, in order.
 #[derive(Debug)]
 pub enum Observation {
-    /// A whole request, and from where.
+    /// A complete request, and the address of its sender.
     Request(SocketAddr, Message),
-    /// A second copy of an answer is out.
+    /// The second copy of an answer has been written.
     Wrote,
     /// A connection ended.
     Closed,
 }
 
-/// An upstream that does with each request what it is told.
+/// An upstream that handles each request as scripted.
 pub struct Upstream {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    /// What it saw.
+    /// Events in order.
     pub seen: Receiver<Observation>,
 }
 
 impl Upstream {
-    /// Starts one that asks `does` what to do.
+    /// Starts an upstream that handles each request as `choose_action` returns.
     pub fn start(choose_action: impl Fn(&Message) -> Action + Send + Sync + 'static) -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -142,7 +143,7 @@
         Self { address, seen }
     }
 
-    /// The next request, past whatever else is seen.
+    /// Waits for the next request, skipping other events.
     pub fn request(&self) -> (SocketAddr, Message) {
         loop {
             match self.seen.recv_timeout(EVENT_TIMEOUT).expect("a request") {
@@ -152,7 +153,7 @@
         }
     }
 
-    /// All requests seen so far and not yet taken.
+    /// Returns the number of requests received and not yet taken.
     pub fn requests_so_far(&self) -> usize {
         self.seen.try_iter().filter(|s| matches!(s, Observation::Request(..))).count()
     }
@@ -194,16 +195,17 @@
     }
 }
 
-/// Discovery: tells each watch's request line, and hands over its connection, head written.
+/// An endpoint list service that hands over each watch's request line and its connection, with the
+/// response head written.
 pub struct Discovery {
-    /// Where it listens.
+    /// Listening address.
     pub address: SocketAddr,
-    /// Request lines and connections of the watches that came.
+    /// Request lines and connections of the watches received.
     pub watches: Receiver<(String, TcpStream)>,
 }
 
 impl Discovery {
-    /// Starts one that says nothing by itself.
+    /// Starts a service that sends nothing but response heads by itself.
     pub fn start() -> Self {
         let listener = TcpListener::bind("127.0.0.1:0").expect("a port");
         let address = listener.local_addr().expect("an address");
@@ -221,31 +223,31 @@
         Self { address, watches }
     }
 
-    /// The next watch.
+    /// Waits for the next watch.
     pub fn watch(&self) -> (String, TcpStream) {
         self.watches.recv_timeout(EVENT_TIMEOUT).expect("a watch")
     }
 }
 
-/// Writes a piece of a watch as one chunk.
+/// Writes a part of a watch as one chunk.
 pub fn chunk(stream: &mut TcpStream, text: &str) {
     let framed = format!("{:x}\r\n{text}\r\n", text.len());
     stream.write_all(framed.as_bytes()).expect("the watch is open");
 }
 
-/// An entry of a list.
+/// Returns an endpoint list entry.
 pub fn member(id: &str, address: SocketAddr, phase: &str) -> Value {
     json!({"id": id, "host_port": address.to_string(), "locality": "a", "flavor": "m", "cell": 0,
         "phase": phase, "size": 1.0, "up_since_ms": 0})
 }
 
-/// Entries for these, as `s-0`, `s-1` and so on.
+/// Returns entries for these upstreams, named `s-0`, `s-1` and so on.
 pub fn members(upstreams: &[&Upstream]) -> Vec<Value> {
     let name = |(i, u): (usize, &&Upstream)| member(&format!("s-{i}"), u.address, "SERVING");
     upstreams.iter().enumerate().map(name).collect()
 }
 
-/// A configuration with three classes: `read` (safe), `log` (keyed), `alarm` (unsafe).
+/// Returns a configuration with three classes: `read` (safe), `log` (keyed) and `alarm` (unsafe).
 pub fn config(known: Vec<Value>) -> Value {
     json!({
         "seed": "8c1f30d27a5be964",
@@ -269,15 +271,15 @@
     })
 }
 
-/// A balancer as a process, with its own discovery. It ends with its owner.
+/// A balancer process with its own endpoint list service. The process ends with its owner.
 pub struct Node {
     /// The process.
     pub child: Child,
-    /// Where clients connect.
+    /// Address for clients.
     pub address: SocketAddr,
-    /// Where operators do, if they can.
+    /// Address of the admin API, if enabled.
     pub operators: Option<SocketAddr>,
-    /// Its discovery.
+    /// Its endpoint list service.
     pub discovery: Rc<Discovery>,
     config: std::path::PathBuf,
 }
@@ -290,7 +292,7 @@
     }
 }
 
-/// Writes a configuration to a file of its own.
+/// Writes a configuration to a new temporary file.
 pub fn write_config(config: &str) -> std::path::PathBuf {
     static NEXT: std::sync::atomic::AtomicUsize = std::sync::atomic::AtomicUsize::new(0);
     let n = NEXT.fetch_add(1, std::sync::atomic::Ordering::Relaxed);
@@ -301,13 +303,14 @@
 }
 
 impl Node {
-    /// Starts it by this command, and waits until it listens.
+    /// Starts the balancer by this command, and waits until it listens.
     pub fn start(command: Command, config: &Value) -> Self {
         let any = SocketAddr::from(([127, 0, 0, 1], 0));
         Self::start_as(command, "n0", any, Rc::new(Discovery::start()), config)
     }
 
-    /// The same under this name and address, with a discovery that may have been another start's.
+    /// Does the same under this name and address, with an endpoint list service that may have
+    /// served an earlier start.
     pub fn start_as(
         mut command: Command,
         name: &str,
@@ -337,17 +340,17 @@
                 break address;
             }
         };
-        // The pipe must not fill up.
+        // Keeps the log pipe from filling up.
         thread::spawn(move || log.for_each(|l| eprintln!("node: {}", l.unwrap_or_default())));
         Self { child, address, operators, discovery, config: path }
     }
 
-    /// A new connection to it.
+    /// Opens a client connection to the balancer.
     pub fn client(&self) -> Client {
         Client::to(self.address)
     }
 
-    /// Waits for its end.
+    /// Waits for the process to end. Returns its exit code.
     pub fn exit_code(&mut self) -> Option<i32> {
         let from = Instant::now();
         while from.elapsed() < EVENT_TIMEOUT {
@@ -359,18 +362,18 @@
         panic!("the node goes on");
     }
 
-    /// Replaces its configuration, and tells it so.
+    /// Replaces the configuration, and notifies the balancer.
     pub fn reconfigure(&self, text: &str) {
         self.write_config(text);
         self.signal("HUP");
     }
 
-    /// Replaces its configuration without a word.
+    /// Replaces the configuration without notifying the balancer.
     pub fn write_config(&self, text: &str) {
         std::fs::write(&self.config, text).expect("written");
     }
 
-    /// Sends it a signal, by its name.
+    /// Sends the process a signal, by name.
     pub fn signal(&self, name: &str) {
         let pid = self.child.id().to_string();
         let sent = Command::new("sh").args(["-c", "kill -\"$1\" \"$0\"", &pid, name]).status();
@@ -382,39 +385,39 @@
 pub struct Client(BufReader<TcpStream>);
 
 impl Client {
-    /// Connects.
+    /// Connects to this address.
     pub fn to(address: SocketAddr) -> Self {
         Self::try_to(address).expect("it accepts")
     }
-    /// Connects, if that can be done.
+    /// Tries to connect to this address.
     ///
     /// # Errors
-    /// Those of connect(2).
+    /// The errors of connect(2).
     pub fn try_to(address: SocketAddr) -> std::io::Result<Self> {
         let stream = TcpStream::connect(address)?;
         stream.set_read_timeout(Some(EVENT_TIMEOUT))?;
         Ok(Self(BufReader::new(stream)))
     }
-    /// Writes this.
+    /// Writes a text.
     pub fn send(&mut self, text: &str) {
         self.0.get_mut().write_all(text.as_bytes()).expect("written");
     }
-    /// Writes these.
+    /// Writes bytes.
     pub fn send_bytes(&mut self, bytes: &[u8]) {
         self.0.get_mut().write_all(bytes).expect("written");
     }
-    /// The next answer; `None` where the connection ends first.
+    /// Reads the next answer. Returns `None` if the connection ends first.
     pub fn answer(&mut self) -> Option<Message> {
         read_message(&mut self.0)
     }
-    /// Writes this, and waits for its answer.
+    /// Writes a request and waits for its answer.
     pub fn ask(&mut self, text: &str) -> Message {
         self.send(text);
         self.answer().expect("an answer")
     }
 }
 
-/// A request of the class that is safe to repeat.
+/// Returns a request of the safe class.
 pub fn read(id: &str, deadline_ms: u64) -> String {
     format!(
         "GET /api?of={id} HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: {id}\r\nX-Class: read\r\n\
@@ -422,7 +425,7 @@
     )
 }
 
-/// A request that must never run twice.
+/// Returns a request of the class that must never run twice.
 pub fn alarm(id: &str, deadline_ms: u64, body: &str) -> String {
     format!(
         "POST /api HTTP/1.1\r\nHost: api.internal\r\nX-Request-Id: {id}\r\nX-Class: alarm\r\n\
--- a/crates/rehearsal/src/state_directories.rs
+++ b/crates/rehearsal/src/state_directories.rs
@@ -1,5 +1,5 @@
-//! What balancers store, and what is done to it: a directory for each, which outlives its process where the scenario
-//! says so and is emptied at each start where not.
+//! State directories of the balancers, and faults that damage them. A directory survives a restart
+//! of its process if the scenario persists state, and is emptied at each start otherwise.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -16,29 +16,30 @@
 use crate::node::count;
 use crate::scenario::{FaultKind, Scenario};
 
-/// A directory is copied this often, where an old copy is to be put back.
+/// Interval between copies of a directory, where a fault puts an old copy back.
 pub const COPY_EVERY: Duration = Duration::from_millis(500);
-/// Chance of [`StateDirectories::apply_fault`] is a stream of its own.
+/// The random number stream of [`StateDirectories::apply_fault`].
 const STREAM: u64 = 8;
 
-/// A file's path in its directory, and what it holds.
+/// Paths relative to a directory, and the contents of each file.
 type Files = Vec<(PathBuf, Vec<u8>)>;
 
-/// What is wrong with the disk that a directory lies on. For launchers that reach it by a seam of their own.
+/// Faults of the disk that holds a balancer's directory, for launchers that inject them into their
+/// own storage layer.
 #[derive(Debug, Default)]
 pub struct DiskFaults {
     full: Cell<u32>,
-    /// Each write takes so much longer: faults that overlap add up.
+    /// Extra duration of each write. Overlapping faults add up.
     slow: Cell<Duration>,
 }
 
 impl DiskFaults {
-    /// Whether there is no room.
+    /// Returns whether writes fail for lack of space.
     pub fn is_full(&self) -> bool {
         self.full.get() > 0
     }
 
-    /// How long a write takes.
+    /// Returns the extra duration of a write.
     pub fn delay(&self) -> Duration {
         self.slow.get()
     }
@@ -59,36 +60,37 @@
     }
 }
 
-/// A file system in memory, on most Linux machines.
+/// An in-memory file system on most Linux machines.
 const MEMORY: &str = "/dev/shm";
 
-/// A folder of a run's own, gone with it. It lies in memory, where that can be had. Failure: all stand-ins are one thread,
-/// and beside other programs' syncs a single file took half a second, an emptied directory three.
+/// Creates a temporary directory that is deleted when dropped, in memory where possible. All
+/// stand-ins share one thread: on a disk that other programs sync, creating a single file took half
+/// a second and emptying a directory three seconds.
 ///
 /// # Errors
-/// There is no place for it.
+/// The directory can't be created.
 pub fn temporary_directory(prefix: &str) -> io::Result<tempfile::TempDir> {
     let mut builder = tempfile::Builder::new();
     let builder = builder.prefix(prefix);
     builder.tempdir_in(MEMORY).or_else(|_| builder.tempdir())
 }
 
-/// The directories of a bank.
+/// The state directories of all balancers of a run.
 pub struct StateDirectories {
     disks: Vec<Rc<DiskFaults>>,
     temporary_directory: tempfile::TempDir,
     keeps: bool,
-    /// How long copies are kept; `None` if nobody wants any.
+    /// Age up to which copies are retained; `None` if no fault needs copies.
     oldest: Option<Duration>,
     copies: RefCell<Vec<VecDeque<(Instant, Files)>>>,
     rng: RefCell<ChaCha8Rng>,
 }
 
 impl StateDirectories {
-    /// An empty directory for each balancer.
+    /// Creates an empty directory for each balancer.
     ///
     /// # Errors
-    /// There is no place for them.
+    /// The directories can't be created.
     pub fn new(scenario: &Scenario, seed: u64) -> io::Result<Self> {
         let age = |f: &crate::scenario::Fault| match f.kind {
             FaultKind::StateOld { age } => Some(age),
@@ -106,18 +108,18 @@
         })
     }
 
-    /// A balancer's directory.
+    /// Returns a balancer's directory.
     pub fn directory(&self, balancer: usize) -> PathBuf {
         self.temporary_directory.path().join(format!("n{balancer}"))
     }
 
-    /// Has the directory as a start is to find it.
+    /// Prepares a balancer's directory for a start.
     ///
     /// # Errors
-    /// It can't be made or emptied.
+    /// The directory can't be created or emptied.
     pub fn prepare(&self, balancer: usize) -> io::Result<PathBuf> {
         let directory = self.directory(balancer);
-        // An empty one is left alone: a start is not to wait for a disk.
+        // An empty directory is left as it is, so that a start doesn't wait for a disk.
         let empty = fs::read_dir(&directory).is_ok_and(|mut all| all.next().is_none());
         if !self.keeps && !empty && directory.exists() {
             fs::remove_dir_all(&directory)?;
@@ -126,22 +128,22 @@
         Ok(directory)
     }
 
-    /// The disk that a balancer's directory lies on.
+    /// Returns the faults of the disk that holds a balancer's directory.
     pub fn disk(&self, balancer: usize) -> Rc<DiskFaults> {
         self.disks[balancer].clone()
     }
 
-    /// A fault of a balancer's disk begins or ends.
+    /// Starts or ends a fault of a balancer's disk.
     pub fn apply_disk_fault(&self, kind: &FaultKind, balancer: usize, begins: bool) {
         self.disks[balancer].apply_fault(kind, begins);
     }
 
-    /// Whether directories are to be copied now and then.
+    /// Returns whether directories have to be copied regularly.
     pub fn needs_copies(&self) -> bool {
         self.oldest.is_some()
     }
 
-    /// Copies what each holds now.
+    /// Copies the current contents of each directory.
     ///
     /// # Errors
     /// A directory can't be read.
@@ -157,7 +159,7 @@
         Ok(())
     }
 
-    /// Does to a balancer's directory what a fault says; how many files it was done to.
+    /// Applies a fault to a balancer's directory. Returns the number of files affected.
     ///
     /// # Errors
     /// A directory can't be read or written.
@@ -182,7 +184,7 @@
             FaultKind::StateOld { age } => {
                 let (now, copies) = (Instant::now(), self.copies.borrow());
                 let old = |(at, _): &&(Instant, Files)| now.duration_since(*at) >= *age;
-                // Before anything was copied there was nothing.
+                // Before the first copy the directory was empty.
                 copies[balancer].iter().rev().find(old).map(|(_, f)| f.clone()).unwrap_or_default()
             }
             FaultKind::StateForeign => {
@@ -196,7 +198,7 @@
     }
 }
 
-/// All regular files under a directory, in order of their paths.
+/// Returns all regular files under a directory, sorted by path.
 fn files(directory: &Path) -> io::Result<Files> {
     let mut all = Vec::new();
     let mut open = vec![PathBuf::new()];
@@ -214,7 +216,7 @@
             }
             match fs::read(entry.path()) {
                 Ok(bytes) => all.push((path, bytes)),
-                // A process that runs has replaced it just now.
+                // A running process has just replaced the file.
                 Err(e) if e.kind() == io::ErrorKind::NotFound => {}
                 Err(e) => return Err(e),
             }
@@ -224,7 +226,7 @@
     Ok(all)
 }
 
-/// Has a directory hold these files and no others.
+/// Replaces the contents of a directory by these files.
 fn replace(directory: &Path, with: &[(PathBuf, Vec<u8>)]) -> io::Result<()> {
     fs::remove_dir_all(directory)?;
     fs::create_dir_all(directory)?;
@@ -236,7 +238,7 @@
     Ok(())
 }
 
-/// Cuts the rest off, or changes a byte, at a drawn place.
+/// Truncates the contents, or flips a bit, at a random position.
 fn tear(bytes: &mut Vec<u8>, flipped: bool, rng: &mut impl Rng) {
     let at = rng.random_range(0..bytes.len());
     if flipped {
--- a/crates/rehearsal/src/sweep.rs
+++ b/crates/rehearsal/src/sweep.rs
@@ -1,4 +1,5 @@
-//! Many small runs, each with its own random faults on top of one another, to find what nobody thought of.
+//! Sweeps: many small runs, each with its own random overlapping faults, to find unforeseen
+//! interactions.
 
 use std::num::NonZeroUsize;
 use std::rc::Rc;
@@ -21,12 +22,12 @@
     Trouble,
 };
 
-/// What one seed came to.
+/// The result of one seed.
 #[derive(Debug)]
 pub struct Swept {
-    /// The seed, for [`scenario`] and for the plan alike.
+    /// The seed of both [`scenario`] and the plan.
     pub seed: u64,
-    /// What was told of its run, or why there was none.
+    /// The report of the run, or the error that prevented it.
     pub report: Result<Report, RunError>,
 }
 
@@ -36,7 +37,8 @@
     Duration::from_millis(u64::from(ms))
 }
 
-/// The scenario of a seed: a small fleet, three to seven faults of any kind, on top of one another.
+/// Returns the scenario of a seed: a small fleet with three to seven overlapping faults of any
+/// kind.
 pub fn scenario(seed: u64) -> Scenario {
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
     rng.set_stream(99);
@@ -186,8 +188,8 @@
     }
 }
 
-/// The day of the seed with a bank of several, what is drawn for it beyond that comes from this stream, and its length in
-/// seconds.
+/// Returns the seed's scenario with several balancers, the random number generator of this stream
+/// for further choices, and the length in seconds.
 fn base_scenario(seed: u64, stream: u64, of: &str, about: &str) -> (Scenario, ChaCha8Rng, u32) {
     let mut scenario = scenario(seed);
     let mut rng = ChaCha8Rng::seed_from_u64(seed);
@@ -198,8 +200,9 @@
     (scenario, rng, length)
 }
 
-/// A day of a bank that breaks: that of the seed, with more balancers, which may send one another datagrams and keep what
-/// they store, and two to five faults of balancers, links and stored state on top of its own.
+/// Returns the scenario of a seed with faults of the cluster: the seed's own scenario with more
+/// balancers, which may send one another datagrams and persist state, and two to five additional
+/// faults of balancers, links and stored state.
 pub fn cluster_scenario(seed: u64) -> Scenario {
     let about = "random faults of a bank, on top of random others";
     let (mut scenario, mut rng, length) = base_scenario(seed, 98, "fleets", about);
@@ -208,7 +211,7 @@
         let fault = cluster_fault(&mut rng, length, &scenario.cluster);
         scenario.faults.push(fault);
     }
-    // From a stream of its own: days that were swept before there were such faults stay as they were but for these.
+    // A separate stream keeps the rest of the scenario as it was before these faults existed.
     rng.set_stream(97);
     if scenario.cluster.persists_state && rng.random::<f64>() < 0.4 {
         let slow = FaultKind::StateSlow { by: ms(rng.random_range(1_000..30_000)) };
@@ -225,8 +228,9 @@
     scenario
 }
 
-/// A day of a bank that keeps its state and comes back with an old copy of it, to a fleet of which a part was replaced or
-/// has left meanwhile, while the list is down, stale or late for some more seconds; and the faults of the seed's own day.
+/// Returns the scenario of a seed in which the cluster persists its state and restarts with an old
+/// copy, while a part of the fleet has been replaced or has left and the list is down, stale or
+/// late for some more seconds. The seed's own faults come on top.
 pub fn recovery_scenario(seed: u64) -> Scenario {
     let about = "a bank that comes back with old copies to another fleet, on top of random faults";
     let (mut scenario, mut rng, length) = base_scenario(seed, 96, "comebacks", about);
@@ -311,8 +315,9 @@
     }
 }
 
-/// Plays the scenarios that are `make_scenario` from these seeds in virtual time, on so many `threads` (as many as there are
-/// processors, if none is said), and tells of each as it ends, in no order. `launcher` is asked once a run, on the run's own thread.
+/// Runs the scenarios of these seeds in virtual time, on this many `threads` (by default the number
+/// of processors), and calls `report_run` for each as it ends, in no particular order. `launcher`
+/// is called once a run, on the run's own thread.
 pub fn sweep(
     seeds: std::ops::Range<u64>,
     make_scenario: fn(u64) -> Scenario,
--- a/crates/rehearsal/src/sweep/policy_changes.rs
+++ b/crates/rehearsal/src/sweep/policy_changes.rs
@@ -1,5 +1,5 @@
-//! Days on which operators change a bank's rules while it breaks: acts on the rule book on top of faults of links and
-//! balancers. The rest of such a day is the seed's own, without its own faults of nodes.
+//! Scenarios in which operators change the routing policy during faults of links and balancers. The
+//! rest is the seed's own scenario, of which at most two faults of nodes remain.
 
 use rand::RngExt;
 use rand_chacha::ChaCha8Rng;
@@ -10,13 +10,15 @@
     Scenario, Selection, Trouble,
 };
 
-/// Chance of such days is a stream of its own.
+/// The random number stream of these scenarios.
 const STREAM: u64 = 95;
-/// The first act comes after this: a bank that has just started agrees on its first charter.
+/// Earliest time of an action, in milliseconds: a newly started cluster first agrees on its first
+/// fallback policy.
 const FIRST_MS: u32 = 4_000;
 
-/// A day of a bank whose rules are changed while it breaks: a part of all datagrams lost (none, 10 % or 30 %), two to four of
-/// cuts, pauses, kills and restarts, and three to eight acts. Half of the seed's own faults of nodes and lists stay.
+/// Returns the scenario of a seed with policy changes during faults: a share of all datagrams lost
+/// (none, 10 % or 30 %), two to four cuts, pauses, kills and restarts, and three to eight operator
+/// actions. Up to two of the seed's own faults of nodes stay.
 pub fn policy_change_scenario(seed: u64) -> Scenario {
     let about = "operators change a bank's rules while it breaks";
     let (mut scenario, mut rng, _) = base_scenario(seed, STREAM, "bank", about);
@@ -32,7 +34,7 @@
     scenario.faults.truncate(2);
     let cells = scenario.fleet.cells() as u32;
     if rng.random::<f64>() < 0.4 {
-        // The first of each site are firm, and the rest can be put out.
+        // The first cells of each zone are mandatory, and the others can be excluded.
         scenario.cluster.policy.fallback_cells = Some(vec![0, 1, 2]);
         scenario.cluster.policy.mandatory_fallback_cells = Some(vec![0, 1]);
     }
@@ -70,7 +72,7 @@
     let selection = match rng.random_range(0..4) {
         0 => Selection { zone: Some(rng.random_range(0..2)), ..Selection::default() },
         1 => Selection { places: Some(vec![rng.random_range(0..count)]), ..Selection::default() },
-        // A third, or up to all.
+        // A third, or a random share.
         2 => Selection { share: Some(1.0 / 3.0), ..Selection::default() },
         _ => Selection { share: Some(rng.random()), ..Selection::default() },
     };
@@ -127,7 +129,7 @@
             PolicyActionKind::Cordon(Selection { places, ..Selection::default() })
         }
         9 => {
-            // The firm ones, and others.
+            // The mandatory cells, and others.
             let mut fallback_cells = vec![0, 1];
             fallback_cells.extend(cells.into_iter().filter(|p| *p > 1));
             PolicyActionKind::FallbackPolicy { cells: fallback_cells }
--- a/crates/rehearsal/src/wire.rs
+++ b/crates/rehearsal/src/wire.rs
@@ -1,5 +1,6 @@
-//! HTTP/1.1 as stand-ins speak it: whole messages with their times, and every way in which a connection can
-//! end before one is whole. Framing by RFC 9112, section 6.3; heads are `httparse`'s.
+//! HTTP/1.1 connections of the stand-ins: whole messages with their times, and all ways in which a
+//! connection can end before a message is complete. Framing follows RFC 9112, section 6.3; heads
+//! are parsed by `httparse`.
 
 use std::time::Duration;
 
@@ -8,67 +9,67 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, timeout};
 
-/// No head here is longer, and no body.
+/// Maximum sizes of a head and a body, in bytes.
 const LONGEST_HEAD: usize = 64 << 10;
 const LONGEST_BODY: usize = 16 << 20;
 const MOST_HEADERS: usize = 100;
 
-/// A whole message.
+/// A complete message.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// Method and target, or the status and its reason.
+    /// Method and target, or status and reason.
     pub start: (String, String),
-    /// In their order, names as they came.
+    /// Headers in the order received, with names as received.
     pub headers: Vec<(String, String)>,
-    /// Without its transfer coding.
+    /// The body, decoded from its transfer coding.
     pub body: Bytes,
-    /// When its first byte was read.
+    /// Time at which the first byte was read.
     pub first: Instant,
 }
 
 impl Message {
-    /// The first header of this name.
+    /// Returns the value of the first header with this name.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name));
         found.map(|(_, value)| value.as_str())
     }
 
-    /// Of an answer; 0 for a request.
+    /// Returns the status of a response; 0 for a request.
     pub fn status(&self) -> u16 {
         self.start.0.parse().unwrap_or(0)
     }
 
-    /// Whether its sender will close the connection behind it.
+    /// Returns whether the sender will close the connection after this message.
     pub fn closes(&self) -> bool {
         self.header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"))
     }
 }
 
-/// Which way messages go.
+/// Direction of messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Direction {
-    /// From clients.
+    /// From clients to servers.
     Requests,
-    /// To clients.
+    /// From servers to clients.
     Responses,
 }
 
-/// How a connection ended before a message was whole.
+/// The reason why no complete message was read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 pub enum ConnectionEnd {
-    /// In order; `inside` a message or between two.
+    /// The connection was closed in an orderly way.
     #[error("closed")]
     Closed {
-        /// A part of a message had come.
+        /// Whether a part of a message had been received.
         inside: bool,
     },
-    /// By a reset.
+    /// The connection was reset.
     #[error("reset")]
     Reset {
-        /// A part of a message had come.
+        /// Whether a part of a message had been received.
         inside: bool,
     },
-    /// What came is no message.
+    /// The received bytes are not a valid message.
     #[error("not HTTP/1.1: {0}")]
     Malformed(String),
 }
@@ -87,22 +88,22 @@
 }
 
 impl Exchange {
-    /// On a new connection.
+    /// Creates an exchange on a new connection.
     pub fn new(stream: Box<dyn Stream>) -> Self {
         Self { stream, buffer: BytesMut::new(), first: None }
     }
 
-    /// Whether nothing has come that is not read yet, not even its end.
+    /// Returns whether nothing unread has been received, not even the end of the connection.
     pub fn is_quiet(&self) -> bool {
         self.buffer.is_empty() && self.stream.is_quiet()
     }
 
-    /// Bytes that came behind the last message.
+    /// Returns the number of bytes received after the last message.
     pub fn left_over(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Ends it by a reset.
+    /// Resets the connection.
     pub fn reset(self) {
         self.stream.reset();
     }
@@ -120,10 +121,10 @@
         }
     }
 
-    /// The next whole message.
+    /// Reads the next complete message.
     ///
     /// # Errors
-    /// How the connection ended, or why what came is none.
+    /// The connection has ended, or the received bytes are not a valid message.
     pub async fn message(&mut self, direction: Direction) -> Result<Message, ConnectionEnd> {
         if !self.buffer.is_empty() {
             self.first.get_or_insert_with(Instant::now);
@@ -132,7 +133,7 @@
             if let Some((mut message, head, framing)) = parse(&self.buffer, direction)? {
                 self.buffer.advance(head);
                 message.first = self.first.take().unwrap_or(message.first);
-                // Informational answers come ahead of the one that counts (RFC 9110, 15.2).
+                // Informational responses precede the final one (RFC 9110, section 15.2).
                 if direction == Direction::Responses && (100..200).contains(&message.status()) {
                     if !self.buffer.is_empty() {
                         self.first = Some(Instant::now());
@@ -198,7 +199,8 @@
         }
     }
 
-    /// Ends with the connection; what still comes before that is kept for the next message.
+    /// Waits for the end of the connection. Bytes received before that are kept for the next
+    /// message.
     pub async fn end(&mut self) -> ConnectionEnd {
         loop {
             if let Err(ended) = self.fill().await {
@@ -210,10 +212,10 @@
         }
     }
 
-    /// What has come and belongs to no message, or what comes next.
+    /// Returns the bytes received but not part of a message, or the next bytes received.
     ///
     /// # Errors
-    /// How the connection ended.
+    /// The connection has ended.
     pub async fn some(&mut self) -> Result<Bytes, ConnectionEnd> {
         if self.buffer.is_empty() {
             self.fill().await?;
@@ -221,7 +223,7 @@
         Ok(self.buffer.split().freeze())
     }
 
-    /// Reads what comes, and throws it away, until nothing has come for so long. How much it was.
+    /// Reads and discards bytes until none have been received for `quiet`. Returns their number.
     pub async fn drain(&mut self, quiet: Duration) -> usize {
         let mut bytes = std::mem::take(&mut self.buffer).len();
         while let Ok(Ok(())) = timeout(quiet, self.fill()).await {
@@ -230,25 +232,26 @@
         bytes
     }
 
-    /// Writes all of it.
+    /// Writes all bytes.
     ///
     /// # Errors
-    /// The connection is gone.
+    /// The connection is closed.
     pub async fn write(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         self.stream.write_all(bytes).await?;
         self.stream.flush().await
     }
 
-    /// Writes one chunk of a chunked answer.
+    /// Writes one chunk of a chunked response.
     ///
     /// # Errors
-    /// The connection is gone.
+    /// The connection is closed.
     pub async fn chunk(&mut self, text: &str) -> std::io::Result<()> {
         self.write(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).await
     }
 }
 
-/// Reads a head, if it is whole: how many bytes it took, and how its body is framed.
+/// Parses a head if it is complete. Returns the message, the length of the head and the framing of
+/// the body.
 fn parse(
     buffer: &[u8],
     direction: Direction,
