--- a/crates/ctl/src/picture.rs
+++ b/crates/ctl/src/picture.rs
@@ -1,8 +1,8 @@
 //! A run as a picture: service over time against its twin's, and what came at once, with the faults drawn in.
 
 use hollowpaddle_charts::{DrawError, Line, Panel, Picture, Span};
-use hollowpaddle_rehearsal::judge::cluster::{PolicyReport, PolicySample};
-use hollowpaddle_rehearsal::judge::recovery::RecoveryReport;
+use hollowpaddle_rehearsal::checker::cluster::{PolicyReport, PolicySample};
+use hollowpaddle_rehearsal::checker::recovery::RecoveryReport;
 use hollowpaddle_rehearsal::report::Report;
 
 /// Kinds of what came at once that are drawn beside one another: attempts would dwarf them.
@@ -22,7 +22,7 @@
         let points = points.map(|(n, v)| (time(n), Some(*v as f64))).collect();
         Some(Line { name: what.to_string(), points })
     };
-    let span = |e: &hollowpaddle_rehearsal::judge::recovery::Episode| Span {
+    let span = |e: &hollowpaddle_rehearsal::checker::recovery::Episode| Span {
         name: e.faults.join(", "),
         from: e.from_s,
         to: e.up_s.unwrap_or(report.length_s),
--- a/crates/rehearsal/src/lib.rs
+++ b/crates/rehearsal/src/lib.rs
@@ -9,7 +9,7 @@
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
-pub use hollowpaddle_checker::{self as judge, report};
+pub use hollowpaddle_checker::{self as checker, report};
 pub use hollowpaddle_scenario::{plan, policy_actions, record, scenario};
 
 pub mod clients;
--- a/crates/rehearsal/src/node/mod.rs
+++ b/crates/rehearsal/src/node/mod.rs
@@ -24,7 +24,7 @@
 use crate::record::{At, Observation};
 use crate::run_context::{Host, RunContext};
 use crate::scenario::MachineType;
-use model::{Model, WarmUpFall};
+use model::{Model, OverloadLimit};
 
 /// Active faults of a node, by number or by factor.
 #[derive(Clone, Debug, Default)]
@@ -32,10 +32,10 @@
     dead: u32,
     vanished: u32,
     draining: u32,
-    gone: bool,
-    cut: Vec<u32>,
+    removed: bool,
+    cut_off: Vec<u32>,
     slow: Vec<f64>,
-    spoil: Vec<f64>,
+    malformed_shares: Vec<f64>,
 }
 
 /// A load report.
@@ -58,7 +58,7 @@
     process: RefCell<Option<Process>>,
     /// Start time of the process, for the endpoint list.
     since: Cell<At>,
-    tipped: Cell<bool>,
+    overloaded: Cell<bool>,
     /// Listening address for each balancer, reused after a restart.
     addresses: RefCell<Vec<SocketAddr>>,
     /// The state that its connections watch.
@@ -78,7 +78,7 @@
     /// Whether the machine is silent.
     silent: bool,
     /// Whether each balancer is cut off from the node.
-    cut: Vec<bool>,
+    cut_off: Vec<bool>,
 }
 
 struct Process {
@@ -110,8 +110,9 @@
         let machine = context.plan.machines[index].clone();
         let kind = context.scenario.fleet.machine_types[machine.machine_type].clone();
         let balancers = context.scenario.cluster.count;
-        let active_faults = ActiveFaults { cut: vec![0; balancers], ..ActiveFaults::default() };
-        let state = ConnectionState { cut: vec![false; balancers], ..ConnectionState::default() };
+        let active_faults = ActiveFaults { cut_off: vec![0; balancers], ..ActiveFaults::default() };
+        let state =
+            ConnectionState { cut_off: vec![false; balancers], ..ConnectionState::default() };
         Rc::new(Self {
             context: context.clone(),
             index,
@@ -121,7 +122,7 @@
             active_faults: RefCell::new(active_faults),
             process: RefCell::default(),
             since: Cell::default(),
-            tipped: Cell::new(false),
+            overloaded: Cell::new(false),
             addresses: RefCell::default(),
             state: OrderedWatch::new(state),
             errors: Cell::new(0),
@@ -187,12 +188,12 @@
 
         let scenario = &self.context.scenario;
         let cold_ms = if cold { self.kind.cold.as_secs_f64() * 1e3 } else { 0.0 };
-        let fall = WarmUpFall {
+        let overload = OverloadLimit {
             multiple: scenario.rules.fall_multiple,
             window: scenario.rules.tip_after.as_secs_f64() * 1e3,
             mean: scenario.mean_work(),
         };
-        let mut model = Model::start(&self.kind, self.machine.speed, self.now(), cold_ms, fall);
+        let mut model = Model::start(&self.kind, self.machine.speed, self.now(), cold_ms, overload);
         model.slow = self.active_faults.borrow().slow.iter().product();
         let record = &self.context.record;
         self.since.set(if cold { record.now() } else { At(0) });
@@ -236,7 +237,7 @@
     /// Returns whether no fault keeps the process from running.
     pub fn may_run(&self) -> bool {
         let t = self.active_faults.borrow();
-        t.dead == 0 && !t.gone && !self.tipped.get()
+        t.dead == 0 && !t.removed && !self.overloaded.get()
     }
 
     /// Starts or ends a fault that kills the process. At its end the caller starts the process
@@ -250,7 +251,7 @@
 
     /// Removes the node for good. Returns `false` if it was removed before.
     pub fn retire(&self) -> bool {
-        let before = std::mem::replace(&mut self.active_faults.borrow_mut().gone, true);
+        let before = std::mem::replace(&mut self.active_faults.borrow_mut().removed, true);
         self.stop();
         !before
     }
@@ -275,9 +276,9 @@
     /// Cuts the node off from one balancer, or ends the cut, which resets the connections that were
     /// open.
     pub fn cut(&self, balancer: usize, begins: bool) {
-        count(&mut self.active_faults.borrow_mut().cut[balancer], begins);
-        let cut = self.active_faults.borrow().cut[balancer] > 0;
-        self.state.send_modify(|state| state.cut[balancer] = cut);
+        count(&mut self.active_faults.borrow_mut().cut_off[balancer], begins);
+        let cut_off = self.active_faults.borrow().cut_off[balancer] > 0;
+        self.state.send_modify(|state| state.cut_off[balancer] = cut_off);
         self.hush();
     }
 
@@ -299,16 +300,16 @@
 
     /// Starts or ends a fault that malforms a share of the answers.
     pub fn spoil(&self, share: f64, begins: bool) {
-        toggle(&mut self.active_faults.borrow_mut().spoil, share, begins);
+        toggle(&mut self.active_faults.borrow_mut().malformed_shares, share, begins);
     }
 
     /// Silences or reopens each listener according to the current faults.
     fn hush(&self) {
         let state = self.state.get().clone();
         if let Some(process) = &*self.process.borrow() {
-            for (listener, cut) in process.listeners.iter().zip(&state.cut) {
+            for (listener, cut_off) in process.listeners.iter().zip(&state.cut_off) {
                 if let Some(listener) = &mut *listener.borrow_mut() {
-                    listener.hush(state.silent || *cut);
+                    listener.hush(state.silent || *cut_off);
                 }
             }
         }
--- a/crates/rehearsal/src/node/model.rs
+++ b/crates/rehearsal/src/node/model.rs
@@ -28,7 +28,7 @@
 
 /// The load at which a cold node is overloaded and stops.
 #[derive(Clone, Copy, Debug)]
-pub struct WarmUpFall {
+pub struct OverloadLimit {
     /// Tolerated work, as a multiple of the current capacity.
     pub multiple: f64,
     /// Window over which the work is added up.
@@ -62,7 +62,7 @@
     working: Vec<Job>,
     waiting: VecDeque<Job>,
     now: Ms,
-    fall: WarmUpFall,
+    overload: OverloadLimit,
     /// While cold: time and work of each request sent to the node within the window.
     sent: VecDeque<(Ms, f64)>,
     /// Number of requests finished, for load reports.
@@ -71,7 +71,13 @@
 
 impl Model {
     /// Creates a node that starts at `now`; it is warm from the start if `cold` is 0.
-    pub fn start(kind: &MachineType, speed: f64, now: Ms, cold: Ms, fall: WarmUpFall) -> Self {
+    pub fn start(
+        kind: &MachineType,
+        speed: f64,
+        now: Ms,
+        cold: Ms,
+        overload: OverloadLimit,
+    ) -> Self {
         Self {
             kind: kind.clone(),
             speed,
@@ -82,7 +88,7 @@
             working: Vec::new(),
             waiting: VecDeque::new(),
             now,
-            fall,
+            overload,
             sent: VecDeque::new(),
             served: 0,
         }
@@ -160,11 +166,11 @@
     fn collect(&mut self, finished: &mut Vec<u32>) {
         let before = finished.len();
         self.working.retain(|job| {
-            let over = job.left <= WORK_EPSILON;
-            if over {
+            let is_finished = job.left <= WORK_EPSILON;
+            if is_finished {
                 finished.push(job.id);
             }
-            !over
+            !is_finished
         });
         self.served += (finished.len() - before) as u64;
         while self.working.len() < self.kind.slots as usize {
@@ -204,11 +210,11 @@
             return false;
         }
         self.sent.push_back((self.now, work));
-        let from = self.now - self.fall.window;
+        let from = self.now - self.overload.window;
         while self.sent.front().is_some_and(|(at, _)| *at < from) {
             self.sent.pop_front();
         }
-        let WarmUpFall { multiple, window, mean } = self.fall;
+        let OverloadLimit { multiple, window, mean } = self.overload;
         let able = self.full() * self.warmth() * window;
         counted_work(self.sent.iter().map(|(_, w)| *w), mean)
             > cold_node_limit(multiple * able / mean) * mean
@@ -239,7 +245,7 @@
         }
     }
 
-    const FALL: WarmUpFall = WarmUpFall { multiple: 4.0, window: 2000.0, mean: 100.0 };
+    const OVERLOAD: OverloadLimit = OverloadLimit { multiple: 4.0, window: 2000.0, mean: 100.0 };
 
     fn finished(model: &mut Model, at: Ms) -> Vec<u32> {
         let mut all = Vec::new();
@@ -248,8 +254,8 @@
     }
 
     #[test]
-    fn cores_are_shared_and_the_waiting_room_is_bounded() {
-        let mut m = Model::start(&kind(), 2.0, 0.0, 0.0, FALL);
+    fn cores_are_shared_and_the_queue_is_bounded() {
+        let mut m = Model::start(&kind(), 2.0, 0.0, 0.0, OVERLOAD);
         for id in 0..2 {
             assert_eq!(m.arrive(id, 100.0), Admission::Accepted);
         }
@@ -259,26 +265,26 @@
             (Admission::Accepted, Admission::Accepted)
         );
         assert_eq!(m.arrive(4, 100.0), Admission::Full);
-        // Four on two cores is half a request a core over 1.5: a sixth of the speed is lost.
+        // Four requests on two cores exceed the threshold of 1.5 by half a request per core: a sixth of the speed is lost.
         let pace = 2.0 * 2.0 * (1.0 - 0.5 * 0.5 / 1.5) / 3.0;
         let next = m.next().expect("busy");
         assert!((next - 100.0 / pace).abs() < 1e-6, "{next}");
         assert_eq!(finished(&mut m, next + 1e-3), vec![0, 1, 2]);
         assert_eq!(m.held(), 1);
-        let last = m.next().expect("the one that waited");
+        let last = m.next().expect("the queued request");
         assert_eq!(finished(&mut m, last), vec![3]);
         assert_eq!((m.served(), m.next()), (4, None));
     }
 
     #[test]
-    fn a_cold_one_warms_with_time_and_sooner_with_work() {
-        let mut idle = Model::start(&kind(), 1.0, 0.0, 10_000.0, FALL);
+    fn a_cold_node_warms_up_with_time_and_faster_with_work() {
+        let mut idle = Model::start(&kind(), 1.0, 0.0, 10_000.0, OVERLOAD);
         assert_eq!(idle.warmth(), 0.25);
         finished(&mut idle, 5000.0);
         assert!((idle.warmth() - 0.625).abs() < 1e-9);
         finished(&mut idle, 10_000.0);
         assert_eq!(idle.warmth(), 1.0);
-        let mut busy = Model::start(&kind(), 1.0, 0.0, 10_000.0, FALL);
+        let mut busy = Model::start(&kind(), 1.0, 0.0, 10_000.0, OVERLOAD);
         for i in 0..2500 {
             let at = f64::from(i);
             finished(&mut busy, at);
@@ -290,31 +296,35 @@
     }
 
     #[test]
-    fn a_cold_one_falls_over_when_it_is_sent_too_much_and_not_before() {
-        let mut m = Model::start(&kind(), 1.0, 0.0, 10_000.0, FALL);
-        // 0.25 of two cores for 2 s, four times: 40 requests, and by chance twice the root of that and two.
+    fn a_cold_node_is_overloaded_only_above_its_limit() {
+        let mut m = Model::start(&kind(), 1.0, 0.0, 10_000.0, OVERLOAD);
+        // Four times 0.25 of two cores for 2 s is 40 requests; the tolerance adds twice the square root, and two.
         let mut sent = 0.0;
         while m.arrive(0, 100.0) != Admission::Overloaded {
             sent += 100.0;
-            assert!(sent <= 5400.0, "it bears {sent}");
+            assert!(sent <= 5400.0, "not overloaded after {sent}");
         }
         assert_eq!(sent, 5400.0);
-        let mut heavy = Model::start(&kind(), 1.0, 0.0, 10_000.0, FALL);
-        assert_eq!(heavy.arrive(0, 50_000.0), Admission::Accepted, "one heavy request is chance");
+        let mut heavy = Model::start(&kind(), 1.0, 0.0, 10_000.0, OVERLOAD);
+        assert_eq!(
+            heavy.arrive(0, 50_000.0),
+            Admission::Accepted,
+            "one heavy request is tolerated"
+        );
         assert_eq!(heavy.arrive(0, 50_000.0), Admission::Overloaded, "two are not");
-        // The same a little at a time never pushes it over, nor does anything a warm one.
-        let mut slow = Model::start(&kind(), 1.0, 0.0, 10_000.0, FALL);
+        // The same work spread over time never overloads a cold node, and no work overloads a warm one.
+        let mut slow = Model::start(&kind(), 1.0, 0.0, 10_000.0, OVERLOAD);
         for i in 0..50 {
             finished(&mut slow, 60.0 * f64::from(i));
             assert_ne!(slow.arrive(0, 100.0), Admission::Overloaded);
         }
-        let mut warm = Model::start(&kind(), 1.0, 0.0, 0.0, FALL);
+        let mut warm = Model::start(&kind(), 1.0, 0.0, 0.0, OVERLOAD);
         assert!((0..500).all(|_| warm.arrive(0, 100.0) != Admission::Overloaded));
     }
 
     #[test]
-    fn a_slow_one_takes_its_factor_longer() {
-        let mut m = Model::start(&kind(), 1.0, 0.0, 0.0, FALL);
+    fn a_slow_node_takes_longer_by_its_factor() {
+        let mut m = Model::start(&kind(), 1.0, 0.0, 0.0, OVERLOAD);
         m.slow = 5.0;
         m.arrive(0, 10.0);
         assert!(finished(&mut m, 49.9).is_empty());
--- a/crates/rehearsal/src/node/serving.rs
+++ b/crates/rehearsal/src/node/serving.rs
@@ -42,7 +42,7 @@
         mut state: WatchReceiver<super::ConnectionState>,
     ) {
         let process = state.borrow_and_update().process;
-        let crowded = {
+        let over_limit = {
             let mut process = self.process.borrow_mut();
             let Some(p) = &mut *process else { return exchange.reset() };
             p.connections += 1;
@@ -55,7 +55,7 @@
             tokio::select! {
                 biased;
                 () = wait_until_unusable => true,
-                () = self.requests(balancer, &mut exchange, crowded) => false,
+                () = self.requests(balancer, &mut exchange, over_limit) => false,
             }
         };
         if ended {
@@ -68,7 +68,7 @@
         }
     }
 
-    async fn requests(self: &Rc<Self>, balancer: usize, exchange: &mut Exchange, crowded: bool) {
+    async fn requests(self: &Rc<Self>, balancer: usize, exchange: &mut Exchange, over_limit: bool) {
         let record = &self.context.record;
         loop {
             let idle = self.context.scenario.rules.keepalive;
@@ -90,7 +90,7 @@
                     });
                 }
             };
-            if !self.request(balancer, exchange, message, crowded).await {
+            if !self.request(balancer, exchange, message, over_limit).await {
                 return;
             }
         }
@@ -118,7 +118,7 @@
         balancer: usize,
         exchange: &mut Exchange,
         message: Message,
-        crowded: bool,
+        over_limit: bool,
     ) -> bool {
         let record = &self.context.record;
         let request = match self.known(&message) {
@@ -131,7 +131,7 @@
         };
         let attempt = record.attempt();
         let state = self.state.get().clone();
-        let dark = state.silent || state.cut[balancer];
+        let dark = state.silent || state.cut_off[balancer];
         let first = At(record.now().0.saturating_sub(message.first.elapsed().as_micros() as u64));
         let work_ms = self.context.work_ms(request, self.machine.cell);
         let start = self.context.start_of(balancer);
@@ -154,7 +154,7 @@
             record.saw(Observation::Closed { attempt });
             return false;
         }
-        let outcome = self.run(exchange, attempt, request, work_ms, crowded).await;
+        let outcome = self.run(exchange, attempt, request, work_ms, over_limit).await;
         let Some(outcome) = outcome else { return false };
         record.saw(Observation::Ended { attempt, outcome: outcome });
         let load = self.load_header();
@@ -163,7 +163,7 @@
                 answer(200, &load, &format!("{} {attempt}", self.context.arrival(request).id))
             }
             AttemptOutcome::Error => answer(500, &load, ""),
-            AttemptOutcome::Malformed => self.spoilt(),
+            AttemptOutcome::Malformed => self.malformed_answer(),
             _ => answer(503, &format!("X-Not-Run: 1\r\n{load}"), ""),
         };
         let written = exchange.write(text.as_bytes()).await.is_ok();
@@ -172,7 +172,7 @@
             let _ = exchange.end().await;
             return false;
         }
-        written && !crowded
+        written && !over_limit
     }
 
     /// Runs a request. Returns `None` if the connection ended first.
@@ -182,17 +182,17 @@
         attempt: u32,
         request: u32,
         work_ms: f64,
-        crowded: bool,
+        over_limit: bool,
     ) -> Option<AttemptOutcome> {
         let record = &self.context.record;
-        if crowded || self.drains() {
+        if over_limit || self.drains() {
             return Some(AttemptOutcome::Rejected);
         }
         if self.seen_before(request) {
             return Some(AttemptOutcome::Dropped);
         }
         self.advance();
-        let (tell, done) = oneshot::channel();
+        let (sender, done) = oneshot::channel();
         {
             let mut process = self.process.borrow_mut();
             let process = process.as_mut()?;
@@ -200,13 +200,13 @@
                 Admission::Accepted => {}
                 Admission::Full => return Some(AttemptOutcome::Rejected),
                 Admission::Overloaded => {
-                    self.tipped.set(true);
+                    self.overloaded.set(true);
                     record.saw(Observation::Overloaded { node: self.index });
                     self.changed.notify_one();
                     return Some(AttemptOutcome::Rejected);
                 }
             }
-            process.waiting.insert(attempt, tell);
+            process.waiting.insert(attempt, sender);
             process.wake.notify_one();
         }
         self.remember(request);
@@ -230,12 +230,13 @@
             }
         }
         died.cancel();
-        let (error, spoil): (f64, f64) = {
+        let (error, malformed): (f64, f64) = {
             let mut rng = self.rng.borrow_mut();
             (rng.random(), rng.random())
         };
-        let well: f64 = self.active_faults.borrow().spoil.iter().map(|s| 1.0 - s).product();
-        Some(if spoil >= well {
+        let well_formed_share: f64 =
+            self.active_faults.borrow().malformed_shares.iter().map(|s| 1.0 - s).product();
+        Some(if malformed >= well_formed_share {
             AttemptOutcome::Malformed
         } else if error < self.kind.error_rate {
             self.errors.set(self.errors.get() + 1);
@@ -271,7 +272,7 @@
     }
 
     /// Returns a malformed answer, of one of several kinds.
-    fn spoilt(&self) -> String {
+    fn malformed_answer(&self) -> String {
         let kind: u32 = self.rng.borrow_mut().random_range(0..4);
         match kind {
             0 => "\x07\x07 this is noise \x7f\x7f\r\n\r\n".to_string(),
@@ -294,7 +295,7 @@
         {
             let now = state.borrow_and_update();
             // A silent machine sends no reset either.
-            let dark = now.silent || now.cut[balancer];
+            let dark = now.silent || now.cut_off[balancer];
             if now.process != process || (!dark && (!now.alive || was_dark)) {
                 return;
             }
--- a/crates/rehearsal/src/operator.rs
+++ b/crates/rehearsal/src/operator.rs
@@ -246,14 +246,14 @@
     ) -> Option<(u16, Value)> {
         let at = self.balancers.admin_address(target)?;
         let network = self.context.testbed.network(Host::Clients(target));
-        let mut talk = Exchange::new(network.connect(at).await.ok()?);
+        let mut exchange = Exchange::new(network.connect(at).await.ok()?);
         let body = if body.is_null() { String::new() } else { body.to_string() };
         let length = body.len();
         let call = format!(
             "{method} {path} HTTP/1.1\r\nHost: door\r\nConnection: close\r\nContent-Length: {length}\r\n\r\n{body}"
         );
-        talk.write(call.as_bytes()).await.ok()?;
-        let answer = talk.message(Direction::Responses).await.ok()?;
+        exchange.write(call.as_bytes()).await.ok()?;
+        let answer = exchange.message(Direction::Responses).await.ok()?;
         Some((answer.status(), serde_json::from_slice(&answer.body).unwrap_or_default()))
     }
 }
--- a/crates/rehearsal/src/process.rs
+++ b/crates/rehearsal/src/process.rs
@@ -14,11 +14,11 @@
 use crate::state_directories::temporary_directory;
 
 /// The kernel's clock ticks per second, the unit of processor time in proc(5); 100 on all of Linux.
-const TICKS: u64 = 100;
+const TICKS_PER_SECOND: u64 = 100;
 
 /// Limits on the log excerpt reported when a balancer could not be started.
-const LAST_BYTES: usize = 4096;
-const LAST_LINES: usize = 8;
+const LOG_EXCERPT_BYTES: usize = 4096;
+const LOG_EXCERPT_LINES: usize = 8;
 
 /// Starts balancers by a command, as the platform does: `/bin/sh -c`, the LB_* variables and a
 /// configuration file.
@@ -78,13 +78,13 @@
             .spawn()
             .map_err(|e| fail(format!("`{}`: {e}", self.command)))?;
         let pid = child.id().and_then(|id| Pid::from_raw(id as i32));
-        let over = Rc::new(Cell::new(false));
+        let has_exited = Rc::new(Cell::new(false));
         let command = self.command.clone();
-        let control = Box::new(Process { pid, over: over.clone(), file, log, command });
+        let control = Box::new(Process { pid, has_exited: has_exited.clone(), file, log, command });
         let ended = Box::pin(async move {
             let status = child.wait().await;
             // The process id may be reused from here on.
-            over.set(true);
+            has_exited.set(true);
             status.ok().and_then(|s| s.code())
         });
         Ok(Running { control, ended })
@@ -93,7 +93,7 @@
 
 struct Process {
     pid: Option<Pid>,
-    over: Rc<Cell<bool>>,
+    has_exited: Rc<Cell<bool>>,
     file: PathBuf,
     log: PathBuf,
     command: String,
@@ -101,7 +101,7 @@
 
 impl Process {
     fn signal(&self, signal: Signal) {
-        if let Some(pid) = self.pid.filter(|_| !self.over.get()) {
+        if let Some(pid) = self.pid.filter(|_| !self.has_exited.get()) {
             let _ = kill_process(pid, signal);
         }
     }
@@ -130,9 +130,9 @@
 
     fn recent_log(&self) -> String {
         let text = fs::read(&self.log).unwrap_or_default();
-        let text = String::from_utf8_lossy(&text[text.len().saturating_sub(LAST_BYTES)..]);
+        let text = String::from_utf8_lossy(&text[text.len().saturating_sub(LOG_EXCERPT_BYTES)..]);
         let lines: Vec<&str> = text.lines().collect();
-        let last = &lines[lines.len().saturating_sub(LAST_LINES)..];
+        let last = &lines[lines.len().saturating_sub(LOG_EXCERPT_LINES)..];
         let wrote = if last.is_empty() {
             "it wrote nothing".to_string()
         } else {
@@ -142,7 +142,7 @@
     }
 
     fn resources(&self) -> Option<Resources> {
-        let pid = self.pid.filter(|_| !self.over.get())?.as_raw_nonzero();
+        let pid = self.pid.filter(|_| !self.has_exited.get())?.as_raw_nonzero();
         let proc_directory = PathBuf::from(format!("/proc/{pid}"));
         let status = fs::read_to_string(proc_directory.join("status")).ok()?;
         let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:"))?;
@@ -154,6 +154,6 @@
         let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
         let ticks: u64 =
             fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
-        Some(Resources { memory_kib, descriptors, cpu_ms: ticks * 1000 / TICKS })
+        Some(Resources { memory_kib, descriptors, cpu_ms: ticks * 1000 / TICKS_PER_SECOND })
     }
 }
--- a/crates/rehearsal/src/run_context.rs
+++ b/crates/rehearsal/src/run_context.rs
@@ -34,7 +34,7 @@
 const PEERS: usize = 3000;
 const NODES: usize = 4000;
 /// Number of addresses used of each network of 256.
-const OF_NET: usize = 250;
+const HOSTS_PER_NETWORK: usize = 250;
 
 impl Host {
     fn index(self) -> usize {
@@ -59,7 +59,8 @@
 
     fn ip(self, net: u8) -> IpAddr {
         let index = self.index();
-        let (third, fourth) = ((index / OF_NET) as u8, (index % OF_NET + 1) as u8);
+        let (third, fourth) =
+            ((index / HOSTS_PER_NETWORK) as u8, (index % HOSTS_PER_NETWORK + 1) as u8);
         IpAddr::V4(Ipv4Addr::new(127, net, third, fourth))
     }
 
@@ -67,7 +68,7 @@
     pub fn from_ip(ip: IpAddr) -> Self {
         let IpAddr::V4(ip) = ip else { return Host::Balancer(0) };
         let [_, _, third, fourth] = ip.octets();
-        Self::at(usize::from(third) * OF_NET + usize::from(fourth).saturating_sub(1))
+        Self::at(usize::from(third) * HOSTS_PER_NETWORK + usize::from(fourth).saturating_sub(1))
     }
 }
 
@@ -85,7 +86,7 @@
 }
 
 /// The second octet of addresses in simulated runs.
-const SIMULATED: u8 = 64;
+const SIMULATED_NET: u8 = 64;
 
 impl Testbed {
     /// Returns a test bed on this machine's loopback.
@@ -117,7 +118,7 @@
     pub fn network(&self, who: Host) -> Rc<dyn Network> {
         match self {
             Testbed::Loopback { .. } => Rc::new(Tcp),
-            Testbed::Simulated(fabric) => fabric.host(who.ip(SIMULATED)),
+            Testbed::Simulated(fabric) => fabric.host(who.ip(SIMULATED_NET)),
         }
     }
 
@@ -125,7 +126,7 @@
     pub fn address(&self, who: Host) -> SocketAddr {
         let net = match self {
             Testbed::Loopback { net } => *net,
-            Testbed::Simulated(_) => SIMULATED,
+            Testbed::Simulated(_) => SIMULATED_NET,
         };
         SocketAddr::new(who.ip(net), 0)
     }
@@ -134,7 +135,7 @@
     /// where the machine's clock must not be stepped.
     pub fn step_clock(&self, who: Host, by_us: i64) {
         if let Testbed::Simulated(fabric) = self {
-            fabric.step_clock(who.ip(SIMULATED), by_us);
+            fabric.step_clock(who.ip(SIMULATED_NET), by_us);
         }
     }
 
@@ -173,7 +174,7 @@
     /// Idempotency keys that each group of nodes has seen, and the time at which each expires.
     pub keys: RefCell<FxHashMap<(u64, u32), tokio::time::Instant>>,
     /// User sessions that each cell knows, and the time at which each expires.
-    known: RefCell<FxHashMap<(u32, u32), tokio::time::Instant>>,
+    known_sessions: RefCell<FxHashMap<(u32, u32), tokio::time::Instant>>,
     /// Number of requests that are not finished.
     pub open: Cell<usize>,
 }
@@ -194,7 +195,7 @@
             requests,
             starts,
             keys: RefCell::default(),
-            known: RefCell::default(),
+            known_sessions: RefCell::default(),
             open: Cell::new(0),
         })
     }
@@ -265,27 +266,27 @@
 
     /// Returns the work of a request in this cell, in milliseconds of a core of speed 1. A user
     /// session that is unknown to the cell costs extra work.
-    pub fn work_ms(&self, request: u32, pod: u32) -> f64 {
+    pub fn work_ms(&self, request: u32, cell: u32) -> f64 {
         let arrival = self.arrival(request);
-        let stranger = match (&self.scenario.sessions, arrival.session) {
-            (Some(vans), Some((van, _))) => {
-                let known = self.known.borrow();
-                let until = known.get(&(pod, van));
+        let extra_work = match (&self.scenario.sessions, arrival.session) {
+            (Some(sessions), Some((session, _))) => {
+                let known = self.known_sessions.borrow();
+                let until = known.get(&(cell, session));
                 let known = until.is_some_and(|until| *until > tokio::time::Instant::now());
-                if known { 0.0 } else { vans.unknown_session_work_ms }
+                if known { 0.0 } else { sessions.unknown_session_work_ms }
             }
             _ => 0.0,
         };
-        arrival.work_ms + stranger
+        arrival.work_ms + extra_work
     }
 
     /// Records that this cell has started a request and so knows its user session from now on.
-    pub fn remember_session(&self, request: u32, pod: u32) {
-        if let (Some(vans), Some((van, _))) =
+    pub fn remember_session(&self, request: u32, cell: u32) {
+        if let (Some(sessions), Some((session, _))) =
             (&self.scenario.sessions, self.arrival(request).session)
         {
-            let until = tokio::time::Instant::now() + vans.session_expiry;
-            self.known.borrow_mut().insert((pod, van), until);
+            let until = tokio::time::Instant::now() + sessions.session_expiry;
+            self.known_sessions.borrow_mut().insert((cell, session), until);
         }
     }
 
--- a/crates/rehearsal/src/scripted.rs
+++ b/crates/rehearsal/src/scripted.rs
@@ -330,7 +330,7 @@
         let mut log = BufReader::new(child.stderr.take().expect("piped")).lines();
         let mut operators = None;
         let address = loop {
-            let line = log.next().expect("a word of where it listens").expect("UTF-8");
+            let line = log.next().expect("a log line with the address").expect("UTF-8");
             let after = |words| {
                 let (_, rest) = line.split_once(words)?;
                 Some(rest.split_whitespace().next().expect("an address").parse().expect("valid"))
@@ -359,7 +359,7 @@
             }
             thread::sleep(Duration::from_millis(5));
         }
-        panic!("the node goes on");
+        panic!("the node has not ended");
     }
 
     /// Replaces the configuration, and notifies the balancer.
--- a/crates/rehearsal/src/state_directories.rs
+++ b/crates/rehearsal/src/state_directories.rs
@@ -19,7 +19,7 @@
 /// Interval between copies of a directory, where a fault puts an old copy back.
 pub const COPY_EVERY: Duration = Duration::from_millis(500);
 /// The random number stream of [`StateDirectories::apply_fault`].
-const STREAM: u64 = 8;
+const RNG_STREAM: u64 = 8;
 
 /// Paths relative to a directory, and the contents of each file.
 type Files = Vec<(PathBuf, Vec<u8>)>;
@@ -79,7 +79,7 @@
 pub struct StateDirectories {
     disks: Vec<Rc<DiskFaults>>,
     temporary_directory: tempfile::TempDir,
-    keeps: bool,
+    persists: bool,
     /// Age up to which copies are retained; `None` if no fault needs copies.
     oldest: Option<Duration>,
     copies: RefCell<Vec<VecDeque<(Instant, Files)>>>,
@@ -97,11 +97,11 @@
             _ => None,
         };
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        rng.set_stream(STREAM);
+        rng.set_stream(RNG_STREAM);
         Ok(Self {
             disks: (0..scenario.cluster.count).map(|_| Rc::default()).collect(),
             temporary_directory: temporary_directory("rehearsal-state-")?,
-            keeps: scenario.cluster.persists_state,
+            persists: scenario.cluster.persists_state,
             oldest: scenario.faults.iter().filter_map(age).max(),
             copies: RefCell::new(vec![VecDeque::new(); scenario.cluster.count]),
             rng: RefCell::new(rng),
@@ -121,7 +121,7 @@
         let directory = self.directory(balancer);
         // An empty directory is left as it is, so that a start doesn't wait for a disk.
         let empty = fs::read_dir(&directory).is_ok_and(|mut all| all.next().is_none());
-        if !self.keeps && !empty && directory.exists() {
+        if !self.persists && !empty && directory.exists() {
             fs::remove_dir_all(&directory)?;
         }
         fs::create_dir_all(&directory)?;
@@ -252,70 +252,70 @@
 mod tests {
     use super::*;
 
-    const DAY: &str = "name = \"s\"\nlength_s = 9\n[fleet]\nnodes = 1\n[[fleet.kinds]]\nname = \"k\"\n[[classes]]\n\
+    const SCENARIO: &str = "name = \"s\"\nlength_s = 9\n[fleet]\nnodes = 1\n[[fleet.kinds]]\nname = \"k\"\n[[classes]]\n\
         name = \"c\"\nwork_ms = 1\naim_ms = 1\ndeadline_ms = 1\neffect = \"safe\"\n[balancers]\ncount = 3\n";
 
-    fn day(more: &str) -> Scenario {
-        Scenario::read("s.toml", &format!("{DAY}{more}")).expect("sound")
+    fn scenario(more: &str) -> Scenario {
+        Scenario::read("s.toml", &format!("{SCENARIO}{more}")).expect("sound")
     }
 
-    fn kept() -> StateDirectories {
+    fn stored_files() -> StateDirectories {
         let more = "keeps_state = true\n[[faults]]\nkind = \"state-old\"\nstart_s = 1\nage_s = 2\nshare = 1.0\n";
-        let stored = StateDirectories::new(&day(more), 3).expect("a place");
+        let state = StateDirectories::new(&scenario(more), 3).expect("a place");
         for balancer in 0..3 {
-            let inner = stored.prepare(balancer).expect("made").join("inner");
+            let inner = state.prepare(balancer).expect("made").join("inner");
             fs::create_dir(&inner).expect("made");
             fs::write(inner.join("said"), format!("words of n{balancer}")).expect("written");
         }
-        stored
+        state
     }
 
-    fn said(stored: &StateDirectories, balancer: usize) -> Option<String> {
-        fs::read_to_string(stored.directory(balancer).join("inner/said")).ok()
+    fn stored_text(state: &StateDirectories, balancer: usize) -> Option<String> {
+        fs::read_to_string(state.directory(balancer).join("inner/said")).ok()
     }
 
     #[test]
-    fn what_is_not_kept_is_gone_at_the_next_start() {
-        let stored = StateDirectories::new(&day(""), 3).expect("a place");
-        let directory = stored.prepare(1).expect("made");
+    fn unpersisted_state_is_deleted_at_the_next_start() {
+        let state = StateDirectories::new(&scenario(""), 3).expect("a place");
+        let directory = state.prepare(1).expect("made");
         fs::write(directory.join("x"), "x").expect("written");
-        stored.prepare(1).expect("emptied");
+        state.prepare(1).expect("emptied");
         assert!(!directory.join("x").exists());
-        let stored = kept();
-        stored.prepare(1).expect("left");
-        assert_eq!(said(&stored, 1).as_deref(), Some("words of n1"));
+        let state = stored_files();
+        state.prepare(1).expect("left");
+        assert_eq!(stored_text(&state, 1).as_deref(), Some("words of n1"));
     }
 
     #[tokio::test(start_paused = true)]
-    async fn it_can_be_lost_old_torn_or_anothers_and_nobody_else_is_touched() {
-        let stored = kept();
-        assert!(stored.needs_copies());
-        stored.copy().expect("copied");
+    async fn state_faults_affect_only_their_balancer() {
+        let state = stored_files();
+        assert!(state.needs_copies());
+        state.copy().expect("copied");
         tokio::time::sleep(Duration::from_secs(2)).await;
-        fs::write(stored.directory(0).join("inner/said"), "news").expect("written");
-        stored.copy().expect("copied");
+        fs::write(state.directory(0).join("inner/said"), "news").expect("written");
+        state.copy().expect("copied");
         let old = FaultKind::StateOld { age: Duration::from_secs(2) };
-        assert_eq!(stored.apply_fault(&old, 0).expect("done"), 1);
-        assert_eq!(said(&stored, 0).as_deref(), Some("words of n0"));
+        assert_eq!(state.apply_fault(&old, 0).expect("done"), 1);
+        assert_eq!(stored_text(&state, 0).as_deref(), Some("words of n0"));
         let older = FaultKind::StateOld { age: Duration::from_secs(9) };
-        assert_eq!(stored.apply_fault(&older, 0).expect("done"), 0);
-        assert_eq!(said(&stored, 0), None, "so long ago there was nothing");
-        assert_eq!(stored.apply_fault(&FaultKind::StateForeign, 0).expect("done"), 1);
-        assert_eq!(said(&stored, 0).as_deref(), Some("words of n1"));
+        assert_eq!(state.apply_fault(&older, 0).expect("done"), 0);
+        assert_eq!(stored_text(&state, 0), None, "nothing was stored at that time");
+        assert_eq!(state.apply_fault(&FaultKind::StateForeign, 0).expect("done"), 1);
+        assert_eq!(stored_text(&state, 0).as_deref(), Some("words of n1"));
         assert_eq!(
-            stored.apply_fault(&FaultKind::StateTorn { flipped: false }, 0).expect("done"),
+            state.apply_fault(&FaultKind::StateTorn { flipped: false }, 0).expect("done"),
             1
         );
-        let torn = said(&stored, 0).expect("a text");
+        let torn = stored_text(&state, 0).expect("a text");
         assert!(torn.len() < 11 && "words of n1".starts_with(&torn), "{torn}");
-        assert_eq!(
-            stored.apply_fault(&FaultKind::StateTorn { flipped: true }, 2).expect("done"),
-            1
-        );
-        let flipped = fs::read(stored.directory(2).join("inner/said")).expect("there");
+        assert_eq!(state.apply_fault(&FaultKind::StateTorn { flipped: true }, 2).expect("done"), 1);
+        let flipped = fs::read(state.directory(2).join("inner/said")).expect("there");
         let differ = flipped.iter().zip(b"words of n2").filter(|(a, b)| a != b).count();
         assert_eq!((flipped.len(), differ), (11, 1));
-        assert_eq!(stored.apply_fault(&FaultKind::StateLost, 2).expect("done"), 1);
-        assert_eq!((said(&stored, 2), said(&stored, 1).as_deref()), (None, Some("words of n1")));
+        assert_eq!(state.apply_fault(&FaultKind::StateLost, 2).expect("done"), 1);
+        assert_eq!(
+            (stored_text(&state, 2), stored_text(&state, 1).as_deref()),
+            (None, Some("words of n1"))
+        );
     }
 }
--- a/crates/rehearsal/src/sweep/policy_changes.rs
+++ b/crates/rehearsal/src/sweep/policy_changes.rs
@@ -11,17 +11,17 @@
 };
 
 /// The random number stream of these scenarios.
-const STREAM: u64 = 95;
+const RNG_STREAM: u64 = 95;
 /// Earliest time of an action, in milliseconds: a newly started cluster first agrees on its first
 /// fallback policy.
-const FIRST_MS: u32 = 4_000;
+const FIRST_ACTION_MS: u32 = 4_000;
 
 /// Returns the scenario of a seed with policy changes during faults: a share of all datagrams lost
 /// (none, 10 % or 30 %), two to four cuts, pauses, kills and restarts, and three to eight operator
 /// actions. Up to two of the seed's own faults of nodes stay.
 pub fn policy_change_scenario(seed: u64) -> Scenario {
     let about = "operators change a bank's rules while it breaks";
-    let (mut scenario, mut rng, _) = base_scenario(seed, STREAM, "bank", about);
+    let (mut scenario, mut rng, _) = base_scenario(seed, RNG_STREAM, "bank", about);
     let length = rng.random_range(28..40u32);
     scenario.length = ms(length * 1000);
     scenario.cluster.count = rng.random_range(3..=12);
@@ -77,7 +77,7 @@
         _ => Selection { share: Some(rng.random()), ..Selection::default() },
     };
     Fault {
-        start: ms(rng.random_range(FIRST_MS..length * 1000 - 10_000)),
+        start: ms(rng.random_range(FIRST_ACTION_MS..length * 1000 - 10_000)),
         length: ms(rng.random_range(500..9_000)),
         selection,
         group: None,
@@ -141,7 +141,7 @@
         }
     };
     PolicyAction {
-        at: ms(rng.random_range(FIRST_MS..length * 1000 - 5_000)),
+        at: ms(rng.random_range(FIRST_ACTION_MS..length * 1000 - 5_000)),
         balancers: vec![balancer],
         kind: action,
         wait_for_all: rng.random(),
--- a/crates/rehearsal/src/wire.rs
+++ b/crates/rehearsal/src/wire.rs
@@ -10,9 +10,9 @@
 use tokio::time::{Instant, timeout};
 
 /// Maximum sizes of a head and a body, in bytes.
-const LONGEST_HEAD: usize = 64 << 10;
-const LONGEST_BODY: usize = 16 << 20;
-const MOST_HEADERS: usize = 100;
+const MAX_HEAD_BYTES: usize = 64 << 10;
+const MAX_BODY_BYTES: usize = 16 << 20;
+const MAX_HEADERS: usize = 100;
 
 /// A complete message.
 #[derive(Clone, Debug)]
@@ -163,7 +163,7 @@
             }
             Framing::UntilClose => loop {
                 match self.fill().await {
-                    Ok(()) if self.buffer.len() <= LONGEST_BODY => {}
+                    Ok(()) if self.buffer.len() <= MAX_BODY_BYTES => {}
                     Ok(()) => return Err(ConnectionEnd::Malformed("a body without end".into())),
                     Err(ConnectionEnd::Closed { .. }) => return Ok(self.buffer.split().freeze()),
                     Err(other) => return Err(inside(other)),
@@ -183,7 +183,7 @@
                         }
                         Err(_) => return Err(ConnectionEnd::Malformed("a chunk size".into())),
                     };
-                    if size > LONGEST_BODY - body.len().min(LONGEST_BODY) {
+                    if size > MAX_BODY_BYTES - body.len().min(MAX_BODY_BYTES) {
                         return Err(ConnectionEnd::Malformed("a body without end".into()));
                     }
                     while self.buffer.len() < size + 2 {
@@ -206,7 +206,7 @@
             if let Err(ended) = self.fill().await {
                 return ended;
             }
-            if self.buffer.len() > LONGEST_HEAD + LONGEST_BODY {
+            if self.buffer.len() > MAX_HEAD_BYTES + MAX_BODY_BYTES {
                 return ConnectionEnd::Malformed("more than anyone asked for".into());
             }
         }
@@ -256,7 +256,7 @@
     buffer: &[u8],
     direction: Direction,
 ) -> Result<Option<(Message, usize, Framing)>, ConnectionEnd> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
     let bad = |e: httparse::Error| ConnectionEnd::Malformed(e.to_string());
     let (start, length) = match direction {
         Direction::Requests => {
@@ -273,7 +273,7 @@
         }
     };
     let httparse::Status::Complete(length) = length else {
-        if buffer.len() > LONGEST_HEAD {
+        if buffer.len() > MAX_HEAD_BYTES {
             return Err(ConnectionEnd::Malformed("a head without end".into()));
         }
         return Ok(None);
@@ -292,7 +292,7 @@
     let framing = match announced {
         _ if chunked => Framing::Chunked,
         Some(text) => match text.trim().parse() {
-            Ok(n) if n <= LONGEST_BODY => Framing::Length(n),
+            Ok(n) if n <= MAX_BODY_BYTES => Framing::Length(n),
             _ => return Err(ConnectionEnd::Malformed(format!("a length of {text}"))),
         },
         None if none => Framing::Length(0),
@@ -319,7 +319,7 @@
     }
 
     #[tokio::test(start_paused = true)]
-    async fn a_message_in_single_bytes_has_the_time_of_its_first() {
+    async fn a_message_in_single_bytes_has_the_time_of_its_first_byte() {
         let (mut here, mut there) = pair().await;
         let text = "POST /api HTTP/1.1\r\nX-Request-Id: 7\r\nContent-Length: 3\r\n\r\nabc";
         let from = Instant::now();
@@ -337,7 +337,7 @@
     }
 
     #[tokio::test(start_paused = true)]
-    async fn answers_come_framed_in_each_way_and_informational_ones_are_passed_over() {
+    async fn responses_are_read_in_each_framing_and_informational_ones_are_skipped() {
         let (mut here, mut there) = pair().await;
         let early = "HTTP/1.1 103 Early Hints\r\n\r\n";
         let chunked =
@@ -351,7 +351,7 @@
     }
 
     #[tokio::test(start_paused = true)]
-    async fn an_end_says_whether_it_came_inside_a_message() {
+    async fn a_connection_end_tells_whether_it_came_inside_a_message() {
         for (text, inside) in [("", false), ("HTTP/1.1 2", true)] {
             let (mut here, mut there) = pair().await;
             here.write(text.as_bytes()).await.expect("open");
--- a/crates/rehearsal/tests/broken_banks.rs
+++ b/crates/rehearsal/tests/broken_banks.rs
@@ -5,7 +5,7 @@
 
 use std::rc::Rc;
 
-use hollowpaddle_rehearsal::judge::Violation;
+use hollowpaddle_rehearsal::checker::Violation;
 use hollowpaddle_rehearsal::plan::Plan;
 use hollowpaddle_rehearsal::report::Report;
 use hollowpaddle_rehearsal::run::play_plan_virtual;
