--- a/crates/rehearsal/tests/broken_balancers.rs
+++ b/crates/rehearsal/tests/broken_balancers.rs
@@ -1,5 +1,5 @@
-//! The judge can fail: a balancer for each way to break a rule is caught under its own name and no other, and
-//! the same balancer with no fault passes, on the same day.
+//! The checker reports each violation: a balancer with one fault is caught under that violation's
+//! name and no other, and the correct balancer passes the same scenario.
 
 mod scripted;
 
@@ -11,8 +11,9 @@
 use hollowpaddle_rehearsal::scenario::Scenario;
 use scripted::{Fault, Scripted};
 
-/// A short day on which nodes answer with errors now and then, some drain, some die and come back cold.
-const DAY: &str = r#"
+/// A short scenario in which nodes sometimes answer with errors, some drain, and some die and
+/// restart cold.
+const SCENARIO: &str = r#"
 name = "short"
 length_s = 14
 
@@ -95,42 +96,43 @@
 share = 1.0
 "#;
 
-fn play(fault: Fault) -> Report {
-    let day = Scenario::read("short.toml", DAY).expect("a sound scenario");
-    Report::of(&play_virtual(&day, 5, Rc::new(Scripted(fault))).expect("it plays"))
+fn run_scenario(fault: Fault) -> Report {
+    let scenario = Scenario::read("short.toml", SCENARIO).expect("a valid scenario");
+    Report::of(&play_virtual(&scenario, 5, Rc::new(Scripted(fault))).expect("the run completes"))
 }
 
 #[test]
-fn the_correct_one_passes() {
-    let report = play(Fault::None);
+fn the_correct_balancer_passes() {
+    let report = run_scenario(Fault::None);
     assert!(report.is_clean(), "{}", report.text());
-    // The day gives each fault something to go wrong with.
+    // The scenario triggers each fault.
     assert!(report.service.counts.requests > 500, "{}", report.text());
     assert!(report.service.counts.failed > 5, "{}", report.text());
     assert!(report.service.overall > 0.8, "{}", report.text());
 }
 
 #[test]
-fn each_way_to_break_a_rule_is_caught_under_its_own_name_and_no_other() {
+fn each_fault_is_reported_as_its_own_violation_only() {
     let all = [
-        (Fault::Loses, Violation::Lost, 1),
-        (Fault::Hangs, Violation::Lost, 1),
+        (Fault::NeverAnswers, Violation::Lost, 1),
+        (Fault::ClosesWithoutAnswer, Violation::Lost, 1),
         (Fault::AnswersTwice, Violation::AnsweredTwice, 1),
-        (Fault::Invents, Violation::ForeignAnswer, 1),
+        (Fault::ForgesAnswers, Violation::ForeignAnswer, 1),
         (Fault::SendsAfterAnswer, Violation::SentAfterAnswer, 1),
         (Fault::ResendsUnsafe, Violation::ResentUnsafe, 2),
         (Fault::ResendsElsewhere, Violation::ResentElsewhere, 2),
         (Fault::ResendsTooLate, Violation::ResentTooLate, 2),
         (Fault::TwoAtOnce, Violation::TwoAtOnce, 2),
-        (Fault::TriesTooOften, Violation::TooManyAttempts, 2),
-        (Fault::RefusesAfterRun, Violation::RefusedAfterRun, 2),
-        (Fault::Alters, Violation::Altered, 2),
-        (Fault::DeafToDrains, Violation::SentToDrained, 3),
-        (Fault::PushesOver, Violation::PushedOver, 4),
+        (Fault::ExceedsMaxAttempts, Violation::TooManyAttempts, 2),
+        (Fault::RejectsAfterRun, Violation::RefusedAfterRun, 2),
+        (Fault::AltersBody, Violation::Altered, 2),
+        (Fault::IgnoresDrains, Violation::SentToDrained, 3),
+        (Fault::OverloadsColdNodes, Violation::PushedOver, 4),
     ];
     let reports: Vec<Report> = std::thread::scope(|scope| {
-        let runs: Vec<_> = all.iter().map(|(fault, ..)| scope.spawn(|| play(*fault))).collect();
-        runs.into_iter().map(|run| run.join().expect("it plays")).collect()
+        let runs: Vec<_> =
+            all.iter().map(|(fault, ..)| scope.spawn(|| run_scenario(*fault))).collect();
+        runs.into_iter().map(|run| run.join().expect("the run completes")).collect()
     });
     let mut wrong = Vec::new();
     for ((fault, violation, rule), report) in all.iter().zip(reports) {
@@ -138,7 +140,7 @@
         if names != [violation.name()] || violation.rule() != *rule {
             wrong.push(format!("{fault:?}: {names:?}\n{}", report.text()));
         }
-        // Whoever is told of a breach can see what happened.
+        // A reported violation shows the history of its request.
         let request = report.findings.iter().find(|f| f.request.is_some());
         assert!(request.is_none_or(|f| !f.history.is_empty()), "{fault:?}");
     }
@@ -146,32 +148,33 @@
 }
 
 #[test]
-fn one_that_ends_by_itself_has_crashed_and_what_it_held_is_lost() {
-    let report = play(Fault::Crashes);
+fn an_exit_is_reported_as_a_crash_with_lost_requests() {
+    let report = run_scenario(Fault::Crashes);
     assert!(report.has(Violation::Crashed), "{}", report.text());
     let others = report.violations.keys().filter(|n| !["crashed", "lost"].contains(*n)).count();
     assert_eq!(others, 0, "{}", report.text());
 }
 
-/// The short day, with some of its lines changed.
+/// The short scenario, with some of its lines changed.
 fn changed(lines: &[(&str, &str)]) -> Scenario {
-    let mut day = DAY.to_string();
+    let mut scenario = SCENARIO.to_string();
     for (from, to) in lines {
-        assert!(day.contains(from), "{from}");
-        day = day.replacen(from, to, 1);
+        assert!(scenario.contains(from), "{from}");
+        scenario = scenario.replacen(from, to, 1);
     }
-    Scenario::read("changed.toml", &day).expect("a sound scenario")
+    Scenario::read("changed.toml", &scenario).expect("a valid scenario")
 }
 
-/// What the judge says of the correct balancer and of a broken one on such a day.
-fn both(fault: Fault, day: &Scenario) -> [Report; 2] {
-    [Fault::None, fault]
-        .map(|f| Report::of(&play_virtual(day, 5, Rc::new(Scripted(f))).expect("it plays")))
+/// Returns the reports of the correct and the faulty balancer for a scenario.
+fn run_correct_and_broken(fault: Fault, scenario: &Scenario) -> [Report; 2] {
+    [Fault::None, fault].map(|f| {
+        Report::of(&play_virtual(scenario, 5, Rc::new(Scripted(f))).expect("the run completes"))
+    })
 }
 
-/// The correct one passes, and the broken one is caught under these names and no other.
-fn caught(fault: Fault, day: &Scenario, names: &[Violation]) {
-    let [well, broken] = both(fault, day);
+/// Asserts that the correct balancer passes and the faulty one has exactly these violations.
+fn assert_caught(fault: Fault, scenario: &Scenario, names: &[Violation]) {
+    let [well, broken] = run_correct_and_broken(fault, scenario);
     assert!(well.is_clean(), "{}", well.text());
     let found: Vec<&str> = broken.violations.keys().copied().collect();
     let names: Vec<&str> = names.iter().map(|b| b.name()).collect();
@@ -179,55 +182,56 @@
 }
 
 #[test]
-fn one_request_each_from_a_whole_bank_pushes_a_cold_node_over() {
+fn one_request_from_each_balancer_overloads_a_cold_node() {
     // A fifth of a core of a tenth: N is 5 requests in 2 s, and 40 balancers know of each start.
-    let day = changed(&[
+    let scenario = changed(&[
         ("speed = 1.5\ncores = 2", "speed = 0.5\ncores = 1"),
         ("cold_from = 0.2", "cold_from = 0.05"),
         ("count = 2", "count = 40"),
         ("of_capacity = 0.3", "of_capacity = 1.0"),
     ]);
-    caught(Fault::OneEach, &day, &[Violation::PushedOver]);
+    assert_caught(Fault::SendsOneToEachColdNode, &scenario, &[Violation::PushedOver]);
 }
 
 #[test]
-fn who_sends_on_for_clients_that_have_gone_is_caught() {
-    let day = changed(&[("[load]", "[clients]\nleave_share = 0.4\n\n[load]")]);
+fn sends_for_departed_clients_are_reported() {
+    let scenario = changed(&[("[load]", "[clients]\nleave_share = 0.4\n\n[load]")]);
     let names = [Violation::SentAfterLeaving, Violation::SentForNobody];
-    caught(Fault::HoldsForTheGone, &day, &names);
-    let day = changed(&[
+    assert_caught(Fault::DelaysForDepartedClients, &scenario, &names);
+    let scenario = changed(&[
         ("[load]", "[clients]\nleave_share = 0.4\n\n[load]"),
         ("error_rate = 0.02", "error_rate = 0.2"),
     ]);
-    caught(Fault::RetriesForTheGone, &day, &[Violation::SentAfterLeaving]);
+    assert_caught(Fault::RetriesForDepartedClients, &scenario, &[Violation::SentAfterLeaving]);
 }
 
 #[test]
-fn who_asks_the_list_no_more_is_caught_by_the_clock_alone() {
-    // By what the settings say of asking it would have all day.
-    let day = changed(&[
+fn a_balancer_that_stops_polling_the_list_is_reported_by_time_alone() {
+    // By the polling interval in the settings it would have the whole run.
+    let scenario = changed(&[
         ("ask_every_ms = 2000", "ask_every_ms = 60000"),
         ("start_s = 3\nlength_s = 5", "start_s = 3\nlength_s = 10"),
     ]);
-    caught(Fault::StopsAsking, &day, &[Violation::SentToDrained]);
+    assert_caught(Fault::StopsPollingList, &scenario, &[Violation::SentToDrained]);
 }
 
 #[test]
-fn who_ends_with_requests_in_hand_has_lost_them() {
+fn a_stop_without_draining_loses_requests() {
     let restart =
         "[[faults]]\nkind = \"balancer-restart\"\nstart_s = 6\nlength_s = 1\nshare = 1.0\n\n";
-    let day = changed(&[(
+    let scenario = changed(&[(
         "[[faults]]\nkind = \"drain\"",
         &format!("{restart}[[faults]]\nkind = \"drain\""),
     )]);
-    caught(Fault::EndsAtOnce, &day, &[Violation::Lost]);
+    assert_caught(Fault::StopsWithoutDraining, &scenario, &[Violation::Lost]);
 }
 
 #[test]
-fn a_class_or_a_third_of_the_day_that_is_not_served_is_under_its_floor() {
-    let day = changed(&[]);
-    for (fault, floor) in [(Fault::ShutsOutAClass, "log"), (Fault::TiresOfWork, "third 3")] {
-        let [well, broken] = both(fault, &day);
+fn an_unserved_class_or_third_of_the_run_is_below_its_floor() {
+    let scenario = changed(&[]);
+    for (fault, floor) in [(Fault::RejectsOneClass, "log"), (Fault::RejectsInLastThird, "third 3")]
+    {
+        let [well, broken] = run_correct_and_broken(fault, &scenario);
         let under = |r: &Report| r.missed_floors().map(|f| f.scope.clone()).collect::<Vec<_>>();
         assert_eq!(under(&well), Vec::<String>::new(), "{}", well.text());
         assert_eq!(under(&broken), [floor], "{}", broken.text());
@@ -236,8 +240,8 @@
 }
 
 #[test]
-fn the_same_seed_is_the_same_run_on_any_thread() {
-    let run = || std::thread::spawn(|| play(Fault::TriesTooOften).trace_digest);
+fn the_same_seed_gives_the_same_run_on_any_thread() {
+    let run = || std::thread::spawn(|| run_scenario(Fault::ExceedsMaxAttempts).trace_digest);
     let (one, two) = (run(), run());
-    assert_eq!(one.join().expect("it plays"), two.join().expect("it plays"));
+    assert_eq!(one.join().expect("the run completes"), two.join().expect("the run completes"));
 }
--- a/crates/rehearsal/tests/broken_banks.rs
+++ b/crates/rehearsal/tests/broken_clusters.rs
@@ -1,5 +1,6 @@
-//! Each account can fail: a bank for each way to come back badly is told of under its own heading and no other, and the
-//! same bank with no fault has nothing told of it, on the same day.
+//! Each part of the recovery report detects its fault: a cluster with one recovery fault is
+//! reported under that heading and no other, and the correct cluster is reported clean in the same
+//! scenario.
 
 mod scripted;
 
@@ -12,8 +13,9 @@
 use hollowpaddle_rehearsal::scenario::Scenario;
 use scripted::{Fault, Scripted};
 
-/// All are killed and come back, a node drains, and then some are frozen for a while.
-const DAY: &str = r#"
+/// All balancers are killed and restarted, a node drains, and then some balancers are suspended for
+/// a while.
+const SCENARIO: &str = r#"
 name = "broken bank"
 length_s = 24
 
@@ -88,32 +90,34 @@
 share = 0.5
 "#;
 
-fn play(fault: Fault) -> Report {
-    let day = Scenario::read("broken.toml", DAY).unwrap_or_else(|e| panic!("{e}"));
-    let plan = Plan::generate(&day, 3);
-    let of = |plan| play_plan_virtual(&day, plan, Rc::new(Scripted(fault))).expect("it plays");
+fn run_scenario(fault: Fault) -> Report {
+    let scenario = Scenario::read("broken.toml", SCENARIO).unwrap_or_else(|e| panic!("{e}"));
+    let plan = Plan::generate(&scenario, 3);
+    let of = |plan| {
+        play_plan_virtual(&scenario, plan, Rc::new(Scripted(fault))).expect("the run completes")
+    };
     Report::with_control(&of(plan.clone()), &of(plan.control_run()))
 }
 
 #[test]
-fn the_correct_bank_has_nothing_told_of_it() {
-    let report = play(Fault::None);
+fn the_correct_cluster_meets_all_expectations() {
+    let report = run_scenario(Fault::None);
     assert!(report.is_clean() && report.missed_expectations().is_empty(), "{}", report.text());
-    let account = report.recovery.as_ref().expect("there is a twin");
-    // The day gives each fault something to go wrong with.
-    assert!(account.episodes.len() == 2 && account.episodes[0].lowest < 0.2, "{}", report.text());
+    let recovery = report.recovery.as_ref().expect("there is a control run");
+    // The scenario triggers each fault.
+    assert!(recovery.episodes.len() == 2 && recovery.episodes[0].lowest < 0.2, "{}", report.text());
 }
 
 #[test]
-fn each_bad_way_to_come_back_is_told_under_its_own_heading() {
+fn each_recovery_fault_is_reported_under_its_own_heading() {
     let all = [
-        (Fault::ReconnectsInStep, "connects"),
-        (Fault::SpendsAlone, "attempts at the busiest upstream"),
-        (Fault::NeverWholeAgain, "no full service"),
-        (Fault::DeafToDrains, "stale sends"),
+        (Fault::ReconnectsAtOnce, "connects"),
+        (Fault::SpendsWholeBudgetAlone, "attempts at the busiest upstream"),
+        (Fault::RejectsAfterRestart, "no full service"),
+        (Fault::IgnoresDrains, "stale sends"),
     ];
     for (fault, heading) in all {
-        let report = play(fault);
+        let report = run_scenario(fault);
         let missed = report.missed_expectations();
         assert!(!missed.is_empty(), "{fault:?}: {}", report.text());
         assert!(missed.iter().all(|m| m.starts_with(heading)), "{fault:?}: {missed:#?}");
@@ -121,8 +125,8 @@
 }
 
 #[test]
-fn one_that_forgets_that_it_was_frozen_loses_what_waited() {
-    let report = play(Fault::ForgetsItWasFrozen);
+fn a_balancer_that_ignores_its_suspension_loses_waiting_requests() {
+    let report = run_scenario(Fault::IgnoresSuspension);
     let names: Vec<&str> = report.violations.keys().copied().collect();
     assert_eq!(names, [Violation::Lost.name()], "{}", report.text());
 }
--- a/crates/rehearsal/tests/peers.rs
+++ b/crates/rehearsal/tests/peers.rs
@@ -1,4 +1,5 @@
-//! What lies between balancers, in virtual time and over the machine's sockets: the same addresses, the same faults.
+//! The network between balancers has the same addresses and faults in virtual time and over the
+//! machine's sockets.
 
 use std::cell::RefCell;
 use std::rc::Rc;
@@ -15,18 +16,18 @@
 
 const COUNT: usize = 3;
 
-struct Bank {
+struct Cluster {
     peers: Rc<Peers>,
     ends: Vec<Box<dyn Datagrams>>,
     seen: Rc<RefCell<Vec<(usize, usize, usize)>>>,
-    /// Long enough for whatever comes to have come.
-    soon: Duration,
+    /// Time after which every datagram has arrived.
+    receive_timeout: Duration,
 }
 
-impl Bank {
+impl Cluster {
     fn new(testbed: Testbed) -> Self {
         let seen = Rc::<RefCell<Vec<_>>>::default();
-        let tell = {
+        let observe = {
             let seen = seen.clone();
             move |s| {
                 if let Observation::Datagram { from, to, copies, .. } = s {
@@ -34,13 +35,13 @@
                 }
             }
         };
-        let soon = Duration::from_millis(if testbed.is_simulated() { 100 } else { 300 });
-        let peers = Peers::new(testbed.clone(), COUNT, 7, tell).expect("addresses");
+        let receive_timeout = Duration::from_millis(if testbed.is_simulated() { 100 } else { 300 });
+        let peers = Peers::new(testbed.clone(), COUNT, 7, observe).expect("addresses");
         let end = |b| {
             let listen = peers.addresses(b).listen;
             testbed.network(Host::Balancer(b)).datagrams(listen).expect("its own address")
         };
-        Self { ends: (0..COUNT).map(end).collect(), peers, seen, soon }
+        Self { ends: (0..COUNT).map(end).collect(), peers, seen, receive_timeout }
     }
 
     fn send(&self, from: usize, to: usize, bytes: &[u8]) {
@@ -48,51 +49,55 @@
         self.ends[from].send(bytes, to).expect("sent");
     }
 
-    /// All that comes to one: from whom, as it sees that, and what.
-    async fn come(&mut self, to: usize) -> Vec<(usize, Vec<u8>)> {
+    /// Receives all datagrams for a balancer: sender, by its address as this balancer sees it, and
+    /// content.
+    async fn received(&mut self, to: usize) -> Vec<(usize, Vec<u8>)> {
         let (mut all, mut bytes) = (Vec::new(), [0; DATAGRAM]);
         let known = self.peers.addresses(to).peers;
-        while let Ok(came) = timeout(self.soon, receive(&mut *self.ends[to], &mut bytes)).await {
-            let (length, from) = came.expect("it comes");
+        while let Ok(received) =
+            timeout(self.receive_timeout, receive(&mut *self.ends[to], &mut bytes)).await
+        {
+            let (length, from) = received.expect("it comes");
             let from = known.iter().position(|p| *p == from).expect("under the sender's address");
             all.push((from, bytes[..length].to_vec()));
         }
         all
     }
 
-    async fn drill(mut self) {
+    async fn check_links(mut self) {
         for b in 0..COUNT {
-            let told = self.peers.addresses(b);
-            assert_eq!(told.peers[b], told.listen, "its own among them");
-            assert!(!told.peers.contains(&told.all));
+            let addresses = self.peers.addresses(b);
+            assert_eq!(addresses.peers[b], addresses.listen, "its own address is among them");
+            assert!(!addresses.peers.contains(&addresses.all));
         }
         self.send(0, 1, b"one");
         self.send(2, 1, b"two");
-        let mut came = self.come(1).await;
-        came.sort();
-        assert_eq!(came, [(0, b"one".to_vec()), (2, b"two".to_vec())]);
-        // To all, but not to itself.
+        let mut received = self.received(1).await;
+        received.sort();
+        assert_eq!(received, [(0, b"one".to_vec()), (2, b"two".to_vec())]);
+        // A datagram to all doesn't reach its sender.
         let all = self.peers.addresses(0).all;
         self.ends[0].send(b"all", all).expect("sent");
-        assert_eq!(self.come(0).await, []);
+        assert_eq!(self.received(0).await, []);
         for b in [1, 2] {
-            assert_eq!(self.come(b).await, [(0, b"all".to_vec())]);
+            assert_eq!(self.received(b).await, [(0, b"all".to_vec())]);
         }
-        // Whoever uses another's way is nobody.
+        // A datagram to an address that belongs to another balancer's view is dropped.
         let others = self.peers.addresses(1).peers[2];
         self.ends[0].send(b"stolen", others).expect("sent");
-        assert_eq!(self.come(2).await, []);
-        // Cut one way: what 0 says reaches nobody, what it is told reaches it.
+        assert_eq!(self.received(2).await, []);
+        // Outgoing cut of 0: its datagrams are lost, and those to it arrive.
         let cut = FaultKind::LinksCut { direction: LinkDirection::Out, open_share: 0.0 };
         self.peers.apply_fault(4, &cut, &[0], true);
         self.send(0, 1, b"lost");
         self.send(1, 0, b"heard");
         self.send(1, 2, b"heard");
-        assert_eq!(self.come(1).await, []);
-        assert_eq!(self.come(0).await, [(1, b"heard".to_vec())]);
-        assert_eq!(self.come(2).await, [(1, b"heard".to_vec())]);
+        assert_eq!(self.received(1).await, []);
+        assert_eq!(self.received(0).await, [(1, b"heard".to_vec())]);
+        assert_eq!(self.received(2).await, [(1, b"heard".to_vec())]);
         self.peers.apply_fault(4, &cut, &[0], false);
-        // Each comes twice, later, with one bit flipped; within the set not four times.
+        // Each datagram arrives twice, delayed, with one bit flipped; within the set the fault
+        // applies only once.
         let trouble = Trouble {
             copies: 1.0,
             flips: 1.0,
@@ -103,29 +108,31 @@
         self.peers.apply_fault(5, &bad, &[0, 1], true);
         for (from, to) in [(0, 1), (0, 2), (2, 0)] {
             self.send(from, to, b"abc");
-            let came = self.come(to).await;
-            assert_eq!(came.len(), 2, "{from} to {to}");
-            for (_, bytes) in came {
+            let received = self.received(to).await;
+            assert_eq!(received.len(), 2, "{from} to {to}");
+            for (_, bytes) in received {
                 let bits: u32 = bytes.iter().zip(b"abc").map(|(a, b)| (a ^ b).count_ones()).sum();
                 assert_eq!(bits, 1);
             }
         }
         self.send(2, 2, b"itself");
-        assert_eq!(self.come(2).await, [(2, b"itself".to_vec())]);
+        assert_eq!(self.received(2).await, [(2, b"itself".to_vec())]);
         let seen = self.seen.take();
         assert_eq!(seen[..4], [(0, 1, 1), (2, 1, 1), (0, 1, 1), (0, 2, 1)]);
         assert!(seen.contains(&(0, 1, 0)) && seen.contains(&(2, 0, 2)));
-        assert!(!seen.contains(&(2, 2, 1)), "nothing lies between one and itself");
+        assert!(!seen.contains(&(2, 2, 1)), "no link between a balancer and itself");
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn in_virtual_time() {
+async fn links_work_in_virtual_time() {
     let testbed = Testbed::Simulated(Fabric::new(Duration::ZERO, |_, _| Duration::from_millis(2)));
-    LocalSet::new().run_until(Bank::new(testbed).drill()).await;
+    LocalSet::new().run_until(Cluster::new(testbed).check_links()).await;
 }
 
 #[tokio::test]
-async fn over_sockets() {
-    LocalSet::new().run_until(async { Bank::new(Testbed::loopback()).drill().await }).await;
+async fn links_work_over_sockets() {
+    LocalSet::new()
+        .run_until(async { Cluster::new(Testbed::loopback()).check_links().await })
+        .await;
 }
--- a/crates/rehearsal/tests/scripted/mod.rs
+++ b/crates/rehearsal/tests/scripted/mod.rs
@@ -1,9 +1,9 @@
-//! A balancer small enough to be read at a glance, correct by default, with a switch for each way to break a
-//! rule. It exists to show that the judge can fail; nothing of it is the daemon's.
+//! A small scripted balancer, correct by default, with a switch for each kind of violation. It
+//! shows that the checker detects them, and shares no code with the real balancer.
 
 #![allow(dead_code)] // each test file uses its own part
 
-mod book;
+mod policy;
 
 use std::cell::{Cell, RefCell};
 use std::collections::HashMap;
@@ -11,82 +11,85 @@
 use std::rc::Rc;
 use std::time::Duration;
 
-use book::Rules;
 use hollowpaddle_net::{Network, accept};
 use hollowpaddle_rehearsal::cluster::{Control, Launch, LaunchError, Launcher, Running};
 use hollowpaddle_rehearsal::freeze::FreezeSwitch;
 use hollowpaddle_rehearsal::wire::{Direction, Exchange, Message};
+use policy::PolicyState;
 use serde_json::Value;
 use tokio::sync::Notify;
 use tokio::task::{AbortHandle, LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until, timeout_at};
 
-/// The way in which it breaks a rule.
+/// The fault of the balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
     None,
-    /// Takes every 20th request and says nothing.
-    Loses,
-    /// Closes on every 20th request without a word.
-    Hangs,
+    /// Accepts every 20th request and never answers.
+    NeverAnswers,
+    /// Closes the connection of every 20th request without an answer.
+    ClosesWithoutAnswer,
     /// Writes every 20th answer twice.
     AnswersTwice,
-    /// Answers every 20th request with words of its own.
-    Invents,
-    /// Refuses every 20th safe request, and sends it all the same.
+    /// Answers every 20th request with invented content.
+    ForgesAnswers,
+    /// Rejects every 20th safe request, and forwards it afterwards.
     SendsAfterAnswer,
-    /// Ends by itself after 100 requests.
+    /// Exits after 100 requests.
     Crashes,
-    /// Sends unsafe requests again after an error.
+    /// Retries unsafe requests after an error.
     ResendsUnsafe,
-    /// Sends keyed ones again after an error, to another cell.
+    /// Retries keyed requests after an error, in another cell.
     ResendsElsewhere,
-    /// Sends keyed ones again after an error, to the same node, once its memory is over.
+    /// Retries keyed requests after an error, at the same node, after the deduplication window.
     ResendsTooLate,
     /// Sends every 20th safe request to two nodes at once.
     TwoAtOnce,
-    /// Tries safe ones five times.
-    TriesTooOften,
-    /// Refuses unsafe ones after an error.
-    RefusesAfterRun,
-    /// Drops a letter of every 20th body.
-    Alters,
-    /// Never hears of drains.
-    DeafToDrains,
-    /// Sends all to whoever came last.
-    PushesOver,
-    /// Sends one request to each cold node as soon as it is told of its start, as all others do.
-    OneEach,
-    /// Lets a request wait for long before it sends it on, and does not look whether its client is still there.
-    HoldsForTheGone,
-    /// Sends safe ones again a while after an error, and does not look either.
-    RetriesForTheGone,
-    /// Asks the list no more after its first second.
-    StopsAsking,
-    /// Ends at once when it is asked to end.
-    EndsAtOnce,
-    /// Refuses one class for good.
-    ShutsOutAClass,
-    /// Refuses whatever comes in its last third.
-    TiresOfWork,
-    /// Opens all the connections that it may ever need as soon as it is back.
-    ReconnectsInStep,
-    /// Takes the whole of what one node can do for itself, as if it were alone.
-    SpendsAlone,
-    /// Thawed, it goes on with whatever came while it was frozen.
-    ForgetsItWasFrozen,
-    /// Once restarted it refuses every fifth request for good.
-    NeverWholeAgain,
-    /// The second one hears nothing of the rule book for a while, and keeps to the charter past its lease.
-    DeafToTheBook,
-    /// The same, and it goes on with the rules that it knew.
-    IgnoresItsLease,
+    /// Makes five attempts of safe requests.
+    ExceedsMaxAttempts,
+    /// Rejects unsafe requests after an error.
+    RejectsAfterRun,
+    /// Drops a byte of every 20th body.
+    AltersBody,
+    /// Ignores that nodes drain.
+    IgnoresDrains,
+    /// Sends all requests to a cold node.
+    OverloadsColdNodes,
+    /// Sends one request to each cold node as soon as its start is known, as all other balancers
+    /// do.
+    SendsOneToEachColdNode,
+    /// Delays requests before it forwards them, without checking whether the client is still
+    /// connected.
+    DelaysForDepartedClients,
+    /// Retries safe requests a while after an error, without that check either.
+    RetriesForDepartedClients,
+    /// Stops polling the endpoint list after the first second.
+    StopsPollingList,
+    /// Exits at once on a termination request.
+    StopsWithoutDraining,
+    /// Rejects all requests of one class.
+    RejectsOneClass,
+    /// Rejects all requests in the last third of the run.
+    RejectsInLastThird,
+    /// Opens all connections that it may need at once after a restart.
+    ReconnectsAtOnce,
+    /// Uses the whole capacity of one node, as if it were the only balancer.
+    SpendsWholeBudgetAlone,
+    /// After suspension it goes on with the requests that came meanwhile.
+    IgnoresSuspension,
+    /// After a restart it rejects every fifth request.
+    RejectsAfterRestart,
+    /// The second balancer misses policy updates for a while, and applies the fallback policy past
+    /// its lease.
+    MissesPolicyUpdates,
+    /// The same, but it keeps applying its last policy.
+    IgnoresLeaseExpiry,
 }
 
-/// From then on it refuses all.
-const TIRES: Duration = Duration::from_secs(9);
-/// What it reads so soon after it was thawed may have waited.
-const THAWING: Duration = Duration::from_millis(50);
+/// Time after which the balancer rejects all requests.
+const REJECTS_AFTER: Duration = Duration::from_secs(9);
+/// A request read this soon after a suspension may have waited.
+const RESUME_GRACE: Duration = Duration::from_millis(50);
 
 pub struct Scripted(pub Fault);
 
@@ -111,20 +114,21 @@
     start: Instant,
     unix: Duration,
     idle: RefCell<HashMap<SocketAddr, Vec<Exchange>>>,
-    again: bool,
-    thawed: Rc<Cell<Option<Instant>>>,
-    rules: Option<Rc<Rules>>,
-    /// Cold starts that it sent something to.
-    begun: RefCell<Vec<(String, f64)>>,
+    restarted: bool,
+    resumed_at: Rc<Cell<Option<Instant>>>,
+    policy: Option<Rc<PolicyState>>,
+    /// Cold starts to which it has sent a request.
+    contacted_cold_starts: RefCell<Vec<(String, f64)>>,
     ending: Rc<Ending>,
 }
 
-/// A balancer that was asked to end answers what it has read, refuses what it reads from then on, and ends.
+/// Termination of a balancer: it answers the requests that it has read, rejects later ones, and
+/// exits.
 #[derive(Default)]
 struct Ending {
-    asked: Cell<bool>,
-    word: Notify,
-    busy: Cell<usize>,
+    is_stopping: Cell<bool>,
+    stop_requested: Notify,
+    open_requests: Cell<usize>,
 }
 
 impl Launcher for Scripted {
@@ -138,7 +142,8 @@
         };
         let services = settings["Services"].as_array().expect("classes");
         let over = Rc::new(Notify::new());
-        let (frozen, thawed) = (FreezeSwitch::default(), Rc::<Cell<Option<Instant>>>::default());
+        let (frozen, resumed_at) =
+            (FreezeSwitch::default(), Rc::<Cell<Option<Instant>>>::default());
         let balancer = Rc::new(Balancer {
             fault: self.0,
             discovery: launch.discovery,
@@ -151,28 +156,28 @@
             start: Instant::now(),
             unix: launch.network.unix_now(),
             idle: RefCell::default(),
-            again: launch.start > 1,
-            thawed: thawed.clone(),
-            begun: RefCell::default(),
+            restarted: launch.start > 1,
+            resumed_at: resumed_at.clone(),
+            contacted_cold_starts: RefCell::default(),
             ending: Rc::default(),
-            rules: launch
+            policy: launch
                 .control
-                .map(|_| Rules::new(launch.number, self.0 == Fault::IgnoresItsLease)),
+                .map(|_| PolicyState::new(launch.number, self.0 == Fault::IgnoresLeaseExpiry)),
             network: launch.network,
         });
         balancer.listed(&config["known"]);
         let mut listener = balancer.network.listen(launch.listen).expect("a free address");
-        let ice = frozen.clone();
-        let (ending, at_once) = (balancer.ending.clone(), self.0 == Fault::EndsAtOnce);
+        let switch = frozen.clone();
+        let (ending, at_once) = (balancer.ending.clone(), self.0 == Fault::StopsWithoutDraining);
         let ended = ending.clone();
         let control = launch.control;
         let task = spawn_local(async move {
             let tasks = LocalSet::new();
             let watching = balancer.clone();
             let run = async move {
-                let rushing = balancer.clone();
-                if rushing.again && rushing.fault == Fault::ReconnectsInStep {
-                    spawn_local(async move { rushing.connect_all().await });
+                let reconnecting = balancer.clone();
+                if reconnecting.restarted && reconnecting.fault == Fault::ReconnectsAtOnce {
+                    spawn_local(async move { reconnecting.connect_all().await });
                 }
                 spawn_local(async move {
                     loop {
@@ -180,9 +185,9 @@
                         sleep(Duration::from_millis(500)).await;
                     }
                 });
-                if let (Some(rules), Some(at)) = (balancer.rules.clone(), control) {
-                    spawn_local(rules.clone().door(balancer.network.clone(), at));
-                    spawn_local(rules.listen());
+                if let (Some(policy), Some(at)) = (balancer.policy.clone(), control) {
+                    spawn_local(policy.clone().serve_admin_api(balancer.network.clone(), at));
+                    spawn_local(policy.listen());
                 }
                 loop {
                     let (stream, _) = accept(&mut *listener).await.expect("a connection");
@@ -193,39 +198,40 @@
                 biased;
                 () = over.notified() => {}
                 () = ended.over() => {}
-                () = ice.run(tasks.run_until(run)) => {}
+                () = switch.run(tasks.run_until(run)) => {}
             }
         });
         let task_of = task.abort_handle();
-        let control = Box::new(Hand { task: task_of, frozen, thawed, ending, at_once });
+        let control =
+            Box::new(RunningBalancer { task: task_of, frozen, resumed_at, ending, at_once });
         let ended = Box::pin(async move { task.await.ok().map(|()| 3) });
         Ok(Running { control, ended })
     }
 }
 
-struct Hand {
+struct RunningBalancer {
     task: AbortHandle,
     frozen: FreezeSwitch,
-    thawed: Rc<Cell<Option<Instant>>>,
+    resumed_at: Rc<Cell<Option<Instant>>>,
     ending: Rc<Ending>,
     at_once: bool,
 }
 
 impl Ending {
-    /// Ends once it was asked to, and nothing is unanswered.
+    /// Waits for a termination request and for the end of all open requests.
     async fn over(&self) {
-        while !self.asked.get() {
-            self.word.notified().await;
+        while !self.is_stopping.get() {
+            self.stop_requested.notified().await;
         }
-        // What was read a moment ago is not sent on yet.
+        // Requests just read are not forwarded yet.
         sleep(Duration::from_millis(200)).await;
-        while self.busy.get() > 0 {
+        while self.open_requests.get() > 0 {
             sleep(Duration::from_millis(5)).await;
         }
     }
 }
 
-impl Control for Hand {
+impl Control for RunningBalancer {
     fn kill(&self) {
         self.task.abort();
     }
@@ -233,12 +239,12 @@
         if self.at_once {
             return self.task.abort();
         }
-        self.ending.asked.set(true);
-        self.ending.word.notify_one();
+        self.ending.is_stopping.set(true);
+        self.ending.stop_requested.notify_one();
     }
     fn pause(&self, paused: bool) {
         if !paused {
-            self.thawed.set(Some(Instant::now()));
+            self.resumed_at.set(Some(Instant::now()));
         }
         self.frozen.set(paused);
     }
@@ -260,7 +266,7 @@
         for m in members {
             let id = m["id"].as_str().expect("an id").to_string();
             let mut phase = m["phase"].as_str().expect("a phase").to_string();
-            if self.fault == Fault::DeafToDrains {
+            if self.fault == Fault::IgnoresDrains {
                 phase = "SERVING".to_string();
             }
             nodes.retain(|n| n.id != id);
@@ -276,14 +282,16 @@
 
     async fn watch(&self) {
         let Ok(stream) = self.network.connect(self.discovery).await else { return };
-        // Chunks come as messages of their own: the stand-in's lines, one at a time.
-        let mut talk = Exchange::new(stream);
+        // Each call is answered with the whole list.
+        let mut exchange = Exchange::new(stream);
         let call = b"GET /api/targets HTTP/1.1\r\nHost: a\r\n\r\n";
-        while talk.write(call).await.is_ok() {
-            if self.fault == Fault::StopsAsking && self.start.elapsed() > Duration::from_secs(1) {
+        while exchange.write(call).await.is_ok() {
+            if self.fault == Fault::StopsPollingList
+                && self.start.elapsed() > Duration::from_secs(1)
+            {
                 return std::future::pending().await;
             }
-            let Ok(list) = talk.message(Direction::Responses).await else { return };
+            let Ok(list) = exchange.message(Direction::Responses).await else { return };
             if list.status() == 200 {
                 self.listed(&serde_json::from_slice(&list.body).expect("JSON"));
             }
@@ -291,54 +299,57 @@
         }
     }
 
-    async fn converse(self: Rc<Self>, mut talk: Exchange) {
-        while let Ok(request) = talk.message(Direction::Requests).await {
+    async fn converse(self: Rc<Self>, mut exchange: Exchange) {
+        while let Ok(request) = exchange.message(Direction::Requests).await {
             if request.start.1 == "/-/ready" {
-                let _ = talk.write(&answer(200, b"")).await;
+                let _ = exchange.write(&answer(200, b"")).await;
                 continue;
             }
             let n = self.taken.get() + 1;
             self.taken.set(n);
-            let tired = self.fault == Fault::TiresOfWork && self.start.elapsed() > TIRES;
-            let shut = self.fault == Fault::ShutsOutAClass && self.effect(&request).0 == "dedup";
-            if self.ending.asked.get() || tired || shut {
-                let _ = talk.write(&answer(503, b"")).await;
+            let rejects_all =
+                self.fault == Fault::RejectsInLastThird && self.start.elapsed() > REJECTS_AFTER;
+            let rejects_class =
+                self.fault == Fault::RejectsOneClass && self.effect(&request).0 == "dedup";
+            if self.ending.is_stopping.get() || rejects_all || rejects_class {
+                let _ = exchange.write(&answer(503, b"")).await;
                 continue;
             }
             let _busy = Busy::new(self.ending.clone());
-            let every = n.is_multiple_of(20);
-            // Nobody can know how long it has waited, and a refusal is harmless.
-            let thaws = self.thawed.get().is_some_and(|at| at.elapsed() < THAWING);
-            let short = self.again && self.fault == Fault::NeverWholeAgain && n.is_multiple_of(5);
-            if short || thaws && self.fault != Fault::ForgetsItWasFrozen {
-                let _ = talk.write(&answer(503, b"")).await;
+            let is_twentieth = n.is_multiple_of(20);
+            // The waiting time is unknown, and a rejection is safe.
+            let just_resumed = self.resumed_at.get().is_some_and(|at| at.elapsed() < RESUME_GRACE);
+            let rejects_fifth =
+                self.restarted && self.fault == Fault::RejectsAfterRestart && n.is_multiple_of(5);
+            if rejects_fifth || just_resumed && self.fault != Fault::IgnoresSuspension {
+                let _ = exchange.write(&answer(503, b"")).await;
                 continue;
             }
             match self.fault {
-                // It thinks that there is time.
-                Fault::ForgetsItWasFrozen if thaws => sleep(Duration::from_secs(1)).await,
-                Fault::Loses if every => {
+                // Assumes that there is time left.
+                Fault::IgnoresSuspension if just_resumed => sleep(Duration::from_secs(1)).await,
+                Fault::NeverAnswers if is_twentieth => {
                     sleep(Duration::from_secs(3600)).await;
                 }
-                Fault::Hangs if every => return,
-                Fault::HoldsForTheGone => sleep(Duration::from_millis(800)).await,
+                Fault::ClosesWithoutAnswer if is_twentieth => return,
+                Fault::DelaysForDepartedClients => sleep(Duration::from_millis(800)).await,
                 Fault::Crashes if n == 100 => self.over.notify_one(),
                 _ => {}
             }
             let safe = self.effect(&request).0 == "retryable";
-            if self.fault == Fault::SendsAfterAnswer && every && safe {
-                let _ = talk.write(&answer(503, b"")).await;
+            if self.fault == Fault::SendsAfterAnswer && is_twentieth && safe {
+                let _ = exchange.write(&answer(503, b"")).await;
                 sleep(Duration::from_millis(100)).await;
                 let _ = self.serve(&request).await;
                 continue;
             }
             let mut text = self.serve(&request).await;
-            if self.fault == Fault::Invents && every {
+            if self.fault == Fault::ForgesAnswers && is_twentieth {
                 text = answer(200, b"all is well");
             }
-            let _ = talk.write(&text).await;
-            if self.fault == Fault::AnswersTwice && every {
-                let _ = talk.write(&text).await;
+            let _ = exchange.write(&text).await;
+            if self.fault == Fault::AnswersTwice && is_twentieth {
+                let _ = exchange.write(&text).await;
             }
         }
     }
@@ -356,20 +367,21 @@
         self.classes[request.header("x-class").expect("a class")].clone()
     }
 
-    /// The next node that takes requests and is warm: address and cell.
+    /// Returns address and cell of the next node that accepts requests and is warm.
     fn pick(&self, not: Option<u64>) -> Option<(SocketAddr, u64)> {
         let now = (self.unix + self.start.elapsed()).as_secs_f64() * 1e3;
         let nodes = self.nodes.borrow();
         let cold = |n: &&Node| n.since_ms > 0.0 && now < n.since_ms + self.cold;
-        if self.fault == Fault::OneEach {
-            let mut begun = self.begun.borrow_mut();
-            let fresh = |n: &&Node| cold(n) && !begun.contains(&(n.id.clone(), n.since_ms));
+        if self.fault == Fault::SendsOneToEachColdNode {
+            let mut contacted_cold_starts = self.contacted_cold_starts.borrow_mut();
+            let fresh =
+                |n: &&Node| cold(n) && !contacted_cold_starts.contains(&(n.id.clone(), n.since_ms));
             if let Some(n) = nodes.iter().find(fresh) {
-                begun.push((n.id.clone(), n.since_ms));
+                contacted_cold_starts.push((n.id.clone(), n.since_ms));
                 return Some((n.address, n.cell));
             }
         }
-        if self.fault == Fault::PushesOver
+        if self.fault == Fault::OverloadsColdNodes
             && let Some(n) = nodes.iter().find(cold)
         {
             return Some((n.address, n.cell));
@@ -377,11 +389,11 @@
         let good: Vec<&Node> = nodes
             .iter()
             .filter(|n| n.phase == "SERVING" && !cold(n) && Some(n.cell) != not)
-            .filter(|n| self.rules.as_ref().is_none_or(|r| r.allows(n.cell)))
+            .filter(|n| self.policy.as_ref().is_none_or(|r| r.allows(n.cell)))
             .collect();
-        // An eighth of what it has: all of it together is nearly what the node can do.
-        let spends = self.again && self.fault == Fault::SpendsAlone;
-        if spends && self.next.get().is_multiple_of(8) {
+        // An eighth of its requests: all of them together are nearly the node's capacity.
+        let overspends = self.restarted && self.fault == Fault::SpendsWholeBudgetAlone;
+        if overspends && self.next.get().is_multiple_of(8) {
             self.next.set(self.next.get() + 1);
             return good.first().map(|n| (n.address, n.cell));
         }
@@ -394,15 +406,15 @@
         let (effect, window) = self.effect(request);
         let left: u64 = request.header("x-deadline-ms").expect("a time").parse().expect("ms");
         let until = Instant::now() + Duration::from_millis(left) - Duration::from_millis(30);
-        let every = self.taken.get().is_multiple_of(20);
-        let most = if self.fault == Fault::TriesTooOften { 5 } else { 3 };
+        let is_twentieth = self.taken.get().is_multiple_of(20);
+        let max_attempts = if self.fault == Fault::ExceedsMaxAttempts { 5 } else { 3 };
         let mut not = None;
-        let mut again: Option<SocketAddr> = None;
-        for _ in 0..most {
-            let again_at = again.take();
-            let picked = again_at.map(|a| (a, 0)).or_else(|| self.pick(not));
+        let mut resend_to: Option<SocketAddr> = None;
+        for _ in 0..max_attempts {
+            let resend_address = resend_to.take();
+            let picked = resend_address.map(|a| (a, 0)).or_else(|| self.pick(not));
             let Some((address, cell)) = picked else { return answer(503, b"") };
-            if self.fault == Fault::TwoAtOnce && every && effect == "retryable" {
+            if self.fault == Fault::TwoAtOnce && is_twentieth && effect == "retryable" {
                 let other = self.pick(Some(cell)).map_or(address, |(a, _)| a);
                 let (first, _) = tokio::join!(
                     self.attempt(address, request, until),
@@ -410,25 +422,27 @@
                 );
                 return first.map_or(answer(502, b""), |m| answer(200, &m.body));
             }
-            let (sent, late) = (Instant::now(), again_at == Some(address));
+            let (sent, late) = (Instant::now(), resend_address == Some(address));
             let got = self.attempt(address, request, until).await;
             match got {
                 Ok(m) if m.status() == 200 => return answer(200, &m.body),
-                // Its one fault is to be late, not to go elsewhere.
+                // The fault is only the late retry, not a retry elsewhere.
                 _ if late => return answer(502, b""),
                 Ok(m) if m.header("x-not-run") == Some("1") => continue,
-                Err(Missed::NeverUp) => continue,
-                Err(Missed::Late) => return answer(504, b""),
+                Err(AttemptError::NotConnected) => continue,
+                Err(AttemptError::Late) => return answer(504, b""),
                 _ => {}
             }
             match (effect.as_str(), self.fault) {
-                ("retryable", Fault::RetriesForTheGone) => sleep(Duration::from_millis(400)).await,
+                ("retryable", Fault::RetriesForDepartedClients) => {
+                    sleep(Duration::from_millis(400)).await
+                }
                 ("retryable", _) | ("fragile", Fault::ResendsUnsafe) => {}
-                ("fragile", Fault::RefusesAfterRun) => return answer(503, b""),
+                ("fragile", Fault::RejectsAfterRun) => return answer(503, b""),
                 ("dedup", Fault::ResendsElsewhere) if not.is_none() => not = Some(cell),
                 ("dedup", Fault::ResendsTooLate) => {
                     sleep_until(sent + window + Duration::from_millis(100)).await;
-                    again = Some(address);
+                    resend_to = Some(address);
                 }
                 _ => return answer(502, b""),
             }
@@ -441,18 +455,22 @@
         address: SocketAddr,
         request: &Message,
         until: Instant,
-    ) -> Result<Message, Missed> {
+    ) -> Result<Message, AttemptError> {
         let kept = self.idle.borrow_mut().get_mut(&address).and_then(Vec::pop);
-        let mut talk = match kept.filter(Exchange::is_quiet) {
-            Some(talk) => talk,
+        let mut exchange = match kept.filter(Exchange::is_quiet) {
+            Some(exchange) => exchange,
             None => {
                 let wait = Instant::now() + Duration::from_millis(250);
                 let stream = timeout_at(wait, self.network.connect(address)).await;
-                Exchange::new(stream.map_err(|_| Missed::NeverUp)?.map_err(|_| Missed::NeverUp)?)
+                Exchange::new(
+                    stream
+                        .map_err(|_| AttemptError::NotConnected)?
+                        .map_err(|_| AttemptError::NotConnected)?,
+                )
             }
         };
         let mut body = String::from_utf8_lossy(&request.body).into_owned();
-        if self.fault == Fault::Alters && self.taken.get().is_multiple_of(20) {
+        if self.fault == Fault::AltersBody && self.taken.get().is_multiple_of(20) {
             body.pop();
         }
         let mut text = format!("{} {} HTTP/1.1\r\n", request.start.0, request.start.1);
@@ -462,10 +480,11 @@
             }
         }
         text.push_str(&format!("Content-Length: {}\r\n\r\n{body}", body.len()));
-        talk.write(text.as_bytes()).await.map_err(|_| Missed::Broke)?;
-        let answer = timeout_at(until, talk.message(Direction::Responses)).await;
-        let message = answer.map_err(|_| Missed::Late)?.map_err(|_| Missed::Broke)?;
-        self.idle.borrow_mut().entry(address).or_default().push(talk);
+        exchange.write(text.as_bytes()).await.map_err(|_| AttemptError::ConnectionLost)?;
+        let answer = timeout_at(until, exchange.message(Direction::Responses)).await;
+        let message =
+            answer.map_err(|_| AttemptError::Late)?.map_err(|_| AttemptError::ConnectionLost)?;
+        self.idle.borrow_mut().entry(address).or_default().push(exchange);
         Ok(message)
     }
 }
@@ -475,19 +494,19 @@
 
 impl Busy {
     fn new(of: Rc<Ending>) -> Self {
-        of.busy.set(of.busy.get() + 1);
+        of.open_requests.set(of.open_requests.get() + 1);
         Self(of)
     }
 }
 
 impl Drop for Busy {
     fn drop(&mut self) {
-        self.0.busy.set(self.0.busy.get() - 1);
+        self.0.open_requests.set(self.0.open_requests.get() - 1);
     }
 }
 
-enum Missed {
-    NeverUp,
+enum AttemptError {
+    NotConnected,
     Late,
-    Broke,
+    ConnectionLost,
 }
--- a/crates/rehearsal/tests/standins.rs
+++ b/crates/rehearsal/tests/standins.rs
@@ -1,4 +1,4 @@
-//! The stand-ins one by one, driven by hand on the simulated network.
+//! Tests of single stand-ins on the simulated network.
 
 use std::rc::Rc;
 use std::time::Duration;
@@ -14,7 +14,7 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, timeout};
 
-const DAY: &str = r#"
+const SCENARIO: &str = r#"
 name = "by hand"
 length_s = 30
 
@@ -65,9 +65,11 @@
 const KEYED: usize = 1;
 const SECOND: Duration = Duration::from_secs(1);
 
-/// Runs a test on a stage of its own, with four nodes that run.
-fn on_stage<F: Future<Output = ()>>(test: impl FnOnce(Rc<RunContext>, Vec<Rc<Node>>) -> F) {
-    let scenario = Scenario::read("by-hand.toml", DAY).expect("sound");
+/// Runs a test in a context of its own, with four running nodes.
+fn with_running_nodes<F: Future<Output = ()>>(
+    test: impl FnOnce(Rc<RunContext>, Vec<Rc<Node>>) -> F,
+) {
+    let scenario = Scenario::read("by-hand.toml", SCENARIO).expect("sound");
     let plan = Plan::generate(&scenario, 1);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -83,7 +85,7 @@
     });
 }
 
-/// The nth request of a class.
+/// Returns the nth request of a class.
 fn request(context: &RunContext, class: usize, nth: usize) -> u32 {
     let mut all = context.plan.arrivals.iter().enumerate().filter(|(_, a)| a.class == class);
     all.nth(nth).expect("so many").0 as u32
@@ -96,31 +98,31 @@
 
 async fn ask(
     context: &RunContext,
-    talk: &mut Exchange,
+    exchange: &mut Exchange,
     request: u32,
 ) -> Result<Message, ConnectionEnd> {
     let text = context.request_text(request, SECOND);
-    talk.write(text.as_bytes()).await.expect("open");
-    talk.message(Direction::Responses).await
+    exchange.write(text.as_bytes()).await.expect("open");
+    exchange.message(Direction::Responses).await
 }
 
-fn fates(context: &RunContext) -> Vec<AttemptOutcome> {
-    let fate = |l: hollowpaddle_rehearsal::record::Line| match l.seen {
+fn outcomes(context: &RunContext) -> Vec<AttemptOutcome> {
+    let outcome = |l: hollowpaddle_rehearsal::record::Line| match l.seen {
         Observation::Ended { outcome, .. } => Some(outcome),
         _ => None,
     };
-    context.record.take().into_iter().filter_map(fate).collect()
+    context.record.take().into_iter().filter_map(outcome).collect()
 }
 
 #[test]
-fn a_node_works_as_long_as_its_work_takes_and_turns_away_what_it_has_no_room_for() {
-    on_stage(|context, nodes| async move {
+fn a_node_takes_its_work_time_and_rejects_requests_beyond_its_queue() {
+    with_running_nodes(|context, nodes| async move {
         let from = Instant::now();
         let ask_one = |nth| {
             let (context, node) = (context.clone(), nodes[0].clone());
             spawn_local(async move {
-                let mut talk = connect(&context, &node, 0).await;
-                let answer = ask(&context, &mut talk, request(&context, SAFE, nth)).await;
+                let mut exchange = connect(&context, &node, 0).await;
+                let answer = ask(&context, &mut exchange, request(&context, SAFE, nth)).await;
                 let answer = answer.expect("an answer");
                 (answer.status(), from.elapsed().as_millis())
             })
@@ -130,45 +132,46 @@
         for one in all {
             got.push(one.await.expect("it ends"));
         }
-        // One in work, one waiting (crowded, so both are slower than alone), one turned away at once.
+        // One request runs, one waits (contention makes both slower than alone), and one is
+        // rejected at once.
         assert_eq!(got.iter().filter(|g| g.0 == 503).count(), 1, "{got:?}");
         let mut served: Vec<u128> = got.iter().filter(|g| g.0 == 200).map(|g| g.1).collect();
         served.sort_unstable();
         assert!((100..200).contains(&served[0]) && (200..400).contains(&served[1]), "{got:?}");
-        let mut fates = fates(&context);
-        fates.sort_by_key(|f| format!("{f:?}"));
+        let mut outcomes = outcomes(&context);
+        outcomes.sort_by_key(|f| format!("{f:?}"));
         assert_eq!(
-            fates,
+            outcomes,
             [AttemptOutcome::Served, AttemptOutcome::Served, AttemptOutcome::Rejected]
         );
     });
 }
 
 #[test]
-fn a_keyed_repeat_is_dropped_by_its_cell_for_its_window_and_by_nobody_else() {
-    on_stage(|context, nodes| async move {
+fn a_keyed_repeat_is_dropped_only_by_its_cell_during_its_window() {
+    with_running_nodes(|context, nodes| async move {
         let one = request(&context, KEYED, 0);
         let cells: Vec<u32> = (0..4).map(|n| context.plan.machines[n].cell).collect();
         assert_eq!(cells, [0, 0, 1, 1]);
         for node in [0, 1, 2] {
-            let mut talk = connect(&context, &nodes[node], 0).await;
-            assert_eq!(ask(&context, &mut talk, one).await.expect("an answer").status(), 200);
+            let mut exchange = connect(&context, &nodes[node], 0).await;
+            assert_eq!(ask(&context, &mut exchange, one).await.expect("an answer").status(), 200);
         }
         sleep(SECOND).await;
-        let mut talk = connect(&context, &nodes[1], 0).await;
-        assert_eq!(ask(&context, &mut talk, one).await.expect("an answer").status(), 200);
+        let mut exchange = connect(&context, &nodes[1], 0).await;
+        assert_eq!(ask(&context, &mut exchange, one).await.expect("an answer").status(), 200);
         use AttemptOutcome::{Dropped, Served};
         assert_eq!(
-            fates(&context),
+            outcomes(&context),
             [Served, Dropped, Served, Served],
-            "forgotten after the window"
+            "the key expires after the window"
         );
     });
 }
 
 #[test]
-fn a_draining_node_or_one_with_too_many_connections_turns_away() {
-    on_stage(|context, nodes| async move {
+fn a_draining_node_or_one_with_too_many_connections_rejects() {
+    with_running_nodes(|context, nodes| async move {
         let mut held = Vec::new();
         for _ in 0..3 {
             held.push(connect(&context, &nodes[0], 0).await);
@@ -188,18 +191,19 @@
 }
 
 #[test]
-fn a_process_that_dies_resets_and_refuses_and_comes_back_cold_at_its_address() {
-    on_stage(|context, nodes| async move {
+fn a_dead_process_resets_connections_and_restarts_cold_at_its_address() {
+    with_running_nodes(|context, nodes| async move {
         let (node, address) = (nodes[0].clone(), nodes[0].address(0));
-        let mut talk = connect(&context, &node, 0).await;
+        let mut exchange = connect(&context, &node, 0).await;
         let killer = node.clone();
         spawn_local(async move {
             sleep(Duration::from_millis(50)).await;
             killer.die(true);
         });
-        let end = ask(&context, &mut talk, request(&context, SAFE, 0)).await.expect_err("it died");
+        let end =
+            ask(&context, &mut exchange, request(&context, SAFE, 0)).await.expect_err("it died");
         assert!(matches!(end, ConnectionEnd::Reset { .. }), "{end:?}");
-        assert_eq!(fates(&context), [AttemptOutcome::Died]);
+        assert_eq!(outcomes(&context), [AttemptOutcome::Died]);
         let network = context.testbed.network(Host::Balancer(0));
         assert!(network.connect(address).await.is_err() && !node.serves());
         node.die(false);
@@ -207,42 +211,45 @@
         assert_eq!(node.address(0), address);
         assert!(node.since() > At(0));
         let from = Instant::now();
-        let mut talk = connect(&context, &node, 0).await;
-        ask(&context, &mut talk, request(&context, SAFE, 1)).await.expect("an answer");
+        let mut exchange = connect(&context, &node, 0).await;
+        ask(&context, &mut exchange, request(&context, SAFE, 1)).await.expect("an answer");
         assert!(from.elapsed() > Duration::from_millis(300), "cold: {:?}", from.elapsed());
     });
 }
 
 #[test]
-fn a_machine_that_vanishes_says_nothing_and_resets_when_it_is_back() {
-    on_stage(|context, nodes| async move {
+fn a_vanished_machine_is_silent_and_resets_when_it_returns() {
+    with_running_nodes(|context, nodes| async move {
         let node = nodes[0].clone();
-        let mut talk = connect(&context, &node, 0).await;
+        let mut exchange = connect(&context, &node, 0).await;
         sleep(Duration::from_millis(1)).await;
         node.vanish(true);
         let text = context.request_text(request(&context, SAFE, 0), SECOND);
-        talk.write(text.as_bytes()).await.expect("taken by the kernel");
-        let silent = timeout(10 * SECOND, talk.message(Direction::Responses)).await;
+        exchange.write(text.as_bytes()).await.expect("taken by the kernel");
+        let silent = timeout(10 * SECOND, exchange.message(Direction::Responses)).await;
         assert!(silent.is_err(), "{silent:?}");
         let network = context.testbed.network(Host::Balancer(0));
         let never = timeout(10 * SECOND, network.connect(node.address(0))).await;
-        assert!(never.is_err(), "it came up, or was refused");
+        assert!(never.is_err(), "the connection was established or refused");
         let lines = context.record.take();
         let dark = |l: &hollowpaddle_rehearsal::record::Line| {
             matches!(l.seen, Observation::Attempt { dark: true, .. })
         };
-        assert!(lines.iter().any(dark), "the judge must know of it: {lines:?}");
+        assert!(lines.iter().any(dark), "the attempt must be recorded: {lines:?}");
         node.vanish(false);
         node.start(true, None).expect("it listens");
-        let end = talk.message(Direction::Responses).await.expect_err("of another life");
+        let end = exchange
+            .message(Direction::Responses)
+            .await
+            .expect_err("the connection belongs to the previous process");
         assert!(matches!(end, ConnectionEnd::Reset { .. }), "{end:?}");
         connect(&context, &node, 0).await;
     });
 }
 
 #[test]
-fn a_cut_is_between_two_and_the_others_notice_nothing() {
-    on_stage(|context, nodes| async move {
+fn a_cut_affects_only_one_balancer() {
+    with_running_nodes(|context, nodes| async move {
         let node = nodes[0].clone();
         let mut cut = connect(&context, &node, 1).await;
         sleep(Duration::from_millis(1)).await;
@@ -262,32 +269,32 @@
 }
 
 #[test]
-fn a_cold_node_that_is_sent_too_much_stays_down() {
-    on_stage(|context, nodes| async move {
+fn an_overloaded_cold_node_stays_down() {
+    with_running_nodes(|context, nodes| async move {
         let node = nodes[0].clone();
         node.stop();
         node.start(true, None).expect("it listens");
         let watching = node.clone();
-        let fallen = spawn_local(async move {
+        let overloaded = spawn_local(async move {
             watching.changed().await;
             watching.stop();
         });
-        // 0.25 of a core for 2 s, four times, and three requests: 23 of 100 ms.
-        let mut talk = connect(&context, &node, 0).await;
+        // Four times 0.25 of a core for 2 s, and three requests: 23 of 100 ms.
+        let mut exchange = connect(&context, &node, 0).await;
         let mut sent = 0;
-        while !fallen.is_finished() {
+        while !overloaded.is_finished() {
             let text = context.request_text(request(&context, SAFE, sent), SECOND);
-            if talk.write(text.as_bytes()).await.is_err() {
+            if exchange.write(text.as_bytes()).await.is_err() {
                 break;
             }
-            let _ = timeout(Duration::from_millis(1), talk.message(Direction::Responses)).await;
+            let _ = timeout(Duration::from_millis(1), exchange.message(Direction::Responses)).await;
             if sent % 2 == 1 {
                 let network = context.testbed.network(Host::Balancer(0));
                 let Ok(stream) = network.connect(node.address(0)).await else { break };
-                talk = Exchange::new(stream);
+                exchange = Exchange::new(stream);
             }
             sent += 1;
-            assert!(sent < 60, "it never falls over");
+            assert!(sent < 60, "the node is never overloaded");
         }
         assert!(sent >= 20, "after {sent}");
         assert!(!node.may_run() && !node.serves());
@@ -296,20 +303,20 @@
 
 async fn watch(context: &RunContext, list: &NodeList, index: u64) -> Lines {
     let network = context.testbed.network(Host::Balancer(0));
-    let mut talk = Exchange::new(network.connect(list.address(0)).await.expect("it listens"));
+    let mut exchange = Exchange::new(network.connect(list.address(0)).await.expect("it listens"));
     let call = format!("GET /api/targets?stream=1&index={index} HTTP/1.1\r\nHost: a\r\n\r\n");
-    talk.write(call.as_bytes()).await.expect("open");
-    Lines { talk, text: String::new() }
+    exchange.write(call.as_bytes()).await.expect("open");
+    Lines { exchange, text: String::new() }
 }
 
-/// The lines of a watch, as they come.
+/// The lines of a watch, in order.
 struct Lines {
-    talk: Exchange,
+    exchange: Exchange,
     text: String,
 }
 
 impl Lines {
-    /// The next line that is no beat; `None` if none comes in ten seconds.
+    /// Returns the next line that is not a heartbeat; `None` if none comes in ten seconds.
     async fn next(&mut self) -> Option<Value> {
         let end = Instant::now() + 10 * SECOND;
         loop {
@@ -320,8 +327,8 @@
                     return Some(list);
                 }
             }
-            let came = tokio::time::timeout_at(end, self.talk.some()).await.ok()?.ok()?;
-            self.text.push_str(&String::from_utf8_lossy(&came));
+            let received = tokio::time::timeout_at(end, self.exchange.some()).await.ok()?.ok()?;
+            self.text.push_str(&String::from_utf8_lossy(&received));
         }
     }
 }
@@ -332,8 +339,8 @@
 }
 
 #[test]
-fn the_list_tells_the_whole_first_and_then_what_changes_and_each_is_accounted_for() {
-    on_stage(|context, nodes| async move {
+fn a_watch_sends_the_whole_list_then_changes_and_each_is_recorded() {
+    with_running_nodes(|context, nodes| async move {
         let list = NodeList::start(&context, &nodes).expect("it listens");
         let mut lines = watch(&context, &list, 0).await;
         let first = lines.next().await.expect("a list");
@@ -343,7 +350,7 @@
         let second = lines.next().await.expect("a change");
         assert!(from.elapsed() >= 3 * SECOND && from.elapsed() < 4 * SECOND);
         assert_eq!((&second["complete"], phases(&second)), (&false.into(), vec!["DRAINING"]));
-        let told = |l: &hollowpaddle_rehearsal::record::Line| {
+        let addresses = |l: &hollowpaddle_rehearsal::record::Line| {
             let at = Observation::ListUpdate {
                 balancer: 0,
                 node: 2,
@@ -353,28 +360,28 @@
             };
             l.seen == at
         };
-        assert_eq!(context.record.take().iter().filter(|l| told(l)).count(), 1);
+        assert_eq!(context.record.take().iter().filter(|l| addresses(l)).count(), 1);
         let mut later = watch(&context, &list, 1).await;
-        assert_eq!(phases(&later.next().await.expect("what changed since")), ["DRAINING"]);
+        assert_eq!(phases(&later.next().await.expect("the changes since")), ["DRAINING"]);
     });
 }
 
 #[test]
-fn a_later_word_about_a_node_is_not_undone_by_one_that_was_slower() {
-    on_stage(|context, nodes| async move {
+fn a_later_change_of_a_node_is_not_undone_by_a_slower_earlier_one() {
+    with_running_nodes(|context, nodes| async move {
         let list = NodeList::start(&context, &nodes).expect("it listens");
         let mut lines = watch(&context, &list, 0).await;
         lines.next().await.expect("a list");
         list.schedule_change(1, Phase::Deleted, At(0), 5 * SECOND);
         list.schedule_change(1, Phase::Serving, At(7), SECOND);
         assert_eq!(phases(&lines.next().await.expect("a change")), ["SERVING"]);
-        assert_eq!(lines.next().await, None, "it is back by then");
+        assert_eq!(lines.next().await, None, "the node is back by then");
     });
 }
 
 #[test]
-fn a_list_in_trouble_is_silent_stale_or_out_of_its_order() {
-    on_stage(|context, nodes| async move {
+fn list_faults_make_it_silent_stale_or_out_of_order() {
+    with_running_nodes(|context, nodes| async move {
         let list = NodeList::start(&context, &nodes).expect("it listens");
         let mut lines = watch(&context, &list, 0).await;
         lines.next().await.expect("a list");
@@ -383,15 +390,15 @@
         assert_eq!(lines.next().await, None);
         list.stale(false);
         list.disorder(true);
-        let came = [lines.next().await, lines.next().await, lines.next().await];
+        let received = [lines.next().await, lines.next().await, lines.next().await];
         let revision = |l: &Option<Value>| l.as_ref().and_then(|l| l["revision"].as_u64());
-        let revisions: Vec<_> = came.iter().map(revision).collect();
-        assert_eq!(revisions, [Some(2), Some(2), Some(1)], "twice, and an older one after it");
+        let revisions: Vec<_> = received.iter().map(revision).collect();
+        assert_eq!(revisions, [Some(2), Some(2), Some(1)], "repeated, then an older one");
         list.down(true);
         assert_eq!(lines.next().await, None);
         let network = context.testbed.network(Host::Balancer(0));
         let never = timeout(10 * SECOND, network.connect(list.address(0))).await;
-        assert!(never.is_err(), "it is out of reach");
+        assert!(never.is_err(), "the list is unreachable");
         list.down(false);
         list.disorder(false);
         sleep(SECOND).await;
@@ -400,8 +407,8 @@
 }
 
 #[test]
-fn a_list_that_moves_is_at_its_new_address_and_closes_the_old_one_later() {
-    on_stage(|context, nodes| async move {
+fn a_moved_list_closes_its_old_address_after_a_delay() {
+    with_running_nodes(|context, nodes| async move {
         let list = NodeList::start(&context, &nodes).expect("it listens");
         let old = list.address(0);
         let mut lines = watch(&context, &list, 0).await;
@@ -421,18 +428,18 @@
 }
 
 #[test]
-fn calls_wait_in_turn_and_one_that_would_wait_too_long_fails() {
-    on_stage(|context, nodes| async move {
+fn calls_queue_and_one_that_would_wait_too_long_fails() {
+    with_running_nodes(|context, nodes| async move {
         let list = NodeList::start(&context, &nodes).expect("it listens");
         let call = || {
             let (context, list) = (context.clone(), list.clone());
             spawn_local(async move {
                 let network = context.testbed.network(Host::Balancer(1));
                 let stream = network.connect(list.address(1)).await.expect("it listens");
-                let mut talk = Exchange::new(stream);
+                let mut exchange = Exchange::new(stream);
                 let text = b"GET /api/targets HTTP/1.1\r\nHost: a\r\n\r\n";
-                talk.write(text).await.expect("open");
-                talk.message(Direction::Responses).await.expect("an answer").status()
+                exchange.write(text).await.expect("open");
+                exchange.message(Direction::Responses).await.expect("an answer").status()
             })
         };
         let mut answers = Vec::new();
--- a/crates/rehearsal/tests/vans.rs
+++ b/crates/rehearsal/tests/user_sessions.rs
@@ -1,5 +1,5 @@
-//! Vans as the stand-ins play them: what a stranger costs a pod, whose repeats it drops, and whole days with
-//! a scripted bank.
+//! User sessions with the stand-ins: the cost of an unknown session for a cell, deduplication of
+//! repeats, and whole scenarios with a scripted cluster.
 
 mod scripted;
 
@@ -18,7 +18,7 @@
 use tokio::task::LocalSet;
 use tokio::time::{Instant, sleep};
 
-const DAY: &str = r#"
+const SCENARIO: &str = r#"
 name = "vans"
 length_s = 12
 
@@ -68,21 +68,23 @@
 ran_twice = 0
 "#;
 
-fn day(text: &str) -> Scenario {
+fn scenario(text: &str) -> Scenario {
     Scenario::read("vans.toml", text).unwrap_or_else(|e| panic!("{e}"))
 }
 
-fn play(text: &str) -> Report {
-    let day = day(text);
-    let plan = Plan::generate(&day, 2);
-    let of =
-        |plan| play_plan_virtual(&day, plan, Rc::new(Scripted(Fault::None))).expect("it plays");
+fn run_scenario(text: &str) -> Report {
+    let scenario = scenario(text);
+    let plan = Plan::generate(&scenario, 2);
+    let of = |plan| {
+        play_plan_virtual(&scenario, plan, Rc::new(Scripted(Fault::None)))
+            .expect("the run completes")
+    };
     Report::with_control(&of(plan.clone()), &of(plan.control_run()))
 }
 
 #[test]
-fn a_pod_works_more_for_a_stranger_and_drops_what_it_ran_whoever_asks_again() {
-    let scenario = day(DAY);
+fn a_cell_works_more_for_an_unknown_session_and_drops_repeats() {
+    let scenario = scenario(SCENARIO);
     let plan = Plan::generate(&scenario, 1);
     let runtime = tokio::runtime::Builder::new_current_thread()
         .enable_time()
@@ -95,65 +97,70 @@
         let nodes: Vec<_> = (0..8).map(|n| Node::new(&context, n)).collect();
         nodes.iter().for_each(|n| n.start(false, None).expect("it listens"));
         let arrivals = &context.plan.arrivals;
-        let again = (0..arrivals.len() as u32).find(|n| arrivals[*n as usize].original != *n);
-        let again = again.expect("one is pressed again");
-        let first = arrivals[again as usize].original;
+        let repeat = (0..arrivals.len() as u32).find(|n| arrivals[*n as usize].original != *n);
+        let repeat = repeat.expect("one request is repeated");
+        let first = arrivals[repeat as usize].original;
         let other = (0..arrivals.len() as u32).find(|n| {
-            ![first, again].contains(n)
+            ![first, repeat].contains(n)
                 && context.arrival(*n).session == context.arrival(first).session
         });
-        let other = other.expect("the van sends more");
+        let other = other.expect("the session sends more requests");
         let ask = async |node: usize, request| {
             let network = context.testbed.network(Host::Balancer(node % 2));
-            let mut talk =
+            let mut exchange =
                 Exchange::new(network.connect(nodes[node].address(0)).await.expect("it listens"));
             let text = context.request_text(request, Duration::from_secs(1));
-            talk.write(text.as_bytes()).await.expect("open");
+            exchange.write(text.as_bytes()).await.expect("open");
             let from = Instant::now();
-            assert_eq!(talk.message(Direction::Responses).await.expect("an answer").status(), 200);
-            // Both ways lie within one site.
+            assert_eq!(
+                exchange.message(Direction::Responses).await.expect("an answer").status(),
+                200
+            );
+            // Both directions stay within one zone.
             from.elapsed().as_millis()
         };
         let near = |took: u128, ms: u128| (ms..ms + 3).contains(&took);
-        // Nodes 0 and 2 are one pod.
-        let (stranger, known) = (ask(0, first).await, ask(2, other).await);
-        assert!(near(stranger, 65) && near(known, 40), "{stranger} and {known} ms");
-        let dropped = ask(2, again).await;
+        // Nodes 0 and 2 are in one cell.
+        let (unknown, known) = (ask(0, first).await, ask(2, other).await);
+        assert!(near(unknown, 65) && near(known, 40), "{unknown} and {known} ms");
+        let dropped = ask(2, repeat).await;
         assert!(dropped < 3, "the same key: {dropped} ms");
-        let elsewhere = ask(4, again).await;
-        assert!(near(elsewhere, 65), "another pod knows neither van nor key: {elsewhere} ms");
+        let elsewhere = ask(4, repeat).await;
+        assert!(near(elsewhere, 65), "another cell knows neither session nor key: {elsewhere} ms");
         sleep(Duration::from_secs(5)).await;
         let forgotten = ask(0, first).await;
         assert!(near(forgotten, 65), "window and memory are over: {forgotten} ms");
-        let fates = context.record.take().into_iter().filter_map(|l| match l.seen {
+        let outcomes = context.record.take().into_iter().filter_map(|l| match l.seen {
             Observation::Ended { outcome, .. } => Some(outcome),
             _ => None,
         });
         use AttemptOutcome::{Dropped, Served};
-        assert_eq!(fates.collect::<Vec<_>>(), [Served, Served, Dropped, Served, Served]);
+        assert_eq!(outcomes.collect::<Vec<_>>(), [Served, Served, Dropped, Served, Served]);
     });
 }
 
 #[test]
-fn vans_come_to_the_balancers_of_their_site() {
-    let day = day(DAY);
-    let plan = Plan::generate(&day, 2);
-    let played = play_plan_virtual(&day, plan, Rc::new(Scripted(Fault::None))).expect("it plays");
+fn sessions_reach_the_balancers_of_their_zone() {
+    let scenario = scenario(SCENARIO);
+    let plan = Plan::generate(&scenario, 2);
+    let played = play_plan_virtual(&scenario, plan, Rc::new(Scripted(Fault::None)))
+        .expect("the run completes");
     let mut sent = 0;
     for line in &played.trace {
         let Observation::Sent { request, balancer, .. } = line.seen else { continue };
-        let site = played.plan.arrivals[request as usize].session.expect("a van's").1;
-        assert_eq!(day.cluster.zone_of(balancer, &day.fleet), site);
+        let zone =
+            played.plan.arrivals[request as usize].session.expect("a request of a user session").1;
+        assert_eq!(scenario.cluster.zone_of(balancer, &scenario.fleet), zone);
         sent += 1;
     }
     assert!(sent > 500, "{sent}");
 }
 
 #[test]
-fn what_is_pressed_again_at_the_other_site_runs_twice_unless_all_pods_share_their_keys() {
-    let report = play(DAY);
-    let sessions = report.sessions.as_ref().expect("it has vans");
-    // A bank that knows nothing of vans: chance takes a press to the pod of the first, or not.
+fn repeats_in_another_zone_run_twice_unless_all_cells_share_keys() {
+    let report = run_scenario(SCENARIO);
+    let sessions = report.sessions.as_ref().expect("there are user sessions");
+    // A cluster without session affinity: a repeat reaches the first request's cell by chance only.
     assert!(sessions.ran_twice > 3 && sessions.in_previous_cell < 0.6, "{}", report.text());
     assert!(sessions.in_unknown_cells > 80, "{}", report.text());
     let missed = report.missed_expectations();
@@ -166,8 +173,8 @@
     assert_eq!(json["sessions"]["ran_twice"], sessions.ran_twice);
     assert_eq!(json["sessions"]["at_their_pod"], sessions.in_previous_cell);
 
-    let shared = play(&DAY.replace("window_ms", "group = \"all\"\nwindow_ms"));
-    let sessions = shared.sessions.as_ref().expect("it has vans");
+    let shared = run_scenario(&SCENARIO.replace("window_ms", "group = \"all\"\nwindow_ms"));
+    let sessions = shared.sessions.as_ref().expect("there are user sessions");
     assert_eq!(sessions.ran_twice, 0, "{}", shared.text());
     assert!(shared.missed_expectations().is_empty() && sessions.effects > 500, "{}", shared.text());
 }
