--- a/crates/ctl/src/in_process.rs
+++ b/crates/ctl/src/in_process.rs
@@ -12,7 +12,7 @@
 use hollowpaddle_gateway::{Config, OperatorAccess, Resources, StateSaver, StoredState, serve};
 use hollowpaddle_operator_commands::Store;
 use hollowpaddle_policy::settings::stable_hash;
-use hollowpaddle_rehearsal::cluster::{Control, Launch, LaunchError, Launcher, Running};
+use hollowpaddle_rehearsal::cluster::{Control, Launch, LaunchError, Launcher, RunningBalancer};
 use hollowpaddle_rehearsal::freeze::FreezeSwitch;
 use hollowpaddle_rehearsal::state_directories::DiskFaults;
 use hollowpaddle_snapshot::{Directory, Disk, Status};
@@ -24,7 +24,7 @@
 pub struct InProcess;
 
 impl Launcher for InProcess {
-    fn launch(&self, launch: Launch) -> Result<Running, LaunchError> {
+    fn launch(&self, launch: Launch) -> Result<RunningBalancer, LaunchError> {
         let Launch { name, listen, discovery, config, network, directory, control, .. } = launch;
         let (state, troubles) = (launch.state, launch.disk);
         let parse = {
@@ -110,7 +110,7 @@
                 Err(_) => None,
             }
         });
-        Ok(Running { control: Box::new(control), ended })
+        Ok(RunningBalancer { control: Box::new(control), ended })
     }
 }
 
--- a/crates/ctl/src/rehearse.rs
+++ b/crates/ctl/src/rehearse.rs
@@ -7,12 +7,12 @@
 use std::time::Instant;
 
 use hollowpaddle_rehearsal::plan::Plan;
-use hollowpaddle_rehearsal::process::Processes;
+use hollowpaddle_rehearsal::process::ProcessLauncher;
 use hollowpaddle_rehearsal::record::{CompletedRun, write_trace};
 use hollowpaddle_rehearsal::report::Report;
-use hollowpaddle_rehearsal::run::{play_plan_live, play_plan_virtual};
+use hollowpaddle_rehearsal::run::{run_plan_live, run_plan_virtual};
 use hollowpaddle_rehearsal::scenario::{self, Scenario};
-use hollowpaddle_rehearsal::sweep::{self, Swept};
+use hollowpaddle_rehearsal::sweep::{self, SweepResult};
 
 use crate::in_process::InProcess;
 use crate::output::{create, write_json};
@@ -202,7 +202,7 @@
     let twin_plan = wants_twin(arguments, &scenario).then(|| plan.control_run());
     let in_virtual_time = arguments.virtual_time || arguments.swept && !arguments.live;
     let (played, control_run) = if in_virtual_time {
-        let play = |plan| play_plan_virtual(&scenario, plan, Rc::new(InProcess));
+        let play = |plan| run_plan_virtual(&scenario, plan, Rc::new(InProcess));
         std::thread::scope(|scope| {
             let control_run = twin_plan.map(|plan| scope.spawn(|| play(plan)));
             let played = play(plan).map_err(|e| e.to_string())?;
@@ -241,12 +241,13 @@
         Some(command) => command.clone(),
         None => own_daemon()?,
     };
-    let launcher = Processes::new(&command, arguments.logs.as_deref().filter(|_| which.is_empty()))
-        .map_err(|e| format!("a folder for configurations or logs: {e}"))?;
+    let launcher =
+        ProcessLauncher::new(&command, arguments.logs.as_deref().filter(|_| which.is_empty()))
+            .map_err(|e| format!("a folder for configurations or logs: {e}"))?;
     let shows = std::io::stderr().is_terminal();
-    let played = play_plan_live(scenario, plan, Rc::new(launcher), move |p| {
+    let played = run_plan_live(scenario, plan, Rc::new(launcher), move |p| {
         if shows {
-            let (at, of) = (p.at.as_secs_f64(), p.of.as_secs_f64());
+            let (at, of) = (p.elapsed.as_secs_f64(), p.length.as_secs_f64());
             eprint!("\r\x1b[K{which}{at:.0} of {of:.0} s, {} requests open", p.open);
         }
     });
@@ -287,22 +288,28 @@
     let seeds = arguments.seed..arguments.seed.saturating_add(count);
     let launcher = || Rc::new(InProcess) as Rc<dyn hollowpaddle_rehearsal::cluster::Launcher>;
     let mut rules = Rules::default();
-    sweep::sweep(seeds, drawn(arguments), arguments.threads, launcher, |Swept { seed, report }| {
-        done += 1;
-        match report {
-            Ok(report) => {
-                simulated += report.length_s;
-                rules.add(&report);
-                if !report.is_clean() || !report.policy_is_clean() {
-                    broken.push(report);
+    sweep::sweep(
+        seeds,
+        drawn(arguments),
+        arguments.threads,
+        launcher,
+        |SweepResult { seed, report }| {
+            done += 1;
+            match report {
+                Ok(report) => {
+                    simulated += report.length_s;
+                    rules.add(&report);
+                    if !report.is_clean() || !report.policy_is_clean() {
+                        broken.push(report);
+                    }
                 }
+                Err(error) => failed.push((seed, error.to_string())),
             }
-            Err(error) => failed.push((seed, error.to_string())),
-        }
-        if shows {
-            eprint!("\r\x1b[K{done} of {count} seeds, {} break a rule", broken.len());
-        }
-    });
+            if shows {
+                eprint!("\r\x1b[K{done} of {count} seeds, {} break a rule", broken.len());
+            }
+        },
+    );
     if shows {
         eprint!("\r\x1b[K");
     }
--- a/crates/rehearsal/src/clients.rs
+++ b/crates/rehearsal/src/clients.rs
@@ -15,7 +15,7 @@
 
 /// Time after its deadline for which a client still accepts an answer: the network round trip and
 /// scheduling delays. An answer later than this violates rule 1.
-pub const PATIENCE: Duration = Duration::from_millis(50);
+pub const ANSWER_GRACE: Duration = Duration::from_millis(50);
 /// Timeout of a connection to a balancer.
 const CONNECT_TIMEOUT: Duration = Duration::from_secs(1);
 /// Interval between readiness checks of a new balancer.
@@ -75,13 +75,13 @@
         self.pools[balancer].address.set(address);
         let network = self.context.testbed.network(Host::Clients(balancer));
         while self.context.start_of(balancer) == start {
-            let asked = async {
+            let readiness_check = async {
                 let mut exchange = Exchange::new(network.connect(address).await.ok()?);
                 let request = b"GET /-/ready HTTP/1.1\r\nHost: api.internal\r\n\r\n";
                 exchange.write(request).await.ok()?;
                 exchange.message(Direction::Responses).await.ok()
             };
-            let answer = timeout(READY_TIMEOUT, asked).await;
+            let answer = timeout(READY_TIMEOUT, readiness_check).await;
             if matches!(answer, Ok(Some(m)) if m.status() == 200) {
                 if self.context.start_of(balancer) == start && !self.in_rotation(balancer) {
                     self.context.record.saw(Observation::Ready { balancer, start });
@@ -109,13 +109,13 @@
         let mut all: Vec<usize> = (0..self.pools.len()).filter(|b| self.in_rotation(*b)).collect();
         if let Some((_, session_zone)) = self.context.arrival(request).session {
             let (cluster, fleet) = (&self.context.scenario.cluster, &self.context.scenario.fleet);
-            let here = |b: &usize| cluster.zone_of(*b, fleet) == session_zone;
-            if all.iter().any(here) {
-                all.retain(here);
+            let in_zone = |b: &usize| cluster.zone_of(*b, fleet) == session_zone;
+            if all.iter().any(in_zone) {
+                all.retain(in_zone);
             }
         }
-        let draw = self.context.arrival(request).balancer_sample;
-        (!all.is_empty()).then(|| all[(draw % all.len() as u64) as usize])
+        let sample = self.context.arrival(request).balancer_sample;
+        (!all.is_empty()).then(|| all[(sample % all.len() as u64) as usize])
     }
 
     /// Sends one client's request and its repeats, until the final outcome.
@@ -123,29 +123,32 @@
         let context = &self.context;
         context.open.set(context.open.get() + 1);
         let (class, repeats) = (context.class(first), &context.scenario.clients.repeats);
-        let until = Instant::now() + class.deadline;
+        let deadline = Instant::now() + class.deadline;
         let mut request = first;
         loop {
-            let left = until.saturating_duration_since(Instant::now());
-            let end = match self.choose(request) {
+            let left = deadline.saturating_duration_since(Instant::now());
+            let outcome = match self.choose(request) {
                 Some(balancer) => self.send_once(balancer, request, left).await,
                 None => self.unreachable(usize::MAX, request),
             };
             // A request that may have run is repeated only if that is safe.
-            let harmless = match end {
+            let repeatable = match outcome {
                 RequestOutcome::Finished => false,
                 RequestOutcome::NotRun { .. } => true,
                 RequestOutcome::Failed => class.effect != Effect::Unsafe,
             };
-            let Some(next) = context.arrival(request).next_repeat.filter(|_| harmless) else {
+            let Some(next) = context.arrival(request).next_repeat.filter(|_| repeatable) else {
                 break;
             };
-            let advice =
-                if let RequestOutcome::NotRun { retry_after } = end { retry_after } else { None };
-            let draw = (context.arrival(next).balancer_sample >> 32) as f64 / f64::from(u32::MAX);
-            let wait = repeats.wait.mul_f64(0.5 + draw);
-            let wait = advice.filter(|_| repeats.honors_retry_after).unwrap_or(wait);
-            if Instant::now() + wait >= until {
+            let advised_delay = if let RequestOutcome::NotRun { retry_after } = outcome {
+                retry_after
+            } else {
+                None
+            };
+            let sample = (context.arrival(next).balancer_sample >> 32) as f64 / f64::from(u32::MAX);
+            let wait = repeats.wait.mul_f64(0.5 + sample);
+            let wait = advised_delay.filter(|_| repeats.honors_retry_after).unwrap_or(wait);
+            if Instant::now() + wait >= deadline {
                 break;
             }
             sleep(wait).await;
@@ -164,7 +167,7 @@
         let context = &self.context;
         let pool = &self.pools[balancer];
         // A client arrives only when a connection is free.
-        let Ok(_place) = pool.permits.acquire().await else { return RequestOutcome::Finished };
+        let Ok(_permit) = pool.permits.acquire().await else { return RequestOutcome::Finished };
         let mut again = false;
         loop {
             let connection = if again { None } else { self.idle(balancer).await };
@@ -194,13 +197,14 @@
                 again,
             });
             connection.last = Some(request);
-            let (sent, leaves) = (Instant::now(), context.arrival(request).abandoned_after);
-            let answer = timeout_at(sent + left + PATIENCE, async {
+            let (sent, abandoned_after) =
+                (Instant::now(), context.arrival(request).abandoned_after);
+            let answer = timeout_at(sent + left + ANSWER_GRACE, async {
                 tokio::select! {
                     biased;
                     answer = connection.exchange.message(Direction::Responses) => Some(answer),
                     () = async {
-                        match leaves {
+                        match abandoned_after {
                             Some(after) => sleep_until(sent + after).await,
                             None => std::future::pending().await,
                         }
@@ -217,7 +221,7 @@
                     return RequestOutcome::Finished;
                 }
                 Ok(Some(Ok(message))) => {
-                    let end = self.answered(request, &message);
+                    let outcome = self.record_answer(request, &message);
                     if connection.exchange.left_over() > 0 {
                         let bytes = connection.exchange.left_over();
                         let request = Some(request);
@@ -225,7 +229,7 @@
                     } else if !message.closes() {
                         pool.idle.borrow_mut().push(connection);
                     }
-                    return end;
+                    return outcome;
                 }
                 // The request crossed with the close of an idle connection.
                 Ok(Some(Err(
@@ -246,7 +250,7 @@
         }
     }
 
-    fn answered(&self, request: u32, message: &Message) -> RequestOutcome {
+    fn record_answer(&self, request: u32, message: &Message) -> RequestOutcome {
         // The body of an upstream's answer holds the request's id and the attempt.
         let text = String::from_utf8_lossy(&message.body);
         let attempt = match text.split_once(' ') {
--- a/crates/rehearsal/src/cluster.rs
+++ b/crates/rehearsal/src/cluster.rs
@@ -84,7 +84,7 @@
 }
 
 /// A balancer that has been started.
-pub struct Running {
+pub struct RunningBalancer {
     /// Controls the balancer.
     pub control: Box<dyn Control>,
     /// Resolves when the balancer has ended: to its exit code, or to `None` if it was killed.
@@ -97,7 +97,7 @@
     ///
     /// # Errors
     /// The balancer can't be started.
-    fn launch(&self, launch: Launch) -> Result<Running, LaunchError>;
+    fn launch(&self, launch: Launch) -> Result<RunningBalancer, LaunchError>;
 }
 
 #[derive(Default)]
@@ -204,7 +204,7 @@
             name,
         };
         self.context.record.saw(Observation::Started { balancer, start });
-        let Running { control, ended } = self.launcher.launch(launch)?;
+        let RunningBalancer { control, ended } = self.launcher.launch(launch)?;
         {
             let slot = &mut self.slots.borrow_mut()[balancer];
             slot.cpu_before += std::mem::take(&mut slot.peak.cpu_ms);
--- a/crates/rehearsal/src/list.rs
+++ b/crates/rehearsal/src/list.rs
@@ -184,11 +184,11 @@
         let now = Instant::now();
         let mut due: Vec<PendingChange> = Vec::new();
         self.pending.borrow_mut().retain(|n| {
-            let is = n.due <= now;
-            if is {
+            let is_due = n.due <= now;
+            if is_due {
                 due.push(n.clone());
             }
-            !is
+            !is_due
         });
         due.sort_by_key(|n| n.serial);
         let revision = *self.revision.get() + 1;
@@ -246,7 +246,7 @@
     }
 
     /// Returns whether a balancer can't reach the list.
-    fn is_out_of_reach(&self, balancer: usize) -> bool {
+    fn is_unreachable_for(&self, balancer: usize) -> bool {
         self.is_down() || self.silenced.borrow()[balancer] > 0
     }
 
@@ -260,7 +260,7 @@
     async fn accept(self: Rc<Self>, balancer: usize, mut listener: Box<dyn Listener>) {
         let mut broken = self.broken.subscribe();
         loop {
-            listener.hush(self.is_out_of_reach(balancer));
+            listener.hush(self.is_unreachable_for(balancer));
             let next = std::future::poll_fn(|cx| listener.poll_accept(cx));
             tokio::select! {
                 biased;
@@ -271,7 +271,7 @@
                     Err(_) => sleep(Duration::from_millis(5)).await,
                 },
                 // Check regularly whether the balancer can reach the list.
-                () = sleep(POLL_INTERVAL), if self.cuts || self.is_out_of_reach(balancer) => {}
+                () = sleep(POLL_INTERVAL), if self.cuts || self.is_unreachable_for(balancer) => {}
                 () = broken.changed() => {}
             }
         }
@@ -371,8 +371,8 @@
         let mut at = from;
         // Messages that may be repeated: those of this watch, and the whole list as another replica
         // still has it.
-        let mut before: VecDeque<(String, Vec<Update>)> = VecDeque::new();
-        before.push_back(self.line(balancer, 0));
+        let mut recent: VecDeque<(String, Vec<Update>)> = VecDeque::new();
+        recent.push_back(self.line(balancer, 0));
         exchange.write(b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n").await?;
         loop {
             tokio::select! {
@@ -388,14 +388,14 @@
             if self.active_faults.borrow().disorder > 0 {
                 exchange.chunk(&format!("{text}\n")).await?;
                 self.record_updates(balancer, updates.clone());
-                if let Some((older, what)) = before.pop_front() {
+                if let Some((older, older_updates)) = recent.pop_front() {
                     exchange.chunk(&format!("{older}\n")).await?;
-                    self.record_updates(balancer, what);
+                    self.record_updates(balancer, older_updates);
                 }
             }
-            before.push_back((text, updates));
-            if before.len() > MAX_REPLAYED {
-                before.pop_front();
+            recent.push_back((text, updates));
+            if recent.len() > MAX_REPLAYED {
+                recent.pop_front();
             }
             loop {
                 tokio::select! {
@@ -441,8 +441,8 @@
         member(&self.context, &self.nodes[node], entry.phase, entry.since, balancer)
     }
 
-    fn record_updates(&self, balancer: usize, what: Vec<Update>) {
-        for Update { node, entry: Entry { phase, since }, revision } in what {
+    fn record_updates(&self, balancer: usize, updates: Vec<Update>) {
+        for Update { node, entry: Entry { phase, since }, revision } in updates {
             self.context.record.saw(Observation::ListUpdate {
                 balancer,
                 node,
--- a/crates/rehearsal/src/operator.rs
+++ b/crates/rehearsal/src/operator.rs
@@ -144,22 +144,23 @@
             }
         }
         // Ties go to the lower number.
-        let most = votes.into_iter().max_by_key(|(who, votes)| (*votes, std::cmp::Reverse(*who)));
-        most.map(|(who, _)| who)
+        let most =
+            votes.into_iter().max_by_key(|(leader, votes)| (*votes, std::cmp::Reverse(*leader)));
+        most.map(|(leader, _)| leader)
     }
 
     /// Makes one call, and retries at the next balancer until one answers or the time is over.
     pub async fn execute(self: Rc<Self>, call: Call) {
         let (from, count) = (Instant::now(), self.context.scenario.cluster.count);
-        let (mut tries, mut target, mut to) = (0, call.balancer, None);
+        let (mut attempts, mut target, mut to) = (0, call.balancer, None);
         loop {
             if call.rollback_steps.is_some() && to.is_none() {
                 to = self.revision_before(target, call.rollback_steps.unwrap_or(1)).await;
             }
             // If this balancer can't tell the revision to roll back to, the next one is asked.
             if call.rollback_steps.is_none() || to.is_some() {
-                let answered = self.call_once(&call, target, tries, to).await;
-                tries += 1;
+                let answered = self.call_once(&call, target, attempts, to).await;
+                attempts += 1;
                 match answered {
                     // A step has to be taken first, so the call is repeated. The same id would
                     // return the same answer, so the next attempt has a new one.
@@ -181,13 +182,15 @@
         &self,
         call: &Call,
         target: usize,
-        tries: u32,
+        attempts: u32,
         to: Option<u64>,
     ) -> Option<u16> {
         let mut body = call.body.clone();
         let id = call.id.map(|id| match call.verb {
             // A call rejected because another change was pending is a new call.
-            OperatorVerb::FallbackPolicy => format!("{:032x}", id.wrapping_add(u128::from(tries))),
+            OperatorVerb::FallbackPolicy => {
+                format!("{:032x}", id.wrapping_add(u128::from(attempts)))
+            }
             _ => format!("{id:032x}"),
         });
         if let Some(id) = &id {
@@ -199,7 +202,7 @@
         let (number, verb) = (call.number, call.verb);
         let said = Observation::OperatorCall {
             call: number,
-            tries,
+            tries: attempts,
             balancer: target,
             verb,
             id,
--- a/crates/rehearsal/src/peers.rs
+++ b/crates/rehearsal/src/peers.rs
@@ -21,7 +21,7 @@
 
 /// Maximum number of balancers with peer messages in a live run: the relay holds a descriptor for
 /// each ordered pair, and a process usually may hold 1,024.
-pub const MOST_LIVE: usize = 24;
+pub const MAX_LIVE_BALANCERS: usize = 24;
 
 /// Ports in virtual time: where balancers receive, the address of all others, and the first of the
 /// addresses of single others.
--- a/crates/rehearsal/src/process.rs
+++ b/crates/rehearsal/src/process.rs
@@ -9,7 +9,7 @@
 use rustix::process::{Pid, Signal, kill_process};
 use tokio::process::Command;
 
-use crate::cluster::{Control, Launch, LaunchError, Launcher, Running};
+use crate::cluster::{Control, Launch, LaunchError, Launcher, RunningBalancer};
 use crate::record::Resources;
 use crate::state_directories::temporary_directory;
 
@@ -22,7 +22,7 @@
 
 /// Starts balancers by a command, as the platform does: `/bin/sh -c`, the LB_* variables and a
 /// configuration file.
-pub struct Processes {
+pub struct ProcessLauncher {
     command: String,
     /// Directory of the configurations, and of the logs unless `logs` is set. Deleted on drop.
     temporary_directory: tempfile::TempDir,
@@ -30,7 +30,7 @@
     logs: Option<PathBuf>,
 }
 
-impl Processes {
+impl ProcessLauncher {
     /// Creates a launcher that passes `command` to the shell. Each balancer's log goes to a file in
     /// `logs`, if given.
     ///
@@ -54,8 +54,8 @@
     }
 }
 
-impl Launcher for Processes {
-    fn launch(&self, launch: Launch) -> Result<Running, LaunchError> {
+impl Launcher for ProcessLauncher {
+    fn launch(&self, launch: Launch) -> Result<RunningBalancer, LaunchError> {
         let fail = |what: String| LaunchError { name: launch.name.clone(), what };
         let file = self.temporary_directory.path().join(format!("{}.json", launch.name));
         fs::write(&file, &launch.config).map_err(|e| fail(format!("its configuration: {e}")))?;
@@ -87,7 +87,7 @@
             has_exited.set(true);
             status.ok().and_then(|s| s.code())
         });
-        Ok(Running { control, ended })
+        Ok(RunningBalancer { control, ended })
     }
 }
 
--- a/crates/rehearsal/src/run.rs
+++ b/crates/rehearsal/src/run.rs
@@ -8,12 +8,12 @@
 use tokio::task::{LocalSet, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 
-use crate::clients::{Clients, PATIENCE};
+use crate::clients::{ANSWER_GRACE, Clients};
 use crate::cluster::{Balancers, LaunchError, Launcher};
 use crate::list::NodeList;
 use crate::node::Node;
 use crate::operator::Operator;
-use crate::peers::MOST_LIVE;
+use crate::peers::MAX_LIVE_BALANCERS;
 use crate::plan::{FaultEvent, Plan};
 use crate::policy_actions::{PlannedAction, PlannedStep};
 use crate::record::{CompletedRun, Observation, Phase};
@@ -52,7 +52,7 @@
     },
     /// Too many balancers with peer messages for a live run.
     #[error(
-        "{0} balancers with `peers`: {MOST_LIVE} are the most in a live run, whose relay holds a descriptor for \
+        "{0} balancers with `peers`: {MAX_LIVE_BALANCERS} are the most in a live run, whose relay holds a descriptor for \
          each ordered pair; play it with --virtual, or with fewer"
     )]
     TooManyPeers(usize),
@@ -65,9 +65,9 @@
 #[derive(Clone, Copy, Debug)]
 pub struct Progress {
     /// Elapsed time of the run.
-    pub at: Duration,
+    pub elapsed: Duration,
     /// Length of the run.
-    pub of: Duration,
+    pub length: Duration,
     /// Number of requests that are not finished.
     pub open: usize,
 }
@@ -77,19 +77,19 @@
 ///
 /// # Errors
 /// A balancer can't be started, or none is ready.
-pub fn play_virtual(
+pub fn run_virtual(
     scenario: &Scenario,
     seed: u64,
     launcher: Rc<dyn Launcher>,
 ) -> Result<CompletedRun, RunError> {
-    play_plan_virtual(scenario, Plan::generate(scenario, seed), launcher)
+    run_plan_virtual(scenario, Plan::generate(scenario, seed), launcher)
 }
 
 /// Does the same with a plan generated before.
 ///
 /// # Errors
-/// See [`play_virtual`].
-pub fn play_plan_virtual(
+/// See [`run_virtual`].
+pub fn run_plan_virtual(
     scenario: &Scenario,
     plan: Plan,
     launcher: Rc<dyn Launcher>,
@@ -98,7 +98,7 @@
         tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build()?;
     LocalSet::new().block_on(&runtime, async {
         let testbed = Testbed::simulated(scenario, &plan);
-        play(scenario.clone(), plan, testbed, launcher, |_| {}).await
+        run(scenario.clone(), plan, testbed, launcher, |_| {}).await
     })
 }
 
@@ -106,20 +106,20 @@
 ///
 /// # Errors
 /// A stand-in can't listen, a balancer can't be started, or none is ready.
-pub fn play_live(
+pub fn run_live(
     scenario: &Scenario,
     seed: u64,
     launcher: Rc<dyn Launcher>,
     progress: impl Fn(Progress) + 'static,
 ) -> Result<CompletedRun, RunError> {
-    play_plan_live(scenario, Plan::generate(scenario, seed), launcher, progress)
+    run_plan_live(scenario, Plan::generate(scenario, seed), launcher, progress)
 }
 
 /// Does the same with a plan generated before.
 ///
 /// # Errors
-/// See [`play_live`].
-pub fn play_plan_live(
+/// See [`run_live`].
+pub fn run_plan_live(
     scenario: &Scenario,
     plan: Plan,
     launcher: Rc<dyn Launcher>,
@@ -131,16 +131,16 @@
             return Err(RunError::VirtualOnly { line, kind, why });
         }
     }
-    if scenario.cluster.peers && scenario.cluster.count > MOST_LIVE {
+    if scenario.cluster.peers && scenario.cluster.count > MAX_LIVE_BALANCERS {
         return Err(RunError::TooManyPeers(scenario.cluster.count));
     }
     let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build()?;
     LocalSet::new().block_on(&runtime, async {
-        play(scenario.clone(), plan, Testbed::loopback(), launcher, progress).await
+        run(scenario.clone(), plan, Testbed::loopback(), launcher, progress).await
     })
 }
 
-struct World {
+struct RunState {
     context: Rc<RunContext>,
     nodes: Vec<Rc<Node>>,
     list: Rc<NodeList>,
@@ -152,7 +152,7 @@
     cancelled_replacements: RefCell<Vec<usize>>,
 }
 
-async fn play(
+async fn run(
     scenario: Scenario,
     plan: Plan,
     testbed: Testbed,
@@ -185,7 +185,7 @@
         balancers.end();
         return Err(RunError::NoneReady(READY_TIMEOUT));
     }
-    let world = Rc::new(World {
+    let state = Rc::new(RunState {
         context: context.clone(),
         nodes,
         list,
@@ -194,22 +194,26 @@
         failed: RefCell::default(),
         cancelled_replacements: RefCell::default(),
     });
-    for node in &world.nodes {
-        spawn_local(world.clone().remove_when_overloaded(node.clone()));
+    for node in &state.nodes {
+        spawn_local(state.clone().remove_when_overloaded(node.clone()));
     }
-    let (began, zero) = (context.record.now(), Instant::now());
+    let (began, run_start) = (context.record.now(), Instant::now());
     if !scenario.policy_actions.is_empty() {
-        world.operator.start_polling();
-        spawn_local(world.clone().run_policy_actions(zero));
+        state.operator.start_polling();
+        spawn_local(state.clone().run_policy_actions(run_start));
     }
-    let faults = spawn_local(world.clone().run_faults(zero));
+    let faults = spawn_local(state.clone().run_faults(run_start));
     let measure = spawn_local({
         let (balancers, context) = (balancers.clone(), context.clone());
         async move {
             loop {
                 balancers.measure();
-                let of = context.scenario.length;
-                progress(Progress { at: zero.elapsed().min(of), of, open: context.open.get() });
+                let length = context.scenario.length;
+                progress(Progress {
+                    elapsed: run_start.elapsed().min(length),
+                    length,
+                    open: context.open.get(),
+                });
                 sleep(MEASURE_INTERVAL).await;
             }
         }
@@ -217,15 +221,15 @@
     match scenario.load.closed {
         None => {
             for request in 0..context.plan.original_count {
-                sleep_until(zero + context.arrival(request).at).await;
+                sleep_until(run_start + context.arrival(request).at).await;
                 spawn_local(clients.clone().send_with_repeats(request));
             }
         }
-        Some(closed) => start_closed_clients(&context, &clients, closed, zero),
+        Some(closed) => start_closed_clients(&context, &clients, closed, run_start),
     }
-    sleep_until(zero + scenario.length).await;
+    sleep_until(run_start + scenario.length).await;
     let longest = scenario.classes.iter().map(|c| c.deadline).max().unwrap_or_default();
-    let end = Instant::now() + longest + PATIENCE + SETTLE_TIME;
+    let end = Instant::now() + longest + ANSWER_GRACE + SETTLE_TIME;
     while context.open.get() > 0 && Instant::now() < end {
         sleep(Duration::from_millis(5)).await;
     }
@@ -237,7 +241,7 @@
     let resources = balancers.resources();
     let trace = context.record.take();
     balancers.end();
-    if let Some(failed) = world.failed.take() {
+    if let Some(failed) = state.failed.take() {
         return Err(failed);
     }
     Ok(CompletedRun {
@@ -256,16 +260,17 @@
     context: &Rc<RunContext>,
     clients: &Rc<Clients>,
     closed: Closed,
-    zero: Instant,
+    run_start: Instant,
 ) {
-    let turn = Rc::new(Cell::new(0));
-    let end = zero + context.scenario.length;
+    let next_request = Rc::new(Cell::new(0));
+    let end = run_start + context.scenario.length;
     for n in 0..closed.clients {
-        let (context, clients, turn) = (context.clone(), clients.clone(), turn.clone());
+        let (context, clients, next_request) =
+            (context.clone(), clients.clone(), next_request.clone());
         spawn_local(async move {
-            sleep_until(zero + closed.pause * n / closed.clients).await;
-            while Instant::now() < end && turn.get() < context.plan.original_count {
-                let request = turn.replace(turn.get() + 1);
+            sleep_until(run_start + closed.pause * n / closed.clients).await;
+            while Instant::now() < end && next_request.get() < context.plan.original_count {
+                let request = next_request.replace(next_request.get() + 1);
                 clients.clone().send_with_repeats(request).await;
                 sleep(closed.pause).await;
             }
@@ -273,10 +278,10 @@
     }
 }
 
-impl World {
-    async fn run_faults(self: Rc<Self>, zero: Instant) {
+impl RunState {
+    async fn run_faults(self: Rc<Self>, run_start: Instant) {
         for event in self.context.plan.fault_events.clone() {
-            sleep_until(zero + event.at).await;
+            sleep_until(run_start + event.at).await;
             self.context
                 .record
                 .saw(Observation::Fault { fault: event.fault, begins: event.begins });
@@ -285,9 +290,9 @@
     }
 
     /// Makes the operators' calls and starts the faults of the leader, at their times.
-    async fn run_policy_actions(self: Rc<Self>, zero: Instant) {
+    async fn run_policy_actions(self: Rc<Self>, run_start: Instant) {
         for PlannedAction { at, action, step } in self.context.plan.policy_actions.clone() {
-            sleep_until(zero + at).await;
+            sleep_until(run_start + at).await;
             match step {
                 PlannedStep::Call(call) => drop(spawn_local(self.operator.clone().execute(call))),
                 PlannedStep::Leader(fault, length) => {
--- a/crates/rehearsal/src/sweep.rs
+++ b/crates/rehearsal/src/sweep.rs
@@ -15,7 +15,7 @@
 
 use crate::cluster::Launcher;
 use crate::report::Report;
-use crate::run::{RunError, play_virtual};
+use crate::run::{RunError, run_virtual};
 use crate::scenario::{
     Class, Clients, Cluster, Effect, Expect, Fault, FaultKind, Fleet, Group, LinkDirection,
     ListService, Load, MachineType, PolicySettings, Repeats, Rules, Scenario, Selection, Shape,
@@ -24,7 +24,7 @@
 
 /// The result of one seed.
 #[derive(Debug)]
-pub struct Swept {
+pub struct SweepResult {
     /// The seed of both [`scenario`] and the plan.
     pub seed: u64,
     /// The report of the run, or the error that prevented it.
@@ -323,7 +323,7 @@
     make_scenario: fn(u64) -> Scenario,
     threads: Option<NonZeroUsize>,
     launcher: impl Fn() -> Rc<dyn Launcher> + Send + Sync,
-    mut report_run: impl FnMut(Swept),
+    mut report_run: impl FnMut(SweepResult),
 ) {
     let threads = threads.or(thread::available_parallelism().ok()).map_or(1, NonZeroUsize::get);
     let next = AtomicU64::new(seeds.start);
@@ -340,9 +340,9 @@
                     if seed >= end {
                         return;
                     }
-                    let played = play_virtual(&make_scenario(seed), seed, launcher());
+                    let played = run_virtual(&make_scenario(seed), seed, launcher());
                     let report = played.map(|p| Report::of(&p));
-                    if sender.send(Swept { seed, report }).is_err() {
+                    if sender.send(SweepResult { seed, report }).is_err() {
                         return;
                     }
                 }
--- a/crates/rehearsal/tests/broken_balancers.rs
+++ b/crates/rehearsal/tests/broken_balancers.rs
@@ -7,7 +7,7 @@
 
 use hollowpaddle_rehearsal::checker::Violation;
 use hollowpaddle_rehearsal::report::Report;
-use hollowpaddle_rehearsal::run::play_virtual;
+use hollowpaddle_rehearsal::run::run_virtual;
 use hollowpaddle_rehearsal::scenario::Scenario;
 use scripted::{Fault, Scripted};
 
@@ -98,7 +98,7 @@
 
 fn run_scenario(fault: Fault) -> Report {
     let scenario = Scenario::read("short.toml", SCENARIO).expect("a valid scenario");
-    Report::of(&play_virtual(&scenario, 5, Rc::new(Scripted(fault))).expect("the run completes"))
+    Report::of(&run_virtual(&scenario, 5, Rc::new(Scripted(fault))).expect("the run completes"))
 }
 
 #[test]
@@ -168,7 +168,7 @@
 /// Returns the reports of the correct and the faulty balancer for a scenario.
 fn run_correct_and_broken(fault: Fault, scenario: &Scenario) -> [Report; 2] {
     [Fault::None, fault].map(|f| {
-        Report::of(&play_virtual(scenario, 5, Rc::new(Scripted(f))).expect("the run completes"))
+        Report::of(&run_virtual(scenario, 5, Rc::new(Scripted(f))).expect("the run completes"))
     })
 }
 
--- a/crates/rehearsal/tests/broken_clusters.rs
+++ b/crates/rehearsal/tests/broken_clusters.rs
@@ -9,7 +9,7 @@
 use hollowpaddle_rehearsal::checker::Violation;
 use hollowpaddle_rehearsal::plan::Plan;
 use hollowpaddle_rehearsal::report::Report;
-use hollowpaddle_rehearsal::run::play_plan_virtual;
+use hollowpaddle_rehearsal::run::run_plan_virtual;
 use hollowpaddle_rehearsal::scenario::Scenario;
 use scripted::{Fault, Scripted};
 
@@ -94,7 +94,7 @@
     let scenario = Scenario::read("broken.toml", SCENARIO).unwrap_or_else(|e| panic!("{e}"));
     let plan = Plan::generate(&scenario, 3);
     let of = |plan| {
-        play_plan_virtual(&scenario, plan, Rc::new(Scripted(fault))).expect("the run completes")
+        run_plan_virtual(&scenario, plan, Rc::new(Scripted(fault))).expect("the run completes")
     };
     Report::with_control(&of(plan.clone()), &of(plan.control_run()))
 }
--- a/crates/rehearsal/tests/broken_policies.rs
+++ b/crates/rehearsal/tests/broken_policies.rs
@@ -6,7 +6,7 @@
 use std::rc::Rc;
 
 use hollowpaddle_rehearsal::report::Report;
-use hollowpaddle_rehearsal::run::play_virtual;
+use hollowpaddle_rehearsal::run::run_virtual;
 use hollowpaddle_rehearsal::scenario::Scenario;
 use scripted::{Fault, Scripted};
 
@@ -57,7 +57,7 @@
 
 fn run_scenario(fault: Fault) -> Report {
     let scenario = Scenario::read("rules.toml", SCENARIO).expect("a valid scenario");
-    Report::of(&play_virtual(&scenario, 5, Rc::new(Scripted(fault))).expect("the run completes"))
+    Report::of(&run_virtual(&scenario, 5, Rc::new(Scripted(fault))).expect("the run completes"))
 }
 
 #[test]
--- a/crates/rehearsal/tests/scripted/mod.rs
+++ b/crates/rehearsal/tests/scripted/mod.rs
@@ -12,7 +12,7 @@
 use std::time::Duration;
 
 use hollowpaddle_net::{Network, accept};
-use hollowpaddle_rehearsal::cluster::{Control, Launch, LaunchError, Launcher, Running};
+use hollowpaddle_rehearsal::cluster::{Control, Launch, LaunchError, Launcher, RunningBalancer};
 use hollowpaddle_rehearsal::freeze::FreezeSwitch;
 use hollowpaddle_rehearsal::wire::{Direction, Exchange, Message};
 use policy::PolicyState;
@@ -132,7 +132,7 @@
 }
 
 impl Launcher for Scripted {
-    fn launch(&self, launch: Launch) -> Result<Running, LaunchError> {
+    fn launch(&self, launch: Launch) -> Result<RunningBalancer, LaunchError> {
         let config: Value = serde_json::from_str(&launch.config).expect("JSON");
         let settings = &config["settings"];
         let class = |c: &Value| {
@@ -203,13 +203,13 @@
         });
         let task_of = task.abort_handle();
         let control =
-            Box::new(RunningBalancer { task: task_of, frozen, resumed_at, ending, at_once });
+            Box::new(ScriptedControl { task: task_of, frozen, resumed_at, ending, at_once });
         let ended = Box::pin(async move { task.await.ok().map(|()| 3) });
-        Ok(Running { control, ended })
+        Ok(RunningBalancer { control, ended })
     }
 }
 
-struct RunningBalancer {
+struct ScriptedControl {
     task: AbortHandle,
     frozen: FreezeSwitch,
     resumed_at: Rc<Cell<Option<Instant>>>,
@@ -231,7 +231,7 @@
     }
 }
 
-impl Control for RunningBalancer {
+impl Control for ScriptedControl {
     fn kill(&self) {
         self.task.abort();
     }
--- a/crates/rehearsal/tests/user_sessions.rs
+++ b/crates/rehearsal/tests/user_sessions.rs
@@ -10,7 +10,7 @@
 use hollowpaddle_rehearsal::plan::Plan;
 use hollowpaddle_rehearsal::record::{AttemptOutcome, Observation};
 use hollowpaddle_rehearsal::report::Report;
-use hollowpaddle_rehearsal::run::play_plan_virtual;
+use hollowpaddle_rehearsal::run::run_plan_virtual;
 use hollowpaddle_rehearsal::run_context::{Host, RunContext, Testbed};
 use hollowpaddle_rehearsal::scenario::Scenario;
 use hollowpaddle_rehearsal::wire::{Direction, Exchange};
@@ -76,7 +76,7 @@
     let scenario = scenario(text);
     let plan = Plan::generate(&scenario, 2);
     let of = |plan| {
-        play_plan_virtual(&scenario, plan, Rc::new(Scripted(Fault::None)))
+        run_plan_virtual(&scenario, plan, Rc::new(Scripted(Fault::None)))
             .expect("the run completes")
     };
     Report::with_control(&of(plan.clone()), &of(plan.control_run()))
@@ -143,7 +143,7 @@
 fn sessions_reach_the_balancers_of_their_zone() {
     let scenario = scenario(SCENARIO);
     let plan = Plan::generate(&scenario, 2);
-    let played = play_plan_virtual(&scenario, plan, Rc::new(Scripted(Fault::None)))
+    let played = run_plan_virtual(&scenario, plan, Rc::new(Scripted(Fault::None)))
         .expect("the run completes");
     let mut sent = 0;
     for line in &played.trace {
--- a/tests/fleet/days.rs
+++ b/tests/fleet/days.rs
@@ -5,10 +5,10 @@
 
 use crate::NODE;
 use hollowpaddle_rehearsal::plan::Plan;
-use hollowpaddle_rehearsal::process::Processes;
+use hollowpaddle_rehearsal::process::ProcessLauncher;
 use hollowpaddle_rehearsal::record::{CompletedRun, Observation};
 use hollowpaddle_rehearsal::report::Report;
-use hollowpaddle_rehearsal::run::play_plan_live;
+use hollowpaddle_rehearsal::run::run_plan_live;
 use hollowpaddle_rehearsal::scenario::Scenario;
 
 const DAY: &str = r#"
@@ -63,9 +63,9 @@
     let faults = faults.iter().map(|f| format!("\n[[faults]]\n{f}\n"));
     let text = DAY.to_string() + &faults.collect::<String>();
     let scenario = Scenario::read("short.toml", &text).unwrap_or_else(|e| panic!("{e}"));
-    let launcher = Rc::new(Processes::new(NODE, None).expect("a folder"));
+    let launcher = Rc::new(ProcessLauncher::new(NODE, None).expect("a folder"));
     let plan = Plan::generate(&scenario, 5);
-    play_plan_live(&scenario, plan, launcher, |_| {}).expect("it plays")
+    run_plan_live(&scenario, plan, launcher, |_| {}).expect("it plays")
 }
 
 fn count(played: &CompletedRun, what: impl Fn(&Observation) -> bool) -> usize {
