--- a/crates/rehearsal/src/list.rs
+++ b/crates/rehearsal/src/list.rs
@@ -76,7 +76,7 @@
     watches: Cell<u64>,
     /// Number of active faults that cut each balancer off from the list.
     silenced: RefCell<Vec<u32>>,
-    /// Whether the scenario has such a fault.
+    /// Whether the scenario cuts any balancer off from the list.
     cuts: bool,
 }
 
@@ -151,7 +151,7 @@
     }
 
     /// Moves the list to other addresses. The old ones accept no new connections, and open
-    /// connections are closed after [`MOVE_GRACE`].
+    /// connections are closed after a grace period.
     ///
     /// # Errors
     /// The list can't listen.
--- a/crates/rehearsal/src/node/model.rs
+++ b/crates/rehearsal/src/node/model.rs
@@ -265,7 +265,8 @@
             (Admission::Accepted, Admission::Accepted)
         );
         assert_eq!(m.arrive(4, 100.0), Admission::Full);
-        // Four requests on two cores exceed the threshold of 1.5 by half a request per core: a sixth of the speed is lost.
+        // Four requests on two cores exceed the threshold of 1.5 by half a request per core: a
+        // sixth of the speed is lost.
         let pace = 2.0 * 2.0 * (1.0 - 0.5 * 0.5 / 1.5) / 3.0;
         let next = m.next().expect("busy");
         assert!((next - 100.0 / pace).abs() < 1e-6, "{next}");
@@ -298,7 +299,8 @@
     #[test]
     fn a_cold_node_is_overloaded_only_above_its_limit() {
         let mut m = Model::start(&kind(), 1.0, 0.0, 10_000.0, OVERLOAD);
-        // Four times 0.25 of two cores for 2 s is 40 requests; the tolerance adds twice the square root, and two.
+        // Four times 0.25 of two cores for 2 s is 40 requests; the tolerance adds twice the square
+        // root, and two.
         let mut sent = 0.0;
         while m.arrive(0, 100.0) != Admission::Overloaded {
             sent += 100.0;
@@ -312,7 +314,8 @@
             "one heavy request is tolerated"
         );
         assert_eq!(heavy.arrive(0, 50_000.0), Admission::Overloaded, "two are not");
-        // The same work spread over time never overloads a cold node, and no work overloads a warm one.
+        // The same work spread over time never overloads a cold node, and no work overloads a warm
+        // one.
         let mut slow = Model::start(&kind(), 1.0, 0.0, 10_000.0, OVERLOAD);
         for i in 0..50 {
             finished(&mut slow, 60.0 * f64::from(i));
--- a/crates/rehearsal/src/node/serving.rs
+++ b/crates/rehearsal/src/node/serving.rs
@@ -156,7 +156,7 @@
         }
         let outcome = self.run(exchange, attempt, request, work_ms, over_limit).await;
         let Some(outcome) = outcome else { return false };
-        record.saw(Observation::Ended { attempt, outcome: outcome });
+        record.saw(Observation::Ended { attempt, outcome });
         let load = self.load_header();
         let text = match outcome {
             AttemptOutcome::Served | AttemptOutcome::Dropped => {
--- a/crates/rehearsal/src/operator.rs
+++ b/crates/rehearsal/src/operator.rs
@@ -200,7 +200,7 @@
             body["to"] = to.into();
         }
         let (number, verb) = (call.number, call.verb);
-        let said = Observation::OperatorCall {
+        let call_event = Observation::OperatorCall {
             call: number,
             tries: attempts,
             balancer: target,
@@ -208,7 +208,7 @@
             id,
             member: call.member,
         };
-        self.context.record.saw(said);
+        self.context.record.saw(call_event);
         let response =
             timeout(CALL_TIMEOUT, self.call(target, "POST", call.path, &body)).await.ok().flatten();
         let text = response.as_ref().map(|(_, text)| text);
--- a/crates/rehearsal/src/peers.rs
+++ b/crates/rehearsal/src/peers.rs
@@ -234,11 +234,11 @@
             let relay = spawn_local(async move {
                 let mut bytes = [0; DATAGRAM];
                 loop {
-                    let came =
+                    let received =
                         std::future::poll_fn(|cx| socket.borrow_mut().poll_receive(cx, &mut bytes));
                     // No error ends a socket; the pause keeps an immediate error from causing a
                     // busy loop.
-                    let Ok((length, from)) = came.await else {
+                    let Ok((length, from)) = received.await else {
                         sleep(Duration::from_millis(1)).await;
                         continue;
                     };
--- a/crates/rehearsal/src/process_cluster.rs
+++ b/crates/rehearsal/src/process_cluster.rs
@@ -58,7 +58,7 @@
                 let testbed = Testbed::Loopback { net };
                 let peers = Peers::new(testbed, count, 1, observe).expect("addresses for a relay");
                 let all = (0..count).map(|b| peers.addresses(b)).collect();
-                ready.send(all).expect("somebody waits");
+                ready.send(all).expect("the starter waits");
                 while let Some(command) = received.recv().await {
                     match command {
                         RelayCommand::Begin(key, rule) => peers.begin(key, rule),
@@ -72,14 +72,14 @@
     }
 
     fn command(&self, command: RelayCommand) {
-        let sent = self.commands.as_ref().map(|o| o.send(command).is_ok());
+        let sent = self.commands.as_ref().map(|sender| sender.send(command).is_ok());
         assert_eq!(sent, Some(true), "the relay has ended");
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        // Without anybody to give commands it ends.
+        // The relay ends when its command channel closes.
         self.commands = None;
         self.thread.take().into_iter().for_each(|t| drop(t.join()));
     }
@@ -108,7 +108,7 @@
     /// Starts `count` processes of `program`, each with this configuration under its own name, and
     /// waits until all listen. Peer messages and the admin API are enabled.
     pub fn start(program: &str, count: usize, config: &Value) -> Self {
-        let root = temporary_directory("fleet-").expect("a folder");
+        let root = temporary_directory("fleet-").expect("a directory");
         let net = Testbed::loopback_net();
         let (testbed, relay) = (Testbed::Loopback { net }, Relay::start(net, count));
         let member = |number: usize| {
@@ -143,7 +143,7 @@
         let member = &mut self.members[number];
         assert!(member.node.is_none(), "{} runs already", member.name);
         let mut command = process::Command::new(&self.program);
-        // An address is received at its first start, and the same from then on.
+        // The address is assigned at the first start and stays the same.
         command.env("TMPDIR", &member.directory).env("LB_CONTROL", "127.0.0.1:0");
         command.env("LB_STATE_DIR", member.directory.join("state"));
         let discovery = member.discovery.clone();
--- a/crates/rehearsal/src/run_context.rs
+++ b/crates/rehearsal/src/run_context.rs
@@ -96,46 +96,46 @@
 
     /// Returns the second octet of a random loopback network.
     pub fn loopback_net() -> u8 {
-        // No result of a run depends on the choice.
-        let draw = Tcp.unix_now().subsec_nanos() ^ std::process::id();
-        64 + (draw % 128) as u8
+        // No result of a run depends on which network is chosen.
+        let sample = Tcp.unix_now().subsec_nanos() ^ std::process::id();
+        64 + (sample % 128) as u8
     }
 
     /// Returns a simulated network with the scenario's delays between zones.
     pub fn simulated(scenario: &Scenario, plan: &Plan) -> Self {
         let zones = scenario.fleet.zones.len();
-        let of_node: Vec<usize> = plan.machines.iter().map(|m| m.zone).collect();
+        let node_zones: Vec<usize> = plan.machines.iter().map(|m| m.zone).collect();
         let (same, cross) = (scenario.fleet.same_zone, scenario.fleet.cross_zone);
         let zone = move |ip| match Host::from_ip(ip) {
             Host::Balancer(b) | Host::Clients(b) | Host::List(b) | Host::Peers(b) => b % zones,
-            Host::Node(n) => of_node.get(n).copied().unwrap_or(0),
+            Host::Node(n) => node_zones.get(n).copied().unwrap_or(0),
         };
         let delay = move |a, b| if zone(a) == zone(b) { same } else { cross };
         Testbed::Simulated(Fabric::new(EPOCH, delay))
     }
 
     /// Returns the network from this host's point of view.
-    pub fn network(&self, who: Host) -> Rc<dyn Network> {
+    pub fn network(&self, host: Host) -> Rc<dyn Network> {
         match self {
             Testbed::Loopback { .. } => Rc::new(Tcp),
-            Testbed::Simulated(fabric) => fabric.host(who.ip(SIMULATED_NET)),
+            Testbed::Simulated(fabric) => fabric.host(host.ip(SIMULATED_NET)),
         }
     }
 
     /// Returns the address of this host, with port 0 so that the port is assigned when it listens.
-    pub fn address(&self, who: Host) -> SocketAddr {
+    pub fn address(&self, host: Host) -> SocketAddr {
         let net = match self {
             Testbed::Loopback { net } => *net,
             Testbed::Simulated(_) => SIMULATED_NET,
         };
-        SocketAddr::new(who.ip(net), 0)
+        SocketAddr::new(host.ip(net), 0)
     }
 
     /// Steps the host's simulated wall clock by this many microseconds. Has no effect on loopback,
     /// where the machine's clock must not be stepped.
-    pub fn step_clock(&self, who: Host, by_us: i64) {
+    pub fn step_clock(&self, host: Host, by_us: i64) {
         if let Testbed::Simulated(fabric) = self {
-            fabric.step_clock(who.ip(SIMULATED_NET), by_us);
+            fabric.step_clock(host.ip(SIMULATED_NET), by_us);
         }
     }
 
@@ -147,7 +147,7 @@
         }
     }
 
-    /// Whether time and network are simulated.
+    /// Returns whether time and network are simulated.
     pub fn is_simulated(&self) -> bool {
         matches!(self, Testbed::Simulated(_))
     }
--- a/crates/rehearsal/src/scripted.rs
+++ b/crates/rehearsal/src/scripted.rs
@@ -175,20 +175,20 @@
                 let _ = out.write_all(text.as_bytes());
                 return;
             }
-            Action::RespondThenClose(text, go) => {
+            Action::RespondThenClose(text, signal) => {
                 let _ = out.write_all(text.as_bytes());
-                let _ = go.lock().expect("not poisoned").recv_timeout(EVENT_TIMEOUT);
+                let _ = signal.lock().expect("not poisoned").recv_timeout(EVENT_TIMEOUT);
                 return;
             }
-            Action::RespondTwice(text, go) => {
+            Action::RespondTwice(text, signal) => {
                 let _ = out.write_all(text.as_bytes());
-                let _ = go.lock().expect("not poisoned").recv_timeout(EVENT_TIMEOUT);
+                let _ = signal.lock().expect("not poisoned").recv_timeout(EVENT_TIMEOUT);
                 let _ = out.write_all(text.as_bytes());
                 let _ = events.send(Observation::Wrote);
             }
             Action::Hang => {}
-            Action::RespondOnSignal(go) => {
-                let _ = go.lock().expect("not poisoned").recv_timeout(EVENT_TIMEOUT);
+            Action::RespondOnSignal(signal) => {
+                let _ = signal.lock().expect("not poisoned").recv_timeout(EVENT_TIMEOUT);
                 let _ = out.write_all(b"HTTP/1.1 200 OK\r\nContent-Length: 4\r\n\r\nlate");
             }
         }
@@ -331,8 +331,8 @@
         let mut operators = None;
         let address = loop {
             let line = log.next().expect("a log line with the address").expect("UTF-8");
-            let after = |words| {
-                let (_, rest) = line.split_once(words)?;
+            let after = |marker| {
+                let (_, rest) = line.split_once(marker)?;
                 Some(rest.split_whitespace().next().expect("an address").parse().expect("valid"))
             };
             operators = operators.or(after("operators at "));
--- a/crates/rehearsal/src/state_directories.rs
+++ b/crates/rehearsal/src/state_directories.rs
@@ -81,7 +81,7 @@
     temporary_directory: tempfile::TempDir,
     persists: bool,
     /// Age up to which copies are retained; `None` if no fault needs copies.
-    oldest: Option<Duration>,
+    copy_retention: Option<Duration>,
     copies: RefCell<Vec<VecDeque<(Instant, Files)>>>,
     rng: RefCell<ChaCha8Rng>,
 }
@@ -102,7 +102,7 @@
             disks: (0..scenario.cluster.count).map(|_| Rc::default()).collect(),
             temporary_directory: temporary_directory("rehearsal-state-")?,
             persists: scenario.cluster.persists_state,
-            oldest: scenario.faults.iter().filter_map(age).max(),
+            copy_retention: scenario.faults.iter().filter_map(age).max(),
             copies: RefCell::new(vec![VecDeque::new(); scenario.cluster.count]),
             rng: RefCell::new(rng),
         })
@@ -140,7 +140,7 @@
 
     /// Returns whether directories have to be copied regularly.
     pub fn needs_copies(&self) -> bool {
-        self.oldest.is_some()
+        self.copy_retention.is_some()
     }
 
     /// Copies the current contents of each directory.
@@ -148,11 +148,11 @@
     /// # Errors
     /// A directory can't be read.
     pub fn copy(&self) -> io::Result<()> {
-        let Some(oldest) = self.oldest else { return Ok(()) };
+        let Some(copy_retention) = self.copy_retention else { return Ok(()) };
         let now = Instant::now();
         for (balancer, copies) in self.copies.borrow_mut().iter_mut().enumerate() {
             copies.push_back((now, files(&self.directory(balancer))?));
-            while copies.get(1).is_some_and(|(at, _)| now.duration_since(*at) > oldest) {
+            while copies.get(1).is_some_and(|(at, _)| now.duration_since(*at) > copy_retention) {
                 copies.pop_front();
             }
         }
@@ -165,7 +165,7 @@
     /// A directory can't be read or written.
     pub fn apply_fault(&self, kind: &FaultKind, balancer: usize) -> io::Result<usize> {
         let directory = self.directory(balancer);
-        let put = match kind {
+        let files_to_write = match kind {
             FaultKind::StateLost => {
                 let lost = files(&directory)?.len();
                 replace(&directory, &[])?;
@@ -193,8 +193,8 @@
             }
             _ => return Ok(0),
         };
-        replace(&directory, &put)?;
-        Ok(put.len())
+        replace(&directory, &files_to_write)?;
+        Ok(files_to_write.len())
     }
 }
 
--- a/crates/rehearsal/tests/broken_balancers.rs
+++ b/crates/rehearsal/tests/broken_balancers.rs
@@ -207,7 +207,7 @@
 
 #[test]
 fn a_balancer_that_stops_polling_the_list_is_reported_by_time_alone() {
-    // By the polling interval in the settings it would have the whole run.
+    // The polling interval in the settings would allow stale sends during the whole run.
     let scenario = changed(&[
         ("ask_every_ms = 2000", "ask_every_ms = 60000"),
         ("start_s = 3\nlength_s = 5", "start_s = 3\nlength_s = 10"),
--- a/crates/rehearsal/tests/broken_policies.rs
+++ b/crates/rehearsal/tests/broken_policies.rs
@@ -66,7 +66,7 @@
     let policy_report = report.policy.as_ref().expect("there are policy actions");
     assert!(report.is_clean() && report.policy_is_clean(), "{}", report.text());
     assert_eq!(policy_report.changes, 2, "{}", report.text());
-    // It holds its lease for two seconds, in which its sends are observed.
+    // The balancer holds its lease for two seconds, in which its sends are observed.
     assert!((0.5..2.0).contains(&policy_report.contradiction_s), "{}", report.text());
     assert!(policy_report.sends > 100, "{}", report.text());
 }
--- a/crates/rehearsal/tests/standins.rs
+++ b/crates/rehearsal/tests/standins.rs
@@ -446,7 +446,7 @@
         for one in (0..5).map(|_| call()).collect::<Vec<_>>() {
             answers.push(one.await.expect("it ends"));
         }
-        // 50 ms each, and at most 100 ms of waiting.
+        // Each call takes 50 ms, and waits at most 100 ms for its turn.
         assert_eq!(answers, [200, 200, 200, 503, 503]);
         let failed = |l: &hollowpaddle_rehearsal::record::Line| {
             matches!(l.seen, Observation::ListCallFailed { balancer: 1, watch: None })
