--- a/crates/rehearsal/tests/standins.rs
+++ b/crates/rehearsal/tests/standins.rs
@@ -350,7 +350,7 @@
         let second = lines.next().await.expect("a change");
         assert!(from.elapsed() >= 3 * SECOND && from.elapsed() < 4 * SECOND);
         assert_eq!((&second["complete"], phases(&second)), (&false.into(), vec!["DRAINING"]));
-        let addresses = |l: &hollowpaddle_rehearsal::record::Line| {
+        let is_update = |l: &hollowpaddle_rehearsal::record::Line| {
             let at = Observation::ListUpdate {
                 balancer: 0,
                 node: 2,
@@ -360,7 +360,7 @@
             };
             l.seen == at
         };
-        assert_eq!(context.record.take().iter().filter(|l| addresses(l)).count(), 1);
+        assert_eq!(context.record.take().iter().filter(|l| is_update(l)).count(), 1);
         let mut later = watch(&context, &list, 1).await;
         assert_eq!(phases(&later.next().await.expect("the changes since")), ["DRAINING"]);
     });
