--- a/crates/rehearsal/src/node/mod.rs
+++ b/crates/rehearsal/src/node/mod.rs
@@ -1,6 +1,6 @@
-//! A stand-in node: an upstream on its own addresses, one for each balancer, so that it knows who sent what
-//! and can be out of reach for one of them. What it does with time is [`model`]'s, its
-//! connections are `serving`'s; this is its life: starts, ends and troubles.
+//! A stand-in upstream, with one address for each balancer, so that it knows the sender of each
+//! request and can be unreachable for one of them. Its timing is in [`model`], its connections are
+//! in `serving`; this module has its starts, stops and faults.
 
 pub mod model;
 mod serving;
@@ -19,26 +19,26 @@
 use tokio::task::{AbortHandle, spawn_local};
 use tokio::time::{Instant, sleep, sleep_until};
 
+use crate::ordered_watch::OrderedWatch;
 use crate::plan::Machine;
 use crate::record::{At, Observation};
+use crate::run_context::{Host, RunContext};
 use crate::scenario::MachineType;
-use crate::stage::{Stage, Who};
-use crate::watched::Watched;
-use model::{Model, WarmUpFall};
+use model::{Model, OverloadLimit};
 
-/// What keeps a node from being well, by how many faults.
+/// Active faults of a node, by number or by factor.
 #[derive(Clone, Debug, Default)]
-struct Troubles {
+struct ActiveFaults {
     dead: u32,
     vanished: u32,
     draining: u32,
-    gone: bool,
-    cut: Vec<u32>,
+    removed: bool,
+    cut_off: Vec<u32>,
     slow: Vec<f64>,
-    spoil: Vec<f64>,
+    malformed_shares: Vec<f64>,
 }
 
-/// One load report.
+/// A load report.
 #[derive(Clone, Copy, Debug, Default)]
 struct Load {
     inflight: f64,
@@ -46,39 +46,39 @@
     eps: f64,
 }
 
-/// One stand-in node.
+/// A stand-in upstream.
 pub struct Node {
-    stage: Rc<Stage>,
-    /// Its place among the machines.
-    pub place: usize,
+    context: Rc<RunContext>,
+    /// Index of its machine in the plan.
+    pub index: usize,
     machine: Machine,
     kind: MachineType,
-    troubles: RefCell<Troubles>,
-    /// The process, while there is one.
+    active_faults: RefCell<ActiveFaults>,
+    /// The process, while it runs.
     process: RefCell<Option<Process>>,
-    /// When the process started; for the list.
+    /// Start time of the process, for the endpoint list.
     since: Cell<At>,
-    tipped: Cell<bool>,
-    /// Where it listens, by balancer; kept for when it comes back.
+    overloaded: Cell<bool>,
+    /// Listening address for each balancer, reused after a restart.
     addresses: RefCell<Vec<SocketAddr>>,
-    /// Told whenever anything about its life changes.
-    life: Watched<Life>,
+    /// The state that its connections watch.
+    state: OrderedWatch<ConnectionState>,
     rng: RefCell<ChaCha8Rng>,
     errors: Cell<u64>,
     reports: RefCell<VecDeque<(Instant, Load)>>,
     changed: Rc<Notify>,
 }
 
-/// What connections must know of it.
+/// The state of a node that its connections depend on.
 #[derive(Clone, Debug, Default, PartialEq)]
-struct Life {
-    /// Counts processes: a connection belongs to one.
+struct ConnectionState {
+    /// Number of the current process; a connection belongs to one process.
     process: u64,
     alive: bool,
-    /// The machine says nothing.
+    /// Whether the machine is silent.
     silent: bool,
-    /// Balancers that it is out of reach for.
-    cut: Vec<bool>,
+    /// Whether each balancer is cut off from the node.
+    cut_off: Vec<bool>,
 }
 
 struct Process {
@@ -87,95 +87,97 @@
     connections: u32,
     wake: Rc<Notify>,
     tasks: Vec<AbortHandle>,
-    listeners: Vec<Door>,
+    listeners: Vec<SharedListener>,
 }
 
-/// A listener that its accepting task shares with its process, and loses with it.
-type Door = Rc<RefCell<Option<Box<dyn Listener>>>>;
+/// A listener shared by its accepting task and its process, and closed with the process.
+type SharedListener = Rc<RefCell<Option<Box<dyn Listener>>>>;
 
 impl Drop for Process {
     fn drop(&mut self) {
-        // At once: an aborted task goes on holding what it has until its next turn, and the address with it.
-        for door in &self.listeners {
-            door.take();
+        // Closes the listeners at once: an aborted task holds its resources until it is polled
+        // again, and with them the address.
+        for listener in &self.listeners {
+            listener.take();
         }
         self.tasks.iter().for_each(AbortHandle::abort);
     }
 }
 
 impl Node {
-    /// A node that does not run yet.
-    pub fn new(stage: &Rc<Stage>, place: usize) -> Rc<Self> {
-        let machine = stage.plan.machines[place].clone();
-        let kind = stage.scenario.fleet.machine_types[machine.machine_type].clone();
-        let balancers = stage.scenario.cluster.count;
-        let troubles = Troubles { cut: vec![0; balancers], ..Troubles::default() };
-        let life = Life { cut: vec![false; balancers], ..Life::default() };
+    /// Creates a node that doesn't run yet.
+    pub fn new(context: &Rc<RunContext>, index: usize) -> Rc<Self> {
+        let machine = context.plan.machines[index].clone();
+        let kind = context.scenario.fleet.machine_types[machine.machine_type].clone();
+        let balancers = context.scenario.cluster.count;
+        let active_faults = ActiveFaults { cut_off: vec![0; balancers], ..ActiveFaults::default() };
+        let state =
+            ConnectionState { cut_off: vec![false; balancers], ..ConnectionState::default() };
         Rc::new(Self {
-            stage: stage.clone(),
-            place,
+            context: context.clone(),
+            index,
             rng: RefCell::new(ChaCha8Rng::seed_from_u64(machine.seed)),
             machine,
             kind,
-            troubles: RefCell::new(troubles),
+            active_faults: RefCell::new(active_faults),
             process: RefCell::default(),
             since: Cell::default(),
-            tipped: Cell::new(false),
+            overloaded: Cell::new(false),
             addresses: RefCell::default(),
-            life: Watched::new(life),
+            state: OrderedWatch::new(state),
             errors: Cell::new(0),
             reports: RefCell::default(),
             changed: Rc::default(),
         })
     }
 
-    /// Its id in the list.
+    /// Returns the node's id in the endpoint list.
     pub fn id(&self) -> &str {
         &self.machine.id
     }
 
-    /// When its process started.
+    /// Returns the start time of the process.
     pub fn since(&self) -> At {
         self.since.get()
     }
 
-    /// Whether its process runs, on a machine that speaks.
+    /// Returns whether the process runs on a machine that is not silent.
     pub fn serves(&self) -> bool {
-        self.process.borrow().is_some() && self.troubles.borrow().vanished == 0
+        self.process.borrow().is_some() && self.active_faults.borrow().vanished == 0
     }
 
-    /// Whether it wants nothing new.
+    /// Returns whether the node drains.
     pub fn drains(&self) -> bool {
-        self.troubles.borrow().draining > 0
+        self.active_faults.borrow().draining > 0
     }
 
-    /// Where a balancer reaches it.
+    /// Returns the node's address for a balancer.
     pub fn address(&self, balancer: usize) -> SocketAddr {
         self.addresses.borrow()[balancer]
     }
 
-    /// Where it is reached, for one that takes over its addresses.
+    /// Returns all addresses, for a replacement that takes them over.
     pub fn addresses(&self) -> Vec<SocketAddr> {
         self.addresses.borrow().clone()
     }
 
-    /// Ends once the node has changed by itself: it has fallen over.
+    /// Waits until the node has been overloaded and must stop.
     pub async fn changed(&self) {
         self.changed.notified().await;
     }
 
-    /// Starts its process, at these addresses if there are any; `cold` or warm.
+    /// Starts the process, at these addresses if given, `cold` or warm.
     ///
     /// # Errors
-    /// It can't listen.
+    /// The node can't listen.
     pub fn start(self: &Rc<Self>, cold: bool, at: Option<Vec<SocketAddr>>) -> std::io::Result<()> {
         if let Some(at) = at {
             *self.addresses.borrow_mut() = at;
         }
-        let network = self.stage.ground.network(Who::Node(self.place));
+        let network = self.context.testbed.network(Host::Node(self.index));
         let mut addresses = self.addresses.borrow().clone();
-        let anywhere = self.stage.ground.address(Who::Node(self.place));
-        addresses.resize(self.stage.scenario.cluster.count, anywhere);
+        let anywhere = self.context.testbed.address(Host::Node(self.index));
+        addresses.resize(self.context.scenario.cluster.count, anywhere);
         let mut listeners = Vec::new();
         for address in &mut addresses {
             let listener = network.listen(*address)?;
@@ -184,27 +186,27 @@
         }
         *self.addresses.borrow_mut() = addresses;
 
-        let scenario = &self.stage.scenario;
+        let scenario = &self.context.scenario;
         let cold_ms = if cold { self.kind.warm_up.as_secs_f64() * 1e3 } else { 0.0 };
-        let fall = WarmUpFall {
+        let overload = OverloadLimit {
             multiple: scenario.rules.fall_multiple,
             window: scenario.rules.tip_after.as_secs_f64() * 1e3,
             mean: scenario.mean_work(),
         };
-        let mut model = Model::start(&self.kind, self.machine.speed, self.now(), cold_ms, fall);
-        model.slow = self.troubles.borrow().slow.iter().product();
-        let record = &self.stage.record;
+        let mut model = Model::start(&self.kind, self.machine.speed, self.now(), cold_ms, overload);
+        model.slow = self.active_faults.borrow().slow.iter().product();
+        let record = &self.context.record;
         self.since.set(if cold { record.now() } else { At(0) });
         record.saw(Observation::NodeUp {
-            node: self.place,
+            node: self.index,
             full_speed: model.full(),
             initial_share: self.kind.initial_capacity,
             warm_up_ms: cold_ms,
         });
         let wake = Rc::new(Notify::new());
-        self.life.change(|life| {
-            life.process += 1;
-            life.alive = true;
+        self.state.send_modify(|state| {
+            state.process += 1;
+            state.alive = true;
         });
         let mut tasks = Vec::new();
         for (balancer, listener) in listeners.iter().enumerate() {
@@ -220,72 +222,75 @@
         Ok(())
     }
 
-    /// Ends its process: connections are reset, what was in work is lost.
+    /// Stops the process: connections are reset and requests in work are lost.
     pub fn stop(&self) {
         if self.process.take().is_some() {
-            self.stage.record.saw(Observation::NodeDown { node: self.place });
+            self.context.record.saw(Observation::NodeDown { node: self.index });
         }
-        self.life.change(|life| life.alive = false);
+        self.state.send_modify(|state| state.alive = false);
     }
 
     fn now(&self) -> f64 {
-        self.stage.record.now().0 as f64 / 1e3
+        self.context.record.now().0 as f64 / 1e3
     }
 
-    /// Whether it may run, as far as faults go.
+    /// Returns whether no fault keeps the process from running.
     pub fn may_run(&self) -> bool {
-        let t = self.troubles.borrow();
-        t.dead == 0 && !t.gone && !self.tipped.get()
+        let t = self.active_faults.borrow();
+        t.dead == 0 && !t.removed && !self.overloaded.get()
     }
 
-    /// Its process dies, or could come back.
+    /// Starts or ends a fault that kills the process. At its end the caller starts the process
+    /// again.
     pub fn die(&self, begins: bool) {
-        count(&mut self.troubles.borrow_mut().dead, begins);
+        count(&mut self.active_faults.borrow_mut().dead, begins);
         if begins {
             self.stop();
         }
     }
 
-    /// It is gone for good. `false` if it was before.
-    pub fn go(&self) -> bool {
-        let before = std::mem::replace(&mut self.troubles.borrow_mut().gone, true);
+    /// Removes the node for good. Returns `false` if it was removed before.
+    pub fn retire(&self) -> bool {
+        let before = std::mem::replace(&mut self.active_faults.borrow_mut().removed, true);
         self.stop();
         !before
     }
 
-    /// The machine says nothing any more, or is back: then everything on it begins anew.
+    /// Starts or ends a fault that silences the machine. At its end the process stops, and must be
+    /// started anew.
     pub fn vanish(&self, begins: bool) {
-        count(&mut self.troubles.borrow_mut().vanished, begins);
-        let silent = self.troubles.borrow().vanished > 0;
+        count(&mut self.active_faults.borrow_mut().vanished, begins);
+        let silent = self.active_faults.borrow().vanished > 0;
         if !begins && !silent {
             self.stop();
         }
-        self.life.change(|life| life.silent = silent);
+        self.state.send_modify(|state| state.silent = silent);
         self.hush();
     }
 
-    /// Whether the machine is silent.
+    /// Returns whether the machine is silent.
     pub fn silent(&self) -> bool {
-        self.troubles.borrow().vanished > 0
+        self.active_faults.borrow().vanished > 0
     }
 
-    /// Out of reach for one balancer. What it had open is reset when that is over.
+    /// Cuts the node off from one balancer, or ends the cut, which resets the connections that were
+    /// open.
     pub fn cut(&self, balancer: usize, begins: bool) {
-        count(&mut self.troubles.borrow_mut().cut[balancer], begins);
-        let cut = self.troubles.borrow().cut[balancer] > 0;
-        self.life.change(|life| life.cut[balancer] = cut);
+        count(&mut self.active_faults.borrow_mut().cut_off[balancer], begins);
+        let cut_off = self.active_faults.borrow().cut_off[balancer] > 0;
+        self.state.send_modify(|state| state.cut_off[balancer] = cut_off);
         self.hush();
     }
 
-    /// Wants nothing new, or does again.
+    /// Starts or ends draining.
     pub fn drain(&self, begins: bool) {
-        count(&mut self.troubles.borrow_mut().draining, begins);
+        count(&mut self.active_faults.borrow_mut().draining, begins);
     }
 
-    /// Slower by a factor.
+    /// Starts or ends a slowdown by a factor.
     pub fn slow(&self, factor: f64, begins: bool) {
-        toggle(&mut self.troubles.borrow_mut().slow, factor, begins);
-        let slow = self.troubles.borrow().slow.iter().product();
+        toggle(&mut self.active_faults.borrow_mut().slow, factor, begins);
+        let slow = self.active_faults.borrow().slow.iter().product();
         self.advance();
         if let Some(process) = &mut *self.process.borrow_mut() {
             process.model.slow = slow;
@@ -293,24 +298,24 @@
         }
     }
 
-    /// A share of its answers comes spoilt.
+    /// Starts or ends a fault that malforms a share of the answers.
     pub fn spoil(&self, share: f64, begins: bool) {
-        toggle(&mut self.troubles.borrow_mut().spoil, share, begins);
+        toggle(&mut self.active_faults.borrow_mut().malformed_shares, share, begins);
     }
 
-    /// Has each listener say something or nothing, as things stand.
+    /// Silences or reopens each listener according to the current faults.
     fn hush(&self) {
-        let life = self.life.get().clone();
+        let state = self.state.get().clone();
         if let Some(process) = &*self.process.borrow() {
-            for (listener, cut) in process.listeners.iter().zip(&life.cut) {
+            for (listener, cut_off) in process.listeners.iter().zip(&state.cut_off) {
                 if let Some(listener) = &mut *listener.borrow_mut() {
-                    listener.set_silent(life.silent || *cut);
+                    listener.set_silent(state.silent || *cut_off);
                 }
             }
         }
     }
 
-    /// Goes on to now, and tells whoever waits for what is done.
+    /// Advances the model to the current time and notifies the finished requests.
     fn advance(&self) {
         let now = self.now();
         let mut process = self.process.borrow_mut();
@@ -320,7 +325,9 @@
         process.model.advance(now, &mut finished);
         let warmth = process.model.warmth();
         if (warmth * 100.0).floor() > (before * 100.0).floor() {
-            self.stage.record.saw(Observation::WarmUpProgress { node: self.place, share: warmth });
+            self.context
+                .record
+                .saw(Observation::WarmUpProgress { node: self.index, share: warmth });
         }
         for id in finished {
             if let Some(done) = process.waiting.remove(&id) {
@@ -329,13 +336,13 @@
         }
     }
 
-    /// The process: finishes requests when their time has come.
+    /// Runs the process: finishes requests when they are due.
     async fn work(self: Rc<Self>, wake: Rc<Notify>) {
         loop {
             self.advance();
             let next = self.process.borrow().as_ref().and_then(|p| p.model.next());
             let wait = next.map(|at| Duration::from_secs_f64((at - self.now()).max(0.0) / 1e3));
-            // Rounded up: a moment too early there would be nothing to collect.
+            // Rounded up: just before that time nothing would be finished.
             let due = wait.map(|w| Instant::now() + w + Duration::from_micros(1));
             tokio::select! {
                 biased;
@@ -350,9 +357,9 @@
         }
     }
 
-    /// Reports its load, now and then.
+    /// Reports the load periodically.
     async fn report(self: Rc<Self>) {
-        let list = &self.stage.scenario.list;
+        let list = &self.context.scenario.list;
         let phase: f64 = self.rng.borrow_mut().random();
         sleep(list.report_period.mul_f64(phase)).await;
         let (mut served, mut errors) = (0, self.errors.get());
@@ -387,7 +394,7 @@
             Some((at, load)) if *at <= Instant::now() => *load,
             _ => return String::new(),
         };
-        let noise = self.stage.scenario.list.report_noise;
+        let noise = self.context.scenario.list.report_noise;
         let mut rng = self.rng.borrow_mut();
         let mut noisy = |x: f64| x * (1.0 + noise * (rng.random::<f64>() * 2.0 - 1.0));
         format!(
@@ -399,7 +406,7 @@
     }
 }
 
-/// One more or one less of what may come several times at once.
+/// Increments or decrements the number of overlapping faults of one kind.
 pub(crate) fn count(of: &mut u32, begins: bool) {
     *of = if begins { *of + 1 } else { of.saturating_sub(1) };
 }
--- a/crates/rehearsal/src/node/model.rs
+++ b/crates/rehearsal/src/node/model.rs
@@ -1,5 +1,6 @@
-//! A node as a model: cores that are shared evenly, a bounded waiting room, crowding, a cold start, and the
-//! push that a cold one falls over at. Time goes in, what is done comes out; no I/O.
+//! Timing model of an upstream: evenly shared cores, a bounded queue, slowdown by contention,
+//! warm-up after a cold start, and overload of a cold node. A pure state machine over time, without
+//! I/O.
 
 use std::collections::VecDeque;
 
@@ -8,69 +9,75 @@
 /// Milliseconds from the start of the run.
 pub type Ms = f64;
 
-/// A cold node's speed is reckoned anew this often at least.
+/// Maximum interval between updates of a cold node's speed.
 const WARMING_STEP: Ms = 50.0;
-/// However crowded, so much of the speed is left.
+/// Share of the speed that is left under any contention.
 const LEAST_SPEED: f64 = 0.1;
-/// A node is warm once it has done this share of what it could have done in its whole cold time.
+/// Share of the work possible during the whole warm-up time after which a node is warm.
 const WARM_BY_WORK: f64 = 0.3;
-/// Rounding must not leave a request unfinished for ever.
-const NOTHING: f64 = 1e-6;
+/// Remaining work that counts as none, so that rounding can't leave a request unfinished.
+const WORK_EPSILON: f64 = 1e-6;
 
-/// A request that the node holds.
+/// A request in the node.
 #[derive(Clone, Copy, Debug)]
 struct Job {
     id: u32,
-    /// Milliseconds of a core of speed 1.
+    /// Remaining work, in milliseconds of a core of speed 1.
     left: f64,
 }
 
-/// How a cold start goes, and what it bears.
+/// The load at which a cold node is overloaded and stops.
 #[derive(Clone, Copy, Debug)]
-pub struct WarmUpFall {
-    /// More than this multiple of the present capacity
+pub struct OverloadLimit {
+    /// Tolerated work, as a multiple of the current capacity.
     pub multiple: f64,
-    /// for this long,
+    /// Window over which the work is added up.
     pub window: Ms,
-    /// and what is put down to chance, where this is the work of a request in the mean.
+    /// Mean work of a request, which determines the tolerance for random fluctuation.
     pub mean: f64,
 }
 
-/// Whether a request was taken.
+/// Result of the arrival of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Verdict {
-    /// It is in work, or waits for a slot.
-    Taken,
-    /// There is no room.
+pub enum Admission {
+    /// The request runs, or waits for a slot.
+    Accepted,
+    /// The queue is full.
     Full,
-    /// The node has just fallen over.
-    Tipped,
+    /// The node has just been overloaded and stops.
+    Overloaded,
 }
 
-/// One node.
+/// The model of one node.
 #[derive(Clone, Debug)]
 pub struct Model {
     kind: MachineType,
     speed: f64,
-    /// Times slower than it should be, by a fault.
+    /// Slowdown factor of the active faults.
     pub slow: f64,
     started: Ms,
     cold: Ms,
-    /// Work done since the start.
+    /// Work done since the start, in milliseconds of a core of speed 1.
     done: f64,
     working: Vec<Job>,
     waiting: VecDeque<Job>,
     now: Ms,
-    fall: WarmUpFall,
-    /// While cold: what was sent when, and what could be done.
+    overload: OverloadLimit,
+    /// While cold: time and work of each request sent to the node within the window.
     sent: VecDeque<(Ms, f64)>,
-    /// Requests begun, by class of speed: for load reports.
+    /// Number of requests finished, for load reports.
     served: u64,
 }
 
 impl Model {
-    /// A node that starts at `now`; warm from the first if `cold` is 0.
-    pub fn start(kind: &MachineType, speed: f64, now: Ms, cold: Ms, fall: WarmUpFall) -> Self {
+    /// Creates a node that starts at `now`; it is warm from the start if `cold` is 0.
+    pub fn start(
+        kind: &MachineType,
+        speed: f64,
+        now: Ms,
+        cold: Ms,
+        overload: OverloadLimit,
+    ) -> Self {
         Self {
             kind: kind.clone(),
             speed,
@@ -81,18 +88,18 @@
             working: Vec::new(),
             waiting: VecDeque::new(),
             now,
-            fall,
+            overload,
             sent: VecDeque::new(),
             served: 0,
         }
     }
 
-    /// Work that it can do in a millisecond once warm.
+    /// Returns the work that the warm node can do per millisecond.
     pub fn full(&self) -> f64 {
         self.speed * f64::from(self.kind.cores)
     }
 
-    /// What it can do now, as a share of that.
+    /// Returns the current capacity as a share of the warm capacity.
     pub fn warmth(&self) -> f64 {
         if self.cold <= 0.0 {
             return 1.0;
@@ -103,17 +110,17 @@
         self.kind.initial_capacity + (1.0 - self.kind.initial_capacity) * grown
     }
 
-    /// Requests that it holds.
+    /// Returns the number of requests that run or wait.
     pub fn held(&self) -> usize {
         self.working.len() + self.waiting.len()
     }
 
-    /// Requests that it has finished.
+    /// Returns the number of finished requests.
     pub fn served(&self) -> u64 {
         self.served
     }
 
-    /// Speed of each request in work.
+    /// Returns the speed of each running request.
     fn pace(&self) -> f64 {
         let running = self.working.len() as f64;
         if running == 0.0 {
@@ -127,16 +134,16 @@
         all / running
     }
 
-    /// When something changes by itself next.
+    /// Returns the time of the next change without external events.
     pub fn next(&self) -> Option<Ms> {
         let pace = self.pace();
         let least = self.working.iter().map(|j| j.left).reduce(f64::min)?;
-        let done = self.now + least / pace.max(NOTHING);
+        let done = self.now + least / pace.max(WORK_EPSILON);
         let warming = self.cold > 0.0 && self.warmth() < 1.0;
         Some(if warming { done.min(self.now + WARMING_STEP) } else { done })
     }
 
-    /// Goes on to `now`, and appends what was finished on the way.
+    /// Advances to `now` and appends the requests that have finished.
     pub fn advance(&mut self, now: Ms, finished: &mut Vec<u32>) {
         while let Some(next) = self.next().filter(|at| *at <= now) {
             self.work_until(next);
@@ -159,11 +166,11 @@
     fn collect(&mut self, finished: &mut Vec<u32>) {
         let before = finished.len();
         self.working.retain(|job| {
-            let over = job.left <= NOTHING;
-            if over {
+            let is_finished = job.left <= WORK_EPSILON;
+            if is_finished {
                 finished.push(job.id);
             }
-            !over
+            !is_finished
         });
         self.served += (finished.len() - before) as u64;
         while self.working.len() < self.kind.slots as usize {
@@ -172,12 +179,12 @@
         }
     }
 
-    /// A request comes at the time that it was last advanced to.
-    pub fn arrive(&mut self, id: u32, work: f64) -> Verdict {
-        if self.pushed(work) {
+    /// Adds a request at the time to which the model was last advanced.
+    pub fn arrive(&mut self, id: u32, work: f64) -> Admission {
+        if self.is_overloaded(work) {
             self.working.clear();
             self.waiting.clear();
-            return Verdict::Tipped;
+            return Admission::Overloaded;
         }
         let job = Job { id, left: work };
         if self.working.len() < self.kind.slots as usize {
@@ -185,29 +192,29 @@
         } else if self.waiting.len() < self.kind.queue as usize {
             self.waiting.push_back(job);
         } else {
-            return Verdict::Full;
+            return Admission::Full;
         }
-        Verdict::Taken
+        Admission::Accepted
     }
 
-    /// Work besides requests, a handshake's: it delays what is in work, and counts as sent.
-    pub fn bother(&mut self, work: f64) {
+    /// Adds the work of a handshake, which delays the running requests.
+    pub fn add_handshake_work(&mut self, work: f64) {
         let n = self.working.len().max(1) as f64;
         self.working.iter_mut().for_each(|j| j.left += work / n);
     }
 
-    /// Notes what is sent to a cold one, and whether that is too much: all that arrives counts, also what it
-    /// turns away.
-    fn pushed(&mut self, work: f64) -> bool {
+    /// Records work sent to a cold node, and returns whether that overloads it. Everything that
+    /// arrives counts, rejected requests too.
+    fn is_overloaded(&mut self, work: f64) -> bool {
         if self.cold <= 0.0 || self.now >= self.started + self.cold {
             return false;
         }
         self.sent.push_back((self.now, work));
-        let from = self.now - self.fall.window;
+        let from = self.now - self.overload.window;
         while self.sent.front().is_some_and(|(at, _)| *at < from) {
             self.sent.pop_front();
         }
-        let WarmUpFall { multiple, window, mean } = self.fall;
+        let OverloadLimit { multiple, window, mean } = self.overload;
         let able = self.full() * self.warmth() * window;
         counted_work(self.sent.iter().map(|(_, w)| *w), mean)
             > cold_node_limit(multiple * able / mean) * mean
@@ -238,7 +245,7 @@
         }
     }
 
-    const FALL: WarmUpFall = WarmUpFall { multiple: 4.0, window: 2000.0, mean: 100.0 };
+    const OVERLOAD: OverloadLimit = OverloadLimit { multiple: 4.0, window: 2000.0, mean: 100.0 };
 
     fn finished(model: &mut Model, at: Ms) -> Vec<u32> {
         let mut all = Vec::new();
@@ -247,34 +254,38 @@
     }
 
     #[test]
-    fn cores_are_shared_and_the_waiting_room_is_bounded() {
-        let mut m = Model::start(&kind(), 2.0, 0.0, 0.0, FALL);
+    fn cores_are_shared_and_the_queue_is_bounded() {
+        let mut m = Model::start(&kind(), 2.0, 0.0, 0.0, OVERLOAD);
         for id in 0..2 {
-            assert_eq!(m.arrive(id, 100.0), Verdict::Taken);
+            assert_eq!(m.arrive(id, 100.0), Admission::Accepted);
         }
         assert_eq!(m.next(), Some(50.0), "each has a core of speed 2");
-        assert_eq!((m.arrive(2, 100.0), m.arrive(3, 100.0)), (Verdict::Taken, Verdict::Taken));
-        assert_eq!(m.arrive(4, 100.0), Verdict::Full);
-        // Four on two cores is half a request a core over 1.5: a sixth of the speed is lost.
+        assert_eq!(
+            (m.arrive(2, 100.0), m.arrive(3, 100.0)),
+            (Admission::Accepted, Admission::Accepted)
+        );
+        assert_eq!(m.arrive(4, 100.0), Admission::Full);
+        // Four requests on two cores exceed the threshold of 1.5 by half a request per core: a
+        // sixth of the speed is lost.
         let pace = 2.0 * 2.0 * (1.0 - 0.5 * 0.5 / 1.5) / 3.0;
         let next = m.next().expect("busy");
         assert!((next - 100.0 / pace).abs() < 1e-6, "{next}");
         assert_eq!(finished(&mut m, next + 1e-3), vec![0, 1, 2]);
         assert_eq!(m.held(), 1);
-        let last = m.next().expect("the one that waited");
+        let last = m.next().expect("the queued request");
         assert_eq!(finished(&mut m, last), vec![3]);
         assert_eq!((m.served(), m.next()), (4, None));
     }
 
     #[test]
-    fn a_cold_one_warms_with_time_and_sooner_with_work() {
-        let mut idle = Model::start(&kind(), 1.0, 0.0, 10_000.0, FALL);
+    fn a_cold_node_warms_up_with_time_and_faster_with_work() {
+        let mut idle = Model::start(&kind(), 1.0, 0.0, 10_000.0, OVERLOAD);
         assert_eq!(idle.warmth(), 0.25);
         finished(&mut idle, 5000.0);
         assert!((idle.warmth() - 0.625).abs() < 1e-9);
         finished(&mut idle, 10_000.0);
         assert_eq!(idle.warmth(), 1.0);
-        let mut busy = Model::start(&kind(), 1.0, 0.0, 10_000.0, FALL);
+        let mut busy = Model::start(&kind(), 1.0, 0.0, 10_000.0, OVERLOAD);
         for i in 0..2500 {
             let at = f64::from(i);
             finished(&mut busy, at);
@@ -286,31 +297,37 @@
     }
 
     #[test]
-    fn a_cold_one_falls_over_when_it_is_sent_too_much_and_not_before() {
-        let mut m = Model::start(&kind(), 1.0, 0.0, 10_000.0, FALL);
-        // 0.25 of two cores for 2 s, four times: 40 requests, and by chance twice the root of that and two.
+    fn a_cold_node_is_overloaded_only_above_its_limit() {
+        let mut m = Model::start(&kind(), 1.0, 0.0, 10_000.0, OVERLOAD);
+        // Four times 0.25 of two cores for 2 s is 40 requests; the tolerance adds twice the square
+        // root, and two.
         let mut sent = 0.0;
-        while m.arrive(0, 100.0) != Verdict::Tipped {
+        while m.arrive(0, 100.0) != Admission::Overloaded {
             sent += 100.0;
-            assert!(sent <= 5400.0, "it bears {sent}");
+            assert!(sent <= 5400.0, "not overloaded after {sent}");
         }
         assert_eq!(sent, 5400.0);
-        let mut heavy = Model::start(&kind(), 1.0, 0.0, 10_000.0, FALL);
-        assert_eq!(heavy.arrive(0, 50_000.0), Verdict::Taken, "one heavy request is chance");
-        assert_eq!(heavy.arrive(0, 50_000.0), Verdict::Tipped, "two are not");
-        // The same a little at a time never pushes it over, nor does anything a warm one.
-        let mut slow = Model::start(&kind(), 1.0, 0.0, 10_000.0, FALL);
+        let mut heavy = Model::start(&kind(), 1.0, 0.0, 10_000.0, OVERLOAD);
+        assert_eq!(
+            heavy.arrive(0, 50_000.0),
+            Admission::Accepted,
+            "one heavy request is tolerated"
+        );
+        assert_eq!(heavy.arrive(0, 50_000.0), Admission::Overloaded, "two are not");
+        // The same work spread over time never overloads a cold node, and no work overloads a warm
+        // one.
+        let mut slow = Model::start(&kind(), 1.0, 0.0, 10_000.0, OVERLOAD);
         for i in 0..50 {
             finished(&mut slow, 60.0 * f64::from(i));
-            assert_ne!(slow.arrive(0, 100.0), Verdict::Tipped);
+            assert_ne!(slow.arrive(0, 100.0), Admission::Overloaded);
         }
-        let mut warm = Model::start(&kind(), 1.0, 0.0, 0.0, FALL);
-        assert!((0..500).all(|_| warm.arrive(0, 100.0) != Verdict::Tipped));
+        let mut warm = Model::start(&kind(), 1.0, 0.0, 0.0, OVERLOAD);
+        assert!((0..500).all(|_| warm.arrive(0, 100.0) != Admission::Overloaded));
     }
 
     #[test]
-    fn a_slow_one_takes_its_factor_longer() {
-        let mut m = Model::start(&kind(), 1.0, 0.0, 0.0, FALL);
+    fn a_slow_node_takes_longer_by_its_factor() {
+        let mut m = Model::start(&kind(), 1.0, 0.0, 0.0, OVERLOAD);
         m.slow = 5.0;
         m.arrive(0, 10.0);
         assert!(finished(&mut m, 49.9).is_empty());
--- a/crates/rehearsal/src/process.rs
+++ b/crates/rehearsal/src/process.rs
@@ -9,49 +9,55 @@
 use rustix::process::{Pid, Signal, kill_process};
 use tokio::process::Command;
 
-use crate::cluster::{Control, Launch, LaunchError, Launcher, Running};
+use crate::cluster::{Control, Launch, LaunchError, Launcher, RunningBalancer};
 use crate::record::Resources;
-use crate::stored::folder;
+use crate::state_directories::temporary_directory;
 
-/// The kernel's clock ticks a second, in which it tells processor time (proc(5); 100 on all of Linux).
-const TICKS: u64 = 100;
+/// The kernel's clock ticks per second, the unit of processor time in proc(5); 100 on all of Linux.
+const TICKS_PER_SECOND: u64 = 100;
 
-/// So much of what a balancer wrote last is told when it could not be started.
-const LAST_BYTES: usize = 4096;
-const LAST_LINES: usize = 8;
+/// Limits on the log excerpt reported when a balancer could not be started.
+const LOG_EXCERPT_BYTES: usize = 4096;
+const LOG_EXCERPT_LINES: usize = 8;
 
-/// Starts balancers by a command, as the platform does: `/bin/sh -c`, the LB_* variables, a file.
-pub struct Processes {
+/// Starts balancers by a command, as the platform does: `/bin/sh -c`, the LB_* variables and a
+/// configuration file.
+pub struct ProcessLauncher {
     command: String,
-    /// Where their configurations lie, and their logs unless they are wanted elsewhere; gone with us.
-    folder: tempfile::TempDir,
-    /// Where their logs are wanted.
+    /// Directory of the configurations, and of the logs unless `logs` is set. Deleted on drop.
+    temporary_directory: tempfile::TempDir,
+    /// Directory for the logs, if one was requested.
     logs: Option<PathBuf>,
 }
 
-impl Processes {
-    /// `command` is the shell's to read. Each balancer's log goes to a file in `logs`, if there is one.
+impl ProcessLauncher {
+    /// Creates a launcher that passes `command` to the shell. Each balancer's log goes to a file in
+    /// `logs`, if given.
     ///
     /// # Errors
-    /// There is no place for temporary files, or none for logs.
+    /// A directory for temporary files or logs can't be created.
     pub fn new(command: &str, logs: Option<&Path>) -> std::io::Result<Self> {
         if let Some(logs) = logs {
             fs::create_dir_all(logs)?;
         }
-        let folder = folder("rehearsal-")?;
-        Ok(Self { command: command.to_string(), folder, logs: logs.map(Path::to_path_buf) })
+        let temporary_directory = temporary_directory("rehearsal-")?;
+        Ok(Self {
+            command: command.to_string(),
+            temporary_directory,
+            logs: logs.map(Path::to_path_buf),
+        })
     }
 
     fn log(&self, launch: &Launch) -> PathBuf {
-        let folder = self.logs.as_deref().unwrap_or(self.folder.path());
-        folder.join(format!("{}-{}.log", launch.name, launch.start))
+        let log_directory = self.logs.as_deref().unwrap_or(self.temporary_directory.path());
+        log_directory.join(format!("{}-{}.log", launch.name, launch.start))
     }
 }
 
-impl Launcher for Processes {
-    fn launch(&self, launch: Launch) -> Result<Running, LaunchError> {
+impl Launcher for ProcessLauncher {
+    fn launch(&self, launch: Launch) -> Result<RunningBalancer, LaunchError> {
         let fail = |what: String| LaunchError { name: launch.name.clone(), what };
-        let file = self.folder.path().join(format!("{}.json", launch.name));
+        let file = self.temporary_directory.path().join(format!("{}.json", launch.name));
         fs::write(&file, &launch.config).map_err(|e| fail(format!("its configuration: {e}")))?;
         let log = self.log(&launch);
         let errors = fs::File::create(&log).map_err(|e| fail(format!("its log: {e}")))?;
@@ -72,22 +78,22 @@
             .spawn()
             .map_err(|e| fail(format!("`{}`: {e}", self.command)))?;
         let pid = child.id().and_then(|id| Pid::from_raw(id as i32));
-        let over = Rc::new(Cell::new(false));
+        let has_exited = Rc::new(Cell::new(false));
         let command = self.command.clone();
-        let control = Box::new(Process { pid, over: over.clone(), file, log, command });
+        let control = Box::new(Process { pid, has_exited: has_exited.clone(), file, log, command });
         let ended = Box::pin(async move {
             let status = child.wait().await;
-            // From here on its number may be another's.
-            over.set(true);
+            // The process id may be reused from here on.
+            has_exited.set(true);
             status.ok().and_then(|s| s.code())
         });
-        Ok(Running { control, ended })
+        Ok(RunningBalancer { control, ended })
     }
 }
 
 struct Process {
     pid: Option<Pid>,
-    over: Rc<Cell<bool>>,
+    has_exited: Rc<Cell<bool>>,
     file: PathBuf,
     log: PathBuf,
     command: String,
@@ -95,7 +101,7 @@
 
 impl Process {
     fn signal(&self, signal: Signal) {
-        if let Some(pid) = self.pid.filter(|_| !self.over.get()) {
+        if let Some(pid) = self.pid.filter(|_| !self.has_exited.get()) {
             let _ = kill_process(pid, signal);
         }
     }
@@ -115,18 +121,18 @@
     }
 
     fn reload(&self, config: &str) {
-        // Replaced in one step: a reader never sees half of it.
+        // Replaced atomically, so that a reader never sees a partial file.
         let next = self.file.with_extension("next");
         if fs::write(&next, config).and_then(|()| fs::rename(&next, &self.file)).is_ok() {
             self.signal(Signal::HUP);
         }
     }
 
-    fn last_words(&self) -> String {
+    fn recent_log(&self) -> String {
         let text = fs::read(&self.log).unwrap_or_default();
-        let text = String::from_utf8_lossy(&text[text.len().saturating_sub(LAST_BYTES)..]);
+        let text = String::from_utf8_lossy(&text[text.len().saturating_sub(LOG_EXCERPT_BYTES)..]);
         let lines: Vec<&str> = text.lines().collect();
-        let last = &lines[lines.len().saturating_sub(LAST_LINES)..];
+        let last = &lines[lines.len().saturating_sub(LOG_EXCERPT_LINES)..];
         let wrote = if last.is_empty() {
             "it wrote nothing".to_string()
         } else {
@@ -136,17 +142,18 @@
     }
 
     fn resources(&self) -> Option<Resources> {
-        let pid = self.pid.filter(|_| !self.over.get())?.as_raw_nonzero();
-        let folder = PathBuf::from(format!("/proc/{pid}"));
-        let status = fs::read_to_string(folder.join("status")).ok()?;
+        let pid = self.pid.filter(|_| !self.has_exited.get())?.as_raw_nonzero();
+        let proc_directory = PathBuf::from(format!("/proc/{pid}"));
+        let status = fs::read_to_string(proc_directory.join("status")).ok()?;
         let peak = status.lines().find_map(|l| l.strip_prefix("VmHWM:"))?;
         let memory_kib = peak.split_whitespace().next()?.parse().ok()?;
-        let descriptors = fs::read_dir(folder.join("fd")).ok()?.count() as u64;
-        // The name may hold anything, parentheses too; what follows it does not.
-        let stat = fs::read_to_string(folder.join("stat")).ok()?;
+        let descriptors = fs::read_dir(proc_directory.join("fd")).ok()?.count() as u64;
+        // The process name may hold any character, parentheses included; the fields after it may
+        // not.
+        let stat = fs::read_to_string(proc_directory.join("stat")).ok()?;
         let fields: Vec<&str> = stat.rsplit_once(')')?.1.split_whitespace().collect();
         let ticks: u64 =
             fields.get(11)?.parse::<u64>().ok()? + fields.get(12)?.parse::<u64>().ok()?;
-        Some(Resources { memory_kib, descriptors, cpu_ms: ticks * 1000 / TICKS })
+        Some(Resources { memory_kib, descriptors, cpu_ms: ticks * 1000 / TICKS_PER_SECOND })
     }
 }
--- a/crates/rehearsal/src/fleet.rs
+++ b/crates/rehearsal/src/process_cluster.rs
@@ -1,12 +1,13 @@
-//! Several processes of a balancer on loopback, for tests that break something between them: each under a name, an
-//! address and a directory that outlive it, with upstreams and a discovery that the test scripts, and a relay between
-//! each two. Every wait is for an event, with a limit wide enough for a busy machine; every process ends with its owner.
-#![allow(clippy::missing_panics_doc)] // What can't happen in a sound test is a panic that says what did.
+//! Balancer processes on loopback, for tests that inject faults between them. Each has a name, an
+//! address and a directory that outlive the process, an endpoint list and upstreams that the test
+//! scripts, and a relay to each other process. Every wait is for an event, with a timeout wide
+//! enough for a busy machine, and every process ends with its owner.
+#![allow(clippy::missing_panics_doc)] // Unexpected conditions panic with a description.
 
 use std::cell::RefCell;
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
-use std::process::Command;
+use std::process;
 use std::rc::Rc;
 use std::sync::mpsc::{Receiver, channel};
 use std::thread::{self, JoinHandle};
@@ -19,67 +20,67 @@
 
 use crate::peers::{Addresses, Peers};
 use crate::record::Observation;
-use crate::scripted::{Client, Discovery, Node, SOON};
-use crate::stage::{Testbed, Who};
-use crate::stored::folder;
+use crate::run_context::{Host, Testbed};
+use crate::scripted::{Client, Discovery, EVENT_TIMEOUT, Node};
+use crate::state_directories::temporary_directory;
 
-/// Waits until something is so, and says what it was if that does not happen.
+/// Waits until a condition holds. Panics with its description if it doesn't.
 pub fn until(what: &str, mut is: impl FnMut() -> bool) {
     let from = Instant::now();
     while !is() {
-        assert!(from.elapsed() < SOON, "{what}");
+        assert!(from.elapsed() < EVENT_TIMEOUT, "{what}");
         thread::sleep(std::time::Duration::from_millis(5));
     }
 }
 
-/// What lies between the members: a relay on a thread of its own.
+/// A relay between the balancers, on a thread of its own.
 struct Relay {
     addresses: Vec<Addresses>,
-    orders: Option<UnboundedSender<Order>>,
+    commands: Option<UnboundedSender<RelayCommand>>,
     seen: Receiver<Observation>,
     thread: Option<JoinHandle<()>>,
 }
 
-enum Order {
+enum RelayCommand {
     Begin(usize, Rule),
     End(usize),
 }
 
 impl Relay {
     fn start(net: u8, count: usize) -> Self {
-        let ((orders, mut taken), (tell, seen)) = (unbounded_channel(), channel());
+        let ((commands, mut received), (observe, seen)) = (unbounded_channel(), channel());
         let (ready, addresses) = channel();
         let thread = thread::spawn(move || {
             let runtime = tokio::runtime::Builder::new_current_thread().enable_all().build();
             let runtime = runtime.expect("a runtime");
             LocalSet::new().block_on(&runtime, async move {
-                let tell = move |seen| drop(tell.send(seen));
-                let ground = Testbed::Loopback { net };
-                let peers = Peers::new(ground, count, 1, tell).expect("addresses for a relay");
+                let observe = move |seen| drop(observe.send(seen));
+                let testbed = Testbed::Loopback { net };
+                let peers = Peers::new(testbed, count, 1, observe).expect("addresses for a relay");
                 let all = (0..count).map(|b| peers.addresses(b)).collect();
-                ready.send(all).expect("somebody waits");
-                while let Some(order) = taken.recv().await {
-                    match order {
-                        Order::Begin(key, rule) => peers.begin(key, rule),
-                        Order::End(key) => peers.end(key),
+                ready.send(all).expect("the starter waits");
+                while let Some(command) = received.recv().await {
+                    match command {
+                        RelayCommand::Begin(key, rule) => peers.begin(key, rule),
+                        RelayCommand::End(key) => peers.end(key),
                     }
                 }
             });
         });
-        let addresses = addresses.recv_timeout(SOON).expect("the relay starts");
-        Self { addresses, orders: Some(orders), seen, thread: Some(thread) }
+        let addresses = addresses.recv_timeout(EVENT_TIMEOUT).expect("the relay starts");
+        Self { addresses, commands: Some(commands), seen, thread: Some(thread) }
     }
 
-    fn order(&self, order: Order) {
-        let sent = self.orders.as_ref().map(|o| o.send(order).is_ok());
+    fn command(&self, command: RelayCommand) {
+        let sent = self.commands.as_ref().map(|sender| sender.send(command).is_ok());
         assert_eq!(sent, Some(true), "the relay has ended");
     }
 }
 
 impl Drop for Relay {
     fn drop(&mut self) {
-        // Without anybody to give orders it ends.
-        self.orders = None;
+        // The relay ends when its command channel closes.
+        self.commands = None;
         self.thread.take().into_iter().for_each(|t| drop(t.join()));
     }
 }
@@ -94,22 +95,22 @@
     node: Option<Node>,
 }
 
-/// A bank of processes.
-pub struct Fleet {
+/// A cluster of balancer processes.
+pub struct ProcessCluster {
     program: PathBuf,
     members: Vec<Member>,
     relay: Relay,
-    keys: RefCell<usize>,
-    _place: tempfile::TempDir,
+    next_fault_key: RefCell<usize>,
+    _directory: tempfile::TempDir,
 }
 
-impl Fleet {
-    /// Starts `count` processes of `program`, each with this configuration under a name of its own, and waits until
-    /// all listen. Each is told of the others and of operators, as on a platform that allows both.
+impl ProcessCluster {
+    /// Starts `count` processes of `program`, each with this configuration under its own name, and
+    /// waits until all listen. Peer messages and the admin API are enabled.
     pub fn start(program: &str, count: usize, config: &Value) -> Self {
-        let place = folder("fleet-").expect("a folder");
+        let root = temporary_directory("fleet-").expect("a directory");
         let net = Testbed::loopback_net();
-        let (ground, relay) = (Testbed::Loopback { net }, Relay::start(net, count));
+        let (testbed, relay) = (Testbed::Loopback { net }, Relay::start(net, count));
         let member = |number: usize| {
             let mut config = config.clone();
             let Addresses { listen, peers, all } = &relay.addresses[number];
@@ -119,30 +120,30 @@
             config["settings"]["Balancers"] = count.into();
             config["settings"]["Position"] = number.into();
             config["settings"]["PolicyLimits"]["PeerMessages"] = true.into();
-            let directory = place.path().join(format!("n{number}"));
+            let directory = root.path().join(format!("n{number}"));
             std::fs::create_dir(&directory).expect("a directory");
-            let listen = ground.address(Who::Balancer(number));
+            let listen = testbed.address(Host::Balancer(number));
             let (name, discovery) = (format!("n{number}"), Rc::new(Discovery::start()));
             Member { name, config, listen, discovery, directory, node: None }
         };
         let members = (0..count).map(member).collect();
-        let (program, keys) = (PathBuf::from(program), RefCell::new(0));
-        let mut fleet = Self { program, members, relay, keys, _place: place };
-        fleet.start_all();
-        fleet
+        let (program, next_fault_key) = (PathBuf::from(program), RefCell::new(0));
+        let mut cluster = Self { program, members, relay, next_fault_key, _directory: root };
+        cluster.start_all();
+        cluster
     }
 
-    /// How many there are, running or not.
+    /// Returns the number of balancers, running or not.
     pub fn count(&self) -> usize {
         self.members.len()
     }
 
-    /// Starts one that does not run, under its name and address, and waits until it listens.
+    /// Starts a stopped balancer under its name and address, and waits until it listens.
     pub fn start_one(&mut self, number: usize) {
         let member = &mut self.members[number];
         assert!(member.node.is_none(), "{} runs already", member.name);
-        let mut command = Command::new(&self.program);
-        // An address is taken at its first start, and the same from then on.
+        let mut command = process::Command::new(&self.program);
+        // The address is assigned at the first start and stays the same.
         command.env("TMPDIR", &member.directory).env("LB_CONTROL", "127.0.0.1:0");
         command.env("LB_STATE_DIR", member.directory.join("state"));
         let discovery = member.discovery.clone();
@@ -151,7 +152,7 @@
         member.node = Some(node);
     }
 
-    /// Starts all that do not run.
+    /// Starts all stopped balancers.
     pub fn start_all(&mut self) {
         for number in 0..self.count() {
             if self.members[number].node.is_none() {
@@ -160,12 +161,12 @@
         }
     }
 
-    /// Kills one outright, and waits for its end.
+    /// Kills a balancer, and waits for its end.
     pub fn kill(&mut self, number: usize) {
         self.members[number].node = None;
     }
 
-    /// Kills all at once.
+    /// Kills all balancers at once.
     pub fn kill_all(&mut self) {
         for node in self.members.iter_mut().filter_map(|m| m.node.as_mut()) {
             let _ = node.child.kill();
@@ -173,44 +174,44 @@
         (0..self.count()).for_each(|n| self.kill(n));
     }
 
-    /// The process of one that runs.
+    /// Returns the process of a running balancer.
     pub fn node(&mut self, number: usize) -> &mut Node {
         let member = &mut self.members[number];
         member.node.as_mut().unwrap_or_else(|| panic!("n{number} does not run"))
     }
 
-    /// Freezes one.
+    /// Suspends a balancer.
     pub fn pause(&mut self, number: usize) {
         self.node(number).signal("STOP");
     }
 
-    /// Has a frozen one go on.
+    /// Resumes a suspended balancer.
     pub fn resume(&mut self, number: usize) {
         self.node(number).signal("CONT");
     }
 
-    /// What one stores, whether it runs or not.
+    /// Returns the directory of a balancer, running or not.
     pub fn directory(&self, number: usize) -> &Path {
         &self.members[number].directory
     }
 
-    /// The discovery of one, for what it is to be told.
+    /// Returns the endpoint list service of a balancer.
     pub fn discovery(&self, number: usize) -> &Discovery {
         &self.members[number].discovery
     }
 
-    /// A new connection to one.
+    /// Opens a connection to a balancer.
     pub fn client(&mut self, number: usize) -> Client {
         self.node(number).client()
     }
 
-    /// Whether one says that clients may come.
+    /// Returns whether a balancer reports itself ready.
     pub fn is_ready(&mut self, number: usize) -> bool {
         let Ok(mut client) = Client::try_to(self.node(number).address) else { return false };
         client.ask("GET /-/ready HTTP/1.1\r\nHost: a\r\n\r\n").status() == 200
     }
 
-    /// Waits until all that run say that clients may come.
+    /// Waits until all running balancers report themselves ready.
     pub fn until_ready(&mut self) {
         for number in 0..self.count() {
             if self.members[number].node.is_some() {
@@ -219,24 +220,26 @@
         }
     }
 
-    /// What lies between the members is so from now on, until [`Fleet::heal`] of what this returns.
+    /// Applies a rule to the links between balancers until [`ProcessCluster::heal`] with the
+    /// returned key.
     pub fn break_links(&self, rule: Rule) -> usize {
-        let key = self.keys.replace_with(|k| *k + 1);
-        self.relay.order(Order::Begin(key, rule));
+        let key = self.next_fault_key.replace_with(|k| *k + 1);
+        self.relay.command(RelayCommand::Begin(key, rule));
         key
     }
 
-    /// Ends what [`Fleet::break_links`] began.
+    /// Ends the rule of [`ProcessCluster::break_links`] with this key.
     pub fn heal(&self, key: usize) {
-        self.relay.order(Order::End(key));
+        self.relay.command(RelayCommand::End(key));
     }
 
-    /// What a member is told of the others.
+    /// Returns the peer addresses in a balancer's configuration.
     pub fn addresses(&self, number: usize) -> &Addresses {
         &self.relay.addresses[number]
     }
 
-    /// Datagrams that members sent since the last call: from whom, to whom, and how many copies of it arrive.
+    /// Returns the datagrams sent since the last call: sender, recipient and number of copies that
+    /// arrive.
     pub fn datagrams(&self) -> Vec<(usize, usize, usize)> {
         let one = |seen| match seen {
             Observation::Datagram { from, to, copies, .. } => Some((from, to, copies)),
--- a/crates/rehearsal/src/stored.rs
+++ b/crates/rehearsal/src/state_directories.rs
@@ -1,5 +1,5 @@
-//! What balancers store, and what is done to it: a directory for each, which outlives its process where the scenario
-//! says so and is emptied at each start where not.
+//! State directories of the balancers, and faults that damage them. A directory survives a restart
+//! of its process if the scenario persists state, and is emptied at each start otherwise.
 
 use std::cell::{Cell, RefCell};
 use std::collections::VecDeque;
@@ -16,34 +16,35 @@
 use crate::node::count;
 use crate::scenario::{FaultKind, Scenario};
 
-/// A directory is copied this often, where an old copy is to be put back.
+/// Interval between copies of a directory, where a fault puts an old copy back.
 pub const COPY_EVERY: Duration = Duration::from_millis(500);
-/// Chance of [`Stored::strike`] is a stream of its own.
-const STREAM: u64 = 8;
+/// The random number stream of [`StateDirectories::apply_fault`].
+const RNG_STREAM: u64 = 8;
 
-/// A file's path in its directory, and what it holds.
+/// Paths relative to a directory, and the contents of each file.
 type Files = Vec<(PathBuf, Vec<u8>)>;
 
-/// What is wrong with the disk that a directory lies on. For launchers that reach it by a seam of their own.
+/// Faults of the disk that holds a balancer's directory, for launchers that inject them into their
+/// own storage layer.
 #[derive(Debug, Default)]
-pub struct DiskTroubles {
+pub struct DiskFaults {
     full: Cell<u32>,
-    /// Each write takes so much longer: faults that overlap add up.
+    /// Extra duration of each write. Overlapping faults add up.
     slow: Cell<Duration>,
 }
 
-impl DiskTroubles {
-    /// Whether there is no room.
+impl DiskFaults {
+    /// Returns whether writes fail for lack of space.
     pub fn is_full(&self) -> bool {
         self.full.get() > 0
     }
 
-    /// How long a write takes.
+    /// Returns the extra duration of a write.
     pub fn delay(&self) -> Duration {
         self.slow.get()
     }
 
-    fn strike(&self, kind: &FaultKind, begins: bool) {
+    fn apply_fault(&self, kind: &FaultKind, begins: bool) {
         match kind {
             FaultKind::StateFull => {
                 let mut full = self.full.get();
@@ -59,111 +60,112 @@
     }
 }
 
-/// A file system in memory, on most Linux machines.
+/// An in-memory file system on most Linux machines.
 const MEMORY: &str = "/dev/shm";
 
-/// A folder of a run's own, gone with it. It lies in memory, where that can be had. Failure: all stand-ins are one thread,
-/// and beside other programs' syncs a single file took half a second, an emptied directory three.
+/// Creates a temporary directory that is deleted when dropped, in memory where possible. All
+/// stand-ins share one thread: on a disk that other programs sync, creating a single file took half
+/// a second and emptying a directory three seconds.
 ///
 /// # Errors
-/// There is no place for it.
-pub fn folder(prefix: &str) -> io::Result<tempfile::TempDir> {
+/// The directory can't be created.
+pub fn temporary_directory(prefix: &str) -> io::Result<tempfile::TempDir> {
     let mut builder = tempfile::Builder::new();
     let builder = builder.prefix(prefix);
     builder.tempdir_in(MEMORY).or_else(|_| builder.tempdir())
 }
 
-/// The directories of a bank.
-pub struct Stored {
-    disks: Vec<Rc<DiskTroubles>>,
-    folder: tempfile::TempDir,
-    keeps: bool,
-    /// How long copies are kept; `None` if nobody wants any.
-    oldest: Option<Duration>,
+/// The state directories of all balancers of a run.
+pub struct StateDirectories {
+    disks: Vec<Rc<DiskFaults>>,
+    temporary_directory: tempfile::TempDir,
+    persists: bool,
+    /// Age up to which copies are retained; `None` if no fault needs copies.
+    copy_retention: Option<Duration>,
     copies: RefCell<Vec<VecDeque<(Instant, Files)>>>,
     rng: RefCell<ChaCha8Rng>,
 }
 
-impl Stored {
-    /// An empty directory for each balancer.
+impl StateDirectories {
+    /// Creates an empty directory for each balancer.
     ///
     /// # Errors
-    /// There is no place for them.
+    /// The directories can't be created.
     pub fn new(scenario: &Scenario, seed: u64) -> io::Result<Self> {
         let age = |f: &crate::scenario::Fault| match f.kind {
             FaultKind::StateOld { age } => Some(age),
             _ => None,
         };
         let mut rng = ChaCha8Rng::seed_from_u64(seed);
-        rng.set_stream(STREAM);
+        rng.set_stream(RNG_STREAM);
         Ok(Self {
             disks: (0..scenario.cluster.count).map(|_| Rc::default()).collect(),
-            folder: folder("rehearsal-state-")?,
-            keeps: scenario.cluster.persists_state,
-            oldest: scenario.faults.iter().filter_map(age).max(),
+            temporary_directory: temporary_directory("rehearsal-state-")?,
+            persists: scenario.cluster.persists_state,
+            copy_retention: scenario.faults.iter().filter_map(age).max(),
             copies: RefCell::new(vec![VecDeque::new(); scenario.cluster.count]),
             rng: RefCell::new(rng),
         })
     }
 
-    /// A balancer's directory.
+    /// Returns a balancer's directory.
     pub fn directory(&self, balancer: usize) -> PathBuf {
-        self.folder.path().join(format!("n{balancer}"))
+        self.temporary_directory.path().join(format!("n{balancer}"))
     }
 
-    /// Has the directory as a start is to find it.
+    /// Prepares a balancer's directory for a start.
     ///
     /// # Errors
-    /// It can't be made or emptied.
-    pub fn before_start(&self, balancer: usize) -> io::Result<PathBuf> {
+    /// The directory can't be created or emptied.
+    pub fn prepare(&self, balancer: usize) -> io::Result<PathBuf> {
         let directory = self.directory(balancer);
-        // An empty one is left alone: a start is not to wait for a disk.
+        // An empty directory is left as it is, so that a start doesn't wait for a disk.
         let empty = fs::read_dir(&directory).is_ok_and(|mut all| all.next().is_none());
-        if !self.keeps && !empty && directory.exists() {
+        if !self.persists && !empty && directory.exists() {
             fs::remove_dir_all(&directory)?;
         }
         fs::create_dir_all(&directory)?;
         Ok(directory)
     }
 
-    /// The disk that a balancer's directory lies on.
-    pub fn disk(&self, balancer: usize) -> Rc<DiskTroubles> {
+    /// Returns the faults of the disk that holds a balancer's directory.
+    pub fn disk(&self, balancer: usize) -> Rc<DiskFaults> {
         self.disks[balancer].clone()
     }
 
-    /// A fault of a balancer's disk begins or ends.
-    pub fn strike_disk(&self, kind: &FaultKind, balancer: usize, begins: bool) {
-        self.disks[balancer].strike(kind, begins);
+    /// Starts or ends a fault of a balancer's disk.
+    pub fn apply_disk_fault(&self, kind: &FaultKind, balancer: usize, begins: bool) {
+        self.disks[balancer].apply_fault(kind, begins);
     }
 
-    /// Whether directories are to be copied now and then.
-    pub fn wants_copies(&self) -> bool {
-        self.oldest.is_some()
+    /// Returns whether directories have to be copied regularly.
+    pub fn needs_copies(&self) -> bool {
+        self.copy_retention.is_some()
     }
 
-    /// Copies what each holds now.
+    /// Copies the current contents of each directory.
     ///
     /// # Errors
     /// A directory can't be read.
     pub fn copy(&self) -> io::Result<()> {
-        let Some(oldest) = self.oldest else { return Ok(()) };
+        let Some(copy_retention) = self.copy_retention else { return Ok(()) };
         let now = Instant::now();
         for (balancer, copies) in self.copies.borrow_mut().iter_mut().enumerate() {
             copies.push_back((now, files(&self.directory(balancer))?));
-            while copies.get(1).is_some_and(|(at, _)| now.duration_since(*at) > oldest) {
+            while copies.get(1).is_some_and(|(at, _)| now.duration_since(*at) > copy_retention) {
                 copies.pop_front();
             }
         }
         Ok(())
     }
 
-    /// Does to a balancer's directory what a fault says; how many files it was done to.
+    /// Applies a fault to a balancer's directory. Returns the number of files affected.
     ///
     /// # Errors
     /// A directory can't be read or written.
-    pub fn strike(&self, kind: &FaultKind, balancer: usize) -> io::Result<usize> {
+    pub fn apply_fault(&self, kind: &FaultKind, balancer: usize) -> io::Result<usize> {
         let directory = self.directory(balancer);
-        let put = match kind {
+        let files_to_write = match kind {
             FaultKind::StateLost => {
                 let lost = files(&directory)?.len();
                 replace(&directory, &[])?;
@@ -182,7 +184,7 @@
             FaultKind::StateOld { age } => {
                 let (now, copies) = (Instant::now(), self.copies.borrow());
                 let old = |(at, _): &&(Instant, Files)| now.duration_since(*at) >= *age;
-                // Before anything was copied there was nothing.
+                // Before the first copy the directory was empty.
                 copies[balancer].iter().rev().find(old).map(|(_, f)| f.clone()).unwrap_or_default()
             }
             FaultKind::StateForeign => {
@@ -191,12 +193,12 @@
             }
             _ => return Ok(0),
         };
-        replace(&directory, &put)?;
-        Ok(put.len())
+        replace(&directory, &files_to_write)?;
+        Ok(files_to_write.len())
     }
 }
 
-/// All regular files under a directory, in order of their paths.
+/// Returns all regular files under a directory, sorted by path.
 fn files(directory: &Path) -> io::Result<Files> {
     let mut all = Vec::new();
     let mut open = vec![PathBuf::new()];
@@ -214,7 +216,7 @@
             }
             match fs::read(entry.path()) {
                 Ok(bytes) => all.push((path, bytes)),
-                // A process that runs has replaced it just now.
+                // A running process has just replaced the file.
                 Err(e) if e.kind() == io::ErrorKind::NotFound => {}
                 Err(e) => return Err(e),
             }
@@ -224,7 +226,7 @@
     Ok(all)
 }
 
-/// Has a directory hold these files and no others.
+/// Replaces the contents of a directory by these files.
 fn replace(directory: &Path, with: &[(PathBuf, Vec<u8>)]) -> io::Result<()> {
     fs::remove_dir_all(directory)?;
     fs::create_dir_all(directory)?;
@@ -236,7 +238,7 @@
     Ok(())
 }
 
-/// Cuts the rest off, or changes a byte, at a drawn place.
+/// Truncates the contents, or flips a bit, at a random position.
 fn tear(bytes: &mut Vec<u8>, flipped: bool, rng: &mut impl Rng) {
     let at = rng.random_range(0..bytes.len());
     if flipped {
@@ -250,64 +252,70 @@
 mod tests {
     use super::*;
 
-    const DAY: &str = "name = \"s\"\nlength_s = 9\n[fleet]\nnodes = 1\n[[fleet.kinds]]\nname = \"k\"\n[[classes]]\n\
+    const SCENARIO: &str = "name = \"s\"\nlength_s = 9\n[fleet]\nnodes = 1\n[[fleet.kinds]]\nname = \"k\"\n[[classes]]\n\
         name = \"c\"\nwork_ms = 1\naim_ms = 1\ndeadline_ms = 1\neffect = \"safe\"\n[balancers]\ncount = 3\n";
 
-    fn day(more: &str) -> Scenario {
-        Scenario::read("s.toml", &format!("{DAY}{more}")).expect("sound")
+    fn scenario(more: &str) -> Scenario {
+        Scenario::read("s.toml", &format!("{SCENARIO}{more}")).expect("sound")
     }
 
-    fn kept() -> Stored {
+    fn stored_files() -> StateDirectories {
         let more = "keeps_state = true\n[[faults]]\nkind = \"state-old\"\nstart_s = 1\nage_s = 2\nshare = 1.0\n";
-        let stored = Stored::new(&day(more), 3).expect("a place");
+        let state = StateDirectories::new(&scenario(more), 3).expect("a place");
         for balancer in 0..3 {
-            let inner = stored.before_start(balancer).expect("made").join("inner");
+            let inner = state.prepare(balancer).expect("made").join("inner");
             fs::create_dir(&inner).expect("made");
             fs::write(inner.join("said"), format!("words of n{balancer}")).expect("written");
         }
-        stored
+        state
     }
 
-    fn said(stored: &Stored, balancer: usize) -> Option<String> {
-        fs::read_to_string(stored.directory(balancer).join("inner/said")).ok()
+    fn stored_text(state: &StateDirectories, balancer: usize) -> Option<String> {
+        fs::read_to_string(state.directory(balancer).join("inner/said")).ok()
     }
 
     #[test]
-    fn what_is_not_kept_is_gone_at_the_next_start() {
-        let stored = Stored::new(&day(""), 3).expect("a place");
-        let directory = stored.before_start(1).expect("made");
+    fn unpersisted_state_is_deleted_at_the_next_start() {
+        let state = StateDirectories::new(&scenario(""), 3).expect("a place");
+        let directory = state.prepare(1).expect("made");
         fs::write(directory.join("x"), "x").expect("written");
-        stored.before_start(1).expect("emptied");
+        state.prepare(1).expect("emptied");
         assert!(!directory.join("x").exists());
-        let stored = kept();
-        stored.before_start(1).expect("left");
-        assert_eq!(said(&stored, 1).as_deref(), Some("words of n1"));
+        let state = stored_files();
+        state.prepare(1).expect("left");
+        assert_eq!(stored_text(&state, 1).as_deref(), Some("words of n1"));
     }
 
     #[tokio::test(start_paused = true)]
-    async fn it_can_be_lost_old_torn_or_anothers_and_nobody_else_is_touched() {
-        let stored = kept();
-        assert!(stored.wants_copies());
-        stored.copy().expect("copied");
+    async fn state_faults_affect_only_their_balancer() {
+        let state = stored_files();
+        assert!(state.needs_copies());
+        state.copy().expect("copied");
         tokio::time::sleep(Duration::from_secs(2)).await;
-        fs::write(stored.directory(0).join("inner/said"), "news").expect("written");
-        stored.copy().expect("copied");
+        fs::write(state.directory(0).join("inner/said"), "news").expect("written");
+        state.copy().expect("copied");
         let old = FaultKind::StateOld { age: Duration::from_secs(2) };
-        assert_eq!(stored.strike(&old, 0).expect("done"), 1);
-        assert_eq!(said(&stored, 0).as_deref(), Some("words of n0"));
+        assert_eq!(state.apply_fault(&old, 0).expect("done"), 1);
+        assert_eq!(stored_text(&state, 0).as_deref(), Some("words of n0"));
         let older = FaultKind::StateOld { age: Duration::from_secs(9) };
-        assert_eq!(stored.strike(&older, 0).expect("done"), 0);
-        assert_eq!(said(&stored, 0), None, "so long ago there was nothing");
-        assert_eq!(stored.strike(&FaultKind::StateForeign, 0).expect("done"), 1);
-        assert_eq!(said(&stored, 0).as_deref(), Some("words of n1"));
-        assert_eq!(stored.strike(&FaultKind::StateTorn { flipped: false }, 0).expect("done"), 1);
-        let torn = said(&stored, 0).expect("a text");
+        assert_eq!(state.apply_fault(&older, 0).expect("done"), 0);
+        assert_eq!(stored_text(&state, 0), None, "nothing was stored at that time");
+        assert_eq!(state.apply_fault(&FaultKind::StateForeign, 0).expect("done"), 1);
+        assert_eq!(stored_text(&state, 0).as_deref(), Some("words of n1"));
+        assert_eq!(
+            state.apply_fault(&FaultKind::StateTorn { flipped: false }, 0).expect("done"),
+            1
+        );
+        let torn = stored_text(&state, 0).expect("a text");
         assert!(torn.len() < 11 && "words of n1".starts_with(&torn), "{torn}");
-        assert_eq!(stored.strike(&FaultKind::StateTorn { flipped: true }, 2).expect("done"), 1);
-        let flipped = fs::read(stored.directory(2).join("inner/said")).expect("there");
+        assert_eq!(state.apply_fault(&FaultKind::StateTorn { flipped: true }, 2).expect("done"), 1);
+        let flipped = fs::read(state.directory(2).join("inner/said")).expect("there");
         let differ = flipped.iter().zip(b"words of n2").filter(|(a, b)| a != b).count();
         assert_eq!((flipped.len(), differ), (11, 1));
-        assert_eq!(stored.strike(&FaultKind::StateLost, 2).expect("done"), 1);
-        assert_eq!((said(&stored, 2), said(&stored, 1).as_deref()), (None, Some("words of n1")));
+        assert_eq!(state.apply_fault(&FaultKind::StateLost, 2).expect("done"), 1);
+        assert_eq!(
+            (stored_text(&state, 2), stored_text(&state, 1).as_deref()),
+            (None, Some("words of n1"))
+        );
     }
 }
--- a/crates/rehearsal/src/wire.rs
+++ b/crates/rehearsal/src/wire.rs
@@ -1,5 +1,6 @@
-//! HTTP/1.1 as stand-ins speak it: whole messages with their times, and every way in which a connection can
-//! end before one is whole. Framing by RFC 9112, section 6.3; heads are `httparse`'s.
+//! HTTP/1.1 connections of the stand-ins: whole messages with their times, and all ways in which a
+//! connection can end before a message is complete. Framing follows RFC 9112, section 6.3; heads
+//! are parsed by `httparse`.
 
 use std::time::Duration;
 
@@ -8,67 +9,67 @@
 use tokio::io::{AsyncReadExt, AsyncWriteExt};
 use tokio::time::{Instant, timeout};
 
-/// No head here is longer, and no body.
-const LONGEST_HEAD: usize = 64 << 10;
-const LONGEST_BODY: usize = 16 << 20;
-const MOST_HEADERS: usize = 100;
+/// Maximum sizes of a head and a body, in bytes.
+const MAX_HEAD_BYTES: usize = 64 << 10;
+const MAX_BODY_BYTES: usize = 16 << 20;
+const MAX_HEADERS: usize = 100;
 
-/// A whole message.
+/// A complete message.
 #[derive(Clone, Debug)]
 pub struct Message {
-    /// Method and target, or the status and its reason.
+    /// Method and target, or status and reason.
     pub start: (String, String),
-    /// In their order, names as they came.
+    /// Headers in the order received, with names as received.
     pub headers: Vec<(String, String)>,
-    /// Without its transfer coding.
+    /// The body, decoded from its transfer coding.
     pub body: Bytes,
-    /// When its first byte was read.
+    /// Time at which the first byte was read.
     pub first: Instant,
 }
 
 impl Message {
-    /// The first header of this name.
+    /// Returns the value of the first header with this name.
     pub fn header(&self, name: &str) -> Option<&str> {
         let found = self.headers.iter().find(|(n, _)| n.eq_ignore_ascii_case(name));
         found.map(|(_, value)| value.as_str())
     }
 
-    /// Of an answer; 0 for a request.
+    /// Returns the status of a response; 0 for a request.
     pub fn status(&self) -> u16 {
         self.start.0.parse().unwrap_or(0)
     }
 
-    /// Whether its sender will close the connection behind it.
+    /// Returns whether the sender will close the connection after this message.
     pub fn closes(&self) -> bool {
         self.header("connection").is_some_and(|v| v.eq_ignore_ascii_case("close"))
     }
 }
 
-/// Which way messages go.
+/// Direction of messages.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum Side {
-    /// From clients.
+pub enum Direction {
+    /// From clients to servers.
     Requests,
-    /// To clients.
-    Answers,
+    /// From servers to clients.
+    Responses,
 }
 
-/// How a connection ended before a message was whole.
+/// The reason why no complete message was read.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
-pub enum Ended {
-    /// In order; `inside` a message or between two.
+pub enum ConnectionEnd {
+    /// The connection was closed in an orderly way.
     #[error("closed")]
     Closed {
-        /// A part of a message had come.
+        /// Whether a part of a message had been received.
         inside: bool,
     },
-    /// By a reset.
+    /// The connection was reset.
     #[error("reset")]
     Reset {
-        /// A part of a message had come.
+        /// Whether a part of a message had been received.
         inside: bool,
     },
-    /// What came is no message.
+    /// The received bytes are not a valid message.
     #[error("not HTTP/1.1: {0}")]
     Malformed(String),
 }
@@ -87,53 +88,53 @@
 }
 
 impl Exchange {
-    /// On a new connection.
+    /// Creates an exchange on a new connection.
     pub fn new(stream: Box<dyn Stream>) -> Self {
         Self { stream, buffer: BytesMut::new(), first: None }
     }
 
-    /// Whether nothing has come that is not read yet, not even its end.
+    /// Returns whether nothing unread has been received, not even the end of the connection.
     pub fn is_quiet(&self) -> bool {
         self.buffer.is_empty() && self.stream.is_quiet()
     }
 
-    /// Bytes that came behind the last message.
+    /// Returns the number of bytes received after the last message.
     pub fn left_over(&self) -> usize {
         self.buffer.len()
     }
 
-    /// Ends it by a reset.
+    /// Resets the connection.
     pub fn reset(self) {
         self.stream.reset();
     }
 
-    async fn fill(&mut self) -> Result<(), Ended> {
+    async fn fill(&mut self) -> Result<(), ConnectionEnd> {
         let read = self.stream.read_buf(&mut self.buffer).await;
         let inside = !self.buffer.is_empty();
         match read {
-            Ok(0) => Err(Ended::Closed { inside }),
+            Ok(0) => Err(ConnectionEnd::Closed { inside }),
             Ok(_) => {
                 self.first.get_or_insert_with(Instant::now);
                 Ok(())
             }
-            Err(_) => Err(Ended::Reset { inside }),
+            Err(_) => Err(ConnectionEnd::Reset { inside }),
         }
     }
 
-    /// The next whole message.
+    /// Reads the next complete message.
     ///
     /// # Errors
-    /// How the connection ended, or why what came is none.
-    pub async fn message(&mut self, side: Side) -> Result<Message, Ended> {
+    /// The connection has ended, or the received bytes are not a valid message.
+    pub async fn message(&mut self, direction: Direction) -> Result<Message, ConnectionEnd> {
         if !self.buffer.is_empty() {
             self.first.get_or_insert_with(Instant::now);
         }
         loop {
-            if let Some((mut message, head, framing)) = parse(&self.buffer, side)? {
+            if let Some((mut message, head, framing)) = parse(&self.buffer, direction)? {
                 self.buffer.advance(head);
                 message.first = self.first.take().unwrap_or(message.first);
-                // Informational answers come ahead of the one that counts (RFC 9110, 15.2).
-                if side == Side::Answers && (100..200).contains(&message.status()) {
+                // Informational responses precede the final one (RFC 9110, section 15.2).
+                if direction == Direction::Responses && (100..200).contains(&message.status()) {
                     if !self.buffer.is_empty() {
                         self.first = Some(Instant::now());
                     }
@@ -147,10 +148,10 @@
         }
     }
 
-    async fn body(&mut self, framing: Framing) -> Result<Bytes, Ended> {
+    async fn body(&mut self, framing: Framing) -> Result<Bytes, ConnectionEnd> {
         let inside = |ended| match ended {
-            Ended::Closed { .. } => Ended::Closed { inside: true },
-            Ended::Reset { .. } => Ended::Reset { inside: true },
+            ConnectionEnd::Closed { .. } => ConnectionEnd::Closed { inside: true },
+            ConnectionEnd::Reset { .. } => ConnectionEnd::Reset { inside: true },
             other => other,
         };
         match framing {
@@ -162,9 +163,9 @@
             }
             Framing::UntilClose => loop {
                 match self.fill().await {
-                    Ok(()) if self.buffer.len() <= LONGEST_BODY => {}
-                    Ok(()) => return Err(Ended::Malformed("a body without end".into())),
-                    Err(Ended::Closed { .. }) => return Ok(self.buffer.split().freeze()),
+                    Ok(()) if self.buffer.len() <= MAX_BODY_BYTES => {}
+                    Ok(()) => return Err(ConnectionEnd::Malformed("a body without end".into())),
+                    Err(ConnectionEnd::Closed { .. }) => return Ok(self.buffer.split().freeze()),
                     Err(other) => return Err(inside(other)),
                 }
             },
@@ -180,10 +181,10 @@
                             self.fill().await.map_err(inside)?;
                             continue;
                         }
-                        Err(_) => return Err(Ended::Malformed("a chunk size".into())),
+                        Err(_) => return Err(ConnectionEnd::Malformed("a chunk size".into())),
                     };
-                    if size > LONGEST_BODY - body.len().min(LONGEST_BODY) {
-                        return Err(Ended::Malformed("a body without end".into()));
+                    if size > MAX_BODY_BYTES - body.len().min(MAX_BODY_BYTES) {
+                        return Err(ConnectionEnd::Malformed("a body without end".into()));
                     }
                     while self.buffer.len() < size + 2 {
                         self.fill().await.map_err(inside)?;
@@ -198,30 +199,31 @@
         }
     }
 
-    /// Ends with the connection; what still comes before that is kept for the next message.
-    pub async fn end(&mut self) -> Ended {
+    /// Waits for the end of the connection. Bytes received before that are kept for the next
+    /// message.
+    pub async fn end(&mut self) -> ConnectionEnd {
         loop {
             if let Err(ended) = self.fill().await {
                 return ended;
             }
-            if self.buffer.len() > LONGEST_HEAD + LONGEST_BODY {
-                return Ended::Malformed("more than anyone asked for".into());
+            if self.buffer.len() > MAX_HEAD_BYTES + MAX_BODY_BYTES {
+                return ConnectionEnd::Malformed("more than anyone asked for".into());
             }
         }
     }
 
-    /// What has come and belongs to no message, or what comes next.
+    /// Returns the bytes received but not part of a message, or the next bytes received.
     ///
     /// # Errors
-    /// How the connection ended.
-    pub async fn some(&mut self) -> Result<Bytes, Ended> {
+    /// The connection has ended.
+    pub async fn some(&mut self) -> Result<Bytes, ConnectionEnd> {
         if self.buffer.is_empty() {
             self.fill().await?;
         }
         Ok(self.buffer.split().freeze())
     }
 
-    /// Reads what comes, and throws it away, until nothing has come for so long. How much it was.
+    /// Reads and discards bytes until none have been received for `quiet`. Returns their number.
     pub async fn drain(&mut self, quiet: Duration) -> usize {
         let mut bytes = std::mem::take(&mut self.buffer).len();
         while let Ok(Ok(())) = timeout(quiet, self.fill()).await {
@@ -230,36 +232,40 @@
         bytes
     }
 
-    /// Writes all of it.
+    /// Writes all bytes.
     ///
     /// # Errors
-    /// The connection is gone.
+    /// The connection is closed.
     pub async fn write(&mut self, bytes: &[u8]) -> std::io::Result<()> {
         self.stream.write_all(bytes).await?;
         self.stream.flush().await
     }
 
-    /// Writes one chunk of a chunked answer.
+    /// Writes one chunk of a chunked response.
     ///
     /// # Errors
-    /// The connection is gone.
+    /// The connection is closed.
     pub async fn chunk(&mut self, text: &str) -> std::io::Result<()> {
         self.write(format!("{:x}\r\n{text}\r\n", text.len()).as_bytes()).await
     }
 }
 
-/// Reads a head, if it is whole: how many bytes it took, and how its body is framed.
-fn parse(buffer: &[u8], side: Side) -> Result<Option<(Message, usize, Framing)>, Ended> {
-    let mut headers = [httparse::EMPTY_HEADER; MOST_HEADERS];
-    let bad = |e: httparse::Error| Ended::Malformed(e.to_string());
-    let (start, length) = match side {
-        Side::Requests => {
+/// Parses a head if it is complete. Returns the message, the length of the head and the framing of
+/// the body.
+fn parse(
+    buffer: &[u8],
+    direction: Direction,
+) -> Result<Option<(Message, usize, Framing)>, ConnectionEnd> {
+    let mut headers = [httparse::EMPTY_HEADER; MAX_HEADERS];
+    let bad = |e: httparse::Error| ConnectionEnd::Malformed(e.to_string());
+    let (start, length) = match direction {
+        Direction::Requests => {
             let mut head = httparse::Request::new(&mut headers);
             let status = head.parse(buffer).map_err(bad)?;
             let text = |t: Option<&str>| t.unwrap_or_default().to_string();
             ((text(head.method), text(head.path)), status)
         }
-        Side::Answers => {
+        Direction::Responses => {
             let mut head = httparse::Response::new(&mut headers);
             let status = head.parse(buffer).map_err(bad)?;
             let code = head.code.unwrap_or_default().to_string();
@@ -267,8 +273,8 @@
         }
     };
     let httparse::Status::Complete(length) = length else {
-        if buffer.len() > LONGEST_HEAD {
-            return Err(Ended::Malformed("a head without end".into()));
+        if buffer.len() > MAX_HEAD_BYTES {
+            return Err(ConnectionEnd::Malformed("a head without end".into()));
         }
         return Ok(None);
     };
@@ -282,12 +288,12 @@
         .header("transfer-encoding")
         .is_some_and(|v| v.to_ascii_lowercase().trim_end().ends_with("chunked"));
     let announced = message.header("content-length");
-    let none = side == Side::Requests || matches!(message.status(), 204 | 304);
+    let none = direction == Direction::Requests || matches!(message.status(), 204 | 304);
     let framing = match announced {
         _ if chunked => Framing::Chunked,
         Some(text) => match text.trim().parse() {
-            Ok(n) if n <= LONGEST_BODY => Framing::Length(n),
-            _ => return Err(Ended::Malformed(format!("a length of {text}"))),
+            Ok(n) if n <= MAX_BODY_BYTES => Framing::Length(n),
+            _ => return Err(ConnectionEnd::Malformed(format!("a length of {text}"))),
         },
         None if none => Framing::Length(0),
         None => Framing::UntilClose,
@@ -313,11 +319,11 @@
     }
 
     #[tokio::test(start_paused = true)]
-    async fn a_message_in_single_bytes_has_the_time_of_its_first() {
+    async fn a_message_in_single_bytes_has_the_time_of_its_first_byte() {
         let (mut here, mut there) = pair().await;
         let text = "POST /api HTTP/1.1\r\nX-Request-Id: 7\r\nContent-Length: 3\r\n\r\nabc";
         let from = Instant::now();
-        let read = tokio::join!(there.message(Side::Requests), async {
+        let read = tokio::join!(there.message(Direction::Requests), async {
             for byte in text.as_bytes() {
                 here.write(&[*byte]).await.expect("open");
                 tokio::time::sleep(Duration::from_millis(1)).await;
@@ -331,35 +337,38 @@
     }
 
     #[tokio::test(start_paused = true)]
-    async fn answers_come_framed_in_each_way_and_informational_ones_are_passed_over() {
+    async fn responses_are_read_in_each_framing_and_informational_ones_are_skipped() {
         let (mut here, mut there) = pair().await;
         let early = "HTTP/1.1 103 Early Hints\r\n\r\n";
         let chunked =
             "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n2\r\nab\r\n1\r\nc\r\n0\r\n\r\n";
         let long = "HTTP/1.1 503 No\r\nContent-Length: 2\r\n\r\nnoXX";
         here.write(format!("{early}{chunked}{long}").as_bytes()).await.expect("open");
-        let first = there.message(Side::Answers).await.expect("whole");
+        let first = there.message(Direction::Responses).await.expect("whole");
         assert_eq!((first.status(), &first.body[..]), (200, &b"abc"[..]));
-        let second = there.message(Side::Answers).await.expect("whole");
+        let second = there.message(Direction::Responses).await.expect("whole");
         assert_eq!((second.status(), &second.body[..], there.left_over()), (503, &b"no"[..], 2));
     }
 
     #[tokio::test(start_paused = true)]
-    async fn an_end_says_whether_it_came_inside_a_message() {
+    async fn a_connection_end_tells_whether_it_came_inside_a_message() {
         for (text, inside) in [("", false), ("HTTP/1.1 2", true)] {
             let (mut here, mut there) = pair().await;
             here.write(text.as_bytes()).await.expect("open");
             drop(here);
-            let ended = there.message(Side::Answers).await.expect_err("nothing whole");
-            assert_eq!(ended, Ended::Closed { inside });
+            let ended = there.message(Direction::Responses).await.expect_err("nothing whole");
+            assert_eq!(ended, ConnectionEnd::Closed { inside });
         }
         let (mut here, mut there) = pair().await;
         here.write(b"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf").await.expect("open");
         here.reset();
-        let ended = there.message(Side::Answers).await.expect_err("cut short");
-        assert_eq!(ended, Ended::Reset { inside: true });
+        let ended = there.message(Direction::Responses).await.expect_err("cut short");
+        assert_eq!(ended, ConnectionEnd::Reset { inside: true });
         let (mut here, mut there) = pair().await;
         here.write(b"HTTP/1.1 200 OK\r\nContent-Length: -1\r\n\r\n").await.expect("open");
-        assert!(matches!(there.message(Side::Answers).await, Err(Ended::Malformed(_))));
+        assert!(matches!(
+            there.message(Direction::Responses).await,
+            Err(ConnectionEnd::Malformed(_))
+        ));
     }
 }
