--- a/crates/syscall-faults/build.rs
+++ b/crates/syscall-faults/build.rs
@@ -1,4 +1,5 @@
-//! Compiles the library that is loaded into child processes: Cargo builds no `cdylib` for the tests of other packages.
+//! Compiles the library that child processes preload. The build script does this because Cargo builds no `cdylib` for the
+//! tests of other packages.
 
 use std::path::PathBuf;
 use std::process::Command;
--- a/crates/syscall-faults/preload/preload.rs
+++ b/crates/syscall-faults/preload/preload.rs
@@ -1,13 +1,14 @@
-//! Loaded into a process by `LD_PRELOAD`: some of its system calls fail, fall short or are held up, as the file says that
-//! `HOLLOWPADDLE_SHIM` names. That file is mapped, so that a test can change it while the process runs; its layout is that
-//! of `Slot` in `src/lib.rs`. Without the variable every call passes.
+//! Library that is loaded into a process by `LD_PRELOAD` and makes some of its system calls fail, transfer fewer bytes or
+//! start late. `HOLLOWPADDLE_SHIM` names the file that holds the faults. The file is mapped, so that a test can change the
+//! faults while the process runs. Its layout is that of `Slot` in `src/lib.rs`. Without the variable no fault is injected.
 
 use std::ffi::{c_char, c_int, c_long, c_void};
 use std::ptr::null_mut;
 use std::sync::atomic::{AtomicPtr, AtomicU64, AtomicUsize, Ordering};
 
 const SLOTS: usize = 32;
-/// `Slot::Accept`, `Connect`, `Receive` and `Send` of the other side: an errno, and behind it every how many calls.
+// Slots of `Slot` in `src/lib.rs`. The slots of `ACCEPT` to `SEND` hold an errno, and the slot after each one holds the
+// period of the failing calls.
 const ACCEPT: usize = 0;
 const CONNECT: usize = 2;
 const RECEIVE: usize = 4;
@@ -41,26 +42,28 @@
     fn open(path: *const c_char, flags: c_int, ...) -> c_int;
     fn close(descriptor: c_int) -> c_int;
     fn mmap(
-        at: *mut c_void,
+        address: *mut c_void,
         length: usize,
         protection: c_int,
         flags: c_int,
-        of: c_int,
-        from: c_long,
+        descriptor: c_int,
+        offset: c_long,
     ) -> *mut c_void;
-    fn nanosleep(wanted: *const Timespec, left: *mut Timespec) -> c_int;
+    fn nanosleep(requested: *const Timespec, remaining: *mut Timespec) -> c_int;
     fn __errno_location() -> *mut c_int;
 }
 
-/// The mapped file; null without one, and before the first look.
+/// Start of the mapped file. Null before the first call of `slot`, and if no file is mapped.
 static SLOTS_AT: AtomicPtr<AtomicU64> = AtomicPtr::new(null_mut());
 static IS_MAPPED: AtomicUsize = AtomicUsize::new(0);
-/// Calls so far, by the slot that may make them fail.
+/// Number of calls so far, by the slot of the fault that applies to them.
 static CALLS: [AtomicU64; SLOTS] = [const { AtomicU64::new(0) }; SLOTS];
 
-fn slot(at: usize) -> u64 {
+/// Returns the value of a slot, or 0 if no file is mapped. Maps the file on the first call.
+fn slot(index: usize) -> u64 {
     if IS_MAPPED.load(Ordering::Acquire) == 0 {
-        // SAFETY: both names are C strings; a mapping that succeeded has room for all slots, since `Shim` writes so many.
+        // SAFETY: the variable's name and its value are C strings. A successful mapping holds all slots, since `Shim` sets
+        // the file's length to that of `SLOTS` slots.
         unsafe {
             let path = getenv(c"HOLLOWPADDLE_SHIM".as_ptr());
             if !path.is_null() {
@@ -78,38 +81,38 @@
     if slots.is_null() {
         return 0;
     }
-    // SAFETY: the mapping is never taken back, and is aligned to a page.
-    unsafe { (*slots.add(at)).load(Ordering::Relaxed) }
+    // SAFETY: the mapping is never unmapped, and it is aligned to a page.
+    unsafe { (*slots.add(index)).load(Ordering::Relaxed) }
 }
 
-/// Whether this call is the n-th again, by the period that stands in the slot behind.
-fn is_due(at: usize) -> bool {
-    let every = slot(at + 1);
-    every > 0 && CALLS[at].fetch_add(1, Ordering::Relaxed) % every == every - 1
+/// Counts a call, and returns whether the fault applies to it by the period in the slot after `index`.
+fn is_due(index: usize) -> bool {
+    let every = slot(index + 1);
+    every > 0 && CALLS[index].fetch_add(1, Ordering::Relaxed) % every == every - 1
 }
 
-/// Sets errno and fails, if this call is to.
-fn fails(at: usize) -> bool {
-    let errno = slot(at) as c_int;
-    let fails = errno != 0 && is_due(at);
+/// Returns whether this call has to fail, and sets `errno` if so.
+fn fails(index: usize) -> bool {
+    let errno = slot(index) as c_int;
+    let fails = errno != 0 && is_due(index);
     if fails {
-        // SAFETY: it is this thread's own.
+        // SAFETY: `errno` is local to this thread.
         unsafe { *__errno_location() = errno };
     }
     fails
 }
 
-/// The C library's own function of this name.
+/// Returns the C library's own function of this name.
 macro_rules! real {
     ($name:literal, $type:ty) => {{
         static REAL: AtomicPtr<c_void> = AtomicPtr::new(null_mut());
         let mut real = REAL.load(Ordering::Relaxed);
         if real.is_null() {
-            // SAFETY: a C string; the C library has this function.
+            // SAFETY: `$name` is a C string, and the C library exports this function.
             real = unsafe { dlsym(RTLD_NEXT, $name.as_ptr()) };
             REAL.store(real, Ordering::Relaxed);
         }
-        // SAFETY: it has this type by its manual page.
+        // SAFETY: the manual page of the function documents this type.
         unsafe { std::mem::transmute::<*mut c_void, $type>(real) }
     }};
 }
@@ -123,7 +126,7 @@
 
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn accept4(
-    of: c_int,
+    socket: c_int,
     address: *mut c_void,
     length: *mut u32,
     flags: c_int,
@@ -132,87 +135,87 @@
         return -1;
     }
     let real = real!(c"accept4", Accept4);
-    unsafe { real(of, address, length, flags) }
+    unsafe { real(socket, address, length, flags) }
 }
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn connect(of: c_int, address: *const c_void, length: u32) -> c_int {
+pub unsafe extern "C" fn connect(socket: c_int, address: *const c_void, length: u32) -> c_int {
     if fails(CONNECT) {
         return -1;
     }
     let real = real!(c"connect", Connect);
-    unsafe { real(of, address, length) }
+    unsafe { real(socket, address, length) }
 }
 
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn recv(of: c_int, into: *mut c_void, length: usize, flags: c_int) -> isize {
+pub unsafe extern "C" fn recv(socket: c_int, buffer: *mut c_void, length: usize, flags: c_int) -> isize {
     if fails(RECEIVE) {
         return -1;
     }
-    let most = slot(SHORT_RECEIVE) as usize;
-    let length = if most > 0 && flags & MSG_PEEK == 0 { length.min(most) } else { length };
+    let max_bytes = slot(SHORT_RECEIVE) as usize;
+    let length = if max_bytes > 0 && flags & MSG_PEEK == 0 { length.min(max_bytes) } else { length };
     let real = real!(c"recv", Receive);
-    unsafe { real(of, into, length, flags) }
+    unsafe { real(socket, buffer, length, flags) }
 }
 
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn send(
-    of: c_int,
-    from: *const c_void,
+    socket: c_int,
+    buffer: *const c_void,
     length: usize,
     flags: c_int,
 ) -> isize {
-    hold_up();
+    delay_write();
     if fails(SEND) {
         return -1;
     }
-    let most = slot(SHORT_SEND) as usize;
-    let length = if most > 0 { length.min(most) } else { length };
+    let max_bytes = slot(SHORT_SEND) as usize;
+    let length = if max_bytes > 0 { length.min(max_bytes) } else { length };
     let real = real!(c"send", SendTo);
-    unsafe { real(of, from, length, flags) }
+    unsafe { real(socket, buffer, length, flags) }
 }
 
-/// Of sockets, since nothing else here writes in this way but the log: the first three descriptors pass.
+/// Applies to sockets. The first three descriptors are exempt, since besides sockets only the log is written by `writev`.
 #[unsafe(no_mangle)]
-pub unsafe extern "C" fn writev(of: c_int, slices: *const IoSlice, count: c_int) -> isize {
+pub unsafe extern "C" fn writev(descriptor: c_int, slices: *const IoSlice, count: c_int) -> isize {
     let real = real!(c"writev", WriteVectored);
-    if of < 3 {
-        return unsafe { real(of, slices, count) };
+    if descriptor < 3 {
+        return unsafe { real(descriptor, slices, count) };
     }
-    hold_up();
+    delay_write();
     if fails(SEND) {
         return -1;
     }
-    let most = slot(SHORT_SEND) as usize;
-    if most == 0 || count <= 0 {
-        return unsafe { real(of, slices, count) };
+    let max_bytes = slot(SHORT_SEND) as usize;
+    if max_bytes == 0 || count <= 0 {
+        return unsafe { real(descriptor, slices, count) };
     }
-    // SAFETY: there is a first one, as `count` says.
+    // SAFETY: `count` is positive, so there is a first slice.
     let first = unsafe { &*slices };
-    let short = IoSlice { base: first.base, length: first.length.min(most) };
-    unsafe { real(of, &short, 1) }
+    let short = IoSlice { base: first.base, length: first.length.min(max_bytes) };
+    unsafe { real(descriptor, &short, 1) }
 }
 
 #[unsafe(no_mangle)]
 pub unsafe extern "C" fn clock_gettime(clock: c_int, time: *mut Timespec) -> c_int {
     let real = real!(c"clock_gettime", ClockGetTime);
-    let done = unsafe { real(clock, time) };
-    if done == 0 && clock == CLOCK_REALTIME {
-        // SAFETY: the call has filled it.
+    let status = unsafe { real(clock, time) };
+    if status == 0 && clock == CLOCK_REALTIME {
+        // SAFETY: the call succeeded, so `time` is valid and initialized.
         unsafe { (*time).seconds += slot(WALL_CLOCK_SECONDS) as i64 };
     }
-    done
+    status
 }
 
-/// Stands still before something is sent, as on a machine that has no time for the process.
-fn hold_up() {
+/// Delays a write, as on a machine that does not schedule the process.
+fn delay_write() {
     let microseconds = slot(HOLD_UP_MICROSECONDS) as i64;
     if microseconds > 0 && is_due(HOLD_UP_MICROSECONDS) {
-        let wanted = Timespec {
+        let requested = Timespec {
             seconds: microseconds / 1_000_000,
             nanoseconds: microseconds % 1_000_000 * 1000,
         };
-        // SAFETY: it reads the one and writes nothing.
-        unsafe { nanosleep(&wanted, null_mut()) };
+        // SAFETY: `nanosleep` reads `requested`, and writes nothing since the other pointer is null.
+        unsafe { nanosleep(&requested, null_mut()) };
     }
 }
--- a/crates/syscall-faults/src/lib.rs
+++ b/crates/syscall-faults/src/lib.rs
@@ -1,6 +1,6 @@
-//! Makes system calls of a child process fail as Linux documents them, and its wall clock wrong: for tests that start the
-//! daemon as a process. A library is loaded into the child by `LD_PRELOAD`; nothing else of the machine is touched, and
-//! no privilege is needed.
+//! Injects system call failures and wall clock offsets into a child process, for tests that start the daemon as a
+//! process. The failures are those that Linux documents. A library is loaded into the child by `LD_PRELOAD`, so the rest
+//! of the machine is unaffected and no privilege is needed.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -11,12 +11,12 @@
 
 use tempfile::NamedTempFile;
 
-/// The library that is loaded into children.
+/// Path of the library that child processes preload.
 const LIBRARY: &str = env!("HOLLOWPADDLE_PRELOAD");
-/// Slots in the file that the library maps, eight bytes each.
+/// Number of eight-byte slots in the file that the library maps.
 const SLOTS: usize = 32;
 
-/// Error numbers of Linux that the calls below may end with (`errno(3)`).
+/// Linux error numbers (`errno(3)`) with which an intercepted call can fail.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 #[repr(u64)]
 #[allow(missing_docs)]
@@ -36,28 +36,28 @@
     HostUnreachable = 113,
 }
 
-/// What goes wrong in the child from now on.
+/// A fault that is injected into the child process.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fault {
-    /// Every so many calls of `accept` fail, and take no connection; none for 0.
+    /// Fails every n-th call of `accept` without accepting a connection. 0 disables the fault.
     Accept(Errno, u64),
-    /// Every so many calls of `connect` fail.
+    /// Fails every n-th call of `connect`. 0 disables the fault.
     Connect(Errno, u64),
-    /// Every so many calls of `recv` fail, those that only look among them.
+    /// Fails every n-th call of `recv`, including calls with `MSG_PEEK`. 0 disables the fault.
     Receive(Errno, u64),
-    /// Every so many calls of `send` and `writev` fail.
+    /// Fails every n-th call of `send` and `writev`, counted together. 0 disables the fault.
     Send(Errno, u64),
-    /// A read gives so many bytes at most; any number for 0.
+    /// Limits each read to this number of bytes. 0 removes the limit.
     ShortReceive(u64),
-    /// A write takes so many bytes at most; any number for 0.
+    /// Limits each write to this number of bytes. 0 removes the limit.
     ShortSend(u64),
-    /// The wall clock is so many seconds ahead; behind, if negative. Monotonic clocks are right.
+    /// Sets the wall clock ahead by this number of seconds, or back if negative. Monotonic clocks are unaffected.
     WallClock(i64),
-    /// The process stands still for so long before every so many writes to a socket.
+    /// Delays every n-th write to a socket by this duration. 0 disables the fault.
     HoldUp(Duration, u64),
 }
 
-/// Places in the file; the library has the same numbers.
+/// Index of a slot in the mapped file. `preload/preload.rs` defines the same indices.
 #[derive(Clone, Copy)]
 enum Slot {
     Accept = 0,
@@ -70,30 +70,30 @@
     HoldUp = 11,
 }
 
-/// The faults of one child, which may be changed while it runs.
+/// The faults of one child process. They can be changed while the process runs.
 #[derive(Debug)]
 pub struct Shim(NamedTempFile);
 
 impl Shim {
-    /// No faults yet.
+    /// Creates the mapped file, with no faults set.
     ///
     /// # Errors
-    /// There is no room for a temporary file.
+    /// Returns an error if the temporary file cannot be created or resized.
     pub fn new() -> io::Result<Self> {
         let file = NamedTempFile::new()?;
         file.as_file().set_len((SLOTS * 8) as u64)?;
         Ok(Self(file))
     }
 
-    /// Has the child that this command starts load the library.
+    /// Configures `command` so that its child process preloads the library.
     pub fn load_into<'a>(&self, command: &'a mut Command) -> &'a mut Command {
         command.env("LD_PRELOAD", LIBRARY).env("HOLLOWPADDLE_SHIM", self.0.path())
     }
 
-    /// Sets one fault; others stay as they are.
+    /// Sets one fault. The other faults stay unchanged.
     ///
     /// # Errors
-    /// The file can't be written.
+    /// Returns an error if the mapped file cannot be written.
     pub fn set(&self, fault: Fault) -> io::Result<()> {
         match fault {
             Fault::Accept(errno, every) => self.write_failure(Slot::Accept, errno, every),
@@ -103,9 +103,9 @@
             Fault::ShortReceive(bytes) => self.write(Slot::ShortReceive as usize, bytes),
             Fault::ShortSend(bytes) => self.write(Slot::ShortSend as usize, bytes),
             Fault::WallClock(seconds) => self.write(Slot::WallClock as usize, seconds as u64),
-            Fault::HoldUp(time, every) => {
+            Fault::HoldUp(delay, every) => {
                 self.write(Slot::HoldUp as usize + 1, every)?;
-                self.write(Slot::HoldUp as usize, time.as_micros() as u64)
+                self.write(Slot::HoldUp as usize, delay.as_micros() as u64)
             }
         }
     }
