--- a/crates/toml-fields/src/lib.rs
+++ b/crates/toml-fields/src/lib.rs
@@ -1,5 +1,5 @@
-//! Reading TOML field by field, so that one pass finds every mistake and says where it is. What the fields mean is for
-//! whoever reads them; a key that nobody asked for is a mistake too.
+//! Reads TOML field by field, so that one pass finds every error in a file and reports its position. The caller interprets
+//! the fields. A key that the caller does not read is an error, too.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -12,21 +12,21 @@
 use toml::Spanned;
 use toml::de::{DeTable, DeValue};
 
-/// One mistake in a file.
+/// One error in a file.
 #[derive(Clone, Debug, PartialEq, Eq, thiserror::Error)]
 #[error("{file}:{line}:{column}: {what}")]
 pub struct Problem {
-    /// As it was named to us.
+    /// Name of the file, as the caller passed it.
     pub file: String,
-    /// From 1.
+    /// Line, from 1.
     pub line: usize,
-    /// From 1, in characters.
+    /// Column in characters, from 1.
     pub column: usize,
-    /// What stands there, what was expected, and what to do.
+    /// Description: the value found, the value expected, and the correction.
     pub what: String,
 }
 
-/// All mistakes of a file, in its order; never empty.
+/// All errors of a file, in the order of their positions. Never empty.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Problems(pub Vec<Problem>);
 
@@ -44,7 +44,7 @@
 
 impl std::error::Error for Problems {}
 
-/// A file that is being read.
+/// A file that is being read, with the errors found so far.
 pub struct File<'a> {
     name: &'a str,
     text: &'a str,
@@ -52,46 +52,46 @@
 }
 
 impl<'a> File<'a> {
-    /// `name` is how messages call it.
+    /// Creates a file without errors. Error messages refer to it by `name`.
     pub fn new(name: &'a str, text: &'a str) -> Self {
         Self { name, text, problems: RefCell::default() }
     }
 
-    /// Something is wrong at this byte.
+    /// Records an error at a byte offset.
     pub fn wrong(&self, at: usize, what: impl Into<String>) {
         self.problems.borrow_mut().push((at, what.into()));
     }
 
-    /// Whether something was found wrong so far.
+    /// Returns whether any error was recorded so far.
     pub fn is_wrong(&self) -> bool {
         !self.problems.borrow().is_empty()
     }
 
-    /// The line of this byte, from 1.
+    /// Returns the line of a byte offset, from 1.
     pub fn line(&self, at: usize) -> usize {
         self.text.as_bytes()[..at.min(self.text.len())].iter().filter(|b| **b == b'\n').count() + 1
     }
 
-    /// What was found wrong, in the order of the file.
+    /// Returns the recorded errors in the order of their positions, or `None` if there are none.
     pub fn problems(self) -> Option<Problems> {
         let mut found = self.problems.take();
         found.sort_by_key(|(at, _)| *at);
-        let problem = |(at, what): (usize, String)| {
+        let to_problem = |(at, what): (usize, String)| {
             let at = at.min(self.text.len());
-            let start = self.text.as_bytes()[..at].iter().rposition(|b| *b == b'\n');
-            let before = &self.text.as_bytes()[start.map_or(0, |n| n + 1)..at];
+            let line_break = self.text.as_bytes()[..at].iter().rposition(|b| *b == b'\n');
+            let before = &self.text.as_bytes()[line_break.map_or(0, |n| n + 1)..at];
             let column = String::from_utf8_lossy(before).chars().count() + 1;
             Problem { file: self.name.to_string(), line: self.line(at), column, what }
         };
-        let problems: Vec<Problem> = found.into_iter().map(problem).collect();
+        let problems: Vec<Problem> = found.into_iter().map(to_problem).collect();
         (!problems.is_empty()).then_some(Problems(problems))
     }
 }
 
-/// Reads a file by `read`, which asks its table for every field and ends with [`Table::finish`].
+/// Reads a file with `read`, which reads every field from the root table and then calls [`Table::finish`].
 ///
 /// # Errors
-/// Everything that is wrong with it, each with its line, in the order of the file.
+/// Returns all errors of the file with their positions, in the order of the file.
 pub fn read<T>(
     name: &str,
     text: &str,
@@ -103,7 +103,7 @@
         let at = error.span().map_or(0, |s| s.start);
         file.wrong(at, format!("this is not TOML: {}", error.message().trim()));
     }
-    // What a half-read file lacks is no mistake of its own.
+    // A file that is not valid TOML is parsed in part only, so a missing field would be a consequential error.
     if !errors.is_empty() {
         return Err(file.problems().unwrap_or(Problems(Vec::new())));
     }
@@ -114,18 +114,19 @@
     }
 }
 
-/// One table of it.
+/// One table of a file.
 pub struct Table<'f, 'a> {
     file: &'f File<'a>,
     table: &'f DeTable<'a>,
-    /// Where it stands, in bytes.
+    /// Position of the table in the file, in bytes.
     pub span: Range<usize>,
     name: String,
-    asked: RefCell<BTreeSet<&'static str>>,
+    /// Keys that the caller has read.
+    read_keys: RefCell<BTreeSet<&'static str>>,
 }
 
-/// How a value is called in a message.
-fn kind(value: &DeValue) -> &'static str {
+/// Returns the name of a value's type for error messages.
+fn type_name(value: &DeValue) -> &'static str {
     match value {
         DeValue::String(_) => "a text",
         DeValue::Integer(_) => "a whole number",
@@ -146,19 +147,19 @@
 }
 
 impl<'f, 'a> Table<'f, 'a> {
-    /// The file's own table.
+    /// Creates the root table of a file.
     pub fn top(file: &'f File<'a>, table: &'f DeTable<'a>) -> Self {
         let name = String::new();
-        Self { file, table, span: 0..0, name, asked: RefCell::default() }
+        Self { file, table, span: 0..0, name, read_keys: RefCell::default() }
     }
 
     fn get(&self, key: &'static str) -> Option<(&'f DeValue<'a>, Range<usize>)> {
-        self.asked.borrow_mut().insert(key);
+        self.read_keys.borrow_mut().insert(key);
         let value: &Spanned<DeValue> = self.table.get(key)?;
         Some((value.get_ref(), value.span()))
     }
 
-    /// Whether this key is there.
+    /// Returns whether the table contains this key.
     pub fn has(&self, key: &'static str) -> bool {
         self.get(key).is_some()
     }
@@ -167,28 +168,27 @@
         if self.name.is_empty() { key.to_string() } else { format!("{}.{key}", self.name) }
     }
 
-    /// Something is wrong there.
+    /// Records an error at the start of a span.
     pub fn wrong(&self, at: &Range<usize>, what: impl Into<String>) {
         self.file.wrong(at.start, what);
     }
 
-    /// Its line, from 1.
+    /// Returns the line at which the table starts, from 1.
     pub fn line(&self) -> usize {
         self.file.line(self.span.start)
     }
 
-    fn missing(&self, key: &str, expected: &str) {
+    fn report_missing(&self, key: &str, expected: &str) {
         let what = format!("`{}` is missing: expected {expected}; add it", self.path(key));
         self.wrong(&self.span, what);
     }
 
-    fn mistaken(&self, key: &str, at: &Range<usize>, value: &DeValue, expected: &str) {
-        let what = format!("`{}` is {}: expected {expected}", self.path(key), kind(value));
+    fn report_type_mismatch(&self, key: &str, at: &Range<usize>, value: &DeValue, expected: &str) {
+        let what = format!("`{}` is {}: expected {expected}", self.path(key), type_name(value));
         self.wrong(at, what);
     }
 
-    /// A number within a range; `default` where the file says nothing, and an error where that is `None`.
-    /// A number in this range; without a default it has to be there.
+    /// Reads a number within a range. A missing key yields `default`, or an error if `default` is `None`.
     pub fn number(
         &self,
         key: &'static str,
@@ -200,7 +200,7 @@
         let fallback = default.unwrap_or(low);
         let Some((value, at)) = self.get(key) else {
             if default.is_none() {
-                self.missing(key, &expected);
+                self.report_missing(key, &expected);
             }
             return fallback;
         };
@@ -211,13 +211,13 @@
                 fallback
             }
             None => {
-                self.mistaken(key, &at, value, &expected);
+                self.report_type_mismatch(key, &at, value, &expected);
                 fallback
             }
         }
     }
 
-    /// A whole number in this range.
+    /// Reads a whole number within a range, otherwise as [`Table::number`].
     pub fn whole(
         &self,
         key: &'static str,
@@ -234,7 +234,7 @@
         n as u32
     }
 
-    /// A length of time from its key's unit: `_s` or `_ms`.
+    /// Reads a duration within a range. The unit is milliseconds for a key that ends with `_ms`, otherwise seconds.
     pub fn time(
         &self,
         key: &'static str,
@@ -245,41 +245,42 @@
         Duration::from_secs_f64(self.number(key, range, default) * unit)
     }
 
-    /// True or false.
+    /// Reads a boolean. A missing key yields `default`.
     pub fn flag(&self, key: &'static str, default: bool) -> bool {
         match self.get(key) {
             None => default,
             Some((DeValue::Boolean(b), _)) => *b,
             Some((other, at)) => {
-                self.mistaken(key, &at, other, "true or false");
+                self.report_type_mismatch(key, &at, other, "true or false");
                 default
             }
         }
     }
 
-    /// A text.
+    /// Reads a string. A missing key yields `default`, or an error if `default` is `None`.
     pub fn text(&self, key: &'static str, default: Option<&str>) -> String {
         match self.get(key) {
             None => {
                 if default.is_none() {
-                    self.missing(key, "a text");
+                    self.report_missing(key, "a text");
                 }
                 default.unwrap_or_default().to_string()
             }
             Some((DeValue::String(s), _)) => s.to_string(),
             Some((other, at)) => {
-                self.mistaken(key, &at, other, "a text");
+                self.report_type_mismatch(key, &at, other, "a text");
                 String::new()
             }
         }
     }
 
-    /// Where a key's value stands; the table, if there is none.
+    /// Returns the span of a key's value, or that of the table if the key is missing.
     pub fn span_of(&self, key: &'static str) -> Range<usize> {
         self.get(key).map_or(self.span.clone(), |(_, at)| at)
     }
 
-    /// One of some words; an error names them all.
+    /// Reads a string that has to be one of `words`, and returns the value paired with that string. The error for any other
+    /// string lists all of `words`.
     pub fn choice<T: Copy>(&self, key: &'static str, words: &[(&str, T)], default: Option<T>) -> T {
         let names: Vec<&str> = words.iter().map(|(w, _)| *w).collect();
         let expected = format!("one of {}", names.join(", "));
@@ -287,7 +288,7 @@
         match self.get(key) {
             None => {
                 if default.is_none() {
-                    self.missing(key, &expected);
+                    self.report_missing(key, &expected);
                 }
                 fallback
             }
@@ -303,40 +304,41 @@
                 )
             }
             Some((other, at)) => {
-                self.mistaken(key, &at, other, &expected);
+                self.report_type_mismatch(key, &at, other, &expected);
                 fallback
             }
         }
     }
 
-    /// A list of texts.
+    /// Reads a list of strings. A missing key yields `default`.
     pub fn texts(&self, key: &'static str, default: &[&str]) -> Vec<String> {
         let Some((value, at)) = self.get(key) else {
             return default.iter().map(|s| s.to_string()).collect();
         };
-        let DeValue::Array(all) = value else {
-            self.mistaken(key, &at, value, "a list of texts");
+        let DeValue::Array(elements) = value else {
+            self.report_type_mismatch(key, &at, value, "a list of texts");
             return Vec::new();
         };
-        let text = |v: &Spanned<DeValue>| match v.get_ref() {
+        let to_text = |v: &Spanned<DeValue>| match v.get_ref() {
             DeValue::String(s) => Some(s.to_string()),
             other => {
-                self.mistaken(key, &v.span(), other, "a text");
+                self.report_type_mismatch(key, &v.span(), other, "a text");
                 None
             }
         };
-        all.iter().filter_map(text).collect()
+        elements.iter().filter_map(to_text).collect()
     }
 
-    /// Whole numbers below `limit`.
+    /// Reads a list of whole numbers below `limit`. Returns `None` if the key is missing or is no list. Other elements are
+    /// reported as errors and left out.
     pub fn places(&self, key: &'static str, limit: usize) -> Option<Vec<usize>> {
         let (value, at) = self.get(key)?;
         let expected = format!("a list of whole numbers from 0 to {}", limit.saturating_sub(1));
-        let DeValue::Array(all) = value else {
-            self.mistaken(key, &at, value, &expected);
+        let DeValue::Array(elements) = value else {
+            self.report_type_mismatch(key, &at, value, &expected);
             return None;
         };
-        let place = |v: &Spanned<DeValue>| {
+        let to_index = |v: &Spanned<DeValue>| {
             let n = number(v.get_ref()).filter(|n| n.fract() == 0.0 && *n >= 0.0);
             let n = n.map(|n| n as usize).filter(|n| *n < limit);
             if n.is_none() {
@@ -345,51 +347,52 @@
             }
             n
         };
-        Some(all.iter().filter_map(place).collect())
+        Some(elements.iter().filter_map(to_index).collect())
     }
 
-    /// A table inside; an empty one where there is none.
+    /// Reads a nested table. Returns `None` if the key is missing or is no table.
     pub fn table(&self, key: &'static str) -> Option<Table<'f, 'a>> {
         let (value, at) = self.get(key)?;
         let DeValue::Table(table) = value else {
-            self.mistaken(key, &at, value, "a table");
+            self.report_type_mismatch(key, &at, value, "a table");
             return None;
         };
         let name = self.path(key);
-        Some(Table { file: self.file, table, span: at, name, asked: RefCell::default() })
+        Some(Table { file: self.file, table, span: at, name, read_keys: RefCell::default() })
     }
 
-    /// The tables of a list of tables.
+    /// Reads an array of tables. A missing key yields an empty list.
     pub fn tables(&self, key: &'static str) -> Vec<Table<'f, 'a>> {
         let Some((value, at)) = self.get(key) else { return Vec::new() };
-        let DeValue::Array(all) = value else {
+        let DeValue::Array(elements) = value else {
             let expected = format!("tables headed [[{}]]", self.path(key));
-            self.mistaken(key, &at, value, &expected);
+            self.report_type_mismatch(key, &at, value, &expected);
             return Vec::new();
         };
-        let table = |v: &'f Spanned<DeValue<'a>>| match v.get_ref() {
+        let to_table = |v: &'f Spanned<DeValue<'a>>| match v.get_ref() {
             DeValue::Table(table) => Some(Table {
                 file: self.file,
                 table,
                 span: v.span(),
                 name: self.path(key),
-                asked: RefCell::default(),
+                read_keys: RefCell::default(),
             }),
             other => {
-                self.mistaken(key, &v.span(), other, "a table");
+                self.report_type_mismatch(key, &v.span(), other, "a table");
                 None
             }
         };
-        all.iter().filter_map(table).collect()
+        elements.iter().filter_map(to_table).collect()
     }
 
-    /// Reports every key that nobody asked for: a slip of the pen must not pass for a default.
+    /// Records an error for every key that the caller has not read, so that a misspelled key does not silently leave its
+    /// field at the default.
     pub fn finish(self) {
-        let asked = self.asked.borrow();
+        let read_keys = self.read_keys.borrow();
         for key in self.table.keys() {
             let name: &str = key.get_ref();
-            if !asked.contains(name) {
-                let known: Vec<&str> = asked.iter().copied().collect();
+            if !read_keys.contains(name) {
+                let known: Vec<&str> = read_keys.iter().copied().collect();
                 let path = self.path(name);
                 let what = format!(
                     "`{path}` is not known here: expected one of {}; correct or remove it",
