--- a/crates/charts/src/lib.rs
+++ b/crates/charts/src/lib.rs
@@ -1,63 +1,65 @@
-//! Pictures of what was measured, as SVG: lines over time, with spans of time shaded and named. Whoever has the figures
-//! says what is drawn; nothing is reckoned here.
+//! Draws measurements as SVG: lines over time, with labelled, shaded time spans. The caller supplies all values; this crate
+//! computes none.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
 use plotters::prelude::*;
 use plotters::style::text_anchor::{HPos, Pos, VPos};
 
-/// Size of one panel, in pixels, and of the names of spans.
+/// Width of a picture, in pixels.
 const WIDTH: u32 = 1000;
-const HEIGHT: u32 = 260;
-const SPAN_TEXT: i32 = 12;
-/// Names of spans are written in so many rows under one another, so that neighbours can be read.
-const ROWS: usize = 4;
+/// Height of one panel, in pixels.
+const PANEL_HEIGHT: u32 = 260;
+/// Font size of span labels, in pixels.
+const SPAN_FONT_SIZE: i32 = 12;
+/// Number of rows over which the labels of successive spans are spread, so that neighbouring labels do not overlap.
+const LABEL_ROWS: usize = 4;
 
-/// A line over time: seconds and values. What is `None` is a gap.
+/// A line over time.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Line {
-    /// As in the legend.
+    /// Name in the legend.
     pub name: String,
-    /// In order of time.
+    /// Times in seconds, ascending, with their values. `None` is a gap in the line.
     pub points: Vec<(f64, Option<f64>)>,
 }
 
-/// A stretch of time that is shaded.
+/// A time span that is shaded.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Span {
-    /// What it was.
+    /// Label of the span.
     pub name: String,
-    /// In seconds.
+    /// Start, in seconds.
     pub from: f64,
-    /// In seconds.
+    /// End, in seconds.
     pub to: f64,
 }
 
-/// Lines that share an axis.
+/// A chart whose lines share their axes.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Panel {
-    /// What the values are, with their unit.
+    /// Quantity that the values express, with its unit.
     pub title: String,
-    /// What is drawn: up to four lines can be told apart.
+    /// Lines of the chart. Colours repeat after four lines.
     pub lines: Vec<Line>,
-    /// The highest value that has to be seen; the lines' own highest, if there is none.
+    /// Value that the value axis includes in any case. Without it the highest value of the lines limits the axis.
     pub top: Option<f64>,
 }
 
-/// A picture: panels under one another, over the same time.
+/// A picture: panels below one another that share a time axis.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Picture {
-    /// Above all.
+    /// Title above all panels.
     pub title: String,
-    /// Seconds shown, from 0.
+    /// Length of the time axis in seconds, which starts at 0.
     pub length: f64,
-    /// From top to bottom.
+    /// Panels, from top to bottom.
     pub panels: Vec<Panel>,
-    /// Shaded in every panel.
+    /// Time spans that are shaded in every panel.
     pub spans: Vec<Span>,
 }
 
-/// A picture could not be drawn.
+/// Reports that a picture could not be drawn.
 #[derive(Debug, thiserror::Error)]
 #[error("the picture `{title}` could not be drawn: {cause}; are all its figures finite?")]
 pub struct DrawError {
@@ -70,19 +72,19 @@
 const SHADE: RGBColor = RGBColor(220, 60, 60);
 
 impl Picture {
-    /// The picture as the text of an SVG file.
+    /// Returns the picture as the text of an SVG file.
     ///
     /// # Errors
-    /// A figure that can't be drawn.
+    /// Returns an error if the picture cannot be drawn, for example because a value is not finite.
     pub fn svg(&self) -> Result<String, DrawError> {
         let mut text = String::new();
-        let drawn = self.draw(&mut text);
-        drawn.map_err(|e| DrawError { title: self.title.clone(), cause: e.to_string() })?;
+        let result = self.draw(&mut text);
+        result.map_err(|e| DrawError { title: self.title.clone(), cause: e.to_string() })?;
         Ok(text)
     }
 
     fn draw(&self, text: &mut String) -> Result<(), Box<dyn std::error::Error>> {
-        let size = (WIDTH, 40 + HEIGHT * self.panels.len().max(1) as u32);
+        let size = (WIDTH, 40 + PANEL_HEIGHT * self.panels.len().max(1) as u32);
         let root = SVGBackend::with_string(text, size).into_drawing_area();
         root.fill(&WHITE)?;
         let root = root.titled(&self.title, ("sans-serif", 20))?;
@@ -117,26 +119,27 @@
             chart.draw_series([shade])?;
             let edge = PathElement::new(vec![(from, 0.0), (from, top)], SHADE.mix(0.6));
             chart.draw_series([edge])?;
-            let style = ("sans-serif", SPAN_TEXT).into_font().color(&SHADE);
-            // At the end of time a name goes to the left of its edge, or it would be cut off.
-            let left = from > 0.8 * self.length;
-            let anchor = Pos::new(if left { HPos::Right } else { HPos::Left }, VPos::Top);
-            let row = top * (1.0 - 0.07 * (n % ROWS) as f64);
-            let at = (from + if left { -0.004 } else { 0.004 } * self.length, row);
+            let style = ("sans-serif", SPAN_FONT_SIZE).into_font().color(&SHADE);
+            // A label close to the end of the time axis stands to the left of its edge, since it would be cut off on the
+            // right.
+            let is_left = from > 0.8 * self.length;
+            let anchor = Pos::new(if is_left { HPos::Right } else { HPos::Left }, VPos::Top);
+            let label_height = top * (1.0 - 0.07 * (n % LABEL_ROWS) as f64);
+            let at = (from + if is_left { -0.004 } else { 0.004 } * self.length, label_height);
             chart.draw_series([Text::new(span.name.clone(), at, style.pos(anchor))])?;
         }
         for (line, colour) in panel.lines.iter().zip(COLOURS.iter().cycle()) {
-            // A gap parts a line in two; the first piece stands for it in the legend.
-            let pieces = line.points.split(|(_, v)| v.is_none());
-            let pieces = pieces.filter(|p| !p.is_empty());
-            for (n, piece) in pieces.enumerate() {
-                let points = piece.iter().filter_map(|(at, v)| Some((*at, (*v)?)));
-                let drawn = chart.draw_series(LineSeries::new(points, colour.stroke_width(2)))?;
+            // A gap splits a line into segments. The first segment represents the line in the legend.
+            let segments = line.points.split(|(_, v)| v.is_none());
+            let segments = segments.filter(|s| !s.is_empty());
+            for (n, segment) in segments.enumerate() {
+                let points = segment.iter().filter_map(|(at, v)| Some((*at, (*v)?)));
+                let series = chart.draw_series(LineSeries::new(points, colour.stroke_width(2)))?;
                 if n == 0 {
-                    let key = |(x, y)| {
+                    let legend_entry = |(x, y)| {
                         PathElement::new(vec![(x, y), (x + 18, y)], colour.stroke_width(2))
                     };
-                    drawn.label(&line.name).legend(key);
+                    series.label(&line.name).legend(legend_entry);
                 }
             }
         }
@@ -175,21 +178,22 @@
     }
 
     #[test]
-    fn lines_spans_and_names_are_in_it_and_a_gap_parts_a_line() {
-        let svg = picture().svg().expect("it can be drawn");
+    fn svg_contains_lines_spans_and_names_and_a_gap_splits_a_line() {
+        let svg = picture().svg().expect("picture can be drawn");
         assert!(svg.starts_with("<svg ") && svg.trim_end().ends_with("</svg>"));
         for text in ["a day", "service", "run", "balancer-kill &lt;n0&gt;"] {
             assert!(svg.contains(text), "{text}");
         }
-        let thick = svg.matches("stroke-width=\"2\"").count();
-        assert_eq!(thick, 3, "two pieces and one key");
-        let whole = Picture { spans: vec![], ..picture() }.svg().expect("it can be drawn");
-        assert!(!whole.contains("balancer-kill"));
+        let thick_strokes = svg.matches("stroke-width=\"2\"").count();
+        assert_eq!(thick_strokes, 3, "two segments and one legend entry");
+        let without_spans =
+            Picture { spans: vec![], ..picture() }.svg().expect("picture can be drawn");
+        assert!(!without_spans.contains("balancer-kill"));
     }
 
     #[test]
-    fn nothing_to_draw_is_an_empty_picture() {
+    fn a_picture_without_panels_is_drawn_empty() {
         let empty = Picture { title: String::new(), length: 0.0, panels: vec![], spans: vec![] };
-        assert!(empty.svg().expect("it can be drawn").contains("<svg "));
+        assert!(empty.svg().expect("picture can be drawn").contains("<svg "));
     }
 }
