--- a/crates/simnet/src/datagrams.rs
+++ b/crates/simnet/src/datagrams.rs
@@ -1,5 +1,5 @@
-//! Simulated datagrams, under way and at their receivers. Whether one arrives, when, and with what content is left to a
-//! [`Route`].
+//! Simulated datagrams, in flight and queued at their receivers. A [`Route`] decides whether a datagram arrives, when, and
+//! with which content.
 
 use std::cell::RefCell;
 use std::collections::BTreeMap;
@@ -14,37 +14,38 @@
 
 use crate::{Inner, Timer};
 
-/// How many datagrams wait at a receiver that does not read. More are lost, as by a full buffer of the kernel.
-const MAX_WAITING: usize = 256;
+/// Maximum number of datagrams in an inbox. Further datagrams are lost, as with a full kernel buffer.
+const INBOX_CAPACITY: usize = 256;
 
-/// One datagram.
+/// A datagram with its addresses.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub struct Datagram {
-    /// The sender, as the receiver sees it.
+    /// Address of the sender, as the receiver sees it.
     pub from: SocketAddr,
-    /// The receiver.
+    /// Address of the receiver.
     pub to: SocketAddr,
-    /// The content; at most [`DATAGRAM`] bytes.
+    /// Content, at most [`DATAGRAM`] bytes.
     pub bytes: Vec<u8>,
 }
 
-/// Decides on a datagram that was sent. Returns the datagrams that arrive instead, each with its delay beyond that of the
-/// network; none, if it is lost.
+/// Decides on a datagram that was sent. Returns the datagrams that arrive in its place, each with a delay in addition to
+/// that of the network. A lost datagram yields an empty vector.
 pub type Route = Box<dyn FnMut(Datagram) -> Vec<(Duration, Datagram)>>;
 
-/// The datagrams that a socket has not received yet, in the order of their arrival.
+/// Datagrams that a socket has not received yet, in the order of their arrival.
 #[derive(Default)]
 pub(crate) struct Inbox {
-    /// By time of arrival, then in the order in which they were sent.
+    /// Senders and contents, by time of arrival and then by the order in which the datagrams were sent.
     arrivals: BTreeMap<(Instant, u64), (SocketAddr, Vec<u8>)>,
+    /// Number of datagrams added so far.
     sent: u64,
     reader: Option<Waker>,
 }
 
 impl Inbox {
-    /// Adds a datagram that arrives at this time.
+    /// Adds a datagram that arrives at the time `at`. Drops the datagram if the inbox is full.
     pub(crate) fn push(&mut self, at: Instant, from: SocketAddr, bytes: Vec<u8>) {
-        if self.arrivals.len() >= MAX_WAITING {
+        if self.arrivals.len() >= INBOX_CAPACITY {
             return;
         }
         self.sent += 1;
@@ -53,7 +54,7 @@
     }
 }
 
-/// A bound socket.
+/// A bound datagram socket.
 pub(crate) struct BoundSocket {
     pub(crate) fabric: Rc<Inner>,
     pub(crate) address: SocketAddr,
@@ -96,7 +97,7 @@
             return Err(too_long(bytes.len()));
         }
         let datagram = Datagram { from: self.address, to, bytes: bytes.to_vec() };
-        // Taken out during the call, since the route may use the fabric.
+        // The route is taken out of the fabric during the call, since the route may use the fabric.
         let route = self.fabric.route.borrow_mut().take();
         let arriving = match route {
             None => vec![(Duration::ZERO, datagram)],
@@ -106,9 +107,10 @@
                 arriving
             }
         };
-        for (later, Datagram { from, to, bytes }) in arriving {
-            let at = Instant::now() + self.fabric.delay(self.address.ip(), to.ip()) + later;
-            // To the socket that is bound when it is sent: one bound again before it arrives has another inbox.
+        for (added_delay, Datagram { from, to, bytes }) in arriving {
+            let at = Instant::now() + self.fabric.delay(self.address.ip(), to.ip()) + added_delay;
+            // The datagram goes to the socket that is bound at the time of sending. A socket that is bound to the address
+            // before the arrival has another inbox.
             self.fabric.deliver(at, from, to, bytes);
         }
         Ok(())
--- a/crates/simnet/src/lib.rs
+++ b/crates/simnet/src/lib.rs
@@ -1,12 +1,16 @@
-//! A simulated network inside one process, under the runtime's clock: TCP and datagrams as far as programs can tell by the
-//! results of their calls. With a paused clock on one thread the same calls give the same run, byte for byte.
+//! A network that is simulated inside one process, under the runtime's clock. TCP and datagrams behave as far as programs
+//! can observe by the results of their calls. With a paused clock on one thread, the same calls yield the same run, byte
+//! for byte.
 //!
-//! Datagrams go by [`Fabric::route_datagrams`], which may lose, delay, duplicate and change them. Such faults are left to
-//! `hollowpaddle_link_faults`.
+//! The [`Route`] set by [`Fabric::route_datagrams`] can lose, delay, duplicate and change datagrams.
+//! `hollowpaddle_link_faults` implements these faults.
 //!
-//! Limits of the simulation: the kernel's buffers are one bounded queue in each direction, descriptors cost nothing, nothing
-//! of a stream is lost or reordered, and a delay is a whole number of milliseconds (the resolution of the runtime's timers);
-//! one under half a millisecond is zero.
+//! Limits of the simulation:
+//! - The kernel's buffers are one bounded queue in each direction.
+//! - Descriptors cost nothing.
+//! - Bytes of a stream are never lost or reordered.
+//! - A delay is rounded to whole milliseconds (the resolution of the runtime's timers), so that one under half a
+//!   millisecond is zero.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
@@ -32,14 +36,15 @@
 
 pub use datagrams::{Datagram, Route};
 
-/// How many connections may wait to be accepted. Beyond, a SYN is dropped as by the kernel.
+/// Maximum number of connections that wait to be accepted. Further SYNs are dropped, as by the kernel.
 const BACKLOG: usize = 1024;
-/// The first port that is given out for port 0 and to clients. Ports are not reused before the range is exhausted.
+/// Start of the range from which ports are assigned for port 0 and to clients. Ports are not reused before the range is
+/// exhausted.
 const FIRST_PORT: u16 = 20_000;
 
 type Delays = Box<dyn Fn(IpAddr, IpAddr) -> Duration>;
 
-/// All machines of one simulated network.
+/// A simulated network with all its machines.
 #[derive(Clone)]
 pub struct Fabric(Rc<Inner>);
 
@@ -47,18 +52,19 @@
     listeners: RefCell<FxHashMap<SocketAddr, Rc<Backlog>>>,
     delays: Delays,
     ports: RefCell<FxHashMap<IpAddr, u16>>,
+    /// Wall clock time at `start`, since the Unix epoch.
     epoch: Duration,
     start: Instant,
     connections_opened: Cell<u64>,
     inboxes: RefCell<FxHashMap<SocketAddr, Rc<RefCell<Inbox>>>>,
     route: RefCell<Option<Route>>,
-    /// How far machines' wall clocks are ahead of the network's, in microseconds.
+    /// Offsets of the machines' wall clocks from the network's, in microseconds. Positive values are ahead.
     clock_offsets: RefCell<FxHashMap<IpAddr, i64>>,
 }
 
 impl Fabric {
-    /// A network with these one-way delays from one address to another, whose wall clock shows `epoch` (since the Unix
-    /// epoch) now.
+    /// Creates a network. `delays` returns the one-way delay from one address to another. The wall clock starts at `epoch`,
+    /// a time since the Unix epoch.
     pub fn new(epoch: Duration, delays: impl Fn(IpAddr, IpAddr) -> Duration + 'static) -> Self {
         Self(Rc::new(Inner {
             listeners: RefCell::default(),
@@ -73,22 +79,23 @@
         }))
     }
 
-    /// Has `route` decide on every datagram from now on. Without it each arrives, after the network's delay.
+    /// Sets the route that decides on every datagram sent from now on. Without a route each datagram arrives after the
+    /// network's delay.
     pub fn route_datagrams(&self, route: Route) {
         *self.0.route.borrow_mut() = Some(route);
     }
 
-    /// Steps the wall clock of the machine at this address by so many microseconds. Timers are not affected.
+    /// Steps the wall clock of the machine at this address by `by_us` microseconds. Timers are not affected.
     pub fn step_clock(&self, ip: IpAddr, by_us: i64) {
         *self.0.clock_offsets.borrow_mut().entry(ip).or_default() += by_us;
     }
 
-    /// The network as seen from the machine at this address.
+    /// Returns the network as seen from the machine at this address.
     pub fn host(&self, ip: IpAddr) -> Rc<dyn Network> {
         Rc::new(Host { fabric: self.0.clone(), ip })
     }
 
-    /// The number of connections that have come up so far.
+    /// Returns the number of connections established so far.
     pub fn opened(&self) -> u64 {
         self.0.connections_opened.get()
     }
@@ -96,8 +103,8 @@
 
 impl Inner {
     fn delay(&self, from: IpAddr, to: IpAddr) -> Duration {
-        let exact = (self.delays)(from, to).as_secs_f64() * 1e3;
-        Duration::from_millis(exact.round() as u64)
+        let delay_ms = (self.delays)(from, to).as_secs_f64() * 1e3;
+        Duration::from_millis(delay_ms.round() as u64)
     }
 
     fn next_port(&self, ip: IpAddr) -> u16 {
@@ -109,7 +116,7 @@
 }
 
 impl Inner {
-    /// Puts a datagram into the inbox of its receiver, if there is one.
+    /// Adds a datagram to the inbox of the receiver's socket. Drops the datagram if no socket is bound to `to`.
     fn deliver(&self, at: Instant, from: SocketAddr, to: SocketAddr, bytes: Vec<u8>) {
         if let Some(inbox) = self.inboxes.borrow().get(&to) {
             inbox.borrow_mut().push(at, from, bytes);
@@ -122,12 +129,12 @@
     ip: IpAddr,
 }
 
-/// Wakes a reader when the next thing arrives.
+/// Wakes a reader when the next segment or datagram arrives.
 #[derive(Default)]
 struct Timer(Option<Pin<Box<Sleep>>>);
 
 impl Timer {
-    /// Ready at this time. The task is woken then.
+    /// Returns ready once the time `at` is reached. Until then the task is registered to be woken at that time.
     fn poll(&mut self, at: Instant, cx: &mut Context<'_>) -> Poll<()> {
         let timer = self.0.get_or_insert_with(|| Box::pin(sleep_until(at)));
         if timer.deadline() != at {
@@ -157,14 +164,14 @@
                 return pending().await;
             }
             let from = SocketAddr::new(self.ip, self.fabric.next_port(self.ip));
-            let (here, there) = End::pair(delay);
+            let (client, server) = End::pair(delay);
             self.fabric.connections_opened.set(self.fabric.connections_opened.get() + 1);
-            backlog.waiting.borrow_mut().push_back((there, from));
+            backlog.waiting.borrow_mut().push_back((server, from));
             if let Some(waker) = backlog.waker.take() {
                 waker.wake();
             }
             wait(delay).await;
-            Ok(Box::new(here) as Box<dyn Stream>)
+            Ok(Box::new(client) as Box<dyn Stream>)
         })
     }
 
@@ -199,9 +206,9 @@
 
     fn unix_now(&self) -> Duration {
         let now = self.fabric.epoch + self.fabric.start.elapsed();
-        let ahead = self.fabric.clock_offsets.borrow().get(&self.ip).copied().unwrap_or(0);
-        let offset = Duration::from_micros(ahead.unsigned_abs());
-        if ahead < 0 { now.saturating_sub(offset) } else { now + offset }
+        let offset_us = self.fabric.clock_offsets.borrow().get(&self.ip).copied().unwrap_or(0);
+        let offset = Duration::from_micros(offset_us.unsigned_abs());
+        if offset_us < 0 { now.saturating_sub(offset) } else { now + offset }
     }
 }
 
--- a/crates/simnet/src/pipe.rs
+++ b/crates/simnet/src/pipe.rs
@@ -1,4 +1,4 @@
-//! The two ends of one simulated connection, and the bytes under direction between them.
+//! The two ends of a simulated connection, and the bytes in flight between them.
 
 use std::cell::RefCell;
 use std::collections::VecDeque;
@@ -15,18 +15,19 @@
 
 use crate::Timer;
 
-/// How many unread bytes the kernels of sender and receiver buffer together.
+/// Maximum number of unread bytes that the kernels of sender and receiver buffer together.
 const BUFFER_LENGTH: usize = 256 << 10;
 
-/// What one end has sent and the other has not read.
+/// One direction of a connection: the bytes that one end has sent and the other has not read.
 #[derive(Default)]
 struct Direction {
-    /// Bytes, and when they arrive.
+    /// Sent bytes with their times of arrival.
     segments: VecDeque<(Instant, Bytes)>,
+    /// Number of bytes in `segments`.
     buffered: usize,
-    /// How the direction ends behind the segments, and when that arrives.
+    /// End of the stream after the segments, with its time of arrival.
     end: Option<(Instant, EndKind)>,
-    /// Whether the reader is gone, so that what still arrives is answered by a reset.
+    /// Whether the reader has closed its end, so that bytes that still arrive are answered by a reset.
     is_abandoned: bool,
     reader: Option<Waker>,
     writer: Option<Waker>,
@@ -40,7 +41,7 @@
 }
 
 impl Direction {
-    /// When the next thing arrives at the reader.
+    /// Returns when the next segment, or else the end of the stream, arrives at the reader.
     fn next_arrival(&self) -> Option<Instant> {
         self.segments.front().map(|(at, _)| *at).or(self.end.map(|(at, _)| at))
     }
@@ -51,7 +52,7 @@
 
     fn finish(&mut self, at: Instant, kind: EndKind) {
         if self.end.is_none() || kind == EndKind::Reset {
-            // It arrives after what was sent before.
+            // The end arrives after the segments sent before it.
             let arrival = self.segments.back().map_or(at, |(last, _)| (*last).max(at));
             self.end = Some((arrival, kind));
         }
@@ -66,14 +67,14 @@
     delay: Duration,
     timer: Timer,
     is_closed: bool,
-    /// When the bytes that were read last had arrived.
+    /// Time of arrival of the bytes that were read last.
     last_read_arrival: Option<Instant>,
 }
 
 impl End {
-    /// The two ends of a new connection with this one-direction delay.
+    /// Creates the two ends of a connection with this one-way delay.
     pub fn pair(delay: Duration) -> (Self, Self) {
-        let (there, back) =
+        let (forward, backward) =
             (Rc::<RefCell<Direction>>::default(), Rc::<RefCell<Direction>>::default());
         let end = |incoming: &Rc<RefCell<Direction>>, outgoing: &Rc<RefCell<Direction>>| Self {
             incoming: incoming.clone(),
@@ -83,7 +84,7 @@
             is_closed: false,
             last_read_arrival: None,
         };
-        (end(&back, &there), end(&there, &back))
+        (end(&backward, &forward), end(&forward, &backward))
     }
 
     fn arrival(&self) -> Instant {
@@ -102,8 +103,8 @@
 
 impl Drop for End {
     fn drop(&mut self) {
-        let unread = !self.incoming.borrow().segments.is_empty();
-        self.close(if unread { EndKind::Reset } else { EndKind::Orderly });
+        let has_unread = !self.incoming.borrow().segments.is_empty();
+        self.close(if has_unread { EndKind::Reset } else { EndKind::Orderly });
     }
 }
 
@@ -118,12 +119,12 @@
 
     fn poll_unread(&mut self, cx: &mut Context<'_>) -> Poll<()> {
         loop {
-            let due = self.incoming.borrow().next_arrival();
-            if due.is_some_and(|at| at <= Instant::now()) {
+            let next_arrival = self.incoming.borrow().next_arrival();
+            if next_arrival.is_some_and(|at| at <= Instant::now()) {
                 return Poll::Ready(());
             }
             self.incoming.borrow_mut().reader = Some(cx.waker().clone());
-            let Some(at) = due else { return Poll::Pending };
+            let Some(at) = next_arrival else { return Poll::Pending };
             if self.timer.poll(at, cx).is_pending() {
                 return Poll::Pending;
             }
@@ -132,8 +133,8 @@
 
     fn since_last_bytes(&self) -> Option<Duration> {
         let (now, direction) = (Instant::now(), self.incoming.borrow());
-        let there = direction.segments.iter().rev().map(|(at, _)| *at).find(|at| *at <= now);
-        there.or(self.last_read_arrival).map(|at| now - at)
+        let last_unread = direction.segments.iter().rev().map(|(at, _)| *at).find(|at| *at <= now);
+        last_unread.or(self.last_read_arrival).map(|at| now - at)
     }
 
     fn reset(mut self: Box<Self>) {
@@ -151,8 +152,8 @@
             let now = Instant::now();
             let incoming = self.incoming.clone();
             let mut direction = incoming.borrow_mut();
-            let due = direction.next_arrival();
-            if due.is_some_and(|at| at <= now) {
+            let next_arrival = direction.next_arrival();
+            if next_arrival.is_some_and(|at| at <= now) {
                 let Some((at, segment)) = direction.segments.front_mut() else {
                     return Poll::Ready(match direction.end {
                         Some((_, EndKind::Reset)) => Err(ErrorKind::ConnectionReset.into()),
@@ -160,13 +161,13 @@
                     });
                 };
                 self.last_read_arrival = Some(*at);
-                let taken = segment.len().min(buf.remaining());
-                buf.put_slice(&segment[..taken]);
-                segment.advance(taken);
+                let count = segment.len().min(buf.remaining());
+                buf.put_slice(&segment[..count]);
+                segment.advance(count);
                 if segment.is_empty() {
                     direction.segments.pop_front();
                 }
-                direction.buffered -= taken;
+                direction.buffered -= count;
                 if let Some(writer) = direction.writer.take() {
                     writer.wake();
                 }
@@ -174,7 +175,7 @@
             }
             direction.reader = Some(cx.waker().clone());
             drop(direction);
-            let Some(at) = due else { return Poll::Pending };
+            let Some(at) = next_arrival else { return Poll::Pending };
             if self.timer.poll(at, cx).is_pending() {
                 return Poll::Pending;
             }
@@ -198,21 +199,21 @@
         }
         if direction.is_abandoned {
             drop(direction);
-            // It is sent, and answered by a reset.
+            // The bytes are sent, and the other end answers them by a reset.
             self.incoming.borrow_mut().finish(at + self.delay, EndKind::Reset);
             return Poll::Ready(Ok(buf.len()));
         }
-        let taken = buf.len().min(BUFFER_LENGTH - direction.buffered);
-        if taken == 0 && !buf.is_empty() {
+        let count = buf.len().min(BUFFER_LENGTH - direction.buffered);
+        if count == 0 && !buf.is_empty() {
             direction.writer = Some(cx.waker().clone());
             return Poll::Pending;
         }
-        direction.segments.push_back((at, Bytes::copy_from_slice(&buf[..taken])));
-        direction.buffered += taken;
+        direction.segments.push_back((at, Bytes::copy_from_slice(&buf[..count])));
+        direction.buffered += count;
         if let Some(reader) = direction.reader.take() {
             reader.wake();
         }
-        Poll::Ready(Ok(taken))
+        Poll::Ready(Ok(count))
     }
 
     fn poll_flush(self: Pin<&mut Self>, _: &mut Context<'_>) -> Poll<io::Result<()>> {
--- a/crates/simnet/src/tests.rs
+++ b/crates/simnet/src/tests.rs
@@ -1,4 +1,4 @@
-//! What programs can tell of a connection, against what the kernel's return.
+//! Compares the results of calls on simulated connections with those of the kernel's.
 
 use super::*;
 use hollowpaddle_net::{DATAGRAM, accept, receive};
@@ -9,155 +9,168 @@
     IpAddr::from([10, 0, 0, last])
 }
 
-fn fabric(delay: Duration) -> (Rc<dyn Network>, Rc<dyn Network>) {
+fn connected_hosts(delay: Duration) -> (Rc<dyn Network>, Rc<dyn Network>) {
     let fabric = Fabric::new(Duration::from_secs(1_000_000), move |_, _| delay);
     (fabric.host(ip(1)), fabric.host(ip(2)))
 }
 
-const FAR: Duration = Duration::from_millis(7);
+const DELAY: Duration = Duration::from_millis(7);
 
 #[tokio::test(start_paused = true)]
-async fn bytes_take_the_delay_and_come_in_order_and_the_clock_is_the_runtimes() {
-    let (a, b) = fabric(FAR);
-    let mut listener = b.listen(SocketAddr::new(ip(2), 80)).expect("free");
-    assert!(b.listen(SocketAddr::new(ip(2), 80)).is_err(), "taken");
-    let from = Instant::now();
-    let mut here = a.connect(listener.local_addr()).await.expect("it listens");
-    assert_eq!(from.elapsed(), 2 * FAR);
-    let (mut there, peer) = accept(&mut *listener).await.expect("waiting");
+async fn bytes_arrive_in_order_after_the_delay_by_the_clock_of_the_runtime() {
+    let (a, b) = connected_hosts(DELAY);
+    let mut listener = b.listen(SocketAddr::new(ip(2), 80)).expect("address is free");
+    assert!(b.listen(SocketAddr::new(ip(2), 80)).is_err(), "address in use");
+    let start = Instant::now();
+    let mut client = a.connect(listener.local_addr()).await.expect("listener accepts connections");
+    assert_eq!(start.elapsed(), 2 * DELAY);
+    let (mut server, peer) = accept(&mut *listener).await.expect("connection is pending");
     assert_eq!(peer.ip(), ip(1));
-    let from = Instant::now();
-    here.write_all(b"one").await.expect("taken");
-    here.write_all(b"two").await.expect("taken");
-    assert!(there.is_quiet());
+    let start = Instant::now();
+    client.write_all(b"one").await.expect("bytes are buffered");
+    client.write_all(b"two").await.expect("bytes are buffered");
+    assert!(server.is_quiet());
     let mut read = [0; 6];
-    there.read_exact(&mut read).await.expect("all of it");
-    assert_eq!((&read, from.elapsed()), (b"onetwo", FAR));
-    here.write_all(b"three").await.expect("taken");
-    sleep(4 * FAR).await;
-    assert_eq!(there.since_last_bytes(), Some(3 * FAR), "nobody has read them");
-    there.read_exact(&mut read[..5]).await.expect("all of it");
-    sleep(FAR).await;
-    assert_eq!(there.since_last_bytes(), Some(4 * FAR));
-    assert_eq!(here.since_last_bytes(), None);
-    assert_eq!(a.unix_now(), Duration::from_secs(1_000_000) + 8 * FAR);
-    here.shutdown().await.expect("half of it");
-    assert_eq!(there.read(&mut read).await.expect("an orderly end"), 0);
-    there.write_all(b"still").await.expect("the other half is open");
-    assert_eq!(here.read(&mut read).await.expect("it comes"), 5);
+    server.read_exact(&mut read).await.expect("all bytes arrive");
+    assert_eq!((&read, start.elapsed()), (b"onetwo", DELAY));
+    client.write_all(b"three").await.expect("bytes are buffered");
+    sleep(4 * DELAY).await;
+    assert_eq!(
+        server.since_last_bytes(),
+        Some(3 * DELAY),
+        "counted from the arrival of unread bytes"
+    );
+    server.read_exact(&mut read[..5]).await.expect("all bytes arrive");
+    sleep(DELAY).await;
+    assert_eq!(server.since_last_bytes(), Some(4 * DELAY));
+    assert_eq!(client.since_last_bytes(), None);
+    assert_eq!(a.unix_now(), Duration::from_secs(1_000_000) + 8 * DELAY);
+    client.shutdown().await.expect("write half closes");
+    assert_eq!(server.read(&mut read).await.expect("an orderly end"), 0);
+    server.write_all(b"still").await.expect("the other half is open");
+    assert_eq!(client.read(&mut read).await.expect("data arrives"), 5);
 }
 
 #[tokio::test(start_paused = true)]
-async fn what_is_dropped_with_something_unread_resets_and_else_ends_in_order() {
-    for unread in [false, true] {
-        let (a, b) = fabric(FAR);
-        let mut listener = b.listen(SocketAddr::new(ip(2), 80)).expect("free");
-        let mut here = a.connect(listener.local_addr()).await.expect("it listens");
-        let (mut there, _) = accept(&mut *listener).await.expect("waiting");
-        if unread {
-            here.write_all(b"x").await.expect("taken");
+async fn dropping_an_end_resets_if_bytes_are_unread_and_otherwise_closes_orderly() {
+    for has_unread in [false, true] {
+        let (a, b) = connected_hosts(DELAY);
+        let mut listener = b.listen(SocketAddr::new(ip(2), 80)).expect("address is free");
+        let mut client =
+            a.connect(listener.local_addr()).await.expect("listener accepts connections");
+        let (mut server, _) = accept(&mut *listener).await.expect("connection is pending");
+        if has_unread {
+            client.write_all(b"x").await.expect("bytes are buffered");
         }
-        there.write_all(b"last").await.expect("taken");
-        drop(there);
-        assert!(!here.has_ended());
-        sleep(FAR).await;
-        assert!(here.has_ended() && !here.is_quiet(), "behind what is unread");
+        server.write_all(b"last").await.expect("bytes are buffered");
+        drop(server);
+        assert!(!client.has_ended());
+        sleep(DELAY).await;
+        assert!(client.has_ended() && !client.is_quiet(), "the end has arrived after unread bytes");
         let mut read = [0; 8];
-        assert_eq!(here.read(&mut read).await.expect("what was sent before"), 4);
-        let end = here.read(&mut read).await;
-        assert_eq!(end.is_err(), unread);
-        if !unread {
-            // The first write goes out, and is answered by a reset.
-            here.write_all(b"x").await.expect("taken");
-            sleep(2 * FAR).await;
-            assert!(here.write_all(b"x").await.is_err());
+        assert_eq!(client.read(&mut read).await.expect("bytes sent before the end arrive"), 4);
+        let end = client.read(&mut read).await;
+        assert_eq!(end.is_err(), has_unread);
+        if !has_unread {
+            // The first write succeeds, and the other end answers it by a reset.
+            client.write_all(b"x").await.expect("bytes are buffered");
+            sleep(2 * DELAY).await;
+            assert!(client.write_all(b"x").await.is_err());
         }
     }
 }
 
 #[tokio::test(start_paused = true)]
-async fn nobody_listens_or_nobody_answers_or_the_process_died() {
-    let (a, b) = fabric(FAR);
+async fn connections_are_refused_time_out_or_are_reset_according_to_the_listener() {
+    let (a, b) = connected_hosts(DELAY);
     let at = SocketAddr::new(ip(2), 80);
-    let refused = a.connect(at).await.err().expect("nobody listens");
+    let refused = a.connect(at).await.err().expect("no listener is bound");
     assert_eq!(refused.kind(), ErrorKind::ConnectionRefused);
-    let mut listener = b.listen(at).expect("free");
+    let mut listener = b.listen(at).expect("address is free");
     listener.hush(true);
     assert!(timeout(Duration::from_secs(9), a.connect(at)).await.is_err());
     listener.hush(false);
-    let mut here = a.connect(at).await.expect("it is back");
+    let mut client = a.connect(at).await.expect("listener accepts connections again");
     drop(listener);
-    assert!(here.read(&mut [0]).await.is_err(), "never accepted");
-    let mut listener = b.listen(at).expect("free again");
-    let mut here = a.connect(at).await.expect("it listens");
-    let (there, _) = accept(&mut *listener).await.expect("waiting");
-    there.reset();
-    let end = here.read(&mut [0]).await.expect_err("no orderly end");
+    assert!(client.read(&mut [0]).await.is_err(), "connection was never accepted");
+    let mut listener = b.listen(at).expect("address is free again");
+    let mut client = a.connect(at).await.expect("listener accepts connections");
+    let (server, _) = accept(&mut *listener).await.expect("connection is pending");
+    server.reset();
+    let end = client.read(&mut [0]).await.expect_err("no orderly end");
     assert_eq!(end.kind(), ErrorKind::ConnectionReset);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_reader_that_does_not_read_holds_its_writer_up() {
-    let (a, b) = fabric(Duration::ZERO);
-    let mut listener = b.listen(SocketAddr::new(ip(2), 80)).expect("free");
-    let mut here = a.connect(listener.local_addr()).await.expect("it listens");
-    let (mut there, _) = accept(&mut *listener).await.expect("waiting");
-    let much = vec![7; 1 << 20];
-    let mut got = Vec::new();
-    assert!(timeout(Duration::from_secs(1), here.write_all(&much)).await.is_err(), "bounded");
+async fn a_writer_blocks_while_its_reader_does_not_read() {
+    let (a, b) = connected_hosts(Duration::ZERO);
+    let mut listener = b.listen(SocketAddr::new(ip(2), 80)).expect("address is free");
+    let mut client = a.connect(listener.local_addr()).await.expect("listener accepts connections");
+    let (mut server, _) = accept(&mut *listener).await.expect("connection is pending");
+    let payload = vec![7; 1 << 20];
+    let mut received = Vec::new();
+    assert!(
+        timeout(Duration::from_secs(1), client.write_all(&payload)).await.is_err(),
+        "buffer is bounded"
+    );
     let read = async {
-        while got.len() < 1 << 18 {
-            there.read_buf(&mut got).await.expect("more");
+        while received.len() < 1 << 18 {
+            server.read_buf(&mut received).await.expect("more bytes arrive");
         }
     };
     read.await;
-    assert!(timeout(Duration::from_secs(1), here.write_all(b"x")).await.is_ok());
+    assert!(timeout(Duration::from_secs(1), client.write_all(b"x")).await.is_ok());
 }
 
 #[tokio::test(start_paused = true)]
-async fn datagrams_take_the_delay_and_whatever_route_they_are_given() {
-    let fabric = Fabric::new(Duration::ZERO, |_, _| FAR);
+async fn datagrams_arrive_after_the_delay_as_the_route_decides() {
+    let fabric = Fabric::new(Duration::ZERO, |_, _| DELAY);
     let (a, b) = (fabric.host(ip(1)), fabric.host(ip(2)));
     let at = |last, port| SocketAddr::new(ip(last), port);
-    let here = a.datagrams(at(1, 0)).expect("free");
-    let mut there = b.datagrams(at(2, 9)).expect("free");
-    assert!(b.datagrams(at(2, 9)).is_err(), "taken");
-    assert!(here.send(&[0; DATAGRAM + 1], at(2, 9)).is_err(), "too long");
+    let client = a.datagrams(at(1, 0)).expect("address is free");
+    let mut server = b.datagrams(at(2, 9)).expect("address is free");
+    assert!(b.datagrams(at(2, 9)).is_err(), "address in use");
+    assert!(client.send(&[0; DATAGRAM + 1], at(2, 9)).is_err(), "datagram is too long");
     let mut bytes = [0; DATAGRAM];
-    let from = Instant::now();
-    here.send(b"one", at(2, 9)).expect("sent");
-    let came = receive(&mut *there, &mut bytes).await.expect("it comes");
-    assert_eq!((came, from.elapsed()), ((3, here.local_addr()), FAR));
-    // The first copy is later than the second, and says that it is somebody else's.
+    let start = Instant::now();
+    client.send(b"one", at(2, 9)).expect("datagram is sent");
+    let received = receive(&mut *server, &mut bytes).await.expect("data arrives");
+    assert_eq!((received, start.elapsed()), ((3, client.local_addr()), DELAY));
+    // The first copy arrives after the second, and carries another sender's address.
     fabric.route_datagrams(Box::new(move |d| {
         let other = Datagram { from: at(9, 9), ..d.clone() };
         vec![(Duration::from_millis(5), other), (Duration::ZERO, d)]
     }));
-    here.send(b"two", at(2, 9)).expect("sent");
-    for (sender, after) in [(here.local_addr(), FAR), (at(9, 9), FAR + Duration::from_millis(5))] {
-        let from = from + FAR;
-        let came = receive(&mut *there, &mut bytes).await.expect("it comes");
-        assert_eq!((came, from.elapsed()), ((3, sender), after));
+    client.send(b"two", at(2, 9)).expect("datagram is sent");
+    for (sender, after) in
+        [(client.local_addr(), DELAY), (at(9, 9), DELAY + Duration::from_millis(5))]
+    {
+        let start = start + DELAY;
+        let received = receive(&mut *server, &mut bytes).await.expect("data arrives");
+        assert_eq!((received, start.elapsed()), ((3, sender), after));
     }
-    // What was under way to one that has ended, and what comes beyond the room there is, is lost.
+    // Datagrams in flight to a closed socket are lost, and so are those that exceed the capacity of the inbox.
     fabric.route_datagrams(Box::new(|d| vec![(Duration::ZERO, d)]));
-    here.send(b"old", at(2, 9)).expect("sent");
-    drop(there);
-    let mut there = b.datagrams(at(2, 9)).expect("free again");
+    client.send(b"old", at(2, 9)).expect("datagram is sent");
+    drop(server);
+    let mut server = b.datagrams(at(2, 9)).expect("address is free again");
     for n in 0..300u16 {
-        here.send(&n.to_be_bytes(), at(2, 9)).expect("sent");
+        client.send(&n.to_be_bytes(), at(2, 9)).expect("datagram is sent");
     }
-    let mut came = 0;
-    while let Ok(got) = timeout(FAR * 2, receive(&mut *there, &mut bytes)).await {
-        assert_eq!((got.expect("it comes").0, &bytes[..2]), (2, &u16::to_be_bytes(came)[..]));
-        came += 1;
+    let mut received = 0;
+    while let Ok(result) = timeout(DELAY * 2, receive(&mut *server, &mut bytes)).await {
+        assert_eq!(
+            (result.expect("data arrives").0, &bytes[..2]),
+            (2, &u16::to_be_bytes(received)[..])
+        );
+        received += 1;
     }
-    assert_eq!(came, 256);
+    assert_eq!(received, 256);
 }
 
 #[tokio::test(start_paused = true)]
-async fn a_machines_wall_clock_may_step_and_no_other_does() {
-    let fabric = Fabric::new(Duration::from_secs(1000), |_, _| FAR);
+async fn a_wall_clock_step_affects_one_machine_only() {
+    let fabric = Fabric::new(Duration::from_secs(1000), |_, _| DELAY);
     let (a, b) = (fabric.host(ip(1)), fabric.host(ip(2)));
     fabric.step_clock(ip(1), -400_000_000);
     assert_eq!((a.unix_now().as_secs(), b.unix_now().as_secs()), (600, 1000));
