--- a/crates/toml-fields/src/lib.rs
+++ b/crates/toml-fields/src/lib.rs
@@ -279,12 +279,17 @@
         self.get(key).map_or(self.span.clone(), |(_, at)| at)
     }
 
-    /// Reads a string that has to be one of `words`, and returns the value paired with that string. The error for any other
-    /// string lists all of `words`.
-    pub fn choice<T: Copy>(&self, key: &'static str, words: &[(&str, T)], default: Option<T>) -> T {
-        let names: Vec<&str> = words.iter().map(|(w, _)| *w).collect();
+    /// Reads a string that has to be one of `choices`, and returns the value paired with that string. The error for any other
+    /// string lists all of `choices`.
+    pub fn choice<T: Copy>(
+        &self,
+        key: &'static str,
+        choices: &[(&str, T)],
+        default: Option<T>,
+    ) -> T {
+        let names: Vec<&str> = choices.iter().map(|(w, _)| *w).collect();
         let expected = format!("one of {}", names.join(", "));
-        let fallback = default.unwrap_or(words[0].1);
+        let fallback = default.unwrap_or(choices[0].1);
         match self.get(key) {
             None => {
                 if default.is_none() {
@@ -293,7 +298,7 @@
                 fallback
             }
             Some((DeValue::String(s), at)) => {
-                let found = words.iter().find(|(w, _)| w == s);
+                let found = choices.iter().find(|(w, _)| w == s);
                 found.map_or_else(
                     || {
                         let path = self.path(key);
