--- a/crates/load/src/account.rs
+++ b/crates/load/src/account.rs
@@ -1,4 +1,4 @@
-//! What came of a load: counts and latencies, and whether the tool itself kept up with what it was asked to send.
+//! Results of a load: counts, latencies, and whether the generator itself kept up with the requested rate.
 
 use std::fmt::Write;
 use std::time::Duration;
@@ -6,50 +6,50 @@
 use hdrhistogram::Histogram;
 use serde::Serialize;
 
-/// Longest time that is told apart, in microseconds.
+/// Longest recorded time, in microseconds. Longer times are recorded as this one.
 const LONGEST: u64 = 3_600_000_000;
-/// Lateness of the tool itself up to this is nothing: its timers tell milliseconds apart.
+/// Lateness of the generator that is always tolerated: its timers have a resolution of 1 ms.
 const LATE: Duration = Duration::from_millis(5);
-/// Beyond, up to this share of the median latency.
+/// Tolerated lateness as a share of the lowest class median latency, where that exceeds [`LATE`].
 const LATE_OF_MEDIAN: f64 = 0.1;
-/// Version of the JSON form. It changes when a field changes its name or meaning, not when one is added.
+/// Version of the JSON report. It increases when a field changes its name or meaning, not when a field is added.
 pub const VERSION: u32 = 1;
 
-/// How a request ended.
+/// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum End {
-    /// 2xx, whole.
+    /// A complete 2xx response.
     Served,
-    /// 429 or 503.
+    /// Status 429 or 503.
     Refused,
-    /// Any other status.
+    /// A complete response with any other status.
     Failed,
-    /// The connection ended with no whole answer.
+    /// The connection ended before a complete response.
     Broken,
-    /// No connection came up.
+    /// No connection could be established.
     Unreachable,
-    /// Its client's time was up.
+    /// The client's deadline passed.
     TimedOut,
 }
 
-/// How many ended how.
+/// Number of requests by outcome.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Eq, Serialize)]
 pub struct Counts {
-    /// Due, or asked for in a closed loop.
+    /// Requests that were due, or that a closed-loop client issued.
     pub asked: u64,
-    /// See [`End`].
+    /// Requests with [`End::Served`].
     pub served: u64,
-    /// See [`End`].
+    /// Requests with [`End::Refused`].
     pub refused: u64,
-    /// See [`End`].
+    /// Requests with [`End::Failed`].
     pub failed: u64,
-    /// See [`End`].
+    /// Requests with [`End::Broken`].
     pub broken: u64,
-    /// See [`End`].
+    /// Requests with [`End::Unreachable`].
     pub unreachable: u64,
-    /// See [`End`].
+    /// Requests with [`End::TimedOut`].
     pub timed_out: u64,
-    /// Never sent: too many were open already.
+    /// Requests never sent because too many were open already.
     pub unsent: u64,
 }
 
@@ -66,53 +66,53 @@
     }
 }
 
-/// A spread of times, in milliseconds.
+/// Summary of a distribution of times, in milliseconds.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Spread {
-    /// How many.
+    /// Number of recorded times.
     pub count: u64,
-    /// Their mean.
+    /// Mean.
     pub mean: f64,
-    /// At 50 percent.
+    /// 50th percentile.
     pub p50: f64,
-    /// At 90 percent.
+    /// 90th percentile.
     pub p90: f64,
-    /// At 99 percent.
+    /// 99th percentile.
     pub p99: f64,
-    /// At 99.9 percent.
+    /// 99.9th percentile.
     pub p999: f64,
-    /// The most.
+    /// Maximum.
     pub most: f64,
 }
 
-/// Times as they come.
+/// Histogram of times.
 #[derive(Clone, Debug)]
 pub struct Times(Option<Histogram<u64>>);
 
 impl Default for Times {
     fn default() -> Self {
-        // Three digits, to the microsecond. The bounds are constants that the crate accepts.
+        // Three significant digits, at a resolution of 1 us. The histogram crate accepts these constant bounds.
         Self(Histogram::new_with_bounds(1, LONGEST, 3).ok())
     }
 }
 
 impl Times {
-    /// Takes one in.
+    /// Records a time.
     pub fn record(&mut self, time: Duration) {
         if let Some(h) = &mut self.0 {
             h.saturating_record((time.as_micros() as u64).max(1));
         }
     }
 
-    /// Takes in all that another has.
+    /// Adds all times recorded in `other`.
     pub fn add(&mut self, other: &Self) {
         if let (Some(all), Some(more)) = (&mut self.0, &other.0) {
-            // Both have the same bounds, so nothing of the other lies outside of them.
+            // Both histograms have the same bounds, so no value of `other` is out of range.
             let _ = all.add(more);
         }
     }
 
-    /// All of them.
+    /// Returns the summary of all recorded times.
     pub fn spread(&self) -> Spread {
         let Some(h) = self.0.as_ref().filter(|h| !h.is_empty()) else { return Spread::default() };
         let ms = |us: u64| us as f64 / 1e3;
@@ -129,47 +129,47 @@
     }
 }
 
-/// One class as it goes.
+/// Results of one class, collected during a run.
 #[derive(Clone, Debug, Default)]
 pub struct ClassAccount {
-    /// How its requests ended.
+    /// Requests by outcome.
     pub counts: Counts,
-    /// Of what was answered, whatever the status: from when it was due.
+    /// Latency of answered requests, with any status, from the time when the request was due.
     pub latency: Times,
-    /// The same from when it was written.
+    /// Latency of answered requests from the time when the request was written.
     pub from_sending: Times,
 }
 
-/// One second of a run.
+/// Requests that were due in one second of a run.
 #[derive(Clone, Copy, Debug, Default, PartialEq, Serialize)]
 pub struct Second {
-    /// Due in it.
+    /// Requests due in this second.
     pub asked: u64,
-    /// Of those, served.
+    /// Those of them that were served.
     pub served: u64,
-    /// And refused.
+    /// Those of them that were refused.
     pub refused: u64,
-    /// The longest latency of those that were answered, in milliseconds.
+    /// Maximum latency of those that were answered, in milliseconds.
     pub most_ms: f64,
 }
 
-/// A run as it goes.
+/// Results collected during a run.
 #[derive(Clone, Debug, Default)]
 pub struct Account {
-    /// By class.
+    /// Results by class index.
     pub classes: Vec<ClassAccount>,
-    /// How late this tool was, from when a request was due to when it turned to it.
+    /// Lateness of the generator, from when a request was due until the generator started it.
     pub lateness: Times,
-    /// How long requests then waited for a connection to be free.
+    /// Time that started requests waited for a free connection.
     pub waiting: Times,
-    /// By second.
+    /// Results by second of the run.
     pub seconds: Vec<Second>,
-    /// Connections that were opened.
+    /// Number of connections opened.
     pub opened: u64,
 }
 
 impl Account {
-    /// For so many classes.
+    /// Creates empty results for this number of classes.
     pub fn new(classes: usize) -> Self {
         Self { classes: vec![ClassAccount::default(); classes], ..Self::default() }
     }
@@ -182,19 +182,19 @@
         &mut self.seconds[second]
     }
 
-    /// A request is due.
+    /// Records that a request is due.
     pub fn asked(&mut self, class: usize, at: Duration) {
         self.classes[class].counts.asked += 1;
         self.second(at).asked += 1;
     }
 
-    /// It could not even be begun.
+    /// Records that a request was not sent because too many were open.
     pub fn unsent(&mut self, class: usize) {
         self.classes[class].counts.unsent += 1;
     }
 
-    /// A request that was due `at` ended, with these times if it was answered: from when it was due, and from when
-    /// it was written.
+    /// Records the outcome of a request that was due `at`. An answered request has two latencies: from when it was due,
+    /// and from when it was written.
     pub fn ended(
         &mut self,
         class: usize,
@@ -216,67 +216,67 @@
     }
 }
 
-/// One class's part of a report.
+/// Report on one class.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct ClassReport {
-    /// Its name.
+    /// Name of the class.
     pub name: String,
-    /// How its requests ended.
+    /// Requests by outcome.
     pub counts: Counts,
-    /// From when a request was due.
+    /// Latency from when a request was due.
     pub latency_ms: Spread,
-    /// From when it was written: what a closed loop would see.
+    /// Latency from when a request was written, which is all that a closed-loop client measures.
     pub from_sending_ms: Spread,
 }
 
-/// All that is told of a run.
+/// Report on a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
-    /// [`VERSION`].
+    /// Version of the format: [`VERSION`].
     pub version: u32,
-    /// Where it was sent.
+    /// Target of the load.
     pub target: String,
-    /// What arrivals were drawn from.
+    /// Seed of the arrivals.
     pub seed: u64,
-    /// `open` or `closed`.
+    /// Kind of load: `open` or `closed` loop.
     #[serde(rename = "loop")]
     pub loop_: &'static str,
-    /// How long requests came, in seconds.
+    /// Length of the run, during which requests are issued, in seconds.
     pub length_s: f64,
-    /// Requests a second that were due, and that were answered.
+    /// Requests due per second.
     pub asked_per_s: f64,
-    /// See `asked_per_s`.
+    /// Requests answered per second.
     pub answered_per_s: f64,
-    /// By class.
+    /// Reports by class.
     pub classes: Vec<ClassReport>,
-    /// How late this tool was.
+    /// Lateness of the generator.
     pub lateness_ms: Spread,
-    /// How long requests waited for one of its connections.
+    /// Time that requests waited for a free connection of the generator.
     pub waiting_ms: Spread,
-    /// Connections that were opened.
+    /// Number of connections opened.
     pub connections: u64,
-    /// Why these figures say something of this tool and not of the target; absent if they do not.
+    /// Reason why these figures reflect the limits of the generator instead of the target; absent if they do not.
     #[serde(skip_serializing_if = "Option::is_none")]
     pub doubt: Option<String>,
-    /// By second, by when requests were due.
+    /// Results by the second in which requests were due.
     pub seconds: Vec<Second>,
 }
 
-/// What a report is about.
+/// Parameters of a run that appear in its report.
 #[derive(Clone, Copy, Debug)]
 pub struct About<'a> {
-    /// Where it was sent.
+    /// Target of the load.
     pub target: &'a str,
-    /// What arrivals were drawn from.
+    /// Seed of the arrivals.
     pub seed: u64,
-    /// Whether it was an open loop.
+    /// Whether the load was an open loop.
     pub open: bool,
-    /// How long requests came.
+    /// Length of the run, during which requests are issued.
     pub length: Duration,
 }
 
 impl Report {
-    /// Sums a run up.
+    /// Creates the report on a run. `names` are the names of the classes, in their order.
     pub fn of(account: &Account, about: About, names: &[String]) -> Self {
         let class = |(c, name): (&ClassAccount, &String)| ClassReport {
             name: name.clone(),
@@ -321,10 +321,10 @@
         }
     }
 
-    /// For people.
+    /// Returns the report as a table for a terminal.
     pub fn text(&self) -> String {
         let mut out = String::new();
-        // Writing to a string cannot fail.
+        // Writing to a `String` cannot fail.
         let _ = self.write(&mut out);
         out
     }
--- a/crates/load/src/driver.rs
+++ b/crates/load/src/driver.rs
@@ -1,6 +1,6 @@
-//! Sends a load and keeps the account of it. In an open loop a request is turned to when it is due, whatever has become
-//! of those before it, and its latency counts from then: what waits because the target stopped is not left out
-//! (Tene, "How not to measure latency"; the fault is known as coordinated omission).
+//! Sends a load and records the results. In an open loop, each request is started when it is due, independently of
+//! earlier requests, and its latency is measured from that time. The time that requests wait while the target stalls is
+//! therefore included, which avoids coordinated omission (Tene, "How not to measure latency").
 
 use std::cell::{Cell, RefCell};
 use std::net::SocketAddr;
@@ -24,51 +24,51 @@
 use crate::profile::{Arrivals, Effect, Profile};
 use crate::schedule::{Schedule, draw};
 
-/// Requests that may be open at once. Without a bound a target that never answers takes all memory.
+/// Maximum number of open requests. Without a bound, a target that never answers would exhaust the memory.
 const MOST_OPEN: usize = 100_000;
-/// Timers may ring so much late: awake from then on, where that matters.
+/// Maximum lateness of timers. [`Waiting::Awake`] busy-waits for this long before a request is due.
 const AWAKE: Duration = Duration::from_millis(2);
-/// How often progress is told.
+/// Interval between progress reports.
 const PROGRESS: Duration = Duration::from_millis(500);
-/// A request written to a kept connection may cross with its close: it goes once more, on a new one.
+/// Retries of a request whose reused connection the target closed at the same time.
 const CROSSINGS: usize = 1;
 
-/// Where a load goes.
+/// Target of a load.
 #[derive(Clone, Debug)]
 pub struct Target {
-    /// Its address.
+    /// Address of the server.
     pub address: SocketAddr,
-    /// As in `Host`.
+    /// Value of the `Host` header.
     pub host: String,
 }
 
-/// How the time of a request is waited for.
+/// Method of waiting until a request is due.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Waiting {
-    /// By the runtime's timers, up to 1 ms late. All there is under a paused clock.
+    /// Uses the runtime's timers, up to 1 ms late. Under a paused clock, only this method works.
     ByTimer,
-    /// The last of it awake, to the microsecond, at the cost of a core.
+    /// Busy-waits at the end, precise to the microsecond, at the cost of a core.
     Awake,
 }
 
-/// How far a run is.
+/// Progress of a run.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Progress {
-    /// Since its start.
+    /// Time since the start of the run.
     pub at: Duration,
     /// Requests due so far.
     pub asked: u64,
     /// Requests answered so far.
     pub answered: u64,
-    /// Of those, not with 2xx; and those that ended with no answer.
+    /// Requests that ended so far without a 2xx response, including those without any response.
     pub unserved: u64,
-    /// Requests open now.
+    /// Requests currently open.
     pub open: usize,
-    /// The longest latency since the last word, in milliseconds.
+    /// Maximum latency since the previous progress report, in milliseconds.
     pub most_ms: f64,
 }
 
-/// A connection that closes with its owner.
+/// A client connection that is closed when dropped.
 struct Link {
     sender: SendRequest<Full<Bytes>>,
     task: AbortHandle,
@@ -92,7 +92,10 @@
     zero: Instant,
 }
 
-/// Plays a load to its end, at most its length and its longest deadline. Must run inside a `LocalSet`.
+/// Runs a load to its end and returns the results. Takes at most the length of the profile plus its longest deadline.
+///
+/// # Panics
+/// Panics if called outside a `LocalSet`, or if a client task panics.
 pub async fn run(
     network: Rc<dyn Network>,
     target: Target,
@@ -134,7 +137,7 @@
         Arrivals::Closed(clients) => driver.closed(*clients, &shares, seed).await,
     }
     telling.abort();
-    // Whatever hung in a request has ended by its deadline.
+    // Every request has ended by its deadline, so none is open here.
     driver.account.take()
 }
 
@@ -153,8 +156,8 @@
                     }
                 }
             }
-            // Also when it is late already. Failure: behind its schedule it turned to one request after another, read no
-            // answer meanwhile, and told of no lateness of its own.
+            // Yields even if the request is late already. Otherwise a generator behind its schedule would start one
+            // request after another without reading responses, and would not record its own lateness.
             yield_now().await;
             self.asked(due.class, due.at);
             self.account.borrow_mut().lateness.record(at.elapsed());
@@ -189,14 +192,14 @@
                     driver.ask(class, at).await;
                     driver.change(|p| p.open -= 1);
                     if at == driver.zero.elapsed() {
-                        // Refused in no time at all by the clock: others have their turn.
+                        // The request ended without any time passing on the clock; this lets other tasks run.
                         sleep(Duration::from_millis(1)).await;
                     }
                 }
             }));
         }
         for client in all {
-            // A client that panicked is a fault of this tool, and its requests would be missing.
+            // A panic of a client is a fault of this generator, and the client's requests would be missing.
             client.await.expect("a client plays to its end");
         }
     }
@@ -212,7 +215,7 @@
         self.change(|p| p.asked += 1);
     }
 
-    /// One request, from when it was due to its end.
+    /// Sends a request, waits until it ends or its deadline passes, and records the outcome.
     async fn ask(&self, class: usize, at: Duration) {
         let due = self.zero + at;
         let until = due + self.profile.classes[class].deadline;
@@ -244,7 +247,7 @@
         sent: &Cell<Option<Instant>>,
     ) -> Result<StatusCode, End> {
         let asked = Instant::now();
-        // Its owner never closes it.
+        // The semaphore is never closed.
         let Ok(_place) = self.places.acquire().await else { return Err(End::Unreachable) };
         self.account.borrow_mut().waiting.record(asked.elapsed());
         let mut crossed = 0;
@@ -292,7 +295,7 @@
         let io = TokioIo::new(stream.map_err(|_| End::Unreachable)?);
         let (sender, connection) = http1::handshake(io).await.map_err(|_| End::Unreachable)?;
         let task = spawn_local(async move {
-            // How it ended is told by the request on it.
+            // The request on this connection reports its errors.
             let _ = connection.await;
         });
         self.account.borrow_mut().opened += 1;
@@ -310,7 +313,7 @@
         let body = Bytes::from(vec![b'x'; of.body]);
         let mut request = Request::new(Full::new(body));
         *request.method_mut() = if of.effect == Effect::Safe { Method::GET } else { Method::POST };
-        // The profile was read with what a target and a header may hold.
+        // The profile reader has rejected paths and names that are invalid in a URI or header.
         if let Ok(uri) = of.path.parse() {
             *request.uri_mut() = uri;
         }
--- a/crates/load/src/lib.rs
+++ b/crates/load/src/lib.rs
@@ -1,5 +1,6 @@
-//! A defined load on a server that already runs: [`profile`] says what comes, [`schedule`] draws ahead when, [`driver`]
-//! sends it, [`account`] tells what came of it and whether the tool itself kept up. It knows nothing of balancers.
+//! Load generator for an HTTP server that already runs. [`profile`] defines the load, [`schedule`] draws the arrival
+//! times from a seed, [`driver`] sends the requests, and [`account`] records the results and whether the generator
+//! itself kept up with the schedule. The crate has no knowledge of load balancers.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/load/src/profile.rs
+++ b/crates/load/src/profile.rs
@@ -1,4 +1,4 @@
-//! What a load is made of: classes of requests, when they come, and over which connections. Read from a TOML file.
+//! Definition of a load, read from a TOML file: request classes, arrivals and connections.
 
 use std::time::Duration;
 
@@ -7,72 +7,72 @@
 
 use crate::schedule::{Rates, Spacing};
 
-/// Longest run, in seconds.
+/// Maximum length of a run, in seconds.
 const LONGEST_S: f64 = 24.0 * 3600.0;
-/// Most requests a second that may be asked for; no single core sends as many.
+/// Maximum rate in requests per second; no single core sends more.
 const MOST_RATE: f64 = 1e6;
-/// Most tenants that requests may name.
+/// Maximum number of tenants.
 const MOST_TENANTS: u32 = 10_000_000;
 
-/// A load.
+/// Definition of a load.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Profile {
-    /// At least one.
+    /// Request classes, at least one.
     pub classes: Vec<Class>,
-    /// When requests come.
+    /// Arrivals of requests.
     pub arrivals: Arrivals,
-    /// How long they do.
+    /// Length of the run, during which requests are issued.
     pub length: Duration,
-    /// Over how many connections at most.
+    /// Maximum number of connections.
     pub connections: u32,
-    /// Whether connections are kept for the next request.
+    /// Whether connections are reused for later requests.
     pub kept: bool,
-    /// Whether requests say what the platform's do (`X-Request-Id`, `X-Class`, `X-Deadline-Ms`, keys).
+    /// Whether requests carry the platform's headers (`X-Request-Id`, `X-Class`, `X-Deadline-Ms`, keys).
     pub platform: bool,
-    /// Requests name one of so many tenants, `t0` and up, each as often as any other (`X-Tenant`); none if 0. Only where
-    /// they say what the platform's do.
+    /// Number of tenants, named from `t0` on, of which each request names one with equal probability (`X-Tenant`). With
+    /// 0, requests name no tenant. Applies only to requests with the platform's headers.
     pub tenants: u32,
 }
 
-/// When requests come.
+/// Arrivals of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub enum Arrivals {
-    /// At their own times, whatever becomes of those before them.
+    /// An open loop: requests arrive independently of the outcome of earlier ones.
     Open(Spacing, Rates),
-    /// So many clients ask one request after another.
+    /// A closed loop: this number of clients, each of which sends one request after another.
     Closed(u32),
 }
 
-/// What repeating a request can do, and so its method.
+/// Effect of a repeated request, which determines the method.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Effect {
-    /// Nothing: GET.
+    /// A repeat has no effect: GET.
     Safe,
-    /// Repeats are dropped: POST with `Idempotency-Key`.
+    /// The upstream drops repeats: POST with `Idempotency-Key`.
     Keyed,
-    /// Harm: POST.
+    /// A repeat has side effects: POST.
     Unsafe,
 }
 
 /// A class of requests.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Class {
-    /// As in `X-Class`.
+    /// Name, as in `X-Class`.
     pub name: String,
-    /// Its part of the load, beside the other classes' parts.
+    /// Share of the load, relative to the shares of the other classes.
     pub share: f64,
-    /// What a repeat does.
+    /// Effect of a repeated request.
     pub effect: Effect,
-    /// How long its clients wait, from when a request was due.
+    /// Time that a client waits for a response, from when the request was due.
     pub deadline: Duration,
-    /// Where it goes.
+    /// Path of the requests.
     pub path: String,
-    /// Size of its body, in bytes.
+    /// Size of the request body, in bytes.
     pub body: usize,
 }
 
 impl Profile {
-    /// Plain requests for `path`, to be given a rate and a length.
+    /// Returns a profile of plain GET requests for `path`. The caller sets the rate and the length.
     pub fn plain(path: &str) -> Self {
         let deadline = Duration::from_secs(10);
         let class = Class {
@@ -94,15 +94,15 @@
         }
     }
 
-    /// Reads a profile. `file` is how messages call it.
+    /// Reads a profile. `file` is its name in messages.
     ///
     /// # Errors
-    /// Everything that is wrong with it, each with its line, in the order of the file.
+    /// Returns all problems of the profile, each with its line, in the order of the file.
     pub fn read(file: &str, text: &str) -> Result<Self, Problems> {
         hollowpaddle_toml_fields::read(file, text, profile)
     }
 
-    /// The longest that a client waits.
+    /// Returns the longest deadline of any class.
     pub fn longest(&self) -> Duration {
         self.classes.iter().map(|c| c.deadline).max().unwrap_or_default()
     }
@@ -149,7 +149,7 @@
         path: t.text("path", Some("/api")),
         body: t.whole("body_bytes", 0..=32 << 20, Some(0)) as usize,
     };
-    // What goes on the wire as it stands must be able to.
+    // These values are sent unescaped, so they must be valid in a header and a request line.
     for (key, value) in [("name", &class.name), ("path", &class.path)] {
         if !value.bytes().all(|b| b.is_ascii_graphic()) {
             t.wrong(&t.span_of(key), format!("`classes.{key}` has a character that no header may"));
--- a/crates/load/src/schedule.rs
+++ b/crates/load/src/schedule.rs
@@ -1,5 +1,6 @@
-//! When requests are due, drawn ahead from a seed: a pure function of rates, spacing and seed, and nothing of what
-//! becomes of a request moves those behind it (Schroeder, Wierman, Harchol-Balter, "Open versus closed", NSDI 2006).
+//! Arrival times of requests, drawn from a seed. The schedule is a pure function of the rates, the spacing and the
+//! seed: the outcome of a request never moves later requests (Schroeder, Wierman, Harchol-Balter, "Open versus closed",
+//! NSDI 2006).
 
 use std::time::Duration;
 
@@ -7,22 +8,22 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1};
 
-/// How requests follow one another at a given rate.
+/// Distribution of the intervals between requests at a given rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Spacing {
-    /// As of many clients that know nothing of one another.
+    /// Exponential intervals, as from many independent clients.
     Poisson,
-    /// At equal distances.
+    /// Equal intervals.
     Even,
 }
 
-/// Requests a second over time: stretches on which the rate goes straight from one figure to another.
+/// Request rate over time, in requests per second: segments in which the rate changes linearly.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rates {
     stretches: Vec<Stretch>,
-    /// Played again from the start once all have passed; otherwise the last rate goes on.
+    /// Whether the segments repeat from the first one after the last; otherwise the last rate continues.
     again: bool,
-    /// The one stretch is as long as the run.
+    /// Whether the only segment is as long as the run.
     whole: bool,
 }
 
@@ -30,50 +31,51 @@
 struct Stretch {
     from: f64,
     to: f64,
-    /// In seconds.
+    /// Duration in seconds.
     lasts: f64,
 }
 
 impl Stretch {
-    /// Requests due in it.
+    /// Returns the mean number of requests due in this segment.
     fn area(self) -> f64 {
         (self.from + self.to) / 2.0 * self.lasts
     }
 
-    /// How far into it so many are due, in seconds.
+    /// Returns the time from the start of the segment until `requests` requests are due, in seconds.
     fn until(self, requests: f64) -> f64 {
         let slope = (self.to - self.from) / self.lasts;
         let root = (self.from * self.from + 2.0 * slope * requests).max(0.0).sqrt();
-        // Of the two ways to solve the square, the one that takes nothing from its like.
+        // Of the two forms of the quadratic formula, this one avoids cancellation between nearly equal numbers.
         (2.0 * requests / (self.from + root)).min(self.lasts)
     }
 }
 
 impl Rates {
-    /// The same all the time.
+    /// A constant rate.
     pub fn steady(rate: f64) -> Self {
         Self::ramp(rate, rate)
     }
 
-    /// From one rate to another, over the whole run.
+    /// A rate that changes linearly from `from` to `to` over the whole run.
     pub fn ramp(from: f64, to: f64) -> Self {
         Self { stretches: vec![Stretch { from, to, lasts: 1.0 }], again: false, whole: true }
     }
 
-    /// So many times the rate for `lasts` seconds, at the end of each `every` seconds.
+    /// A constant rate that is multiplied by `factor` for the last `duration_s` seconds of each period of `every`
+    /// seconds.
     pub fn bursts(rate: f64, factor: f64, every: f64, lasts: f64) -> Self {
         let flat = |rate, lasts| Stretch { from: rate, to: rate, lasts };
         let stretches = vec![flat(rate, every - lasts), flat(rate * factor, lasts)];
         Self { stretches, again: true, whole: false }
     }
 
-    /// Each rate for its seconds; the last one goes on.
+    /// Constant rates, each given with its duration in seconds. The last rate continues.
     pub fn steps(steps: Vec<(f64, f64)>) -> Self {
         let flat = |(rate, lasts)| Stretch { from: rate, to: rate, lasts };
         Self { stretches: steps.into_iter().map(flat).collect(), again: false, whole: false }
     }
 
-    /// Requests due by then in a run of this length, on average.
+    /// Returns the mean number of requests due until `by` in a run of this length.
     pub fn mean(&self, by: Duration, length: Duration) -> f64 {
         let mut left = by.as_secs_f64();
         let mut sum = 0.0;
@@ -109,16 +111,16 @@
     }
 }
 
-/// One request to come.
+/// A scheduled request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Due {
-    /// From the start.
+    /// Time since the start of the run.
     pub at: Duration,
-    /// By place among the classes.
+    /// Index of its class.
     pub class: usize,
 }
 
-/// All requests of a run, in order of time.
+/// Iterator over all requests of a run, in order of time.
 pub struct Schedule {
     rates: Rates,
     spacing: Spacing,
@@ -126,14 +128,14 @@
     shares: Vec<f64>,
     times: ChaCha8Rng,
     classes: ChaCha8Rng,
-    /// The stretch it is in, when that began, and how many have been due in it.
+    /// Index of the current segment, followed by its start in seconds and the requests due in it so far.
     stretch: usize,
     began: f64,
     passed: f64,
 }
 
 impl Schedule {
-    /// Draws from `seed`; `shares` are the classes' parts of the load.
+    /// Creates a schedule drawn from `seed`; `shares` are the relative weights of the classes.
     pub fn new(
         rates: &Rates,
         spacing: Spacing,
@@ -185,7 +187,7 @@
     }
 }
 
-/// One of these parts, by chance.
+/// Returns a random index into `shares`, with probability proportional to the share.
 pub fn draw(shares: &[f64], rng: &mut ChaCha8Rng) -> usize {
     let mut at = rng.random::<f64>() * shares.iter().sum::<f64>();
     let found = shares.iter().position(|share| {
