--- a/crates/ctl/src/load.rs
+++ b/crates/ctl/src/load.rs
@@ -102,7 +102,7 @@
     };
     let seed = arguments.seed;
     let network = Rc::new(Tcp);
-    let run = driver::run(network, target.clone(), &profile, seed, Waiting::Awake, show);
+    let run = driver::run(network, target.clone(), &profile, seed, Waiting::BusyWait, show);
     let account = LocalSet::new().block_on(&runtime, run);
     if shows {
         eprint!("\r\x1b[K");
--- a/crates/load/src/account.rs
+++ b/crates/load/src/account.rs
@@ -7,17 +7,17 @@
 use serde::Serialize;
 
 /// Longest recorded time, in microseconds. Longer times are recorded as this one.
-const LONGEST: u64 = 3_600_000_000;
+const MAX_TIME_US: u64 = 3_600_000_000;
 /// Lateness of the generator that is always tolerated: its timers have a resolution of 1 ms.
-const LATE: Duration = Duration::from_millis(5);
-/// Tolerated lateness as a share of the lowest class median latency, where that exceeds [`LATE`].
-const LATE_OF_MEDIAN: f64 = 0.1;
+const TOLERATED_LATENESS: Duration = Duration::from_millis(5);
+/// Tolerated lateness as a share of the lowest class median latency, where that exceeds [`TOLERATED_LATENESS`].
+const TOLERATED_LATENESS_OF_MEDIAN: f64 = 0.1;
 /// Version of the JSON report. It increases when a field changes its name or meaning, not when a field is added.
-pub const VERSION: u32 = 1;
+pub const REPORT_VERSION: u32 = 1;
 
 /// Outcome of a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
-pub enum End {
+pub enum Outcome {
     /// A complete 2xx response.
     Served,
     /// Status 429 or 503.
@@ -37,31 +37,31 @@
 pub struct Counts {
     /// Requests that were due, or that a closed-loop client issued.
     pub asked: u64,
-    /// Requests with [`End::Served`].
+    /// Requests with [`Outcome::Served`].
     pub served: u64,
-    /// Requests with [`End::Refused`].
+    /// Requests with [`Outcome::Refused`].
     pub refused: u64,
-    /// Requests with [`End::Failed`].
+    /// Requests with [`Outcome::Failed`].
     pub failed: u64,
-    /// Requests with [`End::Broken`].
+    /// Requests with [`Outcome::Broken`].
     pub broken: u64,
-    /// Requests with [`End::Unreachable`].
+    /// Requests with [`Outcome::Unreachable`].
     pub unreachable: u64,
-    /// Requests with [`End::TimedOut`].
+    /// Requests with [`Outcome::TimedOut`].
     pub timed_out: u64,
     /// Requests never sent because too many were open already.
     pub unsent: u64,
 }
 
 impl Counts {
-    fn count(&mut self, end: End) {
-        *match end {
-            End::Served => &mut self.served,
-            End::Refused => &mut self.refused,
-            End::Failed => &mut self.failed,
-            End::Broken => &mut self.broken,
-            End::Unreachable => &mut self.unreachable,
-            End::TimedOut => &mut self.timed_out,
+    fn count(&mut self, outcome: Outcome) {
+        *match outcome {
+            Outcome::Served => &mut self.served,
+            Outcome::Refused => &mut self.refused,
+            Outcome::Failed => &mut self.failed,
+            Outcome::Broken => &mut self.broken,
+            Outcome::Unreachable => &mut self.unreachable,
+            Outcome::TimedOut => &mut self.timed_out,
         } += 1;
     }
 }
@@ -92,7 +92,7 @@
 impl Default for Times {
     fn default() -> Self {
         // Three significant digits, at a resolution of 1 us. The histogram crate accepts these constant bounds.
-        Self(Histogram::new_with_bounds(1, LONGEST, 3).ok())
+        Self(Histogram::new_with_bounds(1, MAX_TIME_US, 3).ok())
     }
 }
 
@@ -165,7 +165,7 @@
     /// Results by second of the run.
     pub seconds: Vec<Second>,
     /// Number of connections opened.
-    pub opened: u64,
+    pub connections_opened: u64,
 }
 
 impl Account {
@@ -183,35 +183,35 @@
     }
 
     /// Records that a request is due.
-    pub fn asked(&mut self, class: usize, at: Duration) {
+    pub fn record_due(&mut self, class: usize, at: Duration) {
         self.classes[class].counts.asked += 1;
         self.second(at).asked += 1;
     }
 
     /// Records that a request was not sent because too many were open.
-    pub fn unsent(&mut self, class: usize) {
+    pub fn record_unsent(&mut self, class: usize) {
         self.classes[class].counts.unsent += 1;
     }
 
     /// Records the outcome of a request that was due `at`. An answered request has two latencies: from when it was due,
     /// and from when it was written.
-    pub fn ended(
+    pub fn record_outcome(
         &mut self,
         class: usize,
         at: Duration,
-        end: End,
-        took: Option<(Duration, Duration)>,
+        outcome: Outcome,
+        latencies: Option<(Duration, Duration)>,
     ) {
-        let of = &mut self.classes[class];
-        of.counts.count(end);
-        if let Some((latency, from_sending)) = took {
-            of.latency.record(latency);
-            of.from_sending.record(from_sending);
+        let class = &mut self.classes[class];
+        class.counts.count(outcome);
+        if let Some((latency, from_sending)) = latencies {
+            class.latency.record(latency);
+            class.from_sending.record(from_sending);
         }
         let second = self.second(at);
-        second.served += u64::from(end == End::Served);
-        second.refused += u64::from(end == End::Refused);
-        let ms = took.map_or(0.0, |(latency, _)| latency.as_secs_f64() * 1e3);
+        second.served += u64::from(outcome == Outcome::Served);
+        second.refused += u64::from(outcome == Outcome::Refused);
+        let ms = latencies.map_or(0.0, |(latency, _)| latency.as_secs_f64() * 1e3);
         second.most_ms = second.most_ms.max(ms);
     }
 }
@@ -232,7 +232,7 @@
 /// Report on a run.
 #[derive(Clone, Debug, PartialEq, Serialize)]
 pub struct Report {
-    /// Version of the format: [`VERSION`].
+    /// Version of the format: [`REPORT_VERSION`].
     pub version: u32,
     /// Target of the load.
     pub target: String,
@@ -291,11 +291,12 @@
         let median = classes.iter().map(|c| c.latency_ms).filter(|s| s.count > 0);
         let median = median.map(|s| s.p50).fold(f64::MAX, f64::min);
         let lateness = account.lateness.spread();
-        let bearable = (LATE.as_secs_f64() * 1e3).max(median.min(1e9) * LATE_OF_MEDIAN);
+        let tolerated_ms = (TOLERATED_LATENESS.as_secs_f64() * 1e3)
+            .max(median.min(1e9) * TOLERATED_LATENESS_OF_MEDIAN);
         let length_s = about.length.as_secs_f64();
         let doubt = if unsent > 0 {
             Some(format!("{unsent} requests were never sent: too many were open already"))
-        } else if lateness.p99 > bearable {
+        } else if lateness.p99 > tolerated_ms {
             Some(format!(
                 "this tool turned to one request in a hundred {:.1} ms late or later: the machine can't send so \
                  much; ask for less, or leave it a core",
@@ -305,7 +306,7 @@
             None
         };
         Self {
-            version: VERSION,
+            version: REPORT_VERSION,
             target: about.target.to_string(),
             seed: about.seed,
             loop_: if about.open { "open" } else { "closed" },
@@ -315,7 +316,7 @@
             classes,
             lateness_ms: lateness,
             waiting_ms: account.waiting.spread(),
-            connections: account.opened,
+            connections: account.connections_opened,
             doubt,
             seconds: account.seconds.clone(),
         }
--- a/crates/load/src/profile.rs
+++ b/crates/load/src/profile.rs
@@ -8,11 +8,11 @@
 use crate::schedule::{Rates, Spacing};
 
 /// Maximum length of a run, in seconds.
-const LONGEST_S: f64 = 24.0 * 3600.0;
+const MAX_LENGTH_S: f64 = 24.0 * 3600.0;
 /// Maximum rate in requests per second; no single core sends more.
-const MOST_RATE: f64 = 1e6;
+const MAX_RATE_PER_S: f64 = 1e6;
 /// Maximum number of tenants.
-const MOST_TENANTS: u32 = 10_000_000;
+const MAX_TENANTS: u32 = 10_000_000;
 
 /// Definition of a load.
 #[derive(Clone, Debug, PartialEq)]
@@ -26,7 +26,7 @@
     /// Maximum number of connections.
     pub connections: u32,
     /// Whether connections are reused for later requests.
-    pub kept: bool,
+    pub keep_connections: bool,
     /// Whether requests carry the platform's headers (`X-Request-Id`, `X-Class`, `X-Deadline-Ms`, keys).
     pub platform: bool,
     /// Number of tenants, named from `t0` on, of which each request names one with equal probability (`X-Tenant`). With
@@ -88,7 +88,7 @@
             arrivals: Arrivals::Open(Spacing::Poisson, Rates::steady(100.0)),
             length: Duration::from_secs(10),
             connections: 256,
-            kept: true,
+            keep_connections: true,
             platform: false,
             tenants: 0,
         }
@@ -103,7 +103,7 @@
     }
 
     /// Returns the longest deadline of any class.
-    pub fn longest(&self) -> Duration {
+    pub fn max_deadline(&self) -> Duration {
         self.classes.iter().map(|c| c.deadline).max().unwrap_or_default()
     }
 }
@@ -116,7 +116,7 @@
     } else if classes.iter().all(|c| c.share == 0.0) {
         top.wrong(&(0..0), "no class has a share: expected one with `share` above 0");
     }
-    let length = top.time("for_s", 0.1..=LONGEST_S, None);
+    let length = top.time("for_s", 0.1..=MAX_LENGTH_S, None);
     let arrivals = match top.table("arrivals") {
         Some(t) => arrivals(t),
         None => {
@@ -131,9 +131,9 @@
         arrivals,
         length,
         connections: top.whole("connections", 1..=60_000, Some(256)),
-        kept: top.flag("keep_connections", true),
+        keep_connections: top.flag("keep_connections", true),
         platform: top.flag("platform", true),
-        tenants: top.whole("tenants", 0..=MOST_TENANTS, Some(0)),
+        tenants: top.whole("tenants", 0..=MAX_TENANTS, Some(0)),
     };
     top.finish();
     profile
@@ -176,12 +176,12 @@
     let spacing = t.choice("spacing", &spacings, Some(Spacing::Poisson));
     let steps = t.tables("steps");
     let rates = if steps.is_empty() {
-        let rate = t.number("rate", 0.001..=MOST_RATE, None);
-        let to = t.has("to").then(|| t.number("to", 0.001..=MOST_RATE, None));
+        let rate = t.number("rate", 0.001..=MAX_RATE_PER_S, None);
+        let to = t.has("to").then(|| t.number("to", 0.001..=MAX_RATE_PER_S, None));
         let bursts = t.has("burst_factor").then(|| {
             let factor = t.number("burst_factor", 1.0..=1000.0, None);
-            let every = t.number("burst_every_s", 0.1..=LONGEST_S, Some(10.0));
-            (factor, every, t.number("burst_s", 0.01..=LONGEST_S, Some(1.0)))
+            let every = t.number("burst_every_s", 0.1..=MAX_LENGTH_S, Some(10.0));
+            (factor, every, t.number("burst_s", 0.01..=MAX_LENGTH_S, Some(1.0)))
         });
         match (to, bursts) {
             (Some(_), Some(_)) => {
@@ -190,20 +190,22 @@
                 Rates::steady(rate)
             }
             (Some(to), None) => Rates::ramp(rate, to),
-            (None, Some((_, every, lasts))) if lasts >= every => {
+            (None, Some((_, every, duration_s))) if duration_s >= every => {
                 let what = "`arrivals.burst_s` is as long as `burst_every_s`: make it shorter";
                 t.wrong(&t.span_of("burst_s"), what);
                 Rates::steady(rate)
             }
-            (None, Some((factor, every, lasts))) => Rates::bursts(rate, factor, every, lasts),
+            (None, Some((factor, every, duration_s))) => {
+                Rates::bursts(rate, factor, every, duration_s)
+            }
             (None, None) => Rates::steady(rate),
         }
     } else {
         let step = |t: Table| {
-            let rate = t.number("rate", 0.001..=MOST_RATE, None);
-            let lasts = t.number("for_s", 0.01..=LONGEST_S, None);
+            let rate = t.number("rate", 0.001..=MAX_RATE_PER_S, None);
+            let duration_s = t.number("for_s", 0.01..=MAX_LENGTH_S, None);
             t.finish();
-            (rate, lasts)
+            (rate, duration_s)
         };
         Rates::steps(steps.into_iter().map(step).collect())
     };
--- a/crates/load/src/schedule.rs
+++ b/crates/load/src/schedule.rs
@@ -20,33 +20,33 @@
 /// Request rate over time, in requests per second: segments in which the rate changes linearly.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rates {
-    stretches: Vec<Stretch>,
+    segments: Vec<Segment>,
     /// Whether the segments repeat from the first one after the last; otherwise the last rate continues.
-    again: bool,
+    repeats: bool,
     /// Whether the only segment is as long as the run.
-    whole: bool,
+    spans_run: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Stretch {
+struct Segment {
     from: f64,
     to: f64,
     /// Duration in seconds.
-    lasts: f64,
+    duration_s: f64,
 }
 
-impl Stretch {
+impl Segment {
     /// Returns the mean number of requests due in this segment.
-    fn area(self) -> f64 {
-        (self.from + self.to) / 2.0 * self.lasts
+    fn request_count(self) -> f64 {
+        (self.from + self.to) / 2.0 * self.duration_s
     }
 
     /// Returns the time from the start of the segment until `requests` requests are due, in seconds.
-    fn until(self, requests: f64) -> f64 {
-        let slope = (self.to - self.from) / self.lasts;
+    fn time_until(self, requests: f64) -> f64 {
+        let slope = (self.to - self.from) / self.duration_s;
         let root = (self.from * self.from + 2.0 * slope * requests).max(0.0).sqrt();
         // Of the two forms of the quadratic formula, this one avoids cancellation between nearly equal numbers.
-        (2.0 * requests / (self.from + root)).min(self.lasts)
+        (2.0 * requests / (self.from + root)).min(self.duration_s)
     }
 }
 
@@ -58,54 +58,59 @@
 
     /// A rate that changes linearly from `from` to `to` over the whole run.
     pub fn ramp(from: f64, to: f64) -> Self {
-        Self { stretches: vec![Stretch { from, to, lasts: 1.0 }], again: false, whole: true }
+        Self {
+            segments: vec![Segment { from, to, duration_s: 1.0 }],
+            repeats: false,
+            spans_run: true,
+        }
     }
 
     /// A constant rate that is multiplied by `factor` for the last `duration_s` seconds of each period of `every`
     /// seconds.
-    pub fn bursts(rate: f64, factor: f64, every: f64, lasts: f64) -> Self {
-        let flat = |rate, lasts| Stretch { from: rate, to: rate, lasts };
-        let stretches = vec![flat(rate, every - lasts), flat(rate * factor, lasts)];
-        Self { stretches, again: true, whole: false }
+    pub fn bursts(rate: f64, factor: f64, every: f64, duration_s: f64) -> Self {
+        let flat = |rate, duration_s| Segment { from: rate, to: rate, duration_s };
+        let segments = vec![flat(rate, every - duration_s), flat(rate * factor, duration_s)];
+        Self { segments, repeats: true, spans_run: false }
     }
 
     /// Constant rates, each given with its duration in seconds. The last rate continues.
     pub fn steps(steps: Vec<(f64, f64)>) -> Self {
-        let flat = |(rate, lasts)| Stretch { from: rate, to: rate, lasts };
-        Self { stretches: steps.into_iter().map(flat).collect(), again: false, whole: false }
+        let flat = |(rate, duration_s)| Segment { from: rate, to: rate, duration_s };
+        Self { segments: steps.into_iter().map(flat).collect(), repeats: false, spans_run: false }
     }
 
     /// Returns the mean number of requests due until `by` in a run of this length.
     pub fn mean(&self, by: Duration, length: Duration) -> f64 {
-        let mut left = by.as_secs_f64();
-        let mut sum = 0.0;
+        let mut remaining_s = by.as_secs_f64();
+        let mut total = 0.0;
         for i in 0.. {
-            let stretch = self.stretch(i, length);
-            if left <= stretch.lasts {
-                let to = stretch.from + (stretch.to - stretch.from) * left / stretch.lasts;
-                return sum + Stretch { to, lasts: left, ..stretch }.area();
+            let segment = self.segment(i, length);
+            if remaining_s <= segment.duration_s {
+                let to =
+                    segment.from + (segment.to - segment.from) * remaining_s / segment.duration_s;
+                return total + Segment { to, duration_s: remaining_s, ..segment }.request_count();
             }
-            left -= stretch.lasts;
-            sum += stretch.area();
+            remaining_s -= segment.duration_s;
+            total += segment.request_count();
         }
-        sum
+        total
     }
 
-    fn stretch(&self, i: usize, length: Duration) -> Stretch {
-        let all = self.stretches.len();
-        let last = Stretch { from: 1.0, to: 1.0, lasts: f64::MAX };
-        if self.whole {
-            let only = self.stretches.first().copied().unwrap_or(last);
-            let lasts = length.as_secs_f64();
-            let then = Stretch { from: only.to, to: only.to, lasts: f64::MAX };
-            return if i == 0 { Stretch { lasts, ..only } } else { then };
+    fn segment(&self, i: usize, length: Duration) -> Segment {
+        let segment_count = self.segments.len();
+        let last = Segment { from: 1.0, to: 1.0, duration_s: f64::MAX };
+        if self.spans_run {
+            let only = self.segments.first().copied().unwrap_or(last);
+            let duration_s = length.as_secs_f64();
+            let after_run = Segment { from: only.to, to: only.to, duration_s: f64::MAX };
+            return if i == 0 { Segment { duration_s, ..only } } else { after_run };
         }
-        match self.stretches.get(i) {
-            Some(stretch) => *stretch,
-            None if self.again => self.stretches[i % all],
+        match self.segments.get(i) {
+            Some(segment) => *segment,
+            None if self.repeats => self.segments[i % segment_count],
             None => {
-                let rate = self.stretches.last().map_or(last.to, |s| s.to);
-                Stretch { from: rate, to: rate, lasts: f64::MAX }
+                let rate = self.segments.last().map_or(last.to, |s| s.to);
+                Segment { from: rate, to: rate, duration_s: f64::MAX }
             }
         }
     }
@@ -126,12 +131,12 @@
     spacing: Spacing,
     length: Duration,
     shares: Vec<f64>,
-    times: ChaCha8Rng,
-    classes: ChaCha8Rng,
+    interval_rng: ChaCha8Rng,
+    class_rng: ChaCha8Rng,
     /// Index of the current segment, followed by its start in seconds and the requests due in it so far.
-    stretch: usize,
-    began: f64,
-    passed: f64,
+    segment: usize,
+    segment_start_s: f64,
+    requests_in_segment: f64,
 }
 
 impl Schedule {
@@ -153,11 +158,11 @@
             spacing,
             length,
             shares: shares.to_vec(),
-            times: stream(1),
-            classes: stream(2),
-            stretch: 0,
-            began: 0.0,
-            passed: 0.0,
+            interval_rng: stream(1),
+            class_rng: stream(2),
+            segment: 0,
+            segment_start_s: 0.0,
+            requests_in_segment: 0.0,
         }
     }
 }
@@ -166,21 +171,21 @@
     type Item = Due;
 
     fn next(&mut self) -> Option<Due> {
-        self.passed += match self.spacing {
-            Spacing::Poisson => Exp1.sample(&mut self.times),
+        self.requests_in_segment += match self.spacing {
+            Spacing::Poisson => Exp1.sample(&mut self.interval_rng),
             Spacing::Even => 1.0,
         };
         loop {
-            let stretch = self.rates.stretch(self.stretch, self.length);
-            if self.passed <= stretch.area() {
-                let at = self.began + stretch.until(self.passed);
+            let segment = self.rates.segment(self.segment, self.length);
+            if self.requests_in_segment <= segment.request_count() {
+                let at = self.segment_start_s + segment.time_until(self.requests_in_segment);
                 let at = Duration::try_from_secs_f64(at).ok().filter(|at| *at < self.length)?;
-                return Some(Due { at, class: draw(&self.shares, &mut self.classes) });
+                return Some(Due { at, class: sample_class(&self.shares, &mut self.class_rng) });
             }
-            self.passed -= stretch.area();
-            self.began += stretch.lasts;
-            self.stretch += 1;
-            if self.began >= self.length.as_secs_f64() {
+            self.requests_in_segment -= segment.request_count();
+            self.segment_start_s += segment.duration_s;
+            self.segment += 1;
+            if self.segment_start_s >= self.length.as_secs_f64() {
                 return None;
             }
         }
@@ -188,7 +193,7 @@
 }
 
 /// Returns a random index into `shares`, with probability proportional to the share.
-pub fn draw(shares: &[f64], rng: &mut ChaCha8Rng) -> usize {
+pub fn sample_class(shares: &[f64], rng: &mut ChaCha8Rng) -> usize {
     let mut at = rng.random::<f64>() * shares.iter().sum::<f64>();
     let found = shares.iter().position(|share| {
         at -= share;
--- a/crates/load/tests/formats.rs
+++ b/crates/load/tests/formats.rs
@@ -1,21 +1,21 @@
-//! The JSON report on a load and the profile files, exactly as they are written and read.
+//! File formats: the JSON report, byte for byte, and the keys of the TOML profiles.
 
 use std::time::Duration;
 
-use hollowpaddle_load::account::{ClassReport, Counts, Report, Second, Spread, VERSION};
+use hollowpaddle_load::account::{ClassReport, Counts, REPORT_VERSION, Report, Second, Spread};
 use hollowpaddle_load::profile::{Arrivals, Class, Effect, Profile};
 use hollowpaddle_load::schedule::{Rates, Spacing};
 
 const REPORT: &str = include_str!("formats/report.json");
 const OPEN_LOOP: &str = include_str!("formats/open-loop.toml");
-/// Profiles that differ from each other in their arrivals alone.
+/// Contents of the `[arrivals]` table of three profiles.
 const RAMP: &str = "rate = 100\nto = 300";
 const CLOSED: &str = "closed = 5";
 const STEPS: &str =
     "[[arrivals.steps]]\nrate = 10\nfor_s = 2\n[[arrivals.steps]]\nrate = 20\nfor_s = 3";
 
-/// A report with a value of its own in every field.
-fn report() -> Report {
+/// Returns a report with a distinct value in every field.
+fn distinct_report() -> Report {
     Report {
         version: 2,
         target: "text-3".into(),
@@ -82,9 +82,9 @@
 #[test]
 fn report_is_written_byte_for_byte() {
     let text = REPORT.trim_end();
-    assert_eq!(serde_json::to_string(&report()).expect("JSON"), text);
-    assert_eq!(VERSION, 1);
-    let without_doubt = Report { doubt: None, ..report() };
+    assert_eq!(serde_json::to_string(&distinct_report()).expect("JSON"), text);
+    assert_eq!(REPORT_VERSION, 1);
+    let without_doubt = Report { doubt: None, ..distinct_report() };
     let shorter = serde_json::to_string(&without_doubt).expect("JSON");
     let (before, after) = text.split_once("\"doubt\":").expect("the key");
     let (_, after) = after.split_once(',').expect("another key");
@@ -113,7 +113,7 @@
         arrivals: Arrivals::Open(Spacing::Even, Rates::bursts(200.0, 3.0, 8.0, 2.0)),
         length: Duration::from_secs(30),
         connections: 64,
-        kept: false,
+        keep_connections: false,
         platform: false,
         tenants: 7,
     };
--- a/crates/scale-harness/src/measure/load.rs
+++ b/crates/scale-harness/src/measure/load.rs
@@ -56,7 +56,7 @@
             arrivals: Arrivals::Open(Spacing::Poisson, Rates::steady(self.rate)),
             length: self.length,
             connections: CONNECTIONS,
-            kept: true,
+            keep_connections: true,
             platform: true,
             tenants: tenants as u32,
         }
@@ -150,7 +150,7 @@
     let runtime = runtime.map_err(MeasureError::setup("the load generator"))?;
     let target = Target { address, host: "api.internal".to_string() };
     // Timers ring up to a millisecond late, which is more than what is to be measured.
-    let played = driver::run(Rc::new(Tcp), target, profile, SEED, Waiting::Awake, |_| {});
+    let played = driver::run(Rc::new(Tcp), target, profile, SEED, Waiting::BusyWait, |_| {});
     Ok(LocalSet::new().block_on(&runtime, played))
 }
 
