--- a/crates/load/tests/known_truths.rs
+++ b/crates/load/tests/measurements.rs
@@ -1,4 +1,4 @@
-//! The tool against stand-ins whose truth is known, in virtual time.
+//! Measurements of the load generator against simulated servers with known latencies and outcomes, in virtual time.
 
 use std::convert::Infallible;
 use std::net::{IpAddr, Ipv4Addr, SocketAddr};
@@ -23,9 +23,10 @@
 const SERVER: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 0, 1));
 const CLIENT: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 0, 2));
 
-/// A server that takes so long for a request, and so many at once; for one second from `stops` on it does nothing.
+/// A simulated server. It serves up to `slots` requests at once, each for the duration `takes`. From `stops` on, it stalls
+/// for one second.
 #[derive(Clone, Copy)]
-struct Standin {
+struct SimulatedServer {
     takes: Duration,
     slots: usize,
     stops: Option<Duration>,
@@ -33,7 +34,7 @@
     closes: bool,
 }
 
-impl Standin {
+impl SimulatedServer {
     const QUICK: Self = Self {
         takes: Duration::from_millis(10),
         slots: 1000,
@@ -45,7 +46,7 @@
     fn start(self, network: Rc<dyn Network>) -> Target {
         let mut listener = network.listen(SocketAddr::new(SERVER, 0)).expect("a port");
         let address = listener.local_addr();
-        let (slots, zero) = (Rc::new(Semaphore::new(self.slots)), Instant::now());
+        let (slots, started_at) = (Rc::new(Semaphore::new(self.slots)), Instant::now());
         spawn_local(async move {
             while let Ok((stream, _)) = accept(&mut *listener).await {
                 let slots = slots.clone();
@@ -54,9 +55,10 @@
                         let _slot = slots.acquire().await.expect("open");
                         sleep(self.takes).await;
                         if let Some(stops) = self.stops
-                            && (stops..stops + Duration::from_secs(1)).contains(&zero.elapsed())
+                            && (stops..stops + Duration::from_secs(1))
+                                .contains(&started_at.elapsed())
                         {
-                            sleep_until(zero + stops + Duration::from_secs(1)).await;
+                            sleep_until(started_at + stops + Duration::from_secs(1)).await;
                         }
                         let mut answer = Response::new(Full::new(Bytes::from_static(b"done")));
                         *answer.status_mut() = self.status;
@@ -73,13 +75,13 @@
     }
 }
 
-/// Plays this load against a stand-in.
-fn play(standin: Standin, profile: &Profile) -> Report {
+/// Runs the load against a simulated server and returns the report.
+fn run_load(server: SimulatedServer, profile: &Profile) -> Report {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let fabric = Fabric::new(Duration::ZERO, |_, _| Duration::ZERO);
-        let target = standin.start(fabric.host(SERVER));
+        let target = server.start(fabric.host(SERVER));
         let account = run(fabric.host(CLIENT), target, profile, 5, Waiting::ByTimer, |_| {}).await;
         let open = matches!(profile.arrivals, Arrivals::Open(..));
         let about = About { target: "standin", seed: 5, open, length: profile.length };
@@ -100,13 +102,13 @@
 }
 
 #[test]
-fn a_stop_of_the_target_shows_in_an_open_loop_and_hides_from_a_closed_one() {
-    let stops = Standin { stops: Some(Duration::from_secs(4)), ..Standin::QUICK };
-    let open = play(stops, &profile(even(100.0), 10));
-    // A tenth of the requests are due within the stop and wait for its end: one in a hundred for over 0.9 s.
+fn open_loop_latency_includes_a_stall_of_the_target_and_closed_loop_latency_omits_it() {
+    let stops = SimulatedServer { stops: Some(Duration::from_secs(4)), ..SimulatedServer::QUICK };
+    let open = run_load(stops, &profile(even(100.0), 10));
+    // A tenth of the requests are due during the stall and wait for its end, so 1 % of all wait for over 0.9 s.
     let p99 = open.classes[0].latency_ms.p99;
     assert!((p99 / 910.0 - 1.0).abs() < 0.05, "{p99} ms");
-    let closed = play(stops, &profile(Arrivals::Closed(1), 10));
+    let closed = run_load(stops, &profile(Arrivals::Closed(1), 10));
     let p99 = closed.classes[0].latency_ms.p99;
     assert!(p99 < 20.0, "{p99} ms");
     assert!(closed.classes[0].latency_ms.most > 900.0);
@@ -114,62 +116,71 @@
 }
 
 #[test]
-fn one_slot_and_an_exact_service_time_are_the_queue_m_d_1() {
+fn mean_latency_of_one_slot_with_constant_service_time_matches_an_m_d_1_queue() {
     let takes = Duration::from_millis(100);
-    let standin = Standin { takes, slots: 1, ..Standin::QUICK };
+    let server = SimulatedServer { takes, slots: 1, ..SimulatedServer::QUICK };
     for load in [0.3, 0.5, 0.7] {
         let arrivals = Arrivals::Open(Spacing::Poisson, Rates::steady(load / 0.1));
-        let report = play(standin, &profile(arrivals, 40_000));
-        // Pollaczek and Khinchine: the mean wait is load * service / (2 * (1 - load)).
-        let truth = 100.0 + 100.0 * load / (2.0 * (1.0 - load));
+        let report = run_load(server, &profile(arrivals, 40_000));
+        // Pollaczek-Khinchine formula: the mean wait is load * service / (2 * (1 - load)).
+        let expected = 100.0 + 100.0 * load / (2.0 * (1.0 - load));
         let mean = report.classes[0].latency_ms.mean;
-        assert!((mean / truth - 1.0).abs() < 0.04, "load {load}: {mean} ms, {truth} by theory");
+        assert!(
+            (mean / expected - 1.0).abs() < 0.04,
+            "load {load}: {mean} ms, {expected} by theory"
+        );
     }
 }
 
 #[test]
-fn every_end_is_counted_as_what_it_is() {
-    let counts = |standin: Standin, profile: &Profile| play(standin, profile).classes[0].counts;
+fn requests_are_counted_by_their_outcome() {
+    let counts =
+        |server: SimulatedServer, profile: &Profile| run_load(server, profile).classes[0].counts;
     let all = profile(even(100.0), 2);
-    let c = counts(Standin::QUICK, &all);
+    let c = counts(SimulatedServer::QUICK, &all);
     assert_eq!((c.asked, c.served), (199, 199));
-    let c = counts(Standin { status: StatusCode::SERVICE_UNAVAILABLE, ..Standin::QUICK }, &all);
+    let c = counts(
+        SimulatedServer { status: StatusCode::SERVICE_UNAVAILABLE, ..SimulatedServer::QUICK },
+        &all,
+    );
     assert_eq!((c.served, c.refused), (0, 199));
-    let c = counts(Standin { status: StatusCode::BAD_GATEWAY, ..Standin::QUICK }, &all);
+    let c =
+        counts(SimulatedServer { status: StatusCode::BAD_GATEWAY, ..SimulatedServer::QUICK }, &all);
     assert_eq!((c.served, c.failed), (0, 199));
-    let c = counts(Standin { closes: true, ..Standin::QUICK }, &all);
+    let c = counts(SimulatedServer { closes: true, ..SimulatedServer::QUICK }, &all);
     assert_eq!((c.served, c.broken), (199, 0), "a new connection for each");
     let mut brief = all.clone();
     brief.classes[0].deadline = Duration::from_millis(200);
-    let never = Standin { takes: Duration::from_secs(3600), ..Standin::QUICK };
+    let never = SimulatedServer { takes: Duration::from_secs(3600), ..SimulatedServer::QUICK };
     assert_eq!(counts(never, &brief).timed_out, 199);
 }
 
 #[test]
-fn a_tool_with_too_few_connections_says_so_in_the_latency() {
+fn latency_includes_waiting_for_a_free_connection() {
     let mut few = profile(even(100.0), 5);
     few.connections = 1;
     let takes = Duration::from_millis(20);
-    let report = play(Standin { takes, ..Standin::QUICK }, &few);
-    // Twice as much as one connection carries: what waits for it is not left out.
+    let report = run_load(SimulatedServer { takes, ..SimulatedServer::QUICK }, &few);
+    // The rate is twice what one connection carries. The latency includes the time spent waiting for the connection.
     assert!(report.classes[0].latency_ms.p99 > 4000.0, "{report:?}");
     assert!(report.classes[0].from_sending_ms.p99 < 25.0 && report.waiting_ms.p99 > 4000.0);
     assert_eq!(report.connections, 1);
 }
 
 #[test]
-fn answers_are_read_between_requests_that_are_due_at_once() {
-    // Timers tell milliseconds apart, so 200 are due at each. Turned to in one go, each would find no free connection.
-    let standin = Standin { takes: Duration::ZERO, ..Standin::QUICK };
+fn responses_are_read_between_requests_due_at_the_same_time() {
+    // Timers have a resolution of 1 ms, so 200 requests are due at each tick. If all of them started before any response
+    // was read, none would find a free connection.
+    let server = SimulatedServer { takes: Duration::ZERO, ..SimulatedServer::QUICK };
     let mut brief = profile(even(200_000.0), 1);
     brief.length = Duration::from_millis(50);
-    let report = play(standin, &brief);
+    let report = run_load(server, &brief);
     assert!(report.connections < 100, "{} connections", report.connections);
     assert_eq!(report.classes[0].counts.served, report.classes[0].counts.asked);
 }
 
 #[test]
-fn nobody_there_is_unreachable_and_no_panic() {
+fn missing_server_counts_as_unreachable() {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     let account = LocalSet::new().block_on(&runtime.expect("a runtime"), async {
--- a/crates/load/tests/profiles.rs
+++ b/crates/load/tests/profiles.rs
@@ -1,4 +1,4 @@
-//! Profiles and schedules: every mistake is told with its line, and arrivals are a pure function of the seed.
+//! Profiles report every error with its line, and the arrivals of a schedule are a pure function of its seed.
 
 use std::time::Duration;
 
@@ -6,7 +6,7 @@
 use hollowpaddle_load::schedule::{Rates, Schedule, Spacing};
 use proptest::prelude::*;
 
-const SOUND: &str = r#"for_s = 30
+const VALID_PROFILE: &str = r#"for_s = 30
 connections = 64
 
 [arrivals]
@@ -25,12 +25,12 @@
 "#;
 
 fn problems(text: &str) -> Vec<String> {
-    let problems = Profile::read("p.toml", text).expect_err("it is wrong");
+    let problems = Profile::read("p.toml", text).expect_err("the profile is invalid");
     problems.0.iter().map(ToString::to_string).collect()
 }
 
 #[test]
-fn what_ships_is_sound() {
+fn shipped_profiles_are_valid() {
     for file in std::fs::read_dir("../../profiles").expect("the folder") {
         let path = file.expect("an entry").path();
         let text = std::fs::read_to_string(&path).expect("readable");
@@ -39,35 +39,39 @@
 }
 
 #[test]
-fn every_mistake_is_told_with_its_line() {
-    let wrong = SOUND
+fn every_error_is_reported_with_its_line() {
+    let wrong = VALID_PROFILE
         .replace("for_s = 30", "for_s = 0")
         .replace("rate = 200", "rat = 200")
         .replace("\"unsafe\"", "\"sound\"");
-    let told = problems(&wrong);
+    let reported = problems(&wrong);
     for part in [
         "p.toml:1:9: `for_s` is 0: expected a number from 0.1",
         "`arrivals.rate` is missing",
         "p.toml:5:1: `arrivals.rat` is not known here",
         "`classes.effect` is \"sound\": expected one of safe, keyed, unsafe",
     ] {
-        assert!(told.iter().any(|t| t.contains(part)), "{part}: {told:?}");
+        assert!(reported.iter().any(|t| t.contains(part)), "{part}: {reported:?}");
     }
-    let told = problems(&SOUND.replace("burst_factor = 3", "burst_factor = 3\nto = 300"));
-    assert!(told.iter().any(|t| t.contains("a ramp (`to`) and bursts at once")), "{told:?}");
-    let told = problems(&SOUND.replace("share = 0.6", "share = 0.6\nbody_bytes = 3"));
-    assert!(told.iter().any(|t| t.contains("means nothing for a safe class")), "{told:?}");
+    let reported =
+        problems(&VALID_PROFILE.replace("burst_factor = 3", "burst_factor = 3\nto = 300"));
+    assert!(
+        reported.iter().any(|t| t.contains("a ramp (`to`) and bursts at once")),
+        "{reported:?}"
+    );
+    let reported = problems(&VALID_PROFILE.replace("share = 0.6", "share = 0.6\nbody_bytes = 3"));
+    assert!(reported.iter().any(|t| t.contains("means nothing for a safe class")), "{reported:?}");
     assert!(problems("").iter().any(|t| t.contains("no class")));
 }
 
-fn times(rates: &Rates, spacing: Spacing, seconds: u64, seed: u64) -> Vec<f64> {
+fn arrival_times(rates: &Rates, spacing: Spacing, seconds: u64, seed: u64) -> Vec<f64> {
     let length = Duration::from_secs(seconds);
     let all = Schedule::new(rates, spacing, length, &[1.0], seed);
     all.map(|d| d.at.as_secs_f64()).collect()
 }
 
 #[test]
-fn a_schedule_has_the_rates_that_were_asked_for() {
+fn schedule_follows_the_given_rates() {
     let shapes = [
         Rates::steady(50.0),
         Rates::ramp(1.0, 100.0),
@@ -76,25 +80,25 @@
         Rates::steps(vec![(10.0, 20.0), (100.0, 30.0), (5.0, 1.0)]),
     ];
     for rates in shapes {
-        let all = times(&rates, Spacing::Even, 100, 1);
+        let all = arrival_times(&rates, Spacing::Even, 100, 1);
         let length = Duration::from_secs(100);
         let mean = rates.mean(length, length);
         assert!((all.len() as f64 - mean).abs() <= 1.0, "{} of {mean}: {rates:?}", all.len());
-        // Evenly: so many are due by any time, and one more a moment after that.
+        // With even spacing, the count at any time differs from the mean by at most one request.
         for t in [7u64, 19, 33, 60, 95] {
             let by = all.iter().filter(|at| **at <= t as f64 + 1e-9).count() as f64;
             let due = rates.mean(Duration::from_secs(t), length);
             assert!((by - due).abs() <= 1.0, "{by} by {t} s, {due} are due: {rates:?}");
         }
-        let poisson = times(&rates, Spacing::Poisson, 100, 1).len() as f64;
+        let poisson = arrival_times(&rates, Spacing::Poisson, 100, 1).len() as f64;
         assert!((poisson - mean).abs() < 5.0 * mean.sqrt(), "{poisson} of {mean}");
     }
 }
 
 #[test]
-fn poisson_arrivals_spread_as_their_mean() {
-    // Counts of each second have a variance like their mean; evenly spaced ones have none.
-    let all = times(&Rates::steady(20.0), Spacing::Poisson, 5000, 3);
+fn variance_of_poisson_arrivals_equals_their_mean() {
+    // The counts per second have a variance equal to their mean; those of evenly spaced arrivals have a variance of 0.
+    let all = arrival_times(&Rates::steady(20.0), Spacing::Poisson, 5000, 3);
     let mut counts = vec![0.0; 5000];
     all.iter().for_each(|t| counts[*t as usize] += 1.0);
     let mean = counts.iter().sum::<f64>() / 5000.0;
@@ -109,15 +113,17 @@
     ) {
         let spacing = if poisson { Spacing::Poisson } else { Spacing::Even };
         let rates = Rates::ramp(rate, to);
-        let all = times(&rates, spacing, seconds, seed);
+        let all = arrival_times(&rates, spacing, seconds, seed);
         prop_assert!(all.is_sorted() && all.iter().all(|t| (0.0..seconds as f64).contains(t)));
-        prop_assert_eq!(all, times(&rates, spacing, seconds, seed));
+        prop_assert_eq!(all, arrival_times(&rates, spacing, seconds, seed));
     }
 
     #[test]
-    fn no_change_of_a_sound_file_is_a_panic(at in 0usize..SOUND.len(), cut in 0usize..30, new in "[ -~\n]{0,8}") {
-        let end = (at + cut).min(SOUND.len());
-        let text = format!("{}{new}{}", &SOUND[..at], &SOUND[end..]);
+    fn no_change_of_a_valid_profile_causes_a_panic(
+        at in 0usize..VALID_PROFILE.len(), cut in 0usize..30, new in "[ -~\n]{0,8}",
+    ) {
+        let end = (at + cut).min(VALID_PROFILE.len());
+        let text = format!("{}{new}{}", &VALID_PROFILE[..at], &VALID_PROFILE[end..]);
         if let Ok(profile) = Profile::read("any.toml", &text)
             && let Arrivals::Open(spacing, rates) = &profile.arrivals
         {
--- a/crates/load/tests/tenants.rs
+++ b/crates/load/tests/tenants.rs
@@ -1,4 +1,4 @@
-//! Requests name their tenants.
+//! The `X-Tenant` header of generated requests.
 
 use std::cell::RefCell;
 use std::collections::BTreeSet;
@@ -23,10 +23,10 @@
 const SERVER: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 0, 1));
 const CLIENT: IpAddr = IpAddr::V4(Ipv4Addr::new(127, 0, 0, 2));
 
-/// The tenants that a server was named; `None` stands for a request without one.
-type Named = Rc<RefCell<BTreeSet<Option<String>>>>;
+/// Tenants named by the requests that a server received; `None` stands for a request without a tenant.
+type NamedTenants = Rc<RefCell<BTreeSet<Option<String>>>>;
 
-fn serve(network: &Rc<dyn Network>, named: Named) -> SocketAddr {
+fn serve(network: &Rc<dyn Network>, named: NamedTenants) -> SocketAddr {
     let mut listener = network.listen(SocketAddr::new(SERVER, 0)).expect("a port");
     let address = listener.local_addr();
     spawn_local(async move {
@@ -48,12 +48,12 @@
     address
 }
 
-fn named_with(tenants: u32) -> BTreeSet<Option<String>> {
+fn tenants_named_by_requests(tenants: u32) -> BTreeSet<Option<String>> {
     let runtime =
         tokio::runtime::Builder::new_current_thread().enable_time().start_paused(true).build();
     LocalSet::new().block_on(&runtime.expect("a runtime"), async {
         let fabric = Fabric::new(Duration::ZERO, |_, _| Duration::ZERO);
-        let named = Named::default();
+        let named = NamedTenants::default();
         let server: Rc<dyn Network> = fabric.host(SERVER);
         let target = Target { address: serve(&server, named.clone()), host: "server".to_string() };
         let profile = Profile {
@@ -69,12 +69,12 @@
 }
 
 #[test]
-fn requests_name_each_of_so_many_tenants() {
+fn requests_name_every_tenant() {
     let expected = ["t0", "t1", "t2"].map(|name| Some(name.to_string()));
-    assert_eq!(named_with(3), BTreeSet::from(expected));
+    assert_eq!(tenants_named_by_requests(3), BTreeSet::from(expected));
 }
 
 #[test]
-fn requests_name_no_tenant_where_there_is_none() {
-    assert_eq!(named_with(0), BTreeSet::from([None]));
+fn requests_name_no_tenant_if_none_are_configured() {
+    assert_eq!(tenants_named_by_requests(0), BTreeSet::from([None]));
 }
