--- a/crates/load/src/account.rs
+++ b/crates/load/src/account.rs
@@ -298,8 +298,8 @@
             Some(format!("{unsent} requests were never sent: too many were open already"))
         } else if lateness.p99 > tolerated_ms {
             Some(format!(
-                "this tool turned to one request in a hundred {:.1} ms late or later: the machine can't send so \
-                 much; ask for less, or leave it a core",
+                "the generator started 1 % of the requests at least {:.1} ms late: the machine can't send at this \
+                 rate; lower the rate or leave the generator a core",
                 lateness.p99
             ))
         } else {
@@ -385,7 +385,7 @@
             )?;
         }
         match &self.doubt {
-            Some(doubt) => writeln!(out, "\nNOT VOUCHED FOR: {doubt}"),
+            Some(doubt) => writeln!(out, "\nUNRELIABLE RESULT: {doubt}"),
             None => Ok(()),
         }
     }
