--- a/crates/load/src/schedule.rs
+++ b/crates/load/src/schedule.rs
@@ -1,5 +1,6 @@
-//! When requests are due, drawn ahead from a seed: a pure function of rates, spacing and seed, and nothing of what
-//! becomes of a request moves those behind it (Schroeder, Wierman, Harchol-Balter, "Open versus closed", NSDI 2006).
+//! Arrival times of requests, drawn from a seed. The schedule is a pure function of the rates, the spacing and the
+//! seed: the outcome of a request never moves later requests (Schroeder, Wierman, Harchol-Balter, "Open versus closed",
+//! NSDI 2006).
 
 use std::time::Duration;
 
@@ -7,133 +8,139 @@
 use rand_chacha::ChaCha8Rng;
 use rand_distr::{Distribution, Exp1};
 
-/// How requests follow one another at a given rate.
+/// Distribution of the intervals between requests at a given rate.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Spacing {
-    /// As of many clients that know nothing of one another.
+    /// Exponential intervals, as from many independent clients.
     Poisson,
-    /// At equal distances.
+    /// Equal intervals.
     Even,
 }
 
-/// Requests a second over time: stretches on which the rate goes straight from one figure to another.
+/// Request rate over time, in requests per second: segments in which the rate changes linearly.
 #[derive(Clone, Debug, PartialEq)]
 pub struct Rates {
-    stretches: Vec<Stretch>,
-    /// Played again from the start once all have passed; otherwise the last rate goes on.
-    again: bool,
-    /// The one stretch is as long as the run.
-    whole: bool,
+    segments: Vec<Segment>,
+    /// Whether the segments repeat from the first one after the last; otherwise the last rate continues.
+    repeats: bool,
+    /// Whether the only segment is as long as the run.
+    spans_run: bool,
 }
 
 #[derive(Clone, Copy, Debug, PartialEq)]
-struct Stretch {
+struct Segment {
     from: f64,
     to: f64,
-    /// In seconds.
-    lasts: f64,
+    /// Duration in seconds.
+    duration_s: f64,
 }
 
-impl Stretch {
-    /// Requests due in it.
-    fn area(self) -> f64 {
-        (self.from + self.to) / 2.0 * self.lasts
+impl Segment {
+    /// Returns the mean number of requests due in this segment.
+    fn request_count(self) -> f64 {
+        (self.from + self.to) / 2.0 * self.duration_s
     }
 
-    /// How far into it so many are due, in seconds.
-    fn until(self, requests: f64) -> f64 {
-        let slope = (self.to - self.from) / self.lasts;
+    /// Returns the time from the start of the segment until `requests` requests are due, in seconds.
+    fn time_until(self, requests: f64) -> f64 {
+        let slope = (self.to - self.from) / self.duration_s;
         let root = (self.from * self.from + 2.0 * slope * requests).max(0.0).sqrt();
-        // Of the two ways to solve the square, the one that takes nothing from its like.
-        (2.0 * requests / (self.from + root)).min(self.lasts)
+        // Of the two forms of the quadratic formula, this one avoids cancellation between nearly equal numbers.
+        (2.0 * requests / (self.from + root)).min(self.duration_s)
     }
 }
 
 impl Rates {
-    /// The same all the time.
+    /// A constant rate.
     pub fn steady(rate: f64) -> Self {
         Self::ramp(rate, rate)
     }
 
-    /// From one rate to another, over the whole run.
+    /// A rate that changes linearly from `from` to `to` over the whole run.
     pub fn ramp(from: f64, to: f64) -> Self {
-        Self { stretches: vec![Stretch { from, to, lasts: 1.0 }], again: false, whole: true }
+        Self {
+            segments: vec![Segment { from, to, duration_s: 1.0 }],
+            repeats: false,
+            spans_run: true,
+        }
     }
 
-    /// So many times the rate for `lasts` seconds, at the end of each `every` seconds.
-    pub fn bursts(rate: f64, factor: f64, every: f64, lasts: f64) -> Self {
-        let flat = |rate, lasts| Stretch { from: rate, to: rate, lasts };
-        let stretches = vec![flat(rate, every - lasts), flat(rate * factor, lasts)];
-        Self { stretches, again: true, whole: false }
+    /// A constant rate that is multiplied by `factor` for the last `duration_s` seconds of each period of `every`
+    /// seconds.
+    pub fn bursts(rate: f64, factor: f64, every: f64, duration_s: f64) -> Self {
+        let flat = |rate, duration_s| Segment { from: rate, to: rate, duration_s };
+        let segments = vec![flat(rate, every - duration_s), flat(rate * factor, duration_s)];
+        Self { segments, repeats: true, spans_run: false }
     }
 
-    /// Each rate for its seconds; the last one goes on.
+    /// Constant rates, each given with its duration in seconds. The last rate continues.
     pub fn steps(steps: Vec<(f64, f64)>) -> Self {
-        let flat = |(rate, lasts)| Stretch { from: rate, to: rate, lasts };
-        Self { stretches: steps.into_iter().map(flat).collect(), again: false, whole: false }
+        let flat = |(rate, duration_s)| Segment { from: rate, to: rate, duration_s };
+        Self { segments: steps.into_iter().map(flat).collect(), repeats: false, spans_run: false }
     }
 
-    /// Requests due by then in a run of this length, on average.
+    /// Returns the mean number of requests due until `by` in a run of this length.
     pub fn mean(&self, by: Duration, length: Duration) -> f64 {
-        let mut left = by.as_secs_f64();
-        let mut sum = 0.0;
+        let mut remaining_s = by.as_secs_f64();
+        let mut total = 0.0;
         for i in 0.. {
-            let stretch = self.stretch(i, length);
-            if left <= stretch.lasts {
-                let to = stretch.from + (stretch.to - stretch.from) * left / stretch.lasts;
-                return sum + Stretch { to, lasts: left, ..stretch }.area();
+            let segment = self.segment(i, length);
+            if remaining_s <= segment.duration_s {
+                let to =
+                    segment.from + (segment.to - segment.from) * remaining_s / segment.duration_s;
+                return total + Segment { to, duration_s: remaining_s, ..segment }.request_count();
             }
-            left -= stretch.lasts;
-            sum += stretch.area();
+            remaining_s -= segment.duration_s;
+            total += segment.request_count();
         }
-        sum
+        total
     }
 
-    fn stretch(&self, i: usize, length: Duration) -> Stretch {
-        let all = self.stretches.len();
-        let last = Stretch { from: 1.0, to: 1.0, lasts: f64::MAX };
-        if self.whole {
-            let only = self.stretches.first().copied().unwrap_or(last);
-            let lasts = length.as_secs_f64();
-            let then = Stretch { from: only.to, to: only.to, lasts: f64::MAX };
-            return if i == 0 { Stretch { lasts, ..only } } else { then };
+    fn segment(&self, i: usize, length: Duration) -> Segment {
+        let segment_count = self.segments.len();
+        let last = Segment { from: 1.0, to: 1.0, duration_s: f64::MAX };
+        if self.spans_run {
+            let only = self.segments.first().copied().unwrap_or(last);
+            let duration_s = length.as_secs_f64();
+            let after_run = Segment { from: only.to, to: only.to, duration_s: f64::MAX };
+            return if i == 0 { Segment { duration_s, ..only } } else { after_run };
         }
-        match self.stretches.get(i) {
-            Some(stretch) => *stretch,
-            None if self.again => self.stretches[i % all],
+        match self.segments.get(i) {
+            Some(segment) => *segment,
+            None if self.repeats => self.segments[i % segment_count],
             None => {
-                let rate = self.stretches.last().map_or(last.to, |s| s.to);
-                Stretch { from: rate, to: rate, lasts: f64::MAX }
+                let rate = self.segments.last().map_or(last.to, |s| s.to);
+                Segment { from: rate, to: rate, duration_s: f64::MAX }
             }
         }
     }
 }
 
-/// One request to come.
+/// A scheduled request.
 #[derive(Clone, Copy, Debug, PartialEq)]
 pub struct Due {
-    /// From the start.
+    /// Time since the start of the run.
     pub at: Duration,
-    /// By place among the classes.
+    /// Index of its class.
     pub class: usize,
 }
 
-/// All requests of a run, in order of time.
+/// Iterator over all requests of a run, in order of time.
 pub struct Schedule {
     rates: Rates,
     spacing: Spacing,
     length: Duration,
     shares: Vec<f64>,
-    times: ChaCha8Rng,
-    classes: ChaCha8Rng,
-    /// The stretch it is in, when that began, and how many have been due in it.
-    stretch: usize,
-    began: f64,
-    passed: f64,
+    interval_rng: ChaCha8Rng,
+    class_rng: ChaCha8Rng,
+    /// Index of the current segment, followed by its start in seconds and the requests due in it so far.
+    segment: usize,
+    segment_start_s: f64,
+    requests_in_segment: f64,
 }
 
 impl Schedule {
-    /// Draws from `seed`; `shares` are the classes' parts of the load.
+    /// Creates a schedule drawn from `seed`; `shares` are the relative weights of the classes.
     pub fn new(
         rates: &Rates,
         spacing: Spacing,
@@ -151,11 +158,11 @@
             spacing,
             length,
             shares: shares.to_vec(),
-            times: stream(1),
-            classes: stream(2),
-            stretch: 0,
-            began: 0.0,
-            passed: 0.0,
+            interval_rng: stream(1),
+            class_rng: stream(2),
+            segment: 0,
+            segment_start_s: 0.0,
+            requests_in_segment: 0.0,
         }
     }
 }
@@ -164,29 +171,29 @@
     type Item = Due;
 
     fn next(&mut self) -> Option<Due> {
-        self.passed += match self.spacing {
-            Spacing::Poisson => Exp1.sample(&mut self.times),
+        self.requests_in_segment += match self.spacing {
+            Spacing::Poisson => Exp1.sample(&mut self.interval_rng),
             Spacing::Even => 1.0,
         };
         loop {
-            let stretch = self.rates.stretch(self.stretch, self.length);
-            if self.passed <= stretch.area() {
-                let at = self.began + stretch.until(self.passed);
+            let segment = self.rates.segment(self.segment, self.length);
+            if self.requests_in_segment <= segment.request_count() {
+                let at = self.segment_start_s + segment.time_until(self.requests_in_segment);
                 let at = Duration::try_from_secs_f64(at).ok().filter(|at| *at < self.length)?;
-                return Some(Due { at, class: draw(&self.shares, &mut self.classes) });
+                return Some(Due { at, class: sample_class(&self.shares, &mut self.class_rng) });
             }
-            self.passed -= stretch.area();
-            self.began += stretch.lasts;
-            self.stretch += 1;
-            if self.began >= self.length.as_secs_f64() {
+            self.requests_in_segment -= segment.request_count();
+            self.segment_start_s += segment.duration_s;
+            self.segment += 1;
+            if self.segment_start_s >= self.length.as_secs_f64() {
                 return None;
             }
         }
     }
 }
 
-/// One of these parts, by chance.
-pub fn draw(shares: &[f64], rng: &mut ChaCha8Rng) -> usize {
+/// Returns a random index into `shares`, with probability proportional to the share.
+pub fn sample_class(shares: &[f64], rng: &mut ChaCha8Rng) -> usize {
     let mut at = rng.random::<f64>() * shares.iter().sum::<f64>();
     let found = shares.iter().position(|share| {
         at -= share;
