--- a/crates/soak/src/fleet.rs
+++ b/crates/soak/src/fleet.rs
@@ -1,4 +1,4 @@
-//! The list of upstreams, as discovery has it.
+//! The list of upstreams that discovery serves.
 
 use std::net::SocketAddr;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -8,33 +8,33 @@
 use tokio::sync::watch;
 use tokio::time::Instant;
 
-/// What the list says of an upstream.
+/// State of an upstream on the list.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Phase {
-    /// It takes requests.
+    /// The upstream accepts requests.
     Serving,
-    /// It finishes what it has.
+    /// The upstream completes the requests in flight and takes no new ones.
     Draining,
-    /// It is gone.
+    /// The upstream is removed.
     Deleted,
 }
 
 /// One upstream on the list.
 #[derive(Clone, Debug)]
 pub struct Member {
-    /// The same for all.
+    /// ID of the upstream, the same for all balancers.
     pub id: String,
-    /// Where it listens.
+    /// Address on which the upstream listens.
     pub address: SocketAddr,
-    /// Its cell.
+    /// The upstream's cell.
     pub cell: u32,
-    /// What the list says.
+    /// State on the list.
     pub phase: Phase,
-    /// Its start, in milliseconds of Unix time; 0 for long ago.
+    /// Start time in milliseconds of Unix time; 0 for an upstream that has been up for long.
     pub up_since_ms: u64,
-    /// The revision that changed it last.
+    /// Revision of the last change of this member.
     pub revision: u64,
-    /// When that was.
+    /// Time of the last change.
     pub changed: Instant,
 }
 
@@ -44,20 +44,20 @@
     members: Vec<Member>,
 }
 
-/// The list, shared by all that change and tell it.
+/// The upstream list, shared by the tasks that change it and the tasks that serve it.
 #[derive(Clone, Debug)]
 pub struct Fleet {
     list: Arc<Mutex<List>>,
     changed: Arc<watch::Sender<u64>>,
 }
 
-/// Milliseconds of Unix time.
+/// Returns the current Unix time in milliseconds.
 pub fn unix_ms() -> u64 {
     SystemTime::now().duration_since(UNIX_EPOCH).unwrap_or_default().as_millis() as u64
 }
 
 impl Fleet {
-    /// Nobody yet.
+    /// Creates an empty list.
     pub fn new() -> Self {
         Self { list: Arc::default(), changed: Arc::new(watch::channel(0).0) }
     }
@@ -66,7 +66,7 @@
         self.list.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
 
-    /// Adds one that serves.
+    /// Adds a serving upstream.
     pub fn add(&self, id: &str, address: SocketAddr, cell: u32, up_since_ms: u64) {
         let mut list = self.locked();
         list.revision += 1;
@@ -77,7 +77,7 @@
         self.changed.send_replace(revision);
     }
 
-    /// Changes one; with a start, it has begun anew.
+    /// Changes the state of an upstream. A start time means that the upstream has restarted.
     pub fn change(&self, id: &str, phase: Phase, up_since_ms: Option<u64>) {
         let mut list = self.locked();
         list.revision += 1;
@@ -90,17 +90,18 @@
         self.changed.send_replace(revision);
     }
 
-    /// Tells of each change.
+    /// Returns a receiver that is notified of each change.
     pub fn changes(&self) -> watch::Receiver<u64> {
         self.changed.subscribe()
     }
 
-    /// All members.
+    /// Returns all members, including deleted ones.
     pub fn members(&self) -> Vec<Member> {
         self.locked().members.clone()
     }
 
-    /// What changed after a revision, as discovery writes it, and who that is. From 0 on it is the whole list.
+    /// Returns the current revision, the changes after `revision` in the format of discovery, and the members of which the
+    /// receiver is thereby notified. For revision 0 the changes are the complete list.
     pub fn since(&self, revision: u64) -> (u64, Value, Vec<Member>) {
         let list = self.locked();
         let is_whole = revision == 0;
@@ -111,7 +112,7 @@
         let listed: Vec<Member> = list.members.iter().filter(is_news).cloned().collect();
         let entries: Vec<Value> = listed.iter().map(entry).collect();
         let text = json!({"revision": list.revision, "complete": is_whole, "members": entries});
-        // Whom a whole list leaves out is notified of, too.
+        // A complete list also notifies of the removal of each member that it omits.
         let notified = if is_whole { list.members.clone() } else { listed };
         (list.revision, text, notified)
     }
--- a/crates/soak/src/judge.rs
+++ b/crates/soak/src/judge.rs
@@ -1,4 +1,4 @@
-//! What must always hold, whatever goes wrong, and what of it a run has broken.
+//! Rules that hold under every fault, and the check of a run against them.
 
 use std::collections::HashMap;
 use std::fmt;
@@ -12,46 +12,46 @@
     WINDOW,
 };
 
-/// Each time limit has so much slack on sockets.
+/// Allowance for socket delays in each time limit.
 const SLACK: Duration = Duration::from_millis(50);
-/// A process may be held up for so long between its clock and a write, and here so long by a fault of its own.
+/// Longest delay of a process between reading its clock and a write, including delays that injected faults cause.
 const HOLD_UP: Duration = Duration::from_millis(150);
-/// An attempt may begin so long after its client left.
+/// Longest time from a client's disconnection to the start of an attempt.
 const LEFT_SLACK: Duration = Duration::from_millis(100);
-/// An answer still counts so long after its client's time.
+/// Longest time from the deadline to a response that still counts.
 const LATE: Duration = Duration::from_millis(500);
-/// A new connection is accepted so long after SIGTERM.
+/// Time after SIGTERM in which new connections are accepted.
 const ACCEPTS: Duration = Duration::from_millis(400);
 
-/// Which rule was broken.
+/// A rule that every run must satisfy.
 #[derive(Clone, Copy, Debug, PartialEq, Eq, PartialOrd, Ord)]
 pub enum Rule {
-    /// One final answer for each request, before its deadline.
+    /// Each request gets one final response before its deadline.
     Answered,
-    /// No effect twice.
+    /// No request takes effect twice.
     Once,
-    /// A refusal says that another try is harmless.
+    /// A rejected request was not executed, so that a retry is safe.
     RefusedTruly,
-    /// Nothing new past the grace of a drain.
+    /// No attempt starts after the drain grace period.
     Drained,
-    /// Nothing for a client that has gone.
+    /// No attempt starts after the client has disconnected.
     Left,
-    /// The deadline announced is at most what is left.
+    /// The deadline announced to an upstream is at most the remaining time.
     Deadline,
-    /// No cold upstream is overloaded.
+    /// No upstream is overloaded while it warms up.
     Cold,
-    /// The daemon's own checks, its readiness and its end.
+    /// The daemon reports no invariant violation, becomes ready and exits as expected.
     Daemon,
 }
 
-/// One break of a rule.
+/// A violation of a rule.
 #[derive(Clone, Debug)]
 pub struct Break {
-    /// The rule.
+    /// The violated rule.
     pub rule: Rule,
-    /// In which way.
+    /// The kind of violation.
     pub kind: &'static str,
-    /// What was seen.
+    /// The observations that show the violation.
     pub what: String,
 }
 
@@ -61,7 +61,7 @@
     }
 }
 
-/// All breaks of a run. `lag` is how late the stand-ins themselves ran at the worst.
+/// Returns all violations of a run. `lag` is the longest delay of the tasks of the soak process itself.
 pub fn judge(ledger: &Ledger, lag: Duration, begun: Instant) -> Vec<Break> {
     let mut breaks = Vec::new();
     let mut of_request: HashMap<&str, Vec<&Attempt>> = HashMap::new();
@@ -109,7 +109,7 @@
         Some((at, answer)) => (*at, answer),
         None => return Some("never answered"),
     };
-    // What a kill finds open is lost by whoever kills.
+    // A request that is open when its balancer is killed may be lost.
     let incarnations = || ledger.incarnations.get(&request.balancer).into_iter().flatten();
     let mut kills = incarnations().filter_map(|incarnation| incarnation.killed);
     if kills.any(|killed| killed + lag >= request.connected && killed <= at + lag) {
@@ -127,7 +127,7 @@
             }
         }
         Answer::Whole(..) => (at > request.until + LATE + lag).then_some("answered too late"),
-        // An answer that can't be finished must be seen to be cut.
+        // A response that cannot be completed must be visibly truncated.
         Answer::Partial => None,
         Answer::NotConnected => None,
         Answer::Reset if request.connection != Connection::New => None,
@@ -138,7 +138,7 @@
     }
 }
 
-/// Whether its connection came up when its balancer took none any more.
+/// Whether the connection was established after its balancer had stopped accepting connections.
 fn came_after_the_end(ledger: &Ledger, request: &Request, lag: Duration) -> bool {
     let incarnations = ledger.incarnations.get(&request.balancer).into_iter().flatten();
     incarnations.into_iter().any(|incarnation| {
@@ -214,7 +214,7 @@
     attempts.iter().any(|attempt| is_late(&attempt)).then_some("sent past the grace of a drain")
 }
 
-/// Upstreams that got more while they were cold than the settings allow.
+/// Returns a violation for each upstream that received more requests while warming up than the settings allow.
 fn cold(ledger: &Ledger, begun: Instant) -> Vec<Break> {
     let mut breaks = Vec::new();
     for (upstream, started) in &ledger.starts {
@@ -240,7 +240,8 @@
     breaks
 }
 
-/// Requests within [`FALL_WITHIN`] that an upstream of this age bears, with the bound's allowance for chance.
+/// Returns the requests within [`FALL_WITHIN`] that an upstream of this age tolerates, with an allowance for random
+/// variation.
 fn allowed(age: Duration) -> f64 {
     let warmth = (age.as_secs_f64() / COLD.as_secs_f64()).min(1.0);
     let share = COLD_FROM + (1.0 - COLD_FROM) * warmth;
--- a/crates/soak/src/ledger.rs
+++ b/crates/soak/src/ledger.rs
@@ -1,4 +1,4 @@
-//! What happened, as clients, upstreams and discovery saw it.
+//! The record of a run as clients, upstreams and discovery observed it.
 
 use std::collections::HashMap;
 use std::sync::{Arc, Mutex, MutexGuard};
@@ -7,134 +7,134 @@
 
 use crate::settings::Class;
 
-/// What a client got for a request.
+/// The result of a request at its client.
 #[derive(Clone, Debug, PartialEq, Eq)]
 pub enum Answer {
-    /// An answer with this status and body.
+    /// A complete response with this status and body.
     Whole(u16, String),
-    /// The beginning of one.
+    /// An incomplete response.
     Partial,
-    /// An end of the connection in order, and no reset behind it: the request was read.
+    /// The connection closed without a reset, which means that the daemon had read the request.
     EndInOrder,
-    /// A reset before any byte: the request was not read, as far as is known.
+    /// A reset before any byte of the response. The request is assumed to be unread.
     Reset,
-    /// No connection.
+    /// The connection could not be established.
     NotConnected,
-    /// Nothing in its time and half a second.
+    /// No response within the deadline and half a second.
     Nothing,
 }
 
-/// A connection at the moment in which a request was written to it.
+/// State of a connection when a request is written to it.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Connection {
-    /// It had just come up.
+    /// Newly established.
     New,
-    /// It had come up and rested for long.
+    /// Established, then idle for a long time before its first request.
     NewAndRested,
-    /// It had served before.
+    /// Already used for an earlier request.
     Reused,
 }
 
-/// A request as its client saw it.
+/// A request as observed by its client.
 #[derive(Clone, Debug)]
 pub struct Request {
-    /// Its class.
+    /// The request class.
     pub class: Class,
-    /// The balancer that it was written to.
+    /// Number of the balancer that received the request.
     pub balancer: usize,
-    /// On which connection.
+    /// State of the connection that carried the request.
     pub connection: Connection,
-    /// When that connection came up.
+    /// Time at which the connection was established.
     pub connected: Instant,
-    /// When its last byte was written, and when its client gives up.
+    /// Time at which the last byte was written.
     pub sent: Instant,
-    /// See `sent`.
+    /// The deadline, after which the client gives up.
     pub until: Instant,
-    /// When its client closed the connection before the answer.
+    /// Time at which the client closed the connection before a response, if it did.
     pub left: Option<Instant>,
-    /// What its client got, and when.
+    /// The result and its time.
     pub answer: Option<(Instant, Answer)>,
 }
 
-/// What became of an attempt at an upstream.
+/// The outcome of an attempt at an upstream.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Fate {
-    /// Its last byte has not come.
+    /// The last byte of the request has not arrived.
     NotWhole,
-    /// It was turned away with a promise that it has not run.
+    /// The upstream rejected the request and stated that it was not executed.
     TurnedAway,
-    /// It has run.
+    /// The upstream executed the request.
     Ran,
 }
 
-/// An attempt as its upstream saw it.
+/// An attempt as observed by its upstream.
 #[derive(Clone, Debug)]
 pub struct Attempt {
-    /// The request's id.
+    /// The request ID.
     pub id: String,
-    /// The upstream's id, and its cell.
+    /// The upstream ID.
     pub upstream: String,
-    /// See `upstream`.
+    /// The upstream's cell.
     pub cell: u32,
-    /// Its first byte.
+    /// Arrival of the first byte.
     pub begun: Instant,
-    /// Its last byte.
+    /// Arrival of the last byte.
     pub whole: Option<Instant>,
-    /// The end of its answer, or of its connection.
+    /// End of the response or of the connection.
     pub over: Option<Instant>,
-    /// The deadline that it announced, in milliseconds.
+    /// The remaining time that the request announced, in milliseconds.
     pub announced_ms: u64,
-    /// What became of it.
+    /// The outcome.
     pub fate: Fate,
 }
 
-/// That an upstream drains or is gone, as a balancer was notified.
+/// Notification to a balancer that an upstream drains or is removed.
 #[derive(Clone, Copy, Debug)]
 pub struct Notice {
-    /// When it was written to the balancer.
+    /// Time at which the notification was written to the balancer.
     pub written: Instant,
 }
 
-/// A time in which a balancer's process did something out of the ordinary.
+/// Termination times of one balancer process.
 #[derive(Clone, Copy, Debug, Default)]
 pub struct Incarnation {
-    /// When SIGTERM was sent to it.
+    /// Time at which SIGTERM was sent.
     pub terminated: Option<Instant>,
-    /// When it was killed.
+    /// Time at which the process was killed.
     pub killed: Option<Instant>,
-    /// When it was gone.
+    /// Time at which the process had exited.
     pub gone: Option<Instant>,
 }
 
-/// All of it.
+/// All records of a run.
 #[derive(Debug, Default)]
 pub struct Ledger {
-    /// Requests by id.
+    /// Requests by request ID.
     pub requests: HashMap<String, Request>,
-    /// Attempts in the order in which they began.
+    /// Attempts in the order of their start.
     pub attempts: Vec<Attempt>,
-    /// By balancer and upstream: since when it may not be sent to, as the balancer was notified. Taken back when it serves.
+    /// Notifications in force, by balancer and upstream ID. A notification is withdrawn when the upstream serves again.
     pub notices: HashMap<(usize, String), Notice>,
-    /// Notices that were taken back, with the time at which they were.
+    /// Withdrawn notifications: balancer, upstream ID, notification and time of withdrawal.
     pub past_notices: Vec<(usize, String, Notice, Instant)>,
-    /// Processes of each balancer, the last one last.
+    /// Processes of each balancer, oldest first.
     pub incarnations: HashMap<usize, Vec<Incarnation>>,
-    /// Starts of upstreams: the id and when.
+    /// Upstream restarts: upstream ID and time.
     pub starts: Vec<(String, Instant)>,
-    /// What a daemon's log, or its end, has to say against it.
+    /// Faults of the daemons, found in their logs, readiness or exits.
     pub complaints: Vec<String>,
 }
 
-/// The ledger, shared by all tasks.
+/// A ledger shared by all tasks.
 pub type SharedLedger = Arc<Mutex<Ledger>>;
 
-/// The ledger, to be written to.
+/// Locks the ledger, even if another task panicked while it held the lock.
 pub fn locked(ledger: &SharedLedger) -> MutexGuard<'_, Ledger> {
     ledger.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
 }
 
 impl Ledger {
-    /// Notes that a balancer was notified of an upstream, and whether that serves.
+    /// Records that a balancer was notified whether an upstream serves.
     pub fn notify(&mut self, balancer: usize, upstream: &str, serves: bool, now: Instant) {
         let key = (balancer, upstream.to_string());
         if !serves {
--- a/crates/soak/src/lib.rs
+++ b/crates/soak/src/lib.rs
@@ -1,8 +1,8 @@
-//! A soak test: real daemons on loopback sockets, with stand-ins for clients, upstreams and discovery, under faults that
-//! overlap in time. What comes of every request is written down on both sides of the daemons and held against what must
-//! always hold ([`judge`]); the daemons' own counts of violations are part of that. See `docs/soak.md`.
+//! Soak test: runs real daemons on loopback sockets under overlapping faults. This process simulates the clients, the
+//! upstreams and discovery. Every request is recorded on both sides of the daemons, and [`judge`] checks the records
+//! against a set of rules, including the invariant violations that the daemons log themselves. See `docs/soak.md`.
 //!
-//! All that is drawn comes from one seed. The run itself is in real time, so a seed gives the same plan and not the same run.
+//! All random values derive from one seed. Runs use real time, so a seed reproduces the plan but not the exact run.
 #![forbid(unsafe_code)]
 #![warn(missing_docs)]
 
--- a/crates/soak/src/message.rs
+++ b/crates/soak/src/message.rs
@@ -1,51 +1,51 @@
-//! HTTP/1.1 messages, as far as the stand-ins need them.
+//! The parts of HTTP/1.1 that the simulated clients, upstreams and discovery need.
 
 use tokio::io::{AsyncRead, AsyncReadExt};
 use tokio::time::Instant;
 
-/// A message's head, and when its first byte was read.
+/// The head of a message.
 #[derive(Clone, Debug)]
 pub struct Head {
-    /// Its lines, the first one first.
+    /// Start line and header lines.
     pub lines: Vec<String>,
-    /// When its first byte was read.
+    /// Time at which the first byte was read.
     pub begun: Instant,
 }
 
 impl Head {
-    /// The value of a header; empty if there is none.
+    /// Returns the value of a header, or an empty string if the header is missing.
     pub fn header(&self, name: &str) -> &str {
         let mut fields = self.lines.iter().skip(1).filter_map(|line| line.split_once(':'));
         fields.find(|(n, _)| n.eq_ignore_ascii_case(name)).map_or("", |(_, value)| value.trim())
     }
 
-    /// The status of an answer; 0 for what is none.
+    /// Returns the status of a response, or 0 if the start line has none.
     pub fn status(&self) -> u16 {
         let status = self.lines.first().and_then(|line| line.split(' ').nth(1));
         status.and_then(|status| status.parse().ok()).unwrap_or(0)
     }
 
-    /// The length of the body; chunked bodies are not for stand-ins.
+    /// Returns the length of the body. Chunked bodies are not supported.
     pub fn length(&self) -> usize {
         self.header("content-length").parse().unwrap_or(0)
     }
 }
 
-/// How reading a message ended without one.
+/// Reason for which no message could be read.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum NoMessage {
-    /// The connection ended in order before its first byte.
+    /// The connection closed without a reset before the first byte.
     Ended,
-    /// It ended in the middle of it, in order or not.
+    /// The connection closed or was reset within the message.
     Partial,
-    /// It was reset before its first byte.
+    /// The connection was reset before the first byte.
     Reset,
 }
 
-/// Reads a head.
+/// Reads the head of a message.
 ///
 /// # Errors
-/// The connection ends first.
+/// Fails if the connection ends before the part is complete.
 pub async fn read_head(stream: &mut (impl AsyncRead + Unpin)) -> Result<Head, NoMessage> {
     let mut text = Vec::new();
     let mut begun = None;
@@ -69,7 +69,7 @@
 /// Reads a body of this length.
 ///
 /// # Errors
-/// The connection ends first.
+/// Fails if the connection ends before the part is complete.
 pub async fn read_body(
     stream: &mut (impl AsyncRead + Unpin),
     length: usize,
--- a/crates/soak/src/random.rs
+++ b/crates/soak/src/random.rs
@@ -1,35 +1,35 @@
-//! Draws from one seed, for each part of a run its own.
+//! Random numbers: one generator for each part of a run, all derived from the seed of the run.
 
 use std::time::Duration;
 
 use oorandom::Rand64;
 
-/// A source of draws.
+/// A seeded random number generator.
 #[derive(Debug)]
 pub struct Random(Rand64);
 
 impl Random {
-    /// That of one part of the run of a seed.
+    /// Creates the generator for one part of the run with this seed.
     pub fn new(seed: u64, part: u64) -> Self {
         Self(Rand64::new(u128::from(seed) << 64 | u128::from(part)))
     }
 
-    /// A share, from 0 up to 1.
+    /// Returns a fraction from 0 (included) to 1 (excluded).
     pub fn share(&mut self) -> f64 {
         self.0.rand_float()
     }
 
-    /// A whole number from `from` up to `to`, `to` not among them.
+    /// Returns an integer from `from` (included) to `to` (excluded).
     pub fn range(&mut self, from: u64, to: u64) -> u64 {
         self.0.rand_range(from..to)
     }
 
-    /// A time of so many milliseconds, from and up to.
+    /// Returns a duration from `from` (included) to `to` (excluded) milliseconds, in whole microseconds.
     pub fn milliseconds(&mut self, from: u64, to: u64) -> Duration {
         Duration::from_micros(self.range(from * 1000, to * 1000))
     }
 
-    /// One of these.
+    /// Returns an element of `of`, each with the same probability.
     pub fn pick<'a, T>(&mut self, of: &'a [T]) -> &'a T {
         &of[self.range(0, of.len() as u64) as usize]
     }
--- a/crates/soak/src/settings.rs
+++ b/crates/soak/src/settings.rs
@@ -1,47 +1,47 @@
-//! The settings that daemons and judge go by.
+//! Settings shared by the daemons under test and the checks.
 
 use std::time::Duration;
 
 use serde_json::{Value, json};
 
-/// What repeating a request can do.
+/// Request class, by the effect of repeating a request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 pub enum Class {
-    /// May be repeated freely.
+    /// Safe to repeat.
     Read,
-    /// Repeats are dropped within one cell, for [`WINDOW`].
+    /// Repeats are deduplicated within one cell during [`WINDOW`].
     Log,
-    /// Must never run twice.
+    /// Must never be executed twice.
     Alarm,
 }
 
-/// All classes.
+/// All request classes.
 pub const CLASSES: [Class; 3] = [Class::Read, Class::Log, Class::Alarm];
-/// From a first attempt that may have run to the last repeat.
+/// Longest time from the first attempt that may have been executed to the last repeat.
 pub const WINDOW: Duration = Duration::from_millis(900);
-/// From the notice of a drain to the last send.
+/// Longest time from the notification of a drain to the last attempt.
 pub const GRACE: Duration = Duration::from_millis(800);
 /// The longest deadline of a request.
 pub const LONGEST_DEADLINE: Duration = Duration::from_millis(1500);
-/// Attempts for one request.
+/// Maximum number of attempts for one request.
 pub const MOST_ATTEMPTS: usize = 4;
-/// An upstream is cold for so long after its start.
+/// Warm-up time of an upstream after its start.
 pub const COLD: Duration = Duration::from_secs(4);
-/// At first it can do this share of what it can do warm.
+/// Capacity of an upstream at its start, as a fraction of its warm capacity.
 pub const COLD_FROM: f64 = 0.2;
-/// It falls when sent so many times what it can do.
+/// An upstream fails when it receives this multiple of its capacity within [`FALL_WITHIN`].
 pub const FALL_MULTIPLE: f64 = 3.0;
-/// Within this time.
+/// Interval over which the load in [`FALL_MULTIPLE`] counts.
 pub const FALL_WITHIN: Duration = Duration::from_millis(1000);
-/// What a request takes at a warm upstream.
+/// Service time of a request at a warm upstream.
 pub const SERVICE: Duration = Duration::from_millis(4);
-/// Requests that an upstream works on side by side.
+/// Number of requests that an upstream processes concurrently.
 pub const LANES: usize = 2;
-/// Upstreams that drop each other's repeats.
+/// Number of cells. The upstreams of a cell deduplicate each other's repeats.
 pub const CELLS: u32 = 3;
 
 impl Class {
-    /// Its name on the wire.
+    /// Returns the name of the class on the wire.
     pub fn name(self) -> &'static str {
         match self {
             Self::Read => "read",
@@ -51,7 +51,7 @@
     }
 }
 
-/// The configuration of one balancer of so many.
+/// Returns the configuration of the balancer at `position` among `balancers`.
 pub fn config(position: usize, balancers: usize, discovery: &str, known: &Value) -> Value {
     let ms = |time: Duration| time.as_millis() as f64;
     let service = |class: Class, effect: &str| {
