--- a/crates/soak/src/balancer.rs
+++ b/crates/soak/src/balancer.rs
@@ -1,4 +1,4 @@
-//! One balancer: the daemon as a process, with its log, its discovery and the faults of its system calls.
+//! One balancer: the daemon process with its log, its discovery and its injected system call faults.
 
 use std::net::SocketAddr;
 use std::path::{Path, PathBuf};
@@ -17,23 +17,23 @@
 use crate::message::{NoMessage, read_head};
 use crate::settings::{LONGEST_DEADLINE, config};
 
-/// SIGKILL comes so long after SIGTERM at the soonest: the longest deadline and 0.7 s.
+/// Shortest time from SIGTERM to SIGKILL: the longest deadline and 0.7 s.
 const KILL_AFTER: Duration = LONGEST_DEADLINE.saturating_add(Duration::from_millis(700));
-/// A new process has so long to be ready.
+/// Time limit for a new process to become ready.
 const READY_WITHIN: Duration = Duration::from_secs(10);
-/// What of its log is a complaint.
+/// Texts in the daemon's log that count as a fault of the daemon.
 const COMPLAINTS: [&str; 3] = ["invariant violated", "panicked", "the engine ended"];
 
-/// One balancer, through all its processes.
+/// One balancer with its successive processes.
 #[derive(Debug)]
 pub struct Balancer {
-    /// Its number.
+    /// Number of the balancer.
     pub number: usize,
-    /// Where clients connect, once it has been started.
+    /// Address for clients, once the balancer has been started.
     pub address: Arc<Mutex<Option<SocketAddr>>>,
-    /// What tells it the list.
+    /// The discovery service that sends the list of upstreams to this balancer.
     pub discovery: Discovery,
-    /// The faults of its system calls.
+    /// Injector of system call faults.
     pub shim: Shim,
     daemon: PathBuf,
     config: PathBuf,
@@ -44,23 +44,23 @@
     child: Option<Child>,
 }
 
-/// What all balancers of a run have in common.
+/// Parameters shared by all balancers of a run.
 #[derive(Clone, Debug)]
 pub struct Common<'a> {
-    /// The daemon's program.
+    /// Path of the daemon's executable.
     pub daemon: &'a Path,
-    /// Where configurations and logs go.
+    /// Directory for configurations and logs.
     pub directory: &'a Path,
-    /// How many there are.
+    /// Number of balancers.
     pub balancers: usize,
     /// The list of upstreams.
     pub fleet: &'a Fleet,
-    /// Where everything is written down.
+    /// The record of the run.
     pub ledger: &'a SharedLedger,
 }
 
 impl Balancer {
-    /// One that is not started yet.
+    /// Creates a balancer without starting its process.
     pub async fn new(number: usize, common: &Common<'_>) -> std::io::Result<Self> {
         let Common { daemon, directory, balancers, fleet, ledger } = common.clone();
         let discovery = Discovery::start(number, fleet.clone(), ledger.clone()).await?;
@@ -84,7 +84,7 @@
         config(self.number, self.balancers, &self.discovery.address.to_string(), &known).to_string()
     }
 
-    /// Starts a process, and waits until it is ready.
+    /// Starts a process and waits until it is ready.
     pub async fn start(&mut self) -> std::io::Result<()> {
         std::fs::write(&self.config, self.config_text())?;
         let now = Instant::now();
@@ -142,7 +142,7 @@
         self.complain("is not ready within 10 s");
     }
 
-    /// Where clients connect.
+    /// Returns the address for clients.
     pub fn current_address(&self) -> Option<SocketAddr> {
         *self.address.lock().unwrap_or_else(|poisoned| poisoned.into_inner())
     }
@@ -151,7 +151,7 @@
         locked(&self.ledger).complaints.push(format!("balancer {}: {what}", self.number));
     }
 
-    /// Sends it a signal by its name.
+    /// Sends the signal with this name to the process.
     pub async fn signal(&self, name: &str) {
         let Some(pid) = self.child.as_ref().and_then(Child::id) else { return };
         let sent = Command::new("sh").args(["-c", &format!("kill -{name} {pid}")]).status().await;
@@ -160,7 +160,8 @@
         }
     }
 
-    /// Writes its configuration anew, torn for this long in between, and tells it so.
+    /// Rewrites the configuration in two steps. The daemon is told to reload while only the first half is written, and
+    /// the whole file follows after `torn`.
     pub async fn reload(&self, torn: Duration) -> std::io::Result<()> {
         let text = self.config_text();
         tokio::fs::write(&self.config, &text[..text.len() / 2]).await?;
@@ -169,7 +170,7 @@
         tokio::fs::write(&self.config, &text).await
     }
 
-    /// Ends the process in order; it is killed as soon as that may be.
+    /// Terminates the process gracefully, and kills it if it does not exit within `KILL_AFTER`.
     pub async fn stop(&mut self) {
         self.note(|incarnation, now| incarnation.terminated = Some(now));
         self.signal("TERM").await;
@@ -185,7 +186,7 @@
         self.note(|incarnation, now| incarnation.gone = Some(now));
     }
 
-    /// Ends the process at once.
+    /// Kills the process.
     pub async fn kill(&mut self) {
         self.note(|incarnation, now| incarnation.killed = Some(now));
         if let Some(mut child) = self.child.take() {
@@ -205,14 +206,14 @@
         }
     }
 
-    /// Descriptors that the process holds.
+    /// Returns the number of open file descriptors of the process.
     pub fn descriptors(&self) -> Option<usize> {
         let pid = self.child.as_ref()?.id()?;
         Some(std::fs::read_dir(format!("/proc/{pid}/fd")).ok()?.count())
     }
 }
 
-/// Keeps the log, looks for where the process listens, and for what it has to complain of.
+/// Copies the log to a file, and extracts the listening address and the faults that it reports.
 async fn follow_log(
     log: BufReader<tokio::process::ChildStderr>,
     mut file: tokio::fs::File,
--- a/crates/soak/src/bin/hollowpaddle-soak.rs
+++ b/crates/soak/src/bin/hollowpaddle-soak.rs
@@ -1,5 +1,5 @@
 //! Runs the soak test over many seeds: `hollowpaddle-soak DAEMON FIRST-SEED SEEDS [SECONDS [AT-ONCE]]`.
-//! Logs lie under `$TMPDIR/hollowpaddle-soak`. Ends with 1 if a rule was broken.
+//! Logs are written under `$TMPDIR/hollowpaddle-soak`. The exit status is 1 if a rule was violated.
 #![forbid(unsafe_code)]
 
 use std::collections::BTreeMap;
@@ -9,11 +9,11 @@
 use hollowpaddle_soak::judge::Break;
 use hollowpaddle_soak::{Options, Report, SoakError, run};
 
-/// Breaks of one kind that are printed whole for each run.
+/// Number of violations of each kind that are printed in full for each run.
 const PRINTED: usize = 2;
-/// The least delay of what upstreams write unasked, in milliseconds.
+/// Shortest delay of the unsolicited bytes of upstreams, in milliseconds.
 const MIN_STRAY_DELAY_MS: u64 = 4;
-/// How many delays there are, in steps of a millisecond.
+/// Number of different delays, in steps of a millisecond.
 const STRAY_DELAYS: u64 = 9;
 
 fn main() -> ExitCode {
@@ -55,13 +55,13 @@
     }
 }
 
-/// How late upstreams write what nobody asked for in the run of a seed. With the lateness of a busy machine it stays under
-/// the 20 ms for which connections rest.
+/// Returns the delay of the unsolicited bytes of upstreams in the run of a seed. Even with the timer delays of a busy machine
+/// it stays under the 20 ms for which the daemon keeps a connection back before reusing it.
 fn stray_delay(seed: u64) -> Duration {
     Duration::from_millis(MIN_STRAY_DELAY_MS + seed % STRAY_DELAYS)
 }
 
-/// Runs so many seeds, some of them side by side; the number of runs in which a rule was broken.
+/// Runs consecutive seeds, `at_once` of them concurrently. Returns the number of runs in which a rule was violated.
 async fn run_all(options: Options, seeds: u64, at_once: usize) -> Result<usize, SoakError> {
     let all: Vec<u64> = (options.seed..options.seed + seeds).collect();
     let mut broken = 0;
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -1,4 +1,5 @@
-//! Clients: those that ask and wait, and those that leave, stop halfway, write slowly, rest, or send two requests at once.
+//! Simulated clients, which send a request and wait, disconnect early, send half a request, write slowly, stay idle, or
+//! pipeline two requests.
 
 use std::net::SocketAddr;
 use std::sync::atomic::{AtomicU64, Ordering};
@@ -14,44 +15,45 @@
 use crate::random::Random;
 use crate::settings::{CLASSES, Class};
 
-/// An answer still counts so long after its client's time; later, or never, it is lost.
+/// Longest time from the deadline to a response that still counts. Without one by then, the response is lost.
 const LATE: Duration = Duration::from_millis(500);
-/// Behind an end in order a reset is waited for so long.
+/// Time to wait for a reset after the connection has closed.
 const RESET_WITHIN: Duration = Duration::from_millis(1200);
 
-/// What a client does with its next request.
+/// The way in which a client sends its next request.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Habit {
-    /// Writes it at once and waits.
+    /// Writes the request at once and waits for the response.
     Asks,
-    /// Writes it in two pieces with a pause between them.
+    /// Writes the request in two pieces with a pause between them.
     WritesSlowly,
-    /// Writes it and closes a moment later.
+    /// Writes the request and closes the connection a moment later.
     Leaves,
-    /// Writes a part of it, stays for a while and goes.
+    /// Writes a part of the request, keeps the connection open for a while and closes it.
     StopsHalfway,
-    /// Opens a connection and asks only after a long rest, often in the moment in which the balancer may close it.
+    /// Opens a connection and stays idle before the first request, until about the time at which the balancer may close
+    /// it.
     RestsFirst,
-    /// Rests for as long on a connection that has served, then asks.
+    /// Stays idle on a used connection until about the time at which the balancer may close it, then sends the request.
     Rests,
-    /// Sends two requests in one write.
+    /// Pipelines two requests in one write.
     AsksTwice,
 }
 
-/// Shared by all clients of a balancer.
+/// State shared by all clients of a balancer.
 #[derive(Clone, Debug)]
 pub struct Clients {
-    /// The balancer.
+    /// Number of the balancer.
     pub balancer: usize,
-    /// Where it is.
+    /// Address of the balancer, once it has been started.
     pub address: Arc<Mutex<Option<SocketAddr>>>,
-    /// Where everything is written down.
+    /// The record of the run.
     pub ledger: SharedLedger,
-    /// Numbers for ids.
+    /// Next number for a request ID.
     pub next: Arc<AtomicU64>,
-    /// Until when requests begin.
+    /// Time after which no request starts.
     pub until: Instant,
-    /// A pause between requests, at most.
+    /// Longest pause between requests.
     pub longest_pause: Duration,
 }
 
@@ -62,7 +64,7 @@
 }
 
 impl Clients {
-    /// One client, until the run ends.
+    /// Runs one client until the run ends.
     pub async fn run(self, mut random: Random) {
         let mut open: Option<Open> = None;
         while Instant::now() < self.until {
@@ -79,21 +81,21 @@
         };
         match habit {
             Habit::RestsFirst => {
-                // A head has to begin within 2.4 s of the accept.
+                // The daemon requires the first byte of a head within 2.4 s of the accept.
                 sleep(random.milliseconds(2380, 2420)).await;
                 open.kind = Connection::NewAndRested;
             }
             Habit::Rests if open.kind == Connection::Reused => {
-                // What has rested for 4 s is closed.
+                // The daemon closes connections that have been idle for 4 s.
                 sleep(random.milliseconds(3980, 4020)).await;
             }
             Habit::StopsHalfway => {
                 let (id, text) = self.request(&open, random);
-                // It is never sent whole.
+                // The request is never sent completely, so its record is removed.
                 locked(&self.ledger).requests.remove(&id);
                 let part = random.range(1, text.len() as u64) as usize;
                 open.stream.write_all(&text.as_bytes()[..part]).await.ok()?;
-                // It is owed an answer or an end within 3 s.
+                // The daemon must respond or close the connection within 3 s.
                 let ended = timeout(Duration::from_secs(3), read_head(&mut open.stream)).await;
                 if ended.is_err() {
                     let complaint =
@@ -139,7 +141,7 @@
         let (first, second) = (self.request(&open, random), self.request(&open, random));
         let both = format!("{}{}", first.1, second.1);
         if open.stream.write_all(both.as_bytes()).await.is_err() {
-            // Neither was read: that is known by the next of its connections.
+            // Neither request was read, so neither is owed a response.
             locked(&self.ledger).requests.retain(|id, _| *id != first.0 && *id != second.0);
             return None;
         }
@@ -152,11 +154,11 @@
         }
         self.answered(&first.0, one);
         if !stays {
-            // An answer that ends the connection says of what follows that it was not taken.
+            // A response that closes the connection means that the second request was not processed.
             locked(&self.ledger).requests.remove(&second.0);
             return None;
         }
-        // Its time counts from the answer before it.
+        // The deadline of the second request starts at the response to the first.
         let until = self.sent(&second.0);
         let (other, stays) = answer(&mut open.stream, until).await;
         self.answered(&second.0, other);
@@ -175,7 +177,7 @@
         Some(Open { stream, kind: Connection::New, connected: Instant::now() })
     }
 
-    /// Sends once more what its balancer has not read.
+    /// Resends a request that the balancer has not read, on a new connection.
     async fn resend(&self, id: &str, text: &str) -> Option<Open> {
         let Some(mut open) = self.connect().await else {
             self.answered(id, Answer::NotConnected);
@@ -195,7 +197,7 @@
         stays.then_some(open)
     }
 
-    /// Draws a request, and writes it down as one that begins now.
+    /// Creates a random request and records it as starting now. Returns its ID and text.
     fn request(&self, open: &Open, random: &mut Random) -> (String, String) {
         let class = *random.pick(&CLASSES);
         let deadline_ms = *random.pick(&[150u64, 400, 900, 1500]);
@@ -217,7 +219,7 @@
         (id, text)
     }
 
-    /// Notes that its last byte is out; until when it is waited for.
+    /// Records that the last byte of a request has been written. Returns its deadline.
     fn sent(&self, id: &str) -> Instant {
         let now = Instant::now();
         let mut until = now;
@@ -265,7 +267,7 @@
     }
 }
 
-/// Waits for an answer; what it was, and whether the connection is of further use.
+/// Waits for a response. Returns the result and whether the connection can be reused.
 async fn answer(stream: &mut TcpStream, until: Instant) -> (Answer, bool) {
     let head = match timeout_at(until + LATE, read_head(stream)).await {
         Err(_) => return (Answer::Nothing, false),
@@ -285,7 +287,7 @@
     }
 }
 
-/// Whether a reset follows the end of the connection.
+/// Returns whether a reset follows the close of the connection.
 async fn is_reset(stream: &TcpStream) -> bool {
     let begun = Instant::now();
     while begun.elapsed() < RESET_WITHIN {
--- a/crates/soak/src/discovery.rs
+++ b/crates/soak/src/discovery.rs
@@ -1,4 +1,4 @@
-//! Discovery as one balancer sees it: watches on the list, which may be cut, fall silent or not come up.
+//! Simulated discovery of one balancer: watches on the list of upstreams, which can be closed, silenced or rejected.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -14,26 +14,26 @@
 use crate::ledger::{SharedLedger, locked};
 use crate::message::read_head;
 
-/// While nothing changes a watch gets an empty line so often.
+/// Interval of the empty lines that a watch gets while nothing changes.
 const HEARTBEAT: Duration = Duration::from_millis(1000);
-/// How soon a watch that is to be cut or to fall silent notices.
+/// Interval at which a watch checks whether to close or to stop sending.
 const LOOK: Duration = Duration::from_millis(20);
 
-/// Discovery for one balancer.
+/// The discovery service of one balancer.
 #[derive(Clone, Debug)]
 pub struct Discovery {
-    /// Where it listens.
+    /// Address on which discovery listens.
     pub address: SocketAddr,
     is_down: Arc<AtomicBool>,
-    /// Watches up to this number say nothing more.
+    /// Watches up to this number send nothing more.
     silent_up_to: Arc<AtomicU64>,
-    /// Watches up to this number are cut.
+    /// Watches up to this number are closed.
     cut_up_to: Arc<AtomicU64>,
     opened: Arc<AtomicU64>,
 }
 
 impl Discovery {
-    /// Starts one for this balancer.
+    /// Starts the service for this balancer.
     pub async fn start(
         balancer: usize,
         fleet: Fleet,
@@ -64,7 +64,7 @@
         Ok(this)
     }
 
-    /// Whether it is down: watches end, and calls fail.
+    /// Sets whether discovery is unavailable, so that watches end and calls fail.
     pub fn set_down(&self, is_down: bool) {
         self.is_down.store(is_down, Ordering::Relaxed);
         if is_down {
@@ -72,18 +72,18 @@
         }
     }
 
-    /// Ends all watches that there are.
+    /// Closes all open watches.
     pub fn cut(&self) {
         self.cut_up_to.store(self.opened.load(Ordering::Relaxed), Ordering::Relaxed);
     }
 
-    /// Has all watches that there are say nothing more.
+    /// Makes all open watches send nothing more.
     pub fn silence(&self) {
         self.silent_up_to.store(self.opened.load(Ordering::Relaxed), Ordering::Relaxed);
     }
 }
 
-/// One watch.
+/// A watch of the balancer on the list.
 struct Watch {
     balancer: usize,
     number: u64,
@@ -97,7 +97,7 @@
         let _ = self.follow(&mut stream).await;
     }
 
-    /// Tells the list until something ends it.
+    /// Sends the list and its changes until the watch ends.
     async fn follow(&self, stream: &mut TcpStream) -> Option<()> {
         let call = read_head(stream).await.ok()?;
         if self.of.is_down.load(Ordering::Relaxed) {
@@ -116,7 +116,7 @@
                 return None;
             }
             if self.number <= self.of.silent_up_to.load(Ordering::Relaxed) {
-                // Its connection stays.
+                // The connection stays open.
                 sleep(Duration::from_secs(60)).await;
                 return None;
             }
--- a/crates/soak/src/faults.rs
+++ b/crates/soak/src/faults.rs
@@ -1,4 +1,4 @@
-//! What goes wrong, and when: drawn for each balancer and for the fleet, so that troubles overlap.
+//! Injection of random faults. Each balancer and the list of upstreams get independent faults, so that they overlap.
 
 use std::time::Duration;
 
@@ -11,27 +11,27 @@
 use crate::random::Random;
 use crate::upstream::Upstream;
 
-/// A wall clock may be wrong by so many seconds at the start of a process.
+/// Offset of a wrong wall clock at the start of a process, in seconds.
 const CLOCK_STEP: i64 = 3600;
 
-/// What happens to a balancer.
+/// A fault of a balancer.
 #[derive(Clone, Copy, Debug, PartialEq, Eq)]
 enum Trouble {
-    /// Some of its system calls fail or fall short for a while.
+    /// Some system calls fail, transfer fewer bytes or are delayed for a while.
     SystemCalls,
-    /// It stands still.
+    /// The process is stopped for a while.
     HeldUp,
-    /// Its configuration is written anew, slowly.
+    /// The configuration file is rewritten slowly, with a reload while it is incomplete.
     Reload,
-    /// It is ended in order and started again.
+    /// The process is terminated gracefully and started again.
     Restart,
-    /// It is killed and started again.
+    /// The process is killed and started again.
     Kill,
-    /// Its watches are cut.
+    /// The discovery watches are closed.
     WatchCut,
-    /// Its watches fall silent.
+    /// The discovery watches stay open and send nothing.
     WatchSilent,
-    /// Its discovery is down.
+    /// Discovery is unavailable.
     DiscoveryDown,
 }
 
@@ -66,7 +66,7 @@
     Fault::HoldUp(Duration::from_millis(140), 40),
 ];
 
-/// Makes trouble for a balancer until this time, and hands it back as a process that is well.
+/// Injects faults into a balancer until this time, and returns it with its discovery available.
 pub async fn trouble_balancer(
     mut balancer: Balancer,
     mut random: Random,
@@ -105,7 +105,7 @@
         }
         Trouble::Reload => balancer.reload(random.milliseconds(1, 100)).await,
         Trouble::Restart => {
-            // Accepting fails while it ends, now and then.
+            // Makes some `accept` calls fail during the shutdown.
             let fault = *random.pick(&FAULTS[..3]);
             balancer.shim.set(fault)?;
             balancer.stop().await;
@@ -133,14 +133,14 @@
     }
 }
 
-/// Starts the next process, by a wall clock that may be wrong.
+/// Starts the next process with a wall clock that may be wrong.
 async fn begin(balancer: &mut Balancer, random: &mut Random) -> std::io::Result<()> {
     let seconds = *random.pick(&[0, 0, CLOCK_STEP, -CLOCK_STEP]);
     balancer.shim.set(Fault::WallClock(seconds))?;
     balancer.start().await
 }
 
-/// The same fault, over.
+/// Returns the setting that ends a fault.
 fn ended(fault: Fault) -> Fault {
     match fault {
         Fault::Accept(errno, _) => Fault::Accept(errno, 0),
@@ -154,7 +154,7 @@
     }
 }
 
-/// Makes trouble for the fleet until this time: drains, restarts, crashes and silence, one upstream at a time.
+/// Injects drains, restarts, crashes and unresponsiveness until this time, into one upstream at a time.
 pub async fn trouble_fleet(
     upstreams: Vec<Upstream>,
     fleet: Fleet,
@@ -173,7 +173,7 @@
                 restart(&upstream, &fleet).await;
             }
             1 => {
-                // A drain that is taken back.
+                // A drain that is cancelled.
                 fleet.change(&upstream.id, Phase::Draining, None);
                 sleep(random.milliseconds(100, 1500)).await;
                 fleet.change(&upstream.id, Phase::Serving, None);
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -1,4 +1,4 @@
-//! One run: a fleet, balancers with their clients, trouble for all of them, and the verdict.
+//! Runs upstreams, balancers and clients, injects faults into them, and checks the records.
 
 use std::path::PathBuf;
 use std::sync::Arc;
@@ -17,59 +17,59 @@
 use crate::settings::{CELLS, LONGEST_DEADLINE};
 use crate::upstream::{Manners, Upstream};
 
-/// What is run.
+/// Parameters of a run.
 #[derive(Clone, Debug)]
 pub struct Options {
-    /// The daemon's program.
+    /// Path of the daemon's executable.
     pub daemon: PathBuf,
-    /// Where configurations and logs go.
+    /// Directory for configurations and logs.
     pub directory: PathBuf,
-    /// All that is drawn comes from it.
+    /// Seed of all random values.
     pub seed: u64,
-    /// How long trouble is made.
+    /// Time for which faults are injected and clients send requests.
     pub lasts: Duration,
-    /// Balancers, each a process.
+    /// Number of balancers, each a process.
     pub balancers: usize,
-    /// Upstreams, as tasks of this process.
+    /// Number of upstreams, which are tasks of this process.
     pub upstreams: usize,
-    /// Clients of each balancer.
+    /// Number of clients of each balancer.
     pub clients: usize,
-    /// What an upstream writes unasked comes so long behind its answer. Daemons bear 4 ms, if the timers of this process
-    /// are in time.
+    /// Delay between a response and the unsolicited bytes that an upstream writes after it. Daemons tolerate 4 ms if
+    /// the timers of this process fire on time.
     pub stray_after: Duration,
 }
 
-/// Why a run could not be made.
+/// Error that prevents a run.
 #[derive(Debug, thiserror::Error)]
 #[error("the run could not be made: {0}")]
 pub struct SoakError(#[from] std::io::Error);
 
-/// What came of a run.
+/// Result of a run.
 #[derive(Clone, Debug)]
 pub struct Report {
-    /// The seed.
+    /// Seed of the run.
     pub seed: u64,
-    /// Requests that were asked.
+    /// Number of requests sent.
     pub requests: usize,
-    /// Those that were served, and those that were answered otherwise.
+    /// Number of requests that were served.
     pub served: usize,
-    /// See `served`.
+    /// Number of requests with any other result.
     pub unserved: usize,
-    /// Attempts at upstreams.
+    /// Number of attempts at upstreams.
     pub attempts: usize,
-    /// Processes that were started.
+    /// Number of daemon processes started.
     pub processes: usize,
-    /// How late the stand-ins themselves ran at the worst; over [`Report::LAG`] the run says nothing.
+    /// Longest timer delay of the soak process itself. Above [`Report::LAG`] the run is invalid.
     pub lag: Duration,
-    /// What was broken.
+    /// Violations of the rules.
     pub breaks: Vec<Break>,
 }
 
 impl Report {
-    /// Stand-ins that run later than this can't tell whose fault a late answer is.
+    /// Largest valid timer delay. Beyond it, a late response cannot be attributed to the daemon or to the soak process.
     pub const LAG: Duration = Duration::from_millis(250);
 
-    /// Whether the machine had time for the run.
+    /// Returns whether the soak process ran with little enough delay for the result to be meaningful.
     pub fn is_valid(&self) -> bool {
         self.lag <= Self::LAG
     }
@@ -87,15 +87,16 @@
     cuts_short: 0.005,
 };
 
-/// Descriptors that a balancer at rest may hold: those of its clients and upstreams, and its own.
+/// Returns the largest number of descriptors that an idle balancer may hold: those of its clients and upstreams, and its
+/// own.
 fn most_descriptors(options: &Options) -> usize {
     options.clients * 2 + options.upstreams * 8 + 32
 }
 
-/// Makes one run and judges it.
+/// Executes one run and checks it against the rules.
 ///
 /// # Errors
-/// A process or a socket could not be had.
+/// Fails if a process cannot be started or a file or socket cannot be opened.
 pub async fn run(options: &Options) -> Result<Report, SoakError> {
     std::fs::create_dir_all(&options.directory)?;
     let (begun, ledger) = (Instant::now(), SharedLedger::default());
@@ -136,7 +137,7 @@
         client.await.map_err(std::io::Error::other)?;
     }
     finish(options, &mut balancers, &ledger).await;
-    // What is under way at upstreams is seen to its end.
+    // Lets the attempts in flight at upstreams finish.
     sleep(LONGEST_DEADLINE).await;
     measuring.abort();
     let lag = lag.longest();
@@ -157,12 +158,12 @@
     })
 }
 
-/// How late the tasks of this process run.
+/// The longest timer delay in this process, in microseconds.
 #[derive(Clone, Debug, Default)]
 struct Lag(Arc<AtomicU64>);
 
 impl Lag {
-    /// Sleeps again and again, and notes the longest delay.
+    /// Sleeps repeatedly and records the longest delay.
     async fn measure(self) {
         const STEP: Duration = Duration::from_millis(5);
         loop {
@@ -220,7 +221,7 @@
     tasks
 }
 
-/// Ends all balancers in order, once what they hold has been looked at.
+/// Checks the number of descriptors of each balancer, then terminates it gracefully.
 async fn finish(options: &Options, balancers: &mut [Balancer], ledger: &SharedLedger) {
     for balancer in balancers {
         let most = most_descriptors(options);
--- a/crates/soak/src/upstream.rs
+++ b/crates/soak/src/upstream.rs
@@ -1,4 +1,4 @@
-//! Stand-ins for upstreams: they serve, and misbehave in the ways in which servers do.
+//! Simulated upstreams, which serve requests and show the usual faults of servers.
 
 use std::net::SocketAddr;
 use std::sync::Arc;
@@ -15,37 +15,37 @@
 use crate::random::Random;
 use crate::settings::{COLD, COLD_FROM, LANES, SERVICE};
 
-/// How often each kind of misbehaviour comes, for a request or for a rest.
+/// Probability of each kind of fault, for each request.
 #[derive(Clone, Copy, Debug)]
 pub struct Manners {
-    /// It answers 500 after it has run.
+    /// The upstream executes the request and responds with status 500.
     pub errs: f64,
-    /// It turns the request away.
+    /// The upstream rejects the request without executing it.
     pub turns_away: f64,
-    /// It resets the connection before it has read the body.
+    /// The upstream resets the connection before it reads the body.
     pub resets_early: f64,
-    /// It resets the connection after it has run.
+    /// The upstream resets the connection after executing the request.
     pub resets_late: f64,
-    /// It runs, and never answers.
+    /// The upstream executes the request and never responds.
     pub hangs: f64,
-    /// It closes the connection right behind the answer, without announcing it.
+    /// The upstream closes the connection right after the response, without a `Connection: close` header.
     pub closes_behind: f64,
-    /// Behind the answer it writes something that nobody asked for.
+    /// The upstream writes unsolicited bytes after the response.
     pub writes_more: f64,
-    /// So long behind it.
+    /// Delay between the response and the unsolicited bytes.
     pub writes_more_after: Duration,
-    /// It says less than it promised, and closes.
+    /// The upstream sends fewer bytes than its `Content-Length` and closes the connection.
     pub cuts_short: f64,
 }
 
-/// One upstream.
+/// A simulated upstream.
 #[derive(Clone, Debug)]
 pub struct Upstream {
-    /// The same for all.
+    /// ID of the upstream, the same for all balancers.
     pub id: String,
-    /// Where it listens.
+    /// Address on which the upstream listens.
     pub address: SocketAddr,
-    /// Its cell.
+    /// The upstream's cell.
     pub cell: u32,
     shared: Arc<Shared>,
 }
@@ -57,14 +57,14 @@
     random: Mutex<Random>,
     lanes: Semaphore,
     started: Mutex<Option<Instant>>,
-    /// Connections of an earlier start end.
+    /// Number of restarts. Connections of an earlier generation are closed.
     generation: AtomicU64,
-    /// It takes connections and says nothing, as a machine that is cut off.
+    /// Whether the upstream accepts connections and sends nothing, like a machine that has lost its network.
     is_silent: AtomicBool,
 }
 
 impl Upstream {
-    /// Starts one that is warm.
+    /// Starts a warm upstream.
     pub async fn start(
         id: String,
         cell: u32,
@@ -93,7 +93,7 @@
         Ok(this)
     }
 
-    /// Begins anew: all connections end, and it is cold.
+    /// Restarts the upstream: all connections close and it warms up again.
     pub async fn restart(&self) {
         self.shared.generation.fetch_add(1, Ordering::Relaxed);
         let now = Instant::now();
@@ -101,7 +101,7 @@
         locked(&self.shared.ledger).starts.push((self.id.clone(), now));
     }
 
-    /// Whether it says nothing.
+    /// Sets whether the upstream sends nothing.
     pub fn set_silent(&self, is_silent: bool) {
         self.shared.is_silent.store(is_silent, Ordering::Relaxed);
     }
@@ -123,7 +123,7 @@
         }
     }
 
-    /// One request; nothing where the connection is over.
+    /// Serves one request. Returns `None` if the connection has ended.
     async fn one(
         &self,
         stream: &mut TcpStream,
@@ -211,7 +211,7 @@
         change(&mut locked(&self.shared.ledger).attempts[at]);
     }
 
-    /// Takes a lane for as long as the work takes; longer while it is cold.
+    /// Executes a request in one of the concurrent slots. It takes longer while the upstream is warming up.
     async fn work(&self) {
         let age = self.shared.started.lock().await.map_or(COLD, |started| started.elapsed());
         let warmth = (age.as_secs_f64() / COLD.as_secs_f64()).min(1.0);
--- a/crates/soak/tests/formats.rs
+++ b/crates/soak/tests/formats.rs
@@ -1,9 +1,9 @@
-//! The configuration that daemons under test are given, and the text of a broken rule.
+//! Pins the configuration given to daemons under test and the text of a violation.
 
 use hollowpaddle_soak::judge::{Break, Rule};
 use serde_json::{Value, json};
 
-// The module is private to the package, and the daemon reads what it writes.
+// The module is private to the package, so it is included by path. The daemon reads the configuration that it writes.
 #[allow(dead_code)]
 #[path = "../src/settings.rs"]
 mod settings;
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,10 +1,10 @@
-//! A short soak of real daemons, as `hollowpaddle-soak` runs for longer: see `docs/soak.md`.
+//! A short soak test of real daemons. `hollowpaddle-soak` makes longer runs: see `docs/soak.md`.
 
 use std::time::Duration;
 
 use hollowpaddle_soak::{Options, Report, run};
 
-/// A machine that has no time for the stand-ins says nothing of the daemons; it is asked so often.
+/// Attempts to get a valid run. A run is invalid if the machine is too busy for the simulated clients and upstreams.
 const TRIES: usize = 3;
 
 fn soak(seed: u64) -> Report {
@@ -17,14 +17,14 @@
         balancers: 3,
         upstreams: 5,
         clients: 6,
-        // Timers of a busy machine are later than daemons bear.
+        // On a busy machine, timer delays exceed the 4 ms that daemons tolerate.
         stray_after: Duration::ZERO,
     };
     let runtime = tokio::runtime::Builder::new_multi_thread().enable_all().build();
     runtime.expect("a runtime").block_on(run(&options)).expect("processes and sockets")
 }
 
-/// Runs a seed until the machine has time for it, and holds the run against the rules.
+/// Runs a seed until a run is valid, and checks that run against the rules.
 fn holds(seed: u64) {
     for _ in 0..TRIES {
         let report = soak(seed);
