--- a/crates/soak/src/balancer.rs
+++ b/crates/soak/src/balancer.rs
@@ -127,7 +127,7 @@
             self.ledger.clone(),
         ));
         if timeout(READY_TIMEOUT, listening.notified()).await.is_err() {
-            self.record_failure("does not listen");
+            self.record_failure("is not listening within 10 s");
             return Ok(());
         }
         self.wait_until_ready(now).await;
@@ -183,9 +183,9 @@
         let Some(mut child) = self.child.take() else { return };
         match timeout(KILL_AFTER, child.wait()).await {
             Ok(Ok(status)) if status.success() => {}
-            Ok(status) => self.record_failure(&format!("ends with {status:?}")),
+            Ok(status) => self.record_failure(&format!("exited with {status:?}")),
             Err(_) => {
-                self.record_failure("goes on until it is killed");
+                self.record_failure("did not exit after SIGTERM and was killed");
                 let _ = child.kill().await;
             }
         }
--- a/crates/soak/src/bin/hollowpaddle-soak.rs
+++ b/crates/soak/src/bin/hollowpaddle-soak.rs
@@ -86,9 +86,9 @@
 fn print(report: &Report) {
     let Report { seed, requests, served, unserved, attempts, processes, lag, violations } = report;
     let verdict = match (violations.len(), report.is_valid()) {
-        (0, true) => "no rule broken".to_string(),
-        (0, false) => "void: the machine had no time".to_string(),
-        (n, _) => format!("{n} breaks"),
+        (0, true) => "no rule violated".to_string(),
+        (0, false) => "invalid: the machine was too busy".to_string(),
+        (n, _) => format!("{n} violations"),
     };
     println!(
         "seed {seed}: {requests} requests, {served} served, {unserved} not, {attempts} attempts, \
--- a/crates/soak/src/checker.rs
+++ b/crates/soak/src/checker.rs
@@ -90,7 +90,7 @@
     }
     violations.extend(check_warm_up(ledger, begun));
     let daemon_failures = ledger.daemon_failures.iter();
-    let kind = "a daemon complains, or does not do as it should";
+    let kind = "a daemon reported a failure, was not ready or did not exit properly";
     violations.extend(daemon_failures.map(|details| Violation {
         rule: Rule::Daemon,
         kind,
@@ -127,7 +127,7 @@
             };
             let is_late = at > request.until + LATE_ANSWER_ALLOWANCE + lag;
             match attempts.iter().any(|attempt| is_served(&attempt)) {
-                false => Some("served with what no upstream made for it"),
+                false => Some("served a response that no upstream produced for it"),
                 true => is_late.then_some("served too late"),
             }
         }
@@ -140,7 +140,7 @@
         Answer::Reset if request.connection != Connection::New => None,
         Answer::Reset if connected_during_shutdown(ledger, request, lag) => None,
         Answer::Reset => Some("reset on a new connection"),
-        Answer::EndInOrder => Some("read, and closed with no answer"),
+        Answer::EndInOrder => Some("request read, connection closed without an answer"),
         Answer::Nothing => Some("no answer in time"),
     }
 }
@@ -177,9 +177,10 @@
             let end = whole(first) + DEDUP_WINDOW + SOCKET_SLACK + MAX_PROCESS_DELAY + lag;
             let is_after_window = ran.iter().any(|attempt| whole(attempt) > end);
             if is_in_other_cell {
-                Some("a keyed request ran in two groups")
+                Some("a keyed request ran in two cells")
             } else {
-                is_after_window.then_some("a keyed request ran again past its window")
+                is_after_window
+                    .then_some("a keyed request ran again after its deduplication window")
             }
         }
     }
@@ -189,7 +190,7 @@
     let (_, Answer::Whole(status, _)) = request.answer.as_ref()? else { return None };
     let ran = attempts.iter().any(|attempt| attempt.fate == AttemptOutcome::Ran);
     let is_refused = [429, 503].contains(status);
-    (is_refused && ran && request.class != Class::Read).then_some("refused after it had run")
+    (is_refused && ran && request.class != Class::Read).then_some("rejected after it had run")
 }
 
 fn check_disconnect(
@@ -201,7 +202,7 @@
     let is_late = attempts
         .iter()
         .any(|attempt| attempt.begun > left + DISCONNECT_SLACK + MAX_PROCESS_DELAY + lag);
-    is_late.then_some("an attempt begun after its client left")
+    is_late.then_some("an attempt began after its client had disconnected")
 }
 
 fn check_deadline(request: &Request, attempts: &[&Attempt], lag: Duration) -> Option<&'static str> {
@@ -209,7 +210,7 @@
         let left = request.until.saturating_duration_since(attempt.begun);
         Duration::from_millis(attempt.announced_ms) > left + MAX_PROCESS_DELAY + lag
     });
-    overstated.then_some("a longer deadline was announced than was left")
+    overstated.then_some("the announced deadline exceeds the remaining time")
 }
 
 fn check_drain(
@@ -231,7 +232,7 @@
             past.map(|(.., notification, _)| notification.written).chain(present);
         notifications.any(|written| attempt.begun > written + DRAIN_GRACE + SOCKET_SLACK + lag)
     };
-    attempts.iter().any(|attempt| is_late(&attempt)).then_some("sent past the grace of a drain")
+    attempts.iter().any(|attempt| is_late(&attempt)).then_some("sent after the drain grace period")
 }
 
 /// Returns a violation for each upstream that received more requests while warming up than the settings allow.
@@ -251,11 +252,11 @@
                 let age = first.saturating_duration_since(*started);
                 let at = first.saturating_duration_since(begun);
                 let details = format!(
-                    "{upstream}, {age:?} old, got {received} at {at:?}, {allowed:.1} allowed"
+                    "{upstream}, {age:?} after its start: received {received} at {at:?}, {allowed:.1} allowed"
                 );
                 violations.push(Violation {
                     rule: Rule::Cold,
-                    kind: "a cold upstream got too much",
+                    kind: "an upstream received too many requests while warming up",
                     details,
                 });
                 break;
--- a/crates/soak/src/client.rs
+++ b/crates/soak/src/client.rs
@@ -103,8 +103,10 @@
                 // The daemon must respond or close the connection within 3 s.
                 let ended = timeout(Duration::from_secs(3), read_head(&mut open.stream)).await;
                 if ended.is_err() {
-                    let failure =
-                        format!("balancer {}: half a request is left alone", self.balancer);
+                    let failure = format!(
+                        "balancer {}: an incomplete request got neither an answer nor a close within 3 s",
+                        self.balancer
+                    );
                     lock(&self.ledger).daemon_failures.push(failure);
                 }
                 return None;
--- a/crates/soak/src/run.rs
+++ b/crates/soak/src/run.rs
@@ -41,7 +41,7 @@
 
 /// Error that prevents a run.
 #[derive(Debug, thiserror::Error)]
-#[error("the run could not be made: {0}")]
+#[error("the soak run could not be completed: {0}")]
 pub struct SoakError(#[from] std::io::Error);
 
 /// Result of a run.
@@ -232,7 +232,7 @@
         if let Some(descriptors) = balancer.descriptors().filter(|descriptors| *descriptors > limit)
         {
             let what = format!(
-                "balancer {}: {descriptors} descriptors at rest, {limit} at most",
+                "balancer {}: {descriptors} descriptors while idle, at most {limit} allowed",
                 balancer.number
             );
             lock(ledger).daemon_failures.push(what);
--- a/tests/soak/main.rs
+++ b/tests/soak/main.rs
@@ -1,4 +1,4 @@
-//! A short soak test of real daemons. `hollowpaddle-run_soak` makes longer runs: see `docs/run_soak.md`.
+//! A short soak test of real daemons. `hollowpaddle-soak` makes longer runs: see `docs/soak.md`.
 
 use std::time::Duration;
 
@@ -32,13 +32,16 @@
             let violations: Vec<String> =
                 report.violations.iter().map(ToString::to_string).collect();
             assert!(violations.is_empty(), "seed {seed}: {}", violations.join("\n"));
-            assert!(report.served * 10 > report.requests * 8, "too little was served: {report:?}");
-            assert!(report.processes > 3, "nothing was restarted: {report:?}");
+            assert!(
+                report.served * 10 > report.requests * 8,
+                "too few requests were served: {report:?}"
+            );
+            assert!(report.processes > 3, "no process was restarted: {report:?}");
             return;
         }
-        eprintln!("void: the stand-ins ran {:?} late", report.lag);
+        eprintln!("invalid run: timers were {:?} late", report.lag);
     }
-    panic!("seed {seed}: the machine had no time in {MAX_RUNS} tries");
+    panic!("seed {seed}: the machine was too busy in {MAX_RUNS} runs");
 }
 
 #[test]
