--- a/crates/soak/src/bin/hollowpaddle-soak.rs
+++ b/crates/soak/src/bin/hollowpaddle-soak.rs
@@ -55,8 +55,8 @@
     }
 }
 
-/// Returns the delay of the unsolicited bytes of upstreams in the run of a seed. Even with the timer delays of a busy machine
-/// it stays under the 20 ms for which the daemon keeps a connection back before reusing it.
+/// Returns the delay of the unsolicited bytes of upstreams in the run of a seed. Even with the timer delays of a busy
+/// machine, the delay stays under the 20 ms for which the daemon does not reuse a connection after a response.
 fn stray_delay(seed: u64) -> Duration {
     Duration::from_millis(MIN_STRAY_DELAY_MS + seed % STRAY_DELAYS)
 }
