--- a/crates/soak/tests/formats.rs
+++ b/crates/soak/tests/formats.rs
@@ -1,9 +1,9 @@
-//! The configuration that daemons under test are given, and the text of a broken rule.
+//! Pins the configuration given to daemons under test and the text of a violation.
 
-use hollowpaddle_soak::judge::{Break, Rule};
+use hollowpaddle_soak::checker::{Rule, Violation};
 use serde_json::{Value, json};
 
-// The module is private to the package, and the daemon reads what it writes.
+// The module is private to the package, so it is included by path. The daemon reads the configuration that it writes.
 #[allow(dead_code)]
 #[path = "../src/settings.rs"]
 mod settings;
@@ -29,7 +29,8 @@
         (Rule::Cold, "Cold"),
         (Rule::Daemon, "Daemon"),
     ] {
-        let broken = Break { rule, kind: "kind of break", what: "what was seen".to_string() };
-        assert_eq!(broken.to_string(), format!("{name}, kind of break: what was seen"));
+        let violation =
+            Violation { rule, kind: "kind of break", details: "what was seen".to_string() };
+        assert_eq!(violation.to_string(), format!("{name}, kind of break: what was seen"));
     }
 }
