--- a/crates/rehearsal/tests/standins.rs
+++ b/crates/rehearsal/tests/standins.rs
@@ -142,7 +142,7 @@
         outcomes.sort_by_key(|f| format!("{f:?}"));
         assert_eq!(
             outcomes,
-            [AttemptOutcome::Served, AttemptOutcome::Served, AttemptOutcome::Rejected]
+            [AttemptOutcome::Rejected, AttemptOutcome::Served, AttemptOutcome::Served]
         );
     });
 }
